--- a/test.sh
+++ b/test.sh
@@ -6,6 +6,8 @@
 unformatted=$(gofmt -l .)
 if [ -n "$unformatted" ]; then echo "gofmt wants: $unformatted"; exit 1; fi
 go vet ./...
+# The linters of .golangci.yml, staticcheck among them. The tool has a module file of its own, so that go.mod lists none of it.
+go tool -modfile=tools/golangci-lint/go.mod golangci-lint run ./...
 # The files under `policy` hold every decision of the module, together 1,000 lines at most.
 policy=$(sed -n 's/^policy = \[\(.*\)\]$/\1/p' deploy/balancer.toml | tr -d '",')
 if [ -z "$policy" ]; then echo "deploy/balancer.toml names no policy files"; exit 1; fi
@@ -18,7 +20,6 @@
 # shellcheck disable=SC2086
 long=$(awk '{gsub(/\t/,"    ")} length>110 {print FILENAME":"FNR}' $policy)
 if [ -n "$long" ]; then echo "policy lines over 110 characters: $long"; exit 1; fi
-go tool staticcheck ./...
 # What runs at night imports nothing of what is for trying it out.
 inward=$(go list -f '{{$p := .ImportPath}}{{range .Imports}}{{$p}} imports {{.}}{{"\n"}}{{end}}' . ./internal/... ./drmaa2 |
 	grep -v '^[^ ]*/internal/lab/' | grep 'imports .*/internal/lab/' || true)
