--- /dev/null
+++ b/internal/lab/load/format_test.go
@@ -0,0 +1,44 @@
+package load
+
+import (
+	"bytes"
+	"os"
+	"reflect"
+	"testing"
+	"time"
+)
+
+// storedTrace is traceOfEveryField, written by the build of commit ad3e0ee.
+const storedTrace = "testdata/trace"
+
+func traceOfEveryField() *Trace {
+	return &Trace{Source: "daemon", Start: time.Unix(1_700_000_000, 123), Anonymous: true,
+		Jobs: []Job{
+			{At: time.Second, Class: "sensor", Service: "v-0123456789abcdef", Tenant: "t-fedcba9876543210", Cores: 0.5,
+				Memory: 1.5, Life: 3 * time.Second, CutOff: true, Outcome: "placed"},
+			{At: 2 * time.Second},
+		},
+		Gaps: []Gap{{From: 4 * time.Second, To: 40 * time.Second}}}
+}
+
+// A trace of an earlier build is read, and written the same.
+func TestStoredTrace(t *testing.T) {
+	stored, err := os.ReadFile(storedTrace)
+	if err != nil {
+		t.Fatal(err)
+	}
+	trace, err := Read(bytes.NewReader(stored))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if want := traceOfEveryField(); !reflect.DeepEqual(trace, want) {
+		t.Errorf("%+v, want %+v", trace, want)
+	}
+	var written bytes.Buffer
+	if err := trace.Write(&written); err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(written.Bytes(), stored) {
+		t.Errorf("%x, stored is %x", written.Bytes(), stored)
+	}
+}
--- /dev/null
+++ b/internal/lab/rules/format_test.go
@@ -0,0 +1,107 @@
+package rules
+
+import (
+	"bytes"
+	"compress/gzip"
+	"encoding/json"
+	"io"
+	"os"
+	"reflect"
+	"testing"
+	"time"
+
+	"flaxshelf.example/flaxshelf/internal/lab/wiretap"
+)
+
+// Written by the build of commit ad3e0ee: the recording of a day of the emulator, with cold nodes, a drain, a lost node
+// and a killed scheduler, and figuresOfEveryField.
+const (
+	storedTraffic = "testdata/traffic.gz"
+	storedFigures = "testdata/figures.json"
+)
+
+func figuresOfEveryField() Figures {
+	return Figures{
+		Classes: []Class{{Name: "keyed", Effect: "keyed", Group: "zone", Window: 2 * time.Second, GiveUp: 3 * time.Second,
+			Spread: "cell", Most: 4}},
+		DrainGrace: time.Second, AnswerSlack: 150 * time.Millisecond, Settle: 2500 * time.Millisecond,
+		Cold: Cold{For: 5 * time.Second, Window: 1500 * time.Millisecond, From: 0.25, Multiple: 2.5, Always: 12,
+			StartsPerSecond: 3.5},
+		Skew: 10 * time.Millisecond}
+}
+
+func readTraffic(t *testing.T) []byte {
+	t.Helper()
+	f, err := os.Open(storedTraffic)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer f.Close()
+	z, err := gzip.NewReader(f)
+	if err != nil {
+		t.Fatal(err)
+	}
+	recording, err := io.ReadAll(z)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return recording
+}
+
+// A recording of an earlier build gets the same verdict.
+func TestStoredTraffic(t *testing.T) {
+	v, err := Check(bytes.NewReader(readTraffic(t)))
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := &Verdict{Length: 9498 * time.Millisecond, Submitted: 169, Taken: 169, Turned: map[string]int{},
+		Outcomes: map[string]int{"placed": 123, "refused": 16},
+		States:   map[string]int{"DONE": 123, "FAILED": 16, "QUEUED": 30}, Orphaned: 30, Offers: 128,
+		Replies: map[string]int{"accepted": 123, "refused: no cores": 5}}
+	for i, checked := range []int{OneAnswer: 139, NoSecondStart: 155, DrainsKept: 128, ColdKept: 128, SpreadKept: 101} {
+		want.Rules[i].Checked = checked
+	}
+	if !reflect.DeepEqual(v, want) {
+		t.Errorf("%+v,\nwant %+v", v, want)
+	}
+}
+
+// The figures in a recording of an earlier build are written the same.
+func TestStoredTrafficFigures(t *testing.T) {
+	r, err := wiretap.NewReader(bytes.NewReader(readTraffic(t)))
+	if err != nil {
+		t.Fatal(err)
+	}
+	checkFigures(t, r.Figures)
+}
+
+// Figures with every field set keep their names.
+func TestStoredFigures(t *testing.T) {
+	stored, err := os.ReadFile(storedFigures)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if read, want := checkFigures(t, bytes.TrimSuffix(stored, []byte("\n"))), figuresOfEveryField(); !reflect.DeepEqual(read,
+		want) {
+		t.Errorf("%+v, want %+v", read, want)
+	}
+}
+
+// checkFigures reads figures that have no other fields, and writes them the same.
+func checkFigures(t *testing.T, stored []byte) Figures {
+	t.Helper()
+	var f Figures
+	dec := json.NewDecoder(bytes.NewReader(stored))
+	dec.DisallowUnknownFields()
+	if err := dec.Decode(&f); err != nil {
+		t.Fatal(err)
+	}
+	text, err := json.Marshal(f)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(text, stored) {
+		t.Errorf("%s,\nstored is %s", text, stored)
+	}
+	return f
+}
