--- /dev/null
+++ b/internal/replay/record_test.go
@@ -0,0 +1,317 @@
+package replay
+
+import (
+	"bytes"
+	"encoding/gob"
+	"errors"
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"io"
+	"maps"
+	"os"
+	"path/filepath"
+	"reflect"
+	"slices"
+	"strings"
+	"testing"
+
+	"flaxshelf.example/flaxshelf"
+)
+
+// fill sets all that v holds to values other than zero, each another one where the type allows it.
+func fill(t *testing.T, v reflect.Value, next *int64) {
+	t.Helper()
+	*next++
+	switch v.Kind() {
+	case reflect.Bool:
+		v.SetBool(true)
+	case reflect.Int, reflect.Int64:
+		v.SetInt(*next)
+	case reflect.Uint8:
+		v.SetUint(uint64(*next%255) + 1)
+	case reflect.Float64:
+		v.SetFloat(float64(*next) + 0.5)
+	case reflect.String:
+		v.SetString(strings.Repeat("x", int(*next)))
+	case reflect.Slice:
+		v.Set(reflect.MakeSlice(v.Type(), 2, 2))
+		for i := range v.Len() {
+			fill(t, v.Index(i), next)
+		}
+	case reflect.Struct:
+		for i := range v.NumField() {
+			if v.Type().Field(i).IsExported() {
+				fill(t, v.Field(i), next)
+			}
+		}
+	default:
+		t.Fatalf("a field of kind %v: say here how it is filled", v.Kind())
+	}
+}
+
+// filled is a value of the type of example with every field set.
+func filled[T any](t *testing.T, example T, next *int64) T {
+	t.Helper()
+	v := reflect.New(reflect.TypeOf(example)).Elem()
+	fill(t, v, next)
+	return v.Interface().(T)
+}
+
+// readAll reads a whole recording.
+func readAll(t *testing.T, recording []byte) (*reader, []step) {
+	t.Helper()
+	in, err := newReader(bytes.NewReader(recording))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var steps []step
+	for {
+		s, err := in.next()
+		if errors.Is(err, io.EOF) {
+			return in, steps
+		}
+		if err != nil {
+			t.Fatal(err)
+		}
+		steps = append(steps, s)
+	}
+}
+
+func writeAll(t *testing.T, config flaxshelf.Config, seed uint64, steps []step) []byte {
+	t.Helper()
+	var b bytes.Buffer
+	w, err := NewWriter(&b, config, seed)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, s := range steps {
+		w.Step(s.now, s.events, s.actions)
+	}
+	if err := w.Close(); err != nil {
+		t.Fatal(err)
+	}
+	return b.Bytes()
+}
+
+// Every field of the settings and of each event and action comes back from a recording, also one that is new.
+func TestEveryFieldIsStored(t *testing.T) {
+	var next int64
+	config := filled(t, flaxshelf.Config{}, &next)
+	written := step{now: 3}
+	for _, e := range allEvents() {
+		written.events = append(written.events, filled(t, e, &next))
+	}
+	for _, a := range allActions() {
+		written.actions = append(written.actions, filled(t, a, &next))
+	}
+	in, steps := readAll(t, writeAll(t, config, 5, []step{written}))
+	if !reflect.DeepEqual(in.config, config) || in.seed != 5 {
+		t.Errorf("settings %+v, seed %d;\nwritten were %+v and 5", in.config, in.seed, config)
+	}
+	if len(steps) != 1 || steps[0].now != 3 {
+		t.Fatalf("%+v", steps)
+	}
+	for i, e := range steps[0].events {
+		if !reflect.DeepEqual(e, written.events[i]) {
+			t.Errorf("event %#v,\nwritten was %#v", e, written.events[i])
+		}
+	}
+	for i, a := range steps[0].actions {
+		if !reflect.DeepEqual(a, written.actions[i]) {
+			t.Errorf("action %#v,\nwritten was %#v", a, written.actions[i])
+		}
+	}
+}
+
+// receivers are the types of package flaxshelf that have a method.
+func receivers(t *testing.T, method string) []string {
+	t.Helper()
+	files, err := filepath.Glob("../../*.go")
+	if err != nil {
+		t.Fatal(err)
+	}
+	var types []string
+	for _, name := range files {
+		if strings.HasSuffix(name, "_test.go") {
+			continue
+		}
+		file, err := parser.ParseFile(token.NewFileSet(), name, nil, parser.SkipObjectResolution)
+		if err != nil {
+			t.Fatal(err)
+		}
+		for _, d := range file.Decls {
+			f, ok := d.(*ast.FuncDecl)
+			if !ok || f.Recv == nil || f.Name.Name != method {
+				continue
+			}
+			if receiver, ok := f.Recv.List[0].Type.(*ast.Ident); ok {
+				types = append(types, receiver.Name)
+			}
+		}
+	}
+	slices.Sort(types)
+	return types
+}
+
+func typeNames[T any](values []T) []string {
+	names := map[string]bool{}
+	for _, v := range values {
+		names[reflect.TypeOf(v).Name()] = true
+	}
+	return slices.Sorted(maps.Keys(names))
+}
+
+// The other tests know every event and action type of package flaxshelf, also one that is new.
+func TestEveryTypeIsStored(t *testing.T) {
+	if got, want := typeNames(allEvents()), receivers(t, "event"); !slices.Equal(got, want) {
+		t.Errorf("events %v, package flaxshelf has %v", got, want)
+	}
+	if got, want := typeNames(allActions()), receivers(t, "action"); !slices.Equal(got, want) {
+		t.Errorf("actions %v, package flaxshelf has %v", got, want)
+	}
+}
+
+// Enumerations are stored as their numbers, which therefore stay as they are.
+func TestStoredNumbers(t *testing.T) {
+	for _, c := range []struct {
+		what    string
+		numbers []int
+	}{
+		{"Effect", []int{int(flaxshelf.Safe), int(flaxshelf.Keyed), int(flaxshelf.Unsafe)}},
+		{"Extent", []int{int(flaxshelf.Nowhere), int(flaxshelf.OnMachine), int(flaxshelf.InCell), int(flaxshelf.InZone),
+			int(flaxshelf.Everywhere)}},
+		{"State", []int{int(flaxshelf.In), int(flaxshelf.Draining), int(flaxshelf.Out)}},
+		{"Verdict", []int{int(flaxshelf.Finished), int(flaxshelf.Failed), int(flaxshelf.Refused), int(flaxshelf.TimedOut),
+			int(flaxshelf.Unreachable), int(flaxshelf.Lost), int(flaxshelf.Withdrawn), int(flaxshelf.NotSent)}},
+		{"Reason", []int{int(flaxshelf.Untold), int(flaxshelf.NoCores), int(flaxshelf.NoMemory), int(flaxshelf.TooManyWait),
+			int(flaxshelf.NotHere), int(flaxshelf.Evicted), int(flaxshelf.PushedOut), int(flaxshelf.SentAway)}},
+		{"NoteKind from 1", []int{int(flaxshelf.Runs) - 1, int(flaxshelf.CoresUsed) - 1, int(flaxshelf.MemoryUsed) - 1,
+			int(flaxshelf.Served) - 1, int(flaxshelf.MemoryShort) - 1}},
+	} {
+		for want, got := range c.numbers {
+			if got != want {
+				t.Errorf("%s: %v, stored are 0, 1, 2 and so on", c.what, c.numbers)
+				break
+			}
+		}
+	}
+}
+
+// A recording of an earlier build that is written again has the same content.
+func TestStoredRecordingsAreWrittenAgain(t *testing.T) {
+	for _, path := range []string{allTypesFile, decisionsFile} {
+		stored, steps := readAll(t, readStored(t, path))
+		again := writeAll(t, stored.config, stored.seed, steps)
+		read, stepsAgain := readAll(t, again)
+		if !reflect.DeepEqual(read.config, stored.config) || read.seed != stored.seed ||
+			!reflect.DeepEqual(stepsAgain, steps) {
+			t.Errorf("%s: written again it has another content", path)
+		}
+		if path == allTypesFile {
+			checkAllTypes(t, again)
+		}
+	}
+}
+
+// encode is a gob stream of values.
+func encode(t *testing.T, values ...any) []byte {
+	t.Helper()
+	var b bytes.Buffer
+	enc := gob.NewEncoder(&b)
+	for _, v := range values {
+		if err := enc.Encode(v); err != nil {
+			t.Fatal(err)
+		}
+	}
+	return b.Bytes()
+}
+
+// What is no recording of this version is told with what was read, its version and what to do.
+func TestFormatError(t *testing.T) {
+	header := headerRecord{Version: Version}
+	stored := readStored(t, allTypesFile)
+	renamed := bytes.ReplaceAll(stored, []byte(storedPackage+"Gone"), []byte(storedPackage+"Here"))
+	if bytes.Equal(renamed, stored) {
+		t.Fatal("the recording does not name its types")
+	}
+	for _, c := range []struct {
+		name      string
+		recording []byte
+		version   int
+		says      []string
+	}{
+		{"empty", nil, 0, []string{"the header", "EOF", "not a module recording"}},
+		{"another file", []byte("nonsense"), 0, []string{"the header", "not a module recording", "setting tap"}},
+		{"another gob", encode(t, struct{ Wings int }{2}), 0, []string{"the header", "not a module recording"}},
+		{"newer", encode(t, headerRecord{Version: 2}), 2, []string{"the header", "version 2", "reads version 1",
+			"the build that wrote it"}},
+		{"newer, with another header", encode(t, struct {
+			Version int
+			Config  []string
+		}{3, []string{"x"}}), 3, []string{"version 3", "reads version 1"}},
+		{"another header", encode(t, struct {
+			Version int
+			Config  []string
+		}{Version, []string{"x"}}), Version, []string{"the header", "version 1", "the build that wrote it"}},
+		{"unknown type", renamed, Version, []string{"step 1", storedPackage + "Here", "the build that wrote it"}},
+		{"an action among the events", encode(t, header, struct{ Events []any }{[]any{offerRecord{}}}), Version,
+			[]string{"step 1", "offerRecord"}},
+		{"no type", encode(t, header, struct{ Events []eventRecord }{[]eventRecord{nil}}), Version,
+			[]string{"step 1", "has no type"}},
+		{"another step", encode(t, header, stepRecord{}, struct{ Now string }{"x"}), Version, []string{"step 2"}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			module := func(flaxshelf.Config, uint64) (Module, error) { return silent{}, nil }
+			_, err := CheckWith(bytes.NewReader(c.recording), module)
+			var wrong *FormatError
+			if !errors.As(err, &wrong) {
+				t.Fatalf("%v is not a FormatError", err)
+			}
+			if wrong.Version != c.version {
+				t.Errorf("version %d, want %d", wrong.Version, c.version)
+			}
+			for _, says := range c.says {
+				if !strings.Contains(err.Error(), says) {
+					t.Errorf("%q does not say %q", err, says)
+				}
+			}
+		})
+	}
+	if _, err := Check(bytes.NewReader(nil)); !errors.Is(err, io.EOF) {
+		t.Errorf("empty: %v, want io.EOF among its reasons", err)
+	}
+}
+
+// silent is a module that never acts.
+type silent struct{}
+
+func (silent) Step(flaxshelf.Time, []flaxshelf.Event) []flaxshelf.Action { return nil }
+
+// A value that has no stored form ends the recording with an error that names its type.
+func TestUnknownTypeError(t *testing.T) {
+	for _, c := range []struct {
+		want    string
+		events  []flaxshelf.Event
+		actions []flaxshelf.Action
+	}{
+		{"*flaxshelf.Gone", []flaxshelf.Event{&flaxshelf.Gone{}}, nil},
+		{"*flaxshelf.Wake", nil, []flaxshelf.Action{&flaxshelf.Wake{}}},
+		{"<nil>", []flaxshelf.Event{nil}, nil},
+	} {
+		w, err := Create(filepath.Join(t.TempDir(), "recording"), flaxshelf.Config{}, 1)
+		if err != nil {
+			t.Fatal(err)
+		}
+		w.Step(1, c.events, c.actions)
+		w.Step(2, nil, nil)
+		err = w.Close()
+		var unknown *UnknownTypeError
+		if !errors.As(err, &unknown) || !strings.Contains(err.Error(), c.want) {
+			t.Errorf("%v, want an UnknownTypeError that names %s", err, c.want)
+		}
+	}
+	if _, err := Create(filepath.Join(t.TempDir(), "no", "folder"), flaxshelf.Config{}, 1); !errors.Is(err, os.ErrNotExist) {
+		t.Errorf("%v, want ErrNotExist", err)
+	}
+}
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -17,28 +17,6 @@
 // Version is the version of the format.
 const Version = 1
 
-type header struct {
-	Version int
-	Config  flaxshelf.Config
-	Seed    uint64
-}
-
-type step struct {
-	Now     flaxshelf.Time
-	Events  []flaxshelf.Event
-	Actions []flaxshelf.Action
-}
-
-func init() {
-	for _, v := range []any{flaxshelf.Listed{}, flaxshelf.ListFailed{}, flaxshelf.Place{}, flaxshelf.Running{},
-		flaxshelf.Placed{}, flaxshelf.Ended{}, flaxshelf.Note{}, flaxshelf.Probed{}, flaxshelf.Message{},
-		flaxshelf.Woken{}, flaxshelf.Gone{}, flaxshelf.Offer{}, flaxshelf.Withdraw{}, flaxshelf.Refuse{},
-		flaxshelf.Fail{}, flaxshelf.Move{}, flaxshelf.Probe{}, flaxshelf.Tell{}, flaxshelf.Subscribe{},
-		flaxshelf.Wake{}} {
-		gob.Register(v)
-	}
-}
-
 // Writer records. Its Step is made for scheduler.Config.Tap.
 type Writer struct {
 	enc *gob.Encoder
@@ -51,7 +29,7 @@
 func NewWriter(w io.Writer, cfg flaxshelf.Config, seed uint64) (*Writer, error) {
 	buf := bufio.NewWriter(w)
 	x := &Writer{enc: gob.NewEncoder(buf), buf: buf}
-	if err := x.enc.Encode(header{Version, cfg, seed}); err != nil {
+	if err := x.enc.Encode(headerRecord{Version: Version, Config: configRecordOf(cfg), Seed: seed}); err != nil {
 		return nil, fmt.Errorf("replay: %w", err)
 	}
 	return x, nil
@@ -74,8 +52,12 @@
 
 // Step records one step. The first error ends the recording and comes out of Close.
 func (w *Writer) Step(now flaxshelf.Time, events []flaxshelf.Event, actions []flaxshelf.Action) {
-	if w.err == nil {
-		w.err = w.enc.Encode(step{now, events, actions})
+	if w.err != nil {
+		return
+	}
+	var record stepRecord
+	if record, w.err = stepRecordOf(now, events, actions); w.err == nil {
+		w.err = w.enc.Encode(record)
 	}
 }
 
@@ -108,38 +90,34 @@
 // CheckWith is Check of another module, made with the recorded settings and seed.
 func CheckWith(r io.Reader, make func(flaxshelf.Config, uint64) (Module, error)) (Result, error) {
 	var res Result
-	dec := gob.NewDecoder(bufio.NewReader(r))
-	var h header
-	if err := dec.Decode(&h); err != nil {
-		return res, fmt.Errorf("replay: read the head: %w", err)
-	}
-	if h.Version != Version {
-		return res, fmt.Errorf("replay: version %d, this build reads %d", h.Version, Version)
+	in, err := newReader(r)
+	if err != nil {
+		return res, err
 	}
-	p, err := make(h.Config, h.Seed)
+	p, err := make(in.config, in.seed)
 	if err != nil {
 		return res, fmt.Errorf("replay: %w", err)
 	}
 	for {
-		var s step
-		if err := dec.Decode(&s); err != nil {
-			if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
-				return res, nil
-			}
-			return res, fmt.Errorf("replay: read step %d: %w", res.Steps+1, err)
+		s, err := in.next()
+		if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
+			return res, nil
+		}
+		if err != nil {
+			return res, err
 		}
 		res.Steps++
-		res.Events += len(s.Events)
-		res.Actions += len(s.Actions)
-		got := p.Step(s.Now, s.Events)
-		if len(got) != len(s.Actions) {
+		res.Events += len(s.events)
+		res.Actions += len(s.actions)
+		got := p.Step(s.now, s.events)
+		if len(got) != len(s.actions) {
 			return res, fmt.Errorf("replay: step %d: %d actions, recorded were %d", res.Steps, len(got),
-				len(s.Actions))
+				len(s.actions))
 		}
 		for i := range got {
-			if !reflect.DeepEqual(got[i], s.Actions[i]) {
+			if !reflect.DeepEqual(got[i], s.actions[i]) {
 				return res, fmt.Errorf("replay: step %d: action %d is %#v, recorded was %#v", res.Steps, i,
-					got[i], s.Actions[i])
+					got[i], s.actions[i])
 			}
 		}
 	}
