--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -115,9 +115,10 @@
 
 // Run is what one seed of one design has brought.
 type Run struct {
-	Design, Mark string
-	Seed         uint64
-	Measures     map[string]float64
+	Design   string             `json:"Design"`
+	Mark     string             `json:"Mark"`
+	Seed     uint64             `json:"Seed"`
+	Measures map[string]float64 `json:"Measures"`
 }
 
 // The measures. Waits are seconds from the intended submission to the first placement.
--- a/internal/lab/rules/figures.go
+++ b/internal/lab/rules/figures.go
@@ -11,34 +11,35 @@
 
 // Figures are what the rules of a deployment are measured by. Durations are in nanoseconds in JSON.
 type Figures struct {
-	Classes     []Class
-	DrainGrace  time.Duration
-	AnswerSlack time.Duration
-	Settle      time.Duration
-	Cold        Cold
+	Classes     []Class       `json:"Classes"`
+	DrainGrace  time.Duration `json:"DrainGrace"`
+	AnswerSlack time.Duration `json:"AnswerSlack"`
+	Settle      time.Duration `json:"Settle"`
+	Cold        Cold          `json:"Cold"`
 	// Skew is allowed between the recorder's times and the parties': the time that bytes spend on the way to the
 	// recorder on a busy machine.
-	Skew time.Duration
+	Skew time.Duration `json:"Skew"`
 }
 
 // Class is what the rules say of one class.
 type Class struct {
-	Name   string
-	Effect string // safe, keyed, unsafe
-	Group  string // keyed: machine, cell, zone, everywhere
-	Window time.Duration
-	GiveUp time.Duration
-	Spread string // "", machine, cell, zone
-	Most   int
+	Name   string        `json:"Name"`
+	Effect string        `json:"Effect"` // safe, keyed, unsafe
+	Group  string        `json:"Group"`  // keyed: machine, cell, zone, everywhere
+	Window time.Duration `json:"Window"`
+	GiveUp time.Duration `json:"GiveUp"`
+	Spread string        `json:"Spread"` // "", machine, cell, zone
+	Most   int           `json:"Most"`
 }
 
 // Cold is what a node bears that has just come up.
 type Cold struct {
-	For, Window     time.Duration
-	From            float64 // pace when fresh, of 1
-	Multiple        float64
-	Always          float64 // offers within Window that it always bears
-	StartsPerSecond float64 // at full pace
+	For             time.Duration `json:"For"`
+	Window          time.Duration `json:"Window"`
+	From            float64       `json:"From"` // pace when fresh, of 1
+	Multiple        float64       `json:"Multiple"`
+	Always          float64       `json:"Always"`          // offers within Window that it always bears
+	StartsPerSecond float64       `json:"StartsPerSecond"` // at full pace
 }
 
 // bears is how many offers within Window a node of this age takes.
--- a/internal/lab/scenario/day.go
+++ b/internal/lab/scenario/day.go
@@ -26,51 +26,73 @@
 
 // Group is the record #Group.
 type Group struct {
-	Name, Kind, Zone string
-	Count, Cell      int
-	Warm             bool
+	Name  string `json:"Name"`
+	Kind  string `json:"Kind"`
+	Zone  string `json:"Zone"`
+	Count int    `json:"Count"`
+	Cell  int    `json:"Cell"`
+	Warm  bool   `json:"Warm"`
 }
 
 // Load is the record #Load.
 type Load struct {
-	Class, Tenant                                       string
-	PerSecond, From, To, Cores, Memory, Terminate, Hold float64
-	Services                                            int
-	Life                                                [2]settings.Duration
-	Rerunnable                                          bool
-	Retry, Patience                                     settings.Duration
+	Class      string               `json:"Class"`
+	Tenant     string               `json:"Tenant"`
+	PerSecond  float64              `json:"PerSecond"`
+	From       float64              `json:"From"`
+	To         float64              `json:"To"`
+	Cores      float64              `json:"Cores"`
+	Memory     float64              `json:"Memory"`
+	Terminate  float64              `json:"Terminate"`
+	Hold       float64              `json:"Hold"`
+	Services   int                  `json:"Services"`
+	Life       [2]settings.Duration `json:"Life"`
+	Rerunnable bool                 `json:"Rerunnable"`
+	Retry      settings.Duration    `json:"Retry"`
+	Patience   settings.Duration    `json:"Patience"`
 }
 
 // Trouble is the record #Trouble.
 type Trouble struct {
-	At, For         float64
-	Do, Zone, Class string
-	Share, Factor   float64
-	Schedulers      []int
+	At         float64 `json:"At"`
+	For        float64 `json:"For"`
+	Do         string  `json:"Do"`
+	Zone       string  `json:"Zone"`
+	Class      string  `json:"Class"`
+	Share      float64 `json:"Share"`
+	Factor     float64 `json:"Factor"`
+	Schedulers []int   `json:"Schedulers"`
 }
 
 // Day is the record #Trial.
 type Day struct {
-	Name                      string `json:"-"`
-	About                     string
-	Seconds, After            float64
-	Schedulers, Cores         int
-	Kinds                     []settings.Kind
-	Classes                   []settings.Class
-	Tenants                   []settings.Tenant
-	Rules                     settings.Rules
-	Limits                    settings.Limits
-	Behaviour                 settings.Behaviour
-	CPU                       CPU `json:"cpu"`
-	Late, GoneAfter           settings.Duration
-	ListsFree, RunsWhenPlaced bool
-	Fleet                     []Group
-	Load                      []Load
-	Troubles                  []Trouble
+	Name           string             `json:"-"`
+	About          string             `json:"About"`
+	Seconds        float64            `json:"Seconds"`
+	After          float64            `json:"After"`
+	Schedulers     int                `json:"Schedulers"`
+	Cores          int                `json:"Cores"`
+	Kinds          []settings.Kind    `json:"Kinds"`
+	Classes        []settings.Class   `json:"Classes"`
+	Tenants        []settings.Tenant  `json:"Tenants"`
+	Rules          settings.Rules     `json:"Rules"`
+	Limits         settings.Limits    `json:"Limits"`
+	Behaviour      settings.Behaviour `json:"Behaviour"`
+	CPU            CPU                `json:"cpu"`
+	Late           settings.Duration  `json:"Late"`
+	GoneAfter      settings.Duration  `json:"GoneAfter"`
+	ListsFree      bool               `json:"ListsFree"`
+	RunsWhenPlaced bool               `json:"RunsWhenPlaced"`
+	Fleet          []Group            `json:"Fleet"`
+	Load           []Load             `json:"Load"`
+	Troubles       []Trouble          `json:"Troubles"`
 }
 
 // CPU is the record of what a core's steps cost: a step, and each input of it.
-type CPU struct{ Step, Input settings.Duration }
+type CPU struct {
+	Step  settings.Duration `json:"Step"`
+	Input settings.Duration `json:"Input"`
+}
 
 // Of is the time that a step with so many inputs takes.
 func (c *CPU) Of(inputs int) time.Duration {
--- a/internal/settings/fleet.go
+++ b/internal/settings/fleet.go
@@ -17,11 +17,20 @@
 
 // Behaviour is the record #Behaviour.
 type Behaviour struct {
-	Look, StartWork, NoteEvery, DrainSendsAway, Life Duration
-	MaxWait, StartSlots, Keep                        int
-	FreshFactor, ColdFrom, FallMultiple              float64
-	UseCores, UseMemory                              [2]float64
-	Reports                                          bool
+	Look           Duration   `json:"Look"`
+	StartWork      Duration   `json:"StartWork"`
+	NoteEvery      Duration   `json:"NoteEvery"`
+	DrainSendsAway Duration   `json:"DrainSendsAway"`
+	Life           Duration   `json:"Life"`
+	MaxWait        int        `json:"MaxWait"`
+	StartSlots     int        `json:"StartSlots"`
+	Keep           int        `json:"Keep"`
+	FreshFactor    float64    `json:"FreshFactor"`
+	ColdFrom       float64    `json:"ColdFrom"`
+	FallMultiple   float64    `json:"FallMultiple"`
+	UseCores       [2]float64 `json:"UseCores"`
+	UseMemory      [2]float64 `json:"UseMemory"`
+	Reports        bool       `json:"Reports"`
 }
 
 // Fleet is the record #Fleet.
--- a/internal/settings/scheduler.go
+++ b/internal/settings/scheduler.go
@@ -7,39 +7,67 @@
 
 // Class is the record #Class.
 type Class struct {
-	Name, Effect, Group, Kind, Spread string
-	Window, Aim, Giveup               Duration
-	Worth, LateWorth, StartSeconds    float64
-	Calm, Fade                        float64
-	Priority, Most                    int
-	Cores, Memory                     float64
+	Name         string   `json:"Name"`
+	Effect       string   `json:"Effect"`
+	Group        string   `json:"Group"`
+	Kind         string   `json:"Kind"`
+	Spread       string   `json:"Spread"`
+	Window       Duration `json:"Window"`
+	Aim          Duration `json:"Aim"`
+	Giveup       Duration `json:"Giveup"`
+	Worth        float64  `json:"Worth"`
+	LateWorth    float64  `json:"LateWorth"`
+	StartSeconds float64  `json:"StartSeconds"`
+	Calm         float64  `json:"Calm"`
+	Fade         float64  `json:"Fade"`
+	Priority     int      `json:"Priority"`
+	Most         int      `json:"Most"`
+	Cores        float64  `json:"Cores"`
+	Memory       float64  `json:"Memory"`
 }
 
 // Kind is the record #Kind.
 type Kind struct {
-	Name          string
-	Cores, Memory float64
+	Name   string  `json:"Name"`
+	Cores  float64 `json:"Cores"`
+	Memory float64 `json:"Memory"`
 }
 
 // Tenant is the record #Tenant.
 type Tenant struct {
-	Name                         string
-	Share, PerSecond, QuotaCores float64
+	Name       string  `json:"Name"`
+	Share      float64 `json:"Share"`
+	PerSecond  float64 `json:"PerSecond"`
+	QuotaCores float64 `json:"QuotaCores"`
 }
 
 // Rules is the record #Rules.
 type Rules struct {
-	AcceptCores, AcceptMemory                            float64
-	Preempts                                             bool
-	DrainGrace, AnswerSlack, ColdFor, FallWindow, Settle Duration
-	MaxAttempts                                          int
-	ColdOffers                                           float64
+	AcceptCores  float64  `json:"AcceptCores"`
+	AcceptMemory float64  `json:"AcceptMemory"`
+	Preempts     bool     `json:"Preempts"`
+	DrainGrace   Duration `json:"DrainGrace"`
+	AnswerSlack  Duration `json:"AnswerSlack"`
+	ColdFor      Duration `json:"ColdFor"`
+	FallWindow   Duration `json:"FallWindow"`
+	Settle       Duration `json:"Settle"`
+	MaxAttempts  int      `json:"MaxAttempts"`
+	ColdOffers   float64  `json:"ColdOffers"`
 }
 
 // Limits is the record #Limits.
 type Limits struct {
-	MaxOpen, MaxJobs, MaxFinished, MaxSessions, Connections, ClientOut, NodeOut int
-	Retention, Idle, Request, StopWithin                                        Duration
+	MaxOpen     int      `json:"MaxOpen"`
+	MaxJobs     int      `json:"MaxJobs"`
+	MaxFinished int      `json:"MaxFinished"`
+	MaxSessions int      `json:"MaxSessions"`
+	Connections int      `json:"Connections"`
+	ClientOut   int      `json:"ClientOut"`
+	NodeOut     int      `json:"NodeOut"`
+	Retention   Duration `json:"Retention"`
+	Idle        Duration `json:"Idle"`
+	Request     Duration `json:"Request"`
+	StopWithin  Duration `json:"StopWithin"`
 }
 
 // Scheduler is the record #Scheduler.
