--- a/drmaa2/client.go
+++ b/drmaa2/client.go
@@ -79,7 +79,9 @@
 
 // JobSessionNames lists the sessions.
 func (c *Client) JobSessionNames(ctx context.Context) ([]string, error) {
-	var l struct{ Names []string }
+	var l struct {
+		Names []string `json:"names"`
+	}
 	err := c.call(ctx, http.MethodGet, "/sessions", nil, &l)
 	return l.Names, err
 }
--- a/drmaa2/session.go
+++ b/drmaa2/session.go
@@ -190,7 +190,9 @@
 
 // AllMachines lists the named nodes, or all.
 func (m *MonitoringSession) AllMachines(ctx context.Context, names ...string) ([]MachineInfo, error) {
-	var l struct{ Machines []MachineInfo }
+	var l struct {
+		Machines []MachineInfo `json:"machines"`
+	}
 	if err := m.c.call(ctx, http.MethodGet, "/machines", nil, &l); err != nil || len(names) == 0 {
 		return l.Machines, err
 	}
@@ -207,7 +209,9 @@
 
 // AllQueues lists the named queues, or all.
 func (m *MonitoringSession) AllQueues(ctx context.Context, names ...string) ([]QueueInfo, error) {
-	var l struct{ Queues []QueueInfo }
+	var l struct {
+		Queues []QueueInfo `json:"queues"`
+	}
 	if err := m.c.call(ctx, http.MethodGet, "/queues", nil, &l); err != nil || len(names) == 0 {
 		return l.Queues, err
 	}
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -33,19 +33,23 @@
 
 // Design is the record #Design.
 type Design struct {
-	Name, Day, Lose, Module string
-	Load                    float64
-	Schedulers              int
+	Name       string  `json:"name"`
+	Day        string  `json:"day"`
+	Lose       string  `json:"lose"`
+	Module     string  `json:"module"`
+	Load       float64 `json:"load"`
+	Schedulers int     `json:"schedulers"`
 }
 
 // Plan is the record #Experiment.
 type Plan struct {
-	About        string
-	Seeds, First int
-	Warm         float64
-	Designs      []Design
-	days         []*scenario.Day
-	marks        []string // tell a design's runs from those of another text
+	About   string   `json:"about"`
+	Seeds   int      `json:"seeds"`
+	First   int      `json:"first"`
+	Warm    float64  `json:"warm"`
+	Designs []Design `json:"designs"`
+	days    []*scenario.Day
+	marks   []string // tell a design's runs from those of another text
 }
 
 // Parse reads an experiment and the days it names.
--- a/internal/lab/load/shape.go
+++ b/internal/lab/load/shape.go
@@ -19,9 +19,12 @@
 
 // Shape is the record #Shape: submissions a second over time.
 type Shape struct {
-	Kind             string
-	PerSecond, Peak  float64
-	From, For, Every float64
+	Kind      string  `json:"kind"`
+	PerSecond float64 `json:"perSecond"`
+	Peak      float64 `json:"peak"`
+	From      float64 `json:"from"`
+	For       float64 `json:"for"`
+	Every     float64 `json:"every"`
 }
 
 // rate is the submissions a second at a time.
@@ -60,10 +63,10 @@
 
 // Lives is the record #Lives: the law of how long jobs run.
 type Lives struct {
-	Law   string
-	Mean  settings.Duration
-	Tail  float64
-	Least settings.Duration
+	Law   string            `json:"law"`
+	Mean  settings.Duration `json:"mean"`
+	Tail  float64           `json:"tail"`
+	Least settings.Duration `json:"least"`
 }
 
 func (l *Lives) draw(src rand.Source) func() time.Duration {
@@ -88,19 +91,21 @@
 
 // Stream is the record #Stream.
 type Stream struct {
-	Class, Tenant string
-	Shape         Shape
-	Lives         Lives
-	Services      int
-	Popular       float64
-	Cores, Memory float64
+	Class    string  `json:"class"`
+	Tenant   string  `json:"tenant"`
+	Shape    Shape   `json:"shape"`
+	Lives    Lives   `json:"lives"`
+	Services int     `json:"services"`
+	Popular  float64 `json:"popular"`
+	Cores    float64 `json:"cores"`
+	Memory   float64 `json:"memory"`
 }
 
 // Plan is the record #Plan: a load made of streams.
 type Plan struct {
-	About   string
-	Seconds float64
-	Streams []Stream
+	About   string   `json:"about"`
+	Seconds float64  `json:"seconds"`
+	Streams []Stream `json:"streams"`
 }
 
 // ParsePlan reads a plan.
--- a/internal/settings/fleet.go
+++ b/internal/settings/fleet.go
@@ -10,9 +10,12 @@
 
 // Node is the record #Node.
 type Node struct {
-	Name, Kind, Zone, Listen string
-	Cell                     int
-	Warm                     bool
+	Name   string `json:"name"`
+	Kind   string `json:"kind"`
+	Zone   string `json:"zone"`
+	Listen string `json:"listen"`
+	Cell   int    `json:"cell"`
+	Warm   bool   `json:"warm"`
 }
 
 // Behaviour is the record #Behaviour.
@@ -35,13 +38,15 @@
 
 // Fleet is the record #Fleet.
 type Fleet struct {
-	Inventory, Log  string
-	Late, GoneAfter Duration
-	Kinds           []Kind
-	Nodes           []Node
-	Rules           Rules
-	Behaviour       Behaviour
-	Seed            uint64
+	Inventory string    `json:"inventory"`
+	Log       string    `json:"log"`
+	Late      Duration  `json:"late"`
+	GoneAfter Duration  `json:"goneAfter"`
+	Kinds     []Kind    `json:"kinds"`
+	Nodes     []Node    `json:"nodes"`
+	Rules     Rules     `json:"rules"`
+	Behaviour Behaviour `json:"behaviour"`
+	Seed      uint64    `json:"seed"`
 }
 
 // ReadFleet reads the configuration of the stand-ins.
--- a/internal/settings/scheduler.go
+++ b/internal/settings/scheduler.go
@@ -72,17 +72,29 @@
 
 // Scheduler is the record #Scheduler.
 type Scheduler struct {
-	Name, Listen, Metrics, Inventory, Zone, Log, Tap string
-	Index, Schedulers, Cores                         int
-	Seed                                             uint64
-	Tick, Connect                                    Duration
-	ListsFree, RunsWhenPlaced                        bool
-	OverShareWorth, CrossZone, FleetPrice            float64
-	Classes                                          []Class
-	Kinds                                            []Kind
-	Tenants                                          []Tenant
-	Rules                                            Rules
-	Limits                                           Limits
+	Name           string   `json:"name"`
+	Listen         string   `json:"listen"`
+	Metrics        string   `json:"metrics"`
+	Inventory      string   `json:"inventory"`
+	Zone           string   `json:"zone"`
+	Log            string   `json:"log"`
+	Tap            string   `json:"tap"`
+	Index          int      `json:"index"`
+	Schedulers     int      `json:"schedulers"`
+	Cores          int      `json:"cores"`
+	Seed           uint64   `json:"seed"`
+	Tick           Duration `json:"tick"`
+	Connect        Duration `json:"connect"`
+	ListsFree      bool     `json:"listsFree"`
+	RunsWhenPlaced bool     `json:"runsWhenPlaced"`
+	OverShareWorth float64  `json:"overShareWorth"`
+	CrossZone      float64  `json:"crossZone"`
+	FleetPrice     float64  `json:"fleetPrice"`
+	Classes        []Class  `json:"classes"`
+	Kinds          []Kind   `json:"kinds"`
+	Tenants        []Tenant `json:"tenants"`
+	Rules          Rules    `json:"rules"`
+	Limits         Limits   `json:"limits"`
 }
 
 // ReadScheduler reads the configuration of a daemon. Errors are Problems, or of reading the file.
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -1,10 +1,14 @@
 package settings
 
 import (
+	"reflect"
 	"strings"
 	"testing"
 	"time"
 
+	"cuelang.org/go/cue"
+	"cuelang.org/go/cue/cuecontext"
+
 	"flaxshelf.example/flaxshelf"
 )
 
@@ -90,3 +94,24 @@
 		t.Errorf("a file that is not there: %v", err)
 	}
 }
+
+// Each field of a record is read from a key of the schema that its tag names, whatever the field is called.
+func TestKeysOfRecords(t *testing.T) {
+	base := cuecontext.New().CompileString(schema)
+	for definition, record := range map[string]any{"#Scheduler": Scheduler{}, "#Fleet": Fleet{}, "#Node": Node{},
+		"#Class": Class{}, "#Kind": Kind{}, "#Tenant": Tenant{}, "#Rules": Rules{}, "#Limits": Limits{},
+		"#Behaviour": Behaviour{}} {
+		keys := base.LookupPath(cue.ParsePath(definition))
+		for field := range reflect.TypeOf(record).Fields() {
+			tag := field.Tag.Get("json")
+			if tag == "" {
+				t.Errorf("%s: field %s has no tag", definition, field.Name)
+				continue
+			}
+			key := strings.ToLower(tag[:1]) + tag[1:]
+			if !keys.LookupPath(cue.MakePath(cue.Str(key))).Exists() {
+				t.Errorf("%s: the schema has no key %q", definition, key)
+			}
+		}
+	}
+}
