--- a/internal/replay/record_test.go
+++ b/internal/replay/record_test.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"encoding/gob"
 	"errors"
+	"fmt"
 	"go/ast"
 	"go/parser"
 	"go/token"
@@ -295,8 +296,8 @@
 		events  []flaxshelf.Event
 		actions []flaxshelf.Action
 	}{
-		{"*flaxshelf.Gone", []flaxshelf.Event{&flaxshelf.Gone{}}, nil},
-		{"*flaxshelf.Wake", nil, []flaxshelf.Action{&flaxshelf.Wake{}}},
+		{fmt.Sprintf("%T", &flaxshelf.Gone{}), []flaxshelf.Event{&flaxshelf.Gone{}}, nil},
+		{fmt.Sprintf("%T", &flaxshelf.Wake{}), nil, []flaxshelf.Action{&flaxshelf.Wake{}}},
 		{"<nil>", []flaxshelf.Event{nil}, nil},
 	} {
 		w, err := Create(filepath.Join(t.TempDir(), "recording"), flaxshelf.Config{}, 1)
