--- a/internal/settings/fleet.go
+++ b/internal/settings/fleet.go
@@ -10,29 +10,43 @@
 
 // Node is the record #Node.
 type Node struct {
-	Name, Kind, Zone, Listen string
-	Cell                     int
-	Warm                     bool
+	Name   string `json:"name"`
+	Kind   string `json:"kind"`
+	Zone   string `json:"zone"`
+	Listen string `json:"listen"`
+	Cell   int    `json:"cell"`
+	Warm   bool   `json:"warm"`
 }
 
 // Behaviour is the record #Behaviour.
 type Behaviour struct {
-	Look, StartWork, NoteEvery, DrainSendsAway, Life Duration
-	MaxWait, StartSlots, Keep                        int
-	FreshFactor, ColdFrom, FallMultiple              float64
-	UseCores, UseMemory                              [2]float64
-	Reports                                          bool
+	Look           Duration   `json:"Look"`
+	StartWork      Duration   `json:"StartWork"`
+	NoteEvery      Duration   `json:"NoteEvery"`
+	DrainSendsAway Duration   `json:"DrainSendsAway"`
+	Life           Duration   `json:"Life"`
+	MaxWait        int        `json:"MaxWait"`
+	StartSlots     int        `json:"StartSlots"`
+	Keep           int        `json:"Keep"`
+	FreshFactor    float64    `json:"FreshFactor"`
+	ColdFrom       float64    `json:"ColdFrom"`
+	FallMultiple   float64    `json:"FallMultiple"`
+	UseCores       [2]float64 `json:"UseCores"`
+	UseMemory      [2]float64 `json:"UseMemory"`
+	Reports        bool       `json:"Reports"`
 }
 
 // Fleet is the record #Fleet.
 type Fleet struct {
-	Inventory, Log  string
-	Late, GoneAfter Duration
-	Kinds           []Kind
-	Nodes           []Node
-	Rules           Rules
-	Behaviour       Behaviour
-	Seed            uint64
+	Inventory string    `json:"inventory"`
+	Log       string    `json:"log"`
+	Late      Duration  `json:"late"`
+	GoneAfter Duration  `json:"goneAfter"`
+	Kinds     []Kind    `json:"kinds"`
+	Nodes     []Node    `json:"nodes"`
+	Rules     Rules     `json:"rules"`
+	Behaviour Behaviour `json:"behaviour"`
+	Seed      uint64    `json:"seed"`
 }
 
 // ReadFleet reads the configuration of the stand-ins.
--- a/internal/settings/scheduler.go
+++ b/internal/settings/scheduler.go
@@ -7,54 +7,94 @@
 
 // Class is the record #Class.
 type Class struct {
-	Name, Effect, Group, Kind, Spread string
-	Window, Aim, Giveup               Duration
-	Worth, LateWorth, StartSeconds    float64
-	Calm, Fade                        float64
-	Priority, Most                    int
-	Cores, Memory                     float64
+	Name         string   `json:"Name"`
+	Effect       string   `json:"Effect"`
+	Group        string   `json:"Group"`
+	Kind         string   `json:"Kind"`
+	Spread       string   `json:"Spread"`
+	Window       Duration `json:"Window"`
+	Aim          Duration `json:"Aim"`
+	Giveup       Duration `json:"Giveup"`
+	Worth        float64  `json:"Worth"`
+	LateWorth    float64  `json:"LateWorth"`
+	StartSeconds float64  `json:"StartSeconds"`
+	Calm         float64  `json:"Calm"`
+	Fade         float64  `json:"Fade"`
+	Priority     int      `json:"Priority"`
+	Most         int      `json:"Most"`
+	Cores        float64  `json:"Cores"`
+	Memory       float64  `json:"Memory"`
 }
 
 // Kind is the record #Kind.
 type Kind struct {
-	Name          string
-	Cores, Memory float64
+	Name   string  `json:"Name"`
+	Cores  float64 `json:"Cores"`
+	Memory float64 `json:"Memory"`
 }
 
 // Tenant is the record #Tenant.
 type Tenant struct {
-	Name                         string
-	Share, PerSecond, QuotaCores float64
+	Name       string  `json:"Name"`
+	Share      float64 `json:"Share"`
+	PerSecond  float64 `json:"PerSecond"`
+	QuotaCores float64 `json:"QuotaCores"`
 }
 
 // Rules is the record #Rules.
 type Rules struct {
-	AcceptCores, AcceptMemory                            float64
-	Preempts                                             bool
-	DrainGrace, AnswerSlack, ColdFor, FallWindow, Settle Duration
-	MaxAttempts                                          int
-	ColdOffers                                           float64
+	AcceptCores  float64  `json:"AcceptCores"`
+	AcceptMemory float64  `json:"AcceptMemory"`
+	Preempts     bool     `json:"Preempts"`
+	DrainGrace   Duration `json:"DrainGrace"`
+	AnswerSlack  Duration `json:"AnswerSlack"`
+	ColdFor      Duration `json:"ColdFor"`
+	FallWindow   Duration `json:"FallWindow"`
+	Settle       Duration `json:"Settle"`
+	MaxAttempts  int      `json:"MaxAttempts"`
+	ColdOffers   float64  `json:"ColdOffers"`
 }
 
 // Limits is the record #Limits.
 type Limits struct {
-	MaxOpen, MaxJobs, MaxFinished, MaxSessions, Connections, ClientOut, NodeOut int
-	Retention, Idle, Request, StopWithin                                        Duration
+	MaxOpen     int      `json:"MaxOpen"`
+	MaxJobs     int      `json:"MaxJobs"`
+	MaxFinished int      `json:"MaxFinished"`
+	MaxSessions int      `json:"MaxSessions"`
+	Connections int      `json:"Connections"`
+	ClientOut   int      `json:"ClientOut"`
+	NodeOut     int      `json:"NodeOut"`
+	Retention   Duration `json:"Retention"`
+	Idle        Duration `json:"Idle"`
+	Request     Duration `json:"Request"`
+	StopWithin  Duration `json:"StopWithin"`
 }
 
 // Scheduler is the record #Scheduler.
 type Scheduler struct {
-	Name, Listen, Metrics, Inventory, Zone, Log, Tap string
-	Index, Schedulers, Cores                         int
-	Seed                                             uint64
-	Tick, Connect                                    Duration
-	ListsFree, RunsWhenPlaced                        bool
-	OverShareWorth, CrossZone, FleetPrice            float64
-	Classes                                          []Class
-	Kinds                                            []Kind
-	Tenants                                          []Tenant
-	Rules                                            Rules
-	Limits                                           Limits
+	Name           string   `json:"name"`
+	Listen         string   `json:"listen"`
+	Metrics        string   `json:"metrics"`
+	Inventory      string   `json:"inventory"`
+	Zone           string   `json:"zone"`
+	Log            string   `json:"log"`
+	Tap            string   `json:"tap"`
+	Index          int      `json:"index"`
+	Schedulers     int      `json:"schedulers"`
+	Cores          int      `json:"cores"`
+	Seed           uint64   `json:"seed"`
+	Tick           Duration `json:"tick"`
+	Connect        Duration `json:"connect"`
+	ListsFree      bool     `json:"listsFree"`
+	RunsWhenPlaced bool     `json:"runsWhenPlaced"`
+	OverShareWorth float64  `json:"overShareWorth"`
+	CrossZone      float64  `json:"crossZone"`
+	FleetPrice     float64  `json:"fleetPrice"`
+	Classes        []Class  `json:"classes"`
+	Kinds          []Kind   `json:"kinds"`
+	Tenants        []Tenant `json:"tenants"`
+	Rules          Rules    `json:"rules"`
+	Limits         Limits   `json:"limits"`
 }
 
 // ReadScheduler reads the configuration of a daemon. Errors are Problems, or of reading the file.
