--- a/cmd/wirehost/main.go
+++ b/cmd/benchadapter/main.go
@@ -1,4 +1,4 @@
-// Command wirehost hosts instances of the module on standard input and output.
+// Command benchadapter hosts instances of the module on standard input and output.
 package main
 
 import (
@@ -8,19 +8,19 @@
 	"os"
 
 	"flaxshelf.example/flaxshelf"
-	"flaxshelf.example/flaxshelf/internal/benchhost"
+	"flaxshelf.example/flaxshelf/internal/benchadapter"
 )
 
 func main() {
 	if err := serve(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "wirehost:", err)
+		fmt.Fprintln(os.Stderr, "benchadapter:", err)
 		os.Exit(1)
 	}
 }
 
 // serve answers batches until input ends.
 func serve(in io.Reader, out io.Writer) error {
-	r, w := benchhost.NewReader(in), benchhost.NewWriter(out)
+	r, w := benchadapter.NewReader(in), benchadapter.NewWriter(out)
 	placers := map[int]*flaxshelf.Placer{}
 	for {
 		b, err := r.Next()
@@ -40,7 +40,7 @@
 }
 
 // answer gives each instance its events of the batch in one step. A stop ends the step before it.
-func answer(b *benchhost.Batch, placers map[int]*flaxshelf.Placer, w *benchhost.Writer) error {
+func answer(b *benchadapter.Batch, placers map[int]*flaxshelf.Placer, w *benchadapter.Writer) error {
 	var order []int
 	events := map[int][]flaxshelf.Event{}
 	for _, item := range b.Items {
@@ -73,7 +73,7 @@
 }
 
 // step runs the module; a panic becomes a BUG of that instance.
-func step(p *flaxshelf.Placer, b *benchhost.Batch, who int, events []flaxshelf.Event, w *benchhost.Writer) {
+func step(p *flaxshelf.Placer, b *benchadapter.Batch, who int, events []flaxshelf.Event, w *benchadapter.Writer) {
 	defer func() {
 		if r := recover(); r != nil {
 			w.Bug(who, fmt.Sprint(r))
--- a/cmd/wirehost/main_test.go
+++ b/cmd/benchadapter/main_test.go
@@ -7,7 +7,7 @@
 	"testing"
 
 	"flaxshelf.example/flaxshelf"
-	"flaxshelf.example/flaxshelf/internal/benchhost"
+	"flaxshelf.example/flaxshelf/internal/benchadapter"
 )
 
 func up(who int) string {
@@ -84,8 +84,8 @@
 // A panic in the module becomes a BUG of its instance; here the module is missing altogether.
 func TestPanicBecomesABug(t *testing.T) {
 	var out bytes.Buffer
-	w := benchhost.NewWriter(&out)
-	step(nil, &benchhost.Batch{Clock: 1}, 4, []flaxshelf.Event{flaxshelf.Woken{}}, w)
+	w := benchadapter.NewWriter(&out)
+	step(nil, &benchadapter.Batch{Clock: 1}, 4, []flaxshelf.Event{flaxshelf.Woken{}}, w)
 	if err := w.End(1); err != nil || !strings.HasPrefix(out.String(), "BUG who=4 msg=runtime error") {
 		t.Errorf("%v, wrote %q", err, out.String())
 	}
--- a/index.go
+++ b/index.go
@@ -13,14 +13,14 @@
 
 	"github.com/bits-and-blooms/bitset"
 
-	"flaxshelf.example/flaxshelf/internal/dueheap"
+	"flaxshelf.example/flaxshelf/internal/timerqueue"
 )
 
 // index is kept up to date by refresh, which looks again at the machines that were touched.
 type index struct {
 	moved bool       // machines have come or gone since they were numbered
 	dirty []*machine // touched since review looked at them
-	due   dueheap.Heap[*machine]
+	due   timerqueue.Heap[*machine]
 	shape int // grows when a machine comes, goes or changes its kind: rankings of homes are void then
 
 	cold, failing, strained, ours, refusing, rushed, reporting *bitset.BitSet
--- a/internal/benchhost/read.go
+++ b/internal/benchadapter/read.go
@@ -1,6 +1,6 @@
-// Package benchhost turns the text protocol of the bench into the module's events and its actions into text. It
+// Package benchadapter turns the text protocol of the bench into the module's events and its actions into text. It
 // converts names and units and decides nothing.
-package benchhost
+package benchadapter
 
 import (
 	"bufio"
--- a/internal/benchhost/write.go
+++ b/internal/benchadapter/write.go
@@ -1,4 +1,4 @@
-package benchhost
+package benchadapter
 
 import (
 	"bufio"
--- a/internal/front/platformfront/settings.go
+++ b/internal/front/platformfront/settings.go
@@ -15,7 +15,7 @@
 	"github.com/goccy/go-json"
 
 	"flaxshelf.example/flaxshelf"
-	"flaxshelf.example/flaxshelf/internal/benchhost"
+	"flaxshelf.example/flaxshelf/internal/benchadapter"
 )
 
 // Limits are what the platform gives one scheduler.
@@ -35,7 +35,7 @@
 	Last               uint64        // the number of the last of them
 	Idle               time.Duration // after which nodes close a connection without traffic; 0: not told
 	Module             flaxshelf.Config
-	Names              *benchhost.Names
+	Names              *benchadapter.Names
 }
 
 // ErrConfig is wrapped by every error about a configuration file.
@@ -88,7 +88,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("%w: field settings: %w", ErrConfig, err)
 	}
-	if c.Module, _, err = benchhost.Settings(pairs); err != nil {
+	if c.Module, _, err = benchadapter.Settings(pairs); err != nil {
 		return nil, fmt.Errorf("%w: field settings: %w", ErrConfig, err)
 	}
 	var caps struct {
@@ -117,7 +117,7 @@
 
 // rawNames are the names as owners and the feed write them. Risk covered: names with a space or a comma, which the bench's
 // pairs can't hold.
-func rawNames(settings json.RawMessage) (*benchhost.Names, error) {
+func rawNames(settings json.RawMessage) (*benchadapter.Names, error) {
 	type named []struct{ Name string }
 	var w struct {
 		Kinds      []string
@@ -148,7 +148,7 @@
 		}
 		return out
 	}
-	n := &benchhost.Names{}
+	n := &benchadapter.Names{}
 	var err [3]error
 	n.Kind, err[0] = index("kinds", w.Kinds)
 	n.Class, err[1] = index("categories", of(w.Categories))
--- a/internal/lab/emulator/recorder.go
+++ b/internal/lab/emulator/recorder.go
@@ -16,9 +16,9 @@
 	"flaxshelf.example/flaxshelf/internal/codec/nodeframe/nodepb"
 	"flaxshelf.example/flaxshelf/internal/front/drmaafront"
 	"flaxshelf.example/flaxshelf/internal/front/nodefront"
+	"flaxshelf.example/flaxshelf/internal/lab/recordproxy"
+	"flaxshelf.example/flaxshelf/internal/lab/recordproxy/tappb"
 	"flaxshelf.example/flaxshelf/internal/lab/rules"
-	"flaxshelf.example/flaxshelf/internal/lab/wiretap"
-	"flaxshelf.example/flaxshelf/internal/lab/wiretap/tappb"
 	"flaxshelf.example/flaxshelf/internal/scheduler"
 )
 
@@ -175,7 +175,7 @@
 	slices.SortStableFunc(r.records, func(a, b *tappb.Record) int { return int(a.TimeNs - b.TimeNs) })
 	r.mark("end", "", end)
 	buf := bufio.NewWriter(w)
-	head := &tappb.Record{TimeNs: int64(Epoch), Body: &tappb.Record_Head{Head: &tappb.Head{Version: wiretap.Version,
+	head := &tappb.Record{TimeNs: int64(Epoch), Body: &tappb.Record_Head{Head: &tappb.Head{Version: recordproxy.Version,
 		Figures: figures}}}
 	for _, rec := range append([]*tappb.Record{head}, r.records...) {
 		if _, err := protodelim.MarshalTo(buf, rec); err != nil {
--- a/internal/lab/wiretap/proxy.go
+++ b/internal/lab/recordproxy/proxy.go
@@ -1,4 +1,4 @@
-package wiretap
+package recordproxy
 
 import (
 	"context"
@@ -44,7 +44,7 @@
 func NewProxy(rec *Recorder, wire, to, via string, target func() string) (*Proxy, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("wiretap: proxy to %s: %w", to, err)
+		return nil, fmt.Errorf("recordproxy: proxy to %s: %w", to, err)
 	}
 	p := &Proxy{rec: rec, wire: wire, to: to, via: via, l: l, target: target, change: make(chan struct{}),
 		conns: map[*pair]bool{}}
@@ -158,7 +158,7 @@
 	p.mu.Unlock()
 }
 
-var errEnd = errors.New("wiretap: the connection is over")
+var errEnd = errors.New("recordproxy: the connection is over")
 
 // ahead is how many reads of one direction may wait to be passed on; beyond it the sender's socket fills.
 const ahead = 256
--- a/internal/lab/wiretap/proxy_test.go
+++ b/internal/lab/recordproxy/proxy_test.go
@@ -1,4 +1,4 @@
-package wiretap
+package recordproxy
 
 import (
 	"bytes"
@@ -11,7 +11,7 @@
 
 	"go.uber.org/goleak"
 
-	"flaxshelf.example/flaxshelf/internal/lab/wiretap/tappb"
+	"flaxshelf.example/flaxshelf/internal/lab/recordproxy/tappb"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/lab/wiretap/recording.go
+++ b/internal/lab/recordproxy/recording.go
@@ -1,7 +1,7 @@
-// Package wiretap owns what passes between the parties of a trial: a loopback proxy that forwards, delays,
+// Package recordproxy owns what passes between the parties of a trial: a loopback proxy that forwards, delays,
 // stalls, cuts and half-opens connections, and a recording of the bytes with their times. It must not
 // understand the bytes.
-package wiretap
+package recordproxy
 
 import (
 	"bufio"
@@ -14,7 +14,7 @@
 	"google.golang.org/protobuf/encoding/protodelim"
 
 	"flaxshelf.example/flaxshelf/internal/clock"
-	"flaxshelf.example/flaxshelf/internal/lab/wiretap/tappb"
+	"flaxshelf.example/flaxshelf/internal/lab/recordproxy/tappb"
 )
 
 // Version is the version of the format.
@@ -47,7 +47,7 @@
 func Create(path string, figures []byte) (*Recorder, error) {
 	f, err := os.Create(path)
 	if err != nil {
-		return nil, fmt.Errorf("wiretap: %w", err)
+		return nil, fmt.Errorf("recordproxy: %w", err)
 	}
 	return NewRecorder(f, figures), nil
 }
@@ -98,7 +98,7 @@
 		err = errors.Join(err, r.out.Close())
 	}
 	if err != nil {
-		return fmt.Errorf("wiretap: %w", err)
+		return fmt.Errorf("recordproxy: %w", err)
 	}
 	return nil
 }
@@ -114,14 +114,14 @@
 	x := &Reader{buf: bufio.NewReaderSize(r, 1<<16)}
 	rec, err := x.Next()
 	if err != nil {
-		return nil, fmt.Errorf("wiretap: not a recording: %w", err)
+		return nil, fmt.Errorf("recordproxy: not a recording: %w", err)
 	}
 	h := rec.GetHead()
 	if h == nil {
-		return nil, errors.New("wiretap: not a recording: it has no head")
+		return nil, errors.New("recordproxy: not a recording: it has no head")
 	}
 	if h.Version != Version {
-		return nil, fmt.Errorf("wiretap: version %d, this build reads %d", h.Version, Version)
+		return nil, fmt.Errorf("recordproxy: version %d, this build reads %d", h.Version, Version)
 	}
 	x.Figures = h.Figures
 	return x, nil
--- a/internal/lab/rules/follow.go
+++ b/internal/lab/rules/follow.go
@@ -11,14 +11,14 @@
 
 	"flaxshelf.example/flaxshelf/internal/codec/nodeframe"
 	"flaxshelf.example/flaxshelf/internal/codec/nodeframe/nodepb"
-	"flaxshelf.example/flaxshelf/internal/lab/wiretap"
-	"flaxshelf.example/flaxshelf/internal/lab/wiretap/tappb"
+	"flaxshelf.example/flaxshelf/internal/lab/recordproxy"
+	"flaxshelf.example/flaxshelf/internal/lab/recordproxy/tappb"
 )
 
 // Follow writes the frames of a recording in which every one of the words occurs, with the marks, a line each:
 // the story of a job, an attempt or a node.
 func Follow(r io.Reader, w io.Writer, words ...string) error {
-	rd, err := wiretap.NewReader(r)
+	rd, err := recordproxy.NewReader(r)
 	if err != nil {
 		return err
 	}
--- a/internal/lab/rules/format_test.go
+++ b/internal/lab/rules/format_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"flaxshelf.example/flaxshelf/internal/lab/wiretap"
+	"flaxshelf.example/flaxshelf/internal/lab/recordproxy"
 )
 
 // Written by the build of commit ad3e0ee: the recording of a day of the emulator, with cold nodes, a drain, a lost node
@@ -68,7 +68,7 @@
 
 // The figures in a recording of an earlier build are written the same.
 func TestStoredTrafficFigures(t *testing.T) {
-	r, err := wiretap.NewReader(bytes.NewReader(readTraffic(t)))
+	r, err := recordproxy.NewReader(bytes.NewReader(readTraffic(t)))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/rules/read.go
+++ b/internal/lab/rules/read.go
@@ -10,8 +10,8 @@
 	"flaxshelf.example/flaxshelf/internal/codec/httpcodec"
 	"flaxshelf.example/flaxshelf/internal/codec/nodeframe"
 	"flaxshelf.example/flaxshelf/internal/codec/nodeframe/nodepb"
-	"flaxshelf.example/flaxshelf/internal/lab/wiretap"
-	"flaxshelf.example/flaxshelf/internal/lab/wiretap/tappb"
+	"flaxshelf.example/flaxshelf/internal/lab/recordproxy"
+	"flaxshelf.example/flaxshelf/internal/lab/recordproxy/tappb"
 )
 
 // The wires, as a recording names them.
@@ -23,7 +23,7 @@
 
 // Check judges a recording.
 func Check(r io.Reader) (*Verdict, error) {
-	rd, err := wiretap.NewReader(r)
+	rd, err := recordproxy.NewReader(r)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/rules/rules_test.go
+++ b/internal/lab/rules/rules_test.go
@@ -14,8 +14,8 @@
 	"flaxshelf.example/flaxshelf/internal/codec/httpcodec"
 	"flaxshelf.example/flaxshelf/internal/codec/nodeframe"
 	"flaxshelf.example/flaxshelf/internal/codec/nodeframe/nodepb"
-	"flaxshelf.example/flaxshelf/internal/lab/wiretap"
-	"flaxshelf.example/flaxshelf/internal/lab/wiretap/tappb"
+	"flaxshelf.example/flaxshelf/internal/lab/recordproxy"
+	"flaxshelf.example/flaxshelf/internal/lab/recordproxy/tappb"
 )
 
 var figures = Figures{DrainGrace: time.Second, AnswerSlack: 100 * time.Millisecond, Settle: 2 * time.Second,
@@ -39,7 +39,7 @@
 func newTape() *tape {
 	p := &tape{}
 	f, _ := json.Marshal(figures)
-	p.put(&tappb.Record{Body: &tappb.Record_Head{Head: &tappb.Head{Version: wiretap.Version, Figures: f}}})
+	p.put(&tappb.Record{Body: &tappb.Record_Head{Head: &tappb.Head{Version: recordproxy.Version, Figures: f}}})
 	for i, to := range []string{"n1", "n2", "inventory", "s"} {
 		wire := []string{NodeWire, NodeWire, InventoryWire, ClientWire}[i]
 		p.put(&tappb.Record{Body: &tappb.Record_Open{Open: &tappb.Open{Conn: uint64(i + 1), Wire: wire, To: to}}})
--- a/internal/lab/standin/inventorymodel/inventory.go
+++ b/internal/lab/standin/inventorymodel/inventory.go
@@ -11,7 +11,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"flaxshelf.example/flaxshelf/internal/codec/nodeframe/nodepb"
-	"flaxshelf.example/flaxshelf/internal/dueheap"
+	"flaxshelf.example/flaxshelf/internal/timerqueue"
 )
 
 // Time is Unix nanoseconds.
@@ -44,7 +44,7 @@
 	revision uint64
 	entries  map[string]*entry   // as they are
 	of       map[string][]*entry // by the party that registered them, in the order of their first words
-	leaving  dueheap.Heap[*entry]
+	leaving  timerqueue.Heap[*entry]
 	shown    map[string]*nodepb.Entry
 	pending  []change
 	watchers []string
@@ -54,7 +54,7 @@
 type entry struct {
 	*nodepb.Entry
 	from string
-	due  dueheap.Item[*entry] // when its node is taken for out; not queued while its connection stands
+	due  timerqueue.Item[*entry] // when its node is taken for out; not queued while its connection stands
 }
 
 type change struct {
--- a/internal/lab/trial/cluster.go
+++ b/internal/lab/trial/cluster.go
@@ -16,13 +16,13 @@
 
 	"github.com/rs/zerolog"
 
+	"flaxshelf.example/flaxshelf/internal/lab/recordproxy"
 	"flaxshelf.example/flaxshelf/internal/lab/rules"
 	"flaxshelf.example/flaxshelf/internal/lab/scenario"
 	"flaxshelf.example/flaxshelf/internal/lab/standin/fleet"
 	"flaxshelf.example/flaxshelf/internal/lab/standin/host"
 	"flaxshelf.example/flaxshelf/internal/lab/standin/inventorymodel"
 	"flaxshelf.example/flaxshelf/internal/lab/standin/nodemodel"
-	"flaxshelf.example/flaxshelf/internal/lab/wiretap"
 	"flaxshelf.example/flaxshelf/internal/settings"
 )
 
@@ -35,7 +35,7 @@
 	day        *scenario.Day
 	opt        Options
 	dir        string
-	rec        *wiretap.Recorder
+	rec        *recordproxy.Recorder
 	log        zerolog.Logger
 	inv        *host.Inventory
 	nodes      []*node
@@ -50,7 +50,7 @@
 	index int
 	group scenario.Group
 	name  string
-	proxy *wiretap.Proxy
+	proxy *recordproxy.Proxy
 
 	mu    sync.Mutex
 	life  *host.Node
@@ -63,8 +63,8 @@
 	c      *cluster
 	index  int
 	name   string
-	client *wiretap.Proxy
-	list   *wiretap.Proxy
+	client *recordproxy.Proxy
+	list   *recordproxy.Proxy
 	config string
 	taps   []string
 
@@ -77,7 +77,7 @@
 }
 
 func newCluster(ctx context.Context, d *scenario.Day, opt Options, dir string,
-	rec *wiretap.Recorder) (*cluster, error) {
+	rec *recordproxy.Recorder) (*cluster, error) {
 	c := &cluster{day: d, opt: opt, dir: dir, rec: rec, log: zerolog.Nop(), rooms: map[string]nodemodel.Keys{}}
 	var err error
 	c.inv, err = host.StartInventory("127.0.0.1:0", inventorymodel.Config{Late: d.Late.Of(),
@@ -91,7 +91,7 @@
 			c.rooms[g.Zone] = host.NewRoom()
 		}
 		n := &node{c: c, index: len(c.nodes), group: g, name: p.Name}
-		if n.proxy, err = wiretap.NewProxy(rec, rules.NodeWire, n.name, "", n.addr); err != nil {
+		if n.proxy, err = recordproxy.NewProxy(rec, rules.NodeWire, n.name, "", n.addr); err != nil {
 			return c, err
 		}
 		c.nodes = append(c.nodes, n)
@@ -105,10 +105,10 @@
 	for i := range d.Schedulers {
 		p := &process{c: c, index: i, name: scenario.SchedulerName(i), config: filepath.Join(dir,
 			scenario.SchedulerName(i)+".cue")}
-		if p.client, err = wiretap.NewProxy(rec, rules.ClientWire, p.name, "", p.target); err != nil {
+		if p.client, err = recordproxy.NewProxy(rec, rules.ClientWire, p.name, "", p.target); err != nil {
 			return c, err
 		}
-		if p.list, err = wiretap.NewProxy(rec, rules.InventoryWire, "inventory", p.name, c.inv.Addr); err != nil {
+		if p.list, err = recordproxy.NewProxy(rec, rules.InventoryWire, "inventory", p.name, c.inv.Addr); err != nil {
 			return c, err
 		}
 		c.schedulers = append(c.schedulers, p)
--- a/internal/lab/trial/run.go
+++ b/internal/lab/trial/run.go
@@ -15,9 +15,9 @@
 	"time"
 
 	"flaxshelf.example/flaxshelf"
+	"flaxshelf.example/flaxshelf/internal/lab/recordproxy"
 	"flaxshelf.example/flaxshelf/internal/lab/rules"
 	"flaxshelf.example/flaxshelf/internal/lab/scenario"
-	"flaxshelf.example/flaxshelf/internal/lab/wiretap"
 	"flaxshelf.example/flaxshelf/internal/replay"
 )
 
@@ -88,7 +88,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("trial: figures: %w", err)
 	}
-	rec, err := wiretap.Create(record, figures)
+	rec, err := recordproxy.Create(record, figures)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/trial/trouble.go
+++ b/internal/lab/trial/trouble.go
@@ -9,11 +9,11 @@
 	"syscall"
 	"time"
 
+	"flaxshelf.example/flaxshelf/internal/lab/recordproxy"
 	"flaxshelf.example/flaxshelf/internal/lab/rules"
 	"flaxshelf.example/flaxshelf/internal/lab/scenario"
 	"flaxshelf.example/flaxshelf/internal/lab/standin/inventorymodel"
 	"flaxshelf.example/flaxshelf/internal/lab/standin/nodemodel"
-	"flaxshelf.example/flaxshelf/internal/lab/wiretap"
 )
 
 // troubles puts each trouble on at its time and off after its while. The function returned waits for all.
@@ -74,7 +74,7 @@
 			n.trouble(off)
 		}
 	}
-	links := func(f wiretap.Fault) {
+	links := func(f recordproxy.Fault) {
 		if f.DropBack || f.DropThere {
 			c.rec.Mark(rules.MarkDrops, "nodes")
 		}
@@ -83,7 +83,7 @@
 		}
 		rest()
 		for _, n := range nodes {
-			n.proxy.Set(wiretap.Fault{})
+			n.proxy.Set(recordproxy.Fault{})
 			if f.DropBack || f.DropThere {
 				n.proxy.Cut()
 			}
@@ -158,14 +158,14 @@
 		}
 	case "cut-reply":
 		for _, n := range nodes {
-			n.proxy.Set(wiretap.Fault{CutBack: 1 + rng.IntN(100)})
+			n.proxy.Set(recordproxy.Fault{CutBack: 1 + rng.IntN(100)})
 		}
 	case "half-open":
-		links(wiretap.Fault{DropBack: true})
+		links(recordproxy.Fault{DropBack: true})
 	case "delay":
-		links(wiretap.Fault{Delay: scenario.Seconds(t.Factor)})
+		links(recordproxy.Fault{Delay: scenario.Seconds(t.Factor)})
 	case "stall":
-		links(wiretap.Fault{Stall: true})
+		links(recordproxy.Fault{Stall: true})
 	case "inventory-fails":
 		list(inventorymodel.Fault{Fails: true})
 	case "inventory-stale":
--- a/internal/requests/attempt.go
+++ b/internal/requests/attempt.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"flaxshelf.example/flaxshelf"
-	"flaxshelf.example/flaxshelf/internal/dueheap"
+	"flaxshelf.example/flaxshelf/internal/timerqueue"
 )
 
 // phase is how far an attempt has come.
@@ -27,7 +27,7 @@
 	phase    phase
 	sent     Time
 	limit    time.Duration
-	timer    *dueheap.Timer
+	timer    *timerqueue.Timer
 	unlisted bool // handed over on a node that no list had named
 	cutAt    Time // when its release was written last; 0: never
 	reached  bool // the release went on a link that had just come up
--- a/internal/requests/core.go
+++ b/internal/requests/core.go
@@ -7,7 +7,7 @@
 
 	"flaxshelf.example/flaxshelf"
 	"flaxshelf.example/flaxshelf/internal/admission"
-	"flaxshelf.example/flaxshelf/internal/dueheap"
+	"flaxshelf.example/flaxshelf/internal/timerqueue"
 )
 
 // Config is what a Core is told when it starts.
@@ -39,14 +39,14 @@
 	tasks     map[string]*task
 	owners    map[Conn]*owner
 	admission *admission.Control
-	silence   *dueheap.Timer // of the next owner's connection that says nothing
+	silence   *timerqueue.Timer // of the next owner's connection that says nothing
 	nodes     map[string]*node
 	links     map[Link]*link
 	lastLink  Link
 	shows     uint64
 	unsaid    []*Over // ends that no connection could be found for
 	early     earlyEnds
-	timers    dueheap.Timers
+	timers    timerqueue.Timers
 	feed      feed
 	stopping  bool
 	figures   Figures
--- a/internal/requests/node.go
+++ b/internal/requests/node.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"flaxshelf.example/flaxshelf"
-	"flaxshelf.example/flaxshelf/internal/dueheap"
+	"flaxshelf.example/flaxshelf/internal/timerqueue"
 )
 
 // node is a machine by its id. Another one at the same address is another node.
@@ -20,7 +20,7 @@
 	fails   int  // dials that failed in a row
 	linked  bool // a link to it was up in this life
 	starved bool // it has no link for want of room
-	redial  *dueheap.Timer
+	redial  *timerqueue.Timer
 }
 
 // link is a connection to a node.
--- a/internal/scheduler/attempt.go
+++ b/internal/scheduler/attempt.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"flaxshelf.example/flaxshelf"
-	"flaxshelf.example/flaxshelf/internal/dueheap"
+	"flaxshelf.example/flaxshelf/internal/timerqueue"
 )
 
 type phase int
@@ -33,8 +33,8 @@
 	sent   Time
 	limit  time.Duration
 	phase  phase
-	stop   bool           // a stop has been sent
-	timer  *dueheap.Timer // its time-out, of the phase that it is in
+	stop   bool              // a stop has been sent
+	timer  *timerqueue.Timer // its time-out, of the phase that it is in
 }
 
 // offer carries out the module's choice.
--- a/internal/scheduler/core.go
+++ b/internal/scheduler/core.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"flaxshelf.example/flaxshelf"
-	"flaxshelf.example/flaxshelf/internal/dueheap"
+	"flaxshelf.example/flaxshelf/internal/timerqueue"
 )
 
 // Core is the state machine of one scheduler. Its zero value is of no use; see New. It is not safe for
@@ -36,7 +36,7 @@
 	nLive    int    // jobs that have not ended
 	nEnded   int
 	watches  watches
-	timers   dueheap.Timers
+	timers   timerqueue.Timers
 	recovery recovery
 	fence    fence
 	draining bool
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"flaxshelf.example/flaxshelf"
-	"flaxshelf.example/flaxshelf/internal/dueheap"
+	"flaxshelf.example/flaxshelf/internal/timerqueue"
 )
 
 // backoffFirst and backoffMost bound how long a job that lost its node waits before it is asked anew. An
@@ -39,9 +39,9 @@
 	started, ended      Time
 	rev                 uint64
 	aliases             []string
-	entered             bool           // its array has let it go, or it has none
-	overdue, deadline   *dueheap.Timer // of the open ask; of the job
-	later               *dueheap.Timer // its start time or the end of its backoff
+	entered             bool              // its array has let it go, or it has none
+	overdue, deadline   *timerqueue.Timer // of the open ask; of the job
+	later               *timerqueue.Timer // its start time or the end of its backoff
 }
 
 func (j *job) held() bool { return j.state == QueuedHeld || j.state == RequeuedHeld }
--- a/internal/dueheap/heap.go
+++ b/internal/timerqueue/heap.go
@@ -1,6 +1,6 @@
-// Package dueheap owns heaps of things that fall due, from which a thing can be taken before its time. It must not
+// Package timerqueue owns heaps of things that fall due, from which a thing can be taken before its time. It must not
 // read a clock or decide what follows.
-package dueheap
+package timerqueue
 
 import "time"
 
--- a/internal/dueheap/heap_test.go
+++ b/internal/timerqueue/heap_test.go
@@ -1,4 +1,4 @@
-package dueheap
+package timerqueue
 
 import (
 	"slices"
--- a/state.go
+++ b/state.go
@@ -9,7 +9,7 @@
 	"slices"
 	"time"
 
-	"flaxshelf.example/flaxshelf/internal/dueheap"
+	"flaxshelf.example/flaxshelf/internal/timerqueue"
 )
 
 // Placer makes the decisions of one scheduler.
@@ -71,7 +71,7 @@
 	memory                float64
 	at                    int  // its number in the index; -1: none
 	dirty                 bool // it waits for review
-	due                   dueheap.Item[*machine]
+	due                   timerqueue.Item[*machine]
 	zone, cell            *place  // nil: not listed
 	binds                 []*bind // ours, in order; some may have left the history
 }
