--- a/api.go
+++ b/api.go
@@ -10,41 +10,42 @@
 // Time is the host's clock: any starting value, only moving forward.
 type Time = time.Duration
 
-// Effect says what a second start of a task does.
-type Effect int
+// Idempotency says what a second start of a task does.
+type Idempotency int
 
 const (
-	Safe   Effect = iota // a second start does no harm
-	Keyed                // machines of one group drop repeats for a while
-	Unsafe               // must never be started twice
+	Idempotent      Idempotency = iota // a second start does no harm
+	IdempotentByKey                    // machines of one group drop repeats for a while
+	NonIdempotent                      // must never be started twice
 )
 
-// Extent is the reach of a key group or of a spread rule.
-type Extent int
+// TopologyDomain is the reach of a key group or of a spread rule.
+type TopologyDomain int
 
 const (
-	Nowhere Extent = iota // no such rule
-	OnMachine
-	InCell
-	InZone
-	Everywhere
+	NoDomain TopologyDomain = iota // no such rule
+	MachineDomain
+	CellDomain
+	ZoneDomain
+	FleetDomain
 )
 
 // Class is one class of task.
 type Class struct {
-	Name         string
-	Effect       Effect
-	Group        Extent        // Keyed: where repeats are dropped
-	Window       time.Duration // Keyed: for how long, from the send of the first attempt that may have run
-	Aim          time.Duration // a start within this earns its full worth
-	Worth        float64       // of one second of full service
-	LateWorth    float64       // share of a start's worth after the aim
-	StartSeconds float64       // seconds of service that a start in time is worth
-	Calm, Fade   float64       // served in full up to Calm of the cores busy, not at all from Calm+Fade
-	Kind         int           // index of the machine kind that it needs, or -1
-	Priority     int
-	Spread       Extent // Nowhere, OnMachine, InCell or InZone
-	Most         int    // tasks of one service that this scheduler may have in one such place
+	Name                   string
+	Idempotency            Idempotency
+	KeyDomain              TopologyDomain // Keyed: where repeats are dropped
+	KeyTTL                 time.Duration  // for how long, from the send of the first attempt that may have run
+	LatencyObjective       time.Duration  // a start within this earns its full worth
+	PriorityWeight         float64        // of one second of full service
+	LateStartWeight        float64        // share of a start's worth after the aim
+	StartValueSeconds      float64        // seconds of service that a start in time is worth
+	FullServiceUtilization float64        // share of busy cores up to which tasks get full service
+	ServiceFadeRange       float64        // share beyond it over which service falls to none
+	Kind                   int            // index of the machine kind that it needs, or -1
+	Priority               int
+	SpreadDomain           TopologyDomain // Nowhere, OnMachine, InCell or InZone
+	MaxPerDomain           int            // tasks of one service that this scheduler may have in one such place
 }
 
 // Kind is one kind of machine.
@@ -55,50 +56,50 @@
 
 // Tenant is one of those who share the fleet.
 type Tenant struct {
-	Name       string
-	Share      float64
-	PerSecond  float64 // new tasks a second within its share, over all schedulers; 0: not told
-	QuotaCores float64 // cores asked for within its share, over all schedulers; 0: not told
+	Name           string
+	QuotaFraction  float64
+	TasksPerSecond float64 // new tasks a second within its share, over all schedulers; 0: not told
+	QuotaCores     float64 // cores asked for within its share, over all schedulers; 0: not told
 }
 
 // Prices are points taken off the result; 0 means that the thing is free.
 type Prices struct {
-	CrossZone, Waste, Probe, Message, Moves, Discovery, Fleet, Refused float64
-	// EvictionMoves: an eviction or push-out counts as so many moves.
-	EvictionMoves float64
+	CrossZone, Waste, HealthCheck, Gossip, Migration, Discovery, Fleet, Rejection float64
+	// EvictionMigrations: an eviction or push-out counts as so many moves.
+	EvictionMigrations float64
 }
 
 // Config is what a scheduler is told when it starts. Zero values mean "not told" or "not allowed".
 type Config struct {
-	Index, Schedulers int
-	Zone              string
-	Classes           []Class
-	Kinds             []Kind
-	Tenants           []Tenant
-	OverShareWorth    float64
-	Prices            Prices
-	AcceptCores       float64 // a machine accepts until its tasks ask for this multiple of its cores
-	AcceptMemory      float64
-	RunsWhenPlaced    bool // Placed comes when the task runs, not when it is accepted
-	Preempts          bool // machines push out lower priorities to make room
-	ListsFree         bool // list entries carry free cores and memory
-	ReportsUsed       bool // load reports subtract what is used, not what is asked
-	DiscoveryAsks     bool // changes of the list come only after Subscribe
-	MaxAttempts       int  // for each ask; 0: no limit told
-	SecondCopies      bool // two attempts of one task may be out together
-	CanWithdraw       bool
-	CanProbe          bool
-	CanMessage        bool
-	CanRetryAfter     bool
-	MaxRetryAfter     time.Duration
-	Tick              time.Duration // least time between batches
-	ConnectTimeout    time.Duration
-	AnswerSlack       time.Duration
-	DrainGrace        time.Duration
-	AskWithin         time.Duration
-	ColdFor           time.Duration // a machine is warm this long after its start at the latest
-	FallWindow        time.Duration
-	ColdOffers        float64 // offers within FallWindow, of all schedulers, that a cold machine always bears
+	Index, Schedulers     int
+	Zone                  string
+	Classes               []Class
+	Kinds                 []Kind
+	Tenants               []Tenant
+	OverQuotaWeight       float64
+	Prices                Prices
+	CoreOvercommit        float64 // a machine accepts until its tasks ask for this multiple of its cores
+	MemoryOvercommit      float64
+	PlacedWhenRunning     bool // Placed comes when the task runs, not when it is accepted
+	Preempts              bool // machines push out lower priorities to make room
+	ListsFreeCapacity     bool // list entries carry free cores and memory
+	ReportsUsage          bool // load reports subtract what is used, not what is asked
+	DiscoveryOnRequest    bool // changes of the list come only after Subscribe
+	MaxAttempts           int  // for each ask; 0: no limit told
+	HedgedRequests        bool // two attempts of one task may be out together
+	CanCancel             bool
+	CanHealthCheck        bool
+	CanGossip             bool
+	CanRetryAfter         bool
+	MaxRetryAfter         time.Duration
+	Tick                  time.Duration // least time between batches
+	ConnectTimeout        time.Duration
+	AnswerSlack           time.Duration
+	DrainGrace            time.Duration
+	DiscoveryPollDeadline time.Duration
+	SlowStartDuration     time.Duration // a machine is warm this long after its start at the latest
+	OverloadWindow        time.Duration
+	SlowStartBudget       float64 // offers within FallWindow, of all schedulers, that a cold machine always bears
 }
 
 // Task is one ask to place a task. ID is fresh for each ask, Key stays the same.
@@ -107,18 +108,18 @@
 	Class            int // index in Config.Classes
 	Tenant           int // index in Config.Tenants, or -1
 	Cores, Memory    float64
-	Life             time.Duration // how long it should still run, roughly; 0: not told
-	ValidUntil       Time          // when its owner gives up
-	Again            bool
+	ExpectedRuntime  time.Duration // how long it should still run, roughly; 0: not told
+	Deadline         Time          // when its owner gives up
+	Retry            bool
 }
 
-// State is what discovery says of a machine.
-type State int
+// MachineState is what discovery says of a machine.
+type MachineState int
 
 const (
-	In State = iota
+	Active MachineState = iota
 	Draining
-	Out
+	Removed
 )
 
 // Machine is one entry of the machine list.
@@ -127,29 +128,29 @@
 	Kind                  int // index in Config.Kinds, or -1
 	Zone                  string
 	Cell                  int
-	State                 State
+	State                 MachineState
 	Started               Time // 0: long ago
 	FreeCores, FreeMemory float64
 }
 
-// Load is a machine's own report. Told is false when none came along.
-type Load struct {
-	Told                  bool
+// LoadReport is a machine's own report. Told is false when none came along.
+type LoadReport struct {
+	Present               bool
 	FreeCores, FreeMemory float64
 	HasCores, HasMemory   bool
 }
 
-// Verdict is how an attempt ended.
-type Verdict int
+// Outcome is how an attempt ended.
+type Outcome int
 
 const (
-	Finished Verdict = iota
-	Failed           // the machine answered with an error; it may have started
-	Refused          // proof that it never ran
+	Completed Outcome = iota
+	Failed            // the machine answered with an error; it may have started
+	Rejected          // proof that it never ran
 	TimedOut
 	Unreachable // proof that it never ran
 	Lost        // after Placed: evicted, pushed out, sent away or lost; before: the reply broke off
-	Withdrawn
+	Canceled
 	NotSent // proof that it never ran
 )
 
@@ -157,97 +158,97 @@
 type Reason int
 
 const (
-	Untold Reason = iota
-	NoCores
-	NoMemory
-	TooManyWait
-	NotHere
+	UnspecifiedReason Reason = iota
+	InsufficientCores
+	InsufficientMemory
+	QueueFull
+	UnsupportedTask
 	Evicted
-	PushedOut
-	SentAway
+	Preempted
+	DrainedAway
 )
 
-// NoteKind says what a Note tells.
-type NoteKind int
+// UsageKind says what a Note tells.
+type UsageKind int
 
 const (
-	Runs        NoteKind = iota + 1
-	CoresUsed            // by the task
-	MemoryUsed           // by the task
-	Served               // share of full service that the task gets
-	MemoryShort          // share of its machine's memory in use
+	TaskRunning    UsageKind = iota + 1
+	CoresUsed                // by the task
+	MemoryUsed               // by the task
+	ServiceLevel             // share of full service that the task gets
+	MemoryPressure           // share of its machine's memory in use
 )
 
 // Event is one of the event types below.
 type Event interface{ event() }
 
 type (
-	// Listed brings the machine list: all of it, or what changed.
-	Listed struct {
+	// MachinesUpdated brings the machine list: all of it, or what changed.
+	MachinesUpdated struct {
 		Machines []Machine
-		Whole    bool
+		Complete bool
 		Stale    bool // the first list, as it was when last seen
 	}
-	// ListFailed tells that a call to discovery failed or the subscription dropped.
-	ListFailed struct{}
-	// Place asks for a task to be placed.
-	Place struct{ Task Task }
-	// Running hands over a task that runs already; attempt 0 counts as made.
-	Running struct {
+	// DiscoveryFailed tells that a call to discovery failed or the subscription dropped.
+	DiscoveryFailed struct{}
+	// TaskSubmitted asks for a task to be placed.
+	TaskSubmitted struct{ Task Task }
+	// TaskAdopted hands over a task that runs already; attempt 0 counts as made.
+	TaskAdopted struct {
 		Task    Task
 		Machine string
 	}
-	// Placed tells that the attempt was accepted (or runs, with Config.RunsWhenPlaced).
-	Placed struct {
+	// AttemptPlaced tells that the attempt was accepted (or runs, with Config.RunsWhenPlaced).
+	AttemptPlaced struct {
 		Task, Machine string
 		Attempt       int
-		Lag           time.Duration
+		Latency       time.Duration
 	}
-	// Ended tells how an attempt ended. Done: the task needs no further answer.
-	Ended struct {
+	// AttemptEnded tells how an attempt ended. Done: the task needs no further answer.
+	AttemptEnded struct {
 		Task, Machine string
 		Attempt       int
-		Verdict       Verdict
+		Outcome       Outcome
 		Reason        Reason
-		Done          bool
-		Lag           time.Duration
-		Load          Load
+		Final         bool
+		Latency       time.Duration
+		Load          LoadReport
 	}
-	// Note is news of an attempt that is out.
-	Note struct {
+	// UsageReport is news of an attempt that is out.
+	UsageReport struct {
 		Task, Machine string
 		Attempt       int
-		Kind          NoteKind
+		Kind          UsageKind
 		Amount        float64
 	}
-	// Probed answers a Probe.
-	Probed struct {
+	// HealthChecked answers a Probe.
+	HealthChecked struct {
 		Machine string
-		Verdict Verdict
-		Load    Load
+		Outcome Outcome
+		Load    LoadReport
 	}
-	// Message comes from another scheduler.
-	Message struct {
+	// GossipReceived comes from another scheduler.
+	GossipReceived struct {
 		From int
 		Data []byte
 	}
-	// Woken answers a Wake.
-	Woken struct{}
-	// Gone tells that a task is no longer wanted.
-	Gone struct{ Task string }
+	// TimerFired answers a Wake.
+	TimerFired struct{}
+	// TaskCanceled tells that a task is no longer wanted.
+	TaskCanceled struct{ Task string }
 )
 
-func (Listed) event()     {}
-func (ListFailed) event() {}
-func (Place) event()      {}
-func (Running) event()    {}
-func (Placed) event()     {}
-func (Ended) event()      {}
-func (Note) event()       {}
-func (Probed) event()     {}
-func (Message) event()    {}
-func (Woken) event()      {}
-func (Gone) event()       {}
+func (MachinesUpdated) event() {}
+func (DiscoveryFailed) event() {}
+func (TaskSubmitted) event()   {}
+func (TaskAdopted) event()     {}
+func (AttemptPlaced) event()   {}
+func (AttemptEnded) event()    {}
+func (UsageReport) event()     {}
+func (HealthChecked) event()   {}
+func (GossipReceived) event()  {}
+func (TimerFired) event()      {}
+func (TaskCanceled) event()    {}
 
 // Action is one of the action types below.
 type Action interface{ action() }
@@ -258,33 +259,33 @@
 		Task, Machine string
 		Timeout       time.Duration
 	}
-	// Withdraw stops waiting for an attempt; the machine may still start it.
-	Withdraw struct {
+	// Cancel stops waiting for an attempt; the machine may still start it.
+	Cancel struct {
 		Task    string
 		Attempt int
 	}
-	// Refuse is a final answer: a retry does no harm.
-	Refuse struct{ Task string }
+	// Reject is a final answer: a retry does no harm.
+	Reject struct{ Task string }
 	// Fail is a final answer without that promise.
 	Fail struct{ Task string }
-	// Move stops a placed task so that it comes again.
-	Move struct{ Task string }
-	// Probe asks a machine for a report.
-	Probe struct{ Machine string }
-	// Tell sends data to all other schedulers.
-	Tell struct{ Data []byte }
+	// Migrate stops a placed task so that it comes again.
+	Migrate struct{ Task string }
+	// HealthCheck asks a machine for a report.
+	HealthCheck struct{ Machine string }
+	// SendGossip sends data to all other schedulers.
+	SendGossip struct{ Data []byte }
 	// Subscribe asks discovery for changes from now on.
 	Subscribe struct{}
-	// Wake asks for a Woken event.
-	Wake struct{ After time.Duration }
+	// SetTimer asks for a Woken event.
+	SetTimer struct{ After time.Duration }
 )
 
-func (Offer) action()     {}
-func (Withdraw) action()  {}
-func (Refuse) action()    {}
-func (Fail) action()      {}
-func (Move) action()      {}
-func (Probe) action()     {}
-func (Tell) action()      {}
-func (Subscribe) action() {}
-func (Wake) action()      {}
+func (Offer) action()       {}
+func (Cancel) action()      {}
+func (Reject) action()      {}
+func (Fail) action()        {}
+func (Migrate) action()     {}
+func (HealthCheck) action() {}
+func (SendGossip) action()  {}
+func (Subscribe) action()   {}
+func (SetTimer) action()    {}
--- a/cold_fleet_test.go
+++ b/cold_fleet_test.go
@@ -15,7 +15,7 @@
 func coldFleet(t *testing.T, schedulers int, budget float64, restarts bool, seed uint64) (at []Time, c Config) {
 	t.Helper()
 	c = config()
-	c.Schedulers, c.ColdOffers, c.FallWindow, c.ColdFor = schedulers, budget, time.Second, 10*time.Second
+	c.Schedulers, c.SlowStartBudget, c.OverloadWindow, c.SlowStartDuration = schedulers, budget, time.Second, 10*time.Second
 	rng := rand.New(rand.NewPCG(seed, 3))
 	const step = 20 * ms
 	full, cold := Machine{ID: "full", Zone: "a"}, Machine{ID: fmt.Sprint("cold", seed), Zone: "a", Started: 100 * time.Second}
@@ -32,7 +32,7 @@
 		if s.p, err = New(c, seed); err != nil {
 			t.Fatal(err)
 		}
-		s.p.Step(now, []Event{Listed{Whole: true, Machines: []Machine{full}}})
+		s.p.Step(now, []Event{MachinesUpdated{Complete: true, Machines: []Machine{full}}})
 	}
 	fleet := make([]*one, schedulers)
 	for i := range fleet {
@@ -40,11 +40,11 @@
 		c.Index = i
 		begin(s, cold.Started-time.Minute, uint64(i))
 		if restarts && rng.IntN(2) == 0 {
-			s.anew = cold.Started + Time(rng.Int64N(int64(c.ColdFor)))
+			s.anew = cold.Started + Time(rng.Int64N(int64(c.SlowStartDuration)))
 		}
 		fleet[i] = s
 	}
-	for now := cold.Started; now < cold.Started+c.ColdFor; now += step {
+	for now := cold.Started; now < cold.Started+c.SlowStartDuration; now += step {
 		for i, s := range fleet {
 			if s.anew > 0 && now >= s.anew {
 				s.anew, s.listed, s.next = 0, false, nil
@@ -56,7 +56,7 @@
 			s.next = nil
 			if !s.listed && now >= s.hears {
 				s.listed = true
-				events = append(events, Listed{Machines: []Machine{cold}})
+				events = append(events, MachinesUpdated{Machines: []Machine{cold}})
 			}
 			if rng.IntN(3) == 0 {
 				s.asked++
@@ -70,9 +70,9 @@
 				case !ok:
 				case o.Machine == cold.ID:
 					at = append(at, now+Time(rng.Int64N(int64(step))))
-					s.next = append(s.next, Ended{Task: o.Task, Machine: o.Machine, Attempt: 0, Verdict: Finished, Done: true})
+					s.next = append(s.next, AttemptEnded{Task: o.Task, Machine: o.Machine, Attempt: 0, Outcome: Completed, Final: true})
 				default:
-					s.next = append(s.next, Ended{Task: o.Task, Machine: o.Machine, Verdict: Refused, Reason: NoCores})
+					s.next = append(s.next, AttemptEnded{Task: o.Task, Machine: o.Machine, Outcome: Rejected, Reason: InsufficientCores})
 				}
 			}
 		}
@@ -91,12 +91,12 @@
 				at, c := coldFleet(t, schedulers, budget, restarts, uint64(seed))
 				worst, first := 0, 0
 				for last := range at {
-					for at[last]-at[first] > c.FallWindow {
+					for at[last]-at[first] > c.OverloadWindow {
 						first++
 					}
 					worst = max(worst, last-first+1)
 				}
-				windows := float64(c.ColdFor-time.Second) / float64(c.FallWindow) // all have heard of it after a second
+				windows := float64(c.SlowStartDuration-time.Second) / float64(c.OverloadWindow) // all have heard of it after a second
 				used, least := float64(len(at))/windows, budget/2
 				if restarts {
 					least *= 0.8
--- a/config.go
+++ b/config.go
@@ -17,21 +17,21 @@
 		switch {
 		case cl.Kind < -1 || cl.Kind >= len(c.Kinds):
 			return fmt.Errorf("flaxshelf: Classes[%d].Kind: no kind %d", i, cl.Kind)
-		case cl.Effect < Safe || cl.Effect > Unsafe:
-			return fmt.Errorf("flaxshelf: Classes[%d].Effect: unknown effect %d", i, cl.Effect)
-		case cl.Effect == Keyed && (cl.Group < OnMachine || cl.Group > Everywhere):
+		case cl.Idempotency < Idempotent || cl.Idempotency > NonIdempotent:
+			return fmt.Errorf("flaxshelf: Classes[%d].Effect: unknown effect %d", i, cl.Idempotency)
+		case cl.Idempotency == IdempotentByKey && (cl.KeyDomain < MachineDomain || cl.KeyDomain > FleetDomain):
 			return fmt.Errorf("flaxshelf: Classes[%d].Group: a keyed class needs a group", i)
-		case cl.Spread < Nowhere || cl.Spread > InZone:
-			return fmt.Errorf("flaxshelf: Classes[%d].Spread: unknown place %d", i, cl.Spread)
-		case cl.Spread != Nowhere && cl.Most < 1:
+		case cl.SpreadDomain < NoDomain || cl.SpreadDomain > ZoneDomain:
+			return fmt.Errorf("flaxshelf: Classes[%d].Spread: unknown place %d", i, cl.SpreadDomain)
+		case cl.SpreadDomain != NoDomain && cl.MaxPerDomain < 1:
 			return fmt.Errorf("flaxshelf: Classes[%d].Most: a spread rule needs 1 or more", i)
 		}
 	}
 	for _, d := range []struct {
 		name string
 		v    time.Duration
-	}{{"Tick", c.Tick}, {"DrainGrace", c.DrainGrace}, {"AskWithin", c.AskWithin}, {"ColdFor", c.ColdFor},
-		{"FallWindow", c.FallWindow}, {"ConnectTimeout", c.ConnectTimeout}} {
+	}{{"Tick", c.Tick}, {"DrainGrace", c.DrainGrace}, {"AskWithin", c.DiscoveryPollDeadline}, {"ColdFor", c.SlowStartDuration},
+		{"FallWindow", c.OverloadWindow}, {"ConnectTimeout", c.ConnectTimeout}} {
 		if d.v < 0 {
 			return fmt.Errorf("flaxshelf: %s: must not be negative", d.name)
 		}
--- a/example_test.go
+++ b/example_test.go
@@ -11,15 +11,15 @@
 func Example() {
 	p, err := flaxshelf.New(flaxshelf.Config{
 		Kinds:   []flaxshelf.Kind{{Name: "small", Cores: 16, Memory: 64}},
-		Classes: []flaxshelf.Class{{Name: "web", Effect: flaxshelf.Safe, Aim: time.Second, Kind: -1}},
+		Classes: []flaxshelf.Class{{Name: "web", Idempotency: flaxshelf.Idempotent, LatencyObjective: time.Second, Kind: -1}},
 	}, 1)
 	if err != nil {
 		panic(err)
 	}
 	actions := p.Step(time.Second, []flaxshelf.Event{
-		flaxshelf.Listed{Whole: true, Machines: []flaxshelf.Machine{{ID: "m1", Kind: 0}}},
-		flaxshelf.Place{Task: flaxshelf.Task{
-			ID: "t1", Service: "shop", Cores: 1, Memory: 2, ValidUntil: 6 * time.Second,
+		flaxshelf.MachinesUpdated{Complete: true, Machines: []flaxshelf.Machine{{ID: "m1", Kind: 0}}},
+		flaxshelf.TaskSubmitted{Task: flaxshelf.Task{
+			ID: "t1", Service: "shop", Cores: 1, Memory: 2, Deadline: 6 * time.Second,
 		}},
 	})
 	for _, a := range actions {
--- a/index.go
+++ b/index.go
@@ -300,13 +300,13 @@
 	if kind >= 0 {
 		x.others[i] = p.others(m)
 	}
-	if kind < 0 || !p.cfg.ListsFree {
+	if kind < 0 || !p.cfg.ListsFreeCapacity {
 		return
 	}
 	k := p.cfg.Kinds[kind]
-	x.baseCores[i] = m.FreeCores + (p.cfg.AcceptCores-1)*k.Cores
-	x.baseMemory[i] = m.FreeMemory + (p.cfg.AcceptMemory-1)*k.Memory
-	if m.State != Out {
+	x.baseCores[i] = m.FreeCores + (p.cfg.CoreOvercommit-1)*k.Cores
+	x.baseMemory[i] = m.FreeMemory + (p.cfg.MemoryOvercommit-1)*k.Memory
+	if m.State != Removed {
 		x.useCores[i] = k.Cores - m.FreeCores + m.newCores
 		x.useMemory[i] = k.Memory - m.FreeMemory + m.newMemory
 	}
@@ -561,7 +561,7 @@
 // then, occupy takes off. sum adds up one machine's late binds.
 func (p *Placer) lateSums(rest *bitset.BitSet, from time.Duration) {
 	x := &p.index
-	if p.without[LateRoom] {
+	if p.without[StaleCapacity] {
 		return
 	}
 	if x.lateStep != p.steps {
--- a/internal/benchadapter/read.go
+++ b/internal/benchadapter/read.go
@@ -159,7 +159,7 @@
 			Started:   e.dur("last_start_ns", false),
 			FreeCores: e.num("open_cores", false), FreeMemory: e.num("spare_mem", false),
 		}
-		m.State = lookup(e, "readiness", states, flaxshelf.In)
+		m.State = lookup(e, "readiness", states, flaxshelf.Active)
 		if e.err != nil {
 			return e.err
 		}
@@ -171,11 +171,11 @@
 	return f.err
 }
 
-var states = map[string]flaxshelf.State{"IN": flaxshelf.In, "LAME": flaxshelf.Draining, "OUT": flaxshelf.Out}
+var states = map[string]flaxshelf.MachineState{"IN": flaxshelf.Active, "LAME": flaxshelf.Draining, "OUT": flaxshelf.Removed}
 
-var verdicts = map[string]flaxshelf.Verdict{
-	"0": flaxshelf.Finished, "255": flaxshelf.Failed, "254": flaxshelf.Refused, "253": flaxshelf.TimedOut,
-	"252": flaxshelf.Unreachable, "251": flaxshelf.Lost, "250": flaxshelf.Withdrawn, "249": flaxshelf.NotSent,
+var verdicts = map[string]flaxshelf.Outcome{
+	"0": flaxshelf.Completed, "255": flaxshelf.Failed, "254": flaxshelf.Rejected, "253": flaxshelf.TimedOut,
+	"252": flaxshelf.Unreachable, "251": flaxshelf.Lost, "250": flaxshelf.Canceled, "249": flaxshelf.NotSent,
 }
 
 var parsers = map[string]func(r *Reader, f *fields, item *Item){
@@ -187,7 +187,7 @@
 	"VIEW": func(r *Reader, f *fields, item *Item) {
 		form := f.text("form", true)
 		if form == "Error" {
-			item.Event = flaxshelf.ListFailed{}
+			item.Event = flaxshelf.DiscoveryFailed{}
 			return
 		}
 		if form != "Partial" && form != "Complete" && form != "Persisted" {
@@ -199,7 +199,7 @@
 			f.fail("page", f.text("page", false))
 			return
 		}
-		e := flaxshelf.Listed{Whole: form != "Partial", Stale: form == "Persisted"}
+		e := flaxshelf.MachinesUpdated{Complete: form != "Partial", Stale: form == "Persisted"}
 		for _, x := range list {
 			x.machine.Kind = -1
 			if k, ok := f.names.Kind[x.kind]; ok {
@@ -209,28 +209,28 @@
 		}
 		item.Event = e
 	},
-	"TO_PLACE": func(r *Reader, f *fields, item *Item) { item.Event = flaxshelf.Place{Task: f.task()} },
+	"TO_PLACE": func(r *Reader, f *fields, item *Item) { item.Event = flaxshelf.TaskSubmitted{Task: f.task()} },
 	"RUNNING": func(r *Reader, f *fields, item *Item) {
-		item.Event = flaxshelf.Running{Task: f.task(), Machine: f.text("node", true)}
+		item.Event = flaxshelf.TaskAdopted{Task: f.task(), Machine: f.text("node", true)}
 	},
 	"SEATED": func(r *Reader, f *fields, item *Item) {
-		item.Event = flaxshelf.Placed{Task: f.text("tid", true), Machine: f.text("node", false),
-			Attempt: int(f.int("leg", false)), Lag: f.dur("lag_ns", false)}
+		item.Event = flaxshelf.AttemptPlaced{Task: f.text("tid", true), Machine: f.text("node", false),
+			Attempt: int(f.int("leg", false)), Latency: f.dur("lag_ns", false)}
 	},
 	"ATTEMPT_END": func(r *Reader, f *fields, item *Item) {
-		item.Event = flaxshelf.Ended{Task: f.text("tid", true), Machine: f.text("node", false),
-			Attempt: int(f.int("leg", false)), Verdict: lookup(f, "verdict", verdicts, flaxshelf.Lost),
-			Reason: flaxshelf.Reason(f.int("remark", false)), Done: f.flag("finished"),
-			Lag: f.dur("lag_ns", false), Load: f.load()}
+		item.Event = flaxshelf.AttemptEnded{Task: f.text("tid", true), Machine: f.text("node", false),
+			Attempt: int(f.int("leg", false)), Outcome: lookup(f, "verdict", verdicts, flaxshelf.Lost),
+			Reason: flaxshelf.Reason(f.int("remark", false)), Final: f.flag("finished"),
+			Latency: f.dur("lag_ns", false), Load: f.load()}
 	},
 	"STATUS_NOTE": func(r *Reader, f *fields, item *Item) {
-		item.Event = flaxshelf.Note{Task: f.text("tid", true), Machine: f.text("node", false),
-			Attempt: int(f.int("leg", false)), Kind: flaxshelf.NoteKind(f.int("kind", true)),
+		item.Event = flaxshelf.UsageReport{Task: f.text("tid", true), Machine: f.text("node", false),
+			Attempt: int(f.int("leg", false)), Kind: flaxshelf.UsageKind(f.int("kind", true)),
 			Amount: f.num("amount", false)}
 	},
 	"HEALTH_RESULT": func(r *Reader, f *fields, item *Item) {
-		item.Event = flaxshelf.Probed{Machine: f.text("node", true),
-			Verdict: lookup(f, "verdict", verdicts, flaxshelf.Lost), Load: f.load()}
+		item.Event = flaxshelf.HealthChecked{Machine: f.text("node", true),
+			Outcome: lookup(f, "verdict", verdicts, flaxshelf.Lost), Load: f.load()}
 	},
 	"INBOX": func(r *Reader, f *fields, item *Item) {
 		data := f.text("blob", false)
@@ -238,11 +238,11 @@
 		if err != nil {
 			f.fail("blob", data)
 		}
-		item.Event = flaxshelf.Message{From: int(f.int("neighbour", true)), Data: b}
+		item.Event = flaxshelf.GossipReceived{From: int(f.int("neighbour", true)), Data: b}
 	},
-	"WAKEUP": func(r *Reader, f *fields, item *Item) { item.Event = flaxshelf.Woken{} },
+	"WAKEUP": func(r *Reader, f *fields, item *Item) { item.Event = flaxshelf.TimerFired{} },
 	"ABORTED": func(r *Reader, f *fields, item *Item) {
-		item.Event = flaxshelf.Gone{Task: f.text("tid", true)}
+		item.Event = flaxshelf.TaskCanceled{Task: f.text("tid", true)}
 	},
 }
 
@@ -337,8 +337,8 @@
 	t := flaxshelf.Task{
 		ID: f.text("tid", true), Key: f.text("uid", false), Service: f.text("owner_set", false),
 		Cores: f.num("cores", false), Memory: f.num("ram_units", false),
-		Life: f.dur("time_to_run_ns", false), ValidUntil: f.dur("valid_until_ns", true),
-		Again: f.flag("again"), Tenant: -1,
+		ExpectedRuntime: f.dur("time_to_run_ns", false), Deadline: f.dur("valid_until_ns", true),
+		Retry: f.flag("again"), Tenant: -1,
 	}
 	word := f.text("priority", true)
 	class, ok := f.names.Class[word]
@@ -353,12 +353,12 @@
 }
 
 // load reads name:value pairs; what x0 and x1 stand for is the settings' to say.
-func (f *fields) load() (l flaxshelf.Load) {
+func (f *fields) load() (l flaxshelf.LoadReport) {
 	s := f.text("load", false)
 	if s == "" || s == "-" {
 		return l
 	}
-	l.Told = true
+	l.Present = true
 	for pair := range strings.SplitSeq(s, ",") {
 		name, value, _ := strings.Cut(pair, ":")
 		x, err := strconv.ParseFloat(value, 64)
--- a/internal/benchadapter/settings.go
+++ b/internal/benchadapter/settings.go
@@ -7,13 +7,13 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-var effects = map[string]flaxshelf.Effect{
-	"read_like": flaxshelf.Safe, "idempotency_key": flaxshelf.Keyed, "non_idempotent": flaxshelf.Unsafe,
+var effects = map[string]flaxshelf.Idempotency{
+	"read_like": flaxshelf.Idempotent, "idempotency_key": flaxshelf.IdempotentByKey, "non_idempotent": flaxshelf.NonIdempotent,
 }
 
-var extents = map[string]flaxshelf.Extent{
-	"off": flaxshelf.Nowhere, "machine": flaxshelf.OnMachine, "cell": flaxshelf.InCell,
-	"zone": flaxshelf.InZone, "all": flaxshelf.Everywhere,
+var extents = map[string]flaxshelf.TopologyDomain{
+	"off": flaxshelf.NoDomain, "machine": flaxshelf.MachineDomain, "cell": flaxshelf.CellDomain,
+	"zone": flaxshelf.ZoneDomain, "all": flaxshelf.FleetDomain,
 }
 
 // list splits a setting that is a comma-joined list.
@@ -58,36 +58,36 @@
 	n := &Names{Class: map[string]int{}, Kind: map[string]int{}, Tenant: map[string]int{}}
 	c := flaxshelf.Config{
 		Index: int(f.int("index", false)), Schedulers: int(f.int("balancers", false)),
-		Zone:           f.text("zone", false),
-		OverShareWorth: f.num("over_share_worth", false),
-		AcceptCores:    f.num("specifics.admit_cores", false),
-		AcceptMemory:   f.num("specifics.memory_multiple", false),
-		RunsWhenPlaced: f.text("specifics.confirms", false) == "running",
-		Preempts:       f.flag("specifics.pushes_out"),
-		ListsFree:      f.flag("specifics.shows_free"),
-		ReportsUsed:    f.text("specifics.measured_by", false) == "used",
-		DiscoveryAsks:  f.text("discovery", false) == "on_request",
-		MaxAttempts:    int(f.int("caps.most_tries", false)),
-		SecondCopies:   f.flag("caps.second_copies"),
-		CanWithdraw:    f.flag("caps.cancel"),
-		CanProbe:       f.flag("caps.probes"),
-		CanMessage:     f.flag("caps.peers"),
-		CanRetryAfter:  f.flag("caps.retry_after"),
-		MaxRetryAfter:  f.dur("caps.max_retry_after_ns", false),
-		ConnectTimeout: f.dur("caps.connect_timeout_ns", false),
-		Tick:           f.dur("round_ns", false),
-		AnswerSlack:    f.dur("obligations.answer_slack_ns", false),
-		DrainGrace:     f.dur("obligations.stop_sending_within_ns", false),
-		AskWithin:      f.dur("obligations.ask_within_ns", false),
-		ColdFor:        f.dur("obligations.cold_ns", false),
-		FallWindow:     f.dur("obligations.fall_ns", false),
-		ColdOffers:     f.num("specifics.fresh_offers", false),
+		Zone:                  f.text("zone", false),
+		OverQuotaWeight:       f.num("over_share_worth", false),
+		CoreOvercommit:        f.num("specifics.admit_cores", false),
+		MemoryOvercommit:      f.num("specifics.memory_multiple", false),
+		PlacedWhenRunning:     f.text("specifics.confirms", false) == "running",
+		Preempts:              f.flag("specifics.pushes_out"),
+		ListsFreeCapacity:     f.flag("specifics.shows_free"),
+		ReportsUsage:          f.text("specifics.measured_by", false) == "used",
+		DiscoveryOnRequest:    f.text("discovery", false) == "on_request",
+		MaxAttempts:           int(f.int("caps.most_tries", false)),
+		HedgedRequests:        f.flag("caps.second_copies"),
+		CanCancel:             f.flag("caps.cancel"),
+		CanHealthCheck:        f.flag("caps.probes"),
+		CanGossip:             f.flag("caps.peers"),
+		CanRetryAfter:         f.flag("caps.retry_after"),
+		MaxRetryAfter:         f.dur("caps.max_retry_after_ns", false),
+		ConnectTimeout:        f.dur("caps.connect_timeout_ns", false),
+		Tick:                  f.dur("round_ns", false),
+		AnswerSlack:           f.dur("obligations.answer_slack_ns", false),
+		DrainGrace:            f.dur("obligations.stop_sending_within_ns", false),
+		DiscoveryPollDeadline: f.dur("obligations.ask_within_ns", false),
+		SlowStartDuration:     f.dur("obligations.cold_ns", false),
+		OverloadWindow:        f.dur("obligations.fall_ns", false),
+		SlowStartBudget:       f.num("specifics.fresh_offers", false),
 		Prices: flaxshelf.Prices{
 			CrossZone: f.num("prices.cross_zone", false), Waste: f.num("prices.waste", false),
-			Probe: f.num("prices.probe", false), Message: f.num("prices.peer", false),
-			Moves: f.num("prices.moves", false), Discovery: f.num("prices.discovery", false),
-			Fleet: f.num("prices.fleet", false), Refused: f.num("specifics.refusal_fee", false),
-			EvictionMoves: f.num("specifics.eviction_as_moves", false),
+			HealthCheck: f.num("prices.probe", false), Gossip: f.num("prices.peer", false),
+			Migration: f.num("prices.moves", false), Discovery: f.num("prices.discovery", false),
+			Fleet: f.num("prices.fleet", false), Rejection: f.num("specifics.refusal_fee", false),
+			EvictionMigrations: f.num("specifics.eviction_as_moves", false),
 		},
 	}
 	for i, name := range f.list("kinds") {
@@ -99,31 +99,31 @@
 		at := func(key string) string { return fmt.Sprintf("categories.%d.%s", i, key) }
 		spread := f.list("specifics.spread_over")
 		class := flaxshelf.Class{
-			Name: f.text(at("name"), true), Effect: lookup(f, at("effect"), effects, flaxshelf.Unsafe),
-			Group:  lookup(f, at("key_scope"), extents, flaxshelf.Everywhere),
-			Window: f.dur(at("key_ttl_ns"), false),
-			Aim:    f.dur(at("objective_ns"), false), Worth: f.num(at("worth"), false),
-			LateWorth:    f.num(at("late_worth"), false),
-			StartSeconds: f.nth("specifics.start_seconds", i, 0),
-			Calm:         f.nth("specifics.class_calm", i, 1), Fade: f.nth("specifics.fade_span", i, 1),
-			Kind:     int(f.nth("specifics.kind_by_class", i, -1)),
-			Priority: int(f.nth("specifics.priority_by_class", i, 0)),
-			Most:     int(f.nth("specifics.together_max", i, 0)),
+			Name: f.text(at("name"), true), Idempotency: lookup(f, at("effect"), effects, flaxshelf.NonIdempotent),
+			KeyDomain:        lookup(f, at("key_scope"), extents, flaxshelf.FleetDomain),
+			KeyTTL:           f.dur(at("key_ttl_ns"), false),
+			LatencyObjective: f.dur(at("objective_ns"), false), PriorityWeight: f.num(at("worth"), false),
+			LateStartWeight:        f.num(at("late_worth"), false),
+			StartValueSeconds:      f.nth("specifics.start_seconds", i, 0),
+			FullServiceUtilization: f.nth("specifics.class_calm", i, 1), ServiceFadeRange: f.nth("specifics.fade_span", i, 1),
+			Kind:         int(f.nth("specifics.kind_by_class", i, -1)),
+			Priority:     int(f.nth("specifics.priority_by_class", i, 0)),
+			MaxPerDomain: int(f.nth("specifics.together_max", i, 0)),
 		}
 		if i < len(spread) {
 			place, ok := extents[spread[i]]
-			if !ok || place == flaxshelf.Everywhere {
+			if !ok || place == flaxshelf.FleetDomain {
 				f.fail("specifics.spread_over", spread[i])
 			}
-			class.Spread = place
+			class.SpreadDomain = place
 		}
 		n.Class[class.Name] = i
 		c.Classes = append(c.Classes, class)
 	}
 	for i := range f.count("customers.count") {
 		at := func(key string) string { return fmt.Sprintf("customers.%d.%s", i, key) }
-		t := flaxshelf.Tenant{Name: f.text(at("name"), true), Share: f.num(at("fraction"), false),
-			PerSecond: f.num(at("quota_per_s"), false), QuotaCores: f.nth("specifics.quota_cores", i, 0)}
+		t := flaxshelf.Tenant{Name: f.text(at("name"), true), QuotaFraction: f.num(at("fraction"), false),
+			TasksPerSecond: f.num(at("quota_per_s"), false), QuotaCores: f.nth("specifics.quota_cores", i, 0)}
 		n.Tenant[t.Name] = i
 		c.Tenants = append(c.Tenants, t)
 	}
--- a/internal/benchadapter/wire_test.go
+++ b/internal/benchadapter/wire_test.go
@@ -36,17 +36,17 @@
 
 func TestSettings(t *testing.T) {
 	c := read(t, "FRAME clock_ns=5 serial=1\n"+up+"END\n")[0].Items[0].Start.Config
-	if c.Schedulers != 2 || !c.DiscoveryAsks || c.Tick != 2*time.Millisecond || len(c.Tenants) != 0 {
+	if c.Schedulers != 2 || !c.DiscoveryOnRequest || c.Tick != 2*time.Millisecond || len(c.Tenants) != 0 {
 		t.Errorf("%+v", c)
 	}
 	if !reflect.DeepEqual(c.Kinds, []flaxshelf.Kind{{Name: "k1", Cores: 30, Memory: 86}, {Name: "k2", Cores: 48, Memory: 155}}) {
 		t.Errorf("%+v", c.Kinds)
 	}
 	k := c.Classes[1]
-	if k.Effect != flaxshelf.Keyed || k.Group != flaxshelf.InZone || k.Window != 5*time.Second || k.Kind != 1 {
+	if k.Idempotency != flaxshelf.IdempotentByKey || k.KeyDomain != flaxshelf.ZoneDomain || k.KeyTTL != 5*time.Second || k.Kind != 1 {
 		t.Errorf("%+v", k)
 	}
-	if c.Classes[0].Spread != flaxshelf.InZone || c.Classes[0].Most != 4 || c.Classes[0].Kind != -1 {
+	if c.Classes[0].SpreadDomain != flaxshelf.ZoneDomain || c.Classes[0].MaxPerDomain != 4 || c.Classes[0].Kind != -1 {
 		t.Errorf("%+v", c.Classes[0])
 	}
 }
@@ -61,12 +61,12 @@
 		"STATUS_NOTE who=3 tid=c:1 leg=0 node=n1 kind=4 amount=0.5\nRETIRE who=3\nEND\n"
 	items := read(t, text)[0].Items
 	want := []flaxshelf.Event{nil,
-		flaxshelf.Listed{Whole: true, Machines: []flaxshelf.Machine{{ID: "n1", Kind: 1, Zone: "a", Cell: 2, Started: 4}}},
-		flaxshelf.Listed{Machines: []flaxshelf.Machine{{ID: "n1", Kind: -1, State: flaxshelf.Draining}}},
-		flaxshelf.ListFailed{}, flaxshelf.Message{From: 2, Data: []byte("hi 7")},
-		flaxshelf.Ended{Task: "c:1", Machine: "n1", Attempt: 1, Verdict: flaxshelf.Refused, Reason: flaxshelf.NoMemory,
-			Lag: 7, Load: flaxshelf.Load{Told: true, HasCores: true, FreeCores: 3.5}},
-		flaxshelf.Note{Task: "c:1", Machine: "n1", Kind: flaxshelf.Served, Amount: 0.5}, nil}
+		flaxshelf.MachinesUpdated{Complete: true, Machines: []flaxshelf.Machine{{ID: "n1", Kind: 1, Zone: "a", Cell: 2, Started: 4}}},
+		flaxshelf.MachinesUpdated{Machines: []flaxshelf.Machine{{ID: "n1", Kind: -1, State: flaxshelf.Draining}}},
+		flaxshelf.DiscoveryFailed{}, flaxshelf.GossipReceived{From: 2, Data: []byte("hi 7")},
+		flaxshelf.AttemptEnded{Task: "c:1", Machine: "n1", Attempt: 1, Outcome: flaxshelf.Rejected, Reason: flaxshelf.InsufficientMemory,
+			Latency: 7, Load: flaxshelf.LoadReport{Present: true, HasCores: true, FreeCores: 3.5}},
+		flaxshelf.UsageReport{Task: "c:1", Machine: "n1", Kind: flaxshelf.ServiceLevel, Amount: 0.5}, nil}
 	if len(items) != len(want) {
 		t.Fatalf("%d items", len(items))
 	}
@@ -107,9 +107,9 @@
 	var out bytes.Buffer
 	w := NewWriter(&out)
 	for _, a := range []flaxshelf.Action{
-		flaxshelf.Offer{Task: "t", Machine: "m", Timeout: time.Millisecond}, flaxshelf.Withdraw{Task: "t", Attempt: 2},
-		flaxshelf.Refuse{Task: "t"}, flaxshelf.Fail{Task: "t"}, flaxshelf.Move{Task: "t"}, flaxshelf.Probe{Machine: "m"},
-		flaxshelf.Tell{Data: []byte("hi 7")}, flaxshelf.Tell{}, flaxshelf.Subscribe{}, flaxshelf.Wake{After: 7},
+		flaxshelf.Offer{Task: "t", Machine: "m", Timeout: time.Millisecond}, flaxshelf.Cancel{Task: "t", Attempt: 2},
+		flaxshelf.Reject{Task: "t"}, flaxshelf.Fail{Task: "t"}, flaxshelf.Migrate{Task: "t"}, flaxshelf.HealthCheck{Machine: "m"},
+		flaxshelf.SendGossip{Data: []byte("hi 7")}, flaxshelf.SendGossip{}, flaxshelf.Subscribe{}, flaxshelf.SetTimer{After: 7},
 	} {
 		w.Action(3, a)
 	}
--- a/internal/benchadapter/write.go
+++ b/internal/benchadapter/write.go
@@ -21,17 +21,17 @@
 	switch a := a.(type) {
 	case flaxshelf.Offer:
 		fmt.Fprintf(w.out, "BIND who=%d tid=%s cap_ns=%d node=%s\n", who, a.Task, a.Timeout, a.Machine)
-	case flaxshelf.Withdraw:
+	case flaxshelf.Cancel:
 		fmt.Fprintf(w.out, "RECALL who=%d tid=%s leg=%d\n", who, a.Task, a.Attempt)
-	case flaxshelf.Refuse:
+	case flaxshelf.Reject:
 		fmt.Fprintf(w.out, "REJECT who=%d tid=%s\n", who, a.Task)
 	case flaxshelf.Fail:
 		fmt.Fprintf(w.out, "END_FAILED who=%d tid=%s\n", who, a.Task)
-	case flaxshelf.Move:
+	case flaxshelf.Migrate:
 		fmt.Fprintf(w.out, "MOVE who=%d tid=%s\n", who, a.Task)
-	case flaxshelf.Probe:
+	case flaxshelf.HealthCheck:
 		fmt.Fprintf(w.out, "PING who=%d node=%s\n", who, a.Machine)
-	case flaxshelf.Tell:
+	case flaxshelf.SendGossip:
 		blob := base64.StdEncoding.EncodeToString(a.Data)
 		if blob == "" {
 			blob = "-"
@@ -39,7 +39,7 @@
 		fmt.Fprintf(w.out, "NOTIFY who=%d addressee=all blob=%s\n", who, blob)
 	case flaxshelf.Subscribe:
 		fmt.Fprintf(w.out, "OBSERVE who=%d want=1\n", who)
-	case flaxshelf.Wake:
+	case flaxshelf.SetTimer:
 		fmt.Fprintf(w.out, "NOTIFY_ME who=%d span_ns=%d handle=w\n", who, a.After)
 	}
 }
--- a/internal/front/nodefront/front.go
+++ b/internal/front/nodefront/front.go
@@ -113,7 +113,7 @@
 	case *nodepb.Frame_Started:
 		return scheduler.Started{Node: p.Name, Attempt: b.Started.Attempt}, nil
 	case *nodepb.Frame_Note:
-		return scheduler.Noted{Node: p.Name, Attempt: b.Note.Attempt, Kind: flaxshelf.NoteKind(b.Note.Kind),
+		return scheduler.Noted{Node: p.Name, Attempt: b.Note.Attempt, Kind: flaxshelf.UsageKind(b.Note.Kind),
 			Amount: b.Note.Amount}, nil
 	case *nodepb.Frame_Ended:
 		return p.ended(b.Ended), nil
@@ -141,16 +141,16 @@
 // reason maps the wire's reasons, whose numbers follow the module's; later ones are untold.
 func reason(r nodepb.Reason) flaxshelf.Reason {
 	if r < 0 || r > nodepb.Reason_SENT_AWAY {
-		return flaxshelf.Untold
+		return flaxshelf.UnspecifiedReason
 	}
 	return flaxshelf.Reason(r)
 }
 
-func load(l *nodepb.Load) flaxshelf.Load {
+func load(l *nodepb.Load) flaxshelf.LoadReport {
 	if l == nil {
-		return flaxshelf.Load{}
+		return flaxshelf.LoadReport{}
 	}
-	return flaxshelf.Load{Told: true, FreeCores: l.FreeCores, FreeMemory: l.FreeMemory, HasCores: true,
+	return flaxshelf.LoadReport{Present: true, FreeCores: l.FreeCores, FreeMemory: l.FreeMemory, HasCores: true,
 		HasMemory: true}
 }
 
@@ -204,8 +204,8 @@
 	return nil, nil, false, fmt.Errorf("%w: a %T from the inventory", ErrProtocol, f.Body)
 }
 
-var standings = map[nodepb.Standing]flaxshelf.State{
-	nodepb.Standing_IN: flaxshelf.In, nodepb.Standing_DRAINING: flaxshelf.Draining, nodepb.Standing_OUT: flaxshelf.Out,
+var standings = map[nodepb.Standing]flaxshelf.MachineState{
+	nodepb.Standing_IN: flaxshelf.Active, nodepb.Standing_DRAINING: flaxshelf.Draining, nodepb.Standing_OUT: flaxshelf.Removed,
 }
 
 func listed(set *settings.Scheduler, entries []*nodepb.Entry, whole bool) (scheduler.Listed, map[string]string) {
--- a/internal/front/platformfront/feed.go
+++ b/internal/front/platformfront/feed.go
@@ -17,7 +17,9 @@
 	Free   bool // entries tell what is free on their nodes
 }
 
-var states = map[string]flaxshelf.State{"active": flaxshelf.In, "leaving": flaxshelf.Draining, "left": flaxshelf.Out}
+var states = map[string]flaxshelf.MachineState{
+	"active": flaxshelf.Active, "leaving": flaxshelf.Draining, "left": flaxshelf.Removed,
+}
 
 // Change reads the data of an event of the control feed.
 func (c *Config) Change(data []byte) (Change, error) {
--- a/internal/front/platformfront/node.go
+++ b/internal/front/platformfront/node.go
@@ -12,14 +12,14 @@
 )
 
 var reasons = map[string]flaxshelf.Reason{
-	"cpu_full": flaxshelf.NoCores, "mem_full": flaxshelf.NoMemory, "busy": flaxshelf.TooManyWait,
-	"wrong_host": flaxshelf.NotHere, "oom": flaxshelf.Evicted, "preempted": flaxshelf.PushedOut,
-	"drained": flaxshelf.SentAway,
+	"cpu_full": flaxshelf.InsufficientCores, "mem_full": flaxshelf.InsufficientMemory, "busy": flaxshelf.QueueFull,
+	"wrong_host": flaxshelf.UnsupportedTask, "oom": flaxshelf.Evicted, "preempted": flaxshelf.Preempted,
+	"drained": flaxshelf.DrainedAway,
 }
 
-var kinds = map[string]flaxshelf.NoteKind{
-	"up": flaxshelf.Runs, "cpu": flaxshelf.CoresUsed, "mem": flaxshelf.MemoryUsed, "share": flaxshelf.Served,
-	"tight": flaxshelf.MemoryShort,
+var kinds = map[string]flaxshelf.UsageKind{
+	"up": flaxshelf.TaskRunning, "cpu": flaxshelf.CoresUsed, "mem": flaxshelf.MemoryUsed, "share": flaxshelf.ServiceLevel,
+	"tight": flaxshelf.MemoryPressure,
 }
 
 // Node turns a node's message into an input; nil for one that means nothing. An error says that the link can't be
--- a/internal/front/platformfront/owner.go
+++ b/internal/front/platformfront/owner.go
@@ -61,7 +61,7 @@
 	if !held && (err != nil || !(left >= 1) || left > float64(maxLeft/time.Millisecond)) {
 		return bad("left")
 	}
-	t.ValidUntil = now + time.Duration(max(left, 0)*float64(time.Millisecond))
+	t.Deadline = now + time.Duration(max(left, 0)*float64(time.Millisecond))
 	if t.Cores, err = strconv.ParseFloat(extras["cores"], 64); err != nil || !c.fits(t.Cores, false) {
 		return bad("extras")
 	}
@@ -73,7 +73,7 @@
 	}
 	if h := m.Fields["hint"]; h != "" {
 		if ms, err := strconv.ParseFloat(h, 64); err == nil && ms >= 0 && ms < float64(24*time.Hour/time.Millisecond) {
-			t.Life = time.Duration(ms * float64(time.Millisecond))
+			t.ExpectedRuntime = time.Duration(ms * float64(time.Millisecond))
 		}
 	}
 	if tenant, ok := c.Names.Tenant[m.Fields["tenant"]]; ok {
@@ -86,7 +86,7 @@
 		return requests.Held{Conn: conn, Task: t, Node: at}, nil
 	}
 	idem := m.Fields["idem"]
-	if c.Module.Classes[class].Effect == flaxshelf.Keyed && idem == "" || idem != "" && !plain(idem) {
+	if c.Module.Classes[class].Idempotency == flaxshelf.IdempotentByKey && idem == "" || idem != "" && !plain(idem) {
 		return bad("idem")
 	}
 	if !m.Described || m.Description == "" {
@@ -103,9 +103,9 @@
 	most := 0.0
 	for _, k := range c.Module.Kinds {
 		if memory {
-			most = max(most, k.Memory*max(c.Module.AcceptMemory, 1))
+			most = max(most, k.Memory*max(c.Module.MemoryOvercommit, 1))
 		} else {
-			most = max(most, k.Cores*max(c.Module.AcceptCores, 1))
+			most = max(most, k.Cores*max(c.Module.CoreOvercommit, 1))
 		}
 	}
 	return x <= most
--- a/internal/front/platformfront/platformfront_test.go
+++ b/internal/front/platformfront/platformfront_test.go
@@ -38,11 +38,11 @@
 	c := config(t)
 	m := c.Module
 	if c.Seed != 0x8c1f30d27a5be964 || c.Idle != 30*time.Second || c.Last != 2 || c.Limits != (Limits{0.25, 64, 256}) || m.Index != 1 ||
-		m.Schedulers != 3 || m.DiscoveryAsks || !m.CanWithdraw || m.MaxAttempts != 3 || m.Tick != 2*time.Millisecond {
+		m.Schedulers != 3 || m.DiscoveryOnRequest || !m.CanCancel || m.MaxAttempts != 3 || m.Tick != 2*time.Millisecond {
 		t.Errorf("%+v", c)
 	}
-	if len(m.Classes) != 2 || m.Classes[0].Name != "batch_one" || m.Classes[0].Spread != flaxshelf.InZone ||
-		m.Classes[1].Effect != flaxshelf.Keyed || m.Classes[1].Kind != -1 || m.Kinds[0].Memory != 64.5 {
+	if len(m.Classes) != 2 || m.Classes[0].Name != "batch_one" || m.Classes[0].SpreadDomain != flaxshelf.ZoneDomain ||
+		m.Classes[1].Idempotency != flaxshelf.IdempotentByKey || m.Classes[1].Kind != -1 || m.Kinds[0].Memory != 64.5 {
 		t.Errorf("%+v", m.Classes)
 	}
 	if len(c.Known) != 2 || !c.Known[0].Listed.Whole || c.Known[1].Listed.Machines[0] !=
@@ -94,7 +94,7 @@
 	c := config(t)
 	in, err := input(t, c, line("keyed", "1500", "7f3a", "5c0f", "cores:1;memory:2.5;service:00b4"))
 	want := requests.SetUp{Conn: 3, Class: "keyed", Idem: "5c0f", Description: "d", Task: flaxshelf.Task{ID: "9b1f03aa5c7e2d41",
-		Key: "7f3a", Service: "00b4", Class: 1, Tenant: -1, Cores: 1, Memory: 2.5, ValidUntil: 11500 * time.Millisecond}}
+		Key: "7f3a", Service: "00b4", Class: 1, Tenant: -1, Cores: 1, Memory: 2.5, Deadline: 11500 * time.Millisecond}}
 	if err != nil || in != requests.Input(want) {
 		t.Errorf("%+v, %v", in, err)
 	}
@@ -150,10 +150,10 @@
 		{nodeparam.Message{Type: nodeparam.Answer, Cause: -1, Description: "d", Described: true},
 			requests.Heard{Link: 4, Task: id, Say: requests.SaysAnswer, Cause: -1, Description: "d"}},
 		{nodeparam.Message{Type: nodeparam.Release, Cause: 34, Word: "busy"},
-			requests.Heard{Link: 4, Task: id, Say: requests.SaysRelease, Cause: 34, Reason: flaxshelf.TooManyWait}},
+			requests.Heard{Link: 4, Task: id, Say: requests.SaysRelease, Cause: 34, Reason: flaxshelf.QueueFull}},
 		{nodeparam.Message{Type: nodeparam.Released, Cause: -1}, requests.Heard{Link: 4, Task: id, Say: requests.SaysReleased, Cause: -1}},
 		{nodeparam.Message{Type: nodeparam.Note, Cause: -1, Word: "share", Figure: "0.5"},
-			requests.Heard{Link: 4, Task: id, Say: requests.SaysNote, Cause: -1, Kind: flaxshelf.Served, Amount: 0.5}},
+			requests.Heard{Link: 4, Task: id, Say: requests.SaysNote, Cause: -1, Kind: flaxshelf.ServiceLevel, Amount: 0.5}},
 		{nodeparam.Message{Type: nodeparam.Note, Cause: -1, Word: "share", Figure: "nan"}, nil},
 		{nodeparam.Message{Type: nodeparam.Note, Cause: -1, Word: "mood"}, nil},
 		{nodeparam.Message{Type: nodeparam.Progress, Cause: -1}, nil},
@@ -199,7 +199,7 @@
 
 // Changes that follow each other make one list: the last word on each node, nothing from before a whole list.
 func TestFold(t *testing.T) {
-	m := func(id string, state flaxshelf.State) flaxshelf.Machine {
+	m := func(id string, state flaxshelf.MachineState) flaxshelf.Machine {
 		return flaxshelf.Machine{ID: id, State: state}
 	}
 	change := func(whole bool, addr string, all ...flaxshelf.Machine) Change {
@@ -212,14 +212,14 @@
 	if _, any := Fold([]Change{{N: 1}}); any {
 		t.Error("a change that says nothing of nodes became a list")
 	}
-	got, any := Fold([]Change{change(false, "w", m("z", flaxshelf.In)), change(true, "x", m("a", flaxshelf.In), m("b", flaxshelf.In)),
-		change(false, "y", m("c", flaxshelf.In), m("a", flaxshelf.Draining)), change(false, "z", m("a", flaxshelf.Out))})
-	want := requests.Listed{Whole: true, Machines: []flaxshelf.Machine{m("a", flaxshelf.Out), m("b", flaxshelf.In), m("c", flaxshelf.In)},
+	got, any := Fold([]Change{change(false, "w", m("z", flaxshelf.Active)), change(true, "x", m("a", flaxshelf.Active), m("b", flaxshelf.Active)),
+		change(false, "y", m("c", flaxshelf.Active), m("a", flaxshelf.Draining)), change(false, "z", m("a", flaxshelf.Removed))})
+	want := requests.Listed{Whole: true, Machines: []flaxshelf.Machine{m("a", flaxshelf.Removed), m("b", flaxshelf.Active), m("c", flaxshelf.Active)},
 		Addrs: []string{"z", "x", "y"}}
 	if !any || !reflect.DeepEqual(got, want) {
 		t.Errorf("%+v, want %+v", got, want)
 	}
-	if got, _ := Fold([]Change{change(false, "w", m("z", flaxshelf.In))}); got.Whole {
+	if got, _ := Fold([]Change{change(false, "w", m("z", flaxshelf.Active))}); got.Whole {
 		t.Error("a change became a whole list")
 	}
 }
--- a/internal/front/platformfront/settings.go
+++ b/internal/front/platformfront/settings.go
@@ -111,7 +111,7 @@
 		c.Known, c.Raw = append(c.Known, e), append(c.Raw, raw)
 	}
 	// Risk covered: a list that was to tell what is free and does not would make every node look full.
-	c.Module.ListsFree = c.Module.ListsFree && slices.ContainsFunc(c.Known, func(e Change) bool { return e.Free })
+	c.Module.ListsFreeCapacity = c.Module.ListsFreeCapacity && slices.ContainsFunc(c.Known, func(e Change) bool { return e.Free })
 	return c, nil
 }
 
--- a/internal/lab/ablation/ablation.go
+++ b/internal/lab/ablation/ablation.go
@@ -19,7 +19,7 @@
 // Hard is a hard bar, the day that shows what it is for, and the rule that breaks without it. Guards are those of the
 // core that keep the same rule again: with them in place nothing is seen.
 type Hard struct {
-	Bar    flaxshelf.Bar
+	Bar    flaxshelf.Constraint
 	Guards scheduler.Guards
 	Day    string
 	Rule   int // index in a verdict
@@ -27,11 +27,11 @@
 
 // HardRows is every hard bar.
 var HardRows = []Hard{
-	{Bar: flaxshelf.DrainBar, Guards: scheduler.Guards{Drain: true}, Day: "shrink", Rule: rules.DrainsKept},
-	{Bar: flaxshelf.RepeatBar, Day: "class-silence", Rule: rules.NoSecondStart},
-	{Bar: flaxshelf.SpreadBar, Day: "hot-service", Rule: rules.SpreadKept},
-	{Bar: flaxshelf.ColdBar, Day: "mass-restart", Rule: rules.ColdKept},
-	{Bar: flaxshelf.AnswerBar, Guards: scheduler.Guards{Answer: true}, Day: "hot-service", Rule: rules.OneAnswer},
+	{Bar: flaxshelf.DrainConstraint, Guards: scheduler.Guards{Drain: true}, Day: "shrink", Rule: rules.DrainsKept},
+	{Bar: flaxshelf.RetrySafetyConstraint, Day: "class-silence", Rule: rules.NoSecondStart},
+	{Bar: flaxshelf.SpreadConstraint, Day: "hot-service", Rule: rules.SpreadKept},
+	{Bar: flaxshelf.SlowStartConstraint, Day: "mass-restart", Rule: rules.ColdKept},
+	{Bar: flaxshelf.AnswerDeadlineConstraint, Guards: scheduler.Guards{Answer: true}, Day: "hot-service", Rule: rules.OneAnswer},
 }
 
 // Days names the days that the emulator plays.
@@ -47,7 +47,7 @@
 }
 
 // Options take bars and guards out of every scheduler of a day.
-func Options(seed uint64, guards scheduler.Guards, out ...flaxshelf.Bar) emulator.Options {
+func Options(seed uint64, guards scheduler.Guards, out ...flaxshelf.Constraint) emulator.Options {
 	return emulator.Options{Seed: seed,
 		Core: func(c *scheduler.Config) { c.Without = guards },
 		Make: func(c flaxshelf.Config, seed uint64) (scheduler.Stepper, error) {
@@ -55,7 +55,7 @@
 			if err != nil {
 				return nil, err
 			}
-			p.Without(out...)
+			p.Disable(out...)
 			return p, nil
 		}}
 }
@@ -121,7 +121,7 @@
 }
 
 // Play measures a day over seeds with bars taken out, several at a time.
-func Play(ctx context.Context, day string, seeds int, out ...flaxshelf.Bar) ([]Measure, error) {
+func Play(ctx context.Context, day string, seeds int, out ...flaxshelf.Constraint) ([]Measure, error) {
 	d, err := scenario.Read(day)
 	if err != nil {
 		return nil, err
--- a/internal/lab/ablation/ablation_test.go
+++ b/internal/lab/ablation/ablation_test.go
@@ -18,7 +18,7 @@
 	for _, h := range HardRows {
 		t.Run(h.Bar.String(), func(t *testing.T) {
 			t.Parallel()
-			play := func(guards scheduler.Guards, out ...flaxshelf.Bar) []bool {
+			play := func(guards scheduler.Guards, out ...flaxshelf.Constraint) []bool {
 				broken, _, err := Broken(context.Background(), h.Day, Options(5, guards, out...))
 				if err != nil {
 					t.Fatal(err)
@@ -86,8 +86,8 @@
 		}
 		with[day] = m
 	}
-	for _, b := range flaxshelf.Bars() {
-		if b.Hard() {
+	for _, b := range flaxshelf.Constraints() {
+		if b.IsHard() {
 			continue
 		}
 		var costs, harms []string
--- a/internal/lab/ablation/overload_test.go
+++ b/internal/lab/ablation/overload_test.go
@@ -36,7 +36,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		play := func(out ...flaxshelf.Bar) (all []Measure) {
+		play := func(out ...flaxshelf.Constraint) (all []Measure) {
 			for seed := range 10 {
 				rep, err := emulator.Run(context.Background(), d, Options(uint64(seed+1), scheduler.Guards{}, out...))
 				if err != nil {
@@ -46,7 +46,7 @@
 			}
 			return all
 		}
-		oldest, newest := play(), play(flaxshelf.Oldest)
+		oldest, newest := play(), play(flaxshelf.ArrivalOrder)
 		t.Logf("%-10s oldest first earns %.4f of the worth, p50 %.2f s; the newest first instead: %s, p50 %.2f s", x.name,
 			oldest[0].Worth, oldest[0].P50, Compare(newest, oldest), newest[0].P50)
 	}
--- a/internal/lab/baseline/baseline.go
+++ b/internal/lab/baseline/baseline.go
@@ -81,7 +81,7 @@
 		c.take(e)
 	}
 	if c.askAt > 0 && now >= c.askAt {
-		c.askAt = now + max(c.cfg.AskWithin, time.Second)
+		c.askAt = now + max(c.cfg.DiscoveryPollDeadline, time.Second)
 		c.out = append(c.out, flaxshelf.Subscribe{})
 	}
 	c.serve()
@@ -90,25 +90,25 @@
 
 func (c *Chooser) take(e flaxshelf.Event) {
 	switch e := e.(type) {
-	case flaxshelf.Listed:
+	case flaxshelf.MachinesUpdated:
 		c.listed(e)
-	case flaxshelf.ListFailed:
+	case flaxshelf.DiscoveryFailed:
 		c.askAt = c.now + askAgain
-	case flaxshelf.Place:
+	case flaxshelf.TaskSubmitted:
 		t := &task{Task: e.Task, class: &c.cfg.Classes[e.Task.Class]}
 		c.tasks[t.ID], c.open = t, append(c.open, t)
-	case flaxshelf.Running:
+	case flaxshelf.TaskAdopted:
 		t := &task{Task: e.Task, class: &c.cfg.Classes[e.Task.Class], settled: true}
 		c.tasks[t.ID] = t
 		c.occupy(t, c.machine(e.Machine))
 		t.attempts[0].placed = true
-	case flaxshelf.Placed:
+	case flaxshelf.AttemptPlaced:
 		if t := c.tasks[e.Task]; t != nil && e.Attempt < len(t.attempts) {
 			t.settled, t.attempts[e.Attempt].placed = true, true
 		}
-	case flaxshelf.Ended:
+	case flaxshelf.AttemptEnded:
 		c.ended(e)
-	case flaxshelf.Gone:
+	case flaxshelf.TaskCanceled:
 		if t := c.tasks[e.Task]; t != nil {
 			t.settled = true
 			c.drop(t)
@@ -119,7 +119,7 @@
 func (c *Chooser) machine(id string) *machine {
 	m := c.machines[id]
 	if m == nil {
-		m = &machine{Machine: flaxshelf.Machine{ID: id, Kind: -1, State: flaxshelf.Out}, services: map[string]int{}}
+		m = &machine{Machine: flaxshelf.Machine{ID: id, Kind: -1, State: flaxshelf.Removed}, services: map[string]int{}}
 		c.machines[id] = m
 		i, _ := slices.BinarySearchFunc(c.order, id, func(m *machine, id string) int { return cmp.Compare(m.ID, id) })
 		c.order = slices.Insert(c.order, i, m)
@@ -127,35 +127,35 @@
 	return m
 }
 
-func (c *Chooser) listed(e flaxshelf.Listed) {
+func (c *Chooser) listed(e flaxshelf.MachinesUpdated) {
 	named := map[string]bool{}
 	for _, x := range e.Machines {
 		named[x.ID] = true
 		c.machine(x.ID).Machine = x
 	}
 	for _, m := range c.order {
-		if e.Whole && !named[m.ID] {
-			m.State = flaxshelf.Out
+		if e.Complete && !named[m.ID] {
+			m.State = flaxshelf.Removed
 		}
 	}
 	c.askAt = 0
 }
 
-func (c *Chooser) ended(e flaxshelf.Ended) {
+func (c *Chooser) ended(e flaxshelf.AttemptEnded) {
 	t := c.tasks[e.Task]
 	if t == nil || e.Attempt >= len(t.attempts) || !t.attempts[e.Attempt].live {
 		return
 	}
 	a := &t.attempts[e.Attempt]
 	a.live = false
-	a.proved = e.Verdict == flaxshelf.Refused || e.Verdict == flaxshelf.Unreachable || e.Verdict == flaxshelf.NotSent
+	a.proved = e.Outcome == flaxshelf.Rejected || e.Outcome == flaxshelf.Unreachable || e.Outcome == flaxshelf.NotSent
 	if a.proved {
 		a.m.fullUntil = c.now + fullFor
 	}
 	a.m.cores -= t.Cores
 	a.m.memory -= t.Memory
 	a.m.services[t.Service]--
-	t.settled = t.settled || e.Done || a.placed
+	t.settled = t.settled || e.Final || a.placed
 	c.drop(t)
 }
 
@@ -184,7 +184,7 @@
 		if t.settled {
 			continue
 		}
-		answerBy := t.ValidUntil - margin
+		answerBy := t.Deadline - margin
 		if slices.ContainsFunc(t.attempts, func(a attempt) bool { return a.live }) {
 			if c.now >= answerBy {
 				c.answer(t)
@@ -194,13 +194,13 @@
 			continue
 		}
 		tries := c.cfg.MaxAttempts > 0 && len(t.attempts) >= c.cfg.MaxAttempts
-		if c.now >= answerBy-margin || tries || t.class.Effect == flaxshelf.Unsafe && t.mayHaveRun() {
+		if c.now >= answerBy-margin || tries || t.class.Idempotency == flaxshelf.NonIdempotent && t.mayHaveRun() {
 			c.answer(t)
 			continue
 		}
 		m := c.choose(t)
 		if m == nil {
-			if t.mayHaveRun() && t.class.Effect == flaxshelf.Keyed {
+			if t.mayHaveRun() && t.class.Idempotency == flaxshelf.IdempotentByKey {
 				c.answer(t)
 			} else {
 				due(lookAgain)
@@ -212,8 +212,8 @@
 			m.offers = append(m.offers, c.now)
 		}
 		left := answerBy - margin - c.now
-		if t.class.Effect != flaxshelf.Unsafe && len(t.attempts) < c.cfg.MaxAttempts {
-			left = min(left, max(t.class.Aim/2, 50*time.Millisecond))
+		if t.class.Idempotency != flaxshelf.NonIdempotent && len(t.attempts) < c.cfg.MaxAttempts {
+			left = min(left, max(t.class.LatencyObjective/2, 50*time.Millisecond))
 		}
 		c.out = append(c.out, flaxshelf.Offer{Task: t.ID, Machine: m.ID, Timeout: left})
 		due(answerBy - c.now)
@@ -223,7 +223,7 @@
 		due(c.askAt - c.now)
 	}
 	if wake > 0 {
-		c.out = append(c.out, flaxshelf.Wake{After: wake})
+		c.out = append(c.out, flaxshelf.SetTimer{After: wake})
 	}
 }
 
@@ -234,9 +234,9 @@
 // answer promises that a retry is safe only on proof, or where the class bears repeats.
 func (c *Chooser) answer(t *task) {
 	t.settled = true
-	if !t.mayHaveRun() || t.class.Effect == flaxshelf.Safe || t.class.Effect == flaxshelf.Keyed &&
-		t.class.Group == flaxshelf.Everywhere {
-		c.out = append(c.out, flaxshelf.Refuse{Task: t.ID})
+	if !t.mayHaveRun() || t.class.Idempotency == flaxshelf.Idempotent || t.class.Idempotency == flaxshelf.IdempotentByKey &&
+		t.class.KeyDomain == flaxshelf.FleetDomain {
+		c.out = append(c.out, flaxshelf.Reject{Task: t.ID})
 	} else {
 		c.out = append(c.out, flaxshelf.Fail{Task: t.ID})
 	}
@@ -275,31 +275,31 @@
 }
 
 func (c *Chooser) allowed(t *task, m *machine) bool {
-	if m.State != flaxshelf.In || m.Kind < 0 || c.now < m.fullUntil || t.class.Kind >= 0 && t.class.Kind != m.Kind {
+	if m.State != flaxshelf.Active || m.Kind < 0 || c.now < m.fullUntil || t.class.Kind >= 0 && t.class.Kind != m.Kind {
 		return false
 	}
 	k := c.cfg.Kinds[m.Kind]
-	if t.Cores > k.Cores*max(c.cfg.AcceptCores, 1) || t.Memory > k.Memory*max(c.cfg.AcceptMemory, 1) {
+	if t.Cores > k.Cores*max(c.cfg.CoreOvercommit, 1) || t.Memory > k.Memory*max(c.cfg.MemoryOvercommit, 1) {
 		return false
 	}
 	for i := range t.attempts {
 		a := &t.attempts[i]
-		if a.proved || t.class.Effect == flaxshelf.Safe {
+		if a.proved || t.class.Idempotency == flaxshelf.Idempotent {
 			continue
 		}
-		if t.class.Effect != flaxshelf.Keyed || !same(t.class.Group, a.m, m) ||
-			c.now+c.cfg.Tick >= a.sent+t.class.Window {
+		if t.class.Idempotency != flaxshelf.IdempotentByKey || !same(t.class.KeyDomain, a.m, m) ||
+			c.now+c.cfg.Tick >= a.sent+t.class.KeyTTL {
 			return false
 		}
 	}
-	if t.class.Spread != flaxshelf.Nowhere {
+	if t.class.SpreadDomain != flaxshelf.NoDomain {
 		n := 0
 		for _, o := range c.order {
-			if same(t.class.Spread, o, m) {
+			if same(t.class.SpreadDomain, o, m) {
 				n += o.services[t.Service]
 			}
 		}
-		if n >= t.class.Most {
+		if n >= t.class.MaxPerDomain {
 			return false
 		}
 	}
@@ -307,7 +307,7 @@
 }
 
 func (c *Chooser) cold(m *machine) bool {
-	return m.Started > 0 && c.cfg.FallWindow > 0 && c.now < m.Started+c.cfg.ColdFor+c.cfg.FallWindow
+	return m.Started > 0 && c.cfg.OverloadWindow > 0 && c.now < m.Started+c.cfg.SlowStartDuration+c.cfg.OverloadWindow
 }
 
 // coldLeft keeps to this scheduler's share of what a cold machine always bears. Where the share is under one offer it
@@ -316,22 +316,22 @@
 	if !c.cold(m) {
 		return true
 	}
-	from := c.now - c.cfg.FallWindow*3/2
+	from := c.now - c.cfg.OverloadWindow*3/2
 	if c.born > from && c.born > m.Started {
 		return false
 	}
 	m.offers = slices.DeleteFunc(m.offers, func(at flaxshelf.Time) bool { return at < from })
-	return len(m.offers) < int(c.cfg.ColdOffers/float64(max(c.cfg.Schedulers, 1)))
+	return len(m.offers) < int(c.cfg.SlowStartBudget/float64(max(c.cfg.Schedulers, 1)))
 }
 
-func same(at flaxshelf.Extent, a, b *machine) bool {
+func same(at flaxshelf.TopologyDomain, a, b *machine) bool {
 	switch at {
-	case flaxshelf.OnMachine:
+	case flaxshelf.MachineDomain:
 		return a == b
-	case flaxshelf.InCell:
+	case flaxshelf.CellDomain:
 		return a.Cell == b.Cell
-	case flaxshelf.InZone:
+	case flaxshelf.ZoneDomain:
 		return a.Zone == b.Zone
 	}
-	return at == flaxshelf.Everywhere
+	return at == flaxshelf.FleetDomain
 }
--- a/internal/lab/reference/placer.go
+++ b/internal/lab/reference/placer.go
@@ -51,7 +51,7 @@
 		machines: map[string]*machine{}, tasks: map[string]*task{},
 		lives:   make([]lifetime, len(cfg.Classes)),
 		tenants: map[int]float64{},
-		unknown: flaxshelf.Class{Effect: flaxshelf.Unsafe, Kind: -1},
+		unknown: flaxshelf.Class{Idempotency: flaxshelf.NonIdempotent, Kind: -1},
 	}
 	return p, nil
 }
@@ -62,7 +62,7 @@
 func (p *Placer) Step(now flaxshelf.Time, events []flaxshelf.Event) []flaxshelf.Action {
 	if !p.started {
 		p.started, p.born = true, now
-		if p.cfg.DiscoveryAsks {
+		if p.cfg.DiscoveryOnRequest {
 			p.askAt = now
 		}
 	}
@@ -85,28 +85,28 @@
 
 func (p *Placer) take(e flaxshelf.Event) {
 	switch e := e.(type) {
-	case flaxshelf.Listed:
+	case flaxshelf.MachinesUpdated:
 		p.listed(e)
-	case flaxshelf.ListFailed:
+	case flaxshelf.DiscoveryFailed:
 		p.listFailed()
-	case flaxshelf.Place:
+	case flaxshelf.TaskSubmitted:
 		if p.tasks[e.Task.ID] == nil {
 			t := p.newTask(e.Task)
 			p.open = append(p.open, t)
 		}
-	case flaxshelf.Running:
+	case flaxshelf.TaskAdopted:
 		p.running(e)
-	case flaxshelf.Placed:
+	case flaxshelf.AttemptPlaced:
 		p.placed(e)
-	case flaxshelf.Ended:
+	case flaxshelf.AttemptEnded:
 		p.ended(e)
-	case flaxshelf.Note:
+	case flaxshelf.UsageReport:
 		p.note(e)
-	case flaxshelf.Probed:
+	case flaxshelf.HealthChecked:
 		if m := p.machines[e.Machine]; m != nil {
 			p.report(m, e.Load)
 		}
-	case flaxshelf.Gone:
+	case flaxshelf.TaskCanceled:
 		if t := p.tasks[e.Task]; t != nil {
 			t.settled = true
 			p.drop(t)
@@ -115,7 +115,7 @@
 }
 
 // running takes over a task that runs: it counts for spread and joins the history as from now.
-func (p *Placer) running(e flaxshelf.Running) {
+func (p *Placer) running(e flaxshelf.TaskAdopted) {
 	if p.tasks[e.Task.ID] != nil {
 		return
 	}
@@ -125,7 +125,7 @@
 	p.seat(t, &t.attempts[0])
 }
 
-func (p *Placer) listed(e flaxshelf.Listed) {
+func (p *Placer) listed(e flaxshelf.MachinesUpdated) {
 	named := make(map[string]bool, len(e.Machines))
 	for _, entry := range e.Machines {
 		named[entry.ID] = true
@@ -136,17 +136,17 @@
 		if m.listed && entry.Started > m.Started {
 			p.restarted(m)
 		}
-		if entry.State == flaxshelf.Out && m.State != flaxshelf.Out {
+		if entry.State == flaxshelf.Removed && m.State != flaxshelf.Removed {
 			m.goneAt = p.now
 			p.forgetBinds(m, p.now)
 		}
 		m.Machine, m.listed = entry, true
 		m.newCores, m.newMemory, m.viewAt = 0, 0, p.now
 	}
-	if e.Whole {
+	if e.Complete {
 		for _, m := range p.order {
-			if !named[m.ID] && m.State != flaxshelf.Out {
-				m.State, m.goneAt = flaxshelf.Out, p.now
+			if !named[m.ID] && m.State != flaxshelf.Removed {
+				m.State, m.goneAt = flaxshelf.Removed, p.now
 				p.forgetBinds(m, p.now)
 			}
 		}
@@ -158,7 +158,7 @@
 
 // restarted clears what was known of a machine's former life.
 func (p *Placer) restarted(m *machine) {
-	m.health, m.strained, m.fullBar, m.load = health{}, 0, 0, flaxshelf.Load{}
+	m.health, m.strained, m.fullBar, m.load = health{}, 0, 0, flaxshelf.LoadReport{}
 	clear(m.classes)
 	p.forgetBinds(m, p.now)
 }
@@ -174,7 +174,7 @@
 }
 
 func (p *Placer) listFailed() {
-	if !p.cfg.DiscoveryAsks {
+	if !p.cfg.DiscoveryOnRequest {
 		return
 	}
 	p.askFails++
@@ -188,15 +188,15 @@
 		return
 	}
 	p.do(flaxshelf.Subscribe{})
-	p.askAt = p.now + max(p.cfg.AskWithin, time.Second)
+	p.askAt = p.now + max(p.cfg.DiscoveryPollDeadline, time.Second)
 }
 
-func (p *Placer) placed(e flaxshelf.Placed) {
+func (p *Placer) placed(e flaxshelf.AttemptPlaced) {
 	t, a := p.attempt(e.Task, e.Attempt)
 	if a == nil || !a.live {
 		return
 	}
-	lag := e.Lag.Seconds()
+	lag := e.Latency.Seconds()
 	p.lagDev += (math.Abs(lag-p.lag) - p.lagDev) / 8
 	p.lag += (lag - p.lag) / 8
 	t.settled = true
@@ -210,7 +210,7 @@
 	p.served(a.m.record(t.Class))
 }
 
-func (p *Placer) ended(e flaxshelf.Ended) {
+func (p *Placer) ended(e flaxshelf.AttemptEnded) {
 	if m := p.machines[e.Machine]; m != nil {
 		p.report(m, e.Load)
 	}
@@ -219,7 +219,7 @@
 		return
 	}
 	a.live, a.done = false, true
-	a.proved = e.Verdict == flaxshelf.Refused || e.Verdict == flaxshelf.Unreachable || e.Verdict == flaxshelf.NotSent
+	a.proved = e.Outcome == flaxshelf.Rejected || e.Outcome == flaxshelf.Unreachable || e.Outcome == flaxshelf.NotSent
 	if a.proved {
 		a.history.off = true // it never ran, so it leaves the history
 	}
@@ -229,9 +229,9 @@
 	} else {
 		a.m.waiting--
 	}
-	p.learnLife(t, a, e.Verdict)
+	p.learnLife(t, a, e.Outcome)
 	p.judge(t, a, e)
-	if e.Done || a.placed {
+	if e.Final || a.placed {
 		t.settled = true
 	}
 	p.drop(t)
@@ -247,7 +247,7 @@
 	p.history = append(p.history[:0], p.history[cut:]...)
 	p.history = slices.DeleteFunc(p.history, func(b *bind) bool { return b.off })
 	p.order = slices.DeleteFunc(p.order, func(m *machine) bool {
-		if m.State == flaxshelf.Out && len(m.services) == 0 && p.now-m.goneAt > keepUnseen {
+		if m.State == flaxshelf.Removed && len(m.services) == 0 && p.now-m.goneAt > keepUnseen {
 			delete(p.machines, m.ID)
 			return true
 		}
@@ -272,7 +272,7 @@
 		return
 	}
 	p.wakes = max(next, p.now+1)
-	p.do(flaxshelf.Wake{After: p.wakes - p.now})
+	p.do(flaxshelf.SetTimer{After: p.wakes - p.now})
 }
 
 // ---- Evidence: what outcomes, reports and notes say of a machine, each with an expiry.
@@ -337,11 +337,11 @@
 }
 
 // judge reads an outcome as evidence about its machine.
-func (p *Placer) judge(t *task, a *attempt, e flaxshelf.Ended) {
+func (p *Placer) judge(t *task, a *attempt, e flaxshelf.AttemptEnded) {
 	m := a.m
-	switch e.Verdict {
+	switch e.Outcome {
 	case flaxshelf.Failed: // later than the text: see blame in the module
-		if at := m.record(t.Class).servedAt; at > 0 && p.now-at < forget && t.class.Effect != flaxshelf.Unsafe {
+		if at := m.record(t.Class).servedAt; at > 0 && p.now-at < forget && t.class.Idempotency != flaxshelf.NonIdempotent {
 			t.errors = append(t.errors, m)
 			return
 		}
@@ -352,23 +352,23 @@
 		p.strike(&m.health)
 	case flaxshelf.Lost:
 		switch e.Reason {
-		case flaxshelf.Evicted, flaxshelf.PushedOut:
+		case flaxshelf.Evicted, flaxshelf.Preempted:
 			p.strain(m, 2*strainBar, memoryLack)
-		case flaxshelf.SentAway:
+		case flaxshelf.DrainedAway:
 		default:
 			p.strike(&m.health)
 		}
-	case flaxshelf.Refused:
+	case flaxshelf.Rejected:
 		m.window = 1
 		size := p.size(t, m)
 		if p.now >= m.fullBar || size < m.fullSize {
 			m.fullSize = size
 		}
 		switch e.Reason {
-		case flaxshelf.TooManyWait:
+		case flaxshelf.QueueFull:
 			m.fullSize = 0
 			m.fullBar = max(m.fullBar, p.now+queueBar)
-		case flaxshelf.NotHere:
+		case flaxshelf.UnsupportedTask:
 			m.fullSize = 0
 			m.fullBar = max(m.fullBar, p.now+fullBar)
 		default:
@@ -378,18 +378,18 @@
 	}
 }
 
-func (p *Placer) note(e flaxshelf.Note) {
+func (p *Placer) note(e flaxshelf.UsageReport) {
 	t, a := p.attempt(e.Task, e.Attempt)
 	if a == nil || !a.live {
 		return
 	}
-	if e.Kind == flaxshelf.Served {
+	if e.Kind == flaxshelf.ServiceLevel {
 		p.relocate(t, a, 1-e.Amount)
 	}
 	switch {
-	case e.Kind == flaxshelf.Served && e.Amount < 0.95:
+	case e.Kind == flaxshelf.ServiceLevel && e.Amount < 0.95:
 		p.strain(a.m, strainBar, 1-e.Amount)
-	case e.Kind == flaxshelf.MemoryShort && e.Amount > shortMemory:
+	case e.Kind == flaxshelf.MemoryPressure && e.Amount > shortMemory:
 		p.strain(a.m, strainBar, memoryLack)
 	}
 }
@@ -405,8 +405,8 @@
 	}
 	a.badAt = p.now
 	life, c := p.meanLife(t.Class), t.class
-	gain := time.Duration((lack - p.cfg.Prices.Moves) * float64(life))
-	cost := 2*c.Aim + time.Duration(p.cfg.Prices.Moves*c.StartSeconds*float64(time.Second))
+	gain := time.Duration((lack - p.cfg.Prices.Migration) * float64(life))
+	cost := 2*c.LatencyObjective + time.Duration(p.cfg.Prices.Migration*c.StartValueSeconds*float64(time.Second))
 	if p.now-a.badSince < strainBar/2 || gain < cost || a.moving || c == &p.unknown {
 		return
 	}
@@ -415,7 +415,7 @@
 		if p.now < m.record(t.Class).bar || p.now < m.fullBar {
 			return
 		}
-		if !m.listed || m.State != flaxshelf.In || m.Kind < 0 || c.Kind >= 0 && c.Kind != m.Kind || !p.fits(t, m) {
+		if !m.listed || m.State != flaxshelf.Active || m.Kind < 0 || c.Kind >= 0 && c.Kind != m.Kind || !p.fits(t, m) {
 			continue
 		}
 		all++
@@ -425,7 +425,7 @@
 	}
 	if good >= max(several, all/2) {
 		a.moving = true
-		p.do(flaxshelf.Move{Task: t.ID})
+		p.do(flaxshelf.Migrate{Task: t.ID})
 	}
 }
 
@@ -434,18 +434,18 @@
 	m.strained, m.lack = max(m.strained, p.now+lasts), lack
 }
 
-func (p *Placer) report(m *machine, l flaxshelf.Load) {
-	if l.Told {
+func (p *Placer) report(m *machine, l flaxshelf.LoadReport) {
+	if l.Present {
 		m.load, m.loadAt = l, p.now
 	}
 }
 
 // learnLife ends a life of t's class; one cut short by its machine counts as not ended.
-func (p *Placer) learnLife(t *task, a *attempt, v flaxshelf.Verdict) {
+func (p *Placer) learnLife(t *task, a *attempt, v flaxshelf.Outcome) {
 	if l := p.life(t.Class); a.placed && l != nil {
 		l.seen += p.now - a.sent
 		l.running, l.since = l.running-1, l.since-a.sent
-		if v == flaxshelf.Finished || v == flaxshelf.Withdrawn {
+		if v == flaxshelf.Completed || v == flaxshelf.Canceled {
 			l.ended++
 		}
 	}
@@ -498,7 +498,7 @@
 // allowed is the hard bars.
 func (p *Placer) allowed(t *task, m *machine) bool {
 	c := t.class
-	return m.listed && m.State == flaxshelf.In && m.Kind >= 0 &&
+	return m.listed && m.State == flaxshelf.Active && m.Kind >= 0 &&
 		(c.Kind < 0 || c.Kind == m.Kind) &&
 		p.fits(t, m) && p.inGroup(t, m) && p.spreadLeft(t, m) && p.coldLeft(m)
 }
@@ -506,18 +506,18 @@
 // fits tells whether an empty machine of this kind would take the task.
 func (p *Placer) fits(t *task, m *machine) bool {
 	k := p.cfg.Kinds[m.Kind]
-	return t.Cores <= k.Cores*max(p.cfg.AcceptCores, 1) && t.Memory <= k.Memory*max(p.cfg.AcceptMemory, 1)
+	return t.Cores <= k.Cores*max(p.cfg.CoreOvercommit, 1) && t.Memory <= k.Memory*max(p.cfg.MemoryOvercommit, 1)
 }
 
 // inGroup keeps the second rule: once an attempt may have run, the next must be harmless.
 func (p *Placer) inGroup(t *task, m *machine) bool {
 	for i := range t.attempts {
 		a := &t.attempts[i]
-		if a.proved || t.class.Effect == flaxshelf.Safe {
+		if a.proved || t.class.Idempotency == flaxshelf.Idempotent {
 			continue
 		}
-		late := p.now+p.cfg.Tick >= a.sent+t.class.Window
-		if t.class.Effect != flaxshelf.Keyed || !same(t.class.Group, a.m, m) || late {
+		late := p.now+p.cfg.Tick >= a.sent+t.class.KeyTTL
+		if t.class.Idempotency != flaxshelf.IdempotentByKey || !same(t.class.KeyDomain, a.m, m) || late {
 			return false
 		}
 	}
@@ -525,16 +525,16 @@
 }
 
 func (p *Placer) spreadLeft(t *task, m *machine) bool {
-	if t.class.Spread == flaxshelf.Nowhere {
+	if t.class.SpreadDomain == flaxshelf.NoDomain {
 		return true
 	}
 	n := 0
 	for _, o := range p.order {
-		if same(t.class.Spread, o, m) {
+		if same(t.class.SpreadDomain, o, m) {
 			n += o.services[t.Service]
 		}
 	}
-	return n < t.class.Most
+	return n < t.class.MaxPerDomain
 }
 
 // coldLeft keeps the fourth rule with this scheduler's share of the offers that a cold machine always bears.
@@ -546,9 +546,9 @@
 	if !p.cold(m) {
 		return true
 	}
-	share := int(p.cfg.ColdOffers / float64(p.cfg.Schedulers))
-	rest := p.cfg.ColdOffers - float64(share*p.cfg.Schedulers)
-	from := p.now - p.cfg.FallWindow*3/2
+	share := int(p.cfg.SlowStartBudget / float64(p.cfg.Schedulers))
+	rest := p.cfg.SlowStartBudget - float64(share*p.cfg.Schedulers)
+	from := p.now - p.cfg.OverloadWindow*3/2
 	if p.born > from && p.born > m.Started {
 		return false
 	}
@@ -566,15 +566,15 @@
 // turn tells whether it is this scheduler's turn for one offer more to a cold machine: turns begin one step apart, in an order
 // that all schedulers derive alike, and stay open for a window, so that no window holds more than budget.
 func (p *Placer) turn(m *machine, budget float64) bool {
-	step := time.Duration(float64(2*p.cfg.FallWindow)/budget) + 1
+	step := time.Duration(float64(2*p.cfg.OverloadWindow)/budget) + 1
 	n := uint64(p.cfg.Schedulers)
 	place := (m.hash%n + uint64(p.cfg.Index)) % n
 	since := p.now - m.Started - time.Duration(place)*step
-	return since >= 0 && since%(time.Duration(n)*step) < p.cfg.FallWindow
+	return since >= 0 && since%(time.Duration(n)*step) < p.cfg.OverloadWindow
 }
 
 func (p *Placer) cold(m *machine) bool {
-	return m.Started > 0 && p.cfg.FallWindow > 0 && p.now < m.Started+p.cfg.ColdFor+p.cfg.FallWindow
+	return m.Started > 0 && p.cfg.OverloadWindow > 0 && p.now < m.Started+p.cfg.SlowStartDuration+p.cfg.OverloadWindow
 }
 
 // prefer is the soft bars, strongest first. One that would leave fewer than its least is skipped, so bad
@@ -600,14 +600,14 @@
 	// Full as far as told. A refused offer is priced and uses up an attempt, so a task is held while no
 	// machine has room; late in its time it is tried once all the same, in case the evidence is wrong.
 	least := 0
-	if p.now >= t.taken+(t.ValidUntil-t.taken)*3/4 && len(t.attempts) == 0 {
+	if p.now >= t.taken+(t.Deadline-t.taken)*3/4 && len(t.attempts) == 0 {
 		least = 1
 	}
 	keep(least, func(m *machine) bool { return !p.full(t, m) })
 	if len(left) == 0 {
 		return nil
 	}
-	if p.cfg.Prices.Fleet > 0 && p.cfg.ListsFree {
+	if p.cfg.Prices.Fleet > 0 && p.cfg.ListsFreeCapacity {
 		used := p.inUse(left)
 		keep(several, func(m *machine) bool { return used[m] })
 	}
@@ -631,7 +631,7 @@
 
 // told is the load that a machine's last report tells; 0 without a fresh one.
 func (p *Placer) told(m *machine) float64 {
-	if !m.load.Told || p.now-m.loadAt > reportFresh || m.Kind < 0 {
+	if !m.load.Present || p.now-m.loadAt > reportFresh || m.Kind < 0 {
 		return 0
 	}
 	k, load := p.cfg.Kinds[m.Kind], 0.0
@@ -649,12 +649,12 @@
 // The list is late, so what we asked of the machine since listLate before its word counts as asked too,
 // against a rush of ours onto room that is gone. Guessing the others' binds held too many tasks back.
 func (p *Placer) room(t *task, m *machine) bool {
-	if !p.cfg.ListsFree {
+	if !p.cfg.ListsFreeCapacity {
 		return true
 	}
 	k := p.cfg.Kinds[m.Kind]
-	cores := m.FreeCores + (p.cfg.AcceptCores-1)*k.Cores
-	memory := m.FreeMemory + (p.cfg.AcceptMemory-1)*k.Memory
+	cores := m.FreeCores + (p.cfg.CoreOvercommit-1)*k.Cores
+	memory := m.FreeMemory + (p.cfg.MemoryOvercommit-1)*k.Memory
 	if m.lateIn != p.steps { // once a step, since thousands may wait; occupy adds to it
 		m.lateIn, m.lateCores, m.lateMemory = p.steps, 0, 0
 		for _, b := range slices.Backward(p.recent()) {
@@ -677,7 +677,7 @@
 func (p *Placer) inUse(left []*machine) map[*machine]bool {
 	var cores, memory float64
 	for _, m := range p.order {
-		if m.listed && m.State != flaxshelf.Out && m.Kind >= 0 {
+		if m.listed && m.State != flaxshelf.Removed && m.Kind >= 0 {
 			k := p.cfg.Kinds[m.Kind]
 			cores += k.Cores - m.FreeCores + m.newCores
 			memory += k.Memory - m.FreeMemory + m.newMemory
@@ -799,7 +799,7 @@
 	if p.now < m.strained {
 		lack = strainLoad * m.lack
 	}
-	if !p.cfg.ListsFree {
+	if !p.cfg.ListsFreeCapacity {
 		return lack
 	}
 	k := p.cfg.Kinds[m.Kind]
@@ -873,7 +873,7 @@
 
 func (p *Placer) rank(t *task) int {
 	rank := 0
-	if p.now > t.taken+t.class.Aim {
+	if p.now > t.taken+t.class.LatencyObjective {
 		rank = 1
 	}
 	if p.overShare(t) {
@@ -885,7 +885,7 @@
 // overShare: what a tenant asks beyond its share is worth little. This scheduler's part of the traffic is
 // taken for the rest's. Acts only on the order of tasks that wait, so never on the ordinary path.
 func (p *Placer) overShare(t *task) bool {
-	if t.Tenant < 0 || t.Tenant >= len(p.cfg.Tenants) || p.cfg.OverShareWorth >= 1 {
+	if t.Tenant < 0 || t.Tenant >= len(p.cfg.Tenants) || p.cfg.OverQuotaWeight >= 1 {
 		return false
 	}
 	quota := p.cfg.Tenants[t.Tenant].QuotaCores
@@ -895,14 +895,15 @@
 // place offers t to a machine, holds it, or gives it up.
 func (p *Placer) place(t *task) {
 	if p.now >= p.offerBy(t) || p.cfg.MaxAttempts > 0 && len(t.attempts) >= p.cfg.MaxAttempts ||
-		t.class == &p.unknown || t.class.Effect == flaxshelf.Unsafe && t.mayHaveRun() {
+		t.class == &p.unknown || t.class.Idempotency == flaxshelf.NonIdempotent && t.mayHaveRun() {
 		p.answer(t)
 		return
 	}
 	m := p.choose(t)
 	if m == nil {
 		// Nothing may take it now. Held a while, since an owner that is turned away comes again late.
-		if t.mayHaveRun() && t.class.Effect == flaxshelf.Keyed || p.now-t.taken > max(t.class.Aim, 5*time.Second) {
+		if t.mayHaveRun() && t.class.Idempotency == flaxshelf.IdempotentByKey ||
+			p.now-t.taken > max(t.class.LatencyObjective, 5*time.Second) {
 			p.answer(t)
 		}
 		return
@@ -911,7 +912,7 @@
 	p.probe(&m.health)
 	p.probe(m.record(t.Class))
 	if p.cold(m) {
-		m.offers = slices.DeleteFunc(m.offers, func(at flaxshelf.Time) bool { return p.now-at > 2*p.cfg.FallWindow })
+		m.offers = slices.DeleteFunc(m.offers, func(at flaxshelf.Time) bool { return p.now-at > 2*p.cfg.OverloadWindow })
 		m.offers = append(m.offers, p.now)
 	}
 	p.do(flaxshelf.Offer{Task: t.ID, Machine: m.ID, Timeout: p.timeout(t)})
@@ -920,16 +921,16 @@
 // timeout leaves time for a further attempt where one would be allowed, and ends before the answer is due.
 func (p *Placer) timeout(t *task) time.Duration {
 	left := p.offerBy(t) - p.now
-	if t.class.Effect == flaxshelf.Unsafe || p.cfg.MaxAttempts > 0 && len(t.attempts) >= p.cfg.MaxAttempts {
+	if t.class.Idempotency == flaxshelf.NonIdempotent || p.cfg.MaxAttempts > 0 && len(t.attempts) >= p.cfg.MaxAttempts {
 		return left
 	}
 	usual := time.Duration((p.lag + 4*p.lagDev) * float64(time.Second))
-	return min(left, max(usual, t.class.Aim/2, 50*time.Millisecond))
+	return min(left, max(usual, t.class.LatencyObjective/2, 50*time.Millisecond))
 }
 
 // answerBy is the last moment to give the final answer; an attempt's time-out comes a tick earlier.
-func (p *Placer) answerBy(t *task) flaxshelf.Time { return t.ValidUntil - p.margin() }
-func (p *Placer) offerBy(t *task) flaxshelf.Time  { return t.ValidUntil - 2*p.margin() }
+func (p *Placer) answerBy(t *task) flaxshelf.Time { return t.Deadline - p.margin() }
+func (p *Placer) offerBy(t *task) flaxshelf.Time  { return t.Deadline - 2*p.margin() }
 func (p *Placer) margin() time.Duration           { return 2*p.cfg.Tick + time.Millisecond }
 
 // answer ends t: a refusal promises that a retry is safe, so it needs proof or a class that bears repeats.
@@ -937,13 +938,14 @@
 	t.settled = true
 	p.blame(t)
 	for i := range t.attempts {
-		if t.attempts[i].live && p.cfg.CanWithdraw {
-			p.do(flaxshelf.Withdraw{Task: t.ID, Attempt: i})
+		if t.attempts[i].live && p.cfg.CanCancel {
+			p.do(flaxshelf.Cancel{Task: t.ID, Attempt: i})
 		}
 	}
 	c := t.class
-	if !t.mayHaveRun() || c.Effect == flaxshelf.Safe || c.Effect == flaxshelf.Keyed && c.Group == flaxshelf.Everywhere {
-		p.do(flaxshelf.Refuse{Task: t.ID})
+	if !t.mayHaveRun() || c.Idempotency == flaxshelf.Idempotent ||
+		c.Idempotency == flaxshelf.IdempotentByKey && c.KeyDomain == flaxshelf.FleetDomain {
+		p.do(flaxshelf.Reject{Task: t.ID})
 	} else {
 		p.do(flaxshelf.Fail{Task: t.ID})
 	}
--- a/internal/lab/reference/state.go
+++ b/internal/lab/reference/state.go
@@ -54,7 +54,7 @@
 	lateCores, lateMemory float64        // asked by our binds that the list's word may lack
 	newCores              float64        // asked by our binds since the list's last word
 	newMemory             float64
-	load                  flaxshelf.Load
+	load                  flaxshelf.LoadReport
 	loadAt                flaxshelf.Time
 	services              map[string]int // our attempts and tasks there, by service
 	cores                 float64        // asked by them
@@ -134,7 +134,7 @@
 	if m == nil {
 		m = &machine{goneAt: p.now, hash: hash(id), services: map[string]int{}}
 		m.classes = make([]health, len(p.cfg.Classes))
-		m.Machine = flaxshelf.Machine{ID: id, Kind: -1, State: flaxshelf.Out}
+		m.Machine = flaxshelf.Machine{ID: id, Kind: -1, State: flaxshelf.Removed}
 		p.machines[id] = m
 		byID := func(m *machine, id string) int { return cmp.Compare(m.ID, id) }
 		i, _ := slices.BinarySearchFunc(p.order, id, byID)
@@ -153,7 +153,7 @@
 
 // occupy books a new attempt of t on m.
 func (p *Placer) occupy(t *task, m *machine) {
-	b := &bind{m: m, at: p.now, class: t.Class, cores: t.Cores, memory: t.Memory, hint: t.Life}
+	b := &bind{m: m, at: p.now, class: t.Class, cores: t.Cores, memory: t.Memory, hint: t.ExpectedRuntime}
 	p.history = append(p.history, b)
 	t.attempts = append(t.attempts, attempt{m: m, sent: p.now, live: true, history: b})
 	m.services[t.Service]++
@@ -207,16 +207,16 @@
 }
 
 // same tells whether two machines stand in the same place of the given extent.
-func same(at flaxshelf.Extent, a, b *machine) bool {
+func same(at flaxshelf.TopologyDomain, a, b *machine) bool {
 	switch at {
-	case flaxshelf.OnMachine:
+	case flaxshelf.MachineDomain:
 		return a == b
-	case flaxshelf.InCell:
+	case flaxshelf.CellDomain:
 		return a.listed && b.listed && a.Cell == b.Cell
-	case flaxshelf.InZone:
+	case flaxshelf.ZoneDomain:
 		return a.listed && b.listed && a.Zone == b.Zone
 	}
-	return at == flaxshelf.Everywhere
+	return at == flaxshelf.FleetDomain
 }
 
 // hash is the same at every scheduler: what they derive from it they share without talking.
--- a/internal/lab/reference/step_test.go
+++ b/internal/lab/reference/step_test.go
@@ -36,16 +36,16 @@
 }
 
 func newCell(b testing.TB, s shape, make func(flaxshelf.Config, uint64) (stepper, error)) *cell {
-	c := flaxshelf.Config{Schedulers: 1, AcceptCores: 1, AcceptMemory: 1, Tick: 2 * ms, AskWithin: time.Second,
-		ConnectTimeout: 100 * ms, DrainGrace: time.Second, CanWithdraw: true, ListsFree: s.room,
+	c := flaxshelf.Config{Schedulers: 1, CoreOvercommit: 1, MemoryOvercommit: 1, Tick: 2 * ms, DiscoveryPollDeadline: time.Second,
+		ConnectTimeout: 100 * ms, DrainGrace: time.Second, CanCancel: true, ListsFreeCapacity: s.room,
 		Kinds: []flaxshelf.Kind{{Name: "small", Cores: 32, Memory: 128}, {Name: "big", Cores: 64, Memory: 256}},
-		Classes: []flaxshelf.Class{{Name: "a", Kind: -1, Aim: time.Second},
-			{Name: "large", Kind: -1, Aim: time.Second, Effect: flaxshelf.Safe}}}
+		Classes: []flaxshelf.Class{{Name: "a", Kind: -1, LatencyObjective: time.Second},
+			{Name: "large", Kind: -1, LatencyObjective: time.Second, Idempotency: flaxshelf.Idempotent}}}
 	if s.room {
 		c.Prices.Fleet = 0.1
 	}
 	if s.spread {
-		c.Classes[0].Spread, c.Classes[0].Most = flaxshelf.InZone, 8*20
+		c.Classes[0].SpreadDomain, c.Classes[0].MaxPerDomain = flaxshelf.ZoneDomain, 8*20
 	}
 	p, err := make(c, 7)
 	if err != nil {
@@ -58,19 +58,19 @@
 		m.FreeCores, m.FreeMemory = c.Kinds[i%2].Cores-10-float64(i%7), c.Kinds[i%2].Memory-20
 		list = append(list, m)
 	}
-	p.Step(x.now, []flaxshelf.Event{flaxshelf.Listed{Machines: list, Whole: true}})
+	p.Step(x.now, []flaxshelf.Event{flaxshelf.MachinesUpdated{Machines: list, Complete: true}})
 	var es []flaxshelf.Event
 	for i := range 20 * s.machines {
 		t := x.task()
-		es = append(es, flaxshelf.Running{Task: t, Machine: list[i%s.machines].ID})
+		es = append(es, flaxshelf.TaskAdopted{Task: t, Machine: list[i%s.machines].ID})
 		x.runs, x.at[t.ID] = append(x.runs, t.ID), list[i%s.machines].ID
 	}
 	x.now += ms
 	p.Step(x.now, es)
 	es = nil
 	for i := range s.held { // none has room for these
-		es = append(es, flaxshelf.Place{Task: flaxshelf.Task{ID: fmt.Sprint("h", i), Service: fmt.Sprint("h", i%50), Class: 1,
-			Cores: 100 + float64(i%5), Memory: 1, Tenant: -1, ValidUntil: time.Hour}})
+		es = append(es, flaxshelf.TaskSubmitted{Task: flaxshelf.Task{ID: fmt.Sprint("h", i), Service: fmt.Sprint("h", i%50), Class: 1,
+			Cores: 100 + float64(i%5), Memory: 1, Tenant: -1, Deadline: time.Hour}})
 	}
 	x.news = es
 	for range 200 {
@@ -83,14 +83,14 @@
 func (x *cell) task() flaxshelf.Task {
 	x.ids++
 	return flaxshelf.Task{ID: fmt.Sprint("t", x.ids), Service: fmt.Sprint("s", (x.ids*7919)%(1+len(x.runs)/20%20000)), Class: 0,
-		Cores: 0.5, Memory: 1, Tenant: -1, ValidUntil: x.now + 5*time.Second}
+		Cores: 0.5, Memory: 1, Tenant: -1, Deadline: x.now + 5*time.Second}
 }
 
 func (x *cell) step() {
 	x.now += 500 * time.Microsecond
-	x.news = append(x.news, flaxshelf.Place{Task: x.task()})
+	x.news = append(x.news, flaxshelf.TaskSubmitted{Task: x.task()})
 	if len(x.runs) > 0 {
-		x.news = append(x.news, flaxshelf.Ended{Task: x.runs[0], Machine: x.at[x.runs[0]], Verdict: flaxshelf.Finished, Done: true})
+		x.news = append(x.news, flaxshelf.AttemptEnded{Task: x.runs[0], Machine: x.at[x.runs[0]], Outcome: flaxshelf.Completed, Final: true})
 		delete(x.at, x.runs[0])
 		x.runs = x.runs[1:]
 	}
@@ -99,7 +99,7 @@
 	for _, a := range as {
 		if o, ok := a.(flaxshelf.Offer); ok {
 			x.sent++
-			x.news = append(x.news, flaxshelf.Placed{Task: o.Task, Machine: o.Machine, Lag: ms})
+			x.news = append(x.news, flaxshelf.AttemptPlaced{Task: o.Task, Machine: o.Machine, Latency: ms})
 			x.runs, x.at[o.Task] = append(x.runs, o.Task), o.Machine
 		}
 	}
--- a/internal/lab/reference/world_test.go
+++ b/internal/lab/reference/world_test.go
@@ -23,19 +23,19 @@
 	n := func(most int, what string) int { return rapid.IntRange(0, most).Draw(t, what) }
 	yes := func(what string) bool { return rapid.Bool().Draw(t, what) }
 	c := flaxshelf.Config{Index: 0, Schedulers: 1 + n(40, "schedulers"), Zone: "z0",
-		Kinds:       []flaxshelf.Kind{{Name: "small", Cores: 16, Memory: 50}, {Name: "big", Cores: 64, Memory: 200}},
-		Tenants:     []flaxshelf.Tenant{{Name: "a", Share: 1, QuotaCores: 4}, {Name: "b", Share: 1}},
-		AcceptCores: 1 + float64(n(4, "accept"))/4, AcceptMemory: 1.1,
-		RunsWhenPlaced: yes("runs when placed"), ListsFree: yes("lists free"), DiscoveryAsks: yes("discovery asks"),
-		CanWithdraw: yes("withdraw"), MaxAttempts: n(3, "attempts"), Tick: 2 * ms, ConnectTimeout: 100 * ms,
-		DrainGrace: time.Second, AskWithin: time.Second, ColdFor: 2 * time.Second, FallWindow: time.Second,
-		ColdOffers: float64(1 + n(40, "cold offers")), OverShareWorth: 0.3}
+		Kinds:          []flaxshelf.Kind{{Name: "small", Cores: 16, Memory: 50}, {Name: "big", Cores: 64, Memory: 200}},
+		Tenants:        []flaxshelf.Tenant{{Name: "a", QuotaFraction: 1, QuotaCores: 4}, {Name: "b", QuotaFraction: 1}},
+		CoreOvercommit: 1 + float64(n(4, "accept"))/4, MemoryOvercommit: 1.1,
+		PlacedWhenRunning: yes("runs when placed"), ListsFreeCapacity: yes("lists free"), DiscoveryOnRequest: yes("discovery asks"),
+		CanCancel: yes("withdraw"), MaxAttempts: n(3, "attempts"), Tick: 2 * ms, ConnectTimeout: 100 * ms,
+		DrainGrace: time.Second, DiscoveryPollDeadline: time.Second, SlowStartDuration: 2 * time.Second, OverloadWindow: time.Second,
+		SlowStartBudget: float64(1 + n(40, "cold offers")), OverQuotaWeight: 0.3}
 	c.Prices.Fleet = float64(n(1, "fleet priced"))
-	for i, e := range []flaxshelf.Effect{flaxshelf.Safe, flaxshelf.Safe, flaxshelf.Keyed, flaxshelf.Unsafe} {
-		c.Classes = append(c.Classes, flaxshelf.Class{Name: fmt.Sprint(i), Effect: e,
-			Group:  flaxshelf.OnMachine + flaxshelf.Extent(n(3, "group")),
-			Window: time.Duration(1+n(3, "window")) * 500 * ms, Aim: 300 * ms, Kind: n(2, "kind") - 1,
-			Spread: flaxshelf.Extent(n(3, "spread")), Most: 1 + n(12, "most")})
+	for i, e := range []flaxshelf.Idempotency{flaxshelf.Idempotent, flaxshelf.Idempotent, flaxshelf.IdempotentByKey, flaxshelf.NonIdempotent} {
+		c.Classes = append(c.Classes, flaxshelf.Class{Name: fmt.Sprint(i), Idempotency: e,
+			KeyDomain: flaxshelf.MachineDomain + flaxshelf.TopologyDomain(n(3, "group")),
+			KeyTTL:    time.Duration(1+n(3, "window")) * 500 * ms, LatencyObjective: 300 * ms, Kind: n(2, "kind") - 1,
+			SpreadDomain: flaxshelf.TopologyDomain(n(3, "spread")), MaxPerDomain: 1 + n(12, "most")})
 	}
 	return c
 }
@@ -73,7 +73,7 @@
 }
 
 func (w *world) free(m *flaxshelf.Machine) {
-	if w.c.ListsFree {
+	if w.c.ListsFreeCapacity {
 		k := w.c.Kinds[max(m.Kind, 0)]
 		m.FreeCores, m.FreeMemory = k.Cores*w.r.Float64(), k.Memory*w.r.Float64()
 	}
@@ -83,10 +83,10 @@
 func (w *world) changes() flaxshelf.Event {
 	r := w.r
 	if r.IntN(12) == 0 {
-		return flaxshelf.ListFailed{}
+		return flaxshelf.DiscoveryFailed{}
 	}
 	if r.IntN(20) == 0 {
-		return flaxshelf.Listed{Whole: true, Machines: append([]flaxshelf.Machine(nil), w.machines...)}
+		return flaxshelf.MachinesUpdated{Complete: true, Machines: append([]flaxshelf.Machine(nil), w.machines...)}
 	}
 	var some []flaxshelf.Machine
 	for range 1 + r.IntN(4) {
@@ -96,12 +96,12 @@
 		case 0:
 			m.State = flaxshelf.Draining
 		case 1:
-			m.State = flaxshelf.Out
+			m.State = flaxshelf.Removed
 		case 2:
-			m.Started, m.State = w.now, flaxshelf.In
+			m.Started, m.State = w.now, flaxshelf.Active
 		case 3: // replaced
 			some = append(some, *m)
-			some[len(some)-1].State = flaxshelf.Out
+			some[len(some)-1].State = flaxshelf.Removed
 			*m = w.machine()
 			m.Started = w.now
 		case 4:
@@ -109,19 +109,19 @@
 		case 5:
 			m.Zone, m.Cell = fmt.Sprint("z", r.IntN(3)), r.IntN(5)
 		default:
-			m.State = flaxshelf.In
+			m.State = flaxshelf.Active
 			w.free(m)
 		}
 		some = append(some, *m)
 	}
-	return flaxshelf.Listed{Machines: some}
+	return flaxshelf.MachinesUpdated{Machines: some}
 }
 
 // outcomes ends or places what is due.
 func (w *world) outcomes() (es []flaxshelf.Event) {
 	r := w.r
-	load := func() flaxshelf.Load {
-		return flaxshelf.Load{Told: r.IntN(2) == 0, HasCores: true, HasMemory: r.IntN(2) == 0,
+	load := func() flaxshelf.LoadReport {
+		return flaxshelf.LoadReport{Present: r.IntN(2) == 0, HasCores: true, HasMemory: r.IntN(2) == 0,
 			FreeCores: 16 * r.Float64(), FreeMemory: 50 * r.Float64()}
 	}
 	kept := w.out[:0]
@@ -129,20 +129,20 @@
 		switch {
 		case w.now < a.due:
 			if a.placed && r.IntN(50) == 0 {
-				es = append(es, flaxshelf.Note{Task: a.task, Machine: a.machine, Attempt: a.n,
-					Kind: flaxshelf.NoteKind(1 + r.IntN(5)), Amount: r.Float64()})
+				es = append(es, flaxshelf.UsageReport{Task: a.task, Machine: a.machine, Attempt: a.n,
+					Kind: flaxshelf.UsageKind(1 + r.IntN(5)), Amount: r.Float64()})
 			}
 		case !a.placed && r.IntN(4) > 0:
-			es = append(es, flaxshelf.Placed{Task: a.task, Machine: a.machine, Attempt: a.n, Lag: 20 * ms})
+			es = append(es, flaxshelf.AttemptPlaced{Task: a.task, Machine: a.machine, Attempt: a.n, Latency: 20 * ms})
 			a.placed, a.due = true, w.now+time.Duration(r.IntN(w.lives))*ms
 			w.done[a.task] = true
 		default:
-			v := flaxshelf.Verdict(1 + r.IntN(7))
+			v := flaxshelf.Outcome(1 + r.IntN(7))
 			if a.placed {
-				v = []flaxshelf.Verdict{flaxshelf.Finished, flaxshelf.Finished, flaxshelf.Lost}[r.IntN(3)]
+				v = []flaxshelf.Outcome{flaxshelf.Completed, flaxshelf.Completed, flaxshelf.Lost}[r.IntN(3)]
 			}
-			es = append(es, flaxshelf.Ended{Task: a.task, Machine: a.machine, Attempt: a.n, Verdict: v,
-				Done: w.done[a.task], Reason: flaxshelf.Reason(r.IntN(8)), Load: load()})
+			es = append(es, flaxshelf.AttemptEnded{Task: a.task, Machine: a.machine, Attempt: a.n, Outcome: v,
+				Final: w.done[a.task], Reason: flaxshelf.Reason(r.IntN(8)), Load: load()})
 			continue
 		}
 		kept = append(kept, a)
@@ -158,29 +158,29 @@
 		w.ids++
 		t := flaxshelf.Task{ID: fmt.Sprint("t", w.ids), Service: fmt.Sprint("s", r.IntN(w.services)),
 			Class: r.IntN(4), Cores: []float64{0.1, 1, 2.3, 9}[r.IntN(4)], Memory: 3 * r.Float64(), Tenant: r.IntN(3) - 1,
-			ValidUntil: w.now + time.Duration(20+r.IntN(w.patience))*ms}
+			Deadline: w.now + time.Duration(20+r.IntN(w.patience))*ms}
 		if r.IntN(3) == 0 {
-			t.Life = time.Duration(r.IntN(5000)) * ms
+			t.ExpectedRuntime = time.Duration(r.IntN(5000)) * ms
 		}
 		return t
 	}
 	for range r.IntN(w.rate + 1) {
-		es = append(es, flaxshelf.Place{Task: task()})
+		es = append(es, flaxshelf.TaskSubmitted{Task: task()})
 	}
 	if r.IntN(30) == 0 {
-		es = append(es, flaxshelf.Running{Task: task(), Machine: w.machines[r.IntN(len(w.machines))].ID})
+		es = append(es, flaxshelf.TaskAdopted{Task: task(), Machine: w.machines[r.IntN(len(w.machines))].ID})
 	}
 	if r.IntN(8) == 0 {
 		es = append(es, w.changes())
 	}
 	if r.IntN(40) == 0 {
-		es = append(es, flaxshelf.Probed{Machine: w.machines[r.IntN(len(w.machines))].ID, Load: flaxshelf.Load{Told: true,
+		es = append(es, flaxshelf.HealthChecked{Machine: w.machines[r.IntN(len(w.machines))].ID, Load: flaxshelf.LoadReport{Present: true,
 			HasCores: true, FreeCores: 8}})
 	}
 	if w.ids > 0 && r.IntN(40) == 0 {
-		es = append(es, flaxshelf.Gone{Task: fmt.Sprint("t", 1+r.IntN(w.ids))})
+		es = append(es, flaxshelf.TaskCanceled{Task: fmt.Sprint("t", 1+r.IntN(w.ids))})
 	}
-	return append(es, flaxshelf.Woken{})
+	return append(es, flaxshelf.TimerFired{})
 }
 
 // The module with sets and columns answers as the reference does, action by action, in worlds of all sorts.
@@ -200,7 +200,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			es := []flaxshelf.Event{flaxshelf.Listed{Whole: true, Machines: append([]flaxshelf.Machine(nil), w.machines...)}}
+			es := []flaxshelf.Event{flaxshelf.MachinesUpdated{Complete: true, Machines: append([]flaxshelf.Machine(nil), w.machines...)}}
 			for range 120 {
 				got := twin.Step(w.now, es)
 				if twin.Err != nil {
@@ -213,7 +213,7 @@
 						w.out = append(w.out, attempt{task: a.Task, machine: a.Machine, n: w.tries[a.Task],
 							due: w.now + time.Duration(r.Int64N(int64(a.Timeout)+1))})
 						w.tries[a.Task]++
-					case flaxshelf.Refuse:
+					case flaxshelf.Reject:
 						held++
 						w.done[a.Task] = true
 					case flaxshelf.Fail:
--- a/internal/platform/picture_test.go
+++ b/internal/platform/picture_test.go
@@ -60,18 +60,18 @@
 func (p *picture) Step(now flaxshelf.Time, events []flaxshelf.Event) []flaxshelf.Action {
 	for _, e := range events {
 		switch e := e.(type) {
-		case flaxshelf.Place:
+		case flaxshelf.TaskSubmitted:
 			p.open[e.Task.ID] = true
-		case flaxshelf.Running:
+		case flaxshelf.TaskAdopted:
 			p.stands[e.Task.ID] = e.Machine
-		case flaxshelf.Placed:
+		case flaxshelf.AttemptPlaced:
 			p.stands[e.Task] = e.Machine
 			delete(p.open, e.Task)
-		case flaxshelf.Ended:
-			if e.Done {
+		case flaxshelf.AttemptEnded:
+			if e.Final {
 				delete(p.stands, e.Task)
 			}
-		case flaxshelf.Gone:
+		case flaxshelf.TaskCanceled:
 			delete(p.open, e.Task)
 		}
 	}
--- a/internal/replay/convert.go
+++ b/internal/replay/convert.go
@@ -17,38 +17,38 @@
 func classRecordOf(c flaxshelf.Class) classRecord {
 	return classRecord{
 		Name:         c.Name,
-		Effect:       int(c.Effect),
-		Group:        int(c.Group),
-		Window:       c.Window,
-		Aim:          c.Aim,
-		Worth:        c.Worth,
-		LateWorth:    c.LateWorth,
-		StartSeconds: c.StartSeconds,
-		Calm:         c.Calm,
-		Fade:         c.Fade,
+		Effect:       int(c.Idempotency),
+		Group:        int(c.KeyDomain),
+		Window:       c.KeyTTL,
+		Aim:          c.LatencyObjective,
+		Worth:        c.PriorityWeight,
+		LateWorth:    c.LateStartWeight,
+		StartSeconds: c.StartValueSeconds,
+		Calm:         c.FullServiceUtilization,
+		Fade:         c.ServiceFadeRange,
 		Kind:         c.Kind,
 		Priority:     c.Priority,
-		Spread:       int(c.Spread),
-		Most:         c.Most,
+		Spread:       int(c.SpreadDomain),
+		Most:         c.MaxPerDomain,
 	}
 }
 
 func (r classRecord) class() flaxshelf.Class {
 	return flaxshelf.Class{
-		Name:         r.Name,
-		Effect:       flaxshelf.Effect(r.Effect),
-		Group:        flaxshelf.Extent(r.Group),
-		Window:       r.Window,
-		Aim:          r.Aim,
-		Worth:        r.Worth,
-		LateWorth:    r.LateWorth,
-		StartSeconds: r.StartSeconds,
-		Calm:         r.Calm,
-		Fade:         r.Fade,
-		Kind:         r.Kind,
-		Priority:     r.Priority,
-		Spread:       flaxshelf.Extent(r.Spread),
-		Most:         r.Most,
+		Name:                   r.Name,
+		Idempotency:            flaxshelf.Idempotency(r.Effect),
+		KeyDomain:              flaxshelf.TopologyDomain(r.Group),
+		KeyTTL:                 r.Window,
+		LatencyObjective:       r.Aim,
+		PriorityWeight:         r.Worth,
+		LateStartWeight:        r.LateWorth,
+		StartValueSeconds:      r.StartSeconds,
+		FullServiceUtilization: r.Calm,
+		ServiceFadeRange:       r.Fade,
+		Kind:                   r.Kind,
+		Priority:               r.Priority,
+		SpreadDomain:           flaxshelf.TopologyDomain(r.Spread),
+		MaxPerDomain:           r.Most,
 	}
 }
 
@@ -71,18 +71,18 @@
 func tenantRecordOf(t flaxshelf.Tenant) tenantRecord {
 	return tenantRecord{
 		Name:       t.Name,
-		Share:      t.Share,
-		PerSecond:  t.PerSecond,
+		Share:      t.QuotaFraction,
+		PerSecond:  t.TasksPerSecond,
 		QuotaCores: t.QuotaCores,
 	}
 }
 
 func (r tenantRecord) tenant() flaxshelf.Tenant {
 	return flaxshelf.Tenant{
-		Name:       r.Name,
-		Share:      r.Share,
-		PerSecond:  r.PerSecond,
-		QuotaCores: r.QuotaCores,
+		Name:           r.Name,
+		QuotaFraction:  r.Share,
+		TasksPerSecond: r.PerSecond,
+		QuotaCores:     r.QuotaCores,
 	}
 }
 
@@ -90,27 +90,27 @@
 	return pricesRecord{
 		CrossZone:     p.CrossZone,
 		Waste:         p.Waste,
-		Probe:         p.Probe,
-		Message:       p.Message,
-		Moves:         p.Moves,
+		Probe:         p.HealthCheck,
+		Message:       p.Gossip,
+		Moves:         p.Migration,
 		Discovery:     p.Discovery,
 		Fleet:         p.Fleet,
-		Refused:       p.Refused,
-		EvictionMoves: p.EvictionMoves,
+		Refused:       p.Rejection,
+		EvictionMoves: p.EvictionMigrations,
 	}
 }
 
 func (r pricesRecord) prices() flaxshelf.Prices {
 	return flaxshelf.Prices{
-		CrossZone:     r.CrossZone,
-		Waste:         r.Waste,
-		Probe:         r.Probe,
-		Message:       r.Message,
-		Moves:         r.Moves,
-		Discovery:     r.Discovery,
-		Fleet:         r.Fleet,
-		Refused:       r.Refused,
-		EvictionMoves: r.EvictionMoves,
+		CrossZone:          r.CrossZone,
+		Waste:              r.Waste,
+		HealthCheck:        r.Probe,
+		Gossip:             r.Message,
+		Migration:          r.Moves,
+		Discovery:          r.Discovery,
+		Fleet:              r.Fleet,
+		Rejection:          r.Refused,
+		EvictionMigrations: r.EvictionMoves,
 	}
 }
 
@@ -122,65 +122,65 @@
 		Classes:        convertAll(c.Classes, classRecordOf),
 		Kinds:          convertAll(c.Kinds, kindRecordOf),
 		Tenants:        convertAll(c.Tenants, tenantRecordOf),
-		OverShareWorth: c.OverShareWorth,
+		OverShareWorth: c.OverQuotaWeight,
 		Prices:         pricesRecordOf(c.Prices),
-		AcceptCores:    c.AcceptCores,
-		AcceptMemory:   c.AcceptMemory,
-		RunsWhenPlaced: c.RunsWhenPlaced,
+		AcceptCores:    c.CoreOvercommit,
+		AcceptMemory:   c.MemoryOvercommit,
+		RunsWhenPlaced: c.PlacedWhenRunning,
 		Preempts:       c.Preempts,
-		ListsFree:      c.ListsFree,
-		ReportsUsed:    c.ReportsUsed,
-		DiscoveryAsks:  c.DiscoveryAsks,
+		ListsFree:      c.ListsFreeCapacity,
+		ReportsUsed:    c.ReportsUsage,
+		DiscoveryAsks:  c.DiscoveryOnRequest,
 		MaxAttempts:    c.MaxAttempts,
-		SecondCopies:   c.SecondCopies,
-		CanWithdraw:    c.CanWithdraw,
-		CanProbe:       c.CanProbe,
-		CanMessage:     c.CanMessage,
+		SecondCopies:   c.HedgedRequests,
+		CanWithdraw:    c.CanCancel,
+		CanProbe:       c.CanHealthCheck,
+		CanMessage:     c.CanGossip,
 		CanRetryAfter:  c.CanRetryAfter,
 		MaxRetryAfter:  c.MaxRetryAfter,
 		Tick:           c.Tick,
 		ConnectTimeout: c.ConnectTimeout,
 		AnswerSlack:    c.AnswerSlack,
 		DrainGrace:     c.DrainGrace,
-		AskWithin:      c.AskWithin,
-		ColdFor:        c.ColdFor,
-		FallWindow:     c.FallWindow,
-		ColdOffers:     c.ColdOffers,
+		AskWithin:      c.DiscoveryPollDeadline,
+		ColdFor:        c.SlowStartDuration,
+		FallWindow:     c.OverloadWindow,
+		ColdOffers:     c.SlowStartBudget,
 	}
 }
 
 func (r configRecord) config() flaxshelf.Config {
 	return flaxshelf.Config{
-		Index:          r.Index,
-		Schedulers:     r.Schedulers,
-		Zone:           r.Zone,
-		Classes:        convertAll(r.Classes, classRecord.class),
-		Kinds:          convertAll(r.Kinds, kindRecord.kind),
-		Tenants:        convertAll(r.Tenants, tenantRecord.tenant),
-		OverShareWorth: r.OverShareWorth,
-		Prices:         r.Prices.prices(),
-		AcceptCores:    r.AcceptCores,
-		AcceptMemory:   r.AcceptMemory,
-		RunsWhenPlaced: r.RunsWhenPlaced,
-		Preempts:       r.Preempts,
-		ListsFree:      r.ListsFree,
-		ReportsUsed:    r.ReportsUsed,
-		DiscoveryAsks:  r.DiscoveryAsks,
-		MaxAttempts:    r.MaxAttempts,
-		SecondCopies:   r.SecondCopies,
-		CanWithdraw:    r.CanWithdraw,
-		CanProbe:       r.CanProbe,
-		CanMessage:     r.CanMessage,
-		CanRetryAfter:  r.CanRetryAfter,
-		MaxRetryAfter:  r.MaxRetryAfter,
-		Tick:           r.Tick,
-		ConnectTimeout: r.ConnectTimeout,
-		AnswerSlack:    r.AnswerSlack,
-		DrainGrace:     r.DrainGrace,
-		AskWithin:      r.AskWithin,
-		ColdFor:        r.ColdFor,
-		FallWindow:     r.FallWindow,
-		ColdOffers:     r.ColdOffers,
+		Index:                 r.Index,
+		Schedulers:            r.Schedulers,
+		Zone:                  r.Zone,
+		Classes:               convertAll(r.Classes, classRecord.class),
+		Kinds:                 convertAll(r.Kinds, kindRecord.kind),
+		Tenants:               convertAll(r.Tenants, tenantRecord.tenant),
+		OverQuotaWeight:       r.OverShareWorth,
+		Prices:                r.Prices.prices(),
+		CoreOvercommit:        r.AcceptCores,
+		MemoryOvercommit:      r.AcceptMemory,
+		PlacedWhenRunning:     r.RunsWhenPlaced,
+		Preempts:              r.Preempts,
+		ListsFreeCapacity:     r.ListsFree,
+		ReportsUsage:          r.ReportsUsed,
+		DiscoveryOnRequest:    r.DiscoveryAsks,
+		MaxAttempts:           r.MaxAttempts,
+		HedgedRequests:        r.SecondCopies,
+		CanCancel:             r.CanWithdraw,
+		CanHealthCheck:        r.CanProbe,
+		CanGossip:             r.CanMessage,
+		CanRetryAfter:         r.CanRetryAfter,
+		MaxRetryAfter:         r.MaxRetryAfter,
+		Tick:                  r.Tick,
+		ConnectTimeout:        r.ConnectTimeout,
+		AnswerSlack:           r.AnswerSlack,
+		DrainGrace:            r.DrainGrace,
+		DiscoveryPollDeadline: r.AskWithin,
+		SlowStartDuration:     r.ColdFor,
+		OverloadWindow:        r.FallWindow,
+		SlowStartBudget:       r.ColdOffers,
 	}
 }
 
@@ -193,24 +193,24 @@
 		Tenant:     t.Tenant,
 		Cores:      t.Cores,
 		Memory:     t.Memory,
-		Life:       t.Life,
-		ValidUntil: t.ValidUntil,
-		Again:      t.Again,
+		Life:       t.ExpectedRuntime,
+		ValidUntil: t.Deadline,
+		Again:      t.Retry,
 	}
 }
 
 func (r taskRecord) task() flaxshelf.Task {
 	return flaxshelf.Task{
-		ID:         r.ID,
-		Key:        r.Key,
-		Service:    r.Service,
-		Class:      r.Class,
-		Tenant:     r.Tenant,
-		Cores:      r.Cores,
-		Memory:     r.Memory,
-		Life:       r.Life,
-		ValidUntil: r.ValidUntil,
-		Again:      r.Again,
+		ID:              r.ID,
+		Key:             r.Key,
+		Service:         r.Service,
+		Class:           r.Class,
+		Tenant:          r.Tenant,
+		Cores:           r.Cores,
+		Memory:          r.Memory,
+		ExpectedRuntime: r.Life,
+		Deadline:        r.ValidUntil,
+		Retry:           r.Again,
 	}
 }
 
@@ -233,16 +233,16 @@
 		Kind:       r.Kind,
 		Zone:       r.Zone,
 		Cell:       r.Cell,
-		State:      flaxshelf.State(r.State),
+		State:      flaxshelf.MachineState(r.State),
 		Started:    r.Started,
 		FreeCores:  r.FreeCores,
 		FreeMemory: r.FreeMemory,
 	}
 }
 
-func loadRecordOf(l flaxshelf.Load) loadRecord {
+func loadRecordOf(l flaxshelf.LoadReport) loadRecord {
 	return loadRecord{
-		Told:       l.Told,
+		Told:       l.Present,
 		FreeCores:  l.FreeCores,
 		FreeMemory: l.FreeMemory,
 		HasCores:   l.HasCores,
@@ -250,9 +250,9 @@
 	}
 }
 
-func (r loadRecord) load() flaxshelf.Load {
-	return flaxshelf.Load{
-		Told:       r.Told,
+func (r loadRecord) load() flaxshelf.LoadReport {
+	return flaxshelf.LoadReport{
+		Present:    r.Told,
 		FreeCores:  r.FreeCores,
 		FreeMemory: r.FreeMemory,
 		HasCores:   r.HasCores,
--- a/internal/replay/convert_actions.go
+++ b/internal/replay/convert_actions.go
@@ -7,21 +7,21 @@
 	switch a := action.(type) {
 	case flaxshelf.Offer:
 		return offerRecordOf(a), nil
-	case flaxshelf.Withdraw:
+	case flaxshelf.Cancel:
 		return withdrawRecordOf(a), nil
-	case flaxshelf.Refuse:
+	case flaxshelf.Reject:
 		return refuseRecordOf(a), nil
 	case flaxshelf.Fail:
 		return failRecordOf(a), nil
-	case flaxshelf.Move:
+	case flaxshelf.Migrate:
 		return moveRecordOf(a), nil
-	case flaxshelf.Probe:
+	case flaxshelf.HealthCheck:
 		return probeRecordOf(a), nil
-	case flaxshelf.Tell:
+	case flaxshelf.SendGossip:
 		return tellRecordOf(a), nil
 	case flaxshelf.Subscribe:
 		return subscribeRecordOf(a), nil
-	case flaxshelf.Wake:
+	case flaxshelf.SetTimer:
 		return wakeRecordOf(a), nil
 	}
 	return nil, &UnknownTypeError{Value: action}
@@ -43,7 +43,7 @@
 	}
 }
 
-func withdrawRecordOf(a flaxshelf.Withdraw) withdrawRecord {
+func withdrawRecordOf(a flaxshelf.Cancel) withdrawRecord {
 	return withdrawRecord{
 		Task:    a.Task,
 		Attempt: a.Attempt,
@@ -51,20 +51,20 @@
 }
 
 func (r withdrawRecord) action() flaxshelf.Action {
-	return flaxshelf.Withdraw{
+	return flaxshelf.Cancel{
 		Task:    r.Task,
 		Attempt: r.Attempt,
 	}
 }
 
-func refuseRecordOf(a flaxshelf.Refuse) refuseRecord {
+func refuseRecordOf(a flaxshelf.Reject) refuseRecord {
 	return refuseRecord{
 		Task: a.Task,
 	}
 }
 
 func (r refuseRecord) action() flaxshelf.Action {
-	return flaxshelf.Refuse{
+	return flaxshelf.Reject{
 		Task: r.Task,
 	}
 }
@@ -81,38 +81,38 @@
 	}
 }
 
-func moveRecordOf(a flaxshelf.Move) moveRecord {
+func moveRecordOf(a flaxshelf.Migrate) moveRecord {
 	return moveRecord{
 		Task: a.Task,
 	}
 }
 
 func (r moveRecord) action() flaxshelf.Action {
-	return flaxshelf.Move{
+	return flaxshelf.Migrate{
 		Task: r.Task,
 	}
 }
 
-func probeRecordOf(a flaxshelf.Probe) probeRecord {
+func probeRecordOf(a flaxshelf.HealthCheck) probeRecord {
 	return probeRecord{
 		Machine: a.Machine,
 	}
 }
 
 func (r probeRecord) action() flaxshelf.Action {
-	return flaxshelf.Probe{
+	return flaxshelf.HealthCheck{
 		Machine: r.Machine,
 	}
 }
 
-func tellRecordOf(a flaxshelf.Tell) tellRecord {
+func tellRecordOf(a flaxshelf.SendGossip) tellRecord {
 	return tellRecord{
 		Data: a.Data,
 	}
 }
 
 func (r tellRecord) action() flaxshelf.Action {
-	return flaxshelf.Tell{
+	return flaxshelf.SendGossip{
 		Data: r.Data,
 	}
 }
@@ -121,14 +121,14 @@
 
 func (subscribeRecord) action() flaxshelf.Action { return flaxshelf.Subscribe{} }
 
-func wakeRecordOf(a flaxshelf.Wake) wakeRecord {
+func wakeRecordOf(a flaxshelf.SetTimer) wakeRecord {
 	return wakeRecord{
 		After: a.After,
 	}
 }
 
 func (r wakeRecord) action() flaxshelf.Action {
-	return flaxshelf.Wake{
+	return flaxshelf.SetTimer{
 		After: r.After,
 	}
 }
--- a/internal/replay/convert_events.go
+++ b/internal/replay/convert_events.go
@@ -5,65 +5,65 @@
 // eventRecordOf is the stored form of an event.
 func eventRecordOf(event flaxshelf.Event) (eventRecord, error) {
 	switch e := event.(type) {
-	case flaxshelf.Listed:
+	case flaxshelf.MachinesUpdated:
 		return listedRecordOf(e), nil
-	case flaxshelf.ListFailed:
+	case flaxshelf.DiscoveryFailed:
 		return listFailedRecordOf(e), nil
-	case flaxshelf.Place:
+	case flaxshelf.TaskSubmitted:
 		return placeRecordOf(e), nil
-	case flaxshelf.Running:
+	case flaxshelf.TaskAdopted:
 		return runningRecordOf(e), nil
-	case flaxshelf.Placed:
+	case flaxshelf.AttemptPlaced:
 		return placedRecordOf(e), nil
-	case flaxshelf.Ended:
+	case flaxshelf.AttemptEnded:
 		return endedRecordOf(e), nil
-	case flaxshelf.Note:
+	case flaxshelf.UsageReport:
 		return noteRecordOf(e), nil
-	case flaxshelf.Probed:
+	case flaxshelf.HealthChecked:
 		return probedRecordOf(e), nil
-	case flaxshelf.Message:
+	case flaxshelf.GossipReceived:
 		return messageRecordOf(e), nil
-	case flaxshelf.Woken:
+	case flaxshelf.TimerFired:
 		return wokenRecordOf(e), nil
-	case flaxshelf.Gone:
+	case flaxshelf.TaskCanceled:
 		return goneRecordOf(e), nil
 	}
 	return nil, &UnknownTypeError{Value: event}
 }
 
-func listedRecordOf(e flaxshelf.Listed) listedRecord {
+func listedRecordOf(e flaxshelf.MachinesUpdated) listedRecord {
 	return listedRecord{
 		Machines: convertAll(e.Machines, machineRecordOf),
-		Whole:    e.Whole,
+		Whole:    e.Complete,
 		Stale:    e.Stale,
 	}
 }
 
 func (r listedRecord) event() flaxshelf.Event {
-	return flaxshelf.Listed{
+	return flaxshelf.MachinesUpdated{
 		Machines: convertAll(r.Machines, machineRecord.machine),
-		Whole:    r.Whole,
+		Complete: r.Whole,
 		Stale:    r.Stale,
 	}
 }
 
-func listFailedRecordOf(flaxshelf.ListFailed) listFailedRecord { return listFailedRecord{} }
+func listFailedRecordOf(flaxshelf.DiscoveryFailed) listFailedRecord { return listFailedRecord{} }
 
-func (listFailedRecord) event() flaxshelf.Event { return flaxshelf.ListFailed{} }
+func (listFailedRecord) event() flaxshelf.Event { return flaxshelf.DiscoveryFailed{} }
 
-func placeRecordOf(e flaxshelf.Place) placeRecord {
+func placeRecordOf(e flaxshelf.TaskSubmitted) placeRecord {
 	return placeRecord{
 		Task: taskRecordOf(e.Task),
 	}
 }
 
 func (r placeRecord) event() flaxshelf.Event {
-	return flaxshelf.Place{
+	return flaxshelf.TaskSubmitted{
 		Task: r.Task.task(),
 	}
 }
 
-func runningRecordOf(e flaxshelf.Running) runningRecord {
+func runningRecordOf(e flaxshelf.TaskAdopted) runningRecord {
 	return runningRecord{
 		Task:    taskRecordOf(e.Task),
 		Machine: e.Machine,
@@ -71,57 +71,57 @@
 }
 
 func (r runningRecord) event() flaxshelf.Event {
-	return flaxshelf.Running{
+	return flaxshelf.TaskAdopted{
 		Task:    r.Task.task(),
 		Machine: r.Machine,
 	}
 }
 
-func placedRecordOf(e flaxshelf.Placed) placedRecord {
+func placedRecordOf(e flaxshelf.AttemptPlaced) placedRecord {
 	return placedRecord{
 		Task:    e.Task,
 		Machine: e.Machine,
 		Attempt: e.Attempt,
-		Lag:     e.Lag,
+		Lag:     e.Latency,
 	}
 }
 
 func (r placedRecord) event() flaxshelf.Event {
-	return flaxshelf.Placed{
+	return flaxshelf.AttemptPlaced{
 		Task:    r.Task,
 		Machine: r.Machine,
 		Attempt: r.Attempt,
-		Lag:     r.Lag,
+		Latency: r.Lag,
 	}
 }
 
-func endedRecordOf(e flaxshelf.Ended) endedRecord {
+func endedRecordOf(e flaxshelf.AttemptEnded) endedRecord {
 	return endedRecord{
 		Task:    e.Task,
 		Machine: e.Machine,
 		Attempt: e.Attempt,
-		Verdict: int(e.Verdict),
+		Verdict: int(e.Outcome),
 		Reason:  int(e.Reason),
-		Done:    e.Done,
-		Lag:     e.Lag,
+		Done:    e.Final,
+		Lag:     e.Latency,
 		Load:    loadRecordOf(e.Load),
 	}
 }
 
 func (r endedRecord) event() flaxshelf.Event {
-	return flaxshelf.Ended{
+	return flaxshelf.AttemptEnded{
 		Task:    r.Task,
 		Machine: r.Machine,
 		Attempt: r.Attempt,
-		Verdict: flaxshelf.Verdict(r.Verdict),
+		Outcome: flaxshelf.Outcome(r.Verdict),
 		Reason:  flaxshelf.Reason(r.Reason),
-		Done:    r.Done,
-		Lag:     r.Lag,
+		Final:   r.Done,
+		Latency: r.Lag,
 		Load:    r.Load.load(),
 	}
 }
 
-func noteRecordOf(e flaxshelf.Note) noteRecord {
+func noteRecordOf(e flaxshelf.UsageReport) noteRecord {
 	return noteRecord{
 		Task:    e.Task,
 		Machine: e.Machine,
@@ -132,32 +132,32 @@
 }
 
 func (r noteRecord) event() flaxshelf.Event {
-	return flaxshelf.Note{
+	return flaxshelf.UsageReport{
 		Task:    r.Task,
 		Machine: r.Machine,
 		Attempt: r.Attempt,
-		Kind:    flaxshelf.NoteKind(r.Kind),
+		Kind:    flaxshelf.UsageKind(r.Kind),
 		Amount:  r.Amount,
 	}
 }
 
-func probedRecordOf(e flaxshelf.Probed) probedRecord {
+func probedRecordOf(e flaxshelf.HealthChecked) probedRecord {
 	return probedRecord{
 		Machine: e.Machine,
-		Verdict: int(e.Verdict),
+		Verdict: int(e.Outcome),
 		Load:    loadRecordOf(e.Load),
 	}
 }
 
 func (r probedRecord) event() flaxshelf.Event {
-	return flaxshelf.Probed{
+	return flaxshelf.HealthChecked{
 		Machine: r.Machine,
-		Verdict: flaxshelf.Verdict(r.Verdict),
+		Outcome: flaxshelf.Outcome(r.Verdict),
 		Load:    r.Load.load(),
 	}
 }
 
-func messageRecordOf(e flaxshelf.Message) messageRecord {
+func messageRecordOf(e flaxshelf.GossipReceived) messageRecord {
 	return messageRecord{
 		From: e.From,
 		Data: e.Data,
@@ -165,24 +165,24 @@
 }
 
 func (r messageRecord) event() flaxshelf.Event {
-	return flaxshelf.Message{
+	return flaxshelf.GossipReceived{
 		From: r.From,
 		Data: r.Data,
 	}
 }
 
-func wokenRecordOf(flaxshelf.Woken) wokenRecord { return wokenRecord{} }
+func wokenRecordOf(flaxshelf.TimerFired) wokenRecord { return wokenRecord{} }
 
-func (wokenRecord) event() flaxshelf.Event { return flaxshelf.Woken{} }
+func (wokenRecord) event() flaxshelf.Event { return flaxshelf.TimerFired{} }
 
-func goneRecordOf(e flaxshelf.Gone) goneRecord {
+func goneRecordOf(e flaxshelf.TaskCanceled) goneRecord {
 	return goneRecord{
 		Task: e.Task,
 	}
 }
 
 func (r goneRecord) event() flaxshelf.Event {
-	return flaxshelf.Gone{
+	return flaxshelf.TaskCanceled{
 		Task: r.Task,
 	}
 }
--- a/internal/replay/format_test.go
+++ b/internal/replay/format_test.go
@@ -92,50 +92,50 @@
 	return flaxshelf.Config{
 		Index: 1, Schedulers: 2, Zone: "zone-a",
 		Classes: []flaxshelf.Class{
-			{Name: "service", Effect: flaxshelf.Safe, Aim: time.Second, Worth: 3, LateWorth: 0.1, StartSeconds: 2, Calm: 0.8,
-				Fade: 0.2, Kind: -1, Priority: 2, Spread: flaxshelf.InZone, Most: 40},
-			{Name: "keyed", Effect: flaxshelf.Keyed, Group: flaxshelf.InZone, Window: 2 * time.Second,
-				Aim: 2 * time.Second, Worth: 2, LateWorth: 0.2, StartSeconds: 3, Calm: 0.9, Fade: 0.1, Kind: 1, Priority: 1,
-				Spread: flaxshelf.InCell, Most: 30},
-			{Name: "ledger", Effect: flaxshelf.Unsafe, Aim: time.Second, Worth: 1, LateWorth: 0.3, StartSeconds: 1, Calm: 0.7,
-				Fade: 0.3, Kind: -1, Priority: 3, Spread: flaxshelf.OnMachine, Most: 20},
+			{Name: "service", Idempotency: flaxshelf.Idempotent, LatencyObjective: time.Second, PriorityWeight: 3, LateStartWeight: 0.1, StartValueSeconds: 2, FullServiceUtilization: 0.8,
+				ServiceFadeRange: 0.2, Kind: -1, Priority: 2, SpreadDomain: flaxshelf.ZoneDomain, MaxPerDomain: 40},
+			{Name: "keyed", Idempotency: flaxshelf.IdempotentByKey, KeyDomain: flaxshelf.ZoneDomain, KeyTTL: 2 * time.Second,
+				LatencyObjective: 2 * time.Second, PriorityWeight: 2, LateStartWeight: 0.2, StartValueSeconds: 3, FullServiceUtilization: 0.9, ServiceFadeRange: 0.1, Kind: 1, Priority: 1,
+				SpreadDomain: flaxshelf.CellDomain, MaxPerDomain: 30},
+			{Name: "ledger", Idempotency: flaxshelf.NonIdempotent, LatencyObjective: time.Second, PriorityWeight: 1, LateStartWeight: 0.3, StartValueSeconds: 1, FullServiceUtilization: 0.7,
+				ServiceFadeRange: 0.3, Kind: -1, Priority: 3, SpreadDomain: flaxshelf.MachineDomain, MaxPerDomain: 20},
 		},
 		Kinds: []flaxshelf.Kind{{Name: "small", Cores: 8, Memory: 32}, {Name: "large", Cores: 16, Memory: 64}},
-		Tenants: []flaxshelf.Tenant{{Name: "t0", Share: 0.75, PerSecond: 20, QuotaCores: 60},
-			{Name: "t1", Share: 0.25, PerSecond: 5, QuotaCores: 20}},
-		OverShareWorth: 0.5,
-		Prices: flaxshelf.Prices{CrossZone: 0.01, Waste: 0.02, Probe: 0.03, Message: 0.04, Moves: 0.05, Discovery: 0.06,
-			Fleet: 0.07, Refused: 0.08, EvictionMoves: 2},
-		AcceptCores: 1.5, AcceptMemory: 1.25, RunsWhenPlaced: true, Preempts: true, ListsFree: true, ReportsUsed: true,
-		DiscoveryAsks: true, MaxAttempts: 3, SecondCopies: true, CanWithdraw: true, CanProbe: true, CanMessage: true,
+		Tenants: []flaxshelf.Tenant{{Name: "t0", QuotaFraction: 0.75, TasksPerSecond: 20, QuotaCores: 60},
+			{Name: "t1", QuotaFraction: 0.25, TasksPerSecond: 5, QuotaCores: 20}},
+		OverQuotaWeight: 0.5,
+		Prices: flaxshelf.Prices{CrossZone: 0.01, Waste: 0.02, HealthCheck: 0.03, Gossip: 0.04, Migration: 0.05, Discovery: 0.06,
+			Fleet: 0.07, Rejection: 0.08, EvictionMigrations: 2},
+		CoreOvercommit: 1.5, MemoryOvercommit: 1.25, PlacedWhenRunning: true, Preempts: true, ListsFreeCapacity: true, ReportsUsage: true,
+		DiscoveryOnRequest: true, MaxAttempts: 3, HedgedRequests: true, CanCancel: true, CanHealthCheck: true, CanGossip: true,
 		CanRetryAfter: true, MaxRetryAfter: 5 * time.Second, Tick: 2 * time.Millisecond,
 		ConnectTimeout: 100 * time.Millisecond, AnswerSlack: 50 * time.Millisecond, DrainGrace: 2 * time.Second,
-		AskWithin: 3 * time.Second, ColdFor: 4 * time.Second, FallWindow: time.Second, ColdOffers: 12,
+		DiscoveryPollDeadline: 3 * time.Second, SlowStartDuration: 4 * time.Second, OverloadWindow: time.Second, SlowStartBudget: 12,
 	}
 }
 
 // allEvents has each event type once, with every field set, and once as its zero value.
 func allEvents() []flaxshelf.Event {
 	task := flaxshelf.Task{ID: "id", Key: "key", Service: "service", Class: 1, Tenant: 1, Cores: 0.5, Memory: 1.5,
-		Life: 7 * time.Second, ValidUntil: 9 * time.Second, Again: true}
-	load := flaxshelf.Load{Told: true, FreeCores: 2.5, FreeMemory: 3.5, HasCores: true, HasMemory: true}
+		ExpectedRuntime: 7 * time.Second, Deadline: 9 * time.Second, Retry: true}
+	load := flaxshelf.LoadReport{Present: true, FreeCores: 2.5, FreeMemory: 3.5, HasCores: true, HasMemory: true}
 	machine := flaxshelf.Machine{ID: "m", Kind: 1, Zone: "zone-b", Cell: 3, State: flaxshelf.Draining,
 		Started: 5 * time.Second, FreeCores: 4.5, FreeMemory: 5.5}
 	return []flaxshelf.Event{
-		flaxshelf.Listed{Machines: []flaxshelf.Machine{machine, {}}, Whole: true, Stale: true},
-		flaxshelf.ListFailed{},
-		flaxshelf.Place{Task: task},
-		flaxshelf.Running{Task: task, Machine: "m"},
-		flaxshelf.Placed{Task: "id", Machine: "m", Attempt: 2, Lag: time.Millisecond},
-		flaxshelf.Ended{Task: "id", Machine: "m", Attempt: 2, Verdict: flaxshelf.Lost, Reason: flaxshelf.PushedOut, Done: true,
-			Lag: time.Millisecond, Load: load},
-		flaxshelf.Note{Task: "id", Machine: "m", Attempt: 2, Kind: flaxshelf.Served, Amount: 0.75},
-		flaxshelf.Probed{Machine: "m", Verdict: flaxshelf.Unreachable, Load: load},
-		flaxshelf.Message{From: 3, Data: []byte{1, 2, 3}},
-		flaxshelf.Woken{},
-		flaxshelf.Gone{Task: "id"},
-		flaxshelf.Listed{}, flaxshelf.Place{}, flaxshelf.Running{}, flaxshelf.Placed{}, flaxshelf.Ended{}, flaxshelf.Note{},
-		flaxshelf.Probed{}, flaxshelf.Message{}, flaxshelf.Gone{},
+		flaxshelf.MachinesUpdated{Machines: []flaxshelf.Machine{machine, {}}, Complete: true, Stale: true},
+		flaxshelf.DiscoveryFailed{},
+		flaxshelf.TaskSubmitted{Task: task},
+		flaxshelf.TaskAdopted{Task: task, Machine: "m"},
+		flaxshelf.AttemptPlaced{Task: "id", Machine: "m", Attempt: 2, Latency: time.Millisecond},
+		flaxshelf.AttemptEnded{Task: "id", Machine: "m", Attempt: 2, Outcome: flaxshelf.Lost, Reason: flaxshelf.Preempted, Final: true,
+			Latency: time.Millisecond, Load: load},
+		flaxshelf.UsageReport{Task: "id", Machine: "m", Attempt: 2, Kind: flaxshelf.ServiceLevel, Amount: 0.75},
+		flaxshelf.HealthChecked{Machine: "m", Outcome: flaxshelf.Unreachable, Load: load},
+		flaxshelf.GossipReceived{From: 3, Data: []byte{1, 2, 3}},
+		flaxshelf.TimerFired{},
+		flaxshelf.TaskCanceled{Task: "id"},
+		flaxshelf.MachinesUpdated{}, flaxshelf.TaskSubmitted{}, flaxshelf.TaskAdopted{}, flaxshelf.AttemptPlaced{}, flaxshelf.AttemptEnded{}, flaxshelf.UsageReport{},
+		flaxshelf.HealthChecked{}, flaxshelf.GossipReceived{}, flaxshelf.TaskCanceled{},
 	}
 }
 
@@ -143,16 +143,16 @@
 func allActions() []flaxshelf.Action {
 	return []flaxshelf.Action{
 		flaxshelf.Offer{Task: "id", Machine: "m", Timeout: 50 * time.Millisecond},
-		flaxshelf.Withdraw{Task: "id", Attempt: 2},
-		flaxshelf.Refuse{Task: "id"},
+		flaxshelf.Cancel{Task: "id", Attempt: 2},
+		flaxshelf.Reject{Task: "id"},
 		flaxshelf.Fail{Task: "id"},
-		flaxshelf.Move{Task: "id"},
-		flaxshelf.Probe{Machine: "m"},
-		flaxshelf.Tell{Data: []byte{4, 5, 6}},
+		flaxshelf.Migrate{Task: "id"},
+		flaxshelf.HealthCheck{Machine: "m"},
+		flaxshelf.SendGossip{Data: []byte{4, 5, 6}},
 		flaxshelf.Subscribe{},
-		flaxshelf.Wake{After: time.Second},
-		flaxshelf.Offer{}, flaxshelf.Withdraw{}, flaxshelf.Refuse{}, flaxshelf.Fail{}, flaxshelf.Move{}, flaxshelf.Probe{},
-		flaxshelf.Tell{}, flaxshelf.Wake{},
+		flaxshelf.SetTimer{After: time.Second},
+		flaxshelf.Offer{}, flaxshelf.Cancel{}, flaxshelf.Reject{}, flaxshelf.Fail{}, flaxshelf.Migrate{}, flaxshelf.HealthCheck{},
+		flaxshelf.SendGossip{}, flaxshelf.SetTimer{},
 	}
 }
 
@@ -262,7 +262,7 @@
 	}
 	for _, a := range allActions() {
 		switch a.(type) {
-		case flaxshelf.Probe, flaxshelf.Tell:
+		case flaxshelf.HealthCheck, flaxshelf.SendGossip:
 			continue
 		}
 		if counter.types[reflect.TypeOf(a)] == 0 {
@@ -327,8 +327,8 @@
 	c.tasks++
 	return flaxshelf.Task{ID: fmt.Sprintf("t%d", c.tasks), Key: fmt.Sprintf("k%d", c.tasks),
 		Service: fmt.Sprintf("s%d", c.rng.IntN(5)), Class: c.rng.IntN(3), Tenant: c.rng.IntN(3) - 1,
-		Cores: 0.5 + c.rng.Float64(), Memory: 0.5 + c.rng.Float64(), Life: c.duration(time.Second, 4*time.Second),
-		ValidUntil: c.now + c.duration(500*time.Millisecond, 3*time.Second), Again: c.rng.IntN(20) == 0}
+		Cores: 0.5 + c.rng.Float64(), Memory: 0.5 + c.rng.Float64(), ExpectedRuntime: c.duration(time.Second, 4*time.Second),
+		Deadline: c.now + c.duration(500*time.Millisecond, 3*time.Second), Retry: c.rng.IntN(20) == 0}
 }
 
 // take lists the events of one step: those that are due, in their order, and what comes from outside.
@@ -351,11 +351,11 @@
 // happens tells whether an event's attempt is still out, and notes its end.
 func (c *cluster) happens(e flaxshelf.Event) bool {
 	switch e := e.(type) {
-	case flaxshelf.Placed:
+	case flaxshelf.AttemptPlaced:
 		a := &c.out[e.Task][e.Attempt]
 		a.placed = !a.over
 		return a.placed
-	case flaxshelf.Ended:
+	case flaxshelf.AttemptEnded:
 		a := &c.out[e.Task][e.Attempt]
 		if a.over {
 			return false
@@ -369,36 +369,36 @@
 	var events []flaxshelf.Event
 	switch step {
 	case 0:
-		events = append(events, flaxshelf.Listed{Whole: true, Stale: true, Machines: c.machines[:machineCount-1]})
+		events = append(events, flaxshelf.MachinesUpdated{Complete: true, Stale: true, Machines: c.machines[:machineCount-1]})
 	case 1:
-		events = append(events, flaxshelf.ListFailed{})
+		events = append(events, flaxshelf.DiscoveryFailed{})
 	case 2:
 		task := c.newTask()
 		c.out[task.ID] = []attempt{{machine: "m1", placed: true}}
-		events = append(events, flaxshelf.Running{Task: task, Machine: "m1"}, flaxshelf.Probed{Machine: "m2",
-			Verdict: flaxshelf.Finished, Load: c.load()}, flaxshelf.Message{From: 1, Data: []byte("from the other one")})
+		events = append(events, flaxshelf.TaskAdopted{Task: task, Machine: "m1"}, flaxshelf.HealthChecked{Machine: "m2",
+			Outcome: flaxshelf.Completed, Load: c.load()}, flaxshelf.GossipReceived{From: 1, Data: []byte("from the other one")})
 	case 5:
-		events = append(events, flaxshelf.Listed{Whole: true, Machines: c.machines})
+		events = append(events, flaxshelf.MachinesUpdated{Complete: true, Machines: c.machines})
 	case drainStep:
 		events = append(events, c.changed(flaxshelf.Draining))
 	case removeStep:
-		events = append(events, c.changed(flaxshelf.Out), flaxshelf.ListFailed{})
+		events = append(events, c.changed(flaxshelf.Removed), flaxshelf.DiscoveryFailed{})
 	}
 	for range c.rng.IntN(sendersPerStep + 1) {
 		if step > 0 {
-			events = append(events, flaxshelf.Place{Task: c.newTask()})
+			events = append(events, flaxshelf.TaskSubmitted{Task: c.newTask()})
 		}
 	}
 	if c.rng.IntN(50) == 0 && c.tasks > 0 {
-		events = append(events, flaxshelf.Gone{Task: fmt.Sprintf("t%d", c.tasks)})
+		events = append(events, flaxshelf.TaskCanceled{Task: fmt.Sprintf("t%d", c.tasks)})
 	}
 	return append(events, c.notes(step)...)
 }
 
-func (c *cluster) changed(state flaxshelf.State) flaxshelf.Listed {
+func (c *cluster) changed(state flaxshelf.MachineState) flaxshelf.MachinesUpdated {
 	m := c.machines[drainedMachine]
 	m.State = state
-	return flaxshelf.Listed{Machines: []flaxshelf.Machine{m}}
+	return flaxshelf.MachinesUpdated{Machines: []flaxshelf.Machine{m}}
 }
 
 // notes tells, for some time, that one machine serves its tasks badly.
@@ -417,15 +417,15 @@
 			if a.machine == "m1" {
 				served = 0.1
 			}
-			events = append(events, flaxshelf.Note{Task: id, Machine: a.machine, Attempt: n, Kind: flaxshelf.Served,
+			events = append(events, flaxshelf.UsageReport{Task: id, Machine: a.machine, Attempt: n, Kind: flaxshelf.ServiceLevel,
 				Amount: served})
 		}
 	}
 	return events
 }
 
-func (c *cluster) load() flaxshelf.Load {
-	return flaxshelf.Load{Told: true, FreeCores: 1 + c.rng.Float64(), FreeMemory: 5 + c.rng.Float64(), HasCores: true,
+func (c *cluster) load() flaxshelf.LoadReport {
+	return flaxshelf.LoadReport{Present: true, FreeCores: 1 + c.rng.Float64(), FreeMemory: 5 + c.rng.Float64(), HasCores: true,
 		HasMemory: true}
 }
 
@@ -435,17 +435,17 @@
 		switch a := a.(type) {
 		case flaxshelf.Offer:
 			c.offered(a)
-		case flaxshelf.Withdraw:
-			c.after(0, flaxshelf.Ended{Task: a.Task, Machine: c.out[a.Task][a.Attempt].machine, Attempt: a.Attempt,
-				Verdict: flaxshelf.Withdrawn, Done: true})
-		case flaxshelf.Move:
+		case flaxshelf.Cancel:
+			c.after(0, flaxshelf.AttemptEnded{Task: a.Task, Machine: c.out[a.Task][a.Attempt].machine, Attempt: a.Attempt,
+				Outcome: flaxshelf.Canceled, Final: true})
+		case flaxshelf.Migrate:
 			last := len(c.out[a.Task]) - 1
-			c.after(decisionStep, flaxshelf.Ended{Task: a.Task, Machine: c.out[a.Task][last].machine, Attempt: last,
-				Verdict: flaxshelf.Lost, Reason: flaxshelf.SentAway, Done: true, Load: c.load()})
+			c.after(decisionStep, flaxshelf.AttemptEnded{Task: a.Task, Machine: c.out[a.Task][last].machine, Attempt: last,
+				Outcome: flaxshelf.Lost, Reason: flaxshelf.DrainedAway, Final: true, Load: c.load()})
 		case flaxshelf.Subscribe:
-			c.after(decisionStep, flaxshelf.Listed{Whole: true, Machines: c.machines})
-		case flaxshelf.Wake:
-			c.after(a.After, flaxshelf.Woken{})
+			c.after(decisionStep, flaxshelf.MachinesUpdated{Complete: true, Machines: c.machines})
+		case flaxshelf.SetTimer:
+			c.after(a.After, flaxshelf.TimerFired{})
 		}
 	}
 }
@@ -454,26 +454,26 @@
 	n := len(c.out[o.Task])
 	c.out[o.Task] = append(c.out[o.Task], attempt{machine: o.Machine})
 	lag := c.duration(time.Millisecond, 40*time.Millisecond)
-	ended := flaxshelf.Ended{Task: o.Task, Machine: o.Machine, Attempt: n, Lag: lag, Load: c.load()}
+	ended := flaxshelf.AttemptEnded{Task: o.Task, Machine: o.Machine, Attempt: n, Latency: lag, Load: c.load()}
 	switch chance := c.rng.IntN(100); {
 	case chance < 10:
-		ended.Verdict, ended.Reason = flaxshelf.Refused, flaxshelf.NoCores
+		ended.Outcome, ended.Reason = flaxshelf.Rejected, flaxshelf.InsufficientCores
 	case chance < 13:
-		ended.Verdict = flaxshelf.Failed
+		ended.Outcome = flaxshelf.Failed
 	case chance < 16:
-		ended.Verdict, ended.Load = flaxshelf.Unreachable, flaxshelf.Load{}
+		ended.Outcome, ended.Load = flaxshelf.Unreachable, flaxshelf.LoadReport{}
 	case chance < 18:
-		ended.Verdict = flaxshelf.NotSent
+		ended.Outcome = flaxshelf.NotSent
 	case chance < 25:
-		lag, ended.Verdict, ended.Load = o.Timeout, flaxshelf.TimedOut, flaxshelf.Load{}
+		lag, ended.Outcome, ended.Load = o.Timeout, flaxshelf.TimedOut, flaxshelf.LoadReport{}
 	case chance < 29:
 		return // no answer comes
 	default:
-		c.after(lag, flaxshelf.Placed{Task: o.Task, Machine: o.Machine, Attempt: n, Lag: lag})
+		c.after(lag, flaxshelf.AttemptPlaced{Task: o.Task, Machine: o.Machine, Attempt: n, Latency: lag})
 		lag += c.duration(500*time.Millisecond, 4*time.Second)
-		ended.Done = true
+		ended.Final = true
 		if c.rng.IntN(20) == 0 {
-			ended.Verdict, ended.Reason = flaxshelf.Lost, flaxshelf.Evicted
+			ended.Outcome, ended.Reason = flaxshelf.Lost, flaxshelf.Evicted
 		}
 	}
 	c.after(lag, ended)
@@ -482,7 +482,7 @@
 // decisionConfig leaves out the spread rules and the kinds, so that most tasks find a machine.
 func decisionConfig() flaxshelf.Config {
 	cfg := storedConfig()
-	cfg.Index, cfg.RunsWhenPlaced, cfg.SecondCopies, cfg.Zone = 0, false, false, "a"
+	cfg.Index, cfg.PlacedWhenRunning, cfg.HedgedRequests, cfg.Zone = 0, false, false, "a"
 	for i := range cfg.Classes {
 		cfg.Classes[i].Kind = -1
 	}
--- a/internal/replay/record_test.go
+++ b/internal/replay/record_test.go
@@ -179,16 +179,16 @@
 		what    string
 		numbers []int
 	}{
-		{"Effect", []int{int(flaxshelf.Safe), int(flaxshelf.Keyed), int(flaxshelf.Unsafe)}},
-		{"Extent", []int{int(flaxshelf.Nowhere), int(flaxshelf.OnMachine), int(flaxshelf.InCell), int(flaxshelf.InZone),
-			int(flaxshelf.Everywhere)}},
-		{"State", []int{int(flaxshelf.In), int(flaxshelf.Draining), int(flaxshelf.Out)}},
-		{"Verdict", []int{int(flaxshelf.Finished), int(flaxshelf.Failed), int(flaxshelf.Refused), int(flaxshelf.TimedOut),
-			int(flaxshelf.Unreachable), int(flaxshelf.Lost), int(flaxshelf.Withdrawn), int(flaxshelf.NotSent)}},
-		{"Reason", []int{int(flaxshelf.Untold), int(flaxshelf.NoCores), int(flaxshelf.NoMemory), int(flaxshelf.TooManyWait),
-			int(flaxshelf.NotHere), int(flaxshelf.Evicted), int(flaxshelf.PushedOut), int(flaxshelf.SentAway)}},
-		{"NoteKind from 1", []int{int(flaxshelf.Runs) - 1, int(flaxshelf.CoresUsed) - 1, int(flaxshelf.MemoryUsed) - 1,
-			int(flaxshelf.Served) - 1, int(flaxshelf.MemoryShort) - 1}},
+		{"Effect", []int{int(flaxshelf.Idempotent), int(flaxshelf.IdempotentByKey), int(flaxshelf.NonIdempotent)}},
+		{"Extent", []int{int(flaxshelf.NoDomain), int(flaxshelf.MachineDomain), int(flaxshelf.CellDomain), int(flaxshelf.ZoneDomain),
+			int(flaxshelf.FleetDomain)}},
+		{"State", []int{int(flaxshelf.Active), int(flaxshelf.Draining), int(flaxshelf.Removed)}},
+		{"Verdict", []int{int(flaxshelf.Completed), int(flaxshelf.Failed), int(flaxshelf.Rejected), int(flaxshelf.TimedOut),
+			int(flaxshelf.Unreachable), int(flaxshelf.Lost), int(flaxshelf.Canceled), int(flaxshelf.NotSent)}},
+		{"Reason", []int{int(flaxshelf.UnspecifiedReason), int(flaxshelf.InsufficientCores), int(flaxshelf.InsufficientMemory), int(flaxshelf.QueueFull),
+			int(flaxshelf.UnsupportedTask), int(flaxshelf.Evicted), int(flaxshelf.Preempted), int(flaxshelf.DrainedAway)}},
+		{"NoteKind from 1", []int{int(flaxshelf.TaskRunning) - 1, int(flaxshelf.CoresUsed) - 1, int(flaxshelf.MemoryUsed) - 1,
+			int(flaxshelf.ServiceLevel) - 1, int(flaxshelf.MemoryPressure) - 1}},
 	} {
 		for want, got := range c.numbers {
 			if got != want {
@@ -296,8 +296,8 @@
 		events  []flaxshelf.Event
 		actions []flaxshelf.Action
 	}{
-		{fmt.Sprintf("%T", &flaxshelf.Gone{}), []flaxshelf.Event{&flaxshelf.Gone{}}, nil},
-		{fmt.Sprintf("%T", &flaxshelf.Wake{}), nil, []flaxshelf.Action{&flaxshelf.Wake{}}},
+		{fmt.Sprintf("%T", &flaxshelf.TaskCanceled{}), []flaxshelf.Event{&flaxshelf.TaskCanceled{}}, nil},
+		{fmt.Sprintf("%T", &flaxshelf.SetTimer{}), nil, []flaxshelf.Action{&flaxshelf.SetTimer{}}},
 		{"<nil>", []flaxshelf.Event{nil}, nil},
 	} {
 		w, err := Create(filepath.Join(t.TempDir(), "recording"), flaxshelf.Config{}, 1)
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -11,7 +11,7 @@
 
 func record(t testing.TB, change func(actions []flaxshelf.Action) []flaxshelf.Action) []byte {
 	cfg := flaxshelf.Config{Kinds: []flaxshelf.Kind{{Name: "k", Cores: 8, Memory: 8}},
-		Classes: []flaxshelf.Class{{Name: "c", Aim: time.Second, Kind: -1}}}
+		Classes: []flaxshelf.Class{{Name: "c", LatencyObjective: time.Second, Kind: -1}}}
 	p, err := flaxshelf.New(cfg, 3)
 	if err != nil {
 		t.Fatal(err)
@@ -23,10 +23,10 @@
 	}
 	for i := range 20 {
 		now := time.Duration(i+1) * time.Second
-		events := []flaxshelf.Event{flaxshelf.Place{Task: flaxshelf.Task{ID: string(rune('a' + i)), Cores: 1, Memory: 1,
-			ValidUntil: now + time.Second}}}
+		events := []flaxshelf.Event{flaxshelf.TaskSubmitted{Task: flaxshelf.Task{ID: string(rune('a' + i)), Cores: 1, Memory: 1,
+			Deadline: now + time.Second}}}
 		if i == 0 {
-			events = append([]flaxshelf.Event{flaxshelf.Listed{Whole: true, Machines: []flaxshelf.Machine{{ID: "m1"},
+			events = append([]flaxshelf.Event{flaxshelf.MachinesUpdated{Complete: true, Machines: []flaxshelf.Machine{{ID: "m1"},
 				{ID: "m2"}, {ID: "m3"}, {ID: "m4"}}}}, events...)
 		}
 		actions := p.Step(now, events)
@@ -61,7 +61,7 @@
 			}
 			return a
 		},
-		"one more": func(a []flaxshelf.Action) []flaxshelf.Action { return append(a, flaxshelf.Refuse{Task: "z"}) },
+		"one more": func(a []flaxshelf.Action) []flaxshelf.Action { return append(a, flaxshelf.Reject{Task: "z"}) },
 	} {
 		if _, err := Check(bytes.NewReader(record(t, change))); err == nil || !strings.Contains(err.Error(), "step 11") {
 			t.Errorf("%s: %v", name, err)
--- a/internal/requests/attempt.go
+++ b/internal/requests/attempt.go
@@ -44,12 +44,12 @@
 	t.attempts++
 	t.live, n.live[t.id] = a, a
 	c.figures.Offers++
-	left := t.spec.ValidUntil - c.now
+	left := t.spec.Deadline - c.now
 	if a.limit <= 0 || a.limit > left {
 		a.limit = left
 	}
-	if a.limit <= 0 || n.entry.State != flaxshelf.In {
-		c.end(a, flaxshelf.NotSent, flaxshelf.Untold)
+	if a.limit <= 0 || n.entry.State != flaxshelf.Active {
+		c.end(a, flaxshelf.NotSent, flaxshelf.UnspecifiedReason)
 		return
 	}
 	// Risk covered: what the node says of an attempt that was given up there names the task alone, and would be taken for the
@@ -62,7 +62,7 @@
 		return
 	}
 	wait := min(a.limit, max(c.cfg.Module.ConnectTimeout, time.Millisecond))
-	a.timer = c.timers.After(c.now+wait, func() { c.end(a, flaxshelf.Unreachable, flaxshelf.Untold) })
+	a.timer = c.timers.After(c.now+wait, func() { c.end(a, flaxshelf.Unreachable, flaxshelf.UnspecifiedReason) })
 	c.timers.Cancel(n.redial) // what is asked now need not wait with the others
 	c.keepLink(n)
 }
@@ -72,7 +72,7 @@
 	c.timers.Cancel(a.timer)
 	left := a.sent + a.limit - c.now
 	if left <= 0 {
-		c.end(a, flaxshelf.NotSent, flaxshelf.Untold)
+		c.end(a, flaxshelf.NotSent, flaxshelf.UnspecifiedReason)
 		return
 	}
 	t := a.task
@@ -92,18 +92,18 @@
 	if l.heardAt < a.sent {
 		c.suspect(l)
 	}
-	c.end(a, flaxshelf.TimedOut, flaxshelf.Untold)
+	c.end(a, flaxshelf.TimedOut, flaxshelf.UnspecifiedReason)
 }
 
 // withdraw gives an attempt up before its answer.
 func (c *Core) withdraw(a *attempt) {
 	if a.phase == connecting {
-		c.end(a, flaxshelf.NotSent, flaxshelf.Untold)
+		c.end(a, flaxshelf.NotSent, flaxshelf.UnspecifiedReason)
 		return
 	}
 	if a.phase == offered {
 		c.emit(Cut{a.link.id, a.task.id, CauseGivenUp})
-		c.end(a, flaxshelf.Withdrawn, flaxshelf.Untold)
+		c.end(a, flaxshelf.Canceled, flaxshelf.UnspecifiedReason)
 	}
 }
 
@@ -134,7 +134,7 @@
 // link comes up, or the node counts as gone.
 func (c *Core) ended(a *attempt) {
 	if a.reached || a.cutAt > 0 && a.node.heardAt > a.cutAt {
-		c.end(a, flaxshelf.Withdrawn, flaxshelf.Untold)
+		c.end(a, flaxshelf.Canceled, flaxshelf.UnspecifiedReason)
 		return
 	}
 	a.timer = c.timers.After(c.now+endWithin, func() { c.ended(a) })
@@ -177,11 +177,11 @@
 		c.over(a, in)
 	case SaysReleased:
 		if a != nil && a.phase == ending {
-			c.end(a, flaxshelf.Withdrawn, flaxshelf.Untold)
+			c.end(a, flaxshelf.Canceled, flaxshelf.UnspecifiedReason)
 		}
 	case SaysNote:
 		if a != nil && a.phase == standing {
-			c.tell(flaxshelf.Note{Task: in.Task, Machine: l.node.entry.ID, Attempt: a.n, Kind: in.Kind, Amount: in.Amount})
+			c.tell(flaxshelf.UsageReport{Task: in.Task, Machine: l.node.entry.ID, Attempt: a.n, Kind: in.Kind, Amount: in.Amount})
 		}
 	}
 }
@@ -198,7 +198,7 @@
 	c.figures.Placed++
 	c.emit(Answer{t.conn, t.id, detail})
 	c.showed(t.conn)
-	c.tell(flaxshelf.Placed{Task: t.id, Machine: a.node.entry.ID, Attempt: a.n, Lag: c.now - a.sent})
+	c.tell(flaxshelf.AttemptPlaced{Task: t.id, Machine: a.node.entry.ID, Attempt: a.n, Latency: c.now - a.sent})
 }
 
 // over is a node's release.
@@ -211,7 +211,7 @@
 		v := flaxshelf.Lost
 		switch in.Cause {
 		case CauseFull:
-			v = flaxshelf.Refused
+			v = flaxshelf.Rejected
 		case CauseError:
 			v = flaxshelf.Failed
 		case CauseMoot:
@@ -222,9 +222,9 @@
 		v := flaxshelf.Lost
 		switch in.Cause {
 		case CauseGivenUp:
-			v = flaxshelf.Finished
+			v = flaxshelf.Completed
 		case CauseCancelled:
-			v = flaxshelf.Withdrawn
+			v = flaxshelf.Canceled
 		}
 		if in.Cause != CauseCancelled {
 			c.say(a.task, in.Cause)
@@ -232,9 +232,9 @@
 		c.countEnd(v, in.Reason)
 		c.end(a, v, in.Reason)
 	case ending:
-		v := flaxshelf.Withdrawn
+		v := flaxshelf.Canceled
 		if in.Cause == CauseGivenUp {
-			v = flaxshelf.Finished
+			v = flaxshelf.Completed
 		}
 		c.end(a, v, in.Reason)
 	}
@@ -245,11 +245,11 @@
 	if a.phase == standing {
 		c.say(a.task, CauseReset)
 	}
-	c.end(a, flaxshelf.Lost, flaxshelf.Untold)
+	c.end(a, flaxshelf.Lost, flaxshelf.UnspecifiedReason)
 }
 
 // end tells the module how an attempt ended, once.
-func (c *Core) end(a *attempt, v flaxshelf.Verdict, r flaxshelf.Reason) {
+func (c *Core) end(a *attempt, v flaxshelf.Outcome, r flaxshelf.Reason) {
 	if a.phase == over {
 		return
 	}
@@ -275,29 +275,29 @@
 	}
 	delete(a.node.live, t.id)
 	t.live = nil
-	c.tell(flaxshelf.Ended{Task: t.id, Machine: a.node.entry.ID, Attempt: a.n, Verdict: v, Reason: r,
-		Done: was >= standing, Lag: c.now - a.sent})
+	c.tell(flaxshelf.AttemptEnded{Task: t.id, Machine: a.node.entry.ID, Attempt: a.n, Outcome: v, Reason: r,
+		Final: was >= standing, Latency: c.now - a.sent})
 	c.forget(t)
 	c.letGo(a.node)
 }
 
 // countEnd counts why a standing task ended by its node's word.
-func (c *Core) countEnd(v flaxshelf.Verdict, r flaxshelf.Reason) {
+func (c *Core) countEnd(v flaxshelf.Outcome, r flaxshelf.Reason) {
 	switch {
-	case v == flaxshelf.Finished:
+	case v == flaxshelf.Completed:
 		c.figures.Finished++
 	case v == flaxshelf.Lost && r == flaxshelf.Evicted:
 		c.figures.Evicted++
-	case v == flaxshelf.Lost && r == flaxshelf.PushedOut:
+	case v == flaxshelf.Lost && r == flaxshelf.Preempted:
 		c.figures.PushedOut++
 	case v == flaxshelf.Lost:
 		c.figures.CutByNode++
 	}
 }
 
-func (c *Core) count(v flaxshelf.Verdict) {
+func (c *Core) count(v flaxshelf.Outcome) {
 	switch v {
-	case flaxshelf.Refused:
+	case flaxshelf.Rejected:
 		c.figures.FullOffers++
 	case flaxshelf.Failed:
 		c.figures.ErrorOffers++
--- a/internal/requests/core.go
+++ b/internal/requests/core.go
@@ -84,7 +84,7 @@
 	for range rounds {
 		if c.wakeAt > 0 && c.wakeAt <= c.now {
 			c.wakeAt = 0
-			c.tell(flaxshelf.Woken{})
+			c.tell(flaxshelf.TimerFired{})
 		}
 		if len(c.events) == 0 {
 			break
@@ -147,13 +147,13 @@
 		c.heard(in)
 	case Unsent:
 		if a := c.attemptOn(in.Link, in.Task); a != nil && a.phase == offered && a.n == in.Attempt {
-			c.end(a, flaxshelf.NotSent, flaxshelf.Untold)
+			c.end(a, flaxshelf.NotSent, flaxshelf.UnspecifiedReason)
 		}
 	case Listed:
 		c.listed(in)
 	case FeedUp:
 		c.feed.fails = 0
-		c.tell(flaxshelf.Listed{})
+		c.tell(flaxshelf.MachinesUpdated{})
 	case FeedDown:
 		c.feedDown()
 	case Stop:
@@ -165,20 +165,20 @@
 	switch a := a.(type) {
 	case flaxshelf.Offer:
 		c.offer(a)
-	case flaxshelf.Withdraw:
+	case flaxshelf.Cancel:
 		if t := c.tasks[a.Task]; t != nil && t.live != nil && t.live.n == a.Attempt && t.live.phase <= offered {
 			c.withdraw(t.live)
 		}
-	case flaxshelf.Refuse:
+	case flaxshelf.Reject:
 		c.answer(a.Task, CauseFull)
 	case flaxshelf.Fail:
 		c.answer(a.Task, CauseReset)
-	case flaxshelf.Move:
+	case flaxshelf.Migrate:
 		if t := c.tasks[a.Task]; t != nil && t.live != nil && t.live.phase == standing {
 			c.sayOver(t, Over{Task: t.id, Move: true})
 			c.endByOwner(t)
 		}
-	case flaxshelf.Wake:
+	case flaxshelf.SetTimer:
 		if at := c.now + a.After; c.wakeAt == 0 || at < c.wakeAt {
 			c.wakeAt = at
 		}
--- a/internal/requests/feed.go
+++ b/internal/requests/feed.go
@@ -27,7 +27,7 @@
 	}
 	c.feed.begun = true
 	c.sweep()
-	if !c.cfg.Module.DiscoveryAsks {
+	if !c.cfg.Module.DiscoveryOnRequest {
 		c.emit(Subscribe{})
 	}
 }
@@ -35,8 +35,8 @@
 // feedDown calls again after a while, with jitter so that schedulers whose feed broke at one moment don't come back at
 // one moment. What the feed would have told counts as told 2 s after a break: the longest wait is half of that.
 func (c *Core) feedDown() {
-	c.tell(flaxshelf.ListFailed{})
-	if c.cfg.Module.DiscoveryAsks {
+	c.tell(flaxshelf.DiscoveryFailed{})
+	if c.cfg.Module.DiscoveryOnRequest {
 		return
 	}
 	wait := recallMost
--- a/internal/requests/node.go
+++ b/internal/requests/node.go
@@ -44,7 +44,7 @@
 func (c *Core) node(name string) *node {
 	n := c.nodes[name]
 	if n == nil {
-		n = &node{entry: flaxshelf.Machine{ID: name, Kind: -1, State: flaxshelf.Out}, live: map[string]*attempt{},
+		n = &node{entry: flaxshelf.Machine{ID: name, Kind: -1, State: flaxshelf.Removed}, live: map[string]*attempt{},
 			heardAt: c.now}
 		c.nodes[name] = n
 	}
@@ -63,7 +63,7 @@
 
 // wanted tells whether a link to the node is of use.
 func (n *node) wanted() bool {
-	return n.addr != "" && (n.entry.State != flaxshelf.Out || len(n.live) > 0)
+	return n.addr != "" && (n.entry.State != flaxshelf.Removed || len(n.live) > 0)
 }
 
 // keepLink dials where no link is there or on its way, and none is waited with.
@@ -148,7 +148,7 @@
 	}
 	for _, a := range n.sorted() {
 		if a.phase == offered && a.link == l {
-			c.end(a, flaxshelf.Lost, flaxshelf.Untold)
+			c.end(a, flaxshelf.Lost, flaxshelf.UnspecifiedReason)
 		}
 	}
 }
@@ -183,7 +183,7 @@
 		for _, a := range n.sorted() {
 			switch {
 			case a.phase == connecting:
-				c.end(a, flaxshelf.Unreachable, flaxshelf.Untold)
+				c.end(a, flaxshelf.Unreachable, flaxshelf.UnspecifiedReason)
 			case a.phase >= standing && dead:
 				c.figures.CutByDeath++
 				c.lose(a)
@@ -270,7 +270,7 @@
 	}
 	for _, a := range n.sorted() {
 		if a.phase == connecting {
-			c.end(a, flaxshelf.Unreachable, flaxshelf.Untold)
+			c.end(a, flaxshelf.Unreachable, flaxshelf.UnspecifiedReason)
 		}
 	}
 }
@@ -284,7 +284,7 @@
 	for _, l := range c.linksOf(n) {
 		c.hang(l)
 	}
-	if n.entry.State == flaxshelf.Out && c.nodes[n.entry.ID] == n {
+	if n.entry.State == flaxshelf.Removed && c.nodes[n.entry.ID] == n {
 		delete(c.nodes, n.entry.ID)
 	}
 }
@@ -302,12 +302,12 @@
 
 // listed takes the feed's word. It reaches the module in this step, before anything that the module decides in it.
 func (c *Core) listed(in Listed) {
-	c.tell(flaxshelf.Listed{Machines: in.Machines, Whole: in.Whole, Stale: in.Known})
+	c.tell(flaxshelf.MachinesUpdated{Machines: in.Machines, Complete: in.Whole, Stale: in.Known})
 	named := map[string]bool{}
 	for i, m := range in.Machines {
 		named[m.ID] = true
 		n := c.node(m.ID)
-		restarted := n.listed && m.Started > n.entry.Started && m.State != flaxshelf.Out
+		restarted := n.listed && m.Started > n.entry.Started && m.State != flaxshelf.Removed
 		moved := n.addr != in.Addrs[i] && in.Addrs[i] != ""
 		n.entry, n.listed = m, true
 		if moved {
@@ -323,8 +323,8 @@
 	}
 	if in.Whole {
 		for _, n := range c.sortedNodes() {
-			if !named[n.entry.ID] && n.entry.State != flaxshelf.Out {
-				n.entry.State = flaxshelf.Out
+			if !named[n.entry.ID] && n.entry.State != flaxshelf.Removed {
+				n.entry.State = flaxshelf.Removed
 				c.standingOf(n)
 			}
 		}
@@ -336,7 +336,7 @@
 func (c *Core) replaced(in Listed) {
 	at := make(map[string]string, len(in.Machines)) // who is at an address by this word
 	for i, m := range in.Machines {
-		if m.State != flaxshelf.Out && in.Addrs[i] != "" {
+		if m.State != flaxshelf.Removed && in.Addrs[i] != "" {
 			at[in.Addrs[i]] = m.ID
 		}
 	}
@@ -369,14 +369,14 @@
 // standingOf acts on what the list says of n. Offers that still wait for a link are given up when the node drains: the
 // word has come before the send.
 func (c *Core) standingOf(n *node) {
-	if n.entry.State != flaxshelf.In {
+	if n.entry.State != flaxshelf.Active {
 		for _, a := range n.sorted() {
 			if a.phase == connecting {
-				c.end(a, flaxshelf.NotSent, flaxshelf.Untold)
+				c.end(a, flaxshelf.NotSent, flaxshelf.UnspecifiedReason)
 			}
 		}
 	}
-	if n.entry.State == flaxshelf.Out {
+	if n.entry.State == flaxshelf.Removed {
 		c.gone(n)
 		return
 	}
@@ -391,6 +391,6 @@
 		}
 		c.lose(a)
 	}
-	n.entry.State = flaxshelf.Out
+	n.entry.State = flaxshelf.Removed
 	c.letGo(n)
 }
--- a/internal/requests/owner.go
+++ b/internal/requests/owner.go
@@ -78,7 +78,7 @@
 	c.tasks[t.id] = t
 	o.add(t)
 	c.figures.Open++
-	c.tell(flaxshelf.Place{Task: t.spec})
+	c.tell(flaxshelf.TaskSubmitted{Task: t.spec})
 }
 
 // held takes a task over that a node holds. What the scheduler has already stays as it is.
@@ -109,7 +109,7 @@
 	n.live[t.id] = t.live
 	c.figures.Standing++
 	c.figures.HandedOver++
-	c.tell(flaxshelf.Running{Task: t.spec, Machine: in.Node})
+	c.tell(flaxshelf.TaskAdopted{Task: t.spec, Machine: in.Node})
 	c.keepLink(n)
 }
 
@@ -196,7 +196,7 @@
 func (c *Core) giveUp(t *task) {
 	c.shut(t, false)
 	c.figures.GivenUp++
-	c.tell(flaxshelf.Gone{Task: t.id})
+	c.tell(flaxshelf.TaskCanceled{Task: t.id})
 	if t.live != nil {
 		c.withdraw(t.live)
 	}
--- a/internal/requests/property_test.go
+++ b/internal/requests/property_test.go
@@ -58,8 +58,8 @@
 		conn := c.conns[c.rng.IntN(len(c.conns))]
 		in := c.ask(conn, c.n, c.rng.IntN(2))
 		in.Task.Service = fmt.Sprint("s", c.rng.IntN(4))
-		in.Task.ValidUntil = c.now + time.Second
-		c.asked[id(c.n)] = &asked{conn: conn, until: in.Task.ValidUntil}
+		in.Task.Deadline = c.now + time.Second
+		c.asked[id(c.n)] = &asked{conn: conn, until: in.Task.Deadline}
 		c.say(c.connSource(conn), in)
 	case r < 13 && c.n > 0:
 		conn, t := c.conns[c.rng.IntN(len(c.conns))], id(1+c.rng.IntN(c.n))
@@ -73,7 +73,7 @@
 		c.say(c.connSource(conn), Held{Conn: conn, Node: nodes[c.rng.IntN(len(nodes))], Task: c.ask(conn, 1_000_000+c.rng.IntN(50), 0).Task})
 	case r < 16:
 		name := nodes[c.rng.IntN(len(nodes))]
-		m := machine(name, []flaxshelf.State{flaxshelf.In, flaxshelf.In, flaxshelf.Draining, flaxshelf.Out}[c.rng.IntN(4)], 0)
+		m := machine(name, []flaxshelf.MachineState{flaxshelf.Active, flaxshelf.Active, flaxshelf.Draining, flaxshelf.Removed}[c.rng.IntN(4)], 0)
 		c.say("feed", Listed{Machines: []flaxshelf.Machine{m}, Addrs: []string{name}})
 	case r < 17 && len(c.links) > 0:
 		for _, l := range c.sortedLinks() {
@@ -123,7 +123,7 @@
 	source := c.linkSource(link)
 	switch c.rng.IntN(8) {
 	case 0:
-		c.say(source, Heard{Link: link, Say: SaysRelease, Task: task, Cause: CauseFull, Reason: flaxshelf.NoCores})
+		c.say(source, Heard{Link: link, Say: SaysRelease, Task: task, Cause: CauseFull, Reason: flaxshelf.InsufficientCores})
 	case 1:
 		c.say(source, Heard{Link: link, Say: SaysRelease, Task: task, Cause: CauseError})
 	case 2: // never
@@ -135,7 +135,7 @@
 			c.say(source, Heard{Link: link, Say: SaysAnswer, Task: task, Description: "again"})
 		}
 		for range c.rng.IntN(3) {
-			c.say(source, Heard{Link: link, Say: SaysNote, Task: task, Kind: flaxshelf.Served, Amount: c.rng.Float64()})
+			c.say(source, Heard{Link: link, Say: SaysNote, Task: task, Kind: flaxshelf.ServiceLevel, Amount: c.rng.Float64()})
 		}
 		if c.rng.IntN(2) == 0 {
 			c.say(source, Heard{Link: link, Say: SaysRelease, Task: task, Cause: CauseGivenUp})
@@ -221,7 +221,7 @@
 			}
 		case Listed:
 			for _, m := range i.Machines {
-				before["drain"+m.ID] = m.State != flaxshelf.In
+				before["drain"+m.ID] = m.State != flaxshelf.Active
 			}
 		}
 	}
@@ -241,12 +241,12 @@
 			asked: map[string]*asked{}}
 		nodes, before := []string{"n0", "n1", "n2", "n3", "n4"}, map[string]bool{}
 		for _, n := range nodes {
-			c.say("feed", Listed{Machines: []flaxshelf.Machine{machine(n, flaxshelf.In, 0)}, Addrs: []string{n}})
+			c.say("feed", Listed{Machines: []flaxshelf.Machine{machine(n, flaxshelf.Active, 0)}, Addrs: []string{n}})
 		}
 		step := func() {
 			in := c.hears()
 			for _, i := range in { // what allows more counts in this step, what forbids from the next on
-				if l, ok := i.(Listed); ok && l.Machines[0].State == flaxshelf.In {
+				if l, ok := i.(Listed); ok && l.Machines[0].State == flaxshelf.Active {
 					before["drain"+l.Machines[0].ID] = false
 				}
 			}
@@ -286,7 +286,7 @@
 		c.say(c.connSource(conn), Closed{conn})
 	}
 	for _, n := range nodes {
-		c.say("feed", Listed{Machines: []flaxshelf.Machine{machine(n, flaxshelf.Out, 0)}, Addrs: []string{n}})
+		c.say("feed", Listed{Machines: []flaxshelf.Machine{machine(n, flaxshelf.Removed, 0)}, Addrs: []string{n}})
 	}
 	for range 400 {
 		step()
--- a/internal/requests/requests_test.go
+++ b/internal/requests/requests_test.go
@@ -20,8 +20,8 @@
 	w.pass(time.Second)
 	one[Subscribe](w)
 
-	w = newWorld(t, func(c *Config) { c.Module.DiscoveryAsks = true })
-	w.step(Listed{Machines: []flaxshelf.Machine{machine("n", flaxshelf.In, 0)}, Addrs: []string{"n"}, Whole: true, Known: true})
+	w = newWorld(t, func(c *Config) { c.Module.DiscoveryOnRequest = true })
+	w.step(Listed{Machines: []flaxshelf.Machine{machine("n", flaxshelf.Active, 0)}, Addrs: []string{"n"}, Whole: true, Known: true})
 	one[Subscribe](w)
 	w.step(FeedUp{})
 	w.pass(time.Minute)
@@ -61,16 +61,16 @@
 
 // A node's refusal before the answer goes to the module as what it proves; the owner hears once, at once.
 func TestOutcomes(t *testing.T) {
-	for cause, want := range map[int]flaxshelf.Verdict{CauseFull: flaxshelf.Refused, CauseError: flaxshelf.Failed,
+	for cause, want := range map[int]flaxshelf.Outcome{CauseFull: flaxshelf.Rejected, CauseError: flaxshelf.Failed,
 		CauseMoot: flaxshelf.NotSent, CauseReset: flaxshelf.Lost, 99: flaxshelf.Lost} {
 		w := newWorld(t)
 		w.step(Opened{Conn: 1, Host: "h"})
 		w.nodes("a", "b")
 		w.step(w.ask(1, 7, 0))
 		o := one[Offer](w)
-		w.step(Heard{Link: o.Link, Say: SaysRelease, Task: id(7), Cause: cause, Reason: flaxshelf.NoCores})
-		e := told[flaxshelf.Ended](w)
-		if len(e) != 1 || e[0].Verdict != want || e[0].Machine != o.Node || e[0].Reason != flaxshelf.NoCores || e[0].Done {
+		w.step(Heard{Link: o.Link, Say: SaysRelease, Task: id(7), Cause: cause, Reason: flaxshelf.InsufficientCores})
+		e := told[flaxshelf.AttemptEnded](w)
+		if len(e) != 1 || e[0].Outcome != want || e[0].Machine != o.Node || e[0].Reason != flaxshelf.InsufficientCores || e[0].Final {
 			t.Errorf("cause %d: %+v", cause, e)
 		}
 		none[Over](w)
@@ -141,7 +141,7 @@
 		}
 		w.step(Heard{Link: o.Link, Say: SaysRelease, Task: id(7), Cause: CauseCancelled})
 		none[Over](w)
-		if e := told[flaxshelf.Ended](w); len(e) != 1 || e[0].Verdict != flaxshelf.Withdrawn || !e[0].Done {
+		if e := told[flaxshelf.AttemptEnded](w); len(e) != 1 || e[0].Outcome != flaxshelf.Canceled || !e[0].Final {
 			t.Errorf("%+v", e)
 		}
 	}
@@ -172,7 +172,7 @@
 	w.step(h)
 	none[Answer](w)
 	w.step(h)
-	if r := told[flaxshelf.Running](w); len(r) != 1 || r[0].Machine != "n" {
+	if r := told[flaxshelf.TaskAdopted](w); len(r) != 1 || r[0].Machine != "n" {
 		t.Errorf("%+v", r)
 	}
 	w.step(Heard{Link: w.up["n"], Say: SaysRelease, Task: id(7), Cause: CauseReset, Reason: flaxshelf.Evicted})
@@ -208,7 +208,7 @@
 	o := w.place(1, 7, 0)
 	for range 3 {
 		w.now += time.Second
-		w.step(Heard{Link: o.Link, Say: SaysNote, Task: id(7), Kind: flaxshelf.Served, Amount: 0.1})
+		w.step(Heard{Link: o.Link, Say: SaysNote, Task: id(7), Kind: flaxshelf.ServiceLevel, Amount: 0.1})
 		if len(find[Over](w)) > 0 {
 			break
 		}
@@ -221,7 +221,7 @@
 	}
 	w.step(Heard{Link: o.Link, Say: SaysRelease, Task: id(7), Cause: CauseCancelled})
 	none[Over](w)
-	if e := told[flaxshelf.Ended](w); len(e) != 1 || e[0].Verdict != flaxshelf.Withdrawn {
+	if e := told[flaxshelf.AttemptEnded](w); len(e) != 1 || e[0].Outcome != flaxshelf.Canceled {
 		t.Errorf("%+v", e)
 	}
 }
@@ -338,7 +338,7 @@
 	first := w.place(1, 7, 0)
 	w.step(w.ask(1, 8, 1))
 	w.step(Down{Link: first.Link})
-	if e := told[flaxshelf.Ended](w); len(e) != 1 || e[0].Task != id(8) || e[0].Verdict != flaxshelf.Lost {
+	if e := told[flaxshelf.AttemptEnded](w); len(e) != 1 || e[0].Task != id(8) || e[0].Outcome != flaxshelf.Lost {
 		t.Errorf("%+v", e)
 	}
 	d := one[Dial](w)
@@ -362,8 +362,8 @@
 		w.step(w.ask(1, 8, 0))
 		none[Offer](w)
 		w.step(Down{Link: d.Link, Refused: refused})
-		e := told[flaxshelf.Ended](w)
-		if len(e) == 0 || e[0].Verdict == flaxshelf.Lost && e[0].Task == id(8) {
+		e := told[flaxshelf.AttemptEnded](w)
+		if len(e) == 0 || e[0].Outcome == flaxshelf.Lost && e[0].Task == id(8) {
 			t.Fatalf("%+v", e)
 		}
 		if refused {
@@ -410,7 +410,7 @@
 		none[Over](w)
 		none[Hang](w)
 	}
-	w.step(Heard{Link: o.Link, Say: SaysNote, Task: id(7), Kind: flaxshelf.Served, Amount: 1})
+	w.step(Heard{Link: o.Link, Say: SaysNote, Task: id(7), Kind: flaxshelf.ServiceLevel, Amount: 1})
 	w.step(Down{Link: o.Link})
 	w.step(Down{Link: one[Dial](w).Link, Refused: true})
 	if e := one[Over](w); e.Task != id(7) {
@@ -433,7 +433,7 @@
 		none[Over](w)
 		d = one[Dial](w)
 	}
-	w.list(flaxshelf.Out, "n")
+	w.list(flaxshelf.Removed, "n")
 	if e := one[Over](w); e.Task != id(7) {
 		t.Errorf("%+v", e)
 	}
@@ -458,7 +458,7 @@
 		t.Errorf("offered on link %d, want %d", o.Link, d.Link)
 	}
 	w.step(Down{Link: w.up["n"]})
-	if e := told[flaxshelf.Ended](w); len(e) != 1 {
+	if e := told[flaxshelf.AttemptEnded](w); len(e) != 1 {
 		t.Errorf("%+v", e)
 	}
 	w.step(Heard{Link: d.Link, Say: SaysAnswer, Task: id(8), Description: "d"})
@@ -471,7 +471,7 @@
 	w.step(Opened{Conn: 1, Host: "h"})
 	w.nodes("old@x")
 	w.place(1, 7, 0)
-	w.list(flaxshelf.In, "new@x")
+	w.list(flaxshelf.Active, "new@x")
 	if e := one[Over](w); e.Task != id(7) {
 		t.Errorf("%+v", e)
 	}
@@ -491,14 +491,14 @@
 func TestDrainBeforeWrite(t *testing.T) {
 	w := newWorld(t)
 	w.step(Opened{Conn: 1, Host: "h"})
-	w.list(flaxshelf.In, "n")
+	w.list(flaxshelf.Active, "n")
 	d := one[Dial](w)
 	w.step(w.ask(1, 7, 0))
 	none[Offer](w)
 	w.list(flaxshelf.Draining, "n")
 	w.step(Up{d.Link})
 	none[Offer](w)
-	if e := told[flaxshelf.Ended](w); len(e) == 0 || e[0].Verdict != flaxshelf.NotSent {
+	if e := told[flaxshelf.AttemptEnded](w); len(e) == 0 || e[0].Outcome != flaxshelf.NotSent {
 		t.Errorf("%+v", e)
 	}
 }
@@ -510,7 +510,7 @@
 	w.nodes("n")
 	w.place(1, 7, 0)
 	w.now += time.Second
-	w.step(Listed{Machines: []flaxshelf.Machine{machine("n", flaxshelf.In, w.now)}, Addrs: []string{"n"}})
+	w.step(Listed{Machines: []flaxshelf.Machine{machine("n", flaxshelf.Active, w.now)}, Addrs: []string{"n"}})
 	if e := one[Over](w); e.Task != id(7) || e.Cause != CauseReset {
 		t.Errorf("%+v", e)
 	}
@@ -638,7 +638,7 @@
 	half := func() uint64 {
 		for round := range 2000 {
 			name := "n" + id(n+round)
-			effects, _ := w.c.Step(w.now, []Input{Listed{Machines: []flaxshelf.Machine{machine(name, flaxshelf.In, 0)}, Addrs: []string{"x"}}})
+			effects, _ := w.c.Step(w.now, []Input{Listed{Machines: []flaxshelf.Machine{machine(name, flaxshelf.Active, 0)}, Addrs: []string{"x"}}})
 			for _, e := range append([]Effect(nil), effects...) {
 				if d, ok := e.(Dial); ok {
 					w.c.Step(w.now, []Input{Up{d.Link}})
@@ -655,7 +655,7 @@
 				}
 				w.now += 200 * time.Millisecond
 			}
-			w.c.Step(w.now, []Input{Listed{Machines: []flaxshelf.Machine{machine(name, flaxshelf.Out, 0)}, Addrs: []string{"x"}}})
+			w.c.Step(w.now, []Input{Listed{Machines: []flaxshelf.Machine{machine(name, flaxshelf.Removed, 0)}, Addrs: []string{"x"}}})
 		}
 		runtime.GC()
 		var m runtime.MemStats
@@ -685,7 +685,7 @@
 		w.step(Opened{Conn: 1, Host: "h"})
 		w.nodes("n")
 		w.step(w.ask(1, 7, 0), w.ask(1, 8, 0), w.ask(1, 9, 0))
-		if e := one[Over](w); e != (Over{1, id(9), CauseFull, false}) || len(told[flaxshelf.Place](w)) != 2 {
+		if e := one[Over](w); e != (Over{1, id(9), CauseFull, false}) || len(told[flaxshelf.TaskSubmitted](w)) != 2 {
 			t.Errorf("%s: %+v", name, e)
 		}
 	}
@@ -779,7 +779,7 @@
 	for i := range nodes {
 		names = append(names, fmt.Sprintf("n%02d", i))
 	}
-	w.list(flaxshelf.In, names...)
+	w.list(flaxshelf.Active, names...)
 	open, seen := map[Link]string{}, map[string]Time{}
 	follow := func() {
 		for len(w.out) > 0 {
@@ -845,7 +845,7 @@
 func TestLinkComesUpLate(t *testing.T) {
 	w := newWorld(t)
 	w.step(Opened{Conn: 1, Host: "h"})
-	w.list(flaxshelf.In, "n1", "n2")
+	w.list(flaxshelf.Active, "n1", "n2")
 	dials := find[Dial](w)
 	w.step(w.ask(1, 7, 0))
 	none[Offer](w)
@@ -871,7 +871,7 @@
 	w := newWorld(t)
 	w.step(Opened{Conn: 1, Host: "h"}, Tested{1, id(1)})
 	w.nodes("old@a")
-	w.list(flaxshelf.In, "new@a")
+	w.list(flaxshelf.Active, "new@a")
 	for _, d := range find[Dial](w) {
 		w.step(Up{d.Link})
 	}
--- a/internal/requests/script_test.go
+++ b/internal/requests/script_test.go
@@ -24,13 +24,13 @@
 
 func settings() flaxshelf.Config {
 	return flaxshelf.Config{
-		Schedulers: 1, Zone: "a", MaxAttempts: 3, CanWithdraw: true, Tick: 2 * time.Millisecond,
-		ConnectTimeout: 250 * time.Millisecond, DrainGrace: 2 * time.Second, AcceptCores: 1.5, AcceptMemory: 1.5,
+		Schedulers: 1, Zone: "a", MaxAttempts: 3, CanCancel: true, Tick: 2 * time.Millisecond,
+		ConnectTimeout: 250 * time.Millisecond, DrainGrace: 2 * time.Second, CoreOvercommit: 1.5, MemoryOvercommit: 1.5,
 		Kinds: []flaxshelf.Kind{{Name: "k", Cores: 32, Memory: 64}},
 		Classes: []flaxshelf.Class{
-			{Name: "safe", Effect: flaxshelf.Safe, Aim: 600 * time.Millisecond, Worth: 1, Kind: -1},
-			{Name: "keyed", Effect: flaxshelf.Keyed, Group: flaxshelf.InZone, Window: 5 * time.Second,
-				Aim: 600 * time.Millisecond, Worth: 1, Kind: -1},
+			{Name: "safe", Idempotency: flaxshelf.Idempotent, LatencyObjective: 600 * time.Millisecond, PriorityWeight: 1, Kind: -1},
+			{Name: "keyed", Idempotency: flaxshelf.IdempotentByKey, KeyDomain: flaxshelf.ZoneDomain, KeyTTL: 5 * time.Second,
+				LatencyObjective: 600 * time.Millisecond, PriorityWeight: 1, Kind: -1},
 		},
 	}
 }
@@ -78,12 +78,12 @@
 	w.all = append(w.all, all...)
 }
 
-func machine(name string, state flaxshelf.State, started Time) flaxshelf.Machine {
+func machine(name string, state flaxshelf.MachineState, started Time) flaxshelf.Machine {
 	return flaxshelf.Machine{ID: name, Zone: "a", State: state, Started: started}
 }
 
 // list tells of nodes: name, or name@address, all at the address of their name else.
-func (w *world) list(state flaxshelf.State, names ...string) {
+func (w *world) list(state flaxshelf.MachineState, names ...string) {
 	w.t.Helper()
 	var in Listed
 	for _, n := range names {
@@ -99,7 +99,7 @@
 // nodes lists nodes that are in service and brings up their links.
 func (w *world) nodes(names ...string) {
 	w.t.Helper()
-	w.list(flaxshelf.In, names...)
+	w.list(flaxshelf.Active, names...)
 	dials := find[Dial](w)
 	for _, d := range dials {
 		w.up[d.Node] = d.Link
@@ -112,7 +112,7 @@
 func (w *world) ask(conn Conn, n int, class int) SetUp {
 	return SetUp{Conn: conn, Class: "c", Idem: "idem", Description: "owner's",
 		Task: flaxshelf.Task{ID: id(n), Key: "k" + id(n), Service: "s", Class: class, Tenant: -1, Cores: 1, Memory: 1,
-			ValidUntil: w.now + 4*time.Second}}
+			Deadline: w.now + 4*time.Second}}
 }
 
 // find returns the effects of one type of the last step.
--- a/internal/requests/types.go
+++ b/internal/requests/types.go
@@ -91,7 +91,7 @@
 		Task        string
 		Cause       int
 		Reason      flaxshelf.Reason
-		Kind        flaxshelf.NoteKind
+		Kind        flaxshelf.UsageKind
 		Amount      float64
 		Description string
 	}
--- a/internal/scheduler/admission.go
+++ b/internal/scheduler/admission.go
@@ -217,7 +217,7 @@
 // holdAfter holds j once the attempt that is out has ended unplaced. The module is told at once that the ask
 // is off, so it makes no further offer.
 func (c *Core) holdAfter(j *job, a *attempt) {
-	c.tell(flaxshelf.Gone{Task: j.askID()})
+	c.tell(flaxshelf.TaskCanceled{Task: j.askID()})
 	c.stop(a)
 	c.untilOver(a, func() {
 		if !j.holdWaits || j.state.Ended() {
@@ -249,7 +249,7 @@
 
 func (c *Core) hold(j *job) {
 	if j.open {
-		c.tell(flaxshelf.Gone{Task: j.askID()})
+		c.tell(flaxshelf.TaskCanceled{Task: j.askID()})
 		c.closeAsk(j, Withdrawn, "")
 	}
 	if j.state == Requeued {
@@ -286,14 +286,14 @@
 	if j.live == nil || j.live.phase == connecting {
 		j.stopping = true
 		if a := j.live; a != nil {
-			c.end(a, flaxshelf.NotSent, flaxshelf.Untold, flaxshelf.Load{})
+			c.end(a, flaxshelf.NotSent, flaxshelf.UnspecifiedReason, flaxshelf.LoadReport{})
 		}
 		c.finish(j, FailedState, SubTerminated, "terminated by its owner")
 		return
 	}
 	j.stopping, j.sub = true, SubStopping
 	if j.open {
-		c.tell(flaxshelf.Gone{Task: j.askID()})
+		c.tell(flaxshelf.TaskCanceled{Task: j.askID()})
 		c.closeAsk(j, Withdrawn, j.live.id)
 	}
 	c.stop(j.live)
--- a/internal/scheduler/attempt.go
+++ b/internal/scheduler/attempt.go
@@ -54,14 +54,14 @@
 	c.attempts[a.id], n.live[a.id], j.live = a, a, a
 	j.node, j.sub = n.entry.ID, SubOffered
 	switch {
-	case !j.open || a.limit <= 0 || j.stopping || n.entry.State != flaxshelf.In && !c.cfg.Without.Drain:
-		c.end(a, flaxshelf.NotSent, flaxshelf.Untold, flaxshelf.Load{})
+	case !j.open || a.limit <= 0 || j.stopping || n.entry.State != flaxshelf.Active && !c.cfg.Without.Drain:
+		c.end(a, flaxshelf.NotSent, flaxshelf.UnspecifiedReason, flaxshelf.LoadReport{})
 	case n.up:
 		c.send(a)
 	default:
 		a.timer = c.timers.After(c.now+max(c.cfg.Module.ConnectTimeout, time.Millisecond), func() {
 			if a.phase == connecting {
-				c.end(a, flaxshelf.Unreachable, flaxshelf.Untold, flaxshelf.Load{})
+				c.end(a, flaxshelf.Unreachable, flaxshelf.UnspecifiedReason, flaxshelf.LoadReport{})
 			}
 		})
 	}
@@ -72,7 +72,7 @@
 	c.timers.Cancel(a.timer)
 	switch {
 	case left <= 0:
-		c.end(a, flaxshelf.NotSent, flaxshelf.Untold, flaxshelf.Load{})
+		c.end(a, flaxshelf.NotSent, flaxshelf.UnspecifiedReason, flaxshelf.LoadReport{})
 		return
 	case c.fence.up(): // a drain of this node may be among what has not been read yet
 		a.timer = c.timers.After(c.now+max(c.cfg.Module.Tick, time.Millisecond), func() {
@@ -89,7 +89,7 @@
 	a.timer = c.timers.After(c.now+left, func() {
 		if a.phase == offered {
 			c.stop(a)
-			c.end(a, flaxshelf.TimedOut, flaxshelf.Untold, flaxshelf.Load{})
+			c.end(a, flaxshelf.TimedOut, flaxshelf.UnspecifiedReason, flaxshelf.LoadReport{})
 		}
 	})
 }
@@ -101,20 +101,20 @@
 	}
 }
 
-func (c *Core) withdraw(w flaxshelf.Withdraw) {
+func (c *Core) withdraw(w flaxshelf.Cancel) {
 	j := c.asks[w.Task]
 	if j == nil || j.live == nil || j.live.task != w.Task || j.live.n != w.Attempt || j.live.phase > offered {
 		return
 	}
-	a, v := j.live, flaxshelf.Withdrawn
+	a, v := j.live, flaxshelf.Canceled
 	if a.phase == connecting {
 		v = flaxshelf.NotSent
 	}
 	c.stop(a)
-	c.end(a, v, flaxshelf.Untold, flaxshelf.Load{})
+	c.end(a, v, flaxshelf.UnspecifiedReason, flaxshelf.LoadReport{})
 }
 
-func (c *Core) move(m flaxshelf.Move) {
+func (c *Core) move(m flaxshelf.Migrate) {
 	if j := c.asks[m.Task]; j != nil && j.live != nil && j.live.task == m.Task && j.live.phase >= accepted {
 		j.moving = true
 		c.stop(j.live)
@@ -140,20 +140,20 @@
 	}
 }
 
-func (c *Core) accept(a *attempt, load flaxshelf.Load) {
+func (c *Core) accept(a *attempt, load flaxshelf.LoadReport) {
 	a.phase = accepted
 	c.timers.Cancel(a.timer)
 	j := a.job
-	if load.Told {
-		c.tell(flaxshelf.Probed{Machine: a.node.entry.ID, Load: load})
+	if load.Present {
+		c.tell(flaxshelf.HealthChecked{Machine: a.node.entry.ID, Load: load})
 	}
 	if j.live != a || j.state.Ended() || j.stopping || j.held() {
-		c.tell(flaxshelf.Placed{Task: a.task, Machine: a.node.entry.ID, Attempt: a.n, Lag: c.now - a.sent})
+		c.tell(flaxshelf.AttemptPlaced{Task: a.task, Machine: a.node.entry.ID, Attempt: a.n, Latency: c.now - a.sent})
 		c.stop(a) // its job has gone another way
 		return
 	}
 	j.sub = SubAccepted
-	if !c.cfg.Module.RunsWhenPlaced {
+	if !c.cfg.Module.PlacedWhenRunning {
 		c.placedNow(a)
 	} else {
 		c.changed(j)
@@ -161,7 +161,7 @@
 }
 
 func (c *Core) placedNow(a *attempt) {
-	c.tell(flaxshelf.Placed{Task: a.task, Machine: a.node.entry.ID, Attempt: a.n, Lag: c.now - a.sent})
+	c.tell(flaxshelf.AttemptPlaced{Task: a.task, Machine: a.node.entry.ID, Attempt: a.n, Latency: c.now - a.sent})
 	if a.job.open {
 		c.closeAsk(a.job, Placed, a.id)
 	}
@@ -170,7 +170,7 @@
 func (c *Core) started(in Started) {
 	if a := c.known(in.Node, in.Attempt, true); a != nil {
 		if a.phase == offered {
-			c.accept(a, flaxshelf.Load{})
+			c.accept(a, flaxshelf.LoadReport{})
 		}
 		c.start(a)
 	}
@@ -185,10 +185,10 @@
 	if j.live != a || j.state.Ended() || j.stopping {
 		return
 	}
-	if c.cfg.Module.RunsWhenPlaced && j.open {
+	if c.cfg.Module.PlacedWhenRunning && j.open {
 		c.placedNow(a)
 	} else {
-		c.tell(flaxshelf.Note{Task: a.task, Machine: a.node.entry.ID, Attempt: a.n, Kind: flaxshelf.Runs})
+		c.tell(flaxshelf.UsageReport{Task: a.task, Machine: a.node.entry.ID, Attempt: a.n, Kind: flaxshelf.TaskRunning})
 	}
 	j.state, j.sub = Running, SubRunning
 	if j.started == 0 {
@@ -199,26 +199,26 @@
 
 func (c *Core) noted(in Noted) {
 	if a := c.known(in.Node, in.Attempt, true); a != nil && a.phase >= accepted {
-		c.tell(flaxshelf.Note{Task: a.task, Machine: in.Node, Attempt: a.n, Kind: in.Kind, Amount: in.Amount})
+		c.tell(flaxshelf.UsageReport{Task: a.task, Machine: in.Node, Attempt: a.n, Kind: in.Kind, Amount: in.Amount})
 	}
 }
 
 func (c *Core) refused(in Refused) {
 	if a := c.known(in.Node, in.Attempt, false); a != nil && a.phase == offered {
-		c.end(a, flaxshelf.Refused, in.Reason, in.Load)
+		c.end(a, flaxshelf.Rejected, in.Reason, in.Load)
 	}
 }
 
 func (c *Core) failed(in Failed) {
 	if a := c.known(in.Node, in.Attempt, false); a != nil && a.phase == offered {
 		a.job.note = in.Message
-		c.end(a, flaxshelf.Failed, flaxshelf.Untold, in.Load)
+		c.end(a, flaxshelf.Failed, flaxshelf.UnspecifiedReason, in.Load)
 	}
 }
 
 func (c *Core) notSent(in NotSent) {
 	if a := c.known(in.Node, in.Attempt, false); a != nil && a.phase == offered {
-		c.end(a, flaxshelf.NotSent, flaxshelf.Untold, flaxshelf.Load{})
+		c.end(a, flaxshelf.NotSent, flaxshelf.UnspecifiedReason, flaxshelf.LoadReport{})
 	}
 }
 
@@ -230,34 +230,36 @@
 	}
 	if a.phase == offered { // its Accepted was cut off
 		if in.Ending == EndStopped && !a.job.open {
-			c.end(a, flaxshelf.Withdrawn, flaxshelf.Untold, in.Load)
+			c.end(a, flaxshelf.Canceled, flaxshelf.UnspecifiedReason, in.Load)
 			return
 		}
-		c.accept(a, flaxshelf.Load{})
+		c.accept(a, flaxshelf.LoadReport{})
 	}
 	a.job.exit = in.Exit
 	switch in.Ending {
 	case EndFinished:
-		c.end(a, flaxshelf.Finished, flaxshelf.Untold, in.Load)
+		c.end(a, flaxshelf.Completed, flaxshelf.UnspecifiedReason, in.Load)
 	case EndStopped:
-		c.end(a, flaxshelf.Withdrawn, flaxshelf.Untold, in.Load)
+		c.end(a, flaxshelf.Canceled, flaxshelf.UnspecifiedReason, in.Load)
 	case EndBroke:
-		c.end(a, flaxshelf.Failed, flaxshelf.Untold, in.Load)
+		c.end(a, flaxshelf.Failed, flaxshelf.UnspecifiedReason, in.Load)
 	default:
 		c.end(a, flaxshelf.Lost, in.Reason, in.Load)
 	}
 }
 
 // lose ends an attempt whose node is gone or does not have it.
-func (c *Core) lose(a *attempt) { c.end(a, flaxshelf.Lost, flaxshelf.Untold, flaxshelf.Load{}) }
+func (c *Core) lose(a *attempt) {
+	c.end(a, flaxshelf.Lost, flaxshelf.UnspecifiedReason, flaxshelf.LoadReport{})
+}
 
 // end tells the module how an attempt ended, once, and goes on with the job.
-func (c *Core) end(a *attempt, v flaxshelf.Verdict, r flaxshelf.Reason, load flaxshelf.Load) {
+func (c *Core) end(a *attempt, v flaxshelf.Outcome, r flaxshelf.Reason, load flaxshelf.LoadReport) {
 	if a.phase == over {
 		return
 	}
 	j, was := a.job, a.phase
-	placed := was >= accepted && (!c.cfg.Module.RunsWhenPlaced || was == running)
+	placed := was >= accepted && (!c.cfg.Module.PlacedWhenRunning || was == running)
 	a.phase = over
 	c.timers.Cancel(a.timer)
 	delete(c.attempts, a.id)
@@ -266,12 +268,12 @@
 		j.live = nil
 	}
 	current := j.askID() == a.task
-	c.tell(flaxshelf.Ended{Task: a.task, Machine: a.node.entry.ID, Attempt: a.n, Verdict: v, Reason: r,
-		Done: placed || !current || !j.open, Lag: c.now - a.sent, Load: load})
-	proved := v == flaxshelf.Refused || v == flaxshelf.Unreachable || v == flaxshelf.NotSent
+	c.tell(flaxshelf.AttemptEnded{Task: a.task, Machine: a.node.entry.ID, Attempt: a.n, Outcome: v, Reason: r,
+		Final: placed || !current || !j.open, Latency: c.now - a.sent, Load: load})
+	proved := v == flaxshelf.Rejected || v == flaxshelf.Unreachable || v == flaxshelf.NotSent
 	if !proved && !placed {
 		j.uncertain = c.now
-		if current && v != flaxshelf.Withdrawn {
+		if current && v != flaxshelf.Canceled {
 			j.doubt = j.ask
 		}
 	}
--- a/internal/scheduler/core.go
+++ b/internal/scheduler/core.go
@@ -170,7 +170,7 @@
 	case Listed:
 		c.listed(in)
 	case ListFailed:
-		c.tell(flaxshelf.ListFailed{})
+		c.tell(flaxshelf.DiscoveryFailed{})
 		c.fence.lost()
 	case Synced:
 		c.fence.synced(in.Token)
@@ -186,7 +186,7 @@
 func (c *Core) stepModule() {
 	if c.wakeAt > 0 && c.now >= c.wakeAt {
 		c.wakeAt = 0
-		c.tell(flaxshelf.Woken{})
+		c.tell(flaxshelf.TimerFired{})
 	}
 	if len(c.events) == 0 {
 		return
@@ -213,22 +213,22 @@
 	switch a := a.(type) {
 	case flaxshelf.Offer:
 		c.offer(a)
-	case flaxshelf.Withdraw:
+	case flaxshelf.Cancel:
 		c.withdraw(a)
-	case flaxshelf.Refuse:
+	case flaxshelf.Reject:
 		c.settle(a.Task, RefusedOutcome)
 	case flaxshelf.Fail:
 		c.settle(a.Task, FailedOutcome)
-	case flaxshelf.Move:
+	case flaxshelf.Migrate:
 		c.move(a)
-	case flaxshelf.Probe:
+	case flaxshelf.HealthCheck:
 		c.probe(a)
 	case flaxshelf.Subscribe:
 		c.emit(SubscribeList{})
-	case flaxshelf.Wake:
+	case flaxshelf.SetTimer:
 		if at := c.now + a.After; c.wakeAt == 0 || at < c.wakeAt {
 			c.wakeAt = at
 		}
-	case flaxshelf.Tell: // only where Config.CanMessage, which no deployment of the program sets
+	case flaxshelf.SendGossip: // only where Config.CanMessage, which no deployment of the program sets
 	}
 }
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -69,8 +69,8 @@
 // doubtful tells that the ask in hand may have run, and must not do so again in another.
 func (c *Core) doubtful(j *job) bool { return j.open && j.doubt == j.ask && !c.bearsRepeats(j) }
 
-func (c *Core) bearsRepeats(j *job) bool { return c.class(j).Effect == flaxshelf.Safe }
-func (c *Core) neverTwice(j *job) bool   { return c.class(j).Effect == flaxshelf.Unsafe }
+func (c *Core) bearsRepeats(j *job) bool { return c.class(j).Idempotency == flaxshelf.Idempotent }
+func (c *Core) neverTwice(j *job) bool   { return c.class(j).Idempotency == flaxshelf.NonIdempotent }
 
 func (c *Core) task(j *job) flaxshelf.Task {
 	s := j.spec
@@ -82,7 +82,7 @@
 		service = j.id // else all jobs without a service would share the homes of the empty name
 	}
 	return flaxshelf.Task{ID: j.askID(), Key: key, Service: service, Class: s.Class, Tenant: s.Tenant,
-		Cores: s.Cores, Memory: s.Memory, Life: s.Life, ValidUntil: j.due, Again: s.Again || j.ask > 1}
+		Cores: s.Cores, Memory: s.Memory, ExpectedRuntime: s.Life, Deadline: j.due, Retry: s.Again || j.ask > 1}
 }
 
 // place gives j to the module, in a new ask unless one is open.
@@ -90,7 +90,7 @@
 	j.sub = SubWaiting
 	c.openAsk(j)
 	c.asks[j.askID()] = j
-	c.tell(flaxshelf.Place{Task: c.task(j)})
+	c.tell(flaxshelf.TaskSubmitted{Task: c.task(j)})
 	c.changed(j)
 }
 
@@ -137,7 +137,7 @@
 		if !j.open || j.due != due || c.cfg.Without.Answer {
 			return
 		}
-		c.tell(flaxshelf.Gone{Task: j.askID()})
+		c.tell(flaxshelf.TaskCanceled{Task: j.askID()})
 		if j.sub == SubRecovering {
 			c.closeFailed(j, FailedOutcome, "it may run on a node that has not been heard since the scheduler started")
 			return
@@ -166,7 +166,7 @@
 	if a := j.live; a != nil {
 		if a.phase == connecting {
 			c.closeAsk(j, o, a.id)
-			c.end(a, flaxshelf.NotSent, flaxshelf.Untold, flaxshelf.Load{})
+			c.end(a, flaxshelf.NotSent, flaxshelf.UnspecifiedReason, flaxshelf.LoadReport{})
 		} else {
 			c.stop(a)
 			c.closeAsk(j, o, a.id)
@@ -209,15 +209,15 @@
 }
 
 // jobOver goes on after an accepted attempt has ended.
-func (c *Core) jobOver(j *job, v flaxshelf.Verdict, r flaxshelf.Reason) {
+func (c *Core) jobOver(j *job, v flaxshelf.Outcome, r flaxshelf.Reason) {
 	moved := j.moving
 	j.moving = false
 	switch {
 	case j.stopping:
 		c.finish(j, FailedState, SubTerminated, "terminated by its owner")
-	case v == flaxshelf.Finished && j.exit == 0:
+	case v == flaxshelf.Completed && j.exit == 0:
 		c.finish(j, Done, SubExited, "")
-	case v == flaxshelf.Finished:
+	case v == flaxshelf.Completed:
 		c.finish(j, FailedState, SubExited, "exit status "+strconv.Itoa(j.exit))
 	case v == flaxshelf.Failed:
 		c.finish(j, FailedState, SubBroke, "its start failed on "+j.node)
@@ -232,9 +232,9 @@
 	switch r {
 	case flaxshelf.Evicted:
 		return SubEvicted
-	case flaxshelf.PushedOut:
+	case flaxshelf.Preempted:
 		return SubPushedOut
-	case flaxshelf.SentAway:
+	case flaxshelf.DrainedAway:
 		return SubSentAway
 	}
 	return SubLost
@@ -242,7 +242,7 @@
 
 func (c *Core) requeue(j *job, r flaxshelf.Reason) {
 	first := backoffFirst
-	if r == flaxshelf.Evicted || r == flaxshelf.PushedOut {
+	if r == flaxshelf.Evicted || r == flaxshelf.Preempted {
 		first = backoffEvicted
 	}
 	wait := max(min(first<<min(j.requeues, 8), backoffMost), c.clearAt(j)-c.now)
@@ -250,7 +250,7 @@
 	j.state, j.sub, j.note = Requeued, SubBackoff, "it was "+lostSub(r)+" on "+j.node
 	j.node = ""
 	if j.open { // accepted but not yet placed, where placed means running
-		c.tell(flaxshelf.Gone{Task: j.askID()})
+		c.tell(flaxshelf.TaskCanceled{Task: j.askID()})
 		c.closeAsk(j, FailedOutcome, "")
 	}
 	c.changed(j)
@@ -269,7 +269,7 @@
 		return
 	}
 	if j.open {
-		c.tell(flaxshelf.Gone{Task: j.askID()})
+		c.tell(flaxshelf.TaskCanceled{Task: j.askID()})
 		c.closeAsk(j, Withdrawn, "")
 	}
 	j.state, j.sub, j.note, j.ended = s, sub, note, c.now
--- a/internal/scheduler/node.go
+++ b/internal/scheduler/node.go
@@ -21,7 +21,7 @@
 	downAt  Time
 }
 
-func (n *node) out() bool { return n.entry.State == flaxshelf.Out }
+func (n *node) out() bool { return n.entry.State == flaxshelf.Removed }
 
 // sorted lists the attempts in a fixed order, since maps have none.
 func (n *node) sorted() []*attempt {
@@ -36,7 +36,7 @@
 func (c *Core) node(name string) *node {
 	n := c.nodes[name]
 	if n == nil {
-		n = &node{entry: flaxshelf.Machine{ID: name, Kind: -1, State: flaxshelf.Out}, live: map[string]*attempt{}}
+		n = &node{entry: flaxshelf.Machine{ID: name, Kind: -1, State: flaxshelf.Removed}, live: map[string]*attempt{}}
 		c.nodes[name] = n
 		i, _ := slices.BinarySearchFunc(c.order, name,
 			func(n *node, name string) int { return cmp.Compare(n.entry.ID, name) })
@@ -46,7 +46,7 @@
 }
 
 func (c *Core) listed(in Listed) {
-	defer func() { c.tell(flaxshelf.Listed{Machines: in.Machines, Whole: in.Whole}) }()
+	defer func() { c.tell(flaxshelf.MachinesUpdated{Machines: in.Machines, Complete: in.Whole}) }()
 	named := map[string]bool{}
 	for i, m := range in.Machines {
 		named[m.ID] = true
@@ -61,7 +61,7 @@
 	if in.Whole {
 		for _, n := range c.order {
 			if !named[n.entry.ID] && !n.out() {
-				n.entry.State = flaxshelf.Out
+				n.entry.State = flaxshelf.Removed
 				c.standing(n)
 			}
 		}
@@ -75,10 +75,10 @@
 // standing acts on what the list says of n. Offers that still wait for a connection are given up when the
 // node drains: the word has come before the send.
 func (c *Core) standing(n *node) {
-	if n.entry.State != flaxshelf.In {
+	if n.entry.State != flaxshelf.Active {
 		for _, a := range n.sorted() {
 			if a.phase == connecting {
-				c.end(a, flaxshelf.NotSent, flaxshelf.Untold, flaxshelf.Load{})
+				c.end(a, flaxshelf.NotSent, flaxshelf.UnspecifiedReason, flaxshelf.LoadReport{})
 			}
 		}
 	}
@@ -116,7 +116,7 @@
 		// what its former life could bear.
 		n.fresh, n.entry.Started = in.Started, in.Started
 		if !n.out() {
-			c.tell(flaxshelf.Listed{Machines: []flaxshelf.Machine{n.entry}})
+			c.tell(flaxshelf.MachinesUpdated{Machines: []flaxshelf.Machine{n.entry}})
 		}
 	}
 	for _, e := range in.Ended {
@@ -131,7 +131,7 @@
 	for _, a := range n.sorted() {
 		switch {
 		case a.phase == connecting && news: // chosen for what the former life could bear
-			c.end(a, flaxshelf.NotSent, flaxshelf.Untold, flaxshelf.Load{})
+			c.end(a, flaxshelf.NotSent, flaxshelf.UnspecifiedReason, flaxshelf.LoadReport{})
 		case a.phase == connecting:
 			c.send(a)
 		case !held[a.id] || restarted:
@@ -150,7 +150,7 @@
 func (c *Core) handed(n *node, h Held) {
 	if a := c.attempts[h.Attempt]; a != nil && a.node == n {
 		if a.phase == offered {
-			c.accept(a, flaxshelf.Load{}) // the reply was cut off
+			c.accept(a, flaxshelf.LoadReport{}) // the reply was cut off
 		}
 		if h.Running {
 			c.start(a)
@@ -167,7 +167,7 @@
 		}
 	}
 	if j != nil && j.live != nil && j.live.phase == connecting { // nothing has been sent: what runs goes before
-		c.end(j.live, flaxshelf.NotSent, flaxshelf.Untold, flaxshelf.Load{})
+		c.end(j.live, flaxshelf.NotSent, flaxshelf.UnspecifiedReason, flaxshelf.LoadReport{})
 	}
 	switch {
 	case h.Spec.Class < 0 || h.Spec.Class >= len(c.cfg.Module.Classes):
@@ -199,7 +199,7 @@
 // attach makes the held attempt the job's own: the ask that was open, if any, has its outcome by it.
 func (c *Core) attach(j *job, n *node, h Held) {
 	if j.open {
-		c.tell(flaxshelf.Gone{Task: j.askID()})
+		c.tell(flaxshelf.TaskCanceled{Task: j.askID()})
 		delete(c.asks, j.askID())
 	} else {
 		c.nOpen++ // closeAsk takes it off
@@ -210,7 +210,7 @@
 	c.asks[j.askID()] = j
 	a := &attempt{id: h.Attempt, task: j.askID(), job: j, node: n, serial: c.serial, sent: c.now, phase: accepted}
 	c.attempts[a.id], n.live[a.id], j.live = a, a, a
-	c.tell(flaxshelf.Running{Task: c.task(j), Machine: n.entry.ID})
+	c.tell(flaxshelf.TaskAdopted{Task: c.task(j), Machine: n.entry.ID})
 	j.node, j.state, j.sub, j.askedAt, j.attempts = n.entry.ID, Queued, SubAccepted, c.now, 1
 	c.closeAsk(j, Placed, a.id)
 	if h.Running {
@@ -230,9 +230,9 @@
 		a.stop = false // it may not have arrived
 		switch a.phase {
 		case connecting:
-			c.end(a, flaxshelf.Unreachable, flaxshelf.Untold, flaxshelf.Load{})
+			c.end(a, flaxshelf.Unreachable, flaxshelf.UnspecifiedReason, flaxshelf.LoadReport{})
 		case offered:
-			c.end(a, flaxshelf.Lost, flaxshelf.Untold, flaxshelf.Load{})
+			c.end(a, flaxshelf.Lost, flaxshelf.UnspecifiedReason, flaxshelf.LoadReport{})
 		default:
 			a.job.sub = SubUnreached
 			c.changed(a.job)
@@ -241,18 +241,18 @@
 	c.timers.After(c.now+c.cfg.Limits.Settle, func() { c.checkGone(n) })
 }
 
-func (c *Core) probe(a flaxshelf.Probe) {
+func (c *Core) probe(a flaxshelf.HealthCheck) {
 	if n := c.nodes[a.Machine]; n != nil && n.up {
 		c.emit(SendProbe{a.Machine})
 		return
 	}
-	c.tell(flaxshelf.Probed{Machine: a.Machine, Verdict: flaxshelf.Unreachable})
+	c.tell(flaxshelf.HealthChecked{Machine: a.Machine, Outcome: flaxshelf.Unreachable})
 }
 
 func (c *Core) probed(in Probed) {
-	e := flaxshelf.Probed{Machine: in.Node, Load: in.Load}
+	e := flaxshelf.HealthChecked{Machine: in.Node, Load: in.Load}
 	if in.Lost {
-		e.Verdict = flaxshelf.Lost
+		e.Outcome = flaxshelf.Lost
 	}
 	c.tell(e)
 }
--- a/internal/scheduler/property_test.go
+++ b/internal/scheduler/property_test.go
@@ -148,7 +148,7 @@
 			o.proved = true
 		}
 		o.closed = true
-		w.step(Refused{Node: o.Node, Attempt: o.Attempt, Reason: flaxshelf.NoMemory})
+		w.step(Refused{Node: o.Node, Attempt: o.Attempt, Reason: flaxshelf.InsufficientMemory})
 	case 4:
 		if o.accepted {
 			return
@@ -258,10 +258,10 @@
 		if !o.closed && w.now < o.at+o.ValidFor {
 			w.t.Fatalf("%s is offered while %s is in flight or runs", e.Attempt, o.Attempt)
 		}
-		if o.Ask == e.Ask && class.Effect == flaxshelf.Unsafe && !o.proved {
+		if o.Ask == e.Ask && class.Idempotency == flaxshelf.NonIdempotent && !o.proved {
 			w.t.Fatalf("unsafe: %s is offered though %s may have run", e.Attempt, o.Attempt)
 		}
-		if o.Ask == e.Ask && class.Effect == flaxshelf.Keyed && !o.proved &&
+		if o.Ask == e.Ask && class.Idempotency == flaxshelf.IdempotentByKey && !o.proved &&
 			(o.Node == "n3") != (e.Node == "n3") {
 			w.t.Fatalf("keyed: %s is offered to %s though %s at %s may have run", e.Attempt, e.Node, o.Attempt, o.Node)
 		}
--- a/internal/scheduler/recovery.go
+++ b/internal/scheduler/recovery.go
@@ -14,7 +14,7 @@
 // holdsBack tells whether j must wait. A first ask for a class that bears repeats need not, unless its spread is
 // bounded: what a former life placed counts.
 func (c *Core) holdsBack(j *job) bool {
-	return c.recovery.on && (j.spec.Again || !c.bearsRepeats(j) || c.class(j).Spread != flaxshelf.Nowhere)
+	return c.recovery.on && (j.spec.Again || !c.bearsRepeats(j) || c.class(j).SpreadDomain != flaxshelf.NoDomain)
 }
 
 // checkRecovery ends the waiting when every listed node has told what it runs, or has had Settle to do so.
--- a/internal/scheduler/script_test.go
+++ b/internal/scheduler/script_test.go
@@ -17,17 +17,17 @@
 // never allowed; two kinds of node; a drain grace of 1 s and a settling time of 2 s.
 func settingsForTests() Config {
 	return Config{Name: "s", Seed: 1, Module: flaxshelf.Config{
-		Schedulers: 1, MaxAttempts: 3, CanWithdraw: true, AcceptCores: 1, AcceptMemory: 1, DiscoveryAsks: true,
+		Schedulers: 1, MaxAttempts: 3, CanCancel: true, CoreOvercommit: 1, MemoryOvercommit: 1, DiscoveryOnRequest: true,
 		Tick: 2 * time.Millisecond, ConnectTimeout: 250 * time.Millisecond, AnswerSlack: 100 * time.Millisecond,
-		DrainGrace: time.Second, AskWithin: 10 * time.Second, ColdFor: 10 * time.Second,
-		FallWindow: 2 * time.Second, ColdOffers: 4,
+		DrainGrace: time.Second, DiscoveryPollDeadline: 10 * time.Second, SlowStartDuration: 10 * time.Second,
+		OverloadWindow: 2 * time.Second, SlowStartBudget: 4,
 		Kinds: []flaxshelf.Kind{{Name: "small", Cores: 8, Memory: 32}},
 		Classes: []flaxshelf.Class{
-			{Name: "safe", Effect: flaxshelf.Safe, Aim: time.Second, Kind: -1},
-			{Name: "keyed", Effect: flaxshelf.Keyed, Group: flaxshelf.InZone, Window: 5 * time.Second,
-				Aim: time.Second, Kind: -1},
-			{Name: "unsafe", Effect: flaxshelf.Unsafe, Aim: time.Second, Kind: -1},
-			{Name: "spread", Effect: flaxshelf.Safe, Aim: time.Second, Kind: -1, Spread: flaxshelf.InZone, Most: 1},
+			{Name: "safe", Idempotency: flaxshelf.Idempotent, LatencyObjective: time.Second, Kind: -1},
+			{Name: "keyed", Idempotency: flaxshelf.IdempotentByKey, KeyDomain: flaxshelf.ZoneDomain, KeyTTL: 5 * time.Second,
+				LatencyObjective: time.Second, Kind: -1},
+			{Name: "unsafe", Idempotency: flaxshelf.NonIdempotent, LatencyObjective: time.Second, Kind: -1},
+			{Name: "spread", Idempotency: flaxshelf.Idempotent, LatencyObjective: time.Second, Kind: -1, SpreadDomain: flaxshelf.ZoneDomain, MaxPerDomain: 1},
 		}},
 		Limits: Limits{MaxOpen: 4, MaxJobs: 100, MaxFinished: 3, MaxSessions: 2, Retention: time.Minute,
 			Settle: 2 * time.Second, StallAfter: 500 * time.Millisecond,
@@ -70,7 +70,7 @@
 		case "boot":
 			cfg.Boot = dur(t, a.Vals[0])
 		case "runs-when-placed":
-			cfg.Module.RunsWhenPlaced = true
+			cfg.Module.PlacedWhenRunning = true
 		}
 	}
 	c, err := New(cfg)
@@ -242,7 +242,7 @@
 	case "accept":
 		return Accepted{Node: arg(0), Attempt: arg(1)}
 	case "refuse":
-		return Refused{Node: arg(0), Attempt: arg(1), Reason: flaxshelf.NoCores}
+		return Refused{Node: arg(0), Attempt: arg(1), Reason: flaxshelf.InsufficientCores}
 	case "fail":
 		return Failed{Node: arg(0), Attempt: arg(1), Message: "the start failed"}
 	case "started":
@@ -256,7 +256,7 @@
 		case "evicted":
 			e.Ending, e.Reason = EndLost, flaxshelf.Evicted
 		case "sent-away":
-			e.Ending, e.Reason = EndLost, flaxshelf.SentAway
+			e.Ending, e.Reason = EndLost, flaxshelf.DrainedAway
 		case "stopped":
 			e.Ending = EndStopped
 		case "broke":
@@ -299,7 +299,7 @@
 		case how == "draining":
 			m.State = flaxshelf.Draining
 		case how == "out":
-			m.State = flaxshelf.Out
+			m.State = flaxshelf.Removed
 		case how != "":
 			m.Started = dur(t, how)
 		}
--- a/internal/scheduler/types.go
+++ b/internal/scheduler/types.go
@@ -216,25 +216,25 @@
 	// Accepted, Refused, Failed, Started, Noted and Ended are what a node says of an attempt.
 	Accepted struct {
 		Node, Attempt string
-		Load          flaxshelf.Load
+		Load          flaxshelf.LoadReport
 	}
 	// Refused is proof that the attempt never ran.
 	Refused struct {
 		Node, Attempt string
 		Reason        flaxshelf.Reason
-		Load          flaxshelf.Load
+		Load          flaxshelf.LoadReport
 	}
 	// Failed tells that the node could not start the attempt; it may have run.
 	Failed struct {
 		Node, Attempt, Message string
-		Load                   flaxshelf.Load
+		Load                   flaxshelf.LoadReport
 	}
 	// Started tells that an accepted attempt runs.
 	Started struct{ Node, Attempt string }
 	// Noted is news of an attempt.
 	Noted struct {
 		Node, Attempt string
-		Kind          flaxshelf.NoteKind
+		Kind          flaxshelf.UsageKind
 		Amount        float64
 	}
 	// Ended tells that an accepted attempt is over.
@@ -243,12 +243,12 @@
 		Ending        Ending
 		Reason        flaxshelf.Reason
 		Exit          int
-		Load          flaxshelf.Load
+		Load          flaxshelf.LoadReport
 	}
 	// Probed answers a probe; Lost where no answer came.
 	Probed struct {
 		Node string
-		Load flaxshelf.Load
+		Load flaxshelf.LoadReport
 		Lost bool
 	}
 	// NotSent tells that an offer never left this process.
--- a/internal/settings/scheduler.go
+++ b/internal/settings/scheduler.go
@@ -189,47 +189,48 @@
 	return -1
 }
 
-var effects = map[string]flaxshelf.Effect{
-	"safe": flaxshelf.Safe, "keyed": flaxshelf.Keyed, "unsafe": flaxshelf.Unsafe,
+var effects = map[string]flaxshelf.Idempotency{
+	"safe": flaxshelf.Idempotent, "keyed": flaxshelf.IdempotentByKey, "unsafe": flaxshelf.NonIdempotent,
 }
 
-var extents = map[string]flaxshelf.Extent{
-	"": flaxshelf.Nowhere, "machine": flaxshelf.OnMachine, "cell": flaxshelf.InCell,
-	"zone": flaxshelf.InZone, "everywhere": flaxshelf.Everywhere,
+var extents = map[string]flaxshelf.TopologyDomain{
+	"": flaxshelf.NoDomain, "machine": flaxshelf.MachineDomain, "cell": flaxshelf.CellDomain,
+	"zone": flaxshelf.ZoneDomain, "everywhere": flaxshelf.FleetDomain,
 }
 
 // Effect is the class's effect in the module's words.
-func (c *Class) EffectOf() flaxshelf.Effect { return effects[c.Effect] }
+func (c *Class) EffectOf() flaxshelf.Idempotency { return effects[c.Effect] }
 
 // GroupOf is the class's key group in the module's words.
-func (c *Class) GroupOf() flaxshelf.Extent { return extents[c.Group] }
+func (c *Class) GroupOf() flaxshelf.TopologyDomain { return extents[c.Group] }
 
 // SpreadOf is the class's spread in the module's words.
-func (c *Class) SpreadOf() flaxshelf.Extent { return extents[c.Spread] }
+func (c *Class) SpreadOf() flaxshelf.TopologyDomain { return extents[c.Spread] }
 
 // Module is what the module is told.
 func (s *Scheduler) Module() flaxshelf.Config {
 	r := &s.Rules
 	c := flaxshelf.Config{
-		Index: s.Index, Schedulers: s.Schedulers, Zone: s.Zone, OverShareWorth: s.OverShareWorth,
-		Prices:      flaxshelf.Prices{CrossZone: s.CrossZone, Fleet: s.FleetPrice},
-		AcceptCores: r.AcceptCores, AcceptMemory: r.AcceptMemory, RunsWhenPlaced: s.RunsWhenPlaced,
-		Preempts: r.Preempts, ListsFree: s.ListsFree, DiscoveryAsks: true, MaxAttempts: r.MaxAttempts,
-		CanWithdraw: true, CanProbe: true, Tick: s.Tick.Of(), ConnectTimeout: s.Connect.Of(),
-		AnswerSlack: r.AnswerSlack.Of(), DrainGrace: r.DrainGrace.Of(), AskWithin: askWithin,
-		ColdFor: r.ColdFor.Of(), FallWindow: r.FallWindow.Of(), ColdOffers: r.ColdOffers,
+		Index: s.Index, Schedulers: s.Schedulers, Zone: s.Zone, OverQuotaWeight: s.OverShareWorth,
+		Prices:         flaxshelf.Prices{CrossZone: s.CrossZone, Fleet: s.FleetPrice},
+		CoreOvercommit: r.AcceptCores, MemoryOvercommit: r.AcceptMemory, PlacedWhenRunning: s.RunsWhenPlaced,
+		Preempts: r.Preempts, ListsFreeCapacity: s.ListsFree, DiscoveryOnRequest: true, MaxAttempts: r.MaxAttempts,
+		CanCancel: true, CanHealthCheck: true, Tick: s.Tick.Of(), ConnectTimeout: s.Connect.Of(),
+		AnswerSlack: r.AnswerSlack.Of(), DrainGrace: r.DrainGrace.Of(), DiscoveryPollDeadline: askWithin,
+		SlowStartDuration: r.ColdFor.Of(), OverloadWindow: r.FallWindow.Of(), SlowStartBudget: r.ColdOffers,
 	}
 	for _, k := range s.Kinds {
 		c.Kinds = append(c.Kinds, flaxshelf.Kind{Name: k.Name, Cores: k.Cores, Memory: k.Memory})
 	}
 	for _, k := range s.Classes {
-		c.Classes = append(c.Classes, flaxshelf.Class{Name: k.Name, Effect: k.EffectOf(), Group: k.GroupOf(),
-			Window: k.Window.Of(), Aim: k.Aim.Of(), Worth: k.Worth, LateWorth: k.LateWorth,
-			StartSeconds: k.StartSeconds, Calm: k.Calm, Fade: k.Fade, Kind: kindIndex(s.Kinds, k.Kind),
-			Priority: k.Priority, Spread: k.SpreadOf(), Most: k.Most})
+		c.Classes = append(c.Classes, flaxshelf.Class{Name: k.Name, Idempotency: k.EffectOf(), KeyDomain: k.GroupOf(),
+			KeyTTL: k.Window.Of(), LatencyObjective: k.Aim.Of(), PriorityWeight: k.Worth, LateStartWeight: k.LateWorth,
+			StartValueSeconds: k.StartSeconds, FullServiceUtilization: k.Calm, ServiceFadeRange: k.Fade,
+			Kind:     kindIndex(s.Kinds, k.Kind),
+			Priority: k.Priority, SpreadDomain: k.SpreadOf(), MaxPerDomain: k.Most})
 	}
 	for _, t := range s.Tenants {
-		c.Tenants = append(c.Tenants, flaxshelf.Tenant{Name: t.Name, Share: t.Share, PerSecond: t.PerSecond,
+		c.Tenants = append(c.Tenants, flaxshelf.Tenant{Name: t.Name, QuotaFraction: t.Share, TasksPerSecond: t.PerSecond,
 			QuotaCores: t.QuotaCores})
 	}
 	return c
--- a/internal/shard/cores_test.go
+++ b/internal/shard/cores_test.go
@@ -28,9 +28,9 @@
 
 func newPlayed(t testing.TB, i, n int) *played {
 	cfg := scheduler.Config{Name: "s", Seed: 1, Boot: time.Second, Module: flaxshelf.Config{Schedulers: 1, MaxAttempts: 3,
-		AcceptCores: 2, AcceptMemory: 2, Tick: 2 * time.Millisecond, ConnectTimeout: time.Second, AnswerSlack: 100 * time.Millisecond,
-		DrainGrace: 2 * time.Second, AskWithin: 10 * time.Second, Kinds: []flaxshelf.Kind{{Name: "k", Cores: 64, Memory: 256}},
-		Classes: []flaxshelf.Class{{Name: "c", Aim: time.Second, Kind: -1}}},
+		CoreOvercommit: 2, MemoryOvercommit: 2, Tick: 2 * time.Millisecond, ConnectTimeout: time.Second, AnswerSlack: 100 * time.Millisecond,
+		DrainGrace: 2 * time.Second, DiscoveryPollDeadline: 10 * time.Second, Kinds: []flaxshelf.Kind{{Name: "k", Cores: 64, Memory: 256}},
+		Classes: []flaxshelf.Class{{Name: "c", LatencyObjective: time.Second, Kind: -1}}},
 		Limits: scheduler.Limits{MaxOpen: 1 << 20, MaxJobs: 1 << 20, MaxFinished: 1000, MaxSessions: 1, Retention: time.Second,
 			Settle: time.Second, StallAfter: time.Hour, GiveUp: []time.Duration{10 * time.Second}}}
 	c, err := scheduler.New(shard.Divide(cfg, i, n))
--- a/internal/shard/shard.go
+++ b/internal/shard/shard.go
@@ -42,7 +42,7 @@
 	m := &Map{n: n, adopted: map[string]int{}, keys: map[string]int{},
 		most: cfg.Limits.MaxOpen + cfg.Limits.MaxJobs + cfg.Limits.MaxFinished}
 	m.byService = n > 1 && slices.ContainsFunc(cfg.Module.Classes,
-		func(c flaxshelf.Class) bool { return c.Spread != flaxshelf.Nowhere })
+		func(c flaxshelf.Class) bool { return c.SpreadDomain != flaxshelf.NoDomain })
 	for i := range n {
 		m.prefixes = append(m.prefixes, CoreName(name, i, n)+"."+strconv.FormatInt(int64(cfg.Boot/time.Millisecond), 36)+".")
 	}
--- a/internal/shard/shard_test.go
+++ b/internal/shard/shard_test.go
@@ -11,9 +11,9 @@
 	"flaxshelf.example/flaxshelf/internal/scheduler"
 )
 
-func config(boot scheduler.Time, spread flaxshelf.Extent) scheduler.Config {
+func config(boot scheduler.Time, spread flaxshelf.TopologyDomain) scheduler.Config {
 	return scheduler.Config{Name: "s", Boot: boot, Seed: 7,
-		Module: flaxshelf.Config{Index: 2, Schedulers: 3, Classes: []flaxshelf.Class{{Name: "c", Spread: spread, Most: 3}}},
+		Module: flaxshelf.Config{Index: 2, Schedulers: 3, Classes: []flaxshelf.Class{{Name: "c", SpreadDomain: spread, MaxPerDomain: 3}}},
 		Limits: scheduler.Limits{MaxOpen: 10, MaxJobs: 11, MaxFinished: 2}}
 }
 
@@ -23,7 +23,7 @@
 // number of cores where a node tells of it before or after the owner asks.
 func TestAKeyComesToOneCore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		spread := rapid.SampledFrom([]flaxshelf.Extent{flaxshelf.Nowhere, flaxshelf.InZone}).Draw(t, "spread")
+		spread := rapid.SampledFrom([]flaxshelf.TopologyDomain{flaxshelf.NoDomain, flaxshelf.ZoneDomain}).Draw(t, "spread")
 		n, later := rapid.IntRange(1, 8).Draw(t, "cores"), rapid.IntRange(1, 8).Draw(t, "cores later")
 		spec := scheduler.Spec{Key: rapid.StringMatching("[a-z]{1,3}").Draw(t, "key"),
 			Service: rapid.StringMatching("[a-z]{0,2}").Draw(t, "service")}
@@ -67,7 +67,7 @@
 
 // Where spread is bounded, a service is one core's, whatever the keys: its count is then exact.
 func TestABoundedServiceIsOneCores(t *testing.T) {
-	m := New("s", config(0, flaxshelf.InCell), 5)
+	m := New("s", config(0, flaxshelf.CellDomain), 5)
 	for service := range 20 {
 		cores := map[int]bool{}
 		for key := range 30 {
@@ -77,7 +77,7 @@
 			t.Errorf("service %d is on %d cores", service, len(cores))
 		}
 	}
-	free, used := New("s", config(0, flaxshelf.Nowhere), 5), map[int]bool{}
+	free, used := New("s", config(0, flaxshelf.NoDomain), 5), map[int]bool{}
 	for key := range 50 {
 		used[free.Submit(&scheduler.Spec{Service: "one", Key: fmt.Sprint(key)}, 0, idle)] = true
 	}
@@ -88,7 +88,7 @@
 
 // Work without a key goes round, and past a core that is behind.
 func TestTurns(t *testing.T) {
-	m := New("s", config(0, flaxshelf.Nowhere), 4)
+	m := New("s", config(0, flaxshelf.NoDomain), 4)
 	count := [4]int{}
 	for i := range 400 {
 		count[m.Submit(&scheduler.Spec{}, uint64(i), idle)]++
@@ -107,17 +107,17 @@
 func TestDivide(t *testing.T) {
 	seen, open, jobs, seeds := map[int]bool{}, 0, 0, map[uint64]bool{}
 	for i := range 4 {
-		c := Divide(config(0, flaxshelf.InZone), i, 4)
+		c := Divide(config(0, flaxshelf.ZoneDomain), i, 4)
 		seen[c.Module.Index], seeds[c.Seed] = true, true
 		open, jobs = open+c.Limits.MaxOpen, jobs+c.Limits.MaxJobs
-		if c.Module.Schedulers != 12 || c.Module.Index/4 != 2 || c.Limits.MaxFinished < 1 || c.Module.Classes[0].Most != 3 {
+		if c.Module.Schedulers != 12 || c.Module.Index/4 != 2 || c.Limits.MaxFinished < 1 || c.Module.Classes[0].MaxPerDomain != 3 {
 			t.Errorf("core %d: %+v", i, c)
 		}
 	}
 	if len(seen) != 4 || len(seeds) != 4 || open != 10 || jobs != 11 {
 		t.Errorf("indexes %v, seeds %v, open %d, jobs %d", seen, seeds, open, jobs)
 	}
-	one := config(0, flaxshelf.InZone)
+	one := config(0, flaxshelf.ZoneDomain)
 	if c := Divide(one, 0, 1); c.Name != "s" || c.Seed != 7 || c.Module.Index != 2 {
 		t.Errorf("one core is not the scheduler itself: %+v", c)
 	}
