--- a/placer.go
+++ b/placer.go
@@ -55,7 +55,7 @@
 		machines: map[string]*machine{}, tasks: map[string]*task{}, services: map[string]*service{},
 		lives:   make([]lifetime, len(cfg.Classes)),
 		tenants: map[int]float64{},
-		unknown: Class{Effect: Unsafe, Kind: -1},
+		unknown: Class{Idempotency: NonIdempotent, Kind: -1},
 	}
 	p.rng = rand.New(p.src)
 	return p, nil
@@ -67,7 +67,7 @@
 func (p *Placer) Step(now Time, events []Event) []Action {
 	if !p.started {
 		p.started, p.born = true, now
-		if p.cfg.DiscoveryAsks {
+		if p.cfg.DiscoveryOnRequest {
 			p.askAt = now
 		}
 	}
@@ -92,28 +92,28 @@
 
 func (p *Placer) take(e Event) {
 	switch e := e.(type) {
-	case Listed:
+	case MachinesUpdated:
 		p.listed(e)
-	case ListFailed:
+	case DiscoveryFailed:
 		p.listFailed()
-	case Place:
+	case TaskSubmitted:
 		if p.tasks[e.Task.ID] == nil {
 			t := p.newTask(e.Task)
 			p.open = append(p.open, t)
 		}
-	case Running:
+	case TaskAdopted:
 		p.running(e)
-	case Placed:
+	case AttemptPlaced:
 		p.placed(e)
-	case Ended:
+	case AttemptEnded:
 		p.ended(e)
-	case Note:
+	case UsageReport:
 		p.note(e)
-	case Probed:
+	case HealthChecked:
 		if m := p.machines[e.Machine]; m != nil {
 			p.report(m, e.Load)
 		}
-	case Gone:
+	case TaskCanceled:
 		if t := p.tasks[e.Task]; t != nil {
 			t.settled = true
 			p.drop(t)
@@ -122,7 +122,7 @@
 }
 
 // running takes over a task that runs: it counts for spread and joins the history as from now.
-func (p *Placer) running(e Running) {
+func (p *Placer) running(e TaskAdopted) {
 	if p.tasks[e.Task.ID] != nil {
 		return
 	}
@@ -132,7 +132,7 @@
 	p.seat(t, &t.attempts[0])
 }
 
-func (p *Placer) listed(e Listed) {
+func (p *Placer) listed(e MachinesUpdated) {
 	for _, entry := range e.Machines {
 		m := p.machine(entry.ID)
 		if entry.Kind < 0 || entry.Kind >= len(p.cfg.Kinds) {
@@ -141,7 +141,7 @@
 		if m.listed && entry.Started > m.Started {
 			p.restarted(m)
 		}
-		if entry.State == Out && m.State != Out {
+		if entry.State == Removed && m.State != Removed {
 			p.goes(m)
 		}
 		m.Machine, m.listed = entry, true
@@ -149,14 +149,14 @@
 		p.settleIn(m)
 		p.touch(m)
 	}
-	if e.Whole {
+	if e.Complete {
 		named := make(map[string]bool, len(e.Machines))
 		for _, entry := range e.Machines {
 			named[entry.ID] = true
 		}
 		for _, m := range p.order {
-			if !named[m.ID] && m.State != Out {
-				m.State = Out
+			if !named[m.ID] && m.State != Removed {
+				m.State = Removed
 				p.goes(m)
 				p.touch(m)
 			}
@@ -176,7 +176,7 @@
 
 // restarted clears what was known of a machine's former life.
 func (p *Placer) restarted(m *machine) {
-	m.health, m.strained, m.fullBar, m.load = health{}, 0, 0, Load{}
+	m.health, m.strained, m.fullBar, m.load = health{}, 0, 0, LoadReport{}
 	clear(m.classes)
 	p.forgetBinds(m, p.now)
 }
@@ -185,14 +185,14 @@
 // its next life look full. Acts when discovery says that the machine is gone or has started anew.
 func (p *Placer) forgetBinds(m *machine, before Time) {
 	for _, b := range p.history {
-		if b.m == m && b.at < before && !p.without[GoneBinds] {
+		if b.m == m && b.at < before && !p.without[ForgetRemovedPlacements] {
 			p.takeOff(b)
 		}
 	}
 }
 
 func (p *Placer) listFailed() {
-	if !p.cfg.DiscoveryAsks {
+	if !p.cfg.DiscoveryOnRequest {
 		return
 	}
 	p.askFails++
@@ -206,15 +206,15 @@
 		return
 	}
 	p.do(Subscribe{})
-	p.askAt = p.now + max(p.cfg.AskWithin, time.Second)
+	p.askAt = p.now + max(p.cfg.DiscoveryPollDeadline, time.Second)
 }
 
-func (p *Placer) placed(e Placed) {
+func (p *Placer) placed(e AttemptPlaced) {
 	t, a := p.attempt(e.Task, e.Attempt)
 	if a == nil || !a.live {
 		return
 	}
-	lag := e.Lag.Seconds()
+	lag := e.Latency.Seconds()
 	p.lagDev += (math.Abs(lag-p.lag) - p.lagDev) / 8
 	p.lag += (lag - p.lag) / 8
 	t.settled = true
@@ -229,7 +229,7 @@
 	p.touch(a.m)
 }
 
-func (p *Placer) ended(e Ended) {
+func (p *Placer) ended(e AttemptEnded) {
 	if m := p.machines[e.Machine]; m != nil {
 		p.report(m, e.Load)
 	}
@@ -238,8 +238,8 @@
 		return
 	}
 	a.live, a.done = false, true
-	a.proved = e.Verdict == Refused || e.Verdict == Unreachable || e.Verdict == NotSent
-	if a.proved && !p.without[ProvedBinds] {
+	a.proved = e.Outcome == Rejected || e.Outcome == Unreachable || e.Outcome == NotSent
+	if a.proved && !p.without[ForgetUnstartedPlacements] {
 		p.takeOff(a.history) // it never ran, so it leaves the history
 	}
 	p.release(t, a.m)
@@ -248,10 +248,10 @@
 	} else {
 		a.m.waiting--
 	}
-	p.learnLife(t, a, e.Verdict)
+	p.learnLife(t, a, e.Outcome)
 	p.judge(t, a, e)
 	p.touch(a.m)
-	if e.Done || a.placed {
+	if e.Final || a.placed {
 		t.settled = true
 	}
 	p.drop(t)
@@ -272,10 +272,10 @@
 		p.offs = 0
 	}
 	p.outs = slices.DeleteFunc(p.outs, func(m *machine) bool {
-		if m.State == Out && (len(m.services) > 0 || p.now-m.goneAt <= keepUnseen) {
+		if m.State == Removed && (len(m.services) > 0 || p.now-m.goneAt <= keepUnseen) {
 			return false
 		}
-		if m.State == Out {
+		if m.State == Removed {
 			p.forgetMachine(m)
 		}
 		return true
@@ -299,7 +299,7 @@
 		return
 	}
 	p.wakes = max(next, p.now+1)
-	p.do(Wake{After: p.wakes - p.now})
+	p.do(SetTimer{After: p.wakes - p.now})
 }
 
 // ---- Evidence: what outcomes, reports and notes say of a machine, each with an expiry.
@@ -328,7 +328,7 @@
 // probe keeps others from following an offer to what failed us lately, until its outcome is known: so that
 // recovery is found by one task and not by all that wait.
 func (p *Placer) probe(h *health) {
-	if h.strikes > 0 && !p.without[ProbeBar] {
+	if h.strikes > 0 && !p.without[TrialPlacement] {
 		h.bar = max(h.bar, p.now+baseBar)
 	}
 }
@@ -365,12 +365,12 @@
 }
 
 // judge reads an outcome as evidence about its machine.
-func (p *Placer) judge(t *task, a *attempt, e Ended) {
+func (p *Placer) judge(t *task, a *attempt, e AttemptEnded) {
 	m := a.m
-	switch e.Verdict {
+	switch e.Outcome {
 	case Failed, TimedOut:
 		// Where the class was served lately the task may be at fault: another machine tells, see blame.
-		at, more := m.record(t.Class).servedAt, e.Verdict == Failed && t.class.Effect != Unsafe
+		at, more := m.record(t.Class).servedAt, e.Outcome == Failed && t.class.Idempotency != NonIdempotent
 		if more && at > 0 && p.now-at < forget {
 			t.errors = append(t.errors, m)
 		} else {
@@ -380,23 +380,23 @@
 		p.strike(&m.health)
 	case Lost:
 		switch e.Reason {
-		case Evicted, PushedOut:
+		case Evicted, Preempted:
 			p.strain(m, 2*strainBar, memoryLack)
-		case SentAway:
+		case DrainedAway:
 		default:
 			p.strike(&m.health)
 		}
-	case Refused:
+	case Rejected:
 		m.window = 1
 		size := p.size(t, m)
 		if p.now >= m.fullBar || size < m.fullSize {
 			m.fullSize = size
 		}
 		switch e.Reason {
-		case TooManyWait:
+		case QueueFull:
 			m.fullSize = 0
 			m.fullBar = max(m.fullBar, p.now+queueBar)
-		case NotHere:
+		case UnsupportedTask:
 			m.fullSize = 0
 			m.fullBar = max(m.fullBar, p.now+fullBar)
 		default:
@@ -406,18 +406,18 @@
 	}
 }
 
-func (p *Placer) note(e Note) {
+func (p *Placer) note(e UsageReport) {
 	t, a := p.attempt(e.Task, e.Attempt)
 	if a == nil || !a.live {
 		return
 	}
-	if e.Kind == Served {
+	if e.Kind == ServiceLevel {
 		p.relocate(t, a, 1-e.Amount)
 	}
 	switch {
-	case e.Kind == Served && e.Amount < 0.95:
+	case e.Kind == ServiceLevel && e.Amount < 0.95:
 		p.strain(a.m, strainBar, 1-e.Amount)
-	case e.Kind == MemoryShort && e.Amount > shortMemory:
+	case e.Kind == MemoryPressure && e.Amount > shortMemory:
 		p.strain(a.m, strainBar, memoryLack)
 	}
 }
@@ -435,9 +435,10 @@
 	}
 	a.badAt = p.now
 	life, c, x := p.meanLife(t.Class), t.class, &p.index
-	gain := time.Duration((lack - p.cfg.Prices.Moves) * float64(life))
-	cost := 2*c.Aim + time.Duration(p.cfg.Prices.Moves*c.StartSeconds*float64(time.Second))
-	if p.now-a.badSince < strainBar/2 || gain < cost || a.moving || c == &p.unknown || p.without[Moves] {
+	gain := time.Duration((lack - p.cfg.Prices.Migration) * float64(life))
+	seconds := p.cfg.Prices.Migration * c.StartValueSeconds
+	cost := 2*c.LatencyObjective + time.Duration(seconds*float64(time.Second))
+	if p.now-a.badSince < strainBar/2 || gain < cost || a.moving || c == &p.unknown || p.without[Migrations] {
 		return
 	}
 	p.refresh()
@@ -448,7 +449,7 @@
 	}
 	good.InPlaceIntersection(x.ours) // of the others nothing is told
 	if a.moving = good.Count() >= least && x.classes[t.Class].None() && x.refusing.None(); a.moving {
-		p.do(Move{Task: t.ID})
+		p.do(Migrate{Task: t.ID})
 	}
 }
 
@@ -459,11 +460,11 @@
 }
 
 // learnLife ends a life of t's class; one cut short counts as not ended.
-func (p *Placer) learnLife(t *task, a *attempt, v Verdict) {
+func (p *Placer) learnLife(t *task, a *attempt, v Outcome) {
 	if l := p.life(t.Class); a.placed && l != nil {
 		l.seen += p.now - a.sent
 		l.running, l.since = l.running-1, l.since-a.sent
-		if v == Finished || v == Withdrawn {
+		if v == Completed || v == Canceled {
 			l.ended++
 		}
 	}
@@ -493,7 +494,7 @@
 func (p *Placer) choose(t *task) *machine {
 	p.refresh()
 	ask := alike{class: t.Class, cores: t.Cores, memory: t.Memory, late: p.late(t)}
-	if t.class.Spread != Nowhere {
+	if t.class.SpreadDomain != NoDomain {
 		ask.service = t.Service
 	}
 	if len(t.attempts) == 0 && p.index.held[ask] {
@@ -519,7 +520,8 @@
 		x.shape++
 	}
 	for k := range x.kinds {
-		put(x.kinds[k], i, kind == k && (m.State == In || m.State == Draining && p.without[DrainBar]))
+		inService := m.State == Active || m.State == Draining && p.without[DrainConstraint]
+		put(x.kinds[k], i, kind == k && inService)
 	}
 	next := Time(math.MaxInt64)
 	until := func(end Time) bool {
@@ -538,7 +540,7 @@
 	put(x.refusing, i, until(m.fullBar))
 	put(x.rushed, i, m.window > 0 && m.waiting >= m.window)
 	x.told[i] = p.told(m)
-	put(x.reporting, i, m.load.Told && until(m.loadAt+reportFresh+1))
+	put(x.reporting, i, m.load.Present && until(m.loadAt+reportFresh+1))
 	p.columns(m, kind)
 	x.again(m, next)
 }
@@ -571,23 +573,24 @@
 // fits tells whether an empty machine of this kind would take the task.
 func (p *Placer) fits(t *task, kind int) bool {
 	k := p.cfg.Kinds[kind]
-	return t.Cores <= k.Cores*max(p.cfg.AcceptCores, 1) && t.Memory <= k.Memory*max(p.cfg.AcceptMemory, 1)
+	cores, memory := k.Cores*max(p.cfg.CoreOvercommit, 1), k.Memory*max(p.cfg.MemoryOvercommit, 1)
+	return t.Cores <= cores && t.Memory <= memory
 }
 
 // inGroup keeps the second rule: once an attempt may have run, the next must be harmless.
 func (p *Placer) inGroup(t *task, left *bitset.BitSet) {
 	for i := range t.attempts {
 		a := &t.attempts[i]
-		if a.proved || t.class.Effect == Safe || p.without[RepeatBar] {
+		if a.proved || t.class.Idempotency == Idempotent || p.without[RetrySafetyConstraint] {
 			continue
 		}
-		late := p.now+p.cfg.Tick >= a.sent+t.class.Window
-		if t.class.Effect != Keyed || late {
+		late := p.now+p.cfg.Tick >= a.sent+t.class.KeyTTL
+		if t.class.Idempotency != IdempotentByKey || late {
 			left.ClearAll()
 			return
 		}
 		both(left, left, func(i int) {
-			if !same(t.class.Group, a.m, p.order[i]) {
+			if !same(t.class.KeyDomain, a.m, p.order[i]) {
 				left.Clear(uint(i))
 			}
 		})
@@ -597,23 +600,23 @@
 // spreadLeft keeps the fifth rule: where a service has its most, it gets no more.
 func (p *Placer) spreadLeft(t *task, left *bitset.BitSet) {
 	s := p.services[t.Service]
-	if t.class.Spread == Nowhere || s == nil || p.without[SpreadBar] {
+	if t.class.SpreadDomain == NoDomain || s == nil || p.without[SpreadConstraint] {
 		return
 	}
 	places := s.zones
-	switch t.class.Spread {
-	case OnMachine:
+	switch t.class.SpreadDomain {
+	case MachineDomain:
 		for _, i := range s.held {
-			if p.order[i].services[t.Service].n >= t.class.Most {
+			if p.order[i].services[t.Service].n >= t.class.MaxPerDomain {
 				left.Clear(uint(i))
 			}
 		}
 		return
-	case InCell:
+	case CellDomain:
 		places = s.cells
 	}
 	for at, n := range places { // in any order: each takes its own machines away
-		if n >= t.class.Most {
+		if n >= t.class.MaxPerDomain {
 			left.InPlaceDifference(at.bits)
 		}
 	}
@@ -625,12 +628,12 @@
 //
 // What shares of whole offers leave over, all of it where the share is below one, is offered in turns.
 func (p *Placer) coldLeft(m *machine) bool {
-	if !p.cold(m) || p.without[ColdBar] {
+	if !p.cold(m) || p.without[SlowStartConstraint] {
 		return true
 	}
-	share := int(p.cfg.ColdOffers / float64(p.cfg.Schedulers))
-	rest := p.cfg.ColdOffers - float64(share*p.cfg.Schedulers)
-	from := p.now - p.cfg.FallWindow*3/2
+	share := int(p.cfg.SlowStartBudget / float64(p.cfg.Schedulers))
+	rest := p.cfg.SlowStartBudget - float64(share*p.cfg.Schedulers)
+	from := p.now - p.cfg.OverloadWindow*3/2
 	if p.born > from && p.born > m.Started {
 		return false
 	}
@@ -651,18 +654,20 @@
 // step is such that these are never more than budget; where work waits, half of it is used. Risk: schedulers
 // that count each other wrongly (two with one index) overstep.
 func (p *Placer) turn(m *machine, budget float64) bool {
-	step := time.Duration(float64(2*p.cfg.FallWindow)/budget) + 1
+	step := time.Duration(float64(2*p.cfg.OverloadWindow)/budget) + 1
 	n := uint64(p.cfg.Schedulers)
 	place := (m.hash%n + uint64(p.cfg.Index)) % n
 	since := p.now - m.Started - time.Duration(place)*step
-	return since >= 0 && since%(time.Duration(n)*step) < p.cfg.FallWindow
+	return since >= 0 && since%(time.Duration(n)*step) < p.cfg.OverloadWindow
 }
 
 func (p *Placer) cold(m *machine) bool {
-	return m.Started > 0 && p.cfg.FallWindow > 0 && p.now < p.coldUntil(m)
+	return m.Started > 0 && p.cfg.OverloadWindow > 0 && p.now < p.coldUntil(m)
 }
 
-func (p *Placer) coldUntil(m *machine) Time { return m.Started + p.cfg.ColdFor + p.cfg.FallWindow }
+func (p *Placer) coldUntil(m *machine) Time {
+	return m.Started + p.cfg.SlowStartDuration + p.cfg.OverloadWindow
+}
 
 // prefer is the soft bars, strongest first. One that would leave fewer than its least is skipped, so bad
 // evidence never stops placing; that is the fixed order in which they give way, last to first.
@@ -671,7 +676,7 @@
 	if n == 0 {
 		return nil
 	}
-	bar := func(b Bar, least uint, barred *bitset.BitSet) {
+	bar := func(b Constraint, least uint, barred *bitset.BitSet) {
 		if kept := left.DifferenceCardinality(barred); kept >= least && kept < n && !p.without[b] {
 			left.InPlaceDifference(barred)
 			n = kept
@@ -685,15 +690,15 @@
 				tried.Set(uint(a.m.at))
 			}
 		}
-		bar(TriedBar, 1, tried)
+		bar(TriedConstraint, 1, tried)
 	}
 	// Failing, lost or out of reach. When over half are, the cause is not a machine.
-	bar(FailingBar, max(several, n/2), x.failing)
+	bar(FailingConstraint, max(several, n/2), x.failing)
 	// Failing this class. That may be most machines: those that serve it are kept.
 	if t.Class >= 0 && t.Class < len(x.classes) {
-		bar(ClassBar, several, x.classes[t.Class])
+		bar(ClassFailureConstraint, several, x.classes[t.Class])
 	} else {
-		bar(ClassBar, several, x.failing)
+		bar(ClassFailureConstraint, several, x.failing)
 	}
 	// Full as far as told. A refused offer is priced and uses up an attempt, so a task is held while no
 	// machine has room; late in its time it is tried once all the same, in case the evidence is wrong.
@@ -708,19 +713,19 @@
 	if n == 0 {
 		return nil
 	}
-	if p.cfg.Prices.Fleet > 0 && p.cfg.ListsFree && !p.without[NeededBar] {
+	if p.cfg.Prices.Fleet > 0 && p.cfg.ListsFreeCapacity && !p.without[ConsolidationConstraint] {
 		if used := p.inUse(left); left.IntersectionCardinality(used) >= several {
 			left.InPlaceIntersection(used)
 			n = left.Count()
 		}
 	}
-	bar(ContradictedBar, several, p.contradicted(left, n))
+	bar(ReportedLoadConstraint, several, p.contradicted(left, n))
 	return p.homes(t, left, n)
 }
 
 // late: never offered, and little of its time is left.
 func (p *Placer) late(t *task) bool {
-	return p.now >= t.taken+(t.ValidUntil-t.taken)*3/4 && len(t.attempts) == 0
+	return p.now >= t.taken+(t.Deadline-t.taken)*3/4 && len(t.attempts) == 0
 }
 
 // full: it lately refused such a size, or enough offers are out since to find out, or the list tells no room.
@@ -733,14 +738,14 @@
 	x := &p.index
 	full := x.spare.ClearAll()
 	both(left, x.refusing, func(i int) {
-		if m := p.order[i]; p.size(t, m) >= m.fullSize && !p.without[RefusedBar] {
+		if m := p.order[i]; p.size(t, m) >= m.fullSize && !p.without[RejectionConstraint] {
 			full.Set(uint(i))
 		}
 	})
-	if !p.without[RushedBar] {
+	if !p.without[OfferLimitConstraint] {
 		full.InPlaceUnion(x.rushed)
 	}
-	if p.cfg.ListsFree && !p.without[RoomBar] {
+	if p.cfg.ListsFreeCapacity && !p.without[CapacityConstraint] {
 		p.lateSums(left.Difference(full), listLate)
 		x.lacking(left, full, t.Cores, t.Memory)
 	}
@@ -811,7 +816,7 @@
 		add(first)
 		add(second)
 	}
-	if p.without[HomesBar] {
+	if p.without[AffinityConstraint] {
 		list = list[:0]
 		both(left, left, func(i int) { list = append(list, candidate{int32(i), x.rankKey(s, int32(i))}) })
 	}
@@ -897,10 +902,10 @@
 // hurt where one of our tasks is itself at fault.
 func (p *Placer) others(m *machine) float64 {
 	lack := 0.0
-	if p.now < m.strained && !p.without[StrainedBar] {
+	if p.now < m.strained && !p.without[OverloadLoad] {
 		lack = strainLoad * m.lack
 	}
-	if !p.cfg.ListsFree {
+	if !p.cfg.ListsFreeCapacity {
 		return lack
 	}
 	k := p.cfg.Kinds[m.Kind]
@@ -955,7 +960,7 @@
 //
 // Those that can still start within their aim go first: when room is short, a start in time is worth most.
 func (p *Placer) serve() {
-	if !p.without[Waits] {
+	if !p.without[ObjectiveOrder] {
 		p.sortOpen()
 	}
 	for _, t := range p.open {
@@ -976,7 +981,7 @@
 // rank is below ranks.
 func (p *Placer) rank(t *task) int {
 	rank := 0
-	if p.now > t.taken+t.class.Aim {
+	if p.now > t.taken+t.class.LatencyObjective {
 		rank = 1
 	}
 	if p.overShare(t) {
@@ -987,7 +992,7 @@
 
 // overShare: what a tenant asks beyond its share is worth little. Acts on the order of waiting tasks only.
 func (p *Placer) overShare(t *task) bool {
-	if t.Tenant < 0 || t.Tenant >= len(p.cfg.Tenants) || p.cfg.OverShareWorth >= 1 {
+	if t.Tenant < 0 || t.Tenant >= len(p.cfg.Tenants) || p.cfg.OverQuotaWeight >= 1 {
 		return false
 	}
 	quota := p.cfg.Tenants[t.Tenant].QuotaCores
@@ -997,14 +1002,16 @@
 // place offers t to a machine, holds it, or gives it up.
 func (p *Placer) place(t *task) {
 	if p.now >= p.offerBy(t) || p.cfg.MaxAttempts > 0 && len(t.attempts) >= p.cfg.MaxAttempts ||
-		t.class == &p.unknown || t.class.Effect == Unsafe && t.mayHaveRun() && !p.without[RepeatBar] {
+		t.class == &p.unknown ||
+		t.class.Idempotency == NonIdempotent && t.mayHaveRun() && !p.without[RetrySafetyConstraint] {
 		p.answer(t)
 		return
 	}
 	m := p.choose(t)
 	if m == nil {
 		// Nothing may take it now. Held a while, since an owner that is turned away comes again late.
-		if t.mayHaveRun() && t.class.Effect == Keyed || p.now-t.taken > max(t.class.Aim, 5*time.Second) {
+		if t.mayHaveRun() && t.class.Idempotency == IdempotentByKey ||
+			p.now-t.taken > max(t.class.LatencyObjective, 5*time.Second) {
 			p.answer(t)
 		}
 		return
@@ -1014,7 +1021,8 @@
 	p.probe(m.record(t.Class))
 	p.touch(m)
 	if p.cold(m) {
-		m.offers = slices.DeleteFunc(m.offers, func(at Time) bool { return p.now-at > 2*p.cfg.FallWindow })
+		past := func(at Time) bool { return p.now-at > 2*p.cfg.OverloadWindow }
+		m.offers = slices.DeleteFunc(m.offers, past)
 		m.offers = append(m.offers, p.now)
 	}
 	p.do(Offer{Task: t.ID, Machine: m.ID, Timeout: p.timeout(t)})
@@ -1023,18 +1031,18 @@
 // timeout leaves time for a further attempt where one would be allowed, and ends before the answer is due.
 func (p *Placer) timeout(t *task) time.Duration {
 	left := p.offerBy(t) - p.now
-	if t.class.Effect == Unsafe || p.cfg.MaxAttempts > 0 && len(t.attempts) >= p.cfg.MaxAttempts {
+	if t.class.Idempotency == NonIdempotent || p.cfg.MaxAttempts > 0 && len(t.attempts) >= p.cfg.MaxAttempts {
 		return left
 	}
 	usual := time.Duration((p.lag + 4*p.lagDev) * float64(time.Second))
-	return min(left, max(usual, t.class.Aim/2, 50*time.Millisecond))
+	return min(left, max(usual, t.class.LatencyObjective/2, 50*time.Millisecond))
 }
 
 // answerBy is the last moment to give the final answer; an attempt's time-out comes a tick earlier.
-func (p *Placer) answerBy(t *task) Time { return t.ValidUntil - p.margin() }
-func (p *Placer) offerBy(t *task) Time  { return t.ValidUntil - 2*p.margin() }
+func (p *Placer) answerBy(t *task) Time { return t.Deadline - p.margin() }
+func (p *Placer) offerBy(t *task) Time  { return t.Deadline - 2*p.margin() }
 func (p *Placer) margin() time.Duration {
-	if p.without[AnswerBar] {
+	if p.without[AnswerDeadlineConstraint] {
 		return -time.Second
 	}
 	return 2*p.cfg.Tick + time.Millisecond
@@ -1045,13 +1053,14 @@
 	t.settled = true
 	p.blame(t)
 	for i := range t.attempts {
-		if t.attempts[i].live && p.cfg.CanWithdraw {
-			p.do(Withdraw{Task: t.ID, Attempt: i})
+		if t.attempts[i].live && p.cfg.CanCancel {
+			p.do(Cancel{Task: t.ID, Attempt: i})
 		}
 	}
 	c := t.class
-	if !t.mayHaveRun() || c.Effect == Safe || c.Effect == Keyed && c.Group == Everywhere {
-		p.do(Refuse{Task: t.ID})
+	if !t.mayHaveRun() || c.Idempotency == Idempotent ||
+		c.Idempotency == IdempotentByKey && c.KeyDomain == FleetDomain {
+		p.do(Reject{Task: t.ID})
 	} else {
 		p.do(Fail{Task: t.ID})
 	}
--- a/placer_test.go
+++ b/placer_test.go
@@ -16,10 +16,10 @@
 // config is a plain setting that tests change to taste.
 func config() Config {
 	return Config{
-		Schedulers: 1, Zone: "a", Kinds: []Kind{{"k", 32, 100}}, AcceptCores: 2, AcceptMemory: 1.5,
-		Classes:     []Class{{Name: "c", Effect: Safe, Aim: time.Second, Kind: -1}},
-		MaxAttempts: 3, CanWithdraw: true, Tick: 2 * ms, FallWindow: time.Second, ColdFor: 10 * time.Second,
-		ColdOffers: 12, AskWithin: 10 * time.Second,
+		Schedulers: 1, Zone: "a", Kinds: []Kind{{"k", 32, 100}}, CoreOvercommit: 2, MemoryOvercommit: 1.5,
+		Classes:     []Class{{Name: "c", Idempotency: Idempotent, LatencyObjective: time.Second, Kind: -1}},
+		MaxAttempts: 3, CanCancel: true, Tick: 2 * ms, OverloadWindow: time.Second, SlowStartDuration: 10 * time.Second,
+		SlowStartBudget: 12, DiscoveryPollDeadline: 10 * time.Second,
 	}
 }
 
@@ -37,12 +37,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.Step(time.Second, []Event{Listed{Whole: true, Machines: machines}})
+	p.Step(time.Second, []Event{MachinesUpdated{Complete: true, Machines: machines}})
 	return p
 }
 
-func ask(id string, class int, until Time) Place {
-	return Place{Task{ID: id, Service: "s", Class: class, Cores: 1, Memory: 1, ValidUntil: until, Tenant: -1}}
+func ask(id string, class int, until Time) TaskSubmitted {
+	return TaskSubmitted{Task{ID: id, Service: "s", Class: class, Cores: 1, Memory: 1, Deadline: until, Tenant: -1}}
 }
 
 // offers lists the offers among actions.
@@ -95,11 +95,11 @@
 		{"flaxshelf: Kinds[0] (k): Cores and Memory must be above 0",
 			func(c *Config) { c.Kinds[0].Cores = 0 }},
 		{"flaxshelf: Classes[0].Kind: no kind 3", func(c *Config) { c.Classes[0].Kind = 3 }},
-		{"flaxshelf: Classes[0].Effect: unknown effect 9", func(c *Config) { c.Classes[0].Effect = 9 }},
+		{"flaxshelf: Classes[0].Effect: unknown effect 9", func(c *Config) { c.Classes[0].Idempotency = 9 }},
 		{"flaxshelf: Classes[0].Group: a keyed class needs a group",
-			func(c *Config) { c.Classes[0].Effect = Keyed }},
+			func(c *Config) { c.Classes[0].Idempotency = IdempotentByKey }},
 		{"flaxshelf: Classes[0].Most: a spread rule needs 1 or more",
-			func(c *Config) { c.Classes[0].Spread = InZone }},
+			func(c *Config) { c.Classes[0].SpreadDomain = ZoneDomain }},
 		{"flaxshelf: Tick: must not be negative", func(c *Config) { c.Tick = -1 }},
 		{"flaxshelf: MaxAttempts: must not be negative", func(c *Config) { c.MaxAttempts = -1 }},
 	} {
@@ -114,22 +114,22 @@
 // Second rule: what may follow each outcome, for each kind of class.
 func TestAfterAnOutcome(t *testing.T) {
 	groups := []Machine{{ID: "m0", Zone: "a"}, {ID: "m1", Zone: "a"}, {ID: "m2", Zone: "b", Cell: 1}}
-	for _, effect := range []Effect{Safe, Keyed, Unsafe} {
-		for v := Finished + 1; v <= NotSent; v++ {
+	for _, effect := range []Idempotency{Idempotent, IdempotentByKey, NonIdempotent} {
+		for v := Completed + 1; v <= NotSent; v++ {
 			c := config()
-			c.Classes[0].Effect, c.Classes[0].Group, c.Classes[0].Window = effect, InZone, 2*time.Second
+			c.Classes[0].Idempotency, c.Classes[0].KeyDomain, c.Classes[0].KeyTTL = effect, ZoneDomain, 2*time.Second
 			p := start(t, c, groups)
 			first := one(t, p.Step(time.Second, []Event{ask("t", 0, 9*time.Second)}))
-			as := p.Step(time.Second+ms, []Event{Ended{Task: "t", Machine: first.Machine, Verdict: v}})
-			proved := v == Refused || v == Unreachable || v == NotSent
+			as := p.Step(time.Second+ms, []Event{AttemptEnded{Task: "t", Machine: first.Machine, Outcome: v}})
+			proved := v == Rejected || v == Unreachable || v == NotSent
 			next := offers(as)
 			zone := func(id string) string { return p.machines[id].Zone }
 			switch {
-			case proved || effect == Safe:
+			case proved || effect == Idempotent:
 				if len(next) != 1 || next[0].Machine == first.Machine {
 					t.Errorf("effect %d, verdict %d: want another machine, got %v", effect, v, as)
 				}
-			case effect == Unsafe:
+			case effect == NonIdempotent:
 				if len(next) != 0 || !has(as, Fail{"t"}) {
 					t.Errorf("unsafe, verdict %d: want a failure, got %v", v, as)
 				}
@@ -137,7 +137,7 @@
 				if len(next) > 1 || len(next) == 1 && zone(next[0].Machine) != zone(first.Machine) {
 					t.Errorf("keyed, verdict %d: left the group: %v", v, as)
 				}
-				if has(as, Refuse{"t"}) {
+				if has(as, Reject{"t"}) {
 					t.Errorf("keyed, verdict %d: refused though it may have run", v)
 				}
 			}
@@ -147,27 +147,27 @@
 
 func TestKeyWindowEnds(t *testing.T) {
 	c := config()
-	c.Classes[0].Effect, c.Classes[0].Group, c.Classes[0].Window = Keyed, Everywhere, 500*ms
+	c.Classes[0].Idempotency, c.Classes[0].KeyDomain, c.Classes[0].KeyTTL = IdempotentByKey, FleetDomain, 500*ms
 	p := start(t, c, fleet(4))
 	o := one(t, p.Step(time.Second, []Event{ask("t", 0, 9*time.Second)}))
-	as := p.Step(time.Second+500*ms, []Event{Ended{Task: "t", Machine: o.Machine, Verdict: TimedOut}})
-	if len(offers(as)) != 0 || !has(as, Refuse{"t"}) {
+	as := p.Step(time.Second+500*ms, []Event{AttemptEnded{Task: "t", Machine: o.Machine, Outcome: TimedOut}})
+	if len(offers(as)) != 0 || !has(as, Reject{"t"}) {
 		t.Errorf("window over, group everywhere: want a refusal, got %v", as)
 	}
 }
 
 // Third rule.
 func TestDrainingAndGoneMachinesAreBarredAtOnce(t *testing.T) {
-	for _, s := range []State{Draining, Out} {
+	for _, s := range []MachineState{Draining, Removed} {
 		p := start(t, config(), fleet(2))
 		as := p.Step(2*time.Second, []Event{
-			Listed{Machines: []Machine{{ID: "m0", Zone: "a", State: s}}}, ask("t", 0, 9*time.Second)})
+			MachinesUpdated{Machines: []Machine{{ID: "m0", Zone: "a", State: s}}}, ask("t", 0, 9*time.Second)})
 		if o := one(t, as); o.Machine != "m1" {
 			t.Errorf("state %d: offered to %s", s, o.Machine)
 		}
 	}
 	p := start(t, config(), fleet(2))
-	as := p.Step(2*time.Second, []Event{Listed{Whole: true, Machines: fleet(1)}, ask("t", 0, 9*time.Second)})
+	as := p.Step(2*time.Second, []Event{MachinesUpdated{Complete: true, Machines: fleet(1)}, ask("t", 0, 9*time.Second)})
 	if o := one(t, as); o.Machine != "m0" {
 		t.Errorf("absent from a whole list: offered to %s", o.Machine)
 	}
@@ -176,20 +176,20 @@
 // Fourth rule: this scheduler's share of the always-safe offers, unanswered ones counted.
 func TestColdMachineGetsItsShare(t *testing.T) {
 	c := config()
-	c.Schedulers, c.ColdOffers = 3, 12
+	c.Schedulers, c.SlowStartBudget = 3, 12
 	p := start(t, c, nil)
 	now := 10 * time.Second
-	events := []Event{Listed{Machines: []Machine{{ID: "new", Zone: "a", Started: now - ms}}}}
+	events := []Event{MachinesUpdated{Machines: []Machine{{ID: "new", Zone: "a", Started: now - ms}}}}
 	for i := range 20 {
 		events = append(events, ask(fmt.Sprint("t", i), 0, now+5*time.Second))
 	}
 	if n := len(offers(p.Step(now, events))); n != 4 {
 		t.Errorf("offers at once: %d, want 12/3", n)
 	}
-	if n := len(offers(p.Step(now+900*ms, []Event{Woken{}}))); n != 0 {
+	if n := len(offers(p.Step(now+900*ms, []Event{TimerFired{}}))); n != 0 {
 		t.Errorf("within the window: %d more", n)
 	}
-	if n := len(offers(p.Step(now+1600*ms, []Event{Woken{}}))); n != 4 {
+	if n := len(offers(p.Step(now+1600*ms, []Event{TimerFired{}}))); n != 4 {
 		t.Errorf("after the window: %d, want 4", n)
 	}
 }
@@ -198,7 +198,7 @@
 // time, stay within the budget in any window, and use a good part of it.
 func TestManySchedulersTakeTurnsAtColdMachines(t *testing.T) {
 	c := config()
-	c.Schedulers, c.ColdOffers = 300, 24
+	c.Schedulers, c.SlowStartBudget = 300, 24
 	sends := map[string][]Time{}
 	var placers []*Placer
 	for i := range c.Schedulers {
@@ -217,26 +217,26 @@
 		for i, p := range placers {
 			var es []Event
 			if now == time.Second {
-				es = append(es, Listed{Whole: true, Machines: machines})
+				es = append(es, MachinesUpdated{Complete: true, Machines: machines})
 			}
 			if now > time.Second {
 				es = append(es, ask(fmt.Sprint(i, now), 0, now+time.Minute))
 			}
 			for _, o := range offers(p.Step(now, es)) {
 				sends[o.Machine] = append(sends[o.Machine], now)
-				p.Step(now, []Event{Ended{Task: o.Task, Machine: o.Machine, Verdict: Finished, Done: true}})
+				p.Step(now, []Event{AttemptEnded{Task: o.Task, Machine: o.Machine, Outcome: Completed, Final: true}})
 			}
 		}
 	}
 	for id, at := range sends {
 		most, first := 0, 0
 		for last := range at {
-			for at[last]-at[first] > c.FallWindow {
+			for at[last]-at[first] > c.OverloadWindow {
 				first++
 			}
 			most = max(most, last-first+1)
 		}
-		if most > int(c.ColdOffers) || len(at) < 2*int(c.ColdOffers) {
+		if most > int(c.SlowStartBudget) || len(at) < 2*int(c.SlowStartBudget) {
 			t.Errorf("%s: %d offers in a window, %d in all", id, most, len(at))
 		}
 	}
@@ -250,21 +250,21 @@
 	p, _ := New(config(), 1)
 	now := 10 * time.Second
 	as := p.Step(now, []Event{
-		Listed{Whole: true, Stale: true, Machines: []Machine{{ID: "new", Started: now - time.Second}}},
+		MachinesUpdated{Complete: true, Stale: true, Machines: []Machine{{ID: "new", Started: now - time.Second}}},
 		ask("t", 0, now+5*time.Second)})
 	if len(offers(as)) != 0 {
 		t.Fatalf("offered to a cold machine right after the start: %v", as)
 	}
-	one(t, p.Step(now+1600*ms, []Event{Woken{}}))
+	one(t, p.Step(now+1600*ms, []Event{TimerFired{}}))
 }
 
 // Fifth rule: attempts, placed tasks and tasks told as running all count.
 func TestSpread(t *testing.T) {
-	for _, at := range []Extent{OnMachine, InCell, InZone} {
+	for _, at := range []TopologyDomain{MachineDomain, CellDomain, ZoneDomain} {
 		c := config()
-		c.Classes[0].Spread, c.Classes[0].Most = at, 2
+		c.Classes[0].SpreadDomain, c.Classes[0].MaxPerDomain = at, 2
 		p := start(t, c, []Machine{{ID: "m0", Zone: "a"}, {ID: "m1", Zone: "b", Cell: 1}})
-		events := []Event{Running{ask("r", 0, 0).Task, "m0"}}
+		events := []Event{TaskAdopted{ask("r", 0, 0).Task, "m0"}}
 		for i := range 6 {
 			events = append(events, ask(fmt.Sprint("t", i), 0, 9*time.Second))
 		}
@@ -275,7 +275,7 @@
 		if count["m0"] != 2 || count["m1"] != 2 {
 			t.Errorf("extent %d: %v", at, count)
 		}
-		as := p.Step(3*time.Second, []Event{Ended{Task: "r", Machine: "m0", Verdict: Finished, Done: true}})
+		as := p.Step(3*time.Second, []Event{AttemptEnded{Task: "r", Machine: "m0", Outcome: Completed, Final: true}})
 		if o := one(t, as); o.Machine != "m0" {
 			t.Errorf("extent %d: the freed place went to %s", at, o.Machine)
 		}
@@ -289,13 +289,13 @@
 		until := 4 * time.Second
 		as := p.Step(time.Second, []Event{ask("t", 0, until)})
 		for i := 0; i < 1000; i++ {
-			w := slices.IndexFunc(as, func(a Action) bool { _, ok := a.(Wake); return ok })
+			w := slices.IndexFunc(as, func(a Action) bool { _, ok := a.(SetTimer); return ok })
 			if w < 0 {
 				t.Fatalf("%d machines: no wake while a task is open", n)
 			}
-			now := p.now + as[w].(Wake).After
-			as = p.Step(now, []Event{Woken{}})
-			if has(as, Refuse{"t"}) {
+			now := p.now + as[w].(SetTimer).After
+			as = p.Step(now, []Event{TimerFired{}})
+			if has(as, Reject{"t"}) {
 				if now >= until {
 					t.Errorf("%d machines: answered at %v", n, now)
 				}
@@ -316,10 +316,10 @@
 	as := p.Step(time.Second, []Event{ask("t", 0, 9*time.Second)})
 	for i := range 3 {
 		o := one(t, as)
-		e := Ended{Task: "t", Machine: o.Machine, Attempt: i, Verdict: Unreachable}
+		e := AttemptEnded{Task: "t", Machine: o.Machine, Attempt: i, Outcome: Unreachable}
 		as = p.Step(time.Second+Time(i+1)*ms, []Event{e})
 	}
-	if len(offers(as)) != 0 || !has(as, Refuse{"t"}) {
+	if len(offers(as)) != 0 || !has(as, Reject{"t"}) {
 		t.Errorf("after three attempts: %v", as)
 	}
 }
@@ -328,30 +328,30 @@
 func TestUnknownThingsAreIgnored(t *testing.T) {
 	p := start(t, config(), fleet(2))
 	as := p.Step(2*time.Second, []Event{
-		Ended{Task: "x", Machine: "y"}, Placed{Task: "x"}, Note{Task: "x", Kind: 99}, Gone{"x"},
-		Probed{Machine: "y"}, Message{From: 3}, Woken{}, Ended{Task: "t", Machine: "m0", Attempt: -1}})
+		AttemptEnded{Task: "x", Machine: "y"}, AttemptPlaced{Task: "x"}, UsageReport{Task: "x", Kind: 99}, TaskCanceled{"x"},
+		HealthChecked{Machine: "y"}, GossipReceived{From: 3}, TimerFired{}, AttemptEnded{Task: "t", Machine: "m0", Attempt: -1}})
 	if len(as) != 0 {
 		t.Errorf("got %v", as)
 	}
 	as = p.Step(2*time.Second, []Event{ask("odd", 77, 9*time.Second)})
-	if !has(as, Refuse{"odd"}) {
+	if !has(as, Reject{"odd"}) {
 		t.Errorf("unknown class: %v", as)
 	}
 }
 
 func TestDiscoveryIsAskedAgainAfterErrors(t *testing.T) {
 	c := config()
-	c.DiscoveryAsks = true
+	c.DiscoveryOnRequest = true
 	p, _ := New(c, 1)
-	as := p.Step(time.Second, []Event{Listed{Whole: true, Stale: true, Machines: fleet(1)}})
+	as := p.Step(time.Second, []Event{MachinesUpdated{Complete: true, Stale: true, Machines: fleet(1)}})
 	if !has(as, Subscribe{}) {
 		t.Fatalf("no subscription at the start: %v", as)
 	}
 	now, calls := time.Second, 0
 	for range 20 {
-		p.Step(now+ms, []Event{ListFailed{}})
+		p.Step(now+ms, []Event{DiscoveryFailed{}})
 		for now += 10 * ms; ; now += 10 * ms {
-			if has(p.Step(now, []Event{Woken{}}), Subscribe{}) {
+			if has(p.Step(now, []Event{TimerFired{}}), Subscribe{}) {
 				calls++
 				break
 			}
@@ -400,7 +400,7 @@
 // What others asked by the list's word counts in each run; our own part of that word counts once.
 func TestVoteStartsFromWhatOthersAsked(t *testing.T) {
 	c := config()
-	c.ListsFree = true
+	c.ListsFreeCapacity = true
 	machines := fleet(2)
 	for i := range machines {
 		machines[i].FreeCores, machines[i].FreeMemory = 32, 100
@@ -414,7 +414,7 @@
 		}
 	}
 	machines[0].FreeCores, machines[1].FreeCores = 32, 24 // the word now: m1 holds our eight, others have left
-	p.Step(4*time.Second, []Event{Listed{Machines: machines}})
+	p.Step(4*time.Second, []Event{MachinesUpdated{Machines: machines}})
 	for _, m := range p.order {
 		if o := p.others(m); o != 0 {
 			t.Errorf("%s: others hold %v of it, want nothing", m.ID, o)
@@ -484,7 +484,7 @@
 func TestRefusedBindsLeaveTheHistory(t *testing.T) {
 	p := start(t, config(), fleet(2))
 	o := one(t, p.Step(time.Second, []Event{ask("t", 0, 9*time.Second)}))
-	p.Step(time.Second+ms, []Event{Ended{Task: "t", Machine: o.Machine, Verdict: Refused, Reason: NoCores}})
+	p.Step(time.Second+ms, []Event{AttemptEnded{Task: "t", Machine: o.Machine, Outcome: Rejected, Reason: InsufficientCores}})
 	if len(p.history) != 1 || p.history[0].m.ID == o.Machine {
 		t.Errorf("history %v", p.history)
 	}
@@ -494,9 +494,9 @@
 func TestRestartedMachineIsForgotten(t *testing.T) {
 	p := start(t, config(), fleet(1))
 	o := one(t, p.Step(time.Second, []Event{ask("t", 0, 9*time.Second)}))
-	p.Step(2*time.Second, []Event{Placed{Task: "t", Machine: o.Machine}})
+	p.Step(2*time.Second, []Event{AttemptPlaced{Task: "t", Machine: o.Machine}})
 	anew := Machine{ID: "m0", Zone: "a", Started: 8 * time.Second}
-	p.Step(9*time.Second, []Event{Listed{Machines: []Machine{anew}}})
+	p.Step(9*time.Second, []Event{MachinesUpdated{Machines: []Machine{anew}}})
 	if len(p.history) != 0 {
 		t.Errorf("history %v", p.history)
 	}
@@ -505,24 +505,24 @@
 // Incident i4c1909: while the list tells no room anywhere, tasks are held, then tried once at last.
 func TestHeldWhileNoRoomIsTold(t *testing.T) {
 	c := config()
-	c.ListsFree = true
+	c.ListsFreeCapacity = true
 	full := []Machine{{ID: "m0", Zone: "a", FreeCores: -32, FreeMemory: -50}}
 	p := start(t, c, full)
 	if as := p.Step(time.Second, []Event{ask("t", 0, 5*time.Second)}); len(offers(as)) != 0 {
 		t.Fatalf("offered to a full machine: %v", as)
 	}
-	one(t, p.Step(4100*ms, []Event{Woken{}}))
+	one(t, p.Step(4100*ms, []Event{TimerFired{}}))
 	p = start(t, c, full)
 	p.Step(time.Second, []Event{ask("t", 0, 5*time.Second)})
 	full[0].FreeCores, full[0].FreeMemory = 10, 10
-	one(t, p.Step(2*time.Second, []Event{Listed{Machines: full}}))
+	one(t, p.Step(2*time.Second, []Event{MachinesUpdated{Machines: full}}))
 }
 
 // After a refusal one offer finds out whether a machine has recovered, without a rush onto it.
 func TestOneOfferFindsOut(t *testing.T) {
 	p := start(t, config(), fleet(1))
 	o := one(t, p.Step(time.Second, []Event{ask("t", 0, 2*time.Second)}))
-	e := Ended{Task: "t", Machine: o.Machine, Verdict: Refused, Done: true, Reason: NoCores}
+	e := AttemptEnded{Task: "t", Machine: o.Machine, Outcome: Rejected, Final: true, Reason: InsufficientCores}
 	p.Step(time.Second+ms, []Event{e})
 	m := p.order[0]
 	full := func() bool {
@@ -624,20 +624,20 @@
 func TestErrorsOfABadTaskBarNoMachine(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		effect Effect
+		effect Idempotency
 		served bool
 		errors int
 		placed bool
 		barred int
 	}{
-		{"errors everywhere", Safe, true, 3, false, 0},
-		{"placed by the second", Safe, true, 1, true, 1},
-		{"placed by the third", Safe, true, 2, true, 2},
-		{"nothing served there", Safe, false, 3, false, 3},
-		{"no second attempt", Unsafe, true, 1, false, 1},
+		{"errors everywhere", Idempotent, true, 3, false, 0},
+		{"placed by the second", Idempotent, true, 1, true, 1},
+		{"placed by the third", Idempotent, true, 2, true, 2},
+		{"nothing served there", Idempotent, false, 3, false, 3},
+		{"no second attempt", NonIdempotent, true, 1, false, 1},
 	} {
 		cfg := config()
-		cfg.Classes[0].Effect = c.effect
+		cfg.Classes[0].Idempotency = c.effect
 		p := start(t, cfg, fleet(6))
 		if c.served {
 			for _, m := range p.order {
@@ -648,11 +648,11 @@
 		as := p.Step(time.Second+ms, []Event{ask("t", 0, 9*time.Second)})
 		for n := range c.errors {
 			o := one(t, as)
-			as = p.Step(time.Second+Time(n+2)*ms, []Event{Ended{Task: "t", Machine: o.Machine, Attempt: n, Verdict: Failed}})
+			as = p.Step(time.Second+Time(n+2)*ms, []Event{AttemptEnded{Task: "t", Machine: o.Machine, Attempt: n, Outcome: Failed}})
 		}
 		if c.placed {
 			o := one(t, as)
-			p.Step(time.Second+9*ms, []Event{Placed{Task: "t", Machine: o.Machine, Attempt: c.errors}})
+			p.Step(time.Second+9*ms, []Event{AttemptPlaced{Task: "t", Machine: o.Machine, Attempt: c.errors}})
 		} else if len(offers(as)) > 0 {
 			t.Errorf("%s: offered once more: %v", c.name, as)
 		}
@@ -673,11 +673,11 @@
 func TestShortServiceIsLoad(t *testing.T) {
 	p := start(t, config(), fleet(3))
 	p.Step(time.Second, []Event{
-		Running{Task: Task{ID: "a", Service: "x", Cores: 1, Memory: 1, Tenant: -1}, Machine: "m0"},
-		Running{Task: Task{ID: "b", Service: "y", Cores: 1, Memory: 1, Tenant: -1}, Machine: "m1"},
-		Running{Task: Task{ID: "c", Service: "z", Cores: 8, Memory: 1, Tenant: -1}, Machine: "m2"}})
-	p.Step(time.Second+ms, []Event{Note{Task: "a", Machine: "m0", Kind: Served, Amount: 0.4},
-		Note{Task: "b", Machine: "m1", Kind: Served, Amount: 0.8}})
+		TaskAdopted{Task: Task{ID: "a", Service: "x", Cores: 1, Memory: 1, Tenant: -1}, Machine: "m0"},
+		TaskAdopted{Task: Task{ID: "b", Service: "y", Cores: 1, Memory: 1, Tenant: -1}, Machine: "m1"},
+		TaskAdopted{Task: Task{ID: "c", Service: "z", Cores: 8, Memory: 1, Tenant: -1}, Machine: "m2"}})
+	p.Step(time.Second+ms, []Event{UsageReport{Task: "a", Machine: "m0", Kind: ServiceLevel, Amount: 0.4},
+		UsageReport{Task: "b", Machine: "m1", Kind: ServiceLevel, Amount: 0.8}})
 	p.refresh()
 	if m := p.vote(everyone(p)); m.ID != "m2" {
 		t.Errorf("%s wins over the one that serves in full", m.ID)
@@ -691,7 +691,7 @@
 	if m := p.vote(everyone(p)); m.ID == "m2" {
 		t.Error("old notes count still")
 	}
-	p.Step(p.now, []Event{Note{Task: "a", Machine: "m0", Kind: MemoryShort, Amount: 0.99}})
+	p.Step(p.now, []Event{UsageReport{Task: "a", Machine: "m0", Kind: MemoryPressure, Amount: 0.99}})
 	if p.refresh(); p.vote(everyone(p)[:2]).ID != "m1" {
 		t.Error("short memory does not count")
 	}
@@ -722,11 +722,11 @@
 		now += 20 * ms
 		id := fmt.Sprint("t", i)
 		for _, o := range offers(p.Step(now, []Event{ask(id, 0, now+5*time.Second)})) {
-			p.Step(now, []Event{Placed{Task: o.Task, Machine: o.Machine}})
-			p.Step(now, []Event{Ended{Task: o.Task, Machine: o.Machine, Verdict: Finished, Done: true}})
+			p.Step(now, []Event{AttemptPlaced{Task: o.Task, Machine: o.Machine}})
+			p.Step(now, []Event{AttemptEnded{Task: o.Task, Machine: o.Machine, Outcome: Completed, Final: true}})
 		}
 		passing := Machine{ID: fmt.Sprint("x", i/50)}
-		p.Step(now, []Event{Listed{Whole: true, Machines: append(fleet(3), passing)}})
+		p.Step(now, []Event{MachinesUpdated{Complete: true, Machines: append(fleet(3), passing)}})
 	}
 	if len(p.history) > maxHistory || len(p.tasks) > 10 || len(p.order) > 100 {
 		t.Errorf("history %d, tasks %d, machines %d", len(p.history), len(p.tasks), len(p.order))
@@ -741,7 +741,7 @@
 	}
 	change(p)
 	as := p.Step(time.Second+ms, []Event{ask("t", 0, 9*time.Second)})
-	if len(offers(as)) != 0 || has(as, Refuse{"t"}) {
+	if len(offers(as)) != 0 || has(as, Reject{"t"}) {
 		t.Errorf("want the task held, got %v", as)
 	}
 }
@@ -781,7 +781,7 @@
 		p := start(t, config(), fleet(4))
 		p.now = 2 * time.Minute
 		for i, m := range p.order {
-			m.load, m.loadAt = Load{Told: true, HasCores: true, FreeCores: 28}, p.now
+			m.load, m.loadAt = LoadReport{Present: true, HasCores: true, FreeCores: 28}, p.now
 			if i == 0 {
 				m.load.FreeCores, m.loadAt = c.free, p.now-c.age
 			}
@@ -798,7 +798,7 @@
 // Where machines in use are priced, placing keeps to as many as the fleet's asks need.
 func TestMachinesInUse(t *testing.T) {
 	c := config()
-	c.ListsFree, c.Prices.Fleet = true, 0.25
+	c.ListsFreeCapacity, c.Prices.Fleet = true, 0.25
 	ms := fleet(6)
 	for i := range ms {
 		ms[i].FreeCores, ms[i].FreeMemory = 16, 50 // half of what each has is asked for
@@ -810,7 +810,7 @@
 	for i := range ms {
 		ms[i].FreeMemory = 50 - float64(i%2)
 	}
-	p.Step(2*time.Second, []Event{Listed{Machines: ms}})
+	p.Step(2*time.Second, []Event{MachinesUpdated{Machines: ms}})
 	for _, id := range []string{"m1", "m3", "m5"} {
 		if !p.inUse(whole(p)).Test(uint(p.machines[id].at)) {
 			t.Errorf("%s, one of the fullest, is not kept in use", id)
@@ -842,18 +842,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.Step(time.Second, []Event{Listed{Whole: true}})
+	p.Step(time.Second, []Event{MachinesUpdated{Complete: true}})
 	if as := p.Step(time.Second, []Event{ask("t", 0, 3*time.Second)}); len(offers(as)) != 0 {
 		t.Fatalf("no machine, yet %v", as)
 	}
-	o := one(t, p.Step(2*time.Second, []Event{Listed{Machines: []Machine{{ID: "m"}}}}))
+	o := one(t, p.Step(2*time.Second, []Event{MachinesUpdated{Machines: []Machine{{ID: "m"}}}}))
 	if o.Machine != "m" || o.Timeout <= 0 {
 		t.Errorf("got %v", o)
 	}
 	if p, err = New(Config{}, 1); err != nil {
 		t.Fatal(err)
 	}
-	if as := p.Step(time.Second, []Event{ask("t", 0, 3*time.Second)}); !has(as, Refuse{"t"}) {
+	if as := p.Step(time.Second, []Event{ask("t", 0, 3*time.Second)}); !has(as, Reject{"t"}) {
 		t.Errorf("no classes: %v", as)
 	}
 }
@@ -861,7 +861,7 @@
 // A task that is served badly for a while is moved, once; not where it would not pay, or nothing better is known.
 func TestRelocate(t *testing.T) {
 	served := func(task, machine string, amount float64) Event {
-		return Note{Task: task, Machine: machine, Kind: Served, Amount: amount}
+		return UsageReport{Task: task, Machine: machine, Kind: ServiceLevel, Amount: amount}
 	}
 	for _, c := range []struct {
 		name      string
@@ -881,9 +881,9 @@
 		{name: "all serve badly", told: [3]float64{0.4, 0.4, 0.4}, elsewhere: 0.6},
 		{name: "its class fails elsewhere", told: [3]float64{0.4, 0.4, 0.4}, elsewhere: 1, failing: true},
 		{name: "a machine refuses", told: [3]float64{0.4, 0.4, 0.4}, elsewhere: 1, refuses: true},
-		{name: "a move costs more", change: func(c *Config) { c.Prices.Moves = 0.9 },
+		{name: "a move costs more", change: func(c *Config) { c.Prices.Migration = 0.9 },
 			told: [3]float64{0.4, 0.4, 0.4}, elsewhere: 1},
-		{name: "starts take longer than lives", change: func(c *Config) { c.Classes[0].Aim = time.Minute },
+		{name: "starts take longer than lives", change: func(c *Config) { c.Classes[0].LatencyObjective = time.Minute },
 			told: [3]float64{0.4, 0.4, 0.4}, elsewhere: 1},
 		{name: "taken out", told: [3]float64{0.4, 0.4, 0.4}, elsewhere: 1},
 	} {
@@ -893,7 +893,7 @@
 		}
 		p := start(t, cfg, fleet(4))
 		if c.name == "taken out" {
-			p.Without(Moves)
+			p.Disable(Migrations)
 		}
 		var events []Event
 		for i, id := range []string{"a", "b", "c", "d"} {
@@ -902,7 +902,7 @@
 			}
 			task := ask(id, 0, 0).Task
 			task.Service = id
-			events = append(events, Running{Task: task, Machine: fmt.Sprintf("m%d", i)})
+			events = append(events, TaskAdopted{Task: task, Machine: fmt.Sprintf("m%d", i)})
 		}
 		p.Step(2*time.Second, events)
 		moves := 0
@@ -919,7 +919,7 @@
 			all := []Event{served("b", "m1", c.elsewhere), served("c", "m2", c.elsewhere), served("d", "m3", c.elsewhere),
 				served("a", "m0", amount)}
 			for _, a := range p.Step(now, all) {
-				if m, ok := a.(Move); ok && m.Task == "a" {
+				if m, ok := a.(Migrate); ok && m.Task == "a" {
 					moves++
 				} else if ok {
 					t.Errorf("%s: %s was moved", c.name, m.Task)
--- a/rules_test.go
+++ b/rules_test.go
@@ -34,35 +34,35 @@
 
 func (k *checker) event(e Event) {
 	switch e := e.(type) {
-	case Listed:
+	case MachinesUpdated:
 		seen := map[string]bool{}
 		for _, m := range e.Machines {
 			seen[m.ID] = true
 			k.mach[m.ID] = m
-			if m.State == In {
+			if m.State == Active {
 				delete(k.told, m.ID)
 			} else if _, ok := k.told[m.ID]; !ok {
 				k.told[m.ID] = k.now
 			}
 		}
 		for id := range k.mach {
-			if _, ok := k.told[id]; e.Whole && !seen[id] && !ok {
+			if _, ok := k.told[id]; e.Complete && !seen[id] && !ok {
 				k.told[id] = k.now
 			}
 		}
-	case Place:
+	case TaskSubmitted:
 		k.asks[e.Task.ID] = &asked{task: e.Task}
-	case Running:
+	case TaskAdopted:
 		k.asks[e.Task.ID] = &asked{task: e.Task, answered: true,
 			tries: []try{{machine: e.Machine, at: k.now, live: true, mayHave: true}}}
-	case Placed:
+	case AttemptPlaced:
 		k.asks[e.Task].answered = true
-	case Ended:
+	case AttemptEnded:
 		a := k.asks[e.Task]
 		tr := &a.tries[e.Attempt]
 		tr.live = false
-		tr.mayHave = e.Verdict != Refused && e.Verdict != Unreachable && e.Verdict != NotSent
-		a.answered = a.answered || e.Done
+		tr.mayHave = e.Outcome != Rejected && e.Outcome != Unreachable && e.Outcome != NotSent
+		a.answered = a.answered || e.Final
 	}
 }
 
@@ -70,11 +70,11 @@
 	switch x := x.(type) {
 	case Offer:
 		k.offer(x)
-	case Refuse:
+	case Reject:
 		a := k.asks[x.Task]
 		cl := k.c.Classes[a.task.Class]
 		for _, tr := range a.tries {
-			if tr.mayHave && (cl.Effect == Unsafe || cl.Effect == Keyed && cl.Group != Everywhere) {
+			if tr.mayHave && (cl.Idempotency == NonIdempotent || cl.Idempotency == IdempotentByKey && cl.KeyDomain != FleetDomain) {
 				k.t.Errorf("%v: refused %s, which may have run", k.now, x.Task)
 			}
 		}
@@ -89,19 +89,19 @@
 	if a.answered {
 		k.t.Errorf("%v: second answer for %s", k.now, id)
 	}
-	if k.now >= a.task.ValidUntil {
-		k.t.Errorf("%v: %s answered after %v", k.now, id, a.task.ValidUntil)
+	if k.now >= a.task.Deadline {
+		k.t.Errorf("%v: %s answered after %v", k.now, id, a.task.Deadline)
 	}
 	a.answered = true
 }
 
-func (k *checker) place(at Extent, m string) string {
+func (k *checker) place(at TopologyDomain, m string) string {
 	switch at {
-	case OnMachine:
+	case MachineDomain:
 		return m
-	case InCell:
+	case CellDomain:
 		return fmt.Sprint("cell", k.mach[m].Cell)
-	case InZone:
+	case ZoneDomain:
 		return "zone" + k.mach[m].Zone
 	}
 	return ""
@@ -114,10 +114,10 @@
 	if !ok {
 		k.t.Errorf("%v: offer to unlisted %s", k.now, o.Machine)
 	}
-	if a.answered || k.now >= a.task.ValidUntil {
+	if a.answered || k.now >= a.task.Deadline {
 		k.t.Errorf("%v: offer for %s after its end", k.now, o.Task)
 	}
-	if k.now+o.Timeout > a.task.ValidUntil {
+	if k.now+o.Timeout > a.task.Deadline {
 		k.t.Errorf("%v: time-out of %s runs past its end", k.now, o.Task)
 	}
 	if since, ok := k.told[o.Machine]; ok && k.now-since >= 0 {
@@ -133,11 +133,11 @@
 		if tr.live {
 			k.t.Errorf("%v: two attempts of %s out", k.now, o.Task)
 		}
-		if !tr.mayHave || cl.Effect == Safe {
+		if !tr.mayHave || cl.Idempotency == Idempotent {
 			continue
 		}
-		if cl.Effect == Unsafe || k.place(cl.Group, tr.machine) != k.place(cl.Group, o.Machine) ||
-			k.now-tr.at >= cl.Window {
+		if cl.Idempotency == NonIdempotent || k.place(cl.KeyDomain, tr.machine) != k.place(cl.KeyDomain, o.Machine) ||
+			k.now-tr.at >= cl.KeyTTL {
 			k.t.Errorf("%v: %s may have run, sent again to %s", k.now, o.Task, o.Machine)
 		}
 	}
@@ -147,41 +147,41 @@
 }
 
 func (k *checker) checkSpread(o Offer, a *asked, cl Class) {
-	if cl.Spread == Nowhere {
+	if cl.SpreadDomain == NoDomain {
 		return
 	}
 	n := 0
 	for _, b := range k.asks {
 		for _, tr := range b.tries {
 			if tr.live && b.task.Service == a.task.Service &&
-				k.place(cl.Spread, tr.machine) == k.place(cl.Spread, o.Machine) {
+				k.place(cl.SpreadDomain, tr.machine) == k.place(cl.SpreadDomain, o.Machine) {
 				n++
 			}
 		}
 	}
-	if n > cl.Most {
+	if n > cl.MaxPerDomain {
 		k.t.Errorf("%v: %d tasks of %s together", k.now, n, a.task.Service)
 	}
 }
 
 func (k *checker) checkCold(o Offer, m Machine) {
-	if m.Started == 0 || k.now > m.Started+k.c.ColdFor {
+	if m.Started == 0 || k.now > m.Started+k.c.SlowStartDuration {
 		return
 	}
-	if k.born > m.Started && k.now < k.born+k.c.FallWindow {
+	if k.born > m.Started && k.now < k.born+k.c.OverloadWindow {
 		k.t.Errorf("%v: offer to cold %s with an unknown budget", k.now, o.Machine)
 	}
 	k.sends[o.Machine] = append(k.sends[o.Machine], k.now)
 	n := 0
 	for _, at := range k.sends[o.Machine] {
-		if at >= m.Started && k.now-at <= k.c.FallWindow {
+		if at >= m.Started && k.now-at <= k.c.OverloadWindow {
 			n++
 		}
 	}
 	// A share of whole offers, and one more in a turn where the shares leave one over. That the sum of the fleet stays within
 	// the budget is TestColdBudgetOfTheFleet's.
-	share := int(k.c.ColdOffers / float64(k.c.Schedulers))
-	if k.c.ColdOffers-float64(share*k.c.Schedulers) >= 1 {
+	share := int(k.c.SlowStartBudget / float64(k.c.Schedulers))
+	if k.c.SlowStartBudget-float64(share*k.c.Schedulers) >= 1 {
 		share++
 	}
 	if n > share {
@@ -194,15 +194,15 @@
 	c := config()
 	c.Schedulers = 1 + r.IntN(4)
 	c.Kinds = []Kind{{"small", 16, 50}, {"big", 64, 200}}
-	c.ColdOffers = float64(5 + r.IntN(30))
-	c.DiscoveryAsks, c.ListsFree, c.CanWithdraw = r.IntN(2) == 0, r.IntN(2) == 0, r.IntN(2) == 0
+	c.SlowStartBudget = float64(5 + r.IntN(30))
+	c.DiscoveryOnRequest, c.ListsFreeCapacity, c.CanCancel = r.IntN(2) == 0, r.IntN(2) == 0, r.IntN(2) == 0
 	c.Prices = Prices{CrossZone: float64(r.IntN(2)), Fleet: float64(r.IntN(2))}
 	c.Classes = nil
-	for _, e := range []Effect{Safe, Keyed, Keyed, Unsafe} {
-		c.Classes = append(c.Classes, Class{Name: fmt.Sprint(len(c.Classes)), Effect: e,
-			Group: OnMachine + Extent(r.IntN(4)), Window: time.Duration(1+r.IntN(4)) * 500 * ms,
-			Aim: 300 * ms, Kind: r.IntN(3) - 1, Priority: r.IntN(3),
-			Spread: Extent(r.IntN(4)), Most: 1 + r.IntN(3)})
+	for _, e := range []Idempotency{Idempotent, IdempotentByKey, IdempotentByKey, NonIdempotent} {
+		c.Classes = append(c.Classes, Class{Name: fmt.Sprint(len(c.Classes)), Idempotency: e,
+			KeyDomain: MachineDomain + TopologyDomain(r.IntN(4)), KeyTTL: time.Duration(1+r.IntN(4)) * 500 * ms,
+			LatencyObjective: 300 * ms, Kind: r.IntN(3) - 1, Priority: r.IntN(3),
+			SpreadDomain: TopologyDomain(r.IntN(4)), MaxPerDomain: 1 + r.IntN(3)})
 	}
 	return c
 }
@@ -228,40 +228,40 @@
 		if p := &w.out[i]; k.now >= p.due {
 			a := k.asks[p.task]
 			if !p.placed && !a.answered && r.IntN(3) > 0 {
-				es = append(es, Placed{Task: p.task, Machine: p.machine, Attempt: p.attempt, Lag: 20 * ms})
+				es = append(es, AttemptPlaced{Task: p.task, Machine: p.machine, Attempt: p.attempt, Latency: 20 * ms})
 				p.placed, p.due = true, k.now+time.Duration(r.IntN(4000))*ms
 				continue
 			}
-			v := Verdict(1 + r.IntN(7))
+			v := Outcome(1 + r.IntN(7))
 			if p.placed {
-				v = []Verdict{Finished, Lost}[r.IntN(2)]
+				v = []Outcome{Completed, Lost}[r.IntN(2)]
 			}
-			es = append(es, Ended{Task: p.task, Machine: p.machine, Attempt: p.attempt, Verdict: v,
-				Done: a.answered || p.placed, Reason: Reason(r.IntN(5)),
-				Load: Load{Told: r.IntN(2) == 0, HasCores: true, FreeCores: float64(r.IntN(20))}})
+			es = append(es, AttemptEnded{Task: p.task, Machine: p.machine, Attempt: p.attempt, Outcome: v,
+				Final: a.answered || p.placed, Reason: Reason(r.IntN(5)),
+				Load: LoadReport{Present: r.IntN(2) == 0, HasCores: true, FreeCores: float64(r.IntN(20))}})
 			w.out = append(w.out[:i], w.out[i+1:]...)
 			i--
 		}
 	}
 	for range r.IntN(4) {
 		w.ids++
-		es = append(es, Place{Task{ID: fmt.Sprint("t", w.ids), Service: fmt.Sprint("s", r.IntN(3)),
+		es = append(es, TaskSubmitted{Task{ID: fmt.Sprint("t", w.ids), Service: fmt.Sprint("s", r.IntN(3)),
 			Class: r.IntN(4), Cores: 1, Memory: 2, Tenant: -1,
-			ValidUntil: k.now + time.Duration(1+r.IntN(3000))*ms}})
+			Deadline: k.now + time.Duration(1+r.IntN(3000))*ms}})
 	}
 	if r.IntN(6) == 0 {
-		m := Machine{ID: fmt.Sprint("m", r.IntN(8)), Kind: r.IntN(2), State: State(r.IntN(3))}
+		m := Machine{ID: fmt.Sprint("m", r.IntN(8)), Kind: r.IntN(2), State: MachineState(r.IntN(3))}
 		m.Zone, m.Cell = "z"+m.ID[1:2], int(m.ID[1])%3
 		if old, ok := k.mach[m.ID]; ok {
 			m.Kind, m.Started = old.Kind, old.Started
 		}
-		if m.State == In && r.IntN(2) == 0 {
+		if m.State == Active && r.IntN(2) == 0 {
 			m.Started = k.now
 		}
-		es = append(es, Listed{Machines: []Machine{m}, Whole: r.IntN(30) == 0})
+		es = append(es, MachinesUpdated{Machines: []Machine{m}, Complete: r.IntN(30) == 0})
 	}
 	if r.IntN(40) == 0 {
-		es = append(es, ListFailed{})
+		es = append(es, DiscoveryFailed{})
 	}
 	return es
 }
@@ -281,12 +281,12 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			first := []Event{Listed{Whole: true, Stale: true, Machines: []Machine{
+			first := []Event{MachinesUpdated{Complete: true, Stale: true, Machines: []Machine{
 				{ID: "m0", Zone: "z0"}, {ID: "m1", Zone: "z1", Cell: 1, Kind: 1}}}}
 			for n := range 800 {
 				es := first
 				if n > 0 {
-					es = append(w.events(), Woken{})
+					es = append(w.events(), TimerFired{})
 				}
 				first = nil
 				for _, e := range es {
@@ -306,8 +306,8 @@
 					}
 				}
 				for id, a := range k.asks {
-					if !a.answered && k.now >= a.task.ValidUntil && a.task.ValidUntil > time.Second {
-						if a.task.ValidUntil-k.now < -12*ms {
+					if !a.answered && k.now >= a.task.Deadline && a.task.Deadline > time.Second {
+						if a.task.Deadline-k.now < -12*ms {
 							t.Fatalf("seed %d: %s has no answer", seed, id)
 						}
 					}
--- a/state.go
+++ b/state.go
@@ -64,7 +64,7 @@
 	lateCores, lateMemory float64 // asked by our binds that the list's word may lack
 	newCores              float64 // asked by our binds since the list's last word
 	newMemory             float64
-	load                  Load
+	load                  LoadReport
 	loadAt                Time
 	services              map[string]*stay // our attempts and tasks there, by service
 	cores                 float64          // asked by them
@@ -154,7 +154,7 @@
 		m = &machine{goneAt: p.now, hash: hash(id), services: map[string]*stay{}, at: -1}
 		m.due.Value = m
 		m.classes = make([]health, len(p.cfg.Classes))
-		m.Machine = Machine{ID: id, Kind: -1, State: Out}
+		m.Machine = Machine{ID: id, Kind: -1, State: Removed}
 		p.machines[id] = m
 		p.outs = append(p.outs, m)
 		byID := func(m *machine, id string) int { return cmp.Compare(m.ID, id) }
@@ -175,7 +175,7 @@
 
 // occupy books a new attempt of t on m.
 func (p *Placer) occupy(t *task, m *machine) {
-	b := &bind{m: m, at: p.now, class: t.Class, cores: t.Cores, memory: t.Memory, hint: t.Life}
+	b := &bind{m: m, at: p.now, class: t.Class, cores: t.Cores, memory: t.Memory, hint: t.ExpectedRuntime}
 	p.history = append(p.history, b)
 	p.bound(b)
 	t.attempts = append(t.attempts, attempt{m: m, sent: p.now, live: true, history: b})
@@ -234,7 +234,7 @@
 		count[t.rank]++
 		sorted, last = sorted && t.rank >= last, t.rank
 	}
-	if p.without[Oldest] {
+	if p.without[ArrivalOrder] {
 		slices.SortStableFunc(p.open, func(a, b *task) int {
 			return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(b.taken, a.taken))
 		})
@@ -276,16 +276,16 @@
 }
 
 // same tells whether two machines stand in the same place of the given extent.
-func same(at Extent, a, b *machine) bool {
+func same(at TopologyDomain, a, b *machine) bool {
 	switch at {
-	case OnMachine:
+	case MachineDomain:
 		return a == b
-	case InCell:
+	case CellDomain:
 		return a.listed && b.listed && a.Cell == b.Cell
-	case InZone:
+	case ZoneDomain:
 		return a.listed && b.listed && a.Zone == b.Zone
 	}
-	return at == Everywhere
+	return at == FleetDomain
 }
 
 // hash is the same at every scheduler: what they derive from it they share without talking.
@@ -328,7 +328,7 @@
 
 // told is the load that a machine's last report tells; 0 without a fresh one.
 func (p *Placer) told(m *machine) float64 {
-	if !m.load.Told || p.now-m.loadAt > reportFresh || m.Kind < 0 {
+	if !m.load.Present || p.now-m.loadAt > reportFresh || m.Kind < 0 {
 		return 0
 	}
 	k, load := p.cfg.Kinds[m.Kind], 0.0
@@ -348,8 +348,8 @@
 }
 
 // report keeps what a machine told of its load.
-func (p *Placer) report(m *machine, l Load) {
-	if l.Told {
+func (p *Placer) report(m *machine, l LoadReport) {
+	if l.Present {
 		m.load, m.loadAt = l, p.now
 		p.touch(m)
 	}
