--- a/index.go
+++ b/index.go
@@ -137,7 +137,7 @@
 
 // expire touches the machines of which some bar has ended by now.
 func (p *Placer) expire() {
-	for i := p.index.due.Due(p.now); i != nil; i = p.index.due.Due(p.now) {
+	for i := p.index.due.PopDue(p.now); i != nil; i = p.index.due.PopDue(p.now) {
 		p.touch(i.Value)
 	}
 }
--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -16,11 +16,11 @@
 
 // Limits bound the connections.
 type Limits struct {
-	Most   int           // connections kept; for one more, another is closed
-	Silent time.Duration // one that has said nothing of use for so long after its coming is closed
-	Spare  time.Duration // one that was of use within so long is not closed for others
-	Wrong  int           // messages of no use that one may send; at the next it is closed
-	Open   int           // set-ups that may be open on one
+	MaxConnections          int           // connections kept; for one more, another is closed
+	IdleTimeout             time.Duration // one that has said nothing of use for so long after its coming is closed
+	RecentUseGrace          time.Duration // one that was of use within so long is not closed for others
+	MaxProtocolErrors       int           // messages of no use that one may send; at the next it is closed
+	MaxPendingPerConnection int           // set-ups that may be open on one
 }
 
 // entry is a connection. It is in one of two lists: those that have not shown themselves to be of use, in order of their
@@ -54,20 +54,20 @@
 // Len is how many connections are there.
 func (d *Control) Len() int { return len(d.all) }
 
-// Came books a new connection and returns those to close for it; it may be the new one itself, where all others are of
+// Opened books a new connection and returns those to close for it; it may be the new one itself, where all others are of
 // use. What is returned counts as gone.
-func (d *Control) Came(now Time, id ID, host string) []ID {
+func (d *Control) Opened(now Time, id ID, host string) []ID {
 	e := &entry{id: id, host: host, came: now, used: now}
 	d.all[id] = e
 	e.element = d.strange.PushBack(e)
 	d.hosts[host]++
 	var out []ID
-	for len(d.all) > d.limits.Most {
+	for len(d.all) > d.limits.MaxConnections {
 		v := d.victim(now)
 		if v == nil {
 			v = e
 		}
-		d.Gone(v.id)
+		d.Closed(v.id)
 		out = append(out, v.id)
 	}
 	return out
@@ -89,7 +89,7 @@
 	}
 	for x := d.known.Front(); x != nil; x = x.Next() {
 		e := x.Value.(*entry)
-		if now-e.used < d.limits.Spare {
+		if now-e.used < d.limits.RecentUseGrace {
 			break
 		}
 		if e.open == 0 {
@@ -104,9 +104,9 @@
 	return nil
 }
 
-// Used books that a connection was of use: it carried a set-up that had its answer, a test, a task that stands or the end
+// Touch books that a connection was of use: it carried a set-up that had its answer, a test, a task that stands or the end
 // of one. A set-up alone is not enough: bad clients send hundreds and take them back at once.
-func (d *Control) Used(now Time, id ID) {
+func (d *Control) Touch(now Time, id ID) {
 	e := d.all[id]
 	if e == nil {
 		return
@@ -121,8 +121,8 @@
 	e.element = d.known.PushBack(e)
 }
 
-// Vouch books that a connection carried what owners carry, though it proves none.
-func (d *Control) Vouch(id ID) {
+// MarkLikelyOwner books that a connection carried what owners carry, though it proves none.
+func (d *Control) MarkLikelyOwner(id ID) {
 	if e := d.all[id]; e != nil {
 		e.vouched = true
 	}
@@ -136,38 +136,38 @@
 	}
 }
 
-// Wrong books a message that was of no use; true: the connection is to be closed.
-func (d *Control) Wrong(id ID) bool {
+// ProtocolError books a message that was of no use; true: the connection is to be closed.
+func (d *Control) ProtocolError(id ID) bool {
 	e := d.all[id]
 	if e == nil {
 		return false
 	}
 	e.wrong++
-	return e.wrong > d.limits.Wrong
+	return e.wrong > d.limits.MaxProtocolErrors
 }
 
-// Open books a set-up; false: it is one too many there.
-func (d *Control) Open(id ID) bool {
+// BeginRequest books a set-up; false: it is one too many there.
+func (d *Control) BeginRequest(id ID) bool {
 	e := d.all[id]
-	if e == nil || e.open >= d.limits.Open {
+	if e == nil || e.open >= d.limits.MaxPendingPerConnection {
 		return false
 	}
 	e.open++
 	return true
 }
 
-// Shut books that a set-up has its answer, or was given up.
-func (d *Control) Shut(now Time, id ID, answered bool) {
+// EndRequest books that a set-up has its answer, or was given up.
+func (d *Control) EndRequest(now Time, id ID, answered bool) {
 	if e := d.all[id]; e != nil && e.open > 0 {
 		e.open--
 		if answered {
-			d.Used(now, id)
+			d.Touch(now, id)
 		}
 	}
 }
 
-// Gone books that a connection has ended.
-func (d *Control) Gone(id ID) {
+// Closed books that a connection has ended.
+func (d *Control) Closed(id ID) {
 	e := d.all[id]
 	if e == nil {
 		return
@@ -180,15 +180,15 @@
 	}
 }
 
-// Silent returns the connections that have said nothing of use for too long, and when to ask next; 0: not before one
+// CloseIdle returns the connections that have said nothing of use for too long, and when to ask next; 0: not before one
 // comes. What is returned counts as gone. A vouched one stays while none is known to be of use. Risk covered: a scheduler
 // started anew would close all that its owners have, and then have nobody to tell of an end.
-func (d *Control) Silent(now Time) (out []ID, next Time) {
+func (d *Control) CloseIdle(now Time) (out []ID, next Time) {
 	waits := false // one stays for now, and is looked at again
 	for x := d.strange.Front(); x != nil; {
 		e := x.Value.(*entry)
 		x = x.Next()
-		if due := e.came + d.limits.Silent; now < due {
+		if due := e.came + d.limits.IdleTimeout; now < due {
 			next = due
 			break
 		}
@@ -196,10 +196,10 @@
 			waits = true
 			continue
 		}
-		d.Gone(e.id)
+		d.Closed(e.id)
 		out = append(out, e.id)
 	}
-	if again := now + d.limits.Silent/8; waits && (next == 0 || again < next) {
+	if again := now + d.limits.IdleTimeout/8; waits && (next == 0 || again < next) {
 		next = again
 	}
 	return out, next
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -11,17 +11,17 @@
 const ms = time.Millisecond
 
 func control() *Control {
-	return New(Limits{Most: 4, Silent: 2 * time.Second, Spare: 200 * ms, Wrong: 2, Open: 2})
+	return New(Limits{MaxConnections: 4, IdleTimeout: 2 * time.Second, RecentUseGrace: 200 * ms, MaxProtocolErrors: 2, MaxPendingPerConnection: 2})
 }
 
 // Hundreds of connections that say nothing push out each other, not those that were of use.
 func TestSilentOnesGoFirst(t *testing.T) {
 	d := control()
-	d.Came(0, 1, "owner")
-	d.Used(ms, 1)
-	d.Came(2*ms, 2, "newcomer")
+	d.Opened(0, 1, "owner")
+	d.Touch(ms, 1)
+	d.Opened(2*ms, 2, "newcomer")
 	for i := range 300 {
-		for _, id := range d.Came(3*ms, ID(10+i), "flood") {
+		for _, id := range d.Opened(3*ms, ID(10+i), "flood") {
 			if id < 10 {
 				t.Fatalf("%d had to go for a flood", id)
 			}
@@ -36,33 +36,33 @@
 func TestLeastLatelyUsed(t *testing.T) {
 	d := control()
 	for i := range ID(4) {
-		d.Came(Time(i)*ms, i+1, "h")
-		d.Used(Time(i)*ms, i+1)
+		d.Opened(Time(i)*ms, i+1, "h")
+		d.Touch(Time(i)*ms, i+1)
 	}
-	if !d.Open(1) {
+	if !d.BeginRequest(1) {
 		t.Fatal("a set-up too many")
 	}
-	if got := d.Came(time.Second, 5, "h"); !slices.Equal(got, []ID{2}) {
+	if got := d.Opened(time.Second, 5, "h"); !slices.Equal(got, []ID{2}) {
 		t.Errorf("closed %v, want 2", got)
 	}
-	d.Used(time.Second, 5)
-	d.Shut(time.Second, 1, true)
-	d.Used(time.Second, 3)
-	d.Used(time.Second, 4)
-	if got := d.Came(time.Second+ms, 6, "h"); !slices.Equal(got, []ID{6}) {
+	d.Touch(time.Second, 5)
+	d.EndRequest(time.Second, 1, true)
+	d.Touch(time.Second, 3)
+	d.Touch(time.Second, 4)
+	if got := d.Opened(time.Second+ms, 6, "h"); !slices.Equal(got, []ID{6}) {
 		t.Errorf("closed %v, want the newcomer: all others were used just now", got)
 	}
 }
 
 func TestSilence(t *testing.T) {
 	d := control()
-	d.Came(0, 1, "h")
-	d.Came(100*ms, 2, "h")
-	d.Used(200*ms, 1)
-	if out, next := d.Silent(2 * time.Second); len(out) > 0 || next != 2100*ms {
+	d.Opened(0, 1, "h")
+	d.Opened(100*ms, 2, "h")
+	d.Touch(200*ms, 1)
+	if out, next := d.CloseIdle(2 * time.Second); len(out) > 0 || next != 2100*ms {
 		t.Errorf("%v, %v", out, next)
 	}
-	if out, next := d.Silent(2100 * ms); !slices.Equal(out, []ID{2}) || next != 0 {
+	if out, next := d.CloseIdle(2100 * ms); !slices.Equal(out, []ID{2}) || next != 0 {
 		t.Errorf("%v, %v", out, next)
 	}
 }
@@ -71,13 +71,13 @@
 func TestSilenceOfSetUps(t *testing.T) {
 	for _, answered := range []bool{true, false} {
 		d := control()
-		d.Came(0, 1, "h")
-		d.Open(1)
-		if out, next := d.Silent(3 * time.Second); len(out) > 0 || next != 3250*ms {
+		d.Opened(0, 1, "h")
+		d.BeginRequest(1)
+		if out, next := d.CloseIdle(3 * time.Second); len(out) > 0 || next != 3250*ms {
 			t.Errorf("%v, %v", out, next)
 		}
-		d.Shut(3*time.Second, 1, answered)
-		if out, next := d.Silent(3250 * ms); (len(out) == 0) != answered || next != 0 {
+		d.EndRequest(3*time.Second, 1, answered)
+		if out, next := d.CloseIdle(3250 * ms); (len(out) == 0) != answered || next != 0 {
 			t.Errorf("answered %v: %v, %v", answered, out, next)
 		}
 	}
@@ -85,21 +85,21 @@
 
 func TestBoundsOfOne(t *testing.T) {
 	d := control()
-	d.Came(0, 1, "h")
+	d.Opened(0, 1, "h")
 	for n := range 3 {
-		if d.Wrong(1) != (n == 2) {
+		if d.ProtocolError(1) != (n == 2) {
 			t.Errorf("message %d of no use: the third is one too many", n+1)
 		}
 	}
 	for n := range 3 {
-		if d.Open(1) != (n < 2) {
+		if d.BeginRequest(1) != (n < 2) {
 			t.Errorf("open set-up %d: the third is one too many", n+1)
 		}
 	}
-	if d.Shut(0, 1, true); !d.Open(1) {
+	if d.EndRequest(0, 1, true); !d.BeginRequest(1) {
 		t.Error("a set-up that has its answer counts on")
 	}
-	if d.Wrong(9) || d.Open(9) {
+	if d.ProtocolError(9) || d.BeginRequest(9) {
 		t.Error("of a connection that is not there")
 	}
 }
@@ -116,28 +116,28 @@
 		switch rng.IntN(6) {
 		case 0:
 			last++
-			for _, gone := range d.Came(now, last, fmt.Sprint(rng.IntN(3))) {
+			for _, gone := range d.Opened(now, last, fmt.Sprint(rng.IntN(3))) {
 				if open[gone] > 0 {
 					t.Fatalf("%d went with %d open", gone, open[gone])
 				}
 			}
 		case 1:
-			d.Used(now, id)
+			d.Touch(now, id)
 		case 2:
-			d.Used(now, id)
-			if d.Open(id) {
+			d.Touch(now, id)
+			if d.BeginRequest(id) {
 				open[id]++
 			}
 		case 3:
 			if open[id] > 0 {
 				open[id]--
-				d.Shut(now, id, rng.IntN(2) == 0)
+				d.EndRequest(now, id, rng.IntN(2) == 0)
 			}
 		case 4:
-			d.Gone(id)
+			d.Closed(id)
 			delete(open, id)
 		case 5:
-			d.Silent(now)
+			d.CloseIdle(now)
 		}
 		if d.Len() > 4 || d.strange.Len()+d.known.Len() != d.Len() || len(d.hosts) > 3 {
 			t.Fatalf("%d connections, %d and %d in lists, %d hosts", d.Len(), d.strange.Len(), d.known.Len(), len(d.hosts))
--- a/internal/codec/nodeparam/message.go
+++ b/internal/codec/nodeparam/message.go
@@ -11,8 +11,8 @@
 // MaxMessage is the longest message in bytes that either side may send, its length included.
 const MaxMessage = 16 << 10
 
-// ErrSpoilt is wrapped by every error about bytes that no message can begin with: the connection can't be read on.
-var ErrSpoilt = errors.New("nodeparam: bytes that are no message")
+// ErrMalformed is wrapped by every error about bytes that no message can begin with: the connection can't be read on.
+var ErrMalformed = errors.New("nodeparam: bytes that are no message")
 
 // Type is what a message is.
 type Type byte
@@ -26,8 +26,8 @@
 	Released Type = 16
 	Note     Type = 44
 	Move     Type = 51
-	Test     Type = 52
-	Tested   Type = 53
+	Ping     Type = 52
+	Pong     Type = 53
 )
 
 // The codes of parameters.
@@ -44,17 +44,17 @@
 
 // Message is one message. Texts that did not come along are empty.
 type Message struct {
-	Type        Type
-	Task        uint64
-	Cause       int // -1 where none came along
-	Word        string
-	Figure      string
-	Class       string
-	Left        string // milliseconds
-	Key         string
-	Idem        string
-	Description string
-	Described   bool
+	Type           Type
+	Task           uint64
+	Cause          int // -1 where none came along
+	Token          string
+	Value          string
+	Class          string
+	TimeLeft       string // milliseconds
+	Key            string
+	IdempotencyKey string
+	Description    string
+	Described      bool
 }
 
 const head = 2 + 1 + 8
@@ -67,10 +67,10 @@
 	}
 	n := int(binary.BigEndian.Uint16(buf)) + 2
 	if n < head || n > MaxMessage {
-		return m, 0, fmt.Errorf("%w: %d bytes announced", ErrSpoilt, n-2)
+		return m, 0, fmt.Errorf("%w: %d bytes announced", ErrMalformed, n-2)
 	}
 	if len(buf) > 2 && !known(Type(buf[2])) { // told before the announced bytes come, which may be never
-		return m, 0, fmt.Errorf("%w: type %d", ErrSpoilt, buf[2])
+		return m, 0, fmt.Errorf("%w: type %d", ErrMalformed, buf[2])
 	}
 	if len(buf) < n {
 		return m, 0, nil
@@ -78,11 +78,11 @@
 	m.Type, m.Task, m.Cause = Type(buf[2]), binary.BigEndian.Uint64(buf[3:]), -1
 	for rest := buf[head:n]; len(rest) > 0; {
 		if len(rest) < 3 {
-			return m, 0, fmt.Errorf("%w: %d bytes behind the last parameter", ErrSpoilt, len(rest))
+			return m, 0, fmt.Errorf("%w: %d bytes behind the last parameter", ErrMalformed, len(rest))
 		}
 		code, size := rest[0], int(binary.BigEndian.Uint16(rest[1:]))
 		if size > len(rest)-3 {
-			return m, 0, fmt.Errorf("%w: parameter %d of %d bytes, %d are there", ErrSpoilt, code, size, len(rest)-3)
+			return m, 0, fmt.Errorf("%w: parameter %d of %d bytes, %d are there", ErrMalformed, code, size, len(rest)-3)
 		}
 		if err := m.set(code, rest[3:3+size]); err != nil {
 			return m, 0, err
@@ -94,7 +94,7 @@
 
 func known(t Type) bool {
 	switch t {
-	case SetUp, Progress, Answer, Release, Released, Note, Move, Test, Tested:
+	case SetUp, Progress, Answer, Release, Released, Note, Move, Ping, Pong:
 		return true
 	}
 	return false
@@ -105,18 +105,18 @@
 	case codeClass:
 		m.Class = string(value)
 	case codeLeft:
-		m.Left = string(value)
+		m.TimeLeft = string(value)
 	case codeKey:
 		m.Key = string(value)
 	case codeWord:
-		m.Word = string(value)
+		m.Token = string(value)
 	case codeFigure:
-		m.Figure = string(value)
+		m.Value = string(value)
 	case codeIdem:
-		m.Idem = string(value)
+		m.IdempotencyKey = string(value)
 	case codeCause:
 		if len(value) != 1 {
-			return fmt.Errorf("%w: a cause of %d bytes", ErrSpoilt, len(value))
+			return fmt.Errorf("%w: a cause of %d bytes", ErrMalformed, len(value))
 		}
 		m.Cause = int(value[0])
 	case codeDescription:
@@ -133,8 +133,8 @@
 	for _, p := range [...]struct {
 		code byte
 		text string
-	}{{codeClass, m.Class}, {codeLeft, m.Left}, {codeKey, m.Key}, {codeWord, m.Word}, {codeFigure, m.Figure},
-		{codeIdem, m.Idem}} {
+	}{{codeClass, m.Class}, {codeLeft, m.TimeLeft}, {codeKey, m.Key}, {codeWord, m.Token}, {codeFigure, m.Value},
+		{codeIdem, m.IdempotencyKey}} {
 		if p.text != "" {
 			dst = appendText(dst, p.code, p.text)
 		}
--- a/internal/codec/nodeparam/message_test.go
+++ b/internal/codec/nodeparam/message_test.go
@@ -7,13 +7,13 @@
 	"testing"
 )
 
-var whole = Message{Type: SetUp, Task: 0x9b1f03aa5c7e2d41, Cause: -1, Class: "batch", Left: "1500", Key: "7f3a",
-	Idem: "5c0f", Description: "9d41\r\nc=IN\r\n", Described: true}
+var whole = Message{Type: SetUp, Task: 0x9b1f03aa5c7e2d41, Cause: -1, Class: "batch", TimeLeft: "1500", Key: "7f3a",
+	IdempotencyKey: "5c0f", Description: "9d41\r\nc=IN\r\n", Described: true}
 
 // Messages come out as they went in, however the bytes come.
 func TestMessages(t *testing.T) {
-	want := []Message{whole, {Type: Release, Task: 1, Cause: 34, Word: "cpu_full"}, {Type: Note, Task: 2, Cause: -1,
-		Word: "share", Figure: "0.5"}}
+	want := []Message{whole, {Type: Release, Task: 1, Cause: 34, Token: "cpu_full"}, {Type: Note, Task: 2, Cause: -1,
+		Token: "share", Value: "0.5"}}
 	var in []byte
 	for i := range want {
 		var err error
@@ -61,7 +61,7 @@
 		"longer than the message": head + "\xc3\x01\x00\x00\x00\x00\x00",
 		"a cause of two bytes":    "\x00\x0e\x0c\x01\x02\x03\x04\x05\x06\x07\x08\xc2\x00\x02\x10\x10",
 	} {
-		if m, n, err := Next([]byte(in)); !errors.Is(err, ErrSpoilt) {
+		if m, n, err := Next([]byte(in)); !errors.Is(err, ErrMalformed) {
 			t.Errorf("%s: %+v, %d, %v", name, m, n, err)
 		}
 	}
--- a/internal/daemon/ask.go
+++ b/internal/daemon/ask.go
@@ -125,7 +125,7 @@
 func (e *events) from(core int) func(*scheduler.Info) bool {
 	return func(i *scheduler.Info) bool {
 		info := *i
-		return !e.gone.Load() && e.c.Do(512, func(write func([]byte)) {
+		return !e.gone.Load() && e.c.RunInLoop(512, func(write func([]byte)) {
 			e.at[core] = info.Rev
 			b := e.p.d.front.Event(&info, e.at.String())
 			if !e.begun {
@@ -133,7 +133,7 @@
 				return
 			}
 			write(b)
-		}) && !e.c.Gone()
+		}) && !e.c.IsClosed()
 	}
 }
 
@@ -145,7 +145,7 @@
 	e.early = nil
 }
 
-func (e *events) beat() bool { return !e.gone.Load() && e.c.Send(drmaafront.Beat()) && !e.c.Gone() }
+func (e *events) beat() bool { return !e.gone.Load() && e.c.Send(drmaafront.Beat()) && !e.c.IsClosed() }
 
 // quiet is the beat of a core that leaves it to another.
-func (e *events) quiet() bool { return !e.gone.Load() && !e.c.Gone() }
+func (e *events) quiet() bool { return !e.gone.Load() && !e.c.IsClosed() }
--- a/internal/daemon/client.go
+++ b/internal/daemon/client.go
@@ -31,7 +31,7 @@
 	began     time.Time // of the request that has not come whole
 }
 
-func (d *Daemon) accept(c *transport.Conn) transport.Peer {
+func (d *Daemon) accept(c *transport.Conn) transport.Handler {
 	n := d.clients.Add(1)
 	d.metrics.clients.Set(float64(n))
 	return &client{d: d, crowded: n > int64(d.set.Limits.Connections)}
@@ -45,9 +45,9 @@
 func (p *client) Opened(c *transport.Conn) {
 	if p.crowded {
 		time.AfterFunc(crowdedFor, func() {
-			c.Do(0, func(write func([]byte)) {
+			c.RunInLoop(0, func(write func([]byte)) {
 				write(drmaafront.Busy(true))
-				c.Finish(errCrowded)
+				c.CloseInLoop(errCrowded)
 			})
 		})
 	}
@@ -63,7 +63,7 @@
 	}
 	req, used, cont, err := p.parser.Parse(in)
 	if cont {
-		c.Write(httpcodec.Continue)
+		c.WriteInLoop(httpcodec.Continue)
 	}
 	if err != nil {
 		p.bad(c, err)
@@ -76,11 +76,11 @@
 			began := p.began
 			// Risk covered: a client that sends a byte a second is never idle and holds its place forever.
 			time.AfterFunc(limit, func() {
-				c.Do(0, func(write func([]byte)) {
+				c.RunInLoop(0, func(write func([]byte)) {
 					if p.began.Equal(began) {
 						write(drmaafront.ErrorResponse(408, &drmaa2.Error{Code: drmaa2.InvalidArgument,
 							Message: fmt.Sprintf("the request did not come whole within %v", limit)}, true))
-						c.Finish(errSlow)
+						c.CloseInLoop(errSlow)
 					}
 				})
 			})
@@ -89,8 +89,8 @@
 	}
 	p.began = time.Time{}
 	if p.crowded {
-		c.Write(drmaafront.Busy(true))
-		c.Finish(errCrowded)
+		c.WriteInLoop(drmaafront.Busy(true))
+		c.CloseInLoop(errCrowded)
 		return used, nil
 	}
 	p.serve(c, req)
@@ -104,7 +104,7 @@
 		status, text = e.Status, e.Message
 	}
 	p.d.metrics.bad.Inc()
-	c.Write(drmaafront.ErrorResponse(status, &drmaa2.Error{Code: drmaa2.InvalidArgument, Message: text}, true))
+	c.WriteInLoop(drmaafront.ErrorResponse(status, &drmaa2.Error{Code: drmaa2.InvalidArgument, Message: text}, true))
 }
 
 func (p *client) serve(c *transport.Conn, req *httpcodec.Request) {
@@ -118,12 +118,12 @@
 	e := &events{p: p, c: c, gone: new(atomic.Bool)}
 	m.reply = func(a *scheduler.Answer) {
 		answer := *a
-		c.Do(512, func(func([]byte)) {
+		c.RunInLoop(512, func(func([]byte)) {
 			if call.Stream && answer.Err == nil {
 				p.streaming = true
-				c.Keep()
-				c.Write(call.Encode(&answer))
-				e.begin(c.Write)
+				c.DisableIdleTimeout()
+				c.WriteInLoop(call.Encode(&answer))
+				e.begin(c.WriteInLoop)
 				return
 			}
 			e.gone.Store(true)
@@ -143,16 +143,16 @@
 }
 
 func (p *client) answer(c *transport.Conn, call *drmaafront.Call, response []byte) {
-	c.Write(response)
+	c.WriteInLoop(response)
 	if call.Closes {
-		c.Finish(errClose)
+		c.CloseInLoop(errClose)
 	}
 }
 
 // Closed implements transport.Peer.
 func (p *client) Closed(c *transport.Conn, why error) {
 	p.d.metrics.clients.Set(float64(p.d.clients.Add(-1)))
-	if errors.Is(why, transport.ErrSlowReader) || errors.Is(why, transport.ErrTooMuch) || errors.Is(why, errSlow) {
+	if errors.Is(why, transport.ErrSlowReader) || errors.Is(why, transport.ErrReadBufferFull) || errors.Is(why, errSlow) {
 		p.d.metrics.cut.Inc()
 		p.d.log.Warn().Err(why).Str("client", c.Remote()).Msg("a client was cut off")
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -79,12 +79,12 @@
 	d.front = drmaafront.New(set, d.boot)
 	// One loop writes to all nodes. Risk covered: with several, the stop of an attempt that was given up could leave after
 	// the offer that follows it, to another node.
-	d.dialer, err = transport.NewDialer(transport.Options{MaxOut: set.Limits.NodeOut, Idle: peerIdle, Log: d.log})
+	d.dialer, err = transport.NewDialer(transport.Options{MaxWriteQueue: set.Limits.NodeOut, IdleTimeout: peerIdle, Log: d.log})
 	if err != nil {
 		return nil, err
 	}
-	d.server, err = transport.Listen(set.Listen, transport.Options{MaxOut: set.Limits.ClientOut,
-		Idle: set.Limits.Idle.Of(), Loops: n, Log: d.log}, d.accept)
+	d.server, err = transport.Listen(set.Listen, transport.Options{MaxWriteQueue: set.Limits.ClientOut,
+		IdleTimeout: set.Limits.Idle.Of(), Loops: n, Log: d.log}, d.accept)
 	if err != nil {
 		_ = d.dialer.Stop()
 		return nil, err
@@ -92,7 +92,7 @@
 	for _, c := range d.cores {
 		go c.own()
 	}
-	d.dialer.Link(set.Inventory, time.Second, backoff, func() transport.Peer {
+	d.dialer.Link(set.Inventory, time.Second, backoff, func() transport.Handler {
 		return &inventoryPeer{d: d,
 			front: nodefront.Inventory{Set: set}}
 	},
@@ -104,7 +104,7 @@
 	return d, nil
 }
 
-var backoff = transport.Backoff{First: 20 * time.Millisecond, Most: time.Second}
+var backoff = transport.Backoff{Initial: 20 * time.Millisecond, Max: time.Second}
 
 // Addr is where clients reach the daemon.
 func (d *Daemon) Addr() string { return d.server.Addr() }
--- a/internal/daemon/inventory.go
+++ b/internal/daemon/inventory.go
@@ -18,7 +18,7 @@
 
 // Opened greets the inventory.
 func (p *inventoryPeer) Opened(c *transport.Conn) {
-	c.Write(encode(nodefront.Hello(p.d.set, p.d.boot)))
+	c.WriteInLoop(encode(nodefront.Hello(p.d.set, p.d.boot)))
 }
 
 // Receive implements transport.Peer.
@@ -74,7 +74,7 @@
 }
 
 func (c *core) tellList(b []byte) {
-	if list := c.d.list.Load(); list == nil || list.Gone() || !list.Send(b) {
+	if list := c.d.list.Load(); list == nil || list.IsClosed() || !list.Send(b) {
 		c.again(scheduler.ListFailed{})
 	}
 }
--- a/internal/daemon/node.go
+++ b/internal/daemon/node.go
@@ -114,7 +114,7 @@
 	nodefront.Task(c.d.set, e, &c.scratch.task)
 	c.scratch.offer.Attempt, c.scratch.offer.ValidForNs = e.Attempt, int64(e.ValidFor)
 	name, attempt := l.name, e.Attempt
-	must(l.box.PutTimed(func(b []byte) ([]byte, error) { return nodeframe.Append(b, &c.scratch.frame) }, nil,
+	must(l.box.PutExpiring(func(b []byte) ([]byte, error) { return nodeframe.Append(b, &c.scratch.frame) }, nil,
 		func() { c.late(name, attempt) }))
 }
 
@@ -144,7 +144,7 @@
 	d, addr := c.d, c.addrs[name]
 	replaced := d.nodes.want(c.i, name, addr, func(l *nodeLink) *transport.Link {
 		return d.dialer.Link(addr, d.set.Connect.Of(), backoff,
-			func() transport.Peer {
+			func() transport.Handler {
 				return &nodePeer{d: d, name: name, front: nodefront.Node{Set: d.set, Name: name}}
 			},
 			func(err error) {
@@ -184,7 +184,9 @@
 }
 
 // Opened greets the node.
-func (p *nodePeer) Opened(c *transport.Conn) { c.Write(encode(nodefront.Hello(p.d.set, p.d.boot))) }
+func (p *nodePeer) Opened(c *transport.Conn) {
+	c.WriteInLoop(encode(nodefront.Hello(p.d.set, p.d.boot)))
+}
 
 // Receive implements transport.Peer.
 func (p *nodePeer) Receive(c *transport.Conn, in []byte) (int, error) {
--- a/internal/front/platformfront/node.go
+++ b/internal/front/platformfront/node.go
@@ -22,49 +22,50 @@
 	"tight": flaxshelf.MemoryPressure,
 }
 
-// Node turns a node's message into an input; nil for one that means nothing. An error says that the link can't be
+// DecodeNodeMessage turns a node's message into an input; nil for one that means nothing. An error says that the link can't be
 // trusted: a node's answer always has a description, its release a cause.
-func Node(link requests.Link, m *nodeparam.Message) (requests.Input, error) {
-	in := requests.Heard{Link: link, Task: taskID(m.Task), Cause: m.Cause, Reason: reasons[m.Word]}
+func DecodeNodeMessage(link requests.Link, m *nodeparam.Message) (requests.Input, error) {
+	in := requests.NodeMessage{Link: link, Task: taskID(m.Task), Cause: m.Cause, Reason: reasons[m.Token]}
 	switch m.Type {
 	case nodeparam.Answer:
 		if !m.Described || m.Description == "" {
-			return nil, fmt.Errorf("%w: an answer without a description", nodeparam.ErrSpoilt)
+			return nil, fmt.Errorf("%w: an answer without a description", nodeparam.ErrMalformed)
 		}
-		in.Say, in.Description = requests.SaysAnswer, m.Description
+		in.Kind, in.Description = requests.NodeAccepted, m.Description
 	case nodeparam.Release:
 		if m.Cause < 0 {
-			return nil, fmt.Errorf("%w: a release without a cause", nodeparam.ErrSpoilt)
+			return nil, fmt.Errorf("%w: a release without a cause", nodeparam.ErrMalformed)
 		}
-		in.Say = requests.SaysRelease
+		in.Kind = requests.NodeReleased
 	case nodeparam.Released:
-		in.Say = requests.SaysReleased
+		in.Kind = requests.NodeConfirmedRelease
 	case nodeparam.Note:
-		kind, ok := kinds[m.Word]
-		x, err := strconv.ParseFloat(m.Figure, 64)
-		if !ok || err != nil && m.Figure != "" || math.IsNaN(x) || math.IsInf(x, 0) {
+		kind, ok := kinds[m.Token]
+		x, err := strconv.ParseFloat(m.Value, 64)
+		if !ok || err != nil && m.Value != "" || math.IsNaN(x) || math.IsInf(x, 0) {
 			return nil, nil
 		}
-		in.Say, in.Kind, in.Amount = requests.SaysNote, kind, x
+		in.Kind, in.UsageKind, in.Amount = requests.NodeUsage, kind, x
 	default:
 		return nil, nil
 	}
 	return in, nil
 }
 
-// Offer encodes a set-up for a node.
-func Offer(dst []byte, e *requests.Offer) ([]byte, error) {
+// EncodeOffer encodes a set-up for a node.
+func EncodeOffer(dst []byte, e *requests.Offer) ([]byte, error) {
 	id, err := strconv.ParseUint(e.Task, 16, 64)
 	if err != nil {
 		return dst, fmt.Errorf("task %q: %w", e.Task, err)
 	}
-	left := max(1, int64(e.Left/time.Millisecond))
+	left := max(1, int64(e.TimeLeft/time.Millisecond))
 	return nodeparam.Append(dst, &nodeparam.Message{Type: nodeparam.SetUp, Task: id, Cause: -1, Class: e.Class,
-		Left: strconv.FormatInt(left, 10), Key: e.Key, Idem: e.Idem, Description: e.Detail, Described: true})
+		TimeLeft: strconv.FormatInt(left, 10), Key: e.Key, IdempotencyKey: e.IdempotencyKey,
+		Description: e.Description, Described: true})
 }
 
-// Cut encodes a release for a node.
-func Cut(dst []byte, e *requests.Cut) ([]byte, error) {
+// EncodeRelease encodes a release for a node.
+func EncodeRelease(dst []byte, e *requests.SendRelease) ([]byte, error) {
 	id, err := strconv.ParseUint(e.Task, 16, 64)
 	if err != nil {
 		return dst, fmt.Errorf("task %q: %w", e.Task, err)
--- a/internal/front/platformfront/others_test.go
+++ b/internal/front/platformfront/others_test.go
@@ -100,14 +100,14 @@
 	if err != nil {
 		t.Fatalf("%v\n%s", err, c.text)
 	}
-	core, err := requests.New(requests.Config{Module: cfg.Module, Seed: cfg.Seed, Silent: 6 * time.Second, Idle: cfg.Idle, MaxOpen: 100,
-		Admission: admission.Limits{Most: 10, Silent: time.Second, Spare: time.Millisecond, Wrong: 3, Open: 50}})
+	core, err := requests.New(requests.Config{Module: cfg.Module, Seed: cfg.Seed, NodeUnreachableTimeout: 6 * time.Second, NodeIdleTimeout: cfg.NodeIdleTimeout, MaxPending: 100,
+		Admission: admission.Limits{MaxConnections: 10, IdleTimeout: time.Second, RecentUseGrace: time.Millisecond, MaxProtocolErrors: 3, MaxPendingPerConnection: 50}})
 	if err != nil {
 		t.Fatalf("%v\n%s", err, c.text)
 	}
 	rng := rand.New(rand.NewPCG(seed, 9))
 	now := requests.Time(1_000_000 * time.Second)
-	list, _ := Fold(cfg.Known)
+	list, _ := MergeUpdates(cfg.InitialEvents)
 	var all []requests.Effect
 	step := func(in ...requests.Input) {
 		effects, _ := core.Step(now, in)
@@ -124,11 +124,11 @@
 			var next requests.Input
 			switch e := e.(type) {
 			case requests.Dial:
-				next = requests.Up{Link: e.Link}
+				next = requests.LinkUp{Link: e.Link}
 			case requests.Offer:
-				next = requests.Heard{Link: e.Link, Say: requests.SaysAnswer, Task: e.Task, Description: "d"}
+				next = requests.NodeMessage{Link: e.Link, Kind: requests.NodeAccepted, Task: e.Task, Description: "d"}
 				if rng.IntN(3) == 0 {
-					next = requests.Heard{Link: e.Link, Say: requests.SaysRelease, Task: e.Task, Cause: []int{34, 41, 47, 102}[rng.IntN(4)]}
+					next = requests.NodeMessage{Link: e.Link, Kind: requests.NodeReleased, Task: e.Task, Cause: []int{34, 41, 47, 102}[rng.IntN(4)]}
 				}
 			default:
 				continue
@@ -137,7 +137,7 @@
 			all = append(all, slices.DeleteFunc(slices.Clone(more), func(e requests.Effect) bool { _, o := e.(requests.Offer); return o })...)
 		}
 	}
-	step(requests.Opened{Conn: 1, Host: "h"}, list)
+	step(requests.OwnerConnected{Conn: 1, Host: "h"}, list)
 	for i := range 8 * len(c.class) {
 		class := i % len(c.class)
 		kind := rng.IntN(len(c.kinds))
@@ -150,7 +150,7 @@
 		if len(c.tenant) > 0 {
 			m.Fields["tenant"] = c.tenant[rng.IntN(len(c.tenant))]
 		}
-		in, err := cfg.Owner(1, now, m)
+		in, err := cfg.DecodeOwnerMessage(1, now, m)
 		if err != nil {
 			t.Fatalf("%v\n%s", err, c.text)
 		}
--- a/internal/front/platformfront/owner.go
+++ b/internal/front/platformfront/owner.go
@@ -22,17 +22,17 @@
 // errNotAsked is for messages that an owner has no business to send.
 var errNotAsked = errors.New("a message that owners don't send")
 
-// Owner turns an owner's line into an input; nil for one that means nothing. A problem concerns this line alone.
-func (c *Config) Owner(conn requests.Conn, now requests.Time, m *ownerline.Message) (requests.Input, error) {
+// DecodeOwnerMessage turns an owner's line into an input; nil for one that means nothing. A problem concerns this line alone.
+func (c *Config) DecodeOwnerMessage(conn requests.Conn, now requests.Time, m *ownerline.Message) (requests.Input, error) {
 	switch m.Type {
 	case ownerline.SetUp:
 		return c.setUp(conn, now, m)
 	case ownerline.Release:
 		return requests.Release{Conn: conn, Task: m.ID}, nil
 	case ownerline.Move:
-		return requests.Moved{Conn: conn, Task: m.ID}, nil
+		return requests.Migrated{Conn: conn, Task: m.ID}, nil
 	case ownerline.Ping:
-		return requests.Tested{Conn: conn, Task: m.ID}, nil
+		return requests.Ping{Conn: conn, Task: m.ID}, nil
 	case ownerline.Progress, ownerline.Released, ownerline.Note:
 		return nil, nil
 	}
@@ -83,7 +83,7 @@
 		if !plain(at) {
 			return bad("extras")
 		}
-		return requests.Held{Conn: conn, Task: t, Node: at}, nil
+		return requests.Adopt{Conn: conn, Task: t, Node: at}, nil
 	}
 	idem := m.Fields["idem"]
 	if c.Module.Classes[class].Idempotency == flaxshelf.IdempotentByKey && idem == "" || idem != "" && !plain(idem) {
@@ -92,7 +92,7 @@
 	if !m.Described || m.Description == "" {
 		return nil, fmt.Errorf("set-up %s: no description", m.ID)
 	}
-	return requests.SetUp{Conn: conn, Task: t, Class: m.Fields["class"], Idem: idem, Description: m.Description}, nil
+	return requests.Submit{Conn: conn, Task: t, Class: m.Fields["class"], IdempotencyKey: idem, Description: m.Description}, nil
 }
 
 // fits tells whether a figure is one that some machine could ever give.
@@ -124,22 +124,22 @@
 	return true
 }
 
-// Answer encodes the answer that a task stands.
-func Answer(dst []byte, e *requests.Answer) ([]byte, error) {
+// EncodeAccepted encodes the answer that a task stands.
+func EncodeAccepted(dst []byte, e *requests.Accepted) ([]byte, error) {
 	return ownerline.Append(dst, &ownerline.Message{Type: ownerline.Answer, ID: e.Task, Cause: -1,
 		Description: e.Description, Described: true})
 }
 
-// Over encodes the word that a set-up was refused or failed, or that a task is over.
-func Over(dst []byte, e *requests.Over) ([]byte, error) {
-	if e.Move {
+// EncodeTerminated encodes the word that a set-up was refused or failed, or that a task is over.
+func EncodeTerminated(dst []byte, e *requests.Terminated) ([]byte, error) {
+	if e.Migrate {
 		return ownerline.Append(dst, &ownerline.Message{Type: ownerline.Move, ID: e.Task, Cause: -1})
 	}
 	return ownerline.Append(dst, &ownerline.Message{Type: ownerline.Release, ID: e.Task, Cause: e.Cause})
 }
 
-// Pong encodes the answer to a test.
-func Pong(dst []byte, e *requests.Pong) ([]byte, error) {
+// EncodePong encodes the answer to a test.
+func EncodePong(dst []byte, e *requests.Pong) ([]byte, error) {
 	cause := 0
 	if e.Passed {
 		cause = 1
--- a/internal/front/platformfront/platformfront_test.go
+++ b/internal/front/platformfront/platformfront_test.go
@@ -37,7 +37,7 @@
 func TestConfig(t *testing.T) {
 	c := config(t)
 	m := c.Module
-	if c.Seed != 0x8c1f30d27a5be964 || c.Idle != 30*time.Second || c.Last != 2 || c.Limits != (Limits{0.25, 64, 256}) || m.Index != 1 ||
+	if c.Seed != 0x8c1f30d27a5be964 || c.NodeIdleTimeout != 30*time.Second || c.LastSequence != 2 || c.Limits != (Limits{0.25, 64, 256}) || m.Index != 1 ||
 		m.Schedulers != 3 || m.DiscoveryOnRequest || !m.CanCancel || m.MaxAttempts != 3 || m.Tick != 2*time.Millisecond {
 		t.Errorf("%+v", c)
 	}
@@ -45,9 +45,9 @@
 		m.Classes[1].Idempotency != flaxshelf.IdempotentByKey || m.Classes[1].Kind != -1 || m.Kinds[0].Memory != 64.5 {
 		t.Errorf("%+v", m.Classes)
 	}
-	if len(c.Known) != 2 || !c.Known[0].Listed.Whole || c.Known[1].Listed.Machines[0] !=
+	if len(c.InitialEvents) != 2 || !c.InitialEvents[0].Update.Complete || c.InitialEvents[1].Update.Machines[0] !=
 		(flaxshelf.Machine{ID: "s-1", Zone: "east", Cell: 2, State: flaxshelf.Draining, Started: 1500 * time.Millisecond}) {
-		t.Errorf("%+v", c.Known)
+		t.Errorf("%+v", c.InitialEvents)
 	}
 }
 
@@ -87,19 +87,19 @@
 	if err != nil || m == nil {
 		t.Fatalf("%s: %v", text, err)
 	}
-	return c.Owner(3, 10*time.Second, m)
+	return c.DecodeOwnerMessage(3, 10*time.Second, m)
 }
 
 func TestSetUps(t *testing.T) {
 	c := config(t)
 	in, err := input(t, c, line("keyed", "1500", "7f3a", "5c0f", "cores:1;memory:2.5;service:00b4"))
-	want := requests.SetUp{Conn: 3, Class: "keyed", Idem: "5c0f", Description: "d", Task: flaxshelf.Task{ID: "9b1f03aa5c7e2d41",
+	want := requests.Submit{Conn: 3, Class: "keyed", IdempotencyKey: "5c0f", Description: "d", Task: flaxshelf.Task{ID: "9b1f03aa5c7e2d41",
 		Key: "7f3a", Service: "00b4", Class: 1, Tenant: -1, Cores: 1, Memory: 2.5, Deadline: 11500 * time.Millisecond}}
 	if err != nil || in != requests.Input(want) {
 		t.Errorf("%+v, %v", in, err)
 	}
 	in, err = input(t, c, line("batch_one", "", "7f3a", "", "cores:1;memory:2;service:00b4;at:s-1"))
-	if h, ok := in.(requests.Held); err != nil || !ok || h.Node != "s-1" || h.Conn != 3 {
+	if h, ok := in.(requests.Adopt); err != nil || !ok || h.Node != "s-1" || h.Conn != 3 {
 		t.Errorf("%+v, %v", in, err)
 	}
 }
@@ -132,8 +132,8 @@
 func TestOtherLines(t *testing.T) {
 	c := config(t)
 	for kind, want := range map[string]requests.Input{
-		"release": requests.Release{Conn: 3, Task: "9b1f03aa5c7e2d41"}, "move": requests.Moved{Conn: 3, Task: "9b1f03aa5c7e2d41"},
-		"ping": requests.Tested{Conn: 3, Task: "9b1f03aa5c7e2d41"}, "progress": nil, "released": nil,
+		"release": requests.Release{Conn: 3, Task: "9b1f03aa5c7e2d41"}, "move": requests.Migrated{Conn: 3, Task: "9b1f03aa5c7e2d41"},
+		"ping": requests.Ping{Conn: 3, Task: "9b1f03aa5c7e2d41"}, "progress": nil, "released": nil,
 	} {
 		if in, err := input(t, c, `{"type":"`+kind+`","id":"9b1f03aa5c7e2d41"}`+"\n"); err != nil || in != want {
 			t.Errorf("%s: %+v, %v", kind, in, err)
@@ -148,23 +148,23 @@
 		want requests.Input
 	}{
 		{nodeparam.Message{Type: nodeparam.Answer, Cause: -1, Description: "d", Described: true},
-			requests.Heard{Link: 4, Task: id, Say: requests.SaysAnswer, Cause: -1, Description: "d"}},
-		{nodeparam.Message{Type: nodeparam.Release, Cause: 34, Word: "busy"},
-			requests.Heard{Link: 4, Task: id, Say: requests.SaysRelease, Cause: 34, Reason: flaxshelf.QueueFull}},
-		{nodeparam.Message{Type: nodeparam.Released, Cause: -1}, requests.Heard{Link: 4, Task: id, Say: requests.SaysReleased, Cause: -1}},
-		{nodeparam.Message{Type: nodeparam.Note, Cause: -1, Word: "share", Figure: "0.5"},
-			requests.Heard{Link: 4, Task: id, Say: requests.SaysNote, Cause: -1, Kind: flaxshelf.ServiceLevel, Amount: 0.5}},
-		{nodeparam.Message{Type: nodeparam.Note, Cause: -1, Word: "share", Figure: "nan"}, nil},
-		{nodeparam.Message{Type: nodeparam.Note, Cause: -1, Word: "mood"}, nil},
+			requests.NodeMessage{Link: 4, Task: id, Kind: requests.NodeAccepted, Cause: -1, Description: "d"}},
+		{nodeparam.Message{Type: nodeparam.Release, Cause: 34, Token: "busy"},
+			requests.NodeMessage{Link: 4, Task: id, Kind: requests.NodeReleased, Cause: 34, Reason: flaxshelf.QueueFull}},
+		{nodeparam.Message{Type: nodeparam.Released, Cause: -1}, requests.NodeMessage{Link: 4, Task: id, Kind: requests.NodeConfirmedRelease, Cause: -1}},
+		{nodeparam.Message{Type: nodeparam.Note, Cause: -1, Token: "share", Value: "0.5"},
+			requests.NodeMessage{Link: 4, Task: id, Kind: requests.NodeUsage, Cause: -1, UsageKind: flaxshelf.ServiceLevel, Amount: 0.5}},
+		{nodeparam.Message{Type: nodeparam.Note, Cause: -1, Token: "share", Value: "nan"}, nil},
+		{nodeparam.Message{Type: nodeparam.Note, Cause: -1, Token: "mood"}, nil},
 		{nodeparam.Message{Type: nodeparam.Progress, Cause: -1}, nil},
 	} {
 		c.m.Task = 0xff
-		if in, err := Node(4, &c.m); err != nil || in != c.want {
+		if in, err := DecodeNodeMessage(4, &c.m); err != nil || in != c.want {
 			t.Errorf("%+v: %+v, %v", c.m, in, err)
 		}
 	}
 	for _, m := range []nodeparam.Message{{Type: nodeparam.Answer, Cause: -1}, {Type: nodeparam.Release, Cause: -1}} {
-		if in, err := Node(4, &m); err == nil {
+		if in, err := DecodeNodeMessage(4, &m); err == nil {
 			t.Errorf("%+v was taken as %+v", m, in)
 		}
 	}
@@ -172,13 +172,13 @@
 
 // A set-up goes to a node as the owner sent it, with nothing that the platform does not name.
 func TestOffer(t *testing.T) {
-	b, err := Offer(nil, &requests.Offer{Link: 4, Task: "00000000000000ff", Class: "batch", Key: "k", Idem: "i", Detail: "d\r\n",
-		Left: 1500*time.Millisecond + 1})
+	b, err := EncodeOffer(nil, &requests.Offer{Link: 4, Task: "00000000000000ff", Class: "batch", Key: "k", IdempotencyKey: "i", Description: "d\r\n",
+		TimeLeft: 1500*time.Millisecond + 1})
 	if err != nil {
 		t.Fatal(err)
 	}
 	m, n, err := nodeparam.Next(b)
-	want := nodeparam.Message{Type: nodeparam.SetUp, Task: 0xff, Cause: -1, Class: "batch", Left: "1500", Key: "k", Idem: "i",
+	want := nodeparam.Message{Type: nodeparam.SetUp, Task: 0xff, Cause: -1, Class: "batch", TimeLeft: "1500", Key: "k", IdempotencyKey: "i",
 		Description: "d\r\n", Described: true}
 	if err != nil || n != len(b) || m != want {
 		t.Errorf("%+v, %v", m, err)
@@ -187,11 +187,11 @@
 
 // A standing task's end is a release with its cause, but for one that is moved.
 func TestOver(t *testing.T) {
-	for want, e := range map[string]requests.Over{
+	for want, e := range map[string]requests.Terminated{
 		`{"type":"release","id":"0000000000000007","fields":{},"cause":31}`: {Task: "0000000000000007", Cause: 31},
-		`{"type":"move","id":"0000000000000007","fields":{}}`:               {Task: "0000000000000007", Move: true},
+		`{"type":"move","id":"0000000000000007","fields":{}}`:               {Task: "0000000000000007", Migrate: true},
 	} {
-		if got, err := Over(nil, &e); err != nil || string(got) != want+"\n" {
+		if got, err := EncodeTerminated(nil, &e); err != nil || string(got) != want+"\n" {
 			t.Errorf("%s, %v, want %s", got, err, want)
 		}
 	}
@@ -202,24 +202,24 @@
 	m := func(id string, state flaxshelf.MachineState) flaxshelf.Machine {
 		return flaxshelf.Machine{ID: id, State: state}
 	}
-	change := func(whole bool, addr string, all ...flaxshelf.Machine) Change {
-		c := Change{Listed: requests.Listed{Whole: whole, Machines: all}}
+	change := func(whole bool, addr string, all ...flaxshelf.Machine) WatchEvent {
+		c := WatchEvent{Update: requests.NodesUpdated{Complete: whole, Machines: all}}
 		for range all {
-			c.Listed.Addrs = append(c.Listed.Addrs, addr)
+			c.Update.Addrs = append(c.Update.Addrs, addr)
 		}
 		return c
 	}
-	if _, any := Fold([]Change{{N: 1}}); any {
+	if _, any := MergeUpdates([]WatchEvent{{Sequence: 1}}); any {
 		t.Error("a change that says nothing of nodes became a list")
 	}
-	got, any := Fold([]Change{change(false, "w", m("z", flaxshelf.Active)), change(true, "x", m("a", flaxshelf.Active), m("b", flaxshelf.Active)),
+	got, any := MergeUpdates([]WatchEvent{change(false, "w", m("z", flaxshelf.Active)), change(true, "x", m("a", flaxshelf.Active), m("b", flaxshelf.Active)),
 		change(false, "y", m("c", flaxshelf.Active), m("a", flaxshelf.Draining)), change(false, "z", m("a", flaxshelf.Removed))})
-	want := requests.Listed{Whole: true, Machines: []flaxshelf.Machine{m("a", flaxshelf.Removed), m("b", flaxshelf.Active), m("c", flaxshelf.Active)},
+	want := requests.NodesUpdated{Complete: true, Machines: []flaxshelf.Machine{m("a", flaxshelf.Removed), m("b", flaxshelf.Active), m("c", flaxshelf.Active)},
 		Addrs: []string{"z", "x", "y"}}
 	if !any || !reflect.DeepEqual(got, want) {
 		t.Errorf("%+v, want %+v", got, want)
 	}
-	if got, _ := Fold([]Change{change(false, "w", m("z", flaxshelf.Active))}); got.Whole {
+	if got, _ := MergeUpdates([]WatchEvent{change(false, "w", m("z", flaxshelf.Active))}); got.Complete {
 		t.Error("a change became a whole list")
 	}
 }
--- a/internal/front/platformfront/settings.go
+++ b/internal/front/platformfront/settings.go
@@ -27,15 +27,15 @@
 
 // Config is a scheduler's configuration file.
 type Config struct {
-	Name, Listen, Feed string
-	Seed               uint64
-	Limits             Limits
-	Known              []Change      // the control feed's events of the start
-	Raw                [][]byte      // the same, as they were written
-	Last               uint64        // the number of the last of them
-	Idle               time.Duration // after which nodes close a connection without traffic; 0: not told
-	Module             flaxshelf.Config
-	Names              *benchadapter.Names
+	Name, Listen, DiscoveryAddr string
+	Seed                        uint64
+	Limits                      Limits
+	InitialEvents               []WatchEvent  // the control feed's events of the start
+	InitialEventData            [][]byte      // the same, as they were written
+	LastSequence                uint64        // the number of the last of them
+	NodeIdleTimeout             time.Duration // after which nodes close a connection without traffic; 0: not told
+	Module                      flaxshelf.Config
+	Names                       *benchadapter.Names
 }
 
 // ErrConfig is wrapped by every error about a configuration file.
@@ -67,12 +67,12 @@
 	bad := func(field, want string, got any) (*Config, error) {
 		return nil, fmt.Errorf("%w: field %s: %v is not %s", ErrConfig, field, got, want)
 	}
-	c := &Config{Name: w.Name, Listen: w.Listen, Feed: w.Feed, Limits: w.Limits, Last: w.Known.N}
+	c := &Config{Name: w.Name, Listen: w.Listen, DiscoveryAddr: w.Feed, Limits: w.Limits, LastSequence: w.Known.N}
 	var err error
 	switch {
 	case c.Listen == "":
 		return bad("listen", "an address", `""`)
-	case c.Feed == "":
+	case c.DiscoveryAddr == "":
 		return bad("feed", "an address", `""`)
 	case !(c.Limits.Cores > 0):
 		return bad("limits.cores", "above 0", c.Limits.Cores)
@@ -99,19 +99,20 @@
 	if err := json.Unmarshal(w.Settings, &caps); err != nil || caps.Caps.Idle < 0 {
 		return bad("settings.caps.conn_idle_ns", "a time in nanoseconds", caps.Caps.Idle)
 	}
-	c.Idle = time.Duration(caps.Caps.Idle)
+	c.NodeIdleTimeout = time.Duration(caps.Caps.Idle)
 	if c.Names, err = rawNames(w.Settings); err != nil {
 		return nil, fmt.Errorf("%w: field settings: %w", ErrConfig, err)
 	}
 	for i, raw := range w.Known.Events {
-		e, err := c.Change(raw)
+		e, err := c.DecodeWatchEvent(raw)
 		if err != nil {
 			return nil, fmt.Errorf("%w: field known.events[%d]: %w", ErrConfig, i, err)
 		}
-		c.Known, c.Raw = append(c.Known, e), append(c.Raw, raw)
+		c.InitialEvents, c.InitialEventData = append(c.InitialEvents, e), append(c.InitialEventData, raw)
 	}
 	// Risk covered: a list that was to tell what is free and does not would make every node look full.
-	c.Module.ListsFreeCapacity = c.Module.ListsFreeCapacity && slices.ContainsFunc(c.Known, func(e Change) bool { return e.Free })
+	c.Module.ListsFreeCapacity = c.Module.ListsFreeCapacity &&
+		slices.ContainsFunc(c.InitialEvents, func(e WatchEvent) bool { return e.HasFreeCapacity })
 	return c, nil
 }
 
--- a/internal/lab/standin/host/inventory.go
+++ b/internal/lab/standin/host/inventory.go
@@ -32,7 +32,7 @@
 		done: make(chan struct{}), parties: newParties()}
 	var err error
 	v.server, err = transport.Listen(addr, transport.Options{Log: log},
-		func(*transport.Conn) transport.Peer { return &peer{box: v.box} })
+		func(*transport.Conn) transport.Handler { return &peer{box: v.box} })
 	if err != nil {
 		return nil, fmt.Errorf("inventory: %w", err)
 	}
--- a/internal/lab/standin/host/node.go
+++ b/internal/lab/standin/host/node.go
@@ -51,7 +51,7 @@
 		parties: newParties()}
 	var err error
 	n.server, err = transport.Listen(opt.Listen, transport.Options{Log: opt.Log},
-		func(*transport.Conn) transport.Peer { return &peer{box: n.box} })
+		func(*transport.Conn) transport.Handler { return &peer{box: n.box} })
 	if err != nil {
 		return nil, fmt.Errorf("node %s: %w", opt.Model.Name, err)
 	}
@@ -67,8 +67,8 @@
 	n.model = nodemodel.New(opt.Model, clock.Now(), opt.Room)
 	go n.own()
 	if n.dialer != nil {
-		n.dialer.Link(opt.Inventory, time.Second, transport.Backoff{First: 50 * time.Millisecond, Most: time.Second},
-			func() transport.Peer { return &registrar{n} }, func(error) {})
+		n.dialer.Link(opt.Inventory, time.Second, transport.Backoff{Initial: 50 * time.Millisecond, Max: time.Second},
+			func() transport.Handler { return &registrar{n} }, func(error) {})
 	}
 	return n, nil
 }
@@ -188,7 +188,7 @@
 type registrar struct{ n *Node }
 
 func (r *registrar) Opened(c *transport.Conn) {
-	c.Write(encode(&nodepb.Frame{Body: &nodepb.Frame_Hello{Hello: &nodepb.Hello{VersionMin: nodeframe.Version,
+	c.WriteInLoop(encode(&nodepb.Frame{Body: &nodepb.Frame_Hello{Hello: &nodepb.Hello{VersionMin: nodeframe.Version,
 		VersionMax: nodeframe.Version, Party: r.n.opt.Model.Name, LifeUnixNs: int64(clock.Now())}}}))
 	r.pass(func() { r.n.toList = c; r.n.register() })
 }
--- a/internal/lab/standin/host/party.go
+++ b/internal/lab/standin/host/party.go
@@ -51,7 +51,7 @@
 				return used, errHello
 			}
 			if _, err := nodeframe.Agree(m.hello.VersionMin, m.hello.VersionMax); err != nil {
-				c.Write(encode(bye(err.Error())))
+				c.WriteInLoop(encode(bye(err.Error())))
 				return used, err
 			}
 			p.greeted = true
--- a/internal/lab/standin/inventorymodel/inventory.go
+++ b/internal/lab/standin/inventorymodel/inventory.go
@@ -197,7 +197,7 @@
 }
 
 func (v *Inventory) advance() {
-	for i := v.leaving.Due(v.now); i != nil; i = v.leaving.Due(v.now) {
+	for i := v.leaving.PopDue(v.now); i != nil; i = v.leaving.PopDue(v.now) {
 		gone := proto.Clone(i.Value.Entry).(*nodepb.Entry)
 		gone.Standing = nodepb.Standing_OUT
 		delete(v.entries, gone.Node)
--- a/internal/platform/feed.go
+++ b/internal/platform/feed.go
@@ -29,7 +29,7 @@
 type fed struct {
 	requests.Input
 	call   int // which call said it
-	change *platformfront.Change
+	change *platformfront.WatchEvent
 }
 
 // events is which events of the feed have been taken.
@@ -71,13 +71,13 @@
 		}
 		return in.Input
 	}
-	switch s.events.take(in.change.N, in.change.Listed.Whole, in.call) {
+	switch s.events.take(in.change.Sequence, in.change.Update.Complete, in.call) {
 	case taken:
-		return in.change.Listed
+		return in.change.Update
 	case missed:
-		s.opt.Log.Info().Uint64("missing", s.events.last+1).Uint64("came", in.change.N).
+		s.opt.Log.Info().Uint64("missing", s.events.last+1).Uint64("came", in.change.Sequence).
 			Msg("the control feed left events out: asked again")
-		s.feed.ask(s.cfg.Load().Feed, s.events.last)
+		s.feed.ask(s.cfg.Load().DiscoveryAddr, s.events.last)
 	}
 	return nil
 }
@@ -109,7 +109,7 @@
 			return // given up for another call
 		}
 		f.s.opt.Log.Info().Err(err).Str("feed", addr).Msg("the control feed has ended")
-		f.pass(fed{Input: requests.FeedDown{}, call: call})
+		f.pass(fed{Input: requests.WatchFailed{}, call: call})
 	}()
 }
 
@@ -143,7 +143,7 @@
 	if res.StatusCode != http.StatusOK {
 		return fmt.Errorf("platform: control feed: status %s", res.Status)
 	}
-	f.pass(fed{Input: requests.FeedUp{}, call: n})
+	f.pass(fed{Input: requests.WatchEstablished{}, call: n})
 	var d sse.Decoder
 	buf := make([]byte, 4096)
 	for {
@@ -161,7 +161,7 @@
 }
 
 func (f *feed) take(call int, e sse.Event) error {
-	change, err := f.s.cfg.Load().Change(e.Data)
+	change, err := f.s.cfg.Load().DecodeWatchEvent(e.Data)
 	if err != nil {
 		return err
 	}
--- a/internal/platform/feed_test.go
+++ b/internal/platform/feed_test.go
@@ -37,10 +37,10 @@
 // The end of a call that was given up for another does not end that one.
 func TestEndOfAFormerCall(t *testing.T) {
 	s := &Scheduler{events: events{call: 2}}
-	if in := s.heed(fed{Input: requests.FeedDown{}, call: 1}); in != nil {
+	if in := s.heed(fed{Input: requests.WatchFailed{}, call: 1}); in != nil {
 		t.Errorf("%T", in)
 	}
-	if in := s.heed(fed{Input: requests.FeedDown{}, call: 2}); in != (requests.FeedDown{}) {
+	if in := s.heed(fed{Input: requests.WatchFailed{}, call: 2}); in != (requests.WatchFailed{}) {
 		t.Errorf("%T", in)
 	}
 }
--- a/internal/platform/mailbox_test.go
+++ b/internal/platform/mailbox_test.go
@@ -9,12 +9,14 @@
 
 func conns(all []message) (out []requests.Conn) {
 	for _, m := range all {
-		out = append(out, m.in[0].(requests.Closed).Conn)
+		out = append(out, m.in[0].(requests.OwnerDisconnected).Conn)
 	}
 	return out
 }
 
-func word(n requests.Conn) message { return message{in: []requests.Input{requests.Closed{Conn: n}}} }
+func word(n requests.Conn) message {
+	return message{in: []requests.Input{requests.OwnerDisconnected{Conn: n}}}
+}
 
 // What must not be lost is taken where the box is full, and keeps its place: a close never overtakes what came before it.
 func TestMailboxOrder(t *testing.T) {
--- a/internal/platform/peers.go
+++ b/internal/platform/peers.go
@@ -37,12 +37,12 @@
 	if *h = half(is); !is {
 		within = 0
 	}
-	c.Hurry(within)
+	c.SetMessageTimeout(within)
 	return more
 }
 
 // ownerPeer makes the peer of an owner's new connection.
-func (s *Scheduler) ownerPeer(*transport.Conn) transport.Peer {
+func (s *Scheduler) ownerPeer(*transport.Conn) transport.Handler {
 	return &ownerPeer{s: s, id: requests.Conn(s.conns.Add(1))}
 }
 
@@ -56,7 +56,7 @@
 // Opened implements transport's hook.
 func (p *ownerPeer) Opened(c *transport.Conn) {
 	host, _, _ := net.SplitHostPort(c.Remote())
-	if !p.s.box.offer(message{in: []requests.Input{requests.Opened{Conn: p.id, Host: host}}, conn: c, at: clock.Now()}) {
+	if !p.s.box.offer(message{in: []requests.Input{requests.OwnerConnected{Conn: p.id, Host: host}}, conn: c, at: clock.Now()}) {
 		c.Close(errFull)
 	}
 }
@@ -74,16 +74,16 @@
 			break
 		}
 		used += n
-		input, problem := cfg.Owner(p.id, now, m)
+		input, problem := cfg.DecodeOwnerMessage(p.id, now, m)
 		if problem != nil {
 			p.s.opt.Log.Debug().Err(problem).Str("owner", c.Remote()).Msg("turned away")
 			if m.Type != ownerline.SetUp {
 				err = problem
 				break
 			}
-			b, _ := platformfront.Over(nil, &requests.Over{Task: m.ID, Cause: requests.CauseError})
-			c.Write(b)
-			all = append(all, requests.Wrong{Conn: p.id})
+			b, _ := platformfront.EncodeTerminated(nil, &requests.Terminated{Task: m.ID, Cause: requests.CauseError})
+			c.WriteInLoop(b)
+			all = append(all, requests.ProtocolError{Conn: p.id})
 			continue
 		}
 		switch input := input.(type) {
@@ -91,7 +91,7 @@
 			continue
 		case requests.Release:
 			p.s.leavers.add(input.Task)
-		case requests.Moved:
+		case requests.Migrated:
 			p.s.leavers.add(input.Task)
 		}
 		all = append(all, input)
@@ -112,7 +112,7 @@
 		p.s.halves.Add(-1)
 	}
 	<-p.s.slots
-	p.s.box.tell(message{in: []requests.Input{requests.Closed{Conn: p.id}}})
+	p.s.box.tell(message{in: []requests.Input{requests.OwnerDisconnected{Conn: p.id}}})
 }
 
 // nodePeer reads what a node says on one link. It belongs to the loop.
@@ -128,7 +128,7 @@
 
 // Opened implements transport's hook.
 func (p *nodePeer) Opened(c *transport.Conn) {
-	if !p.s.box.offer(message{in: []requests.Input{requests.Up{Link: p.link}}, conn: c}) {
+	if !p.s.box.offer(message{in: []requests.Input{requests.LinkUp{Link: p.link}}, conn: c}) {
 		c.Close(errFull)
 	}
 }
@@ -143,7 +143,7 @@
 			break
 		}
 		used += n
-		input, bad := platformfront.Node(p.link, &m)
+		input, bad := platformfront.DecodeNodeMessage(p.link, &m)
 		if bad != nil {
 			err = bad
 			break
@@ -162,5 +162,5 @@
 // Closed implements transport.Peer.
 func (p *nodePeer) Closed(c *transport.Conn, why error) {
 	p.s.opt.Log.Debug().Err(why).Str("node", c.Remote()).Msg("the connection to the node has closed")
-	p.s.box.tell(message{in: []requests.Input{requests.Down{Link: p.link}}})
+	p.s.box.tell(message{in: []requests.Input{requests.LinkDown{Link: p.link}}})
 }
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -100,31 +100,34 @@
 	share := divide(cfg.Limits.Sockets)
 	s := &Scheduler{opt: opt, box: newMailbox(inbox), ended: make(chan struct{}),
 		slots:  make(chan struct{}, share.owners),
-		owners: map[requests.Conn]*peer{}, links: map[requests.Link]*peer{}, events: events{last: cfg.Last}}
+		owners: map[requests.Conn]*peer{}, links: map[requests.Link]*peer{}, events: events{last: cfg.LastSequence}}
 	s.cfg.Store(cfg)
 	s.life, s.end = context.WithCancel(context.Background())
 	defer s.end()
-	core := requests.Config{Module: cfg.Module, Seed: cfg.Seed, Silent: silent, Idle: cfg.Idle, MaxOpen: maxOpen,
-		MaxLinks:  share.links,
-		Admission: admission.Limits{Most: share.kept, Silent: mute, Spare: spare, Wrong: 3, Open: maxOpen / 8}}
+	core := requests.Config{Module: cfg.Module, Seed: cfg.Seed, NodeUnreachableTimeout: silent,
+		NodeIdleTimeout: cfg.NodeIdleTimeout, MaxPending: maxOpen,
+		MaxLinks: share.links,
+		Admission: admission.Limits{MaxConnections: share.kept, IdleTimeout: mute, RecentUseGrace: spare,
+			MaxProtocolErrors: 3, MaxPendingPerConnection: maxOpen / 8}}
 	if opt.Tap != "" {
 		if s.tap, err = replay.Create(opt.Tap, cfg.Module, cfg.Seed); err != nil {
 			return err
 		}
-		core.Tap = s.tap.Step
+		core.RecordStep = s.tap.Step
 	}
 	if s.core, err = requests.New(core); err != nil {
 		return err
 	}
-	if s.dialer, err = transport.NewDialer(transport.Options{MaxIn: maxIn, MaxOut: maxOut, Log: opt.Log}); err != nil {
+	options := transport.Options{MaxReadBuffer: maxIn, MaxWriteQueue: maxOut, Log: opt.Log}
+	if s.dialer, err = transport.NewDialer(options); err != nil {
 		return err
 	}
 	s.feed = newFeed(s)
 	if s.accept, err = s.dialer.Accept(cfg.Listen, s.admit, s.ownerPeer); err != nil {
 		return errors.Join(err, s.dialer.Stop())
 	}
-	opt.Log.Info().Str("address", s.accept.Addr()).Str("feed", cfg.Feed).Float64("cores", cfg.Limits.Cores).
-		Int("memory_mb", cfg.Limits.MemoryMB).Int("sockets", cfg.Limits.Sockets).Uint64("event", cfg.Last).
+	opt.Log.Info().Str("address", s.accept.Addr()).Str("feed", cfg.DiscoveryAddr).Float64("cores", cfg.Limits.Cores).
+		Int("memory_mb", cfg.Limits.MemoryMB).Int("sockets", cfg.Limits.Sockets).Uint64("event", cfg.LastSequence).
 		Msg("the scheduler is up")
 	s.own(stop, reload)
 	return s.close()
@@ -172,7 +175,7 @@
 		case <-stop:
 			stop = nil
 			leave.asked = clock.Now()
-			inputs = append(inputs, requests.Stop{})
+			inputs = append(inputs, requests.Shutdown{})
 			s.opt.Log.Info().Msg("asked to leave: what comes still is served")
 		case <-look:
 		case <-drained:
@@ -198,7 +201,7 @@
 		s.carry(now, effects)
 		if leave.asked > 0 {
 			state := leave.next(now, openState{Idle: s.core.Idle() && s.box.empty(), Half: s.halves.Load() > 0,
-				Listens: !s.accept.Ended()})
+				Listens: !s.accept.Stopped()})
 			switch {
 			case state.gone:
 				s.report()
@@ -218,11 +221,11 @@
 // known is the configuration's word of the nodes: one list, whatever the number of its events. Risk covered: a start that
 // dials each node that ever was.
 func (s *Scheduler) known() []requests.Input {
-	list, any := platformfront.Fold(s.cfg.Load().Known)
+	list, any := platformfront.MergeUpdates(s.cfg.Load().InitialEvents)
 	if !any {
 		return nil
 	}
-	list.Known = true
+	list.FromConfig = true
 	return []requests.Input{list}
 }
 
@@ -237,26 +240,27 @@
 	// Risk covered: the core has the settings of its start, and other ones would give classes and kinds other numbers. What
 	// the file knows of nodes is read by the names of the start: a drain is a drain all the same.
 	cfg := *old
-	cfg.Feed = file.Feed
+	cfg.DiscoveryAddr = file.DiscoveryAddr
 	if !reflect.DeepEqual(file.Module, old.Module) {
 		s.opt.Log.Error().
 			Msg("the new configuration has other settings, those of the start stay; its feed and nodes are followed")
 	}
-	var fresh []platformfront.Change
-	for _, raw := range file.Raw {
-		e, err := old.Change(raw)
-		if err == nil && e.N > s.events.last {
-			s.events.last = e.N
+	var fresh []platformfront.WatchEvent
+	for _, raw := range file.InitialEventData {
+		e, err := old.DecodeWatchEvent(raw)
+		if err == nil && e.Sequence > s.events.last {
+			s.events.last = e.Sequence
 			fresh = append(fresh, e)
 		}
 	}
 	var all []requests.Input
-	if list, any := platformfront.Fold(fresh); any {
+	if list, any := platformfront.MergeUpdates(fresh); any {
 		all = append(all, list)
 	}
 	s.cfg.Store(&cfg)
-	s.opt.Log.Info().Str("feed", cfg.Feed).Str("former", old.Feed).Uint64("event", s.events.last).Msg("configuration read again")
-	s.feed.ask(cfg.Feed, s.events.last)
+	s.opt.Log.Info().Str("feed", cfg.DiscoveryAddr).Str("former", old.DiscoveryAddr).Uint64("event", s.events.last).
+		Msg("configuration read again")
+	s.feed.ask(cfg.DiscoveryAddr, s.events.last)
 	return all
 }
 
@@ -264,13 +268,13 @@
 func (s *Scheduler) receive(m message, inputs []requests.Input) []requests.Input {
 	for _, in := range m.in {
 		switch in := in.(type) {
-		case requests.Opened:
+		case requests.OwnerConnected:
 			s.owners[in.Conn] = &peer{conn: m.conn}
-		case requests.Closed:
+		case requests.OwnerDisconnected:
 			delete(s.owners, in.Conn)
-		case requests.Up:
+		case requests.LinkUp:
 			s.links[in.Link] = &peer{conn: m.conn}
-		case requests.Down:
+		case requests.LinkDown:
 			delete(s.links, in.Link)
 		case fed:
 			if e := s.heed(in); e != nil {
@@ -285,7 +289,7 @@
 
 // late gives offers back that were never written; it may be called by the owner itself.
 func (s *Scheduler) late(e *requests.Offer) {
-	s.box.tell(message{in: []requests.Input{requests.Unsent{Link: e.Link, Task: e.Task, Attempt: e.Attempt}}})
+	s.box.tell(message{in: []requests.Input{requests.SendFailed{Link: e.Link, Task: e.Task, Attempt: e.Attempt}}})
 }
 
 // carry carries out effects in order. What one step has for a connection goes to its loop together.
@@ -304,30 +308,30 @@
 	var closing []*transport.Conn
 	for _, e := range effects {
 		switch e := e.(type) {
-		case requests.Answer:
-			to(s.owners[e.Conn], func(b []byte) ([]byte, error) { return platformfront.Answer(b, &e) })
-		case requests.Over:
-			to(s.owners[e.Conn], func(b []byte) ([]byte, error) { return platformfront.Over(b, &e) })
+		case requests.Accepted:
+			to(s.owners[e.Conn], func(b []byte) ([]byte, error) { return platformfront.EncodeAccepted(b, &e) })
+		case requests.Terminated:
+			to(s.owners[e.Conn], func(b []byte) ([]byte, error) { return platformfront.EncodeTerminated(b, &e) })
 		case requests.Pong:
-			to(s.owners[e.Conn], func(b []byte) ([]byte, error) { return platformfront.Pong(b, &e) })
-		case requests.Cut:
-			to(s.links[e.Link], func(b []byte) ([]byte, error) { return platformfront.Cut(b, &e) })
+			to(s.owners[e.Conn], func(b []byte) ([]byte, error) { return platformfront.EncodePong(b, &e) })
+		case requests.SendRelease:
+			to(s.links[e.Link], func(b []byte) ([]byte, error) { return platformfront.EncodeRelease(b, &e) })
 		case requests.Offer:
 			s.putOffer(&e)
 		case requests.Dial:
 			s.dial(e)
-		case requests.Hang:
+		case requests.CloseLink:
 			if p := s.links[e.Link]; p != nil {
 				delete(s.links, e.Link)
 				p.conn.Close(transport.ErrStopping)
 			}
-		case requests.Close:
+		case requests.CloseOwner:
 			if p := s.owners[e.Conn]; p != nil {
 				delete(s.owners, e.Conn)
 				closing = append(closing, p.conn)
 			}
 		case requests.Subscribe:
-			s.feed.ask(s.cfg.Load().Feed, s.events.last)
+			s.feed.ask(s.cfg.Load().DiscoveryAddr, s.events.last)
 		}
 	}
 	limit := s.cfg.Load().Module.DrainGrace / 2
@@ -347,7 +351,7 @@
 	if p := s.owners[e.Owner]; p != nil {
 		conn = p.conn
 	}
-	return func() bool { return conn != nil && !conn.Gone() && !s.leavers.has(e.Task) }
+	return func() bool { return conn != nil && !conn.IsClosed() && !s.leavers.has(e.Task) }
 }
 
 func (s *Scheduler) putOffer(e *requests.Offer) {
@@ -359,7 +363,7 @@
 	if p.box.Empty() {
 		s.dirty = append(s.dirty, p)
 	}
-	err := p.box.PutTimed(func(b []byte) ([]byte, error) { return platformfront.Offer(b, e) }, s.wanted(&offer),
+	err := p.box.PutExpiring(func(b []byte) ([]byte, error) { return platformfront.EncodeOffer(b, e) }, s.wanted(&offer),
 		func() { s.late(&offer) })
 	if err != nil {
 		s.opt.Log.Error().Err(err).Msg("an offer can't be sent")
@@ -374,7 +378,7 @@
 		_, err := s.dialer.Dial(s.life, e.Addr, timeout, &nodePeer{s: s, link: e.Link})
 		if err != nil {
 			s.opt.Log.Debug().Err(err).Str("node", e.Node).Msg("no connection to the node")
-			down := requests.Down{Link: e.Link, Refused: errors.Is(err, syscall.ECONNREFUSED)}
+			down := requests.LinkDown{Link: e.Link, ConnectionRefused: errors.Is(err, syscall.ECONNREFUSED)}
 			s.box.tell(message{in: []requests.Input{down}})
 		}
 	})
@@ -390,7 +394,7 @@
 
 // report logs the figures.
 func (s *Scheduler) report() {
-	f := s.core.Figures()
+	f := s.core.Stats()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	var u syscall.Rusage
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -24,7 +24,7 @@
 	}
 	c.place(2)
 	m := hear(t, n, nodeparam.SetUp)
-	if m.Task != 2 || m.Class != "batch" || m.Key != "k2" || m.Description != "owner's" || m.Left == "" {
+	if m.Task != 2 || m.Class != "batch" || m.Key != "k2" || m.Description != "owner's" || m.TimeLeft == "" {
 		t.Errorf("%+v", m)
 	}
 	n.Say(nodeparam.Message{Type: nodeparam.Release, Task: 2, Cause: 16})
@@ -88,7 +88,7 @@
 	if m := hear(t, n, nodeparam.SetUp); m.Task != 8 {
 		t.Errorf("%+v", m)
 	}
-	n.Say(nodeparam.Message{Type: nodeparam.Release, Task: 7, Cause: 41, Word: "oom"})
+	n.Say(nodeparam.Message{Type: nodeparam.Release, Task: 7, Cause: 41, Token: "oom"})
 	c.want("release", 7, 41)
 }
 
@@ -118,7 +118,7 @@
 	})
 	s := newSite(t, scripted.Entry("s-1", n.Addr(), "active"))
 	s.client().place(2)
-	if line := <-s.lost; !strings.Contains(line, transport.ErrHalf.Error()) {
+	if line := <-s.lost; !strings.Contains(line, transport.ErrPartialMessage.Error()) {
 		t.Errorf("the link ended otherwise: %s", line)
 	}
 	seen := map[string]int{}
--- a/internal/requests/attempt.go
+++ b/internal/requests/attempt.go
@@ -62,7 +62,7 @@
 		return
 	}
 	wait := min(a.limit, max(c.cfg.Module.ConnectTimeout, time.Millisecond))
-	a.timer = c.timers.After(c.now+wait, func() { c.end(a, flaxshelf.Unreachable, flaxshelf.UnspecifiedReason) })
+	a.timer = c.timers.Schedule(c.now+wait, func() { c.end(a, flaxshelf.Unreachable, flaxshelf.UnspecifiedReason) })
 	c.timers.Cancel(n.redial) // what is asked now need not wait with the others
 	c.keepLink(n)
 }
@@ -79,16 +79,16 @@
 	a.phase, a.link, l.usedAt = offered, l, c.now
 	l.open++
 	c.emit(Offer{Link: l.id, Attempt: a.n, Owner: t.conn, Node: a.node.entry.ID, Task: t.id,
-		Class: t.class, Key: t.spec.Key, Idem: t.idem,
-		Detail: t.detail, Left: left})
-	a.timer = c.timers.After(c.now+left, func() { c.timeOut(a) })
+		Class: t.class, Key: t.spec.Key, IdempotencyKey: t.idem,
+		Description: t.detail, TimeLeft: left})
+	a.timer = c.timers.Schedule(c.now+left, func() { c.timeOut(a) })
 }
 
 // timeOut gives an attempt up. A link that has told nothing since the set-up went out is suspected: a machine that is cut
 // off, or a peer that has lost its place in the stream, gives no other sign.
 func (c *Core) timeOut(a *attempt) {
 	l := a.link
-	c.emit(Cut{l.id, a.task.id, CauseGivenUp})
+	c.emit(SendRelease{l.id, a.task.id, CauseNormal})
 	if l.heardAt < a.sent {
 		c.suspect(l)
 	}
@@ -102,7 +102,7 @@
 		return
 	}
 	if a.phase == offered {
-		c.emit(Cut{a.link.id, a.task.id, CauseGivenUp})
+		c.emit(SendRelease{a.link.id, a.task.id, CauseNormal})
 		c.end(a, flaxshelf.Canceled, flaxshelf.UnspecifiedReason)
 	}
 }
@@ -118,7 +118,7 @@
 	if l != nil && l.up {
 		c.cut(a, l)
 	}
-	a.timer = c.timers.After(c.now+endWithin, func() { c.ended(a) })
+	a.timer = c.timers.Schedule(c.now+endWithin, func() { c.ended(a) })
 }
 
 // endWithin is how long the node's word of a cut is waited for before the task counts as ended all the same.
@@ -126,7 +126,7 @@
 
 func (c *Core) cut(a *attempt, l *link) {
 	a.cutAt = c.now
-	c.emit(Cut{l.id, a.task.id, CauseCancelled})
+	c.emit(SendRelease{l.id, a.task.id, CauseCanceled})
 }
 
 // ended counts a task as over that was cut, where its node has shown that it lives since: nodes need not confirm a release.
@@ -137,7 +137,7 @@
 		c.end(a, flaxshelf.Canceled, flaxshelf.UnspecifiedReason)
 		return
 	}
-	a.timer = c.timers.After(c.now+endWithin, func() { c.ended(a) })
+	a.timer = c.timers.Schedule(c.now+endWithin, func() { c.ended(a) })
 }
 
 // attemptOn finds what a node may speak of on a link: the attempt of the task at that very node.
@@ -150,7 +150,7 @@
 }
 
 // heard is a node's word of a task.
-func (c *Core) heard(in Heard) {
+func (c *Core) heard(in NodeMessage) {
 	l := c.links[in.Link]
 	if l == nil {
 		return
@@ -160,28 +160,29 @@
 	if a != nil {
 		c.provedBy(a.task)
 	}
-	switch in.Say {
-	case SaysAnswer:
+	switch in.Kind {
+	case NodeAccepted:
 		switch {
 		case a != nil && a.phase == offered && a.link == l:
 			c.stand(a, in.Description)
 		case a == nil: // late, or nobody's: what it may have started is released
-			c.figures.StaleSays++
-			c.emit(Cut{l.id, in.Task, CauseGivenUp})
+			c.figures.StaleMessages++
+			c.emit(SendRelease{l.id, in.Task, CauseNormal})
 		}
-	case SaysRelease:
+	case NodeReleased:
 		if a == nil {
 			c.noteEarly(l.node, in)
 			return
 		}
 		c.over(a, in)
-	case SaysReleased:
+	case NodeConfirmedRelease:
 		if a != nil && a.phase == ending {
 			c.end(a, flaxshelf.Canceled, flaxshelf.UnspecifiedReason)
 		}
-	case SaysNote:
+	case NodeUsage:
 		if a != nil && a.phase == standing {
-			c.tell(flaxshelf.UsageReport{Task: in.Task, Machine: l.node.entry.ID, Attempt: a.n, Kind: in.Kind, Amount: in.Amount})
+			c.tell(flaxshelf.UsageReport{Task: in.Task, Machine: l.node.entry.ID, Attempt: a.n,
+				Kind: in.UsageKind, Amount: in.Amount})
 		}
 	}
 }
@@ -194,15 +195,15 @@
 	a.link.open--
 	c.shut(t, true)
 	t.detail, t.idem = "", "" // not needed any more
-	c.figures.Standing++
+	c.figures.Running++
 	c.figures.Placed++
-	c.emit(Answer{t.conn, t.id, detail})
+	c.emit(Accepted{t.conn, t.id, detail})
 	c.showed(t.conn)
 	c.tell(flaxshelf.AttemptPlaced{Task: t.id, Machine: a.node.entry.ID, Attempt: a.n, Latency: c.now - a.sent})
 }
 
 // over is a node's release.
-func (c *Core) over(a *attempt, in Heard) {
+func (c *Core) over(a *attempt, in NodeMessage) {
 	switch a.phase {
 	case offered:
 		if a.link.id != in.Link {
@@ -210,30 +211,30 @@
 		}
 		v := flaxshelf.Lost
 		switch in.Cause {
-		case CauseFull:
+		case CauseRejected:
 			v = flaxshelf.Rejected
 		case CauseError:
 			v = flaxshelf.Failed
-		case CauseMoot:
+		case CauseObsolete:
 			v = flaxshelf.NotSent
 		}
 		c.end(a, v, in.Reason)
 	case standing:
 		v := flaxshelf.Lost
 		switch in.Cause {
-		case CauseGivenUp:
+		case CauseNormal:
 			v = flaxshelf.Completed
-		case CauseCancelled:
+		case CauseCanceled:
 			v = flaxshelf.Canceled
 		}
-		if in.Cause != CauseCancelled {
+		if in.Cause != CauseCanceled {
 			c.say(a.task, in.Cause)
 		}
 		c.countEnd(v, in.Reason)
 		c.end(a, v, in.Reason)
 	case ending:
 		v := flaxshelf.Canceled
-		if in.Cause == CauseGivenUp {
+		if in.Cause == CauseNormal {
 			v = flaxshelf.Completed
 		}
 		c.end(a, v, in.Reason)
@@ -243,7 +244,7 @@
 // lose is for a standing task whose node is gone, and for an attempt whose link broke.
 func (c *Core) lose(a *attempt) {
 	if a.phase == standing {
-		c.say(a.task, CauseReset)
+		c.say(a.task, CauseLost)
 	}
 	c.end(a, flaxshelf.Lost, flaxshelf.UnspecifiedReason)
 }
@@ -264,14 +265,14 @@
 		}
 	}
 	if a.unlisted {
-		c.figures.Unlisted--
+		c.figures.RunningUnlisted--
 	}
 	if was >= standing {
-		c.figures.Standing--
+		c.figures.Running--
 		c.figures.Ended++
 	}
 	if v == flaxshelf.Unreachable {
-		c.figures.Unreached++
+		c.figures.UnreachableOffers++
 	}
 	delete(a.node.live, t.id)
 	t.live = nil
@@ -285,24 +286,24 @@
 func (c *Core) countEnd(v flaxshelf.Outcome, r flaxshelf.Reason) {
 	switch {
 	case v == flaxshelf.Completed:
-		c.figures.Finished++
+		c.figures.Completed++
 	case v == flaxshelf.Lost && r == flaxshelf.Evicted:
 		c.figures.Evicted++
 	case v == flaxshelf.Lost && r == flaxshelf.Preempted:
-		c.figures.PushedOut++
+		c.figures.Preempted++
 	case v == flaxshelf.Lost:
-		c.figures.CutByNode++
+		c.figures.LostByNodeReport++
 	}
 }
 
 func (c *Core) count(v flaxshelf.Outcome) {
 	switch v {
 	case flaxshelf.Rejected:
-		c.figures.FullOffers++
+		c.figures.RejectedOffers++
 	case flaxshelf.Failed:
-		c.figures.ErrorOffers++
+		c.figures.FailedOffers++
 	case flaxshelf.TimedOut:
-		c.figures.LateOffers++
+		c.figures.TimedOutOffers++
 	case flaxshelf.Lost:
 		c.figures.LostOffers++
 	}
--- a/internal/requests/core.go
+++ b/internal/requests/core.go
@@ -14,18 +14,18 @@
 type Config struct {
 	Module flaxshelf.Config
 	Seed   uint64
-	// Silent is how long a node may be out of reach before what stands there counts as cut. The platform wants owners told
-	// within 8 s of an end of which no word could come.
-	Silent time.Duration
-	// Idle is after how long without traffic nodes close a connection; 0: not told.
-	Idle      time.Duration
-	Admission admission.Limits
-	MaxOpen   int // set-ups that may wait for their answer; more are refused
+	// NodeUnreachableTimeout is how long a node may be out of reach before what stands there counts as cut. The platform wants
+	// owners notified within 8 s of an end that no node could report.
+	NodeUnreachableTimeout time.Duration
+	// NodeIdleTimeout is after how long without traffic nodes close a connection; 0: not told.
+	NodeIdleTimeout time.Duration
+	Admission       admission.Limits
+	MaxPending      int // set-ups that may wait for their answer; more are refused
 	// MaxLinks bounds the links to nodes, those that are being made included; 0: no bound. Where nodes are more, links go to
 	// those that are asked, then to those where tasks of ours stand, then to others.
 	MaxLinks int
-	// Tap, when set, is given each step of the module. It must not keep or change the slices.
-	Tap func(now Time, events []flaxshelf.Event, actions []flaxshelf.Action)
+	// RecordStep, when set, is given each step of the module. It must not keep or change the slices.
+	RecordStep func(now Time, events []flaxshelf.Event, actions []flaxshelf.Action)
 }
 
 // Core is the state machine of one scheduler on the platform. It is not safe for concurrent use.
@@ -44,18 +44,18 @@
 	links     map[Link]*link
 	lastLink  Link
 	shows     uint64
-	unsaid    []*Over // ends that no connection could be found for
+	unsaid    []*Terminated // ends that no connection could be found for
 	early     earlyEnds
 	timers    timerqueue.Timers
 	feed      feed
 	stopping  bool
-	figures   Figures
+	figures   Stats
 }
 
 // New makes the core of one scheduler in a new life.
 func New(cfg Config) (*Core, error) {
-	if cfg.Silent <= 0 || cfg.MaxOpen < 1 || cfg.MaxLinks < 0 ||
-		cfg.Admission.Most < 1 || cfg.Admission.Open < 1 || cfg.Admission.Silent <= 0 {
+	if cfg.NodeUnreachableTimeout <= 0 || cfg.MaxPending < 1 || cfg.MaxLinks < 0 ||
+		cfg.Admission.MaxConnections < 1 || cfg.Admission.MaxPendingPerConnection < 1 || cfg.Admission.IdleTimeout <= 0 {
 		return nil, fmt.Errorf("requests: Config: all bounds must be above 0")
 	}
 	p, err := flaxshelf.New(cfg.Module, cfg.Seed)
@@ -80,7 +80,7 @@
 	for _, in := range inputs {
 		c.take(in)
 	}
-	c.timers.Fire(c.now)
+	c.timers.RunDue(c.now)
 	for range rounds {
 		if c.wakeAt > 0 && c.wakeAt <= c.now {
 			c.wakeAt = 0
@@ -92,8 +92,8 @@
 		events := c.events
 		c.events = nil
 		actions := c.placer.Step(c.now, events)
-		if c.cfg.Tap != nil {
-			c.cfg.Tap(c.now, events, actions)
+		if c.cfg.RecordStep != nil {
+			c.cfg.RecordStep(c.now, events, actions)
 		}
 		for _, a := range actions {
 			c.act(a)
@@ -118,45 +118,45 @@
 
 func (c *Core) take(in Input) {
 	switch in := in.(type) {
-	case SetUp:
+	case Submit:
 		c.setUp(in)
-	case Held:
+	case Adopt:
 		c.held(in)
 	case Release:
 		c.released(in.Conn, in.Task)
-	case Moved:
+	case Migrated:
 		c.released(in.Conn, in.Task)
-	case Tested:
+	case Ping:
 		if o := c.owners[in.Conn]; o != nil {
-			c.admission.Used(c.now, admission.ID(in.Conn))
+			c.admission.Touch(c.now, admission.ID(in.Conn))
 			c.emit(Pong{in.Conn, in.Task, !c.stopping})
 		}
-	case Opened:
+	case OwnerConnected:
 		c.opened(in)
-	case Closed:
+	case OwnerDisconnected:
 		c.closed(in.Conn)
-	case Wrong:
-		if c.admission.Wrong(admission.ID(in.Conn)) {
+	case ProtocolError:
+		if c.admission.ProtocolError(admission.ID(in.Conn)) {
 			c.closeOwner(in.Conn)
 		}
-	case Up:
+	case LinkUp:
 		c.up(in.Link)
-	case Down:
+	case LinkDown:
 		c.down(in)
-	case Heard:
+	case NodeMessage:
 		c.heard(in)
-	case Unsent:
+	case SendFailed:
 		if a := c.attemptOn(in.Link, in.Task); a != nil && a.phase == offered && a.n == in.Attempt {
 			c.end(a, flaxshelf.NotSent, flaxshelf.UnspecifiedReason)
 		}
-	case Listed:
+	case NodesUpdated:
 		c.listed(in)
-	case FeedUp:
+	case WatchEstablished:
 		c.feed.fails = 0
 		c.tell(flaxshelf.MachinesUpdated{})
-	case FeedDown:
+	case WatchFailed:
 		c.feedDown()
-	case Stop:
+	case Shutdown:
 		c.stopping = true
 	}
 }
@@ -170,12 +170,12 @@
 			c.withdraw(t.live)
 		}
 	case flaxshelf.Reject:
-		c.answer(a.Task, CauseFull)
+		c.answer(a.Task, CauseRejected)
 	case flaxshelf.Fail:
-		c.answer(a.Task, CauseReset)
+		c.answer(a.Task, CauseLost)
 	case flaxshelf.Migrate:
 		if t := c.tasks[a.Task]; t != nil && t.live != nil && t.live.phase == standing {
-			c.sayOver(t, Over{Task: t.id, Move: true})
+			c.sayOver(t, Terminated{Task: t.id, Migrate: true})
 			c.endByOwner(t)
 		}
 	case flaxshelf.SetTimer:
@@ -188,10 +188,10 @@
 }
 
 // Idle tells whether nothing waits for an answer.
-func (c *Core) Idle() bool { return c.figures.Open == 0 }
+func (c *Core) Idle() bool { return c.figures.Pending == 0 }
 
-// Figures tells what the core has and has done.
-func (c *Core) Figures() Figures {
+// Stats tells what the core has and has done.
+func (c *Core) Stats() Stats {
 	f := c.figures
 	f.Owners, f.Nodes, f.Links = len(c.owners), len(c.nodes), len(c.links)
 	return f
--- a/internal/requests/early.go
+++ b/internal/requests/early.go
@@ -50,27 +50,27 @@
 }
 
 // endedEarly answers a hand-over of a task that is over by its node's word; false: it is not.
-func (c *Core) endedEarly(in Held) bool {
+func (c *Core) endedEarly(in Adopt) bool {
 	end, ok := c.early.take(c.now, in.Task.ID, in.Node)
 	if !ok {
 		return false
 	}
-	c.admission.Used(c.now, admission.ID(in.Conn))
+	c.admission.Touch(c.now, admission.ID(in.Conn))
 	if end.told { // it was handed over before: one end is told once
 		return true
 	}
 	end.told = true
 	c.early.of[in.Task.ID] = end
-	c.figures.HandedOver++
+	c.figures.Adopted++
 	c.figures.Ended++
-	if end.cause != CauseCancelled {
-		c.emit(Over{Conn: in.Conn, Task: in.Task.ID, Cause: end.cause})
+	if end.cause != CauseCanceled {
+		c.emit(Terminated{Conn: in.Conn, Task: in.Task.ID, Cause: end.cause})
 	}
 	return true
 }
 
 // noteEarly books the release of a task that is not known here.
-func (c *Core) noteEarly(n *node, in Heard) {
+func (c *Core) noteEarly(n *node, in NodeMessage) {
 	if c.tasks[in.Task] == nil {
 		c.early.add(c.now, in.Task, earlyEnd{node: n.entry.ID, cause: in.Cause, at: c.now})
 	}
--- a/internal/requests/feed.go
+++ b/internal/requests/feed.go
@@ -45,5 +45,5 @@
 	}
 	c.feed.fails++
 	wait = wait/2 + time.Duration(c.feed.rng.Int64N(int64(wait/2)))
-	c.timers.After(c.now+wait, func() { c.emit(Subscribe{}) })
+	c.timers.Schedule(c.now+wait, func() { c.emit(Subscribe{}) })
 }
--- a/internal/requests/linkroom.go
+++ b/internal/requests/linkroom.go
@@ -66,7 +66,7 @@
 		return 2
 	case l.node.need() == forOffer:
 		return 0
-	case want == forOffer || c.now-l.usedAt >= c.cfg.Silent/4:
+	case want == forOffer || c.now-l.usedAt >= c.cfg.NodeUnreachableTimeout/4:
 		return 1
 	}
 	return 0
--- a/internal/requests/node.go
+++ b/internal/requests/node.go
@@ -83,7 +83,7 @@
 func (c *Core) up(id Link) {
 	l := c.links[id]
 	if l == nil {
-		c.emit(Hang{id})
+		c.emit(CloseLink{id})
 		return
 	}
 	n := l.node
@@ -116,7 +116,7 @@
 
 // retire ends a link a while after it was suspected, once another has taken its place.
 func (c *Core) retire(l *link) {
-	c.timers.After(c.now+lingers, func() {
+	c.timers.Schedule(c.now+lingers, func() {
 		cur := l.node.cur
 		switch {
 		case c.links[l.id] == nil || cur == l && !l.suspected:
@@ -130,7 +130,7 @@
 
 // hang ends a link from our side.
 func (c *Core) hang(l *link) {
-	c.emit(Hang{l.id})
+	c.emit(CloseLink{l.id})
 	c.drop(l)
 }
 
@@ -155,7 +155,7 @@
 
 // down: a link has ended, or could not be made. A refused connection proves that the process is dead, and with it what
 // stood there; one that never comes up proves only that nothing was sent.
-func (c *Core) down(in Down) {
+func (c *Core) down(in LinkDown) {
 	l := c.links[in.Link]
 	if l == nil {
 		return
@@ -163,19 +163,19 @@
 	n, was, current := l.node, l.up, l.node.cur == l
 	c.drop(l)
 	if was {
-		c.figures.LinksBroken++
+		c.figures.BrokenLinks++
 	}
 	if !current {
 		return
 	}
 	if old := c.standingLink(n); old != nil && !was {
-		c.keepOld(n, old, in.Refused)
+		c.keepOld(n, old, in.ConnectionRefused)
 		return
 	}
 	// A node that drains listens no more: refused, it is dead only where a link was up and broke before. Risk covered: a
 	// scheduler that starts anew would release all that it is handed over there.
-	dead := in.Refused && (n.linked || n.entry.State != flaxshelf.Draining)
-	if in.Refused && !dead {
+	dead := in.ConnectionRefused && (n.linked || n.entry.State != flaxshelf.Draining)
+	if in.ConnectionRefused && !dead {
 		n.heardAt = c.now
 	}
 	if !was {
@@ -185,7 +185,7 @@
 			case a.phase == connecting:
 				c.end(a, flaxshelf.Unreachable, flaxshelf.UnspecifiedReason)
 			case a.phase >= standing && dead:
-				c.figures.CutByDeath++
+				c.figures.LostToNodeDeath++
 				c.lose(a)
 			}
 		}
@@ -193,7 +193,7 @@
 		if n.fails < 5 {
 			wait = redialFirst << n.fails
 		}
-		n.redial = c.timers.After(c.now+wait, func() { c.keepLink(n) })
+		n.redial = c.timers.Schedule(c.now+wait, func() { c.keepLink(n) })
 		return
 	}
 	c.keepLink(n)
@@ -210,7 +210,7 @@
 // never come up. What stands there counts as cut after Config.Silent; so does what was handed over on a node that no list
 // names.
 func (c *Core) sweep() {
-	c.timers.After(c.now+sweepEvery, c.sweep)
+	c.timers.Schedule(c.now+sweepEvery, c.sweep)
 	var unlinked []*node
 	for _, n := range c.sortedNodes() {
 		silent := c.now - n.heardAt
@@ -224,13 +224,13 @@
 		case len(n.live) == 0:
 		case n.cur != nil && n.cur.up && !n.cur.suspected:
 			if silent >= quiet {
-				c.figures.Suspected++
+				c.figures.SuspectedLinks++
 				c.suspect(n.cur)
 			}
-		case silent >= c.cfg.Silent:
+		case silent >= c.cfg.NodeUnreachableTimeout:
 			for _, a := range n.sorted() {
 				if a.phase >= standing {
-					c.figures.CutBySilence++
+					c.figures.LostToUnreachable++
 					c.lose(a)
 				}
 			}
@@ -245,7 +245,7 @@
 // idles tells whether a node may be about to close a link for want of traffic. Risk covered: a set-up that crosses such a
 // close counts as one that may have run, so the link is renewed ahead of it.
 func (c *Core) idles(l *link) bool {
-	return l != nil && l.up && !l.suspected && c.cfg.Idle > 0 && c.now-l.usedAt >= c.cfg.Idle*3/4
+	return l != nil && l.up && !l.suspected && c.cfg.NodeIdleTimeout > 0 && c.now-l.usedAt >= c.cfg.NodeIdleTimeout*3/4
 }
 
 // standingLink is the newest link of a node that is up; nil where none is.
@@ -266,7 +266,7 @@
 	if refused {
 		n.heardAt, old.suspected = c.now, false
 	} else {
-		n.redial = c.timers.After(c.now+redialMost, func() { c.keepLink(n) }) // old is suspected on
+		n.redial = c.timers.Schedule(c.now+redialMost, func() { c.keepLink(n) }) // old is suspected on
 	}
 	for _, a := range n.sorted() {
 		if a.phase == connecting {
@@ -301,8 +301,8 @@
 }
 
 // listed takes the feed's word. It reaches the module in this step, before anything that the module decides in it.
-func (c *Core) listed(in Listed) {
-	c.tell(flaxshelf.MachinesUpdated{Machines: in.Machines, Complete: in.Whole, Stale: in.Known})
+func (c *Core) listed(in NodesUpdated) {
+	c.tell(flaxshelf.MachinesUpdated{Machines: in.Machines, Complete: in.Complete, Stale: in.FromConfig})
 	named := map[string]bool{}
 	for i, m := range in.Machines {
 		named[m.ID] = true
@@ -321,7 +321,7 @@
 		}
 		c.standingOf(n)
 	}
-	if in.Whole {
+	if in.Complete {
 		for _, n := range c.sortedNodes() {
 			if !named[n.entry.ID] && n.entry.State != flaxshelf.Removed {
 				n.entry.State = flaxshelf.Removed
@@ -333,7 +333,7 @@
 }
 
 // replaced: a node at the address of another proves that the other is gone.
-func (c *Core) replaced(in Listed) {
+func (c *Core) replaced(in NodesUpdated) {
 	at := make(map[string]string, len(in.Machines)) // who is at an address by this word
 	for i, m := range in.Machines {
 		if m.State != flaxshelf.Removed && in.Addrs[i] != "" {
@@ -360,7 +360,7 @@
 func (c *Core) loseBefore(n *node, started Time) {
 	for _, a := range n.sorted() {
 		if a.phase >= standing && a.sent < started {
-			c.figures.CutByList++
+			c.figures.LostToRemoval++
 			c.lose(a)
 		}
 	}
@@ -387,7 +387,7 @@
 func (c *Core) gone(n *node) {
 	for _, a := range n.sorted() {
 		if a.phase >= standing {
-			c.figures.CutByList++
+			c.figures.LostToRemoval++
 		}
 		c.lose(a)
 	}
--- a/internal/requests/owner.go
+++ b/internal/requests/owner.go
@@ -57,32 +57,32 @@
 }
 
 // setUp begins a request. One whose id is open already is not begun: the first keeps its one answer.
-func (c *Core) setUp(in SetUp) {
+func (c *Core) setUp(in Submit) {
 	o := c.owners[in.Conn]
 	if o == nil {
 		return // it has ended: nobody waits
 	}
 	if old := c.tasks[in.Task.ID]; old != nil {
 		if !old.open || old.conn != in.Conn {
-			c.emit(Over{in.Conn, in.Task.ID, CauseReset, false})
+			c.emit(Terminated{in.Conn, in.Task.ID, CauseLost, false})
 		}
 		return
 	}
-	if c.figures.Open >= c.cfg.MaxOpen || !c.admission.Open(admission.ID(in.Conn)) {
-		c.figures.TooMany++
-		c.emit(Over{in.Conn, in.Task.ID, CauseFull, false}) // nothing of it has run
+	if c.figures.Pending >= c.cfg.MaxPending || !c.admission.BeginRequest(admission.ID(in.Conn)) {
+		c.figures.RejectedAtLimit++
+		c.emit(Terminated{in.Conn, in.Task.ID, CauseRejected, false}) // nothing of it has run
 		return
 	}
-	t := &task{id: in.Task.ID, spec: in.Task, class: in.Class, idem: in.Idem, detail: in.Description, conn: in.Conn,
+	t := &task{id: in.Task.ID, spec: in.Task, class: in.Class, idem: in.IdempotencyKey, detail: in.Description, conn: in.Conn,
 		open: true}
 	c.tasks[t.id] = t
 	o.add(t)
-	c.figures.Open++
+	c.figures.Pending++
 	c.tell(flaxshelf.TaskSubmitted{Task: t.spec})
 }
 
 // held takes a task over that a node holds. What the scheduler has already stays as it is.
-func (c *Core) held(in Held) {
+func (c *Core) held(in Adopt) {
 	if c.tasks[in.Task.ID] != nil {
 		return
 	}
@@ -90,7 +90,7 @@
 		return
 	}
 	// Risk covered: bad clients may hand over tasks without end, and name nodes that are none.
-	if c.figures.Standing >= maxStanding || c.figures.Unlisted >= maxUnlisted {
+	if c.figures.Running >= maxStanding || c.figures.RunningUnlisted >= maxUnlisted {
 		return
 	}
 	unlisted := false
@@ -103,12 +103,12 @@
 	n := c.node(in.Node)
 	t.live = &attempt{task: t, node: n, sent: c.now, phase: standing, unlisted: unlisted}
 	if unlisted {
-		c.figures.Unlisted++
+		c.figures.RunningUnlisted++
 	}
 	c.tasks[t.id] = t
 	n.live[t.id] = t.live
-	c.figures.Standing++
-	c.figures.HandedOver++
+	c.figures.Running++
+	c.figures.Adopted++
 	c.tell(flaxshelf.TaskAdopted{Task: t.spec, Machine: in.Node})
 	c.keepLink(n)
 }
@@ -127,12 +127,12 @@
 		return
 	}
 	c.shut(t, true)
-	if cause == CauseFull {
-		c.figures.Refused++
+	if cause == CauseRejected {
+		c.figures.Rejected++
 	} else {
 		c.figures.Failed++
 	}
-	c.emit(Over{t.conn, t.id, cause, false})
+	c.emit(Terminated{t.conn, t.id, cause, false})
 	c.forget(t)
 }
 
@@ -142,17 +142,17 @@
 		return
 	}
 	t.open = false
-	c.figures.Open--
+	c.figures.Pending--
 	if o := c.owners[t.conn]; o != nil {
 		delete(o.tasks, t.id)
 	}
-	c.admission.Shut(c.now, admission.ID(t.conn), answered)
+	c.admission.EndRequest(c.now, admission.ID(t.conn), answered)
 }
 
 // opened takes an owner's connection in. Others may have to go for it.
-func (c *Core) opened(in Opened) {
+func (c *Core) opened(in OwnerConnected) {
 	c.owners[in.Conn] = &owner{conn: in.Conn}
-	for _, id := range c.admission.Came(c.now, admission.ID(in.Conn), in.Host) {
+	for _, id := range c.admission.Opened(c.now, admission.ID(in.Conn), in.Host) {
 		c.closeOwner(Conn(id))
 	}
 	if c.silence == nil || !c.silence.Queued() {
@@ -162,27 +162,27 @@
 
 // silent closes the connections that say nothing.
 func (c *Core) silent() {
-	gone, next := c.admission.Silent(c.now)
+	gone, next := c.admission.CloseIdle(c.now)
 	for _, id := range gone {
 		c.closeOwner(Conn(id))
 	}
 	if next > 0 {
-		c.silence = c.timers.After(next, c.silent)
+		c.silence = c.timers.Schedule(next, c.silent)
 	}
 }
 
 // closeOwner closes an owner's connection. Set-ups that are open on it are given up: its close tells the owner so.
 func (c *Core) closeOwner(conn Conn) {
-	c.figures.ConnsClosed++
+	c.figures.OwnersClosed++
 	c.closed(conn)
-	c.emit(Close{conn})
+	c.emit(CloseOwner{conn})
 }
 
 // released is an owner's release: before the answer the set-up is given up, after it the task ends.
 func (c *Core) released(conn Conn, id string) {
 	t := c.tasks[id]
 	if t != nil && !t.open {
-		c.admission.Used(c.now, admission.ID(conn))
+		c.admission.Touch(c.now, admission.ID(conn))
 	}
 	switch {
 	case t == nil:
@@ -195,7 +195,7 @@
 
 func (c *Core) giveUp(t *task) {
 	c.shut(t, false)
-	c.figures.GivenUp++
+	c.figures.Canceled++
 	c.tell(flaxshelf.TaskCanceled{Task: t.id})
 	if t.live != nil {
 		c.withdraw(t.live)
@@ -217,7 +217,7 @@
 		return
 	}
 	delete(c.owners, conn)
-	c.admission.Gone(admission.ID(conn))
+	c.admission.Closed(admission.ID(conn))
 	for _, t := range o.sorted() {
 		c.giveUp(t)
 	}
@@ -225,9 +225,9 @@
 
 // say tells an owner that its standing task is over: on the connection of its set-up, else on another one that is surely
 // an owner's, else on the next one that shows itself to be.
-func (c *Core) say(t *task, cause int) { c.sayOver(t, Over{Task: t.id, Cause: cause}) }
+func (c *Core) say(t *task, cause int) { c.sayOver(t, Terminated{Task: t.id, Cause: cause}) }
 
-func (c *Core) sayOver(t *task, e Over) {
+func (c *Core) sayOver(t *task, e Terminated) {
 	o := c.owners[t.conn]
 	if o == nil {
 		o = c.other()
@@ -274,7 +274,7 @@
 func (c *Core) gave(conn Conn) {
 	if o := c.owners[conn]; o != nil {
 		o.gave++
-		c.admission.Vouch(admission.ID(conn))
+		c.admission.MarkLikelyOwner(admission.ID(conn))
 		c.sayUnsaid(conn)
 	}
 }
@@ -283,7 +283,7 @@
 func (c *Core) provedBy(t *task) {
 	if t.handed {
 		t.handed = false
-		c.admission.Used(c.now, admission.ID(t.conn))
+		c.admission.Touch(c.now, admission.ID(t.conn))
 		c.showed(t.conn)
 	}
 }
--- a/internal/requests/property_test.go
+++ b/internal/requests/property_test.go
@@ -52,7 +52,7 @@
 	case r < 3 || len(c.conns) == 0:
 		c.last++
 		c.conns = append(c.conns, c.last)
-		c.say(c.connSource(c.last), Opened{Conn: c.last, Host: fmt.Sprint("h", c.rng.IntN(3))})
+		c.say(c.connSource(c.last), OwnerConnected{Conn: c.last, Host: fmt.Sprint("h", c.rng.IntN(3))})
 	case r < 11:
 		c.n++
 		conn := c.conns[c.rng.IntN(len(c.conns))]
@@ -63,22 +63,22 @@
 		c.say(c.connSource(conn), in)
 	case r < 13 && c.n > 0:
 		conn, t := c.conns[c.rng.IntN(len(c.conns))], id(1+c.rng.IntN(c.n))
-		c.say(c.connSource(conn), []Input{Release{conn, t}, Moved{conn, t}}[c.rng.IntN(2)])
+		c.say(c.connSource(conn), []Input{Release{conn, t}, Migrated{conn, t}}[c.rng.IntN(2)])
 	case r < 14:
 		i := c.rng.IntN(len(c.conns))
-		c.say(c.connSource(c.conns[i]), Closed{c.conns[i]})
+		c.say(c.connSource(c.conns[i]), OwnerDisconnected{c.conns[i]})
 		c.conns = slices.Delete(c.conns, i, i+1)
 	case r < 15:
 		conn := c.conns[c.rng.IntN(len(c.conns))]
-		c.say(c.connSource(conn), Held{Conn: conn, Node: nodes[c.rng.IntN(len(nodes))], Task: c.ask(conn, 1_000_000+c.rng.IntN(50), 0).Task})
+		c.say(c.connSource(conn), Adopt{Conn: conn, Node: nodes[c.rng.IntN(len(nodes))], Task: c.ask(conn, 1_000_000+c.rng.IntN(50), 0).Task})
 	case r < 16:
 		name := nodes[c.rng.IntN(len(nodes))]
 		m := machine(name, []flaxshelf.MachineState{flaxshelf.Active, flaxshelf.Active, flaxshelf.Draining, flaxshelf.Removed}[c.rng.IntN(4)], 0)
-		c.say("feed", Listed{Machines: []flaxshelf.Machine{m}, Addrs: []string{name}})
+		c.say("feed", NodesUpdated{Machines: []flaxshelf.Machine{m}, Addrs: []string{name}})
 	case r < 17 && len(c.links) > 0:
 		for _, l := range c.sortedLinks() {
 			if c.rng.IntN(4) == 0 {
-				c.say(c.linkSource(l), Down{Link: l, Refused: c.rng.IntN(4) == 0})
+				c.say(c.linkSource(l), LinkDown{Link: l, ConnectionRefused: c.rng.IntN(4) == 0})
 				delete(c.links, l)
 				break
 			}
@@ -123,22 +123,22 @@
 	source := c.linkSource(link)
 	switch c.rng.IntN(8) {
 	case 0:
-		c.say(source, Heard{Link: link, Say: SaysRelease, Task: task, Cause: CauseFull, Reason: flaxshelf.InsufficientCores})
+		c.say(source, NodeMessage{Link: link, Kind: NodeReleased, Task: task, Cause: CauseRejected, Reason: flaxshelf.InsufficientCores})
 	case 1:
-		c.say(source, Heard{Link: link, Say: SaysRelease, Task: task, Cause: CauseError})
+		c.say(source, NodeMessage{Link: link, Kind: NodeReleased, Task: task, Cause: CauseError})
 	case 2: // never
 	case 3:
-		c.say(source, Unsent{Link: link, Task: task, Attempt: e.Attempt})
+		c.say(source, SendFailed{Link: link, Task: task, Attempt: e.Attempt})
 	default:
-		c.say(source, Heard{Link: link, Say: SaysAnswer, Task: task, Description: "d"})
+		c.say(source, NodeMessage{Link: link, Kind: NodeAccepted, Task: task, Description: "d"})
 		if c.rng.IntN(6) == 0 {
-			c.say(source, Heard{Link: link, Say: SaysAnswer, Task: task, Description: "again"})
+			c.say(source, NodeMessage{Link: link, Kind: NodeAccepted, Task: task, Description: "again"})
 		}
 		for range c.rng.IntN(3) {
-			c.say(source, Heard{Link: link, Say: SaysNote, Task: task, Kind: flaxshelf.ServiceLevel, Amount: c.rng.Float64()})
+			c.say(source, NodeMessage{Link: link, Kind: NodeUsage, Task: task, UsageKind: flaxshelf.ServiceLevel, Amount: c.rng.Float64()})
 		}
 		if c.rng.IntN(2) == 0 {
-			c.say(source, Heard{Link: link, Say: SaysRelease, Task: task, Cause: CauseGivenUp})
+			c.say(source, NodeMessage{Link: link, Kind: NodeReleased, Task: task, Cause: CauseNormal})
 		}
 	}
 }
@@ -163,18 +163,18 @@
 				c.t.Fatalf("%s is offered on link %d, which is not one to %s", e.Task, e.Link, e.Node)
 			}
 			c.node(e)
-		case Answer:
+		case Accepted:
 			a := c.asked[e.Task]
 			if a.answers++; a.answers > 1 || before["gone"+e.Task] {
 				c.t.Fatalf("%s: answer %d, gone before: %v", e.Task, a.answers, before["gone"+e.Task])
 			}
 			a.placed = true
-		case Over:
+		case Terminated:
 			a := c.asked[e.Task]
 			switch {
 			case a == nil: // handed over
 			case !a.placed && e.Conn == a.conn:
-				if a.answers++; a.answers > 1 || e.Move || before["gone"+e.Task] {
+				if a.answers++; a.answers > 1 || e.Migrate || before["gone"+e.Task] {
 					c.t.Fatalf("%s: answer %d %+v", e.Task, a.answers, e)
 				}
 			case a.placed:
@@ -184,14 +184,14 @@
 			}
 		case Dial:
 			if c.rng.IntN(8) == 0 {
-				c.say(c.linkSource(e.Link), Down{Link: e.Link, Refused: c.rng.IntN(3) == 0})
+				c.say(c.linkSource(e.Link), LinkDown{Link: e.Link, ConnectionRefused: c.rng.IntN(3) == 0})
 				continue
 			}
 			c.links[e.Link] = e.Node
-			c.say(c.linkSource(e.Link), Up{e.Link})
-		case Hang:
+			c.say(c.linkSource(e.Link), LinkUp{e.Link})
+		case CloseLink:
 			delete(c.links, e.Link)
-		case Close:
+		case CloseOwner:
 			c.conns = slices.DeleteFunc(c.conns, func(x Conn) bool { return x == e.Conn })
 			for task, a := range c.asked {
 				if a.conn == e.Conn {
@@ -207,19 +207,19 @@
 func (c *chaos) note(in []Input, before map[string]bool) {
 	for _, i := range in {
 		switch i := i.(type) {
-		case SetUp:
+		case Submit:
 			c.asked[i.Task.ID].heard = true
 		case Release:
 			c.leaves(i.Task, before)
-		case Moved:
+		case Migrated:
 			c.leaves(i.Task, before)
-		case Closed:
+		case OwnerDisconnected:
 			for task, a := range c.asked {
 				if a.conn == i.Conn {
 					c.leaves(task, before)
 				}
 			}
-		case Listed:
+		case NodesUpdated:
 			for _, m := range i.Machines {
 				before["drain"+m.ID] = m.State != flaxshelf.Active
 			}
@@ -236,17 +236,17 @@
 
 func TestAnyOrder(t *testing.T) {
 	for seed := range uint64(400) {
-		w := newWorld(t, func(c *Config) { c.MaxLinks = 6; c.Idle = 4 * time.Second })
+		w := newWorld(t, func(c *Config) { c.MaxLinks = 6; c.NodeIdleTimeout = 4 * time.Second })
 		c := &chaos{world: w, rng: rand.New(rand.NewPCG(seed, 7)), queues: map[string][]Input{}, links: map[Link]string{},
 			asked: map[string]*asked{}}
 		nodes, before := []string{"n0", "n1", "n2", "n3", "n4"}, map[string]bool{}
 		for _, n := range nodes {
-			c.say("feed", Listed{Machines: []flaxshelf.Machine{machine(n, flaxshelf.Active, 0)}, Addrs: []string{n}})
+			c.say("feed", NodesUpdated{Machines: []flaxshelf.Machine{machine(n, flaxshelf.Active, 0)}, Addrs: []string{n}})
 		}
 		step := func() {
 			in := c.hears()
 			for _, i := range in { // what allows more counts in this step, what forbids from the next on
-				if l, ok := i.(Listed); ok && l.Machines[0].State == flaxshelf.Active {
+				if l, ok := i.(NodesUpdated); ok && l.Machines[0].State == flaxshelf.Active {
 					before["drain"+l.Machines[0].ID] = false
 				}
 			}
@@ -283,10 +283,10 @@
 		}
 	}
 	for _, conn := range c.conns {
-		c.say(c.connSource(conn), Closed{conn})
+		c.say(c.connSource(conn), OwnerDisconnected{conn})
 	}
 	for _, n := range nodes {
-		c.say("feed", Listed{Machines: []flaxshelf.Machine{machine(n, flaxshelf.Removed, 0)}, Addrs: []string{n}})
+		c.say("feed", NodesUpdated{Machines: []flaxshelf.Machine{machine(n, flaxshelf.Removed, 0)}, Addrs: []string{n}})
 	}
 	for range 400 {
 		step()
@@ -295,8 +295,8 @@
 	for range 4 {
 		step()
 	}
-	f := c.world.c.Figures()
-	if f.Open != 0 || f.Standing != 0 || f.Unlisted != 0 || f.Owners != 0 || f.Nodes != 0 || f.Links != 0 ||
+	f := c.world.c.Stats()
+	if f.Pending != 0 || f.Running != 0 || f.RunningUnlisted != 0 || f.Owners != 0 || f.Nodes != 0 || f.Links != 0 ||
 		len(c.world.c.tasks) != 0 || c.world.c.admission.Len() != 0 {
 		c.t.Errorf("left: %+v, %d tasks, %d connections", f, len(c.world.c.tasks), c.world.c.admission.Len())
 	}
--- a/internal/requests/requests_test.go
+++ b/internal/requests/requests_test.go
@@ -15,18 +15,18 @@
 	w := newWorld(t)
 	w.step()
 	one[Subscribe](w)
-	w.step(FeedDown{})
+	w.step(WatchFailed{})
 	none[Subscribe](w)
 	w.pass(time.Second)
 	one[Subscribe](w)
 
 	w = newWorld(t, func(c *Config) { c.Module.DiscoveryOnRequest = true })
-	w.step(Listed{Machines: []flaxshelf.Machine{machine("n", flaxshelf.Active, 0)}, Addrs: []string{"n"}, Whole: true, Known: true})
+	w.step(NodesUpdated{Machines: []flaxshelf.Machine{machine("n", flaxshelf.Active, 0)}, Addrs: []string{"n"}, Complete: true, FromConfig: true})
 	one[Subscribe](w)
-	w.step(FeedUp{})
+	w.step(WatchEstablished{})
 	w.pass(time.Minute)
 	none[Subscribe](w)
-	w.step(FeedDown{})
+	w.step(WatchFailed{})
 	w.pass(time.Second)
 	one[Subscribe](w)
 }
@@ -34,46 +34,46 @@
 // A set-up is answered with the node's description, and its end is told once.
 func TestPlacedAndOver(t *testing.T) {
 	w := newWorld(t)
-	w.step(Opened{Conn: 1, Host: "h"})
+	w.step(OwnerConnected{Conn: 1, Host: "h"})
 	w.nodes("n")
 	w.step(w.ask(1, 7, 0))
 	o := one[Offer](w)
-	if o.Node != "n" || o.Task != id(7) || o.Detail != "owner's" || o.Left <= 0 {
+	if o.Node != "n" || o.Task != id(7) || o.Description != "owner's" || o.TimeLeft <= 0 {
 		t.Errorf("%+v", o)
 	}
-	w.step(Heard{Link: o.Link, Say: SaysAnswer, Task: id(7), Description: "node's"})
-	if a := one[Answer](w); a != (Answer{1, id(7), "node's"}) {
+	w.step(NodeMessage{Link: o.Link, Kind: NodeAccepted, Task: id(7), Description: "node's"})
+	if a := one[Accepted](w); a != (Accepted{1, id(7), "node's"}) {
 		t.Errorf("%+v", a)
 	}
-	w.step(Heard{Link: o.Link, Say: SaysAnswer, Task: id(7), Description: "second"})
-	none[Answer](w)
-	none[Cut](w)
-	w.step(Heard{Link: o.Link, Say: SaysRelease, Task: id(7), Cause: CauseGivenUp})
-	if e := one[Over](w); e != (Over{1, id(7), CauseGivenUp, false}) {
+	w.step(NodeMessage{Link: o.Link, Kind: NodeAccepted, Task: id(7), Description: "second"})
+	none[Accepted](w)
+	none[SendRelease](w)
+	w.step(NodeMessage{Link: o.Link, Kind: NodeReleased, Task: id(7), Cause: CauseNormal})
+	if e := one[Terminated](w); e != (Terminated{1, id(7), CauseNormal, false}) {
 		t.Errorf("%+v", e)
 	}
-	w.step(Heard{Link: o.Link, Say: SaysRelease, Task: id(7), Cause: CauseGivenUp})
-	none[Over](w)
-	if f := w.c.Figures(); f.Standing != 0 || f.Open != 0 || len(w.c.tasks) != 0 {
+	w.step(NodeMessage{Link: o.Link, Kind: NodeReleased, Task: id(7), Cause: CauseNormal})
+	none[Terminated](w)
+	if f := w.c.Stats(); f.Running != 0 || f.Pending != 0 || len(w.c.tasks) != 0 {
 		t.Errorf("%+v", f)
 	}
 }
 
 // A node's refusal before the answer goes to the module as what it proves; the owner hears once, at once.
 func TestOutcomes(t *testing.T) {
-	for cause, want := range map[int]flaxshelf.Outcome{CauseFull: flaxshelf.Rejected, CauseError: flaxshelf.Failed,
-		CauseMoot: flaxshelf.NotSent, CauseReset: flaxshelf.Lost, 99: flaxshelf.Lost} {
+	for cause, want := range map[int]flaxshelf.Outcome{CauseRejected: flaxshelf.Rejected, CauseError: flaxshelf.Failed,
+		CauseObsolete: flaxshelf.NotSent, CauseLost: flaxshelf.Lost, 99: flaxshelf.Lost} {
 		w := newWorld(t)
-		w.step(Opened{Conn: 1, Host: "h"})
+		w.step(OwnerConnected{Conn: 1, Host: "h"})
 		w.nodes("a", "b")
 		w.step(w.ask(1, 7, 0))
 		o := one[Offer](w)
-		w.step(Heard{Link: o.Link, Say: SaysRelease, Task: id(7), Cause: cause, Reason: flaxshelf.InsufficientCores})
+		w.step(NodeMessage{Link: o.Link, Kind: NodeReleased, Task: id(7), Cause: cause, Reason: flaxshelf.InsufficientCores})
 		e := told[flaxshelf.AttemptEnded](w)
 		if len(e) != 1 || e[0].Outcome != want || e[0].Machine != o.Node || e[0].Reason != flaxshelf.InsufficientCores || e[0].Final {
 			t.Errorf("cause %d: %+v", cause, e)
 		}
-		none[Over](w)
+		none[Terminated](w)
 		if next := one[Offer](w); next.Node == o.Node {
 			t.Errorf("cause %d: the next offer goes to the same node", cause)
 		}
@@ -85,21 +85,21 @@
 func TestFinalAnswerAtOnce(t *testing.T) {
 	for _, c := range []struct {
 		class, cause, want int
-	}{{0, CauseError, CauseFull}, {1, CauseFull, CauseFull}, {1, CauseError, CauseReset}} {
+	}{{0, CauseError, CauseRejected}, {1, CauseRejected, CauseRejected}, {1, CauseError, CauseLost}} {
 		w := newWorld(t)
-		w.step(Opened{Conn: 1, Host: "h"})
+		w.step(OwnerConnected{Conn: 1, Host: "h"})
 		w.nodes("a", "b", "c", "d")
 		w.step(w.ask(1, 7, c.class))
 		for range 3 {
 			o := one[Offer](w)
-			none[Over](w)
-			w.step(Heard{Link: o.Link, Say: SaysRelease, Task: id(7), Cause: c.cause})
+			none[Terminated](w)
+			w.step(NodeMessage{Link: o.Link, Kind: NodeReleased, Task: id(7), Cause: c.cause})
 		}
 		none[Offer](w)
-		if e := one[Over](w); e != (Over{1, id(7), c.want, false}) {
+		if e := one[Terminated](w); e != (Terminated{1, id(7), c.want, false}) {
 			t.Errorf("class %d, cause %d: %+v", c.class, c.cause, e)
 		}
-		if f := w.c.Figures(); f.Open != 0 || len(w.c.tasks) != 0 {
+		if f := w.c.Stats(); f.Pending != 0 || len(w.c.tasks) != 0 {
 			t.Errorf("%+v", f)
 		}
 	}
@@ -108,21 +108,21 @@
 // A set-up that its owner gives up is released at the node, no answer is owed any more, and an answer that crosses is
 // released too.
 func TestGiveUp(t *testing.T) {
-	for _, by := range []Input{Release{1, id(7)}, Closed{1}} {
+	for _, by := range []Input{Release{1, id(7)}, OwnerDisconnected{1}} {
 		w := newWorld(t)
-		w.step(Opened{Conn: 1, Host: "h"})
+		w.step(OwnerConnected{Conn: 1, Host: "h"})
 		w.nodes("n")
 		w.step(w.ask(1, 7, 0))
 		o := one[Offer](w)
 		w.step(by)
-		if cut := one[Cut](w); cut.Link != o.Link || cut.Task != id(7) {
+		if cut := one[SendRelease](w); cut.Link != o.Link || cut.Task != id(7) {
 			t.Errorf("%+v", cut)
 		}
-		none[Over](w)
-		w.step(Heard{Link: o.Link, Say: SaysAnswer, Task: id(7), Description: "late"})
-		none[Answer](w)
-		one[Cut](w)
-		if f := w.c.Figures(); f.Open != 0 || f.Standing != 0 || len(w.c.tasks) != 0 {
+		none[Terminated](w)
+		w.step(NodeMessage{Link: o.Link, Kind: NodeAccepted, Task: id(7), Description: "late"})
+		none[Accepted](w)
+		one[SendRelease](w)
+		if f := w.c.Stats(); f.Pending != 0 || f.Running != 0 || len(w.c.tasks) != 0 {
 			t.Errorf("%+v", f)
 		}
 	}
@@ -130,17 +130,17 @@
 
 // An owner's release of a standing task, on any connection, cuts it at its node; nobody is owed a release.
 func TestOwnerEnds(t *testing.T) {
-	for _, by := range []Input{Release{2, id(7)}, Moved{2, id(7)}} {
+	for _, by := range []Input{Release{2, id(7)}, Migrated{2, id(7)}} {
 		w := newWorld(t)
-		w.step(Opened{Conn: 1, Host: "h"}, Opened{Conn: 2, Host: "h"})
+		w.step(OwnerConnected{Conn: 1, Host: "h"}, OwnerConnected{Conn: 2, Host: "h"})
 		w.nodes("n")
 		o := w.place(1, 7, 0)
 		w.step(by)
-		if cut := one[Cut](w); cut != (Cut{o.Link, id(7), CauseCancelled}) {
+		if cut := one[SendRelease](w); cut != (SendRelease{o.Link, id(7), CauseCanceled}) {
 			t.Errorf("%+v", cut)
 		}
-		w.step(Heard{Link: o.Link, Say: SaysRelease, Task: id(7), Cause: CauseCancelled})
-		none[Over](w)
+		w.step(NodeMessage{Link: o.Link, Kind: NodeReleased, Task: id(7), Cause: CauseCanceled})
+		none[Terminated](w)
 		if e := told[flaxshelf.AttemptEnded](w); len(e) != 1 || e[0].Outcome != flaxshelf.Canceled || !e[0].Final {
 			t.Errorf("%+v", e)
 		}
@@ -150,15 +150,15 @@
 // The same id while it is open: the first keeps its one answer, another connection is told a failure.
 func TestSameIDTwice(t *testing.T) {
 	w := newWorld(t)
-	w.step(Opened{Conn: 1, Host: "h"}, Opened{Conn: 2, Host: "h"})
+	w.step(OwnerConnected{Conn: 1, Host: "h"}, OwnerConnected{Conn: 2, Host: "h"})
 	w.nodes("n")
 	w.step(w.ask(1, 7, 0), w.ask(1, 7, 0), w.ask(2, 7, 0))
 	o := one[Offer](w)
-	if e := one[Over](w); e != (Over{2, id(7), CauseReset, false}) {
+	if e := one[Terminated](w); e != (Terminated{2, id(7), CauseLost, false}) {
 		t.Errorf("%+v", e)
 	}
-	w.step(Heard{Link: o.Link, Say: SaysAnswer, Task: id(7), Description: "d"})
-	if a := one[Answer](w); a.Conn != 1 {
+	w.step(NodeMessage{Link: o.Link, Kind: NodeAccepted, Task: id(7), Description: "d"})
+	if a := one[Accepted](w); a.Conn != 1 {
 		t.Errorf("%+v", a)
 	}
 }
@@ -166,17 +166,17 @@
 // What stands is handed over, once; its end reaches the owner like any other's.
 func TestHeld(t *testing.T) {
 	w := newWorld(t)
-	w.step(Opened{Conn: 1, Host: "h"})
+	w.step(OwnerConnected{Conn: 1, Host: "h"})
 	w.nodes("n")
-	h := Held{Conn: 1, Node: "n", Task: w.ask(1, 7, 0).Task}
+	h := Adopt{Conn: 1, Node: "n", Task: w.ask(1, 7, 0).Task}
 	w.step(h)
-	none[Answer](w)
+	none[Accepted](w)
 	w.step(h)
 	if r := told[flaxshelf.TaskAdopted](w); len(r) != 1 || r[0].Machine != "n" {
 		t.Errorf("%+v", r)
 	}
-	w.step(Heard{Link: w.up["n"], Say: SaysRelease, Task: id(7), Cause: CauseReset, Reason: flaxshelf.Evicted})
-	if e := one[Over](w); e != (Over{1, id(7), CauseReset, false}) {
+	w.step(NodeMessage{Link: w.up["n"], Kind: NodeReleased, Task: id(7), Cause: CauseLost, Reason: flaxshelf.Evicted})
+	if e := one[Terminated](w); e != (Terminated{1, id(7), CauseLost, false}) {
 		t.Errorf("%+v", e)
 	}
 }
@@ -184,14 +184,14 @@
 // What an owner ends after its link broke is released on the newer link.
 func TestOwnerEndsAfterBreak(t *testing.T) {
 	w := newWorld(t)
-	w.step(Opened{Conn: 1, Host: "h"})
+	w.step(OwnerConnected{Conn: 1, Host: "h"})
 	w.nodes("n")
 	first := w.place(1, 7, 0)
-	w.step(Down{Link: first.Link})
+	w.step(LinkDown{Link: first.Link})
 	d := one[Dial](w)
-	w.step(Up{d.Link})
+	w.step(LinkUp{d.Link})
 	w.step(Release{1, id(7)})
-	if cut := one[Cut](w); cut != (Cut{d.Link, id(7), CauseCancelled}) {
+	if cut := one[SendRelease](w); cut != (SendRelease{d.Link, id(7), CauseCanceled}) {
 		t.Errorf("%+v", cut)
 	}
 }
@@ -200,27 +200,27 @@
 // for lost, and wait before it asks again. The node's word ends it; the owner hears nothing more.
 func TestMoves(t *testing.T) {
 	w := newWorld(t)
-	w.step(Opened{Conn: 1, Host: "h"})
+	w.step(OwnerConnected{Conn: 1, Host: "h"})
 	w.nodes("n1", "n2", "n3", "n4")
 	for i, n := range []string{"n1", "n2", "n3", "n4"} { // all are known to serve something well
-		w.step(Held{Conn: 1, Node: n, Task: w.ask(1, 20+i, 0).Task})
+		w.step(Adopt{Conn: 1, Node: n, Task: w.ask(1, 20+i, 0).Task})
 	}
 	o := w.place(1, 7, 0)
 	for range 3 {
 		w.now += time.Second
-		w.step(Heard{Link: o.Link, Say: SaysNote, Task: id(7), Kind: flaxshelf.ServiceLevel, Amount: 0.1})
-		if len(find[Over](w)) > 0 {
+		w.step(NodeMessage{Link: o.Link, Kind: NodeUsage, Task: id(7), UsageKind: flaxshelf.ServiceLevel, Amount: 0.1})
+		if len(find[Terminated](w)) > 0 {
 			break
 		}
 	}
-	if e := one[Over](w); e != (Over{Conn: 1, Task: id(7), Move: true}) {
+	if e := one[Terminated](w); e != (Terminated{Conn: 1, Task: id(7), Migrate: true}) {
 		t.Errorf("%+v", e)
 	}
-	if cut := one[Cut](w); cut != (Cut{o.Link, id(7), CauseCancelled}) {
+	if cut := one[SendRelease](w); cut != (SendRelease{o.Link, id(7), CauseCanceled}) {
 		t.Errorf("%+v", cut)
 	}
-	w.step(Heard{Link: o.Link, Say: SaysRelease, Task: id(7), Cause: CauseCancelled})
-	none[Over](w)
+	w.step(NodeMessage{Link: o.Link, Kind: NodeReleased, Task: id(7), Cause: CauseCanceled})
+	none[Terminated](w)
 	if e := told[flaxshelf.AttemptEnded](w); len(e) != 1 || e[0].Outcome != flaxshelf.Canceled {
 		t.Errorf("%+v", e)
 	}
@@ -229,18 +229,18 @@
 // A hand-over proves no owner: an end is told where a task was placed, and the connection goes like any that says nothing.
 func TestHandOverProvesNothing(t *testing.T) {
 	w := newWorld(t)
-	w.step(Opened{Conn: 1, Host: "h"}, Opened{Conn: 2, Host: "h"}, Opened{Conn: 3, Host: "h"})
+	w.step(OwnerConnected{Conn: 1, Host: "h"}, OwnerConnected{Conn: 2, Host: "h"}, OwnerConnected{Conn: 3, Host: "h"})
 	w.nodes("n")
 	w.place(1, 7, 0)
 	w.place(2, 8, 0)
-	w.step(Held{Conn: 3, Node: "n", Task: w.ask(3, 9, 0).Task})
-	w.step(Closed{Conn: 1})
-	w.step(Heard{Link: w.up["n"], Say: SaysRelease, Task: id(7), Cause: CauseGivenUp})
-	if e := one[Over](w); e.Conn != 2 {
+	w.step(Adopt{Conn: 3, Node: "n", Task: w.ask(3, 9, 0).Task})
+	w.step(OwnerDisconnected{Conn: 1})
+	w.step(NodeMessage{Link: w.up["n"], Kind: NodeReleased, Task: id(7), Cause: CauseNormal})
+	if e := one[Terminated](w); e.Conn != 2 {
 		t.Errorf("%+v", e)
 	}
 	w.pass(3 * time.Second)
-	if e := one[Close](w); e.Conn != 3 {
+	if e := one[CloseOwner](w); e.Conn != 3 {
 		t.Errorf("%+v", e)
 	}
 }
@@ -250,23 +250,23 @@
 func TestHandOversKeepTheOnlyConnections(t *testing.T) {
 	w := newWorld(t)
 	w.nodes("n")
-	w.step(Opened{Conn: 1, Host: "h"}, Opened{Conn: 2, Host: "h"}, Opened{Conn: 3, Host: "h"})
-	w.step(Held{Conn: 1, Node: "n", Task: w.ask(1, 7, 0).Task}, Held{Conn: 2, Node: "n", Task: w.ask(2, 8, 0).Task})
+	w.step(OwnerConnected{Conn: 1, Host: "h"}, OwnerConnected{Conn: 2, Host: "h"}, OwnerConnected{Conn: 3, Host: "h"})
+	w.step(Adopt{Conn: 1, Node: "n", Task: w.ask(1, 7, 0).Task}, Adopt{Conn: 2, Node: "n", Task: w.ask(2, 8, 0).Task})
 	w.pass(3 * time.Second)
-	if e := one[Close](w); e.Conn != 3 {
+	if e := one[CloseOwner](w); e.Conn != 3 {
 		t.Errorf("%+v", e)
 	}
-	w.step(Heard{Link: w.up["n"], Say: SaysRelease, Task: id(7), Cause: CauseGivenUp})
-	if e := one[Over](w); e.Conn != 1 {
+	w.step(NodeMessage{Link: w.up["n"], Kind: NodeReleased, Task: id(7), Cause: CauseNormal})
+	if e := one[Terminated](w); e.Conn != 1 {
 		t.Errorf("%+v", e)
 	}
 	w.pass(time.Second) // a node has spoken of what 1 handed over, and of nothing else
-	if e := one[Close](w); e.Conn != 2 {
+	if e := one[CloseOwner](w); e.Conn != 2 {
 		t.Errorf("%+v", e)
 	}
-	w.step(Opened{Conn: 4, Host: "h"}, Held{Conn: 4, Node: "n", Task: w.ask(4, 9, 0).Task}, Held{Conn: 4, Node: "n", Task: w.ask(4, 10, 0).Task})
-	w.step(Heard{Link: w.up["n"], Say: SaysRelease, Task: id(8), Cause: CauseGivenUp})
-	if e := one[Over](w); e.Conn != 1 {
+	w.step(OwnerConnected{Conn: 4, Host: "h"}, Adopt{Conn: 4, Node: "n", Task: w.ask(4, 9, 0).Task}, Adopt{Conn: 4, Node: "n", Task: w.ask(4, 10, 0).Task})
+	w.step(NodeMessage{Link: w.up["n"], Kind: NodeReleased, Task: id(8), Cause: CauseNormal})
+	if e := one[Terminated](w); e.Conn != 1 {
 		t.Errorf("the end of what a closed connection handed over: %+v", e)
 	}
 }
@@ -275,13 +275,13 @@
 func TestMostHandOversAreAnOwners(t *testing.T) {
 	w := newWorld(t)
 	w.nodes("n")
-	w.step(Opened{Conn: 1, Host: "h"}, Opened{Conn: 2, Host: "h"}, Opened{Conn: 3, Host: "h"}, Opened{Conn: 4, Host: "h"})
+	w.step(OwnerConnected{Conn: 1, Host: "h"}, OwnerConnected{Conn: 2, Host: "h"}, OwnerConnected{Conn: 3, Host: "h"}, OwnerConnected{Conn: 4, Host: "h"})
 	for i, conn := range []Conn{1, 2, 3, 3, 4, 4} {
-		w.step(Held{Conn: conn, Node: "n", Task: w.ask(conn, 7+i, 0).Task})
+		w.step(Adopt{Conn: conn, Node: "n", Task: w.ask(conn, 7+i, 0).Task})
 	}
-	w.step(Closed{Conn: 1})
-	w.step(Heard{Link: w.up["n"], Say: SaysRelease, Task: id(7), Cause: CauseGivenUp})
-	if e := one[Over](w); e.Conn != 3 {
+	w.step(OwnerDisconnected{Conn: 1})
+	w.step(NodeMessage{Link: w.up["n"], Kind: NodeReleased, Task: id(7), Cause: CauseNormal})
+	if e := one[Terminated](w); e.Conn != 3 {
 		t.Errorf("%+v", e)
 	}
 }
@@ -291,24 +291,24 @@
 func TestEndBeforeItsHandOver(t *testing.T) {
 	w := newWorld(t)
 	w.nodes("n", "m")
-	w.step(Opened{Conn: 1, Host: "h"})
-	w.step(Heard{Link: w.up["n"], Say: SaysRelease, Task: id(7), Cause: CauseReset})
-	w.step(Held{Conn: 1, Node: "m", Task: w.ask(1, 7, 0).Task})
-	none[Over](w)
-	w.step(Heard{Link: w.up["m"], Say: SaysRelease, Task: id(7), Cause: CauseGivenUp})
-	w.step(Heard{Link: w.up["n"], Say: SaysRelease, Task: id(8), Cause: CauseReset})
-	w.step(Held{Conn: 1, Node: "n", Task: w.ask(1, 8, 0).Task})
-	if e := one[Over](w); e != (Over{Conn: 1, Task: id(8), Cause: CauseReset}) {
+	w.step(OwnerConnected{Conn: 1, Host: "h"})
+	w.step(NodeMessage{Link: w.up["n"], Kind: NodeReleased, Task: id(7), Cause: CauseLost})
+	w.step(Adopt{Conn: 1, Node: "m", Task: w.ask(1, 7, 0).Task})
+	none[Terminated](w)
+	w.step(NodeMessage{Link: w.up["m"], Kind: NodeReleased, Task: id(7), Cause: CauseNormal})
+	w.step(NodeMessage{Link: w.up["n"], Kind: NodeReleased, Task: id(8), Cause: CauseLost})
+	w.step(Adopt{Conn: 1, Node: "n", Task: w.ask(1, 8, 0).Task})
+	if e := one[Terminated](w); e != (Terminated{Conn: 1, Task: id(8), Cause: CauseLost}) {
 		t.Errorf("%+v", e)
 	}
-	w.step(Held{Conn: 1, Node: "n", Task: w.ask(1, 8, 0).Task}, Heard{Link: w.up["n"], Say: SaysRelease, Task: id(8), Cause: CauseReset},
-		Held{Conn: 1, Node: "n", Task: w.ask(1, 8, 0).Task})
-	none[Over](w) // the hand-over and the node's word may both come again
-	if f := w.c.Figures(); f.Standing != 0 {
-		t.Errorf("%d stand", f.Standing)
+	w.step(Adopt{Conn: 1, Node: "n", Task: w.ask(1, 8, 0).Task}, NodeMessage{Link: w.up["n"], Kind: NodeReleased, Task: id(8), Cause: CauseLost},
+		Adopt{Conn: 1, Node: "n", Task: w.ask(1, 8, 0).Task})
+	none[Terminated](w) // the hand-over and the node's word may both come again
+	if f := w.c.Stats(); f.Running != 0 {
+		t.Errorf("%d stand", f.Running)
 	}
 	for i := range 2 * earlyMost {
-		w.step(Heard{Link: w.up["n"], Say: SaysRelease, Task: id(100 + i), Cause: CauseReset})
+		w.step(NodeMessage{Link: w.up["n"], Kind: NodeReleased, Task: id(100 + i), Cause: CauseLost})
 	}
 	if n := len(w.c.early.of); n > earlyMost || n != len(w.c.early.order) {
 		t.Errorf("%d ends are kept", n)
@@ -318,12 +318,12 @@
 // Tests are passed until the scheduler is asked to leave, and what comes then is served all the same.
 func TestStop(t *testing.T) {
 	w := newWorld(t)
-	w.step(Opened{Conn: 1, Host: "h"}, Tested{1, id(1)})
+	w.step(OwnerConnected{Conn: 1, Host: "h"}, Ping{1, id(1)})
 	if p := one[Pong](w); !p.Passed {
 		t.Error("not passed")
 	}
 	w.nodes("n")
-	w.step(Stop{}, Tested{1, id(1)})
+	w.step(Shutdown{}, Ping{1, id(1)})
 	if p := one[Pong](w); p.Passed {
 		t.Error("passed while leaving")
 	}
@@ -333,18 +333,18 @@
 // A link that breaks proves nothing of the set-ups on it; what stands outlives it and is told on the next one.
 func TestLinkBreaks(t *testing.T) {
 	w := newWorld(t)
-	w.step(Opened{Conn: 1, Host: "h"})
+	w.step(OwnerConnected{Conn: 1, Host: "h"})
 	w.nodes("n")
 	first := w.place(1, 7, 0)
 	w.step(w.ask(1, 8, 1))
-	w.step(Down{Link: first.Link})
+	w.step(LinkDown{Link: first.Link})
 	if e := told[flaxshelf.AttemptEnded](w); len(e) != 1 || e[0].Task != id(8) || e[0].Outcome != flaxshelf.Lost {
 		t.Errorf("%+v", e)
 	}
 	d := one[Dial](w)
-	w.step(Up{d.Link})
-	w.step(Heard{Link: d.Link, Say: SaysRelease, Task: id(7), Cause: CauseGivenUp})
-	if e := one[Over](w); e.Task != id(7) {
+	w.step(LinkUp{d.Link})
+	w.step(NodeMessage{Link: d.Link, Kind: NodeReleased, Task: id(7), Cause: CauseNormal})
+	if e := one[Terminated](w); e.Task != id(7) {
 		t.Errorf("%+v", e)
 	}
 }
@@ -354,38 +354,38 @@
 func TestDialFails(t *testing.T) {
 	for _, refused := range []bool{true, false} {
 		w := newWorld(t)
-		w.step(Opened{Conn: 1, Host: "h"})
+		w.step(OwnerConnected{Conn: 1, Host: "h"})
 		w.nodes("n")
 		o := w.place(1, 7, 0)
-		w.step(Down{Link: o.Link})
+		w.step(LinkDown{Link: o.Link})
 		d := one[Dial](w)
 		w.step(w.ask(1, 8, 0))
 		none[Offer](w)
-		w.step(Down{Link: d.Link, Refused: refused})
+		w.step(LinkDown{Link: d.Link, ConnectionRefused: refused})
 		e := told[flaxshelf.AttemptEnded](w)
 		if len(e) == 0 || e[0].Outcome == flaxshelf.Lost && e[0].Task == id(8) {
 			t.Fatalf("%+v", e)
 		}
 		if refused {
-			if e := one[Over](w); e.Task != id(7) || e.Cause != CauseReset {
+			if e := one[Terminated](w); e.Task != id(7) || e.Cause != CauseLost {
 				t.Errorf("%+v", e)
 			}
 			continue
 		}
-		none[Over](w)
+		none[Terminated](w)
 		cut := 0
 		for range 100 {
 			w.pass(100 * time.Millisecond)
-			for _, e := range find[Over](w) {
+			for _, e := range find[Terminated](w) {
 				if e.Task == id(7) {
 					cut++
 				}
 			}
 			for _, d := range find[Dial](w) {
-				w.step(Down{Link: d.Link})
+				w.step(LinkDown{Link: d.Link})
 			}
 		}
-		if cut != 1 || w.c.Figures().CutBySilence != 1 {
+		if cut != 1 || w.c.Stats().LostToUnreachable != 1 {
 			t.Errorf("the owner of what stood on a silent machine heard %d times", cut)
 		}
 	}
@@ -395,7 +395,7 @@
 // one that is up proves no death. The old link goes on, and its break with a refusal after it is a death.
 func TestRefusedBesideALinkThatIsUp(t *testing.T) {
 	w := newWorld(t)
-	w.step(Opened{Conn: 1, Host: "h"})
+	w.step(OwnerConnected{Conn: 1, Host: "h"})
 	w.nodes("n")
 	o := w.place(1, 7, 0)
 	w.list(flaxshelf.Draining, "n")
@@ -405,15 +405,15 @@
 		if len(d) == 0 {
 			t.Fatalf("no newer link: %+v", w.out)
 		}
-		none[Over](w)
-		w.step(Down{Link: d[0].Link, Refused: true})
-		none[Over](w)
-		none[Hang](w)
-	}
-	w.step(Heard{Link: o.Link, Say: SaysNote, Task: id(7), Kind: flaxshelf.ServiceLevel, Amount: 1})
-	w.step(Down{Link: o.Link})
-	w.step(Down{Link: one[Dial](w).Link, Refused: true})
-	if e := one[Over](w); e.Task != id(7) {
+		none[Terminated](w)
+		w.step(LinkDown{Link: d[0].Link, ConnectionRefused: true})
+		none[Terminated](w)
+		none[CloseLink](w)
+	}
+	w.step(NodeMessage{Link: o.Link, Kind: NodeUsage, Task: id(7), UsageKind: flaxshelf.ServiceLevel, Amount: 1})
+	w.step(LinkDown{Link: o.Link})
+	w.step(LinkDown{Link: one[Dial](w).Link, ConnectionRefused: true})
+	if e := one[Terminated](w); e.Task != id(7) {
 		t.Errorf("%+v", e)
 	}
 }
@@ -422,19 +422,19 @@
 // and what stands there is cut when the list says that the node has left.
 func TestHandedOverOnADrainingNode(t *testing.T) {
 	w := newWorld(t)
-	w.step(Opened{Conn: 1, Host: "h"}, Tested{1, id(1)})
+	w.step(OwnerConnected{Conn: 1, Host: "h"}, Ping{1, id(1)})
 	w.list(flaxshelf.Draining, "n")
 	d := one[Dial](w)
-	w.step(Held{Conn: 1, Node: "n", Task: w.ask(1, 7, 0).Task})
+	w.step(Adopt{Conn: 1, Node: "n", Task: w.ask(1, 7, 0).Task})
 	for range 30 {
-		w.step(Down{Link: d.Link, Refused: true})
-		none[Over](w)
+		w.step(LinkDown{Link: d.Link, ConnectionRefused: true})
+		none[Terminated](w)
 		w.pass(redialMost)
-		none[Over](w)
+		none[Terminated](w)
 		d = one[Dial](w)
 	}
 	w.list(flaxshelf.Removed, "n")
-	if e := one[Over](w); e.Task != id(7) {
+	if e := one[Terminated](w); e.Task != id(7) {
 		t.Errorf("%+v", e)
 	}
 }
@@ -442,45 +442,45 @@
 // A link without traffic is renewed before its node closes it: the next set-up goes on the newer one, and one that crosses
 // the close of the old loses nothing. Traffic either way keeps a link.
 func TestIdleLinkIsRenewed(t *testing.T) {
-	w := newWorld(t, func(c *Config) { c.Idle = 30 * time.Second })
-	w.step(Opened{Conn: 1, Host: "h"}, Tested{1, id(1)})
+	w := newWorld(t, func(c *Config) { c.NodeIdleTimeout = 30 * time.Second })
+	w.step(OwnerConnected{Conn: 1, Host: "h"}, Ping{1, id(1)})
 	w.nodes("n")
 	w.pass(20 * time.Second)
 	w.place(1, 7, 0)
-	w.step(Heard{Link: w.up["n"], Say: SaysRelease, Task: id(7), Cause: CauseGivenUp})
+	w.step(NodeMessage{Link: w.up["n"], Kind: NodeReleased, Task: id(7), Cause: CauseNormal})
 	w.pass(20 * time.Second)
 	none[Dial](w)
 	w.pass(5 * time.Second)
 	d := one[Dial](w)
-	w.step(Up{d.Link})
+	w.step(LinkUp{d.Link})
 	w.step(w.ask(1, 8, 0))
 	if o := one[Offer](w); o.Link != d.Link {
 		t.Errorf("offered on link %d, want %d", o.Link, d.Link)
 	}
-	w.step(Down{Link: w.up["n"]})
+	w.step(LinkDown{Link: w.up["n"]})
 	if e := told[flaxshelf.AttemptEnded](w); len(e) != 1 {
 		t.Errorf("%+v", e)
 	}
-	w.step(Heard{Link: d.Link, Say: SaysAnswer, Task: id(8), Description: "d"})
-	one[Answer](w)
+	w.step(NodeMessage{Link: d.Link, Kind: NodeAccepted, Task: id(8), Description: "d"})
+	one[Accepted](w)
 }
 
 // A node is known by its id: another one at its address cuts what stood on it, and its words end nothing of it.
 func TestAddressUsedAgain(t *testing.T) {
 	w := newWorld(t)
-	w.step(Opened{Conn: 1, Host: "h"})
+	w.step(OwnerConnected{Conn: 1, Host: "h"})
 	w.nodes("old@x")
 	w.place(1, 7, 0)
 	w.list(flaxshelf.Active, "new@x")
-	if e := one[Over](w); e.Task != id(7) {
+	if e := one[Terminated](w); e.Task != id(7) {
 		t.Errorf("%+v", e)
 	}
 	d := one[Dial](w)
 	if d.Node != "new" {
 		t.Errorf("%+v", d)
 	}
-	one[Hang](w)
-	w.step(Up{d.Link})
+	one[CloseLink](w)
+	w.step(LinkUp{d.Link})
 	w.step(w.ask(1, 8, 0))
 	if o := one[Offer](w); o.Node != "new" || o.Link != d.Link {
 		t.Errorf("%+v", o)
@@ -490,13 +490,13 @@
 // Word of a drain acts before offers that wait for a link are written.
 func TestDrainBeforeWrite(t *testing.T) {
 	w := newWorld(t)
-	w.step(Opened{Conn: 1, Host: "h"})
+	w.step(OwnerConnected{Conn: 1, Host: "h"})
 	w.list(flaxshelf.Active, "n")
 	d := one[Dial](w)
 	w.step(w.ask(1, 7, 0))
 	none[Offer](w)
 	w.list(flaxshelf.Draining, "n")
-	w.step(Up{d.Link})
+	w.step(LinkUp{d.Link})
 	none[Offer](w)
 	if e := told[flaxshelf.AttemptEnded](w); len(e) == 0 || e[0].Outcome != flaxshelf.NotSent {
 		t.Errorf("%+v", e)
@@ -506,12 +506,12 @@
 // A node that started anew has cut what stood before, whether or not its connection told.
 func TestRestart(t *testing.T) {
 	w := newWorld(t)
-	w.step(Opened{Conn: 1, Host: "h"})
+	w.step(OwnerConnected{Conn: 1, Host: "h"})
 	w.nodes("n")
 	w.place(1, 7, 0)
 	w.now += time.Second
-	w.step(Listed{Machines: []flaxshelf.Machine{machine("n", flaxshelf.Active, w.now)}, Addrs: []string{"n"}})
-	if e := one[Over](w); e.Task != id(7) || e.Cause != CauseReset {
+	w.step(NodesUpdated{Machines: []flaxshelf.Machine{machine("n", flaxshelf.Active, w.now)}, Addrs: []string{"n"}})
+	if e := one[Terminated](w); e.Task != id(7) || e.Cause != CauseLost {
 		t.Errorf("%+v", e)
 	}
 }
@@ -519,19 +519,19 @@
 // A link that tells nothing after a set-up is replaced by a new one; the old is let go after a while.
 func TestSilentLinkIsReplaced(t *testing.T) {
 	w := newWorld(t, func(c *Config) { c.Module.MaxAttempts = 2 })
-	w.step(Opened{Conn: 1, Host: "h"})
+	w.step(OwnerConnected{Conn: 1, Host: "h"})
 	w.nodes("n")
 	w.now += time.Second
 	w.step(w.ask(1, 7, 0))
 	o := one[Offer](w)
-	w.pass(o.Left + time.Millisecond)
+	w.pass(o.TimeLeft + time.Millisecond)
 	d := find[Dial](w)
-	if len(find[Cut](w)) == 0 || len(d) == 0 {
+	if len(find[SendRelease](w)) == 0 || len(d) == 0 {
 		t.Fatalf("%+v", w.out)
 	}
-	w.step(Up{d[len(d)-1].Link})
+	w.step(LinkUp{d[len(d)-1].Link})
 	w.pass(lingers)
-	if h := find[Hang](w); len(h) != 1 || h[0].Link != o.Link {
+	if h := find[CloseLink](w); len(h) != 1 || h[0].Link != o.Link {
 		t.Errorf("%+v", h)
 	}
 }
@@ -541,25 +541,25 @@
 func TestSilentMachineIsFoundInTime(t *testing.T) {
 	for wait := 50 * time.Millisecond; wait <= time.Second; wait += 50 * time.Millisecond {
 		w := newWorld(t, func(c *Config) { c.MaxLinks = 10 })
-		w.step(Opened{Conn: 1, Host: "h"})
+		w.step(OwnerConnected{Conn: 1, Host: "h"})
 		w.nodes("n")
 		w.place(1, 7, 0)
 		began := w.now
 		dials := map[Link]Time{}
-		for len(find[Over](w)) == 0 {
+		for len(find[Terminated](w)) == 0 {
 			if w.now-began > 8*time.Second {
 				t.Fatalf("dials that fail after %v: the owner has not heard after 8 s", wait)
 			}
 			for l, at := range dials {
 				if w.now >= at {
 					delete(dials, l)
-					w.step(Down{Link: l})
+					w.step(LinkDown{Link: l})
 				}
 			}
 			for _, d := range find[Dial](w) {
 				dials[d.Link] = w.now + wait
 			}
-			if len(find[Over](w)) == 0 {
+			if len(find[Terminated](w)) == 0 {
 				w.pass(10 * time.Millisecond)
 				for _, d := range find[Dial](w) {
 					dials[d.Link] = w.now + wait
@@ -572,17 +572,17 @@
 // A link that was replaced goes once a newer one is up, though that takes long.
 func TestReplacedLinkGoesInTheEnd(t *testing.T) {
 	w := newWorld(t, func(c *Config) { c.Module.MaxAttempts = 1 })
-	w.step(Opened{Conn: 1, Host: "h"})
+	w.step(OwnerConnected{Conn: 1, Host: "h"})
 	w.nodes("n")
 	w.now += time.Second
 	w.step(w.ask(1, 7, 0))
 	old := one[Offer](w).Link
 	w.pass(3500 * time.Millisecond) // the set-up and its link are given up; the next link is slow
 	w.pass(lingers)
-	none[Hang](w)
-	w.step(Up{w.c.nodes["n"].cur.id})
+	none[CloseLink](w)
+	w.step(LinkUp{w.c.nodes["n"].cur.id})
 	w.pass(lingers)
-	if h := one[Hang](w); h.Link != old {
+	if h := one[CloseLink](w); h.Link != old {
 		t.Errorf("%+v", h)
 	}
 }
@@ -591,27 +591,27 @@
 // for its word on the second: that one goes on a link of its own.
 func TestSameNodeTwice(t *testing.T) {
 	w := newWorld(t)
-	w.step(Opened{Conn: 1, Host: "h"})
+	w.step(OwnerConnected{Conn: 1, Host: "h"})
 	w.nodes("n")
 	w.now += time.Second
 	w.step(w.ask(1, 7, 0))
 	first := one[Offer](w)
-	w.step(Heard{Link: first.Link, Say: SaysRelease, Task: id(99), Cause: CauseFull}) // the link is alive
-	w.pass(first.Left + time.Millisecond)
+	w.step(NodeMessage{Link: first.Link, Kind: NodeReleased, Task: id(99), Cause: CauseRejected}) // the link is alive
+	w.pass(first.TimeLeft + time.Millisecond)
 	none[Offer](w)
-	w.step(Up{one[Dial](w).Link})
+	w.step(LinkUp{one[Dial](w).Link})
 	second := one[Offer](w)
 	if second.Link == first.Link || second.Attempt != 1 {
 		t.Errorf("%+v after %+v", second, first)
 	}
-	w.step(Heard{Link: first.Link, Say: SaysAnswer, Task: id(7), Description: "late"},
-		Heard{Link: first.Link, Say: SaysRelease, Task: id(7), Cause: CauseCancelled})
-	none[Answer](w)
+	w.step(NodeMessage{Link: first.Link, Kind: NodeAccepted, Task: id(7), Description: "late"},
+		NodeMessage{Link: first.Link, Kind: NodeReleased, Task: id(7), Cause: CauseCanceled})
+	none[Accepted](w)
 	none[Offer](w)
-	w.step(Unsent{Link: second.Link, Task: id(7), Attempt: 0})
+	w.step(SendFailed{Link: second.Link, Task: id(7), Attempt: 0})
 	none[Offer](w)
-	w.step(Heard{Link: second.Link, Say: SaysAnswer, Task: id(7), Description: "node's"})
-	if a := one[Answer](w); a.Description != "node's" {
+	w.step(NodeMessage{Link: second.Link, Kind: NodeAccepted, Task: id(7), Description: "node's"})
+	if a := one[Accepted](w); a.Description != "node's" {
 		t.Errorf("%+v", a)
 	}
 }
@@ -619,43 +619,43 @@
 // A process that was stopped for a while finds answers that came in time, and their time-out behind them: they stand.
 func TestAnswerBeforeItsTimeOut(t *testing.T) {
 	w := newWorld(t)
-	w.step(Opened{Conn: 1, Host: "h"})
+	w.step(OwnerConnected{Conn: 1, Host: "h"})
 	w.nodes("n")
 	w.step(w.ask(1, 7, 0))
 	o := one[Offer](w)
-	w.now += o.Left + time.Second
-	w.step(Heard{Link: o.Link, Say: SaysAnswer, Task: id(7), Description: "node's"})
-	one[Answer](w)
-	none[Cut](w)
+	w.now += o.TimeLeft + time.Second
+	w.step(NodeMessage{Link: o.Link, Kind: NodeAccepted, Task: id(7), Description: "node's"})
+	one[Accepted](w)
+	none[SendRelease](w)
 }
 
 // The long day in small: nodes, connections and ids that are always new. The heap of the core and its module is no larger
 // at the end than half way.
 func TestLongDayKeepsItsHeap(t *testing.T) {
 	w := newWorld(t)
-	w.c.cfg.Tap = nil // the test's own memory must not grow
+	w.c.cfg.RecordStep = nil // the test's own memory must not grow
 	conn, n := Conn(0), 0
 	half := func() uint64 {
 		for round := range 2000 {
 			name := "n" + id(n+round)
-			effects, _ := w.c.Step(w.now, []Input{Listed{Machines: []flaxshelf.Machine{machine(name, flaxshelf.Active, 0)}, Addrs: []string{"x"}}})
+			effects, _ := w.c.Step(w.now, []Input{NodesUpdated{Machines: []flaxshelf.Machine{machine(name, flaxshelf.Active, 0)}, Addrs: []string{"x"}}})
 			for _, e := range append([]Effect(nil), effects...) {
 				if d, ok := e.(Dial); ok {
-					w.c.Step(w.now, []Input{Up{d.Link}})
+					w.c.Step(w.now, []Input{LinkUp{d.Link}})
 				}
 			}
 			for range 5 {
 				conn++
 				n++
-				effects, _ = w.c.Step(w.now, []Input{Opened{Conn: conn, Host: "h"}, w.ask(conn, n, 0)})
+				effects, _ = w.c.Step(w.now, []Input{OwnerConnected{Conn: conn, Host: "h"}, w.ask(conn, n, 0)})
 				for _, e := range append([]Effect(nil), effects...) {
 					if o, ok := e.(Offer); ok {
-						w.c.Step(w.now, []Input{Heard{Link: o.Link, Say: SaysAnswer, Task: o.Task, Description: "d"}})
+						w.c.Step(w.now, []Input{NodeMessage{Link: o.Link, Kind: NodeAccepted, Task: o.Task, Description: "d"}})
 					}
 				}
 				w.now += 200 * time.Millisecond
 			}
-			w.c.Step(w.now, []Input{Listed{Machines: []flaxshelf.Machine{machine(name, flaxshelf.Removed, 0)}, Addrs: []string{"x"}}})
+			w.c.Step(w.now, []Input{NodesUpdated{Machines: []flaxshelf.Machine{machine(name, flaxshelf.Removed, 0)}, Addrs: []string{"x"}}})
 		}
 		runtime.GC()
 		var m runtime.MemStats
@@ -663,12 +663,12 @@
 		return m.HeapAlloc
 	}
 	first, second := half(), half()
-	if w.c.Figures().Placed < 15000 {
-		t.Fatalf("%+v", w.c.Figures())
+	if w.c.Stats().Placed < 15000 {
+		t.Fatalf("%+v", w.c.Stats())
 	}
 	w.pass(5 * time.Minute)
-	f := w.c.Figures()
-	if f.Open+f.Standing+f.Nodes+f.Links != 0 || len(w.c.tasks) != 0 || f.Owners > 10 || w.c.timers.Len() > 3 {
+	f := w.c.Stats()
+	if f.Pending+f.Running+f.Nodes+f.Links != 0 || len(w.c.tasks) != 0 || f.Owners > 10 || w.c.timers.Len() > 3 {
 		t.Errorf("%+v, %d tasks, %d timers", f, len(w.c.tasks), w.c.timers.Len())
 	}
 	if second > first+256<<10 {
@@ -680,12 +680,12 @@
 // Set-ups over a bound, of all or of one connection, are refused at once, and nothing of them reaches the module.
 func TestTooManyAreRefused(t *testing.T) {
 	for name, change := range map[string]func(*Config){
-		"of all": func(c *Config) { c.MaxOpen = 2 }, "of one connection": func(c *Config) { c.Admission.Open = 2 }} {
+		"of all": func(c *Config) { c.MaxPending = 2 }, "of one connection": func(c *Config) { c.Admission.MaxPendingPerConnection = 2 }} {
 		w := newWorld(t, change)
-		w.step(Opened{Conn: 1, Host: "h"})
+		w.step(OwnerConnected{Conn: 1, Host: "h"})
 		w.nodes("n")
 		w.step(w.ask(1, 7, 0), w.ask(1, 8, 0), w.ask(1, 9, 0))
-		if e := one[Over](w); e != (Over{1, id(9), CauseFull, false}) || len(told[flaxshelf.TaskSubmitted](w)) != 2 {
+		if e := one[Terminated](w); e != (Terminated{1, id(9), CauseRejected, false}) || len(told[flaxshelf.TaskSubmitted](w)) != 2 {
 			t.Errorf("%s: %+v", name, e)
 		}
 	}
@@ -694,22 +694,22 @@
 // A connection that goes on sending what makes no sense is closed.
 func TestWrongOnesAreClosed(t *testing.T) {
 	w := newWorld(t)
-	w.step(Opened{Conn: 1, Host: "h"}, Wrong{1}, Wrong{1})
-	none[Close](w)
-	w.step(Wrong{1})
-	one[Close](w)
+	w.step(OwnerConnected{Conn: 1, Host: "h"}, ProtocolError{1}, ProtocolError{1})
+	none[CloseOwner](w)
+	w.step(ProtocolError{1})
+	one[CloseOwner](w)
 }
 
 // A cut whose link broke under it is said again on the next one.
 func TestCutIsSaidAgain(t *testing.T) {
 	w := newWorld(t)
-	w.step(Opened{Conn: 1, Host: "h"})
+	w.step(OwnerConnected{Conn: 1, Host: "h"})
 	w.nodes("n")
 	o := w.place(1, 7, 0)
 	w.step(Release{1, id(7)})
-	w.step(Down{Link: o.Link})
-	w.step(Up{one[Dial](w).Link})
-	if cut := one[Cut](w); cut.Task != id(7) || cut.Link == o.Link {
+	w.step(LinkDown{Link: o.Link})
+	w.step(LinkUp{one[Dial](w).Link})
+	if cut := one[SendRelease](w); cut.Task != id(7) || cut.Link == o.Link {
 		t.Errorf("%+v", cut)
 	}
 }
@@ -721,28 +721,28 @@
 		then  func(w *world, o Offer)
 		after time.Duration
 	}{
-		"a sign of life":  {func(w *world, o Offer) { w.step(Heard{Link: o.Link, Say: SaysReleased, Task: id(99)}) }, endWithin},
-		"a new link":      {func(w *world, _ Offer) { w.step(Up{w.c.nodes["n"].cur.id}) }, endWithin},
+		"a sign of life":  {func(w *world, o Offer) { w.step(NodeMessage{Link: o.Link, Kind: NodeConfirmedRelease, Task: id(99)}) }, endWithin},
+		"a new link":      {func(w *world, _ Offer) { w.step(LinkUp{w.c.nodes["n"].cur.id}) }, endWithin},
 		"nothing further": {func(*world, Offer) {}, 6 * time.Second},
 	} {
 		w := newWorld(t)
-		w.step(Opened{Conn: 1, Host: "h"})
+		w.step(OwnerConnected{Conn: 1, Host: "h"})
 		w.nodes("n")
 		o := w.place(1, 7, 0)
 		w.step(Release{1, id(7)})
-		one[Cut](w)
+		one[SendRelease](w)
 		w.pass(3 * time.Second) // silent for long enough that a newer link is made
-		if f := w.c.Figures(); f.Standing != 1 {
+		if f := w.c.Stats(); f.Running != 1 {
 			t.Errorf("%s: it counts as over while its node is silent", name)
 		}
 		w.now++
 		c.then(w, o)
 		w.pass(c.after)
-		if f := w.c.Figures(); f.Standing != 0 || len(w.c.tasks) != 0 {
-			t.Errorf("%s: %d stand", name, f.Standing)
+		if f := w.c.Stats(); f.Running != 0 || len(w.c.tasks) != 0 {
+			t.Errorf("%s: %d stand", name, f.Running)
 		}
 		for _, e := range w.all {
-			if over, ok := e.(Over); ok {
+			if over, ok := e.(Terminated); ok {
 				t.Errorf("%s: %+v", name, over)
 			}
 		}
@@ -752,19 +752,19 @@
 // Tasks handed over on nodes that no list names are bounded, count as cut after a while, and prove no owner.
 func TestHandedOverOnNodesThatAreNone(t *testing.T) {
 	w := newWorld(t)
-	w.step(Opened{Conn: 1, Host: "h"})
+	w.step(OwnerConnected{Conn: 1, Host: "h"})
 	for n := range 3 * maxUnlisted {
-		w.step(Held{Conn: 1, Node: "x" + id(n), Task: w.ask(1, n, 0).Task})
+		w.step(Adopt{Conn: 1, Node: "x" + id(n), Task: w.ask(1, n, 0).Task})
 	}
-	if f := w.c.Figures(); f.Standing != maxUnlisted || f.Nodes != maxUnlisted {
+	if f := w.c.Stats(); f.Running != maxUnlisted || f.Nodes != maxUnlisted {
 		t.Errorf("%+v", f)
 	}
 	w.pass(3 * time.Second)
-	if f := w.c.Figures(); f.ConnsClosed != 1 {
+	if f := w.c.Stats(); f.OwnersClosed != 1 {
 		t.Errorf("%+v", f)
 	}
 	w.pass(5 * time.Second)
-	if f := w.c.Figures(); f.Standing+f.Unlisted+f.Nodes != 0 {
+	if f := w.c.Stats(); f.Running+f.RunningUnlisted+f.Nodes != 0 {
 		t.Errorf("%+v", f)
 	}
 }
@@ -774,7 +774,7 @@
 func TestLinksAreBounded(t *testing.T) {
 	const nodes, most = 24, 10
 	w := newWorld(t, func(c *Config) { c.MaxLinks = most })
-	w.step(Opened{Conn: 1, Host: "h"})
+	w.step(OwnerConnected{Conn: 1, Host: "h"})
 	var names []string
 	for i := range nodes {
 		names = append(names, fmt.Sprintf("n%02d", i))
@@ -789,11 +789,11 @@
 				switch e := e.(type) {
 				case Dial:
 					open[e.Link], seen[e.Node] = e.Node, w.now
-					w.step(Up{e.Link})
-				case Hang:
+					w.step(LinkUp{e.Link})
+				case CloseLink:
 					delete(open, e.Link)
 				case Offer:
-					w.step(Heard{Link: e.Link, Say: SaysAnswer, Task: e.Task, Description: "d"})
+					w.step(NodeMessage{Link: e.Link, Kind: NodeAccepted, Task: e.Task, Description: "d"})
 				}
 			}
 		}
@@ -819,7 +819,7 @@
 			standing[n.entry.ID] = true
 		}
 	}
-	if f := w.c.Figures(); f.Placed != 120 || len(standing) <= most {
+	if f := w.c.Stats(); f.Placed != 120 || len(standing) <= most {
 		t.Fatalf("%+v, tasks stand on %d nodes", f, len(standing))
 	}
 	for range 200 {
@@ -835,7 +835,7 @@
 			}
 		}
 	}
-	if f := w.c.Figures(); f.CutBySilence > 0 || f.Standing != 120 {
+	if f := w.c.Stats(); f.LostToUnreachable > 0 || f.Running != 120 {
 		t.Errorf("%+v", f)
 	}
 }
@@ -844,24 +844,24 @@
 // the link serves what comes next. One that never comes up costs its own set-up's wait alone.
 func TestLinkComesUpLate(t *testing.T) {
 	w := newWorld(t)
-	w.step(Opened{Conn: 1, Host: "h"})
+	w.step(OwnerConnected{Conn: 1, Host: "h"})
 	w.list(flaxshelf.Active, "n1", "n2")
 	dials := find[Dial](w)
 	w.step(w.ask(1, 7, 0))
 	none[Offer](w)
 	w.pass(300 * time.Millisecond) // both are out of reach by now
-	w.step(Up{dials[1].Link})
+	w.step(LinkUp{dials[1].Link})
 	w.pass(200 * time.Millisecond)
 	if o := one[Offer](w); o.Node != dials[1].Node || o.Task != id(7) {
 		t.Errorf("%+v", o)
 	}
-	w.step(Heard{Link: dials[1].Link, Say: SaysAnswer, Task: id(7), Description: "node's"})
-	one[Answer](w)
+	w.step(NodeMessage{Link: dials[1].Link, Kind: NodeAccepted, Task: id(7), Description: "node's"})
+	one[Accepted](w)
 	w.pass(500 * time.Millisecond)
-	w.step(Up{dials[0].Link})
+	w.step(LinkUp{dials[0].Link})
 	none[Offer](w)
-	none[Cut](w)
-	if f := w.c.Figures(); f.Links != 2 || f.Standing != 1 || f.Placed != 1 {
+	none[SendRelease](w)
+	if f := w.c.Stats(); f.Links != 2 || f.Running != 1 || f.Placed != 1 {
 		t.Errorf("%+v", f)
 	}
 }
@@ -869,19 +869,19 @@
 // A task handed over on a node whose address another has by now: nobody there is asked of it, and its owner hears in time.
 func TestHandedOverOnANodeThatWasReplaced(t *testing.T) {
 	w := newWorld(t)
-	w.step(Opened{Conn: 1, Host: "h"}, Tested{1, id(1)})
+	w.step(OwnerConnected{Conn: 1, Host: "h"}, Ping{1, id(1)})
 	w.nodes("old@a")
 	w.list(flaxshelf.Active, "new@a")
 	for _, d := range find[Dial](w) {
-		w.step(Up{d.Link})
+		w.step(LinkUp{d.Link})
 	}
-	w.step(Held{Conn: 1, Node: "old", Task: w.ask(1, 7, 0).Task})
+	w.step(Adopt{Conn: 1, Node: "old", Task: w.ask(1, 7, 0).Task})
 	none[Dial](w)
 	w.pass(8 * time.Second)
-	if e := one[Over](w); e != (Over{Conn: 1, Task: id(7), Cause: CauseReset}) {
+	if e := one[Terminated](w); e != (Terminated{Conn: 1, Task: id(7), Cause: CauseLost}) {
 		t.Errorf("%+v", e)
 	}
-	if f := w.c.Figures(); f.Standing != 0 || f.Unlisted != 0 || f.Nodes != 1 {
+	if f := w.c.Stats(); f.Running != 0 || f.RunningUnlisted != 0 || f.Nodes != 1 {
 		t.Errorf("%+v", f)
 	}
 }
--- a/internal/requests/script_test.go
+++ b/internal/requests/script_test.go
@@ -37,13 +37,13 @@
 
 func newWorld(t *testing.T, change ...func(*Config)) *world {
 	t.Helper()
-	cfg := Config{Module: settings(), Seed: 1, Silent: 6 * time.Second, MaxOpen: 100,
-		Admission: admission.Limits{Most: 10, Silent: 2 * time.Second, Spare: 200 * time.Millisecond, Wrong: 2, Open: 50}}
+	cfg := Config{Module: settings(), Seed: 1, NodeUnreachableTimeout: 6 * time.Second, MaxPending: 100,
+		Admission: admission.Limits{MaxConnections: 10, IdleTimeout: 2 * time.Second, RecentUseGrace: 200 * time.Millisecond, MaxProtocolErrors: 2, MaxPendingPerConnection: 50}}
 	for _, f := range change {
 		f(&cfg)
 	}
 	w := &world{t: t, now: Time(1_000_000 * time.Second), up: map[string]Link{}}
-	cfg.Tap = func(_ Time, events []flaxshelf.Event, _ []flaxshelf.Action) { w.seen = append(w.seen, events...) }
+	cfg.RecordStep = func(_ Time, events []flaxshelf.Event, _ []flaxshelf.Action) { w.seen = append(w.seen, events...) }
 	var err error
 	if w.c, err = New(cfg); err != nil {
 		t.Fatal(err)
@@ -85,7 +85,7 @@
 // list tells of nodes: name, or name@address, all at the address of their name else.
 func (w *world) list(state flaxshelf.MachineState, names ...string) {
 	w.t.Helper()
-	var in Listed
+	var in NodesUpdated
 	for _, n := range names {
 		name, addr, at := strings.Cut(n, "@")
 		if !at {
@@ -103,14 +103,14 @@
 	dials := find[Dial](w)
 	for _, d := range dials {
 		w.up[d.Node] = d.Link
-		w.step(Up{d.Link})
+		w.step(LinkUp{d.Link})
 	}
 }
 
 func id(n int) string { return fmt.Sprintf("%016x", n) }
 
-func (w *world) ask(conn Conn, n int, class int) SetUp {
-	return SetUp{Conn: conn, Class: "c", Idem: "idem", Description: "owner's",
+func (w *world) ask(conn Conn, n int, class int) Submit {
+	return Submit{Conn: conn, Class: "c", IdempotencyKey: "idem", Description: "owner's",
 		Task: flaxshelf.Task{ID: id(n), Key: "k" + id(n), Service: "s", Class: class, Tenant: -1, Cores: 1, Memory: 1,
 			Deadline: w.now + 4*time.Second}}
 }
@@ -160,7 +160,7 @@
 	w.t.Helper()
 	w.step(w.ask(conn, n, class))
 	o := one[Offer](w)
-	w.step(Heard{Link: o.Link, Say: SaysAnswer, Task: id(n), Description: "node's"})
-	one[Answer](w)
+	w.step(NodeMessage{Link: o.Link, Kind: NodeAccepted, Task: id(n), Description: "node's"})
+	one[Accepted](w)
 	return o
 }
--- a/internal/requests/types.go
+++ b/internal/requests/types.go
@@ -19,12 +19,12 @@
 
 // Causes of releases, as the platform numbers them.
 const (
-	CauseGivenUp   = 16 // a set-up is given up; after an answer: the task has come to its end
-	CauseCancelled = 31 // moved, or ended by its owner, who is owed no release
-	CauseFull      = 34 // refused: trying again is harmless
-	CauseReset     = 41
-	CauseError     = 47
-	CauseMoot      = 102
+	CauseNormal   = 16 // a set-up is given up; after an answer: the task has come to its end
+	CauseCanceled = 31 // moved, or ended by its owner, who is owed no release
+	CauseRejected = 34 // refused: trying again is harmless
+	CauseLost     = 41
+	CauseError    = 47
+	CauseObsolete = 102
 )
 
 // Input is one of the input types below.
@@ -37,16 +37,16 @@
 type Link uint64
 
 type (
-	// SetUp asks for a task to be placed.
-	SetUp struct {
-		Conn        Conn
-		Task        flaxshelf.Task // ID is the 16 hex digits of the wire
-		Class       string         // as the owner wrote it
-		Idem        string
-		Description string
-	}
-	// Held hands over a task that a node holds already. It wants no answer.
-	Held struct {
+	// Submit asks for a task to be placed.
+	Submit struct {
+		Conn           Conn
+		Task           flaxshelf.Task // ID is the 16 hex digits of the wire
+		Class          string         // as the owner wrote it
+		IdempotencyKey string
+		Description    string
+	}
+	// Adopt hands over a task that a node holds already. It wants no answer.
+	Adopt struct {
 		Conn Conn
 		Task flaxshelf.Task
 		Node string
@@ -56,111 +56,111 @@
 		Conn Conn
 		Task string
 	}
-	// Moved is an owner's word that a standing task is to end.
-	Moved struct {
+	// Migrated is an owner's word that a standing task is to end.
+	Migrated struct {
 		Conn Conn
 		Task string
 	}
-	// Tested is an owner's test: the host answers it by the effect Pong.
-	Tested struct {
+	// Ping is an owner's test: the host answers it by the effect Pong.
+	Ping struct {
 		Conn Conn
 		Task string
 	}
-	// Opened tells of an owner's new connection, Closed that it has ended.
-	Opened struct {
+	// OwnerConnected tells of an owner's new connection, Closed that it has ended.
+	OwnerConnected struct {
 		Conn Conn
 		Host string // the peer's address without its port
 	}
-	// Closed tells that an owner's connection has ended. Set-ups open on it are given up.
-	Closed struct{ Conn Conn }
+	// OwnerDisconnected tells that an owner's connection has ended. Set-ups open on it are given up.
+	OwnerDisconnected struct{ Conn Conn }
 
-	// Wrong tells that a message on an owner's connection made no sense.
-	Wrong struct{ Conn Conn }
+	// ProtocolError tells that a message on an owner's connection made no sense.
+	ProtocolError struct{ Conn Conn }
 
-	// Up tells that a link stands.
-	Up struct{ Link Link }
-	// Down tells that a link has ended or could not be made.
-	Down struct {
-		Link    Link
-		Refused bool // nothing listens there: the process is dead
+	// LinkUp tells that a link stands.
+	LinkUp struct{ Link Link }
+	// LinkDown tells that a link has ended or could not be made.
+	LinkDown struct {
+		Link              Link
+		ConnectionRefused bool // nothing listens there: the process is dead
 	}
-	// Heard is what a node says on a link.
-	Heard struct {
+	// NodeMessage is what a node says on a link.
+	NodeMessage struct {
 		Link        Link
-		Say         Say
+		Kind        NodeMessageKind
 		Task        string
 		Cause       int
 		Reason      flaxshelf.Reason
-		Kind        flaxshelf.UsageKind
+		UsageKind   flaxshelf.UsageKind
 		Amount      float64
 		Description string
 	}
-	// Unsent tells that a set-up was not written.
-	Unsent struct {
+	// SendFailed tells that a set-up was not written.
+	SendFailed struct {
 		Link    Link
 		Task    string
 		Attempt int
 	}
 
-	// Listed is the control feed's word.
-	Listed struct {
-		Machines []flaxshelf.Machine
-		Addrs    []string // of the machines, in their order
-		Whole    bool
-		Known    bool // from the configuration, not from the feed
+	// NodesUpdated is the control feed's word.
+	NodesUpdated struct {
+		Machines   []flaxshelf.Machine
+		Addrs      []string // of the machines, in their order
+		Complete   bool
+		FromConfig bool // from the configuration, not from the feed
 	}
-	// FeedUp tells that the feed has taken the subscription; FeedDown that it could not be asked or broke off.
-	FeedUp struct{}
-	// FeedDown tells that the feed could not be asked, broke off or fell silent.
-	FeedDown struct{}
-	// Stop tells that the scheduler is to leave: tests fail from now on.
-	Stop struct{}
+	// WatchEstablished tells that the feed has taken the subscription; FeedDown that it could not be asked or broke off.
+	WatchEstablished struct{}
+	// WatchFailed tells that the feed could not be asked, broke off or fell silent.
+	WatchFailed struct{}
+	// Shutdown tells that the scheduler is to leave: tests fail from now on.
+	Shutdown struct{}
 )
 
-// Say is what a node says of a task.
-type Say int
+// NodeMessageKind is what a node says of a task.
+type NodeMessageKind int
 
 // What nodes say.
 const (
-	SaysAnswer   Say = iota // the task stands
-	SaysRelease             // it never stood, or is over
-	SaysReleased            // our release was heard
-	SaysNote
+	NodeAccepted         NodeMessageKind = iota // the task stands
+	NodeReleased                                // it never stood, or is over
+	NodeConfirmedRelease                        // our release was heard
+	NodeUsage
 )
 
-func (SetUp) input()    {}
-func (Held) input()     {}
-func (Release) input()  {}
-func (Moved) input()    {}
-func (Tested) input()   {}
-func (Opened) input()   {}
-func (Closed) input()   {}
-func (Wrong) input()    {}
-func (Up) input()       {}
-func (Down) input()     {}
-func (Heard) input()    {}
-func (Unsent) input()   {}
-func (Listed) input()   {}
-func (FeedUp) input()   {}
-func (FeedDown) input() {}
-func (Stop) input()     {}
+func (Submit) input()            {}
+func (Adopt) input()             {}
+func (Release) input()           {}
+func (Migrated) input()          {}
+func (Ping) input()              {}
+func (OwnerConnected) input()    {}
+func (OwnerDisconnected) input() {}
+func (ProtocolError) input()     {}
+func (LinkUp) input()            {}
+func (LinkDown) input()          {}
+func (NodeMessage) input()       {}
+func (SendFailed) input()        {}
+func (NodesUpdated) input()      {}
+func (WatchEstablished) input()  {}
+func (WatchFailed) input()       {}
+func (Shutdown) input()          {}
 
 // Effect is one of the effect types below.
 type Effect interface{ effect() }
 
 type (
-	// Answer tells an owner that its task stands.
-	Answer struct {
+	// Accepted tells an owner that its task stands.
+	Accepted struct {
 		Conn              Conn
 		Task, Description string
 	}
-	// Over tells an owner that its set-up was refused or failed, or that its standing task is over: by a release with
+	// Terminated tells an owner that its set-up was refused or failed, or that its standing task is over: by a release with
 	// Cause, or by a move, after which the owner brings the task again.
-	Over struct {
-		Conn  Conn
-		Task  string
-		Cause int
-		Move  bool
+	Terminated struct {
+		Conn    Conn
+		Task    string
+		Cause   int
+		Migrate bool
 	}
 	// Pong answers a test.
 	Pong struct {
@@ -168,25 +168,25 @@
 		Task   string
 		Passed bool
 	}
-	// Close closes an owner's connection, after what was written on it.
-	Close struct{ Conn Conn }
+	// CloseOwner closes an owner's connection, after what was written on it.
+	CloseOwner struct{ Conn Conn }
 	// Dial has a connection to a node made; Up or Down follows.
 	Dial struct {
 		Link       Link
 		Node, Addr string
 	}
-	// Hang ends a link; Down follows or not.
-	Hang struct{ Link Link }
+	// CloseLink ends a link; Down follows or not.
+	CloseLink struct{ Link Link }
 	// Offer writes a set-up.
 	Offer struct {
-		Link                                 Link
-		Attempt                              int  // its number among those of the task
-		Owner                                Conn // whose set-up it is
-		Node, Task, Class, Key, Idem, Detail string
-		Left                                 time.Duration
-	}
-	// Cut writes a release.
-	Cut struct {
+		Link                                                Link
+		Attempt                                             int  // its number among those of the task
+		Owner                                               Conn // whose set-up it is
+		Node, Task, Class, Key, IdempotencyKey, Description string
+		TimeLeft                                            time.Duration
+	}
+	// SendRelease writes a release.
+	SendRelease struct {
 		Link  Link
 		Task  string
 		Cause int
@@ -195,29 +195,29 @@
 	Subscribe struct{}
 )
 
-func (Answer) effect()    {}
-func (Over) effect()      {}
-func (Pong) effect()      {}
-func (Close) effect()     {}
-func (Dial) effect()      {}
-func (Hang) effect()      {}
-func (Offer) effect()     {}
-func (Cut) effect()       {}
-func (Subscribe) effect() {}
-
-// Figures are what a core has and has done.
-type Figures struct {
+func (Accepted) effect()    {}
+func (Terminated) effect()  {}
+func (Pong) effect()        {}
+func (CloseOwner) effect()  {}
+func (Dial) effect()        {}
+func (CloseLink) effect()   {}
+func (Offer) effect()       {}
+func (SendRelease) effect() {}
+func (Subscribe) effect()   {}
+
+// Stats are what a core has and has done.
+type Stats struct {
 	// Now.
-	Open, Standing, Unlisted, Owners, Nodes, Links int
+	Pending, Running, RunningUnlisted, Owners, Nodes, Links int
 	// Final answers, set-ups taken back, offers made.
-	Placed, Refused, Failed, GivenUp, Offers uint64
+	Placed, Rejected, Failed, Canceled, Offers uint64
 	// Tasks handed over, and standing tasks that are over: by their node's word and why, or without it.
-	HandedOver, Ended, Finished, Evicted, PushedOut, CutByNode uint64
-	CutByDeath, CutBySilence, CutByList                        uint64
+	Adopted, Ended, Completed, Evicted, Preempted, LostByNodeReport uint64
+	LostToNodeDeath, LostToUnreachable, LostToRemoval               uint64
 	// Offers that were not placed.
-	FullOffers, ErrorOffers, LateOffers, LostOffers, Unreached uint64
+	RejectedOffers, FailedOffers, TimedOutOffers, LostOffers, UnreachableOffers uint64
 	// Owners' connections closed, and set-ups over the bounds.
-	ConnsClosed, TooMany uint64
+	OwnersClosed, RejectedAtLimit uint64
 	// Links that broke or were replaced for silence; answers that were late or nobody's.
-	LinksBroken, Suspected, StaleSays uint64
+	BrokenLinks, SuspectedLinks, StaleMessages uint64
 }
--- a/internal/scheduler/admission.go
+++ b/internal/scheduler/admission.go
@@ -100,7 +100,7 @@
 func (c *Core) enter(j *job) {
 	j.entered = true
 	if j.spec.Deadline > 0 {
-		j.deadline = c.timers.After(j.spec.Deadline, func() { c.terminate(j) })
+		j.deadline = c.timers.Schedule(j.spec.Deadline, func() { c.terminate(j) })
 	}
 	if j.held() {
 		j.came = 0
@@ -117,7 +117,7 @@
 		j.came = 0
 		j.sub = SubStartTime
 		c.changed(j)
-		j.later = c.timers.After(j.spec.NotBefore, func() {
+		j.later = c.timers.Schedule(j.spec.NotBefore, func() {
 			if !j.state.Ended() && j.sub == SubStartTime {
 				c.place(j)
 			}
@@ -125,7 +125,7 @@
 	case j.ask > 0 && c.clearAt(j) > c.now:
 		j.sub = SubBackoff
 		c.changed(j)
-		j.later = c.timers.After(c.clearAt(j), func() {
+		j.later = c.timers.Schedule(c.clearAt(j), func() {
 			if !j.state.Ended() && j.sub == SubBackoff {
 				c.proceed(j)
 			}
@@ -244,7 +244,7 @@
 	if a.phase >= accepted {
 		return
 	}
-	c.timers.After(c.now+max(c.cfg.Module.Tick, time.Millisecond), func() { c.untilOver(a, do) })
+	c.timers.Schedule(c.now+max(c.cfg.Module.Tick, time.Millisecond), func() { c.untilOver(a, do) })
 }
 
 func (c *Core) hold(j *job) {
--- a/internal/scheduler/attempt.go
+++ b/internal/scheduler/attempt.go
@@ -59,7 +59,7 @@
 	case n.up:
 		c.send(a)
 	default:
-		a.timer = c.timers.After(c.now+max(c.cfg.Module.ConnectTimeout, time.Millisecond), func() {
+		a.timer = c.timers.Schedule(c.now+max(c.cfg.Module.ConnectTimeout, time.Millisecond), func() {
 			if a.phase == connecting {
 				c.end(a, flaxshelf.Unreachable, flaxshelf.UnspecifiedReason, flaxshelf.LoadReport{})
 			}
@@ -75,7 +75,7 @@
 		c.end(a, flaxshelf.NotSent, flaxshelf.UnspecifiedReason, flaxshelf.LoadReport{})
 		return
 	case c.fence.up(): // a drain of this node may be among what has not been read yet
-		a.timer = c.timers.After(c.now+max(c.cfg.Module.Tick, time.Millisecond), func() {
+		a.timer = c.timers.Schedule(c.now+max(c.cfg.Module.Tick, time.Millisecond), func() {
 			if a.phase == connecting && a.node.up {
 				c.send(a)
 			}
@@ -86,7 +86,7 @@
 	c.emit(SendOffer{Node: a.node.entry.ID, Attempt: a.id, Job: a.job.id, Ask: a.job.ask, Spec: a.job.spec,
 		Submitted: a.job.taken, ValidFor: left})
 	c.changed(a.job)
-	a.timer = c.timers.After(c.now+left, func() {
+	a.timer = c.timers.Schedule(c.now+left, func() {
 		if a.phase == offered {
 			c.stop(a)
 			c.end(a, flaxshelf.TimedOut, flaxshelf.UnspecifiedReason, flaxshelf.LoadReport{})
--- a/internal/scheduler/core.go
+++ b/internal/scheduler/core.go
@@ -85,7 +85,7 @@
 		c.take(in)
 	}
 	if !c.fence.up() {
-		c.timers.Fire(c.now)
+		c.timers.RunDue(c.now)
 		c.checkRecovery()
 		c.stepModule()
 	}
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -133,7 +133,7 @@
 // answerLate answers for the module where it was kept from answering, as by a stall.
 func (c *Core) answerLate(j *job) {
 	due := j.due
-	j.overdue = c.timers.After(due+c.cfg.Module.AnswerSlack/2, func() {
+	j.overdue = c.timers.Schedule(due+c.cfg.Module.AnswerSlack/2, func() {
 		if !j.open || j.due != due || c.cfg.Without.Answer {
 			return
 		}
@@ -255,7 +255,7 @@
 	}
 	c.changed(j)
 	ask := j.ask
-	j.later = c.timers.After(c.now+wait, func() {
+	j.later = c.timers.Schedule(c.now+wait, func() {
 		if j.state == Requeued && j.sub == SubBackoff && j.ask == ask {
 			j.note = ""
 			c.place(j)
--- a/internal/scheduler/node.go
+++ b/internal/scheduler/node.go
@@ -67,7 +67,7 @@
 		}
 		if r := &c.recovery; !r.listed {
 			r.listed, r.deadline = true, c.now+c.cfg.Limits.Settle
-			c.timers.After(r.deadline, func() {})
+			c.timers.Schedule(r.deadline, func() {})
 		}
 	}
 }
@@ -87,7 +87,7 @@
 		n.asked = true
 		c.emit(Connect{n.entry.ID})
 	case n.out() && n.asked:
-		c.timers.After(c.now+c.cfg.Limits.Settle, func() { c.checkGone(n) })
+		c.timers.Schedule(c.now+c.cfg.Limits.Settle, func() { c.checkGone(n) })
 	}
 }
 
@@ -238,7 +238,7 @@
 			c.changed(a.job)
 		}
 	}
-	c.timers.After(c.now+c.cfg.Limits.Settle, func() { c.checkGone(n) })
+	c.timers.Schedule(c.now+c.cfg.Limits.Settle, func() { c.checkGone(n) })
 }
 
 func (c *Core) probe(a flaxshelf.HealthCheck) {
--- a/internal/timerqueue/heap.go
+++ b/internal/timerqueue/heap.go
@@ -65,8 +65,8 @@
 	return h.items[0].at, true
 }
 
-// Due takes out the first item that is due at now; nil where none is.
-func (h *Heap[T]) Due(now time.Duration) *Item[T] {
+// PopDue takes out the first item that is due at now; nil where none is.
+func (h *Heap[T]) PopDue(now time.Duration) *Item[T] {
 	if len(h.items) == 0 || h.items[0].at > now {
 		return nil
 	}
--- a/internal/timerqueue/heap_test.go
+++ b/internal/timerqueue/heap_test.go
@@ -42,7 +42,7 @@
 					}
 					return a.n - b.n
 				})
-				got := h.Due(time.Duration(at))
+				got := h.PopDue(time.Duration(at))
 				if len(list) > 0 && list[0].at <= at {
 					if got != list[0].item {
 						t.Fatalf("took %v, want item %d", got, list[0].item.Value)
--- a/internal/timerqueue/timers.go
+++ b/internal/timerqueue/timers.go
@@ -9,8 +9,8 @@
 // heap nor the wake-ups grow with what has long ended. Its zero value is empty. It is not safe for concurrent use.
 type Timers struct{ heap Heap[func()] }
 
-// After has do called by the first Fire at or after the given time.
-func (t *Timers) After(at time.Duration, do func()) *Timer {
+// Schedule has do called by the first Fire at or after the given time.
+func (t *Timers) Schedule(at time.Duration, do func()) *Timer {
 	i := &Timer{Value: do}
 	t.heap.Set(i, at)
 	return i
@@ -23,9 +23,9 @@
 	}
 }
 
-// Fire does what is due, also what that makes due.
-func (t *Timers) Fire(now time.Duration) {
-	for i := t.heap.Due(now); i != nil; i = t.heap.Due(now) {
+// RunDue does what is due, also what that makes due.
+func (t *Timers) RunDue(now time.Duration) {
+	for i := t.heap.PopDue(now); i != nil; i = t.heap.PopDue(now) {
 		i.Value()
 	}
 }
--- a/internal/transport/accept.go
+++ b/internal/transport/accept.go
@@ -25,7 +25,7 @@
 
 // Accept listens at addr. admit is called before each connection is taken from the listener's queue, and may wait;
 // newPeer makes the peer of each, whose Closed is called once in any case.
-func (d *Dialer) Accept(addr string, admit func(), newPeer func(c *Conn) Peer) (*Acceptor, error) {
+func (d *Dialer) Accept(addr string, admit func(), newPeer func(c *Conn) Handler) (*Acceptor, error) {
 	at, err := net.ResolveTCPAddr("tcp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("transport: listen address %q: %w", addr, err)
@@ -79,8 +79,8 @@
 // Done is closed when listening has ended.
 func (a *Acceptor) Done() <-chan struct{} { return a.done }
 
-// Ended tells whether listening has ended.
-func (a *Acceptor) Ended() bool {
+// Stopped tells whether listening has ended.
+func (a *Acceptor) Stopped() bool {
 	select {
 	case <-a.done:
 		return true
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -17,29 +17,29 @@
 
 // The reasons for which this side closes a connection. Closed gets them, wrapped with figures.
 var (
-	ErrSlowReader = errors.New("transport: the peer does not read what is sent")
-	ErrTooMuch    = errors.New("transport: the peer sends more than can be taken in")
-	ErrIdle       = errors.New("transport: nothing was heard for too long")
-	ErrStopping   = errors.New("transport: stopping")
-	ErrPeerClosed = errors.New("transport: closed by the peer")
-	ErrHalf       = errors.New("transport: half a message came, and no more")
+	ErrSlowReader     = errors.New("transport: the peer does not read what is sent")
+	ErrReadBufferFull = errors.New("transport: the peer sends more than can be taken in")
+	ErrIdleTimeout    = errors.New("transport: nothing was heard for too long")
+	ErrStopping       = errors.New("transport: stopping")
+	ErrPeerClosed     = errors.New("transport: closed by the peer")
+	ErrPartialMessage = errors.New("transport: half a message came, and no more")
 )
 
 // Options bound a connection. Zero values mean the defaults given.
 type Options struct {
-	MaxIn  int           // unparsed bytes kept, 2 MiB
-	MaxOut int           // bytes queued for the peer, 8 MiB
-	Idle   time.Duration // close when nothing was read for so long; 0: never
-	Loops  int           // event loops, 1
-	Log    zerolog.Logger
+	MaxReadBuffer int           // unparsed bytes kept, 2 MiB
+	MaxWriteQueue int           // bytes queued for the peer, 8 MiB
+	IdleTimeout   time.Duration // close when nothing was read for so long; 0: never
+	Loops         int           // event loops, 1
+	Log           zerolog.Logger
 }
 
 func (o Options) withDefaults() Options {
-	if o.MaxIn <= 0 {
-		o.MaxIn = 2 << 20
+	if o.MaxReadBuffer <= 0 {
+		o.MaxReadBuffer = 2 << 20
 	}
-	if o.MaxOut <= 0 {
-		o.MaxOut = 8 << 20
+	if o.MaxWriteQueue <= 0 {
+		o.MaxWriteQueue = 8 << 20
 	}
 	if o.Loops <= 0 {
 		o.Loops = 1
@@ -47,9 +47,9 @@
 	return o
 }
 
-// Peer takes what happens on one connection. All calls come from the connection's event loop and must not
+// Handler takes what happens on one connection. All calls come from the connection's event loop and must not
 // block or take a lock that others hold for long.
-type Peer interface {
+type Handler interface {
 	// Receive is given all bytes not used yet and tells how many it has used; it must keep no part of in. An
 	// error closes the connection.
 	Receive(c *Conn, in []byte) (used int, err error)
@@ -60,7 +60,7 @@
 // Conn is one connection. Its methods may be called from any goroutine unless they say otherwise.
 type Conn struct {
 	g      gnet.Conn
-	peer   Peer
+	peer   Handler
 	opt    *Options
 	queued atomic.Int64 // handed over, not yet written
 	heard  atomic.Int64 // Unix nanoseconds of the last bytes
@@ -81,13 +81,13 @@
 // Send queues b, which the caller must not touch any more. It is false where the queue is full: the peer is
 // then cut off, since it does not read.
 func (c *Conn) Send(b []byte) bool {
-	return c.Do(len(b), func(write func([]byte)) { write(b) })
+	return c.RunInLoop(len(b), func(write func([]byte)) { write(b) })
 }
 
-// Do runs f on the connection's loop, unless it has closed by then. f may write size bytes or so. It is false
+// RunInLoop runs f on the connection's loop, unless it has closed by then. f may write size bytes or so. It is false
 // where the queue is full or the loop has stopped; f is then never run.
-func (c *Conn) Do(size int, f func(write func([]byte))) bool {
-	if n := c.queued.Add(int64(size)); n > int64(c.opt.MaxOut) {
+func (c *Conn) RunInLoop(size int, f func(write func([]byte))) bool {
+	if n := c.queued.Add(int64(size)); n > int64(c.opt.MaxWriteQueue) {
 		c.queued.Add(-int64(size))
 		c.Close(fmt.Errorf("%w: %d bytes wait", ErrSlowReader, n))
 		return false
@@ -98,7 +98,7 @@
 			return
 		}
 		f(c.write)
-		if n := c.g.OutboundBuffered(); !c.closed && n > c.opt.MaxOut {
+		if n := c.g.OutboundBuffered(); !c.closed && n > c.opt.MaxWriteQueue {
 			c.closeNow(fmt.Errorf("%w: %d bytes wait", ErrSlowReader, n))
 		}
 	})
@@ -142,11 +142,11 @@
 	}
 }
 
-// Gone tells whether the connection has closed.
-func (c *Conn) Gone() bool { return c.gone.Load() }
+// IsClosed tells whether the connection has closed.
+func (c *Conn) IsClosed() bool { return c.gone.Load() }
 
-// Write writes from within the loop, as from Receive.
-func (c *Conn) Write(b []byte) { c.write(b) }
+// WriteInLoop writes from within the loop, as from Receive.
+func (c *Conn) WriteInLoop(b []byte) { c.write(b) }
 
 func (c *Conn) write(b []byte) {
 	if c.closed || len(b) == 0 {
@@ -165,22 +165,22 @@
 	}
 }
 
-// Finish closes from within the loop, after what was written.
-func (c *Conn) Finish(why error) { c.closeNow(why) }
+// CloseInLoop closes from within the loop, after what was written.
+func (c *Conn) CloseInLoop(why error) { c.closeNow(why) }
 
-// Hurry closes the connection unless it is called again within d; 0 lifts it. Within the loop only.
-func (c *Conn) Hurry(d time.Duration) {
+// SetMessageTimeout closes the connection unless it is called again within d; 0 lifts it. Within the loop only.
+func (c *Conn) SetMessageTimeout(d time.Duration) {
 	if c.half != nil {
 		c.half.Stop()
 		c.half = nil
 	}
 	if d > 0 && !c.closed {
-		c.half = time.AfterFunc(d, func() { c.Close(ErrHalf) })
+		c.half = time.AfterFunc(d, func() { c.Close(ErrPartialMessage) })
 	}
 }
 
-// Keep lifts the idle time-out, for a connection on which only this side speaks.
-func (c *Conn) Keep() { c.heard.Store(1<<63 - 1) }
+// DisableIdleTimeout lifts the idle time-out, for a connection on which only this side speaks.
+func (c *Conn) DisableIdleTimeout() { c.heard.Store(1<<63 - 1) }
 
 // CloseWrite sends what was queued before and then ends our side; what the peer still sends is read until it has closed too.
 func (c *Conn) CloseWrite() {
@@ -222,7 +222,7 @@
 type handler struct {
 	gnet.BuiltinEventEngine
 	opt    Options
-	accept func(c *Conn) Peer
+	accept func(c *Conn) Handler
 	booted chan gnet.Engine
 	loops  sync.Map // gnet.EventLoop: those that have had a connection
 }
@@ -246,8 +246,8 @@
 	if !dialled {
 		c.peer = h.accept(c)
 	}
-	if h.opt.Idle > 0 {
-		c.idle = time.AfterFunc(h.opt.Idle, c.checkIdle)
+	if h.opt.IdleTimeout > 0 {
+		c.idle = time.AfterFunc(h.opt.IdleTimeout, c.checkIdle)
 	}
 	if d, ok := c.peer.(interface{ Opened(c *Conn) }); ok {
 		d.Opened(c)
@@ -262,16 +262,16 @@
 		return
 	}
 	silent := time.Duration(time.Now().UnixNano() - heard)
-	if silent >= c.opt.Idle {
-		c.Close(fmt.Errorf("%w: %v", ErrIdle, silent.Round(time.Millisecond)))
+	if silent >= c.opt.IdleTimeout {
+		c.Close(fmt.Errorf("%w: %v", ErrIdleTimeout, silent.Round(time.Millisecond)))
 		return
 	}
-	c.idle.Reset(c.opt.Idle - silent)
+	c.idle.Reset(c.opt.IdleTimeout - silent)
 }
 
 func (h *handler) OnTraffic(g gnet.Conn) gnet.Action {
 	c := g.Context().(*Conn)
-	if c.opt.Idle > 0 && c.heard.Load() != 1<<63-1 {
+	if c.opt.IdleTimeout > 0 && c.heard.Load() != 1<<63-1 {
 		c.heard.Store(time.Now().UnixNano())
 	}
 	for !c.closed {
@@ -290,8 +290,8 @@
 			return gnet.Close
 		}
 		if used == 0 {
-			if len(in) > h.opt.MaxIn {
-				c.why = fmt.Errorf("%w: %d bytes wait", ErrTooMuch, len(in))
+			if len(in) > h.opt.MaxReadBuffer {
+				c.why = fmt.Errorf("%w: %d bytes wait", ErrReadBufferFull, len(in))
 				return gnet.Close
 			}
 			return gnet.None
@@ -322,7 +322,7 @@
 	if c.idle != nil {
 		c.idle.Stop()
 	}
-	c.Hurry(0)
+	c.SetMessageTimeout(0)
 	why := c.why
 	switch {
 	case why != nil:
--- a/internal/transport/dialer.go
+++ b/internal/transport/dialer.go
@@ -40,7 +40,7 @@
 }
 
 // Dial connects within timeout and gives the connection to peer. An Opened method of peer is called first.
-func (d *Dialer) Dial(ctx context.Context, addr string, timeout time.Duration, peer Peer) (*Conn, error) {
+func (d *Dialer) Dial(ctx context.Context, addr string, timeout time.Duration, peer Handler) (*Conn, error) {
 	nd := net.Dialer{Timeout: timeout}
 	nc, err := nd.DialContext(ctx, "tcp", addr)
 	if err != nil {
@@ -63,12 +63,12 @@
 
 // Backoff is how a link waits between attempts: doubled each time up to Most, with jitter so that many links
 // that broke at one moment don't come back at one moment.
-type Backoff struct{ First, Most time.Duration }
+type Backoff struct{ Initial, Max time.Duration }
 
 func (b Backoff) wait(failures int) time.Duration {
-	w := b.Most
+	w := b.Max
 	if failures < 16 {
-		w = min(b.First<<failures, b.Most)
+		w = min(b.Initial<<failures, b.Max)
 	}
 	return w/2 + rand.N(w/2+1)
 }
@@ -81,7 +81,7 @@
 
 // Link starts a link. newPeer makes the peer of each connection; down is told of each connection that could
 // not be made or has closed. Both are called from the link's goroutine and may block.
-func (d *Dialer) Link(addr string, timeout time.Duration, b Backoff, newPeer func() Peer, down func(error)) *Link {
+func (d *Dialer) Link(addr string, timeout time.Duration, b Backoff, newPeer func() Handler, down func(error)) *Link {
 	ctx, cancel := context.WithCancel(d.ctx)
 	l := &Link{cancel: cancel, done: make(chan struct{})}
 	d.wg.Add(1)
@@ -89,7 +89,7 @@
 		defer d.wg.Done()
 		defer close(l.done)
 		for failures := 0; ctx.Err() == nil; {
-			p := &linked{Peer: newPeer(), gone: make(chan struct{})}
+			p := &linked{Handler: newPeer(), gone: make(chan struct{})}
 			began := time.Now()
 			c, err := d.Dial(ctx, addr, timeout, p)
 			if err != nil {
@@ -104,7 +104,7 @@
 				}
 				down(p.why)
 				failures++
-				if time.Since(began) > b.Most {
+				if time.Since(began) > b.Max {
 					failures = 0 // it had held
 				}
 			}
@@ -127,19 +127,19 @@
 func (l *Link) Cancel() { l.cancel() }
 
 type linked struct {
-	Peer
+	Handler
 	gone chan struct{}
 	why  error
 }
 
 func (p *linked) Opened(c *Conn) {
-	if o, ok := p.Peer.(interface{ Opened(c *Conn) }); ok {
+	if o, ok := p.Handler.(interface{ Opened(c *Conn) }); ok {
 		o.Opened(c)
 	}
 }
 
 func (p *linked) Closed(c *Conn, why error) {
-	p.Peer.Closed(c, why)
+	p.Handler.Closed(c, why)
 	p.why = why
 	close(p.gone)
 }
--- a/internal/transport/outbox.go
+++ b/internal/transport/outbox.go
@@ -26,9 +26,9 @@
 	return err
 }
 
-// PutTimed is Put of a part that is dropped where, at its write, it is no longer in time or not wanted any more; late is then
+// PutExpiring is Put of a part that is dropped where, at its write, it is no longer in time or not wanted any more; late is then
 // called, on the loop or on the owner's goroutine. wanted is asked on the loop; nil: always.
-func (o *Outbox) PutTimed(encode func(dst []byte) ([]byte, error), wanted func() bool, late func()) error {
+func (o *Outbox) PutExpiring(encode func(dst []byte) ([]byte, error), wanted func() bool, late func()) error {
 	begin := len(o.out)
 	if err := o.Put(encode); err != nil {
 		return err
@@ -42,7 +42,7 @@
 func (o *Outbox) Flush(c *Conn, inTime func() bool) {
 	out, parts := o.out, o.timed
 	o.out, o.timed = nil, nil
-	sent := c != nil && c.Do(len(out), func(write func([]byte)) {
+	sent := c != nil && c.RunInLoop(len(out), func(write func([]byte)) {
 		at, still := 0, len(parts) == 0 || inTime()
 		for _, p := range parts {
 			if still && (p.wanted == nil || p.wanted()) {
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -20,7 +20,7 @@
 
 // Listen binds addr (host:port; port 0 picks one) and serves. accept makes the peer of each new connection; it
 // is called on that connection's loop.
-func Listen(addr string, opt Options, accept func(c *Conn) Peer) (*Server, error) {
+func Listen(addr string, opt Options, accept func(c *Conn) Handler) (*Server, error) {
 	if _, _, err := net.SplitHostPort(addr); err != nil {
 		return nil, fmt.Errorf("transport: listen address %q: %w", addr, err)
 	}
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -40,13 +40,13 @@
 	if string(in[:i]) == "bad" {
 		return 0, errors.New("bad line")
 	}
-	c.Write(append([]byte(nil), in[:i+1]...))
+	c.WriteInLoop(append([]byte(nil), in[:i+1]...))
 	return i + 1, nil
 }
 
 func (e *echo) Closed(_ *Conn, why error) { e.closed <- why }
 
-func listen(t *testing.T, opt Options, peer func(c *Conn) Peer) *Server {
+func listen(t *testing.T, opt Options, peer func(c *Conn) Handler) *Server {
 	t.Helper()
 	s, err := Listen("127.0.0.1:0", opt, peer)
 	if err != nil {
@@ -86,7 +86,7 @@
 // Partial input is kept; several messages in one read are all taken; what the peer says is told.
 func TestEcho(t *testing.T) {
 	closed := make(chan error, 1)
-	s := listen(t, Options{}, func(*Conn) Peer { return &echo{closed: closed} })
+	s := listen(t, Options{}, func(*Conn) Handler { return &echo{closed: closed} })
 	c := dial(t, s)
 	for _, part := range []string{"o", "ne\ntw", "o\nthree\n"} {
 		if _, err := io.WriteString(c, part); err != nil {
@@ -112,22 +112,22 @@
 		do   func(t *testing.T, c net.Conn, at *Conn)
 		want string
 	}{
-		{"idle", Options{Idle: 50 * time.Millisecond}, false, func(*testing.T, net.Conn, *Conn) {}, ErrIdle.Error()},
-		{"too much", Options{MaxIn: 1000}, true, func(t *testing.T, c net.Conn, _ *Conn) {
+		{"idle", Options{IdleTimeout: 50 * time.Millisecond}, false, func(*testing.T, net.Conn, *Conn) {}, ErrIdleTimeout.Error()},
+		{"too much", Options{MaxReadBuffer: 1000}, true, func(t *testing.T, c net.Conn, _ *Conn) {
 			_, _ = c.Write(make([]byte, 5000))
-		}, ErrTooMuch.Error()},
+		}, ErrReadBufferFull.Error()},
 		{"bad", Options{}, false, func(t *testing.T, c net.Conn, _ *Conn) {
 			_, _ = io.WriteString(c, "bad\n")
 		}, "bad line"},
-		{"does not read", Options{MaxOut: 1 << 16}, false, func(t *testing.T, _ net.Conn, at *Conn) {
-			for at.Send(make([]byte, 1<<14)) && !at.Gone() {
+		{"does not read", Options{MaxWriteQueue: 1 << 16}, false, func(t *testing.T, _ net.Conn, at *Conn) {
+			for at.Send(make([]byte, 1<<14)) && !at.IsClosed() {
 			}
 		}, ErrSlowReader.Error()},
 		{"our wish", Options{}, false, func(t *testing.T, _ net.Conn, at *Conn) { at.Close(ErrStopping) }, ErrStopping.Error()},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			closed, conns := make(chan error, 1), make(chan *Conn, 1)
-			s := listen(t, c.opt, func(x *Conn) Peer { conns <- x; return &echo{closed: closed, hold: c.hold} })
+			s := listen(t, c.opt, func(x *Conn) Handler { conns <- x; return &echo{closed: closed, hold: c.hold} })
 			k := dial(t, s)
 			c.do(t, k, <-conns)
 			if err := why(t, closed); !strings.Contains(err.Error(), c.want) {
@@ -140,7 +140,7 @@
 // Keep lifts the idle time-out.
 func TestKeep(t *testing.T) {
 	closed := make(chan error, 1)
-	s := listen(t, Options{Idle: 30 * time.Millisecond}, func(c *Conn) Peer { c.Keep(); return &echo{closed: closed} })
+	s := listen(t, Options{IdleTimeout: 30 * time.Millisecond}, func(c *Conn) Handler { c.DisableIdleTimeout(); return &echo{closed: closed} })
 	c := dial(t, s)
 	select {
 	case err := <-closed:
@@ -157,7 +157,7 @@
 // A slow reader does not hold up another connection of the same loop.
 func TestSlowReaderAlone(t *testing.T) {
 	conns := make(chan *Conn, 2)
-	s := listen(t, Options{MaxOut: 64 << 20}, func(c *Conn) Peer { conns <- c; return &echo{closed: make(chan error, 1)} })
+	s := listen(t, Options{MaxWriteQueue: 64 << 20}, func(c *Conn) Handler { conns <- c; return &echo{closed: make(chan error, 1)} })
 	dial(t, s)
 	slow := <-conns
 	other := dial(t, s)
@@ -179,7 +179,7 @@
 	got   chan struct{}
 }
 
-func (p *client) Opened(c *Conn) { c.Write([]byte("hello\n")) }
+func (p *client) Opened(c *Conn) { c.WriteInLoop([]byte("hello\n")) }
 
 func (p *client) Receive(_ *Conn, in []byte) (int, error) {
 	p.mu.Lock()
@@ -203,7 +203,7 @@
 		}
 	}()
 	server := func(addr string) *Server {
-		s, err := Listen(addr, Options{}, func(*Conn) Peer { return &echo{closed: make(chan error, 1)} })
+		s, err := Listen(addr, Options{}, func(*Conn) Handler { return &echo{closed: make(chan error, 1)} })
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -218,8 +218,8 @@
 	addr := s.Addr()
 	p := &client{got: make(chan struct{}, 100)}
 	downs := make(chan error, 100)
-	d.Link(addr, time.Second, Backoff{First: time.Millisecond, Most: 20 * time.Millisecond},
-		func() Peer { return p }, func(err error) { downs <- err })
+	d.Link(addr, time.Second, Backoff{Initial: time.Millisecond, Max: 20 * time.Millisecond},
+		func() Handler { return p }, func(err error) { downs <- err })
 	wait := func(what string, c <-chan struct{}) {
 		t.Helper()
 		select {
@@ -241,7 +241,7 @@
 
 // Waits double up to the most, with jitter, and never overflow.
 func TestBackoff(t *testing.T) {
-	b := Backoff{First: 10 * time.Millisecond, Most: time.Second}
+	b := Backoff{Initial: 10 * time.Millisecond, Max: time.Second}
 	for n := range 100 {
 		w := b.wait(n)
 		if w > time.Second || w < 5*time.Millisecond || n > 20 && w < 500*time.Millisecond {
@@ -262,14 +262,14 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	if s, err := Listen(l.Addr().String(), Options{}, func(*Conn) Peer { return nil }); err == nil {
+	if s, err := Listen(l.Addr().String(), Options{}, func(*Conn) Handler { return nil }); err == nil {
 		_ = s.Stop(context.Background())
 		t.Error("a port in use was taken")
 	}
 }
 
 func BenchmarkEcho(b *testing.B) {
-	s, err := Listen("127.0.0.1:0", Options{}, func(*Conn) Peer { return &echo{closed: make(chan error, 1)} })
+	s, err := Listen("127.0.0.1:0", Options{}, func(*Conn) Handler { return &echo{closed: make(chan error, 1)} })
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -300,7 +300,7 @@
 		}
 	}()
 	let, closed := make(chan struct{}), make(chan error, 1)
-	a, err := d.Accept("127.0.0.1:0", func() { <-let }, func(*Conn) Peer { return &echo{closed: closed} })
+	a, err := d.Accept("127.0.0.1:0", func() { <-let }, func(*Conn) Handler { return &echo{closed: closed} })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -352,7 +352,7 @@
 // without a connection all of them are late.
 func TestOutboxDropsLateParts(t *testing.T) {
 	closed := make(chan error, 1)
-	s := listen(t, Options{}, func(*Conn) Peer { return &echo{closed: closed} })
+	s := listen(t, Options{}, func(*Conn) Handler { return &echo{closed: closed} })
 	d, err := NewDialer(Options{})
 	if err != nil {
 		t.Fatal(err)
@@ -375,7 +375,7 @@
 			encode := func(b []byte) ([]byte, error) { return append(b, text+"\n"...), nil }
 			if !timed {
 				_ = o.Put(encode)
-			} else if err := o.PutTimed(encode, func() bool { return round.wanted || text != "b" }, func() { late <- text }); err != nil {
+			} else if err := o.PutExpiring(encode, func() bool { return round.wanted || text != "b" }, func() { late <- text }); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -433,7 +433,7 @@
 func (o *opener) Opened(c *Conn) { o.conns <- c }
 
 // accepting is a dialer that listens too.
-func accepting(t *testing.T, admit func(), peer func(c *Conn) Peer) (*Dialer, *Acceptor) {
+func accepting(t *testing.T, admit func(), peer func(c *Conn) Handler) (*Dialer, *Acceptor) {
 	t.Helper()
 	d, err := NewDialer(Options{})
 	if err != nil {
@@ -452,7 +452,7 @@
 	const all = 1200
 	opened, b := make(chan *Conn, all), &blocker{echo{closed: make(chan error, 1)}, make(chan struct{}), make(chan struct{})}
 	n := 0
-	d, a := accepting(t, func() {}, func(*Conn) Peer {
+	d, a := accepting(t, func() {}, func(*Conn) Handler {
 		if n++; n > all {
 			return b
 		}
@@ -496,7 +496,7 @@
 // Our side ends after what was queued, and what the peer says until it has closed too is read.
 func TestCloseWrite(t *testing.T) {
 	conns, closed := make(chan *Conn, 1), make(chan error, 1)
-	d, a := accepting(t, func() {}, func(*Conn) Peer { return &opener{echo{closed: closed}, conns} })
+	d, a := accepting(t, func() {}, func(*Conn) Handler { return &opener{echo{closed: closed}, conns} })
 	c, err := net.Dial("tcp", a.Addr())
 	if err != nil {
 		t.Fatal(err)
@@ -523,7 +523,7 @@
 // A connection that waits in the listener's queue when listening ends is taken, with what was written on it.
 func TestDrainTakesTheQueue(t *testing.T) {
 	slots, closed := make(chan struct{}), make(chan error, 2)
-	d, a := accepting(t, func() { slots <- struct{}{} }, func(*Conn) Peer { return &echo{closed: closed} })
+	d, a := accepting(t, func() { slots <- struct{}{} }, func(*Conn) Handler { return &echo{closed: closed} })
 	var all []net.Conn
 	for range 2 {
 		c, err := net.Dial("tcp", a.Addr())
@@ -557,7 +557,7 @@
 // the engine is stopped right behind it.
 func TestOrderUnderLoad(t *testing.T) {
 	conns, b := make(chan *Conn, 1), &blocker{echo{closed: make(chan error, 1)}, make(chan struct{}), make(chan struct{})}
-	d, a := accepting(t, func() {}, func(c *Conn) Peer { conns <- c; return b })
+	d, a := accepting(t, func() {}, func(c *Conn) Handler { conns <- c; return b })
 	c, err := net.Dial("tcp", a.Addr())
 	if err != nil {
 		t.Fatal(err)
@@ -590,7 +590,7 @@
 // Two goroutines may send beside a loop that works: each one's messages keep their order.
 func TestOrderBesideTheLoop(t *testing.T) {
 	conns := make(chan *Conn, 1)
-	d, a := accepting(t, func() {}, func(*Conn) Peer { return &opener{echo{closed: make(chan error, 1)}, conns} })
+	d, a := accepting(t, func() {}, func(*Conn) Handler { return &opener{echo{closed: make(chan error, 1)}, conns} })
 	c, err := net.Dial("tcp", a.Addr())
 	if err != nil {
 		t.Fatal(err)
