--- a/internal/daemon/ask.go
+++ b/internal/daemon/ask.go
@@ -41,7 +41,7 @@
 		}
 		return give(n)
 	}
-	if !shard.Leads(sample) {
+	if !shard.IsAnsweredByFirstCore(sample) {
 		for i, c := range d.cores {
 			if !send(i, c.offer) {
 				g.drop()
@@ -126,7 +126,7 @@
 	return func(i *scheduler.Info) bool {
 		info := *i
 		return !e.gone.Load() && e.c.RunInLoop(512, func(write func([]byte)) {
-			e.at[core] = info.Rev
+			e.at[core] = info.Revision
 			b := e.p.d.front.Event(&info, e.at.String())
 			if !e.begun {
 				e.early = append(e.early, b)
--- a/internal/daemon/core.go
+++ b/internal/daemon/core.go
@@ -67,9 +67,9 @@
 		if err != nil {
 			return nil, err
 		}
-		c.tap, cfg.Tap = tap, tap.Step
+		c.tap, cfg.RecordStep = tap, tap.Step
 	}
-	cfg.Around = d.metrics.module
+	cfg.WrapStep = d.metrics.module
 	var err error
 	if c.machine, err = scheduler.New(cfg); err != nil {
 		if c.tap != nil {
@@ -156,7 +156,7 @@
 	switch in := m.in.(type) {
 	case nil:
 		return true
-	case scheduler.Listed:
+	case scheduler.NodesUpdated:
 		if len(c.d.cores) > 1 { // the core writes into it, and others have the same
 			in.Machines = slices.Clone(in.Machines)
 			m.in = in
@@ -184,7 +184,7 @@
 		}
 		m.in = in.call(c.req, c.req)
 		if s, ok := m.in.(scheduler.Submit); ok && m.reply != nil {
-			s.Came = clock.At(m.came)
+			s.ReceivedAt = clock.At(m.came)
 			m.in, m.submits = s, true
 			c.waiting[c.req] = m
 		}
@@ -236,7 +236,7 @@
 			if l := to(e.Node); l != nil {
 				l.put(nodefront.Ack(e.Attempt))
 			}
-		case scheduler.SendProbe:
+		case scheduler.SendHealthCheck:
 			if l := to(e.Node); l != nil {
 				l.put(nodefront.Probe())
 			}
@@ -245,9 +245,9 @@
 		case scheduler.Disconnect:
 			delete(c.links, e.Node)
 			c.d.nodes.unwant(c.i, e.Node)
-		case scheduler.SubscribeList:
+		case scheduler.SubscribeDiscovery:
 			c.subscribe()
-		case scheduler.Sync:
+		case scheduler.SyncDiscovery:
 			c.sync(e.Token)
 		case scheduler.SyncNode:
 			if l := to(e.Node); l != nil {
@@ -270,7 +270,7 @@
 			if m, ok := c.streams[e.Stream]; ok && !m.stream(&e.Info) {
 				c.unwatch(e.Stream)
 			}
-		case scheduler.OutcomeLine:
+		case scheduler.LogOutcome:
 			delete(c.came, e.Info.ID)
 			c.d.outcome(&e)
 		case scheduler.Drained:
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -98,7 +98,7 @@
 	},
 		func(err error) {
 			d.log.Debug().Err(err).Msg("no connection to the inventory")
-			d.passAll(scheduler.ListFailed{})
+			d.passAll(scheduler.DiscoveryFailed{})
 		})
 	d.log.Info().Str("address", d.server.Addr()).Str("inventory", set.Inventory).Int("cores", n).Msg("the scheduler is up")
 	return d, nil
@@ -194,7 +194,7 @@
 	return errors.Join(errs...)
 }
 
-func (d *Daemon) outcome(o *scheduler.OutcomeLine) {
+func (d *Daemon) outcome(o *scheduler.LogOutcome) {
 	i := &o.Info
 	d.metrics.outcome(d.set, i)
 	l := d.log.Info()
@@ -204,7 +204,7 @@
 		l = l.Str("event", "outcome")
 	}
 	l.Str("job", i.ID).Str("session", i.Spec.Session).Str("class", d.set.Classes[i.Spec.Class].Name).
-		Int("ask", i.Ask).Str("outcome", string(i.Outcome)).Str("attempt", o.Attempt).Str("node", i.Node).
-		Str("state", string(i.State)).Str("sub", i.Sub).Str("reason", i.Note).
-		Dur("waited", time.Duration(clock.Now()-i.AskedAt)).Msg("job")
+		Int("ask", i.Request).Str("outcome", string(i.Outcome)).Str("attempt", o.Attempt).Str("node", i.Node).
+		Str("state", string(i.State)).Str("sub", i.SubState).Str("reason", i.Reason).
+		Dur("waited", time.Duration(clock.Now()-i.RequestedAt)).Msg("job")
 }
--- a/internal/daemon/inventory.go
+++ b/internal/daemon/inventory.go
@@ -45,9 +45,9 @@
 		case m.in == nil:
 			continue
 		}
-		if t, ok := m.in.(scheduler.Synced); ok {
+		if t, ok := m.in.(scheduler.DiscoverySynced); ok {
 			core, token := shard.Untoken(t.Token)
-			if core < len(p.d.cores) && !p.d.cores[core].offer(message{in: scheduler.Synced{Token: token}}) {
+			if core < len(p.d.cores) && !p.d.cores[core].offer(message{in: scheduler.DiscoverySynced{Token: token}}) {
 				return used, errBehind
 			}
 			continue
@@ -75,7 +75,7 @@
 
 func (c *core) tellList(b []byte) {
 	if list := c.d.list.Load(); list == nil || list.IsClosed() || !list.Send(b) {
-		c.again(scheduler.ListFailed{})
+		c.again(scheduler.DiscoveryFailed{})
 	}
 }
 
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -133,9 +133,9 @@
 func (m *metrics) outcome(set *settings.Scheduler, i *scheduler.Info) {
 	class := set.Classes[i.Spec.Class].Name
 	if i.State.Ended() {
-		m.ended.WithLabelValues(class, i.Sub).Inc()
+		m.ended.WithLabelValues(class, i.SubState).Inc()
 		return
 	}
 	m.outcomes.WithLabelValues(class, string(i.Outcome)).Inc()
-	m.toOutcome.record(time.Duration(time.Now().UnixNano()) - i.AskedAt)
+	m.toOutcome.record(time.Duration(time.Now().UnixNano()) - i.RequestedAt)
 }
--- a/internal/daemon/node.go
+++ b/internal/daemon/node.go
@@ -137,7 +137,9 @@
 }
 
 // late gives an offer back that was never written.
-func (c *core) late(node, attempt string) { c.again(scheduler.NotSent{Node: node, Attempt: attempt}) }
+func (c *core) late(node, attempt string) {
+	c.again(scheduler.SendFailed{Node: node, Attempt: attempt})
+}
 
 // connect keeps a connection to a node from now on.
 func (c *core) connect(name string) {
@@ -218,17 +220,17 @@
 			ok = d.cores[i].offer(message{in: part, from: from}) && ok
 		}
 		return ok
-	case scheduler.Accepted:
+	case scheduler.AttemptAccepted:
 		return one(in.Attempt)
-	case scheduler.Refused:
+	case scheduler.AttemptRejected:
 		return one(in.Attempt)
-	case scheduler.Failed:
+	case scheduler.AttemptFailed:
 		return one(in.Attempt)
-	case scheduler.Started:
+	case scheduler.AttemptStarted:
 		return one(in.Attempt)
-	case scheduler.Noted:
+	case scheduler.UsageReport:
 		return one(in.Attempt)
-	case scheduler.Ended:
+	case scheduler.AttemptEnded:
 		return one(in.Attempt)
 	case scheduler.NodeSynced:
 		core, token := shard.Untoken(in.Token)
--- a/internal/front/drmaafront/front.go
+++ b/internal/front/drmaafront/front.go
@@ -231,7 +231,7 @@
 
 func sessions(*Front, *httpcodec.Request, []string) (*Call, *drmaa2.Error) {
 	return &Call{
-		Input: func(req, _ uint64) scheduler.Input { return scheduler.SessionCommand{Req: req, Do: scheduler.List} },
+		Input: func(req, _ uint64) scheduler.Input { return scheduler.SessionCommand{Req: req, Verb: scheduler.List} },
 		Encode: encode(func(a *scheduler.Answer) []byte {
 			return respond(200, map[string]any{"names": a.Sessions})
 		}),
@@ -269,7 +269,7 @@
 
 func sessionCall(do scheduler.Verb, name string, status int) *Call {
 	return &Call{
-		Input: func(req, _ uint64) scheduler.Input { return scheduler.SessionCommand{Req: req, Do: do, Name: name} },
+		Input: func(req, _ uint64) scheduler.Input { return scheduler.SessionCommand{Req: req, Verb: do, Name: name} },
 		Encode: encode(func(a *scheduler.Answer) []byte {
 			return respond(status, map[string]string{"name": name})
 		}),
@@ -295,7 +295,7 @@
 		return nil, err
 	}
 	spec.Template = in.Template
-	spec.Session, spec.Again = args[0], in.Again
+	spec.Session, spec.Retry = args[0], in.Again
 	s := scheduler.Submit{Spec: *spec}
 	isArray := strings.HasSuffix(r.Path, "/arrays")
 	switch {
@@ -410,7 +410,7 @@
 func command(do scheduler.Verb) handler {
 	return func(f *Front, _ *httpcodec.Request, args []string) (*Call, *drmaa2.Error) {
 		return &Call{
-			Input:  func(req, _ uint64) scheduler.Input { return scheduler.Command{Req: req, Do: do, Job: args[0]} },
+			Input:  func(req, _ uint64) scheduler.Input { return scheduler.Command{Req: req, Verb: do, Job: args[0]} },
 			Encode: f.jobs(),
 		}, nil
 	}
@@ -490,11 +490,11 @@
 
 func (f *Front) jobInfo(i *scheduler.Info) drmaa2.JobInfo {
 	s := i.Spec
-	j := drmaa2.JobInfo{JobID: i.ID, JobName: s.Name, Annotation: i.Note, JobState: drmaa2.JobState(i.State),
-		JobSubState: i.Sub, SubmissionMachine: f.set.Name, JobOwner: s.Owner, Slots: slots(s.Cores), QueueName: queue,
-		SubmissionTime: clock.Wall(i.Taken).UTC(), TerminatingSignal: i.Signal,
-		ImplementationSpecific: map[string]string{drmaa2.AttrAsk: strconv.Itoa(i.Ask),
-			drmaa2.AttrAttempts: strconv.Itoa(i.Attempts), drmaa2.AttrRevision: strconv.FormatUint(i.Rev, 10)}}
+	j := drmaa2.JobInfo{JobID: i.ID, JobName: s.Name, Annotation: i.Reason, JobState: drmaa2.JobState(i.State),
+		JobSubState: i.SubState, SubmissionMachine: f.set.Name, JobOwner: s.Owner, Slots: slots(s.Cores), QueueName: queue,
+		SubmissionTime: clock.Wall(i.SubmittedAt).UTC(), TerminatingSignal: i.Signal,
+		ImplementationSpecific: map[string]string{drmaa2.AttrAsk: strconv.Itoa(i.Request),
+			drmaa2.AttrAttempts: strconv.Itoa(i.Attempts), drmaa2.AttrRevision: strconv.FormatUint(i.Revision, 10)}}
 	own := j.ImplementationSpecific
 	set := func(name, value string) {
 		if value != "" {
@@ -515,28 +515,28 @@
 	if i.Array != "" {
 		own[drmaa2.AttrIndex] = strconv.Itoa(i.Index)
 	}
-	if i.AskedAt > 0 {
-		own[drmaa2.AttrAskedAt] = clock.Wall(i.AskedAt).UTC().Format(time.RFC3339Nano)
+	if i.RequestedAt > 0 {
+		own[drmaa2.AttrAskedAt] = clock.Wall(i.RequestedAt).UTC().Format(time.RFC3339Nano)
 	}
-	if i.Due > 0 {
-		own[drmaa2.AttrDue] = clock.Wall(i.Due).UTC().Format(time.RFC3339Nano)
+	if i.PlacementDeadline > 0 {
+		own[drmaa2.AttrDue] = clock.Wall(i.PlacementDeadline).UTC().Format(time.RFC3339Nano)
 	}
-	if i.Sub == scheduler.SubExited {
+	if i.SubState == scheduler.SubExited {
 		exit := i.Exit
 		j.ExitStatus = &exit
 	}
-	if i.Started > 0 {
-		t := clock.Wall(i.Started).UTC()
+	if i.StartedAt > 0 {
+		t := clock.Wall(i.StartedAt).UTC()
 		j.DispatchTime = &t
 		if i.Node != "" {
 			j.AllocatedMachines = []drmaa2.SlotInfo{{MachineName: i.Node, Slots: slots(s.Cores)}}
 		}
 	}
-	if i.Finished > 0 {
-		t := clock.Wall(i.Finished).UTC()
+	if i.FinishedAt > 0 {
+		t := clock.Wall(i.FinishedAt).UTC()
 		j.FinishTime = &t
-		if i.Started > 0 {
-			j.WallclockTime = (i.Finished - i.Started).Seconds()
+		if i.StartedAt > 0 {
+			j.WallclockTime = (i.FinishedAt - i.StartedAt).Seconds()
 		}
 	}
 	return j
--- a/internal/front/drmaafront/front_test.go
+++ b/internal/front/drmaafront/front_test.go
@@ -171,7 +171,7 @@
 	s := call.Input(3, 0).(scheduler.Submit).Spec
 	s.Template = nil
 	want := scheduler.Spec{Key: "k", Session: "s", Name: "n", Service: "v", Class: 0, Tenant: 0, Cores: 0.5, Memory: 3,
-		Life: 90 * time.Second, Priority: 2, Rerunnable: true, Hold: true, Again: true, GiveUp: 7 * time.Second,
+		ExpectedRuntime: 90 * time.Second, Priority: 2, Rerunnable: true, Hold: true, Retry: true, PlacementTimeout: 7 * time.Second,
 		NotBefore: 9 * time.Second, Deadline: time.Minute}
 	if fmt.Sprintf("%+v", s) != fmt.Sprintf("%+v", want) {
 		t.Errorf("got  %+v\nwant %+v", s, want)
@@ -213,7 +213,7 @@
 			t.Errorf("%q: %+v", id, got)
 		}
 	}
-	event := string(f.Event(&scheduler.Info{ID: "j", Spec: &scheduler.Spec{}, State: scheduler.Running, Rev: 7}, "7"))
+	event := string(f.Event(&scheduler.Info{ID: "j", Spec: &scheduler.Spec{}, State: scheduler.Running, Revision: 7}, "7"))
 	if !strings.Contains(event, "id: "+f.life+".7\nevent: job\ndata: {\"jobId\":\"j\"") {
 		t.Errorf("event %q", event)
 	}
@@ -234,7 +234,7 @@
 			return
 		}
 		s := call.Input(1, 1).(scheduler.Submit).Spec
-		if !(s.Cores > 0 && s.Cores <= 1e9 && s.Memory > 0) || s.Class < 0 || s.Life < 0 || s.GiveUp < 0 {
+		if !(s.Cores > 0 && s.Cores <= 1e9 && s.Memory > 0) || s.Class < 0 || s.ExpectedRuntime < 0 || s.PlacementTimeout < 0 {
 			t.Errorf("%s was taken as %+v", body, s)
 		}
 	})
--- a/internal/front/drmaafront/template.go
+++ b/internal/front/drmaafront/template.go
@@ -206,9 +206,9 @@
 		case drmaa2.AttrMemory:
 			s.Memory, err = amount(name, value, t.MinPhysMemory > 0)
 		case drmaa2.AttrLife:
-			s.Life, err = duration(name, value)
+			s.ExpectedRuntime, err = duration(name, value)
 		case drmaa2.AttrGiveUp:
-			s.GiveUp, err = duration(name, value)
+			s.PlacementTimeout, err = duration(name, value)
 		default:
 			err = &drmaa2.Error{Code: drmaa2.UnsupportedAttribute, Attribute: clip(name),
 				Message: clip(name) + ": is not known"}
--- a/internal/front/nodefront/front.go
+++ b/internal/front/nodefront/front.go
@@ -27,9 +27,9 @@
 func Task(set *settings.Scheduler, e *scheduler.SendOffer, t *nodepb.Task) {
 	s := e.Spec
 	t.Job, t.Key, t.Session, t.Name, t.Service = e.Job, s.Key, s.Session, s.Name, s.Service
-	t.Class, t.Cores, t.Memory, t.LifeNs = set.Classes[s.Class].Name, s.Cores, s.Memory, int64(s.Life)
+	t.Class, t.Cores, t.Memory, t.LifeNs = set.Classes[s.Class].Name, s.Cores, s.Memory, int64(s.ExpectedRuntime)
 	t.Priority, t.Effect = int32(s.Priority), int32(set.Classes[s.Class].EffectOf())
-	t.SubmittedUnixNs, t.Rerunnable, t.Ask = int64(e.Submitted), s.Rerunnable, int32(e.Ask)
+	t.SubmittedUnixNs, t.Rerunnable, t.Ask = int64(e.Submitted), s.Rerunnable, int32(e.Request)
 	t.Owner, t.Template, t.Tenant = s.Owner, s.Template, ""
 	if s.Tenant >= 0 {
 		t.Tenant = set.Tenants[s.Tenant].Name
@@ -81,9 +81,9 @@
 		if p.greeted || w.Node != p.Name {
 			return nil, fmt.Errorf("%w: a welcome of %q from %s", ErrProtocol, w.Node, p.Name)
 		}
-		p.up.Node, p.up.Started, p.up.Fresh = w.Node, scheduler.Time(w.StartedUnixNs), w.Fresh
+		p.up.Node, p.up.Started, p.up.MayBeCold = w.Node, scheduler.Time(w.StartedUnixNs), w.Fresh
 		for _, h := range w.Held {
-			p.up.Held = append(p.up.Held, held(p.Set, h))
+			p.up.Running = append(p.up.Running, held(p.Set, h))
 		}
 		for _, e := range w.Ended {
 			p.up.Ended = append(p.up.Ended, p.ended(e))
@@ -103,22 +103,22 @@
 	}
 	switch b := f.Body.(type) {
 	case *nodepb.Frame_Accepted:
-		return scheduler.Accepted{Node: p.Name, Attempt: b.Accepted.Attempt, Load: load(b.Accepted.Load)}, nil
+		return scheduler.AttemptAccepted{Node: p.Name, Attempt: b.Accepted.Attempt, Load: load(b.Accepted.Load)}, nil
 	case *nodepb.Frame_Refused:
-		return scheduler.Refused{Node: p.Name, Attempt: b.Refused.Attempt, Reason: reason(b.Refused.Reason),
+		return scheduler.AttemptRejected{Node: p.Name, Attempt: b.Refused.Attempt, Reason: reason(b.Refused.Reason),
 			Load: load(b.Refused.Load)}, nil
 	case *nodepb.Frame_Failed:
-		return scheduler.Failed{Node: p.Name, Attempt: b.Failed.Attempt, Message: b.Failed.Message,
+		return scheduler.AttemptFailed{Node: p.Name, Attempt: b.Failed.Attempt, Message: b.Failed.Message,
 			Load: load(b.Failed.Load)}, nil
 	case *nodepb.Frame_Started:
-		return scheduler.Started{Node: p.Name, Attempt: b.Started.Attempt}, nil
+		return scheduler.AttemptStarted{Node: p.Name, Attempt: b.Started.Attempt}, nil
 	case *nodepb.Frame_Note:
-		return scheduler.Noted{Node: p.Name, Attempt: b.Note.Attempt, Kind: flaxshelf.UsageKind(b.Note.Kind),
+		return scheduler.UsageReport{Node: p.Name, Attempt: b.Note.Attempt, Kind: flaxshelf.UsageKind(b.Note.Kind),
 			Amount: b.Note.Amount}, nil
 	case *nodepb.Frame_Ended:
 		return p.ended(b.Ended), nil
 	case *nodepb.Frame_Probed:
-		return scheduler.Probed{Node: p.Name, Load: load(b.Probed.Load)}, nil
+		return scheduler.HealthChecked{Node: p.Name, Load: load(b.Probed.Load)}, nil
 	case *nodepb.Frame_Pong:
 		if b.Pong.Token > 0 {
 			return scheduler.NodeSynced{Node: p.Name, Token: b.Pong.Token}, nil
@@ -128,14 +128,14 @@
 	return nil, fmt.Errorf("%w: a %T from a node", ErrProtocol, f.Body)
 }
 
-func (p *Node) ended(e *nodepb.Ended) scheduler.Ended {
-	return scheduler.Ended{Node: p.Name, Attempt: e.Attempt, Ending: endings[e.Ending], Reason: reason(e.Reason),
+func (p *Node) ended(e *nodepb.Ended) scheduler.AttemptEnded {
+	return scheduler.AttemptEnded{Node: p.Name, Attempt: e.Attempt, End: endings[e.Ending], Reason: reason(e.Reason),
 		Exit: int(e.ExitStatus), Load: load(e.Load)}
 }
 
-var endings = map[nodepb.Ending]scheduler.Ending{
-	nodepb.Ending_FINISHED: scheduler.EndFinished, nodepb.Ending_LOST: scheduler.EndLost,
-	nodepb.Ending_STOPPED: scheduler.EndStopped, nodepb.Ending_BROKE: scheduler.EndBroke,
+var endings = map[nodepb.Ending]scheduler.End{
+	nodepb.Ending_FINISHED: scheduler.EndCompleted, nodepb.Ending_LOST: scheduler.EndLost,
+	nodepb.Ending_STOPPED: scheduler.EndStopped, nodepb.Ending_BROKE: scheduler.EndStartFailed,
 }
 
 // reason maps the wire's reasons, whose numbers follow the module's; later ones are untold.
@@ -154,16 +154,16 @@
 		HasMemory: true}
 }
 
-func held(set *settings.Scheduler, h *nodepb.Held) scheduler.Held {
+func held(set *settings.Scheduler, h *nodepb.Held) scheduler.RunningAttempt {
 	t := h.Task
 	if t == nil {
 		t = &nodepb.Task{}
 	}
-	return scheduler.Held{Attempt: h.Attempt, Job: t.Job, Ask: int(t.Ask), Running: h.Running,
+	return scheduler.RunningAttempt{Attempt: h.Attempt, Job: t.Job, Request: int(t.Ask), Running: h.Running,
 		Submitted: scheduler.Time(t.SubmittedUnixNs),
 		Spec: scheduler.Spec{Key: t.Key, Session: t.Session, Name: t.Name, Owner: t.Owner, Service: t.Service,
 			Class: set.ClassIndex(t.Class), Tenant: set.TenantIndex(t.Tenant), Cores: t.Cores, Memory: t.Memory,
-			Life: time.Duration(t.LifeNs), Priority: int(t.Priority), Rerunnable: t.Rerunnable, Template: t.Template}}
+			ExpectedRuntime: time.Duration(t.LifeNs), Priority: int(t.Priority), Rerunnable: t.Rerunnable, Template: t.Template}}
 }
 
 // Inventory reads what the inventory says over one connection.
@@ -192,10 +192,10 @@
 		p.parts = nil
 		return in, addrs, false, nil
 	case *nodepb.Frame_ListError:
-		return scheduler.ListFailed{}, nil, true, nil
+		return scheduler.DiscoveryFailed{}, nil, true, nil
 	case *nodepb.Frame_Pong:
 		if b.Pong.Token > 0 {
-			return scheduler.Synced{Token: b.Pong.Token}, nil, false, nil
+			return scheduler.DiscoverySynced{Token: b.Pong.Token}, nil, false, nil
 		}
 		return nil, nil, false, nil
 	case *nodepb.Frame_Bye:
@@ -208,8 +208,8 @@
 	nodepb.Standing_IN: flaxshelf.Active, nodepb.Standing_DRAINING: flaxshelf.Draining, nodepb.Standing_OUT: flaxshelf.Removed,
 }
 
-func listed(set *settings.Scheduler, entries []*nodepb.Entry, whole bool) (scheduler.Listed, map[string]string) {
-	in, addrs := scheduler.Listed{Whole: whole}, make(map[string]string, len(entries))
+func listed(set *settings.Scheduler, entries []*nodepb.Entry, whole bool) (scheduler.NodesUpdated, map[string]string) {
+	in, addrs := scheduler.NodesUpdated{Complete: whole}, make(map[string]string, len(entries))
 	for _, e := range entries {
 		addrs[e.Node] = e.Address
 		in.Machines = append(in.Machines, flaxshelf.Machine{ID: e.Node, Kind: set.KindIndex(e.Kind), Zone: e.Zone,
--- a/internal/lab/ablation/ablation.go
+++ b/internal/lab/ablation/ablation.go
@@ -49,8 +49,8 @@
 // Options take bars and guards out of every scheduler of a day.
 func Options(seed uint64, guards scheduler.Guards, out ...flaxshelf.Constraint) emulator.Options {
 	return emulator.Options{Seed: seed,
-		Core: func(c *scheduler.Config) { c.Without = guards },
-		Make: func(c flaxshelf.Config, seed uint64) (scheduler.Stepper, error) {
+		Core: func(c *scheduler.Config) { c.DisabledGuards = guards },
+		Make: func(c flaxshelf.Config, seed uint64) (scheduler.Module, error) {
 			p, err := flaxshelf.New(c, seed)
 			if err != nil {
 				return nil, err
--- a/internal/lab/baseline/baseline_test.go
+++ b/internal/lab/baseline/baseline_test.go
@@ -22,7 +22,7 @@
 					t.Fatal(err)
 				}
 				rep, v, err := emulator.Judge(context.Background(), d, emulator.Options{Seed: 2,
-					Make: func(cfg flaxshelf.Config, seed uint64) (scheduler.Stepper, error) {
+					Make: func(cfg flaxshelf.Config, seed uint64) (scheduler.Module, error) {
 						return baseline.New(how, cfg, seed)
 					}})
 				if err != nil {
--- a/internal/lab/emulator/emulator_test.go
+++ b/internal/lab/emulator/emulator_test.go
@@ -44,7 +44,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			var twins []*reference.Twin
-			twin := func(c flaxshelf.Config, seed uint64) (scheduler.Stepper, error) {
+			twin := func(c flaxshelf.Config, seed uint64) (scheduler.Module, error) {
 				x, err := reference.NewTwin(c, seed)
 				twins = append(twins, x)
 				return x, err
--- a/internal/lab/emulator/owners.go
+++ b/internal/lab/emulator/owners.go
@@ -160,7 +160,7 @@
 	set := o.w.servers[a.Scheduler].set
 	s.spec = scheduler.Spec{Key: a.Key, Session: "", Name: a.Load.Class, Service: a.Service,
 		Class: set.ClassIndex(a.Load.Class), Tenant: set.TenantIndex(a.Load.Tenant), Cores: a.Cores, Memory: a.Memory,
-		Life: a.Life, Rerunnable: a.Load.Rerunnable}
+		ExpectedRuntime: a.Life, Rerunnable: a.Load.Rerunnable}
 	class := set.Classes[s.spec.Class]
 	s.spec.Priority = class.Priority
 	if s.spec.Cores <= 0 {
@@ -273,7 +273,7 @@
 	if at >= s.due-grace {
 		return
 	}
-	s.spec.Again = true
+	s.spec.Retry = true
 	o.later(at, func(now Time, out *outbox) {
 		if s.outcome == "" {
 			o.send(s, now, out)
@@ -302,20 +302,20 @@
 func (o *owners) told(b *told) {
 	i := &b.info
 	if i.State.Ended() {
-		o.stats.ended[i.Sub]++
+		o.stats.ended[i.SubState]++
 		return
 	}
 	o.stats.outcome(o.w.day.Classes[i.Spec.Class].Name, i.Outcome)
 	s := o.subs[i.Spec.Key]
-	if s == nil || s.outcome != "" || i.Outcome == scheduler.Withdrawn && !(s.a.Verb < s.a.Load.Terminate) {
+	if s == nil || s.outcome != "" || i.Outcome == scheduler.OutcomeCanceled && !(s.a.Verb < s.a.Load.Terminate) {
 		return
 	}
-	if i.Outcome != scheduler.Placed && i.Outcome != scheduler.Withdrawn && o.retry(s, b.at) {
+	if i.Outcome != scheduler.OutcomePlaced && i.Outcome != scheduler.OutcomeCanceled && o.retry(s, b.at) {
 		s.last = string(i.Outcome)
 		return
 	}
 	s.outcome = i.Outcome
-	if i.Outcome == scheduler.Placed && s.a.At >= o.from {
+	if i.Outcome == scheduler.OutcomePlaced && s.a.At >= o.from {
 		class := o.w.day.Class(s.a.Load.Class)
 		o.stats.placed(class.Name, b.at-(Epoch+warmUp+s.a.At), class.Aim.Of())
 	}
--- a/internal/lab/emulator/recorder.go
+++ b/internal/lab/emulator/recorder.go
@@ -163,7 +163,7 @@
 func (r *recorder) outcome(s *server, i *scheduler.Info, at Time) {
 	if r != nil {
 		p := r.of[s.set.Name]
-		r.bytes(p.events, true, p.front.Event(i, strconv.FormatUint(i.Rev, 10)), at)
+		r.bytes(p.events, true, p.front.Event(i, strconv.FormatUint(i.Revision, 10)), at)
 	}
 }
 
--- a/internal/lab/emulator/scheduler.go
+++ b/internal/lab/emulator/scheduler.go
@@ -94,7 +94,7 @@
 	set := *s.set
 	set.Seed = s.w.seed*1000 + uint64(s.set.Index*100+s.lives) + 1
 	cfg := set.Core(now)
-	cfg.Make = s.w.make
+	cfg.NewModule = s.w.make
 	if s.w.core != nil {
 		s.w.core(&cfg)
 	}
@@ -210,11 +210,11 @@
 	case submission:
 		s.req++
 		s.reqs[s.req] = request{m.from, b.spec.Key}
-		return scheduler.Submit{Req: s.req, Came: m.at, Spec: b.spec}
+		return scheduler.Submit{Req: s.req, ReceivedAt: m.at, Spec: b.spec}
 	case termServer:
 		return scheduler.Drain{}
 	case command:
-		return scheduler.Command{Do: b.do, Job: b.job}
+		return scheduler.Command{Verb: b.do, Job: b.job}
 	case closed:
 		l := s.peers[m.from]
 		if l == nil {
@@ -265,13 +265,13 @@
 	case scheduler.SendOffer:
 		s.offers++
 		if !to(e.Node, frame{nodefront.Offer(s.set, &e)}) {
-			s.again = append(s.again, scheduler.NotSent{Node: e.Node, Attempt: e.Attempt})
+			s.again = append(s.again, scheduler.SendFailed{Node: e.Node, Attempt: e.Attempt})
 		}
 	case scheduler.SendStop:
 		to(e.Node, frame{nodefront.Stop(e.Attempt)})
 	case scheduler.SendAck:
 		to(e.Node, frame{nodefront.Ack(e.Attempt)})
-	case scheduler.SendProbe:
+	case scheduler.SendHealthCheck:
 		to(e.Node, frame{nodefront.Probe()})
 	case scheduler.SyncNode:
 		to(e.Node, frame{nodefront.Ping(e.Token)})
@@ -286,9 +286,9 @@
 				l.up, l.dialling = false, false
 			}
 		}
-	case scheduler.SubscribeList:
+	case scheduler.SubscribeDiscovery:
 		list(frame{nodefront.Watch()})
-	case scheduler.Sync:
+	case scheduler.SyncDiscovery:
 		list(frame{nodefront.Ping(e.Token)})
 	case scheduler.Answer:
 		if r, ok := s.reqs[e.Req]; ok {
@@ -304,7 +304,7 @@
 		}
 	case scheduler.Drained:
 		s.leaves = true
-	case scheduler.OutcomeLine:
+	case scheduler.LogOutcome:
 		s.rec.outcome(s, &e.Info, now)
 		owners(told{e.Info, s.set.Index, now})
 	}
--- a/internal/lab/emulator/world.go
+++ b/internal/lab/emulator/world.go
@@ -24,7 +24,7 @@
 	Workers int       // 0: one
 	Record  io.Writer // a recording for the rules' checker; with one worker only
 	// Make makes the module of each scheduler; nil: flaxshelf.New.
-	Make func(cfg flaxshelf.Config, seed uint64) (scheduler.Stepper, error)
+	Make func(cfg flaxshelf.Config, seed uint64) (scheduler.Module, error)
 	// Core, when set, may change the configuration of each scheduler's core, as for tests without a guard.
 	Core func(cfg *scheduler.Config)
 	// Load, when set, is played in place of the day's own load, as long as it is.
@@ -48,7 +48,7 @@
 	owners    *owners
 	director  *director
 	rooms     map[string]nodemodel.Keys
-	make      func(cfg flaxshelf.Config, seed uint64) (scheduler.Stepper, error)
+	make      func(cfg flaxshelf.Config, seed uint64) (scheduler.Module, error)
 	core      func(cfg *scheduler.Config)
 	played    *played
 	roomNo    map[string]int32
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -108,11 +108,11 @@
 }
 
 // make makes the module of a design; nil stands for the vote.
-func (d *Design) make() func(cfg flaxshelf.Config, seed uint64) (scheduler.Stepper, error) {
+func (d *Design) make() func(cfg flaxshelf.Config, seed uint64) (scheduler.Module, error) {
 	if d.Module == "vote" {
 		return nil
 	}
-	return func(cfg flaxshelf.Config, seed uint64) (scheduler.Stepper, error) {
+	return func(cfg flaxshelf.Config, seed uint64) (scheduler.Module, error) {
 		return baseline.New(d.Module, cfg, seed)
 	}
 }
--- a/internal/lab/trial/hook_test.go
+++ b/internal/lab/trial/hook_test.go
@@ -42,9 +42,9 @@
 	var out []scheduler.Effect
 	for _, e := range effects {
 		out = append(out, e)
-		if p, ok := e.(scheduler.Publish); ok && p.Info.State == scheduler.Running && p.Info.Sub == scheduler.SubRunning {
+		if p, ok := e.(scheduler.Publish); ok && p.Info.State == scheduler.Running && p.Info.SubState == scheduler.SubRunning {
 			if h.n++; h.n%20 == 0 {
-				p.Info.Outcome = scheduler.FailedOutcome
+				p.Info.Outcome = scheduler.OutcomeFailed
 				out = append(out, p)
 			}
 		}
@@ -82,28 +82,28 @@
 
 func (h *elsewhere) In(in scheduler.Input) scheduler.Input {
 	switch in := in.(type) {
-	case scheduler.Listed:
+	case scheduler.NodesUpdated:
 		for _, m := range in.Machines {
 			if m.State != 0 || m.Started > 0 {
 				h.node = m.ID
 			}
 		}
-	case scheduler.Accepted:
+	case scheduler.AttemptAccepted:
 		in.Node = h.chosen(in.Attempt, in.Node)
 		return in
-	case scheduler.Refused:
+	case scheduler.AttemptRejected:
 		in.Node = h.chosen(in.Attempt, in.Node)
 		return in
-	case scheduler.Failed:
+	case scheduler.AttemptFailed:
 		in.Node = h.chosen(in.Attempt, in.Node)
 		return in
-	case scheduler.Started:
+	case scheduler.AttemptStarted:
 		in.Node = h.chosen(in.Attempt, in.Node)
 		return in
-	case scheduler.Noted:
+	case scheduler.UsageReport:
 		in.Node = h.chosen(in.Attempt, in.Node)
 		return in
-	case scheduler.Ended:
+	case scheduler.AttemptEnded:
 		in.Node = h.chosen(in.Attempt, in.Node)
 		return in
 	}
--- a/internal/scheduler/admission.go
+++ b/internal/scheduler/admission.go
@@ -34,20 +34,20 @@
 		}
 	}
 	// Risk covered: a core that is behind would take what it can hardly place before its owner gives up.
-	if late := c.now - in.Came; in.Came > 0 && late > c.giveUp(s)/2 {
+	if late := c.now - in.ReceivedAt; in.ReceivedAt > 0 && late > c.giveUp(s)/2 {
 		c.refuse(in.Req, TryLater, tryAgain, "the scheduler is %v behind", late.Round(time.Millisecond))
 		return
 	}
 	switch {
 	case c.draining:
-		c.refuse(in.Req, TryLater, c.cfg.Limits.Settle, "the scheduler is shutting down")
+		c.refuse(in.Req, TryLater, c.cfg.Limits.SettleTime, "the scheduler is shutting down")
 		return
-	case c.nOpen+n > c.cfg.Limits.MaxOpen:
+	case c.nOpen+n > c.cfg.Limits.MaxPending:
 		c.refuse(in.Req, TryLater, tryAgain, "%d jobs wait for their outcome, %d at most", c.nOpen,
-			c.cfg.Limits.MaxOpen)
+			c.cfg.Limits.MaxPending)
 		return
-	case c.nLive+n > c.cfg.Limits.MaxJobs:
-		c.refuse(in.Req, TryLater, tryAgain, "%d jobs have not ended, %d at most", c.nLive, c.cfg.Limits.MaxJobs)
+	case c.nLive+n > c.cfg.Limits.MaxRunning:
+		c.refuse(in.Req, TryLater, tryAgain, "%d jobs have not ended, %d at most", c.nLive, c.cfg.Limits.MaxRunning)
 		return
 	}
 	if len(in.Indexes) > 0 {
@@ -55,7 +55,7 @@
 		return
 	}
 	j := c.newJob(&in.Spec)
-	j.came = in.Came
+	j.came = in.ReceivedAt
 	c.answer(in.Req, Answer{Jobs: []Info{j.info()}})
 	c.enter(j)
 }
@@ -64,8 +64,8 @@
 // again and must not start the work twice. Only a job that ended without having been placed makes way for a
 // new one, and where it may have run not before Settle.
 func (c *Core) knownKey(in Submit, j *job) bool {
-	if j.state == FailedState && (j.outcome == RefusedOutcome || j.outcome == FailedOutcome || j.outcome == Withdrawn) {
-		wait := j.uncertain + c.cfg.Limits.Settle - c.now
+	if j.state == Failed && (j.outcome == OutcomeRejected || j.outcome == OutcomeFailed || j.outcome == OutcomeCanceled) {
+		wait := j.uncertain + c.cfg.Limits.SettleTime - c.now
 		if j.uncertain == 0 || wait <= 0 || c.bearsRepeats(j) {
 			return false
 		}
@@ -144,7 +144,7 @@
 func (c *Core) command(in Command) {
 	if a := c.arrays[in.Job]; a != nil {
 		for _, j := range a.jobs {
-			c.commandOne(0, in.Do, j)
+			c.commandOne(0, in.Verb, j)
 		}
 		c.answer(in.Req, Answer{Array: a.id, Jobs: a.infos()})
 		return
@@ -154,7 +154,7 @@
 		c.refuse(in.Req, InvalidArgument, 0, "no job %q", in.Job)
 		return
 	}
-	c.commandOne(in.Req, in.Do, j)
+	c.commandOne(in.Req, in.Verb, j)
 }
 
 // commandOne answers req unless it is 0, as for a job of an array.
@@ -226,7 +226,7 @@
 		// Risk covered: the node's word that a start failed crosses the stop. Held and released, the job would be asked
 		// for anew, and the module knows nothing of the former ask's attempts.
 		if c.doubtful(j) {
-			c.closeFailed(j, FailedOutcome, "an attempt may have run before it could be held")
+			c.closeFailed(j, OutcomeFailed, "an attempt may have run before it could be held")
 			return
 		}
 		j.holdWaits = false
@@ -250,7 +250,7 @@
 func (c *Core) hold(j *job) {
 	if j.open {
 		c.tell(flaxshelf.TaskCanceled{Task: j.askID()})
-		c.closeAsk(j, Withdrawn, "")
+		c.closeAsk(j, OutcomeCanceled, "")
 	}
 	if j.state == Requeued {
 		j.state = RequeuedHeld
@@ -288,13 +288,13 @@
 		if a := j.live; a != nil {
 			c.end(a, flaxshelf.NotSent, flaxshelf.UnspecifiedReason, flaxshelf.LoadReport{})
 		}
-		c.finish(j, FailedState, SubTerminated, "terminated by its owner")
+		c.finish(j, Failed, SubTerminated, "terminated by its owner")
 		return
 	}
 	j.stopping, j.sub = true, SubStopping
 	if j.open {
 		c.tell(flaxshelf.TaskCanceled{Task: j.askID()})
-		c.closeAsk(j, Withdrawn, j.live.id)
+		c.closeAsk(j, OutcomeCanceled, j.live.id)
 	}
 	c.stop(j.live)
 	c.changed(j)
--- a/internal/scheduler/attempt.go
+++ b/internal/scheduler/attempt.go
@@ -54,7 +54,7 @@
 	c.attempts[a.id], n.live[a.id], j.live = a, a, a
 	j.node, j.sub = n.entry.ID, SubOffered
 	switch {
-	case !j.open || a.limit <= 0 || j.stopping || n.entry.State != flaxshelf.Active && !c.cfg.Without.Drain:
+	case !j.open || a.limit <= 0 || j.stopping || n.entry.State != flaxshelf.Active && !c.cfg.DisabledGuards.Drain:
 		c.end(a, flaxshelf.NotSent, flaxshelf.UnspecifiedReason, flaxshelf.LoadReport{})
 	case n.up:
 		c.send(a)
@@ -83,7 +83,7 @@
 		return
 	}
 	a.phase = offered
-	c.emit(SendOffer{Node: a.node.entry.ID, Attempt: a.id, Job: a.job.id, Ask: a.job.ask, Spec: a.job.spec,
+	c.emit(SendOffer{Node: a.node.entry.ID, Attempt: a.id, Job: a.job.id, Request: a.job.ask, Spec: a.job.spec,
 		Submitted: a.job.taken, ValidFor: left})
 	c.changed(a.job)
 	a.timer = c.timers.Schedule(c.now+left, func() {
@@ -134,7 +134,7 @@
 	return nil
 }
 
-func (c *Core) accepted(in Accepted) {
+func (c *Core) accepted(in AttemptAccepted) {
 	if a := c.known(in.Node, in.Attempt, true); a != nil && a.phase == offered {
 		c.accept(a, in.Load)
 	}
@@ -163,11 +163,11 @@
 func (c *Core) placedNow(a *attempt) {
 	c.tell(flaxshelf.AttemptPlaced{Task: a.task, Machine: a.node.entry.ID, Attempt: a.n, Latency: c.now - a.sent})
 	if a.job.open {
-		c.closeAsk(a.job, Placed, a.id)
+		c.closeAsk(a.job, OutcomePlaced, a.id)
 	}
 }
 
-func (c *Core) started(in Started) {
+func (c *Core) started(in AttemptStarted) {
 	if a := c.known(in.Node, in.Attempt, true); a != nil {
 		if a.phase == offered {
 			c.accept(a, flaxshelf.LoadReport{})
@@ -197,51 +197,51 @@
 	c.changed(j)
 }
 
-func (c *Core) noted(in Noted) {
+func (c *Core) noted(in UsageReport) {
 	if a := c.known(in.Node, in.Attempt, true); a != nil && a.phase >= accepted {
 		c.tell(flaxshelf.UsageReport{Task: a.task, Machine: in.Node, Attempt: a.n, Kind: in.Kind, Amount: in.Amount})
 	}
 }
 
-func (c *Core) refused(in Refused) {
+func (c *Core) refused(in AttemptRejected) {
 	if a := c.known(in.Node, in.Attempt, false); a != nil && a.phase == offered {
 		c.end(a, flaxshelf.Rejected, in.Reason, in.Load)
 	}
 }
 
-func (c *Core) failed(in Failed) {
+func (c *Core) failed(in AttemptFailed) {
 	if a := c.known(in.Node, in.Attempt, false); a != nil && a.phase == offered {
 		a.job.note = in.Message
 		c.end(a, flaxshelf.Failed, flaxshelf.UnspecifiedReason, in.Load)
 	}
 }
 
-func (c *Core) notSent(in NotSent) {
+func (c *Core) notSent(in SendFailed) {
 	if a := c.known(in.Node, in.Attempt, false); a != nil && a.phase == offered {
 		c.end(a, flaxshelf.NotSent, flaxshelf.UnspecifiedReason, flaxshelf.LoadReport{})
 	}
 }
 
-func (c *Core) ended(in Ended) {
+func (c *Core) ended(in AttemptEnded) {
 	c.emit(SendAck{in.Node, in.Attempt})
 	a := c.known(in.Node, in.Attempt, false)
 	if a == nil {
 		return
 	}
 	if a.phase == offered { // its Accepted was cut off
-		if in.Ending == EndStopped && !a.job.open {
+		if in.End == EndStopped && !a.job.open {
 			c.end(a, flaxshelf.Canceled, flaxshelf.UnspecifiedReason, in.Load)
 			return
 		}
 		c.accept(a, flaxshelf.LoadReport{})
 	}
 	a.job.exit = in.Exit
-	switch in.Ending {
-	case EndFinished:
+	switch in.End {
+	case EndCompleted:
 		c.end(a, flaxshelf.Completed, flaxshelf.UnspecifiedReason, in.Load)
 	case EndStopped:
 		c.end(a, flaxshelf.Canceled, flaxshelf.UnspecifiedReason, in.Load)
-	case EndBroke:
+	case EndStartFailed:
 		c.end(a, flaxshelf.Failed, flaxshelf.UnspecifiedReason, in.Load)
 	default:
 		c.end(a, flaxshelf.Lost, in.Reason, in.Load)
@@ -287,7 +287,7 @@
 	j.node = ""
 	switch {
 	case j.stopping:
-		c.finish(j, FailedState, SubTerminated, "terminated before its start")
+		c.finish(j, Failed, SubTerminated, "terminated before its start")
 	case j.open:
 		j.sub = SubWaiting
 		c.changed(j)
--- a/internal/scheduler/behind_test.go
+++ b/internal/scheduler/behind_test.go
@@ -14,14 +14,14 @@
 	}
 	w := &world{}
 	now := 10 * time.Second
-	c.Step(now, []Input{Listed{Whole: true, Machines: w.machines()}, NodeUp{Node: "n1"}, NodeUp{Node: "n2"}, NodeUp{Node: "n3"}})
-	spec := Spec{Tenant: -1, Cores: 1, Memory: 1, GiveUp: 4 * time.Second}
+	c.Step(now, []Input{NodesUpdated{Complete: true, Machines: w.machines()}, NodeUp{Node: "n1"}, NodeUp{Node: "n2"}, NodeUp{Node: "n3"}})
+	spec := Spec{Tenant: -1, Cores: 1, Memory: 1, PlacementTimeout: 4 * time.Second}
 	for _, x := range []struct {
 		came Time
 		took bool
 		due  Time
 	}{{0, true, now + 4*time.Second}, {now - time.Second, true, now + 3*time.Second}, {now - 3*time.Second, false, 0}} {
-		out := c.Step(now, []Input{Submit{Req: 7, Came: x.came, Spec: spec}})
+		out := c.Step(now, []Input{Submit{Req: 7, ReceivedAt: x.came, Spec: spec}})
 		for _, e := range out.Effects {
 			a, ok := e.(Answer)
 			if !ok || a.Req != 7 {
--- a/internal/scheduler/core.go
+++ b/internal/scheduler/core.go
@@ -13,7 +13,7 @@
 // concurrent use.
 type Core struct {
 	cfg      Config
-	placer   Stepper
+	placer   Module
 	now      Time
 	last     Time // the step before this one
 	wakeAt   Time // when the module wants to be woken; 0: not
@@ -49,18 +49,18 @@
 		return nil, fmt.Errorf("scheduler: Config.Name is empty")
 	}
 	l := cfg.Limits
-	if l.MaxOpen < 1 || l.MaxJobs < 1 || l.MaxFinished < 1 || l.MaxSessions < 1 || l.Settle <= 0 ||
-		l.StallAfter <= 0 || l.Retention <= 0 {
+	if l.MaxPending < 1 || l.MaxRunning < 1 || l.MaxFinished < 1 || l.MaxSessions < 1 || l.SettleTime <= 0 ||
+		l.StallThreshold <= 0 || l.Retention <= 0 {
 		return nil, fmt.Errorf("scheduler: Config.Limits: all bounds must be above 0: %+v", l)
 	}
-	if len(l.GiveUp) != len(cfg.Module.Classes) {
-		return nil, fmt.Errorf("scheduler: Config.Limits.GiveUp: %d values for %d classes", len(l.GiveUp),
+	if len(l.PlacementTimeouts) != len(cfg.Module.Classes) {
+		return nil, fmt.Errorf("scheduler: Config.Limits.GiveUp: %d values for %d classes", len(l.PlacementTimeouts),
 			len(cfg.Module.Classes))
 	}
-	if cfg.Make == nil {
-		cfg.Make = func(m flaxshelf.Config, seed uint64) (Stepper, error) { return flaxshelf.New(m, seed) }
+	if cfg.NewModule == nil {
+		cfg.NewModule = func(m flaxshelf.Config, seed uint64) (Module, error) { return flaxshelf.New(m, seed) }
 	}
-	p, err := cfg.Make(cfg.Module, cfg.Seed)
+	p, err := cfg.NewModule(cfg.Module, cfg.Seed)
 	if err != nil {
 		return nil, fmt.Errorf("scheduler: module settings: %w", err)
 	}
@@ -71,7 +71,7 @@
 		sessions: map[string]*session{}, arrays: map[string]*array{},
 	}
 	c.wakeAt = 1 // the module asks for the list in its first step
-	c.prefix = fmt.Sprintf("%s.%s.", cfg.Name, strconv.FormatInt(int64(cfg.Boot/time.Millisecond), 36))
+	c.prefix = fmt.Sprintf("%s.%s.", cfg.Name, strconv.FormatInt(int64(cfg.StartedAt/time.Millisecond), 36))
 	c.recovery.on, c.watches = true, watches{topics: map[string][]uint64{}, of: map[uint64]string{}}
 	return c, nil
 }
@@ -100,7 +100,7 @@
 
 // wake is never far off, so that a step which comes late is known for a stall.
 func (c *Core) wake() Time {
-	at := c.now + c.cfg.Limits.StallAfter/4
+	at := c.now + c.cfg.Limits.StallThreshold/4
 	if c.fence.up() {
 		return min(at, c.fence.until)
 	}
@@ -151,28 +151,28 @@
 		c.nodeUp(in)
 	case NodeDown:
 		c.nodeDown(in)
-	case Accepted:
+	case AttemptAccepted:
 		c.accepted(in)
-	case Refused:
+	case AttemptRejected:
 		c.refused(in)
-	case Failed:
+	case AttemptFailed:
 		c.failed(in)
-	case Started:
+	case AttemptStarted:
 		c.started(in)
-	case Noted:
+	case UsageReport:
 		c.noted(in)
-	case Ended:
+	case AttemptEnded:
 		c.ended(in)
-	case Probed:
+	case HealthChecked:
 		c.probed(in)
-	case NotSent:
+	case SendFailed:
 		c.notSent(in)
-	case Listed:
+	case NodesUpdated:
 		c.listed(in)
-	case ListFailed:
+	case DiscoveryFailed:
 		c.tell(flaxshelf.DiscoveryFailed{})
 		c.fence.lost()
-	case Synced:
+	case DiscoverySynced:
 		c.fence.synced(in.Token)
 	case NodeSynced:
 		c.fence.nodeSynced(in.Node, in.Token)
@@ -195,13 +195,13 @@
 	c.events = nil
 	var actions []flaxshelf.Action
 	step := func() { actions = c.placer.Step(c.now, events) }
-	if c.cfg.Around != nil {
-		c.cfg.Around(step)
+	if c.cfg.WrapStep != nil {
+		c.cfg.WrapStep(step)
 	} else {
 		step()
 	}
-	if c.cfg.Tap != nil {
-		c.cfg.Tap(c.now, events, actions)
+	if c.cfg.RecordStep != nil {
+		c.cfg.RecordStep(c.now, events, actions)
 	}
 	for _, a := range actions {
 		c.carry(a)
@@ -216,15 +216,15 @@
 	case flaxshelf.Cancel:
 		c.withdraw(a)
 	case flaxshelf.Reject:
-		c.settle(a.Task, RefusedOutcome)
+		c.settle(a.Task, OutcomeRejected)
 	case flaxshelf.Fail:
-		c.settle(a.Task, FailedOutcome)
+		c.settle(a.Task, OutcomeFailed)
 	case flaxshelf.Migrate:
 		c.move(a)
 	case flaxshelf.HealthCheck:
 		c.probe(a)
 	case flaxshelf.Subscribe:
-		c.emit(SubscribeList{})
+		c.emit(SubscribeDiscovery{})
 	case flaxshelf.SetTimer:
 		if at := c.now + a.After; c.wakeAt == 0 || at < c.wakeAt {
 			c.wakeAt = at
--- a/internal/scheduler/fence.go
+++ b/internal/scheduler/fence.go
@@ -47,12 +47,12 @@
 		f.list = false
 		clear(f.nodes)
 	}
-	if c.last == 0 || c.now-c.last < c.cfg.Limits.StallAfter {
+	if c.last == 0 || c.now-c.last < c.cfg.Limits.StallThreshold {
 		return
 	}
 	f.token++
 	f.list, f.until, f.nodes = true, c.now+c.syncWait(), map[string]bool{}
-	c.emit(Sync{c.fence.token})
+	c.emit(SyncDiscovery{c.fence.token})
 	for _, n := range c.order {
 		if n.up && n.owes() {
 			f.nodes[n.entry.ID] = true
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -55,9 +55,9 @@
 }
 
 func (j *job) info() Info {
-	i := Info{ID: j.id, Spec: j.spec, State: j.state, Sub: j.sub, Index: j.index, Node: j.node, Ask: j.ask,
-		Outcome: j.outcome, Attempts: j.attempts, Exit: j.exit, Note: j.note, Taken: j.taken,
-		AskedAt: j.askedAt, Due: j.due, Started: j.started, Finished: j.ended, Rev: j.rev}
+	i := Info{ID: j.id, Spec: j.spec, State: j.state, SubState: j.sub, Index: j.index, Node: j.node, Request: j.ask,
+		Outcome: j.outcome, Attempts: j.attempts, Exit: j.exit, Reason: j.note, SubmittedAt: j.taken,
+		RequestedAt: j.askedAt, PlacementDeadline: j.due, StartedAt: j.started, FinishedAt: j.ended, Revision: j.rev}
 	if j.array != nil {
 		i.Array = j.array.id
 	}
@@ -82,7 +82,7 @@
 		service = j.id // else all jobs without a service would share the homes of the empty name
 	}
 	return flaxshelf.Task{ID: j.askID(), Key: key, Service: service, Class: s.Class, Tenant: s.Tenant,
-		Cores: s.Cores, Memory: s.Memory, ExpectedRuntime: s.Life, Deadline: j.due, Retry: s.Again || j.ask > 1}
+		Cores: s.Cores, Memory: s.Memory, ExpectedRuntime: s.ExpectedRuntime, Deadline: j.due, Retry: s.Retry || j.ask > 1}
 }
 
 // place gives j to the module, in a new ask unless one is open.
@@ -114,10 +114,10 @@
 
 // giveUp is how long an owner waits for an outcome.
 func (c *Core) giveUp(s *Spec) time.Duration {
-	if s.GiveUp > 0 {
-		return s.GiveUp
+	if s.PlacementTimeout > 0 {
+		return s.PlacementTimeout
 	}
-	return c.cfg.Limits.GiveUp[s.Class]
+	return c.cfg.Limits.PlacementTimeouts[s.Class]
 }
 
 // clearAt is when a job may be asked for anew whose class does not bear repeats: an attempt of a former ask that may have
@@ -127,24 +127,24 @@
 	if j.uncertain == 0 || c.bearsRepeats(j) {
 		return 0
 	}
-	return j.uncertain + c.cfg.Limits.Settle
+	return j.uncertain + c.cfg.Limits.SettleTime
 }
 
 // answerLate answers for the module where it was kept from answering, as by a stall.
 func (c *Core) answerLate(j *job) {
 	due := j.due
 	j.overdue = c.timers.Schedule(due+c.cfg.Module.AnswerSlack/2, func() {
-		if !j.open || j.due != due || c.cfg.Without.Answer {
+		if !j.open || j.due != due || c.cfg.DisabledGuards.Answer {
 			return
 		}
 		c.tell(flaxshelf.TaskCanceled{Task: j.askID()})
 		if j.sub == SubRecovering {
-			c.closeFailed(j, FailedOutcome, "it may run on a node that has not been heard since the scheduler started")
+			c.closeFailed(j, OutcomeFailed, "it may run on a node that has not been heard since the scheduler started")
 			return
 		}
-		o := FailedOutcome
+		o := OutcomeFailed
 		if j.attempts == 0 || c.bearsRepeats(j) {
-			o = RefusedOutcome
+			o = OutcomeRejected
 		}
 		c.closeFailed(j, o, "the scheduler was kept from deciding in time")
 	})
@@ -174,14 +174,14 @@
 	} else {
 		c.closeAsk(j, o, "")
 	}
-	sub, note := SubRefused, "no node took it in time; asking again does no harm"
-	if o == FailedOutcome {
+	sub, note := SubRejected, "no node took it in time; asking again does no harm"
+	if o == OutcomeFailed {
 		sub, note = SubUncertain, "an attempt may have run"
 	}
 	if j.note == "" {
 		j.note = note
 	}
-	c.finish(j, FailedState, sub, j.note)
+	c.finish(j, Failed, sub, j.note)
 }
 
 // closeAsk gives an ask its one outcome.
@@ -193,19 +193,19 @@
 	c.timers.Cancel(j.overdue)
 	c.nOpen--
 	j.outcome = o
-	if o == Placed {
+	if o == OutcomePlaced {
 		j.requeues = max(j.requeues-1, 0)
 	}
 	if j.holdWaits {
 		j.holdWaits = false
-		if o == Placed {
+		if o == OutcomePlaced {
 			c.refuse(j.holdReq, InvalidState, 0, "job %s was placed before the hold", j.id)
 		} else {
 			c.refuse(j.holdReq, InvalidState, 0, "job %s ended before the hold: %s", j.id, o)
 		}
 	}
 	c.changed(j)
-	c.emit(OutcomeLine{Info: j.info(), Attempt: attempt})
+	c.emit(LogOutcome{Info: j.info(), Attempt: attempt})
 }
 
 // jobOver goes on after an accepted attempt has ended.
@@ -214,17 +214,17 @@
 	j.moving = false
 	switch {
 	case j.stopping:
-		c.finish(j, FailedState, SubTerminated, "terminated by its owner")
+		c.finish(j, Failed, SubTerminated, "terminated by its owner")
 	case v == flaxshelf.Completed && j.exit == 0:
 		c.finish(j, Done, SubExited, "")
 	case v == flaxshelf.Completed:
-		c.finish(j, FailedState, SubExited, "exit status "+strconv.Itoa(j.exit))
+		c.finish(j, Failed, SubExited, "exit status "+strconv.Itoa(j.exit))
 	case v == flaxshelf.Failed:
-		c.finish(j, FailedState, SubBroke, "its start failed on "+j.node)
+		c.finish(j, Failed, SubStartFailed, "its start failed on "+j.node)
 	case moved || j.spec.Rerunnable:
 		c.requeue(j, r)
 	default:
-		c.finish(j, FailedState, lostSub(r), "it ended on "+j.node+" and is not rerunnable")
+		c.finish(j, Failed, lostSub(r), "it ended on "+j.node+" and is not rerunnable")
 	}
 }
 
@@ -233,9 +233,9 @@
 	case flaxshelf.Evicted:
 		return SubEvicted
 	case flaxshelf.Preempted:
-		return SubPushedOut
+		return SubPreempted
 	case flaxshelf.DrainedAway:
-		return SubSentAway
+		return SubDrainedAway
 	}
 	return SubLost
 }
@@ -251,7 +251,7 @@
 	j.node = ""
 	if j.open { // accepted but not yet placed, where placed means running
 		c.tell(flaxshelf.TaskCanceled{Task: j.askID()})
-		c.closeAsk(j, FailedOutcome, "")
+		c.closeAsk(j, OutcomeFailed, "")
 	}
 	c.changed(j)
 	ask := j.ask
@@ -270,7 +270,7 @@
 	}
 	if j.open {
 		c.tell(flaxshelf.TaskCanceled{Task: j.askID()})
-		c.closeAsk(j, Withdrawn, "")
+		c.closeAsk(j, OutcomeCanceled, "")
 	}
 	j.state, j.sub, j.note, j.ended = s, sub, note, c.now
 	delete(c.asks, j.askID())
@@ -280,7 +280,7 @@
 	c.nEnded++
 	c.finished = append(c.finished, j)
 	c.changed(j)
-	c.emit(OutcomeLine{Info: j.info()})
+	c.emit(LogOutcome{Info: j.info()})
 	if j.array != nil {
 		c.arrayNext(j.array, j)
 	}
--- a/internal/scheduler/node.go
+++ b/internal/scheduler/node.go
@@ -45,8 +45,8 @@
 	return n
 }
 
-func (c *Core) listed(in Listed) {
-	defer func() { c.tell(flaxshelf.MachinesUpdated{Machines: in.Machines, Complete: in.Whole}) }()
+func (c *Core) listed(in NodesUpdated) {
+	defer func() { c.tell(flaxshelf.MachinesUpdated{Machines: in.Machines, Complete: in.Complete}) }()
 	named := map[string]bool{}
 	for i, m := range in.Machines {
 		named[m.ID] = true
@@ -58,7 +58,7 @@
 		n.entry = m
 		c.standing(n)
 	}
-	if in.Whole {
+	if in.Complete {
 		for _, n := range c.order {
 			if !named[n.entry.ID] && !n.out() {
 				n.entry.State = flaxshelf.Removed
@@ -66,7 +66,7 @@
 			}
 		}
 		if r := &c.recovery; !r.listed {
-			r.listed, r.deadline = true, c.now+c.cfg.Limits.Settle
+			r.listed, r.deadline = true, c.now+c.cfg.Limits.SettleTime
 			c.timers.Schedule(r.deadline, func() {})
 		}
 	}
@@ -87,7 +87,7 @@
 		n.asked = true
 		c.emit(Connect{n.entry.ID})
 	case n.out() && n.asked:
-		c.timers.Schedule(c.now+c.cfg.Limits.Settle, func() { c.checkGone(n) })
+		c.timers.Schedule(c.now+c.cfg.Limits.SettleTime, func() { c.checkGone(n) })
 	}
 }
 
@@ -110,7 +110,7 @@
 	n := c.node(in.Node)
 	restarted := n.heard && n.started != in.Started
 	n.up, n.heard, n.started = true, true, in.Started
-	news := in.Fresh && in.Started > n.entry.Started
+	news := in.MayBeCold && in.Started > n.entry.Started
 	if news {
 		// Risk covered: the list is late or its inventory fails, and a node that has just come up would be sent
 		// what its former life could bear.
@@ -124,7 +124,7 @@
 		c.ended(e)
 	}
 	held := map[string]bool{}
-	for _, h := range in.Held {
+	for _, h := range in.Running {
 		held[h.Attempt] = true
 		c.handed(n, h)
 	}
@@ -138,7 +138,7 @@
 			c.lose(a) // the node is alive and does not have it
 		case a.job.stopping || a.job.moving || a.job.state.Ended():
 			c.stop(a)
-		case a.job.sub == SubUnreached:
+		case a.job.sub == SubUnreachable:
 			a.job.sub = a.phase.sub()
 			c.changed(a.job)
 		}
@@ -147,7 +147,7 @@
 
 // handed takes over one attempt that the node holds. The job may be known, may have been asked for anew by
 // its owner under the same key, or may be unknown because a former life of ours took it.
-func (c *Core) handed(n *node, h Held) {
+func (c *Core) handed(n *node, h RunningAttempt) {
 	if a := c.attempts[h.Attempt]; a != nil && a.node == n {
 		if a.phase == offered {
 			c.accept(a, flaxshelf.LoadReport{}) // the reply was cut off
@@ -184,9 +184,9 @@
 }
 
 // adopt makes a job of what a former life of ours started.
-func (c *Core) adopt(n *node, h Held) {
+func (c *Core) adopt(n *node, h RunningAttempt) {
 	spec := h.Spec
-	j := &job{id: h.Job, spec: &spec, taken: h.Submitted, ask: max(h.Ask, 1), state: Queued, sub: SubAccepted}
+	j := &job{id: h.Job, spec: &spec, taken: h.Submitted, ask: max(h.Request, 1), state: Queued, sub: SubAccepted}
 	c.jobs[j.id] = j
 	c.remember(j)
 	c.nLive++
@@ -197,7 +197,7 @@
 }
 
 // attach makes the held attempt the job's own: the ask that was open, if any, has its outcome by it.
-func (c *Core) attach(j *job, n *node, h Held) {
+func (c *Core) attach(j *job, n *node, h RunningAttempt) {
 	if j.open {
 		c.tell(flaxshelf.TaskCanceled{Task: j.askID()})
 		delete(c.asks, j.askID())
@@ -212,7 +212,7 @@
 	c.attempts[a.id], n.live[a.id], j.live = a, a, a
 	c.tell(flaxshelf.TaskAdopted{Task: c.task(j), Machine: n.entry.ID})
 	j.node, j.state, j.sub, j.askedAt, j.attempts = n.entry.ID, Queued, SubAccepted, c.now, 1
-	c.closeAsk(j, Placed, a.id)
+	c.closeAsk(j, OutcomePlaced, a.id)
 	if h.Running {
 		c.start(a)
 	}
@@ -234,22 +234,22 @@
 		case offered:
 			c.end(a, flaxshelf.Lost, flaxshelf.UnspecifiedReason, flaxshelf.LoadReport{})
 		default:
-			a.job.sub = SubUnreached
+			a.job.sub = SubUnreachable
 			c.changed(a.job)
 		}
 	}
-	c.timers.Schedule(c.now+c.cfg.Limits.Settle, func() { c.checkGone(n) })
+	c.timers.Schedule(c.now+c.cfg.Limits.SettleTime, func() { c.checkGone(n) })
 }
 
 func (c *Core) probe(a flaxshelf.HealthCheck) {
 	if n := c.nodes[a.Machine]; n != nil && n.up {
-		c.emit(SendProbe{a.Machine})
+		c.emit(SendHealthCheck{a.Machine})
 		return
 	}
 	c.tell(flaxshelf.HealthChecked{Machine: a.Machine, Outcome: flaxshelf.Unreachable})
 }
 
-func (c *Core) probed(in Probed) {
+func (c *Core) probed(in HealthChecked) {
 	e := flaxshelf.HealthChecked{Machine: in.Node, Load: in.Load}
 	if in.Lost {
 		e.Outcome = flaxshelf.Lost
--- a/internal/scheduler/property_test.go
+++ b/internal/scheduler/property_test.go
@@ -49,10 +49,10 @@
 		w := &world{t: t, now: time.Second, out: map[string]bool{}, up: map[string]bool{},
 			byID: map[string]*offerSeen{}, outcomes: map[string]Outcome{}}
 		cfg := settingsForTests()
-		cfg.Limits.MaxOpen = 20
+		cfg.Limits.MaxPending = 20
 		w.c, _ = New(cfg)
 		w.twin, _ = New(cfg)
-		w.step(Listed{Whole: true, Machines: w.machines()}, NodeUp{Node: "n1"}, NodeUp{Node: "n2"})
+		w.step(NodesUpdated{Complete: true, Machines: w.machines()}, NodeUp{Node: "n1"}, NodeUp{Node: "n2"})
 		w.up["n1"], w.up["n2"] = true, true
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			w.act()
@@ -81,7 +81,7 @@
 	case 0, 1, 2:
 		w.step(Submit{Req: 1, Spec: Spec{Key: fmt.Sprint("k", pick(30, "key")), Class: pick(4, "class"), Tenant: -1,
 			Service: fmt.Sprint(pick(2, "service")), Cores: 1, Memory: 1, Rerunnable: pick(2, "rerun") == 0,
-			Hold: pick(8, "hold") == 0, Again: pick(4, "again") == 0}})
+			Hold: pick(8, "hold") == 0, Retry: pick(4, "again") == 0}})
 	case 3, 4, 5, 6:
 		if len(w.offers) > 0 {
 			w.reply(w.offers[pick(len(w.offers), "offer")], pick(7, "reply"))
@@ -102,17 +102,17 @@
 				o.closed = true // a node drops what it was asked over a former connection
 			}
 			if o.Node == node && o.accepted && !o.ended {
-				in.Held = append(in.Held, Held{Attempt: o.Attempt, Job: o.Job, Ask: o.Ask, Spec: *o.Spec})
+				in.Running = append(in.Running, RunningAttempt{Attempt: o.Attempt, Job: o.Job, Request: o.Request, Spec: *o.Spec})
 			}
 		}
 		w.step(in)
 	case 9:
 		w.out[node] = !w.out[node]
-		w.step(Listed{Machines: w.machines()})
+		w.step(NodesUpdated{Machines: w.machines()})
 	case 10, 11:
 		if len(w.jobs) > 0 {
 			verbs := []Verb{Hold, Release, Terminate, Hold, Release, Reap}
-			w.step(Command{Req: 2, Do: verbs[pick(len(verbs), "verb")], Job: w.jobs[pick(len(w.jobs), "job")]})
+			w.step(Command{Req: 2, Verb: verbs[pick(len(verbs), "verb")], Job: w.jobs[pick(len(w.jobs), "job")]})
 		}
 	case 12:
 		w.stalled = true
@@ -120,9 +120,9 @@
 		w.stalled = false
 		w.step()
 	case 13:
-		w.step(Synced{w.fenced})
+		w.step(DiscoverySynced{w.fenced})
 	case 14:
-		w.step(ListFailed{})
+		w.step(DiscoveryFailed{})
 	default:
 		w.advance(time.Duration(pick(700, "pause")) * time.Millisecond)
 	}
@@ -139,7 +139,7 @@
 			return
 		}
 		o.accepted = true
-		w.step(Accepted{Node: o.Node, Attempt: o.Attempt})
+		w.step(AttemptAccepted{Node: o.Node, Attempt: o.Attempt})
 	case 3:
 		if o.accepted {
 			return
@@ -148,21 +148,21 @@
 			o.proved = true
 		}
 		o.closed = true
-		w.step(Refused{Node: o.Node, Attempt: o.Attempt, Reason: flaxshelf.InsufficientMemory})
+		w.step(AttemptRejected{Node: o.Node, Attempt: o.Attempt, Reason: flaxshelf.InsufficientMemory})
 	case 4:
 		if o.accepted {
 			return
 		}
 		o.closed = true
-		w.step(Failed{Node: o.Node, Attempt: o.Attempt})
+		w.step(AttemptFailed{Node: o.Node, Attempt: o.Attempt})
 	case 5:
 		if o.accepted && !o.ended {
-			w.step(Started{Node: o.Node, Attempt: o.Attempt})
+			w.step(AttemptStarted{Node: o.Node, Attempt: o.Attempt})
 		}
 	default:
 		if o.accepted && !o.ended {
 			o.ended, o.closed = true, true
-			w.step(Ended{Node: o.Node, Attempt: o.Attempt, Ending: Ending(how % 3), Reason: flaxshelf.Evicted})
+			w.step(AttemptEnded{Node: o.Node, Attempt: o.Attempt, End: End(how % 3), Reason: flaxshelf.Evicted})
 		}
 	}
 }
@@ -183,11 +183,11 @@
 	}
 	for _, i := range in {
 		switch i := i.(type) {
-		case Synced:
+		case DiscoverySynced:
 			if i.Token == w.fenced {
 				w.fenced = 0
 			}
-		case ListFailed:
+		case DiscoveryFailed:
 			w.fenced = 0
 		}
 	}
@@ -196,7 +196,7 @@
 		w.t.Fatalf("equal inputs, two outputs:\n%s\n%s", texts(o), texts(again))
 	}
 	w.wake = o.Wake
-	if w.wake < w.now || w.wake > w.now+w.c.cfg.Limits.StallAfter {
+	if w.wake < w.now || w.wake > w.now+w.c.cfg.Limits.StallThreshold {
 		w.t.Fatalf("at %v the core wants to be woken at %v", w.now, w.wake)
 	}
 	for _, e := range o.Effects {
@@ -215,7 +215,7 @@
 
 func (w *world) judge(e Effect) {
 	switch e := e.(type) {
-	case Sync:
+	case SyncDiscovery:
 		w.fenced, w.fencedAt = e.Token, w.now
 	case Answer:
 		if e.Err == nil && e.Req == 1 && !e.Existing {
@@ -225,11 +225,11 @@
 		if o := w.byID[e.Attempt]; o != nil {
 			o.closed = true
 		}
-	case OutcomeLine:
+	case LogOutcome:
 		if e.Info.State.Ended() {
 			return
 		}
-		at := fmt.Sprint(e.Info.ID, "#", e.Info.Ask)
+		at := fmt.Sprint(e.Info.ID, "#", e.Info.Request)
 		if old, ok := w.outcomes[at]; ok {
 			w.t.Fatalf("%s: outcome %s, then %s", at, old, e.Info.Outcome)
 		}
@@ -258,10 +258,10 @@
 		if !o.closed && w.now < o.at+o.ValidFor {
 			w.t.Fatalf("%s is offered while %s is in flight or runs", e.Attempt, o.Attempt)
 		}
-		if o.Ask == e.Ask && class.Idempotency == flaxshelf.NonIdempotent && !o.proved {
+		if o.Request == e.Request && class.Idempotency == flaxshelf.NonIdempotent && !o.proved {
 			w.t.Fatalf("unsafe: %s is offered though %s may have run", e.Attempt, o.Attempt)
 		}
-		if o.Ask == e.Ask && class.Idempotency == flaxshelf.IdempotentByKey && !o.proved &&
+		if o.Request == e.Request && class.Idempotency == flaxshelf.IdempotentByKey && !o.proved &&
 			(o.Node == "n3") != (e.Node == "n3") {
 			w.t.Fatalf("keyed: %s is offered to %s though %s at %s may have run", e.Attempt, e.Node, o.Attempt, o.Node)
 		}
@@ -296,7 +296,7 @@
 
 // rest lets time pass without a word from anybody: every ask must have its outcome.
 func (w *world) rest() {
-	w.step(Synced{w.fenced})
+	w.step(DiscoverySynced{w.fenced})
 	for range 200 {
 		w.now = max(w.wake, w.now+time.Millisecond)
 		w.step()
--- a/internal/scheduler/recovery.go
+++ b/internal/scheduler/recovery.go
@@ -14,7 +14,7 @@
 // holdsBack tells whether j must wait. A first ask for a class that bears repeats need not, unless its spread is
 // bounded: what a former life placed counts.
 func (c *Core) holdsBack(j *job) bool {
-	return c.recovery.on && (j.spec.Again || !c.bearsRepeats(j) || c.class(j).SpreadDomain != flaxshelf.NoDomain)
+	return c.recovery.on && (j.spec.Retry || !c.bearsRepeats(j) || c.class(j).SpreadDomain != flaxshelf.NoDomain)
 }
 
 // checkRecovery ends the waiting when every listed node has told what it runs, or has had Settle to do so.
@@ -36,7 +36,7 @@
 	for _, j := range r.waiting {
 		switch {
 		case j.sub != SubRecovering: // it was found running, held or ended
-		case !all && j.spec.Again && c.neverTwice(j):
+		case !all && j.spec.Retry && c.neverTwice(j):
 			kept = append(kept, j)
 		default:
 			c.place(j)
--- a/internal/scheduler/script_test.go
+++ b/internal/scheduler/script_test.go
@@ -29,9 +29,9 @@
 			{Name: "unsafe", Idempotency: flaxshelf.NonIdempotent, LatencyObjective: time.Second, Kind: -1},
 			{Name: "spread", Idempotency: flaxshelf.Idempotent, LatencyObjective: time.Second, Kind: -1, SpreadDomain: flaxshelf.ZoneDomain, MaxPerDomain: 1},
 		}},
-		Limits: Limits{MaxOpen: 4, MaxJobs: 100, MaxFinished: 3, MaxSessions: 2, Retention: time.Minute,
-			Settle: 2 * time.Second, StallAfter: 500 * time.Millisecond,
-			GiveUp: []time.Duration{3 * time.Second, 8 * time.Second, 3 * time.Second, 3 * time.Second}}}
+		Limits: Limits{MaxPending: 4, MaxRunning: 100, MaxFinished: 3, MaxSessions: 2, Retention: time.Minute,
+			SettleTime: 2 * time.Second, StallThreshold: 500 * time.Millisecond,
+			PlacementTimeouts: []time.Duration{3 * time.Second, 8 * time.Second, 3 * time.Second, 3 * time.Second}}}
 }
 
 // TestScripts plays the stories of testdata. Each begins with `core`; `step` takes what came in at a time, a line
@@ -66,9 +66,9 @@
 	for _, a := range d.CmdArgs {
 		switch a.Key {
 		case "open":
-			cfg.Limits.MaxOpen, _ = strconv.Atoi(a.Vals[0])
+			cfg.Limits.MaxPending, _ = strconv.Atoi(a.Vals[0])
 		case "boot":
-			cfg.Boot = dur(t, a.Vals[0])
+			cfg.StartedAt = dur(t, a.Vals[0])
 		case "runs-when-placed":
 			cfg.Module.PlacedWhenRunning = true
 		}
@@ -78,7 +78,7 @@
 		return err.Error()
 	}
 	s.c, s.wake, s.req = c, 0, 0
-	s.now = max(s.now, cfg.Boot)
+	s.now = max(s.now, cfg.StartedAt)
 	return ""
 }
 
@@ -127,15 +127,15 @@
 		return fmt.Sprintf("> %s stop %s", e.Node, e.Attempt)
 	case SendAck:
 		return fmt.Sprintf("> %s ack %s", e.Node, e.Attempt)
-	case SendProbe:
+	case SendHealthCheck:
 		return fmt.Sprintf("> %s probe", e.Node)
 	case Connect:
 		return "connect " + e.Node
 	case Disconnect:
 		return "disconnect " + e.Node
-	case SubscribeList:
+	case SubscribeDiscovery:
 		return "> inventory watch"
-	case Sync:
+	case SyncDiscovery:
 		return fmt.Sprintf("> inventory ping %d", e.Token)
 	case SyncNode:
 		return fmt.Sprintf("> %s ping %d", e.Node, e.Token)
@@ -151,7 +151,7 @@
 			s += " array " + e.Array
 		}
 		for _, j := range e.Jobs {
-			s += fmt.Sprintf(" %s %s/%s", j.ID, j.State, j.Sub)
+			s += fmt.Sprintf(" %s %s/%s", j.ID, j.State, j.SubState)
 		}
 		for _, m := range e.Machines {
 			s += fmt.Sprintf(" %s connected=%v jobs=%d", m.ID, m.Connected, m.Jobs)
@@ -161,13 +161,13 @@
 		if !all {
 			return ""
 		}
-		return fmt.Sprintf("publish to %d: %s ask %d %s/%s %s", e.Stream, e.Info.ID, e.Info.Ask, e.Info.State, e.Info.Sub,
+		return fmt.Sprintf("publish to %d: %s ask %d %s/%s %s", e.Stream, e.Info.ID, e.Info.Request, e.Info.State, e.Info.SubState,
 			e.Info.Outcome)
-	case OutcomeLine:
+	case LogOutcome:
 		if e.Info.State.Ended() {
-			return fmt.Sprintf("end %s %s/%s %s", e.Info.ID, e.Info.State, e.Info.Sub, e.Info.Note)
+			return fmt.Sprintf("end %s %s/%s %s", e.Info.ID, e.Info.State, e.Info.SubState, e.Info.Reason)
 		}
-		return fmt.Sprintf("outcome %s ask %d %s", e.Info.ID, e.Info.Ask, e.Info.Outcome)
+		return fmt.Sprintf("outcome %s ask %d %s", e.Info.ID, e.Info.Request, e.Info.Outcome)
 	case Drained:
 		return "drained"
 	}
@@ -213,11 +213,11 @@
 		}
 		return sub
 	case "hold", "release", "terminate", "reap":
-		return Command{Req: req, Do: Verb(words[0]), Job: arg(0)}
+		return Command{Req: req, Verb: Verb(words[0]), Job: arg(0)}
 	case "query":
 		return Query{Req: req, Job: opts["job"], Session: opts["session"]}
 	case "session":
-		return SessionCommand{Req: req, Do: Verb(arg(0)), Name: opts["name"]}
+		return SessionCommand{Req: req, Verb: Verb(arg(0)), Name: opts["name"]}
 	case "machines":
 		return Machines{Req: req}
 	case "watch":
@@ -228,10 +228,10 @@
 	case "list", "change":
 		return s.list(t, args, words[0] == "list")
 	case "list-failed":
-		return ListFailed{}
+		return DiscoveryFailed{}
 	case "synced":
 		n, _ := strconv.ParseUint(arg(0), 10, 64)
-		return Synced{Token: n}
+		return DiscoverySynced{Token: n}
 	case "node-synced":
 		n, _ := strconv.ParseUint(arg(1), 10, 64)
 		return NodeSynced{arg(0), n}
@@ -240,27 +240,27 @@
 	case "down":
 		return NodeDown{Node: arg(0)}
 	case "accept":
-		return Accepted{Node: arg(0), Attempt: arg(1)}
+		return AttemptAccepted{Node: arg(0), Attempt: arg(1)}
 	case "refuse":
-		return Refused{Node: arg(0), Attempt: arg(1), Reason: flaxshelf.InsufficientCores}
+		return AttemptRejected{Node: arg(0), Attempt: arg(1), Reason: flaxshelf.InsufficientCores}
 	case "fail":
-		return Failed{Node: arg(0), Attempt: arg(1), Message: "the start failed"}
+		return AttemptFailed{Node: arg(0), Attempt: arg(1), Message: "the start failed"}
 	case "started":
-		return Started{Node: arg(0), Attempt: arg(1)}
+		return AttemptStarted{Node: arg(0), Attempt: arg(1)}
 	case "not-sent":
-		return NotSent{Node: arg(0), Attempt: arg(1)}
+		return SendFailed{Node: arg(0), Attempt: arg(1)}
 	case "ended":
-		e := Ended{Node: arg(0), Attempt: arg(1)}
+		e := AttemptEnded{Node: arg(0), Attempt: arg(1)}
 		e.Exit, _ = strconv.Atoi(opts["exit"])
 		switch opts["how"] {
 		case "evicted":
-			e.Ending, e.Reason = EndLost, flaxshelf.Evicted
+			e.End, e.Reason = EndLost, flaxshelf.Evicted
 		case "sent-away":
-			e.Ending, e.Reason = EndLost, flaxshelf.DrainedAway
+			e.End, e.Reason = EndLost, flaxshelf.DrainedAway
 		case "stopped":
-			e.Ending = EndStopped
+			e.End = EndStopped
 		case "broke":
-			e.Ending = EndBroke
+			e.End = EndStartFailed
 		}
 		return e
 	case "drain":
@@ -272,7 +272,7 @@
 
 func (s *script) spec(t *testing.T, class string, opts map[string]string) Spec {
 	spec := Spec{Key: opts["key"], Session: opts["session"], Service: opts["service"], Class: -1, Tenant: -1,
-		Cores: 1, Memory: 1, Rerunnable: opts["rerunnable"] != "", Hold: opts["hold"] != "", Again: opts["again"] != ""}
+		Cores: 1, Memory: 1, Rerunnable: opts["rerunnable"] != "", Hold: opts["hold"] != "", Retry: opts["again"] != ""}
 	for i, c := range settingsForTests().Module.Classes {
 		if c.Name == class {
 			spec.Class = i
@@ -287,8 +287,8 @@
 }
 
 // list reads names with their standing: n1, n2:draining, n3:out, n4:started=3s. Zones are a for n1 and n2, else b.
-func (s *script) list(t *testing.T, names []string, whole bool) Listed {
-	l := Listed{Whole: whole}
+func (s *script) list(t *testing.T, names []string, whole bool) NodesUpdated {
+	l := NodesUpdated{Complete: whole}
 	for _, w := range names {
 		name, how, _ := strings.Cut(w, ":")
 		m := flaxshelf.Machine{ID: name, Zone: "b"}
@@ -310,7 +310,7 @@
 }
 
 func (s *script) up(t *testing.T, name string, opts map[string]string) NodeUp {
-	u := NodeUp{Node: name, Fresh: opts["fresh"] != ""}
+	u := NodeUp{Node: name, MayBeCold: opts["fresh"] != ""}
 	if v := opts["started"]; v != "" {
 		u.Started = dur(t, v)
 	}
@@ -321,12 +321,12 @@
 		id, running := strings.CutSuffix(h, "+") // + for one that runs
 		parts := strings.Split(id, "/")
 		ask, _ := strconv.Atoi(parts[1])
-		u.Held = append(u.Held, Held{Attempt: id, Job: parts[0], Ask: ask, Running: running,
+		u.Running = append(u.Running, RunningAttempt{Attempt: id, Job: parts[0], Request: ask, Running: running,
 			Spec: s.spec(t, opts["class"], opts)})
 	}
 	for _, e := range strings.Split(opts["ended"], ",") {
 		if e != "" {
-			u.Ended = append(u.Ended, Ended{Attempt: e})
+			u.Ended = append(u.Ended, AttemptEnded{Attempt: e})
 		}
 	}
 	return u
--- a/internal/scheduler/session.go
+++ b/internal/scheduler/session.go
@@ -10,23 +10,23 @@
 
 func (c *Core) sessionCommand(in SessionCommand) {
 	switch s := c.sessions[in.Name]; {
-	case in.Do == List:
+	case in.Verb == List:
 		names := make([]string, 0, len(c.sessions))
 		for name := range c.sessions {
 			names = append(names, name)
 		}
 		slices.Sort(names)
 		c.answer(in.Req, Answer{Sessions: names})
-	case in.Do == Create && s != nil:
+	case in.Verb == Create && s != nil:
 		c.refuse(in.Req, InvalidArgument, 0, "job session %q exists", in.Name)
-	case in.Do == Create && len(c.sessions) >= c.cfg.Limits.MaxSessions:
+	case in.Verb == Create && len(c.sessions) >= c.cfg.Limits.MaxSessions:
 		c.refuse(in.Req, OutOfResource, 0, "%d job sessions, no more are kept", len(c.sessions))
-	case in.Do == Create:
+	case in.Verb == Create:
 		c.sessions[in.Name] = &session{in.Name}
 		c.answer(in.Req, Answer{Sessions: []string{in.Name}})
 	case s == nil:
 		c.refuse(in.Req, InvalidArgument, 0, "no job session %q", in.Name)
-	case in.Do == Destroy: // its jobs go on, as section 8.4 of GFD.194 has it
+	case in.Verb == Destroy: // its jobs go on, as section 8.4 of GFD.194 has it
 		delete(c.sessions, in.Name)
 		c.answer(in.Req, Answer{})
 	default:
--- a/internal/scheduler/timer_test.go
+++ b/internal/scheduler/timer_test.go
@@ -22,18 +22,18 @@
 		return out
 	}
 	w := &world{}
-	c.Step(now, []Input{Listed{Whole: true, Machines: w.machines()}, NodeUp{Node: "n1"}, NodeUp{Node: "n2"}, NodeUp{Node: "n3"}})
+	c.Step(now, []Input{NodesUpdated{Complete: true, Machines: w.machines()}, NodeUp{Node: "n1"}, NodeUp{Node: "n2"}, NodeUp{Node: "n3"}})
 	before, ended := c.timers.Len(), 0
 	for i := range 50 {
 		now += 20 * time.Millisecond
 		sent := offers(c.Step(now, []Input{Submit{Req: uint64(i) + 1,
-			Spec: Spec{Tenant: -1, Cores: 0.01, Memory: 0.01, GiveUp: time.Hour, Deadline: now + time.Hour}}}))
+			Spec: Spec{Tenant: -1, Cores: 0.01, Memory: 0.01, PlacementTimeout: time.Hour, Deadline: now + time.Hour}}}))
 		for _, o := range sent {
 			if c.timers.Len() < before+3 {
 				t.Fatalf("%d timers with an offer out: the test shows nothing", c.timers.Len())
 			}
-			c.Step(now+1, []Input{Accepted{Node: o.Node, Attempt: o.Attempt}, Started{Node: o.Node, Attempt: o.Attempt}})
-			c.Step(now+2, []Input{Ended{Node: o.Node, Attempt: o.Attempt}})
+			c.Step(now+1, []Input{AttemptAccepted{Node: o.Node, Attempt: o.Attempt}, AttemptStarted{Node: o.Node, Attempt: o.Attempt}})
+			c.Step(now+2, []Input{AttemptEnded{Node: o.Node, Attempt: o.Attempt}})
 			ended++
 		}
 	}
--- a/internal/settings/scheduler.go
+++ b/internal/settings/scheduler.go
@@ -239,15 +239,15 @@
 // Core is what the scheduler's core is told, for a life that begins at boot.
 func (s *Scheduler) Core(boot flaxshelf.Time) scheduler.Config {
 	l := &s.Limits
-	c := scheduler.Config{Module: s.Module(), Seed: s.Seed, Name: s.Name, Boot: boot,
-		Limits: scheduler.Limits{MaxOpen: l.MaxOpen, MaxJobs: l.MaxJobs, MaxFinished: l.MaxFinished,
-			MaxSessions: l.MaxSessions, Retention: l.Retention.Of(), Settle: s.Rules.Settle.Of(),
-			StallAfter: s.Rules.DrainGrace.Of() / 2}}
+	c := scheduler.Config{Module: s.Module(), Seed: s.Seed, Name: s.Name, StartedAt: boot,
+		Limits: scheduler.Limits{MaxPending: l.MaxOpen, MaxRunning: l.MaxJobs, MaxFinished: l.MaxFinished,
+			MaxSessions: l.MaxSessions, Retention: l.Retention.Of(), SettleTime: s.Rules.Settle.Of(),
+			StallThreshold: s.Rules.DrainGrace.Of() / 2}}
 	if c.Seed == 0 {
 		c.Seed = uint64(boot)
 	}
 	for _, k := range s.Classes {
-		c.Limits.GiveUp = append(c.Limits.GiveUp, k.Giveup.Of())
+		c.Limits.PlacementTimeouts = append(c.Limits.PlacementTimeouts, k.Giveup.Of())
 	}
 	return c
 }
--- a/internal/shard/cores_test.go
+++ b/internal/shard/cores_test.go
@@ -20,26 +20,26 @@
 	c     *scheduler.Core
 	now   scheduler.Time
 	n     int
-	ends  []scheduler.Ended
+	ends  []scheduler.AttemptEnded
 	at    []scheduler.Time
 	in    []scheduler.Input
 	steps []time.Duration
 }
 
 func newPlayed(t testing.TB, i, n int) *played {
-	cfg := scheduler.Config{Name: "s", Seed: 1, Boot: time.Second, Module: flaxshelf.Config{Schedulers: 1, MaxAttempts: 3,
+	cfg := scheduler.Config{Name: "s", Seed: 1, StartedAt: time.Second, Module: flaxshelf.Config{Schedulers: 1, MaxAttempts: 3,
 		CoreOvercommit: 2, MemoryOvercommit: 2, Tick: 2 * time.Millisecond, ConnectTimeout: time.Second, AnswerSlack: 100 * time.Millisecond,
 		DrainGrace: 2 * time.Second, DiscoveryPollDeadline: 10 * time.Second, Kinds: []flaxshelf.Kind{{Name: "k", Cores: 64, Memory: 256}},
 		Classes: []flaxshelf.Class{{Name: "c", LatencyObjective: time.Second, Kind: -1}}},
-		Limits: scheduler.Limits{MaxOpen: 1 << 20, MaxJobs: 1 << 20, MaxFinished: 1000, MaxSessions: 1, Retention: time.Second,
-			Settle: time.Second, StallAfter: time.Hour, GiveUp: []time.Duration{10 * time.Second}}}
+		Limits: scheduler.Limits{MaxPending: 1 << 20, MaxRunning: 1 << 20, MaxFinished: 1000, MaxSessions: 1, Retention: time.Second,
+			SettleTime: time.Second, StallThreshold: time.Hour, PlacementTimeouts: []time.Duration{10 * time.Second}}}
 	c, err := scheduler.New(shard.Divide(cfg, i, n))
 	if err != nil {
 		t.Fatal(err)
 	}
 	p := &played{c: c, now: time.Second}
-	var list scheduler.Listed
-	list.Whole = true
+	var list scheduler.NodesUpdated
+	list.Complete = true
 	in := []scheduler.Input{}
 	for m := range 130 {
 		name := fmt.Sprintf("n%d", m)
@@ -70,8 +70,8 @@
 	for _, e := range out.Effects {
 		if o, ok := e.(scheduler.SendOffer); ok {
 			placed++
-			p.in = append(p.in, scheduler.Accepted{Node: o.Node, Attempt: o.Attempt}, scheduler.Started{Node: o.Node, Attempt: o.Attempt})
-			p.ends, p.at = append(p.ends, scheduler.Ended{Node: o.Node, Attempt: o.Attempt}), append(p.at, p.now+time.Second)
+			p.in = append(p.in, scheduler.AttemptAccepted{Node: o.Node, Attempt: o.Attempt}, scheduler.AttemptStarted{Node: o.Node, Attempt: o.Attempt})
+			p.ends, p.at = append(p.ends, scheduler.AttemptEnded{Node: o.Node, Attempt: o.Attempt}), append(p.at, p.now+time.Second)
 		}
 	}
 	return placed
--- a/internal/shard/shard.go
+++ b/internal/shard/shard.go
@@ -20,8 +20,8 @@
 	"flaxshelf.example/flaxshelf/internal/scheduler"
 )
 
-// Most is the most cores of one scheduler.
-const Most = 64
+// MaxCores is the most cores of one scheduler.
+const MaxCores = 64
 
 // Map tells which core has what. It is safe for concurrent use.
 type Map struct {
@@ -40,11 +40,11 @@
 // which then counts them as a scheduler of one core does; no other division keeps the bound whatever is handed over.
 func New(name string, cfg scheduler.Config, n int) *Map {
 	m := &Map{n: n, adopted: map[string]int{}, keys: map[string]int{},
-		most: cfg.Limits.MaxOpen + cfg.Limits.MaxJobs + cfg.Limits.MaxFinished}
+		most: cfg.Limits.MaxPending + cfg.Limits.MaxRunning + cfg.Limits.MaxFinished}
 	m.byService = n > 1 && slices.ContainsFunc(cfg.Module.Classes,
 		func(c flaxshelf.Class) bool { return c.SpreadDomain != flaxshelf.NoDomain })
 	for i := range n {
-		m.prefixes = append(m.prefixes, CoreName(name, i, n)+"."+strconv.FormatInt(int64(cfg.Boot/time.Millisecond), 36)+".")
+		m.prefixes = append(m.prefixes, CoreName(name, i, n)+"."+strconv.FormatInt(int64(cfg.StartedAt/time.Millisecond), 36)+".")
 	}
 	return m
 }
@@ -145,9 +145,9 @@
 	}
 	parts := make([]scheduler.NodeUp, m.n)
 	for i := range parts {
-		parts[i] = scheduler.NodeUp{Node: up.Node, Started: up.Started, Fresh: up.Fresh}
+		parts[i] = scheduler.NodeUp{Node: up.Node, Started: up.Started, MayBeCold: up.MayBeCold}
 	}
-	for _, h := range up.Held {
+	for _, h := range up.Running {
 		core := m.Job(h.Job)
 		if !m.ours(h.Job) {
 			core = m.hash(h.Job)
@@ -162,7 +162,7 @@
 				m.mu.Unlock()
 			}
 		}
-		parts[core].Held = append(parts[core].Held, h)
+		parts[core].Running = append(parts[core].Running, h)
 	}
 	for _, e := range up.Ended {
 		core := m.Attempt(e.Attempt)
@@ -179,8 +179,8 @@
 
 // Check tells why a scheduler can't have n cores; nil where it can.
 func Check(n int) error {
-	if n < 1 || n > Most {
-		return fmt.Errorf("is %d, expected 1 to %d", n, Most)
+	if n < 1 || n > MaxCores {
+		return fmt.Errorf("is %d, expected 1 to %d", n, MaxCores)
 	}
 	return nil
 }
@@ -195,7 +195,7 @@
 	c.Name = CoreName(c.Name, i, n)
 	c.Seed += uint64(i) * 0x9e3779b97f4a7c15
 	c.Module.Index, c.Module.Schedulers = c.Module.Index*n+i, max(c.Module.Schedulers, 1)*n
-	c.Limits.MaxOpen, c.Limits.MaxJobs = share(c.Limits.MaxOpen), share(c.Limits.MaxJobs)
+	c.Limits.MaxPending, c.Limits.MaxRunning = share(c.Limits.MaxPending), share(c.Limits.MaxRunning)
 	c.Limits.MaxFinished = share(c.Limits.MaxFinished)
 	return c
 }
@@ -216,16 +216,16 @@
 	case scheduler.Watch:
 		return m.Job(in.Job), in.Job == ""
 	case scheduler.SessionCommand:
-		return 0, in.Do == scheduler.Create || in.Do == scheduler.Destroy
+		return 0, in.Verb == scheduler.Create || in.Verb == scheduler.Destroy
 	case scheduler.Machines:
 		return 0, true
 	}
 	return 0, false
 }
 
-// Leads tells that core 0 takes an input first, whose answer decides whether and in which order the others get it: else
-// two cores might hear of a session's end and its new beginning in two orders.
-func Leads(in scheduler.Input) bool {
+// IsAnsweredByFirstCore tells that core 0 takes an input first, whose answer decides whether and in which order the others
+// get it: else two cores might hear of a session's end and its new beginning in two orders.
+func IsAnsweredByFirstCore(in scheduler.Input) bool {
 	_, ok := in.(scheduler.SessionCommand)
 	return ok
 }
@@ -306,7 +306,7 @@
 // ---- Signs asked of peers.
 
 // Token is a core's token of a sign as a peer is given it, Untoken what it was.
-func Token(core int, token uint64) uint64 { return token*Most + uint64(core) }
+func Token(core int, token uint64) uint64 { return token*MaxCores + uint64(core) }
 
 // Untoken is the core and its token.
-func Untoken(t uint64) (core int, token uint64) { return int(t % Most), t / Most }
+func Untoken(t uint64) (core int, token uint64) { return int(t % MaxCores), t / MaxCores }
--- a/internal/shard/shard_test.go
+++ b/internal/shard/shard_test.go
@@ -12,9 +12,9 @@
 )
 
 func config(boot scheduler.Time, spread flaxshelf.TopologyDomain) scheduler.Config {
-	return scheduler.Config{Name: "s", Boot: boot, Seed: 7,
+	return scheduler.Config{Name: "s", StartedAt: boot, Seed: 7,
 		Module: flaxshelf.Config{Index: 2, Schedulers: 3, Classes: []flaxshelf.Class{{Name: "c", SpreadDomain: spread, MaxPerDomain: 3}}},
-		Limits: scheduler.Limits{MaxOpen: 10, MaxJobs: 11, MaxFinished: 2}}
+		Limits: scheduler.Limits{MaxPending: 10, MaxRunning: 11, MaxFinished: 2}}
 }
 
 func idle(int) int { return 0 }
@@ -46,13 +46,13 @@
 		if rapid.Bool().Draw(t, "asks first") {
 			asked = next.Submit(&spec, 0, idle)
 		}
-		held := scheduler.Held{Attempt: id + "/1/0", Job: id, Spec: spec}
+		held := scheduler.RunningAttempt{Attempt: id + "/1/0", Job: id, Spec: spec}
 		at := -1
-		for i, p := range next.Split(scheduler.NodeUp{Node: "n", Held: []scheduler.Held{held}}) {
+		for i, p := range next.Split(scheduler.NodeUp{Node: "n", Running: []scheduler.RunningAttempt{held}}) {
 			if p.Node != "n" {
 				t.Fatalf("core %d is not told of the node", i)
 			}
-			if len(p.Held) > 0 {
+			if len(p.Running) > 0 {
 				at = i
 			}
 		}
@@ -109,7 +109,7 @@
 	for i := range 4 {
 		c := Divide(config(0, flaxshelf.ZoneDomain), i, 4)
 		seen[c.Module.Index], seeds[c.Seed] = true, true
-		open, jobs = open+c.Limits.MaxOpen, jobs+c.Limits.MaxJobs
+		open, jobs = open+c.Limits.MaxPending, jobs+c.Limits.MaxRunning
 		if c.Module.Schedulers != 12 || c.Module.Index/4 != 2 || c.Limits.MaxFinished < 1 || c.Module.Classes[0].MaxPerDomain != 3 {
 			t.Errorf("core %d: %+v", i, c)
 		}
@@ -121,7 +121,7 @@
 	if c := Divide(one, 0, 1); c.Name != "s" || c.Seed != 7 || c.Module.Index != 2 {
 		t.Errorf("one core is not the scheduler itself: %+v", c)
 	}
-	if Check(0) == nil || Check(Most+1) == nil || Check(Most) != nil {
+	if Check(0) == nil || Check(MaxCores+1) == nil || Check(MaxCores) != nil {
 		t.Error("numbers of cores")
 	}
 }
@@ -153,7 +153,7 @@
 			t.Errorf("%q is taken for %v", s, p)
 		}
 	}
-	for _, core := range []int{0, 1, Most - 1} {
+	for _, core := range []int{0, 1, MaxCores - 1} {
 		if c, tok := Untoken(Token(core, 9)); c != core || tok != 9 {
 			t.Errorf("token of core %d comes back as %d of %d", core, tok, c)
 		}
