--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -23,17 +23,17 @@
 	Open   int           // set-ups that may be open on one
 }
 
-// entry is a connection. It is in one of two lists: those that have not shown themselves to be of use, in order of their
-// coming, and the others, in order of their last use.
+// entry is a connection. It is in one of three lists: those that have not shown themselves to be of use, in order of their
+// coming, those that have only been tested, and the others, both in order of their last use.
 type entry struct {
 	id      ID
 	host    string
 	came    Time
 	used    Time
-	proven  bool
 	vouched bool
 	open    int
 	wrong   int
+	in      *list.List
 	element *list.Element
 }
 
@@ -42,6 +42,7 @@
 	limits  Limits
 	all     map[ID]*entry
 	strange list.List      // in order of their coming
+	tested  list.List      // the least lately used first
 	known   list.List      // the least lately used first
 	hosts   map[string]int // strangers of each host
 }
@@ -57,7 +58,7 @@
 // Came books a new connection and returns those to close for it; it may be the new one itself, where all others are of
 // use. What is returned counts as gone.
 func (d *Control) Came(now Time, id ID, host string) []ID {
-	e := &entry{id: id, host: host, came: now, used: now}
+	e := &entry{id: id, host: host, came: now, used: now, in: &d.strange}
 	d.all[id] = e
 	e.element = d.strange.PushBack(e)
 	d.hosts[host]++
@@ -74,8 +75,9 @@
 }
 
 // victim is who goes when descriptors run short: the oldest stranger of the host that has most of them, else the one
-// with nothing open that was of use the longest ago. Risk covered: hundreds of connections that say nothing must not
-// push out the owners, nor a newcomer that is about to speak.
+// with nothing open that was of use the longest ago, where one that was only tested goes before one that carried tasks. Risk
+// covered: hundreds of connections that say nothing, or send one test and stay, must not push out the owners, nor a newcomer
+// that is about to speak.
 func (d *Control) victim(now Time) *entry {
 	var best *entry
 	most := 1 // a host with one stranger is as good as any owner
@@ -87,12 +89,8 @@
 	if best != nil {
 		return best
 	}
-	for x := d.known.Front(); x != nil; x = x.Next() {
-		e := x.Value.(*entry)
-		if now-e.used < d.limits.Spare {
-			break
-		}
-		if e.open == 0 {
+	for _, of := range []*list.List{&d.tested, &d.known} {
+		if e := d.unused(now, of); e != nil {
 			return e
 		}
 	}
@@ -104,21 +102,45 @@
 	return nil
 }
 
-// Used books that a connection was of use: it carried a set-up that had its answer, a test, a task that stands or the end
-// of one. A set-up alone is not enough: bad clients send hundreds and take them back at once.
+// unused is the connection of a list with nothing open that was of use the longest ago, Spare at least; nil: there is none.
+func (d *Control) unused(now Time, of *list.List) *entry {
+	for x := of.Front(); x != nil; x = x.Next() {
+		e := x.Value.(*entry)
+		if now-e.used < d.limits.Spare {
+			break
+		}
+		if e.open == 0 {
+			return e
+		}
+	}
+	return nil
+}
+
+// Used books that a connection was of use: it carried a set-up that had its answer, a task that stands or the end of one. A
+// set-up alone is not enough: bad clients send hundreds and take them back at once.
 func (d *Control) Used(now Time, id ID) {
+	if e := d.all[id]; e != nil {
+		d.use(now, e, &d.known)
+	}
+}
+
+// Tested books that a connection carried a test. It is no stranger then, but nothing shows that it is an owner's.
+func (d *Control) Tested(now Time, id ID) {
 	e := d.all[id]
-	if e == nil {
-		return
+	switch {
+	case e == nil:
+	case e.in == &d.known:
+		d.use(now, e, &d.known)
+	default:
+		d.use(now, e, &d.tested)
 	}
+}
+
+// use books a use of e, which belongs into a list from now on.
+func (d *Control) use(now Time, e *entry, to *list.List) {
 	e.used, e.wrong = now, 0
-	if e.proven {
-		d.known.MoveToBack(e.element)
-		return
-	}
-	e.proven = true
-	d.unstrange(e)
-	e.element = d.known.PushBack(e)
+	d.remove(e)
+	e.in, e.element = to, to.PushBack(e)
 }
 
 // Vouch books that a connection carried what owners carry, though it proves none.
@@ -128,9 +150,12 @@
 	}
 }
 
-// unstrange takes e from the strangers.
-func (d *Control) unstrange(e *entry) {
-	d.strange.Remove(e.element)
+// remove takes e from its list.
+func (d *Control) remove(e *entry) {
+	e.in.Remove(e.element)
+	if e.in != &d.strange {
+		return
+	}
 	if d.hosts[e.host]--; d.hosts[e.host] == 0 {
 		delete(d.hosts, e.host)
 	}
@@ -173,15 +198,11 @@
 		return
 	}
 	delete(d.all, id)
-	if e.proven {
-		d.known.Remove(e.element)
-	} else {
-		d.unstrange(e)
-	}
+	d.remove(e)
 }
 
 // Silent returns the connections that have said nothing of use for too long, and when to ask next; 0: not before one
-// comes. What is returned counts as gone. A vouched one stays while none is known to be of use. Risk covered: a scheduler
+// comes. What is returned counts as gone. A vouched one stays while none has carried a task. Risk covered: a scheduler
 // started anew would close all that its owners have, and then have nobody to tell of an end.
 func (d *Control) Silent(now Time) (out []ID, next Time) {
 	waits := false // one stays for now, and is looked at again
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -54,6 +54,46 @@
 	}
 }
 
+// Connections that each pass one test and stay, from as many hosts, push out each other, not one that carried a task,
+// though it was of use longer ago. One that was tested and then carries a task is as good as any owner.
+func TestTestedOnesGoBeforeOwners(t *testing.T) {
+	d := control()
+	d.Came(0, 1, "owner")
+	d.Used(0, 1)
+	d.Came(0, 2, "tested owner")
+	d.Tested(0, 2)
+	d.Used(0, 2)
+	d.Tested(0, 2)
+	for i := range 300 {
+		now, id := Time(i+1)*200*ms, ID(10+i)
+		for _, gone := range d.Came(now, id, fmt.Sprint(id)) {
+			if gone != id-2 {
+				t.Fatalf("%d had to go at %v, want %d", gone, now, id-2)
+			}
+		}
+		d.Tested(now, id)
+	}
+	if d.Len() != 4 || d.known.Len() != 2 {
+		t.Errorf("%d are left, %d of owners", d.Len(), d.known.Len())
+	}
+}
+
+// A test keeps a connection from a close for silence, and does not end the stay of one that handed tasks over.
+func TestSilenceOfTested(t *testing.T) {
+	d := control()
+	d.Came(0, 1, "owner")
+	d.Vouch(1)
+	d.Came(0, 2, "h")
+	d.Tested(ms, 2)
+	if out, next := d.Silent(2 * time.Second); len(out) > 0 || next != 2250*ms {
+		t.Errorf("%v, %v", out, next)
+	}
+	d.Used(2*time.Second, 2)
+	if out, next := d.Silent(2250 * ms); !slices.Equal(out, []ID{1}) || next != 0 {
+		t.Errorf("%v, %v", out, next)
+	}
+}
+
 func TestSilence(t *testing.T) {
 	d := control()
 	d.Came(0, 1, "h")
@@ -113,7 +153,7 @@
 	for range 20000 {
 		now += Time(rng.IntN(int(50 * ms)))
 		id := ID(rng.IntN(int(last) + 1))
-		switch rng.IntN(6) {
+		switch rng.IntN(7) {
 		case 0:
 			last++
 			for _, gone := range d.Came(now, last, fmt.Sprint(rng.IntN(3))) {
@@ -138,9 +178,12 @@
 			delete(open, id)
 		case 5:
 			d.Silent(now)
+		case 6:
+			d.Tested(now, id)
 		}
-		if d.Len() > 4 || d.strange.Len()+d.known.Len() != d.Len() || len(d.hosts) > 3 {
-			t.Fatalf("%d connections, %d and %d in lists, %d hosts", d.Len(), d.strange.Len(), d.known.Len(), len(d.hosts))
+		listed := d.strange.Len() + d.tested.Len() + d.known.Len()
+		if d.Len() > 4 || listed != d.Len() || len(d.hosts) > 3 {
+			t.Fatalf("%d connections, %d in lists, %d hosts", d.Len(), listed, len(d.hosts))
 		}
 	}
 }
--- a/internal/requests/core.go
+++ b/internal/requests/core.go
@@ -128,7 +128,7 @@
 		c.released(in.Conn, in.Task)
 	case Tested:
 		if o := c.owners[in.Conn]; o != nil {
-			c.admission.Used(c.now, admission.ID(in.Conn))
+			c.admission.Tested(c.now, admission.ID(in.Conn))
 			c.emit(Pong{in.Conn, in.Task, !c.stopping})
 		}
 	case Opened:
--- a/internal/requests/requests_test.go
+++ b/internal/requests/requests_test.go
@@ -245,6 +245,27 @@
 	}
 }
 
+// Connections that each pass one test and stay fill what may be kept, while an owner waits for the end of its task: its
+// connection is not closed for them, and the end is told on it at once.
+func TestTestsKeepTheOwnersConnection(t *testing.T) {
+	w := newWorld(t)
+	w.nodes("n")
+	w.step(Opened{Conn: 1, Host: "owner"})
+	o := w.place(1, 7, 0)
+	for i := range Conn(50) {
+		conn := 100 + i
+		w.pass(100 * time.Millisecond)
+		w.step(Opened{Conn: conn, Host: fmt.Sprint("h", conn)}, Tested{Conn: conn, Task: id(1)})
+		if p := one[Pong](w); p.Conn != conn || !p.Passed {
+			t.Errorf("%+v", p)
+		}
+	}
+	w.step(Heard{Link: o.Link, Say: SaysRelease, Task: id(7), Cause: CauseGivenUp})
+	if e := one[Over](w); e.Conn != 1 || e.Task != id(7) {
+		t.Errorf("%+v", e)
+	}
+}
+
 // A scheduler started anew has only connections that handed tasks over. They stay, though bad clients may be among them,
 // until one is known to be an owner's: else nobody would be there to tell of an end.
 func TestHandOversKeepTheOnlyConnections(t *testing.T) {
