--- a/internal/daemon/client.go
+++ b/internal/daemon/client.go
@@ -34,7 +34,7 @@
 func (d *Daemon) accept(c *transport.Conn) transport.Handler {
 	n := d.clients.Add(1)
 	d.metrics.clients.Set(float64(n))
-	return &client{d: d, crowded: n > int64(d.set.Limits.Connections)}
+	return &client{d: d, crowded: n > int64(d.set.Limits.MaxConnections)}
 }
 
 // crowdedFor is how long a connection over the bound may take until its request is turned away.
@@ -72,7 +72,7 @@
 	if req == nil {
 		if p.began.IsZero() {
 			p.began = time.Now()
-			limit := p.d.set.Limits.Request.Of()
+			limit := p.d.set.Limits.RequestTimeout.Duration()
 			began := p.began
 			// Risk covered: a client that sends a byte a second is never idle and holds its place forever.
 			time.AfterFunc(limit, func() {
--- a/internal/daemon/core.go
+++ b/internal/daemon/core.go
@@ -57,9 +57,9 @@
 		waiting: map[uint64]message{}, streams: map[uint64]message{}, came: map[string]time.Time{},
 		links: map[string]*outgoing{}, addrs: map[string]string{}}
 	c.scratch.init()
-	cfg := shard.Divide(d.set.Core(d.boot), i, n)
-	if d.set.Tap != "" {
-		path := d.set.Tap
+	cfg := shard.Divide(d.set.CoreConfig(d.boot), i, n)
+	if d.set.ModuleRecording != "" {
+		path := d.set.ModuleRecording
 		if i > 0 {
 			path += fmt.Sprintf(".%d", i)
 		}
--- a/internal/daemon/cores_test.go
+++ b/internal/daemon/cores_test.go
@@ -16,7 +16,7 @@
 )
 
 func onCores(n int) func(*settings.Scheduler, *nodemodel.Config) {
-	return func(s *settings.Scheduler, _ *nodemodel.Config) { s.Cores, s.Limits.ClientOut = n, 4<<20 }
+	return func(s *settings.Scheduler, _ *nodemodel.Config) { s.Shards, s.Limits.MaxClientWriteQueue = n, 4<<20 }
 }
 
 func (s *site) ran() (n int) {
@@ -142,7 +142,7 @@
 		if err := s.d.Stop(); err != nil {
 			t.Fatal(err)
 		}
-		s.set.Cores = cores
+		s.set.Shards = cores
 		s.start()
 		var err error
 		if js, err = s.c.CreateJobSession(ctx, "next"); err != nil {
@@ -194,7 +194,7 @@
 
 // One core stalls for two seconds: the others go on placing meanwhile, and every job has its outcome in time.
 func TestOneCoreStalls(t *testing.T) {
-	s := newSite(t, 3, func(set *settings.Scheduler, _ *nodemodel.Config) { set.Cores = 4 })
+	s := newSite(t, 3, func(set *settings.Scheduler, _ *nodemodel.Config) { set.Shards = 4 })
 	ctx := within(t, time.Minute)
 	if err := s.d.Stop(); err != nil {
 		t.Fatal(err)
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -62,11 +62,11 @@
 
 // StartHooked is Start with a hook, for tests.
 func StartHooked(set *settings.Scheduler, log zerolog.Logger, hook Hook) (*Daemon, error) {
-	n := max(set.Cores, 1)
+	n := max(set.Shards, 1)
 	d := &Daemon{set: set, hook: hook, log: log.With().Str("scheduler", set.Name).Logger(), boot: clock.Now()}
-	d.shards, d.nodes.m = shard.New(set.Name, set.Core(d.boot), n), map[string]*nodeLink{}
+	d.shards, d.nodes.m = shard.New(set.Name, set.CoreConfig(d.boot), n), map[string]*nodeLink{}
 	var err error
-	if d.metrics, err = newMetrics(set.Metrics); err != nil {
+	if d.metrics, err = newMetrics(set.MetricsAddress); err != nil {
 		return nil, err
 	}
 	for i := range n {
@@ -79,12 +79,13 @@
 	d.front = drmaafront.New(set, d.boot)
 	// One loop writes to all nodes. Risk covered: with several, the stop of an attempt that was given up could leave after
 	// the offer that follows it, to another node.
-	d.dialer, err = transport.NewDialer(transport.Options{MaxWriteQueue: set.Limits.NodeOut, IdleTimeout: peerIdle, Log: d.log})
+	d.dialer, err = transport.NewDialer(transport.Options{MaxWriteQueue: set.Limits.MaxNodeWriteQueue,
+		IdleTimeout: peerIdle, Log: d.log})
 	if err != nil {
 		return nil, err
 	}
-	d.server, err = transport.Listen(set.Listen, transport.Options{MaxWriteQueue: set.Limits.ClientOut,
-		IdleTimeout: set.Limits.Idle.Of(), Loops: n, Log: d.log}, d.accept)
+	d.server, err = transport.Listen(set.ListenAddress, transport.Options{MaxWriteQueue: set.Limits.MaxClientWriteQueue,
+		IdleTimeout: set.Limits.IdleTimeout.Duration(), Loops: n, Log: d.log}, d.accept)
 	if err != nil {
 		_ = d.dialer.Stop()
 		return nil, err
@@ -92,7 +93,7 @@
 	for _, c := range d.cores {
 		go c.own()
 	}
-	d.dialer.Link(set.Inventory, time.Second, backoff, func() transport.Handler {
+	d.dialer.Link(set.InventoryAddress, time.Second, backoff, func() transport.Handler {
 		return &inventoryPeer{d: d,
 			front: nodefront.Inventory{Set: set}}
 	},
@@ -100,7 +101,7 @@
 			d.log.Debug().Err(err).Msg("no connection to the inventory")
 			d.passAll(scheduler.DiscoveryFailed{})
 		})
-	d.log.Info().Str("address", d.server.Addr()).Str("inventory", set.Inventory).Int("cores", n).Msg("the scheduler is up")
+	d.log.Info().Str("address", d.server.Addr()).Str("inventory", set.InventoryAddress).Int("cores", n).Msg("the scheduler is up")
 	return d, nil
 }
 
@@ -128,7 +129,7 @@
 // Shutdown takes no new work, waits until what is in flight has its outcome, or for the time that the settings
 // give, and stops. It returns an error where something had none by then. What runs, runs on at its nodes.
 func (d *Daemon) Shutdown(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, d.set.Limits.StopWithin.Of())
+	ctx, cancel := context.WithTimeout(ctx, d.set.Limits.ShutdownTimeout.Duration())
 	defer cancel()
 	d.passAll(scheduler.Drain{})
 	var err error
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -87,7 +87,7 @@
 	if err := s.inv.WaitFor(ctx, n); err != nil {
 		t.Fatal(err)
 	}
-	set.Inventory = s.inv.Addr()
+	set.InventoryAddress = s.inv.Addr()
 	s.start()
 	t.Cleanup(func() {
 		s.c.Close()
@@ -105,7 +105,7 @@
 		s.t.Fatal(err)
 	}
 	s.d = d
-	s.set.Listen = d.Addr() // a later life is found at the same place
+	s.set.ListenAddress = d.Addr() // a later life is found at the same place
 	s.c = drmaa2.NewClient(d.Addr())
 }
 
@@ -237,7 +237,7 @@
 
 // Each error of the specification reaches the client as itself.
 func TestErrors(t *testing.T) {
-	s := newSite(t, 1, func(set *settings.Scheduler, _ *nodemodel.Config) { set.Limits.MaxOpen = 1 })
+	s := newSite(t, 1, func(set *settings.Scheduler, _ *nodemodel.Config) { set.Limits.MaxPending = 1 })
 	ctx := within(t, 20*time.Second)
 	js := s.session(ctx)
 	want := func(what string, err, target error) {
@@ -516,7 +516,7 @@
 
 // Over the bound on connections a client is told to try later; those who are in stay.
 func TestConnections(t *testing.T) {
-	s := newSite(t, 1, func(set *settings.Scheduler, _ *nodemodel.Config) { set.Limits.Connections = 2 })
+	s := newSite(t, 1, func(set *settings.Scheduler, _ *nodemodel.Config) { set.Limits.MaxConnections = 2 })
 	ctx := within(t, 10*time.Second)
 	s.session(ctx) // one connection, kept
 	hold, err := net.Dial("tcp", s.d.Addr())
@@ -550,7 +550,7 @@
 	}
 	addr := l.Addr().String()
 	_ = l.Close()
-	s := newSite(t, 1, func(set *settings.Scheduler, _ *nodemodel.Config) { set.Metrics = addr })
+	s := newSite(t, 1, func(set *settings.Scheduler, _ *nodemodel.Config) { set.MetricsAddress = addr })
 	ctx := within(t, 10*time.Second)
 	job, err := s.session(ctx).RunJob(ctx, work("once", time.Millisecond))
 	if err != nil {
--- a/internal/daemon/node.go
+++ b/internal/daemon/node.go
@@ -132,7 +132,7 @@
 
 // flush hands a step's frames to the node's loop. An offer that comes there late, or not at all, comes back unsent.
 func (c *core) flush(l *outgoing, decided scheduler.Time) {
-	limit := c.d.set.Rules.DrainGrace.Of() / 2
+	limit := c.d.set.Rules.DrainGrace.Duration() / 2
 	l.box.Flush(l.conn, func() bool { return clock.Now()-decided < limit })
 }
 
@@ -145,7 +145,7 @@
 func (c *core) connect(name string) {
 	d, addr := c.d, c.addrs[name]
 	replaced := d.nodes.want(c.i, name, addr, func(l *nodeLink) *transport.Link {
-		return d.dialer.Link(addr, d.set.Connect.Of(), backoff,
+		return d.dialer.Link(addr, d.set.ConnectTimeout.Duration(), backoff,
 			func() transport.Handler {
 				return &nodePeer{d: d, name: name, front: nodefront.Node{Set: d.set, Name: name}}
 			},
--- a/internal/front/nodefront/front.go
+++ b/internal/front/nodefront/front.go
@@ -28,7 +28,7 @@
 	s := e.Spec
 	t.Job, t.Key, t.Session, t.Name, t.Service = e.Job, s.Key, s.Session, s.Name, s.Service
 	t.Class, t.Cores, t.Memory, t.LifeNs = set.Classes[s.Class].Name, s.Cores, s.Memory, int64(s.ExpectedRuntime)
-	t.Priority, t.Effect = int32(s.Priority), int32(set.Classes[s.Class].EffectOf())
+	t.Priority, t.Effect = int32(s.Priority), int32(set.Classes[s.Class].ModuleIdempotency())
 	t.SubmittedUnixNs, t.Rerunnable, t.Ask = int64(e.Submitted), s.Rerunnable, int32(e.Request)
 	t.Owner, t.Template, t.Tenant = s.Owner, s.Template, ""
 	if s.Tenant >= 0 {
