--- /dev/null
+++ b/internal/codec/ownerline/decode.go
@@ -0,0 +1,84 @@
+package ownerline
+
+import (
+	"bytes"
+	"fmt"
+	"strconv"
+
+	"github.com/go-json-experiment/json"
+	"github.com/go-json-experiment/json/jsontext"
+)
+
+// wireMessage is a line by its names on the wire.
+type wireMessage struct {
+	Type        Type                  `json:"type"`
+	ID          string                `json:"id"`
+	Fields      map[string]fieldValue `json:"fields"`
+	Cause       *int                  `json:"cause"`
+	Description *string               `json:"sdp"`
+}
+
+// fieldValue is a JSON string or number, kept as its text.
+type fieldValue string
+
+// UnmarshalJSONFrom implements json.UnmarshalerFrom.
+func (v *fieldValue) UnmarshalJSONFrom(decoder *jsontext.Decoder) error {
+	token, err := decoder.ReadToken()
+	if err != nil {
+		return err
+	}
+	if kind := token.Kind(); kind != '"' && kind != '0' {
+		return fmt.Errorf("a field must be a string or a number, not %v", kind)
+	}
+	*v = fieldValue(token.String())
+	return nil
+}
+
+// Next decodes the first line of buf and returns how many bytes it took. It returns nil and 0 when more bytes are needed,
+// and keeps no reference to buf. An error is a ProtocolError: the peer does not speak this protocol. A line over MaxLine
+// is one as soon as that many bytes have come without a line feed, and matches ErrTooLong.
+func Next(buf []byte) (m *Message, used int, err error) {
+	end := bytes.IndexByte(buf, '\n')
+	if end < 0 && len(buf) >= MaxLine || end >= MaxLine {
+		return nil, 0, lineTooLong(buf, max(end+1, MaxLine))
+	}
+	if end < 0 {
+		return nil, 0, nil
+	}
+	m, err = decodeLine(buf[:end])
+	return m, end + 1, err
+}
+
+func decodeLine(line []byte) (*Message, error) {
+	var wire wireMessage
+	if err := json.Unmarshal(line, &wire); err != nil {
+		return nil, invalidJSON(line, err)
+	}
+	if err := wire.validate(); err != nil {
+		return nil, err
+	}
+	m := &Message{Type: wire.Type, ID: wire.ID, Cause: NoCause, Fields: make(map[string]string, len(wire.Fields))}
+	for name, value := range wire.Fields {
+		m.Fields[name] = string(value)
+	}
+	if wire.Cause != nil {
+		m.Cause = *wire.Cause
+	}
+	if wire.Description != nil {
+		m.Description, m.Described = *wire.Description, true
+	}
+	return m, nil
+}
+
+func (w *wireMessage) validate() error {
+	if !ValidID(w.ID) {
+		return invalidField("/id", w.ID, "must be 16 lower-case hex digits")
+	}
+	if w.Cause != nil && (*w.Cause < 0 || *w.Cause > maxCause) {
+		return invalidField("/cause", strconv.Itoa(*w.Cause), "must be between 0 and 255")
+	}
+	if !w.Type.known() {
+		return invalidField("/type", string(w.Type), "not a type of message")
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/codec/ownerline/message_test.go
@@ -0,0 +1,183 @@
+package ownerline
+
+import (
+	"errors"
+	"fmt"
+	"strings"
+	"testing"
+)
+
+const (
+	taskID    = "9b1f03aa5c7e2d41"
+	setUpLine = `{"type":"setup","id":"9b1f03aa5c7e2d41","fields":{"class":"batch","left":1500},"sdp":"9d41\r\nc=IN\r\n"}` + "\n"
+)
+
+// decodeInPieces decodes all lines of input, of which step bytes arrive at a time.
+func decodeInPieces(t *testing.T, input string, step int) []*Message {
+	t.Helper()
+	var buf []byte
+	var messages []*Message
+	for i := 0; i < len(input); i += step {
+		buf = append(buf, input[i:min(i+step, len(input))]...)
+		for {
+			m, used, err := Next(buf)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if used == 0 {
+				break
+			}
+			messages, buf = append(messages, m), buf[used:]
+		}
+	}
+	return messages
+}
+
+// Lines are decoded one by one, however their bytes arrive; fields are strings or numbers.
+func TestNext(t *testing.T) {
+	input := setUpLine + `{"type":"release","id":"9b1f03aa5c7e2d41","fields":{},"cause":34,"later":[1]}` + "\n"
+	for _, step := range []int{1, 7, len(input)} {
+		t.Run(fmt.Sprintf("%d bytes at a time", step), func(t *testing.T) {
+			got := decodeInPieces(t, input, step)
+			if len(got) != 2 {
+				t.Fatalf("%d messages", len(got))
+			}
+			if m := got[0]; m.Fields["left"] != "1500" || m.Description != "9d41\r\nc=IN\r\n" || m.Cause != NoCause {
+				t.Errorf("set-up: %+v", m)
+			}
+			if m := got[1]; m.Type != Release || m.Cause != 34 || m.Described {
+				t.Errorf("release: %+v", m)
+			}
+		})
+	}
+}
+
+func TestNextRejectsMalformedLines(t *testing.T) {
+	for name, line := range map[string]string{
+		"empty":              "",
+		"array":              "[1]",
+		"word":               "hello",
+		"truncated object":   `{"type":"setup"`,
+		"no id":              `{"type":"ping"}`,
+		"short id":           `{"type":"ping","id":"12"}`,
+		"upper-case id":      `{"type":"ping","id":"9B1F03AA5C7E2D41"}`,
+		"id not hex":         `{"type":"ping","id":"9b1f03aa5c7e2dzz"}`,
+		"unknown type":       `{"type":"sing","id":"9b1f03aa5c7e2d41"}`,
+		"cause out of range": `{"type":"release","id":"9b1f03aa5c7e2d41","cause":256}`,
+		"object as field":    `{"type":"setup","id":"9b1f03aa5c7e2d41","fields":{"class":{}}}`,
+		"duplicate key":      `{"type":"ping","id":"9b1f03aa5c7e2d41","id":"9b1f03aa5c7e2d42"}`,
+		"not UTF-8":          "\xff\xfe",
+	} {
+		t.Run(name, func(t *testing.T) {
+			m, _, err := Next([]byte(line + "\n"))
+			var protocol *ProtocolError
+			if !errors.As(err, &protocol) {
+				t.Errorf("decoded as %+v, %v", m, err)
+			}
+		})
+	}
+}
+
+// An error says which field of the line is at fault, or where the line stops being JSON.
+func TestProtocolErrorNamesItsPlace(t *testing.T) {
+	for _, c := range []struct {
+		line string
+		want ProtocolError
+	}{
+		{`{"type":"ping","id":"12"}`, ProtocolError{Field: "/id", Value: "12"}},
+		{`{"type":"ping","id":"` + strings.Repeat("a", 99) + `"}`, ProtocolError{Field: "/id", Value: strings.Repeat("a", 40)}},
+		{`{"type":"release","id":"` + taskID + `","cause":256}`, ProtocolError{Field: "/cause", Value: "256"}},
+		{`{"type":"sing","id":"` + taskID + `"}`, ProtocolError{Field: "/type", Value: "sing"}},
+		{`{"type":"p"]`, ProtocolError{Offset: 11, Value: `{"type":"p"]`}},
+		{`{"type":1}`, ProtocolError{Field: "/type", Offset: 8, Value: `{"type":1}`}},
+	} {
+		_, _, err := Next([]byte(c.line + "\n"))
+		var got *ProtocolError
+		if !errors.As(err, &got) || got.Field != c.want.Field || got.Offset != c.want.Offset || got.Value != c.want.Value {
+			t.Errorf("%s: %+v", c.line, err)
+		}
+		if err == nil || strings.Contains(err.Error(), "\n") {
+			t.Errorf("%s: %v is not one line", c.line, err)
+		}
+	}
+}
+
+// A line over the limit is an error before its line feed has come.
+func TestNextRejectsLongLines(t *testing.T) {
+	for name, input := range map[string]string{
+		"without a line feed": strings.Repeat("x", MaxLine),
+		"with a line feed":    strings.Repeat(" ", MaxLine) + setUpLine,
+	} {
+		if _, _, err := Next([]byte(input)); !errors.Is(err, ErrTooLong) {
+			t.Errorf("%s: %v", name, err)
+		}
+	}
+}
+
+func TestAppendKeepsDescription(t *testing.T) {
+	for _, text := range []string{"", "a\r\nb\"\\\t\u00e9/", "<&>"} {
+		line, err := Append(nil, &Message{Type: Answer, ID: taskID, Cause: NoCause, Description: text, Described: true})
+		if err != nil {
+			t.Fatal(err)
+		}
+		m, used, err := Next(line)
+		if err != nil || used != len(line) || m.Description != text || m.Cause != NoCause {
+			t.Errorf("%q was decoded as %+v, %v", text, m, err)
+		}
+	}
+}
+
+// A description that can't be encoded leaves the buffer as it was.
+func TestAppendRejectsDescription(t *testing.T) {
+	for name, text := range map[string]string{"not UTF-8": "\xff", "over the limit": strings.Repeat("x", MaxLine)} {
+		buf, err := Append([]byte("kept"), &Message{Type: Answer, ID: taskID, Description: text, Described: true})
+		if err == nil || string(buf) != "kept" {
+			t.Errorf("%s: %q, %v", name, buf, err)
+		}
+		if tooLong := len(text) == MaxLine; errors.Is(err, ErrTooLong) != tooLong {
+			t.Errorf("%s: %v", name, err)
+		}
+	}
+}
+
+// What Next decodes is the same after Append and Next, save for its fields.
+func FuzzNext(f *testing.F) {
+	f.Add([]byte(setUpLine))
+	f.Add([]byte(`{"type":"ping","id":"9b1f03aa5c7e2d41","fields":{"a":1e9},"cause":0}` + "\n"))
+	f.Fuzz(func(t *testing.T, input []byte) {
+		m, used, err := Next(input)
+		if err != nil || used == 0 {
+			return
+		}
+		line, err := Append(nil, m)
+		if err != nil {
+			return // escaped it may be longer than the limit
+		}
+		again, _, err := Next(line)
+		if err != nil || again.ID != m.ID || again.Description != m.Description || again.Cause != m.Cause {
+			t.Errorf("%q: %+v, then %+v, %v", input, m, again, err)
+		}
+	})
+}
+
+func BenchmarkNext(b *testing.B) {
+	input := []byte(setUpLine)
+	b.ReportAllocs()
+	for b.Loop() {
+		if _, _, err := Next(input); err != nil {
+			b.Fatal(err)
+		}
+	}
+}
+
+func BenchmarkAppend(b *testing.B) {
+	m := &Message{Type: Answer, ID: taskID, Cause: NoCause, Description: "9d41\r\nc=IN\r\n", Described: true}
+	var buf []byte
+	b.ReportAllocs()
+	for b.Loop() {
+		var err error
+		if buf, err = Append(buf[:0], m); err != nil {
+			b.Fatal(err)
+		}
+	}
+}
