--- /dev/null
+++ b/internal/codec/nodeparam/decode.go
@@ -0,0 +1,81 @@
+package nodeparam
+
+import (
+	"encoding/binary"
+	"fmt"
+	"strconv"
+)
+
+// Next decodes the first message of buf and returns how many bytes it took. It returns 0 when more bytes are needed, and
+// keeps no reference to buf. It allocates nothing for a length that is only announced. An error is a ProtocolError.
+func Next(buf []byte) (m Message, used int, err error) {
+	if len(buf) < lengthSize {
+		return m, 0, nil
+	}
+	size := int(binary.BigEndian.Uint16(buf)) + lengthSize
+	if size < headerSize || size > MaxMessage {
+		return m, 0, &ProtocolError{Field: "length", Value: strconv.Itoa(size - lengthSize),
+			Reason: fmt.Sprintf("must be between %d and %d", headerSize-lengthSize, MaxMessage-lengthSize)}
+	}
+	// The type is checked before the rest of the message has come, since that may never do so.
+	if len(buf) > lengthSize && !Type(buf[lengthSize]).known() {
+		return m, 0, &ProtocolError{Offset: lengthSize, Field: "type", Value: strconv.Itoa(int(buf[lengthSize])),
+			Reason: "not a type of message"}
+	}
+	if len(buf) < size {
+		return m, 0, nil
+	}
+	m = Message{Type: Type(buf[lengthSize]), Task: binary.BigEndian.Uint64(buf[lengthSize+typeSize:]), Cause: NoCause}
+	if err := m.decodeParameters(buf[:size]); err != nil {
+		return m, 0, err
+	}
+	return m, size, nil
+}
+
+// decodeParameters sets m to the parameters of a whole message.
+func (m *Message) decodeParameters(message []byte) error {
+	for offset := headerSize; offset < len(message); {
+		rest := message[offset:]
+		if len(rest) < parameterHeaderSize {
+			return &ProtocolError{Type: m.Type, Offset: offset, Field: "parameter", Value: fmt.Sprintf("%d bytes", len(rest)),
+				Reason: fmt.Sprintf("must have a code and a length of %d bytes", parameterHeaderSize)}
+		}
+		code, size := rest[0], int(binary.BigEndian.Uint16(rest[1:]))
+		value := rest[parameterHeaderSize:]
+		if size > len(value) {
+			return &ProtocolError{Type: m.Type, Offset: offset, Field: parameterName(code), Value: fmt.Sprintf("%d bytes", size),
+				Reason: fmt.Sprintf("the message has only %d more", len(value))}
+		}
+		if code == codeCause && size != 1 {
+			return &ProtocolError{Type: m.Type, Offset: offset, Field: parameterName(code), Value: fmt.Sprintf("%d bytes", size),
+				Reason: "a cause must have 1"}
+		}
+		m.set(code, value[:size])
+		offset += parameterHeaderSize + size
+	}
+	return nil
+}
+
+// set sets the parameter with the code. Codes of later versions are skipped.
+func (m *Message) set(code byte, value []byte) {
+	switch code {
+	case codeClass:
+		m.Class = string(value)
+	case codeTimeLeft:
+		m.TimeLeft = string(value)
+	case codeKey:
+		m.Key = string(value)
+	case codeToken:
+		m.Token = string(value)
+	case codeValue:
+		m.Value = string(value)
+	case codeIdempotencyKey:
+		m.IdempotencyKey = string(value)
+	case codeCause:
+		m.Cause = int(value[0])
+	case codeDescription:
+		m.Description, m.Described = string(value), true
+	}
+}
+
+func parameterName(code byte) string { return "parameter " + strconv.Itoa(int(code)) }
--- /dev/null
+++ b/internal/codec/nodeparam/encode.go
@@ -0,0 +1,39 @@
+package nodeparam
+
+import "encoding/binary"
+
+// Append encodes m at the end of dst; parameters with an empty text and a negative Cause are left out. The error is a
+// SizeError, for a message over MaxMessage: dst then comes back as it was.
+func Append(dst []byte, m *Message) ([]byte, error) {
+	start := len(dst)
+	dst = append(dst, 0, 0, byte(m.Type)) // the length is set when it is known
+	dst = binary.BigEndian.AppendUint64(dst, m.Task)
+	for _, parameter := range [...]struct {
+		code byte
+		text string
+	}{
+		{codeClass, m.Class}, {codeTimeLeft, m.TimeLeft}, {codeKey, m.Key}, {codeToken, m.Token}, {codeValue, m.Value},
+		{codeIdempotencyKey, m.IdempotencyKey},
+	} {
+		if parameter.text != "" {
+			dst = appendText(dst, parameter.code, parameter.text)
+		}
+	}
+	if m.Cause >= 0 {
+		dst = append(dst, codeCause, 0, 1, byte(m.Cause))
+	}
+	if m.Described {
+		dst = appendText(dst, codeDescription, m.Description)
+	}
+	size := len(dst) - start
+	if size > MaxMessage {
+		return dst[:start], &SizeError{Type: m.Type, Bytes: size, Limit: MaxMessage}
+	}
+	binary.BigEndian.PutUint16(dst[start:], uint16(size-lengthSize))
+	return dst, nil
+}
+
+func appendText(dst []byte, code byte, text string) []byte {
+	dst = append(dst, code, byte(len(text)>>8), byte(len(text)))
+	return append(dst, text...)
+}
--- /dev/null
+++ b/internal/codec/nodeparam/errors.go
@@ -0,0 +1,45 @@
+package nodeparam
+
+import (
+	"errors"
+	"fmt"
+)
+
+// ErrMalformed is matched by every error about a message that breaks the protocol. The connection can't be read on.
+var ErrMalformed = errors.New("malformed message")
+
+// ErrTooLong is matched by the error for a message over MaxMessage that was to be written.
+var ErrTooLong = errors.New("message over the limit")
+
+// ProtocolError is a message that breaks the protocol. It matches ErrMalformed.
+type ProtocolError struct {
+	Type   Type   // of the message; 0 where it is not known
+	Offset int    // of the fault from the first byte of the message
+	Field  string // for instance length, or parameter 194
+	Value  string // the offending value
+	Reason string // what the protocol demands instead
+}
+
+func (e *ProtocolError) Error() string {
+	message := "message"
+	if e.Type != 0 {
+		message = e.Type.String()
+	}
+	return fmt.Sprintf("nodeparam: %s, byte %d: %s: %s: %s", message, e.Offset, e.Field, e.Value, e.Reason)
+}
+
+// Unwrap returns ErrMalformed.
+func (e *ProtocolError) Unwrap() error { return ErrMalformed }
+
+// SizeError is a message that is too long to be written. It matches ErrTooLong.
+type SizeError struct {
+	Type         Type
+	Bytes, Limit int
+}
+
+func (e *SizeError) Error() string {
+	return fmt.Sprintf("nodeparam: %s of %d bytes, %d at most", e.Type, e.Bytes, e.Limit)
+}
+
+// Unwrap returns ErrTooLong.
+func (e *SizeError) Unwrap() error { return ErrTooLong }
--- a/internal/codec/nodeparam/message.go
+++ b/internal/codec/nodeparam/message.go
@@ -1,20 +1,27 @@
-// Package nodeparam owns the bytes between a scheduler and the platform's nodes: binary messages of parameters. It must
-// not decide anything or keep a connection.
+// Package nodeparam encodes and decodes the messages between a scheduler and the nodes of the platform: binary, with a
+// length in front, and made of parameters. It holds no connection and makes no decision. Its functions may be called from
+// several goroutines.
 package nodeparam
 
-import (
-	"encoding/binary"
-	"errors"
-	"fmt"
-)
+import "strconv"
 
 // MaxMessage is the longest message in bytes that either side may send, its length included.
 const MaxMessage = 16 << 10
 
-// ErrMalformed is wrapped by every error about bytes that no message can begin with: the connection can't be read on.
-var ErrMalformed = errors.New("nodeparam: bytes that are no message")
+// NoCause is the Cause of a message without one.
+const NoCause = -1
+
+// The parts of a message, in bytes: its length (of all that follows), type and task, then the parameters, each with a code
+// and the length of its value in front. All numbers are big-endian.
+const (
+	lengthSize          = 2
+	typeSize            = 1
+	taskSize            = 8
+	headerSize          = lengthSize + typeSize + taskSize
+	parameterHeaderSize = 1 + 2
+)
 
-// Type is what a message is.
+// Type is the type of a message, by its number on the wire.
 type Type byte
 
 // The types of messages.
@@ -30,130 +37,45 @@
 	Pong     Type = 53
 )
 
-// The codes of parameters.
+var typeNames = [...]string{
+	SetUp: "setup", Progress: "progress", Answer: "answer", Release: "release", Released: "released",
+	Note: "note", Move: "move", Ping: "ping", Pong: "pong",
+}
+
+// known reports whether t is one of the types above.
+func (t Type) known() bool { return int(t) < len(typeNames) && typeNames[t] != "" }
+
+// String returns the name of the type, or its number where it is none of the above.
+func (t Type) String() string {
+	if t.known() {
+		return typeNames[t]
+	}
+	return "type " + strconv.Itoa(int(t))
+}
+
+// The codes of parameters on the wire.
 const (
-	codeClass       = 180
-	codeLeft        = 181
-	codeKey         = 184
-	codeWord        = 187
-	codeFigure      = 192
-	codeIdem        = 193
-	codeCause       = 194
-	codeDescription = 195
+	codeClass          = 180
+	codeTimeLeft       = 181
+	codeKey            = 184
+	codeToken          = 187
+	codeValue          = 192
+	codeIdempotencyKey = 193
+	codeCause          = 194
+	codeDescription    = 195
 )
 
-// Message is one message. Texts that did not come along are empty.
+// Message is one message. The text of a parameter that the message does not have is empty.
 type Message struct {
 	Type           Type
 	Task           uint64
-	Cause          int // -1 where none came along
-	Token          string
-	Value          string
+	Cause          int    // 0 to 255; NoCause where the message has none
+	Token          string // names the reason of a release, or the quantity of a note
+	Value          string // of the quantity that Token names, as a decimal number
 	Class          string
-	TimeLeft       string // milliseconds
+	TimeLeft       string // until the deadline of the task, in milliseconds
 	Key            string
 	IdempotencyKey string
 	Description    string
-	Described      bool
-}
-
-const head = 2 + 1 + 8
-
-// Next reads one message from the front of buf. It returns 0 used when more bytes are needed, and keeps nothing of buf.
-// Nothing is allocated by an announced length.
-func Next(buf []byte) (m Message, used int, err error) {
-	if len(buf) < 2 {
-		return m, 0, nil
-	}
-	n := int(binary.BigEndian.Uint16(buf)) + 2
-	if n < head || n > MaxMessage {
-		return m, 0, fmt.Errorf("%w: %d bytes announced", ErrMalformed, n-2)
-	}
-	if len(buf) > 2 && !known(Type(buf[2])) { // told before the announced bytes come, which may be never
-		return m, 0, fmt.Errorf("%w: type %d", ErrMalformed, buf[2])
-	}
-	if len(buf) < n {
-		return m, 0, nil
-	}
-	m.Type, m.Task, m.Cause = Type(buf[2]), binary.BigEndian.Uint64(buf[3:]), -1
-	for rest := buf[head:n]; len(rest) > 0; {
-		if len(rest) < 3 {
-			return m, 0, fmt.Errorf("%w: %d bytes behind the last parameter", ErrMalformed, len(rest))
-		}
-		code, size := rest[0], int(binary.BigEndian.Uint16(rest[1:]))
-		if size > len(rest)-3 {
-			return m, 0, fmt.Errorf("%w: parameter %d of %d bytes, %d are there", ErrMalformed, code, size, len(rest)-3)
-		}
-		if err := m.set(code, rest[3:3+size]); err != nil {
-			return m, 0, err
-		}
-		rest = rest[3+size:]
-	}
-	return m, n, nil
-}
-
-func known(t Type) bool {
-	switch t {
-	case SetUp, Progress, Answer, Release, Released, Note, Move, Ping, Pong:
-		return true
-	}
-	return false
-}
-
-func (m *Message) set(code byte, value []byte) error {
-	switch code {
-	case codeClass:
-		m.Class = string(value)
-	case codeLeft:
-		m.TimeLeft = string(value)
-	case codeKey:
-		m.Key = string(value)
-	case codeWord:
-		m.Token = string(value)
-	case codeFigure:
-		m.Value = string(value)
-	case codeIdem:
-		m.IdempotencyKey = string(value)
-	case codeCause:
-		if len(value) != 1 {
-			return fmt.Errorf("%w: a cause of %d bytes", ErrMalformed, len(value))
-		}
-		m.Cause = int(value[0])
-	case codeDescription:
-		m.Description, m.Described = string(value), true
-	}
-	return nil
-}
-
-// Append encodes m behind dst. The error is for a message over MaxMessage.
-func Append(dst []byte, m *Message) ([]byte, error) {
-	at := len(dst)
-	dst = append(dst, 0, 0, byte(m.Type))
-	dst = binary.BigEndian.AppendUint64(dst, m.Task)
-	for _, p := range [...]struct {
-		code byte
-		text string
-	}{{codeClass, m.Class}, {codeLeft, m.TimeLeft}, {codeKey, m.Key}, {codeWord, m.Token}, {codeFigure, m.Value},
-		{codeIdem, m.IdempotencyKey}} {
-		if p.text != "" {
-			dst = appendText(dst, p.code, p.text)
-		}
-	}
-	if m.Cause >= 0 {
-		dst = append(dst, codeCause, 0, 1, byte(m.Cause))
-	}
-	if m.Described {
-		dst = appendText(dst, codeDescription, m.Description)
-	}
-	n := len(dst) - at
-	if n > MaxMessage {
-		return dst[:at], fmt.Errorf("nodeparam: message of %d bytes, %d at most", n, MaxMessage)
-	}
-	binary.BigEndian.PutUint16(dst[at:], uint16(n-2))
-	return dst, nil
-}
-
-func appendText(dst []byte, code byte, text string) []byte {
-	dst = append(dst, code, byte(len(text)>>8), byte(len(text)))
-	return append(dst, text...)
+	Described      bool // the message has a description, which may be empty
 }
--- a/internal/codec/nodeparam/message_test.go
+++ b/internal/codec/nodeparam/message_test.go
@@ -2,49 +2,58 @@
 
 import (
 	"errors"
+	"fmt"
 	"slices"
 	"strings"
 	"testing"
 )
 
-var whole = Message{Type: SetUp, Task: 0x9b1f03aa5c7e2d41, Cause: -1, Class: "batch", TimeLeft: "1500", Key: "7f3a",
+var setUp = Message{Type: SetUp, Task: 0x9b1f03aa5c7e2d41, Cause: NoCause, Class: "batch", TimeLeft: "1500", Key: "7f3a",
 	IdempotencyKey: "5c0f", Description: "9d41\r\nc=IN\r\n", Described: true}
 
-// Messages come out as they went in, however the bytes come.
+// decodeInPieces decodes all messages of input, of which step bytes arrive at a time.
+func decodeInPieces(t *testing.T, input []byte, step int) []Message {
+	t.Helper()
+	var buf []byte
+	var messages []Message
+	for i := 0; i < len(input); i += step {
+		buf = append(buf, input[i:min(i+step, len(input))]...)
+		for {
+			m, used, err := Next(buf)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if used == 0 {
+				break
+			}
+			messages, buf = append(messages, m), buf[used:]
+		}
+	}
+	return messages
+}
+
+// Messages are decoded as they were encoded, however their bytes arrive.
 func TestMessages(t *testing.T) {
-	want := []Message{whole, {Type: Release, Task: 1, Cause: 34, Token: "cpu_full"}, {Type: Note, Task: 2, Cause: -1,
+	want := []Message{setUp, {Type: Release, Task: 1, Cause: 34, Token: "cpu_full"}, {Type: Note, Task: 2, Cause: NoCause,
 		Token: "share", Value: "0.5"}}
-	var in []byte
+	var input []byte
 	for i := range want {
 		var err error
-		if in, err = Append(in, &want[i]); err != nil {
+		if input, err = Append(input, &want[i]); err != nil {
 			t.Fatal(err)
 		}
 	}
-	for _, step := range []int{1, 5, len(in)} {
-		var buf []byte
-		var got []Message
-		for i := 0; i < len(in); i += step {
-			buf = append(buf, in[i:min(i+step, len(in))]...)
-			for {
-				m, n, err := Next(buf)
-				if err != nil {
-					t.Fatal(err)
-				}
-				if n == 0 {
-					break
-				}
-				got, buf = append(got, m), buf[n:]
+	for _, step := range []int{1, 5, len(input)} {
+		t.Run(fmt.Sprintf("%d bytes at a time", step), func(t *testing.T) {
+			if got := decodeInPieces(t, input, step); !slices.Equal(got, want) {
+				t.Errorf("%+v", got)
 			}
-		}
-		if !slices.Equal(got, want) {
-			t.Errorf("in pieces of %d: %+v", step, got)
-		}
+		})
 	}
 }
 
-// The bytes of a message by hand: the length counts all that follows it.
-func TestBytes(t *testing.T) {
+// The bytes of a message, written by hand: the length counts all that follows it.
+func TestAppendBytes(t *testing.T) {
 	got, err := Append(nil, &Message{Type: Release, Task: 0x0102030405060708, Cause: 16})
 	want := "\x00\x0d\x0c\x01\x02\x03\x04\x05\x06\x07\x08\xc2\x00\x01\x10"
 	if err != nil || string(got) != want {
@@ -52,42 +61,97 @@
 	}
 }
 
-// Spoilt bytes are told as soon as they can be, before what they announce comes.
-func TestSpoilt(t *testing.T) {
-	head := "\x00\x10\x0c\x01\x02\x03\x04\x05\x06\x07\x08"
-	for name, in := range map[string]string{
-		"text": "HTTP/1.1", "no room for a task": "\x00\x05\x0c\x01\x02\x03\x04", "too long": "\x40\x00",
-		"unknown type": "\x10\x00\x07", "half a parameter": "\x00\x0b\x0c\x01\x02\x03\x04\x05\x06\x07\x08\xc2\x00",
-		"longer than the message": head + "\xc3\x01\x00\x00\x00\x00\x00",
-		"a cause of two bytes":    "\x00\x0e\x0c\x01\x02\x03\x04\x05\x06\x07\x08\xc2\x00\x02\x10\x10",
+// Malformed bytes are rejected as early as they can be, before what they announce has come.
+func TestNextRejectsMalformedMessages(t *testing.T) {
+	const releaseHeader = "\x00\x10\x0c\x01\x02\x03\x04\x05\x06\x07\x08"
+	for name, c := range map[string]struct {
+		input  string
+		offset int
+		field  string
+		value  string
+	}{
+		"text":                            {"HTTP/1.1", 0, "length", "18516"},
+		"no room for a task":              {"\x00\x05\x0c\x01\x02\x03\x04", 0, "length", "5"},
+		"over the limit":                  {"\x40\x00", 0, "length", "16384"},
+		"unknown type":                    {"\x10\x00\x07", 2, "type", "7"},
+		"truncated parameter":             {"\x00\x0b\x0c\x01\x02\x03\x04\x05\x06\x07\x08\xc2\x00", 11, "parameter", "2 bytes"},
+		"parameter longer than a message": {releaseHeader + "\xc3\x01\x00\x00\x00\x00\x00", 11, "parameter 195", "256 bytes"},
+		"cause of two bytes":              {"\x00\x0e\x0c\x01\x02\x03\x04\x05\x06\x07\x08\xc2\x00\x02\x10\x10", 11, "parameter 194", "2 bytes"},
 	} {
-		if m, n, err := Next([]byte(in)); !errors.Is(err, ErrMalformed) {
-			t.Errorf("%s: %+v, %d, %v", name, m, n, err)
-		}
+		t.Run(name, func(t *testing.T) {
+			m, used, err := Next([]byte(c.input))
+			if !errors.Is(err, ErrMalformed) {
+				t.Fatalf("%+v, %d, %v", m, used, err)
+			}
+			var protocol *ProtocolError
+			if !errors.As(err, &protocol) || protocol.Offset != c.offset || protocol.Field != c.field || protocol.Value != c.value {
+				t.Errorf("%v", err)
+			}
+		})
+	}
+}
+
+func TestAppendRejectsLongMessages(t *testing.T) {
+	buf, err := Append([]byte("kept"), &Message{Type: SetUp, Description: strings.Repeat("x", MaxMessage), Described: true})
+	if !errors.Is(err, ErrTooLong) || string(buf) != "kept" {
+		t.Errorf("%d bytes, %v", len(buf), err)
 	}
-	if _, err := Append(nil, &Message{Type: SetUp, Description: strings.Repeat("x", MaxMessage), Described: true}); err == nil {
-		t.Error("a message over the limit was written")
+}
+
+func TestTypeString(t *testing.T) {
+	for value, want := range map[Type]string{SetUp: "setup", Pong: "pong", 0: "type 0", 7: "type 7", 255: "type 255"} {
+		if got := value.String(); got != want {
+			t.Errorf("%d is %q, want %q", byte(value), got, want)
+		}
 	}
 }
 
+// What Next decodes is the same after Append and Next.
 func FuzzNext(f *testing.F) {
-	b, _ := Append(nil, &whole)
-	f.Add(b)
+	seed, err := Append(nil, &setUp)
+	if err != nil {
+		f.Fatal(err)
+	}
+	f.Add(seed)
 	f.Add([]byte("\x00\x0d\x0c\x01\x02\x03\x04\x05\x06\x07\x08\xc2\x00\x01\x10"))
-	f.Fuzz(func(t *testing.T, in []byte) {
-		m, n, err := Next(in)
-		if err != nil || n == 0 {
+	f.Fuzz(func(t *testing.T, input []byte) {
+		m, used, err := Next(input)
+		if err != nil || used == 0 {
 			return
 		}
-		if n > len(in) || n > MaxMessage {
-			t.Fatalf("%d bytes used of %d", n, len(in))
+		if used > len(input) || used > MaxMessage {
+			t.Fatalf("%d bytes used of %d", used, len(input))
 		}
-		b, err := Append(nil, &m)
+		encoded, err := Append(nil, &m)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if again, _, err := Next(b); err != nil || again != m {
+		if again, _, err := Next(encoded); err != nil || again != m {
 			t.Errorf("%+v, then %+v, %v", m, again, err)
 		}
 	})
 }
+
+func BenchmarkNext(b *testing.B) {
+	input, err := Append(nil, &setUp)
+	if err != nil {
+		b.Fatal(err)
+	}
+	b.ReportAllocs()
+	for b.Loop() {
+		if _, _, err := Next(input); err != nil {
+			b.Fatal(err)
+		}
+	}
+}
+
+func BenchmarkAppend(b *testing.B) {
+	var buf []byte
+	b.ReportAllocs()
+	for b.Loop() {
+		var err error
+		if buf, err = Append(buf[:0], &setUp); err != nil {
+			b.Fatal(err)
+		}
+	}
+}
