--- a/internal/benchadapter/read.go
+++ b/internal/benchadapter/read.go
@@ -55,13 +55,13 @@
 	return &Reader{in: bufio.NewReaderSize(in, 1<<20), instances: map[int]*Names{}, pages: map[int][]entry{}}
 }
 
-// Error is malformed input: the batch, the field and its value.
-type Error struct {
+// ProtocolError is malformed input: the batch, the field and its value.
+type ProtocolError struct {
 	Batch        int64
 	Field, Value string
 }
 
-func (e *Error) Error() string {
+func (e *ProtocolError) Error() string {
 	return fmt.Sprintf("malformed input: batch %d, field %s, value %q", e.Batch, e.Field, e.Value)
 }
 
@@ -84,7 +84,7 @@
 	}
 	word, rest, _ := strings.Cut(s, " ")
 	if word != "FRAME" {
-		return nil, &Error{r.serial, "FRAME", s}
+		return nil, &ProtocolError{r.serial, "FRAME", s}
 	}
 	f := r.fields(rest)
 	b := &Batch{Clock: f.dur("clock_ns", true), Serial: f.int("serial", true)}
@@ -151,7 +151,7 @@
 		}
 		word, rest, _ := strings.Cut(s, " ")
 		if word != "M" {
-			return &Error{r.serial, "records", s}
+			return &ProtocolError{r.serial, "records", s}
 		}
 		e := r.fields(rest)
 		m := flaxshelf.Machine{
@@ -260,7 +260,7 @@
 
 func (f *fields) fail(field, value string) {
 	if f.err == nil {
-		f.err = &Error{f.serial, field, value}
+		f.err = &ProtocolError{f.serial, field, value}
 	}
 }
 
--- a/internal/benchadapter/wire_test.go
+++ b/internal/benchadapter/wire_test.go
@@ -82,7 +82,7 @@
 
 func TestMalformed(t *testing.T) {
 	head := "FRAME clock_ns=5 serial=4\n"
-	for line, want := range map[string]Error{
+	for line, want := range map[string]ProtocolError{
 		"WAKEUP who=x":                              {4, "who", "x"},
 		"ATTEMPT_END who=1 tid=t verdict=7":         {4, "verdict", "7"},
 		"TO_PLACE who=1 tid=t priority=no":          {4, "valid_until_ns", ""},
@@ -93,7 +93,7 @@
 		"REGISTER page=0 records=1\nX y=1":          {4, "records", "X y=1"},
 	} {
 		_, err := NewReader(strings.NewReader(head + line + "\nEND\n")).Next()
-		var e *Error
+		var e *ProtocolError
 		if !errors.As(err, &e) || *e != want {
 			t.Errorf("%s: got %v, want %v", line, err, &want)
 		}
--- /dev/null
+++ b/internal/front/platformfront/config_test.go
@@ -0,0 +1,185 @@
+package platformfront
+
+import (
+	"errors"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/goccy/go-json"
+
+	"flaxshelf.example/flaxshelf"
+)
+
+const configText = `{"name":"n3","listen":"127.0.0.1:0","seed":"8c1f30d27a5be964","limits":{"cores":0.25,"memory_mb":64,"sockets":256},
+"feed":"127.0.0.1:1","known":{"n":2,"events":[
+{"n":1,"members":{"version":1,"full":true,"servers":[{"id":"s-1","addr":"127.0.0.1:5","zone":"east","kind":"std","cell":2,"state":"active","weight":4,"started_ms":0}]}},
+{"n":2,"members":{"version":2,"full":false,"servers":[{"id":"s-1","addr":"127.0.0.1:5","zone":"east","kind":"std","cell":2,"state":"leaving","weight":4,"started_ms":1500}]}}]},
+"settings":{"index":1,"balancers":3,"zone":"east","kinds":["std"],"discovery":"pushed","round_ns":2000000,"customers":[],
+"caps":{"cancel":true,"most_tries":3,"connect_timeout_ns":250000000,"conn_idle_ns":30000000000},"obligations":{"stop_sending_within_ns":2000000000},
+"categories":[{"name":"batch one","effect":"read_like","objective_ns":600000000,"worth":3.0},
+{"name":"keyed","effect":"idempotency_key","key_scope":"zone","key_ttl_ns":5000000000,"worth":9.0}],
+"specifics":{"kind_cores":[32],"mem_of_kind":[64.5],"admit_cores":1.5,"memory_multiple":1.5,"kind_by_class":[-1,-1],
+"spread_over":["zone","off"],"together_max":[4,2],"tells_use":true}}}`
+
+func parseConfig(t testing.TB) *Config {
+	t.Helper()
+	c, err := ParseConfig([]byte(configText))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return c
+}
+
+// expectEqual reports a value that is not as wanted.
+func expectEqual(t *testing.T, what string, got, want any) {
+	t.Helper()
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("%s: %+v, want %+v", what, got, want)
+	}
+}
+
+func TestConfig(t *testing.T) {
+	c := parseConfig(t)
+	t.Run("scheduler", func(t *testing.T) {
+		expectEqual(t, "seed", c.Seed, uint64(0x8c1f30d27a5be964))
+		expectEqual(t, "idle timeout", c.NodeIdleTimeout, 30*time.Second)
+		expectEqual(t, "last sequence", c.LastSequence, uint64(2))
+		expectEqual(t, "limits", c.Limits, Limits{Cores: 0.25, MemoryMB: 64, Sockets: 256})
+	})
+	// The settings mean the same as in the first message of the bench's text protocol.
+	t.Run("module", func(t *testing.T) {
+		expectEqual(t, "index", c.Module.Index, 1)
+		expectEqual(t, "schedulers", c.Module.Schedulers, 3)
+		expectEqual(t, "discovery on request", c.Module.DiscoveryOnRequest, false)
+		expectEqual(t, "can cancel", c.Module.CanCancel, true)
+		expectEqual(t, "attempts", c.Module.MaxAttempts, 3)
+		expectEqual(t, "tick", c.Module.Tick, 2*time.Millisecond)
+		expectEqual(t, "memory of a kind", c.Module.Kinds[0].Memory, 64.5)
+	})
+	t.Run("classes", func(t *testing.T) {
+		if len(c.Module.Classes) != 2 {
+			t.Fatalf("%+v", c.Module.Classes)
+		}
+		expectEqual(t, "name", c.Module.Classes[0].Name, "batch_one")
+		expectEqual(t, "spread domain", c.Module.Classes[0].SpreadDomain, flaxshelf.ZoneDomain)
+		expectEqual(t, "idempotency", c.Module.Classes[1].Idempotency, flaxshelf.IdempotentByKey)
+		expectEqual(t, "kind", c.Module.Classes[1].Kind, -1)
+	})
+	// The events up to the start mean the same as those of the control feed.
+	t.Run("events", func(t *testing.T) {
+		if len(c.InitialEvents) != 2 {
+			t.Fatalf("%+v", c.InitialEvents)
+		}
+		expectEqual(t, "complete", c.InitialEvents[0].Update.Complete, true)
+		expectEqual(t, "machine", c.InitialEvents[1].Update.Machines[0],
+			flaxshelf.Machine{ID: "s-1", Zone: "east", Cell: 2, State: flaxshelf.Draining, Started: 1500 * time.Millisecond})
+	})
+}
+
+// A configuration that can't be used is an error of one line that names the field.
+func TestConfigErrors(t *testing.T) {
+	for _, c := range []struct{ old, replacement, field, value, text string }{
+		{`{"name"`, `{{"name"`, "", "", "platform configuration"},
+		{`"listen":"127.0.0.1:0"`, `"listen":""`, "listen", `""`, "field listen"},
+		{`"feed":"127.0.0.1:1"`, `"feed":""`, "feed", `""`, "field feed"},
+		{`"cores":0.25`, `"cores":0`, "limits.cores", "0", "field limits.cores"},
+		{`"cores":0.25`, `"cores":"many"`, "limits.cores", "", "field limits.cores"},
+		{`"memory_mb":64`, `"memory_mb":-1`, "limits.memory_mb", "-1", "field limits.memory_mb"},
+		{`"sockets":256`, `"sockets":3`, "limits.sockets", "3", "field limits.sockets"},
+		{`"seed":"8c1f30d27a5be964"`, `"seed":"soon"`, "seed", `"soon"`, "field seed"},
+		{`"index":1`, `"index":"x"`, "settings.index", `"x"`, "field settings"},
+		{`"conn_idle_ns":30000000000`, `"conn_idle_ns":"x"`, "settings.caps.conn_idle_ns", "", "conn_idle_ns"},
+		{`"conn_idle_ns":30000000000`, `"conn_idle_ns":-1`, "settings.caps.conn_idle_ns", "-1", "conn_idle_ns"},
+		{`"kinds":["std"]`, `"kinds":["std","std"]`, "settings.kinds[1]", `"std"`, "field settings"},
+		{`"name":"keyed"`, `"name":"batch one"`, "settings.categories[1].name", `"batch one"`, "field settings"},
+		{`"state":"leaving"`, `"state":"odd"`, "known.events[1]", "", "known.events[1]"},
+		{`"settings":{`, `"settings":[],"x":{`, "settings", "", "field settings"},
+	} {
+		t.Run(c.replacement, func(t *testing.T) {
+			if !strings.Contains(configText, c.old) {
+				t.Fatalf("the configuration has no %s", c.old)
+			}
+			_, err := ParseConfig([]byte(strings.Replace(configText, c.old, c.replacement, 1)))
+			if err == nil || !strings.Contains(err.Error(), c.text) || strings.Contains(err.Error(), "\n") {
+				t.Errorf("%v, want %s", err, c.text)
+			}
+			var invalid *ConfigError
+			if !errors.Is(err, ErrConfig) || !errors.As(err, &invalid) || invalid.Field != c.field || invalid.Value != c.value {
+				t.Errorf("%#v, want field %q with value %q", err, c.field, c.value)
+			}
+		})
+	}
+}
+
+func TestReadConfig(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "scheduler.json")
+	_, err := ReadConfig(path)
+	if !errors.Is(err, ErrConfig) || !errors.Is(err, fs.ErrNotExist) {
+		t.Errorf("no file: %v", err)
+	}
+	if err := os.WriteFile(path, []byte(strings.Replace(configText, `"sockets":256`, `"sockets":3`, 1)), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	var invalid *ConfigError
+	if _, err := ReadConfig(path); !errors.As(err, &invalid) || invalid.Path != path || !strings.Contains(err.Error(), path) {
+		t.Errorf("a bad file: %v", err)
+	}
+	if err := os.WriteFile(path, []byte(configText), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	c, err := ReadConfig(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	expectEqual(t, "configuration", c, parseConfig(t))
+}
+
+// withKeys returns the JSON text with each of the keys, which are separated by spaces, as write changes it.
+func withKeys(text, keys string, write func(string) string) string {
+	for key := range strings.FieldsSeq(keys) {
+		text = strings.ReplaceAll(text, `"`+key+`":`, `"`+write(key)+`":`)
+	}
+	return text
+}
+
+// Keys of the configuration file and of the control feed match in any case, as they have since their first version.
+func TestKeysMatchInAnyCase(t *testing.T) {
+	const eventText = `{"members":{"servers":[{"id":"a","state":"active","unasked":[1,2]}]}}`
+	want := parseConfig(t)
+	settingsAt := strings.Index(configText, `"settings":`)
+	outside, settings := configText[:settingsAt], configText[settingsAt:]
+	for name, write := range map[string]func(string) string{
+		"upper case": strings.ToUpper,
+		"capital":    func(key string) string { return strings.ToUpper(key[:1]) + key[1:] },
+		"last upper": func(key string) string { return key[:len(key)-1] + strings.ToUpper(key[len(key)-1:]) },
+	} {
+		t.Run(name, func(t *testing.T) {
+			c, err := ParseConfig([]byte(withKeys(outside, "name listen seed feed limits cores memory_mb sockets known n events "+
+				"members full servers id addr zone kind cell state started_ms", write) + withKeys(settings, "settings", write)))
+			if err != nil {
+				t.Fatal(err)
+			}
+			c.InitialEventData = want.InitialEventData // holds the keys as they were written
+			expectEqual(t, "configuration", c, want)
+			c, err = ParseConfig([]byte(withKeys(configText, "caps conn_idle_ns", write)))
+			if err != nil || c.NodeIdleTimeout != 30*time.Second {
+				t.Errorf("idle timeout: %+v, %v", c, err)
+			}
+			event, err := want.DecodeWatchEvent([]byte(withKeys(eventText, "members servers id state unasked", write)))
+			if err != nil || !event.HasFreeCapacity || event.Update.Machines[0].FreeMemory != 2 {
+				t.Errorf("event: %+v, %v", event, err)
+			}
+			object := strings.TrimSuffix(strings.TrimPrefix(settings, `"settings":`), "}")
+			names, err := decodeNames(json.RawMessage(withKeys(object, "kinds categories customers name", write)))
+			if err != nil {
+				t.Fatal(err)
+			}
+			expectEqual(t, "names", names, want.Names)
+		})
+	}
+}
--- /dev/null
+++ b/internal/front/platformfront/generated_test.go
@@ -0,0 +1,234 @@
+package platformfront
+
+import (
+	"encoding/json"
+	"fmt"
+	"math/rand/v2"
+	"reflect"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"flaxshelf.example/flaxshelf/internal/admission"
+	"flaxshelf.example/flaxshelf/internal/codec/ownerline"
+	"flaxshelf.example/flaxshelf/internal/requests"
+)
+
+// deployment is a configuration drawn at random, and the names in it.
+type deployment struct {
+	text              string
+	classes, tenants  []string
+	kinds             []string
+	keyed             []bool // by class: an idempotency key is needed
+	cores, memory     []float64
+	timeLeftMillis    int
+	categories        []map[string]any
+	customers         []map[string]any
+	specificsPerClass map[string][]any
+}
+
+// generator draws the parts of a deployment.
+type generator struct {
+	*rand.Rand
+	name func(what string, i int) string // makes a name from its number
+}
+
+func (g *generator) pick(all ...any) any { return all[g.IntN(len(all))] }
+
+func (g *generator) upTo(most int) int { return 1 + g.IntN(most) }
+
+func (g *generator) nanos(least, most time.Duration) int64 {
+	return int64(least) + g.Int64N(int64(most-least))
+}
+
+// draw makes a deployment of a kind that no page describes.
+func draw(g *generator) deployment {
+	d := deployment{specificsPerClass: map[string][]any{}}
+	g.drawClasses(&d)
+	g.drawTenants(&d)
+	for i := range g.upTo(4) {
+		d.kinds = append(d.kinds, g.name("kind", i))
+		d.cores, d.memory = append(d.cores, float64(g.upTo(64))), append(d.memory, float64(g.upTo(256)))
+	}
+	specifics := map[string]any{"kind_cores": d.cores, "mem_of_kind": d.memory, "admit_cores": 1 + g.Float64()*3,
+		"memory_multiple": 1 + g.Float64(), "confirms": g.pick("running", "accepted"), "pushes_out": g.pick(true, false),
+		"shows_free": g.pick(true, false), "fresh_offers": g.Float64() * 40, "refusal_fee": g.Float64() / 10}
+	for key, list := range d.specificsPerClass {
+		specifics[key] = list
+	}
+	settings := g.drawSettings(&d, specifics)
+	d.timeLeftMillis = 300 + g.upTo(90_000)
+	text, _ := json.Marshal(map[string]any{"name": "n0", "listen": "127.0.0.1:0", "feed": "127.0.0.1:1", "seed": "1f", "settings": settings,
+		"limits": map[string]any{"cores": 0.1 + g.Float64(), "memory_mb": 32 + g.IntN(160), "sockets": 256 + g.IntN(768)},
+		"known":  map[string]any{"n": 1, "events": []any{d.initialEvent(g.IntN(2) == 0)}}})
+	d.text = string(text)
+	return d
+}
+
+func (g *generator) drawClasses(d *deployment) {
+	for i := range g.upTo(6) {
+		d.classes = append(d.classes, g.name("class", i))
+		effect := g.pick("read_like", "idempotency_key", "non_idempotent")
+		d.keyed = append(d.keyed, effect == "idempotency_key")
+		d.categories = append(d.categories, map[string]any{"name": d.classes[i], "effect": effect, "worth": float64(g.upTo(9)),
+			"key_scope": g.pick("machine", "cell", "zone", "all"), "key_ttl_ns": g.nanos(time.Second, time.Minute),
+			"objective_ns": g.nanos(10*time.Millisecond, 20*time.Second), "late_worth": g.Float64()})
+		spread := g.pick("off", "machine", "cell", "zone")
+		for key, value := range map[string]any{"start_seconds": g.upTo(20), "class_calm": 1, "fade_span": 1, "kind_by_class": -1,
+			"priority_by_class": g.IntN(3), "together_max": g.upTo(5), "spread_over": spread} {
+			d.specificsPerClass[key] = append(d.specificsPerClass[key], value)
+		}
+	}
+}
+
+func (g *generator) drawTenants(d *deployment) {
+	for i := range g.IntN(6) {
+		d.tenants = append(d.tenants, g.name("tenant", i))
+		d.customers = append(d.customers, map[string]any{"name": d.tenants[i], "fraction": g.Float64(), "quota_per_s": g.Float64() * 50})
+		d.specificsPerClass["quota_cores"] = append(d.specificsPerClass["quota_cores"], g.upTo(100))
+	}
+}
+
+func (g *generator) drawSettings(d *deployment, specifics map[string]any) map[string]any {
+	balancers := g.upTo(100)
+	return map[string]any{"index": g.IntN(balancers), "balancers": balancers, "zone": g.pick("", "east"), "kinds": d.kinds,
+		"discovery": g.pick("pushed", "on_request"), "round_ns": g.nanos(time.Millisecond, 20*time.Millisecond),
+		"caps": map[string]any{"cancel": g.pick(true, false), "most_tries": g.IntN(6), "probes": g.pick(true, false),
+			"connect_timeout_ns": g.nanos(time.Millisecond, time.Second), "conn_idle_ns": g.Int64N(int64(time.Minute))},
+		"obligations": map[string]any{"stop_sending_within_ns": g.nanos(50*time.Millisecond, 10*time.Second),
+			"cold_ns": g.nanos(time.Second, 30*time.Second), "fall_ns": g.nanos(500*time.Millisecond, 5*time.Second)},
+		"categories": d.categories, "customers": d.customers, "specifics": specifics,
+		"prices": map[string]any{"moves": g.Float64() / 4, "fleet": g.Float64() / 4, "cross_zone": g.Float64() / 10}}
+}
+
+// initialEvent is an event of the control feed with three nodes of each kind.
+func (d *deployment) initialEvent(withFreeCapacity bool) map[string]any {
+	var servers []map[string]any
+	for i := range 3 * len(d.kinds) {
+		kind := i % len(d.kinds)
+		servers = append(servers, map[string]any{"id": fmt.Sprint("s-", i), "addr": fmt.Sprintf("10.0.0.%d:1", i+1), "zone": "east",
+			"kind": d.kinds[kind], "cell": i / 2, "state": "active", "weight": 1, "started_ms": 0})
+		if withFreeCapacity {
+			servers[i]["unasked"] = []float64{d.cores[kind], d.memory[kind]}
+		}
+	}
+	return map[string]any{"n": 1, "members": map[string]any{"version": 1, "full": true, "servers": servers}}
+}
+
+// session plays set-ups on the core of a deployment and collects its effects, in which classes have the names of plain.
+type session struct {
+	config            *Config
+	core              *requests.Core
+	deployment, plain *deployment
+	rng               *rand.Rand
+	now               requests.Time
+	effects           []requests.Effect
+}
+
+func newSession(t *testing.T, d, plain *deployment, seed uint64) *session {
+	t.Helper()
+	config, err := ParseConfig([]byte(d.text))
+	if err != nil {
+		t.Fatalf("%v\n%s", err, d.text)
+	}
+	core, err := requests.New(requests.Config{Module: config.Module, Seed: config.Seed, NodeUnreachableTimeout: 6 * time.Second,
+		NodeIdleTimeout: config.NodeIdleTimeout, MaxPending: 100, Admission: admission.Limits{MaxConnections: 10,
+			IdleTimeout: time.Second, RecentUseGrace: time.Millisecond, MaxProtocolErrors: 3, MaxPendingPerConnection: 50}})
+	if err != nil {
+		t.Fatalf("%v\n%s", err, d.text)
+	}
+	return &session{config: config, core: core, deployment: d, plain: plain, rng: rand.New(rand.NewPCG(seed, 9)),
+		now: 1_000_000 * time.Second}
+}
+
+// step gives the core its inputs and the answers of nodes to what follows from them.
+func (s *session) step(inputs ...requests.Input) {
+	effects, _ := s.core.Step(s.now, inputs)
+	effects = slices.Clone(effects)
+	s.now += 3 * time.Millisecond
+	for _, e := range effects {
+		if offer, ok := e.(requests.Offer); ok {
+			offer.Class = s.plain.classes[slices.Index(s.deployment.classes, offer.Class)]
+			e = offer
+		}
+		s.effects = append(s.effects, e)
+	}
+	for _, e := range effects {
+		if answer := s.answer(e); answer != nil {
+			more, _ := s.core.Step(s.now, []requests.Input{answer})
+			s.effects = append(s.effects, slices.DeleteFunc(slices.Clone(more), isOffer)...)
+		}
+	}
+}
+
+// answer is what a node does on an effect; every third offer is rejected. It is nil where the node does nothing.
+func (s *session) answer(e requests.Effect) requests.Input {
+	switch e := e.(type) {
+	case requests.Dial:
+		return requests.LinkUp{Link: e.Link}
+	case requests.Offer:
+		if s.rng.IntN(3) == 0 {
+			return requests.NodeMessage{Link: e.Link, Kind: requests.NodeReleased, Task: e.Task, Cause: []int{34, 41, 47, 102}[s.rng.IntN(4)]}
+		}
+		return requests.NodeMessage{Link: e.Link, Kind: requests.NodeAccepted, Task: e.Task, Description: "d"}
+	}
+	return nil
+}
+
+// setUp is the i-th set-up.
+func (s *session) setUp(i int) *ownerline.Message {
+	d := s.deployment
+	class, kind := i%len(d.classes), s.rng.IntN(len(d.kinds))
+	m := &ownerline.Message{Type: ownerline.SetUp, ID: fmt.Sprintf("%016x", i+1), Cause: ownerline.NoCause, Described: true, Description: "x",
+		Fields: map[string]string{"class": d.classes[class], "left": fmt.Sprint(d.timeLeftMillis), "key": fmt.Sprint("k", i),
+			"extras": fmt.Sprintf("cores:%g;memory:%g;service:v%d", d.cores[kind]/4, d.memory[kind]/4, i%3)}}
+	if d.keyed[class] {
+		m.Fields["idem"] = "i"
+	}
+	if len(d.tenants) > 0 {
+		m.Fields["tenant"] = d.tenants[s.rng.IntN(len(d.tenants))]
+	}
+	return m
+}
+
+// play plays eight set-ups of each class and returns all effects.
+func play(t *testing.T, d, plain *deployment, seed uint64) []requests.Effect {
+	t.Helper()
+	s := newSession(t, d, plain, seed)
+	nodes, _ := MergeUpdates(s.config.InitialEvents)
+	s.step(requests.OwnerConnected{Conn: 1, Host: "h"}, nodes)
+	for i := range 8 * len(d.classes) {
+		input, err := s.config.DecodeOwnerMessage(1, s.now, s.setUp(i))
+		if err != nil {
+			t.Fatalf("%v\n%s", err, d.text)
+		}
+		s.step(input)
+	}
+	return s.effects
+}
+
+func isOffer(e requests.Effect) bool {
+	_, ok := e.(requests.Offer)
+	return ok
+}
+
+// Deployments that nobody has described can be configured and serve set-ups; and with other names for classes, tenants and
+// kinds, unusual ones among them, every decision stays as it was.
+func TestGeneratedDeployments(t *testing.T) {
+	plainName := func(what string, i int) string { return fmt.Sprint(what, i) }
+	unusualName := func(what string, i int) string {
+		return strings.Repeat("é, ", i) + "a=b " + what[:1] + "\t\"" + strings.Repeat("z", 40*i)
+	}
+	for seed := range uint64(150) {
+		plain := draw(&generator{rand.New(rand.NewPCG(seed, 5)), plainName})
+		unusual := draw(&generator{rand.New(rand.NewPCG(seed, 5)), unusualName})
+		want, got := play(t, &plain, &plain, seed), play(t, &unusual, &plain, seed)
+		if !reflect.DeepEqual(want, got) {
+			t.Fatalf("seed %d: other names, other decisions: %d effects, %d before", seed, len(got), len(want))
+		}
+		if !slices.ContainsFunc(want, isOffer) {
+			t.Errorf("seed %d: nothing was offered", seed)
+		}
+	}
+}
--- a/internal/front/platformfront/node.go
+++ b/internal/front/platformfront/node.go
@@ -11,74 +11,98 @@
 	"flaxshelf.example/flaxshelf/internal/requests"
 )
 
-var reasons = map[string]flaxshelf.Reason{
+// releaseReasons are the reasons of a node's release by their tokens on the wire.
+var releaseReasons = map[string]flaxshelf.Reason{
 	"cpu_full": flaxshelf.InsufficientCores, "mem_full": flaxshelf.InsufficientMemory, "busy": flaxshelf.QueueFull,
 	"wrong_host": flaxshelf.UnsupportedTask, "oom": flaxshelf.Evicted, "preempted": flaxshelf.Preempted,
 	"drained": flaxshelf.DrainedAway,
 }
 
-var kinds = map[string]flaxshelf.UsageKind{
+// usageKinds are the quantities of a node's usage reports by their tokens on the wire.
+var usageKinds = map[string]flaxshelf.UsageKind{
 	"up": flaxshelf.TaskRunning, "cpu": flaxshelf.CoresUsed, "mem": flaxshelf.MemoryUsed, "share": flaxshelf.ServiceLevel,
 	"tight": flaxshelf.MemoryPressure,
 }
 
-// DecodeNodeMessage turns a node's message into an input; nil for one that means nothing. An error says that the link can't be
-// trusted: a node's answer always has a description, its release a cause.
+// DecodeNodeMessage translates a message of a node into an input; nil for one without a meaning for the core. The error is
+// a nodeparam.ProtocolError: an answer must have a description and a release a cause, else the link can't be trusted.
 func DecodeNodeMessage(link requests.Link, m *nodeparam.Message) (requests.Input, error) {
-	in := requests.NodeMessage{Link: link, Task: taskID(m.Task), Cause: m.Cause, Reason: reasons[m.Token]}
+	input := requests.NodeMessage{Link: link, Task: formatTaskID(m.Task), Cause: m.Cause, Reason: releaseReasons[m.Token]}
 	switch m.Type {
 	case nodeparam.Answer:
 		if !m.Described || m.Description == "" {
-			return nil, fmt.Errorf("%w: an answer without a description", nodeparam.ErrMalformed)
+			return nil, missingParameter(m, "description")
 		}
-		in.Kind, in.Description = requests.NodeAccepted, m.Description
+		input.Kind, input.Description = requests.NodeAccepted, m.Description
 	case nodeparam.Release:
 		if m.Cause < 0 {
-			return nil, fmt.Errorf("%w: a release without a cause", nodeparam.ErrMalformed)
+			return nil, missingParameter(m, "cause")
 		}
-		in.Kind = requests.NodeReleased
+		input.Kind = requests.NodeReleased
 	case nodeparam.Released:
-		in.Kind = requests.NodeConfirmedRelease
+		input.Kind = requests.NodeConfirmedRelease
 	case nodeparam.Note:
-		kind, ok := kinds[m.Token]
-		x, err := strconv.ParseFloat(m.Value, 64)
-		if !ok || err != nil && m.Value != "" || math.IsNaN(x) || math.IsInf(x, 0) {
+		kind, amount, ok := decodeUsage(m)
+		if !ok {
 			return nil, nil
 		}
-		in.Kind, in.UsageKind, in.Amount = requests.NodeUsage, kind, x
+		input.Kind, input.UsageKind, input.Amount = requests.NodeUsage, kind, amount
 	default:
 		return nil, nil
 	}
-	return in, nil
+	return input, nil
 }
 
-// EncodeOffer encodes a set-up for a node.
+// decodeUsage decodes the quantity and amount of a note, which has an amount of 0 where it has no value. ok is false for a
+// quantity of a later version and for what is no finite number.
+func decodeUsage(m *nodeparam.Message) (kind flaxshelf.UsageKind, amount float64, ok bool) {
+	if kind, ok = usageKinds[m.Token]; !ok || m.Value == "" {
+		return kind, 0, ok
+	}
+	amount, err := strconv.ParseFloat(m.Value, 64)
+	return kind, amount, err == nil && !math.IsNaN(amount) && !math.IsInf(amount, 0)
+}
+
+func missingParameter(m *nodeparam.Message, name string) error {
+	return &nodeparam.ProtocolError{Type: m.Type, Field: name, Value: "none", Reason: "must have one"}
+}
+
+// EncodeOffer appends the set-up of a task, for a node.
 func EncodeOffer(dst []byte, e *requests.Offer) ([]byte, error) {
-	id, err := strconv.ParseUint(e.Task, 16, 64)
+	id, err := parseTaskID(e.Task)
 	if err != nil {
-		return dst, fmt.Errorf("task %q: %w", e.Task, err)
+		return dst, err
 	}
-	left := max(1, int64(e.TimeLeft/time.Millisecond))
-	return nodeparam.Append(dst, &nodeparam.Message{Type: nodeparam.SetUp, Task: id, Cause: -1, Class: e.Class,
-		TimeLeft: strconv.FormatInt(left, 10), Key: e.Key, IdempotencyKey: e.IdempotencyKey,
+	timeLeftMillis := max(1, int64(e.TimeLeft/time.Millisecond))
+	return nodeparam.Append(dst, &nodeparam.Message{Type: nodeparam.SetUp, Task: id, Cause: nodeparam.NoCause, Class: e.Class,
+		TimeLeft: strconv.FormatInt(timeLeftMillis, 10), Key: e.Key, IdempotencyKey: e.IdempotencyKey,
 		Description: e.Description, Described: true})
 }
 
-// EncodeRelease encodes a release for a node.
+// EncodeRelease appends the release of a task, for a node.
 func EncodeRelease(dst []byte, e *requests.SendRelease) ([]byte, error) {
-	id, err := strconv.ParseUint(e.Task, 16, 64)
+	id, err := parseTaskID(e.Task)
 	if err != nil {
-		return dst, fmt.Errorf("task %q: %w", e.Task, err)
+		return dst, err
 	}
 	return nodeparam.Append(dst, &nodeparam.Message{Type: nodeparam.Release, Task: id, Cause: e.Cause})
 }
 
-func taskID(n uint64) string {
+func parseTaskID(id string) (uint64, error) {
+	n, err := strconv.ParseUint(id, 16, 64)
+	if err != nil {
+		return 0, fmt.Errorf("task %q: must be hex digits: %w", id, err)
+	}
+	return n, nil
+}
+
+// formatTaskID writes the ID of a task as 16 hex digits, as owners write it.
+func formatTaskID(id uint64) string {
 	const digits = "0123456789abcdef"
-	var b [16]byte
-	for i := 15; i >= 0; i-- {
-		b[i] = digits[n&15]
-		n >>= 4
+	var text [16]byte
+	for i := len(text) - 1; i >= 0; i-- {
+		text[i] = digits[id&15]
+		id >>= 4
 	}
-	return string(b[:])
+	return string(text[:])
 }
--- a/internal/front/platformfront/owner.go
+++ b/internal/front/platformfront/owner.go
@@ -1,8 +1,6 @@
 package platformfront
 
 import (
-	"errors"
-	"fmt"
 	"math"
 	"strconv"
 	"strings"
@@ -13,20 +11,34 @@
 	"flaxshelf.example/flaxshelf/internal/requests"
 )
 
-// maxLeft bounds how long an owner may want to wait.
-const maxLeft = time.Hour
-
-// maxText bounds the names that an owner may give, in bytes.
-const maxText = 256
+const (
+	// maxTimeLeft bounds how far ahead an owner may set the deadline of a task.
+	maxTimeLeft = time.Hour
+	// maxRuntimeHint is where an owner's hint of a task's run time is ignored.
+	maxRuntimeHint = 24 * time.Hour
+	// maxNameLength bounds the names that an owner may give, in bytes.
+	maxNameLength = 256
+)
 
-// errNotAsked is for messages that an owner has no business to send.
-var errNotAsked = errors.New("a message that owners don't send")
+// The fields of a set-up by their names on the wire.
+const (
+	fieldClass          = "class"
+	fieldKey            = "key"
+	fieldTimeLeft       = "left" // until the deadline, in milliseconds
+	fieldExtras         = "extras"
+	fieldRuntimeHint    = "hint" // expected run time in milliseconds
+	fieldTenant         = "tenant"
+	fieldIdempotencyKey = "idem"
+	fieldDescription    = "sdp"
+	fieldType           = "type"
+)
 
-// DecodeOwnerMessage turns an owner's line into an input; nil for one that means nothing. A problem concerns this line alone.
+// DecodeOwnerMessage translates a message of an owner into an input; nil for one without a meaning for the core. The error
+// is an OwnerMessageError.
 func (c *Config) DecodeOwnerMessage(conn requests.Conn, now requests.Time, m *ownerline.Message) (requests.Input, error) {
 	switch m.Type {
 	case ownerline.SetUp:
-		return c.setUp(conn, now, m)
+		return c.decodeSetUp(conn, now, m)
 	case ownerline.Release:
 		return requests.Release{Conn: conn, Task: m.ID}, nil
 	case ownerline.Move:
@@ -36,109 +48,176 @@
 	case ownerline.Progress, ownerline.Released, ownerline.Note:
 		return nil, nil
 	}
-	return nil, errNotAsked
+	return nil, &OwnerMessageError{Task: m.ID, Type: m.Type, Field: fieldType, Value: string(m.Type),
+		Reason: "not a message that owners send"}
 }
 
-func (c *Config) setUp(conn requests.Conn, now requests.Time, m *ownerline.Message) (requests.Input, error) {
-	bad := func(field string) (requests.Input, error) {
-		return nil, fmt.Errorf("set-up %s: field %s: %.40q", m.ID, field, m.Fields[field])
-	}
-	class, ok := c.Names.Class[m.Fields["class"]]
+// decodeSetUp translates a set-up: the submission of a task, or the adoption of one that a node runs already.
+func (c *Config) decodeSetUp(conn requests.Conn, now requests.Time, m *ownerline.Message) (requests.Input, error) {
+	class, ok := c.Names.Class[m.Fields[fieldClass]]
 	if !ok {
-		return bad("class")
+		return nil, invalidField(m, fieldClass, "not a class of the settings")
 	}
-	t := flaxshelf.Task{ID: m.ID, Key: m.Fields["key"], Class: class, Tenant: -1}
-	if !plain(t.Key) {
-		return bad("key")
+	extras := parseExtras(m.Fields[fieldExtras])
+	deadline, err := decodeDeadline(m, now, extras.adopted)
+	if err != nil {
+		return nil, err
 	}
-	left, err := strconv.ParseFloat(m.Fields["left"], 64)
-	at, extras, held, err2 := "", map[string]string{}, false, error(nil)
-	for part := range strings.SplitSeq(m.Fields["extras"], ";") {
-		k, v, _ := strings.Cut(part, ":")
-		extras[k] = v
+	task, err := c.decodeTask(m, class, &extras)
+	if err != nil {
+		return nil, err
 	}
-	at, held = extras["at"]
-	if !held && (err != nil || !(left >= 1) || left > float64(maxLeft/time.Millisecond)) {
-		return bad("left")
+	task.Deadline = deadline
+	if !extras.adopted {
+		return c.decodeSubmission(conn, m, task)
 	}
-	t.Deadline = now + time.Duration(max(left, 0)*float64(time.Millisecond))
-	if t.Cores, err = strconv.ParseFloat(extras["cores"], 64); err != nil || !c.fits(t.Cores, false) {
-		return bad("extras")
+	if !isName(extras.node) {
+		return nil, invalidField(m, fieldExtras, "at must be the name of a node")
+	}
+	return requests.Adopt{Conn: conn, Task: task, Node: extras.node}, nil
+}
+
+// extraFields are the parts of the field extras, which is written as name:value pairs with semicolons between them.
+type extraFields struct {
+	cores, memory, service string
+	node                   string // that runs the task already
+	adopted                bool   // node is there, which may be empty
+}
+
+func parseExtras(text string) (extras extraFields) {
+	for part := range strings.SplitSeq(text, ";") {
+		name, value, _ := strings.Cut(part, ":")
+		switch name {
+		case "cores":
+			extras.cores = value
+		case "memory":
+			extras.memory = value
+		case "service":
+			extras.service = value
+		case "at":
+			extras.node, extras.adopted = value, true
+		}
 	}
-	if t.Memory, err2 = strconv.ParseFloat(extras["memory"], 64); err2 != nil || !c.fits(t.Memory, true) {
-		return bad("extras")
+	return extras
+}
+
+// decodeDeadline decodes the time left until the deadline, which the adoption of a task need not have.
+func decodeDeadline(m *ownerline.Message, now requests.Time, optional bool) (requests.Time, error) {
+	millis, err := strconv.ParseFloat(m.Fields[fieldTimeLeft], 64)
+	valid := err == nil && millis >= 1 && millis <= float64(maxTimeLeft/time.Millisecond)
+	if !valid && !optional {
+		return 0, invalidField(m, fieldTimeLeft, "must be 1 to 3600000 milliseconds")
+	}
+	return now + time.Duration(max(millis, 0)*float64(time.Millisecond)), nil
+}
+
+// decodeTask decodes what submissions and adoptions have in common, save for the deadline.
+func (c *Config) decodeTask(m *ownerline.Message, class int, extras *extraFields) (flaxshelf.Task, error) {
+	task := flaxshelf.Task{ID: m.ID, Key: m.Fields[fieldKey], Class: class, Tenant: -1, Service: extras.service,
+		ExpectedRuntime: decodeRuntimeHint(m.Fields[fieldRuntimeHint])}
+	if !isName(task.Key) {
+		return task, invalidField(m, fieldKey, "must be a name")
 	}
-	if t.Service = extras["service"]; !plain(t.Service) {
-		return bad("extras")
+	var ok bool
+	if task.Cores, ok = parseAmount(extras.cores, c.maxCores()); !ok {
+		return task, invalidField(m, fieldExtras, "cores must be above 0 and fit a machine")
 	}
-	if h := m.Fields["hint"]; h != "" {
-		if ms, err := strconv.ParseFloat(h, 64); err == nil && ms >= 0 && ms < float64(24*time.Hour/time.Millisecond) {
-			t.ExpectedRuntime = time.Duration(ms * float64(time.Millisecond))
-		}
+	if task.Memory, ok = parseAmount(extras.memory, c.maxMemory()); !ok {
+		return task, invalidField(m, fieldExtras, "memory must be above 0 and fit a machine")
 	}
-	if tenant, ok := c.Names.Tenant[m.Fields["tenant"]]; ok {
-		t.Tenant = tenant
+	if !isName(task.Service) {
+		return task, invalidField(m, fieldExtras, "service must be a name")
 	}
-	if held {
-		if !plain(at) {
-			return bad("extras")
-		}
-		return requests.Adopt{Conn: conn, Task: t, Node: at}, nil
+	if tenant, ok := c.Names.Tenant[m.Fields[fieldTenant]]; ok {
+		task.Tenant = tenant
 	}
-	idem := m.Fields["idem"]
-	if c.Module.Classes[class].Idempotency == flaxshelf.IdempotentByKey && idem == "" || idem != "" && !plain(idem) {
-		return bad("idem")
+	return task, nil
+}
+
+// decodeRuntimeHint decodes the expected run time; 0 where there is none that makes sense.
+func decodeRuntimeHint(text string) time.Duration {
+	if text == "" {
+		return 0
+	}
+	millis, err := strconv.ParseFloat(text, 64)
+	if err != nil || !(millis >= 0) || millis >= float64(maxRuntimeHint/time.Millisecond) {
+		return 0
+	}
+	return time.Duration(millis * float64(time.Millisecond))
+}
+
+// decodeSubmission decodes what only the submission of a task has.
+func (c *Config) decodeSubmission(conn requests.Conn, m *ownerline.Message, task flaxshelf.Task) (requests.Input, error) {
+	key := m.Fields[fieldIdempotencyKey]
+	if key == "" && c.Module.Classes[task.Class].Idempotency == flaxshelf.IdempotentByKey {
+		return nil, invalidField(m, fieldIdempotencyKey, "the class needs an idempotency key")
+	}
+	if key != "" && !isName(key) {
+		return nil, invalidField(m, fieldIdempotencyKey, "must be a name")
 	}
 	if !m.Described || m.Description == "" {
-		return nil, fmt.Errorf("set-up %s: no description", m.ID)
+		return nil, &OwnerMessageError{Task: m.ID, Type: m.Type, Field: fieldDescription, Reason: "must not be empty"}
 	}
-	return requests.Submit{Conn: conn, Task: t, Class: m.Fields["class"], IdempotencyKey: idem, Description: m.Description}, nil
+	return requests.Submit{Conn: conn, Task: task, Class: m.Fields[fieldClass], IdempotencyKey: key,
+		Description: m.Description}, nil
 }
 
-// fits tells whether a figure is one that some machine could ever give.
-func (c *Config) fits(x float64, memory bool) bool {
-	if !(x > 0) || math.IsInf(x, 0) {
-		return false
+// maxCores is the most cores that a task may have on the largest kind of machine.
+func (c *Config) maxCores() float64 {
+	most := 0.0
+	for i := range c.Module.Kinds {
+		most = max(most, c.Module.Kinds[i].Cores*max(c.Module.CoreOvercommit, 1))
 	}
+	return most
+}
+
+// maxMemory is the most memory that a task may have on the largest kind of machine.
+func (c *Config) maxMemory() float64 {
 	most := 0.0
-	for _, k := range c.Module.Kinds {
-		if memory {
-			most = max(most, k.Memory*max(c.Module.MemoryOvercommit, 1))
-		} else {
-			most = max(most, k.Cores*max(c.Module.CoreOvercommit, 1))
-		}
+	for i := range c.Module.Kinds {
+		most = max(most, c.Module.Kinds[i].Memory*max(c.Module.MemoryOvercommit, 1))
 	}
-	return x <= most
+	return most
 }
 
-// plain tells whether s is a name: not empty, not long, and of printable ASCII without spaces.
-func plain(s string) bool {
-	if s == "" || len(s) > maxText {
+// parseAmount parses a finite number above 0 and up to most.
+func parseAmount(text string, most float64) (amount float64, ok bool) {
+	amount, err := strconv.ParseFloat(text, 64)
+	return amount, err == nil && amount > 0 && amount <= most && !math.IsInf(amount, 0)
+}
+
+// isName reports whether text can be a name: not empty, not long, and of printable ASCII without spaces.
+func isName(text string) bool {
+	if text == "" || len(text) > maxNameLength {
 		return false
 	}
-	for i := range len(s) {
-		if s[i] <= ' ' || s[i] > '~' {
+	for i := range len(text) {
+		if text[i] <= ' ' || text[i] > '~' {
 			return false
 		}
 	}
 	return true
 }
 
-// EncodeAccepted encodes the answer that a task stands.
+func invalidField(m *ownerline.Message, field, reason string) error {
+	return &OwnerMessageError{Task: m.ID, Type: m.Type, Field: field, Value: m.Fields[field], Reason: reason}
+}
+
+// EncodeAccepted appends the answer that a task has been placed.
 func EncodeAccepted(dst []byte, e *requests.Accepted) ([]byte, error) {
-	return ownerline.Append(dst, &ownerline.Message{Type: ownerline.Answer, ID: e.Task, Cause: -1,
+	return ownerline.Append(dst, &ownerline.Message{Type: ownerline.Answer, ID: e.Task, Cause: ownerline.NoCause,
 		Description: e.Description, Described: true})
 }
 
-// EncodeTerminated encodes the word that a set-up was refused or failed, or that a task is over.
+// EncodeTerminated appends the notification that a task was rejected, failed or has ended, or that it is to migrate.
 func EncodeTerminated(dst []byte, e *requests.Terminated) ([]byte, error) {
 	if e.Migrate {
-		return ownerline.Append(dst, &ownerline.Message{Type: ownerline.Move, ID: e.Task, Cause: -1})
+		return ownerline.Append(dst, &ownerline.Message{Type: ownerline.Move, ID: e.Task, Cause: ownerline.NoCause})
 	}
 	return ownerline.Append(dst, &ownerline.Message{Type: ownerline.Release, ID: e.Task, Cause: e.Cause})
 }
 
-// EncodePong encodes the answer to a test.
+// EncodePong appends the answer to a ping, whose cause on the wire is 1 where the check has passed and 0 where it has not.
 func EncodePong(dst []byte, e *requests.Pong) ([]byte, error) {
 	cause := 0
 	if e.Passed {
--- /dev/null
+++ b/internal/front/platformfront/owner_test.go
@@ -0,0 +1,131 @@
+package platformfront
+
+import (
+	"errors"
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"flaxshelf.example/flaxshelf"
+	"flaxshelf.example/flaxshelf/internal/codec/ownerline"
+	"flaxshelf.example/flaxshelf/internal/requests"
+)
+
+const goodExtras = "cores:1;memory:2;service:00b4"
+
+func setUpLine(class, timeLeft, key, idempotencyKey, extras string) string {
+	return fmt.Sprintf(`{"type":"setup","id":"9b1f03aa5c7e2d41","fields":{"class":%q,"left":%q,"key":%q,"idem":%q,"extras":%q},"sdp":"d"}`,
+		class, timeLeft, key, idempotencyKey, extras) + "\n"
+}
+
+func decodeOwnerLine(t testing.TB, c *Config, line string) (requests.Input, error) {
+	t.Helper()
+	m, _, err := ownerline.Next([]byte(line))
+	if err != nil || m == nil {
+		t.Fatalf("%s: %v", line, err)
+	}
+	return c.DecodeOwnerMessage(3, 10*time.Second, m)
+}
+
+func TestDecodeSubmission(t *testing.T) {
+	got, err := decodeOwnerLine(t, parseConfig(t), setUpLine("keyed", "1500", "7f3a", "5c0f", "cores:1;memory:2.5;service:00b4"))
+	want := requests.Submit{Conn: 3, Class: "keyed", IdempotencyKey: "5c0f", Description: "d", Task: flaxshelf.Task{ID: "9b1f03aa5c7e2d41",
+		Key: "7f3a", Service: "00b4", Class: 1, Tenant: -1, Cores: 1, Memory: 2.5, Deadline: 11500 * time.Millisecond}}
+	if err != nil || got != requests.Input(want) {
+		t.Errorf("%+v, %v", got, err)
+	}
+}
+
+func TestDecodeAdoption(t *testing.T) {
+	got, err := decodeOwnerLine(t, parseConfig(t), setUpLine("batch_one", "", "7f3a", "", goodExtras+";at:s-1"))
+	if adopt, ok := got.(requests.Adopt); err != nil || !ok || adopt.Node != "s-1" || adopt.Conn != 3 {
+		t.Errorf("%+v, %v", got, err)
+	}
+}
+
+// A hint of the run time that makes no sense is as good as none.
+func TestDecodeRuntimeHint(t *testing.T) {
+	for text, want := range map[string]time.Duration{
+		"": 0, "1.5": 1500 * time.Microsecond, "0": 0, "-1": 0, "nan": 0, "soon": 0, "inf": 0, "86400000": 0,
+	} {
+		if got := decodeRuntimeHint(text); got != want {
+			t.Errorf("%q: %v, want %v", text, got, want)
+		}
+	}
+}
+
+// What a node could not use is rejected before it reaches one.
+func TestRejectedSetUps(t *testing.T) {
+	c := parseConfig(t)
+	for name, test := range map[string]struct{ line, field string }{
+		"unknown class":             {setUpLine("odd", "1500", "k", "i", goodExtras), "class"},
+		"no class":                  {setUpLine("", "1500", "k", "i", goodExtras), "class"},
+		"deadline in the past":      {setUpLine("batch_one", "-5", "k", "", goodExtras), "left"},
+		"deadline is a word":        {setUpLine("batch_one", "soon", "k", "", goodExtras), "left"},
+		"no deadline":               {setUpLine("batch_one", "", "k", "", goodExtras), "left"},
+		"deadline is no number":     {setUpLine("batch_one", "nan", "k", "", goodExtras), "left"},
+		"deadline too far":          {setUpLine("batch_one", "1e30", "k", "", goodExtras), "left"},
+		"no key":                    {setUpLine("batch_one", "1500", "", "", goodExtras), "key"},
+		"key with a space":          {setUpLine("batch_one", "1500", "a b", "", goodExtras), "key"},
+		"long key":                  {setUpLine("batch_one", "1500", strings.Repeat("k", 300), "", goodExtras), "key"},
+		"no idempotency key":        {setUpLine("keyed", "1500", "k", "", goodExtras), "idem"},
+		"idempotency key not ASCII": {setUpLine("batch_one", "1500", "k", "i\u00e9", goodExtras), "idem"},
+		"no extras":                 {setUpLine("batch_one", "1500", "k", "", ""), "extras"},
+		"negative cores":            {setUpLine("batch_one", "1500", "k", "", "cores:-1;memory:1;service:s"), "extras"},
+		"cores are no number":       {setUpLine("batch_one", "1500", "k", "", "cores:nan;memory:1;service:s"), "extras"},
+		"more memory than any node": {setUpLine("batch_one", "1500", "k", "", "cores:1;memory:1e12;service:s"), "extras"},
+		"no cores":                  {setUpLine("batch_one", "1500", "k", "", "cores:0;memory:1;service:s"), "extras"},
+		"infinite memory":           {setUpLine("batch_one", "1500", "k", "", "cores:1;memory:inf;service:s"), "extras"},
+		"no service":                {setUpLine("batch_one", "1500", "k", "", "cores:1;memory:1"), "extras"},
+		"adopted from nowhere":      {setUpLine("batch_one", "1500", "k", "", goodExtras+";at:"), "extras"},
+		"no description":            {strings.Replace(setUpLine("batch_one", "1500", "k", "", goodExtras), `,"sdp":"d"`, "", 1), "sdp"},
+		"message of a node":         {`{"type":"answer","id":"9b1f03aa5c7e2d41"}` + "\n", "type"},
+	} {
+		t.Run(name, func(t *testing.T) {
+			input, err := decodeOwnerLine(t, c, test.line)
+			var invalid *OwnerMessageError
+			if !errors.As(err, &invalid) || invalid.Field != test.field || invalid.Task != "9b1f03aa5c7e2d41" {
+				t.Errorf("%s was decoded as %+v, %v, want an error of field %s", test.line, input, err, test.field)
+			}
+		})
+	}
+}
+
+func TestDecodeOtherOwnerMessages(t *testing.T) {
+	c := parseConfig(t)
+	for kind, want := range map[string]requests.Input{
+		"release": requests.Release{Conn: 3, Task: "9b1f03aa5c7e2d41"}, "move": requests.Migrated{Conn: 3, Task: "9b1f03aa5c7e2d41"},
+		"ping": requests.Ping{Conn: 3, Task: "9b1f03aa5c7e2d41"}, "progress": nil, "released": nil,
+	} {
+		if got, err := decodeOwnerLine(t, c, `{"type":"`+kind+`","id":"9b1f03aa5c7e2d41"}`+"\n"); err != nil || got != want {
+			t.Errorf("%s: %+v, %v", kind, got, err)
+		}
+	}
+}
+
+// The end of a task is a release with its cause, but for one that migrates.
+func TestEncodeTerminated(t *testing.T) {
+	for want, e := range map[string]requests.Terminated{
+		`{"type":"release","id":"0000000000000007","fields":{},"cause":31}`: {Task: "0000000000000007", Cause: 31},
+		`{"type":"move","id":"0000000000000007","fields":{}}`:               {Task: "0000000000000007", Migrate: true},
+	} {
+		if got, err := EncodeTerminated(nil, &e); err != nil || string(got) != want+"\n" {
+			t.Errorf("%s, %v, want %s", got, err, want)
+		}
+	}
+}
+
+func BenchmarkDecodeOwnerMessage(b *testing.B) {
+	c := parseConfig(b)
+	m, _, err := ownerline.Next([]byte(setUpLine("keyed", "1500", "7f3a", "5c0f", "cores:1;memory:2.5;service:00b4")))
+	if err != nil {
+		b.Fatal(err)
+	}
+	b.ReportAllocs()
+	for b.Loop() {
+		if _, err := c.DecodeOwnerMessage(3, 0, m); err != nil {
+			b.Fatal(err)
+		}
+	}
+}
--- a/internal/front/platformfront/settings.go
+++ b/internal/front/platformfront/settings.go
@@ -1,12 +1,8 @@
-// Package platformfront owns the meanings of the platform's messages: configuration, owners' lines, nodes' messages and
-// the control feed's events as inputs of requests.Core. It checks all that comes from outside. It must not decide anything or
-// keep a connection.
 package platformfront
 
 import (
 	"errors"
 	"fmt"
-	"os"
 	"slices"
 	"strconv"
 	"strings"
@@ -14,212 +10,190 @@
 
 	"github.com/goccy/go-json"
 
-	"flaxshelf.example/flaxshelf"
 	"flaxshelf.example/flaxshelf/internal/benchadapter"
 )
 
-// Limits are what the platform gives one scheduler.
-type Limits struct {
-	Cores    float64 `json:"cores"`
-	MemoryMB int     `json:"memory_mb"`
-	Sockets  int     `json:"sockets"`
-}
+// fieldSettings is the path of the settings within the configuration file.
+const fieldSettings = "settings"
 
-// Config is a scheduler's configuration file.
-type Config struct {
-	Name, Listen, DiscoveryAddr string
-	Seed                        uint64
-	Limits                      Limits
-	InitialEvents               []WatchEvent  // the control feed's events of the start
-	InitialEventData            [][]byte      // the same, as they were written
-	LastSequence                uint64        // the number of the last of them
-	NodeIdleTimeout             time.Duration // after which nodes close a connection without traffic; 0: not told
-	Module                      flaxshelf.Config
-	Names                       *benchadapter.Names
+// wireCapabilities are the capabilities of the settings that the module does not know.
+type wireCapabilities struct {
+	Caps struct {
+		IdleTimeoutNanos int64 `json:"conn_idle_ns"`
+	} `json:"caps"`
 }
 
-// ErrConfig is wrapped by every error about a configuration file.
-var ErrConfig = errors.New("platform configuration")
+// wireNames are the names in the settings.
+type wireNames struct {
+	Kinds      []string    `json:"kinds"`
+	Categories []wireNamed `json:"categories"`
+	Customers  []wireNamed `json:"customers"`
+}
 
-// ReadConfig reads a configuration file. Errors name the field and what was expected.
-func ReadConfig(path string) (*Config, error) {
-	b, err := os.ReadFile(path)
-	if err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrConfig, err)
-	}
-	return ParseConfig(b)
+type wireNamed struct {
+	Name string `json:"name"`
 }
 
-// ParseConfig is ReadConfig of bytes.
-func ParseConfig(b []byte) (*Config, error) {
-	var w struct {
-		Name, Listen, Seed, Feed string
-		Limits                   Limits
-		Known                    struct {
-			N      uint64
-			Events []json.RawMessage
-		}
-		Settings json.RawMessage
-	}
-	if err := json.Unmarshal(b, &w); err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrConfig, err)
-	}
-	bad := func(field, want string, got any) (*Config, error) {
-		return nil, fmt.Errorf("%w: field %s: %v is not %s", ErrConfig, field, got, want)
-	}
-	c := &Config{Name: w.Name, Listen: w.Listen, DiscoveryAddr: w.Feed, Limits: w.Limits, LastSequence: w.Known.N}
-	var err error
-	switch {
-	case c.Listen == "":
-		return bad("listen", "an address", `""`)
-	case c.DiscoveryAddr == "":
-		return bad("feed", "an address", `""`)
-	case !(c.Limits.Cores > 0):
-		return bad("limits.cores", "above 0", c.Limits.Cores)
-	case c.Limits.MemoryMB <= 0:
-		return bad("limits.memory_mb", "above 0", c.Limits.MemoryMB)
-	case c.Limits.Sockets < 32:
-		return bad("limits.sockets", "32 or more", c.Limits.Sockets)
-	}
-	if c.Seed, err = strconv.ParseUint(w.Seed, 16, 64); err != nil {
-		return bad("seed", "a number of up to 16 hex digits", strconv.Quote(w.Seed))
-	}
-	pairs, err := flatten(w.Settings)
+// setSettings decodes all that the settings hold: the configuration of the module, names, and the idle timeout of nodes.
+func (c *Config) setSettings(settings json.RawMessage) error {
+	pairs, err := settingPairs(settings)
 	if err != nil {
-		return nil, fmt.Errorf("%w: field settings: %w", ErrConfig, err)
+		return &ConfigError{Field: fieldSettings, Reason: "must be a JSON object", Err: err}
 	}
 	if c.Module, _, err = benchadapter.Settings(pairs); err != nil {
-		return nil, fmt.Errorf("%w: field settings: %w", ErrConfig, err)
-	}
-	var caps struct {
-		Caps struct {
-			Idle int64 `json:"conn_idle_ns"`
-		}
-	}
-	if err := json.Unmarshal(w.Settings, &caps); err != nil || caps.Caps.Idle < 0 {
-		return bad("settings.caps.conn_idle_ns", "a time in nanoseconds", caps.Caps.Idle)
+		return invalidSetting(err)
 	}
-	c.NodeIdleTimeout = time.Duration(caps.Caps.Idle)
-	if c.Names, err = rawNames(w.Settings); err != nil {
-		return nil, fmt.Errorf("%w: field settings: %w", ErrConfig, err)
+	var capabilities wireCapabilities
+	const idleField = fieldSettings + ".caps.conn_idle_ns"
+	if err := json.Unmarshal(settings, &capabilities); err != nil {
+		return &ConfigError{Field: idleField, Reason: "must be a time in nanoseconds", Err: err}
 	}
-	for i, raw := range w.Known.Events {
-		e, err := c.DecodeWatchEvent(raw)
-		if err != nil {
-			return nil, fmt.Errorf("%w: field known.events[%d]: %w", ErrConfig, i, err)
-		}
-		c.InitialEvents, c.InitialEventData = append(c.InitialEvents, e), append(c.InitialEventData, raw)
+	idle := capabilities.Caps.IdleTimeoutNanos
+	if idle < 0 {
+		return invalidConfig(idleField, strconv.FormatInt(idle, 10), "must be 0 or above")
 	}
-	// Risk covered: a list that was to tell what is free and does not would make every node look full.
-	c.Module.ListsFreeCapacity = c.Module.ListsFreeCapacity &&
-		slices.ContainsFunc(c.InitialEvents, func(e WatchEvent) bool { return e.HasFreeCapacity })
-	return c, nil
+	c.NodeIdleTimeout = time.Duration(idle)
+	c.Names, err = decodeNames(settings)
+	return err
 }
 
-// rawNames are the names as owners and the feed write them. Risk covered: names with a space or a comma, which the bench's
-// pairs can't hold.
-func rawNames(settings json.RawMessage) (*benchadapter.Names, error) {
-	type named []struct{ Name string }
-	var w struct {
-		Kinds      []string
-		Categories named
-		Customers  named
+// invalidSetting names the setting that the reader of settings rejected.
+func invalidSetting(err error) error {
+	var invalid *benchadapter.ProtocolError
+	if errors.As(err, &invalid) {
+		return &ConfigError{Field: fieldSettings + "." + invalid.Field, Value: strconv.Quote(invalid.Value),
+			Reason: "not a value of this setting"}
+	}
+	return &ConfigError{Field: fieldSettings, Err: err}
+}
+
+// decodeNames decodes the names as owners and the control feed write them. Those that benchadapter.Settings returns are
+// without the spaces and commas, which its pairs can't hold.
+func decodeNames(settings json.RawMessage) (*benchadapter.Names, error) {
+	var wire wireNames
+	if err := json.Unmarshal(settings, &wire); err != nil {
+		return nil, &ConfigError{Field: fieldSettings, Reason: "names must be strings", Err: err}
+	}
+	names := &benchadapter.Names{}
+	var err error
+	if names.Kind, err = indexNames("kinds", "", wire.Kinds); err != nil {
+		return nil, err
 	}
-	if err := json.Unmarshal(settings, &w); err != nil {
+	if names.Class, err = indexNames("categories", ".name", namesOf(wire.Categories)); err != nil {
 		return nil, err
 	}
-	index := func(what string, all []string) (map[string]int, error) {
-		out := make(map[string]int, len(all))
-		for i, name := range all {
-			if _, again := out[name]; again || name == "" {
-				return nil, fmt.Errorf("%s[%d]: the name %q is empty or there twice", what, i, name)
-			}
-			out[name] = i
-		}
-		for i, name := range all { // the bench's pairs write it so; a name of its own goes before
-			if _, own := out[word(name)]; !own {
-				out[word(name)] = i
-			}
+	if names.Tenant, err = indexNames("customers", ".name", namesOf(wire.Customers)); err != nil {
+		return nil, err
+	}
+	return names, nil
+}
+
+func namesOf(list []wireNamed) []string {
+	names := make([]string, len(list))
+	for i, entry := range list {
+		names[i] = entry.Name
+	}
+	return names
+}
+
+// indexNames returns the position of each name, and of each name as pairs hold it where no other name is written so. list is
+// the setting that the names are from, member the path of the name within an entry.
+func indexNames(list, member string, names []string) (map[string]int, error) {
+	index := make(map[string]int, len(names))
+	for i, name := range names {
+		if _, duplicate := index[name]; duplicate || name == "" {
+			return nil, invalidConfig(fmt.Sprintf("%s.%s[%d]%s", fieldSettings, list, i, member), strconv.Quote(name),
+				"must be a name, each once")
 		}
-		return out, nil
+		index[name] = i
 	}
-	of := func(all named) (out []string) {
-		for _, x := range all {
-			out = append(out, x.Name)
+	for i, name := range names {
+		inPairs := pairReplacer.Replace(name)
+		if _, taken := index[inPairs]; !taken {
+			index[inPairs] = i
 		}
-		return out
-	}
-	n := &benchadapter.Names{}
-	var err [3]error
-	n.Kind, err[0] = index("kinds", w.Kinds)
-	n.Class, err[1] = index("categories", of(w.Categories))
-	n.Tenant, err[2] = index("customers", of(w.Customers))
-	return n, errors.Join(err[:]...)
+	}
+	return index, nil
 }
 
-// flatten writes a nested object as the path=value pairs of the bench's first message.
-func flatten(raw json.RawMessage) ([]string, error) {
-	d := json.NewDecoder(strings.NewReader(string(raw)))
-	d.UseNumber()
-	var v any
-	if err := d.Decode(&v); err != nil {
+// settingPairs flattens the JSON object to the path=value pairs of the bench's text protocol, in the order of their paths.
+func settingPairs(settings json.RawMessage) ([]string, error) {
+	decoder := json.NewDecoder(strings.NewReader(string(settings)))
+	decoder.UseNumber()
+	var value any
+	if err := decoder.Decode(&value); err != nil {
 		return nil, err
 	}
-	if _, ok := v.(map[string]any); !ok {
-		return nil, fmt.Errorf("an object was expected, not %T", v)
+	object, ok := value.(map[string]any)
+	if !ok {
+		return nil, fmt.Errorf("an object was expected, not %T", value)
 	}
-	var out []string
-	walk("", v, &out)
-	return out, nil
+	return appendObject(nil, "", object), nil
 }
 
-func walk(path string, v any, out *[]string) {
-	under := func(key string) string {
-		if path == "" {
-			return key
-		}
-		return path + "." + key
-	}
-	switch v := v.(type) {
+func appendPairs(pairs []string, path string, value any) []string {
+	switch value := value.(type) {
 	case map[string]any:
-		keys := make([]string, 0, len(v))
-		for k := range v {
-			keys = append(keys, k)
-		}
-		slices.Sort(keys)
-		for _, k := range keys {
-			walk(under(k), v[k], out)
-		}
+		return appendObject(pairs, path, value)
 	case []any:
-		if len(v) > 0 {
-			if _, objects := v[0].(map[string]any); objects {
-				*out = append(*out, under("count")+"="+strconv.Itoa(len(v)))
-				for i, x := range v {
-					walk(under(strconv.Itoa(i)), x, out)
-				}
-				return
-			}
-		}
-		words := make([]string, len(v))
-		for i, x := range v {
-			words[i] = word(x)
-		}
-		*out = append(*out, path+"="+strings.Join(words, ","))
+		return appendList(pairs, path, value)
 	case nil:
+		return pairs
 	default:
-		*out = append(*out, path+"="+word(v))
+		return append(pairs, path+"="+pairValue(value))
+	}
+}
+
+func appendObject(pairs []string, path string, object map[string]any) []string {
+	keys := make([]string, 0, len(object))
+	for key := range object {
+		keys = append(keys, key)
+	}
+	slices.Sort(keys)
+	for _, key := range keys {
+		pairs = appendPairs(pairs, joinPath(path, key), object[key])
+	}
+	return pairs
+}
+
+// appendList appends a list of objects as their count and the pairs of each, any other list as its values with commas
+// between them.
+func appendList(pairs []string, path string, list []any) []string {
+	if len(list) > 0 {
+		if _, objects := list[0].(map[string]any); objects {
+			pairs = append(pairs, joinPath(path, "count")+"="+strconv.Itoa(len(list)))
+			for i, entry := range list {
+				pairs = appendPairs(pairs, joinPath(path, strconv.Itoa(i)), entry)
+			}
+			return pairs
+		}
+	}
+	values := make([]string, len(list))
+	for i, entry := range list {
+		values[i] = pairValue(entry)
+	}
+	return append(pairs, path+"="+strings.Join(values, ","))
+}
+
+func joinPath(path, key string) string {
+	if path == "" {
+		return key
 	}
+	return path + "." + key
 }
 
-// word is a value as the bench writes it: without spaces and commas, which part fields and lists there.
-func word(v any) string {
-	switch v := v.(type) {
+// pairReplacer takes out of a text what separates fields and list entries in pairs.
+var pairReplacer = strings.NewReplacer(" ", "_", ",", "_")
+
+// pairValue is a value as pairs hold it.
+func pairValue(value any) string {
+	switch value := value.(type) {
 	case bool:
-		return strconv.FormatBool(v)
+		return strconv.FormatBool(value)
 	case json.Number:
-		return v.String()
+		return value.String()
 	case string:
-		return strings.NewReplacer(" ", "_", ",", "_").Replace(v)
+		return pairReplacer.Replace(value)
 	}
-	return fmt.Sprint(v)
+	return fmt.Sprint(value)
 }
--- /dev/null
+++ b/internal/front/platformfront/watch.go
@@ -0,0 +1,117 @@
+package platformfront
+
+import (
+	"fmt"
+	"time"
+
+	"github.com/goccy/go-json"
+
+	"flaxshelf.example/flaxshelf"
+	"flaxshelf.example/flaxshelf/internal/requests"
+)
+
+// WatchEvent is one event of the control feed.
+type WatchEvent struct {
+	Sequence        uint64
+	Update          requests.NodesUpdated
+	HasFreeCapacity bool // at least one entry has the free capacity of its node
+}
+
+// wireEvent is an event of the control feed by its names in JSON.
+type wireEvent struct {
+	Sequence uint64       `json:"n"`
+	Members  *wireMembers `json:"members"`
+}
+
+// wireMembers is a list of nodes: all of them, or those that have changed.
+type wireMembers struct {
+	Full    bool         `json:"full"`
+	Servers []wireServer `json:"servers"`
+}
+
+type wireServer struct {
+	ID            string    `json:"id"`
+	Addr          string    `json:"addr"`
+	Zone          string    `json:"zone"`
+	Kind          string    `json:"kind"`
+	State         string    `json:"state"`
+	Cell          int       `json:"cell"`
+	StartedMillis float64   `json:"started_ms"`
+	FreeCapacity  []float64 `json:"unasked"` // cores and memory that are not reserved, where the list has them
+}
+
+// machineStates are the states of nodes by their names in JSON.
+var machineStates = map[string]flaxshelf.MachineState{
+	"active": flaxshelf.Active, "leaving": flaxshelf.Draining, "left": flaxshelf.Removed,
+}
+
+// DecodeWatchEvent decodes the data of an event of the control feed. The error is a WatchEventError. An event without nodes
+// is one of a later version, and its update is empty.
+func (c *Config) DecodeWatchEvent(data []byte) (WatchEvent, error) {
+	var wire wireEvent
+	if err := json.Unmarshal(data, &wire); err != nil {
+		return WatchEvent{}, &WatchEventError{Reason: "not an event as a JSON object", Err: err}
+	}
+	event := WatchEvent{Sequence: wire.Sequence}
+	if wire.Members == nil {
+		return event, nil
+	}
+	event.Update.Complete = wire.Members.Full
+	for i := range wire.Members.Servers {
+		server := &wire.Members.Servers[i]
+		machine, err := c.decodeServer(server)
+		if err != nil {
+			err.Sequence, err.Field = wire.Sequence, fmt.Sprintf("members.servers[%d].%s", i, err.Field)
+			return WatchEvent{}, err
+		}
+		event.HasFreeCapacity = event.HasFreeCapacity || server.hasFreeCapacity()
+		event.Update.Machines = append(event.Update.Machines, machine)
+		event.Update.Addrs = append(event.Update.Addrs, server.Addr)
+	}
+	return event, nil
+}
+
+func (s *wireServer) hasFreeCapacity() bool { return len(s.FreeCapacity) >= 2 }
+
+// decodeServer translates one entry of a list of nodes. A kind that the settings don't have is unknown, no error.
+func (c *Config) decodeServer(server *wireServer) (flaxshelf.Machine, *WatchEventError) {
+	if server.ID == "" {
+		return flaxshelf.Machine{}, &WatchEventError{Field: "id", Reason: "must be the name of a node"}
+	}
+	state, ok := machineStates[server.State]
+	if !ok {
+		return flaxshelf.Machine{}, &WatchEventError{Field: "state", Value: server.State,
+			Reason: "must be active, leaving or left"}
+	}
+	kind, ok := c.Names.Kind[server.Kind]
+	if !ok {
+		kind = -1
+	}
+	machine := flaxshelf.Machine{ID: server.ID, Kind: kind, Zone: server.Zone, Cell: server.Cell, State: state,
+		Started: time.Duration(server.StartedMillis * float64(time.Millisecond))}
+	if server.hasFreeCapacity() {
+		machine.FreeCores, machine.FreeMemory = server.FreeCapacity[0], server.FreeCapacity[1]
+	}
+	return machine, nil
+}
+
+// MergeUpdates merges the updates of consecutive events into one: the last state of each node, in the order in which nodes
+// first appear. What precedes a complete list is dropped. It returns false where no event has nodes.
+func MergeUpdates(events []WatchEvent) (merged requests.NodesUpdated, ok bool) {
+	positions := map[string]int{}
+	for _, event := range events {
+		if event.Update.Complete {
+			merged, positions = requests.NodesUpdated{Complete: true}, map[string]int{}
+		}
+		for i, machine := range event.Update.Machines {
+			position, known := positions[machine.ID]
+			if !known {
+				position = len(merged.Machines)
+				positions[machine.ID] = position
+				merged.Machines, merged.Addrs = append(merged.Machines, machine), append(merged.Addrs, "")
+			}
+			merged.Machines[position], merged.Addrs[position] = machine, event.Update.Addrs[i]
+		}
+	}
+	return merged, merged.Complete || len(merged.Machines) > 0
+}
