--- a/cmd/benchadapter/main.go
+++ b/cmd/benchadapter/main.go
@@ -1,4 +1,5 @@
-// Command benchadapter hosts instances of the module on standard input and output.
+// Command benchadapter runs instances of the module for the bench: batches of events on standard input, replies with their
+// actions on standard output.
 package main
 
 import (
@@ -18,68 +19,70 @@
 	}
 }
 
-// serve answers batches until input ends.
+// serve replies to batches until the input ends.
 func serve(in io.Reader, out io.Writer) error {
-	r, w := benchadapter.NewReader(in), benchadapter.NewWriter(out)
+	reader, writer := benchadapter.NewReader(in), benchadapter.NewWriter(out)
 	placers := map[int]*flaxshelf.Placer{}
 	for {
-		b, err := r.Next()
+		batch, err := reader.Next()
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
 			return err
 		}
-		if err := answer(b, placers, w); err != nil {
+		if err := reply(batch, placers, writer); err != nil {
 			return err
 		}
-		if err := w.End(b.Serial); err != nil {
+		if err := writer.End(batch.Serial); err != nil {
 			return err
 		}
 	}
 }
 
-// answer gives each instance its events of the batch in one step. A stop ends the step before it.
-func answer(b *benchadapter.Batch, placers map[int]*flaxshelf.Placer, w *benchadapter.Writer) error {
+// reply starts and stops instances, then gives each its events of the batch in one step, in the order of their first
+// events. An instance that stops or starts anew drops the events before that.
+func reply(batch *benchadapter.Batch, placers map[int]*flaxshelf.Placer, writer *benchadapter.Writer) error {
 	var order []int
 	events := map[int][]flaxshelf.Event{}
-	for _, item := range b.Items {
-		who := item.Instance
+	for _, item := range batch.Items {
+		instance := item.Instance
 		switch {
 		case item.Stop:
-			delete(placers, who)
-			events[who] = nil
+			delete(placers, instance)
+			events[instance] = nil
 		case item.Start != nil:
-			p, err := flaxshelf.New(item.Start.Config, item.Start.Seed)
+			placer, err := flaxshelf.New(item.Start.Config, item.Start.Seed)
 			if err != nil {
-				return fmt.Errorf("batch %d, instance %d: %w", b.Serial, who, err)
+				return fmt.Errorf("batch %d, instance %d: %w", batch.Serial, instance, err)
 			}
-			placers[who], events[who] = p, nil
+			placers[instance], events[instance] = placer, nil
 		default:
-			if events[who] == nil {
-				order = append(order, who)
+			if events[instance] == nil {
+				order = append(order, instance)
 			}
-			events[who] = append(events[who], item.Event)
+			events[instance] = append(events[instance], item.Event)
 		}
 	}
-	done := map[int]bool{}
-	for _, who := range order {
-		if p := placers[who]; p != nil && !done[who] && len(events[who]) > 0 {
-			done[who] = true
-			step(p, b, who, events[who], w)
+	stepped := map[int]bool{}
+	for _, instance := range order {
+		if placer := placers[instance]; placer != nil && !stepped[instance] && len(events[instance]) > 0 {
+			stepped[instance] = true
+			step(placer, batch, instance, events[instance], writer)
 		}
 	}
 	return nil
 }
 
-// step runs the module; a panic becomes a BUG of that instance.
-func step(p *flaxshelf.Placer, b *benchadapter.Batch, who int, events []flaxshelf.Event, w *benchadapter.Writer) {
+// step runs one step of an instance; a panic of the module becomes a BUG of that instance.
+func step(placer *flaxshelf.Placer, batch *benchadapter.Batch, instance int, events []flaxshelf.Event,
+	writer *benchadapter.Writer) {
 	defer func() {
-		if r := recover(); r != nil {
-			w.Bug(who, fmt.Sprint(r))
+		if cause := recover(); cause != nil {
+			writer.Bug(instance, fmt.Sprint(cause))
 		}
 	}()
-	for _, a := range p.Step(b.Clock, events) {
-		w.Action(who, a)
+	for _, action := range placer.Step(batch.Clock, events) {
+		writer.Action(instance, action)
 	}
 }
--- a/cmd/benchadapter/main_test.go
+++ b/cmd/benchadapter/main_test.go
@@ -10,57 +10,60 @@
 	"flaxshelf.example/flaxshelf/internal/benchadapter"
 )
 
-func up(who int) string {
+// startLines start an instance and give it a list of three machines.
+func startLines(instance int) string {
 	return fmt.Sprintf("UP who=%d init_seed=%d kinds=k specifics.kind_cores=30 specifics.mem_of_kind=86 "+
 		"categories.count=1 categories.0.name=c categories.0.effect=read_like\n"+
 		"REGISTER page=0 records=3\nM node=a shape=k\nM node=b shape=k\nM node=c shape=k\n"+
-		"VIEW who=%d form=Persisted page=0\n", who, who+5, who)
+		"VIEW who=%d form=Persisted page=0\n", instance, instance+5, instance)
 }
 
-func script(who ...int) string {
+// script starts the instances and gives each 20 tasks, one a batch.
+func script(instances ...int) string {
 	var s strings.Builder
 	s.WriteString("FRAME clock_ns=1000 serial=1\n")
-	for _, w := range who {
-		s.WriteString(up(w))
+	for _, instance := range instances {
+		s.WriteString(startLines(instance))
 	}
 	s.WriteString("END\n")
 	for n := range 20 {
 		fmt.Fprintf(&s, "FRAME clock_ns=%d serial=%d\n", 2000000*(n+1), n+2)
-		for _, w := range who {
-			fmt.Fprintf(&s, "TO_PLACE who=%d tid=t%d valid_until_ns=5000000000 priority=c cores=1 ram_units=1\n", w, n)
+		for _, instance := range instances {
+			fmt.Fprintf(&s, "TO_PLACE who=%d tid=t%d valid_until_ns=5000000000 priority=c cores=1 ram_units=1\n", instance, n)
 		}
 		s.WriteString("END\n")
 	}
 	return s.String()
 }
 
-func lines(t *testing.T, in, who string) string {
+// replyLines returns the lines of all replies that are of one instance.
+func replyLines(t *testing.T, in, instance string) string {
 	t.Helper()
 	var out bytes.Buffer
 	if err := serve(strings.NewReader(in), &out); err != nil {
 		t.Fatal(err)
 	}
 	var s strings.Builder
-	for l := range strings.Lines(out.String()) {
-		if strings.Contains(l, " who="+who+" ") {
-			s.WriteString(l)
+	for line := range strings.Lines(out.String()) {
+		if strings.Contains(line, " who="+instance+" ") {
+			s.WriteString(line)
 		}
 	}
 	return s.String()
 }
 
-// An instance acts alike alone and beside others.
-func TestInstancesShareNothing(t *testing.T) {
-	together, alone := lines(t, script(1, 2, 3), "2"), lines(t, script(2), "2")
+// An instance acts the same alone and beside others.
+func TestInstancesAreIsolated(t *testing.T) {
+	together, alone := replyLines(t, script(1, 2, 3), "2"), replyLines(t, script(2), "2")
 	if together != alone || strings.Count(alone, "BIND") != 20 {
 		t.Errorf("together\n%s\nalone\n%s", together, alone)
 	}
 }
 
-func TestStoppedInstanceIsSilent(t *testing.T) {
-	in := "FRAME clock_ns=1 serial=1\n" + up(1) + "END\n" +
+func TestStoppedInstanceDoesNotAct(t *testing.T) {
+	in := "FRAME clock_ns=1 serial=1\n" + startLines(1) + "END\n" +
 		"FRAME clock_ns=9 serial=2\nTO_PLACE who=1 tid=t valid_until_ns=5000000000 priority=c\nRETIRE who=1\nEND\n"
-	if got := lines(t, in, "1"); got != "" {
+	if got := replyLines(t, in, "1"); got != "" {
 		t.Errorf("acted after its stop: %s", got)
 	}
 }
@@ -81,7 +84,7 @@
 	}
 }
 
-// A panic in the module becomes a BUG of its instance; here the module is missing altogether.
+// A panic in the module becomes a BUG of its instance; here there is no module to call.
 func TestPanicBecomesABug(t *testing.T) {
 	var out bytes.Buffer
 	w := benchadapter.NewWriter(&out)
--- /dev/null
+++ b/internal/benchadapter/reader.go
@@ -0,0 +1,167 @@
+// Package benchadapter translates between the bench's text protocol and the events and actions of the module. It converts
+// names and units and makes no decision. A Reader and a Writer are each for one goroutine.
+package benchadapter
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"io"
+	"strings"
+
+	"flaxshelf.example/flaxshelf"
+)
+
+// readBufferBytes is the size of the buffer that a Reader reads into; longer lines are read too.
+const readBufferBytes = 1 << 20
+
+// Start begins an instance: its seed and configuration.
+type Start struct {
+	Seed   uint64
+	Config flaxshelf.Config
+	names  *Names
+}
+
+// Item is one thing that happens to an instance: exactly one of Start, Stop and Event is set.
+type Item struct {
+	Instance int
+	Start    *Start
+	Stop     bool
+	Event    flaxshelf.Event
+}
+
+// Batch is the content of one FRAME.
+type Batch struct {
+	Clock  flaxshelf.Time
+	Serial int64
+	Items  []Item
+}
+
+// ProtocolError is malformed input: the serial number of the last batch that began, the field and its value.
+type ProtocolError struct {
+	Batch        int64
+	Field, Value string
+}
+
+func (e *ProtocolError) Error() string {
+	return fmt.Sprintf("malformed input: batch %d, field %s, value %q", e.Batch, e.Field, e.Value)
+}
+
+// Reader reads batches. It keeps the names of the instances' settings and the lists of machines that were registered.
+type Reader struct {
+	in     *bufio.Reader
+	names  map[int]*Names // by instance
+	pages  map[int][]listedMachine
+	serial int64
+}
+
+// NewReader returns a Reader of the input.
+func NewReader(in io.Reader) *Reader {
+	return &Reader{in: bufio.NewReaderSize(in, readBufferBytes), names: map[int]*Names{}, pages: map[int][]listedMachine{}}
+}
+
+// Next reads one batch. The error is io.EOF when the input ends between batches, io.ErrUnexpectedEOF when it breaks off
+// within one, and else a ProtocolError or that of the input.
+func (r *Reader) Next() (*Batch, error) {
+	batch, err := r.begin()
+	if err != nil {
+		return nil, err
+	}
+	for {
+		line, err := r.line()
+		if errors.Is(err, io.EOF) {
+			err = io.ErrUnexpectedEOF
+		}
+		if err != nil {
+			return nil, err
+		}
+		if line == "END" {
+			return batch, nil
+		}
+		if line == "" {
+			continue
+		}
+		item, ok, err := r.item(line)
+		if err != nil {
+			return nil, err
+		}
+		if ok {
+			batch.Items = append(batch.Items, item)
+		}
+	}
+}
+
+// begin reads the FRAME line of a batch. Empty lines before it are skipped.
+func (r *Reader) begin() (*Batch, error) {
+	line, err := r.line()
+	for err == nil && line == "" {
+		line, err = r.line()
+	}
+	if err != nil {
+		return nil, err
+	}
+	message, rest, _ := strings.Cut(line, " ")
+	if message != "FRAME" {
+		return nil, &ProtocolError{r.serial, "FRAME", line}
+	}
+	f := r.fields(rest)
+	batch := &Batch{Clock: f.duration("clock_ns", required), Serial: f.integer("serial", required)}
+	if f.err != nil {
+		return nil, f.err
+	}
+	r.serial = batch.Serial
+	return batch, nil
+}
+
+// line reads one line without its end.
+func (r *Reader) line() (string, error) {
+	line, err := r.in.ReadString('\n')
+	if errors.Is(err, io.EOF) && line != "" {
+		err = io.ErrUnexpectedEOF
+	}
+	return strings.TrimRight(line, "\r\n"), err
+}
+
+// item decodes a line of a batch, with those that belong to it. ok is false for a line that happens to no instance, or that
+// is of a later version.
+func (r *Reader) item(line string) (item Item, ok bool, err error) {
+	message, rest, _ := strings.Cut(line, " ")
+	f := r.fields(rest)
+	if message == "REGISTER" {
+		return item, false, r.register(f)
+	}
+	item.Instance = int(f.integer("who", required))
+	if names := r.names[item.Instance]; names != nil {
+		f.names = names
+	}
+	if !r.decodeItem(message, f, &item) {
+		return item, false, nil
+	}
+	if f.err != nil {
+		return item, false, f.err
+	}
+	if item.Start != nil {
+		r.names[item.Instance] = item.Start.names
+	}
+	return item, true, nil
+}
+
+// decodeItem decodes what happens to an instance. It returns false for a message that is not known.
+func (r *Reader) decodeItem(message string, f *fields, item *Item) bool {
+	switch message {
+	case "UP":
+		item.Start = &Start{Seed: uint64(f.integer("init_seed", optional))}
+		item.Start.Config, item.Start.names = decodeConfig(f)
+	case "RETIRE":
+		item.Stop = true
+	case "VIEW":
+		item.Event = r.decodeView(f)
+	default:
+		decode, known := eventDecoders[message]
+		if known {
+			item.Event = decode(f)
+		}
+		return known
+	}
+	return true
+}
--- /dev/null
+++ b/internal/benchadapter/reader_test.go
@@ -0,0 +1,145 @@
+package benchadapter
+
+import (
+	"errors"
+	"io"
+	"reflect"
+	"strings"
+	"testing"
+
+	"flaxshelf.example/flaxshelf"
+)
+
+const upLine = "UP who=3 init_seed=9 balancers=2 kinds=k1,k2 specifics.kind_cores=30,48 specifics.mem_of_kind=86.0,155.0 " +
+	"categories.count=2 categories.0.name=c0 categories.0.effect=read_like categories.1.name=c1 " +
+	"categories.1.effect=idempotency_key categories.1.key_scope=zone categories.1.key_ttl_ns=5000000000 " +
+	"specifics.spread_over=zone,off specifics.together_max=4,2 customers= discovery=on_request " +
+	"round_ns=2000000 future.thing=yes specifics.kind_by_class=-1,1\n"
+
+func readAll(t *testing.T, text string) []*Batch {
+	t.Helper()
+	r := NewReader(strings.NewReader(text))
+	var batches []*Batch
+	for {
+		batch, err := r.Next()
+		if errors.Is(err, io.EOF) {
+			return batches
+		}
+		if err != nil {
+			t.Fatal(err)
+		}
+		batches = append(batches, batch)
+	}
+}
+
+// A list takes over the number of an older one in the middle of a batch; unknown messages are skipped.
+func TestEventsInOrderWithReusedLists(t *testing.T) {
+	text := "FRAME clock_ns=5 serial=1\n" + upLine +
+		"REGISTER page=0 records=1\nM node=n1 shape=k2 readiness=IN az=a pod=2 last_start_ns=4\nVIEW who=3 form=Complete page=0\n" +
+		"REGISTER page=0 records=1\nM node=n1 readiness=LAME\nVIEW who=3 form=Partial page=0\n" +
+		"LATER who=3 x=1\nLATER who=x\nVIEW who=3 form=Error\nINBOX who=3 neighbour=2 blob=aGkgNw==\n" +
+		"ATTEMPT_END who=3 tid=c:1 leg=1 node=n1 verdict=254 remark=2 lag_ns=7 load=x0:3.5,x9:1\n" +
+		"STATUS_NOTE who=3 tid=c:1 leg=0 node=n1 kind=4 amount=0.5\nRETIRE who=3\nEND\n"
+	items := readAll(t, text)[0].Items
+	want := []flaxshelf.Event{nil,
+		flaxshelf.MachinesUpdated{Complete: true, Machines: []flaxshelf.Machine{{ID: "n1", Kind: 1, Zone: "a", Cell: 2, Started: 4}}},
+		flaxshelf.MachinesUpdated{Machines: []flaxshelf.Machine{{ID: "n1", Kind: -1, State: flaxshelf.Draining}}},
+		flaxshelf.DiscoveryFailed{}, flaxshelf.GossipReceived{From: 2, Data: []byte("hi 7")},
+		flaxshelf.AttemptEnded{Task: "c:1", Machine: "n1", Attempt: 1, Outcome: flaxshelf.Rejected, Reason: flaxshelf.InsufficientMemory,
+			Latency: 7, Load: flaxshelf.LoadReport{Present: true, HasCores: true, FreeCores: 3.5}},
+		flaxshelf.UsageReport{Task: "c:1", Machine: "n1", Kind: flaxshelf.ServiceLevel, Amount: 0.5}, nil}
+	if len(items) != len(want) {
+		t.Fatalf("%d items", len(items))
+	}
+	for i, event := range want {
+		if event != nil && !reflect.DeepEqual(items[i].Event, event) {
+			t.Errorf("item %d: %+v, want %+v", i, items[i].Event, event)
+		}
+	}
+	if !items[len(items)-1].Stop {
+		t.Error("no stop")
+	}
+}
+
+// Every line that is one event is decoded, with all its fields.
+func TestEvents(t *testing.T) {
+	task := flaxshelf.Task{ID: "t", Key: "k", Service: "s", Class: 1, Cores: 2, Memory: 3, ExpectedRuntime: 4, Deadline: 5, Retry: true, Tenant: -1}
+	taskFields := "tid=t uid=k owner_set=s cores=2 ram_units=3 time_to_run_ns=4 valid_until_ns=5 again=1 priority=c1 client_group=x"
+	for line, want := range map[string]flaxshelf.Event{
+		"TO_PLACE who=3 " + taskFields:                           flaxshelf.TaskSubmitted{Task: task},
+		"RUNNING who=3 node=n " + taskFields:                     flaxshelf.TaskAdopted{Task: task, Machine: "n"},
+		"SEATED who=3 tid=t node=n leg=2 lag_ns=7":               flaxshelf.AttemptPlaced{Task: "t", Machine: "n", Attempt: 2, Latency: 7},
+		"ATTEMPT_END who=3 tid=t":                                flaxshelf.AttemptEnded{Task: "t", Outcome: flaxshelf.Lost},
+		"ATTEMPT_END who=3 tid=t finished=true verdict=0 load=-": flaxshelf.AttemptEnded{Task: "t", Outcome: flaxshelf.Completed, Final: true},
+		"HEALTH_RESULT who=3 node=n verdict=253 load=x1:2": flaxshelf.HealthChecked{Machine: "n", Outcome: flaxshelf.TimedOut,
+			Load: flaxshelf.LoadReport{Present: true, HasMemory: true, FreeMemory: 2}},
+		"INBOX who=3 neighbour=2 blob=-": flaxshelf.GossipReceived{From: 2, Data: []byte{}},
+		"WAKEUP who=3":                   flaxshelf.TimerFired{},
+		"ABORTED who=3 tid=t":            flaxshelf.TaskCanceled{Task: "t"},
+	} {
+		items := readAll(t, "FRAME clock_ns=5 serial=1\n"+upLine+line+"\nEND\n")[0].Items
+		if len(items) != 2 || items[1].Instance != 3 || !reflect.DeepEqual(items[1].Event, want) {
+			t.Errorf("%s: %+v, want %+v", line, items, want)
+		}
+	}
+}
+
+func TestMalformedInput(t *testing.T) {
+	const frame = "FRAME clock_ns=5 serial=4\n"
+	for line, want := range map[string]ProtocolError{
+		"WAKEUP who=x":                              {4, "who", "x"},
+		"ATTEMPT_END who=1 tid=t verdict=7":         {4, "verdict", "7"},
+		"TO_PLACE who=1 tid=t priority=no":          {4, "valid_until_ns", ""},
+		"STATUS_NOTE who=1 tid=t kind=1 amount=nan": {4, "amount", "nan"},
+		"VIEW who=1 form=Odd page=0":                {4, "form", "Odd"},
+		"VIEW who=1 form=Partial page=3":            {4, "page", "3"},
+		"INBOX who=1 neighbour=1 blob=***":          {4, "blob", "***"},
+		"REGISTER page=0 records=1\nX y=1":          {4, "records", "X y=1"},
+	} {
+		t.Run(line, func(t *testing.T) {
+			_, err := NewReader(strings.NewReader(frame + line + "\nEND\n")).Next()
+			var got *ProtocolError
+			if !errors.As(err, &got) || *got != want {
+				t.Errorf("got %v, want %v", err, &want)
+			}
+		})
+	}
+	t.Run("input that breaks off", func(t *testing.T) {
+		if _, err := NewReader(strings.NewReader(frame + "WAKEUP who=1\n")).Next(); !errors.Is(err, io.ErrUnexpectedEOF) {
+			t.Error(err)
+		}
+	})
+	t.Run("no frame", func(t *testing.T) {
+		_, err := NewReader(strings.NewReader("WAKEUP who=1\n")).Next()
+		var got *ProtocolError
+		if want := (ProtocolError{0, "FRAME", "WAKEUP who=1"}); !errors.As(err, &got) || *got != want {
+			t.Errorf("got %v, want %v", err, &want)
+		}
+	})
+}
+
+// The parser never panics, and what it accepts once it accepts again.
+func FuzzReader(f *testing.F) {
+	f.Add("FRAME clock_ns=5 serial=1\n" + upLine + "REGISTER page=0 records=1\nM node=n1\nVIEW who=3 form=Complete page=0\nEND\n")
+	f.Add("FRAME clock_ns=5 serial=1\nATTEMPT_END who=1 tid=t verdict=0 load=x0:1\nEND\n")
+	f.Fuzz(func(t *testing.T, text string) {
+		first, errFirst := NewReader(strings.NewReader(text)).Next()
+		second, errSecond := NewReader(strings.NewReader(text)).Next()
+		if (errFirst == nil) != (errSecond == nil) || errFirst == nil && len(first.Items) != len(second.Items) {
+			t.Errorf("read twice: %v, %v", errFirst, errSecond)
+		}
+	})
+}
+
+func BenchmarkReader(b *testing.B) {
+	text := "FRAME clock_ns=5 serial=1\n" + upLine +
+		"TO_PLACE who=3 tid=t valid_until_ns=5000000000 priority=c0 cores=1 ram_units=1\n" +
+		"ATTEMPT_END who=3 tid=c:1 leg=1 node=n1 verdict=254 remark=2 lag_ns=7 load=x0:3.5,x9:1\n" +
+		"STATUS_NOTE who=3 tid=c:1 leg=0 node=n1 kind=4 amount=0.5\nEND\n"
+	b.ReportAllocs()
+	for b.Loop() {
+		if _, err := NewReader(strings.NewReader(text)).Next(); err != nil {
+			b.Fatal(err)
+		}
+	}
+}
--- a/internal/benchadapter/settings.go
+++ b/internal/benchadapter/settings.go
@@ -2,140 +2,170 @@
 
 import (
 	"fmt"
-	"strings"
 
 	"flaxshelf.example/flaxshelf"
 )
 
-var effects = map[string]flaxshelf.Idempotency{
+// idempotencies are the kinds of idempotency by their names in the settings.
+var idempotencies = map[string]flaxshelf.Idempotency{
 	"read_like": flaxshelf.Idempotent, "idempotency_key": flaxshelf.IdempotentByKey, "non_idempotent": flaxshelf.NonIdempotent,
 }
 
-var extents = map[string]flaxshelf.TopologyDomain{
+// topologyDomains are the topology domains by their names in the settings.
+var topologyDomains = map[string]flaxshelf.TopologyDomain{
 	"off": flaxshelf.NoDomain, "machine": flaxshelf.MachineDomain, "cell": flaxshelf.CellDomain,
 	"zone": flaxshelf.ZoneDomain, "all": flaxshelf.FleetDomain,
 }
 
-// list splits a setting that is a comma-joined list.
-func (f *fields) list(name string) []string {
-	s := f.text(name, false)
-	if s == "" {
-		return nil
-	}
-	return strings.Split(s, ",")
+// Names are the names in the settings of an instance, as indices of its Config. They are only read after Settings.
+type Names struct{ Class, Kind, Tenant map[string]int }
+
+// Settings decodes settings that are given as path=value pairs, the same for the bench's first message and for a
+// configuration that holds them as a JSON object. Keys that this version doesn't know are skipped. The error is a
+// ProtocolError, whose Field is the path.
+func Settings(pairs []string) (flaxshelf.Config, *Names, error) {
+	f := &fields{pairs: pairs, names: noNames}
+	config, names := decodeConfig(f)
+	return config, names, f.err
 }
 
-// nth reads item i of a list of numbers; absent where the list is too short.
-func (f *fields) nth(name string, i int, absent float64) float64 {
-	l := f.list(name)
-	if i >= len(l) {
-		return absent
+// decodeConfig decodes the pairs of an UP line.
+func decodeConfig(f *fields) (flaxshelf.Config, *Names) {
+	config := flaxshelf.Config{
+		Index:      int(f.integer("index", optional)),
+		Schedulers: int(f.integer("balancers", optional)),
+		Zone:       f.text("zone", optional),
 	}
-	return (&fields{serial: f.serial, pairs: []string{name + "=" + l[i]}}).into(f, name)
+	setPlacement(&config, f)
+	setCapabilities(&config, f)
+	setTimings(&config, f)
+	config.Prices = decodePrices(f)
+	config.Kinds = decodeKinds(f)
+	config.Classes = decodeClasses(f)
+	config.Tenants = decodeTenants(f)
+	return config, indexNames(&config)
 }
 
-func (f *fields) into(parent *fields, name string) float64 {
-	x := f.num(name, true)
-	if f.err != nil && parent.err == nil {
-		parent.err = f.err
+// indexNames returns the indices of all names; the last of several that are alike.
+func indexNames(config *flaxshelf.Config) *Names {
+	names := &Names{Class: map[string]int{}, Kind: map[string]int{}, Tenant: map[string]int{}}
+	for i := range config.Kinds {
+		names.Kind[config.Kinds[i].Name] = i
+	}
+	for i := range config.Classes {
+		names.Class[config.Classes[i].Name] = i
+	}
+	for i := range config.Tenants {
+		names.Tenant[config.Tenants[i].Name] = i
 	}
-	return x
+	return names
 }
 
-// Names are the words of one instance's settings, as indices of its Config.
-type Names struct{ Class, Kind, Tenant map[string]int }
+// setPlacement decodes how tasks are placed and machines report on them.
+func setPlacement(config *flaxshelf.Config, f *fields) {
+	config.OverQuotaWeight = f.number("over_share_worth")
+	config.CoreOvercommit = f.number("specifics.admit_cores")
+	config.MemoryOvercommit = f.number("specifics.memory_multiple")
+	config.PlacedWhenRunning = f.text("specifics.confirms", optional) == "running"
+	config.Preempts = f.boolean("specifics.pushes_out")
+	config.ListsFreeCapacity = f.boolean("specifics.shows_free")
+	config.ReportsUsage = f.text("specifics.measured_by", optional) == "used"
+	config.DiscoveryOnRequest = f.text("discovery", optional) == "on_request"
+}
 
-// Settings reads settings given as path=value pairs, the same for the bench's first message and for a configuration
-// that holds the object as JSON. Keys that this version doesn't know are skipped.
-func Settings(pairs []string) (flaxshelf.Config, *Names, error) {
-	f := &fields{pairs: pairs}
-	c, n := settings(f)
-	return c, n, f.err
+// setCapabilities decodes what the platform can do.
+func setCapabilities(config *flaxshelf.Config, f *fields) {
+	config.MaxAttempts = int(f.integer("caps.most_tries", optional))
+	config.HedgedRequests = f.boolean("caps.second_copies")
+	config.CanCancel = f.boolean("caps.cancel")
+	config.CanHealthCheck = f.boolean("caps.probes")
+	config.CanGossip = f.boolean("caps.peers")
+	config.CanRetryAfter = f.boolean("caps.retry_after")
+	config.MaxRetryAfter = f.duration("caps.max_retry_after_ns", optional)
+	config.ConnectTimeout = f.duration("caps.connect_timeout_ns", optional)
 }
 
-// settings reads the pairs of an UP line. Keys that this version doesn't know are skipped.
-func settings(f *fields) (flaxshelf.Config, *Names) {
-	n := &Names{Class: map[string]int{}, Kind: map[string]int{}, Tenant: map[string]int{}}
-	c := flaxshelf.Config{
-		Index: int(f.int("index", false)), Schedulers: int(f.int("balancers", false)),
-		Zone:                  f.text("zone", false),
-		OverQuotaWeight:       f.num("over_share_worth", false),
-		CoreOvercommit:        f.num("specifics.admit_cores", false),
-		MemoryOvercommit:      f.num("specifics.memory_multiple", false),
-		PlacedWhenRunning:     f.text("specifics.confirms", false) == "running",
-		Preempts:              f.flag("specifics.pushes_out"),
-		ListsFreeCapacity:     f.flag("specifics.shows_free"),
-		ReportsUsage:          f.text("specifics.measured_by", false) == "used",
-		DiscoveryOnRequest:    f.text("discovery", false) == "on_request",
-		MaxAttempts:           int(f.int("caps.most_tries", false)),
-		HedgedRequests:        f.flag("caps.second_copies"),
-		CanCancel:             f.flag("caps.cancel"),
-		CanHealthCheck:        f.flag("caps.probes"),
-		CanGossip:             f.flag("caps.peers"),
-		CanRetryAfter:         f.flag("caps.retry_after"),
-		MaxRetryAfter:         f.dur("caps.max_retry_after_ns", false),
-		ConnectTimeout:        f.dur("caps.connect_timeout_ns", false),
-		Tick:                  f.dur("round_ns", false),
-		AnswerSlack:           f.dur("obligations.answer_slack_ns", false),
-		DrainGrace:            f.dur("obligations.stop_sending_within_ns", false),
-		DiscoveryPollDeadline: f.dur("obligations.ask_within_ns", false),
-		SlowStartDuration:     f.dur("obligations.cold_ns", false),
-		OverloadWindow:        f.dur("obligations.fall_ns", false),
-		SlowStartBudget:       f.num("specifics.fresh_offers", false),
-		Prices: flaxshelf.Prices{
-			CrossZone: f.num("prices.cross_zone", false), Waste: f.num("prices.waste", false),
-			HealthCheck: f.num("prices.probe", false), Gossip: f.num("prices.peer", false),
-			Migration: f.num("prices.moves", false), Discovery: f.num("prices.discovery", false),
-			Fleet: f.num("prices.fleet", false), Rejection: f.num("specifics.refusal_fee", false),
-			EvictionMigrations: f.num("specifics.eviction_as_moves", false),
-		},
+// setTimings decodes intervals, the times that the platform demands, and the budget of slow starts.
+func setTimings(config *flaxshelf.Config, f *fields) {
+	config.Tick = f.duration("round_ns", optional)
+	config.AnswerSlack = f.duration("obligations.answer_slack_ns", optional)
+	config.DrainGrace = f.duration("obligations.stop_sending_within_ns", optional)
+	config.DiscoveryPollDeadline = f.duration("obligations.ask_within_ns", optional)
+	config.SlowStartDuration = f.duration("obligations.cold_ns", optional)
+	config.OverloadWindow = f.duration("obligations.fall_ns", optional)
+	config.SlowStartBudget = f.number("specifics.fresh_offers")
+}
+
+func decodePrices(f *fields) flaxshelf.Prices {
+	return flaxshelf.Prices{
+		CrossZone:          f.number("prices.cross_zone"),
+		Waste:              f.number("prices.waste"),
+		HealthCheck:        f.number("prices.probe"),
+		Gossip:             f.number("prices.peer"),
+		Migration:          f.number("prices.moves"),
+		Discovery:          f.number("prices.discovery"),
+		Fleet:              f.number("prices.fleet"),
+		Rejection:          f.number("specifics.refusal_fee"),
+		EvictionMigrations: f.number("specifics.eviction_as_moves"),
 	}
+}
+
+func decodeKinds(f *fields) (kinds []flaxshelf.Kind) {
 	for i, name := range f.list("kinds") {
-		n.Kind[name] = i
-		c.Kinds = append(c.Kinds, flaxshelf.Kind{Name: name,
-			Cores: f.nth("specifics.kind_cores", i, 0), Memory: f.nth("specifics.mem_of_kind", i, 0)})
+		kinds = append(kinds, flaxshelf.Kind{Name: name,
+			Cores: f.numberAt("specifics.kind_cores", i, 0), Memory: f.numberAt("specifics.mem_of_kind", i, 0)})
 	}
+	return kinds
+}
+
+func decodeClasses(f *fields) (classes []flaxshelf.Class) {
 	for i := range f.count("categories.count") {
-		at := func(key string) string { return fmt.Sprintf("categories.%d.%s", i, key) }
-		spread := f.list("specifics.spread_over")
-		class := flaxshelf.Class{
-			Name: f.text(at("name"), true), Idempotency: lookup(f, at("effect"), effects, flaxshelf.NonIdempotent),
-			KeyDomain:        lookup(f, at("key_scope"), extents, flaxshelf.FleetDomain),
-			KeyTTL:           f.dur(at("key_ttl_ns"), false),
-			LatencyObjective: f.dur(at("objective_ns"), false), PriorityWeight: f.num(at("worth"), false),
-			LateStartWeight:        f.num(at("late_worth"), false),
-			StartValueSeconds:      f.nth("specifics.start_seconds", i, 0),
-			FullServiceUtilization: f.nth("specifics.class_calm", i, 1), ServiceFadeRange: f.nth("specifics.fade_span", i, 1),
-			Kind:         int(f.nth("specifics.kind_by_class", i, -1)),
-			Priority:     int(f.nth("specifics.priority_by_class", i, 0)),
-			MaxPerDomain: int(f.nth("specifics.together_max", i, 0)),
-		}
-		if i < len(spread) {
-			place, ok := extents[spread[i]]
-			if !ok || place == flaxshelf.FleetDomain {
-				f.fail("specifics.spread_over", spread[i])
-			}
-			class.SpreadDomain = place
-		}
-		n.Class[class.Name] = i
-		c.Classes = append(c.Classes, class)
+		classes = append(classes, decodeClass(f, i))
 	}
-	for i := range f.count("customers.count") {
-		at := func(key string) string { return fmt.Sprintf("customers.%d.%s", i, key) }
-		t := flaxshelf.Tenant{Name: f.text(at("name"), true), QuotaFraction: f.num(at("fraction"), false),
-			TasksPerSecond: f.num(at("quota_per_s"), false), QuotaCores: f.nth("specifics.quota_cores", i, 0)}
-		n.Tenant[t.Name] = i
-		c.Tenants = append(c.Tenants, t)
+	return classes
+}
+
+func decodeClass(f *fields, i int) flaxshelf.Class {
+	path := fmt.Sprintf("categories.%d.", i)
+	class := flaxshelf.Class{
+		Name:                   f.text(path+"name", required),
+		Idempotency:            lookup(f, path+"effect", idempotencies, flaxshelf.NonIdempotent),
+		KeyDomain:              lookup(f, path+"key_scope", topologyDomains, flaxshelf.FleetDomain),
+		KeyTTL:                 f.duration(path+"key_ttl_ns", optional),
+		LatencyObjective:       f.duration(path+"objective_ns", optional),
+		PriorityWeight:         f.number(path + "worth"),
+		LateStartWeight:        f.number(path + "late_worth"),
+		StartValueSeconds:      f.numberAt("specifics.start_seconds", i, 0),
+		FullServiceUtilization: f.numberAt("specifics.class_calm", i, 1),
+		ServiceFadeRange:       f.numberAt("specifics.fade_span", i, 1),
+		Kind:                   int(f.numberAt("specifics.kind_by_class", i, -1)),
+		Priority:               int(f.numberAt("specifics.priority_by_class", i, 0)),
+		MaxPerDomain:           int(f.numberAt("specifics.together_max", i, 0)),
 	}
-	return c, n
+	class.SpreadDomain = decodeSpreadDomain(f, i)
+	return class
 }
 
-// count reads the length of a list of objects; the line must hold at least one pair for each.
-func (f *fields) count(name string) int {
-	n := f.int(name, false)
-	if n < 0 || n > int64(len(f.pairs)) {
-		f.fail(name, fmt.Sprint(n))
-		return 0
+// decodeSpreadDomain decodes the domain over which a class spreads; none where the list is too short.
+func decodeSpreadDomain(f *fields, i int) flaxshelf.TopologyDomain {
+	const name = "specifics.spread_over"
+	list := f.list(name)
+	if i >= len(list) {
+		return flaxshelf.NoDomain
+	}
+	domain, ok := topologyDomains[list[i]]
+	if !ok || domain == flaxshelf.FleetDomain {
+		f.fail(name, list[i])
+	}
+	return domain
+}
+
+func decodeTenants(f *fields) (tenants []flaxshelf.Tenant) {
+	for i := range f.count("customers.count") {
+		path := fmt.Sprintf("customers.%d.", i)
+		tenants = append(tenants, flaxshelf.Tenant{Name: f.text(path+"name", required),
+			QuotaFraction: f.number(path + "fraction"), TasksPerSecond: f.number(path + "quota_per_s"),
+			QuotaCores: f.numberAt("specifics.quota_cores", i, 0)})
 	}
-	return int(n)
+	return tenants
 }
--- /dev/null
+++ b/internal/benchadapter/writer.go
@@ -0,0 +1,68 @@
+package benchadapter
+
+import (
+	"bufio"
+	"encoding/base64"
+	"fmt"
+	"io"
+	"strings"
+
+	"flaxshelf.example/flaxshelf"
+)
+
+// writeBufferBytes is the size of the buffer in which a reply is collected; longer replies are written in parts.
+const writeBufferBytes = 1 << 16
+
+// Writer writes replies: the actions of all instances, then the end.
+type Writer struct{ out *bufio.Writer }
+
+// NewWriter returns a Writer to the output.
+func NewWriter(out io.Writer) *Writer { return &Writer{bufio.NewWriterSize(out, writeBufferBytes)} }
+
+// Action writes one action of an instance.
+func (w *Writer) Action(instance int, action flaxshelf.Action) {
+	switch a := action.(type) {
+	case flaxshelf.Offer:
+		w.printf("BIND who=%d tid=%s cap_ns=%d node=%s\n", instance, a.Task, a.Timeout, a.Machine)
+	case flaxshelf.Cancel:
+		w.printf("RECALL who=%d tid=%s leg=%d\n", instance, a.Task, a.Attempt)
+	case flaxshelf.Reject:
+		w.printf("REJECT who=%d tid=%s\n", instance, a.Task)
+	case flaxshelf.Fail:
+		w.printf("END_FAILED who=%d tid=%s\n", instance, a.Task)
+	case flaxshelf.Migrate:
+		w.printf("MOVE who=%d tid=%s\n", instance, a.Task)
+	case flaxshelf.HealthCheck:
+		w.printf("PING who=%d node=%s\n", instance, a.Machine)
+	case flaxshelf.SendGossip:
+		w.printf("NOTIFY who=%d addressee=all blob=%s\n", instance, encodeBlob(a.Data))
+	case flaxshelf.Subscribe:
+		w.printf("OBSERVE who=%d want=1\n", instance)
+	case flaxshelf.SetTimer:
+		w.printf("NOTIFY_ME who=%d span_ns=%d handle=w\n", instance, a.After)
+	}
+}
+
+func encodeBlob(data []byte) string {
+	if len(data) == 0 {
+		return noData
+	}
+	return base64.StdEncoding.EncodeToString(data)
+}
+
+// lineBreaks replaces what would end a line.
+var lineBreaks = strings.NewReplacer("\n", " ", "\r", " ")
+
+// Bug writes that the code of an instance has panicked.
+func (w *Writer) Bug(instance int, text string) {
+	w.printf("BUG who=%d msg=%s\n", instance, lineBreaks.Replace(text))
+}
+
+// End ends the reply to a batch and sends it. The error is the first of any write since the Writer was made.
+func (w *Writer) End(serial int64) error {
+	w.printf("READY serial=%d\n", serial)
+	return w.out.Flush()
+}
+
+// printf writes formatted text. The buffer keeps the first error and returns it to End.
+func (w *Writer) printf(format string, args ...any) { _, _ = fmt.Fprintf(w.out, format, args...) }
--- /dev/null
+++ b/internal/benchadapter/writer_test.go
@@ -0,0 +1,48 @@
+package benchadapter
+
+import (
+	"bytes"
+	"errors"
+	"testing"
+	"time"
+
+	"flaxshelf.example/flaxshelf"
+)
+
+func TestActions(t *testing.T) {
+	var out bytes.Buffer
+	w := NewWriter(&out)
+	for _, action := range []flaxshelf.Action{
+		flaxshelf.Offer{Task: "t", Machine: "m", Timeout: time.Millisecond}, flaxshelf.Cancel{Task: "t", Attempt: 2},
+		flaxshelf.Reject{Task: "t"}, flaxshelf.Fail{Task: "t"}, flaxshelf.Migrate{Task: "t"}, flaxshelf.HealthCheck{Machine: "m"},
+		flaxshelf.SendGossip{Data: []byte("hi 7")}, flaxshelf.SendGossip{}, flaxshelf.Subscribe{}, flaxshelf.SetTimer{After: 7},
+	} {
+		w.Action(3, action)
+	}
+	w.Bug(3, "a\nb")
+	if err := w.End(8); err != nil {
+		t.Fatal(err)
+	}
+	want := "BIND who=3 tid=t cap_ns=1000000 node=m\nRECALL who=3 tid=t leg=2\nREJECT who=3 tid=t\n" +
+		"END_FAILED who=3 tid=t\nMOVE who=3 tid=t\nPING who=3 node=m\nNOTIFY who=3 addressee=all blob=aGkgNw==\n" +
+		"NOTIFY who=3 addressee=all blob=-\nOBSERVE who=3 want=1\nNOTIFY_ME who=3 span_ns=7 handle=w\n" +
+		"BUG who=3 msg=a b\nREADY serial=8\n"
+	if out.String() != want {
+		t.Errorf("got\n%s", out.String())
+	}
+}
+
+var errWrite = errors.New("write failed")
+
+type failingWriter struct{}
+
+func (failingWriter) Write([]byte) (int, error) { return 0, errWrite }
+
+// The error of a write within a reply is that of its end.
+func TestWriteError(t *testing.T) {
+	w := NewWriter(failingWriter{})
+	w.Bug(1, string(make([]byte, 2*writeBufferBytes)))
+	if err := w.End(1); !errors.Is(err, errWrite) {
+		t.Error(err)
+	}
+}
