--- /dev/null
+++ b/internal/codec/httpcodec/chunks.go
@@ -0,0 +1,101 @@
+package httpcodec
+
+import (
+	"bytes"
+	"net/http"
+	"strconv"
+	"strings"
+)
+
+const (
+	// maxChunkLine bounds the line before a chunk, and a trailer field, in bytes.
+	maxChunkLine = 1024
+	// maxChunkOverhead bounds the bytes in which a body comes, as a multiple of the limit of the body: a body of one-byte
+	// chunks costs more to keep than it holds.
+	maxChunkOverhead = 8
+)
+
+// chunkDecoder decodes a body that comes in chunks (RFC 9112 section 7.1). The offsets are within the buffer that Parse is
+// given.
+type chunkDecoder struct {
+	limits     Limits
+	bodyOffset int // where the first chunk begins
+	offset     int // where the next line begins
+	inTrailer  bool
+	body       []byte
+}
+
+// decode decodes what has come and returns where the body ends, or incomplete.
+func (d *chunkDecoder) decode(in []byte) (end int, err error) {
+	for {
+		line, next, err := d.nextLine(in)
+		if err != nil || next == incomplete {
+			return incomplete, err
+		}
+		if d.inTrailer {
+			d.offset = next
+			if done, err := d.trailerField(line); err != nil || done {
+				return d.offset, err
+			}
+			continue
+		}
+		if complete, err := d.chunk(in, line, next); err != nil || !complete {
+			return incomplete, err
+		}
+	}
+}
+
+// nextLine returns the line at the offset and where the next one begins, or incomplete.
+func (d *chunkDecoder) nextLine(in []byte) (line string, next int, err error) {
+	length := bytes.Index(in[d.offset:], crlf)
+	if length >= 0 {
+		end := d.offset + length
+		return string(in[d.offset:end]), end + len(crlf), nil
+	}
+	if len(in)-d.offset > maxChunkLine {
+		return "", incomplete, reject(http.StatusBadRequest, "a chunk's line is too long")
+	}
+	return "", incomplete, nil
+}
+
+// trailerField drops a trailer field, and returns true for the empty line after the last one.
+func (d *chunkDecoder) trailerField(line string) (done bool, err error) {
+	if line == "" {
+		return true, nil
+	}
+	if _, err := parseField(line); err != nil || d.offset-d.bodyOffset > d.limits.HeadBytes+2*d.limits.BodyBytes {
+		return false, reject(http.StatusBadRequest, "not a trailer field")
+	}
+	return false, nil
+}
+
+// chunk decodes the chunk with the line, whose data begins at the given offset. It returns false when the data has not
+// come.
+func (d *chunkDecoder) chunk(in []byte, line string, begin int) (complete bool, err error) {
+	sizeText, _, _ := strings.Cut(line, ";") // chunk extensions are ignored
+	parsed, err := strconv.ParseUint(strings.TrimSpace(sizeText), 16, 31)
+	if err != nil {
+		return false, reject(http.StatusBadRequest, "not the size of a chunk")
+	}
+	size := int(parsed)
+	if len(d.body)+size > d.limits.BodyBytes {
+		return false, reject(http.StatusRequestEntityTooLarge, "a body over %d bytes", d.limits.BodyBytes)
+	}
+	if size == 0 {
+		d.offset, d.inTrailer = begin, true
+		return true, nil
+	}
+	end := begin + size
+	if len(in) < end+len(crlf) {
+		return false, nil
+	}
+	if !bytes.HasPrefix(in[end:], crlf) {
+		return false, reject(http.StatusBadRequest, "a chunk is not as long as it says")
+	}
+	d.body = append(d.body, in[begin:end]...)
+	d.offset = end + len(crlf)
+	if d.offset-d.bodyOffset > maxChunkOverhead*d.limits.BodyBytes+maxChunkLine {
+		return false, reject(http.StatusRequestEntityTooLarge, "the chunks are too small")
+	}
+	return true, nil
+}
--- /dev/null
+++ b/internal/codec/httpcodec/parser.go
@@ -0,0 +1,159 @@
+package httpcodec
+
+import (
+	"bytes"
+	"net/http"
+	"strings"
+)
+
+var (
+	crlf    = []byte("\r\n")
+	headEnd = []byte("\r\n\r\n")
+)
+
+const (
+	// maxLeadingEmptyLines bounds the empty lines before a request.
+	maxLeadingEmptyLines = 4
+	// chunkedBody is the length of a body whose length is not known from its head.
+	chunkedBody = -1
+	// incomplete stands for the end of a request that has not come.
+	incomplete = -1
+)
+
+// Parser parses requests from the front of a growing buffer. Its zero value is ready. Parse must be given the bytes that it
+// has not used again, with what has come behind them. It is not safe for concurrent use.
+type Parser struct {
+	Limits Limits
+
+	scannedBytes int // of the buffer, in which the head has no end
+	request      *Request
+	headBytes    int // with the empty lines before it
+	bodyBytes    int // chunkedBody where it comes in chunks
+	chunks       chunkDecoder
+	continueSent bool
+}
+
+// Parse parses one request and returns how many bytes it took. With req and err nil more bytes are needed. sendContinue is
+// true once, when the client waits for 100 Continue and its request can be served. The error is an Error.
+func (p *Parser) Parse(in []byte) (req *Request, used int, sendContinue bool, err error) {
+	if p.Limits == (Limits{}) {
+		p.Limits = DefaultLimits
+	}
+	if p.request == nil {
+		if complete, err := p.parseHead(in); err != nil || !complete {
+			return nil, 0, false, err
+		}
+	}
+	end, err := p.parseBody(in)
+	if err != nil {
+		return nil, 0, false, err
+	}
+	if end == incomplete {
+		if p.request.ExpectsContinue && !p.continueSent {
+			p.continueSent, sendContinue = true, true
+		}
+		return nil, 0, sendContinue, nil
+	}
+	req = p.request
+	*p = Parser{Limits: p.Limits}
+	return req, end, false, nil
+}
+
+// parseHead parses request line and header fields. It returns false when more bytes are needed.
+func (p *Parser) parseHead(in []byte) (complete bool, err error) {
+	begin, err := skipEmptyLines(in)
+	if err != nil {
+		return false, err
+	}
+	if p.headBytes = p.findHeadEnd(in, begin); p.headBytes == incomplete {
+		return false, p.checkIncompleteHead(in)
+	}
+	if p.headBytes > p.Limits.HeadBytes {
+		return false, headTooLong(p.Limits.HeadBytes)
+	}
+	lines := strings.Split(string(in[begin:p.headBytes-len(headEnd)]), "\r\n")
+	request, err := parseRequestLine(lines[0], p.Limits.RequestLineBytes)
+	if err != nil {
+		return false, err
+	}
+	if err := p.parseFields(request, lines[1:]); err != nil {
+		return false, err
+	}
+	if p.bodyBytes, err = frameBody(request); err != nil {
+		return false, err
+	}
+	if p.bodyBytes > p.Limits.BodyBytes {
+		return false, reject(http.StatusRequestEntityTooLarge, "a body of %d bytes, %d at most", p.bodyBytes, p.Limits.BodyBytes)
+	}
+	p.request = request
+	p.chunks = chunkDecoder{limits: p.Limits, bodyOffset: p.headBytes, offset: p.headBytes}
+	return true, nil
+}
+
+// skipEmptyLines returns where a request begins: empty lines before it are skipped (RFC 9112 section 2.2).
+func skipEmptyLines(in []byte) (begin int, err error) {
+	for bytes.HasPrefix(in[begin:], crlf) {
+		if begin += len(crlf); begin > maxLeadingEmptyLines*len(crlf) {
+			return 0, reject(http.StatusBadRequest, "empty lines where a request should begin")
+		}
+	}
+	return begin, nil
+}
+
+// findHeadEnd returns where the head ends, or incomplete. What earlier calls have scanned is not scanned again.
+func (p *Parser) findHeadEnd(in []byte, begin int) int {
+	from := max(p.scannedBytes-len(headEnd)+1, begin)
+	if from <= len(in) {
+		if i := bytes.Index(in[from:], headEnd); i >= 0 {
+			return from + i + len(headEnd)
+		}
+	}
+	p.scannedBytes = len(in)
+	return incomplete
+}
+
+// checkIncompleteHead rejects a head that is over the limits before its end has come.
+func (p *Parser) checkIncompleteHead(in []byte) error {
+	switch {
+	case len(in) > p.Limits.HeadBytes:
+		return headTooLong(p.Limits.HeadBytes)
+	case len(in) > p.Limits.RequestLineBytes && bytes.IndexByte(in, '\n') < 0:
+		return reject(http.StatusRequestURITooLong, "the request line is over %d bytes", p.Limits.RequestLineBytes)
+	}
+	return nil
+}
+
+func headTooLong(limit int) error {
+	return reject(http.StatusRequestHeaderFieldsTooLarge, "the head is over %d bytes", limit)
+}
+
+func (p *Parser) parseFields(request *Request, lines []string) error {
+	if len(lines) > p.Limits.HeaderFields {
+		return reject(http.StatusRequestHeaderFieldsTooLarge, "%d header fields, %d at most", len(lines), p.Limits.HeaderFields)
+	}
+	for _, line := range lines {
+		field, err := parseField(line)
+		if err != nil {
+			return err
+		}
+		request.Fields = append(request.Fields, field)
+	}
+	return nil
+}
+
+// parseBody sets the body of the request and returns where the request ends, or incomplete.
+func (p *Parser) parseBody(in []byte) (end int, err error) {
+	if p.bodyBytes == chunkedBody {
+		end, err = p.chunks.decode(in)
+		if end != incomplete && err == nil {
+			p.request.Body = p.chunks.body
+		}
+		return end, err
+	}
+	end = p.headBytes + p.bodyBytes
+	if len(in) < end {
+		return incomplete, nil
+	}
+	p.request.Body = in[p.headBytes:end]
+	return end, nil
+}
--- /dev/null
+++ b/internal/codec/httpcodec/response_writer.go
@@ -0,0 +1,52 @@
+package httpcodec
+
+import (
+	"fmt"
+	"net/http"
+	"strconv"
+)
+
+// Continue is the interim response to a request that expects it. It must not be changed.
+var Continue = []byte("HTTP/1.1 100 Continue\r\n\r\n")
+
+// StatusText returns the reason phrase of a status.
+func StatusText(status int) string { return http.StatusText(status) }
+
+// AppendResponse appends a complete response. closes says that the connection is closed after it. fields are names and
+// values of header fields in turn.
+func AppendResponse(dst []byte, status int, contentType string, body []byte, closes bool, fields ...string) []byte {
+	dst = appendHead(dst, status, contentType, fields)
+	dst = append(dst, "Content-Length: "...)
+	dst = strconv.AppendInt(dst, int64(len(body)), 10)
+	if closes {
+		dst = append(dst, "\r\nConnection: close"...)
+	}
+	dst = append(dst, "\r\n\r\n"...)
+	return append(dst, body...)
+}
+
+// AppendStreamHead appends the head of a response whose body comes in chunks. fields are names and values of header fields
+// in turn.
+func AppendStreamHead(dst []byte, status int, contentType string, fields ...string) []byte {
+	dst = appendHead(dst, status, contentType, fields)
+	return append(dst, "Transfer-Encoding: chunked\r\n\r\n"...)
+}
+
+func appendHead(dst []byte, status int, contentType string, fields []string) []byte {
+	dst = fmt.Appendf(dst, "HTTP/1.1 %d %s\r\n", status, StatusText(status))
+	if contentType != "" {
+		dst = fmt.Appendf(dst, "Content-Type: %s\r\n", contentType)
+	}
+	for i := 0; i+1 < len(fields); i += 2 {
+		dst = fmt.Appendf(dst, "%s: %s\r\n", fields[i], fields[i+1])
+	}
+	return dst
+}
+
+// AppendChunk appends one chunk of a body that comes in chunks; an empty one ends it.
+func AppendChunk(dst, data []byte) []byte {
+	dst = strconv.AppendInt(dst, int64(len(data)), 16)
+	dst = append(dst, "\r\n"...)
+	dst = append(dst, data...)
+	return append(dst, "\r\n"...)
+}
