--- a/internal/codec/nodeframe/frame.go
+++ b/internal/codec/nodeframe/frame.go
@@ -1,5 +1,5 @@
-// Package nodeframe owns the bytes between schedulers, nodes and the inventory: length-prefixed frames of
-// protobuf messages. It must not decide anything or keep a connection.
+// Package nodeframe encodes and decodes the frames between schedulers, nodes and the inventory: protobuf messages with
+// their length in front. It holds no connection and makes no decision. Its functions may be called from several goroutines.
 package nodeframe
 
 import (
@@ -12,69 +12,92 @@
 	"flaxshelf.example/flaxshelf/internal/codec/nodeframe/nodepb"
 )
 
-// Version is the one version of the wire that this build speaks.
+// Version is the one version of the protocol that this build supports.
 const Version = 1
 
-// MaxFrame is the longest payload in bytes that either side takes. A welcome that hands over more is cut into
-// several.
+// MaxFrame is the longest message in bytes that either side accepts, without the length in front.
 const MaxFrame = 1 << 20
 
-// HeldPerWelcome bounds the tasks of one Welcome frame, so that it stays within MaxFrame.
+// HeldPerWelcome bounds the tasks of one Welcome message, so that it stays within MaxFrame. A node with more tasks sends
+// several.
 const HeldPerWelcome = 1000
 
-// ErrTooLong is returned for a frame whose announced length is over MaxFrame.
-var ErrTooLong = errors.New("nodeframe: frame over the limit")
+// lengthSize is the size of the length in front of a message: four bytes, big-endian.
+const lengthSize = 4
+
+// ErrTooLong is matched by the error for a message over MaxFrame, read or written.
+var ErrTooLong = errors.New("over the limit")
+
+// ErrEmpty is matched by the error for a frame without a message that this version knows.
+var ErrEmpty = errors.New("no message")
+
+// FrameError is a frame that breaks the protocol, or can't be written. A stream can't be read on after it. It matches its
+// cause: ErrTooLong, ErrEmpty, or an error of protobuf.
+type FrameError struct {
+	Bytes int64 // of the message, as announced in front of it
+	Err   error
+}
+
+func (e *FrameError) Error() string {
+	return fmt.Sprintf("nodeframe: message of %d bytes, %d at most: %v", e.Bytes, MaxFrame, e.Err)
+}
 
-// ErrEmpty is returned for a frame without a message.
-var ErrEmpty = errors.New("nodeframe: frame without a message")
+// Unwrap returns the cause.
+func (e *FrameError) Unwrap() error { return e.Err }
 
-const prefix = 4
+// VersionError is a peer that does not support the version of this build.
+type VersionError struct{ Least, Greatest uint32 }
+
+func (e *VersionError) Error() string {
+	return fmt.Sprintf("nodeframe: the peer supports versions %d to %d, this build only %d", e.Least, e.Greatest, Version)
+}
 
-// Append encodes f behind dst: four bytes of length, most significant first, then the message.
-func Append(dst []byte, f *nodepb.Frame) ([]byte, error) {
-	at := len(dst)
-	dst = append(dst, 0, 0, 0, 0)
-	dst, err := proto.MarshalOptions{}.MarshalAppend(dst, f)
+// Append encodes a frame at the end of dst. The error is a FrameError: dst then comes back as it was.
+func Append(dst []byte, frame *nodepb.Frame) ([]byte, error) {
+	start := len(dst)
+	dst = append(dst, 0, 0, 0, 0) // the length is set when it is known
+	dst, err := proto.MarshalOptions{}.MarshalAppend(dst, frame)
 	if err != nil {
-		return dst[:at], fmt.Errorf("nodeframe: encode: %w", err)
+		return dst[:start], &FrameError{Bytes: int64(proto.Size(frame)), Err: err}
 	}
-	n := len(dst) - at - prefix
-	if n > MaxFrame {
-		return dst[:at], fmt.Errorf("%w: %d bytes", ErrTooLong, n)
+	size := len(dst) - start - lengthSize
+	if size > MaxFrame {
+		return dst[:start], &FrameError{Bytes: int64(size), Err: ErrTooLong}
 	}
-	binary.BigEndian.PutUint32(dst[at:], uint32(n))
+	binary.BigEndian.PutUint32(dst[start:], uint32(size))
 	return dst, nil
 }
 
-// Next reads one frame from the front of buf. It returns a nil frame and 0 when more bytes are needed, and
-// keeps nothing of buf. An error means that the stream can't be read on.
-func Next(buf []byte) (f *nodepb.Frame, used int, err error) {
-	if len(buf) < prefix {
+// Next decodes the first frame of buf and returns how many bytes it took. It returns nil and 0 when more bytes are needed,
+// and keeps no reference to buf. The error is a FrameError.
+func Next(buf []byte) (frame *nodepb.Frame, used int, err error) {
+	if len(buf) < lengthSize {
 		return nil, 0, nil
 	}
-	n := binary.BigEndian.Uint32(buf)
+	size := int64(binary.BigEndian.Uint32(buf))
 	switch {
-	case n > MaxFrame: // a peer that announces gigabytes must not make us wait for them
-		return nil, 0, fmt.Errorf("%w: %d bytes announced", ErrTooLong, n)
-	case n == 0:
-		return nil, 0, ErrEmpty
-	case len(buf) < prefix+int(n):
+	case size > MaxFrame: // rejected at once, so that nobody waits for gigabytes that were only announced
+		return nil, 0, &FrameError{Bytes: size, Err: ErrTooLong}
+	case size == 0:
+		return nil, 0, &FrameError{Bytes: size, Err: ErrEmpty}
+	case int64(len(buf)) < lengthSize+size:
 		return nil, 0, nil
 	}
-	f = &nodepb.Frame{}
-	if err := proto.Unmarshal(buf[prefix:prefix+int(n)], f); err != nil {
-		return nil, 0, fmt.Errorf("nodeframe: decode: %w", err)
+	end := lengthSize + int(size)
+	frame = &nodepb.Frame{}
+	if err := proto.Unmarshal(buf[lengthSize:end], frame); err != nil {
+		return nil, 0, &FrameError{Bytes: size, Err: err}
 	}
-	if f.Body == nil { // also what a message of a later version decodes to
-		return nil, 0, ErrEmpty
+	if frame.Body == nil { // also what a message of a later version decodes to
+		return nil, 0, &FrameError{Bytes: size, Err: ErrEmpty}
 	}
-	return f, prefix + int(n), nil
+	return frame, end, nil
 }
 
-// Agree picks the version to speak with a peer that knows from lo to hi.
-func Agree(lo, hi uint32) (uint32, error) {
-	if lo > Version || hi < Version {
-		return 0, fmt.Errorf("nodeframe: the peer speaks versions %d to %d, this build only %d", lo, hi, Version)
+// Agree returns the version to use with a peer that supports those from least to greatest. The error is a VersionError.
+func Agree(least, greatest uint32) (uint32, error) {
+	if least > Version || greatest < Version {
+		return 0, &VersionError{Least: least, Greatest: greatest}
 	}
 	return Version, nil
 }
--- a/internal/codec/nodeframe/frame_test.go
+++ b/internal/codec/nodeframe/frame_test.go
@@ -2,6 +2,8 @@
 
 import (
 	"errors"
+	"fmt"
+	"slices"
 	"strings"
 	"testing"
 
@@ -10,111 +12,152 @@
 	"flaxshelf.example/flaxshelf/internal/codec/nodeframe/nodepb"
 )
 
-func offer(text string) *nodepb.Frame {
+func offerFrame(taskName string) *nodepb.Frame {
 	return &nodepb.Frame{Body: &nodepb.Frame_Offer{Offer: &nodepb.Offer{Attempt: "a/1/0", ValidForNs: 5,
-		Task: &nodepb.Task{Job: "a", Cores: 0.5, Name: text}}}}
+		Task: &nodepb.Task{Job: "a", Cores: 0.5, Name: taskName}}}}
 }
 
-// Frames come out as they went in, however the bytes come.
+// decodeInPieces decodes all frames of input, of which step bytes arrive at a time.
+func decodeInPieces(t *testing.T, input []byte, step int) []*nodepb.Frame {
+	t.Helper()
+	var buf []byte
+	var frames []*nodepb.Frame
+	for i := 0; i < len(input); i += step {
+		buf = append(buf, input[i:min(i+step, len(input))]...)
+		for {
+			frame, used, err := Next(buf)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if frame == nil {
+				break
+			}
+			frames, buf = append(frames, frame), buf[used:]
+		}
+	}
+	return frames
+}
+
+// Frames are decoded as they were encoded, however their bytes arrive.
 func TestFrames(t *testing.T) {
-	var b []byte
-	var err error
-	for _, s := range []string{"one", "two", ""} {
-		if b, err = Append(b, offer(s)); err != nil {
+	names := []string{"one", "two", ""}
+	var input []byte
+	for _, name := range names {
+		var err error
+		if input, err = Append(input, offerFrame(name)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	for _, step := range []int{1, 3, len(b)} {
-		var buf []byte
-		var seen []string
-		for i := 0; i < len(b); i += step {
-			buf = append(buf, b[i:min(i+step, len(b))]...)
-			for {
-				f, n, err := Next(buf)
-				if err != nil {
-					t.Fatal(err)
-				}
-				if f == nil {
-					break
-				}
-				seen = append(seen, f.GetOffer().Task.Name)
-				buf = buf[n:]
+	for _, step := range []int{1, 3, len(input)} {
+		t.Run(fmt.Sprintf("%d bytes at a time", step), func(t *testing.T) {
+			var got []string
+			for _, frame := range decodeInPieces(t, input, step) {
+				got = append(got, frame.GetOffer().Task.Name)
 			}
-		}
-		if got := strings.Join(seen, ","); got != "one,two," {
-			t.Errorf("in pieces of %d: %q", step, got)
-		}
+			if !slices.Equal(got, names) {
+				t.Errorf("%q", got)
+			}
+		})
 	}
 }
 
-// What can't be a frame ends the stream with the reason, before anything is waited for.
-func TestBadFrames(t *testing.T) {
+// What can't be a frame is an error before what it announces has come.
+func TestNextRejectsMalformedFrames(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		in   []byte
-		want error
+		name  string
+		input []byte
+		cause error // nil: one of protobuf
+		bytes int64
 	}{
-		{"gigabytes announced", []byte{0xff, 0xff, 0xff, 0xff}, ErrTooLong},
-		{"one byte over", []byte{0, 0x10, 0, 1}, ErrTooLong},
-		{"empty", []byte{0, 0, 0, 0}, ErrEmpty},
-		{"a message of a later version", []byte{0, 0, 0, 3, 0xfa, 0x07, 0}, ErrEmpty},
+		{"gigabytes announced", []byte{0xff, 0xff, 0xff, 0xff}, ErrTooLong, 1<<32 - 1},
+		{"one byte over", []byte{0, 0x10, 0, 1}, ErrTooLong, MaxFrame + 1},
+		{"empty", []byte{0, 0, 0, 0}, ErrEmpty, 0},
+		{"a message of a later version", []byte{0, 0, 0, 3, 0xfa, 0x07, 0}, ErrEmpty, 3},
+		{"no protobuf", []byte{0, 0, 0, 2, 0xff, 0xff}, nil, 2},
 	} {
-		if _, _, err := Next(c.in); !errors.Is(err, c.want) {
-			t.Errorf("%s: %v", c.name, err)
-		}
-	}
-	if _, _, err := Next([]byte{0, 0, 0, 2, 0xff, 0xff}); err == nil {
-		t.Error("a payload that is no message was read")
+		t.Run(c.name, func(t *testing.T) {
+			_, _, err := Next(c.input)
+			var malformed *FrameError
+			if !errors.As(err, &malformed) || malformed.Bytes != c.bytes || c.cause != nil && !errors.Is(err, c.cause) {
+				t.Errorf("%v", err)
+			}
+		})
 	}
-	if f, n, err := Next([]byte{0, 0, 0, 9, 1, 2}); f != nil || n != 0 || err != nil {
-		t.Errorf("half a frame: %v, %d, %v", f, n, err)
+}
+
+func TestNextWaitsForTheRest(t *testing.T) {
+	for _, input := range [][]byte{{}, {0, 0, 0}, {0, 0, 0, 9, 1, 2}} {
+		if frame, used, err := Next(input); frame != nil || used != 0 || err != nil {
+			t.Errorf("%v: %v, %d, %v", input, frame, used, err)
+		}
 	}
-	if _, err := Append(nil, offer(strings.Repeat("x", MaxFrame))); !errors.Is(err, ErrTooLong) {
-		t.Errorf("a frame over the limit was written: %v", err)
+}
+
+// A frame that can't be written leaves the buffer as it was.
+func TestAppendRejects(t *testing.T) {
+	for name, c := range map[string]struct {
+		text    string
+		tooLong bool
+	}{
+		"over the limit": {strings.Repeat("x", MaxFrame), true},
+		"not UTF-8":      {"\xff", false},
+	} {
+		buf, err := Append([]byte("kept"), offerFrame(c.text))
+		if err == nil || errors.Is(err, ErrTooLong) != c.tooLong || string(buf) != "kept" {
+			t.Errorf("%s: %d bytes, %v", name, len(buf), err)
+		}
 	}
 }
 
 func TestAgree(t *testing.T) {
 	for _, c := range []struct {
-		lo, hi uint32
-		ok     bool
+		least, greatest uint32
+		ok              bool
 	}{{1, 1, true}, {1, 9, true}, {0, 1, true}, {2, 3, false}, {0, 0, false}} {
-		if _, err := Agree(c.lo, c.hi); (err == nil) != c.ok {
-			t.Errorf("%d to %d: %v", c.lo, c.hi, err)
+		version, err := Agree(c.least, c.greatest)
+		var unsupported *VersionError
+		if c.ok && (err != nil || version != Version) || !c.ok && !errors.As(err, &unsupported) {
+			t.Errorf("%d to %d: %d, %v", c.least, c.greatest, version, err)
 		}
 	}
 }
 
-// Whatever comes, Next neither panics nor takes more than there is, and what it reads can be written again.
+// Whatever comes, Next neither panics nor takes more than there is, and what it decodes can be encoded again.
 func FuzzNext(f *testing.F) {
-	b, _ := Append(nil, offer("x"))
-	f.Add(b)
+	seed, err := Append(nil, offerFrame("x"))
+	if err != nil {
+		f.Fatal(err)
+	}
+	f.Add(seed)
 	f.Add([]byte{0, 0, 0, 1, 0})
-	f.Fuzz(func(t *testing.T, in []byte) {
-		fr, n, err := Next(in)
-		if n > len(in) || err != nil && fr != nil {
-			t.Fatalf("used %d of %d, %v", n, len(in), err)
+	f.Fuzz(func(t *testing.T, input []byte) {
+		frame, used, err := Next(input)
+		if used > len(input) || err != nil && frame != nil {
+			t.Fatalf("used %d of %d, %v", used, len(input), err)
 		}
-		if fr == nil {
+		if frame == nil {
 			return
 		}
-		out, err := Append(nil, fr)
+		encoded, err := Append(nil, frame)
 		if err != nil {
-			return // its text grows when it is written in our way
+			return // encoded again it may be longer than the limit
 		}
-		again, _, err := Next(out)
-		if err != nil || !proto.Equal(fr, again) {
-			t.Errorf("written again it differs: %v", err)
+		again, _, err := Next(encoded)
+		if err != nil || !proto.Equal(frame, again) {
+			t.Errorf("encoded again it differs: %v", err)
 		}
 	})
 }
 
 func BenchmarkOffer(b *testing.B) {
-	f := offer("name")
+	frame := offerFrame("name")
 	var buf []byte
 	b.ReportAllocs()
 	for b.Loop() {
-		buf, _ = Append(buf[:0], f)
+		var err error
+		if buf, err = Append(buf[:0], frame); err != nil {
+			b.Fatal(err)
+		}
 		if _, _, err := Next(buf); err != nil {
 			b.Fatal(err)
 		}
