--- a/internal/timerqueue/heap.go
+++ b/internal/timerqueue/heap.go
@@ -1,63 +1,62 @@
-// Package timerqueue owns heaps of things that fall due, from which a thing can be taken before its time. It must not
-// read a clock or decide what follows.
+// Package timerqueue has heaps of items that are ordered by time, and of which any can be removed before its time, and
+// timers on such a heap. It reads no clock: its callers say what time it is.
 package timerqueue
 
 import "time"
 
-// Item is an entry of a Heap. Its zero value is in none. It must not be copied while it is in a heap.
+// Item is an entry of a Heap. Its zero value is in none. It must not be copied while it is in a heap, and must not be in two.
 type Item[T any] struct {
-	Value  T
-	at     time.Duration
-	serial uint64
-	pos    int // in the heap, counted from 1; 0: not in it
+	Value    T
+	at       time.Duration
+	sequence uint64 // of the Set that gave it its time; orders items of the same time
+	position int    // in the heap, counted from 1; 0: not in it
 }
 
-// Queued tells whether the item is in its heap.
-func (i *Item[T]) Queued() bool { return i.pos > 0 }
+// Queued reports whether the item is in its heap.
+func (i *Item[T]) Queued() bool { return i.position > 0 }
 
-// At is when the item falls due, as it was last set.
+// At returns when the item falls due, as it was last set, also after it has left its heap.
 func (i *Item[T]) At() time.Duration { return i.at }
 
-// Heap orders items by their times, and those of one time by the order in which they were set. Its zero value is
-// empty. It is not safe for concurrent use. Setting and removing cost O(log n) without allocating.
+// Heap orders items by their times, and items of the same time by the order in which they were set. Its zero value is
+// empty. It is not safe for concurrent use. Set, Remove and PopDue cost O(log n) and allocate only for the growth of the
+// heap.
 type Heap[T any] struct {
-	items  []*Item[T]
-	serial uint64
+	items    []*Item[T] // a binary heap: the children of position p are at 2p and 2p+1, positions counted from 1
+	sequence uint64     // of the last Set
 }
 
-// Len is how many items are in it.
+// Len returns the number of items in the heap.
 func (h *Heap[T]) Len() int { return len(h.items) }
 
-// Set puts an item in, or moves it where it is in already.
-func (h *Heap[T]) Set(i *Item[T], at time.Duration) {
-	h.serial++
-	i.at, i.serial = at, h.serial
-	if i.pos == 0 {
-		h.items = append(h.items, i)
-		i.pos = len(h.items)
-	}
-	if !h.up(i.pos) {
-		h.down(i.pos)
+// Set puts an item into the heap to fall due at the given time, or moves it to that time where it is in the heap already.
+func (h *Heap[T]) Set(item *Item[T], at time.Duration) {
+	h.sequence++
+	item.at, item.sequence = at, h.sequence
+	if !item.Queued() {
+		h.items = append(h.items, item)
+		item.position = len(h.items)
 	}
+	h.fix(item.position)
 }
 
-// Remove takes an item out; nothing where it is not in.
-func (h *Heap[T]) Remove(i *Item[T]) {
-	pos := i.pos
-	if pos == 0 {
+// Remove takes an item out of the heap. It does nothing for an item that is not in one.
+func (h *Heap[T]) Remove(item *Item[T]) {
+	position := item.position
+	if position == 0 {
 		return
 	}
 	last := len(h.items)
-	h.swap(pos, last)
+	h.swap(position, last)
 	h.items[last-1] = nil
 	h.items = h.items[:last-1]
-	i.pos = 0
-	if pos < last && !h.up(pos) {
-		h.down(pos)
+	item.position = 0
+	if position < last {
+		h.fix(position)
 	}
 }
 
-// Next is the time of the first item; ok is false where there is none.
+// Next returns when the first item falls due; ok is false for an empty heap.
 func (h *Heap[T]) Next() (at time.Duration, ok bool) {
 	if len(h.items) == 0 {
 		return 0, false
@@ -65,49 +64,58 @@
 	return h.items[0].at, true
 }
 
-// PopDue takes out the first item that is due at now; nil where none is.
+// PopDue removes and returns the first item that is due at now; nil where none is.
 func (h *Heap[T]) PopDue(now time.Duration) *Item[T] {
 	if len(h.items) == 0 || h.items[0].at > now {
 		return nil
 	}
-	i := h.items[0]
-	h.Remove(i)
-	return i
+	first := h.items[0]
+	h.Remove(first)
+	return first
 }
 
 func (h *Heap[T]) less(a, b int) bool {
 	x, y := h.items[a-1], h.items[b-1]
-	return x.at < y.at || x.at == y.at && x.serial < y.serial
+	return x.at < y.at || x.at == y.at && x.sequence < y.sequence
 }
 
 func (h *Heap[T]) swap(a, b int) {
-	s := h.items
-	s[a-1], s[b-1] = s[b-1], s[a-1]
-	s[a-1].pos, s[b-1].pos = a, b
+	items := h.items
+	items[a-1], items[b-1] = items[b-1], items[a-1]
+	items[a-1].position, items[b-1].position = a, b
+}
+
+// fix moves the item at the position to where its time belongs.
+func (h *Heap[T]) fix(position int) {
+	if !h.up(position) {
+		h.down(position)
+	}
 }
 
-func (h *Heap[T]) up(pos int) bool {
-	from := pos
-	for pos > 1 && h.less(pos, pos/2) {
-		h.swap(pos, pos/2)
-		pos /= 2
+// up moves the item at the position towards the front. It returns whether the item has moved.
+func (h *Heap[T]) up(position int) bool {
+	from := position
+	for position > 1 && h.less(position, position/2) {
+		h.swap(position, position/2)
+		position /= 2
 	}
-	return pos != from
+	return position != from
 }
 
-func (h *Heap[T]) down(pos int) {
+// down moves the item at the position towards the end.
+func (h *Heap[T]) down(position int) {
 	for {
-		least := 2 * pos
-		if least > len(h.items) {
+		child := 2 * position
+		if child > len(h.items) {
 			return
 		}
-		if least < len(h.items) && h.less(least+1, least) {
-			least++
+		if child < len(h.items) && h.less(child+1, child) {
+			child++
 		}
-		if !h.less(least, pos) {
+		if !h.less(child, position) {
 			return
 		}
-		h.swap(least, pos)
-		pos = least
+		h.swap(child, position)
+		position = child
 	}
 }
--- a/internal/timerqueue/heap_test.go
+++ b/internal/timerqueue/heap_test.go
@@ -1,6 +1,7 @@
 package timerqueue
 
 import (
+	"cmp"
 	"slices"
 	"testing"
 	"time"
@@ -8,59 +9,124 @@
 	"pgregory.net/rapid"
 )
 
+const (
+	modelItems = 8
+	modelTimes = 10
+)
+
+// model is a heap with the sorted list that it should match.
+type model struct {
+	heap   Heap[int]
+	items  []Item[int]
+	sorted []modelEntry
+}
+
+type modelEntry struct {
+	at    int
+	order int // of the call that set it
+	item  *Item[int]
+}
+
+func newModel() *model {
+	m := &model{items: make([]Item[int], modelItems)}
+	for i := range m.items {
+		m.items[i].Value = i
+	}
+	return m
+}
+
+func (m *model) set(item *Item[int], at, order int) {
+	m.heap.Set(item, time.Duration(at))
+	m.drop(item)
+	m.sorted = append(m.sorted, modelEntry{at, order, item})
+	slices.SortFunc(m.sorted, func(a, b modelEntry) int { return cmp.Or(a.at-b.at, a.order-b.order) })
+}
+
+func (m *model) remove(item *Item[int]) {
+	m.heap.Remove(item)
+	m.drop(item)
+}
+
+func (m *model) drop(item *Item[int]) {
+	m.sorted = slices.DeleteFunc(m.sorted, func(e modelEntry) bool { return e.item == item })
+}
+
+func (m *model) popDue(t *rapid.T, now int) {
+	got := m.heap.PopDue(time.Duration(now))
+	var want *Item[int]
+	if len(m.sorted) > 0 && m.sorted[0].at <= now {
+		want = m.sorted[0].item
+		m.sorted = m.sorted[1:]
+	}
+	if got != want {
+		t.Fatalf("popped %+v, want %+v", got, want)
+	}
+}
+
+// check compares all that the heap says of itself with the list.
+func (m *model) check(t *rapid.T) {
+	for i := range m.items {
+		queued := slices.ContainsFunc(m.sorted, func(e modelEntry) bool { return e.item == &m.items[i] })
+		if m.items[i].Queued() != queued {
+			t.Fatalf("item %d queued: %v, want %v", i, m.items[i].Queued(), queued)
+		}
+	}
+	if m.heap.Len() != len(m.sorted) {
+		t.Fatalf("%d items, want %d", m.heap.Len(), len(m.sorted))
+	}
+	next, ok := m.heap.Next()
+	if ok != (len(m.sorted) > 0) || ok && next != time.Duration(m.sorted[0].at) {
+		t.Fatalf("next at %v, %v, want that of %+v", next, ok, m.sorted)
+	}
+}
+
 // Any sequence of calls leaves what a sorted list would hold.
-func TestLikeASortedList(t *testing.T) {
+func TestHeapMatchesSortedList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		type entry struct {
-			at, n int
-			item  *Item[int]
-		}
-		var h Heap[int]
-		var list []entry
-		items := make([]Item[int], 8)
-		for i := range items {
-			items[i].Value = i
-		}
-		drop := func(i *Item[int]) {
-			list = slices.DeleteFunc(list, func(e entry) bool { return e.item == i })
-		}
-		for n := range rapid.IntRange(1, 200).Draw(t, "steps") {
-			i := &items[rapid.IntRange(0, 7).Draw(t, "item")]
-			at := rapid.IntRange(0, 9).Draw(t, "at")
+		m := newModel()
+		for order := range rapid.IntRange(1, 200).Draw(t, "steps") {
+			item := &m.items[rapid.IntRange(0, modelItems-1).Draw(t, "item")]
+			at := rapid.IntRange(0, modelTimes-1).Draw(t, "at")
 			switch rapid.IntRange(0, 3).Draw(t, "do") {
 			case 0, 1:
-				h.Set(i, time.Duration(at))
-				drop(i)
-				list = append(list, entry{at, n, i})
+				m.set(item, at, order)
 			case 2:
-				h.Remove(i)
-				drop(i)
+				m.remove(item)
 			case 3:
-				slices.SortFunc(list, func(a, b entry) int {
-					if a.at != b.at {
-						return a.at - b.at
-					}
-					return a.n - b.n
-				})
-				got := h.PopDue(time.Duration(at))
-				if len(list) > 0 && list[0].at <= at {
-					if got != list[0].item {
-						t.Fatalf("took %v, want item %d", got, list[0].item.Value)
-					}
-					list = list[1:]
-				} else if got != nil {
-					t.Fatalf("took item %d, want none", got.Value)
-				}
-			}
-			for j := range items {
-				in := slices.ContainsFunc(list, func(e entry) bool { return e.item == &items[j] })
-				if items[j].Queued() != in {
-					t.Fatalf("item %d queued: %v, want %v", j, items[j].Queued(), in)
-				}
-			}
-			if h.Len() != len(list) {
-				t.Fatalf("%d items, want %d", h.Len(), len(list))
+				m.popDue(t, at)
 			}
+			m.check(t)
 		}
 	})
 }
+
+// Setting and popping an item again and again allocates nothing.
+func TestHeapDoesNotAllocate(t *testing.T) {
+	var h Heap[int]
+	items := make([]Item[int], 64)
+	cycle := func() {
+		for i := range items {
+			h.Set(&items[i], time.Duration(i*37%64))
+		}
+		for range items {
+			h.PopDue(64)
+		}
+	}
+	cycle()
+	if got := testing.AllocsPerRun(10, cycle); got != 0 {
+		t.Errorf("%v allocations", got)
+	}
+}
+
+func BenchmarkSetAndPop(b *testing.B) {
+	var h Heap[int]
+	items := make([]Item[int], 1024)
+	for i := range items {
+		h.Set(&items[i], time.Duration(i*37%1024))
+	}
+	b.ReportAllocs()
+	for b.Loop() {
+		first := h.PopDue(1 << 60)
+		h.Set(first, first.At()+1024)
+	}
+}
--- a/internal/timerqueue/timers.go
+++ b/internal/timerqueue/timers.go
@@ -2,36 +2,37 @@
 
 import "time"
 
-// Timer is a thing to do when its time comes.
+// Timer is a function that is to be called at a time. Its owner is the Timers that scheduled it.
 type Timer = Item[func()]
 
-// Timers are things to do, each when its time comes. What no longer matters is cancelled at once, so that neither the
-// heap nor the wake-ups grow with what has long ended. Its zero value is empty. It is not safe for concurrent use.
+// Timers calls functions, each at its time. A timer that is no longer needed is removed as soon as it is cancelled, so that
+// neither the memory nor the wake-ups grow with timers of what has long ended. Its zero value is empty. It is not safe for
+// concurrent use.
 type Timers struct{ heap Heap[func()] }
 
-// Schedule has do called by the first Fire at or after the given time.
-func (t *Timers) Schedule(at time.Duration, do func()) *Timer {
-	i := &Timer{Value: do}
-	t.heap.Set(i, at)
-	return i
+// Schedule has callback called by the first RunDue at or after the given time.
+func (t *Timers) Schedule(at time.Duration, callback func()) *Timer {
+	timer := &Timer{Value: callback}
+	t.heap.Set(timer, at)
+	return timer
 }
 
-// Cancel takes a timer out; nil is none.
-func (t *Timers) Cancel(i *Timer) {
-	if i != nil {
-		t.heap.Remove(i)
+// Cancel removes a timer. It does nothing for nil and for a timer that has run or was cancelled.
+func (t *Timers) Cancel(timer *Timer) {
+	if timer != nil {
+		t.heap.Remove(timer)
 	}
 }
 
-// RunDue does what is due, also what that makes due.
+// RunDue calls what is due at now, in the order of the times, and what these calls schedule for no later than now.
 func (t *Timers) RunDue(now time.Duration) {
-	for i := t.heap.PopDue(now); i != nil; i = t.heap.PopDue(now) {
-		i.Value()
+	for timer := t.heap.PopDue(now); timer != nil; timer = t.heap.PopDue(now) {
+		timer.Value()
 	}
 }
 
-// Next is the time of the first timer; ok is false where there is none.
+// Next returns when the first timer is due; ok is false where there is none.
 func (t *Timers) Next() (at time.Duration, ok bool) { return t.heap.Next() }
 
-// Len is how many timers wait.
+// Len returns the number of timers that wait.
 func (t *Timers) Len() int { return t.heap.Len() }
