--- a/internal/benchadapter/fields.go
+++ b/internal/benchadapter/fields.go
@@ -19,7 +19,7 @@
 )
 
 // fields are the name=value pairs of a line. Its methods return the zero value for a field that is absent or malformed; the
-// first fault is kept in err, so that a line is read as a whole before its error is looked at.
+// first fault is kept in err, so that all fields of a line are read before its error is checked.
 type fields struct {
 	serial int64
 	pairs  []string
--- a/internal/benchadapter/machines.go
+++ b/internal/benchadapter/machines.go
@@ -17,7 +17,8 @@
 	"IN": flaxshelf.Active, "LAME": flaxshelf.Draining, "OUT": flaxshelf.Removed,
 }
 
-// register reads the list of machines that a REGISTER line announces. It replaces an older one of the same number.
+// register reads the list of machines that a REGISTER line announces. It replaces an older one of the same number. The error
+// is io.EOF, not io.ErrUnexpectedEOF, where the input ends between two entries.
 func (r *Reader) register(f *fields) error {
 	page, count := int(f.integer("page", required)), f.integer("records", optional)
 	var list []listedMachine
--- a/internal/benchadapter/reader.go
+++ b/internal/benchadapter/reader.go
@@ -61,7 +61,7 @@
 }
 
 // Next reads one batch. The error is io.EOF when the input ends between batches, io.ErrUnexpectedEOF when it breaks off
-// within one, and else a ProtocolError or that of the input.
+// within one (but see register), and else a ProtocolError or that of the input.
 func (r *Reader) Next() (*Batch, error) {
 	batch, err := r.begin()
 	if err != nil {
--- a/internal/codec/nodeparam/decode.go
+++ b/internal/codec/nodeparam/decode.go
@@ -32,23 +32,21 @@
 	return m, size, nil
 }
 
-// decodeParameters sets m to the parameters of a whole message.
+// decodeParameters sets m to the parameters of a complete message.
 func (m *Message) decodeParameters(message []byte) error {
 	for offset := headerSize; offset < len(message); {
 		rest := message[offset:]
 		if len(rest) < parameterHeaderSize {
-			return &ProtocolError{Type: m.Type, Offset: offset, Field: "parameter", Value: fmt.Sprintf("%d bytes", len(rest)),
-				Reason: fmt.Sprintf("must have a code and a length of %d bytes", parameterHeaderSize)}
+			return m.invalidParameter(offset, "parameter", len(rest),
+				fmt.Sprintf("must have a code and a length of %d bytes", parameterHeaderSize))
 		}
 		code, size := rest[0], int(binary.BigEndian.Uint16(rest[1:]))
 		value := rest[parameterHeaderSize:]
 		if size > len(value) {
-			return &ProtocolError{Type: m.Type, Offset: offset, Field: parameterName(code), Value: fmt.Sprintf("%d bytes", size),
-				Reason: fmt.Sprintf("the message has only %d more", len(value))}
+			return m.invalidParameter(offset, parameterName(code), size, fmt.Sprintf("the message has only %d more", len(value)))
 		}
 		if code == codeCause && size != 1 {
-			return &ProtocolError{Type: m.Type, Offset: offset, Field: parameterName(code), Value: fmt.Sprintf("%d bytes", size),
-				Reason: "a cause must have 1"}
+			return m.invalidParameter(offset, parameterName(code), size, "a cause must have 1")
 		}
 		m.set(code, value[:size])
 		offset += parameterHeaderSize + size
@@ -56,7 +54,12 @@
 	return nil
 }
 
-// set sets the parameter with the code. Codes of later versions are skipped.
+// invalidParameter is the error for a parameter of the given size that begins at the offset.
+func (m *Message) invalidParameter(offset int, name string, size int, reason string) error {
+	return &ProtocolError{Type: m.Type, Offset: offset, Field: name, Value: fmt.Sprintf("%d bytes", size), Reason: reason}
+}
+
+// set stores the value of the parameter with the code. Codes of later versions are skipped.
 func (m *Message) set(code byte, value []byte) {
 	switch code {
 	case codeClass:
--- a/internal/front/platformfront/errors.go
+++ b/internal/front/platformfront/errors.go
@@ -15,7 +15,7 @@
 type ConfigError struct {
 	Path   string // of the file; empty where the configuration came from no file
 	Field  string // by its path within the file, for instance limits.cores; empty where the whole file is at fault
-	Value  string // of the field, as the file has it; empty where Err tells it
+	Value  string // of the field, as the file has it; empty where Err has it
 	Reason string // what is expected
 	Err    error  // the cause, or nil
 }
