--- /dev/null
+++ b/internal/platform/helpers_test.go
@@ -0,0 +1,324 @@
+package platform
+
+import (
+	"bufio"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+	"go.uber.org/goleak"
+
+	"flaxshelf.example/flaxshelf/internal/codec/nodeparam"
+	"flaxshelf.example/flaxshelf/internal/lab/standin/scripted"
+	"flaxshelf.example/flaxshelf/internal/replay"
+)
+
+func TestMain(m *testing.M) {
+	goleak.VerifyTestMain(m, goleak.IgnoreTopFunction("github.com/panjf2000/ants/v2.(*poolCommon).purgeStaleWorkers"),
+		goleak.IgnoreTopFunction("github.com/panjf2000/ants/v2.(*poolCommon).ticktock"),
+		goleak.IgnoreTopFunction("github.com/panjf2000/gnet/v2/pkg/logging.init.0.func1"))
+}
+
+const testSettings = `{"index":0,"balancers":1,"zone":"east","kinds":["std"],"discovery":"pushed","round_ns":2000000,
+"caps":{"cancel":true,"most_tries":3,"connect_timeout_ns":250000000},"obligations":{"stop_sending_within_ns":2000000000},
+"categories":[{"name":"batch","effect":"read_like","objective_ns":600000000,"worth":3.0}],
+"specifics":{"kind_cores":[32],"mem_of_kind":[64],"admit_cores":1.5,"memory_multiple":1.5}}`
+
+// linkClosedMessage is the log message of a link to a node that closed.
+const linkClosedMessage = "link to the node closed"
+
+// testScheduler is a running scheduler with a scripted control feed, on loopback.
+type testScheduler struct {
+	t             *testing.T
+	feed          *scripted.Feed
+	configPath    string
+	recordingPath string
+	addr          string
+	stop, reload  chan struct{}
+	runResult     chan error
+	closedLinks   linkLog
+	logHook       func(line string) // called with each line of the log by the goroutine that logs it, also the event loop
+}
+
+// Write takes one line of the log.
+func (s *testScheduler) Write(line []byte) (int, error) {
+	if s.logHook != nil {
+		s.logHook(string(line))
+	}
+	return s.closedLinks.Write(line)
+}
+
+// linkLog receives the log lines on links that closed; lines beyond its capacity are dropped.
+type linkLog chan string
+
+// Write takes one line of the log.
+func (l linkLog) Write(line []byte) (int, error) {
+	if strings.Contains(string(line), linkClosedMessage) {
+		select {
+		case l <- string(line):
+		default:
+		}
+	}
+	return len(line), nil
+}
+
+func newNode(t *testing.T, script scripted.Script) *scripted.Node {
+	t.Helper()
+	n, err := scripted.NewNode(script)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(n.Die)
+	return n
+}
+
+func newControlFeed(t *testing.T) *scripted.Feed {
+	t.Helper()
+	f, err := scripted.NewFeed()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(f.Close)
+	return f
+}
+
+// startScheduler starts a scheduler whose configuration lists nodes, and waits until it has connected to its control feed.
+func startScheduler(t *testing.T, nodes ...string) *testScheduler {
+	t.Helper()
+	return startSchedulerWithSettings(t, testSettings, nodes...)
+}
+
+// startSchedulerWithSettings is startScheduler with other settings.
+func startSchedulerWithSettings(t *testing.T, settings string, nodes ...string) *testScheduler {
+	t.Helper()
+	return startSchedulerWithLogHook(t, nil, settings, nodes...)
+}
+
+// startSchedulerWithLogHook is startSchedulerWithSettings with a hook that gets each line of the log, at trace level. A test
+// blocks the event loop or the run loop where it logs a line, and so decides the order of concurrent events.
+func startSchedulerWithLogHook(t *testing.T, logHook func(line string), settings string, nodes ...string) *testScheduler {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	dir := t.TempDir()
+	s := &testScheduler{
+		t:             t,
+		feed:          newControlFeed(t),
+		configPath:    filepath.Join(dir, "config.json"),
+		recordingPath: filepath.Join(dir, "recording"),
+		addr:          listener.Addr().String(),
+		stop:          make(chan struct{}),
+		reload:        make(chan struct{}),
+		runResult:     make(chan error, 1),
+		closedLinks:   make(linkLog, 100),
+		logHook:       logHook,
+	}
+	_ = listener.Close()
+	s.writeConfig(s.feed, settings, nodes...)
+	go func() {
+		s.runResult <- Run(Options{Config: s.configPath, Tap: s.recordingPath, Log: zerolog.New(s)}, s.stop, s.reload)
+	}()
+	t.Cleanup(s.shutDown)
+	<-s.feed.Calls
+	return s
+}
+
+// startSchedulerWithTask starts a scheduler with one node that accepts everything, and an owner whose task 2 runs there.
+func startSchedulerWithTask(t *testing.T) (*testScheduler, *scripted.Node, *client) {
+	t.Helper()
+	n := newNode(t, scripted.Answers)
+	s := startScheduler(t, scripted.Entry("s-1", n.Addr(), "active"))
+	c := s.connect()
+	c.placeTask(2)
+	awaitMessage(t, n, nodeparam.SetUp)
+	return s, n, c
+}
+
+// writeConfig writes the configuration file.
+func (s *testScheduler) writeConfig(feed *scripted.Feed, settings string, nodes ...string) {
+	s.t.Helper()
+	s.writeConfigWithFeed(feed.Addr(), settings, nodes...)
+}
+
+// writeConfigWithFeed is writeConfig with the address of a control feed.
+func (s *testScheduler) writeConfigWithFeed(feed, settings string, nodes ...string) {
+	s.t.Helper()
+	text := fmt.Sprintf(`{"name":"n0","listen":%q,"seed":"1f","feed":%q,"limits":{"cores":0.5,"memory_mb":64,"sockets":128},
+"known":{"n":1,"events":[%s]},"settings":%s}`, s.addr, feed, scripted.Event(1, true, nodes...), settings)
+	if err := os.WriteFile(s.configPath, []byte(text), 0o600); err != nil {
+		s.t.Fatal(err)
+	}
+}
+
+// shutDown stops the scheduler, unless the test has done so, and checks that the recorded steps replay to the same actions.
+func (s *testScheduler) shutDown() {
+	s.t.Helper()
+	select {
+	case <-s.stop:
+		return
+	default:
+		close(s.stop)
+	}
+	select {
+	case err := <-s.runResult:
+		if err != nil {
+			s.t.Error(err)
+		}
+	case <-time.After(10 * time.Second):
+		s.t.Fatal("the scheduler did not exit")
+	}
+	f := openFile(s.t, s.recordingPath)
+	if res, err := replay.Check(f); err != nil || res.Steps == 0 {
+		s.t.Errorf("replay of the recorded steps: %+v, %v", res, err)
+	}
+}
+
+// openFile opens a file for reading until the end of the test.
+func openFile(t *testing.T, path string) *os.File {
+	t.Helper()
+	f, err := os.Open(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = f.Close() }) // it was only read
+	return f
+}
+
+// awaitMessage waits for the node's next message of a type.
+func awaitMessage(t *testing.T, n *scripted.Node, want nodeparam.Type) nodeparam.Message {
+	t.Helper()
+	timeout := time.After(10 * time.Second)
+	for {
+		select {
+		case m := <-n.Heard:
+			if m.Type == want {
+				return m
+			}
+		case <-timeout:
+			t.Fatalf("the node received no message of type %d", want)
+		}
+	}
+}
+
+// expectNoMessage fails if the node has received a message of a type.
+func expectNoMessage(t *testing.T, n *scripted.Node, unwanted nodeparam.Type) {
+	t.Helper()
+	for len(n.Heard) > 0 {
+		if m := <-n.Heard; m.Type == unwanted {
+			t.Errorf("the node received %+v", m)
+		}
+	}
+}
+
+// client is an owner's connection.
+type client struct {
+	t      *testing.T
+	conn   net.Conn
+	reader *bufio.Reader
+}
+
+// connect connects an owner, and waits until the scheduler listens.
+func (s *testScheduler) connect() *client {
+	s.t.Helper()
+	var conn net.Conn
+	var err error
+	for range 500 {
+		if conn, err = net.Dial("tcp", s.addr); err == nil {
+			break
+		}
+		time.Sleep(2 * time.Millisecond) // until it listens
+	}
+	if err != nil {
+		s.t.Fatal(err)
+	}
+	s.t.Cleanup(func() { _ = conn.Close() })
+	_ = conn.SetDeadline(time.Now().Add(20 * time.Second))
+	return &client{s.t, conn, bufio.NewReader(conn)}
+}
+
+// send writes one line.
+func (c *client) send(format string, args ...any) {
+	c.t.Helper()
+	if _, err := fmt.Fprintf(c.conn, format+"\n", args...); err != nil {
+		c.t.Fatal(err)
+	}
+}
+
+// submit requests the placement of a task, each with a service of its own; moreExtras are added to the extras.
+func (c *client) submit(task int, moreExtras ...string) {
+	c.t.Helper()
+	extras := fmt.Sprintf("cores:1;memory:1;service:s%d", task)
+	for _, extra := range moreExtras {
+		extras += ";" + extra
+	}
+	c.send(`{"type":"setup","id":"%016x","fields":{"class":"batch","left":"3000","key":"k%d","extras":%q},"sdp":"owner's"}`,
+		task, task, extras)
+}
+
+// placeTask submits a task and expects that it is placed.
+func (c *client) placeTask(task int) {
+	c.t.Helper()
+	c.submit(task)
+	if r := c.expect("answer", task, 0); r.SDP != scripted.Description {
+		c.t.Errorf("%+v: not the node's description", r)
+	}
+}
+
+// reply is a message of the scheduler.
+type reply struct {
+	Type, ID, SDP string
+	Cause         int
+}
+
+// read reads the next message.
+func (c *client) read() (r reply) {
+	c.t.Helper()
+	line, err := c.reader.ReadBytes('\n')
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	if err := json.Unmarshal(line, &r); err != nil {
+		c.t.Fatalf("%s: %v", line, err)
+	}
+	return r
+}
+
+// expect reads the next message and checks its type, task and cause.
+func (c *client) expect(kind string, task, cause int) reply {
+	c.t.Helper()
+	r := c.read()
+	if r.Type != kind || r.ID != fmt.Sprintf("%016x", task) || r.Cause != cause {
+		c.t.Fatalf("%+v, want %s of %d with cause %d", r, kind, task, cause)
+	}
+	return r
+}
+
+// ping sends a readiness test and returns whether it passed.
+func (c *client) ping() bool {
+	c.t.Helper()
+	c.send(`{"type":"ping","id":"%016x","fields":{},"cause":0}`, 1)
+	return c.read().Cause == 1
+}
+
+// awaitClosed waits until the scheduler has closed the connection.
+func (c *client) awaitClosed() {
+	c.t.Helper()
+	for {
+		if _, err := c.reader.ReadByte(); err != nil {
+			var netError net.Error
+			if errors.As(err, &netError) && netError.Timeout() {
+				c.t.Fatal("the connection is still open")
+			}
+			return
+		}
+	}
+}
--- a/internal/platform/leak_test.go
+++ b/internal/platform/leak_test.go
@@ -9,28 +9,39 @@
 	"time"
 
 	"flaxshelf.example/flaxshelf/internal/codec/nodeparam"
+	"flaxshelf.example/flaxshelf/internal/lab/standin/scripted"
 )
 
-// held is what a process has.
-type held struct{ goroutines, descriptors, heap int }
+// usage is what the process uses.
+type usage struct{ goroutines, descriptors, heapBytes int }
 
-func holds(t *testing.T) held {
+func measureUsage(t *testing.T) usage {
 	t.Helper()
 	runtime.GC()
 	runtime.GC()
-	var m runtime.MemStats
-	runtime.ReadMemStats(&m)
+	var memory runtime.MemStats
+	runtime.ReadMemStats(&memory)
 	files, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
 		t.Fatal(err)
 	}
-	return held{runtime.NumGoroutine(), len(files), int(m.HeapAlloc)}
+	return usage{runtime.NumGoroutine(), len(files), int(memory.HeapAlloc)}
 }
 
-// Thousands of owners that come and go, a thousand links that break, calls of the feed that end and files that are read again: goroutines,
-// descriptors and heap are what they were.
-func TestNothingLeaks(t *testing.T) {
-	s, n, _ := placed(t)
+// discardReports drops what a node has reported to its test, whose channels would fill else.
+func discardReports(n *scripted.Node) {
+	for len(n.Heard) > 0 {
+		<-n.Heard
+	}
+	for len(n.Conns) > 0 {
+		<-n.Conns
+	}
+}
+
+// Thousands of owners connect and disconnect, a thousand links break, streams of the control feed end and the configuration
+// is reloaded: goroutines, descriptors and heap stay what they were.
+func TestNoLeaks(t *testing.T) {
+	s, n, _ := startSchedulerWithTask(t)
 	task := 10
 	rounds := func(count int) {
 		for i := range count {
@@ -38,11 +49,11 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			c := &client{t, conn, bufio.NewReader(conn)} // without a cleanup each, which the test would hold
-			c.place(task)
+			c := &client{t, conn, bufio.NewReader(conn)} // without a cleanup, which the test would keep
+			c.placeTask(task)
 			n.Say(nodeparam.Message{Type: nodeparam.Release, Task: uint64(task), Cause: 16})
-			c.want("release", task, 16)
-			_ = c.c.Close()
+			c.expect("release", task, 16)
+			_ = c.conn.Close()
 			task++
 			switch {
 			case i%2 == 0:
@@ -54,40 +65,39 @@
 				s.reload <- struct{}{}
 				<-s.feed.Calls
 			}
-			for len(n.Heard) > 0 {
-				<-n.Heard
-			}
-			for len(n.Conns) > 0 {
-				<-n.Conns
-			}
+			discardReports(n)
 		}
 	}
 	rounds(60)
-	before := holds(t)
+	before := measureUsage(t)
 	rounds(2000)
-	var after held
-	for end := time.Now().Add(10 * time.Second); ; { // what has ended is gone in a moment, replaced links in two seconds
-		after = holds(t)
-		if after.goroutines <= before.goroutines+4 && after.descriptors <= before.descriptors+4 || time.Now().After(end) {
+	var after usage
+	// Goroutines and descriptors of closed connections are released soon after, those of replaced links within two seconds.
+	for deadline := time.Now().Add(10 * time.Second); ; {
+		after = measureUsage(t)
+		if after.goroutines <= before.goroutines+4 && after.descriptors <= before.descriptors+4 || time.Now().After(deadline) {
 			break
 		}
 		runtime.Gosched()
 	}
-	if after.goroutines > before.goroutines+4 || after.descriptors > before.descriptors+4 || after.heap > before.heap+2<<20 {
+	if after.goroutines > before.goroutines+4 || after.descriptors > before.descriptors+4 || after.heapBytes > before.heapBytes+2<<20 {
 		t.Errorf("%+v, before %+v", after, before)
 	}
 }
 
-// A whole set-up in pieces of one byte, on many connections at once, is read like any other.
-func TestPiecesOfOneByte(t *testing.T) {
-	s, _, usual := placed(t)
-	var all []*client
+// Requests that arrive byte by byte, on many connections at once, are read like any other; malformed ones close their
+// connection.
+func TestSingleByteWrites(t *testing.T) {
+	s, _, other := startSchedulerWithTask(t)
+	var clients []*client
 	for range 30 {
-		all = append(all, s.client())
+		clients = append(clients, s.connect())
 	}
-	line := []byte(`{"type":"setup","id":"00000000000000ZZ","fields":{"class":"batch","left":"3000","key":"k","extras":"cores:1;memory:1;service:sZZ"},"sdp":"x"}` + "\n")
+	// ZZ stands for the client's number.
+	line := []byte(`{"type":"setup","id":"00000000000000ZZ","fields":{"class":"batch","left":"3000","key":"k",` +
+		`"extras":"cores:1;memory:1;service:sZZ"},"sdp":"x"}` + "\n")
 	for at := range line {
-		for i, c := range all {
+		for i, c := range clients {
 			b := line[at]
 			if b == 'Z' {
 				b = "0123456789abcdef"[i%16]
@@ -95,24 +105,24 @@
 					b = "12"[i/16]
 				}
 			}
-			if _, err := c.c.Write([]byte{b}); err != nil {
+			if _, err := c.conn.Write([]byte{b}); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
-	usual.place(3)
-	for _, c := range all {
+	other.placeTask(3)
+	for _, c := range clients {
 		if r := c.read(); r.Type != "answer" {
 			t.Errorf("%+v", r)
 		}
 	}
-	for _, bad := range []string{`{"type":"setup","id":"7"}` + "\n", "GET / HTTP/1.1\r\n\r\n", "\x00\x01\x02\n"} {
-		c := s.client()
-		for i := range len(bad) {
-			if _, err := c.c.Write([]byte{bad[i]}); err != nil {
+	for _, malformed := range []string{`{"type":"setup","id":"7"}` + "\n", "GET / HTTP/1.1\r\n\r\n", "\x00\x01\x02\n"} {
+		c := s.connect()
+		for i := range len(malformed) {
+			if _, err := c.conn.Write([]byte{malformed[i]}); err != nil {
 				break // closed already
 			}
 		}
-		c.closed()
+		c.awaitClosed()
 	}
 }
--- /dev/null
+++ b/internal/platform/loop.go
@@ -0,0 +1,129 @@
+package platform
+
+import (
+	"context"
+	"time"
+
+	"flaxshelf.example/flaxshelf/internal/clock"
+	"flaxshelf.example/flaxshelf/internal/requests"
+)
+
+// runLoop is the state of the goroutine that owns the core, between its steps.
+type runLoop struct {
+	*Scheduler
+	timer    *time.Timer      // fires when the core asked for its next step
+	inputs   []requests.Input // of the next step
+	batch    []message        // reused by each step
+	shutdown gracefulShutdown
+	recheck  <-chan time.Time // when the shutdown is to be checked again; nil: none was requested
+	drained  <-chan struct{}  // closed when listening has ended; nil: it is not being drained
+}
+
+// run steps the core until a shutdown is complete. Connections to nodes are dialed within dialContext.
+func (s *Scheduler) run(dialContext context.Context, stop, reload <-chan struct{}) {
+	defer close(s.loopDone)
+	loop := &runLoop{Scheduler: s, timer: time.NewTimer(0), inputs: s.configuredNodes()}
+	defer loop.timer.Stop()
+	statsTicker := time.NewTicker(statsInterval)
+	defer statsTicker.Stop()
+	for {
+		select {
+		case <-s.mailbox.ready:
+		case <-loop.timer.C:
+		case <-reload:
+			loop.inputs = append(loop.inputs, s.reload()...)
+		case <-stop:
+			stop = nil
+			loop.beginShutdown()
+		case <-loop.recheck:
+		case <-loop.drained:
+			loop.drained = nil
+		case <-statsTicker.C:
+			s.reportStats()
+			continue
+		}
+		now := loop.collectInputs()
+		next := loop.step(dialContext, now)
+		if loop.shutdown.requested() && loop.advanceShutdown(now) {
+			s.reportStats()
+			return
+		}
+		if next > 0 {
+			loop.timer.Reset(max(next-clock.Now(), 0))
+		}
+	}
+}
+
+// collectInputs takes one batch of messages and returns the time of the step that handles them, which is not before any of
+// them arrived.
+func (l *runLoop) collectInputs() requests.Time {
+	l.batch = l.mailbox.take(l.batch[:0], maxBatch)
+	for _, m := range l.batch {
+		l.inputs = l.handleMessage(m, l.inputs)
+		l.shutdown.lastReceived = max(l.shutdown.lastReceived, m.receivedAt)
+	}
+	return clock.Now()
+}
+
+// step passes the inputs to the core and executes its effects. It returns when the next step is due; 0: no time.
+func (l *runLoop) step(dialContext context.Context, now requests.Time) requests.Time {
+	l.traceInputs(l.inputs)
+	effects, next := l.core.Step(now, l.inputs)
+	l.traceEffects(effects)
+	l.inputs = l.inputs[:0]
+	l.execute(dialContext, now, effects)
+	return next
+}
+
+// beginShutdown starts a graceful shutdown.
+func (l *runLoop) beginShutdown() {
+	l.shutdown.requestedAt = clock.Now()
+	l.inputs = append(l.inputs, requests.Shutdown{})
+	l.options.Log.Info().Msg("shutdown requested, requests are still served")
+}
+
+// advanceShutdown takes the next step of a graceful shutdown and reports whether it is complete.
+func (l *runLoop) advanceShutdown(now requests.Time) bool {
+	step := l.shutdown.next(now, shutdownBlockers{
+		Idle:            l.core.Idle() && l.mailbox.empty(),
+		PartialMessages: l.ownerPartialMessages.Load() > 0,
+		Listening:       !l.acceptor.Stopped(),
+	})
+	if step.drain {
+		l.acceptor.Drain()
+		l.drained = l.acceptor.Done()
+	}
+	if !step.exit {
+		l.recheck = time.After(step.recheck)
+	}
+	return step.exit
+}
+
+// handleMessage applies a message to the scheduler's connections and the endpoint watch, and appends its inputs for the
+// core to inputs.
+func (s *Scheduler) handleMessage(m message, inputs []requests.Input) []requests.Input {
+	if m.watch != nil {
+		if input := s.applyWatch(m.watch); input != nil {
+			inputs = append(inputs, input)
+		}
+	}
+	for _, input := range m.inputs {
+		s.trackConnection(input, m)
+		inputs = append(inputs, input)
+	}
+	return inputs
+}
+
+// trackConnection keeps owners and links up to date.
+func (s *Scheduler) trackConnection(input requests.Input, m message) {
+	switch input := input.(type) {
+	case requests.OwnerConnected:
+		s.owners[input.Conn] = &peer{conn: m.conn}
+	case requests.OwnerDisconnected:
+		delete(s.owners, input.Conn)
+	case requests.LinkUp:
+		s.links[input.Link] = &peer{conn: m.conn}
+	case requests.LinkDown:
+		delete(s.links, input.Link)
+	}
+}
--- a/internal/platform/mailbox.go
+++ b/internal/platform/mailbox.go
@@ -1,87 +1,107 @@
 package platform
 
-import "sync"
+import (
+	"sync"
 
-// mailbox holds the messages for the owner of the core, in the order of their coming. What loops take in from outside is
-// turned away where it is full; word that must not be lost is always taken, since what it tells of bounds it: one end of a
-// connection, one offer that was not written.
+	"flaxshelf.example/flaxshelf/internal/requests"
+	"flaxshelf.example/flaxshelf/internal/transport"
+)
+
+// message is what event loops and the endpoint watch pass to the run loop.
+type message struct {
+	inputs     []requests.Input
+	conn       *transport.Conn    // on which the inputs arrived, when it has just opened; else nil
+	receivedAt requests.Time      // when an owner sent it; 0: it is not from an owner
+	watch      *watchNotification // of the endpoint watch; else nil
+}
+
+// mailbox queues the messages for the run loop in the order of their arrival. What comes from outside is rejected while it
+// is full. Messages that must not be lost are always accepted, since their number is bounded by what they report: one end
+// for each connection, one failure for each offer. Several goroutines may use it.
 type mailbox struct {
-	most  int
-	ready chan struct{} // holds one token where something is there
+	capacity int
+	ready    chan struct{} // holds one token while messages are queued
 
-	mu   sync.Mutex
-	all  []message
-	room chan struct{} // closed and made anew where room has come
+	mu    sync.Mutex
+	queue []message
+	freed chan struct{} // closed and replaced whenever capacity comes free
 }
 
-func newMailbox(most int) *mailbox {
-	return &mailbox{most: most, ready: make(chan struct{}, 1), room: make(chan struct{})}
+func newMailbox(capacity int) *mailbox {
+	return &mailbox{capacity: capacity, ready: make(chan struct{}, 1), freed: make(chan struct{})}
 }
 
-// offer takes a message if there is room; it never waits.
-func (b *mailbox) offer(m message) bool { return b.put(m, b.most) }
+// tryPut queues a message unless the mailbox is full; it never waits.
+func (b *mailbox) tryPut(m message) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if len(b.queue) >= b.capacity {
+		return false
+	}
+	b.enqueue(m)
+	return true
+}
 
-// tell takes a message in any case.
-func (b *mailbox) tell(m message) { b.put(m, 0) }
+// put queues a message even if the mailbox is full.
+func (b *mailbox) put(m message) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.enqueue(m)
+}
 
-// pass waits for room; false: until was closed before.
-func (b *mailbox) pass(m message, until <-chan struct{}) bool {
+// putWait waits for capacity; it returns false when done was closed before.
+func (b *mailbox) putWait(m message, done <-chan struct{}) bool {
 	for {
 		b.mu.Lock()
-		room := b.room
+		freed := b.freed
 		b.mu.Unlock()
-		if b.offer(m) {
+		if b.tryPut(m) {
 			return true
 		}
 		select {
-		case <-room:
-		case <-until:
+		case <-freed:
+		case <-done:
 			return false
 		}
 	}
 }
 
-func (b *mailbox) put(m message, most int) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if most > 0 && len(b.all) >= most {
-		return false
-	}
-	b.all = append(b.all, m)
-	b.wake()
-	return true
+// enqueue is called with the lock held.
+func (b *mailbox) enqueue(m message) {
+	b.queue = append(b.queue, m)
+	b.signal()
 }
 
-// wake is called with the lock held.
-func (b *mailbox) wake() {
+// signal puts the token into ready. It is called with the lock held.
+func (b *mailbox) signal() {
 	select {
 	case b.ready <- struct{}{}:
 	default:
 	}
 }
 
-// take moves up to most messages behind into, in their order.
-func (b *mailbox) take(into []message, most int) []message {
+// take moves the first messages, limit at most, to the end of batch, in their order.
+func (b *mailbox) take(batch []message, limit int) []message {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	n := min(most, len(b.all))
-	into = append(into, b.all[:n]...)
-	rest := copy(b.all, b.all[n:])
-	clear(b.all[rest:])
-	b.all = b.all[:rest]
-	if n > 0 {
-		close(b.room)
-		b.room = make(chan struct{})
+	taken := min(limit, len(b.queue))
+	batch = append(batch, b.queue[:taken]...)
+	left := copy(b.queue, b.queue[taken:])
+	clear(b.queue[left:])
+	b.queue = b.queue[:left]
+	if taken > 0 {
+		close(b.freed)
+		b.freed = make(chan struct{})
 	}
-	if rest > 0 {
-		b.wake()
+	if left > 0 {
+		b.signal()
 	}
-	return into
+	return batch
 }
 
-// empty tells whether nothing waits.
+// empty reports whether no message is queued.
 func (b *mailbox) empty() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return len(b.all) == 0
+	return len(b.queue) == 0
 }
--- a/internal/platform/mailbox_test.go
+++ b/internal/platform/mailbox_test.go
@@ -1,37 +1,42 @@
 package platform
 
 import (
+	"slices"
 	"testing"
 	"testing/synctest"
 
 	"flaxshelf.example/flaxshelf/internal/requests"
 )
 
-func conns(all []message) (out []requests.Conn) {
-	for _, m := range all {
-		out = append(out, m.in[0].(requests.OwnerDisconnected).Conn)
-	}
-	return out
+// disconnected is a message that tells of one connection's end.
+func disconnected(conn requests.Conn) message {
+	return message{inputs: []requests.Input{requests.OwnerDisconnected{Conn: conn}}}
 }
 
-func word(n requests.Conn) message {
-	return message{in: []requests.Input{requests.OwnerDisconnected{Conn: n}}}
+// connsOf returns the connections of messages that disconnected made.
+func connsOf(messages []message) (conns []requests.Conn) {
+	for _, m := range messages {
+		conns = append(conns, m.inputs[0].(requests.OwnerDisconnected).Conn)
+	}
+	return conns
 }
 
-// What must not be lost is taken where the box is full, and keeps its place: a close never overtakes what came before it.
+// Messages that must not be lost are accepted by a full mailbox and keep their order: a disconnect never overtakes what came
+// before it.
 func TestMailboxOrder(t *testing.T) {
 	b := newMailbox(2)
-	for i, put := range []func(message) bool{b.offer, b.offer, b.offer, func(m message) bool { b.tell(m); return true }} {
-		if got := put(word(requests.Conn(i + 1))); got != (i != 2) {
+	put := func(m message) bool { b.put(m); return true }
+	for i, queue := range []func(message) bool{b.tryPut, b.tryPut, b.tryPut, put} {
+		if got := queue(disconnected(requests.Conn(i + 1))); got != (i != 2) {
 			t.Errorf("message %d: %v", i+1, got)
 		}
 	}
-	if got := conns(b.take(nil, 2)); len(got) != 2 || got[0] != 1 || got[1] != 2 {
+	if got := connsOf(b.take(nil, 2)); !slices.Equal(got, []requests.Conn{1, 2}) {
 		t.Errorf("%v", got)
 	}
-	<-b.ready // something is left
-	b.offer(word(5))
-	if got := conns(b.take(nil, 9)); len(got) != 2 || got[0] != 4 || got[1] != 5 {
+	<-b.ready // a message is left
+	b.tryPut(disconnected(5))
+	if got := connsOf(b.take(nil, 9)); !slices.Equal(got, []requests.Conn{4, 5}) {
 		t.Errorf("%v", got)
 	}
 	if !b.empty() {
@@ -39,26 +44,26 @@
 	}
 }
 
-// Who waits for room gets it when some has come, and goes where the owner has ended.
-func TestMailboxWaits(t *testing.T) {
+// A goroutine that waits for capacity gets it when a message is taken, and gives up when the run loop has ended.
+func TestMailboxPutWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newMailbox(1)
-		b.offer(word(1))
-		until, done := make(chan struct{}), make(chan bool, 1)
-		go func() { done <- b.pass(word(2), until) }()
+		b.tryPut(disconnected(1))
+		loopDone, accepted := make(chan struct{}), make(chan bool, 1)
+		go func() { accepted <- b.putWait(disconnected(2), loopDone) }()
 		synctest.Wait()
-		if len(done) > 0 {
+		if len(accepted) > 0 {
 			t.Fatal("it did not wait")
 		}
 		b.take(nil, 1)
-		if !<-done {
-			t.Error("it was not taken")
+		if !<-accepted {
+			t.Error("the message was not accepted")
 		}
-		go func() { done <- b.pass(word(3), until) }()
+		go func() { accepted <- b.putWait(disconnected(3), loopDone) }()
 		synctest.Wait()
-		close(until)
-		if <-done {
-			t.Error("it was taken by nobody")
+		close(loopDone)
+		if <-accepted {
+			t.Error("the message was accepted though nobody takes it")
 		}
 	})
 }
--- /dev/null
+++ b/internal/platform/module_state_test.go
@@ -0,0 +1,180 @@
+package platform
+
+import (
+	"fmt"
+	"maps"
+	"math/rand/v2"
+	"net"
+	"sync"
+	"testing"
+
+	"flaxshelf.example/flaxshelf"
+	"flaxshelf.example/flaxshelf/internal/codec/nodeparam"
+	"flaxshelf.example/flaxshelf/internal/lab/standin/scripted"
+	"flaxshelf.example/flaxshelf/internal/replay"
+)
+
+// taskID is a task's id as the core has it.
+func taskID(task int) string { return fmt.Sprintf("%016x", task) }
+
+// nodeTasks is which tasks the scripted nodes run, by their own count. The nodes' readers and the test use it.
+type nodeTasks struct {
+	mu   sync.Mutex
+	node map[string]string // the node of each running task
+}
+
+// script answers a node's messages and counts its tasks. Node s-1 rejects every seventh task.
+func (n *nodeTasks) script(name string) scripted.Script {
+	return func(conn net.Conn, m nodeparam.Message) {
+		n.mu.Lock()
+		defer n.mu.Unlock()
+		task := fmt.Sprintf("%016x", m.Task)
+		switch {
+		case m.Type == nodeparam.SetUp && m.Task%7 == 0 && name == "s-1":
+			scripted.Say(conn, nodeparam.Message{Type: nodeparam.Release, Task: m.Task, Cause: 34})
+			return
+		case m.Type == nodeparam.SetUp:
+			n.node[task] = name
+		case m.Type == nodeparam.Release:
+			delete(n.node, task)
+		}
+		scripted.Answers(conn, m)
+	}
+}
+
+// nodeOf returns the name of the node that runs a task.
+func (n *nodeTasks) nodeOf(task int) string {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.node[taskID(task)]
+}
+
+// complete has a task's node report that the task has completed.
+func (n *nodeTasks) complete(nodes map[string]*scripted.Node, task int) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	node := nodes[n.node[taskID(task)]]
+	delete(n.node, taskID(task))
+	node.Say(nodeparam.Message{Type: nodeparam.Release, Task: uint64(task), Cause: 16})
+}
+
+// removeNode forgets the tasks of a node, and returns how many of the given ones were among them.
+func (n *nodeTasks) removeNode(name string, tasks []int) (removed int) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	for _, task := range tasks {
+		if n.node[taskID(task)] == name {
+			removed++
+		}
+	}
+	maps.DeleteFunc(n.node, func(_, node string) bool { return node == name })
+	return removed
+}
+
+// observedModule is the module with a record of its events: where each task runs, and which tasks are pending.
+type observedModule struct {
+	*flaxshelf.Placer
+	running map[string]string // the machine of each task
+	pending map[string]bool
+}
+
+// Step implements replay.Module.
+func (p *observedModule) Step(now flaxshelf.Time, events []flaxshelf.Event) []flaxshelf.Action {
+	for _, e := range events {
+		switch e := e.(type) {
+		case flaxshelf.TaskSubmitted:
+			p.pending[e.Task.ID] = true
+		case flaxshelf.TaskAdopted:
+			p.running[e.Task.ID] = e.Machine
+		case flaxshelf.AttemptPlaced:
+			p.running[e.Task] = e.Machine
+			delete(p.pending, e.Task)
+		case flaxshelf.AttemptEnded:
+			if e.Final {
+				delete(p.running, e.Task)
+			}
+		case flaxshelf.TaskCanceled:
+			delete(p.pending, e.Task)
+		}
+	}
+	return p.Placer.Step(now, events)
+}
+
+// replayModule replays the recorded steps into the module, and returns it as it is after them.
+func (s *testScheduler) replayModule() *observedModule {
+	s.t.Helper()
+	module := &observedModule{running: map[string]string{}, pending: map[string]bool{}}
+	_, err := replay.CheckWith(openFile(s.t, s.recordingPath), func(cfg flaxshelf.Config, seed uint64) (replay.Module, error) {
+		var err error
+		module.Placer, err = flaxshelf.New(cfg, seed)
+		return module, err
+	})
+	if err != nil {
+		s.t.Fatal(err)
+	}
+	return module
+}
+
+// placeAndEndTasks places the tasks 2 to 199 and ends about two fifths of them, by their nodes or by their owner. Each
+// fortieth step may cut the links to s-2, which ends no task. It returns the tasks that still run.
+func placeAndEndTasks(t *testing.T, c *client, tasks *nodeTasks, nodes map[string]*scripted.Node) (running []int) {
+	t.Helper()
+	rng := rand.New(rand.NewPCG(5, 5))
+	for n := 2; n < 200; n++ {
+		c.placeTask(n)
+		running = append(running, n)
+		i := rng.IntN(len(running))
+		task := running[i]
+		switch rng.IntN(5) {
+		case 0:
+			tasks.complete(nodes, task)
+			c.expect("release", task, 16)
+		case 1:
+			node := nodes[tasks.nodeOf(task)]
+			c.send(`{"type":"release","id":"%016x","fields":{},"cause":31}`, task)
+			if m := awaitMessage(t, node, nodeparam.Release); m.Task != uint64(task) {
+				t.Fatalf("the node was sent the release of %d, not of %d", m.Task, task)
+			}
+		default:
+			continue
+		}
+		running = append(running[:i], running[i+1:]...)
+		if n%40 == 0 {
+			nodes["s-2"].Cut()
+		}
+	}
+	return running
+}
+
+// The module's view of the running tasks is what the nodes run, after placements, ends by nodes and owners, rejections, links
+// that are cut and a node that dies.
+func TestModuleStateMatchesNodes(t *testing.T) {
+	tasks := &nodeTasks{node: map[string]string{}}
+	nodes, entries := map[string]*scripted.Node{}, []string{}
+	for _, name := range []string{"s-1", "s-2", "s-3"} {
+		nodes[name] = newNode(t, tasks.script(name))
+		entries = append(entries, scripted.Entry(name, nodes[name].Addr(), "active"))
+	}
+	s := startScheduler(t, entries...)
+	c := s.connect()
+	running := placeAndEndTasks(t, c, tasks, nodes)
+	lost := tasks.removeNode("s-3", running)
+	nodes["s-3"].Die()
+	for range lost {
+		if r := c.read(); r.Type != "release" || r.Cause != 41 {
+			t.Errorf("%+v, want the end of a task on the dead node", r)
+		}
+	}
+	c.placeTask(200)
+	s.shutDown()
+
+	module := s.replayModule()
+	tasks.mu.Lock()
+	defer tasks.mu.Unlock()
+	if !maps.Equal(module.running, tasks.node) || len(tasks.node) < 20 || lost < 5 {
+		t.Errorf("the module has %v, the nodes run %v; %d were lost", module.running, tasks.node, lost)
+	}
+	if len(module.pending) > 0 {
+		t.Errorf("still pending: %v", module.pending)
+	}
+}
--- /dev/null
+++ b/internal/platform/offer_race_test.go
@@ -0,0 +1,82 @@
+package platform
+
+import (
+	"net"
+	"strings"
+	"sync/atomic"
+	"testing"
+
+	"flaxshelf.example/flaxshelf/internal/codec/nodeparam"
+	"flaxshelf.example/flaxshelf/internal/lab/standin/scripted"
+)
+
+// eventLoopBlocker is a log hook that blocks the event loop where it logs a closed link, and reports effects of one type.
+type eventLoopBlocker struct {
+	armed    atomic.Bool
+	blocked  chan struct{} // receives once the event loop is blocked
+	release  chan struct{} // closed to let it go on
+	effect   string
+	executed chan string // receives the log lines of the effects
+}
+
+func newEventLoopBlocker(effect string) *eventLoopBlocker {
+	return &eventLoopBlocker{
+		blocked:  make(chan struct{}),
+		release:  make(chan struct{}),
+		effect:   `"out":"` + effect + `"`,
+		executed: make(chan string, 100),
+	}
+}
+
+func (b *eventLoopBlocker) hook(line string) {
+	switch {
+	case strings.Contains(line, linkClosedMessage) && b.armed.CompareAndSwap(true, false):
+		b.blocked <- struct{}{}
+		<-b.release
+	case strings.Contains(line, b.effect):
+		select {
+		case b.executed <- line:
+		default:
+		}
+	}
+}
+
+// An owner disconnects, or releases its task, between the decision of an offer and its write: the offer is not written. The
+// event loop is blocked by the closed link of another node, while a watch event makes the core decide the offer.
+func TestOfferCrossesOwnerRelease(t *testing.T) {
+	for name, release := range map[string]func(c *client){
+		"by a release": func(c *client) { c.send(`{"type":"release","id":"%016x","fields":{},"cause":16}`, 2) },
+		"by a close":   func(c *client) { _ = c.conn.Close() },
+		"by a reset": func(c *client) {
+			_ = c.conn.(*net.TCPConn).SetLinger(0)
+			_ = c.conn.Close()
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			blocker := newEventLoopBlocker("Offer")
+			other, n := newNode(t, scripted.Answers), newNode(t, scripted.Answers)
+			s := startSchedulerWithLogHook(t, blocker.hook, testSettings, scripted.Entry("s-1", other.Addr(), "leaving"),
+				scripted.Entry("s-2", n.Addr(), "leaving"))
+			c := s.connect()
+			c.ping()
+			c.submit(2) // it waits, since both nodes are draining
+			for _, n := range []*scripted.Node{other, n} {
+				if event := <-n.Conns; event != "came" {
+					t.Fatal(event)
+				}
+			}
+			c.ping() // the request was read before
+			blocker.armed.Store(true)
+			other.Cut()
+			<-blocker.blocked
+			release(c)
+			s.feed.Tell(false, scripted.Entry("s-2", n.Addr(), "active"))
+			<-blocker.executed
+			close(blocker.release)
+			s.connect().placeTask(3)
+			if m := awaitMessage(t, n, nodeparam.SetUp); m.Task != 3 {
+				t.Errorf("the node received an offer of task %d", m.Task)
+			}
+		})
+	}
+}
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -13,113 +13,114 @@
 	"flaxshelf.example/flaxshelf/internal/transport"
 )
 
-// The whole path: a test is passed, a set-up reaches its node unchanged and is answered with the node's description, and
-// the end comes back.
-func TestPath(t *testing.T) {
+// A ping passes; a request reaches its node unchanged and is answered with the node's description; the end of the task is
+// passed on to its owner.
+func TestRequestRoundTrip(t *testing.T) {
 	n := newNode(t, scripted.Answers)
-	s := newSite(t, scripted.Entry("s-1", n.Addr(), "active"))
-	c := s.client()
-	if !c.test() {
-		t.Error("the test was not passed")
+	s := startScheduler(t, scripted.Entry("s-1", n.Addr(), "active"))
+	c := s.connect()
+	if !c.ping() {
+		t.Error("the ping did not pass")
 	}
-	c.place(2)
-	m := hear(t, n, nodeparam.SetUp)
+	c.placeTask(2)
+	m := awaitMessage(t, n, nodeparam.SetUp)
 	if m.Task != 2 || m.Class != "batch" || m.Key != "k2" || m.Description != "owner's" || m.TimeLeft == "" {
 		t.Errorf("%+v", m)
 	}
 	n.Say(nodeparam.Message{Type: nodeparam.Release, Task: 2, Cause: 16})
-	c.want("release", 2, 16)
+	c.expect("release", 2, 16)
 }
 
-// What owners may say of a task that stands, on another connection than its set-up's, and of an id that is open already.
-func TestOwnersWords(t *testing.T) {
-	s, n, c := placed(t)
-	other := s.client()
-	for task, word := range map[int]string{2: "release", 3: "move"} {
+// Owners may end or move a running task on another connection than that of its request. A request under an id that is in use
+// ends the task.
+func TestReleaseAndMoveFromAnotherConnection(t *testing.T) {
+	s, n, c := startSchedulerWithTask(t)
+	other := s.connect()
+	for task, message := range map[int]string{2: "release", 3: "move"} {
 		if task != 2 {
-			c.place(task)
+			c.placeTask(task)
 		}
-		other.send(`{"type":%q,"id":"%016x","fields":{},"cause":31}`, word, task)
-		if m := hear(t, n, nodeparam.Release); m.Task != uint64(task) {
-			t.Errorf("%s: the node heard of %d", word, m.Task)
+		other.send(`{"type":%q,"id":"%016x","fields":{},"cause":31}`, message, task)
+		if m := awaitMessage(t, n, nodeparam.Release); m.Task != uint64(task) {
+			t.Errorf("%s: the node received the release of %d", message, m.Task)
 		}
 	}
-	c.place(4)
-	other.setUp(4)
-	other.want("release", 4, 41)
-	c.place(5) // nothing came between: nobody is owed a release of what it ended
+	c.placeTask(4)
+	other.submit(4)
+	other.expect("release", 4, 41)
+	c.placeTask(5) // no release in between: an owner gets none for a task that it ended itself
 }
 
-// A set-up is given up while its node looks at it: the node hears so, the owner nothing more, and the answer that crosses
-// is released.
-func TestGiveUpCrosses(t *testing.T) {
-	late := make(chan func(), 1)
+// A request is released while its node handles it: the node is sent a release, the owner nothing more, and the answer that
+// crosses the release is released again.
+func TestReleaseCrossesAnswer(t *testing.T) {
+	delayed := make(chan func(), 1)
 	n := newNode(t, func(c net.Conn, m nodeparam.Message) {
 		if m.Type == nodeparam.SetUp && m.Task == 2 {
-			late <- func() { scripted.Answers(c, m) }
+			delayed <- func() { scripted.Answers(c, m) }
 		} else if m.Type == nodeparam.SetUp {
 			scripted.Answers(c, m)
 		}
 	})
-	s := newSite(t, scripted.Entry("s-1", n.Addr(), "active"))
-	c := s.client()
-	c.setUp(2)
-	answer := <-late
+	s := startScheduler(t, scripted.Entry("s-1", n.Addr(), "active"))
+	c := s.connect()
+	c.submit(2)
+	answer := <-delayed
 	c.send(`{"type":"release","id":"%016x","fields":{},"cause":16}`, 2)
-	if m := hear(t, n, nodeparam.Release); m.Task != 2 || m.Cause != 16 {
+	if m := awaitMessage(t, n, nodeparam.Release); m.Task != 2 || m.Cause != 16 {
 		t.Errorf("%+v", m)
 	}
 	answer()
-	if m := hear(t, n, nodeparam.Release); m.Task != 2 {
+	if m := awaitMessage(t, n, nodeparam.Release); m.Task != 2 {
 		t.Errorf("the answer that crossed: %+v", m)
 	}
-	c.place(3)
+	c.placeTask(3)
 }
 
-// What stood before a start comes back by set-ups that carry at, which are not answered; the node is not asked again, its
-// word of the end reaches the owner, and a set-up for what is held already changes nothing.
-func TestHandedOver(t *testing.T) {
+// Tasks that ran before a start are adopted by requests with the extra "at", which are not answered. Their node gets no offer
+// of them, its report of the end reaches the owner, and a second request for the same task changes nothing.
+func TestAdoptedTasks(t *testing.T) {
 	n := newNode(t, scripted.Answers)
-	s := newSite(t, scripted.Entry("s-1", n.Addr(), "active"))
-	c := s.client()
-	c.setUp(7, "at:s-1")
-	c.setUp(7, "at:s-1")
-	c.place(8)
-	if m := hear(t, n, nodeparam.SetUp); m.Task != 8 {
+	s := startScheduler(t, scripted.Entry("s-1", n.Addr(), "active"))
+	c := s.connect()
+	c.submit(7, "at:s-1")
+	c.submit(7, "at:s-1")
+	c.placeTask(8)
+	if m := awaitMessage(t, n, nodeparam.SetUp); m.Task != 8 {
 		t.Errorf("%+v", m)
 	}
 	n.Say(nodeparam.Message{Type: nodeparam.Release, Task: 7, Cause: 41, Token: "oom"})
-	c.want("release", 7, 41)
+	c.expect("release", 7, 41)
 }
 
-// Spoilt bytes end a connection to a node; the set-up goes elsewhere, and is answered.
-func TestSpoiltAnswers(t *testing.T) {
+// A malformed answer closes the link; the task is placed on another node.
+func TestMalformedAnswerClosesLink(t *testing.T) {
 	n := newNode(t, func(c net.Conn, m nodeparam.Message) {
 		if m.Type == nodeparam.SetUp {
 			_, _ = c.Write([]byte("HTTP/1.1 200 OK\r\n"))
 		}
 	})
-	s := newSite(t, scripted.Entry("s-1", n.Addr(), "active"))
-	c := s.client()
-	c.setUp(2)
-	hear(t, n, nodeparam.SetUp)
+	s := startScheduler(t, scripted.Entry("s-1", n.Addr(), "active"))
+	c := s.connect()
+	c.submit(2)
+	awaitMessage(t, n, nodeparam.SetUp)
 	s.feed.Tell(false, scripted.Entry("s-2", newNode(t, scripted.Answers).Addr(), "active"))
-	c.want("answer", 2, 0)
+	c.expect("answer", 2, 0)
 }
 
-// A connection on which half a message stays is ended for that, though no set-up waits on it: else what follows would be
-// swallowed. Another one takes its place. Which of the two the node sees first is not said: they meet on their way.
-func TestHalfAMessage(t *testing.T) {
+// A link on which a message stays partial is closed even if no request waits on it: else the message would swallow what
+// follows. Another link takes its place. Which of the two events the node sees first is not determined.
+func TestPartialMessageClosesLink(t *testing.T) {
 	n := newNode(t, func(c net.Conn, m nodeparam.Message) {
 		scripted.Answers(c, m)
 		if m.Type == nodeparam.SetUp {
 			_, _ = c.Write([]byte("\x00\x40\x0c\x00"))
 		}
 	})
-	s := newSite(t, scripted.Entry("s-1", n.Addr(), "active"))
-	s.client().place(2)
-	if line := <-s.lost; !strings.Contains(line, transport.ErrPartialMessage.Error()) {
-		t.Errorf("the link ended otherwise: %s", line)
+	s := startScheduler(t, scripted.Entry("s-1", n.Addr(), "active"))
+	s.connect().placeTask(2)
+	if line := <-s.closedLinks; !strings.Contains(line, transport.ErrPartialMessage.Error()) {
+		t.Errorf("the link closed for another reason: %s", line)
 	}
 	seen := map[string]int{}
 	for range 3 {
@@ -130,183 +131,186 @@
 	}
 }
 
-// A node that dies has cut what stood there: owners hear at once.
-func TestNodeDies(t *testing.T) {
-	_, n, c := placed(t)
+// A node that dies ends its tasks: owners are notified at once.
+func TestNodeDeathTerminatesTasks(t *testing.T) {
+	_, n, c := startSchedulerWithTask(t)
 	n.Die()
-	c.want("release", 2, 41)
+	c.expect("release", 2, 41)
 }
 
-// A machine that falls silent while a task stands there, its connections open and new ones never answered: the owner
-// hears within the 8 s that the platform gives.
-func TestSilentMachine(t *testing.T) {
-	_, n, c := placed(t)
+// A node becomes unreachable while a task runs there: its connections stay open and new ones are never established. The owner
+// is notified within the 8 s of the protocol.
+func TestUnreachableNode(t *testing.T) {
+	_, n, c := startSchedulerWithTask(t)
 	filling, err := n.Freeze()
-	for _, f := range filling {
-		defer f.Close()
+	for _, conn := range filling {
+		defer conn.Close()
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
-	began := time.Now()
-	c.want("release", 2, 41)
-	if took := time.Since(began); took > 8*time.Second {
-		t.Errorf("the owner heard after %v", took)
+	start := time.Now()
+	c.expect("release", 2, 41)
+	if elapsed := time.Since(start); elapsed > 8*time.Second {
+		t.Errorf("the owner was notified after %v", elapsed)
 	}
 }
 
-// Another node at the address of one that is gone gets none of its work and ends none of it.
-func TestAddressUsedAgain(t *testing.T) {
-	s, n, c := placed(t)
+// A node at the address of a former one gets none of its tasks and ends none of them.
+func TestNodeAddressReused(t *testing.T) {
+	s, n, c := startSchedulerWithTask(t)
 	s.feed.Tell(false, scripted.Entry("s-2", n.Addr(), "active"))
-	c.want("release", 2, 41)
-	c.place(3)
-	n.Say(nodeparam.Message{Type: nodeparam.Release, Task: 2, Cause: 16}) // of the one before: nothing follows
+	c.expect("release", 2, 41)
+	c.placeTask(3)
+	n.Say(nodeparam.Message{Type: nodeparam.Release, Task: 2, Cause: 16}) // a task of the former node: nothing follows
 	n.Say(nodeparam.Message{Type: nodeparam.Release, Task: 3, Cause: 16})
-	c.want("release", 3, 16)
+	c.expect("release", 3, 16)
 }
 
-// The feed's word is taken once and half an event is dropped; after a break, and after a silence that stays open, the
-// feed is asked from where it ended.
-func TestFeedEnds(t *testing.T) {
-	s, old, c := placed(t)
+// Events are applied once and partial events are dropped. After a stream that breaks, and after one that stays open but
+// silent, the next one is requested from the last event on.
+func TestWatchResumes(t *testing.T) {
+	s, old, c := startSchedulerWithTask(t)
 	s.feed.Tell(false, scripted.Entry("s-1", old.Addr(), "active"))
-	for i, end := range []func(){s.feed.Break, s.feed.Hush} {
+	for i, interrupt := range []func(){s.feed.Break, s.feed.Hush} {
 		s.feed.Tell(false, scripted.Entry("s-3", old.Addr(), "left"))
-		end()
+		interrupt()
 		select {
 		case last := <-s.feed.Calls:
 			if want := string(rune('3' + i)); last != want {
-				t.Errorf("asked from %s, want %s", last, want)
+				t.Errorf("the stream was requested from event %s, want %s", last, want)
 			}
-		case <-time.After(4 * time.Second): // what it would have told counts as told by then
-			t.Fatal("not asked again")
+		case <-time.After(4 * time.Second): // by then the platform takes its events for known
+			t.Fatal("no stream was requested")
 		}
 	}
 	s.feed.Tell(false, scripted.Entry("s-1", old.Addr(), "left"))
-	c.want("release", 2, 41)
-	s.feed.Again(2) // the node is active, by an event that is old
+	c.expect("release", 2, 41)
+	s.feed.Again(2) // an old event, by which the node is active
 	s.feed.Tell(false, scripted.Entry("s-2", newNode(t, scripted.Answers).Addr(), "active"))
 	for i := range 8 {
-		c.place(3 + i)
+		c.placeTask(3 + i)
 	}
-	unheard(t, old, nodeparam.SetUp)
+	expectNoMessage(t, old, nodeparam.SetUp)
 }
 
-// A new configuration names another feed, whose numbers go on. What it knows that is older than the feed's last word
-// changes nothing, nor does a broken file, nor other settings: the core has those of its start.
+// A reloaded configuration names another control feed, whose sequence numbers continue. Its events that are older than the
+// last one applied change nothing, nor does an invalid file, nor other settings: the core keeps those of its start.
 func TestReload(t *testing.T) {
-	s, old, c := placed(t)
+	s, old, c := startSchedulerWithTask(t)
 	entry := scripted.Entry("s-1", old.Addr(), "active")
 	s.feed.Tell(true, scripted.Entry("s-2", newNode(t, scripted.Answers).Addr(), "active"))
-	c.want("release", 2, 41)
-	if err := os.WriteFile(s.path, []byte("{"), 0o600); err != nil {
+	c.expect("release", 2, 41)
+	if err := os.WriteFile(s.configPath, []byte("{"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	s.reload <- struct{}{}
-	if !c.test() {
-		t.Error("a broken file ended it")
+	if !c.ping() {
+		t.Error("an invalid file ended the scheduler")
 	}
 	task := 3
 	for _, settings := range []string{testSettings, strings.Replace(testSettings, `"batch"`, `"other"`, 1)} {
-		next := feedServer(t)
-		s.write(next, settings, entry)
+		next := newControlFeed(t)
+		s.writeConfig(next, settings, entry)
 		s.reload <- struct{}{}
 		if last := <-next.Calls; last != "2" {
-			t.Errorf("asked from %s", last)
+			t.Errorf("the stream was requested from event %s", last)
 		}
 		for range 4 {
-			c.place(task)
+			c.placeTask(task)
 			task++
 		}
 	}
-	unheard(t, old, nodeparam.SetUp)
+	expectNoMessage(t, old, nodeparam.SetUp)
 }
 
-// Asked to leave it fails its tests, serves what still comes, on new connections too, answers all and goes; what stands
-// at its node stands on.
-func TestLeave(t *testing.T) {
-	s, n, c := placed(t)
+// During a graceful shutdown pings fail, requests are still served, on new connections too, and everything is answered
+// before the scheduler exits; running tasks keep running.
+func TestGracefulShutdown(t *testing.T) {
+	s, n, c := startSchedulerWithTask(t)
 	close(s.stop)
-	late := s.client()
-	for c.test() {
+	newOwner := s.connect()
+	for c.ping() {
 	}
-	late.place(3)
-	if err := <-s.ended; err != nil {
+	newOwner.placeTask(3)
+	if err := <-s.runResult; err != nil {
 		t.Error(err)
 	}
-	unheard(t, n, nodeparam.Release)
+	expectNoMessage(t, n, nodeparam.Release)
 }
 
-// Bad clients hear a refusal or a close, none is ever answered as placed, and an owner beside them is served.
-func TestBadClients(t *testing.T) {
-	s, n, usual := placed(t)
-	for _, bytes := range []string{"\x16\x03\x01\n", "{\n", strings.Repeat("x", 1<<20), `{"type":"setup","id":"7"}` + "\n"} {
-		c := s.client()
-		_, _ = c.c.Write([]byte(bytes)) // the scheduler may close before all is written
-		c.closed()
-	}
-	c := s.client()
+// Misbehaving clients get a rejection or a close, none of their requests is placed, and another owner is served meanwhile.
+func TestMisbehavingClients(t *testing.T) {
+	s, n, other := startSchedulerWithTask(t)
+	for _, malformed := range []string{"\x16\x03\x01\n", "{\n", strings.Repeat("x", 1<<20), `{"type":"setup","id":"7"}` + "\n"} {
+		c := s.connect()
+		_, _ = c.conn.Write([]byte(malformed)) // the scheduler may close before all is written
+		c.awaitClosed()
+	}
+	c := s.connect()
 	for range 4 {
 		c.send(`{"type":"setup","id":"%016x","fields":{"class":"odd","left":"1000"},"sdp":"x"}`, 9)
 	}
-	c.want("release", 9, 47)
-	c.closed()
-	half := s.client()
-	half.place(10)
-	_, _ = half.c.Write([]byte(`{"type":"setup"`))
-	silent := []*client{s.client(), half}
+	c.expect("release", 9, 47)
+	c.awaitClosed()
+	partial := s.connect()
+	partial.placeTask(10)
+	_, _ = partial.conn.Write([]byte(`{"type":"setup"`))
+	idle := []*client{s.connect(), partial}
 	for range 100 {
-		silent = append(silent, s.client())
+		idle = append(idle, s.connect())
 	}
-	usual.place(3)
-	for _, c := range silent {
-		c.closed()
+	other.placeTask(3)
+	for _, c := range idle {
+		c.awaitClosed()
 	}
 	if len(n.Heard) > 2 {
-		t.Errorf("%d messages came to the node", len(n.Heard))
+		t.Errorf("the node received %d messages", len(n.Heard))
 	}
 }
 
-// Idle clients come without end while the feed is down: the feed, a new node and a test of readiness find their descriptors
-// all the same.
-func TestIdleClientsTakeNobodysDescriptors(t *testing.T) {
-	s, _, c := placed(t)
+// Idle clients keep connecting while the control feed is down: its next stream, a new node and a readiness test still find
+// descriptors.
+func TestIdleClientsLeaveDescriptorsFree(t *testing.T) {
+	s, _, c := startSchedulerWithTask(t)
 	s.feed.Break()
 	for range 300 {
-		s.client()
+		s.connect()
 	}
 	if last := <-s.feed.Calls; last != "1" {
-		t.Errorf("asked from %s", last)
+		t.Errorf("the stream was requested from event %s", last)
 	}
-	if !s.client().test() {
-		t.Error("the test was not passed")
+	if !s.connect().ping() {
+		t.Error("the ping did not pass")
 	}
 	n := newNode(t, scripted.Answers)
 	s.feed.Tell(false, scripted.Entry("s-1", "", "leaving"), scripted.Entry("s-2", n.Addr(), "active"))
-	if word := <-n.Conns; word != "came" {
-		t.Error(word)
+	if event := <-n.Conns; event != "came" {
+		t.Error(event)
 	}
-	c.place(3)
-	if m := hear(t, n, nodeparam.SetUp); m.Task != 3 {
+	c.placeTask(3)
+	if m := awaitMessage(t, n, nodeparam.SetUp); m.Task != 3 {
 		t.Errorf("%+v", m)
 	}
 }
 
-// The parts of the descriptors are the whole, and owners have the third that the protocol gives them.
-func TestDescriptorsAreDivided(t *testing.T) {
-	for n := 96; n <= 1<<14; n++ {
-		if d := divide(n); d.owners+d.links+ownUse != n || 3*d.kept < n-ownUse || d.kept >= d.owners {
-			t.Fatalf("%d: %+v", n, d)
+// The shares add up to the limit, and owners have the third of it that the protocol gives them.
+func TestDivideDescriptors(t *testing.T) {
+	for limit := 96; limit <= 1<<14; limit++ {
+		b := divideDescriptors(limit)
+		if b.ownerConnections+b.links+reservedDescriptors != limit || 3*b.retainedConnections < limit-reservedDescriptors ||
+			b.retainedConnections >= b.ownerConnections {
+			t.Fatalf("%d: %+v", limit, b)
 		}
 	}
-	if d := divide(32); d.kept < 1 || d.links < 1 || d.owners+d.links > 16 {
-		t.Errorf("%+v", d)
+	if b := divideDescriptors(32); b.retainedConnections < 1 || b.links < 1 || b.ownerConnections+b.links > 16 {
+		t.Errorf("%+v", b)
 	}
 }
 
-func TestBadConfiguration(t *testing.T) {
-	path := filepath.Join(t.TempDir(), "c.json")
+// An invalid configuration is reported with the field.
+func TestInvalidConfiguration(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(`{"listen":"127.0.0.1:0"}`), 0o600); err != nil {
 		t.Fatal(err)
 	}
--- /dev/null
+++ b/internal/platform/reload.go
@@ -0,0 +1,62 @@
+package platform
+
+import (
+	"reflect"
+
+	"flaxshelf.example/flaxshelf/internal/front/platformfront"
+	"flaxshelf.example/flaxshelf/internal/requests"
+)
+
+// configuredNodes returns the nodes of the configuration as one complete list, whatever the number of its events: else a
+// start would dial each node that ever was listed.
+func (s *Scheduler) configuredNodes() []requests.Input {
+	list, found := platformfront.MergeUpdates(s.config.Load().InitialEvents)
+	if !found {
+		return nil
+	}
+	list.FromConfig = true
+	return []requests.Input{list}
+}
+
+// reload reads the configuration again, follows its control feed and returns the node updates that are new. A file that
+// cannot be read changes nothing.
+//
+// The core has the settings of its start, since other ones would number classes and kinds differently; the node updates of
+// the file are decoded by the names of the start, so that a drain is never missed.
+func (s *Scheduler) reload() []requests.Input {
+	old := s.config.Load()
+	file, err := platformfront.ReadConfig(s.options.Config)
+	if err != nil {
+		s.options.Log.Error().Err(err).Msg("configuration cannot be reloaded, the old one stays in use")
+		return nil
+	}
+	if !reflect.DeepEqual(file.Module, old.Module) {
+		s.options.Log.Error().
+			Msg("changed settings are ignored until a restart, the control feed and the nodes of the new configuration are used")
+	}
+	var inputs []requests.Input
+	if list, found := platformfront.MergeUpdates(s.newEvents(old, file.InitialEventData)); found {
+		inputs = append(inputs, list)
+	}
+	config := *old
+	config.DiscoveryAddr = file.DiscoveryAddr
+	s.config.Store(&config)
+	s.options.Log.Info().Str("control_feed", config.DiscoveryAddr).Str("former_control_feed", old.DiscoveryAddr).
+		Uint64("last_event", s.position.last).Msg("configuration reloaded")
+	s.subscribe()
+	return inputs
+}
+
+// newEvents decodes the events that come after the position, and moves it behind them. Events that cannot be decoded by
+// config are skipped.
+func (s *Scheduler) newEvents(config *platformfront.Config, data [][]byte) []platformfront.WatchEvent {
+	var events []platformfront.WatchEvent
+	for _, raw := range data {
+		event, err := config.DecodeWatchEvent(raw)
+		if err == nil && event.Sequence > s.position.last {
+			s.position.last = event.Sequence
+			events = append(events, event)
+		}
+	}
+	return events
+}
--- /dev/null
+++ b/internal/platform/shutdown.go
@@ -0,0 +1,66 @@
+package platform
+
+import (
+	"time"
+
+	"flaxshelf.example/flaxshelf/internal/requests"
+)
+
+const (
+	// acceptPeriod is how long new connections and requests are still accepted after SIGTERM: the protocol allows 0.4 s plus
+	// 0.2 s, and half of that is added for a scheduler that shares its core.
+	acceptPeriod = 900 * time.Millisecond
+	// quietPeriod is how long no owner may have sent anything before the scheduler exits.
+	quietPeriod = 50 * time.Millisecond
+	// partialMessageDeadline is how long after SIGTERM the rest of a message is waited for: the platform sends SIGKILL 3.7 s
+	// after SIGTERM at the earliest.
+	partialMessageDeadline = 3200 * time.Millisecond
+	// ownerCloseTimeout is how long the owners have to close their side of the connections once everything is answered.
+	ownerCloseTimeout = 250 * time.Millisecond
+)
+
+// gracefulShutdown decides when a scheduler that received SIGTERM stops listening, and when it exits. Requests that arrive
+// until then are served: a request counts as received once its last byte is written to a connection that the operating
+// system has accepted, even if the process has not. It belongs to the run loop.
+type gracefulShutdown struct {
+	requestedAt  requests.Time // 0: not requested
+	lastReceived requests.Time // when an owner last sent something
+	draining     bool          // the listener is being drained
+}
+
+// shutdownBlockers are the things that may keep a scheduler from exiting.
+type shutdownBlockers struct {
+	Idle            bool // no request waits for an answer
+	PartialMessages bool // a message of an owner has arrived in part
+	Listening       bool // connections may wait in the listener's queue
+}
+
+// shutdownStep is what to do next.
+type shutdownStep struct {
+	drain   bool          // accept what waits in the listener's queue, then stop listening
+	exit    bool          // nothing is left to do
+	recheck time.Duration // when to ask again at the latest
+}
+
+// requested reports whether a shutdown was requested.
+func (g *gracefulShutdown) requested() bool { return g.requestedAt > 0 }
+
+// next returns the step to take at now.
+func (g *gracefulShutdown) next(now requests.Time, blockers shutdownBlockers) shutdownStep {
+	elapsed := now - g.requestedAt
+	quiet := now - max(g.lastReceived, g.requestedAt)
+	switch {
+	case elapsed < acceptPeriod:
+		return shutdownStep{recheck: acceptPeriod - elapsed}
+	case blockers.Listening && !g.draining:
+		g.draining = true
+		return shutdownStep{drain: true, recheck: quietPeriod}
+	case blockers.Listening && elapsed < partialMessageDeadline: // the next connection in the queue waits for a slot
+		return shutdownStep{recheck: quietPeriod}
+	case !blockers.Idle || blockers.PartialMessages && elapsed < partialMessageDeadline:
+		return shutdownStep{recheck: quietPeriod}
+	case quiet < quietPeriod:
+		return shutdownStep{recheck: quietPeriod - quiet}
+	}
+	return shutdownStep{exit: true}
+}
--- /dev/null
+++ b/internal/platform/shutdown_test.go
@@ -0,0 +1,190 @@
+package platform
+
+import (
+	"errors"
+	"io"
+	"net"
+	"os"
+	"strings"
+	"testing"
+	"time"
+
+	"flaxshelf.example/flaxshelf/internal/codec/nodeparam"
+	"flaxshelf.example/flaxshelf/internal/lab/standin/scripted"
+	"flaxshelf.example/flaxshelf/internal/requests"
+)
+
+// The next step of a shutdown follows from the time since it was requested and from what keeps the scheduler.
+func TestShutdownSteps(t *testing.T) {
+	const requestedAt = requests.Time(time.Hour)
+	listening := shutdownBlockers{Idle: true, Listening: true}
+	partial := shutdownBlockers{Idle: true, PartialMessages: true}
+	idle := shutdownBlockers{Idle: true}
+	for _, c := range []struct {
+		name         string
+		elapsed      time.Duration
+		lastReceived time.Duration // since the request
+		blockers     shutdownBlockers
+		want         shutdownStep
+	}{
+		{"new requests are accepted", acceptPeriod - 1, 0, listening, shutdownStep{recheck: 1}},
+		{"the listener is drained first", acceptPeriod, 0, listening, shutdownStep{drain: true, recheck: quietPeriod}},
+		{"a request is pending", time.Minute, 0, shutdownBlockers{PartialMessages: true}, shutdownStep{recheck: quietPeriod}},
+		{"a partial request", partialMessageDeadline - 1, 0, partial, shutdownStep{recheck: quietPeriod}},
+		{"a partial request past its deadline", partialMessageDeadline, 0, partial, shutdownStep{exit: true}},
+		{"an owner sent just now", acceptPeriod + 30, acceptPeriod, idle, shutdownStep{recheck: quietPeriod - 30}},
+		{"everything is answered", acceptPeriod + quietPeriod, acceptPeriod, idle, shutdownStep{exit: true}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			g := gracefulShutdown{requestedAt: requestedAt, lastReceived: requestedAt + c.lastReceived}
+			if got := g.next(requestedAt+c.elapsed, c.blockers); got != c.want {
+				t.Errorf("%+v, want %+v", got, c.want)
+			}
+		})
+	}
+	t.Run("the listener's queue waits for slots", func(t *testing.T) {
+		g := gracefulShutdown{requestedAt: requestedAt}
+		g.next(requestedAt+acceptPeriod, shutdownBlockers{Listening: true})
+		if got := g.next(requestedAt+acceptPeriod+quietPeriod, listening); got.drain || got.exit {
+			t.Errorf("it does not wait: %+v", got)
+		}
+		if got := g.next(requestedAt+partialMessageDeadline, listening); !got.exit {
+			t.Errorf("it waits forever: %+v", got)
+		}
+	})
+}
+
+// awaitListenerClosed waits until the scheduler no longer listens.
+func (s *testScheduler) awaitListenerClosed() {
+	s.t.Helper()
+	for deadline := time.Now().Add(10 * time.Second); ; {
+		conn, err := net.Dial("tcp", s.addr)
+		if err != nil {
+			return
+		}
+		_ = conn.Close()
+		if time.Now().After(deadline) {
+			s.t.Fatal("the scheduler still listens")
+		}
+	}
+}
+
+// A request whose last byte arrives after the scheduler has stopped listening is served: its connection was accepted.
+func TestShutdownWaitsForPartialRequest(t *testing.T) {
+	s, _, other := startSchedulerWithTask(t)
+	c := s.connect()
+	c.placeTask(3) // the connection is known to be an owner's
+	line := `{"type":"setup","id":"0000000000000004","fields":{"class":"batch","left":"3000","key":"k",` +
+		`"extras":"cores:1;memory:1;service:s"},"sdp":"x"}` + "\n"
+	if _, err := c.conn.Write([]byte(line[:20])); err != nil {
+		t.Fatal(err)
+	}
+	close(s.stop)
+	s.awaitListenerClosed()
+	_ = other.conn.SetReadDeadline(time.Now().Add(4 * quietPeriod))
+	if _, err := other.reader.ReadByte(); !errors.Is(err, os.ErrDeadlineExceeded) {
+		t.Errorf("the scheduler has exited: %v", err)
+	}
+	if _, err := c.conn.Write([]byte(line[20:])); err != nil {
+		t.Fatal(err)
+	}
+	c.expect("answer", 4, 0)
+	if err := <-s.runResult; err != nil {
+		t.Error(err)
+	}
+}
+
+// The scheduler exits while an owner still sends: the last answer arrives completely, and what the owner sends meanwhile
+// causes no reset, which would destroy an answer that the owner has not read yet.
+func TestShutdownDeliversLastAnswers(t *testing.T) {
+	delayed := make(chan func(), 1)
+	n := newNode(t, func(c net.Conn, m nodeparam.Message) {
+		if m.Type == nodeparam.SetUp {
+			delayed <- func() { scripted.Answers(c, m) }
+		}
+	})
+	longObjective := strings.Replace(testSettings, `"objective_ns":600000000`, `"objective_ns":6000000000`, 1)
+	s := startSchedulerWithSettings(t, longObjective, scripted.Entry("s-1", n.Addr(), "active"))
+	c := s.connect()
+	c.submit(2)
+	answer := <-delayed // the attempt's timeout is after the end of listening
+	close(s.stop)
+	s.awaitListenerClosed()
+	answer() // the last thing that kept the scheduler
+	c.expect("answer", 2, 0)
+	if _, err := c.reader.ReadByte(); !errors.Is(err, io.EOF) {
+		t.Errorf("the connection ended by %v", err)
+	}
+	for range 2 { // a second write fails if the first met a closed socket
+		c.send(`{"type":"progress","id":"%016x","fields":{}}`, 2)
+	}
+	_ = c.conn.Close()
+	if err := <-s.runResult; err != nil {
+		t.Error(err)
+	}
+}
+
+// Signals in unusual order: a shutdown with a reload behind it, and a shutdown requested before the start.
+func TestShutdownSignalOrder(t *testing.T) {
+	s, _, c := startSchedulerWithTask(t)
+	close(s.stop)
+	s.writeConfig(s.feed, testSettings)
+	s.reload <- struct{}{}
+	c.placeTask(3)
+	if err := <-s.runResult; err != nil {
+		t.Error(err)
+	}
+	stop := make(chan struct{})
+	close(stop)
+	if err := Run(Options{Config: s.configPath}, stop, nil); err != nil {
+		t.Error(err)
+	}
+}
+
+// Node updates of a reloaded configuration are applied though its other settings are not: a drain that only the file tells
+// of is a drain.
+func TestReloadAppliesDrain(t *testing.T) {
+	s, drained, c := startSchedulerWithTask(t)
+	b, err := os.ReadFile(s.configPath)
+	if err != nil {
+		t.Fatal(err)
+	}
+	text := strings.Replace(string(b), `"batch"`, `"other"`, 1)
+	text = strings.Replace(text, `"known":{"n":1,"events":[`, `"known":{"n":2,"events":[`+scripted.Event(2, false,
+		scripted.Entry("s-1", drained.Addr(), "leaving"),
+		scripted.Entry("s-2", newNode(t, scripted.Answers).Addr(), "active"))+`,`, 1)
+	if err := os.WriteFile(s.configPath, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	s.reload <- struct{}{}
+	if last := <-s.feed.Calls; last != "2" {
+		t.Errorf("the stream was requested from event %s", last)
+	}
+	for i := range 6 {
+		c.placeTask(3 + i)
+	}
+	expectNoMessage(t, drained, nodeparam.SetUp)
+}
+
+// Two reloads in immediate succession: the second file's control feed is followed, from the first one's last event on.
+func TestConsecutiveReloads(t *testing.T) {
+	s, drained, c := startSchedulerWithTask(t)
+	first, second := newControlFeed(t), newControlFeed(t)
+	entry := scripted.Entry("s-1", drained.Addr(), "active")
+	s.writeConfig(first, testSettings, entry)
+	s.reload <- struct{}{}
+	s.writeConfig(second, testSettings, entry)
+	s.reload <- struct{}{}
+	if last := <-second.Calls; last != "1" {
+		t.Errorf("the stream was requested from event %s", last)
+	}
+	n := newNode(t, scripted.Answers)
+	second.Tell(false, scripted.Entry("s-1", drained.Addr(), "leaving"), scripted.Entry("s-2", n.Addr(), "active"))
+	if event := <-n.Conns; event != "came" { // the watch event was applied
+		t.Error(event)
+	}
+	for i := range 4 {
+		c.placeTask(3 + i)
+	}
+	expectNoMessage(t, drained, nodeparam.SetUp)
+}
--- a/internal/platform/trace.go
+++ b/internal/platform/trace.go
@@ -9,22 +9,30 @@
 	"flaxshelf.example/flaxshelf/internal/requests"
 )
 
-// traces tells whether each message is logged, so that one task can be followed through the schedulers it passed.
-func (s *Scheduler) traces() bool { return s.opt.Log.GetLevel() <= zerolog.TraceLevel }
+// tracing reports whether each input and effect is logged, so that one task can be followed through the schedulers that
+// handled it.
+func (s *Scheduler) tracing() bool { return s.options.Log.GetLevel() <= zerolog.TraceLevel }
 
-func (s *Scheduler) traceIn(all []requests.Input) {
-	for _, in := range all {
-		s.trace("in", in)
+func (s *Scheduler) traceInputs(inputs []requests.Input) {
+	if !s.tracing() {
+		return
+	}
+	for _, input := range inputs {
+		s.trace("in", input)
 	}
 }
 
-func (s *Scheduler) traceOut(all []requests.Effect) {
-	for _, e := range all {
-		s.trace("out", e)
+func (s *Scheduler) traceEffects(effects []requests.Effect) {
+	if !s.tracing() {
+		return
+	}
+	for _, effect := range effects {
+		s.trace("out", effect)
 	}
 }
 
-func (s *Scheduler) trace(way string, m any) {
-	name := strings.TrimPrefix(fmt.Sprintf("%T", m), "requests.")
-	s.opt.Log.Trace().Str(way, name).Str("message", fmt.Sprintf("%+v", m)).Send()
+// trace logs a value of package requests with its type's name under the key direction.
+func (s *Scheduler) trace(direction string, value any) {
+	name := strings.TrimPrefix(fmt.Sprintf("%T", value), "requests.")
+	s.options.Log.Trace().Str(direction, name).Str("message", fmt.Sprintf("%+v", value)).Send()
 }
--- /dev/null
+++ b/internal/platform/watchposition.go
@@ -0,0 +1,48 @@
+package platform
+
+import "fmt"
+
+// watchPosition is how far the events of the endpoint list have been applied. It belongs to the run loop.
+type watchPosition struct {
+	last         uint64 // sequence number of the last event applied
+	requestedGap uint64 // the missing sequence number for which the last stream was opened; 0: none
+	stream       int    // number of the current stream
+}
+
+// eventOrder is how an event follows the ones applied before.
+type eventOrder int
+
+const (
+	eventStale   eventOrder = iota // applied before, or skipped on a former stream: the current one sends it again
+	eventInOrder                   // the next event, or a complete list that replaces all before it
+	eventGap                       // events before it are missing and have to be requested
+)
+
+// String returns the name of the order.
+func (o eventOrder) String() string {
+	switch o {
+	case eventStale:
+		return "stale"
+	case eventInOrder:
+		return "in order"
+	case eventGap:
+		return "gap"
+	}
+	return fmt.Sprintf("eventOrder(%d)", int(o))
+}
+
+// advance classifies an event and moves the position behind one that is in order. A missing event is requested once: if the
+// next stream does not have it either, the event behind the gap is taken as in order.
+func (p *watchPosition) advance(sequence uint64, complete bool, stream int) eventOrder {
+	next := p.last + 1
+	gap := sequence > next && !complete
+	switch {
+	case sequence < next, gap && stream != p.stream:
+		return eventStale
+	case gap && p.requestedGap != next:
+		p.requestedGap = next
+		return eventGap
+	}
+	p.last = sequence
+	return eventInOrder
+}
