--- /dev/null
+++ b/internal/transport/link.go
@@ -0,0 +1,119 @@
+package transport
+
+import (
+	"context"
+	"math/rand/v2"
+	"time"
+)
+
+// maxBackoffDoublings bounds the shift of Backoff.Initial.
+const maxBackoffDoublings = 16
+
+// Backoff is how long a link waits between attempts to connect: Initial after the first failure, doubled by each further one up
+// to Max, with jitter so that many links that broke at one moment do not reconnect at one moment.
+type Backoff struct{ Initial, Max time.Duration }
+
+// wait returns the time to wait, between half of the backoff and all of it, after a number of failures beyond the first.
+func (b Backoff) wait(failures int) time.Duration {
+	backoff := b.Max
+	if failures < maxBackoffDoublings {
+		backoff = min(b.Initial<<failures, b.Max)
+	}
+	return backoff/2 + rand.N(backoff/2+1)
+}
+
+// Link keeps one connection to an address, and connects again whenever it breaks. Several goroutines may use it. Stop or
+// Cancel ends it; the Dialer's Stop ends it too, and waits for it.
+type Link struct {
+	dialer     *Dialer
+	addr       string
+	timeout    time.Duration // of one attempt to connect
+	backoff    Backoff
+	newHandler func() Handler
+	down       func(error)
+	cancel     context.CancelFunc
+	done       chan struct{}
+}
+
+// Link starts a link to addr. newHandler makes the handler of each connection. down gets the reason of each connection that
+// could not be made or has closed. Both are called from the link's goroutine and may block.
+func (d *Dialer) Link(addr string, timeout time.Duration, backoff Backoff, newHandler func() Handler, down func(error)) *Link {
+	ctx, cancel := context.WithCancel(d.lifetime)
+	l := &Link{
+		dialer:     d,
+		addr:       addr,
+		timeout:    timeout,
+		backoff:    backoff,
+		newHandler: newHandler,
+		down:       down,
+		cancel:     cancel,
+		done:       make(chan struct{}),
+	}
+	d.goroutines.Go(func() { l.run(ctx) })
+	return l
+}
+
+// run connects again and again until ctx ends.
+func (l *Link) run(ctx context.Context) {
+	defer close(l.done)
+	for failures := 0; ctx.Err() == nil; {
+		start := time.Now()
+		connected, err := l.connectOnce(ctx)
+		l.down(err)
+		failures++
+		if connected && time.Since(start) > l.backoff.Max {
+			failures = 0 // the connection had held
+		}
+		select {
+		case <-ctx.Done():
+		case <-time.After(l.backoff.wait(max(failures-1, 0))):
+		}
+	}
+}
+
+// connectOnce makes one connection and waits for its end, which it brings about itself where ctx ends. It returns whether the
+// connection was made, and why it was not or why it closed.
+func (l *Link) connectOnce(ctx context.Context) (connected bool, reason error) {
+	handler := &linkHandler{Handler: l.newHandler(), closed: make(chan struct{})}
+	c, err := l.dialer.Dial(ctx, l.addr, l.timeout, handler)
+	if err != nil {
+		return false, err
+	}
+	select {
+	case <-handler.closed:
+	case <-ctx.Done():
+		c.Close(ErrStopping)
+		<-handler.closed
+	}
+	return true, handler.reason
+}
+
+// Stop ends the link and waits for its connection to close.
+func (l *Link) Stop() {
+	l.cancel()
+	<-l.done
+}
+
+// Cancel ends the link without waiting, for callers that the link's handler may be waiting for.
+func (l *Link) Cancel() { l.cancel() }
+
+// linkHandler is the handler of a link's connection, which also tells the link of its end.
+type linkHandler struct {
+	Handler
+	closed chan struct{} // closed by Closed
+	reason error         // set before closed is closed
+}
+
+// Opened implements Opener.
+func (h *linkHandler) Opened(c *Conn) {
+	if opener, ok := h.Handler.(Opener); ok {
+		opener.Opened(c)
+	}
+}
+
+// Closed implements Handler.
+func (h *linkHandler) Closed(c *Conn, reason error) {
+	h.Handler.Closed(c, reason)
+	h.reason = reason
+	close(h.closed)
+}
--- a/internal/transport/outbox.go
+++ b/internal/transport/outbox.go
@@ -1,62 +1,71 @@
 package transport
 
-// Outbox gathers what one step of a core has for one connection, so that it goes to the loop together. It belongs to the
-// owner of the core.
+// Outbox collects the messages that one step has for one connection, so that they go to its event loop together. It belongs
+// to the goroutine that makes the steps. The zero value is empty and ready to use.
 type Outbox struct {
-	out   []byte
-	timed []timed
+	bytes    []byte
+	expiring []expiringMessage
 }
 
-// timed is a part of an outbox that is only worth writing for a while.
-type timed struct {
+// expiringMessage is a part of an outbox's bytes that is to be written only while it is of use.
+type expiringMessage struct {
 	begin, end int
-	wanted     func() bool
-	late       func()
+	wanted     func() bool // nil: always
+	expired    func()
 }
 
-// Empty tells whether nothing was put in since the last flush.
-func (o *Outbox) Empty() bool { return len(o.out) == 0 }
+// Empty reports whether nothing was put in since the last flush.
+func (o *Outbox) Empty() bool { return len(o.bytes) == 0 }
 
-// Put has encode append bytes.
+// Put has encode append a message. The error is that of encode, and the outbox is then unchanged.
 func (o *Outbox) Put(encode func(dst []byte) ([]byte, error)) error {
-	out, err := encode(o.out)
+	bytes, err := encode(o.bytes)
 	if err == nil {
-		o.out = out
+		o.bytes = bytes
 	}
 	return err
 }
 
-// PutExpiring is Put of a part that is dropped where, at its write, it is no longer in time or not wanted any more; late is then
-// called, on the loop or on the owner's goroutine. wanted is asked on the loop; nil: always.
-func (o *Outbox) PutExpiring(encode func(dst []byte) ([]byte, error), wanted func() bool, late func()) error {
-	begin := len(o.out)
+// PutExpiring is Put for a message that is dropped if, when it is to be written, the flush is no longer in time or wanted
+// returns false; expired is then called. wanted is called on the event loop, and may be nil; expired is called on the event
+// loop or on the goroutine that flushes. Neither is called where PutExpiring fails.
+func (o *Outbox) PutExpiring(encode func(dst []byte) ([]byte, error), wanted func() bool, expired func()) error {
+	begin := len(o.bytes)
 	if err := o.Put(encode); err != nil {
 		return err
 	}
-	o.timed = append(o.timed, timed{begin, len(o.out), wanted, late})
+	o.expiring = append(o.expiring, expiringMessage{begin, len(o.bytes), wanted, expired})
 	return nil
 }
 
-// Flush hands it all to the connection's loop. Risk covered: a process that is stopped between a decision and its write
-// would write it long after it had become wrong. What a connection that is cut off can't take counts as late too.
+// Flush hands the messages to the connection's event loop and empties the outbox. inTime is called on the event loop: a
+// process that is stopped between a decision and its write would write it long after it had become wrong. If c is nil, or
+// the connection cannot take the messages, all expiring ones expire.
 func (o *Outbox) Flush(c *Conn, inTime func() bool) {
-	out, parts := o.out, o.timed
-	o.out, o.timed = nil, nil
-	sent := c != nil && c.RunInLoop(len(out), func(write func([]byte)) {
-		at, still := 0, len(parts) == 0 || inTime()
-		for _, p := range parts {
-			if still && (p.wanted == nil || p.wanted()) {
-				continue
-			}
-			write(out[at:p.begin])
-			p.late()
-			at = p.end
-		}
-		write(out[at:])
+	bytes, expiring := o.bytes, o.expiring
+	o.bytes, o.expiring = nil, nil
+	queued := c != nil && c.RunInLoop(len(bytes), func(write func([]byte)) {
+		writeUnexpired(write, bytes, expiring, inTime)
 	})
-	if !sent {
-		for _, p := range parts {
-			p.late()
+	if queued {
+		return
+	}
+	for _, m := range expiring {
+		m.expired()
+	}
+}
+
+// writeUnexpired writes the bytes without the messages that have expired, in order.
+func writeUnexpired(write func([]byte), bytes []byte, expiring []expiringMessage, inTime func() bool) {
+	written := 0
+	current := len(expiring) == 0 || inTime()
+	for _, m := range expiring {
+		if current && (m.wanted == nil || m.wanted()) {
+			continue
 		}
+		write(bytes[written:m.begin])
+		m.expired()
+		written = m.end
 	}
+	write(bytes[written:])
 }
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -11,30 +11,37 @@
 	"github.com/panjf2000/gnet/v2/pkg/logging"
 )
 
-// Server is a listener with its own event loops.
+const (
+	// serverKeepAlive is the interval of TCP keep-alive probes on accepted connections.
+	serverKeepAlive = 30 * time.Second
+	// stopRetryInterval is how often Stop repeats the request to gnet's engine.
+	stopRetryInterval = 5 * time.Millisecond
+)
+
+// Server is a listener with its own event loops. Several goroutines may use it. Stop ends it.
 type Server struct {
 	engine gnet.Engine
 	addr   string
-	done   chan error
+	done   chan error // receives the result of the engine's goroutine
 }
 
-// Listen binds addr (host:port; port 0 picks one) and serves. accept makes the peer of each new connection; it
-// is called on that connection's loop.
-func Listen(addr string, opt Options, accept func(c *Conn) Handler) (*Server, error) {
+// Listen binds addr, as host:port where port 0 picks one, and serves. newHandler makes the handler of each new connection; it
+// is called on that connection's event loop. The error says that the address is malformed or cannot be listened at.
+func Listen(addr string, options Options, newHandler func(c *Conn) Handler) (*Server, error) {
 	if _, _, err := net.SplitHostPort(addr); err != nil {
 		return nil, fmt.Errorf("transport: listen address %q: %w", addr, err)
 	}
-	h := &handler{opt: opt.withDefaults(), accept: accept, booted: make(chan gnet.Engine, 1)}
+	events := &eventHandler{options: options.withDefaults(), newHandler: newHandler, booted: make(chan gnet.Engine, 1)}
 	s := &Server{done: make(chan error, 1)}
-	go func() { s.done <- gnet.Run(h, "tcp://"+addr, engineOptions(h.opt)...) }()
+	go func() { s.done <- gnet.Run(events, "tcp://"+addr, engineOptions(events.options)...) }()
 	select {
-	case s.engine = <-h.booted:
+	case s.engine = <-events.booted:
 	case err := <-s.done:
 		return nil, fmt.Errorf("transport: listen on %s: %w", addr, err)
 	}
 	bound, err := boundAddress(s.engine)
 	if err != nil {
-		_ = s.Stop(context.Background())
+		_ = s.Stop(context.Background()) // err says more
 		return nil, fmt.Errorf("transport: address of %s: %w", addr, err)
 	}
 	s.addr = bound
@@ -43,52 +50,45 @@
 
 func engineOptions(o Options) []gnet.Option {
 	return []gnet.Option{gnet.WithNumEventLoop(o.Loops), gnet.WithTCPNoDelay(gnet.TCPNoDelay),
-		gnet.WithReuseAddr(true), gnet.WithTCPKeepAlive(30 * time.Second),
-		gnet.WithLogger(quiet{}), gnet.WithLogLevel(logging.FatalLevel)}
+		gnet.WithReuseAddr(true), gnet.WithTCPKeepAlive(serverKeepAlive),
+		gnet.WithLogger(discardLogger{}), gnet.WithLogLevel(logging.FatalLevel)}
 }
 
-func boundAddress(e gnet.Engine) (string, error) {
-	fd, err := e.Dup()
+// boundAddress returns the address at which an engine listens.
+func boundAddress(engine gnet.Engine) (string, error) {
+	descriptor, err := engine.Dup()
 	if err != nil {
 		return "", err
 	}
-	defer syscall.Close(fd)
-	sa, err := syscall.Getsockname(fd)
+	defer func() { _ = syscall.Close(descriptor) }() // a duplicate that was only read
+	address, err := syscall.Getsockname(descriptor)
 	if err != nil {
 		return "", err
 	}
-	switch sa := sa.(type) {
+	switch address := address.(type) {
 	case *syscall.SockaddrInet4:
-		return (&net.TCPAddr{IP: sa.Addr[:], Port: sa.Port}).String(), nil
+		return (&net.TCPAddr{IP: address.Addr[:], Port: address.Port}).String(), nil
 	case *syscall.SockaddrInet6:
-		return (&net.TCPAddr{IP: sa.Addr[:], Port: sa.Port}).String(), nil
+		return (&net.TCPAddr{IP: address.Addr[:], Port: address.Port}).String(), nil
 	}
-	return "", fmt.Errorf("unknown kind of address %T", sa)
+	return "", fmt.Errorf("unknown address type %T", address)
 }
 
-// Addr is the bound address, with the port that was picked.
+// Addr returns the bound address, with the port that was picked.
 func (s *Server) Addr() string { return s.addr }
 
-// Stop closes the listener and all connections and waits for the loops to end.
+// Stop closes the listener and all connections and waits for the event loops to end. The error is theirs, or that of ctx if it
+// ends first.
 func (s *Server) Stop(ctx context.Context) error {
-	// gnet's engine may not have finished booting its loops when it hands itself out: it is asked again.
+	// gnet may pass the engine out before its loops run, and a Stop is lost then: it is repeated.
 	for {
-		_ = s.engine.Stop(ctx)
+		_ = s.engine.Stop(ctx) // the result comes by done
 		select {
 		case err := <-s.done:
 			return err
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(5 * time.Millisecond):
+		case <-time.After(stopRetryInterval):
 		}
 	}
 }
-
-// quiet drops what gnet logs: what matters of it reaches Closed.
-type quiet struct{}
-
-func (quiet) Debugf(string, ...any) {}
-func (quiet) Infof(string, ...any)  {}
-func (quiet) Warnf(string, ...any)  {}
-func (quiet) Errorf(string, ...any) {}
-func (quiet) Fatalf(string, ...any) {}
--- /dev/null
+++ b/internal/transport/timeouts.go
@@ -0,0 +1,61 @@
+package transport
+
+import (
+	"fmt"
+	"math"
+	"time"
+)
+
+// neverIdle stands in Conn.lastRead for a connection without an idle timeout.
+const neverIdle = math.MaxInt64
+
+// SetMessageTimeout closes the connection with ErrPartialMessage unless it is called again within timeout; 0 removes the
+// timeout. It is for the event loop only.
+func (c *Conn) SetMessageTimeout(timeout time.Duration) {
+	if c.messageTimer != nil {
+		c.messageTimer.Stop()
+		c.messageTimer = nil
+	}
+	if timeout > 0 && !c.closed.Load() {
+		c.messageTimer = time.AfterFunc(timeout, func() { c.Close(ErrPartialMessage) })
+	}
+}
+
+// DisableIdleTimeout removes the idle timeout, for a connection on which only this side sends.
+func (c *Conn) DisableIdleTimeout() { c.lastRead.Store(neverIdle) }
+
+// startIdleTimer starts the idle timeout, if there is one. It is called on the event loop when the connection opens.
+func (c *Conn) startIdleTimer() {
+	if c.options.IdleTimeout > 0 {
+		c.idleTimer = time.AfterFunc(c.options.IdleTimeout, c.checkIdle)
+	}
+}
+
+// markRead notes that bytes were read.
+func (c *Conn) markRead() {
+	if c.options.IdleTimeout > 0 && c.lastRead.Load() != neverIdle {
+		c.lastRead.Store(time.Now().UnixNano())
+	}
+}
+
+// stopTimers ends all timeouts. It is called on the event loop when the connection closes.
+func (c *Conn) stopTimers() {
+	if c.idleTimer != nil {
+		c.idleTimer.Stop()
+	}
+	c.SetMessageTimeout(0)
+}
+
+// checkIdle runs in the timer's goroutine; it only reads an atomic and queues a close.
+func (c *Conn) checkIdle() {
+	lastRead := c.lastRead.Load()
+	if lastRead == neverIdle {
+		return
+	}
+	idle := time.Duration(time.Now().UnixNano() - lastRead)
+	if idle >= c.options.IdleTimeout {
+		c.Close(fmt.Errorf("%w: nothing was read for %v", ErrIdleTimeout, idle.Round(time.Millisecond)))
+		return
+	}
+	c.idleTimer.Reset(c.options.IdleTimeout - idle)
+}
