--- a/internal/platform/loop.go
+++ b/internal/platform/loop.go
@@ -11,7 +11,7 @@
 // runLoop is the state of the goroutine that owns the core, between its steps.
 type runLoop struct {
 	*Scheduler
-	timer    *time.Timer      // fires when the core asked for its next step
+	timer    *time.Timer      // fires when the core's next step is due
 	inputs   []requests.Input // of the next step
 	batch    []message        // reused by each step
 	shutdown gracefulShutdown
--- a/internal/platform/mailbox_test.go
+++ b/internal/platform/mailbox_test.go
@@ -8,7 +8,7 @@
 	"flaxshelf.example/flaxshelf/internal/requests"
 )
 
-// disconnected is a message that tells of one connection's end.
+// disconnected is a message that reports one connection's end.
 func disconnected(conn requests.Conn) message {
 	return message{inputs: []requests.Input{requests.OwnerDisconnected{Conn: conn}}}
 }
--- a/internal/platform/nodes.go
+++ b/internal/platform/nodes.go
@@ -37,7 +37,7 @@
 	return used, err
 }
 
-// decode reads the whole messages at the start of in, and how many bytes they take.
+// decode decodes the complete messages at the start of in, and returns how many bytes they take.
 func (h *nodeHandler) decode(in []byte) (inputs []requests.Input, used int, err error) {
 	for {
 		m, size, err := nodeparam.Next(in[used:])
--- a/internal/platform/owners.go
+++ b/internal/platform/owners.go
@@ -59,7 +59,7 @@
 	return used, err
 }
 
-// decode reads the whole messages at the start of in, and how many bytes they take.
+// decode decodes the complete messages at the start of in, and returns how many bytes they take.
 func (h *ownerHandler) decode(c *transport.Conn, in []byte, now requests.Time) (inputs []requests.Input, used int, err error) {
 	config := h.scheduler.config.Load()
 	for {
--- a/internal/platform/partial.go
+++ b/internal/platform/partial.go
@@ -6,7 +6,7 @@
 	"flaxshelf.example/flaxshelf/internal/transport"
 )
 
-// partialMessage tells whether a message on a connection has arrived in part. It belongs to the event loop.
+// partialMessage is whether a message on a connection has arrived in part. It belongs to the event loop.
 type partialMessage bool
 
 // update notes that a handler has used some of the bytes that were received, and sets the timeout for the rest of a partial
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -45,7 +45,7 @@
 	maxPendingRequests = 2048
 	// maxPendingPerConnection is how many of them may have come on one connection.
 	maxPendingPerConnection = maxPendingRequests / 8
-	// maxProtocolErrors is how many malformed requests a connection may send without being closed.
+	// maxProtocolErrors is how many malformed requests in a row a connection may send without being closed.
 	maxProtocolErrors = 3
 )
 
--- a/internal/platform/shutdown_test.go
+++ b/internal/platform/shutdown_test.go
@@ -141,8 +141,8 @@
 	}
 }
 
-// Node updates of a reloaded configuration are applied though its other settings are not: a drain that only the file tells
-// of is a drain.
+// Node updates of a reloaded configuration are applied though its other settings are not: a drain that only the file
+// reports is applied too.
 func TestReloadAppliesDrain(t *testing.T) {
 	s, drained, c := startSchedulerWithTask(t)
 	b, err := os.ReadFile(s.configPath)
--- a/internal/transport/link.go
+++ b/internal/transport/link.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// connectOnce makes one connection and waits for its end, which it brings about itself where ctx ends. It returns whether the
-// connection was made, and why it was not or why it closed.
+// connectOnce makes one connection and waits until it has closed; it closes the connection itself when ctx ends. It returns
+// whether the connection was made, and why it was not or why it closed.
 func (l *Link) connectOnce(ctx context.Context) (connected bool, reason error) {
 	handler := &linkHandler{Handler: l.newHandler(), closed: make(chan struct{})}
 	c, err := l.dialer.Dial(ctx, l.addr, l.timeout, handler)
@@ -97,7 +97,7 @@
 // Cancel ends the link without waiting, for callers that the link's handler may be waiting for.
 func (l *Link) Cancel() { l.cancel() }
 
-// linkHandler is the handler of a link's connection, which also tells the link of its end.
+// linkHandler is the handler of a link's connection, which also signals the link that it has closed.
 type linkHandler struct {
 	Handler
 	closed chan struct{} // closed by Closed
--- a/internal/transport/timeouts.go
+++ b/internal/transport/timeouts.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// neverIdle stands in Conn.lastRead for a connection without an idle timeout.
+// neverIdle is the value of Conn.lastRead of a connection without an idle timeout.
 const neverIdle = math.MaxInt64
 
 // SetMessageTimeout closes the connection with ErrPartialMessage unless it is called again within timeout; 0 removes the
