--- /dev/null
+++ b/internal/daemon/clienthandler.go
@@ -0,0 +1,190 @@
+package daemon
+
+import (
+	"errors"
+	"fmt"
+	"net/http"
+	"time"
+
+	"flaxshelf.example/flaxshelf/drmaa2"
+	"flaxshelf.example/flaxshelf/internal/codec/httpcodec"
+	"flaxshelf.example/flaxshelf/internal/front/drmaafront"
+	"flaxshelf.example/flaxshelf/internal/scheduler"
+	"flaxshelf.example/flaxshelf/internal/shard"
+	"flaxshelf.example/flaxshelf/internal/transport"
+)
+
+var (
+	errResponseSent       = errors.New("daemon: the last response was sent")
+	errTooManyConnections = errors.New("daemon: too many connections")
+	errRequestTimeout     = errors.New("daemon: a request took too long to arrive")
+)
+
+// overLimitTimeout is how long a connection over the limit may take until it is rejected without a request.
+const overLimitTimeout = time.Second
+
+// clientHandler reads the requests of one client connection and answers them one after the other. It belongs to the
+// connection's event loop.
+type clientHandler struct {
+	daemon         *Daemon
+	parser         httpcodec.Parser
+	requestPending bool // a request waits for a core, or events follow
+	streaming      bool
+	overLimit      bool
+	overLimitTimer *time.Timer // until a connection over the limit is rejected; nil for others
+	requestBegan   time.Time   // of a request that is not complete; zero when none is
+	requestTimer   *time.Timer // until that request is rejected; nil before the first
+}
+
+// accept makes the handler of a client's connection.
+func (d *Daemon) accept(*transport.Conn) transport.Handler {
+	count := d.clientCount.Add(1)
+	d.metrics.clients.Set(float64(count))
+	return &clientHandler{daemon: d, overLimit: count > int64(d.settings.Limits.Connections)}
+}
+
+// Opened limits the time of a connection over the limit. It is rejected when its request has arrived, since clients
+// would take a response that precedes their request for a fault.
+func (h *clientHandler) Opened(c *transport.Conn) {
+	if h.overLimit {
+		h.overLimitTimer = time.AfterFunc(overLimitTimeout, func() {
+			c.RunInLoop(0, func(func([]byte)) { h.rejectOverLimit(c) })
+		})
+	}
+}
+
+func (h *clientHandler) rejectOverLimit(c *transport.Conn) {
+	c.WriteInLoop(drmaafront.Busy(true))
+	c.CloseInLoop(errTooManyConnections)
+}
+
+// Receive implements transport.Handler.
+func (h *clientHandler) Receive(c *transport.Conn, received []byte) (int, error) {
+	switch {
+	case h.streaming:
+		return len(received), nil // nothing more is expected on a stream
+	case h.requestPending:
+		return 0, nil
+	}
+	request, used, sendContinue, err := h.parser.Parse(received)
+	if sendContinue {
+		c.WriteInLoop(httpcodec.Continue)
+	}
+	if err != nil {
+		h.rejectMalformed(c, err)
+		return len(received), errResponseSent
+	}
+	if request == nil {
+		h.limitRequestTime(c)
+		return 0, nil
+	}
+	h.requestBegan = time.Time{}
+	stopTimer(h.requestTimer)
+	if h.overLimit {
+		h.rejectOverLimit(c)
+		return used, nil
+	}
+	h.serve(c, request)
+	return used, nil
+}
+
+// limitRequestTime limits the time of a request that has begun. The idle timeout does not do: a client that sends a
+// byte a second is never idle and would hold its connection forever.
+func (h *clientHandler) limitRequestTime(c *transport.Conn) {
+	if !h.requestBegan.IsZero() {
+		return
+	}
+	began := time.Now()
+	h.requestBegan = began
+	h.requestTimer = time.AfterFunc(h.daemon.settings.Limits.Request.Of(), func() {
+		c.RunInLoop(0, func(func([]byte)) {
+			if h.requestBegan.Equal(began) {
+				h.rejectSlow(c)
+			}
+		})
+	})
+}
+
+func (h *clientHandler) rejectSlow(c *transport.Conn) {
+	c.WriteInLoop(drmaafront.ErrorResponse(http.StatusRequestTimeout, &drmaa2.Error{Code: drmaa2.InvalidArgument,
+		Message: fmt.Sprintf("the request did not come whole within %v", h.daemon.settings.Limits.Request.Of())}, true))
+	c.CloseInLoop(errRequestTimeout)
+}
+
+// rejectMalformed answers bytes that are no request.
+func (h *clientHandler) rejectMalformed(c *transport.Conn, err error) {
+	status, text := http.StatusBadRequest, err.Error()
+	var malformed *httpcodec.Error
+	if errors.As(err, &malformed) {
+		status, text = malformed.Status, malformed.Message
+	}
+	h.daemon.metrics.malformedRequests.Inc()
+	c.WriteInLoop(drmaafront.ErrorResponse(status, &drmaa2.Error{Code: drmaa2.InvalidArgument, Message: text}, true))
+}
+
+func (h *clientHandler) serve(c *transport.Conn, request *httpcodec.Request) {
+	call := h.daemon.front.Route(request)
+	if call.Response != nil {
+		h.respond(c, call, call.Response)
+		return
+	}
+	h.requestPending = true
+	events := &eventStream{client: h, conn: c}
+	if call.Stream {
+		events.position = shard.ParsePosition(call.Since, len(h.daemon.runners))
+	}
+	m := message{receivedAt: time.Now(), reply: func(a *scheduler.Answer) {
+		answer := *a
+		c.RunInLoop(eventBytes, func(func([]byte)) { h.complete(c, call, events, &answer) })
+	}}
+	if !h.daemon.dispatch(call, m, events) {
+		events.ended.Store(true)
+		h.requestPending = false
+		h.respond(c, call, drmaafront.Busy(call.Closes))
+	}
+}
+
+// complete responds with the answer of the cores, in the event loop.
+func (h *clientHandler) complete(c *transport.Conn, call *drmaafront.Call, events *eventStream, answer *scheduler.Answer) {
+	if call.Stream && answer.Err == nil {
+		h.streaming = true
+		c.DisableIdleTimeout()
+		c.WriteInLoop(call.Encode(answer))
+		events.begin(c.WriteInLoop)
+		return
+	}
+	events.ended.Store(true)
+	h.requestPending = false
+	h.respond(c, call, call.Encode(answer))
+	c.Resume()
+}
+
+func (h *clientHandler) respond(c *transport.Conn, call *drmaafront.Call, response []byte) {
+	c.WriteInLoop(response)
+	if call.Closes {
+		c.CloseInLoop(errResponseSent)
+	}
+}
+
+func stopTimer(timer *time.Timer) {
+	if timer != nil {
+		timer.Stop()
+	}
+}
+
+// Closed implements transport.Handler.
+func (h *clientHandler) Closed(c *transport.Conn, reason error) {
+	stopTimer(h.overLimitTimer)
+	stopTimer(h.requestTimer)
+	h.daemon.metrics.clients.Set(float64(h.daemon.clientCount.Add(-1)))
+	if isClientFault(reason) {
+		h.daemon.metrics.clientsDisconnected.Inc()
+		h.daemon.log.Warn().Err(reason).Str("client", c.Remote()).Msg("client connection closed: client too slow")
+	}
+}
+
+// isClientFault reports whether a connection was closed because its client reads or sends too slowly or too much.
+func isClientFault(reason error) bool {
+	return errors.Is(reason, transport.ErrSlowReader) || errors.Is(reason, transport.ErrReadBufferFull) ||
+		errors.Is(reason, errRequestTimeout)
+}
--- a/internal/daemon/core.go
+++ b/internal/daemon/core.go
@@ -3,11 +3,10 @@
 import (
 	"errors"
 	"fmt"
-	"slices"
+	"sync"
 	"time"
 
 	"flaxshelf.example/flaxshelf/internal/clock"
-	"flaxshelf.example/flaxshelf/internal/front/nodefront"
 	"flaxshelf.example/flaxshelf/internal/replay"
 	"flaxshelf.example/flaxshelf/internal/scheduler"
 	"flaxshelf.example/flaxshelf/internal/shard"
@@ -15,292 +14,184 @@
 )
 
 const (
-	pace    = 500 * time.Microsecond // least time between steps, so that a burst shares them
-	mailbox = 1 << 16                // messages that may wait for a core
-	batch   = 4096                   // of which one step takes
+	minStepInterval = 500 * time.Microsecond // between steps, so that the inputs of a burst share them
+	mailboxCapacity = 1 << 16                // messages that may wait for a core
+	maxStepInputs   = 4096                   // that one step takes
 )
 
-// message is what loops pass to the owner of a core.
+// message is what event loops pass to the goroutine that owns a core. Exactly one of stop, input and buildInput is set.
 type message struct {
-	in      scheduler.Input
-	reply   func(*scheduler.Answer)    // for inputs with a request
-	stream  func(*scheduler.Info) bool // for a watch: false ends it
-	beat    func() bool                // of the stream; nil where another core does it
-	came    time.Time                  // when the request had been read
-	submits bool
-	from    *transport.Conn   // of a node
-	addrs   map[string]string // of a listing
+	stop       bool
+	input      scheduler.Input
+	buildInput func(requestID, streamID uint64) scheduler.Input // of a client's request, which the owner numbers
+
+	reply      func(*scheduler.Answer)    // to a client's request
+	publish    func(*scheduler.Info) bool // a change to the client of a Watch; false ends the stream
+	heartbeat  func() bool                // to the client of a Watch; false ends the stream
+	receivedAt time.Time                  // when the client's request had been read
+	isNewJob   bool                       // a submission; set by the owner
+
+	conn      *transport.Conn   // of a NodeUp
+	addresses map[string]string // of the nodes in a NodesUpdated
 }
 
-// core is one scheduler.Core with the goroutine that owns it. All its fields but the channels are the owner's.
-type core struct {
-	d       *Daemon
-	i       int
-	machine *scheduler.Core
-	box     chan message
-	done    chan struct{}
-	drained chan struct{}
-	tap     *replay.Writer
-
-	req      uint64
-	waiting  map[uint64]message
-	streams  map[uint64]message
-	came     map[string]time.Time // of jobs not yet offered
-	links    map[string]*outgoing
-	addrs    map[string]string
-	scratch  scratch
-	draining bool
+// coreRunner is a scheduler.Core with the goroutine that owns it. Other goroutines may call enqueue, tryEnqueue and
+// requeue, and read done and drained; all else belongs to the owner.
+type coreRunner struct {
+	daemon       *Daemon
+	index        int
+	core         *scheduler.Core
+	mailbox      chan message
+	done         chan struct{} // closed when the owner has ended
+	drained      chan struct{} // closed when a draining core has no open request any more
+	isDrained    bool
+	recorder     *replay.Writer // of the module's steps; nil without the setting
+	blockedSends sync.WaitGroup // goroutines of requeue; none is added once the event loops have ended
+
+	lastRequestID uint64
+	pending       map[uint64]message   // requests by ID that wait for their answer
+	streams       map[uint64]message   // Watch requests by stream ID
+	submittedAt   map[string]time.Time // of jobs not yet offered, by job ID
+	outboxes      map[string]*nodeOutbox
+	unflushed     []*nodeOutbox     // those with frames of the current step
+	addresses     map[string]string // of nodes
+	offer         offerFrame
 }
 
-func newCore(d *Daemon, i, n int) (*core, error) {
-	c := &core{d: d, i: i, box: make(chan message, mailbox), done: make(chan struct{}), drained: make(chan struct{}),
-		waiting: map[uint64]message{}, streams: map[uint64]message{}, came: map[string]time.Time{},
-		links: map[string]*outgoing{}, addrs: map[string]string{}}
-	c.scratch.init()
-	cfg := shard.Divide(d.set.Core(d.boot), i, n)
-	if d.set.Tap != "" {
-		path := d.set.Tap
-		if i > 0 {
-			path += fmt.Sprintf(".%d", i)
-		}
-		tap, err := replay.Create(path, cfg.Module, cfg.Seed)
+func newCoreRunner(d *Daemon, index, coreCount int) (*coreRunner, error) {
+	r := &coreRunner{daemon: d, index: index, mailbox: make(chan message, mailboxCapacity), done: make(chan struct{}),
+		drained: make(chan struct{}), pending: map[uint64]message{}, streams: map[uint64]message{},
+		submittedAt: map[string]time.Time{}, outboxes: map[string]*nodeOutbox{}, addresses: map[string]string{}}
+	r.offer.init()
+	config := shard.Divide(d.settings.Core(d.startedAt), index, coreCount)
+	config.WrapStep = d.metrics.timeModuleStep
+	if d.settings.Tap != "" {
+		recorder, err := replay.Create(recordingPath(d.settings.Tap, index), config.Module, config.Seed)
 		if err != nil {
 			return nil, err
 		}
-		c.tap, cfg.RecordStep = tap, tap.Step
+		r.recorder, config.RecordStep = recorder, recorder.Step
 	}
-	cfg.WrapStep = d.metrics.module
-	var err error
-	if c.machine, err = scheduler.New(cfg); err != nil {
-		if c.tap != nil {
-			err = errors.Join(err, c.tap.Close())
-		}
-		return nil, err
+	core, err := scheduler.New(config)
+	if err != nil {
+		return nil, errors.Join(err, closeRecorder(r.recorder))
 	}
-	return c, nil
+	r.core = core
+	return r, nil
 }
 
-// pass hands a message to the owner and waits for room; not for loops.
-func (c *core) pass(m message) {
+// recordingPath is where the steps of a core's module are recorded.
+func recordingPath(path string, index int) string {
+	if index == 0 {
+		return path
+	}
+	return fmt.Sprintf("%s.%d", path, index)
+}
+
+// enqueue passes a message to the owner and waits while the mailbox is full; not for event loops.
+func (r *coreRunner) enqueue(m message) {
 	select {
-	case c.box <- m:
-	case <-c.done:
+	case r.mailbox <- m:
+	case <-r.done:
 	}
 }
 
-// offer hands a message to the owner if there is room; for loops.
-func (c *core) offer(m message) bool {
+// tryEnqueue passes a message to the owner if the mailbox has room; for event loops.
+func (r *coreRunner) tryEnqueue(m message) bool {
 	select {
-	case c.box <- m:
+	case r.mailbox <- m:
 		return true
 	default:
-		c.d.metrics.full.Inc()
+		r.daemon.metrics.mailboxFull.Inc()
 		return false
 	}
 }
 
-// own is the goroutine that owns the core.
-func (c *core) own() {
-	defer close(c.done)
-	floor()
-	defer keepFloor()
+// requeue gives the core an input in a later step. It must not be lost, and neither the owner, which would wait for
+// itself, nor an event loop may wait: if the mailbox is full, a goroutine does.
+func (r *coreRunner) requeue(input scheduler.Input) {
+	m := message{input: input}
+	if !r.tryEnqueue(m) {
+		r.blockedSends.Go(func() { r.enqueue(m) })
+	}
+}
+
+// discardMail empties the mailbox of a runner whose goroutine has ended until closed is closed.
+func (r *coreRunner) discardMail(closed <-chan struct{}) {
+	for {
+		select {
+		case <-r.mailbox:
+		case <-closed:
+			return
+		}
+	}
+}
+
+// run is the goroutine that owns the core. It ends with the message to stop.
+func (r *coreRunner) run() {
+	defer close(r.done)
+	gcBallast()
+	defer keepGCBallast()
 	wake := time.NewTimer(0)
+	heartbeat, ping := time.NewTicker(streamHeartbeatInterval), time.NewTicker(pingInterval)
 	defer wake.Stop()
-	beat, ping := time.NewTicker(beatEvery), time.NewTicker(pingEvery)
-	defer beat.Stop()
+	defer heartbeat.Stop()
 	defer ping.Stop()
-	var last time.Time
+	var lastStep time.Time
 	for {
 		var inputs []scheduler.Input
-		var stop bool
 		select {
-		case m := <-c.box:
-			stop = c.take(m, &inputs)
+		case m := <-r.mailbox:
+			if m.stop {
+				return
+			}
+			inputs = r.appendInput(inputs, m)
 		case <-wake.C:
-		case <-beat.C:
-			c.beat()
+		case <-heartbeat.C:
+			r.sendHeartbeats()
 			continue
 		case <-ping.C:
-			c.ping()
+			r.pingPeers()
 			continue
 		}
-		if rest := pace - time.Since(last); rest > 0 && !stop {
+		if rest := minStepInterval - time.Since(lastStep); rest > 0 {
 			time.Sleep(rest)
 		}
-	drain:
-		for !stop && len(inputs) < batch {
-			select {
-			case m := <-c.box:
-				stop = c.take(m, &inputs)
-			default:
-				break drain
-			}
-		}
+		inputs, stop := r.collectInputs(inputs)
 		if stop {
 			return
 		}
-		last = time.Now()
-		now := clock.At(last)
-		out := c.machine.Step(now, inputs)
-		if c.d.hook != nil {
-			out.Effects = c.d.hook.Out(now, out.Effects)
-		}
-		c.carry(now, out.Effects)
-		c.d.metrics.step(time.Since(last), len(inputs))
-		wake.Reset(max(out.Wake-clock.Now(), 0))
+		lastStep = time.Now()
+		wakeAt := r.step(lastStep, inputs)
+		wake.Reset(max(wakeAt-clock.Now(), 0))
 	}
 }
 
-// take prepares a message for the core. It is true for the message that stops the daemon.
-func (c *core) take(m message, inputs *[]scheduler.Input) bool {
-	switch in := m.in.(type) {
-	case nil:
-		return true
-	case scheduler.NodesUpdated:
-		if len(c.d.cores) > 1 { // the core writes into it, and others have the same
-			in.Machines = slices.Clone(in.Machines)
-			m.in = in
-		}
-		for name, a := range m.addrs {
-			c.addrs[name] = a
-		}
-	case scheduler.NodeUp:
-		if !c.d.nodes.wanted(in.Node) {
-			m.from.Close(errors.New("daemon: the node is no longer asked for"))
-			return false
-		}
-		c.link(in.Node).conn = m.from
-	case scheduler.NodeDown:
-		if l := c.links[in.Node]; l != nil {
-			l.conn = nil
-		}
-	case numbered:
-		c.req++
-		if m.reply != nil {
-			c.waiting[c.req] = m
-		}
-		if m.stream != nil {
-			c.streams[c.req] = m
-		}
-		m.in = in.call(c.req, c.req)
-		if s, ok := m.in.(scheduler.Submit); ok && m.reply != nil {
-			s.ReceivedAt = clock.At(m.came)
-			m.in, m.submits = s, true
-			c.waiting[c.req] = m
-		}
-	}
-	if c.d.hook != nil {
-		m.in = c.d.hook.In(m.in)
-	}
-	*inputs = append(*inputs, m.in)
-	return false
-}
-
-// numbered is a request that waits for its number.
-type numbered struct {
-	scheduler.Input
-	call func(req, stream uint64) scheduler.Input
-}
-
-// carry carries out effects in order. Frames for one node go to its loop together.
-func (c *core) carry(now scheduler.Time, effects []scheduler.Effect) {
-	var touched []*outgoing
-	to := func(node string) *outgoing {
-		l := c.links[node]
-		if l == nil || l.conn == nil {
-			return nil
-		}
-		if l.box.Empty() {
-			touched = append(touched, l)
-		}
-		return l
-	}
-	for _, e := range effects {
-		switch e := e.(type) {
-		case scheduler.SendOffer:
-			c.d.metrics.offers.Inc()
-			if came, ok := c.came[e.Job]; ok {
-				delete(c.came, e.Job)
-				c.d.metrics.toOffer.record(time.Since(came))
-			}
-			if l := to(e.Node); l != nil {
-				c.putOffer(l, &e)
-			} else {
-				c.late(e.Node, e.Attempt)
-			}
-		case scheduler.SendStop:
-			if l := to(e.Node); l != nil {
-				l.put(nodefront.Stop(e.Attempt))
-			}
-		case scheduler.SendAck:
-			if l := to(e.Node); l != nil {
-				l.put(nodefront.Ack(e.Attempt))
-			}
-		case scheduler.SendHealthCheck:
-			if l := to(e.Node); l != nil {
-				l.put(nodefront.Probe())
-			}
-		case scheduler.Connect:
-			c.connect(e.Node)
-		case scheduler.Disconnect:
-			delete(c.links, e.Node)
-			c.d.nodes.unwant(c.i, e.Node)
-		case scheduler.SubscribeDiscovery:
-			c.subscribe()
-		case scheduler.SyncDiscovery:
-			c.sync(e.Token)
-		case scheduler.SyncNode:
-			if l := to(e.Node); l != nil {
-				l.put(nodefront.Ping(shard.Token(c.i, e.Token)))
-			}
-		case scheduler.Answer:
-			if m, ok := c.waiting[e.Req]; ok {
-				delete(c.waiting, e.Req)
-				for i := range e.Jobs {
-					if m.submits && !e.Existing {
-						c.came[e.Jobs[i].ID] = m.came
-					}
-				}
-				if e.Err != nil {
-					delete(c.streams, e.Req)
-				}
-				m.reply(&e)
-			}
-		case scheduler.Publish:
-			if m, ok := c.streams[e.Stream]; ok && !m.stream(&e.Info) {
-				c.unwatch(e.Stream)
-			}
-		case scheduler.LogOutcome:
-			delete(c.came, e.Info.ID)
-			c.d.outcome(&e)
-		case scheduler.Drained:
-			if !c.draining {
-				c.draining = true
-				close(c.drained)
+// collectInputs adds the inputs that wait in the mailbox, up to the bound of a step. It is true after the message to
+// stop.
+func (r *coreRunner) collectInputs(inputs []scheduler.Input) ([]scheduler.Input, bool) {
+	for len(inputs) < maxStepInputs {
+		select {
+		case m := <-r.mailbox:
+			if m.stop {
+				return inputs, true
 			}
+			inputs = r.appendInput(inputs, m)
+		default:
+			return inputs, false
 		}
 	}
-	for _, l := range touched {
-		c.flush(l, now)
-	}
+	return inputs, false
 }
 
-func (c *core) unwatch(stream uint64) {
-	delete(c.streams, stream)
-	c.again(scheduler.Unwatch{Stream: stream})
-}
-
-// again gives the core an input in its next step.
-func (c *core) again(in scheduler.Input) {
-	if !c.offer(message{in: in}) {
-		go c.pass(message{in: in}) // the owner can't wait for itself
-	}
-}
-
-func (c *core) beat() {
-	for id, m := range c.streams {
-		if !m.beat() {
-			c.unwatch(id)
-		}
+// step steps the core, executes its effects and returns the time of the next step.
+func (r *coreRunner) step(began time.Time, inputs []scheduler.Input) (wakeAt scheduler.Time) {
+	now := clock.At(began)
+	output := r.core.Step(now, inputs)
+	if hook := r.daemon.hook; hook != nil {
+		output.Effects = hook.Out(now, output.Effects)
 	}
+	r.executeEffects(now, output.Effects)
+	r.daemon.metrics.recordStep(time.Since(began), len(inputs))
+	return output.Wake
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon owns a running scheduler: it joins cores to sockets, the clock, logs and metrics. It must
-// decide nothing about jobs; one goroutine owns each core, event loops only parse and pass on.
+// Package daemon runs a scheduler: it connects scheduler cores to sockets, the clock, logs and metrics. It must decide
+// nothing about jobs. One goroutine owns each core; the event loops of connections only parse and pass messages on.
 package daemon
 
 import (
@@ -14,7 +14,7 @@
 
 	"flaxshelf.example/flaxshelf/internal/clock"
 	"flaxshelf.example/flaxshelf/internal/front/drmaafront"
-	"flaxshelf.example/flaxshelf/internal/front/nodefront"
+	"flaxshelf.example/flaxshelf/internal/replay"
 	"flaxshelf.example/flaxshelf/internal/scheduler"
 	"flaxshelf.example/flaxshelf/internal/settings"
 	"flaxshelf.example/flaxshelf/internal/shard"
@@ -22,119 +22,125 @@
 )
 
 const (
-	beatEvery = 10 * time.Second // of event streams
-	pingEvery = time.Second      // of nodes and the inventory
-	peerIdle  = 5 * time.Second  // a node or inventory that does not answer pings is cut off
+	streamHeartbeatInterval = 10 * time.Second // of event streams to clients
+	pingInterval            = time.Second      // of nodes and the inventory
+	peerIdleTimeout         = 5 * time.Second  // a node or inventory that does not answer pings is disconnected
+	inventoryDialTimeout    = time.Second
+	closeTimeout            = 5 * time.Second // for queued writes to clients when the daemon stops
 )
 
-// Daemon is a running scheduler.
+// reconnectBackoff is the backoff of the links to nodes and to the inventory.
+var reconnectBackoff = transport.Backoff{Initial: 20 * time.Millisecond, Max: time.Second}
+
+// Daemon is a running scheduler. Its methods may be called from several goroutines.
 type Daemon struct {
-	set    *settings.Scheduler
-	log    zerolog.Logger
-	boot   scheduler.Time
-	shards *shard.Map
-	cores  []*core
-	front  *drmaafront.Front
-	hook   Hook
-	ended  sync.Once
-	err    error // of ending
-
-	server  *transport.Server
-	dialer  *transport.Dialer
-	nodes   nodes
-	list    atomic.Pointer[transport.Conn] // to the inventory; nil before the first
-	clients atomic.Int64
-	turn    atomic.Uint64 // of submissions without a key
-	metrics *metrics
+	settings  *settings.Scheduler
+	log       zerolog.Logger
+	startedAt scheduler.Time
+	shards    *shard.Map
+	runners   []*coreRunner
+	front     *drmaafront.Front
+	hook      Hook
+	closeOnce sync.Once
+	closeErr  error
+
+	server             *transport.Server
+	dialer             *transport.Dialer
+	nodes              nodeConnections
+	inventoryConn      atomic.Pointer[transport.Conn] // nil before the first
+	clientCount        atomic.Int64
+	keylessSubmissions atomic.Uint64 // spreads submissions without a key over the cores
+	metrics            *metrics
 }
 
-// Hook stands between the cores and the sockets. It is there for tests: of the rules' checker, whose host errs on
-// purpose, and of cores that stall. Both are called by the owner of a core.
+// Hook sees and changes what passes between the cores and the sockets. It is there for tests: of the rules' checker,
+// with a host that errs on purpose, and of cores that stall. Both methods are called by the goroutine that owns a core.
 type Hook interface {
+	// In returns the input that the core is given in place of the argument.
 	In(scheduler.Input) scheduler.Input
+	// Out returns the effects that are executed in place of those of the core's step at the time now.
 	Out(now scheduler.Time, effects []scheduler.Effect) []scheduler.Effect
 }
 
-// Start runs a daemon. Its address is known when Start returns.
+// Start runs a daemon. Its address is known when Start returns. The caller ends it with Shutdown or Stop.
 func Start(set *settings.Scheduler, log zerolog.Logger) (*Daemon, error) {
 	return StartHooked(set, log, nil)
 }
 
 // StartHooked is Start with a hook, for tests.
 func StartHooked(set *settings.Scheduler, log zerolog.Logger, hook Hook) (*Daemon, error) {
-	n := max(set.Cores, 1)
-	d := &Daemon{set: set, hook: hook, log: log.With().Str("scheduler", set.Name).Logger(), boot: clock.Now()}
-	d.shards, d.nodes.m = shard.New(set.Name, set.Core(d.boot), n), map[string]*nodeLink{}
-	var err error
-	if d.metrics, err = newMetrics(set.Metrics); err != nil {
-		return nil, err
+	coreCount := max(set.Cores, 1)
+	startedAt := clock.Now()
+	d := &Daemon{settings: set, hook: hook, log: log.With().Str("scheduler", set.Name).Logger(), startedAt: startedAt,
+		shards: shard.New(set.Name, set.Core(startedAt), coreCount), front: drmaafront.New(set, startedAt)}
+	d.nodes.byName = map[string]*nodeConnection{}
+	if err := d.open(coreCount); err != nil {
+		return nil, errors.Join(err, d.closeResources(context.Background()))
+	}
+	for _, runner := range d.runners {
+		go runner.run()
+	}
+	d.linkInventory()
+	d.log.Info().Str("address", d.server.Addr()).Str("inventory", set.Inventory).Int("cores", coreCount).
+		Msg("scheduler started")
+	return d, nil
+}
+
+// open makes what the daemon consists of; the cores' goroutines are not started yet. After an error the caller closes
+// what was opened.
+func (d *Daemon) open(coreCount int) (err error) {
+	if d.metrics, err = newMetrics(d.settings.Metrics); err != nil {
+		return err
 	}
-	for i := range n {
-		c, err := newCore(d, i, n)
+	for i := range coreCount {
+		runner, err := newCoreRunner(d, i, coreCount)
 		if err != nil {
-			return nil, errors.Join(err, d.metrics.close(), d.closeTaps())
+			return err
 		}
-		d.cores = append(d.cores, c)
+		d.runners = append(d.runners, runner)
 	}
-	d.front = drmaafront.New(set, d.boot)
-	// One loop writes to all nodes. Risk covered: with several, the stop of an attempt that was given up could leave after
-	// the offer that follows it, to another node.
-	d.dialer, err = transport.NewDialer(transport.Options{MaxWriteQueue: set.Limits.NodeOut, IdleTimeout: peerIdle, Log: d.log})
+	// One loop writes to all nodes: with several, the stop of an attempt that was given up could leave after the offer
+	// that follows it, to another node.
+	d.dialer, err = transport.NewDialer(transport.Options{MaxWriteQueue: d.settings.Limits.NodeOut,
+		IdleTimeout: peerIdleTimeout, Log: d.log})
 	if err != nil {
-		return nil, err
+		return err
 	}
-	d.server, err = transport.Listen(set.Listen, transport.Options{MaxWriteQueue: set.Limits.ClientOut,
-		IdleTimeout: set.Limits.Idle.Of(), Loops: n, Log: d.log}, d.accept)
-	if err != nil {
-		_ = d.dialer.Stop()
-		return nil, err
-	}
-	for _, c := range d.cores {
-		go c.own()
-	}
-	d.dialer.Link(set.Inventory, time.Second, backoff, func() transport.Handler {
-		return &inventoryPeer{d: d,
-			front: nodefront.Inventory{Set: set}}
-	},
-		func(err error) {
-			d.log.Debug().Err(err).Msg("no connection to the inventory")
-			d.passAll(scheduler.DiscoveryFailed{})
-		})
-	d.log.Info().Str("address", d.server.Addr()).Str("inventory", set.Inventory).Int("cores", n).Msg("the scheduler is up")
-	return d, nil
+	d.server, err = transport.Listen(d.settings.Listen, transport.Options{MaxWriteQueue: d.settings.Limits.ClientOut,
+		IdleTimeout: d.settings.Limits.Idle.Of(), Loops: coreCount, Log: d.log}, d.accept)
+	return err
 }
 
-var backoff = transport.Backoff{Initial: 20 * time.Millisecond, Max: time.Second}
-
-// Addr is where clients reach the daemon.
+// Addr is the address, host:port, on which the daemon serves its clients.
 func (d *Daemon) Addr() string { return d.server.Addr() }
 
-// passAll hands an input to all cores and waits for room; not for loops.
-func (d *Daemon) passAll(in scheduler.Input) {
-	for _, c := range d.cores {
-		c.pass(message{in: in})
+// enqueueAll passes an input to all cores and waits while a mailbox is full; not for event loops.
+func (d *Daemon) enqueueAll(input scheduler.Input) {
+	for _, runner := range d.runners {
+		runner.enqueue(message{input: input})
 	}
 }
 
-// offerAll hands a message to all cores; for loops. It is false where one has no room.
-func (d *Daemon) offerAll(m message) bool {
+// tryEnqueueAll passes a message to all cores without waiting; for event loops. It is false if a mailbox was full.
+func (d *Daemon) tryEnqueueAll(m message) bool {
 	ok := true
-	for _, c := range d.cores {
-		ok = c.offer(m) && ok
+	for _, runner := range d.runners {
+		ok = runner.tryEnqueue(m) && ok
 	}
 	return ok
 }
 
-// Shutdown takes no new work, waits until what is in flight has its outcome, or for the time that the settings
-// give, and stops. It returns an error where something had none by then. What runs, runs on at its nodes.
+// Shutdown is the graceful end: it takes no new work, waits until each open request has its outcome, or for the time
+// that the settings give, and stops. It returns an error if a request had no outcome by then. Running jobs run on at
+// their nodes.
 func (d *Daemon) Shutdown(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, d.set.Limits.StopWithin.Of())
+	ctx, cancel := context.WithTimeout(ctx, d.settings.Limits.StopWithin.Of())
 	defer cancel()
-	d.passAll(scheduler.Drain{})
+	d.enqueueAll(scheduler.Drain{})
 	var err error
-	for _, c := range d.cores {
+	for _, runner := range d.runners {
 		select {
-		case <-c.drained:
+		case <-runner.drained:
 		case <-ctx.Done():
 			err = errors.New("daemon: jobs were left without an outcome at the end of the time to stop")
 		}
@@ -142,69 +148,60 @@
 	return errors.Join(err, d.Stop())
 }
 
-// Stop stops at once.
+// Stop ends the daemon without waiting for open requests, and returns when all its goroutines have ended.
 func (d *Daemon) Stop() error {
-	for _, c := range d.cores {
-		c.pass(message{})
+	for _, runner := range d.runners {
+		runner.enqueue(message{stop: true})
 	}
-	for _, c := range d.cores {
-		<-c.done
+	for _, runner := range d.runners {
+		<-runner.done
 	}
-	d.ended.Do(d.close)
-	return d.err
+	d.closeOnce.Do(d.close)
+	return d.closeErr
 }
 
-// close ends the sockets. The cores have stopped: what loops still pass to them is let go, so that no loop finds a box
-// full for want of its reader.
+// close ends the sockets after the cores have stopped. What event loops still pass to the cores is discarded meanwhile,
+// so that no loop finds a mailbox full because nobody reads it.
 func (d *Daemon) close() {
-	var errs []error
-	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
+	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
-	stopped := make(chan struct{})
-	var wg sync.WaitGroup
-	for _, c := range d.cores {
-		wg.Add(1)
-		go func() {
-			defer wg.Done()
-			for {
-				select {
-				case <-c.box:
-				case <-stopped:
-					return
-				}
-			}
-		}()
-	}
-	errs = append(errs, d.server.Stop(ctx), d.dialer.Stop(), d.metrics.close())
-	close(stopped)
-	wg.Wait()
-	errs = append(errs, d.closeTaps())
-	if err := errors.Join(errs...); err != nil {
-		d.err = fmt.Errorf("daemon: stop: %w", err)
+	closed := make(chan struct{})
+	var discarding sync.WaitGroup
+	for _, runner := range d.runners {
+		discarding.Go(func() { runner.discardMail(closed) })
+	}
+	err := d.closeResources(ctx)
+	close(closed)
+	discarding.Wait()
+	for _, runner := range d.runners {
+		runner.blockedSends.Wait()
+	}
+	if err != nil {
+		d.closeErr = fmt.Errorf("daemon: stop: %w", err)
 	}
 }
 
-func (d *Daemon) closeTaps() error {
+// closeResources closes all that open has opened, until ctx ends where queued writes are slow.
+func (d *Daemon) closeResources(ctx context.Context) error {
 	var errs []error
-	for _, c := range d.cores {
-		if c.tap != nil {
-			errs = append(errs, c.tap.Close())
-		}
+	if d.server != nil {
+		errs = append(errs, d.server.Stop(ctx))
+	}
+	if d.dialer != nil {
+		errs = append(errs, d.dialer.Stop())
+	}
+	if d.metrics != nil {
+		errs = append(errs, d.metrics.close())
+	}
+	for _, runner := range d.runners {
+		errs = append(errs, closeRecorder(runner.recorder))
 	}
 	return errors.Join(errs...)
 }
 
-func (d *Daemon) outcome(o *scheduler.LogOutcome) {
-	i := &o.Info
-	d.metrics.outcome(d.set, i)
-	l := d.log.Info()
-	if i.State.Ended() {
-		l = l.Str("event", "ended")
-	} else {
-		l = l.Str("event", "outcome")
-	}
-	l.Str("job", i.ID).Str("session", i.Spec.Session).Str("class", d.set.Classes[i.Spec.Class].Name).
-		Int("ask", i.Request).Str("outcome", string(i.Outcome)).Str("attempt", o.Attempt).Str("node", i.Node).
-		Str("state", string(i.State)).Str("sub", i.SubState).Str("reason", i.Reason).
-		Dur("waited", time.Duration(clock.Now()-i.RequestedAt)).Msg("job")
+func closeRecorder(recorder *replay.Writer) error {
+	if recorder == nil {
+		return nil
+	}
+	return recorder.Close()
 }
--- /dev/null
+++ b/internal/daemon/eventstream.go
@@ -0,0 +1,73 @@
+package daemon
+
+import (
+	"sync/atomic"
+
+	"flaxshelf.example/flaxshelf/internal/front/drmaafront"
+	"flaxshelf.example/flaxshelf/internal/scheduler"
+	"flaxshelf.example/flaxshelf/internal/shard"
+	"flaxshelf.example/flaxshelf/internal/transport"
+)
+
+// eventBytes is what a response or an event that is encoded in the event loop counts in the queue of writes.
+const eventBytes = 512
+
+// eventStream is the stream of job changes to one client, published by one core or by all. What is published before the
+// head of the response is buffered until the head is written. Its fields but ended belong to the connection's event
+// loop.
+type eventStream struct {
+	client      *clientHandler
+	conn        *transport.Conn
+	position    shard.Position
+	headWritten bool
+	buffered    [][]byte
+	ended       atomic.Bool // the request was rejected or has failed
+}
+
+// resumed makes the input of a Watch begin where the client left off with a core.
+func (s *eventStream) resumed(buildInput func(requestID, streamID uint64) scheduler.Input,
+	core int) func(requestID, streamID uint64) scheduler.Input {
+	since := s.position[core]
+	return func(requestID, streamID uint64) scheduler.Input {
+		input := buildInput(requestID, streamID)
+		watch, ok := input.(scheduler.Watch)
+		if !ok {
+			return input
+		}
+		watch.Since = since
+		return watch
+	}
+}
+
+// publisher returns the function that a core calls for each change; it is false when nobody reads any more.
+func (s *eventStream) publisher(core int) func(*scheduler.Info) bool {
+	return func(change *scheduler.Info) bool {
+		info := *change
+		return !s.ended.Load() && s.conn.RunInLoop(eventBytes, func(write func([]byte)) {
+			s.position[core] = info.Revision
+			event := s.client.daemon.front.Event(&info, s.position.String())
+			if !s.headWritten {
+				s.buffered = append(s.buffered, event)
+				return
+			}
+			write(event)
+		}) && !s.conn.IsClosed()
+	}
+}
+
+// begin writes the buffered events behind the head of the response.
+func (s *eventStream) begin(write func([]byte)) {
+	s.headWritten = true
+	for _, event := range s.buffered {
+		write(event)
+	}
+	s.buffered = nil
+}
+
+// sendHeartbeat sends a heartbeat; it is false when nobody reads any more.
+func (s *eventStream) sendHeartbeat() bool {
+	return !s.ended.Load() && s.conn.Send(drmaafront.Heartbeat()) && !s.conn.IsClosed()
+}
+
+// isRead stands in for sendHeartbeat at a core that leaves the heartbeats to another.
+func (s *eventStream) isRead() bool { return !s.ended.Load() && !s.conn.IsClosed() }
--- a/internal/daemon/inventory.go
+++ b/internal/daemon/inventory.go
@@ -1,83 +1,96 @@
 package daemon
 
 import (
-	"errors"
-
-	"flaxshelf.example/flaxshelf/internal/codec/nodeframe"
+	"flaxshelf.example/flaxshelf/internal/codec/nodeframe/nodepb"
+	"flaxshelf.example/flaxshelf/internal/framereader"
 	"flaxshelf.example/flaxshelf/internal/front/nodefront"
 	"flaxshelf.example/flaxshelf/internal/scheduler"
 	"flaxshelf.example/flaxshelf/internal/shard"
 	"flaxshelf.example/flaxshelf/internal/transport"
 )
 
-// inventoryPeer reads what the inventory says.
-type inventoryPeer struct {
-	d     *Daemon
-	front nodefront.Inventory
+// linkInventory keeps a connection to the inventory until the dialer stops.
+func (d *Daemon) linkInventory() {
+	d.dialer.Link(d.settings.Inventory, inventoryDialTimeout, reconnectBackoff,
+		func() transport.Handler {
+			return &inventoryHandler{daemon: d, front: nodefront.Inventory{Set: d.settings}}
+		},
+		func(err error) {
+			d.log.Debug().Err(err).Msg("inventory not connected")
+			d.enqueueAll(scheduler.DiscoveryFailed{})
+		})
+}
+
+// inventoryHandler reads the frames of one connection to the inventory. It belongs to the connection's event loop.
+type inventoryHandler struct {
+	daemon *Daemon
+	front  nodefront.Inventory
+}
+
+// Opened sends the hello.
+func (h *inventoryHandler) Opened(c *transport.Conn) {
+	c.WriteInLoop(encode(nodefront.Hello(h.daemon.settings, h.daemon.startedAt)))
 }
 
-// Opened greets the inventory.
-func (p *inventoryPeer) Opened(c *transport.Conn) {
-	c.WriteInLoop(encode(nodefront.Hello(p.d.set, p.d.boot)))
+// Receive implements transport.Handler.
+func (h *inventoryHandler) Receive(c *transport.Conn, received []byte) (int, error) {
+	return framereader.Each(received, func(frame *nodepb.Frame) error { return h.receiveFrame(c, frame) })
 }
 
-// Receive implements transport.Peer.
-func (p *inventoryPeer) Receive(c *transport.Conn, in []byte) (int, error) {
-	used := 0
-	for {
-		f, n, err := nodeframe.Next(in[used:])
-		if err != nil || f == nil {
-			return used, err
-		}
-		used += n
-		var m message
-		var failed bool
-		if m.in, m.addrs, failed, err = p.front.Input(f); err != nil {
-			return used, err
-		}
-		switch {
-		case f.GetWelcome() != nil:
-			p.d.list.Store(c)
-			continue
-		case failed:
-			p.d.log.Warn().Str("reason", f.GetListError().Message).Msg("the inventory fails")
-			m.in = listError{}
-		case m.in == nil:
-			continue
-		}
-		if t, ok := m.in.(scheduler.DiscoverySynced); ok {
-			core, token := shard.Untoken(t.Token)
-			if core < len(p.d.cores) && !p.d.cores[core].offer(message{in: scheduler.DiscoverySynced{Token: token}}) {
-				return used, errBehind
-			}
-			continue
-		}
-		if !p.d.offerAll(m) {
-			return used, errBehind
-		}
+func (h *inventoryHandler) receiveFrame(c *transport.Conn, frame *nodepb.Frame) error {
+	input, addresses, failed, err := h.front.Input(frame)
+	switch {
+	case err != nil:
+		return err
+	case frame.GetWelcome() != nil:
+		h.daemon.inventoryConn.Store(c)
+		return nil
+	case failed:
+		h.daemon.log.Warn().Str("reason", frame.GetListError().Message).Msg("inventory reported a failed call")
+		input = ignoredDiscoveryError{}
+	case input == nil:
+		return nil
 	}
+	if !h.daemon.enqueueDiscoveryInput(message{input: input, addresses: addresses}) {
+		return errMailboxFull
+	}
+	return nil
 }
 
-var errBehind = errors.New("daemon: too much waits for a core")
+// enqueueDiscoveryInput passes an input from the inventory to the cores that it is for. It is false if a mailbox was
+// full.
+func (d *Daemon) enqueueDiscoveryInput(m message) bool {
+	synced, ok := m.input.(scheduler.DiscoverySynced)
+	if !ok {
+		return d.tryEnqueueAll(m)
+	}
+	core, token := shard.Untoken(synced.Token)
+	return core >= len(d.runners) || d.runners[core].tryEnqueue(message{input: scheduler.DiscoverySynced{Token: token}})
+}
 
-// Closed implements transport.Peer; the link tells the owners.
-func (p *inventoryPeer) Closed(_ *transport.Conn, why error) {
-	p.d.log.Warn().Err(why).Msg("the connection to the inventory has closed")
+// Closed implements transport.Handler; the link tells the cores.
+func (h *inventoryHandler) Closed(_ *transport.Conn, reason error) {
+	h.daemon.log.Warn().Err(reason).Msg("inventory connection closed")
 }
 
-// subscribe asks for the list and its changes. Without a connection the call has failed at once.
-func (c *core) subscribe() { c.tellList(encode(nodefront.Watch())) }
+// ignoredDiscoveryError is the input for a call that the inventory has reported as failed on an open connection. The
+// core has no case for it: it steps and does nothing. Until the daemon had several cores it became a DiscoveryFailed.
+type ignoredDiscoveryError struct{ scheduler.Input }
 
-func (c *core) sync(token uint64) {
-	c.d.log.Warn().Int("core", c.i).Msg("the scheduler was stopped for a while; it asks the inventory before it places anything")
-	c.tellList(encode(nodefront.Ping(shard.Token(c.i, token))))
+// subscribeDiscovery asks the inventory for the list of nodes and its changes. Without a connection the core is told at
+// once that it has failed.
+func (r *coreRunner) subscribeDiscovery() { r.sendToInventory(nodefront.Watch()) }
+
+// syncDiscovery asks the inventory for a sign that the core has been given all of its updates.
+func (r *coreRunner) syncDiscovery(token uint64) {
+	r.daemon.log.Warn().Int("core", r.index).
+		Msg("scheduler was stopped for a while; placement waits until the inventory has answered")
+	r.sendToInventory(nodefront.Ping(shard.Token(r.index, token)))
 }
 
-func (c *core) tellList(b []byte) {
-	if list := c.d.list.Load(); list == nil || list.IsClosed() || !list.Send(b) {
-		c.again(scheduler.DiscoveryFailed{})
+func (r *coreRunner) sendToInventory(frame *nodepb.Frame) {
+	conn := r.daemon.inventoryConn.Load()
+	if conn == nil || conn.IsClosed() || !conn.Send(encode(frame)) {
+		r.requeue(scheduler.DiscoveryFailed{})
 	}
 }
-
-// listError is a failed call on a connection that stands.
-type listError struct{ scheduler.Input }
--- /dev/null
+++ b/internal/daemon/nodeconns.go
@@ -0,0 +1,119 @@
+package daemon
+
+import (
+	"sync"
+
+	"flaxshelf.example/flaxshelf/internal/front/nodefront"
+	"flaxshelf.example/flaxshelf/internal/scheduler"
+	"flaxshelf.example/flaxshelf/internal/transport"
+)
+
+// nodeConnections are the connections to nodes, one to each for all cores. Several goroutines may use it at once.
+type nodeConnections struct {
+	mu     sync.Mutex
+	byName map[string]*nodeConnection
+}
+
+// nodeConnection is the connection to a node, kept while a core requests it.
+type nodeConnection struct {
+	address     string
+	link        *transport.Link
+	requestedBy map[int]bool // indexes of cores
+}
+
+// isRequested reports whether a core requests a connection to the node.
+func (n *nodeConnections) isRequested(name string) bool {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.byName[name] != nil
+}
+
+// request has a connection kept for a core from now on, made by dial unless there is one to the address. It reports
+// whether a connection to another address was given up for it, of which nothing more will be reported.
+func (n *nodeConnections) request(core int, name, address string,
+	dial func(*nodeConnection) *transport.Link) (replaced bool) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	old := n.byName[name]
+	if old != nil && old.address == address {
+		old.requestedBy[core] = true
+		return false
+	}
+	connection := &nodeConnection{address: address, requestedBy: map[int]bool{}}
+	if old != nil {
+		old.link.Cancel()
+		connection.requestedBy = old.requestedBy
+	}
+	connection.requestedBy[core] = true
+	n.byName[name] = connection
+	connection.link = dial(connection)
+	return old != nil
+}
+
+// isCurrent reports whether a connection is the one that is kept to its node, and not one that was given up.
+func (n *nodeConnections) isCurrent(name string, connection *nodeConnection) bool {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.byName[name] == connection
+}
+
+// release gives up a core's request for a connection. The last one ends it.
+func (n *nodeConnections) release(core int, name string) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	connection := n.byName[name]
+	if connection == nil {
+		return
+	}
+	delete(connection.requestedBy, core)
+	if len(connection.requestedBy) == 0 {
+		delete(n.byName, name)
+		connection.link.Cancel()
+	}
+}
+
+// connect keeps a connection to a node from now on.
+func (r *coreRunner) connect(name string) {
+	d, address := r.daemon, r.addresses[name]
+	replaced := d.nodes.request(r.index, name, address, func(connection *nodeConnection) *transport.Link {
+		return d.dialer.Link(address, d.settings.Connect.Of(), reconnectBackoff,
+			func() transport.Handler {
+				return &nodeHandler{daemon: d, name: name, front: nodefront.Node{Set: d.settings, Name: name}}
+			},
+			func(err error) { d.nodeDisconnected(name, connection, err) })
+	})
+	if !replaced {
+		return
+	}
+	for _, runner := range d.runners { // at once: what is sent until the next welcome waits for it
+		runner.requeue(scheduler.NodeDown{Node: name})
+	}
+}
+
+// nodeDisconnected tells the cores that a connection has closed or could not be made. A connection that was given up
+// may be reported after the welcome of the next, and the node would count as down while it is up: it is passed over.
+func (d *Daemon) nodeDisconnected(name string, connection *nodeConnection, err error) {
+	d.log.Debug().Err(err).Str("node", name).Msg("node not connected")
+	if d.nodes.isCurrent(name, connection) {
+		d.enqueueAll(scheduler.NodeDown{Node: name})
+	}
+}
+
+// disconnect gives up the core's connection to a node.
+func (r *coreRunner) disconnect(name string) {
+	delete(r.outboxes, name)
+	r.daemon.nodes.release(r.index, name)
+}
+
+// pingPeers pings the connected nodes and the inventory, so that idle connections are known to be alive.
+func (r *coreRunner) pingPeers() {
+	frame := encode(nodefront.Ping(0))
+	for _, outbox := range r.outboxes {
+		if outbox.conn != nil {
+			outbox.conn.Send(append([]byte(nil), frame...))
+		}
+	}
+	if inventory := r.daemon.inventoryConn.Load(); inventory != nil {
+		inventory.Send(frame)
+	}
+}
--- a/internal/front/drmaafront/front.go
+++ b/internal/front/drmaafront/front.go
@@ -458,8 +458,8 @@
 	return httpcodec.AppendChunk(nil, fmt.Appendf(nil, "id: %s.%s\nevent: job\ndata: %s\n\n", f.life, at, data))
 }
 
-// Beat is a chunk that keeps a stream's connection known to be alive.
-func Beat() []byte { return httpcodec.AppendChunk(nil, []byte(":\n\n")) }
+// Heartbeat is a chunk that keeps a stream's connection known to be alive.
+func Heartbeat() []byte { return httpcodec.AppendChunk(nil, []byte(":\n\n")) }
 
 func machines(f *Front, _ *httpcodec.Request, _ []string) (*Call, *drmaa2.Error) {
 	return &Call{
