--- /dev/null
+++ b/internal/front/nodefront/errors.go
@@ -0,0 +1,44 @@
+package nodefront
+
+import (
+	"errors"
+	"fmt"
+
+	"flaxshelf.example/flaxshelf/internal/codec/nodeframe/nodepb"
+)
+
+// inventoryName is the name of the inventory in errors.
+const inventoryName = "inventory"
+
+// ErrProtocol is matched by each ProtocolError with errors.Is.
+var ErrProtocol = errors.New("nodefront: the peer does not keep to the protocol")
+
+// ProtocolError is a frame that its sender may not send, or not then. The connection is to be closed.
+type ProtocolError struct {
+	Peer   string // name of the node, or "inventory"
+	Frame  string // type of the frame's body
+	Reason string
+}
+
+func newProtocolError(peer string, frame *nodepb.Frame, reason string) *ProtocolError {
+	return &ProtocolError{Peer: peer, Frame: fmt.Sprintf("%T", frame.Body), Reason: reason}
+}
+
+// Error implements error.
+func (e *ProtocolError) Error() string {
+	return fmt.Sprintf("%v: %s from %s: %s", ErrProtocol, e.Frame, e.Peer, e.Reason)
+}
+
+// Unwrap makes errors.Is match ErrProtocol.
+func (e *ProtocolError) Unwrap() error { return ErrProtocol }
+
+// ByeError is the last frame of a peer that closes the connection on purpose.
+type ByeError struct {
+	Peer   string // name of the node, or "inventory"
+	Reason string // as the peer gave it
+}
+
+// Error implements error.
+func (e *ByeError) Error() string {
+	return fmt.Sprintf("nodefront: %s closes the connection: %s", e.Peer, e.Reason)
+}
--- /dev/null
+++ b/internal/front/nodefront/node.go
@@ -0,0 +1,151 @@
+package nodefront
+
+import (
+	"fmt"
+	"time"
+
+	"flaxshelf.example/flaxshelf"
+	"flaxshelf.example/flaxshelf/internal/codec/nodeframe/nodepb"
+	"flaxshelf.example/flaxshelf/internal/scheduler"
+	"flaxshelf.example/flaxshelf/internal/settings"
+)
+
+// Node reads the frames of one connection to a node. One goroutine at a time may use it.
+type Node struct {
+	Set  *settings.Scheduler
+	Name string // of the node
+
+	welcome  scheduler.NodeUp // collected from the welcome frames so far
+	welcomed bool             // the last of them has come
+}
+
+// Input translates a frame; nil if it means nothing to the core. The welcome is one input, given with its last frame.
+// An error, a ProtocolError or ByeError, means that the connection is to be closed.
+func (n *Node) Input(frame *nodepb.Frame) (scheduler.Input, error) {
+	switch body := frame.Body.(type) {
+	case *nodepb.Frame_Welcome:
+		return n.readWelcome(frame, body.Welcome)
+	case *nodepb.Frame_Bye:
+		return nil, &ByeError{Peer: n.Name, Reason: body.Bye.Reason}
+	}
+	if !n.welcomed {
+		return nil, newProtocolError(n.Name, frame, "before the welcome")
+	}
+	return n.readReport(frame)
+}
+
+// readWelcome collects a welcome, which may be split over several frames.
+func (n *Node) readWelcome(frame *nodepb.Frame, welcome *nodepb.Welcome) (scheduler.Input, error) {
+	if n.welcomed {
+		return nil, newProtocolError(n.Name, frame, "a second welcome")
+	}
+	if welcome.Node != n.Name {
+		return nil, newProtocolError(n.Name, frame, fmt.Sprintf("names the node %q", welcome.Node))
+	}
+	n.welcome.Node, n.welcome.MayBeCold = welcome.Node, welcome.Fresh
+	n.welcome.Started = scheduler.Time(welcome.StartedUnixNs)
+	for _, held := range welcome.Held {
+		n.welcome.Running = append(n.welcome.Running, runningAttempt(n.Set, held))
+	}
+	for _, ended := range welcome.Ended {
+		n.welcome.Ended = append(n.welcome.Ended, n.attemptEnded(ended))
+	}
+	if welcome.More {
+		return nil, nil
+	}
+	up := n.welcome
+	n.welcomed, n.welcome = true, scheduler.NodeUp{}
+	return up, nil
+}
+
+// readReport translates what a node sends after its welcome.
+func (n *Node) readReport(frame *nodepb.Frame) (scheduler.Input, error) {
+	switch body := frame.Body.(type) {
+	case *nodepb.Frame_Accepted:
+		m := body.Accepted
+		return scheduler.AttemptAccepted{Node: n.Name, Attempt: m.Attempt, Load: loadReport(m.Load)}, nil
+	case *nodepb.Frame_Refused:
+		m := body.Refused
+		return scheduler.AttemptRejected{Node: n.Name, Attempt: m.Attempt, Reason: reasonOf(m.Reason),
+			Load: loadReport(m.Load)}, nil
+	case *nodepb.Frame_Failed:
+		m := body.Failed
+		return scheduler.AttemptFailed{Node: n.Name, Attempt: m.Attempt, Message: m.Message, Load: loadReport(m.Load)}, nil
+	case *nodepb.Frame_Started:
+		return scheduler.AttemptStarted{Node: n.Name, Attempt: body.Started.Attempt}, nil
+	case *nodepb.Frame_Note:
+		m := body.Note
+		return scheduler.UsageReport{Node: n.Name, Attempt: m.Attempt, Kind: flaxshelf.UsageKind(m.Kind),
+			Amount: m.Amount}, nil
+	case *nodepb.Frame_Ended:
+		return n.attemptEnded(body.Ended), nil
+	case *nodepb.Frame_Probed:
+		return scheduler.HealthChecked{Node: n.Name, Load: loadReport(body.Probed.Load)}, nil
+	case *nodepb.Frame_Pong:
+		if body.Pong.Token == 0 {
+			return nil, nil
+		}
+		return scheduler.NodeSynced{Node: n.Name, Token: body.Pong.Token}, nil
+	default:
+		return nil, newProtocolError(n.Name, frame, "no frame of a node")
+	}
+}
+
+func (n *Node) attemptEnded(ended *nodepb.Ended) scheduler.AttemptEnded {
+	return scheduler.AttemptEnded{Node: n.Name, Attempt: ended.Attempt, End: ends[ended.Ending],
+		Reason: reasonOf(ended.Reason), Exit: int(ended.ExitStatus), Load: loadReport(ended.Load)}
+}
+
+var ends = map[nodepb.Ending]scheduler.End{
+	nodepb.Ending_FINISHED: scheduler.EndCompleted,
+	nodepb.Ending_LOST:     scheduler.EndLost,
+	nodepb.Ending_STOPPED:  scheduler.EndStopped,
+	nodepb.Ending_BROKE:    scheduler.EndStartFailed,
+}
+
+// reasonOf translates a reason of the wire, whose numbers are those of the module. A reason of a later version is
+// unspecified.
+func reasonOf(reason nodepb.Reason) flaxshelf.Reason {
+	if reason < 0 || reason > nodepb.Reason_SENT_AWAY {
+		return flaxshelf.UnspecifiedReason
+	}
+	return flaxshelf.Reason(reason)
+}
+
+func loadReport(load *nodepb.Load) flaxshelf.LoadReport {
+	if load == nil {
+		return flaxshelf.LoadReport{}
+	}
+	return flaxshelf.LoadReport{Present: true, FreeCores: load.FreeCores, FreeMemory: load.FreeMemory, HasCores: true,
+		HasMemory: true}
+}
+
+// runningAttempt translates an attempt that a node reports in its welcome.
+func runningAttempt(set *settings.Scheduler, held *nodepb.Held) scheduler.RunningAttempt {
+	task := held.Task
+	if task == nil {
+		task = &nodepb.Task{}
+	}
+	return scheduler.RunningAttempt{
+		Attempt:   held.Attempt,
+		Job:       task.Job,
+		Request:   int(task.Ask),
+		Running:   held.Running,
+		Submitted: scheduler.Time(task.SubmittedUnixNs),
+		Spec: scheduler.Spec{
+			Key:             task.Key,
+			Session:         task.Session,
+			Name:            task.Name,
+			Owner:           task.Owner,
+			Service:         task.Service,
+			Class:           set.ClassIndex(task.Class),
+			Tenant:          set.TenantIndex(task.Tenant),
+			Cores:           task.Cores,
+			Memory:          task.Memory,
+			ExpectedRuntime: time.Duration(task.LifeNs),
+			Priority:        int(task.Priority),
+			Rerunnable:      task.Rerunnable,
+			Template:        task.Template,
+		},
+	}
+}
--- /dev/null
+++ b/internal/front/nodefront/nodefront_test.go
@@ -0,0 +1,202 @@
+package nodefront
+
+import (
+	"errors"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+
+	"flaxshelf.example/flaxshelf"
+	"flaxshelf.example/flaxshelf/internal/codec/nodeframe/nodepb"
+	"flaxshelf.example/flaxshelf/internal/scheduler"
+	"flaxshelf.example/flaxshelf/internal/settings"
+)
+
+func testSettings(t *testing.T) *settings.Scheduler {
+	t.Helper()
+	set, err := settings.ParseScheduler("f.cue", []byte(`
+inventory: "127.0.0.1:1"
+kinds: [{name: "k", cores: 8, memory: 32}]
+classes: [{name: "batch", effect: "keyed"}, {name: "service", effect: "safe"}]
+tenants: [{name: "north"}]
+`))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return set
+}
+
+func welcomeFrame(welcome *nodepb.Welcome) *nodepb.Frame {
+	return &nodepb.Frame{Body: &nodepb.Frame_Welcome{Welcome: welcome}}
+}
+
+func byeFrame(reason string) *nodepb.Frame {
+	return &nodepb.Frame{Body: &nodepb.Frame_Bye{Bye: &nodepb.Bye{Reason: reason}}}
+}
+
+func pongFrame(token uint64) *nodepb.Frame {
+	return &nodepb.Frame{Body: &nodepb.Frame_Pong{Pong: &nodepb.Pong{Token: token}}}
+}
+
+// A welcome of several frames is one input, and an offer that the node reports comes back as it was offered.
+func TestNodeWelcome(t *testing.T) {
+	set := testSettings(t)
+	spec := scheduler.Spec{Key: "key", Session: "session", Name: "name", Owner: "owner", Service: "service", Class: 1,
+		Tenant: 0, Cores: 2, Memory: 4, ExpectedRuntime: time.Minute, Priority: 3, Rerunnable: true, Template: []byte("{}")}
+	offer := Offer(set, &scheduler.SendOffer{Node: "n", Attempt: "a", Job: "j", Request: 2, Spec: &spec, Submitted: 7,
+		ValidFor: time.Second}).GetOffer()
+	if offer.Attempt != "a" || offer.ValidForNs != int64(time.Second) {
+		t.Errorf("offer %v", offer)
+	}
+	node := Node{Set: set, Name: "n"}
+	input, err := node.Input(welcomeFrame(&nodepb.Welcome{Node: "n", StartedUnixNs: 5, Fresh: true, More: true,
+		Held: []*nodepb.Held{{Attempt: "a", Running: true, Task: offer.Task}}}))
+	if input != nil || err != nil {
+		t.Fatalf("after a part of the welcome: %v, %v", input, err)
+	}
+	input, err = node.Input(welcomeFrame(&nodepb.Welcome{Node: "n", StartedUnixNs: 5, Fresh: true,
+		Ended: []*nodepb.Ended{{Attempt: "b", Ending: nodepb.Ending_LOST}}}))
+	want := scheduler.NodeUp{Node: "n", Started: 5, MayBeCold: true,
+		Running: []scheduler.RunningAttempt{{Attempt: "a", Job: "j", Request: 2, Spec: spec, Submitted: 7, Running: true}},
+		Ended:   []scheduler.AttemptEnded{{Node: "n", Attempt: "b", End: scheduler.EndLost}}}
+	if err != nil || !reflect.DeepEqual(input, want) {
+		t.Errorf("got  %+v, %v\nwant %+v", input, err, want)
+	}
+}
+
+func TestNodeInput(t *testing.T) {
+	load := &nodepb.Load{FreeCores: 1, FreeMemory: 2}
+	report := flaxshelf.LoadReport{Present: true, FreeCores: 1, FreeMemory: 2, HasCores: true, HasMemory: true}
+	tests := []struct {
+		name  string
+		frame *nodepb.Frame
+		want  scheduler.Input
+	}{
+		{"accepted", &nodepb.Frame{Body: &nodepb.Frame_Accepted{Accepted: &nodepb.Accepted{Attempt: "a", Load: load}}},
+			scheduler.AttemptAccepted{Node: "n", Attempt: "a", Load: report}},
+		{"rejected without a load", &nodepb.Frame{Body: &nodepb.Frame_Refused{Refused: &nodepb.Refused{Attempt: "a",
+			Reason: nodepb.Reason_SENT_AWAY}}},
+			scheduler.AttemptRejected{Node: "n", Attempt: "a", Reason: flaxshelf.Reason(nodepb.Reason_SENT_AWAY)}},
+		{"rejected for a reason of a later version", &nodepb.Frame{Body: &nodepb.Frame_Refused{
+			Refused: &nodepb.Refused{Attempt: "a", Reason: nodepb.Reason_SENT_AWAY + 1}}},
+			scheduler.AttemptRejected{Node: "n", Attempt: "a", Reason: flaxshelf.UnspecifiedReason}},
+		{"failed", &nodepb.Frame{Body: &nodepb.Frame_Failed{Failed: &nodepb.Failed{Attempt: "a", Message: "m"}}},
+			scheduler.AttemptFailed{Node: "n", Attempt: "a", Message: "m"}},
+		{"started", &nodepb.Frame{Body: &nodepb.Frame_Started{Started: &nodepb.Started{Attempt: "a"}}},
+			scheduler.AttemptStarted{Node: "n", Attempt: "a"}},
+		{"ended", &nodepb.Frame{Body: &nodepb.Frame_Ended{Ended: &nodepb.Ended{Attempt: "a",
+			Ending: nodepb.Ending_FINISHED, ExitStatus: 3, Load: load}}},
+			scheduler.AttemptEnded{Node: "n", Attempt: "a", End: scheduler.EndCompleted, Exit: 3, Load: report}},
+		{"health check", &nodepb.Frame{Body: &nodepb.Frame_Probed{Probed: &nodepb.Probed{Load: load}}},
+			scheduler.HealthChecked{Node: "n", Load: report}},
+		{"pong without a token", pongFrame(0), nil},
+		{"pong with a token", pongFrame(9), scheduler.NodeSynced{Node: "n", Token: 9}},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			node := Node{Set: testSettings(t), Name: "n"}
+			if _, err := node.Input(welcomeFrame(&nodepb.Welcome{Node: "n"})); err != nil {
+				t.Fatal(err)
+			}
+			if input, err := node.Input(test.frame); err != nil || !reflect.DeepEqual(input, test.want) {
+				t.Errorf("got %#v, %v, want %#v", input, err, test.want)
+			}
+		})
+	}
+}
+
+// A frame that its sender may not send is a ProtocolError with the peer and the frame; a goodbye is none.
+func TestProtocolErrors(t *testing.T) {
+	welcome := welcomeFrame(&nodepb.Welcome{Node: "n"})
+	tests := []struct {
+		name   string
+		frames []*nodepb.Frame // the last one is the fault
+		text   string          // in the error
+	}{
+		{"report before the welcome", []*nodepb.Frame{pongFrame(0)}, "Frame_Pong from n: before the welcome"},
+		{"second welcome", []*nodepb.Frame{welcome, welcome}, "Frame_Welcome from n: a second welcome"},
+		{"welcome of another node", []*nodepb.Frame{welcomeFrame(&nodepb.Welcome{Node: "z"})},
+			`Frame_Welcome from n: names the node "z"`},
+		{"frame of a scheduler", []*nodepb.Frame{welcome, Stop("a")}, "Frame_Stop from n: no frame of a node"},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			node := Node{Set: testSettings(t), Name: "n"}
+			var err error
+			for _, frame := range test.frames {
+				_, err = node.Input(frame)
+			}
+			checkProtocolError(t, err, "n", test.text)
+		})
+	}
+	t.Run("frame of a scheduler from the inventory", func(t *testing.T) {
+		inventory := Inventory{Set: testSettings(t)}
+		_, _, _, err := inventory.Input(Probe())
+		checkProtocolError(t, err, "inventory", "Frame_Probe from inventory: no frame of the inventory")
+	})
+	t.Run("goodbye", func(t *testing.T) {
+		node, inventory := Node{Set: testSettings(t), Name: "n"}, Inventory{Set: testSettings(t)}
+		_, nodeErr := node.Input(byeFrame("drained"))
+		_, _, _, inventoryErr := inventory.Input(byeFrame("drained"))
+		for peer, err := range map[string]error{"n": nodeErr, "inventory": inventoryErr} {
+			var bye *ByeError
+			if !errors.As(err, &bye) || bye.Peer != peer || bye.Reason != "drained" || errors.Is(err, ErrProtocol) {
+				t.Errorf("error %v", err)
+			}
+		}
+	})
+}
+
+func checkProtocolError(t *testing.T, err error, peer, text string) {
+	t.Helper()
+	var violation *ProtocolError
+	if !errors.Is(err, ErrProtocol) || !errors.As(err, &violation) {
+		t.Fatalf("error %v is no protocol error", err)
+	}
+	if violation.Peer != peer || !strings.Contains(err.Error(), text) {
+		t.Errorf("error %q of %s, want %q of %s", err, violation.Peer, text, peer)
+	}
+}
+
+// A listing of several frames is one input; the first frame says whether it is complete.
+func TestInventoryInput(t *testing.T) {
+	inventory := Inventory{Set: testSettings(t)}
+	listing := func(listing *nodepb.Listing) *nodepb.Frame {
+		return &nodepb.Frame{Body: &nodepb.Frame_Listing{Listing: listing}}
+	}
+	first := &nodepb.Entry{Node: "n", Address: "h:1", Kind: "k", Zone: "z", Cell: 2, StartedUnixNs: 3, FreeCores: 4, FreeMemory: 5}
+	second := &nodepb.Entry{Node: "m", Address: "h:2", Kind: "other", Standing: nodepb.Standing_DRAINING}
+	wantFirst := flaxshelf.Machine{ID: "n", Kind: 0, Zone: "z", Cell: 2, State: flaxshelf.Active, Started: 3, FreeCores: 4,
+		FreeMemory: 5}
+	wantSecond := flaxshelf.Machine{ID: "m", Kind: -1, State: flaxshelf.Draining}
+	tests := []struct {
+		name      string
+		frame     *nodepb.Frame
+		want      scheduler.Input
+		addresses map[string]string
+		failed    bool
+	}{
+		{"welcome", welcomeFrame(&nodepb.Welcome{Node: "inventory"}), nil, nil, false},
+		{"first part of a listing", listing(&nodepb.Listing{Whole: true, More: true, Entries: []*nodepb.Entry{first}}), nil,
+			nil, false},
+		{"last part of a listing", listing(&nodepb.Listing{Entries: []*nodepb.Entry{second}}),
+			scheduler.NodesUpdated{Complete: true, Machines: []flaxshelf.Machine{wantFirst, wantSecond}},
+			map[string]string{"n": "h:1", "m": "h:2"}, false},
+		{"changes", listing(&nodepb.Listing{Entries: []*nodepb.Entry{second}}),
+			scheduler.NodesUpdated{Machines: []flaxshelf.Machine{wantSecond}}, map[string]string{"m": "h:2"}, false},
+		{"failed call", &nodepb.Frame{Body: &nodepb.Frame_ListError{ListError: &nodepb.ListError{Message: "m"}}},
+			scheduler.DiscoveryFailed{}, nil, true},
+		{"pong without a token", pongFrame(0), nil, nil, false},
+		{"pong with a token", pongFrame(9), scheduler.DiscoverySynced{Token: 9}, nil, false},
+	}
+	for _, test := range tests { // in order: they share one connection
+		input, addresses, failed, err := inventory.Input(test.frame)
+		if err != nil || failed != test.failed || !reflect.DeepEqual(input, test.want) {
+			t.Errorf("%s: got %#v, %v, %v, want %#v, %v", test.name, input, failed, err, test.want, test.failed)
+		}
+		if !reflect.DeepEqual(addresses, test.addresses) {
+			t.Errorf("%s: addresses %v, want %v", test.name, addresses, test.addresses)
+		}
+	}
+}
