--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -13,250 +13,161 @@
 	"testing"
 	"time"
 
-	"github.com/rs/zerolog"
-	"go.uber.org/goleak"
-
 	"flaxshelf.example/flaxshelf/drmaa2"
-	"flaxshelf.example/flaxshelf/internal/lab/standin/host"
-	"flaxshelf.example/flaxshelf/internal/lab/standin/inventorymodel"
 	"flaxshelf.example/flaxshelf/internal/lab/standin/nodemodel"
 	"flaxshelf.example/flaxshelf/internal/settings"
 )
 
-func TestMain(m *testing.M) {
-	goleak.VerifyTestMain(m, goleak.IgnoreTopFunction("github.com/panjf2000/ants/v2.(*poolCommon).purgeStaleWorkers"),
-		goleak.IgnoreTopFunction("github.com/panjf2000/ants/v2.(*poolCommon).ticktock"),
-		goleak.IgnoreTopFunction("github.com/panjf2000/gnet/v2/pkg/logging.init.0.func1"))
-}
-
-const testScheduler = `
-name: "s"
-listen: "127.0.0.1:0"
-inventory: "127.0.0.1:0"
-kinds: [{name: "k", cores: 64, memory: 256}]
-classes: [
-	{name: "service", effect: "safe", aim: "1s", giveup: "5s", cores: 0.01, memory: 0.01},
-	{name: "once", effect: "unsafe", aim: "1s", giveup: "2s", cores: 0.01, memory: 0.01},
-	{name: "huge", effect: "safe", aim: "1s", giveup: "1s", cores: 1000, memory: 1},
-]
-rules: {acceptCores: 2, acceptMemory: 2, drainGrace: "2s", settle: "1s"}
-limits: {idle: "20s", request: "500ms", clientOut: 65536, stopWithin: "5s"}
-`
-
-// site is a scheduler with an inventory and nodes, all in this process.
-type site struct {
-	t     testing.TB
-	set   *settings.Scheduler
-	inv   *host.Inventory
-	nodes []*host.Node
-	d     *Daemon
-	c     *drmaa2.Client
+// jobWatch is what a session's stream of events has shown of its jobs.
+type jobWatch struct {
+	mu       sync.Mutex
+	outcomes map[string]string          // by job ID
+	ends     map[string]drmaa2.JobState // of jobs that have ended, by job ID
+	count    int
+	done     chan struct{} // closed when count jobs have ended, or with the context
 }
 
-func newSite(t testing.TB, n int, change func(s *settings.Scheduler, m *nodemodel.Config)) *site {
-	t.Helper()
-	set, err := settings.ParseScheduler("test", []byte(testScheduler))
-	if err != nil {
-		t.Fatal(err)
-	}
-	model := nodemodel.Config{Cores: 64, Memory: 256, AcceptCores: 2, AcceptMemory: 2, Look: 100 * time.Microsecond,
-		MaxWait: 1000, StartSlots: 64, StartWork: time.Millisecond, FreshFactor: 1, Keep: 4}
-	if change != nil {
-		change(set, &model)
-	}
-	s := &site{t: t, set: set}
-	s.inv, err = host.StartInventory("127.0.0.1:0", inventorymodel.Config{GoneAfter: 50 * time.Millisecond}, zerolog.Nop())
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(s.inv.Stop)
-	room := host.NewRoom()
-	for i := range n {
-		m := model
-		m.Name, m.Seed = fmt.Sprintf("n%d", i), uint64(i)
-		node, err := host.StartNode(host.NodeOptions{Model: m, Kind: "k", Listen: "127.0.0.1:0", Inventory: s.inv.Addr(),
-			Room: room, Log: zerolog.Nop()})
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(node.Stop)
-		s.nodes = append(s.nodes, node)
-	}
-	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
-	defer cancel()
-	if err := s.inv.WaitFor(ctx, n); err != nil {
-		t.Fatal(err)
-	}
-	set.Inventory = s.inv.Addr()
-	s.start()
-	t.Cleanup(func() {
-		s.c.Close()
-		if err := s.d.Stop(); err != nil {
-			t.Error(err)
-		}
-	})
-	return s
+// watchJobs watches a session until a number of its jobs have ended. An outcome of a job that differs from its earlier one
+// is an error.
+func watchJobs(ctx context.Context, t *testing.T, session *drmaa2.JobSession, count int) *jobWatch {
+	watch := &jobWatch{outcomes: map[string]string{}, ends: map[string]drmaa2.JobState{}, count: count,
+		done: make(chan struct{})}
+	go func() {
+		defer close(watch.done)
+		_ = session.Watch(ctx, func(info drmaa2.JobInfo) bool { return watch.record(t, info) })
+	}()
+	return watch
 }
 
-func (s *site) start() {
-	s.t.Helper()
-	d, err := Start(s.set, zerolog.Nop())
-	if err != nil {
-		s.t.Fatal(err)
-	}
-	s.d = d
-	s.set.Listen = d.Addr() // a later life is found at the same place
-	s.c = drmaa2.NewClient(d.Addr())
+// record records an event; it is true while events are missing.
+func (w *jobWatch) record(t *testing.T, info drmaa2.JobInfo) bool {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	outcome := info.ImplementationSpecific[drmaa2.AttrOutcome]
+	if former := w.outcomes[info.JobID]; former != "" && former != outcome {
+		t.Errorf("%s: outcome %s, then %s", info.JobID, former, outcome)
+	}
+	w.outcomes[info.JobID] = outcome
+	if info.JobState.Terminated() {
+		w.ends[info.JobID] = info.JobState
+	}
+	return len(w.ends) < w.count
 }
 
-func (s *site) session(ctx context.Context) *drmaa2.JobSession {
-	s.t.Helper()
-	j, err := s.c.CreateJobSession(ctx, "test")
-	if err != nil {
-		s.t.Fatal(err)
+// wait waits until all jobs have ended.
+func (w *jobWatch) wait(ctx context.Context, t *testing.T) {
+	t.Helper()
+	select {
+	case <-w.done:
+	case <-ctx.Done():
+		w.mu.Lock()
+		defer w.mu.Unlock()
+		t.Fatalf("%d of %d jobs have ended", len(w.ends), w.count)
 	}
-	return j
-}
-
-func within(t testing.TB, d time.Duration) context.Context {
-	ctx, cancel := context.WithTimeout(context.Background(), d)
-	t.Cleanup(cancel)
-	return ctx
 }
 
-func work(class string, life time.Duration, more ...string) drmaa2.JobTemplate {
-	t := drmaa2.JobTemplate{RemoteCommand: "x", JobCategory: class,
-		ImplementationSpecific: map[string]string{drmaa2.AttrLife: life.String()}}
-	for i := 0; i+1 < len(more); i += 2 {
-		t.ImplementationSpecific[more[i]] = more[i+1]
+// placedAndDone is the number of jobs that were placed and have ended well.
+func (w *jobWatch) placedAndDone() (count int) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	for id, state := range w.ends {
+		if w.outcomes[id] == "placed" && state == drmaa2.Done {
+			count++
+		}
 	}
-	return t
+	return count
 }
 
-// Thousands of submissions that must never start twice, tallied at both ends: each has one outcome, and what the
+// Thousands of submissions that must never start twice, counted at both ends: each has one outcome, and what the
 // nodes have run is what the clients saw done.
-func TestThousands(t *testing.T) {
-	const n, clients = 3000, 30
-	s := newSite(t, 4, nil)
-	ctx := within(t, time.Minute)
-	js := s.session(ctx)
-	var mu sync.Mutex
-	outcomes, ends := map[string]string{}, map[string]drmaa2.JobState{}
-	done := make(chan struct{})
-	go func() {
-		defer close(done)
-		_ = js.Watch(ctx, func(i drmaa2.JobInfo) bool {
-			mu.Lock()
-			defer mu.Unlock()
-			o := i.ImplementationSpecific[drmaa2.AttrOutcome]
-			if old := outcomes[i.JobID]; old != "" && old != o {
-				t.Errorf("%s: outcome %s, then %s", i.JobID, old, o)
-			}
-			outcomes[i.JobID] = o
-			if i.JobState.Terminated() {
-				ends[i.JobID] = i.JobState
-			}
-			return len(ends) < n
-		})
-	}()
-	var wg sync.WaitGroup
-	for c := range clients {
-		wg.Add(1)
-		go func() {
-			defer wg.Done()
-			for i := range n / clients {
-				if _, err := js.RunJob(ctx, work("once", time.Duration(i%20)*time.Millisecond+1,
-					drmaa2.AttrKey, fmt.Sprintf("%d-%d", c, i))); err != nil {
+func TestThousandsOfSubmissions(t *testing.T) {
+	const count, clients = 3000, 30
+	cluster := newTestCluster(t, 4, nil)
+	ctx := contextWithin(t, time.Minute)
+	session := cluster.createSession(ctx, "test")
+	watch := watchJobs(ctx, t, session, count)
+	var submitting sync.WaitGroup
+	for client := range clients {
+		submitting.Go(func() {
+			for i := range count / clients {
+				template := jobTemplate("once", time.Duration(i%20)*time.Millisecond+1,
+					drmaa2.AttrKey, fmt.Sprintf("%d-%d", client, i))
+				if _, err := session.RunJob(ctx, template); err != nil {
 					t.Errorf("submission: %v", err)
 					return
 				}
 			}
-		}()
-	}
-	wg.Wait()
-	select {
-	case <-done:
-	case <-ctx.Done():
-		t.Fatal("not all jobs have ended")
-	}
-	mu.Lock()
-	defer mu.Unlock()
-	placed, ran := 0, 0
-	for id := range ends {
-		if outcomes[id] == "placed" && ends[id] == drmaa2.Done {
-			placed++
-		}
-	}
-	for _, node := range s.nodes {
-		node.Do(func(m *nodemodel.Node, _ nodemodel.Time) []nodemodel.Send { ran += m.Finished(); return nil })
+		})
 	}
-	if placed != n || ran != n {
-		t.Errorf("%d of %d were placed and done, nodes have finished %d", placed, n, ran)
+	submitting.Wait()
+	watch.wait(ctx, t)
+	placed, finished := watch.placedAndDone(), cluster.finishedOnNodes()
+	if placed != count || finished != count {
+		t.Errorf("%d of %d were placed and done, nodes have finished %d", placed, count, finished)
 	}
 }
 
-// Two clients wait for one job; a third goes away while it waits and asks anew under the same key.
-func TestTwoWait(t *testing.T) {
-	s := newSite(t, 1, nil)
-	ctx := within(t, 20*time.Second)
-	js := s.session(ctx)
-	job, err := js.RunJob(ctx, work("once", 300*time.Millisecond, drmaa2.AttrKey, "k"))
+// Two clients wait for one job; a third goes away while it waits and submits again under the same key.
+func TestTwoClientsWaitForOneJob(t *testing.T) {
+	cluster := newTestCluster(t, 1, nil)
+	ctx := contextWithin(t, 20*time.Second)
+	session := cluster.createSession(ctx, "test")
+	template := jobTemplate("once", 300*time.Millisecond, drmaa2.AttrKey, "k")
+	job, err := session.RunJob(ctx, template)
 	if err != nil {
 		t.Fatal(err)
 	}
-	gone, cancel := context.WithTimeout(ctx, 10*time.Millisecond)
+	short, cancel := context.WithTimeout(ctx, 10*time.Millisecond)
 	defer cancel()
-	if _, err := job.WaitTerminated(gone, drmaa2.InfiniteTime); !errors.Is(err, context.DeadlineExceeded) {
+	if _, err := job.WaitTerminated(short, drmaa2.InfiniteTime); !errors.Is(err, context.DeadlineExceeded) {
 		t.Errorf("the one that goes away: %v", err)
 	}
-	other := drmaa2.NewClient(s.d.Addr())
+	other := drmaa2.NewClient(cluster.daemon.Addr())
 	defer other.Close()
-	js2, err := other.OpenJobSession(ctx, "test")
+	otherSession, err := other.OpenJobSession(ctx, "test")
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, err := js2.RunJob(ctx, work("once", 300*time.Millisecond, drmaa2.AttrKey, "k"))
-	if err != nil || again.ID != job.ID {
-		t.Fatalf("asked anew: %v, %v", again, err)
-	}
-	var wg sync.WaitGroup
-	for _, j := range []*drmaa2.Job{job, again} {
-		wg.Add(1)
-		go func() {
-			defer wg.Done()
-			if i, err := j.WaitTerminated(ctx, 10*time.Second); err != nil || i.JobState != drmaa2.Done {
-				t.Errorf("%v, %v", i, err)
+	retried, err := otherSession.RunJob(ctx, template)
+	if err != nil || retried.ID != job.ID {
+		t.Fatalf("submitted again: %v, %v", retried, err)
+	}
+	var waiting sync.WaitGroup
+	for _, j := range []*drmaa2.Job{job, retried} {
+		waiting.Go(func() {
+			if info, err := j.WaitTerminated(ctx, 10*time.Second); err != nil || info.JobState != drmaa2.Done {
+				t.Errorf("%v, %v", info, err)
 			}
-		}()
+		})
 	}
-	wg.Wait()
+	waiting.Wait()
 	if _, err := job.WaitStarted(ctx, 0); err != nil && !errors.Is(err, drmaa2.ErrTimeout) {
 		t.Error(err)
 	}
 }
 
 // Each error of the specification reaches the client as itself.
-func TestErrors(t *testing.T) {
-	s := newSite(t, 1, func(set *settings.Scheduler, _ *nodemodel.Config) { set.Limits.MaxOpen = 1 })
-	ctx := within(t, 20*time.Second)
-	js := s.session(ctx)
+func TestErrorsOfTheSpecification(t *testing.T) {
+	cluster := newTestCluster(t, 1, func(set *settings.Scheduler, _ *nodemodel.Config) { set.Limits.MaxOpen = 1 })
+	ctx := contextWithin(t, 20*time.Second)
+	session := cluster.createSession(ctx, "test")
 	want := func(what string, err, target error) {
 		t.Helper()
 		if !errors.Is(err, target) {
 			t.Errorf("%s: %v, want %v", what, err, target)
 		}
 	}
-	_, err := s.c.CreateJobSession(ctx, "test")
+	_, err := cluster.client.CreateJobSession(ctx, "test")
 	want("session exists", err, drmaa2.ErrInvalidArgument)
-	_, err = s.c.OpenJobSession(ctx, "nowhere")
+	_, err = cluster.client.OpenJobSession(ctx, "nowhere")
 	want("no session", err, drmaa2.ErrInvalidArgument)
-	_, err = js.RunJob(ctx, drmaa2.JobTemplate{RemoteCommand: "x", JobCategory: "service", WorkingDirectory: "/"})
+	_, err = session.RunJob(ctx, drmaa2.JobTemplate{RemoteCommand: "x", JobCategory: "service", WorkingDirectory: "/"})
 	want("attribute", err, drmaa2.ErrUnsupportedAttribute)
-	_, err = js.RunJob(ctx, drmaa2.JobTemplate{RemoteCommand: "x", JobCategory: "z"})
+	_, err = session.RunJob(ctx, drmaa2.JobTemplate{RemoteCommand: "x", JobCategory: "z"})
 	want("class", err, drmaa2.ErrInvalidArgument)
-	held := work("service", time.Millisecond)
+	held := jobTemplate("service", time.Millisecond)
 	held.SubmitAsHold = true
-	job, err := js.RunJob(ctx, held)
+	job, err := session.RunJob(ctx, held)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -264,11 +175,11 @@
 	want("wait", err, drmaa2.ErrTimeout)
 	want("reap", job.Reap(ctx), drmaa2.ErrInvalidState)
 	want("suspend", job.Suspend(ctx), drmaa2.ErrUnsupportedOperation)
-	huge, err := js.RunJob(ctx, work("huge", time.Second))
+	huge, err := session.RunJob(ctx, jobTemplate("huge", time.Second))
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, err = js.RunJob(ctx, work("service", time.Second))
+	_, err = session.RunJob(ctx, jobTemplate("service", time.Second))
 	want("bound", err, drmaa2.ErrTryLater)
 	var e *drmaa2.Error
 	if errors.As(err, &e); e.RetryAfter <= 0 {
@@ -289,136 +200,128 @@
 	}
 	_, err = job.Info(ctx)
 	want("reaped", err, drmaa2.ErrInvalidArgument)
-	s.c.RetryFor = 0
+	cluster.client.RetryFor = 0
 	nobody := drmaa2.NewClient("127.0.0.1:1")
 	nobody.RetryFor = 0
 	_, err = nobody.Drms(ctx)
 	want("nobody there", err, drmaa2.ErrDrmCommunication)
 }
 
-// Arrays, templates, machines, queues and lists as the specification has them.
+// Arrays and their templates, lists of jobs and sessions as the specification has them.
 func TestSessions(t *testing.T) {
-	s := newSite(t, 2, nil)
-	ctx := within(t, 30*time.Second)
-	js := s.session(ctx)
-	tmpl := work("service", 20*time.Millisecond)
-	tmpl.JobName = "n"
-	a, err := js.RunBulkJobs(ctx, tmpl, 1, 9, 2, 2)
-	if err != nil || len(a.Jobs) != 5 {
-		t.Fatalf("%v, %v", a, err)
-	}
-	if err := a.WaitTerminated(ctx, 10*time.Second); err != nil {
+	cluster := newTestCluster(t, 2, nil)
+	ctx := contextWithin(t, 30*time.Second)
+	session := cluster.createSession(ctx, "test")
+	template := jobTemplate("service", 20*time.Millisecond)
+	template.JobName = "n"
+	array, err := session.RunBulkJobs(ctx, template, 1, 9, 2, 2)
+	if err != nil || len(array.Jobs) != 5 {
+		t.Fatalf("%v, %v", array, err)
+	}
+	if err := array.WaitTerminated(ctx, 10*time.Second); err != nil {
 		t.Fatal(err)
 	}
-	infos, err := a.Infos(ctx)
-	if err != nil || len(infos) != 5 || infos[4].ImplementationSpecific[drmaa2.AttrIndex] != "9" {
-		t.Errorf("%+v, %v", infos, err)
-	}
-	if got, err := a.Jobs[0].Template(ctx); err != nil || got.JobName != "n" {
-		t.Errorf("%+v, %v", got, err)
+	checkArray(ctx, t, session, array)
+	checkMonitoring(ctx, t, cluster.monitoringSession(ctx))
+	if names, err := cluster.client.JobSessionNames(ctx); err != nil || fmt.Sprint(names) != "[test]" {
+		t.Errorf("%v, %v", names, err)
 	}
-	m, err := s.c.OpenMonitoringSession(ctx)
-	if err != nil {
-		t.Fatal(err)
+	if err := cluster.client.DestroyJobSession(ctx, "test"); err != nil {
+		t.Error(err)
 	}
-	if all, err := m.AllMachines(ctx, "n1"); err != nil || len(all) != 1 || !all[0].Available {
-		t.Errorf("%+v, %v", all, err)
+	if categories, err := session.JobCategories(ctx); err != nil || len(categories) != 3 {
+		t.Errorf("%v, %v", categories, err)
 	}
-	if q, err := m.AllQueues(ctx); err != nil || len(q) != 1 {
-		t.Errorf("%v, %v", q, err)
+}
+
+// checkArray checks what is known of an array of five jobs, named n, that have ended.
+func checkArray(ctx context.Context, t *testing.T, session *drmaa2.JobSession, array *drmaa2.JobArray) {
+	t.Helper()
+	infos, err := array.Infos(ctx)
+	if err != nil || len(infos) != 5 || infos[4].ImplementationSpecific[drmaa2.AttrIndex] != "9" {
+		t.Errorf("%+v, %v", infos, err)
 	}
-	if err := m.AllReservations(ctx); !errors.Is(err, drmaa2.ErrUnsupportedOperation) {
-		t.Error(err)
+	if template, err := array.Jobs[0].Template(ctx); err != nil || template.JobName != "n" {
+		t.Errorf("%+v, %v", template, err)
 	}
-	if jobs, err := js.Jobs(ctx, &drmaa2.JobInfo{JobState: drmaa2.Done, JobName: "n"}); err != nil || len(jobs) != 5 {
+	jobs, err := session.Jobs(ctx, &drmaa2.JobInfo{JobState: drmaa2.Done, JobName: "n"})
+	if err != nil || len(jobs) != 5 {
 		t.Errorf("%v, %v", jobs, err)
 	}
-	if all, err := m.AllJobs(ctx, &drmaa2.JobInfo{JobState: drmaa2.Running}); err != nil || len(all) != 0 {
-		t.Errorf("%v, %v", all, err)
+	if job, err := session.WaitAnyTerminated(ctx, array.Jobs[2:], time.Second); err != nil || job == nil {
+		t.Errorf("%v, %v", job, err)
 	}
-	if found, err := js.WaitAnyTerminated(ctx, a.Jobs[2:], time.Second); err != nil || found == nil {
-		t.Errorf("%v, %v", found, err)
+}
+
+// checkMonitoring checks the monitoring session of a scheduler with two nodes on which nothing runs.
+func checkMonitoring(ctx context.Context, t *testing.T, monitoring *drmaa2.MonitoringSession) {
+	t.Helper()
+	machines, err := monitoring.AllMachines(ctx, "n1")
+	if err != nil || len(machines) != 1 || !machines[0].Available {
+		t.Errorf("%+v, %v", machines, err)
 	}
-	if names, err := s.c.JobSessionNames(ctx); err != nil || fmt.Sprint(names) != "[test]" {
-		t.Errorf("%v, %v", names, err)
+	if queues, err := monitoring.AllQueues(ctx); err != nil || len(queues) != 1 {
+		t.Errorf("%v, %v", queues, err)
 	}
-	if err := s.c.DestroyJobSession(ctx, "test"); err != nil {
+	if err := monitoring.AllReservations(ctx); !errors.Is(err, drmaa2.ErrUnsupportedOperation) {
 		t.Error(err)
 	}
-	if c, err := js.JobCategories(ctx); err != nil || len(c) != 3 {
-		t.Errorf("%v, %v", c, err)
+	running, err := monitoring.AllJobs(ctx, &drmaa2.JobInfo{JobState: drmaa2.Running})
+	if err != nil || len(running) != 0 {
+		t.Errorf("%v, %v", running, err)
 	}
 }
 
-// A killed scheduler's next life finds what runs, under its old ID and key, and starts nothing twice.
-func TestNextLife(t *testing.T) {
-	s := newSite(t, 2, nil)
-	ctx := within(t, 30*time.Second)
-	js := s.session(ctx)
-	tmpl := work("once", 2*time.Second, drmaa2.AttrKey, "k")
-	job, err := js.RunJob(ctx, tmpl)
+// A scheduler that was killed and restarted finds what runs, under its old ID and key, and starts nothing twice.
+func TestRestartAdoptsRunningJobs(t *testing.T) {
+	cluster := newTestCluster(t, 2, nil)
+	ctx := contextWithin(t, 30*time.Second)
+	session := cluster.createSession(ctx, "test")
+	template := jobTemplate("once", 2*time.Second, drmaa2.AttrKey, "k")
+	job, err := session.RunJob(ctx, template)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err := job.WaitStarted(ctx, 5*time.Second); err != nil {
 		t.Fatal(err)
 	}
-	s.c.Close()
-	if err := s.d.Stop(); err != nil { // nothing is told to anybody
-		t.Fatal(err)
-	}
-	s.start()
-	if js, err = s.c.CreateJobSession(ctx, "other"); err != nil {
-		t.Fatal(err)
-	}
-	again, err := js.RunJobAgain(ctx, tmpl)
+	cluster.restartDaemon()
+	retried, err := cluster.createSession(ctx, "other").RunJobAgain(ctx, template)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, id := range []string{job.ID, again.ID} {
-		j, err := s.c.Job(ctx, id)
-		for errors.Is(err, drmaa2.ErrInvalidArgument) { // until the node has told
-			j, err = s.c.Job(ctx, id)
-		}
-		if err != nil {
-			t.Fatal(err)
-		}
-		if i, err := j.WaitTerminated(ctx, 10*time.Second); err != nil || i.JobState != drmaa2.Done {
-			t.Errorf("%s: %+v, %v", id, i, err)
-		}
-	}
-	ran := 0
-	for _, n := range s.nodes {
-		n.Do(func(m *nodemodel.Node, _ nodemodel.Time) []nodemodel.Send { ran += m.Finished(); return nil })
+	for _, id := range []string{job.ID, retried.ID} {
+		checkAdoptedJobEnds(ctx, t, cluster, id, 10*time.Second)
 	}
-	if ran != 1 {
-		t.Errorf("it ran %d times", ran)
+	if finished := cluster.finishedOnNodes(); finished != 1 {
+		t.Errorf("it ran %d times", finished)
 	}
 }
 
-// Asked to leave, the daemon takes nothing more, gives what is in flight its outcome, and goes.
-func TestShutdown(t *testing.T) {
-	s := newSite(t, 1, func(_ *settings.Scheduler, m *nodemodel.Config) { m.Look = 200 * time.Millisecond })
-	ctx := within(t, 20*time.Second)
-	js := s.session(ctx)
-	job, err := js.RunJob(ctx, work("once", time.Minute))
+// A draining daemon accepts nothing more, gives each open request its outcome, and ends.
+func TestGracefulShutdown(t *testing.T) {
+	cluster := newTestCluster(t, 1, func(_ *settings.Scheduler, m *nodemodel.Config) { m.Look = 200 * time.Millisecond })
+	ctx := contextWithin(t, 20*time.Second)
+	session := cluster.createSession(ctx, "test")
+	job, err := session.RunJob(ctx, jobTemplate("once", time.Minute))
 	if err != nil {
 		t.Fatal(err)
 	}
-	seen := make(chan string, 100)
+	outcomes := make(chan string, 100)
 	go func() {
-		_ = js.Watch(ctx, func(i drmaa2.JobInfo) bool {
-			seen <- i.ImplementationSpecific[drmaa2.AttrOutcome]
-			return i.ImplementationSpecific[drmaa2.AttrOutcome] == ""
+		_ = session.Watch(ctx, func(info drmaa2.JobInfo) bool {
+			outcome := info.ImplementationSpecific[drmaa2.AttrOutcome]
+			outcomes <- outcome
+			return outcome == ""
 		})
-		close(seen)
+		close(outcomes)
 	}()
-	<-seen
+	<-outcomes
 	stopped := make(chan error, 1)
-	go func() { stopped <- s.d.Shutdown(ctx) }()
+	go func() { stopped <- cluster.daemon.Shutdown(ctx) }()
 	last := ""
-	for o := range seen {
-		last = o
+	for outcome := range outcomes {
+		last = outcome
 	}
 	if last != "placed" {
 		t.Errorf("outcome of %s: %q", job.ID, last)
@@ -428,107 +331,102 @@
 	}
 }
 
-// Clients that send a byte a second, never read, send heads without end or rubbish get a plain error or are cut
-// off; memory stays flat and others are served.
-func TestRudeClients(t *testing.T) {
-	s := newSite(t, 1, nil)
-	ctx := within(t, 60*time.Second)
-	js := s.session(ctx)
-	say := func(text string) (net.Conn, string) {
-		t.Helper()
-		c, err := net.Dial("tcp", s.d.Addr())
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(func() { _ = c.Close() })
-		_, _ = io.WriteString(c, text)
-		_ = c.SetReadDeadline(time.Now().Add(5 * time.Second))
-		b, _ := io.ReadAll(c)
-		return c, string(b)
-	}
-	if _, got := say("POST /drmaa2/v1/sessions HTTP/1.1\r\nHost: x\r\nContent-Length: 100\r\n\r\n{"); !strings.Contains(got, " 408 ") {
+// maxHeapGrowth is what the heap may grow by, in bytes, while clients misbehave.
+const maxHeapGrowth = 64 << 20
+
+// Clients that send half a request, never read, send heads without end or no HTTP get a plain error or are
+// disconnected; memory stays bounded and others are served.
+func TestMisbehavingClients(t *testing.T) {
+	cluster := newTestCluster(t, 1, nil)
+	ctx := contextWithin(t, 60*time.Second)
+	session := cluster.createSession(ctx, "test")
+	addr := cluster.daemon.Addr()
+	half := "POST /drmaa2/v1/sessions HTTP/1.1\r\nHost: x\r\nContent-Length: 100\r\n\r\n{"
+	if got := responseTo(t, addr, half); !strings.Contains(got, " 408 ") {
 		t.Errorf("half a request: %q", got)
 	}
-	if _, got := say("\x16\x03\x01\x00\x00\r\n\r\n"); !strings.Contains(got, " 400 ") {
-		t.Errorf("rubbish: %q", got)
+	if got := responseTo(t, addr, "\x16\x03\x01\x00\x00\r\n\r\n"); !strings.Contains(got, " 400 ") {
+		t.Errorf("no HTTP: %q", got)
 	}
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	c, err := net.Dial("tcp", s.d.Addr())
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer c.Close()
-	_, _ = io.WriteString(c, "GET / HTTP/1.1\r\nHost: x\r\n")
-	line := "X: " + strings.Repeat("y", 1<<16) + "\r\n"
-	sent := 0
-	for range 1024 {
-		n, err := io.WriteString(c, line)
-		if sent += n; err != nil {
-			break
-		}
-	}
-	if sent > 32<<20 {
+	if sent := sendEndlessHead(t, addr); sent > 32<<20 {
 		t.Errorf("%d MiB of a head were taken in", sent>>20)
 	}
-	never, err := net.Dial("tcp", s.d.Addr())
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer never.Close()
-	_ = never.(*net.TCPConn).SetReadBuffer(4096)
-	_, _ = io.WriteString(never, "GET /drmaa2/v1/sessions/test/events HTTP/1.1\r\nHost: x\r\n\r\n")
+	neverReads := dial(t, addr)
+	_ = neverReads.SetReadBuffer(4096) // a larger buffer takes longer to fill, no more
+	write(neverReads, "GET /drmaa2/v1/sessions/test/events HTTP/1.1\r\nHost: x\r\n\r\n")
 	// 20,000 changes of jobs are over 10 MB of events that one client does not read.
 	for range 20 {
-		a, err := js.RunBulkJobs(ctx, work("service", time.Millisecond), 1, 250, 1, 0)
+		array, err := session.RunBulkJobs(ctx, jobTemplate("service", time.Millisecond), 1, 250, 1, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := a.WaitTerminated(ctx, 20*time.Second); err != nil {
+		if err := array.WaitTerminated(ctx, 20*time.Second); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if got := counter(t, s.d, "flaxshelf_clients_cut_total"); got < 1 {
-		t.Error("the client that never reads was not cut off")
+	if got := counterValue(t, cluster.daemon, "flaxshelf_clients_cut_total"); got < 1 {
+		t.Error("the client that never reads was not disconnected")
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	if grown := int64(after.HeapAlloc) - int64(before.HeapAlloc); grown > 64<<20 {
+	if grown := int64(after.HeapAlloc) - int64(before.HeapAlloc); grown > maxHeapGrowth {
 		t.Errorf("the heap has grown by %d MiB", grown>>20)
 	}
 }
 
-func counter(t *testing.T, d *Daemon, name string) float64 {
+// dial opens a connection that is closed with the test.
+func dial(t *testing.T, addr string) *net.TCPConn {
 	t.Helper()
-	all, err := d.metrics.registry.Gather()
+	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, f := range all {
-		if f.GetName() == name {
-			return f.GetMetric()[0].GetCounter().GetValue()
+	t.Cleanup(func() { _ = conn.Close() })
+	return conn.(*net.TCPConn)
+}
+
+// write writes text; the daemon may have closed the connection, which the test sees by other means.
+func write(conn net.Conn, text string) { _, _ = io.WriteString(conn, text) }
+
+// responseTo is all that the daemon sends on a connection on which text was sent.
+func responseTo(t *testing.T, addr, text string) string {
+	t.Helper()
+	conn := dial(t, addr)
+	write(conn, text)
+	_ = conn.SetReadDeadline(time.Now().Add(5 * time.Second))
+	response, _ := io.ReadAll(conn) // what was read until the deadline, too
+	return string(response)
+}
+
+// sendEndlessHead sends up to 64 MiB of a request's head and returns how many bytes the daemon has taken.
+func sendEndlessHead(t *testing.T, addr string) (sent int) {
+	t.Helper()
+	conn := dial(t, addr)
+	write(conn, "GET / HTTP/1.1\r\nHost: x\r\n")
+	line := "X: " + strings.Repeat("y", 1<<16) + "\r\n"
+	for range 1024 {
+		n, err := io.WriteString(conn, line)
+		if sent += n; err != nil {
+			break
 		}
 	}
-	t.Fatalf("no metric %s", name)
-	return 0
+	return sent
 }
 
-// Over the bound on connections a client is told to try later; those who are in stay.
-func TestConnections(t *testing.T) {
-	s := newSite(t, 1, func(set *settings.Scheduler, _ *nodemodel.Config) { set.Limits.Connections = 2 })
-	ctx := within(t, 10*time.Second)
-	s.session(ctx) // one connection, kept
-	hold, err := net.Dial("tcp", s.d.Addr())
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer hold.Close()
-	_, _ = io.WriteString(hold, "GET /drmaa2/v1/info HTTP/1.1\r\nHost: x\r\n\r\n")
-	if _, err := hold.Read(make([]byte, 10)); err != nil {
+// Over the limit of connections a client is answered to try later; those that are connected stay.
+func TestConnectionLimit(t *testing.T) {
+	cluster := newTestCluster(t, 1, func(set *settings.Scheduler, _ *nodemodel.Config) { set.Limits.Connections = 2 })
+	ctx := contextWithin(t, 10*time.Second)
+	cluster.createSession(ctx, "test") // on a connection that the client keeps
+	second := dial(t, cluster.daemon.Addr())
+	write(second, "GET /drmaa2/v1/info HTTP/1.1\r\nHost: x\r\n\r\n")
+	if _, err := second.Read(make([]byte, 10)); err != nil {
 		t.Fatal(err)
 	}
-	res, err := http.Get("http://" + s.d.Addr() + "/drmaa2/v1/info")
+	res, err := http.Get("http://" + cluster.daemon.Addr() + "/drmaa2/v1/info")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -537,8 +435,8 @@
 	if res.StatusCode != 503 || res.Header.Get("Retry-After") == "" {
 		t.Errorf("status %s", res.Status)
 	}
-	if _, err := s.c.JobSessionNames(ctx); err != nil {
-		t.Errorf("one that is in: %v", err)
+	if _, err := cluster.client.JobSessionNames(ctx); err != nil {
+		t.Errorf("one that is connected: %v", err)
 	}
 }
 
@@ -550,9 +448,9 @@
 	}
 	addr := l.Addr().String()
 	_ = l.Close()
-	s := newSite(t, 1, func(set *settings.Scheduler, _ *nodemodel.Config) { set.Metrics = addr })
-	ctx := within(t, 10*time.Second)
-	job, err := s.session(ctx).RunJob(ctx, work("once", time.Millisecond))
+	cluster := newTestCluster(t, 1, func(set *settings.Scheduler, _ *nodemodel.Config) { set.Metrics = addr })
+	ctx := contextWithin(t, 10*time.Second)
+	job, err := cluster.createSession(ctx, "test").RunJob(ctx, jobTemplate("once", time.Millisecond))
 	if err != nil {
 		t.Fatal(err)
 	}
--- /dev/null
+++ b/internal/daemon/testcluster_test.go
@@ -0,0 +1,178 @@
+package daemon
+
+import (
+	"context"
+	"fmt"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+	"go.uber.org/goleak"
+
+	"flaxshelf.example/flaxshelf/drmaa2"
+	"flaxshelf.example/flaxshelf/internal/lab/standin/host"
+	"flaxshelf.example/flaxshelf/internal/lab/standin/inventorymodel"
+	"flaxshelf.example/flaxshelf/internal/lab/standin/nodemodel"
+	"flaxshelf.example/flaxshelf/internal/settings"
+)
+
+func TestMain(m *testing.M) {
+	goleak.VerifyTestMain(m, goleak.IgnoreTopFunction("github.com/panjf2000/ants/v2.(*poolCommon).purgeStaleWorkers"),
+		goleak.IgnoreTopFunction("github.com/panjf2000/ants/v2.(*poolCommon).ticktock"),
+		goleak.IgnoreTopFunction("github.com/panjf2000/gnet/v2/pkg/logging.init.0.func1"))
+}
+
+const testScheduler = `
+name: "s"
+listen: "127.0.0.1:0"
+inventory: "127.0.0.1:0"
+kinds: [{name: "k", cores: 64, memory: 256}]
+classes: [
+	{name: "service", effect: "safe", aim: "1s", giveup: "5s", cores: 0.01, memory: 0.01},
+	{name: "once", effect: "unsafe", aim: "1s", giveup: "2s", cores: 0.01, memory: 0.01},
+	{name: "huge", effect: "safe", aim: "1s", giveup: "1s", cores: 1000, memory: 1},
+]
+rules: {acceptCores: 2, acceptMemory: 2, drainGrace: "2s", settle: "1s"}
+limits: {idle: "20s", request: "500ms", clientOut: 65536, stopWithin: "5s"}
+`
+
+// testCluster is a scheduler with an inventory and nodes, all in this process.
+type testCluster struct {
+	t         testing.TB
+	settings  *settings.Scheduler
+	inventory *host.Inventory
+	nodes     []*host.Node
+	daemon    *Daemon
+	client    *drmaa2.Client
+}
+
+// newTestCluster starts a scheduler with nodes; change, if not nil, changes their settings first.
+func newTestCluster(t testing.TB, nodes int, change func(*settings.Scheduler, *nodemodel.Config)) *testCluster {
+	t.Helper()
+	set, err := settings.ParseScheduler("test", []byte(testScheduler))
+	if err != nil {
+		t.Fatal(err)
+	}
+	model := nodemodel.Config{Cores: 64, Memory: 256, AcceptCores: 2, AcceptMemory: 2, Look: 100 * time.Microsecond,
+		MaxWait: 1000, StartSlots: 64, StartWork: time.Millisecond, FreshFactor: 1, Keep: 4}
+	if change != nil {
+		change(set, &model)
+	}
+	cluster := &testCluster{t: t, settings: set}
+	cluster.inventory, err = host.StartInventory("127.0.0.1:0", inventorymodel.Config{GoneAfter: 50 * time.Millisecond},
+		zerolog.Nop())
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(cluster.inventory.Stop)
+	cluster.startNodes(nodes, model)
+	set.Inventory = cluster.inventory.Addr()
+	cluster.startDaemon()
+	t.Cleanup(func() {
+		cluster.client.Close()
+		if err := cluster.daemon.Stop(); err != nil {
+			t.Error(err)
+		}
+	})
+	return cluster
+}
+
+// startNodes starts nodes and waits until the inventory lists them.
+func (c *testCluster) startNodes(count int, model nodemodel.Config) {
+	c.t.Helper()
+	room := host.NewRoom()
+	for i := range count {
+		model.Name, model.Seed = fmt.Sprintf("n%d", i), uint64(i)
+		node, err := host.StartNode(host.NodeOptions{Model: model, Kind: "k", Listen: "127.0.0.1:0",
+			Inventory: c.inventory.Addr(), Room: room, Log: zerolog.Nop()})
+		if err != nil {
+			c.t.Fatal(err)
+		}
+		c.t.Cleanup(node.Stop)
+		c.nodes = append(c.nodes, node)
+	}
+	if err := c.inventory.WaitFor(contextWithin(c.t, 10*time.Second), count); err != nil {
+		c.t.Fatal(err)
+	}
+}
+
+// startDaemon starts the daemon and a client of it. A restarted daemon has the same address.
+func (c *testCluster) startDaemon() {
+	c.t.Helper()
+	d, err := Start(c.settings, zerolog.Nop())
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	c.daemon = d
+	c.settings.Listen = d.Addr()
+	c.client = drmaa2.NewClient(d.Addr())
+}
+
+// restartDaemon stops the daemon without a graceful end and starts it again.
+func (c *testCluster) restartDaemon() {
+	c.t.Helper()
+	c.client.Close()
+	if err := c.daemon.Stop(); err != nil {
+		c.t.Fatal(err)
+	}
+	c.startDaemon()
+}
+
+func (c *testCluster) createSession(ctx context.Context, name string) *drmaa2.JobSession {
+	c.t.Helper()
+	session, err := c.client.CreateJobSession(ctx, name)
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	return session
+}
+
+func (c *testCluster) monitoringSession(ctx context.Context) *drmaa2.MonitoringSession {
+	c.t.Helper()
+	session, err := c.client.OpenMonitoringSession(ctx)
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	return session
+}
+
+// finishedOnNodes is the number of tasks that the nodes have run to their end.
+func (c *testCluster) finishedOnNodes() (finished int) {
+	for _, node := range c.nodes {
+		node.Do(func(m *nodemodel.Node, _ nodemodel.Time) []nodemodel.Send { finished += m.Finished(); return nil })
+	}
+	return finished
+}
+
+// contextWithin is a context that ends after a time, and with the test.
+func contextWithin(t testing.TB, timeout time.Duration) context.Context {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
+	t.Cleanup(cancel)
+	return ctx
+}
+
+// jobTemplate is a job of a class that runs for a time, with further attributes as pairs of name and value.
+func jobTemplate(class string, runtime time.Duration, attributes ...string) drmaa2.JobTemplate {
+	template := drmaa2.JobTemplate{RemoteCommand: "x", JobCategory: class,
+		ImplementationSpecific: map[string]string{drmaa2.AttrLife: runtime.String()}}
+	for i := 0; i+1 < len(attributes); i += 2 {
+		template.ImplementationSpecific[attributes[i]] = attributes[i+1]
+	}
+	return template
+}
+
+// counterValue is the value of a counter of the daemon.
+func counterValue(t *testing.T, d *Daemon, name string) float64 {
+	t.Helper()
+	families, err := d.metrics.registry.Gather()
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, family := range families {
+		if family.GetName() == name {
+			return family.GetMetric()[0].GetCounter().GetValue()
+		}
+	}
+	t.Fatalf("no metric %s", name)
+	return 0
+}
