--- /dev/null
+++ b/internal/front/drmaafront/responses_test.go
@@ -0,0 +1,192 @@
+package drmaafront
+
+import (
+	"bytes"
+	"flag"
+	"fmt"
+	"os"
+	"strings"
+	"testing"
+	"time"
+
+	"flaxshelf.example/flaxshelf"
+	"flaxshelf.example/flaxshelf/drmaa2"
+	"flaxshelf.example/flaxshelf/internal/codec/httpcodec"
+	"flaxshelf.example/flaxshelf/internal/scheduler"
+)
+
+const responsesFile = "testdata/responses.golden"
+
+// bootMark marks the IDs of the events of newFront: its start of 5,000 ms in base 36.
+const bootMark = "3uw"
+
+var update = flag.Bool("update", false, "write "+responsesFile+" anew; each change of it is a change of the wire")
+
+// The bytes of the responses, errors and events are those of the file.
+func TestResponseBytes(t *testing.T) {
+	got := allResponses(t)
+	if *update {
+		if err := os.WriteFile(responsesFile, got, 0o600); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	want, err := os.ReadFile(responsesFile)
+	if err != nil {
+		t.Fatal(err)
+	}
+	gotLines, wantLines := strings.Split(string(got), "\n"), strings.Split(string(want), "\n")
+	for i := range max(len(gotLines), len(wantLines)) {
+		if i >= len(gotLines) || i >= len(wantLines) {
+			t.Fatalf("%d lines, want %d", len(gotLines), len(wantLines))
+		}
+		if gotLines[i] != wantLines[i] {
+			t.Fatalf("line %d:\ngot  %s\nwant %s", i+1, gotLines[i], wantLines[i])
+		}
+	}
+}
+
+// allResponses has the responses to requests of each kind, quoted, so that each byte shows.
+func allResponses(t *testing.T) []byte {
+	t.Helper()
+	front := newFront(t)
+	var out bytes.Buffer
+	write := func(name string, response []byte) { fmt.Fprintf(&out, "%s\n%q\n", name, response) }
+	for _, r := range requestsWithoutCore() {
+		write(r.name, front.Route(r.request).Response)
+	}
+	for _, r := range requestsToCore() {
+		call := front.Route(r.request)
+		if call.Input == nil {
+			t.Fatalf("%s: %s", r.name, call.Response)
+		}
+		write(fmt.Sprintf("%s stream=%v closes=%v since=%q input=%T", r.name, call.Stream, call.Closes, call.Since,
+			call.Input(1, 2)), call.Encode(&r.answer))
+		for _, code := range []scheduler.ErrorCode{scheduler.InvalidArgument, scheduler.TryLater} {
+			failure := &scheduler.Error{Code: code, Message: "m", RetryAfter: 1500 * time.Millisecond}
+			write(r.name+" failed", call.Encode(&scheduler.Answer{Err: failure}))
+		}
+	}
+	for _, info := range sampleJobs() {
+		write("event", front.Event(&info, "7-8"))
+	}
+	write("heartbeat", Heartbeat())
+	write("busy", Busy(false))
+	write("busy, closes", Busy(true))
+	for _, code := range []drmaa2.ErrorCode{drmaa2.InvalidArgument, drmaa2.UnsupportedAttribute, drmaa2.InvalidState,
+		drmaa2.InvalidSession, drmaa2.DeniedByDrms, drmaa2.TryLater, drmaa2.OutOfResource, drmaa2.UnsupportedOperation,
+		drmaa2.Internal} {
+		write("status of an error", fmt.Appendf(nil, "%d", status(code)))
+	}
+	return out.Bytes()
+}
+
+type namedRequest struct {
+	name    string
+	request *httpcodec.Request
+	answer  scheduler.Answer // of the core
+}
+
+// requestsWithoutCore are requests that the front answers alone: the constant resources and all kinds of errors.
+func requestsWithoutCore() []namedRequest {
+	var all []namedRequest
+	add := func(method, path, body string) {
+		all = append(all, namedRequest{name: method + " " + path + " " + body, request: request(method, path, body)})
+	}
+	for _, path := range []string{"/info", "/queues", "/wings", "/sessions/a%zz", "/sessions/s/jobs?limit=0",
+		"/sessions/s/jobs?limit=x", "/jobs?a=%zz", "/" + strings.Repeat("p", 200)} {
+		add("GET", Prefix+path, "")
+	}
+	add("GET", "/", "")
+	add("PUT", Prefix+"/jobs/j", "")
+	add("POST", Prefix+"/jobs/j/suspend", "")
+	add("POST", Prefix+"/jobs/j/resume", "")
+	for _, body := range []string{"", "{", `{"name":""}`, `{"name":"a\nb"}`, `{"name":1}`, `{"wings":1}`, `{"name":"a","name":"b"}`} {
+		add("POST", Prefix+"/sessions", body)
+	}
+	for _, template := range []string{``, `"wings":2`, `"startTime":"tomorrow"`, `"args":["\u0000"]`, `"jobName":"\u0000"`,
+		`"minSlots":"many"`, `"accountingId":"z"`, `"queueName":"z"`, `"minSlots":-4`, `"minSlots":1,"maxSlots":4`,
+		`"jobEnvironment":{"A":"b"}`, `"workingDirectory":"/"`, `"email":["a"]`, `"emailOnStarted":true`,
+		`"emailOnTerminated":true`, `"inputPath":"/"`, `"outputPath":"/"`, `"errorPath":"/"`, `"joinFiles":true`,
+		`"reservationId":"r"`, `"priority":3`, `"candidateMachines":["a"]`, `"machineOS":"LINUX"`, `"machineArch":"X64"`,
+		`"stageInFiles":{"a":"b"}`, `"stageOutFiles":{"a":"b"}`, `"resourceLimits":{"a":"b"}`, `"args":1`, `"args":[1]`,
+		`"jobName":1`, `"minSlots":1.5`, `"implementationSpecific":[]`,
+		`"jobName":"` + strings.Repeat("n", 256) + `"`, `"args":[` + strings.Repeat(`"a",`, 1000) + `"a"]`,
+		`"implementationSpecific":{"flaxshelf.cores":"NaN"}`, `"implementationSpecific":{"flaxshelf.memory":"0"}`,
+		`"implementationSpecific":{"flaxshelf.life":"1"}`, `"implementationSpecific":{"flaxshelf.giveup":"-1s"}`,
+		`"implementationSpecific":{"flaxshelf.key":"a b"}`, `"implementationSpecific":{"flaxshelf.service":""}`,
+		`"implementationSpecific":{"flaxshelf.wings":"2"}`, `"minSlots":1,"implementationSpecific":{"flaxshelf.cores":"2"}`,
+		`"minPhysMemory":1,"implementationSpecific":{"flaxshelf.memory":"2"}`} {
+		add("POST", Prefix+"/sessions/s/jobs", `{"template":{`+template+`}}`)
+		add("POST", Prefix+"/sessions/s/jobs", `{"template":{"remoteCommand":"x","jobCategory":"z",`+template+`}}`)
+		add("POST", Prefix+"/sessions/s/jobs", `{"template":{"remoteCommand":"x","jobCategory":"batch",`+template+`}}`)
+	}
+	command := strings.Repeat("c", 5000)
+	add("POST", Prefix+"/sessions/s/jobs", `{"template":{"remoteCommand":"`+command+`","jobCategory":"batch"}}`)
+	add("POST", Prefix+"/sessions/s/jobs", `{"template":{"remoteCommand":"\u0000","jobCategory":"batch"}}`)
+	good := `{"template":{"remoteCommand":"x","jobCategory":"batch"}`
+	add("POST", Prefix+"/sessions/s/arrays", good+`}`)
+	for _, bulk := range []string{`{"beginIndex":0,"endIndex":1,"step":1}`, `{"beginIndex":1,"endIndex":9000000,"step":1}`,
+		`{"beginIndex":1,"endIndex":1,"step":1,"maxParallel":-1}`} {
+		add("POST", Prefix+"/sessions/s/jobs", good+`,"bulk":`+bulk+`}`)
+		add("POST", Prefix+"/sessions/s/arrays", good+`,"bulk":`+bulk+`}`)
+	}
+	return all
+}
+
+// requestsToCore are the requests that go to the core, with answers of all shapes.
+func requestsToCore() []namedRequest {
+	jobs := scheduler.Answer{Jobs: sampleJobs()}
+	array := scheduler.Answer{Jobs: sampleJobs(), Array: "array", Existing: true}
+	machines := scheduler.Answer{Machines: []scheduler.MachineInfo{
+		{Machine: flaxshelf.Machine{ID: "n", Zone: "z", Cell: 3}, Connected: true, Jobs: 2},
+		{Machine: flaxshelf.Machine{ID: "m", Kind: -1, State: flaxshelf.Draining}, Connected: true},
+		{Machine: flaxshelf.Machine{ID: "o", Kind: 7, State: flaxshelf.Removed}}}}
+	good := `{"template":{"remoteCommand":"x","jobCategory":"batch"}`
+	var all []namedRequest
+	add := func(method, path, body string, answer scheduler.Answer) {
+		all = append(all, namedRequest{method + " " + path, request(method, Prefix+path, body), answer})
+	}
+	add("GET", "/sessions", "", scheduler.Answer{})
+	add("GET", "/sessions", "", scheduler.Answer{Sessions: []string{"a", "b"}})
+	add("POST", "/sessions", `{"name":"a b"}`, scheduler.Answer{})
+	add("GET", "/sessions/a%20b", "", scheduler.Answer{})
+	add("DELETE", "/sessions/s", "", scheduler.Answer{})
+	add("POST", "/sessions/s/jobs", good+`}`, jobs)
+	add("POST", "/sessions/s/jobs", good+`,"again":true}`, array)
+	add("POST", "/sessions/s/arrays", good+`,"bulk":{"beginIndex":1,"endIndex":9,"step":2}}`, array)
+	add("GET", "/sessions/s/jobs?limit=3&after=j", "", jobs)
+	add("GET", "/jobs", "", scheduler.Answer{})
+	add("GET", "/jobs/j", "", jobs)
+	add("GET", "/jobs/j/template", "", jobs)
+	add("GET", "/jobs/j/template", "", scheduler.Answer{Jobs: sampleJobs()[1:]})
+	add("GET", "/jobs/j/template", "", scheduler.Answer{})
+	for _, verb := range []string{"hold", "release", "terminate"} {
+		add("POST", "/jobs/j/"+verb, "", jobs)
+	}
+	add("DELETE", "/jobs/j", "", jobs)
+	add("GET", "/machines", "", machines)
+	add("GET", "/machines", "", scheduler.Answer{})
+	for _, path := range []string{"/events", "/jobs/j/events", "/sessions/s/events"} {
+		add("GET", path, "", scheduler.Answer{})
+	}
+	last := namedRequest{name: "a stream that goes on", request: request("GET", Prefix+"/events", "")}
+	last.request.Fields = []httpcodec.Field{{Name: "last-event-id", Value: bootMark + ".42-7"}}
+	last.request.Close = true
+	return append(all, last)
+}
+
+// sampleJobs are jobs with all, with no, and with some of their attributes.
+func sampleJobs() []scheduler.Info {
+	spec := scheduler.Spec{Key: "key", Session: "session", Name: "name", Owner: "owner", Service: "service", Class: 1,
+		Tenant: 0, Cores: 2.5, Memory: 4, Template: []byte(`{"remoteCommand":"x"}`)}
+	ended := scheduler.Info{ID: "ended", Spec: &spec, State: scheduler.Done, SubState: scheduler.SubExited, Reason: "reason",
+		Outcome: scheduler.OutcomePlaced, Node: "n", Array: "array", Index: 3, Request: 2, Attempts: 4, Revision: 9, Exit: 5,
+		SubmittedAt: time.Second, RequestedAt: 2 * time.Second, PlacementDeadline: 3 * time.Second,
+		StartedAt: 4 * time.Second, FinishedAt: 5500 * time.Millisecond, Signal: "KILL"}
+	running := ended
+	running.ID, running.State, running.SubState, running.FinishedAt = "running", scheduler.Running, scheduler.SubRunning, 0
+	rejected := ended
+	rejected.ID, rejected.State, rejected.SubState, rejected.StartedAt = "rejected", scheduler.Failed, "refused", 0
+	return []scheduler.Info{ended, {ID: "empty", Spec: &scheduler.Spec{Tenant: -1}}, running, rejected}
+}
