--- a/internal/daemon/clienthandler.go
+++ b/internal/daemon/clienthandler.go
@@ -54,7 +54,7 @@
 }
 
 func (h *clientHandler) rejectOverLimit(c *transport.Conn) {
-	c.WriteInLoop(drmaafront.Busy(true))
+	c.WriteInLoop(drmaafront.BusyResponse(true))
 	c.CloseInLoop(errTooManyConnections)
 }
 
@@ -131,7 +131,7 @@
 	h.requestPending = true
 	events := &eventStream{client: h, conn: c}
 	if call.Stream {
-		events.position = shard.ParsePosition(call.Since, len(h.daemon.runners))
+		events.position = shard.ParsePosition(call.ResumeAfter, len(h.daemon.runners))
 	}
 	m := message{receivedAt: time.Now(), reply: func(a *scheduler.Answer) {
 		answer := *a
@@ -140,7 +140,7 @@
 	if !h.daemon.dispatch(call, m, events) {
 		events.ended.Store(true)
 		h.requestPending = false
-		h.respond(c, call, drmaafront.Busy(call.Closes))
+		h.respond(c, call, drmaafront.BusyResponse(call.CloseConnection))
 	}
 }
 
@@ -149,19 +149,19 @@
 	if call.Stream && answer.Err == nil {
 		h.streaming = true
 		c.DisableIdleTimeout()
-		c.WriteInLoop(call.Encode(answer))
+		c.WriteInLoop(call.EncodeAnswer(answer))
 		events.begin(c.WriteInLoop)
 		return
 	}
 	events.ended.Store(true)
 	h.requestPending = false
-	h.respond(c, call, call.Encode(answer))
+	h.respond(c, call, call.EncodeAnswer(answer))
 	c.Resume()
 }
 
 func (h *clientHandler) respond(c *transport.Conn, call *drmaafront.Call, response []byte) {
 	c.WriteInLoop(response)
-	if call.Closes {
+	if call.CloseConnection {
 		c.CloseInLoop(errResponseSent)
 	}
 }
--- a/internal/daemon/dispatch.go
+++ b/internal/daemon/dispatch.go
@@ -9,11 +9,11 @@
 // dispatch passes a client's request to the core that it is for, or to all cores, whose answers are merged. It is false
 // if a mailbox was full; no reply is made then. It is called by event loops and does not wait.
 func (d *Daemon) dispatch(call *drmaafront.Call, m message, events *eventStream) bool {
-	sample := call.Input(0, 0)
+	sample := call.BuildInput(0, 0)
 	if submit, ok := sample.(scheduler.Submit); ok {
 		core := d.shards.Submit(&submit.Spec, d.keylessSubmissions.Add(1),
 			func(core int) int { return len(d.runners[core].mailbox) })
-		m.buildInput = call.Input
+		m.buildInput = call.BuildInput
 		return d.runners[core].tryEnqueue(m)
 	}
 	core, all := d.shards.Everyone(sample)
@@ -29,11 +29,11 @@
 
 // dispatchToCore passes a request to one core.
 func (d *Daemon) dispatchToCore(core int, call *drmaafront.Call, m message, events *eventStream) bool {
-	m.buildInput = call.Input
+	m.buildInput = call.BuildInput
 	if call.Stream {
 		m.publish, m.heartbeat = events.publisher(core), events.sendHeartbeat
 		if len(d.runners) > 1 {
-			m.buildInput = events.resumed(call.Input, core)
+			m.buildInput = events.resumed(call.BuildInput, core)
 		}
 	}
 	return d.runners[core].tryEnqueue(m)
@@ -43,9 +43,9 @@
 func (d *Daemon) dispatchToAll(sample scheduler.Input, call *drmaafront.Call, m message, events *eventStream) bool {
 	responses := newScatterGather(sample, len(d.runners), m.reply)
 	for i, runner := range d.runners {
-		part := message{buildInput: call.Input, receivedAt: m.receivedAt, reply: responses.collector(i)}
+		part := message{buildInput: call.BuildInput, receivedAt: m.receivedAt, reply: responses.collector(i)}
 		if call.Stream {
-			part.buildInput, part.publish = events.resumed(call.Input, i), events.publisher(i)
+			part.buildInput, part.publish = events.resumed(call.BuildInput, i), events.publisher(i)
 			part.heartbeat = events.isRead
 			if i == 0 {
 				part.heartbeat = events.sendHeartbeat
@@ -64,7 +64,7 @@
 func (d *Daemon) dispatchByFirstCore(sample scheduler.Input, call *drmaafront.Call, m message) bool {
 	responses := newScatterGather(sample, len(d.runners), m.reply)
 	reply := m.reply
-	m.buildInput = call.Input
+	m.buildInput = call.BuildInput
 	m.reply = func(answer *scheduler.Answer) {
 		if answer.Err != nil {
 			reply(answer)
@@ -72,7 +72,7 @@
 		}
 		responses.collector(0)(answer)
 		for i, runner := range d.runners[1:] {
-			runner.enqueue(message{buildInput: call.Input, receivedAt: m.receivedAt, reply: responses.collector(i + 1)})
+			runner.enqueue(message{buildInput: call.BuildInput, receivedAt: m.receivedAt, reply: responses.collector(i + 1)})
 		}
 	}
 	return d.runners[0].tryEnqueue(m)
--- /dev/null
+++ b/internal/front/drmaafront/decode.go
@@ -0,0 +1,74 @@
+package drmaafront
+
+import (
+	"bytes"
+	"errors"
+	"reflect"
+	"slices"
+	"strings"
+	"time"
+
+	"github.com/go-json-experiment/json"
+	"github.com/go-json-experiment/json/jsontext"
+
+	"flaxshelf.example/flaxshelf/drmaa2"
+)
+
+// decode reads one JSON value and nothing else. Nothing is accepted and ignored: unknown members, duplicate names and
+// text that is not UTF-8 are errors, and the error names the attribute. The decoder is that of encoding/json/v2 by its
+// module, which is strict in all of this; docs/scale.md has the figures of those that were compared.
+func decode(body []byte, value any) *drmaa2.Error {
+	err := json.Unmarshal(body, value, json.RejectUnknownMembers(true))
+	if err == nil {
+		return nil
+	}
+	var semantic *json.SemanticError
+	var syntactic *jsontext.SyntacticError
+	switch {
+	case len(bytes.TrimSpace(body)) == 0:
+		return invalidArgument("", "the body is empty")
+	case errors.Is(err, json.ErrUnknownName) && errors.As(err, &semantic):
+		return unsupportedAttribute(attributeName(semantic.JSONPointer), "is not known")
+	case errors.Is(err, jsontext.ErrDuplicateName) && errors.As(err, &syntactic):
+		return namedAttributeError(syntactic.JSONPointer, "comes twice")
+	case errors.As(err, &semantic) && semantic.JSONPointer != "":
+		return namedAttributeError(semantic.JSONPointer, "can't be read"+expectedType(semantic.GoType))
+	default:
+		return invalidArgument("", "the body can't be read: "+strings.TrimPrefix(err.Error(), "jsontext: "))
+	}
+}
+
+// namedAttributeError is an invalid argument that always names its attribute, even an empty name.
+func namedAttributeError(pointer jsontext.Pointer, message string) *drmaa2.Error {
+	name := attributeName(pointer)
+	return &drmaa2.Error{Code: drmaa2.InvalidArgument, Attribute: name, Message: name + ": " + message}
+}
+
+// attributeName is the path to a value, as in template.startTime.
+func attributeName(pointer jsontext.Pointer) string {
+	return clip(strings.Join(slices.Collect(pointer.Tokens()), "."))
+}
+
+// expectedType describes a type to those who write templates, as the end of a message; nothing where it is not known.
+func expectedType(t reflect.Type) string {
+	switch {
+	case t == nil:
+		return ""
+	case t == reflect.TypeFor[time.Time]():
+		return " as a time, as 2027-01-15T08:00:00Z"
+	}
+	switch t.Kind() {
+	case reflect.String:
+		return " as text"
+	case reflect.Bool:
+		return " as true or false"
+	case reflect.Slice:
+		return " as a list"
+	case reflect.Map, reflect.Struct:
+		return " as an object"
+	case reflect.Float64:
+		return " as a number"
+	default:
+		return " as a whole number"
+	}
+}
--- /dev/null
+++ b/internal/front/drmaafront/errors.go
@@ -0,0 +1,83 @@
+package drmaafront
+
+import (
+	"math"
+	"net/http"
+	"strconv"
+	"time"
+
+	"github.com/goccy/go-json"
+
+	"flaxshelf.example/flaxshelf/drmaa2"
+	"flaxshelf.example/flaxshelf/internal/codec/httpcodec"
+)
+
+const (
+	maxQuotedBytes  = 100         // of a client's text in an error
+	busyRetryAfter  = time.Second // when the scheduler's queues are full
+	jsonContentType = "application/json"
+)
+
+// ErrorResponse is the response with an error; closes tells the client that the connection is closed behind it.
+func ErrorResponse(status int, err *drmaa2.Error, closes bool) []byte {
+	var fields []string
+	if err.RetryAfter > 0 {
+		seconds := int(math.Ceil(err.RetryAfter.Seconds()))
+		milliseconds := max(err.RetryAfter.Milliseconds(), 1)
+		fields = []string{"Retry-After", strconv.Itoa(seconds),
+			"Flaxshelf-Retry-After-Ms", strconv.FormatInt(milliseconds, 10)}
+	}
+	body, _ := json.Marshal(err) // strings and a duration can always be encoded
+	return httpcodec.AppendResponse(nil, status, jsonContentType, append(body, '\n'), closes, fields...)
+}
+
+// BusyResponse is the response when the scheduler can accept no request now.
+func BusyResponse(closes bool) []byte {
+	return ErrorResponse(http.StatusServiceUnavailable, &drmaa2.Error{Code: drmaa2.TryLater,
+		Message: "too many requests wait", RetryAfter: busyRetryAfter}, closes)
+}
+
+// statusOf is the HTTP status of an error.
+func statusOf(code drmaa2.ErrorCode) int {
+	switch code {
+	case drmaa2.InvalidArgument:
+		return http.StatusBadRequest
+	case drmaa2.UnsupportedAttribute:
+		return http.StatusUnprocessableEntity
+	case drmaa2.InvalidState:
+		return http.StatusConflict
+	case drmaa2.InvalidSession:
+		return http.StatusNotFound
+	case drmaa2.DeniedByDrms:
+		return http.StatusForbidden
+	case drmaa2.TryLater:
+		return http.StatusServiceUnavailable
+	case drmaa2.OutOfResource:
+		return http.StatusInsufficientStorage
+	case drmaa2.UnsupportedOperation:
+		return http.StatusNotImplemented
+	default:
+		return http.StatusInternalServerError
+	}
+}
+
+// invalidArgument is the error for the value of an attribute; the empty attribute is the request as a whole.
+func invalidArgument(attribute, message string) *drmaa2.Error {
+	if attribute != "" {
+		message = attribute + ": " + message
+	}
+	return &drmaa2.Error{Code: drmaa2.InvalidArgument, Attribute: attribute, Message: message}
+}
+
+// unsupportedAttribute is the error for an attribute that is not acted on.
+func unsupportedAttribute(attribute, message string) *drmaa2.Error {
+	return &drmaa2.Error{Code: drmaa2.UnsupportedAttribute, Attribute: attribute, Message: attribute + ": " + message}
+}
+
+// clip shortens a client's text for an error.
+func clip(text string) string {
+	if len(text) > maxQuotedBytes {
+		return text[:maxQuotedBytes] + "..."
+	}
+	return text
+}
--- /dev/null
+++ b/internal/front/drmaafront/events.go
@@ -0,0 +1,62 @@
+package drmaafront
+
+import (
+	"fmt"
+	"net/http"
+	"strconv"
+	"strings"
+
+	"github.com/goccy/go-json"
+
+	"flaxshelf.example/flaxshelf/drmaa2"
+	"flaxshelf.example/flaxshelf/internal/codec/httpcodec"
+	"flaxshelf.example/flaxshelf/internal/scheduler"
+)
+
+func watchSession(f *Front, request *httpcodec.Request, args []string) (*Call, *drmaa2.Error) {
+	return f.watchCall(request, scheduler.Watch{Session: args[0]}), nil
+}
+
+func watchAll(f *Front, request *httpcodec.Request, _ []string) (*Call, *drmaa2.Error) {
+	return f.watchCall(request, scheduler.Watch{}), nil
+}
+
+func watchJob(f *Front, request *httpcodec.Request, args []string) (*Call, *drmaa2.Error) {
+	return f.watchCall(request, scheduler.Watch{Job: args[0]}), nil
+}
+
+// watchCall is a stream of server-sent events. It goes on behind the last event that the client names; the ID of an
+// event before a restart of the scheduler tells nothing, and the stream begins with all jobs.
+func (f *Front) watchCall(request *httpcodec.Request, watch scheduler.Watch) *Call {
+	resumeAfter := ""
+	incarnation, position, ok := strings.Cut(request.Get("last-event-id"), ".")
+	if ok && incarnation == f.incarnation {
+		resumeAfter = position
+		watch.Since, _ = strconv.ParseUint(position, 10, 64) // 0, from the start, where it can't be read
+	}
+	return &Call{
+		Stream:      true,
+		ResumeAfter: resumeAfter,
+		BuildInput: func(requestID, streamID uint64) scheduler.Input {
+			numbered := watch // several cores may build the input at once
+			numbered.Req, numbered.Stream = requestID, streamID
+			return numbered
+		},
+		EncodeAnswer: orError(func(*scheduler.Answer) []byte {
+			return httpcodec.AppendStreamHead(nil, http.StatusOK, "text/event-stream", "Cache-Control", "no-store")
+		}),
+	}
+}
+
+// Event is the chunk with one event of a stream; position is what a client resumes after.
+func (f *Front) Event(info *scheduler.Info, position string) []byte {
+	data, err := json.Marshal(f.jobInfo(info))
+	if err != nil {
+		return nil
+	}
+	return httpcodec.AppendChunk(nil,
+		fmt.Appendf(nil, "id: %s.%s\nevent: job\ndata: %s\n\n", f.incarnation, position, data))
+}
+
+// Heartbeat is the chunk that keeps the connection of a stream known to be alive.
+func Heartbeat() []byte { return httpcodec.AppendChunk(nil, []byte(":\n\n")) }
--- /dev/null
+++ b/internal/front/drmaafront/extensions.go
@@ -0,0 +1,73 @@
+package drmaafront
+
+import (
+	"fmt"
+	"math"
+	"strconv"
+	"strings"
+	"time"
+
+	"flaxshelf.example/flaxshelf/drmaa2"
+	"flaxshelf.example/flaxshelf/internal/scheduler"
+)
+
+const (
+	maxKeyBytes = 256 // of a key or a service's name
+	maxAmount   = 1e9 // cores or GiB
+)
+
+// setExtensions sets what the implementation-specific attributes of a template give.
+func setExtensions(spec *scheduler.Spec, template *drmaa2.JobTemplate) *drmaa2.Error {
+	for name, value := range template.ImplementationSpecific {
+		var err *drmaa2.Error
+		switch name {
+		case drmaa2.AttrService:
+			spec.Service, err = parseWord(name, value)
+		case drmaa2.AttrKey:
+			spec.Key, err = parseWord(name, value)
+		case drmaa2.AttrCores:
+			spec.Cores, err = parseAmount(name, value, template.MinSlots > 0)
+		case drmaa2.AttrMemory:
+			spec.Memory, err = parseAmount(name, value, template.MinPhysMemory > 0)
+		case drmaa2.AttrLife:
+			spec.ExpectedRuntime, err = parseDuration(name, value)
+		case drmaa2.AttrGiveUp:
+			spec.PlacementTimeout, err = parseDuration(name, value)
+		default:
+			err = unsupportedAttribute(clip(name), "is not known")
+		}
+		if err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func parseWord(name, value string) (string, *drmaa2.Error) {
+	if value == "" || len(value) > maxKeyBytes || strings.ContainsFunc(value, isSpaceOrControl) {
+		return "", invalidArgument(name, fmt.Sprintf("expected 1 to %d bytes without spaces", maxKeyBytes))
+	}
+	return value, nil
+}
+
+func isSpaceOrControl(r rune) bool { return r == ' ' || isControl(r) }
+
+// parseAmount reads a number of cores or GiB; duplicate tells that the specification's attribute has given it too.
+func parseAmount(name, value string, duplicate bool) (float64, *drmaa2.Error) {
+	amount, err := strconv.ParseFloat(value, 64)
+	switch {
+	case duplicate:
+		return 0, invalidArgument(name, "is given twice, by the specification's attribute too")
+	case err != nil || math.IsNaN(amount) || math.IsInf(amount, 0) || amount <= 0 || amount > maxAmount:
+		return 0, invalidArgument(name, "expected a number above 0")
+	}
+	return amount, nil
+}
+
+func parseDuration(name, value string) (time.Duration, *drmaa2.Error) {
+	duration, err := time.ParseDuration(value)
+	if err != nil || duration <= 0 {
+		return 0, invalidArgument(name, "expected a duration above 0, as 90s")
+	}
+	return duration, nil
+}
--- a/internal/front/drmaafront/front_test.go
+++ b/internal/front/drmaafront/front_test.go
@@ -92,8 +92,8 @@
 		if status >= 300 && (e.Code == "" || e.Message == "") {
 			t.Errorf("%s %s: an error without code or message", c.method, c.path)
 		}
-		if call.Input != nil {
-			if got := fmt.Sprint(call.Input(1, 1)); got != c.input {
+		if call.BuildInput != nil {
+			if got := fmt.Sprint(call.BuildInput(1, 1)); got != c.input {
 				t.Errorf("%s %s: %s, want %s", c.method, c.path, got, c.input)
 			}
 		}
@@ -165,10 +165,10 @@
 		"jobCategory":"batch","jobName":"n","accountingId":"north","minPhysMemory":3145728,"rerunnable":true,"submitAsHold":true,
 		"startTime":"1970-01-01T00:00:09Z","deadlineTime":"1970-01-01T00:01:00Z",
 		"implementationSpecific":{"flaxshelf.cores":"0.5","flaxshelf.life":"90s","flaxshelf.giveup":"7s","flaxshelf.key":"k","flaxshelf.service":"v"}}}`))
-	if call.Input == nil {
+	if call.BuildInput == nil {
 		t.Fatalf("%s", call.Response)
 	}
-	s := call.Input(3, 0).(scheduler.Submit).Spec
+	s := call.BuildInput(3, 0).(scheduler.Submit).Spec
 	s.Template = nil
 	want := scheduler.Spec{Key: "k", Session: "s", Name: "n", Service: "v", Class: 0, Tenant: 0, Cores: 0.5, Memory: 3,
 		ExpectedRuntime: 90 * time.Second, Priority: 2, Rerunnable: true, Hold: true, Retry: true, PlacementTimeout: 7 * time.Second,
@@ -178,7 +178,7 @@
 	}
 	array := f.Route(request("POST", "/drmaa2/v1/sessions/s/arrays",
 		`{"template":{"remoteCommand":"x","jobCategory":"service"},"bulk":{"beginIndex":2,"endIndex":9,"step":3,"maxParallel":2}}`))
-	if got := array.Input(1, 0).(scheduler.Submit); fmt.Sprint(got.Indexes, got.MaxParallel) != "[2 5 8] 2" {
+	if got := array.BuildInput(1, 0).(scheduler.Submit); fmt.Sprint(got.Indexes, got.MaxParallel) != "[2 5 8] 2" {
 		t.Errorf("an array of %v", got.Indexes)
 	}
 	for _, bulk := range []string{`{"beginIndex":0,"endIndex":1,"step":1}`, `{"beginIndex":3,"endIndex":1,"step":1}`,
@@ -194,7 +194,7 @@
 func TestErrorsOfTheCore(t *testing.T) {
 	f := newFront(t)
 	call := f.Route(request("GET", "/drmaa2/v1/jobs/j", ""))
-	b := string(call.Encode(&scheduler.Answer{Err: &scheduler.Error{Code: scheduler.TryLater, Message: "m",
+	b := string(call.EncodeAnswer(&scheduler.Answer{Err: &scheduler.Error{Code: scheduler.TryLater, Message: "m",
 		RetryAfter: 1500 * time.Millisecond}}))
 	for _, want := range []string{"503", "Retry-After: 2", "Flaxshelf-Retry-After-Ms: 1500", `"code":"TryLater"`} {
 		if !strings.Contains(b, want) {
@@ -206,15 +206,15 @@
 // A stream goes on behind the last event of this life, and begins anew after one of another.
 func TestLastEventID(t *testing.T) {
 	f := newFront(t)
-	for id, want := range map[string]uint64{"": 0, f.life + ".42": 42, "zz.42": 0, f.life + ".x": 0, "42": 0} {
+	for id, want := range map[string]uint64{"": 0, f.incarnation + ".42": 42, "zz.42": 0, f.incarnation + ".x": 0, "42": 0} {
 		r := request("GET", "/drmaa2/v1/sessions/s/events", "")
 		r.Fields = []httpcodec.Field{{Name: "last-event-id", Value: id}}
-		if got := f.Route(r).Input(1, 2).(scheduler.Watch); got.Since != want || got.Stream != 2 {
+		if got := f.Route(r).BuildInput(1, 2).(scheduler.Watch); got.Since != want || got.Stream != 2 {
 			t.Errorf("%q: %+v", id, got)
 		}
 	}
 	event := string(f.Event(&scheduler.Info{ID: "j", Spec: &scheduler.Spec{}, State: scheduler.Running, Revision: 7}, "7"))
-	if !strings.Contains(event, "id: "+f.life+".7\nevent: job\ndata: {\"jobId\":\"j\"") {
+	if !strings.Contains(event, "id: "+f.incarnation+".7\nevent: job\ndata: {\"jobId\":\"j\"") {
 		t.Errorf("event %q", event)
 	}
 }
@@ -227,13 +227,13 @@
 	f.Add([]byte(`[]`))
 	f.Fuzz(func(t *testing.T, body []byte) {
 		call := front.Route(&httpcodec.Request{Method: "POST", Path: "/drmaa2/v1/sessions/s/jobs", Body: body})
-		if call.Input == nil {
+		if call.BuildInput == nil {
 			if len(call.Response) == 0 {
 				t.Error("neither an answer nor an input")
 			}
 			return
 		}
-		s := call.Input(1, 1).(scheduler.Submit).Spec
+		s := call.BuildInput(1, 1).(scheduler.Submit).Spec
 		if !(s.Cores > 0 && s.Cores <= 1e9 && s.Memory > 0) || s.Class < 0 || s.ExpectedRuntime < 0 || s.PlacementTimeout < 0 {
 			t.Errorf("%s was taken as %+v", body, s)
 		}
--- /dev/null
+++ b/internal/front/drmaafront/jobinfo.go
@@ -0,0 +1,114 @@
+package drmaafront
+
+import (
+	"math"
+	"strconv"
+	"time"
+
+	"flaxshelf.example/flaxshelf"
+	"flaxshelf.example/flaxshelf/drmaa2"
+	"flaxshelf.example/flaxshelf/internal/clock"
+	"flaxshelf.example/flaxshelf/internal/scheduler"
+)
+
+// standings are the states of machines on the wire.
+var standings = []string{flaxshelf.Active: "in", flaxshelf.Draining: "draining", flaxshelf.Removed: "out"}
+
+// machineInfo is a machine on the wire.
+func (f *Front) machineInfo(machine *scheduler.MachineInfo) drmaa2.MachineInfo {
+	info := drmaa2.MachineInfo{
+		Name:      machine.ID,
+		Available: machine.Connected && machine.State == flaxshelf.Active,
+		ImplementationSpecific: map[string]string{
+			drmaa2.AttrZone:     machine.Zone,
+			drmaa2.AttrCell:     strconv.Itoa(machine.Cell),
+			drmaa2.AttrStanding: standings[machine.State],
+			drmaa2.AttrJobs:     strconv.Itoa(machine.Jobs),
+		},
+	}
+	if machine.Kind >= 0 && machine.Kind < len(f.set.Kinds) {
+		kind := f.set.Kinds[machine.Kind]
+		info.ImplementationSpecific[drmaa2.AttrKind] = kind.Name
+		info.Sockets, info.CoresPerSocket, info.PhysMemory = 1, int64(kind.Cores), int64(kind.Memory*kibPerGiB)
+	}
+	return info
+}
+
+// jobInfo is a job on the wire.
+func (f *Front) jobInfo(info *scheduler.Info) drmaa2.JobInfo {
+	job := drmaa2.JobInfo{
+		JobID:                  info.ID,
+		JobName:                info.Spec.Name,
+		Annotation:             info.Reason,
+		JobState:               drmaa2.JobState(info.State),
+		JobSubState:            info.SubState,
+		SubmissionMachine:      f.set.Name,
+		JobOwner:               info.Spec.Owner,
+		Slots:                  slots(info.Spec.Cores),
+		QueueName:              defaultQueue,
+		SubmissionTime:         clock.Wall(info.SubmittedAt).UTC(),
+		TerminatingSignal:      info.Signal,
+		ImplementationSpecific: f.jobAttributes(info),
+	}
+	if info.SubState == scheduler.SubExited {
+		exit := info.Exit
+		job.ExitStatus = &exit
+	}
+	if info.StartedAt > 0 {
+		started := clock.Wall(info.StartedAt).UTC()
+		job.DispatchTime = &started
+		if info.Node != "" {
+			job.AllocatedMachines = []drmaa2.SlotInfo{{MachineName: info.Node, Slots: job.Slots}}
+		}
+	}
+	if info.FinishedAt > 0 {
+		finished := clock.Wall(info.FinishedAt).UTC()
+		job.FinishTime = &finished
+		if info.StartedAt > 0 {
+			job.WallclockTime = (info.FinishedAt - info.StartedAt).Seconds()
+		}
+	}
+	return job
+}
+
+// jobAttributes are the implementation-specific attributes of a job; what is empty is left out.
+func (f *Front) jobAttributes(info *scheduler.Info) map[string]string {
+	spec := info.Spec
+	attributes := map[string]string{
+		drmaa2.AttrAsk:      strconv.Itoa(info.Request),
+		drmaa2.AttrAttempts: strconv.Itoa(info.Attempts),
+		drmaa2.AttrRevision: strconv.FormatUint(info.Revision, 10),
+		drmaa2.AttrCores:    strconv.FormatFloat(spec.Cores, 'g', -1, 64),
+		drmaa2.AttrMemory:   strconv.FormatFloat(spec.Memory, 'g', -1, 64),
+	}
+	setUnlessEmpty(attributes, drmaa2.AttrOutcome, string(info.Outcome))
+	setUnlessEmpty(attributes, drmaa2.AttrNode, info.Node)
+	setUnlessEmpty(attributes, drmaa2.AttrArray, info.Array)
+	setUnlessEmpty(attributes, drmaa2.AttrKey, spec.Key)
+	setUnlessEmpty(attributes, drmaa2.AttrService, spec.Service)
+	setUnlessEmpty(attributes, drmaa2.AttrClass, f.set.Classes[spec.Class].Name)
+	if spec.Tenant >= 0 {
+		setUnlessEmpty(attributes, drmaa2.AttrTenant, f.set.Tenants[spec.Tenant].Name)
+	}
+	if info.Array != "" {
+		attributes[drmaa2.AttrIndex] = strconv.Itoa(info.Index)
+	}
+	if info.RequestedAt > 0 {
+		attributes[drmaa2.AttrAskedAt] = formatTime(info.RequestedAt)
+	}
+	if info.PlacementDeadline > 0 {
+		attributes[drmaa2.AttrDue] = formatTime(info.PlacementDeadline)
+	}
+	return attributes
+}
+
+func setUnlessEmpty(attributes map[string]string, name, value string) {
+	if value != "" {
+		attributes[name] = value
+	}
+}
+
+func formatTime(at scheduler.Time) string { return clock.Wall(at).UTC().Format(time.RFC3339Nano) }
+
+// slots is a number of cores in the units of the specification, which has no fractions.
+func slots(cores float64) int64 { return int64(math.Ceil(cores)) }
--- /dev/null
+++ b/internal/front/drmaafront/requests.go
@@ -0,0 +1,215 @@
+package drmaafront
+
+import (
+	"fmt"
+	"net/http"
+	"net/url"
+	"strconv"
+	"strings"
+
+	"github.com/go-json-experiment/json/jsontext"
+
+	"flaxshelf.example/flaxshelf/drmaa2"
+	"flaxshelf.example/flaxshelf/internal/codec/httpcodec"
+	"flaxshelf.example/flaxshelf/internal/scheduler"
+)
+
+const (
+	maxNameBytes = 255    // of a session's or a job's name
+	maxArrayJobs = 100000 // in one array
+	maxPageSize  = 1000   // jobs in one page of a list
+)
+
+// createSessionRequest is the body of a request that creates a session.
+type createSessionRequest struct {
+	Name string `json:"name"`
+}
+
+// submitRequest is the body of a submission. The template is kept as it came, for clients that ask for it and for the
+// node.
+type submitRequest struct {
+	Template jsontext.Value `json:"template"`
+	Again    bool           `json:"again"`
+	Bulk     *drmaa2.Bulk   `json:"bulk"`
+}
+
+func listSessions(*Front, *httpcodec.Request, []string) (*Call, *drmaa2.Error) {
+	return &Call{
+		BuildInput: func(requestID, _ uint64) scheduler.Input {
+			return scheduler.SessionCommand{Req: requestID, Verb: scheduler.List}
+		},
+		EncodeAnswer: orError(encodeSessionNames),
+	}, nil
+}
+
+func createSession(_ *Front, request *httpcodec.Request, _ []string) (*Call, *drmaa2.Error) {
+	var body createSessionRequest
+	if err := decode(request.Body, &body); err != nil {
+		return nil, err
+	}
+	if err := checkSessionName(body.Name); err != nil {
+		return nil, err
+	}
+	return sessionCall(scheduler.Create, body.Name, http.StatusCreated), nil
+}
+
+func checkSessionName(name string) *drmaa2.Error {
+	if name == "" || len(name) > maxNameBytes || strings.ContainsFunc(name, isControl) {
+		return invalidArgument("",
+			fmt.Sprintf("a session's name has 1 to %d characters and no control characters", maxNameBytes))
+	}
+	return nil
+}
+
+func isControl(r rune) bool { return r < ' ' || r == 0x7f }
+
+// sessionCommand is the handler of a command on the session that the path names.
+func sessionCommand(verb scheduler.Verb) handler {
+	return func(_ *Front, _ *httpcodec.Request, args []string) (*Call, *drmaa2.Error) {
+		return sessionCall(verb, args[0], http.StatusOK), nil
+	}
+}
+
+func sessionCall(verb scheduler.Verb, name string, status int) *Call {
+	return &Call{
+		BuildInput: func(requestID, _ uint64) scheduler.Input {
+			return scheduler.SessionCommand{Req: requestID, Verb: verb, Name: name}
+		},
+		EncodeAnswer: orError(func(*scheduler.Answer) []byte { return jsonResponse(status, sessionResponse{name}) }),
+	}
+}
+
+func submitJob(f *Front, request *httpcodec.Request, args []string) (*Call, *drmaa2.Error) {
+	submit, bulk, err := f.decodeSubmission(request, args[0])
+	switch {
+	case err != nil:
+		return nil, err
+	case bulk != nil:
+		return nil, invalidArgument("bulk", "a range is for an array")
+	}
+	return f.submitCall(submit), nil
+}
+
+func submitArray(f *Front, request *httpcodec.Request, args []string) (*Call, *drmaa2.Error) {
+	submit, bulk, err := f.decodeSubmission(request, args[0])
+	switch {
+	case err != nil:
+		return nil, err
+	case bulk == nil:
+		return nil, invalidArgument("bulk", "an array needs its range")
+	}
+	if submit.Indexes, err = arrayIndexes(bulk); err != nil {
+		return nil, err
+	}
+	submit.MaxParallel = bulk.MaxParallel
+	return f.submitCall(submit), nil
+}
+
+// decodeSubmission reads the body of a submission to a session; bulk is nil if it has no range.
+func (f *Front) decodeSubmission(request *httpcodec.Request,
+	session string) (submit scheduler.Submit, bulk *drmaa2.Bulk, err *drmaa2.Error) {
+	var body submitRequest
+	if err := decode(request.Body, &body); err != nil {
+		return submit, nil, err
+	}
+	var template drmaa2.JobTemplate
+	if err := decode(body.Template, &template); err != nil {
+		return submit, nil, err
+	}
+	spec, err := f.spec(&template)
+	if err != nil {
+		return submit, nil, err
+	}
+	spec.Template, spec.Session, spec.Retry = body.Template, session, body.Again
+	return scheduler.Submit{Spec: *spec}, body.Bulk, nil
+}
+
+func (f *Front) submitCall(submit scheduler.Submit) *Call {
+	return &Call{
+		BuildInput: func(requestID, _ uint64) scheduler.Input {
+			numbered := submit // several cores may build the input at once
+			numbered.Req = requestID
+			return numbered
+		},
+		EncodeAnswer: f.Submitted,
+	}
+}
+
+// arrayIndexes are the indexes of the jobs of an array.
+func arrayIndexes(bulk *drmaa2.Bulk) ([]int, *drmaa2.Error) {
+	if bulk.BeginIndex < 1 || bulk.EndIndex < bulk.BeginIndex || bulk.Step < 1 || bulk.MaxParallel < 0 {
+		return nil, invalidArgument("bulk", "expected 1 <= beginIndex <= endIndex, step >= 1 and maxParallel >= 0")
+	}
+	if last := (bulk.EndIndex - bulk.BeginIndex) / bulk.Step; last >= maxArrayJobs {
+		return nil, invalidArgument("bulk", fmt.Sprintf("%d jobs, %d at most", last+1, maxArrayJobs))
+	}
+	var indexes []int
+	for index := bulk.BeginIndex; index <= bulk.EndIndex; index += bulk.Step {
+		indexes = append(indexes, index)
+	}
+	return indexes, nil
+}
+
+// listJobs lists the jobs of the session that the path names, or of all sessions.
+func listJobs(f *Front, request *httpcodec.Request, args []string) (*Call, *drmaa2.Error) {
+	parameters, err := url.ParseQuery(request.Query)
+	if err != nil {
+		return nil, invalidArgument("", "the query can't be read")
+	}
+	query := scheduler.Query{After: parameters.Get("after"), Limit: maxPageSize}
+	if text := parameters.Get("limit"); text != "" {
+		limit, err := strconv.Atoi(text)
+		if err != nil || limit < 1 || limit > maxPageSize {
+			return nil, invalidArgument("limit", fmt.Sprintf("expected 1 to %d", maxPageSize))
+		}
+		query.Limit = limit
+	}
+	if len(args) > 0 {
+		query.Session = args[0]
+	}
+	return &Call{
+		BuildInput: func(requestID, _ uint64) scheduler.Input {
+			numbered := query // several cores may build the input at once
+			numbered.Req = requestID
+			return numbered
+		},
+		EncodeAnswer: orError(f.encodeJobs),
+	}, nil
+}
+
+func getJob(f *Front, _ *httpcodec.Request, args []string) (*Call, *drmaa2.Error) {
+	return &Call{BuildInput: queryJob(args[0]), EncodeAnswer: orError(f.encodeJobs)}, nil
+}
+
+func getTemplate(_ *Front, _ *httpcodec.Request, args []string) (*Call, *drmaa2.Error) {
+	return &Call{BuildInput: queryJob(args[0]), EncodeAnswer: orError(encodeTemplate)}, nil
+}
+
+func queryJob(id string) func(requestID, streamID uint64) scheduler.Input {
+	return func(requestID, _ uint64) scheduler.Input { return scheduler.Query{Req: requestID, Job: id} }
+}
+
+// jobCommand is the handler of a command on the job or array that the path names.
+func jobCommand(verb scheduler.Verb) handler {
+	return func(f *Front, _ *httpcodec.Request, args []string) (*Call, *drmaa2.Error) {
+		return &Call{
+			BuildInput: func(requestID, _ uint64) scheduler.Input {
+				return scheduler.Command{Req: requestID, Verb: verb, Job: args[0]}
+			},
+			EncodeAnswer: orError(f.encodeJobs),
+		}, nil
+	}
+}
+
+// rejectSuspension is the handler of the commands that no node can execute.
+func rejectSuspension(*Front, *httpcodec.Request, []string) (*Call, *drmaa2.Error) {
+	return nil, &drmaa2.Error{Code: drmaa2.UnsupportedOperation,
+		Message: "nodes run a job or stop it; they don't suspend"}
+}
+
+func listMachines(f *Front, _ *httpcodec.Request, _ []string) (*Call, *drmaa2.Error) {
+	return &Call{
+		BuildInput:   func(requestID, _ uint64) scheduler.Input { return scheduler.Machines{Req: requestID} },
+		EncodeAnswer: orError(f.encodeMachines),
+	}, nil
+}
--- a/internal/front/drmaafront/responses_test.go
+++ b/internal/front/drmaafront/responses_test.go
@@ -57,26 +57,26 @@
 	}
 	for _, r := range requestsToCore() {
 		call := front.Route(r.request)
-		if call.Input == nil {
+		if call.BuildInput == nil {
 			t.Fatalf("%s: %s", r.name, call.Response)
 		}
-		write(fmt.Sprintf("%s stream=%v closes=%v since=%q input=%T", r.name, call.Stream, call.Closes, call.Since,
-			call.Input(1, 2)), call.Encode(&r.answer))
+		write(fmt.Sprintf("%s stream=%v closes=%v since=%q input=%T", r.name, call.Stream, call.CloseConnection, call.ResumeAfter,
+			call.BuildInput(1, 2)), call.EncodeAnswer(&r.answer))
 		for _, code := range []scheduler.ErrorCode{scheduler.InvalidArgument, scheduler.TryLater} {
 			failure := &scheduler.Error{Code: code, Message: "m", RetryAfter: 1500 * time.Millisecond}
-			write(r.name+" failed", call.Encode(&scheduler.Answer{Err: failure}))
+			write(r.name+" failed", call.EncodeAnswer(&scheduler.Answer{Err: failure}))
 		}
 	}
 	for _, info := range sampleJobs() {
 		write("event", front.Event(&info, "7-8"))
 	}
 	write("heartbeat", Heartbeat())
-	write("busy", Busy(false))
-	write("busy, closes", Busy(true))
+	write("busy", BusyResponse(false))
+	write("busy, closes", BusyResponse(true))
 	for _, code := range []drmaa2.ErrorCode{drmaa2.InvalidArgument, drmaa2.UnsupportedAttribute, drmaa2.InvalidState,
 		drmaa2.InvalidSession, drmaa2.DeniedByDrms, drmaa2.TryLater, drmaa2.OutOfResource, drmaa2.UnsupportedOperation,
 		drmaa2.Internal} {
-		write("status of an error", fmt.Appendf(nil, "%d", status(code)))
+		write("status of an error", fmt.Appendf(nil, "%d", statusOf(code)))
 	}
 	return out.Bytes()
 }
