--- /dev/null
+++ b/internal/front/drmaafront/helpers_test.go
@@ -0,0 +1,52 @@
+package drmaafront
+
+import (
+	"encoding/json"
+	"strings"
+	"testing"
+	"time"
+
+	"flaxshelf.example/flaxshelf/drmaa2"
+	"flaxshelf.example/flaxshelf/internal/codec/httpcodec"
+	"flaxshelf.example/flaxshelf/internal/settings"
+)
+
+func newFront(t testing.TB) *Front {
+	t.Helper()
+	set, err := settings.ParseScheduler("f.cue", []byte(`
+inventory: "127.0.0.1:1"
+kinds: [{name: "k", cores: 8, memory: 32}]
+classes: [{name: "batch", effect: "keyed", priority: 2, cores: 2, memory: 4}, {name: "service", effect: "safe"}]
+tenants: [{name: "north"}]
+`))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return New(set, 5*time.Second)
+}
+
+func request(method, path, body string) *httpcodec.Request {
+	path, query, _ := strings.Cut(path, "?")
+	return &httpcodec.Request{Method: method, Path: path, Query: query, Body: []byte(body)}
+}
+
+// decodeResponse is the status and error of a call that needs no core; 0 for one that goes to the core.
+func decodeResponse(t *testing.T, call *Call) (status int, responseError drmaa2.Error) {
+	t.Helper()
+	if call.Response == nil {
+		return 0, drmaa2.Error{}
+	}
+	var reader httpcodec.ResponseReader
+	if err := reader.Feed(call.Response, func(response *httpcodec.Response) {
+		status = response.Status
+		if status < 300 {
+			return
+		}
+		if err := json.Unmarshal(response.Body, &responseError); err != nil {
+			t.Errorf("the error can't be read: %s", response.Body)
+		}
+	}); err != nil {
+		t.Fatal(err)
+	}
+	return status, responseError
+}
--- a/internal/front/drmaafront/responses_test.go
+++ b/internal/front/drmaafront/responses_test.go
@@ -190,3 +190,16 @@
 	rejected.ID, rejected.State, rejected.SubState, rejected.StartedAt = "rejected", scheduler.Failed, "refused", 0
 	return []scheduler.Info{ended, {ID: "empty", Spec: &scheduler.Spec{Tenant: -1}}, running, rejected}
 }
+
+// An error of the core comes with its code, and with the time after which to retry.
+func TestErrorsOfTheCore(t *testing.T) {
+	front := newFront(t)
+	call := front.Route(request("GET", "/drmaa2/v1/jobs/j", ""))
+	response := string(call.EncodeAnswer(&scheduler.Answer{Err: &scheduler.Error{Code: scheduler.TryLater, Message: "m",
+		RetryAfter: 1500 * time.Millisecond}}))
+	for _, want := range []string{"503", "Retry-After: 2", "Flaxshelf-Retry-After-Ms: 1500", `"code":"TryLater"`} {
+		if !strings.Contains(response, want) {
+			t.Errorf("%q does not say %q", response, want)
+		}
+	}
+}
--- /dev/null
+++ b/internal/front/drmaafront/template_test.go
@@ -0,0 +1,135 @@
+package drmaafront
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"flaxshelf.example/flaxshelf/drmaa2"
+	"flaxshelf.example/flaxshelf/internal/codec/httpcodec"
+	"flaxshelf.example/flaxshelf/internal/scheduler"
+)
+
+// What is wrong with a submission is answered with its code and attribute; nothing is accepted and ignored.
+func TestTemplateErrors(t *testing.T) {
+	front := newFront(t)
+	with := func(fields string) string {
+		return `{"template":{"remoteCommand":"x","jobCategory":"batch",` + fields + `}}`
+	}
+	extension := func(name, value string) string {
+		return with(fmt.Sprintf(`"implementationSpecific":{%q:%q}`, name, value))
+	}
+	for _, test := range []struct {
+		name, body string
+		code       drmaa2.ErrorCode
+		attribute  string
+	}{
+		{"empty", ``, drmaa2.InvalidArgument, ""},
+		{"not JSON", `{"template":`, drmaa2.InvalidArgument, ""},
+		{"two values", `{"template":{"remoteCommand":"x","jobCategory":"batch"}} {}`, drmaa2.InvalidArgument, ""},
+		{"unknown field", with(`"wings":2`), drmaa2.UnsupportedAttribute, "wings"},
+		{"a time that is none", with(`"startTime":"tomorrow"`), drmaa2.InvalidArgument, "startTime"},
+		{"NUL in the command", `{"template":{"remoteCommand":"x\u0000y","jobCategory":"batch"}}`, drmaa2.InvalidArgument, "remoteCommand"},
+		{"NUL in an argument", with(`"args":["a","\u0000"]`), drmaa2.InvalidArgument, "args"},
+		{"a field twice", with(`"jobName":"a","jobName":"b"`), drmaa2.InvalidArgument, "template.jobName"},
+		{"an own attribute twice", with(`"implementationSpecific":{"flaxshelf.key":"a","flaxshelf.key":"b"}`),
+			drmaa2.InvalidArgument, "template.implementationSpecific.flaxshelf.key"},
+		{"not UTF-8", "{\"template\":{\"remoteCommand\":\"\xff\"}}", drmaa2.InvalidArgument, ""},
+		{"wrong type", with(`"minSlots":"many"`), drmaa2.InvalidArgument, "minSlots"},
+		{"no command", `{"template":{"jobCategory":"batch"}}`, drmaa2.InvalidArgument, "remoteCommand"},
+		{"no class", `{"template":{"remoteCommand":"x"}}`, drmaa2.InvalidArgument, "jobCategory"},
+		{"unknown class", `{"template":{"remoteCommand":"x","jobCategory":"z"}}`, drmaa2.InvalidArgument, "jobCategory"},
+		{"unknown tenant", with(`"accountingId":"z"`), drmaa2.InvalidArgument, "accountingId"},
+		{"unknown queue", with(`"queueName":"z"`), drmaa2.InvalidArgument, "queueName"},
+		{"negative", with(`"minSlots":-4`), drmaa2.InvalidArgument, "minSlots"},
+		{"a range of slots", with(`"minSlots":1,"maxSlots":4`), drmaa2.UnsupportedAttribute, "maxSlots"},
+		{"cores twice", with(`"minSlots":1,"implementationSpecific":{"flaxshelf.cores":"2"}`), drmaa2.InvalidArgument,
+			"flaxshelf.cores"},
+		{"NaN", extension("flaxshelf.cores", "NaN"), drmaa2.InvalidArgument, "flaxshelf.cores"},
+		{"infinite", extension("flaxshelf.memory", "Inf"), drmaa2.InvalidArgument, "flaxshelf.memory"},
+		{"zero", extension("flaxshelf.cores", "0"), drmaa2.InvalidArgument, "flaxshelf.cores"},
+		{"negative life", extension("flaxshelf.life", "-1s"), drmaa2.InvalidArgument, "flaxshelf.life"},
+		{"key with a space", extension("flaxshelf.key", "a b"), drmaa2.InvalidArgument, "flaxshelf.key"},
+		{"long key", extension("flaxshelf.key", strings.Repeat("k", 257)), drmaa2.InvalidArgument, "flaxshelf.key"},
+		{"unknown of ours", extension("flaxshelf.wings", "2"), drmaa2.UnsupportedAttribute, "flaxshelf.wings"},
+		{"environment", with(`"jobEnvironment":{"A":"b"}`), drmaa2.UnsupportedAttribute, "jobEnvironment"},
+		{"mail", with(`"email":["a@b"]`), drmaa2.UnsupportedAttribute, "email"},
+		{"priority", with(`"priority":3`), drmaa2.UnsupportedAttribute, "priority"},
+		{"machines", with(`"candidateMachines":["a"]`), drmaa2.UnsupportedAttribute, "candidateMachines"},
+		{"limits", with(`"resourceLimits":{"a":"b"}`), drmaa2.UnsupportedAttribute, "resourceLimits"},
+		{"a range for one job", `{"template":{"remoteCommand":"x","jobCategory":"batch"},"bulk":{"beginIndex":1,"endIndex":2,"step":1}}`,
+			drmaa2.InvalidArgument, "bulk"},
+		{"deep nesting", strings.Repeat("[", 100000), drmaa2.InvalidArgument, ""},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			status, err := decodeResponse(t, front.Route(request("POST", "/drmaa2/v1/sessions/s/jobs", test.body)))
+			if status < 400 || err.Code != test.code || err.Attribute != test.attribute {
+				t.Errorf("%d %q %q: %s; want %q %q", status, err.Code, err.Attribute, err.Message, test.code, test.attribute)
+			}
+		})
+	}
+}
+
+// A good template arrives at the core with the class's defaults, its own figures, and itself for those who ask.
+func TestTemplateToSpec(t *testing.T) {
+	front := newFront(t)
+	call := front.Route(request("POST", "/drmaa2/v1/sessions/s/jobs", `{"again":true,"template":{"remoteCommand":"x","args":["a"],
+		"jobCategory":"batch","jobName":"n","accountingId":"north","minPhysMemory":3145728,"rerunnable":true,"submitAsHold":true,
+		"startTime":"1970-01-01T00:00:09Z","deadlineTime":"1970-01-01T00:01:00Z",
+		"implementationSpecific":{"flaxshelf.cores":"0.5","flaxshelf.life":"90s","flaxshelf.giveup":"7s","flaxshelf.key":"k","flaxshelf.service":"v"}}}`))
+	if call.BuildInput == nil {
+		t.Fatalf("%s", call.Response)
+	}
+	got := call.BuildInput(3, 0).(scheduler.Submit).Spec
+	got.Template = nil
+	want := scheduler.Spec{Key: "k", Session: "s", Name: "n", Service: "v", Class: 0, Tenant: 0, Cores: 0.5, Memory: 3,
+		ExpectedRuntime: 90 * time.Second, Priority: 2, Rerunnable: true, Hold: true, Retry: true, PlacementTimeout: 7 * time.Second,
+		NotBefore: 9 * time.Second, Deadline: time.Minute}
+	if fmt.Sprintf("%+v", got) != fmt.Sprintf("%+v", want) {
+		t.Errorf("got  %+v\nwant %+v", got, want)
+	}
+}
+
+// An array has the indexes of its range; a range that makes no sense is an error.
+func TestArrayIndexes(t *testing.T) {
+	front := newFront(t)
+	submission := func(bulk string) *httpcodec.Request {
+		return request("POST", "/drmaa2/v1/sessions/s/arrays",
+			`{"template":{"remoteCommand":"x","jobCategory":"service"},"bulk":`+bulk+`}`)
+	}
+	call := front.Route(submission(`{"beginIndex":2,"endIndex":9,"step":3,"maxParallel":2}`))
+	if got := call.BuildInput(1, 0).(scheduler.Submit); fmt.Sprint(got.Indexes, got.MaxParallel) != "[2 5 8] 2" {
+		t.Errorf("an array of %v, %d at once", got.Indexes, got.MaxParallel)
+	}
+	for _, bulk := range []string{`{"beginIndex":0,"endIndex":1,"step":1}`, `{"beginIndex":3,"endIndex":1,"step":1}`,
+		`{"beginIndex":1,"endIndex":1,"step":0}`, `{"beginIndex":1,"endIndex":9000000,"step":1}`} {
+		t.Run(bulk, func(t *testing.T) {
+			if status, _ := decodeResponse(t, front.Route(submission(bulk))); status != 400 {
+				t.Errorf("status %d", status)
+			}
+		})
+	}
+}
+
+// Whatever a client sends as a submission, the front answers or passes on something within bounds.
+func FuzzSubmission(f *testing.F) {
+	front := newFront(f)
+	f.Add([]byte(`{"template":{"remoteCommand":"x","jobCategory":"batch","implementationSpecific":{"flaxshelf.cores":"1e300"}}}`))
+	f.Add([]byte(`{"template":{"remoteCommand":"x","jobCategory":"service","startTime":"0000-01-01T00:00:00Z"}}`))
+	f.Add([]byte(`[]`))
+	f.Fuzz(func(t *testing.T, body []byte) {
+		call := front.Route(&httpcodec.Request{Method: "POST", Path: "/drmaa2/v1/sessions/s/jobs", Body: body})
+		if call.BuildInput == nil {
+			if len(call.Response) == 0 {
+				t.Error("neither an answer nor an input")
+			}
+			return
+		}
+		spec := call.BuildInput(1, 1).(scheduler.Submit).Spec
+		if !(spec.Cores > 0 && spec.Cores <= 1e9 && spec.Memory > 0) || spec.Class < 0 || spec.ExpectedRuntime < 0 ||
+			spec.PlacementTimeout < 0 {
+			t.Errorf("%s was taken as %+v", body, spec)
+		}
+	})
+}
