--- a/internal/lab/standin/host/inventory.go
+++ b/internal/lab/standin/host/inventory.go
@@ -2,9 +2,8 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
-	"math"
-	"sync"
 	"time"
 
 	"github.com/rs/zerolog"
@@ -15,116 +14,79 @@
 	"flaxshelf.example/flaxshelf/internal/transport"
 )
 
-// Inventory is the stand-in inventory on sockets.
+const (
+	inventoryName   = "inventory"          // in its welcome
+	waitForInterval = 5 * time.Millisecond // between two looks of WaitFor
+)
+
+var errInventoryStopped = errors.New("inventory: stopped")
+
+// Inventory is the stand-in inventory on sockets. Its methods may be called from any goroutine.
 type Inventory struct {
-	model   *inventorymodel.Inventory
-	server  *transport.Server
-	box     chan message
-	stop    chan struct{}
-	once    sync.Once
-	done    chan struct{}
-	parties parties
+	*host
+	state *inventorymodel.Inventory // of the owner
 }
 
-// StartInventory listens on addr.
+// StartInventory starts an inventory that listens on addr; port 0 picks one. The caller ends it with Stop.
 func StartInventory(addr string, cfg inventorymodel.Config, log zerolog.Logger) (*Inventory, error) {
-	v := &Inventory{model: inventorymodel.New(cfg), box: make(chan message, mailbox), stop: make(chan struct{}),
-		done: make(chan struct{}), parties: newParties()}
-	var err error
-	v.server, err = transport.Listen(addr, transport.Options{Log: log},
-		func(*transport.Conn) transport.Handler { return &peer{box: v.box} })
+	h, err := listen(addr, log)
 	if err != nil {
 		return nil, fmt.Errorf("inventory: %w", err)
 	}
-	go v.own()
+	v := &Inventory{host: h, state: inventorymodel.New(cfg)}
+	h.model = v
+	go func() {
+		defer h.closeServer()
+		h.serve(nil, nil)
+	}()
 	return v, nil
 }
 
-// Addr is where the inventory listens.
-func (v *Inventory) Addr() string { return v.server.Addr() }
-
 // Do runs f with the model, on the goroutine that owns it, and sends what it returns.
 func (v *Inventory) Do(f func(m *inventorymodel.Inventory, now inventorymodel.Time) []inventorymodel.Send) {
-	ran := make(chan struct{})
-	select {
-	case v.box <- message{do: func() { v.send(f(v.model, clock.Now())); close(ran) }}:
-	case <-v.done:
-		return
-	}
-	select {
-	case <-ran:
-	case <-v.done:
-	}
-}
-
-// Stop ends the inventory.
-func (v *Inventory) Stop() {
-	v.once.Do(func() { close(v.stop) })
-	<-v.done
+	v.do(func() { v.send(f(v.state, clock.Now())) })
 }
 
-func (v *Inventory) own() {
-	defer close(v.done)
-	defer func() { _ = v.server.Stop(context.Background()) }()
-	due := newTimer()
-	defer due.Stop()
-	for {
-		if next := v.model.Next(); next < math.MaxInt64 {
-			due.Reset(max(next-clock.Now(), 0))
-		}
-		select {
-		case m := <-v.box:
-			v.take(m)
-		case <-due.C:
-			v.send(v.model.Advance(clock.Now()))
-		case <-v.stop:
-			return
-		}
-	}
-}
-
-func (v *Inventory) take(m message) {
-	now := clock.Now()
-	switch {
-	case m.do != nil:
-		m.do()
-	case m.gone:
-		if from := v.parties.remove(m.conn); from != "" {
-			v.send(v.model.Gone(now, from))
-		}
-	case m.hello != nil:
-		v.parties.add(m.hello.Party, m.conn)
-		m.conn.Send(encode(&nodepb.Frame{Body: &nodepb.Frame_Welcome{Welcome: &nodepb.Welcome{Node: "inventory"}}}))
-	default:
-		if from := v.parties.names[m.conn]; from != "" {
-			v.send(v.model.Receive(now, from, m.frame))
-		}
-	}
-}
-
-func (v *Inventory) send(out []inventorymodel.Send) {
-	for _, s := range out {
-		v.parties.send(s.To, s.Frame)
-	}
-}
-
-// WaitFor waits until the list shows n nodes.
-func (v *Inventory) WaitFor(ctx context.Context, n int) error {
+// WaitFor waits until the list shows a number of nodes.
+func (v *Inventory) WaitFor(ctx context.Context, nodes int) error {
 	for {
 		shown := 0
 		v.Do(func(m *inventorymodel.Inventory, _ inventorymodel.Time) []inventorymodel.Send {
 			shown = len(m.Shown())
 			return nil
 		})
-		if shown >= n {
+		if shown >= nodes {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("inventory: %d of %d nodes have registered: %w", shown, n, ctx.Err())
-		case <-v.done:
-			return fmt.Errorf("inventory: stopped")
-		case <-time.After(5 * time.Millisecond):
+			return fmt.Errorf("inventory: %d of %d nodes have registered: %w", shown, nodes, ctx.Err())
+		case <-v.Done():
+			return errInventoryStopped
+		case <-time.After(waitForInterval):
 		}
 	}
 }
+
+func (v *Inventory) send(frames []inventorymodel.Send) {
+	for _, send := range frames {
+		v.parties.send(send.To, send.Frame)
+	}
+}
+
+func (v *Inventory) nextDue() time.Duration    { return v.state.Next() }
+func (v *Inventory) advance(now time.Duration) { v.send(v.state.Advance(now)) }
+func (v *Inventory) isDead() bool              { return false }
+
+func (v *Inventory) connect(_ time.Duration, conn *transport.Conn, hello *nodepb.Hello) {
+	v.parties.add(hello.Party, conn)
+	conn.Send(encode(&nodepb.Frame{Body: &nodepb.Frame_Welcome{Welcome: &nodepb.Welcome{Node: inventoryName}}}))
+}
+
+func (v *Inventory) disconnect(now time.Duration, party string) {
+	v.send(v.state.Gone(now, party))
+}
+
+func (v *Inventory) receive(now time.Duration, party string, frame *nodepb.Frame) {
+	v.send(v.state.Receive(now, party, frame))
+}
--- /dev/null
+++ b/internal/lab/standin/host/registration.go
@@ -0,0 +1,72 @@
+package host
+
+import (
+	"time"
+
+	"flaxshelf.example/flaxshelf/internal/clock"
+	"flaxshelf.example/flaxshelf/internal/codec/nodeframe"
+	"flaxshelf.example/flaxshelf/internal/codec/nodeframe/nodepb"
+	"flaxshelf.example/flaxshelf/internal/transport"
+)
+
+const (
+	registrationInterval = 500 * time.Millisecond // between two reports of a node to the inventory
+	inventoryDialTimeout = time.Second
+)
+
+// inventoryBackoff is the backoff of a node's link to the inventory.
+var inventoryBackoff = transport.Backoff{Initial: 50 * time.Millisecond, Max: time.Second}
+
+// linkInventory keeps a connection to the inventory until the dialer stops.
+func (n *Node) linkInventory() {
+	n.dialer.Link(n.options.Inventory, inventoryDialTimeout, inventoryBackoff,
+		func() transport.Handler { return &registrationHandler{node: n} },
+		func(error) {}) // the link connects again by itself
+}
+
+// register reports the node to the inventory.
+func (n *Node) register() {
+	if n.registration == nil || n.state.Dead() {
+		return
+	}
+	entry := &nodepb.Entry{Node: n.options.Model.Name, Address: n.options.Advertise, Kind: n.options.Kind,
+		Zone: n.options.Model.Zone, Cell: int32(n.options.Cell)}
+	if n.options.Model.ColdFor > 0 {
+		entry.StartedUnixNs = int64(n.state.Started())
+	}
+	if n.state.Draining() {
+		entry.Standing = nodepb.Standing_DRAINING
+	}
+	entry.FreeCores, entry.FreeMemory = n.state.Free()
+	n.registration.Send(encode(&nodepb.Frame{Body: &nodepb.Frame_Register{Register: &nodepb.Register{Entry: entry}}}))
+}
+
+// registrationHandler is the node's end of a connection to the inventory. A change that finds the mailbox full is
+// dropped: the next connection or report makes up for it.
+type registrationHandler struct{ node *Node }
+
+// Opened sends the hello and has the node register.
+func (r *registrationHandler) Opened(conn *transport.Conn) {
+	n := r.node
+	conn.WriteInLoop(encode(&nodepb.Frame{Body: &nodepb.Frame_Hello{Hello: &nodepb.Hello{VersionMin: nodeframe.Version,
+		VersionMax: nodeframe.Version, Party: n.options.Model.Name, LifeUnixNs: int64(clock.Now())}}}))
+	n.tryEnqueue(func() {
+		n.registration = conn
+		n.register()
+	})
+}
+
+// Receive implements transport.Handler; nothing that the inventory sends matters to a node.
+func (*registrationHandler) Receive(_ *transport.Conn, received []byte) (int, error) {
+	return len(received), nil
+}
+
+// Closed implements transport.Handler.
+func (r *registrationHandler) Closed(conn *transport.Conn, _ error) {
+	n := r.node
+	n.tryEnqueue(func() {
+		if n.registration == conn {
+			n.registration = nil
+		}
+	})
+}
