--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -440,7 +440,7 @@
 	}
 }
 
-// Metrics are served where the settings say.
+// Metrics are served on the address of the settings.
 func TestMetrics(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -467,7 +467,7 @@
 	for _, want := range []string{`flaxshelf_outcomes_total{class="once",outcome="placed"} 1`,
 		`flaxshelf_jobs_ended_total{class="once",sub="exited"} 1`, `flaxshelf_submit_to_offer_seconds{quantile="0.99"}`} {
 		if !strings.Contains(string(b), want) {
-			t.Errorf("the metrics don't say %s", want)
+			t.Errorf("the metrics lack %s", want)
 		}
 	}
 }
--- a/internal/daemon/effects.go
+++ b/internal/daemon/effects.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// sendOffer puts an offer into the outbox of its node. If there is no connection, the core is told that it was not sent.
+// sendOffer puts an offer into the outbox of its node. If there is no connection, the core is notified that it was not sent.
 func (r *coreRunner) sendOffer(e *scheduler.SendOffer) {
 	r.daemon.metrics.offers.Inc()
 	if submittedAt, ok := r.submittedAt[e.Job]; ok {
--- a/internal/daemon/eventstream.go
+++ b/internal/daemon/eventstream.go
@@ -69,5 +69,5 @@
 	return !s.ended.Load() && s.conn.Send(drmaafront.Heartbeat()) && !s.conn.IsClosed()
 }
 
-// isRead stands in for sendHeartbeat at a core that leaves the heartbeats to another.
+// isRead is used in place of sendHeartbeat by a core that leaves the heartbeats to another.
 func (s *eventStream) isRead() bool { return !s.ended.Load() && !s.conn.IsClosed() }
--- a/internal/daemon/inventory.go
+++ b/internal/daemon/inventory.go
@@ -28,9 +28,7 @@
 }
 
 // Opened sends the hello.
-func (h *inventoryHandler) Opened(c *transport.Conn) {
-	c.WriteInLoop(encode(nodefront.Hello(h.daemon.settings, h.daemon.startedAt)))
-}
+func (h *inventoryHandler) Opened(c *transport.Conn) { c.WriteInLoop(h.daemon.hello()) }
 
 // Receive implements transport.Handler.
 func (h *inventoryHandler) Receive(c *transport.Conn, received []byte) (int, error) {
@@ -68,7 +66,7 @@
 	return core >= len(d.runners) || d.runners[core].tryEnqueue(message{input: scheduler.DiscoverySynced{Token: token}})
 }
 
-// Closed implements transport.Handler; the link tells the cores.
+// Closed implements transport.Handler; the link notifies the cores.
 func (h *inventoryHandler) Closed(_ *transport.Conn, reason error) {
 	h.daemon.log.Warn().Err(reason).Msg("inventory connection closed")
 }
@@ -77,8 +75,8 @@
 // core has no case for it: it steps and does nothing. Until the daemon had several cores it became a DiscoveryFailed.
 type ignoredDiscoveryError struct{ scheduler.Input }
 
-// subscribeDiscovery asks the inventory for the list of nodes and its changes. Without a connection the core is told at
-// once that it has failed.
+// subscribeDiscovery asks the inventory for the list of nodes and its changes. Without a connection the core is
+// notified at once that it has failed.
 func (r *coreRunner) subscribeDiscovery() { r.sendToInventory(nodefront.Watch()) }
 
 // syncDiscovery asks the inventory for a sign that the core has been given all of its updates.
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -157,7 +157,7 @@
 }
 
 const (
-	maxLatency       = 10 * time.Minute // that a histogram tells from longer ones
+	maxLatency       = 10 * time.Minute // that a histogram distinguishes from longer ones
 	histogramDigits  = 2                // significant decimal digits of a recorded latency
 	minLatencyMicros = 1
 	microsPerSecond  = 1e6
--- a/internal/daemon/nodeconns.go
+++ b/internal/daemon/nodeconns.go
@@ -90,7 +90,7 @@
 	}
 }
 
-// nodeDisconnected tells the cores that a connection has closed or could not be made. A connection that was given up
+// nodeDisconnected notifies the cores that a connection has closed or could not be made. A connection that was given up
 // may be reported after the welcome of the next, and the node would count as down while it is up: it is passed over.
 func (d *Daemon) nodeDisconnected(name string, connection *nodeConnection, err error) {
 	d.log.Debug().Err(err).Str("node", name).Msg("node not connected")
--- a/internal/daemon/nodehandler.go
+++ b/internal/daemon/nodehandler.go
@@ -22,9 +22,7 @@
 }
 
 // Opened sends the hello.
-func (h *nodeHandler) Opened(c *transport.Conn) {
-	c.WriteInLoop(encode(nodefront.Hello(h.daemon.settings, h.daemon.startedAt)))
-}
+func (h *nodeHandler) Opened(c *transport.Conn) { c.WriteInLoop(h.daemon.hello()) }
 
 // Receive implements transport.Handler.
 func (h *nodeHandler) Receive(c *transport.Conn, received []byte) (int, error) {
@@ -41,7 +39,7 @@
 	})
 }
 
-// Closed implements transport.Handler; the link tells the cores.
+// Closed implements transport.Handler; the link notifies the cores.
 func (h *nodeHandler) Closed(_ *transport.Conn, reason error) {
 	h.daemon.log.Debug().Err(reason).Str("node", h.name).Msg("node connection closed")
 }
--- a/internal/daemon/outbox.go
+++ b/internal/daemon/outbox.go
@@ -58,6 +58,9 @@
 	return encoded
 }
 
+// hello is the encoded first frame of each connection to a node or to the inventory.
+func (d *Daemon) hello() []byte { return encode(nodefront.Hello(d.settings, d.startedAt)) }
+
 // putOffer encodes an offer behind the frames of the step.
 func (r *coreRunner) putOffer(outbox *nodeOutbox, e *scheduler.SendOffer) {
 	nodefront.Task(r.daemon.settings, e, &r.offer.task)
@@ -89,7 +92,7 @@
 	outbox.frames.Flush(outbox.conn, func() bool { return clock.Now()-decidedAt < limit })
 }
 
-// reportUnsent tells the core that an offer was never written. It may be called from any goroutine.
+// reportUnsent notifies the core that an offer was never written. It may be called from any goroutine.
 func (r *coreRunner) reportUnsent(node, attempt string) {
 	r.requeue(scheduler.SendFailed{Node: node, Attempt: attempt})
 }
--- a/internal/front/drmaafront/errors.go
+++ b/internal/front/drmaafront/errors.go
@@ -18,7 +18,8 @@
 	jsonContentType = "application/json"
 )
 
-// ErrorResponse is the response with an error; closes tells the client that the connection is closed behind it.
+// ErrorResponse is the response with an error; closes announces that the connection is closed
+// behind it.
 func ErrorResponse(status int, err *drmaa2.Error, closes bool) []byte {
 	var fields []string
 	if err.RetryAfter > 0 {
@@ -61,7 +62,7 @@
 	}
 }
 
-// invalidArgument is the error for the value of an attribute; the empty attribute is the request as a whole.
+// invalidArgument is the error for the value of an attribute; the empty attribute is the request itself.
 func invalidArgument(attribute, message string) *drmaa2.Error {
 	if attribute != "" {
 		message = attribute + ": " + message
--- a/internal/front/drmaafront/events.go
+++ b/internal/front/drmaafront/events.go
@@ -26,7 +26,7 @@
 }
 
 // watchCall is a stream of server-sent events. It goes on behind the last event that the client names; the ID of an
-// event before a restart of the scheduler tells nothing, and the stream begins with all jobs.
+// event before a restart of the scheduler has no meaning, and the stream begins with all jobs.
 func (f *Front) watchCall(request *httpcodec.Request, watch scheduler.Watch) *Call {
 	resumeAfter := ""
 	incarnation, position, ok := strings.Cut(request.Get("last-event-id"), ".")
--- a/internal/front/drmaafront/extensions.go
+++ b/internal/front/drmaafront/extensions.go
@@ -52,7 +52,7 @@
 
 func isSpaceOrControl(r rune) bool { return r == ' ' || isControl(r) }
 
-// parseAmount reads a number of cores or GiB; duplicate tells that the specification's attribute has given it too.
+// parseAmount reads a number of cores or GiB; duplicate is true if the specification's attribute has given it too.
 func parseAmount(name, value string, duplicate bool) (float64, *drmaa2.Error) {
 	amount, err := strconv.ParseFloat(value, 64)
 	switch {
--- a/internal/front/drmaafront/front.go
+++ b/internal/front/drmaafront/front.go
@@ -13,7 +13,7 @@
 // Prefix is the path under which all resources are.
 const Prefix = "/drmaa2/v1"
 
-// defaultQueue is the one queue: classes, not queues, tell how work is treated.
+// defaultQueue is the one queue: classes, not queues, determine how work is treated.
 const defaultQueue = "default"
 
 // Front is the interface of one scheduler between two of its restarts. It is read-only after New, so several goroutines
@@ -36,10 +36,10 @@
 	BuildInput func(requestID, streamID uint64) scheduler.Input
 	// EncodeAnswer makes the response from the core's answer to the input.
 	EncodeAnswer func(*scheduler.Answer) []byte
-	// Stream tells that events follow the response, unless the answer is an error.
+	// Stream is true if events follow the response, unless the answer is an error.
 	Stream bool
 	// ResumeAfter is the position that the client of a stream has reached before; empty for a stream from the start.
 	ResumeAfter string
-	// CloseConnection tells that the connection is to be closed behind the response.
+	// CloseConnection is true if the connection is to be closed behind the response.
 	CloseConnection bool
 }
--- a/internal/front/drmaafront/responses_test.go
+++ b/internal/front/drmaafront/responses_test.go
@@ -199,7 +199,7 @@
 		RetryAfter: 1500 * time.Millisecond}}))
 	for _, want := range []string{"503", "Retry-After: 2", "Flaxshelf-Retry-After-Ms: 1500", `"code":"TryLater"`} {
 		if !strings.Contains(response, want) {
-			t.Errorf("%q does not say %q", response, want)
+			t.Errorf("%q lacks %q", response, want)
 		}
 	}
 }
--- a/internal/front/nodefront/frames.go
+++ b/internal/front/nodefront/frames.go
@@ -9,7 +9,7 @@
 	"flaxshelf.example/flaxshelf/internal/settings"
 )
 
-// Hello is the first frame of a scheduler on a connection. The time of its start tells its restarts apart.
+// Hello is the first frame of a scheduler on a connection. The time of its start distinguishes its restarts.
 func Hello(set *settings.Scheduler, startedAt scheduler.Time) *nodepb.Frame {
 	return &nodepb.Frame{Body: &nodepb.Frame_Hello{Hello: &nodepb.Hello{VersionMin: nodeframe.Version,
 		VersionMax: nodeframe.Version, Party: set.Name, LifeUnixNs: int64(startedAt)}}}
--- a/internal/front/nodefront/nodefront_test.go
+++ b/internal/front/nodefront/nodefront_test.go
@@ -159,7 +159,7 @@
 	}
 }
 
-// A listing of several frames is one input; the first frame says whether it is complete.
+// A listing of several frames is one input; the first frame has whether it is complete.
 func TestInventoryInput(t *testing.T) {
 	inventory := Inventory{Set: testSettings(t)}
 	listing := func(listing *nodepb.Listing) *nodepb.Frame {
--- a/internal/lab/standin/host/connection.go
+++ b/internal/lab/standin/host/connection.go
@@ -65,7 +65,7 @@
 	}
 }
 
-// connectionClosed tells the model of a closed connection unless it was replaced.
+// connectionClosed notifies the model of a closed connection unless it was replaced.
 func (h *host) connectionClosed(conn *transport.Conn) {
 	if party := h.parties.remove(conn); party != "" {
 		h.model.disconnect(clock.Now(), party)
--- a/internal/lab/standin/host/host.go
+++ b/internal/lab/standin/host/host.go
@@ -32,7 +32,7 @@
 	advance(now time.Duration)
 	// connect takes a party's connection after its hello.
 	connect(now time.Duration, conn *transport.Conn, hello *nodepb.Hello)
-	// disconnect is told that a party's connection has closed.
+	// disconnect reports that a party's connection has closed.
 	disconnect(now time.Duration, party string)
 	// receive takes a frame of a party.
 	receive(now time.Duration, party string, frame *nodepb.Frame)
