--- a/internal/daemon/core.go
+++ b/internal/daemon/core.go
@@ -131,7 +131,7 @@
 func (r *coreRunner) run() {
 	defer close(r.done)
 	gcBallast()
-	defer keepGCBallast()
+	defer retainGCBallast()
 	wake := time.NewTimer(0)
 	heartbeat, ping := time.NewTicker(streamHeartbeatInterval), time.NewTicker(pingInterval)
 	defer wake.Stop()
--- a/internal/daemon/gcballast.go
+++ b/internal/daemon/gcballast.go
@@ -13,5 +13,5 @@
 // daemon, not with the program: where the platform limits memory it would count, and the collector would never rest.
 var gcBallast = sync.OnceValue(func() []byte { return make([]byte, gcBallastBytes) })
 
-// keepGCBallast keeps the ballast reachable until it is called.
-func keepGCBallast() { runtime.KeepAlive(gcBallast()) }
+// retainGCBallast has the ballast stay reachable until it is called.
+func retainGCBallast() { runtime.KeepAlive(gcBallast()) }
--- a/internal/front/drmaafront/extensions.go
+++ b/internal/front/drmaafront/extensions.go
@@ -22,9 +22,9 @@
 		var err *drmaa2.Error
 		switch name {
 		case drmaa2.AttrService:
-			spec.Service, err = parseWord(name, value)
+			spec.Service, err = parseIdentifier(name, value)
 		case drmaa2.AttrKey:
-			spec.Key, err = parseWord(name, value)
+			spec.Key, err = parseIdentifier(name, value)
 		case drmaa2.AttrCores:
 			spec.Cores, err = parseAmount(name, value, template.MinSlots > 0)
 		case drmaa2.AttrMemory:
@@ -43,7 +43,7 @@
 	return nil
 }
 
-func parseWord(name, value string) (string, *drmaa2.Error) {
+func parseIdentifier(name, value string) (string, *drmaa2.Error) {
 	if value == "" || len(value) > maxKeyBytes || strings.ContainsFunc(value, isSpaceOrControl) {
 		return "", invalidArgument(name, fmt.Sprintf("expected 1 to %d bytes without spaces", maxKeyBytes))
 	}
