--- a/cmd/flaxshelf/serve.go
+++ b/cmd/flaxshelf/serve.go
@@ -23,15 +23,15 @@
 		return err
 	}
 	if c.Listen != "" {
-		set.Listen = c.Listen
+		set.ListenAddress = c.Listen
 	}
 	if c.Cores != 0 {
-		set.Cores = c.Cores
+		set.Shards = c.Cores
 		if err := shard.Check(c.Cores); err != nil {
 			return fmt.Errorf("--cores: %w", err)
 		}
 	}
-	d, err := daemon.Start(set, logger(e.err, set.Log))
+	d, err := daemon.Start(set, logger(e.err, set.LogLevel))
 	if err != nil {
 		return err
 	}
--- a/cmd/flaxshelf/standin.go
+++ b/cmd/flaxshelf/standin.go
@@ -38,8 +38,8 @@
 		return err
 	}
 	log := logger(e.err, c.Log)
-	inv, err := host.StartInventory(fleet.Inventory, inventorymodel.Config{Late: fleet.Late.Of(),
-		GoneAfter: fleet.GoneAfter.Of()}, log)
+	inv, err := host.StartInventory(fleet.InventoryAddress, inventorymodel.Config{Late: fleet.DiscoveryDelay.Duration(),
+		GoneAfter: fleet.RemovalDelay.Duration()}, log)
 	if err != nil {
 		return err
 	}
@@ -54,7 +54,7 @@
 	if err := inv.WaitFor(wait, len(nodes)); err != nil {
 		return err
 	}
-	set.Listen, set.Inventory = c.Listen, inv.Addr()
+	set.ListenAddress, set.InventoryAddress = c.Listen, inv.Addr()
 	d, err := daemon.Start(set, log)
 	if err != nil {
 		return err
@@ -77,7 +77,7 @@
 			rooms[n.Zone] = host.NewRoom()
 		}
 		node, err := host.StartNode(host.NodeOptions{Model: standins.Model(fleet, i), Kind: n.Kind, Cell: n.Cell,
-			Listen:    n.Listen,
+			Listen:    n.ListenAddress,
 			Inventory: inventory, Room: rooms[n.Zone], Log: log})
 		if err != nil {
 			stopNodes(nodes)
@@ -121,11 +121,11 @@
 		}
 		fleet.Nodes = kept
 	}
-	inventory := fleet.Inventory
+	inventory := fleet.InventoryAddress
 	if c.Inventory != "" {
 		inventory = c.Inventory
 	}
-	nodes, err := startNodes(fleet, inventory, logger(e.err, fleet.Log))
+	nodes, err := startNodes(fleet, inventory, logger(e.err, fleet.LogLevel))
 	if err != nil {
 		return err
 	}
@@ -137,7 +137,7 @@
 	for _, n := range nodes {
 		n.Do(func(m *nodemodel.Node, now nodemodel.Time) []nodemodel.Send { return m.Drain(now) })
 	}
-	time.Sleep(fleet.Late.Of()) // so that the inventory can tell of the drain
+	time.Sleep(fleet.DiscoveryDelay.Duration()) // so that the inventory can tell of the drain
 	return nil
 }
 
--- a/internal/daemon/clienthandler.go
+++ b/internal/daemon/clienthandler.go
@@ -40,7 +40,7 @@
 func (d *Daemon) accept(*transport.Conn) transport.Handler {
 	count := d.clientCount.Add(1)
 	d.metrics.clients.Set(float64(count))
-	return &clientHandler{daemon: d, overLimit: count > int64(d.settings.Limits.Connections)}
+	return &clientHandler{daemon: d, overLimit: count > int64(d.settings.Limits.MaxConnections)}
 }
 
 // Opened limits the time of a connection over the limit. It is rejected when its request has arrived, since clients
@@ -96,7 +96,7 @@
 	}
 	began := time.Now()
 	h.requestBegan = began
-	h.requestTimer = time.AfterFunc(h.daemon.settings.Limits.Request.Of(), func() {
+	h.requestTimer = time.AfterFunc(h.daemon.settings.Limits.RequestTimeout.Duration(), func() {
 		c.RunInLoop(0, func(func([]byte)) {
 			if h.requestBegan.Equal(began) {
 				h.rejectSlow(c)
@@ -107,7 +107,7 @@
 
 func (h *clientHandler) rejectSlow(c *transport.Conn) {
 	c.WriteInLoop(drmaafront.ErrorResponse(http.StatusRequestTimeout, &drmaa2.Error{Code: drmaa2.InvalidArgument,
-		Message: fmt.Sprintf("the request did not come whole within %v", h.daemon.settings.Limits.Request.Of())}, true))
+		Message: fmt.Sprintf("the request did not come whole within %v", h.daemon.settings.Limits.RequestTimeout.Duration())}, true))
 	c.CloseInLoop(errRequestTimeout)
 }
 
--- a/internal/daemon/core.go
+++ b/internal/daemon/core.go
@@ -63,10 +63,10 @@
 		drained: make(chan struct{}), pending: map[uint64]message{}, streams: map[uint64]message{},
 		submittedAt: map[string]time.Time{}, outboxes: map[string]*nodeOutbox{}, addresses: map[string]string{}}
 	r.offer.init()
-	config := shard.Divide(d.settings.Core(d.startedAt), index, coreCount)
+	config := shard.Divide(d.settings.CoreConfig(d.startedAt), index, coreCount)
 	config.WrapStep = d.metrics.timeModuleStep
-	if d.settings.Tap != "" {
-		recorder, err := replay.Create(recordingPath(d.settings.Tap, index), config.Module, config.Seed)
+	if d.settings.ModuleRecording != "" {
+		recorder, err := replay.Create(recordingPath(d.settings.ModuleRecording, index), config.Module, config.Seed)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/daemon/cores_test.go
+++ b/internal/daemon/cores_test.go
@@ -18,7 +18,9 @@
 
 // onCores sets the number of cores, with room for the events of all of them.
 func onCores(count int) func(*settings.Scheduler, *nodemodel.Config) {
-	return func(set *settings.Scheduler, _ *nodemodel.Config) { set.Cores, set.Limits.ClientOut = count, 4<<20 }
+	return func(set *settings.Scheduler, _ *nodemodel.Config) {
+		set.Shards, set.Limits.MaxClientWriteQueue = count, 4<<20
+	}
 }
 
 // To its clients a scheduler of four cores is one: one session, one list in the order of IDs, one stream that goes on
@@ -129,7 +131,7 @@
 		}
 	}
 	for _, cores := range []int{2, 1, 3} {
-		cluster.settings.Cores = cores
+		cluster.settings.Shards = cores
 		cluster.restartDaemon()
 		session = cluster.createSession(ctx, "next")
 		for i := range count {
@@ -186,7 +188,7 @@
 
 // One core stalls for two seconds: the others go on placing meanwhile, and every job has its outcome in time.
 func TestOneCoreStalls(t *testing.T) {
-	cluster := newTestCluster(t, 3, func(set *settings.Scheduler, _ *nodemodel.Config) { set.Cores = 4 })
+	cluster := newTestCluster(t, 3, func(set *settings.Scheduler, _ *nodemodel.Config) { set.Shards = 4 })
 	ctx := contextWithin(t, time.Minute)
 	if err := cluster.daemon.Stop(); err != nil {
 		t.Fatal(err)
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -69,10 +69,10 @@
 
 // StartHooked is Start with a hook, for tests.
 func StartHooked(set *settings.Scheduler, log zerolog.Logger, hook Hook) (*Daemon, error) {
-	coreCount := max(set.Cores, 1)
+	coreCount := max(set.Shards, 1)
 	startedAt := clock.Now()
 	d := &Daemon{settings: set, hook: hook, log: log.With().Str("scheduler", set.Name).Logger(), startedAt: startedAt,
-		shards: shard.New(set.Name, set.Core(startedAt), coreCount), front: drmaafront.New(set, startedAt)}
+		shards: shard.New(set.Name, set.CoreConfig(startedAt), coreCount), front: drmaafront.New(set, startedAt)}
 	d.nodes.byName = map[string]*nodeConnection{}
 	if err := d.open(coreCount); err != nil {
 		return nil, errors.Join(err, d.closeResources(context.Background()))
@@ -81,7 +81,7 @@
 		go runner.run()
 	}
 	d.linkInventory()
-	d.log.Info().Str("address", d.server.Addr()).Str("inventory", set.Inventory).Int("cores", coreCount).
+	d.log.Info().Str("address", d.server.Addr()).Str("inventory", set.InventoryAddress).Int("cores", coreCount).
 		Msg("scheduler started")
 	return d, nil
 }
@@ -89,7 +89,7 @@
 // open makes what the daemon consists of; the cores' goroutines are not started yet. After an error the caller closes
 // what was opened.
 func (d *Daemon) open(coreCount int) (err error) {
-	if d.metrics, err = newMetrics(d.settings.Metrics); err != nil {
+	if d.metrics, err = newMetrics(d.settings.MetricsAddress); err != nil {
 		return err
 	}
 	for i := range coreCount {
@@ -101,13 +101,13 @@
 	}
 	// One loop writes to all nodes: with several, the stop of an attempt that was given up could leave after the offer
 	// that follows it, to another node.
-	d.dialer, err = transport.NewDialer(transport.Options{MaxWriteQueue: d.settings.Limits.NodeOut,
+	d.dialer, err = transport.NewDialer(transport.Options{MaxWriteQueue: d.settings.Limits.MaxNodeWriteQueue,
 		IdleTimeout: peerIdleTimeout, Log: d.log})
 	if err != nil {
 		return err
 	}
-	d.server, err = transport.Listen(d.settings.Listen, transport.Options{MaxWriteQueue: d.settings.Limits.ClientOut,
-		IdleTimeout: d.settings.Limits.Idle.Of(), Loops: coreCount, Log: d.log}, d.accept)
+	d.server, err = transport.Listen(d.settings.ListenAddress, transport.Options{MaxWriteQueue: d.settings.Limits.MaxClientWriteQueue,
+		IdleTimeout: d.settings.Limits.IdleTimeout.Duration(), Loops: coreCount, Log: d.log}, d.accept)
 	return err
 }
 
@@ -134,7 +134,7 @@
 // that the settings give, and stops. It returns an error if a request had no outcome by then. Running jobs run on at
 // their nodes.
 func (d *Daemon) Shutdown(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, d.settings.Limits.StopWithin.Of())
+	ctx, cancel := context.WithTimeout(ctx, d.settings.Limits.ShutdownTimeout.Duration())
 	defer cancel()
 	d.enqueueAll(scheduler.Drain{})
 	var err error
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -148,7 +148,7 @@
 
 // Each error of the specification reaches the client as itself.
 func TestErrorsOfTheSpecification(t *testing.T) {
-	cluster := newTestCluster(t, 1, func(set *settings.Scheduler, _ *nodemodel.Config) { set.Limits.MaxOpen = 1 })
+	cluster := newTestCluster(t, 1, func(set *settings.Scheduler, _ *nodemodel.Config) { set.Limits.MaxPending = 1 })
 	ctx := contextWithin(t, 20*time.Second)
 	session := cluster.createSession(ctx, "test")
 	want := func(what string, err, target error) {
@@ -418,7 +418,7 @@
 
 // Over the limit of connections a client is answered to try later; those that are connected stay.
 func TestConnectionLimit(t *testing.T) {
-	cluster := newTestCluster(t, 1, func(set *settings.Scheduler, _ *nodemodel.Config) { set.Limits.Connections = 2 })
+	cluster := newTestCluster(t, 1, func(set *settings.Scheduler, _ *nodemodel.Config) { set.Limits.MaxConnections = 2 })
 	ctx := contextWithin(t, 10*time.Second)
 	cluster.createSession(ctx, "test") // on a connection that the client keeps
 	second := dial(t, cluster.daemon.Addr())
@@ -448,7 +448,7 @@
 	}
 	addr := l.Addr().String()
 	_ = l.Close()
-	cluster := newTestCluster(t, 1, func(set *settings.Scheduler, _ *nodemodel.Config) { set.Metrics = addr })
+	cluster := newTestCluster(t, 1, func(set *settings.Scheduler, _ *nodemodel.Config) { set.MetricsAddress = addr })
 	ctx := contextWithin(t, 10*time.Second)
 	job, err := cluster.createSession(ctx, "test").RunJob(ctx, jobTemplate("once", time.Millisecond))
 	if err != nil {
--- a/internal/daemon/inventory.go
+++ b/internal/daemon/inventory.go
@@ -11,7 +11,7 @@
 
 // linkInventory keeps a connection to the inventory until the dialer stops.
 func (d *Daemon) linkInventory() {
-	d.dialer.Link(d.settings.Inventory, inventoryDialTimeout, reconnectBackoff,
+	d.dialer.Link(d.settings.InventoryAddress, inventoryDialTimeout, reconnectBackoff,
 		func() transport.Handler {
 			return &inventoryHandler{daemon: d, front: nodefront.Inventory{Set: d.settings}}
 		},
--- a/internal/daemon/nodeconns.go
+++ b/internal/daemon/nodeconns.go
@@ -76,7 +76,7 @@
 func (r *coreRunner) connect(name string) {
 	d, address := r.daemon, r.addresses[name]
 	replaced := d.nodes.request(r.index, name, address, func(connection *nodeConnection) *transport.Link {
-		return d.dialer.Link(address, d.settings.Connect.Of(), reconnectBackoff,
+		return d.dialer.Link(address, d.settings.ConnectTimeout.Duration(), reconnectBackoff,
 			func() transport.Handler {
 				return &nodeHandler{daemon: d, name: name, front: nodefront.Node{Set: d.settings, Name: name}}
 			},
--- a/internal/daemon/outbox.go
+++ b/internal/daemon/outbox.go
@@ -88,7 +88,7 @@
 // flush passes a step's frames to the event loop of the node's connection. An offer that comes there after half the
 // drain grace, or not at all, is reported as not sent.
 func (r *coreRunner) flush(outbox *nodeOutbox, decidedAt scheduler.Time) {
-	limit := r.daemon.settings.Rules.DrainGrace.Of() / 2
+	limit := r.daemon.settings.Rules.DrainGrace.Duration() / 2
 	outbox.frames.Flush(outbox.conn, func() bool { return clock.Now()-decidedAt < limit })
 }
 
--- a/internal/daemon/testcluster_test.go
+++ b/internal/daemon/testcluster_test.go
@@ -66,7 +66,7 @@
 	}
 	t.Cleanup(cluster.inventory.Stop)
 	cluster.startNodes(nodes, model)
-	set.Inventory = cluster.inventory.Addr()
+	set.InventoryAddress = cluster.inventory.Addr()
 	cluster.startDaemon()
 	t.Cleanup(func() {
 		cluster.client.Close()
@@ -104,7 +104,7 @@
 		c.t.Fatal(err)
 	}
 	c.daemon = d
-	c.settings.Listen = d.Addr()
+	c.settings.ListenAddress = d.Addr()
 	c.client = drmaa2.NewClient(d.Addr())
 }
 
--- a/internal/front/nodefront/frames.go
+++ b/internal/front/nodefront/frames.go
@@ -20,7 +20,7 @@
 func Task(set *settings.Scheduler, offer *scheduler.SendOffer, task *nodepb.Task) {
 	spec, class := offer.Spec, &set.Classes[offer.Spec.Class]
 	task.Job, task.Key, task.Session, task.Name, task.Service = offer.Job, spec.Key, spec.Session, spec.Name, spec.Service
-	task.Class, task.Effect = class.Name, int32(class.EffectOf())
+	task.Class, task.Effect = class.Name, int32(class.ModuleIdempotency())
 	task.Cores, task.Memory, task.LifeNs = spec.Cores, spec.Memory, int64(spec.ExpectedRuntime)
 	task.Priority, task.Rerunnable, task.Ask = int32(spec.Priority), spec.Rerunnable, int32(offer.Request)
 	task.SubmittedUnixNs = int64(offer.Submitted)
--- a/internal/lab/ablation/ablation.go
+++ b/internal/lab/ablation/ablation.go
@@ -89,7 +89,7 @@
 		worth, late := 1.0, 0.0
 		for _, k := range d.Classes {
 			if k.Name == c.Class {
-				worth, late = k.Worth, k.LateWorth
+				worth, late = k.PriorityWeight, k.LateStartWeight
 			}
 		}
 		all += worth * float64(c.Submitted)
--- a/internal/lab/emulator/director.go
+++ b/internal/lab/emulator/director.go
@@ -143,7 +143,7 @@
 		servers(off, func() any { return startServer{} })
 	case "term-scheduler":
 		servers(on, func() any { return termServer{} })
-		servers(off+w.day.Limits.StopWithin.Of(), func() any { return startServer{} })
+		servers(off+w.day.Limits.ShutdownTimeout.Duration(), func() any { return startServer{} })
 	case "burst":
 		load(surge{class: t.Class, factor: t.Factor})
 	case "hot-service":
--- a/internal/lab/emulator/owners.go
+++ b/internal/lab/emulator/owners.go
@@ -169,7 +169,7 @@
 	if s.spec.Memory <= 0 {
 		s.spec.Memory = class.Memory
 	}
-	s.due = at + max(class.Giveup.Of()+o.w.day.Rules.AnswerSlack.Of()+grace, a.Load.Patience.Of())
+	s.due = at + max(class.PlacementTimeout.Duration()+o.w.day.Rules.AnswerSlack.Duration()+grace, a.Load.Patience.Duration())
 	o.subs[a.Key] = s
 	if a.At >= o.from {
 		o.stats.submitted(a.Load.Class)
@@ -244,12 +244,12 @@
 
 // retry has an owner ask again for work that was not placed, while its patience lasts.
 func (o *owners) retry(s *submitted, now Time) bool {
-	wait := s.a.Load.Retry.Of()
+	wait := s.a.Load.Retry.Duration()
 	if wait <= 0 {
 		return false
 	}
 	at := now + wait/2 + Time(o.lines.rng.Int64N(int64(wait)))
-	if at >= Epoch+warmUp+s.a.At+s.a.Load.Patience.Of() {
+	if at >= Epoch+warmUp+s.a.At+s.a.Load.Patience.Duration() {
 		return false
 	}
 	o.stats.retries++
@@ -317,7 +317,7 @@
 	s.outcome = i.Outcome
 	if i.Outcome == scheduler.OutcomePlaced && s.a.At >= o.from {
 		class := o.w.day.Class(s.a.Load.Class)
-		o.stats.placed(class.Name, b.at-(Epoch+warmUp+s.a.At), class.Aim.Of())
+		o.stats.placed(class.Name, b.at-(Epoch+warmUp+s.a.At), class.LatencyObjective.Duration())
 	}
 }
 
--- a/internal/lab/emulator/scheduler.go
+++ b/internal/lab/emulator/scheduler.go
@@ -93,7 +93,7 @@
 	s.lives++
 	set := *s.set
 	set.Seed = s.w.seed*1000 + uint64(s.set.Index*100+s.lives) + 1
-	cfg := set.Core(now)
+	cfg := set.CoreConfig(now)
 	cfg.NewModule = s.w.make
 	if s.w.core != nil {
 		s.w.core(&cfg)
--- a/internal/lab/load/shape.go
+++ b/internal/lab/load/shape.go
@@ -70,7 +70,7 @@
 }
 
 func (l *Lives) draw(src rand.Source) func() time.Duration {
-	mean := l.Mean.Of().Seconds()
+	mean := l.Mean.Duration().Seconds()
 	var next func() float64
 	switch l.Law {
 	case "exponential":
@@ -85,7 +85,7 @@
 		next = func() float64 { return mean }
 	}
 	return func() time.Duration {
-		return max(time.Duration(min(next(), 1e6)*float64(time.Second)), l.Least.Of())
+		return max(time.Duration(min(next(), 1e6)*float64(time.Second)), l.Least.Duration())
 	}
 }
 
--- a/internal/lab/planrun/planrun.go
+++ b/internal/lab/planrun/planrun.go
@@ -19,11 +19,11 @@
 // Model is a day's fleet and load in the planner's words.
 func Model(d *scenario.Day) (*planner.Fleet, []planner.Class) {
 	b := &d.Behaviour
-	f := &planner.Fleet{Schedulers: d.Schedulers, AcceptCores: d.Rules.AcceptCores,
-		AcceptMemory: d.Rules.AcceptMemory,
-		Look:         b.Look.Of().Seconds(), StartSlots: b.StartSlots, StartWork: b.StartWork.Of().Seconds(),
-		FreshFactor: b.FreshFactor, ColdOffers: d.Rules.ColdOffers, FallWindow: d.Rules.FallWindow.Of().Seconds(),
-		ColdFor: d.Rules.ColdFor.Of().Seconds(), PlacementsPerSecond: placementsPerSecond,
+	f := &planner.Fleet{Schedulers: d.Schedulers, AcceptCores: d.Rules.CoreOvercommit,
+		AcceptMemory: d.Rules.MemoryOvercommit,
+		Look:         b.OfferReviewTime.Duration().Seconds(), StartSlots: b.StartSlots, StartWork: b.CachedStartTime.Duration().Seconds(),
+		FreshFactor: b.UncachedStartFactor, ColdOffers: d.Rules.SlowStartBudget, FallWindow: d.Rules.OverloadWindow.Duration().Seconds(),
+		ColdFor: d.Rules.SlowStartDuration.Duration().Seconds(), PlacementsPerSecond: placementsPerSecond,
 		MaxAttempts: d.Rules.MaxAttempts}
 	for _, g := range d.Fleet {
 		x := planner.Group{Name: g.Name, Kind: g.Kind, Zone: g.Zone, Cell: g.Cell, Count: g.Count}
@@ -38,9 +38,9 @@
 	for _, l := range d.Load {
 		c := d.Class(l.Class)
 		x := planner.Class{Name: l.Class, PerSecond: l.PerSecond,
-			Life:  (l.Life[0].Of() + l.Life[1].Of()).Seconds() / 2,
-			Cores: c.Cores, Memory: c.Memory, UseCores: mean(b.UseCores), UseMemory: mean(b.UseMemory), Services: l.Services,
-			Spread: c.Spread, Most: c.Most, GiveUp: c.Giveup.Of().Seconds()}
+			Life:  (l.Life[0].Duration() + l.Life[1].Duration()).Seconds() / 2,
+			Cores: c.Cores, Memory: c.Memory, UseCores: mean(b.CoreUsageRange), UseMemory: mean(b.MemoryUsageRange), Services: l.Services,
+			Spread: c.SpreadDomain, Most: c.MaxPerDomain, GiveUp: c.PlacementTimeout.Duration().Seconds()}
 		if l.Cores > 0 {
 			x.Cores = l.Cores
 		}
--- a/internal/lab/planrun/trace.go
+++ b/internal/lab/planrun/trace.go
@@ -47,8 +47,8 @@
 		}
 		k := Captured{Jobs: len(jobs)}
 		k.Name, k.PerSecond = name, float64(len(jobs))/length.Seconds()
-		k.UseCores, k.UseMemory = mean(d.Behaviour.UseCores), mean(d.Behaviour.UseMemory)
-		k.Spread, k.Most, k.GiveUp = c.Spread, c.Most, c.Giveup.Of().Seconds()
+		k.UseCores, k.UseMemory = mean(d.Behaviour.CoreUsageRange), mean(d.Behaviour.MemoryUsageRange)
+		k.Spread, k.Most, k.GiveUp = c.SpreadDomain, c.MaxPerDomain, c.PlacementTimeout.Duration().Seconds()
 		services := map[string]bool{}
 		var seen time.Duration
 		ends := 0
--- a/internal/lab/scenario/day.go
+++ b/internal/lab/scenario/day.go
@@ -96,7 +96,7 @@
 
 // Of is the time that a step with so many inputs takes.
 func (c *CPU) Of(inputs int) time.Duration {
-	return c.Step.Of() + time.Duration(inputs)*c.Input.Of()
+	return c.Step.Duration() + time.Duration(inputs)*c.Input.Duration()
 }
 
 // Names lists the days that ship with the program.
@@ -179,14 +179,14 @@
 // Figures are what the checker of the rules is told of this day.
 func (d *Day) Figures() rules.Figures {
 	b := &d.Behaviour
-	f := rules.Figures{DrainGrace: d.Rules.DrainGrace.Of(), AnswerSlack: d.Rules.AnswerSlack.Of(),
-		Settle: d.Rules.Settle.Of(), Skew: 150 * time.Millisecond,
-		Cold: rules.Cold{For: d.Rules.ColdFor.Of(), Window: d.Rules.FallWindow.Of(), From: b.ColdFrom,
-			Multiple: b.FallMultiple, Always: d.Rules.ColdOffers,
-			StartsPerSecond: float64(b.StartSlots) / (b.StartWork.Of().Seconds() * max(b.FreshFactor, 1))}}
+	f := rules.Figures{DrainGrace: d.Rules.DrainGrace.Duration(), AnswerSlack: d.Rules.AnswerSlack.Duration(),
+		Settle: d.Rules.SettleTime.Duration(), Skew: 150 * time.Millisecond,
+		Cold: rules.Cold{For: d.Rules.SlowStartDuration.Duration(), Window: d.Rules.OverloadWindow.Duration(), From: b.SlowStartInitialRate,
+			Multiple: b.OverloadMultiple, Always: d.Rules.SlowStartBudget,
+			StartsPerSecond: float64(b.StartSlots) / (b.CachedStartTime.Duration().Seconds() * max(b.UncachedStartFactor, 1))}}
 	for _, c := range d.Classes {
-		f.Classes = append(f.Classes, rules.Class{Name: c.Name, Effect: c.Effect, Group: c.Group,
-			Window: c.Window.Of(), GiveUp: c.Giveup.Of(), Spread: c.Spread, Most: c.Most})
+		f.Classes = append(f.Classes, rules.Class{Name: c.Name, Effect: c.Idempotency, Group: c.KeyDomain,
+			Window: c.KeyTTL.Duration(), GiveUp: c.PlacementTimeout.Duration(), Spread: c.SpreadDomain, Most: c.MaxPerDomain})
 	}
 	return f
 }
--- a/internal/lab/scenario/draw.go
+++ b/internal/lab/scenario/draw.go
@@ -52,7 +52,7 @@
 	}
 	x := Arrival{At: Seconds(a.at), Load: l, Key: fmt.Sprintf("t%d-%d-%d", a.seed, a.index, a.n),
 		Service: fmt.Sprintf("%s-%d", l.Class, service), Cores: l.Cores, Memory: l.Memory,
-		Life:      l.Life[0].Of() + time.Duration(r.Float64()*float64(l.Life[1]-l.Life[0])),
+		Life:      l.Life[0].Duration() + time.Duration(r.Float64()*float64(l.Life[1]-l.Life[0])),
 		Scheduler: r.IntN(a.count), Verb: r.Float64(), Pause: Seconds(r.Float64() * 0.3)}
 	a.n++
 	return x, true
--- a/internal/lab/standin/fleet/fleet.go
+++ b/internal/lab/standin/fleet/fleet.go
@@ -17,12 +17,12 @@
 // NodeModel is what the model of a node is made of. A kind that the fleet doesn't name has no cores.
 func NodeModel(n settings.Node, kinds []settings.Kind, r settings.Rules, b settings.Behaviour,
 	seed uint64) nodemodel.Config {
-	c := nodemodel.Config{Name: n.Name, Zone: n.Zone, AcceptCores: r.AcceptCores, AcceptMemory: r.AcceptMemory,
-		Look: b.Look.Of(), MaxWait: b.MaxWait, StartSlots: b.StartSlots, StartWork: b.StartWork.Of(),
-		FreshFactor: b.FreshFactor, Keep: b.Keep, ColdFrom: b.ColdFrom, ColdFor: r.ColdFor.Of(),
-		FallMultiple: b.FallMultiple, FallWindow: r.FallWindow.Of(), FreshOffers: r.ColdOffers,
-		Preempts: r.Preempts, DrainSendsAway: b.DrainSendsAway.Of(), UseCores: b.UseCores,
-		UseMemory: b.UseMemory, NoteEvery: b.NoteEvery.Of(), Reports: b.Reports, DefaultLife: b.Life.Of(),
+	c := nodemodel.Config{Name: n.Name, Zone: n.Zone, AcceptCores: r.CoreOvercommit, AcceptMemory: r.MemoryOvercommit,
+		Look: b.OfferReviewTime.Duration(), MaxWait: b.MaxWaitingOffers, StartSlots: b.StartSlots, StartWork: b.CachedStartTime.Duration(),
+		FreshFactor: b.UncachedStartFactor, Keep: b.MaxCachedPrograms, ColdFrom: b.SlowStartInitialRate, ColdFor: r.SlowStartDuration.Duration(),
+		FallMultiple: b.OverloadMultiple, FallWindow: r.OverloadWindow.Duration(), FreshOffers: r.SlowStartBudget,
+		Preempts: r.Preempts, DrainSendsAway: b.DrainMigrationInterval.Duration(), UseCores: b.CoreUsageRange,
+		UseMemory: b.MemoryUsageRange, NoteEvery: b.UsageReportInterval.Duration(), Reports: b.SendsLoadReports, DefaultLife: b.DefaultRuntime.Duration(),
 		Seed: seed}
 	if k := slices.IndexFunc(kinds, func(k settings.Kind) bool { return k.Name == n.Kind }); k >= 0 {
 		c.Cores, c.Memory = kinds[k].Cores, kinds[k].Memory
--- a/internal/lab/trial/cluster.go
+++ b/internal/lab/trial/cluster.go
@@ -80,8 +80,8 @@
 	rec *recordproxy.Recorder) (*cluster, error) {
 	c := &cluster{day: d, opt: opt, dir: dir, rec: rec, log: zerolog.Nop(), rooms: map[string]nodemodel.Keys{}}
 	var err error
-	c.inv, err = host.StartInventory("127.0.0.1:0", inventorymodel.Config{Late: d.Late.Of(),
-		GoneAfter: d.GoneAfter.Of()}, c.log)
+	c.inv, err = host.StartInventory("127.0.0.1:0", inventorymodel.Config{Late: d.Late.Duration(),
+		GoneAfter: d.GoneAfter.Duration()}, c.log)
 	if err != nil {
 		return nil, err
 	}
@@ -332,7 +332,7 @@
 	_ = cmd.Process.Signal(syscall.SIGTERM)
 	select {
 	case <-exited:
-	case <-time.After(p.c.day.Limits.StopWithin.Of() + 5*time.Second):
+	case <-time.After(p.c.day.Limits.ShutdownTimeout.Duration() + 5*time.Second):
 		_ = cmd.Process.Kill()
 		<-exited
 		return fmt.Errorf("trial: %s did not stop on SIGTERM", p.name)
--- a/internal/lab/trial/owner.go
+++ b/internal/lab/trial/owner.go
@@ -182,7 +182,7 @@
 func (o *owners) giveUp(class string) time.Duration {
 	for _, c := range o.c.day.Classes {
 		if c.Name == class {
-			return c.Giveup.Of()
+			return c.PlacementTimeout.Duration()
 		}
 	}
 	return 0
@@ -199,7 +199,7 @@
 		o.t.Late++
 	}
 	o.mu.Unlock()
-	until := due.Add(o.giveUp(l.Class) + o.c.day.Rules.AnswerSlack.Of() + grace)
+	until := due.Add(o.giveUp(l.Class) + o.c.day.Rules.AnswerSlack.Duration() + grace)
 	ctx, cancel := context.WithDeadline(ctx, until.Add(grace))
 	defer cancel()
 	lives, process := 0, o.c.schedulers[who]
--- a/internal/lab/trial/trial_test.go
+++ b/internal/lab/trial/trial_test.go
@@ -42,7 +42,7 @@
 		fmt.Fprintln(os.Stderr, err)
 		return 2
 	}
-	level, err := zerolog.ParseLevel(set.Log)
+	level, err := zerolog.ParseLevel(set.LogLevel)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return 2
--- a/internal/settings/fleet.go
+++ b/internal/settings/fleet.go
@@ -10,43 +10,43 @@
 
 // Node is the record #Node.
 type Node struct {
-	Name   string `json:"name"`
-	Kind   string `json:"kind"`
-	Zone   string `json:"zone"`
-	Listen string `json:"listen"`
-	Cell   int    `json:"cell"`
-	Warm   bool   `json:"warm"`
+	Name          string `json:"name"`
+	Kind          string `json:"kind"`
+	Zone          string `json:"zone"`
+	ListenAddress string `json:"listen"`
+	Cell          int    `json:"cell"`
+	Warm          bool   `json:"warm"`
 }
 
 // Behaviour is the record #Behaviour.
 type Behaviour struct {
-	Look           Duration   `json:"Look"`
-	StartWork      Duration   `json:"StartWork"`
-	NoteEvery      Duration   `json:"NoteEvery"`
-	DrainSendsAway Duration   `json:"DrainSendsAway"`
-	Life           Duration   `json:"Life"`
-	MaxWait        int        `json:"MaxWait"`
-	StartSlots     int        `json:"StartSlots"`
-	Keep           int        `json:"Keep"`
-	FreshFactor    float64    `json:"FreshFactor"`
-	ColdFrom       float64    `json:"ColdFrom"`
-	FallMultiple   float64    `json:"FallMultiple"`
-	UseCores       [2]float64 `json:"UseCores"`
-	UseMemory      [2]float64 `json:"UseMemory"`
-	Reports        bool       `json:"Reports"`
+	OfferReviewTime        Duration   `json:"Look"`
+	CachedStartTime        Duration   `json:"StartWork"`
+	UsageReportInterval    Duration   `json:"NoteEvery"`
+	DrainMigrationInterval Duration   `json:"DrainSendsAway"`
+	DefaultRuntime         Duration   `json:"Life"`
+	MaxWaitingOffers       int        `json:"MaxWait"`
+	StartSlots             int        `json:"StartSlots"`
+	MaxCachedPrograms      int        `json:"Keep"`
+	UncachedStartFactor    float64    `json:"FreshFactor"`
+	SlowStartInitialRate   float64    `json:"ColdFrom"`
+	OverloadMultiple       float64    `json:"FallMultiple"`
+	CoreUsageRange         [2]float64 `json:"UseCores"`
+	MemoryUsageRange       [2]float64 `json:"UseMemory"`
+	SendsLoadReports       bool       `json:"Reports"`
 }
 
 // Fleet is the record #Fleet.
 type Fleet struct {
-	Inventory string    `json:"inventory"`
-	Log       string    `json:"log"`
-	Late      Duration  `json:"late"`
-	GoneAfter Duration  `json:"goneAfter"`
-	Kinds     []Kind    `json:"kinds"`
-	Nodes     []Node    `json:"nodes"`
-	Rules     Rules     `json:"rules"`
-	Behaviour Behaviour `json:"behaviour"`
-	Seed      uint64    `json:"seed"`
+	InventoryAddress string    `json:"inventory"`
+	LogLevel         string    `json:"log"`
+	DiscoveryDelay   Duration  `json:"late"`
+	RemovalDelay     Duration  `json:"goneAfter"`
+	Kinds            []Kind    `json:"kinds"`
+	Nodes            []Node    `json:"nodes"`
+	Rules            Rules     `json:"rules"`
+	Behaviour        Behaviour `json:"behaviour"`
+	Seed             uint64    `json:"seed"`
 }
 
 // ReadFleet reads the configuration of the stand-ins.
@@ -83,7 +83,7 @@
 			f.Fail(at("nodes", i, "kind"), "no kind %q, expected one of kinds", n.Kind)
 		}
 	}
-	for name, r := range map[string][2]float64{"useCores": v.Behaviour.UseCores, "useMemory": v.Behaviour.UseMemory} {
+	for name, r := range map[string][2]float64{"useCores": v.Behaviour.CoreUsageRange, "useMemory": v.Behaviour.MemoryUsageRange} {
 		if r[0] < 0 || r[1] < r[0] {
 			f.Fail("behaviour."+name, "is %v, expected two rising shares", r)
 		}
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -37,8 +37,8 @@
 // MarshalText writes a Go duration.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(d).String()), nil }
 
-// Of is d as a time.Duration.
-func (d Duration) Of() time.Duration { return time.Duration(d) }
+// Duration is d as a time.Duration.
+func (d Duration) Duration() time.Duration { return time.Duration(d) }
 
 // Problem is one thing wrong with a file.
 type Problem struct {
--- a/internal/settings/scheduler.go
+++ b/internal/settings/scheduler.go
@@ -7,23 +7,23 @@
 
 // Class is the record #Class.
 type Class struct {
-	Name         string   `json:"Name"`
-	Effect       string   `json:"Effect"`
-	Group        string   `json:"Group"`
-	Kind         string   `json:"Kind"`
-	Spread       string   `json:"Spread"`
-	Window       Duration `json:"Window"`
-	Aim          Duration `json:"Aim"`
-	Giveup       Duration `json:"Giveup"`
-	Worth        float64  `json:"Worth"`
-	LateWorth    float64  `json:"LateWorth"`
-	StartSeconds float64  `json:"StartSeconds"`
-	Calm         float64  `json:"Calm"`
-	Fade         float64  `json:"Fade"`
-	Priority     int      `json:"Priority"`
-	Most         int      `json:"Most"`
-	Cores        float64  `json:"Cores"`
-	Memory       float64  `json:"Memory"`
+	Name                   string   `json:"Name"`
+	Idempotency            string   `json:"Effect"`
+	KeyDomain              string   `json:"Group"`
+	Kind                   string   `json:"Kind"`
+	SpreadDomain           string   `json:"Spread"`
+	KeyTTL                 Duration `json:"Window"`
+	LatencyObjective       Duration `json:"Aim"`
+	PlacementTimeout       Duration `json:"Giveup"`
+	PriorityWeight         float64  `json:"Worth"`
+	LateStartWeight        float64  `json:"LateWorth"`
+	StartValueSeconds      float64  `json:"StartSeconds"`
+	FullServiceUtilization float64  `json:"Calm"`
+	ServiceFadeRange       float64  `json:"Fade"`
+	Priority               int      `json:"Priority"`
+	MaxPerDomain           int      `json:"Most"`
+	Cores                  float64  `json:"Cores"`
+	Memory                 float64  `json:"Memory"`
 }
 
 // Kind is the record #Kind.
@@ -35,66 +35,66 @@
 
 // Tenant is the record #Tenant.
 type Tenant struct {
-	Name       string  `json:"Name"`
-	Share      float64 `json:"Share"`
-	PerSecond  float64 `json:"PerSecond"`
-	QuotaCores float64 `json:"QuotaCores"`
+	Name           string  `json:"Name"`
+	QuotaFraction  float64 `json:"Share"`
+	TasksPerSecond float64 `json:"PerSecond"`
+	QuotaCores     float64 `json:"QuotaCores"`
 }
 
 // Rules is the record #Rules.
 type Rules struct {
-	AcceptCores  float64  `json:"AcceptCores"`
-	AcceptMemory float64  `json:"AcceptMemory"`
-	Preempts     bool     `json:"Preempts"`
-	DrainGrace   Duration `json:"DrainGrace"`
-	AnswerSlack  Duration `json:"AnswerSlack"`
-	ColdFor      Duration `json:"ColdFor"`
-	FallWindow   Duration `json:"FallWindow"`
-	Settle       Duration `json:"Settle"`
-	MaxAttempts  int      `json:"MaxAttempts"`
-	ColdOffers   float64  `json:"ColdOffers"`
+	CoreOvercommit    float64  `json:"AcceptCores"`
+	MemoryOvercommit  float64  `json:"AcceptMemory"`
+	Preempts          bool     `json:"Preempts"`
+	DrainGrace        Duration `json:"DrainGrace"`
+	AnswerSlack       Duration `json:"AnswerSlack"`
+	SlowStartDuration Duration `json:"ColdFor"`
+	OverloadWindow    Duration `json:"FallWindow"`
+	SettleTime        Duration `json:"Settle"`
+	MaxAttempts       int      `json:"MaxAttempts"`
+	SlowStartBudget   float64  `json:"ColdOffers"`
 }
 
 // Limits is the record #Limits.
 type Limits struct {
-	MaxOpen     int      `json:"MaxOpen"`
-	MaxJobs     int      `json:"MaxJobs"`
-	MaxFinished int      `json:"MaxFinished"`
-	MaxSessions int      `json:"MaxSessions"`
-	Connections int      `json:"Connections"`
-	ClientOut   int      `json:"ClientOut"`
-	NodeOut     int      `json:"NodeOut"`
-	Retention   Duration `json:"Retention"`
-	Idle        Duration `json:"Idle"`
-	Request     Duration `json:"Request"`
-	StopWithin  Duration `json:"StopWithin"`
+	MaxPending          int      `json:"MaxOpen"`
+	MaxRunning          int      `json:"MaxJobs"`
+	MaxFinished         int      `json:"MaxFinished"`
+	MaxSessions         int      `json:"MaxSessions"`
+	MaxConnections      int      `json:"Connections"`
+	MaxClientWriteQueue int      `json:"ClientOut"`
+	MaxNodeWriteQueue   int      `json:"NodeOut"`
+	Retention           Duration `json:"Retention"`
+	IdleTimeout         Duration `json:"Idle"`
+	RequestTimeout      Duration `json:"Request"`
+	ShutdownTimeout     Duration `json:"StopWithin"`
 }
 
 // Scheduler is the record #Scheduler.
 type Scheduler struct {
-	Name           string   `json:"name"`
-	Listen         string   `json:"listen"`
-	Metrics        string   `json:"metrics"`
-	Inventory      string   `json:"inventory"`
-	Zone           string   `json:"zone"`
-	Log            string   `json:"log"`
-	Tap            string   `json:"tap"`
-	Index          int      `json:"index"`
-	Schedulers     int      `json:"schedulers"`
-	Cores          int      `json:"cores"`
-	Seed           uint64   `json:"seed"`
-	Tick           Duration `json:"tick"`
-	Connect        Duration `json:"connect"`
-	ListsFree      bool     `json:"listsFree"`
-	RunsWhenPlaced bool     `json:"runsWhenPlaced"`
-	OverShareWorth float64  `json:"overShareWorth"`
-	CrossZone      float64  `json:"crossZone"`
-	FleetPrice     float64  `json:"fleetPrice"`
-	Classes        []Class  `json:"classes"`
-	Kinds          []Kind   `json:"kinds"`
-	Tenants        []Tenant `json:"tenants"`
-	Rules          Rules    `json:"rules"`
-	Limits         Limits   `json:"limits"`
+	Name              string   `json:"name"`
+	ListenAddress     string   `json:"listen"`
+	MetricsAddress    string   `json:"metrics"`
+	InventoryAddress  string   `json:"inventory"`
+	Zone              string   `json:"zone"`
+	LogLevel          string   `json:"log"`
+	ModuleRecording   string   `json:"tap"`
+	Index             int      `json:"index"`
+	Schedulers        int      `json:"schedulers"`
+	Shards            int      `json:"cores"`
+	Seed              uint64   `json:"seed"`
+	Tick              Duration `json:"tick"`
+	ConnectTimeout    Duration `json:"connect"`
+	ListsFreeCapacity bool     `json:"listsFree"`
+	PlacedWhenRunning bool     `json:"runsWhenPlaced"`
+	OverQuotaWeight   float64  `json:"overShareWorth"`
+	CrossZonePrice    float64  `json:"crossZone"`
+	FleetPrice        float64  `json:"fleetPrice"`
+	Classes           []Class  `json:"classes"`
+	Kinds             []Kind   `json:"kinds"`
+	Tenants           []Tenant `json:"tenants"`
+	Rules             Rules    `json:"rules"`
+	Limits            Limits   `json:"limits"`
 }
 
 // ReadScheduler reads the configuration of a daemon. Errors are Problems, or of reading the file.
@@ -133,8 +133,8 @@
 		if c.Kind != "" && kindIndex(s.Kinds, c.Kind) < 0 {
 			f.Fail(at("classes", i, "kind"), "no kind %q, expected one of kinds", c.Kind)
 		}
-		if c.Aim > c.Giveup {
-			f.Fail(at("classes", i, "aim"), "is %v, expected at most giveup, which is %v", c.Aim.Of(), c.Giveup.Of())
+		if c.LatencyObjective > c.PlacementTimeout {
+			f.Fail(at("classes", i, "aim"), "is %v, expected at most giveup, which is %v", c.LatencyObjective.Duration(), c.PlacementTimeout.Duration())
 		}
 	}
 	tenants := map[string]bool{}
@@ -199,55 +199,55 @@
 }
 
 // Effect is the class's effect in the module's words.
-func (c *Class) EffectOf() flaxshelf.Idempotency { return effects[c.Effect] }
+func (c *Class) ModuleIdempotency() flaxshelf.Idempotency { return effects[c.Idempotency] }
 
-// GroupOf is the class's key group in the module's words.
-func (c *Class) GroupOf() flaxshelf.TopologyDomain { return extents[c.Group] }
+// ModuleKeyDomain is the class's key group in the module's words.
+func (c *Class) ModuleKeyDomain() flaxshelf.TopologyDomain { return extents[c.KeyDomain] }
 
-// SpreadOf is the class's spread in the module's words.
-func (c *Class) SpreadOf() flaxshelf.TopologyDomain { return extents[c.Spread] }
+// ModuleSpreadDomain is the class's spread in the module's words.
+func (c *Class) ModuleSpreadDomain() flaxshelf.TopologyDomain { return extents[c.SpreadDomain] }
 
-// Module is what the module is told.
-func (s *Scheduler) Module() flaxshelf.Config {
+// ModuleConfig is what the module is told.
+func (s *Scheduler) ModuleConfig() flaxshelf.Config {
 	r := &s.Rules
 	c := flaxshelf.Config{
-		Index: s.Index, Schedulers: s.Schedulers, Zone: s.Zone, OverQuotaWeight: s.OverShareWorth,
-		Prices:         flaxshelf.Prices{CrossZone: s.CrossZone, Fleet: s.FleetPrice},
-		CoreOvercommit: r.AcceptCores, MemoryOvercommit: r.AcceptMemory, PlacedWhenRunning: s.RunsWhenPlaced,
-		Preempts: r.Preempts, ListsFreeCapacity: s.ListsFree, DiscoveryOnRequest: true, MaxAttempts: r.MaxAttempts,
-		CanCancel: true, CanHealthCheck: true, Tick: s.Tick.Of(), ConnectTimeout: s.Connect.Of(),
-		AnswerSlack: r.AnswerSlack.Of(), DrainGrace: r.DrainGrace.Of(), DiscoveryPollDeadline: askWithin,
-		SlowStartDuration: r.ColdFor.Of(), OverloadWindow: r.FallWindow.Of(), SlowStartBudget: r.ColdOffers,
+		Index: s.Index, Schedulers: s.Schedulers, Zone: s.Zone, OverQuotaWeight: s.OverQuotaWeight,
+		Prices:         flaxshelf.Prices{CrossZone: s.CrossZonePrice, Fleet: s.FleetPrice},
+		CoreOvercommit: r.CoreOvercommit, MemoryOvercommit: r.MemoryOvercommit, PlacedWhenRunning: s.PlacedWhenRunning,
+		Preempts: r.Preempts, ListsFreeCapacity: s.ListsFreeCapacity, DiscoveryOnRequest: true, MaxAttempts: r.MaxAttempts,
+		CanCancel: true, CanHealthCheck: true, Tick: s.Tick.Duration(), ConnectTimeout: s.ConnectTimeout.Duration(),
+		AnswerSlack: r.AnswerSlack.Duration(), DrainGrace: r.DrainGrace.Duration(), DiscoveryPollDeadline: askWithin,
+		SlowStartDuration: r.SlowStartDuration.Duration(), OverloadWindow: r.OverloadWindow.Duration(), SlowStartBudget: r.SlowStartBudget,
 	}
 	for _, k := range s.Kinds {
 		c.Kinds = append(c.Kinds, flaxshelf.Kind{Name: k.Name, Cores: k.Cores, Memory: k.Memory})
 	}
 	for _, k := range s.Classes {
-		c.Classes = append(c.Classes, flaxshelf.Class{Name: k.Name, Idempotency: k.EffectOf(), KeyDomain: k.GroupOf(),
-			KeyTTL: k.Window.Of(), LatencyObjective: k.Aim.Of(), PriorityWeight: k.Worth, LateStartWeight: k.LateWorth,
-			StartValueSeconds: k.StartSeconds, FullServiceUtilization: k.Calm, ServiceFadeRange: k.Fade,
+		c.Classes = append(c.Classes, flaxshelf.Class{Name: k.Name, Idempotency: k.ModuleIdempotency(), KeyDomain: k.ModuleKeyDomain(),
+			KeyTTL: k.KeyTTL.Duration(), LatencyObjective: k.LatencyObjective.Duration(), PriorityWeight: k.PriorityWeight, LateStartWeight: k.LateStartWeight,
+			StartValueSeconds: k.StartValueSeconds, FullServiceUtilization: k.FullServiceUtilization, ServiceFadeRange: k.ServiceFadeRange,
 			Kind:     kindIndex(s.Kinds, k.Kind),
-			Priority: k.Priority, SpreadDomain: k.SpreadOf(), MaxPerDomain: k.Most})
+			Priority: k.Priority, SpreadDomain: k.ModuleSpreadDomain(), MaxPerDomain: k.MaxPerDomain})
 	}
 	for _, t := range s.Tenants {
-		c.Tenants = append(c.Tenants, flaxshelf.Tenant{Name: t.Name, QuotaFraction: t.Share, TasksPerSecond: t.PerSecond,
+		c.Tenants = append(c.Tenants, flaxshelf.Tenant{Name: t.Name, QuotaFraction: t.QuotaFraction, TasksPerSecond: t.TasksPerSecond,
 			QuotaCores: t.QuotaCores})
 	}
 	return c
 }
 
-// Core is what the scheduler's core is told, for a life that begins at boot.
-func (s *Scheduler) Core(boot flaxshelf.Time) scheduler.Config {
+// CoreConfig is what the scheduler's core is told, for a life that begins at boot.
+func (s *Scheduler) CoreConfig(boot flaxshelf.Time) scheduler.Config {
 	l := &s.Limits
-	c := scheduler.Config{Module: s.Module(), Seed: s.Seed, Name: s.Name, StartedAt: boot,
-		Limits: scheduler.Limits{MaxPending: l.MaxOpen, MaxRunning: l.MaxJobs, MaxFinished: l.MaxFinished,
-			MaxSessions: l.MaxSessions, Retention: l.Retention.Of(), SettleTime: s.Rules.Settle.Of(),
-			StallThreshold: s.Rules.DrainGrace.Of() / 2}}
+	c := scheduler.Config{Module: s.ModuleConfig(), Seed: s.Seed, Name: s.Name, StartedAt: boot,
+		Limits: scheduler.Limits{MaxPending: l.MaxPending, MaxRunning: l.MaxRunning, MaxFinished: l.MaxFinished,
+			MaxSessions: l.MaxSessions, Retention: l.Retention.Duration(), SettleTime: s.Rules.SettleTime.Duration(),
+			StallThreshold: s.Rules.DrainGrace.Duration() / 2}}
 	if c.Seed == 0 {
 		c.Seed = uint64(boot)
 	}
 	for _, k := range s.Classes {
-		c.Limits.PlacementTimeouts = append(c.Limits.PlacementTimeouts, k.Giveup.Of())
+		c.Limits.PlacementTimeouts = append(c.Limits.PlacementTimeouts, k.PlacementTimeout.Duration())
 	}
 	return c
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -25,14 +25,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	m, c := s.Module(), s.Core(7)
+	m, c := s.ModuleConfig(), s.CoreConfig(7)
 	k := m.Classes[0]
 	for _, x := range []struct {
 		what      string
 		got, want any
 	}{
 		{"name", s.Name, "flaxshelf"},
-		{"listen", s.Listen, "127.0.0.1:7171"},
+		{"listen", s.ListenAddress, "127.0.0.1:7171"},
 		{"effect", k.Idempotency, flaxshelf.IdempotentByKey},
 		{"group", k.KeyDomain, flaxshelf.ZoneDomain},
 		{"window", k.KeyTTL, 4 * time.Second},
