--- /dev/null
+++ b/internal/scheduler/adoption.go
@@ -0,0 +1,166 @@
+package scheduler
+
+import (
+	"fmt"
+	"strings"
+
+	"flaxshelf.example/flaxshelf"
+)
+
+// apply reconciles the attempts that the node has with those that the core knows, see docs/scheduler.md, "Adoption".
+func (in NodeUp) apply(c *Core) {
+	node := c.ensureNode(in.Node)
+	restarted := node.reconciled && node.startedAt != in.Started
+	node.connected, node.reconciled, node.startedAt = true, true, in.Started
+	coldStart := in.MayBeCold && in.Started > node.machine.Started
+	if coldStart {
+		c.reportColdStart(node, in.Started)
+	}
+	for _, ended := range in.Ended {
+		ended.Node = in.Node
+		ended.apply(c)
+	}
+	present := map[string]bool{}
+	for _, held := range in.Running {
+		present[held.Attempt] = true
+		c.adoptAttempt(node, held)
+	}
+	for _, attempt := range node.sortedAttempts() {
+		switch {
+		case attempt.phase == phaseConnecting && coldStart: // chosen for the load that the former process could bear
+			c.endAttempt(attempt, attemptEnd{outcome: flaxshelf.NotSent})
+		case attempt.phase == phaseConnecting:
+			c.sendOffer(attempt)
+		case !present[attempt.id] || restarted:
+			c.loseAttempt(attempt)
+		default:
+			c.resumeAttempt(attempt)
+		}
+	}
+}
+
+// reportColdStart reports a start of a node to the module that the endpoint list does not show yet. The list may be
+// late or discovery may fail, and a node that is warming up would be offered what its former process could bear.
+func (c *Core) reportColdStart(node *node, startedAt Time) {
+	node.coldStartedAt, node.machine.Started = startedAt, startedAt
+	if !node.removed() {
+		c.notifyModule(flaxshelf.MachinesUpdated{Machines: []flaxshelf.Machine{node.machine}})
+	}
+}
+
+// resumeAttempt goes on with an accepted attempt whose node is connected again.
+func (c *Core) resumeAttempt(attempt *attempt) {
+	job := attempt.job
+	switch {
+	case job.stopping || job.migrating || job.state.Ended():
+		c.stopAttempt(attempt) // the former stop may not have arrived
+	case job.subState == SubUnreachable:
+		job.subState = attempt.phase.subState()
+		c.changed(job)
+	}
+}
+
+// adoptAttempt reconciles one attempt that the node has. The core may know it, may know its job, may know the same work
+// under the key of a later submission, or may know neither, because a former incarnation started it.
+func (c *Core) adoptAttempt(node *node, held RunningAttempt) {
+	if known := c.attempts[held.Attempt]; known != nil && known.node == node {
+		c.catchUp(known, held.Running)
+		return
+	}
+	job := c.findHeldJob(held)
+	if job != nil && job.attempt != nil && job.attempt.phase == phaseConnecting { // not sent: the held one takes its place
+		c.endAttempt(job.attempt, attemptEnd{outcome: flaxshelf.NotSent})
+	}
+	switch {
+	case !c.mayAdopt(job, held):
+		c.emit(SendStop{node.machine.ID, held.Attempt})
+	case job == nil:
+		c.attachAttempt(c.newAdoptedJob(held), node, held)
+	default:
+		c.attachAttempt(job, node, held)
+	}
+}
+
+// catchUp brings a known attempt to the phase that its node reports: messages before may have been lost.
+func (c *Core) catchUp(known *attempt, started bool) {
+	if known.phase == phaseOffered {
+		c.acceptAttempt(known, flaxshelf.LoadReport{})
+	}
+	if started {
+		c.startAttempt(known)
+	}
+}
+
+// findHeldJob finds the job of an attempt by its ID, or else by its key: then the job gets the former ID besides.
+func (c *Core) findHeldJob(held RunningAttempt) *job {
+	if known := c.jobs[held.Job]; known != nil || held.Spec.Key == "" {
+		return known
+	}
+	resubmitted := c.jobsByKey[held.Spec.Key]
+	if resubmitted == nil || resubmitted.state.Ended() {
+		return nil
+	}
+	c.jobs[held.Job] = resubmitted
+	resubmitted.aliases = append(resubmitted.aliases, held.Job)
+	return resubmitted
+}
+
+// mayAdopt reports whether the attempt becomes the job's own; job is nil for one that the core does not know.
+func (c *Core) mayAdopt(job *job, held RunningAttempt) bool {
+	if !c.knownClass(held.Spec.Class) {
+		return false
+	}
+	if job == nil {
+		return !strings.HasPrefix(held.Job, c.idPrefix) // of this incarnation: it has its outcome and was removed
+	}
+	return !job.state.Ended() && job.attempt == nil && !job.stopping && !job.onHold()
+}
+
+// newAdoptedJob makes a job of what a former incarnation started.
+func (c *Core) newAdoptedJob(held RunningAttempt) *job {
+	spec := held.Spec
+	job := &job{
+		id:          held.Job,
+		spec:        &spec,
+		submittedAt: held.Submitted,
+		request:     max(held.Request, 1),
+		state:       Queued,
+		subState:    SubAccepted,
+	}
+	c.addJob(job)
+	if spec.Session != "" {
+		c.sessions[spec.Session] = true
+	}
+	return job
+}
+
+// attachAttempt makes the held attempt the job's own. It decides the open placement request, if any.
+func (c *Core) attachAttempt(job *job, node *node, held RunningAttempt) {
+	if job.requestOpen {
+		c.notifyModule(flaxshelf.TaskCanceled{Task: job.taskID()})
+		delete(c.jobsByTask, job.taskID())
+	} else {
+		c.openRequests++ // closePlacementRequest below counts it down
+		job.requestOpen = true
+	}
+	c.lastSerial++
+	job.taskName = fmt.Sprintf("%s#%d.%d", job.id, job.request, c.lastSerial) // a task that the module does not know yet
+	c.jobsByTask[job.taskID()] = job
+	attempt := &attempt{
+		id:        held.Attempt,
+		taskID:    job.taskID(),
+		job:       job,
+		node:      node,
+		serial:    c.lastSerial,
+		offeredAt: c.now,
+		phase:     phaseAccepted,
+	}
+	c.addAttempt(attempt)
+	c.notifyModule(flaxshelf.TaskAdopted{Task: c.moduleTask(job), Machine: node.machine.ID})
+	job.nodeID, job.state, job.subState = node.machine.ID, Queued, SubAccepted
+	job.requestedAt, job.attemptCount = c.now, 1
+	c.closePlacementRequest(job, OutcomePlaced, attempt.id)
+	if held.Running {
+		c.startAttempt(attempt)
+	}
+}
--- a/internal/scheduler/array.go
+++ b/internal/scheduler/array.go
@@ -2,68 +2,81 @@
 
 import "fmt"
 
-// array is a DRMAA job array, whose jobs may be let go a few at a time.
+// array is a DRMAA job array. It may bound how many of its jobs are active at once.
 type array struct {
-	id, key string
-	jobs    []*job
-	kept    int // jobs not yet forgotten
-	max     int // that may be let go and not ended; 0: all
-	busy    int
-	next    int // those before it have been let go or have ended
+	id, key      string
+	jobs         []*job
+	remaining    int // jobs that have not been removed
+	maxParallel  int // active jobs; 0 stands for all
+	active       int // jobs that were admitted and have not ended
+	firstWaiting int // index in jobs: those before it were admitted or have ended
 }
 
-func (a *array) full() bool { return a.max > 0 && a.busy >= a.max }
+func (a *array) full() bool { return a.maxParallel > 0 && a.active >= a.maxParallel }
 
 func (a *array) infos() []Info {
 	infos := make([]Info, len(a.jobs))
-	for i, j := range a.jobs {
-		infos[i] = j.info()
+	for i, job := range a.jobs {
+		infos[i] = job.info()
 	}
 	return infos
 }
 
 func (c *Core) submitArray(in Submit) {
-	a := &array{id: c.newID(), key: in.Spec.Key, max: in.MaxParallel, kept: len(in.Indexes)}
-	c.arrays[a.id] = a
+	array := &array{id: c.newID(), key: in.Spec.Key, maxParallel: in.MaxParallel, remaining: len(in.Indexes)}
+	c.arrays[array.id] = array
 	for _, index := range in.Indexes {
-		s := in.Spec
-		if s.Key != "" {
-			s.Key = fmt.Sprintf("%s[%d]", s.Key, index)
+		spec := in.Spec
+		if spec.Key != "" {
+			spec.Key = fmt.Sprintf("%s[%d]", spec.Key, index)
 		}
-		j := c.newJob(&s)
-		j.array, j.index = a, index
-		if j.state == Queued {
-			j.sub = SubArrayLimit
+		job := c.newJob(&spec)
+		job.array, job.index = array, index
+		if job.state == Queued {
+			job.subState = SubArrayLimit
 		}
-		a.jobs = append(a.jobs, j)
+		array.jobs = append(array.jobs, job)
 	}
-	if a.key != "" {
-		c.keys[a.key] = a.jobs[0]
+	if array.key != "" {
+		c.jobsByKey[array.key] = array.jobs[0]
 	}
-	c.answer(in.Req, Answer{Array: a.id, Jobs: a.infos()})
-	c.arrayFill(a)
+	c.answerArray(in.Req, array)
+	c.admitFromArray(array)
 }
 
-// arrayFill lets jobs go in the order of their indexes while the bound allows. A held one is passed over; its
-// release comes here again.
-func (c *Core) arrayFill(a *array) {
-	front := true
-	for i := a.next; i < len(a.jobs) && !a.full(); i++ {
-		j := a.jobs[i]
-		if !j.entered && !j.state.Ended() && !j.held() {
-			a.busy++
-			c.enter(j)
+// admitFromArray admits jobs in the order of their indexes while the array's limit allows. One on hold is passed over;
+// its release calls admitFromArray again.
+func (c *Core) admitFromArray(array *array) {
+	allBeforeAdmitted := true
+	for i := array.firstWaiting; i < len(array.jobs) && !array.full(); i++ {
+		job := array.jobs[i]
+		if !job.admitted && !job.state.Ended() && !job.onHold() {
+			array.active++
+			c.admit(job)
 		}
-		if front = front && (j.entered || j.state.Ended()); front {
-			a.next = i + 1
+		allBeforeAdmitted = allBeforeAdmitted && (job.admitted || job.state.Ended())
+		if allBeforeAdmitted {
+			array.firstWaiting = i + 1
 		}
 	}
 }
 
-// arrayNext makes up for one that has ended.
-func (c *Core) arrayNext(a *array, ended *job) {
-	if ended.entered {
-		a.busy--
-		c.arrayFill(a)
+// arrayJobEnded admits another job in place of one that has ended.
+func (c *Core) arrayJobEnded(ended *job) {
+	if ended.admitted {
+		ended.array.active--
+		c.admitFromArray(ended.array)
+	}
+}
+
+// arrayJobRemoved removes an array with the last of its jobs.
+func (c *Core) arrayJobRemoved(array *array) {
+	array.remaining--
+	if array.remaining > 0 {
+		return
+	}
+	delete(c.arrays, array.id)
+	if array.key != "" {
+		delete(c.jobsByKey, array.key)
 	}
 }
--- a/internal/scheduler/attempt.go
+++ b/internal/scheduler/attempt.go
@@ -8,290 +8,317 @@
 	"flaxshelf.example/flaxshelf/internal/timerqueue"
 )
 
-type phase int
+// attemptPhase is how far an attempt has come. Phases are passed in their order; some may be skipped.
+type attemptPhase int
 
 const (
-	connecting phase = iota // waits for the link; nothing has been sent
-	offered
-	accepted
-	running
-	over
+	phaseConnecting attemptPhase = iota // waits for the connection to its node; nothing has been sent
+	phaseOffered                        // sent; the node's reply is waited for
+	phaseAccepted
+	phaseRunning
+	phaseEnded
 )
 
-func (p phase) sub() string {
+func (p attemptPhase) String() string {
+	return [...]string{"connecting", "offered", "accepted", "running", "ended"}[p]
+}
+
+// subState is the sub-state of a job whose attempt is in the phase.
+func (p attemptPhase) subState() string {
 	return [...]string{SubOffered, SubOffered, SubAccepted, SubRunning, SubWaiting}[p]
 }
 
-// attempt is one offer of a job to a node, until the module has been told how it ended.
+// attempt is one offer of a job to a node, until the core has reported to the module how it ended.
 type attempt struct {
-	id     string // unique over all lives of this scheduler
-	task   string // the module's name for the ask
-	n      int    // the module's number of the attempt
-	job    *job
-	node   *node
-	serial uint64
-	sent   Time
-	limit  time.Duration
-	phase  phase
-	stop   bool              // a stop has been sent
-	timer  *timerqueue.Timer // its time-out, of the phase that it is in
+	id        string // unique over all incarnations of this scheduler
+	taskID    string // the module's name for the placement request
+	number    int    // the module's number of the attempt
+	job       *job
+	node      *node
+	serial    uint64 // orders the attempts of all jobs
+	offeredAt Time
+	timeout   time.Duration // for the node's reply, from offeredAt
+	phase     attemptPhase
+	stopSent  bool              // over the current connection
+	timer     *timerqueue.Timer // ends the current phase
 }
 
-// offer carries out the module's choice.
-func (c *Core) offer(o flaxshelf.Offer) {
-	j, n := c.asks[o.Task], c.nodes[o.Machine]
-	if j == nil || n == nil || j.askID() != o.Task {
-		return // the module never offers what it was not asked
-	}
-	c.serial++
-	a := &attempt{id: j.id + "/" + strconv.Itoa(j.ask) + "/" + strconv.Itoa(j.attempts), task: o.Task,
-		n: j.attempts, job: j,
-		node: n, serial: c.serial, sent: c.now, limit: o.Timeout}
-	if left := j.due - c.now; a.limit <= 0 || a.limit > left {
-		a.limit = left
-	}
-	j.attempts++
-	c.attempts[a.id], n.live[a.id], j.live = a, a, a
-	j.node, j.sub = n.entry.ID, SubOffered
+// attemptEnd is how an attempt ended, as the module is told.
+type attemptEnd struct {
+	outcome flaxshelf.Outcome
+	reason  flaxshelf.Reason
+	load    flaxshelf.LoadReport
+}
+
+// provesNotRun reports whether an attempt that ended so has never run.
+func (e attemptEnd) provesNotRun() bool {
+	return e.outcome == flaxshelf.Rejected || e.outcome == flaxshelf.Unreachable || e.outcome == flaxshelf.NotSent
+}
+
+// startOffer carries out the module's choice of a node.
+func (c *Core) startOffer(offer flaxshelf.Offer) {
+	job, node := c.jobsByTask[offer.Task], c.nodes[offer.Machine]
+	if job == nil || node == nil || job.taskID() != offer.Task {
+		return // the module only offers the tasks that it was given
+	}
+	attempt := c.newAttempt(job, node, offer)
+	draining := node.machine.State != flaxshelf.Active && !c.cfg.DisabledGuards.Drain
 	switch {
-	case !j.open || a.limit <= 0 || j.stopping || n.entry.State != flaxshelf.Active && !c.cfg.DisabledGuards.Drain:
-		c.end(a, flaxshelf.NotSent, flaxshelf.UnspecifiedReason, flaxshelf.LoadReport{})
-	case n.up:
-		c.send(a)
+	case !job.requestOpen || attempt.timeout <= 0 || job.stopping || draining:
+		c.endAttempt(attempt, attemptEnd{outcome: flaxshelf.NotSent})
+	case node.connected:
+		c.sendOffer(attempt)
 	default:
-		a.timer = c.timers.Schedule(c.now+max(c.cfg.Module.ConnectTimeout, time.Millisecond), func() {
-			if a.phase == connecting {
-				c.end(a, flaxshelf.Unreachable, flaxshelf.UnspecifiedReason, flaxshelf.LoadReport{})
+		attempt.timer = c.timers.Schedule(c.now+max(c.cfg.Module.ConnectTimeout, time.Millisecond), func() {
+			if attempt.phase == phaseConnecting {
+				c.endAttempt(attempt, attemptEnd{outcome: flaxshelf.Unreachable})
 			}
 		})
 	}
 }
 
-func (c *Core) send(a *attempt) {
-	left := a.sent + a.limit - c.now
-	c.timers.Cancel(a.timer)
-	switch {
-	case left <= 0:
-		c.end(a, flaxshelf.NotSent, flaxshelf.UnspecifiedReason, flaxshelf.LoadReport{})
+// newAttempt makes the job's next attempt. Its timeout ends with the placement request at the latest.
+func (c *Core) newAttempt(job *job, node *node, offer flaxshelf.Offer) *attempt {
+	timeout := offer.Timeout
+	if left := job.placementDeadline - c.now; timeout <= 0 || timeout > left {
+		timeout = left
+	}
+	c.lastSerial++
+	attempt := &attempt{
+		id:        job.id + "/" + strconv.Itoa(job.request) + "/" + strconv.Itoa(job.attemptCount),
+		taskID:    offer.Task,
+		number:    job.attemptCount,
+		job:       job,
+		node:      node,
+		serial:    c.lastSerial,
+		offeredAt: c.now,
+		timeout:   timeout,
+	}
+	job.attemptCount++
+	c.addAttempt(attempt)
+	job.nodeID, job.subState = node.machine.ID, SubOffered
+	return attempt
+}
+
+// addAttempt makes an attempt the current one of its job.
+func (c *Core) addAttempt(attempt *attempt) {
+	c.attempts[attempt.id] = attempt
+	attempt.node.attempts[attempt.id] = attempt
+	attempt.job.attempt = attempt
+}
+
+// sendOffer sends the offer of an attempt whose node is connected.
+func (c *Core) sendOffer(attempt *attempt) {
+	left := attempt.offeredAt + attempt.timeout - c.now
+	c.timers.Cancel(attempt.timer)
+	if left <= 0 {
+		c.endAttempt(attempt, attemptEnd{outcome: flaxshelf.NotSent})
 		return
-	case c.fence.up(): // a drain of this node may be among what has not been read yet
-		a.timer = c.timers.Schedule(c.now+max(c.cfg.Module.Tick, time.Millisecond), func() {
-			if a.phase == connecting && a.node.up {
-				c.send(a)
+	}
+	if c.barrier.active() { // a drain of this node may be among the messages that have not been read yet
+		attempt.timer = c.timers.Schedule(c.soon(), func() {
+			if attempt.phase == phaseConnecting && attempt.node.connected {
+				c.sendOffer(attempt)
 			}
 		})
 		return
 	}
-	a.phase = offered
-	c.emit(SendOffer{Node: a.node.entry.ID, Attempt: a.id, Job: a.job.id, Request: a.job.ask, Spec: a.job.spec,
-		Submitted: a.job.taken, ValidFor: left})
-	c.changed(a.job)
-	a.timer = c.timers.Schedule(c.now+left, func() {
-		if a.phase == offered {
-			c.stop(a)
-			c.end(a, flaxshelf.TimedOut, flaxshelf.UnspecifiedReason, flaxshelf.LoadReport{})
+	attempt.phase = phaseOffered
+	c.emit(SendOffer{
+		Node:      attempt.node.machine.ID,
+		Attempt:   attempt.id,
+		Job:       attempt.job.id,
+		Request:   attempt.job.request,
+		Spec:      attempt.job.spec,
+		Submitted: attempt.job.submittedAt,
+		ValidFor:  left,
+	})
+	c.changed(attempt.job)
+	attempt.timer = c.timers.Schedule(c.now+left, func() {
+		if attempt.phase == phaseOffered {
+			c.stopAttempt(attempt)
+			c.endAttempt(attempt, attemptEnd{outcome: flaxshelf.TimedOut})
 		}
 	})
 }
 
-func (c *Core) stop(a *attempt) {
-	if !a.stop && a.node.up {
-		a.stop = true
-		c.emit(SendStop{a.node.entry.ID, a.id})
-	}
-}
-
-func (c *Core) withdraw(w flaxshelf.Cancel) {
-	j := c.asks[w.Task]
-	if j == nil || j.live == nil || j.live.task != w.Task || j.live.n != w.Attempt || j.live.phase > offered {
-		return
-	}
-	a, v := j.live, flaxshelf.Canceled
-	if a.phase == connecting {
-		v = flaxshelf.NotSent
+// stopAttempt asks the node to drop or stop an attempt, once for each connection.
+func (c *Core) stopAttempt(attempt *attempt) {
+	if !attempt.stopSent && attempt.node.connected {
+		attempt.stopSent = true
+		c.emit(SendStop{attempt.node.machine.ID, attempt.id})
 	}
-	c.stop(a)
-	c.end(a, v, flaxshelf.UnspecifiedReason, flaxshelf.LoadReport{})
 }
 
-func (c *Core) move(m flaxshelf.Migrate) {
-	if j := c.asks[m.Task]; j != nil && j.live != nil && j.live.task == m.Task && j.live.phase >= accepted {
-		j.moving = true
-		c.stop(j.live)
+// currentAttempt is the attempt of a task that has not ended; nil for none.
+func (c *Core) currentAttempt(taskID string) *attempt {
+	job := c.jobsByTask[taskID]
+	if job == nil || job.attempt == nil || job.attempt.taskID != taskID {
+		return nil
 	}
+	return job.attempt
 }
 
-// known finds the attempt that a node speaks of. Word of one that was given up is answered with a stop, since
-// what it may have started must not run beside its successor.
-func (c *Core) known(nodeName, id string, starts bool) *attempt {
-	a := c.attempts[id]
-	if a != nil && a.node.entry.ID == nodeName {
-		return a
+// cancelOffer carries out the module's cancellation of an offer that has no reply yet.
+func (c *Core) cancelOffer(cancel flaxshelf.Cancel) {
+	attempt := c.currentAttempt(cancel.Task)
+	if attempt == nil || attempt.number != cancel.Attempt || attempt.phase > phaseOffered {
+		return
 	}
-	if starts {
-		c.emit(SendStop{nodeName, id})
+	outcome := flaxshelf.Canceled
+	if attempt.phase == phaseConnecting {
+		outcome = flaxshelf.NotSent
 	}
-	return nil
+	c.stopAttempt(attempt)
+	c.endAttempt(attempt, attemptEnd{outcome: outcome})
 }
 
-func (c *Core) accepted(in AttemptAccepted) {
-	if a := c.known(in.Node, in.Attempt, true); a != nil && a.phase == offered {
-		c.accept(a, in.Load)
+// migrate stops a placed attempt. The job gets another placement request when the node has confirmed that.
+func (c *Core) migrate(migrate flaxshelf.Migrate) {
+	attempt := c.currentAttempt(migrate.Task)
+	if attempt == nil || attempt.phase < phaseAccepted {
+		return
 	}
+	attempt.job.migrating = true
+	c.stopAttempt(attempt)
 }
 
-func (c *Core) accept(a *attempt, load flaxshelf.LoadReport) {
-	a.phase = accepted
-	c.timers.Cancel(a.timer)
-	j := a.job
+// acceptAttempt records that the node has accepted an offer.
+func (c *Core) acceptAttempt(attempt *attempt, load flaxshelf.LoadReport) {
+	attempt.phase = phaseAccepted
+	c.timers.Cancel(attempt.timer)
+	job := attempt.job
 	if load.Present {
-		c.tell(flaxshelf.HealthChecked{Machine: a.node.entry.ID, Load: load})
+		c.notifyModule(flaxshelf.HealthChecked{Machine: attempt.node.machine.ID, Load: load})
 	}
-	if j.live != a || j.state.Ended() || j.stopping || j.held() {
-		c.tell(flaxshelf.AttemptPlaced{Task: a.task, Machine: a.node.entry.ID, Attempt: a.n, Latency: c.now - a.sent})
-		c.stop(a) // its job has gone another way
+	if job.attempt != attempt || job.state.Ended() || job.stopping || job.onHold() {
+		c.reportPlaced(attempt)
+		c.stopAttempt(attempt) // its job does not want it any more
 		return
 	}
-	j.sub = SubAccepted
-	if !c.cfg.Module.PlacedWhenRunning {
-		c.placedNow(a)
+	job.subState = SubAccepted
+	if c.cfg.Module.PlacedWhenRunning {
+		c.changed(job)
 	} else {
-		c.changed(j)
+		c.markPlaced(attempt)
 	}
 }
 
-func (c *Core) placedNow(a *attempt) {
-	c.tell(flaxshelf.AttemptPlaced{Task: a.task, Machine: a.node.entry.ID, Attempt: a.n, Latency: c.now - a.sent})
-	if a.job.open {
-		c.closeAsk(a.job, OutcomePlaced, a.id)
-	}
+// markPlaced closes the placement request with an attempt that was accepted, or runs where that counts.
+func (c *Core) markPlaced(attempt *attempt) {
+	c.reportPlaced(attempt)
+	c.closePlacementRequest(attempt.job, OutcomePlaced, attempt.id)
 }
 
-func (c *Core) started(in AttemptStarted) {
-	if a := c.known(in.Node, in.Attempt, true); a != nil {
-		if a.phase == offered {
-			c.accept(a, flaxshelf.LoadReport{})
-		}
-		c.start(a)
-	}
+func (c *Core) reportPlaced(attempt *attempt) {
+	c.notifyModule(flaxshelf.AttemptPlaced{
+		Task:    attempt.taskID,
+		Machine: attempt.node.machine.ID,
+		Attempt: attempt.number,
+		Latency: c.now - attempt.offeredAt,
+	})
 }
 
-func (c *Core) start(a *attempt) {
-	if a.phase != accepted {
+// startAttempt records that the node has started an accepted attempt.
+func (c *Core) startAttempt(attempt *attempt) {
+	if attempt.phase != phaseAccepted {
 		return
 	}
-	a.phase = running
-	j := a.job
-	if j.live != a || j.state.Ended() || j.stopping {
+	attempt.phase = phaseRunning
+	job := attempt.job
+	if job.attempt != attempt || job.state.Ended() || job.stopping {
 		return
 	}
-	if c.cfg.Module.PlacedWhenRunning && j.open {
-		c.placedNow(a)
+	if c.cfg.Module.PlacedWhenRunning && job.requestOpen {
+		c.markPlaced(attempt)
 	} else {
-		c.tell(flaxshelf.UsageReport{Task: a.task, Machine: a.node.entry.ID, Attempt: a.n, Kind: flaxshelf.TaskRunning})
-	}
-	j.state, j.sub = Running, SubRunning
-	if j.started == 0 {
-		j.started = c.now
-	}
-	c.changed(j)
-}
-
-func (c *Core) noted(in UsageReport) {
-	if a := c.known(in.Node, in.Attempt, true); a != nil && a.phase >= accepted {
-		c.tell(flaxshelf.UsageReport{Task: a.task, Machine: in.Node, Attempt: a.n, Kind: in.Kind, Amount: in.Amount})
+		c.reportUsage(attempt, flaxshelf.TaskRunning, 0)
 	}
-}
-
-func (c *Core) refused(in AttemptRejected) {
-	if a := c.known(in.Node, in.Attempt, false); a != nil && a.phase == offered {
-		c.end(a, flaxshelf.Rejected, in.Reason, in.Load)
+	job.state, job.subState = Running, SubRunning
+	if job.startedAt == 0 {
+		job.startedAt = c.now
 	}
+	c.changed(job)
 }
 
-func (c *Core) failed(in AttemptFailed) {
-	if a := c.known(in.Node, in.Attempt, false); a != nil && a.phase == offered {
-		a.job.note = in.Message
-		c.end(a, flaxshelf.Failed, flaxshelf.UnspecifiedReason, in.Load)
-	}
+func (c *Core) reportUsage(attempt *attempt, kind flaxshelf.UsageKind, amount float64) {
+	c.notifyModule(flaxshelf.UsageReport{
+		Task:    attempt.taskID,
+		Machine: attempt.node.machine.ID,
+		Attempt: attempt.number,
+		Kind:    kind,
+		Amount:  amount,
+	})
 }
 
-func (c *Core) notSent(in SendFailed) {
-	if a := c.known(in.Node, in.Attempt, false); a != nil && a.phase == offered {
-		c.end(a, flaxshelf.NotSent, flaxshelf.UnspecifiedReason, flaxshelf.LoadReport{})
-	}
+// loseAttempt ends an attempt whose node is gone or does not have it.
+func (c *Core) loseAttempt(attempt *attempt) {
+	c.endAttempt(attempt, attemptEnd{outcome: flaxshelf.Lost})
 }
 
-func (c *Core) ended(in AttemptEnded) {
-	c.emit(SendAck{in.Node, in.Attempt})
-	a := c.known(in.Node, in.Attempt, false)
-	if a == nil {
+// endAttempt reports to the module how an attempt ended, once, and goes on with the job.
+func (c *Core) endAttempt(attempt *attempt, end attemptEnd) {
+	if attempt.phase == phaseEnded {
 		return
 	}
-	if a.phase == offered { // its Accepted was cut off
-		if in.End == EndStopped && !a.job.open {
-			c.end(a, flaxshelf.Canceled, flaxshelf.UnspecifiedReason, in.Load)
-			return
+	job, lastPhase := attempt.job, attempt.phase
+	c.removeAttempt(attempt)
+	current := job.taskID() == attempt.taskID
+	placed := c.countsAsPlaced(lastPhase)
+	c.notifyModule(flaxshelf.AttemptEnded{
+		Task:    attempt.taskID,
+		Machine: attempt.node.machine.ID,
+		Attempt: attempt.number,
+		Outcome: end.outcome,
+		Reason:  end.reason,
+		Final:   placed || !current || !job.requestOpen,
+		Latency: c.now - attempt.offeredAt,
+		Load:    end.load,
+	})
+	if !placed && !end.provesNotRun() {
+		job.outcomeUnknownAt = c.now
+		if current && end.outcome != flaxshelf.Canceled {
+			job.unknownRequest = job.request
 		}
-		c.accept(a, flaxshelf.LoadReport{})
 	}
-	a.job.exit = in.Exit
-	switch in.End {
-	case EndCompleted:
-		c.end(a, flaxshelf.Completed, flaxshelf.UnspecifiedReason, in.Load)
-	case EndStopped:
-		c.end(a, flaxshelf.Canceled, flaxshelf.UnspecifiedReason, in.Load)
-	case EndStartFailed:
-		c.end(a, flaxshelf.Failed, flaxshelf.UnspecifiedReason, in.Load)
+	switch {
+	case !current || job.state.Ended():
+	case lastPhase >= phaseAccepted:
+		c.continueAfterAttempt(job, end)
 	default:
-		c.end(a, flaxshelf.Lost, in.Reason, in.Load)
+		c.continueUnplaced(job)
 	}
 }
 
-// lose ends an attempt whose node is gone or does not have it.
-func (c *Core) lose(a *attempt) {
-	c.end(a, flaxshelf.Lost, flaxshelf.UnspecifiedReason, flaxshelf.LoadReport{})
+// removeAttempt marks an attempt as ended.
+func (c *Core) removeAttempt(attempt *attempt) {
+	attempt.phase = phaseEnded
+	c.timers.Cancel(attempt.timer)
+	delete(c.attempts, attempt.id)
+	delete(attempt.node.attempts, attempt.id)
+	if attempt.job.attempt == attempt {
+		attempt.job.attempt = nil
+	}
 }
 
-// end tells the module how an attempt ended, once, and goes on with the job.
-func (c *Core) end(a *attempt, v flaxshelf.Outcome, r flaxshelf.Reason, load flaxshelf.LoadReport) {
-	if a.phase == over {
-		return
-	}
-	j, was := a.job, a.phase
-	placed := was >= accepted && (!c.cfg.Module.PlacedWhenRunning || was == running)
-	a.phase = over
-	c.timers.Cancel(a.timer)
-	delete(c.attempts, a.id)
-	delete(a.node.live, a.id)
-	if j.live == a {
-		j.live = nil
-	}
-	current := j.askID() == a.task
-	c.tell(flaxshelf.AttemptEnded{Task: a.task, Machine: a.node.entry.ID, Attempt: a.n, Outcome: v, Reason: r,
-		Final: placed || !current || !j.open, Latency: c.now - a.sent, Load: load})
-	proved := v == flaxshelf.Rejected || v == flaxshelf.Unreachable || v == flaxshelf.NotSent
-	if !proved && !placed {
-		j.uncertain = c.now
-		if current && v != flaxshelf.Canceled {
-			j.doubt = j.ask
-		}
+// countsAsPlaced reports whether an attempt in the phase has been reported to the module as placed.
+func (c *Core) countsAsPlaced(phase attemptPhase) bool {
+	if c.cfg.Module.PlacedWhenRunning {
+		return phase == phaseRunning
 	}
-	if !current || j.state.Ended() {
-		return
-	}
-	if was >= accepted {
-		c.jobOver(j, v, r)
-		return
-	}
-	j.node = ""
+	return phase >= phaseAccepted
+}
+
+// continueUnplaced goes on with a job whose offer has ended without having been accepted.
+func (c *Core) continueUnplaced(job *job) {
+	job.nodeID = ""
 	switch {
-	case j.stopping:
-		c.finish(j, Failed, SubTerminated, "terminated before its start")
-	case j.open:
-		j.sub = SubWaiting
-		c.changed(j)
-	case j.held():
-		c.changed(j)
+	case job.stopping:
+		c.finishJob(job, Failed, SubTerminated, "terminated before its start")
+	case job.requestOpen:
+		job.subState = SubWaiting
+		c.changed(job)
+	case job.onHold():
+		c.changed(job)
 	}
 }
--- a/internal/scheduler/behind_test.go
+++ b/internal/scheduler/behind_test.go
@@ -22,16 +22,16 @@
 		due  Time
 	}{{0, true, now + 4*time.Second}, {now - time.Second, true, now + 3*time.Second}, {now - 3*time.Second, false, 0}} {
 		out := c.Step(now, []Input{Submit{Req: 7, ReceivedAt: x.came, Spec: spec}})
-		for _, e := range out.Effects {
-			a, ok := e.(Answer)
-			if !ok || a.Req != 7 {
+		for _, effect := range out.Effects {
+			answer, ok := effect.(Answer)
+			if !ok || answer.Req != 7 {
 				continue
 			}
-			if took := a.Err == nil; took != x.took || !took && a.Err.Code != TryLater {
-				t.Errorf("came at %v: taken %v, %v", x.came, took, a.Err)
+			if took := answer.Err == nil; took != x.took || !took && answer.Err.Code != TryLater {
+				t.Errorf("came at %v: taken %v, %v", x.came, took, answer.Err)
 			}
-			if a.Err == nil && c.jobs[a.Jobs[0].ID].due != x.due {
-				t.Errorf("came at %v: given up at %v, want %v", x.came, c.jobs[a.Jobs[0].ID].due, x.due)
+			if answer.Err == nil && c.jobs[answer.Jobs[0].ID].placementDeadline != x.due {
+				t.Errorf("came at %v: given up at %v, want %v", x.came, c.jobs[answer.Jobs[0].ID].placementDeadline, x.due)
 			}
 		}
 	}
--- /dev/null
+++ b/internal/scheduler/command.go
@@ -0,0 +1,174 @@
+package scheduler
+
+import "flaxshelf.example/flaxshelf"
+
+// apply acts on a job, or on each job of an array.
+func (in Command) apply(c *Core) {
+	if array := c.arrays[in.Job]; array != nil {
+		for _, job := range array.jobs {
+			c.commandJob(0, in.Verb, job)
+		}
+		c.answerArray(in.Req, array)
+		return
+	}
+	job := c.jobs[in.Job]
+	if job == nil {
+		c.rejectUnknownJob(in.Req, in.Job)
+		return
+	}
+	c.commandJob(in.Req, in.Verb, job)
+}
+
+func (c *Core) commandJob(req uint64, verb Verb, job *job) {
+	switch verb {
+	case Hold:
+		c.commandHold(req, job)
+	case Release:
+		c.commandRelease(req, job)
+	case Terminate:
+		c.commandTerminate(req, job)
+	case Reap:
+		c.commandReap(req, job)
+	default:
+		c.reject(req, InvalidArgument, 0, "no command %q", verb)
+	}
+}
+
+// rejectVerb answers a command that the job's state does not allow.
+func (c *Core) rejectVerb(req uint64, verb Verb, job *job) {
+	c.reject(req, InvalidState, 0, "job %s is %s, which %s does not apply to", job.id, job.state, verb)
+}
+
+func (c *Core) commandHold(req uint64, job *job) {
+	switch {
+	case job.onHold():
+		c.answerJob(req, job)
+	case job.state != Queued && job.state != Requeued:
+		c.rejectVerb(req, Hold, job)
+	case job.attempt != nil:
+		c.holdOffered(req, job)
+	case c.outcomeUnknown(job): // the module decides its outcome in a moment
+		c.reject(req, InvalidState, 0, "job %s may have run and can't be held", job.id)
+	default:
+		c.holdJob(job)
+		c.answerJob(req, job)
+	}
+}
+
+func (c *Core) commandRelease(req uint64, job *job) {
+	if !job.onHold() {
+		c.rejectVerb(req, Release, job)
+		return
+	}
+	c.releaseJob(job)
+	c.answerJob(req, job)
+}
+
+func (c *Core) commandTerminate(req uint64, job *job) {
+	if job.state.Ended() {
+		c.rejectVerb(req, Terminate, job)
+		return
+	}
+	c.terminateJob(job)
+	c.answerJob(req, job)
+}
+
+func (c *Core) commandReap(req uint64, job *job) {
+	if !job.state.Ended() {
+		c.rejectVerb(req, Reap, job)
+		return
+	}
+	c.answerJob(req, job)
+	c.removeJob(job)
+}
+
+// holdOffered holds a job that is offered to a node: the node's reply decides whether the hold or the offer wins. The
+// module is told at once that the task is canceled, so it makes no further offer.
+func (c *Core) holdOffered(req uint64, job *job) {
+	offer := job.attempt
+	if offer.phase >= phaseAccepted || job.holdPending {
+		c.rejectVerb(req, Hold, job)
+		return
+	}
+	job.pendingHoldReq, job.holdPending = req, true
+	c.notifyModule(flaxshelf.TaskCanceled{Task: job.taskID()})
+	c.stopAttempt(offer)
+	c.whenUnplaced(offer, func() { c.completeHold(job) })
+}
+
+// completeHold holds a job whose offer has ended unplaced.
+func (c *Core) completeHold(job *job) {
+	if !job.holdPending || job.state.Ended() {
+		return
+	}
+	// A report that the start failed may cross the stop. Held and released, the job would get a new placement request,
+	// and the module does not know the attempts of the former one.
+	if c.outcomeUnknown(job) {
+		c.failPlacementRequest(job, OutcomeFailed, "an attempt may have run before it could be held")
+		return
+	}
+	job.holdPending = false
+	c.holdJob(job)
+	c.answerJob(job.pendingHoldReq, job)
+}
+
+// whenUnplaced calls done once an offer has ended without having been accepted, and never if it is accepted. It polls:
+// an attempt in flight ends after its timeout at the latest.
+func (c *Core) whenUnplaced(offer *attempt, done func()) {
+	if offer.phase == phaseEnded {
+		done()
+		return
+	}
+	if offer.phase >= phaseAccepted {
+		return
+	}
+	c.timers.Schedule(c.soon(), func() { c.whenUnplaced(offer, done) })
+}
+
+func (c *Core) holdJob(job *job) {
+	c.cancelPlacementRequest(job, "")
+	if job.state == Requeued {
+		job.state = RequeuedHeld
+	} else {
+		job.state = QueuedHeld
+	}
+	c.timers.Cancel(job.delayTimer)
+	job.subState, job.nodeID = SubHeld, ""
+	c.changed(job)
+}
+
+func (c *Core) releaseJob(job *job) {
+	if job.array != nil && !job.admitted {
+		job.state, job.subState = Queued, SubArrayLimit
+		job.array.firstWaiting = 0
+		c.changed(job)
+		c.admitFromArray(job.array)
+		return
+	}
+	if job.state == QueuedHeld {
+		job.state = Queued
+	} else {
+		job.state = Requeued
+	}
+	c.placeWhenReady(job)
+}
+
+// terminateJob ends a job for good. An attempt that may run is stopped first; a job that waits ends at once.
+func (c *Core) terminateJob(job *job) {
+	if job.state.Ended() || job.stopping {
+		return
+	}
+	job.stopping = true
+	current := job.attempt
+	if current == nil || current.phase == phaseConnecting {
+		if current != nil {
+			c.endAttempt(current, attemptEnd{outcome: flaxshelf.NotSent})
+		}
+		c.finishJob(job, Failed, SubTerminated, terminatedReason)
+		return
+	}
+	job.subState = SubStopping
+	c.cancelPlacementRequest(job, current.id)
+	c.stopAttempt(current)
+	c.changed(job)
+}
--- a/internal/scheduler/doc.go
+++ b/internal/scheduler/doc.go
@@ -1,17 +1,21 @@
-// Package scheduler owns the life of every job that one scheduler has taken: queued, offered, accepted,
+// Package scheduler owns the life cycle of every job that one scheduler has accepted: queued, offered, accepted,
 // running, ended, requeued. It must not do I/O, start goroutines, read a clock or choose a machine.
 //
 // Core is a deterministic state machine in the shape of a Raft library's ready loop. Its host has these
 // duties, in this order, from a single goroutine:
 //
-//  1. Collect what came in since the last step as Inputs: submissions, commands, frames of nodes, lists.
+//  1. Collect what arrived since the last step as Inputs: submissions, commands, messages of nodes, endpoint lists.
 //  2. Call Step with the time and the inputs. Equal configurations, times and inputs give equal outputs.
-//  3. Carry out Output.Effects in order. ToNode and ToInventory are sent, Answer and Publish go to clients.
-//     An effect that can't be carried out comes back as an input (NotSent).
-//  4. Call Step again when Output.Wake has come, or earlier when there are inputs. A host must not be later
-//     than that by choice: a Core that finds itself woken far too late takes itself for stalled and places
-//     nothing until the inventory has answered a Sync, since drains may have been told meanwhile.
+//  3. Execute Output.Effects in order: messages to nodes and to discovery, answers and changes to clients.
+//     An offer that can't be sent is reported back as an input (SendFailed).
+//  4. Call Step again when Output.Wake is due, or earlier when there are inputs. A host must not delay a step by
+//     choice: a Core whose step comes far too late assumes that the process was stalled, and places nothing until
+//     discovery has answered a SyncDiscovery, since drains may have been announced meanwhile.
 //
-// Every placement is chosen by flaxshelf.Placer, which the core steps; the core carries its offers out, keeps
-// their time-outs, and tells it how they ended.
+// Every placement is chosen by a Module, which the core steps. The core carries out the module's offers, keeps their
+// timeouts, and reports to the module how each attempt ended.
+//
+// Terms: a job has one placement request at a time, which the module knows as a task. A placement request has one or
+// more attempts, each an offer to one node, and exactly one Outcome. An incarnation is one process of a scheduler of
+// a given name, from its start to its end.
 package scheduler
--- /dev/null
+++ b/internal/scheduler/errors.go
@@ -0,0 +1,32 @@
+package scheduler
+
+import (
+	"fmt"
+	"time"
+)
+
+// ErrorCode names an error of DRMAA version 2, section 5 of GFD.194.
+type ErrorCode string
+
+// The errors that a Core answers with.
+const (
+	InvalidArgument ErrorCode = "InvalidArgument"
+	InvalidState    ErrorCode = "InvalidState"
+	InvalidSession  ErrorCode = "InvalidSession"
+	TryLater        ErrorCode = "TryLater"
+	DeniedByDrms    ErrorCode = "DeniedByDrms"
+	OutOfResource   ErrorCode = "OutOfResource"
+)
+
+// Error is the rejection of a client's request.
+type Error struct {
+	Code       ErrorCode
+	Message    string
+	RetryAfter time.Duration // 0 where a retry is not expected to help
+}
+
+func (e *Error) Error() string { return string(e.Code) + ": " + e.Message }
+
+func newError(code ErrorCode, retryAfter time.Duration, format string, args ...any) *Error {
+	return &Error{Code: code, Message: fmt.Sprintf(format, args...), RetryAfter: retryAfter}
+}
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -8,228 +8,165 @@
 	"flaxshelf.example/flaxshelf/internal/timerqueue"
 )
 
-// backoffFirst and backoffMost bound how long a job that lost its node waits before it is asked anew. An
-// eviction says that room is short, so it waits longer than one that was sent away or lost.
+// A job whose node was lost waits for its next placement request: initialBackoff, doubled with each further loss up to
+// maxBackoff. An eviction or a preemption is a sign of short capacity, so the wait begins at evictedBackoff.
 const (
-	backoffFirst   = 200 * time.Millisecond
-	backoffEvicted = time.Second
-	backoffMost    = 30 * time.Second
+	initialBackoff = 200 * time.Millisecond
+	evictedBackoff = time.Second
+	maxBackoff     = 30 * time.Second
+
+	maxBackoffDoublings = 8 // beyond it the shift would only exceed maxBackoff further
+	backoffLevelsOfLoss = 2 // a loss counts for two levels, a placement takes one back
 )
 
-// job is the life of one job. Its fields follow Info.
+// terminatedReason is the reason of a job that its owner terminated.
+const terminatedReason = "terminated by its owner"
+
+// job is the state of one job.
 type job struct {
-	id, askName         string
-	spec                *Spec
-	state               State
-	sub, node, note     string
-	array               *array
-	index               int
-	ask, attempts       int
-	open                bool // the ask has no outcome yet
-	outcome             Outcome
-	live                *attempt
-	stopping, moving    bool
-	holdReq             uint64 // a hold that waits for the attempt in flight
-	holdWaits           bool
-	exit, requeues      int
-	uncertain           Time // when an attempt that may have run was last given up
-	doubt               int  // the last ask of which an attempt that was given up may have run
-	taken, askedAt, due Time
-	came                Time // of a submission whose ask is still to be opened
-	started, ended      Time
-	rev                 uint64
-	aliases             []string
-	entered             bool              // its array has let it go, or it has none
-	overdue, deadline   *timerqueue.Timer // of the open ask; of the job
-	later               *timerqueue.Timer // its start time or the end of its backoff
-}
+	id       string
+	aliases  []string // IDs of former incarnations that stand for the same work
+	spec     *Spec
+	state    State
+	subState string
+	nodeID   string // that the current attempt was offered to
+	reason   string
+	array    *array // nil for none
+	index    int    // in the array
+	admitted bool   // its array has admitted it, or it has none
+	revision uint64
 
-func (j *job) held() bool { return j.state == QueuedHeld || j.state == RequeuedHeld }
+	submittedAt Time
+	startedAt   Time
+	finishedAt  Time
+	receivedAt  Time // of a submission whose placement request is still to be opened; 0 for none
 
-// askID is the module's name for the current ask.
-func (j *job) askID() string {
-	if j.askName == "" {
-		j.askName = j.id + "#" + strconv.Itoa(j.ask)
-	}
-	return j.askName
-}
+	// The placement request.
+	request           int    // its number, counted from 1
+	taskName          string // see taskID
+	requestOpen       bool   // it has no outcome yet
+	requestedAt       Time
+	placementDeadline Time
+	placementTimer    *timerqueue.Timer
+	attemptCount      int
+	attempt           *attempt // that has not ended; nil for none
+	outcome           Outcome
+	outcomeUnknownAt  Time // when an attempt that may have run was last given up; 0 for never
+	unknownRequest    int  // the last placement request with such an attempt
 
-func (j *job) info() Info {
-	i := Info{ID: j.id, Spec: j.spec, State: j.state, SubState: j.sub, Index: j.index, Node: j.node, Request: j.ask,
-		Outcome: j.outcome, Attempts: j.attempts, Exit: j.exit, Reason: j.note, SubmittedAt: j.taken,
-		RequestedAt: j.askedAt, PlacementDeadline: j.due, StartedAt: j.started, FinishedAt: j.ended, Revision: j.rev}
-	if j.array != nil {
-		i.Array = j.array.id
-	}
-	return i
-}
+	// Commands that wait for a node.
+	stopping       bool // the job ends when its attempt has ended
+	migrating      bool // the attempt is stopped to run elsewhere
+	holdPending    bool // the job is held if its attempt ends unplaced
+	pendingHoldReq uint64
 
-func (c *Core) class(j *job) *flaxshelf.Class { return &c.cfg.Module.Classes[j.spec.Class] }
+	exitStatus    int
+	backoffLevel  int
+	deadlineTimer *timerqueue.Timer // at which the job is terminated
+	delayTimer    *timerqueue.Timer // its start time or the end of its backoff
+}
 
-// doubtful tells that the ask in hand may have run, and must not do so again in another.
-func (c *Core) doubtful(j *job) bool { return j.open && j.doubt == j.ask && !c.bearsRepeats(j) }
+func (j *job) onHold() bool { return j.state == QueuedHeld || j.state == RequeuedHeld }
 
-func (c *Core) bearsRepeats(j *job) bool { return c.class(j).Idempotency == flaxshelf.Idempotent }
-func (c *Core) neverTwice(j *job) bool   { return c.class(j).Idempotency == flaxshelf.NonIdempotent }
+// inSession reports whether the job belongs to a session; the empty one stands for all.
+func (j *job) inSession(session string) bool { return session == "" || j.spec.Session == session }
 
-func (c *Core) task(j *job) flaxshelf.Task {
-	s := j.spec
-	key, service := s.Key, s.Service
-	if key == "" {
-		key = j.id
+// endedUnplaced reports whether the job failed because its last placement request did.
+func (j *job) endedUnplaced() bool {
+	if j.state != Failed {
+		return false
 	}
-	if service == "" {
-		service = j.id // else all jobs without a service would share the homes of the empty name
-	}
-	return flaxshelf.Task{ID: j.askID(), Key: key, Service: service, Class: s.Class, Tenant: s.Tenant,
-		Cores: s.Cores, Memory: s.Memory, ExpectedRuntime: s.ExpectedRuntime, Deadline: j.due, Retry: s.Retry || j.ask > 1}
+	return j.outcome == OutcomeRejected || j.outcome == OutcomeFailed || j.outcome == OutcomeCanceled
 }
 
-// place gives j to the module, in a new ask unless one is open.
-func (c *Core) place(j *job) {
-	j.sub = SubWaiting
-	c.openAsk(j)
-	c.asks[j.askID()] = j
-	c.tell(flaxshelf.TaskSubmitted{Task: c.task(j)})
-	c.changed(j)
+// taskID is the module's name for the current placement request.
+func (j *job) taskID() string {
+	if j.taskName == "" {
+		j.taskName = j.id + "#" + strconv.Itoa(j.request)
+	}
+	return j.taskName
 }
 
-// openAsk begins the time of an ask, which runs also while the hand-over is waited for.
-func (c *Core) openAsk(j *job) {
-	if j.open {
-		return
+func (j *job) info() Info {
+	info := Info{
+		ID:                j.id,
+		Spec:              j.spec,
+		State:             j.state,
+		SubState:          j.subState,
+		Index:             j.index,
+		Node:              j.nodeID,
+		Request:           j.request,
+		Outcome:           j.outcome,
+		Attempts:          j.attemptCount,
+		Exit:              j.exitStatus,
+		Reason:            j.reason,
+		SubmittedAt:       j.submittedAt,
+		RequestedAt:       j.requestedAt,
+		PlacementDeadline: j.placementDeadline,
+		StartedAt:         j.startedAt,
+		FinishedAt:        j.finishedAt,
+		Revision:          j.revision,
 	}
-	delete(c.asks, j.askID())
-	j.ask++
-	j.askName, j.attempts, j.outcome, j.node = "", 0, "", ""
-	j.open, j.askedAt = true, c.now
-	if j.came > 0 { // of the first ask, unless its start time held it back
-		j.askedAt = j.came
+	if j.array != nil {
+		info.Array = j.array.id
 	}
-	j.came = 0
-	c.nOpen++
-	j.due = j.askedAt + c.giveUp(j.spec)
-	c.answerLate(j)
+	return info
 }
 
-// giveUp is how long an owner waits for an outcome.
-func (c *Core) giveUp(s *Spec) time.Duration {
-	if s.PlacementTimeout > 0 {
-		return s.PlacementTimeout
-	}
-	return c.cfg.Limits.PlacementTimeouts[s.Class]
-}
+// knownClass reports whether the settings name a class of that index. A node may hold work of one that they no longer
+// name.
+func (c *Core) knownClass(class int) bool { return class >= 0 && class < len(c.cfg.Module.Classes) }
 
-// clearAt is when a job may be asked for anew whose class does not bear repeats: an attempt of a former ask that may have
-// run is waited for until then, since the module knows nothing of it. Risk covered: a keyed job that was placed after a
-// silent attempt, and loses its node at once, would start in another group while the silent one runs.
-func (c *Core) clearAt(j *job) Time {
-	if j.uncertain == 0 || c.bearsRepeats(j) {
-		return 0
-	}
-	return j.uncertain + c.cfg.Limits.SettleTime
-}
+func (c *Core) classOf(job *job) *flaxshelf.Class { return &c.cfg.Module.Classes[job.spec.Class] }
 
-// answerLate answers for the module where it was kept from answering, as by a stall.
-func (c *Core) answerLate(j *job) {
-	due := j.due
-	j.overdue = c.timers.Schedule(due+c.cfg.Module.AnswerSlack/2, func() {
-		if !j.open || j.due != due || c.cfg.DisabledGuards.Answer {
-			return
-		}
-		c.tell(flaxshelf.TaskCanceled{Task: j.askID()})
-		if j.sub == SubRecovering {
-			c.closeFailed(j, OutcomeFailed, "it may run on a node that has not been heard since the scheduler started")
-			return
-		}
-		o := OutcomeFailed
-		if j.attempts == 0 || c.bearsRepeats(j) {
-			o = OutcomeRejected
-		}
-		c.closeFailed(j, o, "the scheduler was kept from deciding in time")
-	})
+func (c *Core) isIdempotent(job *job) bool {
+	return c.classOf(job).Idempotency == flaxshelf.Idempotent
 }
 
-// settle carries out the module's final answer on an ask.
-func (c *Core) settle(task string, o Outcome) {
-	j := c.asks[task]
-	if j == nil || !j.open || j.askID() != task {
-		return
-	}
-	c.closeFailed(j, o, "")
+func (c *Core) atMostOnce(job *job) bool {
+	return c.classOf(job).Idempotency == flaxshelf.NonIdempotent
 }
 
-func (c *Core) closeFailed(j *job, o Outcome, why string) {
-	if why != "" {
-		j.note = why
-	}
-	if a := j.live; a != nil {
-		if a.phase == connecting {
-			c.closeAsk(j, o, a.id)
-			c.end(a, flaxshelf.NotSent, flaxshelf.UnspecifiedReason, flaxshelf.LoadReport{})
-		} else {
-			c.stop(a)
-			c.closeAsk(j, o, a.id)
-		}
-	} else {
-		c.closeAsk(j, o, "")
-	}
-	sub, note := SubRejected, "no node took it in time; asking again does no harm"
-	if o == OutcomeFailed {
-		sub, note = SubUncertain, "an attempt may have run"
-	}
-	if j.note == "" {
-		j.note = note
-	}
-	c.finish(j, Failed, sub, j.note)
+// outcomeUnknown reports that an attempt of the open placement request may have run, and that the work must not start
+// again in another request.
+func (c *Core) outcomeUnknown(job *job) bool {
+	return job.requestOpen && job.unknownRequest == job.request && !c.isIdempotent(job)
 }
 
-// closeAsk gives an ask its one outcome.
-func (c *Core) closeAsk(j *job, o Outcome, attempt string) {
-	if !j.open {
-		return
-	}
-	j.open = false
-	c.timers.Cancel(j.overdue)
-	c.nOpen--
-	j.outcome = o
-	if o == OutcomePlaced {
-		j.requeues = max(j.requeues-1, 0)
-	}
-	if j.holdWaits {
-		j.holdWaits = false
-		if o == OutcomePlaced {
-			c.refuse(j.holdReq, InvalidState, 0, "job %s was placed before the hold", j.id)
-		} else {
-			c.refuse(j.holdReq, InvalidState, 0, "job %s ended before the hold: %s", j.id, o)
-		}
+// earliestResubmission is when the next placement request of a job may be opened whose class is not idempotent: until
+// then an attempt of a former request may still run, of which the module knows nothing. Otherwise a job that is
+// idempotent by key, was placed after an unanswered attempt and loses its node at once, would start in another key
+// domain while the unanswered attempt runs.
+func (c *Core) earliestResubmission(job *job) Time {
+	if job.outcomeUnknownAt == 0 || c.isIdempotent(job) {
+		return 0
 	}
-	c.changed(j)
-	c.emit(LogOutcome{Info: j.info(), Attempt: attempt})
+	return job.outcomeUnknownAt + c.cfg.Limits.SettleTime
 }
 
-// jobOver goes on after an accepted attempt has ended.
-func (c *Core) jobOver(j *job, v flaxshelf.Outcome, r flaxshelf.Reason) {
-	moved := j.moving
-	j.moving = false
+// continueAfterAttempt goes on with a job whose accepted attempt has ended.
+func (c *Core) continueAfterAttempt(job *job, end attemptEnd) {
+	migrating := job.migrating
+	job.migrating = false
 	switch {
-	case j.stopping:
-		c.finish(j, Failed, SubTerminated, "terminated by its owner")
-	case v == flaxshelf.Completed && j.exit == 0:
-		c.finish(j, Done, SubExited, "")
-	case v == flaxshelf.Completed:
-		c.finish(j, Failed, SubExited, "exit status "+strconv.Itoa(j.exit))
-	case v == flaxshelf.Failed:
-		c.finish(j, Failed, SubStartFailed, "its start failed on "+j.node)
-	case moved || j.spec.Rerunnable:
-		c.requeue(j, r)
+	case job.stopping:
+		c.finishJob(job, Failed, SubTerminated, terminatedReason)
+	case end.outcome == flaxshelf.Completed && job.exitStatus == 0:
+		c.finishJob(job, Done, SubExited, "")
+	case end.outcome == flaxshelf.Completed:
+		c.finishJob(job, Failed, SubExited, "exit status "+strconv.Itoa(job.exitStatus))
+	case end.outcome == flaxshelf.Failed:
+		c.finishJob(job, Failed, SubStartFailed, "its start failed on "+job.nodeID)
+	case migrating || job.spec.Rerunnable:
+		c.requeue(job, end.reason)
 	default:
-		c.finish(j, Failed, lostSub(r), "it ended on "+j.node+" and is not rerunnable")
+		c.finishJob(job, Failed, lostSubState(end.reason), "it ended on "+job.nodeID+" and is not rerunnable")
 	}
 }
 
-func lostSub(r flaxshelf.Reason) string {
-	switch r {
+// lostSubState is the sub-state of a job that its node gave up for the reason.
+func lostSubState(reason flaxshelf.Reason) string {
+	switch reason {
 	case flaxshelf.Evicted:
 		return SubEvicted
 	case flaxshelf.Preempted:
@@ -240,89 +177,92 @@
 	return SubLost
 }
 
-func (c *Core) requeue(j *job, r flaxshelf.Reason) {
-	first := backoffFirst
-	if r == flaxshelf.Evicted || r == flaxshelf.Preempted {
-		first = backoffEvicted
-	}
-	wait := max(min(first<<min(j.requeues, 8), backoffMost), c.clearAt(j)-c.now)
-	j.requeues += 2 // a start takes one back
-	j.state, j.sub, j.note = Requeued, SubBackoff, "it was "+lostSub(r)+" on "+j.node
-	j.node = ""
-	if j.open { // accepted but not yet placed, where placed means running
-		c.tell(flaxshelf.TaskCanceled{Task: j.askID()})
-		c.closeAsk(j, OutcomeFailed, "")
+// requeue opens another placement request for a job that lost its node, after a backoff.
+func (c *Core) requeue(job *job, reason flaxshelf.Reason) {
+	wait := max(backoff(job.backoffLevel, reason), c.earliestResubmission(job)-c.now)
+	job.backoffLevel += backoffLevelsOfLoss
+	job.state, job.subState = Requeued, SubBackoff
+	job.reason = "it was " + lostSubState(reason) + " on " + job.nodeID
+	job.nodeID = ""
+	if job.requestOpen { // accepted but not yet running, where running counts as placed
+		c.notifyModule(flaxshelf.TaskCanceled{Task: job.taskID()})
+		c.closePlacementRequest(job, OutcomeFailed, "")
 	}
-	c.changed(j)
-	ask := j.ask
-	j.later = c.timers.Schedule(c.now+wait, func() {
-		if j.state == Requeued && j.sub == SubBackoff && j.ask == ask {
-			j.note = ""
-			c.place(j)
+	c.changed(job)
+	request := job.request
+	job.delayTimer = c.timers.Schedule(c.now+wait, func() {
+		if job.state == Requeued && job.subState == SubBackoff && job.request == request {
+			job.reason = ""
+			c.submitToModule(job)
 		}
 	})
 }
 
-// finish ends a job.
-func (c *Core) finish(j *job, s State, sub, note string) {
-	if j.state.Ended() {
-		return
+// backoff is how long a job waits that was lost for the reason.
+func backoff(level int, reason flaxshelf.Reason) time.Duration {
+	first := initialBackoff
+	if reason == flaxshelf.Evicted || reason == flaxshelf.Preempted {
+		first = evictedBackoff
 	}
-	if j.open {
-		c.tell(flaxshelf.TaskCanceled{Task: j.askID()})
-		c.closeAsk(j, OutcomeCanceled, "")
+	return min(first<<min(level, maxBackoffDoublings), maxBackoff)
+}
+
+// addJob begins to keep a job that has not ended.
+func (c *Core) addJob(job *job) {
+	c.jobs[job.id] = job
+	c.unfinishedJobs++
+	if job.spec.Key != "" {
+		c.jobsByKey[job.spec.Key] = job
 	}
-	j.state, j.sub, j.note, j.ended = s, sub, note, c.now
-	delete(c.asks, j.askID())
-	c.timers.Cancel(j.deadline)
-	c.timers.Cancel(j.later)
-	c.nLive--
-	c.nEnded++
-	c.finished = append(c.finished, j)
-	c.changed(j)
-	c.emit(LogOutcome{Info: j.info()})
-	if j.array != nil {
-		c.arrayNext(j.array, j)
+}
+
+// finishJob ends a job. It is kept until expireEndedJobs or its owner removes it.
+func (c *Core) finishJob(job *job, state State, subState, reason string) {
+	if job.state.Ended() {
+		return
+	}
+	c.cancelPlacementRequest(job, "")
+	job.state, job.subState, job.reason, job.finishedAt = state, subState, reason, c.now
+	delete(c.jobsByTask, job.taskID())
+	c.timers.Cancel(job.deadlineTimer)
+	c.timers.Cancel(job.delayTimer)
+	c.unfinishedJobs--
+	c.endedJobCount++
+	c.endedJobs = append(c.endedJobs, job)
+	c.changed(job)
+	c.emit(LogOutcome{Info: job.info()})
+	if job.array != nil {
+		c.arrayJobEnded(job)
 	}
 }
 
-// forget drops ended jobs that are over their bound or their time.
-func (c *Core) forget() {
-	for len(c.finished) > 0 {
-		j := c.finished[0]
-		if len(c.finished) <= c.cfg.Limits.MaxFinished && c.now-j.ended < c.cfg.Limits.Retention {
+// expireEndedJobs removes ended jobs beyond the limits of number and time.
+func (c *Core) expireEndedJobs() {
+	for len(c.endedJobs) > 0 {
+		oldest := c.endedJobs[0]
+		if len(c.endedJobs) <= c.cfg.Limits.MaxFinished && c.now-oldest.finishedAt < c.cfg.Limits.Retention {
 			return
 		}
-		c.finished[0] = nil
-		c.finished = c.finished[1:]
-		c.drop(j)
+		c.endedJobs[0] = nil // so that it can be collected before the slice is copied
+		c.endedJobs = c.endedJobs[1:]
+		c.removeJob(oldest)
 	}
 }
 
-func (c *Core) drop(j *job) {
-	if c.jobs[j.id] != j {
-		return // reaped before
+// removeJob forgets an ended job. One that its owner has reaped is forgotten already.
+func (c *Core) removeJob(job *job) {
+	if c.jobs[job.id] != job {
+		return
 	}
-	c.nEnded--
-	delete(c.jobs, j.id)
-	for _, id := range j.aliases {
+	c.endedJobCount--
+	delete(c.jobs, job.id)
+	for _, id := range job.aliases {
 		delete(c.jobs, id)
 	}
-	if c.keys[j.spec.Key] == j {
-		delete(c.keys, j.spec.Key)
-	}
-	if a := j.array; a != nil {
-		if a.kept--; a.kept == 0 {
-			delete(c.arrays, a.id)
-			if a.key != "" {
-				delete(c.keys, a.key)
-			}
-		}
+	if c.jobsByKey[job.spec.Key] == job {
+		delete(c.jobsByKey, job.spec.Key)
 	}
-}
-
-func (c *Core) remember(j *job) {
-	if j.spec.Key != "" {
-		c.keys[j.spec.Key] = j
+	if job.array != nil {
+		c.arrayJobRemoved(job.array)
 	}
 }
--- a/internal/scheduler/node.go
+++ b/internal/scheduler/node.go
@@ -2,265 +2,165 @@
 
 import (
 	"cmp"
-	"fmt"
 	"slices"
-	"strings"
 
 	"flaxshelf.example/flaxshelf"
 )
 
-// node is what the core keeps of a machine: the link to it and our attempts there.
+// node is what the core knows of a machine: its entry in the endpoint list, the connection to it and our attempts there.
 type node struct {
-	entry   flaxshelf.Machine
-	up      bool
-	heard   bool // has told what it holds in this life of ours
-	asked   bool // the host keeps a connection
-	started Time // by the node's own word
-	fresh   Time // the same, where it said that it may be cold
-	live    map[string]*attempt
-	downAt  Time
+	machine          flaxshelf.Machine
+	connected        bool
+	reconciled       bool // it has reported in this incarnation of ours what it runs
+	connectRequested bool // the host keeps a connection
+	startedAt        Time // as the node itself reported
+	coldStartedAt    Time // the same, of the last start after which it was warming up
+	attempts         map[string]*attempt
 }
 
-func (n *node) out() bool { return n.entry.State == flaxshelf.Removed }
+func (n *node) removed() bool { return n.machine.State == flaxshelf.Removed }
 
-// sorted lists the attempts in a fixed order, since maps have none.
-func (n *node) sorted() []*attempt {
-	all := make([]*attempt, 0, len(n.live))
-	for _, a := range n.live {
-		all = append(all, a)
+// sortedAttempts lists the attempts in the order in which they were made.
+func (n *node) sortedAttempts() []*attempt {
+	all := make([]*attempt, 0, len(n.attempts))
+	for _, attempt := range n.attempts {
+		all = append(all, attempt)
 	}
 	slices.SortFunc(all, func(a, b *attempt) int { return cmp.Compare(a.serial, b.serial) })
 	return all
 }
 
-func (c *Core) node(name string) *node {
-	n := c.nodes[name]
-	if n == nil {
-		n = &node{entry: flaxshelf.Machine{ID: name, Kind: -1, State: flaxshelf.Removed}, live: map[string]*attempt{}}
-		c.nodes[name] = n
-		i, _ := slices.BinarySearchFunc(c.order, name,
-			func(n *node, name string) int { return cmp.Compare(n.entry.ID, name) })
-		c.order = slices.Insert(c.order, i, n)
-	}
-	return n
-}
-
-func (c *Core) listed(in NodesUpdated) {
-	defer func() { c.tell(flaxshelf.MachinesUpdated{Machines: in.Machines, Complete: in.Complete}) }()
-	named := map[string]bool{}
-	for i, m := range in.Machines {
-		named[m.ID] = true
-		n := c.node(m.ID)
-		if m.Started < n.fresh { // the list is behind the node's own word
-			m.Started = n.fresh
-			in.Machines[i] = m
-		}
-		n.entry = m
-		c.standing(n)
-	}
-	if in.Complete {
-		for _, n := range c.order {
-			if !named[n.entry.ID] && !n.out() {
-				n.entry.State = flaxshelf.Removed
-				c.standing(n)
-			}
-		}
-		if r := &c.recovery; !r.listed {
-			r.listed, r.deadline = true, c.now+c.cfg.Limits.SettleTime
-			c.timers.Schedule(r.deadline, func() {})
+// hasUnresolvedAttempts reports whether the node has an offer of ours without a reply.
+func (n *node) hasUnresolvedAttempts() bool {
+	for _, attempt := range n.attempts {
+		if attempt.phase == phaseOffered {
+			return true
 		}
 	}
+	return false
 }
 
-// standing acts on what the list says of n. Offers that still wait for a connection are given up when the
-// node drains: the word has come before the send.
-func (c *Core) standing(n *node) {
-	if n.entry.State != flaxshelf.Active {
-		for _, a := range n.sorted() {
-			if a.phase == connecting {
-				c.end(a, flaxshelf.NotSent, flaxshelf.UnspecifiedReason, flaxshelf.LoadReport{})
-			}
-		}
+// ensureNode returns the node of that ID. One that is not known yet is added as removed from the endpoint list.
+func (c *Core) ensureNode(id string) *node {
+	if known := c.nodes[id]; known != nil {
+		return known
 	}
-	switch {
-	case !n.out() && !n.asked:
-		n.asked = true
-		c.emit(Connect{n.entry.ID})
-	case n.out() && n.asked:
-		c.timers.Schedule(c.now+c.cfg.Limits.SettleTime, func() { c.checkGone(n) })
+	added := &node{
+		machine:  flaxshelf.Machine{ID: id, Kind: -1, State: flaxshelf.Removed},
+		attempts: map[string]*attempt{},
 	}
+	c.nodes[id] = added
+	position, _ := slices.BinarySearchFunc(c.nodesByName, id,
+		func(other *node, id string) int { return cmp.Compare(other.machine.ID, id) })
+	c.nodesByName = slices.Insert(c.nodesByName, position, added)
+	return added
 }
 
-// checkGone gives up what ran on a node that has been out of the list and out of reach for Settle.
-func (c *Core) checkGone(n *node) {
-	if !n.out() || n.up {
-		return
-	}
-	for _, a := range n.sorted() {
-		c.lose(a)
+// apply adopts an endpoint list. The module is notified after the offers that the list makes void.
+func (in NodesUpdated) apply(c *Core) {
+	named := map[string]bool{}
+	for i, machine := range in.Machines {
+		named[machine.ID] = true
+		node := c.ensureNode(machine.ID)
+		if machine.Started < node.coldStartedAt { // the list is older than what the node itself has reported
+			machine.Started = node.coldStartedAt
+			in.Machines[i] = machine
+		}
+		node.machine = machine
+		c.machineChanged(node)
 	}
-	if n.asked {
-		n.asked = false
-		c.emit(Disconnect{n.entry.ID})
+	if in.Complete {
+		c.removeUnnamed(named)
+		c.startRecoveryTimer()
 	}
+	c.notifyModule(flaxshelf.MachinesUpdated{Machines: in.Machines, Complete: in.Complete})
 }
 
-// nodeUp reconciles what the node holds of ours with what we know, see docs/scheduler.md, "Handover".
-func (c *Core) nodeUp(in NodeUp) {
-	n := c.node(in.Node)
-	restarted := n.heard && n.started != in.Started
-	n.up, n.heard, n.started = true, true, in.Started
-	news := in.MayBeCold && in.Started > n.entry.Started
-	if news {
-		// Risk covered: the list is late or its inventory fails, and a node that has just come up would be sent
-		// what its former life could bear.
-		n.fresh, n.entry.Started = in.Started, in.Started
-		if !n.out() {
-			c.tell(flaxshelf.MachinesUpdated{Machines: []flaxshelf.Machine{n.entry}})
-		}
-	}
-	for _, e := range in.Ended {
-		e.Node = in.Node
-		c.ended(e)
-	}
-	held := map[string]bool{}
-	for _, h := range in.Running {
-		held[h.Attempt] = true
-		c.handed(n, h)
-	}
-	for _, a := range n.sorted() {
-		switch {
-		case a.phase == connecting && news: // chosen for what the former life could bear
-			c.end(a, flaxshelf.NotSent, flaxshelf.UnspecifiedReason, flaxshelf.LoadReport{})
-		case a.phase == connecting:
-			c.send(a)
-		case !held[a.id] || restarted:
-			c.lose(a) // the node is alive and does not have it
-		case a.job.stopping || a.job.moving || a.job.state.Ended():
-			c.stop(a)
-		case a.job.sub == SubUnreachable:
-			a.job.sub = a.phase.sub()
-			c.changed(a.job)
+// removeUnnamed removes the nodes that a complete list does not name.
+func (c *Core) removeUnnamed(named map[string]bool) {
+	for _, node := range c.nodesByName {
+		if !named[node.machine.ID] && !node.removed() {
+			node.machine.State = flaxshelf.Removed
+			c.machineChanged(node)
 		}
 	}
 }
 
-// handed takes over one attempt that the node holds. The job may be known, may have been asked for anew by
-// its owner under the same key, or may be unknown because a former life of ours took it.
-func (c *Core) handed(n *node, h RunningAttempt) {
-	if a := c.attempts[h.Attempt]; a != nil && a.node == n {
-		if a.phase == offered {
-			c.accept(a, flaxshelf.LoadReport{}) // the reply was cut off
-		}
-		if h.Running {
-			c.start(a)
-		}
-		return
-	}
-	j := c.jobs[h.Job]
-	if j == nil && h.Spec.Key != "" {
-		if j = c.keys[h.Spec.Key]; j != nil && !j.state.Ended() {
-			c.jobs[h.Job] = j
-			j.aliases = append(j.aliases, h.Job)
-		} else {
-			j = nil
+// machineChanged acts on a new list entry of a node. Offers that still wait for a connection are given up when the
+// node drains, since the drain was announced before they were sent.
+func (c *Core) machineChanged(node *node) {
+	if node.machine.State != flaxshelf.Active {
+		for _, attempt := range node.sortedAttempts() {
+			if attempt.phase == phaseConnecting {
+				c.endAttempt(attempt, attemptEnd{outcome: flaxshelf.NotSent})
+			}
 		}
 	}
-	if j != nil && j.live != nil && j.live.phase == connecting { // nothing has been sent: what runs goes before
-		c.end(j.live, flaxshelf.NotSent, flaxshelf.UnspecifiedReason, flaxshelf.LoadReport{})
-	}
 	switch {
-	case h.Spec.Class < 0 || h.Spec.Class >= len(c.cfg.Module.Classes):
-		c.emit(SendStop{n.entry.ID, h.Attempt}) // of a class that the settings no longer name
-	case j == nil && strings.HasPrefix(h.Job, c.prefix):
-		c.emit(SendStop{n.entry.ID, h.Attempt}) // this life took it, gave its outcome and has forgotten it
-	case j == nil:
-		c.adopt(n, h)
-	case j.state.Ended() || j.live != nil || j.stopping || j.held():
-		c.emit(SendStop{n.entry.ID, h.Attempt})
-	default:
-		c.attach(j, n, h)
+	case !node.removed() && !node.connectRequested:
+		node.connectRequested = true
+		c.emit(Connect{node.machine.ID})
+	case node.removed() && node.connectRequested:
+		c.scheduleExpiry(node)
 	}
 }
 
-// adopt makes a job of what a former life of ours started.
-func (c *Core) adopt(n *node, h RunningAttempt) {
-	spec := h.Spec
-	j := &job{id: h.Job, spec: &spec, taken: h.Submitted, ask: max(h.Request, 1), state: Queued, sub: SubAccepted}
-	c.jobs[j.id] = j
-	c.remember(j)
-	c.nLive++
-	if spec.Session != "" && c.sessions[spec.Session] == nil {
-		c.sessions[spec.Session] = &session{name: spec.Session}
-	}
-	c.attach(j, n, h)
+// scheduleExpiry gives up a node after the settle time, if it is removed and not connected then.
+func (c *Core) scheduleExpiry(node *node) {
+	c.timers.Schedule(c.now+c.cfg.Limits.SettleTime, func() {
+		if node.removed() && !node.connected {
+			c.expireNode(node)
+		}
+	})
 }
 
-// attach makes the held attempt the job's own: the ask that was open, if any, has its outcome by it.
-func (c *Core) attach(j *job, n *node, h RunningAttempt) {
-	if j.open {
-		c.tell(flaxshelf.TaskCanceled{Task: j.askID()})
-		delete(c.asks, j.askID())
-	} else {
-		c.nOpen++ // closeAsk takes it off
-		j.open = true
+// expireNode gives up all attempts on a node and the connection to it.
+func (c *Core) expireNode(node *node) {
+	for _, attempt := range node.sortedAttempts() {
+		c.loseAttempt(attempt)
 	}
-	c.serial++
-	j.askName = fmt.Sprintf("%s#%d.%d", j.id, j.ask, c.serial) // the module must not know it
-	c.asks[j.askID()] = j
-	a := &attempt{id: h.Attempt, task: j.askID(), job: j, node: n, serial: c.serial, sent: c.now, phase: accepted}
-	c.attempts[a.id], n.live[a.id], j.live = a, a, a
-	c.tell(flaxshelf.TaskAdopted{Task: c.task(j), Machine: n.entry.ID})
-	j.node, j.state, j.sub, j.askedAt, j.attempts = n.entry.ID, Queued, SubAccepted, c.now, 1
-	c.closeAsk(j, OutcomePlaced, a.id)
-	if h.Running {
-		c.start(a)
+	if node.connectRequested {
+		node.connectRequested = false
+		c.emit(Disconnect{node.machine.ID})
 	}
 }
 
-// nodeDown: offers without an answer may have been accepted; what runs there runs on.
-func (c *Core) nodeDown(in NodeDown) {
-	n := c.nodes[in.Node]
-	if n == nil {
+// apply gives up what was not accepted on the node: it may have been. What was accepted runs on.
+func (in NodeDown) apply(c *Core) {
+	node := c.nodes[in.Node]
+	if node == nil {
 		return
 	}
-	n.up, n.downAt = false, c.now
-	c.fence.nodeLost(in.Node)
-	for _, a := range n.sorted() {
-		a.stop = false // it may not have arrived
-		switch a.phase {
-		case connecting:
-			c.end(a, flaxshelf.Unreachable, flaxshelf.UnspecifiedReason, flaxshelf.LoadReport{})
-		case offered:
-			c.end(a, flaxshelf.Lost, flaxshelf.UnspecifiedReason, flaxshelf.LoadReport{})
+	node.connected = false
+	c.barrier.nodeLost(in.Node)
+	for _, attempt := range node.sortedAttempts() {
+		attempt.stopSent = false // it may not have arrived
+		switch attempt.phase {
+		case phaseConnecting:
+			c.endAttempt(attempt, attemptEnd{outcome: flaxshelf.Unreachable})
+		case phaseOffered:
+			c.loseAttempt(attempt)
 		default:
-			a.job.sub = SubUnreachable
-			c.changed(a.job)
+			attempt.job.subState = SubUnreachable
+			c.changed(attempt.job)
 		}
 	}
-	c.timers.Schedule(c.now+c.cfg.Limits.SettleTime, func() { c.checkGone(n) })
+	c.scheduleExpiry(node)
 }
 
-func (c *Core) probe(a flaxshelf.HealthCheck) {
-	if n := c.nodes[a.Machine]; n != nil && n.up {
-		c.emit(SendHealthCheck{a.Machine})
+// checkHealth carries out a health check that the module asks for.
+func (c *Core) checkHealth(check flaxshelf.HealthCheck) {
+	if node := c.nodes[check.Machine]; node != nil && node.connected {
+		c.emit(SendHealthCheck{check.Machine})
 		return
 	}
-	c.tell(flaxshelf.HealthChecked{Machine: a.Machine, Outcome: flaxshelf.Unreachable})
+	c.notifyModule(flaxshelf.HealthChecked{Machine: check.Machine, Outcome: flaxshelf.Unreachable})
 }
 
-func (c *Core) probed(in HealthChecked) {
-	e := flaxshelf.HealthChecked{Machine: in.Node, Load: in.Load}
+func (in HealthChecked) apply(c *Core) {
+	result := flaxshelf.HealthChecked{Machine: in.Node, Load: in.Load}
 	if in.Lost {
-		e.Outcome = flaxshelf.Lost
-	}
-	c.tell(e)
-}
-
-func (c *Core) machines(in Machines) {
-	all := make([]MachineInfo, 0, len(c.order))
-	for _, n := range c.order {
-		all = append(all, MachineInfo{Machine: n.entry, Connected: n.up, Jobs: len(n.live)})
+		result.Outcome = flaxshelf.Lost
 	}
-	c.answer(in.Req, Answer{Machines: all})
+	c.notifyModule(result)
 }
--- /dev/null
+++ b/internal/scheduler/placement.go
@@ -0,0 +1,172 @@
+package scheduler
+
+import (
+	"time"
+
+	"flaxshelf.example/flaxshelf"
+)
+
+// submitToModule gives a job to the module, in a new placement request unless one is open.
+func (c *Core) submitToModule(job *job) {
+	job.subState = SubWaiting
+	c.openPlacementRequest(job)
+	c.jobsByTask[job.taskID()] = job
+	c.notifyModule(flaxshelf.TaskSubmitted{Task: c.moduleTask(job)})
+	c.changed(job)
+}
+
+// moduleTask is the current placement request as the module sees it.
+func (c *Core) moduleTask(job *job) flaxshelf.Task {
+	spec := job.spec
+	key, service := spec.Key, spec.Service
+	if key == "" {
+		key = job.id
+	}
+	if service == "" {
+		service = job.id // else all jobs without a service would share the preferred machines of the empty name
+	}
+	return flaxshelf.Task{
+		ID:              job.taskID(),
+		Key:             key,
+		Service:         service,
+		Class:           spec.Class,
+		Tenant:          spec.Tenant,
+		Cores:           spec.Cores,
+		Memory:          spec.Memory,
+		ExpectedRuntime: spec.ExpectedRuntime,
+		Deadline:        job.placementDeadline,
+		Retry:           spec.Retry || job.request > 1,
+	}
+}
+
+// openPlacementRequest begins a placement request, unless one is open. Its timeout runs also while the job waits for
+// the recovery of this incarnation.
+func (c *Core) openPlacementRequest(job *job) {
+	if job.requestOpen {
+		return
+	}
+	delete(c.jobsByTask, job.taskID())
+	job.request++
+	job.taskName, job.attemptCount, job.outcome, job.nodeID = "", 0, "", ""
+	job.requestOpen, job.requestedAt = true, c.now
+	if job.receivedAt > 0 { // the first request of a job that no start time or hold has delayed
+		job.requestedAt = job.receivedAt
+	}
+	job.receivedAt = 0
+	c.openRequests++
+	job.placementDeadline = job.requestedAt + c.placementTimeout(job.spec)
+	c.guardDeadline(job)
+}
+
+// placementTimeout is how long a placement request may stay open.
+func (c *Core) placementTimeout(spec *Spec) time.Duration {
+	if spec.PlacementTimeout > 0 {
+		return spec.PlacementTimeout
+	}
+	return c.cfg.Limits.PlacementTimeouts[spec.Class]
+}
+
+// guardDeadline gives the placement request an outcome after its deadline where the module was kept from doing so, as
+// by a stall.
+func (c *Core) guardDeadline(job *job) {
+	deadline := job.placementDeadline
+	job.placementTimer = c.timers.Schedule(deadline+c.cfg.Module.AnswerSlack/2, func() {
+		if job.requestOpen && job.placementDeadline == deadline && !c.cfg.DisabledGuards.Answer {
+			c.failOverdue(job)
+		}
+	})
+}
+
+func (c *Core) failOverdue(job *job) {
+	c.notifyModule(flaxshelf.TaskCanceled{Task: job.taskID()})
+	if job.subState == SubRecovering {
+		c.failPlacementRequest(job, OutcomeFailed, "it may run on a node that has not been heard since the scheduler started")
+		return
+	}
+	outcome := OutcomeFailed
+	if job.attemptCount == 0 || c.isIdempotent(job) {
+		outcome = OutcomeRejected
+	}
+	c.failPlacementRequest(job, outcome, "the scheduler was kept from deciding in time")
+}
+
+// failTask carries out the module's decision that a task is not placed.
+func (c *Core) failTask(taskID string, outcome Outcome) {
+	job := c.jobsByTask[taskID]
+	if job == nil || !job.requestOpen || job.taskID() != taskID {
+		return
+	}
+	c.failPlacementRequest(job, outcome, "")
+}
+
+// failPlacementRequest ends a job whose placement request has failed. An empty reason leaves that of the last attempt,
+// or gives a general one.
+func (c *Core) failPlacementRequest(job *job, outcome Outcome, reason string) {
+	if reason != "" {
+		job.reason = reason
+	}
+	c.closeWithAttempt(job, outcome)
+	subState, defaultReason := SubRejected, "no node took it in time; asking again does no harm"
+	if outcome == OutcomeFailed {
+		subState, defaultReason = SubUncertain, "an attempt may have run"
+	}
+	if job.reason == "" {
+		job.reason = defaultReason
+	}
+	c.finishJob(job, Failed, subState, job.reason)
+}
+
+// closeWithAttempt closes a placement request and gives up its attempt, if any: an offer that was not sent ends at
+// once, any other is stopped.
+func (c *Core) closeWithAttempt(job *job, outcome Outcome) {
+	current := job.attempt
+	switch {
+	case current == nil:
+		c.closePlacementRequest(job, outcome, "")
+	case current.phase == phaseConnecting:
+		c.closePlacementRequest(job, outcome, current.id)
+		c.endAttempt(current, attemptEnd{outcome: flaxshelf.NotSent})
+	default:
+		c.stopAttempt(current)
+		c.closePlacementRequest(job, outcome, current.id)
+	}
+}
+
+// cancelPlacementRequest cancels the open placement request, if any, on behalf of the job's owner.
+func (c *Core) cancelPlacementRequest(job *job, attemptID string) {
+	if !job.requestOpen {
+		return
+	}
+	c.notifyModule(flaxshelf.TaskCanceled{Task: job.taskID()})
+	c.closePlacementRequest(job, OutcomeCanceled, attemptID)
+}
+
+// closePlacementRequest gives an open placement request its one outcome.
+func (c *Core) closePlacementRequest(job *job, outcome Outcome, attemptID string) {
+	if !job.requestOpen {
+		return
+	}
+	job.requestOpen = false
+	c.timers.Cancel(job.placementTimer)
+	c.openRequests--
+	job.outcome = outcome
+	if outcome == OutcomePlaced {
+		job.backoffLevel = max(job.backoffLevel-1, 0)
+	}
+	c.rejectPendingHold(job)
+	c.changed(job)
+	c.emit(LogOutcome{Info: job.info(), Attempt: attemptID})
+}
+
+// rejectPendingHold answers a hold that came too late: the placement request has its outcome.
+func (c *Core) rejectPendingHold(job *job) {
+	if !job.holdPending {
+		return
+	}
+	job.holdPending = false
+	if job.outcome == OutcomePlaced {
+		c.reject(job.pendingHoldReq, InvalidState, 0, "job %s was placed before the hold", job.id)
+	} else {
+		c.reject(job.pendingHoldReq, InvalidState, 0, "job %s ended before the hold: %s", job.id, job.outcome)
+	}
+}
--- a/internal/scheduler/property_test.go
+++ b/internal/scheduler/property_test.go
@@ -64,11 +64,11 @@
 func (w *world) machines() []flaxshelf.Machine {
 	var all []flaxshelf.Machine
 	for i, n := range nodeNames {
-		m := flaxshelf.Machine{ID: n, Zone: []string{"a", "a", "b"}[i]}
+		machine := flaxshelf.Machine{ID: n, Zone: []string{"a", "a", "b"}[i]}
 		if w.out[n] {
-			m.State = flaxshelf.Draining
+			machine.State = flaxshelf.Draining
 		}
-		all = append(all, m)
+		all = append(all, machine)
 	}
 	return all
 }
@@ -178,7 +178,7 @@
 }
 
 func (w *world) step(in ...Input) {
-	if w.fenced > 0 && w.now-w.fencedAt >= w.c.syncWait() {
+	if w.fenced > 0 && w.now-w.fencedAt >= w.c.syncTimeout() {
 		w.fenced = 0
 	}
 	for _, i := range in {
@@ -199,22 +199,22 @@
 	if w.wake < w.now || w.wake > w.now+w.c.cfg.Limits.StallThreshold {
 		w.t.Fatalf("at %v the core wants to be woken at %v", w.now, w.wake)
 	}
-	for _, e := range o.Effects {
-		w.judge(e)
+	for _, effect := range o.Effects {
+		w.judge(effect)
 	}
 	w.count()
 }
 
 func texts(o Output) string {
 	var b strings.Builder
-	for _, e := range o.Effects {
-		b.WriteString(text(e, true) + "\n")
+	for _, effect := range o.Effects {
+		b.WriteString(text(effect, true) + "\n")
 	}
 	return b.String()
 }
 
-func (w *world) judge(e Effect) {
-	switch e := e.(type) {
+func (w *world) judge(effect Effect) {
+	switch e := effect.(type) {
 	case SyncDiscovery:
 		w.fenced, w.fencedAt = e.Token, w.now
 	case Answer:
@@ -273,23 +273,23 @@
 // count compares the core's counts with what it holds.
 func (w *world) count() {
 	open, live, ended := 0, 0, 0
-	for id, j := range w.c.jobs {
-		if id != j.id {
+	for id, job := range w.c.jobs {
+		if id != job.id {
 			continue
 		}
-		if j.open {
+		if job.requestOpen {
 			open++
 		}
-		if j.state.Ended() {
+		if job.state.Ended() {
 			ended++
-			if j.open {
+			if job.requestOpen {
 				w.t.Fatalf("%s has ended with an open ask", id)
 			}
 		} else {
 			live++
 		}
 	}
-	if got := []int{w.c.nOpen, w.c.nLive, w.c.nEnded}; !reflect.DeepEqual(got, []int{open, live, ended}) {
+	if got := []int{w.c.openRequests, w.c.unfinishedJobs, w.c.endedJobCount}; !reflect.DeepEqual(got, []int{open, live, ended}) {
 		w.t.Fatalf("counts open, live, ended are %v, held are %d, %d, %d", got, open, live, ended)
 	}
 }
@@ -302,9 +302,9 @@
 		w.step()
 	}
 	w.advance(9 * time.Second)
-	for id, j := range w.c.jobs {
-		if j.open && w.now > j.due+w.c.cfg.Module.AnswerSlack {
-			w.t.Fatalf("%s: its ask was due at %v and is open at %v: %s/%s", id, j.due, w.now, j.state, j.sub)
+	for id, job := range w.c.jobs {
+		if job.requestOpen && w.now > job.placementDeadline+w.c.cfg.Module.AnswerSlack {
+			w.t.Fatalf("%s: its ask was due at %v and is open at %v: %s/%s", id, job.placementDeadline, w.now, job.state, job.subState)
 		}
 	}
 }
--- /dev/null
+++ b/internal/scheduler/query.go
@@ -0,0 +1,62 @@
+package scheduler
+
+import (
+	"cmp"
+	"slices"
+)
+
+// defaultQueryLimit bounds the answer to a query that names no limit.
+const defaultQueryLimit = 1000
+
+func (in Query) apply(c *Core) {
+	if in.Job == "" {
+		limit := in.Limit
+		if limit <= 0 {
+			limit = defaultQueryLimit
+		}
+		c.answer(in.Req, Answer{Jobs: c.page(in.Session, in.After, limit)})
+		return
+	}
+	if array := c.arrays[in.Job]; array != nil {
+		c.answerArray(in.Req, array)
+	} else if job := c.jobs[in.Job]; job != nil {
+		c.answerJob(in.Req, job)
+	} else {
+		c.rejectUnknownJob(in.Req, in.Job)
+	}
+}
+
+// page lists jobs in the order of their IDs, beginning behind after. An empty session stands for all.
+func (c *Core) page(session, after string, limit int) []Info {
+	found := c.jobsWhere(func(job *job) bool { return job.id > after && job.inSession(session) })
+	slices.SortFunc(found, func(a, b *job) int { return cmp.Compare(a.id, b.id) })
+	found = found[:min(limit, len(found))]
+	infos := make([]Info, len(found))
+	for i, job := range found {
+		infos[i] = job.info()
+	}
+	return infos
+}
+
+// jobsWhere lists the jobs that match, each once though it may have several IDs, in no particular order.
+func (c *Core) jobsWhere(match func(*job) bool) []*job {
+	var found []*job
+	for id, job := range c.jobs {
+		if id == job.id && match(job) {
+			found = append(found, job)
+		}
+	}
+	return found
+}
+
+func (in Machines) apply(c *Core) {
+	all := make([]MachineInfo, len(c.nodesByName))
+	for i, node := range c.nodesByName {
+		all[i] = MachineInfo{Machine: node.machine, Connected: node.connected, Jobs: len(node.attempts)}
+	}
+	c.answer(in.Req, Answer{Machines: all})
+}
+
+func (c *Core) rejectUnknownJob(req uint64, id string) {
+	c.reject(req, InvalidArgument, 0, "no job %q", id)
+}
--- a/internal/scheduler/script_test.go
+++ b/internal/scheduler/script_test.go
@@ -96,7 +96,7 @@
 		}
 	}
 	var b strings.Builder
-	for !stall && s.wake > 0 && s.wake < at && s.c.last > 0 {
+	for !stall && s.wake > 0 && s.wake < at && s.c.lastStepAt > 0 {
 		s.out(&b, s.wake, s.c.Step(s.wake, nil), all)
 	}
 	var in []Input
@@ -112,15 +112,15 @@
 // out prints effects; times only where something happened between the steps.
 func (s *script) out(b *strings.Builder, at Time, o Output, all bool) {
 	s.now, s.wake = at, max(o.Wake, at+time.Millisecond)
-	for _, e := range o.Effects {
-		if line := text(e, all); line != "" {
+	for _, effect := range o.Effects {
+		if line := text(effect, all); line != "" {
 			fmt.Fprintf(b, "%v %s\n", at, line)
 		}
 	}
 }
 
-func text(e Effect, all bool) string {
-	switch e := e.(type) {
+func text(effect Effect, all bool) string {
+	switch e := effect.(type) {
 	case SendOffer:
 		return fmt.Sprintf("> %s offer %s for %v", e.Node, e.Attempt, e.ValidFor.Round(time.Millisecond))
 	case SendStop:
@@ -171,7 +171,7 @@
 	case Drained:
 		return "drained"
 	}
-	return fmt.Sprintf("%#v", e)
+	return fmt.Sprintf("%#v", effect)
 }
 
 func dur(t *testing.T, s string) time.Duration {
@@ -291,19 +291,19 @@
 	l := NodesUpdated{Complete: whole}
 	for _, w := range names {
 		name, how, _ := strings.Cut(w, ":")
-		m := flaxshelf.Machine{ID: name, Zone: "b"}
+		machine := flaxshelf.Machine{ID: name, Zone: "b"}
 		if name == "n1" || name == "n2" {
-			m.Zone = "a"
+			machine.Zone = "a"
 		}
 		switch {
 		case how == "draining":
-			m.State = flaxshelf.Draining
+			machine.State = flaxshelf.Draining
 		case how == "out":
-			m.State = flaxshelf.Removed
+			machine.State = flaxshelf.Removed
 		case how != "":
-			m.Started = dur(t, how)
+			machine.Started = dur(t, how)
 		}
-		l.Machines = append(l.Machines, m)
+		l.Machines = append(l.Machines, machine)
 	}
 	sort.Slice(l.Machines, func(i, j int) bool { return l.Machines[i].ID < l.Machines[j].ID })
 	return l
--- /dev/null
+++ b/internal/scheduler/submission.go
@@ -0,0 +1,154 @@
+package scheduler
+
+import (
+	"strconv"
+	"time"
+)
+
+// overloadRetryAfter is the Retry-After of submissions that are rejected because of a limit.
+const overloadRetryAfter = time.Second
+
+// maxArrayJobs bounds the jobs of one array.
+const maxArrayJobs = 100000
+
+// apply accepts a job or an array, or answers why not. What is accepted is never dropped later.
+func (in Submit) apply(c *Core) {
+	if err := c.validateSubmission(in); err != nil {
+		c.answer(in.Req, Answer{Err: err})
+		return
+	}
+	if in.Spec.Key != "" {
+		if job := c.jobsByKey[in.Spec.Key]; job != nil && c.answerKnownKey(in, job) {
+			return
+		}
+	}
+	if err := c.admissionError(in); err != nil {
+		c.answer(in.Req, Answer{Err: err})
+		return
+	}
+	if len(in.Indexes) > 0 {
+		c.submitArray(in)
+		return
+	}
+	job := c.newJob(&in.Spec)
+	job.receivedAt = in.ReceivedAt
+	c.answerJob(in.Req, job)
+	c.admit(job)
+}
+
+// jobCount is the number of jobs that a submission asks for.
+func (in Submit) jobCount() int { return max(len(in.Indexes), 1) }
+
+// validateSubmission returns why a submission can never be accepted as it is.
+func (c *Core) validateSubmission(in Submit) *Error {
+	spec := &in.Spec
+	switch {
+	case !c.knownClass(spec.Class):
+		return newError(InvalidArgument, 0, "no class %d", spec.Class)
+	case in.jobCount() > maxArrayJobs:
+		return newError(InvalidArgument, 0, "an array of %d jobs, %d at most", in.jobCount(), maxArrayJobs)
+	case spec.Session != "" && !c.sessions[spec.Session]:
+		return newError(InvalidSession, 0, "no job session %q", spec.Session)
+	}
+	return nil
+}
+
+// admissionError returns why a valid submission is not accepted now.
+func (c *Core) admissionError(in Submit) *Error {
+	// A core that is overloaded would accept what it can hardly place before its owner gives up.
+	if late := c.now - in.ReceivedAt; in.ReceivedAt > 0 && late > c.placementTimeout(&in.Spec)/2 {
+		return newError(TryLater, overloadRetryAfter, "the scheduler is %v behind", late.Round(time.Millisecond))
+	}
+	limits := &c.cfg.Limits
+	switch {
+	case c.draining:
+		return newError(TryLater, limits.SettleTime, "the scheduler is shutting down")
+	case c.openRequests+in.jobCount() > limits.MaxPending:
+		return newError(TryLater, overloadRetryAfter, "%d jobs wait for their outcome, %d at most",
+			c.openRequests, limits.MaxPending)
+	case c.unfinishedJobs+in.jobCount() > limits.MaxRunning:
+		return newError(TryLater, overloadRetryAfter, "%d jobs have not ended, %d at most",
+			c.unfinishedJobs, limits.MaxRunning)
+	}
+	return nil
+}
+
+// answerKnownKey answers a submission whose key names an earlier job: an owner that did not receive the answer retries
+// and must not start the work twice. It returns false where the submission is to be treated as new: only a job that
+// ended without having been placed is replaced, and where it may have run, not before the settle time.
+func (c *Core) answerKnownKey(in Submit, job *job) bool {
+	if !job.endedUnplaced() {
+		answer := Answer{Jobs: []Info{job.info()}, Existing: true}
+		if job.array != nil {
+			answer.Array, answer.Jobs = job.array.id, job.array.infos()
+		}
+		c.answer(in.Req, answer)
+		return true
+	}
+	wait := c.earliestResubmission(job) - c.now
+	if wait <= 0 {
+		return false
+	}
+	c.reject(in.Req, TryLater, wait, "an attempt for key %q may have run; it is waited for", in.Spec.Key)
+	return true
+}
+
+// newID gives a job or an array its ID.
+func (c *Core) newID() string {
+	c.lastJobNumber++
+	return c.idPrefix + strconv.FormatUint(c.lastJobNumber, 36)
+}
+
+// newJob makes a job of this incarnation. It is placed after admit.
+func (c *Core) newJob(spec *Spec) *job {
+	job := &job{id: c.newID(), spec: spec, state: Queued, subState: SubWaiting, submittedAt: c.now}
+	if spec.Hold {
+		job.state, job.subState = QueuedHeld, SubHeld
+	}
+	c.addJob(job)
+	return job
+}
+
+// admit has an accepted job placed, unless it is on hold.
+func (c *Core) admit(job *job) {
+	job.admitted = true
+	if job.spec.Deadline > 0 {
+		job.deadlineTimer = c.timers.Schedule(job.spec.Deadline, func() { c.terminateJob(job) })
+	}
+	if job.onHold() {
+		job.receivedAt = 0
+		c.changed(job)
+		return
+	}
+	c.placeWhenReady(job)
+}
+
+// placeWhenReady gives a job to the module, once its start time, the settle time of a former attempt and the recovery
+// of this incarnation allow it.
+func (c *Core) placeWhenReady(job *job) {
+	switch {
+	case job.spec.NotBefore > c.now:
+		job.receivedAt = 0
+		c.delay(job, SubStartTime, job.spec.NotBefore, c.submitToModule)
+	case job.request > 0 && c.earliestResubmission(job) > c.now:
+		c.delay(job, SubBackoff, c.earliestResubmission(job), c.placeWhenReady)
+	case c.mustAwaitRecovery(job):
+		job.subState = SubRecovering
+		c.openPlacementRequest(job)
+		c.recovery.waiting = append(c.recovery.waiting, job)
+		c.changed(job)
+	default:
+		c.submitToModule(job)
+	}
+}
+
+// delay puts a job into a waiting sub-state, and goes on with it at the given time if it still is in that sub-state.
+func (c *Core) delay(job *job, subState string, until Time, proceed func(*job)) {
+	job.subState = subState
+	c.changed(job)
+	job.delayTimer = c.timers.Schedule(until, func() {
+		if !job.state.Ended() && job.subState == subState {
+			proceed(job)
+		}
+	})
+}
--- a/internal/scheduler/timer_test.go
+++ b/internal/scheduler/timer_test.go
@@ -14,8 +14,8 @@
 	}
 	now := time.Second
 	offers := func(o Output) (out []SendOffer) {
-		for _, e := range o.Effects {
-			if e, ok := e.(SendOffer); ok {
+		for _, effect := range o.Effects {
+			if e, ok := effect.(SendOffer); ok {
 				out = append(out, e)
 			}
 		}
--- a/internal/scheduler/watch.go
+++ b/internal/scheduler/watch.go
@@ -7,85 +7,94 @@
 
 // watches knows which streams follow which jobs. A stream follows one topic: a job, an array or a session.
 type watches struct {
-	topics map[string][]uint64 // in the order they came
-	of     map[uint64]string
+	streams map[string][]uint64 // by topic, in the order in which they subscribed
+	topics  map[uint64]string   // by stream
 }
 
+// The prefixes of topics. A topic of an empty session is that of all jobs.
 const (
 	jobTopic     = "j:"
 	arrayTopic   = "a:"
 	sessionTopic = "s:"
 )
 
+func newWatches() watches {
+	return watches{streams: map[string][]uint64{}, topics: map[uint64]string{}}
+}
+
 func (w *watches) add(stream uint64, topic string) {
 	w.remove(stream)
-	w.of[stream] = topic
-	w.topics[topic] = append(w.topics[topic], stream)
+	w.topics[stream] = topic
+	w.streams[topic] = append(w.streams[topic], stream)
 }
 
 func (w *watches) remove(stream uint64) {
-	topic, ok := w.of[stream]
+	topic, ok := w.topics[stream]
 	if !ok {
 		return
 	}
-	delete(w.of, stream)
-	left := slices.DeleteFunc(w.topics[topic], func(s uint64) bool { return s == stream })
+	delete(w.topics, stream)
+	left := slices.DeleteFunc(w.streams[topic], func(other uint64) bool { return other == stream })
 	if len(left) == 0 {
-		delete(w.topics, topic)
+		delete(w.streams, topic)
 	} else {
-		w.topics[topic] = left
+		w.streams[topic] = left
 	}
 }
 
-// watch starts a stream with every job of its topic that has changed since in.Since, oldest change first.
-func (c *Core) watch(in Watch) {
-	var found []*job
-	switch j := c.jobs[in.Job]; {
-	case j != nil:
-		c.watches.add(in.Stream, jobTopic+j.id)
-		found = []*job{j}
-	case c.arrays[in.Job] != nil:
-		c.watches.add(in.Stream, arrayTopic+in.Job)
-		found = slices.Clone(c.arrays[in.Job].jobs)
-	case in.Job != "":
-		c.refuse(in.Req, InvalidArgument, 0, "no job %q", in.Job)
-		return
-	case in.Session != "" && c.sessions[in.Session] == nil:
-		c.refuse(in.Req, InvalidSession, 0, "no job session %q", in.Session)
+// apply starts a stream with every job of its topic that has changed since in.Since, oldest change first.
+func (in Watch) apply(c *Core) {
+	topic, found, err := c.watchedJobs(in)
+	if err != nil {
+		c.answer(in.Req, Answer{Err: err})
 		return
-	default:
-		c.watches.add(in.Stream, sessionTopic+in.Session)
-		for id, j := range c.jobs {
-			if id == j.id && (in.Session == "" || j.spec.Session == in.Session) {
-				found = append(found, j)
-			}
-		}
 	}
+	c.watches.add(in.Stream, topic)
 	c.answer(in.Req, Answer{})
-	slices.SortFunc(found, func(a, b *job) int { return cmp.Compare(a.rev, b.rev) })
-	for _, j := range found {
-		if j.rev > in.Since {
-			c.emit(Publish{in.Stream, j.info()})
+	slices.SortFunc(found, func(a, b *job) int { return cmp.Compare(a.revision, b.revision) })
+	for _, job := range found {
+		if job.revision > in.Since {
+			c.emit(Publish{in.Stream, job.info()})
 		}
 	}
 }
 
-// changed publishes a job's new state to those who follow it, its array, its session, or all.
-func (c *Core) changed(j *job) {
-	c.rev++
-	j.rev = c.rev
-	c.publish(jobTopic+j.id, j)
-	if j.array != nil {
-		c.publish(arrayTopic+j.array.id, j)
+// watchedJobs returns the topic that a watch names and the jobs that belong to it now.
+func (c *Core) watchedJobs(in Watch) (topic string, jobs []*job, err *Error) {
+	if watched := c.jobs[in.Job]; watched != nil {
+		return jobTopic + watched.id, []*job{watched}, nil
+	}
+	if array := c.arrays[in.Job]; array != nil {
+		return arrayTopic + in.Job, slices.Clone(array.jobs), nil
+	}
+	if in.Job != "" {
+		return "", nil, newError(InvalidArgument, 0, "no job %q", in.Job)
+	}
+	if in.Session != "" && !c.sessions[in.Session] {
+		return "", nil, newError(InvalidSession, 0, "no job session %q", in.Session)
+	}
+	found := c.jobsWhere(func(job *job) bool { return job.inSession(in.Session) })
+	return sessionTopic + in.Session, found, nil
+}
+
+func (in Unwatch) apply(c *Core) { c.watches.remove(in.Stream) }
+
+// changed gives a job its next revision and publishes it to those who follow it, its array, its session, or all.
+func (c *Core) changed(job *job) {
+	c.lastRevision++
+	job.revision = c.lastRevision
+	c.publish(jobTopic+job.id, job)
+	if job.array != nil {
+		c.publish(arrayTopic+job.array.id, job)
 	}
-	c.publish(sessionTopic, j)
-	if j.spec.Session != "" {
-		c.publish(sessionTopic+j.spec.Session, j)
+	c.publish(sessionTopic, job)
+	if job.spec.Session != "" {
+		c.publish(sessionTopic+job.spec.Session, job)
 	}
 }
 
-func (c *Core) publish(topic string, j *job) {
-	for _, s := range c.watches.topics[topic] {
-		c.emit(Publish{s, j.info()})
+func (c *Core) publish(topic string, job *job) {
+	for _, stream := range c.watches.streams[topic] {
+		c.emit(Publish{stream, job.info()})
 	}
 }
