--- /dev/null
+++ b/internal/scheduler/helpers_test.go
@@ -0,0 +1,94 @@
+package scheduler
+
+import (
+	"testing"
+	"time"
+
+	"flaxshelf.example/flaxshelf"
+)
+
+// testConfig has one kind of node, a drain grace of 1 s, a settle time of 2 s and four classes: one that is idempotent,
+// one that is idempotent by key in a zone for 5 s, one that must run at most once, and one that is idempotent with a
+// spread of at most one for each zone.
+func testConfig() Config {
+	return Config{
+		Name: "s",
+		Seed: 1,
+		Module: flaxshelf.Config{
+			Schedulers:            1,
+			MaxAttempts:           3,
+			CanCancel:             true,
+			CoreOvercommit:        1,
+			MemoryOvercommit:      1,
+			DiscoveryOnRequest:    true,
+			Tick:                  2 * time.Millisecond,
+			ConnectTimeout:        250 * time.Millisecond,
+			AnswerSlack:           100 * time.Millisecond,
+			DrainGrace:            time.Second,
+			DiscoveryPollDeadline: 10 * time.Second,
+			SlowStartDuration:     10 * time.Second,
+			OverloadWindow:        2 * time.Second,
+			SlowStartBudget:       4,
+			Kinds:                 []flaxshelf.Kind{{Name: "small", Cores: 8, Memory: 32}},
+			Classes: []flaxshelf.Class{
+				{Name: "safe", Idempotency: flaxshelf.Idempotent, LatencyObjective: time.Second, Kind: -1},
+				{Name: "keyed", Idempotency: flaxshelf.IdempotentByKey, KeyDomain: flaxshelf.ZoneDomain,
+					KeyTTL: 5 * time.Second, LatencyObjective: time.Second, Kind: -1},
+				{Name: "unsafe", Idempotency: flaxshelf.NonIdempotent, LatencyObjective: time.Second, Kind: -1},
+				{Name: "spread", Idempotency: flaxshelf.Idempotent, LatencyObjective: time.Second, Kind: -1,
+					SpreadDomain: flaxshelf.ZoneDomain, MaxPerDomain: 1},
+			},
+		},
+		Limits: Limits{
+			MaxPending:        4,
+			MaxRunning:        100,
+			MaxFinished:       3,
+			MaxSessions:       2,
+			Retention:         time.Minute,
+			SettleTime:        2 * time.Second,
+			StallThreshold:    500 * time.Millisecond,
+			PlacementTimeouts: []time.Duration{3 * time.Second, 8 * time.Second, 3 * time.Second, 3 * time.Second},
+		},
+	}
+}
+
+// newConnectedCore makes a core to which n1, n2 and n3 have connected.
+func newConnectedCore(t *testing.T, now Time) *Core {
+	t.Helper()
+	core, err := New(testConfig())
+	if err != nil {
+		t.Fatal(err)
+	}
+	machines := (&simulation{}).machines()
+	core.Step(now, []Input{
+		NodesUpdated{Complete: true, Machines: machines},
+		NodeUp{Node: "n1"}, NodeUp{Node: "n2"}, NodeUp{Node: "n3"},
+	})
+	return core
+}
+
+// answerTo finds the one answer to a request.
+func answerTo(t *testing.T, out Output, req uint64) Answer {
+	t.Helper()
+	var found []Answer
+	for _, effect := range out.Effects {
+		if answer, ok := effect.(Answer); ok && answer.Req == req {
+			found = append(found, answer)
+		}
+	}
+	if len(found) != 1 {
+		t.Fatalf("%d answers to request %d, want 1", len(found), req)
+	}
+	return found[0]
+}
+
+// offersOf lists the offers that a step sends.
+func offersOf(out Output) []SendOffer {
+	var offers []SendOffer
+	for _, effect := range out.Effects {
+		if offer, ok := effect.(SendOffer); ok {
+			offers = append(offers, offer)
+		}
+	}
+	return offers
+}
--- a/internal/scheduler/property_test.go
+++ b/internal/scheduler/property_test.go
@@ -12,60 +12,81 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-// world is nodes and owners that do anything that the wires allow, in any order, and what must hold of the core's
-// answers to it.
-type world struct {
-	t        *rapid.T
-	c, twin  *Core
-	now      Time
-	wake     Time
-	out      map[string]bool // nodes that are not in, by the core's last list
-	up       map[string]bool
-	offers   []*offerSeen
-	byID     map[string]*offerSeen
-	jobs     []string
-	outcomes map[string]Outcome // by job and ask
-	fenced   uint64
-	fencedAt Time
-	stalled  bool
+// TestRandomSimulationsKeepInvariants drives a core with random simulations. Every placement request has one outcome,
+// no job is offered while it is offered or runs, work that must run at most once is offered again only after proof that
+// it did not run, nothing is offered to a node that is draining or while a sync after a stall is unanswered, the counts
+// agree with what the core holds, and equal inputs give equal outputs.
+func TestRandomSimulationsKeepInvariants(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		s := newSimulation(t)
+		s.step(NodesUpdated{Complete: true, Machines: s.machines()}, NodeUp{Node: "n1"}, NodeUp{Node: "n2"})
+		s.connected["n1"], s.connected["n2"] = true, true
+		for range rapid.IntRange(1, 120).Draw(t, "steps") {
+			s.act()
+		}
+		s.finish()
+	})
+}
+
+var nodeNames = []string{"n1", "n2", "n3"}
+
+// simulation plays nodes and owners that send anything that the protocols allow, in any order, and checks the core's
+// effects.
+type simulation struct {
+	t         *rapid.T
+	core      *Core
+	replica   *Core // gets the same inputs and must give the same outputs
+	now       Time
+	wake      Time
+	draining  map[string]bool // nodes, by the list that the core got last
+	connected map[string]bool // nodes
+	offers    []*sentOffer
+	offerByID map[string]*sentOffer
+	jobs      []string
+	outcomes  map[string]Outcome // by job and placement request
+	syncToken uint64             // of the sync that discovery has not answered; 0 for none
+	syncedAt  Time               // when that sync began
+	stalled   bool
 }
 
-type offerSeen struct {
+// sentOffer is an offer that the core has sent.
+type sentOffer struct {
 	SendOffer
 	at       Time
 	closed   bool // answered, stopped, timed out or its connection broken
-	proved   bool // refused, not sent
+	proved   bool // that it never ran: rejected
 	accepted bool
 	ended    bool
 }
 
-var nodeNames = []string{"n1", "n2", "n3"}
-
-// TestAnything drives a core with random worlds. It holds that every ask has one outcome, no job is offered while
-// it is offered or runs, unsafe work is offered again only after proof, nothing goes to a node that is not in or
-// before the word after a stall is in, counts agree, and equal inputs give equal outputs.
-func TestAnything(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		w := &world{t: t, now: time.Second, out: map[string]bool{}, up: map[string]bool{},
-			byID: map[string]*offerSeen{}, outcomes: map[string]Outcome{}}
-		cfg := settingsForTests()
-		cfg.Limits.MaxPending = 20
-		w.c, _ = New(cfg)
-		w.twin, _ = New(cfg)
-		w.step(NodesUpdated{Complete: true, Machines: w.machines()}, NodeUp{Node: "n1"}, NodeUp{Node: "n2"})
-		w.up["n1"], w.up["n2"] = true, true
-		for range rapid.IntRange(1, 120).Draw(t, "steps") {
-			w.act()
-		}
-		w.rest()
-	})
+func newSimulation(t *rapid.T) *simulation {
+	cfg := testConfig()
+	cfg.Limits.MaxPending = 20
+	core, err := New(cfg)
+	if err != nil {
+		t.Fatal(err)
+	}
+	replica, err := New(cfg)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return &simulation{
+		t:         t,
+		core:      core,
+		replica:   replica,
+		now:       time.Second,
+		draining:  map[string]bool{},
+		connected: map[string]bool{},
+		offerByID: map[string]*sentOffer{},
+		outcomes:  map[string]Outcome{},
+	}
 }
 
-func (w *world) machines() []flaxshelf.Machine {
+func (s *simulation) machines() []flaxshelf.Machine {
 	var all []flaxshelf.Machine
-	for i, n := range nodeNames {
-		machine := flaxshelf.Machine{ID: n, Zone: []string{"a", "a", "b"}[i]}
-		if w.out[n] {
+	for i, name := range nodeNames {
+		machine := flaxshelf.Machine{ID: name, Zone: []string{"a", "a", "b"}[i]}
+		if s.draining[name] {
 			machine.State = flaxshelf.Draining
 		}
 		all = append(all, machine)
@@ -73,207 +94,281 @@
 	return all
 }
 
-func (w *world) act() {
-	t := w.t
-	pick := func(n int, what string) int { return rapid.IntRange(0, n-1).Draw(t, what) }
-	node := nodeNames[pick(len(nodeNames), "node")]
-	switch pick(16, "act") {
+// pick draws a number below n.
+func (s *simulation) pick(n int, label string) int { return rapid.IntRange(0, n-1).Draw(s.t, label) }
+
+// oneIn draws true once in n times.
+func (s *simulation) oneIn(n int, label string) bool { return s.pick(n, label) == 0 }
+
+func (s *simulation) act() {
+	node := nodeNames[s.pick(len(nodeNames), "node")]
+	switch s.pick(16, "act") {
 	case 0, 1, 2:
-		w.step(Submit{Req: 1, Spec: Spec{Key: fmt.Sprint("k", pick(30, "key")), Class: pick(4, "class"), Tenant: -1,
-			Service: fmt.Sprint(pick(2, "service")), Cores: 1, Memory: 1, Rerunnable: pick(2, "rerun") == 0,
-			Hold: pick(8, "hold") == 0, Retry: pick(4, "again") == 0}})
+		s.submit()
 	case 3, 4, 5, 6:
-		if len(w.offers) > 0 {
-			w.reply(w.offers[pick(len(w.offers), "offer")], pick(7, "reply"))
-		}
+		s.replyToAny()
 	case 7:
-		w.up[node] = false
-		for _, o := range w.offers {
-			if o.Node == node && !o.accepted {
-				o.closed = true
-			}
-		}
-		w.step(NodeDown{Node: node})
+		s.disconnect(node)
 	case 8:
-		w.up[node] = true
-		in := NodeUp{Node: node}
-		for _, o := range w.offers {
-			if o.Node == node && !o.accepted {
-				o.closed = true // a node drops what it was asked over a former connection
-			}
-			if o.Node == node && o.accepted && !o.ended {
-				in.Running = append(in.Running, RunningAttempt{Attempt: o.Attempt, Job: o.Job, Request: o.Request, Spec: *o.Spec})
-			}
-		}
-		w.step(in)
+		s.connect(node)
 	case 9:
-		w.out[node] = !w.out[node]
-		w.step(NodesUpdated{Machines: w.machines()})
+		s.draining[node] = !s.draining[node]
+		s.step(NodesUpdated{Machines: s.machines()})
 	case 10, 11:
-		if len(w.jobs) > 0 {
-			verbs := []Verb{Hold, Release, Terminate, Hold, Release, Reap}
-			w.step(Command{Req: 2, Verb: verbs[pick(len(verbs), "verb")], Job: w.jobs[pick(len(w.jobs), "job")]})
-		}
+		s.command()
 	case 12:
-		w.stalled = true
-		w.advance(time.Duration(pick(3000, "stall")) * time.Millisecond)
-		w.stalled = false
-		w.step()
+		s.stall()
 	case 13:
-		w.step(DiscoverySynced{w.fenced})
+		s.step(DiscoverySynced{s.syncToken})
 	case 14:
-		w.step(DiscoveryFailed{})
+		s.step(DiscoveryFailed{})
 	default:
-		w.advance(time.Duration(pick(700, "pause")) * time.Millisecond)
+		s.advance(time.Duration(s.pick(700, "pause")) * time.Millisecond)
+	}
+}
+
+func (s *simulation) submit() {
+	s.step(Submit{Req: 1, Spec: Spec{
+		Key:        fmt.Sprint("k", s.pick(30, "key")),
+		Class:      s.pick(4, "class"),
+		Tenant:     -1,
+		Service:    fmt.Sprint(s.pick(2, "service")),
+		Cores:      1,
+		Memory:     1,
+		Rerunnable: s.oneIn(2, "rerunnable"),
+		Hold:       s.oneIn(8, "hold"),
+		Retry:      s.oneIn(4, "retry"),
+	}})
+}
+
+func (s *simulation) replyToAny() {
+	if len(s.offers) > 0 {
+		s.reply(s.offers[s.pick(len(s.offers), "offer")], s.pick(7, "reply"))
 	}
 }
 
+func (s *simulation) disconnect(node string) {
+	s.connected[node] = false
+	s.closeUnaccepted(node)
+	s.step(NodeDown{Node: node})
+}
+
+func (s *simulation) connect(node string) {
+	s.connected[node] = true
+	s.closeUnaccepted(node) // a node drops what it was offered over a former connection
+	up := NodeUp{Node: node}
+	for _, offer := range s.offers {
+		if offer.Node == node && offer.accepted && !offer.ended {
+			up.Running = append(up.Running, RunningAttempt{Attempt: offer.Attempt, Job: offer.Job, Request: offer.Request,
+				Spec: *offer.Spec})
+		}
+	}
+	s.step(up)
+}
+
+func (s *simulation) closeUnaccepted(node string) {
+	for _, offer := range s.offers {
+		if offer.Node == node && !offer.accepted {
+			offer.closed = true
+		}
+	}
+}
+
+func (s *simulation) command() {
+	if len(s.jobs) == 0 {
+		return
+	}
+	verbs := []Verb{Hold, Release, Terminate, Hold, Release, Reap}
+	verb := verbs[s.pick(len(verbs), "verb")]
+	s.step(Command{Req: 2, Verb: verb, Job: s.jobs[s.pick(len(s.jobs), "job")]})
+}
+
+func (s *simulation) stall() {
+	s.stalled = true
+	s.advance(time.Duration(s.pick(3000, "stall")) * time.Millisecond)
+	s.stalled = false
+	s.step()
+}
+
 // reply answers an offer, also one that was answered before or given up.
-func (w *world) reply(o *offerSeen, how int) {
-	if !w.up[o.Node] {
+func (s *simulation) reply(offer *sentOffer, how int) {
+	if !s.connected[offer.Node] {
 		return
 	}
 	switch how {
 	case 0, 1, 2:
-		if o.proved || o.ended {
-			return
-		}
-		o.accepted = true
-		w.step(AttemptAccepted{Node: o.Node, Attempt: o.Attempt})
+		s.accept(offer)
 	case 3:
-		if o.accepted {
-			return
-		}
-		if !o.closed {
-			o.proved = true
-		}
-		o.closed = true
-		w.step(AttemptRejected{Node: o.Node, Attempt: o.Attempt, Reason: flaxshelf.InsufficientMemory})
+		s.refuse(offer)
 	case 4:
-		if o.accepted {
-			return
-		}
-		o.closed = true
-		w.step(AttemptFailed{Node: o.Node, Attempt: o.Attempt})
+		s.fail(offer)
 	case 5:
-		if o.accepted && !o.ended {
-			w.step(AttemptStarted{Node: o.Node, Attempt: o.Attempt})
+		if offer.accepted && !offer.ended {
+			s.step(AttemptStarted{Node: offer.Node, Attempt: offer.Attempt})
 		}
 	default:
-		if o.accepted && !o.ended {
-			o.ended, o.closed = true, true
-			w.step(AttemptEnded{Node: o.Node, Attempt: o.Attempt, End: End(how % 3), Reason: flaxshelf.Evicted})
-		}
+		s.end(offer, End(how%3))
+	}
+}
+
+func (s *simulation) accept(offer *sentOffer) {
+	if offer.proved || offer.ended {
+		return
+	}
+	offer.accepted = true
+	s.step(AttemptAccepted{Node: offer.Node, Attempt: offer.Attempt})
+}
+
+func (s *simulation) refuse(offer *sentOffer) {
+	if offer.accepted {
+		return
+	}
+	if !offer.closed {
+		offer.proved = true
+	}
+	offer.closed = true
+	s.step(AttemptRejected{Node: offer.Node, Attempt: offer.Attempt, Reason: flaxshelf.InsufficientMemory})
+}
+
+func (s *simulation) fail(offer *sentOffer) {
+	if offer.accepted {
+		return
+	}
+	offer.closed = true
+	s.step(AttemptFailed{Node: offer.Node, Attempt: offer.Attempt})
+}
+
+func (s *simulation) end(offer *sentOffer, end End) {
+	if !offer.accepted || offer.ended {
+		return
 	}
+	offer.ended, offer.closed = true, true
+	s.step(AttemptEnded{Node: offer.Node, Attempt: offer.Attempt, End: end, Reason: flaxshelf.Evicted})
 }
 
-func (w *world) advance(d time.Duration) {
-	until := w.now + d
-	for !w.stalled && w.wake > 0 && w.wake < until {
-		w.now = max(w.wake, w.now+1)
-		w.step()
+func (s *simulation) advance(d time.Duration) {
+	until := s.now + d
+	for !s.stalled && s.wake > 0 && s.wake < until {
+		s.now = max(s.wake, s.now+1)
+		s.step()
 	}
-	w.now = until
-	w.step()
+	s.now = until
+	s.step()
 }
 
-func (w *world) step(in ...Input) {
-	if w.fenced > 0 && w.now-w.fencedAt >= w.c.syncTimeout() {
-		w.fenced = 0
+// step gives inputs to the core and its replica and checks what they answer.
+func (s *simulation) step(inputs ...Input) {
+	s.endSync(inputs)
+	out := s.core.Step(s.now, inputs)
+	if replicated := s.replica.Step(s.now, inputs); outputText(out) != outputText(replicated) {
+		s.t.Fatalf("equal inputs, two outputs:\n%s\n%s", outputText(out), outputText(replicated))
 	}
-	for _, i := range in {
-		switch i := i.(type) {
+	s.wake = out.Wake
+	if s.wake < s.now || s.wake > s.now+s.core.cfg.Limits.StallThreshold {
+		s.t.Fatalf("at %v the core wants to be woken at %v", s.now, s.wake)
+	}
+	for _, effect := range out.Effects {
+		s.check(effect)
+	}
+	s.checkCounts()
+}
+
+// endSync records that the sync of discovery has been answered or given up, after its timeout or by the inputs.
+func (s *simulation) endSync(inputs []Input) {
+	if s.syncToken > 0 && s.now-s.syncedAt >= s.core.syncTimeout() {
+		s.syncToken = 0
+	}
+	for _, in := range inputs {
+		switch in := in.(type) {
 		case DiscoverySynced:
-			if i.Token == w.fenced {
-				w.fenced = 0
+			if in.Token == s.syncToken {
+				s.syncToken = 0
 			}
 		case DiscoveryFailed:
-			w.fenced = 0
+			s.syncToken = 0
 		}
 	}
-	o := w.c.Step(w.now, in)
-	if again := w.twin.Step(w.now, in); texts(o) != texts(again) {
-		w.t.Fatalf("equal inputs, two outputs:\n%s\n%s", texts(o), texts(again))
-	}
-	w.wake = o.Wake
-	if w.wake < w.now || w.wake > w.now+w.c.cfg.Limits.StallThreshold {
-		w.t.Fatalf("at %v the core wants to be woken at %v", w.now, w.wake)
-	}
-	for _, effect := range o.Effects {
-		w.judge(effect)
-	}
-	w.count()
 }
 
-func texts(o Output) string {
+func outputText(out Output) string {
 	var b strings.Builder
-	for _, effect := range o.Effects {
-		b.WriteString(text(effect, true) + "\n")
+	for _, effect := range out.Effects {
+		b.WriteString(effectText(effect, true) + "\n")
 	}
 	return b.String()
 }
 
-func (w *world) judge(effect Effect) {
-	switch e := effect.(type) {
+func (s *simulation) check(effect Effect) {
+	switch effect := effect.(type) {
 	case SyncDiscovery:
-		w.fenced, w.fencedAt = e.Token, w.now
+		s.syncToken, s.syncedAt = effect.Token, s.now
 	case Answer:
-		if e.Err == nil && e.Req == 1 && !e.Existing {
-			w.jobs = append(w.jobs, e.Jobs[0].ID)
+		if effect.Err == nil && effect.Req == 1 && !effect.Existing {
+			s.jobs = append(s.jobs, effect.Jobs[0].ID)
 		}
 	case SendStop:
-		if o := w.byID[e.Attempt]; o != nil {
-			o.closed = true
+		if offer := s.offerByID[effect.Attempt]; offer != nil {
+			offer.closed = true
 		}
 	case LogOutcome:
-		if e.Info.State.Ended() {
-			return
-		}
-		at := fmt.Sprint(e.Info.ID, "#", e.Info.Request)
-		if old, ok := w.outcomes[at]; ok {
-			w.t.Fatalf("%s: outcome %s, then %s", at, old, e.Info.Outcome)
+		if !effect.Info.State.Ended() {
+			s.checkOutcome(effect.Info)
 		}
-		w.outcomes[at] = e.Info.Outcome
 	case SendOffer:
-		w.judgeOffer(e)
+		s.checkOffer(effect)
+	}
+}
+
+func (s *simulation) checkOutcome(info Info) {
+	request := fmt.Sprint(info.ID, "#", info.Request)
+	if former, ok := s.outcomes[request]; ok {
+		s.t.Fatalf("%s: outcome %s, then %s", request, former, info.Outcome)
 	}
+	s.outcomes[request] = info.Outcome
 }
 
-func (w *world) judgeOffer(e SendOffer) {
+func (s *simulation) checkOffer(sent SendOffer) {
 	switch {
-	case w.out[e.Node]:
-		w.t.Fatalf("%s is offered to %s, which drains", e.Attempt, e.Node)
-	case !w.up[e.Node]:
-		w.t.Fatalf("%s is offered to %s, which is down", e.Attempt, e.Node)
-	case w.fenced > 0:
-		w.t.Fatalf("%s is offered at %v though the word after the stall of %v is not in", e.Attempt, w.now, w.fencedAt)
-	case w.byID[e.Attempt] != nil:
-		w.t.Fatalf("%s is offered twice", e.Attempt)
-	}
-	class := w.c.cfg.Module.Classes[e.Spec.Class]
-	for _, o := range w.offers {
-		if o.Job != e.Job {
-			continue
-		}
-		if !o.closed && w.now < o.at+o.ValidFor {
-			w.t.Fatalf("%s is offered while %s is in flight or runs", e.Attempt, o.Attempt)
-		}
-		if o.Request == e.Request && class.Idempotency == flaxshelf.NonIdempotent && !o.proved {
-			w.t.Fatalf("unsafe: %s is offered though %s may have run", e.Attempt, o.Attempt)
-		}
-		if o.Request == e.Request && class.Idempotency == flaxshelf.IdempotentByKey && !o.proved &&
-			(o.Node == "n3") != (e.Node == "n3") {
-			w.t.Fatalf("keyed: %s is offered to %s though %s at %s may have run", e.Attempt, e.Node, o.Attempt, o.Node)
+	case s.draining[sent.Node]:
+		s.t.Fatalf("%s is offered to %s, which drains", sent.Attempt, sent.Node)
+	case !s.connected[sent.Node]:
+		s.t.Fatalf("%s is offered to %s, which is down", sent.Attempt, sent.Node)
+	case s.syncToken > 0:
+		s.t.Fatalf("%s is offered at %v though the sync after the stall of %v is not answered", sent.Attempt, s.now, s.syncedAt)
+	case s.offerByID[sent.Attempt] != nil:
+		s.t.Fatalf("%s is offered twice", sent.Attempt)
+	}
+	for _, former := range s.offers {
+		if former.Job == sent.Job {
+			s.checkSuccessor(former, sent)
 		}
 	}
-	o := &offerSeen{SendOffer: e, at: w.now}
-	w.offers, w.byID[e.Attempt] = append(w.offers, o), o
+	offer := &sentOffer{SendOffer: sent, at: s.now}
+	s.offers, s.offerByID[sent.Attempt] = append(s.offers, offer), offer
+}
+
+// checkSuccessor checks that a job may be offered though it was offered before.
+func (s *simulation) checkSuccessor(former *sentOffer, sent SendOffer) {
+	if !former.closed && s.now < former.at+former.ValidFor {
+		s.t.Fatalf("%s is offered while %s is in flight or runs", sent.Attempt, former.Attempt)
+	}
+	if former.Request != sent.Request || former.proved {
+		return
+	}
+	otherZone := (former.Node == "n3") != (sent.Node == "n3")
+	switch class := s.core.cfg.Module.Classes[sent.Spec.Class]; {
+	case class.Idempotency == flaxshelf.NonIdempotent:
+		s.t.Fatalf("not idempotent: %s is offered though %s may have run", sent.Attempt, former.Attempt)
+	case class.Idempotency == flaxshelf.IdempotentByKey && otherZone:
+		s.t.Fatalf("idempotent by key: %s is offered to %s though %s at %s may have run", sent.Attempt, sent.Node,
+			former.Attempt, former.Node)
+	}
 }
 
-// count compares the core's counts with what it holds.
-func (w *world) count() {
-	open, live, ended := 0, 0, 0
-	for id, job := range w.c.jobs {
+// checkCounts compares the core's counts with what it holds.
+func (s *simulation) checkCounts() {
+	open, unfinished, ended := 0, 0, 0
+	for id, job := range s.core.jobs {
 		if id != job.id {
 			continue
 		}
@@ -283,28 +378,30 @@
 		if job.state.Ended() {
 			ended++
 			if job.requestOpen {
-				w.t.Fatalf("%s has ended with an open ask", id)
+				s.t.Fatalf("%s has ended with an open placement request", id)
 			}
 		} else {
-			live++
+			unfinished++
 		}
 	}
-	if got := []int{w.c.openRequests, w.c.unfinishedJobs, w.c.endedJobCount}; !reflect.DeepEqual(got, []int{open, live, ended}) {
-		w.t.Fatalf("counts open, live, ended are %v, held are %d, %d, %d", got, open, live, ended)
+	got := []int{s.core.openRequests, s.core.unfinishedJobs, s.core.endedJobCount}
+	if !reflect.DeepEqual(got, []int{open, unfinished, ended}) {
+		s.t.Fatalf("counts open, unfinished, ended are %v, held are %d, %d, %d", got, open, unfinished, ended)
 	}
 }
 
-// rest lets time pass without a word from anybody: every ask must have its outcome.
-func (w *world) rest() {
-	w.step(DiscoverySynced{w.fenced})
+// finish lets time pass without a message from anybody: every placement request must have its outcome.
+func (s *simulation) finish() {
+	s.step(DiscoverySynced{s.syncToken})
 	for range 200 {
-		w.now = max(w.wake, w.now+time.Millisecond)
-		w.step()
+		s.now = max(s.wake, s.now+time.Millisecond)
+		s.step()
 	}
-	w.advance(9 * time.Second)
-	for id, job := range w.c.jobs {
-		if job.requestOpen && w.now > job.placementDeadline+w.c.cfg.Module.AnswerSlack {
-			w.t.Fatalf("%s: its ask was due at %v and is open at %v: %s/%s", id, job.placementDeadline, w.now, job.state, job.subState)
+	s.advance(9 * time.Second)
+	for id, job := range s.core.jobs {
+		if job.requestOpen && s.now > job.placementDeadline+s.core.cfg.Module.AnswerSlack {
+			s.t.Fatalf("%s: its placement request was due at %v and is open at %v: %s/%s",
+				id, job.placementDeadline, s.now, job.state, job.subState)
 		}
 	}
 }
--- /dev/null
+++ b/internal/scheduler/script_input_test.go
@@ -0,0 +1,221 @@
+package scheduler
+
+import (
+	"cmp"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+
+	"flaxshelf.example/flaxshelf"
+)
+
+// scriptLine is one input of a script: a word, arguments and options, as `submit unsafe key=k`,
+// `list n1 n2:draining` or `up n1 started=3s held=ATTEMPT`.
+type scriptLine struct {
+	t       *testing.T
+	text    string
+	word    string
+	req     uint64
+	args    []string
+	options map[string]string
+}
+
+// scriptInputs parses the line of each word.
+var scriptInputs = map[string]func(*scriptLine) Input{
+	"submit":      func(l *scriptLine) Input { return Submit{Req: l.req, Spec: l.spec(l.arg(0))} },
+	"array":       parseArray,
+	"hold":        parseCommand,
+	"release":     parseCommand,
+	"terminate":   parseCommand,
+	"reap":        parseCommand,
+	"query":       parseQuery,
+	"session":     parseSessionCommand,
+	"machines":    func(l *scriptLine) Input { return Machines{Req: l.req} },
+	"watch":       parseWatch,
+	"unwatch":     func(l *scriptLine) Input { return Unwatch{Stream: l.number(0)} },
+	"list":        func(l *scriptLine) Input { return l.nodes(true) },
+	"change":      func(l *scriptLine) Input { return l.nodes(false) },
+	"list-failed": func(*scriptLine) Input { return DiscoveryFailed{} },
+	"synced":      func(l *scriptLine) Input { return DiscoverySynced{Token: l.number(0)} },
+	"node-synced": func(l *scriptLine) Input { return NodeSynced{Node: l.arg(0), Token: l.number(1)} },
+	"up":          parseNodeUp,
+	"down":        func(l *scriptLine) Input { return NodeDown{Node: l.arg(0)} },
+	"accept":      func(l *scriptLine) Input { return AttemptAccepted{Node: l.arg(0), Attempt: l.arg(1)} },
+	"refuse":      parseRejected,
+	"fail":        parseFailed,
+	"started":     func(l *scriptLine) Input { return AttemptStarted{Node: l.arg(0), Attempt: l.arg(1)} },
+	"not-sent":    func(l *scriptLine) Input { return SendFailed{Node: l.arg(0), Attempt: l.arg(1)} },
+	"ended":       parseEnded,
+	"drain":       func(*scriptLine) Input { return Drain{} },
+}
+
+func parseInput(t *testing.T, text string, req uint64) Input {
+	t.Helper()
+	words := strings.Fields(text)
+	line := &scriptLine{t: t, text: text, word: words[0], req: req, options: map[string]string{}}
+	for _, word := range words[1:] {
+		if name, value, ok := strings.Cut(word, "="); ok {
+			line.options[name] = value
+		} else {
+			line.args = append(line.args, word)
+		}
+	}
+	parse := scriptInputs[line.word]
+	if parse == nil {
+		t.Fatalf("no input %q", text)
+	}
+	return parse(line)
+}
+
+func (l *scriptLine) arg(i int) string {
+	l.t.Helper()
+	if i >= len(l.args) {
+		l.t.Fatalf("%q: argument %d is missing", l.text, i+1)
+	}
+	return l.args[i]
+}
+
+func (l *scriptLine) number(i int) uint64 {
+	l.t.Helper()
+	n, err := strconv.ParseUint(l.arg(i), 10, 64)
+	if err != nil {
+		l.t.Fatalf("%q: %v", l.text, err)
+	}
+	return n
+}
+
+// intOption is 0 for an option that is not given.
+func (l *scriptLine) intOption(name string) int {
+	l.t.Helper()
+	if l.options[name] == "" {
+		return 0
+	}
+	return parseInt(l.t, l.options[name])
+}
+
+// timeOption is 0 for an option that is not given.
+func (l *scriptLine) timeOption(name string) Time {
+	l.t.Helper()
+	if l.options[name] == "" {
+		return 0
+	}
+	return parseTime(l.t, l.options[name])
+}
+
+// spec is a job of a class of testConfig; of none where the class is not known.
+func (l *scriptLine) spec(class string) Spec {
+	l.t.Helper()
+	isClass := func(c flaxshelf.Class) bool { return c.Name == class }
+	return Spec{
+		Key:        l.options["key"],
+		Session:    l.options["session"],
+		Service:    l.options["service"],
+		Class:      slices.IndexFunc(testConfig().Module.Classes, isClass),
+		Tenant:     -1,
+		Cores:      1,
+		Memory:     1,
+		Rerunnable: l.options["rerunnable"] != "",
+		Hold:       l.options["hold"] != "",
+		Retry:      l.options["again"] != "",
+		NotBefore:  l.timeOption("start"),
+		Deadline:   l.timeOption("deadline"),
+	}
+}
+
+func parseArray(l *scriptLine) Input {
+	submit := Submit{Req: l.req, Spec: l.spec(l.arg(0)), MaxParallel: l.intOption("parallel")}
+	for i := range parseInt(l.t, l.arg(1)) {
+		submit.Indexes = append(submit.Indexes, i+1)
+	}
+	return submit
+}
+
+func parseCommand(l *scriptLine) Input {
+	return Command{Req: l.req, Verb: Verb(l.word), Job: l.arg(0)}
+}
+
+func parseQuery(l *scriptLine) Input {
+	return Query{Req: l.req, Job: l.options["job"], Session: l.options["session"]}
+}
+
+func parseSessionCommand(l *scriptLine) Input {
+	return SessionCommand{Req: l.req, Verb: Verb(l.arg(0)), Name: l.options["name"]}
+}
+
+func parseWatch(l *scriptLine) Input {
+	return Watch{Req: l.req, Stream: l.req, Job: l.options["job"], Session: l.options["session"]}
+}
+
+// nodes reads names with their states: n1, n2:draining, n3:out, or n4:3s for the start time. The zone of n1 and n2 is
+// a, that of all others b.
+func (l *scriptLine) nodes(complete bool) NodesUpdated {
+	l.t.Helper()
+	update := NodesUpdated{Complete: complete}
+	for _, arg := range l.args {
+		name, state, _ := strings.Cut(arg, ":")
+		machine := flaxshelf.Machine{ID: name, Zone: "b"}
+		if name == "n1" || name == "n2" {
+			machine.Zone = "a"
+		}
+		switch state {
+		case "":
+		case "draining":
+			machine.State = flaxshelf.Draining
+		case "out":
+			machine.State = flaxshelf.Removed
+		default:
+			machine.Started = parseTime(l.t, state)
+		}
+		update.Machines = append(update.Machines, machine)
+	}
+	slices.SortFunc(update.Machines, func(a, b flaxshelf.Machine) int { return cmp.Compare(a.ID, b.ID) })
+	return update
+}
+
+// parseNodeUp reads held=ATTEMPT,ATTEMPT+ with + for one that runs, and ended=ATTEMPT,ATTEMPT.
+func parseNodeUp(l *scriptLine) Input {
+	up := NodeUp{Node: l.arg(0), MayBeCold: l.options["fresh"] != "", Started: l.timeOption("started")}
+	for _, held := range l.list("held") {
+		id, running := strings.CutSuffix(held, "+")
+		parts := strings.Split(id, "/")
+		up.Running = append(up.Running, RunningAttempt{Attempt: id, Job: parts[0], Request: parseInt(l.t, parts[1]),
+			Running: running, Spec: l.spec(l.options["class"])})
+	}
+	for _, ended := range l.list("ended") {
+		up.Ended = append(up.Ended, AttemptEnded{Attempt: ended})
+	}
+	return up
+}
+
+// list splits an option at its commas; one that is not given is empty.
+func (l *scriptLine) list(option string) []string {
+	return strings.FieldsFunc(l.options[option], func(r rune) bool { return r == ',' })
+}
+
+func parseRejected(l *scriptLine) Input {
+	return AttemptRejected{Node: l.arg(0), Attempt: l.arg(1), Reason: flaxshelf.InsufficientCores}
+}
+
+func parseFailed(l *scriptLine) Input {
+	return AttemptFailed{Node: l.arg(0), Attempt: l.arg(1), Message: "the start failed"}
+}
+
+// parseEnded reads how=WORD; without it the attempt has completed, with exit=STATUS.
+func parseEnded(l *scriptLine) Input {
+	ended := AttemptEnded{Node: l.arg(0), Attempt: l.arg(1), Exit: l.intOption("exit")}
+	switch how := l.options["how"]; how {
+	case "":
+	case "evicted":
+		ended.End, ended.Reason = EndLost, flaxshelf.Evicted
+	case "sent-away":
+		ended.End, ended.Reason = EndLost, flaxshelf.DrainedAway
+	case "stopped":
+		ended.End = EndStopped
+	case "broke":
+		ended.End = EndStartFailed
+	default:
+		l.t.Fatalf("%q: no end %q", l.text, how)
+	}
+	return ended
+}
--- /dev/null
+++ b/internal/scheduler/script_output_test.go
@@ -0,0 +1,86 @@
+package scheduler
+
+import (
+	"fmt"
+	"strings"
+	"time"
+)
+
+// effectText is an effect as the transcripts have it; empty for a published change, unless all are wanted.
+func effectText(effect Effect, all bool) string {
+	switch effect := effect.(type) {
+	case Connect:
+		return "connect " + effect.Node
+	case Disconnect:
+		return "disconnect " + effect.Node
+	case SubscribeDiscovery:
+		return "> inventory watch"
+	case SyncDiscovery:
+		return fmt.Sprintf("> inventory ping %d", effect.Token)
+	case Answer:
+		return answerText(effect)
+	case Publish:
+		return publishText(effect, all)
+	case LogOutcome:
+		return outcomeText(effect.Info)
+	case Drained:
+		return "drained"
+	}
+	return messageText(effect)
+}
+
+// messageText is a message to a node.
+func messageText(effect Effect) string {
+	switch effect := effect.(type) {
+	case SendOffer:
+		return fmt.Sprintf("> %s offer %s for %v", effect.Node, effect.Attempt, effect.ValidFor.Round(time.Millisecond))
+	case SendStop:
+		return fmt.Sprintf("> %s stop %s", effect.Node, effect.Attempt)
+	case SendAck:
+		return fmt.Sprintf("> %s ack %s", effect.Node, effect.Attempt)
+	case SendHealthCheck:
+		return fmt.Sprintf("> %s probe", effect.Node)
+	case SyncNode:
+		return fmt.Sprintf("> %s ping %d", effect.Node, effect.Token)
+	}
+	return fmt.Sprintf("%#v", effect)
+}
+
+func answerText(answer Answer) string {
+	if answer.Err != nil {
+		return fmt.Sprintf("answer %d: %v retry after %v", answer.Req, answer.Err,
+			answer.Err.RetryAfter.Round(time.Millisecond))
+	}
+	var b strings.Builder
+	fmt.Fprintf(&b, "answer %d:", answer.Req)
+	if answer.Existing {
+		b.WriteString(" existing")
+	}
+	if answer.Array != "" {
+		b.WriteString(" array " + answer.Array)
+	}
+	for _, job := range answer.Jobs {
+		fmt.Fprintf(&b, " %s %s/%s", job.ID, job.State, job.SubState)
+	}
+	for _, machine := range answer.Machines {
+		fmt.Fprintf(&b, " %s connected=%v jobs=%d", machine.ID, machine.Connected, machine.Jobs)
+	}
+	b.WriteString(strings.Join(answer.Sessions, " "))
+	return b.String()
+}
+
+func publishText(publish Publish, all bool) string {
+	if !all {
+		return ""
+	}
+	info := publish.Info
+	return fmt.Sprintf("publish to %d: %s ask %d %s/%s %s", publish.Stream, info.ID, info.Request, info.State,
+		info.SubState, info.Outcome)
+}
+
+func outcomeText(info Info) string {
+	if info.State.Ended() {
+		return fmt.Sprintf("end %s %s/%s %s", info.ID, info.State, info.SubState, info.Reason)
+	}
+	return fmt.Sprintf("outcome %s ask %d %s", info.ID, info.Request, info.Outcome)
+}
--- /dev/null
+++ b/internal/scheduler/submission_test.go
@@ -0,0 +1,42 @@
+package scheduler
+
+import (
+	"testing"
+	"time"
+)
+
+// The placement timeout runs from when a submission was received, not from when an overloaded core got to it. A
+// submission that has lost half of its time by then is rejected.
+func TestPlacementTimeoutRunsFromReceipt(t *testing.T) {
+	const req = 7
+	now := 10 * time.Second
+	core := newConnectedCore(t, now)
+	spec := Spec{Tenant: -1, Cores: 1, Memory: 1, PlacementTimeout: 4 * time.Second}
+	for _, test := range []struct {
+		name       string
+		receivedAt Time
+		accepted   bool
+		deadline   Time
+	}{
+		{"received now", 0, true, now + 4*time.Second},
+		{"received a second ago", now - time.Second, true, now + 3*time.Second},
+		{"received too long ago", now - 3*time.Second, false, 0},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			out := core.Step(now, []Input{Submit{Req: req, ReceivedAt: test.receivedAt, Spec: spec}})
+			answer := answerTo(t, out, req)
+			if accepted := answer.Err == nil; accepted != test.accepted {
+				t.Fatalf("accepted %v, want %v: %v", accepted, test.accepted, answer.Err)
+			}
+			if !test.accepted {
+				if answer.Err.Code != TryLater {
+					t.Errorf("error %v, want %v", answer.Err.Code, TryLater)
+				}
+				return
+			}
+			if got := core.jobs[answer.Jobs[0].ID].placementDeadline; got != test.deadline {
+				t.Errorf("placement deadline %v, want %v", got, test.deadline)
+			}
+		})
+	}
+}
