--- a/internal/shard/cores_test.go
+++ b/internal/shard/cores_test.go
@@ -15,70 +15,125 @@
 	"flaxshelf.example/flaxshelf/internal/shard"
 )
 
-// played is one core of a scheduler whose 130 nodes accept at once and run each job for a second of its own clock.
-type played struct {
-	c     *scheduler.Core
-	now   scheduler.Time
-	n     int
-	ends  []scheduler.AttemptEnded
-	at    []scheduler.Time
-	in    []scheduler.Input
-	steps []time.Duration
+const (
+	loadNodes       = 130
+	loadStep        = 2 * time.Millisecond // of the simulated clock
+	loadSubmissions = 10                   // in each step
+	loadRuntime     = time.Second          // of each job, by the simulated clock
+)
+
+// loadedCore is one core of a scheduler whose nodes accept each offer at once.
+type loadedCore struct {
+	core      *scheduler.Core
+	now       scheduler.Time
+	submitted int
+	running   []runningJob // in the order in which they end
+	inputs    []scheduler.Input
+	stepTimes []time.Duration
+}
+
+type runningJob struct {
+	endsAt scheduler.Time
+	end    scheduler.AttemptEnded
 }
 
-func newPlayed(t testing.TB, i, n int) *played {
-	cfg := scheduler.Config{Name: "s", Seed: 1, StartedAt: time.Second, Module: flaxshelf.Config{Schedulers: 1, MaxAttempts: 3,
-		CoreOvercommit: 2, MemoryOvercommit: 2, Tick: 2 * time.Millisecond, ConnectTimeout: time.Second, AnswerSlack: 100 * time.Millisecond,
-		DrainGrace: 2 * time.Second, DiscoveryPollDeadline: 10 * time.Second, Kinds: []flaxshelf.Kind{{Name: "k", Cores: 64, Memory: 256}},
-		Classes: []flaxshelf.Class{{Name: "c", LatencyObjective: time.Second, Kind: -1}}},
-		Limits: scheduler.Limits{MaxPending: 1 << 20, MaxRunning: 1 << 20, MaxFinished: 1000, MaxSessions: 1, Retention: time.Second,
-			SettleTime: time.Second, StallThreshold: time.Hour, PlacementTimeouts: []time.Duration{10 * time.Second}}}
-	c, err := scheduler.New(shard.Divide(cfg, i, n))
+func loadConfig() scheduler.Config {
+	return scheduler.Config{
+		Name:      "s",
+		Seed:      1,
+		StartedAt: time.Second,
+		Module: flaxshelf.Config{
+			Schedulers:            1,
+			MaxAttempts:           3,
+			CoreOvercommit:        2,
+			MemoryOvercommit:      2,
+			Tick:                  2 * time.Millisecond,
+			ConnectTimeout:        time.Second,
+			AnswerSlack:           100 * time.Millisecond,
+			DrainGrace:            2 * time.Second,
+			DiscoveryPollDeadline: 10 * time.Second,
+			Kinds:                 []flaxshelf.Kind{{Name: "k", Cores: 64, Memory: 256}},
+			Classes:               []flaxshelf.Class{{Name: "c", LatencyObjective: time.Second, Kind: -1}},
+		},
+		Limits: scheduler.Limits{
+			MaxPending:        1 << 20,
+			MaxRunning:        1 << 20,
+			MaxFinished:       1000,
+			MaxSessions:       1,
+			Retention:         time.Second,
+			SettleTime:        time.Second,
+			StallThreshold:    time.Hour,
+			PlacementTimeouts: []time.Duration{10 * time.Second},
+		},
+	}
+}
+
+func newLoadedCore(t testing.TB, index, cores int) *loadedCore {
+	t.Helper()
+	core, err := scheduler.New(shard.Divide(loadConfig(), index, cores))
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &played{c: c, now: time.Second}
-	var list scheduler.NodesUpdated
-	list.Complete = true
-	in := []scheduler.Input{}
-	for m := range 130 {
-		name := fmt.Sprintf("n%d", m)
-		list.Machines = append(list.Machines, flaxshelf.Machine{ID: name, Zone: fmt.Sprint("z", m%3), Cell: m / 8})
-		in = append(in, scheduler.NodeUp{Node: name})
+	list := scheduler.NodesUpdated{Complete: true}
+	var connected []scheduler.Input
+	for i := range loadNodes {
+		name := fmt.Sprintf("n%d", i)
+		list.Machines = append(list.Machines, flaxshelf.Machine{ID: name, Zone: fmt.Sprint("z", i%3), Cell: i / 8})
+		connected = append(connected, scheduler.NodeUp{Node: name})
 	}
-	p.c.Step(p.now, append([]scheduler.Input{list}, in...))
-	return p
+	loaded := &loadedCore{core: core, now: time.Second}
+	loaded.core.Step(loaded.now, append([]scheduler.Input{list}, connected...))
+	return loaded
 }
 
-// step brings ten submissions and what the nodes have to say.
-func (p *played) step() (placed int) {
-	p.now += 2 * time.Millisecond
-	for range 10 {
-		p.n++
-		p.in = append(p.in, scheduler.Submit{Spec: scheduler.Spec{Tenant: -1, Service: fmt.Sprint("v", p.n%200), Cores: 0.25, Memory: 0.5}})
-	}
-	done := 0
-	for done < len(p.ends) && p.at[done] <= p.now {
-		p.in = append(p.in, p.ends[done])
-		done++
-	}
-	p.ends, p.at = p.ends[done:], p.at[done:]
+// step submits jobs, gives the core the messages of the nodes, and returns how many offers it sent.
+func (l *loadedCore) step() (placed int) {
+	l.now += loadStep
+	l.submit()
+	l.endJobs()
 	began := time.Now()
-	out := p.c.Step(p.now, p.in)
-	p.steps = append(p.steps, time.Since(began))
-	p.in = p.in[:0]
-	for _, e := range out.Effects {
-		if o, ok := e.(scheduler.SendOffer); ok {
+	out := l.core.Step(l.now, l.inputs)
+	l.stepTimes = append(l.stepTimes, time.Since(began))
+	l.inputs = l.inputs[:0]
+	for _, effect := range out.Effects {
+		if offer, ok := effect.(scheduler.SendOffer); ok {
 			placed++
-			p.in = append(p.in, scheduler.AttemptAccepted{Node: o.Node, Attempt: o.Attempt}, scheduler.AttemptStarted{Node: o.Node, Attempt: o.Attempt})
-			p.ends, p.at = append(p.ends, scheduler.AttemptEnded{Node: o.Node, Attempt: o.Attempt}), append(p.at, p.now+time.Second)
+			l.run(offer)
 		}
 	}
 	return placed
 }
 
-// TestCoresFigure has 1 to 8 cores decide at once, without sockets, and draws placements a second and the 99th percentile
-// of a step:
+func (l *loadedCore) submit() {
+	for range loadSubmissions {
+		l.submitted++
+		service := fmt.Sprint("v", l.submitted%200)
+		l.inputs = append(l.inputs,
+			scheduler.Submit{Spec: scheduler.Spec{Tenant: -1, Service: service, Cores: 0.25, Memory: 0.5}})
+	}
+}
+
+func (l *loadedCore) endJobs() {
+	done := 0
+	for done < len(l.running) && l.running[done].endsAt <= l.now {
+		l.inputs = append(l.inputs, l.running[done].end)
+		done++
+	}
+	l.running = l.running[done:]
+}
+
+func (l *loadedCore) run(offer scheduler.SendOffer) {
+	l.inputs = append(l.inputs,
+		scheduler.AttemptAccepted{Node: offer.Node, Attempt: offer.Attempt},
+		scheduler.AttemptStarted{Node: offer.Node, Attempt: offer.Attempt})
+	l.running = append(l.running, runningJob{
+		endsAt: l.now + loadRuntime,
+		end:    scheduler.AttemptEnded{Node: offer.Node, Attempt: offer.Attempt},
+	})
+}
+
+// TestCoresFigure has 1 to 8 cores decide at once, without sockets, and draws placements a second and the 99th
+// percentile of a step:
 //
 //	FLAXSHELF_FIGURES=$PWD/docs/figures go test -v -run CoresFigure ./internal/shard
 func TestCoresFigure(t *testing.T) {
@@ -86,40 +141,44 @@
 	if dir == "" {
 		t.Skip("set FLAXSHELF_FIGURES to a folder to draw it")
 	}
-	rate, tail := chart.Line{Name: "thousand placements a second"}, chart.Line{Name: "p99 of a step that takes ten, microseconds"}
-	for _, n := range []int{1, 2, 4, 8} {
-		var wg sync.WaitGroup
-		placed, steps := make([]int, n), make([][]time.Duration, n)
-		cores := make([]*played, n)
-		for i := range n {
-			cores[i] = newPlayed(t, i, n)
-		}
-		began := time.Now()
-		for i := range n {
-			wg.Add(1)
-			go func() {
-				defer wg.Done()
-				for time.Since(began) < 3*time.Second {
-					placed[i] += cores[i].step()
-				}
-				steps[i] = cores[i].steps
-			}()
-		}
-		wg.Wait()
-		took := time.Since(began).Seconds()
-		sum := 0
-		for _, p := range placed {
-			sum += p
-		}
-		all := slices.Concat(steps...)
-		slices.Sort(all)
-		p99 := all[len(all)*99/100]
-		t.Logf("%d cores: %.0f placements a second, p99 of a step %v", n, float64(sum)/took, p99)
-		rate.X, rate.Y = append(rate.X, float64(n)), append(rate.Y, float64(sum)/took/1000)
-		tail.X, tail.Y = append(tail.X, float64(n)), append(tail.Y, p99.Seconds()*1e6)
+	rate := chart.Line{Name: "thousand placements a second"}
+	tail := chart.Line{Name: "p99 of a step that takes ten, microseconds"}
+	for _, cores := range []int{1, 2, 4, 8} {
+		perSecond, p99 := measureCores(t, cores)
+		t.Logf("%d cores: %.0f placements a second, p99 of a step %v", cores, perSecond, p99)
+		rate.X, rate.Y = append(rate.X, float64(cores)), append(rate.Y, perSecond/1000)
+		tail.X, tail.Y = append(tail.X, float64(cores)), append(tail.Y, p99.Seconds()*1e6)
 	}
-	c := chart.Chart{Title: "cores that decide at once, 130 nodes, 4 CPUs", X: "cores", Lines: []chart.Line{rate, tail}}
-	if err := c.Write(filepath.Join(dir, "cores.svg")); err != nil {
+	figure := chart.Chart{Title: "cores that decide at once, 130 nodes, 4 CPUs", X: "cores", Lines: []chart.Line{rate, tail}}
+	if err := figure.Write(filepath.Join(dir, "cores.svg")); err != nil {
 		t.Fatal(err)
 	}
 }
+
+// measureCores runs cores at once for three seconds of real time.
+func measureCores(t *testing.T, count int) (placedPerSecond float64, stepP99 time.Duration) {
+	t.Helper()
+	const measureFor = 3 * time.Second
+	cores, placed := make([]*loadedCore, count), make([]int, count)
+	for i := range count {
+		cores[i] = newLoadedCore(t, i, count)
+	}
+	var running sync.WaitGroup
+	began := time.Now()
+	for i, core := range cores {
+		running.Go(func() {
+			for time.Since(began) < measureFor {
+				placed[i] += core.step()
+			}
+		})
+	}
+	running.Wait()
+	took := time.Since(began).Seconds()
+	sum, stepTimes := 0, []time.Duration(nil)
+	for i, core := range cores {
+		sum += placed[i]
+		stepTimes = append(stepTimes, core.stepTimes...)
+	}
+	slices.Sort(stepTimes)
+	return float64(sum) / took, stepTimes[len(stepTimes)*99/100]
+}
