--- a/internal/scheduler/adoption.go
+++ b/internal/scheduler/adoption.go
@@ -21,9 +21,9 @@
 		ended.apply(c)
 	}
 	present := map[string]bool{}
-	for _, held := range in.Running {
-		present[held.Attempt] = true
-		c.adoptAttempt(node, held)
+	for _, reported := range in.Running {
+		present[reported.Attempt] = true
+		c.adoptAttempt(node, reported)
 	}
 	for _, attempt := range node.sortedAttempts() {
 		switch {
@@ -62,22 +62,22 @@
 
 // adoptAttempt reconciles one attempt that the node has. The core may know it, may know its job, may know the same work
 // under the key of a later submission, or may know neither, because a former incarnation started it.
-func (c *Core) adoptAttempt(node *node, held RunningAttempt) {
-	if known := c.attempts[held.Attempt]; known != nil && known.node == node {
-		c.catchUp(known, held.Running)
+func (c *Core) adoptAttempt(node *node, reported RunningAttempt) {
+	if known := c.attempts[reported.Attempt]; known != nil && known.node == node {
+		c.catchUp(known, reported.Running)
 		return
 	}
-	job := c.findHeldJob(held)
-	if job != nil && job.attempt != nil && job.attempt.phase == phaseConnecting { // not sent: the held one takes its place
+	job := c.findRunningJob(reported)
+	if job != nil && job.attempt != nil && job.attempt.phase == phaseConnecting { // not sent: the reported one takes its place
 		c.endAttempt(job.attempt, attemptEnd{outcome: flaxshelf.NotSent})
 	}
 	switch {
-	case !c.mayAdopt(job, held):
-		c.emit(SendStop{node.machine.ID, held.Attempt})
+	case !c.mayAdopt(job, reported):
+		c.emit(SendStop{node.machine.ID, reported.Attempt})
 	case job == nil:
-		c.attachAttempt(c.newAdoptedJob(held), node, held)
+		c.attachAttempt(c.newAdoptedJob(reported), node, reported)
 	default:
-		c.attachAttempt(job, node, held)
+		c.attachAttempt(job, node, reported)
 	}
 }
 
@@ -91,39 +91,39 @@
 	}
 }
 
-// findHeldJob finds the job of an attempt by its ID, or else by its key: then the job gets the former ID besides.
-func (c *Core) findHeldJob(held RunningAttempt) *job {
-	if known := c.jobs[held.Job]; known != nil || held.Spec.Key == "" {
+// findRunningJob finds the job of an attempt by its ID, or else by its key: then the job gets the former ID besides.
+func (c *Core) findRunningJob(reported RunningAttempt) *job {
+	if known := c.jobs[reported.Job]; known != nil || reported.Spec.Key == "" {
 		return known
 	}
-	resubmitted := c.jobsByKey[held.Spec.Key]
+	resubmitted := c.jobsByKey[reported.Spec.Key]
 	if resubmitted == nil || resubmitted.state.Ended() {
 		return nil
 	}
-	c.jobs[held.Job] = resubmitted
-	resubmitted.aliases = append(resubmitted.aliases, held.Job)
+	c.jobs[reported.Job] = resubmitted
+	resubmitted.aliases = append(resubmitted.aliases, reported.Job)
 	return resubmitted
 }
 
 // mayAdopt reports whether the attempt becomes the job's own; job is nil for one that the core does not know.
-func (c *Core) mayAdopt(job *job, held RunningAttempt) bool {
-	if !c.knownClass(held.Spec.Class) {
+func (c *Core) mayAdopt(job *job, reported RunningAttempt) bool {
+	if !c.knownClass(reported.Spec.Class) {
 		return false
 	}
 	if job == nil {
-		return !strings.HasPrefix(held.Job, c.idPrefix) // of this incarnation: it has its outcome and was removed
+		return !strings.HasPrefix(reported.Job, c.idPrefix) // of this incarnation: it has its outcome and was removed
 	}
 	return !job.state.Ended() && job.attempt == nil && !job.stopping && !job.onHold()
 }
 
 // newAdoptedJob makes a job of what a former incarnation started.
-func (c *Core) newAdoptedJob(held RunningAttempt) *job {
-	spec := held.Spec
+func (c *Core) newAdoptedJob(reported RunningAttempt) *job {
+	spec := reported.Spec
 	job := &job{
-		id:          held.Job,
+		id:          reported.Job,
 		spec:        &spec,
-		submittedAt: held.Submitted,
-		request:     max(held.Request, 1),
+		submittedAt: reported.Submitted,
+		request:     max(reported.Request, 1),
 		state:       Queued,
 		subState:    SubAccepted,
 	}
@@ -134,8 +134,8 @@
 	return job
 }
 
-// attachAttempt makes the held attempt the job's own. It decides the open placement request, if any.
-func (c *Core) attachAttempt(job *job, node *node, held RunningAttempt) {
+// attachAttempt makes the reported attempt the job's own. It decides the open placement request, if any.
+func (c *Core) attachAttempt(job *job, node *node, reported RunningAttempt) {
 	if job.requestOpen {
 		c.notifyModule(flaxshelf.TaskCanceled{Task: job.taskID()})
 		delete(c.jobsByTask, job.taskID())
@@ -147,7 +147,7 @@
 	job.taskName = fmt.Sprintf("%s#%d.%d", job.id, job.request, c.lastSerial) // a task that the module does not know yet
 	c.jobsByTask[job.taskID()] = job
 	attempt := &attempt{
-		id:        held.Attempt,
+		id:        reported.Attempt,
 		taskID:    job.taskID(),
 		job:       job,
 		node:      node,
@@ -160,7 +160,7 @@
 	job.nodeID, job.state, job.subState = node.machine.ID, Queued, SubAccepted
 	job.requestedAt, job.attemptCount = c.now, 1
 	c.closePlacementRequest(job, OutcomePlaced, attempt.id)
-	if held.Running {
+	if reported.Running {
 		c.startAttempt(attempt)
 	}
 }
--- a/internal/scheduler/attempt.go
+++ b/internal/scheduler/attempt.go
@@ -43,7 +43,7 @@
 	timer     *timerqueue.Timer // ends the current phase
 }
 
-// attemptEnd is how an attempt ended, as the module is told.
+// attemptEnd is how an attempt ended, as it is reported to the module.
 type attemptEnd struct {
 	outcome flaxshelf.Outcome
 	reason  flaxshelf.Reason
--- a/internal/scheduler/command.go
+++ b/internal/scheduler/command.go
@@ -83,7 +83,7 @@
 }
 
 // holdOffered holds a job that is offered to a node: the node's reply decides whether the hold or the offer wins. The
-// module is told at once that the task is canceled, so it makes no further offer.
+// module is notified at once that the task is canceled, so it makes no further offer.
 func (c *Core) holdOffered(req uint64, job *job) {
 	offer := job.attempt
 	if offer.phase >= phaseAccepted || job.holdPending {
--- a/internal/scheduler/input.go
+++ b/internal/scheduler/input.go
@@ -3,7 +3,7 @@
 import "flaxshelf.example/flaxshelf"
 
 // Input is one of the input types below. Req is the host's own number for a request, given back in Answer; 0 asks for
-// no answer. Each type applies itself to the core; its method stands with the code of its subject.
+// no answer. Each type applies itself to the core; its method is defined with the code of its subject.
 type Input interface{ apply(c *Core) }
 
 // The requests of clients.
--- a/internal/scheduler/property_test.go
+++ b/internal/scheduler/property_test.go
@@ -52,11 +52,11 @@
 // sentOffer is an offer that the core has sent.
 type sentOffer struct {
 	SendOffer
-	at       Time
-	closed   bool // answered, stopped, timed out or its connection broken
-	proved   bool // that it never ran: rejected
-	accepted bool
-	ended    bool
+	at           Time
+	closed       bool // answered, stopped, timed out or its connection broken
+	provedNotRun bool // that it never ran: rejected
+	accepted     bool
+	ended        bool
 }
 
 func newSimulation(t *rapid.T) *simulation {
@@ -199,7 +199,7 @@
 	case 0, 1, 2:
 		s.accept(offer)
 	case 3:
-		s.refuse(offer)
+		s.reject(offer)
 	case 4:
 		s.fail(offer)
 	case 5:
@@ -212,19 +212,19 @@
 }
 
 func (s *simulation) accept(offer *sentOffer) {
-	if offer.proved || offer.ended {
+	if offer.provedNotRun || offer.ended {
 		return
 	}
 	offer.accepted = true
 	s.step(AttemptAccepted{Node: offer.Node, Attempt: offer.Attempt})
 }
 
-func (s *simulation) refuse(offer *sentOffer) {
+func (s *simulation) reject(offer *sentOffer) {
 	if offer.accepted {
 		return
 	}
 	if !offer.closed {
-		offer.proved = true
+		offer.provedNotRun = true
 	}
 	offer.closed = true
 	s.step(AttemptRejected{Node: offer.Node, Attempt: offer.Attempt, Reason: flaxshelf.InsufficientMemory})
@@ -352,7 +352,7 @@
 	if !former.closed && s.now < former.at+former.ValidFor {
 		s.t.Fatalf("%s is offered while %s is in flight or runs", sent.Attempt, former.Attempt)
 	}
-	if former.Request != sent.Request || former.proved {
+	if former.Request != sent.Request || former.provedNotRun {
 		return
 	}
 	otherZone := (former.Node == "n3") != (sent.Node == "n3")
--- a/internal/scheduler/recovery.go
+++ b/internal/scheduler/recovery.go
@@ -31,7 +31,7 @@
 }
 
 // checkRecovery ends the recovery when every listed node has reported what it runs, or has had the settle time to do
-// so. A retry of work that must run at most once waits for a silent node without end: its placement request then
+// so. A retry of work that must run at most once waits for an unreachable node without end: its placement request then
 // fails at its deadline.
 func (c *Core) checkRecovery() {
 	if !c.recovery.active || !c.recovery.listReceived {
--- a/internal/scheduler/script_input_test.go
+++ b/internal/scheduler/script_input_test.go
@@ -10,18 +10,18 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-// scriptLine is one input of a script: a word, arguments and options, as `submit unsafe key=k`,
+// scriptLine is one input of a script: a command, arguments and options, as `submit unsafe key=k`,
 // `list n1 n2:draining` or `up n1 started=3s held=ATTEMPT`.
 type scriptLine struct {
 	t       *testing.T
 	text    string
-	word    string
+	command string
 	req     uint64
 	args    []string
 	options map[string]string
 }
 
-// scriptInputs parses the line of each word.
+// scriptInputs parses the line of each command.
 var scriptInputs = map[string]func(*scriptLine) Input{
 	"submit":      func(l *scriptLine) Input { return Submit{Req: l.req, Spec: l.spec(l.arg(0))} },
 	"array":       parseArray,
@@ -53,7 +53,7 @@
 func parseInput(t *testing.T, text string, req uint64) Input {
 	t.Helper()
 	words := strings.Fields(text)
-	line := &scriptLine{t: t, text: text, word: words[0], req: req, options: map[string]string{}}
+	line := &scriptLine{t: t, text: text, command: words[0], req: req, options: map[string]string{}}
 	for _, word := range words[1:] {
 		if name, value, ok := strings.Cut(word, "="); ok {
 			line.options[name] = value
@@ -61,7 +61,7 @@
 			line.args = append(line.args, word)
 		}
 	}
-	parse := scriptInputs[line.word]
+	parse := scriptInputs[line.command]
 	if parse == nil {
 		t.Fatalf("no input %q", text)
 	}
@@ -132,7 +132,7 @@
 }
 
 func parseCommand(l *scriptLine) Input {
-	return Command{Req: l.req, Verb: Verb(l.word), Job: l.arg(0)}
+	return Command{Req: l.req, Verb: Verb(l.command), Job: l.arg(0)}
 }
 
 func parseQuery(l *scriptLine) Input {
@@ -176,20 +176,20 @@
 // parseNodeUp reads held=ATTEMPT,ATTEMPT+ with + for one that runs, and ended=ATTEMPT,ATTEMPT.
 func parseNodeUp(l *scriptLine) Input {
 	up := NodeUp{Node: l.arg(0), MayBeCold: l.options["fresh"] != "", Started: l.timeOption("started")}
-	for _, held := range l.list("held") {
+	for _, held := range l.listOption("held") {
 		id, running := strings.CutSuffix(held, "+")
 		parts := strings.Split(id, "/")
 		up.Running = append(up.Running, RunningAttempt{Attempt: id, Job: parts[0], Request: parseInt(l.t, parts[1]),
 			Running: running, Spec: l.spec(l.options["class"])})
 	}
-	for _, ended := range l.list("ended") {
+	for _, ended := range l.listOption("ended") {
 		up.Ended = append(up.Ended, AttemptEnded{Attempt: ended})
 	}
 	return up
 }
 
-// list splits an option at its commas; one that is not given is empty.
-func (l *scriptLine) list(option string) []string {
+// listOption splits an option at its commas; one that is not given is empty.
+func (l *scriptLine) listOption(option string) []string {
 	return strings.FieldsFunc(l.options[option], func(r rune) bool { return r == ',' })
 }
 
--- a/internal/shard/config.go
+++ b/internal/shard/config.go
@@ -46,11 +46,11 @@
 	cfg.Seed += uint64(core) * seedStep
 	cfg.Module.Index = cfg.Module.Index*cores + core
 	cfg.Module.Schedulers = max(cfg.Module.Schedulers, 1) * cores
-	cfg.Limits.MaxPending = limitShare(cfg.Limits.MaxPending, core, cores)
-	cfg.Limits.MaxRunning = limitShare(cfg.Limits.MaxRunning, core, cores)
-	cfg.Limits.MaxFinished = limitShare(cfg.Limits.MaxFinished, core, cores)
+	cfg.Limits.MaxPending = quotaOf(cfg.Limits.MaxPending, core, cores)
+	cfg.Limits.MaxRunning = quotaOf(cfg.Limits.MaxRunning, core, cores)
+	cfg.Limits.MaxFinished = quotaOf(cfg.Limits.MaxFinished, core, cores)
 	return cfg
 }
 
-// limitShare is a core's share of a limit, at least 1. Otherwise the shares of all cores add up to the limit.
-func limitShare(limit, core, cores int) int { return max((limit+cores-1-core)/cores, 1) }
+// quotaOf is a core's share of a limit, at least 1. Otherwise the shares of all cores add up to the limit.
+func quotaOf(limit, core, cores int) int { return max((limit+cores-1-core)/cores, 1) }
--- a/internal/shard/shard_test.go
+++ b/internal/shard/shard_test.go
@@ -69,11 +69,11 @@
 	if ownerFirst {
 		submittedTo = m.Submit(&spec, 0, noBacklog)
 	}
-	held := scheduler.RunningAttempt{Attempt: id + "/1/0", Job: id, Spec: spec}
+	reported := scheduler.RunningAttempt{Attempt: id + "/1/0", Job: id, Spec: spec}
 	adoptedBy := -1
-	for core, part := range m.Split(scheduler.NodeUp{Node: "n", Running: []scheduler.RunningAttempt{held}}) {
+	for core, part := range m.Split(scheduler.NodeUp{Node: "n", Running: []scheduler.RunningAttempt{reported}}) {
 		if part.Node != "n" {
-			t.Fatalf("core %d is not told of the node", core)
+			t.Fatalf("core %d is not notified of the node", core)
 		}
 		if len(part.Running) > 0 {
 			adoptedBy = core
@@ -82,9 +82,9 @@
 	if !ownerFirst {
 		submittedTo = m.Submit(&spec, 0, noBacklog)
 	}
-	if adoptedBy != submittedTo || m.Job(id) != adoptedBy || m.Attempt(held.Attempt) != adoptedBy {
+	if adoptedBy != submittedTo || m.Job(id) != adoptedBy || m.Attempt(reported.Attempt) != adoptedBy {
 		t.Fatalf("adopted by core %d, submitted to %d, found at %d and %d",
-			adoptedBy, submittedTo, m.Job(id), m.Attempt(held.Attempt))
+			adoptedBy, submittedTo, m.Job(id), m.Attempt(reported.Attempt))
 	}
 }
 
--- a/internal/shard/shardmap.go
+++ b/internal/shard/shardmap.go
@@ -52,7 +52,7 @@
 	if core, ok := m.coreOfWork(spec); ok {
 		return core
 	}
-	return m.coreByTurn(turn, backlog)
+	return m.roundRobin(turn, backlog)
 }
 
 // coreOfWork returns the core that a service or a key leads to; false for work without either.
@@ -66,7 +66,7 @@
 	return 0, false
 }
 
-func (m *Map) coreByTurn(turn uint64, backlog func(core int) int) int {
+func (m *Map) roundRobin(turn uint64, backlog func(core int) int) int {
 	next := int(turn % uint64(m.cores))
 	least := next
 	for core := range m.cores {
@@ -123,7 +123,7 @@
 	return m.Job(job)
 }
 
-// Split divides a node's report of what it has: each core is told that the node is up, and of its own jobs. Jobs of a
+// Split divides a node's report of what it has: each core is notified that the node is up, with its own jobs. Jobs of a
 // former incarnation, which may have had another number of cores, go where the same work would be submitted to, since
 // an owner that retries must find them and the spread of their service counts them; others go by their IDs.
 func (m *Map) Split(up scheduler.NodeUp) []scheduler.NodeUp {
@@ -134,9 +134,9 @@
 	for core := range parts {
 		parts[core] = scheduler.NodeUp{Node: up.Node, Started: up.Started, MayBeCold: up.MayBeCold}
 	}
-	for _, held := range up.Running {
-		core := m.coreOfHeld(&held)
-		parts[core].Running = append(parts[core].Running, held)
+	for _, reported := range up.Running {
+		core := m.coreOfRunning(&reported)
+		parts[core].Running = append(parts[core].Running, reported)
 	}
 	for _, ended := range up.Ended {
 		core := m.Attempt(ended.Attempt)
@@ -145,19 +145,19 @@
 	return parts
 }
 
-// coreOfHeld returns the core that has or adopts the job of an attempt, and remembers it where the ID leads elsewhere.
-func (m *Map) coreOfHeld(held *scheduler.RunningAttempt) int {
-	if core := m.coreOfPrefix(held.Job); core >= 0 {
+// coreOfRunning returns the core that has or adopts the job of an attempt, and remembers it where the ID leads elsewhere.
+func (m *Map) coreOfRunning(reported *scheduler.RunningAttempt) int {
+	if core := m.coreOfPrefix(reported.Job); core >= 0 {
 		return core
 	}
-	byID := m.hash(held.Job)
-	core, ok := m.coreOfWork(&held.Spec)
+	byID := m.hash(reported.Job)
+	core, ok := m.coreOfWork(&reported.Spec)
 	if !ok {
 		return byID
 	}
 	if core != byID {
 		m.mu.Lock()
-		m.adopted[held.Job] = core
+		m.adopted[reported.Job] = core
 		m.mu.Unlock()
 	}
 	return core
