--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -23,47 +23,47 @@
 	MaxPendingPerConnection int           // set-ups that may be open on one
 }
 
-// entry is a connection. It is in one of two lists: those that have not shown themselves to be of use, in order of their
+// connection is a connection. It is in one of two lists: those that have not shown themselves to be of use, in order of their
 // coming, and the others, in order of their last use.
-type entry struct {
-	id      ID
-	host    string
-	came    Time
-	used    Time
-	proven  bool
-	vouched bool
-	open    int
-	wrong   int
-	element *list.Element
+type connection struct {
+	id             ID
+	host           string
+	openedAt       Time
+	lastUsedAt     Time
+	verified       bool
+	likelyOwner    bool
+	pending        int
+	protocolErrors int
+	element        *list.Element
 }
 
 // Control decides. It is not safe for concurrent use.
 type Control struct {
-	limits  Limits
-	all     map[ID]*entry
-	strange list.List      // in order of their coming
-	known   list.List      // the least lately used first
-	hosts   map[string]int // strangers of each host
+	limits            Limits
+	connections       map[ID]*connection
+	unverified        list.List      // in order of their coming
+	verified          list.List      // the least lately used first
+	unverifiedPerHost map[string]int // strangers of each host
 }
 
 // New makes a Control.
 func New(l Limits) *Control {
-	return &Control{limits: l, all: map[ID]*entry{}, hosts: map[string]int{}}
+	return &Control{limits: l, connections: map[ID]*connection{}, unverifiedPerHost: map[string]int{}}
 }
 
 // Len is how many connections are there.
-func (d *Control) Len() int { return len(d.all) }
+func (d *Control) Len() int { return len(d.connections) }
 
 // Opened books a new connection and returns those to close for it; it may be the new one itself, where all others are of
 // use. What is returned counts as gone.
 func (d *Control) Opened(now Time, id ID, host string) []ID {
-	e := &entry{id: id, host: host, came: now, used: now}
-	d.all[id] = e
-	e.element = d.strange.PushBack(e)
-	d.hosts[host]++
+	e := &connection{id: id, host: host, openedAt: now, lastUsedAt: now}
+	d.connections[id] = e
+	e.element = d.unverified.PushBack(e)
+	d.unverifiedPerHost[host]++
 	var out []ID
-	for len(d.all) > d.limits.MaxConnections {
-		v := d.victim(now)
+	for len(d.connections) > d.limits.MaxConnections {
+		v := d.evictionCandidate(now)
 		if v == nil {
 			v = e
 		}
@@ -73,31 +73,31 @@
 	return out
 }
 
-// victim is who goes when descriptors run short: the oldest stranger of the host that has most of them, else the one
+// evictionCandidate is who goes when descriptors run short: the oldest stranger of the host that has most of them, else the one
 // with nothing open that was of use the longest ago. Risk covered: hundreds of connections that say nothing must not
 // push out the owners, nor a newcomer that is about to speak.
-func (d *Control) victim(now Time) *entry {
-	var best *entry
+func (d *Control) evictionCandidate(now Time) *connection {
+	var best *connection
 	most := 1 // a host with one stranger is as good as any owner
-	for x := d.strange.Front(); x != nil; x = x.Next() {
-		if e := x.Value.(*entry); d.hosts[e.host] > most && e.open == 0 {
-			best, most = e, d.hosts[e.host]
+	for x := d.unverified.Front(); x != nil; x = x.Next() {
+		if e := x.Value.(*connection); d.unverifiedPerHost[e.host] > most && e.pending == 0 {
+			best, most = e, d.unverifiedPerHost[e.host]
 		}
 	}
 	if best != nil {
 		return best
 	}
-	for x := d.known.Front(); x != nil; x = x.Next() {
-		e := x.Value.(*entry)
-		if now-e.used < d.limits.RecentUseGrace {
+	for x := d.verified.Front(); x != nil; x = x.Next() {
+		e := x.Value.(*connection)
+		if now-e.lastUsedAt < d.limits.RecentUseGrace {
 			break
 		}
-		if e.open == 0 {
+		if e.pending == 0 {
 			return e
 		}
 	}
-	if x := d.strange.Front(); x != nil {
-		if e := x.Value.(*entry); e.open == 0 {
+	if x := d.unverified.Front(); x != nil {
+		if e := x.Value.(*connection); e.pending == 0 {
 			return e
 		}
 	}
@@ -107,59 +107,59 @@
 // Touch books that a connection was of use: it carried a set-up that had its answer, a test, a task that stands or the end
 // of one. A set-up alone is not enough: bad clients send hundreds and take them back at once.
 func (d *Control) Touch(now Time, id ID) {
-	e := d.all[id]
+	e := d.connections[id]
 	if e == nil {
 		return
 	}
-	e.used, e.wrong = now, 0
-	if e.proven {
-		d.known.MoveToBack(e.element)
+	e.lastUsedAt, e.protocolErrors = now, 0
+	if e.verified {
+		d.verified.MoveToBack(e.element)
 		return
 	}
-	e.proven = true
-	d.unstrange(e)
-	e.element = d.known.PushBack(e)
+	e.verified = true
+	d.removeUnverified(e)
+	e.element = d.verified.PushBack(e)
 }
 
 // MarkLikelyOwner books that a connection carried what owners carry, though it proves none.
 func (d *Control) MarkLikelyOwner(id ID) {
-	if e := d.all[id]; e != nil {
-		e.vouched = true
+	if e := d.connections[id]; e != nil {
+		e.likelyOwner = true
 	}
 }
 
-// unstrange takes e from the strangers.
-func (d *Control) unstrange(e *entry) {
-	d.strange.Remove(e.element)
-	if d.hosts[e.host]--; d.hosts[e.host] == 0 {
-		delete(d.hosts, e.host)
+// removeUnverified takes e from the strangers.
+func (d *Control) removeUnverified(e *connection) {
+	d.unverified.Remove(e.element)
+	if d.unverifiedPerHost[e.host]--; d.unverifiedPerHost[e.host] == 0 {
+		delete(d.unverifiedPerHost, e.host)
 	}
 }
 
 // ProtocolError books a message that was of no use; true: the connection is to be closed.
 func (d *Control) ProtocolError(id ID) bool {
-	e := d.all[id]
+	e := d.connections[id]
 	if e == nil {
 		return false
 	}
-	e.wrong++
-	return e.wrong > d.limits.MaxProtocolErrors
+	e.protocolErrors++
+	return e.protocolErrors > d.limits.MaxProtocolErrors
 }
 
 // BeginRequest books a set-up; false: it is one too many there.
 func (d *Control) BeginRequest(id ID) bool {
-	e := d.all[id]
-	if e == nil || e.open >= d.limits.MaxPendingPerConnection {
+	e := d.connections[id]
+	if e == nil || e.pending >= d.limits.MaxPendingPerConnection {
 		return false
 	}
-	e.open++
+	e.pending++
 	return true
 }
 
 // EndRequest books that a set-up has its answer, or was given up.
 func (d *Control) EndRequest(now Time, id ID, answered bool) {
-	if e := d.all[id]; e != nil && e.open > 0 {
-		e.open--
+	if e := d.connections[id]; e != nil && e.pending > 0 {
+		e.pending--
 		if answered {
 			d.Touch(now, id)
 		}
@@ -168,15 +168,15 @@
 
 // Closed books that a connection has ended.
 func (d *Control) Closed(id ID) {
-	e := d.all[id]
+	e := d.connections[id]
 	if e == nil {
 		return
 	}
-	delete(d.all, id)
-	if e.proven {
-		d.known.Remove(e.element)
+	delete(d.connections, id)
+	if e.verified {
+		d.verified.Remove(e.element)
 	} else {
-		d.unstrange(e)
+		d.removeUnverified(e)
 	}
 }
 
@@ -185,14 +185,14 @@
 // started anew would close all that its owners have, and then have nobody to tell of an end.
 func (d *Control) CloseIdle(now Time) (out []ID, next Time) {
 	waits := false // one stays for now, and is looked at again
-	for x := d.strange.Front(); x != nil; {
-		e := x.Value.(*entry)
+	for x := d.unverified.Front(); x != nil; {
+		e := x.Value.(*connection)
 		x = x.Next()
-		if due := e.came + d.limits.IdleTimeout; now < due {
+		if due := e.openedAt + d.limits.IdleTimeout; now < due {
 			next = due
 			break
 		}
-		if e.open > 0 || e.vouched && d.known.Len() == 0 {
+		if e.pending > 0 || e.likelyOwner && d.verified.Len() == 0 {
 			waits = true
 			continue
 		}
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -139,8 +139,8 @@
 		case 5:
 			d.CloseIdle(now)
 		}
-		if d.Len() > 4 || d.strange.Len()+d.known.Len() != d.Len() || len(d.hosts) > 3 {
-			t.Fatalf("%d connections, %d and %d in lists, %d hosts", d.Len(), d.strange.Len(), d.known.Len(), len(d.hosts))
+		if d.Len() > 4 || d.unverified.Len()+d.verified.Len() != d.Len() || len(d.unverifiedPerHost) > 3 {
+			t.Fatalf("%d connections, %d and %d in lists, %d hosts", d.Len(), d.unverified.Len(), d.verified.Len(), len(d.unverifiedPerHost))
 		}
 	}
 }
--- a/internal/requests/core.go
+++ b/internal/requests/core.go
@@ -30,26 +30,26 @@
 
 // Core is the state machine of one scheduler on the platform. It is not safe for concurrent use.
 type Core struct {
-	cfg       Config
-	placer    *flaxshelf.Placer
-	now       Time
-	wakeAt    Time // when the module wants to be woken; 0: not
-	events    []flaxshelf.Event
-	out       []Effect
-	tasks     map[string]*task
-	owners    map[Conn]*owner
-	admission *admission.Control
-	silence   *timerqueue.Timer // of the next owner's connection that says nothing
-	nodes     map[string]*node
-	links     map[Link]*link
-	lastLink  Link
-	shows     uint64
-	unsaid    []*Terminated // ends that no connection could be found for
-	early     earlyEnds
-	timers    timerqueue.Timers
-	feed      feed
-	stopping  bool
-	figures   Stats
+	config              Config
+	placer              *flaxshelf.Placer
+	now                 Time
+	moduleTimerAt       Time // when the module wants to be woken; 0: not
+	pendingEvents       []flaxshelf.Event
+	effects             []Effect
+	tasks               map[string]*task
+	owners              map[Conn]*owner
+	admission           *admission.Control
+	idleTimer           *timerqueue.Timer // of the next owner's connection that says nothing
+	nodes               map[string]*node
+	links               map[Link]*link
+	lastLinkID          Link
+	activityCount       uint64
+	undelivered         []*Terminated // ends that no connection could be found for
+	unknownTerminations unknownTerminations
+	timers              timerqueue.Timers
+	watch               discoveryWatch
+	shuttingDown        bool
+	stats               Stats
 }
 
 // New makes the core of one scheduler in a new life.
@@ -62,49 +62,49 @@
 	if err != nil {
 		return nil, fmt.Errorf("requests: module settings: %w", err)
 	}
-	return &Core{cfg: cfg, placer: p, tasks: map[string]*task{}, owners: map[Conn]*owner{},
+	return &Core{config: cfg, placer: p, tasks: map[string]*task{}, owners: map[Conn]*owner{},
 		admission: admission.New(cfg.Admission), nodes: map[string]*node{},
-		links: map[Link]*link{}, feed: feed{rng: rand.New(rand.NewPCG(cfg.Seed, 1))}}, nil
+		links: map[Link]*link{}, watch: discoveryWatch{rng: rand.New(rand.NewPCG(cfg.Seed, 1))}}, nil
 }
 
-// rounds bounds how often one Step asks the module: what it does may end at once, as an offer to a node that has gone.
-const rounds = 8
+// maxModuleRounds bounds how often one Step asks the module: what it does may end at once, as an offer to a node that has gone.
+const maxModuleRounds = 8
 
 // Step takes what has happened, in order, and returns what to do now and when to step again at the latest (0: not).
 // The effects are good until the next step.
 func (c *Core) Step(now Time, inputs []Input) ([]Effect, Time) {
-	c.now, c.out = max(now, c.now), c.out[:0]
-	c.follow()
+	c.now, c.effects = max(now, c.now), c.effects[:0]
+	c.startWatch()
 	// What has come goes before what falls due. Risk covered: a process that was stopped for a while takes answers for late
 	// that were there in time.
 	for _, in := range inputs {
-		c.take(in)
+		c.handleInput(in)
 	}
 	c.timers.RunDue(c.now)
-	for range rounds {
-		if c.wakeAt > 0 && c.wakeAt <= c.now {
-			c.wakeAt = 0
-			c.tell(flaxshelf.TimerFired{})
+	for range maxModuleRounds {
+		if c.moduleTimerAt > 0 && c.moduleTimerAt <= c.now {
+			c.moduleTimerAt = 0
+			c.notifyModule(flaxshelf.TimerFired{})
 		}
-		if len(c.events) == 0 {
+		if len(c.pendingEvents) == 0 {
 			break
 		}
-		events := c.events
-		c.events = nil
+		events := c.pendingEvents
+		c.pendingEvents = nil
 		actions := c.placer.Step(c.now, events)
-		if c.cfg.RecordStep != nil {
-			c.cfg.RecordStep(c.now, events, actions)
+		if c.config.RecordStep != nil {
+			c.config.RecordStep(c.now, events, actions)
 		}
 		for _, a := range actions {
-			c.act(a)
+			c.handleAction(a)
 		}
 	}
-	return c.out, c.wake()
+	return c.effects, c.nextDeadline()
 }
 
-func (c *Core) wake() Time {
-	next := c.wakeAt
-	if len(c.events) > 0 {
+func (c *Core) nextDeadline() Time {
+	next := c.moduleTimerAt
+	if len(c.pendingEvents) > 0 {
 		return c.now + 1
 	}
 	if at, ok := c.timers.Next(); ok && (next == 0 || at < next) {
@@ -113,74 +113,74 @@
 	return next
 }
 
-func (c *Core) emit(e Effect)          { c.out = append(c.out, e) }
-func (c *Core) tell(e flaxshelf.Event) { c.events = append(c.events, e) }
+func (c *Core) emit(e Effect)                  { c.effects = append(c.effects, e) }
+func (c *Core) notifyModule(e flaxshelf.Event) { c.pendingEvents = append(c.pendingEvents, e) }
 
-func (c *Core) take(in Input) {
+func (c *Core) handleInput(in Input) {
 	switch in := in.(type) {
 	case Submit:
-		c.setUp(in)
+		c.submit(in)
 	case Adopt:
-		c.held(in)
+		c.adopt(in)
 	case Release:
-		c.released(in.Conn, in.Task)
+		c.releaseByOwner(in.Conn, in.Task)
 	case Migrated:
-		c.released(in.Conn, in.Task)
+		c.releaseByOwner(in.Conn, in.Task)
 	case Ping:
 		if o := c.owners[in.Conn]; o != nil {
 			c.admission.Touch(c.now, admission.ID(in.Conn))
-			c.emit(Pong{in.Conn, in.Task, !c.stopping})
+			c.emit(Pong{in.Conn, in.Task, !c.shuttingDown})
 		}
 	case OwnerConnected:
-		c.opened(in)
+		c.connectOwner(in)
 	case OwnerDisconnected:
-		c.closed(in.Conn)
+		c.disconnectOwner(in.Conn)
 	case ProtocolError:
 		if c.admission.ProtocolError(admission.ID(in.Conn)) {
 			c.closeOwner(in.Conn)
 		}
 	case LinkUp:
-		c.up(in.Link)
+		c.linkUp(in.Link)
 	case LinkDown:
-		c.down(in)
+		c.linkDown(in)
 	case NodeMessage:
-		c.heard(in)
+		c.handleNodeMessage(in)
 	case SendFailed:
-		if a := c.attemptOn(in.Link, in.Task); a != nil && a.phase == offered && a.n == in.Attempt {
-			c.end(a, flaxshelf.NotSent, flaxshelf.UnspecifiedReason)
+		if a := c.attemptOn(in.Link, in.Task); a != nil && a.phase == offered && a.number == in.Attempt {
+			c.endAttempt(a, flaxshelf.NotSent, flaxshelf.UnspecifiedReason)
 		}
 	case NodesUpdated:
-		c.listed(in)
+		c.updateNodes(in)
 	case WatchEstablished:
-		c.feed.fails = 0
-		c.tell(flaxshelf.MachinesUpdated{})
+		c.watch.failures = 0
+		c.notifyModule(flaxshelf.MachinesUpdated{})
 	case WatchFailed:
-		c.feedDown()
+		c.watchFailed()
 	case Shutdown:
-		c.stopping = true
+		c.shuttingDown = true
 	}
 }
 
-func (c *Core) act(a flaxshelf.Action) {
+func (c *Core) handleAction(a flaxshelf.Action) {
 	switch a := a.(type) {
 	case flaxshelf.Offer:
 		c.offer(a)
 	case flaxshelf.Cancel:
-		if t := c.tasks[a.Task]; t != nil && t.live != nil && t.live.n == a.Attempt && t.live.phase <= offered {
-			c.withdraw(t.live)
+		if t := c.tasks[a.Task]; t != nil && t.attempt != nil && t.attempt.number == a.Attempt && t.attempt.phase <= offered {
+			c.withdrawOffer(t.attempt)
 		}
 	case flaxshelf.Reject:
-		c.answer(a.Task, CauseRejected)
+		c.failRequest(a.Task, CauseRejected)
 	case flaxshelf.Fail:
-		c.answer(a.Task, CauseLost)
+		c.failRequest(a.Task, CauseLost)
 	case flaxshelf.Migrate:
-		if t := c.tasks[a.Task]; t != nil && t.live != nil && t.live.phase == standing {
-			c.sayOver(t, Terminated{Task: t.id, Migrate: true})
-			c.endByOwner(t)
+		if t := c.tasks[a.Task]; t != nil && t.attempt != nil && t.attempt.phase == running {
+			c.notifyTerminated(t, Terminated{Task: t.id, Migrate: true})
+			c.releaseRunning(t)
 		}
 	case flaxshelf.SetTimer:
-		if at := c.now + a.After; c.wakeAt == 0 || at < c.wakeAt {
-			c.wakeAt = at
+		if at := c.now + a.After; c.moduleTimerAt == 0 || at < c.moduleTimerAt {
+			c.moduleTimerAt = at
 		}
 	case flaxshelf.Subscribe:
 		c.emit(Subscribe{})
@@ -188,11 +188,11 @@
 }
 
 // Idle tells whether nothing waits for an answer.
-func (c *Core) Idle() bool { return c.figures.Pending == 0 }
+func (c *Core) Idle() bool { return c.stats.Pending == 0 }
 
 // Stats tells what the core has and has done.
 func (c *Core) Stats() Stats {
-	f := c.figures
+	f := c.stats
 	f.Owners, f.Nodes, f.Links = len(c.owners), len(c.nodes), len(c.links)
 	return f
 }
--- a/internal/requests/node.go
+++ b/internal/requests/node.go
@@ -11,245 +11,245 @@
 
 // node is a machine by its id. Another one at the same address is another node.
 type node struct {
-	entry   flaxshelf.Machine
-	addr    string
-	listed  bool
-	cur     *link // the newest: set-ups go on it
-	live    map[string]*attempt
-	heardAt Time // the last sign of life: a word, or a link that came up
-	fails   int  // dials that failed in a row
-	linked  bool // a link to it was up in this life
-	starved bool // it has no link for want of room
-	redial  *timerqueue.Timer
+	entry          flaxshelf.Machine
+	addr           string
+	listed         bool
+	current        *link // the newest: set-ups go on it
+	attempts       map[string]*attempt
+	lastReceivedAt Time // the last sign of life: a word, or a link that came up
+	failedDials    int  // dials that failed in a row
+	everLinked     bool // a link to it was up in this life
+	deniedLink     bool // it has no link for want of room
+	redial         *timerqueue.Timer
 }
 
 // link is a connection to a node.
 type link struct {
-	id        Link
-	node      *node
-	up        bool
-	suspected bool // silent where it should have told something: a newer one takes its place
-	open      int  // set-ups out on it
-	heardAt   Time
-	usedAt    Time // the last word either way, or its coming up
+	id             Link
+	node           *node
+	up             bool
+	suspected      bool // silent where it should have told something: a newer one takes its place
+	pendingOffers  int  // set-ups out on it
+	lastReceivedAt Time
+	lastUsedAt     Time // the last word either way, or its coming up
 }
 
 const (
-	redialFirst = 50 * time.Millisecond
-	redialMost  = 800 * time.Millisecond
-	// lingers is how long a link that was replaced is still listened to.
-	lingers = 2 * time.Second
+	initialRedialBackoff = 50 * time.Millisecond
+	maxRedialBackoff     = 800 * time.Millisecond
+	// linkRetireDelay is how long a link that was replaced is still listened to.
+	linkRetireDelay = 2 * time.Second
 )
 
-func (c *Core) node(name string) *node {
+func (c *Core) nodeFor(name string) *node {
 	n := c.nodes[name]
 	if n == nil {
-		n = &node{entry: flaxshelf.Machine{ID: name, Kind: -1, State: flaxshelf.Removed}, live: map[string]*attempt{},
-			heardAt: c.now}
+		n = &node{entry: flaxshelf.Machine{ID: name, Kind: -1, State: flaxshelf.Removed}, attempts: map[string]*attempt{},
+			lastReceivedAt: c.now}
 		c.nodes[name] = n
 	}
 	return n
 }
 
-// sorted lists a node's attempts in a fixed order.
-func (n *node) sorted() []*attempt {
-	all := make([]*attempt, 0, len(n.live))
-	for _, a := range n.live {
+// sortedAttempts lists a node's attempts in a fixed order.
+func (n *node) sortedAttempts() []*attempt {
+	all := make([]*attempt, 0, len(n.attempts))
+	for _, a := range n.attempts {
 		all = append(all, a)
 	}
 	slices.SortFunc(all, func(a, b *attempt) int { return cmp.Compare(a.task.id, b.task.id) })
 	return all
 }
 
-// wanted tells whether a link to the node is of use.
-func (n *node) wanted() bool {
-	return n.addr != "" && (n.entry.State != flaxshelf.Removed || len(n.live) > 0)
+// needsLink tells whether a link to the node is of use.
+func (n *node) needsLink() bool {
+	return n.addr != "" && (n.entry.State != flaxshelf.Removed || len(n.attempts) > 0)
 }
 
-// keepLink dials where no link is there or on its way, and none is waited with.
-func (c *Core) keepLink(n *node) {
-	if !n.wanted() || n.cur != nil && !n.cur.suspected || n.redial != nil && n.redial.Queued() {
+// ensureLink dials where no link is there or on its way, and none is waited with.
+func (c *Core) ensureLink(n *node) {
+	if !n.needsLink() || n.current != nil && !n.current.suspected || n.redial != nil && n.redial.Queued() {
 		return
 	}
-	if n.starved = !c.makeRoom(n); n.starved {
+	if n.deniedLink = !c.reserveLink(n); n.deniedLink {
 		return
 	}
-	c.lastLink++
-	l := &link{id: c.lastLink, node: n}
-	n.cur, c.links[l.id] = l, l
+	c.lastLinkID++
+	l := &link{id: c.lastLinkID, node: n}
+	n.current, c.links[l.id] = l, l
 	c.emit(Dial{l.id, n.entry.ID, n.addr})
 }
 
-func (c *Core) up(id Link) {
+func (c *Core) linkUp(id Link) {
 	l := c.links[id]
 	if l == nil {
 		c.emit(CloseLink{id})
 		return
 	}
 	n := l.node
-	l.usedAt = c.now
-	l.up, l.heardAt, n.heardAt, n.fails, n.linked = true, c.now, c.now, 0, true
-	if n.cur != l {
-		c.hang(l)
+	l.lastUsedAt = c.now
+	l.up, l.lastReceivedAt, n.lastReceivedAt, n.failedDials, n.everLinked = true, c.now, c.now, 0, true
+	if n.current != l {
+		c.closeLink(l)
 		return
 	}
-	for _, a := range n.sorted() {
+	for _, a := range n.sortedAttempts() {
 		switch a.phase {
 		case connecting:
-			c.send(a, l)
-		case ending:
-			a.reached = true
-			c.cut(a, l) // the former link may have broken before it
+			c.sendOffer(a, l)
+		case releasing:
+			a.releaseDelivered = true
+			c.sendRelease(a, l) // the former link may have broken before it
 		}
 	}
 }
 
-// suspect has a newer link take l's place. What is open on l may still be answered there for a while.
-func (c *Core) suspect(l *link) {
+// suspectLink has a newer link take l's place. What is open on l may still be answered there for a while.
+func (c *Core) suspectLink(l *link) {
 	if l.suspected || c.links[l.id] == nil {
 		return
 	}
 	l.suspected = true
-	c.retire(l)
-	c.keepLink(l.node)
+	c.scheduleRetirement(l)
+	c.ensureLink(l.node)
 }
 
-// retire ends a link a while after it was suspected, once another has taken its place.
-func (c *Core) retire(l *link) {
-	c.timers.Schedule(c.now+lingers, func() {
-		cur := l.node.cur
+// scheduleRetirement ends a link a while after it was suspected, once another has taken its place.
+func (c *Core) scheduleRetirement(l *link) {
+	c.timers.Schedule(c.now+linkRetireDelay, func() {
+		cur := l.node.current
 		switch {
 		case c.links[l.id] == nil || cur == l && !l.suspected:
 		case cur != l && cur != nil && cur.up:
-			c.hang(l)
+			c.closeLink(l)
 		default:
-			c.retire(l)
+			c.scheduleRetirement(l)
 		}
 	})
 }
 
-// hang ends a link from our side.
-func (c *Core) hang(l *link) {
+// closeLink ends a link from our side.
+func (c *Core) closeLink(l *link) {
 	c.emit(CloseLink{l.id})
-	c.drop(l)
+	c.removeLink(l)
 }
 
-// drop books that a link is gone. Set-ups that are out on it may have run. Risk covered: a release of what stands that is
+// removeLink books that a link is gone. Set-ups that are out on it may have run. Risk covered: a release of what stands that is
 // written on a link that is gone, and so never reaches the node.
-func (c *Core) drop(l *link) {
+func (c *Core) removeLink(l *link) {
 	delete(c.links, l.id)
 	l.up = false
 	n := l.node
-	if n.cur == l {
-		n.cur = nil
+	if n.current == l {
+		n.current = nil
 	}
-	if l.open == 0 {
+	if l.pendingOffers == 0 {
 		return
 	}
-	for _, a := range n.sorted() {
+	for _, a := range n.sortedAttempts() {
 		if a.phase == offered && a.link == l {
-			c.end(a, flaxshelf.Lost, flaxshelf.UnspecifiedReason)
+			c.endAttempt(a, flaxshelf.Lost, flaxshelf.UnspecifiedReason)
 		}
 	}
 }
 
-// down: a link has ended, or could not be made. A refused connection proves that the process is dead, and with it what
+// linkDown: a link has ended, or could not be made. A refused connection proves that the process is dead, and with it what
 // stood there; one that never comes up proves only that nothing was sent.
-func (c *Core) down(in LinkDown) {
+func (c *Core) linkDown(in LinkDown) {
 	l := c.links[in.Link]
 	if l == nil {
 		return
 	}
-	n, was, current := l.node, l.up, l.node.cur == l
-	c.drop(l)
+	n, was, current := l.node, l.up, l.node.current == l
+	c.removeLink(l)
 	if was {
-		c.figures.BrokenLinks++
+		c.stats.BrokenLinks++
 	}
 	if !current {
 		return
 	}
-	if old := c.standingLink(n); old != nil && !was {
-		c.keepOld(n, old, in.ConnectionRefused)
+	if old := c.newestLinkUp(n); old != nil && !was {
+		c.retainLink(n, old, in.ConnectionRefused)
 		return
 	}
 	// A node that drains listens no more: refused, it is dead only where a link was up and broke before. Risk covered: a
 	// scheduler that starts anew would release all that it is handed over there.
-	dead := in.ConnectionRefused && (n.linked || n.entry.State != flaxshelf.Draining)
+	dead := in.ConnectionRefused && (n.everLinked || n.entry.State != flaxshelf.Draining)
 	if in.ConnectionRefused && !dead {
-		n.heardAt = c.now
+		n.lastReceivedAt = c.now
 	}
 	if !was {
-		n.fails++
-		for _, a := range n.sorted() {
+		n.failedDials++
+		for _, a := range n.sortedAttempts() {
 			switch {
 			case a.phase == connecting:
-				c.end(a, flaxshelf.Unreachable, flaxshelf.UnspecifiedReason)
-			case a.phase >= standing && dead:
-				c.figures.LostToNodeDeath++
-				c.lose(a)
+				c.endAttempt(a, flaxshelf.Unreachable, flaxshelf.UnspecifiedReason)
+			case a.phase >= running && dead:
+				c.stats.LostToNodeDeath++
+				c.loseAttempt(a)
 			}
 		}
-		wait := redialMost
-		if n.fails < 5 {
-			wait = redialFirst << n.fails
+		wait := maxRedialBackoff
+		if n.failedDials < 5 {
+			wait = initialRedialBackoff << n.failedDials
 		}
-		n.redial = c.timers.Schedule(c.now+wait, func() { c.keepLink(n) })
+		n.redial = c.timers.Schedule(c.now+wait, func() { c.ensureLink(n) })
 		return
 	}
-	c.keepLink(n)
+	c.ensureLink(n)
 }
 
 const (
-	// sweepEvery is how often nodes with tasks of ours are looked at for silence.
-	sweepEvery = 500 * time.Millisecond
-	// quiet is how long such a node may say nothing before a newer link has to show that it is there.
-	quiet = 2500 * time.Millisecond
+	// silenceCheckInterval is how often nodes with tasks of ours are looked at for silence.
+	silenceCheckInterval = 500 * time.Millisecond
+	// nodeSilenceThreshold is how long such a node may say nothing before a newer link has to show that it is there.
+	nodeSilenceThreshold = 2500 * time.Millisecond
 )
 
-// sweep finds the machines that vanished or were cut off without a sign: open links stay open and silent, and new ones
+// checkSilence finds the machines that vanished or were cut off without a sign: open links stay open and silent, and new ones
 // never come up. What stands there counts as cut after Config.Silent; so does what was handed over on a node that no list
 // names.
-func (c *Core) sweep() {
-	c.timers.Schedule(c.now+sweepEvery, c.sweep)
+func (c *Core) checkSilence() {
+	c.timers.Schedule(c.now+silenceCheckInterval, c.checkSilence)
 	var unlinked []*node
 	for _, n := range c.sortedNodes() {
-		silent := c.now - n.heardAt
+		silent := c.now - n.lastReceivedAt
 		switch {
-		case c.idles(n.cur) && len(n.live) == 0 && c.crowded():
-			c.hang(n.cur)
-		case c.idles(n.cur):
-			c.suspect(n.cur)
-		case n.starved: // its silence tells nothing
+		case c.nearIdleTimeout(n.current) && len(n.attempts) == 0 && c.atCapacity():
+			c.closeLink(n.current)
+		case c.nearIdleTimeout(n.current):
+			c.suspectLink(n.current)
+		case n.deniedLink: // its silence tells nothing
 			unlinked = append(unlinked, n)
-		case len(n.live) == 0:
-		case n.cur != nil && n.cur.up && !n.cur.suspected:
-			if silent >= quiet {
-				c.figures.SuspectedLinks++
-				c.suspect(n.cur)
+		case len(n.attempts) == 0:
+		case n.current != nil && n.current.up && !n.current.suspected:
+			if silent >= nodeSilenceThreshold {
+				c.stats.SuspectedLinks++
+				c.suspectLink(n.current)
 			}
-		case silent >= c.cfg.NodeUnreachableTimeout:
-			for _, a := range n.sorted() {
-				if a.phase >= standing {
-					c.figures.LostToUnreachable++
-					c.lose(a)
+		case silent >= c.config.NodeUnreachableTimeout:
+			for _, a := range n.sortedAttempts() {
+				if a.phase >= running {
+					c.stats.LostToUnreachable++
+					c.loseAttempt(a)
 				}
 			}
 		}
 	}
-	slices.SortStableFunc(unlinked, func(a, b *node) int { return cmp.Compare(a.heardAt, b.heardAt) })
+	slices.SortStableFunc(unlinked, func(a, b *node) int { return cmp.Compare(a.lastReceivedAt, b.lastReceivedAt) })
 	for _, n := range unlinked {
-		c.keepLink(n)
+		c.ensureLink(n)
 	}
 }
 
-// idles tells whether a node may be about to close a link for want of traffic. Risk covered: a set-up that crosses such a
+// nearIdleTimeout tells whether a node may be about to close a link for want of traffic. Risk covered: a set-up that crosses such a
 // close counts as one that may have run, so the link is renewed ahead of it.
-func (c *Core) idles(l *link) bool {
-	return l != nil && l.up && !l.suspected && c.cfg.NodeIdleTimeout > 0 && c.now-l.usedAt >= c.cfg.NodeIdleTimeout*3/4
+func (c *Core) nearIdleTimeout(l *link) bool {
+	return l != nil && l.up && !l.suspected && c.config.NodeIdleTimeout > 0 && c.now-l.lastUsedAt >= c.config.NodeIdleTimeout*3/4
 }
 
-// standingLink is the newest link of a node that is up; nil where none is.
-func (c *Core) standingLink(n *node) (best *link) {
+// newestLinkUp is the newest link of a node that is up; nil where none is.
+func (c *Core) newestLinkUp(n *node) (best *link) {
 	for _, l := range c.links {
 		if l.node == n && l.up && (best == nil || l.id > best.id) {
 			best = l
@@ -258,31 +258,31 @@
 	return best
 }
 
-// keepOld is for a link that was to replace one that is still up, and could not be made. Refused, it shows a live machine
+// retainLink is for a link that was to replace one that is still up, and could not be made. Refused, it shows a live machine
 // whose process listens no more: a node that drains keeps what stands, on the links that it has. Risk covered: such a
 // refusal taken for a death, and all that stands there released to its owners while it runs.
-func (c *Core) keepOld(n *node, old *link, refused bool) {
-	n.cur = old
+func (c *Core) retainLink(n *node, old *link, refused bool) {
+	n.current = old
 	if refused {
-		n.heardAt, old.suspected = c.now, false
+		n.lastReceivedAt, old.suspected = c.now, false
 	} else {
-		n.redial = c.timers.Schedule(c.now+redialMost, func() { c.keepLink(n) }) // old is suspected on
+		n.redial = c.timers.Schedule(c.now+maxRedialBackoff, func() { c.ensureLink(n) }) // old is suspected on
 	}
-	for _, a := range n.sorted() {
+	for _, a := range n.sortedAttempts() {
 		if a.phase == connecting {
-			c.end(a, flaxshelf.Unreachable, flaxshelf.UnspecifiedReason)
+			c.endAttempt(a, flaxshelf.Unreachable, flaxshelf.UnspecifiedReason)
 		}
 	}
 }
 
-// letGo ends the links of a node that is out and has nothing of ours, and forgets it.
-func (c *Core) letGo(n *node) {
-	if n.wanted() || len(n.live) > 0 {
+// discardIfUnused ends the links of a node that is out and has nothing of ours, and forgets it.
+func (c *Core) discardIfUnused(n *node) {
+	if n.needsLink() || len(n.attempts) > 0 {
 		return
 	}
 	c.timers.Cancel(n.redial)
 	for _, l := range c.linksOf(n) {
-		c.hang(l)
+		c.closeLink(l)
 	}
 	if n.entry.State == flaxshelf.Removed && c.nodes[n.entry.ID] == n {
 		delete(c.nodes, n.entry.ID)
@@ -300,40 +300,40 @@
 	return all
 }
 
-// listed takes the feed's word. It reaches the module in this step, before anything that the module decides in it.
-func (c *Core) listed(in NodesUpdated) {
-	c.tell(flaxshelf.MachinesUpdated{Machines: in.Machines, Complete: in.Complete, Stale: in.FromConfig})
+// updateNodes takes the feed's word. It reaches the module in this step, before anything that the module decides in it.
+func (c *Core) updateNodes(in NodesUpdated) {
+	c.notifyModule(flaxshelf.MachinesUpdated{Machines: in.Machines, Complete: in.Complete, Stale: in.FromConfig})
 	named := map[string]bool{}
 	for i, m := range in.Machines {
 		named[m.ID] = true
-		n := c.node(m.ID)
+		n := c.nodeFor(m.ID)
 		restarted := n.listed && m.Started > n.entry.Started && m.State != flaxshelf.Removed
 		moved := n.addr != in.Addrs[i] && in.Addrs[i] != ""
 		n.entry, n.listed = m, true
 		if moved {
 			n.addr = in.Addrs[i]
 			for _, l := range c.linksOf(n) {
-				c.hang(l)
+				c.closeLink(l)
 			}
 		}
 		if restarted {
-			c.loseBefore(n, m.Started)
+			c.loseStartedBefore(n, m.Started)
 		}
-		c.standingOf(n)
+		c.applyNodeState(n)
 	}
 	if in.Complete {
 		for _, n := range c.sortedNodes() {
 			if !named[n.entry.ID] && n.entry.State != flaxshelf.Removed {
 				n.entry.State = flaxshelf.Removed
-				c.standingOf(n)
+				c.applyNodeState(n)
 			}
 		}
 	}
-	c.replaced(in)
+	c.removeReplacedNodes(in)
 }
 
-// replaced: a node at the address of another proves that the other is gone.
-func (c *Core) replaced(in NodesUpdated) {
+// removeReplacedNodes: a node at the address of another proves that the other is gone.
+func (c *Core) removeReplacedNodes(in NodesUpdated) {
 	at := make(map[string]string, len(in.Machines)) // who is at an address by this word
 	for i, m := range in.Machines {
 		if m.State != flaxshelf.Removed && in.Addrs[i] != "" {
@@ -342,7 +342,7 @@
 	}
 	for _, n := range c.sortedNodes() {
 		if name, used := at[n.addr]; used && name != n.entry.ID {
-			c.gone(n)
+			c.removeNode(n)
 		}
 	}
 }
@@ -356,41 +356,41 @@
 	return all
 }
 
-// loseBefore cuts what stood at a node before it started anew.
-func (c *Core) loseBefore(n *node, started Time) {
-	for _, a := range n.sorted() {
-		if a.phase >= standing && a.sent < started {
-			c.figures.LostToRemoval++
-			c.lose(a)
+// loseStartedBefore cuts what stood at a node before it started anew.
+func (c *Core) loseStartedBefore(n *node, started Time) {
+	for _, a := range n.sortedAttempts() {
+		if a.phase >= running && a.startedAt < started {
+			c.stats.LostToRemoval++
+			c.loseAttempt(a)
 		}
 	}
 }
 
-// standingOf acts on what the list says of n. Offers that still wait for a link are given up when the node drains: the
+// applyNodeState acts on what the list says of n. Offers that still wait for a link are given up when the node drains: the
 // word has come before the send.
-func (c *Core) standingOf(n *node) {
+func (c *Core) applyNodeState(n *node) {
 	if n.entry.State != flaxshelf.Active {
-		for _, a := range n.sorted() {
+		for _, a := range n.sortedAttempts() {
 			if a.phase == connecting {
-				c.end(a, flaxshelf.NotSent, flaxshelf.UnspecifiedReason)
+				c.endAttempt(a, flaxshelf.NotSent, flaxshelf.UnspecifiedReason)
 			}
 		}
 	}
 	if n.entry.State == flaxshelf.Removed {
-		c.gone(n)
+		c.removeNode(n)
 		return
 	}
-	c.keepLink(n)
+	c.ensureLink(n)
 }
 
-// gone cuts all that stood at a node that has left.
-func (c *Core) gone(n *node) {
-	for _, a := range n.sorted() {
-		if a.phase >= standing {
-			c.figures.LostToRemoval++
+// removeNode cuts all that stood at a node that has left.
+func (c *Core) removeNode(n *node) {
+	for _, a := range n.sortedAttempts() {
+		if a.phase >= running {
+			c.stats.LostToRemoval++
 		}
-		c.lose(a)
+		c.loseAttempt(a)
 	}
 	n.entry.State = flaxshelf.Removed
-	c.letGo(n)
+	c.discardIfUnused(n)
 }
--- a/internal/requests/property_test.go
+++ b/internal/requests/property_test.go
@@ -278,7 +278,7 @@
 		step()
 	}
 	for task, a := range c.asked {
-		if a.answers == 0 && !a.gone && slices.Contains(c.conns, a.conn) && c.world.c.tasks[task] != nil && c.world.c.tasks[task].open {
+		if a.answers == 0 && !a.gone && slices.Contains(c.conns, a.conn) && c.world.c.tasks[task] != nil && c.world.c.tasks[task].pending {
 			c.t.Errorf("%s still waits %v after its time", task, c.now-a.until)
 		}
 	}
--- a/internal/requests/requests_test.go
+++ b/internal/requests/requests_test.go
@@ -307,10 +307,10 @@
 	if f := w.c.Stats(); f.Running != 0 {
 		t.Errorf("%d stand", f.Running)
 	}
-	for i := range 2 * earlyMost {
+	for i := range 2 * maxUnknownTerminations {
 		w.step(NodeMessage{Link: w.up["n"], Kind: NodeReleased, Task: id(100 + i), Cause: CauseLost})
 	}
-	if n := len(w.c.early.of); n > earlyMost || n != len(w.c.early.order) {
+	if n := len(w.c.unknownTerminations.byTask); n > maxUnknownTerminations || n != len(w.c.unknownTerminations.order) {
 		t.Errorf("%d ends are kept", n)
 	}
 }
@@ -400,7 +400,7 @@
 	o := w.place(1, 7, 0)
 	w.list(flaxshelf.Draining, "n")
 	for range 5 {
-		w.pass(quiet + sweepEvery)
+		w.pass(nodeSilenceThreshold + silenceCheckInterval)
 		d := find[Dial](w)
 		if len(d) == 0 {
 			t.Fatalf("no newer link: %+v", w.out)
@@ -429,7 +429,7 @@
 	for range 30 {
 		w.step(LinkDown{Link: d.Link, ConnectionRefused: true})
 		none[Terminated](w)
-		w.pass(redialMost)
+		w.pass(maxRedialBackoff)
 		none[Terminated](w)
 		d = one[Dial](w)
 	}
@@ -530,7 +530,7 @@
 		t.Fatalf("%+v", w.out)
 	}
 	w.step(LinkUp{d[len(d)-1].Link})
-	w.pass(lingers)
+	w.pass(linkRetireDelay)
 	if h := find[CloseLink](w); len(h) != 1 || h[0].Link != o.Link {
 		t.Errorf("%+v", h)
 	}
@@ -578,10 +578,10 @@
 	w.step(w.ask(1, 7, 0))
 	old := one[Offer](w).Link
 	w.pass(3500 * time.Millisecond) // the set-up and its link are given up; the next link is slow
-	w.pass(lingers)
+	w.pass(linkRetireDelay)
 	none[CloseLink](w)
-	w.step(LinkUp{w.c.nodes["n"].cur.id})
-	w.pass(lingers)
+	w.step(LinkUp{w.c.nodes["n"].current.id})
+	w.pass(linkRetireDelay)
 	if h := one[CloseLink](w); h.Link != old {
 		t.Errorf("%+v", h)
 	}
@@ -633,7 +633,7 @@
 // at the end than half way.
 func TestLongDayKeepsItsHeap(t *testing.T) {
 	w := newWorld(t)
-	w.c.cfg.RecordStep = nil // the test's own memory must not grow
+	w.c.config.RecordStep = nil // the test's own memory must not grow
 	conn, n := Conn(0), 0
 	half := func() uint64 {
 		for round := range 2000 {
@@ -721,8 +721,8 @@
 		then  func(w *world, o Offer)
 		after time.Duration
 	}{
-		"a sign of life":  {func(w *world, o Offer) { w.step(NodeMessage{Link: o.Link, Kind: NodeConfirmedRelease, Task: id(99)}) }, endWithin},
-		"a new link":      {func(w *world, _ Offer) { w.step(LinkUp{w.c.nodes["n"].cur.id}) }, endWithin},
+		"a sign of life":  {func(w *world, o Offer) { w.step(NodeMessage{Link: o.Link, Kind: NodeConfirmedRelease, Task: id(99)}) }, releaseConfirmationTimeout},
+		"a new link":      {func(w *world, _ Offer) { w.step(LinkUp{w.c.nodes["n"].current.id}) }, releaseConfirmationTimeout},
 		"nothing further": {func(*world, Offer) {}, 6 * time.Second},
 	} {
 		w := newWorld(t)
@@ -753,10 +753,10 @@
 func TestHandedOverOnNodesThatAreNone(t *testing.T) {
 	w := newWorld(t)
 	w.step(OwnerConnected{Conn: 1, Host: "h"})
-	for n := range 3 * maxUnlisted {
+	for n := range 3 * maxRunningUnlisted {
 		w.step(Adopt{Conn: 1, Node: "x" + id(n), Task: w.ask(1, n, 0).Task})
 	}
-	if f := w.c.Stats(); f.Running != maxUnlisted || f.Nodes != maxUnlisted {
+	if f := w.c.Stats(); f.Running != maxRunningUnlisted || f.Nodes != maxRunningUnlisted {
 		t.Errorf("%+v", f)
 	}
 	w.pass(3 * time.Second)
@@ -815,7 +815,7 @@
 	}
 	standing := map[string]bool{}
 	for _, n := range w.c.nodes {
-		if len(n.live) > 0 {
+		if len(n.attempts) > 0 {
 			standing[n.entry.ID] = true
 		}
 	}
--- a/internal/requests/script_test.go
+++ b/internal/requests/script_test.go
@@ -66,7 +66,7 @@
 	var all []Effect
 	for {
 		_, next := w.c.Step(w.now, nil)
-		all = append(all, slices.Clone(w.c.out)...)
+		all = append(all, slices.Clone(w.c.effects)...)
 		if next == 0 || next > end {
 			break
 		}
