--- /dev/null
+++ b/internal/requests/adoption.go
@@ -0,0 +1,40 @@
+package requests
+
+import "flaxshelf.example/flaxshelf"
+
+// Bounds of adoption: misbehaving clients may report any number of tasks, on nodes that don't exist.
+const (
+	// maxRunningForAdoption is how many tasks may run before no more are adopted.
+	maxRunningForAdoption = 1 << 14
+	// maxRunningUnlisted is how many adopted tasks may run on nodes that the endpoint list had not named at their adoption.
+	maxRunningUnlisted = 1024
+)
+
+// adopt takes over a task that a node runs already. A task that the scheduler has stays as it is.
+func (c *Core) adopt(in Adopt) {
+	if c.tasks[in.Task.ID] != nil || c.owners[in.Conn] == nil {
+		return
+	}
+	if c.adoptTerminated(in) {
+		return
+	}
+	if c.stats.Running >= maxRunningForAdoption || c.stats.RunningUnlisted >= maxRunningUnlisted {
+		return
+	}
+	known := c.nodes[in.Node]
+	unlisted := known == nil || !known.listed
+	if unlisted {
+		c.stats.RunningUnlisted++
+	} else {
+		c.markLikelyOwner(in.Conn)
+	}
+	t := &task{id: in.Task.ID, spec: in.Task, conn: in.Conn, attempts: 1, unverified: true}
+	n := c.nodeFor(in.Node)
+	t.attempt = &attempt{task: t, node: n, startedAt: c.now, phase: phaseRunning, unlisted: unlisted}
+	c.tasks[t.id] = t
+	n.attempts[t.id] = t.attempt
+	c.stats.Running++
+	c.stats.Adopted++
+	c.notifyModule(flaxshelf.TaskAdopted{Task: t.spec, Machine: in.Node})
+	c.ensureLink(n)
+}
--- a/internal/requests/core.go
+++ b/internal/requests/core.go
@@ -1,93 +1,95 @@
 package requests
 
 import (
+	"cmp"
 	"fmt"
 	"math/rand/v2"
-	"time"
+	"slices"
 
 	"flaxshelf.example/flaxshelf"
 	"flaxshelf.example/flaxshelf/internal/admission"
 	"flaxshelf.example/flaxshelf/internal/timerqueue"
 )
 
-// Config is what a Core is told when it starts.
-type Config struct {
-	Module flaxshelf.Config
-	Seed   uint64
-	// NodeUnreachableTimeout is how long a node may be out of reach before what stands there counts as cut. The platform wants
-	// owners notified within 8 s of an end that no node could report.
-	NodeUnreachableTimeout time.Duration
-	// NodeIdleTimeout is after how long without traffic nodes close a connection; 0: not told.
-	NodeIdleTimeout time.Duration
-	Admission       admission.Limits
-	MaxPending      int // set-ups that may wait for their answer; more are refused
-	// MaxLinks bounds the links to nodes, those that are being made included; 0: no bound. Where nodes are more, links go to
-	// those that are asked, then to those where tasks of ours stand, then to others.
-	MaxLinks int
-	// RecordStep, when set, is given each step of the module. It must not keep or change the slices.
-	RecordStep func(now Time, events []flaxshelf.Event, actions []flaxshelf.Action)
-}
-
-// Core is the state machine of one scheduler on the platform. It is not safe for concurrent use.
+// Core is the state machine of one scheduler on the platform. Its host calls Step with what has happened and carries out
+// the effects that Step returns. It is not safe for concurrent use.
 type Core struct {
-	config              Config
-	placer              *flaxshelf.Placer
-	now                 Time
-	moduleTimerAt       Time // when the module wants to be woken; 0: not
-	pendingEvents       []flaxshelf.Event
-	effects             []Effect
-	tasks               map[string]*task
-	owners              map[Conn]*owner
-	admission           *admission.Control
-	idleTimer           *timerqueue.Timer // of the next owner's connection that says nothing
-	nodes               map[string]*node
-	links               map[Link]*link
-	lastLinkID          Link
-	activityCount       uint64
-	undelivered         []*Terminated // ends that no connection could be found for
-	unknownTerminations unknownTerminations
-	timers              timerqueue.Timers
-	watch               discoveryWatch
-	shuttingDown        bool
-	stats               Stats
+	config Config
+	placer *flaxshelf.Placer
+	now    Time
+	timers timerqueue.Timers
+	stats  Stats
+
+	effects       []Effect          // of the current step
+	pendingEvents []flaxshelf.Event // for the module's next step
+	moduleTimerAt Time              // when the module wants a TimerFired event; 0: never
+
+	tasks         map[string]*task
+	owners        map[Conn]*owner
+	admission     *admission.Control
+	idleTimer     *timerqueue.Timer // of the next check for idle owners' connections
+	activityCount uint64            // how often an owner's connection was marked active
+
+	undelivered  []*Terminated // notifications that no owner's connection could be found for
+	preAdoption  preAdoptionTerminations
+	shuttingDown bool
+
+	nodes      map[string]*node
+	links      map[Link]*link
+	lastLinkID Link
+	watch      discoveryWatch
 }
 
-// New makes the core of one scheduler in a new life.
-func New(cfg Config) (*Core, error) {
-	if cfg.NodeUnreachableTimeout <= 0 || cfg.MaxPending < 1 || cfg.MaxLinks < 0 ||
-		cfg.Admission.MaxConnections < 1 || cfg.Admission.MaxPendingPerConnection < 1 || cfg.Admission.IdleTimeout <= 0 {
-		return nil, fmt.Errorf("requests: Config: all bounds must be above 0")
+// New makes the core of one scheduler. A setting that is out of range gives a *ConfigError, one that the module rejects a
+// wrapped error of the module.
+func New(config Config) (*Core, error) {
+	if err := config.validate(); err != nil {
+		return nil, err
 	}
-	p, err := flaxshelf.New(cfg.Module, cfg.Seed)
+	placer, err := flaxshelf.New(config.Module, config.Seed)
 	if err != nil {
 		return nil, fmt.Errorf("requests: module settings: %w", err)
 	}
-	return &Core{config: cfg, placer: p, tasks: map[string]*task{}, owners: map[Conn]*owner{},
-		admission: admission.New(cfg.Admission), nodes: map[string]*node{},
-		links: map[Link]*link{}, watch: discoveryWatch{rng: rand.New(rand.NewPCG(cfg.Seed, 1))}}, nil
+	return &Core{
+		config:    config,
+		placer:    placer,
+		tasks:     map[string]*task{},
+		owners:    map[Conn]*owner{},
+		admission: admission.New(config.Admission),
+		nodes:     map[string]*node{},
+		links:     map[Link]*link{},
+		watch:     discoveryWatch{rng: rand.New(rand.NewPCG(config.Seed, 1))},
+	}, nil
 }
 
-// maxModuleRounds bounds how often one Step asks the module: what it does may end at once, as an offer to a node that has gone.
+// maxModuleRounds bounds how often one Step runs the module: an action of the module may cause its next event at once, such
+// as an offer to a node that was removed.
 const maxModuleRounds = 8
 
-// Step takes what has happened, in order, and returns what to do now and when to step again at the latest (0: not).
-// The effects are good until the next step.
+// Step handles what has happened, in order, and returns the effects to carry out and when to step again at the latest
+// (0: only for new inputs). The effects are valid until the next step.
 func (c *Core) Step(now Time, inputs []Input) ([]Effect, Time) {
-	c.now, c.effects = max(now, c.now), c.effects[:0]
+	c.now = max(now, c.now)
+	c.effects = c.effects[:0]
 	c.startWatch()
-	// What has come goes before what falls due. Risk covered: a process that was stopped for a while takes answers for late
-	// that were there in time.
+	// Inputs go before timers: a process that was stopped for a while must not take responses for late that arrived in time.
 	for _, in := range inputs {
-		c.handleInput(in)
+		in.apply(c)
 	}
 	c.timers.RunDue(c.now)
+	c.runModule()
+	return c.effects, c.nextDeadline()
+}
+
+// runModule has the module handle the events of this step, and carries its actions out.
+func (c *Core) runModule() {
 	for range maxModuleRounds {
 		if c.moduleTimerAt > 0 && c.moduleTimerAt <= c.now {
 			c.moduleTimerAt = 0
 			c.notifyModule(flaxshelf.TimerFired{})
 		}
 		if len(c.pendingEvents) == 0 {
-			break
+			return
 		}
 		events := c.pendingEvents
 		c.pendingEvents = nil
@@ -95,104 +97,79 @@
 		if c.config.RecordStep != nil {
 			c.config.RecordStep(c.now, events, actions)
 		}
-		for _, a := range actions {
-			c.handleAction(a)
+		for _, action := range actions {
+			c.handleAction(action)
 		}
 	}
-	return c.effects, c.nextDeadline()
 }
 
+// handleAction carries out an action of the module.
+func (c *Core) handleAction(action flaxshelf.Action) {
+	switch action := action.(type) {
+	case flaxshelf.Offer:
+		c.offer(action)
+	case flaxshelf.Cancel:
+		c.cancelAttempt(action)
+	case flaxshelf.Reject:
+		c.respondTerminated(action.Task, CauseRejected)
+	case flaxshelf.Fail:
+		c.respondTerminated(action.Task, CauseLost)
+	case flaxshelf.Migrate:
+		c.migrate(action)
+	case flaxshelf.SetTimer:
+		c.setModuleTimer(action)
+	case flaxshelf.Subscribe:
+		c.emit(Subscribe{})
+	}
+}
+
+// setModuleTimer schedules the module's next TimerFired event; of several timers the earliest counts.
+func (c *Core) setModuleTimer(action flaxshelf.SetTimer) {
+	if at := c.now + action.After; c.moduleTimerAt == 0 || at < c.moduleTimerAt {
+		c.moduleTimerAt = at
+	}
+}
+
+// nextDeadline is when the core has to step again without new inputs; 0: never.
 func (c *Core) nextDeadline() Time {
-	next := c.moduleTimerAt
 	if len(c.pendingEvents) > 0 {
 		return c.now + 1
 	}
+	next := c.moduleTimerAt
 	if at, ok := c.timers.Next(); ok && (next == 0 || at < next) {
 		next = at
 	}
 	return next
 }
 
-func (c *Core) emit(e Effect)                  { c.effects = append(c.effects, e) }
-func (c *Core) notifyModule(e flaxshelf.Event) { c.pendingEvents = append(c.pendingEvents, e) }
-
-func (c *Core) handleInput(in Input) {
-	switch in := in.(type) {
-	case Submit:
-		c.submit(in)
-	case Adopt:
-		c.adopt(in)
-	case Release:
-		c.releaseByOwner(in.Conn, in.Task)
-	case Migrated:
-		c.releaseByOwner(in.Conn, in.Task)
-	case Ping:
-		if o := c.owners[in.Conn]; o != nil {
-			c.admission.Touch(c.now, admission.ID(in.Conn))
-			c.emit(Pong{in.Conn, in.Task, !c.shuttingDown})
-		}
-	case OwnerConnected:
-		c.connectOwner(in)
-	case OwnerDisconnected:
-		c.disconnectOwner(in.Conn)
-	case ProtocolError:
-		if c.admission.ProtocolError(admission.ID(in.Conn)) {
-			c.closeOwner(in.Conn)
-		}
-	case LinkUp:
-		c.linkUp(in.Link)
-	case LinkDown:
-		c.linkDown(in)
-	case NodeMessage:
-		c.handleNodeMessage(in)
-	case SendFailed:
-		if a := c.attemptOn(in.Link, in.Task); a != nil && a.phase == offered && a.number == in.Attempt {
-			c.endAttempt(a, flaxshelf.NotSent, flaxshelf.UnspecifiedReason)
-		}
-	case NodesUpdated:
-		c.updateNodes(in)
-	case WatchEstablished:
-		c.watch.failures = 0
-		c.notifyModule(flaxshelf.MachinesUpdated{})
-	case WatchFailed:
-		c.watchFailed()
-	case Shutdown:
-		c.shuttingDown = true
-	}
-}
+// emit adds an effect to those of the current step.
+func (c *Core) emit(effect Effect) { c.effects = append(c.effects, effect) }
 
-func (c *Core) handleAction(a flaxshelf.Action) {
-	switch a := a.(type) {
-	case flaxshelf.Offer:
-		c.offer(a)
-	case flaxshelf.Cancel:
-		if t := c.tasks[a.Task]; t != nil && t.attempt != nil && t.attempt.number == a.Attempt && t.attempt.phase <= offered {
-			c.withdrawOffer(t.attempt)
-		}
-	case flaxshelf.Reject:
-		c.failRequest(a.Task, CauseRejected)
-	case flaxshelf.Fail:
-		c.failRequest(a.Task, CauseLost)
-	case flaxshelf.Migrate:
-		if t := c.tasks[a.Task]; t != nil && t.attempt != nil && t.attempt.phase == running {
-			c.notifyTerminated(t, Terminated{Task: t.id, Migrate: true})
-			c.releaseRunning(t)
-		}
-	case flaxshelf.SetTimer:
-		if at := c.now + a.After; c.moduleTimerAt == 0 || at < c.moduleTimerAt {
-			c.moduleTimerAt = at
-		}
-	case flaxshelf.Subscribe:
-		c.emit(Subscribe{})
-	}
-}
+// notifyModule queues an event for the module's next step.
+func (c *Core) notifyModule(event flaxshelf.Event) { c.pendingEvents = append(c.pendingEvents, event) }
 
-// Idle tells whether nothing waits for an answer.
+// Idle reports whether no request waits for its response.
 func (c *Core) Idle() bool { return c.stats.Pending == 0 }
 
-// Stats tells what the core has and has done.
+// Stats returns the current gauges and the counters since the start.
 func (c *Core) Stats() Stats {
-	f := c.stats
-	f.Owners, f.Nodes, f.Links = len(c.owners), len(c.nodes), len(c.links)
-	return f
+	stats := c.stats
+	stats.Owners = len(c.owners)
+	stats.Nodes = len(c.nodes)
+	stats.Links = len(c.links)
+	return stats
+}
+
+// sortedByKey lists the values of a map in the order of their keys, so that effects don't depend on the order of a map.
+func sortedByKey[K cmp.Ordered, V any](m map[K]V) []V {
+	keys := make([]K, 0, len(m))
+	for key := range m {
+		keys = append(keys, key)
+	}
+	slices.Sort(keys)
+	values := make([]V, len(keys))
+	for i, key := range keys {
+		values[i] = m[key]
+	}
+	return values
 }
--- /dev/null
+++ b/internal/requests/effect.go
@@ -0,0 +1,68 @@
+package requests
+
+import "time"
+
+// Effect is something for the host to carry out. The effect types of this package implement it.
+type Effect interface{ effect() }
+
+// Effects on owners' connections.
+type (
+	// Accepted responds to an owner that its task runs.
+	Accepted struct {
+		Conn              Conn
+		Task, Description string
+	}
+	// Terminated responds to an owner that its request was rejected or has failed, or notifies it that its running task has
+	// ended: by a release with Cause, or by a migration, after which the owner submits the task again.
+	Terminated struct {
+		Conn    Conn
+		Task    string
+		Cause   int
+		Migrate bool
+	}
+	// Pong answers a health check.
+	Pong struct {
+		Conn   Conn
+		Task   string
+		Passed bool
+	}
+	// CloseOwner closes an owner's connection once all that was written on it is sent.
+	CloseOwner struct{ Conn Conn }
+)
+
+// Effects on links to nodes, and on the discovery service.
+type (
+	// Dial opens a connection to a node; LinkUp or LinkDown follows.
+	Dial struct {
+		Link       Link
+		Node, Addr string
+	}
+	// CloseLink closes a link; LinkDown may follow.
+	CloseLink struct{ Link Link }
+	// Offer writes a request to a node.
+	Offer struct {
+		Link                                                Link
+		Attempt                                             int  // its number among the attempts of the task
+		Owner                                               Conn // whose request it is
+		Node, Task, Class, Key, IdempotencyKey, Description string
+		TimeLeft                                            time.Duration // until the attempt times out
+	}
+	// SendRelease writes a release to a node.
+	SendRelease struct {
+		Link  Link
+		Task  string
+		Cause int
+	}
+	// Subscribe opens a watch on the discovery service; WatchEstablished or WatchFailed follows.
+	Subscribe struct{}
+)
+
+func (Accepted) effect()    {}
+func (Terminated) effect()  {}
+func (Pong) effect()        {}
+func (CloseOwner) effect()  {}
+func (Dial) effect()        {}
+func (CloseLink) effect()   {}
+func (Offer) effect()       {}
+func (SendRelease) effect() {}
+func (Subscribe) effect()   {}
--- /dev/null
+++ b/internal/requests/input.go
@@ -0,0 +1,157 @@
+package requests
+
+import "flaxshelf.example/flaxshelf"
+
+// Time is the host's clock: Unix nanoseconds that never go back.
+type Time = flaxshelf.Time
+
+// Conn identifies an owner's connection. The host numbers them; it never uses 0, nor a number twice.
+type Conn uint64
+
+// Link identifies a connection to a node. The core numbers them.
+type Link uint64
+
+// Causes of releases, as the platform numbers them.
+const (
+	CauseNormal   = 16 // a request is canceled; after its response: the task has completed
+	CauseCanceled = 31 // migrated, or ended by its owner, who needs no notification
+	CauseRejected = 34 // rejected: a retry does no harm
+	CauseLost     = 41
+	CauseError    = 47
+	CauseObsolete = 102
+)
+
+// Input is something that has happened outside the core. The input types of this package implement it.
+type Input interface {
+	apply(c *Core)
+}
+
+// Inputs from owners.
+type (
+	// Submit requests the placement of a task.
+	Submit struct {
+		Conn           Conn
+		Task           flaxshelf.Task // its ID is the 16 hex digits of the wire
+		Class          string         // as the owner wrote it
+		IdempotencyKey string
+		Description    string
+	}
+	// Adopt reports a task that a node runs already, so that this scheduler manages it. It gets no response.
+	Adopt struct {
+		Conn Conn
+		Task flaxshelf.Task
+		Node string
+	}
+	// Release is an owner's release: it cancels a pending request, or ends a running task.
+	Release struct {
+		Conn Conn
+		Task string
+	}
+	// Migrated is an owner's request to end a running task because the owner migrates it.
+	Migrated struct {
+		Conn Conn
+		Task string
+	}
+	// Ping is an owner's health check. The effect Pong answers it.
+	Ping struct {
+		Conn Conn
+		Task string
+	}
+	// OwnerConnected reports a new connection of an owner.
+	OwnerConnected struct {
+		Conn Conn
+		Host string // the peer's address without its port
+	}
+	// OwnerDisconnected reports that an owner's connection has ended. Requests pending on it are canceled.
+	OwnerDisconnected struct{ Conn Conn }
+	// ProtocolError reports that a message on an owner's connection was malformed or out of place.
+	ProtocolError struct{ Conn Conn }
+)
+
+// Inputs from nodes and their links.
+type (
+	// LinkUp reports that a link is established.
+	LinkUp struct{ Link Link }
+	// LinkDown reports that a link has ended or could not be established.
+	LinkDown struct {
+		Link              Link
+		ConnectionRefused bool // nothing listens at the address
+	}
+	// NodeMessage is a message of a node about a task.
+	NodeMessage struct {
+		Link        Link
+		Kind        NodeMessageKind
+		Task        string
+		Cause       int
+		Reason      flaxshelf.Reason
+		UsageKind   flaxshelf.UsageKind
+		Amount      float64
+		Description string
+	}
+	// SendFailed reports that an Offer was not written.
+	SendFailed struct {
+		Link    Link
+		Task    string
+		Attempt int
+	}
+)
+
+// Inputs from the discovery service and the process.
+type (
+	// NodesUpdated is an update of the endpoint list.
+	NodesUpdated struct {
+		Machines   []flaxshelf.Machine
+		Addrs      []string // of the machines, in their order
+		Complete   bool     // nodes that it doesn't name are removed
+		FromConfig bool     // from the configuration, not from the discovery service
+	}
+	// WatchEstablished reports that the discovery service has accepted the subscription.
+	WatchEstablished struct{}
+	// WatchFailed reports that the discovery service could not be reached, or that its watch broke off or timed out.
+	WatchFailed struct{}
+	// Shutdown reports that the scheduler is to shut down: health checks fail from now on.
+	Shutdown struct{}
+)
+
+// NodeMessageKind is what a node reports about a task.
+type NodeMessageKind int
+
+// Kinds of node messages.
+const (
+	NodeAccepted         NodeMessageKind = iota // the task runs
+	NodeReleased                                // it never ran, or has ended
+	NodeConfirmedRelease                        // the node has received our release
+	NodeUsage                                   // a usage report
+)
+
+// String names the kind for logs and tests.
+func (k NodeMessageKind) String() string {
+	switch k {
+	case NodeAccepted:
+		return "accepted"
+	case NodeReleased:
+		return "released"
+	case NodeConfirmedRelease:
+		return "release confirmed"
+	case NodeUsage:
+		return "usage"
+	}
+	return "unknown"
+}
+
+func (in Submit) apply(c *Core)            { c.submit(in) }
+func (in Adopt) apply(c *Core)             { c.adopt(in) }
+func (in Release) apply(c *Core)           { c.releaseByOwner(in.Conn, in.Task) }
+func (in Migrated) apply(c *Core)          { c.releaseByOwner(in.Conn, in.Task) }
+func (in Ping) apply(c *Core)              { c.ping(in) }
+func (in OwnerConnected) apply(c *Core)    { c.connectOwner(in) }
+func (in OwnerDisconnected) apply(c *Core) { c.disconnectOwner(in.Conn) }
+func (in ProtocolError) apply(c *Core)     { c.protocolError(in.Conn) }
+func (in LinkUp) apply(c *Core)            { c.linkUp(in.Link) }
+func (in LinkDown) apply(c *Core)          { c.linkDown(in) }
+func (in NodeMessage) apply(c *Core)       { c.handleNodeMessage(in) }
+func (in SendFailed) apply(c *Core)        { c.sendFailed(in) }
+func (in NodesUpdated) apply(c *Core)      { c.updateNodes(in) }
+func (WatchEstablished) apply(c *Core)     { c.watchEstablished() }
+func (WatchFailed) apply(c *Core)          { c.watchFailed() }
+func (Shutdown) apply(c *Core)             { c.shuttingDown = true }
--- /dev/null
+++ b/internal/requests/link.go
@@ -0,0 +1,203 @@
+package requests
+
+import (
+	"time"
+
+	"flaxshelf.example/flaxshelf"
+)
+
+// link is a connection to a node.
+type link struct {
+	id             Link
+	node           *node
+	up             bool
+	suspected      bool // silent where a message was due, or about to be closed as idle: a newer link replaces it
+	pendingOffers  int  // written on it and not responded to
+	lastReceivedAt Time
+	lastUsedAt     Time // the last offer or message on it, or its coming up
+}
+
+// linkRetireDelay is how long messages are still received on a link that was replaced.
+const linkRetireDelay = 2 * time.Second
+
+// ensureLink dials a node that needs a link, unless it has one, is being dialed or waits for its redial backoff.
+func (c *Core) ensureLink(n *node) {
+	hasLink := n.current != nil && !n.current.suspected
+	waiting := n.redial != nil && n.redial.Queued()
+	if !n.needsLink() || hasLink || waiting {
+		return
+	}
+	n.deniedLink = !c.reserveLink(n)
+	if n.deniedLink {
+		return
+	}
+	c.lastLinkID++
+	l := &link{id: c.lastLinkID, node: n}
+	n.current = l
+	c.links[l.id] = l
+	c.emit(Dial{Link: l.id, Node: n.entry.ID, Addr: n.addr})
+}
+
+// linkUp handles an established link: what waited for it is written.
+func (c *Core) linkUp(id Link) {
+	l := c.links[id]
+	if l == nil {
+		c.emit(CloseLink{id})
+		return
+	}
+	n := l.node
+	l.up = true
+	l.lastUsedAt = c.now
+	l.lastReceivedAt = c.now
+	n.lastReceivedAt = c.now
+	n.failedDials = 0
+	n.everLinked = true
+	if n.current != l {
+		c.closeLink(l)
+		return
+	}
+	for _, a := range sortedByKey(n.attempts) {
+		switch a.phase {
+		case phaseConnecting:
+			c.sendOffer(a, l)
+		case phaseReleasing:
+			a.releaseDelivered = true
+			c.sendRelease(a, l) // the former link may have broken before the release was sent
+		}
+	}
+}
+
+// linkDown handles a link that has ended or could not be established.
+func (c *Core) linkDown(in LinkDown) {
+	l := c.links[in.Link]
+	if l == nil {
+		return
+	}
+	n, wasUp, wasCurrent := l.node, l.up, l.node.current == l
+	c.removeLink(l)
+	if wasUp {
+		c.stats.BrokenLinks++
+	}
+	if !wasCurrent {
+		return
+	}
+	if wasUp {
+		c.ensureLink(n)
+		return
+	}
+	if old := c.newestLinkUp(n); old != nil {
+		c.retainLink(n, old, in.ConnectionRefused)
+		return
+	}
+	c.dialFailed(n, in.ConnectionRefused)
+}
+
+// dialFailed handles a failed dial of a node that has no other link. A refused connection proves that the process is dead,
+// and with it what ran there; any other failure proves only that nothing was sent.
+func (c *Core) dialFailed(n *node, refused bool) {
+	// A draining node does not listen any more: its refusal proves a death only where a link was up and broke before.
+	// Otherwise a scheduler that has just started would release all running tasks that it adopts there.
+	dead := refused && (n.everLinked || n.entry.State != flaxshelf.Draining)
+	if refused && !dead {
+		n.lastReceivedAt = c.now
+	}
+	n.failedDials++
+	for _, a := range sortedByKey(n.attempts) {
+		switch {
+		case a.phase == phaseConnecting:
+			c.endAttempt(a, flaxshelf.Unreachable, flaxshelf.UnspecifiedReason)
+		case a.phase >= phaseRunning && dead:
+			c.stats.LostToNodeDeath++
+			c.loseAttempt(a)
+		}
+	}
+	c.scheduleRedial(n, exponentialBackoff(initialRedialBackoff, maxRedialBackoff, n.failedDials-1))
+}
+
+// retainLink goes on with a link that is up where its replacement could not be established. A refusal shows a live machine
+// whose process does not listen any more: a draining node keeps its running tasks, on the links that it has. Taken for a
+// death, it would have those tasks reported as lost while they run.
+func (c *Core) retainLink(n *node, old *link, refused bool) {
+	n.current = old
+	if refused {
+		n.lastReceivedAt = c.now
+		old.suspected = false
+	} else {
+		c.scheduleRedial(n, maxRedialBackoff) // old stays suspected
+	}
+	c.endConnecting(n, flaxshelf.Unreachable)
+}
+
+// suspectLink has a newer link replace l. Offers that are pending on l may still be responded to there for a while.
+func (c *Core) suspectLink(l *link) {
+	if l.suspected || c.links[l.id] == nil {
+		return
+	}
+	l.suspected = true
+	c.scheduleRetirement(l)
+	c.ensureLink(l.node)
+}
+
+// scheduleRetirement closes a suspected link after linkRetireDelay, once another has replaced it.
+func (c *Core) scheduleRetirement(l *link) {
+	c.timers.Schedule(c.now+linkRetireDelay, func() {
+		current := l.node.current
+		switch {
+		case c.links[l.id] == nil || current == l && !l.suspected:
+			return
+		case current != l && current != nil && current.up:
+			c.closeLink(l)
+		default:
+			c.scheduleRetirement(l)
+		}
+	})
+}
+
+// closeLink closes a link from our side.
+func (c *Core) closeLink(l *link) {
+	c.emit(CloseLink{l.id})
+	c.removeLink(l)
+}
+
+// closeLinksOf closes all links to a node.
+func (c *Core) closeLinksOf(n *node) {
+	own := map[Link]*link{}
+	for id, l := range c.links {
+		if l.node == n {
+			own[id] = l
+		}
+	}
+	for _, l := range sortedByKey(own) {
+		c.closeLink(l)
+	}
+}
+
+// removeLink removes a link that has ended. Offers that are pending on it may have been accepted, and count as lost. The
+// link is marked down, so that no release of a running task is written on it.
+func (c *Core) removeLink(l *link) {
+	delete(c.links, l.id)
+	l.up = false
+	n := l.node
+	if n.current == l {
+		n.current = nil
+	}
+	if l.pendingOffers == 0 {
+		return
+	}
+	for _, a := range sortedByKey(n.attempts) {
+		if a.phase == phaseOffered && a.link == l {
+			c.endAttempt(a, flaxshelf.Lost, flaxshelf.UnspecifiedReason)
+		}
+	}
+}
+
+// newestLinkUp is the newest link of a node that is up; nil where none is.
+func (c *Core) newestLinkUp(n *node) *link {
+	var newest *link
+	for _, l := range c.links {
+		if l.node == n && l.up && (newest == nil || l.id > newest.id) {
+			newest = l
+		}
+	}
+	return newest
+}
--- /dev/null
+++ b/internal/requests/linkpool.go
@@ -0,0 +1,103 @@
+package requests
+
+import "cmp"
+
+// linkPriority is how much a node needs a link.
+type linkPriority int
+
+const (
+	priorityPrefetch     linkPriority = iota // nothing runs or waits there: a link only saves time later
+	priorityRunningTasks                     // tasks run there: their ends are reported on a link
+	priorityPendingOffer                     // an offer waits for the link
+)
+
+// linkPriority is the priority of a link to the node now.
+func (n *node) linkPriority() linkPriority {
+	priority := priorityPrefetch
+	for _, a := range n.attempts {
+		switch {
+		case a.phase == phaseConnecting:
+			return priorityPendingOffer
+		case a.phase >= phaseRunning:
+			priority = priorityRunningTasks
+		}
+	}
+	return priority
+}
+
+// prefetchLinkEighths is how many eighths of Config.MaxLinks links that only save time may fill. The last eighth is kept
+// free for links that are needed.
+const prefetchLinkEighths = 7
+
+// atCapacity reports whether a link that only saves time would be one too many.
+func (c *Core) atCapacity() bool {
+	return c.config.MaxLinks > 0 && len(c.links) >= c.config.MaxLinks*prefetchLinkEighths/8
+}
+
+// reserveLink reports whether a link to n may be made, and evicts another one for it where the pool is full. Without the
+// bound, many nodes, or each with an old link beside its new one, would leave no descriptor for a node with a pending offer.
+func (c *Core) reserveLink(n *node) bool {
+	priority := n.linkPriority()
+	if !c.atCapacity() || priority > priorityPrefetch && len(c.links) < c.config.MaxLinks {
+		return true
+	}
+	if priority == priorityPrefetch {
+		return false
+	}
+	candidate := c.evictionCandidate(priority)
+	if candidate == nil {
+		return false
+	}
+	candidate.node.deniedLink = candidate.node.current == candidate
+	c.closeLink(candidate)
+	return true
+}
+
+// evictionCandidate is the link to close for one of the given priority: of the highest rank, then the least recently used,
+// then the oldest. It is nil where no link may be evicted.
+func (c *Core) evictionCandidate(priority linkPriority) *link {
+	var best *link
+	var bestRank evictionRank
+	for _, l := range c.links {
+		rank := c.rankForEviction(l, priority)
+		if rank == rankNotEvictable {
+			continue
+		}
+		olderUse := best != nil && cmp.Or(cmp.Compare(l.lastUsedAt, best.lastUsedAt), cmp.Compare(l.id, best.id)) < 0
+		if rank > bestRank || rank == bestRank && olderUse {
+			best, bestRank = l, rank
+		}
+	}
+	return best
+}
+
+// evictionRank orders links by how little is lost when they are closed.
+type evictionRank int
+
+const (
+	rankNotEvictable    evictionRank = iota
+	rankRunningTasks                 // tasks run on its node, which is linked again later to hear of them
+	rankNothingAssigned              // no attempt of ours is on its node
+	rankReplaced                     // a newer link has taken its place
+)
+
+// minIdleDivisor sets how long a link to a node with running tasks must be unused before another such link may replace it:
+// this part of Config.NodeUnreachableTimeout, so that each of several nodes is heard of in time.
+const minIdleDivisor = 4
+
+// rankForEviction is the rank of l where a link of the given priority is wanted.
+func (c *Core) rankForEviction(l *link, wanted linkPriority) evictionRank {
+	switch {
+	case !l.up || l.pendingOffers > 0:
+		return rankNotEvictable
+	case l.node.current != l:
+		return rankReplaced
+	case len(l.node.attempts) == 0:
+		return rankNothingAssigned
+	case l.node.linkPriority() == priorityPendingOffer:
+		return rankNotEvictable
+	case wanted == priorityPendingOffer || c.now-l.lastUsedAt >= c.config.NodeUnreachableTimeout/minIdleDivisor:
+		return rankRunningTasks
+	}
+	return rankNotEvictable
+}
--- /dev/null
+++ b/internal/requests/nodemessage.go
@@ -0,0 +1,141 @@
+package requests
+
+import "flaxshelf.example/flaxshelf"
+
+// attemptOn finds the attempt that a message on a link is about: that of the task at the very node of the link.
+func (c *Core) attemptOn(id Link, taskID string) *attempt {
+	l, t := c.links[id], c.tasks[taskID]
+	if l == nil || t == nil || t.attempt == nil || t.attempt.node != l.node {
+		return nil
+	}
+	return t.attempt
+}
+
+// handleNodeMessage handles a message of a node about a task.
+func (c *Core) handleNodeMessage(in NodeMessage) {
+	l := c.links[in.Link]
+	if l == nil {
+		return
+	}
+	l.lastReceivedAt = c.now
+	l.lastUsedAt = c.now
+	l.node.lastReceivedAt = c.now
+	a := c.attemptOn(in.Link, in.Task)
+	if a == nil {
+		c.handleUnmatchedMessage(l, in)
+		return
+	}
+	c.verifyOwnerOf(a.task)
+	switch in.Kind {
+	case NodeAccepted:
+		if a.phase == phaseOffered && a.link == l {
+			c.acceptTask(a, in.Description)
+		}
+	case NodeReleased:
+		c.handleNodeRelease(a, in)
+	case NodeConfirmedRelease:
+		if a.phase == phaseReleasing {
+			c.endAttempt(a, flaxshelf.Canceled, flaxshelf.UnspecifiedReason)
+		}
+	case NodeUsage:
+		c.reportUsage(a, in)
+	}
+}
+
+// handleUnmatchedMessage handles a message about a task that has no attempt at the node. A task that the node accepts is
+// released there: the message is late, or about a task of nobody's.
+func (c *Core) handleUnmatchedMessage(l *link, in NodeMessage) {
+	switch in.Kind {
+	case NodeAccepted:
+		c.stats.StaleMessages++
+		c.emit(SendRelease{Link: l.id, Task: in.Task, Cause: CauseNormal})
+	case NodeReleased:
+		c.recordPreAdoptionTermination(l.node, in)
+	}
+}
+
+// acceptTask handles a node's acceptance of an offer: the owner has its response, and the task runs.
+func (c *Core) acceptTask(a *attempt, description string) {
+	t := a.task
+	c.timers.Cancel(a.timer)
+	a.phase = phaseRunning
+	a.link.pendingOffers--
+	c.finishRequest(t, true)
+	t.description, t.idempotencyKey = "", "" // needed for offers only
+	c.stats.Running++
+	c.stats.Placed++
+	c.emit(Accepted{Conn: t.conn, Task: t.id, Description: description})
+	c.markActive(t.conn)
+	c.notifyModule(flaxshelf.AttemptPlaced{
+		Task:    t.id,
+		Machine: a.node.entry.ID,
+		Attempt: a.number,
+		Latency: c.now - a.startedAt,
+	})
+}
+
+// reportUsage passes a node's usage report of a running task to the module.
+func (c *Core) reportUsage(a *attempt, in NodeMessage) {
+	if a.phase != phaseRunning {
+		return
+	}
+	c.notifyModule(flaxshelf.UsageReport{
+		Task:    in.Task,
+		Machine: a.node.entry.ID,
+		Attempt: a.number,
+		Kind:    in.UsageKind,
+		Amount:  in.Amount,
+	})
+}
+
+// handleNodeRelease handles a node's release of a task that has an attempt there.
+func (c *Core) handleNodeRelease(a *attempt, in NodeMessage) {
+	switch a.phase {
+	case phaseOffered:
+		if a.link.id != in.Link {
+			return // about an earlier attempt
+		}
+		c.endAttempt(a, offerOutcome(in.Cause), in.Reason)
+	case phaseRunning:
+		outcome := runningOutcome(in.Cause)
+		if in.Cause != CauseCanceled {
+			c.notifyTerminated(a.task, in.Cause)
+		}
+		c.stats.countTermination(outcome, in.Reason)
+		c.endAttempt(a, outcome, in.Reason)
+	case phaseReleasing:
+		c.endAttempt(a, releasedOutcome(in.Cause), in.Reason)
+	}
+}
+
+// offerOutcome is how an offer ended that the node has released before it accepted the task.
+func offerOutcome(cause int) flaxshelf.Outcome {
+	switch cause {
+	case CauseRejected:
+		return flaxshelf.Rejected
+	case CauseError:
+		return flaxshelf.Failed
+	case CauseObsolete:
+		return flaxshelf.NotSent
+	}
+	return flaxshelf.Lost
+}
+
+// runningOutcome is how a running task ended that the node has released.
+func runningOutcome(cause int) flaxshelf.Outcome {
+	switch cause {
+	case CauseNormal:
+		return flaxshelf.Completed
+	case CauseCanceled:
+		return flaxshelf.Canceled
+	}
+	return flaxshelf.Lost
+}
+
+// releasedOutcome is how a task ended that was released here before the node's release arrived.
+func releasedOutcome(cause int) flaxshelf.Outcome {
+	if cause == CauseNormal {
+		return flaxshelf.Completed
+	}
+	return flaxshelf.Canceled
+}
--- /dev/null
+++ b/internal/requests/notification.go
@@ -0,0 +1,67 @@
+package requests
+
+import "cmp"
+
+// maxUndelivered bounds the notifications that wait for an owner's connection; more are dropped.
+const maxUndelivered = 4096
+
+// notifyTerminated notifies the owner of a running task that the task has ended.
+func (c *Core) notifyTerminated(t *task, cause int) {
+	c.deliver(t.conn, Terminated{Task: t.id, Cause: cause})
+}
+
+// notifyMigration notifies the owner of a running task that it is to submit the task again.
+func (c *Core) notifyMigration(t *task) {
+	c.deliver(t.conn, Terminated{Task: t.id, Migrate: true})
+}
+
+// deliver sends a notification on the connection that its task came from, else on the likeliest owner's connection, else on
+// the next connection that turns out to be an owner's.
+func (c *Core) deliver(conn Conn, notification Terminated) {
+	o := c.owners[conn]
+	if o == nil {
+		o = c.likelyOwner()
+	}
+	if o != nil {
+		notification.Conn = o.conn
+		c.emit(notification)
+		return
+	}
+	if len(c.undelivered) < maxUndelivered {
+		c.undelivered = append(c.undelivered, &notification)
+	}
+}
+
+// retryUndelivered sends the notifications that found no connection before.
+func (c *Core) retryUndelivered(conn Conn) {
+	for _, notification := range c.undelivered {
+		notification.Conn = conn
+		c.emit(*notification)
+	}
+	c.undelivered = c.undelivered[:0]
+}
+
+// likelyOwner is the connection that was marked active last. Where none was, it is the one that most tasks were adopted
+// from, and of several such the oldest. It is nil where no connection is likely an owner's: misbehaving clients connect from
+// owners' addresses and report tasks that no node runs, and a notification that goes to one of them is lost.
+func (c *Core) likelyOwner() *owner {
+	var best *owner
+	for _, o := range c.owners {
+		if o.activeSerial == 0 && o.adoptions == 0 {
+			continue
+		}
+		if best == nil || compareLikelihood(o, best) > 0 {
+			best = o
+		}
+	}
+	return best
+}
+
+// compareLikelihood orders connections by how likely they are an owner's.
+func compareLikelihood(a, b *owner) int {
+	return cmp.Or(
+		cmp.Compare(a.activeSerial, b.activeSerial),
+		cmp.Compare(a.adoptions, b.adoptions),
+		cmp.Compare(b.conn, a.conn),
+	)
+}
--- /dev/null
+++ b/internal/requests/request.go
@@ -0,0 +1,137 @@
+package requests
+
+import (
+	"flaxshelf.example/flaxshelf"
+	"flaxshelf.example/flaxshelf/internal/admission"
+)
+
+// task is a request that waits for its response, or the task that runs after it.
+type task struct {
+	id             string
+	spec           flaxshelf.Task
+	class          string
+	idempotencyKey string
+	description    string
+	conn           Conn // that it was submitted or adopted on
+	pending        bool // its owner waits for the response
+	unverified     bool // it was adopted, and its node has sent no message about it
+	attempts       int  // made so far
+	attempt        *attempt
+	// unansweredLinks has, by node, the link of the last attempt that ended without a message of the node: such a message
+	// may still arrive on it.
+	unansweredLinks map[*node]Link
+}
+
+// noteUnanswered records the link of an attempt that ended without a message of its node.
+func (t *task) noteUnanswered(n *node, id Link) {
+	if t.unansweredLinks == nil {
+		t.unansweredLinks = map[*node]Link{}
+	}
+	t.unansweredLinks[n] = max(id, t.unansweredLinks[n])
+}
+
+// submit begins a request. One whose ID is in use is not begun: the first keeps its single response.
+func (c *Core) submit(in Submit) {
+	o := c.owners[in.Conn]
+	if o == nil {
+		return // the connection has ended: nobody waits
+	}
+	if old := c.tasks[in.Task.ID]; old != nil {
+		if !old.pending || old.conn != in.Conn {
+			c.emit(Terminated{Conn: in.Conn, Task: in.Task.ID, Cause: CauseLost})
+		}
+		return
+	}
+	if c.stats.Pending >= c.config.MaxPending || !c.admission.BeginRequest(admission.ID(in.Conn)) {
+		c.stats.RejectedAtLimit++
+		c.emit(Terminated{Conn: in.Conn, Task: in.Task.ID, Cause: CauseRejected}) // no part of it has run
+		return
+	}
+	t := &task{
+		id:             in.Task.ID,
+		spec:           in.Task,
+		class:          in.Class,
+		idempotencyKey: in.IdempotencyKey,
+		description:    in.Description,
+		conn:           in.Conn,
+		pending:        true,
+	}
+	c.tasks[t.id] = t
+	o.addPending(t)
+	c.stats.Pending++
+	c.notifyModule(flaxshelf.TaskSubmitted{Task: t.spec})
+}
+
+// respondTerminated gives the final response of a request that the module has rejected or failed.
+func (c *Core) respondTerminated(id string, cause int) {
+	t := c.tasks[id]
+	if t == nil || !t.pending {
+		return
+	}
+	c.finishRequest(t, true)
+	if cause == CauseRejected {
+		c.stats.Rejected++
+	} else {
+		c.stats.Failed++
+	}
+	c.emit(Terminated{Conn: t.conn, Task: t.id, Cause: cause})
+	c.forgetIfDone(t)
+}
+
+// finishRequest records that the owner waits for no response any more: it has one, or has canceled the request.
+func (c *Core) finishRequest(t *task, answered bool) {
+	if !t.pending {
+		return
+	}
+	t.pending = false
+	c.stats.Pending--
+	if o := c.owners[t.conn]; o != nil {
+		delete(o.pending, t.id)
+	}
+	c.admission.EndRequest(c.now, admission.ID(t.conn), answered)
+}
+
+// releaseByOwner handles an owner's release: it cancels a pending request, and ends a running task.
+func (c *Core) releaseByOwner(conn Conn, id string) {
+	t := c.tasks[id]
+	if t == nil {
+		return
+	}
+	if t.pending {
+		c.cancelRequest(t)
+		return
+	}
+	c.touchOwner(conn)
+	if t.attempt != nil && t.attempt.phase == phaseRunning {
+		c.releaseRunning(t)
+	}
+}
+
+// cancelRequest cancels a pending request, together with its attempt.
+func (c *Core) cancelRequest(t *task) {
+	c.finishRequest(t, false)
+	c.stats.Canceled++
+	c.notifyModule(flaxshelf.TaskCanceled{Task: t.id})
+	if t.attempt != nil {
+		c.withdrawOffer(t.attempt)
+	}
+	c.forgetIfDone(t)
+}
+
+// migrate ends a running task that the module wants elsewhere. The owner is notified of a migration, not of a release: after
+// a release it would count the task as lost, and wait before it submits again.
+func (c *Core) migrate(action flaxshelf.Migrate) {
+	t := c.tasks[action.Task]
+	if t == nil || t.attempt == nil || t.attempt.phase != phaseRunning {
+		return
+	}
+	c.notifyMigration(t)
+	c.releaseRunning(t)
+}
+
+// forgetIfDone removes a task that has neither a pending response nor an attempt.
+func (c *Core) forgetIfDone(t *task) {
+	if !t.pending && t.attempt == nil {
+		delete(c.tasks, t.id)
+	}
+}
--- a/internal/requests/requests_test.go
+++ b/internal/requests/requests_test.go
@@ -307,10 +307,10 @@
 	if f := w.c.Stats(); f.Running != 0 {
 		t.Errorf("%d stand", f.Running)
 	}
-	for i := range 2 * maxUnknownTerminations {
+	for i := range 2 * maxPreAdoptionTerminations {
 		w.step(NodeMessage{Link: w.up["n"], Kind: NodeReleased, Task: id(100 + i), Cause: CauseLost})
 	}
-	if n := len(w.c.unknownTerminations.byTask); n > maxUnknownTerminations || n != len(w.c.unknownTerminations.order) {
+	if n := len(w.c.preAdoption.byTask); n > maxPreAdoptionTerminations || n != len(w.c.preAdoption.order) {
 		t.Errorf("%d ends are kept", n)
 	}
 }
--- /dev/null
+++ b/internal/requests/silence.go
@@ -0,0 +1,71 @@
+package requests
+
+import (
+	"cmp"
+	"slices"
+	"time"
+)
+
+const (
+	// silenceCheckInterval is how often nodes are checked for silence.
+	silenceCheckInterval = 500 * time.Millisecond
+	// nodeSilenceThreshold is how long a node with running tasks may send nothing before a newer link has to prove that it
+	// is reachable.
+	nodeSilenceThreshold = 2500 * time.Millisecond
+)
+
+// checkSilence finds machines that vanished or were cut off without a sign: established links stay open and silent, and new
+// ones never come up. After Config.NodeUnreachableTimeout the tasks there count as lost; so do tasks that were adopted on a
+// node that no endpoint list names.
+func (c *Core) checkSilence() {
+	c.timers.Schedule(c.now+silenceCheckInterval, c.checkSilence)
+	var denied []*node
+	for _, n := range sortedByKey(c.nodes) {
+		switch {
+		case c.nearIdleTimeout(n.current):
+			c.renewIdleLink(n)
+		case n.deniedLink: // without a link its silence proves nothing
+			denied = append(denied, n)
+		case len(n.attempts) > 0:
+			c.checkNodeSilence(n)
+		}
+	}
+	slices.SortStableFunc(denied, func(a, b *node) int { return cmp.Compare(a.lastReceivedAt, b.lastReceivedAt) })
+	for _, n := range denied {
+		c.ensureLink(n)
+	}
+}
+
+// checkNodeSilence suspects the link of a silent node, and counts the tasks of an unreachable one as lost.
+func (c *Core) checkNodeSilence(n *node) {
+	silence := c.now - n.lastReceivedAt
+	if n.current != nil && n.current.up && !n.current.suspected {
+		if silence >= nodeSilenceThreshold {
+			c.stats.SuspectedLinks++
+			c.suspectLink(n.current)
+		}
+		return
+	}
+	if silence >= c.config.NodeUnreachableTimeout {
+		all := func(*attempt) bool { return true }
+		c.stats.LostToUnreachable += c.loseRunning(n, all)
+	}
+}
+
+// nearIdleTimeout reports whether a node may be about to close a link for lack of traffic, after three quarters of its idle
+// timeout. An offer that crosses such a close counts as one that may have been accepted, so the link is renewed before.
+func (c *Core) nearIdleTimeout(l *link) bool {
+	if l == nil || !l.up || l.suspected || c.config.NodeIdleTimeout <= 0 {
+		return false
+	}
+	return c.now-l.lastUsedAt >= c.config.NodeIdleTimeout*3/4
+}
+
+// renewIdleLink replaces a link that its node is about to close; one that only saves time is closed where links are scarce.
+func (c *Core) renewIdleLink(n *node) {
+	if len(n.attempts) == 0 && c.atCapacity() {
+		c.closeLink(n.current)
+		return
+	}
+	c.suspectLink(n.current)
+}
