--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,6 +1,6 @@
-// Package admission owns the decision which of the owners' connections are closed: when descriptors run short, when one
-// stays silent, and when one asks for more than its share. It is free of I/O and clocks, and must not know what owners
-// ask for.
+// Package admission decides which of the owners' connections a scheduler closes: when descriptors run short, when a
+// connection stays idle, and when it asks for more than its share. It does no I/O, reads no clock, and does not know what
+// owners request.
 package admission
 
 import (
@@ -11,20 +11,19 @@
 // Time is the host's clock.
 type Time = time.Duration
 
-// ID names a connection. It is never used again.
+// ID identifies a connection. It is never used again.
 type ID uint64
 
 // Limits bound the connections.
 type Limits struct {
-	MaxConnections          int           // connections kept; for one more, another is closed
-	IdleTimeout             time.Duration // one that has said nothing of use for so long after its coming is closed
-	RecentUseGrace          time.Duration // one that was of use within so long is not closed for others
-	MaxProtocolErrors       int           // messages of no use that one may send; at the next it is closed
-	MaxPendingPerConnection int           // set-ups that may be open on one
+	MaxConnections          int           // connections kept open; for one more, another is closed
+	IdleTimeout             time.Duration // a connection that is still unverified so long after it opened is closed
+	RecentUseGrace          time.Duration // a verified connection used within so long is not closed for another one
+	MaxProtocolErrors       int           // malformed messages in a row that a connection may send; at the next it is closed
+	MaxPendingPerConnection int           // requests that may be pending on a connection
 }
 
-// connection is a connection. It is in one of two lists: those that have not shown themselves to be of use, in order of their
-// coming, and the others, in order of their last use.
+// connection is an owner's connection, or one that may be. It is unverified until it is used as an owner uses one.
 type connection struct {
 	id             ID
 	host           string
@@ -32,175 +31,205 @@
 	lastUsedAt     Time
 	verified       bool
 	likelyOwner    bool
-	pending        int
-	protocolErrors int
+	pending        int // requests
+	protocolErrors int // since its last use
 	element        *list.Element
 }
 
-// Control decides. It is not safe for concurrent use.
+// connectionOf is the connection of an element of Control's lists.
+func connectionOf(element *list.Element) *connection { return element.Value.(*connection) }
+
+// Control decides which connections to close. It is not safe for concurrent use.
 type Control struct {
 	limits            Limits
 	connections       map[ID]*connection
-	unverified        list.List      // in order of their coming
-	verified          list.List      // the least lately used first
-	unverifiedPerHost map[string]int // strangers of each host
-}
-
-// New makes a Control.
-func New(l Limits) *Control {
-	return &Control{limits: l, connections: map[ID]*connection{}, unverifiedPerHost: map[string]int{}}
-}
-
-// Len is how many connections are there.
-func (d *Control) Len() int { return len(d.connections) }
-
-// Opened books a new connection and returns those to close for it; it may be the new one itself, where all others are of
-// use. What is returned counts as gone.
-func (d *Control) Opened(now Time, id ID, host string) []ID {
-	e := &connection{id: id, host: host, openedAt: now, lastUsedAt: now}
-	d.connections[id] = e
-	e.element = d.unverified.PushBack(e)
-	d.unverifiedPerHost[host]++
-	var out []ID
-	for len(d.connections) > d.limits.MaxConnections {
-		v := d.evictionCandidate(now)
-		if v == nil {
-			v = e
-		}
-		d.Closed(v.id)
-		out = append(out, v.id)
+	unverified        list.List      // in the order of their opening
+	verified          list.List      // the least recently used first
+	unverifiedPerHost map[string]int // how many of unverified each host has
+}
+
+// New makes a Control without connections.
+func New(limits Limits) *Control {
+	return &Control{
+		limits:            limits,
+		connections:       map[ID]*connection{},
+		unverifiedPerHost: map[string]int{},
 	}
-	return out
 }
 
-// evictionCandidate is who goes when descriptors run short: the oldest stranger of the host that has most of them, else the one
-// with nothing open that was of use the longest ago. Risk covered: hundreds of connections that say nothing must not
-// push out the owners, nor a newcomer that is about to speak.
-func (d *Control) evictionCandidate(now Time) *connection {
-	var best *connection
-	most := 1 // a host with one stranger is as good as any owner
-	for x := d.unverified.Front(); x != nil; x = x.Next() {
-		if e := x.Value.(*connection); d.unverifiedPerHost[e.host] > most && e.pending == 0 {
-			best, most = e, d.unverifiedPerHost[e.host]
+// Len is how many connections are open.
+func (c *Control) Len() int { return len(c.connections) }
+
+// Opened registers a new connection and returns those to close for it. That may be the new one itself, where all others are
+// in use. Those that it returns count as closed.
+func (c *Control) Opened(now Time, id ID, host string) []ID {
+	opened := &connection{id: id, host: host, openedAt: now, lastUsedAt: now}
+	c.connections[id] = opened
+	opened.element = c.unverified.PushBack(opened)
+	c.unverifiedPerHost[host]++
+	var evicted []ID
+	for len(c.connections) > c.limits.MaxConnections {
+		candidate := c.evictionCandidate(now)
+		if candidate == nil {
+			candidate = opened
 		}
+		c.Closed(candidate.id)
+		evicted = append(evicted, candidate.id)
+	}
+	return evicted
+}
+
+// evictionCandidate is the connection to close when descriptors run short; nil where all are in use. Hundreds of silent
+// connections must push out neither the owners' connections nor a new one that is about to be used, so the hosts with
+// several unverified connections lose theirs first.
+func (c *Control) evictionCandidate(now Time) *connection {
+	if candidate := c.unverifiedOfBusiestHost(); candidate != nil {
+		return candidate
 	}
-	if best != nil {
-		return best
+	if candidate := c.leastRecentlyUsed(now); candidate != nil {
+		return candidate
 	}
-	for x := d.verified.Front(); x != nil; x = x.Next() {
-		e := x.Value.(*connection)
-		if now-e.lastUsedAt < d.limits.RecentUseGrace {
-			break
-		}
-		if e.pending == 0 {
-			return e
+	if oldest := c.unverified.Front(); oldest != nil && connectionOf(oldest).pending == 0 {
+		return connectionOf(oldest)
+	}
+	return nil
+}
+
+// unverifiedOfBusiestHost is the oldest unverified connection without pending requests of the host that has most unverified
+// ones. It is nil where no host has two: a host with a single one is as good as any owner.
+func (c *Control) unverifiedOfBusiestHost() *connection {
+	var candidate *connection
+	maxPerHost := 1
+	for element := c.unverified.Front(); element != nil; element = element.Next() {
+		conn := connectionOf(element)
+		if perHost := c.unverifiedPerHost[conn.host]; perHost > maxPerHost && conn.pending == 0 {
+			candidate, maxPerHost = conn, perHost
 		}
 	}
-	if x := d.unverified.Front(); x != nil {
-		if e := x.Value.(*connection); e.pending == 0 {
-			return e
+	return candidate
+}
+
+// leastRecentlyUsed is the verified connection without pending requests that was used the longest ago; nil where all were
+// used within the grace.
+func (c *Control) leastRecentlyUsed(now Time) *connection {
+	for element := c.verified.Front(); element != nil; element = element.Next() {
+		conn := connectionOf(element)
+		if now-conn.lastUsedAt < c.limits.RecentUseGrace {
+			return nil
+		}
+		if conn.pending == 0 {
+			return conn
 		}
 	}
 	return nil
 }
 
-// Touch books that a connection was of use: it carried a set-up that had its answer, a test, a task that stands or the end
-// of one. A set-up alone is not enough: bad clients send hundreds and take them back at once.
-func (d *Control) Touch(now Time, id ID) {
-	e := d.connections[id]
-	if e == nil {
+// Touch records a use that only owners make of a connection: it carried a request that has its response, a health check, a
+// running task or the end of one. A request alone is not enough: misbehaving clients send hundreds and cancel them at once.
+func (c *Control) Touch(now Time, id ID) {
+	conn := c.connections[id]
+	if conn == nil {
 		return
 	}
-	e.lastUsedAt, e.protocolErrors = now, 0
-	if e.verified {
-		d.verified.MoveToBack(e.element)
+	conn.lastUsedAt = now
+	conn.protocolErrors = 0
+	if conn.verified {
+		c.verified.MoveToBack(conn.element)
 		return
 	}
-	e.verified = true
-	d.removeUnverified(e)
-	e.element = d.verified.PushBack(e)
+	conn.verified = true
+	c.removeUnverified(conn)
+	conn.element = c.verified.PushBack(conn)
 }
 
-// MarkLikelyOwner books that a connection carried what owners carry, though it proves none.
-func (d *Control) MarkLikelyOwner(id ID) {
-	if e := d.connections[id]; e != nil {
-		e.likelyOwner = true
+// MarkLikelyOwner records that a connection carried what owners send, though that does not verify it.
+func (c *Control) MarkLikelyOwner(id ID) {
+	if conn := c.connections[id]; conn != nil {
+		conn.likelyOwner = true
 	}
 }
 
-// removeUnverified takes e from the strangers.
-func (d *Control) removeUnverified(e *connection) {
-	d.unverified.Remove(e.element)
-	if d.unverifiedPerHost[e.host]--; d.unverifiedPerHost[e.host] == 0 {
-		delete(d.unverifiedPerHost, e.host)
+// removeUnverified takes a connection out of the unverified ones.
+func (c *Control) removeUnverified(conn *connection) {
+	c.unverified.Remove(conn.element)
+	c.unverifiedPerHost[conn.host]--
+	if c.unverifiedPerHost[conn.host] == 0 {
+		delete(c.unverifiedPerHost, conn.host)
 	}
 }
 
-// ProtocolError books a message that was of no use; true: the connection is to be closed.
-func (d *Control) ProtocolError(id ID) bool {
-	e := d.connections[id]
-	if e == nil {
+// ProtocolError records a malformed message, and reports whether the connection is to be closed for it.
+func (c *Control) ProtocolError(id ID) bool {
+	conn := c.connections[id]
+	if conn == nil {
 		return false
 	}
-	e.protocolErrors++
-	return e.protocolErrors > d.limits.MaxProtocolErrors
+	conn.protocolErrors++
+	return conn.protocolErrors > c.limits.MaxProtocolErrors
 }
 
-// BeginRequest books a set-up; false: it is one too many there.
-func (d *Control) BeginRequest(id ID) bool {
-	e := d.connections[id]
-	if e == nil || e.pending >= d.limits.MaxPendingPerConnection {
+// BeginRequest records a pending request. It reports false, and records nothing, where the connection has too many or is
+// not open.
+func (c *Control) BeginRequest(id ID) bool {
+	conn := c.connections[id]
+	if conn == nil || conn.pending >= c.limits.MaxPendingPerConnection {
 		return false
 	}
-	e.pending++
+	conn.pending++
 	return true
 }
 
-// EndRequest books that a set-up has its answer, or was given up.
-func (d *Control) EndRequest(now Time, id ID, answered bool) {
-	if e := d.connections[id]; e != nil && e.pending > 0 {
-		e.pending--
-		if answered {
-			d.Touch(now, id)
-		}
+// EndRequest records that a request has its response, or was canceled.
+func (c *Control) EndRequest(now Time, id ID, answered bool) {
+	conn := c.connections[id]
+	if conn == nil || conn.pending == 0 {
+		return
+	}
+	conn.pending--
+	if answered {
+		c.Touch(now, id)
 	}
 }
 
-// Closed books that a connection has ended.
-func (d *Control) Closed(id ID) {
-	e := d.connections[id]
-	if e == nil {
+// Closed records that a connection has ended.
+func (c *Control) Closed(id ID) {
+	conn := c.connections[id]
+	if conn == nil {
 		return
 	}
-	delete(d.connections, id)
-	if e.verified {
-		d.verified.Remove(e.element)
+	delete(c.connections, id)
+	if conn.verified {
+		c.verified.Remove(conn.element)
 	} else {
-		d.removeUnverified(e)
+		c.removeUnverified(conn)
 	}
 }
 
-// CloseIdle returns the connections that have said nothing of use for too long, and when to ask next; 0: not before one
-// comes. What is returned counts as gone. A vouched one stays while none is known to be of use. Risk covered: a scheduler
-// started anew would close all that its owners have, and then have nobody to tell of an end.
-func (d *Control) CloseIdle(now Time) (out []ID, next Time) {
-	waits := false // one stays for now, and is looked at again
-	for x := d.unverified.Front(); x != nil; {
-		e := x.Value.(*connection)
-		x = x.Next()
-		if due := e.openedAt + d.limits.IdleTimeout; now < due {
+// idleRecheckDivisor sets after which part of Limits.IdleTimeout an overdue connection that may stay is checked again.
+const idleRecheckDivisor = 8
+
+// CloseIdle returns the connections that stayed unverified for too long, and when to call it next; 0: not before a connection
+// opens. Those that it returns count as closed. A connection with pending requests stays for now; so does a likely owner's
+// while none is verified: a scheduler that has just started would otherwise close all that its owners have, and be left with
+// nobody to notify.
+func (c *Control) CloseIdle(now Time) (idle []ID, next Time) {
+	recheck := false
+	for element := c.unverified.Front(); element != nil; {
+		conn := connectionOf(element)
+		element = element.Next()
+		if due := conn.openedAt + c.limits.IdleTimeout; now < due {
 			next = due
 			break
 		}
-		if e.pending > 0 || e.likelyOwner && d.verified.Len() == 0 {
-			waits = true
+		if conn.pending > 0 || conn.likelyOwner && c.verified.Len() == 0 {
+			recheck = true
 			continue
 		}
-		d.Closed(e.id)
-		out = append(out, e.id)
+		c.Closed(conn.id)
+		idle = append(idle, conn.id)
 	}
-	if again := now + d.limits.IdleTimeout/8; waits && (next == 0 || again < next) {
-		next = again
+	if recheckAt := now + c.limits.IdleTimeout/idleRecheckDivisor; recheck && (next == 0 || recheckAt < next) {
+		next = recheckAt
 	}
-	return out, next
+	return idle, next
 }
