--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -10,137 +10,158 @@
 
 const ms = time.Millisecond
 
-func control() *Control {
-	return New(Limits{MaxConnections: 4, IdleTimeout: 2 * time.Second, RecentUseGrace: 200 * ms, MaxProtocolErrors: 2, MaxPendingPerConnection: 2})
+// maxConnections is the bound of newTestControl.
+const maxConnections = 4
+
+func newTestControl() *Control {
+	return New(Limits{
+		MaxConnections:          maxConnections,
+		IdleTimeout:             2 * time.Second,
+		RecentUseGrace:          200 * ms,
+		MaxProtocolErrors:       2,
+		MaxPendingPerConnection: 2,
+	})
 }
 
-// Hundreds of connections that say nothing push out each other, not those that were of use.
-func TestSilentOnesGoFirst(t *testing.T) {
-	d := control()
-	d.Opened(0, 1, "owner")
-	d.Touch(ms, 1)
-	d.Opened(2*ms, 2, "newcomer")
+// Hundreds of unused connections of one host push out each other, not those that were used, nor a new one of another host.
+func TestEvictsUnverifiedOfBusiestHostFirst(t *testing.T) {
+	c := newTestControl()
+	c.Opened(0, 1, "owner")
+	c.Touch(ms, 1)
+	c.Opened(2*ms, 2, "newcomer")
 	for i := range 300 {
-		for _, id := range d.Opened(3*ms, ID(10+i), "flood") {
+		for _, id := range c.Opened(3*ms, ID(10+i), "flood") {
 			if id < 10 {
-				t.Fatalf("%d had to go for a flood", id)
+				t.Fatalf("connection %d was evicted for a flood", id)
 			}
 		}
 	}
-	if d.Len() != 4 {
-		t.Errorf("%d are left", d.Len())
+	if c.Len() != maxConnections {
+		t.Errorf("%d connections are left", c.Len())
 	}
 }
 
-// Where all are of use the one that was so the longest ago goes, never one with something open or used just now.
-func TestLeastLatelyUsed(t *testing.T) {
-	d := control()
-	for i := range ID(4) {
-		d.Opened(Time(i)*ms, i+1, "h")
-		d.Touch(Time(i)*ms, i+1)
+// Where all are verified the least recently used one is evicted, never one with pending requests or used within the grace.
+func TestEvictsLeastRecentlyUsed(t *testing.T) {
+	c := newTestControl()
+	for i := range ID(maxConnections) {
+		c.Opened(Time(i)*ms, i+1, "h")
+		c.Touch(Time(i)*ms, i+1)
 	}
-	if !d.BeginRequest(1) {
-		t.Fatal("a set-up too many")
+	if !c.BeginRequest(1) {
+		t.Fatal("the first request is over the limit")
 	}
-	if got := d.Opened(time.Second, 5, "h"); !slices.Equal(got, []ID{2}) {
-		t.Errorf("closed %v, want 2", got)
+	if evicted := c.Opened(time.Second, 5, "h"); !slices.Equal(evicted, []ID{2}) {
+		t.Errorf("evicted %v, want 2", evicted)
 	}
-	d.Touch(time.Second, 5)
-	d.EndRequest(time.Second, 1, true)
-	d.Touch(time.Second, 3)
-	d.Touch(time.Second, 4)
-	if got := d.Opened(time.Second+ms, 6, "h"); !slices.Equal(got, []ID{6}) {
-		t.Errorf("closed %v, want the newcomer: all others were used just now", got)
+	c.Touch(time.Second, 5)
+	c.EndRequest(time.Second, 1, true)
+	c.Touch(time.Second, 3)
+	c.Touch(time.Second, 4)
+	if evicted := c.Opened(time.Second+ms, 6, "h"); !slices.Equal(evicted, []ID{6}) {
+		t.Errorf("evicted %v, want the new one: all others were used within the grace", evicted)
 	}
 }
 
-func TestSilence(t *testing.T) {
-	d := control()
-	d.Opened(0, 1, "h")
-	d.Opened(100*ms, 2, "h")
-	d.Touch(200*ms, 1)
-	if out, next := d.CloseIdle(2 * time.Second); len(out) > 0 || next != 2100*ms {
-		t.Errorf("%v, %v", out, next)
+// A connection that stays unverified is closed after the idle timeout; a verified one is not.
+func TestCloseIdle(t *testing.T) {
+	c := newTestControl()
+	c.Opened(0, 1, "h")
+	c.Opened(100*ms, 2, "h")
+	c.Touch(200*ms, 1)
+	if idle, next := c.CloseIdle(2 * time.Second); len(idle) > 0 || next != 2100*ms {
+		t.Errorf("%v, %v", idle, next)
 	}
-	if out, next := d.CloseIdle(2100 * ms); !slices.Equal(out, []ID{2}) || next != 0 {
-		t.Errorf("%v, %v", out, next)
+	if idle, next := c.CloseIdle(2100 * ms); !slices.Equal(idle, []ID{2}) || next != 0 {
+		t.Errorf("%v, %v", idle, next)
 	}
 }
 
-// A stranger is not closed while its set-up waits; answered it is an owner, taken back it is as silent as before.
-func TestSilenceOfSetUps(t *testing.T) {
+// An unverified connection is not closed while its request is pending. A response verifies it; a cancellation leaves it as
+// idle as before.
+func TestCloseIdleWithPendingRequest(t *testing.T) {
 	for _, answered := range []bool{true, false} {
-		d := control()
-		d.Opened(0, 1, "h")
-		d.BeginRequest(1)
-		if out, next := d.CloseIdle(3 * time.Second); len(out) > 0 || next != 3250*ms {
-			t.Errorf("%v, %v", out, next)
-		}
-		d.EndRequest(3*time.Second, 1, answered)
-		if out, next := d.CloseIdle(3250 * ms); (len(out) == 0) != answered || next != 0 {
-			t.Errorf("answered %v: %v, %v", answered, out, next)
-		}
+		t.Run(fmt.Sprintf("answered %v", answered), func(t *testing.T) {
+			c := newTestControl()
+			c.Opened(0, 1, "h")
+			c.BeginRequest(1)
+			if idle, next := c.CloseIdle(3 * time.Second); len(idle) > 0 || next != 3250*ms {
+				t.Errorf("%v, %v", idle, next)
+			}
+			c.EndRequest(3*time.Second, 1, answered)
+			if idle, next := c.CloseIdle(3250 * ms); (len(idle) == 0) != answered || next != 0 {
+				t.Errorf("%v, %v", idle, next)
+			}
+		})
 	}
 }
 
-func TestBoundsOfOne(t *testing.T) {
-	d := control()
-	d.Opened(0, 1, "h")
-	for n := range 3 {
-		if d.ProtocolError(1) != (n == 2) {
-			t.Errorf("message %d of no use: the third is one too many", n+1)
+// The third protocol error and the third pending request of a connection are over its limits.
+func TestLimitsPerConnection(t *testing.T) {
+	c := newTestControl()
+	c.Opened(0, 1, "h")
+	for i := range 3 {
+		if c.ProtocolError(1) != (i == 2) {
+			t.Errorf("protocol error %d: the third is one too many", i+1)
 		}
 	}
-	for n := range 3 {
-		if d.BeginRequest(1) != (n < 2) {
-			t.Errorf("open set-up %d: the third is one too many", n+1)
+	for i := range 3 {
+		if c.BeginRequest(1) != (i < 2) {
+			t.Errorf("pending request %d: the third is one too many", i+1)
 		}
 	}
-	if d.EndRequest(0, 1, true); !d.BeginRequest(1) {
-		t.Error("a set-up that has its answer counts on")
+	if c.EndRequest(0, 1, true); !c.BeginRequest(1) {
+		t.Error("a request that has its response still counts")
 	}
-	if d.ProtocolError(9) || d.BeginRequest(9) {
-		t.Error("of a connection that is not there")
+	if c.ProtocolError(9) || c.BeginRequest(9) {
+		t.Error("a connection that is not open has limits")
 	}
 }
 
-// Whatever happens, the bound is kept, nothing with a set-up open goes for others, and nothing is remembered of what has
-// gone.
-func TestAnyOrder(t *testing.T) {
+// Whatever happens, the bound holds, no connection with a pending request is evicted, and nothing is kept of connections that
+// have ended.
+func TestRandomOperations(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	d, now, last := control(), Time(0), ID(0)
-	open := map[ID]int{}
+	c, now, lastID := newTestControl(), Time(0), ID(0)
+	pending := map[ID]int{}
 	for range 20000 {
 		now += Time(rng.IntN(int(50 * ms)))
-		id := ID(rng.IntN(int(last) + 1))
+		id := ID(rng.IntN(int(lastID) + 1))
 		switch rng.IntN(6) {
 		case 0:
-			last++
-			for _, gone := range d.Opened(now, last, fmt.Sprint(rng.IntN(3))) {
-				if open[gone] > 0 {
-					t.Fatalf("%d went with %d open", gone, open[gone])
+			lastID++
+			for _, evicted := range c.Opened(now, lastID, fmt.Sprint(rng.IntN(3))) {
+				if pending[evicted] > 0 {
+					t.Fatalf("connection %d was evicted with %d requests pending", evicted, pending[evicted])
 				}
 			}
 		case 1:
-			d.Touch(now, id)
+			c.Touch(now, id)
 		case 2:
-			d.Touch(now, id)
-			if d.BeginRequest(id) {
-				open[id]++
+			c.Touch(now, id)
+			if c.BeginRequest(id) {
+				pending[id]++
 			}
 		case 3:
-			if open[id] > 0 {
-				open[id]--
-				d.EndRequest(now, id, rng.IntN(2) == 0)
+			if pending[id] > 0 {
+				pending[id]--
+				c.EndRequest(now, id, rng.IntN(2) == 0)
 			}
 		case 4:
-			d.Closed(id)
-			delete(open, id)
+			c.Closed(id)
+			delete(pending, id)
 		case 5:
-			d.CloseIdle(now)
-		}
-		if d.Len() > 4 || d.unverified.Len()+d.verified.Len() != d.Len() || len(d.unverifiedPerHost) > 3 {
-			t.Fatalf("%d connections, %d and %d in lists, %d hosts", d.Len(), d.unverified.Len(), d.verified.Len(), len(d.unverifiedPerHost))
+			c.CloseIdle(now)
 		}
+		checkLists(t, c)
+	}
+}
+
+// checkLists checks that each connection is in one list, and that the bound holds.
+func checkLists(t *testing.T, c *Control) {
+	t.Helper()
+	inLists := c.unverified.Len() + c.verified.Len()
+	if c.Len() > maxConnections || inLists != c.Len() || len(c.unverifiedPerHost) > 3 {
+		t.Fatalf("%d connections, %d in lists, %d hosts", c.Len(), inLists, len(c.unverifiedPerHost))
 	}
 }
