--- a/internal/requests/harness_test.go
+++ b/internal/requests/harness_test.go
@@ -11,156 +11,242 @@
 	"flaxshelf.example/flaxshelf/internal/admission"
 )
 
-// world is a core with a clock that the test moves and a node that it plays.
-type world struct {
-	t    *testing.T
-	c    *Core
-	now  Time
-	out  []Effect // of the last step
-	up   map[string]Link
-	all  []Effect
-	seen []flaxshelf.Event
-}
-
-func settings() flaxshelf.Config {
+// Classes of moduleConfig, by their index.
+const (
+	classIdempotent = iota
+	classKeyed
+)
+
+// harness drives a core: the test moves its clock, and acts for owners, nodes and the discovery service.
+type harness struct {
+	t            *testing.T
+	core         *Core
+	now          Time
+	effects      []Effect          // of the last step, or of all steps of the last advance
+	allEffects   []Effect          // so far
+	moduleEvents []flaxshelf.Event // so far
+	links        map[string]Link   // that addNodes has brought up, by node
+}
+
+func moduleConfig() flaxshelf.Config {
 	return flaxshelf.Config{
-		Schedulers: 1, Zone: "a", MaxAttempts: 3, CanCancel: true, Tick: 2 * time.Millisecond,
-		ConnectTimeout: 250 * time.Millisecond, DrainGrace: 2 * time.Second, CoreOvercommit: 1.5, MemoryOvercommit: 1.5,
-		Kinds: []flaxshelf.Kind{{Name: "k", Cores: 32, Memory: 64}},
+		Schedulers:       1,
+		Zone:             "a",
+		MaxAttempts:      3,
+		CanCancel:        true,
+		Tick:             2 * time.Millisecond,
+		ConnectTimeout:   250 * time.Millisecond,
+		DrainGrace:       2 * time.Second,
+		CoreOvercommit:   1.5,
+		MemoryOvercommit: 1.5,
+		Kinds:            []flaxshelf.Kind{{Name: "k", Cores: 32, Memory: 64}},
 		Classes: []flaxshelf.Class{
-			{Name: "safe", Idempotency: flaxshelf.Idempotent, LatencyObjective: 600 * time.Millisecond, PriorityWeight: 1, Kind: -1},
-			{Name: "keyed", Idempotency: flaxshelf.IdempotentByKey, KeyDomain: flaxshelf.ZoneDomain, KeyTTL: 5 * time.Second,
-				LatencyObjective: 600 * time.Millisecond, PriorityWeight: 1, Kind: -1},
+			classIdempotent: {Name: "safe", Idempotency: flaxshelf.Idempotent, LatencyObjective: 600 * time.Millisecond,
+				PriorityWeight: 1, Kind: -1},
+			classKeyed: {Name: "keyed", Idempotency: flaxshelf.IdempotentByKey, KeyDomain: flaxshelf.ZoneDomain,
+				KeyTTL: 5 * time.Second, LatencyObjective: 600 * time.Millisecond, PriorityWeight: 1, Kind: -1},
+		},
+	}
+}
+
+func testConfig() Config {
+	return Config{
+		Module:                 moduleConfig(),
+		Seed:                   1,
+		NodeUnreachableTimeout: 6 * time.Second,
+		MaxPending:             100,
+		Admission: admission.Limits{
+			MaxConnections:          10,
+			IdleTimeout:             2 * time.Second,
+			RecentUseGrace:          200 * time.Millisecond,
+			MaxProtocolErrors:       2,
+			MaxPendingPerConnection: 50,
 		},
 	}
 }
 
-func newWorld(t *testing.T, change ...func(*Config)) *world {
+// newHarness makes a core of testConfig with the given changes.
+func newHarness(t *testing.T, changes ...func(*Config)) *harness {
 	t.Helper()
-	cfg := Config{Module: settings(), Seed: 1, NodeUnreachableTimeout: 6 * time.Second, MaxPending: 100,
-		Admission: admission.Limits{MaxConnections: 10, IdleTimeout: 2 * time.Second, RecentUseGrace: 200 * time.Millisecond, MaxProtocolErrors: 2, MaxPendingPerConnection: 50}}
-	for _, f := range change {
-		f(&cfg)
+	config := testConfig()
+	for _, change := range changes {
+		change(&config)
+	}
+	h := &harness{t: t, now: Time(1_000_000 * time.Second), links: map[string]Link{}}
+	config.RecordStep = func(_ Time, events []flaxshelf.Event, _ []flaxshelf.Action) {
+		h.moduleEvents = append(h.moduleEvents, events...)
 	}
-	w := &world{t: t, now: Time(1_000_000 * time.Second), up: map[string]Link{}}
-	cfg.RecordStep = func(_ Time, events []flaxshelf.Event, _ []flaxshelf.Action) { w.seen = append(w.seen, events...) }
 	var err error
-	if w.c, err = New(cfg); err != nil {
+	if h.core, err = New(config); err != nil {
 		t.Fatal(err)
 	}
-	return w
+	return h
 }
 
-// step gives the core inputs now.
-func (w *world) step(in ...Input) {
-	w.t.Helper()
-	effects, _ := w.c.Step(w.now, in)
-	w.out = slices.Clone(effects)
-	w.all = append(w.all, w.out...)
+// step gives the core inputs at the current time.
+func (h *harness) step(inputs ...Input) {
+	h.t.Helper()
+	effects, _ := h.core.Step(h.now, inputs)
+	h.effects = slices.Clone(effects)
+	h.allEffects = append(h.allEffects, h.effects...)
 }
 
-// pass lets time go by, in the steps that the core asks for.
-func (w *world) pass(d time.Duration) {
-	w.t.Helper()
-	end := w.now + d
-	var all []Effect
+// advance lets time pass, in the steps that the core asks for.
+func (h *harness) advance(d time.Duration) {
+	h.t.Helper()
+	end := h.now + d
+	var effects []Effect
 	for {
-		_, next := w.c.Step(w.now, nil)
-		all = append(all, slices.Clone(w.c.effects)...)
+		stepEffects, next := h.core.Step(h.now, nil)
+		effects = append(effects, stepEffects...)
 		if next == 0 || next > end {
 			break
 		}
-		w.now = max(next, w.now+1)
+		h.now = max(next, h.now+1)
 	}
-	w.now = end
-	w.step()
-	w.out = append(all, w.out...)
-	w.all = append(w.all, all...)
+	h.now = end
+	h.step()
+	h.effects = append(effects, h.effects...)
+	h.allEffects = append(h.allEffects, effects...)
+}
+
+// connect opens owners' connections, all from one host.
+func (h *harness) connect(conns ...Conn) {
+	h.t.Helper()
+	var inputs []Input
+	for _, conn := range conns {
+		inputs = append(inputs, OwnerConnected{Conn: conn, Host: "h"})
+	}
+	h.step(inputs...)
+}
+
+// connectVerified opens an owner's connection that admission counts as verified, by a health check.
+func (h *harness) connectVerified(conn Conn) {
+	h.t.Helper()
+	h.step(OwnerConnected{Conn: conn, Host: "h"}, Ping{Conn: conn, Task: taskID(1)})
 }
 
-func machine(name string, state flaxshelf.MachineState, started Time) flaxshelf.Machine {
-	return flaxshelf.Machine{ID: name, Zone: "a", State: state, Started: started}
+func machine(id string, state flaxshelf.MachineState, started Time) flaxshelf.Machine {
+	return flaxshelf.Machine{ID: id, Zone: "a", State: state, Started: started}
 }
 
-// list tells of nodes: name, or name@address, all at the address of their name else.
-func (w *world) list(state flaxshelf.MachineState, names ...string) {
-	w.t.Helper()
+// nodeUpdated is an update of the endpoint list with a single node.
+func nodeUpdated(m flaxshelf.Machine, addr string) NodesUpdated {
+	return NodesUpdated{Machines: []flaxshelf.Machine{m}, Addrs: []string{addr}}
+}
+
+// updateNodes gives the core an update of the endpoint list. A node is its ID, or ID@address; without an address it has its
+// ID for one.
+func (h *harness) updateNodes(state flaxshelf.MachineState, nodes ...string) {
+	h.t.Helper()
 	var in NodesUpdated
-	for _, n := range names {
-		name, addr, at := strings.Cut(n, "@")
-		if !at {
-			addr = n
+	for _, node := range nodes {
+		id, addr, hasAddr := strings.Cut(node, "@")
+		if !hasAddr {
+			addr = id
 		}
-		in.Machines, in.Addrs = append(in.Machines, machine(name, state, 0)), append(in.Addrs, addr)
+		in.Machines = append(in.Machines, machine(id, state, 0))
+		in.Addrs = append(in.Addrs, addr)
 	}
-	w.step(in)
+	h.step(in)
 }
 
-// nodes lists nodes that are in service and brings up their links.
-func (w *world) nodes(names ...string) {
-	w.t.Helper()
-	w.list(flaxshelf.Active, names...)
-	dials := find[Dial](w)
-	for _, d := range dials {
-		w.up[d.Node] = d.Link
-		w.step(LinkUp{d.Link})
+// addNodes lists active nodes and brings their links up.
+func (h *harness) addNodes(nodes ...string) {
+	h.t.Helper()
+	h.updateNodes(flaxshelf.Active, nodes...)
+	for _, dial := range effectsOf[Dial](h) {
+		h.links[dial.Node] = dial.Link
+		h.step(LinkUp{dial.Link})
 	}
 }
 
-func id(n int) string { return fmt.Sprintf("%016x", n) }
+func taskID(n int) string { return fmt.Sprintf("%016x", n) }
+
+// newSubmit is a request for the n-th task, which is idempotent.
+func (h *harness) newSubmit(conn Conn, n int) Submit { return h.newSubmitOf(classIdempotent, conn, n) }
+
+// newSubmitOf is a request for the n-th task, of a class.
+func (h *harness) newSubmitOf(class int, conn Conn, n int) Submit {
+	return Submit{
+		Conn:           conn,
+		Class:          "c",
+		IdempotencyKey: "idem",
+		Description:    "owner's",
+		Task: flaxshelf.Task{
+			ID:       taskID(n),
+			Key:      "k" + taskID(n),
+			Service:  "s",
+			Class:    class,
+			Tenant:   -1,
+			Cores:    1,
+			Memory:   1,
+			Deadline: h.now + 4*time.Second,
+		},
+	}
+}
+
+// newAdopt is the Adopt of the n-th task, which runs on a node.
+func (h *harness) newAdopt(conn Conn, node string, n int) Adopt {
+	return Adopt{Conn: conn, Node: node, Task: h.newSubmit(conn, n).Task}
+}
 
-func (w *world) ask(conn Conn, n int, class int) Submit {
-	return Submit{Conn: conn, Class: "c", IdempotencyKey: "idem", Description: "owner's",
-		Task: flaxshelf.Task{ID: id(n), Key: "k" + id(n), Service: "s", Class: class, Tenant: -1, Cores: 1, Memory: 1,
-			Deadline: w.now + 4*time.Second}}
+// nodeAccepted is a node's acceptance of the n-th task.
+func nodeAccepted(link Link, n int, description string) NodeMessage {
+	return NodeMessage{Link: link, Kind: NodeAccepted, Task: taskID(n), Description: description}
 }
 
-// find returns the effects of one type of the last step.
-func find[T Effect](w *world) []T {
-	var all []T
-	for _, e := range w.out {
-		if x, ok := e.(T); ok {
-			all = append(all, x)
+// nodeReleased is a node's release of the n-th task.
+func nodeReleased(link Link, n, cause int) NodeMessage {
+	return NodeMessage{Link: link, Kind: NodeReleased, Task: taskID(n), Cause: cause}
+}
+
+// placeTask submits the n-th task and has a node accept it. It returns the offer.
+func (h *harness) placeTask(conn Conn, n int) Offer {
+	h.t.Helper()
+	h.step(h.newSubmit(conn, n))
+	offer := oneEffect[Offer](h)
+	h.step(nodeAccepted(offer.Link, n, "node's"))
+	oneEffect[Accepted](h)
+	return offer
+}
+
+// effectsOf returns the last step's effects of one type.
+func effectsOf[T Effect](h *harness) []T {
+	var matching []T
+	for _, effect := range h.effects {
+		if e, ok := effect.(T); ok {
+			matching = append(matching, e)
 		}
 	}
-	return all
+	return matching
 }
 
-// one is find where exactly one is expected.
-func one[T Effect](w *world) T {
-	w.t.Helper()
-	all := find[T](w)
-	if len(all) != 1 {
-		w.t.Fatalf("%d of %T, want 1: %+v", len(all), *new(T), w.out)
+// oneEffect returns the last step's only effect of a type, and fails where it has none or several.
+func oneEffect[T Effect](h *harness) T {
+	h.t.Helper()
+	matching := effectsOf[T](h)
+	if len(matching) != 1 {
+		h.t.Fatalf("%d effects of type %T, want 1: %+v", len(matching), *new(T), h.effects)
 	}
-	return all[0]
+	return matching[0]
 }
 
-// none fails where an effect of the type is among the last step's.
-func none[T Effect](w *world) {
-	w.t.Helper()
-	if all := find[T](w); len(all) > 0 {
-		w.t.Fatalf("unexpected %+v", all)
+// noEffect fails where the last step has effects of a type.
+func noEffect[T Effect](h *harness) {
+	h.t.Helper()
+	if matching := effectsOf[T](h); len(matching) > 0 {
+		h.t.Fatalf("unexpected %+v", matching)
 	}
 }
 
-// told returns the module's events of one type so far.
-func told[T flaxshelf.Event](w *world) []T {
-	var all []T
-	for _, e := range w.seen {
-		if x, ok := e.(T); ok {
-			all = append(all, x)
+// moduleEventsOf returns the module's events of one type so far.
+func moduleEventsOf[T flaxshelf.Event](h *harness) []T {
+	var matching []T
+	for _, event := range h.moduleEvents {
+		if e, ok := event.(T); ok {
+			matching = append(matching, e)
 		}
 	}
-	return all
-}
-
-// place has a task stand: it returns the offer that it came by.
-func (w *world) place(conn Conn, n, class int) Offer {
-	w.t.Helper()
-	w.step(w.ask(conn, n, class))
-	o := one[Offer](w)
-	w.step(NodeMessage{Link: o.Link, Kind: NodeAccepted, Task: id(n), Description: "node's"})
-	one[Accepted](w)
-	return o
+	return matching
 }
--- /dev/null
+++ b/internal/requests/memory_test.go
@@ -0,0 +1,63 @@
+package requests
+
+import (
+	"runtime"
+	"slices"
+	"testing"
+	"time"
+
+	"flaxshelf.example/flaxshelf"
+)
+
+// A long run in small, with nodes, connections and IDs that are always new: the heap of the core and its module is no larger
+// at the end than half way.
+func TestHeapStaysBounded(t *testing.T) {
+	h := newHarness(t)
+	h.core.config.RecordStep = nil // the test's own memory must not grow
+	step := func(inputs ...Input) []Effect {
+		effects, _ := h.core.Step(h.now, inputs)
+		return slices.Clone(effects)
+	}
+	conn, lastTask := Conn(0), 0
+	placeTasks := func() {
+		for range 5 {
+			conn++
+			lastTask++
+			for _, effect := range step(OwnerConnected{Conn: conn, Host: "h"}, h.newSubmit(conn, lastTask)) {
+				if offer, ok := effect.(Offer); ok {
+					step(NodeMessage{Link: offer.Link, Kind: NodeAccepted, Task: offer.Task, Description: "d"})
+				}
+			}
+			h.now += 200 * time.Millisecond
+		}
+	}
+	heapAfterHalf := func() uint64 {
+		for round := range 2000 {
+			node := "n" + taskID(lastTask+round)
+			for _, effect := range step(nodeUpdated(machine(node, flaxshelf.Active, 0), "x")) {
+				if dial, ok := effect.(Dial); ok {
+					step(LinkUp{dial.Link})
+				}
+			}
+			placeTasks()
+			step(nodeUpdated(machine(node, flaxshelf.Removed, 0), "x"))
+		}
+		runtime.GC()
+		var memory runtime.MemStats
+		runtime.ReadMemStats(&memory)
+		return memory.HeapAlloc
+	}
+	first, second := heapAfterHalf(), heapAfterHalf()
+	if h.core.Stats().Placed < 15000 {
+		t.Fatalf("%+v", h.core.Stats())
+	}
+	h.advance(5 * time.Minute)
+	stats, timers := h.core.Stats(), h.core.timers.Len()
+	if stats.Pending+stats.Running+stats.Nodes+stats.Links != 0 || len(h.core.tasks) != 0 || stats.Owners > 10 || timers > 3 {
+		t.Errorf("%+v, %d tasks, %d timers", stats, len(h.core.tasks), timers)
+	}
+	if second > first+256<<10 {
+		t.Errorf("the heap has grown from %d to %d KiB in the second half", first>>10, second>>10)
+	}
+	runtime.KeepAlive(h)
+}
