--- a/internal/requests/attempt.go
+++ b/internal/requests/attempt.go
@@ -220,7 +220,7 @@
 
 // endConnecting ends the attempts at n that wait for a link.
 func (c *Core) endConnecting(n *node, outcome flaxshelf.Outcome) {
-	for _, a := range sortedByKey(n.attempts) {
+	for _, a := range n.sortedAttempts() {
 		if a.phase == phaseConnecting {
 			c.endAttempt(a, outcome, flaxshelf.UnspecifiedReason)
 		}
--- a/internal/requests/core.go
+++ b/internal/requests/core.go
@@ -1,7 +1,6 @@
 package requests
 
 import (
-	"cmp"
 	"fmt"
 	"math/rand/v2"
 	"slices"
@@ -160,16 +159,12 @@
 	return stats
 }
 
-// sortedByKey lists the values of a map in the order of their keys, so that effects don't depend on the order of a map.
-func sortedByKey[K cmp.Ordered, V any](m map[K]V) []V {
-	keys := make([]K, 0, len(m))
-	for key := range m {
-		keys = append(keys, key)
-	}
-	slices.Sort(keys)
-	values := make([]V, len(keys))
-	for i, key := range keys {
-		values[i] = m[key]
+// sortedValues lists the values of a map in a fixed order, so that effects don't depend on the order of a map.
+func sortedValues[K comparable, V any](m map[K]V, compare func(a, b V) int) []V {
+	values := make([]V, 0, len(m))
+	for _, value := range m {
+		values = append(values, value)
 	}
+	slices.SortFunc(values, compare)
 	return values
 }
--- a/internal/requests/endpoints.go
+++ b/internal/requests/endpoints.go
@@ -38,7 +38,7 @@
 	for _, machine := range machines {
 		named[machine.ID] = true
 	}
-	for _, n := range sortedByKey(c.nodes) {
+	for _, n := range c.sortedNodes() {
 		if !named[n.entry.ID] && n.entry.State != flaxshelf.Removed {
 			n.entry.State = flaxshelf.Removed
 			c.applyNodeState(n)
@@ -54,7 +54,7 @@
 			idByAddr[in.Addrs[i]] = machine.ID
 		}
 	}
-	for _, n := range sortedByKey(c.nodes) {
+	for _, n := range c.sortedNodes() {
 		if id, used := idByAddr[n.addr]; used && id != n.entry.ID {
 			c.removeNode(n)
 		}
--- a/internal/requests/link.go
+++ b/internal/requests/link.go
@@ -1,6 +1,8 @@
 package requests
 
 import (
+	"cmp"
+	"slices"
 	"time"
 
 	"flaxshelf.example/flaxshelf"
@@ -56,7 +58,7 @@
 		c.closeLink(l)
 		return
 	}
-	for _, a := range sortedByKey(n.attempts) {
+	for _, a := range n.sortedAttempts() {
 		switch a.phase {
 		case phaseConnecting:
 			c.sendOffer(a, l)
@@ -102,7 +104,7 @@
 		n.lastReceivedAt = c.now
 	}
 	n.failedDials++
-	for _, a := range sortedByKey(n.attempts) {
+	for _, a := range n.sortedAttempts() {
 		switch {
 		case a.phase == phaseConnecting:
 			c.endAttempt(a, flaxshelf.Unreachable, flaxshelf.UnspecifiedReason)
@@ -161,13 +163,14 @@
 
 // closeLinksOf closes all links to a node.
 func (c *Core) closeLinksOf(n *node) {
-	own := map[Link]*link{}
-	for id, l := range c.links {
+	var links []*link
+	for _, l := range c.links {
 		if l.node == n {
-			own[id] = l
+			links = append(links, l)
 		}
 	}
-	for _, l := range sortedByKey(own) {
+	slices.SortFunc(links, func(a, b *link) int { return cmp.Compare(a.id, b.id) })
+	for _, l := range links {
 		c.closeLink(l)
 	}
 }
@@ -184,7 +187,7 @@
 	if l.pendingOffers == 0 {
 		return
 	}
-	for _, a := range sortedByKey(n.attempts) {
+	for _, a := range n.sortedAttempts() {
 		if a.phase == phaseOffered && a.link == l {
 			c.endAttempt(a, flaxshelf.Lost, flaxshelf.UnspecifiedReason)
 		}
--- a/internal/requests/linkpool_test.go
+++ b/internal/requests/linkpool_test.go
@@ -54,7 +54,7 @@
 // busyNodes are the nodes with attempts.
 func (w *linkWatcher) busyNodes() []string {
 	var busy []string
-	for _, n := range sortedByKey(w.core.nodes) {
+	for _, n := range w.core.sortedNodes() {
 		if len(n.attempts) > 0 {
 			busy = append(busy, n.entry.ID)
 		}
--- a/internal/requests/node.go
+++ b/internal/requests/node.go
@@ -1,6 +1,7 @@
 package requests
 
 import (
+	"cmp"
 	"time"
 
 	"flaxshelf.example/flaxshelf"
@@ -38,6 +39,16 @@
 	return n
 }
 
+// sortedNodes lists all nodes in the order of their IDs.
+func (c *Core) sortedNodes() []*node {
+	return sortedValues(c.nodes, func(a, b *node) int { return cmp.Compare(a.entry.ID, b.entry.ID) })
+}
+
+// sortedAttempts lists the attempts at the node in the order of their task IDs.
+func (n *node) sortedAttempts() []*attempt {
+	return sortedValues(n.attempts, func(a, b *attempt) int { return cmp.Compare(a.task.id, b.task.id) })
+}
+
 // needsLink reports whether a link to the node is of use.
 func (n *node) needsLink() bool {
 	return n.addr != "" && (n.entry.State != flaxshelf.Removed || len(n.attempts) > 0)
@@ -57,7 +68,7 @@
 
 // removeNode ends all attempts at a node that has left.
 func (c *Core) removeNode(n *node) {
-	for _, a := range sortedByKey(n.attempts) {
+	for _, a := range n.sortedAttempts() {
 		if a.phase >= phaseRunning {
 			c.stats.LostToRemoval++
 		}
@@ -69,7 +80,7 @@
 
 // loseRunning ends the tasks that run at a node and that the condition holds for, and returns how many they are.
 func (c *Core) loseRunning(n *node, condition func(*attempt) bool) (lost uint64) {
-	for _, a := range sortedByKey(n.attempts) {
+	for _, a := range n.sortedAttempts() {
 		if a.phase >= phaseRunning && condition(a) {
 			c.loseAttempt(a)
 			lost++
--- a/internal/requests/owner.go
+++ b/internal/requests/owner.go
@@ -1,6 +1,10 @@
 package requests
 
-import "flaxshelf.example/flaxshelf/internal/admission"
+import (
+	"cmp"
+
+	"flaxshelf.example/flaxshelf/internal/admission"
+)
 
 // owner is an owner's connection.
 type owner struct {
@@ -18,6 +22,11 @@
 	o.pending[t.id] = t
 }
 
+// sortedPending lists the pending requests in the order of their task IDs.
+func (o *owner) sortedPending() []*task {
+	return sortedValues(o.pending, func(a, b *task) int { return cmp.Compare(a.id, b.id) })
+}
+
 // connectOwner registers an owner's connection. Admission may have others closed for it, or itself.
 func (c *Core) connectOwner(in OwnerConnected) {
 	c.owners[in.Conn] = &owner{conn: in.Conn}
@@ -56,7 +65,7 @@
 	}
 	delete(c.owners, conn)
 	c.admission.Closed(admission.ID(conn))
-	for _, t := range sortedByKey(o.pending) {
+	for _, t := range o.sortedPending() {
 		c.cancelRequest(t)
 	}
 }
--- a/internal/requests/silence.go
+++ b/internal/requests/silence.go
@@ -20,7 +20,7 @@
 func (c *Core) checkSilence() {
 	c.timers.Schedule(c.now+silenceCheckInterval, c.checkSilence)
 	var denied []*node
-	for _, n := range sortedByKey(c.nodes) {
+	for _, n := range c.sortedNodes() {
 		switch {
 		case c.nearIdleTimeout(n.current):
 			c.renewIdleLink(n)
