--- a/internal/requests/linkpool.go
+++ b/internal/requests/linkpool.go
@@ -82,7 +82,7 @@
 )
 
 // minIdleDivisor sets how long a link to a node with running tasks must be unused before another such link may replace it:
-// this part of Config.NodeUnreachableTimeout, so that each of several nodes is heard of in time.
+// this part of Config.NodeUnreachableTimeout, so that each of several nodes gets a link in time.
 const minIdleDivisor = 4
 
 // rankForEviction is the rank of l where a link of the given priority is wanted.
--- a/internal/requests/property_test.go
+++ b/internal/requests/property_test.go
@@ -48,7 +48,7 @@
 
 func newRandomRun(t *testing.T, seed uint64) *randomRun {
 	t.Helper()
-	c := &randomRun{
+	r := &randomRun{
 		harness:     newHarness(t, func(c *Config) { c.MaxLinks = 6; c.NodeIdleTimeout = 4 * time.Second }),
 		rng:         rand.New(rand.NewPCG(seed, 7)),
 		nodes:       []string{"n0", "n1", "n2", "n3", "n4"},
@@ -57,202 +57,202 @@
 		submissions: map[string]*submission{},
 		inactive:    map[string]bool{},
 	}
-	for _, node := range c.nodes {
-		c.sendNodeState(node, flaxshelf.Active)
+	for _, node := range r.nodes {
+		r.sendNodeState(node, flaxshelf.Active)
 	}
-	return c
+	return r
 }
 
 // drawn returns an element that is drawn.
 func drawn[T any](rng *rand.Rand, all []T) T { return all[rng.IntN(len(all))] }
 
 // send has a source send an input, for the core to read in a later step.
-func (c *randomRun) send(source string, in Input) {
-	if _, ok := c.unread[source]; !ok {
-		c.sources = append(c.sources, source)
+func (r *randomRun) send(source string, in Input) {
+	if _, ok := r.unread[source]; !ok {
+		r.sources = append(r.sources, source)
 	}
-	c.unread[source] = append(c.unread[source], in)
+	r.unread[source] = append(r.unread[source], in)
 }
 
 // sendNodeState has the discovery service send an update of one node.
-func (c *randomRun) sendNodeState(node string, state flaxshelf.MachineState) {
-	c.send(discoverySource, nodeUpdated(machine(node, state, 0), node))
+func (r *randomRun) sendNodeState(node string, state flaxshelf.MachineState) {
+	r.send(discoverySource, nodeUpdated(machine(node, state, 0), node))
 }
 
 // randomEvent has an owner, the discovery service or a link do something.
-func (c *randomRun) randomEvent() {
-	switch r := c.rng.IntN(20); {
-	case r < 3 || len(c.conns) == 0:
-		c.openConn()
-	case r < 11:
-		c.submitTask()
-	case r < 13 && c.lastTask > 0:
-		conn, task := drawn(c.rng, c.conns), taskID(1+c.rng.IntN(c.lastTask))
-		c.send(connSource(conn), drawn(c.rng, []Input{Release{conn, task}, Migrated{conn, task}}))
-	case r < 14:
-		i := c.rng.IntN(len(c.conns))
-		c.send(connSource(c.conns[i]), OwnerDisconnected{c.conns[i]})
-		c.conns = slices.Delete(c.conns, i, i+1)
-	case r < 15:
-		conn, node := drawn(c.rng, c.conns), drawn(c.rng, c.nodes)
-		c.send(connSource(conn), c.newAdopt(conn, node, 1_000_000+c.rng.IntN(50)))
-	case r < 16:
-		node := drawn(c.rng, c.nodes)
-		c.sendNodeState(node, drawn(c.rng, []flaxshelf.MachineState{
+func (r *randomRun) randomEvent() {
+	switch draw := r.rng.IntN(20); {
+	case draw < 3 || len(r.conns) == 0:
+		r.openConn()
+	case draw < 11:
+		r.submitTask()
+	case draw < 13 && r.lastTask > 0:
+		conn, task := drawn(r.rng, r.conns), taskID(1+r.rng.IntN(r.lastTask))
+		r.send(connSource(conn), drawn(r.rng, []Input{Release{conn, task}, Migrated{conn, task}}))
+	case draw < 14:
+		i := r.rng.IntN(len(r.conns))
+		r.send(connSource(r.conns[i]), OwnerDisconnected{r.conns[i]})
+		r.conns = slices.Delete(r.conns, i, i+1)
+	case draw < 15:
+		conn, node := drawn(r.rng, r.conns), drawn(r.rng, r.nodes)
+		r.send(connSource(conn), r.newAdopt(conn, node, 1_000_000+r.rng.IntN(50)))
+	case draw < 16:
+		node := drawn(r.rng, r.nodes)
+		r.sendNodeState(node, drawn(r.rng, []flaxshelf.MachineState{
 			flaxshelf.Active, flaxshelf.Active, flaxshelf.Draining, flaxshelf.Removed,
 		}))
-	case r < 17:
-		c.breakLink()
+	case draw < 17:
+		r.breakLink()
 	}
 }
 
 // openConn opens an owner's connection.
-func (c *randomRun) openConn() {
-	c.lastConn++
-	c.conns = append(c.conns, c.lastConn)
-	c.send(connSource(c.lastConn), OwnerConnected{Conn: c.lastConn, Host: fmt.Sprint("h", c.rng.IntN(3))})
+func (r *randomRun) openConn() {
+	r.lastConn++
+	r.conns = append(r.conns, r.lastConn)
+	r.send(connSource(r.lastConn), OwnerConnected{Conn: r.lastConn, Host: fmt.Sprint("h", r.rng.IntN(3))})
 }
 
 // submitTask submits a new task on one of the connections.
-func (c *randomRun) submitTask() {
-	c.lastTask++
-	conn := drawn(c.rng, c.conns)
-	in := c.newSubmitOf(drawn(c.rng, []int{classIdempotent, classKeyed}), conn, c.lastTask)
-	in.Task.Service = fmt.Sprint("s", c.rng.IntN(4))
-	in.Task.Deadline = c.now + time.Second
-	c.submissions[in.Task.ID] = &submission{conn: conn, deadline: in.Task.Deadline}
-	c.send(connSource(conn), in)
+func (r *randomRun) submitTask() {
+	r.lastTask++
+	conn := drawn(r.rng, r.conns)
+	in := r.newSubmitOf(drawn(r.rng, []int{classIdempotent, classKeyed}), conn, r.lastTask)
+	in.Task.Service = fmt.Sprint("s", r.rng.IntN(4))
+	in.Task.Deadline = r.now + time.Second
+	r.submissions[in.Task.ID] = &submission{conn: conn, deadline: in.Task.Deadline}
+	r.send(connSource(conn), in)
 }
 
 // breakLink breaks one of the links, or none.
-func (c *randomRun) breakLink() {
-	for _, link := range slices.Sorted(maps.Keys(c.openLinks)) {
-		if c.rng.IntN(4) == 0 {
-			c.send(linkSource(link), LinkDown{Link: link, ConnectionRefused: c.rng.IntN(4) == 0})
-			delete(c.openLinks, link)
+func (r *randomRun) breakLink() {
+	for _, link := range slices.Sorted(maps.Keys(r.openLinks)) {
+		if r.rng.IntN(4) == 0 {
+			r.send(linkSource(link), LinkDown{Link: link, ConnectionRefused: r.rng.IntN(4) == 0})
+			delete(r.openLinks, link)
 			return
 		}
 	}
 }
 
 // read draws the inputs that the core reads in this step.
-func (c *randomRun) read() []Input {
+func (r *randomRun) read() []Input {
 	var inputs []Input
-	for range c.rng.IntN(8) {
-		if len(c.sources) == 0 {
+	for range r.rng.IntN(8) {
+		if len(r.sources) == 0 {
 			break
 		}
-		source := drawn(c.rng, c.sources)
-		if queue := c.unread[source]; len(queue) > 0 {
+		source := drawn(r.rng, r.sources)
+		if queue := r.unread[source]; len(queue) > 0 {
 			inputs = append(inputs, queue[0])
-			c.unread[source] = queue[1:]
+			r.unread[source] = queue[1:]
 			continue
 		}
-		delete(c.unread, source)
-		c.sources = slices.DeleteFunc(c.sources, func(s string) bool { return s == source })
+		delete(r.unread, source)
+		r.sources = slices.DeleteFunc(r.sources, func(s string) bool { return s == source })
 	}
 	return inputs
 }
 
 // runStep has the core do one step, checks its effects and lets some time pass.
-func (c *randomRun) runStep() {
-	c.t.Helper()
-	inputs := c.read()
+func (r *randomRun) runStep() {
+	r.t.Helper()
+	inputs := r.read()
 	for _, in := range inputs { // what permits offers counts in this step, what forbids them from the next one on
 		if update, ok := in.(NodesUpdated); ok && update.Machines[0].State == flaxshelf.Active {
-			c.inactive[update.Machines[0].ID] = false
+			r.inactive[update.Machines[0].ID] = false
 		}
 	}
-	c.step(inputs...)
-	for _, effect := range c.effects {
-		c.checkEffect(effect)
+	r.step(inputs...)
+	for _, effect := range r.effects {
+		r.checkEffect(effect)
 	}
 	for _, in := range inputs {
-		c.recordInput(in)
+		r.recordInput(in)
 	}
-	c.now += time.Duration(c.rng.IntN(40)) * time.Millisecond
+	r.now += time.Duration(r.rng.IntN(40)) * time.Millisecond
 }
 
 // checkEffect checks an effect against what the core has read before this step, and carries it out.
-func (c *randomRun) checkEffect(effect Effect) {
-	c.t.Helper()
+func (r *randomRun) checkEffect(effect Effect) {
+	r.t.Helper()
 	switch effect := effect.(type) {
 	case Offer:
-		c.checkOffer(effect)
-		c.respondToOffer(effect)
+		r.checkOffer(effect)
+		r.respondToOffer(effect)
 	case Accepted:
-		c.checkAccepted(effect)
+		r.checkAccepted(effect)
 	case Terminated:
-		c.checkTerminated(effect)
+		r.checkTerminated(effect)
 	case Dial:
-		c.dial(effect)
+		r.dial(effect)
 	case CloseLink:
-		delete(c.openLinks, effect.Link)
+		delete(r.openLinks, effect.Link)
 	case CloseOwner:
-		c.closeConn(effect.Conn)
+		r.closeConn(effect.Conn)
 	}
 }
 
-func (c *randomRun) checkOffer(offer Offer) {
-	c.t.Helper()
-	submitted := c.submissions[offer.Task]
+func (r *randomRun) checkOffer(offer Offer) {
+	r.t.Helper()
+	submitted := r.submissions[offer.Task]
 	if submitted.abandoned {
-		c.t.Fatalf("%s is offered after its owner has left it", offer.Task)
+		r.t.Fatalf("%s is offered after its owner has left it", offer.Task)
 	}
-	if c.inactive[offer.Node] {
-		c.t.Fatalf("%s is offered to %s, which is draining or removed", offer.Task, offer.Node)
+	if r.inactive[offer.Node] {
+		r.t.Fatalf("%s is offered to %s, which is draining or removed", offer.Task, offer.Node)
 	}
 	if submitted.responses > 0 {
-		c.t.Fatalf("%s is offered after its response", offer.Task)
+		r.t.Fatalf("%s is offered after its response", offer.Task)
 	}
 	// A link without a node has broken, which the core has not read.
-	if node := c.openLinks[offer.Link]; node != offer.Node && node != "" {
-		c.t.Fatalf("%s is offered on link %d, which is not one to %s", offer.Task, offer.Link, offer.Node)
+	if node := r.openLinks[offer.Link]; node != offer.Node && node != "" {
+		r.t.Fatalf("%s is offered on link %d, which is not one to %s", offer.Task, offer.Link, offer.Node)
 	}
 }
 
-func (c *randomRun) checkAccepted(accepted Accepted) {
-	c.t.Helper()
-	submitted := c.submissions[accepted.Task]
+func (r *randomRun) checkAccepted(accepted Accepted) {
+	r.t.Helper()
+	submitted := r.submissions[accepted.Task]
 	submitted.responses++
 	if submitted.responses > 1 || submitted.abandoned {
-		c.t.Fatalf("%s: response %d, abandoned before: %v", accepted.Task, submitted.responses, submitted.abandoned)
+		r.t.Fatalf("%s: response %d, abandoned before: %v", accepted.Task, submitted.responses, submitted.abandoned)
 	}
 	submitted.placed = true
 }
 
-func (c *randomRun) checkTerminated(terminated Terminated) {
-	c.t.Helper()
-	submitted := c.submissions[terminated.Task]
+func (r *randomRun) checkTerminated(terminated Terminated) {
+	r.t.Helper()
+	submitted := r.submissions[terminated.Task]
 	switch {
 	case submitted == nil: // it was adopted
 	case submitted.placed:
 		submitted.terminations++
 		if submitted.terminations > 1 {
-			c.t.Fatalf("%s: its end is notified %d times", terminated.Task, submitted.terminations)
+			r.t.Fatalf("%s: its end is notified %d times", terminated.Task, submitted.terminations)
 		}
 	case terminated.Conn == submitted.conn:
 		submitted.responses++
 		if submitted.responses > 1 || terminated.Migrate || submitted.abandoned {
-			c.t.Fatalf("%s: response %d %+v", terminated.Task, submitted.responses, terminated)
+			r.t.Fatalf("%s: response %d %+v", terminated.Task, submitted.responses, terminated)
 		}
 	}
 }
 
 // dial has a link come up, or fail.
-func (c *randomRun) dial(dial Dial) {
-	if c.rng.IntN(8) == 0 {
-		c.send(linkSource(dial.Link), LinkDown{Link: dial.Link, ConnectionRefused: c.rng.IntN(3) == 0})
+func (r *randomRun) dial(dial Dial) {
+	if r.rng.IntN(8) == 0 {
+		r.send(linkSource(dial.Link), LinkDown{Link: dial.Link, ConnectionRefused: r.rng.IntN(3) == 0})
 		return
 	}
-	c.openLinks[dial.Link] = dial.Node
-	c.send(linkSource(dial.Link), LinkUp{dial.Link})
+	r.openLinks[dial.Link] = dial.Node
+	r.send(linkSource(dial.Link), LinkUp{dial.Link})
 }
 
 // closeConn records that the core has closed an owner's connection.
-func (c *randomRun) closeConn(conn Conn) {
-	c.conns = slices.DeleteFunc(c.conns, func(open Conn) bool { return open == conn })
-	for _, submitted := range c.submissions {
+func (r *randomRun) closeConn(conn Conn) {
+	r.conns = slices.DeleteFunc(r.conns, func(open Conn) bool { return open == conn })
+	for _, submitted := range r.submissions {
 		if submitted.conn == conn {
 			submitted.connClosed = true
 			submitted.abandoned = true
@@ -261,8 +261,8 @@
 }
 
 // respondToOffer has the node respond to an offer on its link, in one of the ways that nodes may.
-func (c *randomRun) respondToOffer(offer Offer) {
-	if c.openLinks[offer.Link] == "" {
+func (r *randomRun) respondToOffer(offer Offer) {
+	if r.openLinks[offer.Link] == "" {
 		return
 	}
 	message := NodeMessage{Link: offer.Link, Task: offer.Task}
@@ -270,100 +270,100 @@
 		message := message
 		message.Kind = kind
 		change(&message)
-		c.send(linkSource(offer.Link), message)
+		r.send(linkSource(offer.Link), message)
 	}
-	switch c.rng.IntN(8) {
+	switch r.rng.IntN(8) {
 	case 0:
 		send(NodeReleased, func(m *NodeMessage) { m.Cause, m.Reason = CauseRejected, flaxshelf.InsufficientCores })
 	case 1:
 		send(NodeReleased, func(m *NodeMessage) { m.Cause = CauseError })
 	case 2: // never
 	case 3:
-		c.send(linkSource(offer.Link), SendFailed{Link: offer.Link, Task: offer.Task, Attempt: offer.Attempt})
+		r.send(linkSource(offer.Link), SendFailed{Link: offer.Link, Task: offer.Task, Attempt: offer.Attempt})
 	default:
 		send(NodeAccepted, func(m *NodeMessage) { m.Description = "d" })
-		if c.rng.IntN(6) == 0 {
+		if r.rng.IntN(6) == 0 {
 			send(NodeAccepted, func(m *NodeMessage) { m.Description = "again" })
 		}
-		for range c.rng.IntN(3) {
-			send(NodeUsage, func(m *NodeMessage) { m.UsageKind, m.Amount = flaxshelf.ServiceLevel, c.rng.Float64() })
+		for range r.rng.IntN(3) {
+			send(NodeUsage, func(m *NodeMessage) { m.UsageKind, m.Amount = flaxshelf.ServiceLevel, r.rng.Float64() })
 		}
-		if c.rng.IntN(2) == 0 {
+		if r.rng.IntN(2) == 0 {
 			send(NodeReleased, func(m *NodeMessage) { m.Cause = CauseNormal })
 		}
 	}
 }
 
 // recordInput records what the core has read in this step, for the checks of the steps after it.
-func (c *randomRun) recordInput(in Input) {
+func (r *randomRun) recordInput(in Input) {
 	switch in := in.(type) {
 	case Submit:
-		c.submissions[in.Task.ID].read = true
+		r.submissions[in.Task.ID].read = true
 	case Release:
-		c.recordAbandoned(in.Task)
+		r.recordAbandoned(in.Task)
 	case Migrated:
-		c.recordAbandoned(in.Task)
+		r.recordAbandoned(in.Task)
 	case OwnerDisconnected:
-		for task, submitted := range c.submissions {
+		for task, submitted := range r.submissions {
 			if submitted.conn == in.Conn {
-				c.recordAbandoned(task)
+				r.recordAbandoned(task)
 			}
 		}
 	case NodesUpdated:
 		for _, m := range in.Machines {
-			c.inactive[m.ID] = m.State != flaxshelf.Active
+			r.inactive[m.ID] = m.State != flaxshelf.Active
 		}
 	}
 }
 
 // recordAbandoned records that a task's owner has left it. Before the core has read its Submit that means nothing.
-func (c *randomRun) recordAbandoned(task string) {
-	if submitted := c.submissions[task]; submitted != nil && submitted.read {
+func (r *randomRun) recordAbandoned(task string) {
+	if submitted := r.submissions[task]; submitted != nil && submitted.read {
 		submitted.abandoned = true
 	}
 }
 
 // finish has all owners disconnect and all nodes removed. Before that, every request must have its response in time; after
 // it, nothing may be left in the core.
-func (c *randomRun) finish() {
-	c.t.Helper()
+func (r *randomRun) finish() {
+	r.t.Helper()
 	for range 300 {
-		c.runStep()
+		r.runStep()
 	}
-	c.checkNoOverdueRequest()
-	for _, conn := range c.conns {
-		c.send(connSource(conn), OwnerDisconnected{conn})
+	r.checkNoOverdueRequest()
+	for _, conn := range r.conns {
+		r.send(connSource(conn), OwnerDisconnected{conn})
 	}
-	for _, node := range c.nodes {
-		c.sendNodeState(node, flaxshelf.Removed)
+	for _, node := range r.nodes {
+		r.sendNodeState(node, flaxshelf.Removed)
 	}
 	for range 400 {
-		c.runStep()
+		r.runStep()
 	}
-	c.now += 10 * time.Second
+	r.now += 10 * time.Second
 	for range 4 {
-		c.runStep()
+		r.runStep()
 	}
-	c.checkEmpty()
+	r.checkEmpty()
 }
 
 // checkNoOverdueRequest checks that no request whose owner is still there waits for its response.
-func (c *randomRun) checkNoOverdueRequest() {
-	c.t.Helper()
-	for id, submitted := range c.submissions {
-		if submitted.responses > 0 || submitted.connClosed || !slices.Contains(c.conns, submitted.conn) {
+func (r *randomRun) checkNoOverdueRequest() {
+	r.t.Helper()
+	for id, submitted := range r.submissions {
+		if submitted.responses > 0 || submitted.connClosed || !slices.Contains(r.conns, submitted.conn) {
 			continue
 		}
-		if t := c.core.tasks[id]; t != nil && t.pending {
-			c.t.Errorf("%s still waits %v after its deadline", id, c.now-submitted.deadline)
+		if t := r.core.tasks[id]; t != nil && t.pending {
+			r.t.Errorf("%s still waits %v after its deadline", id, r.now-submitted.deadline)
 		}
 	}
 }
 
 // checkEmpty checks that the core keeps nothing.
-func (c *randomRun) checkEmpty() {
-	c.t.Helper()
-	stats := c.core.Stats()
+func (r *randomRun) checkEmpty() {
+	r.t.Helper()
+	stats := r.core.Stats()
 	gauges := Stats{
 		Pending:         stats.Pending,
 		Running:         stats.Running,
@@ -372,9 +372,9 @@
 		Nodes:           stats.Nodes,
 		Links:           stats.Links,
 	}
-	tasks, connections := len(c.core.tasks), c.core.admission.Len()
+	tasks, connections := len(r.core.tasks), r.core.admission.Len()
 	if gauges != (Stats{}) || tasks != 0 || connections != 0 {
-		c.t.Errorf("left: %+v, %d tasks, %d connections", stats, tasks, connections)
+		r.t.Errorf("left: %+v, %d tasks, %d connections", stats, tasks, connections)
 	}
 }
 
--- a/internal/requests/watch.go
+++ b/internal/requests/watch.go
@@ -51,15 +51,3 @@
 	backoff = backoff/2 + time.Duration(c.watch.rng.Int64N(int64(backoff/2)))
 	c.timers.Schedule(c.now+backoff, func() { c.emit(Subscribe{}) })
 }
-
-// exponentialBackoff is the delay before a retry: it doubles with each earlier retry, up to a bound.
-func exponentialBackoff(initial, limit time.Duration, earlierRetries int) time.Duration {
-	backoff := initial
-	for range earlierRetries {
-		backoff *= 2
-		if backoff >= limit {
-			return limit
-		}
-	}
-	return backoff
-}
