--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,6 +1,6 @@
-// Package admission owns the decision which of the owners' connections are closed: when descriptors run short, when one
-// stays silent, and when one asks for more than its share. It is free of I/O and clocks, and must not know what owners
-// ask for.
+// Package admission decides which of the owners' connections a scheduler closes: when descriptors run short, when a
+// connection stays idle, and when it asks for more than its share. It does no I/O, reads no clock, and does not know what
+// owners request.
 package admission
 
 import (
@@ -11,217 +11,240 @@
 // Time is the host's clock.
 type Time = time.Duration
 
-// ID names a connection. It is never used again.
+// ID identifies a connection. It is never used again.
 type ID uint64
 
 // Limits bound the connections.
 type Limits struct {
-	MaxConnections          int           // connections kept; for one more, another is closed
-	IdleTimeout             time.Duration // one that has said nothing of use for so long after its coming is closed
-	RecentUseGrace          time.Duration // one that was of use within so long is not closed for others
-	MaxProtocolErrors       int           // messages of no use that one may send; at the next it is closed
-	MaxPendingPerConnection int           // set-ups that may be open on one
-}
-
-// entry is a connection. It is in one of three lists: those that have not shown themselves to be of use, in order of their
-// coming, those that have only been tested, and the others, both in order of their last use.
-type entry struct {
-	id      ID
-	host    string
-	came    Time
-	used    Time
-	vouched bool
-	open    int
-	wrong   int
-	in      *list.List
-	element *list.Element
-}
-
-// Control decides. It is not safe for concurrent use.
+	MaxConnections          int           // connections kept open; for one more, another is closed
+	IdleTimeout             time.Duration // a connection that is still unverified so long after it opened is closed
+	RecentUseGrace          time.Duration // a verified connection used within so long is not closed for another one
+	MaxProtocolErrors       int           // malformed messages in a row that a connection may send; at the next it is closed
+	MaxPendingPerConnection int           // requests that may be pending on a connection
+}
+
+// connection is an owner's connection, or one that may be. It is unverified until it is used. A health check alone makes it a
+// pinged one, which any client can be; it is verified once it is used as only owners use one.
+type connection struct {
+	id             ID
+	host           string
+	openedAt       Time
+	lastUsedAt     Time
+	likelyOwner    bool
+	pending        int        // requests
+	protocolErrors int        // since its last use
+	list           *list.List // of Control, that it is in
+	element        *list.Element
+}
+
+// connectionOf is the connection of an element of Control's lists.
+func connectionOf(element *list.Element) *connection { return element.Value.(*connection) }
+
+// Control decides which connections to close. It is not safe for concurrent use.
 type Control struct {
-	limits  Limits
-	all     map[ID]*entry
-	strange list.List      // in order of their coming
-	tested  list.List      // the least lately used first
-	known   list.List      // the least lately used first
-	hosts   map[string]int // strangers of each host
-}
-
-// New makes a Control.
-func New(l Limits) *Control {
-	return &Control{limits: l, all: map[ID]*entry{}, hosts: map[string]int{}}
-}
-
-// Len is how many connections are there.
-func (d *Control) Len() int { return len(d.all) }
-
-// Opened books a new connection and returns those to close for it; it may be the new one itself, where all others are of
-// use. What is returned counts as gone.
-func (d *Control) Opened(now Time, id ID, host string) []ID {
-	e := &entry{id: id, host: host, came: now, used: now, in: &d.strange}
-	d.all[id] = e
-	e.element = d.strange.PushBack(e)
-	d.hosts[host]++
-	var out []ID
-	for len(d.all) > d.limits.MaxConnections {
-		v := d.victim(now)
-		if v == nil {
-			v = e
-		}
-		d.Closed(v.id)
-		out = append(out, v.id)
-	}
-	return out
-}
-
-// victim is who goes when descriptors run short: the oldest stranger of the host that has most of them, else the one
-// with nothing open that was of use the longest ago, where one that was only tested goes before one that carried tasks. Risk
-// covered: hundreds of connections that say nothing, or send one test and stay, must not push out the owners, nor a newcomer
-// that is about to speak.
-func (d *Control) victim(now Time) *entry {
-	var best *entry
-	most := 1 // a host with one stranger is as good as any owner
-	for x := d.strange.Front(); x != nil; x = x.Next() {
-		if e := x.Value.(*entry); d.hosts[e.host] > most && e.open == 0 {
-			best, most = e, d.hosts[e.host]
+	limits            Limits
+	connections       map[ID]*connection
+	unverified        list.List      // in the order of their opening
+	pinged            list.List      // the least recently used first
+	verified          list.List      // the least recently used first
+	unverifiedPerHost map[string]int // how many of unverified each host has
+}
+
+// New makes a Control without connections.
+func New(limits Limits) *Control {
+	return &Control{
+		limits:            limits,
+		connections:       map[ID]*connection{},
+		unverifiedPerHost: map[string]int{},
+	}
+}
+
+// Len is how many connections are open.
+func (c *Control) Len() int { return len(c.connections) }
+
+// Opened registers a new connection and returns those to close for it. That may be the new one itself, where all others are
+// in use. Those that it returns count as closed.
+func (c *Control) Opened(now Time, id ID, host string) []ID {
+	opened := &connection{id: id, host: host, openedAt: now, lastUsedAt: now, list: &c.unverified}
+	c.connections[id] = opened
+	opened.element = c.unverified.PushBack(opened)
+	c.unverifiedPerHost[host]++
+	var evicted []ID
+	for len(c.connections) > c.limits.MaxConnections {
+		candidate := c.evictionCandidate(now)
+		if candidate == nil {
+			candidate = opened
 		}
+		c.Closed(candidate.id)
+		evicted = append(evicted, candidate.id)
 	}
-	if best != nil {
-		return best
+	return evicted
+}
+
+// evictionCandidate is the connection to close when descriptors run short; nil where all are in use. Hundreds of connections
+// that are silent, or send one health check and stay, must push out neither the owners' connections nor a new one that is
+// about to be used. So the hosts with several unverified connections lose theirs first, then pinged ones go, then verified.
+func (c *Control) evictionCandidate(now Time) *connection {
+	if candidate := c.unverifiedOfBusiestHost(); candidate != nil {
+		return candidate
 	}
-	for _, of := range []*list.List{&d.tested, &d.known} {
-		if e := d.unused(now, of); e != nil {
-			return e
+	for _, used := range []*list.List{&c.pinged, &c.verified} {
+		if candidate := c.leastRecentlyUsed(now, used); candidate != nil {
+			return candidate
 		}
 	}
-	if x := d.strange.Front(); x != nil {
-		if e := x.Value.(*entry); e.open == 0 {
-			return e
-		}
+	if oldest := c.unverified.Front(); oldest != nil && connectionOf(oldest).pending == 0 {
+		return connectionOf(oldest)
 	}
 	return nil
 }
 
-// unused is the connection of a list with nothing open that was of use the longest ago, Spare at least; nil: there is none.
-func (d *Control) unused(now Time, of *list.List) *entry {
-	for x := of.Front(); x != nil; x = x.Next() {
-		e := x.Value.(*entry)
-		if now-e.used < d.limits.RecentUseGrace {
-			break
+// unverifiedOfBusiestHost is the oldest unverified connection without pending requests of the host that has most unverified
+// ones. It is nil where no host has two: a host with a single one is as good as any owner.
+func (c *Control) unverifiedOfBusiestHost() *connection {
+	var candidate *connection
+	maxPerHost := 1
+	for element := c.unverified.Front(); element != nil; element = element.Next() {
+		conn := connectionOf(element)
+		if perHost := c.unverifiedPerHost[conn.host]; perHost > maxPerHost && conn.pending == 0 {
+			candidate, maxPerHost = conn, perHost
 		}
-		if e.open == 0 {
-			return e
+	}
+	return candidate
+}
+
+// leastRecentlyUsed is the connection of a list without pending requests that was used the longest ago; nil where all were
+// used within the grace.
+func (c *Control) leastRecentlyUsed(now Time, used *list.List) *connection {
+	for element := used.Front(); element != nil; element = element.Next() {
+		conn := connectionOf(element)
+		if now-conn.lastUsedAt < c.limits.RecentUseGrace {
+			return nil
+		}
+		if conn.pending == 0 {
+			return conn
 		}
 	}
 	return nil
 }
 
-// Touch books that a connection was of use: it carried a set-up that had its answer, a task that stands or the end of one. A
-// set-up alone is not enough: bad clients send hundreds and take them back at once.
-func (d *Control) Touch(now Time, id ID) {
-	if e := d.all[id]; e != nil {
-		d.use(now, e, &d.known)
+// Touch records a use that only owners make of a connection: it carried a request that has its response, a running task or
+// the end of one. A request alone is not enough: misbehaving clients send hundreds and cancel them at once.
+func (c *Control) Touch(now Time, id ID) {
+	if conn := c.connections[id]; conn != nil {
+		c.use(now, conn, &c.verified)
 	}
 }
 
-// Pinged books that a connection carried a test. It is no stranger then, but nothing shows that it is an owner's.
-func (d *Control) Pinged(now Time, id ID) {
-	e := d.all[id]
-	switch {
-	case e == nil:
-	case e.in == &d.known:
-		d.use(now, e, &d.known)
-	default:
-		d.use(now, e, &d.tested)
+// Pinged records a health check. The connection is unverified no more, but it is not verified by that either.
+func (c *Control) Pinged(now Time, id ID) {
+	conn := c.connections[id]
+	if conn == nil {
+		return
 	}
+	to := &c.pinged
+	if conn.list == &c.verified {
+		to = &c.verified
+	}
+	c.use(now, conn, to)
 }
 
-// use books a use of e, which belongs into a list from now on.
-func (d *Control) use(now Time, e *entry, to *list.List) {
-	e.used, e.wrong = now, 0
-	d.remove(e)
-	e.in, e.element = to, to.PushBack(e)
+// use records a use of a connection, which is the last of a list from now on.
+func (c *Control) use(now Time, conn *connection, to *list.List) {
+	conn.lastUsedAt = now
+	conn.protocolErrors = 0
+	c.removeFromList(conn)
+	conn.list = to
+	conn.element = to.PushBack(conn)
 }
 
-// MarkLikelyOwner books that a connection carried what owners carry, though it proves none.
-func (d *Control) MarkLikelyOwner(id ID) {
-	if e := d.all[id]; e != nil {
-		e.vouched = true
+// MarkLikelyOwner records that a connection carried what owners send, though that does not verify it.
+func (c *Control) MarkLikelyOwner(id ID) {
+	if conn := c.connections[id]; conn != nil {
+		conn.likelyOwner = true
 	}
 }
 
-// remove takes e from its list.
-func (d *Control) remove(e *entry) {
-	e.in.Remove(e.element)
-	if e.in != &d.strange {
+// removeFromList takes a connection out of its list.
+func (c *Control) removeFromList(conn *connection) {
+	conn.list.Remove(conn.element)
+	if conn.list != &c.unverified {
 		return
 	}
-	if d.hosts[e.host]--; d.hosts[e.host] == 0 {
-		delete(d.hosts, e.host)
+	c.unverifiedPerHost[conn.host]--
+	if c.unverifiedPerHost[conn.host] == 0 {
+		delete(c.unverifiedPerHost, conn.host)
 	}
 }
 
-// ProtocolError books a message that was of no use; true: the connection is to be closed.
-func (d *Control) ProtocolError(id ID) bool {
-	e := d.all[id]
-	if e == nil {
+// ProtocolError records a malformed message, and reports whether the connection is to be closed for it.
+func (c *Control) ProtocolError(id ID) bool {
+	conn := c.connections[id]
+	if conn == nil {
 		return false
 	}
-	e.wrong++
-	return e.wrong > d.limits.MaxProtocolErrors
+	conn.protocolErrors++
+	return conn.protocolErrors > c.limits.MaxProtocolErrors
 }
 
-// BeginRequest books a set-up; false: it is one too many there.
-func (d *Control) BeginRequest(id ID) bool {
-	e := d.all[id]
-	if e == nil || e.open >= d.limits.MaxPendingPerConnection {
+// BeginRequest records a pending request. It reports false, and records nothing, where the connection has too many or is
+// not open.
+func (c *Control) BeginRequest(id ID) bool {
+	conn := c.connections[id]
+	if conn == nil || conn.pending >= c.limits.MaxPendingPerConnection {
 		return false
 	}
-	e.open++
+	conn.pending++
 	return true
 }
 
-// EndRequest books that a set-up has its answer, or was given up.
-func (d *Control) EndRequest(now Time, id ID, answered bool) {
-	if e := d.all[id]; e != nil && e.open > 0 {
-		e.open--
-		if answered {
-			d.Touch(now, id)
-		}
+// EndRequest records that a request has its response, or was canceled.
+func (c *Control) EndRequest(now Time, id ID, answered bool) {
+	conn := c.connections[id]
+	if conn == nil || conn.pending == 0 {
+		return
+	}
+	conn.pending--
+	if answered {
+		c.Touch(now, id)
 	}
 }
 
-// Closed books that a connection has ended.
-func (d *Control) Closed(id ID) {
-	e := d.all[id]
-	if e == nil {
+// Closed records that a connection has ended.
+func (c *Control) Closed(id ID) {
+	conn := c.connections[id]
+	if conn == nil {
 		return
 	}
-	delete(d.all, id)
-	d.remove(e)
+	delete(c.connections, id)
+	c.removeFromList(conn)
 }
 
-// CloseIdle returns the connections that have said nothing of use for too long, and when to ask next; 0: not before one
-// comes. What is returned counts as gone. A vouched one stays while none has carried a task. Risk covered: a scheduler
-// started anew would close all that its owners have, and then have nobody to tell of an end.
-func (d *Control) CloseIdle(now Time) (out []ID, next Time) {
-	waits := false // one stays for now, and is looked at again
-	for x := d.strange.Front(); x != nil; {
-		e := x.Value.(*entry)
-		x = x.Next()
-		if due := e.came + d.limits.IdleTimeout; now < due {
+// idleRecheckDivisor sets after which part of Limits.IdleTimeout an overdue connection that may stay is checked again.
+const idleRecheckDivisor = 8
+
+// CloseIdle returns the connections that stayed unverified for too long, and when to call it next; 0: not before a connection
+// opens. Those that it returns count as closed. A connection with pending requests stays for now; so does a likely owner's
+// while none is verified: a scheduler that has just started would otherwise close all that its owners have, and be left with
+// nobody to notify.
+func (c *Control) CloseIdle(now Time) (idle []ID, next Time) {
+	recheck := false
+	for element := c.unverified.Front(); element != nil; {
+		conn := connectionOf(element)
+		element = element.Next()
+		if due := conn.openedAt + c.limits.IdleTimeout; now < due {
 			next = due
 			break
 		}
-		if e.open > 0 || e.vouched && d.known.Len() == 0 {
-			waits = true
+		if conn.pending > 0 || conn.likelyOwner && c.verified.Len() == 0 {
+			recheck = true
 			continue
 		}
-		d.Closed(e.id)
-		out = append(out, e.id)
+		c.Closed(conn.id)
+		idle = append(idle, conn.id)
 	}
-	if again := now + d.limits.IdleTimeout/8; waits && (next == 0 || again < next) {
-		next = again
+	if recheckAt := now + c.limits.IdleTimeout/idleRecheckDivisor; recheck && (next == 0 || recheckAt < next) {
+		next = recheckAt
 	}
-	return out, next
+	return idle, next
 }
--- /dev/null
+++ b/internal/requests/harness_test.go
@@ -0,0 +1,252 @@
+package requests
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"flaxshelf.example/flaxshelf"
+	"flaxshelf.example/flaxshelf/internal/admission"
+)
+
+// Classes of moduleConfig, by their index.
+const (
+	classIdempotent = iota
+	classKeyed
+)
+
+// harness drives a core: the test moves its clock, and acts for owners, nodes and the discovery service.
+type harness struct {
+	t            *testing.T
+	core         *Core
+	now          Time
+	effects      []Effect          // of the last step, or of all steps of the last advance
+	allEffects   []Effect          // so far
+	moduleEvents []flaxshelf.Event // so far
+	links        map[string]Link   // that addNodes has brought up, by node
+}
+
+func moduleConfig() flaxshelf.Config {
+	return flaxshelf.Config{
+		Schedulers:       1,
+		Zone:             "a",
+		MaxAttempts:      3,
+		CanCancel:        true,
+		Tick:             2 * time.Millisecond,
+		ConnectTimeout:   250 * time.Millisecond,
+		DrainGrace:       2 * time.Second,
+		CoreOvercommit:   1.5,
+		MemoryOvercommit: 1.5,
+		Kinds:            []flaxshelf.Kind{{Name: "k", Cores: 32, Memory: 64}},
+		Classes: []flaxshelf.Class{
+			classIdempotent: {Name: "safe", Idempotency: flaxshelf.Idempotent, LatencyObjective: 600 * time.Millisecond,
+				PriorityWeight: 1, Kind: -1},
+			classKeyed: {Name: "keyed", Idempotency: flaxshelf.IdempotentByKey, KeyDomain: flaxshelf.ZoneDomain,
+				KeyTTL: 5 * time.Second, LatencyObjective: 600 * time.Millisecond, PriorityWeight: 1, Kind: -1},
+		},
+	}
+}
+
+func testConfig() Config {
+	return Config{
+		Module:                 moduleConfig(),
+		Seed:                   1,
+		NodeUnreachableTimeout: 6 * time.Second,
+		MaxPending:             100,
+		Admission: admission.Limits{
+			MaxConnections:          10,
+			IdleTimeout:             2 * time.Second,
+			RecentUseGrace:          200 * time.Millisecond,
+			MaxProtocolErrors:       2,
+			MaxPendingPerConnection: 50,
+		},
+	}
+}
+
+// newHarness makes a core of testConfig with the given changes.
+func newHarness(t *testing.T, changes ...func(*Config)) *harness {
+	t.Helper()
+	config := testConfig()
+	for _, change := range changes {
+		change(&config)
+	}
+	h := &harness{t: t, now: Time(1_000_000 * time.Second), links: map[string]Link{}}
+	config.RecordStep = func(_ Time, events []flaxshelf.Event, _ []flaxshelf.Action) {
+		h.moduleEvents = append(h.moduleEvents, events...)
+	}
+	var err error
+	if h.core, err = New(config); err != nil {
+		t.Fatal(err)
+	}
+	return h
+}
+
+// step gives the core inputs at the current time.
+func (h *harness) step(inputs ...Input) {
+	h.t.Helper()
+	effects, _ := h.core.Step(h.now, inputs)
+	h.effects = slices.Clone(effects)
+	h.allEffects = append(h.allEffects, h.effects...)
+}
+
+// advance lets time pass, in the steps that the core asks for.
+func (h *harness) advance(d time.Duration) {
+	h.t.Helper()
+	end := h.now + d
+	var effects []Effect
+	for {
+		stepEffects, next := h.core.Step(h.now, nil)
+		effects = append(effects, stepEffects...)
+		if next == 0 || next > end {
+			break
+		}
+		h.now = max(next, h.now+1)
+	}
+	h.now = end
+	h.step()
+	h.effects = append(effects, h.effects...)
+	h.allEffects = append(h.allEffects, effects...)
+}
+
+// connect opens owners' connections, all from one host.
+func (h *harness) connect(conns ...Conn) {
+	h.t.Helper()
+	var inputs []Input
+	for _, conn := range conns {
+		inputs = append(inputs, OwnerConnected{Conn: conn, Host: "h"})
+	}
+	h.step(inputs...)
+}
+
+// connectPinged opens an owner's connection that is not closed as idle, since it has sent a health check.
+func (h *harness) connectPinged(conn Conn) {
+	h.t.Helper()
+	h.step(OwnerConnected{Conn: conn, Host: "h"}, Ping{Conn: conn, Task: taskID(1)})
+}
+
+func machine(id string, state flaxshelf.MachineState, started Time) flaxshelf.Machine {
+	return flaxshelf.Machine{ID: id, Zone: "a", State: state, Started: started}
+}
+
+// nodeUpdated is an update of the endpoint list with a single node.
+func nodeUpdated(m flaxshelf.Machine, addr string) NodesUpdated {
+	return NodesUpdated{Machines: []flaxshelf.Machine{m}, Addrs: []string{addr}}
+}
+
+// updateNodes gives the core an update of the endpoint list. A node is its ID, or ID@address; without an address it has its
+// ID for one.
+func (h *harness) updateNodes(state flaxshelf.MachineState, nodes ...string) {
+	h.t.Helper()
+	var in NodesUpdated
+	for _, node := range nodes {
+		id, addr, hasAddr := strings.Cut(node, "@")
+		if !hasAddr {
+			addr = id
+		}
+		in.Machines = append(in.Machines, machine(id, state, 0))
+		in.Addrs = append(in.Addrs, addr)
+	}
+	h.step(in)
+}
+
+// addNodes lists active nodes and brings their links up.
+func (h *harness) addNodes(nodes ...string) {
+	h.t.Helper()
+	h.updateNodes(flaxshelf.Active, nodes...)
+	for _, dial := range effectsOf[Dial](h) {
+		h.links[dial.Node] = dial.Link
+		h.step(LinkUp{dial.Link})
+	}
+}
+
+func taskID(n int) string { return fmt.Sprintf("%016x", n) }
+
+// newSubmit is a request for the n-th task, which is idempotent.
+func (h *harness) newSubmit(conn Conn, n int) Submit { return h.newSubmitOf(classIdempotent, conn, n) }
+
+// newSubmitOf is a request for the n-th task, of a class.
+func (h *harness) newSubmitOf(class int, conn Conn, n int) Submit {
+	return Submit{
+		Conn:           conn,
+		Class:          "c",
+		IdempotencyKey: "idem",
+		Description:    "owner's",
+		Task: flaxshelf.Task{
+			ID:       taskID(n),
+			Key:      "k" + taskID(n),
+			Service:  "s",
+			Class:    class,
+			Tenant:   -1,
+			Cores:    1,
+			Memory:   1,
+			Deadline: h.now + 4*time.Second,
+		},
+	}
+}
+
+// newAdopt is the Adopt of the n-th task, which runs on a node.
+func (h *harness) newAdopt(conn Conn, node string, n int) Adopt {
+	return Adopt{Conn: conn, Node: node, Task: h.newSubmit(conn, n).Task}
+}
+
+// nodeAccepted is a node's acceptance of the n-th task.
+func nodeAccepted(link Link, n int, description string) NodeMessage {
+	return NodeMessage{Link: link, Kind: NodeAccepted, Task: taskID(n), Description: description}
+}
+
+// nodeReleased is a node's release of the n-th task.
+func nodeReleased(link Link, n, cause int) NodeMessage {
+	return NodeMessage{Link: link, Kind: NodeReleased, Task: taskID(n), Cause: cause}
+}
+
+// placeTask submits the n-th task and has a node accept it. It returns the offer.
+func (h *harness) placeTask(conn Conn, n int) Offer {
+	h.t.Helper()
+	h.step(h.newSubmit(conn, n))
+	offer := oneEffect[Offer](h)
+	h.step(nodeAccepted(offer.Link, n, "node's"))
+	oneEffect[Accepted](h)
+	return offer
+}
+
+// effectsOf returns the last step's effects of one type.
+func effectsOf[T Effect](h *harness) []T {
+	var matching []T
+	for _, effect := range h.effects {
+		if e, ok := effect.(T); ok {
+			matching = append(matching, e)
+		}
+	}
+	return matching
+}
+
+// oneEffect returns the last step's only effect of a type, and fails where it has none or several.
+func oneEffect[T Effect](h *harness) T {
+	h.t.Helper()
+	matching := effectsOf[T](h)
+	if len(matching) != 1 {
+		h.t.Fatalf("%d effects of type %T, want 1: %+v", len(matching), *new(T), h.effects)
+	}
+	return matching[0]
+}
+
+// noEffect fails where the last step has effects of a type.
+func noEffect[T Effect](h *harness) {
+	h.t.Helper()
+	if matching := effectsOf[T](h); len(matching) > 0 {
+		h.t.Fatalf("unexpected %+v", matching)
+	}
+}
+
+// moduleEventsOf returns the module's events of one type so far.
+func moduleEventsOf[T flaxshelf.Event](h *harness) []T {
+	var matching []T
+	for _, event := range h.moduleEvents {
+		if e, ok := event.(T); ok {
+			matching = append(matching, e)
+		}
+	}
+	return matching
+}
--- a/internal/requests/property_test.go
+++ b/internal/requests/property_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"maps"
 	"math/rand/v2"
 	"slices"
 	"testing"
@@ -10,294 +11,389 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-// chaos drives a core with inputs whose order is drawn: each source (an owner's connection, a link, the feed) keeps its own
-// order, as a socket does, and what comes of which source in one step, before or after another's, is chance. It holds what
-// must be true in any order.
-type chaos struct {
-	*world
-	rng    *rand.Rand
-	queues map[string][]Input // what each source has said and the core has not heard
-	keys   []string           // of queues, in the order of their making
-	conns  []Conn
-	last   Conn
-	links  map[Link]string // up or on their way: their node
-	n      int             // tasks so far
-	asked  map[string]*asked
+// randomRun drives a core with random inputs. Each source (an owner's connection, a link, the discovery service) keeps its
+// order, as a socket does; which sources the core reads in a step, and in what order, is drawn. It checks what must hold in
+// any order.
+type randomRun struct {
+	*harness
+	rng         *rand.Rand
+	nodes       []string
+	unread      map[string][]Input // what each source has sent and the core has not read
+	sources     []string           // the keys of unread, in the order of their first input
+	conns       []Conn             // open from the outside
+	lastConn    Conn
+	openLinks   map[Link]string // the node of each link that is up or on its way
+	lastTask    int
+	submissions map[string]*submission
+	inactive    map[string]bool // nodes that the core has read a draining or removing update of
 }
 
-// asked is a set-up as the outside sees it.
-type asked struct {
-	conn    Conn
-	until   Time
-	answers int
-	placed  bool
-	heard   bool // by the core
-	gone    bool // its owner has left or given it up, by word that the core has heard
-	overs   int
+// submission is a request as the outside sees it.
+type submission struct {
+	conn         Conn
+	deadline     Time
+	read         bool // by the core
+	abandoned    bool // the core has read that its owner has canceled or left it, or has closed the connection
+	connClosed   bool // by the core
+	responses    int
+	placed       bool
+	terminations int // notified after it was placed
 }
 
-func (c *chaos) say(source string, in Input) {
-	if _, ok := c.queues[source]; !ok {
-		c.keys = append(c.keys, source)
+// discoverySource is the source of endpoint list updates.
+const discoverySource = "discovery"
+
+func connSource(conn Conn) string { return fmt.Sprint("conn", conn) }
+func linkSource(link Link) string { return fmt.Sprint("link", link) }
+
+func newRandomRun(t *testing.T, seed uint64) *randomRun {
+	t.Helper()
+	r := &randomRun{
+		harness:     newHarness(t, func(c *Config) { c.MaxLinks = 6; c.NodeIdleTimeout = 4 * time.Second }),
+		rng:         rand.New(rand.NewPCG(seed, 7)),
+		nodes:       []string{"n0", "n1", "n2", "n3", "n4"},
+		unread:      map[string][]Input{},
+		openLinks:   map[Link]string{},
+		submissions: map[string]*submission{},
+		inactive:    map[string]bool{},
+	}
+	for _, node := range r.nodes {
+		r.sendNodeState(node, flaxshelf.Active)
 	}
-	c.queues[source] = append(c.queues[source], in)
+	return r
 }
 
-func (c *chaos) connSource(id Conn) string { return fmt.Sprint("conn", id) }
-func (c *chaos) linkSource(id Link) string { return fmt.Sprint("link", id) }
+// drawn returns an element that is drawn.
+func drawn[T any](rng *rand.Rand, all []T) T { return all[rng.IntN(len(all))] }
 
-// outside has the parties do something.
-func (c *chaos) outside(nodes []string) {
-	switch r := c.rng.IntN(20); {
-	case r < 3 || len(c.conns) == 0:
-		c.last++
-		c.conns = append(c.conns, c.last)
-		c.say(c.connSource(c.last), OwnerConnected{Conn: c.last, Host: fmt.Sprint("h", c.rng.IntN(3))})
-	case r < 11:
-		c.n++
-		conn := c.conns[c.rng.IntN(len(c.conns))]
-		in := c.ask(conn, c.n, c.rng.IntN(2))
-		in.Task.Service = fmt.Sprint("s", c.rng.IntN(4))
-		in.Task.Deadline = c.now + time.Second
-		c.asked[id(c.n)] = &asked{conn: conn, until: in.Task.Deadline}
-		c.say(c.connSource(conn), in)
-	case r < 13 && c.n > 0:
-		conn, t := c.conns[c.rng.IntN(len(c.conns))], id(1+c.rng.IntN(c.n))
-		c.say(c.connSource(conn), []Input{Release{conn, t}, Migrated{conn, t}}[c.rng.IntN(2)])
-	case r < 14:
-		i := c.rng.IntN(len(c.conns))
-		c.say(c.connSource(c.conns[i]), OwnerDisconnected{c.conns[i]})
-		c.conns = slices.Delete(c.conns, i, i+1)
-	case r < 15:
-		conn := c.conns[c.rng.IntN(len(c.conns))]
-		c.say(c.connSource(conn), Adopt{Conn: conn, Node: nodes[c.rng.IntN(len(nodes))], Task: c.ask(conn, 1_000_000+c.rng.IntN(50), 0).Task})
-	case r < 16:
-		name := nodes[c.rng.IntN(len(nodes))]
-		m := machine(name, []flaxshelf.MachineState{flaxshelf.Active, flaxshelf.Active, flaxshelf.Draining, flaxshelf.Removed}[c.rng.IntN(4)], 0)
-		c.say("feed", NodesUpdated{Machines: []flaxshelf.Machine{m}, Addrs: []string{name}})
-	case r < 17 && len(c.links) > 0:
-		for _, l := range c.sortedLinks() {
-			if c.rng.IntN(4) == 0 {
-				c.say(c.linkSource(l), LinkDown{Link: l, ConnectionRefused: c.rng.IntN(4) == 0})
-				delete(c.links, l)
-				break
-			}
-		}
+// send has a source send an input, for the core to read in a later step.
+func (r *randomRun) send(source string, in Input) {
+	if _, ok := r.unread[source]; !ok {
+		r.sources = append(r.sources, source)
 	}
+	r.unread[source] = append(r.unread[source], in)
+}
+
+// sendNodeState has the discovery service send an update of one node.
+func (r *randomRun) sendNodeState(node string, state flaxshelf.MachineState) {
+	r.send(discoverySource, nodeUpdated(machine(node, state, 0), node))
 }
 
-func (c *chaos) sortedLinks() []Link {
-	var all []Link
-	for l := range c.links {
-		all = append(all, l)
+// randomEvent has an owner, the discovery service or a link do something.
+func (r *randomRun) randomEvent() {
+	switch draw := r.rng.IntN(20); {
+	case draw < 3 || len(r.conns) == 0:
+		r.openConn()
+	case draw < 11:
+		r.submitTask()
+	case draw < 13 && r.lastTask > 0:
+		conn, task := drawn(r.rng, r.conns), taskID(1+r.rng.IntN(r.lastTask))
+		r.send(connSource(conn), drawn(r.rng, []Input{Release{conn, task}, Migrated{conn, task}}))
+	case draw < 14:
+		i := r.rng.IntN(len(r.conns))
+		r.send(connSource(r.conns[i]), OwnerDisconnected{r.conns[i]})
+		r.conns = slices.Delete(r.conns, i, i+1)
+	case draw < 15:
+		conn, node := drawn(r.rng, r.conns), drawn(r.rng, r.nodes)
+		r.send(connSource(conn), r.newAdopt(conn, node, 1_000_000+r.rng.IntN(50)))
+	case draw < 16:
+		node := drawn(r.rng, r.nodes)
+		r.sendNodeState(node, drawn(r.rng, []flaxshelf.MachineState{
+			flaxshelf.Active, flaxshelf.Active, flaxshelf.Draining, flaxshelf.Removed,
+		}))
+	case draw < 17:
+		r.breakLink()
 	}
-	slices.Sort(all)
-	return all
 }
 
-// hears draws what the core hears in this step.
-func (c *chaos) hears() []Input {
-	var in []Input
-	for range c.rng.IntN(8) {
-		if len(c.keys) == 0 {
+// openConn opens an owner's connection.
+func (r *randomRun) openConn() {
+	r.lastConn++
+	r.conns = append(r.conns, r.lastConn)
+	r.send(connSource(r.lastConn), OwnerConnected{Conn: r.lastConn, Host: fmt.Sprint("h", r.rng.IntN(3))})
+}
+
+// submitTask submits a new task on one of the connections.
+func (r *randomRun) submitTask() {
+	r.lastTask++
+	conn := drawn(r.rng, r.conns)
+	in := r.newSubmitOf(drawn(r.rng, []int{classIdempotent, classKeyed}), conn, r.lastTask)
+	in.Task.Service = fmt.Sprint("s", r.rng.IntN(4))
+	in.Task.Deadline = r.now + time.Second
+	r.submissions[in.Task.ID] = &submission{conn: conn, deadline: in.Task.Deadline}
+	r.send(connSource(conn), in)
+}
+
+// breakLink breaks one of the links, or none.
+func (r *randomRun) breakLink() {
+	for _, link := range slices.Sorted(maps.Keys(r.openLinks)) {
+		if r.rng.IntN(4) == 0 {
+			r.send(linkSource(link), LinkDown{Link: link, ConnectionRefused: r.rng.IntN(4) == 0})
+			delete(r.openLinks, link)
+			return
+		}
+	}
+}
+
+// read draws the inputs that the core reads in this step.
+func (r *randomRun) read() []Input {
+	var inputs []Input
+	for range r.rng.IntN(8) {
+		if len(r.sources) == 0 {
 			break
 		}
-		key := c.keys[c.rng.IntN(len(c.keys))]
-		if q := c.queues[key]; len(q) > 0 {
-			in = append(in, q[0])
-			c.queues[key] = q[1:]
-		} else {
-			delete(c.queues, key)
-			c.keys = slices.DeleteFunc(c.keys, func(k string) bool { return k == key })
+		source := drawn(r.rng, r.sources)
+		if queue := r.unread[source]; len(queue) > 0 {
+			inputs = append(inputs, queue[0])
+			r.unread[source] = queue[1:]
+			continue
+		}
+		delete(r.unread, source)
+		r.sources = slices.DeleteFunc(r.sources, func(s string) bool { return s == source })
+	}
+	return inputs
+}
+
+// runStep has the core do one step, checks its effects and lets some time pass.
+func (r *randomRun) runStep() {
+	r.t.Helper()
+	inputs := r.read()
+	for _, in := range inputs { // what permits offers counts in this step, what forbids them from the next one on
+		if update, ok := in.(NodesUpdated); ok && update.Machines[0].State == flaxshelf.Active {
+			r.inactive[update.Machines[0].ID] = false
+		}
+	}
+	r.step(inputs...)
+	for _, effect := range r.effects {
+		r.checkEffect(effect)
+	}
+	for _, in := range inputs {
+		r.recordInput(in)
+	}
+	r.now += time.Duration(r.rng.IntN(40)) * time.Millisecond
+}
+
+// checkEffect checks an effect against what the core has read before this step, and carries it out.
+func (r *randomRun) checkEffect(effect Effect) {
+	r.t.Helper()
+	switch effect := effect.(type) {
+	case Offer:
+		r.checkOffer(effect)
+		r.respondToOffer(effect)
+	case Accepted:
+		r.checkAccepted(effect)
+	case Terminated:
+		r.checkTerminated(effect)
+	case Dial:
+		r.dial(effect)
+	case CloseLink:
+		delete(r.openLinks, effect.Link)
+	case CloseOwner:
+		r.closeConn(effect.Conn)
+	}
+}
+
+func (r *randomRun) checkOffer(offer Offer) {
+	r.t.Helper()
+	submitted := r.submissions[offer.Task]
+	if submitted.abandoned {
+		r.t.Fatalf("%s is offered after its owner has left it", offer.Task)
+	}
+	if r.inactive[offer.Node] {
+		r.t.Fatalf("%s is offered to %s, which is draining or removed", offer.Task, offer.Node)
+	}
+	if submitted.responses > 0 {
+		r.t.Fatalf("%s is offered after its response", offer.Task)
+	}
+	// A link without a node has broken, which the core has not read.
+	if node := r.openLinks[offer.Link]; node != offer.Node && node != "" {
+		r.t.Fatalf("%s is offered on link %d, which is not one to %s", offer.Task, offer.Link, offer.Node)
+	}
+}
+
+func (r *randomRun) checkAccepted(accepted Accepted) {
+	r.t.Helper()
+	submitted := r.submissions[accepted.Task]
+	submitted.responses++
+	if submitted.responses > 1 || submitted.abandoned {
+		r.t.Fatalf("%s: response %d, abandoned before: %v", accepted.Task, submitted.responses, submitted.abandoned)
+	}
+	submitted.placed = true
+}
+
+func (r *randomRun) checkTerminated(terminated Terminated) {
+	r.t.Helper()
+	submitted := r.submissions[terminated.Task]
+	switch {
+	case submitted == nil: // it was adopted
+	case submitted.placed:
+		submitted.terminations++
+		if submitted.terminations > 1 {
+			r.t.Fatalf("%s: its end is notified %d times", terminated.Task, submitted.terminations)
+		}
+	case terminated.Conn == submitted.conn:
+		submitted.responses++
+		if submitted.responses > 1 || terminated.Migrate || submitted.abandoned {
+			r.t.Fatalf("%s: response %d %+v", terminated.Task, submitted.responses, terminated)
+		}
+	}
+}
+
+// dial has a link come up, or fail.
+func (r *randomRun) dial(dial Dial) {
+	if r.rng.IntN(8) == 0 {
+		r.send(linkSource(dial.Link), LinkDown{Link: dial.Link, ConnectionRefused: r.rng.IntN(3) == 0})
+		return
+	}
+	r.openLinks[dial.Link] = dial.Node
+	r.send(linkSource(dial.Link), LinkUp{dial.Link})
+}
+
+// closeConn records that the core has closed an owner's connection.
+func (r *randomRun) closeConn(conn Conn) {
+	r.conns = slices.DeleteFunc(r.conns, func(open Conn) bool { return open == conn })
+	for _, submitted := range r.submissions {
+		if submitted.conn == conn {
+			submitted.connClosed = true
+			submitted.abandoned = true
 		}
 	}
-	return in
 }
 
-// node answers what was written to a node, later and in the order of the link.
-func (c *chaos) node(e Offer) {
-	link, task := e.Link, e.Task
-	if c.links[link] == "" {
+// respondToOffer has the node respond to an offer on its link, in one of the ways that nodes may.
+func (r *randomRun) respondToOffer(offer Offer) {
+	if r.openLinks[offer.Link] == "" {
 		return
 	}
-	source := c.linkSource(link)
-	switch c.rng.IntN(8) {
+	message := NodeMessage{Link: offer.Link, Task: offer.Task}
+	send := func(kind NodeMessageKind, change func(*NodeMessage)) {
+		message := message
+		message.Kind = kind
+		change(&message)
+		r.send(linkSource(offer.Link), message)
+	}
+	switch r.rng.IntN(8) {
 	case 0:
-		c.say(source, NodeMessage{Link: link, Kind: NodeReleased, Task: task, Cause: CauseRejected, Reason: flaxshelf.InsufficientCores})
+		send(NodeReleased, func(m *NodeMessage) { m.Cause, m.Reason = CauseRejected, flaxshelf.InsufficientCores })
 	case 1:
-		c.say(source, NodeMessage{Link: link, Kind: NodeReleased, Task: task, Cause: CauseError})
+		send(NodeReleased, func(m *NodeMessage) { m.Cause = CauseError })
 	case 2: // never
 	case 3:
-		c.say(source, SendFailed{Link: link, Task: task, Attempt: e.Attempt})
+		r.send(linkSource(offer.Link), SendFailed{Link: offer.Link, Task: offer.Task, Attempt: offer.Attempt})
 	default:
-		c.say(source, NodeMessage{Link: link, Kind: NodeAccepted, Task: task, Description: "d"})
-		if c.rng.IntN(6) == 0 {
-			c.say(source, NodeMessage{Link: link, Kind: NodeAccepted, Task: task, Description: "again"})
+		send(NodeAccepted, func(m *NodeMessage) { m.Description = "d" })
+		if r.rng.IntN(6) == 0 {
+			send(NodeAccepted, func(m *NodeMessage) { m.Description = "again" })
 		}
-		for range c.rng.IntN(3) {
-			c.say(source, NodeMessage{Link: link, Kind: NodeUsage, Task: task, UsageKind: flaxshelf.ServiceLevel, Amount: c.rng.Float64()})
+		for range r.rng.IntN(3) {
+			send(NodeUsage, func(m *NodeMessage) { m.UsageKind, m.Amount = flaxshelf.ServiceLevel, r.rng.Float64() })
 		}
-		if c.rng.IntN(2) == 0 {
-			c.say(source, NodeMessage{Link: link, Kind: NodeReleased, Task: task, Cause: CauseNormal})
+		if r.rng.IntN(2) == 0 {
+			send(NodeReleased, func(m *NodeMessage) { m.Cause = CauseNormal })
 		}
 	}
 }
 
-// judge follows the effects of a step. before is what had been heard when it began.
-func (c *chaos) judge(before map[string]bool) {
-	c.t.Helper()
-	for _, e := range c.out {
-		switch e := e.(type) {
-		case Offer:
-			a := c.asked[e.Task]
-			if before["gone"+e.Task] {
-				c.t.Fatalf("%s is offered after its owner has gone", e.Task)
-			}
-			if before["drain"+e.Node] {
-				c.t.Fatalf("%s is offered to %s, which drains or is gone", e.Task, e.Node)
-			}
-			if a.answers > 0 {
-				c.t.Fatalf("%s is offered after its answer", e.Task)
-			}
-			if at := c.links[e.Link]; at != e.Node && at != "" { // none: it has broken, which the core has not heard
-				c.t.Fatalf("%s is offered on link %d, which is not one to %s", e.Task, e.Link, e.Node)
-			}
-			c.node(e)
-		case Accepted:
-			a := c.asked[e.Task]
-			if a.answers++; a.answers > 1 || before["gone"+e.Task] {
-				c.t.Fatalf("%s: answer %d, gone before: %v", e.Task, a.answers, before["gone"+e.Task])
-			}
-			a.placed = true
-		case Terminated:
-			a := c.asked[e.Task]
-			switch {
-			case a == nil: // handed over
-			case !a.placed && e.Conn == a.conn:
-				if a.answers++; a.answers > 1 || e.Migrate || before["gone"+e.Task] {
-					c.t.Fatalf("%s: answer %d %+v", e.Task, a.answers, e)
-				}
-			case a.placed:
-				if a.overs++; a.overs > 1 {
-					c.t.Fatalf("%s: its end is told %d times", e.Task, a.overs)
-				}
-			}
-		case Dial:
-			if c.rng.IntN(8) == 0 {
-				c.say(c.linkSource(e.Link), LinkDown{Link: e.Link, ConnectionRefused: c.rng.IntN(3) == 0})
-				continue
-			}
-			c.links[e.Link] = e.Node
-			c.say(c.linkSource(e.Link), LinkUp{e.Link})
-		case CloseLink:
-			delete(c.links, e.Link)
-		case CloseOwner:
-			c.conns = slices.DeleteFunc(c.conns, func(x Conn) bool { return x == e.Conn })
-			for task, a := range c.asked {
-				if a.conn == e.Conn {
-					a.gone = true
-					before["gone"+task] = true
-				}
+// recordInput records what the core has read in this step, for the checks of the steps after it.
+func (r *randomRun) recordInput(in Input) {
+	switch in := in.(type) {
+	case Submit:
+		r.submissions[in.Task.ID].read = true
+	case Release:
+		r.recordAbandoned(in.Task)
+	case Migrated:
+		r.recordAbandoned(in.Task)
+	case OwnerDisconnected:
+		for task, submitted := range r.submissions {
+			if submitted.conn == in.Conn {
+				r.recordAbandoned(task)
 			}
 		}
+	case NodesUpdated:
+		for _, m := range in.Machines {
+			r.inactive[m.ID] = m.State != flaxshelf.Active
+		}
 	}
 }
 
-// note books what the core hears in this step, for the steps after it.
-func (c *chaos) note(in []Input, before map[string]bool) {
-	for _, i := range in {
-		switch i := i.(type) {
-		case Submit:
-			c.asked[i.Task.ID].heard = true
-		case Release:
-			c.leaves(i.Task, before)
-		case Migrated:
-			c.leaves(i.Task, before)
-		case OwnerDisconnected:
-			for task, a := range c.asked {
-				if a.conn == i.Conn {
-					c.leaves(task, before)
-				}
-			}
-		case NodesUpdated:
-			for _, m := range i.Machines {
-				before["drain"+m.ID] = m.State != flaxshelf.Active
-			}
-		}
+// recordAbandoned records that a task's owner has left it. Before the core has read its Submit that means nothing.
+func (r *randomRun) recordAbandoned(task string) {
+	if submitted := r.submissions[task]; submitted != nil && submitted.read {
+		submitted.abandoned = true
 	}
 }
 
-// leaves books that a task's owner has left it. Before its set-up has been heard that means nothing.
-func (c *chaos) leaves(task string, before map[string]bool) {
-	if a := c.asked[task]; a != nil && a.heard {
-		before["gone"+task] = true
+// finish has all owners disconnect and all nodes removed. Before that, every request must have its response in time; after
+// it, nothing may be left in the core.
+func (r *randomRun) finish() {
+	r.t.Helper()
+	for range 300 {
+		r.runStep()
 	}
+	r.checkNoOverdueRequest()
+	for _, conn := range r.conns {
+		r.send(connSource(conn), OwnerDisconnected{conn})
+	}
+	for _, node := range r.nodes {
+		r.sendNodeState(node, flaxshelf.Removed)
+	}
+	for range 400 {
+		r.runStep()
+	}
+	r.now += 10 * time.Second
+	for range 4 {
+		r.runStep()
+	}
+	r.checkEmpty()
 }
 
-func TestAnyOrder(t *testing.T) {
-	for seed := range uint64(400) {
-		w := newWorld(t, func(c *Config) { c.MaxLinks = 6; c.NodeIdleTimeout = 4 * time.Second })
-		c := &chaos{world: w, rng: rand.New(rand.NewPCG(seed, 7)), queues: map[string][]Input{}, links: map[Link]string{},
-			asked: map[string]*asked{}}
-		nodes, before := []string{"n0", "n1", "n2", "n3", "n4"}, map[string]bool{}
-		for _, n := range nodes {
-			c.say("feed", NodesUpdated{Machines: []flaxshelf.Machine{machine(n, flaxshelf.Active, 0)}, Addrs: []string{n}})
+// checkNoOverdueRequest checks that no request whose owner is still there waits for its response.
+func (r *randomRun) checkNoOverdueRequest() {
+	r.t.Helper()
+	for id, submitted := range r.submissions {
+		if submitted.responses > 0 || submitted.connClosed || !slices.Contains(r.conns, submitted.conn) {
+			continue
 		}
-		step := func() {
-			in := c.hears()
-			for _, i := range in { // what allows more counts in this step, what forbids from the next on
-				if l, ok := i.(NodesUpdated); ok && l.Machines[0].State == flaxshelf.Active {
-					before["drain"+l.Machines[0].ID] = false
-				}
-			}
-			c.step(in...)
-			c.judge(before)
-			c.note(in, before)
-			c.now += time.Duration(c.rng.IntN(40)) * time.Millisecond
-		}
-		for range 400 {
-			for range c.rng.IntN(3) {
-				c.outside(nodes)
-			}
-			step()
-			if t.Failed() {
-				t.Fatalf("seed %d", seed)
-			}
-		}
-		c.settle(step, nodes)
-		if t.Failed() {
-			t.Fatalf("seed %d", seed)
+		if t := r.core.tasks[id]; t != nil && t.pending {
+			r.t.Errorf("%s still waits %v after its deadline", id, r.now-submitted.deadline)
 		}
 	}
 }
 
-// settle ends all: owners leave, nodes are gone. Nothing may be left, and whoever waited has had one answer in time.
-func (c *chaos) settle(step func(), nodes []string) {
-	c.t.Helper()
-	for range 300 {
-		step()
-	}
-	for task, a := range c.asked {
-		if a.answers == 0 && !a.gone && slices.Contains(c.conns, a.conn) && c.world.c.tasks[task] != nil && c.world.c.tasks[task].open {
-			c.t.Errorf("%s still waits %v after its time", task, c.now-a.until)
-		}
+// checkEmpty checks that the core keeps nothing.
+func (r *randomRun) checkEmpty() {
+	r.t.Helper()
+	stats := r.core.Stats()
+	gauges := Stats{
+		Pending:         stats.Pending,
+		Running:         stats.Running,
+		RunningUnlisted: stats.RunningUnlisted,
+		Owners:          stats.Owners,
+		Nodes:           stats.Nodes,
+		Links:           stats.Links,
 	}
-	for _, conn := range c.conns {
-		c.say(c.connSource(conn), OwnerDisconnected{conn})
+	tasks, connections := len(r.core.tasks), r.core.admission.Len()
+	if gauges != (Stats{}) || tasks != 0 || connections != 0 {
+		r.t.Errorf("left: %+v, %d tasks, %d connections", stats, tasks, connections)
 	}
-	for _, n := range nodes {
-		c.say("feed", NodesUpdated{Machines: []flaxshelf.Machine{machine(n, flaxshelf.Removed, 0)}, Addrs: []string{n}})
-	}
-	for range 400 {
-		step()
-	}
-	c.now += 10 * time.Second
-	for range 4 {
-		step()
-	}
-	f := c.world.c.Stats()
-	if f.Pending != 0 || f.Running != 0 || f.RunningUnlisted != 0 || f.Owners != 0 || f.Nodes != 0 || f.Links != 0 ||
-		len(c.world.c.tasks) != 0 || c.world.c.admission.Len() != 0 {
-		c.t.Errorf("left: %+v, %d tasks, %d connections", f, len(c.world.c.tasks), c.world.c.admission.Len())
+}
+
+// In any order of inputs each request has one response, no offer is made after its owner or node has left, and nothing is
+// left in the end.
+func TestRandomInterleavings(t *testing.T) {
+	for seed := range uint64(400) {
+		passed := t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
+			run := newRandomRun(t, seed)
+			for range 400 {
+				for range run.rng.IntN(3) {
+					run.randomEvent()
+				}
+				run.runStep()
+			}
+			run.finish()
+		})
+		if !passed {
+			t.FailNow()
+		}
 	}
 }
--- /dev/null
+++ b/internal/requests/watch_test.go
@@ -0,0 +1,35 @@
+package requests
+
+import (
+	"testing"
+	"time"
+
+	"flaxshelf.example/flaxshelf"
+)
+
+// Where updates come unrequested the core opens the watch in its first step, and again within a second after it broke off.
+// Where they must be requested, only the module's Subscribe opens it.
+func TestDiscoveryWatch(t *testing.T) {
+	t.Run("updates come unrequested", func(t *testing.T) {
+		h := newHarness(t)
+		h.step()
+		oneEffect[Subscribe](h)
+		h.step(WatchFailed{})
+		noEffect[Subscribe](h)
+		h.advance(time.Second)
+		oneEffect[Subscribe](h)
+	})
+	t.Run("updates must be requested", func(t *testing.T) {
+		h := newHarness(t, func(c *Config) { c.Module.DiscoveryOnRequest = true })
+		initial := nodeUpdated(machine("n", flaxshelf.Active, 0), "n")
+		initial.Complete, initial.FromConfig = true, true
+		h.step(initial)
+		oneEffect[Subscribe](h)
+		h.step(WatchEstablished{})
+		h.advance(time.Minute)
+		noEffect[Subscribe](h)
+		h.step(WatchFailed{})
+		h.advance(time.Second)
+		oneEffect[Subscribe](h)
+	})
+}
