--- a/cmd/flaxshelf/main.go
+++ b/cmd/flaxshelf/main.go
@@ -96,8 +96,9 @@
 
 func exitCode(err error) int {
 	var usage errUsage
+	var configErrors settings.ConfigErrors
 	switch {
-	case errors.As(err, &usage), settings.IsProblem(err), errors.Is(err, os.ErrNotExist),
+	case errors.As(err, &usage), errors.As(err, &configErrors), errors.Is(err, os.ErrNotExist),
 		errors.Is(err, drmaa2.ErrInvalidArgument), errors.Is(err, drmaa2.ErrUnsupportedAttribute):
 		return exitUsage
 	case errors.Is(err, drmaa2.ErrDrmCommunication):
--- /dev/null
+++ b/internal/settings/file.go
@@ -0,0 +1,212 @@
+package settings
+
+import (
+	_ "embed"
+	"fmt"
+	"os"
+	"slices"
+	"strings"
+
+	"cuelang.org/go/cue"
+	"cuelang.org/go/cue/cuecontext"
+	cueerrors "cuelang.org/go/cue/errors"
+	"cuelang.org/go/cue/format"
+	"cuelang.org/go/cue/token"
+)
+
+//go:embed schema.cue
+var schema string
+
+// Schema is the text of the schema, as `flaxshelf config schema` prints it.
+func Schema() string { return schema }
+
+// File is a configuration that has been read, with the places of its fields. It collects the errors that are found in
+// it, and may be used by one goroutine at a time.
+type File struct {
+	name   string
+	own    cue.Value // the text alone
+	value  cue.Value // the text unified with the record
+	errors ConfigErrors
+}
+
+// Read reads text as the given record of the schema, such as "#Scheduler". The caller may extend the schema by CUE text of
+// its own. The name is that of the file in errors. Errors of the text are ConfigErrors.
+func Read(name string, text []byte, record, extraSchema string) (*File, error) {
+	ctx := cuecontext.New()
+	base := ctx.CompileString(schema+extraSchema, cue.Filename("schema"))
+	if err := base.Err(); err != nil {
+		return nil, fmt.Errorf("settings: schema: %w", err)
+	}
+	own := ctx.CompileBytes(text, cue.Filename(name), cue.Scope(base)) // files may refer to the schema's records
+	f := &File{name: name, own: own}
+	if err := own.Err(); err != nil {
+		f.addCUE(err)
+		return nil, f.errors
+	}
+	definition := base.LookupPath(cue.ParsePath(record))
+	f.value = definition.Unify(own)
+	if err := f.value.Validate(cue.Concrete(true)); err != nil {
+		f.addCUE(err)
+		f.validateFields(definition, own)
+		return nil, f.readableErrors()
+	}
+	return f, nil
+}
+
+// ReadFile is Read of the file at a path. An error of reading the file wraps that of the os package.
+func ReadFile(path, record, extraSchema string) (*File, error) {
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return nil, fmt.Errorf("read configuration: %w", err)
+	}
+	return Read(path, text, record, extraSchema)
+}
+
+// validateFields validates the record's fields one by one, since one error of CUE hides others: an unknown field hides
+// those that are missing.
+func (f *File) validateFields(definition, own cue.Value) {
+	if fields, err := own.Fields(); err == nil {
+		for fields.Next() {
+			if !definition.Allows(fields.Selector()) {
+				f.add(ConfigError{Field: fields.Selector().String(), Reason: "field not allowed"}, fields.Value().Pos())
+			}
+		}
+	}
+	fields, err := definition.Fields()
+	if err != nil {
+		return
+	}
+	for fields.Next() {
+		path := cue.MakePath(fields.Selector())
+		if err := f.value.LookupPath(path).Validate(cue.Concrete(true)); err != nil {
+			f.addCUE(err)
+		}
+	}
+}
+
+// Decode fills a Go value whose JSON tags are the keys of the record.
+func (f *File) Decode(into any) error {
+	if err := f.value.Decode(into); err != nil {
+		f.addCUE(err)
+		return f.errors
+	}
+	return nil
+}
+
+// addCUE adds the errors of CUE, each at its place in the user's file if there is one.
+func (f *File) addCUE(err error) {
+	for _, cueErr := range cueerrors.Errors(err) {
+		message, args := cueErr.Msg()
+		e := ConfigError{Field: strings.Join(cueErr.Path(), "."), Reason: fmt.Sprintf(message, args...)}
+		if strings.HasPrefix(e.Field, "#") { // the record's own name
+			_, e.Field, _ = strings.Cut(e.Field, ".")
+		}
+		f.add(e, append(cueerrors.Positions(cueErr), cueErr.Position())...)
+	}
+}
+
+// add adds an error once, at the first of the places that is in the user's file.
+func (f *File) add(e ConfigError, places ...token.Pos) {
+	e.File = f.name
+	e.Value = f.valueText(e.Field)
+	for _, place := range places {
+		if f.contains(place) {
+			e.Line, e.Column = place.Line(), place.Column()
+			break
+		}
+	}
+	if !slices.Contains(f.errors, e) {
+		f.errors = append(f.errors, e)
+	}
+}
+
+// valueText is the value of a field as the file writes it, else its default; empty for a field without a value.
+func (f *File) valueText(field string) string {
+	path := cue.ParsePath(field)
+	if field == "" || path.Err() != nil {
+		return ""
+	}
+	for _, source := range []cue.Value{f.own, f.value} {
+		v := source.LookupPath(path)
+		if !v.Exists() || !v.IsConcrete() {
+			continue
+		}
+		if text, err := format.Node(v.Syntax(cue.Final())); err == nil {
+			return string(text)
+		}
+	}
+	return ""
+}
+
+func (f *File) contains(place token.Pos) bool { return place.IsValid() && place.Filename() == f.name }
+
+// readableErrors leaves out what CUE reports of its own evaluation where it has also reported what was expected, and
+// sorts the rest by line.
+func (f *File) readableErrors() ConfigErrors {
+	hasExpectation := map[string]bool{}
+	for _, e := range f.errors {
+		hasExpectation[e.Field] = hasExpectation[e.Field] || strings.HasPrefix(e.Reason, "invalid value")
+	}
+	readable := ConfigErrors{}
+	for _, e := range f.errors {
+		if strings.HasSuffix(e.Reason, "in empty disjunction:") ||
+			strings.HasPrefix(e.Reason, "conflicting values") && hasExpectation[e.Field] {
+			continue
+		}
+		if expected, ok := strings.CutPrefix(e.Reason, "incomplete value "); ok {
+			e.Reason = "is missing, expected " + expected
+		}
+		readable = append(readable, e)
+	}
+	readable.sortByLine()
+	return readable
+}
+
+// Fail adds an error of a field, as "classes[2].kind", at its place in the file. Err returns what has been added.
+func (f *File) Fail(field, reason string, args ...any) {
+	e := ConfigError{File: f.name, Field: field, Value: f.valueText(field), Reason: fmt.Sprintf(reason, args...)}
+	if v := f.value.LookupPath(cue.ParsePath(field)); v.Exists() {
+		for _, candidate := range append([]cue.Value{v}, operands(v)...) {
+			if place := candidate.Pos(); f.contains(place) {
+				e.Line, e.Column = place.Line(), place.Column()
+				break
+			}
+		}
+	}
+	f.errors = append(f.errors, e)
+}
+
+// operands are the values of which a conjunction or disjunction is made.
+func operands(v cue.Value) []cue.Value {
+	op, args := v.Expr()
+	if op == cue.AndOp || op == cue.OrOp {
+		return args
+	}
+	return nil
+}
+
+// Err is the ConfigErrors that Fail has added so far, in the order of the file, or nil.
+func (f *File) Err() error {
+	if len(f.errors) == 0 {
+		return nil
+	}
+	f.errors.sortByLine()
+	return f.errors
+}
+
+// elementField is the path of a field of a list's element, as "classes[2].kind".
+func elementField(list string, index int, field string) string {
+	return fmt.Sprintf("%s[%d].%s", list, index, field)
+}
+
+// failRepeatedNames adds an error for each element of a list whose name an earlier one has.
+func failRepeatedNames[T any](f *File, list string, elements []T, name func(*T) string) {
+	seen := map[string]bool{}
+	for i := range elements {
+		n := name(&elements[i])
+		if seen[n] {
+			f.Fail(elementField(list, i, "name"), "%q names two %s", n, list)
+		}
+		seen[n] = true
+	}
+}
--- a/internal/settings/fleet.go
+++ b/internal/settings/fleet.go
@@ -1,55 +1,47 @@
 package settings
 
-import (
-	"fmt"
-	"time"
-)
-
-// askWithin is how long the module waits for an answer of the inventory before it asks again.
-const askWithin = 10 * time.Second
-
-// Node is the record #Node.
+// Node is the record #Node: one node of the fleet that stands in for a cluster.
 type Node struct {
 	Name          string `json:"name"`
-	Kind          string `json:"kind"`
+	Kind          string `json:"kind"` // name of its Kind
 	Zone          string `json:"zone"`
-	ListenAddress string `json:"listen"`
+	ListenAddress string `json:"listen"` // host:port
 	Cell          int    `json:"cell"`
-	Warm          bool   `json:"warm"`
+	Warm          bool   `json:"warm"` // is past its slow start
 }
 
-// Behaviour is the record #Behaviour.
+// Behaviour is the record #Behaviour: how the nodes of a fleet behave.
 type Behaviour struct {
-	OfferReviewTime        Duration   `json:"Look"`
-	CachedStartTime        Duration   `json:"StartWork"`
-	UsageReportInterval    Duration   `json:"NoteEvery"`
-	DrainMigrationInterval Duration   `json:"DrainSendsAway"`
-	DefaultRuntime         Duration   `json:"Life"`
-	MaxWaitingOffers       int        `json:"MaxWait"`
-	StartSlots             int        `json:"StartSlots"`
-	MaxCachedPrograms      int        `json:"Keep"`
-	UncachedStartFactor    float64    `json:"FreshFactor"`
-	SlowStartInitialRate   float64    `json:"ColdFrom"`
-	OverloadMultiple       float64    `json:"FallMultiple"`
-	CoreUsageRange         [2]float64 `json:"UseCores"`
-	MemoryUsageRange       [2]float64 `json:"UseMemory"`
-	SendsLoadReports       bool       `json:"Reports"`
+	OfferReviewTime        Duration   `json:"Look"`           // to decide on an offer; one at a time
+	CachedStartTime        Duration   `json:"StartWork"`      // of a start whose program is cached
+	UsageReportInterval    Duration   `json:"NoteEvery"`      // between usage reports; 0: none are sent
+	DrainMigrationInterval Duration   `json:"DrainSendsAway"` // between tasks sent away while draining; 0: none are
+	DefaultRuntime         Duration   `json:"Life"`           // of a task that names none
+	MaxWaitingOffers       int        `json:"MaxWait"`        // offers that may wait for review
+	StartSlots             int        `json:"StartSlots"`     // starts at a time
+	MaxCachedPrograms      int        `json:"Keep"`           // programs that stay cached after their last task
+	UncachedStartFactor    float64    `json:"FreshFactor"`    // multiple of CachedStartTime for a program that is not cached
+	SlowStartInitialRate   float64    `json:"ColdFrom"`       // rate of starts at boot, as a fraction of the full one
+	OverloadMultiple       float64    `json:"FallMultiple"`   // offers, as a multiple of possible starts, that crash a node
+	CoreUsageRange         [2]float64 `json:"UseCores"`       // least and most cores in use, as fractions of the request
+	MemoryUsageRange       [2]float64 `json:"UseMemory"`      // least and most memory in use, as fractions of the request
+	SendsLoadReports       bool       `json:"Reports"`        // answers carry the node's load
 }
 
-// Fleet is the record #Fleet.
+// Fleet is the record #Fleet: an inventory and nodes that stand in for a cluster.
 type Fleet struct {
-	InventoryAddress string    `json:"inventory"`
-	LogLevel         string    `json:"log"`
-	DiscoveryDelay   Duration  `json:"late"`
-	RemovalDelay     Duration  `json:"goneAfter"`
+	InventoryAddress string    `json:"inventory"` // host:port
+	LogLevel         string    `json:"log"`       // debug, info, warn or error
+	DiscoveryDelay   Duration  `json:"late"`      // until the inventory shows a change
+	RemovalDelay     Duration  `json:"goneAfter"` // until a node whose connection broke is removed
 	Kinds            []Kind    `json:"kinds"`
 	Nodes            []Node    `json:"nodes"`
 	Rules            Rules     `json:"rules"`
 	Behaviour        Behaviour `json:"behaviour"`
-	Seed             uint64    `json:"seed"`
+	Seed             uint64    `json:"seed"` // of the random numbers
 }
 
-// ReadFleet reads the configuration of the stand-ins.
+// ReadFleet reads the configuration of a fleet. Errors are ConfigErrors, or of reading the file.
 func ReadFleet(path string) (*Fleet, error) {
 	f, err := ReadFile(path, "#Fleet", "")
 	if err != nil {
@@ -58,7 +50,7 @@
 	return f.fleet()
 }
 
-// ParseFleet is ReadFleet of text.
+// ParseFleet is ReadFleet of text; errors name it as the file.
 func ParseFleet(name string, text []byte) (*Fleet, error) {
 	f, err := Read(name, text, "#Fleet", "")
 	if err != nil {
@@ -68,31 +60,25 @@
 }
 
 func (f *File) fleet() (*Fleet, error) {
-	v := &Fleet{}
-	if err := f.Decode(v); err != nil {
+	fleet := &Fleet{}
+	if err := f.Decode(fleet); err != nil {
 		return nil, err
 	}
-	f.kinds(v.Kinds)
-	seen := map[string]bool{}
-	for i, n := range v.Nodes {
-		if seen[n.Name] {
-			f.Fail(at("nodes", i, "name"), "%q names two nodes", n.Name)
-		}
-		seen[n.Name] = true
-		if kindIndex(v.Kinds, n.Kind) < 0 {
-			f.Fail(at("nodes", i, "kind"), "no kind %q, expected one of kinds", n.Kind)
+	failRepeatedNames(f, "kinds", fleet.Kinds, func(k *Kind) string { return k.Name })
+	failRepeatedNames(f, "nodes", fleet.Nodes, func(n *Node) string { return n.Name })
+	for i, n := range fleet.Nodes {
+		if kindIndex(fleet.Kinds, n.Kind) < 0 {
+			f.Fail(elementField("nodes", i, "kind"), "no kind %q, expected one of kinds", n.Kind)
 		}
 	}
-	f.usageRange("behaviour.useCores", v.Behaviour.CoreUsageRange)
-	f.usageRange("behaviour.useMemory", v.Behaviour.MemoryUsageRange)
-	return v, f.Err()
+	f.failUsageRange("behaviour.useCores", fleet.Behaviour.CoreUsageRange)
+	f.failUsageRange("behaviour.useMemory", fleet.Behaviour.MemoryUsageRange)
+	return fleet, f.Err()
 }
 
-// usageRange checks that a range of usage, as a fraction of what a task requested, rises from 0 or more.
-func (f *File) usageRange(field string, bounds [2]float64) {
+// failUsageRange adds an error for a range of usage, as fractions of what a task requests, that doesn't rise from 0 or more.
+func (f *File) failUsageRange(field string, bounds [2]float64) {
 	if bounds[0] < 0 || bounds[1] < bounds[0] {
 		f.Fail(field, "is %v, expected two rising shares", bounds)
 	}
 }
-
-func at(list string, i int, field string) string { return fmt.Sprintf("%s[%d].%s", list, i, field) }
--- /dev/null
+++ b/internal/settings/module.go
@@ -0,0 +1,123 @@
+package settings
+
+import (
+	"time"
+
+	"flaxshelf.example/flaxshelf"
+	"flaxshelf.example/flaxshelf/internal/scheduler"
+)
+
+// discoveryPollDeadline is how long the module waits for an answer of the inventory before it polls again.
+const discoveryPollDeadline = 10 * time.Second
+
+// idempotencies are the module's values for the setting `effect`.
+var idempotencies = map[string]flaxshelf.Idempotency{
+	"safe":   flaxshelf.Idempotent,
+	"keyed":  flaxshelf.IdempotentByKey,
+	"unsafe": flaxshelf.NonIdempotent,
+}
+
+// topologyDomains are the module's values for the settings `group` and `spread`.
+var topologyDomains = map[string]flaxshelf.TopologyDomain{
+	"":           flaxshelf.NoDomain,
+	"machine":    flaxshelf.MachineDomain,
+	"cell":       flaxshelf.CellDomain,
+	"zone":       flaxshelf.ZoneDomain,
+	"everywhere": flaxshelf.FleetDomain,
+}
+
+// ModuleIdempotency is the module's value for the class's idempotency.
+func (c *Class) ModuleIdempotency() flaxshelf.Idempotency { return idempotencies[c.Idempotency] }
+
+// ModuleKeyDomain is the module's value for the domain in which copies of a key are dropped.
+func (c *Class) ModuleKeyDomain() flaxshelf.TopologyDomain { return topologyDomains[c.KeyDomain] }
+
+// ModuleSpreadDomain is the module's value for the domain over which the class is spread.
+func (c *Class) ModuleSpreadDomain() flaxshelf.TopologyDomain { return topologyDomains[c.SpreadDomain] }
+
+// ModuleConfig is the module's configuration.
+func (s *Scheduler) ModuleConfig() flaxshelf.Config {
+	r := &s.Rules
+	c := flaxshelf.Config{
+		Index:                 s.Index,
+		Schedulers:            s.Schedulers,
+		Zone:                  s.Zone,
+		OverQuotaWeight:       s.OverQuotaWeight,
+		Prices:                flaxshelf.Prices{CrossZone: s.CrossZonePrice, Fleet: s.FleetPrice},
+		CoreOvercommit:        r.CoreOvercommit,
+		MemoryOvercommit:      r.MemoryOvercommit,
+		PlacedWhenRunning:     s.PlacedWhenRunning,
+		Preempts:              r.Preempts,
+		ListsFreeCapacity:     s.ListsFreeCapacity,
+		DiscoveryOnRequest:    true,
+		MaxAttempts:           r.MaxAttempts,
+		CanCancel:             true,
+		CanHealthCheck:        true,
+		Tick:                  s.Tick.Duration(),
+		ConnectTimeout:        s.ConnectTimeout.Duration(),
+		AnswerSlack:           r.AnswerSlack.Duration(),
+		DrainGrace:            r.DrainGrace.Duration(),
+		DiscoveryPollDeadline: discoveryPollDeadline,
+		SlowStartDuration:     r.SlowStartDuration.Duration(),
+		OverloadWindow:        r.OverloadWindow.Duration(),
+		SlowStartBudget:       r.SlowStartBudget,
+	}
+	for _, k := range s.Kinds {
+		c.Kinds = append(c.Kinds, flaxshelf.Kind{Name: k.Name, Cores: k.Cores, Memory: k.Memory})
+	}
+	for i := range s.Classes {
+		c.Classes = append(c.Classes, s.moduleClass(&s.Classes[i]))
+	}
+	for _, t := range s.Tenants {
+		c.Tenants = append(c.Tenants, flaxshelf.Tenant{Name: t.Name, QuotaFraction: t.QuotaFraction,
+			TasksPerSecond: t.TasksPerSecond, QuotaCores: t.QuotaCores})
+	}
+	return c
+}
+
+func (s *Scheduler) moduleClass(c *Class) flaxshelf.Class {
+	return flaxshelf.Class{
+		Name:                   c.Name,
+		Idempotency:            c.ModuleIdempotency(),
+		KeyDomain:              c.ModuleKeyDomain(),
+		KeyTTL:                 c.KeyTTL.Duration(),
+		LatencyObjective:       c.LatencyObjective.Duration(),
+		PriorityWeight:         c.PriorityWeight,
+		LateStartWeight:        c.LateStartWeight,
+		StartValueSeconds:      c.StartValueSeconds,
+		FullServiceUtilization: c.FullServiceUtilization,
+		ServiceFadeRange:       c.ServiceFadeRange,
+		Kind:                   s.KindIndex(c.Kind),
+		Priority:               c.Priority,
+		SpreadDomain:           c.ModuleSpreadDomain(),
+		MaxPerDomain:           c.MaxPerDomain,
+	}
+}
+
+// CoreConfig is the configuration of the scheduler's core for an incarnation that starts at the given time, which also
+// seeds its random numbers where the settings name no seed.
+func (s *Scheduler) CoreConfig(startedAt flaxshelf.Time) scheduler.Config {
+	l := &s.Limits
+	c := scheduler.Config{
+		Module:    s.ModuleConfig(),
+		Seed:      s.Seed,
+		Name:      s.Name,
+		StartedAt: startedAt,
+		Limits: scheduler.Limits{
+			MaxPending:     l.MaxPending,
+			MaxRunning:     l.MaxRunning,
+			MaxFinished:    l.MaxFinished,
+			MaxSessions:    l.MaxSessions,
+			Retention:      l.Retention.Duration(),
+			SettleTime:     s.Rules.SettleTime.Duration(),
+			StallThreshold: s.Rules.DrainGrace.Duration() / 2,
+		},
+	}
+	if c.Seed == 0 {
+		c.Seed = uint64(startedAt)
+	}
+	for i := range s.Classes {
+		c.Limits.PlacementTimeouts = append(c.Limits.PlacementTimeouts, s.Classes[i].PlacementTimeout.Duration())
+	}
+	return c
+}
--- a/internal/settings/scheduler.go
+++ b/internal/settings/scheduler.go
@@ -1,95 +1,90 @@
 package settings
 
-import (
-	"flaxshelf.example/flaxshelf"
-	"flaxshelf.example/flaxshelf/internal/scheduler"
-)
-
-// Class is the record #Class.
+// Class is the record #Class: a class of jobs.
 type Class struct {
 	Name                   string   `json:"Name"`
-	Idempotency            string   `json:"Effect"`
-	KeyDomain              string   `json:"Group"`
-	Kind                   string   `json:"Kind"`
-	SpreadDomain           string   `json:"Spread"`
-	KeyTTL                 Duration `json:"Window"`
-	LatencyObjective       Duration `json:"Aim"`
-	PlacementTimeout       Duration `json:"Giveup"`
-	PriorityWeight         float64  `json:"Worth"`
-	LateStartWeight        float64  `json:"LateWorth"`
-	StartValueSeconds      float64  `json:"StartSeconds"`
-	FullServiceUtilization float64  `json:"Calm"`
-	ServiceFadeRange       float64  `json:"Fade"`
-	Priority               int      `json:"Priority"`
-	MaxPerDomain           int      `json:"Most"`
-	Cores                  float64  `json:"Cores"`
-	Memory                 float64  `json:"Memory"`
-}
-
-// Kind is the record #Kind.
+	Idempotency            string   `json:"Effect"`       // safe, keyed or unsafe; see ModuleIdempotency
+	KeyDomain              string   `json:"Group"`        // keyed: where copies of one key are dropped; see ModuleKeyDomain
+	Kind                   string   `json:"Kind"`         // name of the Kind of machine that it requires; empty: any
+	SpreadDomain           string   `json:"Spread"`       // domain of MaxPerDomain; empty: no limit
+	KeyTTL                 Duration `json:"Window"`       // keyed: how long copies are dropped, from the first send
+	LatencyObjective       Duration `json:"Aim"`          // a start within it earns PriorityWeight
+	PlacementTimeout       Duration `json:"Giveup"`       // a placement request ends after it
+	PriorityWeight         float64  `json:"Worth"`        // of a start within LatencyObjective
+	LateStartWeight        float64  `json:"LateWorth"`    // of a later start, as a fraction of PriorityWeight
+	StartValueSeconds      float64  `json:"StartSeconds"` // seconds of service that a start in time is worth
+	FullServiceUtilization float64  `json:"Calm"`         // fraction of cores in use up to which it has full service
+	ServiceFadeRange       float64  `json:"Fade"`         // above it, the range in which service falls to none
+	Priority               int      `json:"Priority"`     // 0 to 3; higher ones preempt lower ones
+	MaxPerDomain           int      `json:"Most"`         // tasks of one service in one SpreadDomain, for each scheduler
+	Cores                  float64  `json:"Cores"`        // of a job that requests none
+	Memory                 float64  `json:"Memory"`       // in GiB, of a job that requests none
+}
+
+// Kind is the record #Kind: a kind of machine.
 type Kind struct {
 	Name   string  `json:"Name"`
 	Cores  float64 `json:"Cores"`
-	Memory float64 `json:"Memory"`
+	Memory float64 `json:"Memory"` // in GiB
 }
 
-// Tenant is the record #Tenant.
+// Tenant is the record #Tenant: who pays for jobs.
 type Tenant struct {
 	Name           string  `json:"Name"`
-	QuotaFraction  float64 `json:"Share"`
-	TasksPerSecond float64 `json:"PerSecond"`
-	QuotaCores     float64 `json:"QuotaCores"`
+	QuotaFraction  float64 `json:"Share"`      // of the fleet
+	TasksPerSecond float64 `json:"PerSecond"`  // new tasks within its quota, over all schedulers; 0: no limit
+	QuotaCores     float64 `json:"QuotaCores"` // over all schedulers; 0: no limit
 }
 
-// Rules is the record #Rules.
+// Rules is the record #Rules: the figures that schedulers, nodes and checkers of one deployment share.
 type Rules struct {
-	CoreOvercommit    float64  `json:"AcceptCores"`
-	MemoryOvercommit  float64  `json:"AcceptMemory"`
-	Preempts          bool     `json:"Preempts"`
-	DrainGrace        Duration `json:"DrainGrace"`
-	AnswerSlack       Duration `json:"AnswerSlack"`
-	SlowStartDuration Duration `json:"ColdFor"`
-	OverloadWindow    Duration `json:"FallWindow"`
-	SettleTime        Duration `json:"Settle"`
-	MaxAttempts       int      `json:"MaxAttempts"`
-	SlowStartBudget   float64  `json:"ColdOffers"`
-}
-
-// Limits is the record #Limits.
+	CoreOvercommit    float64  `json:"AcceptCores"`  // nodes accept until their tasks request this multiple of their cores
+	MemoryOvercommit  float64  `json:"AcceptMemory"` // the same for memory
+	Preempts          bool     `json:"Preempts"`     // nodes evict lower priorities for higher ones
+	DrainGrace        Duration `json:"DrainGrace"`   // after a node starts to drain, in which it may still receive offers
+	AnswerSlack       Duration `json:"AnswerSlack"`  // allowed beyond a deadline for an answer on its way
+	SlowStartDuration Duration `json:"ColdFor"`      // after which a node is warm at the latest
+	OverloadWindow    Duration `json:"FallWindow"`   // in which offers to a node in slow start are counted
+	SettleTime        Duration `json:"Settle"`       // for an attempt of unknown outcome before its job may start anew
+	MaxAttempts       int      `json:"MaxAttempts"`  // of a placement request
+	SlowStartBudget   float64  `json:"ColdOffers"`   // offers within OverloadWindow that each node withstands
+}
+
+// Limits is the record #Limits: what one scheduler holds at most, and for how long.
 type Limits struct {
-	MaxPending          int      `json:"MaxOpen"`
-	MaxRunning          int      `json:"MaxJobs"`
-	MaxFinished         int      `json:"MaxFinished"`
+	MaxPending          int      `json:"MaxOpen"`     // jobs without an outcome
+	MaxRunning          int      `json:"MaxJobs"`     // jobs that run
+	MaxFinished         int      `json:"MaxFinished"` // ended jobs that are retained for their owners
 	MaxSessions         int      `json:"MaxSessions"`
-	MaxConnections      int      `json:"Connections"`
-	MaxClientWriteQueue int      `json:"ClientOut"`
-	MaxNodeWriteQueue   int      `json:"NodeOut"`
-	Retention           Duration `json:"Retention"`
-	IdleTimeout         Duration `json:"Idle"`
-	RequestTimeout      Duration `json:"Request"`
-	ShutdownTimeout     Duration `json:"StopWithin"`
+	MaxConnections      int      `json:"Connections"` // of clients
+	MaxClientWriteQueue int      `json:"ClientOut"`   // bytes queued for a client that does not read
+	MaxNodeWriteQueue   int      `json:"NodeOut"`     // bytes queued for a node that does not read
+	Retention           Duration `json:"Retention"`   // of ended jobs
+	IdleTimeout         Duration `json:"Idle"`        // a client that sends nothing for so long is disconnected
+	RequestTimeout      Duration `json:"Request"`     // within which a request is complete
+	ShutdownTimeout     Duration `json:"StopWithin"`  // of a graceful shutdown
 }
 
-// Scheduler is the record #Scheduler.
+// Scheduler is the record #Scheduler: the configuration of one daemon.
 type Scheduler struct {
 	Name              string   `json:"name"`
-	ListenAddress     string   `json:"listen"`
-	MetricsAddress    string   `json:"metrics"`
-	InventoryAddress  string   `json:"inventory"`
+	ListenAddress     string   `json:"listen"`    // host:port for clients
+	MetricsAddress    string   `json:"metrics"`   // host:port of the Prometheus metrics; empty: none
+	InventoryAddress  string   `json:"inventory"` // host:port of the inventory
 	Zone              string   `json:"zone"`
-	LogLevel          string   `json:"log"`
-	ModuleRecording   string   `json:"tap"`
-	Index             int      `json:"index"`
-	Schedulers        int      `json:"schedulers"`
-	Shards            int      `json:"cores"`
-	Seed              uint64   `json:"seed"`
-	Tick              Duration `json:"tick"`
-	ConnectTimeout    Duration `json:"connect"`
-	ListsFreeCapacity bool     `json:"listsFree"`
-	PlacedWhenRunning bool     `json:"runsWhenPlaced"`
-	OverQuotaWeight   float64  `json:"overShareWorth"`
-	CrossZonePrice    float64  `json:"crossZone"`
-	FleetPrice        float64  `json:"fleetPrice"`
+	LogLevel          string   `json:"log"`            // debug, info, warn or error
+	ModuleRecording   string   `json:"tap"`            // file that each step of the module is recorded to; empty: none
+	Index             int      `json:"index"`          // of this scheduler, from 0 to Schedulers-1
+	Schedulers        int      `json:"schedulers"`     // in the deployment
+	Shards            int      `json:"cores"`          // that decide, each as a scheduler of its own to the module
+	Seed              uint64   `json:"seed"`           // of the random numbers; 0: from the time of the start
+	Tick              Duration `json:"tick"`           // least time between two steps of the module
+	ConnectTimeout    Duration `json:"connect"`        // of a connection to a node
+	ListsFreeCapacity bool     `json:"listsFree"`      // the inventory lists free cores and memory
+	PlacedWhenRunning bool     `json:"runsWhenPlaced"` // a job is placed when it runs, not when a node accepts it
+	OverQuotaWeight   float64  `json:"overShareWorth"` // of a job beyond its tenant's quota, as a fraction of PriorityWeight
+	CrossZonePrice    float64  `json:"crossZone"`      // points that a placement in another zone costs
+	FleetPrice        float64  `json:"fleetPrice"`     // price, in points, of the machines in use
 	Classes           []Class  `json:"classes"`
 	Kinds             []Kind   `json:"kinds"`
 	Tenants           []Tenant `json:"tenants"`
@@ -97,7 +92,7 @@
 	Limits            Limits   `json:"limits"`
 }
 
-// ReadScheduler reads the configuration of a daemon. Errors are Problems, or of reading the file.
+// ReadScheduler reads the configuration of a daemon. Errors are ConfigErrors, or of reading the file.
 func ReadScheduler(path string) (*Scheduler, error) {
 	f, err := ReadFile(path, "#Scheduler", "")
 	if err != nil {
@@ -106,7 +101,7 @@
 	return f.scheduler()
 }
 
-// ParseScheduler is ReadScheduler of text.
+// ParseScheduler is ReadScheduler of text; errors name it as the file.
 func ParseScheduler(name string, text []byte) (*Scheduler, error) {
 	f, err := Read(name, text, "#Scheduler", "")
 	if err != nil {
@@ -123,41 +118,21 @@
 	if s.Index >= s.Schedulers {
 		f.Fail("index", "is %d, expected below schedulers, which is %d", s.Index, s.Schedulers)
 	}
-	f.kinds(s.Kinds)
-	seen := map[string]bool{}
+	failRepeatedNames(f, "kinds", s.Kinds, func(k *Kind) string { return k.Name })
+	failRepeatedNames(f, "classes", s.Classes, func(c *Class) string { return c.Name })
+	failRepeatedNames(f, "tenants", s.Tenants, func(t *Tenant) string { return t.Name })
 	for i, c := range s.Classes {
-		if seen[c.Name] {
-			f.Fail(at("classes", i, "name"), "%q names two classes", c.Name)
-		}
-		seen[c.Name] = true
 		if c.Kind != "" && kindIndex(s.Kinds, c.Kind) < 0 {
-			f.Fail(at("classes", i, "kind"), "no kind %q, expected one of kinds", c.Kind)
+			f.Fail(elementField("classes", i, "kind"), "no kind %q, expected one of kinds", c.Kind)
 		}
 		if c.LatencyObjective > c.PlacementTimeout {
-			f.Fail(at("classes", i, "aim"), "is %v, expected at most giveup, which is %v", c.LatencyObjective.Duration(),
-				c.PlacementTimeout.Duration())
-		}
-	}
-	tenants := map[string]bool{}
-	for i, t := range s.Tenants {
-		if tenants[t.Name] {
-			f.Fail(at("tenants", i, "name"), "%q names two tenants", t.Name)
+			f.Fail(elementField("classes", i, "aim"), "is %v, expected at most giveup, which is %v",
+				c.LatencyObjective.Duration(), c.PlacementTimeout.Duration())
 		}
-		tenants[t.Name] = true
 	}
 	return s, f.Err()
 }
 
-func (f *File) kinds(kinds []Kind) {
-	seen := map[string]bool{}
-	for i, k := range kinds {
-		if seen[k.Name] {
-			f.Fail(at("kinds", i, "name"), "%q names two kinds", k.Name)
-		}
-		seen[k.Name] = true
-	}
-}
-
 func kindIndex(kinds []Kind, name string) int {
 	for i, k := range kinds {
 		if k.Name == name {
@@ -189,79 +164,3 @@
 	}
 	return -1
 }
-
-var effects = map[string]flaxshelf.Idempotency{
-	"safe": flaxshelf.Idempotent, "keyed": flaxshelf.IdempotentByKey, "unsafe": flaxshelf.NonIdempotent,
-}
-
-var extents = map[string]flaxshelf.TopologyDomain{
-	"": flaxshelf.NoDomain, "machine": flaxshelf.MachineDomain, "cell": flaxshelf.CellDomain,
-	"zone": flaxshelf.ZoneDomain, "everywhere": flaxshelf.FleetDomain,
-}
-
-// ModuleIdempotency is the class's idempotency as the module's value.
-func (c *Class) ModuleIdempotency() flaxshelf.Idempotency { return effects[c.Idempotency] }
-
-// ModuleKeyDomain is the class's key group in the module's words.
-func (c *Class) ModuleKeyDomain() flaxshelf.TopologyDomain { return extents[c.KeyDomain] }
-
-// ModuleSpreadDomain is the class's spread in the module's words.
-func (c *Class) ModuleSpreadDomain() flaxshelf.TopologyDomain { return extents[c.SpreadDomain] }
-
-// ModuleConfig is what the module is told.
-func (s *Scheduler) ModuleConfig() flaxshelf.Config {
-	r := &s.Rules
-	c := flaxshelf.Config{
-		Index: s.Index, Schedulers: s.Schedulers, Zone: s.Zone, OverQuotaWeight: s.OverQuotaWeight,
-		Prices:         flaxshelf.Prices{CrossZone: s.CrossZonePrice, Fleet: s.FleetPrice},
-		CoreOvercommit: r.CoreOvercommit, MemoryOvercommit: r.MemoryOvercommit, PlacedWhenRunning: s.PlacedWhenRunning,
-		Preempts: r.Preempts, ListsFreeCapacity: s.ListsFreeCapacity, DiscoveryOnRequest: true, MaxAttempts: r.MaxAttempts,
-		CanCancel: true, CanHealthCheck: true, Tick: s.Tick.Duration(), ConnectTimeout: s.ConnectTimeout.Duration(),
-		AnswerSlack: r.AnswerSlack.Duration(), DrainGrace: r.DrainGrace.Duration(), DiscoveryPollDeadline: askWithin,
-		SlowStartDuration: r.SlowStartDuration.Duration(), OverloadWindow: r.OverloadWindow.Duration(),
-		SlowStartBudget: r.SlowStartBudget,
-	}
-	for _, k := range s.Kinds {
-		c.Kinds = append(c.Kinds, flaxshelf.Kind{Name: k.Name, Cores: k.Cores, Memory: k.Memory})
-	}
-	for i := range s.Classes {
-		k := &s.Classes[i]
-		c.Classes = append(c.Classes, flaxshelf.Class{
-			Name:                   k.Name,
-			Idempotency:            k.ModuleIdempotency(),
-			KeyDomain:              k.ModuleKeyDomain(),
-			KeyTTL:                 k.KeyTTL.Duration(),
-			LatencyObjective:       k.LatencyObjective.Duration(),
-			PriorityWeight:         k.PriorityWeight,
-			LateStartWeight:        k.LateStartWeight,
-			StartValueSeconds:      k.StartValueSeconds,
-			FullServiceUtilization: k.FullServiceUtilization,
-			ServiceFadeRange:       k.ServiceFadeRange,
-			Kind:                   kindIndex(s.Kinds, k.Kind),
-			Priority:               k.Priority,
-			SpreadDomain:           k.ModuleSpreadDomain(),
-			MaxPerDomain:           k.MaxPerDomain,
-		})
-	}
-	for _, t := range s.Tenants {
-		c.Tenants = append(c.Tenants, flaxshelf.Tenant{Name: t.Name, QuotaFraction: t.QuotaFraction,
-			TasksPerSecond: t.TasksPerSecond, QuotaCores: t.QuotaCores})
-	}
-	return c
-}
-
-// CoreConfig is what the scheduler's core is told, for a life that begins at boot.
-func (s *Scheduler) CoreConfig(boot flaxshelf.Time) scheduler.Config {
-	l := &s.Limits
-	c := scheduler.Config{Module: s.ModuleConfig(), Seed: s.Seed, Name: s.Name, StartedAt: boot,
-		Limits: scheduler.Limits{MaxPending: l.MaxPending, MaxRunning: l.MaxRunning, MaxFinished: l.MaxFinished,
-			MaxSessions: l.MaxSessions, Retention: l.Retention.Duration(), SettleTime: s.Rules.SettleTime.Duration(),
-			StallThreshold: s.Rules.DrainGrace.Duration() / 2}}
-	if c.Seed == 0 {
-		c.Seed = uint64(boot)
-	}
-	for _, k := range s.Classes {
-		c.Limits.PlacementTimeouts = append(c.Limits.PlacementTimeouts, k.PlacementTimeout.Duration())
-	}
-	return c
-}
--- a/internal/settings/schema.cue
+++ b/internal/settings/schema.cue
@@ -15,28 +15,29 @@
 
 #Class: {
 	name: #Name
-	// What a second start does: no harm, dropped by nodes of one group for a while, or never allowed.
+	// What a second start of the same job does: no harm (safe), dropped by the nodes of one group for a while (keyed), or
+	// not allowed (unsafe).
 	effect: *"unsafe" | "safe" | "keyed"
-	// keyed: the group, and how long it drops repeats, from the first send.
+	// keyed: the group of nodes that drops copies, and for how long after the first send.
 	group:  *"zone" | #Extent | "everywhere"
 	window: *"5s" | #Duration
-	// A start within aim earns its full worth; after giveup the ask is over.
+	// A start within aim, the latency objective, has the full weight worth; after giveup the placement request ends.
 	aim:    *"1s" | #Duration
 	giveup: *"30s" | #Duration
 	worth:  *1 | (number & >=0)
 	lateWorth: *0.1 | (number & >=0 & <=1)
-	// Seconds of service that a start in time is worth.
+	// Seconds of service that a start within aim is worth.
 	startSeconds: *10 | (number & >=0)
 	// Served in full while cores are busy up to calm, not at all from calm+fade.
 	calm: *1 | (number & >0)
 	fade: *0.5 | (number & >=0)
-	// Index or name of the kind of machine that it needs; empty: any.
+	// Name of the kind of machine that a job requires; empty: any.
 	kind:     *"" | #Name
 	priority: *0 | (int & >=0 & <=3)
-	// At most `most` tasks of one service in one such place, for each scheduler.
+	// At most `most` tasks of one service in one topology domain, for each scheduler; empty: no limit.
 	spread: *"" | #Extent
 	most:   *1 | (int & >=1)
-	// What a job asks for that does not say.
+	// What a job requests that names neither.
 	cores:  *1 | (number & >0)
 	memory: *1 | (number & >0) // GiB
 }
@@ -56,7 +57,7 @@
 
 // #Rules are the figures that schedulers, nodes and checkers of one deployment share.
 #Rules: {
-	acceptCores:  *1 | (number & >=1) // nodes accept until their tasks ask for this multiple
+	acceptCores:  *1 | (number & >=1) // nodes accept until their tasks request this multiple of their cores
 	acceptMemory: *1 | (number & >=1)
 	preempts:     *true | bool
 	drainGrace:   *"2s" | #Duration
@@ -71,15 +72,15 @@
 #Limits: {
 	maxOpen:     *20000 | (int & >=1) // jobs without an outcome
 	maxJobs:     *1000000 | (int & >=1)
-	maxFinished: *100000 | (int & >=1) // ended jobs kept for their owners
+	maxFinished: *100000 | (int & >=1) // ended jobs retained for their owners
 	maxSessions: *10000 | (int & >=1)
 	retention:   *"1h" | #Duration
 	connections: *10000 | (int & >=1) // of clients
 	clientOut:   *4194304 | (int & >=65536) // bytes queued for a client that does not read
 	nodeOut:     *16777216 | (int & >=65536)
-	idle:        *"60s" | #Duration // a client that says nothing for so long is cut off
-	request:     *"10s" | #Duration // a request must have come whole within
-	stopWithin:  *"10s" | #Duration // SIGTERM: what is in flight has its outcome by then
+	idle:        *"60s" | #Duration // a client that sends nothing for so long is disconnected
+	request:     *"10s" | #Duration // a request must be complete within
+	stopWithin:  *"10s" | #Duration // graceful shutdown after SIGTERM: requests in flight have their outcome by then
 }
 
 #Scheduler: {
@@ -89,13 +90,13 @@
 	inventory:  #Address
 	index:      *0 | (int & >=0)
 	schedulers: *1 | (int & >=1)
-	cores:      *1 | (int & >=1 & <=64) // that decide, each as a scheduler of its own to the module
+	cores:      *1 | (int & >=1 & <=64) // shards that decide, each as a scheduler of its own to the module
 	zone:       *"" | string
 	seed:       *0 | (int & >=0) // 0: from the time of the start
 	tick:       *"2ms" | #Duration // least time between two steps of the module
 	connect:    *"250ms" | #Duration // a node must be connected within
-	listsFree:  *false | bool // the inventory tells free cores and memory
-	runsWhenPlaced: *false | bool // an ask has its outcome when the job runs, not when it is accepted
+	listsFree:  *false | bool // the inventory lists free cores and memory
+	runsWhenPlaced: *false | bool // a placement request has its outcome when the job runs, not when a node accepts it
 	overShareWorth: *1 | (number & >=0 & <=1)
 	crossZone:      *0 | (number & >=0)
 	fleetPrice:     *0 | (number & >=0)
@@ -105,7 +106,7 @@
 	rules:   #Rules
 	limits:  #Limits
 	log: *"info" | "debug" | "warn" | "error"
-	tap: *"" | string // file for each step of the module, empty: none
+	tap: *"" | string // file to which each step of the module is recorded, empty: none
 }
 
 #Node: {
@@ -114,17 +115,17 @@
 	zone:   *"" | string
 	cell:   *0 | (int & >=0)
 	listen: *"127.0.0.1:0" | #Address
-	// Started long ago: not cold.
+	// Started long ago: past its slow start.
 	warm: *true | bool
 }
 
 // #Behaviour is how the stand-in nodes behave.
 #Behaviour: {
-	look:           *"10ms" | #Duration // an ask is looked at for so long, one at a time
-	maxWait:        *32 | (int & >=1) // asks that may wait for that
+	look:           *"10ms" | #Duration // time to decide on an offer, one at a time
+	maxWait:        *32 | (int & >=1) // offers that may wait for that
 	startSlots:     *4 | (int & >=1)
 	startWork:      *"50ms" | #Duration
-	freshFactor:    *8 | (number & >=1) // a start takes so many times longer where the program is not kept
+	freshFactor:    *8 | (number & >=1) // a start takes so many times longer where the program is not cached
 	keep:           *8 | (int & >=0)
 	coldFrom:       *0.2 | (number & >0 & <=1)
 	fallMultiple:   *4 | (number & >0)
@@ -133,12 +134,12 @@
 	noteEvery:      *"500ms" | #Duration
 	reports:        *false | bool
 	drainSendsAway: *"0s" | #Duration
-	life:           *"20s" | #Duration // of a job that tells none
+	life:           *"20s" | #Duration // run time of a job that names none
 }
 
 #Fleet: {
 	inventory: *"127.0.0.1:0" | #Address
-	late:      *"200ms" | #Duration // the inventory shows changes so late
+	late:      *"200ms" | #Duration // time until the inventory shows a change
 	goneAfter: *"1s" | #Duration
 	kinds: [#Kind, ...#Kind]
 	nodes: [#Node, ...#Node]
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -1,7 +1,9 @@
 package settings
 
 import (
+	"errors"
 	"reflect"
+	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -19,7 +21,7 @@
 rules: drainGrace: "3s"
 `
 
-// Defaults, units and names come out in the module's and the core's words.
+// Defaults, units and names become the configurations of the module and of the core.
 func TestScheduler(t *testing.T) {
 	s, err := ParseScheduler("f.cue", []byte(good))
 	if err != nil {
@@ -55,7 +57,7 @@
 	}
 }
 
-// Every error is told with file, line, field and what was expected, all of them at once.
+// Every error names file, line, field and what was expected, all of them at once.
 func TestErrors(t *testing.T) {
 	for _, c := range []struct {
 		name, text string
@@ -78,10 +80,10 @@
 		t.Run(c.name, func(t *testing.T) {
 			_, err := ParseScheduler("f.cue", []byte(c.text))
 			if err == nil {
-				t.Fatal("it was taken")
+				t.Fatal("it was accepted")
 			}
-			if !IsProblem(err) {
-				t.Errorf("not a Problem: %v", err)
+			if configErrors := (ConfigErrors{}); !errors.As(err, &configErrors) {
+				t.Errorf("not ConfigErrors: %v", err)
 			}
 			for _, w := range c.want {
 				if !strings.Contains(err.Error(), w) {
@@ -90,11 +92,55 @@
 			}
 		})
 	}
-	if _, err := ReadScheduler("/does/not/exist"); err == nil || IsProblem(err) {
+	_, err := ReadScheduler("/does/not/exist")
+	if configErrors := (ConfigErrors{}); err == nil || errors.As(err, &configErrors) {
 		t.Errorf("a file that is not there: %v", err)
 	}
 }
 
+// A program finds the file, the place, the field, its value and the reason of an error in fields of their own.
+func TestConfigErrorFields(t *testing.T) {
+	for _, c := range []struct {
+		name, text string
+		want       ConfigError
+	}{
+		{"own check", good + "index: 4", ConfigError{File: "f.cue", Line: 6, Column: 8, Field: "index", Value: "4",
+			Reason: "is 4, expected below schedulers, which is 1"}},
+		{"of an element", strings.Replace(good, `kind: "k"`, `kind: "z"`, 1), ConfigError{File: "f.cue", Line: 4, Column: 125,
+			Field: "classes[0].kind", Value: `"z"`, Reason: `no kind "z", expected one of kinds`}},
+		{"unknown field", good + "wings: 2", ConfigError{File: "f.cue", Line: 6, Column: 1, Field: "wings", Value: "2",
+			Reason: "field not allowed"}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			_, err := ParseScheduler("f.cue", []byte(c.text))
+			var got ConfigError
+			if !errors.As(err, &got) {
+				t.Fatalf("not a ConfigError: %v", err)
+			}
+			if got != c.want {
+				t.Errorf("%#v, want %#v", got, c.want)
+			}
+		})
+	}
+}
+
+// Errors are listed in the order of the file, whichever check found them first.
+func TestErrorsInFileOrder(t *testing.T) {
+	text := strings.Replace(good, `kind: "k"`, `kind: "z"`, 1) + "tenants: [{name: \"a\"}, {name: \"a\"}]\nindex: 4"
+	_, err := ParseScheduler("f.cue", []byte(text))
+	var got ConfigErrors
+	if !errors.As(err, &got) {
+		t.Fatalf("not ConfigErrors: %v", err)
+	}
+	var fields []string
+	for _, e := range got {
+		fields = append(fields, e.Field)
+	}
+	if want := []string{"classes[0].kind", "tenants[1].name", "index"}; !slices.Equal(fields, want) {
+		t.Errorf("fields %v, want %v", fields, want)
+	}
+}
+
 // Each field of a record is read from a key of the schema that its tag names, whatever the field is called.
 func TestKeysOfRecords(t *testing.T) {
 	base := cuecontext.New().CompileString(schema)
