--- a/cmd/flaxshelf/deploy_test.go
+++ b/cmd/flaxshelf/deploy_test.go
@@ -90,7 +90,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer f.Close()
+	defer func() {
+		if err := f.Close(); err != nil {
+			t.Error(err)
+		}
+	}()
 	libs, err := f.ImportedLibraries()
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/flaxshelf/experiment.go
+++ b/cmd/flaxshelf/experiment.go
@@ -1,8 +1,8 @@
 package main
 
 import (
-	"errors"
-	"fmt"
+	"context"
+	"io"
 	"os"
 	"runtime"
 	"strings"
@@ -18,12 +18,12 @@
 }
 
 // Run runs what is not done yet and reports.
-func (c *experimentCmd) Run(e *env) error {
+func (c *experimentCmd) Run(ctx context.Context, std *streams) error {
 	text, err := os.ReadFile(c.File)
 	if err != nil {
 		return err
 	}
-	p, err := experiment.Parse(c.File, text)
+	plan, err := experiment.Parse(c.File, text)
 	if err != nil {
 		return err
 	}
@@ -33,22 +33,18 @@
 	if c.Workers <= 0 {
 		c.Workers = runtime.GOMAXPROCS(0)
 	}
-	runs, err := p.Execute(e.ctx, c.Results, c.Workers, func(done, all int) {
-		fmt.Fprintf(e.err, "\r%d of %d runs", done, all)
+	runs, err := plan.Execute(ctx, c.Results, c.Workers, func(done, all int) {
+		std.err.printf("\r%d of %d runs", done, all)
 		if done == all {
-			fmt.Fprintln(e.err)
+			std.err.println()
 		}
 	})
 	if err != nil {
 		return err
 	}
-	rows := p.Table(runs)
-	if err := p.Text(e.out, rows); err != nil || c.Report == "" {
+	rows := plan.Table(runs)
+	if err := plan.Text(std.out, rows); err != nil || c.Report == "" {
 		return err
 	}
-	f, err := os.Create(c.Report)
-	if err != nil {
-		return err
-	}
-	return errors.Join(p.HTML(f, rows), f.Close())
+	return writeFile(c.Report, func(w io.Writer) error { return plan.HTML(w, rows) })
 }
--- /dev/null
+++ b/cmd/flaxshelf/job_query.go
@@ -0,0 +1,118 @@
+package main
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"time"
+
+	"flaxshelf.example/flaxshelf/drmaa2"
+)
+
+// errJobNotDone is the error of a job that has not ended as DONE.
+var errJobNotDone = errors.New("the job did not end as DONE")
+
+// printResult prints the state of a job that was waited for; errJobNotDone where it has failed.
+func printResult(std *streams, info *drmaa2.JobInfo) error {
+	std.out.println(info.JobState, info.JobSubState, info.Annotation)
+	if info.JobState == drmaa2.Failed {
+		return errJobNotDone
+	}
+	return nil
+}
+
+type jobStateCmd struct{ jobArgument }
+
+// Run prints the state.
+func (c *jobStateCmd) Run(ctx context.Context, std *streams) error {
+	return c.withJob(ctx, func(job *drmaa2.Job) error {
+		state, subState, err := job.State(ctx)
+		if err != nil {
+			return err
+		}
+		std.out.println(state, subState)
+		return nil
+	})
+}
+
+type jobWaitCmd struct {
+	jobArgument
+	For     string        `enum:"started,terminated" default:"terminated" help:"What to wait for: started or terminated."`
+	Timeout time.Duration `help:"Give up after so long; 0: never."`
+}
+
+// Run waits, and prints the state.
+func (c *jobWaitCmd) Run(ctx context.Context, std *streams) error {
+	return c.withJob(ctx, func(job *drmaa2.Job) error {
+		timeout := drmaa2.InfiniteTime
+		if c.Timeout > 0 {
+			timeout = c.Timeout
+		}
+		wait := job.WaitTerminated
+		if c.For == "started" {
+			wait = job.WaitStarted
+		}
+		info, err := wait(ctx, timeout)
+		if err != nil {
+			return err
+		}
+		return printResult(std, info)
+	})
+}
+
+type jobInfoCmd struct{ jobArgument }
+
+// Run prints what is known of the job, or of each job of the array, as JSON.
+func (c *jobInfoCmd) Run(ctx context.Context, std *streams) error {
+	client := c.client()
+	defer client.Close()
+	infos, err := client.JobInfos(ctx, c.Job)
+	if err != nil {
+		return err
+	}
+	encoder := json.NewEncoder(std.out)
+	encoder.SetIndent("", "  ")
+	if len(infos) == 1 {
+		return encoder.Encode(infos[0])
+	}
+	return encoder.Encode(infos)
+}
+
+type jobListCmd struct {
+	serverFlag
+	Session string `help:"Only of this job session."`
+	State   string `help:"Only in this state, as RUNNING."`
+}
+
+// Run lists jobs.
+func (c *jobListCmd) Run(ctx context.Context, std *streams) error {
+	client := c.client()
+	defer client.Close()
+	monitoring, err := client.OpenMonitoringSession(ctx)
+	if err != nil {
+		return err
+	}
+	filter := &drmaa2.JobInfo{JobState: drmaa2.JobState(c.State)}
+	var infos []drmaa2.JobInfo
+	if c.Session == "" {
+		infos, err = monitoring.AllJobs(ctx, filter)
+	} else {
+		infos, err = client.SessionJobs(ctx, c.Session, filter)
+	}
+	if err != nil {
+		return err
+	}
+	printJobs(std, infos)
+	return nil
+}
+
+// printJobs prints a table with a row for each job.
+func printJobs(std *streams, infos []drmaa2.JobInfo) {
+	rows := [][]string{{"JOB", "STATE", "SUB", "NODE", "NAME", "SUBMITTED", "NOTE"}}
+	for _, info := range infos {
+		rows = append(rows, []string{info.JobID, string(info.JobState), info.JobSubState,
+			info.ImplementationSpecific[drmaa2.AttrNode], info.JobName, info.SubmissionTime.Format(time.RFC3339),
+			info.Annotation})
+	}
+	std.out.table(rows)
+}
--- /dev/null
+++ b/cmd/flaxshelf/job_submit.go
@@ -0,0 +1,214 @@
+package main
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"os"
+	"time"
+
+	"flaxshelf.example/flaxshelf/drmaa2"
+)
+
+// templateFlags are the attributes of a JobTemplate that have a flag.
+type templateFlags struct {
+	Session         string        `default:"default" help:"Job session; it is made where there is none."`
+	File            string        `type:"existingfile" placeholder:"FILE" help:"A JobTemplate as JSON; flags go before it."`
+	Class           string        `placeholder:"NAME" help:"jobCategory: the class."`
+	Tenant          string        `placeholder:"NAME" help:"accountingId: the tenant."`
+	Name            string        `help:"jobName."`
+	Service         string        `help:"The service that the job belongs to."`
+	Key             string        `help:"Idempotency key: submitted again, it is the same job."`
+	Cores           string        `help:"Cores requested."`
+	Memory          string        `help:"Memory requested, in GiB."`
+	ExpectedRuntime time.Duration `name:"life" help:"How long it should run."`
+	GiveUp          time.Duration `help:"Give up waiting for a start after so long."`
+	Hold            bool          `help:"Submit it held."`
+	Rerunnable      bool          `help:"Start it anew where it is evicted or its node is lost."`
+	Command         string        `arg:"" optional:"" help:"remoteCommand."`
+	Args            []string      `arg:"" optional:"" passthrough:"" help:"Its arguments."`
+}
+
+// template is the template of the file, if one is named, with the attributes that flags set.
+func (f *templateFlags) template() (drmaa2.JobTemplate, error) {
+	t, err := f.readTemplate()
+	if err != nil {
+		return t, err
+	}
+	setUnlessEmpty(&t.RemoteCommand, f.Command)
+	setUnlessEmpty(&t.JobCategory, f.Class)
+	setUnlessEmpty(&t.AccountingID, f.Tenant)
+	setUnlessEmpty(&t.JobName, f.Name)
+	if len(f.Args) > 0 {
+		t.Args = f.Args
+	}
+	t.SubmitAsHold = t.SubmitAsHold || f.Hold
+	t.Rerunnable = t.Rerunnable || f.Rerunnable
+	if t.ImplementationSpecific == nil {
+		t.ImplementationSpecific = map[string]string{}
+	}
+	for name, value := range f.implementationSpecific() {
+		if value != "" {
+			t.ImplementationSpecific[name] = value
+		}
+	}
+	if t.RemoteCommand == "" {
+		return t, usageError{errors.New("no command: name one, or a --file that has a remoteCommand")}
+	}
+	return t, nil
+}
+
+func (f *templateFlags) readTemplate() (drmaa2.JobTemplate, error) {
+	var t drmaa2.JobTemplate
+	if f.File == "" {
+		return t, nil
+	}
+	text, err := os.ReadFile(f.File)
+	if err != nil {
+		return t, err
+	}
+	if err := json.Unmarshal(text, &t); err != nil {
+		return t, usageError{fmt.Errorf("%s: not a JobTemplate: %w", f.File, err)}
+	}
+	return t, nil
+}
+
+// implementationSpecific are the attributes of flaxshelf's own; those that no flag sets are empty.
+func (f *templateFlags) implementationSpecific() map[string]string {
+	return map[string]string{
+		drmaa2.AttrService: f.Service,
+		drmaa2.AttrKey:     f.Key,
+		drmaa2.AttrCores:   f.Cores,
+		drmaa2.AttrMemory:  f.Memory,
+		drmaa2.AttrLife:    durationText(f.ExpectedRuntime),
+		drmaa2.AttrGiveUp:  durationText(f.GiveUp),
+	}
+}
+
+func setUnlessEmpty(to *string, value string) {
+	if value != "" {
+		*to = value
+	}
+}
+
+// durationText is a duration as text, empty for 0.
+func durationText(d time.Duration) string {
+	if d == 0 {
+		return ""
+	}
+	return d.String()
+}
+
+// openSession opens the job session, and makes it where there is none.
+func (f *templateFlags) openSession(ctx context.Context, client *drmaa2.Client) (*drmaa2.JobSession, error) {
+	session, err := client.OpenJobSession(ctx, f.Session)
+	if !errors.Is(err, drmaa2.ErrInvalidArgument) {
+		return session, err
+	}
+	session, err = client.CreateJobSession(ctx, f.Session)
+	if errors.Is(err, drmaa2.ErrInvalidArgument) { // another client has made it in between
+		session, err = client.OpenJobSession(ctx, f.Session)
+	}
+	return session, err
+}
+
+// submitFlags are the flags of the commands that submit.
+type submitFlags struct {
+	serverFlag
+	templateFlags
+}
+
+// withSession calls submit with the template and its session, and closes the client afterwards.
+func (f *submitFlags) withSession(ctx context.Context,
+	submit func(*drmaa2.JobSession, drmaa2.JobTemplate) error) error {
+	template, err := f.template()
+	if err != nil {
+		return err
+	}
+	client := f.client()
+	defer client.Close()
+	session, err := f.openSession(ctx, client)
+	if err != nil {
+		return err
+	}
+	return submit(session, template)
+}
+
+type jobRunCmd struct {
+	submitFlags
+	Wait bool `help:"Wait until it has ended; exit 1 unless it is DONE."`
+}
+
+// Run submits a job and prints its ID.
+func (c *jobRunCmd) Run(ctx context.Context, std *streams) error {
+	return c.withSession(ctx, func(session *drmaa2.JobSession, template drmaa2.JobTemplate) error {
+		job, err := session.RunJob(ctx, template)
+		if err != nil {
+			return err
+		}
+		std.out.println(job.ID)
+		if !c.Wait {
+			return nil
+		}
+		return waitForJob(ctx, std, job)
+	})
+}
+
+// waitForJob prints where a job starts and how it ends.
+func waitForJob(ctx context.Context, std *streams, job *drmaa2.Job) error {
+	started, err := job.WaitStarted(ctx, drmaa2.InfiniteTime)
+	if err != nil {
+		return err
+	}
+	if started.JobState == drmaa2.Running {
+		std.out.println("RUNNING on", started.ImplementationSpecific[drmaa2.AttrNode])
+	}
+	info, err := job.WaitTerminated(ctx, drmaa2.InfiniteTime)
+	if err != nil {
+		return err
+	}
+	return printResult(std, info)
+}
+
+type jobBulkCmd struct {
+	submitFlags
+	Begin       int  `default:"1" help:"First index."`
+	End         int  `required:"" help:"Last index."`
+	Step        int  `default:"1" help:"Step between indexes."`
+	MaxParallel int  `help:"At most so many at a time; 0: all."`
+	Wait        bool `help:"Wait until all have ended; exit 1 unless all are DONE."`
+}
+
+// Run submits an array and prints its ID.
+func (c *jobBulkCmd) Run(ctx context.Context, std *streams) error {
+	return c.withSession(ctx, func(session *drmaa2.JobSession, template drmaa2.JobTemplate) error {
+		array, err := session.RunBulkJobs(ctx, template, c.Begin, c.End, c.Step, c.MaxParallel)
+		if err != nil {
+			return err
+		}
+		std.out.println(array.ID)
+		if !c.Wait {
+			return nil
+		}
+		return waitForArray(ctx, std, array)
+	})
+}
+
+// waitForArray prints how the jobs of an array end.
+func waitForArray(ctx context.Context, std *streams, array *drmaa2.JobArray) error {
+	if err := array.WaitTerminated(ctx, drmaa2.InfiniteTime); err != nil {
+		return err
+	}
+	infos, err := array.Infos(ctx)
+	if err != nil {
+		return err
+	}
+	printJobs(std, infos)
+	for _, info := range infos {
+		if info.JobState != drmaa2.Done {
+			return errJobNotDone
+		}
+	}
+	return nil
+}
--- a/cmd/flaxshelf/load.go
+++ b/cmd/flaxshelf/load.go
@@ -1,8 +1,10 @@
 package main
 
 import (
+	"context"
 	"errors"
 	"fmt"
+	"io"
 	"os"
 	"strings"
 	"time"
@@ -11,150 +13,153 @@
 )
 
 type loadCmd struct {
-	Run     loadRun     `cmd:"" help:"Send a load to a scheduler, open-loop; latency counts from the intended times."`
-	Capture loadCapture `cmd:"" help:"Listen to a scheduler and keep the load as a trace."`
-	Import  loadImport  `cmd:"" help:"Make a trace of a log in the Standard Workload Format."`
-	Show    loadShow    `cmd:"" help:"Check a trace and tell what is in it."`
+	Run     loadRunCmd     `cmd:"" help:"Send a load to a scheduler, open-loop; latency counts from the intended times."`
+	Capture loadCaptureCmd `cmd:"" help:"Listen to a scheduler and write the load as a trace."`
+	Import  loadImportCmd  `cmd:"" help:"Make a trace of a log in the Standard Workload Format."`
+	Show    loadShowCmd    `cmd:"" help:"Check a trace and show what is in it."`
 }
 
-// readLoad reads a plan (.cue) or a trace.
+// readLoad reads a plan (.cue) or a trace. A file that is no trace is the caller's error.
 func readLoad(path string, seed uint64) (*load.Trace, error) {
 	if strings.HasSuffix(path, ".cue") {
-		text, err := os.ReadFile(path)
-		if err != nil {
-			return nil, err
-		}
-		p, err := load.ParsePlan(path, text)
+		return readPlan(path, seed)
+	}
+	return readFile(path, func(r io.Reader) (*load.Trace, error) {
+		trace, err := load.Read(r)
 		if err != nil {
-			return nil, err
+			return nil, usageError{fmt.Errorf("%s: %w", path, err)}
 		}
-		return p.Jobs(seed)
-	}
-	f, err := os.Open(path)
+		return trace, nil
+	})
+}
+
+// readPlan reads a plan and draws its jobs.
+func readPlan(path string, seed uint64) (*load.Trace, error) {
+	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close()
-	t, err := load.Read(f)
+	plan, err := load.ParsePlan(path, text)
 	if err != nil {
-		return nil, errUsage{fmt.Errorf("%s: %w", path, err)}
+		return nil, err
+	}
+	return plan.Jobs(seed)
+}
+
+// writeTrace writes a trace to a file, and prints its size. With a key, names are replaced by hashes.
+func writeTrace(std *streams, trace *load.Trace, path, key string) error {
+	if key != "" {
+		if err := trace.Anonymise(key); err != nil {
+			return err
+		}
+	}
+	if err := writeFile(path, trace.Write); err != nil {
+		return err
 	}
-	return t, nil
+	std.out.printf("%s: %d jobs in %v\n", path, len(trace.Jobs), trace.Length().Round(time.Millisecond))
+	return nil
 }
 
-type loadRun struct {
-	server
+type loadRunCmd struct {
+	serverFlag
 	File    string        `arg:"" type:"existingfile" help:"A plan (.cue, as #Plan of the schema) or a trace."`
-	Seed    uint64        `default:"1" help:"What a plan draws, is drawn from this."`
+	Seed    uint64        `default:"1" help:"Seed of the random numbers of a plan."`
 	Speed   float64       `default:"1" help:"Send so many times as fast."`
 	Session string        `default:"load" help:"Job session."`
 	Wait    time.Duration `default:"30s" help:"For open outcomes, after the last submission."`
 }
 
 // Run sends the load.
-func (c *loadRun) Run(e *env) error {
+func (c *loadRunCmd) Run(ctx context.Context, std *streams) error {
 	if c.Speed <= 0 {
-		return errUsage{errors.New("--speed must be above 0")}
+		return usageError{errors.New("--speed must be above 0")}
 	}
-	t, err := readLoad(c.File, c.Seed)
+	trace, err := readLoad(c.File, c.Seed)
 	if err != nil {
 		return err
 	}
-	k := c.client()
-	defer k.Close()
-	res, err := load.Send(e.ctx, k, t, load.Options{Session: c.Session, Speed: c.Speed, Wait: c.Wait,
+	client := c.client()
+	defer client.Close()
+	result, err := load.Send(ctx, client, trace, load.Options{Session: c.Session, Speed: c.Speed, Wait: c.Wait,
 		Prefix: fmt.Sprintf("load-%x", time.Now().UnixNano())})
-	if res != nil {
-		fmt.Fprint(e.out, res)
+	if result != nil {
+		std.out.print(result)
 	}
 	return err
 }
 
-type loadCapture struct {
-	server
+type loadCaptureCmd struct {
+	serverFlag
 	For time.Duration `default:"1m" help:"Listen for so long, or until interrupted."`
 	Out string        `required:"" placeholder:"FILE" help:"The trace."`
 	Key string        `env:"FLAXSHELF_TRACE_KEY" help:"Replace names of services and tenants by hashes under this key."`
 }
 
-// Run captures.
-func (c *loadCapture) Run(e *env) error {
-	k := c.client()
-	defer k.Close()
-	t, err := load.Capture(e.ctx, k, c.For)
+// Run captures a load.
+func (c *loadCaptureCmd) Run(ctx context.Context, std *streams) error {
+	client := c.client()
+	defer client.Close()
+	trace, err := load.Capture(ctx, client, c.For)
 	if err != nil {
 		return err
 	}
-	return keepTrace(e, t, c.Out, c.Key)
+	return writeTrace(std, trace, c.Out, c.Key)
 }
 
-func keepTrace(e *env, t *load.Trace, path, key string) error {
-	if key != "" {
-		if err := t.Anonymise(key); err != nil {
-			return err
-		}
-	}
-	f, err := os.Create(path)
-	if err != nil {
-		return err
-	}
-	if err := errors.Join(t.Write(f), f.Close()); err != nil {
-		return err
-	}
-	fmt.Fprintf(e.out, "%s: %d jobs in %v\n", path, len(t.Jobs), t.Length().Round(time.Millisecond))
-	return nil
-}
-
-type loadImport struct {
+type loadImportCmd struct {
 	File  string `arg:"" type:"existingfile" help:"The log."`
 	Class string `required:"" help:"The class that its jobs become."`
 	Out   string `required:"" placeholder:"FILE" help:"The trace."`
 	Key   string `env:"FLAXSHELF_TRACE_KEY" help:"Replace names by hashes under this key."`
 }
 
-// Run imports.
-func (c *loadImport) Run(e *env) error {
-	f, err := os.Open(c.File)
+// Run imports a log.
+func (c *loadImportCmd) Run(std *streams) error {
+	leftOut := 0
+	trace, err := readFile(c.File, func(r io.Reader) (*load.Trace, error) {
+		trace, left, err := load.ReadSWF(r, c.Class)
+		if err != nil {
+			return nil, usageError{fmt.Errorf("%s: %w", c.File, err)}
+		}
+		leftOut = left
+		return trace, nil
+	})
 	if err != nil {
 		return err
 	}
-	defer f.Close()
-	t, left, err := load.ReadSWF(f, c.Class)
-	if err != nil {
-		return errUsage{fmt.Errorf("%s: %w", c.File, err)}
-	}
-	if left > 0 {
-		fmt.Fprintf(e.err, "%d jobs without a submission time or processors were left out\n", left)
+	if leftOut > 0 {
+		std.err.printf("%d jobs without a submission time or processors were left out\n", leftOut)
 	}
-	return keepTrace(e, t, c.Out, c.Key)
+	return writeTrace(std, trace, c.Out, c.Key)
 }
 
-type loadShow struct {
+type loadShowCmd struct {
 	File string `arg:"" type:"existingfile" help:"A plan (.cue) or a trace."`
-	Seed uint64 `default:"1" help:"What a plan draws, is drawn from this."`
+	Seed uint64 `default:"1" help:"Seed of the random numbers of a plan."`
 }
 
-// Run shows.
-func (c *loadShow) Run(e *env) error {
-	t, err := readLoad(c.File, c.Seed)
+// Run prints a summary of the load.
+func (c *loadShowCmd) Run(std *streams) error {
+	trace, err := readLoad(c.File, c.Seed)
 	if err != nil {
 		return err
 	}
-	classes, cut := map[string]int{}, 0
-	var life time.Duration
-	for _, j := range t.Jobs {
-		classes[j.Class]++
-		life += j.Life
-		if j.CutOff {
-			cut++
+	jobsByClass, cutOff := map[string]int{}, 0
+	var runtimes time.Duration
+	for _, job := range trace.Jobs {
+		jobsByClass[job.Class]++
+		runtimes += job.Life
+		if job.CutOff {
+			cutOff++
 		}
 	}
-	fmt.Fprintf(e.out, "from %s, anonymous %v: %d jobs in %v, %d gaps, %d lives cut off\n", t.Source,
-		t.Anonymous, len(t.Jobs),
-		t.Length().Round(time.Millisecond), len(t.Gaps), cut)
-	if n := len(t.Jobs); n > 0 {
-		fmt.Fprintf(e.out, "%.2f a second, mean life %v, classes %v\n", float64(n)/max(t.Length().Seconds(), 1e-9),
-			(life / time.Duration(n)).Round(time.Millisecond), classes)
+	std.out.printf("from %s, anonymous %v: %d jobs in %v, %d gaps, %d lives cut off\n", trace.Source, trace.Anonymous,
+		len(trace.Jobs), trace.Length().Round(time.Millisecond), len(trace.Gaps), cutOff)
+	if count := len(trace.Jobs); count > 0 {
+		const shortest = 1e-9 // seconds; all jobs of a trace may be submitted at once
+		perSecond := float64(count) / max(trace.Length().Seconds(), shortest)
+		mean := (runtimes / time.Duration(count)).Round(time.Millisecond)
+		std.out.printf("%.2f a second, mean life %v, classes %v\n", perSecond, mean, jobsByClass)
 	}
 	return nil
 }
--- a/cmd/flaxshelf/main.go
+++ b/cmd/flaxshelf/main.go
@@ -19,15 +19,15 @@
 
 // Exit codes, as --help and docs/operating.md list them.
 const (
-	exitOK       = 0
-	exitFailed   = 1 // what was asked for did not come out: a broken rule, a failed job, an error on the way
-	exitUsage    = 2 // a wrong flag, argument or configuration
-	exitNotHeard = 3 // the scheduler could not be reached
-	exitLater    = 4 // the scheduler asks to try later
-	exitTimeout  = 5 // a wait ran out
+	exitOK          = 0
+	exitFailed      = 1 // the command failed: a broken rule, a failed job, any other error
+	exitUsage       = 2 // a wrong flag, argument or configuration
+	exitUnreachable = 3 // the scheduler could not be reached
+	exitTryLater    = 4 // the scheduler asks to try later
+	exitTimeout     = 5 // a wait timed out
 )
 
-type cli struct {
+type commandLine struct {
 	Up         upCmd         `cmd:"" help:"Run an inventory, a few stand-in nodes and a scheduler in one process, on loopback."`
 	Serve      serveCmd      `cmd:"" help:"Run a scheduler."`
 	Platform   platformCmd   `cmd:"" help:"Run a scheduler on the platform, with its protocol and its configuration."`
@@ -39,7 +39,7 @@
 	Emulate    emulateCmd    `cmd:"" help:"Play a scripted day on a simulated clock."`
 	Load       loadCmd       `cmd:"" help:"Send, capture, import and look at loads."`
 	Experiment experimentCmd `cmd:"" help:"Compare designs over seeds by emulation, with intervals and a report."`
-	Plan       planCmd       `cmd:"" help:"Tell which limit a load meets first, what a goal needs and what losing a part leaves."`
+	Plan       planCmd       `cmd:"" help:"Show which limit a load meets first, what a goal needs and what losing a part leaves."`
 	Verify     verifyCmd     `cmd:"" help:"Judge the recording of a trial again."`
 	Replay     replayCmd     `cmd:"" help:"Play a scheduler's recorded steps to the module alone and compare."`
 	Config     configCmd     `cmd:"" help:"Check configuration files."`
@@ -50,72 +50,94 @@
 Exit codes: 0 done; 1 failed or a rule broken; 2 wrong usage or configuration; 3 the scheduler was not reached;
 4 the scheduler asks to try later; 5 a wait ran out.`
 
-// env is what commands get of the world.
-type env struct {
-	ctx      context.Context
-	out, err io.Writer
+// streams are the outputs of a command.
+type streams struct {
+	out *printer // results
+	err *printer // logs, progress and errors
 }
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
-	defer stop()
-	os.Exit(run(ctx, os.Args[1:], os.Stdout, os.Stderr))
+	code := run(ctx, os.Args[1:], os.Stdout, os.Stderr)
+	stop()
+	os.Exit(code)
 }
 
-// run is main without the process around it. It returns the exit code.
+// run is main without the process around it. It returns the exit code. Long-running commands end when ctx does.
 func run(ctx context.Context, args []string, out, errOut io.Writer) int {
-	var c cli
-	code := -1
-	k, err := kong.New(&c, kong.Name("flaxshelf"), kong.Description(description), kong.UsageOnError(),
-		kong.ConfigureHelp(kong.HelpOptions{Compact: true}), kong.Writers(out, errOut),
-		kong.Exit(func(n int) { code = n }))
+	std := &streams{out: newPrinter(out), err: newPrinter(errOut)}
+	var commands commandLine
+	const notExited = -1
+	parserExit := notExited
+	parser, err := kong.New(&commands, kong.Name("flaxshelf"), kong.Description(description), kong.UsageOnError(),
+		kong.ConfigureHelp(kong.HelpOptions{Compact: true}), kong.Writers(std.out, std.err),
+		kong.Exit(func(code int) { parserExit = code }), kong.BindTo(ctx, (*context.Context)(nil)), kong.Bind(std))
 	if err != nil {
-		fmt.Fprintln(errOut, "flaxshelf:", err)
+		std.reportError(err)
 		return exitFailed
 	}
-	kctx, err := k.Parse(args)
-	if code >= 0 { // --help
-		return code
+	command, err := parser.Parse(args)
+	if parserExit != notExited { // --help
+		return parserExit
 	}
 	if err != nil {
-		fmt.Fprintln(errOut, "flaxshelf:", err)
-		fmt.Fprintln(errOut, "flaxshelf: see --help")
+		std.reportError(err)
+		std.err.println("flaxshelf: see --help")
 		return exitUsage
 	}
-	if err := kctx.Run(&env{ctx, out, errOut}); err != nil {
-		fmt.Fprintln(errOut, "flaxshelf:", err)
-		return exitCode(err)
+	err = command.Run()
+	if err == nil {
+		err = std.outputError()
 	}
-	return exitOK
+	if err != nil {
+		std.reportError(err)
+	}
+	return exitCode(err)
 }
 
-// errUsage marks what the caller has to put right.
-type errUsage struct{ error }
+func (s *streams) reportError(err error) { s.err.println("flaxshelf:", err) }
+
+// outputError is an error for results that could not be written. What standard error did not take can't be reported.
+func (s *streams) outputError() error {
+	if err := s.out.Err(); err != nil {
+		return fmt.Errorf("write to standard output: %w", err)
+	}
+	return nil
+}
+
+// usageError is an error that the caller mends by other flags, arguments or files.
+type usageError struct{ err error }
+
+func (e usageError) Error() string { return e.err.Error() }
 
-func (e errUsage) Unwrap() error { return e.error }
+// Unwrap is the reason.
+func (e usageError) Unwrap() error { return e.err }
 
+// exitCode is the exit code of a command that returned err.
 func exitCode(err error) int {
-	var usage errUsage
+	var usage usageError
 	var configErrors settings.ConfigErrors
 	switch {
+	case err == nil:
+		return exitOK
 	case errors.As(err, &usage), errors.As(err, &configErrors), errors.Is(err, os.ErrNotExist),
 		errors.Is(err, drmaa2.ErrInvalidArgument), errors.Is(err, drmaa2.ErrUnsupportedAttribute):
 		return exitUsage
 	case errors.Is(err, drmaa2.ErrDrmCommunication):
-		return exitNotHeard
+		return exitUnreachable
 	case errors.Is(err, drmaa2.ErrTryLater):
-		return exitLater
+		return exitTryLater
 	case errors.Is(err, drmaa2.ErrTimeout):
 		return exitTimeout
 	}
 	return exitFailed
 }
 
-// logger writes structured lines to standard error; debug, info, warn or error.
-func logger(w io.Writer, level string) zerolog.Logger {
-	l, err := zerolog.ParseLevel(level)
+// newLogger logs structured lines to w, from a level on: trace, debug, info, warn or error.
+func newLogger(w io.Writer, level string) zerolog.Logger {
+	threshold, err := zerolog.ParseLevel(level)
 	if err != nil {
-		l = zerolog.InfoLevel
+		threshold = zerolog.InfoLevel
 	}
-	return zerolog.New(w).Level(l).With().Timestamp().Logger()
+	return zerolog.New(w).Level(threshold).With().Timestamp().Logger()
 }
--- a/cmd/flaxshelf/main_test.go
+++ b/cmd/flaxshelf/main_test.go
@@ -13,31 +13,33 @@
 
 // buffer may be written by one goroutine and read by another.
 type buffer struct {
-	mu sync.Mutex
-	b  bytes.Buffer
+	mu   sync.Mutex
+	text bytes.Buffer
 }
 
 func (b *buffer) Write(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.b.Write(p)
+	return b.text.Write(p)
 }
 
 func (b *buffer) String() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.b.String()
+	return b.text.String()
 }
 
+// flaxshelf runs a command and returns its exit code and its outputs.
 func flaxshelf(args ...string) (code int, out, errOut string) {
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
-	var o, e buffer
-	code = run(ctx, args, &o, &e)
-	return code, o.String(), e.String()
+	var outBuffer, errBuffer buffer
+	code = run(ctx, args, &outBuffer, &errBuffer)
+	return code, outBuffer.String(), errBuffer.String()
 }
 
-func file(t *testing.T, name, text string) string {
+// writeTestFile writes a file that lasts as long as the test, and returns its path.
+func writeTestFile(t *testing.T, name, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -46,14 +48,14 @@
 	return path
 }
 
-// What a newcomer gets wrong is told with exit code 2 and what was expected.
+// Wrong usage ends with exit code 2 and a message that names what was expected.
 func TestUsage(t *testing.T) {
-	bad := file(t, "bad.cue", "inventory: \"127.0.0.1:1\"\nwings: 2\n")
-	good := file(t, "good.cue", string(upScheduler))
+	bad := writeTestFile(t, "bad.cue", "inventory: \"127.0.0.1:1\"\nwings: 2\n")
+	good := writeTestFile(t, "good.cue", string(upScheduler))
 	for _, c := range []struct {
 		args []string
 		code int
-		say  string
+		want string
 	}{
 		{[]string{"--help"}, exitOK, "Exit codes"},
 		{[]string{"job", "run", "--help"}, exitOK, "--class"},
@@ -73,17 +75,19 @@
 		{[]string{"trial", "list"}, exitOK, "lost-room"},
 		{[]string{"verify", good}, exitUsage, "not a recording"},
 		{[]string{"replay", good}, exitFailed, "replay"},
-		{[]string{"job", "run", "--server", "127.0.0.1:1", "x"}, exitNotHeard, "connection refused"},
+		{[]string{"job", "run", "--server", "127.0.0.1:1", "x"}, exitUnreachable, "connection refused"},
 		{[]string{"job", "run"}, exitUsage, "no command"},
-		{[]string{"machines", "--server", "127.0.0.1:1"}, exitNotHeard, "connection refused"},
-		{[]string{"node", "--config", file(t, "f.cue", string(upFleet)), "--name", "n9"}, exitUsage, `no node "n9"`},
+		{[]string{"machines", "--server", "127.0.0.1:1"}, exitUnreachable, "connection refused"},
+		{[]string{"node", "--config", writeTestFile(t, "f.cue", string(upFleet)), "--name", "n9"}, exitUsage, `no node "n9"`},
 		{[]string{"inventory", "--late=-5s"}, exitUsage, "negative"},
 		{[]string{"inventory", "--listen", "nonsense"}, exitFailed, "nonsense"},
 	} {
-		code, out, errOut := flaxshelf(c.args...)
-		if code != c.code || !strings.Contains(out+errOut, c.say) {
-			t.Errorf("%v: exit %d, want %d, and %q\n%s%s", c.args, code, c.code, c.say, out, errOut)
-		}
+		t.Run(strings.Join(append([]string{"flaxshelf"}, c.args...), " "), func(t *testing.T) {
+			code, out, errOut := flaxshelf(c.args...)
+			if code != c.code || !strings.Contains(out+errOut, c.want) {
+				t.Errorf("exit %d, want %d, and %q\n%s%s", code, c.code, c.want, out, errOut)
+			}
+		})
 	}
 }
 
@@ -104,11 +108,11 @@
 		t.Fatalf("it did not come up: %s%s", out.String(), errOut.String())
 	}
 	t.Setenv("FLAXSHELF_SERVER", url)
-	step := func(code int, say string, args ...string) string {
+	step := func(code int, want string, args ...string) string {
 		t.Helper()
 		got, out, errOut := flaxshelf(args...)
-		if got != code || !strings.Contains(out+errOut, say) {
-			t.Errorf("%v: exit %d, want %d, and %q\n%s%s", args, got, code, say, out, errOut)
+		if got != code || !strings.Contains(out+errOut, want) {
+			t.Errorf("%v: exit %d, want %d, and %q\n%s%s", args, got, code, want, out, errOut)
 		}
 		return strings.TrimSpace(strings.SplitN(out, "\n", 2)[0])
 	}
@@ -129,7 +133,7 @@
 	step(exitUsage, "no job", "job", "state", id)
 	step(exitOK, "DONE", "job", "bulk", "--class", "service", "--end", "4", "--max-parallel", "2", "--life", "10ms", "--wait", "x")
 	step(exitOK, "room-b", "machines")
-	tmpl := file(t, "t.json", `{"remoteCommand":"x","jobCategory":"once","implementationSpecific":{"flaxshelf.life":"10ms"}}`)
+	tmpl := writeTestFile(t, "t.json", `{"remoteCommand":"x","jobCategory":"once","implementationSpecific":{"flaxshelf.life":"10ms"}}`)
 	step(exitOK, "DONE", "job", "run", "--file", tmpl, "--wait")
 	cancel()
 	select {
--- a/cmd/flaxshelf/platform.go
+++ b/cmd/flaxshelf/platform.go
@@ -1,9 +1,11 @@
 package main
 
 import (
+	"context"
 	"errors"
 	"os"
 	"os/signal"
+	"sync"
 	"syscall"
 
 	"flaxshelf.example/flaxshelf/internal/front/platformfront"
@@ -11,39 +13,50 @@
 )
 
 type platformCmd struct {
-	Config string `env:"GW_CONFIG" type:"path" placeholder:"FILE" help:"Configuration as the platform writes it, JSON; $GW_CONFIG where not given."`
-	Log    string `enum:"trace,debug,info,warn,error" default:"info" help:"What is logged to standard error; trace: each message."`
-	Tap    string `type:"path" placeholder:"FILE" help:"Record the module's steps, for replay."`
+	Config          string `env:"GW_CONFIG" type:"path" placeholder:"FILE" help:"Configuration as the platform writes it, JSON; $GW_CONFIG where not given."`
+	Log             string `enum:"trace,debug,info,warn,error" default:"info" help:"What is logged to standard error; trace: each message."`
+	ModuleRecording string `name:"tap" type:"path" placeholder:"FILE" help:"Record the module's steps, for replay."`
 }
 
-// Run runs a scheduler on the platform until SIGTERM; then it serves what still comes, answers all, and leaves. SIGHUP
-// has the configuration read again.
-func (c *platformCmd) Run(e *env) error {
+// Run runs a scheduler on the platform until SIGTERM, and then shuts it down gracefully. On SIGHUP the configuration is
+// read again.
+func (c *platformCmd) Run(ctx context.Context, std *streams) error {
 	if c.Config == "" {
-		return errUsage{errors.New("platform: no configuration: give --config or set GW_CONFIG")}
+		return usageError{errors.New("platform: no configuration: give --config or set GW_CONFIG")}
 	}
-	hups := make(chan os.Signal, 1)
-	signal.Notify(hups, syscall.SIGHUP)
-	defer signal.Stop(hups)
-	reload, stopped := make(chan struct{}), make(chan struct{})
-	go func() {
+	reload, stop := notifyHangup()
+	defer stop()
+	err := platform.Run(platform.Options{Config: c.Config, Tap: c.ModuleRecording, Log: newLogger(std.err, c.Log)},
+		ctx.Done(), reload)
+	if errors.Is(err, platformfront.ErrConfig) {
+		return usageError{err}
+	}
+	return err
+}
+
+// notifyHangup returns a channel that receives for each SIGHUP until stop is called.
+func notifyHangup() (hangups <-chan struct{}, stop func()) {
+	signals := make(chan os.Signal, 1)
+	signal.Notify(signals, syscall.SIGHUP)
+	received, stopped := make(chan struct{}), make(chan struct{})
+	var forwarder sync.WaitGroup
+	forwarder.Go(func() {
 		for {
 			select {
-			case <-hups:
-				select {
-				case reload <- struct{}{}:
-				case <-stopped:
-					return
-				}
+			case <-signals:
+			case <-stopped:
+				return
+			}
+			select {
+			case received <- struct{}{}:
 			case <-stopped:
 				return
 			}
 		}
-	}()
-	defer close(stopped)
-	err := platform.Run(platform.Options{Config: c.Config, Tap: c.Tap, Log: logger(e.err, c.Log)}, e.ctx.Done(), reload)
-	if errors.Is(err, platformfront.ErrConfig) {
-		return errUsage{err}
+	})
+	return received, func() {
+		signal.Stop(signals)
+		close(stopped)
+		forwarder.Wait()
 	}
-	return err
 }
--- /dev/null
+++ b/cmd/flaxshelf/printer.go
@@ -0,0 +1,63 @@
+package main
+
+import (
+	"fmt"
+	"io"
+	"strings"
+	"sync"
+	"text/tabwriter"
+)
+
+// printer writes text to an output and keeps the first error of a write, after which it writes nothing more. Commands print
+// without a check for each line; run checks Err once, at the end. It may be used by several goroutines.
+type printer struct {
+	mu  sync.Mutex
+	out io.Writer
+	err error
+}
+
+func newPrinter(out io.Writer) *printer { return &printer{out: out} }
+
+// Write writes bytes, for the packages that write to an io.Writer.
+func (p *printer) Write(text []byte) (int, error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.err != nil {
+		return 0, p.err
+	}
+	n, err := p.out.Write(text)
+	p.err = err
+	return n, err
+}
+
+// Err is the first error of a write.
+func (p *printer) Err() error {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.err
+}
+
+func (p *printer) printf(format string, args ...any) {
+	_, _ = fmt.Fprintf(p, format, args...) // Err has the error
+}
+
+func (p *printer) println(args ...any) {
+	_, _ = fmt.Fprintln(p, args...) // Err has the error
+}
+
+func (p *printer) print(args ...any) {
+	_, _ = fmt.Fprint(p, args...) // Err has the error
+}
+
+// table writes rows of cells in aligned columns; the first row is the header.
+func (p *printer) table(rows [][]string) {
+	const (
+		tabWidth = 8
+		padding  = 2
+	)
+	aligned := tabwriter.NewWriter(p, 0, tabWidth, padding, ' ', 0)
+	for _, row := range rows {
+		_, _ = fmt.Fprintln(aligned, strings.Join(row, "\t")) // Err has the error
+	}
+	_ = aligned.Flush() // Err has the error
+}
--- a/cmd/flaxshelf/serve.go
+++ b/cmd/flaxshelf/serve.go
@@ -15,63 +15,29 @@
 	Listen string `placeholder:"ADDRESS" help:"Listen here instead of where the file says."`
 }
 
-// Run runs a scheduler until SIGTERM or an interrupt; then it takes no more, gives what is in flight its
-// outcome and leaves.
-func (c *serveCmd) Run(e *env) error {
-	set, err := settings.ReadScheduler(c.Config)
+// Run runs a scheduler until SIGTERM or an interrupt, and then shuts it down gracefully.
+func (c *serveCmd) Run(ctx context.Context, std *streams) error {
+	config, err := settings.ReadScheduler(c.Config)
 	if err != nil {
 		return err
 	}
 	if c.Listen != "" {
-		set.ListenAddress = c.Listen
+		config.ListenAddress = c.Listen
 	}
 	if c.Cores != 0 {
-		set.Shards = c.Cores
 		if err := shard.Check(c.Cores); err != nil {
 			return fmt.Errorf("--cores: %w", err)
 		}
+		config.Shards = c.Cores
 	}
-	d, err := daemon.Start(set, logger(e.err, set.LogLevel))
+	scheduler, err := daemon.Start(config, newLogger(std.err, config.LogLevel))
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(e.out, "scheduler %s http://%s\n", set.Name, d.Addr())
-	<-e.ctx.Done()
-	return d.Shutdown(context.Background())
+	std.out.printf("scheduler %s http://%s\n", config.Name, scheduler.Addr())
+	<-ctx.Done()
+	return shutDown(scheduler)
 }
 
-type configCmd struct {
-	Check  configCheck  `cmd:"" help:"Check a configuration and report every error with file, line, field and what was expected."`
-	Schema configSchema `cmd:"" help:"Print the schema with defaults and units."`
-}
-
-type configCheck struct {
-	File string `arg:"" type:"path" help:"The file."`
-	As   string `enum:"scheduler,fleet,trial" default:"scheduler" help:"What the file is: scheduler, fleet or trial."`
-}
-
-// Run checks the file.
-func (c *configCheck) Run(e *env) error {
-	var err error
-	switch c.As {
-	case "fleet":
-		_, err = settings.ReadFleet(c.File)
-	case "trial":
-		err = checkTrial(c.File)
-	default:
-		_, err = settings.ReadScheduler(c.File)
-	}
-	if err != nil {
-		return err
-	}
-	fmt.Fprintf(e.out, "%s: good as a %s\n", c.File, c.As)
-	return nil
-}
-
-type configSchema struct{}
-
-// Run prints the schema.
-func (configSchema) Run(e *env) error {
-	_, err := fmt.Fprint(e.out, settings.Schema())
-	return err
-}
+// shutDown is a graceful shutdown after the context of the command has ended; the settings limit how long it takes.
+func shutDown(scheduler *daemon.Daemon) error { return scheduler.Shutdown(context.Background()) }
--- a/cmd/flaxshelf/start_test.go
+++ b/cmd/flaxshelf/start_test.go
@@ -16,10 +16,10 @@
 	os.Exit(m.Run())
 }
 
-// The start of the program sets aside little memory: the platform's limits begin at 32 MB, and what counts against the
-// soft limit without a page behind it keeps the collector from resting.
+// The start of the program allocates little memory: the platform's limits begin at 32 MB, and memory that counts against
+// the soft limit without a page behind it keeps the garbage collector running.
 func TestStartIsSmall(t *testing.T) {
 	if startHeap > 16<<20 {
-		t.Errorf("%d MiB of heap before anything was asked", startHeap>>20)
+		t.Errorf("%d MiB of heap before anything was run", startHeap>>20)
 	}
 }
--- /dev/null
+++ b/cmd/flaxshelf/verify.go
@@ -0,0 +1,37 @@
+package main
+
+import (
+	"io"
+
+	"flaxshelf.example/flaxshelf/internal/lab/rules"
+)
+
+type verifyCmd struct {
+	File  string   `arg:"" type:"existingfile" help:"The recording."`
+	Words []string `name:"follow" placeholder:"WORD" help:"Print the frames in which each of these words occurs, instead of judging."`
+}
+
+// Run judges a recording.
+func (c *verifyCmd) Run(std *streams) error {
+	if len(c.Words) > 0 {
+		_, err := readFile(c.File, func(r io.Reader) (struct{}, error) {
+			return struct{}{}, rules.Follow(r, std.out, c.Words...)
+		})
+		return err
+	}
+	verdict, err := readFile(c.File, func(r io.Reader) (*rules.Verdict, error) {
+		verdict, err := rules.Check(r)
+		if err != nil {
+			return nil, usageError{err}
+		}
+		return verdict, nil
+	})
+	if err != nil {
+		return err
+	}
+	std.out.print(verdict)
+	if !verdict.OK() {
+		return errTrialFailed
+	}
+	return nil
+}
