--- a/cmd/flaxshelf/job_submit.go
+++ b/cmd/flaxshelf/job_submit.go
@@ -77,12 +77,12 @@
 // implementationSpecific are the attributes of flaxshelf's own; those that no flag sets are empty.
 func (f *templateFlags) implementationSpecific() map[string]string {
 	return map[string]string{
-		drmaa2.AttrService: f.Service,
-		drmaa2.AttrKey:     f.Key,
-		drmaa2.AttrCores:   f.Cores,
-		drmaa2.AttrMemory:  f.Memory,
-		drmaa2.AttrLife:    durationText(f.ExpectedRuntime),
-		drmaa2.AttrGiveUp:  durationText(f.GiveUp),
+		drmaa2.AttrService:         f.Service,
+		drmaa2.AttrKey:             f.Key,
+		drmaa2.AttrCores:           f.Cores,
+		drmaa2.AttrMemory:          f.Memory,
+		drmaa2.AttrExpectedRuntime: durationText(f.ExpectedRuntime),
+		drmaa2.AttrGiveUp:          durationText(f.GiveUp),
 	}
 }
 
--- a/cmd/flaxshelf/machines.go
+++ b/cmd/flaxshelf/machines.go
@@ -28,7 +28,7 @@
 	for _, machine := range machines {
 		attributes := machine.ImplementationSpecific
 		rows = append(rows, []string{machine.Name, strconv.FormatBool(machine.Available),
-			attributes[drmaa2.AttrStanding], attributes[drmaa2.AttrKind], attributes[drmaa2.AttrZone],
+			attributes[drmaa2.AttrMachineState], attributes[drmaa2.AttrKind], attributes[drmaa2.AttrZone],
 			attributes[drmaa2.AttrCell], strconv.FormatInt(machine.CoresPerSocket, 10),
 			fmt.Sprintf("%d GiB", machine.PhysMemory/kibibytesPerGibibyte), attributes[drmaa2.AttrJobs]})
 	}
--- a/drmaa2/client.go
+++ b/drmaa2/client.go
@@ -17,48 +17,73 @@
 )
 
 const (
-	prefix        = "/drmaa2/v1"
-	firstRetry    = 50 * time.Millisecond
-	longestRetry  = 2 * time.Second
-	largestAnswer = 256 << 20
+	apiPath          = "/drmaa2/v1"
+	minBackoff       = 50 * time.Millisecond
+	maxBackoff       = 2 * time.Second
+	maxResponseBytes = 256 << 20
+	maxErrorBytes    = 1 << 20
+
+	connectTimeout     = 2 * time.Second
+	idleConnTimeout    = 30 * time.Second
+	maxIdleConnections = 64
+	defaultRetryFor    = 10 * time.Second
 )
 
-// Client reaches one scheduler. Its zero value is of no use; see NewClient.
+// Headers of the protocol. Retry-After is in whole seconds; flaxshelf's own header is more exact.
+const (
+	headerRetryAfter   = "Retry-After"
+	headerRetryAfterMs = "Flaxshelf-Retry-After-Ms"
+	headerLastEventID  = "Last-Event-Id"
+)
+
+// Client calls one scheduler. Make it with NewClient; its zero value can't be used. Several goroutines may use it, but
+// RetryFor may be set only before the first call.
 type Client struct {
-	base string
-	http *http.Client
-	// RetryFor is how long a submission whose answer was not heard is sent again under its key, and how long
-	// a wait looks for a scheduler that went away. 0: not at all.
+	baseURL    string
+	httpClient *http.Client
+	// RetryFor is how long a submission without a response is retried under its idempotency key, and how long a
+	// wait tries to reach a scheduler that went away. 0: not at all. NewClient sets 10 seconds.
 	RetryFor time.Duration
 }
 
-// NewClient makes a client for the daemon at base, as http://127.0.0.1:7171. It keeps connections; Close ends
-// them.
-func NewClient(base string) *Client {
-	if !strings.Contains(base, "://") {
-		base = "http://" + base
+// NewClient makes a client of the daemon at a URL, such as http://127.0.0.1:7171; http:// may be left out. It connects
+// with the first call, and keeps connections open until Close.
+func NewClient(baseURL string) *Client {
+	if !strings.Contains(baseURL, "://") {
+		baseURL = "http://" + baseURL
+	}
+	transport := &http.Transport{
+		MaxIdleConnsPerHost: maxIdleConnections,
+		IdleConnTimeout:     idleConnTimeout,
+		DialContext:         (&net.Dialer{Timeout: connectTimeout}).DialContext,
+	}
+	return &Client{
+		baseURL:    strings.TrimRight(baseURL, "/"),
+		httpClient: &http.Client{Transport: transport},
+		RetryFor:   defaultRetryFor,
 	}
-	t := &http.Transport{MaxIdleConnsPerHost: 64, IdleConnTimeout: 30 * time.Second,
-		DialContext: (&net.Dialer{Timeout: 2 * time.Second}).DialContext}
-	return &Client{base: strings.TrimRight(base, "/"), http: &http.Client{Transport: t}, RetryFor: 10 * time.Second}
 }
 
-// Close ends idle connections.
-func (c *Client) Close() { c.http.CloseIdleConnections() }
+// Close closes idle connections. Calls in progress go on.
+func (c *Client) Close() { c.httpClient.CloseIdleConnections() }
 
-// Drms tells what answers and what it can do.
+// Drms describes the scheduler and its capabilities.
 func (c *Client) Drms(ctx context.Context) (*Drms, error) {
 	var d Drms
 	return &d, c.call(ctx, http.MethodGet, "/info", nil, &d)
 }
 
-type name struct {
+// sessionName is the body of a request to create a session.
+type sessionName struct {
 	Name string `json:"name"`
 }
 
-// CreateJobSession makes a session; ErrInvalidArgument where the name is taken.
+func sessionPath(name string) string { return "/sessions/" + url.PathEscape(name) }
+
+// CreateJobSession creates a session; ErrInvalidArgument where the name is taken, ErrOutOfResource where there are too
+// many.
 func (c *Client) CreateJobSession(ctx context.Context, session string) (*JobSession, error) {
-	if err := c.call(ctx, http.MethodPost, "/sessions", name{session}, nil); err != nil {
+	if err := c.call(ctx, http.MethodPost, "/sessions", sessionName{session}, nil); err != nil {
 		return nil, err
 	}
 	return &JobSession{c, session}, nil
@@ -66,109 +91,128 @@
 
 // OpenJobSession opens a session that exists; ErrInvalidArgument where there is none of the name.
 func (c *Client) OpenJobSession(ctx context.Context, session string) (*JobSession, error) {
-	if err := c.call(ctx, http.MethodGet, "/sessions/"+url.PathEscape(session), nil, nil); err != nil {
+	if err := c.call(ctx, http.MethodGet, sessionPath(session), nil, nil); err != nil {
 		return nil, err
 	}
 	return &JobSession{c, session}, nil
 }
 
-// DestroyJobSession forgets a session. Its jobs go on and can be seen by a MonitoringSession.
+// DestroyJobSession removes a session; ErrInvalidArgument where there is none of the name. Its jobs continue and are seen
+// by a MonitoringSession.
 func (c *Client) DestroyJobSession(ctx context.Context, session string) error {
-	return c.call(ctx, http.MethodDelete, "/sessions/"+url.PathEscape(session), nil, nil)
+	return c.call(ctx, http.MethodDelete, sessionPath(session), nil, nil)
 }
 
 // JobSessionNames lists the sessions.
 func (c *Client) JobSessionNames(ctx context.Context) ([]string, error) {
-	var l struct {
+	var sessions struct {
 		Names []string `json:"names"`
 	}
-	err := c.call(ctx, http.MethodGet, "/sessions", nil, &l)
-	return l.Names, err
+	err := c.call(ctx, http.MethodGet, "/sessions", nil, &sessions)
+	return sessions.Names, err
 }
 
-// call makes one request. The scheduler's refusals come as *Error with its code; everything on the way there
-// and back as ErrDrmCommunication, or the context's error.
+// call makes one request with the JSON of in, and decodes the response into out; either may be nil. Errors are those of
+// send.
 func (c *Client) call(ctx context.Context, method, path string, in, out any) error {
-	res, err := c.send(ctx, method, path, in, nil)
+	response, err := c.send(ctx, method, path, in, nil)
 	if err != nil {
 		return err
 	}
-	defer res.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(res.Body, largestAnswer))
+	defer response.Body.Close()
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
-		return communication(ctx, err)
+		return communicationError(ctx, err)
 	}
 	if out == nil || len(body) == 0 {
 		return nil
 	}
 	if err := json.Unmarshal(body, out); err != nil {
-		return &Error{Code: DrmCommunication, Message: "the answer can't be read: " + err.Error(), Err: err}
+		return &Error{Code: DrmCommunication, Message: "the response can't be decoded: " + err.Error(), Err: err}
 	}
 	return nil
 }
 
+// send makes one request. The caller closes the body of the response. The scheduler's errors come as *Error with their
+// code; those on the way there and back as ErrDrmCommunication, or the context's error.
 func (c *Client) send(ctx context.Context, method, path string, in any, header http.Header) (*http.Response, error) {
+	request, err := c.newRequest(ctx, method, path, in, header)
+	if err != nil {
+		return nil, argumentError(err)
+	}
+	response, err := c.httpClient.Do(request)
+	if err != nil {
+		return nil, communicationError(ctx, err)
+	}
+	if response.StatusCode < http.StatusMultipleChoices {
+		return response, nil
+	}
+	defer response.Body.Close()
+	return nil, errorOf(response)
+}
+
+func (c *Client) newRequest(ctx context.Context, method, path string, in any,
+	header http.Header) (*http.Request, error) {
 	var body io.Reader
 	if in != nil {
-		b, err := json.Marshal(in)
+		text, err := json.Marshal(in)
 		if err != nil {
-			return nil, &Error{Code: InvalidArgument, Message: err.Error(), Err: err}
+			return nil, err
 		}
-		body = bytes.NewReader(b)
+		body = bytes.NewReader(text)
 	}
-	req, err := http.NewRequestWithContext(ctx, method, c.base+prefix+path, body)
+	request, err := http.NewRequestWithContext(ctx, method, c.baseURL+apiPath+path, body)
 	if err != nil {
-		return nil, &Error{Code: InvalidArgument, Message: err.Error(), Err: err}
+		return nil, err
 	}
-	for k, v := range header {
-		req.Header[k] = v
+	for name, values := range header {
+		request.Header[name] = values
 	}
 	if in != nil {
-		req.Header.Set("Content-Type", "application/json")
-	}
-	res, err := c.http.Do(req)
-	if err != nil {
-		return nil, communication(ctx, err)
+		request.Header.Set("Content-Type", "application/json")
 	}
-	if res.StatusCode < 300 {
-		return res, nil
-	}
-	defer res.Body.Close()
+	return request, nil
+}
+
+// errorOf is the error that a response carries. One that is not the scheduler's, as of a proxy, is DrmCommunication.
+func errorOf(response *http.Response) *Error {
+	// What a body that breaks off has left is no JSON, and then goes into the message.
+	text, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBytes))
 	e := &Error{}
-	text, _ := io.ReadAll(io.LimitReader(res.Body, 1<<20))
 	if json.Unmarshal(text, e) != nil || e.Code == "" {
-		e = &Error{Code: DrmCommunication, Message: fmt.Sprintf("status %s: %.200s", res.Status, text)}
+		e = &Error{Code: DrmCommunication, Message: fmt.Sprintf("status %s: %.200s", response.Status, text)}
 	}
-	if ms, err := strconv.ParseInt(res.Header.Get("Flaxshelf-Retry-After-Ms"), 10, 64); err == nil {
-		e.RetryAfter = time.Duration(ms) * time.Millisecond
-	} else if s, err := strconv.Atoi(res.Header.Get("Retry-After")); err == nil {
-		e.RetryAfter = time.Duration(s) * time.Second
-	}
-	return nil, e
+	e.RetryAfter = retryAfter(response.Header)
+	return e
 }
 
-func communication(ctx context.Context, err error) error {
-	if ctx.Err() != nil {
-		return ctx.Err()
+// retryAfter is how long to wait before a retry; 0 where the response does not say.
+func retryAfter(header http.Header) time.Duration {
+	if ms, err := strconv.ParseInt(header.Get(headerRetryAfterMs), 10, 64); err == nil {
+		return time.Duration(ms) * time.Millisecond
+	}
+	if seconds, err := strconv.Atoi(header.Get(headerRetryAfter)); err == nil {
+		return time.Duration(seconds) * time.Second
 	}
-	return &Error{Code: DrmCommunication, Message: err.Error(), Err: err}
+	return 0
 }
 
-// retry calls again while the answer was not heard, for RetryFor at most. do is told whether it is a repeat.
-func (c *Client) retry(ctx context.Context, do func(again bool) error) error {
-	until, wait := time.Now().Add(c.RetryFor), firstRetry
-	for again := false; ; again = true {
-		err := do(again)
-		if !errors.Is(err, ErrDrmCommunication) || time.Now().Add(wait).After(until) {
+// retry calls attempt until it ends otherwise than by DrmCommunication, for RetryFor at most, with backoff. From the second
+// time on, repeated is true.
+func (c *Client) retry(ctx context.Context, attempt func(repeated bool) error) error {
+	deadline, backoff := time.Now().Add(c.RetryFor), minBackoff
+	for repeated := false; ; repeated = true {
+		err := attempt(repeated)
+		if !errors.Is(err, ErrDrmCommunication) || time.Now().Add(backoff).After(deadline) {
 			return err
 		}
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(wait):
+		case <-time.After(backoff):
 		}
-		wait = min(2*wait, longestRetry)
+		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
-func newKey() string { return "k-" + rand.Text() }
+func newIdempotencyKey() string { return "k-" + rand.Text() }
--- /dev/null
+++ b/drmaa2/client_test.go
@@ -0,0 +1,184 @@
+package drmaa2
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net/http"
+	"net/http/httptest"
+	"testing"
+	"time"
+)
+
+const testTimeout = 20 * time.Second
+
+// newTestClient serves requests by a handler, and returns a client of it and a context for its calls.
+func newTestClient(t *testing.T, handler http.HandlerFunc) (context.Context, *Client) {
+	t.Helper()
+	server := httptest.NewServer(handler)
+	t.Cleanup(server.Close)
+	client := NewClient(server.URL)
+	t.Cleanup(client.Close)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
+	t.Cleanup(cancel)
+	return ctx, client
+}
+
+// A submission without a response is retried under the same idempotency key, and says that it is a retry. The caller's
+// template stays as it is.
+func TestSubmissionIsRetriedUnderOneKey(t *testing.T) {
+	var received []Submission
+	ctx, client := newTestClient(t, func(w http.ResponseWriter, r *http.Request) {
+		var submission Submission
+		if err := json.NewDecoder(r.Body).Decode(&submission); err != nil {
+			t.Error(err)
+		}
+		received = append(received, submission)
+		if len(received) == 1 {
+			panic(http.ErrAbortHandler) // the connection breaks before the response
+		}
+		_, _ = fmt.Fprint(w, `{"jobs":[{"jobId":"j1","jobState":"QUEUED"}]}`)
+	})
+	template := JobTemplate{RemoteCommand: "x", ImplementationSpecific: map[string]string{AttrService: "s"}}
+	job, err := (&JobSession{client, "billing"}).RunJob(ctx, template)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if job.ID != "j1" || job.SessionName != "billing" {
+		t.Errorf("job %q of session %q", job.ID, job.SessionName)
+	}
+	if len(received) != 2 {
+		t.Fatalf("%d submissions, want 2", len(received))
+	}
+	first, second := received[0], received[1]
+	key := first.Template.ImplementationSpecific[AttrKey]
+	if key == "" || second.Template.ImplementationSpecific[AttrKey] != key {
+		t.Errorf("keys %q and %q", key, second.Template.ImplementationSpecific[AttrKey])
+	}
+	if first.Again || !second.Again {
+		t.Errorf("marked as retries: %v and %v", first.Again, second.Again)
+	}
+	if _, changed := template.ImplementationSpecific[AttrKey]; changed {
+		t.Error("the caller's template has got a key")
+	}
+}
+
+// The scheduler's errors keep their code, attribute and time to wait; other responses are DrmCommunication.
+func TestErrorsOfResponses(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		status int
+		header map[string]string
+		body   string
+		match  error
+		want   Error
+	}{
+		{"try later, exact", 503, map[string]string{"Retry-After": "1", "Flaxshelf-Retry-After-Ms": "250"},
+			`{"code":"TryLater","message":"full"}`, ErrTryLater,
+			Error{Code: TryLater, Message: "full", RetryAfter: 250 * time.Millisecond}},
+		{"try later, in seconds", 503, map[string]string{"Retry-After": "3"}, `{"code":"TryLater","message":"full"}`,
+			ErrTryLater, Error{Code: TryLater, Message: "full", RetryAfter: 3 * time.Second}},
+		{"attribute", 422, nil, `{"code":"UnsupportedAttribute","message":"no mail","attribute":"email"}`,
+			ErrUnsupportedAttribute, Error{Code: UnsupportedAttribute, Message: "no mail", Attribute: "email"}},
+		{"not the scheduler's", 502, nil, `<html>`, ErrDrmCommunication,
+			Error{Code: DrmCommunication, Message: "status 502 Bad Gateway: <html>"}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			ctx, client := newTestClient(t, func(w http.ResponseWriter, _ *http.Request) {
+				for name, value := range c.header {
+					w.Header().Set(name, value)
+				}
+				w.WriteHeader(c.status)
+				_, _ = fmt.Fprint(w, c.body)
+			})
+			_, err := client.JobSessionNames(ctx)
+			var got *Error
+			if !errors.As(err, &got) || !errors.Is(err, c.match) {
+				t.Fatalf("%v does not match %v", err, c.match)
+			}
+			if *got != c.want {
+				t.Errorf("%+v, want %+v", *got, c.want)
+			}
+		})
+	}
+}
+
+// A wait continues after the last event that it has handled when the daemon ends the stream.
+func TestWaitContinuesAfterTheLastEvent(t *testing.T) {
+	var lastIDs []string
+	ctx, client := newTestClient(t, func(w http.ResponseWriter, r *http.Request) {
+		lastIDs = append(lastIDs, r.Header.Get("Last-Event-Id"))
+		states := []JobState{Queued, Running}
+		if len(lastIDs) > 1 {
+			states = []JobState{Done}
+		}
+		for i, state := range states {
+			_, _ = fmt.Fprintf(w, "id: %d-%d\nevent: job\ndata: {\"jobId\":\"j1\",\"jobState\":%q}\n\n", len(lastIDs), i, state)
+		}
+	})
+	info, err := (&Job{client: client, ID: "j1"}).WaitTerminated(ctx, InfiniteTime)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if info.JobState != Done {
+		t.Errorf("state %v, want %v", info.JobState, Done)
+	}
+	if len(lastIDs) != 2 || lastIDs[0] != "" || lastIDs[1] != "1-1" {
+		t.Errorf("Last-Event-Id %q, want none and 1-1", lastIDs)
+	}
+}
+
+// A list is read page by page and filtered.
+func TestListsAreReadInPages(t *testing.T) {
+	requests := 0
+	ctx, client := newTestClient(t, func(w http.ResponseWriter, r *http.Request) {
+		requests++
+		page := Submitted{Jobs: []JobInfo{{JobID: "last", JobState: Running}}}
+		if r.URL.Query().Get("after") == "" {
+			page.Jobs = nil
+			for i := range pageSize {
+				page.Jobs = append(page.Jobs, JobInfo{JobID: fmt.Sprintf("j%04d", i), JobState: Queued})
+			}
+			page.Jobs[7].JobState = Running
+		}
+		if err := json.NewEncoder(w).Encode(page); err != nil {
+			t.Error(err)
+		}
+	})
+	infos, err := client.SessionJobs(ctx, "billing", &JobInfo{JobState: Running})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if requests != 2 || len(infos) != 2 || infos[0].JobID != "j0007" || infos[1].JobID != "last" {
+		t.Errorf("%d requests, found %v", requests, infos)
+	}
+}
+
+// Machines are listed by name, or all.
+func TestMachinesByName(t *testing.T) {
+	ctx, client := newTestClient(t, func(w http.ResponseWriter, _ *http.Request) {
+		_, _ = fmt.Fprint(w, `{"machines":[{"name":"a"},{"name":"b"},{"name":"c"}]}`)
+	})
+	monitoring := &MonitoringSession{client}
+	for _, c := range []struct {
+		names []string
+		want  string
+	}{
+		{nil, "[a b c]"},
+		{[]string{"c", "a", "z"}, "[a c]"},
+		{[]string{"z"}, "[]"},
+	} {
+		machines, err := monitoring.AllMachines(ctx, c.names...)
+		if err != nil {
+			t.Fatal(err)
+		}
+		found := []string{}
+		for _, machine := range machines {
+			found = append(found, machine.Name)
+		}
+		if got := fmt.Sprint(found); got != c.want {
+			t.Errorf("of %v: %v, want %v", c.names, got, c.want)
+		}
+	}
+}
--- a/drmaa2/example_test.go
+++ b/drmaa2/example_test.go
@@ -13,21 +13,21 @@
 func Example() {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	c := drmaa2.NewClient("http://127.0.0.1:7171")
-	defer c.Close()
-	s, err := c.CreateJobSession(ctx, "billing")
-	if errors.Is(err, drmaa2.ErrInvalidArgument) { // it is there already
-		s, err = c.OpenJobSession(ctx, "billing")
+	client := drmaa2.NewClient("http://127.0.0.1:7171")
+	defer client.Close()
+	session, err := client.CreateJobSession(ctx, "billing")
+	if errors.Is(err, drmaa2.ErrInvalidArgument) { // it exists
+		session, err = client.OpenJobSession(ctx, "billing")
 	}
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
-	job, err := s.RunJob(ctx, drmaa2.JobTemplate{RemoteCommand: "forecast", JobCategory: "batch",
-		ImplementationSpecific: map[string]string{drmaa2.AttrService: "forecast", drmaa2.AttrLife: "5s"}})
-	var e *drmaa2.Error
-	if errors.As(err, &e) && e.Code == drmaa2.TryLater {
-		fmt.Println("again in", e.RetryAfter)
+	job, err := session.RunJob(ctx, drmaa2.JobTemplate{RemoteCommand: "forecast", JobCategory: "batch",
+		ImplementationSpecific: map[string]string{drmaa2.AttrService: "forecast", drmaa2.AttrExpectedRuntime: "5s"}})
+	var failure *drmaa2.Error
+	if errors.As(err, &failure) && failure.Code == drmaa2.TryLater {
+		fmt.Println("retry in", failure.RetryAfter)
 		return
 	}
 	if err != nil {
--- a/drmaa2/session.go
+++ b/drmaa2/session.go
@@ -3,111 +3,120 @@
 import (
 	"context"
 	"fmt"
+	"maps"
 	"net/http"
 	"net/url"
 	"time"
 )
 
-// JobSession is a named set of jobs, GFD.194 section 8.3. It stays until it is destroyed or the scheduler goes.
+// JobSession is a named set of jobs, GFD.194 section 8.3. The scheduler keeps it until it is destroyed or the scheduler
+// stops. It needs no closing.
 type JobSession struct {
-	c    *Client
-	name string
+	client *Client
+	name   string
 }
 
 // Name is the session's name.
 func (s *JobSession) Name() string { return s.name }
 
-func (s *JobSession) path() string { return "/sessions/" + url.PathEscape(s.name) }
+func (s *JobSession) path() string { return sessionPath(s.name) }
 
-// RunJob submits a job. Where the answer is not heard it asks again under the same key, so that one job comes
-// of it; a template without AttrKey gets one. The job has its ID when RunJob returns, and its outcome later.
-func (s *JobSession) RunJob(ctx context.Context, t JobTemplate) (*Job, error) {
-	return s.runJob(ctx, t, false)
+// RunJob submits a job. Where it gets no response it retries under the same idempotency key for Client.RetryFor, so that
+// one job comes of it; a template without AttrKey gets a random one. The job has its ID when RunJob returns, and its
+// outcome later. ErrTryLater where the scheduler does not accept the job now; see Error.RetryAfter.
+func (s *JobSession) RunJob(ctx context.Context, template JobTemplate) (*Job, error) {
+	return s.runJob(ctx, template, false)
 }
 
-// RunJobAgain is RunJob of a template with an AttrKey that was submitted before and whose outcome was never
-// heard, as after the scheduler was killed. The scheduler first looks whether a node still runs it.
-func (s *JobSession) RunJobAgain(ctx context.Context, t JobTemplate) (*Job, error) {
-	return s.runJob(ctx, t, true)
+// RunJobAgain is RunJob of a template with an AttrKey that was submitted before without a known outcome, as after a crash
+// of the scheduler. The scheduler first finds out whether a node still runs it.
+func (s *JobSession) RunJobAgain(ctx context.Context, template JobTemplate) (*Job, error) {
+	return s.runJob(ctx, template, true)
 }
 
-func (s *JobSession) runJob(ctx context.Context, t JobTemplate, again bool) (*Job, error) {
-	out, err := s.submit(ctx, "/jobs", t, nil, again)
+func (s *JobSession) runJob(ctx context.Context, template JobTemplate, retry bool) (*Job, error) {
+	submitted, err := s.submit(ctx, "/jobs", Submission{Template: template, Again: retry})
 	if err != nil {
 		return nil, err
 	}
-	if len(out.Jobs) != 1 {
-		return nil, &Error{Code: DrmCommunication, Message: fmt.Sprintf("%d jobs for one submission", len(out.Jobs))}
+	if len(submitted.Jobs) != 1 {
+		return nil, &Error{Code: DrmCommunication,
+			Message: fmt.Sprintf("%d jobs for one submission", len(submitted.Jobs))}
 	}
-	return &Job{s.c, out.Jobs[0].JobID, s.name}, nil
+	return s.job(submitted.Jobs[0].JobID), nil
 }
 
-// RunBulkJobs submits one job for each index from begin to end by step. At most maxParallel of them, if it is
-// above 0, are let go at a time.
-func (s *JobSession) RunBulkJobs(ctx context.Context, t JobTemplate, begin, end, step,
+// RunBulkJobs submits one job for each index from begin to end by step, all under one idempotency key as in RunJob. At most
+// maxParallel of them may run at a time; 0 or less: all.
+func (s *JobSession) RunBulkJobs(ctx context.Context, template JobTemplate, begin, end, step,
 	maxParallel int) (*JobArray, error) {
-	out, err := s.submit(ctx, "/arrays", t, &Bulk{begin, end, step, maxParallel}, false)
+	submitted, err := s.submit(ctx, "/arrays", Submission{Template: template,
+		Bulk: &Bulk{BeginIndex: begin, EndIndex: end, Step: step, MaxParallel: maxParallel}})
 	if err != nil {
 		return nil, err
 	}
-	a := &JobArray{c: s.c, ID: out.ArrayID, session: s.name}
-	for _, j := range out.Jobs {
-		a.Jobs = append(a.Jobs, &Job{s.c, j.JobID, s.name})
+	array := &JobArray{client: s.client, ID: submitted.ArrayID}
+	for _, info := range submitted.Jobs {
+		array.Jobs = append(array.Jobs, s.job(info.JobID))
 	}
-	return a, nil
+	return array, nil
 }
 
-func (s *JobSession) submit(ctx context.Context, path string, t JobTemplate, b *Bulk, asked bool) (*Submitted,
-	error) {
-	if t.ImplementationSpecific[AttrKey] == "" {
-		own := map[string]string{}
-		for k, v := range t.ImplementationSpecific {
-			own[k] = v
-		}
-		own[AttrKey] = newKey()
-		t.ImplementationSpecific = own
+// submit posts a submission, under an idempotency key, until there is a response.
+func (s *JobSession) submit(ctx context.Context, path string, submission Submission) (*Submitted, error) {
+	if submission.Template.ImplementationSpecific[AttrKey] == "" {
+		attributes := map[string]string{}
+		maps.Copy(attributes, submission.Template.ImplementationSpecific)
+		attributes[AttrKey] = newIdempotencyKey()
+		submission.Template.ImplementationSpecific = attributes
 	}
-	var out Submitted
-	err := s.c.retry(ctx, func(again bool) error {
-		return s.c.call(ctx, http.MethodPost, s.path()+path, Submission{t, asked || again, b}, &out)
+	submittedBefore := submission.Again
+	var submitted Submitted
+	err := s.client.retry(ctx, func(repeated bool) error {
+		submission.Again = submittedBefore || repeated
+		return s.client.call(ctx, http.MethodPost, s.path()+path, submission, &submitted)
 	})
-	return &out, err
+	return &submitted, err
 }
 
-// Job finds a job by its ID.
+func (s *JobSession) job(id string) *Job { return &Job{client: s.client, ID: id, SessionName: s.name} }
+
+// Job finds a job by its ID; ErrInvalidArgument where the scheduler does not know it.
 func (s *JobSession) Job(ctx context.Context, id string) (*Job, error) {
-	j, err := s.c.Job(ctx, id)
-	j.SessionName = s.name
-	return j, err
+	job, err := s.client.Job(ctx, id)
+	job.SessionName = s.name
+	return job, err
 }
 
-// Jobs lists the session's jobs that match the filter. Of the filter, JobID, JobName, JobState, JobSubState and
-// QueueName count where set.
+// Jobs lists the session's jobs that match the filter; nil matches all. Of the filter, JobID, JobName, JobState,
+// JobSubState and QueueName count where set.
 func (s *JobSession) Jobs(ctx context.Context, filter *JobInfo) ([]*Job, error) {
-	infos, err := s.c.SessionJobs(ctx, s.name, filter)
+	infos, err := s.client.SessionJobs(ctx, s.name, filter)
 	if err != nil {
 		return nil, err
 	}
 	jobs := make([]*Job, len(infos))
 	for i := range infos {
-		jobs[i] = &Job{s.c, infos[i].JobID, s.name}
+		jobs[i] = s.job(infos[i].JobID)
 	}
 	return jobs, nil
 }
 
+// pageSize is how many jobs a list asks for at a time.
 const pageSize = 1000
 
-func (c *Client) list(ctx context.Context, path string, filter *JobInfo) ([]JobInfo, error) {
+// listJobs lists all jobs below a path that match the filter, page by page.
+func (c *Client) listJobs(ctx context.Context, path string, filter *JobInfo) ([]JobInfo, error) {
 	var all []JobInfo
 	for after := ""; ; {
 		var page Submitted
-		q := fmt.Sprintf("%s?limit=%d&after=%s", path, pageSize, url.QueryEscape(after))
-		if err := c.call(ctx, http.MethodGet, q, nil, &page); err != nil {
+		pagePath := fmt.Sprintf("%s?limit=%d&after=%s", path, pageSize, url.QueryEscape(after))
+		if err := c.call(ctx, http.MethodGet, pagePath, nil, &page); err != nil {
 			return nil, err
 		}
-		for _, j := range page.Jobs {
-			if filter.matches(&j) {
-				all = append(all, j)
+		for i := range page.Jobs {
+			if filter.matches(&page.Jobs[i]) {
+				all = append(all, page.Jobs[i])
 			}
 		}
 		if len(page.Jobs) < pageSize {
@@ -117,116 +126,60 @@
 	}
 }
 
-func (f *JobInfo) matches(j *JobInfo) bool {
-	return f == nil || (f.JobID == "" || f.JobID == j.JobID) && (f.JobName == "" || f.JobName == j.JobName) &&
-		(f.JobState == "" || f.JobState == j.JobState) &&
-		(f.JobSubState == "" || f.JobSubState == j.JobSubState) &&
-		(f.QueueName == "" || f.QueueName == j.QueueName)
+// matches tells whether a job has the values that the filter sets. A nil filter matches every job.
+func (i *JobInfo) matches(job *JobInfo) bool {
+	return i == nil || (i.JobID == "" || i.JobID == job.JobID) && (i.JobName == "" || i.JobName == job.JobName) &&
+		(i.JobState == "" || i.JobState == job.JobState) &&
+		(i.JobSubState == "" || i.JobSubState == job.JobSubState) &&
+		(i.QueueName == "" || i.QueueName == job.QueueName)
 }
 
 // JobCategories lists the classes that a template may name.
 func (s *JobSession) JobCategories(ctx context.Context) ([]string, error) {
-	d, err := s.c.Drms(ctx)
+	drms, err := s.client.Drms(ctx)
 	if err != nil {
 		return nil, err
 	}
-	return d.Categories, nil
+	return drms.Categories, nil
 }
 
-// WaitAnyStarted waits until one of the jobs has started or ended, and returns it.
+// WaitAnyStarted waits until one of the jobs, all of this session, has started or ended, and returns it. ErrTimeout after
+// the timeout, which may be InfiniteTime; ErrInvalidArgument without jobs.
 func (s *JobSession) WaitAnyStarted(ctx context.Context, jobs []*Job, timeout time.Duration) (*Job, error) {
 	return s.waitAny(ctx, jobs, timeout, JobState.Started)
 }
 
-// WaitAnyTerminated waits until one of the jobs has ended, and returns it.
+// WaitAnyTerminated waits until one of the jobs has ended, in the same way as WaitAnyStarted.
 func (s *JobSession) WaitAnyTerminated(ctx context.Context, jobs []*Job, timeout time.Duration) (*Job, error) {
 	return s.waitAny(ctx, jobs, timeout, JobState.Terminated)
 }
 
 func (s *JobSession) waitAny(ctx context.Context, jobs []*Job, timeout time.Duration,
-	ok func(JobState) bool) (*Job, error) {
+	reached func(JobState) bool) (*Job, error) {
 	if len(jobs) == 0 {
 		return nil, &Error{Code: InvalidArgument, Message: "no jobs to wait for"}
 	}
 	byID := map[string]*Job{}
-	for _, j := range jobs {
-		byID[j.ID] = j
+	for _, job := range jobs {
+		byID[job.ID] = job
 	}
 	var found *Job
-	err := s.c.follow(ctx, s.path()+"/events", timeout, func(i *JobInfo) bool {
-		if j := byID[i.JobID]; j != nil && ok(i.JobState) {
-			found = j
+	err := s.client.followEvents(ctx, s.path()+eventsPath, timeout, func(info *JobInfo) bool {
+		if job := byID[info.JobID]; job != nil && reached(info.JobState) {
+			found = job
 		}
 		return found != nil
 	})
 	return found, err
 }
 
-// Watch calls each for every change of the session's jobs, beginning with all as they are, until each returns
-// false or the context ends. It goes on over a connection that breaks.
-func (s *JobSession) Watch(ctx context.Context, each func(JobInfo) bool) error {
-	return s.c.follow(ctx, s.path()+"/events", InfiniteTime, func(i *JobInfo) bool { return !each(*i) })
-}
-
-// MonitoringSession looks at all jobs, machines and queues, GFD.194 section 8.9.
-type MonitoringSession struct{ c *Client }
-
-// OpenMonitoringSession opens one.
-func (c *Client) OpenMonitoringSession(ctx context.Context) (*MonitoringSession, error) {
-	_, err := c.Drms(ctx)
-	return &MonitoringSession{c}, err
-}
-
-// AllJobs lists the jobs of all sessions that match the filter.
-func (m *MonitoringSession) AllJobs(ctx context.Context, filter *JobInfo) ([]JobInfo, error) {
-	return m.c.list(ctx, "/jobs", filter)
-}
-
-// Watch calls each for every change of any job, beginning with all as they are, until each returns false or the
-// context ends. It goes on over a connection that breaks.
-func (m *MonitoringSession) Watch(ctx context.Context, each func(JobInfo) bool) error {
-	return m.c.follow(ctx, "/events", InfiniteTime, func(i *JobInfo) bool { return !each(*i) })
-}
-
-// AllMachines lists the named nodes, or all.
-func (m *MonitoringSession) AllMachines(ctx context.Context, names ...string) ([]MachineInfo, error) {
-	var l struct {
-		Machines []MachineInfo `json:"machines"`
-	}
-	if err := m.c.call(ctx, http.MethodGet, "/machines", nil, &l); err != nil || len(names) == 0 {
-		return l.Machines, err
-	}
-	var found []MachineInfo
-	for _, i := range l.Machines {
-		for _, n := range names {
-			if n == i.Name {
-				found = append(found, i)
-			}
-		}
-	}
-	return found, nil
-}
-
-// AllQueues lists the named queues, or all.
-func (m *MonitoringSession) AllQueues(ctx context.Context, names ...string) ([]QueueInfo, error) {
-	var l struct {
-		Queues []QueueInfo `json:"queues"`
-	}
-	if err := m.c.call(ctx, http.MethodGet, "/queues", nil, &l); err != nil || len(names) == 0 {
-		return l.Queues, err
-	}
-	var found []QueueInfo
-	for _, q := range l.Queues {
-		for _, n := range names {
-			if n == q.Name {
-				found = append(found, q)
-			}
-		}
-	}
-	return found, nil
+// Watch calls handle with every change of the session's jobs, first with all as they are now, until handle returns false
+// (nil), the context ends (its error) or the scheduler is not reached for Client.RetryFor (ErrDrmCommunication). It
+// continues over broken connections. Handle is called by the caller's goroutine; while it runs no events are read.
+func (s *JobSession) Watch(ctx context.Context, handle func(JobInfo) bool) error {
+	return s.client.watch(ctx, s.path()+eventsPath, handle)
 }
 
-// AllReservations is ErrUnsupportedOperation: nothing is reserved ahead of time.
-func (m *MonitoringSession) AllReservations(context.Context) error {
-	return &Error{Code: UnsupportedOperation, Message: "advance reservations are not kept"}
+func (c *Client) watch(ctx context.Context, path string, handle func(JobInfo) bool) error {
+	return c.followEvents(ctx, path, InfiniteTime, func(info *JobInfo) bool { return !handle(*info) })
 }
--- a/drmaa2/types.go
+++ b/drmaa2/types.go
@@ -1,30 +1,34 @@
 package drmaa2
 
-import (
-	"fmt"
-	"time"
-)
+import "time"
 
 // JobState is a state of a job, GFD.194 section 7.1.
 type JobState string
 
 // The job states.
 const (
-	Undetermined  JobState = "UNDETERMINED"
-	Queued        JobState = "QUEUED"
-	QueuedHeld    JobState = "QUEUED_HELD"
-	Running       JobState = "RUNNING"
-	Suspended     JobState = "SUSPENDED"
-	Requeued      JobState = "REQUEUED"
-	RequeuedHeld  JobState = "REQUEUED_HELD"
-	Done          JobState = "DONE"
-	Failed        JobState = "FAILED"
-	InfiniteTime           = time.Duration(1<<63 - 1) // wait without end
-	ZeroTime               = time.Duration(0)         // don't wait
-	HomeDirectory          = "$DRMAA2_HOME_DIR$"      // placeholder, GFD.194 section 5.6
+	Undetermined JobState = "UNDETERMINED"  // not known: the scheduler was not reached
+	Queued       JobState = "QUEUED"        // not started yet
+	QueuedHeld   JobState = "QUEUED_HELD"   // not started yet, and held
+	Running      JobState = "RUNNING"       // runs on a node
+	Suspended    JobState = "SUSPENDED"     // does not occur: nodes don't suspend
+	Requeued     JobState = "REQUEUED"      // has run, and is to be started anew
+	RequeuedHeld JobState = "REQUEUED_HELD" // the same, and held
+	Done         JobState = "DONE"          // has ended with exit status 0
+	Failed       JobState = "FAILED"        // has ended otherwise; see JobInfo.JobSubState
 )
 
-// Started tells whether a job in this state counts for WaitStarted: it runs, or it is over.
+// Constants of GFD.194 for timeouts and templates.
+const (
+	// InfiniteTime is a timeout that never ends.
+	InfiniteTime = time.Duration(1<<63 - 1)
+	// ZeroTime is a timeout that ends at once.
+	ZeroTime = time.Duration(0)
+	// HomeDirectory is a placeholder in paths of a template, GFD.194 section 5.6.
+	HomeDirectory = "$DRMAA2_HOME_DIR$"
+)
+
+// Started tells whether a job in this state has started, as WaitStarted counts it: it runs, or it has ended.
 func (s JobState) Started() bool { return s == Running || s == Suspended || s.Terminated() }
 
 // Terminated tells whether the state is final.
@@ -32,31 +36,31 @@
 
 // Implementation-specific attributes of a JobTemplate, all optional. Values are text.
 const (
-	AttrService = "flaxshelf.service" // the service whose tasks are spread and whose program nodes keep
-	AttrKey     = "flaxshelf.key"     // names the work: submitted again, it is the same job
-	AttrCores   = "flaxshelf.cores"   // cores asked for, a decimal number; instead of MinSlots
-	AttrMemory  = "flaxshelf.memory"  // memory asked for in GiB, a decimal number; instead of MinPhysMemory
-	AttrLife    = "flaxshelf.life"    // how long it should run, as a Go duration
-	AttrGiveUp  = "flaxshelf.giveup"  // when the owner gives up waiting for a start, as a Go duration
+	AttrService         = "flaxshelf.service" // service; its jobs are spread, and nodes cache its program
+	AttrKey             = "flaxshelf.key"     // idempotency key: submitted again, it is the same job
+	AttrCores           = "flaxshelf.cores"   // cores requested, a decimal number; in place of MinSlots
+	AttrMemory          = "flaxshelf.memory"  // memory requested in GiB, a decimal number; in place of MinPhysMemory
+	AttrExpectedRuntime = "flaxshelf.life"    // how long the job should run, a Go duration such as 1m30s
+	AttrGiveUp          = "flaxshelf.giveup"  // how long the job may wait for a start, a Go duration
 )
 
 // Implementation-specific attributes of a JobInfo.
 const (
-	AttrOutcome  = "flaxshelf.outcome"  // of the last ask: placed, refused, failed, withdrawn; absent: open
-	AttrAsk      = "flaxshelf.ask"      // asks made for the job, counted from 1
-	AttrAttempts = "flaxshelf.attempts" // offers made for the last ask
-	AttrNode     = "flaxshelf.node"     // where it is offered or held
-	AttrArray    = "flaxshelf.array"    // the array that it belongs to
-	AttrIndex    = "flaxshelf.index"    // its index there
-	AttrAskedAt  = "flaxshelf.asked"    // start of the last ask, RFC 3339
-	AttrDue      = "flaxshelf.due"      // when the last ask is given up, RFC 3339
-	AttrClass    = "flaxshelf.class"    // jobCategory of its template
-	AttrTenant   = "flaxshelf.tenant"   // accountingId of its template
-	AttrRevision = "flaxshelf.revision" // grows with each change of a job, in one life of the scheduler
+	AttrOutcome           = "flaxshelf.outcome"  // of the last placement request: placed, refused, failed or withdrawn
+	AttrPlacementRequests = "flaxshelf.ask"      // number of placement requests made for the job, the first is 1
+	AttrAttempts          = "flaxshelf.attempts" // offers made to nodes for the last placement request
+	AttrNode              = "flaxshelf.node"     // node that runs the job, or that it is offered to
+	AttrArray             = "flaxshelf.array"    // ID of the array that the job belongs to
+	AttrIndex             = "flaxshelf.index"    // the job's index in its array
+	AttrRequestedAt       = "flaxshelf.asked"    // start of the last placement request, RFC 3339
+	AttrDue               = "flaxshelf.due"      // deadline of the last placement request, RFC 3339
+	AttrClass             = "flaxshelf.class"    // JobCategory of the template
+	AttrTenant            = "flaxshelf.tenant"   // AccountingID of the template
+	AttrRevision          = "flaxshelf.revision" // grows with each change of a job, within one incarnation of the scheduler
 )
 
-// JobTemplate is a job to be run, GFD.194 section 5.5. A zero value means unset. docs/drmaa.md tells which
-// attributes are supported; one that is not and is set gives ErrUnsupportedAttribute.
+// JobTemplate is a job to be run, GFD.194 section 5.5. A zero value means unset. docs/drmaa.md lists which attributes are
+// supported; a submission that sets another one is ErrUnsupportedAttribute.
 type JobTemplate struct {
 	RemoteCommand     string            `json:"remoteCommand,omitempty"`
 	Args              []string          `json:"args,omitempty"`
@@ -64,7 +68,7 @@
 	Rerunnable        bool              `json:"rerunnable,omitempty"`
 	JobEnvironment    map[string]string `json:"jobEnvironment,omitempty"`
 	WorkingDirectory  string            `json:"workingDirectory,omitempty"`
-	JobCategory       string            `json:"jobCategory,omitempty"` // the class
+	JobCategory       string            `json:"jobCategory,omitempty"` // class of the job
 	Email             []string          `json:"email,omitempty"`
 	EmailOnStarted    bool              `json:"emailOnStarted,omitempty"`
 	EmailOnTerminated bool              `json:"emailOnTerminated,omitempty"`
@@ -75,11 +79,11 @@
 	JoinFiles         bool              `json:"joinFiles,omitempty"`
 	ReservationID     string            `json:"reservationId,omitempty"`
 	QueueName         string            `json:"queueName,omitempty"`
-	MinSlots          int64             `json:"minSlots,omitempty"` // cores
+	MinSlots          int64             `json:"minSlots,omitempty"` // cores requested
 	MaxSlots          int64             `json:"maxSlots,omitempty"`
 	Priority          int64             `json:"priority,omitempty"`
 	CandidateMachines []string          `json:"candidateMachines,omitempty"`
-	MinPhysMemory     int64             `json:"minPhysMemory,omitempty"` // KiB
+	MinPhysMemory     int64             `json:"minPhysMemory,omitempty"` // memory requested in KiB
 	MachineOS         string            `json:"machineOS,omitempty"`
 	MachineArch       string            `json:"machineArch,omitempty"`
 	StartTime         *time.Time        `json:"startTime,omitempty"`
@@ -87,12 +91,12 @@
 	StageInFiles      map[string]string `json:"stageInFiles,omitempty"`
 	StageOutFiles     map[string]string `json:"stageOutFiles,omitempty"`
 	ResourceLimits    map[string]string `json:"resourceLimits,omitempty"`
-	AccountingID      string            `json:"accountingId,omitempty"` // the tenant
+	AccountingID      string            `json:"accountingId,omitempty"` // tenant
 
 	ImplementationSpecific map[string]string `json:"implementationSpecific,omitempty"`
 }
 
-// JobInfo is what is known of a job, GFD.194 section 5.4.
+// JobInfo is what the scheduler knows of a job at one time, GFD.194 section 5.4. Pointers are nil where a value is not known.
 type JobInfo struct {
 	JobID             string     `json:"jobId"`
 	JobName           string     `json:"jobName,omitempty"`
@@ -107,7 +111,7 @@
 	Slots             int64      `json:"slots,omitempty"`
 	QueueName         string     `json:"queueName,omitempty"`
 	WallclockTime     float64    `json:"wallclockTime,omitempty"` // seconds
-	CPUTime           *int64     `json:"cpuTime,omitempty"`       // seconds; unset: nodes don't tell
+	CPUTime           *int64     `json:"cpuTime,omitempty"`       // seconds; nil: nodes don't report it
 	SubmissionTime    time.Time  `json:"submissionTime"`
 	DispatchTime      *time.Time `json:"dispatchTime,omitempty"`
 	FinishTime        *time.Time `json:"finishTime,omitempty"`
@@ -121,7 +125,7 @@
 	Slots       int64  `json:"slots,omitempty"`
 }
 
-// MachineInfo is a node, GFD.194 section 5.8.
+// MachineInfo is a node as the scheduler sees it, GFD.194 section 5.8.
 type MachineInfo struct {
 	Name           string  `json:"name"`
 	Available      bool    `json:"available"`
@@ -137,11 +141,11 @@
 
 // Implementation-specific attributes of a MachineInfo.
 const (
-	AttrKind     = "flaxshelf.kind"
-	AttrZone     = "flaxshelf.zone"
-	AttrCell     = "flaxshelf.cell"
-	AttrStanding = "flaxshelf.standing" // in, draining or out, by the inventory's word
-	AttrJobs     = "flaxshelf.jobs"     // of this scheduler, there
+	AttrKind         = "flaxshelf.kind"     // name of the kind of machine
+	AttrZone         = "flaxshelf.zone"     // zone, the larger topology domain
+	AttrCell         = "flaxshelf.cell"     // number of the cell within the zone
+	AttrMachineState = "flaxshelf.standing" // in, draining or out, as the inventory lists it
+	AttrJobs         = "flaxshelf.jobs"     // number of this scheduler's jobs on the node
 )
 
 // QueueInfo is a queue, GFD.194 section 5.7.
@@ -155,7 +159,7 @@
 	Minor string `json:"minor"`
 }
 
-// Drms tells what answers, GFD.194 section 8.1.
+// Drms describes the scheduler and its capabilities, GFD.194 section 8.1.
 type Drms struct {
 	DrmsName     string   `json:"drmsName"`
 	DrmsVersion  Version  `json:"drmsVersion"`
@@ -168,83 +172,24 @@
 	Machine      string   `json:"machine"`
 }
 
-// ErrorCode names an exception of GFD.194 section 6.
-type ErrorCode string
-
-// The exceptions.
-const (
-	DeniedByDrms           ErrorCode = "DeniedByDrms"
-	DrmCommunication       ErrorCode = "DrmCommunication"
-	TryLater               ErrorCode = "TryLater"
-	TimeoutCode            ErrorCode = "Timeout"
-	Internal               ErrorCode = "Internal"
-	InvalidArgument        ErrorCode = "InvalidArgument"
-	InvalidSession         ErrorCode = "InvalidSession"
-	InvalidState           ErrorCode = "InvalidState"
-	OutOfResource          ErrorCode = "OutOfResource"
-	UnsupportedAttribute   ErrorCode = "UnsupportedAttribute"
-	UnsupportedOperation   ErrorCode = "UnsupportedOperation"
-	ImplementationSpecific ErrorCode = "ImplementationSpecific"
-)
-
-// Values for errors.Is.
-var (
-	ErrDeniedByDrms         = &Error{Code: DeniedByDrms}
-	ErrDrmCommunication     = &Error{Code: DrmCommunication}
-	ErrTryLater             = &Error{Code: TryLater}
-	ErrTimeout              = &Error{Code: TimeoutCode}
-	ErrInternal             = &Error{Code: Internal}
-	ErrInvalidArgument      = &Error{Code: InvalidArgument}
-	ErrInvalidSession       = &Error{Code: InvalidSession}
-	ErrInvalidState         = &Error{Code: InvalidState}
-	ErrOutOfResource        = &Error{Code: OutOfResource}
-	ErrUnsupportedAttribute = &Error{Code: UnsupportedAttribute}
-	ErrUnsupportedOperation = &Error{Code: UnsupportedOperation}
-)
-
-// Error is a call that was not carried out.
-type Error struct {
-	Code       ErrorCode     `json:"code"`
-	Message    string        `json:"message"`
-	Attribute  string        `json:"attribute,omitempty"` // of the template, where one is at fault
-	RetryAfter time.Duration `json:"-"`                   // with TryLater: when it is worth trying
-	Err        error         `json:"-"`                   // with DrmCommunication: what went wrong
-}
-
-func (e *Error) Error() string {
-	if e.Message == "" {
-		return "drmaa2: " + string(e.Code)
-	}
-	return fmt.Sprintf("drmaa2: %s: %s", e.Code, e.Message)
-}
-
-// Is matches errors of the same code.
-func (e *Error) Is(target error) bool {
-	t, ok := target.(*Error)
-	return ok && t.Code == e.Code
-}
-
-// Unwrap returns the cause of a DrmCommunication error.
-func (e *Error) Unwrap() error { return e.Err }
-
-// Submission is the body of a request to run a job or, with Bulk, an array.
+// Submission is the body of a request to run a job or, with Bulk, an array. It is part of the wire protocol.
 type Submission struct {
 	Template JobTemplate `json:"template"`
-	Again    bool        `json:"again,omitempty"` // the same was sent before and its answer not heard
+	Again    bool        `json:"again,omitempty"` // a retry: the same was sent before, without a known outcome
 	Bulk     *Bulk       `json:"bulk,omitempty"`
 }
 
-// Bulk is the range of an array, GFD.194 section 8.3.7.
+// Bulk is the range of indexes of an array, GFD.194 section 8.3.7.
 type Bulk struct {
 	BeginIndex  int `json:"beginIndex"`
 	EndIndex    int `json:"endIndex"`
 	Step        int `json:"step"`
-	MaxParallel int `json:"maxParallel,omitempty"`
+	MaxParallel int `json:"maxParallel,omitempty"` // jobs that may run at a time; 0: all
 }
 
-// Submitted answers a Submission, and is the shape of each list of jobs.
+// Submitted is the response to a Submission, and to each request that lists jobs. It is part of the wire protocol.
 type Submitted struct {
 	ArrayID  string    `json:"arrayId,omitempty"`
-	Existing bool      `json:"existing,omitempty"` // the key was known: these are the earlier jobs
+	Existing bool      `json:"existing,omitempty"` // the idempotency key was known: these are the earlier jobs
 	Jobs     []JobInfo `json:"jobs"`
 }
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -126,7 +126,7 @@
 
 func work(class string, life time.Duration, more ...string) drmaa2.JobTemplate {
 	t := drmaa2.JobTemplate{RemoteCommand: "x", JobCategory: class,
-		ImplementationSpecific: map[string]string{drmaa2.AttrLife: life.String()}}
+		ImplementationSpecific: map[string]string{drmaa2.AttrExpectedRuntime: life.String()}}
 	for i := 0; i+1 < len(more); i += 2 {
 		t.ImplementationSpecific[more[i]] = more[i+1]
 	}
--- a/internal/front/drmaafront/front.go
+++ b/internal/front/drmaafront/front.go
@@ -210,10 +210,10 @@
 		DrmaaName: "flaxshelf", DrmaaVersion: drmaa2.Version{Major: "2", Minor: "0"}, Machine: f.set.Name,
 		Capabilities: []string{"RT_ACCOUNTINGID", "RT_STARTTIME", "RT_DEADLINE", "BULK_JOBS_MAXPARALLEL"},
 		JobTemplate: []string{drmaa2.AttrService, drmaa2.AttrKey, drmaa2.AttrCores, drmaa2.AttrMemory,
-			drmaa2.AttrLife,
-			drmaa2.AttrGiveUp},
-		JobInfo: []string{drmaa2.AttrOutcome, drmaa2.AttrAsk, drmaa2.AttrAttempts, drmaa2.AttrNode, drmaa2.AttrArray,
-			drmaa2.AttrIndex, drmaa2.AttrAskedAt, drmaa2.AttrDue, drmaa2.AttrRevision, drmaa2.AttrClass, drmaa2.AttrTenant}}
+			drmaa2.AttrExpectedRuntime, drmaa2.AttrGiveUp},
+		JobInfo: []string{drmaa2.AttrOutcome, drmaa2.AttrPlacementRequests, drmaa2.AttrAttempts, drmaa2.AttrNode,
+			drmaa2.AttrArray, drmaa2.AttrIndex, drmaa2.AttrRequestedAt, drmaa2.AttrDue, drmaa2.AttrRevision,
+			drmaa2.AttrClass, drmaa2.AttrTenant}}
 	for _, c := range f.set.Classes {
 		d.Categories = append(d.Categories, c.Name)
 	}
@@ -479,7 +479,7 @@
 func (f *Front) machine(m *scheduler.MachineInfo) drmaa2.MachineInfo {
 	i := drmaa2.MachineInfo{Name: m.ID, Available: m.Connected && m.State == 0,
 		ImplementationSpecific: map[string]string{drmaa2.AttrZone: m.Zone, drmaa2.AttrCell: strconv.Itoa(m.Cell),
-			drmaa2.AttrStanding: standings[m.State], drmaa2.AttrJobs: strconv.Itoa(m.Jobs)}}
+			drmaa2.AttrMachineState: standings[m.State], drmaa2.AttrJobs: strconv.Itoa(m.Jobs)}}
 	if m.Kind >= 0 && m.Kind < len(f.set.Kinds) {
 		k := f.set.Kinds[m.Kind]
 		i.ImplementationSpecific[drmaa2.AttrKind] = k.Name
@@ -493,7 +493,7 @@
 	j := drmaa2.JobInfo{JobID: i.ID, JobName: s.Name, Annotation: i.Reason, JobState: drmaa2.JobState(i.State),
 		JobSubState: i.SubState, SubmissionMachine: f.set.Name, JobOwner: s.Owner, Slots: slots(s.Cores), QueueName: queue,
 		SubmissionTime: clock.Wall(i.SubmittedAt).UTC(), TerminatingSignal: i.Signal,
-		ImplementationSpecific: map[string]string{drmaa2.AttrAsk: strconv.Itoa(i.Request),
+		ImplementationSpecific: map[string]string{drmaa2.AttrPlacementRequests: strconv.Itoa(i.Request),
 			drmaa2.AttrAttempts: strconv.Itoa(i.Attempts), drmaa2.AttrRevision: strconv.FormatUint(i.Revision, 10)}}
 	own := j.ImplementationSpecific
 	set := func(name, value string) {
@@ -516,7 +516,7 @@
 		own[drmaa2.AttrIndex] = strconv.Itoa(i.Index)
 	}
 	if i.RequestedAt > 0 {
-		own[drmaa2.AttrAskedAt] = clock.Wall(i.RequestedAt).UTC().Format(time.RFC3339Nano)
+		own[drmaa2.AttrRequestedAt] = clock.Wall(i.RequestedAt).UTC().Format(time.RFC3339Nano)
 	}
 	if i.PlacementDeadline > 0 {
 		own[drmaa2.AttrDue] = clock.Wall(i.PlacementDeadline).UTC().Format(time.RFC3339Nano)
--- a/internal/front/drmaafront/template.go
+++ b/internal/front/drmaafront/template.go
@@ -205,7 +205,7 @@
 			s.Cores, err = amount(name, value, t.MinSlots > 0)
 		case drmaa2.AttrMemory:
 			s.Memory, err = amount(name, value, t.MinPhysMemory > 0)
-		case drmaa2.AttrLife:
+		case drmaa2.AttrExpectedRuntime:
 			s.ExpectedRuntime, err = duration(name, value)
 		case drmaa2.AttrGiveUp:
 			s.PlacementTimeout, err = duration(name, value)
--- a/internal/lab/load/send.go
+++ b/internal/lab/load/send.go
@@ -160,7 +160,7 @@
 		own[drmaa2.AttrService] = j.Service
 	}
 	if j.Life > 0 {
-		own[drmaa2.AttrLife] = j.Life.String()
+		own[drmaa2.AttrExpectedRuntime] = j.Life.String()
 	}
 	if j.Cores > 0 {
 		own[drmaa2.AttrCores] = fmt.Sprint(j.Cores)
--- a/internal/lab/rules/answer.go
+++ b/internal/lab/rules/answer.go
@@ -104,7 +104,7 @@
 		w.asks, w.rev = map[int]*ask{}, 0
 	}
 	rule := &c.v.Rules[OneAnswer]
-	n, _ := strconv.Atoi(i.ImplementationSpecific[drmaa2.AttrAsk])
+	n, _ := strconv.Atoi(i.ImplementationSpecific[drmaa2.AttrPlacementRequests])
 	a := w.asks[n]
 	if a == nil {
 		a = &ask{from: c.now}
--- a/internal/lab/rules/rules_test.go
+++ b/internal/lab/rules/rules_test.go
@@ -157,7 +157,7 @@
 }
 
 func (p *tape) told(rev int, state drmaa2.JobState, outcome string) *tape {
-	i := drmaa2.JobInfo{JobID: "j", JobState: state, ImplementationSpecific: map[string]string{drmaa2.AttrAsk: "1",
+	i := drmaa2.JobInfo{JobID: "j", JobState: state, ImplementationSpecific: map[string]string{drmaa2.AttrPlacementRequests: "1",
 		drmaa2.AttrRevision: fmt.Sprint(rev)}}
 	if outcome != "" {
 		i.ImplementationSpecific[drmaa2.AttrOutcome] = outcome
--- a/internal/lab/trial/bench_test.go
+++ b/internal/lab/trial/bench_test.go
@@ -148,7 +148,7 @@
 
 func benchTemplate(life string) drmaa2.JobTemplate {
 	return drmaa2.JobTemplate{RemoteCommand: "x", JobCategory: "service", ImplementationSpecific: map[string]string{
-		drmaa2.AttrLife: life}}
+		drmaa2.AttrExpectedRuntime: life}}
 }
 
 // BenchmarkPlacements saturates a scheduler with clients that submit one job after the other, each on a connection
--- a/internal/lab/trial/owner.go
+++ b/internal/lab/trial/owner.go
@@ -168,7 +168,7 @@
 	l := a.Load
 	t := drmaa2.JobTemplate{RemoteCommand: l.Class, JobCategory: l.Class, Rerunnable: l.Rerunnable,
 		AccountingID: l.Tenant,
-		ImplementationSpecific: map[string]string{drmaa2.AttrKey: a.Key, drmaa2.AttrLife: a.Life.String(),
+		ImplementationSpecific: map[string]string{drmaa2.AttrKey: a.Key, drmaa2.AttrExpectedRuntime: a.Life.String(),
 			drmaa2.AttrService: a.Service}}
 	if a.Cores > 0 {
 		t.ImplementationSpecific[drmaa2.AttrCores] = fmt.Sprint(a.Cores)
@@ -373,7 +373,7 @@
 	if s == nil {
 		return
 	}
-	at := i.JobID + "#" + own[drmaa2.AttrAsk]
+	at := i.JobID + "#" + own[drmaa2.AttrPlacementRequests]
 	if old := s.outcomes[at]; old != "" && old != outcome {
 		o.t.Doubles++
 	}
