--- /dev/null
+++ b/internal/replay/check.go
@@ -0,0 +1,68 @@
+package replay
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"reflect"
+
+	"flaxshelf.example/flaxshelf"
+)
+
+// Result counts what a check has compared.
+type Result struct{ Steps, Events, Actions int }
+
+// Module is what a recording is played to.
+type Module interface {
+	Step(now flaxshelf.Time, events []flaxshelf.Event) []flaxshelf.Action
+}
+
+// Check plays a recording to a new module and compares its actions with the recorded ones. A recording that was cut off is
+// checked up to its last complete step. The error is a DivergenceError for the first step that differs, a FormatError for
+// a file that is no recording, or an error of making the module.
+func Check(recording io.Reader) (Result, error) {
+	return CheckWith(recording, func(config flaxshelf.Config, seed uint64) (Module, error) {
+		return flaxshelf.New(config, seed)
+	})
+}
+
+// CheckWith is Check of a module that the caller makes of the recorded configuration and seed.
+func CheckWith(recording io.Reader, newModule func(flaxshelf.Config, uint64) (Module, error)) (Result, error) {
+	var result Result
+	in, err := newReader(recording)
+	if err != nil {
+		return result, err
+	}
+	module, err := newModule(in.config, in.seed)
+	if err != nil {
+		return result, fmt.Errorf("replay: %w", err)
+	}
+	for {
+		s, err := in.next()
+		if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
+			return result, nil
+		}
+		if err != nil {
+			return result, err
+		}
+		result.Steps++
+		result.Events += len(s.events)
+		result.Actions += len(s.actions)
+		if err := compareActions(result.Steps, module.Step(s.now, s.events), s.actions); err != nil {
+			return result, err
+		}
+	}
+}
+
+// compareActions returns a DivergenceError where a module's actions differ from those that were recorded.
+func compareActions(step int, actions, recorded []flaxshelf.Action) error {
+	if len(actions) != len(recorded) {
+		return &DivergenceError{Step: step, Action: allActionsDiffer, Actions: actions, Recorded: recorded}
+	}
+	for i := range actions {
+		if !reflect.DeepEqual(actions[i], recorded[i]) {
+			return &DivergenceError{Step: step, Action: i, Actions: actions, Recorded: recorded}
+		}
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/replay/cluster_test.go
@@ -0,0 +1,217 @@
+package replay
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"time"
+
+	"flaxshelf.example/flaxshelf"
+)
+
+// The simulated cluster of the stored decisions.
+const (
+	decisionSteps    = 400
+	decisionStep     = 20 * time.Millisecond
+	decisionSeed     = 7
+	machineCount     = 12
+	drainedMachine   = 3
+	drainStep        = 120
+	removeStep       = 200
+	degradedFromStep = 150
+	degradedSteps    = 150
+	maxTasksPerStep  = 2
+)
+
+// cluster responds to a module's actions at random, from a fixed seed.
+type cluster struct {
+	rng       *rand.Rand
+	now       flaxshelf.Time
+	machines  []flaxshelf.Machine
+	scheduled []scheduledEvent
+	attempts  map[string][]attempt // by task ID
+	tasks     int
+}
+
+type scheduledEvent struct {
+	at    flaxshelf.Time
+	event flaxshelf.Event
+}
+
+type attempt struct {
+	machine string
+	ended   bool
+	placed  bool
+}
+
+func newCluster() *cluster {
+	c := &cluster{rng: rand.New(rand.NewPCG(decisionSeed, 1)), attempts: map[string][]attempt{}}
+	for i := range machineCount {
+		c.machines = append(c.machines, flaxshelf.Machine{ID: fmt.Sprintf("m%d", i), Kind: i % 2,
+			Zone: string("abc"[i%3:][:1]), Cell: i / 3, FreeCores: 8, FreeMemory: 32})
+	}
+	return c
+}
+
+func (c *cluster) schedule(wait time.Duration, e flaxshelf.Event) {
+	c.scheduled = append(c.scheduled, scheduledEvent{c.now + wait, e})
+}
+
+func (c *cluster) duration(from, to time.Duration) time.Duration {
+	return from + time.Duration(c.rng.Int64N(int64(to-from)))
+}
+
+func (c *cluster) newTask() flaxshelf.Task {
+	c.tasks++
+	return flaxshelf.Task{ID: fmt.Sprintf("t%d", c.tasks), Key: fmt.Sprintf("k%d", c.tasks),
+		Service: fmt.Sprintf("s%d", c.rng.IntN(5)), Class: c.rng.IntN(3), Tenant: c.rng.IntN(3) - 1,
+		Cores: 0.5 + c.rng.Float64(), Memory: 0.5 + c.rng.Float64(), ExpectedRuntime: c.duration(time.Second, 4*time.Second),
+		Deadline: c.now + c.duration(500*time.Millisecond, 3*time.Second), Retry: c.rng.IntN(20) == 0}
+}
+
+// eventsOf returns the events of one step: external ones, and then those that are due, in their order.
+func (c *cluster) eventsOf(step int) []flaxshelf.Event {
+	events := c.externalEvents(step)
+	var later []scheduledEvent
+	for _, d := range c.scheduled {
+		if d.at > c.now {
+			later = append(later, d)
+			continue
+		}
+		if c.apply(d.event) {
+			events = append(events, d.event)
+		}
+	}
+	c.scheduled = later
+	return events
+}
+
+// apply tells whether an event's attempt is still open, and marks it as placed or ended.
+func (c *cluster) apply(e flaxshelf.Event) bool {
+	switch e := e.(type) {
+	case flaxshelf.AttemptPlaced:
+		a := &c.attempts[e.Task][e.Attempt]
+		a.placed = !a.ended
+		return a.placed
+	case flaxshelf.AttemptEnded:
+		a := &c.attempts[e.Task][e.Attempt]
+		if a.ended {
+			return false
+		}
+		a.ended = true
+	}
+	return true
+}
+
+func (c *cluster) externalEvents(step int) []flaxshelf.Event {
+	var events []flaxshelf.Event
+	switch step {
+	case 0:
+		events = append(events, flaxshelf.MachinesUpdated{Complete: true, Stale: true, Machines: c.machines[:machineCount-1]})
+	case 1:
+		events = append(events, flaxshelf.DiscoveryFailed{})
+	case 2:
+		task := c.newTask()
+		c.attempts[task.ID] = []attempt{{machine: "m1", placed: true}}
+		events = append(events, flaxshelf.TaskAdopted{Task: task, Machine: "m1"}, flaxshelf.HealthChecked{Machine: "m2",
+			Outcome: flaxshelf.Completed, Load: c.loadReport()}, flaxshelf.GossipReceived{From: 1, Data: []byte("from the other one")})
+	case 5:
+		events = append(events, flaxshelf.MachinesUpdated{Complete: true, Machines: c.machines})
+	case drainStep:
+		events = append(events, c.machineChanged(flaxshelf.Draining))
+	case removeStep:
+		events = append(events, c.machineChanged(flaxshelf.Removed), flaxshelf.DiscoveryFailed{})
+	}
+	for range c.rng.IntN(maxTasksPerStep + 1) {
+		if step > 0 {
+			events = append(events, flaxshelf.TaskSubmitted{Task: c.newTask()})
+		}
+	}
+	if c.rng.IntN(50) == 0 && c.tasks > 0 {
+		events = append(events, flaxshelf.TaskCanceled{Task: fmt.Sprintf("t%d", c.tasks)})
+	}
+	return append(events, c.usageReports(step)...)
+}
+
+func (c *cluster) machineChanged(state flaxshelf.MachineState) flaxshelf.MachinesUpdated {
+	m := c.machines[drainedMachine]
+	m.State = state
+	return flaxshelf.MachinesUpdated{Machines: []flaxshelf.Machine{m}}
+}
+
+// usageReports reports, for some steps, that one machine serves its tasks badly.
+func (c *cluster) usageReports(step int) []flaxshelf.Event {
+	if step < degradedFromStep || step >= degradedFromStep+degradedSteps || step%5 != 0 {
+		return nil
+	}
+	var events []flaxshelf.Event
+	for i := 1; i <= c.tasks; i++ {
+		id := fmt.Sprintf("t%d", i)
+		for n, a := range c.attempts[id] {
+			if !a.placed || a.ended {
+				continue
+			}
+			served := 1.0
+			if a.machine == "m1" {
+				served = 0.1
+			}
+			events = append(events, flaxshelf.UsageReport{Task: id, Machine: a.machine, Attempt: n, Kind: flaxshelf.ServiceLevel,
+				Amount: served})
+		}
+	}
+	return events
+}
+
+func (c *cluster) loadReport() flaxshelf.LoadReport {
+	return flaxshelf.LoadReport{Present: true, FreeCores: 1 + c.rng.Float64(), FreeMemory: 5 + c.rng.Float64(), HasCores: true,
+		HasMemory: true}
+}
+
+// execute schedules the responses to a module's actions.
+func (c *cluster) execute(actions []flaxshelf.Action) {
+	for _, a := range actions {
+		switch a := a.(type) {
+		case flaxshelf.Offer:
+			c.answerOffer(a)
+		case flaxshelf.Cancel:
+			c.schedule(0, flaxshelf.AttemptEnded{Task: a.Task, Machine: c.attempts[a.Task][a.Attempt].machine, Attempt: a.Attempt,
+				Outcome: flaxshelf.Canceled, Final: true})
+		case flaxshelf.Migrate:
+			last := len(c.attempts[a.Task]) - 1
+			c.schedule(decisionStep, flaxshelf.AttemptEnded{Task: a.Task, Machine: c.attempts[a.Task][last].machine, Attempt: last,
+				Outcome: flaxshelf.Lost, Reason: flaxshelf.DrainedAway, Final: true, Load: c.loadReport()})
+		case flaxshelf.Subscribe:
+			c.schedule(decisionStep, flaxshelf.MachinesUpdated{Complete: true, Machines: c.machines})
+		case flaxshelf.SetTimer:
+			c.schedule(a.After, flaxshelf.TimerFired{})
+		}
+	}
+}
+
+func (c *cluster) answerOffer(o flaxshelf.Offer) {
+	n := len(c.attempts[o.Task])
+	c.attempts[o.Task] = append(c.attempts[o.Task], attempt{machine: o.Machine})
+	lag := c.duration(time.Millisecond, 40*time.Millisecond)
+	ended := flaxshelf.AttemptEnded{Task: o.Task, Machine: o.Machine, Attempt: n, Latency: lag, Load: c.loadReport()}
+	switch chance := c.rng.IntN(100); {
+	case chance < 10:
+		ended.Outcome, ended.Reason = flaxshelf.Rejected, flaxshelf.InsufficientCores
+	case chance < 13:
+		ended.Outcome = flaxshelf.Failed
+	case chance < 16:
+		ended.Outcome, ended.Load = flaxshelf.Unreachable, flaxshelf.LoadReport{}
+	case chance < 18:
+		ended.Outcome = flaxshelf.NotSent
+	case chance < 25:
+		lag, ended.Outcome, ended.Load = o.Timeout, flaxshelf.TimedOut, flaxshelf.LoadReport{}
+	case chance < 29:
+		return // no response comes
+	default:
+		c.schedule(lag, flaxshelf.AttemptPlaced{Task: o.Task, Machine: o.Machine, Attempt: n, Latency: lag})
+		lag += c.duration(500*time.Millisecond, 4*time.Second)
+		ended.Final = true
+		if c.rng.IntN(20) == 0 {
+			ended.Outcome, ended.Reason = flaxshelf.Lost, flaxshelf.Evicted
+		}
+	}
+	c.schedule(lag, ended)
+}
--- a/internal/replay/errors.go
+++ b/internal/replay/errors.go
@@ -1,34 +1,60 @@
 package replay
 
-import "fmt"
+import (
+	"fmt"
 
-// FormatError tells that a file is no recording that this build reads: another kind of file, a recording of another
+	"flaxshelf.example/flaxshelf"
+)
+
+// FormatError is a file that is no recording that this build reads: another kind of file, a recording of another
 // version or with types that this build does not know, or a damaged one.
 type FormatError struct {
-	What    string // what was read
-	Version int    // of the recording; 0: not known
-	Err     error  // why it can't be read; nil: for its version alone
+	Part    string // part of the recording that can't be read: "the header" or "step 3"
+	Version int    // version of the recording; 0: not known
+	Err     error  // reason; nil: the version alone
 }
 
+// Error is the part, the reason and what to do.
 func (e *FormatError) Error() string {
 	if e.Err == nil {
 		return fmt.Sprintf("replay: read %s: the recording has version %d, this build reads version %d: "+
-			"replay it with the build that wrote it", e.What, e.Version, Version)
+			"replay it with the build that wrote it", e.Part, e.Version, Version)
 	}
 	if e.Version == 0 {
 		return fmt.Sprintf("replay: read %s: not a module recording, or a damaged one (this build reads version %d): "+
-			"name a file that a scheduler's setting tap wrote: %v", e.What, Version, e.Err)
+			"name a file that a scheduler's setting tap wrote: %v", e.Part, Version, e.Err)
 	}
 	return fmt.Sprintf("replay: read %s: damaged, or of a newer build (the recording has version %d, which this build "+
-		"reads): replay it with the build that wrote it: %v", e.What, e.Version, e.Err)
+		"reads): replay it with the build that wrote it: %v", e.Part, e.Version, e.Err)
 }
 
 // Unwrap is the reason.
 func (e *FormatError) Unwrap() error { return e.Err }
 
-// UnknownTypeError tells that a module was given or has answered a value that recordings have no form for.
+// UnknownTypeError is an event or action of a type that the format has no record for.
 type UnknownTypeError struct{ Value any }
 
+// Error names the type.
 func (e *UnknownTypeError) Error() string {
 	return fmt.Sprintf("version %d of recordings has no form for values of type %T", Version, e.Value)
 }
+
+// DivergenceError is a step in which a module's actions differ from those that were recorded.
+type DivergenceError struct {
+	Step     int                // from 1
+	Action   int                // index of the first action that differs; -1: their numbers differ
+	Actions  []flaxshelf.Action // of the module
+	Recorded []flaxshelf.Action // of the recording
+}
+
+// allActionsDiffer is the Action of a step with another number of actions.
+const allActionsDiffer = -1
+
+// Error names the step and the first action that differs.
+func (e *DivergenceError) Error() string {
+	if e.Action == allActionsDiffer {
+		return fmt.Sprintf("replay: step %d: %d actions, recorded were %d", e.Step, len(e.Actions), len(e.Recorded))
+	}
+	return fmt.Sprintf("replay: step %d: action %d is %#v, recorded was %#v", e.Step, e.Action, e.Actions[e.Action],
+		e.Recorded[e.Action])
+}
--- a/internal/replay/reader.go
+++ b/internal/replay/reader.go
@@ -11,75 +11,76 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-// step is what a module was given at one time, and its answer.
+// step is the inputs of a module at one time, and its outputs.
 type step struct {
 	now     flaxshelf.Time
 	events  []flaxshelf.Event
 	actions []flaxshelf.Action
 }
 
-// reader reads a recording.
+// reader reads a recording step by step.
 type reader struct {
-	dec    *gob.Decoder
-	config flaxshelf.Config
-	seed   uint64
-	steps  int // read
+	decoder *gob.Decoder
+	config  flaxshelf.Config
+	seed    uint64
+	steps   int // steps that were read
 }
 
 // newReader reads the header. The version is read by itself first, since another version may have another header.
-func newReader(r io.Reader) (*reader, error) {
-	const what = "the header"
-	var seen bytes.Buffer
+func newReader(in io.Reader) (*reader, error) {
+	const part = "the header"
+	var start bytes.Buffer
 	var version struct{ Version int }
-	if err := gob.NewDecoder(io.TeeReader(r, &seen)).Decode(&version); err != nil {
-		return nil, &FormatError{What: what, Err: err}
+	if err := gob.NewDecoder(io.TeeReader(in, &start)).Decode(&version); err != nil {
+		return nil, &FormatError{Part: part, Err: err}
 	}
 	if version.Version != Version {
-		return nil, &FormatError{What: what, Version: version.Version}
+		return nil, &FormatError{Part: part, Version: version.Version}
 	}
-	x := &reader{dec: gob.NewDecoder(bufio.NewReader(io.MultiReader(&seen, r)))}
-	var h headerRecord
-	if err := x.dec.Decode(&h); err != nil {
-		return nil, &FormatError{What: what, Version: version.Version, Err: err}
+	decoder := gob.NewDecoder(bufio.NewReader(io.MultiReader(&start, in)))
+	var header headerRecord
+	if err := decoder.Decode(&header); err != nil {
+		return nil, &FormatError{Part: part, Version: version.Version, Err: err}
 	}
-	x.config, x.seed = h.Config.config(), h.Seed
-	return x, nil
+	return &reader{decoder: decoder, config: header.Config.config(), seed: header.Seed}, nil
 }
 
-// next reads the next step. The error is a FormatError, of io.EOF at the end.
-func (x *reader) next() (step, error) {
-	x.steps++
+// next reads the next step. The error is a FormatError, which wraps io.EOF at the end.
+func (r *reader) next() (step, error) {
+	r.steps++
 	var record stepRecord
-	err := x.dec.Decode(&record)
+	err := r.decoder.Decode(&record)
 	if err == nil {
 		var s step
 		if s, err = record.step(); err == nil {
 			return s, nil
 		}
 	}
-	return step{}, &FormatError{What: fmt.Sprintf("step %d", x.steps), Version: Version, Err: err}
+	return step{}, &FormatError{Part: fmt.Sprintf("step %d", r.steps), Version: Version, Err: err}
 }
 
-// errNoType is an event or action that a damaged recording leaves out.
-var errNoType = errors.New("an event or action has no type")
+// errMissingType is an event or action of a damaged recording that has no value.
+var errMissingType = errors.New("an event or action has no type")
 
+// step is the step of the record.
 func (r *stepRecord) step() (step, error) {
 	s := step{now: r.Now}
 	for _, e := range r.Events {
 		if e == nil {
-			return step{}, errNoType
+			return step{}, errMissingType
 		}
 		s.events = append(s.events, e.event())
 	}
 	for _, a := range r.Actions {
 		if a == nil {
-			return step{}, errNoType
+			return step{}, errMissingType
 		}
 		s.actions = append(s.actions, a.action())
 	}
 	return s, nil
 }
 
+// stepRecordOf is the record of a step; UnknownTypeError for a type that the format does not have.
 func stepRecordOf(now flaxshelf.Time, events []flaxshelf.Event, actions []flaxshelf.Action) (stepRecord, error) {
 	r := stepRecord{Now: now}
 	for _, event := range events {
--- a/internal/replay/record.go
+++ b/internal/replay/record.go
@@ -7,9 +7,10 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-// The types of this file are what a recording of Version 1 holds. Gob finds the fields of a struct by their names, and
+// The types of this file are the format of recordings, Version 1. Gob finds the fields of a struct by their names, and
 // the type of an event or action by the name under which it is registered: none of these names may change, whatever
-// the types and fields of package flaxshelf are called. Enumerations are stored as their numbers.
+// the types and fields of package flaxshelf are called. Enumerations are stored as their numbers. The names of the types
+// themselves are written into recordings too, though no build reads them.
 //
 // A new field of package flaxshelf needs a field here; earlier builds pass over it. A field that changes its meaning
 // needs a new Version.
--- a/internal/replay/record_test.go
+++ b/internal/replay/record_test.go
@@ -176,41 +176,41 @@
 // Enumerations are stored as their numbers, which therefore stay as they are.
 func TestStoredNumbers(t *testing.T) {
 	for _, c := range []struct {
-		what    string
+		name    string
 		numbers []int
 	}{
-		{"Effect", []int{int(flaxshelf.Idempotent), int(flaxshelf.IdempotentByKey), int(flaxshelf.NonIdempotent)}},
-		{"Extent", []int{int(flaxshelf.NoDomain), int(flaxshelf.MachineDomain), int(flaxshelf.CellDomain), int(flaxshelf.ZoneDomain),
+		{"Idempotency", []int{int(flaxshelf.Idempotent), int(flaxshelf.IdempotentByKey), int(flaxshelf.NonIdempotent)}},
+		{"TopologyDomain", []int{int(flaxshelf.NoDomain), int(flaxshelf.MachineDomain), int(flaxshelf.CellDomain), int(flaxshelf.ZoneDomain),
 			int(flaxshelf.FleetDomain)}},
-		{"State", []int{int(flaxshelf.Active), int(flaxshelf.Draining), int(flaxshelf.Removed)}},
-		{"Verdict", []int{int(flaxshelf.Completed), int(flaxshelf.Failed), int(flaxshelf.Rejected), int(flaxshelf.TimedOut),
+		{"MachineState", []int{int(flaxshelf.Active), int(flaxshelf.Draining), int(flaxshelf.Removed)}},
+		{"Outcome", []int{int(flaxshelf.Completed), int(flaxshelf.Failed), int(flaxshelf.Rejected), int(flaxshelf.TimedOut),
 			int(flaxshelf.Unreachable), int(flaxshelf.Lost), int(flaxshelf.Canceled), int(flaxshelf.NotSent)}},
 		{"Reason", []int{int(flaxshelf.UnspecifiedReason), int(flaxshelf.InsufficientCores), int(flaxshelf.InsufficientMemory), int(flaxshelf.QueueFull),
 			int(flaxshelf.UnsupportedTask), int(flaxshelf.Evicted), int(flaxshelf.Preempted), int(flaxshelf.DrainedAway)}},
-		{"NoteKind from 1", []int{int(flaxshelf.TaskRunning) - 1, int(flaxshelf.CoresUsed) - 1, int(flaxshelf.MemoryUsed) - 1,
+		{"UsageKind from 1", []int{int(flaxshelf.TaskRunning) - 1, int(flaxshelf.CoresUsed) - 1, int(flaxshelf.MemoryUsed) - 1,
 			int(flaxshelf.ServiceLevel) - 1, int(flaxshelf.MemoryPressure) - 1}},
 	} {
 		for want, got := range c.numbers {
 			if got != want {
-				t.Errorf("%s: %v, stored are 0, 1, 2 and so on", c.what, c.numbers)
+				t.Errorf("%s: %v, stored are 0, 1, 2 and so on", c.name, c.numbers)
 				break
 			}
 		}
 	}
 }
 
-// A recording of an earlier build that is written again has the same content.
-func TestStoredRecordingsAreWrittenAgain(t *testing.T) {
+// A recording of an earlier build that is rewritten has the same content.
+func TestStoredRecordingsAreRewrittenUnchanged(t *testing.T) {
 	for _, path := range []string{allTypesFile, decisionsFile} {
 		stored, steps := readAll(t, readStored(t, path))
-		again := writeAll(t, stored.config, stored.seed, steps)
-		read, stepsAgain := readAll(t, again)
+		rewritten := writeAll(t, stored.config, stored.seed, steps)
+		read, stepsRead := readAll(t, rewritten)
 		if !reflect.DeepEqual(read.config, stored.config) || read.seed != stored.seed ||
-			!reflect.DeepEqual(stepsAgain, steps) {
-			t.Errorf("%s: written again it has another content", path)
+			!reflect.DeepEqual(stepsRead, steps) {
+			t.Errorf("%s: rewritten it has another content", path)
 		}
 		if path == allTypesFile {
-			checkAllTypes(t, again)
+			checkAllTypes(t, rewritten)
 		}
 	}
 }
@@ -219,16 +219,16 @@
 func encode(t *testing.T, values ...any) []byte {
 	t.Helper()
 	var b bytes.Buffer
-	enc := gob.NewEncoder(&b)
+	encoder := gob.NewEncoder(&b)
 	for _, v := range values {
-		if err := enc.Encode(v); err != nil {
+		if err := encoder.Encode(v); err != nil {
 			t.Fatal(err)
 		}
 	}
 	return b.Bytes()
 }
 
-// What is no recording of this version is told with what was read, its version and what to do.
+// A file that is no recording of this version gives a FormatError with the part, its version and what to do.
 func TestFormatError(t *testing.T) {
 	header := headerRecord{Version: Version}
 	stored := readStored(t, allTypesFile)
@@ -240,7 +240,7 @@
 		name      string
 		recording []byte
 		version   int
-		says      []string
+		want      []string
 	}{
 		{"empty", nil, 0, []string{"the header", "EOF", "not a module recording"}},
 		{"another file", []byte("nonsense"), 0, []string{"the header", "not a module recording", "setting tap"}},
@@ -263,18 +263,18 @@
 		{"another step", encode(t, header, stepRecord{}, struct{ Now string }{"x"}), Version, []string{"step 2"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			module := func(flaxshelf.Config, uint64) (Module, error) { return silent{}, nil }
+			module := func(flaxshelf.Config, uint64) (Module, error) { return idleModule{}, nil }
 			_, err := CheckWith(bytes.NewReader(c.recording), module)
-			var wrong *FormatError
-			if !errors.As(err, &wrong) {
+			var formatError *FormatError
+			if !errors.As(err, &formatError) {
 				t.Fatalf("%v is not a FormatError", err)
 			}
-			if wrong.Version != c.version {
-				t.Errorf("version %d, want %d", wrong.Version, c.version)
+			if formatError.Version != c.version {
+				t.Errorf("version %d, want %d", formatError.Version, c.version)
 			}
-			for _, says := range c.says {
-				if !strings.Contains(err.Error(), says) {
-					t.Errorf("%q does not say %q", err, says)
+			for _, want := range c.want {
+				if !strings.Contains(err.Error(), want) {
+					t.Errorf("%q does not contain %q", err, want)
 				}
 			}
 		})
@@ -284,10 +284,10 @@
 	}
 }
 
-// silent is a module that never acts.
-type silent struct{}
+// idleModule is a module that takes no action.
+type idleModule struct{}
 
-func (silent) Step(flaxshelf.Time, []flaxshelf.Event) []flaxshelf.Action { return nil }
+func (idleModule) Step(flaxshelf.Time, []flaxshelf.Event) []flaxshelf.Action { return nil }
 
 // A value that has no stored form ends the recording with an error that names its type.
 func TestUnknownTypeError(t *testing.T) {
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"strings"
 	"testing"
 	"time"
@@ -9,7 +10,8 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-func record(t testing.TB, change func(actions []flaxshelf.Action) []flaxshelf.Action) []byte {
+// recordSteps is a recording of a module over 20 steps; change, if there is one, changes the recorded actions of step 11.
+func recordSteps(t testing.TB, change func(actions []flaxshelf.Action) []flaxshelf.Action) []byte {
 	cfg := flaxshelf.Config{Kinds: []flaxshelf.Kind{{Name: "k", Cores: 8, Memory: 8}},
 		Classes: []flaxshelf.Class{{Name: "c", LatencyObjective: time.Second, Kind: -1}}}
 	p, err := flaxshelf.New(cfg, 3)
@@ -43,7 +45,7 @@
 
 // A recording of the module's own steps is confirmed; one in which the program decided something is not.
 func TestCheck(t *testing.T) {
-	good := record(t, nil)
+	good := recordSteps(t, nil)
 	res, err := Check(bytes.NewReader(good))
 	if err != nil || res.Steps != 20 || res.Actions == 0 {
 		t.Errorf("%+v, %v", res, err)
@@ -51,30 +53,43 @@
 	if res, err := Check(bytes.NewReader(good[:len(good)-5])); err != nil || res.Steps != 19 {
 		t.Errorf("cut off: %+v, %v", res, err)
 	}
-	for name, change := range map[string]func(a []flaxshelf.Action) []flaxshelf.Action{
-		"another machine": func(a []flaxshelf.Action) []flaxshelf.Action {
-			for i := range a {
-				if o, ok := a[i].(flaxshelf.Offer); ok {
-					o.Machine += "x"
-					a[i] = o
+	for _, c := range []struct {
+		name   string
+		change func(actions []flaxshelf.Action) []flaxshelf.Action
+		action int // that differs
+	}{
+		{"another machine", func(actions []flaxshelf.Action) []flaxshelf.Action {
+			for i := range actions {
+				if offer, ok := actions[i].(flaxshelf.Offer); ok {
+					offer.Machine += "x"
+					actions[i] = offer
 				}
 			}
-			return a
-		},
-		"one more": func(a []flaxshelf.Action) []flaxshelf.Action { return append(a, flaxshelf.Reject{Task: "z"}) },
+			return actions
+		}, 1},
+		{"one more", func(actions []flaxshelf.Action) []flaxshelf.Action {
+			return append(actions, flaxshelf.Reject{Task: "z"})
+		}, -1},
 	} {
-		if _, err := Check(bytes.NewReader(record(t, change))); err == nil || !strings.Contains(err.Error(), "step 11") {
-			t.Errorf("%s: %v", name, err)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			_, err := Check(bytes.NewReader(recordSteps(t, c.change)))
+			var divergence *DivergenceError
+			if !errors.As(err, &divergence) {
+				t.Fatalf("%v is not a DivergenceError", err)
+			}
+			if divergence.Step != 11 || divergence.Action != c.action || !strings.Contains(err.Error(), "step 11") {
+				t.Errorf("%v: step %d, action %d", err, divergence.Step, divergence.Action)
+			}
+		})
 	}
 	if _, err := Check(strings.NewReader("nonsense")); err == nil {
 		t.Error("nonsense was read")
 	}
 }
 
-// Whatever comes, Check does not panic.
+// Check does not panic, whatever it reads.
 func FuzzCheck(f *testing.F) {
-	f.Add(record(f, nil))
+	f.Add(recordSteps(f, nil))
 	f.Add([]byte{})
 	f.Fuzz(func(_ *testing.T, in []byte) {
 		if len(in) < 1<<14 {
--- /dev/null
+++ b/internal/replay/writer.go
@@ -0,0 +1,74 @@
+package replay
+
+import (
+	"bufio"
+	"encoding/gob"
+	"errors"
+	"fmt"
+	"io"
+	"os"
+
+	"flaxshelf.example/flaxshelf"
+)
+
+// Version is the version of the format that this build writes and reads.
+const Version = 1
+
+// Writer writes a recording. The goroutine that steps the module owns it; it may not be used by two goroutines at a time.
+type Writer struct {
+	encoder   *gob.Encoder
+	buffer    *bufio.Writer
+	closer    io.Closer // of the file that Create made; nil for a writer of the caller's
+	stepError error     // first error of a step, after which nothing is recorded
+}
+
+// NewWriter starts a recording of a module with the given configuration and seed. The caller owns out, and closes it
+// after the Writer.
+func NewWriter(out io.Writer, config flaxshelf.Config, seed uint64) (*Writer, error) {
+	buffer := bufio.NewWriter(out)
+	w := &Writer{encoder: gob.NewEncoder(buffer), buffer: buffer}
+	header := headerRecord{Version: Version, Config: configRecordOf(config), Seed: seed}
+	if err := w.encoder.Encode(header); err != nil {
+		return nil, fmt.Errorf("replay: write the header: %w", err)
+	}
+	return w, nil
+}
+
+// Create starts a recording in a file, which it creates or empties. Close closes the file.
+func Create(path string, config flaxshelf.Config, seed uint64) (*Writer, error) {
+	f, err := os.Create(path)
+	if err != nil {
+		return nil, fmt.Errorf("replay: %w", err)
+	}
+	w, err := NewWriter(f, config, seed)
+	if err != nil {
+		return nil, errors.Join(err, f.Close())
+	}
+	w.closer = f
+	return w, nil
+}
+
+// Step records one step. It returns no error, so that a module runs on when its recording can't be written: the first
+// error ends the recording, and Close returns it.
+func (w *Writer) Step(now flaxshelf.Time, events []flaxshelf.Event, actions []flaxshelf.Action) {
+	if w.stepError != nil {
+		return
+	}
+	record, err := stepRecordOf(now, events, actions)
+	if err == nil {
+		err = w.encoder.Encode(record)
+	}
+	w.stepError = err
+}
+
+// Close ends the recording, and returns the first error of a step and those of writing and closing the file.
+func (w *Writer) Close() error {
+	err := errors.Join(w.stepError, w.buffer.Flush())
+	if w.closer != nil {
+		err = errors.Join(err, w.closer.Close())
+	}
+	if err != nil {
+		return fmt.Errorf("replay: %w", err)
+	}
+	return nil
+}
