--- a/cmd/flaxshelf/plan.go
+++ b/cmd/flaxshelf/plan.go
@@ -49,9 +49,9 @@
 	}
 	limits := planner.Limits(fleet, load)
 	printLimits(std, fleet, load, limits)
-	c.printNeeds(std, fleet, load)
+	c.printRequiredNodes(std, fleet, load)
 	printLosses(std, fleet, load)
-	std.out.printf("\nreplacing a tenth at once: %s\n", fleet.Replace((fleet.Nodes()+9)/10).Why)
+	std.out.printf("\nreplacing a tenth at once: %s\n", fleet.ReplacementCost((fleet.Nodes()+9)/10).Reason)
 	if !c.Emulate {
 		return nil
 	}
@@ -77,18 +77,18 @@
 	for _, class := range load {
 		std.out.printf("  of %s: %v\n", class.Name, byClass[class.Name])
 	}
-	std.out.printf("\nall limits:\n%s\n", planner.Table(limits))
+	std.out.printf("\nall limits:\n%s\n", planner.FormatLimits(limits))
 }
 
-// printNeeds prints how many more nodes of each kind the goal needs.
-func (c *planCmd) printNeeds(std *streams, fleet *planner.Fleet, load []planner.Class) {
+// printRequiredNodes prints how many more nodes of each kind the goal needs.
+func (c *planCmd) printRequiredNodes(std *streams, fleet *planner.Fleet, load []planner.Class) {
 	std.out.printf("for %.3g times the load:\n", c.Goal)
-	for _, need := range planner.NodesFor(fleet, load, c.Goal) {
-		if need.Nodes < 0 {
-			std.out.printf("  no number of nodes of kind %s does it: %s\n", need.Kind, need.Why)
+	for _, required := range planner.RequiredNodes(fleet, load, c.Goal) {
+		if required.Nodes == planner.NoNumberOfNodes {
+			std.out.printf("  no number of nodes of kind %s does it: %s\n", required.Kind, required.Reason)
 			continue
 		}
-		std.out.printf("  %d more nodes of kind %s; %s\n", need.Nodes, need.Kind, need.Why)
+		std.out.printf("  %d more nodes of kind %s; %s\n", required.Nodes, required.Kind, required.Reason)
 	}
 }
 
@@ -96,7 +96,7 @@
 func printLosses(std *streams, fleet *planner.Fleet, load []planner.Class) {
 	std.out.println("\nwhat losing a part leaves:")
 	for _, part := range fleetParts(fleet) {
-		rest := fleet.Lose(part.zone, part.cell, part.kind)
+		rest := fleet.Without(part.zone, part.cell, part.kind)
 		if rest.Nodes() == 0 {
 			std.out.printf("  %s: nothing\n", part.name)
 			continue
@@ -106,25 +106,28 @@
 	}
 }
 
-// emulate looks for the load at which the goal breaks by emulation, around the predicted first limit.
+// emulate searches for the load at which the goal breaks by emulation, around the predicted first limit.
 func (c *planCmd) emulate(ctx context.Context, std *streams, day *scenario.Day, first planner.Limit) error {
-	goal := planrun.Goal{Placed: c.Placed, Warm: c.Warmup}
-	from, to := first.Multiple*searchFrom, first.Multiple*searchTo
-	var edge, falling planrun.Edge
+	goal := planrun.Goal{MinPlacedFraction: c.Placed, WarmupSeconds: c.Warmup}
+	search := planrun.Search{Low: first.Multiple * searchFrom, High: first.Multiple * searchTo,
+		RelativeWidth: searchWidth, Seeds: c.Seeds}
+	var point, afterSurge planrun.BreakingPoint
 	var err error
 	if c.Surge > 0 {
-		edge, falling, err = planrun.Both(ctx, day, goal, c.Surge, c.Warmup/4, from, to, searchWidthSurge, c.Seeds)
+		goal.Surge = planrun.Surge{Factor: c.Surge, Seconds: c.Warmup / 4}
+		search.RelativeWidth = searchWidthSurge
+		point, afterSurge, err = planrun.FindWithSurge(ctx, day, goal, search)
 	} else {
-		edge, err = planrun.Find(ctx, day, goal, from, to, searchWidth, c.Seeds)
+		point, err = planrun.FindBreakingPoint(ctx, day, goal, search)
 	}
 	if err != nil {
 		return err
 	}
 	std.out.printf(
 		"\nemulated: the goal holds at %.2f and breaks at %.2f times the load, by %s (%.2f%% placed); predicted %.2f; "+
-			"%d emulated days\n", edge.Low, edge.High, edge.Class, 100*edge.Placed, first.Multiple, edge.Runs)
+			"%d emulated days\n", point.Low, point.High, point.Class, 100*point.PlacedFraction, first.Multiple, point.Runs)
 	if c.Surge > 0 {
-		std.out.printf("after a surge it holds at %.2f and breaks at %.2f\n", falling.Low, falling.High)
+		std.out.printf("after a surge it holds at %.2f and breaks at %.2f\n", afterSurge.Low, afterSurge.High)
 	}
 	return nil
 }
@@ -136,7 +139,7 @@
 	if err != nil {
 		return nil, err
 	}
-	classes, err := planrun.FromTrace(trace, day)
+	classes, err := planrun.EstimateLoad(trace, day)
 	if err != nil {
 		return nil, usageError{err}
 	}
@@ -144,9 +147,9 @@
 	for _, class := range classes {
 		std.out.printf(
 			"captured %s: %.3g a second, mean life %.3g s, each within %.0f%%; %d jobs, %d lives cut off\n", class.Name,
-			class.PerSecond, class.Life, 100*class.Within, class.Jobs, class.CutOff)
-		for _, doubt := range class.Doubts {
-			std.out.printf("  doubt: %s\n", doubt)
+			class.JobsPerSecond, class.MeanRuntimeSeconds, 100*class.RelativeError, class.Jobs, class.CensoredRuntimes)
+		for _, warning := range class.Warnings {
+			std.out.printf("  doubt: %s\n", warning)
 		}
 		load = append(load, class.Class)
 	}
--- a/internal/lab/planrun/cases.go
+++ b/internal/lab/planrun/cases.go
@@ -2,18 +2,20 @@
 
 import (
 	"fmt"
+	"slices"
 	"strings"
 
 	"flaxshelf.example/flaxshelf/internal/lab/scenario"
 	"flaxshelf.example/flaxshelf/internal/planner"
 )
 
-// base is a fleet of three rooms with one class; fields may be replaced.
-const base = `#Trial & {
+// baseDay is a fleet of three rooms with one class. Cases replace the words that begin with a dollar sign; see
+// baseValues.
+const baseDay = `#Trial & {
 about: "planned"
 seconds: 40
 after: 8
-schedulers: $SEES
+schedulers: $SCHEDULERS
 runsWhenPlaced: $RUNS
 kinds: [{name: "k", cores: 16, memory: 64}]
 classes: [{name: "c", effect: "safe", aim: "1s", giveup: "2s", cores: $CORES, memory: $MEMORY, $SPREAD}]
@@ -25,39 +27,57 @@
 load: [{class: "c", perSecond: $RATE, services: $SERVICES, life: ["2s", "4s"]}]
 }`
 
-// Case is a fleet and load on which predictions are held against emulated load and load over sockets.
+// baseValues are pairs of a word of baseDay and what replaces it where a case does not name it.
+var baseValues = []string{
+	"$CORES", "1",
+	"$MEMORY", "1",
+	"$SPREAD", `spread: ""`,
+	"$LOOK", "1ms",
+	"$START", "5ms",
+	"$FRESH", "1",
+	"$SCHEDULERS", "4",
+	"$RUNS", "false",
+	"$RATE", "20",
+	"$SERVICES", "40",
+	"$NA", "4",
+	"$NB", "4",
+	"$NC", "4",
+}
+
+// Case is a fleet and load for which predictions are compared with emulated load and with load over sockets.
 type Case struct {
-	Name, Limit string   // Limit is the first that the load meets
-	With        []string // pairs of what is replaced in the base
+	Name         string
+	Limit        planner.LimitName // first that the load meets
+	Replacements []string          // pairs, as baseValues
+	RoomLost     bool              // the nodes of the first room are lost
 }
 
 // Day is the case as a scripted day.
 func (c Case) Day() (*scenario.Day, error) {
-	defaults := []string{"$CORES", "1", "$MEMORY", "1", "$SPREAD", `spread: ""`, "$LOOK", "1ms", "$START",
-		"5ms", "$FRESH", "1", "$SEES", "4", "$RUNS", "false", "$RATE", "20",
-		"$SERVICES", "40", "$NA", "4", "$NB", "4", "$NC", "4"}
-	text := strings.NewReplacer(append(append([]string{}, c.With...), defaults...)...).Replace(base)
-	d, err := scenario.Parse("planned", []byte(text))
+	text := strings.NewReplacer(slices.Concat(c.Replacements, baseValues)...).Replace(baseDay)
+	day, err := scenario.Parse("planned", []byte(text))
 	if err != nil {
 		return nil, fmt.Errorf("planrun: case %s: %w", c.Name, err)
 	}
-	if c.Name == "the largest room lost" {
-		d.Fleet = d.Fleet[1:]
+	if c.RoomLost {
+		day.Fleet = day.Fleet[1:]
 	}
-	return d, nil
+	return day, nil
 }
 
 // Cases are fleets and loads whose first limits differ; two of them are what is left when a room is lost.
 var Cases = []Case{
-	{"cores", planner.CoresAsked, nil},
-	{"memory", planner.MemoryAsked, []string{"$MEMORY", "8"}},
-	{"large", planner.CoresAsked, []string{"$CORES", "6", "$RATE", "4"}},
-	{"a room lost", planner.CoresAsked, []string{"$NB", "1"}},
-	{"the largest room lost", planner.CoresAsked, []string{"$NA", "10", "$NB", "3", "$NC", "3"}},
-	{"one scheduler", planner.CoresAsked, []string{"$SEES", "1"}},
-	{"sixteen schedulers", planner.CoresAsked, []string{"$SEES", "16"}},
-	{"two kinds of room", planner.MemoryAsked, []string{"$MEMORY", "7", "$NA", "8", "$NB", "2"}},
-	{"slow starts", planner.StartPace, []string{"$RUNS", "true", "$START", "300ms", "$RATE", "50", "$CORES",
-		"0.05", "$MEMORY", "0.1"}},
-	{"slow asks", planner.AskLine, []string{"$LOOK", "200ms", "$CORES", "0.25"}},
+	{Name: "cores", Limit: planner.RequestedCores},
+	{Name: "memory", Limit: planner.RequestedMemory, Replacements: []string{"$MEMORY", "8"}},
+	{Name: "large", Limit: planner.RequestedCores, Replacements: []string{"$CORES", "6", "$RATE", "4"}},
+	{Name: "a room lost", Limit: planner.RequestedCores, Replacements: []string{"$NB", "1"}},
+	{Name: "the largest room lost", Limit: planner.RequestedCores, RoomLost: true,
+		Replacements: []string{"$NA", "10", "$NB", "3", "$NC", "3"}},
+	{Name: "one scheduler", Limit: planner.RequestedCores, Replacements: []string{"$SCHEDULERS", "1"}},
+	{Name: "sixteen schedulers", Limit: planner.RequestedCores, Replacements: []string{"$SCHEDULERS", "16"}},
+	{Name: "two kinds of room", Limit: planner.RequestedMemory,
+		Replacements: []string{"$MEMORY", "7", "$NA", "8", "$NB", "2"}},
+	{Name: "slow starts", Limit: planner.StartRate,
+		Replacements: []string{"$RUNS", "true", "$START", "300ms", "$RATE", "50", "$CORES", "0.05", "$MEMORY", "0.1"}},
+	{Name: "slow asks", Limit: planner.OfferReview, Replacements: []string{"$LOOK", "200ms", "$CORES", "0.25"}},
 }
--- /dev/null
+++ b/internal/lab/planrun/estimate.go
@@ -0,0 +1,114 @@
+package planrun
+
+import (
+	"cmp"
+	"fmt"
+	"math"
+	"slices"
+	"time"
+
+	"flaxshelf.example/flaxshelf/internal/lab/load"
+	"flaxshelf.example/flaxshelf/internal/lab/scenario"
+	"flaxshelf.example/flaxshelf/internal/planner"
+)
+
+// CapturedClass is the load of one class as estimated from a captured load, and how far that can be trusted.
+type CapturedClass struct {
+	planner.Class
+	Jobs             int      // that were captured
+	CensoredRuntimes int      // jobs whose end was not captured
+	RelativeError    float64  // of the rate and of the mean run time, two standard errors
+	Warnings         []string // reasons not to trust the estimate
+}
+
+// Figures below or above which an estimate has a warning.
+const (
+	minSamples          = 30 // jobs, or ends of jobs
+	maxCensoredFraction = 0.25
+	minMeanRuntimes     = 5 // length of the capture, in mean run times
+)
+
+// EstimateLoad estimates the load of a captured trace, class by class, with the classes and nodes of a day. Gaps of the
+// capture don't count as time. Jobs whose end was not captured count as censored: the time that all jobs were seen running
+// is divided by the ends that were seen, as for exponential run times. The error is a capture that is too short, or a
+// class that the day does not have.
+func EstimateLoad(trace *load.Trace, day *scenario.Day) ([]CapturedClass, error) {
+	length := trace.Length()
+	for _, gap := range trace.Gaps {
+		length -= gap.To - gap.From
+	}
+	if length <= 0 || len(trace.Jobs) < 2 {
+		return nil, fmt.Errorf("planrun: the captured load has %d jobs in %v: nothing to plan with", len(trace.Jobs), length)
+	}
+	jobsByClass := map[string][]load.Job{}
+	for _, job := range trace.Jobs {
+		jobsByClass[job.Class] = append(jobsByClass[job.Class], job)
+	}
+	var classes []CapturedClass
+	for name, jobs := range jobsByClass {
+		class, err := estimateClass(day, name, jobs, length)
+		if err != nil {
+			return nil, err
+		}
+		class.addWarnings(len(trace.Gaps), length)
+		classes = append(classes, class)
+	}
+	slices.SortFunc(classes, func(a, b CapturedClass) int { return cmp.Compare(a.Name, b.Name) })
+	return classes, nil
+}
+
+// estimateClass estimates the load of one class from its jobs within a length of time.
+func estimateClass(day *scenario.Day, name string, jobs []load.Job, length time.Duration) (CapturedClass, error) {
+	settings := day.Class(name)
+	if settings == nil {
+		return CapturedClass{}, fmt.Errorf("planrun: the captured load has class %q, which the fleet's file does not know", name)
+	}
+	count := float64(len(jobs))
+	class := CapturedClass{Jobs: len(jobs), Class: planner.Class{
+		Name:          name,
+		JobsPerSecond: count / length.Seconds(),
+		CoreUsage:     mean(day.Behaviour.CoreUsageRange),
+		MemoryUsage:   mean(day.Behaviour.MemoryUsageRange),
+		SpreadDomain:  settings.SpreadDomain,
+		MaxPerDomain:  settings.MaxPerDomain,
+	}}
+	services := map[string]bool{}
+	var runtimes time.Duration
+	for _, job := range jobs {
+		class.Cores += orDefault(job.Cores, settings.Cores) / count
+		class.Memory += orDefault(job.Memory, settings.Memory) / count
+		services[job.Service] = true
+		runtimes += job.Life
+		if job.CutOff {
+			class.CensoredRuntimes++
+		}
+	}
+	ends := float64(max(class.ends(), 1))
+	class.Services = len(services)
+	class.MeanRuntimeSeconds = runtimes.Seconds() / ends
+	class.RelativeError = 2 * math.Sqrt(1/count+1/ends)
+	return class, nil
+}
+
+// ends is how many jobs were captured to their end.
+func (c *CapturedClass) ends() int { return c.Jobs - c.CensoredRuntimes }
+
+// addWarnings adds the reasons not to trust the estimate.
+func (c *CapturedClass) addWarnings(gaps int, length time.Duration) {
+	warn := func(format string, args ...any) { c.Warnings = append(c.Warnings, fmt.Sprintf(format, args...)) }
+	if c.Jobs < minSamples {
+		warn("only %d jobs were captured", c.Jobs)
+	}
+	if c.ends() < minSamples {
+		warn("only %d lives were seen to their end", c.ends())
+	}
+	if float64(c.CensoredRuntimes) > maxCensoredFraction*float64(c.Jobs) {
+		warn("%d of %d lives were cut off; the mean takes them for exponential", c.CensoredRuntimes, c.Jobs)
+	}
+	if gaps > 0 {
+		warn("%d gaps were left out", gaps)
+	}
+	if length.Seconds() < minMeanRuntimes*c.MeanRuntimeSeconds {
+		warn("%v were captured, under five mean lives: a daily peak is not in it", length.Round(time.Second))
+	}
+}
--- /dev/null
+++ b/internal/lab/planrun/model.go
@@ -0,0 +1,73 @@
+package planrun
+
+import (
+	"flaxshelf.example/flaxshelf/internal/lab/scenario"
+	"flaxshelf.example/flaxshelf/internal/planner"
+)
+
+// placementsPerSecond is half of what one scheduler's process has handled at 33 nodes, see docs/results.md.
+const placementsPerSecond = 10000
+
+// Model is a day's fleet and load as the planner takes them.
+func Model(day *scenario.Day) (*planner.Fleet, []planner.Class) {
+	var load []planner.Class
+	for i := range day.Load {
+		load = append(load, classOf(day, &day.Load[i]))
+	}
+	return fleetOf(day), load
+}
+
+func fleetOf(day *scenario.Day) *planner.Fleet {
+	behaviour := &day.Behaviour
+	fleet := &planner.Fleet{
+		Schedulers:            day.Schedulers,
+		CoreOvercommit:        day.Rules.CoreOvercommit,
+		MemoryOvercommit:      day.Rules.MemoryOvercommit,
+		OfferReviewSeconds:    behaviour.OfferReviewTime.Duration().Seconds(),
+		StartSlots:            behaviour.StartSlots,
+		CachedStartSeconds:    behaviour.CachedStartTime.Duration().Seconds(),
+		UncachedStartFactor:   behaviour.UncachedStartFactor,
+		SlowStartBudget:       day.Rules.SlowStartBudget,
+		OverloadWindowSeconds: day.Rules.OverloadWindow.Duration().Seconds(),
+		SlowStartSeconds:      day.Rules.SlowStartDuration.Duration().Seconds(),
+		PlacementsPerSecond:   placementsPerSecond,
+		MaxAttempts:           day.Rules.MaxAttempts,
+	}
+	for _, g := range day.Fleet {
+		group := planner.Group{Name: g.Name, Kind: g.Kind, Zone: g.Zone, Cell: g.Cell, Count: g.Count}
+		for _, kind := range day.Kinds {
+			if kind.Name == g.Kind {
+				group.Cores, group.Memory = kind.Cores, kind.Memory
+			}
+		}
+		fleet.Groups = append(fleet.Groups, group)
+	}
+	return fleet
+}
+
+// classOf is one stream of a day's load. What the stream does not name, its class does.
+func classOf(day *scenario.Day, stream *scenario.Load) planner.Class {
+	class := day.Class(stream.Class)
+	return planner.Class{
+		Name:               stream.Class,
+		JobsPerSecond:      stream.PerSecond,
+		MeanRuntimeSeconds: (stream.Life[0].Duration() + stream.Life[1].Duration()).Seconds() / 2,
+		Cores:              orDefault(stream.Cores, class.Cores),
+		Memory:             orDefault(stream.Memory, class.Memory),
+		CoreUsage:          mean(day.Behaviour.CoreUsageRange),
+		MemoryUsage:        mean(day.Behaviour.MemoryUsageRange),
+		Services:           stream.Services,
+		SpreadDomain:       class.SpreadDomain,
+		MaxPerDomain:       class.MaxPerDomain,
+	}
+}
+
+func mean(bounds [2]float64) float64 { return (bounds[0] + bounds[1]) / 2 }
+
+// orDefault is a value where it is above 0, else its default.
+func orDefault(value, byDefault float64) float64 {
+	if value > 0 {
+		return value
+	}
+	return byDefault
+}
--- /dev/null
+++ b/internal/lab/planrun/search.go
@@ -0,0 +1,184 @@
+package planrun
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"math"
+	"runtime"
+	"slices"
+	"sync"
+
+	"flaxshelf.example/flaxshelf/internal/lab/emulator"
+	"flaxshelf.example/flaxshelf/internal/lab/scenario"
+)
+
+// Goal is the service that a load must get.
+type Goal struct {
+	MinPlacedFraction float64 // of the submissions of each class
+	WarmupSeconds     float64 // at the start of the day, in which submissions don't count
+	Surge             Surge   // in the warmup; the zero value: none
+}
+
+// Surge is a higher load at the start of a day. Where clients retry, a load that holds while it rises may not hold when it
+// falls back from a surge.
+type Surge struct {
+	Factor  float64 // multiple of the load
+	Seconds float64 // length
+}
+
+// Search is where a breaking point is looked for, and how exactly.
+type Search struct {
+	Low, High     float64 // multiples of the load
+	RelativeWidth float64 // of the interval that is found, to its lower end
+	Seeds         int     // days that are emulated for each multiple; a goal is met when their mean meets it
+}
+
+// BreakingPoint is the interval of the load in which the goal breaks.
+type BreakingPoint struct {
+	Low, High      float64 // the goal is met at Low and missed at High, in multiples of the load
+	Runs           int     // emulated days
+	Class          string  // that missed the goal, at the lowest multiple that did
+	PlacedFraction float64 // of its submissions there
+}
+
+// OutOfRangeError is a breaking point that is not within the bounds of the search.
+type OutOfRangeError struct {
+	Low, High float64 // bounds of the search
+	Multiple  float64 // the bound that shows it
+	GoalMet   bool    // whether the goal is met there
+}
+
+// Error names the bound.
+func (e *OutOfRangeError) Error() string {
+	return fmt.Sprintf("planrun: the edge is elsewhere: the goal is met: %v at %.3g times the load, so its edge is not between "+
+		"%.3g and %.3g", e.GoalMet, e.Multiple, e.Low, e.High)
+}
+
+// FindBreakingPoint searches for the multiple of the day's load at which the goal breaks, by bisection: most runs are
+// made where the answer is uncertain. The error is an OutOfRangeError, or that of the emulation; the context ends it.
+func FindBreakingPoint(ctx context.Context, day *scenario.Day, goal Goal, search Search) (BreakingPoint, error) {
+	point := BreakingPoint{Low: search.Low, High: search.High}
+	goalMet := func(multiple float64) (bool, error) {
+		point.Runs += search.Seeds
+		class, placedFraction, err := worstClass(ctx, day, goal, multiple, search.Seeds)
+		if err != nil {
+			return false, err
+		}
+		met := placedFraction >= goal.MinPlacedFraction
+		if !met {
+			point.Class, point.PlacedFraction = class, placedFraction
+		}
+		return met, nil
+	}
+	for _, bound := range []struct {
+		multiple float64
+		wantMet  bool
+	}{{search.Low, true}, {search.High, false}} {
+		met, err := goalMet(bound.multiple)
+		if err != nil {
+			return point, err
+		}
+		if met != bound.wantMet {
+			point.Low, point.High = bound.multiple, bound.multiple
+			return point, &OutOfRangeError{Low: search.Low, High: search.High, Multiple: bound.multiple, GoalMet: met}
+		}
+	}
+	for point.High/point.Low > 1+search.RelativeWidth {
+		middle := math.Sqrt(point.Low * point.High)
+		met, err := goalMet(middle)
+		if err != nil {
+			return point, err
+		}
+		if met {
+			point.Low = middle
+		} else {
+			point.High = middle
+		}
+	}
+	return point, nil
+}
+
+// FindWithSurge searches for the breaking point while load rises, and for that after the goal's surge. Where the second is
+// lower, the load between is metastable: it holds until something overloads the fleet, and then does not recover.
+func FindWithSurge(ctx context.Context, day *scenario.Day, goal Goal, search Search) (rising, falling BreakingPoint,
+	err error) {
+	withoutSurge := goal
+	withoutSurge.Surge = Surge{}
+	if rising, err = FindBreakingPoint(ctx, day, withoutSurge, search); err != nil {
+		return rising, falling, fmt.Errorf("rising: %w", err)
+	}
+	falling, err = FindBreakingPoint(ctx, day, goal, search)
+	var outOfRange *OutOfRangeError
+	if errors.As(err, &outOfRange) && outOfRange.Multiple == search.Low { // it does not even recover at the lower bound
+		falling.Low, falling.High = 0, search.Low
+		return rising, falling, nil
+	}
+	if err != nil {
+		return rising, falling, fmt.Errorf("falling: %w", err)
+	}
+	return rising, falling, nil
+}
+
+// worstClass emulates the day at a multiple of its load, and returns the class of which the least fraction was placed.
+func worstClass(ctx context.Context, day *scenario.Day, goal Goal, multiple float64, seeds int) (string, float64, error) {
+	reports, err := emulate(ctx, scaledDay(day, goal.Surge, multiple), goal.WarmupSeconds, seeds)
+	if err != nil {
+		return "", 0, err
+	}
+	worst, leastFraction, counted := "", 1.0, 0
+	for i := range reports[0].Classes {
+		placed, submitted := 0, 0
+		for _, report := range reports {
+			placed += report.Classes[i].Placed
+			submitted += report.Classes[i].Submitted
+		}
+		counted += submitted
+		if submitted == 0 {
+			continue
+		}
+		if fraction := float64(placed) / float64(submitted); fraction < leastFraction {
+			worst, leastFraction = reports[0].Classes[i].Class, fraction
+		}
+	}
+	if counted == 0 { // else a goal would be met by no load at all
+		return "", 0, fmt.Errorf("planrun: no submission counts: the load ends before %v s", goal.WarmupSeconds)
+	}
+	return worst, leastFraction, nil
+}
+
+// scaledDay is the day at a multiple of its load, with a surge at its start.
+func scaledDay(day *scenario.Day, surge Surge, multiple float64) *scenario.Day {
+	scaled := *day
+	scaled.Load = slices.Clone(day.Load)
+	for i := range scaled.Load {
+		scaled.Load[i].PerSecond *= multiple
+	}
+	if surge.Seconds > 0 {
+		scaled.Troubles = append(slices.Clone(day.Troubles),
+			scenario.Trouble{Do: "burst", At: 0, For: surge.Seconds, Factor: surge.Factor, Share: 1})
+	}
+	return &scaled
+}
+
+// emulate emulates the day once for each seed, as many at a time as there are processors, and waits for all.
+func emulate(ctx context.Context, day *scenario.Day, warmupSeconds float64, seeds int) ([]*emulator.Report, error) {
+	reports, errs := make([]*emulator.Report, seeds), make([]error, seeds)
+	slots := make(chan struct{}, runtime.GOMAXPROCS(0))
+	var runs sync.WaitGroup
+	for i := range seeds {
+		runs.Go(func() {
+			slots <- struct{}{}
+			defer func() { <-slots }()
+			reports[i], errs[i] = emulator.Run(ctx, day,
+				emulator.Options{Seed: uint64(i + 1), MeasureFrom: warmupSeconds})
+		})
+	}
+	runs.Wait()
+	for _, err := range errs {
+		if err != nil {
+			return nil, err
+		}
+	}
+	return reports, nil
+}
--- /dev/null
+++ b/internal/planner/erlang.go
@@ -0,0 +1,91 @@
+package planner
+
+import "math"
+
+// lossFraction is the fraction of jobs that find no capacity at which a limit on capacity counts as met.
+const lossFraction = 0.01
+
+// roundingSlack keeps a number of slots that is whole, but for rounding, from being rounded down to the next.
+const roundingSlack = 1e-9
+
+// roundDownSlots rounds a number of slots down.
+func roundDownSlots(slots float64) float64 { return math.Floor(slots + roundingSlack) }
+
+// Steps of the searches by bisection: enough that the result no longer changes.
+const (
+	loadSteps      = 60
+	occupancySteps = 50
+)
+
+// loadAtLoss is the offered load, in erlangs, at which a fraction of the arrivals finds all servers busy: Erlang's loss
+// formula, solved for the load.
+func loadAtLoss(servers, loss float64) float64 {
+	low, high := 0.0, 2*servers+1
+	for range loadSteps {
+		middle := (low + high) / 2
+		if erlangB(servers, middle) > loss {
+			high = middle
+		} else {
+			low = middle
+		}
+	}
+	return low
+}
+
+// erlangB is Erlang's loss formula: the fraction of arrivals that find all servers busy, for an offered load in erlangs.
+func erlangB(servers, load float64) float64 {
+	if load <= 0 {
+		return 0
+	}
+	loss := 1.0
+	for n := 1.0; n <= servers; n++ {
+		loss = load * loss / (n + load*loss)
+	}
+	return loss
+}
+
+// withLoss turns a limit on capacity into the multiple of the load at which lossFraction of the jobs find none.
+// slotsPerNode is how many jobs one node of a group holds; running is how many run at a time now.
+//
+// High: all nodes are one pool, Erlang's loss formula. Low: a job tries MaxAttempts nodes at random and is lost when
+// all are full. A scheduler knows its own part of the load, so the truth lies between, nearer to the pool the fewer
+// schedulers there are: the geometric mean, weighted by one over the root of their number.
+func (f *Fleet) withLoss(l Limit, running float64, slotsPerNode func(*Group) float64) Limit {
+	pool := 0.0
+	for i := range f.Groups {
+		pool += float64(f.Groups[i].Count) * roundDownSlots(slotsPerNode(&f.Groups[i]))
+	}
+	if running <= 0 || pool <= 0 {
+		return l
+	}
+	l.High = loadAtLoss(pool, lossFraction) / running
+	l.Low = min(f.carriedByRandomChoice(pool, slotsPerNode)/running, l.High)
+	knowledge := 1 / math.Sqrt(float64(max(f.Schedulers, 1)))
+	l.Multiple = math.Pow(l.High, knowledge) * math.Pow(l.Low, 1-knowledge)
+	return l
+}
+
+// carriedByRandomChoice is how many jobs run at a time when each tries MaxAttempts nodes at random and lossFraction of
+// them find all of these full. pool is the number of slots of all nodes.
+func (f *Fleet) carriedByRandomChoice(pool float64, slotsPerNode func(*Group) float64) float64 {
+	fullFraction := math.Pow(lossFraction, 1/float64(max(f.MaxAttempts, 1))) // of the nodes that a job tries
+	low, high := 0.0, 8.0                                                    // load offered to each slot
+	carried := 0.0
+	for range occupancySteps {
+		load := (low + high) / 2
+		full, running := 0.0, 0.0
+		for i := range f.Groups {
+			slots := roundDownSlots(slotsPerNode(&f.Groups[i]))
+			loss := erlangB(slots, load*slots)
+			groupSlots := float64(f.Groups[i].Count) * slots
+			full += loss * groupSlots / pool
+			running += groupSlots * load * (1 - loss)
+		}
+		if full > fullFraction {
+			high = load
+		} else {
+			low, carried = load, running
+		}
+	}
+	return carried
+}
--- a/internal/planner/limits_test.go
+++ b/internal/planner/limits_test.go
@@ -2,144 +2,180 @@
 
 import (
 	"math"
+	"slices"
 	"strings"
 	"testing"
 
 	"pgregory.net/rapid"
 )
 
-func fleet() *Fleet {
-	return &Fleet{Schedulers: 4, AcceptCores: 1.5, AcceptMemory: 1.5, Look: 0.01, StartSlots: 4, StartWork: 0.05,
-		FreshFactor: 8, MaxAttempts: 3, PlacementsPerSecond: 1000, ColdOffers: 30, FallWindow: 2, ColdFor: 15,
-		Groups: []Group{{"a", "small", "a", 0, 4, 16, 64}, {"b", "large", "b", 1, 4, 32, 128}, {"c", "small", "c", 2, 4, 16, 64}}}
+func testFleet() *Fleet {
+	return &Fleet{
+		Schedulers:            4,
+		CoreOvercommit:        1.5,
+		MemoryOvercommit:      1.5,
+		OfferReviewSeconds:    0.01,
+		StartSlots:            4,
+		CachedStartSeconds:    0.05,
+		UncachedStartFactor:   8,
+		MaxAttempts:           3,
+		PlacementsPerSecond:   1000,
+		SlowStartBudget:       30,
+		OverloadWindowSeconds: 2,
+		SlowStartSeconds:      15,
+		Groups: []Group{
+			{Name: "a", Kind: "small", Zone: "a", Cell: 0, Count: 4, Cores: 16, Memory: 64},
+			{Name: "b", Kind: "large", Zone: "b", Cell: 1, Count: 4, Cores: 32, Memory: 128},
+			{Name: "c", Kind: "small", Zone: "c", Cell: 2, Count: 4, Cores: 16, Memory: 64},
+		},
+	}
 }
 
-func service() Class {
-	return Class{Name: "service", PerSecond: 10, Life: 10, Cores: 1, Memory: 1, UseCores: 0.5, UseMemory: 0.5, Services: 50}
+func testClass() Class {
+	return Class{Name: "service", JobsPerSecond: 10, MeanRuntimeSeconds: 10, Cores: 1, Memory: 1, CoreUsage: 0.5,
+		MemoryUsage: 0.5, Services: 50}
 }
 
-// Each limit is the first where the load presses on it.
+// Each limit is the first where the load is nearest to it.
 func TestFirst(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		change func(f *Fleet, c *Class)
-		want   string
-		moves  bool
+		name         string
+		change       func(f *Fleet, c *Class)
+		want         LimitName
+		movedByNodes bool
 	}{
-		{"cores asked", func(*Fleet, *Class) {}, CoresAsked, true},
-		{"memory asked", func(_ *Fleet, c *Class) { c.Memory = 10 }, MemoryAsked, true},
-		{"cores in use", func(_ *Fleet, c *Class) { c.UseCores = 1.5 }, CoresUsed, true},
-		{"memory in use", func(_ *Fleet, c *Class) { c.Memory, c.UseMemory = 10, 1.5 }, MemoryUsed, true},
-		{"start pace", func(f *Fleet, _ *Class) { f.StartWork = 2 }, StartPace, true},
-		{"ask line", func(f *Fleet, _ *Class) { f.Look = 1 }, AskLine, true},
+		{"requested cores", func(*Fleet, *Class) {}, RequestedCores, true},
+		{"requested memory", func(_ *Fleet, c *Class) { c.Memory = 10 }, RequestedMemory, true},
+		{"cores in use", func(_ *Fleet, c *Class) { c.CoreUsage = 1.5 }, UsedCores, true},
+		{"memory in use", func(_ *Fleet, c *Class) { c.Memory, c.MemoryUsage = 10, 1.5 }, UsedMemory, true},
+		{"start rate", func(f *Fleet, _ *Class) { f.CachedStartSeconds = 2 }, StartRate, true},
+		{"offer review", func(f *Fleet, _ *Class) { f.OfferReviewSeconds = 1 }, OfferReview, true},
 		{"scheduler CPU", func(f *Fleet, _ *Class) { f.PlacementsPerSecond = 3 }, SchedulerCPU, false},
-		{"spread over rooms", func(_ *Fleet, c *Class) { c.Services, c.Spread, c.Most = 2, "zone", 2 }, SpreadRoom, false},
-		{"spread over machines", func(_ *Fleet, c *Class) { c.Services, c.Spread, c.Most = 1, "machine", 1 }, SpreadRoom, true},
-		{"too large", func(_ *Fleet, c *Class) { c.Cores = 100 }, TooLarge, false},
+		{"spread over zones", func(_ *Fleet, c *Class) { c.Services, c.SpreadDomain, c.MaxPerDomain = 2, "zone", 2 },
+			SpreadCapacity, false},
+		{"spread over machines", func(_ *Fleet, c *Class) { c.Services, c.SpreadDomain, c.MaxPerDomain = 1, "machine", 1 },
+			SpreadCapacity, true},
+		{"too large", func(_ *Fleet, c *Class) { c.Cores = 100 }, NoNodeLargeEnough, false},
 	} {
-		f, k := fleet(), service()
-		c.change(f, &k)
-		l, by := First(Limits(f, []Class{k}))
-		if l.Name != c.want || l.ByNodes != c.moves || by["service"].Name != c.want || l.Why == "" {
-			t.Errorf("%s: %v", c.name, l)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			fleet, class := testFleet(), testClass()
+			c.change(fleet, &class)
+			first, byClass := First(Limits(fleet, []Class{class}))
+			if first.Name != c.want || first.MovedByNodes != c.movedByNodes || first.Reason == "" {
+				t.Errorf("first is %v (moved by nodes: %v), want %v (%v)", first, first.MovedByNodes, c.want, c.movedByNodes)
+			}
+			if byClass["service"].Name != c.want {
+				t.Errorf("first of the class is %v, want %v", byClass["service"], c.want)
+			}
+		})
 	}
 }
 
 // A class has its own first limit beside that of all.
 func TestByClass(t *testing.T) {
-	big := service()
-	big.Name, big.Cores, big.PerSecond, big.Life = "big", 40, 0.1, 10
-	all, by := First(Limits(fleet(), []Class{service(), big}))
-	if by["big"].Class != "big" || by["big"].Name != Whole || all != by["big"] {
-		t.Errorf("all %v, big %v", all, by["big"])
+	big := testClass()
+	big.Name, big.Cores, big.JobsPerSecond, big.MeanRuntimeSeconds = "big", 40, 0.1, 10
+	all, byClass := First(Limits(testFleet(), []Class{testClass(), big}))
+	if byClass["big"].Class != "big" || byClass["big"].Name != ClassCapacity || all != byClass["big"] {
+		t.Errorf("all %v, big %v", all, byClass["big"])
 	}
-	if by["service"].Name != CoresAsked || by["service"].Multiple <= all.Multiple {
-		t.Errorf("service meets %v, all meet %v", by["service"], all)
+	if byClass["service"].Name != RequestedCores || byClass["service"].Multiple <= all.Multiple {
+		t.Errorf("service meets %v, all meet %v", byClass["service"], all)
 	}
 }
 
-// What a goal needs is the least number that meets it, or a clause that none does.
-func TestNodesFor(t *testing.T) {
-	f, k := fleet(), service()
-	for _, n := range NodesFor(f, []Class{k}, 4) {
-		if n.Nodes < 1 || !strings.Contains(n.Why, CoresAsked) {
-			t.Errorf("%+v", n)
+// What a goal needs is the least number of nodes that meets it, or a reason why no number does.
+func TestRequiredNodes(t *testing.T) {
+	fleet, class := testFleet(), testClass()
+	for _, r := range RequiredNodes(fleet, []Class{class}, 4) {
+		if r.Nodes < 1 || !strings.Contains(r.Reason, string(RequestedCores)) {
+			t.Errorf("%+v", r)
 		}
 	}
-	for _, n := range NodesFor(f, []Class{k}, 0.5) {
-		if n.Nodes != 0 {
-			t.Errorf("%+v", n)
+	for _, r := range RequiredNodes(fleet, []Class{class}, 0.5) {
+		if r.Nodes != 0 {
+			t.Errorf("%+v", r)
 		}
 	}
-	k.Services, k.Spread, k.Most = 2, "zone", 2
-	for _, n := range NodesFor(f, []Class{k}, 50) {
-		if n.Nodes != -1 || !strings.Contains(n.Why, SpreadRoom) {
-			t.Errorf("%+v", n)
+	class.Services, class.SpreadDomain, class.MaxPerDomain = 2, "zone", 2
+	for _, r := range RequiredNodes(fleet, []Class{class}, 50) {
+		if r.Nodes != NoNumberOfNodes || !strings.Contains(r.Reason, string(SpreadCapacity)) {
+			t.Errorf("%+v", r)
 		}
 	}
-	k = service()
-	k.Cores = 45 // only the large kind holds it
-	needs := map[string]int{}
-	for _, n := range NodesFor(f, []Class{k}, 1) {
-		needs[n.Kind] = n.Nodes
+	class = testClass()
+	class.Cores = 45 // only the large kind holds it
+	nodesByKind := map[string]int{}
+	for _, r := range RequiredNodes(fleet, []Class{class}, 1) {
+		nodesByKind[r.Kind] = r.Nodes
 	}
-	if needs["large"] < 1 {
-		t.Errorf("%v", needs)
+	if nodesByKind["large"] < 1 {
+		t.Errorf("%v", nodesByKind)
 	}
 }
 
-func TestLose(t *testing.T) {
-	f := fleet()
+// A fleet without a part has the other nodes, and stays as it is itself.
+func TestWithout(t *testing.T) {
+	fleet := testFleet()
 	for _, c := range []struct {
 		zone  string
 		cell  int
 		kind  string
 		nodes int
-	}{{"b", -1, "", 8}, {"a", 0, "", 8}, {"", -1, "small", 4}, {"", -1, "", 0}, {"z", -1, "", 12}} {
-		if got := f.Lose(c.zone, c.cell, c.kind).Nodes(); got != c.nodes {
+	}{
+		{"b", -1, "", 8},
+		{"a", 0, "", 8},
+		{"", -1, "small", 4},
+		{"", -1, "", 0},
+		{"z", -1, "", 12},
+	} {
+		if got := fleet.Without(c.zone, c.cell, c.kind).Nodes(); got != c.nodes {
 			t.Errorf("without %+v: %d nodes", c, got)
 		}
 	}
-	if f.Nodes() != 12 {
+	if fleet.Nodes() != 12 {
 		t.Error("the fleet itself has changed")
 	}
-	if w := f.Replace(6); w.Lost != 0.5 || w.OffersPerSecond != 10 {
-		t.Errorf("%+v", w)
+	if r := fleet.ReplacementCost(6); r.MissingStartFraction != 0.5 || r.OffersPerSecond != 10 {
+		t.Errorf("%+v", r)
 	}
 }
 
 // More load is never further from a limit, more nodes never nearer to one; the estimate lies within its interval.
-func TestMonotone(t *testing.T) {
+func TestLimitsAreMonotone(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f, k := fleet(), service()
-		k.PerSecond = rapid.Float64Range(0.1, 100).Draw(t, "rate")
-		k.Cores = rapid.Float64Range(0.1, 20).Draw(t, "cores")
-		k.Memory = rapid.Float64Range(0.1, 80).Draw(t, "memory")
-		f.Schedulers = rapid.IntRange(1, 200).Draw(t, "schedulers")
-		one := Limits(f, []Class{k})
-		for _, l := range one {
-			if l.Name != TooLarge && !(l.Low <= l.Multiple*1.000001 && l.Multiple <= l.High*1.000001) || math.IsNaN(l.Multiple) {
+		const slack = 0.000001 // of rounding
+		fleet, class := testFleet(), testClass()
+		class.JobsPerSecond = rapid.Float64Range(0.1, 100).Draw(t, "rate")
+		class.Cores = rapid.Float64Range(0.1, 20).Draw(t, "cores")
+		class.Memory = rapid.Float64Range(0.1, 80).Draw(t, "memory")
+		fleet.Schedulers = rapid.IntRange(1, 200).Draw(t, "schedulers")
+		limits := Limits(fleet, []Class{class})
+		for _, l := range limits {
+			within := l.Low <= l.Multiple*(1+slack) && l.Multiple <= l.High*(1+slack)
+			if l.Name != NoNodeLargeEnough && !within || math.IsNaN(l.Multiple) {
 				t.Fatalf("%v is not between %v and %v", l, l.Low, l.High)
 			}
 		}
-		more := k
-		more.PerSecond *= 1.5
-		if a, b := one[0].Multiple, Limits(f, []Class{more})[0].Multiple; b > a*1.000001 {
-			t.Fatalf("at more load the limit is %v, before %v", b, a)
+		before := limits[0].Multiple
+		moreLoad := class
+		moreLoad.JobsPerSecond *= 1.5
+		if after := Limits(fleet, []Class{moreLoad})[0].Multiple; after > before*(1+slack) {
+			t.Fatalf("at more load the limit is %v, before %v", after, before)
 		}
-		g := *f
-		g.Groups = append(append([]Group{}, f.Groups...), Group{"d", "small", "a", 0, 4, 16, 64})
-		if a, b := one[0].Multiple, Limits(&g, []Class{k})[0].Multiple; b < a*0.999999 {
-			t.Fatalf("with more nodes the limit is %v, before %v", b, a)
+		moreNodes := *fleet
+		moreNodes.Groups = append(slices.Clone(fleet.Groups),
+			Group{Name: "d", Kind: "small", Zone: "a", Cell: 0, Count: 4, Cores: 16, Memory: 64})
+		if after := Limits(&moreNodes, []Class{class})[0].Multiple; after < before*(1-slack) {
+			t.Fatalf("with more nodes the limit is %v, before %v", after, before)
 		}
 	})
 }
 
 // Erlang's formula against values from tables: 10 servers lose 1 in 100 at 4.46 erlangs, 100 at 84.1.
-func TestErlang(t *testing.T) {
+func TestErlangLossFormula(t *testing.T) {
 	for servers, want := range map[float64]float64{1: 0.0101, 10: 4.46, 100: 84.1} {
-		if got := poissonRate(servers, 0.01); math.Abs(got-want) > 0.01*want {
+		if got := loadAtLoss(servers, 0.01); math.Abs(got-want) > 0.01*want {
 			t.Errorf("%v servers: %v, want %v", servers, got, want)
 		}
 	}
--- /dev/null
+++ b/internal/planner/nodes.go
@@ -0,0 +1,116 @@
+package planner
+
+import (
+	"fmt"
+	"slices"
+)
+
+// NoNumberOfNodes is the Nodes of a requirement that no number of nodes meets.
+const NoNumberOfNodes = -1
+
+// NodeRequirement is how many more nodes of a kind a goal needs.
+type NodeRequirement struct {
+	Kind   string
+	Nodes  int // more than there are now; NoNumberOfNodes: no number of them meets the goal
+	Reason string
+}
+
+// RequiredNodes returns, for each kind, how many more nodes of it, divided evenly among the zones, the load times multiple
+// needs. Where a limit that nodes don't raise is in the way, no number is enough, and the reason is that limit.
+func RequiredNodes(f *Fleet, load []Class, multiple float64) []NodeRequirement {
+	var kinds []Group
+	var zones []string
+	for _, g := range f.Groups {
+		if !slices.ContainsFunc(kinds, func(kind Group) bool { return kind.Kind == g.Kind }) {
+			kinds = append(kinds, g)
+		}
+		if !slices.Contains(zones, g.Zone) {
+			zones = append(zones, g.Zone)
+		}
+	}
+	var requirements []NodeRequirement
+	for _, kind := range kinds {
+		requirements = append(requirements, requiredNodesOfKind(f, load, multiple, kind, zones))
+	}
+	return requirements
+}
+
+// maxAddedNodes bounds the search for a number of nodes.
+const maxAddedNodes = 1 << 17
+
+// requiredNodesOfKind doubles the number of nodes until the goal is met, and then narrows it down.
+func requiredNodesOfKind(f *Fleet, load []Class, multiple float64, kind Group, zones []string) NodeRequirement {
+	firstLimit := func(added int) (limit Limit, goalMet bool) {
+		limit = Limits(f.withNodes(added, kind, zones), load)[0]
+		return limit, limit.Multiple >= multiple
+	}
+	enough := 0
+	for {
+		limit, goalMet := firstLimit(enough)
+		if goalMet {
+			break
+		}
+		if !limit.MovedByNodes || enough >= maxAddedNodes {
+			return NodeRequirement{Kind: kind.Kind, Nodes: NoNumberOfNodes, Reason: limit.String()}
+		}
+		enough = max(2*enough, 1)
+	}
+	low := enough / 2
+	for low < enough {
+		middle := (low + enough) / 2
+		if _, goalMet := firstLimit(middle); goalMet {
+			enough = middle
+		} else {
+			low = middle + 1
+		}
+	}
+	reason := "the goal is met with what is there"
+	if enough > 0 {
+		limit, _ := firstLimit(enough - 1)
+		reason = "with one fewer: " + limit.String()
+	}
+	return NodeRequirement{Kind: kind.Kind, Nodes: enough, Reason: reason}
+}
+
+// withNodes is the fleet with more nodes of a kind, divided evenly among the zones.
+func (f *Fleet) withNodes(count int, kind Group, zones []string) *Fleet {
+	larger := *f
+	larger.Groups = slices.Clone(f.Groups)
+	for i, zone := range zones {
+		inZone := count / len(zones)
+		if i < count%len(zones) {
+			inZone++
+		}
+		if inZone > 0 {
+			group := kind
+			group.Zone, group.Count, group.Name = zone, inZone, "more"
+			larger.Groups = append(larger.Groups, group)
+		}
+	}
+	return &larger
+}
+
+// Replacement is what it costs to replace nodes at once.
+type Replacement struct {
+	OffersPerSecond      float64 // that one new node gets in slow start, over all schedulers
+	MissingStartFraction float64 // of the fleet's starts that is missing while so many nodes are in slow start
+	Reason               string
+}
+
+// windowMargin is by how much schedulers widen the overload window.
+const windowMargin = 1.5
+
+// ReplacementCost is what it costs to replace so many nodes at once: while they are in slow start, schedulers send them
+// no more offers than they always withstand.
+func (f *Fleet) ReplacementCost(nodes int) Replacement {
+	offersPerSecond := 0.0
+	if f.OverloadWindowSeconds > 0 {
+		offersPerSecond = f.SlowStartBudget / (windowMargin * f.OverloadWindowSeconds)
+	}
+	return Replacement{
+		OffersPerSecond:      offersPerSecond,
+		MissingStartFraction: float64(min(nodes, f.Nodes())) / float64(max(f.Nodes(), 1)),
+		Reason: fmt.Sprintf("%d nodes are cold for %.3gs and get %.3g offers a second each", nodes,
+			f.SlowStartSeconds, offersPerSecond),
+	}
+}
