--- a/cmd/flaxshelf/main.go
+++ b/cmd/flaxshelf/main.go
@@ -53,7 +53,9 @@
 // streams are the outputs of a command.
 type streams struct {
 	out *printer // results
-	err *printer // logs, progress and errors
+	err *printer // progress and errors
+	// log is standard error for the logger, without a printer: a log goes on after a write that failed.
+	log io.Writer
 }
 
 func main() {
@@ -65,7 +67,7 @@
 
 // run is main without the process around it. It returns the exit code. Long-running commands end when ctx does.
 func run(ctx context.Context, args []string, out, errOut io.Writer) int {
-	std := &streams{out: newPrinter(out), err: newPrinter(errOut)}
+	std := &streams{out: newPrinter(out), err: newPrinter(errOut), log: errOut}
 	var commands commandLine
 	const notExited = -1
 	parserExit := notExited
@@ -133,11 +135,11 @@
 	return exitFailed
 }
 
-// newLogger logs structured lines to w, from a level on: trace, debug, info, warn or error.
-func newLogger(w io.Writer, level string) zerolog.Logger {
+// newLogger logs structured lines, from a level on: trace, debug, info, warn or error.
+func (s *streams) newLogger(level string) zerolog.Logger {
 	threshold, err := zerolog.ParseLevel(level)
 	if err != nil {
 		threshold = zerolog.InfoLevel
 	}
-	return zerolog.New(w).Level(threshold).With().Timestamp().Logger()
+	return zerolog.New(s.log).Level(threshold).With().Timestamp().Logger()
 }
--- a/cmd/flaxshelf/node.go
+++ b/cmd/flaxshelf/node.go
@@ -35,7 +35,7 @@
 	if c.Inventory != "" {
 		inventory = c.Inventory
 	}
-	nodes, err := startNodes(fleet, inventory, newLogger(std.err, fleet.LogLevel))
+	nodes, err := startNodes(fleet, inventory, std.newLogger(fleet.LogLevel))
 	if err != nil {
 		return err
 	}
--- a/cmd/flaxshelf/printer_test.go
+++ b/cmd/flaxshelf/printer_test.go
@@ -80,3 +80,29 @@
 		t.Errorf("%q, want %q", out.String(), want)
 	}
 }
+
+// failOnce fails its first write.
+type failOnce struct {
+	failed bool
+	taken  strings.Builder
+}
+
+func (w *failOnce) Write(text []byte) (int, error) {
+	if !w.failed {
+		w.failed = true
+		return 0, errDiskFull
+	}
+	return w.taken.Write(text)
+}
+
+// A log goes on after a write that failed: a daemon must not fall silent for the rest of its run.
+func TestLogGoesOnAfterAFailedWrite(t *testing.T) {
+	out := &failOnce{}
+	std := &streams{out: newPrinter(io.Discard), err: newPrinter(out), log: out}
+	log := std.newLogger("info")
+	log.Info().Msg("first")
+	log.Info().Msg("second")
+	if got := out.taken.String(); strings.Contains(got, "first") || !strings.Contains(got, "second") {
+		t.Errorf("logged %q, want the second line alone", got)
+	}
+}
--- a/cmd/flaxshelf/serve.go
+++ b/cmd/flaxshelf/serve.go
@@ -30,7 +30,7 @@
 		}
 		config.Shards = c.Cores
 	}
-	scheduler, err := daemon.Start(config, newLogger(std.err, config.LogLevel))
+	scheduler, err := daemon.Start(config, std.newLogger(config.LogLevel))
 	if err != nil {
 		return err
 	}
--- a/cmd/flaxshelf/up.go
+++ b/cmd/flaxshelf/up.go
@@ -35,7 +35,7 @@
 	if err != nil {
 		return err
 	}
-	log := newLogger(std.err, c.Log)
+	log := std.newLogger(c.Log)
 	inventory, err := host.StartInventory(fleet.InventoryAddress, inventorymodel.Config{
 		Late: fleet.DiscoveryDelay.Duration(), GoneAfter: fleet.RemovalDelay.Duration()}, log)
 	if err != nil {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -30,7 +30,7 @@
 	m, c := s.ModuleConfig(), s.CoreConfig(7)
 	k := m.Classes[0]
 	for _, x := range []struct {
-		what      string
+		name      string
 		got, want any
 	}{
 		{"name", s.Name, "flaxshelf"},
@@ -52,7 +52,7 @@
 		{"no tenant", s.TenantIndex("x"), -1},
 	} {
 		if x.got != x.want {
-			t.Errorf("%s: %v, want %v", x.what, x.got, x.want)
+			t.Errorf("%s: %v, want %v", x.name, x.got, x.want)
 		}
 	}
 }
