--- a/internal/daemon/testcluster_test.go
+++ b/internal/daemon/testcluster_test.go
@@ -154,7 +154,7 @@
 // jobTemplate is a job of a class that runs for a time, with further attributes as pairs of name and value.
 func jobTemplate(class string, runtime time.Duration, attributes ...string) drmaa2.JobTemplate {
 	template := drmaa2.JobTemplate{RemoteCommand: "x", JobCategory: class,
-		ImplementationSpecific: map[string]string{drmaa2.AttrLife: runtime.String()}}
+		ImplementationSpecific: map[string]string{drmaa2.AttrExpectedRuntime: runtime.String()}}
 	for i := 0; i+1 < len(attributes); i += 2 {
 		template.ImplementationSpecific[attributes[i]] = attributes[i+1]
 	}
--- a/internal/front/drmaafront/extensions.go
+++ b/internal/front/drmaafront/extensions.go
@@ -29,7 +29,7 @@
 			spec.Cores, err = parseAmount(name, value, template.MinSlots > 0)
 		case drmaa2.AttrMemory:
 			spec.Memory, err = parseAmount(name, value, template.MinPhysMemory > 0)
-		case drmaa2.AttrLife:
+		case drmaa2.AttrExpectedRuntime:
 			spec.ExpectedRuntime, err = parseDuration(name, value)
 		case drmaa2.AttrGiveUp:
 			spec.PlacementTimeout, err = parseDuration(name, value)
--- a/internal/front/drmaafront/jobinfo.go
+++ b/internal/front/drmaafront/jobinfo.go
@@ -20,10 +20,10 @@
 		Name:      machine.ID,
 		Available: machine.Connected && machine.State == flaxshelf.Active,
 		ImplementationSpecific: map[string]string{
-			drmaa2.AttrZone:     machine.Zone,
-			drmaa2.AttrCell:     strconv.Itoa(machine.Cell),
-			drmaa2.AttrStanding: standings[machine.State],
-			drmaa2.AttrJobs:     strconv.Itoa(machine.Jobs),
+			drmaa2.AttrZone:         machine.Zone,
+			drmaa2.AttrCell:         strconv.Itoa(machine.Cell),
+			drmaa2.AttrMachineState: standings[machine.State],
+			drmaa2.AttrJobs:         strconv.Itoa(machine.Jobs),
 		},
 	}
 	if machine.Kind >= 0 && machine.Kind < len(f.set.Kinds) {
@@ -75,11 +75,11 @@
 func (f *Front) jobAttributes(info *scheduler.Info) map[string]string {
 	spec := info.Spec
 	attributes := map[string]string{
-		drmaa2.AttrAsk:      strconv.Itoa(info.Request),
-		drmaa2.AttrAttempts: strconv.Itoa(info.Attempts),
-		drmaa2.AttrRevision: strconv.FormatUint(info.Revision, 10),
-		drmaa2.AttrCores:    strconv.FormatFloat(spec.Cores, 'g', -1, 64),
-		drmaa2.AttrMemory:   strconv.FormatFloat(spec.Memory, 'g', -1, 64),
+		drmaa2.AttrPlacementRequests: strconv.Itoa(info.Request),
+		drmaa2.AttrAttempts:          strconv.Itoa(info.Attempts),
+		drmaa2.AttrRevision:          strconv.FormatUint(info.Revision, 10),
+		drmaa2.AttrCores:             strconv.FormatFloat(spec.Cores, 'g', -1, 64),
+		drmaa2.AttrMemory:            strconv.FormatFloat(spec.Memory, 'g', -1, 64),
 	}
 	setUnlessEmpty(attributes, drmaa2.AttrOutcome, string(info.Outcome))
 	setUnlessEmpty(attributes, drmaa2.AttrNode, info.Node)
@@ -94,7 +94,7 @@
 		attributes[drmaa2.AttrIndex] = strconv.Itoa(info.Index)
 	}
 	if info.RequestedAt > 0 {
-		attributes[drmaa2.AttrAskedAt] = formatTime(info.RequestedAt)
+		attributes[drmaa2.AttrRequestedAt] = formatTime(info.RequestedAt)
 	}
 	if info.PlacementDeadline > 0 {
 		attributes[drmaa2.AttrDue] = formatTime(info.PlacementDeadline)
