--- a/constraint.go
+++ b/constraint.go
@@ -29,23 +29,23 @@
 	ObjectiveOrder                              // tasks that can still start in time go first
 	ArrivalOrder                                // of these the one that came first; without it, the last
 	Migrations                                  // tasks that are served badly are moved
-	bars
+	constraintCount
 )
 
-var barNames = [bars]string{"drain", "repeat", "spread", "cold", "answer", "tried", "failing", "class", "refused",
+var constraintNames = [constraintCount]string{"drain", "repeat", "spread", "cold", "answer", "tried", "failing", "class", "refused",
 	"rushed", "room", "needed", "strained", "contradicted", "homes", "gone-binds", "proved-binds", "probe", "late-room",
 	"waits", "oldest", "moves"}
 
 // Constraints lists all.
 func Constraints() []Constraint {
-	all := make([]Constraint, bars)
+	all := make([]Constraint, constraintCount)
 	for i := range all {
 		all[i] = Constraint(i)
 	}
 	return all
 }
 
-func (b Constraint) String() string { return barNames[b] }
+func (b Constraint) String() string { return constraintNames[b] }
 
 // IsHard tells whether a rule hangs on it.
 func (b Constraint) IsHard() bool { return b <= AnswerDeadlineConstraint }
@@ -53,6 +53,6 @@
 // Disable takes bars out. It is for tests and experiments, before the first Step; no deployment does it.
 func (p *Placer) Disable(out ...Constraint) {
 	for _, b := range out {
-		p.without[b] = true
+		p.disabled[b] = true
 	}
 }
--- a/index.go
+++ b/index.go
@@ -18,87 +18,87 @@
 
 // index is kept up to date by refresh, which looks again at the machines that were touched.
 type index struct {
-	moved bool       // machines have come or gone since they were numbered
-	dirty []*machine // touched since review looked at them
-	due   timerqueue.Heap[*machine]
-	shape int // grows when a machine comes, goes or changes its kind: rankings of homes are void then
-
-	cold, failing, strained, ours, refusing, rushed, reporting *bitset.BitSet
-	kinds, classes                                             []*bitset.BitSet // in service by kind; failing by class
-	zones                                                      map[string]*place
-	cells                                                      map[int]*place
-	left, spare                                                *bitset.BitSet // in use by the choice in hand
-
-	weights []float64 // of each kind, the smaller of its shares of the largest cores and memory
-	hashes  []uint64
-	kind    []int32   // -1: not listed or of no known kind
-	told    []float64 // load by the last fresh report
-	others  []float64
-	pick    []int32 // the candidate of the vote in hand, counted from 1
+	renumber     bool       // machines have come or gone since they were numbered
+	dirty        []*machine // touched since review looked at them
+	reviewTimers timerqueue.Heap[*machine]
+	fleetVersion int // grows when a machine comes, goes or changes its kind: rankings of homes are void then
+
+	slowStarting, failing, overloaded, occupied, rejecting, offerLimited, reporting *bitset.BitSet
+	activeByKind, failingByClass                                                    []*bitset.BitSet // in service by kind; failing by class
+	zones                                                                           map[string]*domain
+	cells                                                                           map[int]*domain
+	eligible, scratch                                                               *bitset.BitSet // in use by the choice in hand
+
+	kindWeights  []float64 // of each kind, the smaller of its shares of the largest cores and memory
+	idHashes     []uint64
+	kindOf       []int32   // -1: not listed or of no known kind
+	reportedLoad []float64 // load by the last fresh report
+	externalLoad []float64
+	candidateOf  []int32 // the candidate of the vote in hand, counted from 1
 
 	// Where the list tells free room:
-	roomCores, roomMemory []float64 // by its word and the settings, less what it may lack
-	baseCores, baseMemory []float64 // by its word and the settings
-	useCores, useMemory   []float64 // asked of it, terms of the fleet's sum
-	asked                 []float64
-	byAsked               []int32 // the machines by asked, most first, then by number
-	askedOld              []int32 // numbers whose place in byAsked is void
-	allCores, allMemory   float64 // sums of the terms
-	summed                bool
-
-	lateStep    int // the step for which the late sums hold
-	lateAt      int // length of the history when they were made
-	late        []*machine
-	seen        *bitset.BitSet // asked for their room in this step
-	held        map[alike]bool // tasks that ask so find nothing, until something is offered
-	candidates  []candidate    // of the choice in hand
-	packed      []column       // by kind, as of packedShape
-	need        []uint64       // by kind: the least hash of those that rank among the first few
-	packedShape int
-	top         []ranked
-	replayed    []replayed
-	binds       []*bind
-}
-
-// place is a cell or zone.
-type place struct {
-	bits *bitset.BitSet // its listed machines
-}
-
-// alike is all of a task's ask on which it depends whether something is left for it before its first offer.
-type alike struct {
+	freeCores, freeMemory           []float64 // by its word and the settings, less what it may lack
+	listedCores, listedMemory       []float64 // by its word and the settings
+	requestedCores, requestedMemory []float64 // asked of it, terms of the fleet's sum
+	requestedShare                  []float64
+	byRequestedShare                []int32 // the machines by asked, most first, then by number
+	rankChanged                     []int32 // numbers whose place in byAsked is void
+	totalCores, totalMemory         float64 // sums of the terms
+	totalsValid                     bool
+
+	unlistedStep     int // the step for which the late sums hold
+	unlistedHistory  int // length of the history when they were made
+	unlistedMachines []*machine
+	unlistedChecked  *bitset.BitSet            // asked for their room in this step
+	infeasible       map[equivalenceClass]bool // tasks that ask so find nothing, until something is offered
+	candidates       []candidate               // of the choice in hand
+	hashColumns      []hashColumn              // by kind, as of packedShape
+	topThresholds    []uint64                  // by kind: the least hash of those that rank among the first few
+	columnsVersion   int
+	topBuffer        []rankedMachine
+	replayBuffer     []replayedPlacement
+	placementBuffer  []*placement
+}
+
+// domain is a cell or zone.
+type domain struct {
+	machines *bitset.BitSet // its listed machines
+}
+
+// equivalenceClass is all of a task's ask on which it depends whether something is left for it before its first offer.
+type equivalenceClass struct {
 	class         int
 	service       string // only where spread is bounded
 	cores, memory float64
-	late          bool
+	nearDeadline  bool
 }
 
 // service is what is kept of one service.
 type service struct {
-	held  []int32 // machines that have our attempts and tasks of it; void while the index has moved
-	zones map[*place]int
-	cells map[*place]int
-	hash  uint64
-	top   []int32 // the best ranked machines, best first, as of shape
-	shape int
+	machines    []int32 // machines that have our attempts and tasks of it; void while the index has moved
+	zones       map[*domain]int
+	cells       map[*domain]int
+	hash        uint64
+	topMachines []int32 // the best ranked machines, best first, as of shape
+	topVersion  int
 }
 
-// stay is a service's attempts and tasks on one machine.
-type stay struct {
-	n   int
-	pos int // in service.held
-	of  *service
+// residency is a service's attempts and tasks on one machine.
+type residency struct {
+	count    int
+	position int // in service.held
+	service  *service
 }
 
-// keepServices bounds the services that are remembered though they have nothing out.
-const keepServices = 4096
+// maxIdleServices bounds the services that are remembered though they have nothing out.
+const maxIdleServices = 4096
 
 func newIndex(c *Config) index {
-	x := index{shape: 1, zones: map[string]*place{}, cells: map[int]*place{}, held: map[alike]bool{}}
+	x := index{fleetVersion: 1, zones: map[string]*domain{}, cells: map[int]*domain{}, infeasible: map[equivalenceClass]bool{}}
 	for _, k := range c.Kinds {
-		x.weights = append(x.weights, weight(k, c.Kinds))
+		x.kindWeights = append(x.kindWeights, kindWeight(k, c.Kinds))
 	}
-	x.kinds, x.classes = make([]*bitset.BitSet, len(c.Kinds)), make([]*bitset.BitSet, len(c.Classes))
+	x.activeByKind, x.failingByClass = make([]*bitset.BitSet, len(c.Kinds)), make([]*bitset.BitSet, len(c.Classes))
 	x.size(0)
 	return x
 }
@@ -106,126 +106,126 @@
 // size makes all sets and columns anew for n machines.
 func (x *index) size(n int) {
 	set := func() *bitset.BitSet { return bitset.MustNew(uint(n)) }
-	for _, s := range []**bitset.BitSet{&x.cold, &x.failing, &x.strained, &x.ours, &x.refusing, &x.rushed,
-		&x.reporting, &x.left, &x.spare, &x.seen} {
+	for _, s := range []**bitset.BitSet{&x.slowStarting, &x.failing, &x.overloaded, &x.occupied, &x.rejecting, &x.offerLimited,
+		&x.reporting, &x.eligible, &x.scratch, &x.unlistedChecked} {
 		*s = set()
 	}
-	for i := range x.kinds {
-		x.kinds[i] = set()
+	for i := range x.activeByKind {
+		x.activeByKind[i] = set()
 	}
-	for i := range x.classes {
-		x.classes[i] = set()
+	for i := range x.failingByClass {
+		x.failingByClass[i] = set()
 	}
-	for _, f := range []*[]float64{&x.told, &x.others, &x.roomCores, &x.roomMemory, &x.baseCores, &x.baseMemory,
-		&x.useCores, &x.useMemory, &x.asked} {
+	for _, f := range []*[]float64{&x.reportedLoad, &x.externalLoad, &x.freeCores, &x.freeMemory, &x.listedCores, &x.listedMemory,
+		&x.requestedCores, &x.requestedMemory, &x.requestedShare} {
 		*f = make([]float64, n)
 	}
-	x.hashes, x.kind, x.pick = make([]uint64, n), make([]int32, n), make([]int32, n)
-	x.byAsked, x.askedOld = nil, nil
+	x.idHashes, x.kindOf, x.candidateOf = make([]uint64, n), make([]int32, n), make([]int32, n)
+	x.byRequestedShare, x.rankChanged = nil, nil
 	clear(x.zones)
 	clear(x.cells)
-	x.lateStep = -1
+	x.unlistedStep = -1
 }
 
-// touch has a machine looked at again before the next choice.
-func (p *Placer) touch(m *machine) {
-	if !m.dirty {
-		m.dirty = true
+// requestReview has a machine looked at again before the next choice.
+func (p *Placer) requestReview(m *machine) {
+	if !m.awaitsReview {
+		m.awaitsReview = true
 		p.index.dirty = append(p.index.dirty, m)
 	}
 }
 
-// expire touches the machines of which some bar has ended by now.
-func (p *Placer) expire() {
-	for i := p.index.due.PopDue(p.now); i != nil; i = p.index.due.PopDue(p.now) {
-		p.touch(i.Value)
+// reviewExpired touches the machines of which some bar has ended by now.
+func (p *Placer) reviewExpired() {
+	for i := p.index.reviewTimers.PopDue(p.now); i != nil; i = p.index.reviewTimers.PopDue(p.now) {
+		p.requestReview(i.Value)
 	}
 }
 
 // refresh brings the index up to date.
 func (p *Placer) refresh() {
 	x := &p.index
-	if x.moved {
-		p.renumber()
+	if x.renumber {
+		p.renumberMachines()
 	}
 	if len(x.dirty) == 0 {
 		return
 	}
 	for _, m := range x.dirty {
-		m.dirty = false
-		if m.at >= 0 {
+		m.awaitsReview = false
+		if m.number >= 0 {
 			p.review(m)
 		}
 	}
-	x.dirty, x.summed = x.dirty[:0], false
-	clear(x.held)
+	x.dirty, x.totalsValid = x.dirty[:0], false
+	clear(x.infeasible)
 }
 
-// renumber numbers the machines in the order of their IDs.
-func (p *Placer) renumber() {
+// renumberMachines numbers the machines in the order of their IDs.
+func (p *Placer) renumberMachines() {
 	x := &p.index
-	x.moved = false
-	x.shape++
-	x.size(len(p.order))
+	x.renumber = false
+	x.fleetVersion++
+	x.size(len(p.machinesByID))
 	for _, s := range p.services {
-		s.held = s.held[:0]
+		s.machines = s.machines[:0]
 		clear(s.zones)
 		clear(s.cells)
 	}
-	for i, m := range p.order {
-		m.at, m.zone, m.cell = i, nil, nil
-		x.hashes[i] = m.hash
-		x.byAsked = append(x.byAsked, int32(i))
-		for _, s := range m.services { // each has a list of its own, so their order does not matter
-			s.pos = len(s.of.held)
-			s.of.held = append(s.of.held, int32(i))
+	for i, m := range p.machinesByID {
+		m.number, m.zoneDomain, m.cellDomain = i, nil, nil
+		x.idHashes[i] = m.idHash
+		x.byRequestedShare = append(x.byRequestedShare, int32(i))
+		for _, s := range m.residencies { // each has a list of its own, so their order does not matter
+			s.position = len(s.service.machines)
+			s.service.machines = append(s.service.machines, int32(i))
 		}
-		p.touch(m)
-		p.settleIn(m)
+		p.requestReview(m)
+		p.updateDomains(m)
 	}
-	x.askedOld = slices.Clone(x.byAsked)
+	x.rankChanged = slices.Clone(x.byRequestedShare)
 }
 
-// settleIn writes down where the list says that a machine stands, and counts its tasks there.
-func (p *Placer) settleIn(m *machine) {
+// updateDomains writes down where the list says that a machine stands, and counts its tasks there.
+func (p *Placer) updateDomains(m *machine) {
 	x := &p.index
-	if x.moved {
+	if x.renumber {
 		return
 	}
-	var zone, cell *place
+	var zone, cell *domain
 	if m.listed {
-		zone, cell = placeOf(x.zones, m.Zone, len(p.order)), placeOf(x.cells, m.Cell, len(p.order))
+		zone, cell = domainOf(x.zones, m.Zone, len(p.machinesByID)), domainOf(x.cells, m.Cell, len(p.machinesByID))
 	}
-	move := func(at **place, to *place, counts func(*service) map[*place]int) {
+	move := func(at **domain, to *domain, counts func(*service) map[*domain]int) {
 		if *at == to {
 			return
 		}
-		for _, s := range m.services { // sums, in any order
-			add(counts(s.of), *at, -s.n)
-			add(counts(s.of), to, s.n)
+		for _, s := range m.residencies { // sums, in any order
+			addCount(counts(s.service), *at, -s.count)
+			addCount(counts(s.service), to, s.count)
 		}
 		if *at != nil {
-			(*at).bits.Clear(uint(m.at))
+			(*at).machines.Clear(uint(m.number))
 		}
 		if to != nil {
-			to.bits.Set(uint(m.at))
+			to.machines.Set(uint(m.number))
 		}
 		*at = to
 	}
-	move(&m.zone, zone, func(s *service) map[*place]int { return s.zones })
-	move(&m.cell, cell, func(s *service) map[*place]int { return s.cells })
+	move(&m.zoneDomain, zone, func(s *service) map[*domain]int { return s.zones })
+	move(&m.cellDomain, cell, func(s *service) map[*domain]int { return s.cells })
 }
 
-func placeOf[K comparable](places map[K]*place, name K, n int) *place {
+func domainOf[K comparable](places map[K]*domain, name K, n int) *domain {
 	at := places[name]
 	if at == nil {
-		at = &place{bits: bitset.MustNew(uint(n))}
+		at = &domain{machines: bitset.MustNew(uint(n))}
 		places[name] = at
 	}
 	return at
 }
 
-func add(counts map[*place]int, at *place, n int) {
+func addCount(counts map[*domain]int, at *domain, n int) {
 	if at == nil {
 		return
 	}
@@ -238,99 +238,99 @@
 func (p *Placer) service(name string) *service {
 	s := p.services[name]
 	if s == nil {
-		s = &service{zones: map[*place]int{}, cells: map[*place]int{}, hash: hash(name)}
+		s = &service{zones: map[*domain]int{}, cells: map[*domain]int{}, hash: hash(name)}
 		p.services[name] = s
 	}
 	return s
 }
 
-// enter counts one more attempt or task of a service on m, leave one less.
-func (p *Placer) enter(name string, m *machine) {
-	s := m.services[name]
+// addResidency counts one more attempt or task of a service on m, leave one less.
+func (p *Placer) addResidency(name string, m *machine) {
+	s := m.residencies[name]
 	if s == nil {
-		s = &stay{of: p.service(name), pos: -1}
-		m.services[name] = s
-		if !p.index.moved {
-			s.pos = len(s.of.held)
-			s.of.held = append(s.of.held, int32(m.at))
+		s = &residency{service: p.service(name), position: -1}
+		m.residencies[name] = s
+		if !p.index.renumber {
+			s.position = len(s.service.machines)
+			s.service.machines = append(s.service.machines, int32(m.number))
 		}
 	}
-	s.n++
-	add(s.of.zones, m.zone, 1)
-	add(s.of.cells, m.cell, 1)
+	s.count++
+	addCount(s.service.zones, m.zoneDomain, 1)
+	addCount(s.service.cells, m.cellDomain, 1)
 }
 
-func (p *Placer) leave(name string, m *machine) {
-	s := m.services[name]
+func (p *Placer) removeResidency(name string, m *machine) {
+	s := m.residencies[name]
 	if s == nil {
 		return
 	}
-	add(s.of.zones, m.zone, -1)
-	add(s.of.cells, m.cell, -1)
-	if s.n--; s.n > 0 {
+	addCount(s.service.zones, m.zoneDomain, -1)
+	addCount(s.service.cells, m.cellDomain, -1)
+	if s.count--; s.count > 0 {
 		return
 	}
-	delete(m.services, name)
-	if !p.index.moved {
-		held := s.of.held
+	delete(m.residencies, name)
+	if !p.index.renumber {
+		held := s.service.machines
 		last := held[len(held)-1]
-		held[s.pos] = last
-		p.order[last].services[name].posIs(s.pos)
-		s.of.held = held[:len(held)-1]
+		held[s.position] = last
+		p.machinesByID[last].residencies[name].setPosition(s.position)
+		s.service.machines = held[:len(held)-1]
 	}
-	if len(s.of.held) == 0 && len(p.services) > keepServices && !p.index.moved {
+	if len(s.service.machines) == 0 && len(p.services) > maxIdleServices && !p.index.renumber {
 		delete(p.services, name)
 	}
 }
 
-// posIs is for the stay that took another's place; nil where that was the last one itself.
-func (s *stay) posIs(pos int) {
+// setPosition is for the stay that took another's place; nil where that was the last one itself.
+func (s *residency) setPosition(pos int) {
 	if s != nil {
-		s.pos = pos
+		s.position = pos
 	}
 }
 
-// put writes whether number i is in a set.
-func put(s *bitset.BitSet, i int, in bool) { s.SetTo(uint(i), in) }
+// setMember writes whether number i is in a set.
+func setMember(s *bitset.BitSet, i int, in bool) { s.SetTo(uint(i), in) }
 
-// columns writes the figures of m: what the list's word means in the settings' measures.
-func (p *Placer) columns(m *machine, kind int) {
-	x, i := &p.index, m.at
-	x.useCores[i], x.useMemory[i] = 0, 0
+// updateColumns writes the figures of m: what the list's word means in the settings' measures.
+func (p *Placer) updateColumns(m *machine, kind int) {
+	x, i := &p.index, m.number
+	x.requestedCores[i], x.requestedMemory[i] = 0, 0
 	if kind >= 0 {
-		x.others[i] = p.others(m)
+		x.externalLoad[i] = p.externalLoad(m)
 	}
 	if kind < 0 || !p.cfg.ListsFreeCapacity {
 		return
 	}
 	k := p.cfg.Kinds[kind]
-	x.baseCores[i] = m.FreeCores + (p.cfg.CoreOvercommit-1)*k.Cores
-	x.baseMemory[i] = m.FreeMemory + (p.cfg.MemoryOvercommit-1)*k.Memory
+	x.listedCores[i] = m.FreeCores + (p.cfg.CoreOvercommit-1)*k.Cores
+	x.listedMemory[i] = m.FreeMemory + (p.cfg.MemoryOvercommit-1)*k.Memory
 	if m.State != Removed {
-		x.useCores[i] = k.Cores - m.FreeCores + m.newCores
-		x.useMemory[i] = k.Memory - m.FreeMemory + m.newMemory
+		x.requestedCores[i] = k.Cores - m.FreeCores + m.coresSinceListed
+		x.requestedMemory[i] = k.Memory - m.FreeMemory + m.memorySinceListed
 	}
-	if asked := p.asked(m); asked != x.asked[i] {
-		x.asked[i] = asked
-		x.askedOld = append(x.askedOld, int32(i))
+	if asked := p.requestedShare(m); asked != x.requestedShare[i] {
+		x.requestedShare[i] = asked
+		x.rankChanged = append(x.rankChanged, int32(i))
 	}
-	if m.lateIn != x.lateStep {
-		m.lateCores, m.lateMemory = 0, 0
+	if m.unlistedStep != x.unlistedStep {
+		m.unlistedCores, m.unlistedMemory = 0, 0
 	}
-	x.takeOff(m)
+	x.updateFreeCapacity(m)
 }
 
-// again has m looked at when the time has come; not at all for the end of time.
-func (x *index) again(m *machine, at Time) {
+// scheduleReview has m looked at when the time has come; not at all for the end of time.
+func (x *index) scheduleReview(m *machine, at Time) {
 	if at < math.MaxInt64 {
-		x.due.Set(&m.due, at)
+		x.reviewTimers.Set(&m.reviewTimer, at)
 	} else {
-		x.due.Remove(&m.due)
+		x.reviewTimers.Remove(&m.reviewTimer)
 	}
 }
 
-// both calls do for each number that is in a and in b, in order. do may change either set at its own number.
-func both(a, b *bitset.BitSet, do func(i int)) {
+// forEachCommon calls do for each number that is in a and in b, in order. do may change either set at its own number.
+func forEachCommon(a, b *bitset.BitSet, do func(i int)) {
 	x, y := a.Words(), b.Words()
 	for w := range x {
 		for word := x[w] & y[w]; word != 0; word &= word - 1 {
@@ -339,14 +339,14 @@
 	}
 }
 
-// lacking adds to out the numbers of left that have less room than asked.
-func (x *index) lacking(left, out *bitset.BitSet, cores, memory float64) {
+// addLackingCapacity adds to out the numbers of left that have less room than asked.
+func (x *index) addLackingCapacity(left, out *bitset.BitSet, cores, memory float64) {
 	from, to := left.Words(), out.Words()
 	for w := range from {
 		word, lacks := from[w]&^to[w], uint64(0)
 		for ; word != 0; word &= word - 1 {
 			i := w<<6 + bits.TrailingZeros64(word)
-			if !(x.roomCores[i] >= cores && x.roomMemory[i] >= memory) {
+			if !(x.freeCores[i] >= cores && x.freeMemory[i] >= memory) {
 				lacks |= word & -word
 			}
 		}
@@ -354,35 +354,37 @@
 	}
 }
 
-// sums is what the fleet's listed machines are asked for in all. The terms are added in the order of the machines, so
+// totals is what the fleet's listed machines are asked for in all. The terms are added in the order of the machines, so
 // that the sum is the same to the last bit whatever changed since.
-func (x *index) sums() (cores, memory float64) {
-	if !x.summed {
-		x.summed, x.allCores, x.allMemory = true, 0, 0
-		for i, c := range x.useCores {
-			x.allCores += c
-			x.allMemory += x.useMemory[i]
+func (x *index) totals() (cores, memory float64) {
+	if !x.totalsValid {
+		x.totalsValid, x.totalCores, x.totalMemory = true, 0, 0
+		for i, c := range x.requestedCores {
+			x.totalCores += c
+			x.totalMemory += x.requestedMemory[i]
 		}
 	}
-	return x.allCores, x.allMemory
+	return x.totalCores, x.totalMemory
 }
 
-// ranked is the machines by asked, most first. Those that changed are taken out and merged in again.
-func (x *index) ranked() []int32 {
-	if len(x.askedOld) == 0 {
-		return x.byAsked
+// rankedByRequestedShare is the machines by asked, most first. Those that changed are taken out and merged in again.
+func (x *index) rankedByRequestedShare() []int32 {
+	if len(x.rankChanged) == 0 {
+		return x.byRequestedShare
 	}
-	order := func(a, b int32) int { return cmp.Or(cmp.Compare(x.asked[b], x.asked[a]), cmp.Compare(a, b)) }
-	slices.Sort(x.askedOld)
-	changed := slices.Compact(x.askedOld)
-	if len(changed) > len(x.byAsked)/8 {
-		slices.SortFunc(x.byAsked, order)
+	order := func(a, b int32) int {
+		return cmp.Or(cmp.Compare(x.requestedShare[b], x.requestedShare[a]), cmp.Compare(a, b))
+	}
+	slices.Sort(x.rankChanged)
+	changed := slices.Compact(x.rankChanged)
+	if len(changed) > len(x.byRequestedShare)/8 {
+		slices.SortFunc(x.byRequestedShare, order)
 	} else {
-		old := x.spare.ClearAll()
+		old := x.scratch.ClearAll()
 		for _, i := range changed {
 			old.Set(uint(i))
 		}
-		kept := slices.DeleteFunc(x.byAsked, func(i int32) bool { return old.Test(uint(i)) })
+		kept := slices.DeleteFunc(x.byRequestedShare, func(i int32) bool { return old.Test(uint(i)) })
 		slices.SortFunc(changed, order)
 		merged := make([]int32, 0, len(kept)+len(changed))
 		for len(kept) > 0 && len(changed) > 0 {
@@ -392,43 +394,43 @@
 				merged, changed = append(merged, changed[0]), changed[1:]
 			}
 		}
-		x.byAsked = append(append(merged, kept...), changed...)
+		x.byRequestedShare = append(append(merged, kept...), changed...)
 	}
-	x.askedOld = x.askedOld[:0]
-	return x.byAsked
+	x.rankChanged = x.rankChanged[:0]
+	return x.byRequestedShare
 }
 
 // ---- Ranks of homes.
 
-// topRanked is how many of a service's best machines are kept by rank.
-const topRanked = 12
+// topAffinityCount is how many of a service's best machines are kept by rank.
+const topAffinityCount = 12
 
-// rankKey orders machines as homes of a service, see rank: among machines of one weight u alone tells.
-type rankKey struct{ u, weight float64 }
+// affinity orders machines as homes of a service, see rank: among machines of one weight u alone tells.
+type affinity struct{ hashValue, weight float64 }
 
-func (x *index) rankKey(s *service, i int32) rankKey {
+func (x *index) affinityOf(s *service, i int32) affinity {
 	weight := 1.0
-	if k := x.kind[i]; k >= 0 {
-		weight = x.weights[k]
+	if k := x.kindOf[i]; k >= 0 {
+		weight = x.kindWeights[k]
 	}
-	return rankKey{float64(mix(x.hashes[i]^s.hash)>>11 + 1), weight}
+	return affinity{float64(mix(x.idHashes[i]^s.hash)>>11 + 1), weight}
 }
 
 // compare is above 0 where k ranks before o.
-func (k rankKey) compare(o rankKey) int {
+func (k affinity) compare(o affinity) int {
 	if k.weight == o.weight {
-		return cmp.Compare(k.u, o.u)
+		return cmp.Compare(k.hashValue, o.hashValue)
 	}
-	return cmp.Compare(k.rank(), o.rank())
+	return cmp.Compare(k.score(), o.score())
 }
 
-// best names the two machines of left that rank first as homes of s; -1 where there are fewer.
-func (x *index) best(s *service, left *bitset.BitSet) (first, second int32) {
-	if s.shape != x.shape {
-		x.rankTop(s)
+// bestTwo names the two machines of left that rank first as homes of s; -1 where there are fewer.
+func (x *index) bestTwo(s *service, left *bitset.BitSet) (first, second int32) {
+	if s.topVersion != x.fleetVersion {
+		x.rankTopMachines(s)
 	}
 	first, second = -1, -1
-	for _, i := range s.top {
+	for _, i := range s.topMachines {
 		if !left.Test(uint(i)) {
 			continue
 		}
@@ -439,10 +441,10 @@
 	}
 	// Few of the best are left: all that are left are looked at.
 	first = -1
-	var a, b rankKey
-	both(left, left, func(n int) {
+	var a, b affinity
+	forEachCommon(left, left, func(n int) {
 		i := int32(n)
-		switch k := x.rankKey(s, i); {
+		switch k := x.affinityOf(s, i); {
 		case first < 0 || k.compare(a) > 0:
 			second, b = first, a
 			first, a = i, k
@@ -453,183 +455,183 @@
 	return first, second
 }
 
-// rankTop finds the machines that rank best of all. A hash is compared with what a machine of its weight needs in
+// rankTopMachines finds the machines that rank best of all. A hash is compared with what a machine of its weight needs in
 // order to be among the first few in expectation, so hardly any logarithm is taken.
-func (x *index) rankTop(s *service) {
-	if x.packedShape != x.shape {
-		x.pack()
-	}
-	s.shape, s.top = x.shape, s.top[:0]
-	top := x.top[:0]
-	for k := range x.packed {
-		c, need := &x.packed[k], x.need[k]
+func (x *index) rankTopMachines(s *service) {
+	if x.columnsVersion != x.fleetVersion {
+		x.packColumns()
+	}
+	s.topVersion, s.topMachines = x.fleetVersion, s.topMachines[:0]
+	top := x.topBuffer[:0]
+	for k := range x.hashColumns {
+		c, need := &x.hashColumns[k], x.topThresholds[k]
 		for j, h := range c.hashes {
 			if mix(h^s.hash)>>11 >= need {
-				i := c.at[j]
-				top = append(top, ranked{i, x.rankKey(s, i)})
+				i := c.machines[j]
+				top = append(top, rankedMachine{i, x.affinityOf(s, i)})
 			}
 		}
 	}
-	slices.SortFunc(top, func(a, b ranked) int { return b.k.compare(a.k) })
+	slices.SortFunc(top, func(a, b rankedMachine) int { return b.affinity.compare(a.affinity) })
 	for _, r := range top {
-		s.top = append(s.top, r.i)
+		s.topMachines = append(s.topMachines, r.machine)
 	}
-	x.top = top
+	x.topBuffer = top
 }
 
-// ranked is a machine with its rank.
-type ranked struct {
-	i int32
-	k rankKey
+// rankedMachine is a machine with its rank.
+type rankedMachine struct {
+	machine  int32
+	affinity affinity
 }
 
-// column is the machines of one kind side by side.
-type column struct {
-	hashes []uint64
-	at     []int32
+// hashColumn is the machines of one kind side by side.
+type hashColumn struct {
+	hashes   []uint64
+	machines []int32
 }
 
-// pack lays the machines of each kind side by side.
-func (x *index) pack() {
-	x.packedShape = x.shape
-	x.packed, x.need = make([]column, len(x.weights)), make([]uint64, len(x.weights))
+// packColumns lays the machines of each kind side by side.
+func (x *index) packColumns() {
+	x.columnsVersion = x.fleetVersion
+	x.hashColumns, x.topThresholds = make([]hashColumn, len(x.kindWeights)), make([]uint64, len(x.kindWeights))
 	all := 0.0
-	for i, k := range x.kind {
+	for i, k := range x.kindOf {
 		if k >= 0 {
-			all += x.weights[k]
-			c := &x.packed[k]
-			c.hashes, c.at = append(c.hashes, x.hashes[i]), append(c.at, int32(i))
+			all += x.kindWeights[k]
+			c := &x.hashColumns[k]
+			c.hashes, c.machines = append(c.hashes, x.idHashes[i]), append(c.machines, int32(i))
 		}
 	}
-	for k, w := range x.weights {
-		x.need[k] = uint64(math.Exp(-topRanked/all*w) * (1 << 53))
+	for k, w := range x.kindWeights {
+		x.topThresholds[k] = uint64(math.Exp(-topAffinityCount/all*w) * (1 << 53))
 	}
 }
 
 // ---- The history by machine.
 
-// bindsOf is the recent binds of the candidates that x.pick marks, in the order of the history. Where they are few
+// placementsOf is the recent binds of the candidates that x.pick marks, in the order of the history. Where they are few
 // their machines' own lists are merged, else the whole history is read.
-func (p *Placer) bindsOf(list []candidate) []*bind {
-	recent, out := p.recent(), p.index.binds[:0]
+func (p *Placer) placementsOf(list []candidate) []*placement {
+	recent, out := p.recentHistory(), p.index.placementBuffer[:0]
 	if len(recent) == 0 {
 		return nil
 	}
 	n, first := 0, recent[0].serial
 	for _, c := range list {
-		n += len(p.order[c.i].binds)
+		n += len(p.machinesByID[c.machine].placements)
 		if n > len(recent)/4 {
 			break
 		}
 	}
 	if n > len(recent)/4 {
 		for _, b := range recent {
-			if !b.off && b.m.at >= 0 && p.index.pick[b.m.at] > 0 && b.m.Kind >= 0 {
+			if !b.forgotten && b.machine.number >= 0 && p.index.candidateOf[b.machine.number] > 0 && b.machine.Kind >= 0 {
 				out = append(out, b)
 			}
 		}
 	} else {
 		for _, c := range list {
-			for _, b := range p.order[c.i].binds {
-				if !b.off && b.serial >= first && b.m.Kind >= 0 {
+			for _, b := range p.machinesByID[c.machine].placements {
+				if !b.forgotten && b.serial >= first && b.machine.Kind >= 0 {
 					out = append(out, b)
 				}
 			}
 		}
-		slices.SortFunc(out, func(a, b *bind) int { return cmp.Compare(a.serial, b.serial) })
+		slices.SortFunc(out, func(a, b *placement) int { return cmp.Compare(a.serial, b.serial) })
 	}
-	p.index.binds = out
+	p.index.placementBuffer = out
 	return out
 }
 
-// bound adds a bind to its machine's list, from which those that left the history go.
-func (p *Placer) bound(b *bind) {
-	p.binds++
-	b.serial = p.binds
+// indexPlacement adds a bind to its machine's list, from which those that left the history go.
+func (p *Placer) indexPlacement(b *placement) {
+	p.lastSerial++
+	b.serial = p.lastSerial
 	old := 0
-	if h := p.recent(); len(h) > 0 {
-		for old < len(b.m.binds) && b.m.binds[old].serial < h[0].serial {
+	if h := p.recentHistory(); len(h) > 0 {
+		for old < len(b.machine.placements) && b.machine.placements[old].serial < h[0].serial {
 			old++
 		}
 	}
-	b.m.binds = append(append(b.m.binds[:0], b.m.binds[old:]...), b)
+	b.machine.placements = append(append(b.machine.placements[:0], b.machine.placements[old:]...), b)
 }
 
 // ---- Room that the list's word may lack.
 
-// lateSums has room reckoned for those of rest that were not asked for it in this step. What binds take since
+// updateUnlisted has room reckoned for those of rest that were not asked for it in this step. What binds take since
 // then, occupy takes off. sum adds up one machine's late binds.
-func (p *Placer) lateSums(rest *bitset.BitSet, from time.Duration) {
+func (p *Placer) updateUnlisted(rest *bitset.BitSet, from time.Duration) {
 	x := &p.index
-	if p.without[StaleCapacity] {
+	if p.disabled[StaleCapacity] {
 		return
 	}
-	if x.lateStep != p.steps {
-		for _, m := range x.late {
-			m.lateCores, m.lateMemory = 0, 0
-			x.takeOff(m)
+	if x.unlistedStep != p.stepNumber {
+		for _, m := range x.unlistedMachines {
+			m.unlistedCores, m.unlistedMemory = 0, 0
+			x.updateFreeCapacity(m)
 		}
-		x.late, x.lateStep, x.lateAt = x.late[:0], p.steps, len(p.history)
-		x.seen.ClearAll()
-		for _, b := range slices.Backward(p.recent()) {
-			if m := b.m; !b.off && b.at >= m.viewAt-from {
-				if m.lateIn != p.steps {
-					m.lateIn, m.lateCores, m.lateMemory = p.steps, 0, 0
-					x.late = append(x.late, m)
+		x.unlistedMachines, x.unlistedStep, x.unlistedHistory = x.unlistedMachines[:0], p.stepNumber, len(p.history)
+		x.unlistedChecked.ClearAll()
+		for _, b := range slices.Backward(p.recentHistory()) {
+			if m := b.machine; !b.forgotten && b.placedAt >= m.listedAt-from {
+				if m.unlistedStep != p.stepNumber {
+					m.unlistedStep, m.unlistedCores, m.unlistedMemory = p.stepNumber, 0, 0
+					x.unlistedMachines = append(x.unlistedMachines, m)
 				}
-				m.lateCores += b.cores
-				m.lateMemory += b.memory
+				m.unlistedCores += b.cores
+				m.unlistedMemory += b.memory
 			}
 		}
-		for _, m := range x.late {
-			x.takeOff(m)
+		for _, m := range x.unlistedMachines {
+			x.updateFreeCapacity(m)
 		}
 	}
-	if len(p.history) > x.lateAt { // binds of this step: machines not asked for their room until now are summed anew
-		for _, m := range x.late {
-			if m.at < 0 || !rest.Test(uint(m.at)) || x.seen.Test(uint(m.at)) {
+	if len(p.history) > x.unlistedHistory { // binds of this step: machines not asked for their room until now are summed anew
+		for _, m := range x.unlistedMachines {
+			if m.number < 0 || !rest.Test(uint(m.number)) || x.unlistedChecked.Test(uint(m.number)) {
 				continue
 			}
-			m.lateCores, m.lateMemory = 0, 0
-			for _, b := range slices.Backward(p.recent()) {
-				if b.at < m.viewAt-from {
+			m.unlistedCores, m.unlistedMemory = 0, 0
+			for _, b := range slices.Backward(p.recentHistory()) {
+				if b.placedAt < m.listedAt-from {
 					break
 				}
-				if b.m == m && !b.off {
-					m.lateCores += b.cores
-					m.lateMemory += b.memory
+				if b.machine == m && !b.forgotten {
+					m.unlistedCores += b.cores
+					m.unlistedMemory += b.memory
 				}
 			}
-			x.takeOff(m)
+			x.updateFreeCapacity(m)
 		}
 	}
-	x.seen.InPlaceUnion(rest)
+	x.unlistedChecked.InPlaceUnion(rest)
 }
 
-// lateBind adds a bind of this step to what the list's word lacks.
-func (p *Placer) lateBind(m *machine, t *task) {
+// addUnlisted adds a bind of this step to what the list's word lacks.
+func (p *Placer) addUnlisted(m *machine, t *task) {
 	x := &p.index
-	if x.lateStep != p.steps {
+	if x.unlistedStep != p.stepNumber {
 		return
 	}
-	if m.lateIn != p.steps {
-		m.lateIn, m.lateCores, m.lateMemory = p.steps, 0, 0
-		x.late = append(x.late, m)
+	if m.unlistedStep != p.stepNumber {
+		m.unlistedStep, m.unlistedCores, m.unlistedMemory = p.stepNumber, 0, 0
+		x.unlistedMachines = append(x.unlistedMachines, m)
 	}
-	m.lateCores += t.Cores
-	m.lateMemory += t.Memory
-	x.takeOff(m)
+	m.unlistedCores += t.Cores
+	m.unlistedMemory += t.Memory
+	x.updateFreeCapacity(m)
 }
 
-func (x *index) takeOff(m *machine) {
-	if m.at >= 0 && m.at < len(x.roomCores) {
-		x.roomCores[m.at] = x.baseCores[m.at] - m.lateCores
-		x.roomMemory[m.at] = x.baseMemory[m.at] - m.lateMemory
+func (x *index) updateFreeCapacity(m *machine) {
+	if m.number >= 0 && m.number < len(x.freeCores) {
+		x.freeCores[m.number] = x.listedCores[m.number] - m.unlistedCores
+		x.freeMemory[m.number] = x.listedMemory[m.number] - m.unlistedMemory
 	}
 }
 
-// weight is a machine's size among the kinds: the smaller of its shares of the largest cores and memory.
-func weight(k Kind, kinds []Kind) float64 {
+// kindWeight is a machine's size among the kinds: the smaller of its shares of the largest cores and memory.
+func kindWeight(k Kind, kinds []Kind) float64 {
 	var most Kind
 	for _, k := range kinds {
 		most.Cores, most.Memory = max(most.Cores, k.Cores), max(most.Memory, k.Memory)
--- a/placer_test.go
+++ b/placer_test.go
@@ -67,21 +67,21 @@
 // whole is the set of all machines; everyone has them all vote, without ranks.
 func whole(p *Placer) *bitset.BitSet {
 	p.refresh()
-	s := bitset.MustNew(uint(len(p.order)))
-	return s.FlipRange(0, uint(len(p.order)))
+	s := bitset.MustNew(uint(len(p.machinesByID)))
+	return s.FlipRange(0, uint(len(p.machinesByID)))
 }
 
 func everyone(p *Placer) (list []candidate) {
 	for i := range whole(p).EachSet() {
-		list = append(list, candidate{i: int32(i)})
+		list = append(list, candidate{machine: int32(i)})
 	}
 	return list
 }
 
 // change has the index see what a test wrote into machines.
 func change(p *Placer) {
-	for _, m := range p.order {
-		p.touch(m)
+	for _, m := range p.machinesByID {
+		p.requestReview(m)
 	}
 }
 
@@ -305,7 +305,7 @@
 				t.Fatalf("%d machines: no answer", n)
 			}
 		}
-		if len(p.open) != 0 {
+		if len(p.openTasks) != 0 {
 			t.Errorf("%d machines: still open", n)
 		}
 	}
@@ -370,9 +370,9 @@
 	p := start(t, config(), fleet(3))
 	p.now = 10 * time.Second
 	for i, hint := range []time.Duration{20 * time.Second, time.Second, 20 * time.Second} {
-		b := &bind{m: p.order[i], at: 5 * time.Second, cores: 4, memory: 1, hint: hint}
+		b := &placement{machine: p.machinesByID[i], placedAt: 5 * time.Second, cores: 4, memory: 1, expectedRuntime: hint}
 		p.history = append(p.history, b)
-		p.bound(b)
+		p.indexPlacement(b)
 	}
 	for range 50 {
 		if m := p.vote(everyone(p)); m.ID != "m1" {
@@ -385,12 +385,12 @@
 func TestVoteTakesTheLargerShare(t *testing.T) {
 	p := start(t, config(), fleet(2))
 	p.now = 10 * time.Second
-	p.history = []*bind{
-		{m: p.order[0], at: p.now, cores: 1, memory: 50, hint: time.Hour},
-		{m: p.order[1], at: p.now, cores: 8, memory: 1, hint: time.Hour},
+	p.history = []*placement{
+		{machine: p.machinesByID[0], placedAt: p.now, cores: 1, memory: 50, expectedRuntime: time.Hour},
+		{machine: p.machinesByID[1], placedAt: p.now, cores: 8, memory: 1, expectedRuntime: time.Hour},
 	}
 	for _, b := range p.history {
-		p.bound(b)
+		p.indexPlacement(b)
 	}
 	if m := p.vote(everyone(p)); m.ID != "m1" {
 		t.Errorf("named %s", m.ID)
@@ -415,8 +415,8 @@
 	}
 	machines[0].FreeCores, machines[1].FreeCores = 32, 24 // the word now: m1 holds our eight, others have left
 	p.Step(4*time.Second, []Event{MachinesUpdated{Machines: machines}})
-	for _, m := range p.order {
-		if o := p.others(m); o != 0 {
+	for _, m := range p.machinesByID {
+		if o := p.externalLoad(m); o != 0 {
 			t.Errorf("%s: others hold %v of it, want nothing", m.ID, o)
 		}
 	}
@@ -466,17 +466,17 @@
 func TestDrawnLives(t *testing.T) {
 	p := start(t, config(), fleet(2))
 	p.now = 70 * time.Second
-	b := &bind{m: p.order[0], at: 10 * time.Second}
-	if got := p.alive(b); math.Abs(got-math.Exp(-1)) > 1e-9 {
+	b := &placement{machine: p.machinesByID[0], placedAt: 10 * time.Second}
+	if got := p.survival(b); math.Abs(got-math.Exp(-1)) > 1e-9 {
 		t.Errorf("alive %v after one first mean life", got)
 	}
-	p.lives[0] = lifetime{seen: 180 * time.Second, ended: 3}
-	if m := p.meanLife(0); m != 60*time.Second {
+	p.lifetimes[0] = lifetimeStats{observed: 180 * time.Second, ended: 3}
+	if m := p.meanLifetime(0); m != 60*time.Second {
 		t.Errorf("mean life %v, want (180+60)/4", m)
 	}
 	// Two that still run, seen for 40 s and 60 s, count as time without an ending.
-	p.lives[0].running, p.lives[0].since = 2, 30*time.Second+10*time.Second
-	if m := p.meanLife(0); m != 85*time.Second {
+	p.lifetimes[0].running, p.lifetimes[0].startSum = 2, 30*time.Second+10*time.Second
+	if m := p.meanLifetime(0); m != 85*time.Second {
 		t.Errorf("mean life %v, want (180+40+60+60)/4", m)
 	}
 }
@@ -485,7 +485,7 @@
 	p := start(t, config(), fleet(2))
 	o := one(t, p.Step(time.Second, []Event{ask("t", 0, 9*time.Second)}))
 	p.Step(time.Second+ms, []Event{AttemptEnded{Task: "t", Machine: o.Machine, Outcome: Rejected, Reason: InsufficientCores}})
-	if len(p.history) != 1 || p.history[0].m.ID == o.Machine {
+	if len(p.history) != 1 || p.history[0].machine.ID == o.Machine {
 		t.Errorf("history %v", p.history)
 	}
 }
@@ -524,19 +524,19 @@
 	o := one(t, p.Step(time.Second, []Event{ask("t", 0, 2*time.Second)}))
 	e := AttemptEnded{Task: "t", Machine: o.Machine, Outcome: Rejected, Final: true, Reason: InsufficientCores}
 	p.Step(time.Second+ms, []Event{e})
-	m := p.order[0]
+	m := p.machinesByID[0]
 	full := func() bool {
 		change(p)
-		return p.full(&task{Task: ask("x", 0, 0).Task}, whole(p)).Test(uint(m.at))
+		return p.withoutCapacity(&task{Task: ask("x", 0, 0).Task}, whole(p)).Test(uint(m.number))
 	}
 	if p.now = 4 * time.Second; full() {
 		t.Fatal("still barred after its time")
 	}
-	m.waiting = 1
+	m.pendingOffers = 1
 	if !full() {
 		t.Error("a second offer at once")
 	}
-	m.window++ // as after an acceptance
+	m.offerWindow++ // as after an acceptance
 	if full() {
 		t.Error("no second offer after an acceptance")
 	}
@@ -545,14 +545,14 @@
 // The same after a failure: the offer that probes keeps the others away until it is answered.
 func TestOneOfferFindsOutAfterAFailure(t *testing.T) {
 	p := start(t, config(), fleet(4))
-	h := p.order[2].record(0)
-	p.strike(h)
-	p.now = h.bar
-	p.probe(h)
-	if p.now >= h.bar {
+	h := p.machinesByID[2].healthOf(0)
+	p.recordFailure(h)
+	p.now = h.ejectedUntil
+	p.startTrial(h)
+	if p.now >= h.ejectedUntil {
 		t.Error("nothing keeps others from following the offer that probes")
 	}
-	if p.served(h); p.now < h.bar {
+	if p.recordSuccess(h); p.now < h.ejectedUntil {
 		t.Error("barred though it served")
 	}
 }
@@ -560,9 +560,9 @@
 // Bad evidence never stops placing: with every machine failing, offers go on.
 func TestFailuresEverywhereBarNobody(t *testing.T) {
 	p := start(t, config(), fleet(4))
-	for _, m := range p.order {
-		p.strike(&m.health)
-		p.strike(m.record(0))
+	for _, m := range p.machinesByID {
+		p.recordFailure(&m.health)
+		p.recordFailure(m.healthOf(0))
 	}
 	change(p)
 	one(t, p.Step(time.Second+ms, []Event{ask("t", 0, 9*time.Second)}))
@@ -570,7 +570,7 @@
 
 func TestOneFailingMachineIsAvoided(t *testing.T) {
 	p := start(t, config(), fleet(4))
-	p.strike(&p.order[2].health)
+	p.recordFailure(&p.machinesByID[2].health)
 	change(p)
 	for i := range 40 {
 		as := p.Step(time.Second+ms, []Event{ask(fmt.Sprint("t", i), 0, 9*time.Second)})
@@ -588,14 +588,14 @@
 	p := start(t, c, fleet(8))
 	failing, other := &task{Task: Task{Class: 0}}, &task{Task: Task{Class: 1}}
 	failing.class, other.class = &p.cfg.Classes[0], &p.cfg.Classes[1]
-	for _, m := range p.order[:6] {
-		p.served(m.record(1))
-		p.failed(failing, m)
+	for _, m := range p.machinesByID[:6] {
+		p.recordSuccess(m.healthOf(1))
+		p.recordTaskFailure(failing, m)
 	}
 	change(p)
 	names := func(t *task) (out []string) {
-		for _, m := range p.order {
-			if p.now >= m.bar && p.now >= m.record(t.Class).bar {
+		for _, m := range p.machinesByID {
+			if p.now >= m.ejectedUntil && p.now >= m.healthOf(t.Class).ejectedUntil {
 				out = append(out, m.ID)
 			}
 		}
@@ -612,7 +612,7 @@
 			t.Errorf("the failing class went to %s", m.ID)
 		}
 	}
-	p.failed(failing, p.order[7])
+	p.recordTaskFailure(failing, p.machinesByID[7])
 	if got := names(other); len(got) != 7 {
 		t.Errorf("a machine that served nothing is not barred: %v", got)
 	}
@@ -640,8 +640,8 @@
 		cfg.Classes[0].Idempotency = c.effect
 		p := start(t, cfg, fleet(6))
 		if c.served {
-			for _, m := range p.order {
-				p.served(m.record(0))
+			for _, m := range p.machinesByID {
+				p.recordSuccess(m.healthOf(0))
 			}
 		}
 		change(p)
@@ -657,8 +657,8 @@
 			t.Errorf("%s: offered once more: %v", c.name, as)
 		}
 		barred := 0
-		for _, m := range p.order {
-			if p.now < m.record(0).bar {
+		for _, m := range p.machinesByID {
+			if p.now < m.healthOf(0).ejectedUntil {
 				barred++
 			}
 		}
@@ -685,7 +685,7 @@
 	if m := p.vote(everyone(p)[:2]); m.ID != "m1" {
 		t.Errorf("%s wins over the one that serves better", m.ID)
 	}
-	p.now += 2 * strainBar
+	p.now += 2 * overloadDuration
 	change(p)
 	p.refresh()
 	if m := p.vote(everyone(p)); m.ID == "m2" {
@@ -703,13 +703,13 @@
 	for i := range 4 {
 		p.Step(time.Second+Time(i+1)*400*ms, []Event{ask(fmt.Sprint("t", i), 0, time.Minute)})
 	}
-	if h := &p.order[0].health; h.bar == 0 {
-		p.strike(h)
-		if h.bar-p.now < 2*time.Second {
-			t.Errorf("barred for %v", h.bar-p.now)
+	if h := &p.machinesByID[0].health; h.ejectedUntil == 0 {
+		p.recordFailure(h)
+		if h.ejectedUntil-p.now < 2*time.Second {
+			t.Errorf("barred for %v", h.ejectedUntil-p.now)
 		}
 	}
-	if p.visit() > forget {
+	if p.trialInterval() > failureMemory {
 		t.Error("a visit is not bounded")
 	}
 }
@@ -728,16 +728,16 @@
 		passing := Machine{ID: fmt.Sprint("x", i/50)}
 		p.Step(now, []Event{MachinesUpdated{Complete: true, Machines: append(fleet(3), passing)}})
 	}
-	if len(p.history) > maxHistory || len(p.tasks) > 10 || len(p.order) > 100 {
-		t.Errorf("history %d, tasks %d, machines %d", len(p.history), len(p.tasks), len(p.order))
+	if len(p.history) > maxHistory || len(p.tasks) > 10 || len(p.machinesByID) > 100 {
+		t.Errorf("history %d, tasks %d, machines %d", len(p.history), len(p.tasks), len(p.machinesByID))
 	}
 }
 
 // Incident i959772 and a crash met on the way: nothing is left when every machine is told full.
 func TestNoneLeftIsHeld(t *testing.T) {
 	p := start(t, config(), fleet(2))
-	for _, m := range p.order {
-		m.fullBar = time.Hour
+	for _, m := range p.machinesByID {
+		m.rejectsUntil = time.Hour
 	}
 	change(p)
 	as := p.Step(time.Second+ms, []Event{ask("t", 0, 9*time.Second)})
@@ -752,21 +752,21 @@
 	a, b := start(t, config(), fleet(6)), start(t, config(), fleet(6))
 	for _, service := range []string{"s", "u", "v"} {
 		task.Service = service
-		ha, hb := a.homes(task, whole(a), 6), b.homes(task, whole(b), 6)
-		if len(ha) != several {
+		ha, hb := a.preferredMachines(task, whole(a), 6), b.preferredMachines(task, whole(b), 6)
+		if len(ha) != minCandidates {
 			t.Fatalf("%d homes", len(ha))
 		}
 		for _, c := range ha {
 			if !slices.Contains(hb, c) {
-				t.Errorf("service %s: the other scheduler does not name %s", service, a.order[c.i].ID)
+				t.Errorf("service %s: the other scheduler does not name %s", service, a.machinesByID[c.machine].ID)
 			}
 		}
 	}
-	for _, m := range a.order[:4] {
-		a.enter("s", m)
+	for _, m := range a.machinesByID[:4] {
+		a.addResidency("s", m)
 	}
 	task.Service = "s"
-	if h := a.homes(task, whole(a), 6); len(h) < 4 || len(h) > 5 {
+	if h := a.preferredMachines(task, whole(a), 6); len(h) < 4 || len(h) > 5 {
 		t.Errorf("with tasks on four machines: %d homes", len(h))
 	}
 }
@@ -780,16 +780,16 @@
 	}{{2, 0, true}, {24, 0, false}, {2, time.Minute, false}} {
 		p := start(t, config(), fleet(4))
 		p.now = 2 * time.Minute
-		for i, m := range p.order {
-			m.load, m.loadAt = LoadReport{Present: true, HasCores: true, FreeCores: 28}, p.now
+		for i, m := range p.machinesByID {
+			m.loadReport, m.loadReportedAt = LoadReport{Present: true, HasCores: true, FreeCores: 28}, p.now
 			if i == 0 {
-				m.load.FreeCores, m.loadAt = c.free, p.now-c.age
+				m.loadReport.FreeCores, m.loadReportedAt = c.free, p.now-c.age
 			}
-			p.enter("s", m)
+			p.addResidency("s", m)
 		}
 		change(p)
-		left := p.prefer(&task{Task: ask("t", 0, time.Hour).Task, class: &p.cfg.Classes[0]}, whole(p))
-		if barred := !slices.ContainsFunc(left, func(c candidate) bool { return c.i == 0 }); barred != c.barred {
+		left := p.applySoftConstraints(&task{Task: ask("t", 0, time.Hour).Task, class: &p.cfg.Classes[0]}, whole(p))
+		if barred := !slices.ContainsFunc(left, func(c candidate) bool { return c.machine == 0 }); barred != c.barred {
 			t.Errorf("free %v, age %v: barred %v", c.free, c.age, barred)
 		}
 	}
@@ -804,7 +804,7 @@
 		ms[i].FreeCores, ms[i].FreeMemory = 16, 50 // half of what each has is asked for
 	}
 	p := start(t, c, ms)
-	if used := p.inUse(whole(p)).Count(); used < 3 || used > 4 {
+	if used := p.consolidationSet(whole(p)).Count(); used < 3 || used > 4 {
 		t.Errorf("%d of 6 half-full machines in use", used)
 	}
 	for i := range ms {
@@ -812,7 +812,7 @@
 	}
 	p.Step(2*time.Second, []Event{MachinesUpdated{Machines: ms}})
 	for _, id := range []string{"m1", "m3", "m5"} {
-		if !p.inUse(whole(p)).Test(uint(p.machines[id].at)) {
+		if !p.consolidationSet(whole(p)).Test(uint(p.machines[id].number)) {
 			t.Errorf("%s, one of the fullest, is not kept in use", id)
 		}
 	}
@@ -823,15 +823,15 @@
 	c := config()
 	c.Tenants = []Tenant{{Name: "a", QuotaCores: 1}, {Name: "b", QuotaCores: 100}}
 	p := start(t, c, fleet(2))
-	p.tenants[0], p.tenants[1] = 5, 5
+	p.tenantCores[0], p.tenantCores[1] = 5, 5
 	over, within := &task{class: &c.Classes[0]}, &task{class: &c.Classes[0]}
 	within.Tenant = 1
-	over.taken, within.taken = p.now, p.now
-	if p.rank(over) <= p.rank(within) {
-		t.Errorf("ranks %d and %d", p.rank(over), p.rank(within))
+	over.submittedAt, within.submittedAt = p.now, p.now
+	if p.queueRankOf(over) <= p.queueRankOf(within) {
+		t.Errorf("ranks %d and %d", p.queueRankOf(over), p.queueRankOf(within))
 	}
-	within.taken = p.now - time.Minute
-	if p.rank(over) <= p.rank(within) {
+	within.submittedAt = p.now - time.Minute
+	if p.queueRankOf(over) <= p.queueRankOf(within) {
 		t.Error("a late task within its share goes before one beyond it")
 	}
 }
@@ -909,12 +909,12 @@
 		for i, amount := range c.told {
 			now := 3*time.Second + Time(i)*cmp.Or(c.every, time.Second)
 			if c.failing {
-				p.strike(p.machine("m3").record(0))
-				p.touch(p.machine("m3"))
+				p.recordFailure(p.machine("m3").healthOf(0))
+				p.requestReview(p.machine("m3"))
 			}
 			if c.refuses {
-				p.machine("m3").fullBar = now + time.Second
-				p.touch(p.machine("m3"))
+				p.machine("m3").rejectsUntil = now + time.Second
+				p.requestReview(p.machine("m3"))
 			}
 			all := []Event{served("b", "m1", c.elsewhere), served("c", "m2", c.elsewhere), served("d", "m3", c.elsewhere),
 				served("a", "m0", amount)}
@@ -938,25 +938,25 @@
 		p := start(t, config(), fleet(6))
 		task := p.newTask(Task{ID: "t", Service: "s", Cores: cores, Memory: 1})
 		names := func() (all []string) {
-			for _, c := range p.homes(task, whole(p), 6) {
-				all = append(all, p.order[c.i].ID)
+			for _, c := range p.preferredMachines(task, whole(p), 6) {
+				all = append(all, p.machinesByID[c.machine].ID)
 			}
 			return all
 		}
 		homes := names()
-		if len(homes) != several {
+		if len(homes) != minCandidates {
 			t.Fatalf("%v cores: homes %v", cores, homes)
 		}
 		for _, name := range homes {
-			p.strain(p.machine(name), strainBar, 1)
+			p.markOverloaded(p.machine(name), overloadDuration, 1)
 		}
 		now, more := names(), 0
 		for _, name := range now {
-			if p.machine(name).strained == 0 {
+			if p.machine(name).overloadedUntil == 0 {
 				more++
 			}
 		}
-		if want := map[float64]int{1: 0, 16: several}[cores]; more != want || !slices.Equal(now[:several], homes) {
+		if want := map[float64]int{1: 0, 16: minCandidates}[cores]; more != want || !slices.Equal(now[:minCandidates], homes) {
 			t.Errorf("%v cores: %v where %v serve badly, want %d more", cores, now, homes, want)
 		}
 	}
