--- a/cold_fleet_test.go
+++ b/cold_fleet_test.go
@@ -9,15 +9,15 @@
 	"time"
 )
 
-// coldFleet plays schedulers that all have work for one machine that has just come up; the others of its fleet are full. It
+// runSlowStartFleet plays schedulers that all have work for one machine that has just come up; the others of its fleet are full. It
 // returns when offers reached the cold machine, in order. Each scheduler hears of the start at its own time within late, and
 // a part of them starts anew while the machine is cold.
-func coldFleet(t *testing.T, schedulers int, budget float64, restarts bool, seed uint64) (at []Time, c Config) {
+func runSlowStartFleet(t *testing.T, schedulers int, budget float64, restarts bool, seed uint64) (at []Time, c Config) {
 	t.Helper()
-	c = config()
+	c = testConfig()
 	c.Schedulers, c.SlowStartBudget, c.OverloadWindow, c.SlowStartDuration = schedulers, budget, time.Second, 10*time.Second
 	rng := rand.New(rand.NewPCG(seed, 3))
-	const step = 20 * ms
+	const step = 20 * millisecond
 	full, cold := Machine{ID: "full", Zone: "a"}, Machine{ID: fmt.Sprint("cold", seed), Zone: "a", Started: 100 * time.Second}
 	type one struct {
 		p      *Placer
@@ -60,7 +60,7 @@
 			}
 			if rng.IntN(3) == 0 {
 				s.asked++
-				e := ask(fmt.Sprintf("t%d.%d.%d", i, s.asked, now), 0, now+4*time.Second)
+				e := submit(fmt.Sprintf("t%d.%d.%d", i, s.asked, now), 0, now+4*time.Second)
 				e.Task.Service = fmt.Sprint("s", rng.IntN(50))
 				events = append(events, e)
 			}
@@ -84,11 +84,11 @@
 // Fourth rule, for the fleet: whatever the counts of schedulers and offers, fractions of a share, restarts within the time in
 // which the machine is cold and words of its start that come at different times, all schedulers together stay within what it
 // always bears; and where work waits at each, they use half of it, less what schedulers started anew don't dare.
-func TestColdBudgetOfTheFleet(t *testing.T) {
+func TestSlowStartBudgetOfFleet(t *testing.T) {
 	for _, schedulers := range []int{1, 3, 4, 20, 30, 100} {
 		for _, budget := range []float64{2, 3.5, 7, 12.4, 25} {
 			for seed, restarts := range []bool{false, true} {
-				at, c := coldFleet(t, schedulers, budget, restarts, uint64(seed))
+				at, c := runSlowStartFleet(t, schedulers, budget, restarts, uint64(seed))
 				worst, first := 0, 0
 				for last := range at {
 					for at[last]-at[first] > c.OverloadWindow {
--- a/index.go
+++ b/index.go
@@ -99,12 +99,12 @@
 		x.kindWeights = append(x.kindWeights, kindWeight(k, c.Kinds))
 	}
 	x.activeByKind, x.failingByClass = make([]*bitset.BitSet, len(c.Kinds)), make([]*bitset.BitSet, len(c.Classes))
-	x.size(0)
+	x.resize(0)
 	return x
 }
 
-// size makes all sets and columns anew for n machines.
-func (x *index) size(n int) {
+// resize makes all sets and columns anew for n machines.
+func (x *index) resize(n int) {
 	set := func() *bitset.BitSet { return bitset.MustNew(uint(n)) }
 	for _, s := range []**bitset.BitSet{&x.slowStarting, &x.failing, &x.overloaded, &x.occupied, &x.rejecting, &x.offerLimited,
 		&x.reporting, &x.eligible, &x.scratch, &x.unlistedChecked} {
@@ -154,7 +154,7 @@
 	for _, m := range x.dirty {
 		m.awaitsReview = false
 		if m.number >= 0 {
-			p.review(m)
+			p.reviewMachine(m)
 		}
 	}
 	x.dirty, x.totalsValid = x.dirty[:0], false
@@ -166,7 +166,7 @@
 	x := &p.index
 	x.renumber = false
 	x.fleetVersion++
-	x.size(len(p.machinesByID))
+	x.resize(len(p.machinesByID))
 	for _, s := range p.services {
 		s.machines = s.machines[:0]
 		clear(s.zones)
@@ -234,8 +234,8 @@
 	}
 }
 
-// service finds or makes the record of a service.
-func (p *Placer) service(name string) *service {
+// findOrAddService finds or makes the record of a service.
+func (p *Placer) findOrAddService(name string) *service {
 	s := p.services[name]
 	if s == nil {
 		s = &service{zones: map[*domain]int{}, cells: map[*domain]int{}, hash: hash(name)}
@@ -248,7 +248,7 @@
 func (p *Placer) addResidency(name string, m *machine) {
 	s := m.residencies[name]
 	if s == nil {
-		s = &residency{service: p.service(name), position: -1}
+		s = &residency{service: p.findOrAddService(name), position: -1}
 		m.residencies[name] = s
 		if !p.index.renumber {
 			s.position = len(s.service.machines)
--- a/placer.go
+++ b/placer.go
@@ -98,15 +98,15 @@
 		p.handleDiscoveryFailed()
 	case TaskSubmitted:
 		if p.tasks[e.Task.ID] == nil {
-			t := p.newTask(e.Task)
+			t := p.addTask(e.Task)
 			p.openTasks = append(p.openTasks, t)
 		}
 	case TaskAdopted:
-		p.handleAdopted(e)
+		p.handleTaskAdopted(e)
 	case AttemptPlaced:
-		p.handlePlaced(e)
+		p.handleAttemptPlaced(e)
 	case AttemptEnded:
-		p.handleEnded(e)
+		p.handleAttemptEnded(e)
 	case UsageReport:
 		p.handleUsageReport(e)
 	case HealthChecked:
@@ -121,20 +121,20 @@
 	}
 }
 
-// handleAdopted takes over a task that runs: it counts for spread and joins the history as from now.
-func (p *Placer) handleAdopted(e TaskAdopted) {
+// handleTaskAdopted takes over a task that runs: it counts for spread and joins the history as from now.
+func (p *Placer) handleTaskAdopted(e TaskAdopted) {
 	if p.tasks[e.Task.ID] != nil {
 		return
 	}
-	t := p.newTask(e.Task)
+	t := p.addTask(e.Task)
 	t.settled = true
-	p.recordPlacement(t, p.machine(e.Machine))
+	p.recordPlacement(t, p.findOrAddMachine(e.Machine))
 	p.markPlaced(t, &t.attempts[0])
 }
 
 func (p *Placer) handleMachinesUpdated(e MachinesUpdated) {
 	for _, entry := range e.Machines {
-		m := p.machine(entry.ID)
+		m := p.findOrAddMachine(entry.ID)
 		if entry.Kind < 0 || entry.Kind >= len(p.cfg.Kinds) {
 			entry.Kind = -1
 		}
@@ -209,8 +209,8 @@
 	p.subscribeAt = p.now + max(p.cfg.DiscoveryPollDeadline, time.Second)
 }
 
-func (p *Placer) handlePlaced(e AttemptPlaced) {
-	t, a := p.attempt(e.Task, e.Attempt)
+func (p *Placer) handleAttemptPlaced(e AttemptPlaced) {
+	t, a := p.findAttempt(e.Task, e.Attempt)
 	if a == nil || !a.active {
 		return
 	}
@@ -229,11 +229,11 @@
 	p.requestReview(a.machine)
 }
 
-func (p *Placer) handleEnded(e AttemptEnded) {
+func (p *Placer) handleAttemptEnded(e AttemptEnded) {
 	if m := p.machines[e.Machine]; m != nil {
 		p.recordLoadReport(m, e.Load)
 	}
-	t, a := p.attempt(e.Task, e.Attempt)
+	t, a := p.findAttempt(e.Task, e.Attempt)
 	if a == nil || !a.active {
 		return
 	}
@@ -407,7 +407,7 @@
 }
 
 func (p *Placer) handleUsageReport(e UsageReport) {
-	t, a := p.attempt(e.Task, e.Attempt)
+	t, a := p.findAttempt(e.Task, e.Attempt)
 	if a == nil || !a.active {
 		return
 	}
@@ -490,8 +490,8 @@
 
 // ---- Bars.
 
-// choose picks a machine for t: hard bars, soft bars, vote. Nil where the hard bars leave none.
-func (p *Placer) choose(t *task) *machine {
+// chooseMachine picks a machine for t: hard bars, soft bars, vote. Nil where the hard bars leave none.
+func (p *Placer) chooseMachine(t *task) *machine {
 	p.refresh()
 	ask := equivalenceClass{class: t.Class, cores: t.Cores, memory: t.Memory, nearDeadline: p.nearDeadline(t)}
 	if t.class.SpreadDomain != NoDomain {
@@ -507,9 +507,9 @@
 	return nil
 }
 
-// review writes what holds of m now into the sets that the bars work on, and has it looked at again when
+// reviewMachine writes what holds of m now into the sets that the bars work on, and has it looked at again when
 // that ends.
-func (p *Placer) review(m *machine) {
+func (p *Placer) reviewMachine(m *machine) {
 	x, i := &p.index, m.number
 	kind := -1
 	if m.listed && m.Kind >= 0 {
@@ -550,7 +550,7 @@
 	x, c := &p.index, t.class
 	left := x.eligible.ClearAll()
 	for k := range x.activeByKind {
-		if (c.Kind < 0 || c.Kind == k) && p.fits(t, k) {
+		if (c.Kind < 0 || c.Kind == k) && p.fitsKind(t, k) {
 			left.InPlaceUnion(x.activeByKind[k])
 		}
 	}
@@ -570,8 +570,8 @@
 	return left
 }
 
-// fits tells whether an empty machine of this kind would take the task.
-func (p *Placer) fits(t *task, kind int) bool {
+// fitsKind tells whether an empty machine of this kind would take the task.
+func (p *Placer) fitsKind(t *task, kind int) bool {
 	k := p.cfg.Kinds[kind]
 	cores, memory := k.Cores*max(p.cfg.CoreOvercommit, 1), k.Memory*max(p.cfg.MemoryOvercommit, 1)
 	return t.Cores <= cores && t.Memory <= memory
@@ -794,7 +794,7 @@
 // A large task may also go to the best homes of those not known to serve badly: moved off one home, it came
 // back from the other (incident r0b92bb), and room is worth more to it than the program.
 func (p *Placer) preferredMachines(t *task, left *bitset.BitSet, n uint) []candidate {
-	x, s := &p.index, p.service(t.Service)
+	x, s := &p.index, p.findOrAddService(t.Service)
 	first, second := x.bestTwo(s, left)
 	list := x.candidates[:0]
 	for _, i := range s.machines {
@@ -969,7 +969,7 @@
 		}
 		if a := t.activeAttempt(); a != nil {
 			if p.now >= p.answerDeadline(t) {
-				p.answer(t)
+				p.answerTask(t)
 			}
 			continue
 		}
@@ -1004,15 +1004,15 @@
 	if p.now >= p.offerDeadline(t) || p.cfg.MaxAttempts > 0 && len(t.attempts) >= p.cfg.MaxAttempts ||
 		t.class == &p.unknownClass ||
 		t.class.Idempotency == NonIdempotent && t.mayHaveRun() && !p.disabled[RetrySafetyConstraint] {
-		p.answer(t)
+		p.answerTask(t)
 		return
 	}
-	m := p.choose(t)
+	m := p.chooseMachine(t)
 	if m == nil {
 		// Nothing may take it now. Held a while, since an owner that is turned away comes again late.
 		if t.mayHaveRun() && t.class.Idempotency == IdempotentByKey ||
 			p.now-t.submittedAt > max(t.class.LatencyObjective, 5*time.Second) {
-			p.answer(t)
+			p.answerTask(t)
 		}
 		return
 	}
@@ -1025,11 +1025,11 @@
 		m.slowStartOffers = slices.DeleteFunc(m.slowStartOffers, past)
 		m.slowStartOffers = append(m.slowStartOffers, p.now)
 	}
-	p.emit(Offer{Task: t.ID, Machine: m.ID, Timeout: p.timeout(t)})
+	p.emit(Offer{Task: t.ID, Machine: m.ID, Timeout: p.attemptTimeout(t)})
 }
 
-// timeout leaves time for a further attempt where one would be allowed, and ends before the answer is due.
-func (p *Placer) timeout(t *task) time.Duration {
+// attemptTimeout leaves time for a further attempt where one would be allowed, and ends before the answer is due.
+func (p *Placer) attemptTimeout(t *task) time.Duration {
 	left := p.offerDeadline(t) - p.now
 	if t.class.Idempotency == NonIdempotent || p.cfg.MaxAttempts > 0 && len(t.attempts) >= p.cfg.MaxAttempts {
 		return left
@@ -1048,8 +1048,8 @@
 	return 2*p.cfg.Tick + time.Millisecond
 }
 
-// answer ends t: a refusal promises that a retry is safe, so it needs proof or a class that bears repeats.
-func (p *Placer) answer(t *task) {
+// answerTask ends t: a refusal promises that a retry is safe, so it needs proof or a class that bears repeats.
+func (p *Placer) answerTask(t *task) {
 	t.settled = true
 	p.attributeFailures(t)
 	for i := range t.attempts {
--- a/state.go
+++ b/state.go
@@ -130,7 +130,7 @@
 	ended    int
 }
 
-func (p *Placer) newTask(spec Task) *task {
+func (p *Placer) addTask(spec Task) *task {
 	t := &task{Task: spec, class: &p.unknownClass, submittedAt: p.now}
 	if spec.Class >= 0 && spec.Class < len(p.cfg.Classes) {
 		t.class = &p.cfg.Classes[spec.Class]
@@ -139,8 +139,8 @@
 	return t
 }
 
-// attempt finds an attempt by its number; nil where the module knows of none.
-func (p *Placer) attempt(id string, n int) (*task, *attempt) {
+// findAttempt finds an attempt by its number; nil where the module knows of none.
+func (p *Placer) findAttempt(id string, n int) (*task, *attempt) {
 	t := p.tasks[id]
 	if t == nil || n < 0 || n >= len(t.attempts) {
 		return t, nil
@@ -148,7 +148,7 @@
 	return t, &t.attempts[n]
 }
 
-func (p *Placer) machine(id string) *machine {
+func (p *Placer) findOrAddMachine(id string) *machine {
 	m := p.machines[id]
 	if m == nil {
 		m = &machine{removedAt: p.now, idHash: hash(id), residencies: map[string]*residency{}, number: -1}
