--- /dev/null
+++ b/answers.go
@@ -0,0 +1,162 @@
+package flaxshelf
+
+import (
+	"math"
+	"slices"
+	"time"
+)
+
+// Offers and final answers of open tasks.
+
+// serveOpenTasks answers the open tasks that are due and offers those that have no active attempt. Those that
+// can still start within their latency objective go first: when capacity is short, a start in time is worth
+// most.
+func (p *Placer) serveOpenTasks() {
+	if !p.disabled[ObjectiveOrder] {
+		p.sortOpenTasks()
+	}
+	for _, t := range p.openTasks {
+		switch {
+		case t.settled:
+		case t.activeAttempt() == nil:
+			p.placeTask(t)
+		case p.now >= p.answerDeadline(t):
+			p.answerTask(t)
+		}
+	}
+	p.openTasks = slices.DeleteFunc(p.openTasks, func(t *task) bool { return t.settled })
+}
+
+// queueRanks bounds the ranks of open tasks.
+const queueRanks = 4
+
+// queueRankOf is the rank of an open task, the lowest first.
+func (p *Placer) queueRankOf(t *task) int {
+	rank := 0
+	if p.now > t.submittedAt+t.class.LatencyObjective {
+		rank = 1
+	}
+	if p.overQuota(t) {
+		rank += 2
+	}
+	return rank
+}
+
+// overQuota tells whether t's tenant has more than its quota, where that is worth less. It only orders tasks
+// that wait.
+func (p *Placer) overQuota(t *task) bool {
+	if t.Tenant < 0 || t.Tenant >= len(p.cfg.Tenants) || p.cfg.OverQuotaWeight >= 1 {
+		return false
+	}
+	quota := p.cfg.Tenants[t.Tenant].QuotaCores
+	return quota > 0 && p.tenantCores[t.Tenant]*float64(p.cfg.Schedulers) > quota
+}
+
+// placeTask offers t to a machine, holds it, or gives it its final answer.
+func (p *Placer) placeTask(t *task) {
+	if !p.mayOffer(t) {
+		p.answerTask(t)
+		return
+	}
+	m := p.chooseMachine(t)
+	if m == nil {
+		if !p.mayHold(t) {
+			p.answerTask(t)
+		}
+		return
+	}
+	p.recordPlacement(t, m)
+	p.startTrial(&m.health)
+	p.startTrial(m.healthOf(t.Class))
+	p.requestReview(m)
+	p.recordSlowStartOffer(m)
+	p.emit(Offer{Task: t.ID, Machine: m.ID, Timeout: p.attemptTimeout(t)})
+}
+
+// mayOffer tells whether t may have a further attempt.
+func (p *Placer) mayOffer(t *task) bool {
+	if p.now >= p.offerDeadline(t) || p.attemptsUsedUp(t) || t.class == &p.unknownClass {
+		return false
+	}
+	return t.class.Idempotency != NonIdempotent || !t.mayHaveRun() || p.disabled[RetrySafetyConstraint]
+}
+
+// mayHold tells whether t waits while no machine may take it, since an owner whose task is rejected may be
+// slow to submit it again.
+func (p *Placer) mayHold(t *task) bool {
+	if t.mayHaveRun() && t.class.Idempotency == IdempotentByKey {
+		return false
+	}
+	return p.now-t.submittedAt <= max(t.class.LatencyObjective, minHoldLimit)
+}
+
+func (p *Placer) attemptsUsedUp(t *task) bool {
+	return p.cfg.MaxAttempts > 0 && len(t.attempts) >= p.cfg.MaxAttempts
+}
+
+// attemptTimeout leaves time for a further attempt where one is allowed, and ends before the answer is due.
+func (p *Placer) attemptTimeout(t *task) time.Duration {
+	remaining := p.offerDeadline(t) - p.now
+	if t.class.Idempotency == NonIdempotent || p.attemptsUsedUp(t) {
+		return remaining
+	}
+	usual := time.Duration((p.latencyMean + latencyDeviations*p.latencyDeviation) * float64(time.Second))
+	return min(remaining, max(usual, t.class.LatencyObjective/2, minAttemptTimeout))
+}
+
+// recordLatency updates the smoothed time from offer to placement.
+func (p *Placer) recordLatency(latency time.Duration) {
+	seconds := latency.Seconds()
+	p.latencyDeviation += (math.Abs(seconds-p.latencyMean) - p.latencyDeviation) / latencySmoothing
+	p.latencyMean += (seconds - p.latencyMean) / latencySmoothing
+}
+
+// answerDeadline is the last moment to give the final answer.
+func (p *Placer) answerDeadline(t *task) Time { return t.Deadline - p.answerMargin() }
+
+// offerDeadline is the last moment for an attempt to end, early enough for an answer after it.
+func (p *Placer) offerDeadline(t *task) Time { return t.Deadline - 2*p.answerMargin() }
+
+func (p *Placer) answerMargin() time.Duration {
+	if p.disabled[AnswerDeadlineConstraint] {
+		return -time.Second
+	}
+	return 2*p.cfg.Tick + answerDeadlineMargin
+}
+
+// nextDue is when the next subscription, answer or choice for a held task falls due; ok is false where none
+// will.
+func (p *Placer) nextDue() (next Time, ok bool) {
+	next = math.MaxInt64
+	if p.subscribeAt > 0 {
+		next = p.subscribeAt
+	}
+	for _, t := range p.openTasks {
+		due := p.answerDeadline(t)
+		if t.activeAttempt() == nil {
+			due = min(due, p.now+heldTaskInterval)
+		}
+		next = min(next, due)
+	}
+	return next, next != math.MaxInt64
+}
+
+// answerTask gives t its final answer. A rejection promises that a retry is safe, so it needs proof that no
+// attempt ran, or a class for which a second start does no harm at any machine.
+func (p *Placer) answerTask(t *task) {
+	t.settled = true
+	p.attributeFailures(t)
+	for i := range t.attempts {
+		if t.attempts[i].active && p.cfg.CanCancel {
+			p.emit(Cancel{Task: t.ID, Attempt: i})
+		}
+	}
+	class := t.class
+	if !t.mayHaveRun() || class.Idempotency == Idempotent ||
+		class.Idempotency == IdempotentByKey && class.KeyDomain == FleetDomain {
+		p.emit(Reject{Task: t.ID})
+	} else {
+		p.emit(Fail{Task: t.ID})
+	}
+	p.forgetIfSettled(t)
+}
--- /dev/null
+++ b/constraints_hard.go
@@ -0,0 +1,96 @@
+package flaxshelf
+
+import "github.com/bits-and-blooms/bitset"
+
+// Hard constraints. A rule that users rely on depends on each, so they are never relaxed.
+
+// applyHardConstraints is the machines that may take t.
+func (p *Placer) applyHardConstraints(t *task) *bitset.BitSet {
+	eligible := p.eligibleByKind(t)
+	p.applyRetrySafety(t, eligible)
+	p.applySpread(t, eligible)
+	p.applySlowStart(eligible)
+	return eligible
+}
+
+// eligibleByKind is the machines that are listed, in service, and of a kind that t's class allows and that
+// would take t when empty. The result is valid until the next call.
+func (p *Placer) eligibleByKind(t *task) *bitset.BitSet {
+	x := &p.index
+	eligible := x.eligible.ClearAll()
+	for kind := range x.activeByKind {
+		if (t.class.Kind < 0 || t.class.Kind == kind) && p.fitsKind(t, kind) {
+			eligible.InPlaceUnion(x.activeByKind[kind])
+		}
+	}
+	return eligible
+}
+
+// fitsKind tells whether an empty machine of a kind would take t.
+func (p *Placer) fitsKind(t *task, kindIndex int) bool {
+	kind := p.cfg.Kinds[kindIndex]
+	cores := kind.Cores * max(p.cfg.CoreOvercommit, 1)
+	memory := kind.Memory * max(p.cfg.MemoryOvercommit, 1)
+	return t.Cores <= cores && t.Memory <= memory
+}
+
+// applyRetrySafety leaves machines where a second start does no harm, once an attempt may have run.
+func (p *Placer) applyRetrySafety(t *task, eligible *bitset.BitSet) {
+	if t.class.Idempotency == Idempotent || p.disabled[RetrySafetyConstraint] {
+		return
+	}
+	for i := range t.attempts {
+		a := &t.attempts[i]
+		if a.neverRan {
+			continue
+		}
+		keyExpired := p.now+p.cfg.Tick >= a.sentAt+t.class.KeyTTL
+		if t.class.Idempotency != IdempotentByKey || keyExpired {
+			eligible.ClearAll()
+			return
+		}
+		forEachCommon(eligible, eligible, func(number int) {
+			if !inSameDomain(t.class.KeyDomain, a.machine, p.machinesByID[number]) {
+				eligible.Clear(uint(number))
+			}
+		})
+	}
+}
+
+// applySpread takes away the domains that have the most attempts of t's service that its class allows.
+func (p *Placer) applySpread(t *task, eligible *bitset.BitSet) {
+	s := p.services[t.Service]
+	if t.class.SpreadDomain == NoDomain || s == nil || p.disabled[SpreadConstraint] {
+		return
+	}
+	switch t.class.SpreadDomain {
+	case MachineDomain:
+		for _, number := range s.machines {
+			if p.machinesByID[number].residencies[t.Service].count >= t.class.MaxPerDomain {
+				eligible.Clear(uint(number))
+			}
+		}
+	case CellDomain:
+		removeFullDomains(eligible, s.cells, t.class.MaxPerDomain)
+	default:
+		removeFullDomains(eligible, s.zones, t.class.MaxPerDomain)
+	}
+}
+
+// removeFullDomains takes away the machines of domains that have limit attempts or more.
+func removeFullDomains(eligible *bitset.BitSet, counts map[*domain]int, limit int) {
+	for d, count := range counts { // in any order: each takes away its own machines
+		if count >= limit {
+			eligible.InPlaceDifference(d.machines)
+		}
+	}
+}
+
+// applySlowStart takes away machines in slow start for which this scheduler has no offer left.
+func (p *Placer) applySlowStart(eligible *bitset.BitSet) {
+	forEachCommon(eligible, p.index.slowStarting, func(number int) {
+		if !p.hasSlowStartBudget(p.machinesByID[number]) {
+			eligible.Clear(uint(number))
+		}
+	})
+}
--- /dev/null
+++ b/constraints_soft.go
@@ -0,0 +1,197 @@
+package flaxshelf
+
+import (
+	"math"
+
+	"github.com/bits-and-blooms/bitset"
+)
+
+// Soft constraints.
+
+// softFilter narrows the eligible machines by one soft constraint after another. The first are the strongest:
+// a later one is skipped where it would leave too few, so that wrong evidence never stops placements.
+type softFilter struct {
+	placer   *Placer
+	eligible *bitset.BitSet
+	count    uint // of the eligible
+}
+
+// exclude applies a constraint where it leaves at least so many machines.
+func (f *softFilter) exclude(c Constraint, least uint, excluded *bitset.BitSet) {
+	kept := f.eligible.DifferenceCardinality(excluded)
+	if kept >= least && kept < f.count && !f.placer.disabled[c] {
+		f.eligible.InPlaceDifference(excluded)
+		f.count = kept
+	}
+}
+
+// applySoftConstraints is the candidates for t among the eligible machines, which it narrows.
+func (p *Placer) applySoftConstraints(t *task, eligible *bitset.BitSet) []candidate {
+	f := softFilter{placer: p, eligible: eligible, count: eligible.Count()}
+	if f.count == 0 {
+		return nil
+	}
+	p.excludeTried(t, &f)
+	p.excludeFailing(t, &f)
+	p.excludeFull(t, &f)
+	if f.count == 0 {
+		return nil
+	}
+	p.consolidate(&f)
+	f.exclude(ReportedLoadConstraint, minCandidates, p.overReported(&f))
+	return p.preferredMachines(t, eligible)
+}
+
+// excludeTried prefers machines that this task was not offered to: another machine tells more.
+func (p *Placer) excludeTried(t *task, f *softFilter) {
+	if len(t.attempts) == 0 {
+		return
+	}
+	tried := p.index.scratch.ClearAll()
+	for _, a := range t.attempts {
+		if a.machine.number >= 0 {
+			tried.Set(uint(a.machine.number))
+		}
+	}
+	f.exclude(TriedConstraint, 1, tried)
+}
+
+// excludeFailing avoids ejected machines, and those that fail t's class. When over half are ejected, the
+// cause is not a machine; but a class may fail on most machines, so the few that serve it are kept.
+func (p *Placer) excludeFailing(t *task, f *softFilter) {
+	x := &p.index
+	f.exclude(FailingConstraint, max(minCandidates, f.count/2), x.failing)
+	failingClass := x.failing
+	if t.Class >= 0 && t.Class < len(x.failingByClass) {
+		failingClass = x.failingByClass[t.Class]
+	}
+	f.exclude(ClassFailureConstraint, minCandidates, failingClass)
+}
+
+// excludeFull removes machines without capacity, as far as known. A rejected offer is priced and uses up an
+// attempt, so a task is held while no machine has capacity; near its deadline it is offered once all the
+// same, in case the evidence is wrong.
+func (p *Placer) excludeFull(t *task, f *softFilter) {
+	least := uint(0)
+	if p.nearDeadline(t) {
+		least = 1
+	}
+	full := p.withoutCapacity(t, f.eligible)
+	if f.eligible.DifferenceCardinality(full) >= least {
+		f.eligible.InPlaceDifference(full)
+		f.count = f.eligible.Count()
+	}
+}
+
+// nearDeadline tells whether t was never offered and little of its time remains.
+func (p *Placer) nearDeadline(t *task) bool {
+	return p.now >= t.submittedAt+(t.Deadline-t.submittedAt)*3/4 && len(t.attempts) == 0
+}
+
+// withoutCapacity is the machines that rejected such a size lately, have the most pending offers since a
+// rejection, or lack free capacity by the list. After a rejection one offer may be pending, after each
+// acceptance one more: else all held tasks go to the first machine that takes one (incident i959772).
+//
+// The list is delayed, so what this scheduler requested within listDelay before an entry counts as requested
+// too. Estimating what other schedulers requested since held too many tasks back.
+func (p *Placer) withoutCapacity(t *task, eligible *bitset.BitSet) *bitset.BitSet {
+	x := &p.index
+	full := x.scratch.ClearAll()
+	forEachCommon(eligible, x.rejecting, func(number int) {
+		m := p.machinesByID[number]
+		if p.sizeOn(t, m) >= m.rejectedSize && !p.disabled[RejectionConstraint] {
+			full.Set(uint(number))
+		}
+	})
+	if !p.disabled[OfferLimitConstraint] {
+		full.InPlaceUnion(x.offerLimited)
+	}
+	if p.cfg.ListsFreeCapacity && !p.disabled[CapacityConstraint] {
+		p.updateUnlisted(eligible.Difference(full), listDelay)
+		x.addLackingCapacity(eligible, full, t.Cores, t.Memory)
+	}
+	return full
+}
+
+// consolidate keeps to the machines that suffice, where the settings price machines in use.
+func (p *Placer) consolidate(f *softFilter) {
+	if p.cfg.Prices.Fleet <= 0 || !p.cfg.ListsFreeCapacity || p.disabled[ConsolidationConstraint] {
+		return
+	}
+	if used := p.consolidationSet(f.eligible); f.eligible.IntersectionCardinality(used) >= minCandidates {
+		f.eligible.InPlaceIntersection(used)
+		f.count = f.eligible.Count()
+	}
+}
+
+// consolidationSet is the machines that suffice for all that is requested of the fleet, filled to
+// consolidationFill, in the order of what is requested of them by the list. All schedulers share that order,
+// and the machines left out become empty the soonest. Where the fullest machines are overloaded, the vote and
+// the constraint on reported load, which come later, still avoid them.
+func (p *Placer) consolidationSet(eligible *bitset.BitSet) *bitset.BitSet {
+	x := &p.index
+	cores, memory := x.totals()
+	ranked := x.rankedByRequestedShare()
+	used, count := x.scratch.ClearAll(), 0
+	for _, number := range ranked {
+		if !eligible.Test(uint(number)) {
+			continue
+		}
+		if cores <= 0 && memory <= 0 && count > minCandidates {
+			break
+		}
+		kind := p.cfg.Kinds[x.kindOf[number]]
+		used.Set(uint(number))
+		count++
+		cores -= kind.Cores * consolidationFill
+		memory -= kind.Memory * consolidationFill
+	}
+	return used
+}
+
+// overReported is the eligible machines whose last report is far over the mean of all eligible ones.
+func (p *Placer) overReported(f *softFilter) *bitset.BitSet {
+	x, mean, count := &p.index, 0.0, float64(f.count)
+	forEachCommon(f.eligible, x.reporting, func(number int) { mean += x.reportedLoad[number] / count })
+	over := x.scratch.ClearAll()
+	forEachCommon(f.eligible, x.reporting, func(number int) {
+		setMember(over, number, !(x.reportedLoad[number] < mean+reportedLoadMargin))
+	})
+	return over
+}
+
+// preferredMachines is the machines that likely have a service's program in their cache: those with active
+// attempts of it, and its machine of highest affinity. Affinity comes from a hash, weighted by the machine's
+// size (weighted rendezvous hashing), so it is the same at all schedulers, and when a machine is excluded
+// only its own services move. The next in affinity fill up to minCandidates, since a vote among one is none.
+// Where the preferred machines lost their caches, this only narrows the vote.
+//
+// A large task may also go to the best machines of those not known to be overloaded: migrated from one of the
+// two of highest affinity it came back from the other (incident r0b92bb), and capacity is worth more to it
+// than the program.
+func (p *Placer) preferredMachines(t *task, eligible *bitset.BitSet) []candidate {
+	x, s := &p.index, p.findOrAddService(t.Service)
+	if p.disabled[AffinityConstraint] {
+		return p.allAsCandidates(s, eligible)
+	}
+	list := x.candidates[:0]
+	for _, number := range s.machines {
+		if eligible.Test(uint(number)) {
+			list = append(list, candidate{number, x.affinityOf(s, number)})
+		}
+	}
+	first, second := x.bestTwo(s, eligible)
+	list = x.addCandidate(list, s, first)
+	if len(list) < minCandidates {
+		list = x.addCandidate(list, s, second)
+	}
+	if p.sizeOn(t, p.machinesByID[first]) > largeTaskSize {
+		first, second = x.bestTwo(s, eligible.Difference(x.overloaded))
+		list = x.addCandidate(x.addCandidate(list, s, first), s, second)
+	}
+	x.candidates = list
+	return list
+}
+
+// score is the rank of a machine among those for a service; the highest is the best.
+func (k affinity) score() float64 { return math.Log(k.hashValue/(1<<53)) / k.weight }
--- /dev/null
+++ b/events.go
@@ -0,0 +1,155 @@
+package flaxshelf
+
+// Handlers of events: they keep the records of machines, tasks and attempts. What an event means for the choice of
+// machines is decided by the policy files.
+
+// handle calls the handler of an event. GossipReceived and TimerFired need none: that a step is made is enough.
+func (p *Placer) handle(e Event) {
+	switch e := e.(type) {
+	case MachinesUpdated:
+		p.handleMachinesUpdated(e)
+	case DiscoveryFailed:
+		p.handleDiscoveryFailed()
+	case TaskSubmitted:
+		p.handleTaskSubmitted(e)
+	case TaskAdopted:
+		p.handleTaskAdopted(e)
+	case TaskCanceled:
+		p.handleTaskCanceled(e)
+	case AttemptPlaced:
+		p.handleAttemptPlaced(e)
+	case AttemptEnded:
+		p.handleAttemptEnded(e)
+	case UsageReport:
+		p.handleUsageReport(e)
+	case HealthChecked:
+		p.handleHealthChecked(e)
+	}
+}
+
+func (p *Placer) handleMachinesUpdated(e MachinesUpdated) {
+	for _, entry := range e.Machines {
+		p.updateMachine(entry)
+	}
+	if e.Complete {
+		p.removeUnlisted(e.Machines)
+	}
+	if !e.Stale {
+		p.subscribeAt, p.discoveryFailures = 0, 0
+	}
+}
+
+// updateMachine takes over one entry of the machine list.
+func (p *Placer) updateMachine(entry Machine) {
+	m := p.findOrAddMachine(entry.ID)
+	if entry.Kind < 0 || entry.Kind >= len(p.cfg.Kinds) {
+		entry.Kind = -1
+	}
+	if m.listed && entry.Started > m.Started {
+		p.resetMachine(m)
+	}
+	if entry.State == Removed && m.State != Removed {
+		p.markRemoved(m)
+	}
+	m.Machine, m.listed = entry, true
+	m.coresSinceListed, m.memorySinceListed, m.listedAt = 0, 0, p.now
+	p.updateDomains(m)
+	p.requestReview(m)
+}
+
+// removeUnlisted marks machines as removed that a complete list doesn't name.
+func (p *Placer) removeUnlisted(list []Machine) {
+	named := make(map[string]bool, len(list))
+	for _, entry := range list {
+		named[entry.ID] = true
+	}
+	for _, m := range p.machinesByID {
+		if !named[m.ID] && m.State != Removed {
+			m.State = Removed
+			p.markRemoved(m)
+			p.requestReview(m)
+		}
+	}
+}
+
+// markRemoved is called when a machine's state becomes Removed.
+func (p *Placer) markRemoved(m *machine) {
+	m.removedAt = p.now
+	p.removedMachines = append(p.removedMachines, m)
+	p.forgetMachinePlacements(m)
+}
+
+// resetMachine forgets what was known of a machine that has restarted.
+func (p *Placer) resetMachine(m *machine) {
+	m.health, m.overloadedUntil, m.rejectsUntil, m.loadReport = health{}, 0, 0, LoadReport{}
+	clear(m.classHealth)
+	p.forgetMachinePlacements(m)
+}
+
+func (p *Placer) handleTaskSubmitted(e TaskSubmitted) {
+	if p.tasks[e.Task.ID] == nil {
+		p.openTasks = append(p.openTasks, p.addTask(e.Task))
+	}
+}
+
+// handleTaskAdopted takes over a running task: it counts for spread and joins the history as if placed now.
+func (p *Placer) handleTaskAdopted(e TaskAdopted) {
+	if p.tasks[e.Task.ID] != nil {
+		return
+	}
+	t := p.addTask(e.Task)
+	t.settled = true
+	p.recordPlacement(t, p.findOrAddMachine(e.Machine))
+	p.markPlaced(t, &t.attempts[0])
+}
+
+func (p *Placer) handleTaskCanceled(e TaskCanceled) {
+	if t := p.tasks[e.Task]; t != nil {
+		t.settled = true
+		p.forgetIfSettled(t)
+	}
+}
+
+func (p *Placer) handleAttemptPlaced(e AttemptPlaced) {
+	t, a := p.findAttempt(e.Task, e.Attempt)
+	if a == nil || !a.active {
+		return
+	}
+	p.recordLatency(e.Latency)
+	t.settled = true
+	p.markPlaced(t, a)
+	p.recordAcceptance(t, a.machine)
+	p.requestReview(a.machine)
+}
+
+func (p *Placer) handleAttemptEnded(e AttemptEnded) {
+	if m := p.machines[e.Machine]; m != nil {
+		p.recordLoadReport(m, e.Load)
+	}
+	t, a := p.findAttempt(e.Task, e.Attempt)
+	if a == nil || !a.active {
+		return
+	}
+	a.active = false
+	a.neverRan = provesNeverRan(e.Outcome)
+	if a.neverRan {
+		p.forgetUnstartedPlacement(a.placement)
+	}
+	p.releasePlacement(t, a.machine)
+	if !a.placed {
+		a.machine.pendingOffers--
+	}
+	p.recordLifetime(t, a, e.Outcome)
+	p.classifyOutcome(t, a, e)
+	p.requestReview(a.machine)
+	if e.Final || a.placed {
+		t.settled = true
+	}
+	p.forgetIfSettled(t)
+}
+
+func (p *Placer) handleHealthChecked(e HealthChecked) {
+	if m := p.machines[e.Machine]; m != nil {
+		p.recordLoadReport(m, e.Load)
+	}
+}
--- /dev/null
+++ b/evidence.go
@@ -0,0 +1,192 @@
+package flaxshelf
+
+import "time"
+
+// Evidence: what outcomes and reports say of a machine. Each piece of evidence expires.
+
+// provesNeverRan tells whether an outcome proves that the task was not started.
+func provesNeverRan(o Outcome) bool { return o == Rejected || o == Unreachable || o == NotSent }
+
+// forgetUnstartedPlacement takes a placement that never ran out of the history.
+func (p *Placer) forgetUnstartedPlacement(b *placement) {
+	if !p.disabled[ForgetUnstartedPlacements] {
+		p.forgetPlacement(b)
+	}
+}
+
+// forgetMachinePlacements takes the placements on a removed or restarted machine out of the history. The
+// plain replay would keep them, and the machine would look full after its next start.
+func (p *Placer) forgetMachinePlacements(m *machine) {
+	for _, b := range p.history {
+		if b.machine == m && b.placedAt < p.now && !p.disabled[ForgetRemovedPlacements] {
+			p.forgetPlacement(b)
+		}
+	}
+}
+
+// recordFailure ejects a machine, or a class on it, for longer at each further failure within failureMemory,
+// and at least until an offer would come to it again.
+func (p *Placer) recordFailure(h *health) {
+	if p.now-h.lastFailure > failureMemory {
+		h.consecutiveFailures = 0
+	}
+	if p.now >= h.ejectedUntil {
+		h.consecutiveFailures = min(h.consecutiveFailures+1, maxEjectionDoublings)
+	}
+	h.lastFailure = p.now
+	h.ejectedUntil = max(h.ejectedUntil, p.now+max(baseEjection<<h.consecutiveFailures, p.trialInterval()))
+}
+
+// trialInterval is the mean time between this scheduler's offers to one machine, from the history.
+func (p *Placer) trialInterval() time.Duration {
+	if len(p.history) < minCandidates {
+		return 0
+	}
+	gap := (p.now - p.history[0].placedAt) / time.Duration(len(p.history))
+	return min(failureMemory, gap*time.Duration(len(p.machinesByID)))
+}
+
+// startTrial keeps further offers from what failed lately until the outcome of the present offer is known, so
+// that one task finds out about a recovery and not all that wait.
+func (p *Placer) startTrial(h *health) {
+	if h.consecutiveFailures > 0 && !p.disabled[TrialPlacement] {
+		h.ejectedUntil = max(h.ejectedUntil, p.now+baseEjection)
+	}
+}
+
+// recordSuccess ends an ejection.
+func (p *Placer) recordSuccess(h *health) {
+	h.lastSuccess, h.ejectedUntil = p.now, 0
+	if p.now-h.lastFailure > failureMemory {
+		h.consecutiveFailures = 0
+	}
+}
+
+// succeededLately tells whether there was a success within failureMemory.
+func (p *Placer) succeededLately(h *health) bool {
+	return h.lastSuccess > 0 && p.now-h.lastSuccess < failureMemory
+}
+
+// recordTaskFailure records an error or a time-out of t on m: as a failure of its class there alone where
+// another class succeeded lately, else of the machine too.
+func (p *Placer) recordTaskFailure(t *task, m *machine) {
+	p.recordFailure(m.healthOf(t.Class))
+	for class := range m.classHealth {
+		if class != t.Class && p.succeededLately(m.healthOf(class)) {
+			return
+		}
+	}
+	p.recordFailure(&m.health)
+}
+
+// attributeFailures records failures of the machines that answered t with an error, now that it is placed or
+// has its final answer. Where several did and none placed it, the task is at fault: malformed tasks would
+// eject every machine in turn. Where most machines begin to fail at once, they are ejected only when they
+// have had no success for failureMemory.
+func (p *Placer) attributeFailures(t *task) {
+	for _, m := range t.unattributedFailures {
+		if t.placed || len(t.unattributedFailures) < minCandidates {
+			p.recordTaskFailure(t, m)
+			p.requestReview(m)
+		}
+	}
+	t.unattributedFailures = nil
+}
+
+// recordAcceptance reads the placement of t by m as evidence.
+func (p *Placer) recordAcceptance(t *task, m *machine) {
+	p.attributeFailures(t)
+	m.consecutiveRejections = max(m.consecutiveRejections-1, 0)
+	m.offerWindow++
+	if m.offerWindow == 1 || m.offerWindow >= maxOfferWindow {
+		m.offerWindow = 0 // there was no limit, or it ends
+	}
+	p.recordSuccess(&m.health)
+	p.recordSuccess(m.healthOf(t.Class))
+}
+
+// classifyOutcome reads the end of an attempt as evidence about its machine.
+func (p *Placer) classifyOutcome(t *task, a *attempt, e AttemptEnded) {
+	m := a.machine
+	if a.placed {
+		m.rejectedSize += p.sizeOn(t, m) // so much was freed
+	}
+	switch e.Outcome {
+	case Failed:
+		p.classifyError(t, m)
+	case TimedOut:
+		p.recordTaskFailure(t, m)
+	case Unreachable:
+		p.recordFailure(&m.health)
+	case Lost:
+		p.classifyLoss(m, e.Reason)
+	case Rejected:
+		p.recordRejection(t, m, e.Reason)
+	}
+}
+
+// classifyError records an error as a failure at once where no further attempt can tell more. Where the class
+// succeeded lately the task may be at fault: see attributeFailures.
+func (p *Placer) classifyError(t *task, m *machine) {
+	if p.succeededLately(m.healthOf(t.Class)) && t.class.Idempotency != NonIdempotent {
+		t.unattributedFailures = append(t.unattributedFailures, m)
+		return
+	}
+	p.recordTaskFailure(t, m)
+}
+
+// classifyLoss reads the loss of an attempt: an eviction tells of overload, a drain of nothing.
+func (p *Placer) classifyLoss(m *machine, reason Reason) {
+	switch reason {
+	case Evicted, Preempted:
+		p.markOverloaded(m, 2*overloadDuration, memoryShortfall)
+	case DrainedAway:
+	default:
+		p.recordFailure(&m.health)
+	}
+}
+
+// recordRejection expects further rejections of such a size for a while, for longer at each one in a row.
+func (p *Placer) recordRejection(t *task, m *machine, reason Reason) {
+	m.offerWindow = 1
+	size := p.sizeOn(t, m)
+	if p.now >= m.rejectsUntil || size < m.rejectedSize {
+		m.rejectedSize = size
+	}
+	switch reason {
+	case QueueFull:
+		m.rejectedSize = 0
+		m.rejectsUntil = max(m.rejectsUntil, p.now+queueFullBackoff)
+	case UnsupportedTask:
+		m.rejectedSize = 0
+		m.rejectsUntil = max(m.rejectsUntil, p.now+rejectionBackoff)
+	default:
+		m.rejectsUntil = max(m.rejectsUntil, p.now+rejectionBackoff<<m.consecutiveRejections)
+		m.consecutiveRejections = min(m.consecutiveRejections+1, maxRejectionDoublings)
+	}
+}
+
+// handleUsageReport reads a report of a running task as evidence about its machine.
+func (p *Placer) handleUsageReport(e UsageReport) {
+	t, a := p.findAttempt(e.Task, e.Attempt)
+	if a == nil || !a.active {
+		return
+	}
+	switch e.Kind {
+	case ServiceLevel:
+		p.migrateIfUnderserved(t, a, 1-e.Amount)
+		if e.Amount < fullServiceLevel {
+			p.markOverloaded(a.machine, overloadDuration, 1-e.Amount)
+		}
+	case MemoryPressure:
+		if e.Amount > memoryPressureLimit {
+			p.markOverloaded(a.machine, overloadDuration, memoryShortfall)
+		}
+	}
+}
+
+// markOverloaded has the service shortfall of m count as load for a while, see externalLoad.
+func (p *Placer) markOverloaded(m *machine, duration time.Duration, shortfall float64) {
+	m.overloadedUntil, m.serviceShortfall = max(m.overloadedUntil, p.now+duration), shortfall
+	p.requestReview(m)
+}
--- /dev/null
+++ b/hash.go
@@ -0,0 +1,19 @@
+package flaxshelf
+
+import "hash/fnv"
+
+// hash is the same at every scheduler, so that schedulers derive equal choices from it without communication.
+func hash(s string) uint64 {
+	h := fnv.New64a()
+	_, _ = h.Write([]byte(s)) // never fails
+	return mix(h.Sum64())
+}
+
+// mix spreads the bits of a hash whose inputs differ little.
+func mix(h uint64) uint64 {
+	h ^= h >> 33
+	h *= 0xff51afd7ed558ccd
+	h ^= h >> 33
+	h *= 0xc4ceb9fe1a85ec53
+	return h ^ h>>33
+}
--- /dev/null
+++ b/migration.go
@@ -0,0 +1,51 @@
+package flaxshelf
+
+import (
+	"time"
+
+	"github.com/bits-and-blooms/bitset"
+)
+
+// migrateIfUnderserved emits Migrate for a task that has been served poorly for a while, so that its owner
+// submits it again: where that pays, and where better machines are known.
+func (p *Placer) migrateIfUnderserved(t *task, a *attempt, shortfall float64) {
+	if shortfall < poorServiceShortfall {
+		a.poorServiceAt = 0
+		return
+	}
+	if p.now-a.poorServiceAt > overloadDuration {
+		a.poorServiceSince = p.now
+	}
+	a.poorServiceAt = p.now
+	if a.migrating || t.class == &p.unknownClass || p.disabled[Migrations] ||
+		p.now-a.poorServiceSince < overloadDuration/2 || !p.migrationPays(t, shortfall) {
+		return
+	}
+	if a.migrating = p.hasBetterMachines(t); a.migrating {
+		p.emit(Migrate{Task: t.ID})
+	}
+}
+
+// migrationPays tells whether what the task lacks in a mean lifetime is worth more than a migration and two
+// starts.
+func (p *Placer) migrationPays(t *task, shortfall float64) bool {
+	price := p.cfg.Prices.Migration
+	gain := time.Duration((shortfall - price) * float64(p.meanLifetime(t.Class)))
+	seconds := price * t.class.StartValueSeconds
+	cost := 2*t.class.LatencyObjective + time.Duration(seconds*float64(time.Second))
+	return gain >= cost
+}
+
+// hasBetterMachines tells whether half of the machines that could take t serve tasks of ours well; of
+// machines without tasks of ours nothing is known. It is false while any machine fails t's class or rejects
+// tasks: the new start may be lost.
+func (p *Placer) hasBetterMachines(t *task) bool {
+	p.refresh()
+	x, good := &p.index, p.eligibleByKind(t)
+	least := max(minCandidates, good.Count()/2)
+	for _, bad := range []*bitset.BitSet{x.overloaded, x.failing, x.slowStarting} {
+		good.InPlaceDifference(bad)
+	}
+	good.InPlaceIntersection(x.occupied)
+	return good.Count() >= least && x.failingByClass[t.Class].None() && x.rejecting.None()
+}
--- a/placer_test.go
+++ b/placer_test.go
@@ -595,7 +595,7 @@
 	reviewAll(p)
 	names := func(t *task) (out []string) {
 		for _, m := range p.machinesByID {
-			if p.now >= m.ejectedUntil && p.now >= m.healthOf(t.Class).ejectedUntil {
+			if p.now >= m.health.ejectedUntil && p.now >= m.healthOf(t.Class).ejectedUntil {
 				out = append(out, m.ID)
 			}
 		}
@@ -752,7 +752,7 @@
 	a, b := startPlacer(t, testConfig(), testMachines(6)), startPlacer(t, testConfig(), testMachines(6))
 	for _, service := range []string{"s", "u", "v"} {
 		task.Service = service
-		ha, hb := a.preferredMachines(task, allMachines(a), 6), b.preferredMachines(task, allMachines(b), 6)
+		ha, hb := a.preferredMachines(task, allMachines(a)), b.preferredMachines(task, allMachines(b))
 		if len(ha) != minCandidates {
 			t.Fatalf("%d homes", len(ha))
 		}
@@ -766,7 +766,7 @@
 		a.addResidency("s", m)
 	}
 	task.Service = "s"
-	if h := a.preferredMachines(task, allMachines(a), 6); len(h) < 4 || len(h) > 5 {
+	if h := a.preferredMachines(task, allMachines(a)); len(h) < 4 || len(h) > 5 {
 		t.Errorf("with tasks on four machines: %d homes", len(h))
 	}
 }
@@ -938,7 +938,7 @@
 		p := startPlacer(t, testConfig(), testMachines(6))
 		task := p.addTask(Task{ID: "t", Service: "s", Cores: cores, Memory: 1})
 		names := func() (all []string) {
-			for _, c := range p.preferredMachines(task, allMachines(p), 6) {
+			for _, c := range p.preferredMachines(task, allMachines(p)) {
 				all = append(all, p.machinesByID[c.machine].ID)
 			}
 			return all
