--- a/api.go
+++ b/api.go
@@ -1,240 +1,320 @@
-// Package flaxshelf decides where the tasks of services run on shared machines, for one scheduler among
-// several. Its mechanism is the replay vote of the CAA policy; see docs/design.md.
+// Package flaxshelf decides where the tasks of services run on shared machines, for one scheduler among several. Its
+// mechanism is the replay vote of the CAA policy; see docs/design.md.
 //
-// This file is the whole interface. A host makes one Placer for each scheduler with New and hands it
-// batches of events with Step; the Placer answers with actions. It keeps no clock and does no I/O.
+// A host makes one Placer for each scheduler with New and hands it batches of events with Placer.Step; the Placer answers
+// with actions. It reads no clock, does no input or output and starts no goroutine. A Placer must not be used by several
+// goroutines at once; values of the other types may be, as long as none changes them.
+//
+// This file is the interface of the package. Every decision is in the files that deploy/balancer.toml lists as policy.
 package flaxshelf
 
 import "time"
 
-// Time is the host's clock: any starting value, only moving forward.
+// Time is the time of the host's clock. It may begin at any value and only moves forward.
 type Time = time.Duration
 
 // Idempotency says what a second start of a task does.
 type Idempotency int
 
+// The kinds of idempotency.
 const (
-	Idempotent      Idempotency = iota // a second start does no harm
-	IdempotentByKey                    // machines of one group drop repeats for a while
-	NonIdempotent                      // must never be started twice
+	// Idempotent: a second start does no harm.
+	Idempotent Idempotency = iota
+	// IdempotentByKey: the machines of one domain drop a task whose key they have seen lately.
+	IdempotentByKey
+	// NonIdempotent: the task must never be started twice.
+	NonIdempotent
 )
 
-// TopologyDomain is the reach of a key group or of a spread rule.
+// TopologyDomain is the reach of an idempotency key or of a spread rule.
 type TopologyDomain int
 
+// The reaches, each wider than the one before.
 const (
-	NoDomain TopologyDomain = iota // no such rule
+	// NoDomain: there is no such key or rule.
+	NoDomain TopologyDomain = iota
+	// MachineDomain is one machine.
 	MachineDomain
+	// CellDomain is all machines of one cell.
 	CellDomain
+	// ZoneDomain is all machines of one zone.
 	ZoneDomain
+	// FleetDomain is all machines.
 	FleetDomain
 )
 
-// Class is one class of task.
+// Class is one class of tasks.
 type Class struct {
-	Name                   string
-	Idempotency            Idempotency
-	KeyDomain              TopologyDomain // Keyed: where repeats are dropped
-	KeyTTL                 time.Duration  // for how long, from the send of the first attempt that may have run
-	LatencyObjective       time.Duration  // a start within this earns its full worth
-	PriorityWeight         float64        // of one second of full service
-	LateStartWeight        float64        // share of a start's worth after the aim
-	StartValueSeconds      float64        // seconds of service that a start in time is worth
-	FullServiceUtilization float64        // share of busy cores up to which tasks get full service
-	ServiceFadeRange       float64        // share beyond it over which service falls to none
-	Kind                   int            // index of the machine kind that it needs, or -1
-	Priority               int
-	SpreadDomain           TopologyDomain // Nowhere, OnMachine, InCell or InZone
-	MaxPerDomain           int            // tasks of one service that this scheduler may have in one such place
+	Name        string
+	Idempotency Idempotency
+	// KeyDomain is where tasks of one key are dropped, for IdempotentByKey.
+	KeyDomain TopologyDomain
+	// KeyTTL is for how long, from the send of the first attempt that may have run.
+	KeyTTL time.Duration
+	// LatencyObjective is the time from submission to start within which a start earns its full worth.
+	LatencyObjective time.Duration
+	// PriorityWeight is the worth of one second of full service.
+	PriorityWeight float64
+	// LateStartWeight is the fraction of its worth that a start earns after the objective.
+	LateStartWeight float64
+	// StartValueSeconds is the worth of a start in time, in seconds of full service.
+	StartValueSeconds float64
+	// FullServiceUtilization is the fraction of busy cores up to which tasks get full service.
+	FullServiceUtilization float64
+	// ServiceFadeRange is the fraction of busy cores beyond it over which service falls to none.
+	ServiceFadeRange float64
+	// Kind is the index in Config.Kinds of the kind of machine that it needs, or -1.
+	Kind     int
+	Priority int
+	// SpreadDomain bounds the tasks of one service: NoDomain, MachineDomain, CellDomain or ZoneDomain.
+	SpreadDomain TopologyDomain
+	// MaxPerDomain is how many tasks of one service this scheduler may have in one such domain.
+	MaxPerDomain int
 }
 
 // Kind is one kind of machine.
 type Kind struct {
-	Name          string
-	Cores, Memory float64
+	Name   string
+	Cores  float64
+	Memory float64 // in the unit of Task.Memory
 }
 
 // Tenant is one of those who share the fleet.
 type Tenant struct {
-	Name           string
-	QuotaFraction  float64
-	TasksPerSecond float64 // new tasks a second within its share, over all schedulers; 0: not told
-	QuotaCores     float64 // cores asked for within its share, over all schedulers; 0: not told
+	Name          string
+	QuotaFraction float64 // of the fleet
+	// TasksPerSecond is the new tasks a second within its quota, over all schedulers; 0: unknown.
+	TasksPerSecond float64
+	// QuotaCores is the cores requested within its quota, over all schedulers; 0: unknown.
+	QuotaCores float64
 }
 
 // Prices are points taken off the result; 0 means that the thing is free.
 type Prices struct {
-	CrossZone, Waste, HealthCheck, Gossip, Migration, Discovery, Fleet, Rejection float64
-	// EvictionMigrations: an eviction or push-out counts as so many moves.
+	CrossZone   float64
+	Waste       float64
+	HealthCheck float64
+	Gossip      float64
+	Migration   float64
+	Discovery   float64
+	Fleet       float64 // machines in use
+	Rejection   float64
+	// EvictionMigrations is as how many migrations an eviction or preemption counts.
 	EvictionMigrations float64
 }
 
-// Config is what a scheduler is told when it starts. Zero values mean "not told" or "not allowed".
+// Config is the settings of one scheduler and its fleet. Zero values mean unknown or not allowed.
 type Config struct {
-	Index, Schedulers     int
-	Zone                  string
-	Classes               []Class
-	Kinds                 []Kind
-	Tenants               []Tenant
-	OverQuotaWeight       float64
-	Prices                Prices
-	CoreOvercommit        float64 // a machine accepts until its tasks ask for this multiple of its cores
-	MemoryOvercommit      float64
-	PlacedWhenRunning     bool // Placed comes when the task runs, not when it is accepted
-	Preempts              bool // machines push out lower priorities to make room
-	ListsFreeCapacity     bool // list entries carry free cores and memory
-	ReportsUsage          bool // load reports subtract what is used, not what is asked
-	DiscoveryOnRequest    bool // changes of the list come only after Subscribe
-	MaxAttempts           int  // for each ask; 0: no limit told
-	HedgedRequests        bool // two attempts of one task may be out together
-	CanCancel             bool
-	CanHealthCheck        bool
-	CanGossip             bool
-	CanRetryAfter         bool
-	MaxRetryAfter         time.Duration
-	Tick                  time.Duration // least time between batches
-	ConnectTimeout        time.Duration
-	AnswerSlack           time.Duration
-	DrainGrace            time.Duration
+	// Index is this scheduler's number among Schedulers, from 0. It must differ between schedulers.
+	Index           int
+	Schedulers      int
+	Zone            string // of this scheduler
+	Classes         []Class
+	Kinds           []Kind
+	Tenants         []Tenant
+	OverQuotaWeight float64 // fraction of its worth that a task beyond its tenant's quota earns
+	Prices          Prices
+	// CoreOvercommit is the multiple of its cores up to which a machine accepts tasks, by what they request.
+	CoreOvercommit     float64
+	MemoryOvercommit   float64 // the same for memory
+	PlacedWhenRunning  bool    // AttemptPlaced comes when the task runs, not when it is accepted
+	Preempts           bool    // machines preempt lower priorities
+	ListsFreeCapacity  bool    // entries of the machine list carry free cores and memory
+	ReportsUsage       bool    // load reports subtract what is used, not what is requested
+	DiscoveryOnRequest bool    // changes of the machine list come only after Subscribe
+	MaxAttempts        int     // for each task; 0: no limit
+	HedgedRequests     bool    // two attempts of one task may be active at once
+	CanCancel          bool
+	CanHealthCheck     bool
+	CanGossip          bool
+	CanRetryAfter      bool
+	MaxRetryAfter      time.Duration
+	Tick               time.Duration // least time between steps
+	ConnectTimeout     time.Duration
+	AnswerSlack        time.Duration
+	DrainGrace         time.Duration
+	// DiscoveryPollDeadline is how long an answer to Subscribe may take.
 	DiscoveryPollDeadline time.Duration
-	SlowStartDuration     time.Duration // a machine is warm this long after its start at the latest
-	OverloadWindow        time.Duration
-	SlowStartBudget       float64 // offers within FallWindow, of all schedulers, that a cold machine always bears
+	// SlowStartDuration is how long after its start a machine is in slow start at most.
+	SlowStartDuration time.Duration
+	// OverloadWindow is the time within which offers to a machine in slow start are counted.
+	OverloadWindow time.Duration
+	// SlowStartBudget is the offers of all schedulers within OverloadWindow that a machine in slow start always bears.
+	SlowStartBudget float64
 }
 
-// Task is one ask to place a task. ID is fresh for each ask, Key stays the same.
+// Task is one request to place a task.
 type Task struct {
-	ID, Key, Service string
-	Class            int // index in Config.Classes
-	Tenant           int // index in Config.Tenants, or -1
-	Cores, Memory    float64
-	ExpectedRuntime  time.Duration // how long it should still run, roughly; 0: not told
-	Deadline         Time          // when its owner gives up
-	Retry            bool
+	// ID is unique to the request.
+	ID string
+	// Key is the idempotency key, which stays the same when the task is submitted again.
+	Key             string
+	Service         string
+	Class           int // index in Config.Classes
+	Tenant          int // index in Config.Tenants, or -1
+	Cores           float64
+	Memory          float64
+	ExpectedRuntime time.Duration // remaining, roughly; 0: unknown
+	Deadline        Time          // when its owner gives up
+	Retry           bool          // the task has been requested before
 }
 
 // MachineState is what discovery says of a machine.
 type MachineState int
 
+// The states of a machine.
 const (
+	// Active machines are in service.
 	Active MachineState = iota
+	// Draining machines take no new tasks.
 	Draining
+	// Removed machines are gone.
 	Removed
 )
 
 // Machine is one entry of the machine list.
 type Machine struct {
-	ID                    string
-	Kind                  int // index in Config.Kinds, or -1
-	Zone                  string
-	Cell                  int
-	State                 MachineState
-	Started               Time // 0: long ago
-	FreeCores, FreeMemory float64
+	ID         string
+	Kind       int // index in Config.Kinds, or -1
+	Zone       string
+	Cell       int
+	State      MachineState
+	Started    Time    // 0: long ago
+	FreeCores  float64 // with Config.ListsFreeCapacity
+	FreeMemory float64
 }
 
-// LoadReport is a machine's own report. Told is false when none came along.
+// LoadReport is a machine's own report of its load.
 type LoadReport struct {
-	Present               bool
-	FreeCores, FreeMemory float64
-	HasCores, HasMemory   bool
+	Present    bool // false when no report came along
+	FreeCores  float64
+	FreeMemory float64
+	HasCores   bool // FreeCores is set
+	HasMemory  bool // FreeMemory is set
 }
 
 // Outcome is how an attempt ended.
 type Outcome int
 
+// The outcomes.
 const (
+	// Completed: the task ended by itself.
 	Completed Outcome = iota
-	Failed            // the machine answered with an error; it may have started
-	Rejected          // proof that it never ran
+	// Failed: the machine answered with an error; the task may have started.
+	Failed
+	// Rejected is proof that the task never ran.
+	Rejected
+	// TimedOut: no answer came within the offer's time-out; the task may have started.
 	TimedOut
-	Unreachable // proof that it never ran
-	Lost        // after Placed: evicted, pushed out, sent away or lost; before: the reply broke off
+	// Unreachable is proof that the task never ran.
+	Unreachable
+	// Lost after AttemptPlaced: evicted, preempted, drained away or lost; before it: the reply broke off.
+	Lost
+	// Canceled on request.
 	Canceled
-	NotSent // proof that it never ran
+	// NotSent is proof that the task never ran.
+	NotSent
 )
 
-// Reason tells more of a Refused or Lost attempt.
+// Reason tells more of a Rejected or Lost attempt.
 type Reason int
 
+// The reasons.
 const (
+	// UnspecifiedReason: no reason is known.
 	UnspecifiedReason Reason = iota
+	// InsufficientCores rejects a task for the cores that it requests.
 	InsufficientCores
+	// InsufficientMemory rejects a task for the memory that it requests.
 	InsufficientMemory
+	// QueueFull rejects a task whatever its size.
 	QueueFull
+	// UnsupportedTask rejects a task that the machine never takes.
 	UnsupportedTask
+	// Evicted to free a resource that ran short.
 	Evicted
+	// Preempted by a task of higher priority.
 	Preempted
+	// DrainedAway because the machine leaves service.
 	DrainedAway
 )
 
-// UsageKind says what a Note tells.
+// UsageKind says what a UsageReport measures.
 type UsageKind int
 
+// The kinds of usage.
 const (
-	TaskRunning    UsageKind = iota + 1
-	CoresUsed                // by the task
-	MemoryUsed               // by the task
-	ServiceLevel             // share of full service that the task gets
-	MemoryPressure           // share of its machine's memory in use
+	// TaskRunning tells that the task has started.
+	TaskRunning UsageKind = iota + 1
+	// CoresUsed by the task.
+	CoresUsed
+	// MemoryUsed by the task.
+	MemoryUsed
+	// ServiceLevel is the fraction of full service that the task gets.
+	ServiceLevel
+	// MemoryPressure is the fraction of its machine's memory in use.
+	MemoryPressure
 )
 
-// Event is one of the event types below.
+// Event is one of the event types of this package: something that has happened.
 type Event interface{ event() }
 
 type (
-	// MachinesUpdated brings the machine list: all of it, or what changed.
+	// MachinesUpdated brings entries of the machine list.
 	MachinesUpdated struct {
 		Machines []Machine
-		Complete bool
-		Stale    bool // the first list, as it was when last seen
+		Complete bool // it is the complete list: other machines are removed
+		Stale    bool // as last seen before this scheduler started; it may be out of date
 	}
-	// DiscoveryFailed tells that a call to discovery failed or the subscription dropped.
+	// DiscoveryFailed tells that a request to discovery failed or the subscription broke off.
 	DiscoveryFailed struct{}
-	// TaskSubmitted asks for a task to be placed.
+	// TaskSubmitted requests that a task is placed.
 	TaskSubmitted struct{ Task Task }
-	// TaskAdopted hands over a task that runs already; attempt 0 counts as made.
+	// TaskAdopted brings a task that runs already, as its attempt 0.
 	TaskAdopted struct {
 		Task    Task
 		Machine string
 	}
-	// AttemptPlaced tells that the attempt was accepted (or runs, with Config.RunsWhenPlaced).
+	// AttemptPlaced tells that an attempt was accepted, or runs with Config.PlacedWhenRunning.
 	AttemptPlaced struct {
-		Task, Machine string
-		Attempt       int
-		Latency       time.Duration
+		Task    string
+		Machine string
+		Attempt int
+		Latency time.Duration // since the offer
 	}
-	// AttemptEnded tells how an attempt ended. Done: the task needs no further answer.
+	// AttemptEnded tells how an attempt ended.
 	AttemptEnded struct {
-		Task, Machine string
-		Attempt       int
-		Outcome       Outcome
-		Reason        Reason
-		Final         bool
-		Latency       time.Duration
-		Load          LoadReport
+		Task    string
+		Machine string
+		Attempt int
+		Outcome Outcome
+		Reason  Reason
+		Final   bool // the task needs no further answer
+		Latency time.Duration
+		Load    LoadReport
 	}
-	// UsageReport is news of an attempt that is out.
+	// UsageReport measures an active attempt.
 	UsageReport struct {
-		Task, Machine string
-		Attempt       int
-		Kind          UsageKind
-		Amount        float64
+		Task    string
+		Machine string
+		Attempt int
+		Kind    UsageKind
+		Amount  float64 // in the unit of Kind
 	}
-	// HealthChecked answers a Probe.
+	// HealthChecked answers a HealthCheck.
 	HealthChecked struct {
 		Machine string
 		Outcome Outcome
 		Load    LoadReport
 	}
-	// GossipReceived comes from another scheduler.
+	// GossipReceived brings the data of another scheduler's SendGossip.
 	GossipReceived struct {
-		From int
+		From int // Config.Index of the sender
 		Data []byte
 	}
-	// TimerFired answers a Wake.
+	// TimerFired answers a SetTimer.
 	TimerFired struct{}
-	// TaskCanceled tells that a task is no longer wanted.
+	// TaskCanceled tells that the owner needs the task no more.
 	TaskCanceled struct{ Task string }
 )
 
@@ -250,33 +330,34 @@
 func (TimerFired) event()      {}
 func (TaskCanceled) event()    {}
 
-// Action is one of the action types below.
+// Action is one of the action types of this package: something that the host has to do.
 type Action interface{ action() }
 
 type (
 	// Offer sends a task to a machine. Attempts are numbered from 0 in the order of their offers.
 	Offer struct {
-		Task, Machine string
-		Timeout       time.Duration
+		Task    string
+		Machine string
+		Timeout time.Duration
 	}
-	// Cancel stops waiting for an attempt; the machine may still start it.
+	// Cancel stops waiting for an attempt; the machine may start it all the same.
 	Cancel struct {
 		Task    string
 		Attempt int
 	}
-	// Reject is a final answer: a retry does no harm.
+	// Reject is a final answer which promises that a retry does no harm.
 	Reject struct{ Task string }
 	// Fail is a final answer without that promise.
 	Fail struct{ Task string }
-	// Migrate stops a placed task so that it comes again.
+	// Migrate stops a placed task so that its owner submits it again.
 	Migrate struct{ Task string }
-	// HealthCheck asks a machine for a report.
+	// HealthCheck requests a load report from a machine.
 	HealthCheck struct{ Machine string }
 	// SendGossip sends data to all other schedulers.
 	SendGossip struct{ Data []byte }
-	// Subscribe asks discovery for changes from now on.
+	// Subscribe requests changes of the machine list from now on.
 	Subscribe struct{}
-	// SetTimer asks for a Woken event.
+	// SetTimer requests a TimerFired event.
 	SetTimer struct{ After time.Duration }
 )
 
--- a/config.go
+++ b/config.go
@@ -5,39 +5,75 @@
 	"time"
 )
 
-// validate names the field that makes no sense.
-func validate(c *Config) error {
-	c.Schedulers = max(c.Schedulers, 1)
-	for i, k := range c.Kinds {
-		if !(k.Cores > 0) || !(k.Memory > 0) {
-			return fmt.Errorf("flaxshelf: Kinds[%d] (%s): Cores and Memory must be above 0", i, k.Name)
+// ConfigError says which field of a Config has a value that makes no sense. New returns it.
+type ConfigError struct {
+	Field  string // path within Config, such as Classes[2].Kind
+	Value  any    // of the field
+	Reason string
+}
+
+// Error names the field, its value and the reason.
+func (e *ConfigError) Error() string {
+	return fmt.Sprintf("flaxshelf: Config.%s is %v: %s", e.Field, e.Value, e.Reason)
+}
+
+// validate returns a *ConfigError for the first field that makes no sense.
+func validate(cfg *Config) error {
+	for i, kind := range cfg.Kinds {
+		if err := validateKind(fmt.Sprintf("Kinds[%d]", i), kind); err != nil {
+			return err
 		}
 	}
-	for i, cl := range c.Classes {
-		switch {
-		case cl.Kind < -1 || cl.Kind >= len(c.Kinds):
-			return fmt.Errorf("flaxshelf: Classes[%d].Kind: no kind %d", i, cl.Kind)
-		case cl.Idempotency < Idempotent || cl.Idempotency > NonIdempotent:
-			return fmt.Errorf("flaxshelf: Classes[%d].Effect: unknown effect %d", i, cl.Idempotency)
-		case cl.Idempotency == IdempotentByKey && (cl.KeyDomain < MachineDomain || cl.KeyDomain > FleetDomain):
-			return fmt.Errorf("flaxshelf: Classes[%d].Group: a keyed class needs a group", i)
-		case cl.SpreadDomain < NoDomain || cl.SpreadDomain > ZoneDomain:
-			return fmt.Errorf("flaxshelf: Classes[%d].Spread: unknown place %d", i, cl.SpreadDomain)
-		case cl.SpreadDomain != NoDomain && cl.MaxPerDomain < 1:
-			return fmt.Errorf("flaxshelf: Classes[%d].Most: a spread rule needs 1 or more", i)
+	for i, class := range cfg.Classes {
+		if err := validateClass(fmt.Sprintf("Classes[%d]", i), class, len(cfg.Kinds)); err != nil {
+			return err
 		}
 	}
-	for _, d := range []struct {
-		name string
-		v    time.Duration
-	}{{"Tick", c.Tick}, {"DrainGrace", c.DrainGrace}, {"AskWithin", c.DiscoveryPollDeadline}, {"ColdFor", c.SlowStartDuration},
-		{"FallWindow", c.OverloadWindow}, {"ConnectTimeout", c.ConnectTimeout}} {
-		if d.v < 0 {
-			return fmt.Errorf("flaxshelf: %s: must not be negative", d.name)
+	for _, duration := range []struct {
+		field string
+		value time.Duration
+	}{
+		{"Tick", cfg.Tick},
+		{"DrainGrace", cfg.DrainGrace},
+		{"DiscoveryPollDeadline", cfg.DiscoveryPollDeadline},
+		{"SlowStartDuration", cfg.SlowStartDuration},
+		{"OverloadWindow", cfg.OverloadWindow},
+		{"ConnectTimeout", cfg.ConnectTimeout},
+	} {
+		if duration.value < 0 {
+			return &ConfigError{duration.field, duration.value, "must not be negative"}
 		}
 	}
-	if c.MaxAttempts < 0 {
-		return fmt.Errorf("flaxshelf: MaxAttempts: must not be negative")
+	if cfg.MaxAttempts < 0 {
+		return &ConfigError{"MaxAttempts", cfg.MaxAttempts, "must not be negative"}
+	}
+	return nil
+}
+
+// validateKind checks one kind of machine, whose path in Config is field.
+func validateKind(field string, kind Kind) error {
+	if !(kind.Cores > 0) { // not a number is refused too
+		return &ConfigError{field + ".Cores", kind.Cores, "must be above 0"}
+	}
+	if !(kind.Memory > 0) {
+		return &ConfigError{field + ".Memory", kind.Memory, "must be above 0"}
+	}
+	return nil
+}
+
+// validateClass checks one class of task, whose path in Config is field.
+func validateClass(field string, class Class, kinds int) error {
+	switch {
+	case class.Kind < -1 || class.Kind >= kinds:
+		return &ConfigError{field + ".Kind", class.Kind, "no such kind"}
+	case class.Idempotency < Idempotent || class.Idempotency > NonIdempotent:
+		return &ConfigError{field + ".Idempotency", int(class.Idempotency), "no such idempotency"}
+	case class.Idempotency == IdempotentByKey && (class.KeyDomain < MachineDomain || class.KeyDomain > FleetDomain):
+		return &ConfigError{field + ".KeyDomain", int(class.KeyDomain), "an idempotency key needs a domain"}
+	case class.SpreadDomain < NoDomain || class.SpreadDomain > ZoneDomain:
+		return &ConfigError{field + ".SpreadDomain", int(class.SpreadDomain), "no domain to spread over"}
+	case class.SpreadDomain != NoDomain && class.MaxPerDomain < 1:
+		return &ConfigError{field + ".MaxPerDomain", class.MaxPerDomain, "a bounded spread needs 1 or more"}
 	}
 	return nil
 }
--- a/placer.go
+++ b/placer.go
@@ -52,6 +52,7 @@
 	if err := validate(&cfg); err != nil {
 		return nil, err
 	}
+	cfg.Schedulers = max(cfg.Schedulers, 1)
 	source := rand.NewPCG(seed, 0x9e3779b97f4a7c15)
 	return &Placer{
 		cfg:          cfg,
--- a/placer_test.go
+++ b/placer_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"errors"
 	"fmt"
 	"math"
 	"slices"
@@ -89,24 +90,39 @@
 
 func TestNewReportsInvalidField(t *testing.T) {
 	for _, c := range []struct {
-		want   string
+		want   ConfigError
+		text   string
 		change func(*Config)
 	}{
-		{"flaxshelf: Kinds[0] (k): Cores and Memory must be above 0",
+		{ConfigError{"Kinds[0].Cores", 0.0, "must be above 0"}, "flaxshelf: Config.Kinds[0].Cores is 0: must be above 0",
 			func(c *Config) { c.Kinds[0].Cores = 0 }},
-		{"flaxshelf: Classes[0].Kind: no kind 3", func(c *Config) { c.Classes[0].Kind = 3 }},
-		{"flaxshelf: Classes[0].Effect: unknown effect 9", func(c *Config) { c.Classes[0].Idempotency = 9 }},
-		{"flaxshelf: Classes[0].Group: a keyed class needs a group",
+		{ConfigError{"Kinds[0].Memory", -1.0, "must be above 0"}, "flaxshelf: Config.Kinds[0].Memory is -1: must be above 0",
+			func(c *Config) { c.Kinds[0].Memory = -1 }},
+		{ConfigError{"Classes[0].Kind", 3, "no such kind"}, "flaxshelf: Config.Classes[0].Kind is 3: no such kind",
+			func(c *Config) { c.Classes[0].Kind = 3 }},
+		{ConfigError{"Classes[0].Idempotency", 9, "no such idempotency"},
+			"flaxshelf: Config.Classes[0].Idempotency is 9: no such idempotency",
+			func(c *Config) { c.Classes[0].Idempotency = 9 }},
+		{ConfigError{"Classes[0].KeyDomain", 0, "an idempotency key needs a domain"},
+			"flaxshelf: Config.Classes[0].KeyDomain is 0: an idempotency key needs a domain",
 			func(c *Config) { c.Classes[0].Idempotency = IdempotentByKey }},
-		{"flaxshelf: Classes[0].Most: a spread rule needs 1 or more",
+		{ConfigError{"Classes[0].SpreadDomain", 4, "no domain to spread over"},
+			"flaxshelf: Config.Classes[0].SpreadDomain is 4: no domain to spread over",
+			func(c *Config) { c.Classes[0].SpreadDomain = FleetDomain }},
+		{ConfigError{"Classes[0].MaxPerDomain", 0, "a bounded spread needs 1 or more"},
+			"flaxshelf: Config.Classes[0].MaxPerDomain is 0: a bounded spread needs 1 or more",
 			func(c *Config) { c.Classes[0].SpreadDomain = ZoneDomain }},
-		{"flaxshelf: Tick: must not be negative", func(c *Config) { c.Tick = -1 }},
-		{"flaxshelf: MaxAttempts: must not be negative", func(c *Config) { c.MaxAttempts = -1 }},
+		{ConfigError{"Tick", -time.Nanosecond, "must not be negative"}, "flaxshelf: Config.Tick is -1ns: must not be negative",
+			func(c *Config) { c.Tick = -1 }},
+		{ConfigError{"MaxAttempts", -1, "must not be negative"}, "flaxshelf: Config.MaxAttempts is -1: must not be negative",
+			func(c *Config) { c.MaxAttempts = -1 }},
 	} {
 		cfg := testConfig()
 		c.change(&cfg)
-		if _, err := New(cfg, 1); err == nil || err.Error() != c.want {
-			t.Errorf("got %v, want %s", err, c.want)
+		_, err := New(cfg, 1)
+		var got *ConfigError
+		if !errors.As(err, &got) || *got != c.want || err.Error() != c.text {
+			t.Errorf("got %v, want %v", err, c.text)
 		}
 	}
 }
