--- /dev/null
+++ b/config_test.go
@@ -0,0 +1,68 @@
+package flaxshelf
+
+import (
+	"errors"
+	"testing"
+	"time"
+)
+
+func TestNewReportsInvalidField(t *testing.T) {
+	for _, c := range []struct {
+		want   ConfigError
+		text   string
+		change func(*Config)
+	}{
+		{ConfigError{"Kinds[0].Cores", 0.0, "must be above 0"}, "flaxshelf: Config.Kinds[0].Cores is 0: must be above 0",
+			func(c *Config) { c.Kinds[0].Cores = 0 }},
+		{ConfigError{"Kinds[0].Memory", -1.0, "must be above 0"}, "flaxshelf: Config.Kinds[0].Memory is -1: must be above 0",
+			func(c *Config) { c.Kinds[0].Memory = -1 }},
+		{ConfigError{"Classes[0].Kind", 3, "no such kind"}, "flaxshelf: Config.Classes[0].Kind is 3: no such kind",
+			func(c *Config) { c.Classes[0].Kind = 3 }},
+		{ConfigError{"Classes[0].Idempotency", 9, "no such idempotency"},
+			"flaxshelf: Config.Classes[0].Idempotency is 9: no such idempotency",
+			func(c *Config) { c.Classes[0].Idempotency = 9 }},
+		{ConfigError{"Classes[0].KeyDomain", 0, "an idempotency key needs a domain"},
+			"flaxshelf: Config.Classes[0].KeyDomain is 0: an idempotency key needs a domain",
+			func(c *Config) { c.Classes[0].Idempotency = IdempotentByKey }},
+		{ConfigError{"Classes[0].SpreadDomain", 4, "no domain to spread over"},
+			"flaxshelf: Config.Classes[0].SpreadDomain is 4: no domain to spread over",
+			func(c *Config) { c.Classes[0].SpreadDomain = FleetDomain }},
+		{ConfigError{"Classes[0].MaxPerDomain", 0, "a bounded spread needs 1 or more"},
+			"flaxshelf: Config.Classes[0].MaxPerDomain is 0: a bounded spread needs 1 or more",
+			func(c *Config) { c.Classes[0].SpreadDomain = ZoneDomain }},
+		{ConfigError{"Tick", -time.Nanosecond, "must not be negative"}, "flaxshelf: Config.Tick is -1ns: must not be negative",
+			func(c *Config) { c.Tick = -1 }},
+		{ConfigError{"MaxAttempts", -1, "must not be negative"}, "flaxshelf: Config.MaxAttempts is -1: must not be negative",
+			func(c *Config) { c.MaxAttempts = -1 }},
+	} {
+		cfg := testConfig()
+		c.change(&cfg)
+		_, err := New(cfg, 1)
+		var got *ConfigError
+		if !errors.As(err, &got) || *got != c.want || err.Error() != c.text {
+			t.Errorf("got %v, want %v", err, c.text)
+		}
+	}
+}
+
+// Settings that a site leaves out: no classes, kinds, limits, zones or list; what is asked is still answered.
+func TestMinimalConfig(t *testing.T) {
+	p, err := New(Config{Kinds: []Kind{{"k", 8, 8}}, Classes: []Class{{Name: "c", Kind: -1}}}, 1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	p.Step(time.Second, []Event{MachinesUpdated{Complete: true}})
+	if as := p.Step(time.Second, []Event{submit("t", 0, 3*time.Second)}); len(offersOf(as)) != 0 {
+		t.Fatalf("no machine, yet %v", as)
+	}
+	o := onlyOffer(t, p.Step(2*time.Second, []Event{MachinesUpdated{Machines: []Machine{{ID: "m"}}}}))
+	if o.Machine != "m" || o.Timeout <= 0 {
+		t.Errorf("got %v", o)
+	}
+	if p, err = New(Config{}, 1); err != nil {
+		t.Fatal(err)
+	}
+	if as := p.Step(time.Second, []Event{submit("t", 0, 3*time.Second)}); !hasAction(as, Reject{"t"}) {
+		t.Errorf("no classes: %v", as)
+	}
+}
--- a/cold_fleet_test.go
+++ b/slow_start_test.go
@@ -9,6 +9,91 @@
 	"time"
 )
 
+// Fourth rule: this scheduler's share of the always-safe offers, unanswered ones counted.
+func TestSlowStartBudgetShare(t *testing.T) {
+	c := testConfig()
+	c.Schedulers, c.SlowStartBudget = 3, 12
+	p := startPlacer(t, c, nil)
+	now := 10 * time.Second
+	events := []Event{MachinesUpdated{Machines: []Machine{{ID: "new", Zone: "a", Started: now - millisecond}}}}
+	for i := range 20 {
+		events = append(events, submit(fmt.Sprint("t", i), 0, now+5*time.Second))
+	}
+	if n := len(offersOf(p.Step(now, events))); n != 4 {
+		t.Errorf("offers at once: %d, want 12/3", n)
+	}
+	if n := len(offersOf(p.Step(now+900*millisecond, []Event{TimerFired{}}))); n != 0 {
+		t.Errorf("within the window: %d more", n)
+	}
+	if n := len(offersOf(p.Step(now+1600*millisecond, []Event{TimerFired{}}))); n != 4 {
+		t.Errorf("after the window: %d, want 4", n)
+	}
+}
+
+// Fourth rule with far more schedulers than always-safe offers: all of them together, each with work all the
+// time, stay within the budget in any window, and use a good part of it.
+func TestSlowStartSlotsOfManySchedulers(t *testing.T) {
+	c := testConfig()
+	c.Schedulers, c.SlowStartBudget = 300, 24
+	sends := map[string][]Time{}
+	var placers []*Placer
+	for i := range c.Schedulers {
+		c.Index = i
+		p, err := New(c, uint64(i))
+		if err != nil {
+			t.Fatal(err)
+		}
+		placers = append(placers, p)
+	}
+	machines := testMachines(3)
+	for i := range machines {
+		machines[i].Started = time.Second + Time(i)*70*millisecond
+	}
+	for now := time.Second; now < 9*time.Second; now += 50 * millisecond {
+		for i, p := range placers {
+			var es []Event
+			if now == time.Second {
+				es = append(es, MachinesUpdated{Complete: true, Machines: machines})
+			}
+			if now > time.Second {
+				es = append(es, submit(fmt.Sprint(i, now), 0, now+time.Minute))
+			}
+			for _, o := range offersOf(p.Step(now, es)) {
+				sends[o.Machine] = append(sends[o.Machine], now)
+				p.Step(now, []Event{AttemptEnded{Task: o.Task, Machine: o.Machine, Outcome: Completed, Final: true}})
+			}
+		}
+	}
+	for id, at := range sends {
+		most, first := 0, 0
+		for last := range at {
+			for at[last]-at[first] > c.OverloadWindow {
+				first++
+			}
+			most = max(most, last-first+1)
+		}
+		if most > int(c.SlowStartBudget) || len(at) < 2*int(c.SlowStartBudget) {
+			t.Errorf("%s: %d offers in a window, %d in all", id, most, len(at))
+		}
+	}
+	if len(sends) != len(machines) {
+		t.Errorf("offers went to %d machines", len(sends))
+	}
+}
+
+// Fourth rule: a restarted scheduler can't know what it sent, so its share counts as spent.
+func TestSlowStartBudgetUnknownAfterRestart(t *testing.T) {
+	p, _ := New(testConfig(), 1)
+	now := 10 * time.Second
+	as := p.Step(now, []Event{
+		MachinesUpdated{Complete: true, Stale: true, Machines: []Machine{{ID: "new", Started: now - time.Second}}},
+		submit("t", 0, now+5*time.Second)})
+	if len(offersOf(as)) != 0 {
+		t.Fatalf("offered to a cold machine right after the start: %v", as)
+	}
+	onlyOffer(t, p.Step(now+1600*millisecond, []Event{TimerFired{}}))
+}
+
 // runSlowStartFleet plays schedulers that all have work for one machine that has just come up; the others of its fleet are full. It
 // returns when offers reached the cold machine, in order. Each scheduler hears of the start at its own time within late, and
 // a part of them starts anew while the machine is cold.
