--- a/answers_test.go
+++ b/answers_test.go
@@ -1,75 +1,84 @@
 package flaxshelf
 
 import (
-	"slices"
 	"testing"
 	"time"
 )
 
-// First rule: every open task is answered before its owner gives up, whatever is missing.
+// Every open task is answered before its deadline, whatever is missing.
 func TestAnswerBeforeDeadline(t *testing.T) {
-	for _, n := range []int{0, 1} { // no machine at all; one that never answers
-		p := startPlacer(t, testConfig(), testMachines(n))
-		until := 4 * time.Second
-		as := p.Step(time.Second, []Event{submit("t", 0, until)})
-		for i := 0; i < 1000; i++ {
-			w := slices.IndexFunc(as, func(a Action) bool { _, ok := a.(SetTimer); return ok })
-			if w < 0 {
-				t.Fatalf("%d machines: no wake while a task is open", n)
-			}
-			now := p.now + as[w].(SetTimer).After
-			as = p.Step(now, []Event{TimerFired{}})
-			if hasAction(as, Reject{"t"}) {
-				if now >= until {
-					t.Errorf("%d machines: answered at %v", n, now)
+	for name, machines := range map[string]int{"no machine": 0, "a machine that never answers": 1} {
+		t.Run(name, func(t *testing.T) {
+			p := startPlacer(t, testConfig(), testMachines(machines))
+			deadline := 4 * time.Second
+			actions := p.Step(time.Second, []Event{submit("t", 0, deadline)})
+			for range 1000 {
+				now := p.now + timerOf(t, actions)
+				actions = p.Step(now, []Event{TimerFired{}})
+				if hasAction(actions, Reject{"t"}) {
+					if now >= deadline {
+						t.Errorf("answered at %v", now)
+					}
+					break
+				}
+				if now > deadline {
+					t.Fatal("no answer")
 				}
-				break
 			}
-			if now > until {
-				t.Fatalf("%d machines: no answer", n)
+			if len(p.openTasks) != 0 {
+				t.Error("still open")
 			}
-		}
-		if len(p.openTasks) != 0 {
-			t.Errorf("%d machines: still open", n)
+		})
+	}
+}
+
+// timerOf is the time of the timer that the actions set.
+func timerOf(t *testing.T, actions []Action) time.Duration {
+	t.Helper()
+	for _, action := range actions {
+		if timer, ok := action.(SetTimer); ok {
+			return timer.After
 		}
 	}
+	t.Fatal("no timer while a task is open")
+	return 0
 }
 
 func TestMaxAttempts(t *testing.T) {
 	p := startPlacer(t, testConfig(), testMachines(9))
-	as := p.Step(time.Second, []Event{submit("t", 0, 9*time.Second)})
+	actions := p.Step(time.Second, []Event{submit("t", 0, 9*time.Second)})
 	for i := range 3 {
-		o := onlyOffer(t, as)
-		e := AttemptEnded{Task: "t", Machine: o.Machine, Attempt: i, Outcome: Unreachable}
-		as = p.Step(time.Second+Time(i+1)*millisecond, []Event{e})
+		offer := onlyOffer(t, actions)
+		e := AttemptEnded{Task: "t", Machine: offer.Machine, Attempt: i, Outcome: Unreachable}
+		actions = p.Step(time.Second+Time(i+1)*millisecond, []Event{e})
 	}
-	if len(offersOf(as)) != 0 || !hasAction(as, Reject{"t"}) {
-		t.Errorf("after three attempts: %v", as)
+	if len(offersOf(actions)) != 0 || !hasAction(actions, Reject{"t"}) {
+		t.Errorf("after three attempts: %v", actions)
 	}
 }
 
-// Odd events: no action, no crash.
+// Events about unknown tasks, machines and attempts lead to no action.
 func TestUnknownReferencesAreIgnored(t *testing.T) {
 	p := startPlacer(t, testConfig(), testMachines(2))
-	as := p.Step(2*time.Second, []Event{
+	actions := p.Step(2*time.Second, []Event{
 		AttemptEnded{Task: "x", Machine: "y"}, AttemptPlaced{Task: "x"}, UsageReport{Task: "x", Kind: 99}, TaskCanceled{"x"},
 		HealthChecked{Machine: "y"}, GossipReceived{From: 3}, TimerFired{}, AttemptEnded{Task: "t", Machine: "m0", Attempt: -1}})
-	if len(as) != 0 {
-		t.Errorf("got %v", as)
+	if len(actions) != 0 {
+		t.Errorf("got %v", actions)
 	}
-	as = p.Step(2*time.Second, []Event{submit("odd", 77, 9*time.Second)})
-	if !hasAction(as, Reject{"odd"}) {
-		t.Errorf("unknown class: %v", as)
+	actions = p.Step(2*time.Second, []Event{submit("odd", 77, 9*time.Second)})
+	if !hasAction(actions, Reject{"odd"}) {
+		t.Errorf("unknown class: %v", actions)
 	}
 }
 
-// What tenants ask beyond their share waits behind the others.
+// Tasks of tenants over their quota wait behind the others.
 func TestOverQuotaTaskIsServedLast(t *testing.T) {
-	c := testConfig()
-	c.Tenants = []Tenant{{Name: "a", QuotaCores: 1}, {Name: "b", QuotaCores: 100}}
-	p := startPlacer(t, c, testMachines(2))
+	cfg := testConfig()
+	cfg.Tenants = []Tenant{{Name: "a", QuotaCores: 1}, {Name: "b", QuotaCores: 100}}
+	p := startPlacer(t, cfg, testMachines(2))
 	p.tenantCores[0], p.tenantCores[1] = 5, 5
-	over, within := &task{class: &c.Classes[0]}, &task{class: &c.Classes[0]}
+	over, within := &task{class: &cfg.Classes[0]}, &task{class: &cfg.Classes[0]}
 	within.Tenant = 1
 	over.submittedAt, within.submittedAt = p.now, p.now
 	if p.queueRankOf(over) <= p.queueRankOf(within) {
@@ -77,6 +86,6 @@
 	}
 	within.submittedAt = p.now - time.Minute
 	if p.queueRankOf(over) <= p.queueRankOf(within) {
-		t.Error("a late task within its share goes before one beyond it")
+		t.Error("a late task within its quota waits behind one over it")
 	}
 }
--- a/config_test.go
+++ b/config_test.go
@@ -45,24 +45,24 @@
 	}
 }
 
-// Settings that a site leaves out: no classes, kinds, limits, zones or list; what is asked is still answered.
+// A configuration without classes, kinds, limits, zones or a machine list: tasks are still answered.
 func TestMinimalConfig(t *testing.T) {
 	p, err := New(Config{Kinds: []Kind{{"k", 8, 8}}, Classes: []Class{{Name: "c", Kind: -1}}}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	p.Step(time.Second, []Event{MachinesUpdated{Complete: true}})
-	if as := p.Step(time.Second, []Event{submit("t", 0, 3*time.Second)}); len(offersOf(as)) != 0 {
-		t.Fatalf("no machine, yet %v", as)
+	if actions := p.Step(time.Second, []Event{submit("t", 0, 3*time.Second)}); len(offersOf(actions)) != 0 {
+		t.Fatalf("no machine, yet %v", actions)
 	}
-	o := onlyOffer(t, p.Step(2*time.Second, []Event{MachinesUpdated{Machines: []Machine{{ID: "m"}}}}))
-	if o.Machine != "m" || o.Timeout <= 0 {
-		t.Errorf("got %v", o)
+	offer := onlyOffer(t, p.Step(2*time.Second, []Event{MachinesUpdated{Machines: []Machine{{ID: "m"}}}}))
+	if offer.Machine != "m" || offer.Timeout <= 0 {
+		t.Errorf("got %v", offer)
 	}
 	if p, err = New(Config{}, 1); err != nil {
 		t.Fatal(err)
 	}
-	if as := p.Step(time.Second, []Event{submit("t", 0, 3*time.Second)}); !hasAction(as, Reject{"t"}) {
-		t.Errorf("no classes: %v", as)
+	if actions := p.Step(time.Second, []Event{submit("t", 0, 3*time.Second)}); !hasAction(actions, Reject{"t"}) {
+		t.Errorf("no classes: %v", actions)
 	}
 }
--- a/constraints_soft_test.go
+++ b/constraints_soft_test.go
@@ -7,48 +7,48 @@
 	"time"
 )
 
-// Incident i4c1909: while the list tells no room anywhere, tasks are held, then tried once at last.
+// Incident i4c1909: while no listed machine has free capacity, tasks are held, and offered once near their deadline.
 func TestTaskHeldWithoutListedCapacity(t *testing.T) {
-	c := testConfig()
-	c.ListsFreeCapacity = true
+	cfg := testConfig()
+	cfg.ListsFreeCapacity = true
 	full := []Machine{{ID: "m0", Zone: "a", FreeCores: -32, FreeMemory: -50}}
-	p := startPlacer(t, c, full)
-	if as := p.Step(time.Second, []Event{submit("t", 0, 5*time.Second)}); len(offersOf(as)) != 0 {
-		t.Fatalf("offered to a full machine: %v", as)
+	p := startPlacer(t, cfg, full)
+	if actions := p.Step(time.Second, []Event{submit("t", 0, 5*time.Second)}); len(offersOf(actions)) != 0 {
+		t.Fatalf("offered to a full machine: %v", actions)
 	}
 	onlyOffer(t, p.Step(4100*millisecond, []Event{TimerFired{}}))
-	p = startPlacer(t, c, full)
+	p = startPlacer(t, cfg, full)
 	p.Step(time.Second, []Event{submit("t", 0, 5*time.Second)})
 	full[0].FreeCores, full[0].FreeMemory = 10, 10
 	onlyOffer(t, p.Step(2*time.Second, []Event{MachinesUpdated{Machines: full}}))
 }
 
-// Incident i959772 and a crash met on the way: nothing is left when every machine is told full.
+// Incident i959772 and a crash found with it: no machine is left when all are expected to reject.
 func TestTaskHeldWhenAllMachinesReject(t *testing.T) {
 	p := startPlacer(t, testConfig(), testMachines(2))
 	for _, m := range p.machinesByID {
 		m.rejectsUntil = time.Hour
 	}
 	reviewAll(p)
-	as := p.Step(time.Second+millisecond, []Event{submit("t", 0, 9*time.Second)})
-	if len(offersOf(as)) != 0 || hasAction(as, Reject{"t"}) {
-		t.Errorf("want the task held, got %v", as)
+	actions := p.Step(time.Second+millisecond, []Event{submit("t", 0, 9*time.Second)})
+	if len(offersOf(actions)) != 0 || hasAction(actions, Reject{"t"}) {
+		t.Errorf("want the task held, got %v", actions)
 	}
 }
 
-// After a refusal one offer finds out whether a machine has recovered, without a rush onto it.
+// After a rejection one offer finds out whether a machine has recovered; more follow as it accepts.
 func TestOfferWindowAfterRejection(t *testing.T) {
 	p := startPlacer(t, testConfig(), testMachines(1))
-	o := onlyOffer(t, p.Step(time.Second, []Event{submit("t", 0, 2*time.Second)}))
-	e := AttemptEnded{Task: "t", Machine: o.Machine, Outcome: Rejected, Final: true, Reason: InsufficientCores}
-	p.Step(time.Second+millisecond, []Event{e})
+	offer := onlyOffer(t, p.Step(time.Second, []Event{submit("t", 0, 2*time.Second)}))
+	ended := AttemptEnded{Task: "t", Machine: offer.Machine, Outcome: Rejected, Final: true, Reason: InsufficientCores}
+	p.Step(time.Second+millisecond, []Event{ended})
 	m := p.machinesByID[0]
 	full := func() bool {
 		reviewAll(p)
 		return p.withoutCapacity(&task{Task: submit("x", 0, 0).Task}, allMachines(p)).Test(uint(m.number))
 	}
 	if p.now = 4 * time.Second; full() {
-		t.Fatal("still barred after its time")
+		t.Fatal("without capacity after the backoff")
 	}
 	m.pendingOffers = 1
 	if !full() {
@@ -60,7 +60,7 @@
 	}
 }
 
-// Bad evidence never stops placing: with every machine failing, offers go on.
+// Evidence never stops placements: with every machine failing, offers go on.
 func TestAllMachinesFailingStillPlaces(t *testing.T) {
 	p := startPlacer(t, testConfig(), testMachines(4))
 	for _, m := range p.machinesByID {
@@ -76,53 +76,55 @@
 	p.recordFailure(&p.machinesByID[2].health)
 	reviewAll(p)
 	for i := range 40 {
-		as := p.Step(time.Second+millisecond, []Event{submit(fmt.Sprint("t", i), 0, 9*time.Second)})
-		if o := onlyOffer(t, as); o.Machine == "m2" {
+		actions := p.Step(time.Second+millisecond, []Event{submit(fmt.Sprint("t", i), 0, 9*time.Second)})
+		if offer := onlyOffer(t, actions); offer.Machine == "m2" {
 			t.Fatal("offered to the failing machine")
 		}
 	}
 }
 
-// A report far over its peers' bars a machine while the report is fresh, a small difference does not.
+// A fresh report far over those of the other machines excludes a machine; an old one or a small difference doesn't.
 func TestReportedLoadConstraint(t *testing.T) {
 	for _, c := range []struct {
-		free   float64
-		age    time.Duration
-		barred bool
+		freeCores float64
+		age       time.Duration
+		excluded  bool
 	}{{2, 0, true}, {24, 0, false}, {2, time.Minute, false}} {
 		p := startPlacer(t, testConfig(), testMachines(4))
 		p.now = 2 * time.Minute
 		for i, m := range p.machinesByID {
 			m.loadReport, m.loadReportedAt = LoadReport{Present: true, HasCores: true, FreeCores: 28}, p.now
 			if i == 0 {
-				m.loadReport.FreeCores, m.loadReportedAt = c.free, p.now-c.age
+				m.loadReport.FreeCores, m.loadReportedAt = c.freeCores, p.now-c.age
 			}
 			p.addResidency("s", m)
 		}
 		reviewAll(p)
-		left := p.applySoftConstraints(&task{Task: submit("t", 0, time.Hour).Task, class: &p.cfg.Classes[0]}, allMachines(p))
-		if barred := !slices.ContainsFunc(left, func(c candidate) bool { return c.machine == 0 }); barred != c.barred {
-			t.Errorf("free %v, age %v: barred %v", c.free, c.age, barred)
+		task := &task{Task: submit("t", 0, time.Hour).Task, class: &p.cfg.Classes[0]}
+		candidates := p.applySoftConstraints(task, allMachines(p))
+		excluded := !slices.ContainsFunc(candidates, func(c candidate) bool { return c.machine == 0 })
+		if excluded != c.excluded {
+			t.Errorf("free %v, age %v: excluded %v", c.freeCores, c.age, excluded)
 		}
 	}
 }
 
-// Where machines in use are priced, placing keeps to as many as the fleet's asks need.
+// Where machines in use are priced, placements keep to as many as the requests of the fleet need.
 func TestConsolidation(t *testing.T) {
-	c := testConfig()
-	c.ListsFreeCapacity, c.Prices.Fleet = true, 0.25
-	ms := testMachines(6)
-	for i := range ms {
-		ms[i].FreeCores, ms[i].FreeMemory = 16, 50 // half of what each has is asked for
+	cfg := testConfig()
+	cfg.ListsFreeCapacity, cfg.Prices.Fleet = true, 0.25
+	machines := testMachines(6)
+	for i := range machines {
+		machines[i].FreeCores, machines[i].FreeMemory = 16, 50 // half of each is requested
 	}
-	p := startPlacer(t, c, ms)
+	p := startPlacer(t, cfg, machines)
 	if used := p.consolidationSet(allMachines(p)).Count(); used < 3 || used > 4 {
 		t.Errorf("%d of 6 half-full machines in use", used)
 	}
-	for i := range ms {
-		ms[i].FreeMemory = 50 - float64(i%2)
+	for i := range machines {
+		machines[i].FreeMemory = 50 - float64(i%2)
 	}
-	p.Step(2*time.Second, []Event{MachinesUpdated{Machines: ms}})
+	p.Step(2*time.Second, []Event{MachinesUpdated{Machines: machines}})
 	for _, id := range []string{"m1", "m3", "m5"} {
 		if !p.consolidationSet(allMachines(p)).Test(uint(p.machines[id].number)) {
 			t.Errorf("%s, one of the fullest, is not kept in use", id)
@@ -130,19 +132,19 @@
 	}
 }
 
-// All schedulers name the same first home, and the vote keeps more than one machine.
+// All schedulers prefer the same machines, and the vote has more than one.
 func TestPreferredMachines(t *testing.T) {
 	task := &task{Task: submit("t", 0, 0).Task}
 	a, b := startPlacer(t, testConfig(), testMachines(6)), startPlacer(t, testConfig(), testMachines(6))
 	for _, service := range []string{"s", "u", "v"} {
 		task.Service = service
-		ha, hb := a.preferredMachines(task, allMachines(a)), b.preferredMachines(task, allMachines(b))
-		if len(ha) != minCandidates {
-			t.Fatalf("%d homes", len(ha))
+		preferredA, preferredB := a.preferredMachines(task, allMachines(a)), b.preferredMachines(task, allMachines(b))
+		if len(preferredA) != minCandidates {
+			t.Fatalf("%d preferred machines", len(preferredA))
 		}
-		for _, c := range ha {
-			if !slices.Contains(hb, c) {
-				t.Errorf("service %s: the other scheduler does not name %s", service, a.machinesByID[c.machine].ID)
+		for _, c := range preferredA {
+			if !slices.Contains(preferredB, c) {
+				t.Errorf("service %s: the other scheduler does not prefer %s", service, a.machinesByID[c.machine].ID)
 			}
 		}
 	}
@@ -150,12 +152,12 @@
 		a.addResidency("s", m)
 	}
 	task.Service = "s"
-	if h := a.preferredMachines(task, allMachines(a)); len(h) < 4 || len(h) > 5 {
-		t.Errorf("with tasks on four machines: %d homes", len(h))
+	if preferred := a.preferredMachines(task, allMachines(a)); len(preferred) < 4 || len(preferred) > 5 {
+		t.Errorf("with tasks on four machines: %d preferred machines", len(preferred))
 	}
 }
 
-// Both homes of a service serve badly: its large tasks may go to the two next that don't, small ones stay.
+// Both preferred machines of a service are overloaded: its large tasks may go to the two next that aren't, small ones stay.
 func TestLargeTasksAvoidOverloadedPreferredMachines(t *testing.T) {
 	for _, cores := range []float64{1, 16} {
 		p := startPlacer(t, testConfig(), testMachines(6))
@@ -166,21 +168,22 @@
 			}
 			return all
 		}
-		homes := names()
-		if len(homes) != minCandidates {
-			t.Fatalf("%v cores: homes %v", cores, homes)
+		preferred := names()
+		if len(preferred) != minCandidates {
+			t.Fatalf("%v cores: preferred %v", cores, preferred)
 		}
-		for _, name := range homes {
+		for _, name := range preferred {
 			p.markOverloaded(p.findOrAddMachine(name), overloadDuration, 1)
 		}
-		now, more := names(), 0
-		for _, name := range now {
+		withOverload, added := names(), 0
+		for _, name := range withOverload {
 			if p.findOrAddMachine(name).overloadedUntil == 0 {
-				more++
+				added++
 			}
 		}
-		if want := map[float64]int{1: 0, 16: minCandidates}[cores]; more != want || !slices.Equal(now[:minCandidates], homes) {
-			t.Errorf("%v cores: %v where %v serve badly, want %d more", cores, now, homes, want)
+		want := map[float64]int{1: 0, 16: minCandidates}[cores]
+		if added != want || !slices.Equal(withOverload[:minCandidates], preferred) {
+			t.Errorf("%v cores: %v where %v are overloaded, want %d more", cores, withOverload, preferred, want)
 		}
 	}
 }
--- a/event_source_test.go
+++ b/event_source_test.go
@@ -7,24 +7,32 @@
 )
 
 // randomConfig draws a deployment.
-func randomConfig(r *rand.Rand) Config {
-	c := testConfig()
-	c.Schedulers = 1 + r.IntN(4)
-	c.Kinds = []Kind{{"small", 16, 50}, {"big", 64, 200}}
-	c.SlowStartBudget = float64(5 + r.IntN(30))
-	c.DiscoveryOnRequest, c.ListsFreeCapacity, c.CanCancel = r.IntN(2) == 0, r.IntN(2) == 0, r.IntN(2) == 0
-	c.Prices = Prices{CrossZone: float64(r.IntN(2)), Fleet: float64(r.IntN(2))}
-	c.Classes = nil
-	for _, e := range []Idempotency{Idempotent, IdempotentByKey, IdempotentByKey, NonIdempotent} {
-		c.Classes = append(c.Classes, Class{Name: fmt.Sprint(len(c.Classes)), Idempotency: e,
-			KeyDomain: MachineDomain + TopologyDomain(r.IntN(4)), KeyTTL: time.Duration(1+r.IntN(4)) * 500 * millisecond,
-			LatencyObjective: 300 * millisecond, Kind: r.IntN(3) - 1, Priority: r.IntN(3),
-			SpreadDomain: TopologyDomain(r.IntN(4)), MaxPerDomain: 1 + r.IntN(3)})
+func randomConfig(random *rand.Rand) Config {
+	yes := func() bool { return random.IntN(2) == 0 }
+	cfg := testConfig()
+	cfg.Schedulers = 1 + random.IntN(4)
+	cfg.Kinds = []Kind{{"small", 16, 50}, {"big", 64, 200}}
+	cfg.SlowStartBudget = float64(5 + random.IntN(30))
+	cfg.DiscoveryOnRequest, cfg.ListsFreeCapacity, cfg.CanCancel = yes(), yes(), yes()
+	cfg.Prices = Prices{CrossZone: float64(random.IntN(2)), Fleet: float64(random.IntN(2))}
+	cfg.Classes = nil
+	for _, idempotency := range []Idempotency{Idempotent, IdempotentByKey, IdempotentByKey, NonIdempotent} {
+		cfg.Classes = append(cfg.Classes, Class{
+			Name:             fmt.Sprint(len(cfg.Classes)),
+			Idempotency:      idempotency,
+			KeyDomain:        MachineDomain + TopologyDomain(random.IntN(4)),
+			KeyTTL:           time.Duration(1+random.IntN(4)) * 500 * millisecond,
+			LatencyObjective: 300 * millisecond,
+			Kind:             random.IntN(3) - 1,
+			Priority:         random.IntN(3),
+			SpreadDomain:     TopologyDomain(random.IntN(4)),
+			MaxPerDomain:     1 + random.IntN(3),
+		})
 	}
-	return c
+	return cfg
 }
 
-// eventSource draws legal events: it answers offers, moves the machine list and asks for tasks.
+// eventSource draws legal events: it answers offers, changes the machine list and submits tasks.
 type eventSource struct {
 	random    *rand.Rand
 	checker   *ruleChecker
@@ -32,53 +40,84 @@
 	taskCount int
 }
 
+// pendingAttempt is an offer that has not ended.
 type pendingAttempt struct {
-	task, machine string
-	attempt       int
-	due           Time
-	placed        bool
+	task    string
+	machine string
+	attempt int
+	due     Time // when something happens to it next
+	placed  bool
 }
 
-func (w *eventSource) events() (es []Event) {
-	k, r := w.checker, w.random
-	for i := 0; i < len(w.pending); i++ {
-		if p := &w.pending[i]; k.now >= p.due {
-			a := k.tasks[p.task]
-			if !p.placed && !a.answered && r.IntN(3) > 0 {
-				es = append(es, AttemptPlaced{Task: p.task, Machine: p.machine, Attempt: p.attempt, Latency: 20 * millisecond})
-				p.placed, p.due = true, k.now+time.Duration(r.IntN(4000))*millisecond
+// events draws those of one step.
+func (s *eventSource) events() []Event {
+	events := s.attemptEvents()
+	for range s.random.IntN(4) {
+		events = append(events, s.submission())
+	}
+	if s.random.IntN(6) == 0 {
+		events = append(events, s.machineChange())
+	}
+	if s.random.IntN(40) == 0 {
+		events = append(events, DiscoveryFailed{})
+	}
+	return events
+}
+
+// attemptEvents places or ends the pending attempts that are due.
+func (s *eventSource) attemptEvents() (events []Event) {
+	kept := s.pending[:0]
+	for _, p := range s.pending {
+		if s.checker.now >= p.due {
+			answered := s.checker.tasks[p.task].answered
+			if p.placed || answered || s.random.IntN(3) == 0 {
+				events = append(events, s.end(p, answered))
 				continue
 			}
-			v := Outcome(1 + r.IntN(7))
-			if p.placed {
-				v = []Outcome{Completed, Lost}[r.IntN(2)]
-			}
-			es = append(es, AttemptEnded{Task: p.task, Machine: p.machine, Attempt: p.attempt, Outcome: v,
-				Final: a.answered || p.placed, Reason: Reason(r.IntN(5)),
-				Load: LoadReport{Present: r.IntN(2) == 0, HasCores: true, FreeCores: float64(r.IntN(20))}})
-			w.pending = append(w.pending[:i], w.pending[i+1:]...)
-			i--
+			events = append(events,
+				AttemptPlaced{Task: p.task, Machine: p.machine, Attempt: p.attempt, Latency: 20 * millisecond})
+			p.placed, p.due = true, s.checker.now+time.Duration(s.random.IntN(4000))*millisecond
 		}
+		kept = append(kept, p)
 	}
-	for range r.IntN(4) {
-		w.taskCount++
-		es = append(es, TaskSubmitted{Task{ID: fmt.Sprint("t", w.taskCount), Service: fmt.Sprint("s", r.IntN(3)),
-			Class: r.IntN(4), Cores: 1, Memory: 2, Tenant: -1,
-			Deadline: k.now + time.Duration(1+r.IntN(3000))*millisecond}})
+	s.pending = kept
+	return events
+}
+
+// end draws how an attempt ends.
+func (s *eventSource) end(p pendingAttempt, answered bool) Event {
+	outcome := Outcome(1 + s.random.IntN(7))
+	if p.placed {
+		outcome = []Outcome{Completed, Lost}[s.random.IntN(2)]
 	}
-	if r.IntN(6) == 0 {
-		m := Machine{ID: fmt.Sprint("m", r.IntN(8)), Kind: r.IntN(2), State: MachineState(r.IntN(3))}
-		m.Zone, m.Cell = "z"+m.ID[1:2], int(m.ID[1])%3
-		if old, ok := k.machines[m.ID]; ok {
-			m.Kind, m.Started = old.Kind, old.Started
-		}
-		if m.State == Active && r.IntN(2) == 0 {
-			m.Started = k.now
-		}
-		es = append(es, MachinesUpdated{Machines: []Machine{m}, Complete: r.IntN(30) == 0})
+	return AttemptEnded{Task: p.task, Machine: p.machine, Attempt: p.attempt, Outcome: outcome,
+		Final: answered || p.placed, Reason: Reason(s.random.IntN(5)),
+		Load: LoadReport{Present: s.random.IntN(2) == 0, HasCores: true, FreeCores: float64(s.random.IntN(20))}}
+}
+
+func (s *eventSource) submission() Event {
+	s.taskCount++
+	return TaskSubmitted{Task{ID: fmt.Sprint("t", s.taskCount), Service: fmt.Sprint("s", s.random.IntN(3)),
+		Class: s.random.IntN(4), Cores: 1, Memory: 2, Tenant: -1,
+		Deadline: s.checker.now + time.Duration(1+s.random.IntN(3000))*millisecond}}
+}
+
+// machineChange adds, changes, restarts, drains or removes one machine.
+func (s *eventSource) machineChange() Event {
+	m := Machine{ID: fmt.Sprint("m", s.random.IntN(8)), Kind: s.random.IntN(2), State: MachineState(s.random.IntN(3))}
+	m.Zone, m.Cell = "z"+m.ID[1:2], int(m.ID[1])%3
+	if old, ok := s.checker.machines[m.ID]; ok {
+		m.Kind, m.Started = old.Kind, old.Started
 	}
-	if r.IntN(40) == 0 {
-		es = append(es, DiscoveryFailed{})
+	if m.State == Active && s.random.IntN(2) == 0 {
+		m.Started = s.checker.now
 	}
-	return es
+	return MachinesUpdated{Machines: []Machine{m}, Complete: s.random.IntN(30) == 0}
+}
+
+// offered remembers an offer, which is answered within its time-out.
+func (s *eventSource) offered(offer Offer) {
+	delay := time.Duration(s.random.IntN(int(offer.Timeout/millisecond)+1)) * millisecond
+	s.pending = append(s.pending, pendingAttempt{task: offer.Task, machine: offer.Machine,
+		attempt: len(s.checker.tasks[offer.Task].attempts) - 1, due: s.checker.now + delay})
 }
--- a/evidence_test.go
+++ b/evidence_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// The same after a failure: the offer that probes keeps the others away until it is answered.
+// After a failure a trial placement keeps further offers away until it is answered.
 func TestTrialPlacementAfterFailure(t *testing.T) {
 	p := startPlacer(t, testConfig(), testMachines(4))
 	h := p.machinesByID[2].healthOf(0)
@@ -15,19 +15,19 @@
 	p.now = h.ejectedUntil
 	p.startTrial(h)
 	if p.now >= h.ejectedUntil {
-		t.Error("nothing keeps others from following the offer that probes")
+		t.Error("not ejected during the trial placement")
 	}
 	if p.recordSuccess(h); p.now < h.ejectedUntil {
-		t.Error("barred though it served")
+		t.Error("ejected after a success")
 	}
 }
 
-// One class fails on most machines, another is served there: the first keeps to those that serve it, the other
-// goes on using all. Where nothing was served the machine itself is taken to fail.
+// One class fails on most machines where another succeeds: the first keeps to those that serve it, the other goes on
+// using all. Where no class has succeeded, the machine itself is ejected.
 func TestClassFailureOnMostMachines(t *testing.T) {
-	c := testConfig()
-	c.Classes = append(c.Classes, c.Classes[0])
-	p := startPlacer(t, c, testMachines(8))
+	cfg := testConfig()
+	cfg.Classes = append(cfg.Classes, cfg.Classes[0])
+	p := startPlacer(t, cfg, testMachines(8))
 	failing, other := &task{Task: Task{Class: 0}}, &task{Task: Task{Class: 1}}
 	failing.class, other.class = &p.cfg.Classes[0], &p.cfg.Classes[1]
 	for _, m := range p.machinesByID[:6] {
@@ -35,18 +35,18 @@
 		p.recordTaskFailure(failing, m)
 	}
 	reviewAll(p)
-	names := func(t *task) (out []string) {
+	usable := func(t *task) (ids []string) {
 		for _, m := range p.machinesByID {
 			if p.now >= m.health.ejectedUntil && p.now >= m.healthOf(t.Class).ejectedUntil {
-				out = append(out, m.ID)
+				ids = append(ids, m.ID)
 			}
 		}
-		return out
+		return ids
 	}
-	if got := names(failing); !slices.Equal(got, []string{"m6", "m7"}) {
+	if got := usable(failing); !slices.Equal(got, []string{"m6", "m7"}) {
 		t.Errorf("the failing class is left %v", got)
 	}
-	if got := names(other); len(got) != 8 {
+	if got := usable(other); len(got) != 8 {
 		t.Errorf("the other class is left %v", got)
 	}
 	for range 20 {
@@ -55,62 +55,63 @@
 		}
 	}
 	p.recordTaskFailure(failing, p.machinesByID[7])
-	if got := names(other); len(got) != 7 {
-		t.Errorf("a machine that served nothing is not barred: %v", got)
+	if got := usable(other); len(got) != 7 {
+		t.Errorf("a machine without any success is not ejected: %v", got)
 	}
 }
 
-// An error is blamed on its machine once another has placed the task, or when the task ends with it alone; a task that
-// several machines answer with an error and none places, as bad clients send, bars none of them. Where the class was
-// not served lately, or there is no second attempt to tell, the machine is struck at once.
+// An error is attributed to its machine once another has placed the task, or when the task ends with it alone; a malformed
+// task, which several machines answer with an error and none places, ejects none of them. Where the class has not
+// succeeded lately, or there is no second attempt to tell, the machine is ejected at once.
 func TestTaskFaultEjectsNoMachine(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		effect Idempotency
-		served bool
-		errors int
-		placed bool
-		barred int
+		name        string
+		idempotency Idempotency
+		succeeded   bool // the class, on all machines
+		errors      int
+		placed      bool
+		ejected     int
 	}{
 		{"errors everywhere", Idempotent, true, 3, false, 0},
 		{"placed by the second", Idempotent, true, 1, true, 1},
 		{"placed by the third", Idempotent, true, 2, true, 2},
-		{"nothing served there", Idempotent, false, 3, false, 3},
+		{"no success there", Idempotent, false, 3, false, 3},
 		{"no second attempt", NonIdempotent, true, 1, false, 1},
 	} {
 		cfg := testConfig()
-		cfg.Classes[0].Idempotency = c.effect
+		cfg.Classes[0].Idempotency = c.idempotency
 		p := startPlacer(t, cfg, testMachines(6))
-		if c.served {
+		if c.succeeded {
 			for _, m := range p.machinesByID {
 				p.recordSuccess(m.healthOf(0))
 			}
 		}
 		reviewAll(p)
-		as := p.Step(time.Second+millisecond, []Event{submit("t", 0, 9*time.Second)})
+		actions := p.Step(time.Second+millisecond, []Event{submit("t", 0, 9*time.Second)})
 		for n := range c.errors {
-			o := onlyOffer(t, as)
-			as = p.Step(time.Second+Time(n+2)*millisecond, []Event{AttemptEnded{Task: "t", Machine: o.Machine, Attempt: n, Outcome: Failed}})
+			offer := onlyOffer(t, actions)
+			ended := AttemptEnded{Task: "t", Machine: offer.Machine, Attempt: n, Outcome: Failed}
+			actions = p.Step(time.Second+Time(n+2)*millisecond, []Event{ended})
 		}
 		if c.placed {
-			o := onlyOffer(t, as)
-			p.Step(time.Second+9*millisecond, []Event{AttemptPlaced{Task: "t", Machine: o.Machine, Attempt: c.errors}})
-		} else if len(offersOf(as)) > 0 {
-			t.Errorf("%s: offered once more: %v", c.name, as)
+			offer := onlyOffer(t, actions)
+			p.Step(time.Second+9*millisecond, []Event{AttemptPlaced{Task: "t", Machine: offer.Machine, Attempt: c.errors}})
+		} else if len(offersOf(actions)) > 0 {
+			t.Errorf("%s: offered once more: %v", c.name, actions)
 		}
-		barred := 0
+		ejected := 0
 		for _, m := range p.machinesByID {
 			if p.now < m.healthOf(0).ejectedUntil {
-				barred++
+				ejected++
 			}
 		}
-		if barred != c.barred {
-			t.Errorf("%s: %d machines barred, want %d", c.name, barred, c.barred)
+		if ejected != c.ejected {
+			t.Errorf("%s: %d machines ejected, want %d", c.name, ejected, c.ejected)
 		}
 	}
 }
 
-// With few binds beside the machines a bar lasts until we would come by again.
+// With few placements beside the machines an ejection lasts until an offer would come to the machine again.
 func TestEjectionLastsTrialInterval(t *testing.T) {
 	p := startPlacer(t, testConfig(), testMachines(10))
 	for i := range 4 {
@@ -119,10 +120,10 @@
 	if h := &p.machinesByID[0].health; h.ejectedUntil == 0 {
 		p.recordFailure(h)
 		if h.ejectedUntil-p.now < 2*time.Second {
-			t.Errorf("barred for %v", h.ejectedUntil-p.now)
+			t.Errorf("ejected for %v", h.ejectedUntil-p.now)
 		}
 	}
 	if p.trialInterval() > failureMemory {
-		t.Error("a visit is not bounded")
+		t.Error("the trial interval is not bounded")
 	}
 }
--- a/helpers_test.go
+++ b/helpers_test.go
@@ -11,7 +11,7 @@
 
 const millisecond = time.Millisecond
 
-// testConfig is a plain setting that tests change to taste.
+// testConfig is a valid configuration that tests modify.
 func testConfig() Config {
 	return Config{
 		Schedulers: 1, Zone: "a", Kinds: []Kind{{"k", 32, 100}}, CoreOvercommit: 2, MemoryOvercommit: 1.5,
@@ -21,17 +21,19 @@
 	}
 }
 
-func testMachines(n int) []Machine {
-	var ms []Machine
-	for i := range n {
-		ms = append(ms, Machine{ID: fmt.Sprintf("m%d", i), Zone: "a", Cell: i / 2})
+// testMachines is machines m0, m1 and so on, two in each cell.
+func testMachines(count int) []Machine {
+	var machines []Machine
+	for i := range count {
+		machines = append(machines, Machine{ID: fmt.Sprintf("m%d", i), Zone: "a", Cell: i / 2})
 	}
-	return ms
+	return machines
 }
 
-func startPlacer(t *testing.T, c Config, machines []Machine) *Placer {
+// startPlacer makes a Placer that knows the machines, at the time of one second.
+func startPlacer(t *testing.T, cfg Config, machines []Machine) *Placer {
 	t.Helper()
-	p, err := New(c, 7)
+	p, err := New(cfg, 7)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -39,36 +41,39 @@
 	return p
 }
 
-func submit(id string, class int, until Time) TaskSubmitted {
-	return TaskSubmitted{Task{ID: id, Service: "s", Class: class, Cores: 1, Memory: 1, Deadline: until, Tenant: -1}}
+// submit requests a small task of service s.
+func submit(id string, class int, deadline Time) TaskSubmitted {
+	return TaskSubmitted{Task{ID: id, Service: "s", Class: class, Cores: 1, Memory: 1, Deadline: deadline, Tenant: -1}}
 }
 
 // offersOf lists the offers among actions.
-func offersOf(as []Action) (out []Offer) {
-	for _, a := range as {
-		if o, ok := a.(Offer); ok {
-			out = append(out, o)
+func offersOf(actions []Action) (offers []Offer) {
+	for _, action := range actions {
+		if offer, ok := action.(Offer); ok {
+			offers = append(offers, offer)
 		}
 	}
-	return out
+	return offers
 }
 
-func onlyOffer(t *testing.T, as []Action) Offer {
+// onlyOffer is the one offer among actions.
+func onlyOffer(t *testing.T, actions []Action) Offer {
 	t.Helper()
-	os := offersOf(as)
-	if len(os) != 1 {
-		t.Fatalf("want one offer, got %v", as)
+	offers := offersOf(actions)
+	if len(offers) != 1 {
+		t.Fatalf("want one offer, got %v", actions)
 	}
-	return os[0]
+	return offers[0]
 }
 
-// allMachines is the set of all machines; everyone has them all vote, without ranks.
+// allMachines is the set of all machines.
 func allMachines(p *Placer) *bitset.BitSet {
 	p.refresh()
-	s := bitset.MustNew(uint(len(p.machinesByID)))
-	return s.FlipRange(0, uint(len(p.machinesByID)))
+	set := bitset.MustNew(uint(len(p.machinesByID)))
+	return set.FlipRange(0, uint(len(p.machinesByID)))
 }
 
+// allCandidates has all machines in the vote, without affinity.
 func allCandidates(p *Placer) (list []candidate) {
 	for i := range allMachines(p).EachSet() {
 		list = append(list, candidate{machine: int32(i)})
@@ -76,11 +81,11 @@
 	return list
 }
 
-// reviewAll has the index see what a test wrote into machines.
+// reviewAll updates the index after a test has written into machines.
 func reviewAll(p *Placer) {
 	for _, m := range p.machinesByID {
 		p.requestReview(m)
 	}
 }
 
-func hasAction(as []Action, want Action) bool { return slices.Contains(as, want) }
+func hasAction(actions []Action, want Action) bool { return slices.Contains(actions, want) }
--- a/history_test.go
+++ b/history_test.go
@@ -8,38 +8,39 @@
 
 func TestRejectedPlacementLeavesHistory(t *testing.T) {
 	p := startPlacer(t, testConfig(), testMachines(2))
-	o := onlyOffer(t, p.Step(time.Second, []Event{submit("t", 0, 9*time.Second)}))
-	p.Step(time.Second+millisecond, []Event{AttemptEnded{Task: "t", Machine: o.Machine, Outcome: Rejected, Reason: InsufficientCores}})
-	if len(p.history) != 1 || p.history[0].machine.ID == o.Machine {
+	offer := onlyOffer(t, p.Step(time.Second, []Event{submit("t", 0, 9*time.Second)}))
+	ended := AttemptEnded{Task: "t", Machine: offer.Machine, Outcome: Rejected, Reason: InsufficientCores}
+	p.Step(time.Second+millisecond, []Event{ended})
+	if len(p.history) != 1 || p.history[0].machine.ID == offer.Machine {
 		t.Errorf("history %v", p.history)
 	}
 }
 
-// A machine that started anew doesn't keep the replayed tasks of its former life.
+// A machine that has restarted doesn't keep the placements from before.
 func TestRestartedMachineLosesPlacements(t *testing.T) {
 	p := startPlacer(t, testConfig(), testMachines(1))
-	o := onlyOffer(t, p.Step(time.Second, []Event{submit("t", 0, 9*time.Second)}))
-	p.Step(2*time.Second, []Event{AttemptPlaced{Task: "t", Machine: o.Machine}})
-	anew := Machine{ID: "m0", Zone: "a", Started: 8 * time.Second}
-	p.Step(9*time.Second, []Event{MachinesUpdated{Machines: []Machine{anew}}})
+	offer := onlyOffer(t, p.Step(time.Second, []Event{submit("t", 0, 9*time.Second)}))
+	p.Step(2*time.Second, []Event{AttemptPlaced{Task: "t", Machine: offer.Machine}})
+	restarted := Machine{ID: "m0", Zone: "a", Started: 8 * time.Second}
+	p.Step(9*time.Second, []Event{MachinesUpdated{Machines: []Machine{restarted}}})
 	if len(p.history) != 0 {
 		t.Errorf("history %v", p.history)
 	}
 }
 
-// State stays bounded.
+// State stays bounded while tasks and machines come and go.
 func TestStateIsBounded(t *testing.T) {
 	p := startPlacer(t, testConfig(), testMachines(3))
 	now := time.Second
 	for i := range 5000 {
 		now += 20 * millisecond
 		id := fmt.Sprint("t", i)
-		for _, o := range offersOf(p.Step(now, []Event{submit(id, 0, now+5*time.Second)})) {
-			p.Step(now, []Event{AttemptPlaced{Task: o.Task, Machine: o.Machine}})
-			p.Step(now, []Event{AttemptEnded{Task: o.Task, Machine: o.Machine, Outcome: Completed, Final: true}})
+		for _, offer := range offersOf(p.Step(now, []Event{submit(id, 0, now+5*time.Second)})) {
+			p.Step(now, []Event{AttemptPlaced{Task: offer.Task, Machine: offer.Machine}})
+			p.Step(now, []Event{AttemptEnded{Task: offer.Task, Machine: offer.Machine, Outcome: Completed, Final: true}})
 		}
-		passing := Machine{ID: fmt.Sprint("x", i/50)}
-		p.Step(now, []Event{MachinesUpdated{Complete: true, Machines: append(testMachines(3), passing)}})
+		temporary := Machine{ID: fmt.Sprint("x", i/50)}
+		p.Step(now, []Event{MachinesUpdated{Complete: true, Machines: append(testMachines(3), temporary)}})
 	}
 	if len(p.history) > maxHistory || len(p.tasks) > 10 || len(p.machinesByID) > 100 {
 		t.Errorf("history %d, tasks %d, machines %d", len(p.history), len(p.tasks), len(p.machinesByID))
--- a/migration_test.go
+++ b/migration_test.go
@@ -7,76 +7,100 @@
 	"time"
 )
 
-// A task that is served badly for a while is moved, once; not where it would not pay, or nothing better is known.
+// migrationCase reports the service level of task a on machine m0, and of a task on each of three other machines.
+type migrationCase struct {
+	name      string
+	change    func(*Config)
+	disabled  []Constraint
+	levels    [3]float64    // of task a, in successive reports
+	interval  time.Duration // between reports; 0: a second
+	elsewhere float64       // service level of the tasks on the other machines
+	alone     bool          // there are no tasks on the other machines
+	failing   bool          // the class fails on another machine
+	rejecting bool          // another machine rejects tasks
+	want      int           // migrations of task a
+}
+
+// A task that is served poorly for a while is migrated, once; not where that doesn't pay, or nothing better is known.
 func TestMigration(t *testing.T) {
-	served := func(task, machine string, amount float64) Event {
-		return UsageReport{Task: task, Machine: machine, Kind: ServiceLevel, Amount: amount}
-	}
-	for _, c := range []struct {
-		name      string
-		change    func(*Config)
-		told      [3]float64 // of task a, a second apart
-		elsewhere float64    // told of a task on each other machine
-		failing   bool
-		refuses   bool
-		alone     bool // nothing of ours stands elsewhere
-		every     time.Duration
-		want      int
-	}{
-		{name: "half is lacking, told twice", told: [3]float64{0.4, 0.4, 0.3}, elsewhere: 1, want: 1},
-		{name: "a little is lacking", told: [3]float64{0.8, 0.8, 0.8}, elsewhere: 1},
-		{name: "told once, then well", told: [3]float64{0.4, 1, 0.4}, elsewhere: 1, every: 600 * millisecond},
-		{name: "of the others nothing is told", told: [3]float64{0.4, 0.4, 0.4}, alone: true},
-		{name: "all serve badly", told: [3]float64{0.4, 0.4, 0.4}, elsewhere: 0.6},
-		{name: "its class fails elsewhere", told: [3]float64{0.4, 0.4, 0.4}, elsewhere: 1, failing: true},
-		{name: "a machine refuses", told: [3]float64{0.4, 0.4, 0.4}, elsewhere: 1, refuses: true},
-		{name: "a move costs more", change: func(c *Config) { c.Prices.Migration = 0.9 },
-			told: [3]float64{0.4, 0.4, 0.4}, elsewhere: 1},
-		{name: "starts take longer than lives", change: func(c *Config) { c.Classes[0].LatencyObjective = time.Minute },
-			told: [3]float64{0.4, 0.4, 0.4}, elsewhere: 1},
-		{name: "taken out", told: [3]float64{0.4, 0.4, 0.4}, elsewhere: 1},
+	for _, c := range []migrationCase{
+		{name: "half is lacking, in two reports", levels: [3]float64{0.4, 0.4, 0.3}, elsewhere: 1, want: 1},
+		{name: "a little is lacking", levels: [3]float64{0.8, 0.8, 0.8}, elsewhere: 1},
+		{name: "one poor report, then a good one", levels: [3]float64{0.4, 1, 0.4}, elsewhere: 1,
+			interval: 600 * millisecond},
+		{name: "nothing is known of the others", levels: [3]float64{0.4, 0.4, 0.4}, alone: true},
+		{name: "all serve poorly", levels: [3]float64{0.4, 0.4, 0.4}, elsewhere: 0.6},
+		{name: "its class fails elsewhere", levels: [3]float64{0.4, 0.4, 0.4}, elsewhere: 1, failing: true},
+		{name: "a machine rejects", levels: [3]float64{0.4, 0.4, 0.4}, elsewhere: 1, rejecting: true},
+		{name: "a migration costs more", change: func(cfg *Config) { cfg.Prices.Migration = 0.9 },
+			levels: [3]float64{0.4, 0.4, 0.4}, elsewhere: 1},
+		{name: "starts take longer than lifetimes", levels: [3]float64{0.4, 0.4, 0.4}, elsewhere: 1,
+			change: func(cfg *Config) { cfg.Classes[0].LatencyObjective = time.Minute }},
+		{name: "disabled", disabled: []Constraint{Migrations}, levels: [3]float64{0.4, 0.4, 0.4}, elsewhere: 1},
 	} {
-		cfg := testConfig()
-		if c.change != nil {
-			c.change(&cfg)
-		}
-		p := startPlacer(t, cfg, testMachines(4))
-		if c.name == "taken out" {
-			p.Disable(Migrations)
-		}
-		var events []Event
-		for i, id := range []string{"a", "b", "c", "d"} {
-			if i > 0 && c.alone {
-				break
-			}
-			task := submit(id, 0, 0).Task
-			task.Service = id
-			events = append(events, TaskAdopted{Task: task, Machine: fmt.Sprintf("m%d", i)})
-		}
-		p.Step(2*time.Second, events)
-		moves := 0
-		for i, amount := range c.told {
-			now := 3*time.Second + Time(i)*cmp.Or(c.every, time.Second)
-			if c.failing {
-				p.recordFailure(p.findOrAddMachine("m3").healthOf(0))
-				p.requestReview(p.findOrAddMachine("m3"))
-			}
-			if c.refuses {
-				p.findOrAddMachine("m3").rejectsUntil = now + time.Second
-				p.requestReview(p.findOrAddMachine("m3"))
-			}
-			all := []Event{served("b", "m1", c.elsewhere), served("c", "m2", c.elsewhere), served("d", "m3", c.elsewhere),
-				served("a", "m0", amount)}
-			for _, a := range p.Step(now, all) {
-				if m, ok := a.(Migrate); ok && m.Task == "a" {
-					moves++
-				} else if ok {
-					t.Errorf("%s: %s was moved", c.name, m.Task)
-				}
+		t.Run(c.name, func(t *testing.T) { c.run(t) })
+	}
+}
+
+func (c migrationCase) run(t *testing.T) {
+	cfg := testConfig()
+	if c.change != nil {
+		c.change(&cfg)
+	}
+	p := startPlacer(t, cfg, testMachines(4))
+	p.Disable(c.disabled...)
+	c.adopt(p)
+	migrations := 0
+	for i, level := range c.levels {
+		now := 3*time.Second + Time(i)*cmp.Or(c.interval, time.Second)
+		c.disturb(p, now)
+		for _, action := range p.Step(now, c.reports(level)) {
+			migrate, ok := action.(Migrate)
+			switch {
+			case !ok:
+			case migrate.Task == "a":
+				migrations++
+			default:
+				t.Errorf("%s was migrated", migrate.Task)
 			}
 		}
-		if moves != c.want {
-			t.Errorf("%s: moved %d times, want %d", c.name, moves, c.want)
+	}
+	if migrations != c.want {
+		t.Errorf("migrated %d times, want %d", migrations, c.want)
+	}
+}
+
+// adopt has a task run on each machine, or on the first alone.
+func (c migrationCase) adopt(p *Placer) {
+	var events []Event
+	for i, id := range []string{"a", "b", "c", "d"} {
+		if i > 0 && c.alone {
+			break
 		}
+		task := submit(id, 0, 0).Task
+		task.Service = id
+		events = append(events, TaskAdopted{Task: task, Machine: fmt.Sprintf("m%d", i)})
+	}
+	p.Step(2*time.Second, events)
+}
+
+// disturb has the last machine fail or reject tasks.
+func (c migrationCase) disturb(p *Placer, now Time) {
+	last := p.findOrAddMachine("m3")
+	if c.failing {
+		p.recordFailure(last.healthOf(0))
+	}
+	if c.rejecting {
+		last.rejectsUntil = now + time.Second
+	}
+	p.requestReview(last)
+}
+
+// reports is the service levels of all tasks.
+func (c migrationCase) reports(level float64) []Event {
+	report := func(task, machine string, amount float64) Event {
+		return UsageReport{Task: task, Machine: machine, Kind: ServiceLevel, Amount: amount}
 	}
+	return []Event{report("b", "m1", c.elsewhere), report("c", "m2", c.elsewhere), report("d", "m3", c.elsewhere),
+		report("a", "m0", level)}
 }
--- a/rule_checker_test.go
+++ b/rule_checker_test.go
@@ -5,17 +5,17 @@
 	"testing"
 )
 
-// ruleChecker follows a run from the outside, by events and actions alone, and checks the five rules. It shares
-// no bookkeeping with the module.
+// ruleChecker follows a run from the outside, by events and actions alone, and checks the five rules of placement. It
+// shares no bookkeeping with the Placer.
 type ruleChecker struct {
 	t            *testing.T
 	cfg          Config
 	now          Time
-	startedAt    Time
+	startedAt    Time // of the scheduler
 	machines     map[string]Machine
-	stoppedSince map[string]Time // since when a machine is known to drain or be gone
+	stoppedSince map[string]Time // since when a machine is known to drain or to be removed
 	tasks        map[string]*checkedTask
-	sends        map[string][]Time
+	offeredAt    map[string][]Time // offers to each machine in slow start
 }
 
 type checkedTask struct {
@@ -25,29 +25,23 @@
 }
 
 type checkedAttempt struct {
-	machine            string
-	sentAt             Time
-	active, mayHaveRun bool
+	machine    string
+	sentAt     Time
+	active     bool
+	mayHaveRun bool
 }
 
+// newRuleChecker checks a scheduler that starts at now.
+func newRuleChecker(t *testing.T, cfg Config, now Time) *ruleChecker {
+	return &ruleChecker{t: t, cfg: cfg, now: now, startedAt: now, machines: map[string]Machine{},
+		stoppedSince: map[string]Time{}, tasks: map[string]*checkedTask{}, offeredAt: map[string][]Time{}}
+}
+
+// event follows an event that the scheduler is given.
 func (k *ruleChecker) event(e Event) {
 	switch e := e.(type) {
 	case MachinesUpdated:
-		seen := map[string]bool{}
-		for _, m := range e.Machines {
-			seen[m.ID] = true
-			k.machines[m.ID] = m
-			if m.State == Active {
-				delete(k.stoppedSince, m.ID)
-			} else if _, ok := k.stoppedSince[m.ID]; !ok {
-				k.stoppedSince[m.ID] = k.now
-			}
-		}
-		for id := range k.machines {
-			if _, ok := k.stoppedSince[id]; e.Complete && !seen[id] && !ok {
-				k.stoppedSince[id] = k.now
-			}
-		}
+		k.machinesUpdated(e)
 	case TaskSubmitted:
 		k.tasks[e.Task.ID] = &checkedTask{task: e.Task}
 	case TaskAdopted:
@@ -56,133 +50,187 @@
 	case AttemptPlaced:
 		k.tasks[e.Task].answered = true
 	case AttemptEnded:
-		a := k.tasks[e.Task]
-		tr := &a.attempts[e.Attempt]
-		tr.active = false
-		tr.mayHaveRun = e.Outcome != Rejected && e.Outcome != Unreachable && e.Outcome != NotSent
-		a.answered = a.answered || e.Final
+		task := k.tasks[e.Task]
+		attempt := &task.attempts[e.Attempt]
+		attempt.active = false
+		attempt.mayHaveRun = e.Outcome != Rejected && e.Outcome != Unreachable && e.Outcome != NotSent
+		task.answered = task.answered || e.Final
 	}
 }
 
-func (k *ruleChecker) action(x Action) {
-	switch x := x.(type) {
+func (k *ruleChecker) machinesUpdated(e MachinesUpdated) {
+	named := map[string]bool{}
+	for _, m := range e.Machines {
+		named[m.ID] = true
+		k.machines[m.ID] = m
+		if m.State == Active {
+			delete(k.stoppedSince, m.ID)
+		} else if _, ok := k.stoppedSince[m.ID]; !ok {
+			k.stoppedSince[m.ID] = k.now
+		}
+	}
+	for id := range k.machines {
+		if _, ok := k.stoppedSince[id]; e.Complete && !named[id] && !ok {
+			k.stoppedSince[id] = k.now
+		}
+	}
+}
+
+// action checks an action of the scheduler.
+func (k *ruleChecker) action(action Action) {
+	switch action := action.(type) {
 	case Offer:
-		k.offer(x)
+		k.offer(action)
 	case Reject:
-		a := k.tasks[x.Task]
-		cl := k.cfg.Classes[a.task.Class]
-		for _, tr := range a.attempts {
-			if tr.mayHaveRun && (cl.Idempotency == NonIdempotent || cl.Idempotency == IdempotentByKey && cl.KeyDomain != FleetDomain) {
-				k.t.Errorf("%v: refused %s, which may have run", k.now, x.Task)
-			}
-		}
-		k.answer(x.Task)
+		k.checkRejection(action)
+		k.answer(action.Task)
 	case Fail:
-		k.answer(x.Task)
+		k.answer(action.Task)
 	}
 }
 
+// checkRejection: a rejection promises that a retry does no harm.
+func (k *ruleChecker) checkRejection(reject Reject) {
+	task := k.tasks[reject.Task]
+	class := k.cfg.Classes[task.task.Class]
+	if class.Idempotency == Idempotent || class.Idempotency == IdempotentByKey && class.KeyDomain == FleetDomain {
+		return
+	}
+	for _, attempt := range task.attempts {
+		if attempt.mayHaveRun {
+			k.t.Errorf("%v: rejected %s, which may have run", k.now, reject.Task)
+		}
+	}
+}
+
+// answer checks that each task has one final answer, before its deadline.
 func (k *ruleChecker) answer(id string) {
-	a := k.tasks[id]
-	if a.answered {
+	task := k.tasks[id]
+	if task.answered {
 		k.t.Errorf("%v: second answer for %s", k.now, id)
 	}
-	if k.now >= a.task.Deadline {
-		k.t.Errorf("%v: %s answered after %v", k.now, id, a.task.Deadline)
+	if k.now >= task.task.Deadline {
+		k.t.Errorf("%v: %s answered after %v", k.now, id, task.task.Deadline)
+	}
+	task.answered = true
+}
+
+// checkAnswered fails where a task is open a while after its deadline.
+func (k *ruleChecker) checkAnswered() {
+	for id, task := range k.tasks {
+		overdue := k.now-task.task.Deadline > 12*millisecond
+		if !task.answered && overdue && task.task.Deadline > k.startedAt {
+			k.t.Fatalf("%v: %s has no answer", k.now, id)
+		}
 	}
-	a.answered = true
 }
 
-func (k *ruleChecker) domainOf(at TopologyDomain, m string) string {
-	switch at {
+// domainOf names the domain of a machine.
+func (k *ruleChecker) domainOf(reach TopologyDomain, machine string) string {
+	switch reach {
 	case MachineDomain:
-		return m
+		return machine
 	case CellDomain:
-		return fmt.Sprint("cell", k.machines[m].Cell)
+		return fmt.Sprint("cell", k.machines[machine].Cell)
 	case ZoneDomain:
-		return "zone" + k.machines[m].Zone
+		return "zone" + k.machines[machine].Zone
 	}
 	return ""
 }
 
-func (k *ruleChecker) offer(o Offer) {
-	a := k.tasks[o.Task]
-	cl := k.cfg.Classes[a.task.Class]
-	m, ok := k.machines[o.Machine]
-	if !ok {
-		k.t.Errorf("%v: offer to unlisted %s", k.now, o.Machine)
-	}
-	if a.answered || k.now >= a.task.Deadline {
-		k.t.Errorf("%v: offer for %s after its end", k.now, o.Task)
+// offer checks all that holds of an offer.
+func (k *ruleChecker) offer(offer Offer) {
+	task := k.tasks[offer.Task]
+	class := k.cfg.Classes[task.task.Class]
+	k.checkTimes(offer, task)
+	k.checkMachine(offer, class)
+	k.checkRetry(offer, task, class)
+	task.attempts = append(task.attempts,
+		checkedAttempt{machine: offer.Machine, sentAt: k.now, active: true, mayHaveRun: true})
+	k.checkSpread(offer, task, class)
+	k.checkSlowStart(offer, k.machines[offer.Machine])
+}
+
+func (k *ruleChecker) checkTimes(offer Offer, task *checkedTask) {
+	if task.answered || k.now >= task.task.Deadline {
+		k.t.Errorf("%v: offer for %s after its end", k.now, offer.Task)
 	}
-	if k.now+o.Timeout > a.task.Deadline {
-		k.t.Errorf("%v: time-out of %s runs past its end", k.now, o.Task)
+	if k.now+offer.Timeout > task.task.Deadline {
+		k.t.Errorf("%v: time-out of %s is after its deadline", k.now, offer.Task)
 	}
-	if since, ok := k.stoppedSince[o.Machine]; ok && k.now-since >= 0 {
-		k.t.Errorf("%v: offer to %s, told as stopping at %v", k.now, o.Machine, since)
+}
+
+func (k *ruleChecker) checkMachine(offer Offer, class Class) {
+	machine, ok := k.machines[offer.Machine]
+	if !ok {
+		k.t.Errorf("%v: offer to unlisted %s", k.now, offer.Machine)
 	}
-	if cl.Kind >= 0 && cl.Kind != m.Kind {
-		k.t.Errorf("%v: wrong kind for %s", k.now, o.Task)
+	if since, ok := k.stoppedSince[offer.Machine]; ok && k.now-since >= 0 {
+		k.t.Errorf("%v: offer to %s, draining or removed since %v", k.now, offer.Machine, since)
 	}
-	if len(a.attempts) >= k.cfg.MaxAttempts {
-		k.t.Errorf("%v: too many attempts of %s", k.now, o.Task)
+	if class.Kind >= 0 && class.Kind != machine.Kind {
+		k.t.Errorf("%v: wrong kind for %s", k.now, offer.Task)
 	}
-	for _, tr := range a.attempts {
-		if tr.active {
-			k.t.Errorf("%v: two attempts of %s out", k.now, o.Task)
+}
+
+// checkRetry: a further attempt must do no harm.
+func (k *ruleChecker) checkRetry(offer Offer, task *checkedTask, class Class) {
+	if len(task.attempts) >= k.cfg.MaxAttempts {
+		k.t.Errorf("%v: too many attempts of %s", k.now, offer.Task)
+	}
+	for _, attempt := range task.attempts {
+		if attempt.active {
+			k.t.Errorf("%v: two active attempts of %s", k.now, offer.Task)
 		}
-		if !tr.mayHaveRun || cl.Idempotency == Idempotent {
+		if !attempt.mayHaveRun || class.Idempotency == Idempotent {
 			continue
 		}
-		if cl.Idempotency == NonIdempotent || k.domainOf(cl.KeyDomain, tr.machine) != k.domainOf(cl.KeyDomain, o.Machine) ||
-			k.now-tr.sentAt >= cl.KeyTTL {
-			k.t.Errorf("%v: %s may have run, sent again to %s", k.now, o.Task, o.Machine)
+		sameDomain := k.domainOf(class.KeyDomain, attempt.machine) == k.domainOf(class.KeyDomain, offer.Machine)
+		if class.Idempotency == NonIdempotent || !sameDomain || k.now-attempt.sentAt >= class.KeyTTL {
+			k.t.Errorf("%v: %s may have run, offered again to %s", k.now, offer.Task, offer.Machine)
 		}
 	}
-	a.attempts = append(a.attempts, checkedAttempt{machine: o.Machine, sentAt: k.now, active: true, mayHaveRun: true})
-	k.checkSpread(o, a, cl)
-	k.checkSlowStart(o, m)
 }
 
-func (k *ruleChecker) checkSpread(o Offer, a *checkedTask, cl Class) {
-	if cl.SpreadDomain == NoDomain {
+func (k *ruleChecker) checkSpread(offer Offer, task *checkedTask, class Class) {
+	if class.SpreadDomain == NoDomain {
 		return
 	}
-	n := 0
-	for _, b := range k.tasks {
-		for _, tr := range b.attempts {
-			if tr.active && b.task.Service == a.task.Service &&
-				k.domainOf(cl.SpreadDomain, tr.machine) == k.domainOf(cl.SpreadDomain, o.Machine) {
-				n++
+	count, domain := 0, k.domainOf(class.SpreadDomain, offer.Machine)
+	for _, other := range k.tasks {
+		for _, attempt := range other.attempts {
+			if attempt.active && other.task.Service == task.task.Service &&
+				k.domainOf(class.SpreadDomain, attempt.machine) == domain {
+				count++
 			}
 		}
 	}
-	if n > cl.MaxPerDomain {
-		k.t.Errorf("%v: %d tasks of %s together", k.now, n, a.task.Service)
+	if count > class.MaxPerDomain {
+		k.t.Errorf("%v: %d tasks of %s together", k.now, count, task.task.Service)
 	}
 }
 
-func (k *ruleChecker) checkSlowStart(o Offer, m Machine) {
-	if m.Started == 0 || k.now > m.Started+k.cfg.SlowStartDuration {
+func (k *ruleChecker) checkSlowStart(offer Offer, machine Machine) {
+	if machine.Started == 0 || k.now > machine.Started+k.cfg.SlowStartDuration {
 		return
 	}
-	if k.startedAt > m.Started && k.now < k.startedAt+k.cfg.OverloadWindow {
-		k.t.Errorf("%v: offer to cold %s with an unknown budget", k.now, o.Machine)
+	if k.startedAt > machine.Started && k.now < k.startedAt+k.cfg.OverloadWindow {
+		k.t.Errorf("%v: offer to %s in slow start with an unknown budget", k.now, offer.Machine)
 	}
-	k.sends[o.Machine] = append(k.sends[o.Machine], k.now)
-	n := 0
-	for _, at := range k.sends[o.Machine] {
-		if at >= m.Started && k.now-at <= k.cfg.OverloadWindow {
-			n++
+	k.offeredAt[offer.Machine] = append(k.offeredAt[offer.Machine], k.now)
+	count := 0
+	for _, at := range k.offeredAt[offer.Machine] {
+		if at >= machine.Started && k.now-at <= k.cfg.OverloadWindow {
+			count++
 		}
 	}
-	// A share of whole offers, and one more in a turn where the shares leave one over. That the sum of the fleet stays within
-	// the budget is TestSlowStartBudgetOfFleet's.
-	share := int(k.cfg.SlowStartBudget / float64(k.cfg.Schedulers))
-	if k.cfg.SlowStartBudget-float64(share*k.cfg.Schedulers) >= 1 {
-		share++
+	// An equal number of whole offers, and one more in a slot where these leave one over. That all schedulers together
+	// stay within the budget is checked by TestSlowStartBudgetOfFleet.
+	budget := int(k.cfg.SlowStartBudget / float64(k.cfg.Schedulers))
+	if k.cfg.SlowStartBudget-float64(budget*k.cfg.Schedulers) >= 1 {
+		budget++
 	}
-	if n > share {
-		k.t.Errorf("%v: %d offers to cold %s", k.now, n, o.Machine)
+	if count > budget {
+		k.t.Errorf("%v: %d offers to %s in slow start", k.now, count, offer.Machine)
 	}
 }
--- a/slow_start_test.go
+++ b/slow_start_test.go
@@ -9,11 +9,11 @@
 	"time"
 )
 
-// Fourth rule: this scheduler's share of the always-safe offers, unanswered ones counted.
+// A scheduler has an equal part of the budget; unanswered offers count.
 func TestSlowStartBudgetShare(t *testing.T) {
-	c := testConfig()
-	c.Schedulers, c.SlowStartBudget = 3, 12
-	p := startPlacer(t, c, nil)
+	cfg := testConfig()
+	cfg.Schedulers, cfg.SlowStartBudget = 3, 12
+	p := startPlacer(t, cfg, nil)
 	now := 10 * time.Second
 	events := []Event{MachinesUpdated{Machines: []Machine{{ID: "new", Zone: "a", Started: now - millisecond}}}}
 	for i := range 20 {
@@ -30,16 +30,16 @@
 	}
 }
 
-// Fourth rule with far more schedulers than always-safe offers: all of them together, each with work all the
-// time, stay within the budget in any window, and use a good part of it.
+// With far more schedulers than offers in the budget: all of them together, each with tasks waiting all the time, stay
+// within the budget in any window, and use a good part of it.
 func TestSlowStartSlotsOfManySchedulers(t *testing.T) {
-	c := testConfig()
-	c.Schedulers, c.SlowStartBudget = 300, 24
-	sends := map[string][]Time{}
+	cfg := testConfig()
+	cfg.Schedulers, cfg.SlowStartBudget = 300, 24
+	offeredAt := map[string][]Time{}
 	var placers []*Placer
-	for i := range c.Schedulers {
-		c.Index = i
-		p, err := New(c, uint64(i))
+	for i := range cfg.Schedulers {
+		cfg.Index = i
+		p, err := New(cfg, uint64(i))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -51,144 +51,171 @@
 	}
 	for now := time.Second; now < 9*time.Second; now += 50 * millisecond {
 		for i, p := range placers {
-			var es []Event
+			var events []Event
 			if now == time.Second {
-				es = append(es, MachinesUpdated{Complete: true, Machines: machines})
+				events = append(events, MachinesUpdated{Complete: true, Machines: machines})
 			}
 			if now > time.Second {
-				es = append(es, submit(fmt.Sprint(i, now), 0, now+time.Minute))
+				events = append(events, submit(fmt.Sprint(i, now), 0, now+time.Minute))
 			}
-			for _, o := range offersOf(p.Step(now, es)) {
-				sends[o.Machine] = append(sends[o.Machine], now)
-				p.Step(now, []Event{AttemptEnded{Task: o.Task, Machine: o.Machine, Outcome: Completed, Final: true}})
+			for _, offer := range offersOf(p.Step(now, events)) {
+				offeredAt[offer.Machine] = append(offeredAt[offer.Machine], now)
+				p.Step(now, []Event{AttemptEnded{Task: offer.Task, Machine: offer.Machine, Outcome: Completed, Final: true}})
 			}
 		}
 	}
-	for id, at := range sends {
-		most, first := 0, 0
-		for last := range at {
-			for at[last]-at[first] > c.OverloadWindow {
-				first++
-			}
-			most = max(most, last-first+1)
-		}
-		if most > int(c.SlowStartBudget) || len(at) < 2*int(c.SlowStartBudget) {
-			t.Errorf("%s: %d offers in a window, %d in all", id, most, len(at))
+	for id, times := range offeredAt {
+		most := maxWithin(cfg.OverloadWindow, times)
+		if most > int(cfg.SlowStartBudget) || len(times) < 2*int(cfg.SlowStartBudget) {
+			t.Errorf("%s: %d offers in a window, %d in all", id, most, len(times))
 		}
 	}
-	if len(sends) != len(machines) {
-		t.Errorf("offers went to %d machines", len(sends))
+	if len(offeredAt) != len(machines) {
+		t.Errorf("offers went to %d machines", len(offeredAt))
 	}
 }
 
-// Fourth rule: a restarted scheduler can't know what it sent, so its share counts as spent.
+// A restarted scheduler can't know what it sent, so its part of the budget counts as spent.
 func TestSlowStartBudgetUnknownAfterRestart(t *testing.T) {
 	p, _ := New(testConfig(), 1)
 	now := 10 * time.Second
-	as := p.Step(now, []Event{
+	actions := p.Step(now, []Event{
 		MachinesUpdated{Complete: true, Stale: true, Machines: []Machine{{ID: "new", Started: now - time.Second}}},
 		submit("t", 0, now+5*time.Second)})
-	if len(offersOf(as)) != 0 {
-		t.Fatalf("offered to a cold machine right after the start: %v", as)
+	if len(offersOf(actions)) != 0 {
+		t.Fatalf("offered to a machine in slow start right after the own start: %v", actions)
 	}
 	onlyOffer(t, p.Step(now+1600*millisecond, []Event{TimerFired{}}))
 }
 
-// runSlowStartFleet plays schedulers that all have work for one machine that has just come up; the others of its fleet are full. It
-// returns when offers reached the cold machine, in order. Each scheduler hears of the start at its own time within late, and
-// a part of them starts anew while the machine is cold.
-func runSlowStartFleet(t *testing.T, schedulers int, budget float64, restarts bool, seed uint64) (at []Time, c Config) {
+// slowStartFleet is schedulers that all have work for one machine that has just started; the other machine of the fleet is
+// full.
+type slowStartFleet struct {
+	t          *testing.T
+	cfg        Config
+	random     *rand.Rand
+	seed       uint64
+	machine    Machine // the one in slow start
+	schedulers []*slowStartScheduler
+}
+
+// slowStartScheduler is one of them.
+type slowStartScheduler struct {
+	placer    *Placer
+	learnsAt  Time // when its machine list names the machine
+	restartAt Time // 0: never
+	listed    bool
+	submitted int
+	next      []Event // of its next step
+}
+
+// newSlowStartFleet makes the schedulers. Each learns of the machine's start at its own time within a second, and with
+// restarts some restart while the machine is in slow start.
+func newSlowStartFleet(t *testing.T, schedulers int, budget float64, restarts bool, seed uint64) *slowStartFleet {
 	t.Helper()
-	c = testConfig()
-	c.Schedulers, c.SlowStartBudget, c.OverloadWindow, c.SlowStartDuration = schedulers, budget, time.Second, 10*time.Second
-	rng := rand.New(rand.NewPCG(seed, 3))
-	const step = 20 * millisecond
-	full, cold := Machine{ID: "full", Zone: "a"}, Machine{ID: fmt.Sprint("cold", seed), Zone: "a", Started: 100 * time.Second}
-	type one struct {
-		p      *Placer
-		hears  Time
-		asked  int
-		anew   Time
-		listed bool
-		next   []Event
-	}
-	begin := func(s *one, now Time, seed uint64) {
-		var err error
-		if s.p, err = New(c, seed); err != nil {
-			t.Fatal(err)
+	cfg := testConfig()
+	cfg.Schedulers, cfg.SlowStartBudget = schedulers, budget
+	cfg.OverloadWindow, cfg.SlowStartDuration = time.Second, 10*time.Second
+	f := &slowStartFleet{t: t, cfg: cfg, random: rand.New(rand.NewPCG(seed, 3)), seed: seed,
+		machine: Machine{ID: fmt.Sprint("cold", seed), Zone: "a", Started: 100 * time.Second}}
+	for i := range schedulers {
+		s := &slowStartScheduler{learnsAt: f.machine.Started + Time(f.random.Int64N(int64(time.Second)))}
+		f.start(s, i, f.machine.Started-time.Minute, uint64(i))
+		if restarts && f.random.IntN(2) == 0 {
+			s.restartAt = f.machine.Started + Time(f.random.Int64N(int64(cfg.SlowStartDuration)))
 		}
-		s.p.Step(now, []Event{MachinesUpdated{Complete: true, Machines: []Machine{full}}})
-	}
-	fleet := make([]*one, schedulers)
-	for i := range fleet {
-		s := &one{hears: cold.Started + Time(rng.Int64N(int64(time.Second)))}
-		c.Index = i
-		begin(s, cold.Started-time.Minute, uint64(i))
-		if restarts && rng.IntN(2) == 0 {
-			s.anew = cold.Started + Time(rng.Int64N(int64(c.SlowStartDuration)))
-		}
-		fleet[i] = s
-	}
-	for now := cold.Started; now < cold.Started+c.SlowStartDuration; now += step {
-		for i, s := range fleet {
-			if s.anew > 0 && now >= s.anew {
-				s.anew, s.listed, s.next = 0, false, nil
-				c.Index = i
-				begin(s, now, seed^uint64(now)^uint64(i))
-				s.hears = now
-			}
-			events := s.next
-			s.next = nil
-			if !s.listed && now >= s.hears {
-				s.listed = true
-				events = append(events, MachinesUpdated{Machines: []Machine{cold}})
-			}
-			if rng.IntN(3) == 0 {
-				s.asked++
-				e := submit(fmt.Sprintf("t%d.%d.%d", i, s.asked, now), 0, now+4*time.Second)
-				e.Task.Service = fmt.Sprint("s", rng.IntN(50))
-				events = append(events, e)
+		f.schedulers = append(f.schedulers, s)
+	}
+	return f
+}
+
+// start starts a scheduler, which knows the full machine alone.
+func (f *slowStartFleet) start(s *slowStartScheduler, index int, now Time, seed uint64) {
+	f.t.Helper()
+	cfg := f.cfg
+	cfg.Index = index
+	var err error
+	if s.placer, err = New(cfg, seed); err != nil {
+		f.t.Fatal(err)
+	}
+	s.placer.Step(now, []Event{MachinesUpdated{Complete: true, Machines: []Machine{{ID: "full", Zone: "a"}}}})
+}
+
+// run returns when offers reached the machine during its slow start, in order.
+func (f *slowStartFleet) run() (offeredAt []Time) {
+	const step = 20 * millisecond
+	for now := f.machine.Started; now < f.machine.Started+f.cfg.SlowStartDuration; now += step {
+		for i, s := range f.schedulers {
+			if s.restartAt > 0 && now >= s.restartAt {
+				s.restartAt, s.listed, s.next = 0, false, nil
+				f.start(s, i, now, f.seed^uint64(now)^uint64(i))
+				s.learnsAt = now
 			}
-			for _, a := range s.p.Step(now, events) {
-				o, ok := a.(Offer)
-				switch {
-				case !ok:
-				case o.Machine == cold.ID:
-					at = append(at, now+Time(rng.Int64N(int64(step))))
-					s.next = append(s.next, AttemptEnded{Task: o.Task, Machine: o.Machine, Attempt: 0, Outcome: Completed, Final: true})
-				default:
-					s.next = append(s.next, AttemptEnded{Task: o.Task, Machine: o.Machine, Outcome: Rejected, Reason: InsufficientCores})
-				}
+			for range f.step(s, i, now) {
+				offeredAt = append(offeredAt, now+Time(f.random.Int64N(int64(step))))
 			}
 		}
 	}
-	slices.Sort(at)
-	return at, c
+	slices.Sort(offeredAt)
+	return offeredAt
 }
 
-// Fourth rule, for the fleet: whatever the counts of schedulers and offers, fractions of a share, restarts within the time in
-// which the machine is cold and words of its start that come at different times, all schedulers together stay within what it
-// always bears; and where work waits at each, they use half of it, less what schedulers started anew don't dare.
+// step makes a step of one scheduler and returns how many offers the machine in slow start gets.
+func (f *slowStartFleet) step(s *slowStartScheduler, index int, now Time) (offers int) {
+	events := s.next
+	s.next = nil
+	if !s.listed && now >= s.learnsAt {
+		s.listed = true
+		events = append(events, MachinesUpdated{Machines: []Machine{f.machine}})
+	}
+	if f.random.IntN(3) == 0 {
+		s.submitted++
+		e := submit(fmt.Sprintf("t%d.%d.%d", index, s.submitted, now), 0, now+4*time.Second)
+		e.Task.Service = fmt.Sprint("s", f.random.IntN(50))
+		events = append(events, e)
+	}
+	for _, offer := range offersOf(s.placer.Step(now, events)) {
+		end := AttemptEnded{Task: offer.Task, Machine: offer.Machine, Outcome: Rejected, Reason: InsufficientCores}
+		if offer.Machine == f.machine.ID {
+			offers++
+			end = AttemptEnded{Task: offer.Task, Machine: offer.Machine, Outcome: Completed, Final: true}
+		}
+		s.next = append(s.next, end)
+	}
+	return offers
+}
+
+// maxWithin is the most times within any window of that length.
+func maxWithin(window time.Duration, times []Time) (most int) {
+	first := 0
+	for last := range times {
+		for times[last]-times[first] > window {
+			first++
+		}
+		most = max(most, last-first+1)
+	}
+	return most
+}
+
+// Whatever the numbers of schedulers and offers, with fractions of an offer for each, restarts of schedulers during the
+// slow start and a start that schedulers learn of at different times: all together stay within the budget. Where tasks
+// wait at each, they use half of it, less what restarted schedulers don't use.
 func TestSlowStartBudgetOfFleet(t *testing.T) {
 	for _, schedulers := range []int{1, 3, 4, 20, 30, 100} {
 		for _, budget := range []float64{2, 3.5, 7, 12.4, 25} {
 			for seed, restarts := range []bool{false, true} {
-				at, c := runSlowStartFleet(t, schedulers, budget, restarts, uint64(seed))
-				worst, first := 0, 0
-				for last := range at {
-					for at[last]-at[first] > c.OverloadWindow {
-						first++
-					}
-					worst = max(worst, last-first+1)
-				}
-				windows := float64(c.SlowStartDuration-time.Second) / float64(c.OverloadWindow) // all have heard of it after a second
-				used, least := float64(len(at))/windows, budget/2
+				fleet := newSlowStartFleet(t, schedulers, budget, restarts, uint64(seed))
+				offeredAt, cfg := fleet.run(), fleet.cfg
+				most := maxWithin(cfg.OverloadWindow, offeredAt)
+				// All have learnt of the start after a second.
+				windows := float64(cfg.SlowStartDuration-time.Second) / float64(cfg.OverloadWindow)
+				used, least := float64(len(offeredAt))/windows, budget/2
 				if restarts {
 					least *= 0.8
 				}
-				if worst > int(math.Ceil(budget)) || used < least {
-					t.Errorf("%d schedulers, %v offers, restarts %v: %d at most in a window, %.2f on average",
-						schedulers, budget, restarts, worst, used)
+				if most > int(math.Ceil(budget)) || used < least {
+					t.Errorf("%d schedulers, budget %v, restarts %v: %d at most in a window, %.2f on average",
+						schedulers, budget, restarts, most, used)
 				}
 			}
 		}
--- a/vote_test.go
+++ b/vote_test.go
@@ -7,23 +7,23 @@
 	"time"
 )
 
-// By hand: each machine's survival chance is 1 or 0, so every run names the one without a living task.
+// With expected runtimes each survival is 1 or 0, so every run votes for the machine whose task has ended.
 func TestVotePicksMachineWithoutLivingTask(t *testing.T) {
 	p := startPlacer(t, testConfig(), testMachines(3))
 	p.now = 10 * time.Second
-	for i, hint := range []time.Duration{20 * time.Second, time.Second, 20 * time.Second} {
-		b := &placement{machine: p.machinesByID[i], placedAt: 5 * time.Second, cores: 4, memory: 1, expectedRuntime: hint}
+	for i, runtime := range []time.Duration{20 * time.Second, time.Second, 20 * time.Second} {
+		b := &placement{machine: p.machinesByID[i], placedAt: 5 * time.Second, cores: 4, memory: 1, expectedRuntime: runtime}
 		p.history = append(p.history, b)
 		p.indexPlacement(b)
 	}
 	for range 50 {
 		if m := p.vote(allCandidates(p)); m.ID != "m1" {
-			t.Fatalf("named %s, though only m1's task has ended", m.ID)
+			t.Fatalf("chose %s, though only m1's task has ended", m.ID)
 		}
 	}
 }
 
-// The larger of the cores and memory shares is the load.
+// The larger of the fractions of cores and memory is the load.
 func TestVoteUsesLargerOfCoresAndMemory(t *testing.T) {
 	p := startPlacer(t, testConfig(), testMachines(2))
 	p.now = 10 * time.Second
@@ -35,37 +35,37 @@
 		p.indexPlacement(b)
 	}
 	if m := p.vote(allCandidates(p)); m.ID != "m1" {
-		t.Errorf("named %s", m.ID)
+		t.Errorf("chose %s", m.ID)
 	}
 }
 
-// What others asked by the list's word counts in each run; our own part of that word counts once.
+// What other schedulers requested by the list counts in each run; this scheduler's own part of it counts once.
 func TestVoteCountsExternalLoad(t *testing.T) {
-	c := testConfig()
-	c.ListsFreeCapacity = true
+	cfg := testConfig()
+	cfg.ListsFreeCapacity = true
 	machines := testMachines(2)
 	for i := range machines {
 		machines[i].FreeCores, machines[i].FreeMemory = 32, 100
 	}
 	machines[0].FreeCores = 12
-	p := startPlacer(t, c, machines)
+	p := startPlacer(t, cfg, machines)
 	for i := range 8 {
-		as := p.Step(time.Second, []Event{submit(fmt.Sprint("t", i), 0, time.Minute)})
-		if o := onlyOffer(t, as); o.Machine != "m1" {
-			t.Errorf("offer %d went to the machine that others fill", i)
+		actions := p.Step(time.Second, []Event{submit(fmt.Sprint("t", i), 0, time.Minute)})
+		if offer := onlyOffer(t, actions); offer.Machine != "m1" {
+			t.Errorf("offer %d went to the machine that others use", i)
 		}
 	}
-	machines[0].FreeCores, machines[1].FreeCores = 32, 24 // the word now: m1 holds our eight, others have left
+	machines[0].FreeCores, machines[1].FreeCores = 32, 24 // m1 has the eight of this scheduler, the others' have ended
 	p.Step(4*time.Second, []Event{MachinesUpdated{Machines: machines}})
 	for _, m := range p.machinesByID {
-		if o := p.externalLoad(m); o != 0 {
-			t.Errorf("%s: others hold %v of it, want nothing", m.ID, o)
+		if load := p.externalLoad(m); load != 0 {
+			t.Errorf("%s: external load %v, want none", m.ID, load)
 		}
 	}
 }
 
-// What our tasks lack of full service counts as load in the vote for a while; a machine that serves worse loses to one
-// that serves better, also when both serve badly, and a fuller one that serves in full wins over both.
+// The service shortfall of tasks counts as load in the vote for a while; a machine with a larger shortfall loses to one
+// with a smaller, and a fuller one with full service wins over both.
 func TestServiceShortfallCountsAsLoad(t *testing.T) {
 	p := startPlacer(t, testConfig(), testMachines(3))
 	p.Step(time.Second, []Event{
@@ -76,38 +76,38 @@
 		UsageReport{Task: "b", Machine: "m1", Kind: ServiceLevel, Amount: 0.8}})
 	p.refresh()
 	if m := p.vote(allCandidates(p)); m.ID != "m2" {
-		t.Errorf("%s wins over the one that serves in full", m.ID)
+		t.Errorf("%s wins over the one with full service", m.ID)
 	}
 	if m := p.vote(allCandidates(p)[:2]); m.ID != "m1" {
-		t.Errorf("%s wins over the one that serves better", m.ID)
+		t.Errorf("%s wins over the one with better service", m.ID)
 	}
 	p.now += 2 * overloadDuration
 	reviewAll(p)
 	p.refresh()
 	if m := p.vote(allCandidates(p)); m.ID == "m2" {
-		t.Error("old notes count still")
+		t.Error("old reports still count")
 	}
 	p.Step(p.now, []Event{UsageReport{Task: "a", Machine: "m0", Kind: MemoryPressure, Amount: 0.99}})
 	if p.refresh(); p.vote(allCandidates(p)[:2]).ID != "m1" {
-		t.Error("short memory does not count")
+		t.Error("memory pressure does not count")
 	}
 }
 
-// Ties go to the better home, and large machines are home to more services: with an empty history neither may
-// every service start anew on all of its homes, nor the small machines fill first.
+// Ties go to the machine of higher affinity, and large machines have it for more services: with an empty history neither
+// may every service start on all of its preferred machines, nor the small machines fill first.
 func TestTiesGoToHigherAffinity(t *testing.T) {
-	c := testConfig()
-	c.Kinds = append(c.Kinds, Kind{"big", 96, 300})
+	cfg := testConfig()
+	cfg.Kinds = append(cfg.Kinds, Kind{"big", 96, 300})
 	machines := testMachines(8)
 	for i := range 4 {
 		machines[i].Kind = 1
 	}
-	p, q := startPlacer(t, c, machines), startPlacer(t, c, machines)
+	p, q := startPlacer(t, cfg, machines), startPlacer(t, cfg, machines)
 	big := 0
 	for i := range 1000 {
-		one := &task{Task: Task{Service: fmt.Sprint("s", i), Cores: 1}, class: &c.Classes[0]}
-		m := p.chooseMachine(one)
-		if other := q.chooseMachine(one); other.ID != m.ID {
+		task := &task{Task: Task{Service: fmt.Sprint("s", i), Cores: 1}, class: &cfg.Classes[0]}
+		m := p.chooseMachine(task)
+		if other := q.chooseMachine(task); other.ID != m.ID {
 			t.Fatalf("two schedulers chose %s and %s", m.ID, other.ID)
 		}
 		if m.Kind == 1 {
@@ -119,7 +119,7 @@
 	}
 }
 
-// Ties go at random: an empty history spreads evenly.
+// Without affinity ties are drawn: an empty history spreads evenly.
 func TestVoteTiesAreRandom(t *testing.T) {
 	p := startPlacer(t, testConfig(), testMachines(4))
 	count := map[string]int{}
@@ -128,26 +128,26 @@
 	}
 	for id, n := range count {
 		if n < 850 || n > 1150 {
-			t.Errorf("%s named %d times of 4000", id, n)
+			t.Errorf("%s chosen %d times of 4000", id, n)
 		}
 	}
 }
 
-// Exponential lives: a bind of age a is alive in a share exp(-a/mean) of the runs.
+// With exponential lifetimes a placement of some age survives with probability exp(-age/mean).
 func TestSurvivalAndMeanLifetime(t *testing.T) {
 	p := startPlacer(t, testConfig(), testMachines(2))
 	p.now = 70 * time.Second
 	b := &placement{machine: p.machinesByID[0], placedAt: 10 * time.Second}
 	if got := p.survival(b); math.Abs(got-math.Exp(-1)) > 1e-9 {
-		t.Errorf("alive %v after one first mean life", got)
+		t.Errorf("survival %v after one initial lifetime", got)
 	}
 	p.lifetimes[0] = lifetimeStats{observed: 180 * time.Second, ended: 3}
-	if m := p.meanLifetime(0); m != 60*time.Second {
-		t.Errorf("mean life %v, want (180+60)/4", m)
+	if mean := p.meanLifetime(0); mean != 60*time.Second {
+		t.Errorf("mean lifetime %v, want (180+60)/4", mean)
 	}
-	// Two that still run, seen for 40 s and 60 s, count as time without an ending.
+	// Two that still run, observed for 40 s and 60 s, count as time without an end.
 	p.lifetimes[0].running, p.lifetimes[0].startSum = 2, 30*time.Second+10*time.Second
-	if m := p.meanLifetime(0); m != 85*time.Second {
-		t.Errorf("mean life %v, want (180+40+60+60)/4", m)
+	if mean := p.meanLifetime(0); mean != 85*time.Second {
+		t.Errorf("mean lifetime %v, want (180+40+60+60)/4", mean)
 	}
 }
