--- a/affinity.go
+++ b/affinity.go
@@ -11,7 +11,7 @@
 // topAffinityCount is how many of a service's machines of highest affinity are kept, in expectation.
 const topAffinityCount = 12
 
-// affinity orders machines as hosts of a service, see score: among machines of one weight hashValue alone tells.
+// affinity orders machines as hosts of a service, see score: hashValue alone decides among machines of one weight.
 type affinity struct {
 	hashValue float64 // of machine and service, above 0 and at most 1<<53
 	weight    float64 // of the machine's kind
--- a/answers.go
+++ b/answers.go
@@ -42,8 +42,8 @@
 	return rank
 }
 
-// overQuota tells whether t's tenant has more than its quota, where that is worth less. It only orders tasks
-// that wait.
+// overQuota reports whether t's tenant has more than its quota, where that is worth less. It only orders
+// queued tasks.
 func (p *Placer) overQuota(t *task) bool {
 	if t.Tenant < 0 || t.Tenant >= len(p.cfg.Tenants) || p.cfg.OverQuotaWeight >= 1 {
 		return false
@@ -52,7 +52,7 @@
 	return quota > 0 && p.tenantCores[t.Tenant]*float64(p.cfg.Schedulers) > quota
 }
 
-// placeTask offers t to a machine, holds it, or gives it its final answer.
+// placeTask offers t to a machine, leaves it in the queue, or gives it its final answer.
 func (p *Placer) placeTask(t *task) {
 	if !p.mayOffer(t) {
 		p.answerTask(t)
@@ -60,7 +60,7 @@
 	}
 	m := p.chooseMachine(t)
 	if m == nil {
-		if !p.mayHold(t) {
+		if !p.mayQueue(t) {
 			p.answerTask(t)
 		}
 		return
@@ -73,7 +73,7 @@
 	p.emit(Offer{Task: t.ID, Machine: m.ID, Timeout: p.attemptTimeout(t)})
 }
 
-// mayOffer tells whether t may have a further attempt.
+// mayOffer reports whether t may have a further attempt.
 func (p *Placer) mayOffer(t *task) bool {
 	if p.now >= p.offerDeadline(t) || p.attemptsUsedUp(t) || t.class == &p.unknownClass {
 		return false
@@ -81,13 +81,13 @@
 	return t.class.Idempotency != NonIdempotent || !t.mayHaveRun() || p.disabled[RetrySafetyConstraint]
 }
 
-// mayHold tells whether t waits while no machine may take it, since an owner whose task is rejected may be
-// slow to submit it again.
-func (p *Placer) mayHold(t *task) bool {
+// mayQueue reports whether t stays queued while no machine may take it, since an owner whose task is rejected
+// may be slow to submit it again.
+func (p *Placer) mayQueue(t *task) bool {
 	if t.mayHaveRun() && t.class.Idempotency == IdempotentByKey {
 		return false
 	}
-	return p.now-t.submittedAt <= max(t.class.LatencyObjective, minHoldLimit)
+	return p.now-t.submittedAt <= max(t.class.LatencyObjective, minQueueLimit)
 }
 
 func (p *Placer) attemptsUsedUp(t *task) bool {
@@ -124,8 +124,8 @@
 	return 2*p.cfg.Tick + answerDeadlineMargin
 }
 
-// nextDue is when the next subscription, answer or choice for a held task falls due; ok is false where none
-// will.
+// nextDue is when the next subscription, answer or choice for a queued task falls due; ok is false where
+// none will.
 func (p *Placer) nextDue() (next Time, ok bool) {
 	next = math.MaxInt64
 	if p.subscribeAt > 0 {
@@ -134,7 +134,7 @@
 	for _, t := range p.openTasks {
 		due := p.answerDeadline(t)
 		if t.activeAttempt() == nil {
-			due = min(due, p.now+heldTaskInterval)
+			due = min(due, p.now+placementRetryInterval)
 		}
 		next = min(next, due)
 	}
--- a/api.go
+++ b/api.go
@@ -216,7 +216,7 @@
 	NotSent
 )
 
-// Reason tells more of a Rejected or Lost attempt.
+// Reason details a Rejected or Lost attempt.
 type Reason int
 
 // The reasons.
@@ -244,7 +244,7 @@
 
 // The kinds of usage.
 const (
-	// TaskRunning tells that the task has started.
+	// TaskRunning says that the task has started.
 	TaskRunning UsageKind = iota + 1
 	// CoresUsed by the task.
 	CoresUsed
@@ -266,7 +266,7 @@
 		Complete bool // it is the complete list: other machines are removed
 		Stale    bool // as last seen before this scheduler started; it may be out of date
 	}
-	// DiscoveryFailed tells that a request to discovery failed or the subscription broke off.
+	// DiscoveryFailed says that a request to discovery failed or the subscription broke off.
 	DiscoveryFailed struct{}
 	// TaskSubmitted requests that a task is placed.
 	TaskSubmitted struct{ Task Task }
@@ -275,14 +275,14 @@
 		Task    Task
 		Machine string
 	}
-	// AttemptPlaced tells that an attempt was accepted, or runs with Config.PlacedWhenRunning.
+	// AttemptPlaced says that an attempt was accepted, or runs with Config.PlacedWhenRunning.
 	AttemptPlaced struct {
 		Task    string
 		Machine string
 		Attempt int
 		Latency time.Duration // since the offer
 	}
-	// AttemptEnded tells how an attempt ended.
+	// AttemptEnded says how an attempt ended.
 	AttemptEnded struct {
 		Task    string
 		Machine string
@@ -314,7 +314,7 @@
 	}
 	// TimerFired answers a SetTimer.
 	TimerFired struct{}
-	// TaskCanceled tells that the owner needs the task no more.
+	// TaskCanceled says that the owner needs the task no more.
 	TaskCanceled struct{ Task string }
 )
 
--- a/capacity.go
+++ b/capacity.go
@@ -8,7 +8,7 @@
 	"github.com/bits-and-blooms/bitset"
 )
 
-// capacityColumns is what the machine list says of capacity, by machine. It is used where the list tells free capacity.
+// capacityColumns is what the machine list says of capacity, by machine. It is used with Config.ListsFreeCapacity.
 type capacityColumns struct {
 	listedCores  []float64 // free by the list, with the overcommit of the settings
 	listedMemory []float64
@@ -21,9 +21,9 @@
 	totalMemory     float64
 	totalsValid     bool
 
-	requestedShare   []float64
-	byRequestedShare []int32 // the machines by requestedShare, highest first, then by number
-	rankChanged      []int32 // machines whose position in byRequestedShare is void
+	requestedFraction   []float64
+	byRequestedFraction []int32 // the machines by requestedFraction, highest first, then by number
+	rankChanged         []int32 // machines whose position in byRequestedFraction is void
 }
 
 // updateColumns writes the capacity and the external load of a machine of the given kind.
@@ -44,8 +44,8 @@
 		x.requestedCores[number] = kind.Cores - m.FreeCores + m.coresSinceListed
 		x.requestedMemory[number] = kind.Memory - m.FreeMemory + m.memorySinceListed
 	}
-	if share := p.requestedShare(m); share != x.requestedShare[number] {
-		x.requestedShare[number] = share
+	if share := p.requestedFraction(m); share != x.requestedFraction[number] {
+		x.requestedFraction[number] = share
 		x.rankChanged = append(x.rankChanged, int32(number))
 	}
 	if m.unlistedStep != x.unlistedStep {
@@ -90,28 +90,28 @@
 	return x.totalCores, x.totalMemory
 }
 
-// rankAll starts the ranking by requested share over for so many machines.
+// rankAll starts the ranking by requested fraction over for so many machines.
 func (x *capacityColumns) rankAll(machines int) {
 	for number := range machines {
-		x.byRequestedShare = append(x.byRequestedShare, int32(number))
+		x.byRequestedFraction = append(x.byRequestedFraction, int32(number))
 	}
-	x.rankChanged = slices.Clone(x.byRequestedShare)
+	x.rankChanged = slices.Clone(x.byRequestedFraction)
 }
 
-// rankedByRequestedShare is the machines by requested share, highest first.
-func (x *index) rankedByRequestedShare() []int32 {
+// rankedByRequestedFraction is the machines by requested fraction, highest first.
+func (x *index) rankedByRequestedFraction() []int32 {
 	if len(x.rankChanged) == 0 {
-		return x.byRequestedShare
+		return x.byRequestedFraction
 	}
 	slices.Sort(x.rankChanged)
 	changed := slices.Compact(x.rankChanged)
-	if len(changed) > len(x.byRequestedShare)/8 {
-		slices.SortFunc(x.byRequestedShare, x.compareRequestedShare)
+	if len(changed) > len(x.byRequestedFraction)/8 {
+		slices.SortFunc(x.byRequestedFraction, x.compareRequestedFraction)
 	} else {
 		x.moveChanged(changed)
 	}
 	x.rankChanged = x.rankChanged[:0]
-	return x.byRequestedShare
+	return x.byRequestedFraction
 }
 
 // moveChanged takes the machines that changed out of the ranking and merges them in again.
@@ -120,19 +120,19 @@
 	for _, number := range changed {
 		isChanged.Set(uint(number))
 	}
-	kept := slices.DeleteFunc(x.byRequestedShare, func(number int32) bool { return isChanged.Test(uint(number)) })
-	slices.SortFunc(changed, x.compareRequestedShare)
+	kept := slices.DeleteFunc(x.byRequestedFraction, func(number int32) bool { return isChanged.Test(uint(number)) })
+	slices.SortFunc(changed, x.compareRequestedFraction)
 	merged := make([]int32, 0, len(kept)+len(changed))
 	for len(kept) > 0 && len(changed) > 0 {
-		if x.compareRequestedShare(kept[0], changed[0]) < 0 {
+		if x.compareRequestedFraction(kept[0], changed[0]) < 0 {
 			merged, kept = append(merged, kept[0]), kept[1:]
 		} else {
 			merged, changed = append(merged, changed[0]), changed[1:]
 		}
 	}
-	x.byRequestedShare = append(append(merged, kept...), changed...)
+	x.byRequestedFraction = append(append(merged, kept...), changed...)
 }
 
-func (x *capacityColumns) compareRequestedShare(a, b int32) int {
-	return cmp.Or(cmp.Compare(x.requestedShare[b], x.requestedShare[a]), cmp.Compare(a, b))
+func (x *capacityColumns) compareRequestedFraction(a, b int32) int {
+	return cmp.Or(cmp.Compare(x.requestedFraction[b], x.requestedFraction[a]), cmp.Compare(a, b))
 }
--- a/constraint.go
+++ b/constraint.go
@@ -100,7 +100,7 @@
 // String is the name under which results are stored.
 func (c Constraint) String() string { return constraintNames[c] }
 
-// IsHard tells whether a rule that users rely on depends on the constraint.
+// IsHard reports whether a rule that users rely on depends on the constraint.
 func (c Constraint) IsHard() bool { return c <= AnswerDeadlineConstraint }
 
 // Disable takes constraints out. It is for tests and experiments and must be called before the first Step; no deployment
--- a/constraints_hard.go
+++ b/constraints_hard.go
@@ -26,7 +26,7 @@
 	return eligible
 }
 
-// fitsKind tells whether an empty machine of a kind would take t.
+// fitsKind reports whether an empty machine of a kind would take t.
 func (p *Placer) fitsKind(t *task, kindIndex int) bool {
 	kind := p.cfg.Kinds[kindIndex]
 	cores := kind.Cores * max(p.cfg.CoreOvercommit, 1)
--- a/constraints_hard_test.go
+++ b/constraints_hard_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// A machine gets no offer from the step on that tells of its drain or removal.
+// A machine gets no offer from the step on that brings its drain or removal.
 func TestDrainingAndRemovedMachinesGetNoOffers(t *testing.T) {
 	for _, state := range []MachineState{Draining, Removed} {
 		p := startPlacer(t, testConfig(), testMachines(2))
--- a/constraints_soft.go
+++ b/constraints_soft.go
@@ -38,11 +38,11 @@
 		return nil
 	}
 	p.consolidate(&f)
-	f.exclude(ReportedLoadConstraint, minCandidates, p.overReported(&f))
+	f.exclude(ReportedLoadConstraint, minCandidates, p.highReportedLoad(&f))
 	return p.preferredMachines(t, eligible)
 }
 
-// excludeTried prefers machines that this task was not offered to: another machine tells more.
+// excludeTried prefers machines that this task was not offered to: another machine gives more evidence.
 func (p *Placer) excludeTried(t *task, f *softFilter) {
 	if len(t.attempts) == 0 {
 		return
@@ -69,7 +69,7 @@
 }
 
 // excludeFull removes machines without capacity, as far as known. A rejected offer is priced and uses up an
-// attempt, so a task is held while no machine has capacity; near its deadline it is offered once all the
+// attempt, so a task is queued while no machine has capacity; near its deadline it is offered once all the
 // same, in case the evidence is wrong.
 func (p *Placer) excludeFull(t *task, f *softFilter) {
 	least := uint(0)
@@ -83,17 +83,17 @@
 	}
 }
 
-// nearDeadline tells whether t was never offered and little of its time remains.
+// nearDeadline reports whether t was never offered and little of its time remains.
 func (p *Placer) nearDeadline(t *task) bool {
 	return p.now >= t.submittedAt+(t.Deadline-t.submittedAt)*3/4 && len(t.attempts) == 0
 }
 
 // withoutCapacity is the machines that rejected such a size lately, have the most pending offers since a
 // rejection, or lack free capacity by the list. After a rejection one offer may be pending, after each
-// acceptance one more: else all held tasks go to the first machine that takes one (incident i959772).
+// acceptance one more: else all queued tasks go to the first machine that takes one (incident i959772).
 //
 // The list is delayed, so what this scheduler requested within listDelay before an entry counts as requested
-// too. Estimating what other schedulers requested since held too many tasks back.
+// too. An estimate of what other schedulers requested since kept too many tasks waiting.
 func (p *Placer) withoutCapacity(t *task, eligible *bitset.BitSet) *bitset.BitSet {
 	x := &p.index
 	full := x.scratch.ClearAll()
@@ -131,7 +131,7 @@
 func (p *Placer) consolidationSet(eligible *bitset.BitSet) *bitset.BitSet {
 	x := &p.index
 	cores, memory := x.totals()
-	ranked := x.rankedByRequestedShare()
+	ranked := x.rankedByRequestedFraction()
 	used, count := x.scratch.ClearAll(), 0
 	for _, number := range ranked {
 		if !eligible.Test(uint(number)) {
@@ -149,8 +149,8 @@
 	return used
 }
 
-// overReported is the eligible machines whose last report is far over the mean of all eligible ones.
-func (p *Placer) overReported(f *softFilter) *bitset.BitSet {
+// highReportedLoad is the eligible machines whose last report is far over the mean of all eligible ones.
+func (p *Placer) highReportedLoad(f *softFilter) *bitset.BitSet {
 	x, mean, count := &p.index, 0.0, float64(f.count)
 	forEachCommon(f.eligible, x.reporting, func(number int) { mean += x.reportedLoad[number] / count })
 	over := x.scratch.ClearAll()
--- a/constraints_soft_test.go
+++ b/constraints_soft_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Incident i4c1909: while no listed machine has free capacity, tasks are held, and offered once near their deadline.
-func TestTaskHeldWithoutListedCapacity(t *testing.T) {
+// Incident i4c1909: while no listed machine has free capacity, tasks are queued, and offered once near their deadline.
+func TestTaskQueuedWithoutListedCapacity(t *testing.T) {
 	cfg := testConfig()
 	cfg.ListsFreeCapacity = true
 	full := []Machine{{ID: "m0", Zone: "a", FreeCores: -32, FreeMemory: -50}}
@@ -24,7 +24,7 @@
 }
 
 // Incident i959772 and a crash found with it: no machine is left when all are expected to reject.
-func TestTaskHeldWhenAllMachinesReject(t *testing.T) {
+func TestTaskQueuedWhenAllMachinesReject(t *testing.T) {
 	p := startPlacer(t, testConfig(), testMachines(2))
 	for _, m := range p.machinesByID {
 		m.rejectsUntil = time.Hour
@@ -32,7 +32,7 @@
 	reviewAll(p)
 	actions := p.Step(time.Second+millisecond, []Event{submit("t", 0, 9*time.Second)})
 	if len(offersOf(actions)) != 0 || hasAction(actions, Reject{"t"}) {
-		t.Errorf("want the task held, got %v", actions)
+		t.Errorf("want the task queued, got %v", actions)
 	}
 }
 
--- a/evidence.go
+++ b/evidence.go
@@ -4,7 +4,7 @@
 
 // Evidence: what outcomes and reports say of a machine. Each piece of evidence expires.
 
-// provesNeverRan tells whether an outcome proves that the task was not started.
+// provesNeverRan reports whether an outcome proves that the task was not started.
 func provesNeverRan(o Outcome) bool { return o == Rejected || o == Unreachable || o == NotSent }
 
 // forgetUnstartedPlacement takes a placement that never ran out of the history.
@@ -62,7 +62,7 @@
 	}
 }
 
-// succeededLately tells whether there was a success within failureMemory.
+// succeededLately reports whether there was a success within failureMemory.
 func (p *Placer) succeededLately(h *health) bool {
 	return h.lastSuccess > 0 && p.now-h.lastSuccess < failureMemory
 }
@@ -135,7 +135,7 @@
 	p.recordTaskFailure(t, m)
 }
 
-// classifyLoss reads the loss of an attempt: an eviction tells of overload, a drain of nothing.
+// classifyLoss reads the loss of an attempt: an eviction is a sign of overload, a drain is not.
 func (p *Placer) classifyLoss(m *machine, reason Reason) {
 	switch reason {
 	case Evicted, Preempted:
--- a/index.go
+++ b/index.go
@@ -95,13 +95,13 @@
 		x.failingByClass[class] = bitset.MustNew(uint(machines))
 	}
 	for _, column := range []*[]float64{&x.reportedLoad, &x.externalLoad, &x.freeCores, &x.freeMemory, &x.listedCores,
-		&x.listedMemory, &x.requestedCores, &x.requestedMemory, &x.requestedShare} {
+		&x.listedMemory, &x.requestedCores, &x.requestedMemory, &x.requestedFraction} {
 		*column = make([]float64, machines)
 	}
 	x.idHashes = make([]uint64, machines)
 	x.kindOf = make([]int32, machines)
 	x.candidateOf = make([]int32, machines)
-	x.byRequestedShare, x.rankChanged = nil, nil
+	x.byRequestedFraction, x.rankChanged = nil, nil
 	clear(x.zones)
 	clear(x.cells)
 	x.unlistedStep = -1
--- a/machine.go
+++ b/machine.go
@@ -13,7 +13,7 @@
 	Machine
 	idHash    uint64 // the same at every scheduler
 	listed    bool   // named by a list since this scheduler started
-	listedAt  Time   // when the list last told its free capacity
+	listedAt  Time   // when the list last named it
 	removedAt Time
 
 	// Where it stands in the index.
@@ -44,7 +44,7 @@
 	ownMemory   float64
 	placements  []*placement // in order; some may have left the history
 
-	// Requested by this scheduler since the list last told its free capacity.
+	// Requested by this scheduler since the list last named it.
 	coresSinceListed  float64
 	memorySinceListed float64
 
@@ -117,7 +117,7 @@
 	return &m.classHealth[class]
 }
 
-// inSameDomain tells whether two machines are in the same topology domain of the given reach.
+// inSameDomain reports whether two machines are in the same topology domain of the given reach.
 func inSameDomain(reach TopologyDomain, a, b *machine) bool {
 	switch reach {
 	case MachineDomain:
@@ -163,8 +163,8 @@
 	return load
 }
 
-// requestedShare is the fraction of m that all schedulers together have requested, by the machine list.
-func (p *Placer) requestedShare(m *machine) float64 {
+// requestedFraction is the fraction of m that all schedulers together have requested, by the machine list.
+func (p *Placer) requestedFraction(m *machine) float64 {
 	kind := p.cfg.Kinds[m.Kind]
 	return max((kind.Cores-m.FreeCores)/kind.Cores, (kind.Memory-m.FreeMemory)/kind.Memory)
 }
--- a/migration.go
+++ b/migration.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// migrationPays tells whether what the task lacks in a mean lifetime is worth more than a migration and two
+// migrationPays reports whether what the task lacks in a mean lifetime is worth more than a migration and two
 // starts.
 func (p *Placer) migrationPays(t *task, shortfall float64) bool {
 	price := p.cfg.Prices.Migration
@@ -36,8 +36,8 @@
 	return gain >= cost
 }
 
-// hasBetterMachines tells whether half of the machines that could take t serve tasks of ours well; of
-// machines without tasks of ours nothing is known. It is false while any machine fails t's class or rejects
+// hasBetterMachines reports whether half of the machines that could take t serve this scheduler's tasks
+// well; of machines without any nothing is known. It is false while any machine fails t's class or rejects
 // tasks: the new start may be lost.
 func (p *Placer) hasBetterMachines(t *task) bool {
 	p.refresh()
--- a/slow_start.go
+++ b/slow_start.go
@@ -8,7 +8,7 @@
 // Slow start: a machine that has just started bears Config.SlowStartBudget offers of all schedulers together
 // within any Config.OverloadWindow. Schedulers divide that budget without communication.
 
-// hasSlowStartBudget tells whether this scheduler may make one more offer to a machine in slow start. The
+// hasSlowStartBudget reports whether this scheduler may make one more offer to a machine in slow start. The
 // window is wider than the overload window because offers sent apart may arrive together. A scheduler that
 // started after the machine can't know what its former incarnation sent, so that counts as spent.
 //
@@ -34,7 +34,7 @@
 	return budget > 0
 }
 
-// inSlowStartSlot tells whether this scheduler has a slot for one further offer to a machine in slow start.
+// inSlowStartSlot reports whether this scheduler has a slot for one further offer to a machine in slow start.
 // Slots follow from the machine, its start, this scheduler's index and the number of schedulers alone: they
 // begin one interval apart and each lasts an overload window. So an offer sent within any one window belongs
 // to a slot that began within two, and the interval is such that these are never more than the budget; with
--- a/slow_start_test.go
+++ b/slow_start_test.go
@@ -10,7 +10,7 @@
 )
 
 // A scheduler has an equal part of the budget; unanswered offers count.
-func TestSlowStartBudgetShare(t *testing.T) {
+func TestSlowStartBudgetPerScheduler(t *testing.T) {
 	cfg := testConfig()
 	cfg.Schedulers, cfg.SlowStartBudget = 3, 12
 	p := startPlacer(t, cfg, nil)
--- a/task.go
+++ b/task.go
@@ -112,7 +112,7 @@
 	return nil
 }
 
-// mayHaveRun tells whether an attempt lacks proof that the task was not started.
+// mayHaveRun reports whether an attempt lacks proof that the task was not started.
 func (t *task) mayHaveRun() bool {
 	return slices.ContainsFunc(t.attempts, func(a attempt) bool { return !a.neverRan })
 }
--- a/tuning.go
+++ b/tuning.go
@@ -31,7 +31,7 @@
 
 	// Overload and migration.
 	overloadDuration     = 1500 * time.Millisecond
-	fullServiceLevel     = 0.95 // a service level below it tells overload
+	fullServiceLevel     = 0.95 // a service level below it is a sign of overload
 	memoryPressureLimit  = 0.92 // fraction of a machine's memory in use beyond which memory is short
 	memoryShortfall      = 0.3  // service shortfall that counts where memory is short or tasks were evicted
 	poorServiceShortfall = 0.5  // a task that lacks so much of full service may be migrated
@@ -41,12 +41,12 @@
 	reportFreshness    = 3 * time.Second
 
 	// Waiting tasks and time-outs.
-	heldTaskInterval     = 40 * time.Millisecond // between choices for a held task
-	minHoldLimit         = 5 * time.Second       // a task is held so long at least before it is rejected
-	minAttemptTimeout    = 50 * time.Millisecond
-	latencySmoothing     = 8 // the latest latency counts by this fraction of one
-	latencyDeviations    = 4 // beyond the mean latency, until an attempt times out
-	answerDeadlineMargin = time.Millisecond
+	placementRetryInterval = 40 * time.Millisecond // between choices for a queued task
+	minQueueLimit          = 5 * time.Second       // a task may be queued so long at least
+	minAttemptTimeout      = 50 * time.Millisecond
+	latencySmoothing       = 8 // the latest latency counts by this fraction of one
+	latencyDeviations      = 4 // beyond the mean latency, until an attempt times out
+	answerDeadlineMargin   = time.Millisecond
 
 	// Discovery.
 	subscribeBackoff        = 250 * time.Millisecond
--- a/unlisted.go
+++ b/unlisted.go
@@ -17,7 +17,7 @@
 }
 
 // updateUnlisted brings the free capacity of the given machines up to date: placements count that were made since delay
-// before the list told of their machine.
+// before the list last named their machine.
 func (p *Placer) updateUnlisted(machines *bitset.BitSet, delay time.Duration) {
 	x := &p.index
 	if p.disabled[StaleCapacity] {
--- a/vote.go
+++ b/vote.go
@@ -76,9 +76,10 @@
 }
 
 // externalLoad is the load of m without this scheduler's placements, as a fraction of its kind: what others
-// requested by the list, and what our tasks there lack of full service. The plain replay begins with an empty
-// fleet; with few placements of our own most machines would tie at none, and a constraint on overload gives
-// way when most machines are overloaded. It is wrong where one of our tasks is itself at fault.
+// requested by the list, and the service shortfall of this scheduler's tasks there. The plain replay
+// begins with an empty fleet; with few placements in the history most machines would tie at none, and a
+// constraint on overload gives way when most machines are overloaded. It is wrong where one of the tasks is
+// itself at fault.
 func (p *Placer) externalLoad(m *machine) float64 {
 	overload := 0.0
 	if p.now < m.overloadedUntil && !p.disabled[OverloadLoad] {
