--- a/internal/lab/reference/figure_test.go
+++ b/internal/lab/reference/figure_test.go
@@ -19,22 +19,22 @@
 	if dir == "" {
 		t.Skip("set FLAXSHELF_FIGURES to a folder to draw it")
 	}
-	now := func(c flaxshelf.Config, s uint64) (stepper, error) { return flaxshelf.New(c, s) }
-	old := func(c flaxshelf.Config, s uint64) (stepper, error) { return reference.New(c, s) }
+	now := func(c flaxshelf.Config, s uint64) (placer, error) { return flaxshelf.New(c, s) }
+	old := func(c flaxshelf.Config, s uint64) (placer, error) { return reference.New(c, s) }
 	c := chart.Chart{Title: "one task placed, one placed before, one ended a step", X: "machines, 20 tasks on each",
 		Y: "microseconds a step", Log: true}
 	for _, l := range []struct {
 		name  string
-		shape shape
-		text  func(flaxshelf.Config, uint64) (stepper, error)
+		shape fleetShape
+		text  func(flaxshelf.Config, uint64) (placer, error)
 		most  int
 	}{
-		{"no room told", shape{}, now, 10000},
-		{"spread bounded", shape{spread: true}, now, 10000},
-		{"room told, spread bounded", shape{room: true, spread: true}, now, 10000},
-		{"10,000 tasks held", shape{held: 10000}, now, 10000},
-		{"reference, no room told", shape{}, old, 1000},
-		{"reference, spread bounded", shape{spread: true}, old, 1000},
+		{"no room told", fleetShape{}, now, 10000},
+		{"spread bounded", fleetShape{boundedSpread: true}, now, 10000},
+		{"room told, spread bounded", fleetShape{listsCapacity: true, boundedSpread: true}, now, 10000},
+		{"10,000 tasks held", fleetShape{queued: 10000}, now, 10000},
+		{"reference, no room told", fleetShape{}, old, 1000},
+		{"reference, spread bounded", fleetShape{boundedSpread: true}, old, 1000},
 	} {
 		line := chart.Line{Name: l.name}
 		for _, n := range []int{33, 130, 1000, 10000} {
@@ -43,7 +43,7 @@
 			}
 			s := l.shape
 			s.machines = n
-			x := newCell(t, s, l.text)
+			x := newBenchFleet(t, s, l.text)
 			steps, began := 0, time.Now()
 			for time.Since(began) < time.Second {
 				x.step()
--- a/internal/lab/reference/twin.go
+++ b/internal/lab/reference/twin.go
@@ -10,7 +10,7 @@
 // Twin steps the module and its oracle side by side and answers as the module does. From the first difference on, Err
 // tells the step, the action and what both said. It is not safe for concurrent use.
 type Twin struct {
-	now       *flaxshelf.Placer
+	module    *flaxshelf.Placer
 	reference *Placer
 	Steps     int
 	Events    int
@@ -27,14 +27,14 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Twin{now: now, reference: old}, nil
+	return &Twin{module: now, reference: old}, nil
 }
 
 // Step is the module's.
 func (t *Twin) Step(now flaxshelf.Time, events []flaxshelf.Event) []flaxshelf.Action {
 	t.Steps++
 	t.Events += len(events)
-	got := t.now.Step(now, events)
+	got := t.module.Step(now, events)
 	if t.Err != nil {
 		return got
 	}
