--- /dev/null
+++ b/internal/lab/reference/bench_test.go
@@ -0,0 +1,193 @@
+package reference_test
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"flaxshelf.example/flaxshelf"
+	"flaxshelf.example/flaxshelf/internal/lab/reference"
+)
+
+// placer is the module or its reference.
+type placer interface {
+	Step(now flaxshelf.Time, events []flaxshelf.Event) []flaxshelf.Action
+}
+
+// newPlacer makes a placer.
+type newPlacer func(cfg flaxshelf.Config, seed uint64) (placer, error)
+
+func newModule(cfg flaxshelf.Config, seed uint64) (placer, error) { return flaxshelf.New(cfg, seed) }
+
+func newReference(cfg flaxshelf.Config, seed uint64) (placer, error) { return reference.New(cfg, seed) }
+
+// tasksPerMachine is how many run on each machine of a benchFleet.
+const tasksPerMachine = 20
+
+// benchFleet is a fleet in a steady state: each step brings one task to place and the placement of the one before, and
+// another task ends.
+type benchFleet struct {
+	placer    placer
+	now       flaxshelf.Time
+	taskCount int
+	running   []string          // task IDs, in the order of their starts
+	machineOf map[string]string // by task ID
+	events    []flaxshelf.Event // of the next step
+	offers    int
+}
+
+// fleetShape is what a step's cost depends on.
+type fleetShape struct {
+	machines      int
+	queued        int  // tasks for which no machine has capacity
+	boundedSpread bool // of a service over zones
+	listsCapacity bool
+}
+
+// String names the shape in results of benchmarks.
+func (s fleetShape) String() string {
+	return fmt.Sprintf("machines=%d/spread=%v/capacity=%v/queued=%d", s.machines, s.boundedSpread, s.listsCapacity, s.queued)
+}
+
+func (s fleetShape) config() flaxshelf.Config {
+	cfg := flaxshelf.Config{
+		Schedulers:            1,
+		CoreOvercommit:        1,
+		MemoryOvercommit:      1,
+		Tick:                  2 * millisecond,
+		DiscoveryPollDeadline: time.Second,
+		ConnectTimeout:        100 * millisecond,
+		DrainGrace:            time.Second,
+		CanCancel:             true,
+		ListsFreeCapacity:     s.listsCapacity,
+		Kinds:                 []flaxshelf.Kind{{Name: "small", Cores: 32, Memory: 128}, {Name: "big", Cores: 64, Memory: 256}},
+		Classes: []flaxshelf.Class{
+			{Name: "a", Kind: -1, LatencyObjective: time.Second},
+			{Name: "large", Kind: -1, LatencyObjective: time.Second, Idempotency: flaxshelf.Idempotent},
+		},
+	}
+	if s.listsCapacity {
+		cfg.Prices.Fleet = 0.1
+	}
+	if s.boundedSpread {
+		cfg.Classes[0].SpreadDomain, cfg.Classes[0].MaxPerDomain = flaxshelf.ZoneDomain, 8*tasksPerMachine
+	}
+	return cfg
+}
+
+// machineList is the machines of the fleet.
+func (s fleetShape) machineList(kinds []flaxshelf.Kind) (list []flaxshelf.Machine) {
+	for i := range s.machines {
+		kind := kinds[i%2]
+		list = append(list, flaxshelf.Machine{
+			ID:         fmt.Sprintf("m%05d", i),
+			Kind:       i % 2,
+			Zone:       fmt.Sprint("z", i%3),
+			Cell:       i / 16,
+			FreeCores:  kind.Cores - 10 - float64(i%7),
+			FreeMemory: kind.Memory - 20,
+		})
+	}
+	return list
+}
+
+// newBenchFleet brings a placer into the steady state.
+func newBenchFleet(b testing.TB, s fleetShape, newPlacer newPlacer) *benchFleet {
+	cfg := s.config()
+	p, err := newPlacer(cfg, 7)
+	if err != nil {
+		b.Fatal(err)
+	}
+	f := &benchFleet{placer: p, now: time.Second, machineOf: map[string]string{}}
+	list := s.machineList(cfg.Kinds)
+	p.Step(f.now, []flaxshelf.Event{flaxshelf.MachinesUpdated{Machines: list, Complete: true}})
+	f.now += millisecond
+	p.Step(f.now, f.adopt(list))
+	for i := range s.queued {
+		f.events = append(f.events, flaxshelf.TaskSubmitted{Task: flaxshelf.Task{ID: fmt.Sprint("h", i),
+			Service: fmt.Sprint("h", i%50), Class: 1, Cores: 100 + float64(i%5), Memory: 1, Tenant: -1, Deadline: time.Hour}})
+	}
+	for range 200 {
+		f.step()
+	}
+	return f
+}
+
+// adopt has tasks run on each machine.
+func (f *benchFleet) adopt(list []flaxshelf.Machine) (events []flaxshelf.Event) {
+	for i := range tasksPerMachine * len(list) {
+		task, machine := f.newTask(), list[i%len(list)].ID
+		events = append(events, flaxshelf.TaskAdopted{Task: task, Machine: machine})
+		f.start(task.ID, machine)
+	}
+	return events
+}
+
+func (f *benchFleet) start(task, machine string) {
+	f.running = append(f.running, task)
+	f.machineOf[task] = machine
+}
+
+// newTask is of one of as many services as the fleet has machines.
+func (f *benchFleet) newTask() flaxshelf.Task {
+	f.taskCount++
+	services := 1 + len(f.running)/tasksPerMachine%20000
+	return flaxshelf.Task{ID: fmt.Sprint("t", f.taskCount), Service: fmt.Sprint("s", (f.taskCount*7919)%services),
+		Class: 0, Cores: 0.5, Memory: 1, Tenant: -1, Deadline: f.now + 5*time.Second}
+}
+
+func (f *benchFleet) step() {
+	f.now += 500 * time.Microsecond
+	f.events = append(f.events, flaxshelf.TaskSubmitted{Task: f.newTask()})
+	if len(f.running) > 0 {
+		ended := f.running[0]
+		f.events = append(f.events, flaxshelf.AttemptEnded{Task: ended, Machine: f.machineOf[ended],
+			Outcome: flaxshelf.Completed, Final: true})
+		delete(f.machineOf, ended)
+		f.running = f.running[1:]
+	}
+	actions := f.placer.Step(f.now, f.events)
+	f.events = nil
+	for _, action := range actions {
+		if offer, ok := action.(flaxshelf.Offer); ok {
+			f.offers++
+			f.events = append(f.events, flaxshelf.AttemptPlaced{Task: offer.Task, Machine: offer.Machine, Latency: millisecond})
+			f.start(offer.Task, offer.Machine)
+		}
+	}
+}
+
+// BenchmarkStep is one task to place, one placed and one ended in a step, by the module and by the reference. The reference
+// at 10,000 machines with a bounded spread takes minutes and is left out.
+func BenchmarkStep(b *testing.B) {
+	for _, machines := range []int{33, 130, 1000, 10000} {
+		for _, shape := range []fleetShape{
+			{}, {boundedSpread: true}, {listsCapacity: true}, {boundedSpread: true, listsCapacity: true},
+			{queued: 100}, {queued: 10000},
+		} {
+			shape.machines = machines
+			b.Run(shape.String()+"/module", func(b *testing.B) { benchmarkSteps(b, shape, newModule) })
+			b.Run(shape.String()+"/reference", func(b *testing.B) {
+				if machines == 10000 && (shape.boundedSpread || shape.queued > 0) || shape.queued > 100 {
+					b.Skip("takes minutes")
+				}
+				benchmarkSteps(b, shape, newReference)
+			})
+		}
+	}
+}
+
+func benchmarkSteps(b *testing.B, shape fleetShape, newPlacer newPlacer) {
+	f := newBenchFleet(b, shape, newPlacer)
+	f.offers = 0
+	steps := 0
+	for b.Loop() {
+		f.step()
+		steps++
+	}
+	b.StopTimer()
+	if f.offers < steps*9/10 {
+		b.Errorf("%d offers in %d steps", f.offers, steps)
+	}
+	b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(steps), "us/step")
+}
--- a/internal/lab/reference/figure_test.go
+++ b/internal/lab/reference/figure_test.go
@@ -6,9 +6,7 @@
 	"testing"
 	"time"
 
-	"flaxshelf.example/flaxshelf"
 	"flaxshelf.example/flaxshelf/internal/lab/chart"
-	"flaxshelf.example/flaxshelf/internal/lab/reference"
 )
 
 // TestFigure draws how the cost of a step grows with the machines, as docs/scale.md shows it:
@@ -19,46 +17,49 @@
 	if dir == "" {
 		t.Skip("set FLAXSHELF_FIGURES to a folder to draw it")
 	}
-	now := func(c flaxshelf.Config, s uint64) (placer, error) { return flaxshelf.New(c, s) }
-	old := func(c flaxshelf.Config, s uint64) (placer, error) { return reference.New(c, s) }
-	c := chart.Chart{Title: "one task placed, one placed before, one ended a step", X: "machines, 20 tasks on each",
-		Y: "microseconds a step", Log: true}
-	for _, l := range []struct {
-		name  string
-		shape fleetShape
-		text  func(flaxshelf.Config, uint64) (placer, error)
-		most  int
+	figure := chart.Chart{Title: "one task placed, one placed before, one ended a step",
+		X: "machines, 20 tasks on each", Y: "microseconds a step", Log: true}
+	for _, line := range []struct {
+		name        string
+		shape       fleetShape
+		newPlacer   newPlacer
+		maxMachines int
 	}{
-		{"no room told", fleetShape{}, now, 10000},
-		{"spread bounded", fleetShape{boundedSpread: true}, now, 10000},
-		{"room told, spread bounded", fleetShape{listsCapacity: true, boundedSpread: true}, now, 10000},
-		{"10,000 tasks held", fleetShape{queued: 10000}, now, 10000},
-		{"reference, no room told", fleetShape{}, old, 1000},
-		{"reference, spread bounded", fleetShape{boundedSpread: true}, old, 1000},
+		{"no capacity listed", fleetShape{}, newModule, 10000},
+		{"spread bounded", fleetShape{boundedSpread: true}, newModule, 10000},
+		{"capacity listed, spread bounded", fleetShape{listsCapacity: true, boundedSpread: true}, newModule, 10000},
+		{"10,000 tasks queued", fleetShape{queued: 10000}, newModule, 10000},
+		{"reference, no capacity listed", fleetShape{}, newReference, 1000},
+		{"reference, spread bounded", fleetShape{boundedSpread: true}, newReference, 1000},
 	} {
-		line := chart.Line{Name: l.name}
-		for _, n := range []int{33, 130, 1000, 10000} {
-			if n > l.most {
+		points := chart.Line{Name: line.name}
+		for _, machines := range []int{33, 130, 1000, 10000} {
+			if machines > line.maxMachines {
 				continue
 			}
-			s := l.shape
-			s.machines = n
-			x := newBenchFleet(t, s, l.text)
-			steps, began := 0, time.Now()
-			for time.Since(began) < time.Second {
-				x.step()
-				steps++
-			}
-			us := float64(time.Since(began).Microseconds()) / float64(steps)
-			line.X, line.Y = append(line.X, float64(n)), append(line.Y, us)
-			t.Logf("%-28s %6d machines %10.1f us", l.name, n, us)
+			shape := line.shape
+			shape.machines = machines
+			cost := stepMicroseconds(t, shape, line.newPlacer)
+			points.X, points.Y = append(points.X, float64(machines)), append(points.Y, cost)
+			t.Logf("%-28s %6d machines %10.1f us", line.name, machines, cost)
 		}
-		c.Lines = append(c.Lines, line)
+		figure.Lines = append(figure.Lines, points)
 	}
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		t.Fatal(err)
 	}
-	if err := c.Write(filepath.Join(dir, "step.svg")); err != nil {
+	if err := figure.Write(filepath.Join(dir, "step.svg")); err != nil {
 		t.Fatal(err)
 	}
 }
+
+// stepMicroseconds is the mean cost of a step, over a second of steps.
+func stepMicroseconds(t *testing.T, shape fleetShape, newPlacer newPlacer) float64 {
+	f := newBenchFleet(t, shape, newPlacer)
+	steps, began := 0, time.Now()
+	for time.Since(began) < time.Second {
+		f.step()
+		steps++
+	}
+	return float64(time.Since(began).Microseconds()) / float64(steps)
+}
