--- a/internal/lab/reference/event_source_test.go
+++ b/internal/lab/reference/event_source_test.go
@@ -217,7 +217,7 @@
 		ID:       fmt.Sprint("t", s.taskCount),
 		Service:  fmt.Sprint("s", s.random.IntN(s.services)),
 		Class:    s.random.IntN(4),
-		Cores:    []float64{0.1, 1, 2.3, 9}[s.random.IntN(4)],
+		Cores:    []float64{0.1, 1, 2.3, 2.8, 9}[s.random.IntN(5)],
 		Memory:   3 * s.random.Float64(),
 		Tenant:   s.random.IntN(3) - 1,
 		Deadline: s.now + 20*millisecond + s.below(s.maxWait),
