--- a/config.go
+++ b/config.go
@@ -7,7 +7,7 @@
 
 // ConfigError says which field of a Config has a value that makes no sense. New returns it.
 type ConfigError struct {
-	Field  string // path within Config, such as Classes[2].Kind
+	Field  string // path within Config, with the name of the kind or class: Classes[2] (web).Kind
 	Value  any    // of the field
 	Reason string
 }
@@ -20,12 +20,12 @@
 // validate returns a *ConfigError for the first field that makes no sense.
 func validate(cfg *Config) error {
 	for i, kind := range cfg.Kinds {
-		if err := validateKind(fmt.Sprintf("Kinds[%d]", i), kind); err != nil {
+		if err := validateKind(fmt.Sprintf("Kinds[%d] (%s)", i, kind.Name), kind); err != nil {
 			return err
 		}
 	}
 	for i, class := range cfg.Classes {
-		if err := validateClass(fmt.Sprintf("Classes[%d]", i), class, len(cfg.Kinds)); err != nil {
+		if err := validateClass(fmt.Sprintf("Classes[%d] (%s)", i, class.Name), class, len(cfg.Kinds)); err != nil {
 			return err
 		}
 	}
--- a/history.go
+++ b/history.go
@@ -117,14 +117,14 @@
 	return found
 }
 
-// collectReplayed is the history on the candidates, and which of them it touches.
+// collectReplayed is the history on the candidates, and which of them it touches. Both are valid until the next call.
 func (p *Placer) collectReplayed(candidates []candidate) (replayed []replayedPlacement, touched []bool) {
 	x := &p.index
 	for i, c := range candidates {
 		x.candidateOf[c.machine] = int32(i) + 1
 	}
-	touched = make([]bool, len(candidates))
-	replayed = x.replayBuffer[:0]
+	x.touchedBuffer = zeroed(x.touchedBuffer, len(candidates))
+	touched, replayed = x.touchedBuffer, x.replayBuffer[:0]
 	for _, b := range p.placementsOf(candidates) {
 		i := x.candidateOf[b.machine.number] - 1
 		kind := p.cfg.Kinds[b.machine.Kind]
--- a/index.go
+++ b/index.go
@@ -3,6 +3,7 @@
 import (
 	"math"
 	"math/bits"
+	"slices"
 
 	"github.com/bits-and-blooms/bitset"
 
@@ -41,6 +42,9 @@
 	candidateOf     []int32 // by machine: its candidate in the vote, counted from 1; 0: none
 	replayBuffer    []replayedPlacement
 	placementBuffer []*placement
+	touchedBuffer   []bool
+	contenderBuffer []candidate
+	voteBuffer      []float64
 
 	// infeasible is the classes of tasks for which no machine is left, until something is offered or has changed.
 	infeasible map[equivalenceClass]bool
@@ -183,3 +187,10 @@
 		}
 	}
 }
+
+// zeroed is a slice of so many zero values, in the memory of buffer where that suffices.
+func zeroed[T any](buffer []T, length int) []T {
+	buffer = slices.Grow(buffer[:0], length)[:length]
+	clear(buffer)
+	return buffer
+}
--- a/vote.go
+++ b/vote.go
@@ -39,13 +39,14 @@
 			idle = i
 		}
 	}
-	contenders, position := make([]candidate, 0, 16), make([]int32, len(candidates))
+	contenders, position := p.index.contenderBuffer[:0], make([]int32, len(candidates))
 	for i, c := range candidates {
 		if touched[i] || compareToIdle(c) == 0 {
 			position[i] = int32(len(contenders))
 			contenders = append(contenders, c)
 		}
 	}
+	p.index.contenderBuffer = contenders
 	for i := range replayed {
 		replayed[i].candidate = position[replayed[i].candidate]
 	}
@@ -55,7 +56,8 @@
 // replay makes the runs of a vote and returns the votes of the contenders, as negative counts.
 func (p *Placer) replay(contenders []candidate, replayed []replayedPlacement) (votes []float64) {
 	load := p.index.externalLoad
-	votes, loads := make([]float64, len(contenders)), make([]float64, len(contenders))
+	p.index.voteBuffer = zeroed(p.index.voteBuffer, len(contenders))
+	votes, loads := p.index.voteBuffer, make([]float64, len(contenders))
 	cores, memory := make([]float64, len(contenders)), make([]float64, len(contenders))
 	for range replayRuns {
 		clear(cores)
