--- /dev/null
+++ b/answers_test.go
@@ -0,0 +1,91 @@
+package flaxshelf
+
+import (
+	"testing"
+	"time"
+)
+
+// Every open task is answered before its deadline, whatever is missing.
+func TestAnswerBeforeDeadline(t *testing.T) {
+	for name, machines := range map[string]int{"no machine": 0, "a machine that never answers": 1} {
+		t.Run(name, func(t *testing.T) {
+			p := startPlacer(t, testConfig(), testMachines(machines))
+			deadline := 4 * time.Second
+			actions := p.Step(time.Second, []Event{submit("t", 0, deadline)})
+			for range 1000 {
+				now := p.now + timerOf(t, actions)
+				actions = p.Step(now, []Event{TimerFired{}})
+				if hasAction(actions, Reject{"t"}) {
+					if now >= deadline {
+						t.Errorf("answered at %v", now)
+					}
+					break
+				}
+				if now > deadline {
+					t.Fatal("no answer")
+				}
+			}
+			if len(p.openTasks) != 0 {
+				t.Error("still open")
+			}
+		})
+	}
+}
+
+// timerOf is the time of the timer that the actions set.
+func timerOf(t *testing.T, actions []Action) time.Duration {
+	t.Helper()
+	for _, action := range actions {
+		if timer, ok := action.(SetTimer); ok {
+			return timer.After
+		}
+	}
+	t.Fatal("no timer while a task is open")
+	return 0
+}
+
+func TestMaxAttempts(t *testing.T) {
+	p := startPlacer(t, testConfig(), testMachines(9))
+	actions := p.Step(time.Second, []Event{submit("t", 0, 9*time.Second)})
+	for i := range 3 {
+		offer := onlyOffer(t, actions)
+		e := AttemptEnded{Task: "t", Machine: offer.Machine, Attempt: i, Outcome: Unreachable}
+		actions = p.Step(time.Second+Time(i+1)*millisecond, []Event{e})
+	}
+	if len(offersOf(actions)) != 0 || !hasAction(actions, Reject{"t"}) {
+		t.Errorf("after three attempts: %v", actions)
+	}
+}
+
+// Events about unknown tasks, machines and attempts lead to no action.
+func TestUnknownReferencesAreIgnored(t *testing.T) {
+	p := startPlacer(t, testConfig(), testMachines(2))
+	actions := p.Step(2*time.Second, []Event{
+		AttemptEnded{Task: "x", Machine: "y"}, AttemptPlaced{Task: "x"}, UsageReport{Task: "x", Kind: 99}, TaskCanceled{"x"},
+		HealthChecked{Machine: "y"}, GossipReceived{From: 3}, TimerFired{}, AttemptEnded{Task: "t", Machine: "m0", Attempt: -1}})
+	if len(actions) != 0 {
+		t.Errorf("got %v", actions)
+	}
+	actions = p.Step(2*time.Second, []Event{submit("odd", 77, 9*time.Second)})
+	if !hasAction(actions, Reject{"odd"}) {
+		t.Errorf("unknown class: %v", actions)
+	}
+}
+
+// Tasks of tenants over their quota wait behind the others.
+func TestOverQuotaTaskIsServedLast(t *testing.T) {
+	cfg := testConfig()
+	cfg.Tenants = []Tenant{{Name: "a", QuotaCores: 1}, {Name: "b", QuotaCores: 100}}
+	p := startPlacer(t, cfg, testMachines(2))
+	p.tenantCores[0], p.tenantCores[1] = 5, 5
+	over, within := &task{class: &cfg.Classes[0]}, &task{class: &cfg.Classes[0]}
+	within.Tenant = 1
+	over.submittedAt, within.submittedAt = p.now, p.now
+	if p.queueRankOf(over) <= p.queueRankOf(within) {
+		t.Errorf("ranks %d and %d", p.queueRankOf(over), p.queueRankOf(within))
+	}
+	within.submittedAt = p.now - time.Minute
+	if p.queueRankOf(over) <= p.queueRankOf(within) {
+		t.Error("a late task within its quota waits behind one over it")
+	}
+}
--- /dev/null
+++ b/constraints_soft_test.go
@@ -0,0 +1,189 @@
+package flaxshelf
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+)
+
+// Incident i4c1909: while no listed machine has free capacity, tasks are queued, and offered once near their deadline.
+func TestTaskQueuedWithoutListedCapacity(t *testing.T) {
+	cfg := testConfig()
+	cfg.ListsFreeCapacity = true
+	full := []Machine{{ID: "m0", Zone: "a", FreeCores: -32, FreeMemory: -50}}
+	p := startPlacer(t, cfg, full)
+	if actions := p.Step(time.Second, []Event{submit("t", 0, 5*time.Second)}); len(offersOf(actions)) != 0 {
+		t.Fatalf("offered to a full machine: %v", actions)
+	}
+	onlyOffer(t, p.Step(4100*millisecond, []Event{TimerFired{}}))
+	p = startPlacer(t, cfg, full)
+	p.Step(time.Second, []Event{submit("t", 0, 5*time.Second)})
+	full[0].FreeCores, full[0].FreeMemory = 10, 10
+	onlyOffer(t, p.Step(2*time.Second, []Event{MachinesUpdated{Machines: full}}))
+}
+
+// Incident i959772 and a crash found with it: no machine is left when all are expected to reject.
+func TestTaskQueuedWhenAllMachinesReject(t *testing.T) {
+	p := startPlacer(t, testConfig(), testMachines(2))
+	for _, m := range p.machinesByID {
+		m.rejectsUntil = time.Hour
+	}
+	reviewAll(p)
+	actions := p.Step(time.Second+millisecond, []Event{submit("t", 0, 9*time.Second)})
+	if len(offersOf(actions)) != 0 || hasAction(actions, Reject{"t"}) {
+		t.Errorf("want the task queued, got %v", actions)
+	}
+}
+
+// After a rejection one offer finds out whether a machine has recovered; more follow as it accepts.
+func TestOfferWindowAfterRejection(t *testing.T) {
+	p := startPlacer(t, testConfig(), testMachines(1))
+	offer := onlyOffer(t, p.Step(time.Second, []Event{submit("t", 0, 2*time.Second)}))
+	ended := AttemptEnded{Task: "t", Machine: offer.Machine, Outcome: Rejected, Final: true, Reason: InsufficientCores}
+	p.Step(time.Second+millisecond, []Event{ended})
+	m := p.machinesByID[0]
+	full := func() bool {
+		reviewAll(p)
+		return p.withoutCapacity(&task{Task: submit("x", 0, 0).Task}, allMachines(p)).Test(uint(m.number))
+	}
+	if p.now = 4 * time.Second; full() {
+		t.Fatal("without capacity after the backoff")
+	}
+	m.pendingOffers = 1
+	if !full() {
+		t.Error("a second offer at once")
+	}
+	m.offerWindow++ // as after an acceptance
+	if full() {
+		t.Error("no second offer after an acceptance")
+	}
+}
+
+// Evidence never stops placements: with every machine failing, offers go on.
+func TestAllMachinesFailingStillPlaces(t *testing.T) {
+	p := startPlacer(t, testConfig(), testMachines(4))
+	for _, m := range p.machinesByID {
+		p.recordFailure(&m.health)
+		p.recordFailure(m.healthOf(0))
+	}
+	reviewAll(p)
+	onlyOffer(t, p.Step(time.Second+millisecond, []Event{submit("t", 0, 9*time.Second)}))
+}
+
+func TestFailingMachineIsAvoided(t *testing.T) {
+	p := startPlacer(t, testConfig(), testMachines(4))
+	p.recordFailure(&p.machinesByID[2].health)
+	reviewAll(p)
+	for i := range 40 {
+		actions := p.Step(time.Second+millisecond, []Event{submit(fmt.Sprint("t", i), 0, 9*time.Second)})
+		if offer := onlyOffer(t, actions); offer.Machine == "m2" {
+			t.Fatal("offered to the failing machine")
+		}
+	}
+}
+
+// A fresh report far over those of the other machines excludes a machine; an old one or a small difference doesn't.
+func TestReportedLoadConstraint(t *testing.T) {
+	for _, c := range []struct {
+		freeCores float64
+		age       time.Duration
+		excluded  bool
+	}{{2, 0, true}, {24, 0, false}, {2, time.Minute, false}} {
+		p := startPlacer(t, testConfig(), testMachines(4))
+		p.now = 2 * time.Minute
+		for i, m := range p.machinesByID {
+			m.loadReport, m.loadReportedAt = LoadReport{Present: true, HasCores: true, FreeCores: 28}, p.now
+			if i == 0 {
+				m.loadReport.FreeCores, m.loadReportedAt = c.freeCores, p.now-c.age
+			}
+			p.addResidency("s", m)
+		}
+		reviewAll(p)
+		task := &task{Task: submit("t", 0, time.Hour).Task, class: &p.cfg.Classes[0]}
+		candidates := p.applySoftConstraints(task, allMachines(p))
+		excluded := !slices.ContainsFunc(candidates, func(c candidate) bool { return c.machine == 0 })
+		if excluded != c.excluded {
+			t.Errorf("free %v, age %v: excluded %v", c.freeCores, c.age, excluded)
+		}
+	}
+}
+
+// Where machines in use are priced, placements keep to as many as the requests of the fleet need.
+func TestConsolidation(t *testing.T) {
+	cfg := testConfig()
+	cfg.ListsFreeCapacity, cfg.Prices.Fleet = true, 0.25
+	machines := testMachines(6)
+	for i := range machines {
+		machines[i].FreeCores, machines[i].FreeMemory = 16, 50 // half of each is requested
+	}
+	p := startPlacer(t, cfg, machines)
+	if used := p.consolidationSet(allMachines(p)).Count(); used < 3 || used > 4 {
+		t.Errorf("%d of 6 half-full machines in use", used)
+	}
+	for i := range machines {
+		machines[i].FreeMemory = 50 - float64(i%2)
+	}
+	p.Step(2*time.Second, []Event{MachinesUpdated{Machines: machines}})
+	for _, id := range []string{"m1", "m3", "m5"} {
+		if !p.consolidationSet(allMachines(p)).Test(uint(p.machines[id].number)) {
+			t.Errorf("%s, one of the fullest, is not kept in use", id)
+		}
+	}
+}
+
+// All schedulers prefer the same machines, and the vote has more than one.
+func TestPreferredMachines(t *testing.T) {
+	task := &task{Task: submit("t", 0, 0).Task}
+	a, b := startPlacer(t, testConfig(), testMachines(6)), startPlacer(t, testConfig(), testMachines(6))
+	for _, service := range []string{"s", "u", "v"} {
+		task.Service = service
+		preferredA, preferredB := a.preferredMachines(task, allMachines(a)), b.preferredMachines(task, allMachines(b))
+		if len(preferredA) != minCandidates {
+			t.Fatalf("%d preferred machines", len(preferredA))
+		}
+		for _, c := range preferredA {
+			if !slices.Contains(preferredB, c) {
+				t.Errorf("service %s: the other scheduler does not prefer %s", service, a.machinesByID[c.machine].ID)
+			}
+		}
+	}
+	for _, m := range a.machinesByID[:4] {
+		a.addResidency("s", m)
+	}
+	task.Service = "s"
+	if preferred := a.preferredMachines(task, allMachines(a)); len(preferred) < 4 || len(preferred) > 5 {
+		t.Errorf("with tasks on four machines: %d preferred machines", len(preferred))
+	}
+}
+
+// Both preferred machines of a service are overloaded: its large tasks may go to the two next that aren't, small ones stay.
+func TestLargeTasksAvoidOverloadedPreferredMachines(t *testing.T) {
+	for _, cores := range []float64{1, 16} {
+		p := startPlacer(t, testConfig(), testMachines(6))
+		task := p.addTask(Task{ID: "t", Service: "s", Cores: cores, Memory: 1})
+		names := func() (all []string) {
+			for _, c := range p.preferredMachines(task, allMachines(p)) {
+				all = append(all, p.machinesByID[c.machine].ID)
+			}
+			return all
+		}
+		preferred := names()
+		if len(preferred) != minCandidates {
+			t.Fatalf("%v cores: preferred %v", cores, preferred)
+		}
+		for _, name := range preferred {
+			p.markOverloaded(p.findOrAddMachine(name), overloadDuration, 1)
+		}
+		withOverload, added := names(), 0
+		for _, name := range withOverload {
+			if p.findOrAddMachine(name).overloadedUntil == 0 {
+				added++
+			}
+		}
+		want := map[float64]int{1: 0, 16: minCandidates}[cores]
+		if added != want || !slices.Equal(withOverload[:minCandidates], preferred) {
+			t.Errorf("%v cores: %v where %v are overloaded, want %d more", cores, withOverload, preferred, want)
+		}
+	}
+}
--- /dev/null
+++ b/evidence_test.go
@@ -0,0 +1,129 @@
+package flaxshelf
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+)
+
+// After a failure a trial placement keeps further offers away until it is answered.
+func TestTrialPlacementAfterFailure(t *testing.T) {
+	p := startPlacer(t, testConfig(), testMachines(4))
+	h := p.machinesByID[2].healthOf(0)
+	p.recordFailure(h)
+	p.now = h.ejectedUntil
+	p.startTrial(h)
+	if p.now >= h.ejectedUntil {
+		t.Error("not ejected during the trial placement")
+	}
+	if p.recordSuccess(h); p.now < h.ejectedUntil {
+		t.Error("ejected after a success")
+	}
+}
+
+// One class fails on most machines where another succeeds: the first keeps to those that serve it, the other goes on
+// using all. Where no class has succeeded, the machine itself is ejected.
+func TestClassFailureOnMostMachines(t *testing.T) {
+	cfg := testConfig()
+	cfg.Classes = append(cfg.Classes, cfg.Classes[0])
+	p := startPlacer(t, cfg, testMachines(8))
+	failing, other := &task{Task: Task{Class: 0}}, &task{Task: Task{Class: 1}}
+	failing.class, other.class = &p.cfg.Classes[0], &p.cfg.Classes[1]
+	for _, m := range p.machinesByID[:6] {
+		p.recordSuccess(m.healthOf(1))
+		p.recordTaskFailure(failing, m)
+	}
+	reviewAll(p)
+	usable := func(t *task) (ids []string) {
+		for _, m := range p.machinesByID {
+			if p.now >= m.health.ejectedUntil && p.now >= m.healthOf(t.Class).ejectedUntil {
+				ids = append(ids, m.ID)
+			}
+		}
+		return ids
+	}
+	if got := usable(failing); !slices.Equal(got, []string{"m6", "m7"}) {
+		t.Errorf("the failing class is left %v", got)
+	}
+	if got := usable(other); len(got) != 8 {
+		t.Errorf("the other class is left %v", got)
+	}
+	for range 20 {
+		if m := p.chooseMachine(failing); m.ID != "m6" && m.ID != "m7" {
+			t.Errorf("the failing class went to %s", m.ID)
+		}
+	}
+	p.recordTaskFailure(failing, p.machinesByID[7])
+	if got := usable(other); len(got) != 7 {
+		t.Errorf("a machine without any success is not ejected: %v", got)
+	}
+}
+
+// An error is attributed to its machine once another has placed the task, or when the task ends with it alone; a malformed
+// task, which several machines answer with an error and none places, ejects none of them. Where the class has not
+// succeeded lately, or there is no second attempt to tell, the machine is ejected at once.
+func TestTaskFaultEjectsNoMachine(t *testing.T) {
+	for _, c := range []struct {
+		name        string
+		idempotency Idempotency
+		succeeded   bool // the class, on all machines
+		errors      int
+		placed      bool
+		ejected     int
+	}{
+		{"errors everywhere", Idempotent, true, 3, false, 0},
+		{"placed by the second", Idempotent, true, 1, true, 1},
+		{"placed by the third", Idempotent, true, 2, true, 2},
+		{"no success there", Idempotent, false, 3, false, 3},
+		{"no second attempt", NonIdempotent, true, 1, false, 1},
+	} {
+		cfg := testConfig()
+		cfg.Classes[0].Idempotency = c.idempotency
+		p := startPlacer(t, cfg, testMachines(6))
+		if c.succeeded {
+			for _, m := range p.machinesByID {
+				p.recordSuccess(m.healthOf(0))
+			}
+		}
+		reviewAll(p)
+		actions := p.Step(time.Second+millisecond, []Event{submit("t", 0, 9*time.Second)})
+		for n := range c.errors {
+			offer := onlyOffer(t, actions)
+			ended := AttemptEnded{Task: "t", Machine: offer.Machine, Attempt: n, Outcome: Failed}
+			actions = p.Step(time.Second+Time(n+2)*millisecond, []Event{ended})
+		}
+		if c.placed {
+			offer := onlyOffer(t, actions)
+			p.Step(time.Second+9*millisecond, []Event{AttemptPlaced{Task: "t", Machine: offer.Machine, Attempt: c.errors}})
+		} else if len(offersOf(actions)) > 0 {
+			t.Errorf("%s: offered once more: %v", c.name, actions)
+		}
+		ejected := 0
+		for _, m := range p.machinesByID {
+			if p.now < m.healthOf(0).ejectedUntil {
+				ejected++
+			}
+		}
+		if ejected != c.ejected {
+			t.Errorf("%s: %d machines ejected, want %d", c.name, ejected, c.ejected)
+		}
+	}
+}
+
+// With few placements beside the machines an ejection lasts until an offer would come to the machine again.
+func TestEjectionLastsTrialInterval(t *testing.T) {
+	p := startPlacer(t, testConfig(), testMachines(10))
+	for i := range 4 {
+		p.Step(time.Second+Time(i+1)*400*millisecond, []Event{submit(fmt.Sprint("t", i), 0, time.Minute)})
+	}
+	if h := &p.machinesByID[0].health; h.ejectedUntil == 0 {
+		p.recordFailure(h)
+		if h.ejectedUntil-p.now < 2*time.Second {
+			t.Errorf("ejected for %v", h.ejectedUntil-p.now)
+		}
+	}
+	if p.trialInterval() > failureMemory {
+		t.Error("the trial interval is not bounded")
+	}
+}
--- /dev/null
+++ b/helpers_test.go
@@ -0,0 +1,91 @@
+package flaxshelf
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+
+	"github.com/bits-and-blooms/bitset"
+)
+
+const millisecond = time.Millisecond
+
+// testConfig is a valid configuration that tests modify.
+func testConfig() Config {
+	return Config{
+		Schedulers: 1, Zone: "a", Kinds: []Kind{{"k", 32, 100}}, CoreOvercommit: 2, MemoryOvercommit: 1.5,
+		Classes:     []Class{{Name: "c", Idempotency: Idempotent, LatencyObjective: time.Second, Kind: -1}},
+		MaxAttempts: 3, CanCancel: true, Tick: 2 * millisecond, OverloadWindow: time.Second, SlowStartDuration: 10 * time.Second,
+		SlowStartBudget: 12, DiscoveryPollDeadline: 10 * time.Second,
+	}
+}
+
+// testMachines is machines m0, m1 and so on, two in each cell.
+func testMachines(count int) []Machine {
+	var machines []Machine
+	for i := range count {
+		machines = append(machines, Machine{ID: fmt.Sprintf("m%d", i), Zone: "a", Cell: i / 2})
+	}
+	return machines
+}
+
+// startPlacer makes a Placer that knows the machines, at the time of one second.
+func startPlacer(t *testing.T, cfg Config, machines []Machine) *Placer {
+	t.Helper()
+	p, err := New(cfg, 7)
+	if err != nil {
+		t.Fatal(err)
+	}
+	p.Step(time.Second, []Event{MachinesUpdated{Complete: true, Machines: machines}})
+	return p
+}
+
+// submit requests a small task of service s.
+func submit(id string, class int, deadline Time) TaskSubmitted {
+	return TaskSubmitted{Task{ID: id, Service: "s", Class: class, Cores: 1, Memory: 1, Deadline: deadline, Tenant: -1}}
+}
+
+// offersOf lists the offers among actions.
+func offersOf(actions []Action) (offers []Offer) {
+	for _, action := range actions {
+		if offer, ok := action.(Offer); ok {
+			offers = append(offers, offer)
+		}
+	}
+	return offers
+}
+
+// onlyOffer is the one offer among actions.
+func onlyOffer(t *testing.T, actions []Action) Offer {
+	t.Helper()
+	offers := offersOf(actions)
+	if len(offers) != 1 {
+		t.Fatalf("want one offer, got %v", actions)
+	}
+	return offers[0]
+}
+
+// allMachines is the set of all machines.
+func allMachines(p *Placer) *bitset.BitSet {
+	p.refresh()
+	set := bitset.MustNew(uint(len(p.machinesByID)))
+	return set.FlipRange(0, uint(len(p.machinesByID)))
+}
+
+// allCandidates has all machines in the vote, without affinity.
+func allCandidates(p *Placer) (list []candidate) {
+	for i := range allMachines(p).EachSet() {
+		list = append(list, candidate{machine: int32(i)})
+	}
+	return list
+}
+
+// reviewAll updates the index after a test has written into machines.
+func reviewAll(p *Placer) {
+	for _, m := range p.machinesByID {
+		p.requestReview(m)
+	}
+}
+
+func hasAction(actions []Action, want Action) bool { return slices.Contains(actions, want) }
--- a/rules_test.go
+++ b/rules_test.go
@@ -3,326 +3,69 @@
 import (
 	"fmt"
 	"math/rand/v2"
+	"strings"
 	"testing"
 	"time"
 )
 
-// checker follows a run from the outside, by events and actions alone, and checks the five rules. It shares
-// no bookkeeping with the module.
-type checker struct {
-	t     *testing.T
-	c     Config
-	now   Time
-	born  Time
-	mach  map[string]Machine
-	told  map[string]Time // since when a machine is known to drain or be gone
-	asks  map[string]*asked
-	sends map[string][]Time
+// randomRun plays one sequence of random events and checks the rules on the way.
+type randomRun struct {
+	actions  string
+	offers   int
+	failures int
 }
 
-type asked struct {
-	task     Task
-	answered bool
-	tries    []try
-}
-
-type try struct {
-	machine       string
-	at            Time
-	live, mayHave bool
-}
-
-func (k *checker) event(e Event) {
-	switch e := e.(type) {
-	case MachinesUpdated:
-		seen := map[string]bool{}
-		for _, m := range e.Machines {
-			seen[m.ID] = true
-			k.mach[m.ID] = m
-			if m.State == Active {
-				delete(k.told, m.ID)
-			} else if _, ok := k.told[m.ID]; !ok {
-				k.told[m.ID] = k.now
-			}
+func playRandomEvents(t *testing.T, seed uint64) (run randomRun) {
+	t.Helper()
+	random := rand.New(rand.NewPCG(seed, 5))
+	cfg := randomConfig(random)
+	checker := newRuleChecker(t, cfg, time.Second)
+	source := &eventSource{random: random, checker: checker}
+	p, err := New(cfg, seed)
+	if err != nil {
+		t.Fatal(err)
+	}
+	events := []Event{MachinesUpdated{Complete: true, Stale: true, Machines: []Machine{
+		{ID: "m0", Zone: "z0"}, {ID: "m1", Zone: "z1", Cell: 1, Kind: 1}}}}
+	var log strings.Builder
+	for range 800 {
+		for _, e := range events {
+			checker.event(e)
 		}
-		for id := range k.mach {
-			if _, ok := k.told[id]; e.Complete && !seen[id] && !ok {
-				k.told[id] = k.now
+		for _, action := range p.Step(checker.now, events) {
+			fmt.Fprint(&log, checker.now, action)
+			checker.action(action)
+			switch action := action.(type) {
+			case Offer:
+				run.offers++
+				source.offered(action)
+			case Fail:
+				run.failures++
 			}
 		}
-	case TaskSubmitted:
-		k.asks[e.Task.ID] = &asked{task: e.Task}
-	case TaskAdopted:
-		k.asks[e.Task.ID] = &asked{task: e.Task, answered: true,
-			tries: []try{{machine: e.Machine, at: k.now, live: true, mayHave: true}}}
-	case AttemptPlaced:
-		k.asks[e.Task].answered = true
-	case AttemptEnded:
-		a := k.asks[e.Task]
-		tr := &a.tries[e.Attempt]
-		tr.live = false
-		tr.mayHave = e.Outcome != Rejected && e.Outcome != Unreachable && e.Outcome != NotSent
-		a.answered = a.answered || e.Final
-	}
-}
-
-func (k *checker) action(x Action) {
-	switch x := x.(type) {
-	case Offer:
-		k.offer(x)
-	case Reject:
-		a := k.asks[x.Task]
-		cl := k.c.Classes[a.task.Class]
-		for _, tr := range a.tries {
-			if tr.mayHave && (cl.Idempotency == NonIdempotent || cl.Idempotency == IdempotentByKey && cl.KeyDomain != FleetDomain) {
-				k.t.Errorf("%v: refused %s, which may have run", k.now, x.Task)
-			}
-		}
-		k.answer(x.Task)
-	case Fail:
-		k.answer(x.Task)
-	}
-}
-
-func (k *checker) answer(id string) {
-	a := k.asks[id]
-	if a.answered {
-		k.t.Errorf("%v: second answer for %s", k.now, id)
-	}
-	if k.now >= a.task.Deadline {
-		k.t.Errorf("%v: %s answered after %v", k.now, id, a.task.Deadline)
-	}
-	a.answered = true
-}
-
-func (k *checker) place(at TopologyDomain, m string) string {
-	switch at {
-	case MachineDomain:
-		return m
-	case CellDomain:
-		return fmt.Sprint("cell", k.mach[m].Cell)
-	case ZoneDomain:
-		return "zone" + k.mach[m].Zone
+		checker.checkAnswered()
+		checker.now += time.Duration(1+random.IntN(4)) * 2 * millisecond
+		events = append(source.events(), TimerFired{})
 	}
-	return ""
+	run.actions = log.String()
+	return run
 }
 
-func (k *checker) offer(o Offer) {
-	a := k.asks[o.Task]
-	cl := k.c.Classes[a.task.Class]
-	m, ok := k.mach[o.Machine]
-	if !ok {
-		k.t.Errorf("%v: offer to unlisted %s", k.now, o.Machine)
-	}
-	if a.answered || k.now >= a.task.Deadline {
-		k.t.Errorf("%v: offer for %s after its end", k.now, o.Task)
-	}
-	if k.now+o.Timeout > a.task.Deadline {
-		k.t.Errorf("%v: time-out of %s runs past its end", k.now, o.Task)
-	}
-	if since, ok := k.told[o.Machine]; ok && k.now-since >= 0 {
-		k.t.Errorf("%v: offer to %s, told as stopping at %v", k.now, o.Machine, since)
-	}
-	if cl.Kind >= 0 && cl.Kind != m.Kind {
-		k.t.Errorf("%v: wrong kind for %s", k.now, o.Task)
-	}
-	if len(a.tries) >= k.c.MaxAttempts {
-		k.t.Errorf("%v: too many attempts of %s", k.now, o.Task)
-	}
-	for _, tr := range a.tries {
-		if tr.live {
-			k.t.Errorf("%v: two attempts of %s out", k.now, o.Task)
-		}
-		if !tr.mayHave || cl.Idempotency == Idempotent {
-			continue
-		}
-		if cl.Idempotency == NonIdempotent || k.place(cl.KeyDomain, tr.machine) != k.place(cl.KeyDomain, o.Machine) ||
-			k.now-tr.at >= cl.KeyTTL {
-			k.t.Errorf("%v: %s may have run, sent again to %s", k.now, o.Task, o.Machine)
-		}
-	}
-	a.tries = append(a.tries, try{machine: o.Machine, at: k.now, live: true, mayHave: true})
-	k.checkSpread(o, a, cl)
-	k.checkCold(o, m)
-}
-
-func (k *checker) checkSpread(o Offer, a *asked, cl Class) {
-	if cl.SpreadDomain == NoDomain {
-		return
-	}
-	n := 0
-	for _, b := range k.asks {
-		for _, tr := range b.tries {
-			if tr.live && b.task.Service == a.task.Service &&
-				k.place(cl.SpreadDomain, tr.machine) == k.place(cl.SpreadDomain, o.Machine) {
-				n++
-			}
-		}
-	}
-	if n > cl.MaxPerDomain {
-		k.t.Errorf("%v: %d tasks of %s together", k.now, n, a.task.Service)
-	}
-}
-
-func (k *checker) checkCold(o Offer, m Machine) {
-	if m.Started == 0 || k.now > m.Started+k.c.SlowStartDuration {
-		return
-	}
-	if k.born > m.Started && k.now < k.born+k.c.OverloadWindow {
-		k.t.Errorf("%v: offer to cold %s with an unknown budget", k.now, o.Machine)
-	}
-	k.sends[o.Machine] = append(k.sends[o.Machine], k.now)
-	n := 0
-	for _, at := range k.sends[o.Machine] {
-		if at >= m.Started && k.now-at <= k.c.OverloadWindow {
-			n++
-		}
-	}
-	// A share of whole offers, and one more in a turn where the shares leave one over. That the sum of the fleet stays within
-	// the budget is TestColdBudgetOfTheFleet's.
-	share := int(k.c.SlowStartBudget / float64(k.c.Schedulers))
-	if k.c.SlowStartBudget-float64(share*k.c.Schedulers) >= 1 {
-		share++
-	}
-	if n > share {
-		k.t.Errorf("%v: %d offers to cold %s", k.now, n, o.Machine)
-	}
-}
-
-// settings draws a deployment.
-func settings(r *rand.Rand) Config {
-	c := config()
-	c.Schedulers = 1 + r.IntN(4)
-	c.Kinds = []Kind{{"small", 16, 50}, {"big", 64, 200}}
-	c.SlowStartBudget = float64(5 + r.IntN(30))
-	c.DiscoveryOnRequest, c.ListsFreeCapacity, c.CanCancel = r.IntN(2) == 0, r.IntN(2) == 0, r.IntN(2) == 0
-	c.Prices = Prices{CrossZone: float64(r.IntN(2)), Fleet: float64(r.IntN(2))}
-	c.Classes = nil
-	for _, e := range []Idempotency{Idempotent, IdempotentByKey, IdempotentByKey, NonIdempotent} {
-		c.Classes = append(c.Classes, Class{Name: fmt.Sprint(len(c.Classes)), Idempotency: e,
-			KeyDomain: MachineDomain + TopologyDomain(r.IntN(4)), KeyTTL: time.Duration(1+r.IntN(4)) * 500 * ms,
-			LatencyObjective: 300 * ms, Kind: r.IntN(3) - 1, Priority: r.IntN(3),
-			SpreadDomain: TopologyDomain(r.IntN(4)), MaxPerDomain: 1 + r.IntN(3)})
-	}
-	return c
-}
-
-// world draws legal events: it answers offers, moves the machine list and asks for tasks.
-type world struct {
-	r   *rand.Rand
-	k   *checker
-	out []pending
-	ids int
-}
-
-type pending struct {
-	task, machine string
-	attempt       int
-	due           Time
-	placed        bool
-}
-
-func (w *world) events() (es []Event) {
-	k, r := w.k, w.r
-	for i := 0; i < len(w.out); i++ {
-		if p := &w.out[i]; k.now >= p.due {
-			a := k.asks[p.task]
-			if !p.placed && !a.answered && r.IntN(3) > 0 {
-				es = append(es, AttemptPlaced{Task: p.task, Machine: p.machine, Attempt: p.attempt, Latency: 20 * ms})
-				p.placed, p.due = true, k.now+time.Duration(r.IntN(4000))*ms
-				continue
-			}
-			v := Outcome(1 + r.IntN(7))
-			if p.placed {
-				v = []Outcome{Completed, Lost}[r.IntN(2)]
-			}
-			es = append(es, AttemptEnded{Task: p.task, Machine: p.machine, Attempt: p.attempt, Outcome: v,
-				Final: a.answered || p.placed, Reason: Reason(r.IntN(5)),
-				Load: LoadReport{Present: r.IntN(2) == 0, HasCores: true, FreeCores: float64(r.IntN(20))}})
-			w.out = append(w.out[:i], w.out[i+1:]...)
-			i--
-		}
-	}
-	for range r.IntN(4) {
-		w.ids++
-		es = append(es, TaskSubmitted{Task{ID: fmt.Sprint("t", w.ids), Service: fmt.Sprint("s", r.IntN(3)),
-			Class: r.IntN(4), Cores: 1, Memory: 2, Tenant: -1,
-			Deadline: k.now + time.Duration(1+r.IntN(3000))*ms}})
-	}
-	if r.IntN(6) == 0 {
-		m := Machine{ID: fmt.Sprint("m", r.IntN(8)), Kind: r.IntN(2), State: MachineState(r.IntN(3))}
-		m.Zone, m.Cell = "z"+m.ID[1:2], int(m.ID[1])%3
-		if old, ok := k.mach[m.ID]; ok {
-			m.Kind, m.Started = old.Kind, old.Started
-		}
-		if m.State == Active && r.IntN(2) == 0 {
-			m.Started = k.now
-		}
-		es = append(es, MachinesUpdated{Machines: []Machine{m}, Complete: r.IntN(30) == 0})
-	}
-	if r.IntN(40) == 0 {
-		es = append(es, DiscoveryFailed{})
-	}
-	return es
-}
-
-// Many drawn event sequences keep the rules, and equal sequences give equal actions.
-func TestRulesUnderDrawnEvents(t *testing.T) {
-	offered, failed := 0, 0
+// Random sequences of events keep the rules, and equal sequences give equal actions.
+func TestRulesUnderRandomEvents(t *testing.T) {
+	offers, failures := 0, 0
 	for seed := range uint64(60) {
-		var logs [2]string
-		for again := range logs {
-			r := rand.New(rand.NewPCG(seed, 5))
-			c := settings(r)
-			k := &checker{t: t, c: c, mach: map[string]Machine{}, told: map[string]Time{},
-				asks: map[string]*asked{}, sends: map[string][]Time{}, now: time.Second, born: time.Second}
-			w := &world{r: r, k: k}
-			p, err := New(c, seed)
-			if err != nil {
-				t.Fatal(err)
-			}
-			first := []Event{MachinesUpdated{Complete: true, Stale: true, Machines: []Machine{
-				{ID: "m0", Zone: "z0"}, {ID: "m1", Zone: "z1", Cell: 1, Kind: 1}}}}
-			for n := range 800 {
-				es := first
-				if n > 0 {
-					es = append(w.events(), TimerFired{})
-				}
-				first = nil
-				for _, e := range es {
-					k.event(e)
-				}
-				for _, a := range p.Step(k.now, es) {
-					logs[again] += fmt.Sprint(k.now, a)
-					k.action(a)
-					if o, ok := a.(Offer); ok {
-						offered++
-						tries := len(k.asks[o.Task].tries) - 1
-						w.out = append(w.out, pending{task: o.Task, machine: o.Machine, attempt: tries,
-							due: k.now + time.Duration(r.IntN(int(o.Timeout/ms)+1))*ms})
-					}
-					if _, ok := a.(Fail); ok {
-						failed++
-					}
-				}
-				for id, a := range k.asks {
-					if !a.answered && k.now >= a.task.Deadline && a.task.Deadline > time.Second {
-						if a.task.Deadline-k.now < -12*ms {
-							t.Fatalf("seed %d: %s has no answer", seed, id)
-						}
-					}
-				}
-				k.now += time.Duration(1+r.IntN(4)) * 2 * ms
-			}
-		}
-		if logs[0] != logs[1] {
+		first, second := playRandomEvents(t, seed), playRandomEvents(t, seed)
+		if first.actions != second.actions {
 			t.Fatalf("seed %d: equal events, different actions", seed)
 		}
 		if t.Failed() {
 			t.Fatalf("seed %d", seed)
 		}
+		offers += first.offers + second.offers
+		failures += first.failures + second.failures
 	}
-	if offered < 10000 || failed < 100 {
-		t.Errorf("%d offers, %d failures: the drawn events exercise too little", offered, failed)
+	if offers < 10000 || failures < 100 {
+		t.Errorf("%d offers, %d failures: the random events exercise too little", offers, failures)
 	}
 }
--- /dev/null
+++ b/vote_test.go
@@ -0,0 +1,153 @@
+package flaxshelf
+
+import (
+	"fmt"
+	"math"
+	"testing"
+	"time"
+)
+
+// With expected runtimes each survival is 1 or 0, so every run votes for the machine whose task has ended.
+func TestVotePicksMachineWithoutLivingTask(t *testing.T) {
+	p := startPlacer(t, testConfig(), testMachines(3))
+	p.now = 10 * time.Second
+	for i, runtime := range []time.Duration{20 * time.Second, time.Second, 20 * time.Second} {
+		b := &placement{machine: p.machinesByID[i], placedAt: 5 * time.Second, cores: 4, memory: 1, expectedRuntime: runtime}
+		p.history = append(p.history, b)
+		p.indexPlacement(b)
+	}
+	for range 50 {
+		if m := p.vote(allCandidates(p)); m.ID != "m1" {
+			t.Fatalf("chose %s, though only m1's task has ended", m.ID)
+		}
+	}
+}
+
+// The larger of the fractions of cores and memory is the load.
+func TestVoteUsesLargerOfCoresAndMemory(t *testing.T) {
+	p := startPlacer(t, testConfig(), testMachines(2))
+	p.now = 10 * time.Second
+	p.history = []*placement{
+		{machine: p.machinesByID[0], placedAt: p.now, cores: 1, memory: 50, expectedRuntime: time.Hour},
+		{machine: p.machinesByID[1], placedAt: p.now, cores: 8, memory: 1, expectedRuntime: time.Hour},
+	}
+	for _, b := range p.history {
+		p.indexPlacement(b)
+	}
+	if m := p.vote(allCandidates(p)); m.ID != "m1" {
+		t.Errorf("chose %s", m.ID)
+	}
+}
+
+// What other schedulers requested by the list counts in each run; this scheduler's own part of it counts once.
+func TestVoteCountsExternalLoad(t *testing.T) {
+	cfg := testConfig()
+	cfg.ListsFreeCapacity = true
+	machines := testMachines(2)
+	for i := range machines {
+		machines[i].FreeCores, machines[i].FreeMemory = 32, 100
+	}
+	machines[0].FreeCores = 12
+	p := startPlacer(t, cfg, machines)
+	for i := range 8 {
+		actions := p.Step(time.Second, []Event{submit(fmt.Sprint("t", i), 0, time.Minute)})
+		if offer := onlyOffer(t, actions); offer.Machine != "m1" {
+			t.Errorf("offer %d went to the machine that others use", i)
+		}
+	}
+	machines[0].FreeCores, machines[1].FreeCores = 32, 24 // m1 has the eight of this scheduler, the others' have ended
+	p.Step(4*time.Second, []Event{MachinesUpdated{Machines: machines}})
+	for _, m := range p.machinesByID {
+		if load := p.externalLoad(m); load != 0 {
+			t.Errorf("%s: external load %v, want none", m.ID, load)
+		}
+	}
+}
+
+// The service shortfall of tasks counts as load in the vote for a while; a machine with a larger shortfall loses to one
+// with a smaller, and a fuller one with full service wins over both.
+func TestServiceShortfallCountsAsLoad(t *testing.T) {
+	p := startPlacer(t, testConfig(), testMachines(3))
+	p.Step(time.Second, []Event{
+		TaskAdopted{Task: Task{ID: "a", Service: "x", Cores: 1, Memory: 1, Tenant: -1}, Machine: "m0"},
+		TaskAdopted{Task: Task{ID: "b", Service: "y", Cores: 1, Memory: 1, Tenant: -1}, Machine: "m1"},
+		TaskAdopted{Task: Task{ID: "c", Service: "z", Cores: 8, Memory: 1, Tenant: -1}, Machine: "m2"}})
+	p.Step(time.Second+millisecond, []Event{UsageReport{Task: "a", Machine: "m0", Kind: ServiceLevel, Amount: 0.4},
+		UsageReport{Task: "b", Machine: "m1", Kind: ServiceLevel, Amount: 0.8}})
+	p.refresh()
+	if m := p.vote(allCandidates(p)); m.ID != "m2" {
+		t.Errorf("%s wins over the one with full service", m.ID)
+	}
+	if m := p.vote(allCandidates(p)[:2]); m.ID != "m1" {
+		t.Errorf("%s wins over the one with better service", m.ID)
+	}
+	p.now += 2 * overloadDuration
+	reviewAll(p)
+	p.refresh()
+	if m := p.vote(allCandidates(p)); m.ID == "m2" {
+		t.Error("old reports still count")
+	}
+	p.Step(p.now, []Event{UsageReport{Task: "a", Machine: "m0", Kind: MemoryPressure, Amount: 0.99}})
+	if p.refresh(); p.vote(allCandidates(p)[:2]).ID != "m1" {
+		t.Error("memory pressure does not count")
+	}
+}
+
+// Ties go to the machine of higher affinity, and large machines have it for more services: with an empty history neither
+// may every service start on all of its preferred machines, nor the small machines fill first.
+func TestTiesGoToHigherAffinity(t *testing.T) {
+	cfg := testConfig()
+	cfg.Kinds = append(cfg.Kinds, Kind{"big", 96, 300})
+	machines := testMachines(8)
+	for i := range 4 {
+		machines[i].Kind = 1
+	}
+	p, q := startPlacer(t, cfg, machines), startPlacer(t, cfg, machines)
+	big := 0
+	for i := range 1000 {
+		task := &task{Task: Task{Service: fmt.Sprint("s", i), Cores: 1}, class: &cfg.Classes[0]}
+		m := p.chooseMachine(task)
+		if other := q.chooseMachine(task); other.ID != m.ID {
+			t.Fatalf("two schedulers chose %s and %s", m.ID, other.ID)
+		}
+		if m.Kind == 1 {
+			big++
+		}
+	}
+	if big < 700 || big > 800 {
+		t.Errorf("machines of three times the size got %d of 1000", big)
+	}
+}
+
+// Without affinity ties are drawn: an empty history spreads evenly.
+func TestVoteTiesAreRandom(t *testing.T) {
+	p := startPlacer(t, testConfig(), testMachines(4))
+	count := map[string]int{}
+	for range 4000 {
+		count[p.vote(allCandidates(p)).ID]++
+	}
+	for id, n := range count {
+		if n < 850 || n > 1150 {
+			t.Errorf("%s chosen %d times of 4000", id, n)
+		}
+	}
+}
+
+// With exponential lifetimes a placement of some age survives with probability exp(-age/mean).
+func TestSurvivalAndMeanLifetime(t *testing.T) {
+	p := startPlacer(t, testConfig(), testMachines(2))
+	p.now = 70 * time.Second
+	b := &placement{machine: p.machinesByID[0], placedAt: 10 * time.Second}
+	if got := p.survival(b); math.Abs(got-math.Exp(-1)) > 1e-9 {
+		t.Errorf("survival %v after one initial lifetime", got)
+	}
+	p.lifetimes[0] = lifetimeStats{observed: 180 * time.Second, ended: 3}
+	if mean := p.meanLifetime(0); mean != 60*time.Second {
+		t.Errorf("mean lifetime %v, want (180+60)/4", mean)
+	}
+	// Two that still run, observed for 40 s and 60 s, count as time without an end.
+	p.lifetimes[0].running, p.lifetimes[0].startSum = 2, 30*time.Second+10*time.Second
+	if mean := p.meanLifetime(0); mean != 85*time.Second {
+		t.Errorf("mean lifetime %v, want (180+40+60+60)/4", mean)
+	}
+}
