--- a/internal/lab/emulator/emulator_test.go
+++ b/internal/lab/emulator/emulator_test.go
@@ -58,7 +58,7 @@
 					t.Errorf("life %d of a scheduler: %d steps, %v", i, x.Steps, x.Err)
 				}
 			}
-			if !v.OK() || rep.Unaccounted > 0 || v.Taken == 0 || v.Rules[0].Checked == 0 || v.Rules[1].Checked == 0 {
+			if !v.OK() || rep.Unaccounted > 0 || v.Admitted == 0 || v.Rules[0].Checked == 0 || v.Rules[1].Checked == 0 {
 				t.Errorf("%s%s", v, rep)
 			}
 		})
@@ -144,7 +144,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !v.OK() || rep.Unaccounted > 0 || v.Taken < 900 {
+	if !v.OK() || rep.Unaccounted > 0 || v.Admitted < 900 {
 		t.Errorf("%s%s", v, rep)
 	}
 }
--- a/internal/lab/emulator/recorder.go
+++ b/internal/lab/emulator/recorder.go
@@ -117,26 +117,26 @@
 
 func (r *recorder) dead(n *node, at Time) {
 	if r != nil {
-		r.mark(rules.MarkNodeDead, n.place.Name, at)
+		r.mark(rules.MarkNodeDied, n.place.Name, at)
 	}
 }
 
 func (r *recorder) fell(n *node, at Time) {
 	if r != nil {
-		r.mark(rules.MarkFellOver, n.place.Name, at)
+		r.mark(rules.MarkNodeOverloaded, n.place.Name, at)
 	}
 }
 
 func (r *recorder) killed(s *server, at Time) {
 	if r != nil {
-		r.mark(rules.MarkKilled, s.set.Name, at)
+		r.mark(rules.MarkSchedulerKilled, s.set.Name, at)
 	}
 }
 
 func (r *recorder) stopped(s *server, at, until Time) {
 	if r != nil {
-		r.mark(rules.MarkStopped, s.set.Name, at)
-		r.mark(rules.MarkGoesOn, s.set.Name, until)
+		r.mark(rules.MarkSchedulerPaused, s.set.Name, at)
+		r.mark(rules.MarkSchedulerResumed, s.set.Name, until)
 	}
 }
 
--- a/internal/lab/rules/figures.go
+++ b/internal/lab/rules/figures.go
@@ -1,157 +1,77 @@
-// Package rules owns the proof: it reads a recording of the traffic and judges the five rules from it alone. It
-// must not ask the scheduler, nor import its core or the module.
 package rules
 
-import (
-	"fmt"
-	"sort"
-	"strings"
-	"time"
-)
+import "time"
 
-// Figures are what the rules of a deployment are measured by. Durations are in nanoseconds in JSON.
+// Figures are the limits by which a recording is judged. They are stored in the head of a recording; durations are in
+// nanoseconds there.
 type Figures struct {
-	Classes     []Class       `json:"Classes"`
-	DrainGrace  time.Duration `json:"DrainGrace"`
+	// Classes are the service classes; a class that is not listed counts as non-idempotent and has no other limits.
+	Classes []Class `json:"Classes"`
+	// DrainGrace is how long a scheduler may still offer tasks to a node after it was notified that the node drains.
+	DrainGrace time.Duration `json:"DrainGrace"`
+	// AnswerSlack is how much later than its placement timeout a job's outcome may come.
 	AnswerSlack time.Duration `json:"AnswerSlack"`
-	Settle      time.Duration `json:"Settle"`
-	Cold        Cold          `json:"Cold"`
+	// Settle is how long an attempt with an unknown outcome blocks another run of a non-idempotent task.
+	Settle time.Duration `json:"Settle"`
+	// Cold is the slow start of nodes.
+	Cold Cold `json:"Cold"`
 	// Skew is allowed between the recorder's times and the parties': the time that bytes spend on the way to the
 	// recorder on a busy machine.
 	Skew time.Duration `json:"Skew"`
 }
 
-// Class is what the rules say of one class.
+// Class is the limits of one service class.
 type Class struct {
-	Name   string        `json:"Name"`
-	Effect string        `json:"Effect"` // safe, keyed, unsafe
-	Group  string        `json:"Group"`  // keyed: machine, cell, zone, everywhere
+	// Name is the class's name in the settings.
+	Name string `json:"Name"`
+	// Effect is the idempotency of the class's tasks: safe, keyed or unsafe.
+	Effect string `json:"Effect"`
+	// Group is the topology domain that remembers idempotency keys: machine, cell, zone or everywhere.
+	Group string `json:"Group"`
+	// Window is how long a domain remembers an idempotency key.
 	Window time.Duration `json:"Window"`
+	// GiveUp is the placement timeout.
 	GiveUp time.Duration `json:"GiveUp"`
-	Spread string        `json:"Spread"` // "", machine, cell, zone
-	Most   int           `json:"Most"`
-}
-
-// Cold is what a node bears that has just come up.
-type Cold struct {
-	For             time.Duration `json:"For"`
-	Window          time.Duration `json:"Window"`
-	From            float64       `json:"From"` // pace when fresh, of 1
-	Multiple        float64       `json:"Multiple"`
-	Always          float64       `json:"Always"`          // offers within Window that it always bears
-	StartsPerSecond float64       `json:"StartsPerSecond"` // at full pace
-}
-
-// bears is how many offers within Window a node of this age takes.
-func (c *Cold) bears(age time.Duration) float64 {
-	pace := c.From + (1-c.From)*float64(age)/float64(max(c.For, 1))
-	return max(c.Always, c.Multiple*c.StartsPerSecond*min(pace, 1)*c.Window.Seconds())
+	// Spread is the topology domain over which the tasks of one service are spread: machine, cell, zone, or empty for
+	// no limit.
+	Spread string `json:"Spread"`
+	// Most is how many tasks of one service a domain may have.
+	Most int `json:"Most"`
 }
 
-// The five rules.
+// The values of Class.Effect, as a recording stores them.
 const (
-	OneAnswer = iota
-	NoSecondStart
-	DrainsKept
-	ColdKept
-	SpreadKept
-	count
+	effectIdempotent      = "safe"
+	effectIdempotentByKey = "keyed"
+	effectNonIdempotent   = "unsafe"
 )
 
-// Names are the rules' names, in their order.
-var Names = [count]string{
-	"one final answer in time for each task",
-	"no second start its class forbids",
-	"no new work after word of a drain",
-	"no cold node pushed over",
-	"spread kept",
-}
-
-// Finding is one breach.
-type Finding struct {
-	At   time.Duration // since the start of the recording
-	Text string
-}
-
-// Rule is the verdict on one rule.
-type Rule struct {
-	Checked int // how many things were looked at; a rule that had nothing to look at is not proven
-	Broken  []Finding
-}
-
-// Verdict is what a recording shows.
-type Verdict struct {
-	Rules     [count]Rule
-	Length    time.Duration
-	Unread    []string // connections whose bytes could not be read on, with the reason
-	Submitted int      // submissions seen
-	Taken     int      // jobs that a scheduler took
-	Turned    map[string]int
-	Outcomes  map[string]int
-	States    map[string]int // last seen, of the jobs taken
-	Orphaned  int            // taken by a life of a scheduler that was killed, and not found by a later one
-	FellOver  int            // nodes that died of too many starts while cold
-	Offers    int
-	Replies   map[string]int
-}
-
-// OK tells whether no rule is broken.
-func (v *Verdict) OK() bool {
-	for i := range v.Rules {
-		if len(v.Rules[i].Broken) > 0 {
-			return false
-		}
-	}
-	return len(v.Unread) == 0
-}
-
-// mostShown bounds the breaches of a rule that are printed.
-const mostShown = 10
+// The values of Class.Group and Class.Spread, as a recording stores them.
+const (
+	domainMachine    = "machine"
+	domainCell       = "cell"
+	domainZone       = "zone"
+	domainEverywhere = "everywhere"
+)
 
-// String is the verdict in words.
-func (v *Verdict) String() string {
-	var b strings.Builder
-	for i, r := range v.Rules {
-		word := "kept"
-		switch {
-		case len(r.Broken) > 0:
-			word = fmt.Sprintf("BROKEN %d times", len(r.Broken))
-		case r.Checked == 0:
-			word = "had nothing to judge"
-		}
-		fmt.Fprintf(&b, "rule %d  %-40s %s (%d checked)\n", i+1, Names[i], word, r.Checked)
-		for j, f := range r.Broken {
-			if j == mostShown {
-				fmt.Fprintf(&b, "        and %d more\n", len(r.Broken)-j)
-				break
-			}
-			fmt.Fprintf(&b, "        at %8.3f s: %s\n", f.At.Seconds(), f.Text)
-		}
-	}
-	fmt.Fprintf(&b, "%d submissions in %.1f s: %d jobs taken, turned away %s\n", v.Submitted,
-		v.Length.Seconds(), v.Taken,
-		counts(v.Turned))
-	fmt.Fprintf(&b, "outcomes %s; jobs at the end %s; %d were held by a scheduler that was killed\n",
-		counts(v.Outcomes),
-		counts(v.States), v.Orphaned)
-	fmt.Fprintf(&b, "%d offers to nodes, answered %s; %d nodes fell over\n", v.Offers, counts(v.Replies), v.FellOver)
-	for _, u := range v.Unread {
-		fmt.Fprintf(&b, "unread: %s\n", u)
-	}
-	return b.String()
+// Cold is the load that a node bears during its slow start.
+type Cold struct {
+	// For is how long the slow start lasts.
+	For time.Duration `json:"For"`
+	// Window is the time over which offers are counted.
+	Window time.Duration `json:"Window"`
+	// From is the share of its full rate of starts that a node has when it comes up.
+	From float64 `json:"From"`
+	// Multiple is how many times its rate of starts a node bears.
+	Multiple float64 `json:"Multiple"`
+	// Always is the number of offers within Window that a node bears in any case.
+	Always float64 `json:"Always"`
+	// StartsPerSecond is the full rate of starts.
+	StartsPerSecond float64 `json:"StartsPerSecond"`
 }
 
-func counts(m map[string]int) string {
-	if len(m) == 0 {
-		return "none"
-	}
-	names := make([]string, 0, len(m))
-	for n := range m {
-		names = append(names, n)
-	}
-	sort.Strings(names)
-	for i, n := range names {
-		names[i] = fmt.Sprintf("%s %d", n, m[n])
-	}
-	return strings.Join(names, ", ")
+// offerLimit is how many offers within Window a node of this age bears.
+func (c *Cold) offerLimit(age time.Duration) float64 {
+	rate := c.From + (1-c.From)*float64(age)/float64(max(c.For, 1))
+	return max(c.Always, c.Multiple*c.StartsPerSecond*min(rate, 1)*c.Window.Seconds())
 }
--- a/internal/lab/rules/follow.go
+++ b/internal/lab/rules/follow.go
@@ -15,72 +15,103 @@
 	"flaxshelf.example/flaxshelf/internal/lab/recordproxy/tappb"
 )
 
-// Follow writes the frames of a recording in which every one of the words occurs, with the marks, a line each:
-// the story of a job, an attempt or a node.
-func Follow(r io.Reader, w io.Writer, words ...string) error {
-	rd, err := recordproxy.NewReader(r)
+// Follow writes the frames of a recording in which all the substrings occur, and all marks, one a line with its
+// seconds since the start: the history of a job, an attempt or a node. The error is a *RecordingError or that of w.
+func Follow(r io.Reader, w io.Writer, substrings ...string) error {
+	reader, err := recordproxy.NewReader(r)
 	if err != nil {
-		return err
+		return &RecordingError{Section: "head", Err: err}
 	}
-	type side struct{ buf []byte }
-	conns := map[uint64]*conn{}
-	bufs := map[uint64]*[2]side{}
-	var start time.Duration
-	for {
-		rec, err := rd.Next()
+	f := &follower{out: w, substrings: substrings, connections: map[uint64]*connection{}}
+	for f.err == nil {
+		record, err := reader.Next()
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
-			return fmt.Errorf("rules: %w", err)
+			return &RecordingError{Section: "records", Err: err}
 		}
-		now := time.Duration(rec.TimeNs)
-		if start == 0 {
-			start = now
+		f.record(record)
+	}
+	return f.err
+}
+
+// follower is the state of Follow.
+type follower struct {
+	out         io.Writer
+	substrings  []string
+	connections map[uint64]*connection
+	start, now  time.Duration
+	err         error // of out
+}
+
+func (f *follower) record(record *tappb.Record) {
+	f.now = time.Duration(record.TimeNs)
+	if f.start == 0 {
+		f.start = f.now
+	}
+	switch body := record.Body.(type) {
+	case *tappb.Record_Open:
+		open := body.Open
+		f.connections[open.Conn] = &connection{wire: open.Wire, listener: open.To, dialer: open.Via}
+	case *tappb.Record_Mark:
+		f.print("-- " + body.Mark.Party + ": " + body.Mark.What)
+	case *tappb.Record_Close:
+		if link := f.connections[body.Close.Conn]; link != nil {
+			f.printMatch(fmt.Sprintf("%s to %s closed: %s", link.dialer, link.listener, body.Close.Why))
 		}
-		line := func(text string) {
-			for _, word := range words {
-				if !strings.Contains(text, word) {
-					return
-				}
-			}
-			fmt.Fprintf(w, "%9.3f %s\n", (now - start).Seconds(), text)
+	case *tappb.Record_Sent:
+		f.sent(body.Sent)
+	}
+}
+
+func (f *follower) sent(sent *tappb.Sent) {
+	link := f.connections[sent.Conn]
+	if link == nil || link.wire == ClientWire || link.undecoded {
+		return
+	}
+	s := &link.directions[direction(sent.Back)]
+	s.sentRemainder = append(s.sentRemainder, sent.Data...)
+	for {
+		frame, size, err := nodeframe.Next(s.sentRemainder)
+		if err != nil {
+			link.undecoded = true
+			return
 		}
-		switch b := rec.Body.(type) {
-		case *tappb.Record_Open:
-			conns[b.Open.Conn] = &conn{wire: b.Open.Wire, to: b.Open.To, from: b.Open.Via}
-			bufs[b.Open.Conn] = &[2]side{}
-		case *tappb.Record_Mark:
-			fmt.Fprintf(w, "%9.3f -- %s: %s\n", (now - start).Seconds(), b.Mark.Party, b.Mark.What)
-		case *tappb.Record_Close:
-			if k := conns[b.Close.Conn]; k != nil {
-				line(fmt.Sprintf("%s to %s closed: %s", k.from, k.to, b.Close.Why))
-			}
-		case *tappb.Record_Sent:
-			k := conns[b.Sent.Conn]
-			if k == nil || k.wire == ClientWire || k.unread {
-				continue
-			}
-			s := &bufs[b.Sent.Conn][way(b.Sent.Back)]
-			s.buf = append(s.buf, b.Sent.Data...)
-			for {
-				f, n, err := nodeframe.Next(s.buf)
-				if err != nil {
-					k.unread = true
-				}
-				if f == nil || err != nil {
-					break
-				}
-				s.buf = s.buf[n:]
-				if h, ok := f.Body.(*nodepb.Frame_Hello); ok {
-					k.from = h.Hello.Party
-				}
-				arrow := k.from + " > " + k.to
-				if b.Sent.Back {
-					arrow = k.to + " > " + k.from
-				}
-				line(arrow + " " + protojson.MarshalOptions{}.Format(f))
-			}
+		if frame == nil {
+			return
 		}
+		s.sentRemainder = s.sentRemainder[size:]
+		f.frame(link, sent.Back, frame)
+	}
+}
+
+func (f *follower) frame(link *connection, fromListener bool, frame *nodepb.Frame) {
+	if hello := frame.GetHello(); hello != nil {
+		link.dialer = hello.Party
+	}
+	sender, receiver := link.dialer, link.listener
+	if fromListener {
+		sender, receiver = receiver, sender
+	}
+	f.printMatch(sender + " > " + receiver + " " + protojson.MarshalOptions{}.Format(frame))
+}
+
+// printMatch prints a line that contains all the substrings.
+func (f *follower) printMatch(text string) {
+	for _, substring := range f.substrings {
+		if !strings.Contains(text, substring) {
+			return
+		}
+	}
+	f.print(text)
+}
+
+func (f *follower) print(text string) {
+	if f.err != nil {
+		return
+	}
+	if _, err := fmt.Fprintf(f.out, "%9.3f %s\n", (f.now - f.start).Seconds(), text); err != nil {
+		f.err = fmt.Errorf("rules: write: %w", err)
 	}
 }
--- a/internal/lab/rules/format_test.go
+++ b/internal/lab/rules/format_test.go
@@ -36,7 +36,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }() // it was only read
 	z, err := gzip.NewReader(f)
 	if err != nil {
 		t.Fatal(err)
@@ -54,7 +54,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := &Verdict{Length: 9498 * time.Millisecond, Submitted: 169, Taken: 169, Turned: map[string]int{},
+	want := &Verdict{Length: 9498 * time.Millisecond, Submitted: 169, Admitted: 169, Rejected: map[string]int{},
 		Outcomes: map[string]int{"placed": 123, "refused": 16},
 		States:   map[string]int{"DONE": 123, "FAILED": 16, "QUEUED": 30}, Orphaned: 30, Offers: 128,
 		Replies: map[string]int{"accepted": 123, "refused: no cores": 5}}
--- /dev/null
+++ b/internal/lab/rules/job.go
@@ -0,0 +1,248 @@
+package rules
+
+import (
+	"bytes"
+	"encoding/json"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+
+	"flaxshelf.example/flaxshelf/drmaa2"
+	"flaxshelf.example/flaxshelf/internal/codec/httpcodec"
+)
+
+// job is a job that a scheduler admitted, as its clients see it.
+type job struct {
+	id, scheduler     string
+	incarnation       int // of the scheduler that reported it last
+	submittedAt       time.Duration
+	placementTimeout  time.Duration
+	outcomeExpected   bool // an outcome is due when the placement timeout is over
+	placementRequests map[int]*placementRequest
+	state             string
+	finalState        string
+	revision          uint64
+}
+
+// placementRequest is one request to place a job; a job that is held and released has several.
+type placementRequest struct {
+	requestedAt time.Duration
+	outcome     string // empty while there is none
+}
+
+// firstPlacementRequest is the number of the request that the submission makes.
+const firstPlacementRequest = 1
+
+// responseReceived takes a complete response of a scheduler.
+func (c *checker) responseReceived(scheduler string, request *clientRequest, response *httpcodec.Response) {
+	isSubmission := request.isSubmission()
+	if isSubmission {
+		c.verdict.Submitted++
+	}
+	if response.Status >= http.StatusMultipleChoices {
+		if isSubmission {
+			c.verdict.Rejected[rejectionCode(response)]++
+		}
+		return
+	}
+	var answer drmaa2.Submitted
+	if json.Unmarshal(response.Body, &answer) != nil {
+		return
+	}
+	for i := range answer.Jobs {
+		if isSubmission {
+			c.jobAdmitted(scheduler, request, &answer, answer.Jobs[i].JobID)
+		}
+		c.jobReported(scheduler, &answer.Jobs[i])
+	}
+}
+
+func (r *clientRequest) isSubmission() bool {
+	return r.method == http.MethodPost && (strings.HasSuffix(r.path, "/jobs") || strings.HasSuffix(r.path, "/arrays"))
+}
+
+// rejectionCode is the error code of a response, or its status where the body has none.
+func rejectionCode(response *httpcodec.Response) string {
+	var rejection drmaa2.Error
+	if json.Unmarshal(response.Body, &rejection) != nil || rejection.Code == "" {
+		return "status " + strconv.Itoa(response.Status)
+	}
+	return string(rejection.Code)
+}
+
+// jobAdmitted notes a job of a submission's response.
+func (c *checker) jobAdmitted(scheduler string, request *clientRequest, answer *drmaa2.Submitted, id string) {
+	if c.jobs[id] != nil {
+		return
+	}
+	j := c.addJob(id, scheduler, request.receivedAt)
+	var submission drmaa2.Submission
+	if json.Unmarshal(request.body, &submission) != nil {
+		return
+	}
+	template := &submission.Template
+	j.placementTimeout = c.placementTimeout(template)
+	// No outcome is due of a job that may be kept queued on purpose, nor of one that an earlier request submitted.
+	mayStayQueued := template.SubmitAsHold || template.StartTime != nil ||
+		submission.Bulk != nil && submission.Bulk.MaxParallel != 0
+	j.outcomeExpected = !answer.Existing && !mayStayQueued
+}
+
+func (c *checker) addJob(id, scheduler string, submittedAt time.Duration) *job {
+	j := &job{id: id, scheduler: scheduler, incarnation: c.incarnations[scheduler], submittedAt: submittedAt,
+		placementRequests: map[int]*placementRequest{}}
+	c.jobs[id] = j
+	c.verdict.Admitted++
+	return j
+}
+
+// placementTimeout is that of the job's template, or else of its class; 0 for none.
+func (c *checker) placementTimeout(template *drmaa2.JobTemplate) time.Duration {
+	if own, err := time.ParseDuration(template.ImplementationSpecific[drmaa2.AttrGiveUp]); err == nil {
+		return own
+	}
+	for _, class := range c.figures.Classes {
+		onlyClass := template.JobCategory == "" && len(c.figures.Classes) == 1
+		if class.Name == template.JobCategory || onlyClass {
+			return class.GiveUp
+		}
+	}
+	return 0
+}
+
+// jobReported takes what a client is notified of a job, at the time when it left the scheduler.
+func (c *checker) jobReported(scheduler string, info *drmaa2.JobInfo) {
+	j := c.jobs[info.JobID]
+	if j == nil { // the response to its submission was lost with its connection
+		j = c.addJob(info.JobID, scheduler, c.now)
+	}
+	if j.incarnation != c.incarnations[scheduler] { // a later incarnation has adopted it, and its times begin anew
+		j.incarnation, j.outcomeExpected, j.finalState = c.incarnations[scheduler], false, ""
+		j.placementRequests, j.revision = map[int]*placementRequest{}, 0
+	}
+	c.outcomeReported(scheduler, j, info)
+	c.stateReported(j, info)
+}
+
+// outcomeReported judges the outcome of a placement request: there is one, and it comes in time.
+func (c *checker) outcomeReported(scheduler string, j *job, info *drmaa2.JobInfo) {
+	number := placementRequestNumber(info)
+	request := j.placementRequests[number]
+	if request == nil {
+		request = &placementRequest{requestedAt: c.now}
+		if number <= firstPlacementRequest {
+			request.requestedAt = j.submittedAt
+		}
+		j.placementRequests[number] = request
+	}
+	outcome := info.ImplementationSpecific[drmaa2.AttrOutcome]
+	if outcome == "" || outcome == request.outcome {
+		return
+	}
+	if request.outcome != "" {
+		c.violated(OneAnswer, "job %s, ask %d: told %s, then %s", j.id, number, request.outcome, outcome)
+	} else {
+		c.verdict.Rules[OneAnswer].Checked++
+		c.verdict.Outcomes[outcome]++
+		timed := j.outcomeExpected && number <= firstPlacementRequest && j.placementTimeout > 0
+		timeout := request.requestedAt + j.placementTimeout
+		if timed && c.now > c.outcomeDeadline(scheduler, timeout) {
+			c.violated(OneAnswer, "job %s: its outcome %s came %v after its owner had given up", j.id, outcome,
+				(c.now - timeout).Round(time.Millisecond))
+		}
+	}
+	request.outcome = outcome
+}
+
+// placementRequestNumber is 0 where the scheduler names none.
+func placementRequestNumber(info *drmaa2.JobInfo) int {
+	number, err := strconv.Atoi(info.ImplementationSpecific[drmaa2.AttrAsk])
+	if err != nil {
+		return 0
+	}
+	return number
+}
+
+// stateReported judges the state of a job: a final state stays.
+func (c *checker) stateReported(j *job, info *drmaa2.JobInfo) {
+	revision, err := strconv.ParseUint(info.ImplementationSpecific[drmaa2.AttrRevision], 10, 64)
+	if err != nil {
+		revision = 0
+	}
+	// Responses and event streams leave on connections of their own, so that an older revision may come later.
+	if revision < j.revision {
+		return
+	}
+	j.revision, j.state = revision, string(info.JobState)
+	if info.JobState == drmaa2.QueuedHeld || info.JobState == drmaa2.RequeuedHeld {
+		j.outcomeExpected = false
+	}
+	switch {
+	case !info.JobState.Terminated():
+		if j.finalState != "" {
+			c.violated(OneAnswer, "job %s ended as %s and is %s again", j.id, j.finalState, j.state)
+		}
+	case j.finalState != "" && j.finalState != j.state:
+		c.violated(OneAnswer, "job %s ended as %s, then as %s", j.id, j.finalState, j.state)
+		j.finalState = j.state
+	default:
+		j.finalState = j.state
+	}
+}
+
+// maxConsumedEvents is how many bytes of consumed events a streamed body keeps, so that a long stream stays small.
+const maxConsumedEvents = 1 << 16
+
+// eventsReceived takes the events that a streamed body has gained.
+func (c *checker) eventsReceived(link *connection, response *httpcodec.Response) {
+	const separator = "\n\n"
+	for {
+		rest := response.Body[link.consumedEvents:]
+		end := bytes.Index(rest, []byte(separator))
+		if end < 0 {
+			break
+		}
+		for line := range bytes.SplitSeq(rest[:end], []byte("\n")) {
+			data, ok := bytes.CutPrefix(line, []byte("data: "))
+			var info drmaa2.JobInfo
+			if ok && json.Unmarshal(data, &info) == nil {
+				c.jobReported(link.listener, &info)
+			}
+		}
+		link.consumedEvents += end + len(separator)
+	}
+	if link.consumedEvents > maxConsumedEvents {
+		response.Body = append(response.Body[:0], response.Body[link.consumedEvents:]...)
+		link.consumedEvents = 0
+	}
+}
+
+// judgeMissingOutcomes judges, at the end, the jobs that never had an outcome.
+func (c *checker) judgeMissingOutcomes() {
+	for _, j := range c.jobs {
+		c.verdict.States[j.state]++
+		if j.incarnation != c.incarnations[j.scheduler] {
+			c.verdict.Orphaned++
+			continue
+		}
+		if j.hasOutcome() || !j.outcomeExpected || j.placementTimeout <= 0 {
+			continue
+		}
+		timeout := j.submittedAt + j.placementTimeout
+		if c.now > c.outcomeDeadline(j.scheduler, timeout) {
+			c.verdict.Rules[OneAnswer].Checked++
+			c.violated(OneAnswer, "job %s: no outcome was told, %v after its owner had given up", j.id,
+				(c.now - timeout).Round(time.Millisecond))
+		}
+	}
+}
+
+func (j *job) hasOutcome() bool {
+	for _, request := range j.placementRequests {
+		if request.outcome != "" {
+			return true
+		}
+	}
+	return false
+}
--- /dev/null
+++ b/internal/lab/rules/offer.go
@@ -0,0 +1,159 @@
+package rules
+
+import (
+	"time"
+
+	"flaxshelf.example/flaxshelf/internal/codec/nodeframe/nodepb"
+)
+
+// schedulerFrameSent takes a scheduler's frame as it leaves the scheduler.
+func (c *checker) schedulerFrameSent(link *connection, frame *nodepb.Frame) {
+	switch body := frame.Body.(type) {
+	case *nodepb.Frame_Hello:
+		link.dialer = body.Hello.Party
+	case *nodepb.Frame_Offer:
+		c.offerSent(link, body.Offer)
+	case *nodepb.Frame_Stop:
+		if a := c.attempts[body.Stop.Attempt]; a != nil {
+			a.stopped = true
+		}
+	}
+}
+
+// offerSent judges an offer at the moment when it leaves its scheduler.
+func (c *checker) offerSent(link *connection, offer *nodepb.Offer) {
+	task := offer.Task
+	if task == nil || c.attempts[offer.Attempt] != nil {
+		c.violated(NoSecondStart, "offer %s was sent twice", offer.Attempt)
+		return
+	}
+	c.verdict.Offers++
+	a := &attempt{id: offer.Attempt, scheduler: link.dialer, node: link.listener, key: task.Key, job: task.Job,
+		class: task.Class, service: task.Service, placementRequest: task.Ask, connection: link.id, sentAt: c.now,
+		validFor: time.Duration(offer.ValidForNs), phaseSince: c.now}
+	if a.key == "" {
+		a.key = a.job
+	}
+	class, view := c.class(a.class), c.view(a.scheduler, a.node)
+	c.judgeSecondStart(class, a, view)
+	c.judgeDrain(a, view)
+	c.attempts[a.id] = a
+	c.attemptsByKey[a.key] = append(c.attemptsByKey[a.key], a)
+	c.active(a.scheduler)[a] = true
+	if class.Spread != "" && a.service != "" {
+		c.judgeSpread(class, a, view)
+	}
+}
+
+// judgeSecondStart judges an offer by the earlier attempts of the same task.
+func (c *checker) judgeSecondStart(class *Class, offered *attempt, view *nodeView) {
+	c.verdict.Rules[NoSecondStart].Checked++
+	for _, earlier := range c.attemptsByKey[offered.key] {
+		c.expire(earlier)
+		switch earlier.phase {
+		case inFlight:
+			if !earlier.stopped {
+				c.violated(NoSecondStart, "%s is offered as %s while %s is in flight", offered.key, offered.id, earlier.id)
+			}
+		case accepted:
+			c.judgeBesideAccepted(offered, earlier)
+		case outcomeUnknown:
+			c.judgeBesideUnknown(class, offered, earlier, view)
+		}
+	}
+}
+
+// judgeBesideAccepted judges an offer of a task that a node has accepted.
+func (c *checker) judgeBesideAccepted(offered, earlier *attempt) {
+	// A reply that was delivered only just now is not yet read when the next offer leaves, such as an acceptance as the
+	// offer expires, or a welcome after a broken connection. The scheduler stops the earlier attempt when it reads it.
+	crossed := c.now-earlier.phaseSince < c.figures.Skew
+	if !earlier.stopped && !crossed {
+		c.violated(NoSecondStart, "%s is offered as %s while %s holds it as %s", offered.key, offered.id, earlier.node,
+			earlier.id)
+	}
+}
+
+// judgeBesideUnknown judges an offer of a task of which an earlier attempt may have run.
+func (c *checker) judgeBesideUnknown(class *Class, offered, earlier *attempt, view *nodeView) {
+	if class.Effect == effectIdempotent || c.deduplicated(class, offered, earlier, view) {
+		return
+	}
+	if offered.job == earlier.job && offered.placementRequest == earlier.placementRequest {
+		c.violated(NoSecondStart, "%s (%s) is offered as %s to %s though %s at %s may have run", offered.key,
+			class.Effect, offered.id, offered.node, earlier.id, earlier.node)
+		return
+	}
+	if c.now < earlier.phaseSince+c.figures.Settle-c.figures.Skew {
+		c.violated(NoSecondStart, "%s (%s) is offered as %s only %v after %s may have run", offered.key, class.Effect,
+			offered.id, (c.now - earlier.phaseSince).Round(time.Millisecond), earlier.id)
+	}
+}
+
+// deduplicated reports whether the domain of an offer still remembers the idempotency key of an earlier attempt.
+func (c *checker) deduplicated(class *Class, offered, earlier *attempt, view *nodeView) bool {
+	return class.Effect == effectIdempotentByKey && c.now <= earlier.sentAt+class.Window+c.figures.Skew &&
+		sameDomain(class.Group, view, c.view(offered.scheduler, earlier.node), offered.node, earlier.node)
+}
+
+// judgeDrain judges an offer by the membership of its node.
+func (c *checker) judgeDrain(offered *attempt, view *nodeView) {
+	c.verdict.Rules[DrainsKept].Checked++
+	notifiedFor := c.now - view.membershipSince
+	if view.membership != nodepb.Standing_IN && notifiedFor-c.figures.DrainGrace > c.figures.Skew {
+		c.violated(DrainsKept, "%s offers %s to %s, %v after word that it is %s", offered.scheduler, offered.id,
+			offered.node, notifiedFor.Round(time.Millisecond), membershipNames[view.membership])
+	}
+}
+
+// judgeSpread counts the active tasks of an offer's service in the topology domain of its node.
+func (c *checker) judgeSpread(class *Class, offered *attempt, view *nodeView) {
+	c.verdict.Rules[SpreadKept].Checked++
+	tasks := 0
+	for other := range c.activeAttempts[offered.scheduler] {
+		c.expire(other)
+		active := other.phase == accepted || other.phase == inFlight && !other.stopped
+		if active && other.service == offered.service && other.class == offered.class &&
+			sameDomain(class.Spread, view, c.view(offered.scheduler, other.node), offered.node, other.node) {
+			tasks++
+		}
+	}
+	if tasks > class.Most {
+		c.violated(SpreadKept, "%s has %d tasks of %s in one %s with %s at %s, %d at most", offered.scheduler, tasks,
+			offered.service, class.Spread, offered.id, offered.node, class.Most)
+	}
+}
+
+// nodeFrameSent takes a node's frame as it leaves the node, which is before its scheduler may know.
+func (c *checker) nodeFrameSent(link *connection, frame *nodepb.Frame) {
+	switch body := frame.Body.(type) {
+	case *nodepb.Frame_Accepted:
+		c.nodeAccepted(link.listener, body.Accepted.Attempt)
+	case *nodepb.Frame_Ended:
+		if a := c.attempts[body.Ended.Attempt]; a != nil {
+			delete(c.acceptedByNode[a.key], a.id)
+		}
+	}
+}
+
+// nodeAccepted judges what nodes have, whatever their schedulers know: a task that must not run twice is never at two
+// places at a time.
+func (c *checker) nodeAccepted(node, id string) {
+	a := c.attempts[id]
+	if a == nil {
+		return
+	}
+	if c.acceptedByNode[a.key] == nil {
+		c.acceptedByNode[a.key] = map[string]*attempt{}
+	}
+	if class := c.class(a.class); class.Effect != effectIdempotent {
+		c.verdict.Rules[NoSecondStart].Checked++
+		for _, other := range c.acceptedByNode[a.key] {
+			if other.id != id {
+				c.violated(NoSecondStart, "%s (%s) is held by %s as %s and by %s as %s", a.key, class.Effect,
+					other.node, other.id, node, id)
+			}
+		}
+	}
+	c.acceptedByNode[a.key][id] = a
+}
--- /dev/null
+++ b/internal/lab/rules/recording_test.go
@@ -0,0 +1,244 @@
+package rules
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"google.golang.org/protobuf/encoding/protodelim"
+
+	"flaxshelf.example/flaxshelf/drmaa2"
+	"flaxshelf.example/flaxshelf/internal/codec/httpcodec"
+	"flaxshelf.example/flaxshelf/internal/codec/nodeframe"
+	"flaxshelf.example/flaxshelf/internal/codec/nodeframe/nodepb"
+	"flaxshelf.example/flaxshelf/internal/lab/recordproxy"
+	"flaxshelf.example/flaxshelf/internal/lab/recordproxy/tappb"
+)
+
+var testFigures = Figures{
+	DrainGrace:  time.Second,
+	AnswerSlack: 100 * time.Millisecond,
+	Settle:      2 * time.Second,
+	Skew:        10 * time.Millisecond,
+	Cold:        Cold{For: 5 * time.Second, Window: time.Second, From: 0.5, Multiple: 2, Always: 3, StartsPerSecond: 1},
+	Classes: []Class{
+		{Name: "safe", Effect: effectIdempotent, GiveUp: time.Second, Spread: domainZone, Most: 2},
+		{Name: "keyed", Effect: effectIdempotentByKey, Group: domainZone, Window: 2 * time.Second, GiveUp: 5 * time.Second},
+		{Name: "unsafe", Effect: effectNonIdempotent, GiveUp: 2 * time.Second},
+	},
+}
+
+// The connections of a recording: scheduler s to the nodes n1 of zone a and n2 of zone b and to the inventory, and a
+// client to s.
+const (
+	node1Connection = iota + 1
+	node2Connection
+	inventoryConnection
+	clientConnection
+)
+
+// baseTime is when a recording begins, in nanoseconds of Unix time.
+const baseTime = int64(1e18)
+
+// recording builds a recording at times that the test sets.
+type recording struct {
+	encoded bytes.Buffer
+	nowMS   int64
+}
+
+func newRecording() *recording {
+	r := &recording{}
+	figures, err := json.Marshal(testFigures)
+	if err != nil {
+		panic(err)
+	}
+	r.add(&tappb.Record{Body: &tappb.Record_Head{Head: &tappb.Head{Version: recordproxy.Version, Figures: figures}}})
+	r.open(node1Connection, NodeWire, "n1")
+	r.open(node2Connection, NodeWire, "n2")
+	r.open(inventoryConnection, InventoryWire, "inventory")
+	r.open(clientConnection, ClientWire, "s")
+	return r.listing(true, "n1", "n2")
+}
+
+func (r *recording) open(connection int, wire, listener string) {
+	r.add(&tappb.Record{Body: &tappb.Record_Open{Open: &tappb.Open{Conn: uint64(connection), Wire: wire, To: listener}}})
+	if wire != ClientWire {
+		r.frame(connection, false, &nodepb.Frame{Body: &nodepb.Frame_Hello{Hello: &nodepb.Hello{Party: "s"}}})
+	}
+}
+
+func (r *recording) add(record *tappb.Record) {
+	record.TimeNs = r.time(r.nowMS)
+	if _, err := protodelim.MarshalTo(&r.encoded, record); err != nil {
+		panic(err)
+	}
+}
+
+// time is a time of the recording in nanoseconds of Unix time.
+func (r *recording) time(ms int64) int64 { return baseTime + ms*int64(time.Millisecond) }
+
+// at sets the time of what follows, in milliseconds since the start.
+func (r *recording) at(ms int64) *recording { r.nowMS = ms; return r }
+
+// bytes sends and delivers bytes.
+func (r *recording) bytes(connection int, fromListener bool, data []byte) {
+	r.add(&tappb.Record{Body: &tappb.Record_Sent{Sent: &tappb.Sent{Conn: uint64(connection), Back: fromListener,
+		Data: data}}})
+	r.add(&tappb.Record{Body: &tappb.Record_Delivered{Delivered: &tappb.Delivered{Conn: uint64(connection),
+		Back: fromListener, Bytes: uint64(len(data))}}})
+}
+
+func (r *recording) frame(connection int, fromListener bool, frame *nodepb.Frame) {
+	encoded, err := nodeframe.Append(nil, frame)
+	if err != nil {
+		panic(err)
+	}
+	r.bytes(connection, fromListener, encoded)
+}
+
+// listing notifies s of nodes; a name may carry a membership, as n1:draining, or behind @ its start in milliseconds.
+func (r *recording) listing(whole bool, nodes ...string) *recording {
+	listing := &nodepb.Listing{Whole: whole}
+	for _, node := range nodes {
+		listing.Entries = append(listing.Entries, r.entry(node))
+	}
+	r.frame(inventoryConnection, true, &nodepb.Frame{Body: &nodepb.Frame_Listing{Listing: listing}})
+	return r
+}
+
+func (r *recording) entry(node string) *nodepb.Entry {
+	name, start, _ := strings.Cut(node, "@")
+	name, membership, _ := strings.Cut(name, ":")
+	entry := &nodepb.Entry{Node: name, Zone: map[string]string{"n1": "a", "n2": "b"}[name]}
+	switch membership {
+	case "draining":
+		entry.Standing = nodepb.Standing_DRAINING
+	case "out":
+		entry.Standing = nodepb.Standing_OUT
+	}
+	if start != "" {
+		var ms int64
+		if _, err := fmt.Sscan(start, &ms); err != nil {
+			panic(err)
+		}
+		entry.StartedUnixNs = r.time(ms)
+	}
+	return entry
+}
+
+// offer sends an offer; the job is the attempt's name up to the slash.
+func (r *recording) offer(connection int, attempt, class string) *recording {
+	task := &nodepb.Task{Job: strings.Split(attempt, "/")[0], Class: class, Service: "v", Ask: 1}
+	r.frame(connection, false, &nodepb.Frame{Body: &nodepb.Frame_Offer{Offer: &nodepb.Offer{Attempt: attempt,
+		ValidForNs: int64(500 * time.Millisecond), Task: task}}})
+	return r
+}
+
+// offerMany offers unsafe jobs to n1, which spread does not limit.
+func (r *recording) offerMany(count int) *recording {
+	for i := range count {
+		r.offer(node1Connection, fmt.Sprintf("m%d/1/0", i), "unsafe")
+	}
+	return r
+}
+
+func (r *recording) reply(connection int, frame *nodepb.Frame) *recording {
+	r.frame(connection, true, frame)
+	return r
+}
+
+func (r *recording) accept(connection int, attempt string) *recording {
+	return r.reply(connection, &nodepb.Frame{Body: &nodepb.Frame_Accepted{Accepted: &nodepb.Accepted{Attempt: attempt}}})
+}
+
+func (r *recording) reject(connection int, attempt string) *recording {
+	return r.reply(connection, &nodepb.Frame{Body: &nodepb.Frame_Refused{Refused: &nodepb.Refused{Attempt: attempt}}})
+}
+
+func (r *recording) end(connection int, attempt string) *recording {
+	return r.reply(connection, &nodepb.Frame{Body: &nodepb.Frame_Ended{Ended: &nodepb.Ended{Attempt: attempt}}})
+}
+
+// welcome is n1's, with its start; a fresh node may still be in its slow start.
+func (r *recording) welcome(startMS int64, fresh bool) *recording {
+	return r.reply(node1Connection, &nodepb.Frame{Body: &nodepb.Frame_Welcome{Welcome: &nodepb.Welcome{Node: "n1",
+		StartedUnixNs: r.time(startMS), Fresh: fresh}}})
+}
+
+func (r *recording) close(connection int) *recording {
+	r.add(&tappb.Record{Body: &tappb.Record_Close{Close: &tappb.Close{Conn: uint64(connection)}}})
+	return r
+}
+
+func (r *recording) mark(what, party string) *recording {
+	r.add(&tappb.Record{Body: &tappb.Record_Mark{Mark: &tappb.Mark{What: what, Party: party}}})
+	return r
+}
+
+// submit is the client's request for a job of class safe.
+func (r *recording) submit() *recording {
+	body, err := json.Marshal(drmaa2.Submission{Template: drmaa2.JobTemplate{RemoteCommand: "x", JobCategory: "safe"}})
+	if err != nil {
+		panic(err)
+	}
+	r.bytes(clientConnection, false, fmt.Appendf(nil,
+		"POST /drmaa2/v1/sessions/t/jobs HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", len(body), body))
+	return r
+}
+
+// poll is the client's request for the state of its job.
+func (r *recording) poll() *recording {
+	r.bytes(clientConnection, false, []byte("GET /drmaa2/v1/jobs/j HTTP/1.1\r\nHost: x\r\n\r\n"))
+	return r
+}
+
+// respond answers the client's oldest request with the state of its job.
+func (r *recording) respond(revision int, state drmaa2.JobState, outcome string) *recording {
+	info := drmaa2.JobInfo{JobID: "j", JobState: state, ImplementationSpecific: map[string]string{drmaa2.AttrAsk: "1",
+		drmaa2.AttrRevision: fmt.Sprint(revision)}}
+	if outcome != "" {
+		info.ImplementationSpecific[drmaa2.AttrOutcome] = outcome
+	}
+	body, err := json.Marshal(drmaa2.Submitted{Jobs: []drmaa2.JobInfo{info}})
+	if err != nil {
+		panic(err)
+	}
+	r.bytes(clientConnection, true, httpcodec.AppendResponse(nil, 201, "application/json", body, false))
+	return r
+}
+
+// ruleCase is a recording with the rules that it violates.
+type ruleCase struct {
+	name      string
+	recording *recording
+	violated  []int
+}
+
+func checkRules(t *testing.T, cases []ruleCase) {
+	t.Helper()
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) { c.check(t) })
+	}
+}
+
+func (c *ruleCase) check(t *testing.T) {
+	verdict, err := Check(&c.recording.encoded)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for i, rule := range verdict.Rules {
+		want := false
+		for _, violated := range c.violated {
+			want = want || violated == i
+		}
+		if got := len(rule.Broken) > 0; got != want {
+			t.Errorf("rule %d: violated is %v, want %v\n%s", i+1, got, want, verdict)
+		}
+	}
+	if verdict.OK() != (len(c.violated) == 0) {
+		t.Error("OK does not agree")
+	}
+}
--- a/internal/lab/rules/rules_test.go
+++ b/internal/lab/rules/rules_test.go
@@ -2,304 +2,168 @@
 
 import (
 	"bytes"
-	"encoding/json"
-	"fmt"
+	"errors"
 	"strings"
 	"testing"
-	"time"
-
-	"google.golang.org/protobuf/encoding/protodelim"
 
 	"flaxshelf.example/flaxshelf/drmaa2"
-	"flaxshelf.example/flaxshelf/internal/codec/httpcodec"
-	"flaxshelf.example/flaxshelf/internal/codec/nodeframe"
-	"flaxshelf.example/flaxshelf/internal/codec/nodeframe/nodepb"
 	"flaxshelf.example/flaxshelf/internal/lab/recordproxy"
 	"flaxshelf.example/flaxshelf/internal/lab/recordproxy/tappb"
 )
 
-var figures = Figures{DrainGrace: time.Second, AnswerSlack: 100 * time.Millisecond, Settle: 2 * time.Second,
-	Skew: 10 * time.Millisecond,
-	Cold: Cold{For: 5 * time.Second, Window: time.Second, From: 0.5, Multiple: 2, Always: 3, StartsPerSecond: 1},
-	Classes: []Class{
-		{Name: "safe", Effect: "safe", GiveUp: time.Second, Spread: "zone", Most: 2},
-		{Name: "keyed", Effect: "keyed", Group: "zone", Window: 2 * time.Second, GiveUp: 5 * time.Second},
-		{Name: "unsafe", Effect: "unsafe", GiveUp: 2 * time.Second},
-	}}
-
-// tape writes a recording with times of its own. Connections 1 and 2 lead from s to n1 and n2, of zones a and b, 3
-// to the inventory and 4 from a client to s.
-type tape struct {
-	b  bytes.Buffer
-	ms int64
-}
-
-const base = int64(1e18)
-
-func newTape() *tape {
-	p := &tape{}
-	f, _ := json.Marshal(figures)
-	p.put(&tappb.Record{Body: &tappb.Record_Head{Head: &tappb.Head{Version: recordproxy.Version, Figures: f}}})
-	for i, to := range []string{"n1", "n2", "inventory", "s"} {
-		wire := []string{NodeWire, NodeWire, InventoryWire, ClientWire}[i]
-		p.put(&tappb.Record{Body: &tappb.Record_Open{Open: &tappb.Open{Conn: uint64(i + 1), Wire: wire, To: to}}})
-		if wire != ClientWire {
-			p.frame(i+1, false, &nodepb.Frame{Body: &nodepb.Frame_Hello{Hello: &nodepb.Hello{Party: "s"}}})
-		}
-	}
-	p.list(true, "n1", "n2")
-	return p
-}
-
-func (p *tape) put(r *tappb.Record) {
-	r.TimeNs = base + p.ms*1e6
-	_, _ = protodelim.MarshalTo(&p.b, r)
-}
-
-func (p *tape) at(ms int64) *tape { p.ms = ms; return p }
-
-func (p *tape) bytes(conn int, back bool, data []byte, delivered bool) {
-	p.put(&tappb.Record{Body: &tappb.Record_Sent{Sent: &tappb.Sent{Conn: uint64(conn), Back: back, Data: data}}})
-	d := &tappb.Delivered{Conn: uint64(conn), Back: back}
-	if delivered {
-		d.Bytes = uint64(len(data))
-	} else {
-		d.Dropped = uint64(len(data))
+// TestRules checks each rule at its edges: what just keeps it and what just violates it.
+func TestRules(t *testing.T) {
+	t.Run("outcome", func(t *testing.T) { checkRules(t, outcomeCases()) })
+	t.Run("second start", func(t *testing.T) { checkRules(t, secondStartCases()) })
+	t.Run("drain", func(t *testing.T) { checkRules(t, drainCases()) })
+	t.Run("slow start", func(t *testing.T) { checkRules(t, slowStartCases()) })
+	t.Run("spread", func(t *testing.T) { checkRules(t, spreadCases()) })
+}
+
+func outcomeCases() []ruleCase {
+	return []ruleCase{
+		{"one in time", newRecording().submit().respond(1, drmaa2.Queued, "").at(900).poll().
+			respond(2, drmaa2.Running, "placed").at(5000).poll().respond(3, drmaa2.Done, "placed"), nil},
+		{"two", newRecording().submit().respond(1, drmaa2.Queued, "placed").poll().respond(2, drmaa2.Failed, "failed"),
+			[]int{OneAnswer}},
+		{"late", newRecording().submit().respond(1, drmaa2.Queued, "").at(1200).poll().
+			respond(2, drmaa2.Queued, "placed"), []int{OneAnswer}},
+		{"late, but the process was paused", newRecording().submit().respond(1, drmaa2.Queued, "").at(500).
+			mark(MarkSchedulerPaused, "s").at(3000).mark(MarkSchedulerResumed, "s").at(3050).poll().
+			respond(2, drmaa2.Failed, "refused"), nil},
+		{"late after the process was resumed", newRecording().submit().respond(1, drmaa2.Queued, "").at(500).
+			mark(MarkSchedulerPaused, "s").at(3000).mark(MarkSchedulerResumed, "s").at(3200).poll().
+			respond(2, drmaa2.Failed, "refused"), []int{OneAnswer}},
+		{"none", newRecording().submit().respond(1, drmaa2.Queued, "").at(2000).mark("end", ""), []int{OneAnswer}},
+		{"none, but killed", newRecording().submit().respond(1, drmaa2.Queued, "").at(500).
+			mark(MarkSchedulerKilled, "s").at(2000).mark("end", ""), nil},
+		{"running after a final state", newRecording().submit().respond(3, drmaa2.Done, "placed").poll().
+			respond(4, drmaa2.Running, "placed"), []int{OneAnswer}},
+		{"an older state on another connection", newRecording().submit().respond(3, drmaa2.Done, "placed").poll().
+			respond(2, drmaa2.Running, "placed"), nil},
 	}
-	p.put(&tappb.Record{Body: &tappb.Record_Delivered{Delivered: d}})
 }
 
-func (p *tape) frame(conn int, back bool, f *nodepb.Frame) {
-	b, err := nodeframe.Append(nil, f)
-	if err != nil {
-		panic(err)
+func secondStartCases() []ruleCase {
+	first := func(class string) *recording { return newRecording().offer(node1Connection, "j/1/0", class) }
+	return []ruleCase{
+		{"after a rejection", first("unsafe").reject(node1Connection, "j/1/0").
+			offer(node2Connection, "j/1/1", "unsafe"), nil},
+		{"in flight", first("safe").at(100).offer(node2Connection, "j/1/1", "safe"), []int{NoSecondStart}},
+		{"after the timeout, idempotent", first("safe").at(500).offer(node2Connection, "j/1/1", "safe"), nil},
+		{"after the timeout, non-idempotent", first("unsafe").at(500).offer(node2Connection, "j/1/1", "unsafe"),
+			[]int{NoSecondStart}},
+		{"while it runs", first("safe").accept(node1Connection, "j/1/0").at(600).
+			offer(node2Connection, "j/1/1", "safe"), []int{NoSecondStart}},
+		{"after its end", first("unsafe").accept(node1Connection, "j/1/0").at(600).end(node1Connection, "j/1/0").
+			offer(node2Connection, "j/1/1", "unsafe"), nil},
+		{"by key, to the same zone in its window", first("keyed").at(1900).offer(node1Connection, "j/1/1", "keyed"), nil},
+		{"by key, after its window", first("keyed").at(2100).offer(node1Connection, "j/1/1", "keyed"),
+			[]int{NoSecondStart}},
+		{"by key, to another zone", first("keyed").at(600).offer(node2Connection, "j/1/1", "keyed"),
+			[]int{NoSecondStart}},
+		{"a lost connection is no proof", first("unsafe").close(node1Connection).at(600).
+			offer(node2Connection, "j/1/1", "unsafe"), []int{NoSecondStart}},
+		{"accepted by two nodes", first("unsafe").reject(node1Connection, "j/1/0").
+			offer(node2Connection, "j/1/1", "unsafe").accept(node2Connection, "j/1/1").accept(node1Connection, "j/1/0"),
+			[]int{NoSecondStart}},
 	}
-	p.bytes(conn, back, b, true)
 }
 
-// list tells s of nodes; a name may carry a standing or, behind @, its start in ms.
-func (p *tape) list(whole bool, nodes ...string) *tape {
-	l := &nodepb.Listing{Whole: whole}
-	for _, n := range nodes {
-		name, start, _ := strings.Cut(n, "@")
-		name, standing, _ := strings.Cut(name, ":")
-		e := &nodepb.Entry{Node: name, Zone: map[string]string{"n1": "a", "n2": "b"}[name]}
-		switch standing {
-		case "draining":
-			e.Standing = nodepb.Standing_DRAINING
-		case "out":
-			e.Standing = nodepb.Standing_OUT
-		}
-		if start != "" {
-			var ms int64
-			fmt.Sscan(start, &ms)
-			e.StartedUnixNs = base + ms*1e6
-		}
-		l.Entries = append(l.Entries, e)
+func drainCases() []ruleCase {
+	draining := func() *recording { return newRecording().at(100).listing(false, "n1:draining") }
+	return []ruleCase{
+		{"within the grace period", draining().at(1000).offer(node1Connection, "j/1/0", "safe"), nil},
+		{"after the grace period", draining().at(1200).offer(node1Connection, "j/1/0", "safe"), []int{DrainsKept}},
+		{"listed twice, counted from the first", draining().at(900).listing(false, "n1:draining").at(1200).
+			offer(node1Connection, "j/1/0", "safe"), []int{DrainsKept}},
+		{"missing in a complete list", newRecording().at(100).listing(true, "n2").at(1200).
+			offer(node1Connection, "j/1/0", "safe"), []int{DrainsKept}},
+		{"active again", draining().at(1200).listing(false, "n1").offer(node1Connection, "j/1/0", "safe"), nil},
 	}
-	p.frame(3, true, &nodepb.Frame{Body: &nodepb.Frame_Listing{Listing: l}})
-	return p
-}
-
-func (p *tape) offer(node int, attempt, class string) *tape {
-	p.frame(node, false, &nodepb.Frame{Body: &nodepb.Frame_Offer{Offer: &nodepb.Offer{Attempt: attempt,
-		ValidForNs: int64(500 * time.Millisecond),
-		Task:       &nodepb.Task{Job: strings.Split(attempt, "/")[0], Class: class, Service: "v", Ask: 1}}}})
-	return p
-}
-
-func (p *tape) say(node int, f *nodepb.Frame) *tape { p.frame(node, true, f); return p }
-
-func accepted(a string) *nodepb.Frame {
-	return &nodepb.Frame{Body: &nodepb.Frame_Accepted{Accepted: &nodepb.Accepted{Attempt: a}}}
-}
-
-func refused(a string) *nodepb.Frame {
-	return &nodepb.Frame{Body: &nodepb.Frame_Refused{Refused: &nodepb.Refused{Attempt: a}}}
-}
-
-func welcome(ms int64) *nodepb.Frame {
-	return &nodepb.Frame{Body: &nodepb.Frame_Welcome{Welcome: &nodepb.Welcome{Node: "n1", StartedUnixNs: base + ms*1e6}}}
 }
 
-// fresh is the welcome of a node that may be cold.
-func fresh(ms int64) *nodepb.Frame {
-	f := welcome(ms)
-	f.GetWelcome().Fresh = true
-	return f
-}
-
-func ended2(a string) *nodepb.Frame {
-	return &nodepb.Frame{Body: &nodepb.Frame_Ended{Ended: &nodepb.Ended{Attempt: a}}}
-}
-
-func (p *tape) close(conn int) *tape {
-	p.put(&tappb.Record{Body: &tappb.Record_Close{Close: &tappb.Close{Conn: uint64(conn)}}})
-	return p
-}
-
-func (p *tape) mark(what, party string) *tape {
-	p.put(&tappb.Record{Body: &tappb.Record_Mark{Mark: &tappb.Mark{What: what, Party: party}}})
-	return p
-}
-
-// submit is a client's request; told is an answer to one, or a later request of it.
-func (p *tape) submit(class string) *tape {
-	body, _ := json.Marshal(drmaa2.Submission{Template: drmaa2.JobTemplate{RemoteCommand: "x", JobCategory: class}})
-	p.bytes(4, false, fmt.Appendf(nil, "POST /drmaa2/v1/sessions/t/jobs HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s",
-		len(body), body), true)
-	return p
-}
-
-func (p *tape) ask() *tape {
-	p.bytes(4, false, []byte("GET /drmaa2/v1/jobs/j HTTP/1.1\r\nHost: x\r\n\r\n"), true)
-	return p
-}
-
-func (p *tape) told(rev int, state drmaa2.JobState, outcome string) *tape {
-	i := drmaa2.JobInfo{JobID: "j", JobState: state, ImplementationSpecific: map[string]string{drmaa2.AttrAsk: "1",
-		drmaa2.AttrRevision: fmt.Sprint(rev)}}
-	if outcome != "" {
-		i.ImplementationSpecific[drmaa2.AttrOutcome] = outcome
+func slowStartCases() []ruleCase {
+	listed := func() *recording { return newRecording().at(100).listing(false, "n1@100") }
+	return []ruleCase{
+		{"at the limit", listed().offerMany(3), nil},
+		{"over the limit", listed().offerMany(4), []int{ColdKept}},
+		{"start reported by the node alone", newRecording().at(100).welcome(100, true).offerMany(4), []int{ColdKept}},
+		{"a node that is not fresh reports no start", newRecording().at(100).welcome(100, false).offerMany(9), nil},
+		{"after the slow start", listed().at(6000).offerMany(9), nil},
+		{"no scheduler was notified", newRecording().offerMany(9), nil},
 	}
-	body, _ := json.Marshal(drmaa2.Submitted{Jobs: []drmaa2.JobInfo{i}})
-	p.bytes(4, true, httpcodec.AppendResponse(nil, 201, "application/json", body, false), true)
-	return p
 }
 
-// Each rule, at its edges: what is still kept and what is broken.
-func TestRules(t *testing.T) {
-	for _, c := range []struct {
-		name   string
-		p      *tape
-		broken []int
-	}{
-		{"one outcome in time", newTape().submit("safe").told(1, drmaa2.Queued, "").at(900).ask().
-			told(2, drmaa2.Running, "placed").at(5000).ask().told(3, drmaa2.Done, "placed"), nil},
-		{"two outcomes", newTape().submit("safe").told(1, drmaa2.Queued, "placed").ask().told(2, drmaa2.Failed, "failed"),
-			[]int{OneAnswer}},
-		{"too late", newTape().submit("safe").told(1, drmaa2.Queued, "").at(1200).ask().told(2, drmaa2.Queued, "placed"),
-			[]int{OneAnswer}},
-		{"late, but the process was stopped", newTape().submit("safe").told(1, drmaa2.Queued, "").at(500).
-			mark(MarkStopped, "s").at(3000).mark(MarkGoesOn, "s").at(3050).ask().told(2, drmaa2.Failed, "refused"), nil},
-		{"late after it went on", newTape().submit("safe").told(1, drmaa2.Queued, "").at(500).
-			mark(MarkStopped, "s").at(3000).mark(MarkGoesOn, "s").at(3200).ask().told(2, drmaa2.Failed, "refused"),
-			[]int{OneAnswer}},
-		{"never", newTape().submit("safe").told(1, drmaa2.Queued, "").at(2000).mark("end", ""), []int{OneAnswer}},
-		{"never, but killed", newTape().submit("safe").told(1, drmaa2.Queued, "").at(500).mark(MarkKilled, "s").at(2000).
-			mark("end", ""), nil},
-		{"back from the end", newTape().submit("safe").told(3, drmaa2.Done, "placed").ask().told(4, drmaa2.Running, "placed"),
-			[]int{OneAnswer}},
-		{"an older state on another connection", newTape().submit("safe").told(3, drmaa2.Done, "placed").ask().
-			told(2, drmaa2.Running, "placed"), nil},
-
-		{"another after a refusal", newTape().offer(1, "j/1/0", "unsafe").say(1, refused("j/1/0")).offer(2, "j/1/1", "unsafe"), nil},
-		{"another in flight", newTape().offer(1, "j/1/0", "safe").at(100).offer(2, "j/1/1", "safe"), []int{NoSecondStart}},
-		{"another after the time-out, safe", newTape().offer(1, "j/1/0", "safe").at(500).offer(2, "j/1/1", "safe"), nil},
-		{"another after the time-out, unsafe", newTape().offer(1, "j/1/0", "unsafe").at(500).offer(2, "j/1/1", "unsafe"),
-			[]int{NoSecondStart}},
-		{"another while it runs", newTape().offer(1, "j/1/0", "safe").say(1, accepted("j/1/0")).at(600).offer(2, "j/1/1", "safe"),
-			[]int{NoSecondStart}},
-		{"another after its end", newTape().offer(1, "j/1/0", "unsafe").say(1, accepted("j/1/0")).at(600).
-			say(1, ended2("j/1/0")).offer(2, "j/1/1", "unsafe"), nil},
-		{"keyed, to the same room in its window", newTape().offer(1, "j/1/0", "keyed").at(1900).offer(1, "j/1/1", "keyed"), nil},
-		{"keyed, after its window", newTape().offer(1, "j/1/0", "keyed").at(2100).offer(1, "j/1/1", "keyed"), []int{NoSecondStart}},
-		{"keyed, to another room", newTape().offer(1, "j/1/0", "keyed").at(600).offer(2, "j/1/1", "keyed"), []int{NoSecondStart}},
-		{"a cut connection is no proof", newTape().offer(1, "j/1/0", "unsafe").close(1).at(600).offer(2, "j/1/1", "unsafe"),
-			[]int{NoSecondStart}},
-		{"held twice in truth", newTape().offer(1, "j/1/0", "unsafe").say(1, refused("j/1/0")).offer(2, "j/1/1", "unsafe").
-			say(2, accepted("j/1/1")).say(1, accepted("j/1/0")), []int{NoSecondStart}},
-
-		{"within the grace", newTape().at(100).list(false, "n1:draining").at(1000).offer(1, "j/1/0", "safe"), nil},
-		{"after the grace", newTape().at(100).list(false, "n1:draining").at(1200).offer(1, "j/1/0", "safe"), []int{DrainsKept}},
-		{"told twice, counted from the first", newTape().at(100).list(false, "n1:draining").at(900).list(false, "n1:draining").
-			at(1200).offer(1, "j/1/0", "safe"), []int{DrainsKept}},
-		{"gone from a whole list", newTape().at(100).list(true, "n2").at(1200).offer(1, "j/1/0", "safe"), []int{DrainsKept}},
-		{"back again", newTape().at(100).list(false, "n1:draining").at(1200).list(false, "n1").offer(1, "j/1/0", "safe"), nil},
-
-		{"what a cold node bears", many(newTape().at(100).list(false, "n1@100"), 3), nil},
-		{"more than a cold node bears", many(newTape().at(100).list(false, "n1@100"), 4), []int{ColdKept}},
-		{"told by the node alone", many(newTape().at(100).say(1, fresh(100)), 4), []int{ColdKept}},
-		{"a node that is up for long tells nothing", many(newTape().at(100).say(1, welcome(100)), 9), nil},
-		{"a warm node", many(newTape().at(100).list(false, "n1@100").at(6000), 9), nil},
-		{"nobody was told", many(newTape(), 9), nil},
-
-		{"two in a room", newTape().offer(1, "a/1/0", "safe").offer(1, "b/1/0", "safe").offer(2, "c/1/0", "safe"), nil},
-		{"three in a room", newTape().offer(1, "a/1/0", "safe").offer(1, "b/1/0", "safe").offer(1, "c/1/0", "safe"),
-			[]int{SpreadKept}},
-		{"one has ended", newTape().offer(1, "a/1/0", "safe").offer(1, "b/1/0", "safe").say(1, accepted("a/1/0")).
-			say(1, ended2("a/1/0")).offer(1, "c/1/0", "safe"), nil},
-	} {
-		t.Run(c.name, func(t *testing.T) {
-			v, err := Check(&c.p.b)
-			if err != nil {
-				t.Fatal(err)
-			}
-			for i, r := range v.Rules {
-				want := false
-				for _, b := range c.broken {
-					want = want || b == i
-				}
-				if (len(r.Broken) > 0) != want {
-					t.Errorf("rule %d: broken is %v, want %v\n%s", i+1, !want, want, v)
-				}
-			}
-			if v.OK() != (len(c.broken) == 0) {
-				t.Error("OK does not agree")
-			}
-		})
+func spreadCases() []ruleCase {
+	two := func() *recording {
+		return newRecording().offer(node1Connection, "a/1/0", "safe").offer(node1Connection, "b/1/0", "safe")
 	}
-}
-
-// many offers unsafe jobs, so that spread plays no part.
-func many(p *tape, n int) *tape {
-	for i := range n {
-		p.offer(1, fmt.Sprintf("m%d/1/0", i), "unsafe")
+	return []ruleCase{
+		{"two in a zone", two().offer(node2Connection, "c/1/0", "safe"), nil},
+		{"three in a zone", two().offer(node1Connection, "c/1/0", "safe"), []int{SpreadKept}},
+		{"one of three has ended", two().accept(node1Connection, "a/1/0").end(node1Connection, "a/1/0").
+			offer(node1Connection, "c/1/0", "safe"), nil},
 	}
-	return p
 }
 
-// A connection that can't be read makes the verdict untrusted, unless bytes were dropped on purpose.
-func TestUnread(t *testing.T) {
-	for drops, want := range map[bool]bool{false: false, true: true} {
-		p := newTape()
-		if drops {
-			p.mark(MarkDrops, "")
+// TestUndecoded checks that a connection that can't be decoded makes the verdict untrusted, unless bytes were dropped on
+// purpose.
+func TestUndecoded(t *testing.T) {
+	for bytesDropped, want := range map[bool]bool{false: false, true: true} {
+		r := newRecording()
+		if bytesDropped {
+			r.mark(MarkBytesDropped, "")
 		}
-		p.bytes(1, true, []byte{0xff, 0xff, 0xff, 0xff}, true)
-		v, err := Check(&p.b)
-		if err != nil || v.OK() != want {
-			t.Errorf("drops %v: %v, %v", drops, v, err)
+		r.bytes(node1Connection, true, []byte{0xff, 0xff, 0xff, 0xff})
+		verdict, err := Check(&r.encoded)
+		if err != nil || verdict.OK() != want {
+			t.Errorf("bytes dropped is %v: %v, %v", bytesDropped, verdict, err)
 		}
 	}
-	for _, bad := range []string{"", "nonsense"} {
-		if _, err := Check(strings.NewReader(bad)); err == nil {
-			t.Errorf("%q was taken for a recording", bad)
+	for _, malformed := range []string{"", "nonsense"} {
+		_, err := Check(strings.NewReader(malformed))
+		var recordingError *RecordingError
+		if !errors.As(err, &recordingError) || recordingError.Section != "head" {
+			t.Errorf("%q: error %v, want one of the head", malformed, err)
 		}
 	}
 }
 
-// Follow tells the story of a job with the marks.
+// TestMalformedFigures checks that a recording whose figures are no JSON is rejected with an error that says so.
+func TestMalformedFigures(t *testing.T) {
+	r := &recording{}
+	r.add(&tappb.Record{Body: &tappb.Record_Head{Head: &tappb.Head{Version: recordproxy.Version, Figures: []byte("{")}}})
+	_, err := Check(&r.encoded)
+	var recordingError *RecordingError
+	if !errors.As(err, &recordingError) || recordingError.Section != "figures" {
+		t.Errorf("error %v, want one of the figures", err)
+	}
+}
+
+// TestFollow checks that Follow prints the frames of one job with the marks.
 func TestFollow(t *testing.T) {
-	p := newTape().at(5).offer(1, "j/1/0", "safe").say(1, accepted("j/1/0")).mark(MarkKilled, "s").offer(2, "other/1/0", "safe")
+	r := newRecording().at(5).offer(node1Connection, "j/1/0", "safe").accept(node1Connection, "j/1/0").
+		mark(MarkSchedulerKilled, "s").offer(node2Connection, "other/1/0", "safe")
 	var out bytes.Buffer
-	if err := Follow(&p.b, &out, "j/1/0"); err != nil {
+	if err := Follow(&r.encoded, &out, "j/1/0"); err != nil {
 		t.Fatal(err)
 	}
 	got := out.String()
 	for _, want := range []string{"s > n1 ", "n1 > s ", "-- s: scheduler killed"} {
 		if !strings.Contains(got, want) {
-			t.Errorf("%q does not say %q", got, want)
+			t.Errorf("%q does not contain %q", got, want)
 		}
 	}
 	if strings.Contains(got, "other") {
-		t.Error("it tells of another job")
+		t.Error("it contains another job")
 	}
 }
 
-// Whatever the recording holds, Check neither panics nor runs on.
+// FuzzCheck checks that Check returns on any recording, without a panic.
 func FuzzCheck(f *testing.F) {
-	f.Add(newTape().submit("safe").told(1, drmaa2.Running, "placed").offer(1, "j/1/0", "safe").b.Bytes())
+	f.Add(newRecording().submit().respond(1, drmaa2.Running, "placed").offer(node1Connection, "j/1/0", "safe").
+		encoded.Bytes())
 	f.Add([]byte("x"))
 	f.Fuzz(func(_ *testing.T, in []byte) { _, _ = Check(bytes.NewReader(in)) })
 }
--- a/internal/lab/trial/cluster.go
+++ b/internal/lab/trial/cluster.go
@@ -174,7 +174,7 @@
 	go func() {
 		<-life.Done()
 		if life.FellOver() {
-			n.c.rec.Mark(rules.MarkFellOver, n.name)
+			n.c.rec.Mark(rules.MarkNodeOverloaded, n.name)
 			n.die()
 		}
 	}()
@@ -189,7 +189,7 @@
 	n.fault = nodemodel.Fault{}
 	n.mu.Unlock()
 	if life != nil {
-		n.c.rec.Mark(rules.MarkNodeDead, n.name)
+		n.c.rec.Mark(rules.MarkNodeDied, n.name)
 		n.c.ending.Add(1)
 		go func() { // its sockets may take a while to close; the crash is at once
 			defer n.c.ending.Done()
@@ -313,7 +313,7 @@
 	if cmd != nil {
 		_ = cmd.Process.Kill()
 		<-exited
-		p.c.rec.Mark(rules.MarkKilled, p.name)
+		p.c.rec.Mark(rules.MarkSchedulerKilled, p.name)
 		p.client.Cut()
 		p.list.Cut()
 	}
--- a/internal/lab/trial/trial_test.go
+++ b/internal/lab/trial/trial_test.go
@@ -118,7 +118,7 @@
 			if !res.OK() {
 				t.Errorf("%s", res)
 			}
-			if res.Tally.Submitted == 0 || res.Verdict.Taken == 0 || len(res.Replays) == 0 {
+			if res.Tally.Submitted == 0 || res.Verdict.Admitted == 0 || len(res.Replays) == 0 {
 				t.Errorf("nothing was played: %s", res)
 			}
 			for i, r := range res.Verdict.Rules {
--- a/internal/lab/trial/trouble.go
+++ b/internal/lab/trial/trouble.go
@@ -76,7 +76,7 @@
 	}
 	links := func(f recordproxy.Fault) {
 		if f.DropBack || f.DropThere {
-			c.rec.Mark(rules.MarkDrops, "nodes")
+			c.rec.Mark(rules.MarkBytesDropped, "nodes")
 		}
 		for _, n := range nodes {
 			n.proxy.Set(f)
@@ -137,9 +137,9 @@
 	case "deploy":
 		return c.deploy(ctx, nodes, scenario.Seconds(t.For), max(1, int(t.Factor)))
 	case "stop-scheduler":
-		c.signal(t, syscall.SIGSTOP, rules.MarkStopped)
+		c.signal(t, syscall.SIGSTOP, rules.MarkSchedulerPaused)
 		rest()
-		c.signal(t, syscall.SIGCONT, rules.MarkGoesOn)
+		c.signal(t, syscall.SIGCONT, rules.MarkSchedulerResumed)
 	case "kill-scheduler":
 		return c.killSchedulers(ctx, t, rest)
 	case "term-scheduler":
@@ -257,7 +257,7 @@
 	for _, i := range t.Schedulers {
 		p := c.schedulers[i]
 		errs = append(errs, p.end())
-		c.rec.Mark(rules.MarkKilled, p.name) // what comes after is another life
+		c.rec.Mark(rules.MarkSchedulerKilled, p.name) // what comes after is another life
 	}
 	rest()
 	if ctx.Err() == nil {
