--- /dev/null
+++ b/internal/lab/emulator/clients.go
@@ -0,0 +1,329 @@
+package emulator
+
+import (
+	"cmp"
+	"container/heap"
+	"slices"
+	"time"
+
+	"flaxshelf.example/flaxshelf/internal/lab/scenario"
+	"flaxshelf.example/flaxshelf/internal/scheduler"
+)
+
+// outcomeGrace is how much longer than its outcome is due a client waits for it, as in trials.
+const outcomeGrace = 2 * time.Second
+
+// warmUp is simulated time before the day begins, in which schedulers connect.
+const warmUp = 500 * time.Millisecond
+
+// resubmitDelay is how long a client waits until it submits a job again to a scheduler that was killed.
+const resubmitDelay = 200 * time.Millisecond
+
+// clients submit the load and account for every submission. They are one entity.
+type clients struct {
+	id          int32
+	simulation  *simulation
+	inbox       inbox
+	latency     *latencyModel
+	loads       []loadState
+	timers      timers
+	timersSet   int64
+	submissions map[string]*submitted // by idempotency key, while they are open
+	stats       *clientStats
+	measureFrom time.Duration // submissions before it are not counted
+
+	loadFactors      map[string]float64 // by class; "" for all
+	hotServiceShares map[string]float64
+}
+
+// loadState is one load with its next submission.
+type loadState struct {
+	arrivals arrivals
+	next     scenario.Arrival
+	ok       bool
+}
+
+// submitted is a submission with what its client knows of it.
+type submitted struct {
+	arrival     scenario.Arrival
+	spec        scheduler.Spec
+	job         string
+	outcome     scheduler.Outcome
+	end         string // how it ended other than by an outcome
+	lastOutcome string // of a request after which its client retries
+	orphaned    bool   // its scheduler was killed
+	due         Time   // when it is accounted for
+	closed      bool
+}
+
+func newClients(s *simulation) *clients {
+	c := &clients{simulation: s, latency: newLatencyModel(s.seed, 0), submissions: map[string]*submitted{},
+		stats: newClientStats(s.day), loadFactors: map[string]float64{}, hotServiceShares: map[string]float64{}}
+	var sources []arrivals
+	for i := range s.day.Load {
+		sources = append(sources, s.day.Arrivals(i, s.seed))
+	}
+	if s.trace != nil {
+		sources = []arrivals{s.trace}
+	}
+	for _, source := range sources {
+		load := loadState{arrivals: source}
+		load.next, load.ok = source.Next(1, 0)
+		c.loads = append(c.loads, load)
+	}
+	return c
+}
+
+func (c *clients) receive(m message) { c.inbox.put(m) }
+
+func (c *clients) nextDue() Time {
+	due := c.inbox.nextDue()
+	if len(c.timers) > 0 {
+		due = min(due, c.timers[0].at)
+	}
+	for i := range c.loads {
+		if c.loads[i].ok {
+			due = min(due, arrivalTime(&c.loads[i].next))
+		}
+	}
+	return due
+}
+
+// arrivalTime is when a submission is intended to be sent.
+func arrivalTime(arrival *scenario.Arrival) Time { return Epoch + warmUp + arrival.At }
+
+// setTimer calls a function at a time.
+func (c *clients) setTimer(at Time, call func(now Time, out *outbox)) {
+	c.timersSet++
+	heap.Push(&c.timers, timer{at: at, number: c.timersSet, call: call})
+}
+
+func (c *clients) run(end Time, out *outbox) {
+	for _, m := range c.inbox.due(end) {
+		c.handle(m)
+	}
+	for len(c.timers) > 0 && c.timers[0].at < end {
+		t := heap.Pop(&c.timers).(timer)
+		t.call(t.at, out)
+	}
+	for i := range c.loads {
+		load := &c.loads[i]
+		for load.ok && arrivalTime(&load.next) < end {
+			c.submit(load.next, out)
+			load.next, load.ok = load.arrivals.Next(c.loadNow(load.next.Load.Class))
+		}
+	}
+}
+
+// loadNow is the factor of a class's load and the share of one service, by the faults of the present.
+func (c *clients) loadNow(class string) (factor, hotServiceShare float64) {
+	factor = 1
+	for _, name := range []string{"", class} {
+		if f := c.loadFactors[name]; f > 0 {
+			factor *= f
+		}
+	}
+	return factor, max(c.hotServiceShares[class], c.hotServiceShares[""])
+}
+
+func (c *clients) submit(arrival scenario.Arrival, out *outbox) {
+	now, load, rules := arrivalTime(&arrival), arrival.Load, &c.simulation.day.Rules
+	s := &submitted{arrival: arrival, spec: c.spec(&arrival)}
+	timeout := c.simulation.schedulers[arrival.Scheduler].settings.Classes[s.spec.Class].PlacementTimeout.Duration()
+	s.due = now + max(timeout+rules.AnswerSlack.Duration()+outcomeGrace, load.Patience.Duration())
+	c.submissions[arrival.Key] = s
+	if arrival.At >= c.measureFrom {
+		c.stats.submitted(load.Class)
+	}
+	c.send(s, now, out)
+	c.setTimer(s.due, func(Time, *outbox) { c.close(s) })
+}
+
+// spec is what a client submits, with what the class gives a job that names none.
+func (c *clients) spec(arrival *scenario.Arrival) scheduler.Spec {
+	set, load := c.simulation.schedulers[arrival.Scheduler].settings, arrival.Load
+	spec := scheduler.Spec{Key: arrival.Key, Session: "", Name: load.Class, Service: arrival.Service,
+		Class: set.ClassIndex(load.Class), Tenant: set.TenantIndex(load.Tenant), Cores: arrival.Cores,
+		Memory: arrival.Memory, ExpectedRuntime: arrival.Life, Rerunnable: load.Rerunnable}
+	class := &set.Classes[spec.Class]
+	spec.Priority = class.Priority
+	if spec.Cores <= 0 {
+		spec.Cores = class.Cores
+	}
+	if spec.Memory <= 0 {
+		spec.Memory = class.Memory
+	}
+	return spec
+}
+
+func (c *clients) send(s *submitted, now Time, out *outbox) {
+	to := c.simulation.schedulers[s.arrival.Scheduler].id
+	out.send(c.latency.deliveryTime(now, to), to, submission{s.spec})
+}
+
+// The ends of submissions that have no outcome, in the report.
+const (
+	endRejected  = "turned away: " // and the error code
+	endKilled    = "its scheduler was killed"
+	endNoOutcome = "no outcome"
+	endOpen      = "open at the end"
+)
+
+// close accounts for a submission at the end of its time.
+func (c *clients) close(s *submitted) {
+	if s.closed {
+		return
+	}
+	switch {
+	case s.outcome != "":
+		s.end = string(s.outcome)
+	case s.end != "":
+	case s.lastOutcome != "":
+		s.end = s.lastOutcome
+	case s.orphaned:
+		s.end = endKilled
+	default:
+		s.end = endNoOutcome
+	}
+	s.closed = true
+	c.stats.ends[s.end]++
+	delete(c.submissions, s.arrival.Key)
+}
+
+func (c *clients) handle(m message) {
+	switch body := m.body.(type) {
+	case answer:
+		c.answered(&body, m.at)
+	case outcomeNotice:
+		c.outcomeReceived(&body)
+	case loadFactor:
+		c.loadFactors[body.class] = body.factor
+	case hotServiceShare:
+		c.hotServiceShares[body.class] = body.share
+	case schedulerKilled:
+		c.schedulerKilled(body.scheduler, m.at)
+	}
+}
+
+// answered takes the answer to a submission.
+func (c *clients) answered(a *answer, now Time) {
+	s := c.submissions[a.key]
+	if s == nil {
+		return
+	}
+	switch {
+	case a.errorCode == unreachableCode && s.outcome == "":
+		s.orphaned = true
+		c.resubmit(s, now)
+	case a.errorCode != "" && s.orphaned:
+		c.resubmit(s, now)
+	case a.errorCode != "":
+		s.end = endRejected + a.errorCode
+		if c.retry(s, now) {
+			s.end = ""
+		}
+	default:
+		first := s.job == ""
+		s.job = a.job
+		if first {
+			c.command(s, now)
+		}
+	}
+}
+
+func (c *clients) schedulerKilled(index int, now Time) {
+	for _, s := range c.openSubmissions() {
+		if s.arrival.Scheduler == index && s.outcome == "" && s.end == "" {
+			s.orphaned = true
+			c.resubmit(s, now)
+		}
+	}
+}
+
+// retry submits a job again that was not placed, while its client's patience lasts.
+func (c *clients) retry(s *submitted, now Time) bool {
+	backoff := s.arrival.Load.Retry.Duration()
+	if backoff <= 0 {
+		return false
+	}
+	at := now + backoff/2 + time.Duration(c.latency.random.Int64N(int64(backoff)))
+	if at >= arrivalTime(&s.arrival)+s.arrival.Load.Patience.Duration() {
+		return false
+	}
+	c.stats.retries++
+	c.setTimer(at, func(now Time, out *outbox) { c.send(s, now, out) })
+	return true
+}
+
+// openSubmissions lists the open submissions in the order of their times and keys.
+func (c *clients) openSubmissions() []*submitted {
+	open := make([]*submitted, 0, len(c.submissions))
+	for _, s := range c.submissions {
+		open = append(open, s)
+	}
+	slices.SortFunc(open, func(a, b *submitted) int {
+		return cmp.Or(cmp.Compare(a.arrival.At, b.arrival.At), cmp.Compare(a.arrival.Key, b.arrival.Key))
+	})
+	return open
+}
+
+// resubmit submits a job again whose scheduler was killed, while its client still waits.
+func (c *clients) resubmit(s *submitted, now Time) {
+	at := now + resubmitDelay
+	if at >= s.due-outcomeGrace {
+		return
+	}
+	s.spec.Retry = true
+	c.setTimer(at, func(now Time, out *outbox) {
+		if s.outcome == "" {
+			c.send(s, now, out)
+		}
+	})
+}
+
+// command terminates some jobs, and holds and releases some, as the load has it.
+func (c *clients) command(s *submitted, now Time) {
+	load := s.arrival.Load
+	later := now + s.arrival.Pause
+	switch {
+	case s.arrival.Verb < load.Terminate:
+		c.sendCommand(s, later, scheduler.Terminate)
+	case s.arrival.Verb < load.Terminate+load.Hold:
+		c.sendCommand(s, now, scheduler.Hold)
+		c.sendCommand(s, later, scheduler.Release)
+	}
+}
+
+func (c *clients) sendCommand(s *submitted, at Time, verb scheduler.Verb) {
+	to := c.simulation.schedulers[s.arrival.Scheduler].id
+	c.setTimer(at, func(now Time, out *outbox) {
+		out.send(c.latency.deliveryTime(now, to), to, command{verb: verb, job: s.job})
+	})
+}
+
+// outcomeReceived takes an event of a job.
+func (c *clients) outcomeReceived(notice *outcomeNotice) {
+	info := &notice.info
+	if info.State.Ended() {
+		c.stats.ended[info.SubState]++
+		return
+	}
+	c.stats.outcome(c.simulation.day.Classes[info.Spec.Class].Name, info.Outcome)
+	s := c.submissions[info.Spec.Key]
+	if s == nil || s.outcome != "" {
+		return
+	}
+	canceled, placed := info.Outcome == scheduler.OutcomeCanceled, info.Outcome == scheduler.OutcomePlaced
+	if canceled && s.arrival.Verb >= s.arrival.Load.Terminate {
+		return // held by its client: another request follows
+	}
+	if !placed && !canceled && c.retry(s, notice.at) {
+		s.lastOutcome = string(info.Outcome)
+		return
+	}
+	s.outcome = info.Outcome
+	if placed && s.arrival.At >= c.measureFrom {
+		class := c.simulation.day.Class(s.arrival.Load.Class)
+		c.stats.placed(class.Name, notice.at-arrivalTime(&s.arrival), class.LatencyObjective.Duration())
+	}
+}
--- /dev/null
+++ b/internal/lab/emulator/effects.go
@@ -0,0 +1,70 @@
+package emulator
+
+import (
+	"flaxshelf.example/flaxshelf/internal/front/nodefront"
+	"flaxshelf.example/flaxshelf/internal/scheduler"
+)
+
+// execute carries out an effect of the core.
+func (s *schedulerEntity) execute(effect scheduler.Effect, now Time, out *outbox) {
+	switch e := effect.(type) {
+	case scheduler.SendOffer:
+		s.sendOffer(&e, now, out)
+	case scheduler.SendStop:
+		s.sendNode(e.Node, frame{nodefront.Stop(e.Attempt)}, now, out)
+	case scheduler.SendAck:
+		s.sendNode(e.Node, frame{nodefront.Ack(e.Attempt)}, now, out)
+	case scheduler.SendHealthCheck:
+		s.sendNode(e.Node, frame{nodefront.Probe()}, now, out)
+	case scheduler.SyncNode:
+		s.sendNode(e.Node, frame{nodefront.Ping(e.Token)}, now, out)
+	case scheduler.Connect:
+		s.connect(e.Node, now, out)
+	case scheduler.Disconnect:
+		s.disconnect(e.Node, now, out)
+	case scheduler.SubscribeDiscovery:
+		s.send(now, s.simulation.inventory.id, frame{nodefront.Watch()}, out)
+	case scheduler.SyncDiscovery:
+		s.send(now, s.simulation.inventory.id, frame{nodefront.Ping(e.Token)}, out)
+	case scheduler.Answer:
+		s.sendAnswer(&e, now, out)
+	case scheduler.Drained:
+		s.drained = true
+	case scheduler.LogOutcome:
+		s.recorder.outcome(s, &e.Info, now)
+		s.send(now, s.simulation.clients.id, outcomeNotice{info: e.Info, at: now}, out)
+	}
+}
+
+func (s *schedulerEntity) sendOffer(offer *scheduler.SendOffer, now Time, out *outbox) {
+	if !s.sendNode(offer.Node, frame{nodefront.Offer(s.settings, offer)}, now, out) {
+		s.feedback = append(s.feedback, scheduler.SendFailed{Node: offer.Node, Attempt: offer.Attempt})
+	}
+}
+
+// sendNode reports whether the node is connected; if not, the frame is lost.
+func (s *schedulerEntity) sendNode(node string, f frame, now Time, out *outbox) bool {
+	l := s.links[node]
+	if l == nil || !l.up {
+		return false
+	}
+	s.recorder.frame(l.connection, false, f, now)
+	s.send(now, l.node, f, out)
+	return true
+}
+
+func (s *schedulerEntity) sendAnswer(e *scheduler.Answer, now Time, out *outbox) {
+	request, ok := s.requests[e.Req]
+	if !ok {
+		return
+	}
+	delete(s.requests, e.Req)
+	a := answer{key: request.key, scheduler: s.settings.Index}
+	if e.Err != nil {
+		a.errorCode = string(e.Err.Code)
+	} else {
+		a.job = e.Jobs[0].ID
+	}
+	s.recorder.answered(s, e, now)
+	s.send(now, s.simulation.clients.id, a, out)
+}
--- /dev/null
+++ b/internal/lab/emulator/emulator.go
@@ -0,0 +1,115 @@
+// Package emulator runs simulated clusters: the schedulers' cores, the node models and the inventory model, which are the
+// very code that runs on sockets, under one simulated clock. One seed gives one trace, whatever the number of workers. To
+// keep that, the package must not read a clock or open sockets.
+package emulator
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+
+	"flaxshelf.example/flaxshelf"
+	"flaxshelf.example/flaxshelf/internal/lab/load"
+	"flaxshelf.example/flaxshelf/internal/lab/rules"
+	"flaxshelf.example/flaxshelf/internal/lab/scenario"
+	"flaxshelf.example/flaxshelf/internal/scheduler"
+)
+
+// Options are how a day is emulated.
+type Options struct {
+	// Seed of all that is drawn.
+	Seed uint64
+	// Workers is the number of goroutines that run entities; 0 is one.
+	Workers int
+	// Record, when set, gets a recording for rules.Check; with one worker only.
+	Record io.Writer
+	// Make makes the module of each scheduler; nil: flaxshelf.New.
+	Make func(cfg flaxshelf.Config, seed uint64) (scheduler.Module, error)
+	// Core, when set, may change the configuration of each scheduler's core, as for tests without a guard.
+	Core func(cfg *scheduler.Config)
+	// Load, when set, replaces the day's own load; the day lasts at least as long.
+	Load *load.Trace
+	// MeasureFrom leaves submissions before so many seconds out of the classes' figures, while the fleet fills.
+	MeasureFrom float64
+	// Progress, when set, is called with the simulated seconds now and then.
+	Progress func(seconds float64)
+}
+
+// OptionsError is a combination of a day and options that can't be emulated.
+type OptionsError struct {
+	Option string // a field of Options or of the day
+	Value  any
+	Reason string
+}
+
+// Error names the option, its value and the reason.
+func (e *OptionsError) Error() string {
+	return fmt.Sprintf("emulator: %s %v %s", e.Option, e.Value, e.Reason)
+}
+
+// How often Run does other things than simulate, in windows.
+const (
+	progressWindows    = 1000
+	cancelCheckWindows = 256
+)
+
+// Run emulates a day. The error is that of the context, an *OptionsError, a *fault.Error for a fault that needs sockets, or
+// one of a core or the recording.
+func Run(ctx context.Context, d *scenario.Day, opt Options) (*Report, error) {
+	s, err := newSimulation(d, opt)
+	if err != nil {
+		return nil, err
+	}
+	if err := s.faults.plan(ctx); err != nil {
+		return nil, fmt.Errorf("emulator: %w", err)
+	}
+	end := Epoch + warmUp + scenario.Seconds(s.day.Seconds+d.After)
+	windows := 0
+	s.engine.run(end, func() bool {
+		windows++
+		if windows%progressWindows == 0 && opt.Progress != nil {
+			opt.Progress((Time(s.engine.wheel.now) * window).Seconds())
+		}
+		return s.err != nil || windows%cancelCheckWindows == 0 && ctx.Err() != nil
+	})
+	if s.err != nil {
+		return nil, fmt.Errorf("emulator: %w", s.err)
+	}
+	if err := ctx.Err(); err != nil {
+		return nil, err
+	}
+	if opt.Record != nil {
+		figures, err := json.Marshal(d.Figures())
+		if err != nil {
+			return nil, fmt.Errorf("emulator: figures: %w", err)
+		}
+		if err := s.recorder.write(opt.Record, figures, end); err != nil {
+			return nil, err
+		}
+	}
+	return s.report(end), nil
+}
+
+// Judge emulates a day and has rules.Check read its recording. It replaces opt.Record.
+func Judge(ctx context.Context, d *scenario.Day, opt Options) (*Report, *rules.Verdict, error) {
+	recording, out := io.Pipe()
+	type checked struct {
+		verdict *rules.Verdict
+		err     error
+	}
+	done := make(chan checked, 1)
+	go func() { // ends when the pipe is closed below
+		verdict, err := rules.Check(recording)
+		_ = recording.CloseWithError(err) // it never fails
+		done <- checked{verdict, err}
+	}()
+	opt.Record = out
+	report, err := Run(ctx, d, opt)
+	_ = out.CloseWithError(err) // it never fails
+	check := <-done
+	if err != nil {
+		return nil, nil, err
+	}
+	return report, check.verdict, check.err
+}
--- a/internal/lab/emulator/emulator_test.go
+++ b/internal/lab/emulator/emulator_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"context"
+	"errors"
 	"flag"
 	"fmt"
 	"os"
@@ -10,7 +11,9 @@
 	"time"
 
 	"flaxshelf.example/flaxshelf"
+	"flaxshelf.example/flaxshelf/internal/lab/fault"
 	"flaxshelf.example/flaxshelf/internal/lab/reference"
+	"flaxshelf.example/flaxshelf/internal/lab/rules"
 	"flaxshelf.example/flaxshelf/internal/lab/scenario"
 	"flaxshelf.example/flaxshelf/internal/scheduler"
 )
@@ -31,59 +34,61 @@
 	return d
 }
 
-// The days of the trials, as far as they need no sockets, keep the rules on the simulated clock as well, by the very
-// same checker; every submission is accounted for; and every decision is that of the module's former text.
+// TestDaysKeepTheRules checks that the days of the trials that need no sockets keep the rules on the simulated clock as
+// well, by the very same checker; that every submission is accounted for; and that every decision is that of the
+// reference module.
 func TestDaysKeepTheRules(t *testing.T) {
-	played := 0
+	emulated := 0
 	for _, name := range scenario.Names() {
 		switch name {
 		case "bad-day", "links", "inventory", "rude-clients":
-			continue // of connections, which only sockets have
+			continue // faults of connections, which only sockets have
 		}
-		played++
+		emulated++
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			var twins []*reference.Twin
-			twin := func(c flaxshelf.Config, seed uint64) (scheduler.Module, error) {
-				x, err := reference.NewTwin(c, seed)
-				twins = append(twins, x)
-				return x, err
+			newTwin := func(config flaxshelf.Config, seed uint64) (scheduler.Module, error) {
+				twin, err := reference.NewTwin(config, seed)
+				twins = append(twins, twin)
+				return twin, err
 			}
-			rep, v, err := Judge(context.Background(), day(t, name), Options{Seed: 5, Make: twin})
+			report, verdict, err := Judge(context.Background(), day(t, name), Options{Seed: 5, Make: newTwin})
 			if err != nil {
 				t.Fatal(err)
 			}
-			for i, x := range twins {
-				if x.Err != nil || x.Steps == 0 {
-					t.Errorf("life %d of a scheduler: %d steps, %v", i, x.Steps, x.Err)
+			for i, twin := range twins {
+				if twin.Err != nil || twin.Steps == 0 {
+					t.Errorf("incarnation %d: %d steps, %v", i, twin.Steps, twin.Err)
 				}
 			}
-			if !v.OK() || rep.Unaccounted > 0 || v.Admitted == 0 || v.Rules[0].Checked == 0 || v.Rules[1].Checked == 0 {
-				t.Errorf("%s%s", v, rep)
+			checked := verdict.Rules[rules.OneAnswer].Checked > 0 && verdict.Rules[rules.NoSecondStart].Checked > 0
+			if !verdict.OK() || report.Unaccounted > 0 || verdict.Admitted == 0 || !checked {
+				t.Errorf("%s%s", verdict, report)
 			}
 		})
 	}
-	if played < 12 {
-		t.Errorf("%d days were played", played)
+	if emulated < 12 {
+		t.Errorf("%d days were emulated", emulated)
 	}
 }
 
-// One seed gives one trace, whatever the number of workers; another seed another one.
+// TestDeterminism checks that one seed gives one trace, whatever the number of workers, and another seed another one.
 func TestDeterminism(t *testing.T) {
-	text := func(seed uint64, workers int) string {
-		rep, err := Run(context.Background(), day(t, "mass-restart"), Options{Seed: seed, Workers: workers})
+	run := func(seed uint64, workers int) string {
+		report, err := Run(context.Background(), day(t, "mass-restart"), Options{Seed: seed, Workers: workers})
 		if err != nil {
 			t.Fatal(err)
 		}
-		return rep.String()
+		return report.String()
 	}
-	one := text(3, 1)
+	want := run(3, 1)
 	for _, workers := range []int{1, 2, 4, 7} {
-		if got := text(3, workers); got != one {
-			t.Errorf("with %d workers:\n%s\nwith one:\n%s", workers, got, one)
+		if got := run(3, workers); got != want {
+			t.Errorf("with %d workers:\n%s\nwith one:\n%s", workers, got, want)
 		}
 	}
-	if text(4, 1) == one {
+	if run(4, 1) == want {
 		t.Error("another seed gives the same")
 	}
 	var a, b bytes.Buffer
@@ -97,24 +102,31 @@
 	}
 }
 
-// What the emulator can't play it says, and does not play half.
-func TestNotPlayed(t *testing.T) {
-	if _, err := Run(context.Background(), day(t, "links"), Options{Seed: 1}); err == nil {
-		t.Error("a day of cut links was played")
+// TestUnsupported checks that what the emulator can't do is an error, not half of a result.
+func TestUnsupported(t *testing.T) {
+	var unsupported *fault.UnsupportedError
+	if _, err := Run(context.Background(), day(t, "links"), Options{Seed: 1}); !errors.As(err, &unsupported) {
+		t.Errorf("faults of connections: %v", err)
 	}
-	opt := Options{Seed: 1, Workers: 2, Record: &bytes.Buffer{}}
-	if _, err := Run(context.Background(), day(t, "calm"), opt); err == nil {
-		t.Error("a recording was made by two workers")
+	var options *OptionsError
+	withRecord := Options{Seed: 1, Workers: 2, Record: &bytes.Buffer{}}
+	if _, err := Run(context.Background(), day(t, "calm"), withRecord); !errors.As(err, &options) || options.Value != 2 {
+		t.Errorf("a recording by two workers: %v", err)
+	}
+	severalCores := day(t, "calm")
+	severalCores.Cores = 2
+	if _, err := Run(context.Background(), severalCores, Options{Seed: 1}); !errors.As(err, &options) {
+		t.Errorf("schedulers of two cores: %v", err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	if _, err := Run(ctx, day(t, "calm"), Options{Seed: 1}); err == nil {
-		t.Error("a run that was called off gave a report")
+	if _, err := Run(ctx, day(t, "calm"), Options{Seed: 1}); !errors.Is(err, context.Canceled) {
+		t.Errorf("a canceled run: %v", err)
 	}
 }
 
-// scaled is a fleet of n nodes and so many schedulers with load in proportion.
-func scaled(t testing.TB, nodes, schedulers int, seconds float64) *scenario.Day {
+// scaledDay is a fleet of n nodes and so many schedulers with load in proportion.
+func scaledDay(t testing.TB, nodes, schedulers int, seconds float64) *scenario.Day {
 	t.Helper()
 	text := fmt.Sprintf(`#Town
 about: "scaled"
@@ -138,14 +150,14 @@
 	return d
 }
 
-// The rules hold in an emulated cluster of 400 schedulers and 130 nodes.
+// TestManySchedulers checks that the rules hold in an emulated cluster of 400 schedulers and 130 nodes.
 func TestManySchedulers(t *testing.T) {
-	rep, v, err := Judge(context.Background(), scaled(t, 130, 400, 3), Options{Seed: 1})
+	report, verdict, err := Judge(context.Background(), scaledDay(t, 130, 400, 3), Options{Seed: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !v.OK() || rep.Unaccounted > 0 || v.Admitted < 900 {
-		t.Errorf("%s%s", v, rep)
+	if !verdict.OK() || report.Unaccounted > 0 || verdict.Admitted < 900 {
+		t.Errorf("%s%s", verdict, report)
 	}
 }
 
@@ -157,18 +169,18 @@
 	}{{33, 20, 30}, {130, 100, 30}, {1000, 100, 5}, {10000, 20, 3}} {
 		for _, workers := range []int{1, 4} {
 			b.Run(fmt.Sprintf("nodes=%d/schedulers=%d/workers=%d", c.nodes, c.schedulers, workers), func(b *testing.B) {
-				d := scaled(b, c.nodes, c.schedulers, c.seconds)
+				d := scaledDay(b, c.nodes, c.schedulers, c.seconds)
 				var simulated, wall float64
 				var messages int64
 				for b.Loop() {
 					began := time.Now()
-					rep, err := Run(context.Background(), d, Options{Seed: 1, Workers: workers})
+					report, err := Run(context.Background(), d, Options{Seed: 1, Workers: workers})
 					if err != nil {
 						b.Fatal(err)
 					}
 					wall += time.Since(began).Seconds()
-					simulated += rep.Seconds
-					messages += rep.Messages
+					simulated += report.Seconds
+					messages += report.Messages
 				}
 				b.ReportMetric(simulated/wall, "simulated-s/s")
 				b.ReportMetric(wall/float64(messages)*1e9, "ns/message")
--- /dev/null
+++ b/internal/lab/emulator/inbox.go
@@ -0,0 +1,79 @@
+package emulator
+
+import (
+	"cmp"
+	"math"
+	"slices"
+)
+
+// inbox keeps messages in the order of their times. New ones are only noted; they are sorted in when the next is wanted,
+// all at once, since a busy party gets hundreds in one window in no order.
+type inbox struct {
+	sorted        []message
+	unsorted      []message
+	firstUnsorted Time // the least time of unsorted
+	taken         []message
+}
+
+func (b *inbox) put(m message) {
+	if len(b.unsorted) == 0 || m.at < b.firstUnsorted {
+		b.firstUnsorted = m.at
+	}
+	b.unsorted = append(b.unsorted, m)
+}
+
+func compareMessages(a, b message) int { return cmp.Compare(a.at, b.at) }
+
+func compareMessageTime(m message, t Time) int { return cmp.Compare(m.at, t) }
+
+// merge sorts the new ones in, behind others of the same time.
+func (b *inbox) merge() {
+	if len(b.unsorted) == 0 {
+		return
+	}
+	slices.SortStableFunc(b.unsorted, compareMessages)
+	if count := len(b.sorted); count == 0 || b.sorted[count-1].at <= b.unsorted[0].at {
+		b.sorted = append(b.sorted, b.unsorted...)
+	} else {
+		from, _ := slices.BinarySearchFunc(b.sorted, b.unsorted[0].at+1, compareMessageTime)
+		tail := append(slices.Clone(b.sorted[from:]), b.unsorted...)
+		slices.SortStableFunc(tail, compareMessages)
+		b.sorted = append(b.sorted[:from], tail...)
+	}
+	clear(b.unsorted)
+	b.unsorted = b.unsorted[:0]
+}
+
+// due takes the messages before end. They are valid until the next call.
+func (b *inbox) due(end Time) []message {
+	if b.nextDue() >= end {
+		return nil
+	}
+	b.merge()
+	count, _ := slices.BinarySearchFunc(b.sorted, end, compareMessageTime)
+	clear(b.taken)
+	b.taken = append(b.taken[:0], b.sorted[:count]...)
+	b.sorted = slices.Delete(b.sorted, 0, count)
+	return b.taken
+}
+
+// pop takes the first message; there must be one.
+func (b *inbox) pop() message {
+	b.merge()
+	m := b.sorted[0]
+	b.sorted[0] = message{}
+	b.sorted = b.sorted[1:]
+	return m
+}
+
+// nextDue is the time of the first message; math.MaxInt64 for none.
+func (b *inbox) nextDue() Time {
+	next := Time(math.MaxInt64)
+	if len(b.sorted) > 0 {
+		next = b.sorted[0].at
+	}
+	if len(b.unsorted) > 0 {
+		next = min(next, b.firstUnsorted)
+	}
+	return next
+}
--- a/internal/lab/emulator/inventory.go
+++ b/internal/lab/emulator/inventory.go
@@ -1,60 +1,61 @@
 package emulator
 
-import (
-	"flaxshelf.example/flaxshelf/internal/lab/standin/inventorymodel"
-)
+import "flaxshelf.example/flaxshelf/internal/lab/standin/inventorymodel"
 
-// inventory is the inventory model as an entity. Parties are known by their entity's number.
+// inventory is the inventory model as an entity. Its peers are known by their names to the model.
 type inventory struct {
-	id    int32
-	w     *world
-	in    inbox
-	lines *lines
-	model *inventorymodel.Inventory
-	names map[int32]string
-	ids   map[string]int32
+	id         int32
+	simulation *simulation
+	inbox      inbox
+	latency    *latencyModel
+	model      *inventorymodel.Inventory
+	peerNames  map[int32]string
+	peers      map[string]int32
 }
 
-func (v *inventory) take(m message) { v.in.put(m) }
+func (v *inventory) receive(m message) { v.inbox.put(m) }
 
-func (v *inventory) next() Time { return min(v.in.next(), v.model.Next()) }
+func (v *inventory) nextDue() Time { return min(v.inbox.nextDue(), v.model.Next()) }
 
-func (v *inventory) name(id int32) string {
-	name, ok := v.names[id]
+func (v *inventory) peerName(id int32) string {
+	name, ok := v.peerNames[id]
 	if !ok {
-		name = v.w.nameOf(id)
-		v.names[id], v.ids[name] = name, id
+		name = v.simulation.entityName(id)
+		v.peerNames[id], v.peers[name] = name, id
 	}
 	return name
 }
 
 func (v *inventory) run(end Time, out *outbox) {
 	for {
-		msgAt, dueAt := v.in.next(), v.model.Next()
-		at := min(msgAt, dueAt)
-		if at >= end {
+		messageAt, modelAt := v.inbox.nextDue(), v.model.Next()
+		now := min(messageAt, modelAt)
+		if now >= end {
 			return
 		}
-		if dueAt <= msgAt {
-			v.send(at, v.model.Advance(at), out)
-			continue
-		}
-		m := v.in.pop()
-		switch b := m.body.(type) {
-		case frame:
-			v.send(at, v.model.Receive(at, v.name(m.from), b.Frame), out)
-		case closed:
-			v.send(at, v.model.Gone(at, v.name(m.from)), out)
-		case inventorymodel.Fault:
-			v.send(at, v.model.SetFault(at, b), out)
+		if modelAt <= messageAt {
+			v.send(now, v.model.Advance(now), out)
+		} else {
+			v.handle(v.inbox.pop(), out)
 		}
 	}
 }
 
+func (v *inventory) handle(m message, out *outbox) {
+	switch body := m.body.(type) {
+	case frame:
+		v.send(m.at, v.model.Receive(m.at, v.peerName(m.from), body.Frame), out)
+	case disconnected:
+		v.send(m.at, v.model.Gone(m.at, v.peerName(m.from)), out)
+	case inventorymodel.Fault:
+		v.send(m.at, v.model.SetFault(m.at, body), out)
+	}
+}
+
 func (v *inventory) send(now Time, frames []inventorymodel.Send, out *outbox) {
 	for _, s := range frames {
-		if to, ok := v.ids[s.To]; ok {
-			out.send(v.lines.arrival(now, to), to, frame{s.Frame})
+		if to, ok := v.peers[s.To]; ok {
+			out.send(v.latency.deliveryTime(now, to), to, frame{s.Frame})
 		}
 	}
 }
--- a/internal/lab/emulator/link.go
+++ b/internal/lab/emulator/link.go
@@ -1,42 +1,98 @@
 package emulator
 
 import (
-	"math/rand/v2"
+	"math"
 	"time"
 
-	"flaxshelf.example/flaxshelf/internal/codec/nodeframe/nodepb"
+	"flaxshelf.example/flaxshelf/internal/front/nodefront"
+	"flaxshelf.example/flaxshelf/internal/scheduler"
 )
 
-// What entities tell each other beside frames.
-type (
-	// dial asks for a connection, with the dialler's hello.
-	dial struct {
-		name string
-		life int64
-	}
-	// closed tells that a connection has broken or could not be made.
-	closed struct{}
+// link is a scheduler's connection to a node.
+type link struct {
+	name       string
+	node       int32
+	wanted     bool // the core has asked for it
+	up         bool
+	dialing    bool
+	retryAt    Time
+	failures   int // since it was up
+	front      *nodefront.Node
+	connection uint64 // in the recording; 0: none
+}
+
+func (l *link) isOpen() bool { return l.up || l.dialing }
+
+// The backoff of a daemon's links.
+const (
+	minBackoff     = 20 * time.Millisecond
+	maxBackoff     = time.Second
+	maxBackoffBits = 10 // doublings, far above maxBackoff
 )
 
-// frame is a frame of the node wire on a connection.
-type frame struct{ *nodepb.Frame }
+// connect opens the link to a node, or keeps it.
+func (s *schedulerEntity) connect(node string, now Time, out *outbox) {
+	l := s.links[node]
+	if l == nil {
+		l = &link{name: node, node: s.simulation.nodeIDs[node]}
+		s.links[node], s.linksByEntity[l.node] = l, l
+	}
+	l.wanted = true
+	if !l.isOpen() {
+		s.dial(l, now, out)
+	}
+}
+
+func (s *schedulerEntity) disconnect(node string, now Time, out *outbox) {
+	l := s.links[node]
+	if l == nil {
+		return
+	}
+	l.wanted = false
+	if l.isOpen() {
+		s.send(now, l.node, disconnected{}, out)
+		s.recorder.close(l.connection, now)
+		l.up, l.dialing = false, false
+	}
+}
 
-// lines gives messages their travel times: a least time, jitter, and order kept on each way.
-type lines struct {
-	rng    *rand.Rand
-	least  time.Duration
-	jitter time.Duration
-	last   map[int32]Time
+func (s *schedulerEntity) dial(l *link, now Time, out *outbox) {
+	l.dialing = true
+	l.front = &nodefront.Node{Set: s.settings, Name: l.name}
+	s.send(now, l.node, connect{scheduler: s.settings.Name, incarnation: s.incarnationID()}, out)
+	l.connection = s.recorder.dialed(s, l.name, now)
 }
 
-func newLines(seed uint64, id int32) *lines {
-	return &lines{rng: rand.New(rand.NewPCG(seed, 0xfeed<<20|uint64(id))), least: window, jitter: window,
-		last: map[int32]Time{}}
+// incarnationID is what the scheduler's hello says of its incarnation; a later one has a larger one.
+func (s *schedulerEntity) incarnationID() int64 { return int64(Epoch) + int64(s.incarnations) }
+
+// redial dials the links whose backoff ends before the end of a window.
+func (s *schedulerEntity) redial(end Time, out *outbox) {
+	s.nextDialAt = math.MaxInt64
+	for _, name := range s.simulation.nodeNames { // in one order, whatever the map's
+		l := s.links[name]
+		if l == nil || !l.wanted || l.isOpen() {
+			continue
+		}
+		if l.retryAt < end {
+			s.dial(l, end, out)
+		} else {
+			s.nextDialAt = min(s.nextDialAt, l.retryAt)
+		}
+	}
 }
 
-// arrival is when something sent now to an entity gets there.
-func (l *lines) arrival(now Time, to int32) Time {
-	at := max(now+l.least+time.Duration(l.rng.Int64N(int64(l.jitter))), l.last[to])
-	l.last[to] = at
-	return at
+// linkLost has a link wait for its next dial.
+func (s *schedulerEntity) linkLost(node int32, now Time) scheduler.Input {
+	l := s.linksByEntity[node]
+	if l == nil {
+		return nil
+	}
+	s.recorder.close(l.connection, now)
+	l.up, l.dialing = false, false
+	backoff := min(minBackoff<<min(l.failures, maxBackoffBits), maxBackoff)
+	l.failures++
+	l.retryAt = now + backoff/2 + time.Duration(s.random.Int64N(int64(backoff/2)))
+	s.nextDialAt = min(s.nextDialAt, l.retryAt)
+	return scheduler.NodeDown{Node: l.name}
 }
--- /dev/null
+++ b/internal/lab/emulator/message.go
@@ -0,0 +1,112 @@
+package emulator
+
+import (
+	"math/rand/v2"
+	"time"
+
+	"flaxshelf.example/flaxshelf/internal/codec/nodeframe/nodepb"
+	"flaxshelf.example/flaxshelf/internal/lab/fault"
+	"flaxshelf.example/flaxshelf/internal/scheduler"
+)
+
+// message is what one entity sends another. Its body is of one of the types below, or an inventorymodel.Fault.
+type message struct {
+	at       Time // when it is delivered
+	from, to int32
+	body     any
+}
+
+// Between schedulers, nodes and the inventory.
+type (
+	// connect asks for a connection, with the hello of the scheduler that dials.
+	connect struct {
+		scheduler   string
+		incarnation int64
+	}
+	// disconnected is that a connection has broken or could not be made.
+	disconnected struct{}
+	// frame is a frame on a connection.
+	frame struct{ *nodepb.Frame }
+)
+
+// From clients to schedulers.
+type (
+	submission struct{ spec scheduler.Spec }
+	command    struct {
+		verb scheduler.Verb
+		job  string
+	}
+)
+
+// From schedulers to clients.
+type (
+	// answer is the response to a submission: a job or an error code.
+	answer struct {
+		key, job, errorCode string
+		scheduler           int
+	}
+	// outcomeNotice is an event of a job.
+	outcomeNotice struct {
+		info scheduler.Info
+		at   Time
+	}
+	// schedulerKilled is that the connections to a scheduler have broken.
+	schedulerKilled struct{ scheduler int }
+)
+
+// unreachableCode is the error code of an answer for a scheduler that does not run.
+const unreachableCode = "unreached"
+
+// From the fault injector to nodes.
+type (
+	stopNode        struct{}
+	startNode       struct{}
+	restartNode     struct{}
+	drainNode       struct{}
+	changeNodeFault struct{ change fault.NodeFaultChange }
+	dropPrograms    struct{ share float64 }
+)
+
+// From the fault injector to schedulers.
+type (
+	startScheduler     struct{}
+	killScheduler      struct{}
+	terminateScheduler struct{}
+	pauseScheduler     struct{ until Time }
+)
+
+// From the fault injector to the clients.
+type (
+	loadFactor struct {
+		class  string
+		factor float64
+	}
+	hotServiceShare struct {
+		class string
+		share float64
+	}
+)
+
+// latencyModel gives messages of one sender their delivery times: a least latency, jitter, and the order kept on each
+// way.
+type latencyModel struct {
+	random       *rand.Rand
+	least        time.Duration
+	jitter       time.Duration
+	lastDelivery map[int32]Time
+}
+
+// latencyStream keeps the draws of latencies apart from the other draws of a seed.
+const latencyStream = 0xfeed << 20
+
+func newLatencyModel(seed uint64, sender int32) *latencyModel {
+	return &latencyModel{random: rand.New(rand.NewPCG(seed, latencyStream|uint64(sender))), least: window, jitter: window,
+		lastDelivery: map[int32]Time{}}
+}
+
+// deliveryTime is when a message that is sent now reaches an entity.
+func (l *latencyModel) deliveryTime(now Time, to int32) Time {
+	at := max(now+l.least+time.Duration(l.random.Int64N(int64(l.jitter))), l.lastDelivery[to])
+	l.lastDelivery[to] = at
+	return at
+}
--- a/internal/lab/emulator/node.go
+++ b/internal/lab/emulator/node.go
@@ -2,6 +2,7 @@
 
 import (
 	"math"
+	"time"
 
 	"flaxshelf.example/flaxshelf/internal/codec/nodeframe"
 	"flaxshelf.example/flaxshelf/internal/codec/nodeframe/nodepb"
@@ -11,162 +12,205 @@
 	"flaxshelf.example/flaxshelf/internal/settings"
 )
 
-// registerEvery is how often a node tells the inventory how it is, as on sockets.
-const registerEvery = 500 * Time(1e6)
-
-// node is a place in the fleet, in which one life of a node model follows another.
-type node struct {
-	w       *world
-	id      int32
-	place   scenario.Place
-	set     settings.Node
-	in      inbox
-	lines   *lines
-	model   *nodemodel.Node
-	lives   int
-	parties map[string]int32
-	names   map[int32]string
-	order   []string // of parties, as they came
-	tellAt  Time
-	fault   nodemodel.Fault
-	fell    int
-	done    int // tasks that former lives have finished
+// registerInterval is how often a node reports its state to the inventory, as on sockets.
+const registerInterval = 500 * time.Millisecond
+
+// nodeSeedStride keeps the seeds of the incarnations of different nodes apart.
+const nodeSeedStride = 1000
+
+// nodeEntity is a node of the fleet, with a node model for each incarnation; there is none while it is stopped.
+type nodeEntity struct {
+	simulation   *simulation
+	id           int32
+	place        scenario.Place
+	settings     settings.Node
+	inbox        inbox
+	latency      *latencyModel
+	model        *nodemodel.Node
+	incarnations int
+	fault        nodemodel.Fault
+
+	peers     map[string]int32 // connected schedulers
+	peerNames map[int32]string
+	peerOrder []string // of the first connections
+
+	registerAt    Time
+	overloads     int // incarnations that crashed of overload
+	finishedTasks int // of former incarnations
 }
 
-func (n *node) take(m message) { n.in.put(m) }
+func (n *nodeEntity) receive(m message) { n.inbox.put(m) }
 
-func (n *node) next() Time {
-	t := n.in.next()
-	if n.model != nil {
-		t = min(t, n.model.Next(), n.tellAt)
+func (n *nodeEntity) nextDue() Time { return min(n.inbox.nextDue(), n.ownNextDue()) }
+
+// ownNextDue is when the node does something by itself.
+func (n *nodeEntity) ownNextDue() Time {
+	if n.model == nil {
+		return math.MaxInt64
 	}
-	return t
+	return min(n.model.Next(), n.registerAt)
 }
 
-func (n *node) boot(now Time, cold bool) {
+// start begins an incarnation, unless one runs.
+func (n *nodeEntity) start(now Time, warm bool) {
 	if n.model != nil {
 		return
 	}
-	n.lives++
-	s := n.set
-	s.Warm = !cold
-	d := n.w.day
-	n.model = nodemodel.New(fleet.NodeModel(s, d.Kinds, d.Rules, d.Behaviour,
-		n.w.seed+uint64(int(n.id)*1000+n.lives)), now, n.w.rooms[n.place.Group.Zone])
-	n.parties, n.names, n.order = map[string]int32{}, map[int32]string{}, nil
-	n.tellAt = now
+	n.incarnations++
+	set, day := n.settings, n.simulation.day
+	set.Warm = warm
+	seed := n.simulation.seed + uint64(int(n.id)*nodeSeedStride+n.incarnations)
+	n.model = nodemodel.New(fleet.NodeModel(set, day.Kinds, day.Rules, day.Behaviour, seed), now,
+		n.simulation.zoneKeys[n.place.Group.Zone])
+	n.peers, n.peerNames, n.peerOrder = map[string]int32{}, map[int32]string{}, nil
+	n.registerAt = now
 }
 
-func (n *node) die(now Time, out *outbox) {
+// stop ends the incarnation at once, with its connections and faults.
+func (n *nodeEntity) stop(now Time, out *outbox) {
 	if n.model == nil {
 		return
 	}
-	n.w.rec.dead(n, now)
-	n.done += n.model.Finished()
+	n.simulation.recorder.nodeDied(n, now)
+	n.finishedTasks += n.model.Finished()
 	n.model.Die()
 	n.model, n.fault = nil, nodemodel.Fault{}
-	for _, name := range n.order {
-		if id, ok := n.parties[name]; ok {
-			out.send(n.lines.arrival(now, id), id, closed{})
+	for _, name := range n.peerOrder {
+		if id, ok := n.peers[name]; ok {
+			n.reply(now, id, disconnected{}, out)
 		}
 	}
-	out.send(n.lines.arrival(now, n.w.inventory.id), n.w.inventory.id, closed{})
+	n.reply(now, n.simulation.inventory.id, disconnected{}, out)
+}
+
+func (n *nodeEntity) reply(now Time, to int32, body any, out *outbox) {
+	out.send(n.latency.deliveryTime(now, to), to, body)
 }
 
-func (n *node) run(end Time, out *outbox) {
+func (n *nodeEntity) run(end Time, out *outbox) {
 	for {
-		msgAt, dueAt := n.in.next(), Time(math.MaxInt64)
-		if n.model != nil {
-			dueAt = min(n.model.Next(), n.tellAt)
-		}
-		at := min(msgAt, dueAt)
-		if at >= end {
+		messageAt, ownAt := n.inbox.nextDue(), n.ownNextDue()
+		now := min(messageAt, ownAt)
+		if now >= end {
 			return
 		}
-		if dueAt <= msgAt {
-			n.due(at, out)
+		if ownAt <= messageAt {
+			n.advance(now, out)
 			continue
 		}
-		m := n.in.pop()
-		n.handle(m, out)
+		n.handle(n.inbox.pop(), out)
 		if n.model != nil && n.model.Dead() {
-			n.fall(at, out)
+			n.crash(now, out)
 		}
 	}
 }
 
-func (n *node) due(now Time, out *outbox) {
-	if n.tellAt <= now {
+func (n *nodeEntity) advance(now Time, out *outbox) {
+	if n.registerAt <= now {
 		n.register(now, out)
-		n.tellAt = now + registerEvery
+		n.registerAt = now + registerInterval
 	}
 	n.send(now, n.model.Advance(now), out)
 }
 
-func (n *node) fall(now Time, out *outbox) {
+// crash ends an incarnation whose model has died by itself.
+func (n *nodeEntity) crash(now Time, out *outbox) {
 	if n.model.FellOver() {
-		n.fell++
-		n.w.rec.fell(n, now)
+		n.overloads++
+		n.simulation.recorder.nodeOverloaded(n, now)
 	}
-	n.die(now, out)
+	n.stop(now, out)
 }
 
-func (n *node) handle(m message, out *outbox) {
-	switch b := m.body.(type) {
-	case nodeOrder:
-		b(n, m.at, out)
-	case dial:
-		if n.model == nil {
-			out.send(n.lines.arrival(m.at, m.from), m.from, closed{})
-			return
-		}
-		frames, ok := n.model.Connect(m.at, b.name, b.life, nodeframe.HeldPerWelcome)
-		if !ok {
-			out.send(n.lines.arrival(m.at, m.from), m.from, closed{})
-			return
-		}
-		if _, known := n.parties[b.name]; !known {
-			n.order = append(n.order, b.name)
-		}
-		n.parties[b.name], n.names[m.from] = m.from, b.name
-		n.send(m.at, frames, out)
-	case closed:
-		if name, ok := n.names[m.from]; ok && n.model != nil {
-			n.model.Disconnect(m.at, name)
-			delete(n.parties, name)
-			delete(n.names, m.from)
+func (n *nodeEntity) handle(m message, out *outbox) {
+	switch body := m.body.(type) {
+	case stopNode:
+		n.stop(m.at, out)
+	case startNode:
+		n.start(m.at, false)
+	case restartNode:
+		n.stop(m.at, out)
+		n.start(m.at, false)
+	case drainNode:
+		n.drain(m.at, out)
+	case changeNodeFault:
+		n.changeFault(m.at, body, out)
+	case dropPrograms:
+		if n.model != nil {
+			n.model.DropPrograms(body.share)
 		}
+	case connect:
+		n.accept(m, body, out)
+	case disconnected:
+		n.disconnect(m)
 	case frame:
-		if name, ok := n.names[m.from]; ok && n.model != nil {
-			n.send(m.at, n.model.Receive(m.at, name, b.Frame), out)
+		if name, ok := n.peerNames[m.from]; ok && n.model != nil {
+			n.send(m.at, n.model.Receive(m.at, name, body.Frame), out)
 		}
 	}
 }
 
-// nodeOrder is what the director has a node do.
-type nodeOrder func(n *node, now Time, out *outbox)
+func (n *nodeEntity) drain(now Time, out *outbox) {
+	if n.model != nil {
+		n.send(now, n.model.Drain(now), out)
+		n.register(now, out)
+	}
+}
+
+func (n *nodeEntity) changeFault(now Time, body changeNodeFault, out *outbox) {
+	body.change(&n.fault)
+	if n.model != nil {
+		n.send(now, n.model.SetFault(now, n.fault), out)
+	}
+}
+
+// accept takes a connection of a scheduler, or breaks it.
+func (n *nodeEntity) accept(m message, hello connect, out *outbox) {
+	if n.model == nil {
+		n.reply(m.at, m.from, disconnected{}, out)
+		return
+	}
+	frames, ok := n.model.Connect(m.at, hello.scheduler, hello.incarnation, nodeframe.HeldPerWelcome)
+	if !ok {
+		n.reply(m.at, m.from, disconnected{}, out)
+		return
+	}
+	if _, known := n.peers[hello.scheduler]; !known {
+		n.peerOrder = append(n.peerOrder, hello.scheduler)
+	}
+	n.peers[hello.scheduler], n.peerNames[m.from] = m.from, hello.scheduler
+	n.send(m.at, frames, out)
+}
+
+func (n *nodeEntity) disconnect(m message) {
+	if name, ok := n.peerNames[m.from]; ok && n.model != nil {
+		n.model.Disconnect(m.at, name)
+		delete(n.peers, name)
+		delete(n.peerNames, m.from)
+	}
+}
 
-func (n *node) send(now Time, frames []nodemodel.Send, out *outbox) {
+func (n *nodeEntity) send(now Time, frames []nodemodel.Send, out *outbox) {
 	for _, s := range frames {
-		if to, ok := n.parties[s.To]; ok {
-			out.send(n.lines.arrival(now, to), to, frame{s.Frame})
+		if to, ok := n.peers[s.To]; ok {
+			n.reply(now, to, frame{s.Frame}, out)
 		}
 	}
 }
 
-func (n *node) register(now Time, out *outbox) {
-	e := &nodepb.Entry{Node: n.place.Name, Address: n.place.Name, Kind: n.set.Kind, Zone: n.set.Zone,
-		Cell: int32(n.set.Cell)}
-	if n.lives > 1 || !n.place.Group.Warm {
-		e.StartedUnixNs = int64(n.model.Started())
+// register reports the node's state to the inventory.
+func (n *nodeEntity) register(now Time, out *outbox) {
+	entry := &nodepb.Entry{Node: n.place.Name, Address: n.place.Name, Kind: n.settings.Kind, Zone: n.settings.Zone,
+		Cell: int32(n.settings.Cell)}
+	if n.incarnations > 1 || !n.place.Group.Warm {
+		entry.StartedUnixNs = int64(n.model.Started())
 	}
 	if n.model.Draining() {
-		e.Standing = nodepb.Standing_DRAINING
+		entry.Standing = nodepb.Standing_DRAINING
 	}
-	if n.w.day.ListsFree {
-		e.FreeCores, e.FreeMemory = n.model.Free()
+	if n.simulation.day.ListsFree {
+		entry.FreeCores, entry.FreeMemory = n.model.Free()
 	}
-	to := n.w.inventory.id
-	out.send(n.lines.arrival(now, to), to, frame{&nodepb.Frame{Body: &nodepb.Frame_Register{
-		Register: &nodepb.Register{Entry: e}}}})
+	n.reply(now, n.simulation.inventory.id, frame{&nodepb.Frame{Body: &nodepb.Frame_Register{
+		Register: &nodepb.Register{Entry: entry}}}}, out)
 }
--- a/internal/lab/emulator/recorder.go
+++ b/internal/lab/emulator/recorder.go
@@ -2,9 +2,11 @@
 
 import (
 	"bufio"
+	"cmp"
 	"encoding/json"
 	"fmt"
 	"io"
+	"net/http"
 	"slices"
 	"strconv"
 
@@ -22,165 +24,172 @@
 	"flaxshelf.example/flaxshelf/internal/scheduler"
 )
 
-// recorder makes of a simulated day the recording that a proxy makes of a trial, so that the same checker reads it.
-// Frames to a scheduler are recorded when it takes them, frames from it when it sends them. A nil recorder records
-// nothing.
+// recorder makes the recording of a simulated day that a proxy makes of a trial, so that the same checker reads it.
+// Frames to a scheduler are recorded when it handles them, frames from it when it sends them. A nil recorder records
+// nothing. It is used by one worker.
 type recorder struct {
-	records []*tappb.Record
-	conns   uint64
-	of      map[string]*parties
-	err     error
+	records        []*tappb.Record
+	lastConnection uint64
+	connections    map[string]*schedulerConnections // by scheduler
+	err            error                            // the first
 }
 
-// parties are the recorded connections of one scheduler's life.
-type parties struct {
-	front  *drmaafront.Front
-	list   uint64
-	client uint64
-	events uint64
+// schedulerConnections are the recorded connections of one incarnation of a scheduler, with the encoder of what clients
+// get.
+type schedulerConnections struct {
+	front     *drmaafront.Front
+	inventory uint64
+	requests  uint64 // a client's, for submissions
+	events    uint64 // a client's, for the event stream
 }
 
-func (r *recorder) put(at Time, rec *tappb.Record) {
-	rec.TimeNs = int64(at)
-	r.records = append(r.records, rec)
+func (r *recorder) add(at Time, record *tappb.Record) {
+	record.TimeNs = int64(at)
+	r.records = append(r.records, record)
 }
 
-func (r *recorder) connect(wire, to, via string, at Time) uint64 {
-	r.conns++
-	r.put(at, &tappb.Record{Body: &tappb.Record_Open{Open: &tappb.Open{Conn: r.conns, Wire: wire, To: to, Via: via}}})
-	return r.conns
+func (r *recorder) open(wire, listener, dialer string, at Time) uint64 {
+	r.lastConnection++
+	r.add(at, &tappb.Record{Body: &tappb.Record_Open{Open: &tappb.Open{Conn: r.lastConnection, Wire: wire, To: listener,
+		Via: dialer}}})
+	return r.lastConnection
 }
 
-func (r *recorder) bytes(conn uint64, back bool, data []byte, at Time) {
-	r.put(at, &tappb.Record{Body: &tappb.Record_Sent{Sent: &tappb.Sent{Conn: conn, Back: back, Data: data}}})
-	r.put(at, &tappb.Record{Body: &tappb.Record_Delivered{Delivered: &tappb.Delivered{Conn: conn, Back: back,
-		Bytes: uint64(len(data))}}})
+func (r *recorder) bytes(connection uint64, fromListener bool, data []byte, at Time) {
+	r.add(at, &tappb.Record{Body: &tappb.Record_Sent{Sent: &tappb.Sent{Conn: connection, Back: fromListener,
+		Data: data}}})
+	r.add(at, &tappb.Record{Body: &tappb.Record_Delivered{Delivered: &tappb.Delivered{Conn: connection,
+		Back: fromListener, Bytes: uint64(len(data))}}})
 }
 
-func (r *recorder) frame(conn uint64, back bool, f frame, at Time) {
-	if r == nil || conn == 0 {
+func (r *recorder) frame(connection uint64, fromListener bool, f frame, at Time) {
+	if r == nil || connection == 0 {
 		return
 	}
-	b, err := nodeframe.Append(nil, f.Frame)
+	encoded, err := nodeframe.Append(nil, f.Frame)
 	if err != nil {
-		r.err = err
+		r.fail(err)
 		return
 	}
-	r.bytes(conn, back, b, at)
+	r.bytes(connection, fromListener, encoded, at)
+}
+
+func (r *recorder) fail(err error) {
+	if r.err == nil {
+		r.err = err
+	}
 }
 
-// life begins the recorded connections of a scheduler's life.
-func (r *recorder) life(s *server) {
+// schedulerStarted begins the recorded connections of a scheduler's incarnation.
+func (r *recorder) schedulerStarted(s *schedulerEntity) {
 	if r == nil {
 		return
 	}
-	if r.of == nil {
-		r.of = map[string]*parties{}
+	if r.connections == nil {
+		r.connections = map[string]*schedulerConnections{}
 	}
-	at := s.wake
-	p := &parties{front: drmaafront.New(s.set, at)}
-	p.list = r.connect(rules.InventoryWire, "inventory", s.set.Name, at)
-	p.client = r.connect(rules.ClientWire, s.set.Name, "", at)
-	p.events = r.connect(rules.ClientWire, s.set.Name, "", at)
-	r.bytes(p.events, false, []byte("GET /drmaa2/v1/sessions/all/events HTTP/1.1\r\nHost: x\r\n\r\n"), at)
-	r.bytes(p.events, true, httpcodec.AppendStreamHead(nil, 200, "text/event-stream"), at)
-	r.of[s.set.Name] = p
-	r.frame(p.list, false, frame{nodefront.Hello(s.set, at)}, at)
+	at, name := s.wakeAt, s.settings.Name
+	c := &schedulerConnections{front: drmaafront.New(s.settings, at)}
+	c.inventory = r.open(rules.InventoryWire, "inventory", name, at)
+	c.requests = r.open(rules.ClientWire, name, "", at)
+	c.events = r.open(rules.ClientWire, name, "", at)
+	r.bytes(c.events, false, []byte("GET /drmaa2/v1/sessions/all/events HTTP/1.1\r\nHost: x\r\n\r\n"), at)
+	r.bytes(c.events, true, httpcodec.AppendStreamHead(nil, http.StatusOK, "text/event-stream"), at)
+	r.connections[name] = c
+	r.frame(c.inventory, false, frame{nodefront.Hello(s.settings, at)}, at)
 }
 
-func (r *recorder) open(s *server, to string, at Time) uint64 {
+// dialed records a connection to a node and returns its number; 0 without a recording.
+func (r *recorder) dialed(s *schedulerEntity, node string, at Time) uint64 {
 	if r == nil {
 		return 0
 	}
-	id := r.connect(rules.NodeWire, to, "", at)
-	r.frame(id, false, frame{&nodepb.Frame{Body: &nodepb.Frame_Hello{Hello: &nodepb.Hello{Party: s.set.Name,
-		LifeUnixNs: int64(Epoch) + int64(s.lives)}}}}, at)
-	return id
+	connection := r.open(rules.NodeWire, node, "", at)
+	r.frame(connection, false, frame{&nodepb.Frame{Body: &nodepb.Frame_Hello{Hello: &nodepb.Hello{
+		Party: s.settings.Name, LifeUnixNs: s.incarnationID()}}}}, at)
+	return connection
 }
 
-func (r *recorder) close(conn uint64, at Time) {
-	if r != nil && conn != 0 {
-		r.put(at, &tappb.Record{Body: &tappb.Record_Close{Close: &tappb.Close{Conn: conn}}})
+func (r *recorder) close(connection uint64, at Time) {
+	if r != nil && connection != 0 {
+		r.add(at, &tappb.Record{Body: &tappb.Record_Close{Close: &tappb.Close{Conn: connection}}})
 	}
 }
 
-func (r *recorder) listConn(s *server) uint64 {
+// inventoryConnection is the number of a scheduler's connection to the inventory; 0 without a recording.
+func (r *recorder) inventoryConnection(s *schedulerEntity) uint64 {
 	if r == nil {
 		return 0
 	}
-	return r.of[s.set.Name].list
+	return r.connections[s.settings.Name].inventory
 }
 
 func (r *recorder) mark(what, party string, at Time) {
-	r.put(at, &tappb.Record{Body: &tappb.Record_Mark{Mark: &tappb.Mark{What: what, Party: party}}})
-}
-
-func (r *recorder) dead(n *node, at Time) {
 	if r != nil {
-		r.mark(rules.MarkNodeDied, n.place.Name, at)
+		r.add(at, &tappb.Record{Body: &tappb.Record_Mark{Mark: &tappb.Mark{What: what, Party: party}}})
 	}
 }
 
-func (r *recorder) fell(n *node, at Time) {
-	if r != nil {
-		r.mark(rules.MarkNodeOverloaded, n.place.Name, at)
-	}
+func (r *recorder) nodeDied(n *nodeEntity, at Time) { r.mark(rules.MarkNodeDied, n.place.Name, at) }
+
+func (r *recorder) nodeOverloaded(n *nodeEntity, at Time) {
+	r.mark(rules.MarkNodeOverloaded, n.place.Name, at)
 }
 
-func (r *recorder) killed(s *server, at Time) {
-	if r != nil {
-		r.mark(rules.MarkSchedulerKilled, s.set.Name, at)
-	}
+func (r *recorder) schedulerKilled(s *schedulerEntity, at Time) {
+	r.mark(rules.MarkSchedulerKilled, s.settings.Name, at)
 }
 
-func (r *recorder) stopped(s *server, at, until Time) {
-	if r != nil {
-		r.mark(rules.MarkSchedulerPaused, s.set.Name, at)
-		r.mark(rules.MarkSchedulerResumed, s.set.Name, until)
-	}
+func (r *recorder) schedulerPaused(s *schedulerEntity, at, until Time) {
+	r.mark(rules.MarkSchedulerPaused, s.settings.Name, at)
+	r.mark(rules.MarkSchedulerResumed, s.settings.Name, until)
 }
 
 // answered records a submission and its answer, as a client and the front have them.
-func (r *recorder) answered(s *server, a *scheduler.Answer, at Time) {
+func (r *recorder) answered(s *schedulerEntity, answer *scheduler.Answer, at Time) {
 	if r == nil {
 		return
 	}
-	p := r.of[s.set.Name]
-	t := drmaa2.JobTemplate{RemoteCommand: "x"}
-	if len(a.Jobs) > 0 {
-		t.JobCategory = s.set.Classes[a.Jobs[0].Spec.Class].Name
+	c := r.connections[s.settings.Name]
+	template := drmaa2.JobTemplate{RemoteCommand: "x"}
+	if len(answer.Jobs) > 0 {
+		template.JobCategory = s.settings.Classes[answer.Jobs[0].Spec.Class].Name
 	}
-	body, err := json.Marshal(drmaa2.Submission{Template: t})
+	body, err := json.Marshal(drmaa2.Submission{Template: template})
 	if err != nil {
-		r.err = err
+		r.fail(err)
 		return
 	}
-	r.bytes(p.client, false, fmt.Appendf(nil,
+	r.bytes(c.requests, false, fmt.Appendf(nil,
 		"POST /drmaa2/v1/sessions/all/jobs HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", len(body), body), at)
-	r.bytes(p.client, true, p.front.Submitted(a), at)
+	r.bytes(c.requests, true, c.front.Submitted(answer), at)
 }
 
-func (r *recorder) outcome(s *server, i *scheduler.Info, at Time) {
+// outcome records an event of a job.
+func (r *recorder) outcome(s *schedulerEntity, info *scheduler.Info, at Time) {
 	if r != nil {
-		p := r.of[s.set.Name]
-		r.bytes(p.events, true, p.front.Event(i, strconv.FormatUint(i.Revision, 10)), at)
+		c := r.connections[s.settings.Name]
+		r.bytes(c.events, true, c.front.Event(info, strconv.FormatUint(info.Revision, 10)), at)
 	}
 }
 
-// write puts the records in the order of their times.
+// write writes the records in the order of their times.
 func (r *recorder) write(w io.Writer, figures []byte, end Time) error {
 	if r.err != nil {
 		return fmt.Errorf("emulator: record: %w", r.err)
 	}
-	slices.SortStableFunc(r.records, func(a, b *tappb.Record) int { return int(a.TimeNs - b.TimeNs) })
+	slices.SortStableFunc(r.records, func(a, b *tappb.Record) int { return cmp.Compare(a.TimeNs, b.TimeNs) })
 	r.mark("end", "", end)
-	buf := bufio.NewWriter(w)
+	buffer := bufio.NewWriter(w)
 	head := &tappb.Record{TimeNs: int64(Epoch), Body: &tappb.Record_Head{Head: &tappb.Head{Version: recordproxy.Version,
 		Figures: figures}}}
-	for _, rec := range append([]*tappb.Record{head}, r.records...) {
-		if _, err := protodelim.MarshalTo(buf, rec); err != nil {
+	for _, record := range append([]*tappb.Record{head}, r.records...) {
+		if _, err := protodelim.MarshalTo(buffer, record); err != nil {
 			return fmt.Errorf("emulator: record: %w", err)
 		}
 	}
-	return buf.Flush()
+	if err := buffer.Flush(); err != nil {
+		return fmt.Errorf("emulator: record: %w", err)
+	}
+	return nil
 }
--- a/internal/lab/emulator/report.go
+++ b/internal/lab/emulator/report.go
@@ -1,105 +1,142 @@
 package emulator
 
 import (
-	"cmp"
 	"fmt"
-	"slices"
+	"math"
 	"sort"
 	"strings"
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
+
+	"flaxshelf.example/flaxshelf/internal/lab/scenario"
+	"flaxshelf.example/flaxshelf/internal/scheduler"
 )
 
-// ClassReport is what a day has brought the jobs of one class.
+// ClassReport is the result of a day for the jobs of one class.
 type ClassReport struct {
 	Class     string
 	Submitted int
 	Placed    int                     // first placements of submissions
-	InTime    int                     // of them within the class's aim
-	Outcomes  map[string]int          // of asks
+	InTime    int                     // of them within the class's latency objective
+	Outcomes  map[string]int          // of placement requests
 	Wait      *hdrhistogram.Histogram // microseconds from the intended submission to the first placement
 }
 
-// Report is what a day has shown.
+// Report is the result of a day.
 type Report struct {
-	Seconds     float64 // simulated
-	Ends        map[string]int
+	Seconds     float64        // simulated
+	Ends        map[string]int // submissions, by how they ended for their clients
 	Ended       map[string]int // jobs, by how they ended
-	Classes     []*ClassReport
-	Finished    int // tasks that nodes have run to their end
-	FellOver    int
-	Retries     int   // asks of owners who had asked before
-	Events      int64 // runs of entities
-	Messages    int64
-	Steps       int64   // of cores
-	Busiest     float64 // share of its time that the busiest core worked, where the day tells what steps cost
-	Unaccounted int
+	Classes     []*ClassReport // in the day's order
+	Finished    int            // tasks that nodes have run to their end
+	FellOver    int            // nodes that crashed of overload
+	Retries     int            // submissions of jobs that were submitted before
+	Events      int64          // runs of entities
+	Messages    int64          // between entities
+	Steps       int64          // of cores
+	Busiest     float64        // share of its time that the busiest core worked, where the day has costs of steps
+	Unaccounted int            // submissions without any end
 }
 
-func (w *world) report(end Time) *Report {
-	s := w.owners.stats
-	for _, x := range w.owners.sorted() { // those whose time is not over
-		if x.outcome == "" && x.end == "" && x.due >= end {
-			x.end = "open at the end"
+func (s *simulation) report(end Time) *Report {
+	stats := s.clients.stats
+	for _, open := range s.clients.openSubmissions() {
+		if open.outcome == "" && open.end == "" && open.due >= end {
+			open.end = endOpen
 		}
-		w.owners.close(x)
+		s.clients.close(open)
 	}
-	r := &Report{Seconds: (end - Epoch).Seconds(), Ends: s.ends, Ended: s.ended, Events: w.e.events,
-		Messages: w.e.messages, Unaccounted: s.ends["no outcome"], Retries: s.retries}
-	for _, name := range s.order {
-		r.Classes = append(r.Classes, s.classes[name])
+	r := &Report{Seconds: (end - Epoch).Seconds(), Ends: stats.ends, Ended: stats.ended, Events: s.engine.events,
+		Messages: s.engine.messages, Unaccounted: stats.ends[endNoOutcome], Retries: stats.retries}
+	for _, name := range stats.classOrder {
+		r.Classes = append(r.Classes, stats.classes[name])
 	}
-	for _, n := range w.nodes {
-		r.Finished += n.done
-		if n.model != nil {
-			r.Finished += n.model.Finished()
+	for _, node := range s.nodes {
+		r.Finished += node.finishedTasks
+		if node.model != nil {
+			r.Finished += node.model.Finished()
 		}
-		r.FellOver += n.fell
+		r.FellOver += node.overloads
 	}
-	for _, x := range w.servers {
-		r.Steps += x.steps
-		r.Busiest = max(r.Busiest, x.worked.Seconds()/r.Seconds)
+	for _, scheduler := range s.schedulers {
+		r.Steps += scheduler.steps
+		r.Busiest = max(r.Busiest, scheduler.busyTime.Seconds()/r.Seconds)
 	}
 	return r
 }
 
-// String is the report in words.
+// String is the report for people, on several lines.
 func (r *Report) String() string {
-	var b strings.Builder
-	for _, c := range r.Classes {
-		q := func(p float64) time.Duration {
-			return time.Duration(c.Wait.ValueAtQuantile(p)) * time.Microsecond
-		}
-		fmt.Fprintf(&b, "%-12s %6d submitted, %6d placed, %6d in time; wait p50 %v p99 %v p99.9 %v; asks %s\n",
-			c.Class,
-			c.Submitted, c.Placed, c.InTime, q(50), q(99), q(99.9), counts(c.Outcomes))
+	var text strings.Builder
+	for _, class := range r.Classes {
+		class.print(&text)
 	}
-	fmt.Fprintf(&b, "submissions: %s; asked again %d times; not accounted for %d\n", counts(r.Ends), r.Retries,
+	fmt.Fprintf(&text, "submissions: %s; asked again %d times; not accounted for %d\n", formatCounts(r.Ends), r.Retries,
 		r.Unaccounted)
-	fmt.Fprintf(&b, "jobs ended: %s; %d nodes fell over\n", counts(r.Ended), r.FellOver)
+	fmt.Fprintf(&text, "jobs ended: %s; %d nodes fell over\n", formatCounts(r.Ended), r.FellOver)
 	if r.Busiest > 0 {
-		fmt.Fprintf(&b, "the busiest core works %.0f%% of its time\n", 100*r.Busiest)
+		fmt.Fprintf(&text, "the busiest core works %.0f%% of its time\n", 100*r.Busiest)
 	}
-	fmt.Fprintf(&b, "%.1f simulated seconds: %d events, %d messages, %d steps of cores\n", r.Seconds, r.Events,
+	fmt.Fprintf(&text, "%.1f simulated seconds: %d events, %d messages, %d steps of cores\n", r.Seconds, r.Events,
 		r.Messages, r.Steps)
-	return b.String()
+	return text.String()
 }
 
-func counts(m map[string]int) string {
-	var all []string
-	for k, n := range m {
-		all = append(all, fmt.Sprintf("%s %d", k, n))
+func (c *ClassReport) print(text *strings.Builder) {
+	wait := func(percentile float64) time.Duration {
+		return time.Duration(c.Wait.ValueAtQuantile(percentile)) * time.Microsecond
 	}
-	sort.Strings(all)
-	if all == nil {
+	fmt.Fprintf(text, "%-12s %6d submitted, %6d placed, %6d in time; wait p50 %v p99 %v p99.9 %v; asks %s\n",
+		c.Class, c.Submitted, c.Placed, c.InTime, wait(50), wait(99), wait(99.9), formatCounts(c.Outcomes))
+}
+
+// formatCounts lists counts by name.
+func formatCounts(counts map[string]int) string {
+	if len(counts) == 0 {
 		return "none"
 	}
-	return strings.Join(all, ", ")
+	var entries []string
+	for name, count := range counts {
+		entries = append(entries, fmt.Sprintf("%s %d", name, count))
+	}
+	sort.Strings(entries)
+	return strings.Join(entries, ", ")
+}
+
+// clientStats is what the clients have seen.
+type clientStats struct {
+	retries     int
+	ends, ended map[string]int
+	classes     map[string]*ClassReport
+	classOrder  []string
 }
 
-func sortSubs(all []*submitted) {
-	slices.SortFunc(all, func(a, b *submitted) int {
-		return cmp.Or(cmp.Compare(a.a.At, b.a.At), cmp.Compare(a.a.Key, b.a.Key))
-	})
+// waitDigits is the precision of the histograms of waits in significant digits.
+const waitDigits = 3
+
+func newClientStats(day *scenario.Day) *clientStats {
+	s := &clientStats{ends: map[string]int{}, ended: map[string]int{}, classes: map[string]*ClassReport{}}
+	for i := range day.Classes {
+		name := day.Classes[i].Name
+		s.classOrder = append(s.classOrder, name)
+		s.classes[name] = &ClassReport{Class: name, Outcomes: map[string]int{},
+			Wait: hdrhistogram.New(1, math.MaxInt32*1000, waitDigits)}
+	}
+	return s
+}
+
+func (s *clientStats) submitted(class string) { s.classes[class].Submitted++ }
+
+func (s *clientStats) outcome(class string, outcome scheduler.Outcome) {
+	s.classes[class].Outcomes[string(outcome)]++
+}
+
+func (s *clientStats) placed(class string, wait, latencyObjective time.Duration) {
+	c := s.classes[class]
+	_ = c.Wait.RecordValue(max(int64(wait/time.Microsecond), 1)) // a wait of weeks is more than a day simulates
+	c.Placed++
+	if wait <= latencyObjective {
+		c.InTime++
+	}
 }
--- a/internal/lab/emulator/scheduler.go
+++ b/internal/lab/emulator/scheduler.go
@@ -3,321 +3,221 @@
 import (
 	"math"
 	"math/rand/v2"
-	"time"
 
 	"flaxshelf.example/flaxshelf/internal/front/nodefront"
 	"flaxshelf.example/flaxshelf/internal/scheduler"
 	"flaxshelf.example/flaxshelf/internal/settings"
 )
 
-// server is a scheduler's core as an entity, in which one life follows another.
-type server struct {
-	id     int32
-	w      *world
-	set    *settings.Scheduler
-	in     inbox
-	lines  *lines
-	rng    *rand.Rand
-	core   *scheduler.Core
-	wake   Time
-	lives  int
-	stop   Time // stopped until then
-	busy   Time // its core works until then
-	worked Time // in all
-	links  map[string]*link
-	peers  map[int32]*link
-	list   *nodefront.Inventory
-	again  []scheduler.Input
-	reqs   map[uint64]request
-	req    uint64
-	leaves bool // its core has nothing open and was asked to leave
-	steps  int64
-	offers int64
-	retry  Time // the soonest of the links that wait to dial
-	rec    *recorder
+// schedulerEntity is a scheduler, with a core for each incarnation; there is none while it is stopped.
+type schedulerEntity struct {
+	id           int32
+	simulation   *simulation
+	settings     *settings.Scheduler
+	inbox        inbox
+	latency      *latencyModel
+	random       *rand.Rand
+	recorder     *recorder
+	incarnations int
+
+	core     *scheduler.Core
+	wakeAt   Time              // by the core
+	feedback []scheduler.Input // for the next step, of the effects of the last
+	drained  bool              // the core has nothing open after a graceful shutdown
+
+	pausedUntil Time
+	busyUntil   Time // the last step of the core takes until then
+	busyTime    Time // in all
+	steps       int64
+
+	links         map[string]*link // by node
+	linksByEntity map[int32]*link
+	nextDialAt    Time // the soonest of the links that wait to dial
+
+	inventoryFront *nodefront.Inventory
+	requests       map[uint64]clientRequest
+	lastRequest    uint64
 }
 
-type request struct {
-	owner int32
-	key   string
+// clientRequest is a submission that has no answer yet.
+type clientRequest struct {
+	client int32
+	key    string
 }
 
-// link is the connection to a node.
-type link struct {
-	name     string
-	to       int32
-	wanted   bool
-	up       bool
-	dialling bool
-	retryAt  Time
-	failures int
-	front    *nodefront.Node
-	conn     uint64 // in a recording
-}
-
-// The backoff of a daemon's links.
+// schedulerSeedStride and schedulerIndexStride keep the seeds of the incarnations of different schedulers and runs apart.
 const (
-	firstRetry = 20 * time.Millisecond
-	mostRetry  = time.Second
-)
-
-// submission is what an owner sends, kill and start are what the director does.
-type (
-	submission struct {
-		spec scheduler.Spec
-	}
-	command struct {
-		do  scheduler.Verb
-		job string
-	}
-	killServer  struct{}
-	startServer struct{}
-	termServer  struct{}
-	stopServer  struct{ until Time }
+	schedulerSeedStride  = 1000
+	schedulerIndexStride = 100
 )
 
-func (s *server) take(m message) { s.in.put(m) }
+func (s *schedulerEntity) receive(m message) { s.inbox.put(m) }
 
-func (s *server) next() Time {
-	t := s.in.next()
+func (s *schedulerEntity) nextDue() Time {
+	due := s.inbox.nextDue()
 	if s.core != nil {
-		t = min(t, s.wake, s.retry)
+		due = min(due, s.wakeAt, s.nextDialAt)
 	}
-	return max(t, s.stop, s.busy)
+	return max(due, s.pausedUntil, s.busyUntil)
 }
 
-func (s *server) start(now Time, out *outbox) {
+// start begins an incarnation, unless one runs.
+func (s *schedulerEntity) start(now Time) {
 	if s.core != nil {
 		return
 	}
-	s.lives++
-	set := *s.set
-	set.Seed = s.w.seed*1000 + uint64(s.set.Index*100+s.lives) + 1
-	cfg := set.CoreConfig(now)
-	cfg.NewModule = s.w.make
-	if s.w.core != nil {
-		s.w.core(&cfg)
+	s.incarnations++
+	set := *s.settings
+	set.Seed = s.simulation.seed*schedulerSeedStride + uint64(set.Index*schedulerIndexStride+s.incarnations) + 1
+	config := set.CoreConfig(now)
+	config.NewModule = s.simulation.newModule
+	if s.simulation.changeCore != nil {
+		s.simulation.changeCore(&config)
 	}
-	core, err := scheduler.New(cfg)
+	core, err := scheduler.New(config)
 	if err != nil {
-		s.w.fail(err)
+		s.simulation.fail(err)
 		return
 	}
-	s.core, s.wake, s.again, s.retry = core, now, nil, math.MaxInt64
-	s.links, s.peers, s.reqs = map[string]*link{}, map[int32]*link{}, map[uint64]request{}
-	s.list = &nodefront.Inventory{Set: s.set}
-	s.rec.life(s)
+	s.core, s.wakeAt, s.feedback, s.nextDialAt = core, now, nil, math.MaxInt64
+	s.links, s.linksByEntity = map[string]*link{}, map[int32]*link{}
+	s.requests = map[uint64]clientRequest{}
+	s.inventoryFront = &nodefront.Inventory{Set: s.settings}
+	s.recorder.schedulerStarted(s)
 }
 
-func (s *server) kill(now Time, out *outbox) {
+// kill ends the incarnation at once, with its connections.
+func (s *schedulerEntity) kill(now Time, out *outbox) {
 	if s.core == nil {
 		return
 	}
-	for _, name := range s.w.nodeNames {
-		if l := s.links[name]; l != nil && (l.up || l.dialling) {
-			out.send(s.lines.arrival(now, l.to), l.to, closed{})
-			s.rec.close(l.conn, now)
+	for _, name := range s.simulation.nodeNames {
+		if l := s.links[name]; l != nil && l.isOpen() {
+			s.send(now, l.node, disconnected{}, out)
+			s.recorder.close(l.connection, now)
 		}
 	}
-	out.send(s.lines.arrival(now, s.w.inventory.id), s.w.inventory.id, closed{})
-	out.send(s.lines.arrival(now, s.w.owners.id), s.w.owners.id, serverGone{s.set.Index})
+	s.send(now, s.simulation.inventory.id, disconnected{}, out)
+	s.send(now, s.simulation.clients.id, schedulerKilled{s.settings.Index}, out)
 	s.core = nil
-	s.rec.killed(s, now)
+	s.recorder.schedulerKilled(s, now)
+}
+
+func (s *schedulerEntity) send(now Time, to int32, body any, out *outbox) {
+	out.send(s.latency.deliveryTime(now, to), to, body)
 }
 
-// run gives the core all that has come in a window in one step at its end, as a daemon gives it what has come since
-// the last.
-func (s *server) run(end Time, out *outbox) {
-	if end <= s.stop || end <= s.busy {
+// run gives the core all that has come in a window in one step at its end, as a daemon gives it what has come since the
+// last step.
+func (s *schedulerEntity) run(end Time, out *outbox) {
+	if end <= s.pausedUntil || end <= s.busyUntil {
 		return
 	}
 	now := end
 	var inputs []scheduler.Input
-	for _, m := range s.in.due(end) {
-		if in := s.input(m, now, out); in != nil {
-			inputs = append(inputs, in)
+	for _, m := range s.inbox.due(end) {
+		if s.control(m, now, out) {
+			continue
+		}
+		if input := s.input(m, now, out); input != nil {
+			inputs = append(inputs, input)
 		}
 	}
 	if s.core == nil {
 		return
 	}
-	if s.retry < end {
-		s.retry = math.MaxInt64
-		for _, name := range s.w.nodeNames { // in one order, whatever the map's
-			l := s.links[name]
-			if l == nil || !l.wanted || l.up || l.dialling {
-				continue
-			}
-			if l.retryAt < end {
-				s.dial(l, now, out)
-			} else {
-				s.retry = min(s.retry, l.retryAt)
-			}
-		}
+	if s.nextDialAt < end {
+		s.redial(end, out)
 	}
-	if len(inputs) == 0 && len(s.again) == 0 && s.wake >= end {
-		return
+	if len(inputs) > 0 || len(s.feedback) > 0 || s.wakeAt < end {
+		s.step(now, append(inputs, s.feedback...), out)
 	}
-	inputs = append(inputs, s.again...)
-	s.again = nil
+}
+
+// step runs the core and carries out its effects.
+func (s *schedulerEntity) step(now Time, inputs []scheduler.Input, out *outbox) {
+	s.feedback = nil
 	s.steps++
-	o := s.core.Step(now, inputs)
-	if cost := s.w.day.CPU.Of(len(inputs)); cost > 0 { // what it answers leaves when it is done, and until then it hears nothing
-		s.busy = now + cost
-		s.worked += cost
-		now = s.busy
+	output := s.core.Step(now, inputs)
+	if cost := s.simulation.day.CPU.Of(len(inputs)); cost > 0 { // effects come when it is done, and no inputs until then
+		s.busyUntil = now + cost
+		s.busyTime += cost
+		now = s.busyUntil
 	}
-	s.wake = o.Wake
-	for _, e := range o.Effects {
-		s.carry(e, now, out)
+	s.wakeAt = output.Wake
+	for _, effect := range output.Effects {
+		s.execute(effect, now, out)
 	}
-	if len(s.again) > 0 {
-		s.wake = now
+	if len(s.feedback) > 0 {
+		s.wakeAt = now
 	}
-	if s.leaves {
-		s.leaves = false
+	if s.drained {
+		s.drained = false
 		s.kill(now, out)
 	}
 }
 
-func (s *server) dial(l *link, now Time, out *outbox) {
-	l.dialling = true
-	l.front = &nodefront.Node{Set: s.set, Name: l.name}
-	out.send(s.lines.arrival(now, l.to), l.to, dial{s.set.Name, int64(Epoch) + int64(s.lives)})
-	l.conn = s.rec.open(s, l.name, now)
-}
-
-func (s *server) input(m message, now Time, out *outbox) scheduler.Input {
-	switch b := m.body.(type) {
-	case startServer:
-		s.start(now, out)
-		return nil
-	case killServer:
+// control handles the messages of the fault injector that are not for the core.
+func (s *schedulerEntity) control(m message, now Time, out *outbox) bool {
+	switch body := m.body.(type) {
+	case startScheduler:
+		s.start(now)
+	case killScheduler:
 		s.kill(now, out)
-		return nil
-	case stopServer:
-		s.stop = b.until
-		s.rec.stopped(s, now, b.until)
-		return nil
+	case pauseScheduler:
+		s.pausedUntil = body.until
+		s.recorder.schedulerPaused(s, now, body.until)
+	default:
+		return false
 	}
+	return true
+}
+
+// input turns a message into an input of the core; nil for none.
+func (s *schedulerEntity) input(m message, now Time, out *outbox) scheduler.Input {
 	if s.core == nil {
-		if b, ok := m.body.(submission); ok {
-			out.send(s.lines.arrival(now, m.from), m.from, answer{b.spec.Key, "", "unreached", s.set.Index})
+		if body, ok := m.body.(submission); ok {
+			s.send(now, m.from, answer{key: body.spec.Key, errorCode: unreachableCode, scheduler: s.settings.Index}, out)
 		}
 		return nil
 	}
-	switch b := m.body.(type) {
+	switch body := m.body.(type) {
 	case submission:
-		s.req++
-		s.reqs[s.req] = request{m.from, b.spec.Key}
-		return scheduler.Submit{Req: s.req, ReceivedAt: m.at, Spec: b.spec}
-	case termServer:
+		s.lastRequest++
+		s.requests[s.lastRequest] = clientRequest{client: m.from, key: body.spec.Key}
+		return scheduler.Submit{Req: s.lastRequest, ReceivedAt: m.at, Spec: body.spec}
+	case terminateScheduler:
 		return scheduler.Drain{}
 	case command:
-		return scheduler.Command{Verb: b.do, Job: b.job}
-	case closed:
-		l := s.peers[m.from]
-		if l == nil {
-			return nil
-		}
-		s.rec.close(l.conn, now)
-		l.up, l.dialling = false, false
-		wait := min(firstRetry<<min(l.failures, 10), mostRetry)
-		l.failures++
-		l.retryAt = now + wait/2 + time.Duration(s.rng.Int64N(int64(wait/2)))
-		s.retry = min(s.retry, l.retryAt)
-		return scheduler.NodeDown{Node: l.name}
+		return scheduler.Command{Verb: body.verb, Job: body.job}
+	case disconnected:
+		return s.linkLost(m.from, now)
 	case frame:
-		if m.from == s.w.inventory.id {
-			s.rec.frame(s.rec.listConn(s), true, b, now)
-			in, _, _, err := s.list.Input(b.Frame)
-			s.w.fail(err)
-			return in
-		}
-		l := s.peers[m.from]
-		if l == nil || !l.dialling && !l.up {
-			return nil // of a connection that has gone
+		if m.from == s.simulation.inventory.id {
+			return s.inventoryFrame(body, now)
 		}
-		s.rec.frame(l.conn, true, b, now)
-		in, err := l.front.Input(b.Frame)
-		s.w.fail(err)
-		if _, ok := in.(scheduler.NodeUp); ok {
-			l.up, l.dialling, l.failures = true, false, 0
-		}
-		return in
+		return s.nodeFrame(m.from, body, now)
 	}
 	return nil
 }
 
-func (s *server) carry(e scheduler.Effect, now Time, out *outbox) {
-	to := func(name string, f frame) bool {
-		l := s.links[name]
-		if l == nil || !l.up {
-			return false
-		}
-		s.rec.frame(l.conn, false, f, now)
-		out.send(s.lines.arrival(now, l.to), l.to, f)
-		return true
-	}
-	list := func(f frame) { out.send(s.lines.arrival(now, s.w.inventory.id), s.w.inventory.id, f) }
-	owners := func(body any) { out.send(s.lines.arrival(now, s.w.owners.id), s.w.owners.id, body) }
-	switch e := e.(type) {
-	case scheduler.SendOffer:
-		s.offers++
-		if !to(e.Node, frame{nodefront.Offer(s.set, &e)}) {
-			s.again = append(s.again, scheduler.SendFailed{Node: e.Node, Attempt: e.Attempt})
-		}
-	case scheduler.SendStop:
-		to(e.Node, frame{nodefront.Stop(e.Attempt)})
-	case scheduler.SendAck:
-		to(e.Node, frame{nodefront.Ack(e.Attempt)})
-	case scheduler.SendHealthCheck:
-		to(e.Node, frame{nodefront.Probe()})
-	case scheduler.SyncNode:
-		to(e.Node, frame{nodefront.Ping(e.Token)})
-	case scheduler.Connect:
-		s.connect(e.Node, now, out)
-	case scheduler.Disconnect:
-		if l := s.links[e.Node]; l != nil {
-			l.wanted = false
-			if l.up || l.dialling {
-				out.send(s.lines.arrival(now, l.to), l.to, closed{})
-				s.rec.close(l.conn, now)
-				l.up, l.dialling = false, false
-			}
-		}
-	case scheduler.SubscribeDiscovery:
-		list(frame{nodefront.Watch()})
-	case scheduler.SyncDiscovery:
-		list(frame{nodefront.Ping(e.Token)})
-	case scheduler.Answer:
-		if r, ok := s.reqs[e.Req]; ok {
-			delete(s.reqs, e.Req)
-			a := answer{key: r.key, server: s.set.Index}
-			if e.Err != nil {
-				a.err = string(e.Err.Code)
-			} else {
-				a.job = e.Jobs[0].ID
-			}
-			s.rec.answered(s, &e, now)
-			owners(a)
-		}
-	case scheduler.Drained:
-		s.leaves = true
-	case scheduler.LogOutcome:
-		s.rec.outcome(s, &e.Info, now)
-		owners(told{e.Info, s.set.Index, now})
-	}
+func (s *schedulerEntity) inventoryFrame(f frame, now Time) scheduler.Input {
+	s.recorder.frame(s.recorder.inventoryConnection(s), true, f, now)
+	input, _, _, err := s.inventoryFront.Input(f.Frame)
+	s.simulation.fail(err)
+	return input
 }
 
-func (s *server) connect(name string, now Time, out *outbox) {
-	l := s.links[name]
-	if l == nil {
-		l = &link{name: name, to: s.w.nodeIDs[name]}
-		s.links[name], s.peers[l.to] = l, l
+func (s *schedulerEntity) nodeFrame(from int32, f frame, now Time) scheduler.Input {
+	l := s.linksByEntity[from]
+	if l == nil || !l.isOpen() {
+		return nil // of a connection that is closed
 	}
-	l.wanted = true
-	if !l.up && !l.dialling {
-		s.dial(l, now, out)
+	s.recorder.frame(l.connection, true, f, now)
+	input, err := l.front.Input(f.Frame)
+	s.simulation.fail(err)
+	if _, ok := input.(scheduler.NodeUp); ok {
+		l.up, l.dialing, l.failures = true, false, 0
 	}
+	return input
 }
--- a/internal/lab/emulator/wheel_test.go
+++ b/internal/lab/emulator/wheel_test.go
@@ -10,44 +10,45 @@
 	"pgregory.net/rapid"
 )
 
-// plain is the queue that the wheel is measured against: one heap.
-type plain struct{ h farHeap }
+// heapQueue is the queue that the wheel is measured against: one heap.
+type heapQueue struct{ items windowHeap }
 
-func (p *plain) add(window int64, id int32) { heap.Push(&p.h, farItem{window, id}) }
+func (q *heapQueue) add(window int64, id int32) { heap.Push(&q.items, windowItem{window, id}) }
 
-func (p *plain) next() (int64, []int32, bool) {
-	if len(p.h) == 0 {
+func (q *heapQueue) next() (int64, []int32, bool) {
+	if len(q.items) == 0 {
 		return 0, nil, false
 	}
-	w, ids := p.h[0].window, []int32(nil)
-	for len(p.h) > 0 && p.h[0].window == w {
-		ids = append(ids, heap.Pop(&p.h).(farItem).id)
+	w, ids := q.items[0].window, []int32(nil)
+	for len(q.items) > 0 && q.items[0].window == w {
+		ids = append(ids, heap.Pop(&q.items).(windowItem).id)
 	}
 	return w, ids, true
 }
 
-// Whatever is added, near or far, the wheel and a heap give the same windows with the same entities.
-func TestWheelIsAHeap(t *testing.T) {
+// TestWheelMatchesHeap checks that the wheel and a heap give the same windows with the same entities, whatever is added,
+// near or far.
+func TestWheelMatchesHeap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w, p := newWheel(rapid.IntRange(1, 6).Draw(t, "bits")), &plain{}
+		wheel, reference := newWheel(rapid.IntRange(1, 6).Draw(t, "bits")), &heapQueue{}
 		now := int64(-1)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			for range rapid.IntRange(0, 4).Draw(t, "adds") {
 				at := now + 1 + int64(rapid.SampledFrom([]int{0, 1, 2, 7, 63, 64, 65, 500, 100000}).Draw(t, "ahead"))
 				id := int32(rapid.IntRange(0, 5).Draw(t, "id"))
-				w.add(at, id)
-				p.add(at, id)
+				wheel.add(at, id)
+				reference.add(at, id)
 			}
-			gotW, got, ok1 := w.next()
-			wantW, want, ok2 := p.next()
+			gotWindow, got, ok := wheel.next()
+			wantWindow, want, wantOK := reference.next()
 			got = slices.Clone(got)
 			slices.Sort(got)
 			slices.Sort(want)
-			if gotW != wantW || ok1 != ok2 || !slices.Equal(got, want) {
-				t.Fatalf("wheel: %d %v %v, heap: %d %v %v", gotW, got, ok1, wantW, want, ok2)
+			if gotWindow != wantWindow || ok != wantOK || !slices.Equal(got, want) {
+				t.Fatalf("wheel: %d %v %v, heap: %d %v %v", gotWindow, got, ok, wantWindow, want, wantOK)
 			}
-			if ok1 {
-				now = gotW
+			if ok {
+				now = gotWindow
 			}
 		}
 	})
@@ -65,7 +66,7 @@
 		for _, q := range []struct {
 			name string
 			make func() queue
-		}{{"wheel", func() queue { return newWheel(12) }}, {"heap", func() queue { return &plain{} }}} {
+		}{{"wheel", func() queue { return newWheel(12) }}, {"heap", func() queue { return &heapQueue{} }}} {
 			b.Run(fmt.Sprintf("%s/entities=%d", q.name, n), func(b *testing.B) {
 				x, r := q.make(), rand.New(rand.NewPCG(1, 2))
 				for id := range n {
--- /dev/null
+++ b/internal/lab/fault/handlers.go
@@ -0,0 +1,220 @@
+package fault
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	"flaxshelf.example/flaxshelf/internal/lab/recordproxy"
+	"flaxshelf.example/flaxshelf/internal/lab/scenario"
+	"flaxshelf.example/flaxshelf/internal/lab/standin/inventorymodel"
+	"flaxshelf.example/flaxshelf/internal/lab/standin/nodemodel"
+)
+
+// clusterHandlers has the handlers of the faults that every cluster can have.
+var clusterHandlers = map[Kind]func(ctx context.Context, f *Fault, cluster Cluster) error{
+	FailStarts:          failStarts,
+	DropReplies:         dropReplies,
+	InflateUsage:        inflateUsage,
+	OccupyNodes:         occupyNodes,
+	DropPrograms:        dropPrograms,
+	LoseNodes:           loseNodes,
+	RestartNodes:        restartNodes,
+	DrainNodes:          drainNodes,
+	ShrinkFleet:         shrinkFleet,
+	DeployNodes:         deployNodes,
+	PauseSchedulers:     pauseSchedulers,
+	KillSchedulers:      killSchedulers,
+	TerminateSchedulers: terminateSchedulers,
+	LoadBurst:           loadBurst,
+	HotService:          hotService,
+	FailInventory:       failInventory,
+	FreezeInventory:     freezeInventory,
+}
+
+// networkHandlers has the handlers of the faults that need real connections.
+var networkHandlers = map[Kind]func(ctx context.Context, f *Fault, cluster Cluster, network Network){
+	BreakLinks:          breakLinks,
+	BreakReplies:        breakReplies,
+	HalfOpenLinks:       halfOpenLinks,
+	DelayLinks:          delayLinks,
+	StallLinks:          stallLinks,
+	BreakInventoryLinks: breakInventoryLinks,
+	BreakClientLinks:    breakClientLinks,
+	MisbehavingClients:  misbehavingClients,
+}
+
+// nodeFault changes the faults of nodes for the duration.
+func nodeFault(ctx context.Context, f *Fault, cluster Cluster, set, reset NodeFaultChange) error {
+	cluster.ChangeNodeFaults(f.Nodes, set)
+	cluster.Wait(ctx, f.Duration)
+	cluster.ChangeNodeFaults(f.Nodes, reset)
+	return nil
+}
+
+func failStarts(ctx context.Context, f *Fault, cluster Cluster) error {
+	return nodeFault(ctx, f, cluster,
+		func(fault *nodemodel.Fault) { fault.FailShare, fault.FailClass = f.Factor, f.Class },
+		func(fault *nodemodel.Fault) { fault.FailShare, fault.FailClass = 0, "" })
+}
+
+func dropReplies(ctx context.Context, f *Fault, cluster Cluster) error {
+	return nodeFault(ctx, f, cluster,
+		func(fault *nodemodel.Fault) { fault.SilentClass = f.Class },
+		func(fault *nodemodel.Fault) { fault.SilentClass = "" })
+}
+
+func inflateUsage(ctx context.Context, f *Fault, cluster Cluster) error {
+	return nodeFault(ctx, f, cluster,
+		func(fault *nodemodel.Fault) { fault.SwellFactor, fault.SwellClass = f.Factor, f.Class },
+		func(fault *nodemodel.Fault) { fault.SwellFactor, fault.SwellClass = 0, "" })
+}
+
+func occupyNodes(ctx context.Context, f *Fault, cluster Cluster) error {
+	return nodeFault(ctx, f, cluster,
+		func(fault *nodemodel.Fault) { fault.Crowd = f.Factor },
+		func(fault *nodemodel.Fault) { fault.Crowd = 0 })
+}
+
+func dropPrograms(_ context.Context, f *Fault, cluster Cluster) error {
+	cluster.DropPrograms(f.Nodes, f.Factor)
+	return nil
+}
+
+func loseNodes(ctx context.Context, f *Fault, cluster Cluster) error {
+	cluster.StopNodes(f.Nodes)
+	cluster.Wait(ctx, f.Duration)
+	return cluster.StartNodes(ctx, f.Nodes)
+}
+
+func restartNodes(ctx context.Context, f *Fault, cluster Cluster) error {
+	return cluster.RestartNodes(ctx, f.Nodes)
+}
+
+// startDelay separates the end of a drained node from its next start, so that a simulated cluster, whose messages take as
+// long, handles them one after the other.
+const startDelay = time.Millisecond
+
+func drainNodes(ctx context.Context, f *Fault, cluster Cluster) error {
+	if err := shrinkFleet(ctx, f, cluster); err != nil {
+		return err
+	}
+	cluster.Wait(ctx, startDelay)
+	return cluster.StartNodes(ctx, f.Nodes)
+}
+
+func shrinkFleet(ctx context.Context, f *Fault, cluster Cluster) error {
+	cluster.DrainNodes(f.Nodes)
+	cluster.Wait(ctx, f.Duration)
+	cluster.StopNodes(f.Nodes)
+	return nil
+}
+
+// deployNodes has each group of nodes drain, stop and start again before the next one drains.
+func deployNodes(ctx context.Context, f *Fault, cluster Cluster) error {
+	groupSize := max(1, int(f.Factor))
+	groups := (len(f.Nodes) + groupSize - 1) / groupSize
+	for rest := f.Nodes; len(rest) > 0 && ctx.Err() == nil; {
+		group := rest[:min(groupSize, len(rest))]
+		rest = rest[len(group):]
+		cluster.DrainNodes(group)
+		cluster.Wait(ctx, f.Duration/time.Duration(groups))
+		if err := cluster.RestartNodes(ctx, group); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func pauseSchedulers(ctx context.Context, f *Fault, cluster Cluster) error {
+	cluster.PauseSchedulers(f.Schedulers, f.Duration)
+	cluster.Wait(ctx, f.Duration)
+	cluster.ResumeSchedulers(f.Schedulers)
+	return nil
+}
+
+func killSchedulers(ctx context.Context, f *Fault, cluster Cluster) error {
+	cluster.KillSchedulers(f.Schedulers)
+	cluster.Wait(ctx, f.Duration)
+	return cluster.StartSchedulers(ctx, f.Schedulers)
+}
+
+// terminateSchedulers starts the schedulers again even if one has not ended well, so that the scenario goes on.
+func terminateSchedulers(ctx context.Context, f *Fault, cluster Cluster) error {
+	err := cluster.TerminateSchedulers(f.Schedulers)
+	cluster.Wait(ctx, f.Duration)
+	return errors.Join(err, cluster.StartSchedulers(ctx, f.Schedulers))
+}
+
+func loadBurst(ctx context.Context, f *Fault, cluster Cluster) error {
+	cluster.SetLoadFactor(f.Class, f.Factor)
+	cluster.Wait(ctx, f.Duration)
+	cluster.SetLoadFactor(f.Class, 0)
+	return nil
+}
+
+func hotService(ctx context.Context, f *Fault, cluster Cluster) error {
+	cluster.SetHotServiceShare(f.Class, f.Factor)
+	cluster.Wait(ctx, f.Duration)
+	cluster.SetHotServiceShare(f.Class, 0)
+	return nil
+}
+
+func inventoryFault(ctx context.Context, f *Fault, cluster Cluster, fault inventorymodel.Fault) error {
+	cluster.SetInventoryFault(fault)
+	cluster.Wait(ctx, f.Duration)
+	cluster.SetInventoryFault(inventorymodel.Fault{})
+	return nil
+}
+
+func failInventory(ctx context.Context, f *Fault, cluster Cluster) error {
+	return inventoryFault(ctx, f, cluster, inventorymodel.Fault{Fails: true})
+}
+
+func freezeInventory(ctx context.Context, f *Fault, cluster Cluster) error {
+	return inventoryFault(ctx, f, cluster, inventorymodel.Fault{Stale: true})
+}
+
+func breakLinks(_ context.Context, f *Fault, _ Cluster, network Network) { network.BreakLinks(f.Nodes) }
+
+// maxReplyBytes bounds the bytes of replies that pass before a connection is broken.
+const maxReplyBytes = 100
+
+func breakReplies(_ context.Context, f *Fault, _ Cluster, network Network) {
+	for i := range f.Nodes {
+		network.SetLinkFault(f.Nodes[i:i+1], recordproxy.Fault{CutBack: 1 + f.random.IntN(maxReplyBytes)})
+	}
+}
+
+// linkFault sets a fault of the connections to nodes for the duration.
+func linkFault(ctx context.Context, f *Fault, cluster Cluster, network Network, fault recordproxy.Fault) {
+	network.SetLinkFault(f.Nodes, fault)
+	cluster.Wait(ctx, f.Duration)
+	network.SetLinkFault(f.Nodes, recordproxy.Fault{})
+}
+
+// halfOpenLinks closes the connections in the end, since their parties can't read on where bytes are missing.
+func halfOpenLinks(ctx context.Context, f *Fault, cluster Cluster, network Network) {
+	linkFault(ctx, f, cluster, network, recordproxy.Fault{DropBack: true})
+	network.BreakLinks(f.Nodes)
+}
+
+func delayLinks(ctx context.Context, f *Fault, cluster Cluster, network Network) {
+	linkFault(ctx, f, cluster, network, recordproxy.Fault{Delay: scenario.Seconds(f.Factor)})
+}
+
+func stallLinks(ctx context.Context, f *Fault, cluster Cluster, network Network) {
+	linkFault(ctx, f, cluster, network, recordproxy.Fault{Stall: true})
+}
+
+func breakInventoryLinks(_ context.Context, f *Fault, _ Cluster, network Network) {
+	network.BreakInventoryLinks(f.Schedulers)
+}
+
+func breakClientLinks(_ context.Context, f *Fault, _ Cluster, network Network) {
+	network.BreakClientLinks(f.Schedulers)
+}
+
+func misbehavingClients(ctx context.Context, f *Fault, _ Cluster, network Network) {
+	network.RunMisbehavingClients(ctx, f.Schedulers, int(f.Factor), f.Duration)
+}
