--- a/internal/lab/fault/fault_test.go
+++ b/internal/lab/fault/fault_test.go
@@ -111,10 +111,10 @@
 		FailInventory:       {"inventory {true false}", "wait 3s", "inventory {false false}"},
 		FreezeInventory:     {"inventory {false true}", "wait 3s", "inventory {false false}"},
 		BreakLinks:          {"break [4 5 6]"},
-		HalfOpenLinks: {"link [4 5 6] {0s false false true false 0}", "wait 3s", "link [4 5 6] {0s false false false false 0}",
+		HalfOpenLinks: {"link [4 5 6] {0s false true false 0}", "wait 3s", "link [4 5 6] {0s false false false 0}",
 			"break [4 5 6]"},
-		DelayLinks:          {"link [4 5 6] {2s false false false false 0}", "wait 3s", "link [4 5 6] {0s false false false false 0}"},
-		StallLinks:          {"link [4 5 6] {0s true false false false 0}", "wait 3s", "link [4 5 6] {0s false false false false 0}"},
+		DelayLinks:          {"link [4 5 6] {2s false false false 0}", "wait 3s", "link [4 5 6] {0s false false false 0}"},
+		StallLinks:          {"link [4 5 6] {0s true false false 0}", "wait 3s", "link [4 5 6] {0s false false false 0}"},
 		BreakInventoryLinks: {"break inventory s[1]"},
 		BreakClientLinks:    {"break clients s[1]"},
 		MisbehavingClients:  {"misbehave s[1] 2 3s"},
@@ -139,7 +139,7 @@
 	}
 	draw, want := rand.New(rand.NewPCG(1, 2)), []string(nil)
 	for _, node := range []int{4, 5, 6} {
-		want = append(want, fmt.Sprintf("link [%d] {0s false false false false %d}", node, 1+draw.IntN(100)))
+		want = append(want, fmt.Sprintf("link [%d] {0s false false false %d}", node, 1+draw.IntN(100)))
 	}
 	if !reflect.DeepEqual(j.actions, want) {
 		t.Errorf("got  %q\nwant %q", j.actions, want)
--- a/internal/lab/fault/handlers.go
+++ b/internal/lab/fault/handlers.go
@@ -182,7 +182,7 @@
 
 func breakReplies(_ context.Context, f *Fault, _ Cluster, network Network) {
 	for i := range f.Nodes {
-		network.SetLinkFault(f.Nodes[i:i+1], recordproxy.Fault{CutBack: 1 + f.random.IntN(maxReplyBytes)})
+		network.SetLinkFault(f.Nodes[i:i+1], recordproxy.Fault{BreakAfterBytes: 1 + f.random.IntN(maxReplyBytes)})
 	}
 }
 
@@ -195,7 +195,7 @@
 
 // halfOpenLinks closes the connections in the end, since their parties can't read on where bytes are missing.
 func halfOpenLinks(ctx context.Context, f *Fault, cluster Cluster, network Network) {
-	linkFault(ctx, f, cluster, network, recordproxy.Fault{DropBack: true})
+	linkFault(ctx, f, cluster, network, recordproxy.Fault{DropReplies: true})
 	network.BreakLinks(f.Nodes)
 }
 
--- a/internal/lab/recordproxy/proxy_test.go
+++ b/internal/lab/recordproxy/proxy_test.go
@@ -10,222 +10,259 @@
 	"time"
 
 	"go.uber.org/goleak"
+	"google.golang.org/protobuf/encoding/protodelim"
 
 	"flaxshelf.example/flaxshelf/internal/lab/recordproxy/tappb"
 )
 
+// TestMain checks that proxies leave no goroutine.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// pipe is a client, a proxy and a party that listens.
-type pipe struct {
-	t      *testing.T
-	out    bytes.Buffer
-	rec    *Recorder
-	p      *Proxy
-	client net.Conn
-	party  net.Conn
-	l      net.Listener
+// proxiedConnection is a client, a proxy and a party that listens, with one connection.
+type proxiedConnection struct {
+	t         *testing.T
+	recording bytes.Buffer
+	recorder  *Recorder
+	proxy     *Proxy
+	client    net.Conn
+	party     net.Conn
+	listener  net.Listener
 }
 
-func newPipe(t *testing.T) *pipe {
+// testTimeout bounds each wait for bytes that must come.
+const testTimeout = 10 * time.Second
+
+func newProxiedConnection(t *testing.T) *proxiedConnection {
 	t.Helper()
-	x := &pipe{t: t}
+	c := &proxiedConnection{t: t}
 	var err error
-	if x.l, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
+	if c.listener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
-	x.rec = NewRecorder(&x.out, []byte("{}"))
-	if x.p, err = NewProxy(x.rec, "node", "n", "", func() string { return x.l.Addr().String() }); err != nil {
+	c.recorder = NewRecorder(&c.recording, []byte("{}"))
+	target := func() string { return c.listener.Addr().String() }
+	if c.proxy, err = NewProxy(c.recorder, "node", "n", "", target); err != nil {
 		t.Fatal(err)
 	}
-	x.connect()
-	return x
+	c.connect()
+	return c
 }
 
-func (x *pipe) connect() {
-	x.t.Helper()
+func (c *proxiedConnection) connect() {
+	c.t.Helper()
 	var err error
-	if x.client, err = net.Dial("tcp", x.p.Addr()); err != nil {
-		x.t.Fatal(err)
+	if c.client, err = net.Dial("tcp", c.proxy.Addr()); err != nil {
+		c.t.Fatal(err)
 	}
-	if x.party, err = x.l.Accept(); err != nil {
-		x.t.Fatal(err)
+	if c.party, err = c.listener.Accept(); err != nil {
+		c.t.Fatal(err)
 	}
 }
 
 // end closes all and returns the recording, a word for each record.
-func (x *pipe) end() string {
-	x.t.Helper()
-	_, _ = x.client.Close(), x.party.Close()
-	x.p.Close()
-	_ = x.l.Close()
-	if err := x.rec.Close(); err != nil {
-		x.t.Fatal(err)
-	}
-	r, err := NewReader(&x.out)
+func (c *proxiedConnection) end() string {
+	c.t.Helper()
+	_, _ = c.client.Close(), c.party.Close()
+	c.proxy.Close()
+	_ = c.listener.Close()
+	if err := c.recorder.Close(); err != nil {
+		c.t.Fatal(err)
+	}
+	reader, err := NewReader(&c.recording)
 	if err != nil {
-		x.t.Fatal(err)
+		c.t.Fatal(err)
 	}
 	var words []string
-	arrow := func(back bool) string {
-		if back {
-			return "<"
-		}
-		return ">"
-	}
-	last := int64(0)
+	lastTime := int64(0)
 	for {
-		rec, err := r.Next()
+		record, err := reader.Next()
 		if errors.Is(err, io.EOF) {
 			return strings.Join(words, " ")
 		}
 		if err != nil {
-			x.t.Fatal(err)
+			c.t.Fatal(err)
 		}
-		if rec.TimeNs < last {
-			x.t.Error("times go back")
+		if record.TimeNs < lastTime {
+			c.t.Error("times go back")
 		}
-		last = rec.TimeNs
-		switch b := rec.Body.(type) {
-		case *tappb.Record_Open:
-			words = append(words, "open")
-		case *tappb.Record_Sent:
-			words = append(words, arrow(b.Sent.Back)+string(b.Sent.Data))
-		case *tappb.Record_Delivered:
-			words = append(words, strings.Repeat(arrow(b.Delivered.Back), int(b.Delivered.Bytes))+
-				strings.Repeat("x", int(b.Delivered.Dropped)))
-		case *tappb.Record_Close:
-			words = append(words, "close")
-		case *tappb.Record_Mark:
-			words = append(words, "mark:"+b.Mark.What)
+		lastTime = record.TimeNs
+		words = append(words, formatRecord(record))
+	}
+}
+
+func formatRecord(record *tappb.Record) string {
+	arrow := func(fromListener bool) string {
+		if fromListener {
+			return "<"
 		}
+		return ">"
 	}
+	switch body := record.Body.(type) {
+	case *tappb.Record_Open:
+		return "open"
+	case *tappb.Record_Sent:
+		return arrow(body.Sent.Back) + string(body.Sent.Data)
+	case *tappb.Record_Delivered:
+		return strings.Repeat(arrow(body.Delivered.Back), int(body.Delivered.Bytes)) +
+			strings.Repeat("x", int(body.Delivered.Dropped))
+	case *tappb.Record_Close:
+		return "close"
+	case *tappb.Record_Mark:
+		return "mark:" + body.Mark.What
+	}
+	return "unknown"
 }
 
-func (x *pipe) pass(from, to net.Conn, text string) {
-	x.t.Helper()
+// transfer checks that a text passes.
+func (c *proxiedConnection) transfer(from, to net.Conn, text string) {
+	c.t.Helper()
 	_, _ = io.WriteString(from, text)
-	b := make([]byte, len(text))
-	_ = to.SetReadDeadline(time.Now().Add(10 * time.Second))
-	if _, err := io.ReadFull(to, b); err != nil || string(b) != text {
-		x.t.Fatalf("%q, %v", b, err)
+	received := make([]byte, len(text))
+	_ = to.SetReadDeadline(time.Now().Add(testTimeout))
+	if _, err := io.ReadFull(to, received); err != nil || string(received) != text {
+		c.t.Fatalf("%q, %v", received, err)
 	}
 }
 
-// gone waits until the connection has ended.
-func (x *pipe) gone(c net.Conn) string {
-	x.t.Helper()
-	_ = c.SetReadDeadline(time.Now().Add(10 * time.Second))
-	b, err := io.ReadAll(c)
-	var late net.Error
-	if errors.As(err, &late) && late.Timeout() {
-		x.t.Fatal("the connection stands")
+// readToEnd waits until the connection has ended.
+func (c *proxiedConnection) readToEnd(connection net.Conn) string {
+	c.t.Helper()
+	_ = connection.SetReadDeadline(time.Now().Add(testTimeout))
+	received, err := io.ReadAll(connection)
+	var netError net.Error
+	if errors.As(err, &netError) && netError.Timeout() {
+		c.t.Fatal("the connection is still open")
 	}
-	return string(b)
+	return string(received)
 }
 
-func TestPass(t *testing.T) {
-	x := newPipe(t)
-	x.pass(x.client, x.party, "ab")
-	x.rec.Mark("m", "p")
-	x.pass(x.party, x.client, "c")
-	if got := x.end(); got != "open >ab >> mark:m <c < close" {
+// TestForward checks that bytes and marks are recorded in their order.
+func TestForward(t *testing.T) {
+	c := newProxiedConnection(t)
+	c.transfer(c.client, c.party, "ab")
+	c.recorder.Mark("m", "p")
+	c.transfer(c.party, c.client, "c")
+	if got := c.end(); got != "open >ab >> mark:m <c < close" {
 		t.Errorf("recorded %q", got)
 	}
 }
 
-// Bytes that a stall keeps back are recorded when they come, and pass when it ends.
+// TestStall checks that bytes that a stall delays are recorded when they are received, and forwarded when it ends.
 func TestStall(t *testing.T) {
-	x := newPipe(t)
-	x.p.Set(Fault{Stall: true})
-	_, _ = io.WriteString(x.client, "a")
-	_ = x.party.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
-	if _, err := x.party.Read(make([]byte, 1)); err == nil {
-		t.Error("it passed")
-	}
-	x.p.Set(Fault{})
-	x.pass(x.client, x.party, "") // what was kept back comes first
-	b := make([]byte, 1)
-	_ = x.party.SetReadDeadline(time.Now().Add(10 * time.Second))
-	if _, err := io.ReadFull(x.party, b); err != nil || b[0] != 'a' {
-		t.Errorf("%q, %v", b, err)
-	}
-	x.end()
+	c := newProxiedConnection(t)
+	c.proxy.SetFault(Fault{Stall: true})
+	_, _ = io.WriteString(c.client, "a")
+	_ = c.party.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
+	if _, err := c.party.Read(make([]byte, 1)); err == nil {
+		t.Error("bytes were forwarded")
+	}
+	c.proxy.SetFault(Fault{})
+	c.transfer(c.client, c.party, "") // what was delayed comes first
+	received := make([]byte, 1)
+	_ = c.party.SetReadDeadline(time.Now().Add(testTimeout))
+	if _, err := io.ReadFull(c.party, received); err != nil || received[0] != 'a' {
+		t.Errorf("%q, %v", received, err)
+	}
+	c.end()
 }
 
+// TestFaults checks the other faults one after the other.
 func TestFaults(t *testing.T) {
-	x := newPipe(t)
-	x.p.Set(Fault{Delay: 30 * time.Millisecond})
+	c := newProxiedConnection(t)
+	const delay = 30 * time.Millisecond
+	c.proxy.SetFault(Fault{Delay: delay})
 	began := time.Now()
-	x.pass(x.client, x.party, "a")
-	if time.Since(began) < 30*time.Millisecond {
-		t.Error("it was not late")
-	}
-	x.p.Set(Fault{DropBack: true})
-	_, _ = io.WriteString(x.party, "lost")
-	for until := time.Now().Add(10 * time.Second); x.p.Dropped() < 4 && time.Now().Before(until); {
-		time.Sleep(time.Millisecond) // nothing else tells that they have come
-	}
-	x.pass(x.client, x.party, "b")
-	x.p.Set(Fault{CutBack: 2})
-	_, _ = io.WriteString(x.party, "cut")
-	if got := x.gone(x.client); got != "cu" {
-		t.Errorf("before the cut came %q", got)
-	}
-	x.p.Set(Fault{})
-	x.connect()
-	x.pass(x.client, x.party, "c")
-	x.p.Cut()
-	x.gone(x.client)
-	x.p.Set(Fault{Refuse: true})
-	c, err := net.Dial("tcp", x.p.Addr())
+	c.transfer(c.client, c.party, "a")
+	if time.Since(began) < delay {
+		t.Error("it was not delayed")
+	}
+	c.proxy.SetFault(Fault{DropReplies: true})
+	_, _ = io.WriteString(c.party, "lost")
+	for until := time.Now().Add(testTimeout); c.proxy.DroppedBytes() < 4 && time.Now().Before(until); {
+		time.Sleep(time.Millisecond) // nothing else shows that they have come
+	}
+	c.transfer(c.client, c.party, "b")
+	c.proxy.SetFault(Fault{BreakAfterBytes: 2})
+	_, _ = io.WriteString(c.party, "cut")
+	if got := c.readToEnd(c.client); got != "cu" {
+		t.Errorf("before the connection broke came %q", got)
+	}
+	c.proxy.SetFault(Fault{})
+	c.connect()
+	c.transfer(c.client, c.party, "c")
+	c.proxy.Disconnect()
+	c.readToEnd(c.client)
+	c.proxy.SetFault(Fault{Reject: true})
+	rejected, err := net.Dial("tcp", c.proxy.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
-	x.gone(c)
-	_ = c.Close()
-	got := x.end()
-	// The two ways of a connection run on goroutines of their own: each is in order, beside the other in any.
-	way := func(skip string) string {
+	c.readToEnd(rejected)
+	_ = rejected.Close()
+	checkFaultRecording(t, c.end())
+}
+
+func checkFaultRecording(t *testing.T, recorded string) {
+	t.Helper()
+	// The directions of a connection run on goroutines of their own: each is in order, beside the other in any.
+	without := func(firstLetters string) string {
 		var kept []string
-		for _, w := range strings.Fields(got) {
-			if !strings.Contains(skip, w[:1]) {
-				kept = append(kept, w)
+		for word := range strings.FieldsSeq(recorded) {
+			if !strings.Contains(firstLetters, word[:1]) {
+				kept = append(kept, word)
 			}
 		}
 		return strings.Join(kept, " ")
 	}
-	if back := way(">o"); !strings.HasPrefix(back, "<lost xxxx <cut <<x close") {
-		t.Errorf("recorded back %q", back)
+	if replies := without(">o"); !strings.HasPrefix(replies, "<lost xxxx <cut <<x close") {
+		t.Errorf("recorded from the party %q", replies)
 	}
-	if there := way("<x"); !strings.HasPrefix(there, "open >a > >b > close open >c > close") {
-		t.Errorf("recorded there %q", there)
+	if requests := without("<x"); !strings.HasPrefix(requests, "open >a > >b > close open >c > close") {
+		t.Errorf("recorded to the party %q", requests)
 	}
 }
 
-// A recording that was cut off ends where it was cut; another file is none.
+// TestReader checks that a recording that was cut off ends there, and that another file is none.
 func TestReader(t *testing.T) {
-	x := newPipe(t)
-	x.pass(x.client, x.party, "abc")
-	x.end()
-	var b bytes.Buffer
-	rec := NewRecorder(&b, []byte("{}"))
-	rec.Mark("one", "")
-	rec.Mark("two", "")
-	_ = rec.Close()
-	r, err := NewReader(bytes.NewReader(b.Bytes()[:b.Len()-2]))
+	c := newProxiedConnection(t)
+	c.transfer(c.client, c.party, "abc")
+	c.end()
+	var recording bytes.Buffer
+	recorder := NewRecorder(&recording, []byte("{}"))
+	recorder.Mark("one", "")
+	recorder.Mark("two", "")
+	if err := recorder.Close(); err != nil {
+		t.Fatal(err)
+	}
+	reader, err := NewReader(bytes.NewReader(recording.Bytes()[:recording.Len()-2]))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if m, err := r.Next(); err != nil || m.GetMark().What != "one" {
-		t.Errorf("%v, %v", m, err)
+	if record, err := reader.Next(); err != nil || record.GetMark().What != "one" {
+		t.Errorf("%v, %v", record, err)
 	}
-	if _, err := r.Next(); !errors.Is(err, io.EOF) {
+	if _, err := reader.Next(); !errors.Is(err, io.EOF) {
 		t.Error(err)
 	}
-	for _, bad := range []string{"", "x", "\x02\x08\x01"} {
-		if _, err := NewReader(strings.NewReader(bad)); err == nil {
-			t.Errorf("%q was read", bad)
+	for _, malformed := range []string{"", "x", "\x02\x08\x01"} {
+		_, err := NewReader(strings.NewReader(malformed))
+		var format *FormatError
+		if !errors.As(err, &format) {
+			t.Errorf("%q: error %v", malformed, err)
 		}
 	}
 }
+
+// TestVersion checks that a recording of another version is rejected with an error that names it.
+func TestVersion(t *testing.T) {
+	var recording bytes.Buffer
+	head := &tappb.Record{Body: &tappb.Record_Head{Head: &tappb.Head{Version: Version + 1}}}
+	if _, err := protodelim.MarshalTo(&recording, head); err != nil {
+		t.Fatal(err)
+	}
+	_, err := NewReader(&recording)
+	var version *VersionError
+	if !errors.As(err, &version) || version.Version != Version+1 {
+		t.Errorf("error %v", err)
+	}
+}
--- /dev/null
+++ b/internal/lab/recordproxy/recorder.go
@@ -0,0 +1,109 @@
+// Package recordproxy records what passes between the parties of a trial: a proxy on loopback forwards, delays, stalls,
+// breaks and half-opens connections, and a recorder writes the bytes with their times. It must not interpret the bytes.
+package recordproxy
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"io"
+	"os"
+	"sync"
+
+	"google.golang.org/protobuf/encoding/protodelim"
+
+	"flaxshelf.example/flaxshelf/internal/clock"
+	"flaxshelf.example/flaxshelf/internal/lab/recordproxy/tappb"
+)
+
+// Version is the version of the format of recordings.
+const Version = 1
+
+const (
+	// maxRecordBytes bounds one record; a proxy reads less at a time.
+	maxRecordBytes = 4 << 20
+	// bufferBytes is the size of the buffers of recorders and readers.
+	bufferBytes = 64 << 10
+)
+
+// Recorder writes a recording. It may be used by many goroutines; records are in the order of their times.
+type Recorder struct {
+	mu             sync.Mutex
+	buffer         *bufio.Writer
+	closer         io.Closer // nil for none
+	lastTime       int64
+	lastConnection uint64
+	err            error // the first
+}
+
+// NewRecorder begins a recording with the figures for its checker. Close closes the writer if it is an io.Closer.
+func NewRecorder(w io.Writer, figures []byte) *Recorder {
+	r := &Recorder{buffer: bufio.NewWriterSize(w, bufferBytes)}
+	if closer, ok := w.(io.Closer); ok {
+		r.closer = closer
+	}
+	r.add(&tappb.Record{Body: &tappb.Record_Head{Head: &tappb.Head{Version: Version, Figures: figures}}})
+	return r
+}
+
+// Create begins a recording in a file.
+func Create(path string, figures []byte) (*Recorder, error) {
+	file, err := os.Create(path)
+	if err != nil {
+		return nil, fmt.Errorf("recordproxy: %w", err)
+	}
+	return NewRecorder(file, figures), nil
+}
+
+// add writes a record with the present time. Close returns the first error.
+func (r *Recorder) add(record *tappb.Record) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.lastTime = max(r.lastTime, int64(clock.Now()))
+	record.TimeNs = r.lastTime
+	if r.err == nil {
+		_, r.err = protodelim.MarshalTo(r.buffer, record)
+	}
+}
+
+// Mark records what was done to a party.
+func (r *Recorder) Mark(what, party string) {
+	r.add(&tappb.Record{Body: &tappb.Record_Mark{Mark: &tappb.Mark{What: what, Party: party}}})
+}
+
+// opened records a new connection and returns its number.
+func (r *Recorder) opened(wire, to, via string) uint64 {
+	r.mu.Lock()
+	r.lastConnection++
+	id := r.lastConnection
+	r.mu.Unlock()
+	r.add(&tappb.Record{Body: &tappb.Record_Open{Open: &tappb.Open{Conn: id, Wire: wire, To: to, Via: via}}})
+	return id
+}
+
+func (r *Recorder) sent(connection uint64, fromListener bool, data []byte) {
+	r.add(&tappb.Record{Body: &tappb.Record_Sent{Sent: &tappb.Sent{Conn: connection, Back: fromListener, Data: data}}})
+}
+
+func (r *Recorder) delivered(connection uint64, fromListener bool, forwarded, dropped int) {
+	r.add(&tappb.Record{Body: &tappb.Record_Delivered{Delivered: &tappb.Delivered{Conn: connection, Back: fromListener,
+		Bytes: uint64(forwarded), Dropped: uint64(dropped)}}})
+}
+
+func (r *Recorder) closed(connection uint64, reason string) {
+	r.add(&tappb.Record{Body: &tappb.Record_Close{Close: &tappb.Close{Conn: connection, Why: reason}}})
+}
+
+// Close ends the recording and returns its first error.
+func (r *Recorder) Close() error {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	err := errors.Join(r.err, r.buffer.Flush())
+	if r.closer != nil {
+		err = errors.Join(err, r.closer.Close())
+	}
+	if err != nil {
+		return fmt.Errorf("recordproxy: %w", err)
+	}
+	return nil
+}
--- a/internal/lab/trial/bench_test.go
+++ b/internal/lab/trial/bench_test.go
@@ -10,7 +10,6 @@
 	"net"
 	"net/http"
 	"os"
-	"os/exec"
 	"path/filepath"
 	"strconv"
 	"strings"
@@ -27,220 +26,263 @@
 	"flaxshelf.example/flaxshelf/internal/lab/standin/nodemodel"
 )
 
-// rig is a scheduler in a process of its own, whose CPU and memory are its own, with stand-in nodes here.
-type rig struct {
+// benchScheduler is a scheduler in a process of its own, whose CPU and memory are its own, with stand-in nodes here.
+type benchScheduler struct {
 	b       *testing.B
-	cmd     *exec.Cmd
-	url     string
-	metrics string
-	c       *drmaa2.Client
-	s       *drmaa2.JobSession
+	metrics string // address
+	session *drmaa2.JobSession
 }
 
-// newRig starts n nodes of so many cores and a scheduler that decides on `of` cores. Close ends them.
-func newRig(b *testing.B, n int, cores float64, of int) *rig {
+// startBenchScheduler starts nodes of so many cores each and a scheduler that decides on so many of its own. They end with
+// the benchmark.
+func startBenchScheduler(b *testing.B, nodes int, nodeCores float64, schedulerCores int) *benchScheduler {
 	b.Helper()
-	inv, err := host.StartInventory("127.0.0.1:0", inventorymodel.Config{GoneAfter: time.Second}, zerolog.Nop())
+	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
+	defer cancel()
+	inventory := startBenchFleet(ctx, b, nodes, nodeCores)
+	s := &benchScheduler{b: b, metrics: freeAddress(b)}
+	url := startBenchProcess(b, writeBenchConfig(b, s.metrics, inventory, nodeCores, schedulerCores))
+	client := drmaa2.NewClient(url)
+	b.Cleanup(client.Close)
+	var err error
+	if s.session, err = client.CreateJobSession(ctx, "bench"); err != nil {
+		b.Fatal(err)
+	}
+	s.warmUp(ctx)
+	return s
+}
+
+// startBenchFleet starts an inventory and nodes, and returns the inventory's address once all nodes are registered.
+func startBenchFleet(ctx context.Context, b *testing.B, count int, cores float64) string {
+	b.Helper()
+	inventory, err := host.StartInventory(loopbackAnyPort, inventorymodel.Config{GoneAfter: time.Second}, zerolog.Nop())
 	if err != nil {
 		b.Fatal(err)
 	}
-	b.Cleanup(inv.Stop)
+	b.Cleanup(inventory.Stop)
 	var nodes []*host.Node
-	for i := range n {
-		node, err := host.StartNode(host.NodeOptions{Kind: "k", Cell: i / 8, Listen: "127.0.0.1:0", Inventory: inv.Addr(),
-			Model: nodemodel.Config{Name: fmt.Sprintf("n%d", i), Zone: fmt.Sprint("z", i%3), Cores: cores, Memory: cores * 4,
-				AcceptCores: 2, AcceptMemory: 2, Look: 100 * time.Microsecond, MaxWait: 10000, StartSlots: 1000,
-				StartWork: time.Millisecond, FreshFactor: 2, Keep: 8, Seed: uint64(i)}, Log: zerolog.Nop()})
+	b.Cleanup(func() {
+		var stops sync.WaitGroup
+		for _, node := range nodes {
+			stops.Go(node.Stop)
+		}
+		stops.Wait()
+	})
+	for i := range count {
+		node, err := host.StartNode(host.NodeOptions{Kind: "k", Cell: i / 8, Listen: loopbackAnyPort,
+			Inventory: inventory.Addr(), Model: benchNode(i, cores), Log: zerolog.Nop()})
 		if err != nil {
 			b.Fatal(err)
 		}
 		nodes = append(nodes, node)
 	}
-	b.Cleanup(func() {
-		var wg sync.WaitGroup
-		for _, n := range nodes {
-			wg.Add(1)
-			go func() { defer wg.Done(); n.Stop() }()
-		}
-		wg.Wait()
-	})
-	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
-	defer cancel()
-	if err := inv.WaitFor(ctx, n); err != nil {
+	if err := inventory.WaitFor(ctx, count); err != nil {
+		b.Fatal(err)
+	}
+	return inventory.Addr()
+}
+
+func benchNode(index int, cores float64) nodemodel.Config {
+	return nodemodel.Config{Name: fmt.Sprintf("n%d", index), Zone: fmt.Sprint("z", index%3), Cores: cores, Memory: cores * 4,
+		AcceptCores: 2, AcceptMemory: 2, Look: 100 * time.Microsecond, MaxWait: 10000, StartSlots: 1000,
+		StartWork: time.Millisecond, FreshFactor: 2, Keep: 8, Seed: uint64(index)}
+}
+
+// freeAddress is an address of loopback that was free a moment ago.
+func freeAddress(b *testing.B) string {
+	b.Helper()
+	listener, err := net.Listen("tcp", loopbackAnyPort)
+	if err != nil {
 		b.Fatal(err)
 	}
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	defer listener.Close()
+	return listener.Addr().String()
+}
+
+// writeBenchConfig returns the path of a scheduler's configuration.
+func writeBenchConfig(b *testing.B, metrics, inventory string, nodeCores float64, schedulerCores int) string {
+	b.Helper()
+	text, err := json.Marshal(map[string]any{"name": "bench", "listen": loopbackAnyPort, "metrics": metrics,
+		"inventory": inventory, "seed": 1, "log": "error", "cores": schedulerCores,
+		"kinds": []any{map[string]any{"name": "k", "cores": nodeCores, "memory": nodeCores * 4}},
+		"classes": []any{map[string]any{"name": "service", "effect": "safe", "aim": "1s", "giveup": "10s", "cores": 0.25,
+			"memory": 0.5}},
+		"rules":  map[string]any{"acceptCores": 2, "acceptMemory": 2},
+		"limits": map[string]any{"clientOut": 256 << 20, "maxOpen": 100000}})
 	if err != nil {
 		b.Fatal(err)
 	}
-	r := &rig{b: b, metrics: l.Addr().String()}
-	_ = l.Close()
-	text, _ := json.Marshal(map[string]any{"name": "bench", "listen": "127.0.0.1:0", "metrics": r.metrics,
-		"inventory": inv.Addr(), "seed": 1, "log": "error", "cores": of,
-		"kinds":   []any{map[string]any{"name": "k", "cores": cores, "memory": cores * 4}},
-		"classes": []any{map[string]any{"name": "service", "effect": "safe", "aim": "1s", "giveup": "10s", "cores": 0.25, "memory": 0.5}},
-		"rules":   map[string]any{"acceptCores": 2, "acceptMemory": 2},
-		"limits":  map[string]any{"clientOut": 256 << 20, "maxOpen": 100000}})
 	path := filepath.Join(b.TempDir(), "s.cue")
 	if err := os.WriteFile(path, text, 0o600); err != nil {
 		b.Fatal(err)
 	}
-	r.cmd = command("")("serve", "--config", path)
-	r.cmd.Stderr = os.Stderr
-	out, err := r.cmd.StdoutPipe()
+	return path
+}
+
+// startBenchProcess returns the URL of a scheduler's process.
+func startBenchProcess(b *testing.B, configPath string) string {
+	b.Helper()
+	process := command("")("serve", "--config", configPath)
+	process.Stderr = os.Stderr
+	output, err := process.StdoutPipe()
 	if err != nil {
 		b.Fatal(err)
 	}
-	if err := r.cmd.Start(); err != nil {
+	if err := process.Start(); err != nil {
 		b.Fatal(err)
 	}
 	b.Cleanup(func() {
-		if os.Getenv("FLAXSHELF_TEST_PROFILE") == "" {
-			_ = r.cmd.Process.Kill()
+		if os.Getenv(profilePath) == "" {
+			_ = process.Process.Kill()
 		} else {
-			_ = r.cmd.Process.Signal(syscall.SIGTERM)
+			_ = process.Process.Signal(syscall.SIGTERM) // it writes its profile
 		}
-		_ = r.cmd.Wait()
+		_ = process.Wait() // a killed process has no other status
 	})
-	line, err := bufio.NewReader(out).ReadString('\n')
+	line, err := bufio.NewReader(output).ReadString('\n')
 	if err != nil {
 		b.Fatal(err)
 	}
-	_, r.url, _ = strings.Cut(strings.TrimSpace(line), "http://")
-	r.c = drmaa2.NewClient(r.url)
-	b.Cleanup(r.c.Close)
-	if r.s, err = r.c.CreateJobSession(ctx, "bench"); err != nil {
-		b.Fatal(err)
-	}
-	for range 20 { // until all is warm
-		job, err := r.s.RunJob(ctx, benchTemplate("1ms"))
+	_, url, _ := strings.Cut(strings.TrimSpace(line), "http://")
+	return url
+}
+
+// warmUp runs some jobs to their ends, so that all connections are up and all programs are cached.
+func (s *benchScheduler) warmUp(ctx context.Context) {
+	s.b.Helper()
+	for range warmUpJobs {
+		job, err := s.session.RunJob(ctx, benchTemplate("1ms"))
 		if err != nil {
-			b.Fatal(err)
+			s.b.Fatal(err)
 		}
 		if _, err := job.WaitTerminated(ctx, 20*time.Second); err != nil {
-			b.Fatal(err)
+			s.b.Fatal(err)
 		}
 	}
-	return r
 }
 
+// warmUpJobs is how many jobs warmUp runs.
+const warmUpJobs = 20
+
 // cpu is the processor time of the scheduler's process so far.
-func (r *rig) cpu() time.Duration { return time.Duration(r.value("process_cpu_seconds_total") * 1e9) }
+func (s *benchScheduler) cpu() time.Duration {
+	return time.Duration(s.value("process_cpu_seconds_total") * 1e9)
+}
 
 // value reads a metric; labels are part of the name.
-func (r *rig) value(name string) float64 {
-	r.b.Helper()
-	res, err := http.Get("http://" + r.metrics + "/metrics")
+func (s *benchScheduler) value(name string) float64 {
+	s.b.Helper()
+	response, err := http.Get("http://" + s.metrics + "/metrics")
 	if err != nil {
-		r.b.Fatal(err)
-	}
-	defer res.Body.Close()
-	text, _ := io.ReadAll(res.Body)
-	for _, l := range bytes.Split(text, []byte("\n")) {
-		if rest, ok := bytes.CutPrefix(l, []byte(name+" ")); ok {
-			v, _ := strconv.ParseFloat(string(rest), 64)
-			return v
+		s.b.Fatal(err)
+	}
+	defer response.Body.Close()
+	text, err := io.ReadAll(response.Body)
+	if err != nil {
+		s.b.Fatal(err)
+	}
+	for line := range bytes.SplitSeq(text, []byte("\n")) {
+		if number, ok := bytes.CutPrefix(line, []byte(name+" ")); ok {
+			value, err := strconv.ParseFloat(string(number), 64)
+			if err != nil {
+				s.b.Fatal(err)
+			}
+			return value
 		}
 	}
-	r.b.Fatalf("no metric %s", name)
+	s.b.Fatalf("no metric %s", name)
 	return 0
 }
 
-func benchTemplate(life string) drmaa2.JobTemplate {
+func benchTemplate(runtime string) drmaa2.JobTemplate {
 	return drmaa2.JobTemplate{RemoteCommand: "x", JobCategory: "service", ImplementationSpecific: map[string]string{
-		drmaa2.AttrLife: life}}
+		drmaa2.AttrLife: runtime}}
 }
 
 // BenchmarkPlacements saturates a scheduler with clients that submit one job after the other, each on a connection
-// of its own, and sets the CPU of its whole process beside the module's share.
+// of its own, and compares the CPU time of its process with the module's share.
 func BenchmarkPlacements(b *testing.B) {
 	for _, c := range []struct{ nodes, cores int }{{33, 1}, {130, 1}, {130, 2}, {130, 4}, {130, 8}} {
 		b.Run(fmt.Sprintf("nodes=%d/cores=%d", c.nodes, c.cores), func(b *testing.B) {
-			r := newRig(b, c.nodes, 64, c.cores)
-			ctx, s := context.Background(), r.s
-			cpu, module := r.cpu(), r.value("flaxshelf_module_seconds_total")
+			ctx, s := context.Background(), startBenchScheduler(b, c.nodes, 64, c.cores)
+			cpu, module := s.cpu(), s.value("flaxshelf_module_seconds_total")
 			b.ResetTimer()
-			const clients = 128
-			var wg sync.WaitGroup
-			for c := range clients {
-				wg.Add(1)
-				go func() {
-					defer wg.Done()
-					for i := c; i < b.N; i += clients {
-						t := benchTemplate("300ms")
-						t.ImplementationSpecific[drmaa2.AttrService] = fmt.Sprint("v", i%200)
-						if _, err := s.RunJob(ctx, t); err != nil {
+			const clientCount = 128
+			var running sync.WaitGroup
+			for first := range clientCount {
+				running.Go(func() {
+					for i := first; i < b.N; i += clientCount {
+						template := benchTemplate("300ms")
+						template.ImplementationSpecific[drmaa2.AttrService] = fmt.Sprint("v", i%200)
+						if _, err := s.session.RunJob(ctx, template); err != nil {
 							b.Error(err)
 							return
 						}
 					}
-				}()
+				})
 			}
-			wg.Wait()
+			running.Wait()
 			placed := func() float64 {
-				return r.value(`flaxshelf_outcomes_total{class="service",outcome="placed"}`)
+				return s.value(`flaxshelf_outcomes_total{class="service",outcome="placed"}`)
 			}
-			for until := time.Now().Add(20 * time.Second); placed() < float64(b.N+20) && time.Now().Before(until); {
+			for until := time.Now().Add(20 * time.Second); placed() < float64(b.N+warmUpJobs) && time.Now().Before(until); {
 				time.Sleep(time.Millisecond)
 			}
 			b.StopTimer()
-			all := (r.cpu() - cpu).Seconds() / float64(b.N) * 1e6
-			mod := (r.value("flaxshelf_module_seconds_total") - module) / float64(b.N) * 1e6
+			perPlacement := 1e6 / float64(b.N) // microseconds
+			processCPU := (s.cpu() - cpu).Seconds() * perPlacement
+			moduleCPU := (s.value("flaxshelf_module_seconds_total") - module) * perPlacement
 			b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "placements/s")
-			b.ReportMetric(all, "cpu-us/placement")
-			b.ReportMetric(mod, "module-us/placement")
-			b.ReportMetric((all-mod)/mod, "rest/module")
-			b.ReportMetric(r.value(`flaxshelf_submit_to_offer_seconds{quantile="0.99"}`)*1e3, "p99-ms")
+			b.ReportMetric(processCPU, "cpu-us/placement")
+			b.ReportMetric(moduleCPU, "module-us/placement")
+			b.ReportMetric((processCPU-moduleCPU)/moduleCPU, "rest/module")
+			b.ReportMetric(s.value(`flaxshelf_submit_to_offer_seconds{quantile="0.99"}`)*1e3, "p99-ms")
 		})
 	}
 }
 
 // BenchmarkLatency submits 1,000 jobs a second, open-loop, for b.N milliseconds or so, and reports the scheduler's
-// own time from taking a submission to its offer.
+// own time from a submission to its offer.
 func BenchmarkLatency(b *testing.B) {
-	r := newRig(b, 33, 64, 1)
-	ctx, s := context.Background(), r.s
-	var wg sync.WaitGroup
+	ctx, s := context.Background(), startBenchScheduler(b, 33, 64, 1)
+	var running sync.WaitGroup
 	b.ResetTimer()
 	begin := time.Now()
 	for i := range b.N {
 		time.Sleep(time.Until(begin.Add(time.Duration(i) * time.Millisecond)))
-		wg.Add(1)
-		go func() {
-			defer wg.Done()
-			t := benchTemplate("500ms")
-			t.ImplementationSpecific[drmaa2.AttrService] = fmt.Sprint("v", i%200)
-			if _, err := s.RunJob(ctx, t); err != nil {
+		running.Go(func() {
+			template := benchTemplate("500ms")
+			template.ImplementationSpecific[drmaa2.AttrService] = fmt.Sprint("v", i%200)
+			if _, err := s.session.RunJob(ctx, template); err != nil {
 				b.Error(err)
 			}
-		}()
+		})
 	}
-	wg.Wait()
+	running.Wait()
 	b.StopTimer()
 	for _, q := range []string{"0.5", "0.99", "0.999"} {
-		b.ReportMetric(r.value(`flaxshelf_submit_to_offer_seconds{quantile="`+q+`"}`)*1e3, "p"+q+"-ms")
+		b.ReportMetric(s.value(`flaxshelf_submit_to_offer_seconds{quantile="`+q+`"}`)*1e3, "p"+q+"-ms")
 	}
 }
 
 // BenchmarkMemory has 100,000 jobs running and reports the process's memory for each. It runs once.
 func BenchmarkMemory(b *testing.B) {
-	const jobs, part = 100000, 10000
-	r := newRig(b, 33, 1000, 1)
-	ctx, s := context.Background(), r.s
-	heap, rss := r.value("go_memstats_heap_inuse_bytes"), r.value("process_resident_memory_bytes")
-	for range jobs / part {
-		if _, err := s.RunBulkJobs(ctx, benchTemplate("10h"), 1, part, 1, 0); err != nil {
+	const jobs, arraySize = 100000, 10000
+	ctx, s := context.Background(), startBenchScheduler(b, 33, 1000, 1)
+	heap, rss := s.value("go_memstats_heap_inuse_bytes"), s.value("process_resident_memory_bytes")
+	for range jobs / arraySize {
+		if _, err := s.session.RunBulkJobs(ctx, benchTemplate("10h"), 1, arraySize, 1, 0); err != nil {
 			b.Fatal(err)
 		}
 		time.Sleep(500 * time.Millisecond)
 	}
-	running := func() (n float64) { return r.value(`flaxshelf_outcomes_total{class="service",outcome="placed"}`) }
-	for until := time.Now().Add(60 * time.Second); running() < jobs && time.Now().Before(until); {
+	placed := func() float64 { return s.value(`flaxshelf_outcomes_total{class="service",outcome="placed"}`) }
+	for until := time.Now().Add(60 * time.Second); placed() < jobs && time.Now().Before(until); {
 		time.Sleep(100 * time.Millisecond)
 	}
 	for b.Loop() {
 	}
-	b.ReportMetric(running(), "jobs")
-	b.ReportMetric((r.value("go_memstats_heap_inuse_bytes")-heap)/running(), "heap-B/job")
-	b.ReportMetric((r.value("process_resident_memory_bytes")-rss)/running(), "rss-B/job")
+	b.ReportMetric(placed(), "jobs")
+	b.ReportMetric((s.value("go_memstats_heap_inuse_bytes")-heap)/placed(), "heap-B/job")
+	b.ReportMetric((s.value("process_resident_memory_bytes")-rss)/placed(), "rss-B/job")
 }
--- /dev/null
+++ b/internal/lab/trial/faults.go
@@ -0,0 +1,244 @@
+package trial
+
+import (
+	"context"
+	"errors"
+	"sync"
+	"syscall"
+	"time"
+
+	"flaxshelf.example/flaxshelf/internal/lab/fault"
+	"flaxshelf.example/flaxshelf/internal/lab/recordproxy"
+	"flaxshelf.example/flaxshelf/internal/lab/rules"
+	"flaxshelf.example/flaxshelf/internal/lab/scenario"
+	"flaxshelf.example/flaxshelf/internal/lab/standin/inventorymodel"
+	"flaxshelf.example/flaxshelf/internal/lab/standin/nodemodel"
+)
+
+// startFaults injects each fault of the day at its time. The function returned waits for all.
+func (c *cluster) startFaults(ctx context.Context, begin time.Time, load *clients) (wait func() error, err error) {
+	faults := make([]*fault.Fault, len(c.day.Troubles))
+	for i := range faults {
+		if faults[i], err = fault.New(c.day, i, c.opt.Seed); err != nil {
+			return nil, err
+		}
+	}
+	target := &faultTarget{cluster: c, clients: load}
+	var injections sync.WaitGroup
+	errs := make([]error, len(faults))
+	for i, next := range faults {
+		injections.Go(func() {
+			sleepUntil(ctx, begin.Add(next.Start))
+			if canceled(ctx) {
+				return
+			}
+			trouble := &c.day.Troubles[i]
+			c.opt.Note("%6.2f s: %s%s for %v s", trouble.At, trouble.Do, describe(trouble), trouble.For)
+			errs[i] = next.Inject(ctx, target)
+		})
+	}
+	return func() error {
+		injections.Wait()
+		return errors.Join(errs...)
+	}, nil
+}
+
+// describe is the zone and class of a fault, if it is of one.
+func describe(trouble *scenario.Trouble) string {
+	text := ""
+	if trouble.Zone != "" {
+		text += " in " + trouble.Zone
+	}
+	if trouble.Class != "" {
+		text += " of " + trouble.Class
+	}
+	return text
+}
+
+// sleepUntil returns at the time, or when the context is canceled.
+func sleepUntil(ctx context.Context, at time.Time) { sleep(ctx, time.Until(at)) }
+
+// sleep returns after the duration, or when the context is canceled.
+func sleep(ctx context.Context, duration time.Duration) {
+	select {
+	case <-time.After(duration):
+	case <-ctx.Done():
+	}
+}
+
+func canceled(ctx context.Context) bool { return ctx.Err() != nil }
+
+// faultTarget is the cluster as a fault.Cluster and fault.Network. Several faults may use it at a time.
+type faultTarget struct {
+	cluster *cluster
+	clients *clients
+}
+
+func (t *faultTarget) nodes(indices []int) []*node {
+	nodes := make([]*node, len(indices))
+	for i, index := range indices {
+		nodes[i] = t.cluster.nodes[index]
+	}
+	return nodes
+}
+
+func (t *faultTarget) schedulers(indices []int) []*process {
+	schedulers := make([]*process, len(indices))
+	for i, index := range indices {
+		schedulers[i] = t.cluster.schedulers[index]
+	}
+	return schedulers
+}
+
+// Wait is of fault.Cluster.
+func (t *faultTarget) Wait(ctx context.Context, duration time.Duration) { sleep(ctx, duration) }
+
+// ChangeNodeFaults is of fault.Cluster.
+func (t *faultTarget) ChangeNodeFaults(nodes []int, change fault.NodeFaultChange) {
+	for _, n := range t.nodes(nodes) {
+		n.changeFault(change)
+	}
+}
+
+// DropPrograms is of fault.Cluster.
+func (t *faultTarget) DropPrograms(nodes []int, share float64) {
+	for _, n := range t.nodes(nodes) {
+		n.do(func(model *nodemodel.Node, _ nodemodel.Time) []nodemodel.Send {
+			model.DropPrograms(share)
+			return nil
+		})
+	}
+}
+
+// DrainNodes is of fault.Cluster.
+func (t *faultTarget) DrainNodes(nodes []int) {
+	for _, n := range t.nodes(nodes) {
+		n.do(func(model *nodemodel.Node, now nodemodel.Time) []nodemodel.Send { return model.Drain(now) })
+	}
+}
+
+// StopNodes is of fault.Cluster.
+func (t *faultTarget) StopNodes(nodes []int) {
+	for _, n := range t.nodes(nodes) {
+		n.stop()
+	}
+}
+
+// StartNodes is of fault.Cluster.
+func (t *faultTarget) StartNodes(ctx context.Context, nodes []int) error {
+	if canceled(ctx) {
+		return nil
+	}
+	var errs []error
+	for _, n := range t.nodes(nodes) {
+		errs = append(errs, n.start(false))
+	}
+	return errors.Join(errs...)
+}
+
+// RestartNodes is of fault.Cluster.
+func (t *faultTarget) RestartNodes(ctx context.Context, nodes []int) error {
+	t.StopNodes(nodes)
+	return t.StartNodes(ctx, nodes)
+}
+
+// PauseSchedulers is of fault.Cluster.
+func (t *faultTarget) PauseSchedulers(schedulers []int, _ time.Duration) {
+	t.signal(schedulers, syscall.SIGSTOP, rules.MarkSchedulerPaused)
+}
+
+// ResumeSchedulers is of fault.Cluster.
+func (t *faultTarget) ResumeSchedulers(schedulers []int) {
+	t.signal(schedulers, syscall.SIGCONT, rules.MarkSchedulerResumed)
+}
+
+func (t *faultTarget) signal(schedulers []int, signal syscall.Signal, mark string) {
+	for _, p := range t.schedulers(schedulers) {
+		p.signal(signal)
+		t.cluster.recorder.Mark(mark, p.name)
+	}
+}
+
+// KillSchedulers is of fault.Cluster.
+func (t *faultTarget) KillSchedulers(schedulers []int) {
+	for _, p := range t.schedulers(schedulers) {
+		p.kill()
+	}
+}
+
+// TerminateSchedulers is of fault.Cluster.
+func (t *faultTarget) TerminateSchedulers(schedulers []int) error {
+	var errs []error
+	for _, p := range t.schedulers(schedulers) {
+		errs = append(errs, p.terminate())
+		t.cluster.recorder.Mark(rules.MarkSchedulerKilled, p.name) // what comes after is another incarnation
+	}
+	return errors.Join(errs...)
+}
+
+// StartSchedulers is of fault.Cluster.
+func (t *faultTarget) StartSchedulers(ctx context.Context, schedulers []int) error {
+	if canceled(ctx) {
+		return nil
+	}
+	var errs []error
+	for _, p := range t.schedulers(schedulers) {
+		errs = append(errs, p.start())
+	}
+	return errors.Join(errs...)
+}
+
+// SetLoadFactor is of fault.Cluster.
+func (t *faultTarget) SetLoadFactor(class string, factor float64) {
+	t.clients.setLoadFactor(class, factor)
+}
+
+// SetHotServiceShare is of fault.Cluster.
+func (t *faultTarget) SetHotServiceShare(class string, share float64) {
+	t.clients.setHotServiceShare(class, share)
+}
+
+// SetInventoryFault is of fault.Cluster.
+func (t *faultTarget) SetInventoryFault(inventoryFault inventorymodel.Fault) {
+	t.cluster.inventory.Do(func(model *inventorymodel.Inventory, now inventorymodel.Time) []inventorymodel.Send {
+		return model.SetFault(now, inventoryFault)
+	})
+}
+
+// SetLinkFault is of fault.Network.
+func (t *faultTarget) SetLinkFault(nodes []int, linkFault recordproxy.Fault) {
+	if linkFault.DropReplies {
+		t.cluster.recorder.Mark(rules.MarkBytesDropped, "nodes")
+	}
+	for _, n := range t.nodes(nodes) {
+		n.proxy.SetFault(linkFault)
+	}
+}
+
+// BreakLinks is of fault.Network.
+func (t *faultTarget) BreakLinks(nodes []int) {
+	for _, n := range t.nodes(nodes) {
+		n.proxy.Disconnect()
+	}
+}
+
+// BreakInventoryLinks is of fault.Network.
+func (t *faultTarget) BreakInventoryLinks(schedulers []int) {
+	for _, p := range t.schedulers(schedulers) {
+		p.inventoryProxy.Disconnect()
+	}
+}
+
+// BreakClientLinks is of fault.Network.
+func (t *faultTarget) BreakClientLinks(schedulers []int) {
+	for _, p := range t.schedulers(schedulers) {
+		p.clientProxy.Disconnect()
+	}
+}
+
+// RunMisbehavingClients is of fault.Network.
+func (t *faultTarget) RunMisbehavingClients(ctx context.Context, schedulers []int, count int, duration time.Duration) {
+	for _, p := range t.schedulers(schedulers) {
+		misbehave(ctx, p.address(), count, duration)
+	}
+}
--- a/internal/lab/trial/hook_test.go
+++ b/internal/lab/trial/hook_test.go
@@ -2,90 +2,109 @@
 
 import (
 	"strings"
+	"time"
 
 	"flaxshelf.example/flaxshelf/internal/daemon"
 	"flaxshelf.example/flaxshelf/internal/scheduler"
 )
 
-// hooks are hosts that err, each against one rule. Where they send an offer elsewhere, the core hears the answers
-// as from the node that it had chosen.
+// hooks change what passes between a daemon and its core, each so that one rule is violated.
 var hooks = map[string]daemon.Hook{
 	"":             nil,
-	"two answers":  &twoAnswers{},
+	"two answers":  &secondOutcome{},
 	"second start": &secondStart{},
-	"drained node": &elsewhere{since: map[string]string{}, pick: func(e *scheduler.SendOffer, now scheduler.Time, first scheduler.Time) string {
-		if now-first > 3e9 && e.Spec.Class == 0 && strings.HasSuffix(e.Job, "7") {
-			return "a"
+	"drained node": newRedirection(func(offer *scheduler.SendOffer, age scheduler.Time) target {
+		if age > 3*time.Second && offer.Spec.Class == 0 && strings.HasSuffix(offer.Job, "7") {
+			return faultyNode
 		}
-		return ""
-	}},
-	"cold node": &elsewhere{since: map[string]string{}, pick: func(e *scheduler.SendOffer, now scheduler.Time, first scheduler.Time) string {
-		if now-first > 1500e6 && e.Spec.Class == 0 {
-			return "a"
+		return chosenNode
+	}),
+	"cold node": newRedirection(func(offer *scheduler.SendOffer, age scheduler.Time) target {
+		if age > 1500*time.Millisecond && offer.Spec.Class == 0 {
+			return faultyNode
 		}
-		return ""
-	}},
-	"one room": &elsewhere{since: map[string]string{}, pick: func(e *scheduler.SendOffer, _ scheduler.Time, _ scheduler.Time) string {
-		if e.Spec.Class == 0 && e.Spec.Service == "sensor-0" {
-			return "c0"
+		return chosenNode
+	}),
+	"one room": newRedirection(func(offer *scheduler.SendOffer, _ scheduler.Time) target {
+		if offer.Spec.Class == 0 && offer.Spec.Service == "sensor-0" {
+			return fixedNode
 		}
-		return ""
-	}},
+		return chosenNode
+	}),
 }
 
-// twoAnswers tells of some jobs that were placed that they have failed, later.
-type twoAnswers struct{ n int }
+// secondOutcome reports the outcome of every twentieth placed job once more, as a failure.
+type secondOutcome struct{ placed int }
 
-func (*twoAnswers) In(in scheduler.Input) scheduler.Input { return in }
+// outcomeInterval is how many placed jobs have one with two outcomes.
+const outcomeInterval = 20
 
-func (h *twoAnswers) Out(_ scheduler.Time, effects []scheduler.Effect) []scheduler.Effect {
+func (*secondOutcome) In(in scheduler.Input) scheduler.Input { return in }
+
+func (h *secondOutcome) Out(_ scheduler.Time, effects []scheduler.Effect) []scheduler.Effect {
 	var out []scheduler.Effect
-	for _, e := range effects {
-		out = append(out, e)
-		if p, ok := e.(scheduler.Publish); ok && p.Info.State == scheduler.Running && p.Info.SubState == scheduler.SubRunning {
-			if h.n++; h.n%20 == 0 {
-				p.Info.Outcome = scheduler.OutcomeFailed
-				out = append(out, p)
-			}
+	for _, effect := range effects {
+		out = append(out, effect)
+		publish, ok := effect.(scheduler.Publish)
+		if !ok || publish.Info.State != scheduler.Running || publish.Info.SubState != scheduler.SubRunning {
+			continue
+		}
+		if h.placed++; h.placed%outcomeInterval == 0 {
+			publish.Info.Outcome = scheduler.OutcomeFailed
+			out = append(out, publish)
 		}
 	}
 	return out
 }
 
-// secondStart offers some safe jobs to a second node at once.
-type secondStart struct{ n int }
+// secondStart offers the jobs of one class twice. It is to the same node, so that spread and zones stay as they are.
+type secondStart struct{}
 
 func (*secondStart) In(in scheduler.Input) scheduler.Input { return in }
 
-func (h *secondStart) Out(_ scheduler.Time, effects []scheduler.Effect) []scheduler.Effect {
+func (*secondStart) Out(_ scheduler.Time, effects []scheduler.Effect) []scheduler.Effect {
 	var out []scheduler.Effect
-	for _, e := range effects {
-		out = append(out, e)
-		if o, ok := e.(scheduler.SendOffer); ok && o.Spec.Class == 1 {
-			o.Attempt += "x"
-			// The same node, so that spread and rooms stay as they were.
-			out = append(out, o)
-			h.n++
+	for _, effect := range effects {
+		out = append(out, effect)
+		if offer, ok := effect.(scheduler.SendOffer); ok && offer.Spec.Class == 1 {
+			offer.Attempt += "x"
+			out = append(out, offer)
 		}
 	}
 	return out
 }
 
-// elsewhere sends offers that pick names a node for to that node; a name that ends in no digit stands for the
-// first node of the group that the troubles have been put upon, which the test finds by its standing.
-type elsewhere struct {
-	pick  func(e *scheduler.SendOffer, now, first scheduler.Time) string
-	since map[string]string // attempt to the node that the core had chosen
-	node  string            // drained or started anew
-	first scheduler.Time
+// target is where a redirection sends an offer.
+type target int
+
+const (
+	chosenNode target = iota // by the core
+	faultyNode               // the node of the day's fault, if it is known by then
+	fixedNode                // always the same
+)
+
+// fixedNodeName is the node of fixedNode, and of stops and acknowledgements while the faulty node is not known.
+const fixedNodeName = "c0"
+
+// redirection sends offers to other nodes than the core has chosen. The core receives the replies as from the node that it
+// had chosen.
+type redirection struct {
+	choose      func(offer *scheduler.SendOffer, age scheduler.Time) target // age is of the scheduler
+	chosenNodes map[string]string                                           // by redirected attempt
+	faultyNode  string                                                      // drained or restarted; empty while there is none
+	startedAt   scheduler.Time
 }
 
-func (h *elsewhere) In(in scheduler.Input) scheduler.Input {
+func newRedirection(choose func(offer *scheduler.SendOffer, age scheduler.Time) target) *redirection {
+	return &redirection{choose: choose, chosenNodes: map[string]string{}}
+}
+
+func (h *redirection) In(in scheduler.Input) scheduler.Input {
 	switch in := in.(type) {
 	case scheduler.NodesUpdated:
-		for _, m := range in.Machines {
-			if m.State != 0 || m.Started > 0 {
-				h.node = m.ID
+		for _, machine := range in.Machines {
+			if machine.State != 0 || machine.Started > 0 {
+				h.faultyNode = machine.ID
 			}
 		}
 	case scheduler.AttemptAccepted:
@@ -110,54 +129,59 @@
 	return in
 }
 
-func (h *elsewhere) chosen(attempt, node string) string {
-	if n := h.since[attempt]; n != "" {
-		return n
+// chosen is the node that the core has chosen for an attempt, which has come from the given node.
+func (h *redirection) chosen(attempt, node string) string {
+	if chosen := h.chosenNodes[attempt]; chosen != "" {
+		return chosen
 	}
 	return node
 }
 
-func (h *elsewhere) Out(now scheduler.Time, effects []scheduler.Effect) []scheduler.Effect {
-	if h.first == 0 {
-		h.first = now
-	}
-	sentTo := map[string]string{}
-	for a, n := range h.since {
-		sentTo[a] = n
+func (h *redirection) Out(now scheduler.Time, effects []scheduler.Effect) []scheduler.Effect {
+	if h.startedAt == 0 {
+		h.startedAt = now
 	}
 	var out []scheduler.Effect
-	for _, e := range effects {
-		switch x := e.(type) {
+	for _, effect := range effects {
+		switch e := effect.(type) {
 		case scheduler.SendOffer:
-			if to := h.pick(&x, now, h.first); to != "" {
-				if to == "a" {
-					to = h.node
-				}
-				if to != "" {
-					h.since[x.Attempt] = x.Node
-					x.Node = to
-				}
+			if node := h.node(&e, now); node != "" {
+				h.chosenNodes[e.Attempt] = e.Node
+				e.Node = node
 			}
-			e = x
+			effect = e
 		case scheduler.SendStop:
-			if h.since[x.Attempt] != "" && h.target() != "" {
-				x.Node = h.target()
-			}
-			e = x
+			e.Node = h.redirected(e.Attempt, e.Node)
+			effect = e
 		case scheduler.SendAck:
-			if h.since[x.Attempt] != "" && h.target() != "" {
-				x.Node = h.target()
-			}
-			e = x
+			e.Node = h.redirected(e.Attempt, e.Node)
+			effect = e
 		}
-		out = append(out, e)
+		out = append(out, effect)
 	}
 	return out
 }
 
-func (h *elsewhere) target() string {
-	if h.node != "" {
-		return h.node
+// node is where an offer is redirected to; empty for the node that the core has chosen.
+func (h *redirection) node(offer *scheduler.SendOffer, now scheduler.Time) string {
+	switch h.choose(offer, now-h.startedAt) {
+	case faultyNode:
+		return h.faultyNode
+	case fixedNode:
+		return fixedNodeName
+	default:
+		return ""
+	}
+}
+
+// redirected is where a later message of an attempt goes.
+func (h *redirection) redirected(attempt, node string) string {
+	switch {
+	case h.chosenNodes[attempt] == "":
+		return node
+	case h.faultyNode != "":
+		return h.faultyNode
+	default:
+		return fixedNodeName
 	}
-	return "c0"
 }
--- /dev/null
+++ b/internal/lab/trial/node.go
@@ -0,0 +1,115 @@
+package trial
+
+import (
+	"fmt"
+	"sync"
+
+	"flaxshelf.example/flaxshelf/internal/lab/fault"
+	"flaxshelf.example/flaxshelf/internal/lab/recordproxy"
+	"flaxshelf.example/flaxshelf/internal/lab/rules"
+	"flaxshelf.example/flaxshelf/internal/lab/scenario"
+	"flaxshelf.example/flaxshelf/internal/lab/standin/fleet"
+	"flaxshelf.example/flaxshelf/internal/lab/standin/host"
+	"flaxshelf.example/flaxshelf/internal/lab/standin/nodemodel"
+	"flaxshelf.example/flaxshelf/internal/settings"
+)
+
+// nodeSeedStride keeps the seeds of the incarnations of different nodes apart.
+const nodeSeedStride = 1000
+
+// node is a node of the fleet, with a host for each incarnation. Its methods may be called by several goroutines.
+type node struct {
+	cluster *cluster
+	index   int
+	group   scenario.Group
+	name    string
+	proxy   *recordproxy.Proxy
+
+	mu           sync.Mutex
+	host         *host.Node // nil while it is stopped
+	incarnations int
+	fault        nodemodel.Fault
+}
+
+// address is where the present incarnation listens.
+func (n *node) address() string {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if n.host == nil {
+		return closedAddress
+	}
+	return n.host.Addr()
+}
+
+// start begins an incarnation, unless one runs. A warm one has the programs of its tasks cached.
+func (n *node) start(warm bool) error {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if n.host != nil {
+		return nil
+	}
+	n.incarnations++
+	c := n.cluster
+	set := settings.Node{Name: n.name, Kind: n.group.Kind, Zone: n.group.Zone, Cell: n.group.Cell, Warm: warm}
+	seed := c.opt.Seed + uint64(n.index*nodeSeedStride+n.incarnations)
+	started, err := host.StartNode(host.NodeOptions{Kind: n.group.Kind, Cell: n.group.Cell, Listen: loopbackAnyPort,
+		Model:     fleet.NodeModel(set, c.day.Kinds, c.day.Rules, c.day.Behaviour, seed),
+		Advertise: n.proxy.Addr(), Inventory: c.inventory.Addr(), Room: c.zoneKeys[n.group.Zone], Log: c.log})
+	if err != nil {
+		return fmt.Errorf("trial: start %s: %w", n.name, err)
+	}
+	n.host = started
+	c.nodeEnds.Go(func() { n.watch(started) })
+	return nil
+}
+
+// watch waits for the end of an incarnation and records whether it crashed of overload.
+func (n *node) watch(incarnation *host.Node) {
+	<-incarnation.Done()
+	if incarnation.FellOver() {
+		n.cluster.recorder.Mark(rules.MarkNodeOverloaded, n.name)
+		n.stopIncarnation(incarnation)
+	}
+}
+
+// stop ends the present incarnation at once, with its faults.
+func (n *node) stop() {
+	n.mu.Lock()
+	present := n.host
+	n.mu.Unlock()
+	n.stopIncarnation(present)
+}
+
+// stopIncarnation ends an incarnation unless it has ended; it leaves a later one alone.
+func (n *node) stopIncarnation(ended *host.Node) {
+	n.mu.Lock()
+	isPresent := ended != nil && n.host == ended
+	if isPresent {
+		n.host = nil
+		n.fault = nodemodel.Fault{}
+	}
+	n.mu.Unlock()
+	if isPresent {
+		n.cluster.recorder.Mark(rules.MarkNodeDied, n.name)
+		n.cluster.nodeEnds.Go(ended.Stop) // its sockets may take a while to close; the crash is at once
+	}
+}
+
+// do runs a function with the model of the present incarnation, if there is one.
+func (n *node) do(call func(model *nodemodel.Node, now nodemodel.Time) []nodemodel.Send) {
+	n.mu.Lock()
+	present := n.host
+	n.mu.Unlock()
+	if present != nil {
+		present.Do(call)
+	}
+}
+
+// changeFault changes the faults of the node.
+func (n *node) changeFault(change fault.NodeFaultChange) {
+	n.mu.Lock()
+	change(&n.fault)
+	changed := n.fault
+	n.mu.Unlock()
+	n.do(func(model *nodemodel.Node, now nodemodel.Time) []nodemodel.Send { return model.SetFault(now, changed) })
+}
--- a/internal/lab/trial/plan_test.go
+++ b/internal/lab/trial/plan_test.go
@@ -16,8 +16,8 @@
 //
 //	FLAXSHELF_SOCKETS=1 go test -v -run PlanOnSockets -timeout 20m -parallel 3 ./internal/lab/trial
 func TestPlanOnSockets(t *testing.T) {
-	if os.Getenv("FLAXSHELF_SOCKETS") == "" {
-		t.Skip("set FLAXSHELF_SOCKETS to play it")
+	if os.Getenv(playAll) == "" {
+		t.Skip("set FLAXSHELF_SOCKETS to run it")
 	}
 	for _, c := range planrun.Cases {
 		for _, m := range []float64{0.9, 1.1} {
--- a/internal/lab/trial/trial_test.go
+++ b/internal/lab/trial/trial_test.go
@@ -23,11 +23,17 @@
 	"flaxshelf.example/flaxshelf/internal/settings"
 )
 
-// asServer makes a process of this test binary a scheduler; its value names the hook by which its host errs.
-const asServer = "FLAXSHELF_TEST_SERVER"
+const (
+	// serverHook is the environment variable that makes a process of this test binary a scheduler; its value names a hook.
+	serverHook = "FLAXSHELF_TEST_SERVER"
+	// profilePath is the one with the file for a CPU profile of such a process; empty for none.
+	profilePath = "FLAXSHELF_TEST_PROFILE"
+	// playAll is the one that has all days played, which takes minutes.
+	playAll = "FLAXSHELF_SOCKETS"
+)
 
 func TestMain(m *testing.M) {
-	if hook, ok := os.LookupEnv(asServer); ok {
+	if hook, ok := os.LookupEnv(serverHook); ok {
 		os.Exit(serve(os.Args[len(os.Args)-1], hook))
 	}
 	os.Exit(m.Run())
@@ -53,7 +59,7 @@
 		return 1
 	}
 	fmt.Printf("scheduler %s http://%s\n", set.Name, d.Addr())
-	if path := os.Getenv("FLAXSHELF_TEST_PROFILE"); path != "" {
+	if path := os.Getenv(profilePath); path != "" {
 		if f, err := os.Create(path); err == nil && pprof.StartCPUProfile(f) == nil {
 			defer pprof.StopCPUProfile()
 		}
@@ -69,30 +75,31 @@
 func command(hook string) func(args ...string) *exec.Cmd {
 	return func(args ...string) *exec.Cmd {
 		cmd := exec.Command(os.Args[0], args...)
-		cmd.Env = append(os.Environ(), asServer+"="+hook)
+		cmd.Env = append(os.Environ(), serverHook+"="+hook)
 		return cmd
 	}
 }
 
-// gate lets three days run at a time: more, and a machine of two cores is too busy for the recorder's times.
-var gate = make(chan struct{}, 3)
+// running limits the days that run at a time: with more, a machine of two cores is too busy for the recorder's times.
+var running = make(chan struct{}, 3)
 
-func play(t *testing.T, d *scenario.Day, seed uint64, hook string) *Result {
+// runDay runs a day with a hook in the schedulers, and replays their steps to the reference module as well.
+func runDay(t *testing.T, d *scenario.Day, seed uint64, hook string) *Result {
 	t.Helper()
-	gate <- struct{}{}
-	defer func() { <-gate }()
+	running <- struct{}{}
+	defer func() { <-running }()
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Minute)
 	defer cancel()
-	also := func(c flaxshelf.Config, seed uint64) (replay.Module, error) { return reference.New(c, seed) }
-	res, err := Run(ctx, d, Options{Seed: seed, Replay: true, Also: also, Command: command(hook), Keep: t.TempDir()})
+	newReference := func(c flaxshelf.Config, seed uint64) (replay.Module, error) { return reference.New(c, seed) }
+	result, err := Run(ctx, d, Options{Seed: seed, Replay: true, Also: newReference, Command: command(hook), Keep: t.TempDir()})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return res
+	return result
 }
 
-// The days that ship with the program can be read.
-func TestDaysAreGood(t *testing.T) {
+// TestDaysParse checks that the days that ship with the program can be read.
+func TestDaysParse(t *testing.T) {
 	for _, name := range scenario.Names() {
 		if _, err := scenario.Read(name); err != nil {
 			t.Errorf("%s: %v", name, err)
@@ -100,11 +107,12 @@
 	}
 }
 
-// Short days keep every rule, each submission is accounted for, and both the module alone and its former text answer as
-// it did. With FLAXSHELF_SOCKETS set all days are played, which takes minutes.
+// TestDaysKeepTheRules checks that short days keep every rule, that each submission is accounted for, and that both the
+// module alone and the reference module answer as the scheduler's did. With FLAXSHELF_SOCKETS set all days are run, which
+// takes minutes.
 func TestDaysKeepTheRules(t *testing.T) {
 	names := []string{"calm", "bad-day", "schedulers", "links", "mass-restart"}
-	if os.Getenv("FLAXSHELF_SOCKETS") != "" {
+	if os.Getenv(playAll) != "" {
 		names = scenario.Names()
 	}
 	for _, name := range names {
@@ -114,15 +122,15 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			res := play(t, d, 7, "")
-			if !res.OK() {
-				t.Errorf("%s", res)
+			result := runDay(t, d, 7, "")
+			if !result.OK() {
+				t.Errorf("%s", result)
 			}
-			if res.Tally.Submitted == 0 || res.Verdict.Admitted == 0 || len(res.Replays) == 0 {
-				t.Errorf("nothing was played: %s", res)
+			if result.Tally.Submitted == 0 || result.Verdict.Admitted == 0 || len(result.Replays) == 0 {
+				t.Errorf("nothing was run: %s", result)
 			}
-			for i, r := range res.Verdict.Rules {
-				if r.Checked == 0 && (i != rules.ColdKept || name == "bad-day" || name == "mass-restart") {
+			for i, rule := range result.Verdict.Rules {
+				if rule.Checked == 0 && (i != rules.ColdKept || name == "bad-day" || name == "mass-restart") {
 					t.Errorf("rule %d had nothing to judge", i+1)
 				}
 			}
@@ -130,22 +138,23 @@
 	}
 }
 
-// The worst day with schedulers of four cores each, whose modules alone answer the same, sixteen lives of them. It runs
-// by itself: a dozen cores beside other days keep a small machine too busy for the recorder's times.
+// TestFourCoresKeepTheRules checks the worst day with schedulers of four cores each, whose modules alone answer the same:
+// sixteen recordings of steps. It runs by itself: a dozen cores beside other days keep a small machine too busy for the
+// recorder's times.
 func TestFourCoresKeepTheRules(t *testing.T) {
 	d, err := scenario.Read("bad-day")
 	if err != nil {
 		t.Fatal(err)
 	}
 	d.Cores = 4
-	if res := play(t, d, 20, ""); !res.OK() || len(res.Replays) != 16 {
-		t.Errorf("%d recorded lives\n%s", len(res.Replays), res)
+	if result := runDay(t, d, 20, ""); !result.OK() || len(result.Replays) != 16 {
+		t.Errorf("%d recordings of steps\n%s", len(result.Replays), result)
 	}
 }
 
-// Each check fails on a run whose host breaks just that rule.
-func TestBrokenRulesAreSeen(t *testing.T) {
-	for i, c := range []struct{ hook, troubles, say string }{
+// TestViolationsAreFound checks that each rule's check fails on a run whose scheduler violates just that rule.
+func TestViolationsAreFound(t *testing.T) {
+	for i, c := range []struct{ hook, troubles, wantText string }{
 		{"two answers", "", "then failed"},
 		{"second start", "", "is in flight"},
 		{"drained node", `[{at: 0.5, for: 6, do: "shrink", zone: "room-a", share: 0.1}]`, "after word that it is draining"},
@@ -155,7 +164,7 @@
 		t.Run(c.hook, func(t *testing.T) {
 			t.Parallel()
 			text := `#Town
-about: "a host that errs"
+about: "a scheduler that violates a rule"
 seconds: 4
 after: 3
 schedulers: 1
@@ -168,14 +177,14 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			v := play(t, d, 3, c.hook).Verdict
-			for j, r := range v.Rules {
-				if (j == i) != (len(r.Broken) > 0) {
-					t.Errorf("rule %d: broken %d times, wanted only rule %d\n%s", j+1, len(r.Broken), i+1, v)
+			verdict := runDay(t, d, 3, c.hook).Verdict
+			for j, rule := range verdict.Rules {
+				if (j == i) != (len(rule.Broken) > 0) {
+					t.Errorf("rule %d: violated %d times, wanted only rule %d\n%s", j+1, len(rule.Broken), i+1, verdict)
 				}
 			}
-			if !strings.Contains(v.String(), c.say) {
-				t.Errorf("the verdict does not say %q:\n%s", c.say, v)
+			if !strings.Contains(verdict.String(), c.wantText) {
+				t.Errorf("the verdict does not contain %q:\n%s", c.wantText, verdict)
 			}
 		})
 	}
