--- a/internal/lab/standin/scripted/feed.go
+++ b/internal/lab/standin/scripted/feed.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"io"
 	"net"
 	"net/http"
 	"strings"
@@ -9,72 +10,85 @@
 	"time"
 )
 
-// Feed is a control feed whose events a test writes. Event 1 is the configuration's; each other one is written twice, as
-// happens.
+// heartbeatInterval is how often a feed writes a comment on a call that is otherwise silent.
+const heartbeatInterval = time.Second
+
+// firstListEvent is the number of the first event that a test adds. Event 1 is the configuration's, which the scheduler
+// has from elsewhere.
+const firstListEvent = 2
+
+// Feed is a control feed, a server of the platform's event stream, whose events a test adds. Each event is written twice,
+// as happens on the platform. Its methods may be called by several goroutines.
 type Feed struct {
 	// Calls has the Last-Event-ID of each call.
 	Calls chan string
 
-	ln     net.Listener
-	srv    *http.Server
-	done   chan struct{}
+	listener net.Listener
+	server   *http.Server
+	served   chan struct{} // closed when the server has ended
+	added    chan struct{} // has a value for each added event
+	breaks   chan breakMode
+	repeats  chan int // event numbers
+
 	mu     sync.Mutex
-	events []string
-	more   chan struct{}
-	cut    chan bool
-	again  chan int
+	events []string // from firstListEvent on
 }
 
-// NewFeed starts a feed on a port of its own.
+// breakMode is what becomes of a call after a part of an event.
+type breakMode int
+
+const (
+	endCall breakMode = iota
+	keepCallOpen
+)
+
+// NewFeed starts a feed on a port of its own; Close ends it.
 func NewFeed() (*Feed, error) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("scripted: feed: %w", err)
 	}
-	f := &Feed{ln: ln, Calls: make(chan string, Kept), more: make(chan struct{}, Kept), cut: make(chan bool),
-		again: make(chan int), done: make(chan struct{})}
-	f.srv = &http.Server{Handler: http.HandlerFunc(f.serve)}
+	f := &Feed{listener: listener, Calls: make(chan string, channelCapacity), added: make(chan struct{}, channelCapacity),
+		breaks: make(chan breakMode), repeats: make(chan int), served: make(chan struct{})}
+	f.server = &http.Server{Handler: http.HandlerFunc(f.serve)}
 	go func() {
-		defer close(f.done)
-		_ = f.srv.Serve(ln)
+		defer close(f.served)
+		_ = f.server.Serve(listener) // it ends with Close
 	}()
 	return f, nil
 }
 
-// Addr is where it listens.
-func (f *Feed) Addr() string { return f.ln.Addr().String() }
+// Addr is where the feed listens.
+func (f *Feed) Addr() string { return f.listener.Addr().String() }
 
-// Close ends it and all calls.
+// Close ends the feed with all calls, and waits for its server.
 func (f *Feed) Close() {
-	_ = f.srv.Close()
-	<-f.done
+	_ = f.server.Close()
+	<-f.served
 }
 
+// serve writes the events behind the caller's last one, and further ones as they come, until the call ends.
 func (f *Feed) serve(w http.ResponseWriter, r *http.Request) {
-	f.Calls <- r.Header.Get("Last-Event-ID")
+	lastEventID := r.Header.Get("Last-Event-ID")
+	f.Calls <- lastEventID
 	last := 0
-	_, _ = fmt.Sscan(r.Header.Get("Last-Event-ID"), &last)
-	beat := time.NewTicker(time.Second)
-	defer beat.Stop()
+	_, _ = fmt.Sscan(lastEventID, &last) // a first call has none
+	heartbeat := time.NewTicker(heartbeatInterval)
+	defer heartbeat.Stop()
 	for {
-		f.mu.Lock()
-		for ; last < len(f.events)+1; last++ {
-			f.write(w, last+1)
-			f.write(w, last+1)
-		}
-		f.mu.Unlock()
-		_ = http.NewResponseController(w).Flush()
+		last = f.writeFrom(w, last+1)
+		_ = http.NewResponseController(w).Flush() // for a caller that has gone, the context ends
 		select {
-		case <-f.more:
-		case <-beat.C:
-			fmt.Fprint(w, ": still here\n\n")
-		case n := <-f.again:
+		case <-f.added:
+		case <-heartbeat.C:
+			writeText(w, ": still here\n\n")
+		case number := <-f.repeats:
 			f.mu.Lock()
-			f.write(w, n)
+			f.write(w, number)
 			f.mu.Unlock()
-		case open := <-f.cut:
-			fmt.Fprint(w, "id: 99\ndata: {\"n\":99,\"mem") // half an event
-			if open {
+		case mode := <-f.breaks:
+			writeText(w, "id: 99\ndata: {\"n\":99,\"mem") // the start of an event
+			if mode == keepCallOpen {
 				<-r.Context().Done()
 			}
 			return
@@ -84,28 +98,44 @@
 	}
 }
 
-func (f *Feed) write(w http.ResponseWriter, n int) {
-	fmt.Fprintf(w, "id: %d\ndata: %s\n\n", n, f.events[n-2])
+// writeFrom writes the events from a number on, and returns the number of the last.
+func (f *Feed) writeFrom(w io.Writer, first int) int {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	last := len(f.events) + firstListEvent - 1
+	for number := max(first, firstListEvent); number <= last; number++ {
+		f.write(w, number)
+		f.write(w, number)
+	}
+	return max(first-1, last)
+}
+
+// write writes an event; mu is held.
+func (f *Feed) write(w io.Writer, number int) {
+	writeText(w, fmt.Sprintf("id: %d\ndata: %s\n\n", number, f.events[number-firstListEvent]))
 }
 
-// Tell adds an event that lists nodes, whole or as a change.
+// writeText writes to a caller. One that has gone gets nothing: the context of its call ends.
+func writeText(w io.Writer, text string) { _, _ = io.WriteString(w, text) }
+
+// Tell adds an event that lists nodes, as a complete list or as a change.
 func (f *Feed) Tell(whole bool, nodes ...string) {
 	f.mu.Lock()
-	f.events = append(f.events, Event(len(f.events)+2, whole, nodes...))
+	f.events = append(f.events, Event(len(f.events)+firstListEvent, whole, nodes...))
 	f.mu.Unlock()
-	f.more <- struct{}{}
+	f.added <- struct{}{}
 }
 
-// Break ends the call in hand in the middle of an event.
-func (f *Feed) Break() { f.cut <- false }
+// Break ends the present call in the middle of an event.
+func (f *Feed) Break() { f.breaks <- endCall }
 
-// Hush stops the call in hand in the middle of an event, and leaves it open.
-func (f *Feed) Hush() { f.cut <- true }
+// Hush stops writing to the present call in the middle of an event, and leaves it open.
+func (f *Feed) Hush() { f.breaks <- keepCallOpen }
 
 // Again writes an old event once more.
-func (f *Feed) Again(n int) { f.again <- n }
+func (f *Feed) Again(n int) { f.repeats <- n }
 
-// Event is the data of an event.
+// Event is the data of event n, with nodes as made by Entry.
 func Event(n int, whole bool, nodes ...string) string {
 	return fmt.Sprintf(`{"n":%d,"members":{"version":%d,"full":%v,"servers":[%s]}}`, n, n, whole, strings.Join(nodes, ","))
 }
--- a/internal/lab/standin/scripted/node.go
+++ b/internal/lab/standin/scripted/node.go
@@ -1,9 +1,10 @@
-// Package scripted owns stand-ins for the platform's parties, made from its protocol page: nodes and a control feed on
-// loopback that do what a test says with each message. It must not model anything: what a message is answered with is the
-// script's.
+// Package scripted has stand-ins for the platform's parties, made from its protocol page: nodes and a control feed on
+// loopback that answer each message as a test's script says. It must not model anything: what a message is answered with
+// is the script's.
 package scripted
 
 import (
+	"errors"
 	"fmt"
 	"net"
 	"sync"
@@ -13,85 +14,102 @@
 	"flaxshelf.example/flaxshelf/internal/codec/nodeparam"
 )
 
-// Kept is how many words a stand-in keeps for its test, at most; more wait.
-const Kept = 1000
+// channelCapacity is how many messages and events a stand-in keeps for its test; it waits with more.
+const channelCapacity = 1000
 
-// Script is what a node does with a message that came on a connection. It is called by the connection's reader.
+// The values of Node.Conns.
+const (
+	connectionOpened = "came"
+	connectionClosed = "went"
+)
+
+// Script is what a node does with a message of a connection. It is called by the goroutine that reads the connection.
 type Script func(c net.Conn, m nodeparam.Message)
 
-// Node is a node that plays a script.
+// Node is a node that answers by a script. Its methods may be called by several goroutines.
 type Node struct {
-	// Heard has each message that came, Conns "came" and "went" for each connection.
+	// Heard has each message that was received.
 	Heard chan nodeparam.Message
+	// Conns has "came" and "went" for each connection.
 	Conns chan string
 
-	ln    *net.TCPListener
-	play  Script
-	mu    sync.Mutex
-	conns []net.Conn
-	dead  bool
-	wg    sync.WaitGroup
+	listener *net.TCPListener
+	script   Script
+	readers  sync.WaitGroup // the accepting goroutine and one for each connection
+
+	mu          sync.Mutex
+	connections []net.Conn
+	dead        bool
 }
 
-// NewNode starts a node on a port of its own.
+// NewNode starts a node on a port of its own; Die ends it.
 func NewNode(play Script) (*Node, error) {
-	ln, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
+	listener, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		return nil, fmt.Errorf("scripted: node: %w", err)
 	}
-	n := &Node{ln: ln, play: play, Heard: make(chan nodeparam.Message, Kept), Conns: make(chan string, Kept)}
-	n.wg.Go(n.accept)
+	n := &Node{listener: listener, script: play, Heard: make(chan nodeparam.Message, channelCapacity),
+		Conns: make(chan string, channelCapacity)}
+	n.readers.Go(n.accept)
 	return n, nil
 }
 
-// Addr is where it listens.
-func (n *Node) Addr() string { return n.ln.Addr().String() }
+// Addr is where the node listens.
+func (n *Node) Addr() string { return n.listener.Addr().String() }
 
 func (n *Node) accept() {
 	for {
-		c, err := n.ln.Accept()
+		connection, err := n.listener.Accept()
 		if err != nil {
 			return
 		}
 		n.mu.Lock()
 		if n.dead {
-			_ = c.Close()
+			_ = connection.Close()
 		}
-		n.conns = append(n.conns, c)
+		n.connections = append(n.connections, connection)
 		n.mu.Unlock()
-		n.Conns <- "came"
-		n.wg.Go(func() { n.read(c) })
+		n.Conns <- connectionOpened
+		n.readers.Go(func() { n.read(connection) })
 	}
 }
 
-func (n *Node) read(c net.Conn) {
-	var buf []byte
-	piece := make([]byte, 4096)
+// readSize is how many bytes a node reads at a time.
+const readSize = 4096
+
+func (n *Node) read(connection net.Conn) {
+	var buffer []byte
+	received := make([]byte, readSize)
 	for {
-		k, err := c.Read(piece)
+		size, err := connection.Read(received)
 		if err != nil {
-			n.Conns <- "went"
+			n.Conns <- connectionClosed
 			return
 		}
-		buf = append(buf, piece[:k]...)
-		for {
-			m, used, err := nodeparam.Next(buf)
-			if err != nil || used == 0 {
-				break
-			}
-			buf = buf[used:]
-			n.Heard <- m
-			n.play(c, m)
+		buffer = n.handle(connection, append(buffer, received[:size]...))
+	}
+}
+
+// handle runs the script for each complete message and returns the rest. Malformed bytes are kept and never get further:
+// a test sees that by the messages that don't come.
+func (n *Node) handle(connection net.Conn, buffer []byte) []byte {
+	for {
+		message, used, err := nodeparam.Next(buffer)
+		if err != nil || used == 0 {
+			return buffer
 		}
+		buffer = buffer[used:]
+		n.Heard <- message
+		n.script(connection, message)
 	}
 }
 
-// Say writes a message on all connections that stand.
+// Say writes a message on all open connections.
 func (n *Node) Say(m nodeparam.Message) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, c := range n.conns {
-		Say(c, m)
+	for _, connection := range n.connections {
+		Say(connection, m)
 	}
 }
 
@@ -99,64 +117,95 @@
 func (n *Node) Cut() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, c := range n.conns {
-		_ = c.(*net.TCPConn).SetLinger(0)
-		_ = c.Close()
+	for _, connection := range n.connections {
+		_ = connection.(*net.TCPConn).SetLinger(0) // it may be closed already
+		_ = connection.Close()
 	}
-	n.conns = nil
+	n.connections = nil
 }
 
-// Die ends the process that it stands for, and waits for its readers. It may be called again.
+// Die ends the process that the node stands for, and waits for its goroutines. It may be called again.
 func (n *Node) Die() {
-	_ = n.ln.Close()
+	_ = n.listener.Close()
 	n.mu.Lock()
 	n.dead = true
 	n.mu.Unlock()
 	n.Cut()
-	n.wg.Wait()
+	n.readers.Wait()
 }
 
-// Deafen ends listening and leaves the connections, as a node does that drains.
-func (n *Node) Deafen() { _ = n.ln.Close() }
+// Deafen ends listening and leaves the connections open, as a draining node does.
+func (n *Node) Deafen() { _ = n.listener.Close() }
+
+// Freezing a node fills the queue of its listener.
+const (
+	// maxQueuedConnections is far above the length of a queue that is as short as can be.
+	maxQueuedConnections = 16
+	// queueTimeout is how long a connection may take that fits into the queue.
+	queueTimeout = 100 * time.Millisecond
+)
+
+var errQueueNotFull = errors.New("the listener's queue does not fill")
 
-// Freeze lets the machine that it stands for vanish: what is open stays open and silent, and new connections never come
-// up, since the listener's queue is full and nobody takes from it. The connections that fill it are returned.
+// Freeze has the node's machine vanish: what is open stays open and silent, and new connections never come up, since the
+// listener's queue is full and nobody accepts from it. The connections that fill it are returned; the caller closes them.
 func (n *Node) Freeze() (filling []net.Conn, err error) {
-	_ = n.ln.SetDeadline(time.Unix(1, 0)) // ends the loop that accepts
-	raw, err := n.ln.SyscallConn()
-	if err != nil {
+	_ = n.listener.SetDeadline(time.Unix(1, 0)) // ends accept; fails only on a closed listener, as SyscallConn does
+	if err := n.shortenQueue(); err != nil {
 		return nil, fmt.Errorf("scripted: freeze: %w", err)
 	}
-	var again error
-	if err := raw.Control(func(fd uintptr) { again = syscall.Listen(int(fd), 0) }); err != nil || again != nil {
-		return nil, fmt.Errorf("scripted: freeze: %w, %w", err, again)
-	}
-	for range 16 {
-		c, err := net.DialTimeout("tcp", n.Addr(), 100*time.Millisecond)
-		if err != nil {
+	for range maxQueuedConnections {
+		connection := n.dialQueue()
+		if connection == nil {
 			return filling, nil
 		}
-		filling = append(filling, c)
+		filling = append(filling, connection)
+	}
+	return filling, fmt.Errorf("scripted: freeze: %w", errQueueNotFull)
+}
+
+// shortenQueue makes the listener's queue as short as can be.
+func (n *Node) shortenQueue() error {
+	raw, err := n.listener.SyscallConn()
+	if err != nil {
+		return err
 	}
-	return filling, fmt.Errorf("scripted: freeze: the listener's queue has no end")
+	var listenErr error
+	controlErr := raw.Control(func(descriptor uintptr) { listenErr = syscall.Listen(int(descriptor), 0) })
+	return errors.Join(controlErr, listenErr)
 }
 
-// Say writes a message on a connection; what a peer that has gone does not get is lost.
+// dialQueue adds a connection to the listener's queue; nil if it is full.
+func (n *Node) dialQueue() net.Conn {
+	connection, err := net.DialTimeout("tcp", n.Addr(), queueTimeout)
+	if err != nil {
+		return nil
+	}
+	return connection
+}
+
+// Say writes a message on a connection; a peer that has gone does not get it.
 func Say(c net.Conn, m nodeparam.Message) {
-	if b, err := nodeparam.Append(nil, &m); err == nil {
-		_, _ = c.Write(b)
+	if encoded, err := nodeparam.Append(nil, &m); err == nil {
+		_, _ = c.Write(encoded)
 	}
 }
 
-// Description is what Answers gives with its answers.
+// Description is the description in the answers of Answers.
 const Description = "node's\r\n"
 
-// Answers is a script that takes every set-up and ends what is released.
+// The causes in the messages of Answers.
+const (
+	causeNone       = -1 // the message carries no cause
+	causeTerminated = 31
+)
+
+// Answers is a Script that accepts every task and ends what is released.
 func Answers(c net.Conn, m nodeparam.Message) {
 	switch m.Type {
 	case nodeparam.SetUp:
-		Say(c, nodeparam.Message{Type: nodeparam.Answer, Task: m.Task, Cause: -1, Description: Description, Described: true})
+		Say(c, nodeparam.Message{Type: nodeparam.Answer, Task: m.Task, Cause: causeNone, Description: Description, Described: true})
 	case nodeparam.Release:
-		Say(c, nodeparam.Message{Type: nodeparam.Release, Task: m.Task, Cause: 31})
+		Say(c, nodeparam.Message{Type: nodeparam.Release, Task: m.Task, Cause: causeTerminated})
 	}
 }
