--- /dev/null
+++ b/internal/lab/counts/counts.go
@@ -0,0 +1,21 @@
+// Package counts formats the counts by name of the lab's reports.
+package counts
+
+import (
+	"fmt"
+	"sort"
+	"strings"
+)
+
+// Format lists counts by name, as "a 1, b 2"; "none" without any.
+func Format(counts map[string]int) string {
+	if len(counts) == 0 {
+		return "none"
+	}
+	entries := make([]string, 0, len(counts))
+	for name, count := range counts {
+		entries = append(entries, fmt.Sprintf("%s %d", name, count))
+	}
+	sort.Strings(entries)
+	return strings.Join(entries, ", ")
+}
--- a/internal/lab/emulator/clients.go
+++ b/internal/lab/emulator/clients.go
@@ -6,6 +6,7 @@
 	"slices"
 	"time"
 
+	"flaxshelf.example/flaxshelf/internal/lab/fault"
 	"flaxshelf.example/flaxshelf/internal/lab/scenario"
 	"flaxshelf.example/flaxshelf/internal/scheduler"
 )
@@ -31,9 +32,7 @@
 	submissions map[string]*submitted // by idempotency key, while they are open
 	stats       *clientStats
 	measureFrom time.Duration // submissions before it are not counted
-
-	loadFactors      map[string]float64 // by class; "" for all
-	hotServiceShares map[string]float64
+	loadState   fault.LoadState
 }
 
 // loadState is one load with its next submission.
@@ -58,7 +57,7 @@
 
 func newClients(s *simulation) *clients {
 	c := &clients{simulation: s, latency: newLatencyModel(s.seed, 0), submissions: map[string]*submitted{},
-		stats: newClientStats(s.day), loadFactors: map[string]float64{}, hotServiceShares: map[string]float64{}}
+		stats: newClientStats(s.day)}
 	var sources []arrivals
 	for i := range s.day.Load {
 		sources = append(sources, s.day.Arrivals(i, s.seed))
@@ -110,20 +109,9 @@
 		load := &c.loads[i]
 		for load.ok && arrivalTime(&load.next) < end {
 			c.submit(load.next, out)
-			load.next, load.ok = load.arrivals.Next(c.loadNow(load.next.Load.Class))
-		}
-	}
-}
-
-// loadNow is the factor of a class's load and the share of one service, by the faults of the present.
-func (c *clients) loadNow(class string) (factor, hotServiceShare float64) {
-	factor = 1
-	for _, name := range []string{"", class} {
-		if f := c.loadFactors[name]; f > 0 {
-			factor *= f
+			load.next, load.ok = load.arrivals.Next(c.loadState.Of(load.next.Load.Class))
 		}
 	}
-	return factor, max(c.hotServiceShares[class], c.hotServiceShares[""])
 }
 
 func (c *clients) submit(arrival scenario.Arrival, out *outbox) {
@@ -197,9 +185,9 @@
 	case outcomeNotice:
 		c.outcomeReceived(&body)
 	case loadFactor:
-		c.loadFactors[body.class] = body.factor
+		c.loadState.SetFactor(body.class, body.factor)
 	case hotServiceShare:
-		c.hotServiceShares[body.class] = body.share
+		c.loadState.SetHotServiceShare(body.class, body.share)
 	case schedulerKilled:
 		c.schedulerKilled(body.scheduler, m.at)
 	}
--- a/internal/lab/rules/verdict.go
+++ b/internal/lab/rules/verdict.go
@@ -2,9 +2,10 @@
 
 import (
 	"fmt"
-	"sort"
 	"strings"
 	"time"
+
+	"flaxshelf.example/flaxshelf/internal/lab/counts"
 )
 
 // The five rules, as indices of Verdict.Rules.
@@ -79,10 +80,10 @@
 		v.Rules[i].print(&text, i)
 	}
 	fmt.Fprintf(&text, "%d submissions in %.1f s: %d jobs taken, turned away %s\n", v.Submitted,
-		v.Length.Seconds(), v.Admitted, formatCounts(v.Rejected))
+		v.Length.Seconds(), v.Admitted, counts.Format(v.Rejected))
 	fmt.Fprintf(&text, "outcomes %s; jobs at the end %s; %d were held by a scheduler that was killed\n",
-		formatCounts(v.Outcomes), formatCounts(v.States), v.Orphaned)
-	fmt.Fprintf(&text, "%d offers to nodes, answered %s; %d nodes fell over\n", v.Offers, formatCounts(v.Replies),
+		counts.Format(v.Outcomes), counts.Format(v.States), v.Orphaned)
+	fmt.Fprintf(&text, "%d offers to nodes, answered %s; %d nodes fell over\n", v.Offers, counts.Format(v.Replies),
 		v.OverloadedNodes)
 	for _, connection := range v.Undecoded {
 		fmt.Fprintf(&text, "unread: %s\n", connection)
@@ -107,19 +108,3 @@
 		fmt.Fprintf(text, "        at %8.3f s: %s\n", finding.At.Seconds(), finding.Text)
 	}
 }
-
-// formatCounts lists counts by name.
-func formatCounts(counts map[string]int) string {
-	if len(counts) == 0 {
-		return "none"
-	}
-	names := make([]string, 0, len(counts))
-	for name := range counts {
-		names = append(names, name)
-	}
-	sort.Strings(names)
-	for i, name := range names {
-		names[i] = fmt.Sprintf("%s %d", name, counts[name])
-	}
-	return strings.Join(names, ", ")
-}
--- a/internal/lab/standin/scripted/node.go
+++ b/internal/lab/standin/scripted/node.go
@@ -204,7 +204,8 @@
 func Answers(c net.Conn, m nodeparam.Message) {
 	switch m.Type {
 	case nodeparam.SetUp:
-		Say(c, nodeparam.Message{Type: nodeparam.Answer, Task: m.Task, Cause: causeNone, Description: Description, Described: true})
+		Say(c, nodeparam.Message{Type: nodeparam.Answer, Task: m.Task, Cause: causeNone, Description: Description,
+			Described: true})
 	case nodeparam.Release:
 		Say(c, nodeparam.Message{Type: nodeparam.Release, Task: m.Task, Cause: causeTerminated})
 	}
--- a/internal/lab/trial/clients.go
+++ b/internal/lab/trial/clients.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"flaxshelf.example/flaxshelf/drmaa2"
+	"flaxshelf.example/flaxshelf/internal/lab/fault"
 	"flaxshelf.example/flaxshelf/internal/lab/scenario"
 )
 
@@ -36,11 +37,10 @@
 	submissions sync.WaitGroup   // goroutines with a submission each
 	watches     sync.WaitGroup   // goroutines that follow the events of a scheduler
 
-	mu               sync.Mutex
-	tally            Tally
-	open             map[string]*submission // by idempotency key
-	loadFactors      map[string]float64     // by class; "" for all
-	hotServiceShares map[string]float64
+	mu        sync.Mutex
+	tally     Tally
+	open      map[string]*submission // by idempotency key
+	loadState fault.LoadState
 }
 
 // submission is one job as its client sees it. The fields are guarded by clients.mu.
@@ -51,8 +51,8 @@
 }
 
 func newClients(c *cluster, begin time.Time) *clients {
-	load := &clients{cluster: c, begin: begin, open: map[string]*submission{}, loadFactors: map[string]float64{},
-		hotServiceShares: map[string]float64{}, tally: Tally{Ends: map[string]int{}, Verbs: map[string]int{}}}
+	load := &clients{cluster: c, begin: begin, open: map[string]*submission{},
+		tally: Tally{Ends: map[string]int{}, Verbs: map[string]int{}}}
 	for _, p := range c.schedulers {
 		pool := drmaa2.NewClient("http://" + p.clientProxy.Addr())
 		pool.RetryFor = requestRetryFor
@@ -116,25 +116,19 @@
 func (c *clients) loadNow(class string) (factor, hotServiceShare float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	factor = 1
-	for _, name := range []string{"", class} {
-		if f := c.loadFactors[name]; f > 0 {
-			factor *= f
-		}
-	}
-	return factor, max(c.hotServiceShares[class], c.hotServiceShares[""])
+	return c.loadState.Of(class)
 }
 
 func (c *clients) setLoadFactor(class string, factor float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.loadFactors[class] = factor
+	c.loadState.SetFactor(class, factor)
 }
 
 func (c *clients) setHotServiceShare(class string, share float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.hotServiceShares[class] = share
+	c.loadState.SetHotServiceShare(class, share)
 }
 
 func jobTemplate(arrival *scenario.Arrival) drmaa2.JobTemplate {
--- a/internal/lab/trial/tally.go
+++ b/internal/lab/trial/tally.go
@@ -4,10 +4,9 @@
 	"context"
 	"errors"
 	"fmt"
-	"sort"
-	"strings"
 
 	"flaxshelf.example/flaxshelf/drmaa2"
+	"flaxshelf.example/flaxshelf/internal/lab/counts"
 )
 
 // Tally is what the clients have seen, for a comparison with the recording.
@@ -30,20 +29,7 @@
 // String is the tally for people, on one line.
 func (t *Tally) String() string {
 	return fmt.Sprintf("owners: %d submissions (%d sent late): %s; not accounted for %d; two outcomes %d; verbs %s\n",
-		t.Submitted, t.Late, formatCounts(t.Ends), t.Open, t.Doubles, formatCounts(t.Verbs))
-}
-
-// formatCounts lists counts by name.
-func formatCounts(counts map[string]int) string {
-	if len(counts) == 0 {
-		return "none"
-	}
-	var entries []string
-	for name, count := range counts {
-		entries = append(entries, fmt.Sprintf("%s %d", name, count))
-	}
-	sort.Strings(entries)
-	return strings.Join(entries, ", ")
+		t.Submitted, t.Late, counts.Format(t.Ends), t.Open, t.Doubles, counts.Format(t.Verbs))
 }
 
 // errorText is a short text of an error, by which errors are counted.
