--- a/internal/lab/emulator/link.go
+++ b/internal/lab/emulator/link.go
@@ -12,7 +12,7 @@
 type link struct {
 	name       string
 	node       int32
-	wanted     bool // the core has asked for it
+	wanted     bool // requested by the core
 	up         bool
 	dialing    bool
 	retryAt    Time
--- a/internal/lab/emulator/message.go
+++ b/internal/lab/emulator/message.go
@@ -18,7 +18,7 @@
 
 // Between schedulers, nodes and the inventory.
 type (
-	// connect asks for a connection, with the hello of the scheduler that dials.
+	// connect requests a connection, with the hello of the scheduler that dials.
 	connect struct {
 		scheduler   string
 		incarnation int64
--- a/internal/lab/fault/fault.go
+++ b/internal/lab/fault/fault.go
@@ -60,7 +60,7 @@
 	ChangeNodeFaults(nodes []int, change NodeFaultChange)
 	// DropPrograms has nodes lose a share of their cached programs.
 	DropPrograms(nodes []int, share float64)
-	// DrainNodes has nodes accept no more tasks and tell the inventory.
+	// DrainNodes has nodes accept no more tasks and notify the inventory.
 	DrainNodes(nodes []int)
 	// StopNodes ends nodes at once, with all their tasks.
 	StopNodes(nodes []int)
--- a/internal/lab/fault/kind.go
+++ b/internal/lab/fault/kind.go
@@ -11,7 +11,7 @@
 	FailStarts Kind = iota + 1
 	// DropReplies has nodes send no reply to the offers of a class.
 	DropReplies
-	// InflateUsage has tasks of a class use Factor times the resources that they ask for.
+	// InflateUsage has tasks of a class use Factor times the resources that they request.
 	InflateUsage
 	// OccupyNodes has another program use the share Factor of each node.
 	OccupyNodes
--- a/internal/lab/rules/attempt.go
+++ b/internal/lab/rules/attempt.go
@@ -34,7 +34,7 @@
 	sentAt, validFor    time.Duration
 	phase               phase
 	phaseSince          time.Duration
-	stopped             bool // the scheduler has asked the node to stop it
+	stopped             bool // requested by the scheduler
 }
 
 // transition moves an attempt on. An attempt that was not started or has ended stays so; a lost one may still turn out
--- a/internal/lab/trial/clients.go
+++ b/internal/lab/trial/clients.go
@@ -218,7 +218,7 @@
 }
 
 // awaitOutcome waits for the outcome. It reports whether the scheduler that admitted the job has been killed, so that the
-// next incarnation is to be asked.
+// client submits to the next incarnation.
 func (c *clients) awaitOutcome(ctx context.Context, s *submission, process *process, incarnation int,
 	deadline time.Time) bool {
 	for {
--- /dev/null
+++ b/internal/lab/trial/node_test.go
@@ -0,0 +1,49 @@
+package trial
+
+import (
+	"io"
+	"testing"
+
+	"github.com/rs/zerolog"
+
+	"flaxshelf.example/flaxshelf/internal/lab/recordproxy"
+	"flaxshelf.example/flaxshelf/internal/lab/scenario"
+	"flaxshelf.example/flaxshelf/internal/lab/standin/host"
+	"flaxshelf.example/flaxshelf/internal/lab/standin/inventorymodel"
+	"flaxshelf.example/flaxshelf/internal/lab/standin/nodemodel"
+)
+
+// TestStopIncarnation checks that the end of an incarnation which is noticed late leaves the next one running.
+func TestStopIncarnation(t *testing.T) {
+	day, err := scenario.Read("calm")
+	if err != nil {
+		t.Fatal(err)
+	}
+	c := &cluster{day: day, recorder: recordproxy.NewRecorder(io.Discard, nil), log: zerolog.Nop(),
+		zoneKeys: map[string]nodemodel.Keys{}}
+	if c.inventory, err = host.StartInventory(loopbackAnyPort, inventorymodel.Config{}, c.log); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() {
+		if err := c.close(); err != nil {
+			t.Error(err)
+		}
+	})
+	if err := c.addNode(day.Places()[0]); err != nil {
+		t.Fatal(err)
+	}
+	n := c.nodes[0]
+	first := n.host
+	n.stop()
+	if err := n.start(true); err != nil {
+		t.Fatal(err)
+	}
+	n.stopIncarnation(first)
+	if n.address() == closedAddress {
+		t.Error("the second incarnation was stopped with the first")
+	}
+	n.stop()
+	if n.address() != closedAddress {
+		t.Error("the second incarnation was not stopped")
+	}
+}
--- a/internal/lab/trial/process.go
+++ b/internal/lab/trial/process.go
@@ -242,7 +242,7 @@
 	if command == nil {
 		return nil
 	}
-	_ = command.Process.Signal(syscall.SIGCONT) // it may have ended: its status tells
+	_ = command.Process.Signal(syscall.SIGCONT) // it may have ended: its status shows that
 	_ = command.Process.Signal(syscall.SIGTERM)
 	select {
 	case <-exited:
