--- a/internal/daemon/inventory.go
+++ b/internal/daemon/inventory.go
@@ -44,8 +44,9 @@
 		h.daemon.inventoryConn.Store(c)
 		return nil
 	case failed:
+		// The cores are not notified: docs/ROADMAP.md lists this as a fault.
 		h.daemon.log.Warn().Str("reason", frame.GetListError().Message).Msg("inventory reported a failed call")
-		input = ignoredDiscoveryError{}
+		return nil
 	case input == nil:
 		return nil
 	}
@@ -71,10 +72,6 @@
 	h.daemon.log.Warn().Err(reason).Msg("inventory connection closed")
 }
 
-// ignoredDiscoveryError is the input for a call that the inventory has reported as failed on an open connection. The
-// core has no case for it: it steps and does nothing. Until the daemon had several cores it became a DiscoveryFailed.
-type ignoredDiscoveryError struct{ scheduler.Input }
-
 // subscribeDiscovery asks the inventory for the list of nodes and its changes. Without a connection the core is
 // notified at once that it has failed.
 func (r *coreRunner) subscribeDiscovery() { r.sendToInventory(nodefront.Watch()) }
--- /dev/null
+++ b/internal/daemon/inventory_test.go
@@ -0,0 +1,29 @@
+package daemon
+
+import (
+	"testing"
+	"time"
+
+	"flaxshelf.example/flaxshelf/drmaa2"
+	"flaxshelf.example/flaxshelf/internal/codec/nodeframe/nodepb"
+	"flaxshelf.example/flaxshelf/internal/front/nodefront"
+)
+
+// An inventory that reports a failed call on an open connection leaves the daemon running: jobs are placed after it.
+func TestFailedInventoryCall(t *testing.T) {
+	cluster := newTestCluster(t, 1, nil)
+	ctx := contextWithin(t, 20*time.Second)
+	session := cluster.createSession(ctx, "test")
+	handler := &inventoryHandler{daemon: cluster.daemon, front: nodefront.Inventory{Set: cluster.settings}}
+	failure := &nodepb.Frame{Body: &nodepb.Frame_ListError{ListError: &nodepb.ListError{Message: "unavailable"}}}
+	if err := handler.receiveFrame(nil, failure); err != nil {
+		t.Fatal(err)
+	}
+	job, err := session.RunJob(ctx, drmaa2.JobTemplate{RemoteCommand: "a", JobCategory: "service"})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, err := job.WaitStarted(ctx, 10*time.Second); err != nil {
+		t.Error(err)
+	}
+}
