--- a/cmd/flaxshelf/inventory.go
+++ b/cmd/flaxshelf/inventory.go
@@ -22,7 +22,7 @@
 		return usageError{errors.New("--late and --gone-after can't be negative")}
 	}
 	inventory, err := host.StartInventory(c.Listen,
-		inventorymodel.Config{Late: c.DiscoveryDelay, GoneAfter: c.RemovalDelay}, std.newLogger(c.Log))
+		inventorymodel.Config{DiscoveryDelay: c.DiscoveryDelay, RemovalDelay: c.RemovalDelay}, std.newLogger(c.Log))
 	if err != nil {
 		return err
 	}
--- a/cmd/flaxshelf/up.go
+++ b/cmd/flaxshelf/up.go
@@ -37,7 +37,7 @@
 	}
 	log := std.newLogger(c.Log)
 	inventory, err := host.StartInventory(fleet.InventoryAddress, inventorymodel.Config{
-		Late: fleet.DiscoveryDelay.Duration(), GoneAfter: fleet.RemovalDelay.Duration()}, log)
+		DiscoveryDelay: fleet.DiscoveryDelay.Duration(), RemovalDelay: fleet.RemovalDelay.Duration()}, log)
 	if err != nil {
 		return err
 	}
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -300,7 +300,7 @@
 
 // A draining daemon accepts nothing more, gives each open request its outcome, and ends.
 func TestGracefulShutdown(t *testing.T) {
-	cluster := newTestCluster(t, 1, func(_ *settings.Scheduler, m *nodemodel.Config) { m.Look = 200 * time.Millisecond })
+	cluster := newTestCluster(t, 1, func(_ *settings.Scheduler, m *nodemodel.Config) { m.OfferReviewTime = 200 * time.Millisecond })
 	ctx := contextWithin(t, 20*time.Second)
 	session := cluster.createSession(ctx, "test")
 	job, err := session.RunJob(ctx, jobTemplate("once", time.Minute))
--- a/internal/daemon/testcluster_test.go
+++ b/internal/daemon/testcluster_test.go
@@ -53,13 +53,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	model := nodemodel.Config{Cores: 64, Memory: 256, AcceptCores: 2, AcceptMemory: 2, Look: 100 * time.Microsecond,
-		MaxWait: 1000, StartSlots: 64, StartWork: time.Millisecond, FreshFactor: 1, Keep: 4}
+	model := nodemodel.Config{Cores: 64, Memory: 256, CoreOvercommit: 2, MemoryOvercommit: 2, OfferReviewTime: 100 * time.Microsecond,
+		MaxWaitingOffers: 1000, StartSlots: 64, CachedStartTime: time.Millisecond, UncachedStartFactor: 1, MaxCachedPrograms: 4}
 	if change != nil {
 		change(set, &model)
 	}
 	cluster := &testCluster{t: t, settings: set}
-	cluster.inventory, err = host.StartInventory("127.0.0.1:0", inventorymodel.Config{GoneAfter: 50 * time.Millisecond},
+	cluster.inventory, err = host.StartInventory("127.0.0.1:0", inventorymodel.Config{RemovalDelay: 50 * time.Millisecond},
 		zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lab/chart/chart.go
+++ b/internal/lab/chart/chart.go
@@ -19,18 +19,18 @@
 
 // Chart is lines over common axes. Log draws both axes by their logarithms.
 type Chart struct {
-	Title, X, Y string
-	Log         bool
-	Lines       []Line
+	Title, XLabel, YLabel string
+	LogScale              bool
+	Lines                 []Line
 }
 
 // Write draws the chart into an SVG file.
 func (c *Chart) Write(path string) error {
 	p := plot.New()
-	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = c.Title, c.X, c.Y
+	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = c.Title, c.XLabel, c.YLabel
 	p.Legend.Top, p.Legend.Left = true, true
 	p.Add(plotter.NewGrid())
-	if c.Log {
+	if c.LogScale {
 		p.X.Scale, p.Y.Scale = plot.LogScale{}, plot.LogScale{}
 		p.X.Tick.Marker, p.Y.Tick.Marker = plot.LogTicks{Prec: -1}, plot.LogTicks{Prec: -1}
 	} else {
@@ -50,7 +50,7 @@
 		p.Add(line, dots)
 		p.Legend.Add(l.Name, line, dots)
 	}
-	if c.Log { // room for the legend
+	if c.LogScale { // room for the legend
 		p.Y.Max *= 50
 	} else {
 		p.Y.Max *= 1.4
--- a/internal/lab/emulator/inventory.go
+++ b/internal/lab/emulator/inventory.go
@@ -46,7 +46,7 @@
 	case frame:
 		v.send(m.at, v.model.Receive(m.at, v.peerName(m.from), body.Frame), out)
 	case disconnected:
-		v.send(m.at, v.model.Gone(m.at, v.peerName(m.from)), out)
+		v.send(m.at, v.model.Disconnect(m.at, v.peerName(m.from)), out)
 	case inventorymodel.Fault:
 		v.send(m.at, v.model.SetFault(m.at, body), out)
 	}
--- a/internal/lab/emulator/simulation.go
+++ b/internal/lab/emulator/simulation.go
@@ -109,8 +109,8 @@
 
 func (s *simulation) addInventory() {
 	s.inventory = &inventory{simulation: s, peerNames: map[int32]string{}, peers: map[string]int32{},
-		model: inventorymodel.New(inventorymodel.Config{Late: s.day.Late.Duration(),
-			GoneAfter: s.day.GoneAfter.Duration()})}
+		model: inventorymodel.New(inventorymodel.Config{DiscoveryDelay: s.day.DiscoveryDelay.Duration(),
+			RemovalDelay: s.day.RemovalDelay.Duration()})}
 	s.inventory.id = s.engine.add(s.inventory)
 	s.inventory.latency = newLatencyModel(s.seed, s.inventory.id)
 }
--- a/internal/lab/reference/figure_test.go
+++ b/internal/lab/reference/figure_test.go
@@ -18,7 +18,7 @@
 		t.Skip("set FLAXSHELF_FIGURES to a folder to draw it")
 	}
 	figure := chart.Chart{Title: "one task placed, one placed before, one ended a step",
-		X: "machines, 20 tasks on each", Y: "microseconds a step", Log: true}
+		XLabel: "machines, 20 tasks on each", YLabel: "microseconds a step", LogScale: true}
 	for _, line := range []struct {
 		name        string
 		shape       fleetShape
--- a/internal/lab/scenario/day.go
+++ b/internal/lab/scenario/day.go
@@ -79,8 +79,8 @@
 	Limits         settings.Limits    `json:"Limits"`
 	Behaviour      settings.Behaviour `json:"Behaviour"`
 	CPU            CPU                `json:"cpu"`
-	Late           settings.Duration  `json:"Late"`
-	GoneAfter      settings.Duration  `json:"GoneAfter"`
+	DiscoveryDelay settings.Duration  `json:"Late"`
+	RemovalDelay   settings.Duration  `json:"GoneAfter"`
 	ListsFree      bool               `json:"ListsFree"`
 	RunsWhenPlaced bool               `json:"RunsWhenPlaced"`
 	Fleet          []Group            `json:"Fleet"`
--- a/internal/lab/standin/host/host_test.go
+++ b/internal/lab/standin/host/host_test.go
@@ -28,7 +28,7 @@
 
 func startInventory(t *testing.T) *Inventory {
 	t.Helper()
-	inventory, err := StartInventory("127.0.0.1:0", inventorymodel.Config{GoneAfter: time.Second}, zerolog.Nop())
+	inventory, err := StartInventory("127.0.0.1:0", inventorymodel.Config{RemovalDelay: time.Second}, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,8 +38,8 @@
 
 func startNode(t *testing.T, inventory string) *Node {
 	t.Helper()
-	model := nodemodel.Config{Name: "n", Cores: 4, Memory: 8, AcceptCores: 2, AcceptMemory: 2, Look: time.Millisecond,
-		MaxWait: 10, StartSlots: 4, StartWork: time.Millisecond, FreshFactor: 1, Keep: 4}
+	model := nodemodel.Config{Name: "n", Cores: 4, Memory: 8, CoreOvercommit: 2, MemoryOvercommit: 2, OfferReviewTime: time.Millisecond,
+		MaxWaitingOffers: 10, StartSlots: 4, CachedStartTime: time.Millisecond, UncachedStartFactor: 1, MaxCachedPrograms: 4}
 	node, err := StartNode(NodeOptions{Model: model, Kind: "k", Listen: "127.0.0.1:0", Inventory: inventory, Room: NewRoom(),
 		Log: zerolog.Nop()})
 	if err != nil {
--- a/internal/lab/standin/host/inventory.go
+++ b/internal/lab/standin/host/inventory.go
@@ -84,7 +84,7 @@
 }
 
 func (v *Inventory) disconnect(now time.Duration, party string) {
-	v.send(v.state.Gone(now, party))
+	v.send(v.state.Disconnect(now, party))
 }
 
 func (v *Inventory) receive(now time.Duration, party string, frame *nodepb.Frame) {
--- a/internal/lab/standin/host/registration.go
+++ b/internal/lab/standin/host/registration.go
@@ -31,7 +31,7 @@
 	}
 	entry := &nodepb.Entry{Node: n.options.Model.Name, Address: n.options.Advertise, Kind: n.options.Kind,
 		Zone: n.options.Model.Zone, Cell: int32(n.options.Cell)}
-	if n.options.Model.ColdFor > 0 {
+	if n.options.Model.SlowStartDuration > 0 {
 		entry.StartedUnixNs = int64(n.state.Started())
 	}
 	if n.state.Draining() {
--- a/internal/lab/standin/inventorymodel/inventory.go
+++ b/internal/lab/standin/inventorymodel/inventory.go
@@ -19,9 +19,9 @@
 
 // Config is what an inventory is made of.
 type Config struct {
-	Late      time.Duration // a change is seen so long after it was registered
-	GoneAfter time.Duration // a node whose connection broke is Out after so long
-	PerFrame  int           // entries of one listing
+	DiscoveryDelay time.Duration // a change is seen so long after it was registered
+	RemovalDelay   time.Duration // a node whose connection broke is Out after so long
+	PerFrame       int           // entries of one listing
 }
 
 // Fault is a trouble put upon the inventory.
@@ -108,12 +108,12 @@
 	}
 }
 
-// Gone tells that a connection broke: a node behind it is taken for out after a while.
-func (v *Inventory) Gone(now Time, from string) []Send {
+// Disconnect tells that a connection broke: a node behind it is taken for out after a while.
+func (v *Inventory) Disconnect(now Time, from string) []Send {
 	v.begin(now)
 	v.watchers = slices.DeleteFunc(v.watchers, func(w string) bool { return w == from })
 	for _, e := range v.of[from] {
-		v.leaving.Set(&e.due, v.now+v.cfg.GoneAfter)
+		v.leaving.Set(&e.due, v.now+v.cfg.RemovalDelay)
 	}
 	v.advance()
 	return v.out
@@ -188,7 +188,7 @@
 
 // change notes what is shown so much later than at.
 func (v *Inventory) change(at Time, e *nodepb.Entry) {
-	at += v.cfg.Late
+	at += v.cfg.DiscoveryDelay
 	i := len(v.pending)
 	for i > 0 && v.pending[i-1].at > at {
 		i--
--- a/internal/lab/standin/inventorymodel/inventory_test.go
+++ b/internal/lab/standin/inventorymodel/inventory_test.go
@@ -39,7 +39,7 @@
 }
 
 func TestInventory(t *testing.T) {
-	v := New(Config{Late: 100 * ms, GoneAfter: 50 * ms, PerFrame: 2})
+	v := New(Config{DiscoveryDelay: 100 * ms, RemovalDelay: 50 * ms, PerFrame: 2})
 	step := func(what, got, want string) {
 		t.Helper()
 		if got != want {
@@ -58,11 +58,11 @@
 	step("several at once", say(v.Advance(300*ms)), "s whole=false more=false [n1:DRAINING n2:IN n3:IN]")
 	step("a long list comes in parts", watch(v, 300*ms, "t", false),
 		"t whole=true more=true [n1:DRAINING n2:IN]; t whole=false more=false [n3:IN]")
-	v.Gone(300*ms, "n2")
+	v.Disconnect(300*ms, "n2")
 	step("gone for a while", say(v.Advance(349*ms)), "")
 	v.Register(349*ms, "n2 again", listed("n2", nodepb.Standing_IN))
 	step("and back", say(v.Advance(460*ms)), "")
-	v.Gone(460*ms, "n2 again")
+	v.Disconnect(460*ms, "n2 again")
 	step("gone for good", say(v.Advance(610*ms)), "s whole=false more=false [n2:OUT]")
 	step("a sign", say(v.Receive(610*ms, "s", &nodepb.Frame{Body: &nodepb.Frame_Ping{Ping: &nodepb.Ping{}}})), "s pong")
 
--- a/internal/lab/standin/nodemodel/model.go
+++ b/internal/lab/standin/nodemodel/model.go
@@ -17,28 +17,28 @@
 
 // Config is what a node is made of.
 type Config struct {
-	Name, Zone                string
-	Cores, Memory             float64
-	AcceptCores, AcceptMemory float64       // accepts until its tasks ask for these multiples
-	Look                      time.Duration // an ask is looked at for so long, one at a time
-	MaxWait                   int           // asks that may wait to be looked at
-	StartSlots                int           // starts at a time
-	StartWork                 time.Duration // of a start whose program is kept
-	FreshFactor               float64       // times that, where the node has no task of the service
-	Keep                      int           // programs kept after their last task
-	ColdFrom                  float64       // pace for starts when fresh from boot, of 1
-	ColdFor                   time.Duration // until it is warm; 0: it never is cold
-	FallMultiple              float64       // offered more than this times what it can start now
-	FallWindow                time.Duration // for so long, it falls over
-	FreshOffers               float64       // offers within FallWindow that it always bears
-	Preempts                  bool          // pushes out lower priorities to make room
-	DrainSendsAway            time.Duration // one task is sent away so often while draining; 0: it keeps them
-	UseCores, UseMemory       [2]float64    // share of what it asked that a task uses, drawn between
-	NoteEvery                 time.Duration // 0: no notes
-	Reports                   bool          // load in its answers
-	DefaultLife               time.Duration // of a task that tells no life
-	KeepEnded                 int           // endings kept for a scheduler that is away
-	Seed                      uint64
+	Name, Zone                       string
+	Cores, Memory                    float64
+	CoreOvercommit, MemoryOvercommit float64       // accepts until its tasks ask for these multiples
+	OfferReviewTime                  time.Duration // an ask is looked at for so long, one at a time
+	MaxWaitingOffers                 int           // asks that may wait to be looked at
+	StartSlots                       int           // starts at a time
+	CachedStartTime                  time.Duration // of a start whose program is kept
+	UncachedStartFactor              float64       // times that, where the node has no task of the service
+	MaxCachedPrograms                int           // programs kept after their last task
+	ColdFrom                         float64       // pace for starts when fresh from boot, of 1
+	SlowStartDuration                time.Duration // until it is warm; 0: it never is cold
+	FallMultiple                     float64       // offered more than this times what it can start now
+	FallWindow                       time.Duration // for so long, it falls over
+	FreshOffers                      float64       // offers within FallWindow that it always bears
+	Preempts                         bool          // pushes out lower priorities to make room
+	DrainSendsAway                   time.Duration // one task is sent away so often while draining; 0: it keeps them
+	UseCores, UseMemory              [2]float64    // share of what it asked that a task uses, drawn between
+	NoteEvery                        time.Duration // 0: no notes
+	Reports                          bool          // load in its answers
+	DefaultLife                      time.Duration // of a task that tells no life
+	KeepEnded                        int           // endings kept for a scheduler that is away
+	Seed                             uint64
 }
 
 // Send is a frame for a party.
@@ -113,7 +113,7 @@
 	if cfg.KeepEnded <= 0 {
 		cfg.KeepEnded = 100000
 	}
-	cfg.StartSlots, cfg.MaxWait = max(cfg.StartSlots, 1), max(cfg.MaxWait, 1)
+	cfg.StartSlots, cfg.MaxWaitingOffers = max(cfg.StartSlots, 1), max(cfg.MaxWaitingOffers, 1)
 	return &Node{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 0x5851f42d4c957f2d)), now: now, born: now,
 		held: map[string]*task{}, parties: map[string]*party{}, room: room, nextNote: now + cfg.NoteEvery}
 }
@@ -226,7 +226,7 @@
 func (n *Node) dropWaiting(from string) {
 	first := n.waiting
 	if len(first) > 0 && first[0].from == from {
-		n.lookedAt = n.now + n.cfg.Look // the look begins anew with the next
+		n.lookedAt = n.now + n.cfg.OfferReviewTime // the look begins anew with the next
 	}
 	n.waiting = slices.DeleteFunc(n.waiting, func(a *ask) bool { return a.from == from })
 }
@@ -288,7 +288,7 @@
 	if len(n.waiting) > 0 && n.lookedAt <= n.now {
 		a := n.waiting[0]
 		n.waiting = n.waiting[1:]
-		n.lookedAt = n.now + n.cfg.Look
+		n.lookedAt = n.now + n.cfg.OfferReviewTime
 		n.look(a)
 	}
 	for _, t := range slices.Clone(n.order) {
--- a/internal/lab/standin/nodemodel/node_test.go
+++ b/internal/lab/standin/nodemodel/node_test.go
@@ -13,8 +13,8 @@
 const ms = time.Millisecond
 
 func config() Config {
-	return Config{Name: "n", Cores: 4, Memory: 8, AcceptCores: 1, AcceptMemory: 1, Look: 10 * ms, MaxWait: 2, StartSlots: 1,
-		StartWork: 20 * ms, FreshFactor: 5, Keep: 1, UseCores: [2]float64{1, 1}, UseMemory: [2]float64{1, 1}, Seed: 1,
+	return Config{Name: "n", Cores: 4, Memory: 8, CoreOvercommit: 1, MemoryOvercommit: 1, OfferReviewTime: 10 * ms, MaxWaitingOffers: 2, StartSlots: 1,
+		CachedStartTime: 20 * ms, UncachedStartFactor: 5, MaxCachedPrograms: 1, UseCores: [2]float64{1, 1}, UseMemory: [2]float64{1, 1}, Seed: 1,
 		FallMultiple: 4, FallWindow: time.Second, FreshOffers: 3, ColdFrom: 0.5}
 }
 
@@ -137,7 +137,7 @@
 func TestRefusals(t *testing.T) {
 	cfg := config()
 	cfg.Preempts = true
-	cfg.MaxWait = 10
+	cfg.MaxWaitingOffers = 10
 	p := newPlayer(t, cfg, nil)
 	p.offer("big", func(o *nodepb.Offer) { o.Task.Cores = 4 })
 	p.want(p.after(10*ms), "accepted big")
@@ -223,8 +223,8 @@
 // A node that has just come up starts slowly, and falls over when it is offered too much.
 func TestCold(t *testing.T) {
 	cfg := config()
-	cfg.ColdFor = 10 * time.Second
-	cfg.MaxWait = 100
+	cfg.SlowStartDuration = 10 * time.Second
+	cfg.MaxWaitingOffers = 100
 	p := newPlayer(t, cfg, nil)
 	p.offer("a", nil)
 	p.want(p.after(10*ms), "accepted a")
@@ -256,7 +256,7 @@
 // Memory that runs out evicts the lowest priority, the latest first; crowded cores and short memory are told.
 func TestPressure(t *testing.T) {
 	cfg := config()
-	cfg.AcceptCores, cfg.AcceptMemory, cfg.NoteEvery, cfg.StartWork, cfg.StartSlots = 3, 2, 100*ms, ms, 4
+	cfg.CoreOvercommit, cfg.MemoryOvercommit, cfg.NoteEvery, cfg.CachedStartTime, cfg.StartSlots = 3, 2, 100*ms, ms, 4
 	cfg.UseMemory = [2]float64{0.9, 0.9}
 	p := newPlayer(t, cfg, nil)
 	for i, prio := range []int32{1, 0, 0} {
--- a/internal/lab/standin/nodemodel/offer.go
+++ b/internal/lab/standin/nodemodel/offer.go
@@ -18,18 +18,20 @@
 		n.Die()
 		return
 	}
-	if len(n.waiting) >= n.cfg.MaxWait {
+	if len(n.waiting) >= n.cfg.MaxWaitingOffers {
 		n.refuse(from, o, nodepb.Reason_TOO_MANY_WAIT)
 		return
 	}
 	if len(n.waiting) == 0 {
-		n.lookedAt = n.now + n.cfg.Look
+		n.lookedAt = n.now + n.cfg.OfferReviewTime
 	}
 	n.waiting = append(n.waiting, &ask{from, o, n.now})
 }
 
 // cold tells whether the node has not been up for long.
-func (n *Node) cold() bool { return n.cfg.ColdFor > 0 && n.now-n.born < n.cfg.ColdFor }
+func (n *Node) cold() bool {
+	return n.cfg.SlowStartDuration > 0 && n.now-n.born < n.cfg.SlowStartDuration
+}
 
 // pace is the share of its full pace at which the node starts tasks now.
 func (n *Node) pace() float64 {
@@ -37,7 +39,7 @@
 		return 1
 	}
 	age := n.now - n.born
-	return n.cfg.ColdFrom + (1-n.cfg.ColdFrom)*float64(age)/float64(n.cfg.ColdFor)
+	return n.cfg.ColdFrom + (1-n.cfg.ColdFrom)*float64(age)/float64(n.cfg.SlowStartDuration)
 }
 
 // pushedOver counts an offer and tells whether it was one too many for a node that has just come up.
@@ -52,7 +54,7 @@
 	for _, w := range n.offers {
 		sum += w.w
 	}
-	perSecond := float64(n.cfg.StartSlots) / (n.cfg.StartWork.Seconds() * max(n.cfg.FreshFactor, 1))
+	perSecond := float64(n.cfg.StartSlots) / (n.cfg.CachedStartTime.Seconds() * max(n.cfg.UncachedStartFactor, 1))
 	bears := n.cfg.FallMultiple * perSecond * n.pace() * n.cfg.FallWindow.Seconds()
 	return sum > max(bears, n.cfg.FreshOffers)
 }
@@ -95,8 +97,8 @@
 // full tells whether t does not fit, after pushing out lower priorities where the node does that.
 func (n *Node) full(t *nodepb.Task) (nodepb.Reason, bool) {
 	cores, memory := n.Free()
-	cores += (n.cfg.AcceptCores - 1) * n.cfg.Cores
-	memory += (n.cfg.AcceptMemory - 1) * n.cfg.Memory
+	cores += (n.cfg.CoreOvercommit - 1) * n.cfg.Cores
+	memory += (n.cfg.MemoryOvercommit - 1) * n.cfg.Memory
 	if t.Cores <= cores && t.Memory <= memory {
 		return 0, false
 	}
@@ -147,9 +149,9 @@
 		if t.starting || t.running {
 			continue
 		}
-		work := float64(n.cfg.StartWork)
+		work := float64(n.cfg.CachedStartTime)
 		if !n.hasProgram(t) {
-			work *= max(n.cfg.FreshFactor, 1)
+			work *= max(n.cfg.UncachedStartFactor, 1)
 		}
 		t.starting, t.startDone = true, n.now+Time(work/n.pace())
 		n.starting++
@@ -190,7 +192,7 @@
 		if a.offer.Attempt == attempt && a.from == from {
 			n.waiting = slices.Delete(n.waiting, i, i+1)
 			if i == 0 {
-				n.lookedAt = n.now + n.cfg.Look
+				n.lookedAt = n.now + n.cfg.OfferReviewTime
 			}
 			n.refuse(from, a.offer, nodepb.Reason_UNTOLD)
 			return
@@ -215,10 +217,10 @@
 	if e == nodepb.Ending_FINISHED {
 		n.finished++
 	}
-	if t.running && n.cfg.Keep > 0 && !slices.ContainsFunc(n.order, func(o *task) bool {
+	if t.running && n.cfg.MaxCachedPrograms > 0 && !slices.ContainsFunc(n.order, func(o *task) bool {
 		return o.spec.Service == t.spec.Service
 	}) {
-		if len(n.kept) >= n.cfg.Keep {
+		if len(n.kept) >= n.cfg.MaxCachedPrograms {
 			n.kept = n.kept[1:]
 		}
 		n.kept = append(n.kept, t.spec.Service)
--- a/internal/lab/trial/bench_test.go
+++ b/internal/lab/trial/bench_test.go
@@ -55,7 +55,7 @@
 // startBenchFleet starts an inventory and nodes, and returns the inventory's address once all nodes are registered.
 func startBenchFleet(ctx context.Context, b *testing.B, count int, cores float64) string {
 	b.Helper()
-	inventory, err := host.StartInventory(loopbackAnyPort, inventorymodel.Config{GoneAfter: time.Second}, zerolog.Nop())
+	inventory, err := host.StartInventory(loopbackAnyPort, inventorymodel.Config{RemovalDelay: time.Second}, zerolog.Nop())
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -84,8 +84,8 @@
 
 func benchNode(index int, cores float64) nodemodel.Config {
 	return nodemodel.Config{Name: fmt.Sprintf("n%d", index), Zone: fmt.Sprint("z", index%3), Cores: cores, Memory: cores * 4,
-		AcceptCores: 2, AcceptMemory: 2, Look: 100 * time.Microsecond, MaxWait: 10000, StartSlots: 1000,
-		StartWork: time.Millisecond, FreshFactor: 2, Keep: 8, Seed: uint64(index)}
+		CoreOvercommit: 2, MemoryOvercommit: 2, OfferReviewTime: 100 * time.Microsecond, MaxWaitingOffers: 10000, StartSlots: 1000,
+		CachedStartTime: time.Millisecond, UncachedStartFactor: 2, MaxCachedPrograms: 8, Seed: uint64(index)}
 }
 
 // freeAddress is an address of loopback that was free a moment ago.
--- a/internal/lab/trial/cluster.go
+++ b/internal/lab/trial/cluster.go
@@ -43,8 +43,8 @@
 	c := &cluster{day: day, opt: opt, directory: directory, recorder: recorder, log: zerolog.Nop(),
 		zoneKeys: map[string]nodemodel.Keys{}}
 	var err error
-	c.inventory, err = host.StartInventory(loopbackAnyPort, inventorymodel.Config{Late: day.Late.Duration(),
-		GoneAfter: day.GoneAfter.Duration()}, c.log)
+	c.inventory, err = host.StartInventory(loopbackAnyPort, inventorymodel.Config{DiscoveryDelay: day.DiscoveryDelay.Duration(),
+		RemovalDelay: day.RemovalDelay.Duration()}, c.log)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/shard/cores_test.go
+++ b/internal/shard/cores_test.go
@@ -149,7 +149,7 @@
 		rate.X, rate.Y = append(rate.X, float64(cores)), append(rate.Y, perSecond/1000)
 		tail.X, tail.Y = append(tail.X, float64(cores)), append(tail.Y, p99.Seconds()*1e6)
 	}
-	figure := chart.Chart{Title: "cores that decide at once, 130 nodes, 4 CPUs", X: "cores", Lines: []chart.Line{rate, tail}}
+	figure := chart.Chart{Title: "cores that decide at once, 130 nodes, 4 CPUs", XLabel: "cores", Lines: []chart.Line{rate, tail}}
 	if err := figure.Write(filepath.Join(dir, "cores.svg")); err != nil {
 		t.Fatal(err)
 	}
