--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -59,8 +59,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	model := nodemodel.Config{Cores: 64, Memory: 256, AcceptCores: 2, AcceptMemory: 2, Look: 100 * time.Microsecond,
-		MaxWait: 1000, StartSlots: 64, StartWork: time.Millisecond, FreshFactor: 1, Keep: 4}
+	model := nodemodel.Config{Cores: 64, Memory: 256, CoreOvercommit: 2, MemoryOvercommit: 2, OfferReviewTime: 100 * time.Microsecond,
+		MaxWaitingOffers: 1000, StartSlots: 64, CachedStartTime: time.Millisecond, UncachedStartFactor: 1, MaxCachedPrograms: 4}
 	if change != nil {
 		change(set, &model)
 	}
@@ -398,7 +398,7 @@
 
 // Asked to leave, the daemon takes nothing more, gives what is in flight its outcome, and goes.
 func TestShutdown(t *testing.T) {
-	s := newSite(t, 1, func(_ *settings.Scheduler, m *nodemodel.Config) { m.Look = 200 * time.Millisecond })
+	s := newSite(t, 1, func(_ *settings.Scheduler, m *nodemodel.Config) { m.OfferReviewTime = 200 * time.Millisecond })
 	ctx := within(t, 20*time.Second)
 	js := s.session(ctx)
 	job, err := js.RunJob(ctx, work("once", time.Minute))
--- a/internal/lab/standin/fleet/fleet.go
+++ b/internal/lab/standin/fleet/fleet.go
@@ -18,35 +18,35 @@
 func NodeModel(n settings.Node, kinds []settings.Kind, r settings.Rules, b settings.Behaviour,
 	seed uint64) nodemodel.Config {
 	c := nodemodel.Config{
-		Name:           n.Name,
-		Zone:           n.Zone,
-		AcceptCores:    r.CoreOvercommit,
-		AcceptMemory:   r.MemoryOvercommit,
-		Look:           b.OfferReviewTime.Duration(),
-		MaxWait:        b.MaxWaitingOffers,
-		StartSlots:     b.StartSlots,
-		StartWork:      b.CachedStartTime.Duration(),
-		FreshFactor:    b.UncachedStartFactor,
-		Keep:           b.MaxCachedPrograms,
-		ColdFrom:       b.SlowStartInitialRate,
-		ColdFor:        r.SlowStartDuration.Duration(),
-		FallMultiple:   b.OverloadMultiple,
-		FallWindow:     r.OverloadWindow.Duration(),
-		FreshOffers:    r.SlowStartBudget,
-		Preempts:       r.Preempts,
-		DrainSendsAway: b.DrainMigrationInterval.Duration(),
-		UseCores:       b.CoreUsageRange,
-		UseMemory:      b.MemoryUsageRange,
-		NoteEvery:      b.UsageReportInterval.Duration(),
-		Reports:        b.SendsLoadReports,
-		DefaultLife:    b.DefaultRuntime.Duration(),
-		Seed:           seed,
+		Name:                   n.Name,
+		Zone:                   n.Zone,
+		CoreOvercommit:         r.CoreOvercommit,
+		MemoryOvercommit:       r.MemoryOvercommit,
+		OfferReviewTime:        b.OfferReviewTime.Duration(),
+		MaxWaitingOffers:       b.MaxWaitingOffers,
+		StartSlots:             b.StartSlots,
+		CachedStartTime:        b.CachedStartTime.Duration(),
+		UncachedStartFactor:    b.UncachedStartFactor,
+		MaxCachedPrograms:      b.MaxCachedPrograms,
+		SlowStartInitialRate:   b.SlowStartInitialRate,
+		SlowStartDuration:      r.SlowStartDuration.Duration(),
+		OverloadMultiple:       b.OverloadMultiple,
+		OverloadWindow:         r.OverloadWindow.Duration(),
+		SlowStartBudget:        r.SlowStartBudget,
+		Preempts:               r.Preempts,
+		DrainMigrationInterval: b.DrainMigrationInterval.Duration(),
+		CoreUsageRange:         b.CoreUsageRange,
+		MemoryUsageRange:       b.MemoryUsageRange,
+		UsageReportInterval:    b.UsageReportInterval.Duration(),
+		SendsLoadReports:       b.SendsLoadReports,
+		DefaultRuntime:         b.DefaultRuntime.Duration(),
+		Seed:                   seed,
 	}
 	if k := slices.IndexFunc(kinds, func(k settings.Kind) bool { return k.Name == n.Kind }); k >= 0 {
 		c.Cores, c.Memory = kinds[k].Cores, kinds[k].Memory
 	}
 	if n.Warm {
-		c.ColdFor = 0
+		c.SlowStartDuration = 0
 	}
 	return c
 }
--- a/internal/lab/standin/fleet/fleet_test.go
+++ b/internal/lab/standin/fleet/fleet_test.go
@@ -20,7 +20,7 @@
 		t.Fatal(err)
 	}
 	a, b := Model(f, 0), Model(f, 1)
-	if a.Cores != 8 || a.ColdFor != 0 || b.ColdFor != 7*time.Second || a.UseCores != [2]float64{0.1, 0.2} || !a.Reports ||
+	if a.Cores != 8 || a.SlowStartDuration != 0 || b.SlowStartDuration != 7*time.Second || a.CoreUsageRange != [2]float64{0.1, 0.2} || !a.SendsLoadReports ||
 		a.Seed == b.Seed || a.Zone != "z" {
 		t.Errorf("models %+v and %+v", a, b)
 	}
--- a/internal/lab/standin/host/node.go
+++ b/internal/lab/standin/host/node.go
@@ -174,7 +174,7 @@
 	}
 	e := &nodepb.Entry{Node: n.opt.Model.Name, Address: n.opt.Advertise, Kind: n.opt.Kind, Zone: n.opt.Model.Zone,
 		Cell: int32(n.opt.Cell)}
-	if n.opt.Model.ColdFor > 0 {
+	if n.opt.Model.SlowStartDuration > 0 {
 		e.StartedUnixNs = int64(n.model.Started())
 	}
 	if n.model.Draining() {
--- /dev/null
+++ b/internal/lab/standin/nodemodel/connection.go
@@ -0,0 +1,100 @@
+package nodemodel
+
+import (
+	"slices"
+
+	"flaxshelf.example/flaxshelf/internal/codec/nodeframe/nodepb"
+)
+
+// schedulerState is what the node knows of one scheduler.
+type schedulerState struct {
+	incarnation int64
+	connected   bool
+	unacked     []*nodepb.Ended // outcomes that the scheduler has not acknowledged, the oldest first
+}
+
+// Connect handles the connection of a scheduler and returns the Welcome frames that answer it. incarnation is the Unix
+// time in nanoseconds at which the scheduler started; Connect returns false if a later one has connected before, or if
+// the node is dead. Each frame lists at most perFrame tasks and as many outcomes.
+//
+// Offers of an earlier connection that wait for review are dropped: the Welcome says which tasks the node has, and none of
+// another may start after it.
+func (n *Node) Connect(now Time, from string, incarnation int64, perFrame int) ([]Send, bool) {
+	n.out = nil
+	n.advance(now)
+	s := n.scheduler(from)
+	if n.dead || incarnation < s.incarnation {
+		return nil, false
+	}
+	s.incarnation, s.connected = incarnation, true
+	n.dropWaitingOffers(from)
+	n.welcome(from, s.unacked, perFrame)
+	return n.out, true
+}
+
+// welcome sends the tasks and the outcomes of a scheduler, in one frame at least.
+func (n *Node) welcome(to string, unacked []*nodepb.Ended, perFrame int) {
+	var held []*nodepb.Held
+	for _, t := range n.tasksByAge {
+		if t.scheduler == to {
+			held = append(held, &nodepb.Held{Attempt: t.attempt, Task: t.spec, Running: t.running})
+		}
+	}
+	for first := true; first || len(held) > 0 || len(unacked) > 0; first = false {
+		tasks, outcomes := min(perFrame, len(held)), min(perFrame, len(unacked))
+		n.send(to, &nodepb.Frame{Body: &nodepb.Frame_Welcome{Welcome: &nodepb.Welcome{Node: n.cfg.Name,
+			StartedUnixNs: int64(n.started), Held: held[:tasks], Ended: unacked[:outcomes],
+			More: tasks < len(held) || outcomes < len(unacked), Fresh: n.warmingUp()}}})
+		held, unacked = held[tasks:], unacked[outcomes:]
+	}
+}
+
+// Disconnect handles the end of a scheduler's connection. Its offers that wait for review are dropped; its accepted tasks
+// run on.
+func (n *Node) Disconnect(now Time, from string) {
+	n.out = nil
+	n.advance(now)
+	n.scheduler(from).connected = false
+	n.dropWaitingOffers(from)
+}
+
+// acknowledge discards an outcome that its scheduler has received.
+func (n *Node) acknowledge(from, attempt string) {
+	s := n.scheduler(from)
+	s.unacked = slices.DeleteFunc(s.unacked, func(e *nodepb.Ended) bool { return e.Attempt == attempt })
+}
+
+// retainOutcome keeps an outcome until its scheduler acknowledges it, and discards the oldest beyond the limit.
+func (n *Node) retainOutcome(scheduler string, outcome *nodepb.Ended) {
+	s := n.scheduler(scheduler)
+	s.unacked = append(s.unacked, outcome)
+	if len(s.unacked) > n.cfg.MaxUnackedOutcomes {
+		s.unacked = s.unacked[1:]
+	}
+}
+
+// scheduler returns the state of the named scheduler.
+func (n *Node) scheduler(name string) *schedulerState {
+	s := n.schedulers[name]
+	if s == nil {
+		s = &schedulerState{}
+		n.schedulers[name] = s
+	}
+	return s
+}
+
+// send queues a frame for a scheduler that is connected.
+func (n *Node) send(to string, f *nodepb.Frame) {
+	if s := n.schedulers[to]; s != nil && s.connected && !n.dead {
+		n.out = append(n.out, Send{to, f})
+	}
+}
+
+// loadReport returns the free resources, or nil if the node does not report them.
+func (n *Node) loadReport() *nodepb.Load {
+	if !n.cfg.SendsLoadReports {
+		return nil
+	}
+	cores, memory := n.Free()
+	return &nodepb.Load{FreeCores: cores, FreeMemory: memory}
+}
--- a/internal/lab/standin/nodemodel/fault.go
+++ b/internal/lab/standin/nodemodel/fault.go
@@ -1,63 +1,41 @@
 package nodemodel
 
-import "slices"
+// everyClass as SilentClass stands for all classes.
+const everyClass = "*"
 
-// Fault is a trouble put upon a node. The zero value of a field leaves that trouble as it is off.
+// Fault is what goes wrong on a node. The zero value is a node without faults.
 type Fault struct {
 	FailShare   float64 // share of starts that fail at once
-	FailClass   string  // of this class only; empty: all
-	SilentClass string  // asks of this class are never answered; "*": of all
-	SwellFactor float64 // tasks use so many times more
-	SwellClass  string  // of this class only
-	Crowd       float64 // share of the machine that another program takes
+	FailClass   string  // the class whose starts fail; empty: all
+	SilentClass string  // the class whose offers are never answered; "*": all, empty: none
+	SwellFactor float64 // multiplies what tasks use; 0: no change
+	SwellClass  string  // the class whose tasks use more; empty: all
+	Crowd       float64 // share of the machine that another program uses
 }
 
-type faults struct {
-	Fault
-	crowd float64
+// silences reports whether offers of a class are not answered.
+func (f *Fault) silences(class string) bool {
+	return f.SilentClass == everyClass || f.SilentClass == class && class != ""
 }
 
-func (f *faults) silent(class string) bool {
-	return f.SilentClass == "*" || f.SilentClass == class && class != ""
-}
-
-func (f *faults) failsStart(class string, draw float64) bool {
+// failsStart reports whether the start of a task of a class fails; draw is a number drawn from [0, 1).
+func (f *Fault) failsStart(class string, draw float64) bool {
 	return (f.FailClass == "" || f.FailClass == class) && draw < f.FailShare
 }
 
-func (f *faults) swell(class string) float64 {
+// usageFactor multiplies what tasks of a class use.
+func (f *Fault) usageFactor(class string) float64 {
 	if f.SwellFactor > 0 && (f.SwellClass == "" || f.SwellClass == class) {
 		return f.SwellFactor
 	}
 	return 1
 }
 
-// SetFault replaces the troubles of the node.
+// SetFault replaces the faults of the node.
 func (n *Node) SetFault(now Time, f Fault) []Send {
 	n.out = nil
 	n.advance(now)
-	n.faults = faults{f, min(max(f.Crowd, 0), 1)}
-	return n.out
-}
-
-// DropPrograms forgets a share of the kept programs.
-func (n *Node) DropPrograms(share float64) {
-	n.kept = slices.DeleteFunc(n.kept, func(string) bool { return n.rng.Float64() < share })
-}
-
-// Drain has the node take nothing new from now on.
-func (n *Node) Drain(now Time) []Send {
-	n.out = nil
-	n.advance(now)
-	n.draining, n.nextAway = true, n.now+n.cfg.DrainSendsAway
+	f.Crowd = min(max(f.Crowd, 0), 1)
+	n.fault = f
 	return n.out
 }
-
-// Die ends this life of the node with all that it holds.
-func (n *Node) Die() {
-	n.dead = true
-	for _, t := range n.order {
-		n.room.Free(t.spec.Key, n.cfg.Name)
-	}
-	n.held, n.order, n.waiting, n.starting = map[string]*task{}, nil, nil, 0
-}
--- /dev/null
+++ b/internal/lab/standin/nodemodel/node.go
@@ -0,0 +1,225 @@
+// Package nodemodel models a stand-in node: which tasks it accepts, starts, evicts and loses, and what they use. The model
+// is deterministic: it does no I/O and reads no clock, so that one model serves nodes on sockets and in the emulator.
+package nodemodel
+
+import (
+	"math"
+	"math/rand/v2"
+	"slices"
+	"time"
+
+	"flaxshelf.example/flaxshelf/internal/codec/nodeframe/nodepb"
+)
+
+// Time is the time since the Unix epoch.
+type Time = time.Duration
+
+// noDeadline is the time of what never falls due.
+const noDeadline = Time(math.MaxInt64)
+
+// randomStream is the second half of the generator's seed. Recordings depend on it.
+const randomStream = 0x5851f42d4c957f2d
+
+// Send is a frame that the node sends to a scheduler.
+type Send struct {
+	To    string // name of the scheduler
+	Frame *nodepb.Frame
+}
+
+// Node is the model of one node from its boot to its death. Not safe for concurrent use.
+//
+// Each method that takes the time first does what has fallen due by then; a time before the last one counts as the last.
+type Node struct {
+	cfg     Config
+	rng     *rand.Rand
+	now     Time
+	started Time
+	out     []Send // frames of the call in progress
+
+	waitingOffers []*waitingOffer // the first is under review
+	reviewDone    Time            // when the review of the first ends
+	recentOffers  []Time          // within OverloadWindow, while the node warms up
+
+	tasks          map[string]*task // by attempt
+	tasksByAge     []*task          // the same tasks in order of acceptance
+	startingTasks  int
+	cachedPrograms []string // services without a task, least recently used first
+	finishedTasks  int
+
+	schedulers map[string]*schedulerState
+	keys       Keys
+	fault      Fault
+
+	draining      bool
+	nextMigration Time // of a draining node
+	nextReport    Time
+	dead          bool
+	overloaded    bool
+}
+
+// New boots a node at now. keys is shared by the nodes of one zone; nil stands for keys of its own.
+func New(cfg Config, now Time, keys Keys) *Node {
+	if keys == nil {
+		keys = NewRoom()
+	}
+	cfg = cfg.withDefaults()
+	return &Node{
+		cfg:        cfg,
+		rng:        rand.New(rand.NewPCG(cfg.Seed, randomStream)),
+		now:        now,
+		started:    now,
+		tasks:      map[string]*task{},
+		schedulers: map[string]*schedulerState{},
+		keys:       keys,
+		nextReport: now + cfg.UsageReportInterval,
+	}
+}
+
+// Started returns when the node booted.
+func (n *Node) Started() Time { return n.started }
+
+// Dead reports whether the node has died. A dead node ignores what it receives and sends nothing.
+func (n *Node) Dead() bool { return n.dead }
+
+// FellOver reports whether the node died because it was offered too much while it warmed up.
+func (n *Node) FellOver() bool { return n.overloaded }
+
+// Draining reports whether the node rejects new tasks because it drains.
+func (n *Node) Draining() bool { return n.draining }
+
+// Free returns the resources that no accepted task has requested. They are below 0 on an overcommitted node.
+func (n *Node) Free() (cores, memory float64) {
+	cores, memory = n.cfg.Cores, n.cfg.Memory
+	for _, t := range n.tasksByAge {
+		cores -= t.spec.Cores
+		memory -= t.spec.Memory
+	}
+	return cores, memory
+}
+
+// Tasks returns how many tasks the node has accepted and not ended, and how many of these run.
+func (n *Node) Tasks() (accepted, running int) {
+	for _, t := range n.tasksByAge {
+		if t.running {
+			running++
+		}
+	}
+	return len(n.tasksByAge), running
+}
+
+// Finished returns how many tasks have run to their end since the node booted.
+func (n *Node) Finished() int { return n.finishedTasks }
+
+// Advance does what has fallen due by now.
+func (n *Node) Advance(now Time) []Send {
+	n.out = nil
+	n.advance(now)
+	return n.out
+}
+
+// Receive handles a frame of a scheduler. Frames of kinds that a node does not expect are ignored.
+func (n *Node) Receive(now Time, from string, f *nodepb.Frame) []Send {
+	n.out = nil
+	n.advance(now)
+	if n.dead {
+		return n.out
+	}
+	switch b := f.Body.(type) {
+	case *nodepb.Frame_Offer:
+		n.receiveOffer(from, b.Offer)
+	case *nodepb.Frame_Stop:
+		n.stop(from, b.Stop.Attempt)
+	case *nodepb.Frame_Probe:
+		n.send(from, &nodepb.Frame{Body: &nodepb.Frame_Probed{Probed: &nodepb.Probed{Token: b.Probe.Token,
+			Load: n.loadReport()}}})
+	case *nodepb.Frame_Ack:
+		n.acknowledge(from, b.Ack.Attempt)
+	case *nodepb.Frame_Ping:
+		n.send(from, &nodepb.Frame{Body: &nodepb.Frame_Pong{Pong: &nodepb.Pong{Token: b.Ping.Token}}})
+	}
+	n.advance(now)
+	return n.out
+}
+
+// Drain has the node reject new tasks from now on.
+func (n *Node) Drain(now Time) []Send {
+	n.out = nil
+	n.advance(now)
+	n.draining, n.nextMigration = true, n.now+n.cfg.DrainMigrationInterval
+	return n.out
+}
+
+// Die ends the node and loses all its tasks without a word to their schedulers.
+func (n *Node) Die() {
+	n.dead = true
+	for _, t := range n.tasksByAge {
+		n.releaseKey(t.spec)
+	}
+	n.tasks, n.tasksByAge, n.waitingOffers, n.startingTasks = map[string]*task{}, nil, nil, 0
+}
+
+// Next returns when something falls due; the largest Time if nothing does.
+func (n *Node) Next() Time {
+	if n.dead {
+		return noDeadline
+	}
+	next := noDeadline
+	if len(n.waitingOffers) > 0 {
+		next = min(next, n.reviewDone)
+	}
+	for _, t := range n.tasksByAge {
+		next = min(next, t.due())
+	}
+	if n.cfg.UsageReportInterval > 0 && len(n.tasksByAge) > 0 {
+		next = min(next, n.nextReport)
+	}
+	if n.migratesTasks() && len(n.tasksByAge) > 0 {
+		next = min(next, n.nextMigration)
+	}
+	return max(next, n.now)
+}
+
+// advance does what is due in the order of its time, so that one late call has the effect of many on time.
+func (n *Node) advance(now Time) {
+	for !n.dead {
+		next := n.Next()
+		if next > now {
+			break
+		}
+		n.now = max(n.now, next)
+		n.runDue()
+	}
+	n.now = max(n.now, now)
+}
+
+// runDue does what is due at n.now.
+func (n *Node) runDue() {
+	if len(n.waitingOffers) > 0 && n.reviewDone <= n.now {
+		offer := n.waitingOffers[0]
+		n.waitingOffers = n.waitingOffers[1:]
+		n.reviewDone = n.now + n.cfg.OfferReviewTime
+		n.review(offer)
+	}
+	for _, t := range slices.Clone(n.tasksByAge) {
+		switch {
+		case n.tasks[t.attempt] != t: // ended meanwhile
+		case t.starting && t.startDone <= n.now:
+			n.run(t)
+		case t.running && t.endsAt <= n.now:
+			n.end(t, nodepb.Ending_FINISHED, nodepb.Reason_UNTOLD)
+		}
+	}
+	if n.migratesTasks() && n.nextMigration <= n.now {
+		n.nextMigration = n.now + n.cfg.DrainMigrationInterval
+		if len(n.tasksByAge) > 0 {
+			n.end(n.tasksByAge[0], nodepb.Ending_LOST, nodepb.Reason_SENT_AWAY)
+		}
+	}
+	if n.cfg.UsageReportInterval > 0 && n.nextReport <= n.now {
+		n.nextReport = n.now + n.cfg.UsageReportInterval
+		n.updateUsage()
+	}
+}
+
+// migratesTasks reports whether the node drains and ends its tasks one by one.
+func (n *Node) migratesTasks() bool { return n.draining && n.cfg.DrainMigrationInterval > 0 }
--- a/internal/lab/standin/nodemodel/node_test.go
+++ b/internal/lab/standin/nodemodel/node_test.go
@@ -12,28 +12,46 @@
 
 const ms = time.Millisecond
 
-func config() Config {
-	return Config{Name: "n", Cores: 4, Memory: 8, AcceptCores: 1, AcceptMemory: 1, Look: 10 * ms, MaxWait: 2, StartSlots: 1,
-		StartWork: 20 * ms, FreshFactor: 5, Keep: 1, UseCores: [2]float64{1, 1}, UseMemory: [2]float64{1, 1}, Seed: 1,
-		FallMultiple: 4, FallWindow: time.Second, FreshOffers: 3, ColdFrom: 0.5}
+func testConfig() Config {
+	return Config{
+		Name:                 "n",
+		Cores:                4,
+		Memory:               8,
+		CoreOvercommit:       1,
+		MemoryOvercommit:     1,
+		OfferReviewTime:      10 * ms,
+		MaxWaitingOffers:     2,
+		StartSlots:           1,
+		CachedStartTime:      20 * ms,
+		UncachedStartFactor:  5,
+		MaxCachedPrograms:    1,
+		CoreUsageRange:       [2]float64{1, 1},
+		MemoryUsageRange:     [2]float64{1, 1},
+		Seed:                 1,
+		OverloadMultiple:     4,
+		OverloadWindow:       time.Second,
+		SlowStartBudget:      3,
+		SlowStartInitialRate: 0.5,
+	}
 }
 
-// player drives a node and writes down what it says.
-type player struct {
-	n   *Node
-	now Time
-	t   *testing.T
+// driver runs a node on a clock of its own, as scheduler "s", and describes the frames that the node sends.
+type driver struct {
+	node *Node
+	now  Time
+	t    *testing.T
 }
 
-func newPlayer(t *testing.T, cfg Config, room Keys) *player {
-	p := &player{n: New(cfg, time.Second, room), now: time.Second, t: t}
-	if _, ok := p.n.Connect(p.now, "s", 1, 100); !ok {
-		t.Fatal("not welcomed")
+func newDriver(t *testing.T, cfg Config, room Keys) *driver {
+	p := &driver{node: New(cfg, time.Second, room), now: time.Second, t: t}
+	if _, ok := p.node.Connect(p.now, "s", 1, 100); !ok {
+		t.Fatal("rejected")
 	}
 	return p
 }
 
-func say(out []Send) string {
+// describe writes frames in short form.
+func describe(out []Send) string {
 	var all []string
 	for _, s := range out {
 		switch b := s.Frame.Body.(type) {
@@ -68,36 +86,37 @@
 	return strings.Join(all, "; ")
 }
 
-// after lets time pass.
-func (p *player) after(d time.Duration) string {
+// after advances the clock.
+func (p *driver) after(d time.Duration) string {
 	p.now += d
-	return say(p.n.Advance(p.now))
+	return describe(p.node.Advance(p.now))
 }
 
-func (p *player) offer(attempt string, change func(o *nodepb.Offer)) string {
+// offer sends an offer of a task of one core; change may change it first.
+func (p *driver) offer(attempt string, change func(o *nodepb.Offer)) string {
 	o := &nodepb.Offer{Attempt: attempt, ValidForNs: int64(time.Second), Task: &nodepb.Task{Service: "v", Class: "c",
 		Cores: 1, Memory: 1, LifeNs: int64(time.Second)}}
 	if change != nil {
 		change(o)
 	}
-	return say(p.n.Receive(p.now, "s", &nodepb.Frame{Body: &nodepb.Frame_Offer{Offer: o}}))
+	return describe(p.node.Receive(p.now, "s", &nodepb.Frame{Body: &nodepb.Frame_Offer{Offer: o}}))
 }
 
-func (p *player) stop(attempt string) string {
-	return say(p.n.Receive(p.now, "s", &nodepb.Frame{Body: &nodepb.Frame_Stop{Stop: &nodepb.Stop{Attempt: attempt}}}))
+func (p *driver) stop(attempt string) string {
+	return describe(p.node.Receive(p.now, "s", &nodepb.Frame{Body: &nodepb.Frame_Stop{Stop: &nodepb.Stop{Attempt: attempt}}}))
 }
 
-func (p *player) want(got, want string) {
+func (p *driver) want(got, want string) {
 	p.t.Helper()
 	if got != want {
 		p.t.Errorf("at %v: got %q, want %q", p.now, got, want)
 	}
 }
 
-// One ask is looked at a time; so many may wait; accepted ones start one after the other, slowly where the node
-// has no task of the service, fast where its program is kept.
-func TestLife(t *testing.T) {
-	p := newPlayer(t, config(), nil)
+// One offer is reviewed at a time and MaxWaitingOffers may wait. Accepted tasks start one after the other: slowly, or fast if
+// their program is cached.
+func TestTaskLifecycle(t *testing.T) {
+	p := newDriver(t, testConfig(), nil)
 	p.want(p.offer("a", nil), "")
 	p.want(p.offer("b", nil), "")
 	p.want(p.offer("c", nil), "refused c TOO_MANY_WAIT")
@@ -105,23 +124,23 @@
 	p.want(p.after(10*ms), "accepted b")
 	p.want(p.after(89*ms), "")
 	p.want(p.after(1*ms), "started a")
-	p.want(p.after(20*ms), "started b") // beside one of its service
+	p.want(p.after(20*ms), "started b") // a task of its service runs
 	p.want(p.after(2*time.Second), "ended a FINISHED UNTOLD; ended b FINISHED UNTOLD")
 	p.want(p.offer("d", nil), "")
 	p.want(p.after(10*ms), "accepted d")
-	p.want(p.after(20*ms), "started d") // kept
-	p.n.DropPrograms(1)
+	p.want(p.after(20*ms), "started d") // the program is cached
+	p.node.DropPrograms(1)
 	p.after(2 * time.Second)
-	p.n.DropPrograms(1)
+	p.node.DropPrograms(1)
 	p.offer("e", nil)
 	p.want(p.after(30*ms), "accepted e")
 	p.want(p.after(80*ms), "started e")
 }
 
-// One late call gives what many on time would.
-func TestLateCall(t *testing.T) {
-	a, b := newPlayer(t, config(), nil), newPlayer(t, config(), nil)
-	for _, p := range []*player{a, b} {
+// One late call has the effect of many on time.
+func TestLateAdvance(t *testing.T) {
+	a, b := newDriver(t, testConfig(), nil), newDriver(t, testConfig(), nil)
+	for _, p := range []*driver{a, b} {
 		p.offer("a", nil)
 		p.offer("b", nil)
 	}
@@ -134,11 +153,12 @@
 	b.want(b.after(4*time.Second), strings.Join(parts, "; "))
 }
 
-func TestRefusals(t *testing.T) {
-	cfg := config()
+// Each reason for a rejection; a higher priority preempts.
+func TestRejections(t *testing.T) {
+	cfg := testConfig()
 	cfg.Preempts = true
-	cfg.MaxWait = 10
-	p := newPlayer(t, cfg, nil)
+	cfg.MaxWaitingOffers = 10
+	p := newDriver(t, cfg, nil)
 	p.offer("big", func(o *nodepb.Offer) { o.Task.Cores = 4 })
 	p.want(p.after(10*ms), "accepted big")
 	p.offer("cores", nil)
@@ -149,17 +169,17 @@
 	p.want(p.after(10*ms), "refused late NOT_HERE")
 	p.offer("higher", func(o *nodepb.Offer) { o.Task.Priority = 1 })
 	p.want(p.after(10*ms), "ended big LOST PUSHED_OUT; accepted higher")
-	p.n.Drain(p.now)
+	p.node.Drain(p.now)
 	p.offer("draining", nil)
 	p.want(p.after(10*ms), "refused draining NOT_HERE")
 	p.want(p.offer("", nil), "")
 }
 
-// The nodes of a room let one copy of a key stand, until it has ended.
+// The nodes that share keys accept one copy of a keyed task until it has ended.
 func TestKeys(t *testing.T) {
 	room := NewRoom()
-	p, q := newPlayer(t, config(), room), newPlayer(t, config(), room)
-	q.n.cfg.Name = "other"
+	p, q := newDriver(t, testConfig(), room), newDriver(t, testConfig(), room)
+	q.node.cfg.Name = "other"
 	keyed := func(o *nodepb.Offer) { o.Task.Key, o.Task.Effect = "k", 1 }
 	p.offer("a", keyed)
 	p.want(p.after(10*ms), "accepted a")
@@ -168,20 +188,20 @@
 	p.want(p.stop("a"), "ended a STOPPED UNTOLD")
 	q.offer("c", keyed)
 	q.want(q.after(10*ms), "accepted c")
-	q.n.Die()
+	q.node.Die()
 	p.offer("d", keyed)
 	p.want(p.after(10*ms), "accepted d")
-	// A refused one leaves nothing behind.
+	// A rejected task leaves no key behind.
 	p.offer("e", func(o *nodepb.Offer) { keyed(o); o.Task.Key, o.Task.Cores = "big", 100 })
 	p.want(p.after(10*ms), "refused e NO_CORES")
 	if !room.Take("big", "x") {
-		t.Error("a refused key stands")
+		t.Error("the key of a rejected task is taken")
 	}
 }
 
-// A stop withdraws what waits and ends what was accepted; the scheduler learns which.
+// A stop cancels an offer that waits or ends an accepted task; the scheduler learns which.
 func TestStop(t *testing.T) {
-	p := newPlayer(t, config(), nil)
+	p := newDriver(t, testConfig(), nil)
 	p.offer("a", nil)
 	p.offer("b", nil)
 	p.want(p.stop("b"), "refused b UNTOLD")
@@ -193,132 +213,133 @@
 	p.want(p.after(time.Second), "")
 }
 
-// What a scheduler's connection leaves behind: accepted work runs on and is handed over, endings are kept until
-// they are acknowledged, asks that nobody looked at are dropped, and an older life is turned away.
-func TestHandOver(t *testing.T) {
-	cfg := config()
-	p := newPlayer(t, cfg, nil)
+// After a disconnect, accepted tasks run on and the next Welcome lists them, outcomes are retained until they are acknowledged,
+// unreviewed offers are dropped, and an older incarnation is rejected.
+func TestReconnect(t *testing.T) {
+	cfg := testConfig()
+	p := newDriver(t, cfg, nil)
 	p.offer("a", nil)
 	p.after(10 * ms)
 	p.offer("b", func(o *nodepb.Offer) { o.Task.LifeNs = int64(time.Hour) })
 	p.after(10 * ms)
 	p.offer("waits", nil)
-	p.n.Disconnect(p.now, "s")
+	p.node.Disconnect(p.now, "s")
 	p.want(p.after(2*time.Second), "")
-	out, ok := p.n.Connect(p.now, "s", 2, 1)
+	out, ok := p.node.Connect(p.now, "s", 2, 1)
 	if !ok {
-		t.Fatal("turned away")
+		t.Fatal("rejected")
 	}
-	p.want(say(out), "welcome [b ended:a] more=false fresh=false")
-	say(p.n.Receive(p.now, "s", &nodepb.Frame{Body: &nodepb.Frame_Ack{Ack: &nodepb.Ack{Attempt: "a"}}}))
-	out, _ = p.n.Connect(p.now, "s", 3, 100)
-	p.want(say(out), "welcome [b] more=false fresh=false")
-	if _, ok := p.n.Connect(p.now, "s", 2, 100); ok {
-		t.Error("an older life was welcomed")
+	p.want(describe(out), "welcome [b ended:a] more=false fresh=false")
+	describe(p.node.Receive(p.now, "s", &nodepb.Frame{Body: &nodepb.Frame_Ack{Ack: &nodepb.Ack{Attempt: "a"}}}))
+	out, _ = p.node.Connect(p.now, "s", 3, 100)
+	p.want(describe(out), "welcome [b] more=false fresh=false")
+	if _, ok := p.node.Connect(p.now, "s", 2, 100); ok {
+		t.Error("an older incarnation was accepted")
 	}
-	out, _ = p.n.Connect(p.now, "another", 1, 100)
-	p.want(say(out), "welcome [] more=false fresh=false")
+	out, _ = p.node.Connect(p.now, "another", 1, 100)
+	p.want(describe(out), "welcome [] more=false fresh=false")
 }
 
-// A node that has just come up starts slowly, and falls over when it is offered too much.
-func TestCold(t *testing.T) {
-	cfg := config()
-	cfg.ColdFor = 10 * time.Second
-	cfg.MaxWait = 100
-	p := newPlayer(t, cfg, nil)
+// A node that warms up starts tasks slowly, and breaks down when it is offered too much.
+func TestSlowStart(t *testing.T) {
+	cfg := testConfig()
+	cfg.SlowStartDuration = 10 * time.Second
+	cfg.MaxWaitingOffers = 100
+	p := newDriver(t, cfg, nil)
 	p.offer("a", nil)
 	p.want(p.after(10*ms), "accepted a")
-	p.want(p.after(150*ms), "") // 100 ms at half the pace take 200
+	p.want(p.after(150*ms), "") // 100 ms at half the rate take 200
 	p.want(p.after(60*ms), "started a")
-	// One slot and 100 ms a start are 10 a second, at 0.5 of the pace 5; four times that is 20 within a second.
+	// One slot and 100 ms a start are 10 a second, at half the rate 5; four times that is 20 within a second.
 	for i := range 19 {
 		p.offer(fmt.Sprint(i), nil)
 		p.after(ms)
 	}
-	if p.n.Dead() {
-		t.Fatal("it fell over before its time")
+	if p.node.Dead() {
+		t.Fatal("it broke down too early")
 	}
 	p.offer("b", nil)
 	p.offer("c", nil)
-	if !p.n.Dead() || !p.n.FellOver() {
-		t.Error("it did not fall over")
+	if !p.node.Dead() || !p.node.FellOver() {
+		t.Error("it did not break down")
 	}
 	p.want(p.offer("d", nil), "")
-	warm := newPlayer(t, config(), nil)
+	warm := newDriver(t, testConfig(), nil)
 	for i := range 100 {
 		warm.offer(fmt.Sprint(i), nil)
 	}
-	if warm.n.Dead() {
-		t.Error("a warm node fell over")
+	if warm.node.Dead() {
+		t.Error("a warm node broke down")
 	}
 }
 
-// Memory that runs out evicts the lowest priority, the latest first; crowded cores and short memory are told.
-func TestPressure(t *testing.T) {
-	cfg := config()
-	cfg.AcceptCores, cfg.AcceptMemory, cfg.NoteEvery, cfg.StartWork, cfg.StartSlots = 3, 2, 100*ms, ms, 4
-	cfg.UseMemory = [2]float64{0.9, 0.9}
-	p := newPlayer(t, cfg, nil)
-	for i, prio := range []int32{1, 0, 0} {
+// A shortage of memory evicts the lowest priority, the latest first; shortages of cores and memory are reported.
+func TestMemoryPressure(t *testing.T) {
+	cfg := testConfig()
+	cfg.CoreOvercommit, cfg.MemoryOvercommit, cfg.UsageReportInterval, cfg.CachedStartTime, cfg.StartSlots = 3, 2, 100*ms, ms, 4
+	cfg.MemoryUsageRange = [2]float64{0.9, 0.9}
+	p := newDriver(t, cfg, nil)
+	for i, priority := range []int32{1, 0, 0} {
 		p.offer(string(rune('a'+i)), func(o *nodepb.Offer) {
-			o.Task.Priority, o.Task.Memory, o.Task.Cores, o.Task.LifeNs = prio, 2.5, 2, int64(time.Hour)
+			o.Task.Priority, o.Task.Memory, o.Task.Cores, o.Task.LifeNs = priority, 2.5, 2, int64(time.Hour)
 		})
 		p.after(11 * ms)
 	}
 	got := p.after(100 * ms)
 	for _, want := range []string{"note a 4 0.", "note b 4 0.", "note c 5 0."} {
 		if !strings.Contains(got, want) {
-			t.Errorf("%q does not say %q", got, want)
+			t.Errorf("%q does not contain %q", got, want)
 		}
 	}
-	p.n.SetFault(p.now, Fault{Crowd: 0.3})
+	p.node.SetFault(p.now, Fault{Crowd: 0.3})
 	if got := p.after(100 * ms); !strings.HasPrefix(got, "ended c LOST EVICTED; note a") {
 		t.Errorf("another program took memory: %q", got)
 	}
-	p.n.SetFault(p.now, Fault{SwellFactor: 2, SwellClass: "c"})
+	p.node.SetFault(p.now, Fault{SwellFactor: 2, SwellClass: "c"})
 	if got := p.after(100 * ms); !strings.HasPrefix(got, "ended b LOST EVICTED") {
 		t.Errorf("tasks swelled: %q", got)
 	}
 }
 
+// A fault affects the classes that it names.
 func TestFaults(t *testing.T) {
-	p := newPlayer(t, config(), nil)
-	p.n.SetFault(p.now, Fault{SilentClass: "c"})
+	p := newDriver(t, testConfig(), nil)
+	p.node.SetFault(p.now, Fault{SilentClass: "c"})
 	p.offer("a", nil)
 	p.want(p.after(time.Second), "")
-	p.n.SetFault(p.now, Fault{FailShare: 1, FailClass: "other"})
+	p.node.SetFault(p.now, Fault{FailShare: 1, FailClass: "other"})
 	p.offer("b", nil)
 	p.want(p.after(10*ms), "accepted b")
-	p.n.SetFault(p.now, Fault{FailShare: 1, FailClass: "c"})
+	p.node.SetFault(p.now, Fault{FailShare: 1, FailClass: "c"})
 	p.offer("c", nil)
 	p.want(p.after(10*ms), "failed c")
-	p.n.SetFault(p.now, Fault{SilentClass: "*"})
+	p.node.SetFault(p.now, Fault{SilentClass: "*"})
 	p.offer("d", nil)
 	p.want(p.after(10*ms), "")
 }
 
-// A draining node may send its tasks away one after the other.
-func TestDrainSendsAway(t *testing.T) {
-	cfg := config()
-	cfg.DrainSendsAway = 50 * ms
-	p := newPlayer(t, cfg, nil)
+// A draining node with a migration interval ends its tasks one after the other.
+func TestDrainMigratesTasks(t *testing.T) {
+	cfg := testConfig()
+	cfg.DrainMigrationInterval = 50 * ms
+	p := newDriver(t, cfg, nil)
 	for _, a := range []string{"a", "b"} {
 		p.offer(a, func(o *nodepb.Offer) { o.Task.LifeNs = int64(time.Hour) })
 		p.after(10 * ms)
 	}
-	p.n.Drain(p.now)
+	p.node.Drain(p.now)
 	p.want(p.after(50*ms), "ended a LOST SENT_AWAY")
 	p.want(p.after(50*ms), "ended b LOST SENT_AWAY")
 }
 
-// Loads are told where the settings have it.
-func TestReports(t *testing.T) {
-	cfg := config()
-	p := newPlayer(t, cfg, nil)
+// Answers carry load reports if the settings say so.
+func TestLoadReports(t *testing.T) {
+	cfg := testConfig()
+	p := newDriver(t, cfg, nil)
 	probe := &nodepb.Frame{Body: &nodepb.Frame_Probe{Probe: &nodepb.Probe{Token: 1}}}
-	p.want(say(p.n.Receive(p.now, "s", probe)), "probed false")
-	cfg.Reports = true
-	p = newPlayer(t, cfg, nil)
-	p.want(say(p.n.Receive(p.now, "s", probe)), "probed true")
-	p.want(say(p.n.Receive(p.now, "s", &nodepb.Frame{Body: &nodepb.Frame_Ping{Ping: &nodepb.Ping{}}})), "pong")
+	p.want(describe(p.node.Receive(p.now, "s", probe)), "probed false")
+	cfg.SendsLoadReports = true
+	p = newDriver(t, cfg, nil)
+	p.want(describe(p.node.Receive(p.now, "s", probe)), "probed true")
+	p.want(describe(p.node.Receive(p.now, "s", &nodepb.Frame{Body: &nodepb.Frame_Ping{Ping: &nodepb.Ping{}}})), "pong")
 }
--- /dev/null
+++ b/internal/lab/standin/nodemodel/slowstart.go
@@ -0,0 +1,31 @@
+package nodemodel
+
+import "slices"
+
+// warmingUp reports whether the node booted less than SlowStartDuration ago.
+func (n *Node) warmingUp() bool {
+	return n.cfg.SlowStartDuration > 0 && n.now-n.started < n.cfg.SlowStartDuration
+}
+
+// startRate is the share of its full rate at which the node starts tasks now.
+func (n *Node) startRate() float64 {
+	if !n.warmingUp() {
+		return 1
+	}
+	age := n.now - n.started
+	return n.cfg.SlowStartInitialRate + (1-n.cfg.SlowStartInitialRate)*float64(age)/float64(n.cfg.SlowStartDuration)
+}
+
+// overloadedByOffer counts an offer and reports whether it was one too many for a node that warms up.
+func (n *Node) overloadedByOffer() bool {
+	if !n.warmingUp() || n.cfg.OverloadWindow <= 0 {
+		return false
+	}
+	windowStart := n.now - n.cfg.OverloadWindow
+	n.recentOffers = slices.DeleteFunc(n.recentOffers, func(at Time) bool { return at < windowStart })
+	n.recentOffers = append(n.recentOffers, n.now)
+	startTime := n.cfg.CachedStartTime.Seconds() * max(n.cfg.UncachedStartFactor, 1)
+	startsPerSecond := float64(n.cfg.StartSlots) / startTime
+	limit := n.cfg.OverloadMultiple * startsPerSecond * n.startRate() * n.cfg.OverloadWindow.Seconds()
+	return float64(len(n.recentOffers)) > max(limit, n.cfg.SlowStartBudget)
+}
--- /dev/null
+++ b/internal/lab/standin/nodemodel/task.go
@@ -0,0 +1,143 @@
+package nodemodel
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"flaxshelf.example/flaxshelf/internal/codec/nodeframe/nodepb"
+)
+
+// task is an accepted attempt. It waits for a start slot, starts, and then runs.
+type task struct {
+	attempt   string
+	scheduler string
+	spec      *nodepb.Task
+	accepted  Time
+	starting  bool
+	running   bool
+	startDone Time // while it starts
+	endsAt    Time // while it runs
+	// coreUsage and memoryUsage are the shares of its request that a running task uses.
+	coreUsage   float64
+	memoryUsage float64
+}
+
+// due returns when the task starts to run or ends.
+func (t *task) due() Time {
+	switch {
+	case t.starting:
+		return t.startDone
+	case t.running:
+		return t.endsAt
+	}
+	return noDeadline
+}
+
+// byEvictionOrder orders tasks as they are evicted: the lowest priority first, the latest of these first.
+func byEvictionOrder(a, b *task) int {
+	return cmp.Or(
+		cmp.Compare(a.spec.Priority, b.spec.Priority),
+		cmp.Compare(b.accepted, a.accepted),
+		cmp.Compare(b.attempt, a.attempt),
+	)
+}
+
+// startTasks starts accepted tasks, the oldest first, while start slots are free.
+func (n *Node) startTasks() {
+	for _, t := range n.tasksByAge {
+		if n.startingTasks >= n.cfg.StartSlots {
+			return
+		}
+		if t.starting || t.running {
+			continue
+		}
+		startTime := float64(n.cfg.CachedStartTime)
+		if !n.programCached(t) {
+			startTime *= max(n.cfg.UncachedStartFactor, 1)
+		}
+		t.starting, t.startDone = true, n.now+Time(startTime/n.startRate())
+		n.startingTasks++
+	}
+}
+
+// programCached reports whether the program of the task's service is cached or runs already.
+func (n *Node) programCached(t *task) bool {
+	if slices.Contains(n.cachedPrograms, t.spec.Service) {
+		return true
+	}
+	return slices.ContainsFunc(n.tasksByAge, func(other *task) bool {
+		return other != t && other.running && other.spec.Service == t.spec.Service
+	})
+}
+
+// run runs a task whose start is done.
+func (n *Node) run(t *task) {
+	t.starting, t.running = false, true
+	n.startingTasks--
+	runtime := time.Duration(t.spec.LifeNs)
+	if runtime <= 0 {
+		runtime = time.Duration(float64(n.cfg.DefaultRuntime) * n.rng.ExpFloat64())
+	}
+	t.endsAt = n.now + runtime
+	t.coreUsage = n.drawBetween(n.cfg.CoreUsageRange)
+	t.memoryUsage = n.drawBetween(n.cfg.MemoryUsageRange)
+	n.cachedPrograms = slices.DeleteFunc(n.cachedPrograms, func(s string) bool { return s == t.spec.Service })
+	n.send(t.scheduler, &nodepb.Frame{Body: &nodepb.Frame_Started{Started: &nodepb.Started{Attempt: t.attempt}}})
+	n.startTasks()
+}
+
+func (n *Node) drawBetween(bounds [2]float64) float64 {
+	return bounds[0] + (bounds[1]-bounds[0])*n.rng.Float64()
+}
+
+// stop cancels an offer that waits for review, or ends an accepted task. The answer is a Refused for the former and an
+// Ended for the latter, so that the scheduler knows which of them it was.
+func (n *Node) stop(from, attempt string) {
+	if n.cancelWaitingOffer(from, attempt) {
+		return
+	}
+	if t := n.tasks[attempt]; t != nil && t.scheduler == from {
+		n.end(t, nodepb.Ending_STOPPED, nodepb.Reason_UNTOLD)
+	}
+}
+
+// end removes an accepted task and sends its outcome. Every task but those of a dead node ends here.
+func (n *Node) end(t *task, ending nodepb.Ending, reason nodepb.Reason) {
+	if n.tasks[t.attempt] != t {
+		return
+	}
+	delete(n.tasks, t.attempt)
+	n.tasksByAge = slices.DeleteFunc(n.tasksByAge, func(other *task) bool { return other == t })
+	if t.starting {
+		n.startingTasks--
+	}
+	n.releaseKey(t.spec)
+	if ending == nodepb.Ending_FINISHED {
+		n.finishedTasks++
+	}
+	if t.running {
+		n.cacheProgram(t.spec.Service)
+	}
+	outcome := &nodepb.Ended{Attempt: t.attempt, Ending: ending, Reason: reason, Load: n.loadReport()}
+	n.retainOutcome(t.scheduler, outcome)
+	n.send(t.scheduler, &nodepb.Frame{Body: &nodepb.Frame_Ended{Ended: outcome}})
+	n.startTasks()
+}
+
+// cacheProgram caches the program of a service whose last task has ended.
+func (n *Node) cacheProgram(service string) {
+	hasTask := slices.ContainsFunc(n.tasksByAge, func(t *task) bool { return t.spec.Service == service })
+	if n.cfg.MaxCachedPrograms <= 0 || hasTask {
+		return
+	}
+	if len(n.cachedPrograms) >= n.cfg.MaxCachedPrograms {
+		n.cachedPrograms = n.cachedPrograms[1:]
+	}
+	n.cachedPrograms = append(n.cachedPrograms, service)
+}
+
+// DropPrograms removes each cached program with a probability of share.
+func (n *Node) DropPrograms(share float64) {
+	n.cachedPrograms = slices.DeleteFunc(n.cachedPrograms, func(string) bool { return n.rng.Float64() < share })
+}
--- /dev/null
+++ b/internal/lab/standin/nodemodel/usage.go
@@ -0,0 +1,99 @@
+package nodemodel
+
+import (
+	"slices"
+
+	"flaxshelf.example/flaxshelf/internal/codec/nodeframe/nodepb"
+)
+
+// The kinds of usage report that nodes send, with the wire values of the module's UsageKind.
+const (
+	usageCores     = 2 // cores in use by the task
+	usageMemory    = 3 // memory in use by the task
+	serviceLevel   = 4 // share of the cores in use that the machine has
+	memoryPressure = 5 // share of the machine's memory in use
+)
+
+const (
+	// maxUsage caps the use of a task at this multiple of its request.
+	maxUsage = 2
+	// serviceLevelReportedBelow and memoryPressureReportedAbove are the shares from which on a node reports that it is short.
+	serviceLevelReportedBelow   = 0.95
+	memoryPressureReportedAbove = 0.85
+)
+
+// usage returns what a running task uses.
+func (n *Node) usage(t *task) (cores, memory float64) {
+	factor := n.fault.usageFactor(t.spec.Class)
+	cores = t.spec.Cores * min(t.coreUsage*factor, maxUsage)
+	memory = t.spec.Memory * min(t.memoryUsage*factor, maxUsage)
+	return cores, memory
+}
+
+// Use returns what all running tasks use.
+func (n *Node) Use() (cores, memory float64) {
+	for _, t := range n.tasksByAge {
+		if t.running {
+			taskCores, taskMemory := n.usage(t)
+			cores += taskCores
+			memory += taskMemory
+		}
+	}
+	return cores, memory
+}
+
+// updateUsage lets usage drift, evicts tasks while memory is short and sends usage reports.
+func (n *Node) updateUsage() {
+	for _, t := range n.tasksByAge { // a random walk that starts at what the task drew
+		t.coreUsage *= 0.95 + 0.1*n.rng.Float64()
+		t.memoryUsage *= 0.97 + 0.06*n.rng.Float64()
+	}
+	memoryAvailable := n.cfg.Memory * (1 - n.fault.Crowd)
+	n.evictDownTo(memoryAvailable)
+	n.reportUsage(memoryAvailable)
+}
+
+// evictDownTo evicts running tasks until the rest uses no more than the available memory.
+func (n *Node) evictDownTo(memoryAvailable float64) {
+	for {
+		_, memory := n.Use()
+		if memory <= memoryAvailable {
+			return
+		}
+		running := slices.DeleteFunc(slices.Clone(n.tasksByAge), func(t *task) bool { return !t.running })
+		slices.SortFunc(running, byEvictionOrder)
+		n.end(running[0], nodepb.Ending_LOST, nodepb.Reason_EVICTED)
+	}
+}
+
+// reportUsage sends each running task's usage to its scheduler, and what the machine is short of.
+func (n *Node) reportUsage(memoryAvailable float64) {
+	cores, memory := n.Use()
+	level := 1.0
+	if coresAvailable := n.cfg.Cores * (1 - n.fault.Crowd); cores > coresAvailable {
+		level = coresAvailable / cores
+	}
+	pressure := 1.0
+	if memoryAvailable > 0 {
+		pressure = memory / memoryAvailable
+	}
+	for _, t := range n.tasksByAge {
+		if !t.running {
+			continue
+		}
+		taskCores, taskMemory := n.usage(t)
+		n.sendUsageReport(t, usageCores, taskCores)
+		n.sendUsageReport(t, usageMemory, taskMemory)
+		if level < serviceLevelReportedBelow {
+			n.sendUsageReport(t, serviceLevel, level)
+		}
+		if pressure > memoryPressureReportedAbove {
+			n.sendUsageReport(t, memoryPressure, pressure)
+		}
+	}
+}
+
+func (n *Node) sendUsageReport(t *task, kind int32, amount float64) {
+	n.send(t.scheduler, &nodepb.Frame{Body: &nodepb.Frame_Note{Note: &nodepb.Note{Attempt: t.attempt, Kind: kind,
+		Amount: amount}}})
+}
--- a/internal/lab/trial/bench_test.go
+++ b/internal/lab/trial/bench_test.go
@@ -49,8 +49,8 @@
 	for i := range n {
 		node, err := host.StartNode(host.NodeOptions{Kind: "k", Cell: i / 8, Listen: "127.0.0.1:0", Inventory: inv.Addr(),
 			Model: nodemodel.Config{Name: fmt.Sprintf("n%d", i), Zone: fmt.Sprint("z", i%3), Cores: cores, Memory: cores * 4,
-				AcceptCores: 2, AcceptMemory: 2, Look: 100 * time.Microsecond, MaxWait: 10000, StartSlots: 1000,
-				StartWork: time.Millisecond, FreshFactor: 2, Keep: 8, Seed: uint64(i)}, Log: zerolog.Nop()})
+				CoreOvercommit: 2, MemoryOvercommit: 2, OfferReviewTime: 100 * time.Microsecond, MaxWaitingOffers: 10000, StartSlots: 1000,
+				CachedStartTime: time.Millisecond, UncachedStartFactor: 2, MaxCachedPrograms: 8, Seed: uint64(i)}, Log: zerolog.Nop()})
 		if err != nil {
 			b.Fatal(err)
 		}
