--- a/cmd/flaxshelf/standin.go
+++ b/cmd/flaxshelf/standin.go
@@ -38,8 +38,8 @@
 		return err
 	}
 	log := logger(e.err, c.Log)
-	inv, err := host.StartInventory(fleet.InventoryAddress, inventorymodel.Config{Late: fleet.DiscoveryDelay.Duration(),
-		GoneAfter: fleet.RemovalDelay.Duration()}, log)
+	inv, err := host.StartInventory(fleet.InventoryAddress, inventorymodel.Config{
+		DiscoveryDelay: fleet.DiscoveryDelay.Duration(), RemovalDelay: fleet.RemovalDelay.Duration()}, log)
 	if err != nil {
 		return err
 	}
@@ -153,7 +153,7 @@
 	if c.Late < 0 || c.GoneAfter < 0 {
 		return errUsage{fmt.Errorf("--late and --gone-after can't be negative")}
 	}
-	inv, err := host.StartInventory(c.Listen, inventorymodel.Config{Late: c.Late, GoneAfter: c.GoneAfter},
+	inv, err := host.StartInventory(c.Listen, inventorymodel.Config{DiscoveryDelay: c.Late, RemovalDelay: c.GoneAfter},
 		logger(e.err, c.Log))
 	if err != nil {
 		return err
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -65,7 +65,7 @@
 		change(set, &model)
 	}
 	s := &site{t: t, set: set}
-	s.inv, err = host.StartInventory("127.0.0.1:0", inventorymodel.Config{GoneAfter: 50 * time.Millisecond}, zerolog.Nop())
+	s.inv, err = host.StartInventory("127.0.0.1:0", inventorymodel.Config{RemovalDelay: 50 * time.Millisecond}, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/emulator/inventory.go
+++ b/internal/lab/emulator/inventory.go
@@ -44,7 +44,7 @@
 		case frame:
 			v.send(at, v.model.Receive(at, v.name(m.from), b.Frame), out)
 		case closed:
-			v.send(at, v.model.Gone(at, v.name(m.from)), out)
+			v.send(at, v.model.Disconnect(at, v.name(m.from)), out)
 		case inventorymodel.Fault:
 			v.send(at, v.model.SetFault(at, b), out)
 		}
--- a/internal/lab/standin/fleet/fleet.go
+++ b/internal/lab/standin/fleet/fleet.go
@@ -1,5 +1,5 @@
-// Package fleet owns how the configured stand-ins become node models, on sockets and in the emulator alike. It must not
-// run them.
+// Package fleet derives the configurations of node models from the settings of a stand-in fleet, for nodes on sockets and in
+// the emulator alike. It does not run the nodes.
 package fleet
 
 import (
@@ -9,44 +9,50 @@
 	"flaxshelf.example/flaxshelf/internal/settings"
 )
 
-// Model is what the model of node i of a fleet is made of.
+// seedStep separates the seeds of a fleet's nodes.
+const seedStep = 0x9e3779b9
+
+// Model returns the configuration of the model of node i of a fleet.
 func Model(f *settings.Fleet, i int) nodemodel.Config {
-	return NodeModel(f.Nodes[i], f.Kinds, f.Rules, f.Behaviour, f.Seed+uint64(i)*0x9e3779b9)
+	return NodeModel(f.Nodes[i], f.Kinds, f.Rules, f.Behaviour, f.Seed+uint64(i)*seedStep)
 }
 
-// NodeModel is what the model of a node is made of. A kind that the fleet doesn't name has no cores.
-func NodeModel(n settings.Node, kinds []settings.Kind, r settings.Rules, b settings.Behaviour,
-	seed uint64) nodemodel.Config {
-	c := nodemodel.Config{
-		Name:                   n.Name,
-		Zone:                   n.Zone,
-		CoreOvercommit:         r.CoreOvercommit,
-		MemoryOvercommit:       r.MemoryOvercommit,
-		OfferReviewTime:        b.OfferReviewTime.Duration(),
-		MaxWaitingOffers:       b.MaxWaitingOffers,
-		StartSlots:             b.StartSlots,
-		CachedStartTime:        b.CachedStartTime.Duration(),
-		UncachedStartFactor:    b.UncachedStartFactor,
-		MaxCachedPrograms:      b.MaxCachedPrograms,
-		SlowStartInitialRate:   b.SlowStartInitialRate,
-		SlowStartDuration:      r.SlowStartDuration.Duration(),
-		OverloadMultiple:       b.OverloadMultiple,
-		OverloadWindow:         r.OverloadWindow.Duration(),
-		SlowStartBudget:        r.SlowStartBudget,
-		Preempts:               r.Preempts,
-		DrainMigrationInterval: b.DrainMigrationInterval.Duration(),
-		CoreUsageRange:         b.CoreUsageRange,
-		MemoryUsageRange:       b.MemoryUsageRange,
-		UsageReportInterval:    b.UsageReportInterval.Duration(),
-		SendsLoadReports:       b.SendsLoadReports,
-		DefaultRuntime:         b.DefaultRuntime.Duration(),
+// NodeModel returns the configuration of the model of a node. A node whose kind is not among kinds has no cores and no
+// memory.
+func NodeModel(
+	node settings.Node, kinds []settings.Kind, rules settings.Rules, behaviour settings.Behaviour, seed uint64,
+) nodemodel.Config {
+	cfg := nodemodel.Config{
+		Name:                   node.Name,
+		Zone:                   node.Zone,
+		CoreOvercommit:         rules.CoreOvercommit,
+		MemoryOvercommit:       rules.MemoryOvercommit,
+		OfferReviewTime:        behaviour.OfferReviewTime.Duration(),
+		MaxWaitingOffers:       behaviour.MaxWaitingOffers,
+		StartSlots:             behaviour.StartSlots,
+		CachedStartTime:        behaviour.CachedStartTime.Duration(),
+		UncachedStartFactor:    behaviour.UncachedStartFactor,
+		MaxCachedPrograms:      behaviour.MaxCachedPrograms,
+		SlowStartInitialRate:   behaviour.SlowStartInitialRate,
+		SlowStartDuration:      rules.SlowStartDuration.Duration(),
+		OverloadMultiple:       behaviour.OverloadMultiple,
+		OverloadWindow:         rules.OverloadWindow.Duration(),
+		SlowStartBudget:        rules.SlowStartBudget,
+		Preempts:               rules.Preempts,
+		DrainMigrationInterval: behaviour.DrainMigrationInterval.Duration(),
+		CoreUsageRange:         behaviour.CoreUsageRange,
+		MemoryUsageRange:       behaviour.MemoryUsageRange,
+		UsageReportInterval:    behaviour.UsageReportInterval.Duration(),
+		SendsLoadReports:       behaviour.SendsLoadReports,
+		DefaultRuntime:         behaviour.DefaultRuntime.Duration(),
 		Seed:                   seed,
 	}
-	if k := slices.IndexFunc(kinds, func(k settings.Kind) bool { return k.Name == n.Kind }); k >= 0 {
-		c.Cores, c.Memory = kinds[k].Cores, kinds[k].Memory
+	kind := slices.IndexFunc(kinds, func(k settings.Kind) bool { return k.Name == node.Kind })
+	if kind >= 0 {
+		cfg.Cores, cfg.Memory = kinds[kind].Cores, kinds[kind].Memory
 	}
-	if n.Warm {
-		c.SlowStartDuration = 0
+	if node.Warm {
+		cfg.SlowStartDuration = 0
 	}
-	return c
+	return cfg
 }
--- a/internal/lab/standin/fleet/fleet_test.go
+++ b/internal/lab/standin/fleet/fleet_test.go
@@ -8,6 +8,7 @@
 	"flaxshelf.example/flaxshelf/internal/settings"
 )
 
+// The settings of a fleet become models; a setting that makes no sense is rejected with its field.
 func TestFleet(t *testing.T) {
 	const text = `
 kinds: [{name: "k", cores: 8, memory: 32}]
@@ -31,7 +32,7 @@
 	} {
 		if _, err := settings.ParseFleet("f.cue", []byte(strings.Replace(text, c.from, c.to, 1))); err == nil ||
 			!strings.Contains(err.Error(), c.want) {
-			t.Errorf("%v does not say %q", err, c.want)
+			t.Errorf("%v does not contain %q", err, c.want)
 		}
 	}
 }
--- a/internal/lab/standin/host/inventory.go
+++ b/internal/lab/standin/host/inventory.go
@@ -90,7 +90,7 @@
 		m.do()
 	case m.gone:
 		if from := v.parties.remove(m.conn); from != "" {
-			v.send(v.model.Gone(now, from))
+			v.send(v.model.Disconnect(now, from))
 		}
 	case m.hello != nil:
 		v.parties.add(m.hello.Party, m.conn)
--- a/internal/lab/standin/inventorymodel/inventory.go
+++ b/internal/lab/standin/inventorymodel/inventory.go
@@ -1,5 +1,6 @@
-// Package inventorymodel owns how the stand-in inventory behaves: it lists nodes, late, whole or as a watch on
-// changes, and fails when told to. It must not do I/O or read a clock.
+// Package inventorymodel models the stand-in inventory, from which schedulers learn of nodes: it lists them with a delay,
+// as a complete list or as a watch on changes, and fails when a fault is set. The model is deterministic: it does no I/O
+// and reads no clock.
 package inventorymodel
 
 import (
@@ -14,63 +15,79 @@
 	"flaxshelf.example/flaxshelf/internal/timerqueue"
 )
 
-// Time is Unix nanoseconds.
+// Time is the time since the Unix epoch.
 type Time = time.Duration
 
-// Config is what an inventory is made of.
+// Config is the behaviour of an inventory.
 type Config struct {
-	Late      time.Duration // a change is seen so long after it was registered
-	GoneAfter time.Duration // a node whose connection broke is Out after so long
-	PerFrame  int           // entries of one listing
+	// DiscoveryDelay is how long after its registration a change is listed.
+	DiscoveryDelay time.Duration
+	// RemovalDelay is how long after its connection broke a node is removed, unless it registers anew.
+	RemovalDelay time.Duration
+	// MaxEntriesPerFrame bounds the entries of a frame of a complete list. 0: 2,000.
+	MaxEntriesPerFrame int
 }
 
-// Fault is a trouble put upon the inventory.
+const defaultMaxEntriesPerFrame = 2000
+
+// Fault is what goes wrong at the inventory. The zero value is an inventory without faults.
 type Fault struct {
-	Fails bool // asks are answered with an error and watches are dropped
-	Stale bool // nothing new is seen while it lasts
+	Fails bool // requests are answered with an error, and watches are dropped
+	Stale bool // no change is listed
 }
 
-// Send is a frame for a party.
+// Send is a frame that the inventory sends.
 type Send struct {
-	To    string
+	To    string // name of the scheduler or the node
 	Frame *nodepb.Frame
 }
 
 // Inventory is the model. Not safe for concurrent use.
+//
+// Each method that takes the time also does what has fallen due by then; a time before the last one counts as the last.
 type Inventory struct {
-	cfg      Config
-	now      Time
-	out      []Send
-	revision uint64
-	entries  map[string]*entry   // as they are
-	of       map[string][]*entry // by the party that registered them, in the order of their first words
-	leaving  timerqueue.Heap[*entry]
-	shown    map[string]*nodepb.Entry
-	pending  []change
+	cfg   Config
+	now   Time
+	out   []Send // frames of the call in progress
+	fault Fault
+
+	registrations map[string]*registration   // the latest of each node
+	bySource      map[string][]*registration // by the connection that registered them, in order of registration
+	removals      timerqueue.Heap[*registration]
+
+	listed   map[string]*nodepb.Entry // by node, as schedulers see them
+	revision uint64                   // of the list
+	pending  []change                 // not listed yet, in order of time
 	watchers []string
-	fault    Fault
 }
 
-type entry struct {
-	*nodepb.Entry
-	from string
-	due  timerqueue.Item[*entry] // when its node is taken for out; not queued while its connection stands
+// registration is what a node has last registered.
+type registration struct {
+	entry   *nodepb.Entry
+	source  string
+	removal timerqueue.Item[*registration] // queued while the connection is broken
 }
 
+// change is an entry that replaces the listed one of its node at a given time.
 type change struct {
 	at    Time
 	entry *nodepb.Entry
 }
 
-// New makes an empty inventory.
+// New returns an inventory that lists nothing.
 func New(cfg Config) *Inventory {
-	if cfg.PerFrame <= 0 {
-		cfg.PerFrame = 2000
+	if cfg.MaxEntriesPerFrame <= 0 {
+		cfg.MaxEntriesPerFrame = defaultMaxEntriesPerFrame
+	}
+	return &Inventory{
+		cfg:           cfg,
+		registrations: map[string]*registration{},
+		bySource:      map[string][]*registration{},
+		listed:        map[string]*nodepb.Entry{},
 	}
-	return &Inventory{cfg: cfg, entries: map[string]*entry{}, of: map[string][]*entry{}, shown: map[string]*nodepb.Entry{}}
 }
 
-// Register takes a node's word about itself, over the connection of party from.
+// Register handles the registration of a node over the connection named from.
 func (v *Inventory) Register(now Time, from string, e *nodepb.Entry) []Send {
 	v.begin(now)
 	v.register(from, e)
@@ -78,60 +95,23 @@
 	return v.out
 }
 
-// register keeps a node's word; the last party to speak for a node is the one whose connection counts.
-func (v *Inventory) register(from string, word *nodepb.Entry) {
-	if word == nil || word.Node == "" {
-		return
-	}
-	e := v.entries[word.Node]
-	if e == nil {
-		e = &entry{}
-		e.due.Value = e
-		v.entries[word.Node] = e
-	}
-	v.leaving.Remove(&e.due)
-	if e.from != from || e.Entry == nil {
-		v.disown(e)
-		e.from = from
-		v.of[from] = append(v.of[from], e)
-	}
-	e.Entry = word
-	v.change(v.now, word)
-}
-
-func (v *Inventory) disown(e *entry) {
-	left := slices.DeleteFunc(v.of[e.from], func(o *entry) bool { return o == e })
-	if len(left) == 0 {
-		delete(v.of, e.from)
-	} else {
-		v.of[e.from] = left
-	}
-}
-
-// Gone tells that a connection broke: a node behind it is taken for out after a while.
-func (v *Inventory) Gone(now Time, from string) []Send {
+// Disconnect handles the end of a connection: its watch ends, and its nodes are removed after RemovalDelay.
+func (v *Inventory) Disconnect(now Time, from string) []Send {
 	v.begin(now)
 	v.watchers = slices.DeleteFunc(v.watchers, func(w string) bool { return w == from })
-	for _, e := range v.of[from] {
-		v.leaving.Set(&e.due, v.now+v.cfg.GoneAfter)
+	for _, r := range v.bySource[from] {
+		v.removals.Set(&r.removal, v.now+v.cfg.RemovalDelay)
 	}
 	v.advance()
 	return v.out
 }
 
-// Receive takes a frame of a scheduler.
+// Receive handles a frame of a scheduler or a node. Frames of kinds that an inventory does not expect are ignored.
 func (v *Inventory) Receive(now Time, from string, f *nodepb.Frame) []Send {
 	v.begin(now)
 	switch b := f.Body.(type) {
 	case *nodepb.Frame_Watch:
-		if v.fault.Fails {
-			v.fail(from)
-			break
-		}
-		v.list(from)
-		if b.Watch.Changes && !slices.Contains(v.watchers, from) {
-			v.watchers = append(v.watchers, from)
-		}
+		v.watch(from, b.Watch.Changes)
 	case *nodepb.Frame_Ping:
 		v.send(from, &nodepb.Frame{Body: &nodepb.Frame_Pong{Pong: &nodepb.Pong{Token: b.Ping.Token}}})
 	case *nodepb.Frame_Register:
@@ -141,13 +121,13 @@
 	return v.out
 }
 
-// SetFault replaces the troubles.
+// SetFault replaces the faults of the inventory.
 func (v *Inventory) SetFault(now Time, f Fault) []Send {
 	v.begin(now)
 	v.fault = f
 	if f.Fails {
 		for _, w := range v.watchers {
-			v.fail(w)
+			v.sendError(w)
 		}
 		v.watchers = nil
 	}
@@ -155,29 +135,29 @@
 	return v.out
 }
 
-// Advance does what is due.
+// Advance does what has fallen due by now.
 func (v *Inventory) Advance(now Time) []Send {
 	v.begin(now)
 	v.advance()
 	return v.out
 }
 
-// Next is when something falls due.
+// Next returns when something falls due; the largest Time if nothing does.
 func (v *Inventory) Next() Time {
 	next := Time(math.MaxInt64)
 	if len(v.pending) > 0 && !v.fault.Stale {
 		next = v.pending[0].at
 	}
-	if at, ok := v.leaving.Next(); ok {
+	if at, ok := v.removals.Next(); ok {
 		next = min(next, at)
 	}
 	return next
 }
 
-// Shown is the list as schedulers see it now, by name.
+// Shown returns the list as schedulers see it now, in order of the nodes' names.
 func (v *Inventory) Shown() []*nodepb.Entry {
 	var all []*nodepb.Entry
-	for _, e := range v.shown {
+	for _, e := range v.listed {
 		all = append(all, e)
 	}
 	slices.SortFunc(all, func(a, b *nodepb.Entry) int { return cmp.Compare(a.Node, b.Node) })
@@ -186,9 +166,40 @@
 
 func (v *Inventory) begin(now Time) { v.now, v.out = max(now, v.now), nil }
 
-// change notes what is shown so much later than at.
-func (v *Inventory) change(at Time, e *nodepb.Entry) {
-	at += v.cfg.Late
+// register records what a node registers. The node belongs to the last connection that registered it.
+func (v *Inventory) register(from string, e *nodepb.Entry) {
+	if e == nil || e.Node == "" {
+		return
+	}
+	r := v.registrations[e.Node]
+	if r == nil {
+		r = &registration{}
+		r.removal.Value = r
+		v.registrations[e.Node] = r
+	}
+	v.removals.Remove(&r.removal)
+	if r.source != from || r.entry == nil {
+		v.detach(r)
+		r.source = from
+		v.bySource[from] = append(v.bySource[from], r)
+	}
+	r.entry = e
+	v.listLater(v.now, e)
+}
+
+// detach takes a registration from its connection.
+func (v *Inventory) detach(r *registration) {
+	rest := slices.DeleteFunc(v.bySource[r.source], func(o *registration) bool { return o == r })
+	if len(rest) == 0 {
+		delete(v.bySource, r.source)
+	} else {
+		v.bySource[r.source] = rest
+	}
+}
+
+// listLater lists an entry DiscoveryDelay after its change.
+func (v *Inventory) listLater(changed Time, e *nodepb.Entry) {
+	at := changed + v.cfg.DiscoveryDelay
 	i := len(v.pending)
 	for i > 0 && v.pending[i-1].at > at {
 		i--
@@ -196,58 +207,83 @@
 	v.pending = slices.Insert(v.pending, i, change{at, e})
 }
 
+// advance does what is due at v.now.
 func (v *Inventory) advance() {
-	for i := v.leaving.PopDue(v.now); i != nil; i = v.leaving.PopDue(v.now) {
-		gone := proto.Clone(i.Value.Entry).(*nodepb.Entry)
-		gone.Standing = nodepb.Standing_OUT
-		delete(v.entries, gone.Node)
-		v.disown(i.Value)
-		v.change(i.At(), gone)
-	}
+	v.removeDisconnected()
 	if v.fault.Stale {
 		return
 	}
-	var news []*nodepb.Entry
+	changes := v.listDue()
+	if len(changes) == 0 {
+		return
+	}
+	for _, w := range v.watchers {
+		v.send(w, listing(v.revision, false, changes))
+	}
+}
+
+// removeDisconnected removes the nodes whose connections broke RemovalDelay ago.
+func (v *Inventory) removeDisconnected() {
+	for due := v.removals.PopDue(v.now); due != nil; due = v.removals.PopDue(v.now) {
+		removed := proto.Clone(due.Value.entry).(*nodepb.Entry)
+		removed.Standing = nodepb.Standing_OUT
+		delete(v.registrations, removed.Node)
+		v.detach(due.Value)
+		v.listLater(due.At(), removed)
+	}
+}
+
+// listDue lists the pending changes that are due and returns those that differ from what was listed.
+func (v *Inventory) listDue() []*nodepb.Entry {
+	var changes []*nodepb.Entry
 	for len(v.pending) > 0 && v.pending[0].at <= v.now {
 		e := v.pending[0].entry
 		v.pending = v.pending[1:]
-		old := v.shown[e.Node]
+		old := v.listed[e.Node]
 		if old != nil && (old == e || proto.Equal(old, e)) {
 			continue
 		}
 		v.revision++
 		if e.Standing == nodepb.Standing_OUT {
-			delete(v.shown, e.Node)
+			delete(v.listed, e.Node)
 		} else {
-			v.shown[e.Node] = e
+			v.listed[e.Node] = e
 		}
-		news = append(news, e)
+		changes = append(changes, e)
 	}
-	if len(news) == 0 {
+	return changes
+}
+
+// watch answers a request for the list; with changes, the scheduler is sent each later change as well.
+func (v *Inventory) watch(from string, changes bool) {
+	if v.fault.Fails {
+		v.sendError(from)
 		return
 	}
-	for _, w := range v.watchers {
-		v.send(w, listing(v.revision, false, news))
+	v.sendList(from)
+	if changes && !slices.Contains(v.watchers, from) {
+		v.watchers = append(v.watchers, from)
 	}
 }
 
-func (v *Inventory) list(to string) {
-	all := v.Shown()
-	for first := true; first || len(all) > 0; first = false {
-		n := min(len(all), v.cfg.PerFrame)
-		f := listing(v.revision, first, all[:n])
-		all = all[n:]
-		f.GetListing().More = len(all) > 0
-		v.send(to, f)
+// sendList sends the complete list, in one frame at least.
+func (v *Inventory) sendList(to string) {
+	rest := v.Shown()
+	for first := true; first || len(rest) > 0; first = false {
+		count := min(len(rest), v.cfg.MaxEntriesPerFrame)
+		frame := listing(v.revision, first, rest[:count])
+		rest = rest[count:]
+		frame.GetListing().More = len(rest) > 0
+		v.send(to, frame)
 	}
 }
 
-func listing(rev uint64, whole bool, entries []*nodepb.Entry) *nodepb.Frame {
-	return &nodepb.Frame{Body: &nodepb.Frame_Listing{Listing: &nodepb.Listing{Revision: rev, Whole: whole,
+func listing(revision uint64, complete bool, entries []*nodepb.Entry) *nodepb.Frame {
+	return &nodepb.Frame{Body: &nodepb.Frame_Listing{Listing: &nodepb.Listing{Revision: revision, Whole: complete,
 		Entries: entries}}}
 }
 
-func (v *Inventory) fail(to string) {
+func (v *Inventory) sendError(to string) {
 	v.send(to, &nodepb.Frame{Body: &nodepb.Frame_ListError{ListError: &nodepb.ListError{
 		Message: "the inventory does not answer now"}}})
 }
--- a/internal/lab/standin/inventorymodel/inventory_test.go
+++ b/internal/lab/standin/inventorymodel/inventory_test.go
@@ -11,7 +11,8 @@
 
 const ms = time.Millisecond
 
-func say(out []Send) string {
+// describe writes frames in short form.
+func describe(out []Send) string {
 	var all []string
 	for _, s := range out {
 		switch b := s.Frame.Body.(type) {
@@ -30,53 +31,55 @@
 	return strings.Join(all, "; ")
 }
 
-func listed(name string, s nodepb.Standing) *nodepb.Entry {
+func entry(name string, s nodepb.Standing) *nodepb.Entry {
 	return &nodepb.Entry{Node: name, Standing: s}
 }
 
+// watch requests the list; with changes, as a watch.
 func watch(v *Inventory, now Time, from string, changes bool) string {
-	return say(v.Receive(now, from, &nodepb.Frame{Body: &nodepb.Frame_Watch{Watch: &nodepb.Watch{Changes: changes}}}))
+	return describe(v.Receive(now, from, &nodepb.Frame{Body: &nodepb.Frame_Watch{Watch: &nodepb.Watch{Changes: changes}}}))
 }
 
+// The list over time: delays, watches, removals and faults.
 func TestInventory(t *testing.T) {
-	v := New(Config{Late: 100 * ms, GoneAfter: 50 * ms, PerFrame: 2})
-	step := func(what, got, want string) {
+	v := New(Config{DiscoveryDelay: 100 * ms, RemovalDelay: 50 * ms, MaxEntriesPerFrame: 2})
+	expect := func(what, got, want string) {
 		t.Helper()
 		if got != want {
 			t.Errorf("%s: got %q, want %q", what, got, want)
 		}
 	}
-	v.Register(0, "n1", listed("n1", nodepb.Standing_IN))
-	step("asked at once", watch(v, 50*ms, "s", true), "s whole=true more=false []")
-	step("a change comes late", say(v.Advance(99*ms)), "")
-	step("to those who watch", say(v.Advance(100*ms)), "s whole=false more=false [n1:IN]")
-	step("the same again is no change", say(v.Register(100*ms, "n1", listed("n1", nodepb.Standing_IN))), "")
-	step("", say(v.Advance(200*ms)), "")
-	v.Register(200*ms, "n1", listed("n1", nodepb.Standing_DRAINING))
-	v.Register(200*ms, "n2", listed("n2", nodepb.Standing_IN))
-	v.Register(200*ms, "n3", listed("n3", nodepb.Standing_IN))
-	step("several at once", say(v.Advance(300*ms)), "s whole=false more=false [n1:DRAINING n2:IN n3:IN]")
-	step("a long list comes in parts", watch(v, 300*ms, "t", false),
+	v.Register(0, "n1", entry("n1", nodepb.Standing_IN))
+	expect("a list before the delay", watch(v, 50*ms, "s", true), "s whole=true more=false []")
+	expect("just before the delay ends", describe(v.Advance(99*ms)), "")
+	expect("to a watcher after the delay", describe(v.Advance(100*ms)), "s whole=false more=false [n1:IN]")
+	expect("an equal registration", describe(v.Register(100*ms, "n1", entry("n1", nodepb.Standing_IN))), "")
+	expect("nothing after an equal registration", describe(v.Advance(200*ms)), "")
+	v.Register(200*ms, "n1", entry("n1", nodepb.Standing_DRAINING))
+	v.Register(200*ms, "n2", entry("n2", nodepb.Standing_IN))
+	v.Register(200*ms, "n3", entry("n3", nodepb.Standing_IN))
+	expect("several changes at once", describe(v.Advance(300*ms)), "s whole=false more=false [n1:DRAINING n2:IN n3:IN]")
+	expect("a list of two frames", watch(v, 300*ms, "t", false),
 		"t whole=true more=true [n1:DRAINING n2:IN]; t whole=false more=false [n3:IN]")
-	v.Gone(300*ms, "n2")
-	step("gone for a while", say(v.Advance(349*ms)), "")
-	v.Register(349*ms, "n2 again", listed("n2", nodepb.Standing_IN))
-	step("and back", say(v.Advance(460*ms)), "")
-	v.Gone(460*ms, "n2 again")
-	step("gone for good", say(v.Advance(610*ms)), "s whole=false more=false [n2:OUT]")
-	step("a sign", say(v.Receive(610*ms, "s", &nodepb.Frame{Body: &nodepb.Frame_Ping{Ping: &nodepb.Ping{}}})), "s pong")
+	v.Disconnect(300*ms, "n2")
+	expect("disconnected for less than the delay", describe(v.Advance(349*ms)), "")
+	v.Register(349*ms, "n2 reconnected", entry("n2", nodepb.Standing_IN))
+	expect("registered over another connection", describe(v.Advance(460*ms)), "")
+	v.Disconnect(460*ms, "n2 reconnected")
+	expect("removed", describe(v.Advance(610*ms)), "s whole=false more=false [n2:OUT]")
+	expect("ping", describe(v.Receive(610*ms, "s", &nodepb.Frame{Body: &nodepb.Frame_Ping{Ping: &nodepb.Ping{}}})), "s pong")
 
-	step("stale", say(v.SetFault(700*ms, Fault{Stale: true})), "")
-	v.Register(700*ms, "n4", listed("n4", nodepb.Standing_IN))
-	step("nothing new", say(v.Advance(900*ms)), "")
-	step("then all", say(v.SetFault(900*ms, Fault{})), "s whole=false more=false [n4:IN]")
+	expect("fault set: stale", describe(v.SetFault(700*ms, Fault{Stale: true})), "")
+	v.Register(700*ms, "n4", entry("n4", nodepb.Standing_IN))
+	expect("stale", describe(v.Advance(900*ms)), "")
+	expect("fault cleared: the pending change", describe(v.SetFault(900*ms, Fault{})), "s whole=false more=false [n4:IN]")
 
-	step("failing drops watches", say(v.SetFault(time.Second, Fault{Fails: true})), "s error")
-	step("and asks", watch(v, time.Second, "s", true), "s error")
+	expect("fault set: watches are dropped", describe(v.SetFault(time.Second, Fault{Fails: true})), "s error")
+	expect("a request fails", watch(v, time.Second, "s", true), "s error")
 	v.SetFault(1100*ms, Fault{})
-	v.Register(1100*ms, "n5", listed("n5", nodepb.Standing_IN))
-	step("nobody watches", say(v.Advance(1300*ms)), "")
+	v.Register(1100*ms, "n5", entry("n5", nodepb.Standing_IN))
+	expect("no watchers after the fault", describe(v.Advance(1300*ms)), "")
 	if names := len(v.Shown()); names != 4 {
-		t.Errorf("%d are shown", names)
+		t.Errorf("%d nodes are listed, want 4", names)
 	}
 }
--- a/internal/lab/trial/bench_test.go
+++ b/internal/lab/trial/bench_test.go
@@ -40,7 +40,7 @@
 // newRig starts n nodes of so many cores and a scheduler that decides on `of` cores. Close ends them.
 func newRig(b *testing.B, n int, cores float64, of int) *rig {
 	b.Helper()
-	inv, err := host.StartInventory("127.0.0.1:0", inventorymodel.Config{GoneAfter: time.Second}, zerolog.Nop())
+	inv, err := host.StartInventory("127.0.0.1:0", inventorymodel.Config{RemovalDelay: time.Second}, zerolog.Nop())
 	if err != nil {
 		b.Fatal(err)
 	}
