--- a/internal/lab/emulator/world.go
+++ b/internal/lab/emulator/world.go
@@ -107,8 +107,8 @@
 	w.owners.from = scenario.Seconds(opt.MeasureFrom)
 	w.director = &director{w: w}
 	w.director.id = w.e.add(w.director)
-	w.inventory = &inventory{w: w, model: inventorymodel.New(inventorymodel.Config{DiscoveryDelay: d.Late.Duration(),
-		RemovalDelay: d.GoneAfter.Duration()}), names: map[int32]string{}, ids: map[string]int32{}}
+	w.inventory = &inventory{w: w, model: inventorymodel.New(inventorymodel.Config{DiscoveryDelay: d.DiscoveryDelay.Duration(),
+		RemovalDelay: d.RemovalDelay.Duration()}), names: map[int32]string{}, ids: map[string]int32{}}
 	w.inventory.id = w.e.add(w.inventory)
 	w.inventory.lines = newLines(opt.Seed, w.inventory.id)
 	for _, p := range d.Places() {
--- a/internal/lab/scenario/format_test.go
+++ b/internal/lab/scenario/format_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// dayText is a day with every field set. Its JSON, written by the build of commit ad3e0ee, is storedDay and, as the
-// configuration of a scheduler, storedSchedulerFile.
+// dayText is a day with every field set. storedDay is its JSON, and storedSchedulerFile the configuration of a scheduler, both
+// written by the build of commit ad3e0ee.
 const (
 	dayText             = "testdata/day.cue"
 	storedDay           = "testdata/day.json"
@@ -53,7 +53,7 @@
 	return fields
 }
 
-// The JSON of a day keeps its names, whatever the fields are called: experiments tell by its hash which results they have.
+// The JSON of a day keeps its names, whatever the fields are called: experiments know their stored results by its hash.
 func TestStoredDay(t *testing.T) {
 	d := parseDay(t)
 	if fields := unset("Day", reflect.ValueOf(*d)); fields != nil {
--- /dev/null
+++ b/internal/lab/scenario/read.go
@@ -0,0 +1,118 @@
+package scenario
+
+import (
+	"embed"
+	"fmt"
+	"os"
+	"path"
+	"path/filepath"
+	"sort"
+	"strings"
+
+	"flaxshelf.example/flaxshelf/internal/settings"
+)
+
+//go:embed schema.cue
+var schema string
+
+//go:embed days/*.cue
+var days embed.FS
+
+// everyClass as a fault's class stands for all classes.
+const everyClass = "*"
+
+// UnknownDayError is returned by Read for a name that is neither a day that ships with the program nor a readable file.
+type UnknownDayError struct {
+	Name string
+	Err  error // of reading the file
+}
+
+func (e *UnknownDayError) Error() string {
+	return fmt.Sprintf("no day of that name (there are %s) and no such file: %v", strings.Join(Names(), ", "), e.Err)
+}
+
+// Unwrap returns the error of reading the file.
+func (e *UnknownDayError) Unwrap() error { return e.Err }
+
+// Names returns the names of the days that ship with the program, sorted.
+func Names() []string {
+	entries, _ := days.ReadDir("days") // the folder is part of the binary
+	var names []string
+	for _, e := range entries {
+		names = append(names, strings.TrimSuffix(e.Name(), ".cue"))
+	}
+	sort.Strings(names)
+	return names
+}
+
+// Read reads a day by its name, or from a file. It returns an UnknownDayError if there is neither, and settings.Problems if
+// the day is not valid.
+func Read(name string) (*Day, error) {
+	if text, err := days.ReadFile(path.Join("days", name+".cue")); err == nil {
+		return Parse(name, text)
+	}
+	text, err := os.ReadFile(name)
+	if err != nil {
+		return nil, &UnknownDayError{Name: name, Err: err}
+	}
+	return Parse(name, text)
+}
+
+// Parse reads a day from the text of a CUE file. It returns settings.Problems if the day is not valid; name is the file's
+// name in them.
+func Parse(name string, text []byte) (*Day, error) {
+	file, err := settings.Read(name, text, "#Trial", schema)
+	if err != nil {
+		return nil, err
+	}
+	d := &Day{Name: strings.TrimSuffix(filepath.Base(name), ".cue")}
+	if err := file.Decode(d); err != nil {
+		return nil, err
+	}
+	for i := range d.Load {
+		if d.Load[i].To == 0 {
+			d.Load[i].To = d.Seconds
+		}
+	}
+	d.checkFleet(file)
+	d.checkLoad(file)
+	d.checkTroubles(file)
+	return d, file.Err()
+}
+
+func (d *Day) checkFleet(file *settings.File) {
+	kinds := map[string]bool{}
+	for _, k := range d.Kinds {
+		kinds[k.Name] = true
+	}
+	for i, g := range d.Fleet {
+		if !kinds[g.Kind] {
+			file.Fail(fmt.Sprintf("fleet[%d].kind", i), "no kind %q, expected one of kinds", g.Kind)
+		}
+	}
+}
+
+func (d *Day) checkLoad(file *settings.File) {
+	for i, l := range d.Load {
+		if d.Class(l.Class) == nil {
+			file.Fail(fmt.Sprintf("load[%d].class", i), "no class %q, expected one of classes", l.Class)
+		}
+		if l.Life[1] < l.Life[0] {
+			file.Fail(fmt.Sprintf("load[%d].life", i), "is %v, expected two rising durations", l.Life)
+		}
+	}
+}
+
+func (d *Day) checkTroubles(file *settings.File) {
+	for i, t := range d.Troubles {
+		if t.Class != "" && t.Class != everyClass && d.Class(t.Class) == nil {
+			file.Fail(fmt.Sprintf("troubles[%d].class", i), "no class %q, expected one of classes", t.Class)
+		}
+		for j, s := range t.Schedulers {
+			if s >= d.Schedulers {
+				file.Fail(fmt.Sprintf("troubles[%d].schedulers[%d]", i, j), "no scheduler %d, there are %d", s,
+					d.Schedulers)
+			}
+		}
+	}
+}
--- /dev/null
+++ b/internal/lab/scenario/schedulerfile.go
@@ -0,0 +1,86 @@
+package scenario
+
+import (
+	"encoding/json"
+	"fmt"
+	"strings"
+
+	"flaxshelf.example/flaxshelf/internal/settings"
+)
+
+// schedulerFile is the configuration file of a scheduler, the record #Scheduler of the settings' schema.
+type schedulerFile struct {
+	Name           string            `json:"name"`
+	Listen         string            `json:"listen"`
+	Inventory      string            `json:"inventory"`
+	Index          int               `json:"index"`
+	Schedulers     int               `json:"schedulers"`
+	Cores          int               `json:"cores"`
+	Zone           string            `json:"zone"`
+	Seed           uint64            `json:"seed"`
+	ListsFree      bool              `json:"listsFree"`
+	RunsWhenPlaced bool              `json:"runsWhenPlaced"`
+	Classes        []settings.Class  `json:"classes"`
+	Kinds          []settings.Kind   `json:"kinds"`
+	Tenants        []settings.Tenant `json:"tenants,omitempty"`
+	Rules          settings.Rules    `json:"rules"`
+	Limits         settings.Limits   `json:"limits"`
+	Log            string            `json:"log"`
+	Tap            string            `json:"tap"`
+}
+
+// SchedulerFile returns the configuration file of scheduler i as JSON, which is CUE as well. inventory and tap are the
+// addresses of the inventory and of the recording proxy.
+func (d *Day) SchedulerFile(i int, inventory, tap string, seed uint64) ([]byte, error) {
+	fail := func(err error) ([]byte, error) {
+		return nil, fmt.Errorf("scenario: configuration of scheduler %s: %w", SchedulerName(i), err)
+	}
+	text, err := json.Marshal(schedulerFile{
+		Name:           SchedulerName(i),
+		Listen:         "127.0.0.1:0",
+		Inventory:      inventory,
+		Index:          i,
+		Schedulers:     d.Schedulers,
+		Cores:          max(d.Cores, 1),
+		Zone:           d.Zone(i),
+		Seed:           seed,
+		ListsFree:      d.ListsFree,
+		RunsWhenPlaced: d.RunsWhenPlaced,
+		Classes:        d.Classes,
+		Kinds:          d.Kinds,
+		Tenants:        d.Tenants,
+		Rules:          d.Rules,
+		Limits:         d.Limits,
+		Log:            "info",
+		Tap:            tap,
+	})
+	if err != nil {
+		return fail(err)
+	}
+	var fields any
+	if err := json.Unmarshal(text, &fields); err != nil {
+		return fail(err)
+	}
+	return json.MarshalIndent(lowerFieldNames(fields), "", "  ")
+}
+
+// lowerFieldNames lowers the first letter of every field name: the JSON names of the settings' records begin with a
+// capital letter, those of the schema do not.
+func lowerFieldNames(value any) any {
+	switch value := value.(type) {
+	case map[string]any:
+		lowered := make(map[string]any, len(value))
+		for name, v := range value {
+			lowered[strings.ToLower(name[:1])+name[1:]] = lowerFieldNames(v)
+		}
+		return lowered
+	case []any:
+		for i := range value {
+			value[i] = lowerFieldNames(value[i])
+		}
+	}
+	return value
+}
+
+// SchedulerName returns the name of scheduler i.
+func SchedulerName(i int) string { return fmt.Sprintf("s%d", i) }
--- a/internal/lab/scenario/schema.cue
+++ b/internal/lab/scenario/schema.cue
@@ -1,9 +1,9 @@
 
-// #Trial is a scripted day: a fleet, a load and troubles at given times. Times are seconds from the start.
+// #Trial is a scripted day: a fleet, a load and faults at given times. Times are seconds from the start.
 #Trial: {
 	about:   string
 	seconds: *10 | (number & >0 & <=3600)
-	// How long the trial waits, after its last submission, for what is open.
+	// Seconds that the trial waits, after its last submission, for open tasks.
 	after: *7 | (number & >=0)
 	schedulers: *3 | (int & >=1 & <=1000)
 	cores:      *1 | (int & >=1 & <=64) // of each scheduler
@@ -13,7 +13,7 @@
 	rules:     #Rules
 	limits:    #Limits
 	behaviour: #Behaviour
-	// What a scheduler's core needs, for the emulator: nothing unless told.
+	// What a step of a scheduler's core, and each of its inputs, costs in the emulator.
 	cpu: {step: *"0s" | #Duration, input: *"0s" | #Duration}
 	late:      *"100ms" | #Duration
 	goneAfter: *"300ms" | #Duration
@@ -24,7 +24,7 @@
 	troubles: [...#Trouble]
 }
 
-// #Group is nodes of one kind in one room. They are named after the group, from 0 on.
+// #Group is a number of nodes of one kind in one zone. They are named after the group, from 0 on.
 #Group: {
 	name:  #Name
 	count: int & >=1
@@ -34,7 +34,7 @@
 	warm:  *true | bool
 }
 
-// #Load is submissions of one class, open-loop: they keep coming whatever becomes of them.
+// #Load is an open-loop stream of submissions of one class: its rate does not depend on their outcomes.
 #Load: {
 	class:     #Name
 	perSecond: number & >0
@@ -46,27 +46,27 @@
 	memory:    *0 | number
 	rerunnable: *false | bool
 	tenant:    *"" | #Name
-	// Shares of the jobs that their owners terminate, or hold and release, soon after the submission.
+	// Shares of the jobs that their clients terminate, or hold and release, soon after the submission.
 	terminate: *0 | (number & >=0 & <=1)
 	hold:      *0 | (number & >=0 & <=1)
-	// An owner that was refused, failed or told to try later asks again after `retry`, until `patience` is over. Only
-	// the emulator's owners do.
+	// A client submits anew after `retry` what was rejected or failed, until `patience` is over. Only the emulator's
+	// clients do.
 	retry:    *"0s" | #Duration
 	patience: *"0s" | #Duration
 }
 
-// #Trouble is put upon some nodes, schedulers or connections at a time, for a while.
+// #Trouble is a fault of some nodes, schedulers or connections, from a given time on for a while.
 #Trouble: {
 	at:  number & >=0
 	for: *0 | (number & >=0)
 	do:  "fail-starts" | "silent" | "swell" | "crowd" | "drop-programs" | // of nodes
-		"drain" | "deploy" | "lose" | "restart" | "shrink" | // of nodes' lives
+		"drain" | "deploy" | "lose" | "restart" | "shrink" | // of nodes' incarnations
 		"stop-scheduler" | "kill-scheduler" | "term-scheduler" |
 		"burst" | "hot-service" |
 		"cut" | "cut-reply" | "half-open" | "delay" | "stall" | // of the connections to nodes
 		"inventory-fails" | "inventory-stale" | "inventory-cut" |
 		"client-cut" | "rude-clients"
-	// Which nodes: those of a room, and of them a share, drawn by the seed.
+	// Which nodes: those of a zone, and of them a share, drawn by the seed.
 	zone:  *"" | #Name
 	share: *1 | (number & >=0 & <=1)
 	// Which schedulers, by index; none: the first.
@@ -75,8 +75,8 @@
 	factor: *1 | (number & >=0)
 }
 
-// #Town is what most days build on: twelve nodes of two kinds in three rooms, three schedulers, three classes
-// whose second start does no harm, is dropped in one room for a while, or is never allowed.
+// #Town is what most days build on: twelve nodes of two kinds in three zones, three schedulers, and a class for each
+// idempotency: idempotent, idempotent by key within a zone, and not idempotent.
 #Town: #Trial & {
 	kinds: [{name: "medium", cores: 24, memory: 96}, {name: "large", cores: 48, memory: 192}]
 	classes: [
--- a/internal/lab/trial/cluster.go
+++ b/internal/lab/trial/cluster.go
@@ -80,8 +80,8 @@
 	rec *recordproxy.Recorder) (*cluster, error) {
 	c := &cluster{day: d, opt: opt, dir: dir, rec: rec, log: zerolog.Nop(), rooms: map[string]nodemodel.Keys{}}
 	var err error
-	c.inv, err = host.StartInventory("127.0.0.1:0", inventorymodel.Config{DiscoveryDelay: d.Late.Duration(),
-		RemovalDelay: d.GoneAfter.Duration()}, c.log)
+	c.inv, err = host.StartInventory("127.0.0.1:0", inventorymodel.Config{DiscoveryDelay: d.DiscoveryDelay.Duration(),
+		RemovalDelay: d.RemovalDelay.Duration()}, c.log)
 	if err != nil {
 		return nil, err
 	}
