--- a/internal/lab/load/capture.go
+++ b/internal/lab/load/capture.go
@@ -9,72 +9,96 @@
 	"flaxshelf.example/flaxshelf/drmaa2"
 )
 
-// quiet is how long a capture may hear nothing before it notes a gap.
-const quiet = 30 * time.Second
+// gapAfter is how long a capture may receive nothing before it records a gap.
+const gapAfter = 30 * time.Second
 
-// Capture listens to a scheduler for a while and makes a trace of the jobs that were submitted meanwhile.
-func Capture(ctx context.Context, c *drmaa2.Client, d time.Duration) (*Trace, error) {
-	m, err := c.OpenMonitoringSession(ctx)
+// Capture watches a scheduler for the given time and returns a trace of the jobs that were submitted meanwhile.
+func Capture(ctx context.Context, client *drmaa2.Client, length time.Duration) (*Trace, error) {
+	session, err := client.OpenMonitoringSession(ctx)
 	if err != nil {
 		return nil, fmt.Errorf("load: capture: %w", err)
 	}
-	ctx, cancel := context.WithTimeout(ctx, d)
+	ctx, cancel := context.WithTimeout(ctx, length)
 	defer cancel()
-	k := &capture{t: &Trace{Source: "daemon", Start: time.Now()}, jobs: map[string]int{}}
-	k.last = k.t.Start
-	err = m.Watch(ctx, func(i drmaa2.JobInfo) bool { k.heard(&i, time.Now()); return true })
+	c := newCapture(time.Now())
+	err = session.Watch(ctx, func(i drmaa2.JobInfo) bool { c.receive(&i, time.Now()); return true })
 	if ctx.Err() == nil && err != nil {
 		return nil, fmt.Errorf("load: capture: %w", err)
 	}
-	return k.end(time.Now()), nil
+	return c.finish(time.Now()), nil
 }
 
+// capture is a trace in the making. Not safe for concurrent use.
 type capture struct {
-	t       *Trace
-	jobs    map[string]int // index in t.Jobs
-	started []time.Time
-	last    time.Time
+	trace        *Trace
+	indexes      map[string]int // in trace.Jobs, by job identifier
+	started      []time.Time    // of each job of the trace; zero: not yet
+	lastReceived time.Time
 }
 
-func (k *capture) heard(i *drmaa2.JobInfo, now time.Time) {
-	if now.Sub(k.last) > quiet {
-		k.t.Gaps = append(k.t.Gaps, Gap{k.last.Sub(k.t.Start), now.Sub(k.t.Start)})
+func newCapture(start time.Time) *capture {
+	return &capture{
+		trace:        &Trace{Source: "daemon", Start: start},
+		indexes:      map[string]int{},
+		lastReceived: start,
 	}
-	k.last = now
-	n, known := k.jobs[i.JobID]
+}
+
+// receive records the state of a job.
+func (c *capture) receive(i *drmaa2.JobInfo, now time.Time) {
+	if now.Sub(c.lastReceived) > gapAfter {
+		c.trace.Gaps = append(c.trace.Gaps, Gap{c.lastReceived.Sub(c.trace.Start), now.Sub(c.trace.Start)})
+	}
+	c.lastReceived = now
+	index, known := c.indexes[i.JobID]
 	if !known {
-		if i.SubmissionTime.Before(k.t.Start) {
-			return // it was there before
+		if i.SubmissionTime.Before(c.trace.Start) {
+			return // the job is older than the capture
 		}
-		own := i.ImplementationSpecific
-		number := func(name string) float64 { v, _ := strconv.ParseFloat(own[name], 64); return v } // 0 where untold
-		n = len(k.t.Jobs)
-		k.jobs[i.JobID] = n
-		k.t.Jobs = append(k.t.Jobs, Job{At: i.SubmissionTime.Sub(k.t.Start), Class: own[drmaa2.AttrClass],
-			Service: own[drmaa2.AttrService], Tenant: own[drmaa2.AttrTenant], Cores: number(drmaa2.AttrCores),
-			Memory: number(drmaa2.AttrMemory), CutOff: true})
-		k.started = append(k.started, time.Time{})
+		index = c.add(i)
 	}
-	j := &k.t.Jobs[n]
-	if o := i.ImplementationSpecific[drmaa2.AttrOutcome]; o != "" && j.Outcome == "" {
-		j.Outcome = o
+	j := &c.trace.Jobs[index]
+	if outcome := i.ImplementationSpecific[drmaa2.AttrOutcome]; outcome != "" && j.Outcome == "" {
+		j.Outcome = outcome
 	}
 	if i.DispatchTime != nil {
-		k.started[n] = *i.DispatchTime
+		c.started[index] = *i.DispatchTime
 	}
 	if i.FinishTime != nil && i.DispatchTime != nil {
-		// A life that its node or its owner cut short says only that it would have been longer.
+		// A job that its node or its client ended early would have run longer.
 		j.Life, j.CutOff = i.FinishTime.Sub(*i.DispatchTime), i.JobSubState != "exited"
 	}
 }
 
-// end closes the lives that still go on.
-func (k *capture) end(now time.Time) *Trace {
-	for n := range k.t.Jobs {
-		if j := &k.t.Jobs[n]; j.CutOff && j.Life == 0 && !k.started[n].IsZero() {
-			j.Life = now.Sub(k.started[n])
+// add adds a job to the trace and returns its index.
+func (c *capture) add(i *drmaa2.JobInfo) int {
+	attributes := i.ImplementationSpecific
+	number := func(name string) float64 {
+		value, _ := strconv.ParseFloat(attributes[name], 64) // 0 if the job does not have the attribute
+		return value
+	}
+	index := len(c.trace.Jobs)
+	c.indexes[i.JobID] = index
+	c.trace.Jobs = append(c.trace.Jobs, Job{
+		At:      i.SubmissionTime.Sub(c.trace.Start),
+		Class:   attributes[drmaa2.AttrClass],
+		Service: attributes[drmaa2.AttrService],
+		Tenant:  attributes[drmaa2.AttrTenant],
+		Cores:   number(drmaa2.AttrCores),
+		Memory:  number(drmaa2.AttrMemory),
+		CutOff:  true,
+	})
+	c.started = append(c.started, time.Time{})
+	return index
+}
+
+// finish takes the time until now as the runtime of jobs that still run, and returns the trace.
+func (c *capture) finish(now time.Time) *Trace {
+	for n := range c.trace.Jobs {
+		if j := &c.trace.Jobs[n]; j.CutOff && j.Life == 0 && !c.started[n].IsZero() {
+			j.Life = now.Sub(c.started[n])
 		}
 	}
-	k.t.sort()
-	return k.t
+	c.trace.sort()
+	return c.trace
 }
--- /dev/null
+++ b/internal/lab/load/latency.go
@@ -0,0 +1,53 @@
+package load
+
+import (
+	"fmt"
+	"sync"
+	"time"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
+)
+
+const (
+	// maxLatency is the longest latency that a LatencyHistogram tells apart.
+	maxLatency = time.Hour
+	// latencyDigits is its precision in significant digits.
+	latencyDigits = 3
+)
+
+// LatencyHistogram is the distribution of latencies in microseconds. Safe for concurrent use.
+type LatencyHistogram struct {
+	mu        sync.Mutex
+	histogram *hdrhistogram.Histogram
+}
+
+// NewLatencyHistogram returns an empty histogram.
+func NewLatencyHistogram() *LatencyHistogram {
+	return &LatencyHistogram{histogram: hdrhistogram.New(1, maxLatency.Microseconds(), latencyDigits)}
+}
+
+// Record adds a latency. Those under 1 µs or over an hour count as these.
+func (l *LatencyHistogram) Record(d time.Duration) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	_ = l.histogram.RecordValue(min(max(d.Microseconds(), 1), maxLatency.Microseconds())) // always within the bounds
+}
+
+// At returns the latency that the given percentage of all does not exceed.
+func (l *LatencyHistogram) At(percent float64) time.Duration {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return time.Duration(l.histogram.ValueAtQuantile(percent)) * time.Microsecond
+}
+
+// Max returns the longest latency.
+func (l *LatencyHistogram) Max() time.Duration {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return time.Duration(l.histogram.Max()) * time.Microsecond
+}
+
+// String returns the main percentiles.
+func (l *LatencyHistogram) String() string {
+	return fmt.Sprintf("p50 %v p90 %v p99 %v p99.9 %v max %v", l.At(50), l.At(90), l.At(99), l.At(99.9), l.Max())
+}
--- /dev/null
+++ b/internal/lab/load/plan.go
@@ -0,0 +1,120 @@
+package load
+
+import (
+	_ "embed"
+	"fmt"
+	"math/rand/v2"
+	"time"
+
+	"flaxshelf.example/flaxshelf/internal/settings"
+)
+
+//go:embed schema.cue
+var schema string
+
+// Stream is submissions of one class, the record #Stream of the schema.
+type Stream struct {
+	Class    string              `json:"class"`
+	Tenant   string              `json:"tenant"`
+	Shape    Shape               `json:"shape"`
+	Runtimes RuntimeDistribution `json:"lives"`
+	Services int                 `json:"services"` // number of services that the submissions are spread over
+	HotShare float64             `json:"popular"`  // share that goes to the first service beyond its even share
+	Cores    float64             `json:"cores"`    // requested; 0: as the class has it
+	Memory   float64             `json:"memory"`   // requested, in GiB; 0: as the class has it
+}
+
+// Plan is a load made of streams, the record #Plan of the schema.
+type Plan struct {
+	About   string   `json:"about"`
+	Seconds float64  `json:"seconds"` // length
+	Streams []Stream `json:"streams"`
+}
+
+// ParsePlan reads a plan from the text of a CUE file. It returns settings.Problems if the plan is not valid; name is the
+// file's name in them.
+func ParsePlan(name string, text []byte) (*Plan, error) {
+	file, err := settings.Read(name, text, "#Plan", schema)
+	if err != nil {
+		return nil, err
+	}
+	p := &Plan{}
+	if err := file.Decode(p); err != nil {
+		return nil, err
+	}
+	for i, s := range p.Streams {
+		if s.Runtimes.Law == lawPareto && s.Runtimes.Tail <= 1 {
+			file.Fail(fmt.Sprintf("streams[%d].lives.tail", i),
+				"is %v, expected above 1: the mean would be infinite", s.Runtimes.Tail)
+		}
+		if s.Shape.Kind == shapeDiurnal && s.Shape.Every <= 0 {
+			file.Fail(fmt.Sprintf("streams[%d].shape.every", i), "is %v, expected the length of a day above 0",
+				s.Shape.Every)
+		}
+	}
+	return p, file.Err()
+}
+
+// maxJobs bounds the jobs of a stream.
+const maxJobs = 10_000_000
+
+// TooManyJobsError is returned by Jobs for a plan with a stream that could exceed the limit.
+type TooManyJobsError struct {
+	Stream int
+	Jobs   float64 // that the stream could have
+}
+
+func (e *TooManyJobsError) Error() string {
+	return fmt.Sprintf("load: the plan has too many jobs: streams[%d] may have %.0f, the limit is %d", e.Stream, e.Jobs, maxJobs)
+}
+
+// What the sources of random numbers of a stream are for. Each has its own, so that a change of one law leaves what the
+// others draw as it was.
+const (
+	arrivalSource = 1 + iota
+	runtimeSource
+	serviceSource
+)
+
+// Jobs draws the submissions of the plan. They depend on the plan and the seed alone.
+func (p *Plan) Jobs(seed uint64) (*Trace, error) {
+	t := &Trace{Source: "plan"}
+	for i := range p.Streams {
+		s := &p.Streams[i]
+		if jobs := s.Shape.maxRate() * p.Seconds; jobs > maxJobs {
+			return nil, &TooManyJobsError{Stream: i, Jobs: jobs}
+		}
+		source := func(purpose uint64) rand.Source { return rand.NewPCG(seed, uint64(i)<<8|purpose) }
+		t.Jobs = append(t.Jobs, s.jobs(p.Seconds, source)...)
+	}
+	t.sort()
+	return t, nil
+}
+
+// jobs draws the submissions of a stream by thinning: candidates come at the highest rate, and each is retained with the
+// share that the rate of its time has of it.
+func (s *Stream) jobs(length float64, source func(purpose uint64) rand.Source) []Job {
+	arrivals, services := rand.New(source(arrivalSource)), rand.New(source(serviceSource))
+	runtime := s.Runtimes.sampler(source(runtimeSource))
+	maxRate := s.Shape.maxRate()
+	var jobs []Job
+	for at := arrivals.ExpFloat64() / maxRate; at < length; at += arrivals.ExpFloat64() / maxRate {
+		if arrivals.Float64()*maxRate >= s.Shape.rate(at, length) {
+			continue
+		}
+		service := services.IntN(max(s.Services, 1))
+		if services.Float64() < s.HotShare {
+			service = 0
+		}
+		jobs = append(jobs, Job{
+			At:      time.Duration(at * float64(time.Second)),
+			Class:   s.Class,
+			Tenant:  s.Tenant,
+			Service: fmt.Sprintf("%s-%d", s.Class, service),
+			Cores:   s.Cores,
+			Memory:  s.Memory,
+			Life:    runtime(),
+		})
+	}
+	return jobs
+}
--- a/internal/lab/load/schema.cue
+++ b/internal/lab/load/schema.cue
@@ -1,8 +1,8 @@
 
-// #Shape is submissions a second over time, in seconds from the start.
+// #Shape is the rate of submissions over time. Times are seconds from the start.
 #Shape: {
-	// steady; ramp: from perSecond to peak over the whole time; burst: peak for `for` seconds from `from` on, again
-	// after `every`; cold-snap: up fast, down slowly, within `for` seconds; diurnal: between perSecond and peak and
+	// steady; ramp: from perSecond to peak over the whole time; burst: peak for `for` seconds from `from` on, which
+	// recurs after `every`; cold-snap: up fast, down slowly, within `for` seconds; diurnal: between perSecond and peak and
 	// back within `every` seconds.
 	kind:      *"steady" | "ramp" | "burst" | "cold-snap" | "diurnal"
 	perSecond: number & >0 & <=100000
@@ -12,7 +12,7 @@
 	every:     *0 | (number & >=0)
 }
 
-// #Lives is how long jobs run.
+// #Lives is the distribution of the runtimes of jobs.
 #Lives: {
 	law:   *"exponential" | "constant" | "lognormal" | "pareto"
 	mean:  *"5s" | #Duration
@@ -21,6 +21,7 @@
 	least: *"1ms" | #Duration
 }
 
+// #Stream is submissions of one class.
 #Stream: {
 	class:    #Name
 	tenant:   *"" | #Name
@@ -32,6 +33,7 @@
 	memory:   *0 | (number & >=0)
 }
 
+// #Plan is a load made of streams.
 #Plan: {
 	about:   string
 	seconds: number & >0 & <=86400
--- a/internal/lab/load/send.go
+++ b/internal/lab/load/send.go
@@ -9,70 +9,30 @@
 	"sync"
 	"time"
 
-	"github.com/HdrHistogram/hdrhistogram-go"
-
 	"flaxshelf.example/flaxshelf/drmaa2"
 )
 
-// Tail is a latency's distribution in microseconds, from the intended time of each submission. What the sender or the
-// scheduler was late with counts in full.
-type Tail struct {
-	mu sync.Mutex
-	h  *hdrhistogram.Histogram
-}
-
-// longest is what a Tail tells apart at most.
-const longest = time.Hour
-
-// NewTail makes an empty one with three digits.
-func NewTail() *Tail { return &Tail{h: hdrhistogram.New(1, longest.Microseconds(), 3)} }
-
-// Record adds a latency.
-func (t *Tail) Record(d time.Duration) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	_ = t.h.RecordValue(min(max(d.Microseconds(), 1), longest.Microseconds())) // within its bounds
-}
-
-// At is the latency that a share of all, in percent, does not exceed.
-func (t *Tail) At(percent float64) time.Duration {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return time.Duration(t.h.ValueAtQuantile(percent)) * time.Microsecond
-}
-
-// Max is the longest.
-func (t *Tail) Max() time.Duration {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return time.Duration(t.h.Max()) * time.Microsecond
-}
-
-func (t *Tail) String() string {
-	return fmt.Sprintf("p50 %v p90 %v p99 %v p99.9 %v max %v", t.At(50), t.At(90), t.At(99), t.At(99.9), t.Max())
-}
-
-// Result is what a sent load has brought.
+// Result is what came of a load that was sent. Latencies count from the intended time of each submission, so that delays of
+// the sender and of the scheduler are included.
 type Result struct {
 	Sent     int
-	Late     int // left this process over 10 ms after their time
-	Answered *Tail
-	Placed   *Tail
-	Errors   map[string]int
-	Outcomes map[string]int
+	Late     int               // submissions that left more than 10 ms after their time
+	Answered *LatencyHistogram // until the scheduler answered the submission
+	Placed   *LatencyHistogram // until the task was placed
+	Errors   map[string]int    // submissions that failed, by code or text
+	Outcomes map[string]int    // the others, by outcome
 }
 
-// String is the result in words.
+// String returns the result in words.
 func (r *Result) String() string {
 	return fmt.Sprintf("%d submissions (%d left late), errors %s, outcomes %s\nanswered: %v\nplaced:   %v\n",
-		r.Sent, r.Late,
-		counts(r.Errors), counts(r.Outcomes), r.Answered, r.Placed)
+		r.Sent, r.Late, formatCounts(r.Errors), formatCounts(r.Outcomes), r.Answered, r.Placed)
 }
 
-func counts(m map[string]int) string {
+func formatCounts(counts map[string]int) string {
 	var all []string
-	for k, n := range m {
-		all = append(all, fmt.Sprintf("%s %d", k, n))
+	for name, n := range counts {
+		all = append(all, fmt.Sprintf("%s %d", name, n))
 	}
 	sort.Strings(all)
 	if all == nil {
@@ -81,147 +41,202 @@
 	return strings.Join(all, ", ")
 }
 
-// lateAfter is when a submission counts as having left late.
-const lateAfter = 10 * time.Millisecond
+const (
+	// lateAfter is how long after its time a submission counts as late.
+	lateAfter = 10 * time.Millisecond
+	// outcomePollInterval is how often the sender looks whether outcomes are still open.
+	outcomePollInterval = 10 * time.Millisecond
+	// outcomePlaced is the outcome of a placed task in the attributes of a job.
+	outcomePlaced = "placed"
+	// outcomeUnknown counts in Result.Outcomes the submissions whose outcome did not come in time.
+	outcomeUnknown = "none heard"
+)
 
-// Options are how a load is sent.
+// Options say how a load is sent.
 type Options struct {
-	Session string
-	Speed   float64       // times as fast; 0: 1
-	Wait    time.Duration // for outcomes, after the last submission
-	Prefix  string        // of keys, unique for each sending
+	Session string        // job session; it is created if there is none of that name
+	Speed   float64       // multiplies the rate of the load; 0: 1
+	Wait    time.Duration // for open outcomes, after the last submission
+	Prefix  string        // of the idempotency keys; must be unique for each sending
 }
 
-// Send sends a load to a scheduler, open-loop: each submission leaves at its time, whatever became of those before.
+// Send sends a load to a scheduler, open-loop: each submission leaves at its time, whatever the outcomes of earlier ones.
+// It returns when all outcomes are known or after Options.Wait. If ctx ends, it returns the result so far and the
+// context's error.
 func Send(ctx context.Context, c *drmaa2.Client, t *Trace, opt Options) (*Result, error) {
-	s, err := c.OpenJobSession(ctx, opt.Session)
+	session, err := openSession(ctx, c, opt.Session)
+	if err != nil {
+		return nil, err
+	}
+	s := newSender(session)
+	stopWatching := s.watch(ctx)
+	defer stopWatching()
+	s.submitAll(ctx, t.Jobs, opt)
+	s.awaitOutcomes(ctx, opt.Wait)
+	return s.result, ctx.Err()
+}
+
+func openSession(ctx context.Context, c *drmaa2.Client, name string) (*drmaa2.JobSession, error) {
+	session, err := c.OpenJobSession(ctx, name)
 	if errors.Is(err, drmaa2.ErrInvalidArgument) {
-		s, err = c.CreateJobSession(ctx, opt.Session)
+		session, err = c.CreateJobSession(ctx, name)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("load: session: %w", err)
 	}
-	if opt.Speed <= 0 {
-		opt.Speed = 1
+	return session, nil
+}
+
+// sender sends one load.
+type sender struct {
+	session *drmaa2.JobSession
+
+	mu     sync.Mutex // guards what follows
+	result *Result
+	due    map[string]time.Time // intended times of the submissions without an outcome, by key
+}
+
+func newSender(session *drmaa2.JobSession) *sender {
+	return &sender{
+		session: session,
+		result: &Result{
+			Answered: NewLatencyHistogram(),
+			Placed:   NewLatencyHistogram(),
+			Errors:   map[string]int{},
+			Outcomes: map[string]int{},
+		},
+		due: map[string]time.Time{},
 	}
-	r := &sending{res: &Result{Answered: NewTail(), Placed: NewTail(), Errors: map[string]int{},
-		Outcomes: map[string]int{}},
-		due: map[string]time.Time{}}
-	watch, cancel := context.WithCancel(ctx)
-	defer cancel()
-	watching := make(chan struct{})
+}
+
+// watch records outcomes until the function that it returns is called; that function waits for the watch to end.
+func (s *sender) watch(ctx context.Context) (stop func()) {
+	ctx, cancel := context.WithCancel(ctx)
+	done := make(chan struct{})
 	go func() {
-		defer close(watching)
-		_ = s.Watch(watch, func(i drmaa2.JobInfo) bool { r.heard(&i); return true })
+		defer close(done)
+		// A watch that breaks leaves outcomes open, which the result counts.
+		_ = s.session.Watch(ctx, func(i drmaa2.JobInfo) bool { s.recordOutcome(&i); return true })
 	}()
+	return func() {
+		cancel()
+		<-done
+	}
+}
+
+// submitAll submits each job at its time and waits for the answers.
+func (s *sender) submitAll(ctx context.Context, jobs []Job, opt Options) {
+	speed := opt.Speed
+	if speed <= 0 {
+		speed = 1
+	}
 	var wg sync.WaitGroup
-	begin := time.Now()
-	for i := range t.Jobs {
-		j := &t.Jobs[i]
-		due := begin.Add(time.Duration(float64(j.At) / opt.Speed))
-		if wait := time.Until(due); wait > 0 {
-			select {
-			case <-time.After(wait):
-			case <-ctx.Done():
-			}
-		}
-		if ctx.Err() != nil {
-			break
+	defer wg.Wait()
+	start := time.Now()
+	for i := range jobs {
+		due := start.Add(time.Duration(float64(jobs[i].At) / speed))
+		if !waitUntil(ctx, due) {
+			return
 		}
-		wg.Add(1)
-		go func() {
-			defer wg.Done()
-			r.send(ctx, s, j, fmt.Sprintf("%s-%d", opt.Prefix, i), due)
-		}()
+		key := fmt.Sprintf("%s-%d", opt.Prefix, i)
+		wg.Go(func() { s.submit(ctx, &jobs[i], key, due) })
 	}
-	wg.Wait()
-	r.settle(ctx, opt.Wait)
-	cancel()
-	<-watching
-	return r.res, ctx.Err()
 }
 
-type sending struct {
-	mu  sync.Mutex
-	res *Result
-	due map[string]time.Time // of keys without an outcome
+// waitUntil returns false if the context ends first.
+func waitUntil(ctx context.Context, due time.Time) bool {
+	if wait := time.Until(due); wait > 0 {
+		select {
+		case <-time.After(wait):
+		case <-ctx.Done():
+		}
+	}
+	return ctx.Err() == nil
 }
 
-func (r *sending) send(ctx context.Context, s *drmaa2.JobSession, j *Job, key string, due time.Time) {
-	r.mu.Lock()
-	r.res.Sent++
+// submit submits a job and records the answer.
+func (s *sender) submit(ctx context.Context, j *Job, key string, due time.Time) {
+	s.mu.Lock()
+	s.result.Sent++
 	if time.Since(due) > lateAfter {
-		r.res.Late++
+		s.result.Late++
+	}
+	s.due[key] = due
+	s.mu.Unlock()
+	_, err := s.session.RunJob(ctx, drmaa2.JobTemplate{RemoteCommand: "load", JobCategory: j.Class, AccountingID: j.Tenant,
+		ImplementationSpecific: attributes(j, key)})
+	s.result.Answered.Record(time.Since(due))
+	if err == nil {
+		return
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.due, key)
+	var e *drmaa2.Error
+	if errors.As(err, &e) {
+		s.result.Errors[string(e.Code)]++
+	} else {
+		s.result.Errors[err.Error()]++
 	}
-	r.due[key] = due
-	r.mu.Unlock()
-	own := map[string]string{drmaa2.AttrKey: key}
+}
+
+// attributes returns what a job template says of a job beyond DRMAA.
+func attributes(j *Job, key string) map[string]string {
+	all := map[string]string{drmaa2.AttrKey: key}
 	if j.Service != "" {
-		own[drmaa2.AttrService] = j.Service
+		all[drmaa2.AttrService] = j.Service
 	}
 	if j.Life > 0 {
-		own[drmaa2.AttrLife] = j.Life.String()
+		all[drmaa2.AttrLife] = j.Life.String()
 	}
 	if j.Cores > 0 {
-		own[drmaa2.AttrCores] = fmt.Sprint(j.Cores)
+		all[drmaa2.AttrCores] = fmt.Sprint(j.Cores)
 	}
 	if j.Memory > 0 {
-		own[drmaa2.AttrMemory] = fmt.Sprint(j.Memory)
-	}
-	_, err := s.RunJob(ctx, drmaa2.JobTemplate{RemoteCommand: "load", JobCategory: j.Class, AccountingID: j.Tenant,
-		ImplementationSpecific: own})
-	r.res.Answered.Record(time.Since(due))
-	if err == nil {
-		return
-	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	delete(r.due, key)
-	var e *drmaa2.Error
-	if errors.As(err, &e) {
-		r.res.Errors[string(e.Code)]++
-	} else {
-		r.res.Errors[err.Error()]++
+		all[drmaa2.AttrMemory] = fmt.Sprint(j.Memory)
 	}
+	return all
 }
 
-func (r *sending) heard(i *drmaa2.JobInfo) {
-	own := i.ImplementationSpecific
-	if own[drmaa2.AttrOutcome] == "" {
+// recordOutcome records the first outcome of a submission.
+func (s *sender) recordOutcome(i *drmaa2.JobInfo) {
+	key, outcome := i.ImplementationSpecific[drmaa2.AttrKey], i.ImplementationSpecific[drmaa2.AttrOutcome]
+	if outcome == "" {
 		return
 	}
 	now := time.Now()
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	due, open := r.due[own[drmaa2.AttrKey]]
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	due, open := s.due[key]
 	if !open {
 		return
 	}
-	delete(r.due, own[drmaa2.AttrKey])
-	r.res.Outcomes[own[drmaa2.AttrOutcome]]++
-	if own[drmaa2.AttrOutcome] == "placed" {
-		r.res.Placed.Record(now.Sub(due))
+	delete(s.due, key)
+	s.result.Outcomes[outcome]++
+	if outcome == outcomePlaced {
+		s.result.Placed.Record(now.Sub(due))
 	}
 }
 
-// settle waits for the outcomes that are open.
-func (r *sending) settle(ctx context.Context, wait time.Duration) {
-	until := time.Now().Add(wait)
-	for time.Now().Before(until) && ctx.Err() == nil {
-		r.mu.Lock()
-		open := len(r.due)
-		r.mu.Unlock()
-		if open == 0 {
-			return
-		}
+// awaitOutcomes waits for the outcomes that are open and counts those that do not come in time.
+func (s *sender) awaitOutcomes(ctx context.Context, wait time.Duration) {
+	deadline := time.Now().Add(wait)
+	for s.open() > 0 && time.Now().Before(deadline) && ctx.Err() == nil {
 		select {
-		case <-time.After(10 * time.Millisecond):
+		case <-time.After(outcomePollInterval):
 		case <-ctx.Done():
 		}
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if n := len(r.due); n > 0 {
-		r.res.Outcomes["none heard"] = n
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if open := len(s.due); open > 0 {
+		s.result.Outcomes[outcomeUnknown] = open
 	}
 }
+
+// open returns how many submissions have no outcome yet.
+func (s *sender) open() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return len(s.due)
+}
--- a/internal/lab/load/shape.go
+++ b/internal/lab/load/shape.go
@@ -1,166 +1,77 @@
 package load
 
-import (
-	"errors"
-	"fmt"
-	"math"
-	"math/rand/v2"
-	"time"
+import "math"
 
-	"gonum.org/v1/gonum/stat/distuv"
-
-	_ "embed"
+// The kinds of Shape.
+const (
+	shapeRamp     = "ramp"
+	shapeBurst    = "burst"
+	shapeColdSnap = "cold-snap"
+	shapeDiurnal  = "diurnal"
+)
 
-	"flaxshelf.example/flaxshelf/internal/settings"
+// A cold snap rises until the first of these shares of its time, stays at its peak until the second, and then falls
+// exponentially with this rate.
+const (
+	coldSnapRiseEnd  = 0.2
+	coldSnapPeakEnd  = 0.5
+	coldSnapFallRate = 8
 )
 
-//go:embed schema.cue
-var schema string
+// minPeriod, in seconds, keeps divisions by a period from dividing by zero.
+const minPeriod = 1e-9
 
-// Shape is the record #Shape: submissions a second over time.
+// Shape is the rate of submissions over time, the record #Shape of the schema. Rates are a second, times in seconds.
 type Shape struct {
 	Kind      string  `json:"kind"`
-	PerSecond float64 `json:"perSecond"`
-	Peak      float64 `json:"peak"`
-	From      float64 `json:"from"`
-	For       float64 `json:"for"`
-	Every     float64 `json:"every"`
+	PerSecond float64 `json:"perSecond"` // rate at the base
+	Peak      float64 `json:"peak"`      // rate at the peak
+	From      float64 `json:"from"`      // start of the peak
+	For       float64 `json:"for"`       // length of the peak
+	Every     float64 `json:"every"`     // period after which the peak recurs; 0: never
 }
 
-// rate is the submissions a second at a time.
+// rate returns the rate at a time of a load of the given length.
 func (s *Shape) rate(at, length float64) float64 {
 	switch s.Kind {
-	case "ramp":
+	case shapeRamp:
 		return s.PerSecond + (s.Peak-s.PerSecond)*at/length
-	case "burst":
-		x := at - s.From
-		if s.Every > 0 && x >= 0 {
-			x = math.Mod(x, s.Every)
-		}
-		if x >= 0 && x < s.For {
-			return s.Peak
-		}
-		return s.PerSecond
-	case "cold-snap":
-		// It rises fast, stays for a while and falls slowly, as demand for heat does.
-		x := (at - s.From) / max(s.For, 1e-9)
-		switch {
-		case x < 0 || x >= 1:
-			return s.PerSecond
-		case x < 0.2:
-			return s.PerSecond + (s.Peak-s.PerSecond)*x/0.2
-		case x < 0.5:
-			return s.Peak
-		}
-		return s.PerSecond + (s.Peak-s.PerSecond)*math.Exp(-(x-0.5)*8)
-	case "diurnal":
-		return s.PerSecond + (s.Peak-s.PerSecond)*(1-math.Cos(2*math.Pi*(at-s.From)/max(s.Every, 1e-9)))/2
+	case shapeBurst:
+		return s.burst(at)
+	case shapeColdSnap:
+		return s.coldSnap((at - s.From) / max(s.For, minPeriod))
+	case shapeDiurnal:
+		phase := 2 * math.Pi * (at - s.From) / max(s.Every, minPeriod)
+		return s.PerSecond + (s.Peak-s.PerSecond)*(1-math.Cos(phase))/2
 	}
 	return s.PerSecond
 }
 
-func (s *Shape) most() float64 { return max(s.PerSecond, s.Peak) }
-
-// Lives is the record #Lives: the law of how long jobs run.
-type Lives struct {
-	Law   string            `json:"law"`
-	Mean  settings.Duration `json:"mean"`
-	Tail  float64           `json:"tail"`
-	Least settings.Duration `json:"least"`
-}
-
-func (l *Lives) draw(src rand.Source) func() time.Duration {
-	mean := l.Mean.Duration().Seconds()
-	var next func() float64
-	switch l.Law {
-	case "exponential":
-		next = distuv.Exponential{Rate: 1 / mean, Src: src}.Rand
-	case "lognormal":
-		// Tail is the standard deviation of the logarithm; the mean stays.
-		next = distuv.LogNormal{Mu: math.Log(mean) - l.Tail*l.Tail/2, Sigma: l.Tail, Src: src}.Rand
-	case "pareto":
-		// Tail is the exponent, above 1; the mean stays.
-		next = distuv.Pareto{Xm: mean * (l.Tail - 1) / l.Tail, Alpha: l.Tail, Src: src}.Rand
-	default:
-		next = func() float64 { return mean }
+// burst returns the rate of bursts that recur after Every.
+func (s *Shape) burst(at float64) float64 {
+	since := at - s.From
+	if s.Every > 0 && since >= 0 {
+		since = math.Mod(since, s.Every)
 	}
-	return func() time.Duration {
-		return max(time.Duration(min(next(), 1e6)*float64(time.Second)), l.Least.Duration())
+	if since >= 0 && since < s.For {
+		return s.Peak
 	}
+	return s.PerSecond
 }
 
-// Stream is the record #Stream.
-type Stream struct {
-	Class    string  `json:"class"`
-	Tenant   string  `json:"tenant"`
-	Shape    Shape   `json:"shape"`
-	Lives    Lives   `json:"lives"`
-	Services int     `json:"services"`
-	Popular  float64 `json:"popular"`
-	Cores    float64 `json:"cores"`
-	Memory   float64 `json:"memory"`
-}
-
-// Plan is the record #Plan: a load made of streams.
-type Plan struct {
-	About   string   `json:"about"`
-	Seconds float64  `json:"seconds"`
-	Streams []Stream `json:"streams"`
-}
-
-// ParsePlan reads a plan.
-func ParsePlan(name string, text []byte) (*Plan, error) {
-	f, err := settings.Read(name, text, "#Plan", schema)
-	if err != nil {
-		return nil, err
-	}
-	p := &Plan{}
-	if err := f.Decode(p); err != nil {
-		return nil, err
-	}
-	for i, s := range p.Streams {
-		if s.Lives.Law == "pareto" && s.Lives.Tail <= 1 {
-			f.Fail(fmt.Sprintf("streams[%d].lives.tail", i),
-				"is %v, expected above 1: the mean would be infinite", s.Lives.Tail)
-		}
-		if s.Shape.Kind == "diurnal" && s.Shape.Every <= 0 {
-			f.Fail(fmt.Sprintf("streams[%d].shape.every", i), "is %v, expected the length of a day above 0",
-				s.Shape.Every)
-		}
+// coldSnap returns the rate at a share of the time of a cold snap: it rises fast, stays for a while and falls slowly, as
+// demand for heat does.
+func (s *Shape) coldSnap(share float64) float64 {
+	switch {
+	case share < 0 || share >= 1:
+		return s.PerSecond
+	case share < coldSnapRiseEnd:
+		return s.PerSecond + (s.Peak-s.PerSecond)*share/coldSnapRiseEnd
+	case share < coldSnapPeakEnd:
+		return s.Peak
 	}
-	return p, f.Err()
+	return s.PerSecond + (s.Peak-s.PerSecond)*math.Exp(-(share-coldSnapPeakEnd)*coldSnapFallRate)
 }
 
-// mostJobs bounds the jobs of a plan.
-const mostJobs = 10_000_000
-
-// Jobs draws the plan's submissions. Arrivals, lives and services of a stream have sources of their own: a change of
-// one leaves the others as they were.
-func (p *Plan) Jobs(seed uint64) (*Trace, error) {
-	t := &Trace{Source: "plan"}
-	for i := range p.Streams {
-		s := &p.Streams[i]
-		source := func(purpose uint64) rand.Source { return rand.NewPCG(seed, uint64(i)<<8|purpose) }
-		arrivals, services := rand.New(source(1)), rand.New(source(3))
-		life := s.Lives.draw(source(2))
-		most := s.Shape.most()
-		if most*p.Seconds > mostJobs {
-			return nil, errors.New("load: the plan has too many jobs")
-		}
-		// Thinning: candidates at the highest rate, kept in proportion to the rate of their time.
-		for at := arrivals.ExpFloat64() / most; at < p.Seconds; at += arrivals.ExpFloat64() / most {
-			if arrivals.Float64()*most >= s.Shape.rate(at, p.Seconds) {
-				continue
-			}
-			service := services.IntN(max(s.Services, 1))
-			if services.Float64() < s.Popular {
-				service = 0
-			}
-			t.Jobs = append(t.Jobs, Job{At: time.Duration(at * float64(time.Second)), Class: s.Class,
-				Tenant:  s.Tenant,
-				Service: fmt.Sprintf("%s-%d", s.Class, service), Cores: s.Cores, Memory: s.Memory, Life: life()})
-		}
-	}
-	t.sort()
-	return t, nil
-}
+// maxRate returns the highest rate.
+func (s *Shape) maxRate() float64 { return max(s.PerSecond, s.Peak) }
--- a/internal/lab/load/format_test.go
+++ b/internal/lab/load/storedtrace_test.go
@@ -21,7 +21,7 @@
 		Gaps: []Gap{{From: 4 * time.Second, To: 40 * time.Second}}}
 }
 
-// A trace of an earlier build is read, and written the same.
+// A trace of an earlier build is read, and is written as the same bytes.
 func TestStoredTrace(t *testing.T) {
 	stored, err := os.ReadFile(storedTrace)
 	if err != nil {
--- /dev/null
+++ b/internal/lab/load/swf_test.go
@@ -0,0 +1,48 @@
+package load
+
+import (
+	"errors"
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+)
+
+// swf is a log whose third job has no submission time.
+const swf = `; Version: 2.2
+; UnixStartTime: 1000
+1 0 5 60 4 -1 -1 4 -1 1048576 1 7 1 3 1 1 -1 -1
+2 30 5 -1 2 -1 -1 2 -1 -1 5 8 1 -1 1 1 -1 -1
+3 -1 5 60 4 -1 -1 4 -1 -1 1 7 1 3 1 1 -1 -1
+4 10 5 60 -1 -1 -1 8 -1 -1 1 7 1 3 1 1 -1 -1
+`
+
+// A log becomes a trace; a line that is not of the format is reported.
+func TestReadSWF(t *testing.T) {
+	x, skipped, err := ReadSWF(strings.NewReader(swf), "batch")
+	if err != nil || skipped != 1 || len(x.Jobs) != 3 || x.Start.Unix() != 1000 {
+		t.Fatalf("%+v, %d skipped, %v", x, skipped, err)
+	}
+	want := []Job{{At: 0, Class: "batch", Service: "app-3", Tenant: "user-7", Cores: 4, Memory: 4, Life: time.Minute},
+		{At: 10 * time.Second, Class: "batch", Service: "app-3", Tenant: "user-7", Cores: 8, Life: time.Minute},
+		{At: 30 * time.Second, Class: "batch", Tenant: "user-8", Cores: 2, CutOff: true}}
+	if fmt.Sprint(x.Jobs) != fmt.Sprint(want) {
+		t.Errorf("%v\nwant\n%v", x.Jobs, want)
+	}
+	for _, c := range []struct {
+		name, text  string
+		line, field int
+	}{
+		{"too few fields", "1 2 3", 1, 0},
+		{"a word", strings.Replace(swf, " 60 ", " sixty ", 1), 3, 4},
+		{"not a number", strings.Replace(swf, " 60 ", " NaN ", 1), 3, 4},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			_, _, err := ReadSWF(strings.NewReader(c.text), "c")
+			var e *SWFError
+			if !errors.As(err, &e) || e.Line != c.line || e.Field != c.field {
+				t.Errorf("got %v, want an error of line %d, field %d", err, c.line, c.field)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/lab/load/trace_test.go
@@ -0,0 +1,125 @@
+package load
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+)
+
+// Any trace that is written is read as it was; a changed byte and a missing end are found.
+func TestTraceRoundTrip(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		x := &Trace{Source: "daemon", Start: time.Unix(0, rapid.Int64Range(0, 1<<60).Draw(t, "start"))}
+		at := time.Duration(0)
+		for range rapid.IntRange(0, 20).Draw(t, "jobs") {
+			at += time.Duration(rapid.Int64Range(0, 1e12).Draw(t, "gap"))
+			x.Jobs = append(x.Jobs, Job{At: at, Class: rapid.StringN(0, 9, 20).Draw(t, "class"),
+				Service: rapid.StringN(0, 9, 20).Draw(t, "service"), Cores: rapid.Float64Range(0, 1e6).Draw(t, "cores"),
+				Life: time.Duration(rapid.Int64Range(0, 1e15).Draw(t, "life")), CutOff: rapid.Bool().Draw(t, "cutoff")})
+		}
+		x.Gaps = append(x.Gaps, Gap{1, 2})
+		var b bytes.Buffer
+		if err := x.Write(&b); err != nil {
+			t.Fatal(err)
+		}
+		y, err := Read(bytes.NewReader(b.Bytes()))
+		if err != nil {
+			t.Fatal(err)
+		}
+		if fmt.Sprint(x.Jobs, x.Gaps, x.Start.UnixNano()) != fmt.Sprint(y.Jobs, y.Gaps, y.Start.UnixNano()) {
+			t.Fatalf("%v\nis read as\n%v", x, y)
+		}
+		i := rapid.IntRange(0, b.Len()-1).Draw(t, "byte")
+		bad := bytes.Clone(b.Bytes())
+		bad[i] ^= byte(rapid.IntRange(1, 255).Draw(t, "bits"))
+		if _, err := Read(bytes.NewReader(bad)); err == nil {
+			t.Fatalf("byte %d of %d was changed, and Read did not find it", i, b.Len())
+		}
+		if _, err := Read(bytes.NewReader(b.Bytes()[:i])); err == nil {
+			t.Fatalf("truncated at %d of %d, and Read did not find it", i, b.Len())
+		}
+	})
+}
+
+// Names become hashes under a key: equal ones stay equal, another key gives others, classes stay.
+func TestAnonymise(t *testing.T) {
+	hide := func(key string) *Trace {
+		x := &Trace{Jobs: []Job{{Class: "c", Service: "billing", Tenant: "north"}, {Class: "c", Service: "billing"}, {Service: "x"}}}
+		if err := x.Anonymise(key); err != nil {
+			t.Fatal(err)
+		}
+		return x
+	}
+	a, b := hide("one"), hide("two")
+	if a.Jobs[0].Service != a.Jobs[1].Service || a.Jobs[0].Service == a.Jobs[2].Service || a.Jobs[0].Service == b.Jobs[0].Service ||
+		a.Jobs[0].Class != "c" || a.Jobs[1].Tenant != "" || !a.Anonymous || strings.Contains(a.Jobs[0].Service, "billing") {
+		t.Errorf("%+v and %+v", a.Jobs, b.Jobs)
+	}
+}
+
+// Read tells what is not a trace from a trace that was truncated or damaged.
+func TestReadErrors(t *testing.T) {
+	var b bytes.Buffer
+	if err := (&Trace{Jobs: []Job{{Class: "c", At: 5}}}).Write(&b); err != nil {
+		t.Fatal(err)
+	}
+	valid := b.Bytes()
+	headLength := int(valid[0]) + 1 // a record begins with its length
+	for _, c := range []struct {
+		name      string
+		text      []byte
+		truncated bool
+		checksum  bool
+		offset    int // of a FormatError
+	}{
+		{name: "nothing", truncated: true},
+		{name: "no tail", text: valid[:len(valid)-1], truncated: true},
+		{name: "bytes after the tail", text: append(bytes.Clone(valid), 0), checksum: true},
+		{name: "not a record", text: []byte{1, 0xff}},
+		{name: "no head", text: valid[headLength:]},
+		{name: "two heads", text: append(bytes.Clone(valid[:headLength]), valid...), offset: headLength},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			_, err := Read(bytes.NewReader(c.text))
+			if errors.Is(err, ErrTruncated) != c.truncated || errors.Is(err, ErrChecksum) != c.checksum {
+				t.Fatalf("got %v", err)
+			}
+			var format *FormatError
+			if errors.As(err, &format) == (c.truncated || c.checksum) {
+				t.Fatalf("got %v", err)
+			}
+			if format != nil && format.Offset != c.offset {
+				t.Errorf("the error is at byte %d, want %d", format.Offset, c.offset)
+			}
+		})
+	}
+}
+
+// Neither reader panics, and the jobs that they return are in order and have valid numbers.
+func FuzzReaders(f *testing.F) {
+	f.Add([]byte(swf))
+	var b bytes.Buffer
+	_ = (&Trace{Jobs: []Job{{Class: "c", At: 5}}}).Write(&b)
+	f.Add(b.Bytes())
+	f.Fuzz(func(t *testing.T, in []byte) {
+		a, _, _ := ReadSWF(bytes.NewReader(in), "c")
+		b, _ := Read(bytes.NewReader(in))
+		for _, x := range []*Trace{a, b} {
+			if x == nil {
+				continue
+			}
+			last := time.Duration(0)
+			for _, j := range x.Jobs {
+				if j.At < last || j.Life < 0 || !(j.Cores >= 0) || !(j.Memory >= 0) {
+					t.Errorf("%+v", j)
+				}
+				last = j.At
+			}
+		}
+	})
+}
--- /dev/null
+++ b/internal/lab/load/traceformat.go
@@ -0,0 +1,186 @@
+package load
+
+import (
+	"bufio"
+	"bytes"
+	"errors"
+	"fmt"
+	"io"
+	"math"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+	"google.golang.org/protobuf/encoding/protodelim"
+
+	"flaxshelf.example/flaxshelf/internal/lab/load/tracepb"
+)
+
+// Version is the version of the trace format.
+const Version = 1
+
+// maxRecordBytes bounds a record of a trace.
+const maxRecordBytes = 1 << 20
+
+// Errors of a trace that was a valid one once.
+var (
+	ErrTruncated = errors.New("load: the trace ends before its end")
+	ErrChecksum  = errors.New("load: the trace is damaged")
+)
+
+// FormatError is returned by Read for what is not a trace of this version.
+type FormatError struct {
+	Offset int // of the record in bytes
+	Reason string
+	Err    error // of decoding the record; may be nil
+}
+
+func (e *FormatError) Error() string {
+	if e.Err != nil {
+		return fmt.Sprintf("load: trace, byte %d: %s: %v", e.Offset, e.Reason, e.Err)
+	}
+	return fmt.Sprintf("load: trace, byte %d: %s", e.Offset, e.Reason)
+}
+
+// Unwrap returns the error of decoding the record.
+func (e *FormatError) Unwrap() error { return e.Err }
+
+// Write writes the trace with its checksum.
+func (t *Trace) Write(w io.Writer) error {
+	checksum := xxhash.New()
+	buffer := bufio.NewWriter(io.MultiWriter(w, checksum))
+	put := func(r *tracepb.Record) error {
+		_, err := protodelim.MarshalTo(buffer, r)
+		return err
+	}
+	err := put(&tracepb.Record{Body: &tracepb.Record_Head{Head: &tracepb.Head{Version: Version, Source: t.Source,
+		StartUnixNs: t.Start.UnixNano(), Anonymous: t.Anonymous}}})
+	for _, g := range t.Gaps {
+		err = errors.Join(err, put(&tracepb.Record{Body: &tracepb.Record_Gap{Gap: &tracepb.Gap{FromNs: int64(g.From),
+			ToNs: int64(g.To)}}}))
+	}
+	for i := range t.Jobs {
+		err = errors.Join(err, put(&tracepb.Record{Body: &tracepb.Record_Job{Job: encodeJob(&t.Jobs[i])}}))
+	}
+	// The checksum covers all before the tail.
+	if err = errors.Join(err, buffer.Flush()); err != nil {
+		return fmt.Errorf("load: write trace: %w", err)
+	}
+	err = put(&tracepb.Record{Body: &tracepb.Record_Tail{Tail: &tracepb.Tail{Jobs: uint64(len(t.Jobs)),
+		Checksum: checksum.Sum64()}}})
+	if err = errors.Join(err, buffer.Flush()); err != nil {
+		return fmt.Errorf("load: write trace: %w", err)
+	}
+	return nil
+}
+
+// Read reads a trace and verifies its checksum. It returns ErrTruncated, ErrChecksum or a FormatError for what it rejects.
+func Read(r io.Reader) (*Trace, error) {
+	text, err := io.ReadAll(r)
+	if err != nil {
+		return nil, fmt.Errorf("load: read trace: %w", err)
+	}
+	d := &decoder{text: text, rest: bytes.NewReader(text), trace: &Trace{}}
+	for first := true; !d.done; first = false {
+		if err := d.next(first); err != nil {
+			return nil, err
+		}
+	}
+	d.trace.sort()
+	return d.trace, nil
+}
+
+// decoder reads the records of one trace.
+type decoder struct {
+	text   []byte
+	rest   *bytes.Reader
+	offset int // of the record that is being read
+	trace  *Trace
+	done   bool // the tail was read
+}
+
+// next reads a record. The head must be the first record, and no other.
+func (d *decoder) next(first bool) error {
+	d.offset = len(d.text) - d.rest.Len()
+	record := &tracepb.Record{}
+	err := protodelim.UnmarshalOptions{MaxSize: maxRecordBytes}.UnmarshalFrom(d.rest, record)
+	switch {
+	case errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF):
+		return ErrTruncated
+	case err != nil:
+		return &FormatError{Offset: d.offset, Reason: "not a record", Err: err}
+	case first != (record.GetHead() != nil):
+		return d.fail("the head is not the first record")
+	}
+	switch b := record.Body.(type) {
+	case *tracepb.Record_Head:
+		return d.head(b.Head)
+	case *tracepb.Record_Gap:
+		d.trace.Gaps = append(d.trace.Gaps, Gap{time.Duration(b.Gap.FromNs), time.Duration(b.Gap.ToNs)})
+		return nil
+	case *tracepb.Record_Job:
+		return d.job(b.Job)
+	case *tracepb.Record_Tail:
+		return d.tail(b.Tail)
+	}
+	return d.fail("a record of an unknown kind")
+}
+
+func (d *decoder) fail(format string, args ...any) error {
+	return &FormatError{Offset: d.offset, Reason: fmt.Sprintf(format, args...)}
+}
+
+func (d *decoder) head(h *tracepb.Head) error {
+	if h.Version != Version {
+		return d.fail("a trace of version %d, this build reads %d", h.Version, Version)
+	}
+	d.trace.Source, d.trace.Start, d.trace.Anonymous = h.Source, time.Unix(0, h.StartUnixNs), h.Anonymous
+	return nil
+}
+
+func (d *decoder) job(b *tracepb.Job) error {
+	j := decodeJob(b)
+	if j.At < 0 || j.Life < 0 || !validAmount(j.Cores) || !validAmount(j.Memory) {
+		return d.fail("the job at %v has a number that is negative or not finite", j.At)
+	}
+	d.trace.Jobs = append(d.trace.Jobs, j)
+	return nil
+}
+
+// validAmount is false for a NaN as well.
+func validAmount(x float64) bool { return x >= 0 && !math.IsInf(x, 0) }
+
+func (d *decoder) tail(b *tracepb.Tail) error {
+	if b.Checksum != xxhash.Sum64(d.text[:d.offset]) || b.Jobs != uint64(len(d.trace.Jobs)) || d.rest.Len() > 0 {
+		return ErrChecksum
+	}
+	d.done = true
+	return nil
+}
+
+func encodeJob(j *Job) *tracepb.Job {
+	return &tracepb.Job{
+		AtNs:    int64(j.At),
+		Class:   j.Class,
+		Service: j.Service,
+		Tenant:  j.Tenant,
+		Cores:   j.Cores,
+		Memory:  j.Memory,
+		LifeNs:  int64(j.Life),
+		CutOff:  j.CutOff,
+		Outcome: j.Outcome,
+	}
+}
+
+func decodeJob(b *tracepb.Job) Job {
+	return Job{
+		At:      time.Duration(b.AtNs),
+		Class:   b.Class,
+		Service: b.Service,
+		Tenant:  b.Tenant,
+		Cores:   b.Cores,
+		Memory:  b.Memory,
+		Life:    time.Duration(b.LifeNs),
+		CutOff:  b.CutOff,
+		Outcome: b.Outcome,
+	}
+}
