--- a/internal/lab/ablation/ablation.go
+++ b/internal/lab/ablation/ablation.go
@@ -110,14 +110,14 @@
 
 // Seen tells that it costs worth or time beyond the 95% interval.
 func (l Loss) Seen() bool {
-	return l.Worth.Mean > l.Worth.Half || l.P99.Mean > l.P99.Half
+	return l.Worth.Mean > l.Worth.HalfWidth || l.P99.Mean > l.P99.HalfWidth
 }
 
 // Hurts tells that taking it out earns worth beyond the interval: that it does harm there.
-func (l Loss) Hurts() bool { return -l.Worth.Mean > l.Worth.Half }
+func (l Loss) Hurts() bool { return -l.Worth.Mean > l.Worth.HalfWidth }
 
 func (l Loss) String() string {
-	return fmt.Sprintf("worth %+.4f ± %.4f, p99 %+.3f ± %.3f s", l.Worth.Mean, l.Worth.Half, l.P99.Mean, l.P99.Half)
+	return fmt.Sprintf("worth %+.4f ± %.4f, p99 %+.3f ± %.3f s", l.Worth.Mean, l.Worth.HalfWidth, l.P99.Mean, l.P99.HalfWidth)
 }
 
 // Play measures a day over seeds with bars taken out, several at a time.
@@ -155,5 +155,5 @@
 	for i := range with {
 		worth[i], p99[i] = with[i].Worth-without[i].Worth, without[i].P99-with[i].P99
 	}
-	return Loss{experiment.Mean(worth), experiment.Mean(p99)}
+	return Loss{experiment.EstimateMean(worth), experiment.EstimateMean(p99)}
 }
--- a/internal/lab/baseline/baseline_test.go
+++ b/internal/lab/baseline/baseline_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"testing"
 
 	"flaxshelf.example/flaxshelf"
@@ -11,11 +12,11 @@
 	"flaxshelf.example/flaxshelf/internal/scheduler"
 )
 
-// Baselines keep the rules as the module does, so that what an experiment sees is the choice alone.
-func TestBaselinesKeepTheRules(t *testing.T) {
-	for _, how := range baseline.Names {
+// Baselines obey the same rules as the module, so that an experiment compares the choice of machines alone.
+func TestBaselinesObeyRules(t *testing.T) {
+	for _, strategy := range baseline.Strategies {
 		for _, name := range []string{"calm", "failing-starts", "class-silence", "rolling-deploy", "lost-room", "schedulers", "hot-service"} {
-			t.Run(how+"/"+name, func(t *testing.T) {
+			t.Run(string(strategy)+"/"+name, func(t *testing.T) {
 				t.Parallel()
 				d, err := scenario.Read(name)
 				if err != nil {
@@ -23,7 +24,7 @@
 				}
 				rep, v, err := emulator.Judge(context.Background(), d, emulator.Options{Seed: 2,
 					Make: func(cfg flaxshelf.Config, seed uint64) (scheduler.Module, error) {
-						return baseline.New(how, cfg, seed)
+						return baseline.New(strategy, cfg, seed)
 					}})
 				if err != nil {
 					t.Fatal(err)
@@ -34,7 +35,13 @@
 			})
 		}
 	}
-	if _, err := baseline.New("odd", flaxshelf.Config{}, 1); err == nil {
-		t.Error("an unknown chooser was made")
+}
+
+// A strategy that there is not is reported.
+func TestUnknownStrategy(t *testing.T) {
+	_, err := baseline.New("odd", flaxshelf.Config{}, 1)
+	var unknown *baseline.UnknownStrategyError
+	if !errors.As(err, &unknown) || unknown.Strategy != "odd" {
+		t.Errorf("got %v, want an UnknownStrategyError", err)
 	}
 }
--- /dev/null
+++ b/internal/lab/baseline/constraints.go
@@ -0,0 +1,83 @@
+package baseline
+
+import (
+	"slices"
+
+	"flaxshelf.example/flaxshelf"
+)
+
+// allowed reports whether the hard constraints allow a task on a machine.
+func (c *Chooser) allowed(t *task, m *machine) bool {
+	return m.State == flaxshelf.Active && m.Kind >= 0 && c.now >= m.backsOffUntil &&
+		(t.class.Kind < 0 || t.class.Kind == m.Kind) &&
+		c.fits(t, m) && c.retryIsSafe(t, m) && c.spreads(t, m) && c.slowStartAllows(m)
+}
+
+// fits reports whether the machine, if it were empty, had the resources for a task.
+func (c *Chooser) fits(t *task, m *machine) bool {
+	kind := c.cfg.Kinds[m.Kind]
+	return t.Cores <= kind.Cores*max(c.cfg.CoreOvercommit, 1) && t.Memory <= kind.Memory*max(c.cfg.MemoryOvercommit, 1)
+}
+
+// retryIsSafe reports whether a task does not run twice if it is offered to the machine, whatever came of its earlier
+// attempts; or that this does no harm.
+func (c *Chooser) retryIsSafe(t *task, m *machine) bool {
+	for i := range t.attempts {
+		a := &t.attempts[i]
+		if a.neverRan || t.class.Idempotency == flaxshelf.Idempotent {
+			continue
+		}
+		deduplicated := t.class.Idempotency == flaxshelf.IdempotentByKey && sameDomain(t.class.KeyDomain, a.machine, m) &&
+			c.now+c.cfg.Tick < a.sentAt+t.class.KeyTTL
+		if !deduplicated {
+			return false
+		}
+	}
+	return true
+}
+
+// spreads reports whether the machine's topology domain has fewer tasks of the service than the class permits.
+func (c *Chooser) spreads(t *task, m *machine) bool {
+	if t.class.SpreadDomain == flaxshelf.NoDomain {
+		return true
+	}
+	tasks := 0
+	for _, other := range c.machineOrder {
+		if sameDomain(t.class.SpreadDomain, other, m) {
+			tasks += other.tasksByService[t.Service]
+		}
+	}
+	return tasks < t.class.MaxPerDomain
+}
+
+// warmingUp reports whether a machine is in slow start, or was so within OverloadWindow.
+func (c *Chooser) warmingUp(m *machine) bool {
+	return m.Started > 0 && c.cfg.OverloadWindow > 0 && c.now < m.Started+c.cfg.SlowStartDuration+c.cfg.OverloadWindow
+}
+
+// slowStartAllows reports whether this scheduler's part of a machine's slow-start budget permits another offer. A part below
+// one offer permits none.
+func (c *Chooser) slowStartAllows(m *machine) bool {
+	if !c.warmingUp(m) {
+		return true
+	}
+	windowStart := c.now - c.cfg.OverloadWindow*3/2
+	if c.startedAt > windowStart && c.startedAt > m.Started {
+		return false // an earlier incarnation of this scheduler may have made offers in the window
+	}
+	m.offers = slices.DeleteFunc(m.offers, func(at flaxshelf.Time) bool { return at < windowStart })
+	return len(m.offers) < int(c.cfg.SlowStartBudget/float64(max(c.cfg.Schedulers, 1)))
+}
+
+// sameDomain reports whether two machines are in one topology domain of the given level.
+func sameDomain(level flaxshelf.TopologyDomain, a, b *machine) bool {
+	switch level {
+	case flaxshelf.MachineDomain:
+		return a == b
+	case flaxshelf.CellDomain:
+		return a.Cell == b.Cell
+	case flaxshelf.ZoneDomain:
+		return a.Zone == b.Zone
+	}
+	return level == flaxshelf.FleetDomain
+}
--- /dev/null
+++ b/internal/lab/experiment/execute.go
@@ -0,0 +1,124 @@
+package experiment
+
+import (
+	"cmp"
+	"context"
+	"errors"
+	"fmt"
+	"os"
+	"slices"
+	"sync"
+
+	"flaxshelf.example/flaxshelf/internal/lab/emulator"
+)
+
+// resultsMode is the mode of a new file of results.
+const resultsMode = 0o644
+
+// Execute runs what the file of results does not have yet, several runs at a time, and appends each when it is done: an
+// interrupted experiment resumes where it was. It returns all runs of the experiment, ordered by design and seed.
+//
+// progress is called after each run with the number of runs that are done and that there are; its calls do not overlap. If
+// a run fails, the others are still executed, and the errors are returned joined.
+func (p *Plan) Execute(ctx context.Context, resultsPath string, workers int, progress func(done, all int)) ([]Run, error) {
+	stored, err := readRuns(resultsPath)
+	if err != nil {
+		return nil, err
+	}
+	file, err := os.OpenFile(resultsPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, resultsMode)
+	if err != nil {
+		return nil, &ResultsError{Path: resultsPath, Err: err}
+	}
+	done, missing := p.split(stored)
+	e := &execution{plan: p, file: file, path: resultsPath, progress: progress, runs: done}
+	e.executeAll(ctx, missing, max(workers, 1))
+	if err := errors.Join(append(e.errs, ctx.Err(), file.Close())...); err != nil {
+		return nil, err
+	}
+	slices.SortFunc(e.runs, func(a, b Run) int {
+		return cmp.Or(cmp.Compare(a.Design, b.Design), cmp.Compare(a.Seed, b.Seed))
+	})
+	return e.runs, nil
+}
+
+// pendingRun is a run that is not done yet.
+type pendingRun struct {
+	design int
+	seed   uint64
+}
+
+// split returns the stored runs of this experiment and the runs that are missing. The missing ones come seed by seed, so
+// that an interrupted experiment has complete pairs.
+func (p *Plan) split(stored []Run) (done []Run, missing []pendingRun) {
+	byKey := map[runKey]Run{}
+	for _, r := range stored {
+		byKey[r.key()] = r
+	}
+	for i := range p.Seeds {
+		seed := uint64(p.FirstSeed + i)
+		for d := range p.Designs {
+			if r, ok := byKey[runKey{p.Designs[d].Name, p.fingerprints[d], seed}]; ok {
+				done = append(done, r)
+			} else {
+				missing = append(missing, pendingRun{d, seed})
+			}
+		}
+	}
+	return done, missing
+}
+
+// execution is one call of Execute.
+type execution struct {
+	plan     *Plan
+	file     *os.File
+	path     string
+	progress func(done, all int)
+
+	mu   sync.Mutex // guards what follows, the file and calls of progress
+	runs []Run
+	errs []error
+}
+
+// executeAll executes runs with a number of workers, and returns when these have ended. It starts no more runs when the
+// context has ended.
+func (e *execution) executeAll(ctx context.Context, runs []pendingRun, workers int) {
+	queue := make(chan pendingRun)
+	var wg sync.WaitGroup
+	for range workers {
+		wg.Go(func() {
+			for r := range queue {
+				e.execute(ctx, r)
+			}
+		})
+	}
+	for _, r := range runs {
+		select {
+		case queue <- r:
+		case <-ctx.Done():
+		}
+		if ctx.Err() != nil {
+			break
+		}
+	}
+	close(queue)
+	wg.Wait()
+}
+
+// execute executes a run and records what came of it.
+func (e *execution) execute(ctx context.Context, r pendingRun) {
+	design := &e.plan.Designs[r.design]
+	report, err := emulator.Run(ctx, e.plan.days[r.design], emulator.Options{Seed: r.seed,
+		MeasureFrom: e.plan.WarmUpSeconds, Make: design.moduleFactory()})
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if err != nil {
+		e.errs = append(e.errs, fmt.Errorf("experiment: design %s, seed %d: %w", design.Name, r.seed, err))
+	} else {
+		run := Run{Design: design.Name, Fingerprint: e.plan.fingerprints[r.design], Seed: r.seed, Measures: measure(report)}
+		if err := writeRun(e.file, &run); err != nil {
+			e.errs = append(e.errs, &ResultsError{Path: e.path, Err: err})
+		}
+		e.runs = append(e.runs, run)
+	}
+	e.progress(len(e.runs), e.plan.Seeds*len(e.plan.Designs))
+}
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"context"
+	"errors"
 	"math"
 	"os"
 	"path/filepath"
@@ -10,7 +11,7 @@
 	"testing"
 )
 
-const text = `about: "x"
+const experimentText = `about: "x"
 seeds: 3
 warm: 1
 designs: [{name: "a", day: "calm"}, {name: "b", day: "calm", load: 2}, {name: "c", day: "calm", lose: "room-b", schedulers: 1}]`
@@ -24,7 +25,7 @@
 	return p
 }
 
-// What makes no sense is told with its field.
+// What makes no sense is reported with its field.
 func TestParse(t *testing.T) {
 	for _, c := range []struct{ from, to, want string }{
 		{`name: "b"`, `name: "a"`, `designs[1].name: "a" names two designs`},
@@ -34,17 +35,17 @@
 		{`seeds: 3`, `seeds: 1`, `seeds`},
 		{`load: 2`, `load: -2`, `load`},
 	} {
-		_, err := Parse("x.cue", []byte(strings.Replace(text, c.from, c.to, 1)))
+		_, err := Parse("x.cue", []byte(strings.Replace(experimentText, c.from, c.to, 1)))
 		if err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v, want %q", c.to, err, c.want)
 		}
 	}
 }
 
-// An experiment that was cut off goes on where it was, passes over half a line, runs anew what has changed, and gives
-// the same figures as one that was not.
+// An interrupted experiment resumes where it was, ignores an incomplete line, runs anew what has changed, and gives the same
+// figures as one that was not interrupted.
 func TestResume(t *testing.T) {
-	p := parse(t, text)
+	p := parse(t, experimentText)
 	dir := t.TempDir()
 	execute := func(p *Plan, file string, workers int) (rows []Row, ran int) {
 		t.Helper()
@@ -60,57 +61,64 @@
 		}
 		return p.Table(runs), ran
 	}
-	whole, ran := execute(p, "whole", 1)
+	complete, ran := execute(p, "complete", 1)
 	if ran != 9 {
 		t.Errorf("%d runs", ran)
 	}
-	all, err := os.ReadFile(filepath.Join(dir, "whole"))
+	all, err := os.ReadFile(filepath.Join(dir, "complete"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	lines := bytes.SplitAfter(all, []byte("\n"))
-	cut := append(bytes.Join(lines[:4], nil), lines[4][:20]...)
-	if err := os.WriteFile(filepath.Join(dir, "cut"), cut, 0o600); err != nil {
+	interrupted := append(bytes.Join(lines[:4], nil), lines[4][:20]...)
+	if err := os.WriteFile(filepath.Join(dir, "interrupted"), interrupted, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	resumed, ran := execute(p, "cut", 3)
+	resumed, ran := execute(p, "interrupted", 3)
 	if ran != 5 {
-		t.Errorf("%d runs after the cut, wanted 5", ran)
+		t.Errorf("%d runs after the interruption, wanted 5", ran)
 	}
-	if len(whole) != len(resumed) || len(whole) != len(Measures)*3 {
-		t.Fatalf("%d and %d rows", len(whole), len(resumed))
+	if len(complete) != len(resumed) || len(complete) != len(Measures)*3 {
+		t.Fatalf("%d and %d rows", len(complete), len(resumed))
 	}
-	for i := range whole {
-		if whole[i].Own != resumed[i].Own || whole[i].Against != resumed[i].Against {
-			t.Errorf("%+v and %+v", whole[i], resumed[i])
+	for i := range complete {
+		if complete[i].Mean != resumed[i].Mean || complete[i].Difference != resumed[i].Difference {
+			t.Errorf("%+v and %+v", complete[i], resumed[i])
 		}
 	}
-	if _, ran := execute(parse(t, strings.Replace(text, "load: 2", "load: 3", 1)), "cut", 3); ran != 3 {
+	if _, ran := execute(parse(t, strings.Replace(experimentText, "load: 2", "load: 3", 1)), "interrupted", 3); ran != 3 {
 		t.Errorf("%d runs after one design changed, wanted 3", ran)
 	}
-	if err := os.WriteFile(filepath.Join(dir, "bad"), []byte("nonsense\n"), 0o600); err != nil {
+}
+
+// A line of the file of results that is not a result is reported.
+func TestExecuteReportsBadResults(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "bad")
+	if err := os.WriteFile(path, []byte("nonsense\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := p.Execute(context.Background(), filepath.Join(dir, "bad"), 1, func(int, int) {}); err == nil {
-		t.Error("nonsense was taken for results")
+	_, err := parse(t, experimentText).Execute(context.Background(), path, 1, func(int, int) {})
+	var results *ResultsError
+	if !errors.As(err, &results) || results.Line != 1 || results.Path != path {
+		t.Errorf("got %v, want a ResultsError of line 1", err)
 	}
 }
 
-// Intervals against tables: for 5 values of standard deviation 1 the half width is 2.776/sqrt(5).
+// Intervals agree with tables: for 5 values of standard deviation 1 the half width is 2.776/sqrt(5).
 func TestEstimate(t *testing.T) {
-	a := math.Sqrt(2)
-	e := Mean([]float64{5, 5 + a, 5 - a, 5, 5})
-	if math.Abs(e.Mean-5) > 1e-9 || math.Abs(e.Half-2.776/math.Sqrt(5)) > 1e-3 || !e.Differs() {
+	offset := math.Sqrt(2)
+	e := EstimateMean([]float64{5, 5 + offset, 5 - offset, 5, 5})
+	if math.Abs(e.Mean-5) > 1e-9 || math.Abs(e.HalfWidth-2.776/math.Sqrt(5)) > 1e-3 || !e.Differs() {
 		t.Errorf("%v", e)
 	}
-	if one := Mean([]float64{3}); !math.IsInf(one.Half, 1) || one.Differs() {
-		t.Errorf("of one value: %v", one)
+	if single := EstimateMean([]float64{3}); !math.IsInf(single.HalfWidth, 1) || single.Differs() {
+		t.Errorf("estimate of one value: %v", single)
 	}
 }
 
-// The page holds everything in itself, and every design.
+// The page names every design and loads nothing from elsewhere.
 func TestHTML(t *testing.T) {
-	p := parse(t, strings.Replace(text, `"b"`, `"<b>"`, 1))
+	p := parse(t, strings.Replace(experimentText, `"b"`, `"<b>"`, 1))
 	runs, err := p.Execute(context.Background(), filepath.Join(t.TempDir(), "runs"), 2, func(int, int) {})
 	if err != nil {
 		t.Fatal(err)
@@ -122,7 +130,7 @@
 	}
 	for _, want := range []string{"&lt;b&gt;", "<svg", "wait p99", "</html>"} {
 		if !strings.Contains(b.String(), want) {
-			t.Errorf("the page does not say %q", want)
+			t.Errorf("the page does not contain %q", want)
 		}
 	}
 	for _, bad := range []string{"src=", "<link", "href=", "<?xml"} {
--- /dev/null
+++ b/internal/lab/experiment/results.go
@@ -0,0 +1,89 @@
+package experiment
+
+import (
+	"bufio"
+	"bytes"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"os"
+)
+
+// maxResultBytes bounds a line of a file of results.
+const maxResultBytes = 1 << 20
+
+// Run is the result of one seed of one design, a line of a file of results.
+type Run struct {
+	Design      string              `json:"Design"`
+	Fingerprint string              `json:"Mark"` // of the design
+	Seed        uint64              `json:"Seed"`
+	Measures    map[Measure]float64 `json:"Measures"`
+}
+
+// runKey identifies a run among the stored ones.
+type runKey struct {
+	design, fingerprint string
+	seed                uint64
+}
+
+func (r *Run) key() runKey { return runKey{r.Design, r.Fingerprint, r.Seed} }
+
+// ResultsError is returned for a file of results that cannot be read or written.
+type ResultsError struct {
+	Path string
+	Line int // counted from 1; 0: the file
+	Err  error
+}
+
+func (e *ResultsError) Error() string {
+	if e.Line == 0 {
+		return fmt.Sprintf("experiment: results: %v", e.Err)
+	}
+	return fmt.Sprintf("experiment: %s, line %d: %v", e.Path, e.Line, e.Err)
+}
+
+// Unwrap returns the cause.
+func (e *ResultsError) Unwrap() error { return e.Err }
+
+// readRuns reads a file of results; there are none if there is no file. A last line without its end, from a run that was
+// interrupted, is removed, so that what is appended next begins on a line of its own.
+func readRuns(path string) ([]Run, error) {
+	text, err := os.ReadFile(path)
+	if errors.Is(err, os.ErrNotExist) {
+		return nil, nil
+	}
+	if err != nil {
+		return nil, &ResultsError{Path: path, Err: err}
+	}
+	complete := bytes.LastIndexByte(text, '\n') + 1
+	if complete < len(text) {
+		if err := os.Truncate(path, int64(complete)); err != nil {
+			return nil, &ResultsError{Path: path, Err: err}
+		}
+	}
+	var runs []Run
+	lines := bufio.NewScanner(bytes.NewReader(text[:complete]))
+	lines.Buffer(nil, maxResultBytes)
+	for number := 1; lines.Scan(); number++ {
+		var r Run
+		if err := json.Unmarshal(lines.Bytes(), &r); err != nil {
+			return nil, &ResultsError{Path: path, Line: number, Err: err}
+		}
+		runs = append(runs, r)
+	}
+	if err := lines.Err(); err != nil {
+		return nil, &ResultsError{Path: path, Err: err}
+	}
+	return runs, nil
+}
+
+// writeRun appends a run to a file of results.
+func writeRun(w io.Writer, r *Run) error {
+	line, err := json.Marshal(r)
+	if err != nil {
+		return err
+	}
+	_, err = w.Write(append(line, '\n'))
+	return err
+}
--- a/internal/lab/experiment/format_test.go
+++ b/internal/lab/experiment/storedresults_test.go
@@ -25,8 +25,8 @@
 	return text
 }
 
-// The results of an earlier build are known again, by design, mark and seed: nothing is run, and nothing written.
-func TestStoredResultsAreKnownAgain(t *testing.T) {
+// The results of an earlier build are found by design, fingerprint and seed: nothing is run, and nothing is written.
+func TestStoredResultsAreReused(t *testing.T) {
 	stored := readFile(t, storedResults)
 	results := filepath.Join(t.TempDir(), "results")
 	if err := os.WriteFile(results, stored, 0o600); err != nil {
@@ -45,16 +45,16 @@
 		t.Errorf("the file of results is %s,\nwas %s", after, stored)
 	}
 	for _, r := range runs {
-		if r.Design == "" || r.Mark == "" || r.Seed == 0 || len(r.Measures) != len(Measures) {
+		if r.Design == "" || r.Fingerprint == "" || r.Seed == 0 || len(r.Measures) != len(Measures) {
 			t.Errorf("a field is not set: %+v", r)
 		}
 	}
 }
 
-// A result is written as earlier builds did.
-func TestStoredResultsAreWrittenTheSame(t *testing.T) {
+// A result is written as by earlier builds.
+func TestStoredResultsEncoding(t *testing.T) {
 	for _, line := range bytes.Split(bytes.TrimSpace(readFile(t, storedResults)), []byte("\n")) {
-		var r, again Run
+		var r, decoded Run
 		dec := json.NewDecoder(bytes.NewReader(line))
 		dec.DisallowUnknownFields()
 		if err := dec.Decode(&r); err != nil {
@@ -67,8 +67,8 @@
 		if !bytes.Equal(text, line) {
 			t.Errorf("%s, stored is %s", text, line)
 		}
-		if err := json.Unmarshal(text, &again); err != nil || !reflect.DeepEqual(r, again) {
-			t.Errorf("%+v, %v, want %+v", again, err, r)
+		if err := json.Unmarshal(text, &decoded); err != nil || !reflect.DeepEqual(r, decoded) {
+			t.Errorf("%+v, %v, want %+v", decoded, err, r)
 		}
 	}
 }
