--- a/internal/lab/ablation/ablation_test.go
+++ b/internal/lab/ablation/ablation_test.go
@@ -12,29 +12,32 @@
 	"flaxshelf.example/flaxshelf/internal/scheduler"
 )
 
-// Each hard bar breaks its rule in the day that is named for it, and no day is broken with it in place. Where the core
-// guards the same rule again, either of the two is enough by itself.
-func TestHardRows(t *testing.T) {
-	for _, h := range HardRows {
-		t.Run(h.Bar.String(), func(t *testing.T) {
+// hardConstraintSeed is the seed of the plays of hard constraints.
+const hardConstraintSeed = 5
+
+// Each hard constraint has a day that breaks its rule without it, and that breaks none with it. Where a guard of the
+// scheduler core enforces the same rule, either of the two is enough.
+func TestHardConstraints(t *testing.T) {
+	for _, h := range HardConstraints {
+		t.Run(h.Constraint.String(), func(t *testing.T) {
 			t.Parallel()
-			play := func(guards scheduler.Guards, out ...flaxshelf.Constraint) []bool {
-				broken, _, err := Broken(context.Background(), h.Day, Options(5, guards, out...))
+			play := func(guards scheduler.Guards, disabled ...flaxshelf.Constraint) []bool {
+				broken, _, err := BrokenRules(context.Background(), h.Day, Options(hardConstraintSeed, guards, disabled...))
 				if err != nil {
 					t.Fatal(err)
 				}
 				return broken
 			}
-			if !play(h.Guards, h.Bar)[h.Rule] {
-				t.Errorf("%s does not break rule %d without the bar: it proves nothing", h.Day, h.Rule+1)
+			if !play(h.Guards, h.Constraint)[h.Rule] {
+				t.Errorf("%s does not break rule %d without the constraint: it proves nothing", h.Day, h.Rule+1)
 			}
-			for i, b := range play(h.Guards) {
-				if b {
-					t.Errorf("%s breaks rule %d with the bar in place and the core's guard out", h.Day, i+1)
+			for i, broken := range play(h.Guards) {
+				if broken {
+					t.Errorf("%s breaks rule %d with the constraint and without the core's guard", h.Day, i+1)
 				}
 			}
 			if h.Guards != (scheduler.Guards{}) {
-				if play(scheduler.Guards{}, h.Bar)[h.Rule] {
+				if play(scheduler.Guards{}, h.Constraint)[h.Rule] {
 					t.Errorf("%s breaks rule %d though the core guards it", h.Day, h.Rule+1)
 				}
 			}
@@ -42,70 +45,96 @@
 	}
 }
 
-// TestMatrix plays every bar out against every day, and prints the tables of docs/ablation.md. It takes minutes and is for
-// a person to run:
+// The environment variables of the tests that take minutes and are for a person to run.
+const (
+	seedsVariable = "FLAXSHELF_MATRIX" // number of seeds
+	daysVariable  = "FLAXSHELF_DAYS"   // names of days; empty: all
+)
+
+// TestMatrix disables each constraint on each day, and prints the tables of docs/ablation.md. It takes minutes and is for a
+// person to run:
 //
 //	FLAXSHELF_MATRIX=20 go test -v -run Matrix -timeout 30m ./internal/lab/ablation
 //
-// FLAXSHELF_DAYS names some days only.
+// FLAXSHELF_DAYS limits it to some days.
 func TestMatrix(t *testing.T) {
 	seeds := 0
-	if _, err := fmt.Sscan(os.Getenv("FLAXSHELF_MATRIX"), &seeds); err != nil {
-		t.Skip("set FLAXSHELF_MATRIX to a number of seeds to play it")
+	if _, err := fmt.Sscan(os.Getenv(seedsVariable), &seeds); err != nil {
+		t.Skipf("set %s to a number of seeds to run it", seedsVariable)
 	}
-	ctx, days := context.Background(), Days()
-	if some := os.Getenv("FLAXSHELF_DAYS"); some != "" {
-		days = strings.Fields(some)
+	days := Days()
+	if names := os.Getenv(daysVariable); names != "" {
+		days = strings.Fields(names)
 	}
-	var hard, soft strings.Builder
-	for _, h := range HardRows {
-		fmt.Fprintf(&hard, "| %s |", h.Bar)
+	hard, soft := hardTable(t, days), softTable(t, days, seeds)
+	t.Logf("hard, days %s\n%s\nsoft\n%s", strings.Join(days, " | "), hard, soft)
+}
+
+// hardTable has a row for each hard constraint, and for each day the rules that are broken without it.
+func hardTable(t *testing.T, days []string) string {
+	t.Helper()
+	var table strings.Builder
+	for _, h := range HardConstraints {
+		fmt.Fprintf(&table, "| %s |", h.Constraint)
 		for _, day := range days {
-			broken, rep, err := Broken(ctx, day, Options(5, h.Guards, h.Bar))
-			if err != nil {
-				t.Fatal(err)
-			}
-			cell := ""
-			for i, b := range broken {
-				if b {
-					cell += fmt.Sprintf(" %d", i+1)
-				}
-			}
-			if rep.FellOver > 0 && h.Rule == rules.ColdKept {
-				cell += fmt.Sprintf(" (%d fell)", rep.FellOver)
-			}
-			fmt.Fprintf(&hard, "%s |", cell)
+			fmt.Fprintf(&table, "%s |", hardCell(t, &h, day))
 		}
-		hard.WriteString("\n")
+		table.WriteString("\n")
 	}
-	with := map[string][]Measure{}
-	for _, day := range days {
-		m, err := Play(ctx, day, seeds)
-		if err != nil {
-			t.Fatal(err)
+	return table.String()
+}
+
+func hardCell(t *testing.T, h *HardConstraint, day string) string {
+	t.Helper()
+	brokenRules, report, err := BrokenRules(context.Background(), day, Options(hardConstraintSeed, h.Guards, h.Constraint))
+	if err != nil {
+		t.Fatal(err)
+	}
+	cell := ""
+	for i, broken := range brokenRules {
+		if broken {
+			cell += fmt.Sprintf(" %d", i+1)
 		}
-		with[day] = m
 	}
-	for _, b := range flaxshelf.Constraints() {
-		if b.IsHard() {
+	if report.FellOver > 0 && h.Rule == rules.ColdKept {
+		cell += fmt.Sprintf(" (%d fell)", report.FellOver)
+	}
+	return cell
+}
+
+// softTable has a row for each soft constraint, with the days on which disabling it costs or gains something.
+func softTable(t *testing.T, days []string, seeds int) string {
+	t.Helper()
+	with := map[string][]Outcome{}
+	for _, day := range days {
+		with[day] = measureDay(t, day, seeds)
+	}
+	var table strings.Builder
+	for _, c := range flaxshelf.Constraints() {
+		if c.IsHard() {
 			continue
 		}
-		var costs, harms []string
+		var costs, gains []string
 		for _, day := range days {
-			without, err := Play(ctx, day, seeds, b)
-			if err != nil {
-				t.Fatal(err)
-			}
-			l := Compare(with[day], without)
-			if l.Seen() {
-				costs = append(costs, day+": "+l.String())
+			loss := Compare(with[day], measureDay(t, day, seeds, c))
+			if loss.Costs() {
+				costs = append(costs, day+": "+loss.String())
 			}
-			if l.Hurts() {
-				harms = append(harms, day+": "+l.String())
+			if loss.Gains() {
+				gains = append(gains, day+": "+loss.String())
 			}
 		}
-		fmt.Fprintf(&soft, "| %s | %s | %s |\n", b, strings.Join(costs, "; "), strings.Join(harms, "; "))
-		t.Logf("%s done", b)
+		fmt.Fprintf(&table, "| %s | %s | %s |\n", c, strings.Join(costs, "; "), strings.Join(gains, "; "))
+		t.Logf("%s done", c)
+	}
+	return table.String()
+}
+
+func measureDay(t *testing.T, day string, seeds int, disabled ...flaxshelf.Constraint) []Outcome {
+	t.Helper()
+	outcomes, err := MeasureDay(context.Background(), day, seeds, disabled...)
+	if err != nil {
+		t.Fatal(err)
 	}
-	t.Logf("hard, days %s\n%s\nsoft\n%s", strings.Join(days, " | "), hard.String(), soft.String())
+	return outcomes
 }
--- a/internal/lab/ablation/overload_test.go
+++ b/internal/lab/ablation/overload_test.go
@@ -12,8 +12,8 @@
 	"flaxshelf.example/flaxshelf/internal/scheduler"
 )
 
-// overload asks four nodes for so many times what they bear.
-const overload = `#Town
+// overloadDay submits to four nodes a multiple of what they can run; ratePlaceholder stands for the rate.
+const overloadDay = `#Town
 about: "many times what four nodes bear"
 seconds: 20
 schedulers: 2
@@ -23,31 +23,44 @@
 load: [{class: "simulation", perSecond: %RATE%, services: 40, life: ["2s", "4s"]}]
 `
 
-// TestOverloadOrder sets the order among tasks that wait beside another: of equals the one that came last first. It plays
-// minutes of overload and is for a person to run, as TestMatrix:
+const (
+	ratePlaceholder = "%RATE%"
+	overloadSeeds   = 10
+)
+
+// TestOverloadOrder compares two orders of waiting tasks of equal priority under overload: the oldest first, and the newest
+// first. It plays minutes of overload and is for a person to run, as TestMatrix:
 //
 //	FLAXSHELF_MATRIX=20 go test -v -run OverloadOrder ./internal/lab/ablation
 func TestOverloadOrder(t *testing.T) {
-	if os.Getenv("FLAXSHELF_MATRIX") == "" {
-		t.Skip("set FLAXSHELF_MATRIX to play it")
+	if os.Getenv(seedsVariable) == "" {
+		t.Skipf("set %s to run it", seedsVariable)
 	}
-	for _, x := range []struct{ name, rate string }{{"1.2 times", "15"}, {"2 times", "26"}, {"10 times", "130"}, {"50 times", "640"}} {
-		d, err := scenario.Parse("overload", []byte(strings.Replace(overload, "%RATE%", x.rate, 1)))
+	for _, c := range []struct{ name, rate string }{
+		{"1.2 times", "15"},
+		{"2 times", "26"},
+		{"10 times", "130"},
+		{"50 times", "640"},
+	} {
+		d, err := scenario.Parse("overload", []byte(strings.Replace(overloadDay, ratePlaceholder, c.rate, 1)))
 		if err != nil {
 			t.Fatal(err)
 		}
-		play := func(out ...flaxshelf.Constraint) (all []Measure) {
-			for seed := range 10 {
-				rep, err := emulator.Run(context.Background(), d, Options(uint64(seed+1), scheduler.Guards{}, out...))
-				if err != nil {
-					t.Fatal(err)
-				}
-				all = append(all, Measured(d, rep))
-			}
-			return all
+		oldest, newest := playOverload(t, d), playOverload(t, d, flaxshelf.ArrivalOrder)
+		t.Logf("%-10s oldest first earns %.4f of the worth, p50 %.2f s; the newest first instead: %s, p50 %.2f s", c.name,
+			oldest[0].EarnedShare, oldest[0].P50, Compare(newest, oldest), newest[0].P50)
+	}
+}
+
+func playOverload(t *testing.T, d *scenario.Day, disabled ...flaxshelf.Constraint) []Outcome {
+	t.Helper()
+	var outcomes []Outcome
+	for i := range overloadSeeds {
+		report, err := emulator.Run(context.Background(), d, Options(uint64(i+1), scheduler.Guards{}, disabled...))
+		if err != nil {
+			t.Fatal(err)
 		}
-		oldest, newest := play(), play(flaxshelf.ArrivalOrder)
-		t.Logf("%-10s oldest first earns %.4f of the worth, p50 %.2f s; the newest first instead: %s, p50 %.2f s", x.name,
-			oldest[0].Worth, oldest[0].P50, Compare(newest, oldest), newest[0].P50)
+		outcomes = append(outcomes, OutcomeOf(d, report))
 	}
+	return outcomes
 }
--- a/internal/lab/experiment/measure.go
+++ b/internal/lab/experiment/measure.go
@@ -1,8 +1,6 @@
 package experiment
 
 import (
-	"slices"
-
 	"flaxshelf.example/flaxshelf/internal/lab/emulator"
 )
 
@@ -27,19 +25,24 @@
 func measure(r *emulator.Report) map[Measure]float64 {
 	m := map[Measure]float64{FailedNodes: float64(r.FellOver)}
 	var submitted, placed, inTime float64
-	wait := slices.Clone(r.Classes)[0].Wait
-	for i, c := range r.Classes {
+	for _, c := range r.Classes {
 		submitted += float64(c.Submitted)
 		placed += float64(c.Placed)
 		inTime += float64(c.InTime)
-		if i > 0 {
-			wait.Merge(c.Wait)
-		}
 	}
 	if submitted > 0 {
 		m[PlacedShare], m[InTimeShare] = placed/submitted, inTime/submitted
 	}
-	m[WaitP50] = float64(wait.ValueAtQuantile(50)) / microsecondsPerSecond
-	m[WaitP99] = float64(wait.ValueAtQuantile(99)) / microsecondsPerSecond
+	m[WaitP50], m[WaitP99] = WaitPercentiles(r)
 	return m
 }
+
+// WaitPercentiles returns the median and the 99th percentile, in seconds, of the time to the first placement over all
+// classes. It merges the histograms of the classes into that of the first, so it must be called once for a report.
+func WaitPercentiles(r *emulator.Report) (p50, p99 float64) {
+	wait := r.Classes[0].Wait
+	for _, c := range r.Classes[1:] {
+		wait.Merge(c.Wait)
+	}
+	return float64(wait.ValueAtQuantile(50)) / microsecondsPerSecond, float64(wait.ValueAtQuantile(99)) / microsecondsPerSecond
+}
