--- a/internal/lab/chart/chart.go
+++ b/internal/lab/chart/chart.go
@@ -1,7 +1,8 @@
-// Package chart owns the drawing of measured lines into SVG files. It must not measure anything.
+// Package chart draws measured series as line charts in SVG files. It does not measure anything.
 package chart
 
 import (
+	"errors"
 	"fmt"
 	"os"
 
@@ -11,61 +12,86 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Line is a named row of points.
+// The size of a chart.
+const (
+	width  = 6 * vg.Inch
+	height = 4 * vg.Inch
+)
+
+// The factors by which the vertical axis is extended above the data, so that the legend fits.
+const (
+	legendSpaceLinear = 1.4
+	legendSpaceLog    = 50
+)
+
+// Line is a named series of points. X and Y have the same length.
 type Line struct {
 	Name string
 	X, Y []float64
 }
 
-// Chart is lines over common axes. Log draws both axes by their logarithms.
+// Chart is lines over common axes.
 type Chart struct {
-	Title, X, Y string
-	Log         bool
-	Lines       []Line
+	Title          string
+	XLabel, YLabel string // of the axes
+	LogScale       bool   // both axes are logarithmic; all values must be above 0
+	Lines          []Line
 }
 
-// Write draws the chart into an SVG file.
+// Write draws the chart into an SVG file, which it replaces.
 func (c *Chart) Write(path string) error {
 	p := plot.New()
-	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = c.Title, c.X, c.Y
+	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = c.Title, c.XLabel, c.YLabel
 	p.Legend.Top, p.Legend.Left = true, true
 	p.Add(plotter.NewGrid())
-	if c.Log {
+	if c.LogScale {
 		p.X.Scale, p.Y.Scale = plot.LogScale{}, plot.LogScale{}
 		p.X.Tick.Marker, p.Y.Tick.Marker = plot.LogTicks{Prec: -1}, plot.LogTicks{Prec: -1}
 	} else {
 		p.Y.Min = 0
 	}
-	for i, l := range c.Lines {
-		points := make(plotter.XYs, len(l.X))
-		for j := range l.X {
-			points[j].X, points[j].Y = l.X[j], l.Y[j]
+	for i := range c.Lines {
+		if err := addLine(p, i, &c.Lines[i]); err != nil {
+			return err
 		}
-		line, dots, err := plotter.NewLinePoints(points)
-		if err != nil {
-			return fmt.Errorf("chart: line %s: %w", l.Name, err)
-		}
-		line.Color, dots.Color = plotutil.Color(i), plotutil.Color(i)
-		line.Dashes, dots.Shape = plotutil.Dashes(i), plotutil.Shape(i)
-		p.Add(line, dots)
-		p.Legend.Add(l.Name, line, dots)
 	}
-	if c.Log { // room for the legend
-		p.Y.Max *= 50
+	if c.LogScale {
+		p.Y.Max *= legendSpaceLog
 	} else {
-		p.Y.Max *= 1.4
+		p.Y.Max *= legendSpaceLinear
 	}
-	if err := p.Save(6*vg.Inch, 4*vg.Inch, path); err != nil {
+	if err := p.Save(width, height, path); err != nil {
 		return fmt.Errorf("chart: %s: %w", path, err)
 	}
-	// gonum leaves out the line end that text files have.
-	f, err := os.OpenFile(path, os.O_APPEND|os.O_WRONLY, 0o644)
+	return appendEmptyLine(path)
+}
+
+// addLine adds line i with its color, dashes and markers.
+func addLine(p *plot.Plot, i int, l *Line) error {
+	points := make(plotter.XYs, len(l.X))
+	for j := range l.X {
+		points[j].X, points[j].Y = l.X[j], l.Y[j]
+	}
+	line, markers, err := plotter.NewLinePoints(points)
+	if err != nil {
+		return fmt.Errorf("chart: line %s: %w", l.Name, err)
+	}
+	line.Color, markers.Color = plotutil.Color(i), plotutil.Color(i)
+	line.Dashes, markers.Shape = plotutil.Dashes(i), plotutil.Shape(i)
+	p.Add(line, markers)
+	p.Legend.Add(l.Name, line, markers)
+	return nil
+}
+
+// appendEmptyLine ends the file with an empty line: the figures that are stored end so.
+func appendEmptyLine(path string) error {
+	file, err := os.OpenFile(path, os.O_APPEND|os.O_WRONLY, 0)
 	if err != nil {
 		return fmt.Errorf("chart: %w", err)
 	}
-	_, err = f.WriteString("\n")
-	if e := f.Close(); err == nil {
-		err = e
+	_, err = file.WriteString("\n")
+	if err := errors.Join(err, file.Close()); err != nil {
+		return fmt.Errorf("chart: %w", err)
 	}
-	return err
+	return nil
 }
--- /dev/null
+++ b/internal/lab/chart/chart_test.go
@@ -0,0 +1,59 @@
+package chart
+
+import (
+	"math"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+)
+
+// A chart is an SVG file with its title, the labels of its axes and the names of its lines. It ends with an empty line, as the
+// stored figures do.
+func TestWrite(t *testing.T) {
+	for _, c := range []struct {
+		name     string
+		logScale bool
+	}{{"linear", false}, {"logarithmic", true}} {
+		t.Run(c.name, func(t *testing.T) {
+			path := filepath.Join(t.TempDir(), "chart.svg")
+			chart := Chart{Title: "the title", XLabel: "horizontal", YLabel: "vertical", LogScale: c.logScale, Lines: []Line{
+				{Name: "first", X: []float64{1, 10, 100}, Y: []float64{1, 20, 300}},
+				{Name: "second", X: []float64{1, 100}, Y: []float64{2, 3}},
+			}}
+			if err := chart.Write(path); err != nil {
+				t.Fatal(err)
+			}
+			text, err := os.ReadFile(path)
+			if err != nil {
+				t.Fatal(err)
+			}
+			for _, want := range []string{"<svg", "the title", "horizontal", "vertical", "first", "second"} {
+				if !strings.Contains(string(text), want) {
+					t.Errorf("the file does not contain %q", want)
+				}
+			}
+			if !strings.HasSuffix(string(text), "</svg>\n\n") {
+				t.Errorf("the file ends with %q", text[max(0, len(text)-20):])
+			}
+		})
+	}
+}
+
+// A file that cannot be written and a point that is not a number are reported.
+func TestWriteErrors(t *testing.T) {
+	folder := t.TempDir()
+	for _, c := range []struct {
+		name, path string
+		lines      []Line
+	}{
+		{"no such folder", filepath.Join(folder, "none", "chart.svg"), []Line{{Name: "a", X: []float64{1}, Y: []float64{1}}}},
+		{"not a number", filepath.Join(folder, "chart.svg"), []Line{{Name: "a", X: []float64{1}, Y: []float64{math.NaN()}}}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			if err := (&Chart{Lines: c.lines}).Write(c.path); err == nil {
+				t.Error("the chart was written")
+			}
+		})
+	}
+}
--- a/internal/lab/reference/figure_test.go
+++ b/internal/lab/reference/figure_test.go
@@ -21,8 +21,8 @@
 	}
 	now := func(c flaxshelf.Config, s uint64) (stepper, error) { return flaxshelf.New(c, s) }
 	old := func(c flaxshelf.Config, s uint64) (stepper, error) { return reference.New(c, s) }
-	c := chart.Chart{Title: "one task placed, one placed before, one ended a step", X: "machines, 20 tasks on each",
-		Y: "microseconds a step", Log: true}
+	c := chart.Chart{Title: "one task placed, one placed before, one ended a step", XLabel: "machines, 20 tasks on each",
+		YLabel: "microseconds a step", LogScale: true}
 	for _, l := range []struct {
 		name  string
 		shape shape
--- a/internal/shard/cores_test.go
+++ b/internal/shard/cores_test.go
@@ -118,7 +118,7 @@
 		rate.X, rate.Y = append(rate.X, float64(n)), append(rate.Y, float64(sum)/took/1000)
 		tail.X, tail.Y = append(tail.X, float64(n)), append(tail.Y, p99.Seconds()*1e6)
 	}
-	c := chart.Chart{Title: "cores that decide at once, 130 nodes, 4 CPUs", X: "cores", Lines: []chart.Line{rate, tail}}
+	c := chart.Chart{Title: "cores that decide at once, 130 nodes, 4 CPUs", XLabel: "cores", Lines: []chart.Line{rate, tail}}
 	if err := c.Write(filepath.Join(dir, "cores.svg")); err != nil {
 		t.Fatal(err)
 	}
