--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -30,7 +30,7 @@
 	for _, c := range []struct{ from, to, want string }{
 		{`name: "b"`, `name: "a"`, `designs[1].name: "a" names two designs`},
 		{`day: "calm", load`, `day: "nowhere", load`, `designs[1].day: no day of that name`},
-		{`room-b`, `room-z`, `the fleet has no such room`},
+		{`room-b`, `room-z`, `the fleet has no such zone`},
 		{`warm: 1`, `warm: 99`, `expected under the 4 s`},
 		{`seeds: 3`, `seeds: 1`, `seeds`},
 		{`load: 2`, `load: -2`, `load`},
--- a/internal/lab/experiment/plan.go
+++ b/internal/lab/experiment/plan.go
@@ -49,7 +49,7 @@
 type UnknownZoneError struct{ Zone string }
 
 func (e *UnknownZoneError) Error() string {
-	return fmt.Sprintf("room %q: the fleet has no such room, or no other", e.Zone)
+	return fmt.Sprintf("zone %q: the fleet has no such zone, or no other", e.Zone)
 }
 
 // Parse reads an experiment from the text of a CUE file, and the days that it names. It returns settings.Problems if the
--- a/internal/lab/experiment/schema.cue
+++ b/internal/lab/experiment/schema.cue
@@ -8,7 +8,7 @@
 	load:       *1 | (number & >0)
 	schedulers: *0 | (int & >=0)
 	lose:       *"" | #Name
-	// What chooses machines: the module, or a baseline that keeps the same rules.
+	// What chooses machines: the module, or a baseline that obeys the same rules.
 	module: *"vote" | "random" | "two-choices" | "least-asked"
 }
 
--- a/internal/lab/load/capture.go
+++ b/internal/lab/load/capture.go
@@ -38,7 +38,7 @@
 
 func newCapture(start time.Time) *capture {
 	return &capture{
-		trace:        &Trace{Source: "daemon", Start: start},
+		trace:        &Trace{Source: SourceDaemon, Start: start},
 		indexes:      map[string]int{},
 		lastReceived: start,
 	}
--- a/internal/lab/load/plan.go
+++ b/internal/lab/load/plan.go
@@ -19,7 +19,7 @@
 	Shape    Shape               `json:"shape"`
 	Runtimes RuntimeDistribution `json:"lives"`
 	Services int                 `json:"services"` // number of services that the submissions are spread over
-	HotShare float64             `json:"popular"`  // share that goes to the first service beyond its even share
+	HotShare float64             `json:"popular"`  // share of the submissions that goes to the first service, not to a random one
 	Cores    float64             `json:"cores"`    // requested; 0: as the class has it
 	Memory   float64             `json:"memory"`   // requested, in GiB; 0: as the class has it
 }
@@ -78,7 +78,7 @@
 
 // Jobs draws the submissions of the plan. They depend on the plan and the seed alone.
 func (p *Plan) Jobs(seed uint64) (*Trace, error) {
-	t := &Trace{Source: "plan"}
+	t := &Trace{Source: SourcePlan}
 	for i := range p.Streams {
 		s := &p.Streams[i]
 		if jobs := s.Shape.maxRate() * p.Seconds; jobs > maxJobs {
--- a/internal/lab/load/swf.go
+++ b/internal/lab/load/swf.go
@@ -53,7 +53,7 @@
 // the user the tenant. Jobs without a submission time or processors are skipped and counted. A line of another format is
 // reported by an SWFError.
 func ReadSWF(r io.Reader, class string) (t *Trace, skipped int, err error) {
-	t = &Trace{Source: "swf"}
+	t = &Trace{Source: SourceSWF}
 	lines := bufio.NewScanner(r)
 	lines.Buffer(nil, maxSWFLineBytes)
 	for number := 1; lines.Scan(); number++ {
--- a/internal/lab/load/trace.go
+++ b/internal/lab/load/trace.go
@@ -27,9 +27,16 @@
 // Gap is a time in which a capture received nothing, since the start.
 type Gap struct{ From, To time.Duration }
 
+// The sources of a trace.
+const (
+	SourceDaemon = "daemon" // captured from a scheduler
+	SourceSWF    = "swf"    // imported from a log of the Standard Workload Format
+	SourcePlan   = "plan"   // drawn from a plan
+)
+
 // Trace is a captured load, or one that a plan has drawn. Its jobs are in order of time.
 type Trace struct {
-	Source    string // where it comes from: daemon, swf or plan
+	Source    string // one of the Source constants
 	Start     time.Time
 	Anonymous bool // names of services and tenants are hashes
 	Jobs      []Job
@@ -51,8 +58,7 @@
 )
 
 // Anonymise replaces the names of services and tenants by hashes under the key. Equal names stay equal, and without the
-// key nobody can tell which name a hash stands for by hashing candidates. Classes stay, because a load is of no use
-// without them.
+// key the name of a hash cannot be found by hashing candidates. Classes stay, because a load is of no use without them.
 func (t *Trace) Anonymise(key string) error {
 	var derived [32]byte
 	blake3.DeriveKey(anonymiseContext, []byte(key), derived[:])
--- a/internal/lab/scenario/days/bad-day.cue
+++ b/internal/lab/scenario/days/bad-day.cue
@@ -1,4 +1,4 @@
-// Many troubles that overlap: the first proof of the program.
+// Many faults that overlap.
 #Town
 about:   "failing starts, a class that fails in silence, a rolling deploy, a lost room, killed and stopped schedulers, cut links"
 seconds: 16
--- a/internal/lab/scenario/days/calm.cue
+++ b/internal/lab/scenario/days/calm.cue
@@ -1,4 +1,4 @@
-// A day without trouble: the least that must work.
+// A day without faults.
 about:      "two schedulers, six nodes in three rooms, no trouble"
 seconds:    4
 after:      5
--- a/internal/lab/standin/nodemodel/node.go
+++ b/internal/lab/standin/nodemodel/node.go
@@ -149,7 +149,7 @@
 	return n.out
 }
 
-// Die ends the node and loses all its tasks without a word to their schedulers.
+// Die ends the node and loses all its tasks. It sends nothing to their schedulers.
 func (n *Node) Die() {
 	n.dead = true
 	for _, t := range n.tasksByAge {
