--- a/internal/daemon/clienthandler.go
+++ b/internal/daemon/clienthandler.go
@@ -107,7 +107,8 @@
 
 func (h *clientHandler) rejectSlow(c *transport.Conn) {
 	c.WriteInLoop(drmaafront.ErrorResponse(http.StatusRequestTimeout, &drmaa2.Error{Code: drmaa2.InvalidArgument,
-		Message: fmt.Sprintf("the request did not come whole within %v", h.daemon.settings.Limits.RequestTimeout.Duration())}, true))
+		Message: fmt.Sprintf("the request did not come whole within %v",
+			h.daemon.settings.Limits.RequestTimeout.Duration())}, true))
 	c.CloseInLoop(errRequestTimeout)
 }
 
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -106,7 +106,8 @@
 	if err != nil {
 		return err
 	}
-	d.server, err = transport.Listen(d.settings.ListenAddress, transport.Options{MaxWriteQueue: d.settings.Limits.MaxClientWriteQueue,
+	d.server, err = transport.Listen(d.settings.ListenAddress, transport.Options{
+		MaxWriteQueue: d.settings.Limits.MaxClientWriteQueue,
 		IdleTimeout: d.settings.Limits.IdleTimeout.Duration(), Loops: coreCount, Log: d.log}, d.accept)
 	return err
 }
--- /dev/null
+++ b/internal/lab/experiment/measure.go
@@ -0,0 +1,48 @@
+package experiment
+
+import (
+	"flaxshelf.example/flaxshelf/internal/lab/emulator"
+)
+
+// Measure is what is measured of a run; the value is its name in stored results and reports.
+type Measure string
+
+// The measures. Waits are in seconds from the intended submission to the first placement.
+const (
+	PlacedShare Measure = "placed"  // share of the submissions that were placed
+	InTimeShare Measure = "in time" // share of the submissions that were placed within their latency objective
+	WaitP50     Measure = "wait p50"
+	WaitP99     Measure = "wait p99"
+	FailedNodes Measure = "nodes fallen" // nodes that broke down during slow start
+)
+
+// Measures lists all measures in the order of a report.
+var Measures = []Measure{PlacedShare, InTimeShare, WaitP50, WaitP99, FailedNodes}
+
+const microsecondsPerSecond = 1e6
+
+// measure takes the measures from a report. It merges the report's histograms.
+func measure(r *emulator.Report) map[Measure]float64 {
+	m := map[Measure]float64{FailedNodes: float64(r.FellOver)}
+	var submitted, placed, inTime float64
+	for _, c := range r.Classes {
+		submitted += float64(c.Submitted)
+		placed += float64(c.Placed)
+		inTime += float64(c.InTime)
+	}
+	if submitted > 0 {
+		m[PlacedShare], m[InTimeShare] = placed/submitted, inTime/submitted
+	}
+	m[WaitP50], m[WaitP99] = WaitPercentiles(r)
+	return m
+}
+
+// WaitPercentiles returns the median and the 99th percentile, in seconds, of the time to the first placement over all
+// classes. It merges the histograms of the classes into that of the first, so it must be called once for a report.
+func WaitPercentiles(r *emulator.Report) (p50, p99 float64) {
+	wait := r.Classes[0].Wait
+	for _, c := range r.Classes[1:] {
+		wait.Merge(c.Wait)
+	}
+	return float64(wait.ValueAtQuantile(50)) / microsecondsPerSecond, float64(wait.ValueAtQuantile(99)) / microsecondsPerSecond
+}
