--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -108,7 +108,7 @@
 	}
 	d.server, err = transport.Listen(d.settings.ListenAddress, transport.Options{
 		MaxWriteQueue: d.settings.Limits.MaxClientWriteQueue,
-		IdleTimeout: d.settings.Limits.IdleTimeout.Duration(), Loops: coreCount, Log: d.log}, d.accept)
+		IdleTimeout:   d.settings.Limits.IdleTimeout.Duration(), Loops: coreCount, Log: d.log}, d.accept)
 	return err
 }
 
