--- a/api.go
+++ b/api.go
@@ -104,6 +104,10 @@
 }
 
 // Config is the settings of one scheduler and its fleet. Zero values mean unknown or not allowed.
+//
+// The module knows all settings that a deployment may have, and uses a part of them: at present it makes no use of
+// HedgedRequests, CanHealthCheck, CanGossip, CanRetryAfter, MaxRetryAfter, Preempts, ReportsUsage, AnswerSlack,
+// Tenant.TasksPerSecond and Tenant.QuotaFraction.
 type Config struct {
 	// Index is this scheduler's number among Schedulers, from 0. It must differ between schedulers.
 	Index           int
@@ -135,7 +139,8 @@
 	DrainGrace         time.Duration
 	// DiscoveryPollDeadline is how long an answer to Subscribe may take.
 	DiscoveryPollDeadline time.Duration
-	// SlowStartDuration is how long after its start a machine is in slow start at most.
+	// SlowStartDuration is how long after its start a machine is in slow start at most; the module adds an OverloadWindow, for
+	// offers that are still counted then.
 	SlowStartDuration time.Duration
 	// OverloadWindow is the time within which offers to a machine in slow start are counted.
 	OverloadWindow time.Duration
--- a/capacity.go
+++ b/capacity.go
@@ -48,8 +48,8 @@
 		x.requestedFraction[number] = share
 		x.rankChanged = append(x.rankChanged, int32(number))
 	}
-	if m.unlistedStep != x.unlistedStep {
-		m.unlistedCores, m.unlistedMemory = 0, 0
+	if m.unshownStep != x.unshownStep {
+		m.unshownCores, m.unshownMemory = 0, 0
 	}
 	x.updateFreeCapacity(m)
 }
@@ -57,8 +57,8 @@
 // updateFreeCapacity writes what is free on m by the list, less what the list may not show yet.
 func (x *index) updateFreeCapacity(m *machine) {
 	if m.number >= 0 && m.number < len(x.freeCores) {
-		x.freeCores[m.number] = x.listedCores[m.number] - m.unlistedCores
-		x.freeMemory[m.number] = x.listedMemory[m.number] - m.unlistedMemory
+		x.freeCores[m.number] = x.listedCores[m.number] - m.unshownCores
+		x.freeMemory[m.number] = x.listedMemory[m.number] - m.unshownMemory
 	}
 }
 
--- a/constraint.go
+++ b/constraint.go
@@ -18,7 +18,7 @@
 	AnswerDeadlineConstraint
 )
 
-// The soft constraints, in the order in which they are applied.
+// The soft constraints, in the order in which they are applied, and OverloadLoad, which acts in the vote after them.
 const (
 	// TriedConstraint avoids machines that this task was offered to.
 	TriedConstraint Constraint = iota + AnswerDeadlineConstraint + 1
--- a/constraints_soft.go
+++ b/constraints_soft.go
@@ -107,7 +107,7 @@
 		full.InPlaceUnion(x.offerLimited)
 	}
 	if p.cfg.ListsFreeCapacity && !p.disabled[CapacityConstraint] {
-		p.updateUnlisted(eligible.Difference(full), listDelay)
+		p.updateUnshown(eligible.Difference(full), listDelay)
 		x.addLackingCapacity(eligible, full, t.Cores, t.Memory)
 	}
 	return full
--- a/events.go
+++ b/events.go
@@ -3,7 +3,8 @@
 // Handlers of events: they keep the records of machines, tasks and attempts. What an event means for the choice of
 // machines is decided by the policy files.
 
-// handle calls the handler of an event. GossipReceived and TimerFired need none: that a step is made is enough.
+// handle calls the handler of an event. TimerFired needs none, since a step is made; the data of
+// GossipReceived is not used.
 func (p *Placer) handle(e Event) {
 	switch e := e.(type) {
 	case MachinesUpdated:
--- a/evidence.go
+++ b/evidence.go
@@ -18,7 +18,7 @@
 // plain replay would keep them, and the machine would look full after its next start.
 func (p *Placer) forgetMachinePlacements(m *machine) {
 	for _, b := range p.history {
-		if b.machine == m && b.placedAt < p.now && !p.disabled[ForgetRemovedPlacements] {
+		if b.machine == m && b.offeredAt < p.now && !p.disabled[ForgetRemovedPlacements] {
 			p.forgetPlacement(b)
 		}
 	}
@@ -42,7 +42,7 @@
 	if len(p.history) < minCandidates {
 		return 0
 	}
-	gap := (p.now - p.history[0].placedAt) / time.Duration(len(p.history))
+	gap := (p.now - p.history[0].offeredAt) / time.Duration(len(p.history))
 	return min(failureMemory, gap*time.Duration(len(p.machinesByID)))
 }
 
--- a/history.go
+++ b/history.go
@@ -10,7 +10,7 @@
 // placement is an entry of the history that the vote replays: what was requested of which machine when.
 type placement struct {
 	machine         *machine
-	placedAt        Time
+	offeredAt       Time
 	class           int
 	cores           float64
 	memory          float64
@@ -45,7 +45,7 @@
 func (p *Placer) pruneHistory() {
 	oldest := p.now - p.historyReach()
 	first := max(0, len(p.history)-maxHistory)
-	for first < len(p.history) && p.history[first].placedAt < oldest {
+	for first < len(p.history) && p.history[first].offeredAt < oldest {
 		first++
 	}
 	if first > 0 {
--- a/index.go
+++ b/index.go
@@ -46,7 +46,7 @@
 	contenderBuffer []candidate
 	voteBuffer      []float64
 
-	// infeasible is the classes of tasks for which no machine is left, until something is offered or has changed.
+	// infeasible is the kinds of requests for which no machine is left, until something is offered or has changed.
 	infeasible map[equivalenceClass]bool
 
 	// Columns by machine.
@@ -56,12 +56,12 @@
 	externalLoad []float64
 
 	capacityColumns
-	unlistedCapacity
+	unshownCapacity
 	affinityTables
 }
 
-// equivalenceClass is what decides, before a task's first offer, whether any machine is left for it. Tasks of one class
-// share the answer within a step.
+// equivalenceClass is what decides, before a task's first offer, whether any machine is left for it. Tasks with equal
+// fields share the answer within a step.
 type equivalenceClass struct {
 	class        int
 	service      string // only where spread is bounded
@@ -89,7 +89,7 @@
 // resize makes all sets and columns anew for so many machines.
 func (x *index) resize(machines int) {
 	for _, set := range []**bitset.BitSet{&x.slowStarting, &x.failing, &x.overloaded, &x.occupied, &x.rejecting,
-		&x.offerLimited, &x.reporting, &x.eligible, &x.scratch, &x.unlistedChecked} {
+		&x.offerLimited, &x.reporting, &x.eligible, &x.scratch, &x.unshownChecked} {
 		*set = bitset.MustNew(uint(machines))
 	}
 	for kind := range x.activeByKind {
@@ -108,7 +108,7 @@
 	x.byRequestedFraction, x.rankChanged = nil, nil
 	clear(x.zones)
 	clear(x.cells)
-	x.unlistedStep = -1
+	x.unshownStep = -1
 }
 
 // requestReview has a machine reviewed before the next choice.
--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -18,8 +18,8 @@
 type Limits struct {
 	MaxConnections          int           // connections kept open; for one more, another is closed
 	IdleTimeout             time.Duration // a connection that is still unverified so long after it opened is closed
-	RecentUseGrace          time.Duration // a verified connection used within so long is not closed for another one
-	MaxProtocolErrors       int           // malformed messages in a row that a connection may send; at the next it is closed
+	RecentUseGrace          time.Duration // a connection pinged or used within so long is not closed for another one
+	MaxProtocolErrors       int           // malformed messages since its last use; at the next it is closed
 	MaxPendingPerConnection int           // requests that may be pending on a connection
 }
 
@@ -83,7 +83,8 @@
 
 // evictionCandidate is the connection to close when descriptors run short; nil where all are in use. Hundreds of connections
 // that are silent, or send one health check and stay, must push out neither the owners' connections nor a new one that is
-// about to be used. So the hosts with several unverified connections lose theirs first, then pinged ones go, then verified.
+// about to be used. So the hosts with several unverified connections lose theirs first, then pinged ones go, then verified,
+// and last the oldest unverified one.
 func (c *Control) evictionCandidate(now Time) *connection {
 	if candidate := c.unverifiedOfBusiestHost(); candidate != nil {
 		return candidate
@@ -128,16 +129,16 @@
 	return nil
 }
 
-// Touch records a use that only owners make of a connection: it carried a request that has its response, a running task or
-// the end of one. A request alone is not enough: misbehaving clients send hundreds and cancel them at once.
-func (c *Control) Touch(now Time, id ID) {
+// RecordOwnerUse records a use that only owners make of a connection: it carried a request that has its response, a running
+// task or the end of one. A request alone is not enough: misbehaving clients send hundreds and cancel them at once.
+func (c *Control) RecordOwnerUse(now Time, id ID) {
 	if conn := c.connections[id]; conn != nil {
 		c.use(now, conn, &c.verified)
 	}
 }
 
-// Pinged records a health check. The connection is unverified no more, but it is not verified by that either.
-func (c *Control) Pinged(now Time, id ID) {
+// RecordPing records a health check. The connection is unverified no more, but it is not verified by that either.
+func (c *Control) RecordPing(now Time, id ID) {
 	conn := c.connections[id]
 	if conn == nil {
 		return
@@ -206,7 +207,7 @@
 	}
 	conn.pending--
 	if answered {
-		c.Touch(now, id)
+		c.RecordOwnerUse(now, id)
 	}
 }
 
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -27,7 +27,7 @@
 func TestEvictsUnverifiedOfBusiestHostFirst(t *testing.T) {
 	c := newTestControl()
 	c.Opened(0, 1, "owner")
-	c.Touch(ms, 1)
+	c.RecordOwnerUse(ms, 1)
 	c.Opened(2*ms, 2, "newcomer")
 	for i := range 300 {
 		for _, id := range c.Opened(3*ms, ID(10+i), "flood") {
@@ -46,7 +46,7 @@
 	c := newTestControl()
 	for i := range ID(maxConnections) {
 		c.Opened(Time(i)*ms, i+1, "h")
-		c.Touch(Time(i)*ms, i+1)
+		c.RecordOwnerUse(Time(i)*ms, i+1)
 	}
 	if !c.BeginRequest(1) {
 		t.Fatal("the first request is over the limit")
@@ -54,10 +54,10 @@
 	if evicted := c.Opened(time.Second, 5, "h"); !slices.Equal(evicted, []ID{2}) {
 		t.Errorf("evicted %v, want 2", evicted)
 	}
-	c.Touch(time.Second, 5)
+	c.RecordOwnerUse(time.Second, 5)
 	c.EndRequest(time.Second, 1, true)
-	c.Touch(time.Second, 3)
-	c.Touch(time.Second, 4)
+	c.RecordOwnerUse(time.Second, 3)
+	c.RecordOwnerUse(time.Second, 4)
 	if evicted := c.Opened(time.Second+ms, 6, "h"); !slices.Equal(evicted, []ID{6}) {
 		t.Errorf("evicted %v, want the new one: all others were used within the grace", evicted)
 	}
@@ -68,11 +68,11 @@
 func TestEvictsPingedBeforeVerified(t *testing.T) {
 	c := newTestControl()
 	c.Opened(0, 1, "owner")
-	c.Touch(0, 1)
+	c.RecordOwnerUse(0, 1)
 	c.Opened(0, 2, "pinged owner")
-	c.Pinged(0, 2)
-	c.Touch(0, 2)
-	c.Pinged(0, 2)
+	c.RecordPing(0, 2)
+	c.RecordOwnerUse(0, 2)
+	c.RecordPing(0, 2)
 	for i := range 300 {
 		now, id := Time(i+1)*200*ms, ID(10+i)
 		for _, evicted := range c.Opened(now, id, fmt.Sprint(id)) {
@@ -80,7 +80,7 @@
 				t.Fatalf("connection %d was evicted at %v, want %d", evicted, now, id-2)
 			}
 		}
-		c.Pinged(now, id)
+		c.RecordPing(now, id)
 	}
 	if c.Len() != maxConnections || c.verified.Len() != 2 {
 		t.Errorf("%d connections are left, %d of them verified", c.Len(), c.verified.Len())
@@ -93,11 +93,11 @@
 	c.Opened(0, 1, "owner")
 	c.MarkLikelyOwner(1)
 	c.Opened(0, 2, "h")
-	c.Pinged(ms, 2)
+	c.RecordPing(ms, 2)
 	if idle, next := c.CloseIdle(2 * time.Second); len(idle) > 0 || next != 2250*ms {
 		t.Errorf("%v, %v", idle, next)
 	}
-	c.Touch(2*time.Second, 2)
+	c.RecordOwnerUse(2*time.Second, 2)
 	if idle, next := c.CloseIdle(2250 * ms); !slices.Equal(idle, []ID{1}) || next != 0 {
 		t.Errorf("%v, %v", idle, next)
 	}
@@ -108,7 +108,7 @@
 	c := newTestControl()
 	c.Opened(0, 1, "h")
 	c.Opened(100*ms, 2, "h")
-	c.Touch(200*ms, 1)
+	c.RecordOwnerUse(200*ms, 1)
 	if idle, next := c.CloseIdle(2 * time.Second); len(idle) > 0 || next != 2100*ms {
 		t.Errorf("%v, %v", idle, next)
 	}
@@ -176,9 +176,9 @@
 				}
 			}
 		case 1:
-			c.Touch(now, id)
+			c.RecordOwnerUse(now, id)
 		case 2:
-			c.Touch(now, id)
+			c.RecordOwnerUse(now, id)
 			if c.BeginRequest(id) {
 				pending[id]++
 			}
@@ -193,7 +193,7 @@
 		case 5:
 			c.CloseIdle(now)
 		case 6:
-			c.Pinged(now, id)
+			c.RecordPing(now, id)
 		}
 		checkLists(t, c)
 	}
--- a/internal/lab/reference/constraints.go
+++ b/internal/lab/reference/constraints.go
@@ -193,22 +193,22 @@
 	kind := p.cfg.Kinds[m.Kind]
 	cores := m.FreeCores + (p.cfg.CoreOvercommit-1)*kind.Cores
 	memory := m.FreeMemory + (p.cfg.MemoryOvercommit-1)*kind.Memory
-	if m.unlistedStep != p.stepNumber { // once a step, since thousands may wait; recordPlacement adds to it
-		p.sumUnlisted(m)
+	if m.unshownStep != p.stepNumber { // once a step, since thousands may wait; recordPlacement adds to it
+		p.sumUnshown(m)
 	}
-	return cores-m.unlistedCores >= t.Cores && memory-m.unlistedMemory >= t.Memory
+	return cores-m.unshownCores >= t.Cores && memory-m.unshownMemory >= t.Memory
 }
 
-// sumUnlisted sums what the list may not show yet of m.
-func (p *Placer) sumUnlisted(m *machine) {
-	m.unlistedStep, m.unlistedCores, m.unlistedMemory = p.stepNumber, 0, 0
+// sumUnshown sums what the list may not show yet of m.
+func (p *Placer) sumUnshown(m *machine) {
+	m.unshownStep, m.unshownCores, m.unshownMemory = p.stepNumber, 0, 0
 	for _, b := range slices.Backward(p.recentHistory()) {
-		if b.placedAt < m.listedAt-listDelay {
+		if b.offeredAt < m.listedAt-listDelay {
 			break
 		}
 		if b.machine == m && !b.forgotten {
-			m.unlistedCores += b.cores
-			m.unlistedMemory += b.memory
+			m.unshownCores += b.cores
+			m.unshownMemory += b.memory
 		}
 	}
 }
--- a/internal/lab/reference/evidence.go
+++ b/internal/lab/reference/evidence.go
@@ -24,7 +24,7 @@
 	if len(p.history) < minCandidates {
 		return 0
 	}
-	gap := (p.now - p.history[0].placedAt) / time.Duration(len(p.history))
+	gap := (p.now - p.history[0].offeredAt) / time.Duration(len(p.history))
 	return min(failureMemory, gap*time.Duration(len(p.machinesByID)))
 }
 
--- a/internal/lab/reference/placer.go
+++ b/internal/lab/reference/placer.go
@@ -180,7 +180,7 @@
 // forgetMachinePlacements takes the placements on a removed or restarted machine out of the history.
 func (p *Placer) forgetMachinePlacements(m *machine) {
 	for _, b := range p.history {
-		if b.machine == m && b.placedAt < p.now {
+		if b.machine == m && b.offeredAt < p.now {
 			b.forgotten = true
 		}
 	}
@@ -255,7 +255,7 @@
 func (p *Placer) prune() {
 	oldest := p.now - time.Duration(historyLifetimes*float64(p.longestMeanLifetime()))
 	first := max(0, len(p.history)-maxHistory)
-	for first < len(p.history) && p.history[first].placedAt < oldest {
+	for first < len(p.history) && p.history[first].offeredAt < oldest {
 		first++
 	}
 	p.history = append(p.history[:0], p.history[first:]...)
--- a/internal/lab/reference/records.go
+++ b/internal/lab/reference/records.go
@@ -41,9 +41,9 @@
 	memorySinceListed float64
 
 	// Requested by this scheduler so recently that the listed free capacity may not show it.
-	unlistedStep   int // the step for which they hold
-	unlistedCores  float64
-	unlistedMemory float64
+	unshownStep   int // the step for which they hold
+	unshownCores  float64
+	unshownMemory float64
 
 	affinity float64 // to the service of the choice in progress
 }
@@ -87,7 +87,7 @@
 // placement is an entry of the history that the vote replays.
 type placement struct {
 	machine         *machine
-	placedAt        flaxshelf.Time
+	offeredAt        flaxshelf.Time
 	class           int
 	cores           float64
 	memory          float64
@@ -154,7 +154,7 @@
 
 // recordPlacement records a new attempt of t on m.
 func (p *Placer) recordPlacement(t *task, m *machine) {
-	placed := &placement{machine: m, placedAt: p.now, class: t.Class, cores: t.Cores, memory: t.Memory,
+	placed := &placement{machine: m, offeredAt: p.now, class: t.Class, cores: t.Cores, memory: t.Memory,
 		expectedRuntime: t.ExpectedRuntime}
 	p.history = append(p.history, placed)
 	t.attempts = append(t.attempts, attempt{machine: m, sentAt: p.now, active: true, placement: placed})
@@ -163,8 +163,8 @@
 	m.ownMemory += t.Memory
 	m.coresSinceListed += t.Cores
 	m.memorySinceListed += t.Memory
-	m.unlistedCores += t.Cores
-	m.unlistedMemory += t.Memory
+	m.unshownCores += t.Cores
+	m.unshownMemory += t.Memory
 	m.pendingOffers++
 	p.tenantCores[t.Tenant] += t.Cores
 }
--- a/internal/lab/reference/vote.go
+++ b/internal/lab/reference/vote.go
@@ -92,7 +92,7 @@
 // survival is the probability that a placement still runs: by its expected runtime where known, else by an exponential law
 // with its class's mean lifetime.
 func (p *Placer) survival(b *placement) float64 {
-	age := p.now - b.placedAt
+	age := p.now - b.offeredAt
 	if b.expectedRuntime > 0 {
 		if age < b.expectedRuntime {
 			return 1
--- a/internal/platform/effects.go
+++ b/internal/platform/effects.go
@@ -12,8 +12,11 @@
 	"flaxshelf.example/flaxshelf/internal/transport"
 )
 
-// errOwnerClosed is why an owner's connection closes that the core gave up.
-var errOwnerClosed = errors.New("platform: the connection was closed by admission control")
+// The reasons for which the core has a connection closed.
+var (
+	errOwnerClosed = errors.New("platform: the connection was closed by admission control")
+	errLinkClosed  = errors.New("platform: the core closed the link")
+)
 
 // execute executes the effects of the step at now, in order. The messages that a step has for one connection go to its
 // event loop together; a connection to be closed is closed behind them.
@@ -140,7 +143,7 @@
 func (s *Scheduler) closeLink(link requests.Link) {
 	if node := s.links[link]; node != nil {
 		delete(s.links, link)
-		node.conn.Close(transport.ErrStopping)
+		node.conn.Close(errLinkClosed)
 	}
 }
 
--- a/internal/platform/helpers_test.go
+++ b/internal/platform/helpers_test.go
@@ -125,7 +125,7 @@
 	_ = listener.Close()
 	s.writeConfig(s.feed, settings, nodes...)
 	go func() {
-		s.runResult <- Run(Options{Config: s.configPath, Tap: s.recordingPath, Log: zerolog.New(s)}, s.stop, s.reload)
+		s.runResult <- Run(Options{Config: s.configPath, Recording: s.recordingPath, Log: zerolog.New(s)}, s.stop, s.reload)
 	}()
 	t.Cleanup(s.shutDown)
 	<-s.feed.Calls
--- a/internal/platform/mailbox.go
+++ b/internal/platform/mailbox.go
@@ -11,7 +11,7 @@
 type message struct {
 	inputs     []requests.Input
 	conn       *transport.Conn    // on which the inputs arrived, when it has just opened; else nil
-	receivedAt requests.Time      // when an owner sent it; 0: it is not from an owner
+	receivedAt requests.Time      // when the event loop read it from an owner; 0: it is not from an owner
 	watch      *watchNotification // of the endpoint watch; else nil
 }
 
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -36,7 +36,8 @@
 	// left for a process that waits for its core. The longer it is, the fewer tasks are given up that survive a network
 	// partition of some seconds.
 	nodeUnreachableTimeout = 8*time.Second - 500*time.Millisecond - 300*time.Millisecond
-	// idleTimeout is how long an owner's connection may carry nothing useful: a misbehaving client is closed within 3 s.
+	// idleTimeout is how long an owner's connection may carry nothing useful, or a message of it be incomplete: a misbehaving
+	// client is closed within 3 s.
 	idleTimeout = 2300 * time.Millisecond
 	// recentUseGrace is how long after its last use a connection is not evicted: an owner resends what crosses a close once,
 	// within 50 ms.
@@ -45,15 +46,15 @@
 	maxPendingRequests = 2048
 	// maxPendingPerConnection is how many of them may have come on one connection.
 	maxPendingPerConnection = maxPendingRequests / 8
-	// maxProtocolErrors is how many malformed requests in a row a connection may send without being closed.
+	// maxProtocolErrors is how many malformed requests since its last use a connection may send without being closed.
 	maxProtocolErrors = 3
 )
 
 // Options are the settings of the command line.
 type Options struct {
-	Config string         // path of the configuration file
-	Tap    string         // path of the file that records the module's steps; empty: they are not recorded
-	Log    zerolog.Logger // at trace level it gets each input and effect of the core
+	Config    string         // path of the configuration file
+	Recording string         // path of the file that records the module's steps; empty: they are not recorded
+	Log       zerolog.Logger // at trace level it gets each input and effect of the core
 }
 
 // Scheduler is a running scheduler. Run makes it; it has no exported methods.
@@ -115,7 +116,8 @@
 	return s.close(cancelDials)
 }
 
-// limitProcess keeps the process within its part of a core and of the memory. Six tenths of the memory are for the heap.
+// limitProcess keeps the process on one core, of which it has a part, and within its memory. Six tenths of the memory are for
+// the heap.
 func limitProcess(limits platformfront.Limits) {
 	runtime.GOMAXPROCS(1)
 	debug.SetMemoryLimit(int64(limits.MemoryMB) << 20 * 6 / 10)
@@ -154,8 +156,8 @@
 		},
 	}
 	var err error
-	if s.options.Tap != "" {
-		if s.recording, err = replay.Create(s.options.Tap, config.Module, config.Seed); err != nil {
+	if s.options.Recording != "" {
+		if s.recording, err = replay.Create(s.options.Recording, config.Module, config.Seed); err != nil {
 			return err
 		}
 		coreConfig.RecordStep = s.recording.Step
--- a/internal/platform/reload.go
+++ b/internal/platform/reload.go
@@ -7,7 +7,7 @@
 	"flaxshelf.example/flaxshelf/internal/requests"
 )
 
-// configuredNodes returns the nodes of the configuration as one complete list, whatever the number of its events: else a
+// configuredNodes returns the nodes of the configuration merged into one update, whatever the number of its events: else a
 // start would dial each node that ever was listed.
 func (s *Scheduler) configuredNodes() []requests.Input {
 	list, found := platformfront.MergeUpdates(s.config.Load().InitialEvents)
--- a/internal/requests/attempt.go
+++ b/internal/requests/attempt.go
@@ -7,7 +7,8 @@
 	"flaxshelf.example/flaxshelf/internal/timerqueue"
 )
 
-// attemptPhase is how far an attempt has come. The phases are ordered: from phaseRunning on the task has run.
+// attemptPhase is how far an attempt has come. The phases are ordered: in phaseRunning and
+// phaseReleasing the task has run; an attempt may end in phaseEnded from each of the others.
 type attemptPhase int
 
 const (
@@ -81,7 +82,8 @@
 	c.awaitLink(a)
 }
 
-// newAttempt registers an attempt of t at n. It times out with the request's deadline at the latest; timeout 0: then.
+// newAttempt registers an attempt of t at n. It times out at the request's deadline at the latest, and
+// exactly then with timeout 0.
 func (c *Core) newAttempt(t *task, n *node, timeout time.Duration) *attempt {
 	a := &attempt{task: t, number: t.attempts, node: n, startedAt: c.now, timeout: timeout}
 	t.attempts++
@@ -210,7 +212,7 @@
 	c.awaitReleaseConfirmation(a)
 }
 
-// loseAttempt ends an attempt whose node or link is gone. The owner of a running task is notified.
+// loseAttempt ends an attempt whose node is gone. The owner of a running task is notified.
 func (c *Core) loseAttempt(a *attempt) {
 	if a.phase == phaseRunning {
 		c.notifyTerminated(a.task, CauseLost)
--- a/internal/requests/core.go
+++ b/internal/requests/core.go
@@ -24,7 +24,7 @@
 	moduleTimerAt Time              // when the module wants a TimerFired event; 0: never
 
 	tasks         map[string]*task
-	owners        map[Conn]*owner
+	owners        map[Conn]*ownerConnection
 	admission     *admission.Control
 	idleTimer     *timerqueue.Timer // of the next check for idle owners' connections
 	activityCount uint64            // how often an owner's connection was marked active
@@ -53,7 +53,7 @@
 		config:    config,
 		placer:    placer,
 		tasks:     map[string]*task{},
-		owners:    map[Conn]*owner{},
+		owners:    map[Conn]*ownerConnection{},
 		admission: admission.New(config.Admission),
 		nodes:     map[string]*node{},
 		links:     map[Link]*link{},
--- a/internal/requests/input.go
+++ b/internal/requests/input.go
@@ -13,12 +13,12 @@
 
 // Causes of releases, as the platform numbers them.
 const (
-	CauseNormal   = 16 // a request is canceled; after its response: the task has completed
-	CauseCanceled = 31 // migrated, or ended by its owner, who needs no notification
-	CauseRejected = 34 // rejected: a retry does no harm
-	CauseLost     = 41
-	CauseError    = 47
-	CauseObsolete = 102
+	CauseNormal   = 16  // a request is canceled; after its response: the task has completed
+	CauseCanceled = 31  // migrated, or ended by its owner, who needs no notification
+	CauseRejected = 34  // rejected: a retry does no harm
+	CauseLost     = 41  // the connection or the node was lost: the task may have run
+	CauseError    = 47  // an error: the task may have run
+	CauseObsolete = 102 // from nodes: the offer came too late and never ran
 )
 
 // Input is something that has happened outside the core. The input types of this package implement it.
@@ -103,7 +103,7 @@
 		Machines   []flaxshelf.Machine
 		Addrs      []string // of the machines, in their order
 		Complete   bool     // nodes that it doesn't name are removed
-		FromConfig bool     // from the configuration, not from the discovery service
+		FromConfig bool     // from the configuration of the start; it may be out of date
 	}
 	// WatchEstablished reports that the discovery service has accepted the subscription.
 	WatchEstablished struct{}
--- a/internal/requests/link.go
+++ b/internal/requests/link.go
@@ -13,7 +13,7 @@
 	id             Link
 	node           *node
 	up             bool
-	suspected      bool // silent where a message was due, or about to be closed as idle: a newer link replaces it
+	suspected      bool // to be replaced by a newer link, see suspectLink
 	pendingOffers  int  // written on it and not responded to
 	lastReceivedAt Time
 	lastUsedAt     Time // the last offer or message on it, or its coming up
@@ -95,10 +95,11 @@
 }
 
 // dialFailed handles a failed dial of a node that has no other link. A refused connection proves that the process is dead,
-// and with it what ran there; any other failure proves only that nothing was sent.
+// and with it what ran there, save on a draining node that was never linked; any other failure proves only that nothing was
+// sent.
 func (c *Core) dialFailed(n *node, refused bool) {
 	// A draining node does not listen any more: its refusal proves a death only where a link was up and broke before.
-	// Otherwise a scheduler that has just started would release all running tasks that it adopts there.
+	// Otherwise a scheduler that has just started would count as lost all running tasks that it adopts there.
 	dead := refused && (n.everLinked || n.entry.State != flaxshelf.Draining)
 	if refused && !dead {
 		n.lastReceivedAt = c.now
--- a/internal/requests/linkpool.go
+++ b/internal/requests/linkpool.go
@@ -25,8 +25,8 @@
 	return priority
 }
 
-// prefetchLinkEighths is how many eighths of Config.MaxLinks links that only save time may fill. The last eighth is kept
-// free for links that are needed.
+// prefetchLinkEighths: with so many eighths of Config.MaxLinks in use, by links of any kind, none is opened that only saves
+// time. The last eighth is kept free for links that are needed.
 const prefetchLinkEighths = 7
 
 // atCapacity reports whether a link that only saves time would be one too many.
--- a/internal/requests/notification.go
+++ b/internal/requests/notification.go
@@ -44,8 +44,8 @@
 // likelyOwner is the connection that was marked active last. Where none was, it is the one that most tasks were adopted
 // from, and of several such the oldest. It is nil where no connection is likely an owner's: misbehaving clients connect from
 // owners' addresses and report tasks that no node runs, and a notification that goes to one of them is lost.
-func (c *Core) likelyOwner() *owner {
-	var best *owner
+func (c *Core) likelyOwner() *ownerConnection {
+	var best *ownerConnection
 	for _, o := range c.owners {
 		if o.activeSerial == 0 && o.adoptions == 0 {
 			continue
@@ -58,7 +58,7 @@
 }
 
 // compareLikelihood orders connections by how likely they are an owner's.
-func compareLikelihood(a, b *owner) int {
+func compareLikelihood(a, b *ownerConnection) int {
 	return cmp.Or(
 		cmp.Compare(a.activeSerial, b.activeSerial),
 		cmp.Compare(a.adoptions, b.adoptions),
--- a/internal/requests/owner.go
+++ b/internal/requests/owner.go
@@ -6,8 +6,8 @@
 	"flaxshelf.example/flaxshelf/internal/admission"
 )
 
-// owner is an owner's connection.
-type owner struct {
+// ownerConnection is an owner's connection.
+type ownerConnection struct {
 	conn         Conn
 	pending      map[string]*task // requests that wait for their response on it, by task ID; nil before the first
 	activeSerial uint64           // Core.activityCount when it was last marked active; 0: never
@@ -15,7 +15,7 @@
 }
 
 // addPending records a request that waits for its response on the connection.
-func (o *owner) addPending(t *task) {
+func (o *ownerConnection) addPending(t *task) {
 	if o.pending == nil {
 		o.pending = map[string]*task{}
 	}
@@ -23,13 +23,13 @@
 }
 
 // sortedPending lists the pending requests in the order of their task IDs.
-func (o *owner) sortedPending() []*task {
+func (o *ownerConnection) sortedPending() []*task {
 	return sortedValues(o.pending, func(a, b *task) int { return cmp.Compare(a.id, b.id) })
 }
 
 // connectOwner registers an owner's connection. Admission may have others closed for it, or itself.
 func (c *Core) connectOwner(in OwnerConnected) {
-	c.owners[in.Conn] = &owner{conn: in.Conn}
+	c.owners[in.Conn] = &ownerConnection{conn: in.Conn}
 	for _, id := range c.admission.Opened(c.now, admission.ID(in.Conn), in.Host) {
 		c.closeOwner(Conn(id))
 	}
@@ -82,12 +82,12 @@
 	if c.owners[in.Conn] == nil {
 		return
 	}
-	c.admission.Pinged(c.now, admission.ID(in.Conn))
+	c.admission.RecordPing(c.now, admission.ID(in.Conn))
 	c.emit(Pong{Conn: in.Conn, Task: in.Task, Passed: !c.shuttingDown})
 }
 
 // touchOwner has admission count a connection as used.
-func (c *Core) touchOwner(conn Conn) { c.admission.Touch(c.now, admission.ID(conn)) }
+func (c *Core) touchOwner(conn Conn) { c.admission.RecordOwnerUse(c.now, admission.ID(conn)) }
 
 // markActive is for a connection that is surely an owner's: a request of it was placed, or a node has confirmed a task that
 // was adopted from it. It gets the notifications that found no connection before.
--- a/internal/requests/stats.go
+++ b/internal/requests/stats.go
@@ -4,7 +4,7 @@
 
 // Stats are the gauges and counters of a core. All counters count since its start.
 type Stats struct {
-	// Gauges.
+	// Gauges. Owners counts their connections.
 	Pending, Running, RunningUnlisted, Owners, Nodes, Links int
 	// Requests by their final response, requests that their owners canceled, and offers made.
 	Placed, Rejected, Failed, Canceled, Offers uint64
--- a/machine.go
+++ b/machine.go
@@ -48,10 +48,10 @@
 	coresSinceListed  float64
 	memorySinceListed float64
 
-	// Requested by this scheduler so recently that the listed free capacity may not show it, see unlisted.go.
-	unlistedStep   int // the step for which they hold
-	unlistedCores  float64
-	unlistedMemory float64
+	// Requested by this scheduler so recently that the listed free capacity may not show it, see unshown.go.
+	unshownStep   int // the step for which they hold
+	unshownCores  float64
+	unshownMemory float64
 }
 
 // health is the evidence of outcomes about a machine or about one class on it.
--- a/slow_start.go
+++ b/slow_start.go
@@ -10,7 +10,7 @@
 
 // hasSlowStartBudget reports whether this scheduler may make one more offer to a machine in slow start. The
 // window is wider than the overload window because offers sent apart may arrive together. A scheduler that
-// started after the machine can't know what its former incarnation sent, so that counts as spent.
+// started after the machine can't know what it sent before, so its budget counts as spent for a window.
 //
 // What remains of the budget when each scheduler has an equal number of whole offers is used in slots.
 func (p *Placer) hasSlowStartBudget(m *machine) bool {
--- a/task.go
+++ b/task.go
@@ -56,7 +56,7 @@
 func (p *Placer) recordPlacement(t *task, m *machine) {
 	placed := &placement{
 		machine:         m,
-		placedAt:        p.now,
+		offeredAt:       p.now,
 		class:           t.Class,
 		cores:           t.Cores,
 		memory:          t.Memory,
@@ -70,7 +70,7 @@
 	m.ownMemory += t.Memory
 	m.coresSinceListed += t.Cores
 	m.memorySinceListed += t.Memory
-	p.addUnlisted(m, t)
+	p.addUnshown(m, t)
 	m.pendingOffers++
 	p.requestReview(m)
 	p.tenantCores[t.Tenant] += t.Cores
--- a/test.sh
+++ b/test.sh
@@ -20,7 +20,7 @@
 # shellcheck disable=SC2086
 long=$(awk '{gsub(/\t/,"    ")} length>110 {print FILENAME":"FNR}' $policy)
 if [ -n "$long" ]; then echo "policy lines over 110 characters: $long"; exit 1; fi
-# What runs at night imports nothing of what is for trying it out.
+# What runs in production imports nothing of the laboratory.
 inward=$(go list -f '{{$p := .ImportPath}}{{range .Imports}}{{$p}} imports {{.}}{{"\n"}}{{end}}' . ./internal/... ./drmaa2 |
 	grep -v '^[^ ]*/internal/lab/' | grep 'imports .*/internal/lab/' || true)
 if [ -n "$inward" ]; then echo "$inward"; exit 1; fi
--- a/tuning.go
+++ b/tuning.go
@@ -14,7 +14,7 @@
 	maxMeanLifetime   = 5 * time.Minute // of the longest-lived class, for the reach of the history
 	shortfallWeight   = 3.0             // load that counts for a machine that serves none of its tasks
 	largeTaskSize     = 0.15            // a task that requests more of a machine is large
-	minCandidates     = 2               // a soft constraint that would leave fewer machines is skipped
+	minCandidates     = 2               // that most soft constraints must leave; else they are skipped
 	consolidationFill = 0.85            // to which machines are filled, where those in use are priced
 
 	// Capacity and offers.
@@ -44,7 +44,7 @@
 	placementRetryInterval = 40 * time.Millisecond // between choices for a queued task
 	minQueueLimit          = 5 * time.Second       // a task may be queued so long at least
 	minAttemptTimeout      = 50 * time.Millisecond
-	latencySmoothing       = 8 // the latest latency counts by this fraction of one
+	latencySmoothing       = 8 // the latest latency counts for one part in so many
 	latencyDeviations      = 4 // beyond the mean latency, until an attempt times out
 	answerDeadlineMargin   = time.Millisecond
 
--- a/vote.go
+++ b/vote.go
@@ -99,7 +99,7 @@
 // survival is the probability that a placement still runs: by its expected runtime where known, else by an
 // exponential law with its class's mean lifetime. A draw against it is the same as drawing the lifetime.
 func (p *Placer) survival(b *placement) float64 {
-	age := p.now - b.placedAt
+	age := p.now - b.offeredAt
 	if b.expectedRuntime > 0 {
 		if age < b.expectedRuntime {
 			return 1
--- a/vote_test.go
+++ b/vote_test.go
@@ -12,7 +12,7 @@
 	p := startPlacer(t, testConfig(), testMachines(3))
 	p.now = 10 * time.Second
 	for i, runtime := range []time.Duration{20 * time.Second, time.Second, 20 * time.Second} {
-		b := &placement{machine: p.machinesByID[i], placedAt: 5 * time.Second, cores: 4, memory: 1, expectedRuntime: runtime}
+		b := &placement{machine: p.machinesByID[i], offeredAt: 5 * time.Second, cores: 4, memory: 1, expectedRuntime: runtime}
 		p.history = append(p.history, b)
 		p.indexPlacement(b)
 	}
@@ -28,8 +28,8 @@
 	p := startPlacer(t, testConfig(), testMachines(2))
 	p.now = 10 * time.Second
 	p.history = []*placement{
-		{machine: p.machinesByID[0], placedAt: p.now, cores: 1, memory: 50, expectedRuntime: time.Hour},
-		{machine: p.machinesByID[1], placedAt: p.now, cores: 8, memory: 1, expectedRuntime: time.Hour},
+		{machine: p.machinesByID[0], offeredAt: p.now, cores: 1, memory: 50, expectedRuntime: time.Hour},
+		{machine: p.machinesByID[1], offeredAt: p.now, cores: 8, memory: 1, expectedRuntime: time.Hour},
 	}
 	for _, b := range p.history {
 		p.indexPlacement(b)
@@ -137,7 +137,7 @@
 func TestSurvivalAndMeanLifetime(t *testing.T) {
 	p := startPlacer(t, testConfig(), testMachines(2))
 	p.now = 70 * time.Second
-	b := &placement{machine: p.machinesByID[0], placedAt: 10 * time.Second}
+	b := &placement{machine: p.machinesByID[0], offeredAt: 10 * time.Second}
 	if got := p.survival(b); math.Abs(got-math.Exp(-1)) > 1e-9 {
 		t.Errorf("survival %v after one initial lifetime", got)
 	}
