--- a/internal/lab/reference/records.go
+++ b/internal/lab/reference/records.go
@@ -87,7 +87,7 @@
 // placement is an entry of the history that the vote replays.
 type placement struct {
 	machine         *machine
-	offeredAt        flaxshelf.Time
+	offeredAt       flaxshelf.Time
 	class           int
 	cores           float64
 	memory          float64
