--- a/internal/scheduler/session.go
+++ b/internal/scheduler/session.go
@@ -10,7 +10,7 @@
 	exists := c.sessions[in.Name]
 	switch {
 	case in.Verb == List:
-		c.answer(in.Req, Answer{Sessions: slices.Sorted(maps.Keys(c.sessions))})
+		c.answer(in.Req, Answer{Sessions: c.sessionNames()})
 	case in.Verb == Create && exists:
 		c.reject(in.Req, InvalidArgument, 0, "job session %q exists", in.Name)
 	case in.Verb == Create && len(c.sessions) >= c.cfg.Limits.MaxSessions:
@@ -27,3 +27,10 @@
 		c.answer(in.Req, Answer{Sessions: []string{in.Name}})
 	}
 }
+
+// sessionNames lists the job sessions by name. It is never nil, so that clients always get a list.
+func (c *Core) sessionNames() []string {
+	names := slices.AppendSeq(make([]string, 0, len(c.sessions)), maps.Keys(c.sessions))
+	slices.Sort(names)
+	return names
+}
