--- a/cmd/flaxshelf/load.go
+++ b/cmd/flaxshelf/load.go
@@ -148,8 +148,8 @@
 	var runtimes time.Duration
 	for _, job := range trace.Jobs {
 		jobsByClass[job.Class]++
-		runtimes += job.Life
-		if job.CutOff {
+		runtimes += job.Runtime
+		if job.Censored {
 			cutOff++
 		}
 	}
--- a/cmd/flaxshelf/node.go
+++ b/cmd/flaxshelf/node.go
@@ -64,11 +64,11 @@
 
 // startNodes starts the nodes of a fleet, all or none. Those of one zone drop copies of keys together.
 func startNodes(fleet *settings.Fleet, inventory string, log zerolog.Logger) ([]*host.Node, error) {
-	keysByZone := map[string]nodemodel.Keys{}
+	keysByZone := map[string]nodemodel.KeyRegistry{}
 	var nodes []*host.Node
 	for i, node := range fleet.Nodes {
 		if keysByZone[node.Zone] == nil {
-			keysByZone[node.Zone] = host.NewRoom()
+			keysByZone[node.Zone] = host.NewKeyRegistry()
 		}
 		started, err := host.StartNode(host.NodeOptions{
 			Model:     standins.Model(fleet, i),
@@ -76,7 +76,7 @@
 			Cell:      node.Cell,
 			Listen:    node.ListenAddress,
 			Inventory: inventory,
-			Room:      keysByZone[node.Zone],
+			Keys:      keysByZone[node.Zone],
 			Log:       log,
 		})
 		if err != nil {
--- a/drmaa2/errors.go
+++ b/drmaa2/errors.go
@@ -17,7 +17,7 @@
 	TimeoutCode            ErrorCode = "Timeout"                // a wait timed out; raised by the client
 	Internal               ErrorCode = "Internal"               // a fault of the scheduler
 	InvalidArgument        ErrorCode = "InvalidArgument"        // a value that can't be used; no such job or session
-	InvalidSession         ErrorCode = "InvalidSession"         // a submission to a session that does not exist
+	InvalidSession         ErrorCode = "InvalidSession"         // a submission to, or a watch of, a session that does not exist
 	InvalidState           ErrorCode = "InvalidState"           // the job's state does not allow the operation
 	OutOfResource          ErrorCode = "OutOfResource"          // too many sessions
 	UnsupportedAttribute   ErrorCode = "UnsupportedAttribute"   // an attribute that the scheduler does not act on
--- a/drmaa2/events.go
+++ b/drmaa2/events.go
@@ -61,7 +61,7 @@
 }
 
 // read handles the events of one connection. It returns true when handle has, and false without an error when the
-// connection ended after events.
+// connection ended in good order, or broke after events.
 func (s *eventStream) read(ctx context.Context) (bool, error) {
 	header := http.Header{"Accept": {"text/event-stream"}}
 	if s.lastID != "" {
--- a/drmaa2/monitoring.go
+++ b/drmaa2/monitoring.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"net/http"
-	"slices"
 )
 
 // MonitoringSession reads all jobs, machines and queues, GFD.194 section 8.9. It needs no closing.
@@ -30,8 +29,10 @@
 	var list struct {
 		Machines []MachineInfo `json:"machines"`
 	}
-	err := m.client.call(ctx, http.MethodGet, "/machines", nil, &list)
-	return named(list.Machines, names, func(machine MachineInfo) string { return machine.Name }), err
+	if err := m.client.call(ctx, http.MethodGet, "/machines", nil, &list); err != nil {
+		return list.Machines, err
+	}
+	return named(list.Machines, names, func(machine MachineInfo) string { return machine.Name }), nil
 }
 
 // AllQueues lists the named queues, or all where none is named. Names that the scheduler does not know are left out.
@@ -39,16 +40,26 @@
 	var list struct {
 		Queues []QueueInfo `json:"queues"`
 	}
-	err := m.client.call(ctx, http.MethodGet, "/queues", nil, &list)
-	return named(list.Queues, names, func(queue QueueInfo) string { return queue.Name }), err
+	if err := m.client.call(ctx, http.MethodGet, "/queues", nil, &list); err != nil {
+		return list.Queues, err
+	}
+	return named(list.Queues, names, func(queue QueueInfo) string { return queue.Name }), nil
 }
 
-// named returns the elements that have one of the names; all where there are no names.
+// named returns the elements that have one of the names, once for each time that it is given; all where there are no names.
 func named[T any](elements []T, names []string, name func(T) string) []T {
 	if len(names) == 0 {
 		return elements
 	}
-	return slices.DeleteFunc(elements, func(element T) bool { return !slices.Contains(names, name(element)) })
+	var found []T
+	for _, element := range elements {
+		for _, wanted := range names {
+			if wanted == name(element) {
+				found = append(found, element)
+			}
+		}
+	}
+	return found
 }
 
 // AllReservations is ErrUnsupportedOperation: the scheduler makes no advance reservations.
--- a/drmaa2/types.go
+++ b/drmaa2/types.go
@@ -7,7 +7,7 @@
 
 // The job states.
 const (
-	Undetermined JobState = "UNDETERMINED"  // not known: the scheduler was not reached
+	Undetermined JobState = "UNDETERMINED"  // not known: the state could not be read
 	Queued       JobState = "QUEUED"        // not started yet
 	QueuedHeld   JobState = "QUEUED_HELD"   // not started yet, and held
 	Running      JobState = "RUNNING"       // runs on a node
--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -154,6 +154,10 @@
 func (c *Control) use(now Time, conn *connection, to *list.List) {
 	conn.lastUsedAt = now
 	conn.protocolErrors = 0
+	if conn.list == to {
+		to.MoveToBack(conn.element)
+		return
+	}
 	c.removeFromList(conn)
 	conn.list = to
 	conn.element = to.PushBack(conn)
--- a/internal/daemon/testcluster_test.go
+++ b/internal/daemon/testcluster_test.go
@@ -80,11 +80,11 @@
 // startNodes starts nodes and waits until the inventory lists them.
 func (c *testCluster) startNodes(count int, model nodemodel.Config) {
 	c.t.Helper()
-	room := host.NewRoom()
+	room := host.NewKeyRegistry()
 	for i := range count {
 		model.Name, model.Seed = fmt.Sprintf("n%d", i), uint64(i)
 		node, err := host.StartNode(host.NodeOptions{Model: model, Kind: "k", Listen: "127.0.0.1:0",
-			Inventory: c.inventory.Addr(), Room: room, Log: zerolog.Nop()})
+			Inventory: c.inventory.Addr(), Keys: room, Log: zerolog.Nop()})
 		if err != nil {
 			c.t.Fatal(err)
 		}
--- a/internal/lab/emulator/clients.go
+++ b/internal/lab/emulator/clients.go
@@ -132,7 +132,7 @@
 	set, load := c.simulation.schedulers[arrival.Scheduler].settings, arrival.Load
 	spec := scheduler.Spec{Key: arrival.Key, Session: "", Name: load.Class, Service: arrival.Service,
 		Class: set.ClassIndex(load.Class), Tenant: set.TenantIndex(load.Tenant), Cores: arrival.Cores,
-		Memory: arrival.Memory, ExpectedRuntime: arrival.Life, Rerunnable: load.Rerunnable}
+		Memory: arrival.Memory, ExpectedRuntime: arrival.Runtime, Rerunnable: load.Rerunnable}
 	class := &set.Classes[spec.Class]
 	spec.Priority = class.Priority
 	if spec.Cores <= 0 {
@@ -272,11 +272,11 @@
 // command terminates some jobs, and holds and releases some, as the load has it.
 func (c *clients) command(s *submitted, now Time) {
 	load := s.arrival.Load
-	later := now + s.arrival.Pause
+	later := now + s.arrival.ControlDelay
 	switch {
-	case s.arrival.Verb < load.Terminate:
+	case s.arrival.ControlDraw < load.Terminate:
 		c.sendCommand(s, later, scheduler.Terminate)
-	case s.arrival.Verb < load.Terminate+load.Hold:
+	case s.arrival.ControlDraw < load.Terminate+load.Hold:
 		c.sendCommand(s, now, scheduler.Hold)
 		c.sendCommand(s, later, scheduler.Release)
 	}
@@ -302,7 +302,7 @@
 		return
 	}
 	canceled, placed := info.Outcome == scheduler.OutcomeCanceled, info.Outcome == scheduler.OutcomePlaced
-	if canceled && s.arrival.Verb >= s.arrival.Load.Terminate {
+	if canceled && s.arrival.ControlDraw >= s.arrival.Load.Terminate {
 		return // held by its client: another request follows
 	}
 	if !placed && !canceled && c.retry(s, notice.at) {
--- a/internal/lab/emulator/faults.go
+++ b/internal/lab/emulator/faults.go
@@ -51,7 +51,7 @@
 	for i := range s.schedulers {
 		starts.sendSchedulers([]int{i}, startScheduler{})
 	}
-	for i := range s.day.Troubles {
+	for i := range s.day.Faults {
 		next, err := fault.New(s.day, i, s.seed)
 		if err != nil {
 			return err
--- a/internal/lab/emulator/node.go
+++ b/internal/lab/emulator/node.go
@@ -22,7 +22,7 @@
 type nodeEntity struct {
 	simulation   *simulation
 	id           int32
-	place        scenario.Place
+	place        scenario.Node
 	settings     settings.Node
 	inbox        inbox
 	latency      *latencyModel
@@ -115,7 +115,7 @@
 
 // crash ends an incarnation whose model has died by itself.
 func (n *nodeEntity) crash(now Time, out *outbox) {
-	if n.model.FellOver() {
+	if n.model.Overloaded() {
 		n.overloads++
 		n.simulation.recorder.nodeOverloaded(n, now)
 	}
--- a/internal/lab/emulator/simulation.go
+++ b/internal/lab/emulator/simulation.go
@@ -25,10 +25,10 @@
 	nodeNames  []string // in the order of nodes
 	nodeIDs    map[string]int32
 	schedulers []*schedulerEntity
-	zoneKeys   map[string]nodemodel.Keys // the idempotency keys that the nodes of a zone share
-	zoneGroups map[string]int32          // the engine's groups of zones
-	recorder   *recorder                 // nil for none
-	trace      *traceArrivals            // in place of the day's load; nil for none
+	zoneKeys   map[string]nodemodel.KeyRegistry // the idempotency keys that the nodes of a zone share
+	zoneGroups map[string]int32                 // the engine's groups of zones
+	recorder   *recorder                        // nil for none
+	trace      *traceArrivals                   // in place of the day's load; nil for none
 
 	newModule  func(cfg flaxshelf.Config, seed uint64) (scheduler.Module, error)
 	changeCore func(cfg *scheduler.Config)
@@ -67,7 +67,7 @@
 		day = &longer
 	}
 	s := &simulation{day: day, seed: opt.Seed, engine: newEngine(opt.Workers), nodeIDs: map[string]int32{},
-		zoneKeys: map[string]nodemodel.Keys{}, zoneGroups: map[string]int32{}, newModule: opt.Make, changeCore: opt.Core}
+		zoneKeys: map[string]nodemodel.KeyRegistry{}, zoneGroups: map[string]int32{}, newModule: opt.Make, changeCore: opt.Core}
 	if err := s.checkOptions(opt); err != nil {
 		return nil, err
 	}
@@ -87,7 +87,7 @@
 	s.faults = &faultInjector{simulation: s}
 	s.faults.id = s.engine.add(s.faults)
 	s.addInventory()
-	for _, place := range day.Places() {
+	for _, place := range day.Nodes() {
 		s.addNode(place)
 	}
 	if err := s.addSchedulers(); err != nil {
@@ -115,12 +115,12 @@
 	s.inventory.latency = newLatencyModel(s.seed, s.inventory.id)
 }
 
-func (s *simulation) addNode(place scenario.Place) {
+func (s *simulation) addNode(place scenario.Node) {
 	zone := place.Group.Zone
 	n := &nodeEntity{simulation: s, place: place, settings: settings.Node{Name: place.Name, Kind: place.Group.Kind,
 		Zone: zone, Cell: place.Group.Cell}}
 	if s.zoneKeys[zone] == nil {
-		s.zoneKeys[zone] = nodemodel.NewRoom()
+		s.zoneKeys[zone] = nodemodel.NewLocalKeys()
 		s.zoneGroups[zone] = int32(len(s.zoneGroups) + 1)
 	}
 	n.id = s.engine.add(n)
--- a/internal/lab/emulator/tracearrivals.go
+++ b/internal/lab/emulator/tracearrivals.go
@@ -47,7 +47,7 @@
 	}
 	job := &t.trace.Jobs[t.next]
 	arrival := scenario.Arrival{At: job.At, Load: t.loads[loadKey{job.Class, job.Tenant}], Key: fmt.Sprintf("p%d", t.next),
-		Service: job.Service, Life: job.Life, Scheduler: t.next % t.schedulers, Verb: 1, Cores: job.Cores,
+		Service: job.Service, Runtime: job.Runtime, Scheduler: t.next % t.schedulers, ControlDraw: 1, Cores: job.Cores,
 		Memory: job.Memory}
 	t.next++
 	return arrival, true
--- a/internal/lab/fault/fault.go
+++ b/internal/lab/fault/fault.go
@@ -29,8 +29,8 @@
 
 // New returns fault number index of a scenario, with its nodes drawn by the seed. The error is an *UnknownKindError.
 func New(day *scenario.Day, index int, seed uint64) (*Fault, error) {
-	trouble := &day.Troubles[index]
-	kind, err := ParseKind(trouble.Do)
+	trouble := &day.Faults[index]
+	kind, err := ParseKind(trouble.Kind)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/fault/fault_test.go
+++ b/internal/lab/fault/fault_test.go
@@ -187,7 +187,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for i := range day.Troubles {
+		for i := range day.Faults {
 			first, err := New(day, i, 3)
 			if err != nil {
 				t.Fatalf("%s: %v", name, err)
@@ -196,12 +196,12 @@
 			if err != nil || !reflect.DeepEqual(first, second) {
 				t.Errorf("%s: %+v and %+v, %v", name, first, second, err)
 			}
-			if first.Kind.String() != day.Troubles[i].Do {
-				t.Errorf("%s: %v, want %s", name, first.Kind, day.Troubles[i].Do)
+			if first.Kind.String() != day.Faults[i].Kind {
+				t.Errorf("%s: %v, want %s", name, first.Kind, day.Faults[i].Kind)
 			}
 		}
 	}
-	_, err := New(&scenario.Day{Troubles: []scenario.Trouble{{Do: "nothing"}}}, 0, 1)
+	_, err := New(&scenario.Day{Faults: []scenario.Fault{{Kind: "nothing"}}}, 0, 1)
 	var unknown *UnknownKindError
 	if !errors.As(err, &unknown) || unknown.Name != "nothing" {
 		t.Errorf("error %v", err)
--- a/internal/lab/load/capture.go
+++ b/internal/lab/load/capture.go
@@ -66,7 +66,7 @@
 	}
 	if i.FinishTime != nil && i.DispatchTime != nil {
 		// A job that its node or its client ended early would have run longer.
-		j.Life, j.CutOff = i.FinishTime.Sub(*i.DispatchTime), i.JobSubState != "exited"
+		j.Runtime, j.Censored = i.FinishTime.Sub(*i.DispatchTime), i.JobSubState != "exited"
 	}
 }
 
@@ -80,13 +80,13 @@
 	index := len(c.trace.Jobs)
 	c.indexes[i.JobID] = index
 	c.trace.Jobs = append(c.trace.Jobs, Job{
-		At:      i.SubmissionTime.Sub(c.trace.Start),
-		Class:   attributes[drmaa2.AttrClass],
-		Service: attributes[drmaa2.AttrService],
-		Tenant:  attributes[drmaa2.AttrTenant],
-		Cores:   number(drmaa2.AttrCores),
-		Memory:  number(drmaa2.AttrMemory),
-		CutOff:  true,
+		At:       i.SubmissionTime.Sub(c.trace.Start),
+		Class:    attributes[drmaa2.AttrClass],
+		Service:  attributes[drmaa2.AttrService],
+		Tenant:   attributes[drmaa2.AttrTenant],
+		Cores:    number(drmaa2.AttrCores),
+		Memory:   number(drmaa2.AttrMemory),
+		Censored: true,
 	})
 	c.started = append(c.started, time.Time{})
 	return index
@@ -95,8 +95,8 @@
 // finish takes the time until now as the runtime of jobs that still run, and returns the trace.
 func (c *capture) finish(now time.Time) *Trace {
 	for n := range c.trace.Jobs {
-		if j := &c.trace.Jobs[n]; j.CutOff && j.Life == 0 && !c.started[n].IsZero() {
-			j.Life = now.Sub(c.started[n])
+		if j := &c.trace.Jobs[n]; j.Censored && j.Runtime == 0 && !c.started[n].IsZero() {
+			j.Runtime = now.Sub(c.started[n])
 		}
 	}
 	c.trace.sort()
--- a/internal/lab/load/plan.go
+++ b/internal/lab/load/plan.go
@@ -113,7 +113,7 @@
 			Service: fmt.Sprintf("%s-%d", s.Class, service),
 			Cores:   s.Cores,
 			Memory:  s.Memory,
-			Life:    runtime(),
+			Runtime: runtime(),
 		})
 	}
 	return jobs
--- a/internal/lab/load/plan_test.go
+++ b/internal/lab/load/plan_test.go
@@ -62,7 +62,7 @@
 		x := planned(t, "{perSecond: 20}", runtimes)
 		sum := time.Duration(0)
 		for i, j := range x.Jobs {
-			sum += j.Life
+			sum += j.Runtime
 			if first != nil && (first.Jobs[i].At != j.At || first.Jobs[i].Service != j.Service) {
 				t.Fatalf("%s: arrivals have changed", runtimes)
 			}
--- a/internal/lab/load/send.go
+++ b/internal/lab/load/send.go
@@ -186,8 +186,8 @@
 	if j.Service != "" {
 		all[drmaa2.AttrService] = j.Service
 	}
-	if j.Life > 0 {
-		all[drmaa2.AttrExpectedRuntime] = j.Life.String()
+	if j.Runtime > 0 {
+		all[drmaa2.AttrExpectedRuntime] = j.Runtime.String()
 	}
 	if j.Cores > 0 {
 		all[drmaa2.AttrCores] = fmt.Sprint(j.Cores)
--- a/internal/lab/load/storedtrace_test.go
+++ b/internal/lab/load/storedtrace_test.go
@@ -15,7 +15,7 @@
 	return &Trace{Source: "daemon", Start: time.Unix(1_700_000_000, 123), Anonymous: true,
 		Jobs: []Job{
 			{At: time.Second, Class: "sensor", Service: "v-0123456789abcdef", Tenant: "t-fedcba9876543210", Cores: 0.5,
-				Memory: 1.5, Life: 3 * time.Second, CutOff: true, Outcome: "placed"},
+				Memory: 1.5, Runtime: 3 * time.Second, Censored: true, Outcome: "placed"},
 			{At: 2 * time.Second},
 		},
 		Gaps: []Gap{{From: 4 * time.Second, To: 40 * time.Second}}}
--- a/internal/lab/load/swf.go
+++ b/internal/lab/load/swf.go
@@ -125,9 +125,9 @@
 		j.Tenant = fmt.Sprintf("user-%.0f", l[swfUser])
 	}
 	if l[swfRunTime] >= 0 {
-		j.Life = swfSeconds(l[swfRunTime])
+		j.Runtime = swfSeconds(l[swfRunTime])
 	}
-	j.CutOff = l[swfRunTime] < 0 || l[swfStatus] == swfStatusCanceled
+	j.Censored = l[swfRunTime] < 0 || l[swfStatus] == swfStatusCanceled
 	if l[swfRequestedMemory] > 0 {
 		j.Memory = l[swfRequestedMemory] * cores / kibPerGiB
 	}
--- a/internal/lab/load/swf_test.go
+++ b/internal/lab/load/swf_test.go
@@ -23,9 +23,9 @@
 	if err != nil || skipped != 1 || len(x.Jobs) != 3 || x.Start.Unix() != 1000 {
 		t.Fatalf("%+v, %d skipped, %v", x, skipped, err)
 	}
-	want := []Job{{At: 0, Class: "batch", Service: "app-3", Tenant: "user-7", Cores: 4, Memory: 4, Life: time.Minute},
-		{At: 10 * time.Second, Class: "batch", Service: "app-3", Tenant: "user-7", Cores: 8, Life: time.Minute},
-		{At: 30 * time.Second, Class: "batch", Tenant: "user-8", Cores: 2, CutOff: true}}
+	want := []Job{{At: 0, Class: "batch", Service: "app-3", Tenant: "user-7", Cores: 4, Memory: 4, Runtime: time.Minute},
+		{At: 10 * time.Second, Class: "batch", Service: "app-3", Tenant: "user-7", Cores: 8, Runtime: time.Minute},
+		{At: 30 * time.Second, Class: "batch", Tenant: "user-8", Cores: 2, Censored: true}}
 	if fmt.Sprint(x.Jobs) != fmt.Sprint(want) {
 		t.Errorf("%v\nwant\n%v", x.Jobs, want)
 	}
--- a/internal/lab/load/trace.go
+++ b/internal/lab/load/trace.go
@@ -13,15 +13,15 @@
 
 // Job is one submission of a load.
 type Job struct {
-	At      time.Duration // intended time since the start
-	Class   string
-	Service string
-	Tenant  string
-	Cores   float64       // requested; 0: as the class has it
-	Memory  float64       // requested, in GiB; 0: as the class has it
-	Life    time.Duration // runtime
-	CutOff  bool          // the job ran longer than Life: its end was not seen, or was forced
-	Outcome string
+	At       time.Duration // intended time since the start
+	Class    string
+	Service  string
+	Tenant   string
+	Cores    float64       // requested; 0: as the class has it
+	Memory   float64       // requested, in GiB; 0: as the class has it
+	Runtime  time.Duration // runtime
+	Censored bool          // the job ran longer than Life: its end was not seen, or was forced
+	Outcome  string
 }
 
 // Gap is a time in which a capture received nothing, since the start.
--- a/internal/lab/load/trace_test.go
+++ b/internal/lab/load/trace_test.go
@@ -20,7 +20,7 @@
 			at += time.Duration(rapid.Int64Range(0, 1e12).Draw(t, "gap"))
 			x.Jobs = append(x.Jobs, Job{At: at, Class: rapid.StringN(0, 9, 20).Draw(t, "class"),
 				Service: rapid.StringN(0, 9, 20).Draw(t, "service"), Cores: rapid.Float64Range(0, 1e6).Draw(t, "cores"),
-				Life: time.Duration(rapid.Int64Range(0, 1e15).Draw(t, "life")), CutOff: rapid.Bool().Draw(t, "cutoff")})
+				Runtime: time.Duration(rapid.Int64Range(0, 1e15).Draw(t, "life")), Censored: rapid.Bool().Draw(t, "cutoff")})
 		}
 		x.Gaps = append(x.Gaps, Gap{1, 2})
 		var b bytes.Buffer
@@ -115,7 +115,7 @@
 			}
 			last := time.Duration(0)
 			for _, j := range x.Jobs {
-				if j.At < last || j.Life < 0 || !(j.Cores >= 0) || !(j.Memory >= 0) {
+				if j.At < last || j.Runtime < 0 || !(j.Cores >= 0) || !(j.Memory >= 0) {
 					t.Errorf("%+v", j)
 				}
 				last = j.At
--- a/internal/lab/load/traceformat.go
+++ b/internal/lab/load/traceformat.go
@@ -139,7 +139,7 @@
 
 func (d *decoder) job(b *tracepb.Job) error {
 	j := decodeJob(b)
-	if j.At < 0 || j.Life < 0 || !validAmount(j.Cores) || !validAmount(j.Memory) {
+	if j.At < 0 || j.Runtime < 0 || !validAmount(j.Cores) || !validAmount(j.Memory) {
 		return d.fail("the job at %v has a number that is negative or not finite", j.At)
 	}
 	d.trace.Jobs = append(d.trace.Jobs, j)
@@ -165,22 +165,22 @@
 		Tenant:  j.Tenant,
 		Cores:   j.Cores,
 		Memory:  j.Memory,
-		LifeNs:  int64(j.Life),
-		CutOff:  j.CutOff,
+		LifeNs:  int64(j.Runtime),
+		CutOff:  j.Censored,
 		Outcome: j.Outcome,
 	}
 }
 
 func decodeJob(b *tracepb.Job) Job {
 	return Job{
-		At:      time.Duration(b.AtNs),
-		Class:   b.Class,
-		Service: b.Service,
-		Tenant:  b.Tenant,
-		Cores:   b.Cores,
-		Memory:  b.Memory,
-		Life:    time.Duration(b.LifeNs),
-		CutOff:  b.CutOff,
-		Outcome: b.Outcome,
+		At:       time.Duration(b.AtNs),
+		Class:    b.Class,
+		Service:  b.Service,
+		Tenant:   b.Tenant,
+		Cores:    b.Cores,
+		Memory:   b.Memory,
+		Runtime:  time.Duration(b.LifeNs),
+		Censored: b.CutOff,
+		Outcome:  b.Outcome,
 	}
 }
--- a/internal/lab/planrun/estimate.go
+++ b/internal/lab/planrun/estimate.go
@@ -78,8 +78,8 @@
 		class.Cores += orDefault(job.Cores, settings.Cores) / count
 		class.Memory += orDefault(job.Memory, settings.Memory) / count
 		services[job.Service] = true
-		runtimes += job.Life
-		if job.CutOff {
+		runtimes += job.Runtime
+		if job.Censored {
 			class.CensoredRuntimes++
 		}
 	}
--- a/internal/lab/planrun/estimate_test.go
+++ b/internal/lab/planrun/estimate_test.go
@@ -15,7 +15,7 @@
 	trace := &load.Trace{}
 	for i := range jobs {
 		job := load.Job{At: time.Duration(i) * 100 * time.Millisecond, Class: "c", Service: fmt.Sprint(i % 7),
-			Life: 3 * time.Second}
+			Runtime: 3 * time.Second}
 		change(i, &job)
 		trace.Jobs = append(trace.Jobs, job)
 	}
@@ -31,7 +31,7 @@
 	complete, short := newTrace(1001, unchanged), newTrace(12, unchanged)
 	cutOff := newTrace(1001, func(i int, job *load.Job) {
 		if i%2 == 0 {
-			job.CutOff, job.Life = true, time.Second
+			job.Censored, job.Runtime = true, time.Second
 		}
 	})
 	gap := newTrace(1001, func(i int, job *load.Job) {
--- a/internal/lab/planrun/model.go
+++ b/internal/lab/planrun/model.go
@@ -51,7 +51,7 @@
 	return planner.Class{
 		Name:               stream.Class,
 		JobsPerSecond:      stream.PerSecond,
-		MeanRuntimeSeconds: (stream.Life[0].Duration() + stream.Life[1].Duration()).Seconds() / 2,
+		MeanRuntimeSeconds: (stream.Runtime[0].Duration() + stream.Runtime[1].Duration()).Seconds() / 2,
 		Cores:              orDefault(stream.Cores, class.Cores),
 		Memory:             orDefault(stream.Memory, class.Memory),
 		CoreUsage:          mean(day.Behaviour.CoreUsageRange),
--- a/internal/lab/planrun/search.go
+++ b/internal/lab/planrun/search.go
@@ -155,8 +155,8 @@
 		scaled.Load[i].PerSecond *= multiple
 	}
 	if surge.Seconds > 0 {
-		scaled.Troubles = append(slices.Clone(day.Troubles),
-			scenario.Trouble{Do: "burst", At: 0, For: surge.Seconds, Factor: surge.Factor, Share: 1})
+		scaled.Faults = append(slices.Clone(day.Faults),
+			scenario.Fault{Kind: "burst", At: 0, For: surge.Seconds, Factor: surge.Factor, Share: 1})
 	}
 	return &scaled
 }
--- a/internal/lab/rules/check.go
+++ b/internal/lab/rules/check.go
@@ -145,5 +145,5 @@
 			return &c.figures.Classes[i]
 		}
 	}
-	return &Class{Name: name, Effect: effectNonIdempotent}
+	return &Class{Name: name, Idempotency: effectNonIdempotent}
 }
--- a/internal/lab/rules/figures.go
+++ b/internal/lab/rules/figures.go
@@ -11,10 +11,10 @@
 	DrainGrace time.Duration `json:"DrainGrace"`
 	// AnswerSlack is how much later than its placement timeout a job's outcome may come.
 	AnswerSlack time.Duration `json:"AnswerSlack"`
-	// Settle is how long an attempt with an unknown outcome blocks another run of a non-idempotent task.
-	Settle time.Duration `json:"Settle"`
-	// Cold is the slow start of nodes.
-	Cold Cold `json:"Cold"`
+	// SettleTime is how long an attempt with an unknown outcome blocks another run of a non-idempotent task.
+	SettleTime time.Duration `json:"Settle"`
+	// SlowStart is the slow start of nodes.
+	SlowStart SlowStart `json:"Cold"`
 	// Skew is allowed between the recorder's times and the parties': the time that bytes spend on the way to the
 	// recorder on a busy machine.
 	Skew time.Duration `json:"Skew"`
@@ -24,19 +24,19 @@
 type Class struct {
 	// Name is the class's name in the settings.
 	Name string `json:"Name"`
-	// Effect is the idempotency of the class's tasks: safe, keyed or unsafe.
-	Effect string `json:"Effect"`
-	// Group is the topology domain that remembers idempotency keys: machine, cell, zone or everywhere.
-	Group string `json:"Group"`
-	// Window is how long a domain remembers an idempotency key.
-	Window time.Duration `json:"Window"`
-	// GiveUp is the placement timeout.
-	GiveUp time.Duration `json:"GiveUp"`
-	// Spread is the topology domain over which the tasks of one service are spread: machine, cell, zone, or empty for
+	// Idempotency is the idempotency of the class's tasks: safe, keyed or unsafe.
+	Idempotency string `json:"Effect"`
+	// KeyDomain is the topology domain that remembers idempotency keys: machine, cell, zone or everywhere.
+	KeyDomain string `json:"Group"`
+	// KeyTTL is how long a domain remembers an idempotency key.
+	KeyTTL time.Duration `json:"Window"`
+	// PlacementTimeout is the placement timeout.
+	PlacementTimeout time.Duration `json:"GiveUp"`
+	// SpreadDomain is the topology domain over which the tasks of one service are spread: machine, cell, zone, or empty for
 	// no limit.
-	Spread string `json:"Spread"`
-	// Most is how many tasks of one service a domain may have.
-	Most int `json:"Most"`
+	SpreadDomain string `json:"Spread"`
+	// MaxPerDomain is how many tasks of one service a domain may have.
+	MaxPerDomain int `json:"Most"`
 }
 
 // The values of Class.Effect, as a recording stores them.
@@ -54,8 +54,8 @@
 	domainEverywhere = "everywhere"
 )
 
-// Cold is the load that a node bears during its slow start.
-type Cold struct {
+// SlowStart is the load that a node bears during its slow start.
+type SlowStart struct {
 	// For is how long the slow start lasts.
 	For time.Duration `json:"For"`
 	// Window is the time over which offers are counted.
@@ -71,7 +71,7 @@
 }
 
 // offerLimit is how many offers within Window a node of this age bears.
-func (c *Cold) offerLimit(age time.Duration) float64 {
+func (c *SlowStart) offerLimit(age time.Duration) float64 {
 	rate := c.From + (1-c.From)*float64(age)/float64(max(c.For, 1))
 	return max(c.Always, c.Multiple*c.StartsPerSecond*min(rate, 1)*c.Window.Seconds())
 }
--- a/internal/lab/rules/format_test.go
+++ b/internal/lab/rules/format_test.go
@@ -22,10 +22,10 @@
 
 func figuresOfEveryField() Figures {
 	return Figures{
-		Classes: []Class{{Name: "keyed", Effect: "keyed", Group: "zone", Window: 2 * time.Second, GiveUp: 3 * time.Second,
-			Spread: "cell", Most: 4}},
-		DrainGrace: time.Second, AnswerSlack: 150 * time.Millisecond, Settle: 2500 * time.Millisecond,
-		Cold: Cold{For: 5 * time.Second, Window: 1500 * time.Millisecond, From: 0.25, Multiple: 2.5, Always: 12,
+		Classes: []Class{{Name: "keyed", Idempotency: "keyed", KeyDomain: "zone", KeyTTL: 2 * time.Second, PlacementTimeout: 3 * time.Second,
+			SpreadDomain: "cell", MaxPerDomain: 4}},
+		DrainGrace: time.Second, AnswerSlack: 150 * time.Millisecond, SettleTime: 2500 * time.Millisecond,
+		SlowStart: SlowStart{For: 5 * time.Second, Window: 1500 * time.Millisecond, From: 0.25, Multiple: 2.5, Always: 12,
 			StartsPerSecond: 3.5},
 		Skew: 10 * time.Millisecond}
 }
--- a/internal/lab/rules/job.go
+++ b/internal/lab/rules/job.go
@@ -105,7 +105,7 @@
 	for _, class := range c.figures.Classes {
 		onlyClass := template.JobCategory == "" && len(c.figures.Classes) == 1
 		if class.Name == template.JobCategory || onlyClass {
-			return class.GiveUp
+			return class.PlacementTimeout
 		}
 	}
 	return 0
--- a/internal/lab/rules/offer.go
+++ b/internal/lab/rules/offer.go
@@ -40,7 +40,7 @@
 	c.attempts[a.id] = a
 	c.attemptsByKey[a.key] = append(c.attemptsByKey[a.key], a)
 	c.active(a.scheduler)[a] = true
-	if class.Spread != "" && a.service != "" {
+	if class.SpreadDomain != "" && a.service != "" {
 		c.judgeSpread(class, a, view)
 	}
 }
@@ -76,24 +76,24 @@
 
 // judgeBesideUnknown judges an offer of a task of which an earlier attempt may have run.
 func (c *checker) judgeBesideUnknown(class *Class, offered, earlier *attempt, view *nodeView) {
-	if class.Effect == effectIdempotent || c.deduplicated(class, offered, earlier, view) {
+	if class.Idempotency == effectIdempotent || c.deduplicated(class, offered, earlier, view) {
 		return
 	}
 	if offered.job == earlier.job && offered.placementRequest == earlier.placementRequest {
 		c.violated(NoSecondStart, "%s (%s) is offered as %s to %s though %s at %s may have run", offered.key,
-			class.Effect, offered.id, offered.node, earlier.id, earlier.node)
+			class.Idempotency, offered.id, offered.node, earlier.id, earlier.node)
 		return
 	}
-	if c.now < earlier.phaseSince+c.figures.Settle-c.figures.Skew {
-		c.violated(NoSecondStart, "%s (%s) is offered as %s only %v after %s may have run", offered.key, class.Effect,
+	if c.now < earlier.phaseSince+c.figures.SettleTime-c.figures.Skew {
+		c.violated(NoSecondStart, "%s (%s) is offered as %s only %v after %s may have run", offered.key, class.Idempotency,
 			offered.id, (c.now - earlier.phaseSince).Round(time.Millisecond), earlier.id)
 	}
 }
 
 // deduplicated reports whether the domain of an offer still remembers the idempotency key of an earlier attempt.
 func (c *checker) deduplicated(class *Class, offered, earlier *attempt, view *nodeView) bool {
-	return class.Effect == effectIdempotentByKey && c.now <= earlier.sentAt+class.Window+c.figures.Skew &&
-		sameDomain(class.Group, view, c.view(offered.scheduler, earlier.node), offered.node, earlier.node)
+	return class.Idempotency == effectIdempotentByKey && c.now <= earlier.sentAt+class.KeyTTL+c.figures.Skew &&
+		sameDomain(class.KeyDomain, view, c.view(offered.scheduler, earlier.node), offered.node, earlier.node)
 }
 
 // judgeDrain judges an offer by the membership of its node.
@@ -114,13 +114,13 @@
 		c.expire(other)
 		active := other.phase == accepted || other.phase == inFlight && !other.stopped
 		if active && other.service == offered.service && other.class == offered.class &&
-			sameDomain(class.Spread, view, c.view(offered.scheduler, other.node), offered.node, other.node) {
+			sameDomain(class.SpreadDomain, view, c.view(offered.scheduler, other.node), offered.node, other.node) {
 			tasks++
 		}
 	}
-	if tasks > class.Most {
+	if tasks > class.MaxPerDomain {
 		c.violated(SpreadKept, "%s has %d tasks of %s in one %s with %s at %s, %d at most", offered.scheduler, tasks,
-			offered.service, class.Spread, offered.id, offered.node, class.Most)
+			offered.service, class.SpreadDomain, offered.id, offered.node, class.MaxPerDomain)
 	}
 }
 
@@ -146,11 +146,11 @@
 	if c.acceptedByNode[a.key] == nil {
 		c.acceptedByNode[a.key] = map[string]*attempt{}
 	}
-	if class := c.class(a.class); class.Effect != effectIdempotent {
+	if class := c.class(a.class); class.Idempotency != effectIdempotent {
 		c.verdict.Rules[NoSecondStart].Checked++
 		for _, other := range c.acceptedByNode[a.key] {
 			if other.id != id {
-				c.violated(NoSecondStart, "%s (%s) is held by %s as %s and by %s as %s", a.key, class.Effect,
+				c.violated(NoSecondStart, "%s (%s) is held by %s as %s and by %s as %s", a.key, class.Idempotency,
 					other.node, other.id, node, id)
 			}
 		}
--- a/internal/lab/rules/recording_test.go
+++ b/internal/lab/rules/recording_test.go
@@ -21,13 +21,13 @@
 var testFigures = Figures{
 	DrainGrace:  time.Second,
 	AnswerSlack: 100 * time.Millisecond,
-	Settle:      2 * time.Second,
+	SettleTime:  2 * time.Second,
 	Skew:        10 * time.Millisecond,
-	Cold:        Cold{For: 5 * time.Second, Window: time.Second, From: 0.5, Multiple: 2, Always: 3, StartsPerSecond: 1},
+	SlowStart:   SlowStart{For: 5 * time.Second, Window: time.Second, From: 0.5, Multiple: 2, Always: 3, StartsPerSecond: 1},
 	Classes: []Class{
-		{Name: "safe", Effect: effectIdempotent, GiveUp: time.Second, Spread: domainZone, Most: 2},
-		{Name: "keyed", Effect: effectIdempotentByKey, Group: domainZone, Window: 2 * time.Second, GiveUp: 5 * time.Second},
-		{Name: "unsafe", Effect: effectNonIdempotent, GiveUp: 2 * time.Second},
+		{Name: "safe", Idempotency: effectIdempotent, PlacementTimeout: time.Second, SpreadDomain: domainZone, MaxPerDomain: 2},
+		{Name: "keyed", Idempotency: effectIdempotentByKey, KeyDomain: domainZone, KeyTTL: 2 * time.Second, PlacementTimeout: 5 * time.Second},
+		{Name: "unsafe", Idempotency: effectNonIdempotent, PlacementTimeout: 2 * time.Second},
 	},
 }
 
--- a/internal/lab/rules/slowstart.go
+++ b/internal/lab/rules/slowstart.go
@@ -17,7 +17,7 @@
 // offerDelivered judges an offer as it reaches a node in its slow start. A scheduler that was not notified of the start
 // can't know better, so that most of the offers must come from schedulers that were.
 func (c *checker) offerDelivered(link *connection) {
-	node, limits := link.listener, &c.figures.Cold
+	node, limits := link.listener, &c.figures.SlowStart
 	view := c.view(link.dialer, node)
 	start := c.slowStartOf(node, view)
 	if start == nil {
--- a/internal/lab/scenario/arrivals.go
+++ b/internal/lab/scenario/arrivals.go
@@ -15,12 +15,12 @@
 	Load      *Load
 	Key       string // idempotency key
 	Service   string
-	Life      time.Duration // runtime
+	Runtime   time.Duration // runtime
 	Scheduler int           // index of the scheduler that it is sent to
-	// Verb, in [0, 1), determines whether the client terminates the job, holds it or lets it run: it is compared with the
+	// ControlDraw, in [0, 1), determines whether the client terminates the job, holds it or lets it run: it is compared with the
 	// shares of the load. Pause is the delay until then.
-	Verb  float64
-	Pause time.Duration
+	ControlDraw  float64
+	ControlDelay time.Duration
 	// Cores and Memory are the requested resources; 0: as the class has them.
 	Cores  float64
 	Memory float64
@@ -63,21 +63,21 @@
 	if rng.Float64() < hotShare {
 		service = 0
 	}
-	life := l.Life[0].Duration() + time.Duration(rng.Float64()*float64(l.Life[1]-l.Life[0]))
+	life := l.Runtime[0].Duration() + time.Duration(rng.Float64()*float64(l.Runtime[1]-l.Runtime[0]))
 	scheduler := rng.IntN(a.schedulers)
 	verb := rng.Float64()
 	pause := Seconds(rng.Float64() * maxControlDelay)
 	arrival := Arrival{
-		At:        Seconds(a.seconds),
-		Load:      l,
-		Key:       fmt.Sprintf("t%d-%d-%d", a.seed, a.loadIndex, a.drawn),
-		Service:   fmt.Sprintf("%s-%d", l.Class, service),
-		Life:      life,
-		Scheduler: scheduler,
-		Verb:      verb,
-		Pause:     pause,
-		Cores:     l.Cores,
-		Memory:    l.Memory,
+		At:           Seconds(a.seconds),
+		Load:         l,
+		Key:          fmt.Sprintf("t%d-%d-%d", a.seed, a.loadIndex, a.drawn),
+		Service:      fmt.Sprintf("%s-%d", l.Class, service),
+		Runtime:      life,
+		Scheduler:    scheduler,
+		ControlDraw:  verb,
+		ControlDelay: pause,
+		Cores:        l.Cores,
+		Memory:       l.Memory,
 	}
 	a.drawn++
 	return arrival, true
--- a/internal/lab/scenario/day.go
+++ b/internal/lab/scenario/day.go
@@ -35,7 +35,7 @@
 	Terminate  float64              `json:"Terminate"`
 	Hold       float64              `json:"Hold"`
 	Services   int                  `json:"Services"` // number of services that the submissions are spread over
-	Life       [2]settings.Duration `json:"Life"`     // bounds of the runtime, drawn evenly
+	Runtime    [2]settings.Duration `json:"Life"`     // bounds of the runtime, drawn evenly
 	Rerunnable bool                 `json:"Rerunnable"`
 	// Retry is the pause before a client submits anew what was rejected or failed; it gives up after Patience. 0: no
 	// retry. Only the emulator's clients retry.
@@ -43,11 +43,11 @@
 	Patience settings.Duration `json:"Patience"`
 }
 
-// Trouble is a fault at a given time, the record #Trouble of the schema.
-type Trouble struct {
+// Fault is a fault at a given time, the record #Trouble of the schema.
+type Fault struct {
 	At         float64 `json:"At"`
 	For        float64 `json:"For"`        // duration in seconds
-	Do         string  `json:"Do"`         // kind of fault, one of the names of the schema
+	Kind       string  `json:"Do"`         // kind of fault, one of the names of the schema
 	Zone       string  `json:"Zone"`       // zone of the nodes that it affects; empty: all
 	Class      string  `json:"Class"`      // class that it affects, depending on Do
 	Share      float64 `json:"Share"`      // share of the zone's nodes that it affects
@@ -77,7 +77,7 @@
 	RunsWhenPlaced bool              `json:"RunsWhenPlaced"` // a task counts as placed when it runs, not when a node accepts it
 	Fleet          []Group           `json:"Fleet"`
 	Load           []Load            `json:"Load"`
-	Troubles       []Trouble         `json:"Troubles"`
+	Faults         []Fault           `json:"Troubles"`
 }
 
 // CPU is what a step of a scheduler's core costs in the emulator.
--- a/internal/lab/scenario/figures.go
+++ b/internal/lab/scenario/figures.go
@@ -13,13 +13,14 @@
 func (d *Day) Figures() rules.Figures {
 	b := &d.Behaviour
 	f := rules.Figures{DrainGrace: d.Rules.DrainGrace.Duration(), AnswerSlack: d.Rules.AnswerSlack.Duration(),
-		Settle: d.Rules.SettleTime.Duration(), Skew: clockSkew,
-		Cold: rules.Cold{For: d.Rules.SlowStartDuration.Duration(), Window: d.Rules.OverloadWindow.Duration(),
+		SettleTime: d.Rules.SettleTime.Duration(), Skew: clockSkew,
+		SlowStart: rules.SlowStart{For: d.Rules.SlowStartDuration.Duration(), Window: d.Rules.OverloadWindow.Duration(),
 			From: b.SlowStartInitialRate, Multiple: b.OverloadMultiple, Always: d.Rules.SlowStartBudget,
 			StartsPerSecond: float64(b.StartSlots) / (b.CachedStartTime.Duration().Seconds() * max(b.UncachedStartFactor, 1))}}
 	for _, c := range d.Classes {
-		f.Classes = append(f.Classes, rules.Class{Name: c.Name, Effect: c.Idempotency, Group: c.KeyDomain,
-			Window: c.KeyTTL.Duration(), GiveUp: c.PlacementTimeout.Duration(), Spread: c.SpreadDomain, Most: c.MaxPerDomain})
+		f.Classes = append(f.Classes, rules.Class{Name: c.Name, Idempotency: c.Idempotency, KeyDomain: c.KeyDomain,
+			KeyTTL: c.KeyTTL.Duration(), PlacementTimeout: c.PlacementTimeout.Duration(),
+			SpreadDomain: c.SpreadDomain, MaxPerDomain: c.MaxPerDomain})
 	}
 	return f
 }
--- a/internal/lab/scenario/fleet.go
+++ b/internal/lab/scenario/fleet.go
@@ -9,18 +9,18 @@
 // troubleStream is the generator's stream of the first fault; recordings depend on it.
 const troubleStream = 1000
 
-// Place is one node of the fleet.
-type Place struct {
+// Node is one node of the fleet.
+type Node struct {
 	Name  string
 	Group *Group
 }
 
-// Places returns the nodes of the fleet, group by group.
-func (d *Day) Places() []Place {
-	var all []Place
+// Nodes returns the nodes of the fleet, group by group.
+func (d *Day) Nodes() []Node {
+	var all []Node
 	for i := range d.Fleet {
 		for n := range d.Fleet[i].Count {
-			all = append(all, Place{fmt.Sprintf("%s%d", d.Fleet[i].Name, n), &d.Fleet[i]})
+			all = append(all, Node{fmt.Sprintf("%s%d", d.Fleet[i].Name, n), &d.Fleet[i]})
 		}
 	}
 	return all
@@ -45,9 +45,9 @@
 }
 
 // Pick draws the nodes that a fault affects and returns their indexes in Places.
-func (d *Day) Pick(t *Trouble, rng *rand.Rand) []int {
+func (d *Day) Pick(t *Fault, rng *rand.Rand) []int {
 	var all []int
-	for i, p := range d.Places() {
+	for i, p := range d.Nodes() {
 		if t.Zone == "" || t.Zone == p.Group.Zone {
 			all = append(all, i)
 		}
--- a/internal/lab/scenario/read.go
+++ b/internal/lab/scenario/read.go
@@ -97,14 +97,14 @@
 		if d.Class(l.Class) == nil {
 			file.Fail(fmt.Sprintf("load[%d].class", i), "no class %q, expected one of classes", l.Class)
 		}
-		if l.Life[1] < l.Life[0] {
-			file.Fail(fmt.Sprintf("load[%d].life", i), "is %v, expected two rising durations", l.Life)
+		if l.Runtime[1] < l.Runtime[0] {
+			file.Fail(fmt.Sprintf("load[%d].life", i), "is %v, expected two rising durations", l.Runtime)
 		}
 	}
 }
 
 func (d *Day) checkTroubles(file *settings.File) {
-	for i, t := range d.Troubles {
+	for i, t := range d.Faults {
 		if t.Class != "" && t.Class != everyClass && d.Class(t.Class) == nil {
 			file.Fail(fmt.Sprintf("troubles[%d].class", i), "no class %q, expected one of classes", t.Class)
 		}
--- a/internal/lab/standin/host/host_test.go
+++ b/internal/lab/standin/host/host_test.go
@@ -40,7 +40,7 @@
 	t.Helper()
 	model := nodemodel.Config{Name: "n", Cores: 4, Memory: 8, CoreOvercommit: 2, MemoryOvercommit: 2, OfferReviewTime: time.Millisecond,
 		MaxWaitingOffers: 10, StartSlots: 4, CachedStartTime: time.Millisecond, UncachedStartFactor: 1, MaxCachedPrograms: 4}
-	node, err := StartNode(NodeOptions{Model: model, Kind: "k", Listen: "127.0.0.1:0", Inventory: inventory, Room: NewRoom(),
+	node, err := StartNode(NodeOptions{Model: model, Kind: "k", Listen: "127.0.0.1:0", Inventory: inventory, Keys: NewKeyRegistry(),
 		Log: zerolog.Nop()})
 	if err != nil {
 		t.Fatal(err)
@@ -172,7 +172,7 @@
 		t.Error("the node has not ended")
 	}
 	node.Do(func(*nodemodel.Node, nodemodel.Time) []nodemodel.Send { t.Error("ran on a stopped node"); return nil })
-	if node.FellOver() {
+	if node.Overloaded() {
 		t.Error("a stopped node counts as one that fell over")
 	}
 	inventory.Stop()
--- a/internal/lab/standin/host/node.go
+++ b/internal/lab/standin/host/node.go
@@ -22,10 +22,10 @@
 	Model     nodemodel.Config
 	Kind      string
 	Cell      int
-	Listen    string         // host:port; port 0 picks one
-	Advertise string         // address for the inventory; empty: the bound address
-	Inventory string         // address; empty: the node registers nowhere
-	Room      nodemodel.Keys // shared with the nodes that reject the same copies of tasks with a key
+	Listen    string                // host:port; port 0 picks one
+	Advertise string                // address for the inventory; empty: the bound address
+	Inventory string                // address; empty: the node registers nowhere
+	Keys      nodemodel.KeyRegistry // shared with the nodes that reject the same copies of tasks with a key
 	Log       zerolog.Logger
 }
 
@@ -54,7 +54,7 @@
 			return nil, fmt.Errorf("node %s: %w", options.Model.Name, err)
 		}
 	}
-	n.state = nodemodel.New(options.Model, clock.Now(), options.Room)
+	n.state = nodemodel.New(options.Model, clock.Now(), options.Keys)
 	h.model = n
 	go n.run()
 	if n.dialer != nil {
@@ -63,8 +63,8 @@
 	return n, nil
 }
 
-// FellOver reports, once Done, whether the node has died of too many starts while cold.
-func (n *Node) FellOver() bool { return n.state.FellOver() }
+// Overloaded reports, once Done, whether the node has died of too many starts while cold.
+func (n *Node) Overloaded() bool { return n.state.Overloaded() }
 
 // Do runs f with the model, on the goroutine that owns it, and sends what it returns.
 func (n *Node) Do(f func(m *nodemodel.Node, now nodemodel.Time) []nodemodel.Send) {
@@ -83,7 +83,7 @@
 		n.state.Die()
 		return
 	}
-	n.options.Log.Warn().Str("node", n.options.Model.Name).Bool("fell_over", n.state.FellOver()).Msg("node has died")
+	n.options.Log.Warn().Str("node", n.options.Model.Name).Bool("fell_over", n.state.Overloaded()).Msg("node has died")
 }
 
 func (n *Node) close() {
--- a/internal/lab/standin/nodemodel/keys.go
+++ b/internal/lab/standin/nodemodel/keys.go
@@ -1,22 +1,22 @@
 package nodemodel
 
-// Keys records which node of a zone has a copy of a keyed task. A Keys that nodes of several goroutines share must be safe
-// for concurrent use.
-type Keys interface {
-	// Take reserves the key for the node. It returns false if any node has it, this one included.
-	Take(key, node string) bool
-	// Free releases the key if the node has it.
-	Free(key, node string)
+// KeyRegistry records which node of a zone has a copy of a keyed task. One that nodes of several goroutines share must be
+// safe for concurrent use.
+type KeyRegistry interface {
+	// Reserve reserves the key for the node. It returns false if any node has it, this one included.
+	Reserve(key, node string) bool
+	// Release releases the key if the node has it.
+	Release(key, node string)
 }
 
-// Room is a Keys for nodes that one goroutine runs. Not safe for concurrent use.
-type Room struct{ nodeByKey map[string]string }
+// LocalKeys is a KeyRegistry for nodes that one goroutine runs. Not safe for concurrent use.
+type LocalKeys struct{ nodeByKey map[string]string }
 
-// NewRoom returns an empty Room.
-func NewRoom() *Room { return &Room{map[string]string{}} }
+// NewLocalKeys returns an empty LocalKeys.
+func NewLocalKeys() *LocalKeys { return &LocalKeys{map[string]string{}} }
 
-// Take implements Keys.
-func (r *Room) Take(key, node string) bool {
+// Reserve implements KeyRegistry.
+func (r *LocalKeys) Reserve(key, node string) bool {
 	if _, taken := r.nodeByKey[key]; taken {
 		return false
 	}
@@ -24,8 +24,8 @@
 	return true
 }
 
-// Free implements Keys.
-func (r *Room) Free(key, node string) {
+// Release implements KeyRegistry.
+func (r *LocalKeys) Release(key, node string) {
 	if key != "" && r.nodeByKey[key] == node {
 		delete(r.nodeByKey, key)
 	}
--- a/internal/lab/standin/nodemodel/node.go
+++ b/internal/lab/standin/nodemodel/node.go
@@ -47,7 +47,7 @@
 	finishedTasks  int
 
 	schedulers map[string]*schedulerState
-	keys       Keys
+	keys       KeyRegistry
 	fault      Fault
 
 	draining      bool
@@ -58,9 +58,9 @@
 }
 
 // New boots a node at now. keys is shared by the nodes of one zone; nil stands for keys of its own.
-func New(cfg Config, now Time, keys Keys) *Node {
+func New(cfg Config, now Time, keys KeyRegistry) *Node {
 	if keys == nil {
-		keys = NewRoom()
+		keys = NewLocalKeys()
 	}
 	cfg = cfg.withDefaults()
 	return &Node{
@@ -81,8 +81,8 @@
 // Dead reports whether the node has died. A dead node ignores what it receives and sends nothing.
 func (n *Node) Dead() bool { return n.dead }
 
-// FellOver reports whether the node died because it was offered too much while it warmed up.
-func (n *Node) FellOver() bool { return n.overloaded }
+// Overloaded reports whether the node died because it was offered too much while it warmed up.
+func (n *Node) Overloaded() bool { return n.overloaded }
 
 // Draining reports whether the node rejects new tasks because it drains.
 func (n *Node) Draining() bool { return n.draining }
--- a/internal/lab/standin/nodemodel/node_test.go
+++ b/internal/lab/standin/nodemodel/node_test.go
@@ -42,7 +42,7 @@
 	t    *testing.T
 }
 
-func newDriver(t *testing.T, cfg Config, room Keys) *driver {
+func newDriver(t *testing.T, cfg Config, room KeyRegistry) *driver {
 	p := &driver{node: New(cfg, time.Second, room), now: time.Second, t: t}
 	if _, ok := p.node.Connect(p.now, "s", 1, 100); !ok {
 		t.Fatal("rejected")
@@ -177,7 +177,7 @@
 
 // The nodes that share keys accept one copy of a keyed task until it has ended.
 func TestKeys(t *testing.T) {
-	room := NewRoom()
+	room := NewLocalKeys()
 	p, q := newDriver(t, testConfig(), room), newDriver(t, testConfig(), room)
 	q.node.cfg.Name = "other"
 	keyed := func(o *nodepb.Offer) { o.Task.Key, o.Task.Effect = "k", 1 }
@@ -194,7 +194,7 @@
 	// A rejected task leaves no key behind.
 	p.offer("e", func(o *nodepb.Offer) { keyed(o); o.Task.Key, o.Task.Cores = "big", 100 })
 	p.want(p.after(10*ms), "refused e NO_CORES")
-	if !room.Take("big", "x") {
+	if !room.Reserve("big", "x") {
 		t.Error("the key of a rejected task is taken")
 	}
 }
@@ -260,7 +260,7 @@
 	}
 	p.offer("b", nil)
 	p.offer("c", nil)
-	if !p.node.Dead() || !p.node.FellOver() {
+	if !p.node.Dead() || !p.node.Overloaded() {
 		t.Error("it did not break down")
 	}
 	p.want(p.offer("d", nil), "")
--- a/internal/lab/standin/nodemodel/offer.go
+++ b/internal/lab/standin/nodemodel/offer.go
@@ -107,11 +107,11 @@
 	if spec.Key == "" || spec.Effect == effectIdempotent {
 		return true
 	}
-	return n.keys.Take(spec.Key, n.cfg.Name)
+	return n.keys.Reserve(spec.Key, n.cfg.Name)
 }
 
 // releaseKey gives back what takeKey has reserved.
-func (n *Node) releaseKey(spec *nodepb.Task) { n.keys.Free(spec.Key, n.cfg.Name) }
+func (n *Node) releaseKey(spec *nodepb.Task) { n.keys.Release(spec.Key, n.cfg.Name) }
 
 // fitTask reports whether a task fits, after it has evicted tasks of lower priority if the node does that. If the task
 // does not fit, none is evicted and the reason says what is short.
--- a/internal/lab/standin/scripted/feed.go
+++ b/internal/lab/standin/scripted/feed.go
@@ -20,8 +20,8 @@
 // Feed is a control feed, a server of the platform's event stream, whose events a test adds. Each event is written twice,
 // as happens on the platform. Its methods may be called by several goroutines.
 type Feed struct {
-	// Calls has the Last-Event-ID of each call.
-	Calls chan string
+	// Requests has the Last-Event-ID of each call.
+	Requests chan string
 
 	listener net.Listener
 	server   *http.Server
@@ -48,7 +48,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("scripted: feed: %w", err)
 	}
-	f := &Feed{listener: listener, Calls: make(chan string, channelCapacity), added: make(chan struct{}, channelCapacity),
+	f := &Feed{listener: listener, Requests: make(chan string, channelCapacity), added: make(chan struct{}, channelCapacity),
 		breaks: make(chan breakMode), repeats: make(chan int), served: make(chan struct{})}
 	f.server = &http.Server{Handler: http.HandlerFunc(f.serve)}
 	go func() {
@@ -70,7 +70,7 @@
 // serve writes the events behind the caller's last one, and further ones as they come, until the call ends.
 func (f *Feed) serve(w http.ResponseWriter, r *http.Request) {
 	lastEventID := r.Header.Get("Last-Event-ID")
-	f.Calls <- lastEventID
+	f.Requests <- lastEventID
 	last := 0
 	_, _ = fmt.Sscan(lastEventID, &last) // a first call has none
 	heartbeat := time.NewTicker(heartbeatInterval)
@@ -118,8 +118,8 @@
 // writeText writes to a caller. One that has gone gets nothing: the context of its call ends.
 func writeText(w io.Writer, text string) { _, _ = io.WriteString(w, text) }
 
-// Tell adds an event that lists nodes, as a complete list or as a change.
-func (f *Feed) Tell(whole bool, nodes ...string) {
+// Publish adds an event that lists nodes, as a complete list or as a change.
+func (f *Feed) Publish(whole bool, nodes ...string) {
 	f.mu.Lock()
 	f.events = append(f.events, Event(len(f.events)+firstListEvent, whole, nodes...))
 	f.mu.Unlock()
@@ -129,11 +129,11 @@
 // Break ends the present call in the middle of an event.
 func (f *Feed) Break() { f.breaks <- endCall }
 
-// Hush stops writing to the present call in the middle of an event, and leaves it open.
-func (f *Feed) Hush() { f.breaks <- keepCallOpen }
+// Stall stops writing to the present call in the middle of an event, and leaves it open.
+func (f *Feed) Stall() { f.breaks <- keepCallOpen }
 
-// Again writes an old event once more.
-func (f *Feed) Again(n int) { f.repeats <- n }
+// Republish writes an old event once more.
+func (f *Feed) Republish(n int) { f.repeats <- n }
 
 // Event is the data of event n, with nodes as made by Entry.
 func Event(n int, whole bool, nodes ...string) string {
--- a/internal/lab/standin/scripted/node.go
+++ b/internal/lab/standin/scripted/node.go
@@ -28,8 +28,8 @@
 
 // Node is a node that answers by a script. Its methods may be called by several goroutines.
 type Node struct {
-	// Heard has each message that was received.
-	Heard chan nodeparam.Message
+	// Received has each message that was received.
+	Received chan nodeparam.Message
 	// Conns has "came" and "went" for each connection.
 	Conns chan string
 
@@ -48,7 +48,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("scripted: node: %w", err)
 	}
-	n := &Node{listener: listener, script: play, Heard: make(chan nodeparam.Message, channelCapacity),
+	n := &Node{listener: listener, script: play, Received: make(chan nodeparam.Message, channelCapacity),
 		Conns: make(chan string, channelCapacity)}
 	n.readers.Go(n.accept)
 	return n, nil
@@ -99,22 +99,22 @@
 			return buffer
 		}
 		buffer = buffer[used:]
-		n.Heard <- message
+		n.Received <- message
 		n.script(connection, message)
 	}
 }
 
-// Say writes a message on all open connections.
-func (n *Node) Say(m nodeparam.Message) {
+// Send writes a message on all open connections.
+func (n *Node) Send(m nodeparam.Message) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, connection := range n.connections {
-		Say(connection, m)
+		Send(connection, m)
 	}
 }
 
-// Cut resets all connections.
-func (n *Node) Cut() {
+// ResetConnections resets all connections.
+func (n *Node) ResetConnections() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, connection := range n.connections {
@@ -124,18 +124,18 @@
 	n.connections = nil
 }
 
-// Die ends the process that the node stands for, and waits for its goroutines. It may be called again.
-func (n *Node) Die() {
+// Kill ends the process that the node stands for, and waits for its goroutines. It may be called again.
+func (n *Node) Kill() {
 	_ = n.listener.Close()
 	n.mu.Lock()
 	n.dead = true
 	n.mu.Unlock()
-	n.Cut()
+	n.ResetConnections()
 	n.readers.Wait()
 }
 
-// Deafen ends listening and leaves the connections open, as a draining node does.
-func (n *Node) Deafen() { _ = n.listener.Close() }
+// StopListening ends listening and leaves the connections open, as a draining node does.
+func (n *Node) StopListening() { _ = n.listener.Close() }
 
 // Freezing a node fills the queue of its listener.
 const (
@@ -184,8 +184,8 @@
 	return connection
 }
 
-// Say writes a message on a connection; a peer that has gone does not get it.
-func Say(c net.Conn, m nodeparam.Message) {
+// Send writes a message on a connection; a peer that has gone does not get it.
+func Send(c net.Conn, m nodeparam.Message) {
 	if encoded, err := nodeparam.Append(nil, &m); err == nil {
 		_, _ = c.Write(encoded)
 	}
@@ -200,13 +200,13 @@
 	causeTerminated = 31
 )
 
-// Answers is a Script that accepts every task and ends what is released.
-func Answers(c net.Conn, m nodeparam.Message) {
+// AcceptAll is a Script that accepts every task and ends what is released.
+func AcceptAll(c net.Conn, m nodeparam.Message) {
 	switch m.Type {
 	case nodeparam.SetUp:
-		Say(c, nodeparam.Message{Type: nodeparam.Answer, Task: m.Task, Cause: causeNone, Description: Description,
+		Send(c, nodeparam.Message{Type: nodeparam.Answer, Task: m.Task, Cause: causeNone, Description: Description,
 			Described: true})
 	case nodeparam.Release:
-		Say(c, nodeparam.Message{Type: nodeparam.Release, Task: m.Task, Cause: causeTerminated})
+		Send(c, nodeparam.Message{Type: nodeparam.Release, Task: m.Task, Cause: causeTerminated})
 	}
 }
--- a/internal/lab/trial/clients.go
+++ b/internal/lab/trial/clients.go
@@ -133,7 +133,7 @@
 
 func jobTemplate(arrival *scenario.Arrival) drmaa2.JobTemplate {
 	load := arrival.Load
-	attributes := map[string]string{drmaa2.AttrKey: arrival.Key, drmaa2.AttrExpectedRuntime: arrival.Life.String(),
+	attributes := map[string]string{drmaa2.AttrKey: arrival.Key, drmaa2.AttrExpectedRuntime: arrival.Runtime.String(),
 		drmaa2.AttrService: arrival.Service}
 	if arrival.Cores > 0 {
 		attributes[drmaa2.AttrCores] = fmt.Sprint(arrival.Cores)
@@ -282,14 +282,14 @@
 func (c *clients) command(ctx context.Context, job *drmaa2.Job, arrival *scenario.Arrival) {
 	load := arrival.Load
 	switch {
-	case arrival.Verb < load.Terminate:
-		sleep(ctx, arrival.Pause)
+	case arrival.ControlDraw < load.Terminate:
+		sleep(ctx, arrival.ControlDelay)
 		c.countCommand("terminate", job.Terminate(ctx))
-	case arrival.Verb < load.Terminate+load.Hold:
+	case arrival.ControlDraw < load.Terminate+load.Hold:
 		err := job.Hold(ctx)
 		c.countCommand("hold", err)
 		if err == nil || errors.Is(err, drmaa2.ErrDrmCommunication) { // without a response it may be held
-			sleep(ctx, arrival.Pause)
+			sleep(ctx, arrival.ControlDelay)
 			c.countCommand("release", release(ctx, job))
 		}
 	}
--- a/internal/lab/trial/cluster.go
+++ b/internal/lab/trial/cluster.go
@@ -33,22 +33,22 @@
 	inventory  *host.Inventory
 	nodes      []*node
 	schedulers []*process
-	zoneKeys   map[string]nodemodel.Keys // the idempotency keys that the nodes of a zone share
-	nodeEnds   sync.WaitGroup            // goroutines that watch or stop nodes
+	zoneKeys   map[string]nodemodel.KeyRegistry // the idempotency keys that the nodes of a zone share
+	nodeEnds   sync.WaitGroup                   // goroutines that watch or stop nodes
 }
 
 // newCluster starts all parties. With an error it returns what it has started, for close; nil for nothing.
 func newCluster(ctx context.Context, day *scenario.Day, opt Options, directory string,
 	recorder *recordproxy.Recorder) (*cluster, error) {
 	c := &cluster{day: day, opt: opt, directory: directory, recorder: recorder, log: zerolog.Nop(),
-		zoneKeys: map[string]nodemodel.Keys{}}
+		zoneKeys: map[string]nodemodel.KeyRegistry{}}
 	var err error
 	c.inventory, err = host.StartInventory(loopbackAnyPort, inventorymodel.Config{DiscoveryDelay: day.DiscoveryDelay.Duration(),
 		RemovalDelay: day.RemovalDelay.Duration()}, c.log)
 	if err != nil {
 		return nil, err
 	}
-	for _, place := range day.Places() {
+	for _, place := range day.Nodes() {
 		if err := c.addNode(place); err != nil {
 			return c, err
 		}
@@ -64,10 +64,10 @@
 	return c, nil
 }
 
-func (c *cluster) addNode(place scenario.Place) error {
+func (c *cluster) addNode(place scenario.Node) error {
 	group := *place.Group
 	if c.zoneKeys[group.Zone] == nil {
-		c.zoneKeys[group.Zone] = host.NewRoom()
+		c.zoneKeys[group.Zone] = host.NewKeyRegistry()
 	}
 	n := &node{cluster: c, index: len(c.nodes), group: group, name: place.Name}
 	var err error
--- a/internal/lab/trial/faults.go
+++ b/internal/lab/trial/faults.go
@@ -17,7 +17,7 @@
 
 // startFaults injects each fault of the day at its time. The function returned waits for all.
 func (c *cluster) startFaults(ctx context.Context, begin time.Time, load *clients) (wait func() error, err error) {
-	faults := make([]*fault.Fault, len(c.day.Troubles))
+	faults := make([]*fault.Fault, len(c.day.Faults))
 	for i := range faults {
 		if faults[i], err = fault.New(c.day, i, c.opt.Seed); err != nil {
 			return nil, err
@@ -32,8 +32,8 @@
 			if canceled(ctx) {
 				return
 			}
-			trouble := &c.day.Troubles[i]
-			c.opt.Note("%6.2f s: %s%s for %v s", trouble.At, trouble.Do, describe(trouble), trouble.For)
+			trouble := &c.day.Faults[i]
+			c.opt.Note("%6.2f s: %s%s for %v s", trouble.At, trouble.Kind, describe(trouble), trouble.For)
 			errs[i] = next.Inject(ctx, target)
 		})
 	}
@@ -44,7 +44,7 @@
 }
 
 // describe is the zone and class of a fault, if it is of one.
-func describe(trouble *scenario.Trouble) string {
+func describe(trouble *scenario.Fault) string {
 	text := ""
 	if trouble.Zone != "" {
 		text += " in " + trouble.Zone
--- a/internal/lab/trial/node.go
+++ b/internal/lab/trial/node.go
@@ -54,7 +54,7 @@
 	seed := c.opt.Seed + uint64(n.index*nodeSeedStride+n.incarnations)
 	started, err := host.StartNode(host.NodeOptions{Kind: n.group.Kind, Cell: n.group.Cell, Listen: loopbackAnyPort,
 		Model:     fleet.NodeModel(set, c.day.Kinds, c.day.Rules, c.day.Behaviour, seed),
-		Advertise: n.proxy.Addr(), Inventory: c.inventory.Addr(), Room: c.zoneKeys[n.group.Zone], Log: c.log})
+		Advertise: n.proxy.Addr(), Inventory: c.inventory.Addr(), Keys: c.zoneKeys[n.group.Zone], Log: c.log})
 	if err != nil {
 		return fmt.Errorf("trial: start %s: %w", n.name, err)
 	}
@@ -66,7 +66,7 @@
 // watch waits for the end of an incarnation and records whether it crashed of overload.
 func (n *node) watch(incarnation *host.Node) {
 	<-incarnation.Done()
-	if incarnation.FellOver() {
+	if incarnation.Overloaded() {
 		n.cluster.recorder.Mark(rules.MarkNodeOverloaded, n.name)
 		n.stopIncarnation(incarnation)
 	}
--- a/internal/lab/trial/node_test.go
+++ b/internal/lab/trial/node_test.go
@@ -20,7 +20,7 @@
 		t.Fatal(err)
 	}
 	c := &cluster{day: day, recorder: recordproxy.NewRecorder(io.Discard, nil), log: zerolog.Nop(),
-		zoneKeys: map[string]nodemodel.Keys{}}
+		zoneKeys: map[string]nodemodel.KeyRegistry{}}
 	if c.inventory, err = host.StartInventory(loopbackAnyPort, inventorymodel.Config{}, c.log); err != nil {
 		t.Fatal(err)
 	}
@@ -29,7 +29,7 @@
 			t.Error(err)
 		}
 	})
-	if err := c.addNode(day.Places()[0]); err != nil {
+	if err := c.addNode(day.Nodes()[0]); err != nil {
 		t.Fatal(err)
 	}
 	n := c.nodes[0]
--- a/internal/platform/helpers_test.go
+++ b/internal/platform/helpers_test.go
@@ -75,7 +75,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(n.Die)
+	t.Cleanup(n.Kill)
 	return n
 }
 
@@ -128,14 +128,14 @@
 		s.runResult <- Run(Options{Config: s.configPath, Recording: s.recordingPath, Log: zerolog.New(s)}, s.stop, s.reload)
 	}()
 	t.Cleanup(s.shutDown)
-	<-s.feed.Calls
+	<-s.feed.Requests
 	return s
 }
 
 // startSchedulerWithTask starts a scheduler with one node that accepts everything, and an owner whose task 2 runs there.
 func startSchedulerWithTask(t *testing.T) (*testScheduler, *scripted.Node, *client) {
 	t.Helper()
-	n := newNode(t, scripted.Answers)
+	n := newNode(t, scripted.AcceptAll)
 	s := startScheduler(t, scripted.Entry("s-1", n.Addr(), "active"))
 	c := s.connect()
 	c.placeTask(2)
@@ -199,7 +199,7 @@
 	timeout := time.After(10 * time.Second)
 	for {
 		select {
-		case m := <-n.Heard:
+		case m := <-n.Received:
 			if m.Type == want {
 				return m
 			}
@@ -212,8 +212,8 @@
 // expectNoMessage fails if the node has received a message of a type.
 func expectNoMessage(t *testing.T, n *scripted.Node, unwanted nodeparam.Type) {
 	t.Helper()
-	for len(n.Heard) > 0 {
-		if m := <-n.Heard; m.Type == unwanted {
+	for len(n.Received) > 0 {
+		if m := <-n.Received; m.Type == unwanted {
 			t.Errorf("the node received %+v", m)
 		}
 	}
--- a/internal/platform/leak_test.go
+++ b/internal/platform/leak_test.go
@@ -30,8 +30,8 @@
 
 // discardReports drops what a node has reported to its test, whose channels would fill else.
 func discardReports(n *scripted.Node) {
-	for len(n.Heard) > 0 {
-		<-n.Heard
+	for len(n.Received) > 0 {
+		<-n.Received
 	}
 	for len(n.Conns) > 0 {
 		<-n.Conns
@@ -51,19 +51,19 @@
 			}
 			c := &client{t, conn, bufio.NewReader(conn)} // without a cleanup, which the test would keep
 			c.placeTask(task)
-			n.Say(nodeparam.Message{Type: nodeparam.Release, Task: uint64(task), Cause: 16})
+			n.Send(nodeparam.Message{Type: nodeparam.Release, Task: uint64(task), Cause: 16})
 			c.expect("release", task, 16)
 			_ = c.conn.Close()
 			task++
 			switch {
 			case i%2 == 0:
-				n.Cut()
+				n.ResetConnections()
 			case i%50 == 25:
 				s.feed.Break()
-				<-s.feed.Calls
+				<-s.feed.Requests
 			case i%50 == 49:
 				s.reload <- struct{}{}
-				<-s.feed.Calls
+				<-s.feed.Requests
 			}
 			discardReports(n)
 		}
--- a/internal/platform/module_state_test.go
+++ b/internal/platform/module_state_test.go
@@ -31,14 +31,14 @@
 		task := fmt.Sprintf("%016x", m.Task)
 		switch {
 		case m.Type == nodeparam.SetUp && m.Task%7 == 0 && name == "s-1":
-			scripted.Say(conn, nodeparam.Message{Type: nodeparam.Release, Task: m.Task, Cause: 34})
+			scripted.Send(conn, nodeparam.Message{Type: nodeparam.Release, Task: m.Task, Cause: 34})
 			return
 		case m.Type == nodeparam.SetUp:
 			n.node[task] = name
 		case m.Type == nodeparam.Release:
 			delete(n.node, task)
 		}
-		scripted.Answers(conn, m)
+		scripted.AcceptAll(conn, m)
 	}
 }
 
@@ -55,7 +55,7 @@
 	defer n.mu.Unlock()
 	node := nodes[n.node[taskID(task)]]
 	delete(n.node, taskID(task))
-	node.Say(nodeparam.Message{Type: nodeparam.Release, Task: uint64(task), Cause: 16})
+	node.Send(nodeparam.Message{Type: nodeparam.Release, Task: uint64(task), Cause: 16})
 }
 
 // removeNode forgets the tasks of a node, and returns how many of the given ones were among them.
@@ -140,7 +140,7 @@
 		}
 		running = append(running[:i], running[i+1:]...)
 		if n%40 == 0 {
-			nodes["s-2"].Cut()
+			nodes["s-2"].ResetConnections()
 		}
 	}
 	return running
@@ -159,7 +159,7 @@
 	c := s.connect()
 	running := placeAndEndTasks(t, c, tasks, nodes)
 	lost := tasks.removeNode("s-3", running)
-	nodes["s-3"].Die()
+	nodes["s-3"].Kill()
 	for range lost {
 		if r := c.read(); r.Type != "release" || r.Cause != 41 {
 			t.Errorf("%+v, want the end of a task on the dead node", r)
--- a/internal/platform/offer_race_test.go
+++ b/internal/platform/offer_race_test.go
@@ -54,7 +54,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			blocker := newEventLoopBlocker("Offer")
-			other, n := newNode(t, scripted.Answers), newNode(t, scripted.Answers)
+			other, n := newNode(t, scripted.AcceptAll), newNode(t, scripted.AcceptAll)
 			s := startSchedulerWithLogHook(t, blocker.hook, testSettings, scripted.Entry("s-1", other.Addr(), "leaving"),
 				scripted.Entry("s-2", n.Addr(), "leaving"))
 			c := s.connect()
@@ -67,10 +67,10 @@
 			}
 			c.ping() // the request was read before
 			blocker.armed.Store(true)
-			other.Cut()
+			other.ResetConnections()
 			<-blocker.blocked
 			release(c)
-			s.feed.Tell(false, scripted.Entry("s-2", n.Addr(), "active"))
+			s.feed.Publish(false, scripted.Entry("s-2", n.Addr(), "active"))
 			<-blocker.executed
 			close(blocker.release)
 			s.connect().placeTask(3)
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -92,7 +92,7 @@
 
 // Run runs a scheduler until stop is closed or receives and everything is answered. Each value from reload makes it read the
 // configuration again. It limits the process to one core and sets its memory limit. The error matches
-// platformfront.ErrConfig where the configuration is invalid.
+// platformfront.ErrConfig where the configuration file can't be read or decoded.
 func Run(options Options, stop, reload <-chan struct{}) error {
 	config, err := platformfront.ReadConfig(options.Config)
 	if err != nil {
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -16,7 +16,7 @@
 // A ping passes; a request reaches its node unchanged and is answered with the node's description; the end of the task is
 // passed on to its owner.
 func TestRequestRoundTrip(t *testing.T) {
-	n := newNode(t, scripted.Answers)
+	n := newNode(t, scripted.AcceptAll)
 	s := startScheduler(t, scripted.Entry("s-1", n.Addr(), "active"))
 	c := s.connect()
 	if !c.ping() {
@@ -27,12 +27,12 @@
 	if m.Task != 2 || m.Class != "batch" || m.Key != "k2" || m.Description != "owner's" || m.TimeLeft == "" {
 		t.Errorf("%+v", m)
 	}
-	n.Say(nodeparam.Message{Type: nodeparam.Release, Task: 2, Cause: 16})
+	n.Send(nodeparam.Message{Type: nodeparam.Release, Task: 2, Cause: 16})
 	c.expect("release", 2, 16)
 }
 
 // Owners may end or move a running task on another connection than that of its request. A request under an id that is in use
-// ends the task.
+// is failed, and the first one's task runs on.
 func TestReleaseAndMoveFromAnotherConnection(t *testing.T) {
 	s, n, c := startSchedulerWithTask(t)
 	other := s.connect()
@@ -57,9 +57,9 @@
 	delayed := make(chan func(), 1)
 	n := newNode(t, func(c net.Conn, m nodeparam.Message) {
 		if m.Type == nodeparam.SetUp && m.Task == 2 {
-			delayed <- func() { scripted.Answers(c, m) }
+			delayed <- func() { scripted.AcceptAll(c, m) }
 		} else if m.Type == nodeparam.SetUp {
-			scripted.Answers(c, m)
+			scripted.AcceptAll(c, m)
 		}
 	})
 	s := startScheduler(t, scripted.Entry("s-1", n.Addr(), "active"))
@@ -80,7 +80,7 @@
 // Tasks that ran before a start are adopted by requests with the extra "at", which are not answered. Their node gets no offer
 // of them, its report of the end reaches the owner, and a second request for the same task changes nothing.
 func TestAdoptedTasks(t *testing.T) {
-	n := newNode(t, scripted.Answers)
+	n := newNode(t, scripted.AcceptAll)
 	s := startScheduler(t, scripted.Entry("s-1", n.Addr(), "active"))
 	c := s.connect()
 	c.submit(7, "at:s-1")
@@ -89,7 +89,7 @@
 	if m := awaitMessage(t, n, nodeparam.SetUp); m.Task != 8 {
 		t.Errorf("%+v", m)
 	}
-	n.Say(nodeparam.Message{Type: nodeparam.Release, Task: 7, Cause: 41, Token: "oom"})
+	n.Send(nodeparam.Message{Type: nodeparam.Release, Task: 7, Cause: 41, Token: "oom"})
 	c.expect("release", 7, 41)
 }
 
@@ -104,7 +104,7 @@
 	c := s.connect()
 	c.submit(2)
 	awaitMessage(t, n, nodeparam.SetUp)
-	s.feed.Tell(false, scripted.Entry("s-2", newNode(t, scripted.Answers).Addr(), "active"))
+	s.feed.Publish(false, scripted.Entry("s-2", newNode(t, scripted.AcceptAll).Addr(), "active"))
 	c.expect("answer", 2, 0)
 }
 
@@ -112,7 +112,7 @@
 // follows. Another link takes its place. Which of the two events the node sees first is not determined.
 func TestPartialMessageClosesLink(t *testing.T) {
 	n := newNode(t, func(c net.Conn, m nodeparam.Message) {
-		scripted.Answers(c, m)
+		scripted.AcceptAll(c, m)
 		if m.Type == nodeparam.SetUp {
 			_, _ = c.Write([]byte("\x00\x40\x0c\x00"))
 		}
@@ -134,7 +134,7 @@
 // A node that dies ends its tasks: owners are notified at once.
 func TestNodeDeathTerminatesTasks(t *testing.T) {
 	_, n, c := startSchedulerWithTask(t)
-	n.Die()
+	n.Kill()
 	c.expect("release", 2, 41)
 }
 
@@ -159,11 +159,11 @@
 // A node at the address of a former one gets none of its tasks and ends none of them.
 func TestNodeAddressReused(t *testing.T) {
 	s, n, c := startSchedulerWithTask(t)
-	s.feed.Tell(false, scripted.Entry("s-2", n.Addr(), "active"))
+	s.feed.Publish(false, scripted.Entry("s-2", n.Addr(), "active"))
 	c.expect("release", 2, 41)
 	c.placeTask(3)
-	n.Say(nodeparam.Message{Type: nodeparam.Release, Task: 2, Cause: 16}) // a task of the former node: nothing follows
-	n.Say(nodeparam.Message{Type: nodeparam.Release, Task: 3, Cause: 16})
+	n.Send(nodeparam.Message{Type: nodeparam.Release, Task: 2, Cause: 16}) // a task of the former node: nothing follows
+	n.Send(nodeparam.Message{Type: nodeparam.Release, Task: 3, Cause: 16})
 	c.expect("release", 3, 16)
 }
 
@@ -171,12 +171,12 @@
 // silent, the next one is requested from the last event on.
 func TestWatchResumes(t *testing.T) {
 	s, old, c := startSchedulerWithTask(t)
-	s.feed.Tell(false, scripted.Entry("s-1", old.Addr(), "active"))
-	for i, interrupt := range []func(){s.feed.Break, s.feed.Hush} {
-		s.feed.Tell(false, scripted.Entry("s-3", old.Addr(), "left"))
+	s.feed.Publish(false, scripted.Entry("s-1", old.Addr(), "active"))
+	for i, interrupt := range []func(){s.feed.Break, s.feed.Stall} {
+		s.feed.Publish(false, scripted.Entry("s-3", old.Addr(), "left"))
 		interrupt()
 		select {
-		case last := <-s.feed.Calls:
+		case last := <-s.feed.Requests:
 			if want := string(rune('3' + i)); last != want {
 				t.Errorf("the stream was requested from event %s, want %s", last, want)
 			}
@@ -184,10 +184,10 @@
 			t.Fatal("no stream was requested")
 		}
 	}
-	s.feed.Tell(false, scripted.Entry("s-1", old.Addr(), "left"))
+	s.feed.Publish(false, scripted.Entry("s-1", old.Addr(), "left"))
 	c.expect("release", 2, 41)
-	s.feed.Again(2) // an old event, by which the node is active
-	s.feed.Tell(false, scripted.Entry("s-2", newNode(t, scripted.Answers).Addr(), "active"))
+	s.feed.Republish(2) // an old event, by which the node is active
+	s.feed.Publish(false, scripted.Entry("s-2", newNode(t, scripted.AcceptAll).Addr(), "active"))
 	for i := range 8 {
 		c.placeTask(3 + i)
 	}
@@ -199,7 +199,7 @@
 func TestReload(t *testing.T) {
 	s, old, c := startSchedulerWithTask(t)
 	entry := scripted.Entry("s-1", old.Addr(), "active")
-	s.feed.Tell(true, scripted.Entry("s-2", newNode(t, scripted.Answers).Addr(), "active"))
+	s.feed.Publish(true, scripted.Entry("s-2", newNode(t, scripted.AcceptAll).Addr(), "active"))
 	c.expect("release", 2, 41)
 	if err := os.WriteFile(s.configPath, []byte("{"), 0o600); err != nil {
 		t.Fatal(err)
@@ -213,7 +213,7 @@
 		next := newControlFeed(t)
 		s.writeConfig(next, settings, entry)
 		s.reload <- struct{}{}
-		if last := <-next.Calls; last != "2" {
+		if last := <-next.Requests; last != "2" {
 			t.Errorf("the stream was requested from event %s", last)
 		}
 		for range 4 {
@@ -264,8 +264,8 @@
 	for _, c := range idle {
 		c.awaitClosed()
 	}
-	if len(n.Heard) > 2 {
-		t.Errorf("the node received %d messages", len(n.Heard))
+	if len(n.Received) > 2 {
+		t.Errorf("the node received %d messages", len(n.Received))
 	}
 }
 
@@ -277,14 +277,14 @@
 	for range 300 {
 		s.connect()
 	}
-	if last := <-s.feed.Calls; last != "1" {
+	if last := <-s.feed.Requests; last != "1" {
 		t.Errorf("the stream was requested from event %s", last)
 	}
 	if !s.connect().ping() {
 		t.Error("the ping did not pass")
 	}
-	n := newNode(t, scripted.Answers)
-	s.feed.Tell(false, scripted.Entry("s-1", "", "leaving"), scripted.Entry("s-2", n.Addr(), "active"))
+	n := newNode(t, scripted.AcceptAll)
+	s.feed.Publish(false, scripted.Entry("s-1", "", "leaving"), scripted.Entry("s-2", n.Addr(), "active"))
 	if event := <-n.Conns; event != "came" {
 		t.Error(event)
 	}
--- a/internal/platform/shutdown_test.go
+++ b/internal/platform/shutdown_test.go
@@ -100,7 +100,7 @@
 	delayed := make(chan func(), 1)
 	n := newNode(t, func(c net.Conn, m nodeparam.Message) {
 		if m.Type == nodeparam.SetUp {
-			delayed <- func() { scripted.Answers(c, m) }
+			delayed <- func() { scripted.AcceptAll(c, m) }
 		}
 	})
 	longObjective := strings.Replace(testSettings, `"objective_ns":600000000`, `"objective_ns":6000000000`, 1)
@@ -152,12 +152,12 @@
 	text := strings.Replace(string(b), `"batch"`, `"other"`, 1)
 	text = strings.Replace(text, `"known":{"n":1,"events":[`, `"known":{"n":2,"events":[`+scripted.Event(2, false,
 		scripted.Entry("s-1", drained.Addr(), "leaving"),
-		scripted.Entry("s-2", newNode(t, scripted.Answers).Addr(), "active"))+`,`, 1)
+		scripted.Entry("s-2", newNode(t, scripted.AcceptAll).Addr(), "active"))+`,`, 1)
 	if err := os.WriteFile(s.configPath, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	s.reload <- struct{}{}
-	if last := <-s.feed.Calls; last != "2" {
+	if last := <-s.feed.Requests; last != "2" {
 		t.Errorf("the stream was requested from event %s", last)
 	}
 	for i := range 6 {
@@ -175,11 +175,11 @@
 	s.reload <- struct{}{}
 	s.writeConfig(second, testSettings, entry)
 	s.reload <- struct{}{}
-	if last := <-second.Calls; last != "1" {
+	if last := <-second.Requests; last != "1" {
 		t.Errorf("the stream was requested from event %s", last)
 	}
-	n := newNode(t, scripted.Answers)
-	second.Tell(false, scripted.Entry("s-1", drained.Addr(), "leaving"), scripted.Entry("s-2", n.Addr(), "active"))
+	n := newNode(t, scripted.AcceptAll)
+	second.Publish(false, scripted.Entry("s-1", drained.Addr(), "leaving"), scripted.Entry("s-2", n.Addr(), "active"))
 	if event := <-n.Conns; event != "came" { // the watch event was applied
 		t.Error(event)
 	}
--- a/internal/platform/watch_test.go
+++ b/internal/platform/watch_test.go
@@ -80,7 +80,7 @@
 // Control feeds that answer with anything but events: each stream is ended, and requested again. The events of the last one
 // are followed.
 func TestMalformedWatchStreams(t *testing.T) {
-	n := newNode(t, scripted.Answers)
+	n := newNode(t, scripted.AcceptAll)
 	replies := []string{
 		"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n",
 		"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 1<<20), // an endless header
--- a/internal/requests/stats.go
+++ b/internal/requests/stats.go
@@ -15,7 +15,7 @@
 	RejectedOffers, FailedOffers, TimedOutOffers, LostOffers, UnreachableOffers uint64
 	// Owners' connections closed, and requests rejected because a bound was reached.
 	OwnersClosed, RejectedAtLimit uint64
-	// Links that broke or were replaced for silence, and messages about attempts that are no longer current.
+	// Links that broke or were replaced for silence, and nodes' acceptances of tasks without an attempt there.
 	BrokenLinks, SuspectedLinks, StaleMessages uint64
 }
 
--- a/internal/settings/errors.go
+++ b/internal/settings/errors.go
@@ -11,8 +11,8 @@
 type ConfigError struct {
 	File         string
 	Line, Column int    // counted from 1; 0 where the place in the file is not known
-	Field        string // path of the field, as "classes[2].kind"; empty for an error of the file as a whole
-	Value        string // value of the field as the file writes it; empty where it has none
+	Field        string // path, as "classes[2].kind", in errors of the schema "classes.2.kind"; empty: the whole file
+	Value        string // value of the field as the file writes it; empty where it has none, and in errors within schema lists
 	Reason       string // what is wrong and what was expected
 }
 
--- a/internal/transport/link.go
+++ b/internal/transport/link.go
@@ -57,8 +57,9 @@
 func (l *Link) run(ctx context.Context) {
 	defer close(l.done)
 	for failures := 0; ctx.Err() == nil; {
+		handler := &linkHandler{Handler: l.newHandler(), closed: make(chan struct{})}
 		start := time.Now()
-		connected, err := l.connectOnce(ctx)
+		connected, err := l.connectOnce(ctx, handler)
 		l.down(err)
 		failures++
 		if connected && time.Since(start) > l.backoff.Max {
@@ -73,8 +74,7 @@
 
 // connectOnce makes one connection and waits until it has closed; it closes the connection itself when ctx ends. It returns
 // whether the connection was made, and why it was not or why it closed.
-func (l *Link) connectOnce(ctx context.Context) (connected bool, reason error) {
-	handler := &linkHandler{Handler: l.newHandler(), closed: make(chan struct{})}
+func (l *Link) connectOnce(ctx context.Context, handler *linkHandler) (connected bool, reason error) {
 	c, err := l.dialer.Dial(ctx, l.addr, l.timeout, handler)
 	if err != nil {
 		return false, err
