--- a/drmaa2/client_test.go
+++ b/drmaa2/client_test.go
@@ -168,6 +168,7 @@
 		{nil, "[a b c]"},
 		{[]string{"c", "a", "z"}, "[a c]"},
 		{[]string{"z"}, "[]"},
+		{[]string{"a", "a"}, "[a a]"},
 	} {
 		machines, err := monitoring.AllMachines(ctx, c.names...)
 		if err != nil {
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -103,6 +103,23 @@
 	}
 }
 
+// A use of a connection that was used before allocates nothing: it is recorded for each request.
+func TestUseDoesNotAllocate(t *testing.T) {
+	for name, use := range map[string]func(c *Control){
+		"owner": func(c *Control) { c.RecordOwnerUse(ms, 1) },
+		"ping":  func(c *Control) { c.RecordPing(ms, 1) },
+	} {
+		t.Run(name, func(t *testing.T) {
+			c := newTestControl()
+			c.Opened(0, 1, "h")
+			use(c)
+			if n := testing.AllocsPerRun(100, func() { use(c) }); n > 0 {
+				t.Errorf("%v allocations", n)
+			}
+		})
+	}
+}
+
 // A connection that stays unverified is closed after the idle timeout; a verified one is not.
 func TestCloseIdle(t *testing.T) {
 	c := newTestControl()
