--- a/api.go
+++ b/api.go
@@ -335,8 +335,8 @@
 func (TimerFired) event()      {}
 func (TaskCanceled) event()    {}
 
-// Action is one of the action types of this package: something that the host has to do.
-type Action interface{ action() }
+// Action is one of the action types of this package: something that the host has to do, see HandleActions.
+type Action interface{ handle(ActionHandler) }
 
 type (
 	// Offer sends a task to a machine. Attempts are numbered from 0 in the order of their offers.
@@ -365,13 +365,3 @@
 	// SetTimer requests a TimerFired event.
 	SetTimer struct{ After time.Duration }
 )
-
-func (Offer) action()       {}
-func (Cancel) action()      {}
-func (Reject) action()      {}
-func (Fail) action()        {}
-func (Migrate) action()     {}
-func (HealthCheck) action() {}
-func (SendGossip) action()  {}
-func (Subscribe) action()   {}
-func (SetTimer) action()    {}
