--- a/cmd/flaxshelf/config.go
+++ b/cmd/flaxshelf/config.go
@@ -1,8 +1,8 @@
 package main
 
 import (
-	"flaxshelf.example/flaxshelf/internal/lab/scenario"
 	"flaxshelf.example/flaxshelf/internal/settings"
+	"flaxshelf.example/flaxshelf/internal/testbed/scenario"
 )
 
 type configCmd struct {
--- a/cmd/flaxshelf/emulate.go
+++ b/cmd/flaxshelf/emulate.go
@@ -7,9 +7,9 @@
 	"runtime"
 	"time"
 
-	"flaxshelf.example/flaxshelf/internal/lab/emulator"
-	"flaxshelf.example/flaxshelf/internal/lab/load"
-	"flaxshelf.example/flaxshelf/internal/lab/scenario"
+	"flaxshelf.example/flaxshelf/internal/testbed/emulator"
+	"flaxshelf.example/flaxshelf/internal/testbed/load"
+	"flaxshelf.example/flaxshelf/internal/testbed/scenario"
 )
 
 type emulateCmd struct {
--- a/cmd/flaxshelf/experiment.go
+++ b/cmd/flaxshelf/experiment.go
@@ -7,7 +7,7 @@
 	"runtime"
 	"strings"
 
-	"flaxshelf.example/flaxshelf/internal/lab/experiment"
+	"flaxshelf.example/flaxshelf/internal/testbed/experiment"
 )
 
 type experimentCmd struct {
--- a/cmd/flaxshelf/inventory.go
+++ b/cmd/flaxshelf/inventory.go
@@ -5,8 +5,8 @@
 	"errors"
 	"time"
 
-	"flaxshelf.example/flaxshelf/internal/lab/standin/host"
-	"flaxshelf.example/flaxshelf/internal/lab/standin/inventorymodel"
+	"flaxshelf.example/flaxshelf/internal/testbed/standin/host"
+	"flaxshelf.example/flaxshelf/internal/testbed/standin/inventorymodel"
 )
 
 type inventoryCmd struct {
--- a/cmd/flaxshelf/load.go
+++ b/cmd/flaxshelf/load.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"flaxshelf.example/flaxshelf/internal/lab/load"
+	"flaxshelf.example/flaxshelf/internal/testbed/load"
 )
 
 type loadCmd struct {
--- a/cmd/flaxshelf/node.go
+++ b/cmd/flaxshelf/node.go
@@ -8,10 +8,10 @@
 
 	"github.com/rs/zerolog"
 
-	standins "flaxshelf.example/flaxshelf/internal/lab/standin/fleet"
-	"flaxshelf.example/flaxshelf/internal/lab/standin/host"
-	"flaxshelf.example/flaxshelf/internal/lab/standin/nodemodel"
 	"flaxshelf.example/flaxshelf/internal/settings"
+	standins "flaxshelf.example/flaxshelf/internal/testbed/standin/fleet"
+	"flaxshelf.example/flaxshelf/internal/testbed/standin/host"
+	"flaxshelf.example/flaxshelf/internal/testbed/standin/nodemodel"
 )
 
 type nodeCmd struct {
--- a/cmd/flaxshelf/plan.go
+++ b/cmd/flaxshelf/plan.go
@@ -8,9 +8,9 @@
 	"maps"
 	"slices"
 
-	"flaxshelf.example/flaxshelf/internal/lab/planrun"
-	"flaxshelf.example/flaxshelf/internal/lab/scenario"
 	"flaxshelf.example/flaxshelf/internal/planner"
+	"flaxshelf.example/flaxshelf/internal/testbed/plancheck"
+	"flaxshelf.example/flaxshelf/internal/testbed/scenario"
 )
 
 // Figures of the search by emulation.
@@ -41,7 +41,7 @@
 	if err := c.validate(day); err != nil {
 		return err
 	}
-	fleet, load := planrun.Model(day)
+	fleet, load := plancheck.Model(day)
 	if c.Trace != "" {
 		if load, err = c.captured(std, day); err != nil {
 			return err
@@ -108,17 +108,17 @@
 
 // emulate searches for the load at which the goal breaks by emulation, around the predicted first limit.
 func (c *planCmd) emulate(ctx context.Context, std *streams, day *scenario.Day, first planner.Limit) error {
-	goal := planrun.Goal{MinPlacedFraction: c.Placed, WarmupSeconds: c.Warmup}
-	search := planrun.Search{Low: first.Multiple * searchFrom, High: first.Multiple * searchTo,
+	goal := plancheck.Goal{MinPlacedFraction: c.Placed, WarmupSeconds: c.Warmup}
+	search := plancheck.Search{Low: first.Multiple * searchFrom, High: first.Multiple * searchTo,
 		RelativeWidth: searchWidth, Seeds: c.Seeds}
-	var point, afterSurge planrun.BreakingPoint
+	var point, afterSurge plancheck.BreakingPoint
 	var err error
 	if c.Surge > 0 {
-		goal.Surge = planrun.Surge{Factor: c.Surge, Seconds: c.Warmup / 4}
+		goal.Surge = plancheck.Surge{Factor: c.Surge, Seconds: c.Warmup / 4}
 		search.RelativeWidth = searchWidthSurge
-		point, afterSurge, err = planrun.FindWithSurge(ctx, day, goal, search)
+		point, afterSurge, err = plancheck.FindWithSurge(ctx, day, goal, search)
 	} else {
-		point, err = planrun.FindBreakingPoint(ctx, day, goal, search)
+		point, err = plancheck.FindBreakingPoint(ctx, day, goal, search)
 	}
 	if err != nil {
 		return err
@@ -139,7 +139,7 @@
 	if err != nil {
 		return nil, err
 	}
-	classes, err := planrun.EstimateLoad(trace, day)
+	classes, err := plancheck.EstimateLoad(trace, day)
 	if err != nil {
 		return nil, usageError{err}
 	}
--- a/cmd/flaxshelf/trial.go
+++ b/cmd/flaxshelf/trial.go
@@ -7,8 +7,8 @@
 	"os"
 	"os/exec"
 
-	"flaxshelf.example/flaxshelf/internal/lab/scenario"
-	"flaxshelf.example/flaxshelf/internal/lab/trial"
+	"flaxshelf.example/flaxshelf/internal/testbed/scenario"
+	"flaxshelf.example/flaxshelf/internal/testbed/trial"
 )
 
 // errTrialFailed is a trial in which a rule was broken or something else went wrong.
--- a/cmd/flaxshelf/up.go
+++ b/cmd/flaxshelf/up.go
@@ -6,9 +6,9 @@
 	"time"
 
 	"flaxshelf.example/flaxshelf/internal/daemon"
-	"flaxshelf.example/flaxshelf/internal/lab/standin/host"
-	"flaxshelf.example/flaxshelf/internal/lab/standin/inventorymodel"
 	"flaxshelf.example/flaxshelf/internal/settings"
+	"flaxshelf.example/flaxshelf/internal/testbed/standin/host"
+	"flaxshelf.example/flaxshelf/internal/testbed/standin/inventorymodel"
 )
 
 //go:embed up-fleet.cue
--- a/cmd/flaxshelf/verify.go
+++ b/cmd/flaxshelf/verify.go
@@ -3,7 +3,7 @@
 import (
 	"io"
 
-	"flaxshelf.example/flaxshelf/internal/lab/rules"
+	"flaxshelf.example/flaxshelf/internal/testbed/rules"
 )
 
 type verifyCmd struct {
--- a/internal/codec/nodeparam/decode.go
+++ b/internal/codec/nodebinary/decode.go
@@ -1,4 +1,4 @@
-package nodeparam
+package nodebinary
 
 import (
 	"encoding/binary"
--- a/internal/codec/nodeparam/errors.go
+++ b/internal/codec/nodebinary/errors.go
@@ -1,4 +1,4 @@
-package nodeparam
+package nodebinary
 
 import (
 	"errors"
@@ -25,7 +25,7 @@
 	if e.Type != 0 {
 		message = e.Type.String()
 	}
-	return fmt.Sprintf("nodeparam: %s, byte %d: %s: %s: %s", message, e.Offset, e.Field, e.Value, e.Reason)
+	return fmt.Sprintf("nodebinary: %s, byte %d: %s: %s: %s", message, e.Offset, e.Field, e.Value, e.Reason)
 }
 
 // Unwrap returns ErrMalformed.
@@ -38,7 +38,7 @@
 }
 
 func (e *SizeError) Error() string {
-	return fmt.Sprintf("nodeparam: %s of %d bytes, %d at most", e.Type, e.Bytes, e.Limit)
+	return fmt.Sprintf("nodebinary: %s of %d bytes, %d at most", e.Type, e.Bytes, e.Limit)
 }
 
 // Unwrap returns ErrTooLong.
--- a/internal/codec/nodeparam/message.go
+++ b/internal/codec/nodebinary/message.go
@@ -1,7 +1,7 @@
-// Package nodeparam encodes and decodes the messages between a scheduler and the nodes of the platform: binary, with a
+// Package nodebinary encodes and decodes the messages between a scheduler and the nodes of the platform: binary, with a
 // length in front, and made of parameters. It holds no connection and makes no decision. Its functions may be called from
 // several goroutines.
-package nodeparam
+package nodebinary
 
 import "strconv"
 
--- a/internal/codec/ownerline/errors.go
+++ b/internal/codec/ownerjson/errors.go
@@ -1,4 +1,4 @@
-package ownerline
+package ownerjson
 
 import (
 	"errors"
@@ -31,7 +31,7 @@
 	if e.Offset > 0 {
 		where = fmt.Sprintf("%s, byte %d", where, e.Offset)
 	}
-	text := fmt.Sprintf("ownerline: %s: %q: %s", where, e.Value, e.Reason)
+	text := fmt.Sprintf("ownerjson: %s: %q: %s", where, e.Value, e.Reason)
 	if e.Err != nil {
 		text += ": " + e.Err.Error()
 	}
--- a/internal/codec/ownerline/message.go
+++ b/internal/codec/ownerjson/message.go
@@ -1,6 +1,6 @@
-// Package ownerline encodes and decodes the messages between task owners and a scheduler on the platform: one JSON
+// Package ownerjson encodes and decodes the messages between task owners and a scheduler on the platform: one JSON
 // object a line. It holds no connection and makes no decision. Its functions may be called from several goroutines.
-package ownerline
+package ownerjson
 
 // MaxLine is the longest line in bytes that either side may send, its line feed included.
 const MaxLine = 16 << 10
--- a/internal/codec/ownerline/message_test.go
+++ b/internal/codec/ownerjson/message_test.go
@@ -1,4 +1,4 @@
-package ownerline
+package ownerjson
 
 import (
 	"errors"
--- a/internal/daemon/cores_test.go
+++ b/internal/daemon/cores_test.go
@@ -11,9 +11,9 @@
 	"github.com/rs/zerolog"
 
 	"flaxshelf.example/flaxshelf/drmaa2"
-	"flaxshelf.example/flaxshelf/internal/lab/standin/nodemodel"
 	"flaxshelf.example/flaxshelf/internal/scheduler"
 	"flaxshelf.example/flaxshelf/internal/settings"
+	"flaxshelf.example/flaxshelf/internal/testbed/standin/nodemodel"
 )
 
 // onCores sets the number of cores, with room for the events of all of them.
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -14,8 +14,8 @@
 	"time"
 
 	"flaxshelf.example/flaxshelf/drmaa2"
-	"flaxshelf.example/flaxshelf/internal/lab/standin/nodemodel"
 	"flaxshelf.example/flaxshelf/internal/settings"
+	"flaxshelf.example/flaxshelf/internal/testbed/standin/nodemodel"
 )
 
 // jobWatch is what a session's stream of events has shown of its jobs.
--- a/internal/daemon/sessions_test.go
+++ b/internal/daemon/sessions_test.go
@@ -5,8 +5,8 @@
 	"strings"
 	"testing"
 
-	"flaxshelf.example/flaxshelf/internal/lab/standin/nodemodel"
 	"flaxshelf.example/flaxshelf/internal/settings"
+	"flaxshelf.example/flaxshelf/internal/testbed/standin/nodemodel"
 )
 
 // Where there are no sessions, clients get an empty list of names, as docs/drmaa.md says, and not null.
--- a/internal/daemon/testcluster_test.go
+++ b/internal/daemon/testcluster_test.go
@@ -10,10 +10,10 @@
 	"go.uber.org/goleak"
 
 	"flaxshelf.example/flaxshelf/drmaa2"
-	"flaxshelf.example/flaxshelf/internal/lab/standin/host"
-	"flaxshelf.example/flaxshelf/internal/lab/standin/inventorymodel"
-	"flaxshelf.example/flaxshelf/internal/lab/standin/nodemodel"
 	"flaxshelf.example/flaxshelf/internal/settings"
+	"flaxshelf.example/flaxshelf/internal/testbed/standin/host"
+	"flaxshelf.example/flaxshelf/internal/testbed/standin/inventorymodel"
+	"flaxshelf.example/flaxshelf/internal/testbed/standin/nodemodel"
 )
 
 func TestMain(m *testing.M) {
--- a/internal/front/platformfront/errors.go
+++ b/internal/front/platformfront/errors.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"strings"
 
-	"flaxshelf.example/flaxshelf/internal/codec/ownerline"
+	"flaxshelf.example/flaxshelf/internal/codec/ownerjson"
 )
 
 // ErrConfig is matched by every error about a configuration file.
@@ -51,7 +51,7 @@
 // OwnerMessageError is a message of an owner that can't be used. It concerns that message alone.
 type OwnerMessageError struct {
 	Task   string // the ID that the message names
-	Type   ownerline.Type
+	Type   ownerjson.Type
 	Field  string // by its name on the wire
 	Value  string
 	Reason string // what is expected
--- a/internal/front/platformfront/generated_test.go
+++ b/internal/front/platformfront/generated_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"flaxshelf.example/flaxshelf/internal/admission"
-	"flaxshelf.example/flaxshelf/internal/codec/ownerline"
+	"flaxshelf.example/flaxshelf/internal/codec/ownerjson"
 	"flaxshelf.example/flaxshelf/internal/requests"
 )
 
@@ -177,10 +177,10 @@
 }
 
 // setUp is the i-th set-up.
-func (s *session) setUp(i int) *ownerline.Message {
+func (s *session) setUp(i int) *ownerjson.Message {
 	d := s.deployment
 	class, kind := i%len(d.classes), s.rng.IntN(len(d.kinds))
-	m := &ownerline.Message{Type: ownerline.SetUp, ID: fmt.Sprintf("%016x", i+1), Cause: ownerline.NoCause, Described: true, Description: "x",
+	m := &ownerjson.Message{Type: ownerjson.SetUp, ID: fmt.Sprintf("%016x", i+1), Cause: ownerjson.NoCause, Described: true, Description: "x",
 		Fields: map[string]string{"class": d.classes[class], "left": fmt.Sprint(d.timeLeftMillis), "key": fmt.Sprint("k", i),
 			"extras": fmt.Sprintf("cores:%g;memory:%g;service:v%d", d.cores[kind]/4, d.memory[kind]/4, i%3)}}
 	if d.keyed[class] {
--- a/internal/front/platformfront/node.go
+++ b/internal/front/platformfront/node.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"flaxshelf.example/flaxshelf"
-	"flaxshelf.example/flaxshelf/internal/codec/nodeparam"
+	"flaxshelf.example/flaxshelf/internal/codec/nodebinary"
 	"flaxshelf.example/flaxshelf/internal/requests"
 )
 
@@ -25,23 +25,23 @@
 }
 
 // DecodeNodeMessage translates a message of a node into an input; nil for one without a meaning for the core. The error is
-// a nodeparam.ProtocolError: an answer must have a description and a release a cause, else the link can't be trusted.
-func DecodeNodeMessage(link requests.Link, m *nodeparam.Message) (requests.Input, error) {
+// a nodebinary.ProtocolError: an answer must have a description and a release a cause, else the link can't be trusted.
+func DecodeNodeMessage(link requests.Link, m *nodebinary.Message) (requests.Input, error) {
 	input := requests.NodeMessage{Link: link, Task: formatTaskID(m.Task), Cause: m.Cause, Reason: releaseReasons[m.Token]}
 	switch m.Type {
-	case nodeparam.Answer:
+	case nodebinary.Answer:
 		if !m.Described || m.Description == "" {
 			return nil, missingParameter(m, "description")
 		}
 		input.Kind, input.Description = requests.NodeAccepted, m.Description
-	case nodeparam.Release:
+	case nodebinary.Release:
 		if m.Cause < 0 {
 			return nil, missingParameter(m, "cause")
 		}
 		input.Kind = requests.NodeReleased
-	case nodeparam.Released:
+	case nodebinary.Released:
 		input.Kind = requests.NodeConfirmedRelease
-	case nodeparam.Note:
+	case nodebinary.Note:
 		kind, amount, ok := decodeUsage(m)
 		if !ok {
 			return nil, nil
@@ -55,7 +55,7 @@
 
 // decodeUsage decodes the quantity and amount of a note, which has an amount of 0 where it has no value. ok is false for a
 // quantity of a later version and for what is no finite number.
-func decodeUsage(m *nodeparam.Message) (kind flaxshelf.UsageKind, amount float64, ok bool) {
+func decodeUsage(m *nodebinary.Message) (kind flaxshelf.UsageKind, amount float64, ok bool) {
 	if kind, ok = usageKinds[m.Token]; !ok || m.Value == "" {
 		return kind, 0, ok
 	}
@@ -63,8 +63,8 @@
 	return kind, amount, err == nil && !math.IsNaN(amount) && !math.IsInf(amount, 0)
 }
 
-func missingParameter(m *nodeparam.Message, name string) error {
-	return &nodeparam.ProtocolError{Type: m.Type, Field: name, Value: "none", Reason: "must have one"}
+func missingParameter(m *nodebinary.Message, name string) error {
+	return &nodebinary.ProtocolError{Type: m.Type, Field: name, Value: "none", Reason: "must have one"}
 }
 
 // EncodeOffer appends the set-up of a task, for a node.
@@ -74,7 +74,7 @@
 		return dst, err
 	}
 	timeLeftMillis := max(1, int64(e.TimeLeft/time.Millisecond))
-	return nodeparam.Append(dst, &nodeparam.Message{Type: nodeparam.SetUp, Task: id, Cause: nodeparam.NoCause, Class: e.Class,
+	return nodebinary.Append(dst, &nodebinary.Message{Type: nodebinary.SetUp, Task: id, Cause: nodebinary.NoCause, Class: e.Class,
 		TimeLeft: strconv.FormatInt(timeLeftMillis, 10), Key: e.Key, IdempotencyKey: e.IdempotencyKey,
 		Description: e.Description, Described: true})
 }
@@ -85,7 +85,7 @@
 	if err != nil {
 		return dst, err
 	}
-	return nodeparam.Append(dst, &nodeparam.Message{Type: nodeparam.Release, Task: id, Cause: e.Cause})
+	return nodebinary.Append(dst, &nodebinary.Message{Type: nodebinary.Release, Task: id, Cause: e.Cause})
 }
 
 func parseTaskID(id string) (uint64, error) {
--- a/internal/front/platformfront/node_test.go
+++ b/internal/front/platformfront/node_test.go
@@ -6,30 +6,30 @@
 	"time"
 
 	"flaxshelf.example/flaxshelf"
-	"flaxshelf.example/flaxshelf/internal/codec/nodeparam"
+	"flaxshelf.example/flaxshelf/internal/codec/nodebinary"
 	"flaxshelf.example/flaxshelf/internal/requests"
 )
 
 func TestDecodeNodeMessage(t *testing.T) {
 	const id = "00000000000000ff"
 	for name, c := range map[string]struct {
-		message nodeparam.Message
+		message nodebinary.Message
 		want    requests.Input
 	}{
-		"answer": {nodeparam.Message{Type: nodeparam.Answer, Cause: nodeparam.NoCause, Description: "d", Described: true},
+		"answer": {nodebinary.Message{Type: nodebinary.Answer, Cause: nodebinary.NoCause, Description: "d", Described: true},
 			requests.NodeMessage{Link: 4, Task: id, Kind: requests.NodeAccepted, Cause: -1, Description: "d"}},
-		"release": {nodeparam.Message{Type: nodeparam.Release, Cause: 34, Token: "busy"},
+		"release": {nodebinary.Message{Type: nodebinary.Release, Cause: 34, Token: "busy"},
 			requests.NodeMessage{Link: 4, Task: id, Kind: requests.NodeReleased, Cause: 34, Reason: flaxshelf.QueueFull}},
-		"released": {nodeparam.Message{Type: nodeparam.Released, Cause: nodeparam.NoCause},
+		"released": {nodebinary.Message{Type: nodebinary.Released, Cause: nodebinary.NoCause},
 			requests.NodeMessage{Link: 4, Task: id, Kind: requests.NodeConfirmedRelease, Cause: -1}},
-		"service level": {nodeparam.Message{Type: nodeparam.Note, Cause: nodeparam.NoCause, Token: "share", Value: "0.5"},
+		"service level": {nodebinary.Message{Type: nodebinary.Note, Cause: nodebinary.NoCause, Token: "share", Value: "0.5"},
 			requests.NodeMessage{Link: 4, Task: id, Kind: requests.NodeUsage, Cause: -1, UsageKind: flaxshelf.ServiceLevel, Amount: 0.5}},
-		"running, without an amount": {nodeparam.Message{Type: nodeparam.Note, Cause: nodeparam.NoCause, Token: "up"},
+		"running, without an amount": {nodebinary.Message{Type: nodebinary.Note, Cause: nodebinary.NoCause, Token: "up"},
 			requests.NodeMessage{Link: 4, Task: id, Kind: requests.NodeUsage, Cause: -1, UsageKind: flaxshelf.TaskRunning}},
-		"amount is no number":    {nodeparam.Message{Type: nodeparam.Note, Cause: nodeparam.NoCause, Token: "share", Value: "nan"}, nil},
-		"amount out of range":    {nodeparam.Message{Type: nodeparam.Note, Cause: nodeparam.NoCause, Token: "share", Value: "1e999"}, nil},
-		"quantity of the future": {nodeparam.Message{Type: nodeparam.Note, Cause: nodeparam.NoCause, Token: "mood"}, nil},
-		"progress":               {nodeparam.Message{Type: nodeparam.Progress, Cause: nodeparam.NoCause}, nil},
+		"amount is no number":    {nodebinary.Message{Type: nodebinary.Note, Cause: nodebinary.NoCause, Token: "share", Value: "nan"}, nil},
+		"amount out of range":    {nodebinary.Message{Type: nodebinary.Note, Cause: nodebinary.NoCause, Token: "share", Value: "1e999"}, nil},
+		"quantity of the future": {nodebinary.Message{Type: nodebinary.Note, Cause: nodebinary.NoCause, Token: "mood"}, nil},
+		"progress":               {nodebinary.Message{Type: nodebinary.Progress, Cause: nodebinary.NoCause}, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c.message.Task = 0xff
@@ -41,11 +41,11 @@
 }
 
 func TestDecodeNodeMessageRejects(t *testing.T) {
-	for name, m := range map[string]nodeparam.Message{
-		"an answer without a description": {Type: nodeparam.Answer, Cause: nodeparam.NoCause},
-		"a release without a cause":       {Type: nodeparam.Release, Cause: nodeparam.NoCause},
+	for name, m := range map[string]nodebinary.Message{
+		"an answer without a description": {Type: nodebinary.Answer, Cause: nodebinary.NoCause},
+		"a release without a cause":       {Type: nodebinary.Release, Cause: nodebinary.NoCause},
 	} {
-		if got, err := DecodeNodeMessage(4, &m); !errors.Is(err, nodeparam.ErrMalformed) {
+		if got, err := DecodeNodeMessage(4, &m); !errors.Is(err, nodebinary.ErrMalformed) {
 			t.Errorf("%s was decoded as %+v, %v", name, got, err)
 		}
 	}
@@ -58,8 +58,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, used, err := nodeparam.Next(encoded)
-	want := nodeparam.Message{Type: nodeparam.SetUp, Task: 0xff, Cause: nodeparam.NoCause, Class: "batch", TimeLeft: "1500", Key: "k",
+	got, used, err := nodebinary.Next(encoded)
+	want := nodebinary.Message{Type: nodebinary.SetUp, Task: 0xff, Cause: nodebinary.NoCause, Class: "batch", TimeLeft: "1500", Key: "k",
 		IdempotencyKey: "i", Description: "d\r\n", Described: true}
 	if err != nil || used != len(encoded) || got != want {
 		t.Errorf("%+v, %v", got, err)
@@ -67,7 +67,7 @@
 }
 
 func BenchmarkDecodeNodeMessage(b *testing.B) {
-	m := nodeparam.Message{Type: nodeparam.Release, Cause: 34, Token: "busy"}
+	m := nodebinary.Message{Type: nodebinary.Release, Cause: 34, Token: "busy"}
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, err := DecodeNodeMessage(4, &m); err != nil {
--- a/internal/front/platformfront/owner.go
+++ b/internal/front/platformfront/owner.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"flaxshelf.example/flaxshelf"
-	"flaxshelf.example/flaxshelf/internal/codec/ownerline"
+	"flaxshelf.example/flaxshelf/internal/codec/ownerjson"
 	"flaxshelf.example/flaxshelf/internal/requests"
 )
 
@@ -35,17 +35,17 @@
 
 // DecodeOwnerMessage translates a message of an owner into an input; nil for one without a meaning for the core. The error
 // is an OwnerMessageError.
-func (c *Config) DecodeOwnerMessage(conn requests.Conn, now requests.Time, m *ownerline.Message) (requests.Input, error) {
+func (c *Config) DecodeOwnerMessage(conn requests.Conn, now requests.Time, m *ownerjson.Message) (requests.Input, error) {
 	switch m.Type {
-	case ownerline.SetUp:
+	case ownerjson.SetUp:
 		return c.decodeSetUp(conn, now, m)
-	case ownerline.Release:
+	case ownerjson.Release:
 		return requests.Release{Conn: conn, Task: m.ID}, nil
-	case ownerline.Move:
+	case ownerjson.Move:
 		return requests.Migrated{Conn: conn, Task: m.ID}, nil
-	case ownerline.Ping:
+	case ownerjson.Ping:
 		return requests.Ping{Conn: conn, Task: m.ID}, nil
-	case ownerline.Progress, ownerline.Released, ownerline.Note:
+	case ownerjson.Progress, ownerjson.Released, ownerjson.Note:
 		return nil, nil
 	}
 	return nil, &OwnerMessageError{Task: m.ID, Type: m.Type, Field: fieldType, Value: string(m.Type),
@@ -53,7 +53,7 @@
 }
 
 // decodeSetUp translates a set-up: the submission of a task, or the adoption of one that a node runs already.
-func (c *Config) decodeSetUp(conn requests.Conn, now requests.Time, m *ownerline.Message) (requests.Input, error) {
+func (c *Config) decodeSetUp(conn requests.Conn, now requests.Time, m *ownerjson.Message) (requests.Input, error) {
 	class, ok := c.Names.Class[m.Fields[fieldClass]]
 	if !ok {
 		return nil, invalidField(m, fieldClass, "not a class of the settings")
@@ -102,7 +102,7 @@
 }
 
 // decodeDeadline decodes the time left until the deadline, which the adoption of a task need not have.
-func decodeDeadline(m *ownerline.Message, now requests.Time, optional bool) (requests.Time, error) {
+func decodeDeadline(m *ownerjson.Message, now requests.Time, optional bool) (requests.Time, error) {
 	millis, err := strconv.ParseFloat(m.Fields[fieldTimeLeft], 64)
 	valid := err == nil && millis >= 1 && millis <= float64(maxTimeLeft/time.Millisecond)
 	if !valid && !optional {
@@ -112,7 +112,7 @@
 }
 
 // decodeTask decodes what submissions and adoptions have in common, save for the deadline.
-func (c *Config) decodeTask(m *ownerline.Message, class int, extras *extraFields) (flaxshelf.Task, error) {
+func (c *Config) decodeTask(m *ownerjson.Message, class int, extras *extraFields) (flaxshelf.Task, error) {
 	task := flaxshelf.Task{ID: m.ID, Key: m.Fields[fieldKey], Class: class, Tenant: -1, Service: extras.service,
 		ExpectedRuntime: decodeRuntimeHint(m.Fields[fieldRuntimeHint])}
 	if !isName(task.Key) {
@@ -147,7 +147,7 @@
 }
 
 // decodeSubmission decodes what only the submission of a task has.
-func (c *Config) decodeSubmission(conn requests.Conn, m *ownerline.Message, task flaxshelf.Task) (requests.Input, error) {
+func (c *Config) decodeSubmission(conn requests.Conn, m *ownerjson.Message, task flaxshelf.Task) (requests.Input, error) {
 	key := m.Fields[fieldIdempotencyKey]
 	if key == "" && c.Module.Classes[task.Class].Idempotency == flaxshelf.IdempotentByKey {
 		return nil, invalidField(m, fieldIdempotencyKey, "the class needs an idempotency key")
@@ -199,22 +199,22 @@
 	return true
 }
 
-func invalidField(m *ownerline.Message, field, reason string) error {
+func invalidField(m *ownerjson.Message, field, reason string) error {
 	return &OwnerMessageError{Task: m.ID, Type: m.Type, Field: field, Value: m.Fields[field], Reason: reason}
 }
 
 // EncodeAccepted appends the answer that a task has been placed.
 func EncodeAccepted(dst []byte, e *requests.Accepted) ([]byte, error) {
-	return ownerline.Append(dst, &ownerline.Message{Type: ownerline.Answer, ID: e.Task, Cause: ownerline.NoCause,
+	return ownerjson.Append(dst, &ownerjson.Message{Type: ownerjson.Answer, ID: e.Task, Cause: ownerjson.NoCause,
 		Description: e.Description, Described: true})
 }
 
 // EncodeTerminated appends the notification that a task was rejected, failed or has ended, or that it is to migrate.
 func EncodeTerminated(dst []byte, e *requests.Terminated) ([]byte, error) {
 	if e.Migrate {
-		return ownerline.Append(dst, &ownerline.Message{Type: ownerline.Move, ID: e.Task, Cause: ownerline.NoCause})
+		return ownerjson.Append(dst, &ownerjson.Message{Type: ownerjson.Move, ID: e.Task, Cause: ownerjson.NoCause})
 	}
-	return ownerline.Append(dst, &ownerline.Message{Type: ownerline.Release, ID: e.Task, Cause: e.Cause})
+	return ownerjson.Append(dst, &ownerjson.Message{Type: ownerjson.Release, ID: e.Task, Cause: e.Cause})
 }
 
 // EncodePong appends the answer to a ping, whose cause on the wire is 1 where the check has passed and 0 where it has not.
@@ -223,5 +223,5 @@
 	if e.Passed {
 		cause = 1
 	}
-	return ownerline.Append(dst, &ownerline.Message{Type: ownerline.Pong, ID: e.Task, Cause: cause})
+	return ownerjson.Append(dst, &ownerjson.Message{Type: ownerjson.Pong, ID: e.Task, Cause: cause})
 }
--- a/internal/front/platformfront/owner_test.go
+++ b/internal/front/platformfront/owner_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"flaxshelf.example/flaxshelf"
-	"flaxshelf.example/flaxshelf/internal/codec/ownerline"
+	"flaxshelf.example/flaxshelf/internal/codec/ownerjson"
 	"flaxshelf.example/flaxshelf/internal/requests"
 )
 
@@ -21,7 +21,7 @@
 
 func decodeOwnerLine(t testing.TB, c *Config, line string) (requests.Input, error) {
 	t.Helper()
-	m, _, err := ownerline.Next([]byte(line))
+	m, _, err := ownerjson.Next([]byte(line))
 	if err != nil || m == nil {
 		t.Fatalf("%s: %v", line, err)
 	}
@@ -118,7 +118,7 @@
 
 func BenchmarkDecodeOwnerMessage(b *testing.B) {
 	c := parseConfig(b)
-	m, _, err := ownerline.Next([]byte(setUpLine("keyed", "1500", "7f3a", "5c0f", "cores:1;memory:2.5;service:00b4")))
+	m, _, err := ownerjson.Next([]byte(setUpLine("keyed", "1500", "7f3a", "5c0f", "cores:1;memory:2.5;service:00b4")))
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/platform/helpers_test.go
+++ b/internal/platform/helpers_test.go
@@ -15,9 +15,9 @@
 	"github.com/rs/zerolog"
 	"go.uber.org/goleak"
 
-	"flaxshelf.example/flaxshelf/internal/codec/nodeparam"
-	"flaxshelf.example/flaxshelf/internal/lab/standin/scripted"
+	"flaxshelf.example/flaxshelf/internal/codec/nodebinary"
 	"flaxshelf.example/flaxshelf/internal/replay"
+	"flaxshelf.example/flaxshelf/internal/testbed/standin/scripted"
 )
 
 func TestMain(m *testing.M) {
@@ -139,7 +139,7 @@
 	s := startScheduler(t, scripted.Entry("s-1", n.Addr(), "active"))
 	c := s.connect()
 	c.placeTask(2)
-	awaitMessage(t, n, nodeparam.SetUp)
+	awaitMessage(t, n, nodebinary.SetUp)
 	return s, n, c
 }
 
@@ -194,7 +194,7 @@
 }
 
 // awaitMessage waits for the node's next message of a type.
-func awaitMessage(t *testing.T, n *scripted.Node, want nodeparam.Type) nodeparam.Message {
+func awaitMessage(t *testing.T, n *scripted.Node, want nodebinary.Type) nodebinary.Message {
 	t.Helper()
 	timeout := time.After(10 * time.Second)
 	for {
@@ -210,7 +210,7 @@
 }
 
 // expectNoMessage fails if the node has received a message of a type.
-func expectNoMessage(t *testing.T, n *scripted.Node, unwanted nodeparam.Type) {
+func expectNoMessage(t *testing.T, n *scripted.Node, unwanted nodebinary.Type) {
 	t.Helper()
 	for len(n.Received) > 0 {
 		if m := <-n.Received; m.Type == unwanted {
--- a/internal/platform/leak_test.go
+++ b/internal/platform/leak_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"flaxshelf.example/flaxshelf/internal/codec/nodeparam"
-	"flaxshelf.example/flaxshelf/internal/lab/standin/scripted"
+	"flaxshelf.example/flaxshelf/internal/codec/nodebinary"
+	"flaxshelf.example/flaxshelf/internal/testbed/standin/scripted"
 )
 
 // usage is what the process uses.
@@ -51,7 +51,7 @@
 			}
 			c := &client{t, conn, bufio.NewReader(conn)} // without a cleanup, which the test would keep
 			c.placeTask(task)
-			n.Send(nodeparam.Message{Type: nodeparam.Release, Task: uint64(task), Cause: 16})
+			n.Send(nodebinary.Message{Type: nodebinary.Release, Task: uint64(task), Cause: 16})
 			c.expect("release", task, 16)
 			_ = c.conn.Close()
 			task++
--- a/internal/platform/module_state_test.go
+++ b/internal/platform/module_state_test.go
@@ -9,9 +9,9 @@
 	"testing"
 
 	"flaxshelf.example/flaxshelf"
-	"flaxshelf.example/flaxshelf/internal/codec/nodeparam"
-	"flaxshelf.example/flaxshelf/internal/lab/standin/scripted"
+	"flaxshelf.example/flaxshelf/internal/codec/nodebinary"
 	"flaxshelf.example/flaxshelf/internal/replay"
+	"flaxshelf.example/flaxshelf/internal/testbed/standin/scripted"
 )
 
 // taskID is a task's id as the core has it.
@@ -25,17 +25,17 @@
 
 // script answers a node's messages and counts its tasks. Node s-1 rejects every seventh task.
 func (n *nodeTasks) script(name string) scripted.Script {
-	return func(conn net.Conn, m nodeparam.Message) {
+	return func(conn net.Conn, m nodebinary.Message) {
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		task := fmt.Sprintf("%016x", m.Task)
 		switch {
-		case m.Type == nodeparam.SetUp && m.Task%7 == 0 && name == "s-1":
-			scripted.Send(conn, nodeparam.Message{Type: nodeparam.Release, Task: m.Task, Cause: 34})
+		case m.Type == nodebinary.SetUp && m.Task%7 == 0 && name == "s-1":
+			scripted.Send(conn, nodebinary.Message{Type: nodebinary.Release, Task: m.Task, Cause: 34})
 			return
-		case m.Type == nodeparam.SetUp:
+		case m.Type == nodebinary.SetUp:
 			n.node[task] = name
-		case m.Type == nodeparam.Release:
+		case m.Type == nodebinary.Release:
 			delete(n.node, task)
 		}
 		scripted.AcceptAll(conn, m)
@@ -55,7 +55,7 @@
 	defer n.mu.Unlock()
 	node := nodes[n.node[taskID(task)]]
 	delete(n.node, taskID(task))
-	node.Send(nodeparam.Message{Type: nodeparam.Release, Task: uint64(task), Cause: 16})
+	node.Send(nodebinary.Message{Type: nodebinary.Release, Task: uint64(task), Cause: 16})
 }
 
 // removeNode forgets the tasks of a node, and returns how many of the given ones were among them.
@@ -132,7 +132,7 @@
 		case 1:
 			node := nodes[tasks.nodeOf(task)]
 			c.send(`{"type":"release","id":"%016x","fields":{},"cause":31}`, task)
-			if m := awaitMessage(t, node, nodeparam.Release); m.Task != uint64(task) {
+			if m := awaitMessage(t, node, nodebinary.Release); m.Task != uint64(task) {
 				t.Fatalf("the node was sent the release of %d, not of %d", m.Task, task)
 			}
 		default:
--- a/internal/platform/nodes.go
+++ b/internal/platform/nodes.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"flaxshelf.example/flaxshelf/internal/codec/nodeparam"
+	"flaxshelf.example/flaxshelf/internal/codec/nodebinary"
 	"flaxshelf.example/flaxshelf/internal/front/platformfront"
 	"flaxshelf.example/flaxshelf/internal/requests"
 	"flaxshelf.example/flaxshelf/internal/transport"
@@ -40,7 +40,7 @@
 // decode decodes the complete messages at the start of in, and returns how many bytes they take.
 func (h *nodeHandler) decode(in []byte) (inputs []requests.Input, used int, err error) {
 	for {
-		m, size, err := nodeparam.Next(in[used:])
+		m, size, err := nodebinary.Next(in[used:])
 		if err != nil || size == 0 {
 			return inputs, used, err
 		}
--- a/internal/platform/offer_race_test.go
+++ b/internal/platform/offer_race_test.go
@@ -6,8 +6,8 @@
 	"sync/atomic"
 	"testing"
 
-	"flaxshelf.example/flaxshelf/internal/codec/nodeparam"
-	"flaxshelf.example/flaxshelf/internal/lab/standin/scripted"
+	"flaxshelf.example/flaxshelf/internal/codec/nodebinary"
+	"flaxshelf.example/flaxshelf/internal/testbed/standin/scripted"
 )
 
 // eventLoopBlocker is a log hook that blocks the event loop where it logs a closed link, and reports effects of one type.
@@ -74,7 +74,7 @@
 			<-blocker.executed
 			close(blocker.release)
 			s.connect().placeTask(3)
-			if m := awaitMessage(t, n, nodeparam.SetUp); m.Task != 3 {
+			if m := awaitMessage(t, n, nodebinary.SetUp); m.Task != 3 {
 				t.Errorf("the node received an offer of task %d", m.Task)
 			}
 		})
--- a/internal/platform/owners.go
+++ b/internal/platform/owners.go
@@ -5,7 +5,7 @@
 	"net"
 
 	"flaxshelf.example/flaxshelf/internal/clock"
-	"flaxshelf.example/flaxshelf/internal/codec/ownerline"
+	"flaxshelf.example/flaxshelf/internal/codec/ownerjson"
 	"flaxshelf.example/flaxshelf/internal/front/platformfront"
 	"flaxshelf.example/flaxshelf/internal/requests"
 	"flaxshelf.example/flaxshelf/internal/transport"
@@ -63,7 +63,7 @@
 func (h *ownerHandler) decode(c *transport.Conn, in []byte, now requests.Time) (inputs []requests.Input, used int, err error) {
 	config := h.scheduler.config.Load()
 	for {
-		m, size, err := ownerline.Next(in[used:])
+		m, size, err := ownerjson.Next(in[used:])
 		if err != nil || size == 0 {
 			return inputs, used, err
 		}
@@ -89,9 +89,9 @@
 
 // reject answers a request that makes no sense, and returns the core's input for it. Any other message that makes no sense
 // is an error, with the reason.
-func (h *ownerHandler) reject(c *transport.Conn, m *ownerline.Message, reason error) (requests.Input, error) {
+func (h *ownerHandler) reject(c *transport.Conn, m *ownerjson.Message, reason error) (requests.Input, error) {
 	h.scheduler.options.Log.Debug().Err(reason).Str("owner", c.Remote()).Msg("message of an owner rejected")
-	if m.Type != ownerline.SetUp {
+	if m.Type != ownerjson.SetUp {
 		return nil, reason
 	}
 	answer, err := platformfront.EncodeTerminated(nil, &requests.Terminated{Task: m.ID, Cause: requests.CauseError})
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"flaxshelf.example/flaxshelf/internal/codec/nodeparam"
-	"flaxshelf.example/flaxshelf/internal/lab/standin/scripted"
+	"flaxshelf.example/flaxshelf/internal/codec/nodebinary"
+	"flaxshelf.example/flaxshelf/internal/testbed/standin/scripted"
 	"flaxshelf.example/flaxshelf/internal/transport"
 )
 
@@ -23,11 +23,11 @@
 		t.Error("the ping did not pass")
 	}
 	c.placeTask(2)
-	m := awaitMessage(t, n, nodeparam.SetUp)
+	m := awaitMessage(t, n, nodebinary.SetUp)
 	if m.Task != 2 || m.Class != "batch" || m.Key != "k2" || m.Description != "owner's" || m.TimeLeft == "" {
 		t.Errorf("%+v", m)
 	}
-	n.Send(nodeparam.Message{Type: nodeparam.Release, Task: 2, Cause: 16})
+	n.Send(nodebinary.Message{Type: nodebinary.Release, Task: 2, Cause: 16})
 	c.expect("release", 2, 16)
 }
 
@@ -41,7 +41,7 @@
 			c.placeTask(task)
 		}
 		other.send(`{"type":%q,"id":"%016x","fields":{},"cause":31}`, message, task)
-		if m := awaitMessage(t, n, nodeparam.Release); m.Task != uint64(task) {
+		if m := awaitMessage(t, n, nodebinary.Release); m.Task != uint64(task) {
 			t.Errorf("%s: the node received the release of %d", message, m.Task)
 		}
 	}
@@ -55,10 +55,10 @@
 // crosses the release is released again.
 func TestReleaseCrossesAnswer(t *testing.T) {
 	delayed := make(chan func(), 1)
-	n := newNode(t, func(c net.Conn, m nodeparam.Message) {
-		if m.Type == nodeparam.SetUp && m.Task == 2 {
+	n := newNode(t, func(c net.Conn, m nodebinary.Message) {
+		if m.Type == nodebinary.SetUp && m.Task == 2 {
 			delayed <- func() { scripted.AcceptAll(c, m) }
-		} else if m.Type == nodeparam.SetUp {
+		} else if m.Type == nodebinary.SetUp {
 			scripted.AcceptAll(c, m)
 		}
 	})
@@ -67,11 +67,11 @@
 	c.submit(2)
 	answer := <-delayed
 	c.send(`{"type":"release","id":"%016x","fields":{},"cause":16}`, 2)
-	if m := awaitMessage(t, n, nodeparam.Release); m.Task != 2 || m.Cause != 16 {
+	if m := awaitMessage(t, n, nodebinary.Release); m.Task != 2 || m.Cause != 16 {
 		t.Errorf("%+v", m)
 	}
 	answer()
-	if m := awaitMessage(t, n, nodeparam.Release); m.Task != 2 {
+	if m := awaitMessage(t, n, nodebinary.Release); m.Task != 2 {
 		t.Errorf("the answer that crossed: %+v", m)
 	}
 	c.placeTask(3)
@@ -86,24 +86,24 @@
 	c.submit(7, "at:s-1")
 	c.submit(7, "at:s-1")
 	c.placeTask(8)
-	if m := awaitMessage(t, n, nodeparam.SetUp); m.Task != 8 {
+	if m := awaitMessage(t, n, nodebinary.SetUp); m.Task != 8 {
 		t.Errorf("%+v", m)
 	}
-	n.Send(nodeparam.Message{Type: nodeparam.Release, Task: 7, Cause: 41, Token: "oom"})
+	n.Send(nodebinary.Message{Type: nodebinary.Release, Task: 7, Cause: 41, Token: "oom"})
 	c.expect("release", 7, 41)
 }
 
 // A malformed answer closes the link; the task is placed on another node.
 func TestMalformedAnswerClosesLink(t *testing.T) {
-	n := newNode(t, func(c net.Conn, m nodeparam.Message) {
-		if m.Type == nodeparam.SetUp {
+	n := newNode(t, func(c net.Conn, m nodebinary.Message) {
+		if m.Type == nodebinary.SetUp {
 			_, _ = c.Write([]byte("HTTP/1.1 200 OK\r\n"))
 		}
 	})
 	s := startScheduler(t, scripted.Entry("s-1", n.Addr(), "active"))
 	c := s.connect()
 	c.submit(2)
-	awaitMessage(t, n, nodeparam.SetUp)
+	awaitMessage(t, n, nodebinary.SetUp)
 	s.feed.Publish(false, scripted.Entry("s-2", newNode(t, scripted.AcceptAll).Addr(), "active"))
 	c.expect("answer", 2, 0)
 }
@@ -111,9 +111,9 @@
 // A link on which a message stays partial is closed even if no request waits on it: else the message would swallow what
 // follows. Another link takes its place. Which of the two events the node sees first is not determined.
 func TestPartialMessageClosesLink(t *testing.T) {
-	n := newNode(t, func(c net.Conn, m nodeparam.Message) {
+	n := newNode(t, func(c net.Conn, m nodebinary.Message) {
 		scripted.AcceptAll(c, m)
-		if m.Type == nodeparam.SetUp {
+		if m.Type == nodebinary.SetUp {
 			_, _ = c.Write([]byte("\x00\x40\x0c\x00"))
 		}
 	})
@@ -162,8 +162,8 @@
 	s.feed.Publish(false, scripted.Entry("s-2", n.Addr(), "active"))
 	c.expect("release", 2, 41)
 	c.placeTask(3)
-	n.Send(nodeparam.Message{Type: nodeparam.Release, Task: 2, Cause: 16}) // a task of the former node: nothing follows
-	n.Send(nodeparam.Message{Type: nodeparam.Release, Task: 3, Cause: 16})
+	n.Send(nodebinary.Message{Type: nodebinary.Release, Task: 2, Cause: 16}) // a task of the former node: nothing follows
+	n.Send(nodebinary.Message{Type: nodebinary.Release, Task: 3, Cause: 16})
 	c.expect("release", 3, 16)
 }
 
@@ -191,7 +191,7 @@
 	for i := range 8 {
 		c.placeTask(3 + i)
 	}
-	expectNoMessage(t, old, nodeparam.SetUp)
+	expectNoMessage(t, old, nodebinary.SetUp)
 }
 
 // A reloaded configuration names another control feed, whose sequence numbers continue. Its events that are older than the
@@ -221,7 +221,7 @@
 			task++
 		}
 	}
-	expectNoMessage(t, old, nodeparam.SetUp)
+	expectNoMessage(t, old, nodebinary.SetUp)
 }
 
 // During a graceful shutdown pings fail, requests are still served, on new connections too, and everything is answered
@@ -236,7 +236,7 @@
 	if err := <-s.runResult; err != nil {
 		t.Error(err)
 	}
-	expectNoMessage(t, n, nodeparam.Release)
+	expectNoMessage(t, n, nodebinary.Release)
 }
 
 // Misbehaving clients get a rejection or a close, none of their requests is placed, and another owner is served meanwhile.
@@ -289,7 +289,7 @@
 		t.Error(event)
 	}
 	c.placeTask(3)
-	if m := awaitMessage(t, n, nodeparam.SetUp); m.Task != 3 {
+	if m := awaitMessage(t, n, nodebinary.SetUp); m.Task != 3 {
 		t.Errorf("%+v", m)
 	}
 }
--- a/internal/platform/shutdown_test.go
+++ b/internal/platform/shutdown_test.go
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
-	"flaxshelf.example/flaxshelf/internal/codec/nodeparam"
-	"flaxshelf.example/flaxshelf/internal/lab/standin/scripted"
+	"flaxshelf.example/flaxshelf/internal/codec/nodebinary"
 	"flaxshelf.example/flaxshelf/internal/requests"
+	"flaxshelf.example/flaxshelf/internal/testbed/standin/scripted"
 )
 
 // The next step of a shutdown follows from the time since it was requested and from what keeps the scheduler.
@@ -98,8 +98,8 @@
 // causes no reset, which would destroy an answer that the owner has not read yet.
 func TestShutdownDeliversLastAnswers(t *testing.T) {
 	delayed := make(chan func(), 1)
-	n := newNode(t, func(c net.Conn, m nodeparam.Message) {
-		if m.Type == nodeparam.SetUp {
+	n := newNode(t, func(c net.Conn, m nodebinary.Message) {
+		if m.Type == nodebinary.SetUp {
 			delayed <- func() { scripted.AcceptAll(c, m) }
 		}
 	})
@@ -163,7 +163,7 @@
 	for i := range 6 {
 		c.placeTask(3 + i)
 	}
-	expectNoMessage(t, drained, nodeparam.SetUp)
+	expectNoMessage(t, drained, nodebinary.SetUp)
 }
 
 // Two reloads in immediate succession: the second file's control feed is followed, from the first one's last event on.
@@ -186,5 +186,5 @@
 	for i := range 4 {
 		c.placeTask(3 + i)
 	}
-	expectNoMessage(t, drained, nodeparam.SetUp)
+	expectNoMessage(t, drained, nodebinary.SetUp)
 }
--- a/internal/platform/watch_test.go
+++ b/internal/platform/watch_test.go
@@ -8,10 +8,10 @@
 	"strings"
 	"testing"
 
-	"flaxshelf.example/flaxshelf/internal/codec/nodeparam"
+	"flaxshelf.example/flaxshelf/internal/codec/nodebinary"
 	"flaxshelf.example/flaxshelf/internal/front/platformfront"
-	"flaxshelf.example/flaxshelf/internal/lab/standin/scripted"
 	"flaxshelf.example/flaxshelf/internal/requests"
+	"flaxshelf.example/flaxshelf/internal/testbed/standin/scripted"
 )
 
 // Events are applied once, in order; missing ones are requested once.
@@ -101,7 +101,7 @@
 		}
 	}
 	s.connect().placeTask(2)
-	if m := awaitMessage(t, n, nodeparam.SetUp); m.Task != 2 {
+	if m := awaitMessage(t, n, nodebinary.SetUp); m.Task != 2 {
 		t.Errorf("%+v", m)
 	}
 }
--- a/internal/replay/record_test.go
+++ b/internal/replay/record_test.go
@@ -168,7 +168,7 @@
 	if got, want := typeNames(allEvents()), receivers(t, "event"); !slices.Equal(got, want) {
 		t.Errorf("events %v, package flaxshelf has %v", got, want)
 	}
-	if got, want := typeNames(allActions()), receivers(t, "action"); !slices.Equal(got, want) {
+	if got, want := typeNames(allActions()), receivers(t, "handle"); !slices.Equal(got, want) {
 		t.Errorf("actions %v, package flaxshelf has %v", got, want)
 	}
 }
--- a/internal/shard/cores_test.go
+++ b/internal/shard/cores_test.go
@@ -10,9 +10,9 @@
 	"time"
 
 	"flaxshelf.example/flaxshelf"
-	"flaxshelf.example/flaxshelf/internal/lab/chart"
 	"flaxshelf.example/flaxshelf/internal/scheduler"
 	"flaxshelf.example/flaxshelf/internal/shard"
+	"flaxshelf.example/flaxshelf/internal/testbed/chart"
 )
 
 const (
--- a/internal/lab/ablation/ablation.go
+++ b/internal/testbed/ablation/ablation.go
@@ -9,10 +9,10 @@
 	"sync"
 
 	"flaxshelf.example/flaxshelf"
-	"flaxshelf.example/flaxshelf/internal/lab/emulator"
-	"flaxshelf.example/flaxshelf/internal/lab/rules"
-	"flaxshelf.example/flaxshelf/internal/lab/scenario"
 	"flaxshelf.example/flaxshelf/internal/scheduler"
+	"flaxshelf.example/flaxshelf/internal/testbed/emulator"
+	"flaxshelf.example/flaxshelf/internal/testbed/rules"
+	"flaxshelf.example/flaxshelf/internal/testbed/scenario"
 )
 
 // HardConstraint is a hard constraint with a day on which a rule is broken without it.
--- a/internal/lab/ablation/ablation_test.go
+++ b/internal/testbed/ablation/ablation_test.go
@@ -8,8 +8,8 @@
 	"testing"
 
 	"flaxshelf.example/flaxshelf"
-	"flaxshelf.example/flaxshelf/internal/lab/rules"
 	"flaxshelf.example/flaxshelf/internal/scheduler"
+	"flaxshelf.example/flaxshelf/internal/testbed/rules"
 )
 
 // hardConstraintSeed is the seed of the plays of hard constraints.
@@ -54,7 +54,7 @@
 // TestMatrix disables each constraint on each day, and prints the tables of docs/ablation.md. It takes minutes and is for a
 // person to run:
 //
-//	FLAXSHELF_MATRIX=20 go test -v -run Matrix -timeout 30m ./internal/lab/ablation
+//	FLAXSHELF_MATRIX=20 go test -v -run Matrix -timeout 30m ./internal/testbed/ablation
 //
 // FLAXSHELF_DAYS limits it to some days.
 func TestMatrix(t *testing.T) {
--- a/internal/lab/ablation/compare.go
+++ b/internal/testbed/ablation/compare.go
@@ -3,9 +3,9 @@
 import (
 	"fmt"
 
-	"flaxshelf.example/flaxshelf/internal/lab/emulator"
-	"flaxshelf.example/flaxshelf/internal/lab/experiment"
-	"flaxshelf.example/flaxshelf/internal/lab/scenario"
+	"flaxshelf.example/flaxshelf/internal/testbed/emulator"
+	"flaxshelf.example/flaxshelf/internal/testbed/experiment"
+	"flaxshelf.example/flaxshelf/internal/testbed/scenario"
 )
 
 // Outcome is the outcome of one play of a day.
--- a/internal/lab/ablation/overload_test.go
+++ b/internal/testbed/ablation/overload_test.go
@@ -7,9 +7,9 @@
 	"testing"
 
 	"flaxshelf.example/flaxshelf"
-	"flaxshelf.example/flaxshelf/internal/lab/emulator"
-	"flaxshelf.example/flaxshelf/internal/lab/scenario"
 	"flaxshelf.example/flaxshelf/internal/scheduler"
+	"flaxshelf.example/flaxshelf/internal/testbed/emulator"
+	"flaxshelf.example/flaxshelf/internal/testbed/scenario"
 )
 
 // overloadDay submits to four nodes a multiple of what they can run; ratePlaceholder stands for the rate.
@@ -31,7 +31,7 @@
 // TestOverloadOrder compares two orders of waiting tasks of equal priority under overload: the oldest first, and the newest
 // first. It plays minutes of overload and is for a person to run, as TestMatrix:
 //
-//	FLAXSHELF_MATRIX=20 go test -v -run OverloadOrder ./internal/lab/ablation
+//	FLAXSHELF_MATRIX=20 go test -v -run OverloadOrder ./internal/testbed/ablation
 func TestOverloadOrder(t *testing.T) {
 	if os.Getenv(seedsVariable) == "" {
 		t.Skipf("set %s to run it", seedsVariable)
--- a/internal/lab/baseline/baseline_test.go
+++ b/internal/testbed/baseline/baseline_test.go
@@ -6,10 +6,10 @@
 	"testing"
 
 	"flaxshelf.example/flaxshelf"
-	"flaxshelf.example/flaxshelf/internal/lab/baseline"
-	"flaxshelf.example/flaxshelf/internal/lab/emulator"
-	"flaxshelf.example/flaxshelf/internal/lab/scenario"
 	"flaxshelf.example/flaxshelf/internal/scheduler"
+	"flaxshelf.example/flaxshelf/internal/testbed/baseline"
+	"flaxshelf.example/flaxshelf/internal/testbed/emulator"
+	"flaxshelf.example/flaxshelf/internal/testbed/scenario"
 )
 
 // Baselines obey the same rules as the module, so that an experiment compares the choice of machines alone.
--- a/internal/lab/counts/counts.go
+++ b/internal/testbed/countformat/countformat.go
@@ -1,5 +1,5 @@
-// Package counts formats the counts by name of the lab's reports.
-package counts
+// Package countformat formats counts by name for the reports of the testbed.
+package countformat
 
 import (
 	"fmt"
--- a/internal/lab/counts/counts_test.go
+++ b/internal/testbed/countformat/countformat_test.go
@@ -1,4 +1,4 @@
-package counts
+package countformat
 
 import "testing"
 
--- a/internal/lab/emulator/clients.go
+++ b/internal/testbed/emulator/clients.go
@@ -6,9 +6,9 @@
 	"slices"
 	"time"
 
-	"flaxshelf.example/flaxshelf/internal/lab/fault"
-	"flaxshelf.example/flaxshelf/internal/lab/scenario"
 	"flaxshelf.example/flaxshelf/internal/scheduler"
+	"flaxshelf.example/flaxshelf/internal/testbed/fault"
+	"flaxshelf.example/flaxshelf/internal/testbed/scenario"
 )
 
 // outcomeGrace is how much longer than its outcome is due a client waits for it, as in trials.
--- a/internal/lab/emulator/emulator.go
+++ b/internal/testbed/emulator/emulator.go
@@ -10,10 +10,10 @@
 	"io"
 
 	"flaxshelf.example/flaxshelf"
-	"flaxshelf.example/flaxshelf/internal/lab/load"
-	"flaxshelf.example/flaxshelf/internal/lab/rules"
-	"flaxshelf.example/flaxshelf/internal/lab/scenario"
 	"flaxshelf.example/flaxshelf/internal/scheduler"
+	"flaxshelf.example/flaxshelf/internal/testbed/load"
+	"flaxshelf.example/flaxshelf/internal/testbed/rules"
+	"flaxshelf.example/flaxshelf/internal/testbed/scenario"
 )
 
 // Options are how a day is emulated.
--- a/internal/lab/emulator/emulator_test.go
+++ b/internal/testbed/emulator/emulator_test.go
@@ -11,11 +11,11 @@
 	"time"
 
 	"flaxshelf.example/flaxshelf"
-	"flaxshelf.example/flaxshelf/internal/lab/fault"
-	"flaxshelf.example/flaxshelf/internal/lab/reference"
-	"flaxshelf.example/flaxshelf/internal/lab/rules"
-	"flaxshelf.example/flaxshelf/internal/lab/scenario"
 	"flaxshelf.example/flaxshelf/internal/scheduler"
+	"flaxshelf.example/flaxshelf/internal/testbed/fault"
+	"flaxshelf.example/flaxshelf/internal/testbed/reference"
+	"flaxshelf.example/flaxshelf/internal/testbed/rules"
+	"flaxshelf.example/flaxshelf/internal/testbed/scenario"
 )
 
 func TestMain(m *testing.M) {
--- a/internal/lab/emulator/faults.go
+++ b/internal/testbed/emulator/faults.go
@@ -6,8 +6,8 @@
 	"sort"
 	"time"
 
-	"flaxshelf.example/flaxshelf/internal/lab/fault"
-	"flaxshelf.example/flaxshelf/internal/lab/standin/inventorymodel"
+	"flaxshelf.example/flaxshelf/internal/testbed/fault"
+	"flaxshelf.example/flaxshelf/internal/testbed/standin/inventorymodel"
 )
 
 // faultInjector sends the actions of the scenario's faults at their times. It is an entity whose actions travel like
--- a/internal/lab/emulator/inventory.go
+++ b/internal/testbed/emulator/inventory.go
@@ -1,6 +1,6 @@
 package emulator
 
-import "flaxshelf.example/flaxshelf/internal/lab/standin/inventorymodel"
+import "flaxshelf.example/flaxshelf/internal/testbed/standin/inventorymodel"
 
 // inventory is the inventory model as an entity. Its peers are known by their names to the model.
 type inventory struct {
--- a/internal/lab/emulator/message.go
+++ b/internal/testbed/emulator/message.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"flaxshelf.example/flaxshelf/internal/codec/nodeframe/nodepb"
-	"flaxshelf.example/flaxshelf/internal/lab/fault"
 	"flaxshelf.example/flaxshelf/internal/scheduler"
+	"flaxshelf.example/flaxshelf/internal/testbed/fault"
 )
 
 // message is what one entity sends another. Its body is of one of the types below, or an inventorymodel.Fault.
--- a/internal/lab/emulator/node.go
+++ b/internal/testbed/emulator/node.go
@@ -6,10 +6,10 @@
 
 	"flaxshelf.example/flaxshelf/internal/codec/nodeframe"
 	"flaxshelf.example/flaxshelf/internal/codec/nodeframe/nodepb"
-	"flaxshelf.example/flaxshelf/internal/lab/scenario"
-	"flaxshelf.example/flaxshelf/internal/lab/standin/fleet"
-	"flaxshelf.example/flaxshelf/internal/lab/standin/nodemodel"
 	"flaxshelf.example/flaxshelf/internal/settings"
+	"flaxshelf.example/flaxshelf/internal/testbed/scenario"
+	"flaxshelf.example/flaxshelf/internal/testbed/standin/fleet"
+	"flaxshelf.example/flaxshelf/internal/testbed/standin/nodemodel"
 )
 
 // registerInterval is how often a node reports its state to the inventory, as on sockets.
--- a/internal/lab/emulator/recorder.go
+++ b/internal/testbed/emulator/recorder.go
@@ -18,17 +18,17 @@
 	"flaxshelf.example/flaxshelf/internal/codec/nodeframe/nodepb"
 	"flaxshelf.example/flaxshelf/internal/front/drmaafront"
 	"flaxshelf.example/flaxshelf/internal/front/nodefront"
-	"flaxshelf.example/flaxshelf/internal/lab/recordproxy"
-	"flaxshelf.example/flaxshelf/internal/lab/recordproxy/tappb"
-	"flaxshelf.example/flaxshelf/internal/lab/rules"
 	"flaxshelf.example/flaxshelf/internal/scheduler"
+	"flaxshelf.example/flaxshelf/internal/testbed/recordproxy"
+	"flaxshelf.example/flaxshelf/internal/testbed/recordproxy/recordingpb"
+	"flaxshelf.example/flaxshelf/internal/testbed/rules"
 )
 
 // recorder makes the recording of a simulated day that a proxy makes of a trial, so that the same checker reads it.
 // Frames to a scheduler are recorded when it handles them, frames from it when it sends them. A nil recorder records
 // nothing. It is used by one worker.
 type recorder struct {
-	records        []*tappb.Record
+	records        []*recordingpb.Record
 	lastConnection uint64
 	connections    map[string]*schedulerConnections // by scheduler
 	err            error                            // the first
@@ -43,22 +43,22 @@
 	events    uint64 // a client's, for the event stream
 }
 
-func (r *recorder) add(at Time, record *tappb.Record) {
+func (r *recorder) add(at Time, record *recordingpb.Record) {
 	record.TimeNs = int64(at)
 	r.records = append(r.records, record)
 }
 
 func (r *recorder) open(wire, listener, dialer string, at Time) uint64 {
 	r.lastConnection++
-	r.add(at, &tappb.Record{Body: &tappb.Record_Open{Open: &tappb.Open{Conn: r.lastConnection, Wire: wire, To: listener,
+	r.add(at, &recordingpb.Record{Body: &recordingpb.Record_Open{Open: &recordingpb.Open{Conn: r.lastConnection, Wire: wire, To: listener,
 		Via: dialer}}})
 	return r.lastConnection
 }
 
 func (r *recorder) bytes(connection uint64, fromListener bool, data []byte, at Time) {
-	r.add(at, &tappb.Record{Body: &tappb.Record_Sent{Sent: &tappb.Sent{Conn: connection, Back: fromListener,
+	r.add(at, &recordingpb.Record{Body: &recordingpb.Record_Sent{Sent: &recordingpb.Sent{Conn: connection, Back: fromListener,
 		Data: data}}})
-	r.add(at, &tappb.Record{Body: &tappb.Record_Delivered{Delivered: &tappb.Delivered{Conn: connection,
+	r.add(at, &recordingpb.Record{Body: &recordingpb.Record_Delivered{Delivered: &recordingpb.Delivered{Conn: connection,
 		Back: fromListener, Bytes: uint64(len(data))}}})
 }
 
@@ -112,7 +112,7 @@
 
 func (r *recorder) close(connection uint64, at Time) {
 	if r != nil && connection != 0 {
-		r.add(at, &tappb.Record{Body: &tappb.Record_Close{Close: &tappb.Close{Conn: connection}}})
+		r.add(at, &recordingpb.Record{Body: &recordingpb.Record_Close{Close: &recordingpb.Close{Conn: connection}}})
 	}
 }
 
@@ -126,7 +126,7 @@
 
 func (r *recorder) mark(what, party string, at Time) {
 	if r != nil {
-		r.add(at, &tappb.Record{Body: &tappb.Record_Mark{Mark: &tappb.Mark{What: what, Party: party}}})
+		r.add(at, &recordingpb.Record{Body: &recordingpb.Record_Mark{Mark: &recordingpb.Mark{What: what, Party: party}}})
 	}
 }
 
@@ -178,12 +178,12 @@
 	if r.err != nil {
 		return fmt.Errorf("emulator: record: %w", r.err)
 	}
-	slices.SortStableFunc(r.records, func(a, b *tappb.Record) int { return cmp.Compare(a.TimeNs, b.TimeNs) })
+	slices.SortStableFunc(r.records, func(a, b *recordingpb.Record) int { return cmp.Compare(a.TimeNs, b.TimeNs) })
 	r.mark("end", "", end)
 	buffer := bufio.NewWriter(w)
-	head := &tappb.Record{TimeNs: int64(Epoch), Body: &tappb.Record_Head{Head: &tappb.Head{Version: recordproxy.Version,
+	head := &recordingpb.Record{TimeNs: int64(Epoch), Body: &recordingpb.Record_Head{Head: &recordingpb.Head{Version: recordproxy.Version,
 		Figures: figures}}}
-	for _, record := range append([]*tappb.Record{head}, r.records...) {
+	for _, record := range append([]*recordingpb.Record{head}, r.records...) {
 		if _, err := protodelim.MarshalTo(buffer, record); err != nil {
 			return fmt.Errorf("emulator: record: %w", err)
 		}
--- a/internal/lab/emulator/report.go
+++ b/internal/testbed/emulator/report.go
@@ -8,9 +8,9 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"flaxshelf.example/flaxshelf/internal/lab/counts"
-	"flaxshelf.example/flaxshelf/internal/lab/scenario"
 	"flaxshelf.example/flaxshelf/internal/scheduler"
+	"flaxshelf.example/flaxshelf/internal/testbed/countformat"
+	"flaxshelf.example/flaxshelf/internal/testbed/scenario"
 )
 
 // ClassReport is the result of a day for the jobs of one class.
@@ -72,9 +72,9 @@
 	for _, class := range r.Classes {
 		class.print(&text)
 	}
-	fmt.Fprintf(&text, "submissions: %s; asked again %d times; not accounted for %d\n", counts.Format(r.Ends), r.Retries,
+	fmt.Fprintf(&text, "submissions: %s; asked again %d times; not accounted for %d\n", countformat.Format(r.Ends), r.Retries,
 		r.Unaccounted)
-	fmt.Fprintf(&text, "jobs ended: %s; %d nodes fell over\n", counts.Format(r.Ended), r.FellOver)
+	fmt.Fprintf(&text, "jobs ended: %s; %d nodes fell over\n", countformat.Format(r.Ended), r.FellOver)
 	if r.Busiest > 0 {
 		fmt.Fprintf(&text, "the busiest core works %.0f%% of its time\n", 100*r.Busiest)
 	}
@@ -88,7 +88,7 @@
 		return time.Duration(c.Wait.ValueAtQuantile(percentile)) * time.Microsecond
 	}
 	fmt.Fprintf(text, "%-12s %6d submitted, %6d placed, %6d in time; wait p50 %v p99 %v p99.9 %v; asks %s\n",
-		c.Class, c.Submitted, c.Placed, c.InTime, wait(50), wait(99), wait(99.9), counts.Format(c.Outcomes))
+		c.Class, c.Submitted, c.Placed, c.InTime, wait(50), wait(99), wait(99.9), countformat.Format(c.Outcomes))
 }
 
 // clientStats is what the clients have seen.
--- a/internal/lab/emulator/simulation.go
+++ b/internal/testbed/emulator/simulation.go
@@ -6,11 +6,11 @@
 	"sync"
 
 	"flaxshelf.example/flaxshelf"
-	"flaxshelf.example/flaxshelf/internal/lab/scenario"
-	"flaxshelf.example/flaxshelf/internal/lab/standin/inventorymodel"
-	"flaxshelf.example/flaxshelf/internal/lab/standin/nodemodel"
 	"flaxshelf.example/flaxshelf/internal/scheduler"
 	"flaxshelf.example/flaxshelf/internal/settings"
+	"flaxshelf.example/flaxshelf/internal/testbed/scenario"
+	"flaxshelf.example/flaxshelf/internal/testbed/standin/inventorymodel"
+	"flaxshelf.example/flaxshelf/internal/testbed/standin/nodemodel"
 )
 
 // simulation is one simulated cluster.
--- a/internal/lab/emulator/tracearrivals.go
+++ b/internal/testbed/emulator/tracearrivals.go
@@ -3,8 +3,8 @@
 import (
 	"fmt"
 
-	"flaxshelf.example/flaxshelf/internal/lab/load"
-	"flaxshelf.example/flaxshelf/internal/lab/scenario"
+	"flaxshelf.example/flaxshelf/internal/testbed/load"
+	"flaxshelf.example/flaxshelf/internal/testbed/scenario"
 )
 
 // arrivals is where submissions come from: drawn from a day's load, or taken from a trace.
--- a/internal/lab/emulator/tracearrivals_test.go
+++ b/internal/testbed/emulator/tracearrivals_test.go
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
-	"flaxshelf.example/flaxshelf/internal/lab/load"
-	"flaxshelf.example/flaxshelf/internal/lab/scenario"
 	"flaxshelf.example/flaxshelf/internal/settings"
+	"flaxshelf.example/flaxshelf/internal/testbed/load"
+	"flaxshelf.example/flaxshelf/internal/testbed/scenario"
 )
 
 // TestTraceArrivals checks that each job of a trace is submitted at its time, in place of the day's load.
--- a/internal/lab/experiment/execute.go
+++ b/internal/testbed/experiment/execute.go
@@ -9,7 +9,7 @@
 	"slices"
 	"sync"
 
-	"flaxshelf.example/flaxshelf/internal/lab/emulator"
+	"flaxshelf.example/flaxshelf/internal/testbed/emulator"
 )
 
 // resultsMode is the mode of a new file of results.
--- a/internal/lab/experiment/measure.go
+++ b/internal/testbed/experiment/measure.go
@@ -1,7 +1,7 @@
 package experiment
 
 import (
-	"flaxshelf.example/flaxshelf/internal/lab/emulator"
+	"flaxshelf.example/flaxshelf/internal/testbed/emulator"
 )
 
 // Measure is what is measured of a run; the value is its name in stored results and reports.
--- a/internal/lab/experiment/plan.go
+++ b/internal/testbed/experiment/plan.go
@@ -11,10 +11,10 @@
 	"github.com/cespare/xxhash/v2"
 
 	"flaxshelf.example/flaxshelf"
-	"flaxshelf.example/flaxshelf/internal/lab/baseline"
-	"flaxshelf.example/flaxshelf/internal/lab/scenario"
 	"flaxshelf.example/flaxshelf/internal/scheduler"
 	"flaxshelf.example/flaxshelf/internal/settings"
+	"flaxshelf.example/flaxshelf/internal/testbed/baseline"
+	"flaxshelf.example/flaxshelf/internal/testbed/scenario"
 )
 
 //go:embed schema.cue
--- a/internal/lab/fault/fault.go
+++ b/internal/testbed/fault/fault.go
@@ -8,10 +8,10 @@
 	"math/rand/v2"
 	"time"
 
-	"flaxshelf.example/flaxshelf/internal/lab/recordproxy"
-	"flaxshelf.example/flaxshelf/internal/lab/scenario"
-	"flaxshelf.example/flaxshelf/internal/lab/standin/inventorymodel"
-	"flaxshelf.example/flaxshelf/internal/lab/standin/nodemodel"
+	"flaxshelf.example/flaxshelf/internal/testbed/recordproxy"
+	"flaxshelf.example/flaxshelf/internal/testbed/scenario"
+	"flaxshelf.example/flaxshelf/internal/testbed/standin/inventorymodel"
+	"flaxshelf.example/flaxshelf/internal/testbed/standin/nodemodel"
 )
 
 // Fault is one fault of a scenario with its targets.
--- a/internal/lab/fault/fault_test.go
+++ b/internal/testbed/fault/fault_test.go
@@ -10,10 +10,10 @@
 	"testing"
 	"time"
 
-	"flaxshelf.example/flaxshelf/internal/lab/recordproxy"
-	"flaxshelf.example/flaxshelf/internal/lab/scenario"
-	"flaxshelf.example/flaxshelf/internal/lab/standin/inventorymodel"
-	"flaxshelf.example/flaxshelf/internal/lab/standin/nodemodel"
+	"flaxshelf.example/flaxshelf/internal/testbed/recordproxy"
+	"flaxshelf.example/flaxshelf/internal/testbed/scenario"
+	"flaxshelf.example/flaxshelf/internal/testbed/standin/inventorymodel"
+	"flaxshelf.example/flaxshelf/internal/testbed/standin/nodemodel"
 )
 
 // journal is a cluster that notes its actions in place of carrying them out.
--- a/internal/lab/fault/handlers.go
+++ b/internal/testbed/fault/handlers.go
@@ -5,10 +5,10 @@
 	"errors"
 	"time"
 
-	"flaxshelf.example/flaxshelf/internal/lab/recordproxy"
-	"flaxshelf.example/flaxshelf/internal/lab/scenario"
-	"flaxshelf.example/flaxshelf/internal/lab/standin/inventorymodel"
-	"flaxshelf.example/flaxshelf/internal/lab/standin/nodemodel"
+	"flaxshelf.example/flaxshelf/internal/testbed/recordproxy"
+	"flaxshelf.example/flaxshelf/internal/testbed/scenario"
+	"flaxshelf.example/flaxshelf/internal/testbed/standin/inventorymodel"
+	"flaxshelf.example/flaxshelf/internal/testbed/standin/nodemodel"
 )
 
 // clusterHandlers has the handlers of the faults that every cluster can have.
--- a/internal/lab/load/traceformat.go
+++ b/internal/testbed/load/traceformat.go
@@ -12,7 +12,7 @@
 	"github.com/cespare/xxhash/v2"
 	"google.golang.org/protobuf/encoding/protodelim"
 
-	"flaxshelf.example/flaxshelf/internal/lab/load/tracepb"
+	"flaxshelf.example/flaxshelf/internal/testbed/load/tracepb"
 )
 
 // Version is the version of the trace format.
--- a/internal/lab/planrun/cases.go
+++ b/internal/testbed/plancheck/cases.go
@@ -1,12 +1,12 @@
-package planrun
+package plancheck
 
 import (
 	"fmt"
 	"slices"
 	"strings"
 
-	"flaxshelf.example/flaxshelf/internal/lab/scenario"
 	"flaxshelf.example/flaxshelf/internal/planner"
+	"flaxshelf.example/flaxshelf/internal/testbed/scenario"
 )
 
 // baseDay is a fleet of three rooms with one class. Cases replace the words that begin with a dollar sign; see
@@ -57,7 +57,7 @@
 	text := strings.NewReplacer(slices.Concat(c.Replacements, baseValues)...).Replace(baseDay)
 	day, err := scenario.Parse("planned", []byte(text))
 	if err != nil {
-		return nil, fmt.Errorf("planrun: case %s: %w", c.Name, err)
+		return nil, fmt.Errorf("plancheck: case %s: %w", c.Name, err)
 	}
 	if c.RoomLost {
 		day.Fleet = day.Fleet[1:]
--- a/internal/lab/planrun/estimate.go
+++ b/internal/testbed/plancheck/estimate.go
@@ -1,4 +1,4 @@
-package planrun
+package plancheck
 
 import (
 	"cmp"
@@ -7,9 +7,9 @@
 	"slices"
 	"time"
 
-	"flaxshelf.example/flaxshelf/internal/lab/load"
-	"flaxshelf.example/flaxshelf/internal/lab/scenario"
 	"flaxshelf.example/flaxshelf/internal/planner"
+	"flaxshelf.example/flaxshelf/internal/testbed/load"
+	"flaxshelf.example/flaxshelf/internal/testbed/scenario"
 )
 
 // CapturedClass is the load of one class as estimated from a captured load, and how far that can be trusted.
@@ -38,7 +38,7 @@
 		length -= gap.To - gap.From
 	}
 	if length <= 0 || len(trace.Jobs) < 2 {
-		return nil, fmt.Errorf("planrun: the captured load has %d jobs in %v: nothing to plan with", len(trace.Jobs), length)
+		return nil, fmt.Errorf("plancheck: the captured load has %d jobs in %v: nothing to plan with", len(trace.Jobs), length)
 	}
 	jobsByClass := map[string][]load.Job{}
 	for _, job := range trace.Jobs {
@@ -61,7 +61,7 @@
 func estimateClass(day *scenario.Day, name string, jobs []load.Job, length time.Duration) (CapturedClass, error) {
 	settings := day.Class(name)
 	if settings == nil {
-		return CapturedClass{}, fmt.Errorf("planrun: the captured load has class %q, which the fleet's file does not know", name)
+		return CapturedClass{}, fmt.Errorf("plancheck: the captured load has class %q, which the fleet's file does not know", name)
 	}
 	count := float64(len(jobs))
 	class := CapturedClass{Jobs: len(jobs), Class: planner.Class{
--- a/internal/lab/planrun/estimate_test.go
+++ b/internal/testbed/plancheck/estimate_test.go
@@ -1,4 +1,4 @@
-package planrun
+package plancheck
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"flaxshelf.example/flaxshelf/internal/lab/load"
+	"flaxshelf.example/flaxshelf/internal/testbed/load"
 )
 
 // newTrace is a trace of jobs at 10 a second, of seven services and with a run time of 3 s; change may change each.
--- a/internal/lab/planrun/model.go
+++ b/internal/testbed/plancheck/model.go
@@ -1,8 +1,8 @@
-package planrun
+package plancheck
 
 import (
-	"flaxshelf.example/flaxshelf/internal/lab/scenario"
 	"flaxshelf.example/flaxshelf/internal/planner"
+	"flaxshelf.example/flaxshelf/internal/testbed/scenario"
 )
 
 // placementsPerSecond is half of what one scheduler's process has handled at 33 nodes, see docs/results.md.
--- a/internal/lab/planrun/search.go
+++ b/internal/testbed/plancheck/search.go
@@ -1,4 +1,4 @@
-package planrun
+package plancheck
 
 import (
 	"context"
@@ -9,8 +9,8 @@
 	"slices"
 	"sync"
 
-	"flaxshelf.example/flaxshelf/internal/lab/emulator"
-	"flaxshelf.example/flaxshelf/internal/lab/scenario"
+	"flaxshelf.example/flaxshelf/internal/testbed/emulator"
+	"flaxshelf.example/flaxshelf/internal/testbed/scenario"
 )
 
 // Goal is the service that a load must get.
@@ -51,7 +51,7 @@
 
 // Error names the bound.
 func (e *OutOfRangeError) Error() string {
-	return fmt.Sprintf("planrun: the edge is elsewhere: the goal is met: %v at %.3g times the load, so its edge is not between "+
+	return fmt.Sprintf("plancheck: the edge is elsewhere: the goal is met: %v at %.3g times the load, so its edge is not between "+
 		"%.3g and %.3g", e.GoalMet, e.Multiple, e.Low, e.High)
 }
 
@@ -142,7 +142,7 @@
 		}
 	}
 	if counted == 0 { // else a goal would be met by no load at all
-		return "", 0, fmt.Errorf("planrun: no submission counts: the load ends before %v s", goal.WarmupSeconds)
+		return "", 0, fmt.Errorf("plancheck: no submission counts: the load ends before %v s", goal.WarmupSeconds)
 	}
 	return worst, leastFraction, nil
 }
--- a/internal/lab/planrun/search_test.go
+++ b/internal/testbed/plancheck/search_test.go
@@ -1,4 +1,4 @@
-package planrun
+package plancheck
 
 import (
 	"context"
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
-	"flaxshelf.example/flaxshelf/internal/lab/scenario"
 	"flaxshelf.example/flaxshelf/internal/planner"
 	"flaxshelf.example/flaxshelf/internal/settings"
+	"flaxshelf.example/flaxshelf/internal/testbed/scenario"
 )
 
 // plannedDay is the base day with replacements.
--- a/internal/lab/recordproxy/proxy_test.go
+++ b/internal/testbed/recordproxy/proxy_test.go
@@ -12,7 +12,7 @@
 	"go.uber.org/goleak"
 	"google.golang.org/protobuf/encoding/protodelim"
 
-	"flaxshelf.example/flaxshelf/internal/lab/recordproxy/tappb"
+	"flaxshelf.example/flaxshelf/internal/testbed/recordproxy/recordingpb"
 )
 
 // TestMain checks that proxies leave no goroutine.
@@ -90,7 +90,7 @@
 	}
 }
 
-func formatRecord(record *tappb.Record) string {
+func formatRecord(record *recordingpb.Record) string {
 	arrow := func(fromListener bool) string {
 		if fromListener {
 			return "<"
@@ -98,16 +98,16 @@
 		return ">"
 	}
 	switch body := record.Body.(type) {
-	case *tappb.Record_Open:
+	case *recordingpb.Record_Open:
 		return "open"
-	case *tappb.Record_Sent:
+	case *recordingpb.Record_Sent:
 		return arrow(body.Sent.Back) + string(body.Sent.Data)
-	case *tappb.Record_Delivered:
+	case *recordingpb.Record_Delivered:
 		return strings.Repeat(arrow(body.Delivered.Back), int(body.Delivered.Bytes)) +
 			strings.Repeat("x", int(body.Delivered.Dropped))
-	case *tappb.Record_Close:
+	case *recordingpb.Record_Close:
 		return "close"
-	case *tappb.Record_Mark:
+	case *recordingpb.Record_Mark:
 		return "mark:" + body.Mark.What
 	}
 	return "unknown"
@@ -256,7 +256,7 @@
 // TestVersion checks that a recording of another version is rejected with an error that names it.
 func TestVersion(t *testing.T) {
 	var recording bytes.Buffer
-	head := &tappb.Record{Body: &tappb.Record_Head{Head: &tappb.Head{Version: Version + 1}}}
+	head := &recordingpb.Record{Body: &recordingpb.Record_Head{Head: &recordingpb.Head{Version: Version + 1}}}
 	if _, err := protodelim.MarshalTo(&recording, head); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/recordproxy/reader.go
+++ b/internal/testbed/recordproxy/reader.go
@@ -8,7 +8,7 @@
 
 	"google.golang.org/protobuf/encoding/protodelim"
 
-	"flaxshelf.example/flaxshelf/internal/lab/recordproxy/tappb"
+	"flaxshelf.example/flaxshelf/internal/testbed/recordproxy/recordingpb"
 )
 
 // Reader reads a recording. It is used by one goroutine.
@@ -56,8 +56,8 @@
 }
 
 // Next returns the next record; io.EOF at the end. A recording that was cut off ends where it was cut off.
-func (r *Reader) Next() (*tappb.Record, error) {
-	record := &tappb.Record{}
+func (r *Reader) Next() (*recordingpb.Record, error) {
+	record := &recordingpb.Record{}
 	err := protodelim.UnmarshalOptions{MaxSize: maxRecordBytes}.UnmarshalFrom(r.buffer, record)
 	if errors.Is(err, io.ErrUnexpectedEOF) {
 		return nil, io.EOF
--- a/internal/lab/recordproxy/recorder.go
+++ b/internal/testbed/recordproxy/recorder.go
@@ -13,7 +13,7 @@
 	"google.golang.org/protobuf/encoding/protodelim"
 
 	"flaxshelf.example/flaxshelf/internal/clock"
-	"flaxshelf.example/flaxshelf/internal/lab/recordproxy/tappb"
+	"flaxshelf.example/flaxshelf/internal/testbed/recordproxy/recordingpb"
 )
 
 // Version is the version of the format of recordings.
@@ -42,7 +42,7 @@
 	if closer, ok := w.(io.Closer); ok {
 		r.closer = closer
 	}
-	r.add(&tappb.Record{Body: &tappb.Record_Head{Head: &tappb.Head{Version: Version, Figures: figures}}})
+	r.add(&recordingpb.Record{Body: &recordingpb.Record_Head{Head: &recordingpb.Head{Version: Version, Figures: figures}}})
 	return r
 }
 
@@ -56,7 +56,7 @@
 }
 
 // add writes a record with the present time. Close returns the first error.
-func (r *Recorder) add(record *tappb.Record) {
+func (r *Recorder) add(record *recordingpb.Record) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.lastTime = max(r.lastTime, int64(clock.Now()))
@@ -68,7 +68,7 @@
 
 // Mark records what was done to a party.
 func (r *Recorder) Mark(what, party string) {
-	r.add(&tappb.Record{Body: &tappb.Record_Mark{Mark: &tappb.Mark{What: what, Party: party}}})
+	r.add(&recordingpb.Record{Body: &recordingpb.Record_Mark{Mark: &recordingpb.Mark{What: what, Party: party}}})
 }
 
 // opened records a new connection and returns its number.
@@ -77,21 +77,21 @@
 	r.lastConnection++
 	id := r.lastConnection
 	r.mu.Unlock()
-	r.add(&tappb.Record{Body: &tappb.Record_Open{Open: &tappb.Open{Conn: id, Wire: wire, To: to, Via: via}}})
+	r.add(&recordingpb.Record{Body: &recordingpb.Record_Open{Open: &recordingpb.Open{Conn: id, Wire: wire, To: to, Via: via}}})
 	return id
 }
 
 func (r *Recorder) sent(connection uint64, fromListener bool, data []byte) {
-	r.add(&tappb.Record{Body: &tappb.Record_Sent{Sent: &tappb.Sent{Conn: connection, Back: fromListener, Data: data}}})
+	r.add(&recordingpb.Record{Body: &recordingpb.Record_Sent{Sent: &recordingpb.Sent{Conn: connection, Back: fromListener, Data: data}}})
 }
 
 func (r *Recorder) delivered(connection uint64, fromListener bool, forwarded, dropped int) {
-	r.add(&tappb.Record{Body: &tappb.Record_Delivered{Delivered: &tappb.Delivered{Conn: connection, Back: fromListener,
+	r.add(&recordingpb.Record{Body: &recordingpb.Record_Delivered{Delivered: &recordingpb.Delivered{Conn: connection, Back: fromListener,
 		Bytes: uint64(forwarded), Dropped: uint64(dropped)}}})
 }
 
 func (r *Recorder) closed(connection uint64, reason string) {
-	r.add(&tappb.Record{Body: &tappb.Record_Close{Close: &tappb.Close{Conn: connection, Why: reason}}})
+	r.add(&recordingpb.Record{Body: &recordingpb.Record_Close{Close: &recordingpb.Close{Conn: connection, Why: reason}}})
 }
 
 // Close ends the recording and returns its first error.
--- a/internal/lab/reference/bench_test.go
+++ b/internal/testbed/reference/bench_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"flaxshelf.example/flaxshelf"
-	"flaxshelf.example/flaxshelf/internal/lab/reference"
+	"flaxshelf.example/flaxshelf/internal/testbed/reference"
 )
 
 // placer is the module or its reference.
--- a/internal/lab/reference/decisions_test.go
+++ b/internal/testbed/reference/decisions_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 
 	"flaxshelf.example/flaxshelf"
-	"flaxshelf.example/flaxshelf/internal/lab/reference"
+	"flaxshelf.example/flaxshelf/internal/testbed/reference"
 )
 
 var eventLimit = flag.Int("former.events", 60_000, "random events that the module and the reference are given")
--- a/internal/lab/reference/figure_test.go
+++ b/internal/testbed/reference/figure_test.go
@@ -6,12 +6,12 @@
 	"testing"
 	"time"
 
-	"flaxshelf.example/flaxshelf/internal/lab/chart"
+	"flaxshelf.example/flaxshelf/internal/testbed/chart"
 )
 
 // TestFigure draws how the cost of a step grows with the machines, as docs/scale.md shows it:
 //
-//	FLAXSHELF_FIGURES=$PWD/docs/figures go test -v -run Figure -timeout 20m ./internal/lab/reference
+//	FLAXSHELF_FIGURES=$PWD/docs/figures go test -v -run Figure -timeout 20m ./internal/testbed/reference
 func TestFigure(t *testing.T) {
 	dir := os.Getenv("FLAXSHELF_FIGURES")
 	if dir == "" {
--- a/internal/lab/rules/check.go
+++ b/internal/testbed/rules/check.go
@@ -11,8 +11,8 @@
 	"sort"
 	"time"
 
-	"flaxshelf.example/flaxshelf/internal/lab/recordproxy"
-	"flaxshelf.example/flaxshelf/internal/lab/recordproxy/tappb"
+	"flaxshelf.example/flaxshelf/internal/testbed/recordproxy"
+	"flaxshelf.example/flaxshelf/internal/testbed/recordproxy/recordingpb"
 )
 
 // RecordingError is a recording that cannot be read.
@@ -97,21 +97,21 @@
 }
 
 // record takes the next record of the recording.
-func (c *checker) record(record *tappb.Record) {
+func (c *checker) record(record *recordingpb.Record) {
 	c.now = time.Duration(record.TimeNs)
 	if c.start == 0 {
 		c.start = c.now
 	}
 	switch body := record.Body.(type) {
-	case *tappb.Record_Open:
+	case *recordingpb.Record_Open:
 		c.connectionOpened(body.Open)
-	case *tappb.Record_Sent:
+	case *recordingpb.Record_Sent:
 		c.bytesSent(body.Sent)
-	case *tappb.Record_Delivered:
+	case *recordingpb.Record_Delivered:
 		c.bytesDelivered(body.Delivered)
-	case *tappb.Record_Close:
+	case *recordingpb.Record_Close:
 		c.connectionClosed(body.Close)
-	case *tappb.Record_Mark:
+	case *recordingpb.Record_Mark:
 		c.mark(body.Mark.What, body.Mark.Party)
 	}
 }
--- a/internal/lab/rules/connection.go
+++ b/internal/testbed/rules/connection.go
@@ -8,7 +8,7 @@
 	"flaxshelf.example/flaxshelf/internal/codec/httpcodec"
 	"flaxshelf.example/flaxshelf/internal/codec/nodeframe"
 	"flaxshelf.example/flaxshelf/internal/codec/nodeframe/nodepb"
-	"flaxshelf.example/flaxshelf/internal/lab/recordproxy/tappb"
+	"flaxshelf.example/flaxshelf/internal/testbed/recordproxy/recordingpb"
 )
 
 // The protocols of connections, as a recording names them.
@@ -59,12 +59,12 @@
 	return 0
 }
 
-func (c *checker) connectionOpened(open *tappb.Open) {
+func (c *checker) connectionOpened(open *recordingpb.Open) {
 	c.connections[open.Conn] = &connection{id: open.Conn, wire: open.Wire, listener: open.To, dialer: open.Via,
 		openedAt: c.now, reportedAttempts: map[string]bool{}}
 }
 
-func (c *checker) connectionClosed(closed *tappb.Close) {
+func (c *checker) connectionClosed(closed *recordingpb.Close) {
 	link := c.connections[closed.Conn]
 	if link == nil {
 		return
@@ -85,7 +85,7 @@
 }
 
 // bytesSent takes bytes as they leave a party.
-func (c *checker) bytesSent(sent *tappb.Sent) {
+func (c *checker) bytesSent(sent *recordingpb.Sent) {
 	link := c.decodable(sent.Conn)
 	if link == nil {
 		return
@@ -106,7 +106,7 @@
 var errExcessDelivery = errors.New("more was passed on than had come")
 
 // bytesDelivered takes bytes as they reach a party.
-func (c *checker) bytesDelivered(delivered *tappb.Delivered) {
+func (c *checker) bytesDelivered(delivered *recordingpb.Delivered) {
 	link := c.decodable(delivered.Conn)
 	if link == nil {
 		return
--- a/internal/lab/rules/follow.go
+++ b/internal/testbed/rules/follow.go
@@ -11,8 +11,8 @@
 
 	"flaxshelf.example/flaxshelf/internal/codec/nodeframe"
 	"flaxshelf.example/flaxshelf/internal/codec/nodeframe/nodepb"
-	"flaxshelf.example/flaxshelf/internal/lab/recordproxy"
-	"flaxshelf.example/flaxshelf/internal/lab/recordproxy/tappb"
+	"flaxshelf.example/flaxshelf/internal/testbed/recordproxy"
+	"flaxshelf.example/flaxshelf/internal/testbed/recordproxy/recordingpb"
 )
 
 // Follow writes the frames of a recording in which all the substrings occur, and all marks, one a line with its
@@ -45,27 +45,27 @@
 	err         error // of out
 }
 
-func (f *follower) record(record *tappb.Record) {
+func (f *follower) record(record *recordingpb.Record) {
 	f.now = time.Duration(record.TimeNs)
 	if f.start == 0 {
 		f.start = f.now
 	}
 	switch body := record.Body.(type) {
-	case *tappb.Record_Open:
+	case *recordingpb.Record_Open:
 		open := body.Open
 		f.connections[open.Conn] = &connection{wire: open.Wire, listener: open.To, dialer: open.Via}
-	case *tappb.Record_Mark:
+	case *recordingpb.Record_Mark:
 		f.print("-- " + body.Mark.Party + ": " + body.Mark.What)
-	case *tappb.Record_Close:
+	case *recordingpb.Record_Close:
 		if link := f.connections[body.Close.Conn]; link != nil {
 			f.printMatch(fmt.Sprintf("%s to %s closed: %s", link.dialer, link.listener, body.Close.Why))
 		}
-	case *tappb.Record_Sent:
+	case *recordingpb.Record_Sent:
 		f.sent(body.Sent)
 	}
 }
 
-func (f *follower) sent(sent *tappb.Sent) {
+func (f *follower) sent(sent *recordingpb.Sent) {
 	link := f.connections[sent.Conn]
 	if link == nil || link.wire == ClientWire || link.undecoded {
 		return
--- a/internal/lab/rules/format_test.go
+++ b/internal/testbed/rules/format_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"flaxshelf.example/flaxshelf/internal/lab/recordproxy"
+	"flaxshelf.example/flaxshelf/internal/testbed/recordproxy"
 )
 
 // Written by the build of commit ad3e0ee: the recording of a day of the emulator, with cold nodes, a drain, a lost node
--- a/internal/lab/rules/recording_test.go
+++ b/internal/testbed/rules/recording_test.go
@@ -14,8 +14,8 @@
 	"flaxshelf.example/flaxshelf/internal/codec/httpcodec"
 	"flaxshelf.example/flaxshelf/internal/codec/nodeframe"
 	"flaxshelf.example/flaxshelf/internal/codec/nodeframe/nodepb"
-	"flaxshelf.example/flaxshelf/internal/lab/recordproxy"
-	"flaxshelf.example/flaxshelf/internal/lab/recordproxy/tappb"
+	"flaxshelf.example/flaxshelf/internal/testbed/recordproxy"
+	"flaxshelf.example/flaxshelf/internal/testbed/recordproxy/recordingpb"
 )
 
 var testFigures = Figures{
@@ -55,7 +55,7 @@
 	if err != nil {
 		panic(err)
 	}
-	r.add(&tappb.Record{Body: &tappb.Record_Head{Head: &tappb.Head{Version: recordproxy.Version, Figures: figures}}})
+	r.add(&recordingpb.Record{Body: &recordingpb.Record_Head{Head: &recordingpb.Head{Version: recordproxy.Version, Figures: figures}}})
 	r.open(node1Connection, NodeWire, "n1")
 	r.open(node2Connection, NodeWire, "n2")
 	r.open(inventoryConnection, InventoryWire, "inventory")
@@ -64,13 +64,13 @@
 }
 
 func (r *recording) open(connection int, wire, listener string) {
-	r.add(&tappb.Record{Body: &tappb.Record_Open{Open: &tappb.Open{Conn: uint64(connection), Wire: wire, To: listener}}})
+	r.add(&recordingpb.Record{Body: &recordingpb.Record_Open{Open: &recordingpb.Open{Conn: uint64(connection), Wire: wire, To: listener}}})
 	if wire != ClientWire {
 		r.frame(connection, false, &nodepb.Frame{Body: &nodepb.Frame_Hello{Hello: &nodepb.Hello{Party: "s"}}})
 	}
 }
 
-func (r *recording) add(record *tappb.Record) {
+func (r *recording) add(record *recordingpb.Record) {
 	record.TimeNs = r.time(r.nowMS)
 	if _, err := protodelim.MarshalTo(&r.encoded, record); err != nil {
 		panic(err)
@@ -85,9 +85,9 @@
 
 // bytes sends and delivers bytes.
 func (r *recording) bytes(connection int, fromListener bool, data []byte) {
-	r.add(&tappb.Record{Body: &tappb.Record_Sent{Sent: &tappb.Sent{Conn: uint64(connection), Back: fromListener,
+	r.add(&recordingpb.Record{Body: &recordingpb.Record_Sent{Sent: &recordingpb.Sent{Conn: uint64(connection), Back: fromListener,
 		Data: data}}})
-	r.add(&tappb.Record{Body: &tappb.Record_Delivered{Delivered: &tappb.Delivered{Conn: uint64(connection),
+	r.add(&recordingpb.Record{Body: &recordingpb.Record_Delivered{Delivered: &recordingpb.Delivered{Conn: uint64(connection),
 		Back: fromListener, Bytes: uint64(len(data))}}})
 }
 
@@ -169,12 +169,12 @@
 }
 
 func (r *recording) close(connection int) *recording {
-	r.add(&tappb.Record{Body: &tappb.Record_Close{Close: &tappb.Close{Conn: uint64(connection)}}})
+	r.add(&recordingpb.Record{Body: &recordingpb.Record_Close{Close: &recordingpb.Close{Conn: uint64(connection)}}})
 	return r
 }
 
 func (r *recording) mark(what, party string) *recording {
-	r.add(&tappb.Record{Body: &tappb.Record_Mark{Mark: &tappb.Mark{What: what, Party: party}}})
+	r.add(&recordingpb.Record{Body: &recordingpb.Record_Mark{Mark: &recordingpb.Mark{What: what, Party: party}}})
 	return r
 }
 
--- a/internal/lab/rules/rules_test.go
+++ b/internal/testbed/rules/rules_test.go
@@ -7,8 +7,8 @@
 	"testing"
 
 	"flaxshelf.example/flaxshelf/drmaa2"
-	"flaxshelf.example/flaxshelf/internal/lab/recordproxy"
-	"flaxshelf.example/flaxshelf/internal/lab/recordproxy/tappb"
+	"flaxshelf.example/flaxshelf/internal/testbed/recordproxy"
+	"flaxshelf.example/flaxshelf/internal/testbed/recordproxy/recordingpb"
 )
 
 // TestRules checks each rule at its edges: what just keeps it and what just violates it.
@@ -133,7 +133,7 @@
 // TestMalformedFigures checks that a recording whose figures are no JSON is rejected with an error that says so.
 func TestMalformedFigures(t *testing.T) {
 	r := &recording{}
-	r.add(&tappb.Record{Body: &tappb.Record_Head{Head: &tappb.Head{Version: recordproxy.Version, Figures: []byte("{")}}})
+	r.add(&recordingpb.Record{Body: &recordingpb.Record_Head{Head: &recordingpb.Head{Version: recordproxy.Version, Figures: []byte("{")}}})
 	_, err := Check(&r.encoded)
 	var recordingError *RecordingError
 	if !errors.As(err, &recordingError) || recordingError.Section != "figures" {
--- a/internal/lab/rules/verdict.go
+++ b/internal/testbed/rules/verdict.go
@@ -5,7 +5,7 @@
 	"strings"
 	"time"
 
-	"flaxshelf.example/flaxshelf/internal/lab/counts"
+	"flaxshelf.example/flaxshelf/internal/testbed/countformat"
 )
 
 // The five rules, as indices of Verdict.Rules.
@@ -80,10 +80,10 @@
 		v.Rules[i].print(&text, i)
 	}
 	fmt.Fprintf(&text, "%d submissions in %.1f s: %d jobs taken, turned away %s\n", v.Submitted,
-		v.Length.Seconds(), v.Admitted, counts.Format(v.Rejected))
+		v.Length.Seconds(), v.Admitted, countformat.Format(v.Rejected))
 	fmt.Fprintf(&text, "outcomes %s; jobs at the end %s; %d were held by a scheduler that was killed\n",
-		counts.Format(v.Outcomes), counts.Format(v.States), v.Orphaned)
-	fmt.Fprintf(&text, "%d offers to nodes, answered %s; %d nodes fell over\n", v.Offers, counts.Format(v.Replies),
+		countformat.Format(v.Outcomes), countformat.Format(v.States), v.Orphaned)
+	fmt.Fprintf(&text, "%d offers to nodes, answered %s; %d nodes fell over\n", v.Offers, countformat.Format(v.Replies),
 		v.OverloadedNodes)
 	for _, connection := range v.Undecoded {
 		fmt.Fprintf(&text, "unread: %s\n", connection)
--- a/internal/lab/scenario/figures.go
+++ b/internal/testbed/scenario/figures.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"flaxshelf.example/flaxshelf/internal/lab/rules"
+	"flaxshelf.example/flaxshelf/internal/testbed/rules"
 )
 
 // clockSkew is what the rules checker allows between the times of the recorder and those of the recorded processes.
--- a/internal/lab/standin/fleet/fleet.go
+++ b/internal/testbed/standin/fleet/fleet.go
@@ -5,8 +5,8 @@
 import (
 	"slices"
 
-	"flaxshelf.example/flaxshelf/internal/lab/standin/nodemodel"
 	"flaxshelf.example/flaxshelf/internal/settings"
+	"flaxshelf.example/flaxshelf/internal/testbed/standin/nodemodel"
 )
 
 // seedStep separates the seeds of a fleet's nodes.
--- a/internal/lab/standin/host/host_test.go
+++ b/internal/testbed/standin/host/host_test.go
@@ -13,8 +13,8 @@
 
 	"flaxshelf.example/flaxshelf/internal/codec/nodeframe"
 	"flaxshelf.example/flaxshelf/internal/codec/nodeframe/nodepb"
-	"flaxshelf.example/flaxshelf/internal/lab/standin/inventorymodel"
-	"flaxshelf.example/flaxshelf/internal/lab/standin/nodemodel"
+	"flaxshelf.example/flaxshelf/internal/testbed/standin/inventorymodel"
+	"flaxshelf.example/flaxshelf/internal/testbed/standin/nodemodel"
 )
 
 func TestMain(m *testing.M) {
--- a/internal/lab/standin/host/inventory.go
+++ b/internal/testbed/standin/host/inventory.go
@@ -10,7 +10,7 @@
 
 	"flaxshelf.example/flaxshelf/internal/clock"
 	"flaxshelf.example/flaxshelf/internal/codec/nodeframe/nodepb"
-	"flaxshelf.example/flaxshelf/internal/lab/standin/inventorymodel"
+	"flaxshelf.example/flaxshelf/internal/testbed/standin/inventorymodel"
 	"flaxshelf.example/flaxshelf/internal/transport"
 )
 
--- a/internal/lab/standin/host/keyregistry.go
+++ b/internal/testbed/standin/host/keyregistry.go
@@ -3,7 +3,7 @@
 import (
 	"sync"
 
-	"flaxshelf.example/flaxshelf/internal/lab/standin/nodemodel"
+	"flaxshelf.example/flaxshelf/internal/testbed/standin/nodemodel"
 )
 
 // KeyRegistry is a nodemodel.KeyRegistry that several nodes share, each with a goroutine of its own.
--- a/internal/lab/standin/scripted/node.go
+++ b/internal/testbed/standin/scripted/node.go
@@ -11,7 +11,7 @@
 	"syscall"
 	"time"
 
-	"flaxshelf.example/flaxshelf/internal/codec/nodeparam"
+	"flaxshelf.example/flaxshelf/internal/codec/nodebinary"
 )
 
 // channelCapacity is how many messages and events a stand-in keeps for its test; it waits with more.
@@ -24,12 +24,12 @@
 )
 
 // Script is what a node does with a message of a connection. It is called by the goroutine that reads the connection.
-type Script func(c net.Conn, m nodeparam.Message)
+type Script func(c net.Conn, m nodebinary.Message)
 
 // Node is a node that answers by a script. Its methods may be called by several goroutines.
 type Node struct {
 	// Received has each message that was received.
-	Received chan nodeparam.Message
+	Received chan nodebinary.Message
 	// Conns has "came" and "went" for each connection.
 	Conns chan string
 
@@ -48,7 +48,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("scripted: node: %w", err)
 	}
-	n := &Node{listener: listener, script: play, Received: make(chan nodeparam.Message, channelCapacity),
+	n := &Node{listener: listener, script: play, Received: make(chan nodebinary.Message, channelCapacity),
 		Conns: make(chan string, channelCapacity)}
 	n.readers.Go(n.accept)
 	return n, nil
@@ -94,7 +94,7 @@
 // a test sees that by the messages that don't come.
 func (n *Node) handle(connection net.Conn, buffer []byte) []byte {
 	for {
-		message, used, err := nodeparam.Next(buffer)
+		message, used, err := nodebinary.Next(buffer)
 		if err != nil || used == 0 {
 			return buffer
 		}
@@ -105,7 +105,7 @@
 }
 
 // Send writes a message on all open connections.
-func (n *Node) Send(m nodeparam.Message) {
+func (n *Node) Send(m nodebinary.Message) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, connection := range n.connections {
@@ -185,8 +185,8 @@
 }
 
 // Send writes a message on a connection; a peer that has gone does not get it.
-func Send(c net.Conn, m nodeparam.Message) {
-	if encoded, err := nodeparam.Append(nil, &m); err == nil {
+func Send(c net.Conn, m nodebinary.Message) {
+	if encoded, err := nodebinary.Append(nil, &m); err == nil {
 		_, _ = c.Write(encoded)
 	}
 }
@@ -201,12 +201,12 @@
 )
 
 // AcceptAll is a Script that accepts every task and ends what is released.
-func AcceptAll(c net.Conn, m nodeparam.Message) {
+func AcceptAll(c net.Conn, m nodebinary.Message) {
 	switch m.Type {
-	case nodeparam.SetUp:
-		Send(c, nodeparam.Message{Type: nodeparam.Answer, Task: m.Task, Cause: causeNone, Description: Description,
+	case nodebinary.SetUp:
+		Send(c, nodebinary.Message{Type: nodebinary.Answer, Task: m.Task, Cause: causeNone, Description: Description,
 			Described: true})
-	case nodeparam.Release:
-		Send(c, nodeparam.Message{Type: nodeparam.Release, Task: m.Task, Cause: causeTerminated})
+	case nodebinary.Release:
+		Send(c, nodebinary.Message{Type: nodebinary.Release, Task: m.Task, Cause: causeTerminated})
 	}
 }
--- a/internal/lab/trial/bench_test.go
+++ b/internal/testbed/trial/bench_test.go
@@ -21,9 +21,9 @@
 	"github.com/rs/zerolog"
 
 	"flaxshelf.example/flaxshelf/drmaa2"
-	"flaxshelf.example/flaxshelf/internal/lab/standin/host"
-	"flaxshelf.example/flaxshelf/internal/lab/standin/inventorymodel"
-	"flaxshelf.example/flaxshelf/internal/lab/standin/nodemodel"
+	"flaxshelf.example/flaxshelf/internal/testbed/standin/host"
+	"flaxshelf.example/flaxshelf/internal/testbed/standin/inventorymodel"
+	"flaxshelf.example/flaxshelf/internal/testbed/standin/nodemodel"
 )
 
 // benchScheduler is a scheduler in a process of its own, whose CPU and memory are its own, with stand-in nodes here.
--- a/internal/lab/trial/clients.go
+++ b/internal/testbed/trial/clients.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"flaxshelf.example/flaxshelf/drmaa2"
-	"flaxshelf.example/flaxshelf/internal/lab/fault"
-	"flaxshelf.example/flaxshelf/internal/lab/scenario"
+	"flaxshelf.example/flaxshelf/internal/testbed/fault"
+	"flaxshelf.example/flaxshelf/internal/testbed/scenario"
 )
 
 // sessionName is the job session in which a trial's clients submit.
--- a/internal/lab/trial/cluster.go
+++ b/internal/testbed/trial/cluster.go
@@ -8,12 +8,12 @@
 
 	"github.com/rs/zerolog"
 
-	"flaxshelf.example/flaxshelf/internal/lab/recordproxy"
-	"flaxshelf.example/flaxshelf/internal/lab/rules"
-	"flaxshelf.example/flaxshelf/internal/lab/scenario"
-	"flaxshelf.example/flaxshelf/internal/lab/standin/host"
-	"flaxshelf.example/flaxshelf/internal/lab/standin/inventorymodel"
-	"flaxshelf.example/flaxshelf/internal/lab/standin/nodemodel"
+	"flaxshelf.example/flaxshelf/internal/testbed/recordproxy"
+	"flaxshelf.example/flaxshelf/internal/testbed/rules"
+	"flaxshelf.example/flaxshelf/internal/testbed/scenario"
+	"flaxshelf.example/flaxshelf/internal/testbed/standin/host"
+	"flaxshelf.example/flaxshelf/internal/testbed/standin/inventorymodel"
+	"flaxshelf.example/flaxshelf/internal/testbed/standin/nodemodel"
 )
 
 const (
--- a/internal/lab/trial/faults.go
+++ b/internal/testbed/trial/faults.go
@@ -7,12 +7,12 @@
 	"syscall"
 	"time"
 
-	"flaxshelf.example/flaxshelf/internal/lab/fault"
-	"flaxshelf.example/flaxshelf/internal/lab/recordproxy"
-	"flaxshelf.example/flaxshelf/internal/lab/rules"
-	"flaxshelf.example/flaxshelf/internal/lab/scenario"
-	"flaxshelf.example/flaxshelf/internal/lab/standin/inventorymodel"
-	"flaxshelf.example/flaxshelf/internal/lab/standin/nodemodel"
+	"flaxshelf.example/flaxshelf/internal/testbed/fault"
+	"flaxshelf.example/flaxshelf/internal/testbed/recordproxy"
+	"flaxshelf.example/flaxshelf/internal/testbed/rules"
+	"flaxshelf.example/flaxshelf/internal/testbed/scenario"
+	"flaxshelf.example/flaxshelf/internal/testbed/standin/inventorymodel"
+	"flaxshelf.example/flaxshelf/internal/testbed/standin/nodemodel"
 )
 
 // startFaults injects each fault of the day at its time. The function returned waits for all.
--- a/internal/lab/trial/node.go
+++ b/internal/testbed/trial/node.go
@@ -4,14 +4,14 @@
 	"fmt"
 	"sync"
 
-	"flaxshelf.example/flaxshelf/internal/lab/fault"
-	"flaxshelf.example/flaxshelf/internal/lab/recordproxy"
-	"flaxshelf.example/flaxshelf/internal/lab/rules"
-	"flaxshelf.example/flaxshelf/internal/lab/scenario"
-	"flaxshelf.example/flaxshelf/internal/lab/standin/fleet"
-	"flaxshelf.example/flaxshelf/internal/lab/standin/host"
-	"flaxshelf.example/flaxshelf/internal/lab/standin/nodemodel"
 	"flaxshelf.example/flaxshelf/internal/settings"
+	"flaxshelf.example/flaxshelf/internal/testbed/fault"
+	"flaxshelf.example/flaxshelf/internal/testbed/recordproxy"
+	"flaxshelf.example/flaxshelf/internal/testbed/rules"
+	"flaxshelf.example/flaxshelf/internal/testbed/scenario"
+	"flaxshelf.example/flaxshelf/internal/testbed/standin/fleet"
+	"flaxshelf.example/flaxshelf/internal/testbed/standin/host"
+	"flaxshelf.example/flaxshelf/internal/testbed/standin/nodemodel"
 )
 
 // nodeSeedStride keeps the seeds of the incarnations of different nodes apart.
--- a/internal/lab/trial/plan_test.go
+++ b/internal/testbed/trial/plan_test.go
@@ -6,20 +6,20 @@
 	"os"
 	"testing"
 
-	"flaxshelf.example/flaxshelf/internal/lab/emulator"
-	"flaxshelf.example/flaxshelf/internal/lab/planrun"
 	"flaxshelf.example/flaxshelf/internal/planner"
+	"flaxshelf.example/flaxshelf/internal/testbed/emulator"
+	"flaxshelf.example/flaxshelf/internal/testbed/plancheck"
 )
 
 // TestPlanOnSockets plays the planner's cases over sockets a tenth under and a tenth over the predicted first limit, and
 // sets the share of submissions placed beside the emulator's. It takes minutes and is for a person to run:
 //
-//	FLAXSHELF_SOCKETS=1 go test -v -run PlanOnSockets -timeout 20m -parallel 3 ./internal/lab/trial
+//	FLAXSHELF_SOCKETS=1 go test -v -run PlanOnSockets -timeout 20m -parallel 3 ./internal/testbed/trial
 func TestPlanOnSockets(t *testing.T) {
 	if os.Getenv(playAll) == "" {
 		t.Skip("set FLAXSHELF_SOCKETS to run it")
 	}
-	for _, c := range planrun.Cases {
+	for _, c := range plancheck.Cases {
 		for _, m := range []float64{0.9, 1.1} {
 			t.Run(fmt.Sprintf("%s at %v", c.Name, m), func(t *testing.T) {
 				t.Parallel()
@@ -27,7 +27,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				first, _ := planner.First(planner.Limits(planrun.Model(d)))
+				first, _ := planner.First(planner.Limits(plancheck.Model(d)))
 				d.Load[0].PerSecond *= first.Multiple * m
 				d.Name = c.Name
 				rep, err := emulator.Run(context.Background(), d, emulator.Options{Seed: 1})
--- a/internal/lab/trial/process.go
+++ b/internal/testbed/trial/process.go
@@ -13,8 +13,8 @@
 	"syscall"
 	"time"
 
-	"flaxshelf.example/flaxshelf/internal/lab/recordproxy"
-	"flaxshelf.example/flaxshelf/internal/lab/rules"
+	"flaxshelf.example/flaxshelf/internal/testbed/recordproxy"
+	"flaxshelf.example/flaxshelf/internal/testbed/rules"
 )
 
 const (
--- a/internal/lab/trial/run.go
+++ b/internal/testbed/trial/run.go
@@ -15,10 +15,10 @@
 	"time"
 
 	"flaxshelf.example/flaxshelf"
-	"flaxshelf.example/flaxshelf/internal/lab/recordproxy"
-	"flaxshelf.example/flaxshelf/internal/lab/rules"
-	"flaxshelf.example/flaxshelf/internal/lab/scenario"
 	"flaxshelf.example/flaxshelf/internal/replay"
+	"flaxshelf.example/flaxshelf/internal/testbed/recordproxy"
+	"flaxshelf.example/flaxshelf/internal/testbed/rules"
+	"flaxshelf.example/flaxshelf/internal/testbed/scenario"
 )
 
 // Options are how a day is run.
--- a/internal/lab/trial/tally.go
+++ b/internal/testbed/trial/tally.go
@@ -6,7 +6,7 @@
 	"fmt"
 
 	"flaxshelf.example/flaxshelf/drmaa2"
-	"flaxshelf.example/flaxshelf/internal/lab/counts"
+	"flaxshelf.example/flaxshelf/internal/testbed/countformat"
 )
 
 // Tally is what the clients have seen, for a comparison with the recording.
@@ -29,7 +29,7 @@
 // String is the tally for people, on one line.
 func (t *Tally) String() string {
 	return fmt.Sprintf("owners: %d submissions (%d sent late): %s; not accounted for %d; two outcomes %d; verbs %s\n",
-		t.Submitted, t.Late, counts.Format(t.Ends), t.Open, t.Doubles, counts.Format(t.Verbs))
+		t.Submitted, t.Late, countformat.Format(t.Ends), t.Open, t.Doubles, countformat.Format(t.Verbs))
 }
 
 // errorText is a short text of an error, by which errors are counted.
--- a/internal/lab/trial/trial_test.go
+++ b/internal/testbed/trial/trial_test.go
@@ -16,11 +16,11 @@
 
 	"flaxshelf.example/flaxshelf"
 	"flaxshelf.example/flaxshelf/internal/daemon"
-	"flaxshelf.example/flaxshelf/internal/lab/reference"
-	"flaxshelf.example/flaxshelf/internal/lab/rules"
-	"flaxshelf.example/flaxshelf/internal/lab/scenario"
 	"flaxshelf.example/flaxshelf/internal/replay"
 	"flaxshelf.example/flaxshelf/internal/settings"
+	"flaxshelf.example/flaxshelf/internal/testbed/reference"
+	"flaxshelf.example/flaxshelf/internal/testbed/rules"
+	"flaxshelf.example/flaxshelf/internal/testbed/scenario"
 )
 
 const (
--- a/test.sh
+++ b/test.sh
@@ -21,9 +21,9 @@
 # shellcheck disable=SC2086
 long=$(awk '{gsub(/\t/,"    ")} length>110 {print FILENAME":"FNR}' $policy events.go lifetimes.go placer.go)
 if [ -n "$long" ]; then echo "policy lines over 110 characters: $long"; exit 1; fi
-# What runs in production imports nothing of the laboratory.
+# What runs in production imports nothing of the testbed.
 inward=$(go list -f '{{$p := .ImportPath}}{{range .Imports}}{{$p}} imports {{.}}{{"\n"}}{{end}}' . ./internal/... ./drmaa2 |
-	grep -v '^[^ ]*/internal/lab/' | grep 'imports .*/internal/lab/' || true)
+	grep -v '^[^ ]*/internal/testbed/' | grep 'imports .*/internal/testbed/' || true)
 if [ -n "$inward" ]; then echo "$inward"; exit 1; fi
 # Tests that fail for a fault that is known and not mended yet are run apart and printed: three at most, each has to fail.
 skip='^$'
@@ -37,6 +37,6 @@
 	skip="$skip|^$name\$"
 done <KNOWN-RED.txt
 go test -skip "$skip" ./...
-go test -skip "$skip" -race ./internal/transport ./internal/platform ./internal/lab/recordproxy ./internal/daemon ./internal/lab/standin/...
-go test -skip "$skip" -race -run "Determinism|Resume" ./internal/lab/emulator ./internal/lab/experiment
+go test -skip "$skip" -race ./internal/transport ./internal/platform ./internal/testbed/recordproxy ./internal/daemon ./internal/testbed/standin/...
+go test -skip "$skip" -race -run "Determinism|Resume" ./internal/testbed/emulator ./internal/testbed/experiment
 echo "policy files: $lines lines"
