--- a/internal/replay/format_test.go
+++ b/internal/replay/format_test.go
@@ -19,7 +19,7 @@
 
 // The stored recordings were written by the build of commit ad3e0ee, which encoded the module's own types.
 //
-// allTypesFile has one value of each event and action type and is never rewritten: it stands for the recordings that
+// allTypesFile has one value of each event and action type and is never rewritten: it is an example of the recordings that
 // users have. decisionsFile also holds decisions, so it is rewritten with -update when they change on purpose.
 const (
 	allTypesFile  = "testdata/all-types.gob.gz"
@@ -45,7 +45,10 @@
 			return err
 		}
 	}
-	return writeStored(decisionsFile, recordDecisions)
+	if err := writeStored(decisionsFile, recordDecisions); err != nil {
+		return err
+	}
+	return updateDaysAndWorlds()
 }
 
 func writeStored(path string, record func(io.Writer) error) error {
--- /dev/null
+++ b/internal/testbed/worlds/config.go
@@ -0,0 +1,80 @@
+// Package worlds draws random deployments and legal random events for tests of the module. It must not decide or judge
+// anything: a world answers what a module offers, and the test that plays it compares the decisions.
+//
+// Most figures are whole multiples of a power of two, so that plain sums of them are exact in any order and requests that
+// equal the free capacity occur.
+package worlds
+
+import (
+	"fmt"
+	"time"
+
+	"flaxshelf.example/flaxshelf"
+)
+
+const millisecond = time.Millisecond
+
+// Draw returns a whole number from 0 to most. The name says what it is for.
+type Draw func(most int, name string) int
+
+// yes draws a truth value.
+func (d Draw) yes(name string) bool { return d(1, name) == 1 }
+
+// Config draws a deployment: priced machines and listed free capacity, discovery on request, or neither.
+func Config(draw Draw) flaxshelf.Config {
+	cfg := flaxshelf.Config{
+		Schedulers:            1 + draw(40, "schedulers"),
+		Zone:                  "z0",
+		Kinds:                 kinds(draw),
+		Tenants:               []flaxshelf.Tenant{{Name: "a", QuotaFraction: 1, QuotaCores: 4}, {Name: "b", QuotaFraction: 1}},
+		CoreOvercommit:        1 + float64(draw(4, "core overcommit"))/4,
+		MemoryOvercommit:      1 + float64(draw(1, "memory overcommit"))/8,
+		PlacedWhenRunning:     draw.yes("placed when running"),
+		ListsFreeCapacity:     draw.yes("lists free capacity"),
+		DiscoveryOnRequest:    draw.yes("discovery on request"),
+		CanCancel:             draw.yes("can cancel"),
+		MaxAttempts:           draw(3, "attempts"),
+		Tick:                  2 * millisecond,
+		ConnectTimeout:        100 * millisecond,
+		DrainGrace:            time.Second,
+		DiscoveryPollDeadline: time.Second,
+		SlowStartDuration:     2 * time.Second,
+		OverloadWindow:        time.Second,
+		SlowStartBudget:       float64(1 + draw(40, "slow start budget")),
+		OverQuotaWeight:       0.3,
+	}
+	cfg.Index = draw(cfg.Schedulers-1, "index")
+	cfg.Prices.Fleet = float64(draw(1, "fleet priced"))
+	cfg.Prices.Migration = float64(draw(2, "migration price")) / 4
+	cfg.Classes = classes(draw)
+	return cfg
+}
+
+// kinds draws two or three kinds of machines. The third is large in cores alone.
+func kinds(draw Draw) []flaxshelf.Kind {
+	kinds := []flaxshelf.Kind{
+		{Name: "small", Cores: 16, Memory: 50},
+		{Name: "big", Cores: 64, Memory: 200},
+		{Name: "wide", Cores: 64, Memory: 100},
+	}
+	return kinds[:2+draw(1, "third kind")]
+}
+
+// classes draws the classes of tasks, two of them idempotent.
+func classes(draw Draw) (classes []flaxshelf.Class) {
+	for i, idempotency := range []flaxshelf.Idempotency{
+		flaxshelf.Idempotent, flaxshelf.Idempotent, flaxshelf.IdempotentByKey, flaxshelf.NonIdempotent,
+	} {
+		classes = append(classes, flaxshelf.Class{
+			Name:             fmt.Sprint(i),
+			Idempotency:      idempotency,
+			KeyDomain:        flaxshelf.MachineDomain + flaxshelf.TopologyDomain(draw(3, "key domain")),
+			KeyTTL:           time.Duration(1+draw(3, "key TTL")) * 500 * millisecond,
+			LatencyObjective: 300 * millisecond,
+			Kind:             draw(2, "kind") - 1,
+			SpreadDomain:     flaxshelf.TopologyDomain(draw(3, "spread domain")),
+			MaxPerDomain:     1 + draw(12, "tasks per domain"),
+		})
+	}
+	return classes
+}
--- /dev/null
+++ b/internal/testbed/worlds/machines.go
@@ -0,0 +1,78 @@
+package worlds
+
+import (
+	"fmt"
+
+	"flaxshelf.example/flaxshelf"
+)
+
+const (
+	zones = 3
+	cells = 5
+)
+
+func (w *World) newMachine() flaxshelf.Machine {
+	w.machineCount++
+	m := flaxshelf.Machine{
+		ID:   fmt.Sprintf("m%d", (w.machineCount*7919)%100003),
+		Kind: w.random.IntN(len(w.cfg.Kinds)),
+		Zone: fmt.Sprint("z", w.random.IntN(zones)),
+		Cell: w.random.IntN(cells),
+	}
+	w.setFreeCapacity(&m)
+	return m
+}
+
+// setFreeCapacity draws what the list says is free: for half of the machines a multiple of 1/64 of their kind.
+func (w *World) setFreeCapacity(m *flaxshelf.Machine) {
+	if !w.cfg.ListsFreeCapacity {
+		return
+	}
+	kind := w.cfg.Kinds[max(m.Kind, 0)]
+	fraction := w.random.Float64
+	if w.random.IntN(2) == 0 {
+		fraction = func() float64 { return float64(w.random.IntN(65)) / 64 }
+	}
+	m.FreeCores, m.FreeMemory = kind.Cores*fraction(), kind.Memory*fraction()
+}
+
+// discoveryEvent changes some machines, repeats the complete list, or is a failure of discovery.
+func (w *World) discoveryEvent() flaxshelf.Event {
+	if w.random.IntN(12) == 0 {
+		return flaxshelf.DiscoveryFailed{}
+	}
+	if w.random.IntN(20) == 0 {
+		return w.completeList()
+	}
+	var changed []flaxshelf.Machine
+	for range 1 + w.random.IntN(4) {
+		changed = append(changed, w.changeMachine(&w.machines[w.random.IntN(len(w.machines))])...)
+	}
+	return flaxshelf.MachinesUpdated{Machines: changed}
+}
+
+// changeMachine changes one machine and returns its entries for the list.
+func (w *World) changeMachine(m *flaxshelf.Machine) (entries []flaxshelf.Machine) {
+	switch w.random.IntN(12) {
+	case 0:
+		m.State = flaxshelf.Draining
+	case 1:
+		m.State = flaxshelf.Removed
+	case 2:
+		m.Started, m.State = w.now, flaxshelf.Active
+	case 3: // replaced
+		removed := *m
+		removed.State = flaxshelf.Removed
+		entries = append(entries, removed)
+		*m = w.newMachine()
+		m.Started = w.now
+	case 4:
+		m.Kind = w.random.IntN(len(w.cfg.Kinds)+1) - 1
+	case 5:
+		m.Zone, m.Cell = fmt.Sprint("z", w.random.IntN(zones)), w.random.IntN(cells)
+	default:
+		m.State = flaxshelf.Active
+		w.setFreeCapacity(m)
+	}
+	return append(entries, *m)
+}
