--- a/answers.go
+++ b/answers.go
@@ -6,11 +6,10 @@
 	"time"
 )
 
-// Offers and final answers of open tasks.
+// Answers: offers and final answers of open tasks.
 
-// serveOpenTasks answers the open tasks that are due and offers those that have no active attempt. Those that
-// can still start within their latency objective go first: when capacity is short, a start in time is worth
-// most.
+// serveOpenTasks answers the open tasks that are due and offers those that have no active attempt. Those that can still
+// start within their latency objective are served first: when capacity is short, they earn the most.
 func (p *Placer) serveOpenTasks() {
 	if !p.disabled[ObjectiveOrder] {
 		p.sortOpenTasks()
@@ -56,8 +55,7 @@
 	return t.class.Idempotency != NonIdempotent || !t.mayHaveRun() || p.disabled[RetrySafetyConstraint]
 }
 
-// mayQueue reports whether t stays queued while no machine may take it, since an owner whose task is rejected
-// may be slow to submit it again.
+// mayQueue reports whether t stays queued while no machine may take it. Owners may be slow to submit a rejected task again.
 func (p *Placer) mayQueue(t *task) bool {
 	if t.mayHaveRun() && t.class.Idempotency == IdempotentByKey {
 		return false
@@ -65,11 +63,13 @@
 	return p.now-t.submittedAt <= max(t.class.LatencyObjective, minQueueLimit)
 }
 
+// attemptsUsedUp reports whether t has had as many attempts as the settings allow.
 func (p *Placer) attemptsUsedUp(t *task) bool {
 	return p.cfg.MaxAttempts > 0 && len(t.attempts) >= p.cfg.MaxAttempts
 }
 
-// attemptTimeout leaves time for a further attempt where one is allowed, and ends before the answer is due.
+// attemptTimeout returns the time-out of an attempt that starts now. It leaves time for a further attempt where one is
+// allowed, and ends before the answer is due.
 func (p *Placer) attemptTimeout(t *task) time.Duration {
 	remaining := p.offerDeadline(t) - p.now
 	if t.class.Idempotency == NonIdempotent || p.attemptsUsedUp(t) {
@@ -86,12 +86,13 @@
 	p.latencyMean += (seconds - p.latencyMean) / latencySmoothing
 }
 
-// answerDeadline is the last moment to give the final answer.
+// answerDeadline returns the latest time to give the final answer.
 func (p *Placer) answerDeadline(t *task) Time { return t.Deadline - p.answerMargin() }
 
-// offerDeadline is the last moment for an attempt to end, early enough for an answer after it.
+// offerDeadline returns the latest time for an attempt to end, which leaves time to answer.
 func (p *Placer) offerDeadline(t *task) Time { return t.Deadline - 2*p.answerMargin() }
 
+// answerMargin returns how long before its deadline a task is answered.
 func (p *Placer) answerMargin() time.Duration {
 	if p.disabled[AnswerDeadlineConstraint] {
 		return -time.Second
@@ -99,8 +100,8 @@
 	return 2*p.cfg.Tick + answerDeadlineMargin
 }
 
-// answerTask gives t its final answer. A rejection promises that a retry is safe, so it needs proof that no
-// attempt ran, or a class for which a second start does no harm at any machine.
+// answerTask gives t its final answer. A rejection guarantees that a retry is safe, so it needs proof that no attempt ran,
+// or a class for which a second start does no harm on any machine.
 func (p *Placer) answerTask(t *task) {
 	t.settled = true
 	p.attributeFailures(t)
--- a/answers_test.go
+++ b/answers_test.go
@@ -5,8 +5,7 @@
 	"time"
 )
 
-// Every open task is answered before its deadline, whatever is missing.
-func TestAnswerBeforeDeadline(t *testing.T) {
+func TestOpenTaskIsAnsweredBeforeDeadline(t *testing.T) {
 	for name, machines := range map[string]int{"no machine": 0, "a machine that never answers": 1} {
 		t.Run(name, func(t *testing.T) {
 			p := startPlacer(t, testConfig(), testMachines(machines))
@@ -17,22 +16,22 @@
 				actions = p.Step(now, []Event{TimerFired{}})
 				if hasAction(actions, Reject{"t"}) {
 					if now >= deadline {
-						t.Errorf("answered at %v", now)
+						t.Errorf("answered at %v, want it before %v", now, deadline)
 					}
 					break
 				}
 				if now > deadline {
-					t.Fatal("no answer")
+					t.Fatalf("no answer at %v, want one before %v", now, deadline)
 				}
 			}
-			if len(p.openTasks) != 0 {
-				t.Error("still open")
+			if got := len(p.openTasks); got != 0 {
+				t.Errorf("%d open tasks after the answer, want none", got)
 			}
 		})
 	}
 }
 
-// timerOf is the time of the timer that the actions set.
+// timerOf returns the duration of the timer that the actions set.
 func timerOf(t *testing.T, actions []Action) time.Duration {
 	t.Helper()
 	for _, action := range actions {
@@ -40,39 +39,42 @@
 			return timer.After
 		}
 	}
-	t.Fatal("no timer while a task is open")
+	t.Fatalf("got %v, want a timer while a task is open", actions)
 	return 0
 }
 
-func TestMaxAttempts(t *testing.T) {
+func TestTaskIsRejectedAfterMaxAttempts(t *testing.T) {
 	p := startPlacer(t, testConfig(), testMachines(9))
 	actions := p.Step(time.Second, []Event{submit("t", 0, 9*time.Second)})
 	for i := range 3 {
 		offer := onlyOffer(t, actions)
-		e := AttemptEnded{Task: "t", Machine: offer.Machine, Attempt: i, Outcome: Unreachable}
-		actions = p.Step(time.Second+Time(i+1)*millisecond, []Event{e})
+		ended := endOf(offer, Unreachable)
+		ended.Attempt = i
+		actions = p.Step(time.Second+Time(i+1)*millisecond, []Event{ended})
 	}
 	if len(offersOf(actions)) != 0 || !hasAction(actions, Reject{"t"}) {
-		t.Errorf("after three attempts: %v", actions)
+		t.Errorf("after three attempts got %v, want a rejection", actions)
 	}
 }
 
-// Events about unknown tasks, machines and attempts lead to no action.
-func TestUnknownReferencesAreIgnored(t *testing.T) {
+func TestEventsWithUnknownReferencesAreIgnored(t *testing.T) {
 	p := startPlacer(t, testConfig(), testMachines(2))
 	actions := p.Step(2*time.Second, []Event{
 		AttemptEnded{Task: "x", Machine: "y"}, AttemptPlaced{Task: "x"}, UsageReport{Task: "x", Kind: 99}, TaskCanceled{"x"},
 		HealthChecked{Machine: "y"}, GossipReceived{From: 3}, TimerFired{}, AttemptEnded{Task: "t", Machine: "m0", Attempt: -1}})
 	if len(actions) != 0 {
-		t.Errorf("got %v", actions)
+		t.Errorf("got %v, want no action", actions)
 	}
-	actions = p.Step(2*time.Second, []Event{submit("odd", 77, 9*time.Second)})
-	if !hasAction(actions, Reject{"odd"}) {
-		t.Errorf("unknown class: %v", actions)
+}
+
+func TestTaskOfUnknownClassIsRejected(t *testing.T) {
+	p := startPlacer(t, testConfig(), testMachines(2))
+	actions := p.Step(2*time.Second, []Event{submit("t", 77, 9*time.Second)})
+	if !hasAction(actions, Reject{"t"}) {
+		t.Errorf("got %v, want a rejection", actions)
 	}
 }
 
-// Tasks of tenants over their quota wait behind the others.
 func TestOverQuotaTaskIsServedLast(t *testing.T) {
 	cfg := testConfig()
 	cfg.Tenants = []Tenant{{Name: "a", QuotaCores: 1}, {Name: "b", QuotaCores: 100}}
@@ -82,10 +84,10 @@
 	within.Tenant = 1
 	over.submittedAt, within.submittedAt = p.now, p.now
 	if p.queueRankOf(over) <= p.queueRankOf(within) {
-		t.Errorf("ranks %d and %d", p.queueRankOf(over), p.queueRankOf(within))
+		t.Errorf("over quota got rank %d, want it above %d", p.queueRankOf(over), p.queueRankOf(within))
 	}
 	within.submittedAt = p.now - time.Minute
 	if p.queueRankOf(over) <= p.queueRankOf(within) {
-		t.Error("a late task within its quota waits behind one over it")
+		t.Errorf("over quota got rank %d, want it above that of a late task, %d", p.queueRankOf(over), p.queueRankOf(within))
 	}
 }
--- a/api.go
+++ b/api.go
@@ -1,37 +1,41 @@
 // Package flaxshelf decides where the tasks of services run on shared machines, for one scheduler among several. Its
 // mechanism is the replay vote of the CAA policy; see docs/design.md.
 //
-// A host makes one Placer for each scheduler with New and hands it batches of events with Placer.Step; the Placer answers
-// with actions. It reads no clock, does no input or output and starts no goroutine. A Placer must not be used by several
-// goroutines at once; values of the other types may be, as long as none changes them.
+// A host makes one Placer for each scheduler with New and passes it batches of events with Placer.Step, which returns the
+// actions to execute. A Placer reads no clock, does no input or output and starts no goroutine. It is not safe for
+// concurrent use; values of the other types are, as long as nothing changes them.
 //
-// This file is the interface of the package. Every decision is in the files that deploy/balancer.toml lists as policy.
+// # Files
+//
+// The interface of the package is in api.go, dispatch.go, config.go, constraint.go and enums.go; placer.go, machine.go and
+// task.go hold the records. Every decision is in the other files, which deploy/balancer.toml lists as policy. The sets,
+// columns and tables that the decisions read are kept by internal/machineindex.
 package flaxshelf
 
 import "time"
 
-// Time is the time of the host's clock. It may begin at any value and only moves forward.
+// Time is a reading of the host's clock. Its origin is arbitrary, and it never decreases.
 type Time = time.Duration
 
-// Idempotency says what a second start of a task does.
+// Idempotency is the effect of starting a task twice.
 type Idempotency int
 
 // The kinds of idempotency.
 const (
-	// Idempotent: a second start does no harm.
+	// Idempotent tasks may be started twice without harm.
 	Idempotent Idempotency = iota
-	// IdempotentByKey: the machines of one domain drop a task whose key they have seen lately.
+	// IdempotentByKey tasks have a key: the machines of one domain drop a task whose key they have seen recently.
 	IdempotentByKey
-	// NonIdempotent: the task must never be started twice.
+	// NonIdempotent tasks must never be started twice.
 	NonIdempotent
 )
 
-// TopologyDomain is the reach of an idempotency key or of a spread rule.
+// TopologyDomain is the scope of an idempotency key or of a spread rule.
 type TopologyDomain int
 
-// The reaches, each wider than the one before.
+// The scopes, each wider than the one before.
 const (
-	// NoDomain: there is no such key or rule.
+	// NoDomain means that there is no such key or rule.
 	NoDomain TopologyDomain = iota
 	// MachineDomain is one machine.
 	MachineDomain
@@ -47,28 +51,28 @@
 type Class struct {
 	Name        string
 	Idempotency Idempotency
-	// KeyDomain is where tasks of one key are dropped, for IdempotentByKey.
+	// KeyDomain is the scope within which a second task of one key is dropped, for IdempotentByKey.
 	KeyDomain TopologyDomain
-	// KeyTTL is for how long, from the send of the first attempt that may have run.
+	// KeyTTL is how long a key is remembered, from the send of the first attempt that may have run.
 	KeyTTL time.Duration
-	// LatencyObjective is the time from submission to start within which a start earns its full worth.
+	// LatencyObjective is the time from submission to start within which a start earns its full value.
 	LatencyObjective time.Duration
-	// PriorityWeight is the worth of one second of full service.
+	// PriorityWeight is the value of one second of full service.
 	PriorityWeight float64
-	// LateStartWeight is the fraction of its worth that a start earns after the objective.
+	// LateStartWeight is the fraction of its value that a start earns after the objective.
 	LateStartWeight float64
-	// StartValueSeconds is the worth of a start in time, in seconds of full service.
+	// StartValueSeconds is the value of a start within the objective, in seconds of full service.
 	StartValueSeconds float64
 	// FullServiceUtilization is the fraction of busy cores up to which tasks get full service.
 	FullServiceUtilization float64
-	// ServiceFadeRange is the fraction of busy cores beyond it over which service falls to none.
+	// ServiceFadeRange is the range of the fraction of busy cores, beyond FullServiceUtilization, over which service falls to 0.
 	ServiceFadeRange float64
-	// Kind is the index in Config.Kinds of the kind of machine that it needs, or -1.
+	// Kind is the index in Config.Kinds of the required kind of machine; -1 means any.
 	Kind     int
 	Priority int
-	// SpreadDomain bounds the tasks of one service: NoDomain, MachineDomain, CellDomain or ZoneDomain.
+	// SpreadDomain is the scope of MaxPerDomain: NoDomain, MachineDomain, CellDomain or ZoneDomain.
 	SpreadDomain TopologyDomain
-	// MaxPerDomain is how many tasks of one service this scheduler may have in one such domain.
+	// MaxPerDomain is the most tasks of one service that this scheduler may have in one such domain.
 	MaxPerDomain int
 }
 
@@ -79,17 +83,17 @@
 	Memory float64 // in the unit of Task.Memory
 }
 
-// Tenant is one of those who share the fleet.
+// Tenant is a user of the shared fleet.
 type Tenant struct {
 	Name          string
 	QuotaFraction float64 // of the fleet
-	// TasksPerSecond is the new tasks a second within its quota, over all schedulers; 0: unknown.
+	// TasksPerSecond is the rate of new tasks within its quota, over all schedulers; zero means unknown.
 	TasksPerSecond float64
-	// QuotaCores is the cores requested within its quota, over all schedulers; 0: unknown.
+	// QuotaCores is the cores requested within its quota, over all schedulers; zero means unknown.
 	QuotaCores float64
 }
 
-// Prices are points taken off the result; 0 means that the thing is free.
+// Prices are points that are subtracted from the result; zero means free.
 type Prices struct {
 	CrossZone   float64
 	Waste       float64
@@ -99,13 +103,13 @@
 	Discovery   float64
 	Fleet       float64 // machines in use
 	Rejection   float64
-	// EvictionMigrations is as how many migrations an eviction or preemption counts.
+	// EvictionMigrations is the price of an eviction or preemption, in migrations.
 	EvictionMigrations float64
 }
 
 // Config is the settings of one scheduler and its fleet. Zero values mean unknown or not allowed.
 //
-// The module knows all settings that a deployment may have, and uses a part of them: at present it makes no use of
+// It has all settings that a deployment may have. At present the package does not use
 // HedgedRequests, CanHealthCheck, CanGossip, CanRetryAfter, MaxRetryAfter, Preempts, ReportsUsage, AnswerSlack,
 // Tenant.TasksPerSecond and Tenant.QuotaFraction.
 type Config struct {
@@ -116,35 +120,36 @@
 	Classes         []Class
 	Kinds           []Kind
 	Tenants         []Tenant
-	OverQuotaWeight float64 // fraction of its worth that a task beyond its tenant's quota earns
+	OverQuotaWeight float64 // fraction of its value that a task beyond its tenant's quota earns
 	Prices          Prices
 	// CoreOvercommit is the multiple of its cores up to which a machine accepts tasks, by what they request.
 	CoreOvercommit     float64
 	MemoryOvercommit   float64 // the same for memory
-	PlacedWhenRunning  bool    // AttemptPlaced comes when the task runs, not when it is accepted
+	PlacedWhenRunning  bool    // AttemptPlaced means that the task runs, not only that it was accepted
 	Preempts           bool    // machines preempt lower priorities
 	ListsFreeCapacity  bool    // entries of the machine list carry free cores and memory
 	ReportsUsage       bool    // load reports subtract what is used, not what is requested
-	DiscoveryOnRequest bool    // changes of the machine list come only after Subscribe
-	MaxAttempts        int     // for each task; 0: no limit
+	DiscoveryOnRequest bool    // changes of the machine list are sent only after Subscribe
+	MaxAttempts        int     // for each task; zero means no limit
 	HedgedRequests     bool    // two attempts of one task may be active at once
 	CanCancel          bool
 	CanHealthCheck     bool
 	CanGossip          bool
 	CanRetryAfter      bool
 	MaxRetryAfter      time.Duration
-	Tick               time.Duration // least time between steps
+	Tick               time.Duration // shortest time between steps
 	ConnectTimeout     time.Duration
 	AnswerSlack        time.Duration
 	DrainGrace         time.Duration
 	// DiscoveryPollDeadline is how long an answer to Subscribe may take.
 	DiscoveryPollDeadline time.Duration
-	// SlowStartDuration is how long after its start a machine is in slow start at most; the module adds an OverloadWindow, for
-	// offers that are still counted then.
+	// SlowStartDuration is the longest time after its start for which a machine is in slow start. The package adds an
+	// OverloadWindow, for offers that are still counted then.
 	SlowStartDuration time.Duration
 	// OverloadWindow is the time within which offers to a machine in slow start are counted.
 	OverloadWindow time.Duration
-	// SlowStartBudget is the offers of all schedulers within OverloadWindow that a machine in slow start always bears.
+	// SlowStartBudget is the number of offers of all schedulers within OverloadWindow that a machine in slow start always
+	// accepts without overload.
 	SlowStartBudget float64
 }
 
@@ -152,28 +157,28 @@
 type Task struct {
 	// ID is unique to the request.
 	ID string
-	// Key is the idempotency key, which stays the same when the task is submitted again.
+	// Key is the idempotency key. It is the same when the task is submitted again.
 	Key             string
 	Service         string
 	Class           int // index in Config.Classes
 	Tenant          int // index in Config.Tenants, or -1
 	Cores           float64
 	Memory          float64
-	ExpectedRuntime time.Duration // remaining, roughly; 0: unknown
-	Deadline        Time          // when its owner gives up
+	ExpectedRuntime time.Duration // remaining, roughly; zero means unknown
+	Deadline        Time          // when its owner stops waiting for an answer
 	Retry           bool          // the task has been requested before
 }
 
-// MachineState is what discovery says of a machine.
+// MachineState is the state of a machine according to discovery.
 type MachineState int
 
 // The states of a machine.
 const (
 	// Active machines are in service.
 	Active MachineState = iota
-	// Draining machines take no new tasks.
+	// Draining machines accept no new tasks.
 	Draining
-	// Removed machines are gone.
+	// Removed machines no longer exist.
 	Removed
 )
 
@@ -184,14 +189,14 @@
 	Zone       string
 	Cell       int
 	State      MachineState
-	Started    Time    // 0: long ago
+	Started    Time    // zero means long ago
 	FreeCores  float64 // with Config.ListsFreeCapacity
 	FreeMemory float64
 }
 
 // LoadReport is a machine's own report of its load.
 type LoadReport struct {
-	Present    bool // false when no report came along
+	Present    bool // false where there is no report
 	FreeCores  float64
 	FreeMemory float64
 	HasCores   bool // FreeCores is set
@@ -203,17 +208,18 @@
 
 // The outcomes.
 const (
-	// Completed: the task ended by itself.
+	// Completed means that the task ended by itself.
 	Completed Outcome = iota
-	// Failed: the machine answered with an error; the task may have started.
+	// Failed means that the machine answered with an error. The task may have started.
 	Failed
 	// Rejected is proof that the task never ran.
 	Rejected
-	// TimedOut: no answer came within the offer's time-out; the task may have started.
+	// TimedOut means that there was no answer within the offer's time-out. The task may have started.
 	TimedOut
 	// Unreachable is proof that the task never ran.
 	Unreachable
-	// Lost after AttemptPlaced: evicted, preempted, drained away or lost; before it: the reply broke off.
+	// Lost means, after AttemptPlaced, that the task was evicted, preempted, drained away or lost with its machine, and
+	// before it, that the reply broke off.
 	Lost
 	// Canceled on request.
 	Canceled
@@ -226,7 +232,7 @@
 
 // The reasons.
 const (
-	// UnspecifiedReason: no reason is known.
+	// UnspecifiedReason means that the reason is unknown.
 	UnspecifiedReason Reason = iota
 	// InsufficientCores rejects a task for the cores that it requests.
 	InsufficientCores
@@ -234,7 +240,7 @@
 	InsufficientMemory
 	// QueueFull rejects a task whatever its size.
 	QueueFull
-	// UnsupportedTask rejects a task that the machine never takes.
+	// UnsupportedTask rejects a task that the machine never accepts.
 	UnsupportedTask
 	// Evicted to free a resource that ran short.
 	Evicted
@@ -244,12 +250,12 @@
 	DrainedAway
 )
 
-// UsageKind says what a UsageReport measures.
+// UsageKind is the quantity that a UsageReport measures.
 type UsageKind int
 
 // The kinds of usage.
 const (
-	// TaskRunning says that the task has started.
+	// TaskRunning reports that the task has started.
 	TaskRunning UsageKind = iota + 1
 	// CoresUsed by the task.
 	CoresUsed
@@ -261,33 +267,33 @@
 	MemoryPressure
 )
 
-// Event is one of the event types of this package: something that has happened.
+// Event is one of the event types of this package, which report to a Placer what has happened.
 type Event interface{ event() }
 
 type (
-	// MachinesUpdated brings entries of the machine list.
+	// MachinesUpdated reports entries of the machine list.
 	MachinesUpdated struct {
 		Machines []Machine
-		Complete bool // it is the complete list: other machines are removed
+		Complete bool // it is the complete list, so other machines are removed
 		Stale    bool // as last seen before this scheduler started; it may be out of date
 	}
-	// DiscoveryFailed says that a request to discovery failed or the subscription broke off.
+	// DiscoveryFailed reports that a request to discovery failed or the subscription broke off.
 	DiscoveryFailed struct{}
 	// TaskSubmitted requests that a task is placed.
 	TaskSubmitted struct{ Task Task }
-	// TaskAdopted brings a task that runs already, as its attempt 0.
+	// TaskAdopted reports a task that runs already, as its attempt 0.
 	TaskAdopted struct {
 		Task    Task
 		Machine string
 	}
-	// AttemptPlaced says that an attempt was accepted, or runs with Config.PlacedWhenRunning.
+	// AttemptPlaced reports that an attempt was accepted; with Config.PlacedWhenRunning, that it runs.
 	AttemptPlaced struct {
 		Task    string
 		Machine string
 		Attempt int
 		Latency time.Duration // since the offer
 	}
-	// AttemptEnded says how an attempt ended.
+	// AttemptEnded reports how an attempt ended.
 	AttemptEnded struct {
 		Task    string
 		Machine string
@@ -298,7 +304,7 @@
 		Latency time.Duration
 		Load    LoadReport
 	}
-	// UsageReport measures an active attempt.
+	// UsageReport is a measurement of an active attempt.
 	UsageReport struct {
 		Task    string
 		Machine string
@@ -312,14 +318,14 @@
 		Outcome Outcome
 		Load    LoadReport
 	}
-	// GossipReceived brings the data of another scheduler's SendGossip.
+	// GossipReceived delivers the data of another scheduler's SendGossip.
 	GossipReceived struct {
 		From int // Config.Index of the sender
 		Data []byte
 	}
 	// TimerFired answers a SetTimer.
 	TimerFired struct{}
-	// TaskCanceled says that the owner needs the task no more.
+	// TaskCanceled reports that the owner no longer needs the task.
 	TaskCanceled struct{ Task string }
 )
 
@@ -335,7 +341,7 @@
 func (TimerFired) event()      {}
 func (TaskCanceled) event()    {}
 
-// Action is one of the action types of this package: something that the host has to do, see HandleActions.
+// Action is one of the action types of this package, which a Placer requests of its host, see HandleActions.
 type Action interface{ handle(ActionHandler) }
 
 type (
@@ -345,16 +351,16 @@
 		Machine string
 		Timeout time.Duration
 	}
-	// Cancel stops waiting for an attempt; the machine may start it all the same.
+	// Cancel stops waiting for an attempt. The machine may still start it.
 	Cancel struct {
 		Task    string
 		Attempt int
 	}
-	// Reject is a final answer which promises that a retry does no harm.
+	// Reject is a final answer that guarantees that a retry does no harm.
 	Reject struct{ Task string }
-	// Fail is a final answer without that promise.
+	// Fail is a final answer without that guarantee.
 	Fail struct{ Task string }
-	// Migrate stops a placed task so that its owner submits it again.
+	// Migrate stops a placed task, so that its owner submits it again.
 	Migrate struct{ Task string }
 	// HealthCheck requests a load report from a machine.
 	HealthCheck struct{ Machine string }
--- a/api_test.go
+++ b/api_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Enumerations print the names of their constants, and unknown values as numbers.
-func TestEnumerationNames(t *testing.T) {
+// Values without a constant print as numbers.
+func TestEnumerationsPrintNamesOfConstants(t *testing.T) {
 	for _, c := range []struct {
 		value fmt.Stringer
 		want  string
@@ -19,8 +19,10 @@
 		{TaskRunning, "TaskRunning"}, {MemoryPressure, "MemoryPressure"}, {UsageKind(0), "UsageKind(0)"},
 		{DrainConstraint, "drain"}, {Migrations, "moves"},
 	} {
-		if got := c.value.String(); got != c.want {
-			t.Errorf("got %s, want %s", got, c.want)
-		}
+		t.Run(c.want, func(t *testing.T) {
+			if got := c.value.String(); got != c.want {
+				t.Errorf("got %s, want %s", got, c.want)
+			}
+		})
 	}
 }
--- a/capacity.go
+++ b/capacity.go
@@ -44,7 +44,7 @@
 
 // externalLoad returns the load of m without this scheduler's placements, as a fraction of its kind: what others
 // requested by the list, and the service shortfall of this scheduler's tasks there. The plain replay begins with an empty
-// fleet; with few placements in the history most machines would tie at none, and a constraint on overload would be
+// fleet; with few placements in the history most machines would tie at 0, and a constraint on overload would be
 // skipped when most machines are overloaded. It is wrong where one of the tasks is itself at fault.
 func (p *Placer) externalLoad(m *machine) float64 {
 	overload := 0.0
--- a/config.go
+++ b/config.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// ConfigError says which field of a Config has a value that makes no sense. New returns it.
+// ConfigError reports a field of a Config whose value is invalid. New returns it.
 type ConfigError struct {
 	Field  string // path within Config, with the name of the kind or class: Classes[2] (web).Kind
 	Value  any    // of the field
 	Reason string
 }
 
-// Error names the field, its value and the reason.
+// Error returns the field, its value and the reason.
 func (e *ConfigError) Error() string {
 	return fmt.Sprintf("flaxshelf: Config.%s is %v: %s", e.Field, e.Value, e.Reason)
 }
 
-// validate returns a *ConfigError for the first field that makes no sense.
+// validate returns a *ConfigError for the first invalid field.
 func validate(cfg *Config) error {
 	for i, kind := range cfg.Kinds {
 		if err := validateKind(fmt.Sprintf("Kinds[%d] (%s)", i, kind.Name), kind); err != nil {
@@ -50,7 +50,7 @@
 	return nil
 }
 
-// validateKind checks one kind of machine, whose path in Config is field.
+// validateKind validates a kind of machine, whose path in Config is field.
 func validateKind(field string, kind Kind) error {
 	if !(kind.Cores > 0) { // not a number is refused too
 		return &ConfigError{field + ".Cores", kind.Cores, "must be above 0"}
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// validateClass checks one class of task, whose path in Config is field.
+// validateClass validates a class of tasks, whose path in Config is field.
 func validateClass(field string, class Class, kinds int) error {
 	switch {
 	case class.Kind < -1 || class.Kind >= kinds:
--- a/config_test.go
+++ b/config_test.go
@@ -36,34 +36,33 @@
 		{ConfigError{"MaxAttempts", -1, "must not be negative"}, "flaxshelf: Config.MaxAttempts is -1: must not be negative",
 			func(c *Config) { c.MaxAttempts = -1 }},
 	} {
-		cfg := testConfig()
-		c.change(&cfg)
-		_, err := New(cfg, 1)
-		var got *ConfigError
-		if !errors.As(err, &got) || *got != c.want || err.Error() != c.text {
-			t.Errorf("got %v, want %v", err, c.text)
-		}
+		t.Run(c.want.Field, func(t *testing.T) {
+			cfg := testConfig()
+			c.change(&cfg)
+			_, err := New(cfg, testSeed)
+			var got *ConfigError
+			if !errors.As(err, &got) || *got != c.want || err.Error() != c.text {
+				t.Errorf("got %v, want %v", err, c.text)
+			}
+		})
 	}
 }
 
-// A configuration without classes, kinds, limits, zones or a machine list: tasks are still answered.
-func TestMinimalConfig(t *testing.T) {
-	p, err := New(Config{Kinds: []Kind{{"k", 8, 8}}, Classes: []Class{{Name: "c", Kind: -1}}}, 1)
-	if err != nil {
-		t.Fatal(err)
-	}
-	p.Step(time.Second, []Event{MachinesUpdated{Complete: true}})
+func TestTaskIsPlacedWithMinimalConfig(t *testing.T) {
+	cfg := Config{Kinds: []Kind{{"k", 8, 8}}, Classes: []Class{{Name: "c", Kind: -1}}}
+	p := startPlacer(t, cfg, nil)
 	if actions := p.Step(time.Second, []Event{submit("t", 0, 3*time.Second)}); len(offersOf(actions)) != 0 {
-		t.Fatalf("no machine, yet %v", actions)
+		t.Fatalf("without machines got %v, want no offer", actions)
 	}
 	offer := onlyOffer(t, p.Step(2*time.Second, []Event{MachinesUpdated{Machines: []Machine{{ID: "m"}}}}))
 	if offer.Machine != "m" || offer.Timeout <= 0 {
-		t.Errorf("got %v", offer)
-	}
-	if p, err = New(Config{}, 1); err != nil {
-		t.Fatal(err)
+		t.Errorf("got %v, want an offer to m with a time-out", offer)
 	}
+}
+
+func TestTaskIsRejectedWithEmptyConfig(t *testing.T) {
+	p := newPlacer(t, Config{}, testSeed)
 	if actions := p.Step(time.Second, []Event{submit("t", 0, 3*time.Second)}); !hasAction(actions, Reject{"t"}) {
-		t.Errorf("no classes: %v", actions)
+		t.Errorf("got %v, want a rejection", actions)
 	}
 }
--- a/constraints_hard.go
+++ b/constraints_hard.go
@@ -6,9 +6,9 @@
 	"flaxshelf.example/flaxshelf/internal/machineindex"
 )
 
-// Hard constraints. A rule that users rely on depends on each, so they are never relaxed.
+// Hard constraints: a guarantee to users depends on each, so they are never relaxed.
 
-// applyHardConstraints is the machines that may take t.
+// applyHardConstraints returns the machines that may take t. The result is valid until the next call.
 func (p *Placer) applyHardConstraints(t *task) *bitset.BitSet {
 	eligible := p.eligibleByKind(t)
 	p.applyRetrySafety(t, eligible)
@@ -17,8 +17,8 @@
 	return eligible
 }
 
-// eligibleByKind is the machines that are listed, in service, and of a kind that t's class allows and that
-// would take t when empty. The result is valid until the next call.
+// eligibleByKind returns the machines that are listed, in service, and of a kind that t's class allows and that has
+// capacity for t when empty. The result is valid until the next call.
 func (p *Placer) eligibleByKind(t *task) *bitset.BitSet {
 	eligible := p.conditions.eligible.ClearAll()
 	for kind, active := range p.conditions.activeByKind {
@@ -29,7 +29,7 @@
 	return eligible
 }
 
-// fitsKind reports whether an empty machine of a kind would take t.
+// fitsKind reports whether an empty machine of a kind has capacity for t.
 func (p *Placer) fitsKind(t *task, kindIndex int) bool {
 	kind := p.cfg.Kinds[kindIndex]
 	cores := kind.Cores * max(p.cfg.CoreOvercommit, 1)
@@ -37,7 +37,7 @@
 	return t.Cores <= cores && t.Memory <= memory
 }
 
-// applyRetrySafety leaves machines where a second start does no harm, once an attempt may have run.
+// applyRetrySafety excludes machines where a second start may do harm, once an attempt may have run.
 func (p *Placer) applyRetrySafety(t *task, eligible *bitset.BitSet) {
 	if t.class.Idempotency == Idempotent || p.disabled[RetrySafetyConstraint] {
 		return
@@ -60,9 +60,9 @@
 	}
 }
 
-// inSameDomain reports whether two machines are in the same topology domain of the given reach.
-func inSameDomain(reach TopologyDomain, a, b *machine) bool {
-	switch reach {
+// inSameDomain reports whether two machines are in the same topology domain of the given scope.
+func inSameDomain(scope TopologyDomain, a, b *machine) bool {
+	switch scope {
 	case MachineDomain:
 		return a == b
 	case CellDomain:
@@ -70,10 +70,10 @@
 	case ZoneDomain:
 		return a.listed && b.listed && a.Zone == b.Zone
 	}
-	return reach == FleetDomain
+	return scope == FleetDomain
 }
 
-// applySpread takes away the domains that have the most attempts of t's service that its class allows.
+// applySpread excludes the domains that have as many attempts of t's service as its class allows.
 func (p *Placer) applySpread(t *task, eligible *bitset.BitSet) {
 	service := p.index.FindService(t.Service)
 	if t.class.SpreadDomain == NoDomain || service == nil || p.disabled[SpreadConstraint] {
@@ -93,7 +93,7 @@
 	}
 }
 
-// applySlowStart takes away machines in slow start for which this scheduler has no offer left.
+// applySlowStart excludes machines in slow start for which this scheduler's budget is used up.
 func (p *Placer) applySlowStart(eligible *bitset.BitSet) {
 	machineindex.ForEachCommon(eligible, p.conditions.slowStarting, func(number int) {
 		if !p.hasSlowStartBudget(p.machinesByID[number]) {
--- a/constraints_soft.go
+++ b/constraints_soft.go
@@ -8,17 +8,17 @@
 	"flaxshelf.example/flaxshelf/internal/machineindex"
 )
 
-// Soft constraints.
+// Soft constraints: preferences among the eligible machines, which evidence gives reason for.
 
-// softFilter narrows the eligible machines by one soft constraint after another. The first are the strongest:
-// a later one is skipped where it would leave too few, so that wrong evidence never stops placements.
+// softFilter narrows the eligible machines by one soft constraint after another. The first are the strongest: a later one
+// is skipped where it would leave too few, so that wrong evidence never stops placements.
 type softFilter struct {
 	placer   *Placer
 	eligible *bitset.BitSet
 	count    uint // of the eligible
 }
 
-// exclude applies a constraint where it leaves at least so many machines.
+// exclude applies a constraint unless it would leave fewer machines than least.
 func (f *softFilter) exclude(c Constraint, least uint, excluded *bitset.BitSet) {
 	kept := f.eligible.DifferenceCardinality(excluded)
 	if kept >= least && kept < f.count && !f.placer.disabled[c] {
@@ -27,7 +27,7 @@
 	}
 }
 
-// applySoftConstraints is the candidates for t among the eligible machines, which it narrows.
+// applySoftConstraints returns the candidates for t among the eligible machines, which it narrows.
 func (p *Placer) applySoftConstraints(t *task, eligible *bitset.BitSet) []machineindex.Candidate {
 	f := softFilter{placer: p, eligible: eligible, count: eligible.Count()}
 	if f.count == 0 {
@@ -44,7 +44,7 @@
 	return p.preferredMachines(t, eligible)
 }
 
-// excludeTried prefers machines that this task was not offered to: another machine gives more evidence.
+// excludeTried prefers machines that this task was not offered to before: another machine gives more evidence.
 func (p *Placer) excludeTried(t *task, f *softFilter) {
 	if len(t.attempts) == 0 {
 		return
@@ -58,8 +58,8 @@
 	f.exclude(TriedConstraint, 1, tried)
 }
 
-// excludeFailing avoids ejected machines, and those that fail t's class. When over half are ejected, the
-// cause is not a machine; but a class may fail on most machines, so the few that serve it are kept.
+// excludeFailing avoids ejected machines, and those that fail t's class. When over half are ejected, no single machine is
+// the cause; but a class may fail on most machines, so the few that serve it remain candidates.
 func (p *Placer) excludeFailing(t *task, f *softFilter) {
 	c := &p.conditions
 	f.exclude(FailingConstraint, max(minCandidates, f.count/2), c.failing)
@@ -70,9 +70,8 @@
 	f.exclude(ClassFailureConstraint, minCandidates, failingClass)
 }
 
-// excludeFull removes machines without capacity, as far as known. A rejected offer is priced and uses up an
-// attempt, so a task is queued while no machine has capacity; near its deadline it is offered once all the
-// same, in case the evidence is wrong.
+// excludeFull excludes machines without capacity, as far as known. A rejected offer is priced and uses up an attempt, so a
+// task is queued while no machine has capacity. Near its deadline it is still offered once, in case the evidence is wrong.
 func (p *Placer) excludeFull(t *task, f *softFilter) {
 	least := uint(0)
 	if p.nearDeadline(t) {
@@ -90,12 +89,12 @@
 	return p.now >= t.submittedAt+(t.Deadline-t.submittedAt)*3/4 && len(t.attempts) == 0
 }
 
-// withoutCapacity is the machines that rejected such a size lately, have the most pending offers since a
-// rejection, or lack free capacity by the list. After a rejection one offer may be pending, after each
-// acceptance one more: else all queued tasks go to the first machine that takes one (incident i959772).
+// withoutCapacity returns the machines that recently rejected t's size or a smaller one, have as many pending offers as
+// allowed since a rejection, or lack free capacity by the list. After a rejection one offer may be pending, after each
+// acceptance one more: otherwise all queued tasks are offered to the first machine that accepts one (incident i959772).
 //
-// The list is delayed, so what this scheduler requested within listDelay before an entry counts as requested
-// too. An estimate of what other schedulers requested since kept too many tasks waiting.
+// The list is delayed, so what this scheduler requested within listDelay before an entry is assumed to be in use too. An
+// estimate of what other schedulers requested since then queued too many tasks.
 func (p *Placer) withoutCapacity(t *task, eligible *bitset.BitSet) *bitset.BitSet {
 	full := p.conditions.excluded.ClearAll()
 	machineindex.ForEachCommon(eligible, p.conditions.rejecting, func(number int) {
@@ -116,7 +115,7 @@
 	return full
 }
 
-// consolidate keeps to the machines that suffice, where the settings price machines in use.
+// consolidate narrows the choice to consolidationSet, where the settings price machines in use.
 func (p *Placer) consolidate(f *softFilter) {
 	if p.cfg.Prices.Fleet <= 0 || !p.cfg.ListsFreeCapacity || p.disabled[ConsolidationConstraint] {
 		return
@@ -127,10 +126,10 @@
 	}
 }
 
-// consolidationSet is the machines that suffice for all that is requested of the fleet, filled to
-// consolidationFill, in the order of what is requested of them by the list. All schedulers share that order,
-// and the machines left out become empty the soonest. Where the fullest machines are overloaded, the vote and
-// the constraint on reported load, which come later, still avoid them.
+// consolidationSet returns the machines that suffice for all that is requested of the fleet, filled to consolidationFill,
+// in the order of what is requested of them by the list. All schedulers share that order, and the machines left out become
+// empty the soonest. Where the fullest machines are overloaded, the later steps still avoid them: the vote and the
+// constraint on reported load.
 func (p *Placer) consolidationSet(eligible *bitset.BitSet) *bitset.BitSet {
 	cores, memory := p.index.TotalRequested()
 	used, count := p.conditions.excluded.ClearAll(), 0
@@ -150,7 +149,7 @@
 	return used
 }
 
-// highReportedLoad is the eligible machines whose last report is far over the mean of all eligible ones.
+// highReportedLoad returns the eligible machines whose last reported load is far above the mean of all eligible ones.
 func (p *Placer) highReportedLoad(f *softFilter) *bitset.BitSet {
 	load, mean, count := p.conditions.reportedLoad, 0.0, float64(f.count)
 	reporting := p.conditions.reporting
@@ -162,15 +161,14 @@
 	return over
 }
 
-// preferredMachines is the machines that likely have a service's program in their cache: those with active
-// attempts of it, and its machine of highest affinity. Affinity comes from a hash, weighted by the machine's
-// size (weighted rendezvous hashing), so it is the same at all schedulers, and when a machine is excluded
-// only its own services move. The next in affinity fill up to minCandidates, since a vote among one is none.
-// Where the preferred machines lost their caches, this only narrows the vote.
+// preferredMachines returns the machines that probably have a service's program in their cache: those with active attempts
+// of it, and its machine of highest affinity. When a machine is excluded, only its own services move to others. The machine
+// of the next affinity is added where there are fewer than minCandidates, since a vote needs more than one. Where the
+// preferred machines lost their caches, this only narrows the vote.
 //
-// A large task may also go to the best machines of those not known to be overloaded: migrated from one of the
-// two of highest affinity it came back from the other (incident r0b92bb), and capacity is worth more to it
-// than the program.
+// A large task may also be offered to the two machines of highest affinity that are not known to be overloaded: a task that
+// was migrated from one of its preferred machines was placed on the other one (incident r0b92bb), and capacity is worth
+// more to it than the cached program.
 func (p *Placer) preferredMachines(t *task, eligible *bitset.BitSet) []machineindex.Candidate {
 	service := p.index.Service(t.Service)
 	if p.disabled[AffinityConstraint] {
@@ -196,7 +194,7 @@
 	return list
 }
 
-// addCandidate adds a machine that is not in the list yet; none for -1.
+// addCandidate appends a machine unless it is in the list or -1.
 func (p *Placer) addCandidate(
 	list []machineindex.Candidate, service *machineindex.Service, number int32,
 ) []machineindex.Candidate {
--- a/constraints_soft_test.go
+++ b/constraints_soft_test.go
@@ -16,7 +16,7 @@
 	full := []Machine{{ID: "m0", Zone: "a", FreeCores: -32, FreeMemory: -50}}
 	p := startPlacer(t, cfg, full)
 	if actions := p.Step(time.Second, []Event{submit("t", 0, 5*time.Second)}); len(offersOf(actions)) != 0 {
-		t.Fatalf("offered to a full machine: %v", actions)
+		t.Fatalf("got %v, want no offer to a full machine", actions)
 	}
 	onlyOffer(t, p.Step(4100*millisecond, []Event{TimerFired{}}))
 	p = startPlacer(t, cfg, full)
@@ -25,7 +25,7 @@
 	onlyOffer(t, p.Step(2*time.Second, []Event{MachinesUpdated{Machines: full}}))
 }
 
-// Incident i959772 and a crash found with it: no machine is left when all are expected to reject.
+// Incident i959772 and a crash found with it: all machines are expected to reject.
 func TestTaskQueuedWhenAllMachinesReject(t *testing.T) {
 	p := startPlacer(t, testConfig(), testMachines(2))
 	for _, m := range p.machinesByID {
@@ -34,15 +34,16 @@
 	invalidateAll(p)
 	actions := p.Step(time.Second+millisecond, []Event{submit("t", 0, 9*time.Second)})
 	if len(offersOf(actions)) != 0 || hasAction(actions, Reject{"t"}) {
-		t.Errorf("want the task queued, got %v", actions)
+		t.Errorf("got %v, want the task queued", actions)
 	}
 }
 
-// After a rejection one offer finds out whether a machine has recovered; more follow as it accepts.
-func TestOfferWindowAfterRejection(t *testing.T) {
+// After a rejection one offer may be pending, and one more after each acceptance.
+func TestRejectionLimitsPendingOffers(t *testing.T) {
 	p := startPlacer(t, testConfig(), testMachines(1))
 	offer := onlyOffer(t, p.Step(time.Second, []Event{submit("t", 0, 2*time.Second)}))
-	ended := AttemptEnded{Task: "t", Machine: offer.Machine, Outcome: Rejected, Final: true, Reason: InsufficientCores}
+	ended := endOf(offer, Rejected)
+	ended.Final, ended.Reason = true, InsufficientCores
 	p.Step(time.Second+millisecond, []Event{ended})
 	m := p.machinesByID[0]
 	full := func() bool {
@@ -50,20 +51,19 @@
 		return p.withoutCapacity(&task{Task: submit("x", 0, 0).Task}, allMachines(p)).Test(uint(m.entry.Number()))
 	}
 	if p.now = 4 * time.Second; full() {
-		t.Fatal("without capacity after the backoff")
+		t.Fatal("got no capacity after the backoff, want an offer allowed")
 	}
 	m.pendingOffers = 1
 	if !full() {
-		t.Error("a second offer at once")
+		t.Error("got a second offer allowed after the rejection, want one")
 	}
 	m.offerWindow++ // as after an acceptance
 	if full() {
-		t.Error("no second offer after an acceptance")
+		t.Error("got one offer allowed after an acceptance, want two")
 	}
 }
 
-// Evidence never stops placements: with every machine failing, offers go on.
-func TestAllMachinesFailingStillPlaces(t *testing.T) {
+func TestTaskIsPlacedWhenAllMachinesFail(t *testing.T) {
 	p := startPlacer(t, testConfig(), testMachines(4))
 	for _, m := range p.machinesByID {
 		p.recordFailure(&m.health)
@@ -80,39 +80,45 @@
 	for i := range 40 {
 		actions := p.Step(time.Second+millisecond, []Event{submit(fmt.Sprint("t", i), 0, 9*time.Second)})
 		if offer := onlyOffer(t, actions); offer.Machine == "m2" {
-			t.Fatal("offered to the failing machine")
+			t.Fatal("offered to m2, which fails; want another machine")
 		}
 	}
 }
 
-// A fresh report far over those of the other machines excludes a machine; an old one or a small difference doesn't.
-func TestReportedLoadConstraint(t *testing.T) {
+func TestHighReportedLoadExcludesMachine(t *testing.T) {
 	for _, c := range []struct {
+		name      string
 		freeCores float64
 		age       time.Duration
 		excluded  bool
-	}{{2, 0, true}, {24, 0, false}, {2, time.Minute, false}} {
-		p := startPlacer(t, testConfig(), testMachines(4))
-		p.now = 2 * time.Minute
-		for i, m := range p.machinesByID {
-			m.loadReport, m.loadReportedAt = LoadReport{Present: true, HasCores: true, FreeCores: 28}, p.now
-			if i == 0 {
-				m.loadReport.FreeCores, m.loadReportedAt = c.freeCores, p.now-c.age
+	}{
+		{"fresh, far above the others", 2, 0, true},
+		{"fresh, little above the others", 24, 0, false},
+		{"old, far above the others", 2, time.Minute, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			p := startPlacer(t, testConfig(), testMachines(4))
+			p.now = 2 * time.Minute
+			for i, m := range p.machinesByID {
+				m.loadReport, m.loadReportedAt = LoadReport{Present: true, HasCores: true, FreeCores: 28}, p.now
+				if i == 0 {
+					m.loadReport.FreeCores, m.loadReportedAt = c.freeCores, p.now-c.age
+				}
+				p.index.AddAttempt("s", m.entry)
 			}
-			p.index.AddAttempt("s", m.entry)
-		}
-		invalidateAll(p)
-		task := &task{Task: submit("t", 0, time.Hour).Task, class: &p.cfg.Classes[0]}
-		candidates := p.applySoftConstraints(task, allMachines(p))
-		excluded := !slices.ContainsFunc(candidates, func(c machineindex.Candidate) bool { return c.Machine == 0 })
-		if excluded != c.excluded {
-			t.Errorf("free %v, age %v: excluded %v", c.freeCores, c.age, excluded)
-		}
+			invalidateAll(p)
+			task := &task{Task: submit("t", 0, time.Hour).Task, class: &p.cfg.Classes[0]}
+			candidates := p.applySoftConstraints(task, allMachines(p))
+			excluded := !slices.ContainsFunc(candidates, func(c machineindex.Candidate) bool { return c.Machine == 0 })
+			if excluded != c.excluded {
+				t.Errorf("got excluded %v, want %v", excluded, c.excluded)
+			}
+		})
 	}
 }
 
-// Where machines in use are priced, placements keep to as many as the requests of the fleet need.
-func TestConsolidation(t *testing.T) {
+// Where machines in use are priced, only as many are used as the requests of the fleet need.
+func TestConsolidationUsesFullestMachines(t *testing.T) {
 	cfg := testConfig()
 	cfg.ListsFreeCapacity, cfg.Prices.Fleet = true, 0.25
 	machines := testMachines(6)
@@ -121,7 +127,7 @@
 	}
 	p := startPlacer(t, cfg, machines)
 	if used := p.consolidationSet(allMachines(p)).Count(); used < 3 || used > 4 {
-		t.Errorf("%d of 6 half-full machines in use", used)
+		t.Errorf("got %d of 6 half-full machines in use, want 3 or 4", used)
 	}
 	for i := range machines {
 		machines[i].FreeMemory = 50 - float64(i%2)
@@ -129,20 +135,19 @@
 	p.Step(2*time.Second, []Event{MachinesUpdated{Machines: machines}})
 	for _, id := range []string{"m1", "m3", "m5"} {
 		if !p.consolidationSet(allMachines(p)).Test(uint(p.machines[id].entry.Number())) {
-			t.Errorf("%s, one of the fullest, is not kept in use", id)
+			t.Errorf("%s, one of the fullest, is not in use", id)
 		}
 	}
 }
 
-// All schedulers prefer the same machines, and the vote has more than one.
-func TestPreferredMachines(t *testing.T) {
+func TestSchedulersPreferSameMachines(t *testing.T) {
 	task := &task{Task: submit("t", 0, 0).Task}
 	a, b := startPlacer(t, testConfig(), testMachines(6)), startPlacer(t, testConfig(), testMachines(6))
 	for _, service := range []string{"s", "u", "v"} {
 		task.Service = service
 		preferredA, preferredB := a.preferredMachines(task, allMachines(a)), b.preferredMachines(task, allMachines(b))
 		if len(preferredA) != minCandidates {
-			t.Fatalf("%d preferred machines", len(preferredA))
+			t.Fatalf("got %d preferred machines, want %d", len(preferredA), minCandidates)
 		}
 		for _, c := range preferredA {
 			if !slices.Contains(preferredB, c) {
@@ -150,42 +155,54 @@
 			}
 		}
 	}
-	for _, m := range a.machinesByID[:4] {
-		a.index.AddAttempt("s", m.entry)
+}
+
+func TestMachinesWithTasksOfServiceArePreferred(t *testing.T) {
+	p := startPlacer(t, testConfig(), testMachines(6))
+	for _, m := range p.machinesByID[:4] {
+		p.index.AddAttempt("s", m.entry)
 	}
-	task.Service = "s"
-	if preferred := a.preferredMachines(task, allMachines(a)); len(preferred) < 4 || len(preferred) > 5 {
-		t.Errorf("with tasks on four machines: %d preferred machines", len(preferred))
+	task := &task{Task: submit("t", 0, 0).Task}
+	if preferred := p.preferredMachines(task, allMachines(p)); len(preferred) < 4 || len(preferred) > 5 {
+		t.Errorf("with tasks on four machines got %d preferred machines, want 4 or 5", len(preferred))
 	}
 }
 
-// Both preferred machines of a service are overloaded: its large tasks may go to the two next that aren't, small ones stay.
-func TestLargeTasksAvoidOverloadedPreferredMachines(t *testing.T) {
-	for _, cores := range []float64{1, 16} {
-		p := startPlacer(t, testConfig(), testMachines(6))
-		task := p.addTask(Task{ID: "t", Service: "s", Cores: cores, Memory: 1})
-		names := func() (all []string) {
-			for _, c := range p.preferredMachines(task, allMachines(p)) {
-				all = append(all, p.machinesByID[c.Machine].ID)
+// Both preferred machines of a service are overloaded.
+func TestLargeTasksMayAvoidOverloadedPreferredMachines(t *testing.T) {
+	for _, c := range []struct {
+		name  string
+		cores float64
+		added int // machines that are not overloaded
+	}{
+		{"small task", 1, 0},
+		{"large task", 16, minCandidates},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			p := startPlacer(t, testConfig(), testMachines(6))
+			task := p.addTask(Task{ID: "t", Service: "s", Cores: c.cores, Memory: 1})
+			names := func() (all []string) {
+				for _, c := range p.preferredMachines(task, allMachines(p)) {
+					all = append(all, p.machinesByID[c.Machine].ID)
+				}
+				return all
 			}
-			return all
-		}
-		preferred := names()
-		if len(preferred) != minCandidates {
-			t.Fatalf("%v cores: preferred %v", cores, preferred)
-		}
-		for _, name := range preferred {
-			p.markOverloaded(p.findOrAddMachine(name), overloadDuration, 1)
-		}
-		withOverload, added := names(), 0
-		for _, name := range withOverload {
-			if p.findOrAddMachine(name).overloadedUntil == 0 {
-				added++
+			preferred := names()
+			if len(preferred) != minCandidates {
+				t.Fatalf("got preferred machines %v, want %d", preferred, minCandidates)
 			}
-		}
-		want := map[float64]int{1: 0, 16: minCandidates}[cores]
-		if added != want || !slices.Equal(withOverload[:minCandidates], preferred) {
-			t.Errorf("%v cores: %v where %v are overloaded, want %d more", cores, withOverload, preferred, want)
-		}
+			for _, name := range preferred {
+				p.markOverloaded(p.findOrAddMachine(name), overloadDuration, 1)
+			}
+			withOverload, added := names(), 0
+			for _, name := range withOverload {
+				if p.findOrAddMachine(name).overloadedUntil == 0 {
+					added++
+				}
+			}
+			if added != c.added || !slices.Equal(withOverload[:minCandidates], preferred) {
+				t.Errorf("got %v where %v are overloaded, want %d more", withOverload, preferred, c.added)
+			}
+		})
 	}
 }
--- a/discovery.go
+++ b/discovery.go
@@ -2,6 +2,8 @@
 
 import "time"
 
+// Discovery: subscriptions to changes of the machine list.
+
 // subscribeFirst subscribes in the first step, where discovery sends changes on request only.
 func (p *Placer) subscribeFirst(now Time) {
 	if p.cfg.DiscoveryOnRequest {
@@ -19,7 +21,7 @@
 	p.subscribeAt = p.now + backoff/2 + time.Duration(p.random.Int64N(int64(backoff)))
 }
 
-// subscribeIfDue subscribes, and again when no answer comes.
+// subscribeIfDue subscribes when due, and again when there is no answer.
 func (p *Placer) subscribeIfDue() {
 	if p.subscribeAt == 0 || p.now < p.subscribeAt {
 		return
--- a/discovery_test.go
+++ b/discovery_test.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-func TestSubscribeRetriesAfterDiscoveryFailure(t *testing.T) {
+func TestSubscriptionIsRetriedAfterDiscoveryFailure(t *testing.T) {
 	cfg := testConfig()
 	cfg.DiscoveryOnRequest = true
-	p, _ := New(cfg, 1)
+	p := newPlacer(t, cfg, testSeed)
 	actions := p.Step(time.Second, []Event{MachinesUpdated{Complete: true, Stale: true, Machines: testMachines(1)}})
 	if !hasAction(actions, Subscribe{}) {
-		t.Fatalf("no subscription at the start: %v", actions)
+		t.Fatalf("got %v at the start, want a subscription", actions)
 	}
 	now, subscriptions := time.Second, 0
 	for range 20 {
@@ -22,11 +22,11 @@
 				break
 			}
 			if now > time.Minute {
-				t.Fatal("never subscribed again")
+				t.Fatalf("got %d subscriptions within a minute, want 20", subscriptions)
 			}
 		}
 	}
 	if subscriptions != 20 || now > 60*time.Second || now < 10*time.Second {
-		t.Errorf("%d subscriptions in %v", subscriptions, now)
+		t.Errorf("got %d subscriptions in %v, want 20 in 10 s to 60 s", subscriptions, now)
 	}
 }
--- a/dispatch.go
+++ b/dispatch.go
@@ -1,7 +1,7 @@
 package flaxshelf
 
-// ActionHandler executes the actions of a Placer. It has one method for each type of action, so a host that lacks the
-// handling of one does not compile.
+// ActionHandler executes the actions of a Placer. It has one method for each type of action, so a host that does not
+// handle one of them does not compile.
 type ActionHandler interface {
 	HandleOffer(Offer)
 	HandleCancel(Cancel)
--- a/event_source_test.go
+++ b/event_source_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// randomConfig draws a deployment.
+// randomConfig returns the settings of a random deployment.
 func randomConfig(random *rand.Rand) Config {
 	yes := func() bool { return random.IntN(2) == 0 }
 	cfg := testConfig()
@@ -32,7 +32,7 @@
 	return cfg
 }
 
-// eventSource draws legal events: it answers offers, changes the machine list and submits tasks.
+// eventSource generates random legal events: it answers offers, changes the machine list and submits tasks.
 type eventSource struct {
 	random    *rand.Rand
 	checker   *ruleChecker
@@ -49,7 +49,7 @@
 	placed  bool
 }
 
-// events draws those of one step.
+// events returns the events of one step.
 func (s *eventSource) events() []Event {
 	events := s.attemptEvents()
 	for range s.random.IntN(4) {
@@ -64,7 +64,7 @@
 	return events
 }
 
-// attemptEvents places or ends the pending attempts that are due.
+// attemptEvents returns events that place or end the pending attempts that are due.
 func (s *eventSource) attemptEvents() (events []Event) {
 	kept := s.pending[:0]
 	for _, p := range s.pending {
@@ -84,7 +84,7 @@
 	return events
 }
 
-// end draws how an attempt ends.
+// end returns the event of a random end of an attempt.
 func (s *eventSource) end(p pendingAttempt, answered bool) Event {
 	outcome := Outcome(1 + s.random.IntN(7))
 	if p.placed {
@@ -95,6 +95,7 @@
 		Load: LoadReport{Present: s.random.IntN(2) == 0, HasCores: true, FreeCores: float64(s.random.IntN(20))}}
 }
 
+// submission returns the event of a random task.
 func (s *eventSource) submission() Event {
 	s.taskCount++
 	return TaskSubmitted{Task{ID: fmt.Sprint("t", s.taskCount), Service: fmt.Sprint("s", s.random.IntN(3)),
@@ -102,7 +103,7 @@
 		Deadline: s.checker.now + time.Duration(1+s.random.IntN(3000))*millisecond}}
 }
 
-// machineChange adds, changes, restarts, drains or removes one machine.
+// machineChange returns an event that adds, changes, restarts, drains or removes one machine.
 func (s *eventSource) machineChange() Event {
 	m := Machine{ID: fmt.Sprint("m", s.random.IntN(8)), Kind: s.random.IntN(2), State: MachineState(s.random.IntN(3))}
 	m.Zone, m.Cell = "z"+m.ID[1:2], int(m.ID[1])%3
@@ -115,7 +116,7 @@
 	return MachinesUpdated{Machines: []Machine{m}, Complete: s.random.IntN(30) == 0}
 }
 
-// offered remembers an offer, which is answered within its time-out.
+// offered records an offer, which will be answered within its time-out.
 func (s *eventSource) offered(offer Offer) {
 	delay := time.Duration(s.random.IntN(int(offer.Timeout/millisecond)+1)) * millisecond
 	s.pending = append(s.pending, pendingAttempt{task: offer.Task, machine: offer.Machine,
--- a/events.go
+++ b/events.go
@@ -1,10 +1,8 @@
 package flaxshelf
 
-// Handlers of events: they keep the records of machines, tasks and attempts. What an event means for the
-// choice of machines is decided by the policy files.
+// Event handlers: they update the records of machines, tasks and attempts and pass on what is evidence about a machine.
 
-// handle calls the handler of an event. TimerFired needs none, since a step is made; the data of
-// GossipReceived is not used.
+// handle calls the handler of an event. TimerFired needs none, since Step does what is due; GossipReceived is ignored.
 func (p *Placer) handle(e Event) {
 	switch e := e.(type) {
 	case MachinesUpdated:
@@ -28,6 +26,7 @@
 	}
 }
 
+// handleMachinesUpdated applies an update of the machine list. Unless it is stale it also answers a subscription.
 func (p *Placer) handleMachinesUpdated(e MachinesUpdated) {
 	for _, entry := range e.Machines {
 		p.updateMachine(entry)
@@ -40,7 +39,7 @@
 	}
 }
 
-// updateMachine takes over one entry of the machine list.
+// updateMachine applies one entry of the machine list.
 func (p *Placer) updateMachine(entry Machine) {
 	m := p.findOrAddMachine(entry.ID)
 	if entry.Kind < 0 || entry.Kind >= len(p.cfg.Kinds) {
@@ -58,7 +57,7 @@
 	p.invalidate(m)
 }
 
-// removeUnlisted marks machines as removed that a complete list doesn't name.
+// removeUnlisted marks the machines as removed that a complete list does not name.
 func (p *Placer) removeUnlisted(list []Machine) {
 	named := make(map[string]bool, len(list))
 	for _, entry := range list {
@@ -73,20 +72,21 @@
 	}
 }
 
-// markRemoved is called when a machine's state becomes Removed.
+// markRemoved records that a machine's state becomes Removed.
 func (p *Placer) markRemoved(m *machine) {
 	m.removedAt = p.now
 	p.removedMachines = append(p.removedMachines, m)
 	p.forgetMachinePlacements(m)
 }
 
+// handleTaskSubmitted opens a task. An ID that is in use is ignored.
 func (p *Placer) handleTaskSubmitted(e TaskSubmitted) {
 	if p.tasks[e.Task.ID] == nil {
 		p.openTasks = append(p.openTasks, p.addTask(e.Task))
 	}
 }
 
-// handleTaskAdopted takes over a running task: it counts for spread and joins the history as if placed now.
+// handleTaskAdopted adds a running task: it counts for spread, and for the history as if it was placed now.
 func (p *Placer) handleTaskAdopted(e TaskAdopted) {
 	if p.tasks[e.Task.ID] != nil {
 		return
@@ -97,6 +97,7 @@
 	p.markPlaced(t, &t.attempts[0])
 }
 
+// handleTaskCanceled settles a task. Its active attempt, if any, is still tracked.
 func (p *Placer) handleTaskCanceled(e TaskCanceled) {
 	if t := p.tasks[e.Task]; t != nil {
 		t.settled = true
@@ -104,6 +105,7 @@
 	}
 }
 
+// handleAttemptPlaced settles a task, whose machine has accepted it.
 func (p *Placer) handleAttemptPlaced(e AttemptPlaced) {
 	t, a := p.findAttempt(e.Task, e.Attempt)
 	if a == nil || !a.active {
@@ -116,6 +118,7 @@
 	p.invalidate(a.machine)
 }
 
+// handleAttemptEnded releases what an attempt requested and records its outcome as evidence.
 func (p *Placer) handleAttemptEnded(e AttemptEnded) {
 	if m := p.machines[e.Machine]; m != nil {
 		p.recordLoadReport(m, e.Load)
@@ -142,6 +145,7 @@
 	p.forgetIfSettled(t)
 }
 
+// handleHealthChecked records the load report of a health check.
 func (p *Placer) handleHealthChecked(e HealthChecked) {
 	if m := p.machines[e.Machine]; m != nil {
 		p.recordLoadReport(m, e.Load)
--- a/evidence.go
+++ b/evidence.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// Evidence: what outcomes and reports say of a machine. Each piece of evidence expires.
+// Evidence: what outcomes and usage reports show about a machine. Each piece of evidence expires.
 
 // provesNeverRan reports whether an outcome proves that the task was not started.
 func provesNeverRan(o Outcome) bool { return o == Rejected || o == Unreachable || o == NotSent }
 
-// recordFailure ejects a machine, or a class on it, for longer at each further failure within failureMemory,
-// and at least until an offer would come to it again.
+// recordFailure ejects a machine, or a class on it, for longer at each further failure within failureMemory, and at least
+// for the trial interval.
 func (p *Placer) recordFailure(h *health) {
 	if p.now-h.lastFailure > failureMemory {
 		h.consecutiveFailures = 0
@@ -20,7 +20,7 @@
 	h.ejectedUntil = max(h.ejectedUntil, p.now+max(baseEjection<<h.consecutiveFailures, p.trialInterval()))
 }
 
-// trialInterval is the mean time between this scheduler's offers to one machine, from the history.
+// trialInterval returns the mean time between this scheduler's offers to one machine, from the history.
 func (p *Placer) trialInterval() time.Duration {
 	placements := p.history.Len()
 	if placements < minCandidates {
@@ -30,8 +30,8 @@
 	return min(failureMemory, gap*time.Duration(len(p.machinesByID)))
 }
 
-// startTrial keeps further offers from what failed lately until the outcome of the present offer is known, so
-// that one task finds out about a recovery and not all that wait.
+// startTrial ejects what failed recently until the outcome of the present offer is known, so that one task shows whether
+// it has recovered and not all queued tasks are offered to it.
 func (p *Placer) startTrial(h *health) {
 	if h.consecutiveFailures > 0 && !p.disabled[TrialPlacement] {
 		h.ejectedUntil = max(h.ejectedUntil, p.now+baseEjection)
@@ -46,27 +46,27 @@
 	}
 }
 
-// succeededLately reports whether there was a success within failureMemory.
-func (p *Placer) succeededLately(h *health) bool {
+// succeededRecently reports whether there was a success within failureMemory.
+func (p *Placer) succeededRecently(h *health) bool {
 	return h.lastSuccess > 0 && p.now-h.lastSuccess < failureMemory
 }
 
-// recordTaskFailure records an error or a time-out of t on m: as a failure of its class there alone where
-// another class succeeded lately, else of the machine too.
+// recordTaskFailure records an error or a time-out of t on m as a failure of its class there, and also of the machine
+// unless another class succeeded there recently.
 func (p *Placer) recordTaskFailure(t *task, m *machine) {
 	p.recordFailure(m.healthOf(t.Class))
 	for class := range m.classHealth {
-		if class != t.Class && p.succeededLately(m.healthOf(class)) {
+		if class != t.Class && p.succeededRecently(m.healthOf(class)) {
 			return
 		}
 	}
 	p.recordFailure(&m.health)
 }
 
-// attributeFailures records failures of the machines that answered t with an error, now that it is placed or
-// has its final answer. Where several did and none placed it, the task is at fault: malformed tasks would
-// eject every machine in turn. Where most machines begin to fail at once, they are ejected only when they
-// have had no success for failureMemory.
+// attributeFailures records failures of the machines that answered t with an error, once it is placed or has its final
+// answer. Where several did and none placed it, the task is at fault: malformed tasks would otherwise eject every machine
+// in turn. Where most machines begin to fail at the same time, they are ejected only after failureMemory without a
+// success.
 func (p *Placer) attributeFailures(t *task) {
 	for _, m := range t.unattributedFailures {
 		if t.placed || len(t.unattributedFailures) < minCandidates {
@@ -77,23 +77,23 @@
 	t.unattributedFailures = nil
 }
 
-// recordAcceptance reads the placement of t by m as evidence.
+// recordAcceptance records as evidence that m accepted t.
 func (p *Placer) recordAcceptance(t *task, m *machine) {
 	p.attributeFailures(t)
 	m.consecutiveRejections = max(m.consecutiveRejections-1, 0)
 	m.offerWindow++
 	if m.offerWindow == 1 || m.offerWindow >= maxOfferWindow {
-		m.offerWindow = 0 // there was no limit, or it ends
+		m.offerWindow = 0 // there was no limit, or it ends here
 	}
 	p.recordSuccess(&m.health)
 	p.recordSuccess(m.healthOf(t.Class))
 }
 
-// classifyOutcome reads the end of an attempt as evidence about its machine.
+// classifyOutcome records the end of an attempt as evidence about its machine.
 func (p *Placer) classifyOutcome(t *task, a *attempt, e AttemptEnded) {
 	m := a.machine
 	if a.placed {
-		m.rejectedSize += p.sizeOn(t, m) // so much was freed
+		m.rejectedSize += p.sizeOn(t, m) // which was freed
 	}
 	switch e.Outcome {
 	case Failed:
@@ -109,17 +109,17 @@
 	}
 }
 
-// classifyError records an error as a failure at once where no further attempt can tell more. Where the class
-// succeeded lately the task may be at fault: see attributeFailures.
+// classifyError records an error as a failure at once, unless the class succeeded there recently and a further attempt may
+// show that the task is at fault: see attributeFailures.
 func (p *Placer) classifyError(t *task, m *machine) {
-	if p.succeededLately(m.healthOf(t.Class)) && t.class.Idempotency != NonIdempotent {
+	if p.succeededRecently(m.healthOf(t.Class)) && t.class.Idempotency != NonIdempotent {
 		t.unattributedFailures = append(t.unattributedFailures, m)
 		return
 	}
 	p.recordTaskFailure(t, m)
 }
 
-// classifyLoss reads the loss of an attempt: an eviction is a sign of overload, a drain is not.
+// classifyLoss records the loss of an attempt: an eviction is evidence of overload, a drain is none.
 func (p *Placer) classifyLoss(m *machine, reason Reason) {
 	switch reason {
 	case Evicted, Preempted:
@@ -130,7 +130,7 @@
 	}
 }
 
-// recordRejection expects further rejections of such a size for a while, for longer at each one in a row.
+// recordRejection has m avoided for tasks of the same size or larger, for longer at each rejection in a row.
 func (p *Placer) recordRejection(t *task, m *machine, reason Reason) {
 	m.offerWindow = 1
 	size := p.sizeOn(t, m)
@@ -150,7 +150,7 @@
 	}
 }
 
-// handleUsageReport reads a report of a running task as evidence about its machine.
+// handleUsageReport records a report of a running task as evidence about its machine.
 func (p *Placer) handleUsageReport(e UsageReport) {
 	t, a := p.findAttempt(e.Task, e.Attempt)
 	if a == nil || !a.active {
@@ -169,7 +169,7 @@
 	}
 }
 
-// markOverloaded has the service shortfall of m count as load for a while, see externalLoad.
+// markOverloaded has the service shortfall of m count as load for the duration, see externalLoad.
 func (p *Placer) markOverloaded(m *machine, duration time.Duration, shortfall float64) {
 	m.overloadedUntil, m.serviceShortfall = max(m.overloadedUntil, p.now+duration), shortfall
 	p.invalidate(m)
--- a/evidence_test.go
+++ b/evidence_test.go
@@ -7,24 +7,23 @@
 	"time"
 )
 
-// After a failure a trial placement keeps further offers away until it is answered.
-func TestTrialPlacementAfterFailure(t *testing.T) {
+func TestTrialPlacementEjectsUntilAnswered(t *testing.T) {
 	p := startPlacer(t, testConfig(), testMachines(4))
 	h := p.machinesByID[2].healthOf(0)
 	p.recordFailure(h)
 	p.now = h.ejectedUntil
 	p.startTrial(h)
 	if p.now >= h.ejectedUntil {
-		t.Error("not ejected during the trial placement")
+		t.Errorf("ejected until %v during the trial placement, want it after %v", h.ejectedUntil, p.now)
 	}
 	if p.recordSuccess(h); p.now < h.ejectedUntil {
-		t.Error("ejected after a success")
+		t.Errorf("ejected until %v after a success, want no ejection", h.ejectedUntil)
 	}
 }
 
-// One class fails on most machines where another succeeds: the first keeps to those that serve it, the other goes on
-// using all. Where no class has succeeded, the machine itself is ejected.
-func TestClassFailureOnMostMachines(t *testing.T) {
+// One class fails on most machines where another succeeds: only the first is ejected there. Where no class has succeeded,
+// the machine itself is ejected.
+func TestClassFailureEjectsClassAlone(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes = append(cfg.Classes, cfg.Classes[0])
 	p := startPlacer(t, cfg, testMachines(8))
@@ -44,25 +43,25 @@
 		return ids
 	}
 	if got := usable(failing); !slices.Equal(got, []string{"m6", "m7"}) {
-		t.Errorf("the failing class is left %v", got)
+		t.Errorf("the failing class may use %v, want m6 and m7", got)
 	}
 	if got := usable(other); len(got) != 8 {
-		t.Errorf("the other class is left %v", got)
+		t.Errorf("the other class may use %v, want all 8", got)
 	}
 	for range 20 {
 		if m := p.chooseMachine(failing); m.ID != "m6" && m.ID != "m7" {
-			t.Errorf("the failing class went to %s", m.ID)
+			t.Errorf("the failing class was placed on %s, want m6 or m7", m.ID)
 		}
 	}
 	p.recordTaskFailure(failing, p.machinesByID[7])
 	if got := usable(other); len(got) != 7 {
-		t.Errorf("a machine without any success is not ejected: %v", got)
+		t.Errorf("the other class may use %v, want 7: m7 failed without any success", got)
 	}
 }
 
-// An error is attributed to its machine once another has placed the task, or when the task ends with it alone; a malformed
+// An error is attributed to its machine once another has placed the task, or when the task ends with it alone. A malformed
 // task, which several machines answer with an error and none places, ejects none of them. Where the class has not
-// succeeded lately, or there is no second attempt to tell, the machine is ejected at once.
+// succeeded recently, or there is no second attempt, the machine is ejected at once.
 func TestTaskFaultEjectsNoMachine(t *testing.T) {
 	for _, c := range []struct {
 		name        string
@@ -78,40 +77,43 @@
 		{"no success there", Idempotent, false, 3, false, 3},
 		{"no second attempt", NonIdempotent, true, 1, false, 1},
 	} {
-		cfg := testConfig()
-		cfg.Classes[0].Idempotency = c.idempotency
-		p := startPlacer(t, cfg, testMachines(6))
-		if c.succeeded {
+		t.Run(c.name, func(t *testing.T) {
+			cfg := testConfig()
+			cfg.Classes[0].Idempotency = c.idempotency
+			p := startPlacer(t, cfg, testMachines(6))
+			if c.succeeded {
+				for _, m := range p.machinesByID {
+					p.recordSuccess(m.healthOf(0))
+				}
+			}
+			invalidateAll(p)
+			actions := p.Step(time.Second+millisecond, []Event{submit("t", 0, 9*time.Second)})
+			for n := range c.errors {
+				offer := onlyOffer(t, actions)
+				ended := endOf(offer, Failed)
+				ended.Attempt = n
+				actions = p.Step(time.Second+Time(n+2)*millisecond, []Event{ended})
+			}
+			if c.placed {
+				offer := onlyOffer(t, actions)
+				p.Step(time.Second+9*millisecond, []Event{AttemptPlaced{Task: "t", Machine: offer.Machine, Attempt: c.errors}})
+			} else if len(offersOf(actions)) > 0 {
+				t.Errorf("got %v, want no further offer", actions)
+			}
+			ejected := 0
 			for _, m := range p.machinesByID {
-				p.recordSuccess(m.healthOf(0))
+				if p.now < m.healthOf(0).ejectedUntil {
+					ejected++
+				}
 			}
-		}
-		invalidateAll(p)
-		actions := p.Step(time.Second+millisecond, []Event{submit("t", 0, 9*time.Second)})
-		for n := range c.errors {
-			offer := onlyOffer(t, actions)
-			ended := AttemptEnded{Task: "t", Machine: offer.Machine, Attempt: n, Outcome: Failed}
-			actions = p.Step(time.Second+Time(n+2)*millisecond, []Event{ended})
-		}
-		if c.placed {
-			offer := onlyOffer(t, actions)
-			p.Step(time.Second+9*millisecond, []Event{AttemptPlaced{Task: "t", Machine: offer.Machine, Attempt: c.errors}})
-		} else if len(offersOf(actions)) > 0 {
-			t.Errorf("%s: offered once more: %v", c.name, actions)
-		}
-		ejected := 0
-		for _, m := range p.machinesByID {
-			if p.now < m.healthOf(0).ejectedUntil {
-				ejected++
+			if ejected != c.ejected {
+				t.Errorf("%d machines ejected, want %d", ejected, c.ejected)
 			}
-		}
-		if ejected != c.ejected {
-			t.Errorf("%s: %d machines ejected, want %d", c.name, ejected, c.ejected)
-		}
+		})
 	}
 }
 
-// With few placements beside the machines an ejection lasts until an offer would come to the machine again.
+// Where there are far fewer placements than machines, an ejection lasts for the mean time between offers to one machine.
 func TestEjectionLastsTrialInterval(t *testing.T) {
 	p := startPlacer(t, testConfig(), testMachines(10))
 	for i := range 4 {
@@ -120,10 +122,10 @@
 	if h := &p.machinesByID[0].health; h.ejectedUntil == 0 {
 		p.recordFailure(h)
 		if h.ejectedUntil-p.now < 2*time.Second {
-			t.Errorf("ejected for %v", h.ejectedUntil-p.now)
+			t.Errorf("ejected for %v, want at least 2 s", h.ejectedUntil-p.now)
 		}
 	}
 	if p.trialInterval() > failureMemory {
-		t.Error("the trial interval is not bounded")
+		t.Errorf("trial interval %v, want at most %v", p.trialInterval(), failureMemory)
 	}
 }
--- a/example_test.go
+++ b/example_test.go
@@ -7,7 +7,7 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-// A scheduler hears of one machine and is asked to place one task.
+// A Placer that knows one machine places one task.
 func Example() {
 	p, err := flaxshelf.New(flaxshelf.Config{
 		Kinds:   []flaxshelf.Kind{{Name: "small", Cores: 16, Memory: 64}},
--- a/helpers_test.go
+++ b/helpers_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// testMachines is machines m0, m1 and so on, two in each cell.
+// testMachines returns machines m0, m1 and so on, two in each cell.
 func testMachines(count int) []Machine {
 	var machines []Machine
 	for i := range count {
@@ -32,23 +32,45 @@
 	return machines
 }
 
-// startPlacer makes a Placer that knows the machines, at the time of one second.
-func startPlacer(t *testing.T, cfg Config, machines []Machine) *Placer {
+// testSeed is the seed of placers whose seed does not matter.
+const testSeed = 7
+
+// newPlacer makes a Placer that has made no step.
+func newPlacer(t *testing.T, cfg Config, seed uint64) *Placer {
 	t.Helper()
-	p, err := New(cfg, 7)
+	p, err := New(cfg, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
+	return p
+}
+
+// startPlacer makes a Placer whose first step, at one second, lists the machines.
+func startPlacer(t *testing.T, cfg Config, machines []Machine) *Placer {
+	t.Helper()
+	p := newPlacer(t, cfg, testSeed)
 	p.Step(time.Second, []Event{MachinesUpdated{Complete: true, Machines: machines}})
 	return p
 }
 
-// submit requests a small task of service s.
+// submit returns the submission of a small task of service s.
 func submit(id string, class int, deadline Time) TaskSubmitted {
 	return TaskSubmitted{Task{ID: id, Service: "s", Class: class, Cores: 1, Memory: 1, Deadline: deadline, Tenant: -1}}
 }
 
-// offersOf lists the offers among actions.
+// endOf returns the event that the first attempt of a task, which was offered, ended.
+func endOf(offer Offer, outcome Outcome) AttemptEnded {
+	return AttemptEnded{Task: offer.Task, Machine: offer.Machine, Outcome: outcome}
+}
+
+// addPlacement adds a placement on the machine of the given number to the history.
+func addPlacement(p *Placer, number int, placed machineindex.Placement) *machineindex.Placement {
+	placed.Machine = p.machinesByID[number].entry
+	p.index.AddPlacement(&placed)
+	return &placed
+}
+
+// offersOf returns the offers among actions.
 func offersOf(actions []Action) (offers []Offer) {
 	for _, action := range actions {
 		if offer, ok := action.(Offer); ok {
@@ -58,24 +80,24 @@
 	return offers
 }
 
-// onlyOffer is the one offer among actions.
+// onlyOffer returns the one offer among actions.
 func onlyOffer(t *testing.T, actions []Action) Offer {
 	t.Helper()
 	offers := offersOf(actions)
 	if len(offers) != 1 {
-		t.Fatalf("want one offer, got %v", actions)
+		t.Fatalf("got %v, want one offer", actions)
 	}
 	return offers[0]
 }
 
-// allMachines is the set of all machines.
+// allMachines returns the set of all machines.
 func allMachines(p *Placer) *bitset.BitSet {
 	p.refresh()
 	set := bitset.MustNew(uint(len(p.machinesByID)))
 	return set.FlipRange(0, uint(len(p.machinesByID)))
 }
 
-// allCandidates has all machines in the vote, without affinity.
+// allCandidates returns all machines as candidates of equal affinity.
 func allCandidates(p *Placer) (list []machineindex.Candidate) {
 	for i := range allMachines(p).EachSet() {
 		list = append(list, machineindex.Candidate{Machine: int32(i)})
@@ -90,4 +112,5 @@
 	}
 }
 
+// hasAction reports whether an action is among actions.
 func hasAction(actions []Action, want Action) bool { return slices.Contains(actions, want) }
--- a/internal/machineindex/doc.go
+++ b/internal/machineindex/doc.go
@@ -1,15 +1,15 @@
 // Package machineindex keeps sets and columns of machines by machine number, so that a choice among machines reads one
 // word for 64 of them instead of a record for each. It also keeps the placements that a scheduler has made on them.
 //
-// The package decides nothing. Its user writes what is in a set or a column, says from when a placement counts as assumed,
-// how machines rank as hosts of a service and when a placement is dropped; the package stores that and answers queries.
+// The package decides nothing. Its owner writes the sets and columns and determines from when a placement counts as assumed,
+// how machines rank as hosts of a service and when a placement is dropped. The package stores that and answers queries.
 // docs/scale.md compares its structures with plain scans.
 //
 // # Numbers
 //
 // An Index has one Entry for each machine, in the order of the machines' IDs; the position of an Entry is the number of its
-// machine. After Insert or Remove the numbers hold no longer: all sets, columns, rankings and counts by number are void
-// until Refresh, which numbers the machines again and has each of them updated. Numbers must not be kept across Refresh.
+// machine. After Insert or Remove, all numbers, and the sets, columns, rankings and counts by number, are void until Refresh,
+// which numbers the machines again and invalidates each of them. Numbers must not be stored across Refresh.
 //
 // # Ownership and concurrency
 //
--- a/load_reports.go
+++ b/load_reports.go
@@ -1,6 +1,6 @@
 package flaxshelf
 
-// Load reports: what a machine says of its own load.
+// Load reports: how a machine's own report of its load is used.
 
 // recordLoadReport keeps a machine's own report of its load.
 func (p *Placer) recordLoadReport(m *machine, report LoadReport) {
--- a/machine.go
+++ b/machine.go
@@ -7,25 +7,25 @@
 	"flaxshelf.example/flaxshelf/internal/machineindex"
 )
 
-// machine is what is known of one machine: its entry of the machine list, this scheduler's placements on it, and the
+// machine is the record of one machine: its entry of the machine list, what this scheduler requested of it, and the
 // evidence of its condition.
 type machine struct {
 	Machine
 	entry     *machineindex.Entry
-	listed    bool // named by a list since this scheduler started
+	listed    bool // the machine list has named it since this scheduler started
 	removedAt Time
 
 	health      health   // of the machine as a whole
-	classHealth []health // of each class there
+	classHealth []health // of each class on it
 
-	overloadedUntil  Time    // tasks are served badly there, or memory is short
+	overloadedUntil  Time    // its tasks get poor service, or memory is short
 	serviceShortfall float64 // fraction of full service missing, as last reported while overloaded
 
-	rejectsUntil          Time    // it is expected to reject tasks of rejectedSize or more
+	rejectsUntil          Time    // until then it is expected to reject tasks of rejectedSize or more
 	rejectedSize          float64 // fraction of its capacity, see sizeOn
 	consecutiveRejections int     // reduced by acceptances
-	offerWindow           int     // how many offers may be pending; 0: no limit
-	pendingOffers         int     // offers without an answer yet
+	offerWindow           int     // most pending offers; zero means no limit
+	pendingOffers         int     // offers without an answer
 	slowStartOffers       []Time  // recent offers while it was in slow start
 
 	loadReport     LoadReport
@@ -34,7 +34,7 @@
 	ownCores  float64 // requested by this scheduler's active attempts
 	ownMemory float64
 
-	// Requested by this scheduler since the list last named it.
+	// Requested by this scheduler since the machine list last named it.
 	coresSinceListed  float64
 	memorySinceListed float64
 }
@@ -47,7 +47,7 @@
 	lastSuccess         Time
 }
 
-// findOrAddMachine returns the record of a machine. A machine that no list has named yet counts as removed.
+// findOrAddMachine returns the record of a machine. Until the machine list names it, it counts as removed.
 func (p *Placer) findOrAddMachine(id string) *machine {
 	if m := p.machines[id]; m != nil {
 		return m
@@ -67,7 +67,7 @@
 	return m
 }
 
-// forgetMachine drops the record of a machine.
+// forgetMachine deletes the record of a machine.
 func (p *Placer) forgetMachine(m *machine) {
 	delete(p.machines, m.ID)
 	if position := slices.Index(p.machinesByID, m); position >= 0 {
--- a/migration.go
+++ b/migration.go
@@ -6,8 +6,10 @@
 	"github.com/bits-and-blooms/bitset"
 )
 
-// migrateIfUnderserved emits Migrate for a task that has been served poorly for a while, so that its owner
-// submits it again: where that pays, and where better machines are known.
+// Migration: running tasks that get poor service are stopped, so that their owners submit them again.
+
+// migrateIfUnderserved emits Migrate for a task that has been served poorly for half an overloadDuration, where that pays
+// and better machines are known.
 func (p *Placer) migrateIfUnderserved(t *task, a *attempt, shortfall float64) {
 	if shortfall < poorServiceShortfall {
 		a.poorServiceAt = 0
@@ -26,7 +28,7 @@
 	}
 }
 
-// migrationPays reports whether what the task lacks in a mean lifetime is worth more than a migration and two
+// migrationPays reports whether the service that the task lacks in a mean lifetime is worth more than a migration and two
 // starts.
 func (p *Placer) migrationPays(t *task, shortfall float64) bool {
 	price := p.cfg.Prices.Migration
@@ -36,9 +38,9 @@
 	return gain >= cost
 }
 
-// hasBetterMachines reports whether half of the machines that could take t serve this scheduler's tasks
-// well; of machines without any nothing is known. It is false while any machine fails t's class or rejects
-// tasks: the new start may be lost.
+// hasBetterMachines reports whether half of the machines that could take t serve this scheduler's tasks well; nothing is
+// known of machines without any. It is false while any machine fails t's class or rejects tasks, since the new start may
+// be lost.
 func (p *Placer) hasBetterMachines(t *task) bool {
 	p.refresh()
 	c, good := &p.conditions, p.eligibleByKind(t)
--- a/migration_test.go
+++ b/migration_test.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// migrationCase reports the service level of task a on machine m0, and of a task on each of three other machines.
+// migrationCase is the reported service levels of task a on machine m0 and of a task on each of three other machines.
 type migrationCase struct {
 	name      string
 	change    func(*Config)
 	disabled  []Constraint
 	levels    [3]float64    // of task a, in successive reports
-	interval  time.Duration // between reports; 0: a second
+	interval  time.Duration // between reports; zero means a second
 	elsewhere float64       // service level of the tasks on the other machines
 	alone     bool          // there are no tasks on the other machines
 	failing   bool          // the class fails on another machine
@@ -21,8 +21,8 @@
 	want      int           // migrations of task a
 }
 
-// A task that is served poorly for a while is migrated, once; not where that doesn't pay, or nothing better is known.
-func TestMigration(t *testing.T) {
+// A task that is served poorly for a while is migrated, unless that does not pay or nothing better is known.
+func TestPoorlyServedTaskIsMigratedOnce(t *testing.T) {
 	for _, c := range []migrationCase{
 		{name: "half is lacking, in two reports", levels: [3]float64{0.4, 0.4, 0.3}, elsewhere: 1, want: 1},
 		{name: "a little is lacking", levels: [3]float64{0.8, 0.8, 0.8}, elsewhere: 1},
@@ -42,7 +42,9 @@
 	}
 }
 
+// run checks how often task a is migrated.
 func (c migrationCase) run(t *testing.T) {
+	t.Helper()
 	cfg := testConfig()
 	if c.change != nil {
 		c.change(&cfg)
@@ -61,7 +63,7 @@
 			case migrate.Task == "a":
 				migrations++
 			default:
-				t.Errorf("%s was migrated", migrate.Task)
+				t.Errorf("%s was migrated, want only a", migrate.Task)
 			}
 		}
 	}
@@ -70,7 +72,7 @@
 	}
 }
 
-// adopt has a task run on each machine, or on the first alone.
+// adopt adds a running task on each machine, or on the first alone.
 func (c migrationCase) adopt(p *Placer) {
 	var events []Event
 	for i, id := range []string{"a", "b", "c", "d"} {
@@ -84,7 +86,7 @@
 	p.Step(2*time.Second, events)
 }
 
-// disturb has the last machine fail or reject tasks.
+// disturb makes the last machine fail or reject tasks.
 func (c migrationCase) disturb(p *Placer, now Time) {
 	last := p.findOrAddMachine("m3")
 	if c.failing {
@@ -97,7 +99,7 @@
 	}
 }
 
-// reports is the service levels of all tasks.
+// reports returns the usage reports of all tasks.
 func (c migrationCase) reports(level float64) []Event {
 	report := func(task, machine string, amount float64) Event {
 		return UsageReport{Task: task, Machine: machine, Kind: ServiceLevel, Amount: amount}
--- a/placer.go
+++ b/placer.go
@@ -6,16 +6,16 @@
 	"flaxshelf.example/flaxshelf/internal/machineindex"
 )
 
-// randomStream is the second word of the seed, which schedulers share.
+// randomStream is the second half of the generator's seed. It is the same for all schedulers.
 const randomStream = 0x9e3779b97f4a7c15
 
-// Placer makes the decisions of one scheduler. It is not safe for concurrent use: one goroutine owns it.
+// Placer makes the decisions of one scheduler. It is not safe for concurrent use.
 type Placer struct {
 	cfg      Config
 	disabled [constraintCount]bool // by Disable
 
-	// random draws from randomSource, which the vote also reads directly. Equal inputs give equal decisions
-	// only as long as the sequence of draws stays the same.
+	// random draws from randomSource, which the vote also reads directly. Equal inputs give equal decisions only while the
+	// sequence of draws is the same.
 	randomSource *rand.PCG
 	random       *rand.Rand
 
@@ -25,8 +25,8 @@
 	actions   []Action // of the step in progress
 
 	machines        map[string]*machine
-	machinesByID    []*machine // in the order of their IDs
-	removedMachines []*machine // removed when they were added; they may be back since
+	machinesByID    []*machine // in the order of their IDs; after refresh, by their numbers in index
+	removedMachines []*machine // removed when they were appended; may have been listed again since
 	index           *machineindex.Index
 	conditions      conditions
 	voteBuffers     voteBuffers
@@ -35,8 +35,8 @@
 	infeasible map[equivalenceClass]bool
 
 	tasks       map[string]*task
-	openTasks   []*task // submitted and not settled, in the order in which they are served
-	sortBuffer  []*task
+	openTasks   []*task         // submitted and not settled, in the order in which they are served
+	sortBuffer  []*task         // reused by sortOpenTasks
 	tenantCores map[int]float64 // requested by this scheduler's active attempts, by tenant
 
 	history   *machineindex.History // the placements that the vote replays
@@ -45,15 +45,15 @@
 	latencyMean      float64 // seconds from offer to AttemptPlaced, smoothed
 	latencyDeviation float64 // seconds, smoothed
 
-	timerDue          Time // the earliest timer that has not fired; 0: none
-	subscribeAt       Time // when to subscribe next; 0: not needed
+	timerDue          Time // the earliest timer that has not fired; zero means none
+	subscribeAt       Time // when to subscribe next; zero means never
 	discoveryFailures int  // in a row
 
-	unknownClass Class // of tasks whose class the settings don't name
+	unknownClass Class // of tasks whose class is not in the settings
 }
 
-// New makes the Placer of one scheduler. Equal settings, seeds and events give equal actions. It returns a
-// *ConfigError for settings that make no sense.
+// New returns the Placer of one scheduler. Equal settings, seeds and events give equal actions. Invalid settings give a
+// *ConfigError.
 func New(cfg Config, seed uint64) (*Placer, error) {
 	if err := validate(&cfg); err != nil {
 		return nil, err
--- a/retention.go
+++ b/retention.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// Retention: how long placements and machines are remembered.
+// Retention: how long placements and machines are remembered, and what is forgotten early.
 
 // pruneHistory drops placements that are too old, too many or forgotten.
 func (p *Placer) pruneHistory() { p.history.Prune(p.now - p.historyReach()) }
 
-// historyReach returns how far back the history goes.
+// historyReach returns the age beyond which placements are dropped from the history.
 func (p *Placer) historyReach() time.Duration {
 	return time.Duration(historyLifetimes * float64(p.longestMeanLifetime()))
 }
@@ -36,15 +36,15 @@
 	p.forgetMachinePlacements(m)
 }
 
-// forgetUnstartedPlacement takes the placement of an attempt that never ran out of the history.
+// forgetUnstartedPlacement removes the placement of an attempt that never ran from the history.
 func (p *Placer) forgetUnstartedPlacement(a *attempt) {
 	if !p.disabled[ForgetUnstartedPlacements] {
 		p.history.Forget(a.placement)
 	}
 }
 
-// forgetMachinePlacements takes the placements on a removed or restarted machine out of the history. The plain replay
-// would keep them, and the machine would look full after its next start.
+// forgetMachinePlacements removes the placements on a removed or restarted machine from the history. With them the machine
+// would look full after its next start.
 func (p *Placer) forgetMachinePlacements(m *machine) {
 	if !p.disabled[ForgetRemovedPlacements] {
 		p.history.ForgetMachine(m.entry, p.now)
--- a/rule_checker_test.go
+++ b/rule_checker_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// ruleChecker follows a run from the outside, by events and actions alone, and checks the five rules of placement. It
-// shares no bookkeeping with the Placer.
+// ruleChecker follows a run by its events and actions alone and checks the five rules of placement. It shares no records
+// with the Placer.
 type ruleChecker struct {
 	t            *testing.T
 	cfg          Config
@@ -18,12 +18,14 @@
 	offeredAt    map[string][]Time // offers to each machine in slow start
 }
 
+// checkedTask is a task as the checker has seen it.
 type checkedTask struct {
 	task     Task
 	answered bool
 	attempts []checkedAttempt
 }
 
+// checkedAttempt is an attempt as the checker has seen it.
 type checkedAttempt struct {
 	machine    string
 	sentAt     Time
@@ -31,26 +33,27 @@
 	mayHaveRun bool
 }
 
-// newRuleChecker checks a scheduler that starts at now.
+// newRuleChecker makes the checker of a scheduler that starts at now.
 func newRuleChecker(t *testing.T, cfg Config, now Time) *ruleChecker {
+	t.Helper()
 	return &ruleChecker{t: t, cfg: cfg, now: now, startedAt: now, machines: map[string]Machine{},
 		stoppedSince: map[string]Time{}, tasks: map[string]*checkedTask{}, offeredAt: map[string][]Time{}}
 }
 
-// event follows an event that the scheduler is given.
-func (k *ruleChecker) event(e Event) {
+// event records an event that the scheduler is about to process.
+func (c *ruleChecker) event(e Event) {
 	switch e := e.(type) {
 	case MachinesUpdated:
-		k.machinesUpdated(e)
+		c.machinesUpdated(e)
 	case TaskSubmitted:
-		k.tasks[e.Task.ID] = &checkedTask{task: e.Task}
+		c.tasks[e.Task.ID] = &checkedTask{task: e.Task}
 	case TaskAdopted:
-		k.tasks[e.Task.ID] = &checkedTask{task: e.Task, answered: true,
-			attempts: []checkedAttempt{{machine: e.Machine, sentAt: k.now, active: true, mayHaveRun: true}}}
+		c.tasks[e.Task.ID] = &checkedTask{task: e.Task, answered: true,
+			attempts: []checkedAttempt{{machine: e.Machine, sentAt: c.now, active: true, mayHaveRun: true}}}
 	case AttemptPlaced:
-		k.tasks[e.Task].answered = true
+		c.tasks[e.Task].answered = true
 	case AttemptEnded:
-		task := k.tasks[e.Task]
+		task := c.tasks[e.Task]
 		attempt := &task.attempts[e.Attempt]
 		attempt.active = false
 		attempt.mayHaveRun = e.Outcome != Rejected && e.Outcome != Unreachable && e.Outcome != NotSent
@@ -58,179 +61,179 @@
 	}
 }
 
-func (k *ruleChecker) machinesUpdated(e MachinesUpdated) {
+func (c *ruleChecker) machinesUpdated(e MachinesUpdated) {
 	named := map[string]bool{}
 	for _, m := range e.Machines {
 		named[m.ID] = true
-		k.machines[m.ID] = m
+		c.machines[m.ID] = m
 		if m.State == Active {
-			delete(k.stoppedSince, m.ID)
-		} else if _, ok := k.stoppedSince[m.ID]; !ok {
-			k.stoppedSince[m.ID] = k.now
+			delete(c.stoppedSince, m.ID)
+		} else if _, ok := c.stoppedSince[m.ID]; !ok {
+			c.stoppedSince[m.ID] = c.now
 		}
 	}
-	for id := range k.machines {
-		if _, ok := k.stoppedSince[id]; e.Complete && !named[id] && !ok {
-			k.stoppedSince[id] = k.now
+	for id := range c.machines {
+		if _, ok := c.stoppedSince[id]; e.Complete && !named[id] && !ok {
+			c.stoppedSince[id] = c.now
 		}
 	}
 }
 
 // action checks an action of the scheduler.
-func (k *ruleChecker) action(action Action) {
+func (c *ruleChecker) action(action Action) {
 	switch action := action.(type) {
 	case Offer:
-		k.offer(action)
+		c.offer(action)
 	case Reject:
-		k.checkRejection(action)
-		k.answer(action.Task)
+		c.checkRejection(action)
+		c.answer(action.Task)
 	case Fail:
-		k.answer(action.Task)
+		c.answer(action.Task)
 	}
 }
 
-// checkRejection: a rejection promises that a retry does no harm.
-func (k *ruleChecker) checkRejection(reject Reject) {
-	task := k.tasks[reject.Task]
-	class := k.cfg.Classes[task.task.Class]
+// checkRejection checks that a retry after a rejection does no harm.
+func (c *ruleChecker) checkRejection(reject Reject) {
+	task := c.tasks[reject.Task]
+	class := c.cfg.Classes[task.task.Class]
 	if class.Idempotency == Idempotent || class.Idempotency == IdempotentByKey && class.KeyDomain == FleetDomain {
 		return
 	}
 	for _, attempt := range task.attempts {
 		if attempt.mayHaveRun {
-			k.t.Errorf("%v: rejected %s, which may have run", k.now, reject.Task)
+			c.t.Errorf("%v: rejected %s, which may have run", c.now, reject.Task)
 		}
 	}
 }
 
-// answer checks that each task has one final answer, before its deadline.
-func (k *ruleChecker) answer(id string) {
-	task := k.tasks[id]
+// answer checks that a task has one final answer, before its deadline.
+func (c *ruleChecker) answer(id string) {
+	task := c.tasks[id]
 	if task.answered {
-		k.t.Errorf("%v: second answer for %s", k.now, id)
+		c.t.Errorf("%v: second answer for %s", c.now, id)
 	}
-	if k.now >= task.task.Deadline {
-		k.t.Errorf("%v: %s answered after %v", k.now, id, task.task.Deadline)
+	if c.now >= task.task.Deadline {
+		c.t.Errorf("%v: %s answered after %v", c.now, id, task.task.Deadline)
 	}
 	task.answered = true
 }
 
-// checkAnswered fails where a task is open a while after its deadline.
-func (k *ruleChecker) checkAnswered() {
-	for id, task := range k.tasks {
-		overdue := k.now-task.task.Deadline > 12*millisecond
-		if !task.answered && overdue && task.task.Deadline > k.startedAt {
-			k.t.Fatalf("%v: %s has no answer", k.now, id)
+// checkAnswered checks that no task is open 12 ms after its deadline.
+func (c *ruleChecker) checkAnswered() {
+	for id, task := range c.tasks {
+		overdue := c.now-task.task.Deadline > 12*millisecond
+		if !task.answered && overdue && task.task.Deadline > c.startedAt {
+			c.t.Fatalf("%v: %s has no answer", c.now, id)
 		}
 	}
 }
 
-// domainOf names the domain of a machine.
-func (k *ruleChecker) domainOf(reach TopologyDomain, machine string) string {
-	switch reach {
+// domainOf returns the name of the domain of a machine.
+func (c *ruleChecker) domainOf(scope TopologyDomain, machine string) string {
+	switch scope {
 	case MachineDomain:
 		return machine
 	case CellDomain:
-		return fmt.Sprint("cell", k.machines[machine].Cell)
+		return fmt.Sprint("cell", c.machines[machine].Cell)
 	case ZoneDomain:
-		return "zone" + k.machines[machine].Zone
+		return "zone" + c.machines[machine].Zone
 	}
 	return ""
 }
 
-// offer checks all that holds of an offer.
-func (k *ruleChecker) offer(offer Offer) {
-	task := k.tasks[offer.Task]
-	class := k.cfg.Classes[task.task.Class]
-	k.checkTimes(offer, task)
-	k.checkMachine(offer, class)
-	k.checkRetry(offer, task, class)
+// offer checks an offer by all rules.
+func (c *ruleChecker) offer(offer Offer) {
+	task := c.tasks[offer.Task]
+	class := c.cfg.Classes[task.task.Class]
+	c.checkTimes(offer, task)
+	c.checkMachine(offer, class)
+	c.checkRetry(offer, task, class)
 	task.attempts = append(task.attempts,
-		checkedAttempt{machine: offer.Machine, sentAt: k.now, active: true, mayHaveRun: true})
-	k.checkSpread(offer, task, class)
-	k.checkSlowStart(offer, k.machines[offer.Machine])
+		checkedAttempt{machine: offer.Machine, sentAt: c.now, active: true, mayHaveRun: true})
+	c.checkSpread(offer, task, class)
+	c.checkSlowStart(offer, c.machines[offer.Machine])
 }
 
-func (k *ruleChecker) checkTimes(offer Offer, task *checkedTask) {
-	if task.answered || k.now >= task.task.Deadline {
-		k.t.Errorf("%v: offer for %s after its end", k.now, offer.Task)
+func (c *ruleChecker) checkTimes(offer Offer, task *checkedTask) {
+	if task.answered || c.now >= task.task.Deadline {
+		c.t.Errorf("%v: offer for %s after its end", c.now, offer.Task)
 	}
-	if k.now+offer.Timeout > task.task.Deadline {
-		k.t.Errorf("%v: time-out of %s is after its deadline", k.now, offer.Task)
+	if c.now+offer.Timeout > task.task.Deadline {
+		c.t.Errorf("%v: time-out of %s is after its deadline", c.now, offer.Task)
 	}
 }
 
-func (k *ruleChecker) checkMachine(offer Offer, class Class) {
-	machine, ok := k.machines[offer.Machine]
+func (c *ruleChecker) checkMachine(offer Offer, class Class) {
+	machine, ok := c.machines[offer.Machine]
 	if !ok {
-		k.t.Errorf("%v: offer to unlisted %s", k.now, offer.Machine)
+		c.t.Errorf("%v: offer to unlisted %s", c.now, offer.Machine)
 	}
-	if since, ok := k.stoppedSince[offer.Machine]; ok && k.now-since >= 0 {
-		k.t.Errorf("%v: offer to %s, draining or removed since %v", k.now, offer.Machine, since)
+	if since, ok := c.stoppedSince[offer.Machine]; ok && c.now-since >= 0 {
+		c.t.Errorf("%v: offer to %s, draining or removed since %v", c.now, offer.Machine, since)
 	}
 	if class.Kind >= 0 && class.Kind != machine.Kind {
-		k.t.Errorf("%v: wrong kind for %s", k.now, offer.Task)
+		c.t.Errorf("%v: wrong kind for %s", c.now, offer.Task)
 	}
 }
 
-// checkRetry: a further attempt must do no harm.
-func (k *ruleChecker) checkRetry(offer Offer, task *checkedTask, class Class) {
-	if len(task.attempts) >= k.cfg.MaxAttempts {
-		k.t.Errorf("%v: too many attempts of %s", k.now, offer.Task)
+// checkRetry checks that a further attempt does no harm.
+func (c *ruleChecker) checkRetry(offer Offer, task *checkedTask, class Class) {
+	if len(task.attempts) >= c.cfg.MaxAttempts {
+		c.t.Errorf("%v: too many attempts of %s", c.now, offer.Task)
 	}
 	for _, attempt := range task.attempts {
 		if attempt.active {
-			k.t.Errorf("%v: two active attempts of %s", k.now, offer.Task)
+			c.t.Errorf("%v: two active attempts of %s", c.now, offer.Task)
 		}
 		if !attempt.mayHaveRun || class.Idempotency == Idempotent {
 			continue
 		}
-		sameDomain := k.domainOf(class.KeyDomain, attempt.machine) == k.domainOf(class.KeyDomain, offer.Machine)
-		if class.Idempotency == NonIdempotent || !sameDomain || k.now-attempt.sentAt >= class.KeyTTL {
-			k.t.Errorf("%v: %s may have run, offered again to %s", k.now, offer.Task, offer.Machine)
+		sameDomain := c.domainOf(class.KeyDomain, attempt.machine) == c.domainOf(class.KeyDomain, offer.Machine)
+		if class.Idempotency == NonIdempotent || !sameDomain || c.now-attempt.sentAt >= class.KeyTTL {
+			c.t.Errorf("%v: %s may have run, offered again to %s", c.now, offer.Task, offer.Machine)
 		}
 	}
 }
 
-func (k *ruleChecker) checkSpread(offer Offer, task *checkedTask, class Class) {
+func (c *ruleChecker) checkSpread(offer Offer, task *checkedTask, class Class) {
 	if class.SpreadDomain == NoDomain {
 		return
 	}
-	count, domain := 0, k.domainOf(class.SpreadDomain, offer.Machine)
-	for _, other := range k.tasks {
+	count, domain := 0, c.domainOf(class.SpreadDomain, offer.Machine)
+	for _, other := range c.tasks {
 		for _, attempt := range other.attempts {
 			if attempt.active && other.task.Service == task.task.Service &&
-				k.domainOf(class.SpreadDomain, attempt.machine) == domain {
+				c.domainOf(class.SpreadDomain, attempt.machine) == domain {
 				count++
 			}
 		}
 	}
 	if count > class.MaxPerDomain {
-		k.t.Errorf("%v: %d tasks of %s together", k.now, count, task.task.Service)
+		c.t.Errorf("%v: %d tasks of %s together", c.now, count, task.task.Service)
 	}
 }
 
-func (k *ruleChecker) checkSlowStart(offer Offer, machine Machine) {
-	if machine.Started == 0 || k.now > machine.Started+k.cfg.SlowStartDuration {
+func (c *ruleChecker) checkSlowStart(offer Offer, machine Machine) {
+	if machine.Started == 0 || c.now > machine.Started+c.cfg.SlowStartDuration {
 		return
 	}
-	if k.startedAt > machine.Started && k.now < k.startedAt+k.cfg.OverloadWindow {
-		k.t.Errorf("%v: offer to %s in slow start with an unknown budget", k.now, offer.Machine)
+	if c.startedAt > machine.Started && c.now < c.startedAt+c.cfg.OverloadWindow {
+		c.t.Errorf("%v: offer to %s in slow start with an unknown budget", c.now, offer.Machine)
 	}
-	k.offeredAt[offer.Machine] = append(k.offeredAt[offer.Machine], k.now)
+	c.offeredAt[offer.Machine] = append(c.offeredAt[offer.Machine], c.now)
 	count := 0
-	for _, at := range k.offeredAt[offer.Machine] {
-		if at >= machine.Started && k.now-at <= k.cfg.OverloadWindow {
+	for _, at := range c.offeredAt[offer.Machine] {
+		if at >= machine.Started && c.now-at <= c.cfg.OverloadWindow {
 			count++
 		}
 	}
 	// An equal number of whole offers, and one more in a slot where these leave one over. That all schedulers together
 	// stay within the budget is checked by TestSlowStartBudgetOfFleet.
-	budget := int(k.cfg.SlowStartBudget / float64(k.cfg.Schedulers))
-	if k.cfg.SlowStartBudget-float64(budget*k.cfg.Schedulers) >= 1 {
+	budget := int(c.cfg.SlowStartBudget / float64(c.cfg.Schedulers))
+	if c.cfg.SlowStartBudget-float64(budget*c.cfg.Schedulers) >= 1 {
 		budget++
 	}
 	if count > budget {
-		k.t.Errorf("%v: %d offers to %s in slow start", k.now, count, offer.Machine)
+		c.t.Errorf("%v: %d offers to %s in slow start", c.now, count, offer.Machine)
 	}
 }
--- a/rules_test.go
+++ b/rules_test.go
@@ -8,23 +8,21 @@
 	"time"
 )
 
-// randomRun plays one sequence of random events and checks the rules on the way.
+// randomRun is the result of one sequence of random events.
 type randomRun struct {
 	actions  string
 	offers   int
 	failures int
 }
 
+// playRandomEvents plays one sequence of random events and checks the rules at each step.
 func playRandomEvents(t *testing.T, seed uint64) (run randomRun) {
 	t.Helper()
 	random := rand.New(rand.NewPCG(seed, 5))
 	cfg := randomConfig(random)
 	checker := newRuleChecker(t, cfg, time.Second)
 	source := &eventSource{random: random, checker: checker}
-	p, err := New(cfg, seed)
-	if err != nil {
-		t.Fatal(err)
-	}
+	p := newPlacer(t, cfg, seed)
 	events := []Event{MachinesUpdated{Complete: true, Stale: true, Machines: []Machine{
 		{ID: "m0", Zone: "z0"}, {ID: "m1", Zone: "z1", Cell: 1, Kind: 1}}}}
 	var log strings.Builder
@@ -51,8 +49,8 @@
 	return run
 }
 
-// Random sequences of events keep the rules, and equal sequences give equal actions.
-func TestRulesUnderRandomEvents(t *testing.T) {
+// Equal sequences also give equal actions.
+func TestRandomEventsBreakNoRule(t *testing.T) {
 	offers, failures := 0, 0
 	for seed := range uint64(60) {
 		first, second := playRandomEvents(t, seed), playRandomEvents(t, seed)
@@ -66,6 +64,6 @@
 		failures += first.failures + second.failures
 	}
 	if offers < 10000 || failures < 100 {
-		t.Errorf("%d offers, %d failures: the random events exercise too little", offers, failures)
+		t.Errorf("got %d offers and %d failures, want at least 10000 and 100", offers, failures)
 	}
 }
--- a/selection.go
+++ b/selection.go
@@ -1,9 +1,9 @@
 package flaxshelf
 
-// A machine for a task is chosen in three steps: hard constraints, which are never relaxed, soft constraints,
-// which give way in a fixed order, and the replay vote among the machines that are left.
+// A machine for a task is chosen in three steps: hard constraints, which are never relaxed, soft constraints, of which the
+// later ones are skipped where they would leave too few machines, and the replay vote among the remaining candidates.
 
-// equivalenceClass is what decides, before a task's first offer, whether any machine is left for it. Tasks with equal
+// equivalenceClass is what determines, before a task's first offer, whether any machine may take it. Tasks with equal
 // fields share the answer within a step.
 type equivalenceClass struct {
 	class        int
@@ -13,7 +13,7 @@
 	nearDeadline bool
 }
 
-// chooseMachine picks a machine for t; nil where none may take it now.
+// chooseMachine returns the machine to offer t to; nil where none may take it now.
 func (p *Placer) chooseMachine(t *task) *machine {
 	p.refresh()
 	request := equivalenceClass{
--- a/slow_start.go
+++ b/slow_start.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// Slow start: a machine that has just started bears Config.SlowStartBudget offers of all schedulers together
-// within any Config.OverloadWindow. Schedulers divide that budget without communication.
+// Slow start: a machine that has just started may be sent Config.SlowStartBudget offers of all schedulers together within
+// any Config.OverloadWindow. Schedulers divide that budget without communication.
 
-// hasSlowStartBudget reports whether this scheduler may make one more offer to a machine in slow start. The
-// window is wider than the overload window because offers sent apart may arrive together. A scheduler that
-// started after the machine can't know what it sent before, so its budget counts as spent for a window.
+// hasSlowStartBudget reports whether this scheduler may make one more offer to a machine in slow start. The window is wider
+// than the overload window because offers that were sent apart may arrive together. A scheduler that started after the
+// machine can't know what it sent before, so its budget counts as spent for a window.
 //
 // What remains of the budget when each scheduler has an equal number of whole offers is used in slots.
 func (p *Placer) hasSlowStartBudget(m *machine) bool {
@@ -34,12 +34,11 @@
 	return budget > 0
 }
 
-// inSlowStartSlot reports whether this scheduler has a slot for one further offer to a machine in slow start.
-// Slots follow from the machine, its start, this scheduler's index and the number of schedulers alone: they
-// begin one interval apart and each lasts an overload window. So an offer sent within any one window belongs
-// to a slot that began within two, and the interval is such that these are never more than the budget; with
-// tasks waiting at each scheduler, half of it is used. Schedulers that count each other wrongly, as two with
-// one index, exceed the budget.
+// inSlowStartSlot reports whether this scheduler has a slot for one further offer to a machine in slow start. Slots are
+// derived from the machine, its start, this scheduler's index and the number of schedulers alone: they begin one interval
+// apart and each lasts an overload window. So an offer sent within any one window belongs to a slot that began within two,
+// and the interval is such that these are never more than the budget; where tasks are queued at each scheduler, half of it
+// is used. Schedulers with a wrong count of each other, such as two with one index, exceed the budget.
 func (p *Placer) inSlowStartSlot(m *machine, budget float64) bool {
 	interval := time.Duration(float64(2*p.cfg.OverloadWindow)/budget) + 1
 	schedulers := uint64(p.cfg.Schedulers)
@@ -57,10 +56,12 @@
 	m.slowStartOffers = append(slices.DeleteFunc(m.slowStartOffers, expired), p.now)
 }
 
+// inSlowStart reports whether m started so recently that its offers are limited.
 func (p *Placer) inSlowStart(m *machine) bool {
 	return m.Started > 0 && p.cfg.OverloadWindow > 0 && p.now < p.slowStartEnd(m)
 }
 
+// slowStartEnd returns when the slow start of m ends.
 func (p *Placer) slowStartEnd(m *machine) Time {
 	return m.Started + p.cfg.SlowStartDuration + p.cfg.OverloadWindow
 }
--- a/slow_start_test.go
+++ b/slow_start_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// A scheduler has an equal part of the budget; unanswered offers count.
-func TestSlowStartBudgetPerScheduler(t *testing.T) {
+// Unanswered offers count.
+func TestSlowStartBudgetIsDividedBySchedulers(t *testing.T) {
 	cfg := testConfig()
 	cfg.Schedulers, cfg.SlowStartBudget = 3, 12
 	p := startPlacer(t, cfg, nil)
@@ -20,30 +20,26 @@
 		events = append(events, submit(fmt.Sprint("t", i), 0, now+5*time.Second))
 	}
 	if n := len(offersOf(p.Step(now, events))); n != 4 {
-		t.Errorf("offers at once: %d, want 12/3", n)
+		t.Errorf("got %d offers in one step, want 12/3", n)
 	}
 	if n := len(offersOf(p.Step(now+900*millisecond, []Event{TimerFired{}}))); n != 0 {
-		t.Errorf("within the window: %d more", n)
+		t.Errorf("got %d more offers within the window, want none", n)
 	}
 	if n := len(offersOf(p.Step(now+1600*millisecond, []Event{TimerFired{}}))); n != 4 {
-		t.Errorf("after the window: %d, want 4", n)
+		t.Errorf("got %d offers after the window, want 4", n)
 	}
 }
 
-// With far more schedulers than offers in the budget: all of them together, each with tasks waiting all the time, stay
-// within the budget in any window, and use a good part of it.
-func TestSlowStartSlotsOfManySchedulers(t *testing.T) {
+// There are far more schedulers than offers in the budget, and tasks are queued at each of them all the time. They also use
+// a good part of the budget.
+func TestManySchedulersStayWithinSlowStartBudget(t *testing.T) {
 	cfg := testConfig()
 	cfg.Schedulers, cfg.SlowStartBudget = 300, 24
 	offeredAt := map[string][]Time{}
 	var placers []*Placer
 	for i := range cfg.Schedulers {
 		cfg.Index = i
-		p, err := New(cfg, uint64(i))
-		if err != nil {
-			t.Fatal(err)
-		}
-		placers = append(placers, p)
+		placers = append(placers, newPlacer(t, cfg, uint64(i)))
 	}
 	machines := testMachines(3)
 	for i := range machines {
@@ -60,36 +56,39 @@
 			}
 			for _, offer := range offersOf(p.Step(now, events)) {
 				offeredAt[offer.Machine] = append(offeredAt[offer.Machine], now)
-				p.Step(now, []Event{AttemptEnded{Task: offer.Task, Machine: offer.Machine, Outcome: Completed, Final: true}})
+				ended := endOf(offer, Completed)
+				ended.Final = true
+				p.Step(now, []Event{ended})
 			}
 		}
 	}
 	for id, times := range offeredAt {
 		most := maxWithin(cfg.OverloadWindow, times)
 		if most > int(cfg.SlowStartBudget) || len(times) < 2*int(cfg.SlowStartBudget) {
-			t.Errorf("%s: %d offers in a window, %d in all", id, most, len(times))
+			t.Errorf("%s: got %d offers in a window and %d in all, want at most %v and at least twice that",
+				id, most, len(times), cfg.SlowStartBudget)
 		}
 	}
 	if len(offeredAt) != len(machines) {
-		t.Errorf("offers went to %d machines", len(offeredAt))
+		t.Errorf("offers to %d machines, want %d", len(offeredAt), len(machines))
 	}
 }
 
-// A restarted scheduler can't know what it sent, so its part of the budget counts as spent.
-func TestSlowStartBudgetUnknownAfterRestart(t *testing.T) {
-	p, _ := New(testConfig(), 1)
+// A restarted scheduler does not know what it offered before.
+func TestSlowStartBudgetCountsAsSpentAfterRestart(t *testing.T) {
+	p := newPlacer(t, testConfig(), testSeed)
 	now := 10 * time.Second
 	actions := p.Step(now, []Event{
 		MachinesUpdated{Complete: true, Stale: true, Machines: []Machine{{ID: "new", Started: now - time.Second}}},
 		submit("t", 0, now+5*time.Second)})
 	if len(offersOf(actions)) != 0 {
-		t.Fatalf("offered to a machine in slow start right after the own start: %v", actions)
+		t.Fatalf("got %v right after the scheduler's own start, want no offer", actions)
 	}
 	onlyOffer(t, p.Step(now+1600*millisecond, []Event{TimerFired{}}))
 }
 
-// slowStartFleet is schedulers that all have work for one machine that has just started; the other machine of the fleet is
-// full.
+// slowStartFleet is a number of schedulers that all have tasks for one machine that has just started; the other machine of
+// the fleet is full.
 type slowStartFleet struct {
 	t          *testing.T
 	cfg        Config
@@ -99,11 +98,11 @@
 	schedulers []*slowStartScheduler
 }
 
-// slowStartScheduler is one of them.
+// slowStartScheduler is one scheduler of a slowStartFleet.
 type slowStartScheduler struct {
 	placer    *Placer
 	learnsAt  Time // when its machine list names the machine
-	restartAt Time // 0: never
+	restartAt Time // zero means never
 	listed    bool
 	submitted int
 	next      []Event // of its next step
@@ -129,19 +128,16 @@
 	return f
 }
 
-// start starts a scheduler, which knows the full machine alone.
+// start starts a scheduler whose machine list has the full machine alone.
 func (f *slowStartFleet) start(s *slowStartScheduler, index int, now Time, seed uint64) {
 	f.t.Helper()
 	cfg := f.cfg
 	cfg.Index = index
-	var err error
-	if s.placer, err = New(cfg, seed); err != nil {
-		f.t.Fatal(err)
-	}
+	s.placer = newPlacer(f.t, cfg, seed)
 	s.placer.Step(now, []Event{MachinesUpdated{Complete: true, Machines: []Machine{{ID: "full", Zone: "a"}}}})
 }
 
-// run returns when offers reached the machine during its slow start, in order.
+// run returns the times, in order, at which offers reached the machine during its slow start.
 func (f *slowStartFleet) run() (offeredAt []Time) {
 	const step = 20 * millisecond
 	for now := f.machine.Started; now < f.machine.Started+f.cfg.SlowStartDuration; now += step {
@@ -160,7 +156,7 @@
 	return offeredAt
 }
 
-// step makes a step of one scheduler and returns how many offers the machine in slow start gets.
+// step makes a step of one scheduler and returns the number of offers to the machine in slow start.
 func (f *slowStartFleet) step(s *slowStartScheduler, index int, now Time) (offers int) {
 	events := s.next
 	s.next = nil
@@ -175,17 +171,19 @@
 		events = append(events, e)
 	}
 	for _, offer := range offersOf(s.placer.Step(now, events)) {
-		end := AttemptEnded{Task: offer.Task, Machine: offer.Machine, Outcome: Rejected, Reason: InsufficientCores}
+		ended := endOf(offer, Rejected)
+		ended.Reason = InsufficientCores
 		if offer.Machine == f.machine.ID {
 			offers++
-			end = AttemptEnded{Task: offer.Task, Machine: offer.Machine, Outcome: Completed, Final: true}
+			ended = endOf(offer, Completed)
+			ended.Final = true
 		}
-		s.next = append(s.next, end)
+		s.next = append(s.next, ended)
 	}
 	return offers
 }
 
-// maxWithin is the most times within any window of that length.
+// maxWithin returns the largest number of times within any window of the given length.
 func maxWithin(window time.Duration, times []Time) (most int) {
 	first := 0
 	for last := range times {
@@ -197,27 +195,35 @@
 	return most
 }
 
-// Whatever the numbers of schedulers and offers, with fractions of an offer for each, restarts of schedulers during the
-// slow start and a start that schedulers learn of at different times: all together stay within the budget. Where tasks
-// wait at each, they use half of it, less what restarted schedulers don't use.
+// The schedulers together stay within the budget, for fractions of an offer for each, restarts of schedulers during the slow
+// start, and a start that schedulers learn of at different times. Since tasks are queued at each, they use half of it, less
+// what restarted schedulers don't use.
 func TestSlowStartBudgetOfFleet(t *testing.T) {
 	for _, schedulers := range []int{1, 3, 4, 20, 30, 100} {
 		for _, budget := range []float64{2, 3.5, 7, 12.4, 25} {
 			for seed, restarts := range []bool{false, true} {
-				fleet := newSlowStartFleet(t, schedulers, budget, restarts, uint64(seed))
-				offeredAt, cfg := fleet.run(), fleet.cfg
-				most := maxWithin(cfg.OverloadWindow, offeredAt)
-				// All have learnt of the start after a second.
-				windows := float64(cfg.SlowStartDuration-time.Second) / float64(cfg.OverloadWindow)
-				used, least := float64(len(offeredAt))/windows, budget/2
-				if restarts {
-					least *= 0.8
-				}
-				if most > int(math.Ceil(budget)) || used < least {
-					t.Errorf("%d schedulers, budget %v, restarts %v: %d at most in a window, %.2f on average",
-						schedulers, budget, restarts, most, used)
-				}
+				name := fmt.Sprintf("schedulers=%d/budget=%v/restarts=%v", schedulers, budget, restarts)
+				t.Run(name, func(t *testing.T) {
+					newSlowStartFleet(t, schedulers, budget, restarts, uint64(seed)).checkBudget(restarts)
+				})
 			}
 		}
 	}
 }
+
+// checkBudget checks the number of offers in any window and on average.
+func (f *slowStartFleet) checkBudget(restarts bool) {
+	f.t.Helper()
+	offeredAt, budget := f.run(), f.cfg.SlowStartBudget
+	most := maxWithin(f.cfg.OverloadWindow, offeredAt)
+	// All have learnt of the start after a second.
+	windows := float64(f.cfg.SlowStartDuration-time.Second) / float64(f.cfg.OverloadWindow)
+	used, least := float64(len(offeredAt))/windows, budget/2
+	if restarts {
+		least *= 0.8
+	}
+	if most > int(math.Ceil(budget)) || used < least {
+		f.t.Errorf("got %d offers at most in a window and %.2f on average, want at most %v and at least %.2f",
+			most, used, math.Ceil(budget), least)
+	}
+}
--- a/task.go
+++ b/task.go
@@ -8,11 +8,11 @@
 	class       *Class
 	submittedAt Time
 	attempts    []attempt
-	settled     bool // it has its final answer, or needs none
+	settled     bool // it has its final answer or needs none
 	placed      bool // by one of its attempts
 	queueRank   int  // among the open tasks of this step, see queueRankOf
 
-	// Machines that answered it with an error which is not attributed to machine or task yet.
+	// Machines that answered it with an error that is not attributed to the machine or the task yet.
 	unattributedFailures []*machine
 }
 
@@ -26,11 +26,12 @@
 	neverRan  bool // its outcome proves that the task was not started
 	migrating bool // Migrate was emitted for it
 
-	// When poor service was last reported, and since when nothing better was. See migrateIfUnderserved.
+	// When poor service was last reported, and since when every report was poor. See migrateIfUnderserved.
 	poorServiceAt    Time
 	poorServiceSince Time
 }
 
+// addTask makes the record of a task that is submitted or adopted now.
 func (p *Placer) addTask(spec Task) *task {
 	t := &task{Task: spec, class: &p.unknownClass, submittedAt: p.now}
 	if spec.Class >= 0 && spec.Class < len(p.cfg.Classes) {
@@ -40,7 +41,7 @@
 	return t
 }
 
-// findAttempt finds an attempt by its task's ID and its number. Either result is nil where it is unknown.
+// findAttempt returns a task by its ID and one of its attempts by number. Either is nil where it is unknown.
 func (p *Placer) findAttempt(taskID string, number int) (*task, *attempt) {
 	t := p.tasks[taskID]
 	if t == nil || number < 0 || number >= len(t.attempts) {
@@ -71,7 +72,7 @@
 	p.tenantCores[t.Tenant] += t.Cores
 }
 
-// releasePlacement reverses the counts of recordPlacement when the attempt has ended.
+// releasePlacement undoes the counts of recordPlacement when the attempt has ended.
 func (p *Placer) releasePlacement(t *task, m *machine) {
 	p.index.RemoveAttempt(t.Service, m.entry)
 	p.invalidate(m)
@@ -87,7 +88,7 @@
 	p.recordStart(t, a)
 }
 
-// forgetIfSettled drops a task that is settled and has no active attempt.
+// forgetIfSettled deletes a task that is settled and has no active attempt.
 func (p *Placer) forgetIfSettled(t *task) {
 	if t.settled && t.activeAttempt() == nil {
 		delete(p.tasks, t.ID)
--- a/vote.go
+++ b/vote.go
@@ -124,9 +124,9 @@
 	}
 }
 
-// leastLoaded returns the index of the least value. A tie goes to the higher affinity, and a tie in that too is drawn:
-// with few placements most machines tie at none, and a draw alone would start every service on each of its preferred
-// machines.
+// leastLoaded returns the index of the least value. A tie goes to the higher affinity, and a tie in that too is broken by
+// a random draw. With few placements most machines tie at 0, and a draw alone would start every service on each of its
+// preferred machines.
 func (p *Placer) leastLoaded(list []machineindex.Candidate, value []float64) int {
 	best, ties := 0, 1
 	for i := 1; i < len(list); i++ {
--- a/vote_test.go
+++ b/vote_test.go
@@ -10,30 +10,26 @@
 )
 
 // With expected runtimes each survival is 1 or 0, so every run votes for the machine whose task has ended.
-func TestVotePicksMachineWithoutLivingTask(t *testing.T) {
+func TestVoteChoosesMachineWithoutRunningTask(t *testing.T) {
 	p := startPlacer(t, testConfig(), testMachines(3))
 	p.now = 10 * time.Second
 	for i, runtime := range []time.Duration{20 * time.Second, time.Second, 20 * time.Second} {
-		p.index.AddPlacement(&machineindex.Placement{
-			Machine: p.machinesByID[i].entry, OfferedAt: 5 * time.Second, Cores: 4, Memory: 1, ExpectedRuntime: runtime})
+		addPlacement(p, i, machineindex.Placement{OfferedAt: 5 * time.Second, Cores: 4, Memory: 1, ExpectedRuntime: runtime})
 	}
 	for range 50 {
 		if m := p.vote(allCandidates(p)); m.ID != "m1" {
-			t.Fatalf("chose %s, though only m1's task has ended", m.ID)
+			t.Fatalf("chose %s, want m1, whose task alone has ended", m.ID)
 		}
 	}
 }
 
-// The larger of the fractions of cores and memory is the load.
 func TestVoteUsesLargerOfCoresAndMemory(t *testing.T) {
 	p := startPlacer(t, testConfig(), testMachines(2))
 	p.now = 10 * time.Second
-	p.index.AddPlacement(&machineindex.Placement{
-		Machine: p.machinesByID[0].entry, OfferedAt: p.now, Cores: 1, Memory: 50, ExpectedRuntime: time.Hour})
-	p.index.AddPlacement(&machineindex.Placement{
-		Machine: p.machinesByID[1].entry, OfferedAt: p.now, Cores: 8, Memory: 1, ExpectedRuntime: time.Hour})
+	addPlacement(p, 0, machineindex.Placement{OfferedAt: p.now, Cores: 1, Memory: 50, ExpectedRuntime: time.Hour})
+	addPlacement(p, 1, machineindex.Placement{OfferedAt: p.now, Cores: 8, Memory: 1, ExpectedRuntime: time.Hour})
 	if m := p.vote(allCandidates(p)); m.ID != "m1" {
-		t.Errorf("chose %s", m.ID)
+		t.Errorf("chose %s, want m1", m.ID)
 	}
 }
 
@@ -50,14 +46,14 @@
 	for i := range 8 {
 		actions := p.Step(time.Second, []Event{submit(fmt.Sprint("t", i), 0, time.Minute)})
 		if offer := onlyOffer(t, actions); offer.Machine != "m1" {
-			t.Errorf("offer %d went to the machine that others use", i)
+			t.Errorf("offer %d to %s, want m1, which others do not use", i, offer.Machine)
 		}
 	}
 	machines[0].FreeCores, machines[1].FreeCores = 32, 24 // m1 has the eight of this scheduler, the others' have ended
 	p.Step(4*time.Second, []Event{MachinesUpdated{Machines: machines}})
 	for _, m := range p.machinesByID {
 		if load := p.externalLoad(m); load != 0 {
-			t.Errorf("%s: external load %v, want none", m.ID, load)
+			t.Errorf("%s: external load %v, want 0", m.ID, load)
 		}
 	}
 }
@@ -74,20 +70,20 @@
 		UsageReport{Task: "b", Machine: "m1", Kind: ServiceLevel, Amount: 0.8}})
 	p.refresh()
 	if m := p.vote(allCandidates(p)); m.ID != "m2" {
-		t.Errorf("%s wins over the one with full service", m.ID)
+		t.Errorf("chose %s, want m2, the one with full service", m.ID)
 	}
 	if m := p.vote(allCandidates(p)[:2]); m.ID != "m1" {
-		t.Errorf("%s wins over the one with better service", m.ID)
+		t.Errorf("chose %s, want m1, the one with better service", m.ID)
 	}
 	p.now += 2 * overloadDuration
 	invalidateAll(p)
 	p.refresh()
 	if m := p.vote(allCandidates(p)); m.ID == "m2" {
-		t.Error("old reports still count")
+		t.Errorf("chose %s, so old reports still count", m.ID)
 	}
 	p.Step(p.now, []Event{UsageReport{Task: "a", Machine: "m0", Kind: MemoryPressure, Amount: 0.99}})
 	if p.refresh(); p.vote(allCandidates(p)[:2]).ID != "m1" {
-		t.Error("memory pressure does not count")
+		t.Error("chose m0, want m1: memory pressure counts")
 	}
 }
 
@@ -106,18 +102,18 @@
 		task := &task{Task: Task{Service: fmt.Sprint("s", i), Cores: 1}, class: &cfg.Classes[0]}
 		m := p.chooseMachine(task)
 		if other := q.chooseMachine(task); other.ID != m.ID {
-			t.Fatalf("two schedulers chose %s and %s", m.ID, other.ID)
+			t.Fatalf("two schedulers chose %s and %s, want the same", m.ID, other.ID)
 		}
 		if m.Kind == 1 {
 			big++
 		}
 	}
 	if big < 700 || big > 800 {
-		t.Errorf("machines of three times the size got %d of 1000", big)
+		t.Errorf("machines of three times the size got %d of 1000 services, want 700 to 800", big)
 	}
 }
 
-// Without affinity ties are drawn: an empty history spreads evenly.
+// Candidates of equal affinity tie where the history is empty.
 func TestVoteTiesAreRandom(t *testing.T) {
 	p := startPlacer(t, testConfig(), testMachines(4))
 	count := map[string]int{}
@@ -126,19 +122,24 @@
 	}
 	for id, n := range count {
 		if n < 850 || n > 1150 {
-			t.Errorf("%s chosen %d times of 4000", id, n)
+			t.Errorf("%s chosen %d times of 4000, want 850 to 1150", id, n)
 		}
 	}
 }
 
-// With exponential lifetimes a placement of some age survives with probability exp(-age/mean).
-func TestSurvivalAndMeanLifetime(t *testing.T) {
+// A placement survives with probability exp(-age/mean).
+func TestSurvivalIsExponential(t *testing.T) {
 	p := startPlacer(t, testConfig(), testMachines(2))
 	p.now = 70 * time.Second
-	b := &machineindex.Placement{Machine: p.machinesByID[0].entry, OfferedAt: 10 * time.Second}
-	if got := p.survival(b); math.Abs(got-math.Exp(-1)) > 1e-9 {
-		t.Errorf("survival %v after one initial lifetime", got)
+	placed := addPlacement(p, 0, machineindex.Placement{OfferedAt: 10 * time.Second})
+	if got := p.survival(placed); math.Abs(got-math.Exp(-1)) > 1e-9 {
+		t.Errorf("survival %v after one initial lifetime, want %v", got, math.Exp(-1))
 	}
+}
+
+func TestMeanLifetimeIsTimeObservedOverEnds(t *testing.T) {
+	p := startPlacer(t, testConfig(), testMachines(2))
+	p.now = 70 * time.Second
 	p.lifetimes[0] = lifetimeStats{observed: 180 * time.Second, ended: 3}
 	if mean := p.meanLifetime(0); mean != 60*time.Second {
 		t.Errorf("mean lifetime %v, want (180+60)/4", mean)
