--- a/internal/machineindex/assumed.go
+++ b/internal/machineindex/assumed.go
@@ -10,26 +10,29 @@
 // assumedCapacity is what recent placements request that the listed free capacity may not show yet: it is assumed to be in
 // use. It is summed once a step, since thousands of tasks may wait; placements of the step are added.
 type assumedCapacity struct {
-	current       bool      // the sums hold for the step in progress
-	historyLength int       // when they were made
-	cores         []float64 // by machine
-	memory        []float64
-	summed        []int32 // the machines with a sum
-	isSummed      *bitset.BitSet
+	current       bool // the sums hold for the step in progress
+	generation    int  // of the sums; grows whenever they are made
+	historyLength int  // when they were made
+	summed        []*Entry
 	checked       *bitset.BitSet // machines whose sums UpdateAssumed brought up to date in this step
 }
 
-func newAssumedCapacity(machines int) assumedCapacity {
-	return assumedCapacity{
-		cores:    make([]float64, machines),
-		memory:   make([]float64, machines),
-		isSummed: bitset.MustNew(uint(machines)),
-		checked:  bitset.MustNew(uint(machines)),
-	}
+// assumedSum is what is assumed on one machine.
+type assumedSum struct {
+	since      time.Duration // placements from then on count
+	generation int           // of assumedCapacity, at which the machine was put into summed
+	cores      float64
+	memory     float64
+}
+
+// resize makes the sums void for the given number of machines.
+func (a *assumedCapacity) resize(machines int) {
+	a.current, a.summed = false, nil
+	a.checked = bitset.MustNew(uint(machines))
 }
 
 // AssumeSince has the placements on a machine count as assumed that were offered at the given time or later.
-func (x *Index) AssumeSince(e *Entry, since time.Duration) { e.assumedSince = since }
+func (x *Index) AssumeSince(e *Entry, since time.Duration) { e.assumed.since = since }
 
 // ExpireAssumed makes the sums of assumed capacity void. It must be called at the start of each step.
 func (x *Index) ExpireAssumed() { x.assumed.current = false }
@@ -41,9 +44,9 @@
 		x.sumAssumed()
 	}
 	if x.history.Len() > a.historyLength { // placements of this step: machines not checked until now are summed again
-		for _, number := range a.summed {
-			if machines.Test(uint(number)) && !a.checked.Test(uint(number)) {
-				x.sumAssumedOn(number)
+		for _, e := range a.summed {
+			if e.number >= 0 && machines.Test(uint(e.number)) && !a.checked.Test(uint(e.number)) {
+				x.sumAssumedOn(e)
 			}
 		}
 	}
@@ -53,58 +56,54 @@
 // sumAssumed sums for all machines, at the first use in a step.
 func (x *Index) sumAssumed() {
 	a := &x.assumed
-	for _, number := range a.summed {
-		a.cores[number], a.memory[number] = 0, 0
-		x.updateFreeCapacity(int(number))
+	for _, e := range a.summed {
+		e.assumed.cores, e.assumed.memory = 0, 0
+		x.updateFreeCapacity(e)
 	}
 	a.summed = a.summed[:0]
-	a.isSummed.ClearAll()
 	a.checked.ClearAll()
 	a.current, a.historyLength = true, x.history.Len()
+	a.generation++
 	for _, p := range slices.Backward(x.history.Recent()) {
-		if !p.forgotten && p.OfferedAt >= p.Machine.assumedSince {
+		if !p.forgotten && p.OfferedAt >= p.Machine.assumed.since {
 			a.add(p)
 		}
 	}
-	for _, number := range a.summed {
-		x.updateFreeCapacity(int(number))
+	for _, e := range a.summed {
+		x.updateFreeCapacity(e)
 	}
 }
 
 // sumAssumedOn sums for one machine.
-func (x *Index) sumAssumedOn(number int32) {
-	a, e := &x.assumed, x.entries[number]
-	a.cores[number], a.memory[number] = 0, 0
+func (x *Index) sumAssumedOn(e *Entry) {
+	e.assumed.cores, e.assumed.memory = 0, 0
 	for _, p := range slices.Backward(x.history.Recent()) {
-		if p.OfferedAt < e.assumedSince {
+		if p.OfferedAt < e.assumed.since {
 			break
 		}
 		if p.Machine == e && !p.forgotten {
-			a.cores[number] += p.Cores
-			a.memory[number] += p.Memory
+			e.assumed.cores += p.Cores
+			e.assumed.memory += p.Memory
 		}
 	}
-	x.updateFreeCapacity(int(number))
+	x.updateFreeCapacity(e)
 }
 
 // addAssumed adds a placement of the step in progress, where sums were made in it already.
 func (x *Index) addAssumed(p *Placement) {
-	if x.assumed.current && !x.renumberPending && p.Machine.number >= 0 {
+	if x.assumed.current && !x.renumberPending {
 		x.assumed.add(p)
-		x.updateFreeCapacity(p.Machine.number)
+		x.updateFreeCapacity(p.Machine)
 	}
 }
 
-// add adds a placement to the sum of its machine; nothing where the machine was removed from the Index.
+// add adds a placement to the sum of its machine, which begins at 0 in each generation.
 func (a *assumedCapacity) add(p *Placement) {
-	number := p.Machine.number
-	if number < 0 {
-		return
-	}
-	if !a.isSummed.Test(uint(number)) {
-		a.isSummed.Set(uint(number))
-		a.summed = append(a.summed, int32(number))
+	sum := &p.Machine.assumed
+	if sum.generation != a.generation {
+		sum.generation, sum.cores, sum.memory = a.generation, 0, 0
+		a.summed = append(a.summed, p.Machine)
 	}
-	a.cores[number] += p.Cores
-	a.memory[number] += p.Memory
+	sum.cores += p.Cores
+	sum.memory += p.Memory
 }
--- a/internal/machineindex/capacity.go
+++ b/internal/machineindex/capacity.go
@@ -44,7 +44,7 @@
 	c.listedCores[number], c.listedMemory[number] = capacity.FreeCores, capacity.FreeMemory
 	c.requestedCores[number], c.requestedMemory[number] = capacity.RequestedCores, capacity.RequestedMemory
 	x.ranking.set(number, capacity.RequestedFraction)
-	x.updateFreeCapacity(number)
+	x.updateFreeCapacity(x.entries[number])
 }
 
 // ClearRequested records that nothing is requested of a machine. The rest of its Capacity stays.
@@ -82,9 +82,12 @@
 	return c.totalCores, c.totalMemory
 }
 
-// updateFreeCapacity writes what is free on a machine, less what is assumed.
-func (x *Index) updateFreeCapacity(number int) {
+// updateFreeCapacity writes what is free on a machine, less what is assumed; nothing where it was removed.
+func (x *Index) updateFreeCapacity(e *Entry) {
+	if e.number < 0 {
+		return
+	}
 	c := &x.capacity
-	c.freeCores[number] = c.listedCores[number] - x.assumed.cores[number]
-	c.freeMemory[number] = c.listedMemory[number] - x.assumed.memory[number]
+	c.freeCores[e.number] = c.listedCores[e.number] - e.assumed.cores
+	c.freeMemory[e.number] = c.listedMemory[e.number] - e.assumed.memory
 }
--- a/internal/machineindex/history_test.go
+++ b/internal/machineindex/history_test.go
@@ -102,7 +102,7 @@
 // assumedByScan returns what is assumed on a machine, newest placements first.
 func assumedByScan(f *fleet, e *Entry) (cores, memory float64) {
 	for _, p := range slices.Backward(f.index.History().Recent()) {
-		if p.Machine == e && !p.forgotten && p.OfferedAt >= e.assumedSince {
+		if p.Machine == e && !p.forgotten && p.OfferedAt >= e.assumed.since {
 			cores += p.Cores
 			memory += p.Memory
 		}
@@ -152,7 +152,7 @@
 	f.remove(0)
 	f.refresh()
 	f.index.UpdateAssumed(f.all())
-	if got := f.index.assumed.summed; len(got) != 0 {
-		t.Errorf("assumed capacity on %v, want none", got)
+	if got := f.index.capacity.freeCores[0]; got != 0 {
+		t.Errorf("%v cores free on the other machine, want 0: nothing is assumed on it", got)
 	}
 }
--- a/internal/machineindex/index.go
+++ b/internal/machineindex/index.go
@@ -2,7 +2,6 @@
 
 import (
 	"slices"
-	"time"
 
 	"github.com/bits-and-blooms/bitset"
 
@@ -53,10 +52,10 @@
 	zone    domainMember[string]
 	cell    domainMember[int]
 
-	attempts     map[string]*attemptCount // active ones, by service
-	placements   []*Placement             // in order of time; some may have left the history
-	assumedSince time.Duration            // placements from then on count as assumed
-	candidate    int32                    // position among the candidates of a lookup, counted from 1; 0: none
+	attempts   map[string]*attemptCount // active ones, by service
+	placements []*Placement             // in order of time; some may have left the history
+	assumed    assumedSum
+	candidate  int32 // position among the candidates of a lookup, counted from 1; 0: none
 }
 
 // Number returns the machine's number: -1 before the first Refresh after Insert and after Remove.
@@ -67,13 +66,14 @@
 
 // New makes an Index without machines.
 func New(options Options) *Index {
-	return &Index{
+	x := &Index{
 		fleetVersion: 1,
 		affinity:     affinityTable{policy: options.Affinity},
 		history:      History{limit: options.HistoryLimit},
 		services:     newServicePlacements(options.MaxIdleServices),
-		assumed:      newAssumedCapacity(0),
 	}
+	x.assumed.resize(0)
+	return x
 }
 
 // Insert adds a machine at its position in the order of IDs.
@@ -114,11 +114,12 @@
 	x.idHashes = make([]uint64, machines)
 	x.capacity.resize(machines)
 	x.ranking.resize(machines)
-	x.assumed = newAssumedCapacity(machines)
+	x.assumed.resize(machines)
 	x.services.clearNumbers()
 	for number, e := range x.entries {
 		e.number, x.idHashes[number] = number, e.idHash
 		e.zone.domain, e.cell.domain = nil, nil
+		e.assumed.cores, e.assumed.memory = 0, 0
 		for _, count := range e.attempts { // each is in a list of its own, so their order doesn't matter
 			count.service.addMachine(count, int32(number))
 		}
--- a/vote.go
+++ b/vote.go
@@ -95,6 +95,10 @@
 	p.voteBuffers.votes = zeroed(p.voteBuffers.votes, len(contenders))
 	votes, loads := p.voteBuffers.votes, make([]float64, len(contenders))
 	cores, memory := make([]float64, len(contenders)), make([]float64, len(contenders))
+	external := make([]float64, len(contenders))
+	for i, c := range contenders {
+		external[i] = p.conditions.externalLoad.At(int(c.Machine))
+	}
 	for range replayRuns {
 		clear(cores)
 		clear(memory)
@@ -105,8 +109,8 @@
 				memory[r.candidate] += r.memory
 			}
 		}
-		for i, c := range contenders {
-			loads[i] = p.conditions.externalLoad.At(int(c.Machine)) + max(cores[i], memory[i])
+		for i := range loads {
+			loads[i] = external[i] + max(cores[i], memory[i])
 		}
 		votes[p.leastLoaded(contenders, loads)]--
 	}
