--- a/internal/testbed/worlds/machines.go
+++ b/internal/testbed/worlds/machines.go
@@ -23,7 +23,7 @@
 	return m
 }
 
-// setFreeCapacity draws what the list says is free: for half of the machines a multiple of 1/64 of their kind.
+// setFreeCapacity draws what the list says is free: for half of the machines a round fraction of their kind.
 func (w *World) setFreeCapacity(m *flaxshelf.Machine) {
 	if !w.cfg.ListsFreeCapacity {
 		return
@@ -33,7 +33,7 @@
 	if w.random.IntN(2) == 0 {
 		fraction = func() float64 { return float64(w.random.IntN(65)) / 64 }
 	}
-	m.FreeCores, m.FreeMemory = kind.Cores*fraction(), kind.Memory*fraction()
+	m.FreeCores, m.FreeMemory = kind.Cores*(1-w.used*fraction()), kind.Memory*(1-w.used*fraction())
 }
 
 // discoveryEvent changes some machines, repeats the complete list, or is a failure of discovery.
--- a/internal/testbed/worlds/world.go
+++ b/internal/testbed/worlds/world.go
@@ -27,8 +27,9 @@
 	maxWait            time.Duration // of a task's owner, beyond 20 ms
 	maxLifetime        time.Duration // of a task
 	services           int
-	reportInterval     int  // steps between usage reports of an attempt, in expectation
-	calm               bool // nothing fails and no task is rejected, but some machines serve theirs poorly
+	reportInterval     int     // steps between usage reports of an attempt, in expectation
+	used               float64 // most that others request, as a fraction of a machine
+	calm               bool    // nothing fails and no task is rejected, but some machines serve theirs poorly
 }
 
 // longPause is longer than a removed machine is remembered, and than failures count.
@@ -56,8 +57,15 @@
 		maxLifetime:        time.Duration(1+random.IntN(8000)) * millisecond,
 		services:           1 + random.IntN(20),
 		reportInterval:     50,
+		used:               1,
 		calm:               random.IntN(4) == 0,
 	}
+	if random.IntN(8) == 0 {
+		w.submissionsPerStep = 24 // so that the history is full
+	}
+	if random.IntN(2) == 0 {
+		w.used = 1.0 / 8
+	}
 	mostMachines := 151
 	if w.calm {
 		mostMachines = 12 // so that most have tasks
--- a/oracle_test.go
+++ b/oracle_test.go
@@ -221,6 +221,9 @@
 	want := o.scanContenders()
 	o.compareMachines(nil, "contenders", got, want)
 	o.counts["votes"]++
+	if len(o.history) > maxHistory {
+		o.counts["votes with more than the recent history"]++
+	}
 	if len(want) < len(o.candidates) {
 		o.counts["dropped contenders"]++
 	}
