--- a/internal/machineindex/affinity.go
+++ b/internal/machineindex/affinity.go
@@ -50,23 +50,23 @@
 }
 
 // Affinity returns the affinity of a machine to a service.
-func (x *Index) Affinity(s *Service, number int32) Affinity {
+func (idx *Index) Affinity(s *Service, number int32) Affinity {
 	weight := 1.0
-	if kind := x.kinds[number]; kind >= 0 {
-		weight = x.affinity.policy.KindWeights[kind]
+	if kind := idx.kinds[number]; kind >= 0 {
+		weight = idx.affinity.policy.KindWeights[kind]
 	}
-	return Affinity{float64(mix(x.idHashes[number]^s.nameHash)>>11 + 1), weight}
+	return Affinity{float64(mix(idx.idHashes[number]^s.nameHash)>>11 + 1), weight}
 }
 
 // Candidate returns a machine as a candidate for a service.
-func (x *Index) Candidate(s *Service, number int32) Candidate {
-	return Candidate{number, x.Affinity(s, number)}
+func (idx *Index) Candidate(s *Service, number int32) Candidate {
+	return Candidate{number, idx.Affinity(s, number)}
 }
 
 // BestTwo returns the two machines of the set that have the highest affinity to a service; -1 where there are fewer.
-func (x *Index) BestTwo(s *Service, machines *bitset.BitSet) (first, second int32) {
-	if s.topVersion != x.fleetVersion {
-		x.rankTopMachines(s)
+func (idx *Index) BestTwo(s *Service, machines *bitset.BitSet) (first, second int32) {
+	if s.topVersion != idx.fleetVersion {
+		idx.rankTopMachines(s)
 	}
 	first = -1
 	for _, number := range s.topMachines {
@@ -78,15 +78,15 @@
 		}
 		first = number
 	}
-	return x.scanBestTwo(s, machines)
+	return idx.scanBestTwo(s, machines)
 }
 
 // scanBestTwo compares all machines of the set, for when few of the top machines are in it.
-func (x *Index) scanBestTwo(s *Service, machines *bitset.BitSet) (first, second int32) {
-	compare := x.affinity.policy.Compare
+func (idx *Index) scanBestTwo(s *Service, machines *bitset.BitSet) (first, second int32) {
+	compare := idx.affinity.policy.Compare
 	best, next := Candidate{Machine: -1}, Candidate{Machine: -1}
 	ForEachCommon(machines, machines, func(number int) {
-		switch c := x.Candidate(s, int32(number)); {
+		switch c := idx.Candidate(s, int32(number)); {
 		case best.Machine < 0 || compare(c.Affinity, best.Affinity) > 0:
 			best, next = c, best
 		case next.Machine < 0 || compare(c.Affinity, next.Affinity) > 0:
@@ -98,22 +98,22 @@
 
 // rankTopMachines finds the machines of highest affinity of all. A hash value is compared with what a machine of its weight
 // needs in order to be among the first few, so hardly any affinity is computed.
-func (x *Index) rankTopMachines(s *Service) {
-	t := &x.affinity
-	if t.version != x.fleetVersion {
-		x.buildHashColumns()
+func (idx *Index) rankTopMachines(s *Service) {
+	t := &idx.affinity
+	if t.version != idx.fleetVersion {
+		idx.buildHashColumns()
 	}
 	top := t.buffer[:0]
 	for kind := range t.columns {
 		column, threshold := &t.columns[kind], t.thresholds[kind]
 		for i, idHash := range column.hashes {
 			if mix(idHash^s.nameHash)>>11 >= threshold {
-				top = append(top, x.Candidate(s, column.machines[i]))
+				top = append(top, idx.Candidate(s, column.machines[i]))
 			}
 		}
 	}
 	slices.SortFunc(top, func(a, b Candidate) int { return t.policy.Compare(b.Affinity, a.Affinity) })
-	s.topVersion, s.topMachines = x.fleetVersion, s.topMachines[:0]
+	s.topVersion, s.topMachines = idx.fleetVersion, s.topMachines[:0]
 	for _, c := range top {
 		s.topMachines = append(s.topMachines, c.Machine)
 	}
@@ -121,18 +121,18 @@
 }
 
 // buildHashColumns lays the machines of each kind side by side.
-func (x *Index) buildHashColumns() {
-	t := &x.affinity
+func (idx *Index) buildHashColumns() {
+	t := &idx.affinity
 	weights := t.policy.KindWeights
-	t.version = x.fleetVersion
+	t.version = idx.fleetVersion
 	t.columns = make([]hashColumn, len(weights))
 	t.thresholds = make([]uint64, len(weights))
 	totalWeight := 0.0
-	for number, kind := range x.kinds {
+	for number, kind := range idx.kinds {
 		if kind >= 0 {
 			totalWeight += weights[kind]
 			column := &t.columns[kind]
-			column.hashes = append(column.hashes, x.idHashes[number])
+			column.hashes = append(column.hashes, idx.idHashes[number])
 			column.machines = append(column.machines, int32(number))
 		}
 	}
--- a/internal/machineindex/assumed.go
+++ b/internal/machineindex/assumed.go
@@ -32,21 +32,21 @@
 }
 
 // AssumeSince has the placements on a machine count as assumed that were offered at the given time or later.
-func (x *Index) AssumeSince(e *Entry, since time.Duration) { e.assumed.since = since }
+func (idx *Index) AssumeSince(e *Entry, since time.Duration) { e.assumed.since = since }
 
 // ExpireAssumed makes the sums of assumed capacity void. It must be called at the start of each step.
-func (x *Index) ExpireAssumed() { x.assumed.current = false }
+func (idx *Index) ExpireAssumed() { idx.assumed.current = false }
 
 // UpdateAssumed subtracts assumed placements from the free capacity of the given machines.
-func (x *Index) UpdateAssumed(machines *bitset.BitSet) {
-	a := &x.assumed
+func (idx *Index) UpdateAssumed(machines *bitset.BitSet) {
+	a := &idx.assumed
 	if !a.current {
-		x.sumAssumed()
+		idx.sumAssumed()
 	}
-	if x.history.Len() > a.historyLength { // placements of this step: machines not checked until now are summed again
+	if idx.history.Len() > a.historyLength { // placements of this step: machines not checked until now are summed again
 		for _, e := range a.summed {
 			if e.number >= 0 && machines.Test(uint(e.number)) && !a.checked.Test(uint(e.number)) {
-				x.sumAssumedOn(e)
+				idx.sumAssumedOn(e)
 			}
 		}
 	}
@@ -54,30 +54,30 @@
 }
 
 // sumAssumed sums for all machines, at the first use in a step.
-func (x *Index) sumAssumed() {
-	a := &x.assumed
+func (idx *Index) sumAssumed() {
+	a := &idx.assumed
 	for _, e := range a.summed {
 		e.assumed.cores, e.assumed.memory = 0, 0
-		x.updateFreeCapacity(e)
+		idx.updateFreeCapacity(e)
 	}
 	a.summed = a.summed[:0]
 	a.checked.ClearAll()
-	a.current, a.historyLength = true, x.history.Len()
+	a.current, a.historyLength = true, idx.history.Len()
 	a.generation++
-	for _, p := range slices.Backward(x.history.Recent()) {
+	for _, p := range slices.Backward(idx.history.Recent()) {
 		if !p.forgotten && p.OfferedAt >= p.Machine.assumed.since {
 			a.add(p)
 		}
 	}
 	for _, e := range a.summed {
-		x.updateFreeCapacity(e)
+		idx.updateFreeCapacity(e)
 	}
 }
 
 // sumAssumedOn sums for one machine.
-func (x *Index) sumAssumedOn(e *Entry) {
+func (idx *Index) sumAssumedOn(e *Entry) {
 	e.assumed.cores, e.assumed.memory = 0, 0
-	for _, p := range slices.Backward(x.history.Recent()) {
+	for _, p := range slices.Backward(idx.history.Recent()) {
 		if p.OfferedAt < e.assumed.since {
 			break
 		}
@@ -86,14 +86,14 @@
 			e.assumed.memory += p.Memory
 		}
 	}
-	x.updateFreeCapacity(e)
+	idx.updateFreeCapacity(e)
 }
 
 // addAssumed adds a placement of the step in progress, where sums were made in it already.
-func (x *Index) addAssumed(p *Placement) {
-	if x.assumed.current && !x.renumberPending {
-		x.assumed.add(p)
-		x.updateFreeCapacity(p.Machine)
+func (idx *Index) addAssumed(p *Placement) {
+	if idx.assumed.current && !idx.renumberPending {
+		idx.assumed.add(p)
+		idx.updateFreeCapacity(p.Machine)
 	}
 }
 
--- a/internal/machineindex/capacity.go
+++ b/internal/machineindex/capacity.go
@@ -39,22 +39,22 @@
 }
 
 // SetCapacity writes the capacity of a machine.
-func (x *Index) SetCapacity(number int, capacity Capacity) {
-	c := &x.capacity
+func (idx *Index) SetCapacity(number int, capacity Capacity) {
+	c := &idx.capacity
 	c.listedCores[number], c.listedMemory[number] = capacity.FreeCores, capacity.FreeMemory
 	c.requestedCores[number], c.requestedMemory[number] = capacity.RequestedCores, capacity.RequestedMemory
-	x.ranking.set(number, capacity.RequestedFraction)
-	x.updateFreeCapacity(x.entries[number])
+	idx.ranking.set(number, capacity.RequestedFraction)
+	idx.updateFreeCapacity(idx.entries[number])
 }
 
 // ClearRequested records that nothing is requested of a machine. The rest of its Capacity stays.
-func (x *Index) ClearRequested(number int) {
-	x.capacity.requestedCores[number], x.capacity.requestedMemory[number] = 0, 0
+func (idx *Index) ClearRequested(number int) {
+	idx.capacity.requestedCores[number], idx.capacity.requestedMemory[number] = 0, 0
 }
 
 // AddLackingCapacity adds to lacking the given machines that have less free than cores and memory.
-func (x *Index) AddLackingCapacity(machines, lacking *bitset.BitSet, cores, memory float64) {
-	c := &x.capacity
+func (idx *Index) AddLackingCapacity(machines, lacking *bitset.BitSet, cores, memory float64) {
+	c := &idx.capacity
 	from, to := machines.Words(), lacking.Words()
 	for w := range from {
 		found := uint64(0)
@@ -70,8 +70,8 @@
 
 // TotalRequested returns what is requested of all machines. The terms are added in the order of the machines, so that the
 // sum is the same to the last bit whatever changed since.
-func (x *Index) TotalRequested() (cores, memory float64) {
-	c := &x.capacity
+func (idx *Index) TotalRequested() (cores, memory float64) {
+	c := &idx.capacity
 	if !c.totalsValid {
 		c.totalsValid, c.totalCores, c.totalMemory = true, 0, 0
 		for number, requested := range c.requestedCores {
@@ -83,11 +83,11 @@
 }
 
 // updateFreeCapacity writes what is free on a machine, less what is assumed; nothing where it was removed.
-func (x *Index) updateFreeCapacity(e *Entry) {
+func (idx *Index) updateFreeCapacity(e *Entry) {
 	if e.number < 0 {
 		return
 	}
-	c := &x.capacity
+	c := &idx.capacity
 	c.freeCores[e.number] = c.listedCores[e.number] - e.assumed.cores
 	c.freeMemory[e.number] = c.listedMemory[e.number] - e.assumed.memory
 }
--- a/internal/machineindex/domains.go
+++ b/internal/machineindex/domains.go
@@ -65,10 +65,10 @@
 }
 
 // SetLocation writes in which zone and cell a machine is.
-func (x *Index) SetLocation(e *Entry, zone string, cell int) {
+func (idx *Index) SetLocation(e *Entry, zone string, cell int) {
 	e.located, e.zone.name, e.cell.name = true, zone, cell
-	if !x.renumberPending {
-		x.services.joinDomains(e, len(x.entries))
+	if !idx.renumberPending {
+		idx.services.joinDomains(e, len(idx.entries))
 	}
 }
 
--- a/internal/machineindex/history.go
+++ b/internal/machineindex/history.go
@@ -29,7 +29,7 @@
 }
 
 // History returns the history of the Index, for all but adding and finding placements.
-func (x *Index) History() *History { return &x.history }
+func (idx *Index) History() *History { return &idx.history }
 
 // Len returns the number of placements, with those forgotten since the last Prune.
 func (h *History) Len() int { return len(h.placements) }
@@ -76,13 +76,13 @@
 }
 
 // AddPlacement adds a placement to the history. It must not be older than the one added before.
-func (x *Index) AddPlacement(p *Placement) {
-	h := &x.history
+func (idx *Index) AddPlacement(p *Placement) {
+	h := &idx.history
 	h.lastSerial++
 	p.serial = h.lastSerial
 	h.placements = append(h.placements, p)
 	p.Machine.addPlacement(p, h.Recent()[0].serial)
-	x.addAssumed(p)
+	idx.addAssumed(p)
 }
 
 // addPlacement adds to the machine's own list and drops from it what is older than the serial oldest.
@@ -96,45 +96,45 @@
 
 // ForEachPlacement calls visit for each recent placement on one of the candidates, in order of time, with the position of
 // the candidate. Machines without a kind are left out.
-func (x *Index) ForEachPlacement(candidates []Candidate, visit func(candidate int, p *Placement)) {
+func (idx *Index) ForEachPlacement(candidates []Candidate, visit func(candidate int, p *Placement)) {
 	for i, c := range candidates {
-		x.entries[c.Machine].candidate = int32(i) + 1
+		idx.entries[c.Machine].candidate = int32(i) + 1
 	}
-	for _, p := range x.placementsOn(candidates) {
+	for _, p := range idx.placementsOn(candidates) {
 		visit(int(p.Machine.candidate)-1, p)
 	}
 	for _, c := range candidates {
-		x.entries[c.Machine].candidate = 0
+		idx.entries[c.Machine].candidate = 0
 	}
 }
 
 // placementsOn returns the recent placements on the candidates, which Entry.candidate marks. Where they are few the
 // machines' own lists are merged, else the whole history is read. The result is valid until the next call.
-func (x *Index) placementsOn(candidates []Candidate) []*Placement {
-	recent := x.history.Recent()
+func (idx *Index) placementsOn(candidates []Candidate) []*Placement {
+	recent := idx.history.Recent()
 	if len(recent) == 0 {
 		return nil
 	}
 	limit, count := len(recent)/4, 0
 	for _, c := range candidates {
-		if count += len(x.entries[c.Machine].placements); count > limit {
+		if count += len(idx.entries[c.Machine].placements); count > limit {
 			break
 		}
 	}
-	found := x.placementBuffer[:0]
+	found := idx.placementBuffer[:0]
 	if count > limit {
-		found = x.appendFromHistory(found, recent)
+		found = idx.appendFromHistory(found, recent)
 	} else {
-		found = x.appendFromMachines(found, candidates, recent[0].serial)
+		found = idx.appendFromMachines(found, candidates, recent[0].serial)
 	}
-	x.placementBuffer = found
+	idx.placementBuffer = found
 	return found
 }
 
 // appendFromHistory appends those of the recent placements that are on marked candidates.
-func (x *Index) appendFromHistory(found, recent []*Placement) []*Placement {
+func (idx *Index) appendFromHistory(found, recent []*Placement) []*Placement {
 	for _, p := range recent {
-		if e := p.Machine; !p.forgotten && e.candidate > 0 && x.kinds[e.number] >= 0 {
+		if e := p.Machine; !p.forgotten && e.candidate > 0 && idx.kinds[e.number] >= 0 {
 			found = append(found, p)
 		}
 	}
@@ -142,12 +142,12 @@
 }
 
 // appendFromMachines appends the placements of the candidates from the serial oldest on and sorts them by time.
-func (x *Index) appendFromMachines(found []*Placement, candidates []Candidate, oldest uint64) []*Placement {
+func (idx *Index) appendFromMachines(found []*Placement, candidates []Candidate, oldest uint64) []*Placement {
 	for _, c := range candidates {
-		if x.kinds[c.Machine] < 0 {
+		if idx.kinds[c.Machine] < 0 {
 			continue
 		}
-		for _, p := range x.entries[c.Machine].placements {
+		for _, p := range idx.entries[c.Machine].placements {
 			if !p.forgotten && p.serial >= oldest {
 				found = append(found, p)
 			}
--- a/internal/machineindex/index.go
+++ b/internal/machineindex/index.go
@@ -66,64 +66,64 @@
 
 // New makes an Index without machines.
 func New(options Options) *Index {
-	x := &Index{
+	idx := &Index{
 		fleetVersion: 1,
 		affinity:     affinityTable{policy: options.Affinity},
 		history:      History{limit: options.HistoryLimit},
 		services:     newServicePlacements(options.MaxIdleServices),
 	}
-	x.assumed.resize(0)
-	return x
+	idx.assumed.resize(0)
+	return idx
 }
 
 // Insert adds a machine at its position in the order of IDs.
-func (x *Index) Insert(position int, id string) *Entry {
+func (idx *Index) Insert(position int, id string) *Entry {
 	e := &Entry{idHash: Hash(id), number: -1, attempts: map[string]*attemptCount{}}
 	e.expiry.Value = e
-	x.entries = slices.Insert(x.entries, position, e)
-	x.renumberPending = true
+	idx.entries = slices.Insert(idx.entries, position, e)
+	idx.renumberPending = true
 	return e
 }
 
 // Remove takes the machine at a position in the order of IDs out of the Index. Its placements stay in the history.
-func (x *Index) Remove(position int) {
-	e := x.entries[position]
-	x.entries = slices.Delete(x.entries, position, position+1)
-	x.expiries.Remove(&e.expiry)
-	x.renumberPending, e.number = true, -1
+func (idx *Index) Remove(position int) {
+	e := idx.entries[position]
+	idx.entries = slices.Delete(idx.entries, position, position+1)
+	idx.expiries.Remove(&e.expiry)
+	idx.renumberPending, e.number = true, -1
 }
 
 // Kind returns the kind of a machine that SetKind wrote; -1 where there is none.
-func (x *Index) Kind(number int) int { return int(x.kinds[number]) }
+func (idx *Index) Kind(number int) int { return int(idx.kinds[number]) }
 
 // SetKind writes the kind of a machine, an index in AffinityPolicy.KindWeights; -1 for none.
-func (x *Index) SetKind(number, kind int) {
-	if x.kinds[number] != int32(kind) {
-		x.kinds[number] = int32(kind)
-		x.fleetVersion++
+func (idx *Index) SetKind(number, kind int) {
+	if idx.kinds[number] != int32(kind) {
+		idx.kinds[number] = int32(kind)
+		idx.fleetVersion++
 	}
 }
 
 // renumber numbers the machines in the order of their IDs and invalidates each of them.
-func (x *Index) renumber() {
-	machines := len(x.entries)
-	x.renumberPending = false
-	x.fleetVersion++
-	x.resizeSets(machines)
-	x.kinds = make([]int32, machines)
-	x.idHashes = make([]uint64, machines)
-	x.capacity.resize(machines)
-	x.ranking.resize(machines)
-	x.assumed.resize(machines)
-	x.services.clearNumbers()
-	for number, e := range x.entries {
-		e.number, x.idHashes[number] = number, e.idHash
+func (idx *Index) renumber() {
+	machines := len(idx.entries)
+	idx.renumberPending = false
+	idx.fleetVersion++
+	idx.resizeSets(machines)
+	idx.kinds = make([]int32, machines)
+	idx.idHashes = make([]uint64, machines)
+	idx.capacity.resize(machines)
+	idx.ranking.resize(machines)
+	idx.assumed.resize(machines)
+	idx.services.clearNumbers()
+	for number, e := range idx.entries {
+		e.number, idx.idHashes[number] = number, e.idHash
 		e.zone.domain, e.cell.domain = nil, nil
 		e.assumed.cores, e.assumed.memory = 0, 0
 		for _, count := range e.attempts { // each is in a list of its own, so their order doesn't matter
 			count.service.addMachine(count, int32(number))
 		}
-		x.services.joinDomains(e, machines)
-		x.Invalidate(e)
+		idx.services.joinDomains(e, machines)
+		idx.Invalidate(e)
 	}
 }
--- a/internal/machineindex/ranking.go
+++ b/internal/machineindex/ranking.go
@@ -36,8 +36,8 @@
 
 // RankedByRequestedFraction returns the machines by Capacity.RequestedFraction, highest first, then by number. The caller
 // must not change the result, which is valid until the next SetCapacity or Refresh.
-func (x *Index) RankedByRequestedFraction() []int32 {
-	r := &x.ranking
+func (idx *Index) RankedByRequestedFraction() []int32 {
+	r := &idx.ranking
 	if len(r.changed) == 0 {
 		return r.order
 	}
--- a/internal/machineindex/services.go
+++ b/internal/machineindex/services.go
@@ -50,25 +50,25 @@
 }
 
 // Service returns the record of a service, which it adds where there is none.
-func (x *Index) Service(name string) *Service {
-	s := x.services.byName[name]
+func (idx *Index) Service(name string) *Service {
+	s := idx.services.byName[name]
 	if s == nil {
 		s = &Service{nameHash: Hash(name), zones: domainCounts{}, cells: domainCounts{}}
-		x.services.byName[name] = s
+		idx.services.byName[name] = s
 	}
 	return s
 }
 
 // FindService returns the record of a service; nil where there is none, so that no attempt of it is active.
-func (x *Index) FindService(name string) *Service { return x.services.byName[name] }
+func (idx *Index) FindService(name string) *Service { return idx.services.byName[name] }
 
 // AddAttempt counts one more active attempt of a service on a machine.
-func (x *Index) AddAttempt(service string, e *Entry) {
+func (idx *Index) AddAttempt(service string, e *Entry) {
 	count := e.attempts[service]
 	if count == nil {
-		count = &attemptCount{service: x.Service(service), position: -1}
+		count = &attemptCount{service: idx.Service(service), position: -1}
 		e.attempts[service] = count
-		if !x.renumberPending {
+		if !idx.renumberPending {
 			count.service.addMachine(count, int32(e.number))
 		}
 	}
@@ -78,7 +78,7 @@
 }
 
 // RemoveAttempt counts one active attempt of a service on a machine less. It does nothing where there is none.
-func (x *Index) RemoveAttempt(service string, e *Entry) {
+func (idx *Index) RemoveAttempt(service string, e *Entry) {
 	count := e.attempts[service]
 	if count == nil {
 		return
@@ -89,12 +89,12 @@
 		return
 	}
 	delete(e.attempts, service)
-	if x.renumberPending {
+	if idx.renumberPending {
 		return
 	}
-	x.removeMachine(service, count)
-	if len(count.service.machines) == 0 && len(x.services.byName) > x.services.maxIdle {
-		delete(x.services.byName, service)
+	idx.removeMachine(service, count)
+	if len(count.service.machines) == 0 && len(idx.services.byName) > idx.services.maxIdle {
+		delete(idx.services.byName, service)
 	}
 }
 
@@ -102,8 +102,8 @@
 func (e *Entry) HasAttempts() bool { return len(e.attempts) > 0 }
 
 // AttemptsOf returns how many attempts of a service are active on a machine.
-func (x *Index) AttemptsOf(service string, number int) int {
-	if count := x.entries[number].attempts[service]; count != nil {
+func (idx *Index) AttemptsOf(service string, number int) int {
+	if count := idx.entries[number].attempts[service]; count != nil {
 		return count.active
 	}
 	return 0
@@ -133,11 +133,11 @@
 }
 
 // removeMachine takes a machine out of its service's list; the last of the list takes its position.
-func (x *Index) removeMachine(service string, count *attemptCount) {
+func (idx *Index) removeMachine(service string, count *attemptCount) {
 	list := count.service.machines
 	last := list[len(list)-1]
 	list[count.position] = last
-	if moved := x.entries[last].attempts[service]; moved != nil { // nil: the removed one was the last
+	if moved := idx.entries[last].attempts[service]; moved != nil { // nil: the removed one was the last
 		moved.position = count.position
 	}
 	count.service.machines = list[:len(list)-1]
--- a/internal/machineindex/sets.go
+++ b/internal/machineindex/sets.go
@@ -18,16 +18,16 @@
 func (c *Column) Set(number int, value float64) { c.values[number] = value }
 
 // NewSet returns a set of machine numbers. Refresh empties it whenever it numbers the machines again.
-func (x *Index) NewSet() *bitset.BitSet {
-	set := bitset.MustNew(uint(len(x.entries)))
-	x.sets = append(x.sets, set)
+func (idx *Index) NewSet() *bitset.BitSet {
+	set := bitset.MustNew(uint(len(idx.entries)))
+	idx.sets = append(idx.sets, set)
 	return set
 }
 
 // NewColumn returns a column. Refresh sets it to 0 whenever it numbers the machines again.
-func (x *Index) NewColumn() *Column {
-	column := &Column{values: make([]float64, len(x.entries))}
-	x.columns = append(x.columns, column)
+func (idx *Index) NewColumn() *Column {
+	column := &Column{values: make([]float64, len(idx.entries))}
+	idx.columns = append(idx.columns, column)
 	return column
 }
 
@@ -42,11 +42,11 @@
 }
 
 // resizeSets empties all sets and columns for the given number of machines.
-func (x *Index) resizeSets(machines int) {
-	for _, set := range x.sets {
+func (idx *Index) resizeSets(machines int) {
+	for _, set := range idx.sets {
 		*set = *bitset.MustNew(uint(machines))
 	}
-	for _, column := range x.columns {
+	for _, column := range idx.columns {
 		column.values = make([]float64, machines)
 	}
 }
