--- a/internal/benchadapter/reader_test.go
+++ b/internal/benchadapter/reader_test.go
@@ -2,12 +2,14 @@
 
 import (
 	"errors"
+	"fmt"
 	"io"
 	"reflect"
 	"strings"
 	"testing"
 
 	"flaxshelf.example/flaxshelf"
+	"flaxshelf.example/flaxshelf/internal/machinetest"
 )
 
 const upLine = "UP who=3 init_seed=9 balancers=2 kinds=k1,k2 specifics.kind_cores=30,48 specifics.mem_of_kind=86.0,155.0 " +
@@ -143,3 +145,27 @@
 		}
 	}
 }
+
+// machineLine writes an entry of a list of machines. A field of Machine that is missing here makes
+// TestListKeepsEveryFieldOfMachine fail.
+func machineLine(m flaxshelf.Machine, kinds ...string) string {
+	readiness := ""
+	for name, state := range machineStates {
+		if state == m.State {
+			readiness = name
+		}
+	}
+	return fmt.Sprintf("M node=%s shape=%s readiness=%s az=%s pod=%d last_start_ns=%d open_cores=%g spare_mem=%g", m.ID,
+		kinds[m.Kind], readiness, m.Zone, m.Cell, int64(m.Started), m.FreeCores, m.FreeMemory)
+}
+
+func TestListKeepsEveryFieldOfMachine(t *testing.T) {
+	want := machinetest.Filled(t)
+	items := readAll(t, "FRAME clock_ns=5 serial=1\n"+upLine+"REGISTER page=0 records=1\n"+machineLine(want, "k1", "k2")+
+		"\nVIEW who=3 form=Complete page=0\nEND\n")[0].Items
+	update, ok := items[len(items)-1].Event.(flaxshelf.MachinesUpdated)
+	if !ok || len(update.Machines) != 1 {
+		t.Fatalf("got %+v, want an update with one machine", items)
+	}
+	machinetest.Expect(t, update.Machines[0], want)
+}
--- a/internal/front/nodefront/inventory.go
+++ b/internal/front/nodefront/inventory.go
@@ -1,7 +1,6 @@
 package nodefront
 
 import (
-	"flaxshelf.example/flaxshelf"
 	"flaxshelf.example/flaxshelf/internal/codec/nodeframe/nodepb"
 	"flaxshelf.example/flaxshelf/internal/scheduler"
 	"flaxshelf.example/flaxshelf/internal/settings"
@@ -55,28 +54,13 @@
 	return !v.partial
 }
 
-var machineStates = map[nodepb.Standing]flaxshelf.MachineState{
-	nodepb.Standing_IN:       flaxshelf.Active,
-	nodepb.Standing_DRAINING: flaxshelf.Draining,
-	nodepb.Standing_OUT:      flaxshelf.Removed,
-}
-
 // nodesUpdated translates the entries of a listing, and returns the addresses of its nodes by name.
 func nodesUpdated(set *settings.Scheduler, entries []*nodepb.Entry,
 	complete bool) (update scheduler.NodesUpdated, addresses map[string]string) {
 	update, addresses = scheduler.NodesUpdated{Complete: complete}, make(map[string]string, len(entries))
 	for _, entry := range entries {
 		addresses[entry.Node] = entry.Address
-		update.Machines = append(update.Machines, flaxshelf.Machine{
-			ID:         entry.Node,
-			Kind:       set.KindIndex(entry.Kind),
-			Zone:       entry.Zone,
-			Cell:       int(entry.Cell),
-			State:      machineStates[entry.Standing],
-			Started:    scheduler.Time(entry.StartedUnixNs),
-			FreeCores:  entry.FreeCores,
-			FreeMemory: entry.FreeMemory,
-		})
+		update.Machines = append(update.Machines, decodeEntry(set, entry))
 	}
 	return update, addresses
 }
--- a/internal/front/nodefront/nodefront_test.go
+++ b/internal/front/nodefront/nodefront_test.go
@@ -7,8 +7,11 @@
 	"testing"
 	"time"
 
+	"google.golang.org/protobuf/proto"
+
 	"flaxshelf.example/flaxshelf"
 	"flaxshelf.example/flaxshelf/internal/codec/nodeframe/nodepb"
+	"flaxshelf.example/flaxshelf/internal/machinetest"
 	"flaxshelf.example/flaxshelf/internal/scheduler"
 	"flaxshelf.example/flaxshelf/internal/settings"
 )
@@ -17,7 +20,7 @@
 	t.Helper()
 	set, err := settings.ParseScheduler("f.cue", []byte(`
 inventory: "127.0.0.1:1"
-kinds: [{name: "k", cores: 8, memory: 32}]
+kinds: [{name: "k", cores: 8, memory: 32}, {name: "large", cores: 64, memory: 256}]
 classes: [{name: "batch", effect: "keyed"}, {name: "service", effect: "safe"}]
 tenants: [{name: "north"}]
 `))
@@ -200,3 +203,39 @@
 		}
 	}
 }
+
+// What a node registers with NewEntry arrives in full at a scheduler: through the wire and a listing.
+func TestEntryKeepsEveryFieldOfMachine(t *testing.T) {
+	want := machinetest.Filled(t)
+	data, err := proto.Marshal(NewEntry(want, "large", "h:1"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	entry := &nodepb.Entry{}
+	if err := proto.Unmarshal(data, entry); err != nil {
+		t.Fatal(err)
+	}
+	inventory := Inventory{Set: testSettings(t)}
+	input, addresses, _, err := inventory.Input(&nodepb.Frame{Body: &nodepb.Frame_Listing{
+		Listing: &nodepb.Listing{Entries: []*nodepb.Entry{entry}}}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	update, ok := input.(scheduler.NodesUpdated)
+	if !ok || len(update.Machines) != 1 {
+		t.Fatalf("got %+v, want an update with one machine", input)
+	}
+	machinetest.Expect(t, update.Machines[0], want)
+	if addresses[want.ID] != "h:1" {
+		t.Errorf("address: got %q, want h:1", addresses[want.ID])
+	}
+}
+
+func TestEntryKeepsEveryState(t *testing.T) {
+	for _, state := range []flaxshelf.MachineState{flaxshelf.Active, flaxshelf.Draining, flaxshelf.Removed} {
+		entry := NewEntry(flaxshelf.Machine{ID: "n", State: state}, "k", "h:1")
+		if got := decodeEntry(testSettings(t), entry).State; got != state {
+			t.Errorf("state %v: got %v", state, got)
+		}
+	}
+}
--- a/internal/front/platformfront/config_test.go
+++ b/internal/front/platformfront/config_test.go
@@ -76,7 +76,7 @@
 			t.Fatalf("%+v", c.InitialEvents)
 		}
 		expectEqual(t, "complete", c.InitialEvents[0].Update.Complete, true)
-		expectEqual(t, "machine", c.InitialEvents[1].Update.Machines[0],
+		expectEqual(t, "machine", c.InitialEvents[1].Update.Endpoints[0].Machine,
 			flaxshelf.Machine{ID: "s-1", Zone: "east", Cell: 2, State: flaxshelf.Draining, Started: 1500 * time.Millisecond})
 	})
 }
@@ -171,7 +171,7 @@
 				t.Errorf("idle timeout: %+v, %v", c, err)
 			}
 			event, err := want.DecodeWatchEvent([]byte(withKeys(eventText, "members servers id state unasked", write)))
-			if err != nil || !event.HasFreeCapacity || event.Update.Machines[0].FreeMemory != 2 {
+			if err != nil || !event.HasFreeCapacity || event.Update.Endpoints[0].Machine.FreeMemory != 2 {
 				t.Errorf("event: %+v, %v", event, err)
 			}
 			object := strings.TrimSuffix(strings.TrimPrefix(settings, `"settings":`), "}")
--- a/internal/front/platformfront/watch.go
+++ b/internal/front/platformfront/watch.go
@@ -65,15 +65,15 @@
 			return WatchEvent{}, err
 		}
 		event.HasFreeCapacity = event.HasFreeCapacity || server.hasFreeCapacity()
-		event.Update.Machines = append(event.Update.Machines, machine)
-		event.Update.Addrs = append(event.Update.Addrs, server.Addr)
+		event.Update.Endpoints = append(event.Update.Endpoints, requests.Endpoint{Machine: machine, Addr: server.Addr})
 	}
 	return event, nil
 }
 
 func (s *wireServer) hasFreeCapacity() bool { return len(s.FreeCapacity) >= 2 }
 
-// decodeServer translates one entry of a list of nodes. A kind that the settings don't have is unknown, no error.
+// decodeServer translates an entry of a list of nodes; it is the only mapping of this wire to a Machine. A kind that the
+// settings don't have is unknown, which is no error.
 func (c *Config) decodeServer(server *wireServer) (flaxshelf.Machine, *WatchEventError) {
 	if server.ID == "" {
 		return flaxshelf.Machine{}, &WatchEventError{Field: "id", Reason: "must be the name of a node"}
@@ -103,15 +103,16 @@
 		if event.Update.Complete {
 			merged, positions = requests.NodesUpdated{Complete: true}, map[string]int{}
 		}
-		for i, machine := range event.Update.Machines {
-			position, known := positions[machine.ID]
-			if !known {
-				position = len(merged.Machines)
-				positions[machine.ID] = position
-				merged.Machines, merged.Addrs = append(merged.Machines, machine), append(merged.Addrs, "")
+		for _, endpoint := range event.Update.Endpoints {
+			id := endpoint.Machine.ID
+			position, known := positions[id]
+			if known {
+				merged.Endpoints[position] = endpoint
+				continue
 			}
-			merged.Machines[position], merged.Addrs[position] = machine, event.Update.Addrs[i]
+			positions[id] = len(merged.Endpoints)
+			merged.Endpoints = append(merged.Endpoints, endpoint)
 		}
 	}
-	return merged, merged.Complete || len(merged.Machines) > 0
+	return merged, merged.Complete || len(merged.Endpoints) > 0
 }
--- a/internal/front/platformfront/watch_test.go
+++ b/internal/front/platformfront/watch_test.go
@@ -1,10 +1,14 @@
 package platformfront
 
 import (
+	"encoding/json"
 	"errors"
+	"strings"
 	"testing"
+	"time"
 
 	"flaxshelf.example/flaxshelf"
+	"flaxshelf.example/flaxshelf/internal/machinetest"
 	"flaxshelf.example/flaxshelf/internal/requests"
 )
 
@@ -31,9 +35,9 @@
 
 // watchEvent is an event whose machines have the same address.
 func watchEvent(complete bool, addr string, machines ...flaxshelf.Machine) WatchEvent {
-	event := WatchEvent{Update: requests.NodesUpdated{Complete: complete, Machines: machines}}
-	for range machines {
-		event.Update.Addrs = append(event.Update.Addrs, addr)
+	event := WatchEvent{Update: requests.NodesUpdated{Complete: complete}}
+	for _, machine := range machines {
+		event.Update.Endpoints = append(event.Update.Endpoints, requests.Endpoint{Machine: machine, Addr: addr})
 	}
 	return event
 }
@@ -55,8 +59,11 @@
 		if !ok {
 			t.Fatal("no update")
 		}
-		expectEqual(t, "update", got, requests.NodesUpdated{Complete: true, Addrs: []string{"z", "x", "y"},
-			Machines: []flaxshelf.Machine{machine("a", flaxshelf.Removed), machine("b", flaxshelf.Active), machine("c", flaxshelf.Active)}})
+		expectEqual(t, "update", got, requests.NodesUpdated{Complete: true, Endpoints: []requests.Endpoint{
+			{Machine: machine("a", flaxshelf.Removed), Addr: "z"},
+			{Machine: machine("b", flaxshelf.Active), Addr: "x"},
+			{Machine: machine("c", flaxshelf.Active), Addr: "y"},
+		}})
 	})
 	t.Run("partial update", func(t *testing.T) {
 		if got, _ := MergeUpdates([]WatchEvent{watchEvent(false, "w", machine("z", flaxshelf.Active))}); got.Complete {
@@ -64,3 +71,48 @@
 		}
 	})
 }
+
+// encodeWatchEvent writes an event with one node as the control feed writes it. A field of Machine that is missing here makes
+// TestWatchEventKeepsEveryFieldOfMachine fail.
+func encodeWatchEvent(t *testing.T, endpoint requests.Endpoint, kinds ...string) []byte {
+	t.Helper()
+	machine := endpoint.Machine
+	server := wireServer{
+		ID:            machine.ID,
+		Addr:          endpoint.Addr,
+		Zone:          machine.Zone,
+		Kind:          kinds[machine.Kind],
+		Cell:          machine.Cell,
+		StartedMillis: float64(machine.Started) / float64(time.Millisecond),
+		FreeCapacity:  []float64{machine.FreeCores, machine.FreeMemory},
+	}
+	for name, state := range machineStates {
+		if state == machine.State {
+			server.State = name
+		}
+	}
+	data, err := json.Marshal(wireEvent{Sequence: 1, Members: &wireMembers{Full: true, Servers: []wireServer{server}}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return data
+}
+
+func TestWatchEventKeepsEveryFieldOfMachine(t *testing.T) {
+	text := strings.Replace(configText, `"kinds":["std"]`, `"kinds":["std","large"]`, 1)
+	config, err := ParseConfig([]byte(text))
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := requests.Endpoint{Machine: machinetest.Filled(t), Addr: "10.0.0.1:1"}
+	event, err := config.DecodeWatchEvent(encodeWatchEvent(t, want, "std", "large"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	merged, ok := MergeUpdates([]WatchEvent{event, event})
+	if !ok || len(merged.Endpoints) != 1 {
+		t.Fatalf("merged update: got %+v, %v, want one endpoint", merged, ok)
+	}
+	machinetest.Expect(t, merged.Endpoints[0].Machine, want.Machine)
+	expectEqual(t, "address", merged.Endpoints[0].Addr, want.Addr)
+}
--- /dev/null
+++ b/internal/machinetest/machinetest_test.go
@@ -0,0 +1,7 @@
+package machinetest
+
+import "testing"
+
+func TestFilledSetsEveryField(t *testing.T) {
+	ExpectFilled(t, Filled(t))
+}
--- a/internal/requests/endpoints.go
+++ b/internal/requests/endpoints.go
@@ -4,19 +4,24 @@
 
 // updateNodes applies an update of the endpoint list. The module gets it before it decides anything else in this step.
 func (c *Core) updateNodes(in NodesUpdated) {
-	c.notifyModule(flaxshelf.MachinesUpdated{Machines: in.Machines, Complete: in.Complete, Stale: in.FromConfig})
-	for i, machine := range in.Machines {
-		c.updateNode(machine, in.Addrs[i])
+	machines := make([]flaxshelf.Machine, len(in.Endpoints))
+	for i, endpoint := range in.Endpoints {
+		machines[i] = endpoint.Machine
+	}
+	c.notifyModule(flaxshelf.MachinesUpdated{Machines: machines, Complete: in.Complete, Stale: in.FromConfig})
+	for _, endpoint := range in.Endpoints {
+		c.updateNode(endpoint)
 	}
 	if in.Complete {
-		c.removeUnnamed(in.Machines)
+		c.removeUnnamed(in.Endpoints)
 	}
-	c.removeReplacedNodes(in)
+	c.removeReplacedNodes(in.Endpoints)
 }
 
 // updateNode applies an entry of the endpoint list. Links to a former address are closed, and tasks that ran before the node
 // restarted are lost.
-func (c *Core) updateNode(machine flaxshelf.Machine, addr string) {
+func (c *Core) updateNode(endpoint Endpoint) {
+	machine, addr := endpoint.Machine, endpoint.Addr
 	n := c.nodeFor(machine.ID)
 	restarted := n.listed && machine.Started > n.entry.Started && machine.State != flaxshelf.Removed
 	addrChanged := addr != "" && addr != n.addr
@@ -33,10 +38,10 @@
 }
 
 // removeUnnamed removes the nodes that a complete endpoint list does not name.
-func (c *Core) removeUnnamed(machines []flaxshelf.Machine) {
-	named := make(map[string]bool, len(machines))
-	for _, machine := range machines {
-		named[machine.ID] = true
+func (c *Core) removeUnnamed(endpoints []Endpoint) {
+	named := make(map[string]bool, len(endpoints))
+	for _, endpoint := range endpoints {
+		named[endpoint.Machine.ID] = true
 	}
 	for _, n := range c.sortedNodes() {
 		if !named[n.entry.ID] && n.entry.State != flaxshelf.Removed {
@@ -47,11 +52,11 @@
 }
 
 // removeReplacedNodes removes the nodes whose address the update gives to another node: that proves that they are gone.
-func (c *Core) removeReplacedNodes(in NodesUpdated) {
-	idByAddr := make(map[string]string, len(in.Machines))
-	for i, machine := range in.Machines {
-		if machine.State != flaxshelf.Removed && in.Addrs[i] != "" {
-			idByAddr[in.Addrs[i]] = machine.ID
+func (c *Core) removeReplacedNodes(endpoints []Endpoint) {
+	idByAddr := make(map[string]string, len(endpoints))
+	for _, endpoint := range endpoints {
+		if endpoint.Machine.State != flaxshelf.Removed && endpoint.Addr != "" {
+			idByAddr[endpoint.Addr] = endpoint.Machine.ID
 		}
 	}
 	for _, n := range c.sortedNodes() {
--- a/internal/requests/endpoints_test.go
+++ b/internal/requests/endpoints_test.go
@@ -5,8 +5,21 @@
 	"time"
 
 	"flaxshelf.example/flaxshelf"
+	"flaxshelf.example/flaxshelf/internal/machinetest"
 )
 
+func TestUpdateKeepsEveryFieldOfMachine(t *testing.T) {
+	h := newHarness(t)
+	want := machinetest.Filled(t)
+	h.step(nodeUpdated(want, "x"))
+	updates := moduleEventsOf[flaxshelf.MachinesUpdated](h)
+	if len(updates) != 1 || len(updates[0].Machines) != 1 {
+		t.Fatalf("got %+v, want one update of one machine", updates)
+	}
+	machinetest.Expect(t, updates[0].Machines[0], want)
+	machinetest.Expect(t, h.core.nodeFor(want.ID).entry, want)
+}
+
 // A node is identified by its ID: another one at its address ends the tasks that ran on it.
 func TestAddressReused(t *testing.T) {
 	h := newHarness(t)
--- a/internal/requests/harness_test.go
+++ b/internal/requests/harness_test.go
@@ -132,7 +132,7 @@
 
 // nodeUpdated is an update of the endpoint list with a single node.
 func nodeUpdated(m flaxshelf.Machine, addr string) NodesUpdated {
-	return NodesUpdated{Machines: []flaxshelf.Machine{m}, Addrs: []string{addr}}
+	return NodesUpdated{Endpoints: []Endpoint{{Machine: m, Addr: addr}}}
 }
 
 // updateNodes gives the core an update of the endpoint list. A node is its ID, or ID@address; without an address it has its
@@ -145,8 +145,7 @@
 		if !hasAddr {
 			addr = id
 		}
-		in.Machines = append(in.Machines, machine(id, state, 0))
-		in.Addrs = append(in.Addrs, addr)
+		in.Endpoints = append(in.Endpoints, Endpoint{Machine: machine(id, state, 0), Addr: addr})
 	}
 	h.step(in)
 }
--- a/internal/requests/input.go
+++ b/internal/requests/input.go
@@ -98,12 +98,16 @@
 
 // Inputs from the discovery service and the process.
 type (
+	// Endpoint is an entry of the endpoint list: a machine and the address at which its node listens.
+	Endpoint struct {
+		Machine flaxshelf.Machine
+		Addr    string // empty where the list has none: the address stays as it was
+	}
 	// NodesUpdated is an update of the endpoint list.
 	NodesUpdated struct {
-		Machines   []flaxshelf.Machine
-		Addrs      []string // of the machines, in their order
-		Complete   bool     // nodes that it doesn't name are removed
-		FromConfig bool     // from the configuration of the start; it may be out of date
+		Endpoints  []Endpoint
+		Complete   bool // nodes that it doesn't name are removed
+		FromConfig bool // from the configuration of the start; it may be out of date
 	}
 	// WatchEstablished reports that the discovery service has accepted the subscription.
 	WatchEstablished struct{}
--- a/internal/requests/property_test.go
+++ b/internal/requests/property_test.go
@@ -159,8 +159,8 @@
 	r.t.Helper()
 	inputs := r.read()
 	for _, in := range inputs { // what permits offers counts in this step, what forbids them from the next one on
-		if update, ok := in.(NodesUpdated); ok && update.Machines[0].State == flaxshelf.Active {
-			r.inactive[update.Machines[0].ID] = false
+		if update, ok := in.(NodesUpdated); ok && update.Endpoints[0].Machine.State == flaxshelf.Active {
+			r.inactive[update.Endpoints[0].Machine.ID] = false
 		}
 	}
 	r.step(inputs...)
@@ -310,8 +310,8 @@
 			}
 		}
 	case NodesUpdated:
-		for _, m := range in.Machines {
-			r.inactive[m.ID] = m.State != flaxshelf.Active
+		for _, endpoint := range in.Endpoints {
+			r.inactive[endpoint.Machine.ID] = endpoint.Machine.State != flaxshelf.Active
 		}
 	}
 }
--- a/internal/testbed/emulator/node.go
+++ b/internal/testbed/emulator/node.go
@@ -6,6 +6,7 @@
 
 	"flaxshelf.example/flaxshelf/internal/codec/nodeframe"
 	"flaxshelf.example/flaxshelf/internal/codec/nodeframe/nodepb"
+	"flaxshelf.example/flaxshelf/internal/front/nodefront"
 	"flaxshelf.example/flaxshelf/internal/settings"
 	"flaxshelf.example/flaxshelf/internal/testbed/scenario"
 	"flaxshelf.example/flaxshelf/internal/testbed/standin/fleet"
@@ -200,17 +201,14 @@
 
 // register reports the node's state to the inventory.
 func (n *nodeEntity) register(now Time, out *outbox) {
-	entry := &nodepb.Entry{Node: n.place.Name, Address: n.place.Name, Kind: n.settings.Kind, Zone: n.settings.Zone,
-		Cell: int32(n.settings.Cell)}
-	if n.incarnations > 1 || !n.place.Group.Warm {
-		entry.StartedUnixNs = int64(n.model.Started())
+	machine := n.model.Machine(n.settings.Cell)
+	if n.incarnations == 1 && n.place.Group.Warm {
+		machine.Started = 0
 	}
-	if n.model.Draining() {
-		entry.Standing = nodepb.Standing_DRAINING
-	}
-	if n.simulation.day.ListsFree {
-		entry.FreeCores, entry.FreeMemory = n.model.Free()
+	if !n.simulation.day.ListsFree {
+		machine.FreeCores, machine.FreeMemory = 0, 0
 	}
+	entry := nodefront.NewEntry(machine, n.settings.Kind, n.place.Name)
 	n.reply(now, n.simulation.inventory.id, frame{&nodepb.Frame{Body: &nodepb.Frame_Register{
 		Register: &nodepb.Register{Entry: entry}}}}, out)
 }
--- a/internal/testbed/standin/host/registration.go
+++ b/internal/testbed/standin/host/registration.go
@@ -6,6 +6,7 @@
 	"flaxshelf.example/flaxshelf/internal/clock"
 	"flaxshelf.example/flaxshelf/internal/codec/nodeframe"
 	"flaxshelf.example/flaxshelf/internal/codec/nodeframe/nodepb"
+	"flaxshelf.example/flaxshelf/internal/front/nodefront"
 	"flaxshelf.example/flaxshelf/internal/transport"
 )
 
@@ -29,15 +30,11 @@
 	if n.registration == nil || n.state.Dead() {
 		return
 	}
-	entry := &nodepb.Entry{Node: n.options.Model.Name, Address: n.options.Advertise, Kind: n.options.Kind,
-		Zone: n.options.Model.Zone, Cell: int32(n.options.Cell)}
-	if n.options.Model.SlowStartDuration > 0 {
-		entry.StartedUnixNs = int64(n.state.Started())
+	machine := n.state.Machine(n.options.Cell)
+	if n.options.Model.SlowStartDuration <= 0 {
+		machine.Started = 0
 	}
-	if n.state.Draining() {
-		entry.Standing = nodepb.Standing_DRAINING
-	}
-	entry.FreeCores, entry.FreeMemory = n.state.Free()
+	entry := nodefront.NewEntry(machine, n.options.Kind, n.options.Advertise)
 	n.registration.Send(encode(&nodepb.Frame{Body: &nodepb.Frame_Register{Register: &nodepb.Register{Entry: entry}}}))
 }
 
--- a/internal/testbed/standin/nodemodel/node.go
+++ b/internal/testbed/standin/nodemodel/node.go
@@ -8,6 +8,7 @@
 	"slices"
 	"time"
 
+	"flaxshelf.example/flaxshelf"
 	"flaxshelf.example/flaxshelf/internal/codec/nodeframe/nodepb"
 )
 
@@ -75,17 +76,22 @@
 	}
 }
 
-// Started returns when the node booted.
-func (n *Node) Started() Time { return n.started }
-
 // Dead reports whether the node has died. A dead node ignores what it receives and sends nothing.
 func (n *Node) Dead() bool { return n.dead }
 
 // Overloaded reports whether the node died because it was offered too much while it warmed up.
 func (n *Node) Overloaded() bool { return n.overloaded }
 
-// Draining reports whether the node rejects new tasks because it drains.
-func (n *Node) Draining() bool { return n.draining }
+// Machine returns what the node registers at the inventory about its machine, which is in a cell that the model doesn't know.
+// It has no kind, since settings refer to kinds by name.
+func (n *Node) Machine(cell int) flaxshelf.Machine {
+	machine := flaxshelf.Machine{ID: n.cfg.Name, Kind: -1, Zone: n.cfg.Zone, Cell: cell, Started: n.started}
+	if n.draining {
+		machine.State = flaxshelf.Draining
+	}
+	machine.FreeCores, machine.FreeMemory = n.Free()
+	return machine
+}
 
 // Free returns the resources that no accepted task has requested. They are below 0 on an overcommitted node.
 func (n *Node) Free() (cores, memory float64) {
--- a/internal/testbed/standin/nodemodel/node_test.go
+++ b/internal/testbed/standin/nodemodel/node_test.go
@@ -7,7 +7,9 @@
 	"testing"
 	"time"
 
+	"flaxshelf.example/flaxshelf"
 	"flaxshelf.example/flaxshelf/internal/codec/nodeframe/nodepb"
+	"flaxshelf.example/flaxshelf/internal/machinetest"
 )
 
 const ms = time.Millisecond
@@ -113,6 +115,17 @@
 	}
 }
 
+func TestMachineHasEveryField(t *testing.T) {
+	config := testConfig()
+	config.Zone = "z"
+	d := newDriver(t, config, nil)
+	d.node.Drain(d.now)
+	want := flaxshelf.Machine{ID: "n", Kind: -1, Zone: "z", Cell: 3, State: flaxshelf.Draining, Started: time.Second, FreeCores: 4,
+		FreeMemory: 8}
+	machinetest.Expect(t, d.node.Machine(3), want)
+	machinetest.ExpectFilled(t, want)
+}
+
 // One offer is reviewed at a time and MaxWaitingOffers may wait. Accepted tasks start one after the other: slowly, or fast if
 // their program is cached.
 func TestTaskLifecycle(t *testing.T) {
