--- a/internal/benchadapter/events.go
+++ b/internal/benchadapter/events.go
@@ -6,6 +6,7 @@
 	"strings"
 
 	"flaxshelf.example/flaxshelf"
+	"flaxshelf.example/flaxshelf/internal/textfields"
 )
 
 // outcomes are the outcomes of attempts and health checks by their numbers in the protocol.
@@ -32,68 +33,65 @@
 }
 
 func decodeTaskAdopted(f *fields) flaxshelf.Event {
-	return flaxshelf.TaskAdopted{Task: decodeTask(f), Machine: f.text("node", required)}
+	return flaxshelf.TaskAdopted{Task: decodeTask(f), Machine: f.RequiredText("node")}
 }
 
 func decodeAttemptPlaced(f *fields) flaxshelf.Event {
-	return flaxshelf.AttemptPlaced{Task: f.text("tid", required), Machine: f.text("node", optional),
-		Attempt: int(f.integer("leg", optional)), Latency: f.duration("lag_ns", optional)}
+	return flaxshelf.AttemptPlaced{Task: f.RequiredText("tid"), Machine: f.Text("node"),
+		Attempt: int(f.Integer("leg")), Latency: f.Duration("lag_ns")}
 }
 
 func decodeAttemptEnded(f *fields) flaxshelf.Event {
-	return flaxshelf.AttemptEnded{Task: f.text("tid", required), Machine: f.text("node", optional),
-		Attempt: int(f.integer("leg", optional)), Outcome: lookup(f, "verdict", outcomes, flaxshelf.Lost),
-		Reason: flaxshelf.Reason(f.integer("remark", optional)), Final: f.boolean("finished"),
-		Latency: f.duration("lag_ns", optional), Load: decodeLoad(f)}
+	return flaxshelf.AttemptEnded{Task: f.RequiredText("tid"), Machine: f.Text("node"),
+		Attempt: int(f.Integer("leg")), Outcome: textfields.Lookup(&f.Fields, "verdict", outcomes, flaxshelf.Lost),
+		Reason: flaxshelf.Reason(f.Integer("remark")), Final: f.Boolean("finished"),
+		Latency: f.Duration("lag_ns"), Load: decodeLoad(f)}
 }
 
 func decodeUsageReport(f *fields) flaxshelf.Event {
-	return flaxshelf.UsageReport{Task: f.text("tid", required), Machine: f.text("node", optional),
-		Attempt: int(f.integer("leg", optional)), Kind: flaxshelf.UsageKind(f.integer("kind", required)),
-		Amount: f.number("amount")}
+	return flaxshelf.UsageReport{Task: f.RequiredText("tid"), Machine: f.Text("node"),
+		Attempt: int(f.Integer("leg")), Kind: flaxshelf.UsageKind(f.RequiredInteger("kind")),
+		Amount: f.Number("amount")}
 }
 
 func decodeHealthChecked(f *fields) flaxshelf.Event {
-	return flaxshelf.HealthChecked{Machine: f.text("node", required),
-		Outcome: lookup(f, "verdict", outcomes, flaxshelf.Lost), Load: decodeLoad(f)}
+	return flaxshelf.HealthChecked{Machine: f.RequiredText("node"),
+		Outcome: textfields.Lookup(&f.Fields, "verdict", outcomes, flaxshelf.Lost), Load: decodeLoad(f)}
 }
 
 func decodeGossip(f *fields) flaxshelf.Event {
-	blob := f.text("blob", optional)
+	blob := f.Text("blob")
 	data, err := base64.StdEncoding.DecodeString(strings.TrimPrefix(blob, noData))
 	if err != nil {
-		f.fail("blob", blob)
+		f.Fail("blob", blob, "must be base64 or -")
 	}
-	return flaxshelf.GossipReceived{From: int(f.integer("neighbour", required)), Data: data}
+	return flaxshelf.GossipReceived{From: int(f.RequiredInteger("neighbour")), Data: data}
 }
 
 func decodeTaskCanceled(f *fields) flaxshelf.Event {
-	return flaxshelf.TaskCanceled{Task: f.text("tid", required)}
+	return flaxshelf.TaskCanceled{Task: f.RequiredText("tid")}
 }
 
 func decodeTask(f *fields) flaxshelf.Task {
 	task := flaxshelf.Task{
-		ID: f.text("tid", required), Key: f.text("uid", optional), Service: f.text("owner_set", optional),
-		Cores: f.number("cores"), Memory: f.number("ram_units"),
-		ExpectedRuntime: f.duration("time_to_run_ns", optional), Deadline: f.duration("valid_until_ns", required),
-		Retry: f.boolean("again"), Tenant: -1,
+		ID: f.RequiredText("tid"), Key: f.Text("uid"), Service: f.Text("owner_set"),
+		Cores: f.Number("cores"), Memory: f.Number("ram_units"),
+		ExpectedRuntime: f.Duration("time_to_run_ns"), Deadline: f.RequiredDuration("valid_until_ns"),
+		Retry: f.Boolean("again"), Tenant: f.names.Tenant(f.Text("client_group")),
 	}
-	className := f.text("priority", required)
-	class, ok := f.names.Class[className]
+	className := f.RequiredText("priority")
+	class, ok := f.names.Class(className)
 	if !ok {
-		f.fail("priority", className)
+		f.Fail("priority", className, "must be the name of a class")
 	}
 	task.Class = class
-	if tenant, ok := f.names.Tenant[f.text("client_group", optional)]; ok {
-		task.Tenant = tenant
-	}
 	return task
 }
 
 // decodeLoad decodes a load report, which is written as name:value pairs: x0 for free cores, x1 for free memory. Other
 // names are skipped.
 func decodeLoad(f *fields) (load flaxshelf.LoadReport) {
-	text := f.text("load", optional)
+	text := f.Text("load")
 	if text == "" || text == noData {
 		return load
 	}
@@ -102,7 +100,7 @@
 		name, value, _ := strings.Cut(pair, ":")
 		amount, err := strconv.ParseFloat(value, 64)
 		if err != nil {
-			f.fail("load", text)
+			f.Fail("load", text, "must be name:number pairs")
 			return load
 		}
 		switch name {
--- a/internal/benchadapter/machines.go
+++ b/internal/benchadapter/machines.go
@@ -4,6 +4,8 @@
 	"strings"
 
 	"flaxshelf.example/flaxshelf"
+	"flaxshelf.example/flaxshelf/internal/fleetsettings"
+	"flaxshelf.example/flaxshelf/internal/textfields"
 )
 
 // listedMachine is an entry of a list of machines. Its kind is a name, since lists belong to no instance.
@@ -20,7 +22,7 @@
 // register reads the list of machines that a REGISTER line announces. It replaces an older one of the same number. The error
 // is io.EOF, not io.ErrUnexpectedEOF, where the input ends between two entries.
 func (r *Reader) register(f *fields) error {
-	page, count := int(f.integer("page", required)), f.integer("records", optional)
+	page, count := int(f.RequiredInteger("page")), f.Integer("records")
 	var list []listedMachine
 	for range count {
 		line, err := r.line()
@@ -29,53 +31,61 @@
 		}
 		message, rest, _ := strings.Cut(line, " ")
 		if message != "M" {
-			return &ProtocolError{r.serial, "records", line}
+			return &ProtocolError{Batch: r.serial, Field: "records", Value: line}
 		}
-		entry, err := decodeMachine(r.fields(rest))
-		if err != nil {
+		entryFields := parseFields(rest)
+		list = append(list, decodeMachine(entryFields))
+		if err := r.check(entryFields); err != nil {
 			return err
 		}
-		list = append(list, entry)
 	}
-	if f.err == nil {
-		r.pages[page] = list
+	if err := r.check(f); err != nil {
+		return err
 	}
-	return f.err
+	r.pages[page] = list
+	return nil
 }
 
-func decodeMachine(f *fields) (listedMachine, error) {
+// decodeMachine decodes an entry; it is the only mapping of this wire to a Machine, but for its kind.
+func decodeMachine(f *fields) listedMachine {
 	machine := flaxshelf.Machine{
-		ID: f.text("node", required), Zone: f.text("az", optional), Cell: int(f.integer("pod", optional)),
-		Started:   f.duration("last_start_ns", optional),
-		FreeCores: f.number("open_cores"), FreeMemory: f.number("spare_mem"),
+		ID:         f.RequiredText("node"),
+		Zone:       f.Text("az"),
+		Cell:       int(f.Integer("pod")),
+		Started:    f.Duration("last_start_ns"),
+		FreeCores:  f.Number("open_cores"),
+		FreeMemory: f.Number("spare_mem"),
+		State:      textfields.Lookup(&f.Fields, "readiness", machineStates, flaxshelf.Active),
 	}
-	machine.State = lookup(f, "readiness", machineStates, flaxshelf.Active)
-	return listedMachine{machine, f.text("shape", optional)}, f.err
+	return listedMachine{machine: machine, kind: f.Text("shape")}
+}
+
+// forInstance returns the machine with the kind that it has in the settings of an instance.
+func (l listedMachine) forInstance(names *fleetsettings.Names) flaxshelf.Machine {
+	machine := l.machine
+	machine.Kind = names.Kind(l.kind)
+	return machine
 }
 
 // decodeView decodes a VIEW line: a list of machines that was registered before, or the failure to get one.
 func (r *Reader) decodeView(f *fields) flaxshelf.Event {
-	form := f.text("form", required)
+	form := f.RequiredText("form")
 	switch form {
 	case "Error":
 		return flaxshelf.DiscoveryFailed{}
 	case "Partial", "Complete", "Persisted":
 	default:
-		f.fail("form", form)
+		f.Fail("form", form, "must be Complete, Partial, Persisted or Error")
 		return nil
 	}
-	list, ok := r.pages[int(f.integer("page", required))]
+	list, ok := r.pages[int(f.RequiredInteger("page"))]
 	if !ok {
-		f.fail("page", f.text("page", optional))
+		f.Fail("page", f.Text("page"), "must be the number of a list that was registered before")
 		return nil
 	}
 	event := flaxshelf.MachinesUpdated{Complete: form != "Partial", Stale: form == "Persisted"}
 	for _, entry := range list {
-		entry.machine.Kind = -1
-		if kind, ok := f.names.Kind[entry.kind]; ok {
-			entry.machine.Kind = kind
-		}
-		event.Machines = append(event.Machines, entry.machine)
+		event.Machines = append(event.Machines, entry.forInstance(f.names))
 	}
 	return event
 }
--- a/internal/benchadapter/reader.go
+++ b/internal/benchadapter/reader.go
@@ -10,6 +10,7 @@
 	"strings"
 
 	"flaxshelf.example/flaxshelf"
+	"flaxshelf.example/flaxshelf/internal/fleetsettings"
 )
 
 // readBufferBytes is the size of the buffer that a Reader reads into; longer lines are read too.
@@ -19,7 +20,7 @@
 type Start struct {
 	Seed   uint64
 	Config flaxshelf.Config
-	names  *Names
+	names  *fleetsettings.Names
 }
 
 // Item is one thing that happens to an instance: exactly one of Start, Stop and Event is set.
@@ -50,14 +51,14 @@
 // Reader reads batches. It keeps the names of the instances' settings and the lists of machines that were registered.
 type Reader struct {
 	in     *bufio.Reader
-	names  map[int]*Names // by instance
+	names  map[int]*fleetsettings.Names // by instance
 	pages  map[int][]listedMachine
 	serial int64
 }
 
 // NewReader returns a Reader of the input.
 func NewReader(in io.Reader) *Reader {
-	return &Reader{in: bufio.NewReaderSize(in, readBufferBytes), names: map[int]*Names{}, pages: map[int][]listedMachine{}}
+	return &Reader{in: bufio.NewReaderSize(in, readBufferBytes), names: map[int]*fleetsettings.Names{}, pages: map[int][]listedMachine{}}
 }
 
 // Next reads one batch. The error is io.EOF when the input ends between batches, io.ErrUnexpectedEOF when it breaks off
@@ -102,12 +103,12 @@
 	}
 	message, rest, _ := strings.Cut(line, " ")
 	if message != "FRAME" {
-		return nil, &ProtocolError{r.serial, "FRAME", line}
+		return nil, &ProtocolError{Batch: r.serial, Field: "FRAME", Value: line}
 	}
-	f := r.fields(rest)
-	batch := &Batch{Clock: f.duration("clock_ns", required), Serial: f.integer("serial", required)}
-	if f.err != nil {
-		return nil, f.err
+	f := parseFields(rest)
+	batch := &Batch{Clock: f.RequiredDuration("clock_ns"), Serial: f.RequiredInteger("serial")}
+	if err := r.check(f); err != nil {
+		return nil, err
 	}
 	r.serial = batch.Serial
 	return batch, nil
@@ -126,19 +127,19 @@
 // is of a later version.
 func (r *Reader) item(line string) (item Item, ok bool, err error) {
 	message, rest, _ := strings.Cut(line, " ")
-	f := r.fields(rest)
+	f := parseFields(rest)
 	if message == "REGISTER" {
 		return item, false, r.register(f)
 	}
-	item.Instance = int(f.integer("who", required))
+	item.Instance = int(f.RequiredInteger("who"))
 	if names := r.names[item.Instance]; names != nil {
 		f.names = names
 	}
 	if !r.decodeItem(message, f, &item) {
 		return item, false, nil
 	}
-	if f.err != nil {
-		return item, false, f.err
+	if err := r.check(f); err != nil {
+		return item, false, err
 	}
 	if item.Start != nil {
 		r.names[item.Instance] = item.Start.names
@@ -150,8 +151,8 @@
 func (r *Reader) decodeItem(message string, f *fields, item *Item) bool {
 	switch message {
 	case "UP":
-		item.Start = &Start{Seed: uint64(f.integer("init_seed", optional))}
-		item.Start.Config, item.Start.names = decodeConfig(f)
+		item.Start = &Start{Seed: uint64(f.Integer("init_seed"))}
+		item.Start.Config, item.Start.names = fleetsettings.Decode(&f.Fields)
 	case "RETIRE":
 		item.Stop = true
 	case "VIEW":
--- a/internal/benchadapter/reader_test.go
+++ b/internal/benchadapter/reader_test.go
@@ -7,6 +7,7 @@
 	"reflect"
 	"strings"
 	"testing"
+	"time"
 
 	"flaxshelf.example/flaxshelf"
 	"flaxshelf.example/flaxshelf/internal/machinetest"
@@ -34,6 +35,24 @@
 	}
 }
 
+func TestStartHasTheConfiguration(t *testing.T) {
+	config := readAll(t, "FRAME clock_ns=5 serial=1\n"+upLine+"END\n")[0].Items[0].Start.Config
+	if config.Schedulers != 2 || !config.DiscoveryOnRequest || config.Tick != 2*time.Millisecond || len(config.Tenants) != 0 {
+		t.Errorf("got %+v, want 2 schedulers, discovery on request, a tick of 2 ms and no tenants", config)
+	}
+	want := []flaxshelf.Kind{{Name: "k1", Cores: 30, Memory: 86}, {Name: "k2", Cores: 48, Memory: 155}}
+	if !reflect.DeepEqual(config.Kinds, want) {
+		t.Errorf("kinds: got %+v, want %+v", config.Kinds, want)
+	}
+	if c := config.Classes[1]; c.Idempotency != flaxshelf.IdempotentByKey || c.KeyDomain != flaxshelf.ZoneDomain ||
+		c.KeyTTL != 5*time.Second || c.Kind != 1 {
+		t.Errorf("class 1: got %+v, want it idempotent by key in its zone for 5 s, on kind 1", c)
+	}
+	if c := config.Classes[0]; c.SpreadDomain != flaxshelf.ZoneDomain || c.MaxPerDomain != 4 || c.Kind != -1 {
+		t.Errorf("class 0: got %+v, want 4 tasks a zone, on any kind", c)
+	}
+}
+
 // A list takes over the number of an older one in the middle of a batch; unknown messages are skipped.
 func TestEventsInOrderWithReusedLists(t *testing.T) {
 	text := "FRAME clock_ns=5 serial=1\n" + upLine +
@@ -97,6 +116,7 @@
 		"VIEW who=1 form=Partial page=3":            {4, "page", "3"},
 		"INBOX who=1 neighbour=1 blob=***":          {4, "blob", "***"},
 		"REGISTER page=0 records=1\nX y=1":          {4, "records", "X y=1"},
+		"UP who=1 round_ns=x":                       {4, "round_ns", "x"},
 	} {
 		t.Run(line, func(t *testing.T) {
 			_, err := NewReader(strings.NewReader(frame + line + "\nEND\n")).Next()
--- /dev/null
+++ b/internal/fleetsettings/decode.go
@@ -0,0 +1,149 @@
+// Package fleetsettings decodes the settings that the platform and the bench give a scheduler: a flaxshelf.Config and the
+// names in it. The bench writes them as path=value pairs, the platform as a JSON object of the same paths. It is not the
+// reader of the CUE files of serve, which is package settings.
+package fleetsettings
+
+import (
+	"fmt"
+
+	"flaxshelf.example/flaxshelf"
+	"flaxshelf.example/flaxshelf/internal/textfields"
+)
+
+// idempotencies are the kinds of idempotency by their names in the settings.
+var idempotencies = map[string]flaxshelf.Idempotency{
+	"read_like": flaxshelf.Idempotent, "idempotency_key": flaxshelf.IdempotentByKey, "non_idempotent": flaxshelf.NonIdempotent,
+}
+
+// topologyDomains are the topology domains by their names in the settings.
+var topologyDomains = map[string]flaxshelf.TopologyDomain{
+	"off": flaxshelf.NoDomain, "machine": flaxshelf.MachineDomain, "cell": flaxshelf.CellDomain,
+	"zone": flaxshelf.ZoneDomain, "all": flaxshelf.FleetDomain,
+}
+
+// Decode decodes settings that are fields named by their paths. Fields that this version doesn't know are skipped. A fault is
+// recorded in the fields.
+func Decode(f *textfields.Fields) (flaxshelf.Config, *Names) {
+	config := flaxshelf.Config{
+		Index:      int(f.Integer("index")),
+		Schedulers: int(f.Integer("balancers")),
+		Zone:       f.Text("zone"),
+	}
+	setPlacement(&config, f)
+	setCapabilities(&config, f)
+	setTimings(&config, f)
+	config.Prices = decodePrices(f)
+	config.Kinds = decodeKinds(f)
+	config.Classes = decodeClasses(f)
+	config.Tenants = decodeTenants(f)
+	return config, namesOf(&config)
+}
+
+// setPlacement decodes how tasks are placed and machines report on them.
+func setPlacement(config *flaxshelf.Config, f *textfields.Fields) {
+	config.OverQuotaWeight = f.Number("over_share_worth")
+	config.CoreOvercommit = f.Number("specifics.admit_cores")
+	config.MemoryOvercommit = f.Number("specifics.memory_multiple")
+	config.PlacedWhenRunning = f.Text("specifics.confirms") == "running"
+	config.Preempts = f.Boolean("specifics.pushes_out")
+	config.ListsFreeCapacity = f.Boolean("specifics.shows_free")
+	config.ReportsUsage = f.Text("specifics.measured_by") == "used"
+	config.DiscoveryOnRequest = f.Text("discovery") == "on_request"
+}
+
+// setCapabilities decodes what the platform can do.
+func setCapabilities(config *flaxshelf.Config, f *textfields.Fields) {
+	config.MaxAttempts = int(f.Integer("caps.most_tries"))
+	config.HedgedRequests = f.Boolean("caps.second_copies")
+	config.CanCancel = f.Boolean("caps.cancel")
+	config.CanHealthCheck = f.Boolean("caps.probes")
+	config.CanGossip = f.Boolean("caps.peers")
+	config.CanRetryAfter = f.Boolean("caps.retry_after")
+	config.MaxRetryAfter = f.Duration("caps.max_retry_after_ns")
+	config.ConnectTimeout = f.Duration("caps.connect_timeout_ns")
+}
+
+// setTimings decodes intervals, the times that the platform demands, and the budget of slow starts.
+func setTimings(config *flaxshelf.Config, f *textfields.Fields) {
+	config.Tick = f.Duration("round_ns")
+	config.AnswerSlack = f.Duration("obligations.answer_slack_ns")
+	config.DrainGrace = f.Duration("obligations.stop_sending_within_ns")
+	config.DiscoveryPollDeadline = f.Duration("obligations.ask_within_ns")
+	config.SlowStartDuration = f.Duration("obligations.cold_ns")
+	config.OverloadWindow = f.Duration("obligations.fall_ns")
+	config.SlowStartBudget = f.Number("specifics.fresh_offers")
+}
+
+func decodePrices(f *textfields.Fields) flaxshelf.Prices {
+	return flaxshelf.Prices{
+		CrossZone:          f.Number("prices.cross_zone"),
+		Waste:              f.Number("prices.waste"),
+		HealthCheck:        f.Number("prices.probe"),
+		Gossip:             f.Number("prices.peer"),
+		Migration:          f.Number("prices.moves"),
+		Discovery:          f.Number("prices.discovery"),
+		Fleet:              f.Number("prices.fleet"),
+		Rejection:          f.Number("specifics.refusal_fee"),
+		EvictionMigrations: f.Number("specifics.eviction_as_moves"),
+	}
+}
+
+func decodeKinds(f *textfields.Fields) (kinds []flaxshelf.Kind) {
+	for i, name := range f.List("kinds") {
+		kinds = append(kinds, flaxshelf.Kind{Name: name,
+			Cores: f.NumberAt("specifics.kind_cores", i, 0), Memory: f.NumberAt("specifics.mem_of_kind", i, 0)})
+	}
+	return kinds
+}
+
+func decodeClasses(f *textfields.Fields) (classes []flaxshelf.Class) {
+	for i := range f.Count("categories.count") {
+		classes = append(classes, decodeClass(f, i))
+	}
+	return classes
+}
+
+func decodeClass(f *textfields.Fields, i int) flaxshelf.Class {
+	path := fmt.Sprintf("categories.%d.", i)
+	class := flaxshelf.Class{
+		Name:                   f.RequiredText(path + "name"),
+		Idempotency:            textfields.Lookup(f, path+"effect", idempotencies, flaxshelf.NonIdempotent),
+		KeyDomain:              textfields.Lookup(f, path+"key_scope", topologyDomains, flaxshelf.FleetDomain),
+		KeyTTL:                 f.Duration(path + "key_ttl_ns"),
+		LatencyObjective:       f.Duration(path + "objective_ns"),
+		PriorityWeight:         f.Number(path + "worth"),
+		LateStartWeight:        f.Number(path + "late_worth"),
+		StartValueSeconds:      f.NumberAt("specifics.start_seconds", i, 0),
+		FullServiceUtilization: f.NumberAt("specifics.class_calm", i, 1),
+		ServiceFadeRange:       f.NumberAt("specifics.fade_span", i, 1),
+		Kind:                   int(f.NumberAt("specifics.kind_by_class", i, -1)),
+		Priority:               int(f.NumberAt("specifics.priority_by_class", i, 0)),
+		MaxPerDomain:           int(f.NumberAt("specifics.together_max", i, 0)),
+	}
+	class.SpreadDomain = decodeSpreadDomain(f, i)
+	return class
+}
+
+// decodeSpreadDomain decodes the domain over which a class spreads; none where the list is too short.
+func decodeSpreadDomain(f *textfields.Fields, i int) flaxshelf.TopologyDomain {
+	const name = "specifics.spread_over"
+	list := f.List(name)
+	if i >= len(list) {
+		return flaxshelf.NoDomain
+	}
+	domain, ok := topologyDomains[list[i]]
+	if !ok || domain == flaxshelf.FleetDomain {
+		f.Fail(name, list[i], "must be off, machine, cell or zone")
+	}
+	return domain
+}
+
+func decodeTenants(f *textfields.Fields) (tenants []flaxshelf.Tenant) {
+	for i := range f.Count("customers.count") {
+		path := fmt.Sprintf("customers.%d.", i)
+		tenants = append(tenants, flaxshelf.Tenant{Name: f.RequiredText(path + "name"),
+			QuotaFraction: f.Number(path + "fraction"), TasksPerSecond: f.Number(path + "quota_per_s"),
+			QuotaCores: f.NumberAt("specifics.quota_cores", i, 0)})
+	}
+	return tenants
+}
--- a/internal/benchadapter/settings_test.go
+++ b/internal/fleetsettings/decode_test.go
@@ -1,30 +1,18 @@
-package benchadapter
+package fleetsettings
 
 import (
-	"errors"
 	"reflect"
 	"testing"
-	"time"
 
 	"flaxshelf.example/flaxshelf"
+	"flaxshelf.example/flaxshelf/internal/textfields"
 )
 
-func TestSettings(t *testing.T) {
-	config := readAll(t, "FRAME clock_ns=5 serial=1\n"+upLine+"END\n")[0].Items[0].Start.Config
-	if config.Schedulers != 2 || !config.DiscoveryOnRequest || config.Tick != 2*time.Millisecond || len(config.Tenants) != 0 {
-		t.Errorf("%+v", config)
-	}
-	want := []flaxshelf.Kind{{Name: "k1", Cores: 30, Memory: 86}, {Name: "k2", Cores: 48, Memory: 155}}
-	if !reflect.DeepEqual(config.Kinds, want) {
-		t.Errorf("%+v, want %+v", config.Kinds, want)
-	}
-	if c := config.Classes[1]; c.Idempotency != flaxshelf.IdempotentByKey || c.KeyDomain != flaxshelf.ZoneDomain ||
-		c.KeyTTL != 5*time.Second || c.Kind != 1 {
-		t.Errorf("%+v", c)
-	}
-	if c := config.Classes[0]; c.SpreadDomain != flaxshelf.ZoneDomain || c.MaxPerDomain != 4 || c.Kind != -1 {
-		t.Errorf("%+v", c)
-	}
+// decodePairs decodes settings that are path=value pairs.
+func decodePairs(pairs ...string) (flaxshelf.Config, *textfields.ValueError) {
+	f := textfields.New(pairs)
+	config, _ := Decode(&f)
+	return config, f.Invalid()
 }
 
 // Each of these settings has a place of its own in the configuration.
@@ -68,9 +56,11 @@
 		"a.later.setting=1":                           {},
 		"specifics.kind_cores=1 and no kind to be of": {},
 	} {
-		if got, _, err := Settings([]string{pair}); err != nil || !reflect.DeepEqual(got, want) {
-			t.Errorf("%s: %+v, %v, want %+v", pair, got, err, want)
-		}
+		t.Run(pair, func(t *testing.T) {
+			if got, invalid := decodePairs(pair); invalid != nil || !reflect.DeepEqual(got, want) {
+				t.Errorf("got %+v, %v, want %+v", got, invalid, want)
+			}
+		})
 	}
 }
 
@@ -91,10 +81,9 @@
 		"the first of two faults": {[]string{"round_ns=x", "index=y"}, "index", "y"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, _, err := Settings(c.pairs)
-			var got *ProtocolError
-			if want := (ProtocolError{0, c.field, c.value}); !errors.As(err, &got) || *got != want {
-				t.Errorf("got %v, want %v", err, &want)
+			_, invalid := decodePairs(c.pairs...)
+			if invalid == nil || invalid.Field != c.field || invalid.Value != c.value || invalid.Reason == "" {
+				t.Errorf("got %v, want field %s with value %q and a reason", invalid, c.field, c.value)
 			}
 		})
 	}
--- a/internal/front/platformfront/config.go
+++ b/internal/front/platformfront/config.go
@@ -15,7 +15,7 @@
 	"github.com/goccy/go-json"
 
 	"flaxshelf.example/flaxshelf"
-	"flaxshelf.example/flaxshelf/internal/benchadapter"
+	"flaxshelf.example/flaxshelf/internal/fleetsettings"
 )
 
 // minSockets is the least number of sockets with which a scheduler can serve.
@@ -39,7 +39,7 @@
 	LastSequence                uint64        // of the last of them
 	NodeIdleTimeout             time.Duration // after which nodes close a connection without traffic; 0: not known
 	Module                      flaxshelf.Config
-	Names                       *benchadapter.Names
+	Names                       *fleetsettings.Names
 }
 
 // wireConfig is a configuration file by its names in JSON.
--- a/internal/front/platformfront/config_test.go
+++ b/internal/front/platformfront/config_test.go
@@ -13,6 +13,7 @@
 	"github.com/goccy/go-json"
 
 	"flaxshelf.example/flaxshelf"
+	"flaxshelf.example/flaxshelf/internal/fleetsettings"
 )
 
 const configText = `{"name":"n3","listen":"127.0.0.1:0","seed":"8c1f30d27a5be964","limits":{"cores":0.25,"memory_mb":64,"sockets":256},
@@ -175,7 +176,7 @@
 				t.Errorf("event: %+v, %v", event, err)
 			}
 			object := strings.TrimSuffix(strings.TrimPrefix(settings, `"settings":`), "}")
-			names, err := decodeNames(json.RawMessage(withKeys(object, "kinds categories customers name", write)))
+			_, names, err := fleetsettings.DecodeJSON(json.RawMessage(withKeys(object, "kinds categories customers name", write)))
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/front/platformfront/owner.go
+++ b/internal/front/platformfront/owner.go
@@ -54,7 +54,7 @@
 
 // decodeSetUp translates a set-up: the submission of a task, or the adoption of one that a node runs already.
 func (c *Config) decodeSetUp(conn requests.Conn, now requests.Time, m *ownerjson.Message) (requests.Input, error) {
-	class, ok := c.Names.Class[m.Fields[fieldClass]]
+	class, ok := c.Names.Class(m.Fields[fieldClass])
 	if !ok {
 		return nil, invalidField(m, fieldClass, "not a class of the settings")
 	}
@@ -128,9 +128,7 @@
 	if !isName(task.Service) {
 		return task, invalidField(m, fieldExtras, "service must be a name")
 	}
-	if tenant, ok := c.Names.Tenant[m.Fields[fieldTenant]]; ok {
-		task.Tenant = tenant
-	}
+	task.Tenant = c.Names.Tenant(m.Fields[fieldTenant])
 	return task, nil
 }
 
--- a/internal/front/platformfront/watch.go
+++ b/internal/front/platformfront/watch.go
@@ -83,12 +83,14 @@
 		return flaxshelf.Machine{}, &WatchEventError{Field: "state", Value: server.State,
 			Reason: "must be active, leaving or left"}
 	}
-	kind, ok := c.Names.Kind[server.Kind]
-	if !ok {
-		kind = -1
+	machine := flaxshelf.Machine{
+		ID:      server.ID,
+		Kind:    c.Names.Kind(server.Kind),
+		Zone:    server.Zone,
+		Cell:    server.Cell,
+		State:   state,
+		Started: time.Duration(server.StartedMillis * float64(time.Millisecond)),
 	}
-	machine := flaxshelf.Machine{ID: server.ID, Kind: kind, Zone: server.Zone, Cell: server.Cell, State: state,
-		Started: time.Duration(server.StartedMillis * float64(time.Millisecond))}
 	if server.hasFreeCapacity() {
 		machine.FreeCores, machine.FreeMemory = server.FreeCapacity[0], server.FreeCapacity[1]
 	}
