--- a/internal/codec/httpcodec/parser_test.go
+++ b/internal/codec/httpcodec/parser_test.go
@@ -5,44 +5,49 @@
 	"fmt"
 	"strings"
 	"testing"
+
+	"flaxshelf.example/flaxshelf/internal/codec/codectest"
 )
 
-// parseInPieces parses the requests of input, of which step bytes arrive at a time, and describes what it got.
-func parseInPieces(input string, step int) string {
+// parse parses the requests of input, which arrives in pieces of size bytes, and describes them.
+func parse(input string, size int) string {
 	var p Parser
 	var seen []string
-	buf := []byte{}
-	for len(input) > 0 {
-		n := min(step, len(input))
-		buf = append(buf, input[:n]...)
-		input = input[n:]
+	buffer := []byte{}
+	for piece := range codectest.Pieces([]byte(input), size) {
+		buffer = append(buffer, piece...)
 		for {
-			req, used, sendContinue, err := p.Parse(buf)
+			req, used, sendContinue, err := p.Parse(buffer)
 			if sendContinue {
 				seen = append(seen, "continue")
 			}
 			if err != nil {
-				var rejected *Error
-				if !errors.As(err, &rejected) {
-					return "not an Error: " + err.Error()
-				}
-				return strings.Join(append(seen, fmt.Sprint(rejected.Status)), "; ")
+				return strings.Join(append(seen, describeRejection(err)), "; ")
 			}
 			if req == nil {
 				break
 			}
 			seen = append(seen, fmt.Sprintf("%s %s?%s %q close=%v", req.Method, req.Path, req.Query, req.Body, req.Close))
-			buf = buf[used:]
+			buffer = buffer[used:]
 		}
 	}
-	if len(buf) > 0 {
-		seen = append(seen, fmt.Sprintf("%d bytes left", len(buf)))
+	if len(buffer) > 0 {
+		seen = append(seen, fmt.Sprintf("%d bytes left", len(buffer)))
 	}
 	return strings.Join(seen, "; ")
 }
 
-// Requests and rejections are the same whether bytes come one at a time or all at once.
-func TestRequests(t *testing.T) {
+// describeRejection returns the status of an Error.
+func describeRejection(err error) string {
+	var rejected *Error
+	if !errors.As(err, &rejected) {
+		return "not an Error: " + err.Error()
+	}
+	return fmt.Sprint(rejected.Status)
+}
+
+// Requests and rejections are the same in whatever pieces their bytes arrive.
+func TestRequestsArriveInPieces(t *testing.T) {
 	const host = "Host: x\r\n"
 	for _, c := range []struct{ name, input, want string }{
 		{"no body", "GET /a?b=c HTTP/1.1\r\n" + host + "\r\n", `GET /a?b=c "" close=false`},
@@ -87,16 +92,16 @@
 		{"too many fields", "GET / HTTP/1.1\r\n" + host + strings.Repeat("A: b\r\n", 101) + "\r\n", "431"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			for _, step := range []int{len(c.input), 7, 1} {
-				if got := parseInPieces(c.input, step); got != c.want {
-					t.Errorf("%d bytes at a time: got %s, want %s", step, got, c.want)
+			codectest.RunSizes(t, len(c.input), func(t *testing.T, size int) {
+				if got := parse(c.input, size); got != c.want {
+					t.Errorf("got %s, want %s", got, c.want)
 				}
-			}
+			})
 		})
 	}
 }
 
-// Messages are part of the response's body, so their wording stays.
+// Messages are part of the response's body, so their wording is fixed.
 func TestErrorMessages(t *testing.T) {
 	const (
 		host    = "Host: x\r\n"
@@ -137,25 +142,24 @@
 }
 
 // A client that expects 100 Continue gets it once, and only for a request that can be served.
-func TestExpectContinue(t *testing.T) {
+func TestContinueIsSentOnce(t *testing.T) {
 	head := "POST / HTTP/1.1\r\nHost: x\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n"
 	var p Parser
 	for i, want := range []bool{true, false} {
 		if _, _, sendContinue, err := p.Parse([]byte(head)); sendContinue != want || err != nil {
-			t.Errorf("call %d: continue is %v, %v", i, sendContinue, err)
+			t.Errorf("call %d: got continue %v, %v, want %v", i, sendContinue, err, want)
 		}
 	}
 	if req, _, sendContinue, err := p.Parse([]byte(head + "ab")); req == nil || sendContinue || err != nil {
-		t.Errorf("with the body: %v, %v, %v", req, sendContinue, err)
+		t.Errorf("with the body: got %v, continue %v, %v, want a request without continue", req, sendContinue, err)
 	}
 	overLimit := strings.Replace(head, "Length: 2", "Length: 2000000", 1)
 	if _, _, sendContinue, err := new(Parser).Parse([]byte(overLimit)); sendContinue || err == nil {
-		t.Errorf("for a body over the limit: continue is %v, %v", sendContinue, err)
+		t.Errorf("for a body over the limit: got continue %v, %v, want an error without continue", sendContinue, err)
 	}
 }
 
-// A body that comes with its length is not copied.
-func TestBodyIsNotCopied(t *testing.T) {
+func TestBodyOfKnownLengthIsNotCopied(t *testing.T) {
 	input := []byte("POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\n\r\na")
 	req, _, _, err := new(Parser).Parse(input)
 	if err != nil {
@@ -163,20 +167,20 @@
 	}
 	input[len(input)-1] = 'b'
 	if string(req.Body) != "b" {
-		t.Error("the body was copied")
+		t.Errorf("body after the input has changed: got %q, want b", req.Body)
 	}
 }
 
-// Whatever comes, the parser neither panics nor keeps more than its limits, and pieces make no difference.
+// The parser never panics, and the pieces in which its input arrives make no difference.
 func FuzzRequest(f *testing.F) {
 	f.Add([]byte("GET /a HTTP/1.1\r\nHost: x\r\n\r\n"), uint8(3))
 	f.Add([]byte("POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"), uint8(1))
 	f.Add([]byte("POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\nExpect: 100-continue\r\n\r\nabcdGET"), uint8(2))
 	f.Fuzz(func(t *testing.T, input []byte, step uint8) {
-		// Whether the client is told to continue depends on whether its body has come.
+		// Whether the client is told to continue depends on whether its body has arrived.
 		withoutContinue := func(s string) string { return strings.ReplaceAll(s, "continue; ", "") }
-		atOnce := withoutContinue(parseInPieces(string(input), max(len(input), 1)))
-		if inPieces := withoutContinue(parseInPieces(string(input), max(int(step), 1))); inPieces != atOnce {
+		atOnce := withoutContinue(parse(string(input), len(input)))
+		if inPieces := withoutContinue(parse(string(input), int(step))); inPieces != atOnce {
 			t.Errorf("%d bytes at a time: %s\nat once: %s", step, inPieces, atOnce)
 		}
 	})
--- a/internal/codec/nodebinary/message_test.go
+++ b/internal/codec/nodebinary/message_test.go
@@ -2,38 +2,18 @@
 
 import (
 	"errors"
-	"fmt"
 	"slices"
 	"strings"
 	"testing"
+
+	"flaxshelf.example/flaxshelf/internal/codec/codectest"
 )
 
 var setUp = Message{Type: SetUp, Task: 0x9b1f03aa5c7e2d41, Cause: NoCause, Class: "batch", TimeLeft: "1500", Key: "7f3a",
 	IdempotencyKey: "5c0f", Description: "9d41\r\nc=IN\r\n", Described: true}
 
-// decodeInPieces decodes all messages of input, of which step bytes arrive at a time.
-func decodeInPieces(t *testing.T, input []byte, step int) []Message {
-	t.Helper()
-	var buf []byte
-	var messages []Message
-	for i := 0; i < len(input); i += step {
-		buf = append(buf, input[i:min(i+step, len(input))]...)
-		for {
-			m, used, err := Next(buf)
-			if err != nil {
-				t.Fatal(err)
-			}
-			if used == 0 {
-				break
-			}
-			messages, buf = append(messages, m), buf[used:]
-		}
-	}
-	return messages
-}
-
-// Messages are decoded as they were encoded, however their bytes arrive.
-func TestMessages(t *testing.T) {
+// Messages are decoded as they were encoded, in whatever pieces their bytes arrive.
+func TestMessagesArriveInPieces(t *testing.T) {
 	want := []Message{setUp, {Type: Release, Task: 1, Cause: 34, Token: "cpu_full"}, {Type: Note, Task: 2, Cause: NoCause,
 		Token: "share", Value: "0.5"}}
 	var input []byte
@@ -43,25 +23,23 @@
 			t.Fatal(err)
 		}
 	}
-	for _, step := range []int{1, 5, len(input)} {
-		t.Run(fmt.Sprintf("%d bytes at a time", step), func(t *testing.T) {
-			if got := decodeInPieces(t, input, step); !slices.Equal(got, want) {
-				t.Errorf("%+v", got)
-			}
-		})
-	}
+	codectest.RunSizes(t, len(input), func(t *testing.T, size int) {
+		if got := codectest.Decode(t, input, size, Next); !slices.Equal(got, want) {
+			t.Errorf("got %+v, want %+v", got, want)
+		}
+	})
 }
 
-// The bytes of a message, written by hand: the length counts all that follows it.
-func TestAppendBytes(t *testing.T) {
+// The expected bytes are written by hand: the length counts all that follows it.
+func TestAppendWritesTheWireFormat(t *testing.T) {
 	got, err := Append(nil, &Message{Type: Release, Task: 0x0102030405060708, Cause: 16})
 	want := "\x00\x0d\x0c\x01\x02\x03\x04\x05\x06\x07\x08\xc2\x00\x01\x10"
 	if err != nil || string(got) != want {
-		t.Errorf("%q, %v", got, err)
+		t.Errorf("got %q, %v, want %q", got, err, want)
 	}
 }
 
-// Malformed bytes are rejected as early as they can be, before what they announce has come.
+// Malformed bytes are rejected before the bytes that they announce have arrived.
 func TestNextRejectsMalformedMessages(t *testing.T) {
 	const releaseHeader = "\x00\x10\x0c\x01\x02\x03\x04\x05\x06\x07\x08"
 	for name, c := range map[string]struct {
@@ -81,11 +59,11 @@
 		t.Run(name, func(t *testing.T) {
 			m, used, err := Next([]byte(c.input))
 			if !errors.Is(err, ErrMalformed) {
-				t.Fatalf("%+v, %d, %v", m, used, err)
+				t.Fatalf("got %+v, %d, %v, want %v", m, used, err, ErrMalformed)
 			}
 			var protocol *ProtocolError
 			if !errors.As(err, &protocol) || protocol.Offset != c.offset || protocol.Field != c.field || protocol.Value != c.value {
-				t.Errorf("%v", err)
+				t.Errorf("got %v, want field %s with value %s at byte %d", err, c.field, c.value, c.offset)
 			}
 		})
 	}
@@ -94,14 +72,14 @@
 func TestAppendRejectsLongMessages(t *testing.T) {
 	buf, err := Append([]byte("kept"), &Message{Type: SetUp, Description: strings.Repeat("x", MaxMessage), Described: true})
 	if !errors.Is(err, ErrTooLong) || string(buf) != "kept" {
-		t.Errorf("%d bytes, %v", len(buf), err)
+		t.Errorf("got %d bytes, %v, want the buffer as it was and %v", len(buf), err, ErrTooLong)
 	}
 }
 
 func TestTypeString(t *testing.T) {
 	for value, want := range map[Type]string{SetUp: "setup", Pong: "pong", 0: "type 0", 7: "type 7", 255: "type 255"} {
 		if got := value.String(); got != want {
-			t.Errorf("%d is %q, want %q", byte(value), got, want)
+			t.Errorf("type %d: got %q, want %q", byte(value), got, want)
 		}
 	}
 }
@@ -127,7 +105,7 @@
 			t.Fatal(err)
 		}
 		if again, _, err := Next(encoded); err != nil || again != m {
-			t.Errorf("%+v, then %+v, %v", m, again, err)
+			t.Errorf("decoded again: got %+v, %v, want %+v", again, err, m)
 		}
 	})
 }
--- a/internal/codec/nodeframe/frame_test.go
+++ b/internal/codec/nodeframe/frame_test.go
@@ -2,13 +2,13 @@
 
 import (
 	"errors"
-	"fmt"
 	"slices"
 	"strings"
 	"testing"
 
 	"google.golang.org/protobuf/proto"
 
+	"flaxshelf.example/flaxshelf/internal/codec/codectest"
 	"flaxshelf.example/flaxshelf/internal/codec/nodeframe/nodepb"
 )
 
@@ -17,29 +17,8 @@
 		Task: &nodepb.Task{Job: "a", Cores: 0.5, Name: taskName}}}}
 }
 
-// decodeInPieces decodes all frames of input, of which step bytes arrive at a time.
-func decodeInPieces(t *testing.T, input []byte, step int) []*nodepb.Frame {
-	t.Helper()
-	var buf []byte
-	var frames []*nodepb.Frame
-	for i := 0; i < len(input); i += step {
-		buf = append(buf, input[i:min(i+step, len(input))]...)
-		for {
-			frame, used, err := Next(buf)
-			if err != nil {
-				t.Fatal(err)
-			}
-			if frame == nil {
-				break
-			}
-			frames, buf = append(frames, frame), buf[used:]
-		}
-	}
-	return frames
-}
-
-// Frames are decoded as they were encoded, however their bytes arrive.
-func TestFrames(t *testing.T) {
+// Frames are decoded as they were encoded, in whatever pieces their bytes arrive.
+func TestFramesArriveInPieces(t *testing.T) {
 	names := []string{"one", "two", ""}
 	var input []byte
 	for _, name := range names {
@@ -48,20 +27,18 @@
 			t.Fatal(err)
 		}
 	}
-	for _, step := range []int{1, 3, len(input)} {
-		t.Run(fmt.Sprintf("%d bytes at a time", step), func(t *testing.T) {
-			var got []string
-			for _, frame := range decodeInPieces(t, input, step) {
-				got = append(got, frame.GetOffer().Task.Name)
-			}
-			if !slices.Equal(got, names) {
-				t.Errorf("%q", got)
-			}
-		})
-	}
+	codectest.RunSizes(t, len(input), func(t *testing.T, size int) {
+		var got []string
+		for _, frame := range codectest.Decode(t, input, size, Next) {
+			got = append(got, frame.GetOffer().Task.Name)
+		}
+		if !slices.Equal(got, names) {
+			t.Errorf("got %q, want %q", got, names)
+		}
+	})
 }
 
-// What can't be a frame is an error before what it announces has come.
+// What can't be a frame is an error before the bytes that it announces have arrived.
 func TestNextRejectsMalformedFrames(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -79,7 +56,7 @@
 			_, _, err := Next(c.input)
 			var malformed *FrameError
 			if !errors.As(err, &malformed) || malformed.Bytes != c.bytes || c.cause != nil && !errors.Is(err, c.cause) {
-				t.Errorf("%v", err)
+				t.Errorf("got %v, want a FrameError of %d bytes with cause %v", err, c.bytes, c.cause)
 			}
 		})
 	}
@@ -88,13 +65,13 @@
 func TestNextWaitsForTheRest(t *testing.T) {
 	for _, input := range [][]byte{{}, {0, 0, 0}, {0, 0, 0, 9, 1, 2}} {
 		if frame, used, err := Next(input); frame != nil || used != 0 || err != nil {
-			t.Errorf("%v: %v, %d, %v", input, frame, used, err)
+			t.Errorf("%v: got %v, %d, %v, want no frame and no error", input, frame, used, err)
 		}
 	}
 }
 
 // A frame that can't be written leaves the buffer as it was.
-func TestAppendRejects(t *testing.T) {
+func TestAppendRejectsInvalidFrames(t *testing.T) {
 	for name, c := range map[string]struct {
 		text    string
 		tooLong bool
@@ -104,12 +81,12 @@
 	} {
 		buf, err := Append([]byte("kept"), offerFrame(c.text))
 		if err == nil || errors.Is(err, ErrTooLong) != c.tooLong || string(buf) != "kept" {
-			t.Errorf("%s: %d bytes, %v", name, len(buf), err)
+			t.Errorf("%s: got %d bytes, %v, want the buffer as it was and an error", name, len(buf), err)
 		}
 	}
 }
 
-func TestAgree(t *testing.T) {
+func TestAgreeNeedsTheVersionOfThisBuild(t *testing.T) {
 	for _, c := range []struct {
 		least, greatest uint32
 		ok              bool
@@ -117,12 +94,12 @@
 		version, err := Agree(c.least, c.greatest)
 		var unsupported *VersionError
 		if c.ok && (err != nil || version != Version) || !c.ok && !errors.As(err, &unsupported) {
-			t.Errorf("%d to %d: %d, %v", c.least, c.greatest, version, err)
+			t.Errorf("%d to %d: got %d, %v, want agreement: %v", c.least, c.greatest, version, err, c.ok)
 		}
 	}
 }
 
-// Whatever comes, Next neither panics nor takes more than there is, and what it decodes can be encoded again.
+// For any input Next neither panics nor uses more bytes than there are, and what it decodes can be encoded again.
 func FuzzNext(f *testing.F) {
 	seed, err := Append(nil, offerFrame("x"))
 	if err != nil {
@@ -133,7 +110,7 @@
 	f.Fuzz(func(t *testing.T, input []byte) {
 		frame, used, err := Next(input)
 		if used > len(input) || err != nil && frame != nil {
-			t.Fatalf("used %d of %d, %v", used, len(input), err)
+			t.Fatalf("got frame %v and error %v, used %d of %d bytes", frame, err, used, len(input))
 		}
 		if frame == nil {
 			return
@@ -144,7 +121,7 @@
 		}
 		again, _, err := Next(encoded)
 		if err != nil || !proto.Equal(frame, again) {
-			t.Errorf("encoded again it differs: %v", err)
+			t.Errorf("decoded again: got %v, %v, want %v", again, err, frame)
 		}
 	})
 }
--- a/internal/codec/ownerjson/message_test.go
+++ b/internal/codec/ownerjson/message_test.go
@@ -2,9 +2,10 @@
 
 import (
 	"errors"
-	"fmt"
 	"strings"
 	"testing"
+
+	"flaxshelf.example/flaxshelf/internal/codec/codectest"
 )
 
 const (
@@ -12,44 +13,21 @@
 	setUpLine = `{"type":"setup","id":"9b1f03aa5c7e2d41","fields":{"class":"batch","left":1500},"sdp":"9d41\r\nc=IN\r\n"}` + "\n"
 )
 
-// decodeInPieces decodes all lines of input, of which step bytes arrive at a time.
-func decodeInPieces(t *testing.T, input string, step int) []*Message {
-	t.Helper()
-	var buf []byte
-	var messages []*Message
-	for i := 0; i < len(input); i += step {
-		buf = append(buf, input[i:min(i+step, len(input))]...)
-		for {
-			m, used, err := Next(buf)
-			if err != nil {
-				t.Fatal(err)
-			}
-			if used == 0 {
-				break
-			}
-			messages, buf = append(messages, m), buf[used:]
-		}
-	}
-	return messages
-}
-
-// Lines are decoded one by one, however their bytes arrive; fields are strings or numbers.
-func TestNext(t *testing.T) {
+// Lines are decoded one by one, in whatever pieces their bytes arrive; fields are strings or numbers.
+func TestLinesArriveInPieces(t *testing.T) {
 	input := setUpLine + `{"type":"release","id":"9b1f03aa5c7e2d41","fields":{},"cause":34,"later":[1]}` + "\n"
-	for _, step := range []int{1, 7, len(input)} {
-		t.Run(fmt.Sprintf("%d bytes at a time", step), func(t *testing.T) {
-			got := decodeInPieces(t, input, step)
-			if len(got) != 2 {
-				t.Fatalf("%d messages", len(got))
-			}
-			if m := got[0]; m.Fields["left"] != "1500" || m.Description != "9d41\r\nc=IN\r\n" || m.Cause != NoCause {
-				t.Errorf("set-up: %+v", m)
-			}
-			if m := got[1]; m.Type != Release || m.Cause != 34 || m.Described {
-				t.Errorf("release: %+v", m)
-			}
-		})
-	}
+	codectest.RunSizes(t, len(input), func(t *testing.T, size int) {
+		got := codectest.Decode(t, []byte(input), size, Next)
+		if len(got) != 2 {
+			t.Fatalf("got %d messages, want 2", len(got))
+		}
+		if m := got[0]; m.Fields["left"] != "1500" || m.Description != "9d41\r\nc=IN\r\n" || m.Cause != NoCause {
+			t.Errorf("first message: got %+v, want %s", m, setUpLine)
+		}
+		if m := got[1]; m.Type != Release || m.Cause != 34 || m.Described {
+			t.Errorf("second message: got %+v, want a release with cause 34 and no description", m)
+		}
+	})
 }
 
 func TestNextRejectsMalformedLines(t *testing.T) {
@@ -72,13 +50,13 @@
 			m, _, err := Next([]byte(line + "\n"))
 			var protocol *ProtocolError
 			if !errors.As(err, &protocol) {
-				t.Errorf("decoded as %+v, %v", m, err)
+				t.Errorf("got %+v, %v, want a ProtocolError", m, err)
 			}
 		})
 	}
 }
 
-// An error says which field of the line is at fault, or where the line stops being JSON.
+// An error names the field with the invalid value, or the byte at which the line is not JSON.
 func TestProtocolErrorNamesItsPlace(t *testing.T) {
 	for _, c := range []struct {
 		line string
@@ -94,22 +72,22 @@
 		_, _, err := Next([]byte(c.line + "\n"))
 		var got *ProtocolError
 		if !errors.As(err, &got) || got.Field != c.want.Field || got.Offset != c.want.Offset || got.Value != c.want.Value {
-			t.Errorf("%s: %+v", c.line, err)
+			t.Errorf("%s: got %+v, want %+v", c.line, err, c.want)
 		}
 		if err == nil || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v is not one line", c.line, err)
+			t.Errorf("%s: got %v, want one line", c.line, err)
 		}
 	}
 }
 
-// A line over the limit is an error before its line feed has come.
+// A line over the limit is an error before its line feed has arrived.
 func TestNextRejectsLongLines(t *testing.T) {
 	for name, input := range map[string]string{
 		"without a line feed": strings.Repeat("x", MaxLine),
 		"with a line feed":    strings.Repeat(" ", MaxLine) + setUpLine,
 	} {
 		if _, _, err := Next([]byte(input)); !errors.Is(err, ErrTooLong) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: got %v, want %v", name, err, ErrTooLong)
 		}
 	}
 }
@@ -122,7 +100,7 @@
 		}
 		m, used, err := Next(line)
 		if err != nil || used != len(line) || m.Description != text || m.Cause != NoCause {
-			t.Errorf("%q was decoded as %+v, %v", text, m, err)
+			t.Errorf("got %+v, %v, want description %q", m, err, text)
 		}
 	}
 }
@@ -132,10 +110,10 @@
 	for name, text := range map[string]string{"not UTF-8": "\xff", "over the limit": strings.Repeat("x", MaxLine)} {
 		buf, err := Append([]byte("kept"), &Message{Type: Answer, ID: taskID, Description: text, Described: true})
 		if err == nil || string(buf) != "kept" {
-			t.Errorf("%s: %q, %v", name, buf, err)
+			t.Errorf("%s: got %q, %v, want the buffer as it was and an error", name, buf, err)
 		}
 		if tooLong := len(text) == MaxLine; errors.Is(err, ErrTooLong) != tooLong {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: got %v, want ErrTooLong: %v", name, err, tooLong)
 		}
 	}
 }
@@ -155,7 +133,7 @@
 		}
 		again, _, err := Next(line)
 		if err != nil || again.ID != m.ID || again.Description != m.Description || again.Cause != m.Cause {
-			t.Errorf("%q: %+v, then %+v, %v", input, m, again, err)
+			t.Errorf("%q: decoded again: got %+v, %v, want %+v", input, again, err, m)
 		}
 	})
 }
