--- a/internal/codec/httpcodec/chunks.go
+++ b/internal/codec/httpcodec/chunks.go
@@ -10,13 +10,12 @@
 const (
 	// maxChunkLine bounds the line before a chunk, and a trailer field, in bytes.
 	maxChunkLine = 1024
-	// maxChunkOverhead bounds the bytes in which a body comes, as a multiple of the limit of the body: a body of one-byte
-	// chunks costs more to keep than it holds.
+	// maxChunkOverhead bounds the bytes of a chunked body with its framing, as a multiple of Limits.BodyBytes: a body of
+	// one-byte chunks has several bytes of framing for each byte of data.
 	maxChunkOverhead = 8
 )
 
-// chunkDecoder decodes a body that comes in chunks (RFC 9112 section 7.1). The offsets are within the buffer that Parse is
-// given.
+// chunkDecoder decodes a chunked body (RFC 9112 section 7.1). Its offsets are within the buffer that is passed to Parse.
 type chunkDecoder struct {
 	limits     Limits
 	bodyOffset int // where the first chunk begins
@@ -25,7 +24,7 @@
 	body       []byte
 }
 
-// decode decodes what has come and returns where the body ends, or incomplete.
+// decode decodes the chunks that are complete and returns where the body ends, or incomplete.
 func (d *chunkDecoder) decode(in []byte) (end int, err error) {
 	for {
 		line, next, err := d.nextLine(in)
@@ -58,7 +57,7 @@
 	return "", incomplete, nil
 }
 
-// trailerField drops a trailer field, and returns true for the empty line after the last one.
+// trailerField checks and drops a trailer field. It returns true for the empty line after the last one.
 func (d *chunkDecoder) trailerField(line string) (done bool, err error) {
 	if line == "" {
 		return true, nil
@@ -69,8 +68,8 @@
 	return false, nil
 }
 
-// chunk decodes the chunk with the line, whose data begins at the given offset. It returns false when the data has not
-// come.
+// chunk decodes the chunk that line begins and whose data begins at the given offset. It returns false when more bytes are
+// needed.
 func (d *chunkDecoder) chunk(in []byte, line string, begin int) (complete bool, err error) {
 	sizeText, _, _ := strings.Cut(line, ";") // chunk extensions are ignored
 	parsed, err := strconv.ParseUint(strings.TrimSpace(sizeText), 16, 31)
--- a/internal/codec/httpcodec/framing.go
+++ b/internal/codec/httpcodec/framing.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// framing collects what the header fields say about the end of a request. What could be read in two ways is rejected,
-// against requests smuggled behind others (RFC 9112 section 11.2).
+// framing collects the header fields that determine the end of a request. An ambiguous end is rejected, since it allows
+// request smuggling (RFC 9112 section 11.2).
 type framing struct {
 	request      *Request
 	bodyBytes    int
--- a/internal/codec/httpcodec/parser.go
+++ b/internal/codec/httpcodec/parser.go
@@ -14,27 +14,28 @@
 const (
 	// maxLeadingEmptyLines bounds the empty lines before a request.
 	maxLeadingEmptyLines = 4
-	// chunkedBody is the length of a body whose length is not known from its head.
+	// chunkedBody is the length of a chunked body, which the head does not have.
 	chunkedBody = -1
-	// incomplete stands for the end of a request that has not come.
+	// incomplete is the end of a head or body that has not arrived completely.
 	incomplete = -1
 )
 
-// Parser parses requests from the front of a growing buffer. Its zero value is ready. Parse must be given the bytes that it
-// has not used again, with what has come behind them. It is not safe for concurrent use.
+// Parser parses requests from the front of a growing buffer. Its zero value is ready to use. Each call of Parse must be
+// given the bytes that earlier calls have not used, followed by those that have arrived since. It is not safe for concurrent
+// use.
 type Parser struct {
 	Limits Limits
 
-	scannedBytes int // of the buffer, in which the head has no end
+	scannedBytes int // of the buffer, known not to have the end of the head
 	request      *Request
-	headBytes    int // with the empty lines before it
-	bodyBytes    int // chunkedBody where it comes in chunks
+	headBytes    int // including empty lines before it
+	bodyBytes    int // or chunkedBody
 	chunks       chunkDecoder
 	continueSent bool
 }
 
-// Parse parses one request and returns how many bytes it took. With req and err nil more bytes are needed. sendContinue is
-// true once, when the client waits for 100 Continue and its request can be served. The error is an Error.
+// Parse parses one request and returns the number of bytes that it used. If req and err are nil, more bytes are needed.
+// sendContinue is true once for a request whose client waits for 100 Continue. The error is an *Error.
 func (p *Parser) Parse(in []byte) (req *Request, used int, sendContinue bool, err error) {
 	if p.Limits == (Limits{}) {
 		p.Limits = DefaultLimits
@@ -100,7 +101,7 @@
 	return begin, nil
 }
 
-// findHeadEnd returns where the head ends, or incomplete. What earlier calls have scanned is not scanned again.
+// findHeadEnd returns where the head ends, or incomplete. It does not scan bytes again that earlier calls have scanned.
 func (p *Parser) findHeadEnd(in []byte, begin int) int {
 	from := max(p.scannedBytes-len(headEnd)+1, begin)
 	if from <= len(in) {
@@ -112,7 +113,7 @@
 	return incomplete
 }
 
-// checkIncompleteHead rejects a head that is over the limits before its end has come.
+// checkIncompleteHead rejects a head that is over the limits before its end has arrived.
 func (p *Parser) checkIncompleteHead(in []byte) error {
 	switch {
 	case len(in) > p.Limits.HeadBytes:
--- a/internal/codec/httpcodec/request.go
+++ b/internal/codec/httpcodec/request.go
@@ -1,5 +1,6 @@
 // Package httpcodec encodes and decodes HTTP/1.1 (RFC 9112): an incremental parser of requests with limits on every length,
-// responses, and a reader of responses for those who check traffic. It does not route requests and makes no decision.
+// functions that append responses, and a reader of responses for programs that check recorded traffic. It does no I/O and
+// does not route requests.
 package httpcodec
 
 import (
@@ -19,8 +20,8 @@
 // DefaultLimits are the limits of a Parser whose Limits are zero.
 var DefaultLimits = Limits{RequestLineBytes: 8 << 10, HeadBytes: 32 << 10, HeaderFields: 100, BodyBytes: 1 << 20}
 
-// Error is a request that can't be served. The connection is to be closed after the response, since where the next request
-// would begin is not known.
+// Error is the reason why a request can't be served. The connection must be closed after the response, since it is not known
+// where the next request begins.
 type Error struct {
 	Status  int    // of the response
 	Message string // for the body of the response, so its wording is part of the interface
@@ -30,15 +31,15 @@
 	return fmt.Sprintf("%d %s: %s", e.Status, StatusText(e.Status), e.Message)
 }
 
-// reject returns an Error.
+// reject returns an *Error.
 func reject(status int, format string, args ...any) error {
 	return &Error{status, fmt.Sprintf(format, args...)}
 }
 
-// Field is one header field; its name is in lower case.
+// Field is a header field. Its name is in lower case.
 type Field struct{ Name, Value string }
 
-// fieldValue returns the first field of that name, which must be in lower case; an empty text where there is none.
+// fieldValue returns the value of the first field with the name, which must be in lower case, or an empty string.
 func fieldValue(fields []Field, name string) string {
 	for i := range fields {
 		if fields[i].Name == name {
@@ -48,17 +49,17 @@
 	return ""
 }
 
-// Request is a parsed request. Body aliases the bytes given to Parse, unless it came in chunks.
+// Request is a parsed request. Body aliases the bytes passed to Parse, unless it was chunked.
 type Request struct {
 	Method, Path, Query string
 	MinorVersion        int // of HTTP/1.x
 	Fields              []Field
 	Body                []byte
-	Close               bool // the client wants no further request on this connection
+	Close               bool // the connection is closed after the response
 	ExpectsContinue     bool // the client waits for 100 Continue before it sends the body
 }
 
-// Get returns the first header field of that name, which must be in lower case.
+// Get returns the value of the first header field with the name, which must be in lower case, or an empty string.
 func (r *Request) Get(name string) string { return fieldValue(r.Fields, name) }
 
 // parseRequestLine parses the first line of a request (RFC 9112 section 3).
--- a/internal/codec/httpcodec/response_reader.go
+++ b/internal/codec/httpcodec/response_reader.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// Response is what a ResponseReader has read of a response. Body grows while the response streams.
+// Response is what a ResponseReader has read of a response. Body grows until Done is set.
 type Response struct {
 	Status int
 	Fields []Field
@@ -16,10 +16,10 @@
 	Done   bool
 }
 
-// Get returns the first header field of that name, which must be in lower case.
+// Get returns the value of the first header field with the name, which must be in lower case, or an empty string.
 func (r *Response) Get(name string) string { return fieldValue(r.Fields, name) }
 
-// ResponseError is a response that breaks the protocol. Nothing after it can be read.
+// ResponseError reports a response that violates the protocol. The rest of the connection can't be read.
 type ResponseError struct {
 	Reason string
 	Value  string // the offending text
@@ -36,7 +36,7 @@
 // Unwrap returns the cause.
 func (e *ResponseError) Unwrap() error { return e.Err }
 
-// bodyFraming is how the end of a response's body is found.
+// bodyFraming is what determines the end of a response's body.
 type bodyFraming int
 
 const (
@@ -45,26 +45,26 @@
 	byChunks
 )
 
-// The least and greatest status that has a meaning.
+// The range of valid status codes.
 const (
 	minStatus = 100
 	maxStatus = 999
 )
 
-// chunkLineNext stands for the bytes left of a chunk where the line of the next chunk is to be read.
+// chunkLineNext is the value of remainingBytes when the line of the next chunk is expected.
 const chunkLineNext = -1
 
-// ResponseReader reads the responses of one connection from bytes as they come. Its zero value is ready. It is not safe for
-// concurrent use.
+// ResponseReader reads the responses of one connection from bytes that arrive in pieces. Its zero value is ready to use. It
+// is not safe for concurrent use.
 type ResponseReader struct {
-	buf            []byte // what has come and is not read
+	buf            []byte // arrived and not read yet
 	current        *Response
 	framing        bodyFraming
 	remainingBytes int // of the body, or of the chunk with its line end; chunkLineNext between chunks
 }
 
-// Feed takes bytes and calls each for every response whenever it has grown or is done. Interim responses are skipped. The
-// error is a ResponseError.
+// Feed reads further bytes and calls each for a response whenever its body has grown and when it is done. It skips interim
+// responses. The error is a *ResponseError.
 func (r *ResponseReader) Feed(b []byte, each func(*Response)) error {
 	r.buf = append(r.buf, b...)
 	for {
@@ -98,7 +98,7 @@
 	}
 }
 
-// begin parses the head of a response. It begins none for an interim response.
+// begin parses the head of a response. For an interim response, current stays nil.
 func (r *ResponseReader) begin(head string) error {
 	lines := strings.Split(head, "\r\n")
 	status, err := parseStatusLine(lines[0])
@@ -131,7 +131,7 @@
 	return status, nil
 }
 
-// frameBody finds how the end of the body is found.
+// frameBody determines the end of the body from the header fields.
 func (r *ResponseReader) frameBody() error {
 	r.framing, r.remainingBytes = untilClose, 0
 	if r.current.Get("transfer-encoding") == "chunked" {
@@ -149,7 +149,7 @@
 	return nil
 }
 
-// readBody reads what has come of the body. grown says that it was something.
+// readBody reads the bytes of the body that have arrived, and reports whether there were any.
 func (r *ResponseReader) readBody() (grown bool, err error) {
 	switch r.framing {
 	case byChunks:
--- a/internal/codec/httpcodec/response_writer.go
+++ b/internal/codec/httpcodec/response_writer.go
@@ -12,8 +12,8 @@
 // StatusText returns the reason phrase of a status.
 func StatusText(status int) string { return http.StatusText(status) }
 
-// AppendResponse appends a complete response. closes says that the connection is closed after it. fields are names and
-// values of header fields in turn.
+// AppendResponse appends a complete response, with Connection: close if closes is set. fields are alternating names and
+// values of further header fields.
 func AppendResponse(dst []byte, status int, contentType string, body []byte, closes bool, fields ...string) []byte {
 	dst = appendHead(dst, status, contentType, fields)
 	dst = append(dst, "Content-Length: "...)
@@ -25,8 +25,8 @@
 	return append(dst, body...)
 }
 
-// AppendStreamHead appends the head of a response whose body comes in chunks. fields are names and values of header fields
-// in turn.
+// AppendStreamHead appends the head of a response with a chunked body. fields are alternating names and values of further
+// header fields.
 func AppendStreamHead(dst []byte, status int, contentType string, fields ...string) []byte {
 	dst = appendHead(dst, status, contentType, fields)
 	return append(dst, "Transfer-Encoding: chunked\r\n\r\n"...)
@@ -43,7 +43,7 @@
 	return dst
 }
 
-// AppendChunk appends one chunk of a body that comes in chunks; an empty one ends it.
+// AppendChunk appends a chunk of a chunked body. An empty chunk ends the body.
 func AppendChunk(dst, data []byte) []byte {
 	dst = strconv.AppendInt(dst, int64(len(data)), 16)
 	dst = append(dst, "\r\n"...)
--- a/internal/codec/nodebinary/decode.go
+++ b/internal/codec/nodebinary/decode.go
@@ -6,8 +6,8 @@
 	"strconv"
 )
 
-// Next decodes the first message of buf and returns how many bytes it took. It returns 0 when more bytes are needed, and
-// keeps no reference to buf. It allocates nothing for a length that is only announced. An error is a ProtocolError.
+// Next decodes the first message of buf and returns the number of bytes that it used, which is 0 when more bytes are needed.
+// It keeps no reference to buf, and allocates nothing for a message that is incomplete. The error is a *ProtocolError.
 func Next(buf []byte) (m Message, used int, err error) {
 	if len(buf) < lengthSize {
 		return m, 0, nil
@@ -17,7 +17,7 @@
 		return m, 0, &ProtocolError{Field: "length", Value: strconv.Itoa(size - lengthSize),
 			Reason: fmt.Sprintf("must be between %d and %d", headerSize-lengthSize, MaxMessage-lengthSize)}
 	}
-	// The type is checked before the rest of the message has come, since that may never do so.
+	// The type is checked before the rest of the message has arrived, since an invalid peer may never send it.
 	if len(buf) > lengthSize && !Type(buf[lengthSize]).known() {
 		return m, 0, &ProtocolError{Offset: lengthSize, Field: "type", Value: strconv.Itoa(int(buf[lengthSize])),
 			Reason: "not a type of message"}
@@ -54,7 +54,7 @@
 	return nil
 }
 
-// invalidParameter is the error for a parameter of the given size that begins at the offset.
+// invalidParameter returns the error for a parameter of the given size that begins at the offset.
 func (m *Message) invalidParameter(offset int, name string, size int, reason string) error {
 	return &ProtocolError{Type: m.Type, Offset: offset, Field: name, Value: fmt.Sprintf("%d bytes", size), Reason: reason}
 }
--- a/internal/codec/nodebinary/encode.go
+++ b/internal/codec/nodebinary/encode.go
@@ -2,11 +2,11 @@
 
 import "encoding/binary"
 
-// Append encodes m at the end of dst; parameters with an empty text and a negative Cause are left out. The error is a
-// SizeError, for a message over MaxMessage: dst then comes back as it was.
+// Append appends the encoding of m to dst. Empty parameters and a negative Cause are left out. For a message longer than
+// MaxMessage it returns dst unchanged and a *SizeError.
 func Append(dst []byte, m *Message) ([]byte, error) {
 	start := len(dst)
-	dst = append(dst, 0, 0, byte(m.Type)) // the length is set when it is known
+	dst = append(dst, 0, 0, byte(m.Type)) // the length is filled in below
 	dst = binary.BigEndian.AppendUint64(dst, m.Task)
 	for _, parameter := range [...]struct {
 		code byte
--- a/internal/codec/nodebinary/errors.go
+++ b/internal/codec/nodebinary/errors.go
@@ -5,19 +5,19 @@
 	"fmt"
 )
 
-// ErrMalformed is matched by every error about a message that breaks the protocol. The connection can't be read on.
+// ErrMalformed is matched by every error about a message that violates the protocol. The connection can't be used after it.
 var ErrMalformed = errors.New("malformed message")
 
-// ErrTooLong is matched by the error for a message over MaxMessage that was to be written.
+// ErrTooLong is matched by the error for an outgoing message longer than MaxMessage.
 var ErrTooLong = errors.New("message over the limit")
 
-// ProtocolError is a message that breaks the protocol. It matches ErrMalformed.
+// ProtocolError reports a message that violates the protocol. It matches ErrMalformed.
 type ProtocolError struct {
-	Type   Type   // of the message; 0 where it is not known
-	Offset int    // of the fault from the first byte of the message
+	Type   Type   // of the message; 0 if it is not known
+	Offset int    // of the invalid part, from the first byte of the message
 	Field  string // for instance length, or parameter 194
 	Value  string // the offending value
-	Reason string // what the protocol demands instead
+	Reason string // what the protocol requires
 }
 
 func (e *ProtocolError) Error() string {
@@ -31,7 +31,7 @@
 // Unwrap returns ErrMalformed.
 func (e *ProtocolError) Unwrap() error { return ErrMalformed }
 
-// SizeError is a message that is too long to be written. It matches ErrTooLong.
+// SizeError reports an outgoing message that is longer than Limit. It matches ErrTooLong.
 type SizeError struct {
 	Type         Type
 	Bytes, Limit int
--- a/internal/codec/nodebinary/message.go
+++ b/internal/codec/nodebinary/message.go
@@ -1,6 +1,5 @@
 // Package nodebinary encodes and decodes the messages between a scheduler and the nodes of the platform: binary, with a
-// length in front, and made of parameters. It holds no connection and makes no decision. Its functions may be called from
-// several goroutines.
+// length prefix, and made of parameters. It does no I/O. Its functions are safe for concurrent use.
 package nodebinary
 
 import "strconv"
@@ -11,8 +10,8 @@
 // NoCause is the Cause of a message without one.
 const NoCause = -1
 
-// The parts of a message, in bytes: its length (of all that follows), type and task, then the parameters, each with a code
-// and the length of its value in front. All numbers are big-endian.
+// The sizes of a message's parts in bytes: its length (of all that follows), its type and its task. Then follow the
+// parameters, each with a header of its code and the length of its value. All numbers are big-endian.
 const (
 	lengthSize          = 2
 	typeSize            = 1
@@ -45,7 +44,7 @@
 // known reports whether t is one of the types above.
 func (t Type) known() bool { return int(t) < len(typeNames) && typeNames[t] != "" }
 
-// String returns the name of the type, or its number where it is none of the above.
+// String returns the name of the type, or its number if it is not one of the types above.
 func (t Type) String() string {
 	if t.known() {
 		return typeNames[t]
@@ -65,11 +64,11 @@
 	codeDescription    = 195
 )
 
-// Message is one message. The text of a parameter that the message does not have is empty.
+// Message is a message. A parameter that the message does not have is empty.
 type Message struct {
 	Type           Type
 	Task           uint64
-	Cause          int    // 0 to 255; NoCause where the message has none
+	Cause          int    // 0 to 255, or NoCause
 	Token          string // names the reason of a release, or the quantity of a note
 	Value          string // of the quantity that Token names, as a decimal number
 	Class          string
--- a/internal/codec/nodeframe/frame.go
+++ b/internal/codec/nodeframe/frame.go
@@ -1,5 +1,5 @@
-// Package nodeframe encodes and decodes the frames between schedulers, nodes and the inventory: protobuf messages with
-// their length in front. It holds no connection and makes no decision. Its functions may be called from several goroutines.
+// Package nodeframe encodes and decodes the frames between schedulers, nodes and the inventory: protobuf messages with a
+// length prefix. It does no I/O. Its functions are safe for concurrent use.
 package nodeframe
 
 import (
@@ -12,29 +12,29 @@
 	"flaxshelf.example/flaxshelf/internal/codec/nodeframe/nodepb"
 )
 
-// Version is the one version of the protocol that this build supports.
+// Version is the only version of the protocol that this build supports.
 const Version = 1
 
-// MaxFrame is the longest message in bytes that either side accepts, without the length in front.
+// MaxFrame is the longest message that either side accepts, in bytes without the length prefix.
 const MaxFrame = 1 << 20
 
-// HeldPerWelcome bounds the tasks of one Welcome message, so that it stays within MaxFrame. A node with more tasks sends
-// several.
+// HeldPerWelcome is the number of tasks in a Welcome message at most, which keeps it within MaxFrame. A node with more tasks
+// sends several messages.
 const HeldPerWelcome = 1000
 
-// lengthSize is the size of the length in front of a message: four bytes, big-endian.
+// lengthSize is the size of the length prefix: four bytes, big-endian.
 const lengthSize = 4
 
-// ErrTooLong is matched by the error for a message over MaxFrame, read or written.
+// ErrTooLong is matched by the error for a message longer than MaxFrame, incoming or outgoing.
 var ErrTooLong = errors.New("over the limit")
 
 // ErrEmpty is matched by the error for a frame without a message that this version knows.
 var ErrEmpty = errors.New("no message")
 
-// FrameError is a frame that breaks the protocol, or can't be written. A stream can't be read on after it. It matches its
-// cause: ErrTooLong, ErrEmpty, or an error of protobuf.
+// FrameError reports a frame that violates the protocol, or can't be encoded. The connection that it arrived on can't be used
+// after it. It matches its cause: ErrTooLong, ErrEmpty, or an error of protobuf.
 type FrameError struct {
-	Bytes int64 // of the message, as announced in front of it
+	Bytes int64 // of the message, by its length prefix
 	Err   error
 }
 
@@ -45,17 +45,17 @@
 // Unwrap returns the cause.
 func (e *FrameError) Unwrap() error { return e.Err }
 
-// VersionError is a peer that does not support the version of this build.
+// VersionError reports a peer that does not support Version.
 type VersionError struct{ Least, Greatest uint32 }
 
 func (e *VersionError) Error() string {
 	return fmt.Sprintf("nodeframe: the peer supports versions %d to %d, this build only %d", e.Least, e.Greatest, Version)
 }
 
-// Append encodes a frame at the end of dst. The error is a FrameError: dst then comes back as it was.
+// Append appends the encoding of frame to dst. It returns dst unchanged and a *FrameError if the frame can't be encoded.
 func Append(dst []byte, frame *nodepb.Frame) ([]byte, error) {
 	start := len(dst)
-	dst = append(dst, 0, 0, 0, 0) // the length is set when it is known
+	dst = append(dst, 0, 0, 0, 0) // the length is filled in below
 	dst, err := proto.MarshalOptions{}.MarshalAppend(dst, frame)
 	if err != nil {
 		return dst[:start], &FrameError{Bytes: int64(proto.Size(frame)), Err: err}
@@ -68,15 +68,15 @@
 	return dst, nil
 }
 
-// Next decodes the first frame of buf and returns how many bytes it took. It returns nil and 0 when more bytes are needed,
-// and keeps no reference to buf. The error is a FrameError.
+// Next decodes the first frame of buf and returns the number of bytes that it used. It returns nil and 0 when more bytes are
+// needed. It keeps no reference to buf. The error is a *FrameError.
 func Next(buf []byte) (frame *nodepb.Frame, used int, err error) {
 	if len(buf) < lengthSize {
 		return nil, 0, nil
 	}
 	size := int64(binary.BigEndian.Uint32(buf))
 	switch {
-	case size > MaxFrame: // rejected at once, so that nobody waits for gigabytes that were only announced
+	case size > MaxFrame: // before the message has arrived, which could be gigabytes
 		return nil, 0, &FrameError{Bytes: size, Err: ErrTooLong}
 	case size == 0:
 		return nil, 0, &FrameError{Bytes: size, Err: ErrEmpty}
@@ -88,13 +88,13 @@
 	if err := proto.Unmarshal(buf[lengthSize:end], frame); err != nil {
 		return nil, 0, &FrameError{Bytes: size, Err: err}
 	}
-	if frame.Body == nil { // also what a message of a later version decodes to
+	if frame.Body == nil { // also for a message of a later version
 		return nil, 0, &FrameError{Bytes: size, Err: ErrEmpty}
 	}
 	return frame, end, nil
 }
 
-// Agree returns the version to use with a peer that supports those from least to greatest. The error is a VersionError.
+// Agree returns the version to use with a peer that supports versions least to greatest. The error is a *VersionError.
 func Agree(least, greatest uint32) (uint32, error) {
 	if least > Version || greatest < Version {
 		return 0, &VersionError{Least: least, Greatest: greatest}
--- a/internal/codec/ownerjson/decode.go
+++ b/internal/codec/ownerjson/decode.go
@@ -9,7 +9,7 @@
 	"github.com/go-json-experiment/json/jsontext"
 )
 
-// wireMessage is a line by its names on the wire.
+// wireMessage is a message with the JSON names of its members.
 type wireMessage struct {
 	Type        Type                  `json:"type"`
 	ID          string                `json:"id"`
@@ -18,7 +18,7 @@
 	Description *string               `json:"sdp"`
 }
 
-// fieldValue is a JSON string or number, kept as its text.
+// fieldValue is the text of a JSON string or number.
 type fieldValue string
 
 // UnmarshalJSONFrom implements json.UnmarshalerFrom.
@@ -34,9 +34,9 @@
 	return nil
 }
 
-// Next decodes the first line of buf and returns how many bytes it took. It returns nil and 0 when more bytes are needed,
-// and keeps no reference to buf. An error is a ProtocolError: the peer does not speak this protocol. A line over MaxLine
-// is one as soon as that many bytes have come without a line feed, and matches ErrTooLong.
+// Next decodes the first line of buf and returns the number of bytes that it used. It returns nil and 0 when more bytes are
+// needed. It keeps no reference to buf. The error is a *ProtocolError, after which the connection can't be used. A line longer
+// than MaxLine is rejected as soon as that many bytes have arrived without a line feed; its error matches ErrTooLong.
 func Next(buf []byte) (m *Message, used int, err error) {
 	end := bytes.IndexByte(buf, '\n')
 	if end < 0 && len(buf) >= MaxLine || end >= MaxLine {
--- a/internal/codec/ownerjson/encode.go
+++ b/internal/codec/ownerjson/encode.go
@@ -7,8 +7,9 @@
 	"github.com/go-json-experiment/json/jsontext"
 )
 
-// Append encodes a message without fields at the end of dst; a negative Cause is left out. On an error dst comes back as
-// it was: for a description that no JSON string can hold (a ProtocolError), and for a line over MaxLine (ErrTooLong).
+// Append appends the encoding of m to dst. Fields are not encoded, and a negative Cause is left out. It returns dst unchanged
+// and a *ProtocolError for a description that is not valid UTF-8, and for a line longer than MaxLine, which also matches
+// ErrTooLong.
 func Append(dst []byte, m *Message) ([]byte, error) {
 	start := len(dst)
 	dst = append(dst, `{"type":"`...)
--- a/internal/codec/ownerjson/errors.go
+++ b/internal/codec/ownerjson/errors.go
@@ -8,18 +8,18 @@
 	"github.com/go-json-experiment/json/jsontext"
 )
 
-// ErrTooLong is matched by the error for a line over MaxLine, read or written.
+// ErrTooLong is matched by the error for a line longer than MaxLine, incoming or outgoing.
 var ErrTooLong = errors.New("line over the limit")
 
-// maxQuoted bounds how much of an offending value is kept in an error, in bytes.
+// maxQuoted is the number of bytes of an invalid value that an error keeps.
 const maxQuoted = 40
 
-// ProtocolError is a line that breaks the protocol. Field is empty where the line as a whole is at fault.
+// ProtocolError reports a line that violates the protocol. Field is empty if the line as a whole is invalid.
 type ProtocolError struct {
 	Field  string // JSON pointer of the field within the line, for instance /id
-	Offset int64  // of the fault within the line, in bytes; 0 where Field says enough
-	Value  string // the offending text, cut to 40 bytes
-	Reason string // what the protocol demands instead
+	Offset int64  // of the invalid part within the line, in bytes; 0 if only Field is known
+	Value  string // the invalid text, truncated to maxQuoted bytes
+	Reason string // what the protocol requires
 	Err    error  // the cause, or nil
 }
 
@@ -41,18 +41,18 @@
 // Unwrap returns the cause.
 func (e *ProtocolError) Unwrap() error { return e.Err }
 
-// invalidField is the error for the value of a field that the protocol doesn't allow.
+// invalidField returns the error for an invalid value of a field.
 func invalidField(field, value, reason string) error {
 	return &ProtocolError{Field: field, Value: truncate(value), Reason: reason}
 }
 
-// lineTooLong is the error for a line of at least the given number of bytes.
+// lineTooLong returns the error for a line of at least size bytes.
 func lineTooLong(line []byte, size int) error {
 	return &ProtocolError{Offset: MaxLine, Value: truncate(string(line[:min(len(line), maxQuoted)])),
 		Reason: fmt.Sprintf("%d bytes or more, %d at most", size, MaxLine), Err: ErrTooLong}
 }
 
-// invalidJSON is the error for a line that the JSON decoder rejected, with the place that the decoder reports.
+// invalidJSON returns the error for a line that the JSON decoder rejected, at the place that the decoder reports.
 func invalidJSON(line []byte, cause error) error {
 	e := &ProtocolError{Value: truncate(string(line)), Reason: "not a message as a JSON object", Err: cause}
 	var syntactic *jsontext.SyntacticError
--- a/internal/codec/ownerjson/message.go
+++ b/internal/codec/ownerjson/message.go
@@ -1,5 +1,5 @@
 // Package ownerjson encodes and decodes the messages between task owners and a scheduler on the platform: one JSON
-// object a line. It holds no connection and makes no decision. Its functions may be called from several goroutines.
+// object on each line. It does no I/O. Its functions are safe for concurrent use.
 package ownerjson
 
 // MaxLine is the longest line in bytes that either side may send, its line feed included.
@@ -39,17 +39,17 @@
 	return false
 }
 
-// Message is one line.
+// Message is a message, which is one line on the wire.
 type Message struct {
 	Type        Type
 	ID          string            // of the task: see ValidID
 	Fields      map[string]string // by their names on the wire; numbers as their JSON text
-	Cause       int               // 0 to 255; NoCause where the line has none
+	Cause       int               // 0 to 255, or NoCause
 	Description string
 	Described   bool // the line has a description, which may be empty
 }
 
-// ValidID reports whether id can name a task: 16 lower-case hex digits.
+// ValidID reports whether id is the ID of a task: 16 lower-case hex digits.
 func ValidID(id string) bool {
 	if len(id) != idLength {
 		return false
--- a/internal/codec/sse/decoder.go
+++ b/internal/codec/sse/decoder.go
@@ -1,5 +1,4 @@
-// Package sse decodes server-sent events as the control feed of the platform writes them. It holds no connection and makes
-// no decision.
+// Package sse decodes server-sent events as the control feed of the platform writes them. It does no I/O.
 package sse
 
 import (
@@ -8,15 +7,15 @@
 	"fmt"
 )
 
-// MaxEvent bounds what a Decoder holds of an event before its end, in bytes.
+// MaxEvent bounds the bytes of an event that a Decoder keeps before the event ends.
 const MaxEvent = 1 << 20
 
 // ErrTooLong is matched by the error for an event over MaxEvent.
 var ErrTooLong = errors.New("event over the limit")
 
-// SizeError is an event that grew over the limit before it ended. It matches ErrTooLong.
+// SizeError reports an event that is longer than MaxEvent. It matches ErrTooLong.
 type SizeError struct {
-	ID           string // of the event, as far as it has come
+	ID           string // of the event; empty where its line has not arrived
 	Bytes, Limit int
 }
 
@@ -33,18 +32,18 @@
 	Data []byte
 }
 
-// Decoder decodes a stream that arrives in pieces of any size. Its zero value is at the beginning of a stream. It is not
-// safe for concurrent use.
+// Decoder decodes a stream that arrives in pieces of any size. Its zero value is ready to use. It is not safe for concurrent
+// use.
 type Decoder struct {
-	line    []byte // as much of the current line as has come
+	line    []byte // the part of the current line that has arrived
 	id      string
 	data    []byte
-	hasData bool // an event without data is none
+	hasData bool // an event without data is not emitted
 }
 
-// Write takes the next bytes of the stream and calls emit for each event that they complete. The Data of an event is valid
-// until emit returns. An event that breaks off at the end of the stream is never emitted. The error is a SizeError or that
-// of emit; the stream can't be read on after it.
+// Write decodes the next bytes of the stream and calls emit for each event that they complete. The Data of an event is valid
+// until emit returns. An event that is truncated by the end of the stream is never emitted. The error is a *SizeError or the
+// error of emit; the Decoder can't be used after it.
 func (d *Decoder) Write(b []byte, emit func(Event) error) error {
 	for len(b) > 0 {
 		end := bytes.IndexByte(b, '\n')
@@ -71,7 +70,7 @@
 	return nil
 }
 
-// endLine takes the complete line: a field, a comment, or the empty one that ends an event.
+// endLine decodes the complete line: a field, a comment, or the empty line that ends an event.
 func (d *Decoder) endLine(emit func(Event) error) error {
 	line := bytes.TrimSuffix(d.line, []byte("\r"))
 	d.line = d.line[:0]
