--- a/internal/replay/convert.go
+++ b/internal/replay/convert.go
@@ -1,261 +1,150 @@
 package replay
 
-import "flaxshelf.example/flaxshelf"
+import (
+	"errors"
+	"fmt"
+	"reflect"
+)
+
+// modelTag is the key of the struct tag that names the field of package flaxshelf that a field of a record stores. A field
+// without the tag stores the field of its own name.
+const modelTag = "model"
+
+// copier copies one value to another, whose type is the one that the copier was made for. The target must be settable.
+type copier func(to, from reflect.Value)
 
-// convertAll converts each element; nil stays nil.
-func convertAll[From, To any](from []From, convert func(From) To) []To {
-	if from == nil {
-		return nil
-	}
-	to := make([]To, len(from))
-	for i := range from {
-		to[i] = convert(from[i])
-	}
-	return to
-}
-
-func classRecordOf(c flaxshelf.Class) classRecord {
-	return classRecord{
-		Name:         c.Name,
-		Effect:       int(c.Idempotency),
-		Group:        int(c.KeyDomain),
-		Window:       c.KeyTTL,
-		Aim:          c.LatencyObjective,
-		Worth:        c.PriorityWeight,
-		LateWorth:    c.LateStartWeight,
-		StartSeconds: c.StartValueSeconds,
-		Calm:         c.FullServiceUtilization,
-		Fade:         c.ServiceFadeRange,
-		Kind:         c.Kind,
-		Priority:     c.Priority,
-		Spread:       int(c.SpreadDomain),
-		Most:         c.MaxPerDomain,
-	}
-}
-
-func (r classRecord) class() flaxshelf.Class {
-	return flaxshelf.Class{
-		Name:                   r.Name,
-		Idempotency:            flaxshelf.Idempotency(r.Effect),
-		KeyDomain:              flaxshelf.TopologyDomain(r.Group),
-		KeyTTL:                 r.Window,
-		LatencyObjective:       r.Aim,
-		PriorityWeight:         r.Worth,
-		LateStartWeight:        r.LateWorth,
-		StartValueSeconds:      r.StartSeconds,
-		FullServiceUtilization: r.Calm,
-		ServiceFadeRange:       r.Fade,
-		Kind:                   r.Kind,
-		Priority:               r.Priority,
-		SpreadDomain:           flaxshelf.TopologyDomain(r.Spread),
-		MaxPerDomain:           r.Most,
-	}
-}
-
-func kindRecordOf(k flaxshelf.Kind) kindRecord {
-	return kindRecord{
-		Name:   k.Name,
-		Cores:  k.Cores,
-		Memory: k.Memory,
-	}
-}
-
-func (r kindRecord) kind() flaxshelf.Kind {
-	return flaxshelf.Kind{
-		Name:   r.Name,
-		Cores:  r.Cores,
-		Memory: r.Memory,
-	}
-}
-
-func tenantRecordOf(t flaxshelf.Tenant) tenantRecord {
-	return tenantRecord{
-		Name:       t.Name,
-		Share:      t.QuotaFraction,
-		PerSecond:  t.TasksPerSecond,
-		QuotaCores: t.QuotaCores,
-	}
-}
-
-func (r tenantRecord) tenant() flaxshelf.Tenant {
-	return flaxshelf.Tenant{
-		Name:           r.Name,
-		QuotaFraction:  r.Share,
-		TasksPerSecond: r.PerSecond,
-		QuotaCores:     r.QuotaCores,
-	}
-}
-
-func pricesRecordOf(p flaxshelf.Prices) pricesRecord {
-	return pricesRecord{
-		CrossZone:     p.CrossZone,
-		Waste:         p.Waste,
-		Probe:         p.HealthCheck,
-		Message:       p.Gossip,
-		Moves:         p.Migration,
-		Discovery:     p.Discovery,
-		Fleet:         p.Fleet,
-		Refused:       p.Rejection,
-		EvictionMoves: p.EvictionMigrations,
-	}
-}
-
-func (r pricesRecord) prices() flaxshelf.Prices {
-	return flaxshelf.Prices{
-		CrossZone:          r.CrossZone,
-		Waste:              r.Waste,
-		HealthCheck:        r.Probe,
-		Gossip:             r.Message,
-		Migration:          r.Moves,
-		Discovery:          r.Discovery,
-		Fleet:              r.Fleet,
-		Rejection:          r.Refused,
-		EvictionMigrations: r.EvictionMoves,
-	}
-}
-
-func configRecordOf(c flaxshelf.Config) configRecord {
-	return configRecord{
-		Index:          c.Index,
-		Schedulers:     c.Schedulers,
-		Zone:           c.Zone,
-		Classes:        convertAll(c.Classes, classRecordOf),
-		Kinds:          convertAll(c.Kinds, kindRecordOf),
-		Tenants:        convertAll(c.Tenants, tenantRecordOf),
-		OverShareWorth: c.OverQuotaWeight,
-		Prices:         pricesRecordOf(c.Prices),
-		AcceptCores:    c.CoreOvercommit,
-		AcceptMemory:   c.MemoryOvercommit,
-		RunsWhenPlaced: c.PlacedWhenRunning,
-		Preempts:       c.Preempts,
-		ListsFree:      c.ListsFreeCapacity,
-		ReportsUsed:    c.ReportsUsage,
-		DiscoveryAsks:  c.DiscoveryOnRequest,
-		MaxAttempts:    c.MaxAttempts,
-		SecondCopies:   c.HedgedRequests,
-		CanWithdraw:    c.CanCancel,
-		CanProbe:       c.CanHealthCheck,
-		CanMessage:     c.CanGossip,
-		CanRetryAfter:  c.CanRetryAfter,
-		MaxRetryAfter:  c.MaxRetryAfter,
-		Tick:           c.Tick,
-		ConnectTimeout: c.ConnectTimeout,
-		AnswerSlack:    c.AnswerSlack,
-		DrainGrace:     c.DrainGrace,
-		AskWithin:      c.DiscoveryPollDeadline,
-		ColdFor:        c.SlowStartDuration,
-		FallWindow:     c.OverloadWindow,
-		ColdOffers:     c.SlowStartBudget,
-	}
-}
-
-func (r configRecord) config() flaxshelf.Config {
-	return flaxshelf.Config{
-		Index:                 r.Index,
-		Schedulers:            r.Schedulers,
-		Zone:                  r.Zone,
-		Classes:               convertAll(r.Classes, classRecord.class),
-		Kinds:                 convertAll(r.Kinds, kindRecord.kind),
-		Tenants:               convertAll(r.Tenants, tenantRecord.tenant),
-		OverQuotaWeight:       r.OverShareWorth,
-		Prices:                r.Prices.prices(),
-		CoreOvercommit:        r.AcceptCores,
-		MemoryOvercommit:      r.AcceptMemory,
-		PlacedWhenRunning:     r.RunsWhenPlaced,
-		Preempts:              r.Preempts,
-		ListsFreeCapacity:     r.ListsFree,
-		ReportsUsage:          r.ReportsUsed,
-		DiscoveryOnRequest:    r.DiscoveryAsks,
-		MaxAttempts:           r.MaxAttempts,
-		HedgedRequests:        r.SecondCopies,
-		CanCancel:             r.CanWithdraw,
-		CanHealthCheck:        r.CanProbe,
-		CanGossip:             r.CanMessage,
-		CanRetryAfter:         r.CanRetryAfter,
-		MaxRetryAfter:         r.MaxRetryAfter,
-		Tick:                  r.Tick,
-		ConnectTimeout:        r.ConnectTimeout,
-		AnswerSlack:           r.AnswerSlack,
-		DrainGrace:            r.DrainGrace,
-		DiscoveryPollDeadline: r.AskWithin,
-		SlowStartDuration:     r.ColdFor,
-		OverloadWindow:        r.FallWindow,
-		SlowStartBudget:       r.ColdOffers,
-	}
-}
-
-func taskRecordOf(t flaxshelf.Task) taskRecord {
-	return taskRecord{
-		ID:         t.ID,
-		Key:        t.Key,
-		Service:    t.Service,
-		Class:      t.Class,
-		Tenant:     t.Tenant,
-		Cores:      t.Cores,
-		Memory:     t.Memory,
-		Life:       t.ExpectedRuntime,
-		ValidUntil: t.Deadline,
-		Again:      t.Retry,
-	}
-}
-
-func (r taskRecord) task() flaxshelf.Task {
-	return flaxshelf.Task{
-		ID:              r.ID,
-		Key:             r.Key,
-		Service:         r.Service,
-		Class:           r.Class,
-		Tenant:          r.Tenant,
-		Cores:           r.Cores,
-		Memory:          r.Memory,
-		ExpectedRuntime: r.Life,
-		Deadline:        r.ValidUntil,
-		Retry:           r.Again,
-	}
-}
-
-func machineRecordOf(m flaxshelf.Machine) machineRecord {
-	return machineRecord{
-		ID:         m.ID,
-		Kind:       m.Kind,
-		Zone:       m.Zone,
-		Cell:       m.Cell,
-		State:      int(m.State),
-		Started:    m.Started,
-		FreeCores:  m.FreeCores,
-		FreeMemory: m.FreeMemory,
-	}
-}
-
-func (r machineRecord) machine() flaxshelf.Machine {
-	return flaxshelf.Machine{
-		ID:         r.ID,
-		Kind:       r.Kind,
-		Zone:       r.Zone,
-		Cell:       r.Cell,
-		State:      flaxshelf.MachineState(r.State),
-		Started:    r.Started,
-		FreeCores:  r.FreeCores,
-		FreeMemory: r.FreeMemory,
-	}
-}
-
-func loadRecordOf(l flaxshelf.LoadReport) loadRecord {
-	return loadRecord{
-		Told:       l.Present,
-		FreeCores:  l.FreeCores,
-		FreeMemory: l.FreeMemory,
-		HasCores:   l.HasCores,
-		HasMemory:  l.HasMemory,
-	}
-}
-
-func (r loadRecord) load() flaxshelf.LoadReport {
-	return flaxshelf.LoadReport{
-		Present:    r.Told,
-		FreeCores:  r.FreeCores,
-		FreeMemory: r.FreeMemory,
-		HasCores:   r.HasCores,
-		HasMemory:  r.HasMemory,
-	}
+// conversion copies values between one type of package flaxshelf and its record, in both directions. It is safe for
+// concurrent use.
+type conversion struct {
+	record, model     reflect.Type
+	toRecord, toModel copier
+}
+
+// newConversion returns the conversion between two struct types. The error joins a *MissingFieldError for each field,
+// at any depth, that has no counterpart; the conversion copies all others.
+func newConversion(record, model reflect.Type) (conversion, error) {
+	toRecord, toModel, err := newCopiers(record, model)
+	return conversion{record: record, model: model, toRecord: toRecord, toModel: toModel}, err
+}
+
+// store returns a pointer to the record of a value. Gob stores what it points to, so that no copy is needed.
+func (c *conversion) store(value any) any {
+	record := reflect.New(c.record)
+	c.toRecord(record.Elem(), reflect.ValueOf(value))
+	return record.Interface()
+}
+
+// load returns the value of a record.
+func (c *conversion) load(record any) any {
+	value := reflect.New(c.model).Elem()
+	c.toModel(value, reflect.ValueOf(record))
+	return value.Interface()
+}
+
+// newCopiers returns the copiers between values of a record type and of a type of package flaxshelf.
+func newCopiers(record, model reflect.Type) (toRecord, toModel copier, err error) {
+	switch {
+	case record == model:
+		same := copierOf(model.Kind())
+		return same, same, nil
+	case record.Kind() == reflect.Struct && model.Kind() == reflect.Struct:
+		return newStructCopiers(record, model)
+	case record.Kind() == reflect.Slice && model.Kind() == reflect.Slice:
+		toRecord, toModel, err = newCopiers(record.Elem(), model.Elem())
+		return sliceCopier(toRecord), sliceCopier(toModel), err
+	case record.Kind() == reflect.Int && model.Kind() == reflect.Int: // an enumeration and its number
+		return copyInt, copyInt, nil
+	}
+	return copyNothing, copyNothing, fmt.Errorf("%v can't store a %v", record, model)
+}
+
+// copyNothing leaves a field at zero whose types have no copier.
+func copyNothing(_, _ reflect.Value) {}
+
+// copierOf returns the fastest copier between values of one type, which is of the given kind.
+func copierOf(kind reflect.Kind) copier {
+	switch kind {
+	case reflect.Bool:
+		return func(to, from reflect.Value) { to.SetBool(from.Bool()) }
+	case reflect.Int, reflect.Int64:
+		return copyInt
+	case reflect.Float64:
+		return func(to, from reflect.Value) { to.SetFloat(from.Float()) }
+	case reflect.String:
+		return func(to, from reflect.Value) { to.SetString(from.String()) }
+	}
+	return reflect.Value.Set
+}
+
+func copyInt(to, from reflect.Value) { to.SetInt(from.Int()) }
+
+// sliceCopier returns the copier of slices whose elements are copied by copyElement. A nil slice stays nil.
+func sliceCopier(copyElement copier) copier {
+	return func(to, from reflect.Value) {
+		if from.IsNil() {
+			return
+		}
+		length := from.Len()
+		to.Set(reflect.MakeSlice(to.Type(), length, length))
+		for i := range length {
+			copyElement(to.Index(i), from.Index(i))
+		}
+	}
+}
+
+// fieldPair is a field of a record and the field of package flaxshelf that it stores, each by its index.
+type fieldPair struct {
+	record, model     int
+	toRecord, toModel copier
+}
+
+func newStructCopiers(record, model reflect.Type) (toRecord, toModel copier, err error) {
+	pairs, err := pairFields(record, model)
+	toRecord = func(to, from reflect.Value) {
+		for i := range pairs {
+			pairs[i].toRecord(to.Field(pairs[i].record), from.Field(pairs[i].model))
+		}
+	}
+	toModel = func(to, from reflect.Value) {
+		for i := range pairs {
+			pairs[i].toModel(to.Field(pairs[i].model), from.Field(pairs[i].record))
+		}
+	}
+	return toRecord, toModel, err
+}
+
+// pairFields pairs the fields of two struct types. The error joins those of all fields that have no counterpart.
+func pairFields(record, model reflect.Type) ([]fieldPair, error) {
+	var pairs []fieldPair
+	var problems []error
+	stored := map[string]bool{}
+	for i := range record.NumField() {
+		recordField := record.Field(i)
+		name := modelFieldName(recordField)
+		modelField, ok := model.FieldByName(name)
+		if !ok || stored[name] {
+			problems = append(problems, &MissingFieldError{Type: record, Field: recordField.Name, In: model})
+			continue
+		}
+		stored[name] = true
+		toRecord, toModel, err := newCopiers(recordField.Type, modelField.Type)
+		if err != nil {
+			problems = append(problems, fmt.Errorf("%v.%s: %w", record, recordField.Name, err))
+		}
+		pairs = append(pairs, fieldPair{record: i, model: modelField.Index[0], toRecord: toRecord, toModel: toModel})
+	}
+	for i := range model.NumField() {
+		if name := model.Field(i).Name; !stored[name] {
+			problems = append(problems, &MissingFieldError{Type: model, Field: name, In: record})
+		}
+	}
+	return pairs, errors.Join(problems...)
+}
+
+// modelFieldName returns the name of the field of package flaxshelf that a field of a record stores.
+func modelFieldName(recordField reflect.StructField) string {
+	if name, ok := recordField.Tag.Lookup(modelTag); ok {
+		return name
+	}
+	return recordField.Name
 }
--- a/internal/replay/errors.go
+++ b/internal/replay/errors.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"reflect"
 
 	"flaxshelf.example/flaxshelf"
 )
@@ -39,6 +40,19 @@
 	return fmt.Sprintf("version %d of recordings has no form for values of type %T", Version, e.Value)
 }
 
+// MissingFieldError is a field without a counterpart in the other type: a field of package flaxshelf that no field of its
+// record stores, or a field of a record that stores none.
+type MissingFieldError struct {
+	Type  reflect.Type // that has the field
+	Field string
+	In    reflect.Type // that lacks its counterpart
+}
+
+// Error names the field, and the type that lacks it.
+func (e *MissingFieldError) Error() string {
+	return fmt.Sprintf("%v.%s has no counterpart in %v", e.Type, e.Field, e.In)
+}
+
 // DivergenceError is a step in which a module's actions differ from those that were recorded.
 type DivergenceError struct {
 	Step     int                // from 1
--- a/internal/replay/reader.go
+++ b/internal/replay/reader.go
@@ -4,7 +4,6 @@
 	"bufio"
 	"bytes"
 	"encoding/gob"
-	"errors"
 	"fmt"
 	"io"
 
@@ -42,7 +41,8 @@
 	if err := decoder.Decode(&header); err != nil {
 		return nil, &FormatError{Part: part, Version: version.Version, Err: err}
 	}
-	return &reader{decoder: decoder, config: header.Config.config(), seed: header.Seed}, nil
+	config := format.config.load(header.Config).(flaxshelf.Config)
+	return &reader{decoder: decoder, config: config, seed: header.Seed}, nil
 }
 
 // next reads the next step. The error is a FormatError, which wraps io.EOF at the end.
@@ -59,43 +59,12 @@
 	return step{}, &FormatError{Part: fmt.Sprintf("step %d", r.steps), Version: Version, Err: err}
 }
 
-// errMissingType is an event or action of a damaged recording that has no value.
-var errMissingType = errors.New("an event or action has no type")
-
-// step is the step of the record.
+// step returns the step of the record.
 func (r *stepRecord) step() (step, error) {
-	s := step{now: r.Now}
-	for _, e := range r.Events {
-		if e == nil {
-			return step{}, errMissingType
-		}
-		s.events = append(s.events, e.event())
-	}
-	for _, a := range r.Actions {
-		if a == nil {
-			return step{}, errMissingType
-		}
-		s.actions = append(s.actions, a.action())
-	}
-	return s, nil
-}
-
-// stepRecordOf is the record of a step; UnknownTypeError for a type that the format does not have.
-func stepRecordOf(now flaxshelf.Time, events []flaxshelf.Event, actions []flaxshelf.Action) (stepRecord, error) {
-	r := stepRecord{Now: now}
-	for _, event := range events {
-		e, err := eventRecordOf(event)
-		if err != nil {
-			return stepRecord{}, err
-		}
-		r.Events = append(r.Events, e)
-	}
-	for _, action := range actions {
-		a, err := actionRecordOf(action)
-		if err != nil {
-			return stepRecord{}, err
-		}
-		r.Actions = append(r.Actions, a)
+	events, err := loadAll[flaxshelf.Event](format, r.Events)
+	if err != nil {
+		return step{}, err
 	}
-	return r, nil
+	actions, err := loadAll[flaxshelf.Action](format, r.Actions)
+	return step{now: r.Now, events: events, actions: actions}, err
 }
--- a/internal/replay/record.go
+++ b/internal/replay/record.go
@@ -1,25 +1,20 @@
 package replay
 
-import (
-	"encoding/gob"
-	"time"
-
-	"flaxshelf.example/flaxshelf"
-)
+import "time"
 
 // The types of this file are the format of recordings, Version 1. Gob finds the fields of a struct by their names, and
-// the type of an event or action by the name under which it is registered: none of these names may change, whatever
-// the types and fields of package flaxshelf are called. Enumerations are stored as their numbers. The names of the types
-// themselves are written into recordings too, though no build reads them.
+// the type of an event or action by the name under which newRegistry registers it: none of these names may change, whatever
+// the types and fields of package flaxshelf are called. The tag "model" names the field that is stored, where that has
+// another name today. Enumerations are stored as their numbers.
 //
-// A new field of package flaxshelf needs a field here; earlier builds pass over it. A field that changes its meaning
-// needs a new Version.
+// A new field of package flaxshelf needs one field here, and nothing else: the conversions are made of the types. Earlier
+// builds ignore it. A field that changes its meaning needs a new Version.
 
-// eventRecord is a stored event.
-type eventRecord interface{ event() flaxshelf.Event }
+// eventRecord is the record of an event.
+type eventRecord interface{ storesEvent() }
 
-// actionRecord is a stored action.
-type actionRecord interface{ action() flaxshelf.Action }
+// actionRecord is the record of an action.
+type actionRecord interface{ storesAction() }
 
 type headerRecord struct {
 	Version int
@@ -35,19 +30,19 @@
 
 type classRecord struct {
 	Name         string
-	Effect       int
-	Group        int
-	Window       time.Duration
-	Aim          time.Duration
-	Worth        float64
-	LateWorth    float64
-	StartSeconds float64
-	Calm         float64
-	Fade         float64
+	Effect       int           `model:"Idempotency"`
+	Group        int           `model:"KeyDomain"`
+	Window       time.Duration `model:"KeyTTL"`
+	Aim          time.Duration `model:"LatencyObjective"`
+	Worth        float64       `model:"PriorityWeight"`
+	LateWorth    float64       `model:"LateStartWeight"`
+	StartSeconds float64       `model:"StartValueSeconds"`
+	Calm         float64       `model:"FullServiceUtilization"`
+	Fade         float64       `model:"ServiceFadeRange"`
 	Kind         int
 	Priority     int
-	Spread       int
-	Most         int
+	Spread       int `model:"SpreadDomain"`
+	Most         int `model:"MaxPerDomain"`
 }
 
 type kindRecord struct {
@@ -58,21 +53,21 @@
 
 type tenantRecord struct {
 	Name       string
-	Share      float64
-	PerSecond  float64
+	Share      float64 `model:"QuotaFraction"`
+	PerSecond  float64 `model:"TasksPerSecond"`
 	QuotaCores float64
 }
 
 type pricesRecord struct {
 	CrossZone     float64
 	Waste         float64
-	Probe         float64
-	Message       float64
-	Moves         float64
+	Probe         float64 `model:"HealthCheck"`
+	Message       float64 `model:"Gossip"`
+	Moves         float64 `model:"Migration"`
 	Discovery     float64
 	Fleet         float64
-	Refused       float64
-	EvictionMoves float64
+	Refused       float64 `model:"Rejection"`
+	EvictionMoves float64 `model:"EvictionMigrations"`
 }
 
 type configRecord struct {
@@ -82,30 +77,30 @@
 	Classes        []classRecord
 	Kinds          []kindRecord
 	Tenants        []tenantRecord
-	OverShareWorth float64
+	OverShareWorth float64 `model:"OverQuotaWeight"`
 	Prices         pricesRecord
-	AcceptCores    float64
-	AcceptMemory   float64
-	RunsWhenPlaced bool
+	AcceptCores    float64 `model:"CoreOvercommit"`
+	AcceptMemory   float64 `model:"MemoryOvercommit"`
+	RunsWhenPlaced bool    `model:"PlacedWhenRunning"`
 	Preempts       bool
-	ListsFree      bool
-	ReportsUsed    bool
-	DiscoveryAsks  bool
+	ListsFree      bool `model:"ListsFreeCapacity"`
+	ReportsUsed    bool `model:"ReportsUsage"`
+	DiscoveryAsks  bool `model:"DiscoveryOnRequest"`
 	MaxAttempts    int
-	SecondCopies   bool
-	CanWithdraw    bool
-	CanProbe       bool
-	CanMessage     bool
+	SecondCopies   bool `model:"HedgedRequests"`
+	CanWithdraw    bool `model:"CanCancel"`
+	CanProbe       bool `model:"CanHealthCheck"`
+	CanMessage     bool `model:"CanGossip"`
 	CanRetryAfter  bool
 	MaxRetryAfter  time.Duration
 	Tick           time.Duration
 	ConnectTimeout time.Duration
 	AnswerSlack    time.Duration
 	DrainGrace     time.Duration
-	AskWithin      time.Duration
-	ColdFor        time.Duration
-	FallWindow     time.Duration
-	ColdOffers     float64
+	AskWithin      time.Duration `model:"DiscoveryPollDeadline"`
+	ColdFor        time.Duration `model:"SlowStartDuration"`
+	FallWindow     time.Duration `model:"OverloadWindow"`
+	ColdOffers     float64       `model:"SlowStartBudget"`
 }
 
 type taskRecord struct {
@@ -116,9 +111,9 @@
 	Tenant     int
 	Cores      float64
 	Memory     float64
-	Life       time.Duration
-	ValidUntil time.Duration
-	Again      bool
+	Life       time.Duration `model:"ExpectedRuntime"`
+	ValidUntil time.Duration `model:"Deadline"`
+	Again      bool          `model:"Retry"`
 }
 
 type machineRecord struct {
@@ -133,49 +128,49 @@
 }
 
 type loadRecord struct {
-	Told       bool
+	Told       bool `model:"Present"`
 	FreeCores  float64
 	FreeMemory float64
 	HasCores   bool
 	HasMemory  bool
 }
 
-type listedRecord struct {
+type machinesUpdatedRecord struct {
 	Machines []machineRecord
-	Whole    bool
+	Whole    bool `model:"Complete"`
 	Stale    bool
 }
 
-type listFailedRecord struct{}
+type discoveryFailedRecord struct{}
 
-type placeRecord struct {
+type taskSubmittedRecord struct {
 	Task taskRecord
 }
 
-type runningRecord struct {
+type taskAdoptedRecord struct {
 	Task    taskRecord
 	Machine string
 }
 
-type placedRecord struct {
+type attemptPlacedRecord struct {
 	Task    string
 	Machine string
 	Attempt int
-	Lag     time.Duration
+	Lag     time.Duration `model:"Latency"`
 }
 
-type endedRecord struct {
+type attemptEndedRecord struct {
 	Task    string
 	Machine string
 	Attempt int
-	Verdict int
+	Verdict int `model:"Outcome"`
 	Reason  int
-	Done    bool
-	Lag     time.Duration
+	Done    bool          `model:"Final"`
+	Lag     time.Duration `model:"Latency"`
 	Load    loadRecord
 }
 
-type noteRecord struct {
+type usageReportRecord struct {
 	Task    string
 	Machine string
 	Attempt int
@@ -183,20 +178,20 @@
 	Amount  float64
 }
 
-type probedRecord struct {
+type healthCheckedRecord struct {
 	Machine string
-	Verdict int
+	Verdict int `model:"Outcome"`
 	Load    loadRecord
 }
 
-type messageRecord struct {
+type gossipReceivedRecord struct {
 	From int
 	Data []byte
 }
 
-type wokenRecord struct{}
+type timerFiredRecord struct{}
 
-type goneRecord struct {
+type taskCanceledRecord struct {
 	Task string
 }
 
@@ -206,12 +201,12 @@
 	Timeout time.Duration
 }
 
-type withdrawRecord struct {
+type cancelRecord struct {
 	Task    string
 	Attempt int
 }
 
-type refuseRecord struct {
+type rejectRecord struct {
 	Task string
 }
 
@@ -219,50 +214,42 @@
 	Task string
 }
 
-type moveRecord struct {
+type migrateRecord struct {
 	Task string
 }
 
-type probeRecord struct {
+type healthCheckRecord struct {
 	Machine string
 }
 
-type tellRecord struct {
+type sendGossipRecord struct {
 	Data []byte
 }
 
 type subscribeRecord struct{}
 
-type wakeRecord struct {
+type setTimerRecord struct {
 	After time.Duration
 }
 
-// storedPackage is the path before the stored names of event and action types.
-const storedPackage = "flaxshelf.example/flaxshelf."
-
-func init() {
-	for name, record := range map[string]any{
-		"Listed":     listedRecord{},
-		"ListFailed": listFailedRecord{},
-		"Place":      placeRecord{},
-		"Running":    runningRecord{},
-		"Placed":     placedRecord{},
-		"Ended":      endedRecord{},
-		"Note":       noteRecord{},
-		"Probed":     probedRecord{},
-		"Message":    messageRecord{},
-		"Woken":      wokenRecord{},
-		"Gone":       goneRecord{},
-		"Offer":      offerRecord{},
-		"Withdraw":   withdrawRecord{},
-		"Refuse":     refuseRecord{},
-		"Fail":       failRecord{},
-		"Move":       moveRecord{},
-		"Probe":      probeRecord{},
-		"Tell":       tellRecord{},
-		"Subscribe":  subscribeRecord{},
-		"Wake":       wakeRecord{},
-	} {
-		gob.RegisterName(storedPackage+name, record)
-	}
-}
+func (machinesUpdatedRecord) storesEvent() {}
+func (discoveryFailedRecord) storesEvent() {}
+func (taskSubmittedRecord) storesEvent()   {}
+func (taskAdoptedRecord) storesEvent()     {}
+func (attemptPlacedRecord) storesEvent()   {}
+func (attemptEndedRecord) storesEvent()    {}
+func (usageReportRecord) storesEvent()     {}
+func (healthCheckedRecord) storesEvent()   {}
+func (gossipReceivedRecord) storesEvent()  {}
+func (timerFiredRecord) storesEvent()      {}
+func (taskCanceledRecord) storesEvent()    {}
+
+func (offerRecord) storesAction()       {}
+func (cancelRecord) storesAction()      {}
+func (rejectRecord) storesAction()      {}
+func (failRecord) storesAction()        {}
+func (migrateRecord) storesAction()     {}
+func (healthCheckRecord) storesAction() {}
+func (sendGossipRecord) storesAction()  {}
+func (subscribeRecord) storesAction()   {}
+func (setTimerRecord) storesAction()    {}
--- a/internal/replay/record_test.go
+++ b/internal/replay/record_test.go
@@ -60,7 +60,7 @@
 }
 
 // readAll reads a whole recording.
-func readAll(t *testing.T, recording []byte) (*reader, []step) {
+func readAll(t testing.TB, recording []byte) (*reader, []step) {
 	t.Helper()
 	in, err := newReader(bytes.NewReader(recording))
 	if err != nil {
@@ -79,7 +79,7 @@
 	}
 }
 
-func writeAll(t *testing.T, config flaxshelf.Config, seed uint64, steps []step) []byte {
+func writeAll(t testing.TB, config flaxshelf.Config, seed uint64, steps []step) []byte {
 	t.Helper()
 	var b bytes.Buffer
 	w, err := NewWriter(&b, config, seed)
--- /dev/null
+++ b/internal/replay/registry.go
@@ -0,0 +1,105 @@
+package replay
+
+import (
+	"encoding/gob"
+	"errors"
+	"reflect"
+
+	"flaxshelf.example/flaxshelf"
+)
+
+// storedPackage is the path before the stored names of event and action types.
+const storedPackage = "flaxshelf.example/flaxshelf."
+
+// registry has the conversions of the format. It is complete once package-level variables are initialized, and only read
+// afterwards.
+type registry struct {
+	byModel  map[reflect.Type]*conversion // of events and actions, by their type in package flaxshelf
+	byRecord map[reflect.Type]*conversion // the same, by the type of their record
+	config   conversion
+	err      error // joins the errors of all conversions: each is a mistake in record.go
+}
+
+// format has the stored types. The names are those that the types of package flaxshelf had when the first recordings were
+// written; they are in every recording and must not change.
+var format = newRegistry()
+
+func newRegistry() *registry {
+	r := &registry{byModel: map[reflect.Type]*conversion{}, byRecord: map[reflect.Type]*conversion{}}
+	r.config, r.err = newConversion(reflect.TypeFor[configRecord](), reflect.TypeFor[flaxshelf.Config]())
+
+	registerEvent[machinesUpdatedRecord, flaxshelf.MachinesUpdated](r, "Listed")
+	registerEvent[discoveryFailedRecord, flaxshelf.DiscoveryFailed](r, "ListFailed")
+	registerEvent[taskSubmittedRecord, flaxshelf.TaskSubmitted](r, "Place")
+	registerEvent[taskAdoptedRecord, flaxshelf.TaskAdopted](r, "Running")
+	registerEvent[attemptPlacedRecord, flaxshelf.AttemptPlaced](r, "Placed")
+	registerEvent[attemptEndedRecord, flaxshelf.AttemptEnded](r, "Ended")
+	registerEvent[usageReportRecord, flaxshelf.UsageReport](r, "Note")
+	registerEvent[healthCheckedRecord, flaxshelf.HealthChecked](r, "Probed")
+	registerEvent[gossipReceivedRecord, flaxshelf.GossipReceived](r, "Message")
+	registerEvent[timerFiredRecord, flaxshelf.TimerFired](r, "Woken")
+	registerEvent[taskCanceledRecord, flaxshelf.TaskCanceled](r, "Gone")
+
+	registerAction[offerRecord, flaxshelf.Offer](r, "Offer")
+	registerAction[cancelRecord, flaxshelf.Cancel](r, "Withdraw")
+	registerAction[rejectRecord, flaxshelf.Reject](r, "Refuse")
+	registerAction[failRecord, flaxshelf.Fail](r, "Fail")
+	registerAction[migrateRecord, flaxshelf.Migrate](r, "Move")
+	registerAction[healthCheckRecord, flaxshelf.HealthCheck](r, "Probe")
+	registerAction[sendGossipRecord, flaxshelf.SendGossip](r, "Tell")
+	registerAction[subscribeRecord, flaxshelf.Subscribe](r, "Subscribe")
+	registerAction[setTimerRecord, flaxshelf.SetTimer](r, "Wake")
+	return r
+}
+
+// registerEvent has Record store events of type Model under a name.
+func registerEvent[Record eventRecord, Model flaxshelf.Event](r *registry, storedName string) {
+	r.register(storedName, reflect.TypeFor[Record](), reflect.TypeFor[Model]())
+}
+
+// registerAction has Record store actions of type Model under a name.
+func registerAction[Record actionRecord, Model flaxshelf.Action](r *registry, storedName string) {
+	r.register(storedName, reflect.TypeFor[Record](), reflect.TypeFor[Model]())
+}
+
+func (r *registry) register(storedName string, record, model reflect.Type) {
+	c, err := newConversion(record, model)
+	r.err = errors.Join(r.err, err)
+	r.byModel[model], r.byRecord[record] = &c, &c
+	gob.RegisterName(storedPackage+storedName, reflect.Zero(record).Interface())
+}
+
+// storeAll returns the records of events or actions. The error is an *UnknownTypeError for a type that has no record.
+func storeAll[Record, Model any](r *registry, values []Model) ([]Record, error) {
+	if len(values) == 0 {
+		return nil, nil
+	}
+	records := make([]Record, len(values))
+	for i, value := range values {
+		c := r.byModel[reflect.TypeOf(value)]
+		if c == nil {
+			return nil, &UnknownTypeError{Value: value}
+		}
+		records[i] = c.store(value).(Record)
+	}
+	return records, nil
+}
+
+// errMissingType is an event or action of a damaged recording that has no value.
+var errMissingType = errors.New("an event or action has no type")
+
+// loadAll returns the events or actions of records.
+func loadAll[Model, Record any](r *registry, records []Record) ([]Model, error) {
+	if len(records) == 0 {
+		return nil, nil
+	}
+	values := make([]Model, len(records))
+	for i, record := range records {
+		c := r.byRecord[reflect.TypeOf(record)]
+		if c == nil {
+			return nil, errMissingType
+		}
+		values[i] = c.load(record).(Model)
+	}
+	return values, nil
+}
--- a/internal/replay/writer.go
+++ b/internal/replay/writer.go
@@ -25,9 +25,12 @@
 // NewWriter starts a recording of a module with the given configuration and seed. The caller owns out, and closes it
 // after the Writer.
 func NewWriter(out io.Writer, config flaxshelf.Config, seed uint64) (*Writer, error) {
+	if format.err != nil {
+		return nil, fmt.Errorf("replay: %w", format.err)
+	}
 	buffer := bufio.NewWriter(out)
 	w := &Writer{encoder: gob.NewEncoder(buffer), buffer: buffer}
-	header := headerRecord{Version: Version, Config: configRecordOf(config), Seed: seed}
+	header := headerRecord{Version: Version, Config: *format.config.store(config).(*configRecord), Seed: seed}
 	if err := w.encoder.Encode(header); err != nil {
 		return nil, fmt.Errorf("replay: write the header: %w", err)
 	}
@@ -54,7 +57,7 @@
 	if w.stepError != nil {
 		return
 	}
-	record, err := stepRecordOf(now, events, actions)
+	record, err := newStepRecord(now, events, actions)
 	if err == nil {
 		err = w.encoder.Encode(record)
 	}
@@ -72,3 +75,13 @@
 	}
 	return nil
 }
+
+// newStepRecord returns the record of a step. The error is an *UnknownTypeError for a type that has no record.
+func newStepRecord(now flaxshelf.Time, events []flaxshelf.Event, actions []flaxshelf.Action) (stepRecord, error) {
+	storedEvents, err := storeAll[eventRecord](format, events)
+	if err != nil {
+		return stepRecord{}, err
+	}
+	storedActions, err := storeAll[actionRecord](format, actions)
+	return stepRecord{Now: now, Events: storedEvents, Actions: storedActions}, err
+}
