--- a/internal/replay/check.go
+++ b/internal/replay/check.go
@@ -9,24 +9,24 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-// Result counts what a check has compared.
+// Result counts what a check compared.
 type Result struct{ Steps, Events, Actions int }
 
-// Module is what a recording is played to.
+// Module is what a recording is replayed to.
 type Module interface {
 	Step(now flaxshelf.Time, events []flaxshelf.Event) []flaxshelf.Action
 }
 
-// Check plays a recording to a new module and compares its actions with the recorded ones. A recording that was cut off is
-// checked up to its last complete step. The error is a DivergenceError for the first step that differs, a FormatError for
-// a file that is no recording, or an error of making the module.
+// Check replays a recording to a new module and compares its actions with the recorded ones. A truncated recording is
+// checked up to its last complete step. The error is a *DivergenceError for the first step that differs, a *FormatError for
+// a file that can't be read as a recording, or the error of creating the module.
 func Check(recording io.Reader) (Result, error) {
 	return CheckWith(recording, func(config flaxshelf.Config, seed uint64) (Module, error) {
 		return flaxshelf.New(config, seed)
 	})
 }
 
-// CheckWith is Check of a module that the caller makes of the recorded configuration and seed.
+// CheckWith is like Check, but replays to the module that newModule returns for the recorded configuration and seed.
 func CheckWith(recording io.Reader, newModule func(flaxshelf.Config, uint64) (Module, error)) (Result, error) {
 	var result Result
 	in, err := newReader(recording)
@@ -54,7 +54,7 @@
 	}
 }
 
-// compareActions returns a DivergenceError where a module's actions differ from those that were recorded.
+// compareActions returns a *DivergenceError if a module's actions differ from the recorded ones.
 func compareActions(step int, actions, recorded []flaxshelf.Action) error {
 	if len(actions) != len(recorded) {
 		return &DivergenceError{Step: step, Action: allActionsDiffer, Actions: actions, Recorded: recorded}
--- a/internal/replay/cluster_test.go
+++ b/internal/replay/cluster_test.go
@@ -85,7 +85,7 @@
 	return events
 }
 
-// apply tells whether an event's attempt is still open, and marks it as placed or ended.
+// apply reports whether an event's attempt is still open, and marks it as placed or ended.
 func (c *cluster) apply(e flaxshelf.Event) bool {
 	switch e := e.(type) {
 	case flaxshelf.AttemptPlaced:
@@ -204,7 +204,7 @@
 	case chance < 25:
 		lag, ended.Outcome, ended.Load = o.Timeout, flaxshelf.TimedOut, flaxshelf.LoadReport{}
 	case chance < 29:
-		return // no response comes
+		return // the offer stays without a response
 	default:
 		c.schedule(lag, flaxshelf.AttemptPlaced{Task: o.Task, Machine: o.Machine, Attempt: n, Latency: lag})
 		lag += c.duration(500*time.Millisecond, 4*time.Second)
--- a/internal/replay/convert.go
+++ b/internal/replay/convert.go
@@ -92,30 +92,30 @@
 	}
 }
 
-// fieldPair is a field of a record and the field of package flaxshelf that it stores, each by its index.
-type fieldPair struct {
-	record, model     int
+// fieldMapping is a field of a record with the field of package flaxshelf that it stores.
+type fieldMapping struct {
+	record, model     int // field indexes
 	toRecord, toModel copier
 }
 
 func newStructCopiers(record, model reflect.Type) (toRecord, toModel copier, err error) {
-	pairs, err := pairFields(record, model)
+	mappings, err := mapFields(record, model)
 	toRecord = func(to, from reflect.Value) {
-		for i := range pairs {
-			pairs[i].toRecord(to.Field(pairs[i].record), from.Field(pairs[i].model))
+		for i := range mappings {
+			mappings[i].toRecord(to.Field(mappings[i].record), from.Field(mappings[i].model))
 		}
 	}
 	toModel = func(to, from reflect.Value) {
-		for i := range pairs {
-			pairs[i].toModel(to.Field(pairs[i].model), from.Field(pairs[i].record))
+		for i := range mappings {
+			mappings[i].toModel(to.Field(mappings[i].model), from.Field(mappings[i].record))
 		}
 	}
 	return toRecord, toModel, err
 }
 
-// pairFields pairs the fields of two struct types. The error joins those of all fields that have no counterpart.
-func pairFields(record, model reflect.Type) ([]fieldPair, error) {
-	var pairs []fieldPair
+// mapFields maps the fields of two struct types to each other. The error joins those of all fields that have no counterpart.
+func mapFields(record, model reflect.Type) ([]fieldMapping, error) {
+	var mappings []fieldMapping
 	var problems []error
 	stored := map[string]bool{}
 	for i := range record.NumField() {
@@ -131,14 +131,14 @@
 		if err != nil {
 			problems = append(problems, fmt.Errorf("%v.%s: %w", record, recordField.Name, err))
 		}
-		pairs = append(pairs, fieldPair{record: i, model: modelField.Index[0], toRecord: toRecord, toModel: toModel})
+		mappings = append(mappings, fieldMapping{record: i, model: modelField.Index[0], toRecord: toRecord, toModel: toModel})
 	}
 	for i := range model.NumField() {
 		if name := model.Field(i).Name; !stored[name] {
 			problems = append(problems, &MissingFieldError{Type: model, Field: name, In: record})
 		}
 	}
-	return pairs, errors.Join(problems...)
+	return mappings, errors.Join(problems...)
 }
 
 // modelFieldName returns the name of the field of package flaxshelf that a field of a record stores.
--- a/internal/replay/doc.go
+++ b/internal/replay/doc.go
@@ -1,6 +1,6 @@
-// Package replay owns recordings of the inputs and outputs of a module, and plays them to a module by itself. It must
-// not know of jobs or sockets: a difference means that the program has decided something in the module's place.
+// Package replay records the inputs and outputs of a module, and replays recordings to a module without its host. It must
+// not depend on jobs or sockets: a divergence means that the host made a decision of its own.
 //
 // A recording is a gob stream: a header with the module's configuration and seed, then one record for each step. The types
-// and fields of record.go are the format; what they are called is stored and stays.
+// of record.go are the format: their field names are stored and must not change.
 package replay
--- a/internal/replay/errors.go
+++ b/internal/replay/errors.go
@@ -7,15 +7,15 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-// FormatError is a file that is no recording that this build reads: another kind of file, a recording of another
-// version or with types that this build does not know, or a damaged one.
+// FormatError reports a file that this build can't read as a recording: another kind of file, a recording of another
+// version or with types that this build does not know, or a damaged recording.
 type FormatError struct {
 	Part    string // part of the recording that can't be read: "the header" or "step 3"
-	Version int    // version of the recording; 0: not known
-	Err     error  // reason; nil: the version alone
+	Version int    // version of the recording; zero if unknown
+	Err     error  // nil if the version alone is the reason
 }
 
-// Error is the part, the reason and what to do.
+// Error names the part and the reason, and says what to do.
 func (e *FormatError) Error() string {
 	if e.Err == nil {
 		return fmt.Sprintf("replay: read %s: the recording has version %d, this build reads version %d: "+
@@ -29,10 +29,10 @@
 		"reads): replay it with the build that wrote it: %v", e.Part, e.Version, e.Err)
 }
 
-// Unwrap is the reason.
+// Unwrap returns Err.
 func (e *FormatError) Unwrap() error { return e.Err }
 
-// UnknownTypeError is an event or action of a type that the format has no record for.
+// UnknownTypeError reports an event or action of a type that has no record in the format.
 type UnknownTypeError struct{ Value any }
 
 // Error names the type.
@@ -40,7 +40,7 @@
 	return fmt.Sprintf("version %d of recordings has no form for values of type %T", Version, e.Value)
 }
 
-// MissingFieldError is a field without a counterpart in the other type: a field of package flaxshelf that no field of its
+// MissingFieldError reports a field without a counterpart in the other type: a field of package flaxshelf that no field of its
 // record stores, or a field of a record that stores none.
 type MissingFieldError struct {
 	Type  reflect.Type // that has the field
@@ -53,15 +53,15 @@
 	return fmt.Sprintf("%v.%s has no counterpart in %v", e.Type, e.Field, e.In)
 }
 
-// DivergenceError is a step in which a module's actions differ from those that were recorded.
+// DivergenceError reports a step in which a module's actions differ from the recorded ones.
 type DivergenceError struct {
-	Step     int                // from 1
-	Action   int                // index of the first action that differs; -1: their numbers differ
+	Step     int                // number of the step, from 1
+	Action   int                // index of the first action that differs; -1 if the number of actions differs
 	Actions  []flaxshelf.Action // of the module
 	Recorded []flaxshelf.Action // of the recording
 }
 
-// allActionsDiffer is the Action of a step with another number of actions.
+// allActionsDiffer is DivergenceError.Action if the number of actions differs.
 const allActionsDiffer = -1
 
 // Error names the step and the first action that differs.
--- a/internal/replay/format_test.go
+++ b/internal/replay/format_test.go
@@ -19,7 +19,7 @@
 
 // The stored recordings were written by the build of commit ad3e0ee, which encoded the module's own types.
 //
-// allTypesFile has one value of each event and action type and is never rewritten: it stands for the recordings that
+// allTypesFile has one value of each event and action type and is never rewritten: it represents the recordings that
 // users have. decisionsFile also holds decisions, so it is rewritten with -update when they change on purpose.
 const (
 	allTypesFile  = "testdata/all-types.gob.gz"
@@ -100,7 +100,7 @@
 	return w.Close()
 }
 
-// scripted is a module that expects the events of a test and returns its actions.
+// scripted is a module that expects the events of a test and returns the actions of the test.
 type scripted struct {
 	t       *testing.T
 	steps   int
@@ -113,13 +113,13 @@
 	i := s.steps
 	s.steps++
 	if i >= len(s.times) {
-		s.t.Fatalf("step %d was not recorded", i+1)
+		s.t.Fatalf("got step %d, which was not recorded", i+1)
 	}
 	if now != s.times[i] {
-		s.t.Errorf("step %d at %v, recorded was %v", i+1, now, s.times[i])
+		s.t.Errorf("step %d: got time %v, want %v", i+1, now, s.times[i])
 	}
 	if !reflect.DeepEqual(events, s.events[i]) {
-		s.t.Errorf("step %d: events %#v,\nrecorded were %#v", i+1, events, s.events[i])
+		s.t.Errorf("step %d: got events %#v,\nwant %#v", i+1, events, s.events[i])
 	}
 	return s.actions[i]
 }
@@ -131,10 +131,10 @@
 		actions: [][]flaxshelf.Action{allActions(), nil}}
 	result, err := CheckWith(bytes.NewReader(recording), func(c flaxshelf.Config, seed uint64) (Module, error) {
 		if !reflect.DeepEqual(c, storedConfig()) {
-			t.Errorf("settings %+v,\nrecorded were %+v", c, storedConfig())
+			t.Errorf("got config %+v,\nwant %+v", c, storedConfig())
 		}
 		if seed != storedSeed {
-			t.Errorf("seed %x, recorded was %x", seed, uint64(storedSeed))
+			t.Errorf("got seed %x, want %x", seed, uint64(storedSeed))
 		}
 		return s, nil
 	})
@@ -143,12 +143,11 @@
 	}
 	want := Result{Steps: 2, Events: len(allEvents()), Actions: len(allActions())}
 	if result != want {
-		t.Errorf("%+v, want %+v", result, want)
+		t.Errorf("got %+v, want %+v", result, want)
 	}
 }
 
-// A recording of an earlier build is read with every value of every type.
-func TestStoredTypesAreRead(t *testing.T) {
+func TestReadsAllTypesOfEarlierBuild(t *testing.T) {
 	checkAllTypes(t, readStored(t, allTypesFile))
 }
 
@@ -169,16 +168,15 @@
 	return actions
 }
 
-// A recording of an earlier build plays to the same decisions. It has all events, and all actions that a module takes
-// today: none is a health check or sends gossip.
-func TestStoredDecisionsArePlayed(t *testing.T) {
+// The recording has all events, and all actions that a module takes today: none is a health check or sends gossip.
+func TestReplaysDecisionsOfEarlierBuild(t *testing.T) {
 	recording := readStored(t, decisionsFile)
 	result, err := Check(bytes.NewReader(recording))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if want := (Result{Steps: decisionSteps, Events: 3813, Actions: 543}); result != want {
-		t.Errorf("%+v, want %+v", result, want)
+		t.Errorf("got %+v, want %+v", result, want)
 	}
 	counter := &typeCounter{types: map[reflect.Type]int{}}
 	if _, err := CheckWith(bytes.NewReader(recording), func(c flaxshelf.Config, seed uint64) (Module, error) {
@@ -189,7 +187,7 @@
 	}
 	for _, e := range allEvents() {
 		if counter.types[reflect.TypeOf(e)] == 0 {
-			t.Errorf("no event %T", e)
+			t.Errorf("got no event %T, want one", e)
 		}
 	}
 	for _, a := range allActions() {
@@ -198,7 +196,7 @@
 			continue
 		}
 		if counter.types[reflect.TypeOf(a)] == 0 {
-			t.Errorf("no action %T", a)
+			t.Errorf("got no action %T, want one", a)
 		}
 	}
 }
--- a/internal/replay/reader.go
+++ b/internal/replay/reader.go
@@ -10,7 +10,7 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-// step is the inputs of a module at one time, and its outputs.
+// step has the inputs of one step of a module and its outputs.
 type step struct {
 	now     flaxshelf.Time
 	events  []flaxshelf.Event
@@ -22,10 +22,11 @@
 	decoder *gob.Decoder
 	config  flaxshelf.Config
 	seed    uint64
-	steps   int // steps that were read
+	steps   int // steps read so far
 }
 
-// newReader reads the header. The version is read by itself first, since another version may have another header.
+// newReader reads the header of a recording. It decodes the version alone first, since another version may have another
+// header. The error is a *FormatError.
 func newReader(in io.Reader) (*reader, error) {
 	const part = "the header"
 	var start bytes.Buffer
@@ -45,7 +46,7 @@
 	return &reader{decoder: decoder, config: config, seed: header.Seed}, nil
 }
 
-// next reads the next step. The error is a FormatError, which wraps io.EOF at the end.
+// next reads the next step. The error is a *FormatError, which wraps io.EOF at the end of the recording.
 func (r *reader) next() (step, error) {
 	r.steps++
 	var record stepRecord
--- a/internal/replay/record_test.go
+++ b/internal/replay/record_test.go
@@ -20,7 +20,7 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-// fill sets all that v holds to values other than zero, each another one where the type allows it.
+// fill sets every exported field of v, at any depth, to a value other than zero. Values differ where their type allows it.
 func fill(t *testing.T, v reflect.Value, next *int64) {
 	t.Helper()
 	*next++
@@ -47,11 +47,11 @@
 			}
 		}
 	default:
-		t.Fatalf("a field of kind %v: say here how it is filled", v.Kind())
+		t.Fatalf("a field of kind %v: add its kind here", v.Kind())
 	}
 }
 
-// filled is a value of the type of example with every field set.
+// filled returns a value of the type of example with every field set.
 func filled[T any](t *testing.T, example T, next *int64) T {
 	t.Helper()
 	v := reflect.New(reflect.TypeOf(example)).Elem()
@@ -95,8 +95,8 @@
 	return b.Bytes()
 }
 
-// Every field of the settings and of each event and action comes back from a recording, also one that is new.
-func TestEveryFieldIsStored(t *testing.T) {
+// Every field of Config and of each event and action is filled, also a new one, and must be the same when it is read.
+func TestEveryFieldIsRestored(t *testing.T) {
 	var next int64
 	config := filled(t, flaxshelf.Config{}, &next)
 	written := step{now: 3}
@@ -108,24 +108,24 @@
 	}
 	in, steps := readAll(t, writeAll(t, config, 5, []step{written}))
 	if !reflect.DeepEqual(in.config, config) || in.seed != 5 {
-		t.Errorf("settings %+v, seed %d;\nwritten were %+v and 5", in.config, in.seed, config)
+		t.Errorf("got config %+v, seed %d;\nwant %+v and 5", in.config, in.seed, config)
 	}
 	if len(steps) != 1 || steps[0].now != 3 {
-		t.Fatalf("%+v", steps)
+		t.Fatalf("got steps %+v, want one at time 3", steps)
 	}
 	for i, e := range steps[0].events {
 		if !reflect.DeepEqual(e, written.events[i]) {
-			t.Errorf("event %#v,\nwritten was %#v", e, written.events[i])
+			t.Errorf("got event %#v,\nwant %#v", e, written.events[i])
 		}
 	}
 	for i, a := range steps[0].actions {
 		if !reflect.DeepEqual(a, written.actions[i]) {
-			t.Errorf("action %#v,\nwritten was %#v", a, written.actions[i])
+			t.Errorf("got action %#v,\nwant %#v", a, written.actions[i])
 		}
 	}
 }
 
-// receivers are the types of package flaxshelf that have a method.
+// receivers returns the sorted names of the types of package flaxshelf that have a method.
 func receivers(t *testing.T, method string) []string {
 	t.Helper()
 	files, err := filepath.Glob("../../*.go")
@@ -163,18 +163,18 @@
 	return slices.Sorted(maps.Keys(names))
 }
 
-// The other tests know every event and action type of package flaxshelf, also one that is new.
-func TestEveryTypeIsStored(t *testing.T) {
+// allEvents and allActions have every event and action type of package flaxshelf, also a new one.
+func TestTestsCoverEveryType(t *testing.T) {
 	if got, want := typeNames(allEvents()), receivers(t, "event"); !slices.Equal(got, want) {
-		t.Errorf("events %v, package flaxshelf has %v", got, want)
+		t.Errorf("got events %v, want those of package flaxshelf: %v", got, want)
 	}
 	if got, want := typeNames(allActions()), receivers(t, "handle"); !slices.Equal(got, want) {
-		t.Errorf("actions %v, package flaxshelf has %v", got, want)
+		t.Errorf("got actions %v, want those of package flaxshelf: %v", got, want)
 	}
 }
 
-// Enumerations are stored as their numbers, which therefore stay as they are.
-func TestStoredNumbers(t *testing.T) {
+// Enumerations are stored as their numbers, which therefore must not change.
+func TestEnumerationsKeepTheirStoredNumbers(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		numbers []int
@@ -192,14 +192,13 @@
 	} {
 		for want, got := range c.numbers {
 			if got != want {
-				t.Errorf("%s: %v, stored are 0, 1, 2 and so on", c.name, c.numbers)
+				t.Errorf("%s: got %v, want 0, 1, 2 and so on", c.name, c.numbers)
 				break
 			}
 		}
 	}
 }
 
-// A recording of an earlier build that is rewritten has the same content.
 func TestStoredRecordingsAreRewrittenUnchanged(t *testing.T) {
 	for _, path := range []string{allTypesFile, decisionsFile} {
 		stored, steps := readAll(t, readStored(t, path))
@@ -207,7 +206,7 @@
 		read, stepsRead := readAll(t, rewritten)
 		if !reflect.DeepEqual(read.config, stored.config) || read.seed != stored.seed ||
 			!reflect.DeepEqual(stepsRead, steps) {
-			t.Errorf("%s: rewritten it has another content", path)
+			t.Errorf("%s: got other content after rewriting it, want the same", path)
 		}
 		if path == allTypesFile {
 			checkAllTypes(t, rewritten)
@@ -215,7 +214,7 @@
 	}
 }
 
-// encode is a gob stream of values.
+// encode returns a gob stream of values.
 func encode(t *testing.T, values ...any) []byte {
 	t.Helper()
 	var b bytes.Buffer
@@ -228,8 +227,7 @@
 	return b.Bytes()
 }
 
-// A file that is no recording of this version gives a FormatError with the part, its version and what to do.
-func TestFormatError(t *testing.T) {
+func TestUnreadableRecordingReturnsFormatError(t *testing.T) {
 	header := headerRecord{Version: Version}
 	stored := readStored(t, allTypesFile)
 	renamed := bytes.ReplaceAll(stored, []byte(storedPackage+"Gone"), []byte(storedPackage+"Here"))
@@ -267,20 +265,23 @@
 			_, err := CheckWith(bytes.NewReader(c.recording), module)
 			var formatError *FormatError
 			if !errors.As(err, &formatError) {
-				t.Fatalf("%v is not a FormatError", err)
+				t.Fatalf("got %v, want a FormatError", err)
 			}
 			if formatError.Version != c.version {
-				t.Errorf("version %d, want %d", formatError.Version, c.version)
+				t.Errorf("got version %d, want %d", formatError.Version, c.version)
 			}
 			for _, want := range c.want {
 				if !strings.Contains(err.Error(), want) {
-					t.Errorf("%q does not contain %q", err, want)
+					t.Errorf("got %q, want %q in it", err, want)
 				}
 			}
 		})
 	}
+}
+
+func TestFormatErrorWrapsItsReason(t *testing.T) {
 	if _, err := Check(bytes.NewReader(nil)); !errors.Is(err, io.EOF) {
-		t.Errorf("empty: %v, want io.EOF among its reasons", err)
+		t.Errorf("got %v, want it to wrap io.EOF", err)
 	}
 }
 
@@ -289,30 +290,35 @@
 
 func (idleModule) Step(flaxshelf.Time, []flaxshelf.Event) []flaxshelf.Action { return nil }
 
-// A value that has no stored form ends the recording with an error that names its type.
-func TestUnknownTypeError(t *testing.T) {
+func TestUnknownTypeEndsTheRecording(t *testing.T) {
 	for _, c := range []struct {
+		name    string
 		want    string
 		events  []flaxshelf.Event
 		actions []flaxshelf.Action
 	}{
-		{fmt.Sprintf("%T", &flaxshelf.TaskCanceled{}), []flaxshelf.Event{&flaxshelf.TaskCanceled{}}, nil},
-		{fmt.Sprintf("%T", &flaxshelf.SetTimer{}), nil, []flaxshelf.Action{&flaxshelf.SetTimer{}}},
-		{"<nil>", []flaxshelf.Event{nil}, nil},
+		{"pointer to an event", fmt.Sprintf("%T", &flaxshelf.TaskCanceled{}), []flaxshelf.Event{&flaxshelf.TaskCanceled{}}, nil},
+		{"pointer to an action", fmt.Sprintf("%T", &flaxshelf.SetTimer{}), nil, []flaxshelf.Action{&flaxshelf.SetTimer{}}},
+		{"nil event", "<nil>", []flaxshelf.Event{nil}, nil},
 	} {
-		w, err := Create(filepath.Join(t.TempDir(), "recording"), flaxshelf.Config{}, 1)
-		if err != nil {
-			t.Fatal(err)
-		}
-		w.Step(1, c.events, c.actions)
-		w.Step(2, nil, nil)
-		err = w.Close()
-		var unknown *UnknownTypeError
-		if !errors.As(err, &unknown) || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%v, want an UnknownTypeError that names %s", err, c.want)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			w, err := Create(filepath.Join(t.TempDir(), "recording"), flaxshelf.Config{}, 1)
+			if err != nil {
+				t.Fatal(err)
+			}
+			w.Step(1, c.events, c.actions)
+			w.Step(2, nil, nil)
+			err = w.Close()
+			var unknown *UnknownTypeError
+			if !errors.As(err, &unknown) || !strings.Contains(err.Error(), c.want) {
+				t.Errorf("got %v, want an UnknownTypeError that names %s", err, c.want)
+			}
+		})
 	}
+}
+
+func TestCreateReportsAMissingFolder(t *testing.T) {
 	if _, err := Create(filepath.Join(t.TempDir(), "no", "folder"), flaxshelf.Config{}, 1); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("%v, want ErrNotExist", err)
+		t.Errorf("got %v, want ErrNotExist", err)
 	}
 }
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -10,19 +10,17 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-// recordSteps is a recording of a module over 20 steps; change, if there is one, changes the recorded actions of step 11.
+// recordSteps returns a recording of a module over 20 steps. If change is not nil, it changes the recorded actions of
+// step 11.
 func recordSteps(t testing.TB, change func(actions []flaxshelf.Action) []flaxshelf.Action) []byte {
+	t.Helper()
 	cfg := flaxshelf.Config{Kinds: []flaxshelf.Kind{{Name: "k", Cores: 8, Memory: 8}},
 		Classes: []flaxshelf.Class{{Name: "c", LatencyObjective: time.Second, Kind: -1}}}
 	p, err := flaxshelf.New(cfg, 3)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var b bytes.Buffer
-	w, err := NewWriter(&b, cfg, 3)
-	if err != nil {
-		t.Fatal(err)
-	}
+	var steps []step
 	for i := range 20 {
 		now := time.Duration(i+1) * time.Second
 		events := []flaxshelf.Event{flaxshelf.TaskSubmitted{Task: flaxshelf.Task{ID: string(rune('a' + i)), Cores: 1, Memory: 1,
@@ -35,28 +33,31 @@
 		if change != nil && i == 10 {
 			actions = change(actions)
 		}
-		w.Step(now, events, actions)
+		steps = append(steps, step{now, events, actions})
 	}
-	if err := w.Close(); err != nil {
-		t.Fatal(err)
-	}
-	return b.Bytes()
+	return writeAll(t, cfg, 3, steps)
 }
 
-// A recording of the module's own steps is confirmed; one in which the program decided something is not.
-func TestCheck(t *testing.T) {
+func TestCheckConfirmsTheModulesOwnSteps(t *testing.T) {
 	good := recordSteps(t, nil)
 	res, err := Check(bytes.NewReader(good))
 	if err != nil || res.Steps != 20 || res.Actions == 0 {
-		t.Errorf("%+v, %v", res, err)
+		t.Errorf("got %+v, error %v, want 20 steps with actions", res, err)
 	}
+}
+
+func TestCheckEndsAtTheLastCompleteStep(t *testing.T) {
+	good := recordSteps(t, nil)
 	if res, err := Check(bytes.NewReader(good[:len(good)-5])); err != nil || res.Steps != 19 {
-		t.Errorf("cut off: %+v, %v", res, err)
+		t.Errorf("got %+v, error %v, want 19 steps", res, err)
 	}
+}
+
+func TestCheckNamesTheFirstDifference(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		change func(actions []flaxshelf.Action) []flaxshelf.Action
-		action int // that differs
+		action int // index of the first that differs
 	}{
 		{"another machine", func(actions []flaxshelf.Action) []flaxshelf.Action {
 			for i := range actions {
@@ -75,19 +76,22 @@
 			_, err := Check(bytes.NewReader(recordSteps(t, c.change)))
 			var divergence *DivergenceError
 			if !errors.As(err, &divergence) {
-				t.Fatalf("%v is not a DivergenceError", err)
+				t.Fatalf("got %v, want a DivergenceError", err)
 			}
 			if divergence.Step != 11 || divergence.Action != c.action || !strings.Contains(err.Error(), "step 11") {
-				t.Errorf("%v: step %d, action %d", err, divergence.Step, divergence.Action)
+				t.Errorf("got step %d, action %d (%v), want step 11, action %d", divergence.Step, divergence.Action, err, c.action)
 			}
 		})
 	}
+}
+
+func TestCheckRejectsOtherFiles(t *testing.T) {
 	if _, err := Check(strings.NewReader("nonsense")); err == nil {
-		t.Error("nonsense was read")
+		t.Error("got no error for a file that is no recording")
 	}
 }
 
-// Check does not panic, whatever it reads.
+// Check must not panic, whatever it reads.
 func FuzzCheck(f *testing.F) {
 	f.Add(recordSteps(f, nil))
 	f.Add([]byte{})
--- a/internal/replay/writer.go
+++ b/internal/replay/writer.go
@@ -14,16 +14,16 @@
 // Version is the version of the format that this build writes and reads.
 const Version = 1
 
-// Writer writes a recording. The goroutine that steps the module owns it; it may not be used by two goroutines at a time.
+// Writer writes a recording. It is not safe for concurrent use: the goroutine that steps the module owns it.
 type Writer struct {
 	encoder   *gob.Encoder
 	buffer    *bufio.Writer
-	closer    io.Closer // of the file that Create made; nil for a writer of the caller's
+	closer    io.Closer // of the file that Create opened; nil after NewWriter
 	stepError error     // first error of a step, after which nothing is recorded
 }
 
-// NewWriter starts a recording of a module with the given configuration and seed. The caller owns out, and closes it
-// after the Writer.
+// NewWriter starts a recording of a module with the given configuration and seed. The caller owns out, and must close it
+// after it has closed the Writer.
 func NewWriter(out io.Writer, config flaxshelf.Config, seed uint64) (*Writer, error) {
 	if format.err != nil {
 		return nil, fmt.Errorf("replay: %w", format.err)
@@ -37,7 +37,7 @@
 	return w, nil
 }
 
-// Create starts a recording in a file, which it creates or empties. Close closes the file.
+// Create starts a recording in a file, which it creates or truncates. Close closes the file.
 func Create(path string, config flaxshelf.Config, seed uint64) (*Writer, error) {
 	f, err := os.Create(path)
 	if err != nil {
@@ -51,7 +51,7 @@
 	return w, nil
 }
 
-// Step records one step. It returns no error, so that a module runs on when its recording can't be written: the first
+// Step records one step. It returns no error, since a module keeps running when its recording can't be written: the first
 // error ends the recording, and Close returns it.
 func (w *Writer) Step(now flaxshelf.Time, events []flaxshelf.Event, actions []flaxshelf.Action) {
 	if w.stepError != nil {
@@ -64,7 +64,7 @@
 	w.stepError = err
 }
 
-// Close ends the recording, and returns the first error of a step and those of writing and closing the file.
+// Close ends the recording. It returns the first error of Step joined with those of writing and closing the file.
 func (w *Writer) Close() error {
 	err := errors.Join(w.stepError, w.buffer.Flush())
 	if w.closer != nil {
