--- a/cmd/flaxshelf/config.go
+++ b/cmd/flaxshelf/config.go
@@ -29,7 +29,7 @@
 	if err != nil {
 		return err
 	}
-	std.out.printf("%s: good as a %s\n", c.File, c.As)
+	std.out.printf("%s: valid %s configuration\n", c.File, c.As)
 	return nil
 }
 
--- a/cmd/flaxshelf/deploy_test.go
+++ b/cmd/flaxshelf/deploy_test.go
@@ -16,7 +16,7 @@
 
 const repoRoot = "../.."
 
-// deployFile is what the platform reads of deploy/balancer.toml.
+// deployFile has the keys that the platform reads of deploy/balancer.toml.
 type deployFile struct {
 	Build, Run, Sim string
 	Policy, Node    []string
@@ -35,21 +35,23 @@
 	return d
 }
 
-// The platform's shell becomes the scheduler: one process, which signals reach.
-func TestRunIsOneProcess(t *testing.T) {
+// The platform's shell must be replaced by the scheduler, so that signals reach it.
+func TestDeployFileRunsOneProcess(t *testing.T) {
 	d := readDeploy(t)
 	for name, line := range map[string]string{"run": d.Run, "sim": d.Sim} {
-		if !strings.HasPrefix(line, "exec bin/") {
-			t.Errorf("%s = %q does not end in the program by exec", name, line)
-		}
-		if strings.ContainsAny(line, "|&;`$(") {
-			t.Errorf("%s = %q starts more than one program", name, line)
-		}
+		t.Run(name, func(t *testing.T) {
+			if !strings.HasPrefix(line, "exec bin/") {
+				t.Errorf("got %q, want a line that begins with exec bin/", line)
+			}
+			if strings.ContainsAny(line, "|&;`$(") {
+				t.Errorf("got %q, want a line that starts one program", line)
+			}
+		})
 	}
 }
 
-// What the deploy file names is there: a renamed package would otherwise leave the platform's list of files behind.
-func TestNamedFilesAreThere(t *testing.T) {
+// A renamed package must be renamed in the deploy file too.
+func TestDeployFileNamesExistingFiles(t *testing.T) {
 	d := readDeploy(t)
 	for _, name := range append(slices.Clone(d.Policy), d.Node...) {
 		if _, err := os.Stat(filepath.Join(repoRoot, name)); err != nil {
@@ -58,9 +60,9 @@
 	}
 }
 
-// The bench's clock is a library that the dynamic linker loads into the process: what `build` leaves has to ask for that
-// linker and for the C library.
-func TestBuiltFileIsDynamicallyLinked(t *testing.T) {
+// The bench's clock is a library that the dynamic linker loads into the process, so the program must name that linker and
+// the C library.
+func TestDeployFileBuildsADynamicallyLinkedProgram(t *testing.T) {
 	d := readDeploy(t)
 	dir := t.TempDir() + "/"
 	line := strings.Replace(d.Build, "-o bin/", "-o "+dir, 1)
@@ -83,7 +85,7 @@
 	// Go's own linker makes a dynamic file too, but one that starts without the C library's start.
 	for _, want := range []debug.BuildSetting{{Key: "-ldflags", Value: "-linkmode=external"}, {Key: "CGO_ENABLED", Value: "1"}} {
 		if !slices.Contains(info.Settings, want) {
-			t.Errorf("the program was not built with %s %s", want.Key, want.Value)
+			t.Errorf("got build settings %v, want %s=%s among them", info.Settings, want.Key, want.Value)
 		}
 	}
 	f, err := elf.Open(program)
@@ -100,9 +102,9 @@
 		t.Fatal(err)
 	}
 	if !slices.ContainsFunc(libs, func(l string) bool { return strings.HasPrefix(l, "libc.so.") }) {
-		t.Errorf("the program needs %v, no C library among them", libs)
+		t.Errorf("got libraries %v, want the C library among them", libs)
 	}
 	if !slices.ContainsFunc(f.Progs, func(p *elf.Prog) bool { return p.Type == elf.PT_INTERP }) {
-		t.Error("the program names no dynamic linker")
+		t.Error("got a program without a dynamic linker, want one that names it")
 	}
 }
--- a/cmd/flaxshelf/emulate.go
+++ b/cmd/flaxshelf/emulate.go
@@ -15,12 +15,15 @@
 type emulateCmd struct {
 	Day              string        `arg:"" help:"Name of a day that ships with the program, or a CUE file as #Trial of the schema."`
 	Seed             uint64        `default:"1" help:"Seed of the random numbers."`
-	Workers          int           `default:"1" help:"Run so many parts of the cluster at once; the trace stays the same."`
-	Judge            bool          `help:"Have the rules' checker read the trace; exit 1 on a broken rule."`
-	Plan             string        `type:"existingfile" xor:"load" placeholder:"FILE" help:"Play this load plan in place of the day's load."`
-	Trace            string        `type:"existingfile" xor:"load" placeholder:"FILE" help:"Play this captured load in place of the day's load."`
-	ProgressInterval time.Duration `name:"every" placeholder:"TIME" help:"Report progress and memory each so much simulated time."`
+	Workers          int           `default:"1" help:"Number of goroutines that simulate parts of the cluster; the trace does not depend on it."`
+	Verify           bool          `help:"Check the trace against the rules; exit 1 on a violation."`
+	Plan             string        `type:"existingfile" xor:"load" placeholder:"FILE" help:"Use this load plan instead of the day's load."`
+	Trace            string        `type:"existingfile" xor:"load" placeholder:"FILE" help:"Use this captured load instead of the day's load."`
+	ProgressInterval time.Duration `placeholder:"TIME" help:"Simulated time between reports of progress and memory."`
 	Record           string        `placeholder:"FILE" help:"Write the trace as a recording; with one worker."`
+
+	DeprecatedJudge bool          `name:"judge" replacement:"verify" help:"Deprecated: use --verify; removed in 0.2.0."`
+	DeprecatedEvery time.Duration `name:"every" replacement:"progress-interval" placeholder:"TIME" help:"Deprecated: use --progress-interval; removed in 0.2.0."`
 }
 
 // Run emulates a day on a simulated clock.
@@ -29,8 +32,8 @@
 	if err != nil {
 		return err
 	}
-	if c.Workers < 1 || c.Workers > 1 && (c.Judge || c.Record != "") {
-		return usageError{fmt.Errorf("--workers is %d: expected 1 or more, and 1 with --judge or --record", c.Workers)}
+	if c.Workers < 1 || c.Workers > 1 && (c.Verify || c.Record != "") {
+		return usageError{fmt.Errorf("--workers is %d: expected 1 or more, and 1 with --verify or --record", c.Workers)}
 	}
 	played, err := c.load()
 	if err != nil {
@@ -40,26 +43,29 @@
 	if c.ProgressInterval > 0 {
 		options.Progress = c.progress(std)
 	}
-	if c.Judge {
-		return c.judge(ctx, std, day, options)
+	if c.Verify {
+		return c.verify(ctx, std, day, options)
 	}
 	return c.measure(ctx, std, day, options)
 }
 
-// judge emulates the day and has the rules' checker read the trace.
-func (c *emulateCmd) judge(ctx context.Context, std *streams, day *scenario.Day, options emulator.Options) error {
+// verify emulates the day and checks the trace against the rules.
+func (c *emulateCmd) verify(ctx context.Context, std *streams, day *scenario.Day, options emulator.Options) error {
 	report, verdict, err := emulator.Judge(ctx, day, options)
 	if err != nil {
 		return err
 	}
 	std.out.printf("%s, seed %d, emulated\n%s%s", day.Name, c.Seed, verdict, report)
-	if !verdict.OK() || report.Unaccounted > 0 {
-		return errTrialFailed
+	if !verdict.OK() {
+		return errRuleViolated
+	}
+	if report.Unaccounted > 0 {
+		return unaccountedError{submissions: report.Unaccounted}
 	}
 	return nil
 }
 
-// measure emulates the day and prints how fast that went.
+// measure emulates the day and prints the simulated time per second of wall time.
 func (c *emulateCmd) measure(ctx context.Context, std *streams, day *scenario.Day, options emulator.Options) error {
 	start := time.Now()
 	report, err := c.emulate(ctx, day, options)
@@ -67,12 +73,12 @@
 		return err
 	}
 	elapsed := time.Since(start).Seconds()
-	std.out.printf("%s, seed %d, emulated\n%s%.2f s of wall time: %.1f simulated seconds a second\n",
+	std.out.printf("%s, seed %d, emulated\n%s%.2f s of wall time, %.1f simulated seconds per second\n",
 		day.Name, c.Seed, report, elapsed, report.Seconds/elapsed)
 	return nil
 }
 
-// emulate emulates the day and writes the recording, if one is asked for.
+// emulate emulates the day, and writes the recording if --record is set.
 func (c *emulateCmd) emulate(ctx context.Context, day *scenario.Day,
 	options emulator.Options) (*emulator.Report, error) {
 	if c.Record == "" {
@@ -88,7 +94,7 @@
 	return report, err
 }
 
-// load is the plan or trace to be played; nil for the day's own load.
+// load returns the jobs of the plan or trace, or nil for the day's own load.
 func (c *emulateCmd) load() (*load.Trace, error) {
 	switch {
 	case c.Plan != "":
--- a/cmd/flaxshelf/experiment.go
+++ b/cmd/flaxshelf/experiment.go
@@ -12,12 +12,12 @@
 
 type experimentCmd struct {
 	File    string `arg:"" type:"existingfile" help:"The experiment, a CUE file as #Experiment of the schema."`
-	Results string `placeholder:"FILE" help:"Runs that are done, a line each; the next start goes on from there. Default: the file's name with .runs."`
+	Results string `placeholder:"FILE" help:"Completed runs, one per line; the next start resumes from them. Default: the file's name with .runs."`
 	Report  string `placeholder:"FILE" help:"Write one self-contained HTML page."`
-	Workers int    `default:"0" help:"Runs at a time; 0: one for each processor."`
+	Workers int    `default:"0" help:"Concurrent runs; 0: one for each processor."`
 }
 
-// Run runs what is not done yet and reports.
+// Run runs what is not completed yet, and prints the results.
 func (c *experimentCmd) Run(ctx context.Context, std *streams) error {
 	text, err := os.ReadFile(c.File)
 	if err != nil {
--- a/cmd/flaxshelf/job.go
+++ b/cmd/flaxshelf/job.go
@@ -18,18 +18,18 @@
 	Bulk      jobBulkCmd      `cmd:"" help:"Submit an array of jobs (RunBulkJobs)."`
 	State     jobStateCmd     `cmd:"" help:"Print a job's state and sub-state."`
 	Wait      jobWaitCmd      `cmd:"" help:"Wait until a job has started or ended."`
-	Info      jobInfoCmd      `cmd:"" help:"Print all that is known of a job or array, as JSON."`
+	Info      jobInfoCmd      `cmd:"" help:"Print the JobInfo of a job or array, as JSON."`
 	List      jobListCmd      `cmd:"" help:"List jobs."`
-	Hold      jobHoldCmd      `cmd:"" help:"Hold a job that waits, or an array."`
-	Release   jobReleaseCmd   `cmd:"" help:"Release a held job, or an array."`
-	Terminate jobTerminateCmd `cmd:"" help:"End a job, or an array."`
-	Reap      jobReapCmd      `cmd:"" help:"Forget a job that has ended."`
+	Hold      jobHoldCmd      `cmd:"" help:"Hold a queued job or an array."`
+	Release   jobReleaseCmd   `cmd:"" help:"Release a held job or an array."`
+	Terminate jobTerminateCmd `cmd:"" help:"Terminate a job or an array."`
+	Reap      jobReapCmd      `cmd:"" help:"Remove a job that has ended."`
 }
 
 // jobArgument names the job or array that a command acts on.
 type jobArgument struct {
 	serverFlag
-	Job string `arg:"" help:"Its ID."`
+	Job string `arg:"" help:"ID of the job or array."`
 }
 
 // withJob calls use with the job, and closes the client afterwards.
@@ -71,5 +71,5 @@
 
 type jobReapCmd struct{ jobArgument }
 
-// Run has the scheduler forget the job.
+// Run removes the job from the scheduler.
 func (c *jobReapCmd) Run(ctx context.Context) error { return c.control(ctx, (*drmaa2.Client).Reap) }
--- a/cmd/flaxshelf/job_query.go
+++ b/cmd/flaxshelf/job_query.go
@@ -9,10 +9,10 @@
 	"flaxshelf.example/flaxshelf/drmaa2"
 )
 
-// errJobNotDone is the error of a job that has not ended as DONE.
+// errJobNotDone reports that a job ended in another state than DONE.
 var errJobNotDone = errors.New("the job did not end as DONE")
 
-// printResult prints the state of a job that was waited for; errJobNotDone where it has failed.
+// printResult prints the state of a job after a wait. The error is errJobNotDone if the job failed.
 func printResult(std *streams, info *drmaa2.JobInfo) error {
 	std.out.println(info.JobState, info.JobSubState, info.Annotation)
 	if info.JobState == drmaa2.Failed {
@@ -38,7 +38,7 @@
 type jobWaitCmd struct {
 	jobArgument
 	For     string        `enum:"started,terminated" default:"terminated" help:"What to wait for: started or terminated."`
-	Timeout time.Duration `help:"Give up after so long; 0: never."`
+	Timeout time.Duration `help:"Limit of the wait; 0: no limit."`
 }
 
 // Run waits, and prints the state.
--- a/cmd/flaxshelf/job_submit.go
+++ b/cmd/flaxshelf/job_submit.go
@@ -13,24 +13,29 @@
 
 // templateFlags are the attributes of a JobTemplate that have a flag.
 type templateFlags struct {
-	Session         string        `default:"default" help:"Job session; it is made where there is none."`
-	File            string        `type:"existingfile" placeholder:"FILE" help:"A JobTemplate as JSON; flags go before it."`
+	Session         string        `default:"default" help:"Job session; it is created if it does not exist."`
+	File            string        `type:"existingfile" placeholder:"FILE" help:"A JobTemplate as JSON; flags override it."`
 	Class           string        `placeholder:"NAME" help:"jobCategory: the class."`
 	Tenant          string        `placeholder:"NAME" help:"accountingId: the tenant."`
 	Name            string        `help:"jobName."`
 	Service         string        `help:"The service that the job belongs to."`
-	Key             string        `help:"Idempotency key: submitted again, it is the same job."`
+	Key             string        `help:"Idempotency key: a retry under the same key is the same job."`
 	Cores           string        `help:"Cores requested."`
 	Memory          string        `help:"Memory requested, in GiB."`
-	ExpectedRuntime time.Duration `name:"life" help:"How long it should run."`
-	GiveUp          time.Duration `help:"Give up waiting for a start after so long."`
-	Hold            bool          `help:"Submit it held."`
-	Rerunnable      bool          `help:"Start it anew where it is evicted or its node is lost."`
-	Command         string        `arg:"" optional:"" help:"remoteCommand."`
-	Args            []string      `arg:"" optional:"" passthrough:"" help:"Its arguments."`
+	ExpectedRuntime time.Duration `help:"Expected runtime."`
+
+	PlacementTimeout time.Duration `help:"Time within which the job must start; it fails afterwards."`
+
+	Hold       bool     `help:"Submit the job held."`
+	Rerunnable bool     `help:"Restart the job if it is evicted or its node is lost."`
+	Command    string   `arg:"" optional:"" help:"remoteCommand."`
+	Args       []string `arg:"" optional:"" passthrough:"" help:"Arguments of the command."`
+
+	DeprecatedLife   time.Duration `name:"life" replacement:"expected-runtime" help:"Deprecated: use --expected-runtime; removed in 0.2.0."`
+	DeprecatedGiveUp time.Duration `name:"give-up" replacement:"placement-timeout" help:"Deprecated: use --placement-timeout; removed in 0.2.0."`
 }
 
-// template is the template of the file, if one is named, with the attributes that flags set.
+// template returns the template of the file, if there is one, with the attributes that flags set.
 func (f *templateFlags) template() (drmaa2.JobTemplate, error) {
 	t, err := f.readTemplate()
 	if err != nil {
@@ -74,7 +79,7 @@
 	return t, nil
 }
 
-// implementationSpecific are the attributes of flaxshelf's own; those that no flag sets are empty.
+// implementationSpecific returns the attributes that are specific to flaxshelf. Those that no flag sets are empty.
 func (f *templateFlags) implementationSpecific() map[string]string {
 	return map[string]string{
 		drmaa2.AttrService:         f.Service,
@@ -82,7 +87,7 @@
 		drmaa2.AttrCores:           f.Cores,
 		drmaa2.AttrMemory:          f.Memory,
 		drmaa2.AttrExpectedRuntime: durationText(f.ExpectedRuntime),
-		drmaa2.AttrGiveUp:          durationText(f.GiveUp),
+		drmaa2.AttrGiveUp:          durationText(f.PlacementTimeout),
 	}
 }
 
@@ -92,7 +97,7 @@
 	}
 }
 
-// durationText is a duration as text, empty for 0.
+// durationText returns a duration as text, or the empty string for zero.
 func durationText(d time.Duration) string {
 	if d == 0 {
 		return ""
@@ -100,14 +105,14 @@
 	return d.String()
 }
 
-// openSession opens the job session, and makes it where there is none.
+// openSession opens the job session, and creates it if it does not exist.
 func (f *templateFlags) openSession(ctx context.Context, client *drmaa2.Client) (*drmaa2.JobSession, error) {
 	session, err := client.OpenJobSession(ctx, f.Session)
 	if !errors.Is(err, drmaa2.ErrInvalidArgument) {
 		return session, err
 	}
 	session, err = client.CreateJobSession(ctx, f.Session)
-	if errors.Is(err, drmaa2.ErrInvalidArgument) { // another client has made it in between
+	if errors.Is(err, drmaa2.ErrInvalidArgument) { // another client created it in between
 		session, err = client.OpenJobSession(ctx, f.Session)
 	}
 	return session, err
@@ -119,7 +124,7 @@
 	templateFlags
 }
 
-// withSession calls submit with the template and its session, and closes the client afterwards.
+// withSession calls submit with the session and the template, and closes the client afterwards.
 func (f *submitFlags) withSession(ctx context.Context,
 	submit func(*drmaa2.JobSession, drmaa2.JobTemplate) error) error {
 	template, err := f.template()
@@ -176,7 +181,7 @@
 	Begin       int  `default:"1" help:"First index."`
 	End         int  `required:"" help:"Last index."`
 	Step        int  `default:"1" help:"Step between indexes."`
-	MaxParallel int  `help:"At most so many at a time; 0: all."`
+	MaxParallel int  `help:"Limit of jobs that run at a time; 0: no limit."`
 	Wait        bool `help:"Wait until all have ended; exit 1 unless all are DONE."`
 }
 
--- a/cmd/flaxshelf/load.go
+++ b/cmd/flaxshelf/load.go
@@ -15,11 +15,11 @@
 type loadCmd struct {
 	Run     loadRunCmd     `cmd:"" help:"Send a load to a scheduler, open-loop; latency counts from the intended times."`
 	Capture loadCaptureCmd `cmd:"" help:"Listen to a scheduler and write the load as a trace."`
-	Import  loadImportCmd  `cmd:"" help:"Make a trace of a log in the Standard Workload Format."`
-	Show    loadShowCmd    `cmd:"" help:"Check a trace and show what is in it."`
+	Import  loadImportCmd  `cmd:"" help:"Convert a log in the Standard Workload Format to a trace."`
+	Show    loadShowCmd    `cmd:"" help:"Check a plan or trace and print a summary."`
 }
 
-// readLoad reads a plan (.cue) or a trace. A file that is no trace is the caller's error.
+// readLoad reads a plan (.cue) or a trace. A file that is not a trace is a usageError.
 func readLoad(path string, seed uint64) (*load.Trace, error) {
 	if strings.HasSuffix(path, ".cue") {
 		return readPlan(path, seed)
@@ -33,7 +33,7 @@
 	})
 }
 
-// readPlan reads a plan and draws its jobs.
+// readPlan reads a plan and generates its jobs.
 func readPlan(path string, seed uint64) (*load.Trace, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -64,9 +64,9 @@
 	serverFlag
 	File    string        `arg:"" type:"existingfile" help:"A plan (.cue, as #Plan of the schema) or a trace."`
 	Seed    uint64        `default:"1" help:"Seed of the random numbers of a plan."`
-	Speed   float64       `default:"1" help:"Send so many times as fast."`
+	Speed   float64       `default:"1" help:"Factor by which the load is sent faster."`
 	Session string        `default:"load" help:"Job session."`
-	Wait    time.Duration `default:"30s" help:"For open outcomes, after the last submission."`
+	Wait    time.Duration `default:"30s" help:"Time to wait for outcomes after the last submission."`
 }
 
 // Run sends the load.
@@ -90,7 +90,7 @@
 
 type loadCaptureCmd struct {
 	serverFlag
-	For time.Duration `default:"1m" help:"Listen for so long, or until interrupted."`
+	For time.Duration `default:"1m" help:"Duration of the capture; an interrupt ends it earlier."`
 	Out string        `required:"" placeholder:"FILE" help:"The trace."`
 	Key string        `env:"FLAXSHELF_TRACE_KEY" help:"Replace names of services and tenants by hashes under this key."`
 }
@@ -108,27 +108,27 @@
 
 type loadImportCmd struct {
 	File  string `arg:"" type:"existingfile" help:"The log."`
-	Class string `required:"" help:"The class that its jobs become."`
+	Class string `required:"" help:"Class of its jobs."`
 	Out   string `required:"" placeholder:"FILE" help:"The trace."`
 	Key   string `env:"FLAXSHELF_TRACE_KEY" help:"Replace names by hashes under this key."`
 }
 
 // Run imports a log.
 func (c *loadImportCmd) Run(std *streams) error {
-	leftOut := 0
+	skipped := 0
 	trace, err := readFile(c.File, func(r io.Reader) (*load.Trace, error) {
 		trace, left, err := load.ReadSWF(r, c.Class)
 		if err != nil {
 			return nil, usageError{fmt.Errorf("%s: %w", c.File, err)}
 		}
-		leftOut = left
+		skipped = left
 		return trace, nil
 	})
 	if err != nil {
 		return err
 	}
-	if leftOut > 0 {
-		std.err.printf("%d jobs without a submission time or processors were left out\n", leftOut)
+	if skipped > 0 {
+		std.err.printf("%d jobs without a submission time or processors were skipped\n", skipped)
 	}
 	return writeTrace(std, trace, c.Out, c.Key)
 }
@@ -144,22 +144,22 @@
 	if err != nil {
 		return err
 	}
-	jobsByClass, cutOff := map[string]int{}, 0
+	jobsByClass, censored := map[string]int{}, 0
 	var runtimes time.Duration
 	for _, job := range trace.Jobs {
 		jobsByClass[job.Class]++
 		runtimes += job.Runtime
 		if job.Censored {
-			cutOff++
+			censored++
 		}
 	}
-	std.out.printf("from %s, anonymous %v: %d jobs in %v, %d gaps, %d lives cut off\n", trace.Source, trace.Anonymous,
-		len(trace.Jobs), trace.Length().Round(time.Millisecond), len(trace.Gaps), cutOff)
+	std.out.printf("from %s, anonymous %v: %d jobs in %v, %d gaps, %d censored runtimes\n", trace.Source, trace.Anonymous,
+		len(trace.Jobs), trace.Length().Round(time.Millisecond), len(trace.Gaps), censored)
 	if count := len(trace.Jobs); count > 0 {
 		const shortest = 1e-9 // seconds; all jobs of a trace may be submitted at once
 		perSecond := float64(count) / max(trace.Length().Seconds(), shortest)
 		mean := (runtimes / time.Duration(count)).Round(time.Millisecond)
-		std.out.printf("%.2f a second, mean life %v, classes %v\n", perSecond, mean, jobsByClass)
+		std.out.printf("%.2f jobs per second, mean runtime %v, classes %v\n", perSecond, mean, jobsByClass)
 	}
 	return nil
 }
--- a/cmd/flaxshelf/machines.go
+++ b/cmd/flaxshelf/machines.go
@@ -12,7 +12,7 @@
 
 type machinesCmd struct{ serverFlag }
 
-// Run lists the nodes.
+// Run prints a table of the nodes.
 func (c *machinesCmd) Run(ctx context.Context, std *streams) error {
 	client := c.client()
 	defer client.Close()
@@ -24,7 +24,7 @@
 	if err != nil {
 		return err
 	}
-	rows := [][]string{{"NODE", "AVAILABLE", "STANDING", "KIND", "ZONE", "CELL", "CORES", "MEMORY", "JOBS"}}
+	rows := [][]string{{"NODE", "AVAILABLE", "STATE", "KIND", "ZONE", "CELL", "CORES", "MEMORY", "JOBS"}}
 	for _, machine := range machines {
 		attributes := machine.ImplementationSpecific
 		rows = append(rows, []string{machine.Name, strconv.FormatBool(machine.Available),
--- a/cmd/flaxshelf/main.go
+++ b/cmd/flaxshelf/main.go
@@ -1,4 +1,4 @@
-// Command flaxshelf is the scheduler, its clients, its stand-ins and its checkers in one binary.
+// Command flaxshelf is the scheduler, its clients, its simulated peers and its checkers in one binary.
 package main
 
 import (
@@ -20,10 +20,10 @@
 // Exit codes, as --help and docs/operating.md list them.
 const (
 	exitOK          = 0
-	exitFailed      = 1 // the command failed: a broken rule, a failed job, any other error
+	exitFailed      = 1 // the command failed: a violated rule, a failed job, any other error
 	exitUsage       = 2 // a wrong flag, argument or configuration
 	exitUnreachable = 3 // the scheduler could not be reached
-	exitTryLater    = 4 // the scheduler asks to try later
+	exitTryLater    = 4 // the scheduler answered TryLater
 	exitTimeout     = 5 // a wait timed out
 )
 
@@ -33,28 +33,28 @@
 	Platform   platformCmd   `cmd:"" help:"Run a scheduler on the platform, with its protocol and its configuration."`
 	Node       nodeCmd       `cmd:"" help:"Run the stand-in nodes of a fleet file."`
 	Inventory  inventoryCmd  `cmd:"" help:"Run the stand-in inventory."`
-	Job        jobCmd        `cmd:"" help:"Submit and handle jobs, as a DRMAA client."`
+	Job        jobCmd        `cmd:"" help:"Submit and control jobs, as a DRMAA client."`
 	Machines   machinesCmd   `cmd:"" help:"List the nodes as a scheduler sees them."`
-	Trial      trialCmd      `cmd:"" help:"Play a scripted day over real sockets and judge the five rules. Exit 1 on a broken rule."`
+	Trial      trialCmd      `cmd:"" help:"Play a scripted day over real sockets and check the five rules. Exit 1 on a violation."`
 	Emulate    emulateCmd    `cmd:"" help:"Play a scripted day on a simulated clock."`
-	Load       loadCmd       `cmd:"" help:"Send, capture, import and look at loads."`
+	Load       loadCmd       `cmd:"" help:"Send, capture, import and show loads."`
 	Experiment experimentCmd `cmd:"" help:"Compare designs over seeds by emulation, with intervals and a report."`
-	Plan       planCmd       `cmd:"" help:"Show which limit a load meets first, what a goal needs and what losing a part leaves."`
-	Verify     verifyCmd     `cmd:"" help:"Judge the recording of a trial again."`
-	Replay     replayCmd     `cmd:"" help:"Play a scheduler's recorded steps to the module alone and compare."`
+	Plan       planCmd       `cmd:"" help:"Show the first limit of a load, the nodes that a goal needs, and the capacity after the loss of a part."`
+	Verify     verifyCmd     `cmd:"" help:"Check the recording of a trial again."`
+	Replay     replayCmd     `cmd:"" help:"Replay a scheduler's recorded steps to the module and compare its actions."`
 	Config     configCmd     `cmd:"" help:"Check configuration files."`
 }
 
 const description = `A scheduler that places long-running jobs on the machines of a cluster.
 
-Exit codes: 0 done; 1 failed or a rule broken; 2 wrong usage or configuration; 3 the scheduler was not reached;
-4 the scheduler asks to try later; 5 a wait ran out.`
+Exit codes: 0 success; 1 failed or a rule violated; 2 wrong usage or configuration; 3 the scheduler could not be reached;
+4 the scheduler answered TryLater; 5 a wait timed out.`
 
 // streams are the outputs of a command.
 type streams struct {
 	out *printer // results
 	err *printer // progress and errors
-	// log is standard error for the logger, without a printer: a log goes on after a write that failed.
+	// log is standard error for the logger. It is not a printer, since a log must continue after a write that failed.
 	log io.Writer
 }
 
@@ -65,15 +65,13 @@
 	os.Exit(code)
 }
 
-// run is main without the process around it. It returns the exit code. Long-running commands end when ctx does.
+// run runs the command line and returns the exit code. Long-running commands end when ctx does.
 func run(ctx context.Context, args []string, out, errOut io.Writer) int {
 	std := &streams{out: newPrinter(out), err: newPrinter(errOut), log: errOut}
 	var commands commandLine
 	const notExited = -1
 	parserExit := notExited
-	parser, err := kong.New(&commands, kong.Name("flaxshelf"), kong.Description(description), kong.UsageOnError(),
-		kong.ConfigureHelp(kong.HelpOptions{Compact: true}), kong.Writers(std.out, std.err),
-		kong.Exit(func(code int) { parserExit = code }), kong.BindTo(ctx, (*context.Context)(nil)), kong.Bind(std))
+	parser, err := newParser(ctx, std, &commands, func(code int) { parserExit = code })
 	if err != nil {
 		std.reportError(err)
 		return exitFailed
@@ -87,7 +85,9 @@
 		std.err.println("flaxshelf: see --help")
 		return exitUsage
 	}
-	err = command.Run()
+	if err = applyDeprecatedFlags(command, std.newLogger("warn")); err == nil {
+		err = command.Run()
+	}
 	if err == nil {
 		err = std.outputError()
 	}
@@ -97,9 +97,16 @@
 	return exitCode(err)
 }
 
+// newParser returns the parser of the command line. It calls exit after it has printed help.
+func newParser(ctx context.Context, std *streams, commands *commandLine, exit func(code int)) (*kong.Kong, error) {
+	return kong.New(commands, kong.Name("flaxshelf"), kong.Description(description), kong.UsageOnError(),
+		kong.ConfigureHelp(kong.HelpOptions{Compact: true}), kong.Writers(std.out, std.err), kong.Exit(exit),
+		kong.BindTo(ctx, (*context.Context)(nil)), kong.Bind(std))
+}
+
 func (s *streams) reportError(err error) { s.err.println("flaxshelf:", err) }
 
-// outputError is an error for results that could not be written. What standard error did not take can't be reported.
+// outputError returns an error if results could not be written. A failed write to standard error can't be reported.
 func (s *streams) outputError() error {
 	if err := s.out.Err(); err != nil {
 		return fmt.Errorf("write to standard output: %w", err)
@@ -107,15 +114,15 @@
 	return nil
 }
 
-// usageError is an error that the caller mends by other flags, arguments or files.
+// usageError reports wrong flags, arguments or files.
 type usageError struct{ err error }
 
 func (e usageError) Error() string { return e.err.Error() }
 
-// Unwrap is the reason.
+// Unwrap returns the reason.
 func (e usageError) Unwrap() error { return e.err }
 
-// exitCode is the exit code of a command that returned err.
+// exitCode returns the exit code of a command that returned err.
 func exitCode(err error) int {
 	var usage usageError
 	var configErrors settings.ConfigErrors
@@ -135,7 +142,7 @@
 	return exitFailed
 }
 
-// newLogger logs structured lines, from a level on: trace, debug, info, warn or error.
+// newLogger returns a logger of JSON lines on standard error, with a level of trace, debug, info, warn or error.
 func (s *streams) newLogger(level string) zerolog.Logger {
 	threshold, err := zerolog.ParseLevel(level)
 	if err != nil {
--- a/cmd/flaxshelf/main_test.go
+++ b/cmd/flaxshelf/main_test.go
@@ -11,16 +11,28 @@
 	"time"
 )
 
-// buffer may be written by one goroutine and read by another.
+// testTimeout limits each command of a test.
+const testTimeout = 30 * time.Second
+
+// buffer collects the output of a command. It is safe for concurrent use.
 type buffer struct {
-	mu   sync.Mutex
-	text bytes.Buffer
+	mu      sync.Mutex
+	text    bytes.Buffer
+	waiters []waiter
+}
+
+// waiter waits until a text has been written.
+type waiter struct {
+	text    string
+	written chan struct{} // closed then
 }
 
 func (b *buffer) Write(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.text.Write(p)
+	n, err := b.text.Write(p)
+	b.notifyWaiters()
+	return n, err
 }
 
 func (b *buffer) String() string {
@@ -29,16 +41,49 @@
 	return b.text.String()
 }
 
+// waitFor returns a channel that is closed once the buffer contains text.
+func (b *buffer) waitFor(text string) <-chan struct{} {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	written := make(chan struct{})
+	b.waiters = append(b.waiters, waiter{text, written})
+	b.notifyWaiters()
+	return written
+}
+
+func (b *buffer) notifyWaiters() {
+	var waiting []waiter
+	for _, w := range b.waiters {
+		if bytes.Contains(b.text.Bytes(), []byte(w.text)) {
+			close(w.written)
+		} else {
+			waiting = append(waiting, w)
+		}
+	}
+	b.waiters = waiting
+}
+
 // flaxshelf runs a command and returns its exit code and its outputs.
 func flaxshelf(args ...string) (code int, out, errOut string) {
-	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	var outBuffer, errBuffer buffer
 	code = run(ctx, args, &outBuffer, &errBuffer)
 	return code, outBuffer.String(), errBuffer.String()
 }
 
-// writeTestFile writes a file that lasts as long as the test, and returns its path.
+// expect runs a command, compares its exit code, and looks for a text in its outputs. It returns standard output.
+func expect(t *testing.T, wantCode int, wantText string, args ...string) string {
+	t.Helper()
+	code, out, errOut := flaxshelf(args...)
+	if code != wantCode || !strings.Contains(out+errOut, wantText) {
+		t.Errorf("flaxshelf %s: got exit code %d and this output, want %d and %q:\n%s%s", strings.Join(args, " "), code,
+			wantCode, wantText, out, errOut)
+	}
+	return out
+}
+
+// writeTestFile writes a file that exists until the test ends, and returns its path.
 func writeTestFile(t *testing.T, name, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
@@ -48,100 +93,98 @@
 	return path
 }
 
-// Wrong usage ends with exit code 2 and a message that names what was expected.
-func TestUsage(t *testing.T) {
+func TestExitCodeAndMessage(t *testing.T) {
 	bad := writeTestFile(t, "bad.cue", "inventory: \"127.0.0.1:1\"\nwings: 2\n")
 	good := writeTestFile(t, "good.cue", string(upScheduler))
+	fleet := writeTestFile(t, "f.cue", string(upFleet))
 	for _, c := range []struct {
-		args []string
+		name string
 		code int
 		want string
+		args []string
 	}{
-		{[]string{"--help"}, exitOK, "Exit codes"},
-		{[]string{"job", "run", "--help"}, exitOK, "--class"},
-		{[]string{"trial", "--help"}, exitOK, "--seed"},
-		{[]string{}, exitUsage, "expected one of"},
-		{[]string{"fly"}, exitUsage, "fly"},
-		{[]string{"serve"}, exitUsage, "--config"},
-		{[]string{"serve", "--config", "/does/not/exist.cue"}, exitUsage, "no such file"},
-		{[]string{"serve", "--config", bad}, exitUsage, "bad.cue:2:1: wings"},
-		{[]string{"config", "check", bad}, exitUsage, "classes"},
-		{[]string{"config", "check", good}, exitOK, "good as a scheduler"},
-		{[]string{"config", "check", "--as", "fleet", good}, exitUsage, "nodes"},
-		{[]string{"config", "check", "--as", "trial", good}, exitUsage, "about"},
-		{[]string{"config", "check", "--as", "wings", good}, exitUsage, "must be one of"},
-		{[]string{"config", "schema"}, exitOK, "#Scheduler"},
-		{[]string{"trial", "no-such-day"}, exitUsage, "there are bad-day"},
-		{[]string{"trial", "list"}, exitOK, "lost-room"},
-		{[]string{"verify", good}, exitUsage, "not a recording"},
-		{[]string{"replay", good}, exitFailed, "replay"},
-		{[]string{"job", "run", "--server", "127.0.0.1:1", "x"}, exitUnreachable, "connection refused"},
-		{[]string{"job", "run"}, exitUsage, "no command"},
-		{[]string{"machines", "--server", "127.0.0.1:1"}, exitUnreachable, "connection refused"},
-		{[]string{"node", "--config", writeTestFile(t, "f.cue", string(upFleet)), "--name", "n9"}, exitUsage, `no node "n9"`},
-		{[]string{"inventory", "--late=-5s"}, exitUsage, "negative"},
-		{[]string{"inventory", "--listen", "nonsense"}, exitFailed, "nonsense"},
+		{"help", exitOK, "Exit codes", []string{"--help"}},
+		{"help of a job command", exitOK, "--class", []string{"job", "run", "--help"}},
+		{"help of a trial", exitOK, "--seed", []string{"trial", "--help"}},
+		{"no command", exitUsage, "expected one of", nil},
+		{"unknown command", exitUsage, "fly", []string{"fly"}},
+		{"missing flag", exitUsage, "--config", []string{"serve"}},
+		{"missing configuration", exitUsage, "no such file", []string{"serve", "--config", "/does/not/exist.cue"}},
+		{"unknown setting", exitUsage, "bad.cue:2:1: wings", []string{"serve", "--config", bad}},
+		{"missing setting", exitUsage, "classes", []string{"config", "check", bad}},
+		{"valid configuration", exitOK, "valid scheduler configuration", []string{"config", "check", good}},
+		{"scheduler checked as a fleet", exitUsage, "nodes", []string{"config", "check", "--as", "fleet", good}},
+		{"scheduler checked as a trial", exitUsage, "about", []string{"config", "check", "--as", "trial", good}},
+		{"unknown kind of configuration", exitUsage, "must be one of", []string{"config", "check", "--as", "wings", good}},
+		{"schema", exitOK, "#Scheduler", []string{"config", "schema"}},
+		{"unknown day", exitUsage, "there are bad-day", []string{"trial", "no-such-day"}},
+		{"list of days", exitOK, "lost-room", []string{"trial", "list"}},
+		{"verify another file", exitUsage, "not a recording", []string{"verify", good}},
+		{"replay another file", exitFailed, "replay", []string{"replay", good}},
+		{"job at no scheduler", exitUnreachable, "connection refused", []string{"job", "run", "--server", "127.0.0.1:1", "x"}},
+		{"job without a command", exitUsage, "no command", []string{"job", "run"}},
+		{"nodes of no scheduler", exitUnreachable, "connection refused", []string{"machines", "--server", "127.0.0.1:1"}},
+		{"unknown node", exitUsage, `no node "n9"`, []string{"node", "--config", fleet, "--name", "n9"}},
+		{"negative duration", exitUsage, "negative", []string{"inventory", "--discovery-delay=-5s"}},
+		{"negative duration of a deprecated flag", exitUsage, "negative", []string{"inventory", "--late=-5s"}},
+		{"wrong address", exitFailed, "nonsense", []string{"inventory", "--listen", "nonsense"}},
+		{"platform without configuration", exitUsage, "GW_CONFIG", []string{"platform"}},
 	} {
-		t.Run(strings.Join(append([]string{"flaxshelf"}, c.args...), " "), func(t *testing.T) {
-			code, out, errOut := flaxshelf(c.args...)
-			if code != c.code || !strings.Contains(out+errOut, c.want) {
-				t.Errorf("exit %d, want %d, and %q\n%s%s", code, c.code, c.want, out, errOut)
-			}
-		})
+		t.Run(c.name, func(t *testing.T) { expect(t, c.code, c.want, c.args...) })
 	}
 }
 
-// The commands of the README against `flaxshelf up`.
-func TestUp(t *testing.T) {
+// startUp runs `flaxshelf up` until the test ends, and returns the URL of its scheduler.
+func startUp(t *testing.T) string {
+	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
-	defer cancel()
 	var out, errOut buffer
-	done := make(chan int, 1)
-	go func() { done <- run(ctx, []string{"up", "--listen", "127.0.0.1:0"}, &out, &errOut) }()
-	url := ""
-	for until := time.Now().Add(20 * time.Second); url == "" && time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
-		if _, after, ok := strings.Cut(out.String(), "\nscheduler "); ok {
-			url, _, _ = strings.Cut(after, "\n")
-		}
-	}
-	if url == "" {
-		t.Fatalf("it did not come up: %s%s", out.String(), errOut.String())
-	}
-	t.Setenv("FLAXSHELF_SERVER", url)
-	step := func(code int, want string, args ...string) string {
-		t.Helper()
-		got, out, errOut := flaxshelf(args...)
-		if got != code || !strings.Contains(out+errOut, want) {
-			t.Errorf("%v: exit %d, want %d, and %q\n%s%s", args, got, code, want, out, errOut)
+	exited := make(chan int, 1)
+	go func() { exited <- run(ctx, []string{"up", "--listen", "127.0.0.1:0"}, &out, &errOut) }()
+	t.Cleanup(func() {
+		cancel()
+		select {
+		case code := <-exited:
+			if code != exitOK {
+				t.Errorf("flaxshelf up: got exit code %d, want %d: %s", code, exitOK, errOut.String())
+			}
+		case <-time.After(testTimeout):
+			t.Error("flaxshelf up: got no exit after its context was canceled")
 		}
-		return strings.TrimSpace(strings.SplitN(out, "\n", 2)[0])
-	}
-	step(exitOK, "DONE", "job", "run", "--class", "service", "--life", "50ms", "--wait", "hello")
-	step(exitUsage, "no class", "job", "run", "--class", "wings", "hello")
-	id := step(exitOK, "", "job", "run", "--class", "once", "--hold", "--life", "1m", "--name", "n", "hello", "--flag", "arg")
-	step(exitOK, "QUEUED_HELD held", "job", "state", id)
-	step(exitTimeout, "Timeout", "job", "wait", "--timeout", "50ms", id)
-	step(exitOK, "", "job", "release", id)
-	step(exitOK, "RUNNING", "job", "wait", "--for", "started", id)
-	step(exitOK, `"jobName": "n"`, "job", "info", id)
-	step(exitOK, "RUNNING", "job", "list", "--session", "default")
-	step(exitFailed, "InvalidState", "job", "hold", id)
-	step(exitFailed, "InvalidState", "job", "reap", id)
-	step(exitOK, "", "job", "terminate", id)
-	step(exitFailed, "FAILED terminated", "job", "wait", id)
-	step(exitOK, "", "job", "reap", id)
-	step(exitUsage, "no job", "job", "state", id)
-	step(exitOK, "DONE", "job", "bulk", "--class", "service", "--end", "4", "--max-parallel", "2", "--life", "10ms", "--wait", "x")
-	step(exitOK, "room-b", "machines")
-	tmpl := writeTestFile(t, "t.json", `{"remoteCommand":"x","jobCategory":"once","implementationSpecific":{"flaxshelf.life":"10ms"}}`)
-	step(exitOK, "DONE", "job", "run", "--file", tmpl, "--wait")
-	cancel()
+	})
 	select {
-	case code := <-done:
-		if code != exitOK {
-			t.Errorf("exit %d: %s", code, errOut.String())
-		}
-	case <-time.After(20 * time.Second):
-		t.Error("it did not stop")
+	case <-out.waitFor("\ntry: "): // the line after the scheduler's
+	case <-time.After(testTimeout):
+		t.Fatalf("flaxshelf up: got no scheduler: %s%s", out.String(), errOut.String())
 	}
+	_, after, _ := strings.Cut(out.String(), "\nscheduler ")
+	url, _, _ := strings.Cut(after, "\n")
+	return url
+}
+
+func TestJobCommandsAgainstAScheduler(t *testing.T) {
+	t.Setenv("FLAXSHELF_SERVER", startUp(t))
+	expect(t, exitOK, "DONE", "job", "run", "--class", "service", "--expected-runtime", "50ms", "--wait", "hello")
+	expect(t, exitOK, "DONE", "job", "run", "--class", "service", "--life", "50ms", "--wait", "hello")
+	expect(t, exitUsage, "no class", "job", "run", "--class", "wings", "hello")
+	id := strings.TrimSpace(expect(t, exitOK, "", "job", "run", "--class", "once", "--hold", "--expected-runtime", "1m",
+		"--name", "n", "hello", "--flag", "arg"))
+	expect(t, exitOK, "QUEUED_HELD held", "job", "state", id)
+	expect(t, exitTimeout, "Timeout", "job", "wait", "--timeout", "50ms", id)
+	expect(t, exitOK, "", "job", "release", id)
+	expect(t, exitOK, "RUNNING", "job", "wait", "--for", "started", id)
+	expect(t, exitOK, `"jobName": "n"`, "job", "info", id)
+	expect(t, exitOK, "RUNNING", "job", "list", "--session", "default")
+	expect(t, exitFailed, "InvalidState", "job", "hold", id)
+	expect(t, exitFailed, "InvalidState", "job", "reap", id)
+	expect(t, exitOK, "", "job", "terminate", id)
+	expect(t, exitFailed, "FAILED terminated", "job", "wait", id)
+	expect(t, exitOK, "", "job", "reap", id)
+	expect(t, exitUsage, "no job", "job", "state", id)
+	expect(t, exitOK, "DONE", "job", "bulk", "--class", "service", "--end", "4", "--max-parallel", "2",
+		"--expected-runtime", "10ms", "--wait", "x")
+	expect(t, exitOK, "room-b", "machines")
+	template := writeTestFile(t, "t.json",
+		`{"remoteCommand":"x","jobCategory":"once","implementationSpecific":{"flaxshelf.life":"10ms"}}`)
+	expect(t, exitOK, "DONE", "job", "run", "--file", template, "--wait")
 }
--- a/cmd/flaxshelf/node.go
+++ b/cmd/flaxshelf/node.go
@@ -16,11 +16,11 @@
 
 type nodeCmd struct {
 	Config    string   `required:"" type:"path" placeholder:"FILE" help:"A CUE file as #Fleet of the schema."`
-	Inventory string   `placeholder:"ADDRESS" help:"Register here instead of where the file says."`
-	Names     []string `name:"name" placeholder:"NODE" help:"Run only these nodes of the file. Keyed copies are dropped among the nodes of one process."`
+	Inventory string   `placeholder:"ADDRESS" help:"Address of the inventory; overrides the file."`
+	Names     []string `name:"name" placeholder:"NODE" help:"Run only these nodes of the file. Nodes deduplicate idempotency keys only within one process."`
 }
 
-// Run runs nodes until it is interrupted; then they drain and leave.
+// Run runs nodes until it is interrupted; then they drain and stop.
 func (c *nodeCmd) Run(ctx context.Context, std *streams) error {
 	fleet, err := settings.ReadFleet(c.Config)
 	if err != nil {
@@ -62,7 +62,8 @@
 	return selected, nil
 }
 
-// startNodes starts the nodes of a fleet, all or none. Those of one zone drop copies of keys together.
+// startNodes starts all nodes of a fleet, or none if there is an error. The nodes of one zone share a registry of idempotency
+// keys.
 func startNodes(fleet *settings.Fleet, inventory string, log zerolog.Logger) ([]*host.Node, error) {
 	keysByZone := map[string]nodemodel.KeyRegistry{}
 	var nodes []*host.Node
--- a/cmd/flaxshelf/plan.go
+++ b/cmd/flaxshelf/plan.go
@@ -13,23 +13,25 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/scenario"
 )
 
-// Figures of the search by emulation.
+// Parameters of the search by emulation.
 const (
-	searchFrom       = 0.4  // lowest multiple of the load that is tried, as a fraction of the predicted first limit
-	searchTo         = 2    // highest one
+	searchFrom       = 0.4  // lower bound, as a multiple of the predicted first limit
+	searchTo         = 2    // upper bound, likewise
 	searchWidth      = 0.03 // relative width to which the search narrows
-	searchWidthSurge = 0.05 // the same with a surge, where two searches are made
+	searchWidthSurge = 0.05 // the same with a surge, which needs two searches
 )
 
 type planCmd struct {
-	Day     string  `arg:"" help:"A day with the fleet and the load: one that ships with the program, or a CUE file as #Trial of the schema. Its troubles play no part."`
-	Goal    float64 `default:"1.5" help:"The multiple of the load that the fleet must bear."`
+	Day     string  `arg:"" help:"A day with the fleet and the load: one that ships with the program, or a CUE file as #Trial of the schema. Its faults are ignored."`
+	Goal    float64 `default:"1.5" help:"The multiple of the load that the fleet must support."`
 	Trace   string  `type:"existingfile" placeholder:"FILE" help:"Plan for this captured load instead of the day's."`
-	Emulate bool    `help:"Also look for the edge by emulation: the load at which the worst class's share placed falls under --placed."`
-	Placed  float64 `default:"0.99" help:"Share of submissions that must be placed."`
-	Warmup  float64 `name:"warm" default:"10" help:"Seconds at the start of each emulated day that don't count."`
-	Surge   float64 `help:"With --emulate: also the edge after a surge of so many times the load in the first quarter of --warm."`
-	Seeds   int     `default:"2" help:"Emulated days for each load that is tried."`
+	Emulate bool    `help:"Also search for the breaking point by emulation: the load at which the fraction placed of the worst class falls below --placed."`
+	Placed  float64 `default:"0.99" help:"Fraction of submissions that must be placed."`
+	Warmup  float64 `default:"10" help:"Seconds at the start of each emulated day that are not measured."`
+	Surge   float64 `help:"With --emulate: also search for the breaking point after a surge by this factor in the first quarter of --warmup."`
+	Seeds   int     `default:"2" help:"Emulated days for each load."`
+
+	DeprecatedWarm float64 `name:"warm" replacement:"warmup" help:"Deprecated: use --warmup; removed in 0.2.0."`
 }
 
 // Run plans.
@@ -51,7 +53,7 @@
 	printLimits(std, fleet, load, limits)
 	c.printRequiredNodes(std, fleet, load)
 	printLosses(std, fleet, load)
-	std.out.printf("\nreplacing a tenth at once: %s\n", fleet.ReplacementCost((fleet.Nodes()+9)/10).Reason)
+	std.out.printf("\nreplacing a tenth of the nodes at once: %s\n", fleet.ReplacementCost((fleet.Nodes()+9)/10).Reason)
 	if !c.Emulate {
 		return nil
 	}
@@ -61,7 +63,7 @@
 
 func (c *planCmd) validate(day *scenario.Day) error {
 	if c.Goal <= 0 || c.Placed <= 0 || c.Placed > 1 || c.Seeds < 1 || c.Emulate && c.Warmup >= day.Seconds {
-		return usageError{fmt.Errorf("--goal above 0, --placed above 0 and at most 1, --seeds at least 1 and --warm under the "+
+		return usageError{fmt.Errorf("--goal above 0, --placed above 0 and at most 1, --seeds at least 1 and --warmup under the "+
 			"day's %v s are needed", day.Seconds)}
 	}
 	if c.Trace != "" && c.Emulate {
@@ -75,7 +77,7 @@
 	first, byClass := planner.First(limits)
 	std.out.printf("%d nodes, %d schedulers\n\nfirst: %v\n", fleet.Nodes(), fleet.Schedulers, first)
 	for _, class := range load {
-		std.out.printf("  of %s: %v\n", class.Name, byClass[class.Name])
+		std.out.printf("  class %s: %v\n", class.Name, byClass[class.Name])
 	}
 	std.out.printf("\nall limits:\n%s\n", planner.FormatLimits(limits))
 }
@@ -85,7 +87,7 @@
 	std.out.printf("for %.3g times the load:\n", c.Goal)
 	for _, required := range planner.RequiredNodes(fleet, load, c.Goal) {
 		if required.Nodes == planner.NoNumberOfNodes {
-			std.out.printf("  no number of nodes of kind %s does it: %s\n", required.Kind, required.Reason)
+			std.out.printf("  no number of nodes of kind %s is enough: %s\n", required.Kind, required.Reason)
 			continue
 		}
 		std.out.printf("  %d more nodes of kind %s; %s\n", required.Nodes, required.Kind, required.Reason)
@@ -94,11 +96,11 @@
 
 // printLosses prints the first limit of the fleet without each of its parts.
 func printLosses(std *streams, fleet *planner.Fleet, load []planner.Class) {
-	std.out.println("\nwhat losing a part leaves:")
+	std.out.println("\ncapacity after the loss of a part:")
 	for _, part := range fleetParts(fleet) {
 		rest := fleet.Without(part.zone, part.cell, part.kind)
 		if rest.Nodes() == 0 {
-			std.out.printf("  %s: nothing\n", part.name)
+			std.out.printf("  %s: no nodes\n", part.name)
 			continue
 		}
 		first, _ := planner.First(planner.Limits(rest, load))
@@ -124,17 +126,17 @@
 		return err
 	}
 	std.out.printf(
-		"\nemulated: the goal holds at %.2f and breaks at %.2f times the load, by %s (%.2f%% placed); predicted %.2f; "+
+		"\nemulated: the goal is met at %.2f and missed at %.2f times the load, by class %s (%.2f%% placed); predicted %.2f; "+
 			"%d emulated days\n", point.Low, point.High, point.Class, 100*point.PlacedFraction, first.Multiple, point.Runs)
 	if c.Surge > 0 {
-		std.out.printf("after a surge it holds at %.2f and breaks at %.2f\n", afterSurge.Low, afterSurge.High)
+		std.out.printf("after a surge it is met at %.2f and missed at %.2f times the load\n", afterSurge.Low, afterSurge.High)
 	}
 	return nil
 }
 
-// captured is the load of a trace; it prints how far that can be trusted.
+// captured returns the load of a trace. It prints the estimates with their errors and warnings.
 func (c *planCmd) captured(std *streams, day *scenario.Day) ([]planner.Class, error) {
-	const seed = 1 // of a plan; a trace draws nothing
+	const seed = 1 // of a plan; a trace is not random
 	trace, err := readLoad(c.Trace, seed)
 	if err != nil {
 		return nil, err
@@ -146,10 +148,10 @@
 	var load []planner.Class
 	for _, class := range classes {
 		std.out.printf(
-			"captured %s: %.3g a second, mean life %.3g s, each within %.0f%%; %d jobs, %d lives cut off\n", class.Name,
+			"captured %s: %.3g per second, mean runtime %.3g s, each within %.0f%%; %d jobs, %d censored runtimes\n", class.Name,
 			class.JobsPerSecond, class.MeanRuntimeSeconds, 100*class.RelativeError, class.Jobs, class.CensoredRuntimes)
 		for _, warning := range class.Warnings {
-			std.out.printf("  doubt: %s\n", warning)
+			std.out.printf("  warning: %s\n", warning)
 		}
 		load = append(load, class.Class)
 	}
@@ -157,22 +159,22 @@
 	return load, nil
 }
 
-// anyCell is the cell of a part that is not bounded to one.
+// anyCell is the cell of a part that covers all cells.
 const anyCell = -1
 
-// fleetPart is a part of a fleet that may be lost at once. An empty zone or kind stands for any.
+// fleetPart is a part of a fleet that may be lost at once. An empty zone or kind matches any.
 type fleetPart struct {
 	name, zone, kind string
 	cell             int
 }
 
-// fleetParts lists the rooms, racks and kinds of a fleet by name.
+// fleetParts returns the zones, cells and kinds of a fleet, sorted by name.
 func fleetParts(fleet *planner.Fleet) []fleetPart {
 	byName := map[string]fleetPart{}
 	for _, group := range fleet.Groups {
 		for _, part := range []fleetPart{
-			{name: "room " + group.Zone, zone: group.Zone, cell: anyCell},
-			{name: fmt.Sprintf("rack %d of %s", group.Cell, group.Zone), zone: group.Zone, cell: group.Cell},
+			{name: "zone " + group.Zone, zone: group.Zone, cell: anyCell},
+			{name: fmt.Sprintf("cell %d of %s", group.Cell, group.Zone), zone: group.Zone, cell: group.Cell},
 			{name: "kind " + group.Kind, kind: group.Kind, cell: anyCell},
 		} {
 			byName[part.name] = part
--- a/cmd/flaxshelf/platform.go
+++ b/cmd/flaxshelf/platform.go
@@ -15,11 +15,12 @@
 type platformCmd struct {
 	Config          string `env:"GW_CONFIG" type:"path" placeholder:"FILE" help:"Configuration as the platform writes it, JSON; $GW_CONFIG where not given."`
 	Log             string `enum:"trace,debug,info,warn,error" default:"info" help:"What is logged to standard error; trace: each message."`
-	ModuleRecording string `name:"tap" type:"path" placeholder:"FILE" help:"Record the module's steps, for replay."`
+	ModuleRecording string `type:"path" placeholder:"FILE" help:"Record the module's steps, for replay."`
+	DeprecatedTap   string `name:"tap" replacement:"module-recording" type:"path" placeholder:"FILE" help:"Deprecated: use --module-recording; removed in 0.2.0."`
 }
 
-// Run runs a scheduler on the platform until SIGTERM, and then shuts it down gracefully. On SIGHUP the configuration is
-// read again.
+// Run runs a scheduler on the platform until SIGTERM, and then shuts it down gracefully. On SIGHUP it reloads the
+// configuration.
 func (c *platformCmd) Run(ctx context.Context, std *streams) error {
 	if c.Config == "" {
 		return usageError{errors.New("platform: no configuration: give --config or set GW_CONFIG")}
--- a/cmd/flaxshelf/printer.go
+++ b/cmd/flaxshelf/printer.go
@@ -8,8 +8,8 @@
 	"text/tabwriter"
 )
 
-// printer writes text to an output and keeps the first error of a write, after which it writes nothing more. Commands print
-// without a check for each line; run checks Err once, at the end. It may be used by several goroutines.
+// printer writes text to an output and keeps the first error of a write, after which it writes nothing more. Commands
+// don't check each line; run checks Err once, at the end. It is safe for concurrent use.
 type printer struct {
 	mu  sync.Mutex
 	out io.Writer
@@ -18,7 +18,7 @@
 
 func newPrinter(out io.Writer) *printer { return &printer{out: out} }
 
-// Write writes bytes, for the packages that write to an io.Writer.
+// Write implements io.Writer.
 func (p *printer) Write(text []byte) (int, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -30,7 +30,7 @@
 	return n, err
 }
 
-// Err is the first error of a write.
+// Err returns the first error of a write.
 func (p *printer) Err() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/cmd/flaxshelf/printer_test.go
+++ b/cmd/flaxshelf/printer_test.go
@@ -8,83 +8,79 @@
 	"testing"
 )
 
-// fullDisk fails each write after the first so many bytes.
+// fullDisk fails each write that does not fit into its free bytes.
 type fullDisk struct {
-	room  int
-	taken strings.Builder
+	freeBytes int
+	written   strings.Builder
 }
 
 var errDiskFull = errors.New("disk full")
 
 func (d *fullDisk) Write(text []byte) (int, error) {
-	if len(text) > d.room {
+	if len(text) > d.freeBytes {
 		return 0, errDiskFull
 	}
-	d.room -= len(text)
-	return d.taken.Write(text)
+	d.freeBytes -= len(text)
+	return d.written.Write(text)
 }
 
-// A command whose results can't be written fails, and says so; what was written before stays.
 func TestFailedWriteFailsTheCommand(t *testing.T) {
 	good := writeTestFile(t, "good.cue", string(upScheduler))
 	for _, c := range []struct {
-		name string
-		room int
-		args []string
+		name      string
+		freeBytes int
+		args      []string
 	}{
 		{"first line", 0, []string{"config", "check", good}},
 		{"long text", 100, []string{"config", "schema"}},
 		{"a later line", 100, []string{"trial", "list"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			out := &fullDisk{room: c.room}
+			out := &fullDisk{freeBytes: c.freeBytes}
 			var errOut buffer
 			if code := run(context.Background(), c.args, out, &errOut); code != exitFailed {
-				t.Errorf("exit %d, want %d", code, exitFailed)
+				t.Errorf("got exit code %d, want %d", code, exitFailed)
 			}
 			if want := "flaxshelf: write to standard output: disk full\n"; errOut.String() != want {
-				t.Errorf("%q, want %q", errOut.String(), want)
+				t.Errorf("got error output %q, want %q", errOut.String(), want)
 			}
 		})
 	}
 }
 
-// A command that fails by itself keeps its exit code where the output fails too.
-func TestFailedWriteKeepsTheExitCode(t *testing.T) {
+func TestFailedWriteKeepsTheExitCodeOfAFailedCommand(t *testing.T) {
 	if code := run(context.Background(), []string{"verify", "/does/not/exist"}, &fullDisk{}, io.Discard); code != exitUsage {
-		t.Errorf("exit %d, want %d", code, exitUsage)
+		t.Errorf("got exit code %d, want %d", code, exitUsage)
 	}
 }
 
-// The first error stays, and nothing is written after it.
-func TestPrinterStopsAtTheFirstError(t *testing.T) {
-	out := &fullDisk{room: 10}
+func TestPrinterKeepsTheFirstErrorAndStops(t *testing.T) {
+	out := &fullDisk{freeBytes: 10}
 	p := newPrinter(out)
 	p.printf("%s\n", "short")
 	p.println("this line is too long")
 	p.print("then")
 	p.table([][]string{{"a", "b"}})
 	if !errors.Is(p.Err(), errDiskFull) {
-		t.Errorf("error %v, want %v", p.Err(), errDiskFull)
+		t.Errorf("got error %v, want %v", p.Err(), errDiskFull)
 	}
-	if got := out.taken.String(); got != "short\n" {
-		t.Errorf("%q was written", got)
+	if got := out.written.String(); got != "short\n" {
+		t.Errorf("got %q written, want the first line alone", got)
 	}
 }
 
-// Columns of a table are aligned.
-func TestPrinterTable(t *testing.T) {
+func TestPrinterAlignsTheColumnsOfATable(t *testing.T) {
 	var out strings.Builder
 	newPrinter(&out).table([][]string{{"NODE", "ZONE"}, {"a-long-name", "z"}, {"b", ""}})
 	if want := "NODE         ZONE\na-long-name  z\nb            \n"; out.String() != want {
-		t.Errorf("%q, want %q", out.String(), want)
+		t.Errorf("got %q, want %q", out.String(), want)
 	}
 }
 
 // failOnce fails its first write.
 type failOnce struct {
-	failed bool
-	taken  strings.Builder
+	failed  bool
+	written strings.Builder
 }
 
 func (w *failOnce) Write(text []byte) (int, error) {
@@ -92,17 +88,17 @@
 		w.failed = true
 		return 0, errDiskFull
 	}
-	return w.taken.Write(text)
+	return w.written.Write(text)
 }
 
-// A log goes on after a write that failed: a daemon must not fall silent for the rest of its run.
-func TestLogGoesOnAfterAFailedWrite(t *testing.T) {
+// A daemon must keep logging after a write error that passes.
+func TestLogContinuesAfterAFailedWrite(t *testing.T) {
 	out := &failOnce{}
 	std := &streams{out: newPrinter(io.Discard), err: newPrinter(out), log: out}
 	log := std.newLogger("info")
 	log.Info().Msg("first")
 	log.Info().Msg("second")
-	if got := out.taken.String(); strings.Contains(got, "first") || !strings.Contains(got, "second") {
-		t.Errorf("logged %q, want the second line alone", got)
+	if got := out.written.String(); strings.Contains(got, "first") || !strings.Contains(got, "second") {
+		t.Errorf("got log %q, want the second line alone", got)
 	}
 }
--- a/cmd/flaxshelf/serve.go
+++ b/cmd/flaxshelf/serve.go
@@ -11,8 +11,8 @@
 
 type serveCmd struct {
 	Config string `required:"" type:"path" placeholder:"FILE" help:"Configuration, a CUE file as #Scheduler of the schema."`
-	Cores  int    `placeholder:"N" help:"Decide on so many cores instead of what the file says."`
-	Listen string `placeholder:"ADDRESS" help:"Listen here instead of where the file says."`
+	Cores  int    `placeholder:"N" help:"Cores to decide on; overrides the file."`
+	Listen string `placeholder:"ADDRESS" help:"Address to listen on; overrides the file."`
 }
 
 // Run runs a scheduler until SIGTERM or an interrupt, and then shuts it down gracefully.
@@ -39,5 +39,6 @@
 	return shutDown(scheduler)
 }
 
-// shutDown is a graceful shutdown after the context of the command has ended; the settings limit how long it takes.
+// shutDown shuts a scheduler down gracefully after the context of the command has ended; the settings limit how long it
+// takes.
 func shutDown(scheduler *daemon.Daemon) error { return scheduler.Shutdown(context.Background()) }
--- a/cmd/flaxshelf/start_test.go
+++ b/cmd/flaxshelf/start_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// startHeap is the heap before any test has run: what the start of the program's packages costs.
+// startHeap is the size of the heap in bytes before any test has run: what initializing the packages costs.
 var startHeap uint64
 
 func TestMain(m *testing.M) {
@@ -16,10 +16,10 @@
 	os.Exit(m.Run())
 }
 
-// The start of the program allocates little memory: the platform's limits begin at 32 MB, and memory that counts against
-// the soft limit without a page behind it keeps the garbage collector running.
-func TestStartIsSmall(t *testing.T) {
+// The platform's memory limits begin at 32 MB, and memory that counts against the soft limit without being resident keeps
+// the garbage collector running.
+func TestPackageInitializationNeedsLittleMemory(t *testing.T) {
 	if startHeap > 16<<20 {
-		t.Errorf("%d MiB of heap before anything was run", startHeap>>20)
+		t.Errorf("got %d MiB of heap before any test, want 16 at most", startHeap>>20)
 	}
 }
--- a/cmd/flaxshelf/trial.go
+++ b/cmd/flaxshelf/trial.go
@@ -11,21 +11,35 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/trial"
 )
 
-// errTrialFailed is a trial in which a rule was broken or something else went wrong.
-var errTrialFailed = errors.New("the trial has failed")
+// errRuleViolated reports a recording or a trace that violates a rule.
+var errRuleViolated = errors.New("a rule was violated")
+
+// unaccountedError reports submissions without an outcome.
+type unaccountedError struct{ submissions int }
+
+func (e unaccountedError) Error() string {
+	return fmt.Sprintf("%d submissions have no outcome", e.submissions)
+}
+
+// trialsFailedError reports trials in which a rule was violated or another check failed; their results are printed.
+type trialsFailedError struct{ failed, played int }
+
+func (e trialsFailedError) Error() string {
+	return fmt.Sprintf("the trial has failed on %d of %d seeds", e.failed, e.played)
+}
 
 type trialCmd struct {
 	Day           string `arg:"" help:"Name of a day that ships with the program, or a CUE file as #Trial of the schema. 'list' lists them."`
 	Seed          uint64 `default:"1" help:"Seed of the random numbers."`
-	Seeds         int    `default:"1" help:"Play so many seeds, one after the other, from --seed on."`
-	Cores         int    `placeholder:"N" help:"Schedulers decide on so many cores instead of what the day says."`
+	Seeds         int    `default:"1" help:"Number of seeds to play one after the other, from --seed on."`
+	Cores         int    `placeholder:"N" help:"Cores of each scheduler; overrides the day."`
 	Record        string `placeholder:"FILE" help:"Write the recording of the traffic here; with several seeds, the last one's."`
 	KeepDirectory string `name:"keep" type:"path" placeholder:"DIR" help:"Keep the schedulers' logs and configurations here."`
-	Replay        bool   `default:"true" negatable:"" help:"Also check that the module alone, with the same inputs, answers the same."`
+	Replay        bool   `default:"true" negatable:"" help:"Also replay the recorded steps to the module and compare its actions."`
 	Quiet         bool   `short:"q" help:"Don't report each fault."`
 }
 
-// Run plays a day.
+// Run plays a day over real sockets, once for each seed.
 func (c *trialCmd) Run(ctx context.Context, std *streams) error {
 	if c.Day == "list" {
 		return listDays(std)
@@ -58,7 +72,7 @@
 		}
 	}
 	if failed > 0 {
-		return fmt.Errorf("%w on %d of %d seeds", errTrialFailed, failed, c.Seeds)
+		return trialsFailedError{failed: failed, played: c.Seeds}
 	}
 	return nil
 }
--- a/cmd/flaxshelf/up.go
+++ b/cmd/flaxshelf/up.go
@@ -17,11 +17,11 @@
 //go:embed up-scheduler.cue
 var upScheduler []byte
 
-// registrationTimeout is how long `up` waits until its nodes are in the inventory.
+// registrationTimeout is how long `up` waits for its nodes to register in the inventory.
 const registrationTimeout = 10 * time.Second
 
 type upCmd struct {
-	Listen string `default:"127.0.0.1:7171" placeholder:"ADDRESS" help:"Where clients reach the scheduler."`
+	Listen string `default:"127.0.0.1:7171" placeholder:"ADDRESS" help:"Address to listen on for clients."`
 	Log    string `enum:"debug,info,warn,error" default:"warn" help:"Log level: debug, info, warn or error."`
 }
 
@@ -58,7 +58,7 @@
 	std.out.printf("inventory %s\n", inventory.Addr())
 	printNodes(std, fleet, nodes)
 	std.out.printf("scheduler http://%s\n", scheduler.Addr())
-	std.out.printf("try: flaxshelf job run --server http://%s --life 5s --wait hello\n", scheduler.Addr())
+	std.out.printf("try: flaxshelf job run --server http://%s --expected-runtime 5s --wait hello\n", scheduler.Addr())
 	<-ctx.Done()
 	return shutDown(scheduler)
 }
--- a/cmd/flaxshelf/verify.go
+++ b/cmd/flaxshelf/verify.go
@@ -8,10 +8,10 @@
 
 type verifyCmd struct {
 	File  string   `arg:"" type:"existingfile" help:"The recording."`
-	Words []string `name:"follow" placeholder:"WORD" help:"Print the frames in which each of these words occurs, instead of judging."`
+	Words []string `name:"follow" placeholder:"WORD" help:"Print the frames in which each of these words occurs, instead of checking the rules."`
 }
 
-// Run judges a recording.
+// Run checks a recording against the rules.
 func (c *verifyCmd) Run(std *streams) error {
 	if len(c.Words) > 0 {
 		_, err := readFile(c.File, func(r io.Reader) (struct{}, error) {
@@ -31,7 +31,7 @@
 	}
 	std.out.print(verdict)
 	if !verdict.OK() {
-		return errTrialFailed
+		return errRuleViolated
 	}
 	return nil
 }
