--- a/cmd/flaxshelf/job_submit.go
+++ b/cmd/flaxshelf/job_submit.go
@@ -82,12 +82,12 @@
 // implementationSpecific returns the attributes that are specific to flaxshelf. Those that no flag sets are empty.
 func (f *templateFlags) implementationSpecific() map[string]string {
 	return map[string]string{
-		drmaa2.AttrService:         f.Service,
-		drmaa2.AttrKey:             f.Key,
-		drmaa2.AttrCores:           f.Cores,
-		drmaa2.AttrMemory:          f.Memory,
-		drmaa2.AttrExpectedRuntime: durationText(f.ExpectedRuntime),
-		drmaa2.AttrGiveUp:          durationText(f.PlacementTimeout),
+		drmaa2.AttrService:          f.Service,
+		drmaa2.AttrKey:              f.Key,
+		drmaa2.AttrCores:            f.Cores,
+		drmaa2.AttrMemory:           f.Memory,
+		drmaa2.AttrExpectedRuntime:  durationText(f.ExpectedRuntime),
+		drmaa2.AttrPlacementTimeout: durationText(f.PlacementTimeout),
 	}
 }
 
--- a/drmaa2/client.go
+++ b/drmaa2/client.go
@@ -29,25 +29,25 @@
 	defaultRetryFor    = 10 * time.Second
 )
 
-// Headers of the protocol. Retry-After is in whole seconds; flaxshelf's own header is more exact.
+// Headers of the protocol. Retry-After is in whole seconds; the header of flaxshelf is in milliseconds.
 const (
 	headerRetryAfter   = "Retry-After"
 	headerRetryAfterMs = "Flaxshelf-Retry-After-Ms"
 	headerLastEventID  = "Last-Event-Id"
 )
 
-// Client calls one scheduler. Make it with NewClient; its zero value can't be used. Several goroutines may use it, but
-// RetryFor may be set only before the first call.
+// Client is a client of one scheduler. Create it with NewClient; the zero value is not usable. It is safe for concurrent
+// use, but RetryFor must not be changed after the first call.
 type Client struct {
 	baseURL    string
 	httpClient *http.Client
 	// RetryFor is how long a submission without a response is retried under its idempotency key, and how long a
-	// wait tries to reach a scheduler that went away. 0: not at all. NewClient sets 10 seconds.
+	// wait retries to reach a scheduler. Zero means no retry. NewClient sets 10 seconds.
 	RetryFor time.Duration
 }
 
-// NewClient makes a client of the daemon at a URL, such as http://127.0.0.1:7171; http:// may be left out. It connects
-// with the first call, and keeps connections open until Close.
+// NewClient returns a client of the scheduler at a URL, such as http://127.0.0.1:7171; http:// may be omitted. It connects
+// on the first call, and keeps connections open until Close.
 func NewClient(baseURL string) *Client {
 	if !strings.Contains(baseURL, "://") {
 		baseURL = "http://" + baseURL
@@ -64,7 +64,7 @@
 	}
 }
 
-// Close closes idle connections. Calls in progress go on.
+// Close closes idle connections. It does not interrupt calls in progress.
 func (c *Client) Close() { c.httpClient.CloseIdleConnections() }
 
 // Drms describes the scheduler and its capabilities.
@@ -80,8 +80,8 @@
 
 func sessionPath(name string) string { return "/sessions/" + url.PathEscape(name) }
 
-// CreateJobSession creates a session; ErrInvalidArgument where the name is taken, ErrOutOfResource where there are too
-// many.
+// CreateJobSession creates a session. The error is ErrInvalidArgument if the session exists, and ErrOutOfResource if there
+// are too many sessions.
 func (c *Client) CreateJobSession(ctx context.Context, session string) (*JobSession, error) {
 	if err := c.call(ctx, http.MethodPost, "/sessions", sessionName{session}, nil); err != nil {
 		return nil, err
@@ -89,7 +89,7 @@
 	return &JobSession{c, session}, nil
 }
 
-// OpenJobSession opens a session that exists; ErrInvalidArgument where there is none of the name.
+// OpenJobSession opens an existing session. The error is ErrInvalidArgument if it does not exist.
 func (c *Client) OpenJobSession(ctx context.Context, session string) (*JobSession, error) {
 	if err := c.call(ctx, http.MethodGet, sessionPath(session), nil, nil); err != nil {
 		return nil, err
@@ -97,13 +97,13 @@
 	return &JobSession{c, session}, nil
 }
 
-// DestroyJobSession removes a session; ErrInvalidArgument where there is none of the name. Its jobs continue and are seen
-// by a MonitoringSession.
+// DestroyJobSession removes a session. Its jobs continue, and a MonitoringSession lists them. The error is
+// ErrInvalidArgument if the session does not exist.
 func (c *Client) DestroyJobSession(ctx context.Context, session string) error {
 	return c.call(ctx, http.MethodDelete, sessionPath(session), nil, nil)
 }
 
-// JobSessionNames lists the sessions.
+// JobSessionNames returns the names of the sessions.
 func (c *Client) JobSessionNames(ctx context.Context) ([]string, error) {
 	var sessions struct {
 		Names []string `json:"names"`
@@ -112,8 +112,8 @@
 	return sessions.Names, err
 }
 
-// call makes one request with the JSON of in, and decodes the response into out; either may be nil. Errors are those of
-// send.
+// call sends one request with the JSON of in, and decodes the response into out; either may be nil. The errors are those
+// of send.
 func (c *Client) call(ctx context.Context, method, path string, in, out any) error {
 	response, err := c.send(ctx, method, path, in, nil)
 	if err != nil {
@@ -133,8 +133,8 @@
 	return nil
 }
 
-// send makes one request. The caller closes the body of the response. The scheduler's errors come as *Error with their
-// code; those on the way there and back as ErrDrmCommunication, or the context's error.
+// send sends one request. The caller must close the body of the response. The error is the scheduler's *Error,
+// ErrDrmCommunication if there is no response, or the context's error.
 func (c *Client) send(ctx context.Context, method, path string, in any, header http.Header) (*http.Response, error) {
 	request, err := c.newRequest(ctx, method, path, in, header)
 	if err != nil {
@@ -174,9 +174,9 @@
 	return request, nil
 }
 
-// errorOf is the error that a response carries. One that is not the scheduler's, as of a proxy, is DrmCommunication.
+// errorOf returns the error that a response carries. One of another sender, such as a proxy, has code DrmCommunication.
 func errorOf(response *http.Response) *Error {
-	// What a body that breaks off has left is no JSON, and then goes into the message.
+	// The part of a truncated body is not JSON, and is put into the message below.
 	text, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBytes))
 	e := &Error{}
 	if json.Unmarshal(text, e) != nil || e.Code == "" {
@@ -186,7 +186,7 @@
 	return e
 }
 
-// retryAfter is how long to wait before a retry; 0 where the response does not say.
+// retryAfter returns how long to wait before a retry, or zero if the response does not specify it.
 func retryAfter(header http.Header) time.Duration {
 	if ms, err := strconv.ParseInt(header.Get(headerRetryAfterMs), 10, 64); err == nil {
 		return time.Duration(ms) * time.Millisecond
@@ -197,8 +197,8 @@
 	return 0
 }
 
-// retry calls attempt until it ends otherwise than by DrmCommunication, for RetryFor at most, with backoff. From the second
-// time on, repeated is true.
+// retry calls attempt with backoff until its error is not ErrDrmCommunication, for RetryFor at most. The argument repeated
+// is true from the second call on.
 func (c *Client) retry(ctx context.Context, attempt func(repeated bool) error) error {
 	deadline, backoff := time.Now().Add(c.RetryFor), minBackoff
 	for repeated := false; ; repeated = true {
--- a/drmaa2/client_test.go
+++ b/drmaa2/client_test.go
@@ -25,9 +25,7 @@
 	return ctx, client
 }
 
-// A submission without a response is retried under the same idempotency key, and says that it is a retry. The caller's
-// template stays as it is.
-func TestSubmissionIsRetriedUnderOneKey(t *testing.T) {
+func TestSubmissionWithoutResponseIsRetriedUnderOneKey(t *testing.T) {
 	var received []Submission
 	ctx, client := newTestClient(t, func(w http.ResponseWriter, r *http.Request) {
 		var submission Submission
@@ -46,26 +44,25 @@
 		t.Fatal(err)
 	}
 	if job.ID != "j1" || job.SessionName != "billing" {
-		t.Errorf("job %q of session %q", job.ID, job.SessionName)
+		t.Errorf("got job %q of session %q, want j1 of billing", job.ID, job.SessionName)
 	}
 	if len(received) != 2 {
-		t.Fatalf("%d submissions, want 2", len(received))
+		t.Fatalf("got %d submissions, want 2", len(received))
 	}
 	first, second := received[0], received[1]
 	key := first.Template.ImplementationSpecific[AttrKey]
 	if key == "" || second.Template.ImplementationSpecific[AttrKey] != key {
-		t.Errorf("keys %q and %q", key, second.Template.ImplementationSpecific[AttrKey])
+		t.Errorf("got keys %q and %q, want the same one", key, second.Template.ImplementationSpecific[AttrKey])
 	}
 	if first.Again || !second.Again {
-		t.Errorf("marked as retries: %v and %v", first.Again, second.Again)
+		t.Errorf("got submissions marked as retries: %v and %v, want false and true", first.Again, second.Again)
 	}
 	if _, changed := template.ImplementationSpecific[AttrKey]; changed {
-		t.Error("the caller's template has got a key")
+		t.Error("got a key in the caller's template, want it unchanged")
 	}
 }
 
-// The scheduler's errors keep their code, attribute and time to wait; other responses are DrmCommunication.
-func TestErrorsOfResponses(t *testing.T) {
+func TestResponseBecomesError(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		status int
@@ -74,14 +71,14 @@
 		match  error
 		want   Error
 	}{
-		{"try later, exact", 503, map[string]string{"Retry-After": "1", "Flaxshelf-Retry-After-Ms": "250"},
+		{"try later, in milliseconds", 503, map[string]string{"Retry-After": "1", "Flaxshelf-Retry-After-Ms": "250"},
 			`{"code":"TryLater","message":"full"}`, ErrTryLater,
 			Error{Code: TryLater, Message: "full", RetryAfter: 250 * time.Millisecond}},
 		{"try later, in seconds", 503, map[string]string{"Retry-After": "3"}, `{"code":"TryLater","message":"full"}`,
 			ErrTryLater, Error{Code: TryLater, Message: "full", RetryAfter: 3 * time.Second}},
 		{"attribute", 422, nil, `{"code":"UnsupportedAttribute","message":"no mail","attribute":"email"}`,
 			ErrUnsupportedAttribute, Error{Code: UnsupportedAttribute, Message: "no mail", Attribute: "email"}},
-		{"not the scheduler's", 502, nil, `<html>`, ErrDrmCommunication,
+		{"response of a proxy", 502, nil, `<html>`, ErrDrmCommunication,
 			Error{Code: DrmCommunication, Message: "status 502 Bad Gateway: <html>"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -95,17 +92,16 @@
 			_, err := client.JobSessionNames(ctx)
 			var got *Error
 			if !errors.As(err, &got) || !errors.Is(err, c.match) {
-				t.Fatalf("%v does not match %v", err, c.match)
+				t.Fatalf("got error %v, want one that matches %v", err, c.match)
 			}
 			if *got != c.want {
-				t.Errorf("%+v, want %+v", *got, c.want)
+				t.Errorf("got %+v, want %+v", *got, c.want)
 			}
 		})
 	}
 }
 
-// A wait continues after the last event that it has handled when the daemon ends the stream.
-func TestWaitContinuesAfterTheLastEvent(t *testing.T) {
+func TestWaitResumesAfterTheLastEvent(t *testing.T) {
 	var lastIDs []string
 	ctx, client := newTestClient(t, func(w http.ResponseWriter, r *http.Request) {
 		lastIDs = append(lastIDs, r.Header.Get("Last-Event-Id"))
@@ -122,15 +118,14 @@
 		t.Fatal(err)
 	}
 	if info.JobState != Done {
-		t.Errorf("state %v, want %v", info.JobState, Done)
+		t.Errorf("got state %v, want %v", info.JobState, Done)
 	}
 	if len(lastIDs) != 2 || lastIDs[0] != "" || lastIDs[1] != "1-1" {
-		t.Errorf("Last-Event-Id %q, want none and 1-1", lastIDs)
+		t.Errorf("got Last-Event-Id %q, want none and 1-1", lastIDs)
 	}
 }
 
-// A list is read page by page and filtered.
-func TestListsAreReadInPages(t *testing.T) {
+func TestListIsReadInPagesAndFiltered(t *testing.T) {
 	requests := 0
 	ctx, client := newTestClient(t, func(w http.ResponseWriter, r *http.Request) {
 		requests++
@@ -151,35 +146,37 @@
 		t.Fatal(err)
 	}
 	if requests != 2 || len(infos) != 2 || infos[0].JobID != "j0007" || infos[1].JobID != "last" {
-		t.Errorf("%d requests, found %v", requests, infos)
+		t.Errorf("got %d requests and jobs %v, want 2 and j0007, last", requests, infos)
 	}
 }
 
-// Machines are listed by name, or all.
-func TestMachinesByName(t *testing.T) {
+func TestAllMachinesReturnsTheNamedOnes(t *testing.T) {
 	ctx, client := newTestClient(t, func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = fmt.Fprint(w, `{"machines":[{"name":"a"},{"name":"b"},{"name":"c"}]}`)
 	})
 	monitoring := &MonitoringSession{client}
 	for _, c := range []struct {
+		name  string
 		names []string
 		want  string
 	}{
-		{nil, "[a b c]"},
-		{[]string{"c", "a", "z"}, "[a c]"},
-		{[]string{"z"}, "[]"},
-		{[]string{"a", "a"}, "[a a]"},
+		{"no names", nil, "[a b c]"},
+		{"unknown name among others", []string{"c", "a", "z"}, "[a c]"},
+		{"unknown name", []string{"z"}, "[]"},
+		{"repeated name", []string{"a", "a"}, "[a a]"},
 	} {
-		machines, err := monitoring.AllMachines(ctx, c.names...)
-		if err != nil {
-			t.Fatal(err)
-		}
-		found := []string{}
-		for _, machine := range machines {
-			found = append(found, machine.Name)
-		}
-		if got := fmt.Sprint(found); got != c.want {
-			t.Errorf("of %v: %v, want %v", c.names, got, c.want)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			machines, err := monitoring.AllMachines(ctx, c.names...)
+			if err != nil {
+				t.Fatal(err)
+			}
+			found := []string{}
+			for _, machine := range machines {
+				found = append(found, machine.Name)
+			}
+			if got := fmt.Sprint(found); got != c.want {
+				t.Errorf("got %v, want %v", got, c.want)
+			}
+		})
 	}
 }
--- a/drmaa2/deprecated.go
+++ b/drmaa2/deprecated.go
@@ -1,21 +1,38 @@
 package drmaa2
 
-// Names of attributes that programs written against earlier versions use. Their strings are the same.
+import "context"
+
+// Former names of attributes. Their values are those of the names that replace them.
 const (
 	// AttrLife is the former name of AttrExpectedRuntime.
 	//
-	// Deprecated: use AttrExpectedRuntime.
+	// Deprecated: use AttrExpectedRuntime; removed in 0.2.0.
 	AttrLife = AttrExpectedRuntime
+	// AttrGiveUp is the former name of AttrPlacementTimeout.
+	//
+	// Deprecated: use AttrPlacementTimeout; removed in 0.2.0.
+	AttrGiveUp = AttrPlacementTimeout
 	// AttrAsk is the former name of AttrPlacementRequests.
 	//
-	// Deprecated: use AttrPlacementRequests.
+	// Deprecated: use AttrPlacementRequests; removed in 0.2.0.
 	AttrAsk = AttrPlacementRequests
 	// AttrAskedAt is the former name of AttrRequestedAt.
 	//
-	// Deprecated: use AttrRequestedAt.
+	// Deprecated: use AttrRequestedAt; removed in 0.2.0.
 	AttrAskedAt = AttrRequestedAt
+	// AttrDue is the former name of AttrPlacementDeadline.
+	//
+	// Deprecated: use AttrPlacementDeadline; removed in 0.2.0.
+	AttrDue = AttrPlacementDeadline
 	// AttrStanding is the former name of AttrMachineState.
 	//
-	// Deprecated: use AttrMachineState.
+	// Deprecated: use AttrMachineState; removed in 0.2.0.
 	AttrStanding = AttrMachineState
 )
+
+// RunJobAgain is the former name of ResubmitJob.
+//
+// Deprecated: use ResubmitJob; removed in 0.2.0.
+func (s *JobSession) RunJobAgain(ctx context.Context, template JobTemplate) (*Job, error) {
+	return s.ResubmitJob(ctx, template)
+}
--- a/drmaa2/errors.go
+++ b/drmaa2/errors.go
@@ -12,11 +12,11 @@
 // The exceptions. docs/drmaa.md lists when the scheduler raises each.
 const (
 	DeniedByDrms           ErrorCode = "DeniedByDrms"           // reserved for access control; not raised yet
-	DrmCommunication       ErrorCode = "DrmCommunication"       // the scheduler was not reached, or its response not understood
-	TryLater               ErrorCode = "TryLater"               // not now; see Error.RetryAfter
+	DrmCommunication       ErrorCode = "DrmCommunication"       // the scheduler can't be reached, or its response can't be decoded
+	TryLater               ErrorCode = "TryLater"               // temporarily rejected; see Error.RetryAfter
 	TimeoutCode            ErrorCode = "Timeout"                // a wait timed out; raised by the client
 	Internal               ErrorCode = "Internal"               // a fault of the scheduler
-	InvalidArgument        ErrorCode = "InvalidArgument"        // a value that can't be used; no such job or session
+	InvalidArgument        ErrorCode = "InvalidArgument"        // invalid value, or unknown job or session
 	InvalidSession         ErrorCode = "InvalidSession"         // a submission to, or a watch of, a session that does not exist
 	InvalidState           ErrorCode = "InvalidState"           // the job's state does not allow the operation
 	OutOfResource          ErrorCode = "OutOfResource"          // too many sessions
@@ -40,16 +40,16 @@
 	ErrUnsupportedOperation = &Error{Code: UnsupportedOperation}
 )
 
-// Error is a call that was not carried out. Get it with errors.As, or match its code with errors.Is and an Err value.
+// Error reports a call that failed. Use errors.As to get it, or errors.Is to match its code with an Err value.
 type Error struct {
 	Code       ErrorCode     `json:"code"`
 	Message    string        `json:"message"`             // for people
-	Attribute  string        `json:"attribute,omitempty"` // of the template, where one is the reason
-	RetryAfter time.Duration `json:"-"`                   // with TryLater: how long to wait before a retry; 0: not known
-	Err        error         `json:"-"`                   // cause, where the client raised the error; else nil
+	Attribute  string        `json:"attribute,omitempty"` // of the template, if it is the reason
+	RetryAfter time.Duration `json:"-"`                   // with TryLater: time to wait before a retry; zero if unknown
+	Err        error         `json:"-"`                   // cause, if the client raised the error
 }
 
-// Error is the code and the message.
+// Error returns the code and the message.
 func (e *Error) Error() string {
 	if e.Message == "" {
 		return "drmaa2: " + string(e.Code)
@@ -57,7 +57,7 @@
 	return fmt.Sprintf("drmaa2: %s: %s", e.Code, e.Message)
 }
 
-// Is matches errors of the same code.
+// Is reports whether target is an *Error of the same code.
 func (e *Error) Is(target error) bool {
 	t, ok := target.(*Error)
 	return ok && t.Code == e.Code
@@ -66,7 +66,7 @@
 // Unwrap returns the cause, or nil.
 func (e *Error) Unwrap() error { return e.Err }
 
-// communicationError is the error of a request that failed on the way; the context's error where that has ended.
+// communicationError returns the error of a request without a complete response, or the context's error if that has ended.
 func communicationError(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return ctx.Err()
@@ -74,7 +74,7 @@
 	return &Error{Code: DrmCommunication, Message: err.Error(), Err: err}
 }
 
-// argumentError is the error of a request that can't be made of its arguments.
+// argumentError returns the error of arguments that no request can be made of.
 func argumentError(err error) error {
 	return &Error{Code: InvalidArgument, Message: err.Error(), Err: err}
 }
--- a/drmaa2/events.go
+++ b/drmaa2/events.go
@@ -5,6 +5,7 @@
 	"context"
 	"encoding/json"
 	"errors"
+	"io"
 	"net/http"
 	"strings"
 	"time"
@@ -18,8 +19,8 @@
 	eventDataPrefix = "data: "
 )
 
-// followEvents calls handle with each event of a stream until it returns true, over as many connections as that takes.
-// Events that were missed in between come as the latest state of each job. ErrTimeout after the timeout.
+// followEvents calls handle with each event of a stream until it returns true. It reconnects as needed; for events that it
+// missed in between, it receives the latest state of each job. The error is ErrTimeout after the timeout.
 func (c *Client) followEvents(ctx context.Context, path string, timeout time.Duration,
 	handle func(*JobInfo) bool) error {
 	limited, cancel := ctx, context.CancelFunc(func() {})
@@ -52,16 +53,16 @@
 	}
 }
 
-// eventStream reads server-sent events, and continues after the last one that was handled.
+// eventStream reads server-sent events. Each connection resumes after the last event that was handled.
 type eventStream struct {
 	client *Client
 	path   string
 	handle func(*JobInfo) bool
-	lastID string // of the last event that was handled
+	lastID string // ID of the last event that was handled
 }
 
-// read handles the events of one connection. It returns true when handle has, and false without an error when the
-// connection ended in good order, or broke after events.
+// read handles the events of one connection. It returns true once handle does, and false without an error if the connection
+// was closed by the scheduler, or broke after it had received events.
 func (s *eventStream) read(ctx context.Context) (bool, error) {
 	header := http.Header{"Accept": {"text/event-stream"}}
 	if s.lastID != "" {
@@ -72,32 +73,51 @@
 		return false, err
 	}
 	defer response.Body.Close()
-	lines := bufio.NewScanner(response.Body)
-	lines.Buffer(nil, maxEventBytes)
-	var id, data string
+	events := newEventReader(response.Body)
 	received := false
-	for lines.Scan() {
-		line := lines.Text()
-		if value, ok := strings.CutPrefix(line, eventIDPrefix); ok {
-			id = value
-		}
-		if value, ok := strings.CutPrefix(line, eventDataPrefix); ok {
-			data = value
-		}
-		if line != "" || data == "" { // an empty line ends an event
-			continue
-		}
+	for events.next() {
 		info := &JobInfo{}
-		if err := json.Unmarshal([]byte(data), info); err != nil {
+		if err := json.Unmarshal([]byte(events.data), info); err != nil {
 			return false, &Error{Code: DrmCommunication, Message: "an event can't be decoded: " + err.Error(), Err: err}
 		}
-		s.lastID, data, received = id, "", true
+		s.lastID, received = events.id, true
 		if s.handle(info) {
 			return true, nil
 		}
 	}
-	if err := lines.Err(); err != nil && !received {
+	if err := events.lines.Err(); err != nil && !received {
 		return false, communicationError(ctx, err)
 	}
 	return false, ctx.Err()
 }
+
+// eventReader parses the server-sent events of one connection.
+type eventReader struct {
+	lines    *bufio.Scanner
+	id, data string // of the event that next has read
+}
+
+func newEventReader(stream io.Reader) *eventReader {
+	lines := bufio.NewScanner(stream)
+	lines.Buffer(nil, maxEventBytes)
+	return &eventReader{lines: lines}
+}
+
+// next reads the next event that has data. It returns false at the end of the stream or at an error, which lines.Err
+// returns.
+func (r *eventReader) next() bool {
+	r.data = ""
+	for r.lines.Scan() {
+		line := r.lines.Text()
+		if value, ok := strings.CutPrefix(line, eventIDPrefix); ok {
+			r.id = value
+		}
+		if value, ok := strings.CutPrefix(line, eventDataPrefix); ok {
+			r.data = value
+		}
+		if line == "" && r.data != "" { // an empty line ends an event
+			return true
+		}
+	}
+	return false
+}
--- a/drmaa2/job.go
+++ b/drmaa2/job.go
@@ -7,19 +7,19 @@
 	"time"
 )
 
-// Job is one job, GFD.194 section 8.4. It holds no state: each call asks the scheduler. Its fields are not to be changed.
+// Job is one job, GFD.194 section 8.4. It has no state: each call queries the scheduler. Its fields must not be modified.
 type Job struct {
 	client *Client
 	// ID names the job to this scheduler.
 	ID string
-	// SessionName is the job session; empty where the job was found by its ID alone.
+	// SessionName is the name of its job session; empty if the job was found by its ID alone.
 	SessionName string
 }
 
 func jobPath(id string) string { return "/jobs/" + url.PathEscape(id) }
 
-// Template returns the template that the job was submitted with. A job that a restarted scheduler found on a
-// node has none: ErrInvalidState.
+// Template returns the template that the job was submitted with. The error is ErrInvalidState for a job that a restarted
+// scheduler adopted from a node, which has none.
 func (j *Job) Template(ctx context.Context) (*JobTemplate, error) {
 	var template JobTemplate
 	if err := j.client.call(ctx, http.MethodGet, jobPath(j.ID)+"/template", nil, &template); err != nil {
@@ -28,7 +28,7 @@
 	return &template, nil
 }
 
-// Info returns what the scheduler knows of the job now; ErrInvalidArgument where it does not know the job.
+// Info returns the current information on the job. The error is ErrInvalidArgument if the scheduler does not know the job.
 func (j *Job) Info(ctx context.Context) (*JobInfo, error) {
 	infos, err := j.client.JobInfos(ctx, j.ID)
 	if err != nil {
@@ -40,7 +40,7 @@
 	return &infos[0], nil
 }
 
-// State returns the state and the sub-state; Undetermined with an error.
+// State returns the state and the sub-state. The state is Undetermined if there is an error.
 func (j *Job) State(ctx context.Context) (JobState, string, error) {
 	info, err := j.Info(ctx)
 	if err != nil {
@@ -49,33 +49,33 @@
 	return info.JobState, info.JobSubState, nil
 }
 
-// Suspend is ErrUnsupportedOperation: nodes don't suspend.
+// Suspend returns ErrUnsupportedOperation: nodes don't suspend jobs.
 func (j *Job) Suspend(context.Context) error { return unsupportedError("suspend") }
 
-// Resume is ErrUnsupportedOperation: nodes don't suspend.
+// Resume returns ErrUnsupportedOperation: nodes don't suspend jobs.
 func (j *Job) Resume(context.Context) error { return unsupportedError("resume") }
 
-// Hold keeps a queued job from being placed. One that is being offered to a node is held if the node does not accept it.
-// ErrInvalidState for a job that is not queued.
+// Hold prevents the placement of a queued job until Release. A job with a pending offer is put on hold if the node rejects
+// the offer. The error is ErrInvalidState for a job that is not queued.
 func (j *Job) Hold(ctx context.Context) error { return j.client.Hold(ctx, j.ID) }
 
-// Release lets a held job be placed; ErrInvalidState for one that is not held.
+// Release ends the hold of a job. The error is ErrInvalidState for a job that is not on hold.
 func (j *Job) Release(ctx context.Context) error { return j.client.Release(ctx, j.ID) }
 
-// Terminate ends the job. It returns when the scheduler has accepted the request; the job may run a little longer. See
-// WaitTerminated. ErrInvalidState for a job that has ended.
+// Terminate terminates the job. It returns when the scheduler has accepted the request; WaitTerminated waits for the end of
+// the job. The error is ErrInvalidState for a job that has ended.
 func (j *Job) Terminate(ctx context.Context) error { return j.client.Terminate(ctx, j.ID) }
 
-// Reap has the scheduler forget an ended job; ErrInvalidState for one that has not ended.
+// Reap removes an ended job from the scheduler. The error is ErrInvalidState for a job that has not ended.
 func (j *Job) Reap(ctx context.Context) error { return j.client.Reap(ctx, j.ID) }
 
-// WaitStarted waits until the job runs or has ended, and returns what is known then. ErrTimeout after the timeout, which
-// may be InfiniteTime; ErrDrmCommunication where the scheduler is not reached for Client.RetryFor.
+// WaitStarted waits until the job runs or has ended, and returns its information then. The timeout may be InfiniteTime. The
+// error is ErrTimeout after the timeout, and ErrDrmCommunication if the scheduler can't be reached for Client.RetryFor.
 func (j *Job) WaitStarted(ctx context.Context, timeout time.Duration) (*JobInfo, error) {
 	return j.wait(ctx, timeout, JobState.Started)
 }
 
-// WaitTerminated waits until the job has ended, in the same way as WaitStarted.
+// WaitTerminated is like WaitStarted, but waits until the job has ended.
 func (j *Job) WaitTerminated(ctx context.Context, timeout time.Duration) (*JobInfo, error) {
 	return j.wait(ctx, timeout, JobState.Terminated)
 }
@@ -89,31 +89,31 @@
 	return latest, err
 }
 
-// JobArray is the jobs of one RunBulkJobs, GFD.194 section 8.5. Its operations act on those of its jobs whose state allows
-// them. It holds no state: each call asks the scheduler. Its fields are not to be changed.
+// JobArray has the jobs of one call of RunBulkJobs, GFD.194 section 8.5. Its operations act on those of its jobs whose state
+// allows them. It has no state: each call queries the scheduler. Its fields must not be modified.
 type JobArray struct {
 	client *Client
 	// ID names the array to this scheduler.
 	ID string
-	// Jobs are its jobs by rising index.
+	// Jobs are its jobs in the order of their indexes.
 	Jobs []*Job
 }
 
-// Hold holds the jobs that are queued; see Job.Hold.
+// Hold prevents the placement of the queued jobs; see Job.Hold.
 func (a *JobArray) Hold(ctx context.Context) error { return a.client.Hold(ctx, a.ID) }
 
-// Release lets the held jobs be placed; see Job.Release.
+// Release ends the hold of the jobs; see Job.Release.
 func (a *JobArray) Release(ctx context.Context) error { return a.client.Release(ctx, a.ID) }
 
-// Terminate ends all jobs of the array; see Job.Terminate.
+// Terminate terminates all jobs of the array; see Job.Terminate.
 func (a *JobArray) Terminate(ctx context.Context) error { return a.client.Terminate(ctx, a.ID) }
 
-// Infos returns what the scheduler knows of each job now.
+// Infos returns the current information on each job.
 func (a *JobArray) Infos(ctx context.Context) ([]JobInfo, error) {
 	return a.client.JobInfos(ctx, a.ID)
 }
 
-// WaitTerminated waits until all jobs have ended. ErrTimeout after the timeout, which may be InfiniteTime.
+// WaitTerminated waits until all jobs have ended. The timeout may be InfiniteTime; the error is ErrTimeout after it.
 func (a *JobArray) WaitTerminated(ctx context.Context, timeout time.Duration) error {
 	unfinished := map[string]bool{}
 	for _, job := range a.Jobs {
@@ -127,37 +127,37 @@
 	})
 }
 
-// Job finds a job by its ID; ErrInvalidArgument where the scheduler does not know it.
+// Job returns the job of an ID. The error is ErrInvalidArgument if the scheduler does not know the job.
 func (c *Client) Job(ctx context.Context, id string) (*Job, error) {
 	j := &Job{client: c, ID: id}
 	_, err := j.Info(ctx)
 	return j, err
 }
 
-// JobInfos returns what the scheduler knows of a job, or of each job of an array.
+// JobInfos returns the current information on a job, or on each job of an array.
 func (c *Client) JobInfos(ctx context.Context, id string) ([]JobInfo, error) {
 	var found Submitted
 	err := c.call(ctx, http.MethodGet, jobPath(id), nil, &found)
 	return found.Jobs, err
 }
 
-// SessionJobs lists what the scheduler knows of a session's jobs that match the filter; see JobSession.Jobs.
+// SessionJobs returns the information on the jobs of a session that match the filter; see JobSession.Jobs.
 func (c *Client) SessionJobs(ctx context.Context, session string, filter *JobInfo) ([]JobInfo, error) {
 	return c.listJobs(ctx, sessionPath(session)+"/jobs", filter)
 }
 
-// Hold is Job.Hold of a job or an array by its ID, for callers without its session.
+// Hold is like Job.Hold, for a job or an array by its ID.
 func (c *Client) Hold(ctx context.Context, id string) error { return c.control(ctx, id, "hold") }
 
-// Release is Job.Release of a job or an array by its ID.
+// Release is like Job.Release, for a job or an array by its ID.
 func (c *Client) Release(ctx context.Context, id string) error { return c.control(ctx, id, "release") }
 
-// Terminate is Job.Terminate of a job or an array by its ID.
+// Terminate is like Job.Terminate, for a job or an array by its ID.
 func (c *Client) Terminate(ctx context.Context, id string) error {
 	return c.control(ctx, id, "terminate")
 }
 
-// Reap is Job.Reap of a job or an array by its ID.
+// Reap is like Job.Reap, for a job or an array by its ID.
 func (c *Client) Reap(ctx context.Context, id string) error {
 	return c.call(ctx, http.MethodDelete, jobPath(id), nil, nil)
 }
--- a/drmaa2/monitoring.go
+++ b/drmaa2/monitoring.go
@@ -5,26 +5,26 @@
 	"net/http"
 )
 
-// MonitoringSession reads all jobs, machines and queues, GFD.194 section 8.9. It needs no closing.
+// MonitoringSession reads all jobs, machines and queues, GFD.194 section 8.9. It need not be closed.
 type MonitoringSession struct{ client *Client }
 
-// OpenMonitoringSession opens a monitoring session, if the scheduler is reached.
+// OpenMonitoringSession opens a monitoring session. The error is ErrDrmCommunication if the scheduler can't be reached.
 func (c *Client) OpenMonitoringSession(ctx context.Context) (*MonitoringSession, error) {
 	_, err := c.Drms(ctx)
 	return &MonitoringSession{c}, err
 }
 
-// AllJobs lists the jobs of all sessions that match the filter; see JobSession.Jobs.
+// AllJobs returns the information on the jobs of all sessions that match the filter; see JobSession.Jobs.
 func (m *MonitoringSession) AllJobs(ctx context.Context, filter *JobInfo) ([]JobInfo, error) {
 	return m.client.listJobs(ctx, "/jobs", filter)
 }
 
-// Watch is JobSession.Watch of the jobs of all sessions.
+// Watch is like JobSession.Watch, for the jobs of all sessions.
 func (m *MonitoringSession) Watch(ctx context.Context, handle func(JobInfo) bool) error {
 	return m.client.watch(ctx, eventsPath, handle)
 }
 
-// AllMachines lists the named nodes, or all where none is named. Names that the scheduler does not know are left out.
+// AllMachines returns the nodes of the given names, or all if there are no names. Unknown names are ignored.
 func (m *MonitoringSession) AllMachines(ctx context.Context, names ...string) ([]MachineInfo, error) {
 	var list struct {
 		Machines []MachineInfo `json:"machines"`
@@ -35,7 +35,7 @@
 	return named(list.Machines, names, func(machine MachineInfo) string { return machine.Name }), nil
 }
 
-// AllQueues lists the named queues, or all where none is named. Names that the scheduler does not know are left out.
+// AllQueues returns the queues of the given names, or all if there are no names. Unknown names are ignored.
 func (m *MonitoringSession) AllQueues(ctx context.Context, names ...string) ([]QueueInfo, error) {
 	var list struct {
 		Queues []QueueInfo `json:"queues"`
@@ -46,7 +46,7 @@
 	return named(list.Queues, names, func(queue QueueInfo) string { return queue.Name }), nil
 }
 
-// named returns the elements that have one of the names, once for each time that it is given; all where there are no names.
+// named returns the elements that have one of the names, once for each occurrence of the name, or all if there are no names.
 func named[T any](elements []T, names []string, name func(T) string) []T {
 	if len(names) == 0 {
 		return elements
@@ -62,7 +62,7 @@
 	return found
 }
 
-// AllReservations is ErrUnsupportedOperation: the scheduler makes no advance reservations.
+// AllReservations returns ErrUnsupportedOperation: the scheduler has no advance reservations.
 func (m *MonitoringSession) AllReservations(context.Context) error {
 	return &Error{Code: UnsupportedOperation, Message: "advance reservations are not supported"}
 }
--- a/drmaa2/session.go
+++ b/drmaa2/session.go
@@ -9,28 +9,28 @@
 	"time"
 )
 
-// JobSession is a named set of jobs, GFD.194 section 8.3. The scheduler keeps it until it is destroyed or the scheduler
-// stops. It needs no closing.
+// JobSession is a named set of jobs, GFD.194 section 8.3. It exists until it is destroyed or the scheduler stops. It
+// need not be closed.
 type JobSession struct {
 	client *Client
 	name   string
 }
 
-// Name is the session's name.
+// Name returns the name of the session.
 func (s *JobSession) Name() string { return s.name }
 
 func (s *JobSession) path() string { return sessionPath(s.name) }
 
-// RunJob submits a job. Where it gets no response it retries under the same idempotency key for Client.RetryFor, so that
-// one job comes of it; a template without AttrKey gets a random one. The job has its ID when RunJob returns, and its
-// outcome later. ErrTryLater where the scheduler does not accept the job now; see Error.RetryAfter.
+// RunJob submits a job. Without a response it retries for Client.RetryFor under the same idempotency key, so that at most one
+// job is created; the key is random if the template has no AttrKey. RunJob returns before the job is placed. The error is
+// ErrTryLater if the scheduler rejects the job for now; see Error.RetryAfter.
 func (s *JobSession) RunJob(ctx context.Context, template JobTemplate) (*Job, error) {
 	return s.runJob(ctx, template, false)
 }
 
-// RunJobAgain is RunJob of a template with an AttrKey that was submitted before without a known outcome, as after a crash
-// of the scheduler. The scheduler first finds out whether a node still runs it.
-func (s *JobSession) RunJobAgain(ctx context.Context, template JobTemplate) (*Job, error) {
+// ResubmitJob is like RunJob, for a template with an AttrKey that was submitted before without a known outcome, for example
+// before the scheduler crashed. The scheduler first determines whether a node still runs the job.
+func (s *JobSession) ResubmitJob(ctx context.Context, template JobTemplate) (*Job, error) {
 	return s.runJob(ctx, template, true)
 }
 
@@ -47,7 +47,7 @@
 }
 
 // RunBulkJobs submits one job for each index from begin to end by step, all under one idempotency key as in RunJob. At most
-// maxParallel of them may run at a time; 0 or less: all.
+// maxParallel of them run at a time; zero or less means no limit.
 func (s *JobSession) RunBulkJobs(ctx context.Context, template JobTemplate, begin, end, step,
 	maxParallel int) (*JobArray, error) {
 	submitted, err := s.submit(ctx, "/arrays", Submission{Template: template,
@@ -62,7 +62,7 @@
 	return array, nil
 }
 
-// submit posts a submission, under an idempotency key, until there is a response.
+// submit posts a submission under an idempotency key, and retries while there is no response.
 func (s *JobSession) submit(ctx context.Context, path string, submission Submission) (*Submitted, error) {
 	if submission.Template.ImplementationSpecific[AttrKey] == "" {
 		attributes := map[string]string{}
@@ -81,15 +81,15 @@
 
 func (s *JobSession) job(id string) *Job { return &Job{client: s.client, ID: id, SessionName: s.name} }
 
-// Job finds a job by its ID; ErrInvalidArgument where the scheduler does not know it.
+// Job returns the job of an ID. The error is ErrInvalidArgument if the scheduler does not know the job.
 func (s *JobSession) Job(ctx context.Context, id string) (*Job, error) {
 	job, err := s.client.Job(ctx, id)
 	job.SessionName = s.name
 	return job, err
 }
 
-// Jobs lists the session's jobs that match the filter; nil matches all. Of the filter, JobID, JobName, JobState,
-// JobSubState and QueueName count where set.
+// Jobs returns the jobs of the session that match the filter; nil matches all. The filter compares JobID, JobName, JobState,
+// JobSubState and QueueName, each if it is set.
 func (s *JobSession) Jobs(ctx context.Context, filter *JobInfo) ([]*Job, error) {
 	infos, err := s.client.SessionJobs(ctx, s.name, filter)
 	if err != nil {
@@ -102,10 +102,10 @@
 	return jobs, nil
 }
 
-// pageSize is how many jobs a list asks for at a time.
+// pageSize is the number of jobs in one page of a list.
 const pageSize = 1000
 
-// listJobs lists all jobs below a path that match the filter, page by page.
+// listJobs returns the information on all jobs below a path that match the filter, which it reads page by page.
 func (c *Client) listJobs(ctx context.Context, path string, filter *JobInfo) ([]JobInfo, error) {
 	var all []JobInfo
 	for after := ""; ; {
@@ -126,7 +126,7 @@
 	}
 }
 
-// matches tells whether a job has the values that the filter sets. A nil filter matches every job.
+// matches reports whether a job has the values that are set in the filter. A nil filter matches every job.
 func (i *JobInfo) matches(job *JobInfo) bool {
 	return i == nil || (i.JobID == "" || i.JobID == job.JobID) && (i.JobName == "" || i.JobName == job.JobName) &&
 		(i.JobState == "" || i.JobState == job.JobState) &&
@@ -134,7 +134,7 @@
 		(i.QueueName == "" || i.QueueName == job.QueueName)
 }
 
-// JobCategories lists the classes that a template may name.
+// JobCategories returns the classes that JobTemplate.JobCategory may name.
 func (s *JobSession) JobCategories(ctx context.Context) ([]string, error) {
 	drms, err := s.client.Drms(ctx)
 	if err != nil {
@@ -143,13 +143,13 @@
 	return drms.Categories, nil
 }
 
-// WaitAnyStarted waits until one of the jobs, all of this session, has started or ended, and returns it. ErrTimeout after
-// the timeout, which may be InfiniteTime; ErrInvalidArgument without jobs.
+// WaitAnyStarted waits until one of the jobs, which must be of this session, has started or ended, and returns it. The timeout
+// may be InfiniteTime. The error is ErrTimeout after the timeout, and ErrInvalidArgument if there are no jobs.
 func (s *JobSession) WaitAnyStarted(ctx context.Context, jobs []*Job, timeout time.Duration) (*Job, error) {
 	return s.waitAny(ctx, jobs, timeout, JobState.Started)
 }
 
-// WaitAnyTerminated waits until one of the jobs has ended, in the same way as WaitAnyStarted.
+// WaitAnyTerminated is like WaitAnyStarted, but waits until one of the jobs has ended.
 func (s *JobSession) WaitAnyTerminated(ctx context.Context, jobs []*Job, timeout time.Duration) (*Job, error) {
 	return s.waitAny(ctx, jobs, timeout, JobState.Terminated)
 }
@@ -173,9 +173,9 @@
 	return found, err
 }
 
-// Watch calls handle with every change of the session's jobs, first with all as they are now, until handle returns false
-// (nil), the context ends (its error) or the scheduler is not reached for Client.RetryFor (ErrDrmCommunication). It
-// continues over broken connections. Handle is called by the caller's goroutine; while it runs no events are read.
+// Watch calls handle with the current state of each job of the session, and then with every change. It reconnects as needed.
+// It returns nil when handle returns false, the context's error when that ends, and ErrDrmCommunication if the scheduler
+// can't be reached for Client.RetryFor. Watch calls handle on the calling goroutine, and reads no events meanwhile.
 func (s *JobSession) Watch(ctx context.Context, handle func(JobInfo) bool) error {
 	return s.client.watch(ctx, s.path()+eventsPath, handle)
 }
--- a/drmaa2/types.go
+++ b/drmaa2/types.go
@@ -7,60 +7,60 @@
 
 // The job states.
 const (
-	Undetermined JobState = "UNDETERMINED"  // not known: the state could not be read
+	Undetermined JobState = "UNDETERMINED"  // unknown: the state could not be read
 	Queued       JobState = "QUEUED"        // not started yet
-	QueuedHeld   JobState = "QUEUED_HELD"   // not started yet, and held
-	Running      JobState = "RUNNING"       // runs on a node
+	QueuedHeld   JobState = "QUEUED_HELD"   // not started yet, and on hold
+	Running      JobState = "RUNNING"       // running on a node
 	Suspended    JobState = "SUSPENDED"     // does not occur: nodes don't suspend
-	Requeued     JobState = "REQUEUED"      // has run, and is to be started anew
-	RequeuedHeld JobState = "REQUEUED_HELD" // the same, and held
-	Done         JobState = "DONE"          // has ended with exit status 0
-	Failed       JobState = "FAILED"        // has ended otherwise; see JobInfo.JobSubState
+	Requeued     JobState = "REQUEUED"      // will be restarted
+	RequeuedHeld JobState = "REQUEUED_HELD" // will be restarted, and on hold
+	Done         JobState = "DONE"          // ended with exit status 0
+	Failed       JobState = "FAILED"        // ended otherwise; see JobInfo.JobSubState
 )
 
 // Constants of GFD.194 for timeouts and templates.
 const (
-	// InfiniteTime is a timeout that never ends.
+	// InfiniteTime as a timeout means no limit.
 	InfiniteTime = time.Duration(1<<63 - 1)
-	// ZeroTime is a timeout that ends at once.
+	// ZeroTime is a timeout that expires at once.
 	ZeroTime = time.Duration(0)
 	// HomeDirectory is a placeholder in paths of a template, GFD.194 section 5.6.
 	HomeDirectory = "$DRMAA2_HOME_DIR$"
 )
 
-// Started tells whether a job in this state has started, as WaitStarted counts it: it runs, or it has ended.
+// Started reports whether a job in this state is running or has ended, which is what WaitStarted waits for.
 func (s JobState) Started() bool { return s == Running || s == Suspended || s.Terminated() }
 
-// Terminated tells whether the state is final.
+// Terminated reports whether a job in this state has ended.
 func (s JobState) Terminated() bool { return s == Done || s == Failed }
 
 // Implementation-specific attributes of a JobTemplate, all optional. Values are text.
 const (
-	AttrService         = "flaxshelf.service" // service; its jobs are spread, and nodes cache its program
-	AttrKey             = "flaxshelf.key"     // idempotency key: submitted again, it is the same job
-	AttrCores           = "flaxshelf.cores"   // cores requested, a decimal number; in place of MinSlots
-	AttrMemory          = "flaxshelf.memory"  // memory requested in GiB, a decimal number; in place of MinPhysMemory
-	AttrExpectedRuntime = "flaxshelf.life"    // how long the job should run, a Go duration such as 1m30s
-	AttrGiveUp          = "flaxshelf.giveup"  // how long the job may wait for a start, a Go duration
+	AttrService          = "flaxshelf.service" // service; its jobs are spread over machines, and nodes cache its program
+	AttrKey              = "flaxshelf.key"     // idempotency key: a retry under the same key is the same job
+	AttrCores            = "flaxshelf.cores"   // cores requested, a decimal number; in place of MinSlots
+	AttrMemory           = "flaxshelf.memory"  // memory requested in GiB, a decimal number; in place of MinPhysMemory
+	AttrExpectedRuntime  = "flaxshelf.life"    // expected runtime, a Go duration such as 1m30s
+	AttrPlacementTimeout = "flaxshelf.giveup"  // time within which the job must start, a Go duration
 )
 
 // Implementation-specific attributes of a JobInfo.
 const (
-	AttrOutcome           = "flaxshelf.outcome"  // of the last placement request: placed, refused, failed or withdrawn
-	AttrPlacementRequests = "flaxshelf.ask"      // number of placement requests made for the job, the first is 1
-	AttrAttempts          = "flaxshelf.attempts" // offers made to nodes for the last placement request
-	AttrNode              = "flaxshelf.node"     // node that runs the job, or that it is offered to
+	AttrOutcome           = "flaxshelf.outcome"  // placed, refused (rejected), failed or withdrawn (canceled)
+	AttrPlacementRequests = "flaxshelf.ask"      // number of placement requests so far
+	AttrAttempts          = "flaxshelf.attempts" // number of offers to nodes for the last placement request
+	AttrNode              = "flaxshelf.node"     // node that runs the job or has its pending offer
 	AttrArray             = "flaxshelf.array"    // ID of the array that the job belongs to
 	AttrIndex             = "flaxshelf.index"    // the job's index in its array
 	AttrRequestedAt       = "flaxshelf.asked"    // start of the last placement request, RFC 3339
-	AttrDue               = "flaxshelf.due"      // deadline of the last placement request, RFC 3339
+	AttrPlacementDeadline = "flaxshelf.due"      // deadline of the last placement request, RFC 3339
 	AttrClass             = "flaxshelf.class"    // JobCategory of the template
 	AttrTenant            = "flaxshelf.tenant"   // AccountingID of the template
-	AttrRevision          = "flaxshelf.revision" // grows with each change of a job, within one incarnation of the scheduler
+	AttrRevision          = "flaxshelf.revision" // increases with each change of a job
 )
 
-// JobTemplate is a job to be run, GFD.194 section 5.5. A zero value means unset. docs/drmaa.md lists which attributes are
-// supported; a submission that sets another one is ErrUnsupportedAttribute.
+// JobTemplate describes a job to be run, GFD.194 section 5.5. A zero value means unset. docs/drmaa.md lists the supported
+// attributes; a submission that sets another one fails with ErrUnsupportedAttribute.
 type JobTemplate struct {
 	RemoteCommand     string            `json:"remoteCommand,omitempty"`
 	Args              []string          `json:"args,omitempty"`
@@ -96,7 +96,7 @@
 	ImplementationSpecific map[string]string `json:"implementationSpecific,omitempty"`
 }
 
-// JobInfo is what the scheduler knows of a job at one time, GFD.194 section 5.4. Pointers are nil where a value is not known.
+// JobInfo is the information on a job at one time, GFD.194 section 5.4. Pointers are nil if the value is unknown.
 type JobInfo struct {
 	JobID             string     `json:"jobId"`
 	JobName           string     `json:"jobName,omitempty"`
@@ -144,7 +144,7 @@
 	AttrKind         = "flaxshelf.kind"     // name of the kind of machine
 	AttrZone         = "flaxshelf.zone"     // zone, the larger topology domain
 	AttrCell         = "flaxshelf.cell"     // number of the cell within the zone
-	AttrMachineState = "flaxshelf.standing" // in, draining or out, as the inventory lists it
+	AttrMachineState = "flaxshelf.standing" // in (active), draining or out (removed), from the inventory
 	AttrJobs         = "flaxshelf.jobs"     // number of this scheduler's jobs on the node
 )
 
@@ -175,7 +175,7 @@
 // Submission is the body of a request to run a job or, with Bulk, an array. It is part of the wire protocol.
 type Submission struct {
 	Template JobTemplate `json:"template"`
-	Again    bool        `json:"again,omitempty"` // a retry: the same was sent before, without a known outcome
+	Again    bool        `json:"again,omitempty"` // it is a retry of a submission without a known outcome
 	Bulk     *Bulk       `json:"bulk,omitempty"`
 }
 
@@ -184,12 +184,12 @@
 	BeginIndex  int `json:"beginIndex"`
 	EndIndex    int `json:"endIndex"`
 	Step        int `json:"step"`
-	MaxParallel int `json:"maxParallel,omitempty"` // jobs that may run at a time; 0: all
+	MaxParallel int `json:"maxParallel,omitempty"` // jobs that may run at a time; zero means no limit
 }
 
-// Submitted is the response to a Submission, and to each request that lists jobs. It is part of the wire protocol.
+// Submitted is the response to a Submission, and to each request for a list of jobs. It is part of the wire protocol.
 type Submitted struct {
 	ArrayID  string    `json:"arrayId,omitempty"`
-	Existing bool      `json:"existing,omitempty"` // the idempotency key was known: these are the earlier jobs
+	Existing bool      `json:"existing,omitempty"` // the idempotency key is in use: these are its earlier jobs
 	Jobs     []JobInfo `json:"jobs"`
 }
--- a/internal/daemon/cores_test.go
+++ b/internal/daemon/cores_test.go
@@ -135,7 +135,7 @@
 		cluster.restartDaemon()
 		session = cluster.createSession(ctx, "next")
 		for i := range count {
-			if _, err := session.RunJobAgain(ctx, template(i)); err != nil {
+			if _, err := session.ResubmitJob(ctx, template(i)); err != nil {
 				t.Fatalf("%d cores, key %d: %v", cores, i, err)
 			}
 		}
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -286,7 +286,7 @@
 		t.Fatal(err)
 	}
 	cluster.restartDaemon()
-	retried, err := cluster.createSession(ctx, "other").RunJobAgain(ctx, template)
+	retried, err := cluster.createSession(ctx, "other").ResubmitJob(ctx, template)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/front/drmaafront/extensions.go
+++ b/internal/front/drmaafront/extensions.go
@@ -31,7 +31,7 @@
 			spec.Memory, err = parseAmount(name, value, template.MinPhysMemory > 0)
 		case drmaa2.AttrExpectedRuntime:
 			spec.ExpectedRuntime, err = parseDuration(name, value)
-		case drmaa2.AttrGiveUp:
+		case drmaa2.AttrPlacementTimeout:
 			spec.PlacementTimeout, err = parseDuration(name, value)
 		default:
 			err = unsupportedAttribute(clip(name), "is not known")
--- a/internal/front/drmaafront/jobinfo.go
+++ b/internal/front/drmaafront/jobinfo.go
@@ -97,7 +97,7 @@
 		attributes[drmaa2.AttrRequestedAt] = formatTime(info.RequestedAt)
 	}
 	if info.PlacementDeadline > 0 {
-		attributes[drmaa2.AttrDue] = formatTime(info.PlacementDeadline)
+		attributes[drmaa2.AttrPlacementDeadline] = formatTime(info.PlacementDeadline)
 	}
 	return attributes
 }
--- a/internal/front/drmaafront/responses.go
+++ b/internal/front/drmaafront/responses.go
@@ -56,10 +56,11 @@
 		Machine:      f.set.Name,
 		Capabilities: []string{"RT_ACCOUNTINGID", "RT_STARTTIME", "RT_DEADLINE", "BULK_JOBS_MAXPARALLEL"},
 		JobTemplate: []string{drmaa2.AttrService, drmaa2.AttrKey, drmaa2.AttrCores, drmaa2.AttrMemory, drmaa2.AttrExpectedRuntime,
-			drmaa2.AttrGiveUp},
+			drmaa2.AttrPlacementTimeout},
 		JobInfo: []string{drmaa2.AttrOutcome, drmaa2.AttrPlacementRequests, drmaa2.AttrAttempts, drmaa2.AttrNode,
 			drmaa2.AttrArray,
-			drmaa2.AttrIndex, drmaa2.AttrRequestedAt, drmaa2.AttrDue, drmaa2.AttrRevision, drmaa2.AttrClass, drmaa2.AttrTenant},
+			drmaa2.AttrIndex, drmaa2.AttrRequestedAt, drmaa2.AttrPlacementDeadline, drmaa2.AttrRevision,
+			drmaa2.AttrClass, drmaa2.AttrTenant},
 	}
 	for _, class := range f.set.Classes {
 		info.Categories = append(info.Categories, class.Name)
--- a/internal/testbed/rules/job.go
+++ b/internal/testbed/rules/job.go
@@ -99,7 +99,7 @@
 
 // placementTimeout is that of the job's template, or else of its class; 0 for none.
 func (c *checker) placementTimeout(template *drmaa2.JobTemplate) time.Duration {
-	if own, err := time.ParseDuration(template.ImplementationSpecific[drmaa2.AttrGiveUp]); err == nil {
+	if own, err := time.ParseDuration(template.ImplementationSpecific[drmaa2.AttrPlacementTimeout]); err == nil {
 		return own
 	}
 	for _, class := range c.figures.Classes {
--- a/internal/testbed/trial/clients.go
+++ b/internal/testbed/trial/clients.go
@@ -248,7 +248,7 @@
 		}
 		run := session.RunJob
 		if retry {
-			run = session.RunJobAgain
+			run = session.ResubmitJob
 		}
 		job, err := run(ctx, template)
 		if !errors.Is(err, drmaa2.ErrInvalidSession) || canceled(ctx) {
