--- a/drmaa2/errors.go
+++ b/drmaa2/errors.go
@@ -12,7 +12,7 @@
 // The exceptions. docs/drmaa.md lists when the scheduler raises each.
 const (
 	DeniedByDrms           ErrorCode = "DeniedByDrms"           // reserved for access control; not raised yet
-	DrmCommunication       ErrorCode = "DrmCommunication"       // the scheduler can't be reached, or its response can't be decoded
+	DrmCommunication       ErrorCode = "DrmCommunication"       // the scheduler can't be reached, or sent an invalid response
 	TryLater               ErrorCode = "TryLater"               // temporarily rejected; see Error.RetryAfter
 	TimeoutCode            ErrorCode = "Timeout"                // a wait timed out; raised by the client
 	Internal               ErrorCode = "Internal"               // a fault of the scheduler
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,19 +1,18 @@
-// Package clock has the time that is given to the deterministic parts of the module: Unix time in nanoseconds that never
-// steps. What makes decisions must not import it, but be given the time. Its functions may be called from several
-// goroutines.
+// Package clock has a monotonic Unix time in nanoseconds, for the deterministic parts of the program. Packages that make
+// decisions must not import it: their callers pass the time. Its functions are safe for concurrent use.
 package clock
 
 import "time"
 
-// start is the one reading of the wall clock; all later times are counted from it by the monotonic clock.
+// start is the only reading of the wall clock. All later times are its sum with the time elapsed on the monotonic clock.
 var start = time.Now()
 
-// Now returns Unix time in nanoseconds as the wall clock had it at the start of the process, counted on by the monotonic
-// clock, so that a step of the wall clock moves no deadline.
+// Now returns the Unix time of the start of the process plus the time elapsed since on the monotonic clock. A step of the wall
+// clock moves no deadline.
 func Now() time.Duration { return At(time.Now()) }
 
-// At returns what Now would have returned at a reading of time.Now.
+// At returns the result of Now at the instant t, which must be a result of time.Now.
 func At(t time.Time) time.Duration { return time.Duration(start.UnixNano()) + t.Sub(start) }
 
-// Wall returns a time of Now as a time.Time in the local time zone.
+// Wall converts a result of Now to a time.Time in the local time zone.
 func Wall(t time.Duration) time.Time { return time.Unix(0, int64(t)) }
--- a/internal/framereader/framereader.go
+++ b/internal/framereader/framereader.go
@@ -1,5 +1,5 @@
-// Package framereader splits the bytes that a connection has received into frames of the node wire. It must not
-// interpret frames, open sockets or keep anything between two calls.
+// Package framereader splits the received bytes of a connection into frames of the node protocol. It must not interpret
+// frames, open sockets or keep state between calls.
 package framereader
 
 import (
@@ -7,11 +7,11 @@
 	"flaxshelf.example/flaxshelf/internal/codec/nodeframe/nodepb"
 )
 
-// Each decodes the complete frames at the front of received and calls handle for each, in order. It returns how many
-// bytes belong to frames that were passed to handle; the rest is the start of a frame that has more bytes to come.
+// Each decodes the complete frames at the start of received and calls handle with each, in order. It returns the number of
+// bytes of the frames passed to handle; the remaining bytes are the start of an incomplete frame.
 //
-// The error is that of nodeframe.Next for bytes that are no frame, or that of handle, which ends the reading; the
-// connection can't be read on after either. Each keeps nothing of received, so several goroutines may use it at once.
+// Each stops at the first error: that of nodeframe.Next for invalid bytes, or that of handle. The caller must then close the
+// connection. Each does not retain received, and is safe for concurrent use.
 func Each(received []byte, handle func(frame *nodepb.Frame) error) (used int, err error) {
 	for {
 		frame, size, err := nodeframe.Next(received[used:])
--- a/internal/framereader/framereader_test.go
+++ b/internal/framereader/framereader_test.go
@@ -9,7 +9,7 @@
 	"flaxshelf.example/flaxshelf/internal/codec/nodeframe/nodepb"
 )
 
-// ping is the encoded frame of a ping with a token.
+// ping returns the encoded frame of a ping with a token.
 func ping(t *testing.T, token uint64) []byte {
 	t.Helper()
 	encoded, err := nodeframe.Append(nil, &nodepb.Frame{Body: &nodepb.Frame_Ping{Ping: &nodepb.Ping{Token: token}}})
@@ -19,14 +19,14 @@
 	return encoded
 }
 
-func TestEach(t *testing.T) {
+func TestEachHandlesCompleteFrames(t *testing.T) {
 	first, second := ping(t, 1), ping(t, 2)
 	both := append(append([]byte(nil), first...), second...)
 	errHandler := errors.New("handler failed")
 	tests := []struct {
 		name       string
 		received   []byte
-		failAt     uint64 // token of the frame that the handler returns an error for; 0: none
+		failAt     uint64 // token of the frame for which the handler returns an error; zero if none
 		wantTokens string
 		wantUsed   int
 		wantErr    error
@@ -39,7 +39,7 @@
 		{"two frames", both, 0, "[1 2]", len(both), nil},
 		{"handler error ends the reading", both, 1, "[1]", len(first), errHandler},
 		{"handler error on the second frame", both, 2, "[1 2]", len(both), errHandler},
-		{"empty frame behind a good one", append(append([]byte(nil), first...), 0, 0, 0, 0), 0, "[1]", len(first),
+		{"empty frame after a valid one", append(append([]byte(nil), first...), 0, 0, 0, 0), 0, "[1]", len(first),
 			nodeframe.ErrEmpty},
 		{"length over the limit", []byte{0xff, 0, 0, 0}, 0, "[]", 0, nodeframe.ErrTooLong},
 	}
@@ -54,10 +54,10 @@
 				return nil
 			})
 			if !errors.Is(err, test.wantErr) {
-				t.Errorf("error %v, want %v", err, test.wantErr)
+				t.Errorf("got error %v, want %v", err, test.wantErr)
 			}
 			if got := fmt.Sprint(tokens); got != test.wantTokens || used != test.wantUsed {
-				t.Errorf("tokens %s in %d bytes, want %s in %d", got, used, test.wantTokens, test.wantUsed)
+				t.Errorf("got tokens %s in %d bytes, want %s in %d", got, used, test.wantTokens, test.wantUsed)
 			}
 		})
 	}
--- a/internal/timerqueue/heap.go
+++ b/internal/timerqueue/heap.go
@@ -1,35 +1,35 @@
-// Package timerqueue has heaps of items that are ordered by time, and of which any can be removed before its time, and
-// timers on such a heap. It reads no clock: its callers say what time it is.
+// Package timerqueue has a heap of items ordered by time, from which any item can be removed, and timers based on it. It reads
+// no clock: the caller passes the current time.
 package timerqueue
 
 import "time"
 
-// Item is an entry of a Heap. Its zero value is in none. It must not be copied while it is in a heap, and must not be in two.
+// Item is an entry of a Heap. The zero value is in no heap. An item must not be copied while it is in a heap, and must not be in
+// two heaps.
 type Item[T any] struct {
 	Value    T
 	at       time.Duration
-	sequence uint64 // of the Set that gave it its time; orders items of the same time
-	position int    // in the heap, counted from 1; 0: not in it
+	sequence uint64 // number of the last Set of the item; orders items of the same time
+	position int    // in the heap, counted from 1; zero if it is in no heap
 }
 
-// Queued reports whether the item is in its heap.
+// Queued reports whether the item is in a heap.
 func (i *Item[T]) Queued() bool { return i.position > 0 }
 
-// At returns when the item falls due, as it was last set, also after it has left its heap.
+// At returns the time of the last Set, also after the item has left the heap.
 func (i *Item[T]) At() time.Duration { return i.at }
 
-// Heap orders items by their times, and items of the same time by the order in which they were set. Its zero value is
-// empty. It is not safe for concurrent use. Set, Remove and PopDue cost O(log n) and allocate only for the growth of the
-// heap.
+// Heap orders items by their times, and items of the same time in the order of their last Set. The zero value is an empty
+// heap. It is not safe for concurrent use. Set, Remove and PopDue take O(log n) time, and allocate only to grow the heap.
 type Heap[T any] struct {
 	items    []*Item[T] // a binary heap: the children of position p are at 2p and 2p+1, positions counted from 1
-	sequence uint64     // of the last Set
+	sequence uint64     // number of the last Set
 }
 
 // Len returns the number of items in the heap.
 func (h *Heap[T]) Len() int { return len(h.items) }
 
-// Set puts an item into the heap to fall due at the given time, or moves it to that time where it is in the heap already.
+// Set adds an item that is due at the given time, or moves it to that time if it is already in the heap.
 func (h *Heap[T]) Set(item *Item[T], at time.Duration) {
 	h.sequence++
 	item.at, item.sequence = at, h.sequence
@@ -40,7 +40,7 @@
 	h.fix(item.position)
 }
 
-// Remove takes an item out of the heap. It does nothing for an item that is not in one.
+// Remove removes an item. It does nothing for an item that is in no heap.
 func (h *Heap[T]) Remove(item *Item[T]) {
 	position := item.position
 	if position == 0 {
@@ -56,7 +56,7 @@
 	}
 }
 
-// Next returns when the first item falls due; ok is false for an empty heap.
+// Next returns the time of the first item; ok is false if the heap is empty.
 func (h *Heap[T]) Next() (at time.Duration, ok bool) {
 	if len(h.items) == 0 {
 		return 0, false
@@ -64,7 +64,7 @@
 	return h.items[0].at, true
 }
 
-// PopDue removes and returns the first item that is due at now; nil where none is.
+// PopDue removes and returns the first item if it is due at now, and nil otherwise.
 func (h *Heap[T]) PopDue(now time.Duration) *Item[T] {
 	if len(h.items) == 0 || h.items[0].at > now {
 		return nil
@@ -85,14 +85,14 @@
 	items[a-1].position, items[b-1].position = a, b
 }
 
-// fix moves the item at the position to where its time belongs.
+// fix moves the item at the position to where the order of the heap requires it.
 func (h *Heap[T]) fix(position int) {
 	if !h.up(position) {
 		h.down(position)
 	}
 }
 
-// up moves the item at the position towards the front. It returns whether the item has moved.
+// up moves the item at the position towards the front. It reports whether the item has moved.
 func (h *Heap[T]) up(position int) bool {
 	from := position
 	for position > 1 && h.less(position, position/2) {
--- a/internal/timerqueue/heap_test.go
+++ b/internal/timerqueue/heap_test.go
@@ -14,7 +14,7 @@
 	modelTimes = 10
 )
 
-// model is a heap with the sorted list that it should match.
+// model has a heap and the sorted list that it must match.
 type model struct {
 	heap   Heap[int]
 	items  []Item[int]
@@ -23,7 +23,7 @@
 
 type modelEntry struct {
 	at    int
-	order int // of the call that set it
+	order int // number of the call that set it
 	item  *Item[int]
 }
 
@@ -37,21 +37,22 @@
 
 func (m *model) set(item *Item[int], at, order int) {
 	m.heap.Set(item, time.Duration(at))
-	m.drop(item)
+	m.removeFromList(item)
 	m.sorted = append(m.sorted, modelEntry{at, order, item})
 	slices.SortFunc(m.sorted, func(a, b modelEntry) int { return cmp.Or(a.at-b.at, a.order-b.order) })
 }
 
 func (m *model) remove(item *Item[int]) {
 	m.heap.Remove(item)
-	m.drop(item)
+	m.removeFromList(item)
 }
 
-func (m *model) drop(item *Item[int]) {
+func (m *model) removeFromList(item *Item[int]) {
 	m.sorted = slices.DeleteFunc(m.sorted, func(e modelEntry) bool { return e.item == item })
 }
 
 func (m *model) popDue(t *rapid.T, now int) {
+	t.Helper()
 	got := m.heap.PopDue(time.Duration(now))
 	var want *Item[int]
 	if len(m.sorted) > 0 && m.sorted[0].at <= now {
@@ -59,35 +60,35 @@
 		m.sorted = m.sorted[1:]
 	}
 	if got != want {
-		t.Fatalf("popped %+v, want %+v", got, want)
+		t.Fatalf("got item %+v, want %+v", got, want)
 	}
 }
 
-// check compares all that the heap says of itself with the list.
+// check compares the heap with the list by all its accessors.
 func (m *model) check(t *rapid.T) {
+	t.Helper()
 	for i := range m.items {
 		queued := slices.ContainsFunc(m.sorted, func(e modelEntry) bool { return e.item == &m.items[i] })
 		if m.items[i].Queued() != queued {
-			t.Fatalf("item %d queued: %v, want %v", i, m.items[i].Queued(), queued)
+			t.Fatalf("item %d: got queued %v, want %v", i, m.items[i].Queued(), queued)
 		}
 	}
 	if m.heap.Len() != len(m.sorted) {
-		t.Fatalf("%d items, want %d", m.heap.Len(), len(m.sorted))
+		t.Fatalf("got %d items, want %d", m.heap.Len(), len(m.sorted))
 	}
 	next, ok := m.heap.Next()
 	if ok != (len(m.sorted) > 0) || ok && next != time.Duration(m.sorted[0].at) {
-		t.Fatalf("next at %v, %v, want that of %+v", next, ok, m.sorted)
+		t.Fatalf("got next %v, %v, want the first of %+v", next, ok, m.sorted)
 	}
 }
 
-// Any sequence of calls leaves what a sorted list would hold.
 func TestHeapMatchesSortedList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel()
 		for order := range rapid.IntRange(1, 200).Draw(t, "steps") {
 			item := &m.items[rapid.IntRange(0, modelItems-1).Draw(t, "item")]
 			at := rapid.IntRange(0, modelTimes-1).Draw(t, "at")
-			switch rapid.IntRange(0, 3).Draw(t, "do") {
+			switch rapid.IntRange(0, 3).Draw(t, "operation") {
 			case 0, 1:
 				m.set(item, at, order)
 			case 2:
@@ -100,8 +101,7 @@
 	})
 }
 
-// Setting and popping an item again and again allocates nothing.
-func TestHeapDoesNotAllocate(t *testing.T) {
+func TestHeapOfConstantSizeDoesNotAllocate(t *testing.T) {
 	var h Heap[int]
 	items := make([]Item[int], 64)
 	cycle := func() {
@@ -114,7 +114,7 @@
 	}
 	cycle()
 	if got := testing.AllocsPerRun(10, cycle); got != 0 {
-		t.Errorf("%v allocations", got)
+		t.Errorf("got %v allocations, want 0", got)
 	}
 }
 
--- a/internal/timerqueue/timers_test.go
+++ b/internal/timerqueue/timers_test.go
@@ -1,37 +1,68 @@
 package timerqueue
 
 import (
-	"fmt"
+	"slices"
 	"testing"
+	"time"
 )
 
-func TestTimers(t *testing.T) {
-	var timers Timers
-	var called []string
-	record := func(name string) func() { return func() { called = append(called, name) } }
-	timers.Schedule(20, record("second"))
-	timers.Schedule(10, record("first"))
-	cancelled := timers.Schedule(10, record("cancelled"))
-	timers.Schedule(20, func() {
-		called = append(called, "third")
-		timers.Schedule(20, record("scheduled by the third"))
-		timers.Schedule(21, record("too late"))
-	})
-	timers.Cancel(cancelled)
-	timers.Cancel(nil)
-	if at, ok := timers.Next(); !ok || at != 10 || timers.Len() != 3 {
-		t.Errorf("next at %v, %v, of %d", at, ok, timers.Len())
-	}
-	timers.RunDue(9)
-	if len(called) > 0 {
-		t.Errorf("called too early: %v", called)
-	}
-	timers.RunDue(20)
-	if got, want := fmt.Sprint(called), "[first second third scheduled by the third]"; got != want {
-		t.Errorf("called %s, want %s", got, want)
+// callRecorder schedules callbacks that record their names.
+type callRecorder struct {
+	timers Timers
+	called []string
+}
+
+func (r *callRecorder) schedule(at time.Duration, name string) *Timer {
+	return r.timers.Schedule(at, func() { r.called = append(r.called, name) })
+}
+
+func (r *callRecorder) expectCalls(t *testing.T, want ...string) {
+	t.Helper()
+	if !slices.Equal(r.called, want) {
+		t.Errorf("got calls %q, want %q", r.called, want)
 	}
-	timers.Cancel(cancelled) // a second time
-	if at, ok := timers.Next(); !ok || at != 21 || timers.Len() != 1 {
-		t.Errorf("next at %v, %v, of %d", at, ok, timers.Len())
+}
+
+func (r *callRecorder) expectNext(t *testing.T, wantAt time.Duration, wantLen int) {
+	t.Helper()
+	if at, ok := r.timers.Next(); !ok || at != wantAt || r.timers.Len() != wantLen {
+		t.Errorf("got next %v, %v, of %d timers, want %v, true, of %d", at, ok, r.timers.Len(), wantAt, wantLen)
 	}
 }
+
+func TestRunDueCallsInTheOrderOfTime(t *testing.T) {
+	r := &callRecorder{}
+	r.schedule(20, "second")
+	r.schedule(10, "first")
+	r.schedule(20, "third")
+	r.expectNext(t, 10, 3)
+	r.timers.RunDue(9)
+	r.expectCalls(t)
+	r.timers.RunDue(20)
+	r.expectCalls(t, "first", "second", "third")
+}
+
+func TestRunDueCallsWhatItsCallsSchedule(t *testing.T) {
+	r := &callRecorder{}
+	r.timers.Schedule(20, func() {
+		r.schedule(20, "due at once")
+		r.schedule(21, "due later")
+	})
+	r.timers.RunDue(20)
+	r.expectCalls(t, "due at once")
+	r.expectNext(t, 21, 1)
+}
+
+func TestCanceledTimerIsRemoved(t *testing.T) {
+	r := &callRecorder{}
+	r.schedule(20, "kept")
+	r.schedule(30, "not due")
+	canceled := r.schedule(10, "canceled")
+	r.timers.Cancel(canceled)
+	r.timers.Cancel(nil)
+	r.expectNext(t, 20, 2)
+	r.timers.RunDue(20)
+	r.expectCalls(t, "kept")
+	r.timers.Cancel(canceled) // a second time
+	r.expectNext(t, 30, 1)
+}
