--- a/cmd/flaxshelf/config.go
+++ b/cmd/flaxshelf/config.go
@@ -36,7 +36,7 @@
 type configSchemaCmd struct{}
 
 // Run prints the schema.
-func (configSchemaCmd) Run(std *streams) error { //nolint:unparam // the parser wants a Run that returns an error
+func (configSchemaCmd) Run(std *streams) error { //nolint:unparam // kong requires a Run that returns an error
 	std.out.print(settings.Schema())
 	return nil
 }
--- a/cmd/flaxshelf/deprecated.go
+++ b/cmd/flaxshelf/deprecated.go
@@ -17,7 +17,7 @@
 const deprecatedFlagsRemovedIn = "0.2.0"
 
 // applyDeprecatedFlags sets the replacement of each deprecated flag that was given, and logs a warning that names it.
-// A deprecated flag beside its replacement is a usageError.
+// It returns a usageError if both are given.
 func applyDeprecatedFlags(command *kong.Context, log zerolog.Logger) error {
 	given := givenFlags(command)
 	for _, name := range slices.Sorted(maps.Keys(given)) {
--- a/cmd/flaxshelf/deprecated_test.go
+++ b/cmd/flaxshelf/deprecated_test.go
@@ -88,7 +88,7 @@
 	}
 }
 
-func TestDeprecatedFlagBesideItsReplacementIsRejected(t *testing.T) {
+func TestDeprecatedFlagWithItsReplacementIsRejected(t *testing.T) {
 	for _, c := range deprecatedFlagTests {
 		t.Run(c.name, func(t *testing.T) {
 			_, _, err := parseCommandLine(t, append(c.command, withValue(c.deprecated, c.value), withValue(c.replacement, c.value)))
@@ -107,7 +107,7 @@
 	return flag + "=" + value
 }
 
-// Every deprecated flag has a replacement of its type, says so in its help, and is in deprecatedFlagTests.
+// Every deprecated flag must have a replacement of its type, a help text that names it, and a case in deprecatedFlagTests.
 func TestDeprecatedFlagsNameTheirReplacement(t *testing.T) {
 	tested := map[string]bool{}
 	for _, c := range deprecatedFlagTests {
--- a/cmd/flaxshelf/experiment.go
+++ b/cmd/flaxshelf/experiment.go
@@ -17,7 +17,7 @@
 	Workers int    `default:"0" help:"Concurrent runs; 0: one for each processor."`
 }
 
-// Run runs what is not completed yet, and prints the results.
+// Run executes the runs that are not completed yet, and prints the results.
 func (c *experimentCmd) Run(ctx context.Context, std *streams) error {
 	text, err := os.ReadFile(c.File)
 	if err != nil {
--- a/cmd/flaxshelf/job_query.go
+++ b/cmd/flaxshelf/job_query.go
@@ -62,7 +62,7 @@
 
 type jobInfoCmd struct{ jobArgument }
 
-// Run prints what is known of the job, or of each job of the array, as JSON.
+// Run prints the JobInfo of the job, or of each job of the array, as JSON.
 func (c *jobInfoCmd) Run(ctx context.Context, std *streams) error {
 	client := c.client()
 	defer client.Close()
--- a/cmd/flaxshelf/main.go
+++ b/cmd/flaxshelf/main.go
@@ -39,7 +39,7 @@
 	Emulate    emulateCmd    `cmd:"" help:"Play a scripted day on a simulated clock."`
 	Load       loadCmd       `cmd:"" help:"Send, capture, import and show loads."`
 	Experiment experimentCmd `cmd:"" help:"Compare designs over seeds by emulation, with intervals and a report."`
-	Plan       planCmd       `cmd:"" help:"Show the first limit of a load, the nodes that a goal needs, and the capacity after the loss of a part."`
+	Plan       planCmd       `cmd:"" help:"Show the first limit of a load, the nodes that a goal needs, and the capacity after the loss of a failure domain."`
 	Verify     verifyCmd     `cmd:"" help:"Check the recording of a trial again."`
 	Replay     replayCmd     `cmd:"" help:"Replay a scheduler's recorded steps to the module and compare its actions."`
 	Config     configCmd     `cmd:"" help:"Check configuration files."`
--- a/cmd/flaxshelf/plan.go
+++ b/cmd/flaxshelf/plan.go
@@ -94,17 +94,17 @@
 	}
 }
 
-// printLosses prints the first limit of the fleet without each of its parts.
+// printLosses prints the first limit of the fleet without each of its failure domains.
 func printLosses(std *streams, fleet *planner.Fleet, load []planner.Class) {
-	std.out.println("\ncapacity after the loss of a part:")
-	for _, part := range fleetParts(fleet) {
-		rest := fleet.Without(part.zone, part.cell, part.kind)
+	std.out.println("\ncapacity after the loss of a failure domain:")
+	for _, domain := range failureDomains(fleet) {
+		rest := fleet.Without(domain.zone, domain.cell, domain.kind)
 		if rest.Nodes() == 0 {
-			std.out.printf("  %s: no nodes\n", part.name)
+			std.out.printf("  %s: no nodes\n", domain.name)
 			continue
 		}
 		first, _ := planner.First(planner.Limits(rest, load))
-		std.out.printf("  %s: %d nodes; %v\n", part.name, rest.Nodes(), first)
+		std.out.printf("  %s: %d nodes; %v\n", domain.name, rest.Nodes(), first)
 	}
 }
 
@@ -159,26 +159,26 @@
 	return load, nil
 }
 
-// anyCell is the cell of a part that covers all cells.
+// anyCell is the cell of a failure domain that covers all cells.
 const anyCell = -1
 
-// fleetPart is a part of a fleet that may be lost at once. An empty zone or kind matches any.
-type fleetPart struct {
+// failureDomain is a set of nodes that may fail together. An empty zone or kind matches any.
+type failureDomain struct {
 	name, zone, kind string
 	cell             int
 }
 
-// fleetParts returns the zones, cells and kinds of a fleet, sorted by name.
-func fleetParts(fleet *planner.Fleet) []fleetPart {
-	byName := map[string]fleetPart{}
+// failureDomains returns the zones, cells and kinds of a fleet, sorted by name.
+func failureDomains(fleet *planner.Fleet) []failureDomain {
+	byName := map[string]failureDomain{}
 	for _, group := range fleet.Groups {
-		for _, part := range []fleetPart{
+		for _, domain := range []failureDomain{
 			{name: "zone " + group.Zone, zone: group.Zone, cell: anyCell},
 			{name: fmt.Sprintf("cell %d of %s", group.Cell, group.Zone), zone: group.Zone, cell: group.Cell},
 			{name: "kind " + group.Kind, kind: group.Kind, cell: anyCell},
 		} {
-			byName[part.name] = part
+			byName[domain.name] = domain
 		}
 	}
-	return slices.SortedFunc(maps.Values(byName), func(a, b fleetPart) int { return cmp.Compare(a.name, b.name) })
+	return slices.SortedFunc(maps.Values(byName), func(a, b failureDomain) int { return cmp.Compare(a.name, b.name) })
 }
--- a/cmd/flaxshelf/verify.go
+++ b/cmd/flaxshelf/verify.go
@@ -8,14 +8,14 @@
 
 type verifyCmd struct {
 	File  string   `arg:"" type:"existingfile" help:"The recording."`
-	Words []string `name:"follow" placeholder:"WORD" help:"Print the frames in which each of these words occurs, instead of checking the rules."`
+	Terms []string `name:"follow" placeholder:"WORD" help:"Print the frames that contain all of these words, instead of checking the rules."`
 }
 
 // Run checks a recording against the rules.
 func (c *verifyCmd) Run(std *streams) error {
-	if len(c.Words) > 0 {
+	if len(c.Terms) > 0 {
 		_, err := readFile(c.File, func(r io.Reader) (struct{}, error) {
-			return struct{}{}, rules.Follow(r, std.out, c.Words...)
+			return struct{}{}, rules.Follow(r, std.out, c.Terms...)
 		})
 		return err
 	}
--- a/internal/replay/check.go
+++ b/internal/replay/check.go
@@ -9,10 +9,10 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-// Result counts what a check compared.
+// Result counts the steps, events and actions that a check compared.
 type Result struct{ Steps, Events, Actions int }
 
-// Module is what a recording is replayed to.
+// Module is a module that a recording is replayed to.
 type Module interface {
 	Step(now flaxshelf.Time, events []flaxshelf.Event) []flaxshelf.Action
 }
--- a/internal/replay/errors.go
+++ b/internal/replay/errors.go
@@ -15,7 +15,7 @@
 	Err     error  // nil if the version alone is the reason
 }
 
-// Error names the part and the reason, and says what to do.
+// Error describes the part, the reason and the remedy.
 func (e *FormatError) Error() string {
 	if e.Err == nil {
 		return fmt.Sprintf("replay: read %s: the recording has version %d, this build reads version %d: "+
