--- a/cmd/flaxshelf/emulate.go
+++ b/cmd/flaxshelf/emulate.go
@@ -15,7 +15,7 @@
 type emulateCmd struct {
 	Day              string        `arg:"" help:"Name of a day that ships with the program, or a CUE file as #Trial of the schema."`
 	Seed             uint64        `default:"1" help:"Seed of the random numbers."`
-	Workers          int           `default:"1" help:"Number of goroutines that simulate parts of the cluster; the trace does not depend on it."`
+	Workers          int           `default:"1" help:"Parts of the cluster that are simulated in parallel; the trace does not depend on it."`
 	Verify           bool          `help:"Check the trace against the rules; exit 1 on a violation."`
 	Plan             string        `type:"existingfile" xor:"load" placeholder:"FILE" help:"Use this load plan instead of the day's load."`
 	Trace            string        `type:"existingfile" xor:"load" placeholder:"FILE" help:"Use this captured load instead of the day's load."`
--- a/cmd/flaxshelf/job_submit.go
+++ b/cmd/flaxshelf/job_submit.go
@@ -24,7 +24,7 @@
 	Memory          string        `help:"Memory requested, in GiB."`
 	ExpectedRuntime time.Duration `help:"Expected runtime."`
 
-	PlacementTimeout time.Duration `help:"Time within which the job must start; it fails afterwards."`
+	PlacementTimeout time.Duration `help:"Limit of the wait for a start."`
 
 	Hold       bool     `help:"Submit the job held."`
 	Rerunnable bool     `help:"Restart the job if it is evicted or its node is lost."`
--- a/cmd/flaxshelf/up-fleet.cue
+++ b/cmd/flaxshelf/up-fleet.cue
@@ -1,4 +1,4 @@
-// The fleet of `flaxshelf up`: four stand-in nodes in two rooms.
+// The fleet of `flaxshelf up`: four stand-in nodes in two zones.
 kinds: [{name: "small", cores: 16, memory: 64}, {name: "large", cores: 32, memory: 128}]
 nodes: [
 	{name: "n1", kind: "small", zone: "room-a", cell: 0},
--- a/cmd/flaxshelf/up-scheduler.cue
+++ b/cmd/flaxshelf/up-scheduler.cue
@@ -1,4 +1,4 @@
-// The scheduler of `flaxshelf up`. Its inventory is put in when it starts.
+// The scheduler of `flaxshelf up`. The command sets the address of the inventory.
 name:      "up"
 inventory: "127.0.0.1:0"
 kinds: [{name: "small", cores: 16, memory: 64}, {name: "large", cores: 32, memory: 128}]
