--- a/internal/front/platformfront/config_test.go
+++ b/internal/front/platformfront/config_test.go
@@ -13,6 +13,7 @@
 	"github.com/goccy/go-json"
 
 	"flaxshelf.example/flaxshelf"
+	"flaxshelf.example/flaxshelf/internal/fleetsettings"
 )
 
 const configText = `{"name":"n3","listen":"127.0.0.1:0","seed":"8c1f30d27a5be964","limits":{"cores":0.25,"memory_mb":64,"sockets":256},
@@ -76,7 +77,7 @@
 			t.Fatalf("%+v", c.InitialEvents)
 		}
 		expectEqual(t, "complete", c.InitialEvents[0].Update.Complete, true)
-		expectEqual(t, "machine", c.InitialEvents[1].Update.Machines[0],
+		expectEqual(t, "machine", c.InitialEvents[1].Update.Endpoints[0].Machine,
 			flaxshelf.Machine{ID: "s-1", Zone: "east", Cell: 2, State: flaxshelf.Draining, Started: 1500 * time.Millisecond})
 	})
 }
@@ -171,11 +172,11 @@
 				t.Errorf("idle timeout: %+v, %v", c, err)
 			}
 			event, err := want.DecodeWatchEvent([]byte(withKeys(eventText, "members servers id state unasked", write)))
-			if err != nil || !event.HasFreeCapacity || event.Update.Machines[0].FreeMemory != 2 {
+			if err != nil || !event.HasFreeCapacity || event.Update.Endpoints[0].Machine.FreeMemory != 2 {
 				t.Errorf("event: %+v, %v", event, err)
 			}
 			object := strings.TrimSuffix(strings.TrimPrefix(settings, `"settings":`), "}")
-			names, err := decodeNames(json.RawMessage(withKeys(object, "kinds categories customers name", write)))
+			_, names, err := fleetsettings.DecodeJSON(json.RawMessage(withKeys(object, "kinds categories customers name", write)))
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/lab/trial/clients.go
+++ b/internal/testbed/trial/clients.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"flaxshelf.example/flaxshelf/drmaa2"
-	"flaxshelf.example/flaxshelf/internal/lab/fault"
-	"flaxshelf.example/flaxshelf/internal/lab/scenario"
+	"flaxshelf.example/flaxshelf/internal/testbed/fault"
+	"flaxshelf.example/flaxshelf/internal/testbed/scenario"
 )
 
 // sessionName is the job session in which a trial's clients submit.
@@ -248,7 +248,7 @@
 		}
 		run := session.RunJob
 		if retry {
-			run = session.RunJobAgain
+			run = session.ResubmitJob
 		}
 		job, err := run(ctx, template)
 		if !errors.Is(err, drmaa2.ErrInvalidSession) || canceled(ctx) {
--- a/test.sh
+++ b/test.sh
@@ -17,9 +17,9 @@
 long=$(git ls-files -co --exclude-standard '*.go' ':!*_test.go' ':!*.pb.go' |
 	xargs -d '\n' awk '{gsub(/\t/,"    ")} length>130 && !/help:"/ {print FILENAME":"FNR}')
 if [ -n "$long" ]; then echo "lines over 130 characters: $long"; exit 1; fi
-# What runs in production imports nothing of the laboratory.
+# What runs in production imports nothing of the testbed.
 inward=$(go list -f '{{$p := .ImportPath}}{{range .Imports}}{{$p}} imports {{.}}{{"\n"}}{{end}}' . ./internal/... ./drmaa2 |
-	grep -v '^[^ ]*/internal/lab/' | grep 'imports .*/internal/lab/' || true)
+	grep -v '^[^ ]*/internal/testbed/' | grep 'imports .*/internal/testbed/' || true)
 if [ -n "$inward" ]; then echo "$inward"; exit 1; fi
 # Tests that fail for a fault that is known and not mended yet are run apart and printed: three at most, each has to fail.
 skip='^$'
@@ -33,5 +33,5 @@
 	skip="$skip|^$name\$"
 done <KNOWN-RED.txt
 go test -skip "$skip" ./...
-go test -skip "$skip" -race ./internal/transport ./internal/platform ./internal/lab/recordproxy ./internal/daemon ./internal/lab/standin/...
-go test -skip "$skip" -race -run "Determinism|Resume" ./internal/lab/emulator ./internal/lab/experiment
+go test -skip "$skip" -race ./internal/transport ./internal/platform ./internal/testbed/recordproxy ./internal/daemon ./internal/testbed/standin/...
+go test -skip "$skip" -race -run "Determinism|Resume" ./internal/testbed/emulator ./internal/testbed/experiment
