--- a/cmd/flaxshelf/config.go
+++ b/cmd/flaxshelf/config.go
@@ -29,14 +29,14 @@
 	if err != nil {
 		return err
 	}
-	std.out.printf("%s: good as a %s\n", c.File, c.As)
+	std.out.printf("%s: valid %s configuration\n", c.File, c.As)
 	return nil
 }
 
 type configSchemaCmd struct{}
 
 // Run prints the schema.
-func (configSchemaCmd) Run(std *streams) error { //nolint:unparam // the parser wants a Run that returns an error
+func (configSchemaCmd) Run(std *streams) error { //nolint:unparam // kong requires a Run that returns an error
 	std.out.print(settings.Schema())
 	return nil
 }
