--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -31,11 +31,6 @@
 	maxBatch      = 512      // messages of one step
 	maxWriteQueue = 1 << 20  // bytes that may wait for one peer
 	maxReadBuffer = 64 << 10 // bytes of one peer that wait to be parsed
-	// nodeUnreachableTimeout is how long a node may be unreachable before the tasks that run there count as lost. The protocol
-	// has owners notified within 8 s of an end that no node could report; nodes are checked each half second, and 0.3 s are
-	// left for a process that waits for its core. The longer it is, the fewer tasks are given up that survive a network
-	// partition of some seconds.
-	nodeUnreachableTimeout = 8*time.Second - 500*time.Millisecond - 300*time.Millisecond
 	// idleTimeout is how long an owner's connection may carry nothing useful, or a message of it be incomplete: a misbehaving
 	// client is closed within 3 s.
 	idleTimeout = 2300 * time.Millisecond
@@ -143,7 +138,7 @@
 	coreConfig := requests.Config{
 		Module:                 config.Module,
 		Seed:                   config.Seed,
-		NodeUnreachableTimeout: nodeUnreachableTimeout,
+		NodeUnreachableTimeout: requests.DefaultNodeUnreachableTimeout,
 		NodeIdleTimeout:        config.NodeIdleTimeout,
 		MaxPending:             maxPendingRequests,
 		MaxLinks:               budget.links,
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"flaxshelf.example/flaxshelf/internal/codec/nodebinary"
+	"flaxshelf.example/flaxshelf/internal/requests"
 	"flaxshelf.example/flaxshelf/internal/testbed/standin/scripted"
 	"flaxshelf.example/flaxshelf/internal/transport"
 )
@@ -151,8 +152,8 @@
 	}
 	start := time.Now()
 	c.expect("release", 2, 41)
-	if elapsed := time.Since(start); elapsed > 8*time.Second {
-		t.Errorf("the owner was notified after %v", elapsed)
+	if elapsed := time.Since(start); elapsed > requests.LossNotificationDeadline {
+		t.Errorf("the owner was notified after %v, want within %v", elapsed, requests.LossNotificationDeadline)
 	}
 }
 
--- a/internal/requests/config.go
+++ b/internal/requests/config.go
@@ -12,8 +12,8 @@
 type Config struct {
 	Module flaxshelf.Config
 	Seed   uint64
-	// NodeUnreachableTimeout is how long a node may be out of reach before its tasks count as lost. The platform wants owners
-	// notified within 8 s of an end that no node could report.
+	// NodeUnreachableTimeout is how long a node may be unreachable before its tasks count as lost, usually
+	// DefaultNodeUnreachableTimeout.
 	NodeUnreachableTimeout time.Duration
 	// NodeIdleTimeout is after how long without traffic nodes close a connection; 0: unknown.
 	NodeIdleTimeout time.Duration
--- a/internal/requests/preadoption.go
+++ b/internal/requests/preadoption.go
@@ -1,7 +1,5 @@
 package requests
 
-import "time"
-
 // preAdoptionTerminations are releases that nodes reported of tasks that this scheduler does not know. After a start, a
 // node's link may come up and report the end of a task before the owner's Adopt of that task is read; without this record
 // the task would be adopted then and count as running for ever.
@@ -19,9 +17,9 @@
 }
 
 const (
-	// preAdoptionRetention is how long after the end of its task an Adopt may arrive. By then owners count as lost what they
-	// were not notified of.
-	preAdoptionRetention = 8 * time.Second
+	// preAdoptionRetention is how long after the end of its task an Adopt may arrive. By then owners count a task as lost
+	// whose end they were not notified of.
+	preAdoptionRetention = LossNotificationDeadline
 	// maxPreAdoptionTerminations bounds the record; the oldest ones are dropped for new ones.
 	maxPreAdoptionTerminations = 4096
 )
--- a/internal/requests/silence.go
+++ b/internal/requests/silence.go
@@ -6,16 +6,27 @@
 	"time"
 )
 
+// The timeouts of the detection of unreachable nodes. TestSilenceTimeoutsOrder checks how they relate to each other.
 const (
+	// LossNotificationDeadline is the protocol's limit on the time between the loss of a task that no node can report and
+	// the notification of its owner.
+	LossNotificationDeadline = 8 * time.Second
 	// silenceCheckInterval is how often nodes are checked for silence.
 	silenceCheckInterval = 500 * time.Millisecond
 	// nodeSilenceThreshold is how long a node with running tasks may send nothing before a newer link has to prove that it
 	// is reachable.
-	nodeSilenceThreshold = 2500 * time.Millisecond
+	nodeSilenceThreshold = 5 * silenceCheckInterval
+	// schedulingDelay is the longest time that a process on a shared CPU core is expected to wait before it can do a check
+	// that is due.
+	schedulingDelay = 300 * time.Millisecond
+	// DefaultNodeUnreachableTimeout is the Config.NodeUnreachableTimeout of a host that follows the protocol: the longest
+	// one with which owners are notified by LossNotificationDeadline. The longer it is, the fewer tasks are reported lost
+	// that survive a network partition of some seconds.
+	DefaultNodeUnreachableTimeout = LossNotificationDeadline - silenceCheckInterval - schedulingDelay
 )
 
-// checkSilence finds machines that vanished or were cut off without a sign: established links stay open and silent, and new
-// ones never come up. After Config.NodeUnreachableTimeout the tasks there count as lost; so do tasks that were adopted on a
+// checkSilence detects machines that crashed or were partitioned from the network without a sign: established links stay
+// open and silent, and new ones are never established. After Config.NodeUnreachableTimeout the tasks there count as lost; so do tasks that were adopted on a
 // node that no endpoint list names.
 func (c *Core) checkSilence() {
 	c.timers.Schedule(c.now+silenceCheckInterval, c.checkSilence)
--- a/internal/requests/silence_test.go
+++ b/internal/requests/silence_test.go
@@ -54,13 +54,40 @@
 	}
 }
 
+// The default timeouts are ordered so that a silent node's link is replaced, and the newer link has time to fail, before the
+// node counts as unreachable; and so that the check that finds it unreachable meets the protocol's deadline.
+func TestSilenceTimeoutsOrder(t *testing.T) {
+	unusedBeforeEviction := DefaultNodeUnreachableTimeout / minIdleDivisor
+	for _, test := range []struct {
+		name           string
+		shorter, limit time.Duration
+	}{
+		{"a silent node is found by a check", silenceCheckInterval, nodeSilenceThreshold},
+		{"a silent node's link is replaced before the node is unreachable", nodeSilenceThreshold + silenceCheckInterval +
+			linkRetireDelay, DefaultNodeUnreachableTimeout},
+		{"a link for running tasks is reused before the next node is suspected", unusedBeforeEviction, nodeSilenceThreshold},
+		{"the owner is notified in time", DefaultNodeUnreachableTimeout + silenceCheckInterval, LossNotificationDeadline},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			if test.shorter >= test.limit {
+				t.Errorf("got %v, want less than %v", test.shorter, test.limit)
+			}
+		})
+	}
+	if got, want := DefaultNodeUnreachableTimeout, 7200*time.Millisecond; got != want {
+		t.Errorf("DefaultNodeUnreachableTimeout is %v, want %v", got, want)
+	}
+}
+
 // However the links of a silent machine come and go, its tasks count as lost within the time in which their owners are to be
 // notified, also where each newer link takes its time to fail.
 func TestUnreachableNodeIsDetectedInTime(t *testing.T) {
-	const notifyWithin = 8 * time.Second
 	for delay := 50 * time.Millisecond; delay <= time.Second; delay += 50 * time.Millisecond {
 		t.Run(fmt.Sprintf("dials fail after %v", delay), func(t *testing.T) {
-			h := newHarness(t, func(c *Config) { c.MaxLinks = 10 })
+			h := newHarness(t, func(c *Config) {
+				c.MaxLinks = 10
+				c.NodeUnreachableTimeout = DefaultNodeUnreachableTimeout
+			})
 			h.connect(1)
 			h.addNodes("n")
 			h.placeTask(1, 7)
@@ -73,8 +100,8 @@
 			}
 			notified := func() bool { return len(effectsOf[Terminated](h)) > 0 }
 			for !notified() {
-				if h.now-silentSince > notifyWithin {
-					t.Fatalf("the owner is not notified after %v", notifyWithin)
+				if silence := h.now - silentSince; silence > LossNotificationDeadline {
+					t.Fatalf("the owner is not notified after %v, want within %v", silence, LossNotificationDeadline)
 				}
 				for link, at := range failAt {
 					if h.now >= at {
