--- a/internal/requests/core.go
+++ b/internal/requests/core.go
@@ -80,7 +80,7 @@
 	return c.effects, c.nextDeadline()
 }
 
-// runModule has the module handle the events of this step, and carries its actions out.
+// runModule passes the events of this step to the module and executes its actions.
 func (c *Core) runModule() {
 	for range maxModuleRounds {
 		if c.moduleTimerAt > 0 && c.moduleTimerAt <= c.now {
@@ -96,36 +96,7 @@
 		if c.config.RecordStep != nil {
 			c.config.RecordStep(c.now, events, actions)
 		}
-		for _, action := range actions {
-			c.handleAction(action)
-		}
-	}
-}
-
-// handleAction carries out an action of the module.
-func (c *Core) handleAction(action flaxshelf.Action) {
-	switch action := action.(type) {
-	case flaxshelf.Offer:
-		c.offer(action)
-	case flaxshelf.Cancel:
-		c.cancelAttempt(action)
-	case flaxshelf.Reject:
-		c.respondTerminated(action.Task, CauseRejected)
-	case flaxshelf.Fail:
-		c.respondTerminated(action.Task, CauseLost)
-	case flaxshelf.Migrate:
-		c.migrate(action)
-	case flaxshelf.SetTimer:
-		c.setModuleTimer(action)
-	case flaxshelf.Subscribe:
-		c.emit(Subscribe{})
-	}
-}
-
-// setModuleTimer schedules the module's next TimerFired event; of several timers the earliest counts.
-func (c *Core) setModuleTimer(action flaxshelf.SetTimer) {
-	if at := c.now + action.After; c.moduleTimerAt == 0 || at < c.moduleTimerAt {
-		c.moduleTimerAt = at
+		flaxshelf.HandleActions(actions, actionHandler{c})
 	}
 }
 
