--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,6 +1,5 @@
-// Package admission decides which of the owners' connections a scheduler closes: when descriptors run short, when a
-// connection stays idle, and when it asks for more than its share. It does no I/O, reads no clock, and does not know what
-// owners request.
+// Package admission decides which of the owners' connections a scheduler closes: when there are too many, when a connection
+// stays idle, and when it exceeds its limits. It does no I/O, reads no clock, and does not know what owners request.
 package admission
 
 import (
@@ -14,17 +13,17 @@
 // ID identifies a connection. It is never used again.
 type ID uint64
 
-// Limits bound the connections.
+// Limits are the limits on the connections.
 type Limits struct {
-	MaxConnections          int           // connections kept open; for one more, another is closed
-	IdleTimeout             time.Duration // a connection that is still unverified so long after it opened is closed
-	RecentUseGrace          time.Duration // a connection pinged or used within so long is not closed for another one
-	MaxProtocolErrors       int           // malformed messages since its last use; at the next it is closed
-	MaxPendingPerConnection int           // requests that may be pending on a connection
+	MaxConnections          int           // connections that stay open; for one more, another is closed
+	IdleTimeout             time.Duration // time after its opening at which an unverified connection is closed
+	RecentUseGrace          time.Duration // time after a ping or use in which a connection is not evicted
+	MaxProtocolErrors       int           // malformed messages that a connection may send after its last use
+	MaxPendingPerConnection int           // pending requests of a connection
 }
 
-// connection is an owner's connection, or one that may be. It is unverified until it is used. A health check alone makes it a
-// pinged one, which any client can be; it is verified once it is used as only owners use one.
+// connection is a client's connection, which may be an owner's. It is unverified until it is used. A health check, which any
+// client can send, makes it a pinged one; it is verified once it is used in a way that only owners use one.
 type connection struct {
 	id             ID
 	host           string
@@ -33,24 +32,24 @@
 	likelyOwner    bool
 	pending        int        // requests
 	protocolErrors int        // since its last use
-	list           *list.List // of Control, that it is in
+	list           *list.List // the list of Control that contains it
 	element        *list.Element
 }
 
-// connectionOf is the connection of an element of Control's lists.
+// connectionOf returns the connection of an element of Control's lists.
 func connectionOf(element *list.Element) *connection { return element.Value.(*connection) }
 
 // Control decides which connections to close. It is not safe for concurrent use.
 type Control struct {
 	limits            Limits
 	connections       map[ID]*connection
-	unverified        list.List      // in the order of their opening
+	unverified        list.List      // ordered by openedAt
 	pinged            list.List      // the least recently used first
 	verified          list.List      // the least recently used first
-	unverifiedPerHost map[string]int // how many of unverified each host has
+	unverifiedPerHost map[string]int // number of unverified connections by host
 }
 
-// New makes a Control without connections.
+// New returns a Control without connections.
 func New(limits Limits) *Control {
 	return &Control{
 		limits:            limits,
@@ -59,11 +58,11 @@
 	}
 }
 
-// Len is how many connections are open.
+// Len returns the number of open connections.
 func (c *Control) Len() int { return len(c.connections) }
 
-// Opened registers a new connection and returns those to close for it. That may be the new one itself, where all others are
-// in use. Those that it returns count as closed.
+// Opened registers a new connection and returns those to close for it, which may include the new one if all others are in
+// use. The returned connections count as closed.
 func (c *Control) Opened(now Time, id ID, host string) []ID {
 	opened := &connection{id: id, host: host, openedAt: now, lastUsedAt: now, list: &c.unverified}
 	c.connections[id] = opened
@@ -81,10 +80,10 @@
 	return evicted
 }
 
-// evictionCandidate is the connection to close when descriptors run short; nil where all are in use. Hundreds of connections
-// that are silent, or send one health check and stay, must push out neither the owners' connections nor a new one that is
-// about to be used. So the hosts with several unverified connections lose theirs first, then pinged ones go, then verified,
-// and last the oldest unverified one.
+// evictionCandidate returns the connection to close when there are too many, or nil if all are in use. Hundreds of
+// connections that are silent, or send one health check and stay, must displace neither the owners' connections nor a new
+// one that is about to be used. So unverified connections of hosts with several of them are closed first, then pinged ones,
+// then verified ones, and last the oldest unverified one.
 func (c *Control) evictionCandidate(now Time) *connection {
 	if candidate := c.unverifiedOfBusiestHost(); candidate != nil {
 		return candidate
@@ -100,8 +99,8 @@
 	return nil
 }
 
-// unverifiedOfBusiestHost is the oldest unverified connection without pending requests of the host that has most unverified
-// ones. It is nil where no host has two: a host with a single one is as good as any owner.
+// unverifiedOfBusiestHost returns the oldest unverified connection without pending requests of the host with the most
+// unverified ones. It returns nil if no host has two: a host with a single one may be an owner.
 func (c *Control) unverifiedOfBusiestHost() *connection {
 	var candidate *connection
 	maxPerHost := 1
@@ -114,8 +113,8 @@
 	return candidate
 }
 
-// leastRecentlyUsed is the connection of a list without pending requests that was used the longest ago; nil where all were
-// used within the grace.
+// leastRecentlyUsed returns the least recently used connection of a list without pending requests, or nil if all were used
+// within Limits.RecentUseGrace.
 func (c *Control) leastRecentlyUsed(now Time, used *list.List) *connection {
 	for element := used.Front(); element != nil; element = element.Next() {
 		conn := connectionOf(element)
@@ -137,7 +136,7 @@
 	}
 }
 
-// RecordPing records a health check. The connection is unverified no more, but it is not verified by that either.
+// RecordPing records a health check, which turns an unverified connection into a pinged one and does not verify it.
 func (c *Control) RecordPing(now Time, id ID) {
 	conn := c.connections[id]
 	if conn == nil {
@@ -150,7 +149,7 @@
 	c.use(now, conn, to)
 }
 
-// use records a use of a connection, which is the last of a list from now on.
+// use records a use of a connection, and moves it to the end of the list to.
 func (c *Control) use(now Time, conn *connection, to *list.List) {
 	conn.lastUsedAt = now
 	conn.protocolErrors = 0
@@ -170,7 +169,7 @@
 	}
 }
 
-// removeFromList takes a connection out of its list.
+// removeFromList removes a connection from its list.
 func (c *Control) removeFromList(conn *connection) {
 	conn.list.Remove(conn.element)
 	if conn.list != &c.unverified {
@@ -182,7 +181,7 @@
 	}
 }
 
-// ProtocolError records a malformed message, and reports whether the connection is to be closed for it.
+// ProtocolError records a malformed message, and reports whether the connection exceeds the limit and must be closed.
 func (c *Control) ProtocolError(id ID) bool {
 	conn := c.connections[id]
 	if conn == nil {
@@ -192,8 +191,8 @@
 	return conn.protocolErrors > c.limits.MaxProtocolErrors
 }
 
-// BeginRequest records a pending request. It reports false, and records nothing, where the connection has too many or is
-// not open.
+// BeginRequest reports whether the connection may have one more pending request, and if so records it. It reports false for
+// a connection that is not open.
 func (c *Control) BeginRequest(id ID) bool {
 	conn := c.connections[id]
 	if conn == nil || conn.pending >= c.limits.MaxPendingPerConnection {
@@ -203,7 +202,7 @@
 	return true
 }
 
-// EndRequest records that a request has its response, or was canceled.
+// EndRequest records that a request has its response, if answered is true, or was canceled.
 func (c *Control) EndRequest(now Time, id ID, answered bool) {
 	conn := c.connections[id]
 	if conn == nil || conn.pending == 0 {
@@ -225,13 +224,13 @@
 	c.removeFromList(conn)
 }
 
-// idleRecheckDivisor sets after which part of Limits.IdleTimeout an overdue connection that may stay is checked again.
+// idleRecheckDivisor divides Limits.IdleTimeout into the time after which an idle connection that may stay is checked again.
 const idleRecheckDivisor = 8
 
-// CloseIdle returns the connections that stayed unverified for too long, and when to call it next; 0: not before a connection
-// opens. Those that it returns count as closed. A connection with pending requests stays for now; so does a likely owner's
-// while none is verified: a scheduler that has just started would otherwise close all that its owners have, and be left with
-// nobody to notify.
+// CloseIdle returns the connections that were unverified for longer than Limits.IdleTimeout, and the time of its next call;
+// zero means not before the next connection opens. The returned connections count as closed. A connection with pending
+// requests is not closed; neither is a likely owner's while no connection is verified, because a scheduler that has just
+// started would otherwise close all connections of its owners and could not notify them.
 func (c *Control) CloseIdle(now Time) (idle []ID, next Time) {
 	recheck := false
 	for element := c.unverified.Front(); element != nil; {
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// Connections that each pass one health check and stay, from as many hosts, push out each other, not one that carried a task,
-// though that was used longer ago. One that was pinged and then carries a task is as good as any owner's.
+// Connections that each pass one health check and stay, from as many hosts, push out each other, not one that carried a
+// task, though that was used longer ago. One that was pinged and then carries a task is as good as any owner's.
 func TestEvictsPingedBeforeVerified(t *testing.T) {
 	c := newTestControl()
 	c.Opened(0, 1, "owner")
@@ -175,8 +175,8 @@
 	}
 }
 
-// Whatever happens, the bound holds, no connection with a pending request is evicted, and nothing is kept of connections that
-// have ended.
+// Whatever happens, the bound holds, no connection with a pending request is evicted, and nothing is kept of connections
+// that have ended.
 func TestRandomOperations(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	c, now, lastID := newTestControl(), Time(0), ID(0)
--- a/internal/platform/budget.go
+++ b/internal/platform/budget.go
@@ -4,15 +4,15 @@
 // control feed.
 type descriptorBudget struct {
 	ownerConnections    int // owners' connections that may be accepted
-	retainedConnections int // of which the core retains this many, and closes one for each more
+	retainedConnections int // of these, how many admission control keeps open
 	links               int // connections to nodes
 }
 
 const (
 	// reservedDescriptors are for the process itself: three standard files, epoll and event descriptors of the runtime and of
-	// the event loop, the listener, the control feed's stream beside the former one, a configuration file, a recording.
+	// the event loop, the listener, the control feed's current and previous stream, a configuration file, a recording.
 	reservedDescriptors = 16
-	// minSharedDescriptors are divided even where the limit is lower.
+	// minSharedDescriptors are divided even if the limit is lower.
 	minSharedDescriptors = 16
 )
 
--- a/internal/platform/effects.go
+++ b/internal/platform/effects.go
@@ -12,14 +12,14 @@
 	"flaxshelf.example/flaxshelf/internal/transport"
 )
 
-// The reasons for which the core has a connection closed.
+// Reasons for closing a connection on behalf of the core.
 var (
 	errOwnerClosed = errors.New("platform: the connection was closed by admission control")
 	errLinkClosed  = errors.New("platform: the core closed the link")
 )
 
-// execute executes the effects of the step at now, in order. The messages that a step has for one connection go to its
-// event loop together; a connection to be closed is closed behind them.
+// execute executes the effects of the step at now, in order. The messages of a step for one connection are passed to its
+// event loop together; a connection to be closed is closed after them.
 func (s *Scheduler) execute(dialContext context.Context, now requests.Time, effects []requests.Effect) {
 	var closing []*transport.Conn
 	for _, effect := range effects {
@@ -84,7 +84,7 @@
 	return &p.outbox
 }
 
-// sendOffer puts an offer into its node's outbox. An offer that is not written comes back to the core as SendFailed.
+// sendOffer puts an offer into its node's outbox. An offer that is not written is reported to the core as SendFailed.
 func (s *Scheduler) sendOffer(e *requests.Offer) {
 	failed := func() { s.reportSendFailed(e) }
 	node := s.links[e.Link]
@@ -99,7 +99,7 @@
 	}
 }
 
-// reportSendFailed passes an offer that was not written back to the core. Any goroutine may call it, the run loop's too.
+// reportSendFailed reports to the core that an offer was not written. It is safe for concurrent use.
 func (s *Scheduler) reportSendFailed(e *requests.Offer) {
 	s.mailbox.put(message{inputs: []requests.Input{requests.SendFailed{Link: e.Link, Task: e.Task, Attempt: e.Attempt}}})
 }
@@ -116,8 +116,8 @@
 	return func() bool { return conn != nil && !conn.IsClosed() && !s.released.has(task) }
 }
 
-// flush hands the outboxes to the event loop. An offer expires half a drain grace period after the step: a node that has
-// begun to drain since then must get none.
+// flush passes the outboxes to the event loop. An offer expires half a drain grace period after the step: a node that has
+// begun to drain since then must not receive it.
 func (s *Scheduler) flush(now requests.Time) {
 	expiry := s.config.Load().Module.DrainGrace / 2
 	for _, p := range s.unflushed {
@@ -147,7 +147,7 @@
 	}
 }
 
-// removeOwner forgets an owner and appends its connection to closing.
+// removeOwner removes an owner and appends its connection to closing.
 func (s *Scheduler) removeOwner(id requests.Conn, closing []*transport.Conn) []*transport.Conn {
 	owner := s.owners[id]
 	if owner == nil {
--- a/internal/platform/loop.go
+++ b/internal/platform/loop.go
@@ -8,14 +8,14 @@
 	"flaxshelf.example/flaxshelf/internal/requests"
 )
 
-// runLoop is the state of the goroutine that owns the core, between its steps.
+// runLoop is the state of the goroutine that owns the core.
 type runLoop struct {
 	*Scheduler
 	timer    *time.Timer      // fires when the core's next step is due
 	inputs   []requests.Input // of the next step
 	batch    []message        // reused by each step
 	shutdown gracefulShutdown
-	recheck  <-chan time.Time // when the shutdown is to be checked again; nil: none was requested
+	recheck  <-chan time.Time // receives when the shutdown is to be checked again; nil: none was requested
 	drained  <-chan struct{}  // closed when listening has ended; nil: it is not being drained
 }
 
@@ -65,7 +65,8 @@
 	return clock.Now()
 }
 
-// step passes the inputs to the core and executes its effects. It returns when the next step is due; 0: no time.
+// step passes the inputs to the core and executes its effects. It returns the time of the next step; zero means
+// that none is scheduled.
 func (l *runLoop) step(dialContext context.Context, now requests.Time) requests.Time {
 	l.traceInputs(l.inputs)
 	effects, next := l.core.Step(now, l.inputs)
@@ -114,7 +115,7 @@
 	return inputs
 }
 
-// trackConnection keeps owners and links up to date.
+// trackConnection updates owners and links for an input of a message.
 func (s *Scheduler) trackConnection(input requests.Input, m message) {
 	switch input := input.(type) {
 	case requests.OwnerConnected:
--- a/internal/platform/mailbox.go
+++ b/internal/platform/mailbox.go
@@ -15,16 +15,16 @@
 	watch      *watchNotification // of the endpoint watch; else nil
 }
 
-// mailbox queues the messages for the run loop in the order of their arrival. What comes from outside is rejected while it
-// is full. Messages that must not be lost are always accepted, since their number is bounded by what they report: one end
-// for each connection, one failure for each offer. Several goroutines may use it.
+// mailbox queues the messages for the run loop in the order of their arrival. Messages of peers are rejected while it is
+// full. Messages that must not be lost are always accepted, since their number is bounded by what they report: one end for
+// each connection, one failure for each offer. It is safe for concurrent use.
 type mailbox struct {
 	capacity int
 	ready    chan struct{} // holds one token while messages are queued
 
 	mu    sync.Mutex
 	queue []message
-	freed chan struct{} // closed and replaced whenever capacity comes free
+	freed chan struct{} // closed and replaced whenever capacity becomes available
 }
 
 func newMailbox(capacity int) *mailbox {
@@ -49,7 +49,7 @@
 	b.enqueue(m)
 }
 
-// putWait waits for capacity; it returns false when done was closed before.
+// putWait queues a message once there is capacity. It reports whether that was before done was closed.
 func (b *mailbox) putWait(m message, done <-chan struct{}) bool {
 	for {
 		b.mu.Lock()
@@ -66,13 +66,13 @@
 	}
 }
 
-// enqueue is called with the lock held.
+// enqueue appends a message. The caller holds mu.
 func (b *mailbox) enqueue(m message) {
 	b.queue = append(b.queue, m)
 	b.signal()
 }
 
-// signal puts the token into ready. It is called with the lock held.
+// signal puts the token into ready. The caller holds mu.
 func (b *mailbox) signal() {
 	select {
 	case b.ready <- struct{}{}:
--- a/internal/platform/module_state_test.go
+++ b/internal/platform/module_state_test.go
@@ -146,8 +146,8 @@
 	return running
 }
 
-// The module's view of the running tasks is what the nodes run, after placements, ends by nodes and owners, rejections, links
-// that are cut and a node that dies.
+// The module's view of the running tasks is what the nodes run, after placements, ends by nodes and owners, rejections,
+// links that are cut and a node that dies.
 func TestModuleStateMatchesNodes(t *testing.T) {
 	tasks := &nodeTasks{node: map[string]string{}}
 	nodes, entries := map[string]*scripted.Node{}, []string{}
--- a/internal/platform/nodes.go
+++ b/internal/platform/nodes.go
@@ -10,7 +10,7 @@
 )
 
 // nodeMessageTimeout is how long the rest of a node's message may take: a message that ends too early, or whose length is
-// wrong, would swallow all that follows on the connection.
+// wrong, would consume all that follows on the connection.
 const nodeMessageTimeout = 300 * time.Millisecond
 
 // nodeHandler reads the messages of one link to a node. It belongs to the event loop.
--- a/internal/platform/owners.go
+++ b/internal/platform/owners.go
@@ -11,8 +11,8 @@
 	"flaxshelf.example/flaxshelf/internal/transport"
 )
 
-// errMailboxFull is why a connection closes whose messages the run loop does not keep up with.
-var errMailboxFull = errors.New("platform: too many messages wait for the run loop")
+// errMailboxFull is the reason for closing a connection whose messages arrive faster than the run loop handles them.
+var errMailboxFull = errors.New("platform: the run loop's mailbox is full")
 
 // acquireOwnerSlot waits for a slot for one more owner's connection. Connections beyond the slots wait in the listener's
 // queue, so that owners cannot take the descriptors of nodes.
@@ -23,7 +23,7 @@
 	}
 }
 
-// newOwnerHandler makes the handler of an owner's new connection, which has acquired a slot.
+// newOwnerHandler returns the handler of an owner's new connection, which has acquired a slot.
 func (s *Scheduler) newOwnerHandler(*transport.Conn) transport.Handler {
 	return &ownerHandler{scheduler: s, id: requests.Conn(s.ownerConnections.Add(1))}
 }
@@ -87,8 +87,8 @@
 	}
 }
 
-// reject answers a request that makes no sense, and returns the core's input for it. Any other message that makes no sense
-// is an error, with the reason.
+// reject responds to an invalid request and returns the core's input for it. Any other invalid message is an error, with the
+// reason.
 func (h *ownerHandler) reject(c *transport.Conn, m *ownerjson.Message, reason error) (requests.Input, error) {
 	h.scheduler.options.Log.Debug().Err(reason).Str("owner", c.Remote()).Msg("message of an owner rejected")
 	if m.Type != ownerjson.SetUp {
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -1,10 +1,10 @@
 // Package platform runs a scheduler on the users' platform: it connects requests.Core to sockets, the clock, signals and the
-// control feed. It must decide nothing about tasks.
+// control feed. It makes no decisions about tasks.
 //
 // Goroutines: the run loop is the only one that uses the core and the fields of Scheduler marked as its own. One event loop
 // of package transport serves all connections of owners and nodes. Each stream of the control feed, each dial and the
-// listener have a goroutine of their own. All of them pass messages to the run loop by a mailbox, and Run waits for all of
-// them before it returns.
+// listener have a goroutine of their own. All of them pass messages to the run loop through a mailbox, and Run waits for all
+// of them before it returns.
 package platform
 
 import (
@@ -27,32 +27,34 @@
 )
 
 const (
-	queueCapacity = 1 << 12  // messages that may wait for the run loop
+	queueCapacity = 1 << 12  // messages in the mailbox of the run loop
 	maxBatch      = 512      // messages of one step
-	maxWriteQueue = 1 << 20  // bytes that may wait for one peer
-	maxReadBuffer = 64 << 10 // bytes of one peer that wait to be parsed
-	// idleTimeout is how long an owner's connection may carry nothing useful, or a message of it be incomplete: a misbehaving
-	// client is closed within 3 s.
+	maxWriteQueue = 1 << 20  // bytes to be written to one peer
+	maxReadBuffer = 64 << 10 // bytes of one peer that are not parsed yet
+	// idleTimeout is how long an owner's connection may stay unused, or a message on it incomplete. The protocol expects the
+	// connection of a misbehaving client to be closed within 3 s.
 	idleTimeout = 2300 * time.Millisecond
 	// recentUseGrace is how long after its last use a connection is not evicted: an owner resends what crosses a close once,
 	// within 50 ms.
 	recentUseGrace = 200 * time.Millisecond
-	// maxPendingRequests is how many requests may wait for their answer.
+	// maxPendingRequests is the maximum number of requests without a response.
 	maxPendingRequests = 2048
-	// maxPendingPerConnection is how many of them may have come on one connection.
+	// maxPendingPerConnection is the maximum number of requests without a response on one connection.
 	maxPendingPerConnection = maxPendingRequests / 8
-	// maxProtocolErrors is how many malformed requests since its last use a connection may send without being closed.
+	// maxProtocolErrors is how many malformed requests a connection may send after its last use without being closed.
 	maxProtocolErrors = 3
+	// heapTenths is how many tenths of the process's memory its heap may use.
+	heapTenths = 6
 )
 
 // Options are the settings of the command line.
 type Options struct {
 	Config    string         // path of the configuration file
-	Recording string         // path of the file that records the module's steps; empty: they are not recorded
-	Log       zerolog.Logger // at trace level it gets each input and effect of the core
+	Recording string         // path of the file that records the module's steps; empty means no recording
+	Log       zerolog.Logger // at trace level it receives each input and effect of the core
 }
 
-// Scheduler is a running scheduler. Run makes it; it has no exported methods.
+// Scheduler is a running scheduler. Run creates it; it has no exported methods.
 type Scheduler struct {
 	options  Options
 	config   atomic.Pointer[platformfront.Config] // replaced by the run loop, read by all goroutines
@@ -62,32 +64,32 @@
 	acceptor *transport.Acceptor
 	dials    sync.WaitGroup
 
-	ownerConnections     atomic.Uint64 // owners' connections so far: the last one's number
-	ownerSlots           chan struct{} // holds one token for each owner's connection
+	ownerConnections     atomic.Uint64 // number of owners' connections so far, and the last one's ID
+	ownerSlots           chan struct{} // contains a token for each owner's connection
 	ownerPartialMessages atomic.Int64  // owners' connections on which a message has arrived in part
 
 	released releasedTasks // belongs to the event loop
 
 	// The fields below belong to the run loop.
 	core        *requests.Core
-	recording   *replay.Writer // nil: steps are not recorded
+	recording   *replay.Writer // nil means no recording
 	owners      map[requests.Conn]*peer
 	links       map[requests.Link]*peer
-	unflushed   []*peer // whose outboxes are not empty
+	unflushed   []*peer // peers whose outboxes are not empty
 	watch       endpointWatch
 	position    watchPosition
 	reportedCPU time.Duration // CPU time of the process at the last report
 }
 
-// peer is a connection with the messages that a step has for it.
+// peer is a connection with the messages of a step for it.
 type peer struct {
 	conn   *transport.Conn
 	outbox transport.Outbox
 }
 
-// Run runs a scheduler until stop is closed or receives and everything is answered. Each value from reload makes it read the
-// configuration again. It limits the process to one core and sets its memory limit. The error matches
-// platformfront.ErrConfig where the configuration file can't be read or decoded.
+// Run runs a scheduler until stop is closed or receives a value and all requests have their responses. For each value from
+// reload it reads the configuration again. It limits the whole process to one CPU and sets its memory limit. The error
+// matches platformfront.ErrConfig if the configuration file cannot be read or decoded.
 func Run(options Options, stop, reload <-chan struct{}) error {
 	config, err := platformfront.ReadConfig(options.Config)
 	if err != nil {
@@ -111,11 +113,10 @@
 	return s.close(cancelDials)
 }
 
-// limitProcess keeps the process on one core, of which it has a part, and within its memory. Six tenths of the memory are for
-// the heap.
+// limitProcess restricts the process to one CPU, of which it has a share, and limits its heap to heapTenths of its memory.
 func limitProcess(limits platformfront.Limits) {
 	runtime.GOMAXPROCS(1)
-	debug.SetMemoryLimit(int64(limits.MemoryMB) << 20 * 6 / 10)
+	debug.SetMemoryLimit(int64(limits.MemoryMB) << 20 * heapTenths / 10)
 }
 
 func newScheduler(options Options, config *platformfront.Config, budget descriptorBudget) *Scheduler {
@@ -133,7 +134,7 @@
 	return s
 }
 
-// newCore makes the core, and the recording of its steps where the options ask for one.
+// newCore creates the core, and the recording of its steps if Options.Recording names a file.
 func (s *Scheduler) newCore(config *platformfront.Config, budget descriptorBudget) error {
 	coreConfig := requests.Config{
 		Module:                 config.Module,
@@ -173,7 +174,7 @@
 	return nil
 }
 
-// close ends all connections and goroutines. What was written reaches the owners first.
+// close ends all connections and goroutines. What was written before is delivered to the owners first.
 func (s *Scheduler) close(cancelDials context.CancelFunc) error {
 	s.acceptor.Stop()
 	cancelDials()
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -78,8 +78,8 @@
 	c.placeTask(3)
 }
 
-// Tasks that ran before a start are adopted by requests with the extra "at", which are not answered. Their node gets no offer
-// of them, its report of the end reaches the owner, and a second request for the same task changes nothing.
+// Tasks that ran before a start are adopted by requests with the extra "at", which are not answered. Their node gets no
+// offer of them, its report of the end reaches the owner, and a second request for the same task changes nothing.
 func TestAdoptedTasks(t *testing.T) {
 	n := newNode(t, scripted.AcceptAll)
 	s := startScheduler(t, scripted.Entry("s-1", n.Addr(), "active"))
@@ -139,8 +139,8 @@
 	c.expect("release", 2, 41)
 }
 
-// A node becomes unreachable while a task runs there: its connections stay open and new ones are never established. The owner
-// is notified within the 8 s of the protocol.
+// A node becomes unreachable while a task runs there: its connections stay open and new ones are never established. The
+// owner is notified within the 8 s of the protocol.
 func TestUnreachableNode(t *testing.T) {
 	_, n, c := startSchedulerWithTask(t)
 	filling, err := n.Freeze()
--- a/internal/platform/released.go
+++ b/internal/platform/released.go
@@ -3,15 +3,15 @@
 // maxReleasedTasks exceeds the number of releases that can be read between the decision and the write of an offer.
 const maxReleasedTasks = 1 << 12
 
-// releasedTasks remembers the last tasks that their owners released or migrated, as the event loop read it. Task ids are
-// never reused, so an entry that is kept for too long does no harm. It belongs to the event loop.
+// releasedTasks records the last tasks that their owners released or migrated, as the event loop reads their messages. Task
+// IDs are never reused, so an entry may be retained longer than needed. It belongs to the event loop.
 type releasedTasks struct {
 	ids    map[string]struct{}
-	ring   []string // the same ids, in the order of their arrival from oldest on, as a ring
-	oldest int      // index in a full ring
+	ring   []string // the same IDs as a ring buffer, in the order of their arrival from oldest on
+	oldest int      // index of the oldest ID in a full ring
 }
 
-// add remembers a task and forgets the oldest one where maxReleasedTasks are kept already.
+// add records a task, in place of the oldest one if there are maxReleasedTasks.
 func (r *releasedTasks) add(task string) {
 	if r.ids == nil {
 		r.ids = map[string]struct{}{}
--- a/internal/platform/reload.go
+++ b/internal/platform/reload.go
@@ -7,8 +7,8 @@
 	"flaxshelf.example/flaxshelf/internal/requests"
 )
 
-// configuredNodes returns the nodes of the configuration merged into one update, whatever the number of its events: else a
-// start would dial each node that ever was listed.
+// configuredNodes returns the nodes of the configuration, with its events merged into one update, so that a start dials only
+// the nodes that are still listed.
 func (s *Scheduler) configuredNodes() []requests.Input {
 	list, found := platformfront.MergeUpdates(s.config.Load().InitialEvents)
 	if !found {
@@ -21,8 +21,8 @@
 // reload reads the configuration again, follows its control feed and returns the node updates that are new. A file that
 // cannot be read changes nothing.
 //
-// The core has the settings of its start, since other ones would number classes and kinds differently; the node updates of
-// the file are decoded by the names of the start, so that a drain is never missed.
+// The core retains the settings of its start, because other settings would number classes and kinds differently. The node
+// updates of the file are decoded with the names of the start, so that a drain is never missed.
 func (s *Scheduler) reload() []requests.Input {
 	old := s.config.Load()
 	file, err := platformfront.ReadConfig(s.options.Config)
@@ -47,7 +47,7 @@
 	return inputs
 }
 
-// newEvents decodes the events that come after the position, and moves it behind them. Events that cannot be decoded by
+// newEvents decodes the events after the position, which it advances to the last of them. Events that cannot be decoded with
 // config are skipped.
 func (s *Scheduler) newEvents(config *platformfront.Config, data [][]byte) []platformfront.WatchEvent {
 	var events []platformfront.WatchEvent
--- a/internal/platform/shutdown.go
+++ b/internal/platform/shutdown.go
@@ -12,10 +12,10 @@
 	acceptPeriod = 900 * time.Millisecond
 	// quietPeriod is how long no owner may have sent anything before the scheduler exits.
 	quietPeriod = 50 * time.Millisecond
-	// partialMessageDeadline is how long after SIGTERM the rest of a message is waited for: the platform sends SIGKILL 3.7 s
-	// after SIGTERM at the earliest.
+	// partialMessageDeadline is how long after SIGTERM the scheduler waits for the rest of a message: the platform sends
+	// SIGKILL 3.7 s after SIGTERM at the earliest.
 	partialMessageDeadline = 3200 * time.Millisecond
-	// ownerCloseTimeout is how long the owners have to close their side of the connections once everything is answered.
+	// ownerCloseTimeout is how long the owners have to close their side of the connections after all responses are sent.
 	ownerCloseTimeout = 250 * time.Millisecond
 )
 
@@ -28,18 +28,18 @@
 	draining     bool          // the listener is being drained
 }
 
-// shutdownBlockers are the things that may keep a scheduler from exiting.
+// shutdownBlockers are the conditions that may delay the exit of a scheduler.
 type shutdownBlockers struct {
-	Idle            bool // no request waits for an answer
+	Idle            bool // no request is pending
 	PartialMessages bool // a message of an owner has arrived in part
 	Listening       bool // connections may wait in the listener's queue
 }
 
-// shutdownStep is what to do next.
+// shutdownStep is the next step of a graceful shutdown.
 type shutdownStep struct {
-	drain   bool          // accept what waits in the listener's queue, then stop listening
-	exit    bool          // nothing is left to do
-	recheck time.Duration // when to ask again at the latest
+	drain   bool          // accept the connections in the listener's queue, then stop listening
+	exit    bool          // the shutdown is complete
+	recheck time.Duration // time until the next call of next, at the latest
 }
 
 // requested reports whether a shutdown was requested.
@@ -55,7 +55,7 @@
 	case blockers.Listening && !g.draining:
 		g.draining = true
 		return shutdownStep{drain: true, recheck: quietPeriod}
-	case blockers.Listening && elapsed < partialMessageDeadline: // the next connection in the queue waits for a slot
+	case blockers.Listening && elapsed < partialMessageDeadline: // a connection in the queue waits for a slot
 		return shutdownStep{recheck: quietPeriod}
 	case !blockers.Idle || blockers.PartialMessages && elapsed < partialMessageDeadline:
 		return shutdownStep{recheck: quietPeriod}
--- a/internal/platform/trace.go
+++ b/internal/platform/trace.go
@@ -9,8 +9,8 @@
 	"flaxshelf.example/flaxshelf/internal/requests"
 )
 
-// tracing reports whether each input and effect is logged, so that one task can be followed through the schedulers that
-// handled it.
+// tracing reports whether each input and effect is logged, which allows an operator to follow a task through the schedulers
+// that handled it.
 func (s *Scheduler) tracing() bool { return s.options.Log.GetLevel() <= zerolog.TraceLevel }
 
 func (s *Scheduler) traceInputs(inputs []requests.Input) {
--- a/internal/platform/watch.go
+++ b/internal/platform/watch.go
@@ -30,7 +30,7 @@
 )
 
 var (
-	errWatchTimeout  = errors.New("platform: the control feed sent nothing for too long")
+	errWatchTimeout  = errors.New("platform: the control feed timed out")
 	errWatchReplaced = errors.New("platform: the stream was replaced by another one or stopped")
 )
 
@@ -64,16 +64,16 @@
 // Error implements error.
 func (e *watchStatusError) Error() string { return "unexpected status " + e.Status }
 
-// watchNotification is what a stream of the endpoint watch passes to the run loop: either an event, or the input for the
-// core that says that the stream was established or has failed.
+// watchNotification is a message of a stream of the endpoint watch to the run loop: either an event, or the input for the
+// core that reports that the stream was established or has failed.
 type watchNotification struct {
-	stream int                       // which stream passes it
+	stream int                       // number of the stream that sent it
 	event  *platformfront.WatchEvent // nil: input is set
 	input  requests.Input
 }
 
-// applyWatch returns the input for the core that follows from a notification, or nil if there is none. The end of a former
-// stream is dropped: else it would make the core replace the current one.
+// applyWatch returns the input for the core that follows from a notification, or nil if there is none. The end of a previous
+// stream is ignored, so that the core does not replace the current one.
 func (s *Scheduler) applyWatch(n *watchNotification) requests.Input {
 	if n.event == nil {
 		if n.stream != s.position.stream {
@@ -93,7 +93,7 @@
 	return nil
 }
 
-// subscribe opens a stream of the control feed behind the last event that was applied.
+// subscribe opens a stream of the control feed that starts after the last event that was applied.
 func (s *Scheduler) subscribe() {
 	s.position.stream++
 	s.watch.start(s.config.Load().DiscoveryAddr, s.position)
@@ -107,7 +107,8 @@
 	streams   sync.WaitGroup
 }
 
-// start opens a stream behind position.last and replaces the former one. The stream's lifetime is owned by the watch.
+// start opens a stream that starts after position.last, and replaces the previous one. The stream's lifetime is owned by the
+// watch.
 func (w *endpointWatch) start(addr string, position watchPosition) {
 	w.cancelStream()
 	ctx, cancel := context.WithCancelCause(context.Background())
@@ -144,7 +145,7 @@
 	timeout   *time.Timer // cancels the stream when nothing arrives
 }
 
-// run reads the stream until it ends, and returns why as a *watchError.
+// run reads the stream until it ends, and returns the reason as a *watchError.
 func (st *watchStream) run(ctx context.Context, cancel context.CancelCauseFunc, last uint64) error {
 	st.timeout = time.AfterFunc(watchConnectTimeout, func() { cancel(errWatchTimeout) })
 	defer st.timeout.Stop()
@@ -159,7 +160,7 @@
 	return st.read(ctx, response.Body)
 }
 
-// newWatchClient makes a client for one stream. The watch has its own, since a stream must not wait for another's connection.
+// newWatchClient returns an HTTP client for one stream, which must not wait for the connection of another stream.
 func newWatchClient() *http.Client {
 	dialer := &net.Dialer{Timeout: watchConnectTimeout}
 	return &http.Client{Transport: &http.Transport{
@@ -171,7 +172,7 @@
 	}}
 }
 
-// connect requests the events behind last. The caller closes the body of the response.
+// connect requests the events after last. The caller closes the body of the response.
 func (st *watchStream) connect(ctx context.Context, client *http.Client, last uint64) (*http.Response, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+st.addr+watchPath, nil)
 	if err != nil {
@@ -190,7 +191,7 @@
 	return response, nil
 }
 
-// read passes the stream's events on until it fails; it never returns nil.
+// read delivers the stream's events until it fails. It never returns nil.
 func (st *watchStream) read(ctx context.Context, body io.Reader) error {
 	var decoder sse.Decoder
 	buffer := make([]byte, watchReadBuffer)
@@ -218,13 +219,14 @@
 	return nil
 }
 
-// notify passes a notification to the run loop and waits for capacity.
+// notify passes a notification to the run loop. It waits for capacity.
 func (st *watchStream) notify(n watchNotification) {
 	n.stream = st.id
 	st.scheduler.mailbox.putWait(message{watch: &n}, st.scheduler.loopDone)
 }
 
-// failure is the error of an operation; the cause of a canceled stream takes the place of the error that followed from it.
+// failure returns the error of an operation. For a canceled stream it wraps the cause instead of the error that results from
+// it.
 func (st *watchStream) failure(ctx context.Context, operation watchOperation, err error) error {
 	if cause := context.Cause(ctx); cause != nil {
 		err = cause
--- a/internal/platform/watchposition.go
+++ b/internal/platform/watchposition.go
@@ -9,11 +9,11 @@
 	stream       int    // number of the current stream
 }
 
-// eventOrder is how an event follows the ones applied before.
+// eventOrder is the position of an event relative to those applied before.
 type eventOrder int
 
 const (
-	eventStale   eventOrder = iota // applied before, or skipped on a former stream: the current one sends it again
+	eventStale   eventOrder = iota // applied before, or after a gap on a previous stream: the current one sends it again
 	eventInOrder                   // the next event, or a complete list that replaces all before it
 	eventGap                       // events before it are missing and have to be requested
 )
@@ -31,8 +31,8 @@
 	return fmt.Sprintf("eventOrder(%d)", int(o))
 }
 
-// advance classifies an event and moves the position behind one that is in order. A missing event is requested once: if the
-// next stream does not have it either, the event behind the gap is taken as in order.
+// advance classifies an event, and sets the position to an event that is in order. A missing event is requested once: if the
+// next stream does not contain it either, the event after the gap counts as in order.
 func (p *watchPosition) advance(sequence uint64, complete bool, stream int) eventOrder {
 	next := p.last + 1
 	gap := sequence > next && !complete
--- a/internal/requests/adoption.go
+++ b/internal/requests/adoption.go
@@ -2,15 +2,16 @@
 
 import "flaxshelf.example/flaxshelf"
 
-// Bounds of adoption: misbehaving clients may report any number of tasks, on nodes that don't exist.
+// Bounds of adoption: misbehaving clients may report any number of tasks, also on nodes that do not exist.
 const (
-	// maxRunningForAdoption is how many tasks may run before no more are adopted.
+	// maxRunningForAdoption is the number of running tasks from which on no more are adopted.
 	maxRunningForAdoption = 1 << 14
-	// maxRunningUnlisted is how many adopted tasks may run on nodes that the endpoint list had not named at their adoption.
+	// maxRunningUnlisted is the maximum number of running tasks on nodes that the endpoint list did not name at their
+	// adoption.
 	maxRunningUnlisted = 1024
 )
 
-// adopt takes over a task that a node runs already. A task that the scheduler has stays as it is.
+// adopt adds a running task that this scheduler did not place. A task that is known already is left unchanged.
 func (c *Core) adopt(in Adopt) {
 	if c.tasks[in.Task.ID] != nil || c.owners[in.Conn] == nil {
 		return
--- a/internal/requests/attempt.go
+++ b/internal/requests/attempt.go
@@ -7,8 +7,8 @@
 	"flaxshelf.example/flaxshelf/internal/timerqueue"
 )
 
-// attemptPhase is how far an attempt has come. The phases are ordered: in phaseRunning and
-// phaseReleasing the task has run; an attempt may end in phaseEnded from each of the others.
+// attemptPhase is the progress of an attempt. The phases are ordered: in phaseRunning and phaseReleasing the task has run.
+// Each phase may be followed by phaseEnded.
 type attemptPhase int
 
 const (
@@ -19,7 +19,7 @@
 	phaseEnded
 )
 
-// String names the phase for logs and tests.
+// String returns the name of the phase.
 func (p attemptPhase) String() string {
 	switch p {
 	case phaseConnecting:
@@ -51,14 +51,14 @@
 	releaseDelivered bool // the release was written on a link that had just come up
 }
 
-// releaseConfirmationTimeout is how long a node's confirmation of a release is waited for before the task may count as
+// releaseConfirmationTimeout is how long the core waits for a node's confirmation of a release before the task may count as
 // ended without it.
 const releaseConfirmationTimeout = time.Second
 
-// minConnectTimeout keeps an attempt from ending before a link can come up at all.
+// minConnectTimeout is the shortest time that an attempt waits for a link, so that a link can be established at all.
 const minConnectTimeout = time.Millisecond
 
-// offer begins an attempt that the module has chosen a node for.
+// offer starts an attempt at the node that the module has chosen.
 func (c *Core) offer(action flaxshelf.Offer) {
 	t := c.tasks[action.Task]
 	if t == nil || !t.pending || t.attempt != nil {
@@ -70,8 +70,8 @@
 		return
 	}
 	n := a.node
-	// A message about the former attempt at this node names the task alone, and would be taken for one about this attempt.
-	// On a link of its own it can be told apart.
+	// A message about the previous attempt at this node identifies only the task, and would be mistaken for one about this
+	// attempt. A new link distinguishes them.
 	if n.current != nil && !n.current.suspected && n.current.id <= t.unansweredLinks[n] {
 		c.suspectLink(n.current)
 	}
@@ -82,8 +82,8 @@
 	c.awaitLink(a)
 }
 
-// newAttempt registers an attempt of t at n. It times out at the request's deadline at the latest, and
-// exactly then with timeout 0.
+// newAttempt registers an attempt of t at n. It times out at the request's deadline at the latest; zero means no earlier
+// timeout.
 func (c *Core) newAttempt(t *task, n *node, timeout time.Duration) *attempt {
 	a := &attempt{task: t, number: t.attempts, node: n, startedAt: c.now, timeout: timeout}
 	t.attempts++
@@ -97,7 +97,7 @@
 	return a
 }
 
-// awaitLink has an attempt wait for a link, at once and without the node's redial backoff.
+// awaitLink has an attempt wait for a link to its node, which is dialed at once, without the redial backoff.
 func (c *Core) awaitLink(a *attempt) {
 	wait := min(a.timeout, max(c.config.Module.ConnectTimeout, minConnectTimeout))
 	a.timer = c.timers.Schedule(c.now+wait, func() {
@@ -145,7 +145,7 @@
 }
 
 // timeOutOffer ends an attempt without response. A link that has received nothing since the offer is suspected: a machine
-// that is cut off, or a peer that has lost track of the stream, gives no other sign.
+// that is cut off, or a peer that has lost track of the stream, shows no other sign.
 func (c *Core) timeOutOffer(a *attempt) {
 	l := a.link
 	c.emit(SendRelease{Link: l.id, Task: a.task.id, Cause: CauseNormal})
@@ -155,7 +155,7 @@
 	c.endAttempt(a, flaxshelf.TimedOut, flaxshelf.UnspecifiedReason)
 }
 
-// cancelAttempt carries out the module's cancellation of an attempt that has no response yet.
+// cancelAttempt executes the module's cancellation of an attempt that has no response yet.
 func (c *Core) cancelAttempt(action flaxshelf.Cancel) {
 	t := c.tasks[action.Task]
 	if t == nil || t.attempt == nil || t.attempt.number != action.Attempt {
@@ -164,7 +164,7 @@
 	c.withdrawOffer(t.attempt)
 }
 
-// withdrawOffer ends an attempt that has no response yet; a later phase is left alone.
+// withdrawOffer ends an attempt that has no response yet; one in a later phase is left unchanged.
 func (c *Core) withdrawOffer(a *attempt) {
 	switch a.phase {
 	case phaseConnecting:
@@ -195,14 +195,14 @@
 	c.emit(SendRelease{Link: l.id, Task: a.task.id, Cause: CauseCanceled})
 }
 
-// awaitReleaseConfirmation looks after a released task once the confirmation is overdue.
+// awaitReleaseConfirmation schedules endUnconfirmedRelease for the time when the confirmation is overdue.
 func (c *Core) awaitReleaseConfirmation(a *attempt) {
 	a.timer = c.timers.Schedule(c.now+releaseConfirmationTimeout, func() { c.endUnconfirmedRelease(a) })
 }
 
-// endUnconfirmedRelease counts a released task as ended if its node has shown that it is alive since: nodes need not confirm
-// a release. A node that is cut off never gets the release and goes on running the task, which therefore holds its place
-// until a link comes up or the node counts as lost.
+// endUnconfirmedRelease counts a released task as ended if its node has been responsive since, because nodes need not
+// confirm a release. A partitioned node never receives the release and continues to run the task, which therefore counts as
+// running until a link is established or the node counts as unreachable.
 func (c *Core) endUnconfirmedRelease(a *attempt) {
 	aliveSince := a.releasedAt > 0 && a.node.lastReceivedAt > a.releasedAt
 	if a.releaseDelivered || aliveSince {
@@ -212,7 +212,7 @@
 	c.awaitReleaseConfirmation(a)
 }
 
-// loseAttempt ends an attempt whose node is gone. The owner of a running task is notified.
+// loseAttempt ends an attempt whose node is lost. The owner of a running task is notified.
 func (c *Core) loseAttempt(a *attempt) {
 	if a.phase == phaseRunning {
 		c.notifyTerminated(a.task, CauseLost)
--- a/internal/requests/backoff.go
+++ b/internal/requests/backoff.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// exponentialBackoff is the delay before a retry: it doubles with each earlier retry, up to a bound.
+// exponentialBackoff returns the delay before a retry: initial, doubled for each earlier retry, and at most limit.
 func exponentialBackoff(initial, limit time.Duration, earlierRetries int) time.Duration {
 	backoff := initial
 	for range earlierRetries {
--- a/internal/requests/config.go
+++ b/internal/requests/config.go
@@ -15,16 +15,16 @@
 	// NodeUnreachableTimeout is how long a node may be unreachable before its tasks count as lost, usually
 	// DefaultNodeUnreachableTimeout.
 	NodeUnreachableTimeout time.Duration
-	// NodeIdleTimeout is after how long without traffic nodes close a connection; 0: unknown.
+	// NodeIdleTimeout is the time without traffic after which nodes close a connection; zero means that it is unknown.
 	NodeIdleTimeout time.Duration
-	// Admission bounds owners' connections and what each of them may have pending.
+	// Admission limits the owners' connections and the requests that are pending on each of them.
 	Admission admission.Limits
-	// MaxPending is how many requests may wait for their response; more are rejected.
+	// MaxPending is the maximum number of requests without a response; further ones are rejected.
 	MaxPending int
-	// MaxLinks bounds the links to nodes, those being dialed included; 0: no bound. Where there are more nodes, links go to
-	// those with a pending offer first, then to those that run tasks, then to others.
+	// MaxLinks is the maximum number of links to nodes, including those being dialed; zero means no limit. If there are more
+	// nodes, those with a pending offer get links first, then those that run tasks, then the others.
 	MaxLinks int
-	// RecordStep, when set, is called with each step of the module. It must neither keep nor change the slices.
+	// RecordStep, if not nil, is called after each step of the module. It must not retain or modify the slices.
 	RecordStep func(now Time, events []flaxshelf.Event, actions []flaxshelf.Action)
 }
 
@@ -35,7 +35,7 @@
 	Reason string
 }
 
-// Error names the field, its value and what is wrong with it.
+// Error implements error.
 func (e *ConfigError) Error() string {
 	return fmt.Sprintf("requests: Config.%s is %v: %s", e.Field, e.Value, e.Reason)
 }
--- a/internal/requests/core.go
+++ b/internal/requests/core.go
@@ -10,8 +10,8 @@
 	"flaxshelf.example/flaxshelf/internal/timerqueue"
 )
 
-// Core is the state machine of one scheduler on the platform. Its host calls Step with what has happened and carries out
-// the effects that Step returns. It is not safe for concurrent use.
+// Core is the state machine of one scheduler on the platform. Its host passes inputs to Step and executes the
+// effects that Step returns. It is not safe for concurrent use.
 type Core struct {
 	config Config
 	placer *flaxshelf.Placer
@@ -21,15 +21,15 @@
 
 	effects       []Effect          // of the current step
 	pendingEvents []flaxshelf.Event // for the module's next step
-	moduleTimerAt Time              // when the module wants a TimerFired event; 0: never
+	moduleTimerAt Time              // when the module is to receive a TimerFired event; 0: never
 
 	tasks         map[string]*task
 	owners        map[Conn]*ownerConnection
 	admission     *admission.Control
 	idleTimer     *timerqueue.Timer // of the next check for idle owners' connections
-	activityCount uint64            // how often an owner's connection was marked active
+	activityCount uint64            // number of calls of markActive
 
-	undelivered  []*Terminated // notifications that no owner's connection could be found for
+	undelivered  []*Terminated // notifications for which there was no owner's connection
 	preAdoption  preAdoptionTerminations
 	shuttingDown bool
 
@@ -39,8 +39,8 @@
 	watch      discoveryWatch
 }
 
-// New makes the core of one scheduler. A setting that is out of range gives a *ConfigError, one that the module rejects a
-// wrapped error of the module.
+// New returns the core of one scheduler. The error is a *ConfigError if a setting is out of range, and wraps the module's
+// error if the module rejects one.
 func New(config Config) (*Core, error) {
 	if err := config.validate(); err != nil {
 		return nil, err
@@ -61,17 +61,18 @@
 	}, nil
 }
 
-// maxModuleRounds bounds how often one Step runs the module: an action of the module may cause its next event at once, such
-// as an offer to a node that was removed.
+// maxModuleRounds is how often one Step runs the module at most. An action of the module, such as an offer to a node that
+// was removed, may cause its next event in the same step.
 const maxModuleRounds = 8
 
-// Step handles what has happened, in order, and returns the effects to carry out and when to step again at the latest
-// (0: only for new inputs). The effects are valid until the next step.
+// Step handles the inputs in order. It returns the effects to execute, which are valid until the next step, and the time by
+// which it must be called again; zero means not before the next input.
 func (c *Core) Step(now Time, inputs []Input) ([]Effect, Time) {
 	c.now = max(now, c.now)
 	c.effects = c.effects[:0]
 	c.startWatch()
-	// Inputs go before timers: a process that was stopped for a while must not take responses for late that arrived in time.
+	// Inputs are handled before timers, so that a process that was stopped for a while does not treat responses as late that
+	// arrived in time.
 	for _, in := range inputs {
 		in.apply(c)
 	}
@@ -100,7 +101,7 @@
 	}
 }
 
-// nextDeadline is when the core has to step again without new inputs; 0: never.
+// nextDeadline returns the time of the next step without new inputs; zero means never.
 func (c *Core) nextDeadline() Time {
 	if len(c.pendingEvents) > 0 {
 		return c.now + 1
@@ -130,7 +131,7 @@
 	return stats
 }
 
-// sortedValues lists the values of a map in a fixed order, so that effects don't depend on the order of a map.
+// sortedValues returns the values of a map in the order of compare, so that effects do not depend on map iteration.
 func sortedValues[K comparable, V any](m map[K]V, compare func(a, b V) int) []V {
 	values := make([]V, 0, len(m))
 	for _, value := range m {
--- a/internal/requests/doc.go
+++ b/internal/requests/doc.go
@@ -1,10 +1,10 @@
 // Package requests is the core of one scheduler on the users' platform: a deterministic state machine that turns messages
 // of owners, nodes and the discovery service into events of the placement module, and the module's actions into messages.
 //
-// It owns the life of each request, from its submission to its single response, and of the task that runs from then on
-// until its owner releases it. It also owns the health of links to nodes: when one is opened, replaced or closed, and when
-// tasks behind it count as lost. Placement decisions belong to the module.
+// It manages the lifecycle of each request, from its submission to its single response, and of the task that runs from then
+// on until its owner releases it. It also manages the links to nodes: when one is opened, replaced or closed, and when the
+// tasks of a node count as lost. The module makes the placement decisions.
 //
-// The package does no I/O, reads no clock and starts no goroutine. It keeps no jobs: retrying after a loss, joining requests
-// by key and queueing belong to the owner on the platform (package scheduler does them for DRMAA). See docs/platform.md.
+// The package does no I/O, reads no clock and starts no goroutine. It does not manage jobs: on the platform, owners retry
+// after a loss, deduplicate requests by key and queue them (package scheduler does so for DRMAA). See docs/platform.md.
 package requests
--- a/internal/requests/effect.go
+++ b/internal/requests/effect.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Effect is something for the host to carry out. The effect types of this package implement it.
+// Effect is something that the host has to do. The effect types of this package implement it.
 type Effect interface{ effect() }
 
 // Effects on owners' connections.
@@ -13,7 +13,7 @@
 		Task, Description string
 	}
 	// Terminated responds to an owner that its request was rejected or has failed, or notifies it that its running task has
-	// ended: by a release with Cause, or by a migration, after which the owner submits the task again.
+	// ended: by a release with Cause or, if Migrate is true, by a migration, after which the owner submits the task again.
 	Terminated struct {
 		Conn    Conn
 		Task    string
@@ -26,7 +26,7 @@
 		Task   string
 		Passed bool
 	}
-	// CloseOwner closes an owner's connection once all that was written on it is sent.
+	// CloseOwner closes an owner's connection after what was written to it has been sent.
 	CloseOwner struct{ Conn Conn }
 )
 
@@ -43,7 +43,7 @@
 	Offer struct {
 		Link                                                Link
 		Attempt                                             int  // its number among the attempts of the task
-		Owner                                               Conn // whose request it is
+		Owner                                               Conn // the connection of the request
 		Node, Task, Class, Key, IdempotencyKey, Description string
 		TimeLeft                                            time.Duration // until the attempt times out
 	}
--- a/internal/requests/input.go
+++ b/internal/requests/input.go
@@ -5,10 +5,10 @@
 // Time is the host's clock: Unix nanoseconds that never go back.
 type Time = flaxshelf.Time
 
-// Conn identifies an owner's connection. The host numbers them; it never uses 0, nor a number twice.
+// Conn identifies an owner's connection. The host assigns the numbers, never 0 and none twice.
 type Conn uint64
 
-// Link identifies a connection to a node. The core numbers them.
+// Link identifies a connection to a node. The core assigns the numbers.
 type Link uint64
 
 // Causes of releases, as the platform numbers them.
@@ -18,10 +18,10 @@
 	CauseRejected = 34  // rejected: a retry does no harm
 	CauseLost     = 41  // the connection or the node was lost: the task may have run
 	CauseError    = 47  // an error: the task may have run
-	CauseObsolete = 102 // from nodes: the offer came too late and never ran
+	CauseObsolete = 102 // from nodes: the offer arrived too late and the task never ran
 )
 
-// Input is something that has happened outside the core. The input types of this package implement it.
+// Input is an event outside the core. The input types of this package implement it.
 type Input interface {
 	apply(c *Core)
 }
@@ -109,7 +109,7 @@
 	WatchEstablished struct{}
 	// WatchFailed reports that the discovery service could not be reached, or that its watch broke off or timed out.
 	WatchFailed struct{}
-	// Shutdown reports that the scheduler is to shut down: health checks fail from now on.
+	// Shutdown reports that the scheduler is to shut down. Health checks fail after it.
 	Shutdown struct{}
 )
 
@@ -124,7 +124,7 @@
 	NodeUsage                                   // a usage report
 )
 
-// String names the kind for logs and tests.
+// String returns the name of the kind.
 func (k NodeMessageKind) String() string {
 	switch k {
 	case NodeAccepted:
--- a/internal/requests/link.go
+++ b/internal/requests/link.go
@@ -16,7 +16,7 @@
 	suspected      bool // to be replaced by a newer link, see suspectLink
 	pendingOffers  int  // written on it and not responded to
 	lastReceivedAt Time
-	lastUsedAt     Time // the last offer or message on it, or its coming up
+	lastUsedAt     Time // time of the last offer or message on it, or of its establishment
 }
 
 // linkRetireDelay is how long messages are still received on a link that was replaced.
@@ -40,7 +40,7 @@
 	c.emit(Dial{Link: l.id, Node: n.entry.ID, Addr: n.addr})
 }
 
-// linkUp handles an established link: what waited for it is written.
+// linkUp handles an established link, and writes the offers and releases that waited for it.
 func (c *Core) linkUp(id Link) {
 	l := c.links[id]
 	if l == nil {
@@ -95,11 +95,11 @@
 }
 
 // dialFailed handles a failed dial of a node that has no other link. A refused connection proves that the process is dead,
-// and with it what ran there, save on a draining node that was never linked; any other failure proves only that nothing was
-// sent.
+// and with it what ran there, except on a draining node that never had a link; any other failure proves only that nothing
+// was sent.
 func (c *Core) dialFailed(n *node, refused bool) {
-	// A draining node does not listen any more: its refusal proves a death only where a link was up and broke before.
-	// Otherwise a scheduler that has just started would count as lost all running tasks that it adopts there.
+	// A draining node no longer listens, so a refused connection proves its death only after a link was up and broke.
+	// Otherwise a scheduler that has just started would report all tasks lost that it adopts there.
 	dead := refused && (n.everLinked || n.entry.State != flaxshelf.Draining)
 	if refused && !dead {
 		n.lastReceivedAt = c.now
@@ -117,9 +117,9 @@
 	c.scheduleRedial(n, exponentialBackoff(initialRedialBackoff, maxRedialBackoff, n.failedDials-1))
 }
 
-// retainLink goes on with a link that is up where its replacement could not be established. A refusal shows a live machine
-// whose process does not listen any more: a draining node keeps its running tasks, on the links that it has. Taken for a
-// death, it would have those tasks reported as lost while they run.
+// retainLink continues to use a link that is up after its replacement could not be established. A refused connection shows
+// that the machine is alive and its process no longer listens, as a draining node that keeps its running tasks and its open
+// links. If it were treated as a death, those tasks would be reported lost while they run.
 func (c *Core) retainLink(n *node, old *link, refused bool) {
 	n.current = old
 	if refused {
@@ -131,7 +131,8 @@
 	c.endConnecting(n, flaxshelf.Unreachable)
 }
 
-// suspectLink has a newer link replace l. Offers that are pending on l may still be responded to there for a while.
+// suspectLink starts to replace l by a newer link. Responses to the offers pending on l are still received on it until it is
+// retired.
 func (c *Core) suspectLink(l *link) {
 	if l.suspected || c.links[l.id] == nil {
 		return
@@ -156,7 +157,7 @@
 	})
 }
 
-// closeLink closes a link from our side.
+// closeLink closes a link and removes it.
 func (c *Core) closeLink(l *link) {
 	c.emit(CloseLink{l.id})
 	c.removeLink(l)
@@ -195,7 +196,7 @@
 	}
 }
 
-// newestLinkUp is the newest link of a node that is up; nil where none is.
+// newestLinkUp returns the newest link of a node that is up, or nil if there is none.
 func (c *Core) newestLinkUp(n *node) *link {
 	var newest *link
 	for _, l := range c.links {
--- a/internal/requests/linkpool.go
+++ b/internal/requests/linkpool.go
@@ -2,16 +2,16 @@
 
 import "cmp"
 
-// linkPriority is how much a node needs a link.
+// linkPriority is the importance of a link to a node.
 type linkPriority int
 
 const (
-	priorityPrefetch     linkPriority = iota // nothing runs or waits there: a link only saves time later
+	priorityPrefetch     linkPriority = iota // no task runs or waits there: a link only saves time later
 	priorityRunningTasks                     // tasks run there: their ends are reported on a link
 	priorityPendingOffer                     // an offer waits for the link
 )
 
-// linkPriority is the priority of a link to the node now.
+// linkPriority returns the current priority of a link to the node.
 func (n *node) linkPriority() linkPriority {
 	priority := priorityPrefetch
 	for _, a := range n.attempts {
@@ -25,17 +25,18 @@
 	return priority
 }
 
-// prefetchLinkEighths: with so many eighths of Config.MaxLinks in use, by links of any kind, none is opened that only saves
-// time. The last eighth is kept free for links that are needed.
+// prefetchLinkEighths is the number of eighths of Config.MaxLinks that must be in use, by links of any priority, for no more
+// links to be prefetched. The last eighth is reserved for links of a higher priority.
 const prefetchLinkEighths = 7
 
-// atCapacity reports whether a link that only saves time would be one too many.
+// atCapacity reports whether no more links may be prefetched.
 func (c *Core) atCapacity() bool {
 	return c.config.MaxLinks > 0 && len(c.links) >= c.config.MaxLinks*prefetchLinkEighths/8
 }
 
-// reserveLink reports whether a link to n may be made, and evicts another one for it where the pool is full. Without the
-// bound, many nodes, or each with an old link beside its new one, would leave no descriptor for a node with a pending offer.
+// reserveLink reports whether a link to n may be dialed, and evicts another one for it if the pool is full. Without the
+// limit, a large number of nodes, or of nodes with both an old and a new link, would leave no descriptor for a node with a
+// pending offer.
 func (c *Core) reserveLink(n *node) bool {
 	priority := n.linkPriority()
 	if !c.atCapacity() || priority > priorityPrefetch && len(c.links) < c.config.MaxLinks {
@@ -53,8 +54,8 @@
 	return true
 }
 
-// evictionCandidate is the link to close for one of the given priority: of the highest rank, then the least recently used,
-// then the oldest. It is nil where no link may be evicted.
+// evictionCandidate returns the link to close for one of the given priority: that of the highest rank, then the least
+// recently used, then the oldest. It returns nil if no link may be evicted.
 func (c *Core) evictionCandidate(priority linkPriority) *link {
 	var best *link
 	var bestRank evictionRank
@@ -76,16 +77,16 @@
 
 const (
 	rankNotEvictable    evictionRank = iota
-	rankRunningTasks                 // tasks run on its node, which is linked again later to hear of them
-	rankNothingAssigned              // no attempt of ours is on its node
+	rankRunningTasks                 // tasks run on its node, which is dialed again later for its reports
+	rankNothingAssigned              // its node has no attempt
 	rankReplaced                     // a newer link has taken its place
 )
 
-// minIdleDivisor sets how long a link to a node with running tasks must be unused before another such link may replace it:
-// this part of Config.NodeUnreachableTimeout, so that each of several nodes gets a link in time.
+// minIdleDivisor divides Config.NodeUnreachableTimeout into the time that a link to a node with running tasks must be unused
+// before another such link may replace it, so that each of several nodes gets a link in time.
 const minIdleDivisor = 4
 
-// rankForEviction is the rank of l where a link of the given priority is wanted.
+// rankForEviction returns the rank of l if a link of the given priority is required.
 func (c *Core) rankForEviction(l *link, wanted linkPriority) evictionRank {
 	switch {
 	case !l.up || l.pendingOffers > 0:
--- a/internal/requests/node.go
+++ b/internal/requests/node.go
@@ -12,10 +12,10 @@
 type node struct {
 	entry          flaxshelf.Machine // as the endpoint list has it
 	addr           string
-	listed         bool  // an endpoint list has named it
+	listed         bool  // an endpoint list has contained it
 	current        *link // the newest link: offers go on it
 	attempts       map[string]*attempt
-	lastReceivedAt Time // the last sign of life: a message, or a link that came up
+	lastReceivedAt Time // when it was last responsive: a message or a new link
 	failedDials    int  // in a row
 	everLinked     bool // a link to it has been up since it became known
 	deniedLink     bool // it has no link because the pool is full
@@ -25,7 +25,7 @@
 // unknownKind is the kind of a machine that no endpoint list has described.
 const unknownKind = -1
 
-// nodeFor returns the node of an ID, and registers one that is not known yet as removed.
+// nodeFor returns the node with an ID. It adds an unknown one in the state Removed.
 func (c *Core) nodeFor(id string) *node {
 	n := c.nodes[id]
 	if n == nil {
@@ -39,22 +39,22 @@
 	return n
 }
 
-// sortedNodes lists all nodes in the order of their IDs.
+// sortedNodes returns all nodes in the order of their IDs.
 func (c *Core) sortedNodes() []*node {
 	return sortedValues(c.nodes, func(a, b *node) int { return cmp.Compare(a.entry.ID, b.entry.ID) })
 }
 
-// sortedAttempts lists the attempts at the node in the order of their task IDs.
+// sortedAttempts returns the attempts at the node in the order of their task IDs.
 func (n *node) sortedAttempts() []*attempt {
 	return sortedValues(n.attempts, func(a, b *attempt) int { return cmp.Compare(a.task.id, b.task.id) })
 }
 
-// needsLink reports whether a link to the node is of use.
+// needsLink reports whether the node is to have a link.
 func (n *node) needsLink() bool {
 	return n.addr != "" && (n.entry.State != flaxshelf.Removed || len(n.attempts) > 0)
 }
 
-// discardIfUnused closes the links of a node that needs none, and forgets a removed one.
+// discardIfUnused closes the links of a node that needs none, and deletes the node if it is removed.
 func (c *Core) discardIfUnused(n *node) {
 	if n.needsLink() || len(n.attempts) > 0 {
 		return
@@ -78,7 +78,7 @@
 	c.discardIfUnused(n)
 }
 
-// loseRunning ends the tasks that run at a node and that the condition holds for, and returns how many they are.
+// loseRunning ends the running tasks of a node for which condition returns true, and returns their number.
 func (c *Core) loseRunning(n *node, condition func(*attempt) bool) (lost uint64) {
 	for _, a := range n.sortedAttempts() {
 		if a.phase >= phaseRunning && condition(a) {
--- a/internal/requests/nodemessage.go
+++ b/internal/requests/nodemessage.go
@@ -2,7 +2,8 @@
 
 import "flaxshelf.example/flaxshelf"
 
-// attemptOn finds the attempt that a message on a link is about: that of the task at the very node of the link.
+// attemptOn returns the attempt that a message on a link refers to: that of the task if it is at the node of the link, else
+// nil.
 func (c *Core) attemptOn(id Link, taskID string) *attempt {
 	l, t := c.links[id], c.tasks[taskID]
 	if l == nil || t == nil || t.attempt == nil || t.attempt.node != l.node {
@@ -43,7 +44,7 @@
 }
 
 // handleUnmatchedMessage handles a message about a task that has no attempt at the node. A task that the node accepts is
-// released there: the message is late, or about a task of nobody's.
+// released there, since the message is late or the task is unknown.
 func (c *Core) handleUnmatchedMessage(l *link, in NodeMessage) {
 	switch in.Kind {
 	case NodeAccepted:
@@ -54,7 +55,7 @@
 	}
 }
 
-// acceptTask handles a node's acceptance of an offer: the owner has its response, and the task runs.
+// acceptTask handles a node's acceptance of an offer: it responds to the owner, and counts the task as running.
 func (c *Core) acceptTask(a *attempt, description string) {
 	t := a.task
 	c.timers.Cancel(a.timer)
@@ -108,7 +109,7 @@
 	}
 }
 
-// offerOutcome is how an offer ended that the node has released before it accepted the task.
+// offerOutcome returns the outcome of an offer that the node has released before it accepted the task.
 func offerOutcome(cause int) flaxshelf.Outcome {
 	switch cause {
 	case CauseRejected:
@@ -121,7 +122,7 @@
 	return flaxshelf.Lost
 }
 
-// runningOutcome is how a running task ended that the node has released.
+// runningOutcome returns the outcome of a running task that the node has released.
 func runningOutcome(cause int) flaxshelf.Outcome {
 	switch cause {
 	case CauseNormal:
@@ -132,7 +133,7 @@
 	return flaxshelf.Lost
 }
 
-// releasedOutcome is how a task ended that was released here before the node's release arrived.
+// releasedOutcome returns the outcome of a task that the core released before the node's release arrived.
 func releasedOutcome(cause int) flaxshelf.Outcome {
 	if cause == CauseNormal {
 		return flaxshelf.Completed
--- a/internal/requests/notification.go
+++ b/internal/requests/notification.go
@@ -2,7 +2,7 @@
 
 import "cmp"
 
-// maxUndelivered bounds the notifications that wait for an owner's connection; more are dropped.
+// maxUndelivered is the maximum number of notifications that wait for an owner's connection; further ones are dropped.
 const maxUndelivered = 4096
 
 // notifyTerminated notifies the owner of a running task that the task has ended.
@@ -15,8 +15,8 @@
 	c.deliver(t.conn, Terminated{Task: t.id, Migrate: true})
 }
 
-// deliver sends a notification on the connection that its task came from, else on the likeliest owner's connection, else on
-// the next connection that turns out to be an owner's.
+// deliver sends a notification on the connection of its task or, if that is closed, on the most likely owner's connection.
+// If there is none, the notification waits for the next connection that is found to be an owner's.
 func (c *Core) deliver(conn Conn, notification Terminated) {
 	o := c.owners[conn]
 	if o == nil {
@@ -32,7 +32,7 @@
 	}
 }
 
-// retryUndelivered sends the notifications that found no connection before.
+// retryUndelivered sends the undelivered notifications on a connection.
 func (c *Core) retryUndelivered(conn Conn) {
 	for _, notification := range c.undelivered {
 		notification.Conn = conn
@@ -41,9 +41,9 @@
 	c.undelivered = c.undelivered[:0]
 }
 
-// likelyOwner is the connection that was marked active last. Where none was, it is the one that most tasks were adopted
-// from, and of several such the oldest. It is nil where no connection is likely an owner's: misbehaving clients connect from
-// owners' addresses and report tasks that no node runs, and a notification that goes to one of them is lost.
+// likelyOwner returns the connection that was marked active last. If none was, it returns the one with the most adoptions,
+// the oldest of several. It returns nil if no connection is likely an owner's: misbehaving clients connect from owners'
+// addresses and report tasks that no node runs, and a notification that is sent to one of them is lost.
 func (c *Core) likelyOwner() *ownerConnection {
 	var best *ownerConnection
 	for _, o := range c.owners {
--- a/internal/requests/owner.go
+++ b/internal/requests/owner.go
@@ -22,12 +22,12 @@
 	o.pending[t.id] = t
 }
 
-// sortedPending lists the pending requests in the order of their task IDs.
+// sortedPending returns the pending requests in the order of their task IDs.
 func (o *ownerConnection) sortedPending() []*task {
 	return sortedValues(o.pending, func(a, b *task) int { return cmp.Compare(a.id, b.id) })
 }
 
-// connectOwner registers an owner's connection. Admission may have others closed for it, or itself.
+// connectOwner registers an owner's connection. Admission control may have other ones closed for it, or the new one.
 func (c *Core) connectOwner(in OwnerConnected) {
 	c.owners[in.Conn] = &ownerConnection{conn: in.Conn}
 	for _, id := range c.admission.Opened(c.now, admission.ID(in.Conn), in.Host) {
@@ -38,7 +38,7 @@
 	}
 }
 
-// closeIdleOwners closes the connections that admission counts as idle, and schedules its next check.
+// closeIdleOwners closes the connections that are idle according to admission control, and schedules its next call.
 func (c *Core) closeIdleOwners() {
 	idle, next := c.admission.CloseIdle(c.now)
 	for _, id := range idle {
@@ -49,15 +49,15 @@
 	}
 }
 
-// closeOwner closes an owner's connection. Its pending requests are canceled; the close itself tells the owner so.
+// closeOwner closes an owner's connection. Its pending requests are canceled without a response.
 func (c *Core) closeOwner(conn Conn) {
 	c.stats.OwnersClosed++
 	c.disconnectOwner(conn)
 	c.emit(CloseOwner{conn})
 }
 
-// disconnectOwner removes a connection that has ended, and cancels the requests pending on it. Running tasks go on: they
-// belong to no connection.
+// disconnectOwner removes a connection that has ended, and cancels the requests pending on it. Running tasks continue,
+// since they belong to no connection.
 func (c *Core) disconnectOwner(conn Conn) {
 	o := c.owners[conn]
 	if o == nil {
@@ -70,7 +70,7 @@
 	}
 }
 
-// protocolError counts a malformed message, and closes the connection at one too many.
+// protocolError counts a malformed message, and closes the connection if it exceeds the limit.
 func (c *Core) protocolError(conn Conn) {
 	if c.admission.ProtocolError(admission.ID(conn)) {
 		c.closeOwner(conn)
@@ -86,11 +86,11 @@
 	c.emit(Pong{Conn: in.Conn, Task: in.Task, Passed: !c.shuttingDown})
 }
 
-// touchOwner has admission count a connection as used.
+// touchOwner records that a connection was used by its owner.
 func (c *Core) touchOwner(conn Conn) { c.admission.RecordOwnerUse(c.now, admission.ID(conn)) }
 
-// markActive is for a connection that is surely an owner's: a request of it was placed, or a node has confirmed a task that
-// was adopted from it. It gets the notifications that found no connection before.
+// markActive marks a connection that is certainly an owner's: a request of it was placed, or a node has confirmed a task
+// that was adopted from it. The undelivered notifications are sent on it.
 func (c *Core) markActive(conn Conn) {
 	if o := c.owners[conn]; o != nil {
 		c.activityCount++
@@ -99,8 +99,8 @@
 	}
 }
 
-// markLikelyOwner is for a connection that a task on a listed node was adopted from. That is no proof of an owner, so
-// admission keeps it unverified until the node confirms the task; notifications go there only where no better one is known.
+// markLikelyOwner marks a connection from which a task on a listed node was adopted. That does not prove an owner, so the
+// connection stays unverified until the node confirms the task, and gets notifications only if no better one is known.
 func (c *Core) markLikelyOwner(conn Conn) {
 	if o := c.owners[conn]; o != nil {
 		o.adoptions++
--- a/internal/requests/preadoption.go
+++ b/internal/requests/preadoption.go
@@ -1,8 +1,8 @@
 package requests
 
-// preAdoptionTerminations are releases that nodes reported of tasks that this scheduler does not know. After a start, a
-// node's link may come up and report the end of a task before the owner's Adopt of that task is read; without this record
-// the task would be adopted then and count as running for ever.
+// preAdoptionTerminations records the nodes' releases of tasks that this scheduler does not know. After a start, a node may
+// report the end of a task before the owner's Adopt of that task is read; without this record the task would then be adopted
+// and count as running forever.
 type preAdoptionTerminations struct {
 	byTask map[string]preAdoptionTermination
 	order  []string // task IDs in order of arrival
@@ -20,11 +20,11 @@
 	// preAdoptionRetention is how long after the end of its task an Adopt may arrive. By then owners count a task as lost
 	// whose end they were not notified of.
 	preAdoptionRetention = LossNotificationDeadline
-	// maxPreAdoptionTerminations bounds the record; the oldest ones are dropped for new ones.
+	// maxPreAdoptionTerminations is the maximum number of entries; new ones replace the oldest.
 	maxPreAdoptionTerminations = 4096
 )
 
-// add records the end of a task; a second one of the same task changes nothing.
+// add records the end of a task. A second end of the same task is ignored.
 func (p *preAdoptionTerminations) add(now Time, taskID string, termination preAdoptionTermination) {
 	if p.byTask == nil {
 		p.byTask = map[string]preAdoptionTermination{}
@@ -36,7 +36,7 @@
 	}
 }
 
-// discardOld removes what has expired, and makes room for one more.
+// discardOld removes the expired entries and, if the record is full, the oldest one.
 func (p *preAdoptionTerminations) discardOld(now Time) {
 	for len(p.order) > 0 {
 		oldest := p.order[0]
@@ -48,7 +48,7 @@
 	}
 }
 
-// find returns the end of a task that the given node has reported; ok is false where there is none.
+// find returns the end of a task that the given node has reported; ok is false if there is none.
 func (p *preAdoptionTerminations) find(now Time, taskID, node string) (termination preAdoptionTermination, ok bool) {
 	termination, ok = p.byTask[taskID]
 	if !ok || termination.node != node || now-termination.receivedAt >= preAdoptionRetention {
@@ -64,8 +64,8 @@
 	p.byTask[taskID] = termination
 }
 
-// adoptTerminated handles the Adopt of a task whose node has reported its end already; false: it has not. The owner is
-// notified once, however often it sends the Adopt.
+// adoptTerminated handles the Adopt of a task whose node has already reported its end, and reports whether it has. The owner
+// is notified once, however often it sends the Adopt.
 func (c *Core) adoptTerminated(in Adopt) bool {
 	termination, ok := c.preAdoption.find(c.now, in.Task.ID, in.Node)
 	if !ok {
--- a/internal/requests/request.go
+++ b/internal/requests/request.go
@@ -5,7 +5,7 @@
 	"flaxshelf.example/flaxshelf/internal/admission"
 )
 
-// task is a request that waits for its response, or the task that runs after it.
+// task is a request without a response yet, or the task that runs after it was accepted.
 type task struct {
 	id             string
 	spec           flaxshelf.Task
@@ -30,11 +30,11 @@
 	t.unansweredLinks[n] = max(id, t.unansweredLinks[n])
 }
 
-// submit begins a request. One whose ID is in use is not begun: the first keeps its single response.
+// submit starts a request. A request whose ID is in use is not started; the first one keeps its single response.
 func (c *Core) submit(in Submit) {
 	o := c.owners[in.Conn]
 	if o == nil {
-		return // the connection has ended: nobody waits
+		return // the connection has ended: no response can be sent
 	}
 	if old := c.tasks[in.Task.ID]; old != nil {
 		if !old.pending || old.conn != in.Conn {
@@ -62,7 +62,7 @@
 	c.notifyModule(flaxshelf.TaskSubmitted{Task: t.spec})
 }
 
-// respondTerminated gives the final response of a request that the module has rejected or failed.
+// respondTerminated sends the final response to a request that the module has rejected or failed.
 func (c *Core) respondTerminated(id string, cause int) {
 	t := c.tasks[id]
 	if t == nil || !t.pending {
@@ -78,7 +78,7 @@
 	c.forgetIfDone(t)
 }
 
-// finishRequest records that the owner waits for no response any more: it has one, or has canceled the request.
+// finishRequest records that a request has its response, or was canceled by its owner.
 func (c *Core) finishRequest(t *task, answered bool) {
 	if !t.pending {
 		return
@@ -118,8 +118,8 @@
 	c.forgetIfDone(t)
 }
 
-// migrate ends a running task that the module wants elsewhere. The owner is notified of a migration, not of a release: after
-// a release it would count the task as lost, and wait before it submits again.
+// migrate ends a running task that the module has chosen to migrate. The owner is notified of a migration, not of a release:
+// after a release it would count the task as lost, and wait before it submits again.
 func (c *Core) migrate(action flaxshelf.Migrate) {
 	t := c.tasks[action.Task]
 	if t == nil || t.attempt == nil || t.attempt.phase != phaseRunning {
--- a/internal/requests/silence.go
+++ b/internal/requests/silence.go
@@ -26,8 +26,8 @@
 )
 
 // checkSilence detects machines that crashed or were partitioned from the network without a sign: established links stay
-// open and silent, and new ones are never established. After Config.NodeUnreachableTimeout the tasks there count as lost; so do tasks that were adopted on a
-// node that no endpoint list names.
+// open and silent, and new ones are never established. After Config.NodeUnreachableTimeout the tasks there count as lost; so
+// do tasks that were adopted on a node that no endpoint list names.
 func (c *Core) checkSilence() {
 	c.timers.Schedule(c.now+silenceCheckInterval, c.checkSilence)
 	var denied []*node
@@ -63,16 +63,20 @@
 	}
 }
 
-// nearIdleTimeout reports whether a node may be about to close a link for lack of traffic, after three quarters of its idle
-// timeout. An offer that crosses such a close counts as one that may have been accepted, so the link is renewed before.
+// idleRenewalQuarters is after how many quarters of Config.NodeIdleTimeout an unused link is renewed.
+const idleRenewalQuarters = 3
+
+// nearIdleTimeout reports whether a link has been unused for so much of the node's idle timeout that it must be renewed. An
+// offer that crosses the node's close may have been accepted and counts as lost, so the link is renewed before.
 func (c *Core) nearIdleTimeout(l *link) bool {
 	if l == nil || !l.up || l.suspected || c.config.NodeIdleTimeout <= 0 {
 		return false
 	}
-	return c.now-l.lastUsedAt >= c.config.NodeIdleTimeout*3/4
+	return c.now-l.lastUsedAt >= c.config.NodeIdleTimeout*idleRenewalQuarters/4
 }
 
-// renewIdleLink replaces a link that its node is about to close; one that only saves time is closed where links are scarce.
+// renewIdleLink replaces a link that its node is about to close. If the pool is at capacity, it closes a prefetched one
+// instead.
 func (c *Core) renewIdleLink(n *node) {
 	if len(n.attempts) == 0 && c.atCapacity() {
 		c.closeLink(n.current)
--- a/internal/requests/watch.go
+++ b/internal/requests/watch.go
@@ -7,15 +7,16 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-// discoveryWatch is the state of the watch on the discovery service. Where updates come unrequested the core opens the
-// watch itself, since the module asks for nothing; where they must be requested, the module's Subscribe opens it.
+// discoveryWatch is the state of the watch on the discovery service. If updates are pushed, the core opens the watch
+// itself, because the module does not subscribe; if they must be requested, the module's Subscribe opens it.
 type discoveryWatch struct {
 	started  bool
-	failures int // watches that failed in a row
+	failures int // consecutive watches that failed
 	rng      *rand.Rand
 }
 
-// Discovery counts as up to date 2 s after a watch broke off at the latest, so the longest backoff is half of that.
+// The protocol expects the endpoint list to be current within 2 s after a watch broke off; the longest backoff is half of
+// that.
 const (
 	initialWatchBackoff = 100 * time.Millisecond
 	maxWatchBackoff     = time.Second
@@ -33,14 +34,14 @@
 	}
 }
 
-// watchEstablished resets the backoff and has the module count discovery as available.
+// watchEstablished resets the backoff and notifies the module that discovery is available.
 func (c *Core) watchEstablished() {
 	c.watch.failures = 0
 	c.notifyModule(flaxshelf.MachinesUpdated{})
 }
 
-// watchFailed opens the watch again after a backoff, with jitter so that schedulers whose watches broke at one moment don't
-// come back at one moment.
+// watchFailed opens the watch again after a backoff, with jitter so that schedulers whose watches broke at the same time do
+// not reconnect at the same time.
 func (c *Core) watchFailed() {
 	c.notifyModule(flaxshelf.DiscoveryFailed{})
 	if c.config.Module.DiscoveryOnRequest {
