--- a/internal/requests/adoption_test.go
+++ b/internal/requests/adoption_test.go
@@ -1,14 +1,15 @@
 package requests
 
 import (
+	"slices"
 	"testing"
 	"time"
 
 	"flaxshelf.example/flaxshelf"
 )
 
-// A running task is adopted once, and its owner is notified of its end like any other's.
-func TestAdoption(t *testing.T) {
+// A running task is adopted once, and its owner is notified of its end.
+func TestAdoptsRunningTaskOnce(t *testing.T) {
 	h := newHarness(t)
 	h.connect(1)
 	h.addNodes("n")
@@ -16,17 +17,16 @@
 	h.step(adopt)
 	noEffect[Accepted](h)
 	h.step(adopt)
-	if adopted := moduleEventsOf[flaxshelf.TaskAdopted](h); len(adopted) != 1 || adopted[0].Machine != "n" {
-		t.Errorf("%+v", adopted)
+	want := []flaxshelf.TaskAdopted{{Task: adopt.Task, Machine: "n"}}
+	if got := moduleEventsOf[flaxshelf.TaskAdopted](h); !slices.Equal(got, want) {
+		t.Errorf("got adoptions %+v, want %+v", got, want)
 	}
 	h.step(NodeMessage{Link: h.links["n"], Kind: NodeReleased, Task: taskID(7), Cause: CauseLost, Reason: flaxshelf.Evicted})
-	if e := oneEffect[Terminated](h); e != (Terminated{1, taskID(7), CauseLost, false}) {
-		t.Errorf("%+v", e)
-	}
+	expectEffect(h, Terminated{Conn: 1, Task: taskID(7), Cause: CauseLost})
 }
 
-// After a start, the end of a task may arrive before the Adopt of that task: its owner is notified all the same. The release
-// of another node, and that of a task that was known and ended here, is no such end.
+// After a start, the end of a task may arrive before the Adopt of that task: its owner is still notified. The release
+// of another node, or of a task that was known and has ended, is no such end.
 func TestTerminationBeforeAdoption(t *testing.T) {
 	h := newHarness(t)
 	h.addNodes("n", "m")
@@ -37,25 +37,25 @@
 	h.step(nodeReleased(h.links["m"], 7, CauseNormal))
 	h.step(nodeReleased(h.links["n"], 8, CauseLost))
 	h.step(h.newAdopt(1, "n", 8))
-	if e := oneEffect[Terminated](h); e != (Terminated{Conn: 1, Task: taskID(8), Cause: CauseLost}) {
-		t.Errorf("%+v", e)
-	}
+	expectEffect(h, Terminated{Conn: 1, Task: taskID(8), Cause: CauseLost})
 	h.step(h.newAdopt(1, "n", 8), nodeReleased(h.links["n"], 8, CauseLost), h.newAdopt(1, "n", 8))
 	noEffect[Terminated](h) // the Adopt and the node's release may both arrive again
 	if stats := h.core.Stats(); stats.Running != 0 {
-		t.Errorf("%d tasks run", stats.Running)
+		t.Errorf("got %d running tasks, want none", stats.Running)
 	}
 	for i := range 2 * maxPreAdoptionTerminations {
 		h.step(nodeReleased(h.links["n"], 100+i, CauseLost))
 	}
-	if n := len(h.core.preAdoption.byTask); n > maxPreAdoptionTerminations || n != len(h.core.preAdoption.order) {
-		t.Errorf("%d terminations are recorded", n)
+	recorded, ordered := len(h.core.preAdoption.byTask), len(h.core.preAdoption.order)
+	if recorded > maxPreAdoptionTerminations || recorded != ordered {
+		t.Errorf("got %d recorded and %d ordered terminations, want as many and at most %d", recorded, ordered,
+			maxPreAdoptionTerminations)
 	}
 }
 
-// A scheduler that has just started adopts a task on a draining node that does not listen any more: the refusal proves no
-// death, and the task is lost when the endpoint list says that the node has left.
-func TestAdoptionOnDrainingNode(t *testing.T) {
+// A scheduler that has just started adopts a task on a draining node that no longer listens: a refused connection does not
+// prove its death, and the task is lost when the endpoint list reports that the node has left.
+func TestRefusedConnectionOfDrainingNodeLosesNoAdoptedTask(t *testing.T) {
 	h := newHarness(t)
 	h.connectPinged(1)
 	h.updateNodes(flaxshelf.Draining, "n")
@@ -69,33 +69,33 @@
 		dial = oneEffect[Dial](h)
 	}
 	h.updateNodes(flaxshelf.Removed, "n")
-	if e := oneEffect[Terminated](h); e.Task != taskID(7) {
-		t.Errorf("%+v", e)
-	}
+	expectEffect(h, Terminated{Conn: 1, Task: taskID(7), Cause: CauseLost})
 }
 
-// Tasks adopted on nodes that no endpoint list names are bounded, count as lost after a while, and verify no owner.
+// Tasks adopted on nodes that no endpoint list contains are limited in number, count as lost after the timeout, and verify
+// no owner.
 func TestAdoptionOnUnlistedNodes(t *testing.T) {
 	h := newHarness(t)
 	h.connect(1)
 	for n := range 3 * maxRunningUnlisted {
 		h.step(h.newAdopt(1, "x"+taskID(n), n))
 	}
-	if stats := h.core.Stats(); stats.Running != maxRunningUnlisted || stats.Nodes != maxRunningUnlisted {
-		t.Errorf("%+v", stats)
+	if got := h.core.Stats(); got.Running != maxRunningUnlisted || got.Nodes != maxRunningUnlisted {
+		t.Errorf("got %d running tasks on %d nodes, want %d of each", got.Running, got.Nodes, maxRunningUnlisted)
 	}
 	h.advance(3 * time.Second)
-	if stats := h.core.Stats(); stats.OwnersClosed != 1 {
-		t.Errorf("%+v", stats)
+	if got := h.core.Stats().OwnersClosed; got != 1 {
+		t.Errorf("got %d closed owners' connections, want 1", got)
 	}
 	h.advance(5 * time.Second)
-	if stats := h.core.Stats(); stats.Running+stats.RunningUnlisted+stats.Nodes != 0 {
-		t.Errorf("%+v", stats)
+	h.expectNoTasks()
+	if got := h.core.Stats().Nodes; got != 0 {
+		t.Errorf("got %d nodes, want none", got)
 	}
 }
 
-// A task adopted on a node whose address belongs to another by now: the other is not dialed for it, and the owner is
-// notified in time.
+// A task is adopted on a node whose address belongs to another node by then: that node is not dialed for it, and the owner
+// is notified in time.
 func TestAdoptionOnReplacedNode(t *testing.T) {
 	h := newHarness(t)
 	h.connectPinged(1)
@@ -106,11 +106,10 @@
 	}
 	h.step(h.newAdopt(1, "old", 7))
 	noEffect[Dial](h)
-	h.advance(8 * time.Second)
-	if e := oneEffect[Terminated](h); e != (Terminated{Conn: 1, Task: taskID(7), Cause: CauseLost}) {
-		t.Errorf("%+v", e)
-	}
-	if stats := h.core.Stats(); stats.Running != 0 || stats.RunningUnlisted != 0 || stats.Nodes != 1 {
-		t.Errorf("%+v", stats)
+	h.advance(LossNotificationDeadline)
+	expectEffect(h, Terminated{Conn: 1, Task: taskID(7), Cause: CauseLost})
+	h.expectNoTasks()
+	if got := h.core.Stats().Nodes; got != 1 {
+		t.Errorf("got %d nodes, want 1", got)
 	}
 }
--- a/internal/requests/backoff_test.go
+++ b/internal/requests/backoff_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// The backoff doubles with each retry, up to its bound, however many retries there were.
-func TestExponentialBackoff(t *testing.T) {
+// The backoff doubles with each retry up to its limit, for any number of retries.
+func TestExponentialBackoffDoublesUpToLimit(t *testing.T) {
 	for _, test := range []struct {
 		name           string
 		initial, limit time.Duration
@@ -22,7 +22,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := exponentialBackoff(test.initial, test.limit, test.earlierRetries); got != test.want {
-				t.Errorf("%v, want %v", got, test.want)
+				t.Errorf("got %v, want %v", got, test.want)
 			}
 		})
 	}
--- a/internal/requests/config_test.go
+++ b/internal/requests/config_test.go
@@ -8,7 +8,7 @@
 )
 
 // A setting that is out of range is reported with its field and value.
-func TestNewReportsConfigError(t *testing.T) {
+func TestNewReportsInvalidSetting(t *testing.T) {
 	for _, test := range []struct {
 		field  string
 		value  any
@@ -27,19 +27,19 @@
 			core, err := New(config)
 			var configError *ConfigError
 			if core != nil || !errors.As(err, &configError) {
-				t.Fatalf("core %v, error %v", core, err)
+				t.Fatalf("got core %v and error %v, want a *ConfigError", core, err)
 			}
 			if configError.Field != test.field || configError.Value != test.value || configError.Reason == "" {
-				t.Errorf("%+v", configError)
+				t.Errorf("got %+v, want field %s, value %v and a reason", configError, test.field, test.value)
 			}
 			if !strings.Contains(err.Error(), test.field) {
-				t.Errorf("%q doesn't name the field", err)
+				t.Errorf("got error text %q, want the field %s in it", err, test.field)
 			}
 		})
 	}
 }
 
-// Settings at their bounds are accepted.
+// Settings at the limits of their range are accepted.
 func TestNewAcceptsBounds(t *testing.T) {
 	config := testConfig()
 	config.NodeUnreachableTimeout = 1
@@ -49,17 +49,17 @@
 	config.Admission.MaxPendingPerConnection = 1
 	config.Admission.IdleTimeout = 1
 	if _, err := New(config); err != nil {
-		t.Error(err)
+		t.Errorf("got error %v, want none", err)
 	}
 }
 
-// What the module rejects is the module's error.
+// A setting that the module rejects is reported by the module's error.
 func TestNewReportsModuleError(t *testing.T) {
 	config := testConfig()
 	config.Module.MaxAttempts = -1
 	core, err := New(config)
 	var configError *ConfigError
 	if core != nil || err == nil || errors.As(err, &configError) {
-		t.Errorf("core %v, error %v", core, err)
+		t.Errorf("got core %v and error %v, want an error that is no *ConfigError", core, err)
 	}
 }
--- a/internal/requests/endpoints_test.go
+++ b/internal/requests/endpoints_test.go
@@ -7,25 +7,23 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-// A node is identified by its ID: another one at its address ends the tasks that ran on it.
-func TestAddressReused(t *testing.T) {
+// A node is identified by its ID: the tasks of a node are lost when another node is at its address.
+func TestReusedAddressLosesTasksOfPreviousNode(t *testing.T) {
 	h := newHarness(t)
 	h.connect(1)
 	h.addNodes("old@x")
 	h.placeTask(1, 7)
 	h.updateNodes(flaxshelf.Active, "new@x")
-	if e := oneEffect[Terminated](h); e.Task != taskID(7) {
-		t.Errorf("%+v", e)
-	}
+	expectEffect(h, Terminated{Conn: 1, Task: taskID(7), Cause: CauseLost})
 	dial := oneEffect[Dial](h)
 	if dial.Node != "new" {
-		t.Errorf("%+v", dial)
+		t.Errorf("got dial of node %s, want new", dial.Node)
 	}
 	oneEffect[CloseLink](h)
 	h.step(LinkUp{dial.Link})
 	h.step(h.newSubmit(1, 8))
 	if offer := oneEffect[Offer](h); offer.Node != "new" || offer.Link != dial.Link {
-		t.Errorf("%+v", offer)
+		t.Errorf("got offer %+v, want one to node new on link %d", offer, dial.Link)
 	}
 }
 
@@ -40,20 +38,18 @@
 	h.updateNodes(flaxshelf.Draining, "n")
 	h.step(LinkUp{dial.Link})
 	noEffect[Offer](h)
-	if e := moduleEventsOf[flaxshelf.AttemptEnded](h); len(e) == 0 || e[0].Outcome != flaxshelf.NotSent {
-		t.Errorf("%+v", e)
+	if got := moduleEventsOf[flaxshelf.AttemptEnded](h); len(got) == 0 || got[0].Outcome != flaxshelf.NotSent {
+		t.Errorf("got ended attempts %+v, want the first with outcome %v", got, flaxshelf.NotSent)
 	}
 }
 
-// A node that has restarted has lost the tasks that ran before, whether or not its link broke.
-func TestNodeRestart(t *testing.T) {
+// A node that has restarted has lost the tasks that ran before, even if its link did not break.
+func TestNodeRestartLosesItsTasks(t *testing.T) {
 	h := newHarness(t)
 	h.connect(1)
 	h.addNodes("n")
 	h.placeTask(1, 7)
 	h.now += time.Second
 	h.step(nodeUpdated(machine("n", flaxshelf.Active, h.now), "n"))
-	if e := oneEffect[Terminated](h); e.Task != taskID(7) || e.Cause != CauseLost {
-		t.Errorf("%+v", e)
-	}
+	expectEffect(h, Terminated{Conn: 1, Task: taskID(7), Cause: CauseLost})
 }
--- a/internal/requests/harness_test.go
+++ b/internal/requests/harness_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"reflect"
 	"slices"
 	"strings"
 	"testing"
@@ -17,15 +18,15 @@
 	classKeyed
 )
 
-// harness drives a core: the test moves its clock, and acts for owners, nodes and the discovery service.
+// harness drives a Core: the test controls the clock and plays owners, nodes and the discovery service.
 type harness struct {
 	t            *testing.T
 	core         *Core
 	now          Time
-	effects      []Effect          // of the last step, or of all steps of the last advance
+	effects      []Effect          // of the last step, or of the last advance
 	allEffects   []Effect          // so far
 	moduleEvents []flaxshelf.Event // so far
-	links        map[string]Link   // that addNodes has brought up, by node
+	links        map[string]Link   // established by addNodes, by node
 }
 
 func moduleConfig() flaxshelf.Config {
@@ -65,7 +66,7 @@
 	}
 }
 
-// newHarness makes a core of testConfig with the given changes.
+// newHarness returns a harness with a new Core of testConfig and the given changes.
 func newHarness(t *testing.T, changes ...func(*Config)) *harness {
 	t.Helper()
 	config := testConfig()
@@ -83,7 +84,7 @@
 	return h
 }
 
-// step gives the core inputs at the current time.
+// step passes inputs to the core at the current time.
 func (h *harness) step(inputs ...Input) {
 	h.t.Helper()
 	effects, _ := h.core.Step(h.now, inputs)
@@ -91,7 +92,7 @@
 	h.allEffects = append(h.allEffects, h.effects...)
 }
 
-// advance lets time pass, in the steps that the core asks for.
+// advance moves the clock by d, and steps the core at each of its deadlines.
 func (h *harness) advance(d time.Duration) {
 	h.t.Helper()
 	end := h.now + d
@@ -110,7 +111,7 @@
 	h.allEffects = append(h.allEffects, effects...)
 }
 
-// connect opens owners' connections, all from one host.
+// connect opens owners' connections from one host.
 func (h *harness) connect(conns ...Conn) {
 	h.t.Helper()
 	var inputs []Input
@@ -151,7 +152,7 @@
 	h.step(in)
 }
 
-// addNodes lists active nodes and brings their links up.
+// addNodes adds active nodes to the endpoint list and establishes their links.
 func (h *harness) addNodes(nodes ...string) {
 	h.t.Helper()
 	h.updateNodes(flaxshelf.Active, nodes...)
@@ -201,7 +202,7 @@
 	return NodeMessage{Link: link, Kind: NodeReleased, Task: taskID(n), Cause: cause}
 }
 
-// placeTask submits the n-th task and has a node accept it. It returns the offer.
+// placeTask submits the n-th task, has a node accept it, and returns the offer.
 func (h *harness) placeTask(conn Conn, n int) Offer {
 	h.t.Helper()
 	h.step(h.newSubmit(conn, n))
@@ -222,21 +223,32 @@
 	return matching
 }
 
-// oneEffect returns the last step's only effect of a type, and fails where it has none or several.
+// oneEffect returns the last step's only effect of a type. It fails the test if there is none or several.
 func oneEffect[T Effect](h *harness) T {
 	h.t.Helper()
 	matching := effectsOf[T](h)
 	if len(matching) != 1 {
-		h.t.Fatalf("%d effects of type %T, want 1: %+v", len(matching), *new(T), h.effects)
+		h.t.Fatalf("got %d effects of type %T, want 1: %+v", len(matching), *new(T), h.effects)
 	}
 	return matching[0]
 }
 
-// noEffect fails where the last step has effects of a type.
+// expectEffect fails the test unless want is the last step's only effect of its type.
+func expectEffect[T interface {
+	Effect
+	comparable
+}](h *harness, want T) {
+	h.t.Helper()
+	if got := oneEffect[T](h); got != want {
+		h.t.Errorf("got effect %+v, want %+v", got, want)
+	}
+}
+
+// noEffect fails the test if the last step has effects of a type.
 func noEffect[T Effect](h *harness) {
 	h.t.Helper()
 	if matching := effectsOf[T](h); len(matching) > 0 {
-		h.t.Fatalf("unexpected %+v", matching)
+		h.t.Fatalf("got effects %+v, want none of type %T", matching, *new(T))
 	}
 }
 
@@ -250,3 +262,24 @@
 	}
 	return matching
 }
+
+// expectEnded fails the test unless the module's AttemptEnded events so far are the wanted ones, apart from their latency.
+func (h *harness) expectEnded(want ...flaxshelf.AttemptEnded) {
+	h.t.Helper()
+	got := moduleEventsOf[flaxshelf.AttemptEnded](h)
+	for i := range got {
+		got[i].Latency = 0
+	}
+	if !reflect.DeepEqual(got, want) {
+		h.t.Errorf("got ended attempts %+v, want %+v", got, want)
+	}
+}
+
+// expectNoTasks fails the test unless the core has neither pending requests nor running tasks.
+func (h *harness) expectNoTasks() {
+	h.t.Helper()
+	stats := h.core.Stats()
+	if stats.Pending != 0 || stats.Running != 0 || stats.RunningUnlisted != 0 || len(h.core.tasks) != 0 {
+		h.t.Errorf("got %d tasks and %+v, want none pending or running", len(h.core.tasks), stats)
+	}
+}
--- a/internal/requests/link_test.go
+++ b/internal/requests/link_test.go
@@ -8,7 +8,7 @@
 )
 
 // The release of a running task whose link broke is written on the newer link.
-func TestReleaseOnNewerLink(t *testing.T) {
+func TestReleaseIsSentOnNewerLink(t *testing.T) {
 	h := newHarness(t)
 	h.connect(1)
 	h.addNodes("n")
@@ -17,35 +17,29 @@
 	dial := oneEffect[Dial](h)
 	h.step(LinkUp{dial.Link})
 	h.step(Release{1, taskID(7)})
-	if release := oneEffect[SendRelease](h); release != (SendRelease{dial.Link, taskID(7), CauseCanceled}) {
-		t.Errorf("%+v", release)
-	}
+	expectEffect(h, SendRelease{Link: dial.Link, Task: taskID(7), Cause: CauseCanceled})
 }
 
-// A link that breaks leaves the outcome of its pending offers unknown. Running tasks outlive it, and their ends are reported
-// on the next one.
-func TestLinkBreaks(t *testing.T) {
+// The outcome of the pending offers on a link that breaks is unknown. Running tasks survive, and their ends are reported on
+// the next link.
+func TestBrokenLinkLosesOffersNotRunningTasks(t *testing.T) {
 	h := newHarness(t)
 	h.connect(1)
 	h.addNodes("n")
 	first := h.placeTask(1, 7)
 	h.step(h.newSubmitOf(classKeyed, 1, 8))
 	h.step(LinkDown{Link: first.Link})
-	if e := moduleEventsOf[flaxshelf.AttemptEnded](h); len(e) != 1 || e[0].Task != taskID(8) || e[0].Outcome != flaxshelf.Lost {
-		t.Errorf("%+v", e)
-	}
+	h.expectEnded(flaxshelf.AttemptEnded{Task: taskID(8), Machine: "n", Outcome: flaxshelf.Lost})
 	dial := oneEffect[Dial](h)
 	h.step(LinkUp{dial.Link})
 	h.step(nodeReleased(dial.Link, 7, CauseNormal))
-	if e := oneEffect[Terminated](h); e.Task != taskID(7) {
-		t.Errorf("%+v", e)
-	}
+	expectEffect(h, Terminated{Conn: 1, Task: taskID(7), Cause: CauseNormal})
 }
 
-// A refused connection proves that the tasks on the node are lost. A link that never comes up proves that nothing was sent,
-// and only after a while that the machine is gone.
-func TestDialFails(t *testing.T) {
-	// dialAgain breaks the link of a node with a running task, and has the next dial fail while an offer waits for it.
+// A refused connection proves that the tasks on the node are lost. A link that is never established proves only that nothing
+// was sent; the tasks count as lost after the unreachable timeout.
+func TestTasksAreLostAtOnceOnlyIfDialIsRefused(t *testing.T) {
+	// dialAgain breaks the link of a node with a running task, and lets the next dial fail while an offer waits for it.
 	dialAgain := func(t *testing.T, refused bool) *harness {
 		t.Helper()
 		h := newHarness(t)
@@ -59,15 +53,13 @@
 		h.step(LinkDown{Link: dial.Link, ConnectionRefused: refused})
 		ended := moduleEventsOf[flaxshelf.AttemptEnded](h)
 		if len(ended) == 0 || ended[0].Outcome == flaxshelf.Lost && ended[0].Task == taskID(8) {
-			t.Fatalf("%+v", ended)
+			t.Fatalf("got ended attempts %+v, want one, and not that of task 8 as lost", ended)
 		}
 		return h
 	}
 	t.Run("refused", func(t *testing.T) {
 		h := dialAgain(t, true)
-		if e := oneEffect[Terminated](h); e.Task != taskID(7) || e.Cause != CauseLost {
-			t.Errorf("%+v", e)
-		}
+		expectEffect(h, Terminated{Conn: 1, Task: taskID(7), Cause: CauseLost})
 	})
 	t.Run("never up", func(t *testing.T) {
 		h := dialAgain(t, false)
@@ -84,15 +76,15 @@
 				h.step(LinkDown{Link: dial.Link})
 			}
 		}
-		if notified != 1 || h.core.Stats().LostToUnreachable != 1 {
-			t.Errorf("the owner of a task on a silent machine was notified %d times", notified)
+		if lost := h.core.Stats().LostToUnreachable; notified != 1 || lost != 1 {
+			t.Errorf("got %d notifications and %d tasks lost to unreachable nodes, want 1 of each", notified, lost)
 		}
 	})
 }
 
-// A draining node does not listen any more and keeps its running tasks, on the link that it has: a refused replacement of a
-// link that is up proves no death. The old link goes on; its break, followed by a refusal, is a death.
-func TestRefusedReplacementOfLinkThatIsUp(t *testing.T) {
+// A draining node no longer listens, but keeps its running tasks and its link: a refused replacement of a link that is up
+// does not prove its death. The old link is retained; its break, followed by a refused connection, proves the death.
+func TestRefusedReplacementRetainsLinkThatIsUp(t *testing.T) {
 	h := newHarness(t)
 	h.connect(1)
 	h.addNodes("n")
@@ -102,7 +94,7 @@
 		h.advance(nodeSilenceThreshold + silenceCheckInterval)
 		dials := effectsOf[Dial](h)
 		if len(dials) == 0 {
-			t.Fatalf("no newer link: %+v", h.effects)
+			t.Fatalf("got effects %+v, want the dial of a newer link", h.effects)
 		}
 		noEffect[Terminated](h)
 		h.step(LinkDown{Link: dials[0].Link, ConnectionRefused: true})
@@ -112,13 +104,11 @@
 	h.step(NodeMessage{Link: offer.Link, Kind: NodeUsage, Task: taskID(7), UsageKind: flaxshelf.ServiceLevel, Amount: 1})
 	h.step(LinkDown{Link: offer.Link})
 	h.step(LinkDown{Link: oneEffect[Dial](h).Link, ConnectionRefused: true})
-	if e := oneEffect[Terminated](h); e.Task != taskID(7) {
-		t.Errorf("%+v", e)
-	}
+	expectEffect(h, Terminated{Conn: 1, Task: taskID(7), Cause: CauseLost})
 }
 
-// A task may be offered to the same node again, where no other is left. The second offer goes on a link of its own, so that
-// a message about the first attempt is not taken for one about the second.
+// A task may be offered to the same node again if there is no other. The second offer is sent on a new link, so that a
+// message about the first attempt is not mistaken for one about the second.
 func TestSecondAttemptOnSameNode(t *testing.T) {
 	h := newHarness(t)
 	h.connect(1)
@@ -132,7 +122,7 @@
 	h.step(LinkUp{oneEffect[Dial](h).Link})
 	second := oneEffect[Offer](h)
 	if second.Link == first.Link || second.Attempt != 1 {
-		t.Errorf("%+v after %+v", second, first)
+		t.Errorf("got offer %+v after %+v, want attempt 1 on another link", second, first)
 	}
 	h.step(nodeAccepted(first.Link, 7, "late"), nodeReleased(first.Link, 7, CauseCanceled))
 	noEffect[Accepted](h)
@@ -140,12 +130,10 @@
 	h.step(SendFailed{Link: second.Link, Task: taskID(7), Attempt: 0})
 	noEffect[Offer](h)
 	h.step(nodeAccepted(second.Link, 7, "node's"))
-	if a := oneEffect[Accepted](h); a.Description != "node's" {
-		t.Errorf("%+v", a)
-	}
+	expectEffect(h, Accepted{Conn: 1, Task: taskID(7), Description: "node's"})
 }
 
-// A release whose link broke under it is written again on the next link.
+// A release is sent again on the next link if its link breaks before it is confirmed.
 func TestReleaseIsRepeatedOnNextLink(t *testing.T) {
 	h := newHarness(t)
 	h.connect(1)
@@ -155,12 +143,12 @@
 	h.step(LinkDown{Link: offer.Link})
 	h.step(LinkUp{oneEffect[Dial](h).Link})
 	if release := oneEffect[SendRelease](h); release.Task != taskID(7) || release.Link == offer.Link {
-		t.Errorf("%+v", release)
+		t.Errorf("got %+v, want the release of task 7 on a newer link than %d", release, offer.Link)
 	}
 }
 
-// A link that comes up late: the offer that waited for it has gone to another node and is not written on it; the link serves
-// later offers. A link that never comes up delays only its own offer.
+// An offer whose link is established too late is sent to another node instead, and the link is used for later offers. A link
+// that is never established delays only its own offer.
 func TestLinkComesUpLate(t *testing.T) {
 	h := newHarness(t)
 	h.connect(1)
@@ -168,11 +156,11 @@
 	dials := effectsOf[Dial](h)
 	h.step(h.newSubmit(1, 7))
 	noEffect[Offer](h)
-	h.advance(300 * time.Millisecond) // both are out of reach by now
+	h.advance(300 * time.Millisecond) // both are unreachable by now
 	h.step(LinkUp{dials[1].Link})
 	h.advance(200 * time.Millisecond)
 	if offer := oneEffect[Offer](h); offer.Node != dials[1].Node || offer.Task != taskID(7) {
-		t.Errorf("%+v", offer)
+		t.Errorf("got offer %+v, want task 7 on node %s", offer, dials[1].Node)
 	}
 	h.step(nodeAccepted(dials[1].Link, 7, "node's"))
 	oneEffect[Accepted](h)
@@ -181,6 +169,6 @@
 	noEffect[Offer](h)
 	noEffect[SendRelease](h)
 	if stats := h.core.Stats(); stats.Links != 2 || stats.Running != 1 || stats.Placed != 1 {
-		t.Errorf("%+v", stats)
+		t.Errorf("got %+v, want 2 links, 1 running task, 1 placed", stats)
 	}
 }
--- a/internal/requests/linkpool_test.go
+++ b/internal/requests/linkpool_test.go
@@ -8,7 +8,7 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-// linkWatcher establishes each link that a core dials, accepts each offer, and keeps the links that are open.
+// linkWatcher establishes each link that a core dials, accepts each offer, and records the open links.
 type linkWatcher struct {
 	*harness
 	maxLinks   int
@@ -16,8 +16,8 @@
 	lastDialed map[string]Time // by node
 }
 
-// respond responds to the effects of the last step, and to those that follow, until there are none. It fails where there are
-// more links than the bound.
+// respond responds to the effects of the last step, and to those that follow, until there are none. It fails the test if
+// there are more than maxLinks links.
 func (w *linkWatcher) respond() {
 	w.t.Helper()
 	for len(w.effects) > 0 {
@@ -37,7 +37,7 @@
 		}
 	}
 	if len(w.core.links) > w.maxLinks {
-		w.t.Fatalf("%d links", len(w.core.links))
+		w.t.Fatalf("got %d links, want at most %d", len(w.core.links), w.maxLinks)
 	}
 }
 
@@ -62,10 +62,11 @@
 	return busy
 }
 
-// With more nodes than links: the bound holds, a node with a pending offer gets a link, and a node with running tasks is
-// linked often enough that no task counts as lost while its node lives.
+// With more nodes than links, the limit holds, a node with a pending offer gets a link, and a node with running tasks gets
+// one often enough that no task counts as lost while its node is alive.
 func TestLinkPoolIsBounded(t *testing.T) {
 	const nodes, maxLinks, tasks = 24, 10, 120
+	const maxUnlinked = 6 * time.Second // NodeUnreachableTimeout of testConfig
 	w := &linkWatcher{
 		harness:    newHarness(t, func(c *Config) { c.MaxLinks = maxLinks }),
 		maxLinks:   maxLinks,
@@ -79,8 +80,8 @@
 	}
 	w.updateNodes(flaxshelf.Active, ids...)
 	w.respond()
-	if open := len(w.open); open != maxLinks*7/8 {
-		t.Errorf("%d links before the first request", open)
+	if got, want := len(w.open), maxLinks*prefetchLinkEighths/8; got != want {
+		t.Errorf("got %d links before the first request, want %d", got, want)
 	}
 	for i := range tasks {
 		submit := w.newSubmit(1, i)
@@ -92,18 +93,18 @@
 	}
 	busy := w.busyNodes()
 	if stats := w.core.Stats(); stats.Placed != tasks || len(busy) <= maxLinks {
-		t.Fatalf("%+v, tasks run on %d nodes", stats, len(busy))
+		t.Fatalf("got %d tasks placed on %d nodes, want %d on more than %d", stats.Placed, len(busy), tasks, maxLinks)
 	}
 	for range 200 {
 		w.advance(100 * time.Millisecond)
 		w.respond()
 		for _, node := range busy {
-			if !w.linked(node) && w.now-w.lastDialed[node] > 6*time.Second {
-				t.Fatalf("%s: without a link since %v", node, w.now-w.lastDialed[node])
+			if got := w.now - w.lastDialed[node]; !w.linked(node) && got > maxUnlinked {
+				t.Fatalf("%s: got no link for %v, want at most %v", node, got, maxUnlinked)
 			}
 		}
 	}
 	if stats := w.core.Stats(); stats.LostToUnreachable > 0 || stats.Running != tasks {
-		t.Errorf("%+v", stats)
+		t.Errorf("got %d lost and %d running tasks, want 0 and %d", stats.LostToUnreachable, stats.Running, tasks)
 	}
 }
--- a/internal/requests/memory_test.go
+++ b/internal/requests/memory_test.go
@@ -9,9 +9,10 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-// A long run in small, with nodes, connections and IDs that are always new: the heap of the core and its module is no larger
-// at the end than half way.
+// With nodes, connections and IDs that are always new, the heap of the core and its module is no larger at the end than half
+// way.
 func TestHeapStaysBounded(t *testing.T) {
+	const minPlaced = 15000
 	h := newHarness(t)
 	h.core.config.RecordStep = nil // the test's own memory must not grow
 	step := func(inputs ...Input) []Effect {
@@ -48,16 +49,17 @@
 		return memory.HeapAlloc
 	}
 	first, second := heapAfterHalf(), heapAfterHalf()
-	if h.core.Stats().Placed < 15000 {
-		t.Fatalf("%+v", h.core.Stats())
+	if got := h.core.Stats().Placed; got < minPlaced {
+		t.Fatalf("got %d tasks placed, want at least %d", got, minPlaced)
 	}
 	h.advance(5 * time.Minute)
 	stats, timers := h.core.Stats(), h.core.timers.Len()
 	if stats.Pending+stats.Running+stats.Nodes+stats.Links != 0 || len(h.core.tasks) != 0 || stats.Owners > 10 || timers > 3 {
-		t.Errorf("%+v, %d tasks, %d timers", stats, len(h.core.tasks), timers)
+		t.Errorf("got %+v, %d tasks and %d timers, want no gauge but at most 10 owners, no task and at most 3 timers", stats,
+			len(h.core.tasks), timers)
 	}
 	if second > first+256<<10 {
-		t.Errorf("the heap has grown from %d to %d KiB in the second half", first>>10, second>>10)
+		t.Errorf("got %d KiB of heap after the second half, want at most 256 more than the %d after the first", second>>10, first>>10)
 	}
 	runtime.KeepAlive(h)
 }
--- a/internal/requests/notification_test.go
+++ b/internal/requests/notification_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// An adoption verifies no owner: a notification goes to a connection that a task was placed for, and the connection of the
-// adoption is closed as idle.
+// An adoption verifies no owner: a notification is sent on a connection for which a task was placed, and the connection of
+// the adoption is closed as idle.
 func TestAdoptionDoesNotVerifyOwner(t *testing.T) {
 	h := newHarness(t)
 	h.connect(1, 2, 3)
@@ -17,17 +17,13 @@
 	h.step(h.newAdopt(3, "n", 9))
 	h.step(OwnerDisconnected{Conn: 1})
 	h.step(nodeReleased(h.links["n"], 7, CauseNormal))
-	if e := oneEffect[Terminated](h); e.Conn != 2 {
-		t.Errorf("%+v", e)
-	}
+	expectEffect(h, Terminated{Conn: 2, Task: taskID(7), Cause: CauseNormal})
 	h.advance(3 * time.Second)
-	if e := oneEffect[CloseOwner](h); e.Conn != 3 {
-		t.Errorf("%+v", e)
-	}
+	expectEffect(h, CloseOwner{3})
 }
 
-// Connections that each pass one health check and stay fill what may be kept, while an owner waits for the end of its task:
-// its connection is not closed for them, and the notification goes there at once.
+// Connections that each pass one health check and stay reach the limit, while an owner waits for the end of its task: its
+// connection is not closed for them, and the notification is sent on it at once.
 func TestHealthChecksKeepTheOwnersConnection(t *testing.T) {
 	h := newHarness(t)
 	h.addNodes("n")
@@ -37,43 +33,31 @@
 		conn := 100 + i
 		h.advance(100 * time.Millisecond)
 		h.step(OwnerConnected{Conn: conn, Host: fmt.Sprint("h", conn)}, Ping{Conn: conn, Task: taskID(1)})
-		if p := oneEffect[Pong](h); p.Conn != conn || !p.Passed {
-			t.Errorf("%+v", p)
-		}
+		expectEffect(h, Pong{Conn: conn, Task: taskID(1), Passed: true})
 	}
 	h.step(nodeReleased(h.links["n"], 7, CauseNormal))
-	if e := oneEffect[Terminated](h); e.Conn != 1 {
-		t.Errorf("%+v", e)
-	}
+	expectEffect(h, Terminated{Conn: 1, Task: taskID(7), Cause: CauseNormal})
 }
 
-// A scheduler that has just started has only connections that tasks were adopted from. They stay, though misbehaving clients
-// may be among them, until one is verified: else nobody could be notified.
+// A scheduler that has just started has only connections that tasks were adopted from. They stay open until
+// one is verified, although misbehaving clients may be among them: otherwise no owner could be notified.
 func TestLikelyOwnersStayWhileNoneIsVerified(t *testing.T) {
 	h := newHarness(t)
 	h.addNodes("n")
 	h.connect(1, 2, 3)
 	h.step(h.newAdopt(1, "n", 7), h.newAdopt(2, "n", 8))
 	h.advance(3 * time.Second)
-	if e := oneEffect[CloseOwner](h); e.Conn != 3 {
-		t.Errorf("%+v", e)
-	}
+	expectEffect(h, CloseOwner{3})
 	h.step(nodeReleased(h.links["n"], 7, CauseNormal))
-	if e := oneEffect[Terminated](h); e.Conn != 1 {
-		t.Errorf("%+v", e)
-	}
+	expectEffect(h, Terminated{Conn: 1, Task: taskID(7), Cause: CauseNormal})
 	h.advance(time.Second) // a node has confirmed the task of connection 1, and no other
-	if e := oneEffect[CloseOwner](h); e.Conn != 2 {
-		t.Errorf("%+v", e)
-	}
+	expectEffect(h, CloseOwner{2})
 	h.step(OwnerConnected{Conn: 4, Host: "h"}, h.newAdopt(4, "n", 9), h.newAdopt(4, "n", 10))
 	h.step(nodeReleased(h.links["n"], 8, CauseNormal))
-	if e := oneEffect[Terminated](h); e.Conn != 1 {
-		t.Errorf("the end of a task that was adopted from a closed connection: %+v", e)
-	}
+	expectEffect(h, Terminated{Conn: 1, Task: taskID(8), Cause: CauseNormal}) // it was adopted from connection 2
 }
 
-// Where no connection is verified, a notification goes to the one that most tasks were adopted from.
+// If no connection is verified, a notification is sent on the one with the most adoptions.
 func TestNotifiesConnectionWithMostAdoptions(t *testing.T) {
 	h := newHarness(t)
 	h.addNodes("n")
@@ -83,7 +67,5 @@
 	}
 	h.step(OwnerDisconnected{Conn: 1})
 	h.step(nodeReleased(h.links["n"], 7, CauseNormal))
-	if e := oneEffect[Terminated](h); e.Conn != 3 {
-		t.Errorf("%+v", e)
-	}
+	expectEffect(h, Terminated{Conn: 3, Task: taskID(7), Cause: CauseNormal})
 }
--- a/internal/requests/owner_test.go
+++ b/internal/requests/owner_test.go
@@ -2,22 +2,18 @@
 
 import "testing"
 
-// Health checks pass until the shutdown; requests that come then are served all the same.
-func TestPingDuringShutdown(t *testing.T) {
+// Health checks pass until the shutdown; requests are still served during it.
+func TestPingFailsDuringShutdown(t *testing.T) {
 	h := newHarness(t)
 	h.step(OwnerConnected{Conn: 1, Host: "h"}, Ping{1, taskID(1)})
-	if p := oneEffect[Pong](h); !p.Passed {
-		t.Error("not passed")
-	}
+	expectEffect(h, Pong{Conn: 1, Task: taskID(1), Passed: true})
 	h.addNodes("n")
 	h.step(Shutdown{}, Ping{1, taskID(1)})
-	if p := oneEffect[Pong](h); p.Passed {
-		t.Error("passed during the shutdown")
-	}
+	expectEffect(h, Pong{Conn: 1, Task: taskID(1), Passed: false})
 	h.placeTask(1, 7)
 }
 
-// A connection that goes on sending malformed messages is closed.
+// A connection that exceeds the limit on malformed messages is closed.
 func TestClosesOwnerAfterProtocolErrors(t *testing.T) {
 	h := newHarness(t)
 	h.step(OwnerConnected{Conn: 1, Host: "h"}, ProtocolError{1}, ProtocolError{1})
--- a/internal/requests/property_test.go
+++ b/internal/requests/property_test.go
@@ -12,15 +12,15 @@
 )
 
 // randomRun drives a core with random inputs. Each source (an owner's connection, a link, the discovery service) keeps its
-// order, as a socket does; which sources the core reads in a step, and in what order, is drawn. It checks what must hold in
-// any order.
+// order, as a socket does; which sources the core reads in a step, and in what order, is random. It checks the invariants
+// that hold in any order.
 type randomRun struct {
 	*harness
 	rng         *rand.Rand
 	nodes       []string
 	unread      map[string][]Input // what each source has sent and the core has not read
 	sources     []string           // the keys of unread, in the order of their first input
-	conns       []Conn             // open from the outside
+	conns       []Conn             // open from the owners' point of view
 	lastConn    Conn
 	openLinks   map[Link]string // the node of each link that is up or on its way
 	lastTask    int
@@ -28,7 +28,7 @@
 	inactive    map[string]bool // nodes that the core has read a draining or removing update of
 }
 
-// submission is a request as the outside sees it.
+// submission is a request as its owner sees it.
 type submission struct {
 	conn         Conn
 	deadline     Time
@@ -63,10 +63,10 @@
 	return r
 }
 
-// drawn returns an element that is drawn.
+// drawn returns a random element.
 func drawn[T any](rng *rand.Rand, all []T) T { return all[rng.IntN(len(all))] }
 
-// send has a source send an input, for the core to read in a later step.
+// send queues an input of a source, which the core reads in a later step.
 func (r *randomRun) send(source string, in Input) {
 	if _, ok := r.unread[source]; !ok {
 		r.sources = append(r.sources, source)
@@ -74,12 +74,12 @@
 	r.unread[source] = append(r.unread[source], in)
 }
 
-// sendNodeState has the discovery service send an update of one node.
+// sendNodeState queues an update of one node from the discovery service.
 func (r *randomRun) sendNodeState(node string, state flaxshelf.MachineState) {
 	r.send(discoverySource, nodeUpdated(machine(node, state, 0), node))
 }
 
-// randomEvent has an owner, the discovery service or a link do something.
+// randomEvent lets an owner, the discovery service or a link do something.
 func (r *randomRun) randomEvent() {
 	switch draw := r.rng.IntN(20); {
 	case draw < 3 || len(r.conns) == 0:
@@ -135,7 +135,7 @@
 	}
 }
 
-// read draws the inputs that the core reads in this step.
+// read returns a random selection of the inputs that the core has not read, which it reads in this step.
 func (r *randomRun) read() []Input {
 	var inputs []Input
 	for range r.rng.IntN(8) {
@@ -154,7 +154,7 @@
 	return inputs
 }
 
-// runStep has the core do one step, checks its effects and lets some time pass.
+// runStep steps the core, checks its effects and advances the clock.
 func (r *randomRun) runStep() {
 	r.t.Helper()
 	inputs := r.read()
@@ -173,7 +173,7 @@
 	r.now += time.Duration(r.rng.IntN(40)) * time.Millisecond
 }
 
-// checkEffect checks an effect against what the core has read before this step, and carries it out.
+// checkEffect checks an effect against what the core has read before this step, and executes it.
 func (r *randomRun) checkEffect(effect Effect) {
 	r.t.Helper()
 	switch effect := effect.(type) {
@@ -197,17 +197,17 @@
 	r.t.Helper()
 	submitted := r.submissions[offer.Task]
 	if submitted.abandoned {
-		r.t.Fatalf("%s is offered after its owner has left it", offer.Task)
+		r.t.Fatalf("%s: got an offer after its owner has abandoned it, want none", offer.Task)
 	}
 	if r.inactive[offer.Node] {
-		r.t.Fatalf("%s is offered to %s, which is draining or removed", offer.Task, offer.Node)
+		r.t.Fatalf("%s: got an offer to %s, which is draining or removed, want none", offer.Task, offer.Node)
 	}
 	if submitted.responses > 0 {
-		r.t.Fatalf("%s is offered after its response", offer.Task)
+		r.t.Fatalf("%s: got an offer after its response, want none", offer.Task)
 	}
 	// A link without a node has broken, which the core has not read.
 	if node := r.openLinks[offer.Link]; node != offer.Node && node != "" {
-		r.t.Fatalf("%s is offered on link %d, which is not one to %s", offer.Task, offer.Link, offer.Node)
+		r.t.Fatalf("%s: got offer on link %d to %s, want a link to %s", offer.Task, offer.Link, node, offer.Node)
 	}
 }
 
@@ -216,7 +216,8 @@
 	submitted := r.submissions[accepted.Task]
 	submitted.responses++
 	if submitted.responses > 1 || submitted.abandoned {
-		r.t.Fatalf("%s: response %d, abandoned before: %v", accepted.Task, submitted.responses, submitted.abandoned)
+		r.t.Fatalf("%s: got response %d (abandoned before: %v), want one before it is abandoned", accepted.Task,
+			submitted.responses, submitted.abandoned)
 	}
 	submitted.placed = true
 }
@@ -229,17 +230,18 @@
 	case submitted.placed:
 		submitted.terminations++
 		if submitted.terminations > 1 {
-			r.t.Fatalf("%s: its end is notified %d times", terminated.Task, submitted.terminations)
+			r.t.Fatalf("%s: got %d notifications of its end, want 1", terminated.Task, submitted.terminations)
 		}
 	case terminated.Conn == submitted.conn:
 		submitted.responses++
 		if submitted.responses > 1 || terminated.Migrate || submitted.abandoned {
-			r.t.Fatalf("%s: response %d %+v", terminated.Task, submitted.responses, terminated)
+			r.t.Fatalf("%s: got response %d %+v, want one that is no migration, before it is abandoned", terminated.Task,
+				submitted.responses, terminated)
 		}
 	}
 }
 
-// dial has a link come up, or fail.
+// dial establishes a link or lets it fail.
 func (r *randomRun) dial(dial Dial) {
 	if r.rng.IntN(8) == 0 {
 		r.send(linkSource(dial.Link), LinkDown{Link: dial.Link, ConnectionRefused: r.rng.IntN(3) == 0})
@@ -260,7 +262,7 @@
 	}
 }
 
-// respondToOffer has the node respond to an offer on its link, in one of the ways that nodes may.
+// respondToOffer lets the node respond to an offer on its link in one of the possible ways.
 func (r *randomRun) respondToOffer(offer Offer) {
 	if r.openLinks[offer.Link] == "" {
 		return
@@ -316,15 +318,15 @@
 	}
 }
 
-// recordAbandoned records that a task's owner has left it. Before the core has read its Submit that means nothing.
+// recordAbandoned records that a task's owner has abandoned it. That has no effect before the core has read its Submit.
 func (r *randomRun) recordAbandoned(task string) {
 	if submitted := r.submissions[task]; submitted != nil && submitted.read {
 		submitted.abandoned = true
 	}
 }
 
-// finish has all owners disconnect and all nodes removed. Before that, every request must have its response in time; after
-// it, nothing may be left in the core.
+// finish disconnects all owners and removes all nodes. Before that, every request must have its response in time; after it,
+// the core must be empty.
 func (r *randomRun) finish() {
 	r.t.Helper()
 	for range 300 {
@@ -347,7 +349,7 @@
 	r.checkEmpty()
 }
 
-// checkNoOverdueRequest checks that no request whose owner is still there waits for its response.
+// checkNoOverdueRequest checks that no request of a connected owner is still pending.
 func (r *randomRun) checkNoOverdueRequest() {
 	r.t.Helper()
 	for id, submitted := range r.submissions {
@@ -355,12 +357,12 @@
 			continue
 		}
 		if t := r.core.tasks[id]; t != nil && t.pending {
-			r.t.Errorf("%s still waits %v after its deadline", id, r.now-submitted.deadline)
+			r.t.Errorf("%s: got no response %v after its deadline, want one", id, r.now-submitted.deadline)
 		}
 	}
 }
 
-// checkEmpty checks that the core keeps nothing.
+// checkEmpty checks that the core has no state left.
 func (r *randomRun) checkEmpty() {
 	r.t.Helper()
 	stats := r.core.Stats()
@@ -374,12 +376,12 @@
 	}
 	tasks, connections := len(r.core.tasks), r.core.admission.Len()
 	if gauges != (Stats{}) || tasks != 0 || connections != 0 {
-		r.t.Errorf("left: %+v, %d tasks, %d connections", stats, tasks, connections)
+		r.t.Errorf("got %+v, %d tasks and %d connections, want gauges of 0 and none of either", stats, tasks, connections)
 	}
 }
 
-// In any order of inputs each request has one response, no offer is made after its owner or node has left, and nothing is
-// left in the end.
+// In any order of inputs, each request has one response, no offer is made after its owner or node has left, and the core has
+// no state left in the end.
 func TestRandomInterleavings(t *testing.T) {
 	for seed := range uint64(400) {
 		passed := t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
--- a/internal/requests/silence_test.go
+++ b/internal/requests/silence_test.go
@@ -8,8 +8,8 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-// A link without traffic is renewed before its node closes it: the next offer goes on the newer link, and the close of the
-// old one ends no attempt. Traffic either way keeps a link.
+// A link without traffic is renewed before its node closes it: the next offer is sent on the newer link, and the close of
+// the old one ends no attempt. A link with traffic in either direction is retained.
 func TestIdleLinkIsRenewed(t *testing.T) {
 	h := newHarness(t, func(c *Config) { c.NodeIdleTimeout = 30 * time.Second })
 	h.connectPinged(1)
@@ -24,17 +24,15 @@
 	h.step(LinkUp{dial.Link})
 	h.step(h.newSubmit(1, 8))
 	if offer := oneEffect[Offer](h); offer.Link != dial.Link {
-		t.Errorf("offered on link %d, want %d", offer.Link, dial.Link)
+		t.Errorf("got an offer on link %d, want link %d", offer.Link, dial.Link)
 	}
 	h.step(LinkDown{Link: h.links["n"]})
-	if e := moduleEventsOf[flaxshelf.AttemptEnded](h); len(e) != 1 {
-		t.Errorf("%+v", e)
-	}
+	h.expectEnded(flaxshelf.AttemptEnded{Task: taskID(7), Machine: "n", Outcome: flaxshelf.Completed, Final: true})
 	h.step(nodeAccepted(dial.Link, 8, "d"))
 	oneEffect[Accepted](h)
 }
 
-// A link that receives nothing after an offer is replaced by a new one, and closed after a while.
+// A link that receives nothing after an offer is replaced by a new one, and closed after linkRetireDelay.
 func TestSilentLinkIsReplaced(t *testing.T) {
 	h := newHarness(t, func(c *Config) { c.Module.MaxAttempts = 2 })
 	h.connect(1)
@@ -45,13 +43,11 @@
 	h.advance(offer.TimeLeft + time.Millisecond)
 	dials := effectsOf[Dial](h)
 	if len(effectsOf[SendRelease](h)) == 0 || len(dials) == 0 {
-		t.Fatalf("%+v", h.effects)
+		t.Fatalf("got effects %+v, want a release and a dial", h.effects)
 	}
 	h.step(LinkUp{dials[len(dials)-1].Link})
 	h.advance(linkRetireDelay)
-	if closed := effectsOf[CloseLink](h); len(closed) != 1 || closed[0].Link != offer.Link {
-		t.Errorf("%+v", closed)
-	}
+	expectEffect(h, CloseLink{offer.Link})
 }
 
 // The default timeouts are ordered so that a silent node's link is replaced, and the newer link has time to fail, before the
@@ -79,8 +75,7 @@
 	}
 }
 
-// However the links of a silent machine come and go, its tasks count as lost within the time in which their owners are to be
-// notified, also where each newer link takes its time to fail.
+// The tasks of a silent machine count as lost by the protocol's deadline, for any time that each newer link takes to fail.
 func TestUnreachableNodeIsDetectedInTime(t *testing.T) {
 	for delay := 50 * time.Millisecond; delay <= time.Second; delay += 50 * time.Millisecond {
 		t.Run(fmt.Sprintf("dials fail after %v", delay), func(t *testing.T) {
@@ -119,7 +114,7 @@
 	}
 }
 
-// A link that was replaced is closed once a newer one is up, though that takes long.
+// A link that was replaced is closed once a newer one is up, even if that takes long.
 func TestReplacedLinkIsClosedOnceNewerIsUp(t *testing.T) {
 	h := newHarness(t, func(c *Config) { c.Module.MaxAttempts = 1 })
 	h.connect(1)
@@ -132,20 +127,18 @@
 	noEffect[CloseLink](h)
 	h.step(LinkUp{h.core.nodes["n"].current.id})
 	h.advance(linkRetireDelay)
-	if closed := oneEffect[CloseLink](h); closed.Link != old {
-		t.Errorf("%+v", closed)
-	}
+	expectEffect(h, CloseLink{old})
 }
 
-// A released task on a node that is cut off still runs there: it counts until a sign of life after its release, until a new
-// link has taken the release, or until the node counts as unreachable. Its owner is never notified.
+// A released task on a partitioned node still runs there: it counts as running until the node is responsive after the
+// release, until the release was sent on a new link, or until the node counts as unreachable. Its owner is never notified.
 func TestReleaseOnUnreachableNode(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		event func(h *harness, offer Offer)
 		after time.Duration
 	}{
-		{"a sign of life", func(h *harness, offer Offer) {
+		{"a message of the node", func(h *harness, offer Offer) {
 			h.step(NodeMessage{Link: offer.Link, Kind: NodeConfirmedRelease, Task: taskID(99)})
 		}, releaseConfirmationTimeout},
 		{"a new link", func(h *harness, _ Offer) {
@@ -161,29 +154,34 @@
 			h.step(Release{1, taskID(7)})
 			oneEffect[SendRelease](h)
 			h.advance(3 * time.Second) // silent for long enough that a newer link is dialed
-			if stats := h.core.Stats(); stats.Running != 1 {
-				t.Error("it counts as ended while its node is silent")
+			if got := h.core.Stats().Running; got != 1 {
+				t.Errorf("got %d running tasks while the node is silent, want 1", got)
 			}
 			h.now++
 			test.event(h, offer)
 			h.advance(test.after)
-			if stats := h.core.Stats(); stats.Running != 0 || len(h.core.tasks) != 0 {
-				t.Errorf("%d tasks run", stats.Running)
-			}
+			h.expectNoTasks()
 			for _, effect := range h.allEffects {
 				if terminated, ok := effect.(Terminated); ok {
-					t.Errorf("%+v", terminated)
+					t.Errorf("got notification %+v, want none", terminated)
 				}
 			}
 		})
 	}
 }
 
-// An offer that times out has its link replaced where the link has received nothing since, also before the node counts as
-// silent and without another attempt there. A link that has received something is kept.
-func TestTimeoutOnSilentLink(t *testing.T) {
-	for _, silent := range []bool{true, false} {
-		t.Run(fmt.Sprintf("silent %v", silent), func(t *testing.T) {
+// The link of an offer that times out is replaced if it has received nothing since the offer, even before the node counts as
+// silent and without another attempt there.
+func TestOfferTimeoutReplacesSilentLink(t *testing.T) {
+	for _, test := range []struct {
+		name      string
+		silent    bool
+		wantDials int
+	}{
+		{"a silent link is replaced", true, 1},
+		{"a link that has received something is retained", false, 0},
+	} {
+		t.Run(test.name, func(t *testing.T) {
 			h := newHarness(t, func(c *Config) { c.Module.MaxAttempts = 1 })
 			h.connect(1)
 			h.addNodes("n")
@@ -192,16 +190,14 @@
 			submit.Task.Deadline = h.now + time.Second // sooner than nodeSilenceThreshold
 			h.step(submit)
 			offer := oneEffect[Offer](h)
-			if !silent {
+			if !test.silent {
 				h.now++
 				h.step(nodeReleased(offer.Link, 99, CauseNormal))
 			}
 			h.advance(offer.TimeLeft)
-			if release := oneEffect[SendRelease](h); release.Link != offer.Link || release.Task != taskID(7) {
-				t.Errorf("%+v", release)
-			}
-			if dials := effectsOf[Dial](h); (len(dials) == 1) != silent {
-				t.Errorf("%+v", dials)
+			expectEffect(h, SendRelease{Link: offer.Link, Task: taskID(7), Cause: CauseNormal})
+			if got := effectsOf[Dial](h); len(got) != test.wantDials {
+				t.Errorf("got dials %+v, want %d", got, test.wantDials)
 			}
 		})
 	}
--- a/internal/requests/string_test.go
+++ b/internal/requests/string_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Every value of an enumeration has a name of its own.
-func TestEnumerationNames(t *testing.T) {
+// Every value of an enumeration has a name of its own, and so has a value that is out of range.
+func TestEnumerationNamesAreUnique(t *testing.T) {
 	kinds, phases := map[string]bool{}, map[string]bool{}
 	for kind := NodeAccepted; kind <= NodeUsage+1; kind++ {
 		kinds[kind.String()] = true
@@ -14,10 +14,21 @@
 	for phase := phaseConnecting; phase <= phaseEnded+1; phase++ {
 		phases[phase.String()] = true
 	}
-	if len(kinds) != int(NodeUsage)+2 || len(phases) != int(phaseEnded)+2 {
-		t.Errorf("%v, %v", kinds, phases)
+	for _, test := range []struct {
+		name  string
+		names map[string]bool
+		want  int
+	}{
+		{"kinds of node messages", kinds, int(NodeUsage) + 2},
+		{"attempt phases", phases, int(phaseEnded) + 2},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			if len(test.names) != test.want {
+				t.Errorf("got names %v, want %d different ones", test.names, test.want)
+			}
+		})
 	}
-	if name := fmt.Sprint(NodeConfirmedRelease); name != "release confirmed" {
-		t.Errorf("%q", name)
+	if got, want := fmt.Sprint(NodeConfirmedRelease), "release confirmed"; got != want {
+		t.Errorf("got name %q, want %q", got, want)
 	}
 }
--- a/internal/requests/watch_test.go
+++ b/internal/requests/watch_test.go
@@ -7,10 +7,10 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-// Where updates come unrequested the core opens the watch in its first step, and again within a second after it broke off.
-// Where they must be requested, only the module's Subscribe opens it.
-func TestDiscoveryWatch(t *testing.T) {
-	t.Run("updates come unrequested", func(t *testing.T) {
+// If updates are pushed, the core opens the watch in its first step, and again within a second after it broke off. If they
+// must be requested, only the module's Subscribe opens it.
+func TestWatchIsOpenedAgainAfterFailure(t *testing.T) {
+	t.Run("updates are pushed", func(t *testing.T) {
 		h := newHarness(t)
 		h.step()
 		oneEffect[Subscribe](h)
