--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -10,7 +10,7 @@
 
 const ms = time.Millisecond
 
-// maxConnections is the bound of newTestControl.
+// maxConnections is the limit of newTestControl.
 const maxConnections = 4
 
 func newTestControl() *Control {
@@ -23,7 +23,23 @@
 	})
 }
 
-// Hundreds of unused connections of one host push out each other, not those that were used, nor a new one of another host.
+// expectIdle checks the connections that CloseIdle closes at now, and the time of its next call.
+func expectIdle(t *testing.T, c *Control, now, wantNext Time, want ...ID) {
+	t.Helper()
+	if got, next := c.CloseIdle(now); !slices.Equal(got, want) || next != wantNext {
+		t.Errorf("at %v: got idle connections %v and next call at %v, want %v and %v", now, got, next, want, wantNext)
+	}
+}
+
+// expectEvicted opens a connection and checks the ones to close for it.
+func expectEvicted(t *testing.T, c *Control, now Time, id ID, want ...ID) {
+	t.Helper()
+	if got := c.Opened(now, id, "h"); !slices.Equal(got, want) {
+		t.Errorf("at %v: got evicted connections %v for %d, want %v", now, got, id, want)
+	}
+}
+
+// Hundreds of unused connections of one host displace each other, not those that were used, nor a new one of another host.
 func TestEvictsUnverifiedOfBusiestHostFirst(t *testing.T) {
 	c := newTestControl()
 	c.Opened(0, 1, "owner")
@@ -32,16 +48,17 @@
 	for i := range 300 {
 		for _, id := range c.Opened(3*ms, ID(10+i), "flood") {
 			if id < 10 {
-				t.Fatalf("connection %d was evicted for a flood", id)
+				t.Fatalf("got connection %d evicted for a flood, want only connections of its host", id)
 			}
 		}
 	}
 	if c.Len() != maxConnections {
-		t.Errorf("%d connections are left", c.Len())
+		t.Errorf("got %d connections, want %d", c.Len(), maxConnections)
 	}
 }
 
-// Where all are verified the least recently used one is evicted, never one with pending requests or used within the grace.
+// If all connections are verified, the least recently used one is evicted, never one with pending requests or one that was used
+// within the grace.
 func TestEvictsLeastRecentlyUsed(t *testing.T) {
 	c := newTestControl()
 	for i := range ID(maxConnections) {
@@ -49,22 +66,18 @@
 		c.RecordOwnerUse(Time(i)*ms, i+1)
 	}
 	if !c.BeginRequest(1) {
-		t.Fatal("the first request is over the limit")
-	}
-	if evicted := c.Opened(time.Second, 5, "h"); !slices.Equal(evicted, []ID{2}) {
-		t.Errorf("evicted %v, want 2", evicted)
+		t.Fatal("got the first request over the limit, want it under the limit")
 	}
+	expectEvicted(t, c, time.Second, 5, 2)
 	c.RecordOwnerUse(time.Second, 5)
 	c.EndRequest(time.Second, 1, true)
 	c.RecordOwnerUse(time.Second, 3)
 	c.RecordOwnerUse(time.Second, 4)
-	if evicted := c.Opened(time.Second+ms, 6, "h"); !slices.Equal(evicted, []ID{6}) {
-		t.Errorf("evicted %v, want the new one: all others were used within the grace", evicted)
-	}
+	expectEvicted(t, c, time.Second+ms, 6, 6) // all others were used within the grace
 }
 
-// Connections that each pass one health check and stay, from as many hosts, push out each other, not one that carried a
-// task, though that was used longer ago. One that was pinged and then carries a task is as good as any owner's.
+// Connections that each pass one health check and stay, each from its own host, displace each other and not one that carried a
+// task, even if that was used longer ago. One that was pinged and then carries a task is verified.
 func TestEvictsPingedBeforeVerified(t *testing.T) {
 	c := newTestControl()
 	c.Opened(0, 1, "owner")
@@ -77,107 +90,104 @@
 		now, id := Time(i+1)*200*ms, ID(10+i)
 		for _, evicted := range c.Opened(now, id, fmt.Sprint(id)) {
 			if evicted != id-2 {
-				t.Fatalf("connection %d was evicted at %v, want %d", evicted, now, id-2)
+				t.Fatalf("got connection %d evicted at %v, want %d", evicted, now, id-2)
 			}
 		}
 		c.RecordPing(now, id)
 	}
 	if c.Len() != maxConnections || c.verified.Len() != 2 {
-		t.Errorf("%d connections are left, %d of them verified", c.Len(), c.verified.Len())
+		t.Errorf("got %d connections, %d of them verified, want %d and 2", c.Len(), c.verified.Len(), maxConnections)
 	}
 }
 
-// A health check keeps a connection from being closed as idle, and does not end the stay of a likely owner's.
-func TestCloseIdleAfterPing(t *testing.T) {
+// A connection with a health check is not closed as idle, and a likely owner's stays open until another one is verified.
+func TestPingedConnectionIsNotClosedAsIdle(t *testing.T) {
 	c := newTestControl()
 	c.Opened(0, 1, "owner")
 	c.MarkLikelyOwner(1)
 	c.Opened(0, 2, "h")
 	c.RecordPing(ms, 2)
-	if idle, next := c.CloseIdle(2 * time.Second); len(idle) > 0 || next != 2250*ms {
-		t.Errorf("%v, %v", idle, next)
-	}
+	expectIdle(t, c, 2*time.Second, 2250*ms)
 	c.RecordOwnerUse(2*time.Second, 2)
-	if idle, next := c.CloseIdle(2250 * ms); !slices.Equal(idle, []ID{1}) || next != 0 {
-		t.Errorf("%v, %v", idle, next)
-	}
+	expectIdle(t, c, 2250*ms, 0, 1)
 }
 
 // A use of a connection that was used before allocates nothing: it is recorded for each request.
 func TestUseDoesNotAllocate(t *testing.T) {
-	for name, use := range map[string]func(c *Control){
-		"owner": func(c *Control) { c.RecordOwnerUse(ms, 1) },
-		"ping":  func(c *Control) { c.RecordPing(ms, 1) },
+	for _, test := range []struct {
+		name string
+		use  func(c *Control)
+	}{
+		{"by its owner", func(c *Control) { c.RecordOwnerUse(ms, 1) }},
+		{"by a ping", func(c *Control) { c.RecordPing(ms, 1) }},
 	} {
-		t.Run(name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			c := newTestControl()
 			c.Opened(0, 1, "h")
-			use(c)
-			if n := testing.AllocsPerRun(100, func() { use(c) }); n > 0 {
-				t.Errorf("%v allocations", n)
+			test.use(c)
+			if n := testing.AllocsPerRun(100, func() { test.use(c) }); n > 0 {
+				t.Errorf("got %v allocations, want none", n)
 			}
 		})
 	}
 }
 
 // A connection that stays unverified is closed after the idle timeout; a verified one is not.
-func TestCloseIdle(t *testing.T) {
+func TestUnverifiedConnectionIsClosedAsIdle(t *testing.T) {
 	c := newTestControl()
 	c.Opened(0, 1, "h")
 	c.Opened(100*ms, 2, "h")
 	c.RecordOwnerUse(200*ms, 1)
-	if idle, next := c.CloseIdle(2 * time.Second); len(idle) > 0 || next != 2100*ms {
-		t.Errorf("%v, %v", idle, next)
-	}
-	if idle, next := c.CloseIdle(2100 * ms); !slices.Equal(idle, []ID{2}) || next != 0 {
-		t.Errorf("%v, %v", idle, next)
-	}
+	expectIdle(t, c, 2*time.Second, 2100*ms)
+	expectIdle(t, c, 2100*ms, 0, 2)
 }
 
-// An unverified connection is not closed while its request is pending. A response verifies it; a cancellation leaves it as
-// idle as before.
-func TestCloseIdleWithPendingRequest(t *testing.T) {
-	for _, answered := range []bool{true, false} {
-		t.Run(fmt.Sprintf("answered %v", answered), func(t *testing.T) {
+// An unverified connection is not closed as idle while its request is pending.
+func TestPendingRequestDefersIdleClose(t *testing.T) {
+	for _, test := range []struct {
+		name     string
+		answered bool
+		wantIdle []ID
+	}{
+		{"a response verifies the connection", true, nil},
+		{"a cancellation leaves it idle", false, []ID{1}},
+	} {
+		t.Run(test.name, func(t *testing.T) {
 			c := newTestControl()
 			c.Opened(0, 1, "h")
 			c.BeginRequest(1)
-			if idle, next := c.CloseIdle(3 * time.Second); len(idle) > 0 || next != 3250*ms {
-				t.Errorf("%v, %v", idle, next)
-			}
-			c.EndRequest(3*time.Second, 1, answered)
-			if idle, next := c.CloseIdle(3250 * ms); (len(idle) == 0) != answered || next != 0 {
-				t.Errorf("%v, %v", idle, next)
-			}
+			expectIdle(t, c, 3*time.Second, 3250*ms)
+			c.EndRequest(3*time.Second, 1, test.answered)
+			expectIdle(t, c, 3250*ms, 0, test.wantIdle...)
 		})
 	}
 }
 
 // The third protocol error and the third pending request of a connection are over its limits.
-func TestLimitsPerConnection(t *testing.T) {
+func TestLimitsPerConnectionAreEnforced(t *testing.T) {
 	c := newTestControl()
 	c.Opened(0, 1, "h")
 	for i := range 3 {
-		if c.ProtocolError(1) != (i == 2) {
-			t.Errorf("protocol error %d: the third is one too many", i+1)
+		if got, want := c.ProtocolError(1), i == 2; got != want {
+			t.Errorf("protocol error %d: got over the limit %v, want %v", i+1, got, want)
 		}
 	}
 	for i := range 3 {
-		if c.BeginRequest(1) != (i < 2) {
-			t.Errorf("pending request %d: the third is one too many", i+1)
+		if got, want := c.BeginRequest(1), i < 2; got != want {
+			t.Errorf("pending request %d: got accepted %v, want %v", i+1, got, want)
 		}
 	}
 	if c.EndRequest(0, 1, true); !c.BeginRequest(1) {
-		t.Error("a request that has its response still counts")
+		t.Error("got a request rejected after the response of another, want it accepted")
 	}
 	if c.ProtocolError(9) || c.BeginRequest(9) {
-		t.Error("a connection that is not open has limits")
+		t.Error("got a protocol error or request recorded for a connection that is not open, want neither")
 	}
 }
 
-// Whatever happens, the bound holds, no connection with a pending request is evicted, and nothing is kept of connections
-// that have ended.
-func TestRandomOperations(t *testing.T) {
+// In any order of operations, the limit holds, no connection with a pending request is evicted, and no state is left of
+// connections that have ended.
+func TestRandomOperationsRespectLimits(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	c, now, lastID := newTestControl(), Time(0), ID(0)
 	pending := map[ID]int{}
@@ -189,7 +199,7 @@
 			lastID++
 			for _, evicted := range c.Opened(now, lastID, fmt.Sprint(rng.IntN(3))) {
 				if pending[evicted] > 0 {
-					t.Fatalf("connection %d was evicted with %d requests pending", evicted, pending[evicted])
+					t.Fatalf("got connection %d evicted with %d requests pending, want none pending", evicted, pending[evicted])
 				}
 			}
 		case 1:
@@ -216,11 +226,12 @@
 	}
 }
 
-// checkLists checks that each connection is in one list, and that the bound holds.
+// checkLists checks that each connection is in one list, and that the limit holds.
 func checkLists(t *testing.T, c *Control) {
 	t.Helper()
 	inLists := c.unverified.Len() + c.pinged.Len() + c.verified.Len()
 	if c.Len() > maxConnections || inLists != c.Len() || len(c.unverifiedPerHost) > 3 {
-		t.Fatalf("%d connections, %d in lists, %d hosts", c.Len(), inLists, len(c.unverifiedPerHost))
+		t.Fatalf("got %d connections, %d in lists, %d hosts, want at most %d, each in one list, of at most 3 hosts", c.Len(), inLists,
+			len(c.unverifiedPerHost), maxConnections)
 	}
 }
