--- a/internal/platform/helpers_test.go
+++ b/internal/platform/helpers_test.go
@@ -89,22 +89,27 @@
 	return f
 }
 
-// startScheduler starts a scheduler whose configuration lists nodes, and waits until it has connected to its control feed.
-func startScheduler(t *testing.T, nodes ...string) *testScheduler {
-	t.Helper()
-	return startSchedulerWithSettings(t, testSettings, nodes...)
+// schedulerOptions are the options of a scheduler under test. The zero value has testSettings and no hook.
+type schedulerOptions struct {
+	settings string
+	// logHook is called with each line of the log, at trace level. A test blocks the event loop or the run loop when it logs
+	// a line, and so determines the order of concurrent events.
+	logHook func(line string)
 }
 
-// startSchedulerWithSettings is startScheduler with other settings.
-func startSchedulerWithSettings(t *testing.T, settings string, nodes ...string) *testScheduler {
+// startScheduler starts a scheduler whose configuration lists nodes, and waits until it has connected to its control feed.
+// By then it listens for owners.
+func startScheduler(t *testing.T, nodes ...string) *testScheduler {
 	t.Helper()
-	return startSchedulerWithLogHook(t, nil, settings, nodes...)
+	return startSchedulerWith(t, schedulerOptions{}, nodes...)
 }
 
-// startSchedulerWithLogHook is startSchedulerWithSettings with a hook that gets each line of the log, at trace level. A test
-// blocks the event loop or the run loop where it logs a line, and so decides the order of concurrent events.
-func startSchedulerWithLogHook(t *testing.T, logHook func(line string), settings string, nodes ...string) *testScheduler {
+// startSchedulerWith is startScheduler with options.
+func startSchedulerWith(t *testing.T, options schedulerOptions, nodes ...string) *testScheduler {
 	t.Helper()
+	if options.settings == "" {
+		options.settings = testSettings
+	}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -120,10 +125,10 @@
 		reload:        make(chan struct{}),
 		runResult:     make(chan error, 1),
 		closedLinks:   make(linkLog, 100),
-		logHook:       logHook,
+		logHook:       options.logHook,
 	}
 	_ = listener.Close()
-	s.writeConfig(s.feed, settings, nodes...)
+	s.writeConfig(s.feed.Addr(), options.settings, nodes...)
 	go func() {
 		s.runResult <- Run(Options{Config: s.configPath, Recording: s.recordingPath, Log: zerolog.New(s)}, s.stop, s.reload)
 	}()
@@ -139,18 +144,12 @@
 	s := startScheduler(t, scripted.Entry("s-1", n.Addr(), "active"))
 	c := s.connect()
 	c.placeTask(2)
-	awaitMessage(t, n, nodebinary.SetUp)
+	expectMessage(t, n, nodebinary.SetUp, 2)
 	return s, n, c
 }
 
-// writeConfig writes the configuration file.
-func (s *testScheduler) writeConfig(feed *scripted.Feed, settings string, nodes ...string) {
-	s.t.Helper()
-	s.writeConfigWithFeed(feed.Addr(), settings, nodes...)
-}
-
-// writeConfigWithFeed is writeConfig with the address of a control feed.
-func (s *testScheduler) writeConfigWithFeed(feed, settings string, nodes ...string) {
+// writeConfig writes the configuration file. The control feed is given by its address.
+func (s *testScheduler) writeConfig(feed, settings string, nodes ...string) {
 	s.t.Helper()
 	text := fmt.Sprintf(`{"name":"n0","listen":%q,"seed":"1f","feed":%q,"limits":{"cores":0.5,"memory_mb":64,"sockets":128},
 "known":{"n":1,"events":[%s]},"settings":%s}`, s.addr, feed, scripted.Event(1, true, nodes...), settings)
@@ -159,7 +158,8 @@
 	}
 }
 
-// shutDown stops the scheduler, unless the test has done so, and checks that the recorded steps replay to the same actions.
+// shutDown stops the scheduler, unless the test has done so, and checks that a replay of the recorded steps has the same
+// actions.
 func (s *testScheduler) shutDown() {
 	s.t.Helper()
 	select {
@@ -168,17 +168,23 @@
 	default:
 		close(s.stop)
 	}
+	s.awaitExit()
+	f := openFile(s.t, s.recordingPath)
+	if result, err := replay.Check(f); err != nil || result.Steps == 0 {
+		s.t.Errorf("replay of the recorded steps: got %+v and error %v, want steps and no error", result, err)
+	}
+}
+
+// awaitExit waits until the scheduler, whose shutdown was requested, has exited without an error.
+func (s *testScheduler) awaitExit() {
+	s.t.Helper()
 	select {
 	case err := <-s.runResult:
 		if err != nil {
-			s.t.Error(err)
+			s.t.Errorf("got error %v of Run, want none", err)
 		}
 	case <-time.After(10 * time.Second):
-		s.t.Fatal("the scheduler did not exit")
-	}
-	f := openFile(s.t, s.recordingPath)
-	if res, err := replay.Check(f); err != nil || res.Steps == 0 {
-		s.t.Errorf("replay of the recorded steps: %+v, %v", res, err)
+		s.t.Fatal("the scheduler did not exit, want an exit within 10 s")
 	}
 }
 
@@ -204,17 +210,46 @@
 				return m
 			}
 		case <-timeout:
-			t.Fatalf("the node received no message of type %d", want)
+			t.Fatalf("the node got no message of type %d, want one within 10 s", want)
 		}
 	}
 }
 
-// expectNoMessage fails if the node has received a message of a type.
+// expectMessage waits for the node's next message of a type, and checks its task.
+func expectMessage(t *testing.T, n *scripted.Node, want nodebinary.Type, task int) {
+	t.Helper()
+	if got := awaitMessage(t, n, want); got.Task != uint64(task) {
+		t.Errorf("the node got message %+v, want one of task %d", got, task)
+	}
+}
+
+// expectConnection waits for the node's next event of a connection, which must be that one has opened.
+func expectConnection(t *testing.T, n *scripted.Node) {
+	t.Helper()
+	if event := <-n.Conns; event != "came" {
+		t.Fatalf("the node got connection event %q, want %q", event, "came")
+	}
+}
+
+// expectStream waits for the next request of a control feed, which must be for the events after last.
+func expectStream(t *testing.T, feed *scripted.Feed, last string) {
+	t.Helper()
+	select {
+	case got := <-feed.Requests:
+		if got != last {
+			t.Errorf("got a stream requested from event %s, want %s", got, last)
+		}
+	case <-time.After(10 * time.Second):
+		t.Fatalf("got no request of a stream, want one from event %s", last)
+	}
+}
+
+// expectNoMessage fails the test if the node has received a message of a type.
 func expectNoMessage(t *testing.T, n *scripted.Node, unwanted nodebinary.Type) {
 	t.Helper()
 	for len(n.Received) > 0 {
 		if m := <-n.Received; m.Type == unwanted {
-			t.Errorf("the node received %+v", m)
+			t.Errorf("the node got message %+v, want none of type %d", m, unwanted)
 		}
 	}
 }
@@ -226,22 +261,22 @@
 	reader *bufio.Reader
 }
 
-// connect connects an owner, and waits until the scheduler listens.
+// connect connects an owner until the end of the test.
 func (s *testScheduler) connect() *client {
 	s.t.Helper()
-	var conn net.Conn
-	var err error
-	for range 500 {
-		if conn, err = net.Dial("tcp", s.addr); err == nil {
-			break
-		}
-		time.Sleep(2 * time.Millisecond) // until it listens
-	}
+	c := s.dial()
+	s.t.Cleanup(func() { _ = c.conn.Close() })
+	_ = c.conn.SetDeadline(time.Now().Add(20 * time.Second))
+	return c
+}
+
+// dial connects an owner, whose connection the test closes.
+func (s *testScheduler) dial() *client {
+	s.t.Helper()
+	conn, err := net.Dial("tcp", s.addr)
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	s.t.Cleanup(func() { _ = conn.Close() })
-	_ = conn.SetDeadline(time.Now().Add(20 * time.Second))
 	return &client{s.t, conn, bufio.NewReader(conn)}
 }
 
@@ -269,10 +304,16 @@
 	c.t.Helper()
 	c.submit(task)
 	if r := c.expect("answer", task, 0); r.SDP != scripted.Description {
-		c.t.Errorf("%+v: not the node's description", r)
+		c.t.Errorf("got response %+v, want the node's description %q", r, scripted.Description)
 	}
 }
 
+// release sends a release of a task with a cause.
+func (c *client) release(task, cause int) {
+	c.t.Helper()
+	c.send(`{"type":"release","id":"%016x","fields":{},"cause":%d}`, task, cause)
+}
+
 // reply is a message of the scheduler.
 type reply struct {
 	Type, ID, SDP string
@@ -287,7 +328,7 @@
 		c.t.Fatal(err)
 	}
 	if err := json.Unmarshal(line, &r); err != nil {
-		c.t.Fatalf("%s: %v", line, err)
+		c.t.Fatalf("got line %s and error %v, want a message", line, err)
 	}
 	return r
 }
@@ -297,12 +338,12 @@
 	c.t.Helper()
 	r := c.read()
 	if r.Type != kind || r.ID != fmt.Sprintf("%016x", task) || r.Cause != cause {
-		c.t.Fatalf("%+v, want %s of %d with cause %d", r, kind, task, cause)
+		c.t.Fatalf("got %+v, want %s of %d with cause %d", r, kind, task, cause)
 	}
 	return r
 }
 
-// ping sends a readiness test and returns whether it passed.
+// ping sends a health check and reports whether it passed.
 func (c *client) ping() bool {
 	c.t.Helper()
 	c.send(`{"type":"ping","id":"%016x","fields":{},"cause":0}`, 1)
@@ -316,7 +357,7 @@
 		if _, err := c.reader.ReadByte(); err != nil {
 			var netError net.Error
 			if errors.As(err, &netError) && netError.Timeout() {
-				c.t.Fatal("the connection is still open")
+				c.t.Fatal("the connection is still open, want it closed")
 			}
 			return
 		}
--- a/internal/platform/leak_test.go
+++ b/internal/platform/leak_test.go
@@ -1,8 +1,6 @@
 package platform
 
 import (
-	"bufio"
-	"net"
 	"os"
 	"runtime"
 	"testing"
@@ -12,7 +10,7 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/standin/scripted"
 )
 
-// usage is what the process uses.
+// usage is the resource usage of the process.
 type usage struct{ goroutines, descriptors, heapBytes int }
 
 func measureUsage(t *testing.T) usage {
@@ -28,7 +26,7 @@
 	return usage{runtime.NumGoroutine(), len(files), int(memory.HeapAlloc)}
 }
 
-// discardReports drops what a node has reported to its test, whose channels would fill else.
+// discardReports empties the channels on which a node reports to its test, so that they do not fill up.
 func discardReports(n *scripted.Node) {
 	for len(n.Received) > 0 {
 		<-n.Received
@@ -38,18 +36,15 @@
 	}
 }
 
-// Thousands of owners connect and disconnect, a thousand links break, streams of the control feed end and the configuration
-// is reloaded: goroutines, descriptors and heap stay what they were.
+// Goroutines, descriptors and heap do not grow while thousands of owners connect and disconnect, a thousand links break,
+// streams of the control feed end and the configuration is reloaded.
 func TestNoLeaks(t *testing.T) {
+	const tolerance = 4 // goroutines and descriptors
 	s, n, _ := startSchedulerWithTask(t)
 	task := 10
 	rounds := func(count int) {
 		for i := range count {
-			conn, err := net.Dial("tcp", s.addr)
-			if err != nil {
-				t.Fatal(err)
-			}
-			c := &client{t, conn, bufio.NewReader(conn)} // without a cleanup, which the test would keep
+			c := s.dial() // without a cleanup, which would retain the client
 			c.placeTask(task)
 			n.Send(nodebinary.Message{Type: nodebinary.Release, Task: uint64(task), Cause: 16})
 			c.expect("release", task, 16)
@@ -75,25 +70,27 @@
 	// Goroutines and descriptors of closed connections are released soon after, those of replaced links within two seconds.
 	for deadline := time.Now().Add(10 * time.Second); ; {
 		after = measureUsage(t)
-		if after.goroutines <= before.goroutines+4 && after.descriptors <= before.descriptors+4 || time.Now().After(deadline) {
+		released := after.goroutines <= before.goroutines+tolerance && after.descriptors <= before.descriptors+tolerance
+		if released || time.Now().After(deadline) {
 			break
 		}
 		runtime.Gosched()
 	}
-	if after.goroutines > before.goroutines+4 || after.descriptors > before.descriptors+4 || after.heapBytes > before.heapBytes+2<<20 {
-		t.Errorf("%+v, before %+v", after, before)
+	limit := usage{before.goroutines + tolerance, before.descriptors + tolerance, before.heapBytes + 2<<20}
+	if after.goroutines > limit.goroutines || after.descriptors > limit.descriptors || after.heapBytes > limit.heapBytes {
+		t.Errorf("got %+v, want at most %+v", after, limit)
 	}
 }
 
 // Requests that arrive byte by byte, on many connections at once, are read like any other; malformed ones close their
 // connection.
-func TestSingleByteWrites(t *testing.T) {
+func TestReadsMessagesWrittenByteByByte(t *testing.T) {
 	s, _, other := startSchedulerWithTask(t)
 	var clients []*client
 	for range 30 {
 		clients = append(clients, s.connect())
 	}
-	// ZZ stands for the client's number.
+	// ZZ is replaced by the client's number.
 	line := []byte(`{"type":"setup","id":"00000000000000ZZ","fields":{"class":"batch","left":"3000","key":"k",` +
 		`"extras":"cores:1;memory:1;service:sZZ"},"sdp":"x"}` + "\n")
 	for at := range line {
@@ -113,7 +110,7 @@
 	other.placeTask(3)
 	for _, c := range clients {
 		if r := c.read(); r.Type != "answer" {
-			t.Errorf("%+v", r)
+			t.Errorf("got %+v, want an answer", r)
 		}
 	}
 	for _, malformed := range []string{`{"type":"setup","id":"7"}` + "\n", "GET / HTTP/1.1\r\n\r\n", "\x00\x01\x02\n"} {
--- a/internal/platform/mailbox_test.go
+++ b/internal/platform/mailbox_test.go
@@ -8,43 +8,43 @@
 	"flaxshelf.example/flaxshelf/internal/requests"
 )
 
-// disconnected is a message that reports one connection's end.
+// disconnected returns a message that reports the end of a connection.
 func disconnected(conn requests.Conn) message {
 	return message{inputs: []requests.Input{requests.OwnerDisconnected{Conn: conn}}}
 }
 
-// connsOf returns the connections of messages that disconnected made.
-func connsOf(messages []message) (conns []requests.Conn) {
-	for _, m := range messages {
-		conns = append(conns, m.inputs[0].(requests.OwnerDisconnected).Conn)
+// expectTaken takes up to limit messages that disconnected has made, and checks their connections.
+func expectTaken(t *testing.T, b *mailbox, limit int, want ...requests.Conn) {
+	t.Helper()
+	var got []requests.Conn
+	for _, m := range b.take(nil, limit) {
+		got = append(got, m.inputs[0].(requests.OwnerDisconnected).Conn)
+	}
+	if !slices.Equal(got, want) {
+		t.Errorf("got messages of connections %v, want %v", got, want)
 	}
-	return conns
 }
 
-// Messages that must not be lost are accepted by a full mailbox and keep their order: a disconnect never overtakes what came
-// before it.
+// A full mailbox accepts messages that must not be lost, and keeps their order: a disconnect never overtakes an earlier
+// message.
 func TestMailboxOrder(t *testing.T) {
 	b := newMailbox(2)
 	put := func(m message) bool { b.put(m); return true }
 	for i, queue := range []func(message) bool{b.tryPut, b.tryPut, b.tryPut, put} {
-		if got := queue(disconnected(requests.Conn(i + 1))); got != (i != 2) {
-			t.Errorf("message %d: %v", i+1, got)
+		if got, want := queue(disconnected(requests.Conn(i+1))), i != 2; got != want {
+			t.Errorf("message %d: got accepted %v, want %v", i+1, got, want)
 		}
 	}
-	if got := connsOf(b.take(nil, 2)); !slices.Equal(got, []requests.Conn{1, 2}) {
-		t.Errorf("%v", got)
-	}
+	expectTaken(t, b, 2, 1, 2)
 	<-b.ready // a message is left
 	b.tryPut(disconnected(5))
-	if got := connsOf(b.take(nil, 9)); !slices.Equal(got, []requests.Conn{4, 5}) {
-		t.Errorf("%v", got)
-	}
+	expectTaken(t, b, 9, 4, 5)
 	if !b.empty() {
-		t.Error("not empty")
+		t.Error("got a mailbox with messages, want it empty")
 	}
 }
 
-// A goroutine that waits for capacity gets it when a message is taken, and gives up when the run loop has ended.
+// A goroutine that waits for capacity gets it when a message is taken, and stops waiting when the run loop has ended.
 func TestMailboxPutWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newMailbox(1)
@@ -53,17 +53,17 @@
 		go func() { accepted <- b.putWait(disconnected(2), loopDone) }()
 		synctest.Wait()
 		if len(accepted) > 0 {
-			t.Fatal("it did not wait")
+			t.Fatal("putWait returned, want it to wait for capacity")
 		}
 		b.take(nil, 1)
 		if !<-accepted {
-			t.Error("the message was not accepted")
+			t.Error("the message was not accepted, want it accepted after another was taken")
 		}
 		go func() { accepted <- b.putWait(disconnected(3), loopDone) }()
 		synctest.Wait()
 		close(loopDone)
 		if <-accepted {
-			t.Error("the message was accepted though nobody takes it")
+			t.Error("the message was accepted, want it rejected after the end of the run loop")
 		}
 	})
 }
--- a/internal/platform/module_state_test.go
+++ b/internal/platform/module_state_test.go
@@ -14,21 +14,22 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/standin/scripted"
 )
 
-// taskID is a task's id as the core has it.
+// taskID returns the ID of a task in the core.
 func taskID(task int) string { return fmt.Sprintf("%016x", task) }
 
-// nodeTasks is which tasks the scripted nodes run, by their own count. The nodes' readers and the test use it.
+// nodeTasks records which tasks the scripted nodes run. It is safe for concurrent use by the nodes' readers and the test.
 type nodeTasks struct {
 	mu   sync.Mutex
 	node map[string]string // the node of each running task
 }
 
-// script answers a node's messages and counts its tasks. Node s-1 rejects every seventh task.
+// script returns the script of a node, which responds to messages and records its tasks. Node s-1 rejects every seventh
+// task.
 func (n *nodeTasks) script(name string) scripted.Script {
 	return func(conn net.Conn, m nodebinary.Message) {
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		task := fmt.Sprintf("%016x", m.Task)
+		task := taskID(int(m.Task))
 		switch {
 		case m.Type == nodebinary.SetUp && m.Task%7 == 0 && name == "s-1":
 			scripted.Send(conn, nodebinary.Message{Type: nodebinary.Release, Task: m.Task, Cause: 34})
@@ -49,7 +50,7 @@
 	return n.node[taskID(task)]
 }
 
-// complete has a task's node report that the task has completed.
+// complete lets a task's node report that the task has completed.
 func (n *nodeTasks) complete(nodes map[string]*scripted.Node, task int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -58,7 +59,7 @@
 	node.Send(nodebinary.Message{Type: nodebinary.Release, Task: uint64(task), Cause: 16})
 }
 
-// removeNode forgets the tasks of a node, and returns how many of the given ones were among them.
+// removeNode removes the tasks of a node, and returns how many of the given tasks were among them.
 func (n *nodeTasks) removeNode(name string, tasks []int) (removed int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -71,7 +72,7 @@
 	return removed
 }
 
-// observedModule is the module with a record of its events: where each task runs, and which tasks are pending.
+// observedModule is the module with a record of its events: which tasks are pending, and where each running task runs.
 type observedModule struct {
 	*flaxshelf.Placer
 	running map[string]string // the machine of each task
@@ -100,7 +101,7 @@
 	return p.Placer.Step(now, events)
 }
 
-// replayModule replays the recorded steps into the module, and returns it as it is after them.
+// replayModule replays the recorded steps into a new module, and returns the module.
 func (s *testScheduler) replayModule() *observedModule {
 	s.t.Helper()
 	module := &observedModule{running: map[string]string{}, pending: map[string]bool{}}
@@ -116,7 +117,7 @@
 }
 
 // placeAndEndTasks places the tasks 2 to 199 and ends about two fifths of them, by their nodes or by their owner. Each
-// fortieth step may cut the links to s-2, which ends no task. It returns the tasks that still run.
+// fortieth step may reset the links to s-2, which ends no task. It returns the tasks that still run.
 func placeAndEndTasks(t *testing.T, c *client, tasks *nodeTasks, nodes map[string]*scripted.Node) (running []int) {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(5, 5))
@@ -131,10 +132,8 @@
 			c.expect("release", task, 16)
 		case 1:
 			node := nodes[tasks.nodeOf(task)]
-			c.send(`{"type":"release","id":"%016x","fields":{},"cause":31}`, task)
-			if m := awaitMessage(t, node, nodebinary.Release); m.Task != uint64(task) {
-				t.Fatalf("the node was sent the release of %d, not of %d", m.Task, task)
-			}
+			c.release(task, 31)
+			expectMessage(t, node, nodebinary.Release, task)
 		default:
 			continue
 		}
@@ -146,8 +145,8 @@
 	return running
 }
 
-// The module's view of the running tasks is what the nodes run, after placements, ends by nodes and owners, rejections,
-// links that are cut and a node that dies.
+// The module's running tasks match those of the nodes after placements, ends by nodes and owners, rejections, links that
+// break and a node that dies.
 func TestModuleStateMatchesNodes(t *testing.T) {
 	tasks := &nodeTasks{node: map[string]string{}}
 	nodes, entries := map[string]*scripted.Node{}, []string{}
@@ -162,7 +161,7 @@
 	nodes["s-3"].Kill()
 	for range lost {
 		if r := c.read(); r.Type != "release" || r.Cause != 41 {
-			t.Errorf("%+v, want the end of a task on the dead node", r)
+			t.Errorf("got %+v, want the release of a task on the dead node with cause 41", r)
 		}
 	}
 	c.placeTask(200)
@@ -172,9 +171,9 @@
 	tasks.mu.Lock()
 	defer tasks.mu.Unlock()
 	if !maps.Equal(module.running, tasks.node) || len(tasks.node) < 20 || lost < 5 {
-		t.Errorf("the module has %v, the nodes run %v; %d were lost", module.running, tasks.node, lost)
+		t.Errorf("got running tasks %v, want %v, at least 20, and at least 5 of %d lost", module.running, tasks.node, lost)
 	}
 	if len(module.pending) > 0 {
-		t.Errorf("still pending: %v", module.pending)
+		t.Errorf("got pending requests %v, want none", module.pending)
 	}
 }
--- a/internal/platform/offer_race_test.go
+++ b/internal/platform/offer_race_test.go
@@ -14,7 +14,7 @@
 type eventLoopBlocker struct {
 	armed    atomic.Bool
 	blocked  chan struct{} // receives once the event loop is blocked
-	release  chan struct{} // closed to let it go on
+	release  chan struct{} // closed to let it continue
 	effect   string
 	executed chan string // receives the log lines of the effects
 }
@@ -44,39 +44,37 @@
 // An owner disconnects, or releases its task, between the decision of an offer and its write: the offer is not written. The
 // event loop is blocked by the closed link of another node, while a watch event makes the core decide the offer.
 func TestOfferCrossesOwnerRelease(t *testing.T) {
-	for name, release := range map[string]func(c *client){
-		"by a release": func(c *client) { c.send(`{"type":"release","id":"%016x","fields":{},"cause":16}`, 2) },
-		"by a close":   func(c *client) { _ = c.conn.Close() },
-		"by a reset": func(c *client) {
+	for _, test := range []struct {
+		name    string
+		release func(c *client)
+	}{
+		{"by a release", func(c *client) { c.release(2, 16) }},
+		{"by a close", func(c *client) { _ = c.conn.Close() }},
+		{"by a reset", func(c *client) {
 			_ = c.conn.(*net.TCPConn).SetLinger(0)
 			_ = c.conn.Close()
-		},
+		}},
 	} {
-		t.Run(name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			blocker := newEventLoopBlocker("Offer")
 			other, n := newNode(t, scripted.AcceptAll), newNode(t, scripted.AcceptAll)
-			s := startSchedulerWithLogHook(t, blocker.hook, testSettings, scripted.Entry("s-1", other.Addr(), "leaving"),
-				scripted.Entry("s-2", n.Addr(), "leaving"))
+			s := startSchedulerWith(t, schedulerOptions{logHook: blocker.hook},
+				scripted.Entry("s-1", other.Addr(), "leaving"), scripted.Entry("s-2", n.Addr(), "leaving"))
 			c := s.connect()
 			c.ping()
-			c.submit(2) // it waits, since both nodes are draining
-			for _, n := range []*scripted.Node{other, n} {
-				if event := <-n.Conns; event != "came" {
-					t.Fatal(event)
-				}
-			}
+			c.submit(2) // it is queued, since both nodes are draining
+			expectConnection(t, other)
+			expectConnection(t, n)
 			c.ping() // the request was read before
 			blocker.armed.Store(true)
 			other.ResetConnections()
 			<-blocker.blocked
-			release(c)
+			test.release(c)
 			s.feed.Publish(false, scripted.Entry("s-2", n.Addr(), "active"))
 			<-blocker.executed
 			close(blocker.release)
 			s.connect().placeTask(3)
-			if m := awaitMessage(t, n, nodebinary.SetUp); m.Task != 3 {
-				t.Errorf("the node received an offer of task %d", m.Task)
-			}
+			expectMessage(t, n, nodebinary.SetUp, 3)
 		})
 	}
 }
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -1,6 +1,7 @@
 package platform
 
 import (
+	"fmt"
 	"net"
 	"os"
 	"path/filepath"
@@ -14,46 +15,42 @@
 	"flaxshelf.example/flaxshelf/internal/transport"
 )
 
-// A ping passes; a request reaches its node unchanged and is answered with the node's description; the end of the task is
-// passed on to its owner.
-func TestRequestRoundTrip(t *testing.T) {
+// A health check passes; a request reaches its node unchanged and gets a response with the node's description; the owner is
+// notified of the end of the task.
+func TestRequestReachesNodeAndResponseReachesOwner(t *testing.T) {
 	n := newNode(t, scripted.AcceptAll)
 	s := startScheduler(t, scripted.Entry("s-1", n.Addr(), "active"))
 	c := s.connect()
 	if !c.ping() {
-		t.Error("the ping did not pass")
+		t.Error("got a ping that failed, want it passed")
 	}
 	c.placeTask(2)
 	m := awaitMessage(t, n, nodebinary.SetUp)
 	if m.Task != 2 || m.Class != "batch" || m.Key != "k2" || m.Description != "owner's" || m.TimeLeft == "" {
-		t.Errorf("%+v", m)
+		t.Errorf("the node got %+v, want task 2 of class batch with key k2, the owner's description and time left", m)
 	}
 	n.Send(nodebinary.Message{Type: nodebinary.Release, Task: 2, Cause: 16})
 	c.expect("release", 2, 16)
 }
 
-// Owners may end or move a running task on another connection than that of its request. A request under an id that is in use
-// is failed, and the first one's task runs on.
-func TestReleaseAndMoveFromAnotherConnection(t *testing.T) {
+// Owners may end or migrate a running task on another connection than that of its request. A request with an ID that is in
+// use fails, and the task of the first one continues to run.
+func TestOwnerEndsTaskOnAnotherConnection(t *testing.T) {
 	s, n, c := startSchedulerWithTask(t)
 	other := s.connect()
-	for task, message := range map[int]string{2: "release", 3: "move"} {
-		if task != 2 {
-			c.placeTask(task)
-		}
-		other.send(`{"type":%q,"id":"%016x","fields":{},"cause":31}`, message, task)
-		if m := awaitMessage(t, n, nodebinary.Release); m.Task != uint64(task) {
-			t.Errorf("%s: the node received the release of %d", message, m.Task)
-		}
-	}
+	other.release(2, 31)
+	expectMessage(t, n, nodebinary.Release, 2)
+	c.placeTask(3)
+	other.send(`{"type":"move","id":"%016x","fields":{},"cause":31}`, 3)
+	expectMessage(t, n, nodebinary.Release, 3)
 	c.placeTask(4)
 	other.submit(4)
 	other.expect("release", 4, 41)
 	c.placeTask(5) // no release in between: an owner gets none for a task that it ended itself
 }
 
-// A request is released while its node handles it: the node is sent a release, the owner nothing more, and the answer that
-// crosses the release is released again.
+// A request is released while its node handles it: the node is sent a release, the owner gets no response, and a response of
+// the node that crosses the release causes a second release.
 func TestReleaseCrossesAnswer(t *testing.T) {
 	delayed := make(chan func(), 1)
 	n := newNode(t, func(c net.Conn, m nodebinary.Message) {
@@ -67,19 +64,17 @@
 	c := s.connect()
 	c.submit(2)
 	answer := <-delayed
-	c.send(`{"type":"release","id":"%016x","fields":{},"cause":16}`, 2)
+	c.release(2, 16)
 	if m := awaitMessage(t, n, nodebinary.Release); m.Task != 2 || m.Cause != 16 {
-		t.Errorf("%+v", m)
+		t.Errorf("the node got %+v, want the release of task 2 with cause 16", m)
 	}
 	answer()
-	if m := awaitMessage(t, n, nodebinary.Release); m.Task != 2 {
-		t.Errorf("the answer that crossed: %+v", m)
-	}
+	expectMessage(t, n, nodebinary.Release, 2)
 	c.placeTask(3)
 }
 
-// Tasks that ran before a start are adopted by requests with the extra "at", which are not answered. Their node gets no
-// offer of them, its report of the end reaches the owner, and a second request for the same task changes nothing.
+// Tasks that ran before a start are adopted by requests with the extra "at", which get no response. Their node
+// gets no offer of them, its report of the end reaches the owner, and a second request for the same task is ignored.
 func TestAdoptedTasks(t *testing.T) {
 	n := newNode(t, scripted.AcceptAll)
 	s := startScheduler(t, scripted.Entry("s-1", n.Addr(), "active"))
@@ -87,14 +82,12 @@
 	c.submit(7, "at:s-1")
 	c.submit(7, "at:s-1")
 	c.placeTask(8)
-	if m := awaitMessage(t, n, nodebinary.SetUp); m.Task != 8 {
-		t.Errorf("%+v", m)
-	}
+	expectMessage(t, n, nodebinary.SetUp, 8)
 	n.Send(nodebinary.Message{Type: nodebinary.Release, Task: 7, Cause: 41, Token: "oom"})
 	c.expect("release", 7, 41)
 }
 
-// A malformed answer closes the link; the task is placed on another node.
+// A malformed response of a node closes the link, and the task is placed on another node.
 func TestMalformedAnswerClosesLink(t *testing.T) {
 	n := newNode(t, func(c net.Conn, m nodebinary.Message) {
 		if m.Type == nodebinary.SetUp {
@@ -109,8 +102,8 @@
 	c.expect("answer", 2, 0)
 }
 
-// A link on which a message stays partial is closed even if no request waits on it: else the message would swallow what
-// follows. Another link takes its place. Which of the two events the node sees first is not determined.
+// A link on which a message stays partial is closed even if no request is pending on it, because the message would consume
+// what follows. Another link replaces it. Which of the two events the node sees first is not determined.
 func TestPartialMessageClosesLink(t *testing.T) {
 	n := newNode(t, func(c net.Conn, m nodebinary.Message) {
 		scripted.AcceptAll(c, m)
@@ -121,18 +114,18 @@
 	s := startScheduler(t, scripted.Entry("s-1", n.Addr(), "active"))
 	s.connect().placeTask(2)
 	if line := <-s.closedLinks; !strings.Contains(line, transport.ErrPartialMessage.Error()) {
-		t.Errorf("the link closed for another reason: %s", line)
+		t.Errorf("got log line %s, want the reason %v", line, transport.ErrPartialMessage)
 	}
 	seen := map[string]int{}
 	for range 3 {
 		seen[<-n.Conns]++
 	}
 	if seen["came"] != 2 || seen["went"] != 1 {
-		t.Errorf("connections: %v", seen)
+		t.Errorf("got connection events %v, want 2 came and 1 went", seen)
 	}
 }
 
-// A node that dies ends its tasks: owners are notified at once.
+// When a node dies, the owners of its tasks are notified at once.
 func TestNodeDeathTerminatesTasks(t *testing.T) {
 	_, n, c := startSchedulerWithTask(t)
 	n.Kill()
@@ -140,8 +133,8 @@
 }
 
 // A node becomes unreachable while a task runs there: its connections stay open and new ones are never established. The
-// owner is notified within the 8 s of the protocol.
-func TestUnreachableNode(t *testing.T) {
+// owner is notified by the protocol's deadline.
+func TestUnreachableNodeIsReportedWithinDeadline(t *testing.T) {
 	_, n, c := startSchedulerWithTask(t)
 	filling, err := n.Freeze()
 	for _, conn := range filling {
@@ -157,8 +150,8 @@
 	}
 }
 
-// A node at the address of a former one gets none of its tasks and ends none of them.
-func TestNodeAddressReused(t *testing.T) {
+// A node at the address of a previous one is not offered the previous one's tasks, and cannot end them.
+func TestNodeAtReusedAddressGetsNoTasksOfPreviousNode(t *testing.T) {
 	s, n, c := startSchedulerWithTask(t)
 	s.feed.Publish(false, scripted.Entry("s-2", n.Addr(), "active"))
 	c.expect("release", 2, 41)
@@ -169,20 +162,20 @@
 }
 
 // Events are applied once and partial events are dropped. After a stream that breaks, and after one that stays open but
-// silent, the next one is requested from the last event on.
-func TestWatchResumes(t *testing.T) {
+// silent, the next one is requested from the last event.
+func TestWatchResumesAfterLastEvent(t *testing.T) {
 	s, old, c := startSchedulerWithTask(t)
 	s.feed.Publish(false, scripted.Entry("s-1", old.Addr(), "active"))
 	for i, interrupt := range []func(){s.feed.Break, s.feed.Stall} {
 		s.feed.Publish(false, scripted.Entry("s-3", old.Addr(), "left"))
 		interrupt()
 		select {
-		case last := <-s.feed.Requests:
-			if want := string(rune('3' + i)); last != want {
-				t.Errorf("the stream was requested from event %s, want %s", last, want)
+		case got := <-s.feed.Requests:
+			if want := fmt.Sprint(3 + i); got != want {
+				t.Errorf("got a stream requested from event %s, want %s", got, want)
 			}
-		case <-time.After(4 * time.Second): // by then the platform takes its events for known
-			t.Fatal("no stream was requested")
+		case <-time.After(4 * time.Second): // the platform expects the events to be known by then
+			t.Fatal("got no request of a stream within 4 s, want one")
 		}
 	}
 	s.feed.Publish(false, scripted.Entry("s-1", old.Addr(), "left"))
@@ -195,8 +188,8 @@
 	expectNoMessage(t, old, nodebinary.SetUp)
 }
 
-// A reloaded configuration names another control feed, whose sequence numbers continue. Its events that are older than the
-// last one applied change nothing, nor does an invalid file, nor other settings: the core keeps those of its start.
+// A reloaded configuration names another control feed, whose sequence numbers continue. Events that are older than the last
+// one applied are ignored, and so are an invalid file and other settings: the core retains those of its start.
 func TestReload(t *testing.T) {
 	s, old, c := startSchedulerWithTask(t)
 	entry := scripted.Entry("s-1", old.Addr(), "active")
@@ -207,16 +200,14 @@
 	}
 	s.reload <- struct{}{}
 	if !c.ping() {
-		t.Error("an invalid file ended the scheduler")
+		t.Error("got a ping that failed after an invalid file, want it passed")
 	}
 	task := 3
 	for _, settings := range []string{testSettings, strings.Replace(testSettings, `"batch"`, `"other"`, 1)} {
 		next := newControlFeed(t)
-		s.writeConfig(next, settings, entry)
+		s.writeConfig(next.Addr(), settings, entry)
 		s.reload <- struct{}{}
-		if last := <-next.Requests; last != "2" {
-			t.Errorf("the stream was requested from event %s", last)
-		}
+		expectStream(t, next, "2")
 		for range 4 {
 			c.placeTask(task)
 			task++
@@ -225,23 +216,21 @@
 	expectNoMessage(t, old, nodebinary.SetUp)
 }
 
-// During a graceful shutdown pings fail, requests are still served, on new connections too, and everything is answered
-// before the scheduler exits; running tasks keep running.
-func TestGracefulShutdown(t *testing.T) {
+// During a graceful shutdown health checks fail, requests are still served, also on new connections, and all requests have
+// their responses before the scheduler exits; running tasks continue to run.
+func TestShutdownServesRequestsAndKeepsTasksRunning(t *testing.T) {
 	s, n, c := startSchedulerWithTask(t)
 	close(s.stop)
 	newOwner := s.connect()
 	for c.ping() {
 	}
 	newOwner.placeTask(3)
-	if err := <-s.runResult; err != nil {
-		t.Error(err)
-	}
+	s.awaitExit()
 	expectNoMessage(t, n, nodebinary.Release)
 }
 
-// Misbehaving clients get a rejection or a close, none of their requests is placed, and another owner is served meanwhile.
-func TestMisbehavingClients(t *testing.T) {
+// Misbehaving clients are rejected or closed, none of their requests is placed, and another owner is served meanwhile.
+func TestMisbehavingClientsAreClosed(t *testing.T) {
 	s, n, other := startSchedulerWithTask(t)
 	for _, malformed := range []string{"\x16\x03\x01\n", "{\n", strings.Repeat("x", 1<<20), `{"type":"setup","id":"7"}` + "\n"} {
 		c := s.connect()
@@ -266,11 +255,11 @@
 		c.awaitClosed()
 	}
 	if len(n.Received) > 2 {
-		t.Errorf("the node received %d messages", len(n.Received))
+		t.Errorf("the node got %d messages, want at most 2", len(n.Received))
 	}
 }
 
-// Idle clients keep connecting while the control feed is down: its next stream, a new node and a readiness test still find
+// While idle clients keep connecting and the control feed is down, its next stream, a new node and a health check still get
 // descriptors.
 func TestIdleClientsLeaveDescriptorsFree(t *testing.T) {
 	s, _, c := startSchedulerWithTask(t)
@@ -278,44 +267,39 @@
 	for range 300 {
 		s.connect()
 	}
-	if last := <-s.feed.Requests; last != "1" {
-		t.Errorf("the stream was requested from event %s", last)
-	}
+	expectStream(t, s.feed, "1")
 	if !s.connect().ping() {
-		t.Error("the ping did not pass")
+		t.Error("got a ping that failed, want it passed")
 	}
 	n := newNode(t, scripted.AcceptAll)
 	s.feed.Publish(false, scripted.Entry("s-1", "", "leaving"), scripted.Entry("s-2", n.Addr(), "active"))
-	if event := <-n.Conns; event != "came" {
-		t.Error(event)
-	}
+	expectConnection(t, n)
 	c.placeTask(3)
-	if m := awaitMessage(t, n, nodebinary.SetUp); m.Task != 3 {
-		t.Errorf("%+v", m)
-	}
+	expectMessage(t, n, nodebinary.SetUp, 3)
 }
 
-// The shares add up to the limit, and owners have the third of it that the protocol gives them.
+// The shares add up to the limit, and owners get the third of it that the protocol requires.
 func TestDivideDescriptors(t *testing.T) {
 	for limit := 96; limit <= 1<<14; limit++ {
 		b := divideDescriptors(limit)
 		if b.ownerConnections+b.links+reservedDescriptors != limit || 3*b.retainedConnections < limit-reservedDescriptors ||
 			b.retainedConnections >= b.ownerConnections {
-			t.Fatalf("%d: %+v", limit, b)
+			t.Fatalf("limit %d: got %+v, want shares that add up, and retained connections from a third of it to the owners' share",
+				limit, b)
 		}
 	}
 	if b := divideDescriptors(32); b.retainedConnections < 1 || b.links < 1 || b.ownerConnections+b.links > 16 {
-		t.Errorf("%+v", b)
+		t.Errorf("limit 32: got %+v, want a connection of each kind and at most 16 in all", b)
 	}
 }
 
-// An invalid configuration is reported with the field.
-func TestInvalidConfiguration(t *testing.T) {
+// An invalid configuration is reported with the name of the field.
+func TestRunReportsFieldOfInvalidConfiguration(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(`{"listen":"127.0.0.1:0"}`), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if err := Run(Options{Config: path}, nil, nil); err == nil || !strings.Contains(err.Error(), "field feed") {
-		t.Errorf("%v", err)
+		t.Errorf("got error %v, want one that names the field feed", err)
 	}
 }
--- a/internal/platform/released_test.go
+++ b/internal/platform/released_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// The last maxReleasedTasks tasks are remembered, each once; older ones are forgotten in the order of their release.
+// The last maxReleasedTasks tasks are recorded, each once; older ones are discarded in the order of their release.
 func TestReleasedTasksForgetOldest(t *testing.T) {
 	var released releasedTasks
 	task := func(n int) string { return fmt.Sprint(n) }
@@ -14,15 +14,15 @@
 		released.add(task(n))
 	}
 	if !released.has(task(0)) || !released.has(task(maxReleasedTasks-1)) || released.has(task(maxReleasedTasks)) {
-		t.Error("a full memory does not hold exactly the tasks that were added")
+		t.Errorf("got tasks other than 0 to %d, want exactly those", maxReleasedTasks-1)
 	}
 	for n := maxReleasedTasks; n < maxReleasedTasks+3; n++ {
 		released.add(task(n))
 		if oldest := n - maxReleasedTasks; released.has(task(oldest)) || !released.has(task(oldest+1)) || !released.has(task(n)) {
-			t.Errorf("after task %d: task %d is remembered, or a later one is not", n, oldest)
+			t.Errorf("after task %d: got task %d or not all later ones, want only the later ones", n, oldest)
 		}
 	}
 	if len(released.ids) != maxReleasedTasks {
-		t.Errorf("%d tasks are remembered", len(released.ids))
+		t.Errorf("got %d tasks, want %d", len(released.ids), maxReleasedTasks)
 	}
 }
--- a/internal/platform/shutdown_test.go
+++ b/internal/platform/shutdown_test.go
@@ -14,7 +14,7 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/standin/scripted"
 )
 
-// The next step of a shutdown follows from the time since it was requested and from what keeps the scheduler.
+// The next step of a shutdown follows from the time since it was requested and from what delays the exit.
 func TestShutdownSteps(t *testing.T) {
 	const requestedAt = requests.Time(time.Hour)
 	listening := shutdownBlockers{Idle: true, Listening: true}
@@ -38,7 +38,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			g := gracefulShutdown{requestedAt: requestedAt, lastReceived: requestedAt + c.lastReceived}
 			if got := g.next(requestedAt+c.elapsed, c.blockers); got != c.want {
-				t.Errorf("%+v, want %+v", got, c.want)
+				t.Errorf("got %+v, want %+v", got, c.want)
 			}
 		})
 	}
@@ -46,10 +46,10 @@
 		g := gracefulShutdown{requestedAt: requestedAt}
 		g.next(requestedAt+acceptPeriod, shutdownBlockers{Listening: true})
 		if got := g.next(requestedAt+acceptPeriod+quietPeriod, listening); got.drain || got.exit {
-			t.Errorf("it does not wait: %+v", got)
+			t.Errorf("got %+v before the deadline, want a step that waits", got)
 		}
 		if got := g.next(requestedAt+partialMessageDeadline, listening); !got.exit {
-			t.Errorf("it waits forever: %+v", got)
+			t.Errorf("got %+v at the deadline, want an exit", got)
 		}
 	})
 }
@@ -64,7 +64,7 @@
 		}
 		_ = conn.Close()
 		if time.Now().After(deadline) {
-			s.t.Fatal("the scheduler still listens")
+			s.t.Fatal("the scheduler still listens, want its listener closed within 10 s")
 		}
 	}
 }
@@ -83,15 +83,13 @@
 	s.awaitListenerClosed()
 	_ = other.conn.SetReadDeadline(time.Now().Add(4 * quietPeriod))
 	if _, err := other.reader.ReadByte(); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("the scheduler has exited: %v", err)
+		t.Errorf("got error %v, want the read deadline: the scheduler has exited", err)
 	}
 	if _, err := c.conn.Write([]byte(line[20:])); err != nil {
 		t.Fatal(err)
 	}
 	c.expect("answer", 4, 0)
-	if err := <-s.runResult; err != nil {
-		t.Error(err)
-	}
+	s.awaitExit()
 }
 
 // The scheduler exits while an owner still sends: the last answer arrives completely, and what the owner sends meanwhile
@@ -104,40 +102,36 @@
 		}
 	})
 	longObjective := strings.Replace(testSettings, `"objective_ns":600000000`, `"objective_ns":6000000000`, 1)
-	s := startSchedulerWithSettings(t, longObjective, scripted.Entry("s-1", n.Addr(), "active"))
+	s := startSchedulerWith(t, schedulerOptions{settings: longObjective}, scripted.Entry("s-1", n.Addr(), "active"))
 	c := s.connect()
 	c.submit(2)
 	answer := <-delayed // the attempt's timeout is after the end of listening
 	close(s.stop)
 	s.awaitListenerClosed()
-	answer() // the last thing that kept the scheduler
+	answer() // after it nothing delays the exit
 	c.expect("answer", 2, 0)
 	if _, err := c.reader.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("the connection ended by %v", err)
+		t.Errorf("got error %v at the end of the connection, want EOF", err)
 	}
 	for range 2 { // a second write fails if the first met a closed socket
 		c.send(`{"type":"progress","id":"%016x","fields":{}}`, 2)
 	}
 	_ = c.conn.Close()
-	if err := <-s.runResult; err != nil {
-		t.Error(err)
-	}
+	s.awaitExit()
 }
 
 // Signals in unusual order: a shutdown with a reload behind it, and a shutdown requested before the start.
 func TestShutdownSignalOrder(t *testing.T) {
 	s, _, c := startSchedulerWithTask(t)
 	close(s.stop)
-	s.writeConfig(s.feed, testSettings)
+	s.writeConfig(s.feed.Addr(), testSettings)
 	s.reload <- struct{}{}
 	c.placeTask(3)
-	if err := <-s.runResult; err != nil {
-		t.Error(err)
-	}
+	s.awaitExit()
 	stop := make(chan struct{})
 	close(stop)
 	if err := Run(Options{Config: s.configPath}, stop, nil); err != nil {
-		t.Error(err)
+		t.Errorf("got error %v of Run, want none", err)
 	}
 }
 
@@ -157,9 +151,7 @@
 		t.Fatal(err)
 	}
 	s.reload <- struct{}{}
-	if last := <-s.feed.Requests; last != "2" {
-		t.Errorf("the stream was requested from event %s", last)
-	}
+	expectStream(t, s.feed, "2")
 	for i := range 6 {
 		c.placeTask(3 + i)
 	}
@@ -171,18 +163,14 @@
 	s, drained, c := startSchedulerWithTask(t)
 	first, second := newControlFeed(t), newControlFeed(t)
 	entry := scripted.Entry("s-1", drained.Addr(), "active")
-	s.writeConfig(first, testSettings, entry)
+	s.writeConfig(first.Addr(), testSettings, entry)
 	s.reload <- struct{}{}
-	s.writeConfig(second, testSettings, entry)
+	s.writeConfig(second.Addr(), testSettings, entry)
 	s.reload <- struct{}{}
-	if last := <-second.Requests; last != "1" {
-		t.Errorf("the stream was requested from event %s", last)
-	}
+	expectStream(t, second, "1")
 	n := newNode(t, scripted.AcceptAll)
 	second.Publish(false, scripted.Entry("s-1", drained.Addr(), "leaving"), scripted.Entry("s-2", n.Addr(), "active"))
-	if event := <-n.Conns; event != "came" { // the watch event was applied
-		t.Error(event)
-	}
+	expectConnection(t, n) // the watch event was applied
 	for i := range 4 {
 		c.placeTask(3 + i)
 	}
--- a/internal/platform/watch_test.go
+++ b/internal/platform/watch_test.go
@@ -17,38 +17,57 @@
 // Events are applied once, in order; missing ones are requested once.
 func TestWatchEventOrder(t *testing.T) {
 	p := watchPosition{last: 4, stream: 2}
-	for i, c := range []struct {
+	for _, test := range []struct { // each case continues at the position of the one before
+		name     string
 		sequence uint64
 		complete bool
 		stream   int
 		want     eventOrder
 	}{
-		{4, false, 2, eventStale}, {5, false, 2, eventInOrder}, {5, false, 2, eventStale},
-		{6, false, 1, eventInOrder}, // a former stream sends the same event under the same number
-		{8, false, 1, eventStale},   // the current stream sends it again
-		{8, false, 2, eventGap}, {8, false, 2, eventInOrder}, {9, false, 2, eventInOrder},
-		{12, true, 1, eventInOrder}, {11, false, 2, eventStale},
-		{14, false, 2, eventGap}, {13, false, 2, eventInOrder}, {14, false, 2, eventInOrder},
+		{"the last event again", 4, false, 2, eventStale},
+		{"the next event", 5, false, 2, eventInOrder},
+		{"the next event again", 5, false, 2, eventStale},
+		{"the next event on a previous stream, under the same number", 6, false, 1, eventInOrder},
+		{"a gap on a previous stream: the current one sends the event again", 8, false, 1, eventStale},
+		{"a gap", 8, false, 2, eventGap},
+		{"the same gap on the next stream", 8, false, 2, eventInOrder},
+		{"the event after a gap", 9, false, 2, eventInOrder},
+		{"a complete list after a gap", 12, true, 1, eventInOrder},
+		{"an event before a complete list", 11, false, 2, eventStale},
+		{"a second gap", 14, false, 2, eventGap},
+		{"the missing event", 13, false, 2, eventInOrder},
+		{"the event after the missing one", 14, false, 2, eventInOrder},
 	} {
-		if got := p.advance(c.sequence, c.complete, c.stream); got != c.want {
-			t.Errorf("%d: event %d of stream %d: %v, want %v", i, c.sequence, c.stream, got, c.want)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			if got := p.advance(test.sequence, test.complete, test.stream); got != test.want {
+				t.Errorf("event %d of stream %d: got %v, want %v", test.sequence, test.stream, got, test.want)
+			}
+		})
 	}
 }
 
-// The end of a former stream does not end the current one.
+// The end of a previous stream does not end the current one.
 func TestFailureOfFormerStream(t *testing.T) {
 	s := &Scheduler{position: watchPosition{stream: 2}}
-	if input := s.applyWatch(&watchNotification{stream: 1, input: requests.WatchFailed{}}); input != nil {
-		t.Errorf("%T", input)
-	}
-	if input := s.applyWatch(&watchNotification{stream: 2, input: requests.WatchFailed{}}); input != (requests.WatchFailed{}) {
-		t.Errorf("%T", input)
+	for _, test := range []struct {
+		name   string
+		stream int
+		want   requests.Input
+	}{
+		{"of the previous stream", 1, nil},
+		{"of the current stream", 2, requests.WatchFailed{}},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			got := s.applyWatch(&watchNotification{stream: test.stream, input: requests.WatchFailed{}})
+			if got != test.want {
+				t.Errorf("got input %T, want %T", got, test.want)
+			}
+		})
 	}
 }
 
-// serveReplies listens as a control feed that answers each request with the next reply and closes the connection. The
-// Last-Event-ID of each request goes to the channel.
+// serveReplies starts a control feed that answers each request with the next reply and closes the connection. It sends the
+// Last-Event-ID of each request to the channel.
 func serveReplies(t *testing.T, replies []string) (addr string, lastEvents <-chan string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -77,8 +96,7 @@
 	return listener.Addr().String(), requested
 }
 
-// Control feeds that answer with anything but events: each stream is ended, and requested again. The events of the last one
-// are followed.
+// Each stream that is anything but events is ended, and requested again. The events of the last one are applied.
 func TestMalformedWatchStreams(t *testing.T) {
 	n := newNode(t, scripted.AcceptAll)
 	replies := []string{
@@ -93,21 +111,19 @@
 	}
 	addr, lastEvents := serveReplies(t, replies)
 	s := startScheduler(t)
-	s.writeConfigWithFeed(addr, testSettings)
+	s.writeConfig(addr, testSettings)
 	s.reload <- struct{}{}
 	for i := range replies {
-		if last := <-lastEvents; last != "1" {
-			t.Errorf("stream %d was requested from event %s", i, last)
+		if got := <-lastEvents; got != "1" {
+			t.Errorf("got stream %d requested from event %s, want 1", i, got)
 		}
 	}
 	s.connect().placeTask(2)
-	if m := awaitMessage(t, n, nodebinary.SetUp); m.Task != 2 {
-		t.Errorf("%+v", m)
-	}
+	expectMessage(t, n, nodebinary.SetUp, 2)
 }
 
 // The error of a stream names the operation that failed, the address and the cause.
-func TestWatchErrors(t *testing.T) {
+func TestWatchErrorNamesOperationAndAddress(t *testing.T) {
 	for _, c := range []struct {
 		name, reply string
 		operation   watchOperation
@@ -121,11 +137,11 @@
 			addr, err := readStream(context.Background(), t, c.reply)
 			var watchErr *watchError
 			if !errors.As(err, &watchErr) || watchErr.Operation != c.operation || watchErr.Addr != addr || watchErr.Err == nil {
-				t.Errorf("%v, want an error of %s at %s", err, c.operation, addr)
+				t.Errorf("got error %v, want one of %s at %s", err, c.operation, addr)
 			}
 			var status *watchStatusError
 			if errors.As(err, &status) != (c.name == "status") {
-				t.Errorf("status error: %v", status)
+				t.Errorf("got status error %v, want one only for a status", status)
 			}
 		})
 	}
@@ -133,12 +149,12 @@
 		ctx, cancel := context.WithCancelCause(context.Background())
 		cancel(errWatchReplaced)
 		if _, err := readStream(ctx, t, ""); !errors.Is(err, errWatchReplaced) {
-			t.Error(err)
+			t.Errorf("got error %v, want %v", err, errWatchReplaced)
 		}
 	})
 }
 
-// readStream reads one stream of a control feed that gives a reply, and returns the feed's address and the stream's error.
+// readStream reads one stream of a control feed that sends a reply. It returns the feed's address and the stream's error.
 func readStream(parent context.Context, t *testing.T, reply string) (addr string, err error) {
 	t.Helper()
 	addr, _ = serveReplies(t, []string{reply})
