--- a/internal/platform/mailbox.go
+++ b/internal/platform/mailbox.go
@@ -7,12 +7,12 @@
 	"flaxshelf.example/flaxshelf/internal/transport"
 )
 
-// message is what event loops and the endpoint watch pass to the run loop.
+// message is a message of the event loop or the endpoint watch to the run loop.
 type message struct {
 	inputs     []requests.Input
-	conn       *transport.Conn    // on which the inputs arrived, when it has just opened; else nil
+	conn       *transport.Conn    // the connection that has just opened; else nil
 	receivedAt requests.Time      // when the event loop read it from an owner; 0: it is not from an owner
-	watch      *watchNotification // of the endpoint watch; else nil
+	watch      *watchNotification // a notification of the endpoint watch; else nil
 }
 
 // mailbox queues the messages for the run loop in the order of their arrival. Messages of peers are rejected while it is
--- a/internal/requests/attempt.go
+++ b/internal/requests/attempt.go
@@ -41,7 +41,7 @@
 	task             *task
 	number           int // as the module counts
 	node             *node
-	link             *link // that its offer was written on; nil where the task was adopted
+	link             *link // on which its offer was written; nil if the task was adopted
 	phase            attemptPhase
 	startedAt        Time
 	timeout          time.Duration
@@ -266,12 +266,12 @@
 	c.discardIfUnused(a.node)
 }
 
-// endOffer records how an offer ended that was written and not accepted.
+// endOffer records the outcome of an offer that was written and not accepted.
 func (c *Core) endOffer(a *attempt, outcome flaxshelf.Outcome) {
 	a.link.pendingOffers--
 	c.stats.countFailedOffer(outcome)
 	nodeMayRespond := outcome == flaxshelf.TimedOut || outcome == flaxshelf.Lost
 	if a.task.pending && nodeMayRespond {
-		a.task.noteUnanswered(a.node, a.link.id)
+		a.task.recordUnanswered(a.node, a.link.id)
 	}
 }
--- a/internal/requests/effect.go
+++ b/internal/requests/effect.go
@@ -9,8 +9,9 @@
 type (
 	// Accepted responds to an owner that its task runs.
 	Accepted struct {
-		Conn              Conn
-		Task, Description string
+		Conn        Conn
+		Task        string
+		Description string
 	}
 	// Terminated responds to an owner that its request was rejected or has failed, or notifies it that its running task has
 	// ended: by a release with Cause or, if Migrate is true, by a migration, after which the owner submits the task again.
@@ -34,18 +35,24 @@
 type (
 	// Dial opens a connection to a node; LinkUp or LinkDown follows.
 	Dial struct {
-		Link       Link
-		Node, Addr string
+		Link Link
+		Node string
+		Addr string
 	}
 	// CloseLink closes a link; LinkDown may follow.
 	CloseLink struct{ Link Link }
 	// Offer writes a request to a node.
 	Offer struct {
-		Link                                                Link
-		Attempt                                             int  // its number among the attempts of the task
-		Owner                                               Conn // the connection of the request
-		Node, Task, Class, Key, IdempotencyKey, Description string
-		TimeLeft                                            time.Duration // until the attempt times out
+		Link           Link
+		Attempt        int  // its number among the attempts of the task
+		Owner          Conn // the connection of the request
+		Node           string
+		Task           string
+		Class          string
+		Key            string
+		IdempotencyKey string
+		Description    string
+		TimeLeft       time.Duration // until the attempt times out
 	}
 	// SendRelease writes a release to a node.
 	SendRelease struct {
--- a/internal/requests/harness_test.go
+++ b/internal/requests/harness_test.go
@@ -164,10 +164,10 @@
 
 func taskID(n int) string { return fmt.Sprintf("%016x", n) }
 
-// newSubmit is a request for the n-th task, which is idempotent.
+// newSubmit returns a request for the n-th task, which is idempotent.
 func (h *harness) newSubmit(conn Conn, n int) Submit { return h.newSubmitOf(classIdempotent, conn, n) }
 
-// newSubmitOf is a request for the n-th task, of a class.
+// newSubmitOf returns a request for the n-th task, of a class.
 func (h *harness) newSubmitOf(class int, conn Conn, n int) Submit {
 	return Submit{
 		Conn:           conn,
@@ -187,17 +187,17 @@
 	}
 }
 
-// newAdopt is the Adopt of the n-th task, which runs on a node.
+// newAdopt returns the Adopt of the n-th task, which runs on a node.
 func (h *harness) newAdopt(conn Conn, node string, n int) Adopt {
 	return Adopt{Conn: conn, Node: node, Task: h.newSubmit(conn, n).Task}
 }
 
-// nodeAccepted is a node's acceptance of the n-th task.
+// nodeAccepted returns a node's acceptance of the n-th task.
 func nodeAccepted(link Link, n int, description string) NodeMessage {
 	return NodeMessage{Link: link, Kind: NodeAccepted, Task: taskID(n), Description: description}
 }
 
-// nodeReleased is a node's release of the n-th task.
+// nodeReleased returns a node's release of the n-th task.
 func nodeReleased(link Link, n, cause int) NodeMessage {
 	return NodeMessage{Link: link, Kind: NodeReleased, Task: taskID(n), Cause: cause}
 }
--- a/internal/requests/owner.go
+++ b/internal/requests/owner.go
@@ -9,7 +9,7 @@
 // ownerConnection is an owner's connection.
 type ownerConnection struct {
 	conn         Conn
-	pending      map[string]*task // requests that wait for their response on it, by task ID; nil before the first
+	pending      map[string]*task // its pending requests by task ID; nil before the first
 	activeSerial uint64           // Core.activityCount when it was last marked active; 0: never
 	adoptions    int              // tasks on listed nodes that were adopted from it
 }
--- a/internal/requests/request.go
+++ b/internal/requests/request.go
@@ -12,7 +12,7 @@
 	class          string
 	idempotencyKey string
 	description    string
-	conn           Conn // that it was submitted or adopted on
+	conn           Conn // on which it was submitted or adopted
 	pending        bool // its owner waits for the response
 	unverified     bool // it was adopted, and its node has sent no message about it
 	attempts       int  // made so far
@@ -22,8 +22,8 @@
 	unansweredLinks map[*node]Link
 }
 
-// noteUnanswered records the link of an attempt that ended without a message of its node.
-func (t *task) noteUnanswered(n *node, id Link) {
+// recordUnanswered records the link of an attempt that ended without a message of its node.
+func (t *task) recordUnanswered(n *node, id Link) {
 	if t.unansweredLinks == nil {
 		t.unansweredLinks = map[*node]Link{}
 	}
