--- a/internal/requests/endpoints_test.go
+++ b/internal/requests/endpoints_test.go
@@ -5,8 +5,22 @@
 	"time"
 
 	"flaxshelf.example/flaxshelf"
+	"flaxshelf.example/flaxshelf/internal/machinetest"
 )
 
+// An update passes every field of a machine to the module, and the core records all of them.
+func TestUpdateKeepsEveryFieldOfMachine(t *testing.T) {
+	h := newHarness(t)
+	want := machinetest.Filled(t)
+	h.step(nodeUpdated(want, "x"))
+	updates := moduleEventsOf[flaxshelf.MachinesUpdated](h)
+	if len(updates) != 1 || len(updates[0].Machines) != 1 {
+		t.Fatalf("got %+v, want one update of one machine", updates)
+	}
+	machinetest.Expect(t, updates[0].Machines[0], want)
+	machinetest.Expect(t, h.core.nodeFor(want.ID).entry, want)
+}
+
 // A node is identified by its ID: the tasks of a node are lost when another node is at its address.
 func TestReusedAddressLosesTasksOfPreviousNode(t *testing.T) {
 	h := newHarness(t)
