--- a/internal/requests/endpoints.go
+++ b/internal/requests/endpoints.go
@@ -2,7 +2,7 @@
 
 import "flaxshelf.example/flaxshelf"
 
-// updateNodes applies an update of the endpoint list. The module gets it before it decides anything else in this step.
+// updateNodes applies an update of the endpoint list. The module receives it before its other decisions of this step.
 func (c *Core) updateNodes(in NodesUpdated) {
 	machines := make([]flaxshelf.Machine, len(in.Endpoints))
 	for i, endpoint := range in.Endpoints {
@@ -13,13 +13,13 @@
 		c.updateNode(endpoint)
 	}
 	if in.Complete {
-		c.removeUnnamed(in.Endpoints)
+		c.removeUnlisted(in.Endpoints)
 	}
 	c.removeReplacedNodes(in.Endpoints)
 }
 
-// updateNode applies an entry of the endpoint list. Links to a former address are closed, and tasks that ran before the node
-// restarted are lost.
+// updateNode applies an entry of the endpoint list. Links to its previous address are closed, and tasks that ran before the
+// node restarted are lost.
 func (c *Core) updateNode(endpoint Endpoint) {
 	machine, addr := endpoint.Machine, endpoint.Addr
 	n := c.nodeFor(machine.ID)
@@ -37,21 +37,21 @@
 	c.applyNodeState(n)
 }
 
-// removeUnnamed removes the nodes that a complete endpoint list does not name.
-func (c *Core) removeUnnamed(endpoints []Endpoint) {
-	named := make(map[string]bool, len(endpoints))
+// removeUnlisted removes the nodes that a complete endpoint list does not contain.
+func (c *Core) removeUnlisted(endpoints []Endpoint) {
+	listed := make(map[string]bool, len(endpoints))
 	for _, endpoint := range endpoints {
-		named[endpoint.Machine.ID] = true
+		listed[endpoint.Machine.ID] = true
 	}
 	for _, n := range c.sortedNodes() {
-		if !named[n.entry.ID] && n.entry.State != flaxshelf.Removed {
+		if !listed[n.entry.ID] && n.entry.State != flaxshelf.Removed {
 			n.entry.State = flaxshelf.Removed
 			c.applyNodeState(n)
 		}
 	}
 }
 
-// removeReplacedNodes removes the nodes whose address the update gives to another node: that proves that they are gone.
+// removeReplacedNodes removes the nodes whose address the update assigns to another node, which proves that they have left.
 func (c *Core) removeReplacedNodes(endpoints []Endpoint) {
 	idByAddr := make(map[string]string, len(endpoints))
 	for _, endpoint := range endpoints {
@@ -66,8 +66,8 @@
 	}
 }
 
-// applyNodeState acts on the state that the endpoint list gives a node. Attempts that wait for a link are ended when the node
-// drains: the update arrived before their offers were written.
+// applyNodeState applies the state of a node in the endpoint list. Attempts that wait for a link are ended if the node
+// drains, because the update arrived before their offers were written.
 func (c *Core) applyNodeState(n *node) {
 	if n.entry.State != flaxshelf.Active {
 		c.endConnecting(n, flaxshelf.NotSent)
--- a/internal/requests/harness_test.go
+++ b/internal/requests/harness_test.go
@@ -131,13 +131,13 @@
 	return flaxshelf.Machine{ID: id, Zone: "a", State: state, Started: started}
 }
 
-// nodeUpdated is an update of the endpoint list with a single node.
+// nodeUpdated returns an update of the endpoint list with a single node.
 func nodeUpdated(m flaxshelf.Machine, addr string) NodesUpdated {
 	return NodesUpdated{Endpoints: []Endpoint{{Machine: m, Addr: addr}}}
 }
 
-// updateNodes gives the core an update of the endpoint list. A node is its ID, or ID@address; without an address it has its
-// ID for one.
+// updateNodes passes the core an update of the endpoint list. A node is written ID or ID@address; the default address is the
+// ID.
 func (h *harness) updateNodes(state flaxshelf.MachineState, nodes ...string) {
 	h.t.Helper()
 	var in NodesUpdated
--- a/internal/requests/input.go
+++ b/internal/requests/input.go
@@ -101,13 +101,13 @@
 	// Endpoint is an entry of the endpoint list: a machine and the address at which its node listens.
 	Endpoint struct {
 		Machine flaxshelf.Machine
-		Addr    string // empty where the list has none: the address stays as it was
+		Addr    string // empty if the list has none: the address is unchanged
 	}
 	// NodesUpdated is an update of the endpoint list.
 	NodesUpdated struct {
 		Endpoints  []Endpoint
-		Complete   bool // nodes that it doesn't name are removed
-		FromConfig bool // from the configuration of the start; it may be out of date
+		Complete   bool // nodes that it does not contain are removed
+		FromConfig bool // from the configuration at the start; it may be stale
 	}
 	// WatchEstablished reports that the discovery service has accepted the subscription.
 	WatchEstablished struct{}
@@ -117,7 +117,7 @@
 	Shutdown struct{}
 )
 
-// NodeMessageKind is what a node reports about a task.
+// NodeMessageKind is the kind of a NodeMessage.
 type NodeMessageKind int
 
 // Kinds of node messages.
