--- a/internal/front/platformfront/generated_test.go
+++ b/internal/front/platformfront/generated_test.go
@@ -169,7 +169,7 @@
 		return requests.LinkUp{Link: e.Link}
 	case requests.Offer:
 		if s.rng.IntN(3) == 0 {
-			return requests.NodeMessage{Link: e.Link, Kind: requests.NodeReleased, Task: e.Task, Cause: []int{34, 41, 47, 102}[s.rng.IntN(4)]}
+			return requests.NodeMessage{Link: e.Link, Kind: requests.NodeReleased, Task: e.Task, Cause: []requests.Cause{34, 41, 47, 102}[s.rng.IntN(4)]}
 		}
 		return requests.NodeMessage{Link: e.Link, Kind: requests.NodeAccepted, Task: e.Task, Description: "d"}
 	}
--- a/internal/front/platformfront/node.go
+++ b/internal/front/platformfront/node.go
@@ -27,7 +27,12 @@
 // DecodeNodeMessage translates a message of a node into an input; nil for one without a meaning for the core. The error is
 // a nodebinary.ProtocolError: an answer must have a description and a release a cause, else the link can't be trusted.
 func DecodeNodeMessage(link requests.Link, m *nodebinary.Message) (requests.Input, error) {
-	input := requests.NodeMessage{Link: link, Task: formatTaskID(m.Task), Cause: m.Cause, Reason: releaseReasons[m.Token]}
+	input := requests.NodeMessage{
+		Link:   link,
+		Task:   formatTaskID(m.Task),
+		Cause:  requests.Cause(m.Cause),
+		Reason: releaseReasons[m.Token],
+	}
 	switch m.Type {
 	case nodebinary.Answer:
 		if !m.Described || m.Description == "" {
@@ -85,7 +90,7 @@
 	if err != nil {
 		return dst, err
 	}
-	return nodebinary.Append(dst, &nodebinary.Message{Type: nodebinary.Release, Task: id, Cause: e.Cause})
+	return nodebinary.Append(dst, &nodebinary.Message{Type: nodebinary.Release, Task: id, Cause: int(e.Cause)})
 }
 
 func parseTaskID(id string) (uint64, error) {
--- a/internal/front/platformfront/owner.go
+++ b/internal/front/platformfront/owner.go
@@ -212,7 +212,7 @@
 	if e.Migrate {
 		return ownerjson.Append(dst, &ownerjson.Message{Type: ownerjson.Move, ID: e.Task, Cause: ownerjson.NoCause})
 	}
-	return ownerjson.Append(dst, &ownerjson.Message{Type: ownerjson.Release, ID: e.Task, Cause: e.Cause})
+	return ownerjson.Append(dst, &ownerjson.Message{Type: ownerjson.Release, ID: e.Task, Cause: int(e.Cause)})
 }
 
 // EncodePong appends the answer to a ping, whose cause on the wire is 1 where the check has passed and 0 where it has not.
--- a/internal/requests/effect.go
+++ b/internal/requests/effect.go
@@ -18,7 +18,7 @@
 	Terminated struct {
 		Conn    Conn
 		Task    string
-		Cause   int
+		Cause   Cause
 		Migrate bool
 	}
 	// Pong answers a health check.
@@ -58,7 +58,7 @@
 	SendRelease struct {
 		Link  Link
 		Task  string
-		Cause int
+		Cause Cause
 	}
 	// Subscribe opens a watch on the discovery service; WatchEstablished or WatchFailed follows.
 	Subscribe struct{}
--- a/internal/requests/harness_test.go
+++ b/internal/requests/harness_test.go
@@ -197,7 +197,7 @@
 }
 
 // nodeReleased returns a node's release of the n-th task.
-func nodeReleased(link Link, n, cause int) NodeMessage {
+func nodeReleased(link Link, n int, cause Cause) NodeMessage {
 	return NodeMessage{Link: link, Kind: NodeReleased, Task: taskID(n), Cause: cause}
 }
 
--- a/internal/requests/input.go
+++ b/internal/requests/input.go
@@ -11,14 +11,17 @@
 // Link identifies a connection to a node. The core assigns the numbers.
 type Link uint64
 
-// Causes of releases, as the platform numbers them.
+// Cause is the reason for a release, by its number in the protocol.
+type Cause int
+
+// Causes of releases.
 const (
-	CauseNormal   = 16  // a request is canceled; after its response: the task has completed
-	CauseCanceled = 31  // migrated, or ended by its owner, who needs no notification
-	CauseRejected = 34  // rejected: a retry does no harm
-	CauseLost     = 41  // the connection or the node was lost: the task may have run
-	CauseError    = 47  // an error: the task may have run
-	CauseObsolete = 102 // from nodes: the offer arrived too late and the task never ran
+	CauseNormal   Cause = 16  // a request is canceled; after its response: the task has completed
+	CauseCanceled Cause = 31  // migrated, or ended by its owner, who needs no notification
+	CauseRejected Cause = 34  // rejected: a retry does no harm
+	CauseLost     Cause = 41  // the connection or the node was lost: the task may have run
+	CauseError    Cause = 47  // an error: the task may have run
+	CauseObsolete Cause = 102 // from nodes: the offer arrived too late and the task never ran
 )
 
 // Input is an event outside the core. The input types of this package implement it.
@@ -82,7 +85,7 @@
 		Link        Link
 		Kind        NodeMessageKind
 		Task        string
-		Cause       int
+		Cause       Cause
 		Reason      flaxshelf.Reason
 		UsageKind   flaxshelf.UsageKind
 		Amount      float64
--- a/internal/requests/nodemessage.go
+++ b/internal/requests/nodemessage.go
@@ -110,7 +110,7 @@
 }
 
 // offerOutcome returns the outcome of an offer that the node has released before it accepted the task.
-func offerOutcome(cause int) flaxshelf.Outcome {
+func offerOutcome(cause Cause) flaxshelf.Outcome {
 	switch cause {
 	case CauseRejected:
 		return flaxshelf.Rejected
@@ -123,7 +123,7 @@
 }
 
 // runningOutcome returns the outcome of a running task that the node has released.
-func runningOutcome(cause int) flaxshelf.Outcome {
+func runningOutcome(cause Cause) flaxshelf.Outcome {
 	switch cause {
 	case CauseNormal:
 		return flaxshelf.Completed
@@ -134,7 +134,7 @@
 }
 
 // releasedOutcome returns the outcome of a task that the core released before the node's release arrived.
-func releasedOutcome(cause int) flaxshelf.Outcome {
+func releasedOutcome(cause Cause) flaxshelf.Outcome {
 	if cause == CauseNormal {
 		return flaxshelf.Completed
 	}
--- a/internal/requests/notification.go
+++ b/internal/requests/notification.go
@@ -6,7 +6,7 @@
 const maxUndelivered = 4096
 
 // notifyTerminated notifies the owner of a running task that the task has ended.
-func (c *Core) notifyTerminated(t *task, cause int) {
+func (c *Core) notifyTerminated(t *task, cause Cause) {
 	c.deliver(t.conn, Terminated{Task: t.id, Cause: cause})
 }
 
--- a/internal/requests/preadoption.go
+++ b/internal/requests/preadoption.go
@@ -11,7 +11,7 @@
 // preAdoptionTermination is the end of a task before its adoption.
 type preAdoptionTermination struct {
 	node       string
-	cause      int
+	cause      Cause
 	receivedAt Time
 	delivered  bool // its owner was notified
 }
--- a/internal/requests/request.go
+++ b/internal/requests/request.go
@@ -63,7 +63,7 @@
 }
 
 // respondTerminated sends the final response to a request that the module has rejected or failed.
-func (c *Core) respondTerminated(id string, cause int) {
+func (c *Core) respondTerminated(id string, cause Cause) {
 	t := c.tasks[id]
 	if t == nil || !t.pending {
 		return
--- a/internal/requests/request_test.go
+++ b/internal/requests/request_test.go
@@ -34,7 +34,7 @@
 func TestReleasedOfferEndsWithOutcomeOfItsCause(t *testing.T) {
 	for _, test := range []struct {
 		name  string
-		cause int
+		cause Cause
 		want  flaxshelf.Outcome
 	}{
 		{"rejected", CauseRejected, flaxshelf.Rejected},
@@ -70,8 +70,9 @@
 // run and is not idempotent, else a rejection.
 func TestFinalResponseIsSentInSameStep(t *testing.T) {
 	for _, test := range []struct {
-		name               string
-		class, cause, want int
+		name        string
+		class       int
+		cause, want Cause
 	}{
 		{"idempotent, error", classIdempotent, CauseError, CauseRejected},
 		{"keyed, rejected", classKeyed, CauseRejected, CauseRejected},
