--- a/internal/requests/effect.go
+++ b/internal/requests/effect.go
@@ -2,22 +2,23 @@
 
 import "time"
 
-// Effect is something for the host to carry out. The effect types of this package implement it.
+// Effect is something that the host has to do. The effect types of this package implement it.
 type Effect interface{ effect() }
 
 // Effects on owners' connections.
 type (
 	// Accepted responds to an owner that its task runs.
 	Accepted struct {
-		Conn              Conn
-		Task, Description string
+		Conn        Conn
+		Task        string
+		Description string
 	}
 	// Terminated responds to an owner that its request was rejected or has failed, or notifies it that its running task has
-	// ended: by a release with Cause, or by a migration, after which the owner submits the task again.
+	// ended: by a release with Cause or, if Migrate is true, by a migration, after which the owner submits the task again.
 	Terminated struct {
 		Conn    Conn
 		Task    string
-		Cause   int
+		Cause   Cause
 		Migrate bool
 	}
 	// Pong answers a health check.
@@ -26,7 +27,7 @@
 		Task   string
 		Passed bool
 	}
-	// CloseOwner closes an owner's connection once all that was written on it is sent.
+	// CloseOwner closes an owner's connection after what was written to it has been sent.
 	CloseOwner struct{ Conn Conn }
 )
 
@@ -34,24 +35,30 @@
 type (
 	// Dial opens a connection to a node; LinkUp or LinkDown follows.
 	Dial struct {
-		Link       Link
-		Node, Addr string
+		Link Link
+		Node string
+		Addr string
 	}
 	// CloseLink closes a link; LinkDown may follow.
 	CloseLink struct{ Link Link }
 	// Offer writes a request to a node.
 	Offer struct {
-		Link                                                Link
-		Attempt                                             int  // its number among the attempts of the task
-		Owner                                               Conn // whose request it is
-		Node, Task, Class, Key, IdempotencyKey, Description string
-		TimeLeft                                            time.Duration // until the attempt times out
+		Link           Link
+		Attempt        int  // its number among the attempts of the task
+		Owner          Conn // the connection of the request
+		Node           string
+		Task           string
+		Class          string
+		Key            string
+		IdempotencyKey string
+		Description    string
+		TimeLeft       time.Duration // until the attempt times out
 	}
 	// SendRelease writes a release to a node.
 	SendRelease struct {
 		Link  Link
 		Task  string
-		Cause int
+		Cause Cause
 	}
 	// Subscribe opens a watch on the discovery service; WatchEstablished or WatchFailed follows.
 	Subscribe struct{}
