--- a/cmd/flaxshelf/replay.go
+++ b/cmd/flaxshelf/replay.go
@@ -3,7 +3,7 @@
 import "flaxshelf.example/flaxshelf/internal/replay"
 
 type replayCmd struct {
-	File string `arg:"" type:"existingfile" help:"What a scheduler wrote to the file that its setting tap names."`
+	File string `arg:"" type:"existingfile" help:"What a scheduler wrote to the file that its setting recording names."`
 }
 
 // Run plays the recorded steps to the module.
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -81,6 +81,11 @@
 		go runner.run()
 	}
 	d.linkInventory()
+	for _, deprecated := range set.Deprecations() {
+		d.log.Warn().Str("file", deprecated.File).Int("line", deprecated.Line).Str("field", deprecated.Field).
+			Str("value", deprecated.Value).Str("replacement", deprecated.Replacement).Str("removed_in", deprecated.RemovedIn).
+			Msg("deprecated setting")
+	}
 	d.log.Info().Str("address", d.server.Addr()).Str("inventory", set.InventoryAddress).Int("cores", coreCount).
 		Msg("scheduler started")
 	return d, nil
--- a/internal/settings/errors.go
+++ b/internal/settings/errors.go
@@ -18,16 +18,21 @@
 
 // Error is the place in the file, the field and the reason, in one line.
 func (e ConfigError) Error() string {
-	place := e.File
-	if e.Line > 0 {
-		place = fmt.Sprintf("%s:%d:%d", e.File, e.Line, e.Column)
-	}
+	place := placeText(e.File, e.Line, e.Column)
 	if e.Field != "" {
 		place += ": " + e.Field
 	}
 	return place + ": " + e.Reason
 }
 
+// placeText returns file:line:column, or the file alone where the line is 0.
+func placeText(file string, line, column int) string {
+	if line == 0 {
+		return file
+	}
+	return fmt.Sprintf("%s:%d:%d", file, line, column)
+}
+
 // ConfigErrors are all errors of one file, in the order of the file. Errors of this package are ConfigErrors where the
 // content of a file is wrong, and errors of reading it otherwise; match them with errors.As.
 type ConfigErrors []ConfigError
--- a/internal/settings/file.go
+++ b/internal/settings/file.go
@@ -165,18 +165,27 @@
 // Fail adds an error of a field, as "classes[2].kind", at its place in the file. Err returns what has been added.
 func (f *File) Fail(field, reason string, args ...any) {
 	e := ConfigError{File: f.name, Field: field, Value: f.valueText(field), Reason: fmt.Sprintf(reason, args...)}
-	if v := f.value.LookupPath(cue.ParsePath(field)); v.Exists() {
-		for _, candidate := range append([]cue.Value{v}, operands(v)...) {
-			if place := candidate.Pos(); f.contains(place) {
-				e.Line, e.Column = place.Line(), place.Column()
-				break
-			}
-		}
+	if place := f.place(field); place.IsValid() {
+		e.Line, e.Column = place.Line(), place.Column()
 	}
 	f.errors = append(f.errors, e)
 }
 
-// operands are the values of which a conjunction or disjunction is made.
+// place returns the position of a field's value in the user's file, or token.NoPos if the file does not set it.
+func (f *File) place(field string) token.Pos {
+	value := f.value.LookupPath(cue.ParsePath(field))
+	if !value.Exists() {
+		return token.NoPos
+	}
+	for _, candidate := range append([]cue.Value{value}, operands(value)...) {
+		if place := candidate.Pos(); f.contains(place) {
+			return place
+		}
+	}
+	return token.NoPos
+}
+
+// operands returns the values that a conjunction or disjunction is made of, and nil for any other value.
 func operands(v cue.Value) []cue.Value {
 	op, args := v.Expr()
 	if op == cue.AndOp || op == cue.OrOp {
--- a/internal/settings/module.go
+++ b/internal/settings/module.go
@@ -10,13 +10,6 @@
 // discoveryPollDeadline is how long the module waits for an answer of the inventory before it polls again.
 const discoveryPollDeadline = 10 * time.Second
 
-// idempotencies are the module's values for the setting `effect`.
-var idempotencies = map[string]flaxshelf.Idempotency{
-	"safe":   flaxshelf.Idempotent,
-	"keyed":  flaxshelf.IdempotentByKey,
-	"unsafe": flaxshelf.NonIdempotent,
-}
-
 // topologyDomains are the module's values for the settings `group` and `spread`.
 var topologyDomains = map[string]flaxshelf.TopologyDomain{
 	"":           flaxshelf.NoDomain,
@@ -26,8 +19,10 @@
 	"everywhere": flaxshelf.FleetDomain,
 }
 
-// ModuleIdempotency is the module's value for the class's idempotency.
-func (c *Class) ModuleIdempotency() flaxshelf.Idempotency { return idempotencies[c.Idempotency] }
+// ModuleIdempotency returns the module's value for the class's idempotency.
+func (c *Class) ModuleIdempotency() flaxshelf.Idempotency {
+	return idempotencies[CurrentIdempotency(c.Idempotency)]
+}
 
 // ModuleKeyDomain is the module's value for the domain in which copies of a key are dropped.
 func (c *Class) ModuleKeyDomain() flaxshelf.TopologyDomain { return topologyDomains[c.KeyDomain] }
--- a/internal/settings/scheduler.go
+++ b/internal/settings/scheduler.go
@@ -3,11 +3,11 @@
 // Class is the record #Class: a class of jobs.
 type Class struct {
 	Name                   string   `json:"Name"`
-	Idempotency            string   `json:"Effect"`       // safe, keyed or unsafe; see ModuleIdempotency
-	KeyDomain              string   `json:"Group"`        // keyed: where copies of one key are dropped; see ModuleKeyDomain
+	Idempotency            string   `json:"Effect"`       // as the file has it; see ModuleIdempotency and CurrentIdempotency
+	KeyDomain              string   `json:"Group"`        // in which copies of one key are dropped; see ModuleKeyDomain
 	Kind                   string   `json:"Kind"`         // name of the Kind of machine that it requires; empty: any
 	SpreadDomain           string   `json:"Spread"`       // domain of MaxPerDomain; empty: no limit
-	KeyTTL                 Duration `json:"Window"`       // keyed: how long copies are dropped, from the first send
+	KeyTTL                 Duration `json:"Window"`       // for which copies of one key are dropped, from the first send
 	LatencyObjective       Duration `json:"Aim"`          // a start within it earns PriorityWeight
 	PlacementTimeout       Duration `json:"Giveup"`       // a placement request ends after it
 	PriorityWeight         float64  `json:"Worth"`        // of a start within LatencyObjective
@@ -73,7 +73,7 @@
 	InventoryAddress  string   `json:"inventory"` // host:port of the inventory
 	Zone              string   `json:"zone"`
 	LogLevel          string   `json:"log"`            // debug, info, warn or error
-	ModuleRecording   string   `json:"tap"`            // file that each step of the module is recorded to; empty: none
+	ModuleRecording   string   `json:"recording"`      // file that each step of the module is recorded to; empty: none
 	Index             int      `json:"index"`          // of this scheduler, from 0 to Schedulers-1
 	Schedulers        int      `json:"schedulers"`     // in the deployment
 	Shards            int      `json:"cores"`          // that decide, each as a scheduler of its own to the module
@@ -90,6 +90,11 @@
 	Tenants           []Tenant `json:"tenants"`
 	Rules             Rules    `json:"rules"`
 	Limits            Limits   `json:"limits"`
+
+	// DeprecatedRecording is ModuleRecording by its deprecated name. Reading a file sets ModuleRecording by it.
+	DeprecatedRecording string `json:"tap"`
+
+	deprecations []Deprecation
 }
 
 // ReadScheduler reads the configuration of a daemon. Errors are ConfigErrors, or of reading the file.
@@ -121,6 +126,7 @@
 	failRepeatedNames(f, "kinds", s.Kinds, func(k *Kind) string { return k.Name })
 	failRepeatedNames(f, "classes", s.Classes, func(c *Class) string { return c.Name })
 	failRepeatedNames(f, "tenants", s.Tenants, func(t *Tenant) string { return t.Name })
+	s.findDeprecations(f)
 	for i, c := range s.Classes {
 		if c.Kind != "" && kindIndex(s.Kinds, c.Kind) < 0 {
 			f.Fail(elementField("classes", i, "kind"), "no kind %q, expected one of kinds", c.Kind)
--- a/internal/settings/schema.cue
+++ b/internal/settings/schema.cue
@@ -15,10 +15,11 @@
 
 #Class: {
 	name: #Name
-	// What a second start of the same job does: no harm (safe), dropped by the nodes of one group for a while (keyed), or
-	// not allowed (unsafe).
-	effect: *"unsafe" | "safe" | "keyed"
-	// keyed: the group of nodes that drops copies, and for how long after the first send.
+	// What a second start of the same job does: no harm (idempotent), dropped by the nodes of one group for a while
+	// (idempotent-by-key), or not allowed (non-idempotent).
+	// Deprecated, removed in 0.2.0: safe is idempotent, keyed is idempotent-by-key, unsafe is non-idempotent.
+	effect: *"non-idempotent" | "idempotent" | "idempotent-by-key" | "safe" | "keyed" | "unsafe"
+	// idempotent-by-key: the group of nodes that drops copies, and for how long after the first send.
 	group:  *"zone" | #Extent | "everywhere"
 	window: *"5s" | #Duration
 	// A start within aim, the latency objective, has the full weight worth; after giveup the placement request ends.
@@ -106,7 +107,8 @@
 	rules:   #Rules
 	limits:  #Limits
 	log: *"info" | "debug" | "warn" | "error"
-	tap: *"" | string // file to which each step of the module is recorded, empty: none
+	recording: *"" | string // file to which each step of the module is recorded, empty: none
+	tap:       *"" | string // deprecated, removed in 0.2.0: use recording
 }
 
 #Node: {
--- a/internal/testbed/rules/figures.go
+++ b/internal/testbed/rules/figures.go
@@ -1,6 +1,10 @@
 package rules
 
-import "time"
+import (
+	"time"
+
+	"flaxshelf.example/flaxshelf"
+)
 
 // Figures are the limits by which a recording is judged. They are stored in the head of a recording; durations are in
 // nanoseconds there.
@@ -46,6 +50,18 @@
 	effectNonIdempotent   = "unsafe"
 )
 
+// StoredIdempotency returns the value of Class.Idempotency by which a recording stores an idempotency.
+func StoredIdempotency(idempotency flaxshelf.Idempotency) string {
+	switch idempotency {
+	case flaxshelf.Idempotent:
+		return effectIdempotent
+	case flaxshelf.IdempotentByKey:
+		return effectIdempotentByKey
+	default:
+		return effectNonIdempotent
+	}
+}
+
 // The values of Class.Group and Class.Spread, as a recording stores them.
 const (
 	domainMachine    = "machine"
--- a/internal/testbed/scenario/schedulerfile.go
+++ b/internal/testbed/scenario/schedulerfile.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/json"
 	"fmt"
+	"slices"
 	"strings"
 
 	"flaxshelf.example/flaxshelf/internal/settings"
@@ -26,7 +27,7 @@
 	Rules          settings.Rules    `json:"rules"`
 	Limits         settings.Limits   `json:"limits"`
 	Log            string            `json:"log"`
-	Tap            string            `json:"tap"`
+	Recording      string            `json:"recording"`
 }
 
 // SchedulerFile returns the configuration file of scheduler i as JSON, which is CUE as well. inventory and tap are the
@@ -46,13 +47,13 @@
 		Seed:           seed,
 		ListsFree:      d.ListsFree,
 		RunsWhenPlaced: d.RunsWhenPlaced,
-		Classes:        d.Classes,
+		Classes:        withoutDeprecated(d.Classes),
 		Kinds:          d.Kinds,
 		Tenants:        d.Tenants,
 		Rules:          d.Rules,
 		Limits:         d.Limits,
 		Log:            "info",
-		Tap:            tap,
+		Recording:      tap,
 	})
 	if err != nil {
 		return fail(err)
@@ -64,6 +65,15 @@
 	return json.MarshalIndent(lowerFieldNames(fields), "", "  ")
 }
 
+// withoutDeprecated returns the classes with the current values of deprecated settings, which a day may have.
+func withoutDeprecated(classes []settings.Class) []settings.Class {
+	classes = slices.Clone(classes)
+	for i := range classes {
+		classes[i].Idempotency = settings.CurrentIdempotency(classes[i].Idempotency)
+	}
+	return classes
+}
+
 // lowerFieldNames lowers the first letter of every field name: the JSON names of the settings' records begin with a
 // capital letter, those of the schema do not.
 func lowerFieldNames(value any) any {
--- a/internal/testbed/scenario/storedday_test.go
+++ b/internal/testbed/scenario/storedday_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// dayText is a day with every field set. storedDay is its JSON, and storedSchedulerFile the configuration of a scheduler, both
-// written by the build of commit ad3e0ee.
+// dayText is a day with every field set. storedDay is its JSON, written by the build of commit ad3e0ee, and storedSchedulerFile
+// the configuration of a scheduler, without deprecated settings.
 const (
 	dayText             = "testdata/day.cue"
 	storedDay           = "testdata/day.json"
