--- a/answers.go
+++ b/answers.go
@@ -6,11 +6,10 @@
 	"time"
 )
 
-// Offers and final answers of open tasks.
+// Answers: offers and final answers of open tasks.
 
-// serveOpenTasks answers the open tasks that are due and offers those that have no active attempt. Those that
-// can still start within their latency objective go first: when capacity is short, a start in time is worth
-// most.
+// serveOpenTasks answers the open tasks that are due and offers those that have no active attempt. Those that can still
+// start within their latency objective are served first: when capacity is short, they earn the most.
 func (p *Placer) serveOpenTasks() {
 	if !p.disabled[ObjectiveOrder] {
 		p.sortOpenTasks()
@@ -27,31 +26,6 @@
 	p.openTasks = slices.DeleteFunc(p.openTasks, func(t *task) bool { return t.settled })
 }
 
-// queueRanks bounds the ranks of open tasks.
-const queueRanks = 4
-
-// queueRankOf is the rank of an open task, the lowest first.
-func (p *Placer) queueRankOf(t *task) int {
-	rank := 0
-	if p.now > t.submittedAt+t.class.LatencyObjective {
-		rank = 1
-	}
-	if p.overQuota(t) {
-		rank += 2
-	}
-	return rank
-}
-
-// overQuota reports whether t's tenant has more than its quota, where that is worth less. It only orders
-// queued tasks.
-func (p *Placer) overQuota(t *task) bool {
-	if t.Tenant < 0 || t.Tenant >= len(p.cfg.Tenants) || p.cfg.OverQuotaWeight >= 1 {
-		return false
-	}
-	quota := p.cfg.Tenants[t.Tenant].QuotaCores
-	return quota > 0 && p.tenantCores[t.Tenant]*float64(p.cfg.Schedulers) > quota
-}
-
 // placeTask offers t to a machine, leaves it in the queue, or gives it its final answer.
 func (p *Placer) placeTask(t *task) {
 	if !p.mayOffer(t) {
@@ -68,7 +42,7 @@
 	p.recordPlacement(t, m)
 	p.startTrial(&m.health)
 	p.startTrial(m.healthOf(t.Class))
-	p.requestReview(m)
+	p.invalidate(m)
 	p.recordSlowStartOffer(m)
 	p.emit(Offer{Task: t.ID, Machine: m.ID, Timeout: p.attemptTimeout(t)})
 }
@@ -81,8 +55,7 @@
 	return t.class.Idempotency != NonIdempotent || !t.mayHaveRun() || p.disabled[RetrySafetyConstraint]
 }
 
-// mayQueue reports whether t stays queued while no machine may take it, since an owner whose task is rejected
-// may be slow to submit it again.
+// mayQueue reports whether t stays queued while no machine may take it. Owners may be slow to submit a rejected task again.
 func (p *Placer) mayQueue(t *task) bool {
 	if t.mayHaveRun() && t.class.Idempotency == IdempotentByKey {
 		return false
@@ -90,11 +63,13 @@
 	return p.now-t.submittedAt <= max(t.class.LatencyObjective, minQueueLimit)
 }
 
+// attemptsUsedUp reports whether t has had as many attempts as the settings allow.
 func (p *Placer) attemptsUsedUp(t *task) bool {
 	return p.cfg.MaxAttempts > 0 && len(t.attempts) >= p.cfg.MaxAttempts
 }
 
-// attemptTimeout leaves time for a further attempt where one is allowed, and ends before the answer is due.
+// attemptTimeout returns the time-out of an attempt that starts now. It leaves time for a further attempt where one is
+// allowed, and ends before the answer is due.
 func (p *Placer) attemptTimeout(t *task) time.Duration {
 	remaining := p.offerDeadline(t) - p.now
 	if t.class.Idempotency == NonIdempotent || p.attemptsUsedUp(t) {
@@ -111,12 +86,13 @@
 	p.latencyMean += (seconds - p.latencyMean) / latencySmoothing
 }
 
-// answerDeadline is the last moment to give the final answer.
+// answerDeadline returns the latest time to give the final answer.
 func (p *Placer) answerDeadline(t *task) Time { return t.Deadline - p.answerMargin() }
 
-// offerDeadline is the last moment for an attempt to end, early enough for an answer after it.
+// offerDeadline returns the latest time for an attempt to end, which leaves time to answer.
 func (p *Placer) offerDeadline(t *task) Time { return t.Deadline - 2*p.answerMargin() }
 
+// answerMargin returns how long before its deadline a task is answered.
 func (p *Placer) answerMargin() time.Duration {
 	if p.disabled[AnswerDeadlineConstraint] {
 		return -time.Second
@@ -124,25 +100,8 @@
 	return 2*p.cfg.Tick + answerDeadlineMargin
 }
 
-// nextDue is when the next subscription, answer or choice for a queued task falls due; ok is false where
-// none will.
-func (p *Placer) nextDue() (next Time, ok bool) {
-	next = math.MaxInt64
-	if p.subscribeAt > 0 {
-		next = p.subscribeAt
-	}
-	for _, t := range p.openTasks {
-		due := p.answerDeadline(t)
-		if t.activeAttempt() == nil {
-			due = min(due, p.now+placementRetryInterval)
-		}
-		next = min(next, due)
-	}
-	return next, next != math.MaxInt64
-}
-
-// answerTask gives t its final answer. A rejection promises that a retry is safe, so it needs proof that no
-// attempt ran, or a class for which a second start does no harm at any machine.
+// answerTask gives t its final answer. A rejection guarantees that a retry is safe, so it needs proof that no attempt ran,
+// or a class for which a second start does no harm on any machine.
 func (p *Placer) answerTask(t *task) {
 	t.settled = true
 	p.attributeFailures(t)
@@ -160,3 +119,8 @@
 	}
 	p.forgetIfSettled(t)
 }
+
+// mayHaveRun reports whether an attempt lacks proof that the task was not started.
+func (t *task) mayHaveRun() bool {
+	return slices.ContainsFunc(t.attempts, func(a attempt) bool { return !a.neverRan })
+}
--- a/internal/settings/deprecation.go
+++ b/internal/settings/deprecation.go
@@ -15,7 +15,7 @@
 	Line, Column int    // counted from 1; 0 where the place in the file is not known
 	Field        string // path of the setting, as "classes[2].effect"
 	Value        string // as the file writes it
-	Replacement  string // the setting to write in its place, as "recording" or `effect: "idempotent"`
+	Replacement  string // the setting to write in its place, as "moduleRecording" or `effect: "idempotent"`
 	RemovedIn    string // version
 }
 
@@ -57,9 +57,9 @@
 	if s.DeprecatedRecording == "" {
 		return
 	}
-	s.deprecate(f, "tap", "recording")
+	s.deprecate(f, "tap", "moduleRecording")
 	if s.ModuleRecording != "" {
-		f.Fail("tap", "is the deprecated name of recording, expected only one of them")
+		f.Fail("tap", "is the deprecated name of moduleRecording, expected only one of them")
 	}
 	s.ModuleRecording = s.DeprecatedRecording
 }
--- a/internal/settings/deprecation_test.go
+++ b/internal/settings/deprecation_test.go
@@ -57,19 +57,19 @@
 		if s.ModuleRecording != "steps" {
 			t.Errorf("recording: got %q, want steps", s.ModuleRecording)
 		}
-		want := "f.cue:6:6: tap: \"steps\" is deprecated and will be removed in 0.2.0, use recording"
+		want := "f.cue:6:6: tap: \"steps\" is deprecated and will be removed in 0.2.0, use moduleRecording"
 		if got := s.Deprecations(); len(got) != 1 || got[0].String() != want {
 			t.Errorf("got %v, want %s", got, want)
 		}
 	})
 	t.Run("replaced", func(t *testing.T) {
-		s := parseScheduler(t, good+`recording: "steps"`)
+		s := parseScheduler(t, good+`moduleRecording: "steps"`)
 		if s.ModuleRecording != "steps" || len(s.Deprecations()) > 0 {
 			t.Errorf("got %q, %v, want steps and no deprecation", s.ModuleRecording, s.Deprecations())
 		}
 	})
 	t.Run("with its replacement", func(t *testing.T) {
-		_, err := ParseScheduler("f.cue", []byte(good+"tap: \"a\"\nrecording: \"b\""))
+		_, err := ParseScheduler("f.cue", []byte(good+"tap: \"a\"\nmoduleRecording: \"b\""))
 		var invalid ConfigError
 		if !errors.As(err, &invalid) || invalid.Field != "tap" {
 			t.Errorf("got %v, want an error of tap", err)
--- a/internal/settings/scheduler.go
+++ b/internal/settings/scheduler.go
@@ -72,19 +72,19 @@
 	MetricsAddress    string   `json:"metrics"`   // host:port of the Prometheus metrics; empty: none
 	InventoryAddress  string   `json:"inventory"` // host:port of the inventory
 	Zone              string   `json:"zone"`
-	LogLevel          string   `json:"log"`            // debug, info, warn or error
-	ModuleRecording   string   `json:"recording"`      // file that each step of the module is recorded to; empty: none
-	Index             int      `json:"index"`          // of this scheduler, from 0 to Schedulers-1
-	Schedulers        int      `json:"schedulers"`     // in the deployment
-	Shards            int      `json:"cores"`          // that decide, each as a scheduler of its own to the module
-	Seed              uint64   `json:"seed"`           // of the random numbers; 0: from the time of the start
-	Tick              Duration `json:"tick"`           // least time between two steps of the module
-	ConnectTimeout    Duration `json:"connect"`        // of a connection to a node
-	ListsFreeCapacity bool     `json:"listsFree"`      // the inventory lists free cores and memory
-	PlacedWhenRunning bool     `json:"runsWhenPlaced"` // a job is placed when it runs, not when a node accepts it
-	OverQuotaWeight   float64  `json:"overShareWorth"` // of a job beyond its tenant's quota, as a fraction of PriorityWeight
-	CrossZonePrice    float64  `json:"crossZone"`      // points that a placement in another zone costs
-	FleetPrice        float64  `json:"fleetPrice"`     // price, in points, of the machines in use
+	LogLevel          string   `json:"log"`             // debug, info, warn or error
+	ModuleRecording   string   `json:"moduleRecording"` // file that each step of the module is recorded to; empty: none
+	Index             int      `json:"index"`           // of this scheduler, from 0 to Schedulers-1
+	Schedulers        int      `json:"schedulers"`      // in the deployment
+	Shards            int      `json:"cores"`           // that decide, each as a scheduler of its own to the module
+	Seed              uint64   `json:"seed"`            // of the random numbers; 0: from the time of the start
+	Tick              Duration `json:"tick"`            // least time between two steps of the module
+	ConnectTimeout    Duration `json:"connect"`         // of a connection to a node
+	ListsFreeCapacity bool     `json:"listsFree"`       // the inventory lists free cores and memory
+	PlacedWhenRunning bool     `json:"runsWhenPlaced"`  // a job is placed when it runs, not when a node accepts it
+	OverQuotaWeight   float64  `json:"overShareWorth"`  // of a job beyond its tenant's quota, as a fraction of PriorityWeight
+	CrossZonePrice    float64  `json:"crossZone"`       // points that a placement in another zone costs
+	FleetPrice        float64  `json:"fleetPrice"`      // price, in points, of the machines in use
 	Classes           []Class  `json:"classes"`
 	Kinds             []Kind   `json:"kinds"`
 	Tenants           []Tenant `json:"tenants"`
--- a/internal/settings/schema.cue
+++ b/internal/settings/schema.cue
@@ -107,8 +107,8 @@
 	rules:   #Rules
 	limits:  #Limits
 	log: *"info" | "debug" | "warn" | "error"
-	recording: *"" | string // file to which each step of the module is recorded, empty: none
-	tap:       *"" | string // deprecated, removed in 0.2.0: use recording
+	moduleRecording: *"" | string // file to which each step of the module is recorded, empty: none
+	tap: *"" | string // deprecated, removed in 0.2.0: use moduleRecording
 }
 
 #Node: {
--- a/internal/testbed/scenario/schedulerfile.go
+++ b/internal/testbed/scenario/schedulerfile.go
@@ -27,7 +27,7 @@
 	Rules          settings.Rules    `json:"rules"`
 	Limits         settings.Limits   `json:"limits"`
 	Log            string            `json:"log"`
-	Recording      string            `json:"recording"`
+	Recording      string            `json:"moduleRecording"`
 }
 
 // SchedulerFile returns the configuration file of scheduler i as JSON, which is CUE as well. inventory and tap are the
