--- a/internal/daemon/inventory.go
+++ b/internal/daemon/inventory.go
@@ -36,21 +36,21 @@
 }
 
 func (h *inventoryHandler) receiveFrame(c *transport.Conn, frame *nodepb.Frame) error {
-	input, addresses, failed, err := h.front.Input(frame)
+	decoded, err := h.front.Decode(frame)
 	switch {
 	case err != nil:
 		return err
 	case frame.GetWelcome() != nil:
 		h.daemon.inventoryConn.Store(c)
 		return nil
-	case failed:
+	case decoded.Failed:
 		// The cores are not notified: docs/ROADMAP.md lists this as a fault.
 		h.daemon.log.Warn().Str("reason", frame.GetListError().Message).Msg("inventory reported a failed call")
 		return nil
-	case input == nil:
+	case decoded.Input == nil:
 		return nil
 	}
-	if !h.daemon.enqueueDiscoveryInput(message{input: input, addresses: addresses}) {
+	if !h.daemon.enqueueDiscoveryInput(message{input: decoded.Input, addresses: decoded.Addresses}) {
 		return errMailboxFull
 	}
 	return nil
--- a/internal/front/drmaafront/decode.go
+++ b/internal/front/drmaafront/decode.go
@@ -14,9 +14,9 @@
 	"flaxshelf.example/flaxshelf/drmaa2"
 )
 
-// decode reads one JSON value and nothing else. Nothing is accepted and ignored: unknown members, duplicate names and
-// text that is not UTF-8 are errors, and the error names the attribute. The decoder is that of encoding/json/v2 by its
-// module, which is strict in all of this; docs/scale.md has the figures of those that were compared.
+// decode decodes a body of exactly one JSON value. It is strict: unknown members, duplicate names and invalid UTF-8 are errors
+// that name the attribute. The decoder is the module of encoding/json/v2, which is strict in all of this; docs/scale.md has the
+// measurements of those that were compared.
 func decode(body []byte, value any) *drmaa2.Error {
 	err := json.Unmarshal(body, value, json.RejectUnknownMembers(true))
 	if err == nil {
@@ -38,18 +38,18 @@
 	}
 }
 
-// namedAttributeError is an invalid argument that always names its attribute, even an empty name.
+// namedAttributeError returns the error for an attribute whose name may be empty.
 func namedAttributeError(pointer jsontext.Pointer, message string) *drmaa2.Error {
 	name := attributeName(pointer)
 	return &drmaa2.Error{Code: drmaa2.InvalidArgument, Attribute: name, Message: name + ": " + message}
 }
 
-// attributeName is the path to a value, as in template.startTime.
+// attributeName returns the path of a value, as in template.startTime.
 func attributeName(pointer jsontext.Pointer) string {
 	return clip(strings.Join(slices.Collect(pointer.Tokens()), "."))
 }
 
-// expectedType describes a type to those who write templates, as the end of a message; nothing where it is not known.
+// expectedType describes a type at the end of an error message; it returns an empty string for an unknown type.
 func expectedType(t reflect.Type) string {
 	switch {
 	case t == nil:
--- a/internal/front/drmaafront/errors.go
+++ b/internal/front/drmaafront/errors.go
@@ -18,8 +18,7 @@
 	jsonContentType = "application/json"
 )
 
-// ErrorResponse is the response with an error; closes announces that the connection is closed
-// behind it.
+// ErrorResponse returns the response with an error. closes reports whether the connection is closed after it.
 func ErrorResponse(status int, err *drmaa2.Error, closes bool) []byte {
 	var fields []string
 	if err.RetryAfter > 0 {
@@ -32,13 +31,13 @@
 	return httpcodec.AppendResponse(nil, status, jsonContentType, append(body, '\n'), closes, fields...)
 }
 
-// BusyResponse is the response when the scheduler can accept no request now.
+// BusyResponse returns the response for a scheduler whose queues are full.
 func BusyResponse(closes bool) []byte {
 	return ErrorResponse(http.StatusServiceUnavailable, &drmaa2.Error{Code: drmaa2.TryLater,
 		Message: "too many requests wait", RetryAfter: busyRetryAfter}, closes)
 }
 
-// statusOf is the HTTP status of an error.
+// statusOf returns the HTTP status of an error.
 func statusOf(code drmaa2.ErrorCode) int {
 	switch code {
 	case drmaa2.InvalidArgument:
@@ -62,7 +61,7 @@
 	}
 }
 
-// invalidArgument is the error for the value of an attribute; the empty attribute is the request itself.
+// invalidArgument returns the error for an invalid value of an attribute, or for the whole request if attribute is empty.
 func invalidArgument(attribute, message string) *drmaa2.Error {
 	if attribute != "" {
 		message = attribute + ": " + message
@@ -70,12 +69,12 @@
 	return &drmaa2.Error{Code: drmaa2.InvalidArgument, Attribute: attribute, Message: message}
 }
 
-// unsupportedAttribute is the error for an attribute that is not acted on.
+// unsupportedAttribute returns the error for an attribute that is not supported.
 func unsupportedAttribute(attribute, message string) *drmaa2.Error {
 	return &drmaa2.Error{Code: drmaa2.UnsupportedAttribute, Attribute: attribute, Message: attribute + ": " + message}
 }
 
-// clip shortens a client's text for an error.
+// clip truncates a client's text for an error message.
 func clip(text string) string {
 	if len(text) > maxQuotedBytes {
 		return text[:maxQuotedBytes] + "..."
--- a/internal/front/drmaafront/events.go
+++ b/internal/front/drmaafront/events.go
@@ -25,14 +25,14 @@
 	return f.watchCall(request, scheduler.Watch{Job: args[0]}), nil
 }
 
-// watchCall is a stream of server-sent events. It goes on behind the last event that the client names; the ID of an
-// event before a restart of the scheduler has no meaning, and the stream begins with all jobs.
+// watchCall returns the call of a stream of server-sent events, which resumes after the client's last event. If that event is
+// of an earlier incarnation of the scheduler, the stream begins with all jobs.
 func (f *Front) watchCall(request *httpcodec.Request, watch scheduler.Watch) *Call {
 	resumeAfter := ""
 	incarnation, position, ok := strings.Cut(request.Get("last-event-id"), ".")
 	if ok && incarnation == f.incarnation {
 		resumeAfter = position
-		watch.Since, _ = strconv.ParseUint(position, 10, 64) // 0, from the start, where it can't be read
+		watch.Since, _ = strconv.ParseUint(position, 10, 64) // an invalid position is 0: all jobs
 	}
 	return &Call{
 		Stream:      true,
@@ -48,7 +48,7 @@
 	}
 }
 
-// Event is the chunk with one event of a stream; position is what a client resumes after.
+// Event returns the chunk with an event of a stream. position is its ID within the incarnation.
 func (f *Front) Event(info *scheduler.Info, position string) []byte {
 	data, err := json.Marshal(f.jobInfo(info))
 	if err != nil {
@@ -58,5 +58,5 @@
 		fmt.Appendf(nil, "id: %s.%s\nevent: job\ndata: %s\n\n", f.incarnation, position, data))
 }
 
-// Heartbeat is the chunk that keeps the connection of a stream known to be alive.
+// Heartbeat returns a chunk with a comment, which shows the client that the connection is alive.
 func Heartbeat() []byte { return httpcodec.AppendChunk(nil, []byte(":\n\n")) }
--- a/internal/front/drmaafront/extensions.go
+++ b/internal/front/drmaafront/extensions.go
@@ -16,7 +16,7 @@
 	maxAmount   = 1e9 // cores or GiB
 )
 
-// setExtensions sets what the implementation-specific attributes of a template give.
+// setExtensions sets the fields of a spec that implementation-specific attributes of a template have.
 func setExtensions(spec *scheduler.Spec, template *drmaa2.JobTemplate) *drmaa2.Error {
 	for name, value := range template.ImplementationSpecific {
 		var err *drmaa2.Error
@@ -52,7 +52,7 @@
 
 func isSpaceOrControl(r rune) bool { return r == ' ' || isControl(r) }
 
-// parseAmount reads a number of cores or GiB; duplicate is true if the specification's attribute has given it too.
+// parseAmount parses a number of cores or GiB. duplicate reports whether an attribute of the specification has it too.
 func parseAmount(name, value string, duplicate bool) (float64, *drmaa2.Error) {
 	amount, err := strconv.ParseFloat(value, 64)
 	switch {
--- a/internal/front/drmaafront/front.go
+++ b/internal/front/drmaafront/front.go
@@ -1,5 +1,5 @@
-// Package drmaafront translates between the DRMAA wire and the core on the scheduler's side: HTTP requests become inputs
-// of the core, and the core's answers become responses. It must not open sockets, keep jobs or decide about them.
+// Package drmaafront translates between DRMAA over HTTP and the scheduler's core: HTTP requests become inputs of the core, and
+// the core's answers become responses. It does no I/O, keeps no jobs and makes no decision about them.
 package drmaafront
 
 import (
@@ -10,36 +10,35 @@
 	"flaxshelf.example/flaxshelf/internal/settings"
 )
 
-// Prefix is the path under which all resources are.
+// Prefix is the path prefix of all resources.
 const Prefix = "/drmaa2/v1"
 
-// defaultQueue is the one queue: classes, not queues, determine how work is treated.
+// defaultQueue is the name of the only queue: classes, not queues, determine how jobs are treated.
 const defaultQueue = "default"
 
-// Front is the interface of one scheduler between two of its restarts. It is read-only after New, so several goroutines
-// may use it at once.
+// Front is the DRMAA interface of one incarnation of a scheduler. It is safe for concurrent use.
 type Front struct {
 	set         *settings.Scheduler
-	incarnation string // marks the IDs of events since this start of the scheduler
+	incarnation string // prefix of the IDs of this incarnation's events
 }
 
-// New makes the front of a scheduler that was started at a time.
+// New returns the front of a scheduler that was started at the given time.
 func New(set *settings.Scheduler, startedAt scheduler.Time) *Front {
 	return &Front{set: set, incarnation: strconv.FormatInt(int64(startedAt/time.Millisecond), 36)}
 }
 
-// Call is what a request asks for. Exactly one of Response and BuildInput is set.
+// Call is a decoded request. Exactly one of Response and BuildInput is set.
 type Call struct {
-	// Response is the response to a request that needs no core.
+	// Response is the response to a request that the core is not needed for.
 	Response []byte
-	// BuildInput makes the core's input with the numbers that the host gives it. Several goroutines may call it.
+	// BuildInput returns the input of the core with the given IDs. It is safe for concurrent use.
 	BuildInput func(requestID, streamID uint64) scheduler.Input
-	// EncodeAnswer makes the response from the core's answer to the input.
+	// EncodeAnswer returns the response for the core's answer to the input.
 	EncodeAnswer func(*scheduler.Answer) []byte
-	// Stream is true if events follow the response, unless the answer is an error.
+	// Stream reports whether events follow the response, unless the answer is an error.
 	Stream bool
-	// ResumeAfter is the position that the client of a stream has reached before; empty for a stream from the start.
+	// ResumeAfter is the position of the last event that the client of a stream has received; empty if there is none.
 	ResumeAfter string
-	// CloseConnection is true if the connection is to be closed behind the response.
+	// CloseConnection reports whether the connection is closed after the response.
 	CloseConnection bool
 }
--- a/internal/front/drmaafront/jobinfo.go
+++ b/internal/front/drmaafront/jobinfo.go
@@ -14,7 +14,7 @@
 // standings are the states of machines on the wire.
 var standings = []string{flaxshelf.Active: "in", flaxshelf.Draining: "draining", flaxshelf.Removed: "out"}
 
-// machineInfo is a machine on the wire.
+// machineInfo returns the description of a machine.
 func (f *Front) machineInfo(machine *scheduler.MachineInfo) drmaa2.MachineInfo {
 	info := drmaa2.MachineInfo{
 		Name:      machine.ID,
@@ -34,7 +34,7 @@
 	return info
 }
 
-// jobInfo is a job on the wire.
+// jobInfo returns the description of a job.
 func (f *Front) jobInfo(info *scheduler.Info) drmaa2.JobInfo {
 	job := drmaa2.JobInfo{
 		JobID:                  info.ID,
@@ -71,7 +71,7 @@
 	return job
 }
 
-// jobAttributes are the implementation-specific attributes of a job; what is empty is left out.
+// jobAttributes returns the implementation-specific attributes of a job. Those without a value are left out.
 func (f *Front) jobAttributes(info *scheduler.Info) map[string]string {
 	spec := info.Spec
 	attributes := map[string]string{
@@ -110,5 +110,5 @@
 
 func formatTime(at scheduler.Time) string { return clock.Wall(at).UTC().Format(time.RFC3339Nano) }
 
-// slots is a number of cores in the units of the specification, which has no fractions.
+// slots returns a number of cores as the specification's slots, which are whole numbers.
 func slots(cores float64) int64 { return int64(math.Ceil(cores)) }
--- a/internal/front/drmaafront/requests.go
+++ b/internal/front/drmaafront/requests.go
@@ -25,8 +25,7 @@
 	Name string `json:"name"`
 }
 
-// submitRequest is the body of a submission. The template is kept as it came, for clients that ask for it and for the
-// node.
+// submitRequest is the body of a submission. Its template is stored undecoded, for requests of the template and for the node.
 type submitRequest struct {
 	Template jsontext.Value `json:"template"`
 	Again    bool           `json:"again"`
@@ -63,7 +62,7 @@
 
 func isControl(r rune) bool { return r < ' ' || r == 0x7f }
 
-// sessionCommand is the handler of a command on the session that the path names.
+// sessionCommand returns the handler of a command on the session that the path names.
 func sessionCommand(verb scheduler.Verb) handler {
 	return func(_ *Front, _ *httpcodec.Request, args []string) (*Call, *drmaa2.Error) {
 		return sessionCall(verb, args[0], http.StatusOK), nil
@@ -105,7 +104,7 @@
 	return f.submitCall(submit), nil
 }
 
-// decodeSubmission reads the body of a submission to a session; bulk is nil if it has no range.
+// decodeSubmission decodes the body of a submission to a session. bulk is nil if the body has no range.
 func (f *Front) decodeSubmission(request *httpcodec.Request,
 	session string) (submit scheduler.Submit, bulk *drmaa2.Bulk, err *drmaa2.Error) {
 	var body submitRequest
@@ -135,7 +134,7 @@
 	}
 }
 
-// arrayIndexes are the indexes of the jobs of an array.
+// arrayIndexes returns the indexes of an array's jobs.
 func arrayIndexes(bulk *drmaa2.Bulk) ([]int, *drmaa2.Error) {
 	if bulk.BeginIndex < 1 || bulk.EndIndex < bulk.BeginIndex || bulk.Step < 1 || bulk.MaxParallel < 0 {
 		return nil, invalidArgument("bulk", "expected 1 <= beginIndex <= endIndex, step >= 1 and maxParallel >= 0")
@@ -150,7 +149,7 @@
 	return indexes, nil
 }
 
-// listJobs lists the jobs of the session that the path names, or of all sessions.
+// listJobs handles the list of the jobs in the session that the path names, or in all sessions.
 func listJobs(f *Front, request *httpcodec.Request, args []string) (*Call, *drmaa2.Error) {
 	parameters, err := url.ParseQuery(request.Query)
 	if err != nil {
@@ -189,7 +188,7 @@
 	return func(requestID, _ uint64) scheduler.Input { return scheduler.Query{Req: requestID, Job: id} }
 }
 
-// jobCommand is the handler of a command on the job or array that the path names.
+// jobCommand returns the handler of a command on the job or array that the path names.
 func jobCommand(verb scheduler.Verb) handler {
 	return func(f *Front, _ *httpcodec.Request, args []string) (*Call, *drmaa2.Error) {
 		return &Call{
@@ -201,7 +200,7 @@
 	}
 }
 
-// rejectSuspension is the handler of the commands that no node can execute.
+// rejectSuspension handles the commands that no node can execute.
 func rejectSuspension(*Front, *httpcodec.Request, []string) (*Call, *drmaa2.Error) {
 	return nil, &drmaa2.Error{Code: drmaa2.UnsupportedOperation,
 		Message: "nodes run a job or stop it; they don't suspend"}
--- a/internal/front/drmaafront/responses.go
+++ b/internal/front/drmaafront/responses.go
@@ -34,7 +34,7 @@
 	return httpcodec.AppendResponse(nil, status, jsonContentType, append(encoded, '\n'), false)
 }
 
-// orError encodes the errors of the core and has encode encode the other answers.
+// orError returns an encoder that encodes errors of the core itself and other answers by encode.
 func orError(encode func(*scheduler.Answer) []byte) func(*scheduler.Answer) []byte {
 	return func(answer *scheduler.Answer) []byte {
 		if answer.Err == nil {
@@ -46,7 +46,7 @@
 	}
 }
 
-// getInfo describes the scheduler and what it can do.
+// getInfo handles the description of the scheduler and its capabilities.
 func getInfo(f *Front, _ *httpcodec.Request, _ []string) (*Call, *drmaa2.Error) {
 	info := drmaa2.Drms{
 		DrmsName:     "flaxshelf",
@@ -77,7 +77,7 @@
 	return jsonResponse(http.StatusOK, sessionNamesResponse{answer.Sessions})
 }
 
-// Submitted is the response to a submission.
+// Submitted returns the response to a submission.
 func (f *Front) Submitted(answer *scheduler.Answer) []byte { return orError(f.encodeSubmitted)(answer) }
 
 func (f *Front) encodeSubmitted(answer *scheduler.Answer) []byte {
--- a/internal/front/drmaafront/routes.go
+++ b/internal/front/drmaafront/routes.go
@@ -10,7 +10,7 @@
 	"flaxshelf.example/flaxshelf/internal/scheduler"
 )
 
-// handler translates a request whose path has matched; args are the segments that a wildcard has matched.
+// handler decodes a request to a route. args are the path segments that wildcards have matched.
 type handler func(f *Front, request *httpcodec.Request, args []string) (*Call, *drmaa2.Error)
 
 // wildcard matches any one segment of a path.
@@ -49,7 +49,7 @@
 
 func segments(path string) []string { return strings.Split(strings.TrimPrefix(path, "/"), "/") }
 
-// match reports whether a path matches the route, and the segments that wildcards have matched.
+// match reports whether a path matches the route, and returns the segments that wildcards have matched.
 func (r *route) match(path []string) (args []string, ok bool) {
 	if len(path) != len(r.pattern) {
 		return nil, false
@@ -64,7 +64,7 @@
 	return args, true
 }
 
-// Route translates a request. It never returns nil: a request that can't be served has an error as its response.
+// Route decodes a request. It never returns nil: the response to an invalid request is an error.
 func (f *Front) Route(request *httpcodec.Request) *Call {
 	path, ok := strings.CutPrefix(request.Path, Prefix)
 	if !ok {
@@ -93,7 +93,7 @@
 	return notFound(request)
 }
 
-// call has the handler of a route translate a request.
+// call decodes a request by the handler of its route.
 func (f *Front) call(r *route, request *httpcodec.Request, args []string) *Call {
 	call, err := r.handle(f, request, args)
 	if err != nil {
@@ -103,7 +103,7 @@
 	return call
 }
 
-// unescape replaces the escaped characters in place; false where a segment can't be read.
+// unescape decodes percent-encoded characters in place. It returns false if a segment is malformed.
 func unescape(segments []string) ([]string, bool) {
 	for i, segment := range segments {
 		unescaped, err := url.PathUnescape(segment)
--- a/internal/front/drmaafront/template.go
+++ b/internal/front/drmaafront/template.go
@@ -16,14 +16,14 @@
 	maxArgs         = 1000
 )
 
-// Why attributes of the specification are not supported.
+// Reasons why attributes of the specification are not supported.
 const (
 	reasonNoProcesses = "stand-in nodes run no processes"
 	reasonNoMail      = "no mail is sent"
 	reasonNoStaging   = "no files are staged"
 )
 
-// spec checks a template and translates it for the core.
+// spec validates a template and translates it for the core.
 func (f *Front) spec(template *drmaa2.JobTemplate) (*scheduler.Spec, *drmaa2.Error) {
 	for _, check := range []func(*drmaa2.JobTemplate) *drmaa2.Error{checkUnsupported, checkLengths, checkNULs,
 		checkQueue, checkSlots} {
@@ -57,7 +57,7 @@
 	return spec, nil
 }
 
-// checkUnsupported finds attributes of the specification that this scheduler does not act on.
+// checkUnsupported rejects attributes of the specification that this scheduler does not support.
 func checkUnsupported(t *drmaa2.JobTemplate) *drmaa2.Error {
 	for _, attribute := range []struct {
 		name   string
@@ -134,7 +134,7 @@
 	return nil
 }
 
-// setClass sets the class of a job and what the class gives it. The class may be left out where there is only one.
+// setClass sets the class of a job and the defaults of the class. A template may leave it out if there is only one class.
 func (f *Front) setClass(spec *scheduler.Spec, template *drmaa2.JobTemplate) *drmaa2.Error {
 	spec.Class = f.set.ClassIndex(template.JobCategory)
 	if spec.Class < 0 {
--- a/internal/front/nodefront/errors.go
+++ b/internal/front/nodefront/errors.go
@@ -10,10 +10,10 @@
 // inventoryName is the name of the inventory in errors.
 const inventoryName = "inventory"
 
-// ErrProtocol is matched by each ProtocolError with errors.Is.
+// ErrProtocol is matched by every ProtocolError.
 var ErrProtocol = errors.New("nodefront: the peer does not keep to the protocol")
 
-// ProtocolError is a frame that its sender may not send, or not then. The connection is to be closed.
+// ProtocolError reports a frame that its sender must not send, or not at that time. The connection must be closed.
 type ProtocolError struct {
 	Peer   string // name of the node, or "inventory"
 	Frame  string // type of the frame's body
@@ -32,7 +32,7 @@
 // Unwrap makes errors.Is match ErrProtocol.
 func (e *ProtocolError) Unwrap() error { return ErrProtocol }
 
-// ByeError is the last frame of a peer that closes the connection on purpose.
+// ByeError reports that the peer has announced that it closes the connection.
 type ByeError struct {
 	Peer   string // name of the node, or "inventory"
 	Reason string // as the peer gave it
--- a/internal/front/nodefront/inventory.go
+++ b/internal/front/nodefront/inventory.go
@@ -6,45 +6,50 @@
 	"flaxshelf.example/flaxshelf/internal/settings"
 )
 
-// Inventory reads the frames of one connection to the inventory. One goroutine at a time may use it.
+// Inventory decodes the frames of one connection to the inventory. It is not safe for concurrent use.
 type Inventory struct {
 	Set *settings.Scheduler
 
 	entries  []*nodepb.Entry // of a listing that is split over several frames
 	complete bool            // the listing has all nodes, not only changes
-	partial  bool            // more frames of the listing are to come
+	partial  bool            // more frames of the listing follow
 }
 
-// Input translates a frame; the input is nil if it means nothing to the core. A listing is one input, given with its
-// last frame, and with it the addresses of its nodes by name. Failed is true for a call that the inventory reports as
-// failed, on a connection that stays open. An error, a ProtocolError or ByeError, means that the connection is to be
-// closed.
-func (v *Inventory) Input(frame *nodepb.Frame) (input scheduler.Input, addresses map[string]string, failed bool, err error) {
+// InventoryMessage is the meaning of a frame of the inventory. Its zero value is that of a frame without one.
+type InventoryMessage struct {
+	Input     scheduler.Input   // nil if the core doesn't need the frame
+	Addresses map[string]string // of the nodes in a listing, by name
+	Failed    bool              // the inventory reports a failed call; the connection stays open
+}
+
+// Decode translates a frame. The frames of a listing are one input, returned for the last of them. The error is a *ProtocolError
+// or *ByeError, after which the connection must be closed.
+func (v *Inventory) Decode(frame *nodepb.Frame) (InventoryMessage, error) {
 	switch body := frame.Body.(type) {
 	case *nodepb.Frame_Welcome:
-		return nil, nil, false, nil
+		return InventoryMessage{}, nil
 	case *nodepb.Frame_Listing:
 		if !v.collectListing(body.Listing) {
-			return nil, nil, false, nil
+			return InventoryMessage{}, nil
 		}
-		update, addresses := nodesUpdated(v.Set, v.entries, v.complete)
+		message := nodesUpdated(v.Set, v.entries, v.complete)
 		v.entries = nil
-		return update, addresses, false, nil
+		return message, nil
 	case *nodepb.Frame_ListError:
-		return scheduler.DiscoveryFailed{}, nil, true, nil
+		return InventoryMessage{Input: scheduler.DiscoveryFailed{}, Failed: true}, nil
 	case *nodepb.Frame_Pong:
 		if body.Pong.Token == 0 {
-			return nil, nil, false, nil
+			return InventoryMessage{}, nil
 		}
-		return scheduler.DiscoverySynced{Token: body.Pong.Token}, nil, false, nil
+		return InventoryMessage{Input: scheduler.DiscoverySynced{Token: body.Pong.Token}}, nil
 	case *nodepb.Frame_Bye:
-		return nil, nil, false, &ByeError{Peer: inventoryName, Reason: body.Bye.Reason}
+		return InventoryMessage{}, &ByeError{Peer: inventoryName, Reason: body.Bye.Reason}
 	default:
-		return nil, nil, false, newProtocolError(inventoryName, frame, "no frame of the inventory")
+		return InventoryMessage{}, newProtocolError(inventoryName, frame, "no frame of the inventory")
 	}
 }
 
-// collectListing adds a frame of a listing to those before it; it is true for the last one.
+// collectListing adds a frame of a listing to those before it. It returns true for the last one.
 func (v *Inventory) collectListing(listing *nodepb.Listing) (last bool) {
 	if !v.partial {
 		v.entries, v.complete = nil, listing.Whole
@@ -54,13 +59,12 @@
 	return !v.partial
 }
 
-// nodesUpdated translates the entries of a listing, and returns the addresses of its nodes by name.
-func nodesUpdated(set *settings.Scheduler, entries []*nodepb.Entry,
-	complete bool) (update scheduler.NodesUpdated, addresses map[string]string) {
-	update, addresses = scheduler.NodesUpdated{Complete: complete}, make(map[string]string, len(entries))
+// nodesUpdated translates the entries of a listing.
+func nodesUpdated(set *settings.Scheduler, entries []*nodepb.Entry, complete bool) InventoryMessage {
+	update, addresses := scheduler.NodesUpdated{Complete: complete}, make(map[string]string, len(entries))
 	for _, entry := range entries {
 		addresses[entry.Node] = entry.Address
 		update.Machines = append(update.Machines, decodeEntry(set, entry))
 	}
-	return update, addresses
+	return InventoryMessage{Input: update, Addresses: addresses}
 }
--- a/internal/front/nodefront/node.go
+++ b/internal/front/nodefront/node.go
@@ -10,17 +10,18 @@
 	"flaxshelf.example/flaxshelf/internal/settings"
 )
 
-// Node reads the frames of one connection to a node. One goroutine at a time may use it.
+// Node decodes the frames of one connection to a node. It is not safe for concurrent use.
 type Node struct {
 	Set  *settings.Scheduler
 	Name string // of the node
 
 	welcome  scheduler.NodeUp // collected from the welcome frames so far
-	welcomed bool             // the last of them has come
+	welcomed bool             // all of them have arrived
 }
 
-// Input translates a frame; nil if it means nothing to the core. The welcome is one input, given with its last frame.
-// An error, a ProtocolError or ByeError, means that the connection is to be closed.
+// Input translates a frame into an input. It returns nil for a frame that the core doesn't need, and for a frame of a welcome
+// before the last one, which is the input of all of them. The error is a *ProtocolError or *ByeError, after which the connection
+// must be closed.
 func (n *Node) Input(frame *nodepb.Frame) (scheduler.Input, error) {
 	switch body := frame.Body.(type) {
 	case *nodepb.Frame_Welcome:
@@ -34,7 +35,7 @@
 	return n.readReport(frame)
 }
 
-// readWelcome collects a welcome, which may be split over several frames.
+// readWelcome collects the frames of a welcome.
 func (n *Node) readWelcome(frame *nodepb.Frame, welcome *nodepb.Welcome) (scheduler.Input, error) {
 	if n.welcomed {
 		return nil, newProtocolError(n.Name, frame, "a second welcome")
@@ -58,7 +59,7 @@
 	return up, nil
 }
 
-// readReport translates what a node sends after its welcome.
+// readReport translates a frame that follows the welcome.
 func (n *Node) readReport(frame *nodepb.Frame) (scheduler.Input, error) {
 	switch body := frame.Body.(type) {
 	case *nodepb.Frame_Accepted:
@@ -103,8 +104,7 @@
 	nodepb.Ending_BROKE:    scheduler.EndStartFailed,
 }
 
-// reasonOf translates a reason of the wire, whose numbers are those of the module. A reason of a later version is
-// unspecified.
+// reasonOf translates a reason, which has the same number on the wire as in the module. An unknown one is unspecified.
 func reasonOf(reason nodepb.Reason) flaxshelf.Reason {
 	if reason < 0 || reason > nodepb.Reason_SENT_AWAY {
 		return flaxshelf.UnspecifiedReason
--- a/internal/front/nodefront/nodefront_test.go
+++ b/internal/front/nodefront/nodefront_test.go
@@ -34,6 +34,10 @@
 	return &nodepb.Frame{Body: &nodepb.Frame_Welcome{Welcome: welcome}}
 }
 
+func listingFrame(listing *nodepb.Listing) *nodepb.Frame {
+	return &nodepb.Frame{Body: &nodepb.Frame_Listing{Listing: listing}}
+}
+
 func byeFrame(reason string) *nodepb.Frame {
 	return &nodepb.Frame{Body: &nodepb.Frame_Bye{Bye: &nodepb.Bye{Reason: reason}}}
 }
@@ -42,7 +46,7 @@
 	return &nodepb.Frame{Body: &nodepb.Frame_Pong{Pong: &nodepb.Pong{Token: token}}}
 }
 
-// A welcome of several frames is one input, and an offer that the node reports comes back as it was offered.
+// The frames of a welcome are one input, and a running attempt that the node reports has the fields of its offer.
 func TestNodeWelcome(t *testing.T) {
 	set := testSettings(t)
 	spec := scheduler.Spec{Key: "key", Session: "session", Name: "name", Owner: "owner", Service: "service", Class: 1,
@@ -50,13 +54,13 @@
 	offer := Offer(set, &scheduler.SendOffer{Node: "n", Attempt: "a", Job: "j", Request: 2, Spec: &spec, Submitted: 7,
 		ValidFor: time.Second}).GetOffer()
 	if offer.Attempt != "a" || offer.ValidForNs != int64(time.Second) {
-		t.Errorf("offer %v", offer)
+		t.Errorf("offer: got %v, want attempt a, valid for 1 s", offer)
 	}
 	node := Node{Set: set, Name: "n"}
 	input, err := node.Input(welcomeFrame(&nodepb.Welcome{Node: "n", StartedUnixNs: 5, Fresh: true, More: true,
 		Held: []*nodepb.Held{{Attempt: "a", Running: true, Task: offer.Task}}}))
 	if input != nil || err != nil {
-		t.Fatalf("after a part of the welcome: %v, %v", input, err)
+		t.Fatalf("after a part of the welcome: got %v, %v, want no input", input, err)
 	}
 	input, err = node.Input(welcomeFrame(&nodepb.Welcome{Node: "n", StartedUnixNs: 5, Fresh: true,
 		Ended: []*nodepb.Ended{{Attempt: "b", Ending: nodepb.Ending_LOST}}}))
@@ -64,7 +68,7 @@
 		Running: []scheduler.RunningAttempt{{Attempt: "a", Job: "j", Request: 2, Spec: spec, Submitted: 7, Running: true}},
 		Ended:   []scheduler.AttemptEnded{{Node: "n", Attempt: "b", End: scheduler.EndLost}}}
 	if err != nil || !reflect.DeepEqual(input, want) {
-		t.Errorf("got  %+v, %v\nwant %+v", input, err, want)
+		t.Errorf("got %+v, %v, want %+v", input, err, want)
 	}
 }
 
@@ -109,13 +113,13 @@
 	}
 }
 
-// A frame that its sender may not send is a ProtocolError with the peer and the frame; a goodbye is none.
-func TestProtocolErrors(t *testing.T) {
+// A frame that its sender must not send is a ProtocolError with the peer and the frame; a bye is a ByeError.
+func TestInvalidFramesAreProtocolErrors(t *testing.T) {
 	welcome := welcomeFrame(&nodepb.Welcome{Node: "n"})
 	tests := []struct {
 		name   string
-		frames []*nodepb.Frame // the last one is the fault
-		text   string          // in the error
+		frames []*nodepb.Frame // the last one is invalid
+		text   string          // part of the error
 	}{
 		{"report before the welcome", []*nodepb.Frame{pongFrame(0)}, "Frame_Pong from n: before the welcome"},
 		{"second welcome", []*nodepb.Frame{welcome, welcome}, "Frame_Welcome from n: a second welcome"},
@@ -135,17 +139,17 @@
 	}
 	t.Run("frame of a scheduler from the inventory", func(t *testing.T) {
 		inventory := Inventory{Set: testSettings(t)}
-		_, _, _, err := inventory.Input(Probe())
+		_, err := inventory.Decode(Probe())
 		checkProtocolError(t, err, "inventory", "Frame_Probe from inventory: no frame of the inventory")
 	})
-	t.Run("goodbye", func(t *testing.T) {
+	t.Run("bye", func(t *testing.T) {
 		node, inventory := Node{Set: testSettings(t), Name: "n"}, Inventory{Set: testSettings(t)}
 		_, nodeErr := node.Input(byeFrame("drained"))
-		_, _, _, inventoryErr := inventory.Input(byeFrame("drained"))
+		_, inventoryErr := inventory.Decode(byeFrame("drained"))
 		for peer, err := range map[string]error{"n": nodeErr, "inventory": inventoryErr} {
 			var bye *ByeError
 			if !errors.As(err, &bye) || bye.Peer != peer || bye.Reason != "drained" || errors.Is(err, ErrProtocol) {
-				t.Errorf("error %v", err)
+				t.Errorf("got %v, want a ByeError of %s with reason drained", err, peer)
 			}
 		}
 	})
@@ -155,52 +159,46 @@
 	t.Helper()
 	var violation *ProtocolError
 	if !errors.Is(err, ErrProtocol) || !errors.As(err, &violation) {
-		t.Fatalf("error %v is no protocol error", err)
+		t.Fatalf("got %v, want a ProtocolError", err)
 	}
 	if violation.Peer != peer || !strings.Contains(err.Error(), text) {
-		t.Errorf("error %q of %s, want %q of %s", err, violation.Peer, text, peer)
+		t.Errorf("got %q of %s, want %q of %s", err, violation.Peer, text, peer)
 	}
 }
 
-// A listing of several frames is one input; the first frame has whether it is complete.
-func TestInventoryInput(t *testing.T) {
+// The frames of a listing are one input; the first frame has whether the list is complete.
+func TestInventoryDecode(t *testing.T) {
 	inventory := Inventory{Set: testSettings(t)}
-	listing := func(listing *nodepb.Listing) *nodepb.Frame {
-		return &nodepb.Frame{Body: &nodepb.Frame_Listing{Listing: listing}}
-	}
 	first := &nodepb.Entry{Node: "n", Address: "h:1", Kind: "k", Zone: "z", Cell: 2, StartedUnixNs: 3, FreeCores: 4, FreeMemory: 5}
 	second := &nodepb.Entry{Node: "m", Address: "h:2", Kind: "other", Standing: nodepb.Standing_DRAINING}
-	wantFirst := flaxshelf.Machine{ID: "n", Kind: 0, Zone: "z", Cell: 2, State: flaxshelf.Active, Started: 3, FreeCores: 4,
+	firstMachine := flaxshelf.Machine{ID: "n", Kind: 0, Zone: "z", Cell: 2, State: flaxshelf.Active, Started: 3, FreeCores: 4,
 		FreeMemory: 5}
-	wantSecond := flaxshelf.Machine{ID: "m", Kind: -1, State: flaxshelf.Draining}
+	secondMachine := flaxshelf.Machine{ID: "m", Kind: -1, State: flaxshelf.Draining}
 	tests := []struct {
-		name      string
-		frame     *nodepb.Frame
-		want      scheduler.Input
-		addresses map[string]string
-		failed    bool
+		name  string
+		frame *nodepb.Frame
+		want  InventoryMessage
 	}{
-		{"welcome", welcomeFrame(&nodepb.Welcome{Node: "inventory"}), nil, nil, false},
-		{"first part of a listing", listing(&nodepb.Listing{Whole: true, More: true, Entries: []*nodepb.Entry{first}}), nil,
-			nil, false},
-		{"last part of a listing", listing(&nodepb.Listing{Entries: []*nodepb.Entry{second}}),
-			scheduler.NodesUpdated{Complete: true, Machines: []flaxshelf.Machine{wantFirst, wantSecond}},
-			map[string]string{"n": "h:1", "m": "h:2"}, false},
-		{"changes", listing(&nodepb.Listing{Entries: []*nodepb.Entry{second}}),
-			scheduler.NodesUpdated{Machines: []flaxshelf.Machine{wantSecond}}, map[string]string{"m": "h:2"}, false},
+		{"welcome", welcomeFrame(&nodepb.Welcome{Node: "inventory"}), InventoryMessage{}},
+		{"first part of a listing", listingFrame(&nodepb.Listing{Whole: true, More: true, Entries: []*nodepb.Entry{first}}),
+			InventoryMessage{}},
+		{"last part of a listing", listingFrame(&nodepb.Listing{Entries: []*nodepb.Entry{second}}), InventoryMessage{
+			Input:     scheduler.NodesUpdated{Complete: true, Machines: []flaxshelf.Machine{firstMachine, secondMachine}},
+			Addresses: map[string]string{"n": "h:1", "m": "h:2"}}},
+		{"changes", listingFrame(&nodepb.Listing{Entries: []*nodepb.Entry{second}}), InventoryMessage{
+			Input:     scheduler.NodesUpdated{Machines: []flaxshelf.Machine{secondMachine}},
+			Addresses: map[string]string{"m": "h:2"}}},
 		{"failed call", &nodepb.Frame{Body: &nodepb.Frame_ListError{ListError: &nodepb.ListError{Message: "m"}}},
-			scheduler.DiscoveryFailed{}, nil, true},
-		{"pong without a token", pongFrame(0), nil, nil, false},
-		{"pong with a token", pongFrame(9), scheduler.DiscoverySynced{Token: 9}, nil, false},
+			InventoryMessage{Input: scheduler.DiscoveryFailed{}, Failed: true}},
+		{"pong without a token", pongFrame(0), InventoryMessage{}},
+		{"pong with a token", pongFrame(9), InventoryMessage{Input: scheduler.DiscoverySynced{Token: 9}}},
 	}
 	for _, test := range tests { // in order: they share one connection
-		input, addresses, failed, err := inventory.Input(test.frame)
-		if err != nil || failed != test.failed || !reflect.DeepEqual(input, test.want) {
-			t.Errorf("%s: got %#v, %v, %v, want %#v, %v", test.name, input, failed, err, test.want, test.failed)
-		}
-		if !reflect.DeepEqual(addresses, test.addresses) {
-			t.Errorf("%s: addresses %v, want %v", test.name, addresses, test.addresses)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			if got, err := inventory.Decode(test.frame); err != nil || !reflect.DeepEqual(got, test.want) {
+				t.Errorf("got %+v, %v, want %+v", got, err, test.want)
+			}
+		})
 	}
 }
 
@@ -216,18 +214,17 @@
 		t.Fatal(err)
 	}
 	inventory := Inventory{Set: testSettings(t)}
-	input, addresses, _, err := inventory.Input(&nodepb.Frame{Body: &nodepb.Frame_Listing{
-		Listing: &nodepb.Listing{Entries: []*nodepb.Entry{entry}}}})
+	message, err := inventory.Decode(listingFrame(&nodepb.Listing{Entries: []*nodepb.Entry{entry}}))
 	if err != nil {
 		t.Fatal(err)
 	}
-	update, ok := input.(scheduler.NodesUpdated)
+	update, ok := message.Input.(scheduler.NodesUpdated)
 	if !ok || len(update.Machines) != 1 {
-		t.Fatalf("got %+v, want an update with one machine", input)
+		t.Fatalf("got %+v, want an update with one machine", message)
 	}
 	machinetest.Expect(t, update.Machines[0], want)
-	if addresses[want.ID] != "h:1" {
-		t.Errorf("address: got %q, want h:1", addresses[want.ID])
+	if got := message.Addresses[want.ID]; got != "h:1" {
+		t.Errorf("address: got %q, want h:1", got)
 	}
 }
 
--- a/internal/front/platformfront/config.go
+++ b/internal/front/platformfront/config.go
@@ -1,7 +1,6 @@
 // Package platformfront translates between the messages of the platform and the inputs and effects of requests.Core: the
-// configuration file, owners' and nodes' messages, and the events of the control feed. It checks all that comes from
-// outside, and is the one place where names of the platform's pages are mapped to terms of the core. It makes no decision
-// and holds no connection.
+// configuration file, owners' and nodes' messages, and the events of the control feed. It validates all external input, and
+// maps the names of the platform's protocols to the terms of the core. It does no I/O, but for ReadConfig, and makes no decision.
 package platformfront
 
 import (
@@ -18,7 +17,7 @@
 	"flaxshelf.example/flaxshelf/internal/fleetsettings"
 )
 
-// minSockets is the least number of sockets with which a scheduler can serve.
+// minSockets is the minimum number of sockets that a scheduler needs.
 const minSockets = 32
 
 // Limits are the resources that the platform gives one scheduler.
@@ -28,21 +27,20 @@
 	Sockets  int     `json:"sockets"`
 }
 
-// Config is the configuration of one scheduler. It is not changed after ParseConfig and may then be read by several
-// goroutines.
+// Config is the configuration of one scheduler. It is read-only after ParseConfig and then safe for concurrent use.
 type Config struct {
 	Name, Listen, DiscoveryAddr string
 	Seed                        uint64
 	Limits                      Limits
 	InitialEvents               []WatchEvent  // the events of the control feed up to the start
-	InitialEventData            [][]byte      // the same, as the file has them
+	InitialEventData            [][]byte      // their JSON text
 	LastSequence                uint64        // of the last of them
-	NodeIdleTimeout             time.Duration // after which nodes close a connection without traffic; 0: not known
+	NodeIdleTimeout             time.Duration // after which nodes close a connection without traffic; zero if not known
 	Module                      flaxshelf.Config
 	Names                       *fleetsettings.Names
 }
 
-// wireConfig is a configuration file by its names in JSON.
+// wireConfig is a configuration file with the JSON names of its members.
 type wireConfig struct {
 	Name     string          `json:"name"`
 	Listen   string          `json:"listen"`
@@ -123,7 +121,7 @@
 		}
 		c.InitialEvents, c.InitialEventData = append(c.InitialEvents, event), append(c.InitialEventData, data)
 	}
-	// With a list that should have free capacity and does not, every node would look full.
+	// If the list has no free capacity although the settings say so, every node would look full.
 	c.Module.ListsFreeCapacity = c.Module.ListsFreeCapacity &&
 		slices.ContainsFunc(c.InitialEvents, func(e WatchEvent) bool { return e.HasFreeCapacity })
 	return nil
@@ -133,7 +131,7 @@
 	return &ConfigError{Field: field, Value: value, Reason: reason}
 }
 
-// invalidJSON names the field that the JSON decoder rejected, where it says so.
+// invalidJSON returns the error for a file that the JSON decoder rejected, with the field if the decoder reports it.
 func invalidJSON(err error) error {
 	var mismatch *json.UnmarshalTypeError
 	if errors.As(err, &mismatch) {
--- a/internal/front/platformfront/errors.go
+++ b/internal/front/platformfront/errors.go
@@ -11,11 +11,11 @@
 // ErrConfig is matched by every error about a configuration file.
 var ErrConfig = errors.New("platform configuration")
 
-// ConfigError is a configuration file that can't be used. It matches ErrConfig and its cause.
+// ConfigError reports an invalid configuration file. It matches ErrConfig and its cause.
 type ConfigError struct {
-	Path   string // of the file; empty where the configuration came from no file
-	Field  string // by its path within the file, for instance limits.cores; empty where the whole file is at fault
-	Value  string // of the field, as the file has it; empty where Err has it
+	Path   string // of the file; empty if the configuration was not read from a file
+	Field  string // path within the file, for instance limits.cores; empty if the whole file is invalid
+	Value  string // of the field, as the file has it; empty if Err has it
 	Reason string // what is expected
 	Err    error  // the cause, or nil
 }
@@ -40,7 +40,7 @@
 	return strings.Join(parts, ": ")
 }
 
-// Unwrap returns ErrConfig, and the cause where there is one.
+// Unwrap returns ErrConfig and the cause, if there is one.
 func (e *ConfigError) Unwrap() []error {
 	if e.Err == nil {
 		return []error{ErrConfig}
@@ -48,11 +48,11 @@
 	return []error{ErrConfig, e.Err}
 }
 
-// OwnerMessageError is a message of an owner that can't be used. It concerns that message alone.
+// OwnerMessageError reports an invalid message of an owner. The connection can still be used.
 type OwnerMessageError struct {
 	Task   string // the ID that the message names
 	Type   ownerjson.Type
-	Field  string // by its name on the wire
+	Field  string // name on the wire
 	Value  string
 	Reason string // what is expected
 }
@@ -61,10 +61,10 @@
 	return fmt.Sprintf("%s of task %s: field %s: %.40q: %s", e.Type, e.Task, e.Field, e.Value, e.Reason)
 }
 
-// WatchEventError is an event of the control feed that can't be used.
+// WatchEventError reports an invalid event of the control feed.
 type WatchEventError struct {
-	Sequence uint64 // 0 where it is not known
-	Field    string // by its path within the event; empty where the whole event is at fault
+	Sequence uint64 // 0 if it is not known
+	Field    string // path within the event; empty if the whole event is invalid
 	Value    string
 	Reason   string // what is expected
 	Err      error  // the cause, or nil
--- a/internal/front/platformfront/node.go
+++ b/internal/front/platformfront/node.go
@@ -24,8 +24,8 @@
 	"tight": flaxshelf.MemoryPressure,
 }
 
-// DecodeNodeMessage translates a message of a node into an input; nil for one without a meaning for the core. The error is
-// a nodebinary.ProtocolError: an answer must have a description and a release a cause, else the link can't be trusted.
+// DecodeNodeMessage translates a message of a node into an input. It returns nil for a message that the core doesn't need. The
+// error is a *nodebinary.ProtocolError, for an answer without a description or a release without a cause.
 func DecodeNodeMessage(link requests.Link, m *nodebinary.Message) (requests.Input, error) {
 	input := requests.NodeMessage{Link: link, Task: formatTaskID(m.Task), Cause: m.Cause, Reason: releaseReasons[m.Token]}
 	switch m.Type {
@@ -53,8 +53,8 @@
 	return input, nil
 }
 
-// decodeUsage decodes the quantity and amount of a note, which has an amount of 0 where it has no value. ok is false for a
-// quantity of a later version and for what is no finite number.
+// decodeUsage decodes the quantity and amount of a note. The amount of a note without a value is 0. ok is false for an unknown
+// quantity and for a value that is not a finite number.
 func decodeUsage(m *nodebinary.Message) (kind flaxshelf.UsageKind, amount float64, ok bool) {
 	if kind, ok = usageKinds[m.Token]; !ok || m.Value == "" {
 		return kind, 0, ok
@@ -67,7 +67,7 @@
 	return &nodebinary.ProtocolError{Type: m.Type, Field: name, Value: "none", Reason: "must have one"}
 }
 
-// EncodeOffer appends the set-up of a task, for a node.
+// EncodeOffer appends the set-up message of an offer to a node.
 func EncodeOffer(dst []byte, e *requests.Offer) ([]byte, error) {
 	id, err := parseTaskID(e.Task)
 	if err != nil {
@@ -79,7 +79,7 @@
 		Description: e.Description, Described: true})
 }
 
-// EncodeRelease appends the release of a task, for a node.
+// EncodeRelease appends the release message of a task to a node.
 func EncodeRelease(dst []byte, e *requests.SendRelease) ([]byte, error) {
 	id, err := parseTaskID(e.Task)
 	if err != nil {
@@ -96,7 +96,7 @@
 	return n, nil
 }
 
-// formatTaskID writes the ID of a task as 16 hex digits, as owners write it.
+// formatTaskID returns the ID of a task as 16 hex digits, the form that owners use.
 func formatTaskID(id uint64) string {
 	const digits = "0123456789abcdef"
 	var text [16]byte
--- a/internal/front/platformfront/owner.go
+++ b/internal/front/platformfront/owner.go
@@ -14,13 +14,13 @@
 const (
 	// maxTimeLeft bounds how far ahead an owner may set the deadline of a task.
 	maxTimeLeft = time.Hour
-	// maxRuntimeHint is where an owner's hint of a task's run time is ignored.
+	// maxRuntimeHint is the run time from which on an owner's hint is ignored.
 	maxRuntimeHint = 24 * time.Hour
 	// maxNameLength bounds the names that an owner may give, in bytes.
 	maxNameLength = 256
 )
 
-// The fields of a set-up by their names on the wire.
+// Names of a set-up's fields on the wire.
 const (
 	fieldClass          = "class"
 	fieldKey            = "key"
@@ -33,8 +33,8 @@
 	fieldType           = "type"
 )
 
-// DecodeOwnerMessage translates a message of an owner into an input; nil for one without a meaning for the core. The error
-// is an OwnerMessageError.
+// DecodeOwnerMessage translates a message of an owner into an input. It returns nil for a message that the core doesn't need.
+// The error is an *OwnerMessageError.
 func (c *Config) DecodeOwnerMessage(conn requests.Conn, now requests.Time, m *ownerjson.Message) (requests.Input, error) {
 	switch m.Type {
 	case ownerjson.SetUp:
@@ -52,7 +52,7 @@
 		Reason: "not a message that owners send"}
 }
 
-// decodeSetUp translates a set-up: the submission of a task, or the adoption of one that a node runs already.
+// decodeSetUp translates a set-up: the submission of a task, or the adoption of a running task.
 func (c *Config) decodeSetUp(conn requests.Conn, now requests.Time, m *ownerjson.Message) (requests.Input, error) {
 	class, ok := c.Names.Class(m.Fields[fieldClass])
 	if !ok {
@@ -77,11 +77,11 @@
 	return requests.Adopt{Conn: conn, Task: task, Node: extras.node}, nil
 }
 
-// extraFields are the parts of the field extras, which is written as name:value pairs with semicolons between them.
+// extraFields are the parts of the field extras: name:value pairs separated by semicolons.
 type extraFields struct {
 	cores, memory, service string
 	node                   string // that runs the task already
-	adopted                bool   // node is there, which may be empty
+	adopted                bool   // the field has a node, which may be empty
 }
 
 func parseExtras(text string) (extras extraFields) {
@@ -101,7 +101,7 @@
 	return extras
 }
 
-// decodeDeadline decodes the time left until the deadline, which the adoption of a task need not have.
+// decodeDeadline decodes the time until the deadline. An optional one that is missing or invalid is now.
 func decodeDeadline(m *ownerjson.Message, now requests.Time, optional bool) (requests.Time, error) {
 	millis, err := strconv.ParseFloat(m.Fields[fieldTimeLeft], 64)
 	valid := err == nil && millis >= 1 && millis <= float64(maxTimeLeft/time.Millisecond)
@@ -111,7 +111,7 @@
 	return now + time.Duration(max(millis, 0)*float64(time.Millisecond)), nil
 }
 
-// decodeTask decodes what submissions and adoptions have in common, save for the deadline.
+// decodeTask decodes the fields that submissions and adoptions have in common, except for the deadline.
 func (c *Config) decodeTask(m *ownerjson.Message, class int, extras *extraFields) (flaxshelf.Task, error) {
 	task := flaxshelf.Task{ID: m.ID, Key: m.Fields[fieldKey], Class: class, Tenant: -1, Service: extras.service,
 		ExpectedRuntime: decodeRuntimeHint(m.Fields[fieldRuntimeHint])}
@@ -132,7 +132,7 @@
 	return task, nil
 }
 
-// decodeRuntimeHint decodes the expected run time; 0 where there is none that makes sense.
+// decodeRuntimeHint decodes the expected run time. It returns 0 for a missing or invalid one.
 func decodeRuntimeHint(text string) time.Duration {
 	if text == "" {
 		return 0
@@ -144,7 +144,7 @@
 	return time.Duration(millis * float64(time.Millisecond))
 }
 
-// decodeSubmission decodes what only the submission of a task has.
+// decodeSubmission decodes the fields that only submissions have.
 func (c *Config) decodeSubmission(conn requests.Conn, m *ownerjson.Message, task flaxshelf.Task) (requests.Input, error) {
 	key := m.Fields[fieldIdempotencyKey]
 	if key == "" && c.Module.Classes[task.Class].Idempotency == flaxshelf.IdempotentByKey {
@@ -160,7 +160,7 @@
 		Description: m.Description}, nil
 }
 
-// maxCores is the most cores that a task may have on the largest kind of machine.
+// maxCores returns the number of cores that a task may request on the largest kind of machine.
 func (c *Config) maxCores() float64 {
 	most := 0.0
 	for i := range c.Module.Kinds {
@@ -169,7 +169,7 @@
 	return most
 }
 
-// maxMemory is the most memory that a task may have on the largest kind of machine.
+// maxMemory returns the memory that a task may request on the largest kind of machine.
 func (c *Config) maxMemory() float64 {
 	most := 0.0
 	for i := range c.Module.Kinds {
@@ -184,7 +184,7 @@
 	return amount, err == nil && amount > 0 && amount <= most && !math.IsInf(amount, 0)
 }
 
-// isName reports whether text can be a name: not empty, not long, and of printable ASCII without spaces.
+// isName reports whether text is a valid name: 1 to maxNameLength bytes of printable ASCII without spaces.
 func isName(text string) bool {
 	if text == "" || len(text) > maxNameLength {
 		return false
@@ -201,13 +201,13 @@
 	return &OwnerMessageError{Task: m.ID, Type: m.Type, Field: field, Value: m.Fields[field], Reason: reason}
 }
 
-// EncodeAccepted appends the answer that a task has been placed.
+// EncodeAccepted appends the answer message for a task that has been placed.
 func EncodeAccepted(dst []byte, e *requests.Accepted) ([]byte, error) {
 	return ownerjson.Append(dst, &ownerjson.Message{Type: ownerjson.Answer, ID: e.Task, Cause: ownerjson.NoCause,
 		Description: e.Description, Described: true})
 }
 
-// EncodeTerminated appends the notification that a task was rejected, failed or has ended, or that it is to migrate.
+// EncodeTerminated appends the message for a task that was rejected, has failed, has ended or is to migrate.
 func EncodeTerminated(dst []byte, e *requests.Terminated) ([]byte, error) {
 	if e.Migrate {
 		return ownerjson.Append(dst, &ownerjson.Message{Type: ownerjson.Move, ID: e.Task, Cause: ownerjson.NoCause})
@@ -215,7 +215,7 @@
 	return ownerjson.Append(dst, &ownerjson.Message{Type: ownerjson.Release, ID: e.Task, Cause: e.Cause})
 }
 
-// EncodePong appends the answer to a ping, whose cause on the wire is 1 where the check has passed and 0 where it has not.
+// EncodePong appends the answer to a ping. Its cause on the wire is 1 if the check has passed, else 0.
 func EncodePong(dst []byte, e *requests.Pong) ([]byte, error) {
 	cause := 0
 	if e.Passed {
--- a/internal/front/platformfront/watch.go
+++ b/internal/front/platformfront/watch.go
@@ -14,16 +14,16 @@
 type WatchEvent struct {
 	Sequence        uint64
 	Update          requests.NodesUpdated
-	HasFreeCapacity bool // at least one entry has the free capacity of its node
+	HasFreeCapacity bool // at least one entry has the free capacity of its machine
 }
 
-// wireEvent is an event of the control feed by its names in JSON.
+// wireEvent is an event of the control feed with the JSON names of its members.
 type wireEvent struct {
 	Sequence uint64       `json:"n"`
 	Members  *wireMembers `json:"members"`
 }
 
-// wireMembers is a list of nodes: all of them, or those that have changed.
+// wireMembers is a list of all nodes, or of those that have changed.
 type wireMembers struct {
 	Full    bool         `json:"full"`
 	Servers []wireServer `json:"servers"`
@@ -37,16 +37,16 @@
 	State         string    `json:"state"`
 	Cell          int       `json:"cell"`
 	StartedMillis float64   `json:"started_ms"`
-	FreeCapacity  []float64 `json:"unasked"` // cores and memory that are not reserved, where the list has them
+	FreeCapacity  []float64 `json:"unasked"` // unreserved cores and memory; empty if the list doesn't have them
 }
 
-// machineStates are the states of nodes by their names in JSON.
+// machineStates are the states of machines by their JSON values.
 var machineStates = map[string]flaxshelf.MachineState{
 	"active": flaxshelf.Active, "leaving": flaxshelf.Draining, "left": flaxshelf.Removed,
 }
 
-// DecodeWatchEvent decodes the data of an event of the control feed. The error is a WatchEventError. An event without nodes
-// is one of a later version, and its update is empty.
+// DecodeWatchEvent decodes the data of an event of the control feed. An event without nodes is of a type that this version
+// doesn't know; its update is empty. The error is a *WatchEventError.
 func (c *Config) DecodeWatchEvent(data []byte) (WatchEvent, error) {
 	var wire wireEvent
 	if err := json.Unmarshal(data, &wire); err != nil {
@@ -97,8 +97,8 @@
 	return machine, nil
 }
 
-// MergeUpdates merges the updates of consecutive events into one: the last state of each node, in the order in which nodes
-// first appear. What precedes a complete list is dropped. It returns false where no event has nodes.
+// MergeUpdates merges the updates of consecutive events into one with the last endpoint of each node, in the order in which
+// nodes first appear. Updates before a complete list are dropped. It returns false if no event has nodes.
 func MergeUpdates(events []WatchEvent) (merged requests.NodesUpdated, ok bool) {
 	positions := map[string]int{}
 	for _, event := range events {
--- a/internal/testbed/emulator/scheduler.go
+++ b/internal/testbed/emulator/scheduler.go
@@ -203,9 +203,9 @@
 
 func (s *schedulerEntity) inventoryFrame(f frame, now Time) scheduler.Input {
 	s.recorder.frame(s.recorder.inventoryConnection(s), true, f, now)
-	input, _, _, err := s.inventoryFront.Input(f.Frame)
+	message, err := s.inventoryFront.Decode(f.Frame)
 	s.simulation.fail(err)
-	return input
+	return message.Input
 }
 
 func (s *schedulerEntity) nodeFrame(from int32, f frame, now Time) scheduler.Input {
