--- a/cmd/benchadapter/main.go
+++ b/cmd/benchadapter/main.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// reply starts and stops instances, then gives each its events of the batch in one step, in the order of their first
-// events. An instance that stops or starts anew drops the events before that.
+// reply starts and stops instances, then runs one step of each instance with its events of the batch, in the order of their
+// first events. Events before the stop or restart of an instance are dropped.
 func reply(batch *benchadapter.Batch, placers map[int]*flaxshelf.Placer, writer *benchadapter.Writer) error {
 	var order []int
 	events := map[int][]flaxshelf.Event{}
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// step runs one step of an instance; a panic of the module becomes a BUG of that instance.
+// step runs one step of an instance. If the module panics, it writes a BUG message of that instance.
 func step(placer *flaxshelf.Placer, batch *benchadapter.Batch, instance int, events []flaxshelf.Event,
 	writer *benchadapter.Writer) {
 	defer func() {
--- a/cmd/benchadapter/main_test.go
+++ b/cmd/benchadapter/main_test.go
@@ -10,7 +10,7 @@
 	"flaxshelf.example/flaxshelf/internal/benchadapter"
 )
 
-// startLines start an instance and give it a list of three machines.
+// startLines returns lines that start an instance and give it a list of three machines.
 func startLines(instance int) string {
 	return fmt.Sprintf("UP who=%d init_seed=%d kinds=k specifics.kind_cores=30 specifics.mem_of_kind=86 "+
 		"categories.count=1 categories.0.name=c categories.0.effect=read_like\n"+
@@ -18,7 +18,7 @@
 		"VIEW who=%d form=Persisted page=0\n", instance, instance+5, instance)
 }
 
-// script starts the instances and gives each 20 tasks, one a batch.
+// script returns input that starts the instances and gives each 20 tasks, one in each batch.
 func script(instances ...int) string {
 	var s strings.Builder
 	s.WriteString("FRAME clock_ns=1000 serial=1\n")
@@ -52,11 +52,11 @@
 	return s.String()
 }
 
-// An instance acts the same alone and beside others.
+// The actions of an instance don't depend on other instances.
 func TestInstancesAreIsolated(t *testing.T) {
 	together, alone := replyLines(t, script(1, 2, 3), "2"), replyLines(t, script(2), "2")
 	if together != alone || strings.Count(alone, "BIND") != 20 {
-		t.Errorf("together\n%s\nalone\n%s", together, alone)
+		t.Errorf("got beside others\n%s\nwant the 20 offers that it makes alone\n%s", together, alone)
 	}
 }
 
@@ -64,7 +64,7 @@
 	in := "FRAME clock_ns=1 serial=1\n" + startLines(1) + "END\n" +
 		"FRAME clock_ns=9 serial=2\nTO_PLACE who=1 tid=t valid_until_ns=5000000000 priority=c\nRETIRE who=1\nEND\n"
 	if got := replyLines(t, in, "1"); got != "" {
-		t.Errorf("acted after its stop: %s", got)
+		t.Errorf("after the stop: got %s, want no actions", got)
 	}
 }
 
@@ -72,7 +72,7 @@
 	var out bytes.Buffer
 	err := serve(strings.NewReader("FRAME clock_ns=1 serial=7\nWAKEUP who=?\nEND\n"), &out)
 	if err == nil || err.Error() != `malformed input: batch 7, field who, value "?"` || out.Len() != 0 {
-		t.Errorf("%v, wrote %q", err, out.String())
+		t.Errorf("got %v, wrote %q, want an error of batch 7, field who, and no output", err, out.String())
 	}
 }
 
@@ -80,12 +80,12 @@
 	in := strings.Replace(script(1), "specifics.kind_cores=30", "specifics.kind_cores=0", 1)
 	err := serve(strings.NewReader(in), &bytes.Buffer{})
 	if err == nil || !strings.Contains(err.Error(), "Kinds[0] (k)") {
-		t.Errorf("%v", err)
+		t.Errorf("got %v, want an error of Kinds[0]", err)
 	}
 }
 
-// A panic in the module becomes a BUG of its instance; here there is no module to call.
-func TestPanicBecomesABug(t *testing.T) {
+// A panic of the module becomes a BUG message of its instance. Here the call of a nil module panics.
+func TestPanicBecomesBug(t *testing.T) {
 	var out bytes.Buffer
 	w := benchadapter.NewWriter(&out)
 	step(nil, &benchadapter.Batch{Clock: 1}, 4, []flaxshelf.Event{flaxshelf.TimerFired{}}, w)
--- a/internal/benchadapter/events.go
+++ b/internal/benchadapter/events.go
@@ -15,7 +15,7 @@
 	"252": flaxshelf.Unreachable, "251": flaxshelf.Lost, "250": flaxshelf.Canceled, "249": flaxshelf.NotSent,
 }
 
-// eventDecoders decode the lines that are one event each and need nothing but their own fields.
+// eventDecoders decode the messages that are one event each, by their names.
 var eventDecoders = map[string]func(f *fields) flaxshelf.Event{
 	"TO_PLACE":      decodeTaskSubmitted,
 	"RUNNING":       decodeTaskAdopted,
@@ -88,8 +88,7 @@
 	return task
 }
 
-// decodeLoad decodes a load report, which is written as name:value pairs: x0 for free cores, x1 for free memory. Other
-// names are skipped.
+// decodeLoad decodes a load report of name:value pairs: x0 for free cores, x1 for free memory. Other names are skipped.
 func decodeLoad(f *fields) (load flaxshelf.LoadReport) {
 	text := f.Text("load")
 	if text == "" || text == noData {
--- a/internal/benchadapter/fields.go
+++ b/internal/benchadapter/fields.go
@@ -5,16 +5,16 @@
 	"flaxshelf.example/flaxshelf/internal/textfields"
 )
 
-// noData is written for an empty value in lines whose values can't be empty.
+// noData represents an empty value in fields that can't be empty.
 const noData = "-"
 
-// fields are those of one line.
+// fields are the fields of a line.
 type fields struct {
 	textfields.Fields
 	names *fleetsettings.Names // of the instance that the line is for
 }
 
-// noNames are those of an instance that has not started.
+// noNames are the names of an instance that has not started.
 var noNames = &fleetsettings.Names{}
 
 func parseFields(line string) *fields { return &fields{Fields: textfields.Parse(line), names: noNames} }
--- a/internal/benchadapter/machines.go
+++ b/internal/benchadapter/machines.go
@@ -8,7 +8,8 @@
 	"flaxshelf.example/flaxshelf/internal/textfields"
 )
 
-// listedMachine is an entry of a list of machines. Its kind is a name, since lists belong to no instance.
+// listedMachine is an entry of a list of machines. It has the name of its kind, since a list is shared by instances, each of
+// which numbers kinds by its own settings.
 type listedMachine struct {
 	machine flaxshelf.Machine
 	kind    string
@@ -19,8 +20,8 @@
 	"IN": flaxshelf.Active, "LAME": flaxshelf.Draining, "OUT": flaxshelf.Removed,
 }
 
-// register reads the list of machines that a REGISTER line announces. It replaces an older one of the same number. The error
-// is io.EOF, not io.ErrUnexpectedEOF, where the input ends between two entries.
+// register reads the list of machines that follows a REGISTER line. It replaces an older list of the same number. The error is
+// io.EOF, not io.ErrUnexpectedEOF, when the input ends between two entries.
 func (r *Reader) register(f *fields) error {
 	page, count := int(f.RequiredInteger("page")), f.Integer("records")
 	var list []listedMachine
@@ -67,7 +68,7 @@
 	return machine
 }
 
-// decodeView decodes a VIEW line: a list of machines that was registered before, or the failure to get one.
+// decodeView decodes a VIEW line: a registered list of machines, or a failure of discovery.
 func (r *Reader) decodeView(f *fields) flaxshelf.Event {
 	form := f.RequiredText("form")
 	switch form {
--- a/internal/benchadapter/reader.go
+++ b/internal/benchadapter/reader.go
@@ -1,5 +1,5 @@
-// Package benchadapter translates between the bench's text protocol and the events and actions of the module. It converts
-// names and units and makes no decision. A Reader and a Writer are each for one goroutine.
+// Package benchadapter translates between the bench's text protocol and the events and actions of the module: names and units.
+// It makes no decision. A Reader or Writer is not safe for concurrent use.
 package benchadapter
 
 import (
@@ -13,17 +13,17 @@
 	"flaxshelf.example/flaxshelf/internal/fleetsettings"
 )
 
-// readBufferBytes is the size of the buffer that a Reader reads into; longer lines are read too.
+// readBufferBytes is the size of a Reader's buffer. Lines may be longer.
 const readBufferBytes = 1 << 20
 
-// Start begins an instance: its seed and configuration.
+// Start is the start of an instance with its seed and configuration.
 type Start struct {
 	Seed   uint64
 	Config flaxshelf.Config
 	names  *fleetsettings.Names
 }
 
-// Item is one thing that happens to an instance: exactly one of Start, Stop and Event is set.
+// Item is an occurrence at an instance. Exactly one of Start, Stop and Event is set.
 type Item struct {
 	Instance int
 	Start    *Start
@@ -31,14 +31,14 @@
 	Event    flaxshelf.Event
 }
 
-// Batch is the content of one FRAME.
+// Batch is the content of a FRAME.
 type Batch struct {
 	Clock  flaxshelf.Time
 	Serial int64
 	Items  []Item
 }
 
-// ProtocolError is malformed input: the serial number of the last batch that began, the field and its value.
+// ProtocolError reports malformed input: the serial number of the current batch, the field and its value.
 type ProtocolError struct {
 	Batch        int64
 	Field, Value string
@@ -48,7 +48,7 @@
 	return fmt.Sprintf("malformed input: batch %d, field %s, value %q", e.Batch, e.Field, e.Value)
 }
 
-// Reader reads batches. It keeps the names of the instances' settings and the lists of machines that were registered.
+// Reader reads batches. It stores the names in the settings of instances, and the registered lists of machines.
 type Reader struct {
 	in     *bufio.Reader
 	names  map[int]*fleetsettings.Names // by instance
@@ -56,13 +56,17 @@
 	serial int64
 }
 
-// NewReader returns a Reader of the input.
+// NewReader returns a Reader of in.
 func NewReader(in io.Reader) *Reader {
-	return &Reader{in: bufio.NewReaderSize(in, readBufferBytes), names: map[int]*fleetsettings.Names{}, pages: map[int][]listedMachine{}}
+	return &Reader{
+		in:    bufio.NewReaderSize(in, readBufferBytes),
+		names: map[int]*fleetsettings.Names{},
+		pages: map[int][]listedMachine{},
+	}
 }
 
-// Next reads one batch. The error is io.EOF when the input ends between batches, io.ErrUnexpectedEOF when it breaks off
-// within one (but see register), and else a ProtocolError or that of the input.
+// Next reads a batch. The error is io.EOF when the input ends between batches, io.ErrUnexpectedEOF when it ends within one (but
+// see register), and otherwise a *ProtocolError or the error of the input.
 func (r *Reader) Next() (*Batch, error) {
 	batch, err := r.begin()
 	if err != nil {
@@ -114,7 +118,7 @@
 	return batch, nil
 }
 
-// line reads one line without its end.
+// line reads a line and returns it without its line break.
 func (r *Reader) line() (string, error) {
 	line, err := r.in.ReadString('\n')
 	if errors.Is(err, io.EOF) && line != "" {
@@ -123,8 +127,8 @@
 	return strings.TrimRight(line, "\r\n"), err
 }
 
-// item decodes a line of a batch, with those that belong to it. ok is false for a line that happens to no instance, or that
-// is of a later version.
+// item decodes a line of a batch, and the following lines that belong to it. ok is false for a line that is not about an
+// instance, and for an unknown message.
 func (r *Reader) item(line string) (item Item, ok bool, err error) {
 	message, rest, _ := strings.Cut(line, " ")
 	f := parseFields(rest)
@@ -147,7 +151,7 @@
 	return item, true, nil
 }
 
-// decodeItem decodes what happens to an instance. It returns false for a message that is not known.
+// decodeItem decodes a message about an instance. It returns false for an unknown message.
 func (r *Reader) decodeItem(message string, f *fields, item *Item) bool {
 	switch message {
 	case "UP":
--- a/internal/benchadapter/reader_test.go
+++ b/internal/benchadapter/reader_test.go
@@ -53,7 +53,7 @@
 	}
 }
 
-// A list takes over the number of an older one in the middle of a batch; unknown messages are skipped.
+// A list replaces an older one of the same number in the middle of a batch; unknown messages are skipped.
 func TestEventsInOrderWithReusedLists(t *testing.T) {
 	text := "FRAME clock_ns=5 serial=1\n" + upLine +
 		"REGISTER page=0 records=1\nM node=n1 shape=k2 readiness=IN az=a pod=2 last_start_ns=4\nVIEW who=3 form=Complete page=0\n" +
@@ -70,20 +70,19 @@
 			Latency: 7, Load: flaxshelf.LoadReport{Present: true, HasCores: true, FreeCores: 3.5}},
 		flaxshelf.UsageReport{Task: "c:1", Machine: "n1", Kind: flaxshelf.ServiceLevel, Amount: 0.5}, nil}
 	if len(items) != len(want) {
-		t.Fatalf("%d items", len(items))
+		t.Fatalf("got %d items, want %d", len(items), len(want))
 	}
 	for i, event := range want {
 		if event != nil && !reflect.DeepEqual(items[i].Event, event) {
-			t.Errorf("item %d: %+v, want %+v", i, items[i].Event, event)
+			t.Errorf("item %d: got %+v, want %+v", i, items[i].Event, event)
 		}
 	}
 	if !items[len(items)-1].Stop {
-		t.Error("no stop")
+		t.Errorf("last item: got %+v, want a stop", items[len(items)-1])
 	}
 }
 
-// Every line that is one event is decoded, with all its fields.
-func TestEvents(t *testing.T) {
+func TestEventsHaveAllFields(t *testing.T) {
 	task := flaxshelf.Task{ID: "t", Key: "k", Service: "s", Class: 1, Cores: 2, Memory: 3, ExpectedRuntime: 4, Deadline: 5, Retry: true, Tenant: -1}
 	taskFields := "tid=t uid=k owner_set=s cores=2 ram_units=3 time_to_run_ns=4 valid_until_ns=5 again=1 priority=c1 client_group=x"
 	for line, want := range map[string]flaxshelf.Event{
@@ -100,12 +99,12 @@
 	} {
 		items := readAll(t, "FRAME clock_ns=5 serial=1\n"+upLine+line+"\nEND\n")[0].Items
 		if len(items) != 2 || items[1].Instance != 3 || !reflect.DeepEqual(items[1].Event, want) {
-			t.Errorf("%s: %+v, want %+v", line, items, want)
+			t.Errorf("%s: got %+v, want %+v", line, items, want)
 		}
 	}
 }
 
-func TestMalformedInput(t *testing.T) {
+func TestMalformedInputIsAProtocolError(t *testing.T) {
 	const frame = "FRAME clock_ns=5 serial=4\n"
 	for line, want := range map[string]ProtocolError{
 		"WAKEUP who=x":                              {4, "who", "x"},
@@ -126,9 +125,9 @@
 			}
 		})
 	}
-	t.Run("input that breaks off", func(t *testing.T) {
+	t.Run("input that ends within a batch", func(t *testing.T) {
 		if _, err := NewReader(strings.NewReader(frame + "WAKEUP who=1\n")).Next(); !errors.Is(err, io.ErrUnexpectedEOF) {
-			t.Error(err)
+			t.Errorf("got %v, want %v", err, io.ErrUnexpectedEOF)
 		}
 	})
 	t.Run("no frame", func(t *testing.T) {
@@ -140,7 +139,7 @@
 	})
 }
 
-// The parser never panics, and what it accepts once it accepts again.
+// The reader never panics, and accepts an input again that it has accepted.
 func FuzzReader(f *testing.F) {
 	f.Add("FRAME clock_ns=5 serial=1\n" + upLine + "REGISTER page=0 records=1\nM node=n1\nVIEW who=3 form=Complete page=0\nEND\n")
 	f.Add("FRAME clock_ns=5 serial=1\nATTEMPT_END who=1 tid=t verdict=0 load=x0:1\nEND\n")
@@ -148,7 +147,7 @@
 		first, errFirst := NewReader(strings.NewReader(text)).Next()
 		second, errSecond := NewReader(strings.NewReader(text)).Next()
 		if (errFirst == nil) != (errSecond == nil) || errFirst == nil && len(first.Items) != len(second.Items) {
-			t.Errorf("read twice: %v, %v", errFirst, errSecond)
+			t.Errorf("second read: got %v, want the same as the first: %v", errSecond, errFirst)
 		}
 	})
 }
--- a/internal/benchadapter/writer.go
+++ b/internal/benchadapter/writer.go
@@ -10,13 +10,13 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-// writeBufferBytes is the size of the buffer in which a reply is collected; longer replies are written in parts.
+// writeBufferBytes is the size of a Writer's buffer. Longer replies are written in parts.
 const writeBufferBytes = 1 << 16
 
-// Writer writes replies: the actions of all instances, then the end.
+// Writer writes replies, each of which has the actions of all instances and an end.
 type Writer struct{ out *bufio.Writer }
 
-// NewWriter returns a Writer to the output.
+// NewWriter returns a Writer to out.
 func NewWriter(out io.Writer) *Writer { return &Writer{bufio.NewWriterSize(out, writeBufferBytes)} }
 
 // Action writes one action of an instance.
@@ -50,19 +50,19 @@
 	return base64.StdEncoding.EncodeToString(data)
 }
 
-// lineBreaks replaces what would end a line.
+// lineBreaks replaces line breaks, which would end a message.
 var lineBreaks = strings.NewReplacer("\n", " ", "\r", " ")
 
-// Bug writes that the code of an instance has panicked.
+// Bug writes that the module has panicked in a step of an instance.
 func (w *Writer) Bug(instance int, text string) {
 	w.printf("BUG who=%d msg=%s\n", instance, lineBreaks.Replace(text))
 }
 
-// End ends the reply to a batch and sends it. The error is the first of any write since the Writer was made.
+// End writes the end of the reply to a batch and flushes it. The error is the first one of any write of the Writer.
 func (w *Writer) End(serial int64) error {
 	w.printf("READY serial=%d\n", serial)
 	return w.out.Flush()
 }
 
-// printf writes formatted text. The buffer keeps the first error and returns it to End.
+// printf writes formatted text. bufio.Writer stores the first error for End.
 func (w *Writer) printf(format string, args ...any) { _, _ = fmt.Fprintf(w.out, format, args...) }
--- a/internal/benchadapter/writer_test.go
+++ b/internal/benchadapter/writer_test.go
@@ -9,7 +9,7 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-func TestActions(t *testing.T) {
+func TestReplyHasActionsInOrder(t *testing.T) {
 	var out bytes.Buffer
 	w := NewWriter(&out)
 	for _, action := range []flaxshelf.Action{
@@ -28,7 +28,7 @@
 		"NOTIFY who=3 addressee=all blob=-\nOBSERVE who=3 want=1\nNOTIFY_ME who=3 span_ns=7 handle=w\n" +
 		"BUG who=3 msg=a b\nREADY serial=8\n"
 	if out.String() != want {
-		t.Errorf("got\n%s", out.String())
+		t.Errorf("got\n%s\nwant\n%s", out.String(), want)
 	}
 }
 
@@ -38,11 +38,11 @@
 
 func (failingWriter) Write([]byte) (int, error) { return 0, errWrite }
 
-// The error of a write within a reply is that of its end.
-func TestWriteError(t *testing.T) {
+// End returns the error of a write within the reply.
+func TestEndReturnsWriteError(t *testing.T) {
 	w := NewWriter(failingWriter{})
 	w.Bug(1, string(make([]byte, 2*writeBufferBytes)))
 	if err := w.End(1); !errors.Is(err, errWrite) {
-		t.Error(err)
+		t.Errorf("got %v, want %v", err, errWrite)
 	}
 }
--- a/internal/front/drmaafront/events_test.go
+++ b/internal/front/drmaafront/events_test.go
@@ -8,18 +8,33 @@
 	"flaxshelf.example/flaxshelf/internal/scheduler"
 )
 
-// A stream goes on behind the last event since this start of the scheduler, and begins anew after one of an earlier start.
-func TestLastEventID(t *testing.T) {
+// A stream resumes after an event of the same incarnation, and begins with all jobs after any other one.
+func TestStreamResumesAfterLastEvent(t *testing.T) {
 	front := newFront(t)
-	for id, want := range map[string]uint64{"": 0, front.incarnation + ".42": 42, "zz.42": 0, front.incarnation + ".x": 0, "42": 0} {
-		watch := request("GET", "/drmaa2/v1/sessions/s/events", "")
-		watch.Fields = []httpcodec.Field{{Name: "last-event-id", Value: id}}
-		if got := front.Route(watch).BuildInput(1, 2).(scheduler.Watch); got.Since != want || got.Stream != 2 {
-			t.Errorf("%q: %+v", id, got)
-		}
+	for _, test := range []struct {
+		name, id string
+		want     uint64
+	}{
+		{"no event", "", 0},
+		{"event of this incarnation", front.incarnation + ".42", 42},
+		{"event of another incarnation", "zz.42", 0},
+		{"invalid position", front.incarnation + ".x", 0},
+		{"no incarnation", "42", 0},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			watch := request("GET", "/drmaa2/v1/sessions/s/events", "")
+			watch.Fields = []httpcodec.Field{{Name: "last-event-id", Value: test.id}}
+			if got := front.Route(watch).BuildInput(1, 2).(scheduler.Watch); got.Since != test.want || got.Stream != 2 {
+				t.Errorf("got %+v, want stream 2 since %d", got, test.want)
+			}
+		})
 	}
+}
+
+func TestEventHasPositionAndJob(t *testing.T) {
+	front := newFront(t)
 	event := string(front.Event(&scheduler.Info{ID: "j", Spec: &scheduler.Spec{}, State: scheduler.Running, Revision: 7}, "7"))
-	if !strings.Contains(event, "id: "+front.incarnation+".7\nevent: job\ndata: {\"jobId\":\"j\"") {
-		t.Errorf("event %q", event)
+	if want := "id: " + front.incarnation + ".7\nevent: job\ndata: {\"jobId\":\"j\""; !strings.Contains(event, want) {
+		t.Errorf("got %q, want it to contain %q", event, want)
 	}
 }
--- a/internal/front/drmaafront/helpers_test.go
+++ b/internal/front/drmaafront/helpers_test.go
@@ -30,7 +30,7 @@
 	return &httpcodec.Request{Method: method, Path: path, Query: query, Body: []byte(body)}
 }
 
-// decodeResponse is the status and error of a call that needs no core; 0 for one that goes to the core.
+// decodeResponse returns the status and error of a call that needs no core; 0 for a call that the core answers.
 func decodeResponse(t *testing.T, call *Call) (status int, responseError drmaa2.Error) {
 	t.Helper()
 	if call.Response == nil {
@@ -43,7 +43,7 @@
 			return
 		}
 		if err := json.Unmarshal(response.Body, &responseError); err != nil {
-			t.Errorf("the error can't be read: %s", response.Body)
+			t.Errorf("body of status %d: got %s, want an error: %v", status, response.Body, err)
 		}
 	}); err != nil {
 		t.Fatal(err)
--- a/internal/front/drmaafront/responses_test.go
+++ b/internal/front/drmaafront/responses_test.go
@@ -17,12 +17,12 @@
 
 const responsesFile = "testdata/responses.golden"
 
-// bootMark marks the IDs of the events of newFront: its start of 5,000 ms in base 36.
-const bootMark = "3uw"
+// incarnation is the prefix of event IDs of newFront: its start at 5,000 ms in base 36.
+const incarnation = "3uw"
 
-var update = flag.Bool("update", false, "write "+responsesFile+" anew; each change of it is a change of the wire")
+var update = flag.Bool("update", false, "overwrite "+responsesFile+"; each change of it is a change of the wire")
 
-// The bytes of the responses, errors and events are those of the file.
+// The bytes of responses, errors and events are those of the golden file.
 func TestResponseBytes(t *testing.T) {
 	got := allResponses(t)
 	if *update {
@@ -38,7 +38,7 @@
 	gotLines, wantLines := strings.Split(string(got), "\n"), strings.Split(string(want), "\n")
 	for i := range max(len(gotLines), len(wantLines)) {
 		if i >= len(gotLines) || i >= len(wantLines) {
-			t.Fatalf("%d lines, want %d", len(gotLines), len(wantLines))
+			t.Fatalf("got %d lines, want %d", len(gotLines), len(wantLines))
 		}
 		if gotLines[i] != wantLines[i] {
 			t.Fatalf("line %d:\ngot  %s\nwant %s", i+1, gotLines[i], wantLines[i])
@@ -46,7 +46,7 @@
 	}
 }
 
-// allResponses has the responses to requests of each kind, quoted, so that each byte shows.
+// allResponses returns the responses to requests of each kind, quoted, so that every byte is visible.
 func allResponses(t *testing.T) []byte {
 	t.Helper()
 	front := newFront(t)
@@ -58,7 +58,7 @@
 	for _, r := range requestsToCore() {
 		call := front.Route(r.request)
 		if call.BuildInput == nil {
-			t.Fatalf("%s: %s", r.name, call.Response)
+			t.Fatalf("%s: got response %s, want an input of the core", r.name, call.Response)
 		}
 		write(fmt.Sprintf("%s stream=%v closes=%v since=%q input=%T", r.name, call.Stream, call.CloseConnection, call.ResumeAfter,
 			call.BuildInput(1, 2)), call.EncodeAnswer(&r.answer))
@@ -87,7 +87,7 @@
 	answer  scheduler.Answer // of the core
 }
 
-// requestsWithoutCore are requests that the front answers alone: the constant resources and all kinds of errors.
+// requestsWithoutCore returns requests that need no core: the constant resources and all kinds of errors.
 func requestsWithoutCore() []namedRequest {
 	var all []namedRequest
 	add := func(method, path, body string) {
@@ -134,7 +134,7 @@
 	return all
 }
 
-// requestsToCore are the requests that go to the core, with answers of all shapes.
+// requestsToCore returns requests that the core answers, with answers of all shapes.
 func requestsToCore() []namedRequest {
 	jobs := scheduler.Answer{Jobs: sampleJobs()}
 	array := scheduler.Answer{Jobs: sampleJobs(), Array: "array", Existing: true}
@@ -170,13 +170,13 @@
 	for _, path := range []string{"/events", "/jobs/j/events", "/sessions/s/events"} {
 		add("GET", path, "", scheduler.Answer{})
 	}
-	last := namedRequest{name: "a stream that goes on", request: request("GET", Prefix+"/events", "")}
-	last.request.Fields = []httpcodec.Field{{Name: "last-event-id", Value: bootMark + ".42-7"}}
+	last := namedRequest{name: "resumed stream", request: request("GET", Prefix+"/events", "")}
+	last.request.Fields = []httpcodec.Field{{Name: "last-event-id", Value: incarnation + ".42-7"}}
 	last.request.Close = true
 	return append(all, last)
 }
 
-// sampleJobs are jobs with all, with no, and with some of their attributes.
+// sampleJobs returns jobs with all, with none, and with some of their attributes.
 func sampleJobs() []scheduler.Info {
 	spec := scheduler.Spec{Key: "key", Session: "session", Name: "name", Owner: "owner", Service: "service", Class: 1,
 		Tenant: 0, Cores: 2.5, Memory: 4, Template: []byte(`{"remoteCommand":"x"}`)}
@@ -191,7 +191,7 @@
 	return []scheduler.Info{ended, {ID: "empty", Spec: &scheduler.Spec{Tenant: -1}}, running, rejected}
 }
 
-// An error of the core comes with its code, and with the time after which to retry.
+// The response to an error of the core has its code and the time after which to retry.
 func TestErrorsOfTheCore(t *testing.T) {
 	front := newFront(t)
 	call := front.Route(request("GET", "/drmaa2/v1/jobs/j", ""))
@@ -199,7 +199,7 @@
 		RetryAfter: 1500 * time.Millisecond}}))
 	for _, want := range []string{"503", "Retry-After: 2", "Flaxshelf-Retry-After-Ms: 1500", `"code":"TryLater"`} {
 		if !strings.Contains(response, want) {
-			t.Errorf("%q lacks %q", response, want)
+			t.Errorf("got %q, want it to contain %q", response, want)
 		}
 	}
 }
--- a/internal/front/drmaafront/routes_test.go
+++ b/internal/front/drmaafront/routes_test.go
@@ -5,13 +5,13 @@
 	"testing"
 )
 
-// Each resource and method has its input of the core, or its error.
+// Each resource and method becomes an input of the core, or is answered with an error.
 func TestRoutes(t *testing.T) {
 	front := newFront(t)
 	for _, test := range []struct {
 		method, path, body string
-		status             int    // 0: to the core
-		input              string // then
+		status             int    // 0: the core answers
+		input              string // of the core
 	}{
 		{"GET", "/drmaa2/v1/info", "", 200, ""},
 		{"GET", "/drmaa2/v1/queues", "", 200, ""},
@@ -41,16 +41,16 @@
 			call := front.Route(request(test.method, test.path, test.body))
 			status, err := decodeResponse(t, call)
 			if status != test.status {
-				t.Fatalf("status %d (%v), want %d", status, err, test.status)
+				t.Fatalf("got status %d (%v), want %d", status, err, test.status)
 			}
 			if status >= 300 && (err.Code == "" || err.Message == "") {
-				t.Error("an error without code or message")
+				t.Errorf("got %+v, want an error with code and message", err)
 			}
 			if call.BuildInput == nil {
 				return
 			}
 			if got := fmt.Sprint(call.BuildInput(1, 1)); got != test.input {
-				t.Errorf("%s, want %s", got, test.input)
+				t.Errorf("got %s, want %s", got, test.input)
 			}
 		})
 	}
--- a/internal/front/drmaafront/template_test.go
+++ b/internal/front/drmaafront/template_test.go
@@ -11,8 +11,8 @@
 	"flaxshelf.example/flaxshelf/internal/scheduler"
 )
 
-// What is wrong with a submission is answered with its code and attribute; nothing is accepted and ignored.
-func TestTemplateErrors(t *testing.T) {
+// An invalid submission is rejected with an error code and the attribute; no member is ignored.
+func TestInvalidSubmissionsAreRejected(t *testing.T) {
 	front := newFront(t)
 	with := func(fields string) string {
 		return `{"template":{"remoteCommand":"x","jobCategory":"batch",` + fields + `}}`
@@ -29,11 +29,11 @@
 		{"not JSON", `{"template":`, drmaa2.InvalidArgument, ""},
 		{"two values", `{"template":{"remoteCommand":"x","jobCategory":"batch"}} {}`, drmaa2.InvalidArgument, ""},
 		{"unknown field", with(`"wings":2`), drmaa2.UnsupportedAttribute, "wings"},
-		{"a time that is none", with(`"startTime":"tomorrow"`), drmaa2.InvalidArgument, "startTime"},
+		{"invalid time", with(`"startTime":"tomorrow"`), drmaa2.InvalidArgument, "startTime"},
 		{"NUL in the command", `{"template":{"remoteCommand":"x\u0000y","jobCategory":"batch"}}`, drmaa2.InvalidArgument, "remoteCommand"},
 		{"NUL in an argument", with(`"args":["a","\u0000"]`), drmaa2.InvalidArgument, "args"},
-		{"a field twice", with(`"jobName":"a","jobName":"b"`), drmaa2.InvalidArgument, "template.jobName"},
-		{"an own attribute twice", with(`"implementationSpecific":{"flaxshelf.key":"a","flaxshelf.key":"b"}`),
+		{"duplicate member", with(`"jobName":"a","jobName":"b"`), drmaa2.InvalidArgument, "template.jobName"},
+		{"duplicate implementation-specific attribute", with(`"implementationSpecific":{"flaxshelf.key":"a","flaxshelf.key":"b"}`),
 			drmaa2.InvalidArgument, "template.implementationSpecific.flaxshelf.key"},
 		{"not UTF-8", "{\"template\":{\"remoteCommand\":\"\xff\"}}", drmaa2.InvalidArgument, ""},
 		{"wrong type", with(`"minSlots":"many"`), drmaa2.InvalidArgument, "minSlots"},
@@ -42,17 +42,17 @@
 		{"unknown class", `{"template":{"remoteCommand":"x","jobCategory":"z"}}`, drmaa2.InvalidArgument, "jobCategory"},
 		{"unknown tenant", with(`"accountingId":"z"`), drmaa2.InvalidArgument, "accountingId"},
 		{"unknown queue", with(`"queueName":"z"`), drmaa2.InvalidArgument, "queueName"},
-		{"negative", with(`"minSlots":-4`), drmaa2.InvalidArgument, "minSlots"},
+		{"negative slots", with(`"minSlots":-4`), drmaa2.InvalidArgument, "minSlots"},
 		{"a range of slots", with(`"minSlots":1,"maxSlots":4`), drmaa2.UnsupportedAttribute, "maxSlots"},
-		{"cores twice", with(`"minSlots":1,"implementationSpecific":{"flaxshelf.cores":"2"}`), drmaa2.InvalidArgument,
+		{"cores by two attributes", with(`"minSlots":1,"implementationSpecific":{"flaxshelf.cores":"2"}`), drmaa2.InvalidArgument,
 			"flaxshelf.cores"},
 		{"NaN", extension("flaxshelf.cores", "NaN"), drmaa2.InvalidArgument, "flaxshelf.cores"},
 		{"infinite", extension("flaxshelf.memory", "Inf"), drmaa2.InvalidArgument, "flaxshelf.memory"},
 		{"zero", extension("flaxshelf.cores", "0"), drmaa2.InvalidArgument, "flaxshelf.cores"},
-		{"negative life", extension("flaxshelf.life", "-1s"), drmaa2.InvalidArgument, "flaxshelf.life"},
+		{"negative expected runtime", extension("flaxshelf.life", "-1s"), drmaa2.InvalidArgument, "flaxshelf.life"},
 		{"key with a space", extension("flaxshelf.key", "a b"), drmaa2.InvalidArgument, "flaxshelf.key"},
 		{"long key", extension("flaxshelf.key", strings.Repeat("k", 257)), drmaa2.InvalidArgument, "flaxshelf.key"},
-		{"unknown of ours", extension("flaxshelf.wings", "2"), drmaa2.UnsupportedAttribute, "flaxshelf.wings"},
+		{"unknown implementation-specific attribute", extension("flaxshelf.wings", "2"), drmaa2.UnsupportedAttribute, "flaxshelf.wings"},
 		{"environment", with(`"jobEnvironment":{"A":"b"}`), drmaa2.UnsupportedAttribute, "jobEnvironment"},
 		{"mail", with(`"email":["a@b"]`), drmaa2.UnsupportedAttribute, "email"},
 		{"priority", with(`"priority":3`), drmaa2.UnsupportedAttribute, "priority"},
@@ -65,14 +65,15 @@
 		t.Run(test.name, func(t *testing.T) {
 			status, err := decodeResponse(t, front.Route(request("POST", "/drmaa2/v1/sessions/s/jobs", test.body)))
 			if status < 400 || err.Code != test.code || err.Attribute != test.attribute {
-				t.Errorf("%d %q %q: %s; want %q %q", status, err.Code, err.Attribute, err.Message, test.code, test.attribute)
+				t.Errorf("got status %d, code %q, attribute %q: %s, want code %q, attribute %q", status, err.Code, err.Attribute,
+					err.Message, test.code, test.attribute)
 			}
 		})
 	}
 }
 
-// A good template arrives at the core with the class's defaults, its own figures, and itself for those who ask.
-func TestTemplateToSpec(t *testing.T) {
+// The spec of a job has the attributes of its template and the defaults of its class.
+func TestTemplateBecomesSpec(t *testing.T) {
 	front := newFront(t)
 	call := front.Route(request("POST", "/drmaa2/v1/sessions/s/jobs", `{"again":true,"template":{"remoteCommand":"x","args":["a"],
 		"jobCategory":"batch","jobName":"n","accountingId":"north","minPhysMemory":3145728,"rerunnable":true,"submitAsHold":true,
@@ -87,11 +88,11 @@
 		ExpectedRuntime: 90 * time.Second, Priority: 2, Rerunnable: true, Hold: true, Retry: true, PlacementTimeout: 7 * time.Second,
 		NotBefore: 9 * time.Second, Deadline: time.Minute}
 	if fmt.Sprintf("%+v", got) != fmt.Sprintf("%+v", want) {
-		t.Errorf("got  %+v\nwant %+v", got, want)
+		t.Errorf("got %+v, want %+v", got, want)
 	}
 }
 
-// An array has the indexes of its range; a range that makes no sense is an error.
+// An array has the indexes of its range. An invalid range is rejected.
 func TestArrayIndexes(t *testing.T) {
 	front := newFront(t)
 	submission := func(bulk string) *httpcodec.Request {
@@ -100,19 +101,19 @@
 	}
 	call := front.Route(submission(`{"beginIndex":2,"endIndex":9,"step":3,"maxParallel":2}`))
 	if got := call.BuildInput(1, 0).(scheduler.Submit); fmt.Sprint(got.Indexes, got.MaxParallel) != "[2 5 8] 2" {
-		t.Errorf("an array of %v, %d at once", got.Indexes, got.MaxParallel)
+		t.Errorf("got indexes %v, %d in parallel, want [2 5 8], 2 in parallel", got.Indexes, got.MaxParallel)
 	}
 	for _, bulk := range []string{`{"beginIndex":0,"endIndex":1,"step":1}`, `{"beginIndex":3,"endIndex":1,"step":1}`,
 		`{"beginIndex":1,"endIndex":1,"step":0}`, `{"beginIndex":1,"endIndex":9000000,"step":1}`} {
 		t.Run(bulk, func(t *testing.T) {
 			if status, _ := decodeResponse(t, front.Route(submission(bulk))); status != 400 {
-				t.Errorf("status %d", status)
+				t.Errorf("got status %d, want 400", status)
 			}
 		})
 	}
 }
 
-// Whatever a client sends as a submission, the front answers or passes on something within bounds.
+// Any submission is rejected, or becomes a spec within the limits.
 func FuzzSubmission(f *testing.F) {
 	front := newFront(f)
 	f.Add([]byte(`{"template":{"remoteCommand":"x","jobCategory":"batch","implementationSpecific":{"flaxshelf.cores":"1e300"}}}`))
@@ -122,14 +123,14 @@
 		call := front.Route(&httpcodec.Request{Method: "POST", Path: "/drmaa2/v1/sessions/s/jobs", Body: body})
 		if call.BuildInput == nil {
 			if len(call.Response) == 0 {
-				t.Error("neither an answer nor an input")
+				t.Error("got neither a response nor an input")
 			}
 			return
 		}
 		spec := call.BuildInput(1, 1).(scheduler.Submit).Spec
 		if !(spec.Cores > 0 && spec.Cores <= 1e9 && spec.Memory > 0) || spec.Class < 0 || spec.ExpectedRuntime < 0 ||
 			spec.PlacementTimeout < 0 {
-			t.Errorf("%s was taken as %+v", body, spec)
+			t.Errorf("%s: got %+v, want a spec within the limits", body, spec)
 		}
 	})
 }
--- a/internal/front/platformfront/config_test.go
+++ b/internal/front/platformfront/config_test.go
@@ -36,11 +36,11 @@
 	return c
 }
 
-// expectEqual reports a value that is not as wanted.
+// expectEqual fails the test if got differs from want.
 func expectEqual(t *testing.T, what string, got, want any) {
 	t.Helper()
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("%s: %+v, want %+v", what, got, want)
+		t.Errorf("%s: got %+v, want %+v", what, got, want)
 	}
 }
 
@@ -52,7 +52,6 @@
 		expectEqual(t, "last sequence", c.LastSequence, uint64(2))
 		expectEqual(t, "limits", c.Limits, Limits{Cores: 0.25, MemoryMB: 64, Sockets: 256})
 	})
-	// The settings mean the same as in the first message of the bench's text protocol.
 	t.Run("module", func(t *testing.T) {
 		expectEqual(t, "index", c.Module.Index, 1)
 		expectEqual(t, "schedulers", c.Module.Schedulers, 3)
@@ -71,7 +70,7 @@
 		expectEqual(t, "idempotency", c.Module.Classes[1].Idempotency, flaxshelf.IdempotentByKey)
 		expectEqual(t, "kind", c.Module.Classes[1].Kind, -1)
 	})
-	// The events up to the start mean the same as those of the control feed.
+	// The events up to the start have the form of the control feed.
 	t.Run("events", func(t *testing.T) {
 		if len(c.InitialEvents) != 2 {
 			t.Fatalf("%+v", c.InitialEvents)
@@ -82,36 +81,36 @@
 	})
 }
 
-// A configuration that can't be used is an error of one line that names the field.
+// The error for an invalid configuration is one line that names the field.
 func TestConfigErrors(t *testing.T) {
-	for _, c := range []struct{ old, replacement, field, value, text string }{
-		{`{"name"`, `{{"name"`, "", "", "platform configuration"},
-		{`"listen":"127.0.0.1:0"`, `"listen":""`, "listen", `""`, "field listen"},
-		{`"feed":"127.0.0.1:1"`, `"feed":""`, "feed", `""`, "field feed"},
-		{`"cores":0.25`, `"cores":0`, "limits.cores", "0", "field limits.cores"},
-		{`"cores":0.25`, `"cores":"many"`, "limits.cores", "", "field limits.cores"},
-		{`"memory_mb":64`, `"memory_mb":-1`, "limits.memory_mb", "-1", "field limits.memory_mb"},
-		{`"sockets":256`, `"sockets":3`, "limits.sockets", "3", "field limits.sockets"},
-		{`"seed":"8c1f30d27a5be964"`, `"seed":"soon"`, "seed", `"soon"`, "field seed"},
-		{`"index":1`, `"index":"x"`, "settings.index", `"x"`, "field settings"},
-		{`"conn_idle_ns":30000000000`, `"conn_idle_ns":"x"`, "settings.caps.conn_idle_ns", "", "conn_idle_ns"},
-		{`"conn_idle_ns":30000000000`, `"conn_idle_ns":-1`, "settings.caps.conn_idle_ns", "-1", "conn_idle_ns"},
-		{`"kinds":["std"]`, `"kinds":["std","std"]`, "settings.kinds[1]", `"std"`, "field settings"},
-		{`"name":"keyed"`, `"name":"batch one"`, "settings.categories[1].name", `"batch one"`, "field settings"},
-		{`"state":"leaving"`, `"state":"odd"`, "known.events[1]", "", "known.events[1]"},
-		{`"settings":{`, `"settings":[],"x":{`, "settings", "", "field settings"},
+	for _, c := range []struct{ name, old, replacement, field, value, text string }{
+		{"not JSON", `{"name"`, `{{"name"`, "", "", "platform configuration"},
+		{"no listen address", `"listen":"127.0.0.1:0"`, `"listen":""`, "listen", `""`, "field listen"},
+		{"no control feed", `"feed":"127.0.0.1:1"`, `"feed":""`, "feed", `""`, "field feed"},
+		{"zero cores", `"cores":0.25`, `"cores":0`, "limits.cores", "0", "field limits.cores"},
+		{"cores of the wrong type", `"cores":0.25`, `"cores":"many"`, "limits.cores", "", "field limits.cores"},
+		{"negative memory", `"memory_mb":64`, `"memory_mb":-1`, "limits.memory_mb", "-1", "field limits.memory_mb"},
+		{"too few sockets", `"sockets":256`, `"sockets":3`, "limits.sockets", "3", "field limits.sockets"},
+		{"seed not hex", `"seed":"8c1f30d27a5be964"`, `"seed":"soon"`, "seed", `"soon"`, "field seed"},
+		{"index not a number", `"index":1`, `"index":"x"`, "settings.index", `"x"`, "field settings"},
+		{"idle timeout of the wrong type", `"conn_idle_ns":30000000000`, `"conn_idle_ns":"x"`, "settings.caps.conn_idle_ns", "", "conn_idle_ns"},
+		{"negative idle timeout", `"conn_idle_ns":30000000000`, `"conn_idle_ns":-1`, "settings.caps.conn_idle_ns", "-1", "conn_idle_ns"},
+		{"repeated kind", `"kinds":["std"]`, `"kinds":["std","std"]`, "settings.kinds[1]", `"std"`, "field settings"},
+		{"repeated class", `"name":"keyed"`, `"name":"batch one"`, "settings.categories[1].name", `"batch one"`, "field settings"},
+		{"invalid event", `"state":"leaving"`, `"state":"odd"`, "known.events[1]", "", "known.events[1]"},
+		{"settings not an object", `"settings":{`, `"settings":[],"x":{`, "settings", "", "field settings"},
 	} {
-		t.Run(c.replacement, func(t *testing.T) {
+		t.Run(c.name, func(t *testing.T) {
 			if !strings.Contains(configText, c.old) {
-				t.Fatalf("the configuration has no %s", c.old)
+				t.Fatalf("configText: got no %s, which this case replaces", c.old)
 			}
 			_, err := ParseConfig([]byte(strings.Replace(configText, c.old, c.replacement, 1)))
 			if err == nil || !strings.Contains(err.Error(), c.text) || strings.Contains(err.Error(), "\n") {
-				t.Errorf("%v, want %s", err, c.text)
+				t.Errorf("got %v, want one line with %s", err, c.text)
 			}
 			var invalid *ConfigError
 			if !errors.Is(err, ErrConfig) || !errors.As(err, &invalid) || invalid.Field != c.field || invalid.Value != c.value {
-				t.Errorf("%#v, want field %q with value %q", err, c.field, c.value)
+				t.Errorf("got %#v, want field %q with value %q", err, c.field, c.value)
 			}
 		})
 	}
@@ -121,14 +120,14 @@
 	path := filepath.Join(t.TempDir(), "scheduler.json")
 	_, err := ReadConfig(path)
 	if !errors.Is(err, ErrConfig) || !errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("no file: %v", err)
+		t.Errorf("missing file: got %v, want %v and %v", err, ErrConfig, fs.ErrNotExist)
 	}
 	if err := os.WriteFile(path, []byte(strings.Replace(configText, `"sockets":256`, `"sockets":3`, 1)), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	var invalid *ConfigError
 	if _, err := ReadConfig(path); !errors.As(err, &invalid) || invalid.Path != path || !strings.Contains(err.Error(), path) {
-		t.Errorf("a bad file: %v", err)
+		t.Errorf("invalid file: got %v, want a ConfigError with path %s", err, path)
 	}
 	if err := os.WriteFile(path, []byte(configText), 0o600); err != nil {
 		t.Fatal(err)
@@ -140,7 +139,7 @@
 	expectEqual(t, "configuration", c, parseConfig(t))
 }
 
-// withKeys returns the JSON text with each of the keys, which are separated by spaces, as write changes it.
+// withKeys returns the JSON text with each of the keys changed by write. keys are separated by spaces.
 func withKeys(text, keys string, write func(string) string) string {
 	for key := range strings.FieldsSeq(keys) {
 		text = strings.ReplaceAll(text, `"`+key+`":`, `"`+write(key)+`":`)
@@ -169,11 +168,11 @@
 			expectEqual(t, "configuration", c, want)
 			c, err = ParseConfig([]byte(withKeys(configText, "caps conn_idle_ns", write)))
 			if err != nil || c.NodeIdleTimeout != 30*time.Second {
-				t.Errorf("idle timeout: %+v, %v", c, err)
+				t.Errorf("idle timeout: got %+v, %v, want 30 s", c, err)
 			}
 			event, err := want.DecodeWatchEvent([]byte(withKeys(eventText, "members servers id state unasked", write)))
 			if err != nil || !event.HasFreeCapacity || event.Update.Endpoints[0].Machine.FreeMemory != 2 {
-				t.Errorf("event: %+v, %v", event, err)
+				t.Errorf("event: got %+v, %v, want one with 2 GiB of free memory", event, err)
 			}
 			object := strings.TrimSuffix(strings.TrimPrefix(settings, `"settings":`), "}")
 			_, names, err := fleetsettings.DecodeJSON(json.RawMessage(withKeys(object, "kinds categories customers name", write)))
--- a/internal/front/platformfront/generated_test.go
+++ b/internal/front/platformfront/generated_test.go
@@ -15,7 +15,7 @@
 	"flaxshelf.example/flaxshelf/internal/requests"
 )
 
-// deployment is a configuration drawn at random, and the names in it.
+// deployment is a random configuration with its names.
 type deployment struct {
 	text              string
 	classes, tenants  []string
@@ -31,7 +31,7 @@
 // generator draws the parts of a deployment.
 type generator struct {
 	*rand.Rand
-	name func(what string, i int) string // makes a name from its number
+	name func(what string, i int) string // returns the name of the class, tenant or kind with the number
 }
 
 func (g *generator) pick(all ...any) any { return all[g.IntN(len(all))] }
@@ -42,7 +42,7 @@
 	return int64(least) + g.Int64N(int64(most-least))
 }
 
-// draw makes a deployment of a kind that no page describes.
+// draw returns a random deployment.
 func draw(g *generator) deployment {
 	d := deployment{specificsPerClass: map[string][]any{}}
 	g.drawClasses(&d)
@@ -102,7 +102,7 @@
 		"prices": map[string]any{"moves": g.Float64() / 4, "fleet": g.Float64() / 4, "cross_zone": g.Float64() / 10}}
 }
 
-// initialEvent is an event of the control feed with three nodes of each kind.
+// initialEvent returns an event of the control feed with three nodes of each kind.
 func (d *deployment) initialEvent(withFreeCapacity bool) map[string]any {
 	var servers []map[string]any
 	for i := range 3 * len(d.kinds) {
@@ -116,7 +116,7 @@
 	return map[string]any{"n": 1, "members": map[string]any{"version": 1, "full": true, "servers": servers}}
 }
 
-// session plays set-ups on the core of a deployment and collects its effects, in which classes have the names of plain.
+// session submits set-ups to the core of a deployment and collects its effects, with the class names of plain.
 type session struct {
 	config            *Config
 	core              *requests.Core
@@ -142,7 +142,7 @@
 		now: 1_000_000 * time.Second}
 }
 
-// step gives the core its inputs and the answers of nodes to what follows from them.
+// step gives the core inputs, and the answers of nodes to their effects.
 func (s *session) step(inputs ...requests.Input) {
 	effects, _ := s.core.Step(s.now, inputs)
 	effects = slices.Clone(effects)
@@ -162,7 +162,7 @@
 	}
 }
 
-// answer is what a node does on an effect; every third offer is rejected. It is nil where the node does nothing.
+// answer returns the answer of a node to an effect, or nil. On average, every third offer is rejected.
 func (s *session) answer(e requests.Effect) requests.Input {
 	switch e := e.(type) {
 	case requests.Dial:
@@ -176,7 +176,7 @@
 	return nil
 }
 
-// setUp is the i-th set-up.
+// setUp returns the i-th set-up message.
 func (s *session) setUp(i int) *ownerjson.Message {
 	d := s.deployment
 	class, kind := i%len(d.classes), s.rng.IntN(len(d.kinds))
@@ -192,7 +192,7 @@
 	return m
 }
 
-// play plays eight set-ups of each class and returns all effects.
+// play submits eight set-ups of each class and returns all effects.
 func play(t *testing.T, d, plain *deployment, seed uint64) []requests.Effect {
 	t.Helper()
 	s := newSession(t, d, plain, seed)
@@ -213,8 +213,8 @@
 	return ok
 }
 
-// Deployments that nobody has described can be configured and serve set-ups; and with other names for classes, tenants and
-// kinds, unusual ones among them, every decision stays as it was.
+// Generated deployments can be configured and serve set-ups. Their decisions don't depend on the names of classes, tenants and
+// kinds, even unusual ones.
 func TestGeneratedDeployments(t *testing.T) {
 	plainName := func(what string, i int) string { return fmt.Sprint(what, i) }
 	unusualName := func(what string, i int) string {
@@ -225,10 +225,10 @@
 		unusual := draw(&generator{rand.New(rand.NewPCG(seed, 5)), unusualName})
 		want, got := play(t, &plain, &plain, seed), play(t, &unusual, &plain, seed)
 		if !reflect.DeepEqual(want, got) {
-			t.Fatalf("seed %d: other names, other decisions: %d effects, %d before", seed, len(got), len(want))
+			t.Fatalf("seed %d: got %d effects with unusual names, want the same %d as with plain ones", seed, len(got), len(want))
 		}
 		if !slices.ContainsFunc(want, isOffer) {
-			t.Errorf("seed %d: nothing was offered", seed)
+			t.Errorf("seed %d: got no offer, want some", seed)
 		}
 	}
 }
--- a/internal/front/platformfront/node_test.go
+++ b/internal/front/platformfront/node_test.go
@@ -26,32 +26,32 @@
 			requests.NodeMessage{Link: 4, Task: id, Kind: requests.NodeUsage, Cause: -1, UsageKind: flaxshelf.ServiceLevel, Amount: 0.5}},
 		"running, without an amount": {nodebinary.Message{Type: nodebinary.Note, Cause: nodebinary.NoCause, Token: "up"},
 			requests.NodeMessage{Link: 4, Task: id, Kind: requests.NodeUsage, Cause: -1, UsageKind: flaxshelf.TaskRunning}},
-		"amount is no number":    {nodebinary.Message{Type: nodebinary.Note, Cause: nodebinary.NoCause, Token: "share", Value: "nan"}, nil},
-		"amount out of range":    {nodebinary.Message{Type: nodebinary.Note, Cause: nodebinary.NoCause, Token: "share", Value: "1e999"}, nil},
-		"quantity of the future": {nodebinary.Message{Type: nodebinary.Note, Cause: nodebinary.NoCause, Token: "mood"}, nil},
-		"progress":               {nodebinary.Message{Type: nodebinary.Progress, Cause: nodebinary.NoCause}, nil},
+		"amount is no number": {nodebinary.Message{Type: nodebinary.Note, Cause: nodebinary.NoCause, Token: "share", Value: "nan"}, nil},
+		"amount out of range": {nodebinary.Message{Type: nodebinary.Note, Cause: nodebinary.NoCause, Token: "share", Value: "1e999"}, nil},
+		"unknown quantity":    {nodebinary.Message{Type: nodebinary.Note, Cause: nodebinary.NoCause, Token: "mood"}, nil},
+		"progress":            {nodebinary.Message{Type: nodebinary.Progress, Cause: nodebinary.NoCause}, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c.message.Task = 0xff
 			if got, err := DecodeNodeMessage(4, &c.message); err != nil || got != c.want {
-				t.Errorf("%+v, %v, want %+v", got, err, c.want)
+				t.Errorf("got %+v, %v, want %+v", got, err, c.want)
 			}
 		})
 	}
 }
 
-func TestDecodeNodeMessageRejects(t *testing.T) {
+func TestIncompleteNodeMessagesAreRejected(t *testing.T) {
 	for name, m := range map[string]nodebinary.Message{
 		"an answer without a description": {Type: nodebinary.Answer, Cause: nodebinary.NoCause},
 		"a release without a cause":       {Type: nodebinary.Release, Cause: nodebinary.NoCause},
 	} {
 		if got, err := DecodeNodeMessage(4, &m); !errors.Is(err, nodebinary.ErrMalformed) {
-			t.Errorf("%s was decoded as %+v, %v", name, got, err)
+			t.Errorf("%s: got %+v, %v, want %v", name, got, err, nodebinary.ErrMalformed)
 		}
 	}
 }
 
-// A set-up reaches a node as the owner sent it, with nothing that the platform does not name.
+// An offer has the fields that the owner sent, and no others.
 func TestEncodeOffer(t *testing.T) {
 	encoded, err := EncodeOffer(nil, &requests.Offer{Link: 4, Task: "00000000000000ff", Class: "batch", Key: "k", IdempotencyKey: "i",
 		Description: "d\r\n", TimeLeft: 1500*time.Millisecond + 1})
@@ -62,7 +62,7 @@
 	want := nodebinary.Message{Type: nodebinary.SetUp, Task: 0xff, Cause: nodebinary.NoCause, Class: "batch", TimeLeft: "1500", Key: "k",
 		IdempotencyKey: "i", Description: "d\r\n", Described: true}
 	if err != nil || used != len(encoded) || got != want {
-		t.Errorf("%+v, %v", got, err)
+		t.Errorf("got %+v, %v, want %+v", got, err, want)
 	}
 }
 
--- a/internal/front/platformfront/owner_test.go
+++ b/internal/front/platformfront/owner_test.go
@@ -23,7 +23,7 @@
 	t.Helper()
 	m, _, err := ownerjson.Next([]byte(line))
 	if err != nil || m == nil {
-		t.Fatalf("%s: %v", line, err)
+		t.Fatalf("%s: got %v, %v, want a message", line, m, err)
 	}
 	return c.DecodeOwnerMessage(3, 10*time.Second, m)
 }
@@ -33,30 +33,29 @@
 	want := requests.Submit{Conn: 3, Class: "keyed", IdempotencyKey: "5c0f", Description: "d", Task: flaxshelf.Task{ID: "9b1f03aa5c7e2d41",
 		Key: "7f3a", Service: "00b4", Class: 1, Tenant: -1, Cores: 1, Memory: 2.5, Deadline: 11500 * time.Millisecond}}
 	if err != nil || got != requests.Input(want) {
-		t.Errorf("%+v, %v", got, err)
+		t.Errorf("got %+v, %v, want %+v", got, err, want)
 	}
 }
 
 func TestDecodeAdoption(t *testing.T) {
 	got, err := decodeOwnerLine(t, parseConfig(t), setUpLine("batch_one", "", "7f3a", "", goodExtras+";at:s-1"))
 	if adopt, ok := got.(requests.Adopt); err != nil || !ok || adopt.Node != "s-1" || adopt.Conn != 3 {
-		t.Errorf("%+v, %v", got, err)
+		t.Errorf("got %+v, %v, want the adoption of a task on s-1 by connection 3", got, err)
 	}
 }
 
-// A hint of the run time that makes no sense is as good as none.
-func TestDecodeRuntimeHint(t *testing.T) {
+func TestInvalidRuntimeHintIsIgnored(t *testing.T) {
 	for text, want := range map[string]time.Duration{
 		"": 0, "1.5": 1500 * time.Microsecond, "0": 0, "-1": 0, "nan": 0, "soon": 0, "inf": 0, "86400000": 0,
 	} {
 		if got := decodeRuntimeHint(text); got != want {
-			t.Errorf("%q: %v, want %v", text, got, want)
+			t.Errorf("%q: got %v, want %v", text, got, want)
 		}
 	}
 }
 
-// What a node could not use is rejected before it reaches one.
-func TestRejectedSetUps(t *testing.T) {
+// A set-up that is invalid for nodes is rejected before it is offered to one.
+func TestInvalidSetUpsAreRejected(t *testing.T) {
 	c := parseConfig(t)
 	for name, test := range map[string]struct{ line, field string }{
 		"unknown class":             {setUpLine("odd", "1500", "k", "i", goodExtras), "class"},
@@ -86,7 +85,7 @@
 			input, err := decodeOwnerLine(t, c, test.line)
 			var invalid *OwnerMessageError
 			if !errors.As(err, &invalid) || invalid.Field != test.field || invalid.Task != "9b1f03aa5c7e2d41" {
-				t.Errorf("%s was decoded as %+v, %v, want an error of field %s", test.line, input, err, test.field)
+				t.Errorf("%s: got %+v, %v, want an error of field %s", test.line, input, err, test.field)
 			}
 		})
 	}
@@ -99,19 +98,19 @@
 		"ping": requests.Ping{Conn: 3, Task: "9b1f03aa5c7e2d41"}, "progress": nil, "released": nil,
 	} {
 		if got, err := decodeOwnerLine(t, c, `{"type":"`+kind+`","id":"9b1f03aa5c7e2d41"}`+"\n"); err != nil || got != want {
-			t.Errorf("%s: %+v, %v", kind, got, err)
+			t.Errorf("%s: got %+v, %v, want %+v", kind, got, err, want)
 		}
 	}
 }
 
-// The end of a task is a release with its cause, but for one that migrates.
+// The end of a task is a release with its cause; a task that migrates gets a move.
 func TestEncodeTerminated(t *testing.T) {
 	for want, e := range map[string]requests.Terminated{
 		`{"type":"release","id":"0000000000000007","fields":{},"cause":31}`: {Task: "0000000000000007", Cause: 31},
 		`{"type":"move","id":"0000000000000007","fields":{}}`:               {Task: "0000000000000007", Migrate: true},
 	} {
 		if got, err := EncodeTerminated(nil, &e); err != nil || string(got) != want+"\n" {
-			t.Errorf("%s, %v, want %s", got, err, want)
+			t.Errorf("got %s, %v, want %s", got, err, want)
 		}
 	}
 }
--- a/internal/front/platformfront/watch_test.go
+++ b/internal/front/platformfront/watch_test.go
@@ -12,7 +12,7 @@
 	"flaxshelf.example/flaxshelf/internal/requests"
 )
 
-func TestDecodeWatchEventErrors(t *testing.T) {
+func TestInvalidWatchEventsNameTheField(t *testing.T) {
 	c := parseConfig(t)
 	for name, test := range map[string]struct{ data, field, value string }{
 		"not JSON":      {`{"n":`, "", ""},
@@ -23,7 +23,7 @@
 			event, err := c.DecodeWatchEvent([]byte(test.data))
 			var invalid *WatchEventError
 			if !errors.As(err, &invalid) || invalid.Field != test.field || invalid.Value != test.value {
-				t.Errorf("%+v, %v, want field %s with value %q", event, err, test.field, test.value)
+				t.Errorf("got %+v, %v, want an error of field %s with value %q", event, err, test.field, test.value)
 			}
 		})
 	}
@@ -33,7 +33,7 @@
 	return flaxshelf.Machine{ID: id, State: state}
 }
 
-// watchEvent is an event whose machines have the same address.
+// watchEvent returns an event whose machines all have the same address.
 func watchEvent(complete bool, addr string, machines ...flaxshelf.Machine) WatchEvent {
 	event := WatchEvent{Update: requests.NodesUpdated{Complete: complete}}
 	for _, machine := range machines {
@@ -42,11 +42,11 @@
 	return event
 }
 
-// Consecutive updates become one: the last state of each node, nothing from before a complete list.
+// Consecutive updates become one with the last state of each node, without those before a complete list.
 func TestMergeUpdates(t *testing.T) {
 	t.Run("no nodes", func(t *testing.T) {
 		if got, ok := MergeUpdates([]WatchEvent{{Sequence: 1}}); ok {
-			t.Errorf("an event without nodes became %+v", got)
+			t.Errorf("got %+v, want no update", got)
 		}
 	})
 	t.Run("complete list", func(t *testing.T) {
@@ -57,7 +57,7 @@
 			watchEvent(false, "z", machine("a", flaxshelf.Removed)),
 		})
 		if !ok {
-			t.Fatal("no update")
+			t.Fatal("got no update, want one")
 		}
 		expectEqual(t, "update", got, requests.NodesUpdated{Complete: true, Endpoints: []requests.Endpoint{
 			{Machine: machine("a", flaxshelf.Removed), Addr: "z"},
@@ -67,7 +67,7 @@
 	})
 	t.Run("partial update", func(t *testing.T) {
 		if got, _ := MergeUpdates([]WatchEvent{watchEvent(false, "w", machine("z", flaxshelf.Active))}); got.Complete {
-			t.Error("a partial update became a complete list")
+			t.Errorf("got %+v, want a partial update", got)
 		}
 	})
 }
