--- a/internal/settings/errors.go
+++ b/internal/settings/errors.go
@@ -7,16 +7,16 @@
 	"strings"
 )
 
-// ConfigError is one field of a file that can't be used. Match it with errors.As.
+// ConfigError reports an invalid field of a file.
 type ConfigError struct {
 	File         string
-	Line, Column int    // counted from 1; 0 where the place in the file is not known
-	Field        string // path, as "classes[2].kind", in errors of the schema "classes.2.kind"; empty: the whole file
-	Value        string // value of the field as the file writes it; empty where it has none, and in errors within schema lists
-	Reason       string // what is wrong and what was expected
+	Line, Column int    // from 1; 0 if the position in the file is not known
+	Field        string // path such as "classes[2].kind", in errors of the schema "classes.2.kind"; empty: the whole file
+	Value        string // as the file writes it; empty if the field has none, and in errors of the schema within lists
+	Reason       string // what is invalid and what was expected
 }
 
-// Error is the place in the file, the field and the reason, in one line.
+// Error returns the position in the file, the field and the reason, in one line.
 func (e ConfigError) Error() string {
 	place := placeText(e.File, e.Line, e.Column)
 	if e.Field != "" {
@@ -25,7 +25,7 @@
 	return place + ": " + e.Reason
 }
 
-// placeText returns file:line:column, or the file alone where the line is 0.
+// placeText returns file:line:column, or the file alone if line is 0.
 func placeText(file string, line, column int) string {
 	if line == 0 {
 		return file
@@ -33,11 +33,11 @@
 	return fmt.Sprintf("%s:%d:%d", file, line, column)
 }
 
-// ConfigErrors are all errors of one file, in the order of the file. Errors of this package are ConfigErrors where the
-// content of a file is wrong, and errors of reading it otherwise; match them with errors.As.
+// ConfigErrors are all errors of a file in the order of their lines. An error of this package is ConfigErrors if the content of
+// a file is invalid; otherwise the file could not be read.
 type ConfigErrors []ConfigError
 
-// Error is a line for each error.
+// Error returns a line for each error.
 func (e ConfigErrors) Error() string {
 	lines := make([]string, len(e))
 	for i := range e {
@@ -46,7 +46,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Unwrap is each error on its own, for errors.As.
+// Unwrap returns the errors, for errors.As.
 func (e ConfigErrors) Unwrap() []error {
 	errs := make([]error, len(e))
 	for i := range e {
--- a/internal/settings/file.go
+++ b/internal/settings/file.go
@@ -17,20 +17,20 @@
 //go:embed schema.cue
 var schema string
 
-// Schema is the text of the schema, as `flaxshelf config schema` prints it.
+// Schema returns the text of the schema.
 func Schema() string { return schema }
 
-// File is a configuration that has been read, with the places of its fields. It collects the errors that are found in
-// it, and may be used by one goroutine at a time.
+// File is a configuration file with the positions of its fields. It collects the errors that are found in it. It is not safe
+// for concurrent use.
 type File struct {
 	name   string
-	own    cue.Value // the text alone
+	own    cue.Value // the text without the record
 	value  cue.Value // the text unified with the record
 	errors ConfigErrors
 }
 
-// Read reads text as the given record of the schema, such as "#Scheduler". The caller may extend the schema by CUE text of
-// its own. The name is that of the file in errors. Errors of the text are ConfigErrors.
+// Read reads text as the given record of the schema, such as "#Scheduler". extraSchema is CUE text that extends the schema.
+// name is the name of the file in errors. Errors of the text are ConfigErrors.
 func Read(name string, text []byte, record, extraSchema string) (*File, error) {
 	ctx := cuecontext.New()
 	base := ctx.CompileString(schema+extraSchema, cue.Filename("schema"))
@@ -53,7 +53,7 @@
 	return f, nil
 }
 
-// ReadFile is Read of the file at a path. An error of reading the file wraps that of the os package.
+// ReadFile is Read of the file at path. It wraps an error of the os package if the file can't be read.
 func ReadFile(path, record, extraSchema string) (*File, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -62,8 +62,8 @@
 	return Read(path, text, record, extraSchema)
 }
 
-// validateFields validates the record's fields one by one, since one error of CUE hides others: an unknown field hides
-// those that are missing.
+// validateFields validates the record's fields one by one, since an error of CUE hides others: an unknown field hides missing
+// ones.
 func (f *File) validateFields(definition, own cue.Value) {
 	if fields, err := own.Fields(); err == nil {
 		for fields.Next() {
@@ -84,7 +84,7 @@
 	}
 }
 
-// Decode fills a Go value whose JSON tags are the keys of the record.
+// Decode stores the values of the record in the Go value that into points to, by its JSON tags.
 func (f *File) Decode(into any) error {
 	if err := f.value.Decode(into); err != nil {
 		f.addCUE(err)
@@ -93,7 +93,7 @@
 	return nil
 }
 
-// addCUE adds the errors of CUE, each at its place in the user's file if there is one.
+// addCUE adds the errors of CUE with their positions in the user's file.
 func (f *File) addCUE(err error) {
 	for _, cueErr := range cueerrors.Errors(err) {
 		message, args := cueErr.Msg()
@@ -105,7 +105,7 @@
 	}
 }
 
-// add adds an error once, at the first of the places that is in the user's file.
+// add adds an error at the first of the positions that is in the user's file. It drops repeated errors.
 func (f *File) add(e ConfigError, places ...token.Pos) {
 	e.File = f.name
 	e.Value = f.valueText(e.Field)
@@ -120,7 +120,7 @@
 	}
 }
 
-// valueText is the value of a field as the file writes it, else its default; empty for a field without a value.
+// valueText returns the value of a field as the file writes it, or its default. It is empty for a field without a value.
 func (f *File) valueText(field string) string {
 	path := cue.ParsePath(field)
 	if field == "" || path.Err() != nil {
@@ -140,8 +140,8 @@
 
 func (f *File) contains(place token.Pos) bool { return place.IsValid() && place.Filename() == f.name }
 
-// readableErrors leaves out what CUE reports of its own evaluation where it has also reported what was expected, and
-// sorts the rest by line.
+// readableErrors returns the errors in the order of their lines, without those of CUE's evaluation if another error says what
+// was expected of the field.
 func (f *File) readableErrors() ConfigErrors {
 	hasExpectation := map[string]bool{}
 	for _, e := range f.errors {
@@ -162,7 +162,7 @@
 	return readable
 }
 
-// Fail adds an error of a field, as "classes[2].kind", at its place in the file. Err returns what has been added.
+// Fail adds an error of a field, such as "classes[2].kind", with its position in the file. Err returns all errors.
 func (f *File) Fail(field, reason string, args ...any) {
 	e := ConfigError{File: f.name, Field: field, Value: f.valueText(field), Reason: fmt.Sprintf(reason, args...)}
 	if place := f.place(field); place.IsValid() {
@@ -194,7 +194,7 @@
 	return nil
 }
 
-// Err is the ConfigErrors that Fail has added so far, in the order of the file, or nil.
+// Err returns the errors that Fail has added as ConfigErrors in the order of their lines, or nil.
 func (f *File) Err() error {
 	if len(f.errors) == 0 {
 		return nil
@@ -203,12 +203,12 @@
 	return f.errors
 }
 
-// elementField is the path of a field of a list's element, as "classes[2].kind".
+// elementField returns the path of a field of a list's element, such as "classes[2].kind".
 func elementField(list string, index int, field string) string {
 	return fmt.Sprintf("%s[%d].%s", list, index, field)
 }
 
-// failRepeatedNames adds an error for each element of a list whose name an earlier one has.
+// failRepeatedNames adds an error for each element of a list with the same name as an earlier one.
 func failRepeatedNames[T any](f *File, list string, elements []T, name func(*T) string) {
 	seen := map[string]bool{}
 	for i := range elements {
--- a/internal/settings/fleet.go
+++ b/internal/settings/fleet.go
@@ -1,16 +1,16 @@
 package settings
 
-// Node is the record #Node: one node of the fleet that stands in for a cluster.
+// Node is the record #Node: a node of the stand-in fleet.
 type Node struct {
 	Name          string `json:"name"`
 	Kind          string `json:"kind"` // name of its Kind
 	Zone          string `json:"zone"`
 	ListenAddress string `json:"listen"` // host:port
 	Cell          int    `json:"cell"`
-	Warm          bool   `json:"warm"` // is past its slow start
+	Warm          bool   `json:"warm"` // its slow start is over
 }
 
-// Behaviour is the record #Behaviour: how the nodes of a fleet behave.
+// Behaviour is the record #Behaviour: the behaviour of stand-in nodes.
 type Behaviour struct {
 	OfferReviewTime        Duration   `json:"Look"`           // to decide on an offer; one at a time
 	CachedStartTime        Duration   `json:"StartWork"`      // of a start whose program is cached
@@ -28,7 +28,7 @@
 	SendsLoadReports       bool       `json:"Reports"`        // answers carry the node's load
 }
 
-// Fleet is the record #Fleet: an inventory and nodes that stand in for a cluster.
+// Fleet is the record #Fleet: a stand-in cluster of an inventory and nodes.
 type Fleet struct {
 	InventoryAddress string    `json:"inventory"` // host:port
 	LogLevel         string    `json:"log"`       // debug, info, warn or error
@@ -41,7 +41,7 @@
 	Seed             uint64    `json:"seed"` // of the random numbers
 }
 
-// ReadFleet reads the configuration of a fleet. Errors are ConfigErrors, or of reading the file.
+// ReadFleet reads the configuration of a fleet from a file. The error is ConfigErrors if the content is invalid.
 func ReadFleet(path string) (*Fleet, error) {
 	f, err := ReadFile(path, "#Fleet", "")
 	if err != nil {
@@ -50,7 +50,7 @@
 	return f.fleet()
 }
 
-// ParseFleet is ReadFleet of text; errors name it as the file.
+// ParseFleet is ReadFleet of text. name is the name of the file in errors.
 func ParseFleet(name string, text []byte) (*Fleet, error) {
 	f, err := Read(name, text, "#Fleet", "")
 	if err != nil {
@@ -76,9 +76,9 @@
 	return fleet, f.Err()
 }
 
-// failUsageRange adds an error for a range of usage, as fractions of what a task requests, that doesn't rise from 0 or more.
+// failUsageRange adds an error for an invalid range of usage, in fractions of what a task requests.
 func (f *File) failUsageRange(field string, bounds [2]float64) {
 	if bounds[0] < 0 || bounds[1] < bounds[0] {
-		f.Fail(field, "is %v, expected two rising shares", bounds)
+		f.Fail(field, "is %v, expected two rising fractions, from 0", bounds)
 	}
 }
--- a/internal/settings/module.go
+++ b/internal/settings/module.go
@@ -7,7 +7,7 @@
 	"flaxshelf.example/flaxshelf/internal/scheduler"
 )
 
-// discoveryPollDeadline is how long the module waits for an answer of the inventory before it polls again.
+// discoveryPollDeadline is the time after which the module polls the inventory again if it has not answered.
 const discoveryPollDeadline = 10 * time.Second
 
 // topologyDomains are the module's values for the settings `group` and `spread`.
@@ -24,13 +24,13 @@
 	return idempotencies[CurrentIdempotency(c.Idempotency)]
 }
 
-// ModuleKeyDomain is the module's value for the domain in which copies of a key are dropped.
+// ModuleKeyDomain returns the module's value for the domain in which copies of a key are dropped.
 func (c *Class) ModuleKeyDomain() flaxshelf.TopologyDomain { return topologyDomains[c.KeyDomain] }
 
-// ModuleSpreadDomain is the module's value for the domain over which the class is spread.
+// ModuleSpreadDomain returns the module's value for the domain over which the class is spread.
 func (c *Class) ModuleSpreadDomain() flaxshelf.TopologyDomain { return topologyDomains[c.SpreadDomain] }
 
-// ModuleConfig is the module's configuration.
+// ModuleConfig returns the module's configuration.
 func (s *Scheduler) ModuleConfig() flaxshelf.Config {
 	r := &s.Rules
 	c := flaxshelf.Config{
@@ -89,8 +89,8 @@
 	}
 }
 
-// CoreConfig is the configuration of the scheduler's core for an incarnation that starts at the given time, which also
-// seeds its random numbers where the settings name no seed.
+// CoreConfig returns the configuration of the scheduler's core for an incarnation that starts at the given time. That time is
+// the seed of its random numbers if the settings have no seed.
 func (s *Scheduler) CoreConfig(startedAt flaxshelf.Time) scheduler.Config {
 	l := &s.Limits
 	c := scheduler.Config{
--- a/internal/settings/scheduler.go
+++ b/internal/settings/scheduler.go
@@ -28,7 +28,7 @@
 	Memory float64 `json:"Memory"` // in GiB
 }
 
-// Tenant is the record #Tenant: who pays for jobs.
+// Tenant is the record #Tenant: a customer whose jobs share a quota.
 type Tenant struct {
 	Name           string  `json:"Name"`
 	QuotaFraction  float64 `json:"Share"`      // of the fleet
@@ -36,36 +36,36 @@
 	QuotaCores     float64 `json:"QuotaCores"` // over all schedulers; 0: no limit
 }
 
-// Rules is the record #Rules: the figures that schedulers, nodes and checkers of one deployment share.
+// Rules is the record #Rules: settings that the schedulers, nodes and checkers of a deployment share.
 type Rules struct {
-	CoreOvercommit    float64  `json:"AcceptCores"`  // nodes accept until their tasks request this multiple of their cores
+	CoreOvercommit    float64  `json:"AcceptCores"`  // multiple of its cores that the tasks of a node may request
 	MemoryOvercommit  float64  `json:"AcceptMemory"` // the same for memory
 	Preempts          bool     `json:"Preempts"`     // nodes evict lower priorities for higher ones
-	DrainGrace        Duration `json:"DrainGrace"`   // after a node starts to drain, in which it may still receive offers
-	AnswerSlack       Duration `json:"AnswerSlack"`  // allowed beyond a deadline for an answer on its way
-	SlowStartDuration Duration `json:"ColdFor"`      // after which a node is warm at the latest
+	DrainGrace        Duration `json:"DrainGrace"`   // for which a draining node may still receive offers
+	AnswerSlack       Duration `json:"AnswerSlack"`  // allowed after a deadline for the transmission of the answer
+	SlowStartDuration Duration `json:"ColdFor"`      // maximum length of a node's slow start
 	OverloadWindow    Duration `json:"FallWindow"`   // in which offers to a node in slow start are counted
-	SettleTime        Duration `json:"Settle"`       // for an attempt of unknown outcome before its job may start anew
+	SettleTime        Duration `json:"Settle"`       // before a job may restart after an attempt of unknown outcome
 	MaxAttempts       int      `json:"MaxAttempts"`  // of a placement request
-	SlowStartBudget   float64  `json:"ColdOffers"`   // offers within OverloadWindow that each node withstands
+	SlowStartBudget   float64  `json:"ColdOffers"`   // offers within OverloadWindow that never overload a node
 }
 
-// Limits is the record #Limits: what one scheduler holds at most, and for how long.
+// Limits is the record #Limits: the resources and timeouts of a scheduler.
 type Limits struct {
-	MaxPending          int      `json:"MaxOpen"`     // jobs without an outcome
-	MaxRunning          int      `json:"MaxJobs"`     // jobs that run
-	MaxFinished         int      `json:"MaxFinished"` // ended jobs that are retained for their owners
+	MaxPending          int      `json:"MaxOpen"`     // jobs whose placement request has no outcome
+	MaxRunning          int      `json:"MaxJobs"`     // running jobs
+	MaxFinished         int      `json:"MaxFinished"` // ended jobs that are retained for queries
 	MaxSessions         int      `json:"MaxSessions"`
 	MaxConnections      int      `json:"Connections"` // of clients
 	MaxClientWriteQueue int      `json:"ClientOut"`   // bytes queued for a client that does not read
 	MaxNodeWriteQueue   int      `json:"NodeOut"`     // bytes queued for a node that does not read
 	Retention           Duration `json:"Retention"`   // of ended jobs
-	IdleTimeout         Duration `json:"Idle"`        // a client that sends nothing for so long is disconnected
-	RequestTimeout      Duration `json:"Request"`     // within which a request is complete
+	IdleTimeout         Duration `json:"Idle"`        // after which a client without traffic is disconnected
+	RequestTimeout      Duration `json:"Request"`     // for all bytes of a request to arrive
 	ShutdownTimeout     Duration `json:"StopWithin"`  // of a graceful shutdown
 }
 
-// Scheduler is the record #Scheduler: the configuration of one daemon.
+// Scheduler is the record #Scheduler: the configuration of a daemon.
 type Scheduler struct {
 	Name              string   `json:"name"`
 	ListenAddress     string   `json:"listen"`    // host:port for clients
@@ -76,15 +76,15 @@
 	ModuleRecording   string   `json:"moduleRecording"` // file that each step of the module is recorded to; empty: none
 	Index             int      `json:"index"`           // of this scheduler, from 0 to Schedulers-1
 	Schedulers        int      `json:"schedulers"`      // in the deployment
-	Shards            int      `json:"cores"`           // that decide, each as a scheduler of its own to the module
+	Shards            int      `json:"cores"`           // each with a core and a module of its own
 	Seed              uint64   `json:"seed"`            // of the random numbers; 0: from the time of the start
-	Tick              Duration `json:"tick"`            // least time between two steps of the module
+	Tick              Duration `json:"tick"`            // minimum time between two steps of the module
 	ConnectTimeout    Duration `json:"connect"`         // of a connection to a node
 	ListsFreeCapacity bool     `json:"listsFree"`       // the inventory lists free cores and memory
 	PlacedWhenRunning bool     `json:"runsWhenPlaced"`  // a job is placed when it runs, not when a node accepts it
-	OverQuotaWeight   float64  `json:"overShareWorth"`  // of a job beyond its tenant's quota, as a fraction of PriorityWeight
-	CrossZonePrice    float64  `json:"crossZone"`       // points that a placement in another zone costs
-	FleetPrice        float64  `json:"fleetPrice"`      // price, in points, of the machines in use
+	OverQuotaWeight   float64  `json:"overShareWorth"`  // of a job over its tenant's quota, as a fraction of PriorityWeight
+	CrossZonePrice    float64  `json:"crossZone"`       // price of a placement in another zone, in points
+	FleetPrice        float64  `json:"fleetPrice"`      // price of the machines in use, in points
 	Classes           []Class  `json:"classes"`
 	Kinds             []Kind   `json:"kinds"`
 	Tenants           []Tenant `json:"tenants"`
@@ -97,7 +97,7 @@
 	deprecations []Deprecation
 }
 
-// ReadScheduler reads the configuration of a daemon. Errors are ConfigErrors, or of reading the file.
+// ReadScheduler reads the configuration of a daemon from a file. The error is ConfigErrors if the content is invalid.
 func ReadScheduler(path string) (*Scheduler, error) {
 	f, err := ReadFile(path, "#Scheduler", "")
 	if err != nil {
@@ -106,7 +106,7 @@
 	return f.scheduler()
 }
 
-// ParseScheduler is ReadScheduler of text; errors name it as the file.
+// ParseScheduler is ReadScheduler of text. name is the name of the file in errors.
 func ParseScheduler(name string, text []byte) (*Scheduler, error) {
 	f, err := Read(name, text, "#Scheduler", "")
 	if err != nil {
@@ -148,10 +148,10 @@
 	return -1
 }
 
-// KindIndex is the index of a kind by name; -1 for one that the settings don't name.
+// KindIndex returns the index of the kind with the name, or -1 if there is none.
 func (s *Scheduler) KindIndex(name string) int { return kindIndex(s.Kinds, name) }
 
-// ClassIndex is the index of a class by name; -1 for one that the settings don't name.
+// ClassIndex returns the index of the class with the name, or -1 if there is none.
 func (s *Scheduler) ClassIndex(name string) int {
 	for i := range s.Classes {
 		if s.Classes[i].Name == name {
@@ -161,7 +161,7 @@
 	return -1
 }
 
-// TenantIndex is the index of a tenant by name; -1 for one that the settings don't name.
+// TenantIndex returns the index of the tenant with the name, or -1 if there is none.
 func (s *Scheduler) TenantIndex(name string) int {
 	for i := range s.Tenants {
 		if s.Tenants[i].Name == name {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"path/filepath"
 	"reflect"
 	"slices"
 	"strings"
@@ -31,8 +32,7 @@
 	return s
 }
 
-// Defaults, units and names become the configurations of the module and of the core.
-func TestScheduler(t *testing.T) {
+func TestSettingsBecomeConfigurations(t *testing.T) {
 	s := parseScheduler(t, good)
 	m, c := s.ModuleConfig(), s.CoreConfig(7)
 	k := m.Classes[0]
@@ -59,13 +59,13 @@
 		{"no tenant", s.TenantIndex("x"), -1},
 	} {
 		if x.got != x.want {
-			t.Errorf("%s: %v, want %v", x.name, x.got, x.want)
+			t.Errorf("%s: got %v, want %v", x.name, x.got, x.want)
 		}
 	}
 }
 
-// Every error names file, line, field and what was expected, all of them at once.
-func TestErrors(t *testing.T) {
+// Each error names the file, line and field and says what was expected. All errors are reported at once.
+func TestErrorTexts(t *testing.T) {
 	for _, c := range []struct {
 		name, text string
 		want       []string
@@ -87,26 +87,28 @@
 		t.Run(c.name, func(t *testing.T) {
 			_, err := ParseScheduler("f.cue", []byte(c.text))
 			if err == nil {
-				t.Fatal("it was accepted")
+				t.Fatal("got no error")
 			}
 			if configErrors := (ConfigErrors{}); !errors.As(err, &configErrors) {
-				t.Errorf("not ConfigErrors: %v", err)
+				t.Errorf("got %v, want ConfigErrors", err)
 			}
 			for _, w := range c.want {
 				if !strings.Contains(err.Error(), w) {
-					t.Errorf("%q does not say %q", err, w)
+					t.Errorf("got %q, want it to contain %q", err, w)
 				}
 			}
 		})
 	}
-	_, err := ReadScheduler("/does/not/exist")
+}
+
+func TestMissingFileIsNoConfigError(t *testing.T) {
+	_, err := ReadScheduler(filepath.Join(t.TempDir(), "missing.cue"))
 	if configErrors := (ConfigErrors{}); err == nil || errors.As(err, &configErrors) {
-		t.Errorf("a file that is not there: %v", err)
+		t.Errorf("got %v, want an error that is not ConfigErrors", err)
 	}
 }
 
-// A program finds the file, the place, the field, its value and the reason of an error in fields of their own.
-func TestConfigErrorFields(t *testing.T) {
+func TestConfigErrorHasPositionFieldValueAndReason(t *testing.T) {
 	for _, c := range []struct {
 		name, text string
 		want       ConfigError
@@ -122,34 +124,34 @@
 			_, err := ParseScheduler("f.cue", []byte(c.text))
 			var got ConfigError
 			if !errors.As(err, &got) {
-				t.Fatalf("not a ConfigError: %v", err)
+				t.Fatalf("got %v, want a ConfigError", err)
 			}
 			if got != c.want {
-				t.Errorf("%#v, want %#v", got, c.want)
+				t.Errorf("got %#v, want %#v", got, c.want)
 			}
 		})
 	}
 }
 
-// Errors are listed in the order of the file, whichever check found them first.
-func TestErrorsInFileOrder(t *testing.T) {
+// Errors are in the order of their lines, whichever check has found them first.
+func TestErrorsAreInFileOrder(t *testing.T) {
 	text := strings.Replace(good, `kind: "k"`, `kind: "z"`, 1) + "tenants: [{name: \"a\"}, {name: \"a\"}]\nindex: 4"
 	_, err := ParseScheduler("f.cue", []byte(text))
 	var got ConfigErrors
 	if !errors.As(err, &got) {
-		t.Fatalf("not ConfigErrors: %v", err)
+		t.Fatalf("got %v, want ConfigErrors", err)
 	}
 	var fields []string
 	for _, e := range got {
 		fields = append(fields, e.Field)
 	}
 	if want := []string{"classes[0].kind", "tenants[1].name", "index"}; !slices.Equal(fields, want) {
-		t.Errorf("fields %v, want %v", fields, want)
+		t.Errorf("fields: got %v, want %v", fields, want)
 	}
 }
 
-// Each field of a record is read from a key of the schema that its tag names, whatever the field is called.
-func TestKeysOfRecords(t *testing.T) {
+// The tag of each field of a record is a key of the schema.
+func TestTagsAreKeysOfTheSchema(t *testing.T) {
 	base := cuecontext.New().CompileString(schema)
 	for definition, record := range map[string]any{"#Scheduler": Scheduler{}, "#Fleet": Fleet{}, "#Node": Node{},
 		"#Class": Class{}, "#Kind": Kind{}, "#Tenant": Tenant{}, "#Rules": Rules{}, "#Limits": Limits{},
@@ -161,12 +163,12 @@
 			}
 			tag := field.Tag.Get("json")
 			if tag == "" {
-				t.Errorf("%s: field %s has no tag", definition, field.Name)
+				t.Errorf("%s: field %s: got no tag", definition, field.Name)
 				continue
 			}
 			key := strings.ToLower(tag[:1]) + tag[1:]
 			if !keys.LookupPath(cue.MakePath(cue.Str(key))).Exists() {
-				t.Errorf("%s: the schema has no key %q", definition, key)
+				t.Errorf("%s: field %s: got key %q, want one of the schema", definition, field.Name, key)
 			}
 		}
 	}
--- a/internal/testbed/scenario/figures.go
+++ b/internal/testbed/scenario/figures.go
@@ -18,9 +18,15 @@
 			From: b.SlowStartInitialRate, Multiple: b.OverloadMultiple, Always: d.Rules.SlowStartBudget,
 			StartsPerSecond: float64(b.StartSlots) / (b.CachedStartTime.Duration().Seconds() * max(b.UncachedStartFactor, 1))}}
 	for _, c := range d.Classes {
-		f.Classes = append(f.Classes, rules.Class{Name: c.Name, Idempotency: rules.StoredIdempotency(c.ModuleIdempotency()), KeyDomain: c.KeyDomain,
-			KeyTTL: c.KeyTTL.Duration(), PlacementTimeout: c.PlacementTimeout.Duration(),
-			SpreadDomain: c.SpreadDomain, MaxPerDomain: c.MaxPerDomain})
+		f.Classes = append(f.Classes, rules.Class{
+			Name:             c.Name,
+			Idempotency:      rules.StoredIdempotency(c.ModuleIdempotency()),
+			KeyDomain:        c.KeyDomain,
+			KeyTTL:           c.KeyTTL.Duration(),
+			PlacementTimeout: c.PlacementTimeout.Duration(),
+			SpreadDomain:     c.SpreadDomain,
+			MaxPerDomain:     c.MaxPerDomain,
+		})
 	}
 	return f
 }
