--- a/internal/requests/input.go
+++ b/internal/requests/input.go
@@ -5,23 +5,26 @@
 // Time is the host's clock: Unix nanoseconds that never go back.
 type Time = flaxshelf.Time
 
-// Conn identifies an owner's connection. The host numbers them; it never uses 0, nor a number twice.
+// Conn identifies an owner's connection. The host assigns the numbers, never 0 and none twice.
 type Conn uint64
 
-// Link identifies a connection to a node. The core numbers them.
+// Link identifies a connection to a node. The core assigns the numbers.
 type Link uint64
 
-// Causes of releases, as the platform numbers them.
+// Cause is the reason for a release, by its number in the protocol.
+type Cause int
+
+// Causes of releases.
 const (
-	CauseNormal   = 16  // a request is canceled; after its response: the task has completed
-	CauseCanceled = 31  // migrated, or ended by its owner, who needs no notification
-	CauseRejected = 34  // rejected: a retry does no harm
-	CauseLost     = 41  // the connection or the node was lost: the task may have run
-	CauseError    = 47  // an error: the task may have run
-	CauseObsolete = 102 // from nodes: the offer came too late and never ran
+	CauseNormal   Cause = 16  // a request is canceled; after its response: the task has completed
+	CauseCanceled Cause = 31  // migrated, or ended by its owner, who needs no notification
+	CauseRejected Cause = 34  // rejected: a retry does no harm
+	CauseLost     Cause = 41  // the connection or the node was lost: the task may have run
+	CauseError    Cause = 47  // an error: the task may have run
+	CauseObsolete Cause = 102 // from nodes: the offer arrived too late and the task never ran
 )
 
-// Input is something that has happened outside the core. The input types of this package implement it.
+// Input is an event outside the core. The input types of this package implement it.
 type Input interface {
 	apply(c *Core)
 }
@@ -82,7 +85,7 @@
 		Link        Link
 		Kind        NodeMessageKind
 		Task        string
-		Cause       int
+		Cause       Cause
 		Reason      flaxshelf.Reason
 		UsageKind   flaxshelf.UsageKind
 		Amount      float64
@@ -101,23 +104,23 @@
 	// Endpoint is an entry of the endpoint list: a machine and the address at which its node listens.
 	Endpoint struct {
 		Machine flaxshelf.Machine
-		Addr    string // empty where the list has none: the address stays as it was
+		Addr    string // empty if the list has none: the address is unchanged
 	}
 	// NodesUpdated is an update of the endpoint list.
 	NodesUpdated struct {
 		Endpoints  []Endpoint
-		Complete   bool // nodes that it doesn't name are removed
-		FromConfig bool // from the configuration of the start; it may be out of date
+		Complete   bool // nodes that it does not contain are removed
+		FromConfig bool // from the configuration at the start; it may be stale
 	}
 	// WatchEstablished reports that the discovery service has accepted the subscription.
 	WatchEstablished struct{}
 	// WatchFailed reports that the discovery service could not be reached, or that its watch broke off or timed out.
 	WatchFailed struct{}
-	// Shutdown reports that the scheduler is to shut down: health checks fail from now on.
+	// Shutdown reports that the scheduler is to shut down. Health checks fail after it.
 	Shutdown struct{}
 )
 
-// NodeMessageKind is what a node reports about a task.
+// NodeMessageKind is the kind of a NodeMessage.
 type NodeMessageKind int
 
 // Kinds of node messages.
@@ -128,7 +131,7 @@
 	NodeUsage                                   // a usage report
 )
 
-// String names the kind for logs and tests.
+// String returns the name of the kind.
 func (k NodeMessageKind) String() string {
 	switch k {
 	case NodeAccepted:
