--- a/internal/front/nodefront/nodefront_test.go
+++ b/internal/front/nodefront/nodefront_test.go
@@ -30,6 +30,17 @@
 	return set
 }
 
+// newNode returns the decoder of a connection to node n.
+func newNode(t *testing.T) *Node {
+	t.Helper()
+	return &Node{Set: testSettings(t), Name: "n"}
+}
+
+func newInventory(t *testing.T) *Inventory {
+	t.Helper()
+	return &Inventory{Set: testSettings(t)}
+}
+
 func welcomeFrame(welcome *nodepb.Welcome) *nodepb.Frame {
 	return &nodepb.Frame{Body: &nodepb.Frame_Welcome{Welcome: welcome}}
 }
@@ -56,7 +67,7 @@
 	if offer.Attempt != "a" || offer.ValidForNs != int64(time.Second) {
 		t.Errorf("offer: got %v, want attempt a, valid for 1 s", offer)
 	}
-	node := Node{Set: set, Name: "n"}
+	node := newNode(t)
 	input, err := node.Input(welcomeFrame(&nodepb.Welcome{Node: "n", StartedUnixNs: 5, Fresh: true, More: true,
 		Held: []*nodepb.Held{{Attempt: "a", Running: true, Task: offer.Task}}}))
 	if input != nil || err != nil {
@@ -102,7 +113,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			node := Node{Set: testSettings(t), Name: "n"}
+			node := newNode(t)
 			if _, err := node.Input(welcomeFrame(&nodepb.Welcome{Node: "n"})); err != nil {
 				t.Fatal(err)
 			}
@@ -129,7 +140,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			node := Node{Set: testSettings(t), Name: "n"}
+			node := newNode(t)
 			var err error
 			for _, frame := range test.frames {
 				_, err = node.Input(frame)
@@ -138,12 +149,12 @@
 		})
 	}
 	t.Run("frame of a scheduler from the inventory", func(t *testing.T) {
-		inventory := Inventory{Set: testSettings(t)}
+		inventory := newInventory(t)
 		_, err := inventory.Decode(Probe())
 		checkProtocolError(t, err, "inventory", "Frame_Probe from inventory: no frame of the inventory")
 	})
 	t.Run("bye", func(t *testing.T) {
-		node, inventory := Node{Set: testSettings(t), Name: "n"}, Inventory{Set: testSettings(t)}
+		node, inventory := newNode(t), newInventory(t)
 		_, nodeErr := node.Input(byeFrame("drained"))
 		_, inventoryErr := inventory.Decode(byeFrame("drained"))
 		for peer, err := range map[string]error{"n": nodeErr, "inventory": inventoryErr} {
@@ -168,7 +179,7 @@
 
 // The frames of a listing are one input; the first frame has whether the list is complete.
 func TestInventoryDecode(t *testing.T) {
-	inventory := Inventory{Set: testSettings(t)}
+	inventory := newInventory(t)
 	first := &nodepb.Entry{Node: "n", Address: "h:1", Kind: "k", Zone: "z", Cell: 2, StartedUnixNs: 3, FreeCores: 4, FreeMemory: 5}
 	second := &nodepb.Entry{Node: "m", Address: "h:2", Kind: "other", Standing: nodepb.Standing_DRAINING}
 	firstMachine := flaxshelf.Machine{ID: "n", Kind: 0, Zone: "z", Cell: 2, State: flaxshelf.Active, Started: 3, FreeCores: 4,
@@ -213,7 +224,7 @@
 	if err := proto.Unmarshal(data, entry); err != nil {
 		t.Fatal(err)
 	}
-	inventory := Inventory{Set: testSettings(t)}
+	inventory := newInventory(t)
 	message, err := inventory.Decode(listingFrame(&nodepb.Listing{Entries: []*nodepb.Entry{entry}}))
 	if err != nil {
 		t.Fatal(err)
