--- a/oracle_scan_test.go
+++ b/oracle_scan_test.go
@@ -10,33 +10,46 @@
 
 // The plain scans of choiceOracle.
 
-// spreadNames names the domains that a spread is bounded in.
-var spreadNames = map[TopologyDomain]string{MachineDomain: "machines", CellDomain: "cells", ZoneDomain: "zones"}
+// spreadCounts names the counts of machines excluded by a bounded spread.
+var spreadCounts = map[TopologyDomain]string{
+	MachineDomain: "spread in machines",
+	CellDomain:    "spread in cells",
+	ZoneDomain:    "spread in zones",
+}
 
 // Hard constraints.
 
 // scanEligible returns the machines that may take t.
 func (o *choiceOracle) scanEligible(t *task) (eligible []*machine) {
-	if o.attempts == nil {
-		o.attempts = o.countAttempts()
+	if !o.counted {
+		o.countAttempts()
+		o.counted = true
 	}
 	inDomain := map[domainKey]int{}
-	for m, count := range o.attempts.byService[t.Service] {
-		inDomain[domainOf(t.class.SpreadDomain, m)] += count
+	if t.class.SpreadDomain != NoDomain {
+		for m, count := range o.attempts.byService[t.Service] {
+			inDomain[domainOf(t.class.SpreadDomain, m)] += count
+		}
 	}
-	for _, m := range o.placer.machines {
+	var unsafe, spread, slowStarting int
+	for _, m := range o.placer.machinesByID { // checkNumbers compares it with all machine records
 		switch {
 		case !o.couldTake(t, m):
 		case !o.retryIsSafe(t, m):
-			o.counts["retry safety"]++
-		case t.class.SpreadDomain != NoDomain && inDomain[domainOf(t.class.SpreadDomain, m)] >= t.class.MaxPerDomain:
-			o.counts["spread in "+spreadNames[t.class.SpreadDomain]]++
+			unsafe++
+		case len(inDomain) > 0 && inDomain[domainOf(t.class.SpreadDomain, m)] >= t.class.MaxPerDomain:
+			spread++
 		case !o.placer.hasSlowStartBudget(m):
-			o.counts["slow start"]++
+			slowStarting++
 		default:
 			eligible = append(eligible, m)
 		}
 	}
+	o.counts["retry safety"] += unsafe
+	if spread > 0 {
+		o.counts[spreadCounts[t.class.SpreadDomain]] += spread
+	}
+	o.counts["slow start"] += slowStarting
 	return eligible
 }
 
@@ -95,21 +108,46 @@
 	byService map[string]map[*machine]int
 }
 
-// countAttempts counts the active attempts of all tasks.
-func (o *choiceOracle) countAttempts() *attemptCounts {
-	counts := &attemptCounts{
+func newAttemptCounts() *attemptCounts {
+	return &attemptCounts{
 		all:       map[*machine]int{},
 		pending:   map[*machine]int{},
 		byService: map[string]map[*machine]int{},
 	}
-	for _, t := range o.placer.tasks {
-		for _, a := range t.attempts {
-			if a.active {
-				counts.add(t.Service, a.machine, !a.placed)
-			}
-		}
+}
+
+// clear sets all counts to 0.
+func (c *attemptCounts) clear() {
+	clear(c.all)
+	clear(c.pending)
+	for _, counts := range c.byService {
+		clear(counts)
 	}
-	return counts
+}
+
+// countAttempts counts the active attempts of all tasks, and forgets those that have ended.
+func (o *choiceOracle) countAttempts() {
+	counts := o.attempts
+	counts.clear()
+	o.startAdopted()
+	o.started = slices.DeleteFunc(o.started, func(s startedAttempt) bool {
+		a := s.task.attempts[s.number]
+		if a.active {
+			counts.add(s.task.Service, a.machine, !a.placed)
+		}
+		return !a.active
+	})
+}
+
+// startAdopted adds the attempts of tasks that were adopted since the last call.
+func (o *choiceOracle) startAdopted() {
+	o.adopted = slices.DeleteFunc(o.adopted, func(id string) bool {
+		t := o.placer.tasks[id]
+		if t != nil {
+			o.started = append(o.started, startedAttempt{t, 0})
+		}
+		return t != nil
+	})
 }
 
 // add counts one more attempt.
@@ -131,6 +169,9 @@
 func (o *choiceOracle) scanCandidates(t *task, eligible []*machine, first bool) []*machine {
 	left, p := slices.Clone(eligible), o.placer
 	leave := func(least int, constraint string, excluded func(m *machine) bool) {
+		if !slices.ContainsFunc(left, excluded) {
+			return
+		}
 		kept := slices.DeleteFunc(slices.Clone(left), excluded)
 		if len(kept) >= least && len(kept) < len(left) {
 			left = kept
@@ -171,7 +212,9 @@
 	for _, m := range machines {
 		rejects := m.rejectsUntil > p.now && m.rejectedSize <= p.sizeOn(t, m)
 		limited := m.offerWindow > 0 && o.attempts.pending[m] >= m.offerWindow
-		if full[m] = rejects || limited; !full[m] {
+		if rejects || limited {
+			full[m] = true
+		} else {
 			withOffers = append(withOffers, m)
 		}
 	}
@@ -183,37 +226,42 @@
 		kind := p.cfg.Kinds[m.Kind]
 		freeCores := m.FreeCores + kind.Cores*(p.cfg.CoreOvercommit-1)
 		freeMemory := m.FreeMemory + kind.Memory*(p.cfg.MemoryOvercommit-1)
-		full[m] = t.Cores > freeCores-assumed[m].cores || t.Memory > freeMemory-assumed[m].memory
-		if full[m] && t.Cores <= freeCores && t.Memory <= freeMemory {
+		if t.Cores <= freeCores-assumed[m].cores && t.Memory <= freeMemory-assumed[m].memory {
+			continue
+		}
+		full[m] = true
+		if t.Cores <= freeCores && t.Memory <= freeMemory {
 			o.counts["assumed requests"]++
 		}
 	}
 	return full
 }
 
-// requested is a sum over tasks.
-type requested struct{ cores, memory float64 }
+// requested is the sum of what the placements on a machine request, from a position in the history and a time on.
+type requested struct {
+	from          int
+	since         Time
+	cores, memory float64
+}
 
 // assumedOn sums by machine what this scheduler requested so recently that the list may not show it.
-func (o *choiceOracle) assumedOn(machines []*machine, first bool) map[*machine]requested {
-	from := map[*machine]int{}
+func (o *choiceOracle) assumedOn(machines []*machine, first bool) map[*machine]*requested {
+	sums := map[*machine]*requested{}
 	for _, m := range machines {
-		start, ok := o.assumedFrom[m]
+		from, ok := o.assumedFrom[m]
 		if !ok {
-			start = max(0, len(o.history)-maxHistory)
+			from = max(0, len(o.history)-maxHistory)
 		}
-		from[m] = start
 		if first {
-			o.assumedFrom[m] = start
+			o.assumedFrom[m] = from
 		}
+		sums[m] = &requested{from: from, since: o.listings[m.ID].listedAt - listDelay}
 	}
-	sums := map[*machine]requested{}
 	for i, b := range o.history {
 		o.resolve(b)
-		start, ok := from[b.machine]
-		if ok && i >= start && !b.forgotten && b.offeredAt >= o.listings[b.machineID].listedAt-listDelay {
-			sum := sums[b.machine]
-			sums[b.machine] = requested{sum.cores + b.task.Cores, sum.memory + b.task.Memory}
+		if sum := sums[b.machine]; sum != nil && i >= sum.from && !b.forgotten && b.offeredAt >= sum.since {
+			sum.cores += b.task.Cores
+			sum.memory += b.task.Memory
 		}
 	}
 	return sums
@@ -326,12 +374,10 @@
 	if p.cfg.ListsFreeCapacity {
 		kind := p.cfg.Kinds[m.Kind]
 		freeCores, freeMemory := m.FreeCores-m.coresSinceListed, m.FreeMemory-m.memorySinceListed
-		for _, t := range p.tasks {
-			for _, a := range t.attempts {
-				if a.active && a.machine == m {
-					freeCores += t.Cores
-					freeMemory += t.Memory
-				}
+		for _, s := range o.started {
+			if a := s.task.attempts[s.number]; a.active && a.machine == m {
+				freeCores += s.task.Cores
+				freeMemory += s.task.Memory
 			}
 		}
 		load = max(load, 1-freeCores/kind.Cores, 1-freeMemory/kind.Memory)
--- a/oracle_test.go
+++ b/oracle_test.go
@@ -25,7 +25,10 @@
 	// Where the recent history began when a machine's capacity was first compared in this step. Placements of the step do
 	// not push older ones out until it ends.
 	assumedFrom map[*machine]int
-	attempts    *attemptCounts // as of the step in progress; nil before its first choice
+	attempts    *attemptCounts // as of the step in progress, from its first choice on
+	counted     bool           // attempts is up to date
+	started     []startedAttempt
+	adopted     []string // task IDs, until the Placer has their records
 
 	// The choice in progress.
 	service    string
@@ -44,6 +47,12 @@
 	listedAt Time
 }
 
+// startedAttempt names an attempt whose record says whether it is active.
+type startedAttempt struct {
+	task   *task
+	number int
+}
+
 // oraclePlacement is an entry of the oracle's history.
 type oraclePlacement struct {
 	machineID string
@@ -66,7 +75,8 @@
 }
 
 func newChoiceOracle(p *Placer) *choiceOracle {
-	o := &choiceOracle{placer: p, listings: map[string]*listing{}, offers: map[string]int{}, counts: oracleCounts{}}
+	o := &choiceOracle{placer: p, listings: map[string]*listing{}, offers: map[string]int{}, counts: oracleCounts{},
+		assumedFrom: map[*machine]int{}, attempts: newAttemptCounts()}
 	p.observer = o
 	return o
 }
@@ -83,7 +93,8 @@
 // beforeStep follows the events of a step before the Placer gets them.
 func (o *choiceOracle) beforeStep(now Time, events []Event) {
 	o.counts["steps"]++
-	o.assumedFrom, o.attempts = map[*machine]int{}, nil
+	o.counted = false
+	clear(o.assumedFrom)
 	for _, e := range events {
 		switch e := e.(type) {
 		case MachinesUpdated:
@@ -91,6 +102,7 @@
 		case TaskAdopted:
 			if o.placer.tasks[e.Task.ID] == nil {
 				o.addPlacement(now, e.Task, e.Machine, nil)
+				o.adopted = append(o.adopted, e.Task.ID)
 			}
 		case AttemptEnded:
 			if e.Outcome == Rejected || e.Outcome == Unreachable || e.Outcome == NotSent {
@@ -248,6 +260,7 @@
 	if chosen != nil {
 		o.addPlacement(o.placer.now, t.Task, chosen.ID, chosen)
 		o.attempts.add(t.Service, chosen, true)
+		o.started = append(o.started, startedAttempt{t, len(t.attempts)})
 	}
 	o.eligible, o.candidates, o.observed = nil, nil, false
 }
@@ -256,7 +269,8 @@
 // or rejects tasks.
 func (o *choiceOracle) afterMigrationCheck(t *task, hasBetter bool) {
 	p := o.placer
-	attempts := o.countAttempts().all
+	o.countAttempts()
+	attempts := o.attempts.all
 	possible, good, bad := 0, 0, 0
 	for _, m := range p.machines {
 		if m.classHealth[t.Class].ejectedUntil > p.now || m.rejectsUntil > p.now {
@@ -284,8 +298,10 @@
 
 // compareMachines compares two sets of machines.
 func (o *choiceOracle) compareMachines(t *task, what string, got, want []*machine) {
-	gotIDs, wantIDs := idsOf(got), idsOf(want)
-	if !slices.Equal(gotIDs, wantIDs) {
+	if slices.Equal(got, want) {
+		return
+	}
+	if gotIDs, wantIDs := idsOf(got), idsOf(want); !slices.Equal(gotIDs, wantIDs) {
 		o.differ("%s of %+v are %v, want %v", what, t, gotIDs, wantIDs)
 	}
 }
