--- a/evidence_test.go
+++ b/evidence_test.go
@@ -129,3 +129,20 @@
 		t.Errorf("trial interval %v, want at most %v", p.trialInterval(), failureMemory)
 	}
 }
+
+// Each acceptance after a rejection allows one more pending offer, until so many are allowed that the limit ends.
+func TestAcceptancesEndOfferLimit(t *testing.T) {
+	p := startPlacer(t, testConfig(), testMachines(1))
+	m, accepted := p.machinesByID[0], p.addTask(submit("t", 0, 0).Task)
+	p.recordRejection(accepted, m, InsufficientCores)
+	for want := 2; want < maxOfferWindow; want++ {
+		p.recordAcceptance(accepted, m)
+		if m.offerWindow != want {
+			t.Fatalf("got %d pending offers allowed after %d acceptances, want %d", m.offerWindow, want-1, want)
+		}
+	}
+	p.recordAcceptance(accepted, m)
+	if m.offerWindow != 0 {
+		t.Errorf("got %d pending offers allowed after %d acceptances, want no limit", m.offerWindow, maxOfferWindow-1)
+	}
+}
--- a/migration_test.go
+++ b/migration_test.go
@@ -18,6 +18,7 @@
 	alone     bool          // there are no tasks on the other machines
 	failing   bool          // the class fails on another machine
 	rejecting bool          // another machine rejects tasks
+	ejected   bool          // two other machines are ejected, whatever the class
 	want      int           // migrations of task a
 }
 
@@ -32,6 +33,7 @@
 		{name: "all serve poorly", levels: [3]float64{0.4, 0.4, 0.4}, elsewhere: 0.6},
 		{name: "its class fails elsewhere", levels: [3]float64{0.4, 0.4, 0.4}, elsewhere: 1, failing: true},
 		{name: "a machine rejects", levels: [3]float64{0.4, 0.4, 0.4}, elsewhere: 1, rejecting: true},
+		{name: "too few others are not ejected", levels: [3]float64{0.4, 0.4, 0.4}, elsewhere: 1, ejected: true},
 		{name: "a migration costs more", change: func(cfg *Config) { cfg.Prices.Migration = 0.9 },
 			levels: [3]float64{0.4, 0.4, 0.4}, elsewhere: 1},
 		{name: "starts take longer than lifetimes", levels: [3]float64{0.4, 0.4, 0.4}, elsewhere: 1,
@@ -86,13 +88,19 @@
 	p.Step(2*time.Second, events)
 }
 
-// disturb makes the last machine fail or reject tasks.
+// disturb makes the last machine fail or reject tasks, or ejects the last two.
 func (c migrationCase) disturb(p *Placer, now Time) {
 	last := p.findOrAddMachine("m3")
 	if c.failing {
 		p.recordFailure(last.healthOf(0))
 		p.invalidate(last)
 	}
+	for _, id := range []string{"m2", "m3"} {
+		if m := p.findOrAddMachine(id); c.ejected {
+			p.recordFailure(&m.health)
+			p.invalidate(m)
+		}
+	}
 	if c.rejecting {
 		last.rejectsUntil = now + time.Second
 		p.invalidate(last)
