--- a/internal/testbed/emulator/node.go
+++ b/internal/testbed/emulator/node.go
@@ -15,9 +15,6 @@
 // registerInterval is how often a node reports its state to the inventory, as on sockets.
 const registerInterval = 500 * time.Millisecond
 
-// nodeSeedStride keeps the seeds of the incarnations of different nodes apart.
-const nodeSeedStride = 1000
-
 // nodeEntity is a node of the fleet, with a node model for each incarnation; there is none while it is stopped.
 type nodeEntity struct {
 	simulation   *simulation
@@ -59,7 +56,7 @@
 	n.incarnations++
 	set, day := n.settings, n.simulation.day
 	set.Warm = warm
-	seed := n.simulation.seed + uint64(int(n.id)*nodeSeedStride+n.incarnations)
+	seed := scenario.NodeSeed(n.simulation.seed, int(n.id), n.incarnations)
 	n.model = nodemodel.New(fleet.NodeModel(set, day.Kinds, day.Rules, day.Behaviour, seed), now,
 		n.simulation.zoneKeys[n.place.Group.Zone])
 	n.peers, n.peerNames, n.peerOrder = map[string]int32{}, map[int32]string{}, nil
--- a/internal/testbed/emulator/scheduler.go
+++ b/internal/testbed/emulator/scheduler.go
@@ -7,6 +7,7 @@
 	"flaxshelf.example/flaxshelf/internal/front/nodefront"
 	"flaxshelf.example/flaxshelf/internal/scheduler"
 	"flaxshelf.example/flaxshelf/internal/settings"
+	"flaxshelf.example/flaxshelf/internal/testbed/scenario"
 )
 
 // schedulerEntity is a scheduler, with a core for each incarnation; there is none while it is stopped.
@@ -45,12 +46,6 @@
 	key    string
 }
 
-// schedulerSeedStride and schedulerIndexStride keep the seeds of the incarnations of different schedulers and runs apart.
-const (
-	schedulerSeedStride  = 1000
-	schedulerIndexStride = 100
-)
-
 func (s *schedulerEntity) receive(m message) { s.inbox.put(m) }
 
 func (s *schedulerEntity) nextDue() Time {
@@ -68,7 +63,7 @@
 	}
 	s.incarnations++
 	set := *s.settings
-	set.Seed = s.simulation.seed*schedulerSeedStride + uint64(set.Index*schedulerIndexStride+s.incarnations) + 1
+	set.Seed = scenario.SchedulerSeed(s.simulation.seed, set.Index, s.incarnations)
 	config := set.CoreConfig(now)
 	config.NewModule = s.simulation.newModule
 	if s.simulation.changeCore != nil {
--- a/internal/testbed/trial/node.go
+++ b/internal/testbed/trial/node.go
@@ -14,9 +14,6 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/standin/nodemodel"
 )
 
-// nodeSeedStride keeps the seeds of the incarnations of different nodes apart.
-const nodeSeedStride = 1000
-
 // node is a node of the fleet, with a host for each incarnation. Its methods may be called by several goroutines.
 type node struct {
 	cluster *cluster
@@ -51,7 +48,7 @@
 	n.incarnations++
 	c := n.cluster
 	set := settings.Node{Name: n.name, Kind: n.group.Kind, Zone: n.group.Zone, Cell: n.group.Cell, Warm: warm}
-	seed := c.opt.Seed + uint64(n.index*nodeSeedStride+n.incarnations)
+	seed := scenario.NodeSeed(c.opt.Seed, n.index, n.incarnations)
 	started, err := host.StartNode(host.NodeOptions{Kind: n.group.Kind, Cell: n.group.Cell, Listen: loopbackAnyPort,
 		Model:     fleet.NodeModel(set, c.day.Kinds, c.day.Rules, c.day.Behaviour, seed),
 		Advertise: n.proxy.Addr(), Inventory: c.inventory.Addr(), Keys: c.zoneKeys[n.group.Zone], Log: c.log})
--- a/internal/testbed/trial/process.go
+++ b/internal/testbed/trial/process.go
@@ -15,6 +15,7 @@
 
 	"flaxshelf.example/flaxshelf/internal/testbed/recordproxy"
 	"flaxshelf.example/flaxshelf/internal/testbed/rules"
+	"flaxshelf.example/flaxshelf/internal/testbed/scenario"
 )
 
 const (
@@ -24,12 +25,6 @@
 	terminateSlack = 5 * time.Second
 )
 
-// schedulerSeedStride and schedulerIndexStride keep the seeds of the incarnations of different schedulers and runs apart.
-const (
-	schedulerSeedStride  = 1000
-	schedulerIndexStride = 100
-)
-
 // process is a scheduler, with an operating-system process for each incarnation. Its methods may be called by several
 // goroutines.
 type process struct {
@@ -114,7 +109,7 @@
 			p.stepFiles = append(p.stepFiles, fmt.Sprintf("%s.%d", stepFile, core))
 		}
 	}
-	seed := p.cluster.opt.Seed*schedulerSeedStride + uint64(p.index*schedulerIndexStride+p.incarnations) + 1
+	seed := scenario.SchedulerSeed(p.cluster.opt.Seed, p.index, p.incarnations)
 	p.mu.Unlock()
 	text, err := p.cluster.day.SchedulerFile(p.index, p.inventoryProxy.Addr(), stepFile, seed)
 	if err != nil {
