--- a/internal/testbed/emulator/clients.go
+++ b/internal/testbed/emulator/clients.go
@@ -109,7 +109,7 @@
 		load := &c.loads[i]
 		for load.ok && arrivalTime(&load.next) < end {
 			c.submit(load.next, out)
-			load.next, load.ok = load.arrivals.Next(c.loadState.Of(load.next.Load.Class))
+			load.next, load.ok = load.arrivals.Next(c.loadState.OfClass(load.next.Load.Class))
 		}
 	}
 }
@@ -187,7 +187,7 @@
 	case loadFactor:
 		c.loadState.SetFactor(body.class, body.factor)
 	case hotServiceShare:
-		c.loadState.SetHotServiceShare(body.class, body.share)
+		c.loadState.SetHotServiceFraction(body.class, body.share)
 	case schedulerKilled:
 		c.schedulerKilled(body.scheduler, m.at)
 	}
--- a/internal/testbed/emulator/faults.go
+++ b/internal/testbed/emulator/faults.go
@@ -150,8 +150,8 @@
 	p.sendClients(loadFactor{class: class, factor: factor})
 }
 
-// SetHotServiceShare is of fault.Cluster.
-func (p *faultPlan) SetHotServiceShare(class string, share float64) {
+// SetHotServiceFraction is of fault.Cluster.
+func (p *faultPlan) SetHotServiceFraction(class string, share float64) {
 	p.sendClients(hotServiceShare{class: class, share: share})
 }
 
--- a/internal/testbed/emulator/scheduler.go
+++ b/internal/testbed/emulator/scheduler.go
@@ -134,7 +134,7 @@
 	s.feedback = nil
 	s.steps++
 	output := s.core.Step(now, inputs)
-	if cost := s.simulation.day.CPU.Of(len(inputs)); cost > 0 { // effects come when it is done, and no inputs until then
+	if cost := s.simulation.day.CPU.StepTime(len(inputs)); cost > 0 { // effects come when it is done, and no inputs until then
 		s.busyUntil = now + cost
 		s.busyTime += cost
 		now = s.busyUntil
--- a/internal/testbed/fault/fault.go
+++ b/internal/testbed/fault/fault.go
@@ -1,5 +1,5 @@
-// Package fault injects the faults of a scenario into a cluster. It decides which actions a fault is made of and in which
-// order they come; a cluster carries them out by the interface Cluster, in real time on sockets or in simulated time.
+// Package fault injects the faults of a scenario into a cluster. It decides which actions a fault consists of and their
+// order; a cluster carries them out through the interface Cluster, in real time on sockets or in simulated time.
 package fault
 
 import (
@@ -21,28 +21,29 @@
 	Duration   time.Duration
 	Nodes      []int  // indices of the nodes in the fleet
 	Schedulers []int  // indices of the schedulers
-	Class      string // empty or "*" for all, as the kind has it
+	Class      string // empty or "*" means all classes, depending on the kind
 	Factor     float64
 
-	random *rand.Rand // further draws
+	random *rand.Rand // for draws during the injection
 }
 
-// New returns fault number index of a scenario, with its nodes drawn by the seed. The error is an *UnknownKindError.
+// New returns the fault of the given index of a scenario; the seed determines its nodes. The error is an
+// *UnknownKindError.
 func New(day *scenario.Day, index int, seed uint64) (*Fault, error) {
-	trouble := &day.Faults[index]
-	kind, err := ParseKind(trouble.Kind)
+	scheduled := &day.Faults[index]
+	kind, err := ParseKind(scheduled.Kind)
 	if err != nil {
 		return nil, err
 	}
 	random := day.Rand(index, seed)
 	return &Fault{
 		Kind:       kind,
-		Start:      scenario.Seconds(trouble.At),
-		Duration:   scenario.Seconds(trouble.For),
-		Nodes:      day.Pick(trouble, random),
-		Schedulers: trouble.Schedulers,
-		Class:      trouble.Class,
-		Factor:     trouble.Factor,
+		Start:      scenario.Seconds(scheduled.At),
+		Duration:   scenario.Seconds(scheduled.For),
+		Nodes:      day.PickNodes(scheduled, random),
+		Schedulers: scheduled.Schedulers,
+		Class:      scheduled.Class,
+		Factor:     scheduled.Factor,
 		random:     random,
 	}, nil
 }
@@ -50,46 +51,46 @@
 // NodeFaultChange changes the faults that a node model has.
 type NodeFaultChange func(fault *nodemodel.Fault)
 
-// Cluster carries out the actions of faults. A method returns when its action is done or, in simulated time, planned. The
-// methods that start something take a context and start nothing after it is canceled.
+// Cluster carries out the actions of faults. A method returns when its action is done or, in simulated time, scheduled.
+// The methods that start nodes or schedulers take a context and start nothing after it is canceled.
 type Cluster interface {
-	// Wait lets time pass between two actions of a fault; it ends early when the context is canceled.
+	// Wait waits between two actions of a fault; it returns early when the context is canceled.
 	Wait(ctx context.Context, duration time.Duration)
 
-	// ChangeNodeFaults changes the faults of nodes; they end when their node stops.
+	// ChangeNodeFaults changes the faults of nodes; a node that stops loses its faults.
 	ChangeNodeFaults(nodes []int, change NodeFaultChange)
-	// DropPrograms has nodes lose a share of their cached programs.
-	DropPrograms(nodes []int, share float64)
-	// DrainNodes has nodes accept no more tasks and notify the inventory.
+	// DropPrograms removes a fraction of the cached programs of nodes.
+	DropPrograms(nodes []int, fraction float64)
+	// DrainNodes drains nodes: they accept no more tasks and notify the inventory.
 	DrainNodes(nodes []int)
-	// StopNodes ends nodes at once, with all their tasks.
+	// StopNodes stops nodes at once, with all their tasks.
 	StopNodes(nodes []int)
 	// StartNodes starts stopped nodes, without cached programs.
 	StartNodes(ctx context.Context, nodes []int) error
 	// RestartNodes stops nodes and starts them at once.
 	RestartNodes(ctx context.Context, nodes []int) error
 
-	// PauseSchedulers suspends schedulers; ResumeSchedulers follows after the duration.
+	// PauseSchedulers suspends schedulers; ResumeSchedulers is called after the duration.
 	PauseSchedulers(schedulers []int, duration time.Duration)
 	// ResumeSchedulers ends a pause.
 	ResumeSchedulers(schedulers []int)
-	// KillSchedulers ends schedulers by force.
+	// KillSchedulers kills schedulers.
 	KillSchedulers(schedulers []int)
-	// TerminateSchedulers shuts schedulers down gracefully and waits for their ends.
+	// TerminateSchedulers shuts schedulers down gracefully and waits until they have exited.
 	TerminateSchedulers(schedulers []int) error
-	// StartSchedulers starts schedulers that have ended.
+	// StartSchedulers starts schedulers that have exited.
 	StartSchedulers(ctx context.Context, schedulers []int) error
 
-	// SetLoadFactor multiplies the load of a class; 0 ends it.
+	// SetLoadFactor multiplies the load of a class; 0 ends the fault.
 	SetLoadFactor(class string, factor float64)
-	// SetHotServiceShare sends a share of a class's load to one service; 0 ends it.
-	SetHotServiceShare(class string, share float64)
+	// SetHotServiceFraction sends a fraction of a class's load to one service; 0 ends the fault.
+	SetHotServiceFraction(class string, fraction float64)
 
 	// SetInventoryFault replaces the faults of the inventory.
 	SetInventoryFault(fault inventorymodel.Fault)
 }
 
-// Network is what a cluster with real connections carries out beside a Cluster's actions.
+// Network is implemented by clusters that have real connections, in addition to Cluster.
 type Network interface {
 	// SetLinkFault replaces the faults of the connections to nodes.
 	SetLinkFault(nodes []int, fault recordproxy.Fault)
@@ -99,7 +100,7 @@
 	BreakInventoryLinks(schedulers []int)
 	// BreakClientLinks closes the connections of clients to schedulers.
 	BreakClientLinks(schedulers []int)
-	// RunMisbehavingClients has clients break the protocol with each scheduler, for the duration.
+	// RunMisbehavingClients runs clients that break the protocol with each scheduler, for the duration.
 	RunMisbehavingClients(ctx context.Context, schedulers []int, clients int, duration time.Duration)
 }
 
@@ -109,16 +110,16 @@
 	Err   error
 }
 
-// Error names the fault, its start and the cause.
+// Error returns the kind and start of the fault, and the cause.
 func (e *Error) Error() string {
 	return fmt.Sprintf("fault %v at %v: %v", e.Fault.Kind, e.Fault.Start, e.Err)
 }
 
-// Unwrap is the cause.
+// Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Inject carries out the fault, from its start to its end. The error is an *Error, of an *UnsupportedError if the cluster
-// has no Network where the fault needs it.
+// Inject carries out the fault, from its start to its end. The error is an *Error, which wraps an *UnsupportedError if
+// the fault needs a Network and the cluster is none.
 func (f *Fault) Inject(ctx context.Context, cluster Cluster) error {
 	if err := f.inject(ctx, cluster); err != nil {
 		return &Error{Fault: f, Err: err}
--- a/internal/testbed/fault/fault_test.go
+++ b/internal/testbed/fault/fault_test.go
@@ -35,9 +35,9 @@
 	j.note("faults %v %v", nodes, fault)
 }
 
-func (j *journal) DropPrograms(nodes []int, share float64) { j.note("drop %v %v", nodes, share) }
-func (j *journal) DrainNodes(nodes []int)                  { j.note("drain %v", nodes) }
-func (j *journal) StopNodes(nodes []int)                   { j.note("stop %v", nodes) }
+func (j *journal) DropPrograms(nodes []int, fraction float64) { j.note("drop %v %v", nodes, fraction) }
+func (j *journal) DrainNodes(nodes []int)                     { j.note("drain %v", nodes) }
+func (j *journal) StopNodes(nodes []int)                      { j.note("stop %v", nodes) }
 
 func (j *journal) StartNodes(_ context.Context, nodes []int) error {
 	j.note("start %v", nodes)
@@ -65,9 +65,11 @@
 	return nil
 }
 
-func (j *journal) SetLoadFactor(class string, factor float64)     { j.note("load %s %v", class, factor) }
-func (j *journal) SetHotServiceShare(class string, share float64) { j.note("hot %s %v", class, share) }
-func (j *journal) SetInventoryFault(fault inventorymodel.Fault)   { j.note("inventory %v", fault) }
+func (j *journal) SetLoadFactor(class string, factor float64) { j.note("load %s %v", class, factor) }
+func (j *journal) SetHotServiceFraction(class string, fraction float64) {
+	j.note("hot %s %v", class, fraction)
+}
+func (j *journal) SetInventoryFault(fault inventorymodel.Fault) { j.note("inventory %v", fault) }
 
 // networkJournal is one with connections.
 type networkJournal struct{ journal }
--- a/internal/testbed/fault/handlers.go
+++ b/internal/testbed/fault/handlers.go
@@ -11,7 +11,7 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/standin/nodemodel"
 )
 
-// clusterHandlers has the handlers of the faults that every cluster can have.
+// clusterHandlers are the handlers of the faults that every cluster supports.
 var clusterHandlers = map[Kind]func(ctx context.Context, f *Fault, cluster Cluster) error{
 	FailStarts:          failStarts,
 	DropReplies:         dropReplies,
@@ -32,7 +32,7 @@
 	FreezeInventory:     freezeInventory,
 }
 
-// networkHandlers has the handlers of the faults that need real connections.
+// networkHandlers are the handlers of the faults that need a Network.
 var networkHandlers = map[Kind]func(ctx context.Context, f *Fault, cluster Cluster, network Network){
 	BreakLinks:          breakLinks,
 	BreakReplies:        breakReplies,
@@ -44,11 +44,18 @@
 	MisbehavingClients:  misbehavingClients,
 }
 
+// duringFault calls begin, waits for the duration of the fault, and calls end.
+func duringFault(ctx context.Context, f *Fault, cluster Cluster, begin, end func()) {
+	begin()
+	cluster.Wait(ctx, f.Duration)
+	end()
+}
+
 // nodeFault changes the faults of nodes for the duration.
 func nodeFault(ctx context.Context, f *Fault, cluster Cluster, set, reset NodeFaultChange) error {
-	cluster.ChangeNodeFaults(f.Nodes, set)
-	cluster.Wait(ctx, f.Duration)
-	cluster.ChangeNodeFaults(f.Nodes, reset)
+	duringFault(ctx, f, cluster,
+		func() { cluster.ChangeNodeFaults(f.Nodes, set) },
+		func() { cluster.ChangeNodeFaults(f.Nodes, reset) })
 	return nil
 }
 
@@ -91,8 +98,8 @@
 	return cluster.RestartNodes(ctx, f.Nodes)
 }
 
-// startDelay separates the end of a drained node from its next start, so that a simulated cluster, whose messages take as
-// long, handles them one after the other.
+// startDelay separates the stop of a drained node from its next start, so that a simulated cluster, whose messages take
+// that long, handles them in order.
 const startDelay = time.Millisecond
 
 func drainNodes(ctx context.Context, f *Fault, cluster Cluster) error {
@@ -110,7 +117,7 @@
 	return nil
 }
 
-// deployNodes has each group of nodes drain, stop and start again before the next one drains.
+// deployNodes drains and restarts the nodes group by group.
 func deployNodes(ctx context.Context, f *Fault, cluster Cluster) error {
 	groupSize := max(1, int(f.Factor))
 	groups := (len(f.Nodes) + groupSize - 1) / groupSize
@@ -127,9 +134,9 @@
 }
 
 func pauseSchedulers(ctx context.Context, f *Fault, cluster Cluster) error {
-	cluster.PauseSchedulers(f.Schedulers, f.Duration)
-	cluster.Wait(ctx, f.Duration)
-	cluster.ResumeSchedulers(f.Schedulers)
+	duringFault(ctx, f, cluster,
+		func() { cluster.PauseSchedulers(f.Schedulers, f.Duration) },
+		func() { cluster.ResumeSchedulers(f.Schedulers) })
 	return nil
 }
 
@@ -139,7 +146,7 @@
 	return cluster.StartSchedulers(ctx, f.Schedulers)
 }
 
-// terminateSchedulers starts the schedulers again even if one has not ended well, so that the scenario goes on.
+// terminateSchedulers restarts the schedulers even if one did not shut down cleanly, so that the scenario continues.
 func terminateSchedulers(ctx context.Context, f *Fault, cluster Cluster) error {
 	err := cluster.TerminateSchedulers(f.Schedulers)
 	cluster.Wait(ctx, f.Duration)
@@ -147,23 +154,23 @@
 }
 
 func loadBurst(ctx context.Context, f *Fault, cluster Cluster) error {
-	cluster.SetLoadFactor(f.Class, f.Factor)
-	cluster.Wait(ctx, f.Duration)
-	cluster.SetLoadFactor(f.Class, 0)
+	duringFault(ctx, f, cluster,
+		func() { cluster.SetLoadFactor(f.Class, f.Factor) },
+		func() { cluster.SetLoadFactor(f.Class, 0) })
 	return nil
 }
 
 func hotService(ctx context.Context, f *Fault, cluster Cluster) error {
-	cluster.SetHotServiceShare(f.Class, f.Factor)
-	cluster.Wait(ctx, f.Duration)
-	cluster.SetHotServiceShare(f.Class, 0)
+	duringFault(ctx, f, cluster,
+		func() { cluster.SetHotServiceFraction(f.Class, f.Factor) },
+		func() { cluster.SetHotServiceFraction(f.Class, 0) })
 	return nil
 }
 
 func inventoryFault(ctx context.Context, f *Fault, cluster Cluster, fault inventorymodel.Fault) error {
-	cluster.SetInventoryFault(fault)
-	cluster.Wait(ctx, f.Duration)
-	cluster.SetInventoryFault(inventorymodel.Fault{})
+	duringFault(ctx, f, cluster,
+		func() { cluster.SetInventoryFault(fault) },
+		func() { cluster.SetInventoryFault(inventorymodel.Fault{}) })
 	return nil
 }
 
@@ -188,12 +195,12 @@
 
 // linkFault sets a fault of the connections to nodes for the duration.
 func linkFault(ctx context.Context, f *Fault, cluster Cluster, network Network, fault recordproxy.Fault) {
-	network.SetLinkFault(f.Nodes, fault)
-	cluster.Wait(ctx, f.Duration)
-	network.SetLinkFault(f.Nodes, recordproxy.Fault{})
+	duringFault(ctx, f, cluster,
+		func() { network.SetLinkFault(f.Nodes, fault) },
+		func() { network.SetLinkFault(f.Nodes, recordproxy.Fault{}) })
 }
 
-// halfOpenLinks closes the connections in the end, since their parties can't read on where bytes are missing.
+// halfOpenLinks closes the connections at the end, since their parties can't decode a stream with missing bytes.
 func halfOpenLinks(ctx context.Context, f *Fault, cluster Cluster, network Network) {
 	linkFault(ctx, f, cluster, network, recordproxy.Fault{DropReplies: true})
 	network.BreakLinks(f.Nodes)
--- a/internal/testbed/fault/kind.go
+++ b/internal/testbed/fault/kind.go
@@ -2,20 +2,20 @@
 
 import "fmt"
 
-// Kind is what a fault does.
+// Kind is the kind of a fault: what it does.
 type Kind int
 
 // The kinds of faults.
 const (
-	// FailStarts has the share Factor of a class's task starts fail at once.
+	// FailStarts makes the fraction Factor of a class's task starts fail at once.
 	FailStarts Kind = iota + 1
-	// DropReplies has nodes send no reply to the offers of a class.
+	// DropReplies makes nodes send no reply to the offers of a class.
 	DropReplies
-	// InflateUsage has tasks of a class use Factor times the resources that they request.
+	// InflateUsage makes the tasks of a class use Factor times the resources that they request.
 	InflateUsage
-	// OccupyNodes has another program use the share Factor of each node.
+	// OccupyNodes makes another program use the fraction Factor of each node.
 	OccupyNodes
-	// DropPrograms has nodes lose the share Factor of their cached programs, so that starts take longer.
+	// DropPrograms removes the fraction Factor of the cached programs of nodes, so that starts take longer.
 	DropPrograms
 	// LoseNodes stops nodes, and starts them again after the duration.
 	LoseNodes
@@ -23,7 +23,7 @@
 	RestartNodes
 	// DrainNodes drains nodes, stops them after the duration and starts them again.
 	DrainNodes
-	// ShrinkFleet drains nodes and stops them after the duration for good.
+	// ShrinkFleet drains nodes and stops them after the duration; they are not started again.
 	ShrinkFleet
 	// DeployNodes drains and restarts nodes, Factor at a time, all within the duration.
 	DeployNodes
@@ -35,7 +35,7 @@
 	TerminateSchedulers
 	// LoadBurst multiplies a class's load by Factor.
 	LoadBurst
-	// HotService sends the share Factor of a class's load to one service.
+	// HotService sends the fraction Factor of a class's load to one service.
 	HotService
 	// BreakLinks closes the connections to nodes.
 	BreakLinks
@@ -43,23 +43,23 @@
 	BreakReplies
 	// HalfOpenLinks loses the replies of nodes, then closes their connections.
 	HalfOpenLinks
-	// DelayLinks delays the connections to nodes by Factor seconds each way.
+	// DelayLinks delays the connections to nodes by Factor seconds in each direction.
 	DelayLinks
-	// StallLinks has the connections to nodes transfer nothing.
+	// StallLinks stops all transfer on the connections to nodes; no bytes are lost.
 	StallLinks
-	// FailInventory has the inventory answer with errors.
+	// FailInventory makes the inventory respond with errors.
 	FailInventory
-	// FreezeInventory has the inventory see no change.
+	// FreezeInventory makes the inventory list stale data.
 	FreezeInventory
 	// BreakInventoryLinks closes the connections of schedulers to the inventory.
 	BreakInventoryLinks
 	// BreakClientLinks closes the connections of clients to schedulers.
 	BreakClientLinks
-	// MisbehavingClients has Factor clients break the protocol with each scheduler, for the duration.
+	// MisbehavingClients runs Factor clients that break the protocol with each scheduler, for the duration.
 	MisbehavingClients
 )
 
-// kinds has the kinds by the names that scenarios give them.
+// kinds are the kinds by their names in scenarios.
 var kinds = map[string]Kind{
 	"fail-starts":     FailStarts,
 	"silent":          DropReplies,
@@ -88,7 +88,7 @@
 	"rude-clients":    MisbehavingClients,
 }
 
-// String is the kind's name in scenarios.
+// String returns the name of the kind in scenarios.
 func (k Kind) String() string {
 	for name, kind := range kinds {
 		if kind == k {
@@ -98,7 +98,7 @@
 	return fmt.Sprintf("Kind(%d)", int(k))
 }
 
-// ParseKind finds a kind by its name in scenarios. The error is an *UnknownKindError.
+// ParseKind returns the kind with the given name in scenarios. The error is an *UnknownKindError.
 func ParseKind(name string) (Kind, error) {
 	kind, ok := kinds[name]
 	if !ok {
@@ -107,17 +107,17 @@
 	return kind, nil
 }
 
-// UnknownKindError is a name that no kind has.
+// UnknownKindError reports a name that no kind has.
 type UnknownKindError struct{ Name string }
 
-// Error gives the name.
-func (e *UnknownKindError) Error() string { return fmt.Sprintf("there is no fault %q", e.Name) }
+// Error returns a message with the name.
+func (e *UnknownKindError) Error() string { return fmt.Sprintf("unknown kind of fault %q", e.Name) }
 
-// UnsupportedError is a fault that a cluster cannot have.
+// UnsupportedError reports a fault that a cluster does not support.
 type UnsupportedError struct{ Kind Kind }
 
-// Error gives the kind.
+// Error returns a message with the kind.
 func (e *UnsupportedError) Error() string {
-	return fmt.Sprintf("%v is of connections or processes, which a simulated cluster does not have; "+
-		"play it over sockets with a trial", e.Kind)
+	return fmt.Sprintf("fault %v needs real connections, which a simulated cluster does not have; "+
+		"run the scenario as a trial", e.Kind)
 }
--- a/internal/testbed/fault/load.go
+++ b/internal/testbed/fault/load.go
@@ -1,16 +1,16 @@
 package fault
 
-// LoadState is what faults make of the load at present. The zero value changes nothing. It is not safe for several
-// goroutines.
+// LoadState is how the faults of the present change the load. The zero value changes nothing. It is not safe for concurrent
+// use.
 type LoadState struct {
-	factors          map[string]float64 // by class; allClasses for all
-	hotServiceShares map[string]float64
+	factors             map[string]float64 // by class; allClasses for all
+	hotServiceFractions map[string]float64 // the same
 }
 
-// allClasses is the class of a fault of all classes.
+// allClasses is the class of a fault that affects all classes.
 const allClasses = ""
 
-// SetFactor multiplies the load of a class, or of all for an empty one; 0 ends that.
+// SetFactor multiplies the load of a class, or of all classes if class is empty; 0 ends the fault.
 func (s *LoadState) SetFactor(class string, factor float64) {
 	if s.factors == nil {
 		s.factors = map[string]float64{}
@@ -18,21 +18,22 @@
 	s.factors[class] = factor
 }
 
-// SetHotServiceShare sends a share of a class's load, or of that of all for an empty one, to one service; 0 ends that.
-func (s *LoadState) SetHotServiceShare(class string, share float64) {
-	if s.hotServiceShares == nil {
-		s.hotServiceShares = map[string]float64{}
+// SetHotServiceFraction sends a fraction of the load of a class, or of every class if class is empty, to one service; 0 ends
+// the fault.
+func (s *LoadState) SetHotServiceFraction(class string, fraction float64) {
+	if s.hotServiceFractions == nil {
+		s.hotServiceFractions = map[string]float64{}
 	}
-	s.hotServiceShares[class] = share
+	s.hotServiceFractions[class] = fraction
 }
 
-// Of returns the factor of a class's load and the share of it that goes to one service.
-func (s *LoadState) Of(class string) (factor, hotServiceShare float64) {
+// OfClass returns the factor of a class's load, and the fraction of that load that goes to one service.
+func (s *LoadState) OfClass(class string) (factor, hotServiceFraction float64) {
 	factor = 1
 	for _, name := range []string{allClasses, class} {
 		if f := s.factors[name]; f > 0 {
 			factor *= f
 		}
 	}
-	return factor, max(s.hotServiceShares[class], s.hotServiceShares[allClasses])
+	return factor, max(s.hotServiceFractions[class], s.hotServiceFractions[allClasses])
 }
--- a/internal/testbed/fault/load_test.go
+++ b/internal/testbed/fault/load_test.go
@@ -5,21 +5,21 @@
 // TestLoadState checks that faults of a class and of all classes add up, and end.
 func TestLoadState(t *testing.T) {
 	var s LoadState
-	check := func(class string, wantFactor, wantShare float64) {
+	check := func(class string, wantFactor, wantFraction float64) {
 		t.Helper()
-		if factor, share := s.Of(class); factor != wantFactor || share != wantShare {
-			t.Errorf("class %q: %v and %v, want %v and %v", class, factor, share, wantFactor, wantShare)
+		if factor, fraction := s.OfClass(class); factor != wantFactor || fraction != wantFraction {
+			t.Errorf("class %q: %v and %v, want %v and %v", class, factor, fraction, wantFactor, wantFraction)
 		}
 	}
 	check("a", 1, 0)
 	s.SetFactor("", 3)
 	s.SetFactor("a", 2)
-	s.SetHotServiceShare("", 0.25)
-	s.SetHotServiceShare("a", 0.5)
+	s.SetHotServiceFraction("", 0.25)
+	s.SetHotServiceFraction("a", 0.5)
 	check("a", 6, 0.5)
 	check("b", 3, 0.25)
 	s.SetFactor("", 0)
-	s.SetHotServiceShare("a", 0)
+	s.SetHotServiceFraction("a", 0)
 	check("a", 2, 0.25)
 	check("b", 1, 0.25)
 }
--- a/internal/testbed/plancheck/search.go
+++ b/internal/testbed/plancheck/search.go
@@ -156,7 +156,7 @@
 	}
 	if surge.Seconds > 0 {
 		scaled.Faults = append(slices.Clone(day.Faults),
-			scenario.Fault{Kind: "burst", At: 0, For: surge.Seconds, Factor: surge.Factor, Share: 1})
+			scenario.Fault{Kind: "burst", At: 0, For: surge.Seconds, Factor: surge.Factor, Fraction: 1})
 	}
 	return &scaled
 }
--- a/internal/testbed/scenario/day.go
+++ b/internal/testbed/scenario/day.go
@@ -1,5 +1,5 @@
-// Package scenario defines scripted days: a fleet, loads and faults at given times, as CUE records, and what a seed draws
-// from them. It does not run them: trials do so over sockets, the emulator on a simulated clock.
+// Package scenario defines scripted days as CUE records: a fleet, loads, and faults at given times; and what a seed draws
+// from them. It does not run days: a trial runs them on sockets, the emulator on a simulated clock.
 package scenario
 
 import (
@@ -8,12 +8,12 @@
 	"flaxshelf.example/flaxshelf/internal/settings"
 )
 
-// The JSON names of the records below are pinned: experiments know their stored results by a hash of the day's JSON.
+// The JSON names of the records below must not change: experiments know their stored results by a hash of the day's JSON.
 // Times that are numbers are seconds since the start of the day.
 
-// Group is a number of like nodes in one zone, the record #Group of the schema.
+// Group is a number of identical nodes in one zone, the record #Group of the schema.
 type Group struct {
-	Name  string `json:"Name"` // nodes are named after it, from 0 on
+	Name  string `json:"Name"` // prefix of the names of its nodes, which are numbered from 0
 	Kind  string `json:"Kind"`
 	Zone  string `json:"Zone"`
 	Count int    `json:"Count"`
@@ -28,17 +28,17 @@
 	PerSecond float64 `json:"PerSecond"` // mean rate of submissions
 	From      float64 `json:"From"`
 	To        float64 `json:"To"`
-	// Cores and Memory are the requested resources of a task; 0: as its class has them.
+	// Cores and Memory are the requested resources of a task; zero means those of its class.
 	Cores  float64 `json:"Cores"`
 	Memory float64 `json:"Memory"`
-	// Terminate and Hold are the shares of jobs that their clients terminate, or hold and release, soon after submission.
+	// Terminate and Hold are the fractions of jobs that their clients terminate, or hold and release, soon after submission.
 	Terminate  float64              `json:"Terminate"`
 	Hold       float64              `json:"Hold"`
 	Services   int                  `json:"Services"` // number of services that the submissions are spread over
 	Runtime    [2]settings.Duration `json:"Life"`     // bounds of the runtime, drawn evenly
 	Rerunnable bool                 `json:"Rerunnable"`
-	// Retry is the pause before a client submits anew what was rejected or failed; it gives up after Patience. 0: no
-	// retry. Only the emulator's clients retry.
+	// Retry is the pause before a client resubmits a job that was rejected or failed; the client stops retrying after
+	// Patience. Zero means no retry. Only the emulator's clients retry.
 	Retry    settings.Duration `json:"Retry"`
 	Patience settings.Duration `json:"Patience"`
 }
@@ -50,7 +50,7 @@
 	Kind       string  `json:"Do"`         // kind of fault, one of the names of the schema
 	Zone       string  `json:"Zone"`       // zone of the nodes that it affects; empty: all
 	Class      string  `json:"Class"`      // class that it affects, depending on Do
-	Share      float64 `json:"Share"`      // share of the zone's nodes that it affects
+	Fraction   float64 `json:"Share"`      // fraction of the zone's nodes that it affects
 	Factor     float64 `json:"Factor"`     // its strength, depending on Do
 	Schedulers []int   `json:"Schedulers"` // indexes of the schedulers that it affects
 }
@@ -86,12 +86,12 @@
 	Input settings.Duration `json:"Input"` // of each input of a step
 }
 
-// Of returns the time that a step with the given number of inputs takes.
-func (c *CPU) Of(inputs int) time.Duration {
+// StepTime returns the time that a step with the given number of inputs takes.
+func (c *CPU) StepTime(inputs int) time.Duration {
 	return c.Step.Duration() + time.Duration(inputs)*c.Input.Duration()
 }
 
-// Class returns the class of a name, or nil if the day has none.
+// Class returns the class with the given name, or nil if the day has none.
 func (d *Day) Class(name string) *settings.Class {
 	for i := range d.Classes {
 		if d.Classes[i].Name == name {
--- a/internal/testbed/scenario/figures.go
+++ b/internal/testbed/scenario/figures.go
@@ -6,10 +6,10 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/rules"
 )
 
-// clockSkew is what the rules checker allows between the times of the recorder and those of the recorded processes.
+// clockSkew is the tolerance of the rules checker between the times of the recorder and those of the recorded processes.
 const clockSkew = 150 * time.Millisecond
 
-// Figures returns the figures by which the rules checker judges a recording of this day.
+// Figures returns the limits by which the rules checker judges a recording of this day.
 func (d *Day) Figures() rules.Figures {
 	b := &d.Behaviour
 	f := rules.Figures{DrainGrace: d.Rules.DrainGrace.Duration(), AnswerSlack: d.Rules.AnswerSlack.Duration(),
--- a/internal/testbed/scenario/fleet.go
+++ b/internal/testbed/scenario/fleet.go
@@ -6,8 +6,8 @@
 	"math/rand/v2"
 )
 
-// troubleStream is the generator's stream of the first fault; recordings depend on it.
-const troubleStream = 1000
+// faultStream is the random stream of the first fault; recordings depend on it.
+const faultStream = 1000
 
 // Node is one node of the fleet.
 type Node struct {
@@ -15,7 +15,7 @@
 	Group *Group
 }
 
-// Nodes returns the nodes of the fleet, group by group.
+// Nodes returns the nodes of the fleet in the order of its groups.
 func (d *Day) Nodes() []Node {
 	var all []Node
 	for i := range d.Fleet {
@@ -39,19 +39,19 @@
 	return zones[i%len(zones)]
 }
 
-// Rand returns the random numbers of fault i. Not safe for concurrent use.
+// Rand returns the random numbers of fault i. They are not safe for concurrent use.
 func (d *Day) Rand(i int, seed uint64) *rand.Rand {
-	return rand.New(rand.NewPCG(seed, troubleStream+uint64(i)))
+	return rand.New(rand.NewPCG(seed, faultStream+uint64(i)))
 }
 
-// Pick draws the nodes that a fault affects and returns their indexes in Places.
-func (d *Day) Pick(t *Fault, rng *rand.Rand) []int {
+// PickNodes draws the nodes that a fault affects and returns their indexes in Nodes.
+func (d *Day) PickNodes(fault *Fault, rng *rand.Rand) []int {
 	var all []int
-	for i, p := range d.Nodes() {
-		if t.Zone == "" || t.Zone == p.Group.Zone {
+	for i, node := range d.Nodes() {
+		if fault.Zone == "" || fault.Zone == node.Group.Zone {
 			all = append(all, i)
 		}
 	}
 	rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
-	return all[:int(math.Ceil(float64(len(all))*t.Share))]
+	return all[:int(math.Ceil(float64(len(all))*fault.Fraction))]
 }
--- a/internal/testbed/scenario/read.go
+++ b/internal/testbed/scenario/read.go
@@ -18,7 +18,7 @@
 //go:embed days/*.cue
 var days embed.FS
 
-// everyClass as a fault's class stands for all classes.
+// everyClass, as the class of a fault, means all classes.
 const everyClass = "*"
 
 // UnknownDayError is returned by Read for a name that is neither a day that ships with the program nor a readable file.
@@ -27,6 +27,7 @@
 	Err  error // of reading the file
 }
 
+// Error returns a message with the names of the shipped days.
 func (e *UnknownDayError) Error() string {
 	return fmt.Sprintf("no day of that name (there are %s) and no such file: %v", strings.Join(Names(), ", "), e.Err)
 }
@@ -34,7 +35,7 @@
 // Unwrap returns the error of reading the file.
 func (e *UnknownDayError) Unwrap() error { return e.Err }
 
-// Names returns the names of the days that ship with the program, sorted.
+// Names returns the names of the days that ship with the program, in sorted order.
 func Names() []string {
 	entries, _ := days.ReadDir("days") // the folder is part of the binary
 	var names []string
@@ -45,8 +46,8 @@
 	return names
 }
 
-// Read reads a day by its name, or from a file. It returns an UnknownDayError if there is neither, and settings.Problems if
-// the day is not valid.
+// Read reads the shipped day of the given name, or else the file of that name. The error is an *UnknownDayError if there is
+// neither, and settings.Problems if the day is not valid.
 func Read(name string) (*Day, error) {
 	if text, err := days.ReadFile(path.Join("days", name+".cue")); err == nil {
 		return Parse(name, text)
@@ -58,8 +59,8 @@
 	return Parse(name, text)
 }
 
-// Parse reads a day from the text of a CUE file. It returns settings.Problems if the day is not valid; name is the file's
-// name in them.
+// Parse reads a day from the text of a CUE file. The error is settings.Problems if the day is not valid; they contain name
+// as the name of the file.
 func Parse(name string, text []byte) (*Day, error) {
 	file, err := settings.Read(name, text, "#Trial", schema)
 	if err != nil {
@@ -76,7 +77,7 @@
 	}
 	d.checkFleet(file)
 	d.checkLoad(file)
-	d.checkTroubles(file)
+	d.checkFaults(file)
 	return d, file.Err()
 }
 
@@ -103,7 +104,7 @@
 	}
 }
 
-func (d *Day) checkTroubles(file *settings.File) {
+func (d *Day) checkFaults(file *settings.File) {
 	for i, t := range d.Faults {
 		if t.Class != "" && t.Class != everyClass && d.Class(t.Class) == nil {
 			file.Fail(fmt.Sprintf("troubles[%d].class", i), "no class %q, expected one of classes", t.Class)
--- a/internal/testbed/scenario/schedulerfile.go
+++ b/internal/testbed/scenario/schedulerfile.go
@@ -26,12 +26,12 @@
 	Rules          settings.Rules    `json:"rules"`
 	Limits         settings.Limits   `json:"limits"`
 	Log            string            `json:"log"`
-	Tap            string            `json:"tap"`
+	Recording      string            `json:"tap"`
 }
 
-// SchedulerFile returns the configuration file of scheduler i as JSON, which is CUE as well. inventory and tap are the
-// addresses of the inventory and of the recording proxy.
-func (d *Day) SchedulerFile(i int, inventory, tap string, seed uint64) ([]byte, error) {
+// SchedulerFile returns the configuration file of scheduler i as JSON, which is valid CUE. inventory is the address of the
+// inventory; recording is the file to which the scheduler records the steps of its module, or empty for none.
+func (d *Day) SchedulerFile(i int, inventory, recording string, seed uint64) ([]byte, error) {
 	fail := func(err error) ([]byte, error) {
 		return nil, fmt.Errorf("scenario: configuration of scheduler %s: %w", SchedulerName(i), err)
 	}
@@ -52,7 +52,7 @@
 		Rules:          d.Rules,
 		Limits:         d.Limits,
 		Log:            "info",
-		Tap:            tap,
+		Recording:      recording,
 	})
 	if err != nil {
 		return fail(err)
@@ -64,7 +64,7 @@
 	return json.MarshalIndent(lowerFieldNames(fields), "", "  ")
 }
 
-// lowerFieldNames lowers the first letter of every field name: the JSON names of the settings' records begin with a
+// lowerFieldNames makes the first letter of every field name lower case: the JSON names of the settings' records begin with a
 // capital letter, those of the schema do not.
 func lowerFieldNames(value any) any {
 	switch value := value.(type) {
--- a/internal/testbed/trial/clients.go
+++ b/internal/testbed/trial/clients.go
@@ -113,10 +113,10 @@
 }
 
 // loadNow is the factor of a class's load and the share of one service, by the faults of the present.
-func (c *clients) loadNow(class string) (factor, hotServiceShare float64) {
+func (c *clients) loadNow(class string) (factor, hotServiceFraction float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.loadState.Of(class)
+	return c.loadState.OfClass(class)
 }
 
 func (c *clients) setLoadFactor(class string, factor float64) {
@@ -125,10 +125,10 @@
 	c.loadState.SetFactor(class, factor)
 }
 
-func (c *clients) setHotServiceShare(class string, share float64) {
+func (c *clients) setHotServiceFraction(class string, fraction float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.loadState.SetHotServiceShare(class, share)
+	c.loadState.SetHotServiceFraction(class, fraction)
 }
 
 func jobTemplate(arrival *scenario.Arrival) drmaa2.JobTemplate {
--- a/internal/testbed/trial/faults.go
+++ b/internal/testbed/trial/faults.go
@@ -32,8 +32,8 @@
 			if canceled(ctx) {
 				return
 			}
-			trouble := &c.day.Faults[i]
-			c.opt.Note("%6.2f s: %s%s for %v s", trouble.At, trouble.Kind, describe(trouble), trouble.For)
+			scheduled := &c.day.Faults[i]
+			c.opt.Note("%6.2f s: %s%s for %v s", scheduled.At, scheduled.Kind, describe(scheduled), scheduled.For)
 			errs[i] = next.Inject(ctx, target)
 		})
 	}
@@ -44,13 +44,13 @@
 }
 
 // describe is the zone and class of a fault, if it is of one.
-func describe(trouble *scenario.Fault) string {
+func describe(scheduled *scenario.Fault) string {
 	text := ""
-	if trouble.Zone != "" {
-		text += " in " + trouble.Zone
+	if scheduled.Zone != "" {
+		text += " in " + scheduled.Zone
 	}
-	if trouble.Class != "" {
-		text += " of " + trouble.Class
+	if scheduled.Class != "" {
+		text += " of " + scheduled.Class
 	}
 	return text
 }
@@ -101,10 +101,10 @@
 }
 
 // DropPrograms is of fault.Cluster.
-func (t *faultTarget) DropPrograms(nodes []int, share float64) {
+func (t *faultTarget) DropPrograms(nodes []int, fraction float64) {
 	for _, n := range t.nodes(nodes) {
 		n.do(func(model *nodemodel.Node, _ nodemodel.Time) []nodemodel.Send {
-			model.DropPrograms(share)
+			model.DropPrograms(fraction)
 			return nil
 		})
 	}
@@ -193,9 +193,9 @@
 	t.clients.setLoadFactor(class, factor)
 }
 
-// SetHotServiceShare is of fault.Cluster.
-func (t *faultTarget) SetHotServiceShare(class string, share float64) {
-	t.clients.setHotServiceShare(class, share)
+// SetHotServiceFraction is of fault.Cluster.
+func (t *faultTarget) SetHotServiceFraction(class string, fraction float64) {
+	t.clients.setHotServiceFraction(class, fraction)
 }
 
 // SetInventoryFault is of fault.Cluster.
