--- a/internal/testbed/fault/fault_test.go
+++ b/internal/testbed/fault/fault_test.go
@@ -6,7 +6,6 @@
 	"fmt"
 	"math/rand/v2"
 	"reflect"
-	"strings"
 	"testing"
 	"time"
 
@@ -16,75 +15,81 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/standin/nodemodel"
 )
 
-// journal is a cluster that notes its actions in place of carrying them out.
-type journal struct {
+// fakeCluster is a cluster that records its actions instead of carrying them out.
+type fakeCluster struct {
 	actions []string
 	err     error // of TerminateSchedulers and RestartNodes
 }
 
-func (j *journal) note(format string, args ...any) {
-	j.actions = append(j.actions, fmt.Sprintf(format, args...))
+func (c *fakeCluster) record(format string, args ...any) {
+	c.actions = append(c.actions, fmt.Sprintf(format, args...))
 }
 
-func (j *journal) Wait(_ context.Context, duration time.Duration) { j.note("wait %v", duration) }
+func (c *fakeCluster) Wait(_ context.Context, duration time.Duration) { c.record("wait %v", duration) }
 
-func (j *journal) ChangeNodeFaults(nodes []int, change NodeFaultChange) {
-	// Fields that a change leaves keep these values.
+func (c *fakeCluster) ChangeNodeFaults(nodes []int, change NodeFaultChange) {
+	// A field that the change does not set keeps its value.
 	fault := nodemodel.Fault{FailShare: 9, SwellFactor: 9, Crowd: 9, FailClass: "-", SwellClass: "-", SilentClass: "-"}
 	change(&fault)
-	j.note("faults %v %v", nodes, fault)
+	c.record("faults %v %v", nodes, fault)
 }
 
-func (j *journal) DropPrograms(nodes []int, fraction float64) { j.note("drop %v %v", nodes, fraction) }
-func (j *journal) DrainNodes(nodes []int)                     { j.note("drain %v", nodes) }
-func (j *journal) StopNodes(nodes []int)                      { j.note("stop %v", nodes) }
+func (c *fakeCluster) DropPrograms(nodes []int, fraction float64) {
+	c.record("drop %v %v", nodes, fraction)
+}
+func (c *fakeCluster) DrainNodes(nodes []int) { c.record("drain %v", nodes) }
+func (c *fakeCluster) StopNodes(nodes []int)  { c.record("stop %v", nodes) }
 
-func (j *journal) StartNodes(_ context.Context, nodes []int) error {
-	j.note("start %v", nodes)
+func (c *fakeCluster) StartNodes(_ context.Context, nodes []int) error {
+	c.record("start %v", nodes)
 	return nil
 }
 
-func (j *journal) RestartNodes(_ context.Context, nodes []int) error {
-	j.note("restart %v", nodes)
-	return j.err
+func (c *fakeCluster) RestartNodes(_ context.Context, nodes []int) error {
+	c.record("restart %v", nodes)
+	return c.err
 }
 
-func (j *journal) PauseSchedulers(schedulers []int, duration time.Duration) {
-	j.note("pause s%v %v", schedulers, duration)
+func (c *fakeCluster) PauseSchedulers(schedulers []int, duration time.Duration) {
+	c.record("pause s%v %v", schedulers, duration)
 }
-func (j *journal) ResumeSchedulers(schedulers []int) { j.note("resume s%v", schedulers) }
-func (j *journal) KillSchedulers(schedulers []int)   { j.note("kill s%v", schedulers) }
+func (c *fakeCluster) ResumeSchedulers(schedulers []int) { c.record("resume s%v", schedulers) }
+func (c *fakeCluster) KillSchedulers(schedulers []int)   { c.record("kill s%v", schedulers) }
 
-func (j *journal) TerminateSchedulers(schedulers []int) error {
-	j.note("terminate s%v", schedulers)
-	return j.err
+func (c *fakeCluster) TerminateSchedulers(schedulers []int) error {
+	c.record("terminate s%v", schedulers)
+	return c.err
 }
 
-func (j *journal) StartSchedulers(_ context.Context, schedulers []int) error {
-	j.note("start s%v", schedulers)
+func (c *fakeCluster) StartSchedulers(_ context.Context, schedulers []int) error {
+	c.record("start s%v", schedulers)
 	return nil
 }
 
-func (j *journal) SetLoadFactor(class string, factor float64) { j.note("load %s %v", class, factor) }
-func (j *journal) SetHotServiceFraction(class string, fraction float64) {
-	j.note("hot %s %v", class, fraction)
+func (c *fakeCluster) SetLoadFactor(class string, factor float64) {
+	c.record("load %s %v", class, factor)
+}
+func (c *fakeCluster) SetHotServiceFraction(class string, fraction float64) {
+	c.record("hot %s %v", class, fraction)
 }
-func (j *journal) SetInventoryFault(fault inventorymodel.Fault) { j.note("inventory %v", fault) }
+func (c *fakeCluster) SetInventoryFault(fault inventorymodel.Fault) { c.record("inventory %v", fault) }
 
-// networkJournal is one with connections.
-type networkJournal struct{ journal }
+// fakeNetworkCluster is a fakeCluster that is also a Network.
+type fakeNetworkCluster struct{ fakeCluster }
 
-func (j *networkJournal) SetLinkFault(nodes []int, fault recordproxy.Fault) {
-	j.note("link %v %v", nodes, fault)
+func (c *fakeNetworkCluster) SetLinkFault(nodes []int, fault recordproxy.Fault) {
+	c.record("link %v %v", nodes, fault)
+}
+func (c *fakeNetworkCluster) BreakLinks(nodes []int) { c.record("break %v", nodes) }
+func (c *fakeNetworkCluster) BreakInventoryLinks(schedulers []int) {
+	c.record("break inventory s%v", schedulers)
 }
-func (j *networkJournal) BreakLinks(nodes []int) { j.note("break %v", nodes) }
-func (j *networkJournal) BreakInventoryLinks(schedulers []int) {
-	j.note("break inventory s%v", schedulers)
+func (c *fakeNetworkCluster) BreakClientLinks(schedulers []int) {
+	c.record("break clients s%v", schedulers)
 }
-func (j *networkJournal) BreakClientLinks(schedulers []int) { j.note("break clients s%v", schedulers) }
 
-func (j *networkJournal) RunMisbehavingClients(_ context.Context, schedulers []int, clients int, duration time.Duration) {
-	j.note("misbehave s%v %d %v", schedulers, clients, duration)
+func (c *fakeNetworkCluster) RunMisbehavingClients(_ context.Context, schedulers []int, clients int, duration time.Duration) {
+	c.record("misbehave s%v %d %v", schedulers, clients, duration)
 }
 
 func testFault(kind Kind) *Fault {
@@ -92,8 +97,7 @@
 		Class: "c", Factor: 2, random: rand.New(rand.NewPCG(1, 2))}
 }
 
-// TestActions checks the actions of each kind, in their order.
-func TestActions(t *testing.T) {
+func TestInjectCarriesOutTheActionsOfItsKindInOrder(t *testing.T) {
 	for kind, want := range map[Kind][]string{
 		FailStarts:          {"faults [4 5 6] {2 c - 9 - 9}", "wait 3s", "faults [4 5 6] {0  - 9 - 9}"},
 		DropReplies:         {"faults [4 5 6] {9 - c 9 - 9}", "wait 3s", "faults [4 5 6] {9 -  9 - 9}"},
@@ -122,93 +126,108 @@
 		MisbehavingClients:  {"misbehave s[1] 2 3s"},
 	} {
 		t.Run(kind.String(), func(t *testing.T) {
-			j := &networkJournal{}
-			if err := testFault(kind).Inject(context.Background(), j); err != nil {
+			c := &fakeNetworkCluster{}
+			if err := testFault(kind).Inject(context.Background(), c); err != nil {
 				t.Fatal(err)
 			}
-			if !reflect.DeepEqual(j.actions, want) {
-				t.Errorf("got  %q\nwant %q", j.actions, want)
+			if !reflect.DeepEqual(c.actions, want) {
+				t.Errorf("got  %q\nwant %q", c.actions, want)
 			}
 		})
 	}
 }
 
-// TestBreakReplies checks that each connection is broken at a point of its own, drawn by the seed.
-func TestBreakReplies(t *testing.T) {
-	j := &networkJournal{}
-	if err := testFault(BreakReplies).Inject(context.Background(), j); err != nil {
+func TestBreakRepliesDrawsAPointForEachConnection(t *testing.T) {
+	c := &fakeNetworkCluster{}
+	if err := testFault(BreakReplies).Inject(context.Background(), c); err != nil {
 		t.Fatal(err)
 	}
 	draw, want := rand.New(rand.NewPCG(1, 2)), []string(nil)
 	for _, node := range []int{4, 5, 6} {
 		want = append(want, fmt.Sprintf("link [%d] {0s false false false %d}", node, 1+draw.IntN(100)))
 	}
-	if !reflect.DeepEqual(j.actions, want) {
-		t.Errorf("got  %q\nwant %q", j.actions, want)
+	if !reflect.DeepEqual(c.actions, want) {
+		t.Errorf("got  %q\nwant %q", c.actions, want)
 	}
 }
 
-// TestUnsupported checks that a cluster without connections has no faults of connections, and all others.
-func TestUnsupported(t *testing.T) {
+func TestOnlyNetworkFaultsNeedANetwork(t *testing.T) {
 	for name, kind := range kinds {
-		err := testFault(kind).Inject(context.Background(), &journal{})
-		_, needsNetwork := networkHandlers[kind]
-		var unsupported *UnsupportedError
-		if got := errors.As(err, &unsupported); got != needsNetwork || got && unsupported.Kind != kind {
-			t.Errorf("%s: %v", name, err)
-		}
-		if !needsNetwork && err != nil {
-			t.Errorf("%s: %v", name, err)
-		}
+		t.Run(name, func(t *testing.T) {
+			err := testFault(kind).Inject(context.Background(), &fakeCluster{})
+			if _, needsNetwork := networkHandlers[kind]; !needsNetwork {
+				if err != nil {
+					t.Errorf("got error %v, want none", err)
+				}
+				return
+			}
+			var unsupported *UnsupportedError
+			if !errors.As(err, &unsupported) || unsupported.Kind != kind {
+				t.Errorf("got error %v, want an UnsupportedError of %v", err, kind)
+			}
+		})
 	}
 }
 
-// TestErrors checks that an action's error names its fault, and that terminated schedulers are started all the same.
-func TestErrors(t *testing.T) {
+func TestTerminatedSchedulersAreStartedAfterAnError(t *testing.T) {
 	cause := errors.New("cause")
-	j := &journal{err: cause}
-	err := testFault(TerminateSchedulers).Inject(context.Background(), j)
+	c := &fakeCluster{err: cause}
+	err := testFault(TerminateSchedulers).Inject(context.Background(), c)
 	var faultError *Error
 	if !errors.Is(err, cause) || !errors.As(err, &faultError) || faultError.Fault.Kind != TerminateSchedulers {
-		t.Errorf("error %v", err)
+		t.Errorf("got error %v, want an Error of the fault that wraps the cause", err)
 	}
-	if last := j.actions[len(j.actions)-1]; last != "start s[1]" {
-		t.Errorf("the last action is %q", last)
+	if got, want := c.actions[len(c.actions)-1], "start s[1]"; got != want {
+		t.Errorf("got last action %q, want %q", got, want)
 	}
-	j = &journal{err: cause}
-	if err := testFault(DeployNodes).Inject(context.Background(), j); !errors.Is(err, cause) || len(j.actions) != 3 {
-		t.Errorf("error %v after %q", err, j.actions)
+}
+
+func TestDeploymentStopsAfterAnError(t *testing.T) {
+	cause := errors.New("cause")
+	c := &fakeCluster{err: cause}
+	err := testFault(DeployNodes).Inject(context.Background(), c)
+	if !errors.Is(err, cause) {
+		t.Errorf("got error %v, want %v", err, cause)
+	}
+	if len(c.actions) != 3 {
+		t.Errorf("got actions %q, want those of the first group alone", c.actions)
 	}
 }
 
-// TestNew checks that every fault of the scenarios that ship with the program has a kind, and that a seed draws the same
-// nodes again.
-func TestNew(t *testing.T) {
+func TestNewDrawsTheSameFaultForASeed(t *testing.T) {
 	for _, name := range scenario.Names() {
-		day, err := scenario.Read(name)
-		if err != nil {
-			t.Fatal(err)
-		}
-		for i := range day.Faults {
-			first, err := New(day, i, 3)
+		t.Run(name, func(t *testing.T) {
+			day, err := scenario.Read(name)
 			if err != nil {
-				t.Fatalf("%s: %v", name, err)
-			}
-			second, err := New(day, i, 3)
-			if err != nil || !reflect.DeepEqual(first, second) {
-				t.Errorf("%s: %+v and %+v, %v", name, first, second, err)
+				t.Fatal(err)
 			}
-			if first.Kind.String() != day.Faults[i].Kind {
-				t.Errorf("%s: %v, want %s", name, first.Kind, day.Faults[i].Kind)
+			for i := range day.Faults {
+				first, err := New(day, i, 3)
+				if err != nil {
+					t.Fatal(err)
+				}
+				second, err := New(day, i, 3)
+				if err != nil || !reflect.DeepEqual(first, second) {
+					t.Errorf("got %+v and %+v, error %v, want the same twice", first, second, err)
+				}
+				if got, want := first.Kind.String(), day.Faults[i].Kind; got != want {
+					t.Errorf("got kind %s, want %s", got, want)
+				}
 			}
-		}
+		})
 	}
+}
+
+func TestNewRejectsAnUnknownKind(t *testing.T) {
 	_, err := New(&scenario.Day{Faults: []scenario.Fault{{Kind: "nothing"}}}, 0, 1)
 	var unknown *UnknownKindError
 	if !errors.As(err, &unknown) || unknown.Name != "nothing" {
-		t.Errorf("error %v", err)
+		t.Errorf("got error %v, want an UnknownKindError of %q", err, "nothing")
 	}
-	if got := Kind(0).String(); !strings.Contains(got, "0") {
-		t.Errorf("the zero kind is %q", got)
+}
+
+func TestStringOfAnUnknownKindHasItsNumber(t *testing.T) {
+	if got, want := Kind(0).String(), "Kind(0)"; got != want {
+		t.Errorf("got %q, want %q", got, want)
 	}
 }
--- a/internal/testbed/fault/load_test.go
+++ b/internal/testbed/fault/load_test.go
@@ -2,8 +2,7 @@
 
 import "testing"
 
-// TestLoadState checks that faults of a class and of all classes add up, and end.
-func TestLoadState(t *testing.T) {
+func TestLoadFaultsOfAClassAndOfAllClassesCombine(t *testing.T) {
 	var s LoadState
 	check := func(class string, wantFactor, wantFraction float64) {
 		t.Helper()
