--- a/internal/testbed/emulator/recorder.go
+++ b/internal/testbed/emulator/recorder.go
@@ -124,25 +124,27 @@
 	return r.connections[s.settings.Name].inventory
 }
 
-func (r *recorder) mark(what, party string, at Time) {
+func (r *recorder) mark(event recordproxy.Event, party string, at Time) {
 	if r != nil {
-		r.add(at, &recordingpb.Record{Body: &recordingpb.Record_Mark{Mark: &recordingpb.Mark{What: what, Party: party}}})
+		r.add(at, &recordingpb.Record{Body: &recordingpb.Record_Mark{Mark: recordproxy.NewMark(event, party)}})
 	}
 }
 
-func (r *recorder) nodeDied(n *nodeEntity, at Time) { r.mark(rules.MarkNodeDied, n.place.Name, at) }
+func (r *recorder) nodeDied(n *nodeEntity, at Time) {
+	r.mark(recordproxy.EventNodeStopped, n.place.Name, at)
+}
 
 func (r *recorder) nodeOverloaded(n *nodeEntity, at Time) {
-	r.mark(rules.MarkNodeOverloaded, n.place.Name, at)
+	r.mark(recordproxy.EventNodeOverloaded, n.place.Name, at)
 }
 
 func (r *recorder) schedulerKilled(s *schedulerEntity, at Time) {
-	r.mark(rules.MarkSchedulerKilled, s.settings.Name, at)
+	r.mark(recordproxy.EventSchedulerKilled, s.settings.Name, at)
 }
 
 func (r *recorder) schedulerPaused(s *schedulerEntity, at, until Time) {
-	r.mark(rules.MarkSchedulerPaused, s.settings.Name, at)
-	r.mark(rules.MarkSchedulerResumed, s.settings.Name, until)
+	r.mark(recordproxy.EventSchedulerPaused, s.settings.Name, at)
+	r.mark(recordproxy.EventSchedulerResumed, s.settings.Name, until)
 }
 
 // answered records a submission and its answer, as a client and the front have them.
@@ -179,7 +181,7 @@
 		return fmt.Errorf("emulator: record: %w", r.err)
 	}
 	slices.SortStableFunc(r.records, func(a, b *recordingpb.Record) int { return cmp.Compare(a.TimeNs, b.TimeNs) })
-	r.mark("end", "", end)
+	r.mark(recordproxy.EventEnd, "", end)
 	buffer := bufio.NewWriter(w)
 	head := &recordingpb.Record{TimeNs: int64(Epoch), Body: &recordingpb.Record_Head{Head: &recordingpb.Head{Version: recordproxy.Version,
 		Figures: figures}}}
--- a/internal/testbed/recordproxy/connection.go
+++ b/internal/testbed/recordproxy/connection.go
@@ -6,21 +6,14 @@
 )
 
 const (
-	// readSize is how many bytes a proxy reads at a time.
+	// readSize is the maximum number of bytes of one read.
 	readSize = 64 << 10
-	// queueLength is how many reads of one direction may wait to be forwarded; beyond it the sender's socket fills.
+	// queueLength is the maximum number of reads of one direction that wait to be forwarded; beyond it the proxy does not
+	// read, so that the sender is slowed down by TCP flow control.
 	queueLength = 256
 )
 
-// The reasons of closed connections, as a recording stores them.
-const (
-	closedByParty = "closed by a party"
-	closedByFault = "cut"
-	closedMidway  = "cut in the middle"
-	closedByProxy = "end of the trial"
-)
-
-// connection is one connection on both sides of the proxy.
+// connection is a pair of TCP connections: the dialer's to the proxy and the proxy's to the listener.
 type connection struct {
 	proxy            *Proxy
 	id               uint64
@@ -29,7 +22,8 @@
 	done             chan struct{} // closed with the connection
 }
 
-// close records the end and closes both sides. It is recorded ahead of what the parties do when they see it.
+// close records the end of the connection and then closes both sides, so that the record precedes those of the parties'
+// reactions. Calls after the first have no effect.
 func (c *connection) close(reason string) {
 	c.closing.Do(func() {
 		c.proxy.recorder.closed(c.id, reason)
@@ -47,8 +41,8 @@
 	directions.Wait()
 }
 
-// forward carries one direction. Bytes are recorded when they are received, though earlier ones may still be delayed by a
-// fault, and again when they are forwarded.
+// forward transfers one direction until the connection ends. Bytes are recorded when they are received, even while a fault
+// delays earlier ones, and again when they are forwarded.
 func (c *connection) forward(source, destination net.Conn, fromListener bool) {
 	queue := make(chan []byte, queueLength)
 	var writer sync.WaitGroup
@@ -72,21 +66,21 @@
 	}
 }
 
-// write forwards what was read until there is no more, and returns the reason of the connection's end.
+// write forwards the queued bytes until the queue is closed, and returns the reason why the connection ends.
 func (c *connection) write(destination net.Conn, fromListener bool, queue <-chan []byte) string {
 	for data := range queue {
 		forwarded, closing, err := c.applyFault(len(data), fromListener)
 		if err != nil {
 			return err.Error()
 		}
-		// Recorded before the write, so that no answer to these bytes is recorded ahead of them.
+		// Recorded before the write, so that no response to these bytes is recorded before them.
 		c.proxy.recorder.delivered(c.id, fromListener, forwarded, len(data)-forwarded)
 		c.proxy.droppedBytes.Add(int64(len(data) - forwarded))
 		if _, err := destination.Write(data[:forwarded]); err != nil {
 			return closedByParty
 		}
 		if closing {
-			return closedMidway
+			return closedMidReply
 		}
 	}
 	return closedByParty
--- a/internal/testbed/recordproxy/fault.go
+++ b/internal/testbed/recordproxy/fault.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-// Fault is what goes wrong with a proxy's connections. The zero value forwards everything at once.
+// Fault is a fault of the connections of a proxy. The zero value forwards all bytes at once.
 type Fault struct {
-	// Delay has each read forwarded so much later.
+	// Delay is the time after which each read is forwarded.
 	Delay time.Duration
-	// Stall has nothing forwarded, both ways; nothing is lost.
+	// Stall stops forwarding in both directions; no bytes are lost.
 	Stall bool
-	// DropReplies loses the bytes from the listening party: a half-open connection.
+	// DropReplies drops the bytes from the listening party: the connection is half-open.
 	DropReplies bool
 	// Reject closes new connections at once.
 	Reject bool
-	// BreakAfterBytes, if above 0, closes the first connection on which so many more bytes come from the listening party,
-	// once.
+	// BreakAfterBytes, if positive, closes one connection: the one on which the listening party has sent the last of that
+	// number of bytes, counted over all connections.
 	BreakAfterBytes int
 }
 
-// errClosed is that a connection was closed while its bytes waited to be forwarded.
+// errClosed reports that a connection was closed while bytes of it waited to be forwarded.
 var errClosed = errors.New("recordproxy: the connection is closed")
 
-// applyFault waits as long as the fault delays bytes, and returns how many of them are forwarded, and whether the
-// connection is closed after them.
+// applyFault waits as long as the fault delays size bytes, and returns how many of them to forward, and whether to close the
+// connection after them. The error is errClosed.
 func (c *connection) applyFault(size int, fromListener bool) (forwarded int, closing bool, err error) {
 	fault, changed := c.proxy.currentFault()
 	for fault.Stall {
@@ -52,17 +52,17 @@
 	return size, false, nil
 }
 
-// countDown takes bytes off those that are left until a connection breaks.
+// countDown subtracts size bytes from those that remain until a connection is closed; the results are those of applyFault.
 func (p *Proxy) countDown(size int) (forwarded int, closing bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	left := p.fault.BreakAfterBytes
+	remaining := p.fault.BreakAfterBytes
 	switch {
-	case left <= 0: // another connection has just been broken
+	case remaining <= 0: // another connection has just been broken
 		return size, false
-	case size >= left:
+	case size >= remaining:
 		p.fault.BreakAfterBytes = 0
-		return left, true
+		return remaining, true
 	}
 	p.fault.BreakAfterBytes -= size
 	return size, false
--- a/internal/testbed/recordproxy/proxy.go
+++ b/internal/testbed/recordproxy/proxy.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// dialTimeout is how long the listening party may take to accept a connection.
+// dialTimeout bounds the connection attempt to the listening party.
 const dialTimeout = time.Second
 
-// Proxy forwards connections to one party, which is their listener, and records them. Its fault may be changed at any time.
-// Its methods may be called by several goroutines.
+// Proxy forwards connections to one party, their listener, and records them. Its fault may be changed at any time. It is
+// safe for concurrent use.
 type Proxy struct {
 	recorder *Recorder
 	wire     string
-	to, via  string // names of the listening party and, if it is known beforehand, of the dialing one
+	to, via  string // names of the listening party and, if the proxy serves only one, of the dialing party
 	listener net.Listener
 	target   func() string
 
@@ -30,8 +30,9 @@
 	running      sync.WaitGroup // the accepting goroutine and those of connections
 }
 
-// NewProxy listens on a port of its own until Close. wire, to and via are the names of the protocol and the parties in the
-// recording; target is called for the address of the party for each connection.
+// NewProxy returns a proxy that listens on a port of its own until Close. wire, to and via are the names of the protocol, the
+// listening and the dialing party in the recording; via may be empty. For each connection target is called for the address of
+// the listening party.
 func NewProxy(recorder *Recorder, wire, to, via string, target func() string) (*Proxy, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -43,13 +44,13 @@
 	return p, nil
 }
 
-// Addr is where the proxy listens.
+// Addr returns the address at which the proxy listens.
 func (p *Proxy) Addr() string { return p.listener.Addr().String() }
 
-// DroppedBytes counts the bytes that were received and not forwarded.
+// DroppedBytes returns the number of bytes that were received and dropped.
 func (p *Proxy) DroppedBytes() int64 { return p.droppedBytes.Load() }
 
-// SetFault replaces the fault of all connections, those to come as well.
+// SetFault replaces the fault of all present and later connections.
 func (p *Proxy) SetFault(fault Fault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -58,7 +59,7 @@
 	p.faultChanged = make(chan struct{})
 }
 
-// Disconnect closes all present connections.
+// Disconnect closes all present connections; later ones are accepted.
 func (p *Proxy) Disconnect() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -67,19 +68,19 @@
 	}
 }
 
-// Close ends the proxy and its connections, and waits for its goroutines.
+// Close closes the listener and all connections, and waits for the goroutines of the proxy.
 func (p *Proxy) Close() {
 	p.mu.Lock()
 	p.closed = true
 	for c := range p.connections {
-		c.close(closedByProxy)
+		c.close(closedWithProxy)
 	}
 	p.mu.Unlock()
 	_ = p.listener.Close()
 	p.running.Wait()
 }
 
-// currentFault returns the fault with a channel that is closed when it changes.
+// currentFault returns the fault and a channel that is closed when it changes.
 func (p *Proxy) currentFault() (Fault, <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -114,7 +115,7 @@
 	closed := p.closed
 	p.mu.Unlock()
 	if closed {
-		c.close(closedByProxy)
+		c.close(closedWithProxy)
 	}
 	c.run()
 	p.mu.Lock()
--- a/internal/testbed/recordproxy/proxy_test.go
+++ b/internal/testbed/recordproxy/proxy_test.go
@@ -108,7 +108,7 @@
 	case *recordingpb.Record_Close:
 		return "close"
 	case *recordingpb.Record_Mark:
-		return "mark:" + body.Mark.What
+		return "mark:" + string(EventOf(body.Mark))
 	}
 	return "unknown"
 }
@@ -238,7 +238,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if record, err := reader.Next(); err != nil || record.GetMark().What != "one" {
+	if record, err := reader.Next(); err != nil || EventOf(record.GetMark()) != "one" {
 		t.Errorf("%v, %v", record, err)
 	}
 	if _, err := reader.Next(); !errors.Is(err, io.EOF) {
--- a/internal/testbed/recordproxy/reader.go
+++ b/internal/testbed/recordproxy/reader.go
@@ -11,33 +11,34 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/recordproxy/recordingpb"
 )
 
-// Reader reads a recording. It is used by one goroutine.
+// Reader reads a recording. It is not safe for concurrent use.
 type Reader struct {
 	buffer *bufio.Reader
-	// Figures are those of the recording's head.
+	// Figures are the limits for the rules checker, as JSON.
 	Figures []byte
 }
 
-// FormatError is a file that is no recording.
+// FormatError reports a file that is not a recording.
 type FormatError struct{ Err error }
 
-// Error names the cause.
+// Error returns a message with the cause.
 func (e *FormatError) Error() string { return fmt.Sprintf("recordproxy: not a recording: %v", e.Err) }
 
-// Unwrap is the cause.
+// Unwrap returns the cause.
 func (e *FormatError) Unwrap() error { return e.Err }
 
-// VersionError is a recording of a version that this build cannot read.
+// VersionError reports a recording of a version that this build cannot read.
 type VersionError struct{ Version uint32 }
 
-// Error names both versions.
+// Error returns a message with the recording's version and that of this build.
 func (e *VersionError) Error() string {
 	return fmt.Sprintf("recordproxy: version %d, this build reads %d", e.Version, Version)
 }
 
 var errNoHead = errors.New("it has no head")
 
-// NewReader reads the head. The error is a *FormatError or a *VersionError.
+// NewReader reads the head of a recording and returns a reader of the records after it. The error is a *FormatError or a
+// *VersionError.
 func NewReader(r io.Reader) (*Reader, error) {
 	reader := &Reader{buffer: bufio.NewReaderSize(r, bufferBytes)}
 	record, err := reader.Next()
@@ -55,7 +56,7 @@
 	return reader, nil
 }
 
-// Next returns the next record; io.EOF at the end. A recording that was cut off ends where it was cut off.
+// Next returns the next record, or io.EOF at the end. A truncated recording ends after its last complete record.
 func (r *Reader) Next() (*recordingpb.Record, error) {
 	record := &recordingpb.Record{}
 	err := protodelim.UnmarshalOptions{MaxSize: maxRecordBytes}.UnmarshalFrom(r.buffer, record)
--- a/internal/testbed/recordproxy/recorder.go
+++ b/internal/testbed/recordproxy/recorder.go
@@ -1,5 +1,6 @@
-// Package recordproxy records what passes between the parties of a trial: a proxy on loopback forwards, delays, stalls,
-// breaks and half-opens connections, and a recorder writes the bytes with their times. It must not interpret the bytes.
+// Package recordproxy records the traffic between the parties of a trial. A Proxy on loopback forwards connections and
+// injects faults into them; a Recorder writes the bytes with their times. The package must not interpret the bytes: a
+// recording shows what the parties sent and received, whatever the checker makes of it.
 package recordproxy
 
 import (
@@ -20,23 +21,24 @@
 const Version = 1
 
 const (
-	// maxRecordBytes bounds one record; a proxy reads less at a time.
+	// maxRecordBytes bounds the size of one record; a proxy reads less at a time.
 	maxRecordBytes = 4 << 20
 	// bufferBytes is the size of the buffers of recorders and readers.
 	bufferBytes = 64 << 10
 )
 
-// Recorder writes a recording. It may be used by many goroutines; records are in the order of their times.
+// Recorder writes a recording. It is safe for concurrent use; records are in the order of their times.
 type Recorder struct {
 	mu             sync.Mutex
 	buffer         *bufio.Writer
 	closer         io.Closer // nil for none
 	lastTime       int64
 	lastConnection uint64
-	err            error // the first
+	err            error // the first error
 }
 
-// NewRecorder begins a recording with the figures for its checker. Close closes the writer if it is an io.Closer.
+// NewRecorder returns a recorder that writes to w, and writes the head with the limits for the rules checker. Close closes w
+// if it is an io.Closer.
 func NewRecorder(w io.Writer, figures []byte) *Recorder {
 	r := &Recorder{buffer: bufio.NewWriterSize(w, bufferBytes)}
 	if closer, ok := w.(io.Closer); ok {
@@ -46,7 +48,7 @@
 	return r
 }
 
-// Create begins a recording in a file.
+// Create returns a recorder that writes to a new file.
 func Create(path string, figures []byte) (*Recorder, error) {
 	file, err := os.Create(path)
 	if err != nil {
@@ -55,7 +57,7 @@
 	return NewRecorder(file, figures), nil
 }
 
-// add writes a record with the present time. Close returns the first error.
+// add writes a record with the present time. Close returns the first error of a write.
 func (r *Recorder) add(record *recordingpb.Record) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -66,9 +68,9 @@
 	}
 }
 
-// Mark records what was done to a party.
-func (r *Recorder) Mark(what, party string) {
-	r.add(&recordingpb.Record{Body: &recordingpb.Record_Mark{Mark: &recordingpb.Mark{What: what, Party: party}}})
+// Mark records an event of a party.
+func (r *Recorder) Mark(event Event, party string) {
+	r.add(&recordingpb.Record{Body: &recordingpb.Record_Mark{Mark: NewMark(event, party)}})
 }
 
 // opened records a new connection and returns its number.
@@ -91,10 +93,10 @@
 }
 
 func (r *Recorder) closed(connection uint64, reason string) {
-	r.add(&recordingpb.Record{Body: &recordingpb.Record_Close{Close: &recordingpb.Close{Conn: connection, Why: reason}}})
+	r.add(&recordingpb.Record{Body: &recordingpb.Record_Close{Close: newClose(connection, reason)}})
 }
 
-// Close ends the recording and returns its first error.
+// Close flushes and closes the recording, and returns its first error.
 func (r *Recorder) Close() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/testbed/rules/check.go
+++ b/internal/testbed/rules/check.go
@@ -112,7 +112,7 @@
 	case *recordingpb.Record_Close:
 		c.connectionClosed(body.Close)
 	case *recordingpb.Record_Mark:
-		c.mark(body.Mark.What, body.Mark.Party)
+		c.eventMarked(recordproxy.EventOf(body.Mark), body.Mark.Party)
 	}
 }
 
--- a/internal/testbed/rules/follow.go
+++ b/internal/testbed/rules/follow.go
@@ -55,10 +55,10 @@
 		open := body.Open
 		f.connections[open.Conn] = &connection{wire: open.Wire, listener: open.To, dialer: open.Via}
 	case *recordingpb.Record_Mark:
-		f.print("-- " + body.Mark.Party + ": " + body.Mark.What)
+		f.print("-- " + body.Mark.Party + ": " + string(recordproxy.EventOf(body.Mark)))
 	case *recordingpb.Record_Close:
 		if link := f.connections[body.Close.Conn]; link != nil {
-			f.printMatch(fmt.Sprintf("%s to %s closed: %s", link.dialer, link.listener, body.Close.Why))
+			f.printMatch(fmt.Sprintf("%s to %s closed: %s", link.dialer, link.listener, recordproxy.ReasonOf(body.Close)))
 		}
 	case *recordingpb.Record_Sent:
 		f.sent(body.Sent)
--- a/internal/testbed/rules/mark.go
+++ b/internal/testbed/rules/mark.go
@@ -1,42 +1,30 @@
 package rules
 
-import "time"
+import (
+	"time"
 
-// The marks of a recording that the checker needs, with the party that they are about. The texts are part of the stored
-// format.
-const (
-	// MarkSchedulerKilled is that a scheduler's process has ended; a later one is another incarnation.
-	MarkSchedulerKilled = "scheduler killed"
-	// MarkNodeDied is that a node has ended with all its tasks.
-	MarkNodeDied = "node dead"
-	// MarkBytesDropped is that proxies drop bytes on purpose from now on.
-	MarkBytesDropped = "bytes are dropped"
-	// MarkNodeOverloaded is that a node has crashed of too many starts.
-	MarkNodeOverloaded = "node fell over"
-	// MarkSchedulerPaused is that a scheduler's process is suspended.
-	MarkSchedulerPaused = "scheduler stopped"
-	// MarkSchedulerResumed is that a suspended process runs again.
-	MarkSchedulerResumed = "scheduler goes on"
+	"flaxshelf.example/flaxshelf/internal/testbed/recordproxy"
 )
 
-// pause is a time in which a scheduler's process was suspended; to is 0 while it is.
+// pause is an interval in which a scheduler's process was suspended; to is 0 until it is resumed.
 type pause struct{ from, to time.Duration }
 
-func (c *checker) mark(what, party string) {
-	switch what {
-	case MarkSchedulerKilled:
+// eventMarked handles an event of a party that no recorded bytes show.
+func (c *checker) eventMarked(event recordproxy.Event, party string) {
+	switch event {
+	case recordproxy.EventSchedulerKilled:
 		c.incarnations[party]++
 		delete(c.views, party)
 		delete(c.activeAttempts, party) // the next incarnation has what it places and what nodes report to it
-	case MarkNodeDied:
+	case recordproxy.EventNodeStopped:
 		c.nodeDied(party)
-	case MarkBytesDropped:
+	case recordproxy.EventBytesDropped:
 		c.bytesDropped = true
-	case MarkNodeOverloaded:
+	case recordproxy.EventNodeOverloaded:
 		c.verdict.OverloadedNodes++
-	case MarkSchedulerPaused:
+	case recordproxy.EventSchedulerPaused:
 		c.pauses[party] = append(c.pauses[party], pause{from: c.now})
-	case MarkSchedulerResumed:
+	case recordproxy.EventSchedulerResumed:
 		if pauses := c.pauses[party]; len(pauses) > 0 {
 			pauses[len(pauses)-1].to = c.now
 		}
@@ -56,14 +44,14 @@
 	}
 }
 
-// never is a deadline that does not come.
+// never is a deadline that is never reached.
 const never = time.Duration(1<<63 - 1)
 
-// outcomeDeadline is when an outcome must have come that a scheduler owes at the given time: a suspended process owes it
-// when it is resumed.
-func (c *checker) outcomeDeadline(scheduler string, owed time.Duration) time.Duration {
+// outcomeDeadline returns the time at which the outcome that is due at the given time must have been reported. While the
+// process of the scheduler is suspended the deadline is extended to when it is resumed.
+func (c *checker) outcomeDeadline(scheduler string, due time.Duration) time.Duration {
 	slack := c.figures.AnswerSlack + c.figures.Skew
-	deadline := owed + slack
+	deadline := due + slack
 	for _, p := range c.pauses[scheduler] {
 		if p.from > deadline {
 			continue
@@ -71,7 +59,7 @@
 		switch {
 		case p.to == 0:
 			return never
-		case p.to >= owed:
+		case p.to >= due:
 			deadline = max(deadline, p.to+slack)
 		}
 	}
--- a/internal/testbed/rules/recording_test.go
+++ b/internal/testbed/rules/recording_test.go
@@ -173,8 +173,8 @@
 	return r
 }
 
-func (r *recording) mark(what, party string) *recording {
-	r.add(&recordingpb.Record{Body: &recordingpb.Record_Mark{Mark: &recordingpb.Mark{What: what, Party: party}}})
+func (r *recording) mark(event recordproxy.Event, party string) *recording {
+	r.add(&recordingpb.Record{Body: &recordingpb.Record_Mark{Mark: recordproxy.NewMark(event, party)}})
 	return r
 }
 
--- a/internal/testbed/rules/rules_test.go
+++ b/internal/testbed/rules/rules_test.go
@@ -29,14 +29,14 @@
 		{"late", newRecording().submit().respond(1, drmaa2.Queued, "").at(1200).poll().
 			respond(2, drmaa2.Queued, "placed"), []int{OneAnswer}},
 		{"late, but the process was paused", newRecording().submit().respond(1, drmaa2.Queued, "").at(500).
-			mark(MarkSchedulerPaused, "s").at(3000).mark(MarkSchedulerResumed, "s").at(3050).poll().
+			mark(recordproxy.EventSchedulerPaused, "s").at(3000).mark(recordproxy.EventSchedulerResumed, "s").at(3050).poll().
 			respond(2, drmaa2.Failed, "refused"), nil},
 		{"late after the process was resumed", newRecording().submit().respond(1, drmaa2.Queued, "").at(500).
-			mark(MarkSchedulerPaused, "s").at(3000).mark(MarkSchedulerResumed, "s").at(3200).poll().
+			mark(recordproxy.EventSchedulerPaused, "s").at(3000).mark(recordproxy.EventSchedulerResumed, "s").at(3200).poll().
 			respond(2, drmaa2.Failed, "refused"), []int{OneAnswer}},
-		{"none", newRecording().submit().respond(1, drmaa2.Queued, "").at(2000).mark("end", ""), []int{OneAnswer}},
+		{"none", newRecording().submit().respond(1, drmaa2.Queued, "").at(2000).mark(recordproxy.EventEnd, ""), []int{OneAnswer}},
 		{"none, but killed", newRecording().submit().respond(1, drmaa2.Queued, "").at(500).
-			mark(MarkSchedulerKilled, "s").at(2000).mark("end", ""), nil},
+			mark(recordproxy.EventSchedulerKilled, "s").at(2000).mark(recordproxy.EventEnd, ""), nil},
 		{"running after a final state", newRecording().submit().respond(3, drmaa2.Done, "placed").poll().
 			respond(4, drmaa2.Running, "placed"), []int{OneAnswer}},
 		{"an older state on another connection", newRecording().submit().respond(3, drmaa2.Done, "placed").poll().
@@ -113,7 +113,7 @@
 	for bytesDropped, want := range map[bool]bool{false: false, true: true} {
 		r := newRecording()
 		if bytesDropped {
-			r.mark(MarkBytesDropped, "")
+			r.mark(recordproxy.EventBytesDropped, "")
 		}
 		r.bytes(node1Connection, true, []byte{0xff, 0xff, 0xff, 0xff})
 		verdict, err := Check(&r.encoded)
@@ -144,7 +144,7 @@
 // TestFollow checks that Follow prints the frames of one job with the marks.
 func TestFollow(t *testing.T) {
 	r := newRecording().at(5).offer(node1Connection, "j/1/0", "safe").accept(node1Connection, "j/1/0").
-		mark(MarkSchedulerKilled, "s").offer(node2Connection, "other/1/0", "safe")
+		mark(recordproxy.EventSchedulerKilled, "s").offer(node2Connection, "other/1/0", "safe")
 	var out bytes.Buffer
 	if err := Follow(&r.encoded, &out, "j/1/0"); err != nil {
 		t.Fatal(err)
--- a/internal/testbed/trial/faults.go
+++ b/internal/testbed/trial/faults.go
@@ -9,7 +9,6 @@
 
 	"flaxshelf.example/flaxshelf/internal/testbed/fault"
 	"flaxshelf.example/flaxshelf/internal/testbed/recordproxy"
-	"flaxshelf.example/flaxshelf/internal/testbed/rules"
 	"flaxshelf.example/flaxshelf/internal/testbed/scenario"
 	"flaxshelf.example/flaxshelf/internal/testbed/standin/inventorymodel"
 	"flaxshelf.example/flaxshelf/internal/testbed/standin/nodemodel"
@@ -144,18 +143,18 @@
 
 // PauseSchedulers is of fault.Cluster.
 func (t *faultTarget) PauseSchedulers(schedulers []int, _ time.Duration) {
-	t.signal(schedulers, syscall.SIGSTOP, rules.MarkSchedulerPaused)
+	t.signal(schedulers, syscall.SIGSTOP, recordproxy.EventSchedulerPaused)
 }
 
 // ResumeSchedulers is of fault.Cluster.
 func (t *faultTarget) ResumeSchedulers(schedulers []int) {
-	t.signal(schedulers, syscall.SIGCONT, rules.MarkSchedulerResumed)
+	t.signal(schedulers, syscall.SIGCONT, recordproxy.EventSchedulerResumed)
 }
 
-func (t *faultTarget) signal(schedulers []int, signal syscall.Signal, mark string) {
+func (t *faultTarget) signal(schedulers []int, signal syscall.Signal, event recordproxy.Event) {
 	for _, p := range t.schedulers(schedulers) {
 		p.signal(signal)
-		t.cluster.recorder.Mark(mark, p.name)
+		t.cluster.recorder.Mark(event, p.name)
 	}
 }
 
@@ -171,7 +170,7 @@
 	var errs []error
 	for _, p := range t.schedulers(schedulers) {
 		errs = append(errs, p.terminate())
-		t.cluster.recorder.Mark(rules.MarkSchedulerKilled, p.name) // what comes after is another incarnation
+		t.cluster.recorder.Mark(recordproxy.EventSchedulerKilled, p.name) // what comes after is another incarnation
 	}
 	return errors.Join(errs...)
 }
@@ -208,7 +207,7 @@
 // SetLinkFault is of fault.Network.
 func (t *faultTarget) SetLinkFault(nodes []int, linkFault recordproxy.Fault) {
 	if linkFault.DropReplies {
-		t.cluster.recorder.Mark(rules.MarkBytesDropped, "nodes")
+		t.cluster.recorder.Mark(recordproxy.EventBytesDropped, "nodes")
 	}
 	for _, n := range t.nodes(nodes) {
 		n.proxy.SetFault(linkFault)
--- a/internal/testbed/trial/node.go
+++ b/internal/testbed/trial/node.go
@@ -7,7 +7,6 @@
 	"flaxshelf.example/flaxshelf/internal/settings"
 	"flaxshelf.example/flaxshelf/internal/testbed/fault"
 	"flaxshelf.example/flaxshelf/internal/testbed/recordproxy"
-	"flaxshelf.example/flaxshelf/internal/testbed/rules"
 	"flaxshelf.example/flaxshelf/internal/testbed/scenario"
 	"flaxshelf.example/flaxshelf/internal/testbed/standin/fleet"
 	"flaxshelf.example/flaxshelf/internal/testbed/standin/host"
@@ -64,7 +63,7 @@
 func (n *node) watch(incarnation *host.Node) {
 	<-incarnation.Done()
 	if incarnation.Overloaded() {
-		n.cluster.recorder.Mark(rules.MarkNodeOverloaded, n.name)
+		n.cluster.recorder.Mark(recordproxy.EventNodeOverloaded, n.name)
 		n.stopIncarnation(incarnation)
 	}
 }
@@ -87,7 +86,7 @@
 	}
 	n.mu.Unlock()
 	if isPresent {
-		n.cluster.recorder.Mark(rules.MarkNodeDied, n.name)
+		n.cluster.recorder.Mark(recordproxy.EventNodeStopped, n.name)
 		n.cluster.nodeEnds.Go(ended.Stop) // its sockets may take a while to close; the crash is at once
 	}
 }
--- a/internal/testbed/trial/process.go
+++ b/internal/testbed/trial/process.go
@@ -14,7 +14,6 @@
 	"time"
 
 	"flaxshelf.example/flaxshelf/internal/testbed/recordproxy"
-	"flaxshelf.example/flaxshelf/internal/testbed/rules"
 	"flaxshelf.example/flaxshelf/internal/testbed/scenario"
 )
 
@@ -207,7 +206,7 @@
 	}
 	_ = command.Process.Kill() // it may just have ended
 	<-exited
-	p.cluster.recorder.Mark(rules.MarkSchedulerKilled, p.name)
+	p.cluster.recorder.Mark(recordproxy.EventSchedulerKilled, p.name)
 	p.clientProxy.Disconnect()
 	p.inventoryProxy.Disconnect()
 }
