--- a/internal/testbed/recordproxy/proxy_test.go
+++ b/internal/testbed/recordproxy/proxy_test.go
@@ -18,7 +18,7 @@
 // TestMain checks that proxies leave no goroutine.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// proxiedConnection is a client, a proxy and a party that listens, with one connection.
+// proxiedConnection is a connection of a client through a proxy to a party that listens.
 type proxiedConnection struct {
 	t         *testing.T
 	recording bytes.Buffer
@@ -29,7 +29,7 @@
 	listener  net.Listener
 }
 
-// testTimeout bounds each wait for bytes that must come.
+// testTimeout bounds each wait for expected bytes.
 const testTimeout = 10 * time.Second
 
 func newProxiedConnection(t *testing.T) *proxiedConnection {
@@ -59,7 +59,7 @@
 	}
 }
 
-// end closes all and returns the recording, a word for each record.
+// end closes everything and returns the recording with a word for each record.
 func (c *proxiedConnection) end() string {
 	c.t.Helper()
 	_, _ = c.client.Close(), c.party.Close()
@@ -83,7 +83,7 @@
 			c.t.Fatal(err)
 		}
 		if record.TimeNs < lastTime {
-			c.t.Error("times go back")
+			c.t.Errorf("got time %d after %d, want times in order", record.TimeNs, lastTime)
 		}
 		lastTime = record.TimeNs
 		words = append(words, formatRecord(record))
@@ -113,18 +113,18 @@
 	return "unknown"
 }
 
-// transfer checks that a text passes.
+// transfer checks that a text is forwarded.
 func (c *proxiedConnection) transfer(from, to net.Conn, text string) {
 	c.t.Helper()
 	_, _ = io.WriteString(from, text)
 	received := make([]byte, len(text))
 	_ = to.SetReadDeadline(time.Now().Add(testTimeout))
 	if _, err := io.ReadFull(to, received); err != nil || string(received) != text {
-		c.t.Fatalf("%q, %v", received, err)
+		c.t.Fatalf("got %q, error %v, want %q", received, err, text)
 	}
 }
 
-// readToEnd waits until the connection has ended.
+// readToEnd waits until the connection has been closed and returns what was received until then.
 func (c *proxiedConnection) readToEnd(connection net.Conn) string {
 	c.t.Helper()
 	_ = connection.SetReadDeadline(time.Now().Add(testTimeout))
@@ -136,97 +136,120 @@
 	return string(received)
 }
 
-// TestForward checks that bytes and marks are recorded in their order.
-func TestForward(t *testing.T) {
+// checkRecording compares the records of the replies and of the requests with those that are wanted. The two directions of a
+// connection run on goroutines of their own, so that only the records of one direction have an order.
+func checkRecording(t *testing.T, recorded, wantReplies, wantRequests string) {
+	t.Helper()
+	without := func(firstLetters string) string {
+		var kept []string
+		for word := range strings.FieldsSeq(recorded) {
+			if !strings.Contains(firstLetters, word[:1]) {
+				kept = append(kept, word)
+			}
+		}
+		return strings.Join(kept, " ")
+	}
+	if got := without(">o"); got != wantReplies {
+		t.Errorf("got %q recorded of replies, want %q", got, wantReplies)
+	}
+	if got := without("<x"); got != wantRequests {
+		t.Errorf("got %q recorded of requests, want %q", got, wantRequests)
+	}
+}
+
+func TestBytesAndEventsAreRecordedInOrder(t *testing.T) {
 	c := newProxiedConnection(t)
 	c.transfer(c.client, c.party, "ab")
 	c.recorder.Mark("m", "p")
 	c.transfer(c.party, c.client, "c")
-	if got := c.end(); got != "open >ab >> mark:m <c < close" {
-		t.Errorf("recorded %q", got)
+	if got, want := c.end(), "open >ab >> mark:m <c < close"; got != want {
+		t.Errorf("got recording %q, want %q", got, want)
 	}
 }
 
-// TestStall checks that bytes that a stall delays are recorded when they are received, and forwarded when it ends.
-func TestStall(t *testing.T) {
+func TestStalledBytesAreForwardedWhenTheStallEnds(t *testing.T) {
 	c := newProxiedConnection(t)
 	c.proxy.SetFault(Fault{Stall: true})
 	_, _ = io.WriteString(c.client, "a")
 	_ = c.party.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
-	if _, err := c.party.Read(make([]byte, 1)); err == nil {
-		t.Error("bytes were forwarded")
+	if n, err := c.party.Read(make([]byte, 1)); err == nil {
+		t.Errorf("got %d bytes during the stall, want none", n)
 	}
 	c.proxy.SetFault(Fault{})
-	c.transfer(c.client, c.party, "") // what was delayed comes first
 	received := make([]byte, 1)
 	_ = c.party.SetReadDeadline(time.Now().Add(testTimeout))
 	if _, err := io.ReadFull(c.party, received); err != nil || received[0] != 'a' {
-		t.Errorf("%q, %v", received, err)
+		t.Errorf("got %q, error %v, want the stalled byte", received, err)
 	}
-	c.end()
+	checkRecording(t, c.end(), "close", "open >a > close")
 }
 
-// TestFaults checks the other faults one after the other.
-func TestFaults(t *testing.T) {
-	c := newProxiedConnection(t)
+func TestDelayedBytesAreForwardedAfterTheDelay(t *testing.T) {
 	const delay = 30 * time.Millisecond
+	c := newProxiedConnection(t)
 	c.proxy.SetFault(Fault{Delay: delay})
 	began := time.Now()
 	c.transfer(c.client, c.party, "a")
-	if time.Since(began) < delay {
-		t.Error("it was not delayed")
+	if got := time.Since(began); got < delay {
+		t.Errorf("got the bytes after %v, want them after %v at the earliest", got, delay)
 	}
+	checkRecording(t, c.end(), "close", "open >a > close")
+}
+
+func TestDroppedRepliesAreRecordedAndNotForwarded(t *testing.T) {
+	c := newProxiedConnection(t)
 	c.proxy.SetFault(Fault{DropReplies: true})
 	_, _ = io.WriteString(c.party, "lost")
-	for until := time.Now().Add(testTimeout); c.proxy.DroppedBytes() < 4 && time.Now().Before(until); {
-		time.Sleep(time.Millisecond) // nothing else shows that they have come
-	}
 	c.transfer(c.client, c.party, "b")
+	_ = c.party.Close() // the proxy closes the connection after it has handled the reply
+	if got := c.readToEnd(c.client); got != "" {
+		t.Errorf("got reply %q, want none", got)
+	}
+	if got, want := c.proxy.DroppedBytes(), int64(len("lost")); got != want {
+		t.Errorf("got %d dropped bytes, want %d", got, want)
+	}
+	checkRecording(t, c.end(), "<lost xxxx close", "open >b > close")
+}
+
+func TestBreakAfterBytesClosesOneConnection(t *testing.T) {
+	c := newProxiedConnection(t)
 	c.proxy.SetFault(Fault{BreakAfterBytes: 2})
 	_, _ = io.WriteString(c.party, "cut")
-	if got := c.readToEnd(c.client); got != "cu" {
-		t.Errorf("before the connection broke came %q", got)
+	if got, want := c.readToEnd(c.client), "cu"; got != want {
+		t.Errorf("got %q before the connection was closed, want %q", got, want)
 	}
-	c.proxy.SetFault(Fault{})
 	c.connect()
-	c.transfer(c.client, c.party, "c")
+	c.transfer(c.party, c.client, "whole")
+	checkRecording(t, c.end(), "<cut <<x close <whole <<<<< close", "open close open close")
+}
+
+func TestDisconnectClosesPresentConnections(t *testing.T) {
+	c := newProxiedConnection(t)
+	c.transfer(c.client, c.party, "a")
 	c.proxy.Disconnect()
-	c.readToEnd(c.client)
+	if got := c.readToEnd(c.client); got != "" {
+		t.Errorf("got %q, want nothing before the connection was closed", got)
+	}
+	c.connect()
+	c.transfer(c.client, c.party, "b")
+	checkRecording(t, c.end(), "close close", "open >a > close open >b > close")
+}
+
+func TestRejectedConnectionsAreClosedAndNotRecorded(t *testing.T) {
+	c := newProxiedConnection(t)
 	c.proxy.SetFault(Fault{Reject: true})
 	rejected, err := net.Dial("tcp", c.proxy.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.readToEnd(rejected)
-	_ = rejected.Close()
-	checkFaultRecording(t, c.end())
-}
-
-func checkFaultRecording(t *testing.T, recorded string) {
-	t.Helper()
-	// The directions of a connection run on goroutines of their own: each is in order, beside the other in any.
-	without := func(firstLetters string) string {
-		var kept []string
-		for word := range strings.FieldsSeq(recorded) {
-			if !strings.Contains(firstLetters, word[:1]) {
-				kept = append(kept, word)
-			}
-		}
-		return strings.Join(kept, " ")
-	}
-	if replies := without(">o"); !strings.HasPrefix(replies, "<lost xxxx <cut <<x close") {
-		t.Errorf("recorded from the party %q", replies)
-	}
-	if requests := without("<x"); !strings.HasPrefix(requests, "open >a > >b > close open >c > close") {
-		t.Errorf("recorded to the party %q", requests)
+	if got := c.readToEnd(rejected); got != "" {
+		t.Errorf("got %q, want nothing before the connection was closed", got)
 	}
+	_ = rejected.Close()
+	checkRecording(t, c.end(), "close", "open close")
 }
 
-// TestReader checks that a recording that was cut off ends there, and that another file is none.
-func TestReader(t *testing.T) {
-	c := newProxiedConnection(t)
-	c.transfer(c.client, c.party, "abc")
-	c.end()
+func TestTruncatedRecordingEndsAfterItsLastCompleteRecord(t *testing.T) {
 	var recording bytes.Buffer
 	recorder := NewRecorder(&recording, []byte("{}"))
 	recorder.Mark("one", "")
@@ -239,22 +262,30 @@
 		t.Fatal(err)
 	}
 	if record, err := reader.Next(); err != nil || EventOf(record.GetMark()) != "one" {
-		t.Errorf("%v, %v", record, err)
+		t.Errorf("got record %v, error %v, want the first mark", record, err)
 	}
-	if _, err := reader.Next(); !errors.Is(err, io.EOF) {
-		t.Error(err)
+	if record, err := reader.Next(); !errors.Is(err, io.EOF) {
+		t.Errorf("got record %v, error %v, want io.EOF", record, err)
 	}
-	for _, malformed := range []string{"", "x", "\x02\x08\x01"} {
-		_, err := NewReader(strings.NewReader(malformed))
-		var format *FormatError
-		if !errors.As(err, &format) {
-			t.Errorf("%q: error %v", malformed, err)
-		}
+}
+
+func TestNewReaderRejectsOtherFiles(t *testing.T) {
+	for _, c := range []struct{ name, content string }{
+		{"empty", ""},
+		{"text", "x"},
+		{"record that is no head", "\x02\x08\x01"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			_, err := NewReader(strings.NewReader(c.content))
+			var format *FormatError
+			if !errors.As(err, &format) {
+				t.Errorf("got error %v, want a FormatError", err)
+			}
+		})
 	}
 }
 
-// TestVersion checks that a recording of another version is rejected with an error that names it.
-func TestVersion(t *testing.T) {
+func TestNewReaderRejectsOtherVersions(t *testing.T) {
 	var recording bytes.Buffer
 	head := &recordingpb.Record{Body: &recordingpb.Record_Head{Head: &recordingpb.Head{Version: Version + 1}}}
 	if _, err := protodelim.MarshalTo(&recording, head); err != nil {
@@ -263,6 +294,6 @@
 	_, err := NewReader(&recording)
 	var version *VersionError
 	if !errors.As(err, &version) || version.Version != Version+1 {
-		t.Errorf("error %v", err)
+		t.Errorf("got error %v, want a VersionError of version %d", err, Version+1)
 	}
 }
