--- a/cmd/flaxshelf/trial.go
+++ b/cmd/flaxshelf/trial.go
@@ -43,7 +43,7 @@
 	}
 	failed := 0
 	for i := range c.Seeds {
-		options := trial.Options{Seed: c.Seed + uint64(i), Record: c.Record, Keep: c.KeepDirectory, Replay: c.Replay,
+		options := trial.Options{Seed: c.Seed + uint64(i), Record: c.Record, Directory: c.KeepDirectory, Replay: c.Replay,
 			Command: func(args ...string) *exec.Cmd { return exec.Command(self, args...) }}
 		if !c.Quiet {
 			options.Note = func(format string, args ...any) { std.out.printf(format+"\n", args...) }
--- a/internal/testbed/ablation/ablation.go
+++ b/internal/testbed/ablation/ablation.go
@@ -30,16 +30,16 @@
 		Constraint: flaxshelf.DrainConstraint,
 		Guards:     scheduler.Guards{Drain: true},
 		Day:        "shrink",
-		Rule:       rules.DrainsKept,
+		Rule:       rules.DrainRespected,
 	},
-	{Constraint: flaxshelf.RetrySafetyConstraint, Day: "class-silence", Rule: rules.NoSecondStart},
-	{Constraint: flaxshelf.SpreadConstraint, Day: "hot-service", Rule: rules.SpreadKept},
-	{Constraint: flaxshelf.SlowStartConstraint, Day: "mass-restart", Rule: rules.ColdKept},
+	{Constraint: flaxshelf.RetrySafetyConstraint, Day: "class-silence", Rule: rules.NoDuplicateStart},
+	{Constraint: flaxshelf.SpreadConstraint, Day: "hot-service", Rule: rules.SpreadRespected},
+	{Constraint: flaxshelf.SlowStartConstraint, Day: "mass-restart", Rule: rules.SlowStartRespected},
 	{
 		Constraint: flaxshelf.AnswerDeadlineConstraint,
 		Guards:     scheduler.Guards{Answer: true},
 		Day:        "hot-service",
-		Rule:       rules.OneAnswer,
+		Rule:       rules.OneOutcome,
 	},
 }
 
@@ -85,7 +85,7 @@
 	}
 	broken := make([]bool, len(verdict.Rules))
 	for i, r := range verdict.Rules {
-		broken[i] = len(r.Broken) > 0
+		broken[i] = len(r.Violations) > 0
 	}
 	return broken, report, nil
 }
--- a/internal/testbed/ablation/ablation_test.go
+++ b/internal/testbed/ablation/ablation_test.go
@@ -96,7 +96,7 @@
 			cell += fmt.Sprintf(" %d", i+1)
 		}
 	}
-	if report.FellOver > 0 && h.Rule == rules.ColdKept {
+	if report.FellOver > 0 && h.Rule == rules.SlowStartRespected {
 		cell += fmt.Sprintf(" (%d fell)", report.FellOver)
 	}
 	return cell
--- a/internal/testbed/emulator/emulator_test.go
+++ b/internal/testbed/emulator/emulator_test.go
@@ -62,7 +62,7 @@
 					t.Errorf("incarnation %d: %d steps, %v", i, twin.Steps, twin.Err)
 				}
 			}
-			checked := verdict.Rules[rules.OneAnswer].Checked > 0 && verdict.Rules[rules.NoSecondStart].Checked > 0
+			checked := verdict.Rules[rules.OneOutcome].Checked > 0 && verdict.Rules[rules.NoDuplicateStart].Checked > 0
 			if !verdict.OK() || report.Unaccounted > 0 || verdict.Admitted == 0 || !checked {
 				t.Errorf("%s%s", verdict, report)
 			}
--- a/internal/testbed/rules/attempt.go
+++ b/internal/testbed/rules/attempt.go
@@ -1,25 +1,27 @@
 package rules
 
 import (
-	"sort"
+	"maps"
+	"slices"
+	"strings"
 	"time"
 
 	"flaxshelf.example/flaxshelf/internal/codec/nodeframe/nodepb"
 )
 
-// phase is how far an attempt is, as far as its scheduler was notified.
+// phase is the phase of an attempt that its scheduler was notified of.
 type phase int
 
 const (
 	inFlight       phase = iota
-	notStarted           // it never ran
-	outcomeUnknown       // it may have run
-	accepted             // the node has it
+	notStarted           // the task never ran
+	outcomeUnknown       // the task may have run
+	accepted             // by the node
 	ended
-	lost // its node is gone
+	lost // the node was removed or stopped
 )
 
-// String is the phase for test failures.
+// String returns the name of the phase.
 func (p phase) String() string {
 	return [...]string{"in flight", "not started", "outcome unknown", "accepted", "ended", "lost"}[p]
 }
@@ -27,18 +29,18 @@
 // attempt is one offer of a task to a node.
 type attempt struct {
 	id, scheduler, node string
-	key                 string // idempotency key; the job's identifier where it has none
+	key                 string // idempotency key, or else the identifier of the job
 	job, class, service string
-	placementRequest    int32 // number of the job's placement request
+	placementRequest    int32 // number of the placement request of the job
 	connection          uint64
 	sentAt, validFor    time.Duration
 	phase               phase
 	phaseSince          time.Duration
-	stopped             bool // requested by the scheduler
+	stopped             bool // the scheduler has requested a stop
 }
 
-// transition moves an attempt on. An attempt that was not started or has ended stays so; a lost one may still turn out
-// to be accepted.
+// transition sets the phase of an attempt. The phases notStarted and ended are final; a lost attempt may still be reported
+// as accepted. An unknown attempt is ignored.
 func (c *checker) transition(id string, next phase) {
 	a := c.attempts[id]
 	if a == nil {
@@ -59,7 +61,7 @@
 	}
 }
 
-// active returns the set of a scheduler's attempts that are in flight or accepted.
+// active returns the set of the attempts of a scheduler that are in flight or accepted.
 func (c *checker) active(scheduler string) map[*attempt]bool {
 	set := c.activeAttempts[scheduler]
 	if set == nil {
@@ -69,24 +71,20 @@
 	return set
 }
 
-// sortedActive lists a scheduler's active attempts in the order of their identifiers.
+// sortedActive returns the active attempts of a scheduler in the order of their identifiers.
 func (c *checker) sortedActive(scheduler string) []*attempt {
-	attempts := make([]*attempt, 0, len(c.activeAttempts[scheduler]))
-	for a := range c.activeAttempts[scheduler] {
-		attempts = append(attempts, a)
-	}
-	sort.Slice(attempts, func(i, j int) bool { return attempts[i].id < attempts[j].id })
-	return attempts
+	byID := func(a, b *attempt) int { return strings.Compare(a.id, b.id) }
+	return slices.SortedFunc(maps.Keys(c.activeAttempts[scheduler]), byID)
 }
 
-// expire makes the outcome of an attempt unknown that had no reply while its offer was valid.
+// expire sets the phase of an attempt to outcomeUnknown if it had no reply while its offer was valid.
 func (c *checker) expire(a *attempt) {
 	if a.phase == inFlight && c.now >= a.sentAt+a.validFor-c.figures.Skew {
 		c.transition(a.id, outcomeUnknown)
 	}
 }
 
-// linkLost makes the outcome of the offers in flight on a connection unknown: the node may have accepted them.
+// linkLost sets the phase of the attempts in flight on a connection to outcomeUnknown: the node may have accepted them.
 func (c *checker) linkLost(link *connection) {
 	for _, a := range c.sortedActive(link.dialer) {
 		if a.connection == link.id && a.phase == inFlight {
@@ -95,31 +93,17 @@
 	}
 }
 
-var rejectionNames = map[nodepb.Reason]string{
-	nodepb.Reason_UNTOLD:        "untold",
-	nodepb.Reason_NO_CORES:      "no cores",
-	nodepb.Reason_NO_MEMORY:     "no memory",
-	nodepb.Reason_TOO_MANY_WAIT: "too many wait",
-	nodepb.Reason_NOT_HERE:      "not here",
-	nodepb.Reason_EVICTED:       "evicted",
-	nodepb.Reason_PUSHED_OUT:    "pushed out",
-	nodepb.Reason_SENT_AWAY:     "sent away",
-}
-
-// nodeFrameDelivered takes a node's frame as it reaches the scheduler.
+// nodeFrameDelivered handles a frame of a node when it reaches the scheduler.
 func (c *checker) nodeFrameDelivered(link *connection, frame *nodepb.Frame) {
 	switch body := frame.Body.(type) {
 	case *nodepb.Frame_Accepted:
-		c.verdict.Replies["accepted"]++
-		c.transition(body.Accepted.Attempt, accepted)
+		c.replyDelivered(body.Accepted.Attempt, replyAccepted, accepted)
 	case *nodepb.Frame_Started:
 		c.transition(body.Started.Attempt, accepted)
 	case *nodepb.Frame_Refused:
-		c.verdict.Replies["refused: "+rejectionNames[body.Refused.Reason]]++
-		c.transition(body.Refused.Attempt, notStarted)
+		c.replyDelivered(body.Refused.Attempt, replyRejected+rejectionReasons[body.Refused.Reason], notStarted)
 	case *nodepb.Frame_Failed:
-		c.verdict.Replies["failed"]++
-		c.transition(body.Failed.Attempt, outcomeUnknown)
+		c.replyDelivered(body.Failed.Attempt, replyFailed, outcomeUnknown)
 	case *nodepb.Frame_Ended:
 		c.transition(body.Ended.Attempt, ended)
 	case *nodepb.Frame_Welcome:
@@ -127,6 +111,13 @@
 	}
 }
 
+// replyDelivered counts a reply to an offer and sets the phase of the attempt.
+func (c *checker) replyDelivered(id, reply string, next phase) {
+	c.verdict.Replies[reply]++
+	c.transition(id, next)
+}
+
+// welcomeDelivered handles a node's report of its attempts after a connect; a long report has several frames.
 func (c *checker) welcomeDelivered(link *connection, welcome *nodepb.Welcome) {
 	for _, task := range welcome.Held {
 		link.reportedAttempts[task.Attempt] = true
@@ -144,13 +135,12 @@
 	}
 }
 
-// welcomeCompleted resolves the attempts that a node's complete welcome does not report. The node does not have them: it
-// discards the offers of an earlier connection that it has not handled, so that an attempt of unknown outcome was never
-// started.
+// welcomeCompleted resolves the attempts that are missing in a node's complete report. The node does not have them; and since
+// it discards the unhandled offers of earlier connections, an attempt whose outcome is unknown was never started.
 func (c *checker) welcomeCompleted(link *connection) {
 	for _, a := range c.attempts {
-		elsewhere := a.scheduler != link.dialer || a.node != link.listener
-		if elsewhere || link.reportedAttempts[a.id] || a.sentAt > link.openedAt {
+		otherParties := a.scheduler != link.dialer || a.node != link.listener
+		if otherParties || link.reportedAttempts[a.id] || a.sentAt > link.openedAt {
 			continue
 		}
 		switch a.phase {
--- a/internal/testbed/rules/check.go
+++ b/internal/testbed/rules/check.go
@@ -1,65 +1,112 @@
 // Package rules checks the five rules of the scheduler: it reads a recording of the traffic between clients, schedulers,
-// nodes and the inventory, and judges the rules from it alone. To stay independent of what it checks, it must not import
-// the scheduler's core or the placement module.
+// nodes and the inventory, and judges the rules only from that.
+//
+// The checker must share neither code nor state with what it checks: it must not import, directly or indirectly, the
+// placement module, the cores of schedulers (internal/scheduler, internal/requests) or the reference module. A shared formula
+// would be wrong on both sides, and the checker would accept its violations. So this package has formulas of its own: for the
+// limit of offers in slow start, for topology domains, for idempotency keys, for deadlines and for the phases of an attempt.
+// It takes from the traffic what each party had sent and received, and from the recording's head the limits of the deployment;
+// it never takes the word of a scheduler for a decision. It shares the codecs of the wire (internal/codec, drmaa2), without
+// which it could not decode the traffic, and the format of recordings.
 package rules
 
 import (
+	"cmp"
 	"encoding/json"
 	"errors"
 	"fmt"
 	"io"
-	"sort"
+	"slices"
+	"strings"
 	"time"
 
 	"flaxshelf.example/flaxshelf/internal/testbed/recordproxy"
 	"flaxshelf.example/flaxshelf/internal/testbed/recordproxy/recordingpb"
 )
 
-// RecordingError is a recording that cannot be read.
+// RecordingError reports a recording that cannot be read.
 type RecordingError struct {
 	Section string // head, figures or records
 	Err     error
 }
 
-// Error names the part and the cause.
+// Error returns a message with the section and the cause.
 func (e *RecordingError) Error() string {
 	return fmt.Sprintf("rules: the recording's %s: %v", e.Section, e.Err)
 }
 
-// Unwrap is the cause.
+// Unwrap returns the cause.
 func (e *RecordingError) Unwrap() error { return e.Err }
 
-// Check judges a recording. It reads to the end of r. The error is a *RecordingError; violations are in the verdict.
+// Check judges a recording. It reads r to its end. The error is a *RecordingError; violations are in the verdict.
 func Check(r io.Reader) (*Verdict, error) {
-	reader, err := recordproxy.NewReader(r)
+	reader, err := newReader(r)
 	if err != nil {
-		return nil, &RecordingError{Section: "head", Err: err}
+		return nil, err
 	}
 	var figures Figures
 	if err := json.Unmarshal(reader.Figures, &figures); err != nil {
 		return nil, &RecordingError{Section: "figures", Err: err}
 	}
 	c := newChecker(figures)
+	err = forEachRecord(reader, func(record *recordingpb.Record) error {
+		c.record(record)
+		return nil
+	})
+	if err != nil {
+		return nil, err
+	}
+	return c.finish(), nil
+}
+
+// newReader reads the head of a recording. The error is a *RecordingError.
+func newReader(r io.Reader) (*recordproxy.Reader, error) {
+	reader, err := recordproxy.NewReader(r)
+	if err != nil {
+		return nil, &RecordingError{Section: "head", Err: err}
+	}
+	return reader, nil
+}
+
+// forEachRecord calls handle for each record until the end of the recording. The error is a *RecordingError or the first
+// error of handle.
+func forEachRecord(reader *recordproxy.Reader, handle func(record *recordingpb.Record) error) error {
 	for {
 		record, err := reader.Next()
 		if errors.Is(err, io.EOF) {
-			return c.finish(), nil
+			return nil
 		}
 		if err != nil {
-			return nil, &RecordingError{Section: "records", Err: err}
+			return &RecordingError{Section: "records", Err: err}
 		}
-		c.record(record)
+		if err := handle(record); err != nil {
+			return err
+		}
+	}
+}
+
+// recordTimes has the times of the first and of the present record, since the start of Unix time.
+type recordTimes struct{ start, now time.Duration }
+
+// advance sets the time of the present record.
+func (t *recordTimes) advance(record *recordingpb.Record) {
+	t.now = time.Duration(record.TimeNs)
+	if t.start == 0 {
+		t.start = t.now
 	}
 }
 
-// checker is the state of Check while it reads a recording. Of what a scheduler knows it takes account only by what was
-// delivered to the scheduler. It is used by one goroutine.
+// sinceStart returns the time from the first record to the present one.
+func (t *recordTimes) sinceStart() time.Duration { return t.now - t.start }
+
+// checker is the state of Check. It assumes that a scheduler knows what was delivered to it, and nothing else. It is not safe
+// for concurrent use.
 type checker struct {
-	figures    Figures
-	verdict    Verdict
-	start, now time.Duration // times of the first and the present record
+	recordTimes
+	figures Figures
+	verdict Verdict
 
-	bytesDropped bool // a proxy drops bytes on purpose
+	bytesDropped bool // by a proxy, on purpose
 	connections  map[uint64]*connection
 
 	jobs         map[string]*job
@@ -70,7 +117,7 @@
 	attempts       map[string]*attempt
 	attemptsByKey  map[string][]*attempt
 	activeAttempts map[string]map[*attempt]bool   // of each scheduler: in flight or accepted
-	acceptedByNode map[string]map[string]*attempt // by idempotency key and attempt: what nodes have, whoever knows
+	acceptedByNode map[string]map[string]*attempt // by idempotency key and attempt: accepted by nodes, whether or not schedulers know
 	slowStarts     map[string]*slowStart          // by node
 }
 
@@ -96,12 +143,9 @@
 	}
 }
 
-// record takes the next record of the recording.
+// record handles the next record of the recording.
 func (c *checker) record(record *recordingpb.Record) {
-	c.now = time.Duration(record.TimeNs)
-	if c.start == 0 {
-		c.start = c.now
-	}
+	c.advance(record)
 	switch body := record.Body.(type) {
 	case *recordingpb.Record_Open:
 		c.connectionOpened(body.Open)
@@ -116,29 +160,25 @@
 	}
 }
 
-// violated adds a violation of a rule at the present time.
+// violated adds a violation of a rule at the time of the present record.
 func (c *checker) violated(rule int, format string, args ...any) {
 	r := &c.verdict.Rules[rule]
-	r.Broken = append(r.Broken, Finding{At: c.now - c.start, Text: fmt.Sprintf(format, args...)})
+	r.Violations = append(r.Violations, Violation{At: c.sinceStart(), Text: fmt.Sprintf(format, args...)})
 }
 
-// finish judges what is open at the end and returns the verdict.
+// finish judges the jobs that have no outcome at the end, and returns the verdict.
 func (c *checker) finish() *Verdict {
-	c.verdict.Length = c.now - c.start
+	c.verdict.Length = c.sinceStart()
 	c.judgeMissingOutcomes()
 	for i := range c.verdict.Rules {
-		findings := c.verdict.Rules[i].Broken
-		sort.SliceStable(findings, func(i, j int) bool {
-			if findings[i].At != findings[j].At {
-				return findings[i].At < findings[j].At
-			}
-			return findings[i].Text < findings[j].Text
+		slices.SortStableFunc(c.verdict.Rules[i].Violations, func(a, b Violation) int {
+			return cmp.Or(cmp.Compare(a.At, b.At), strings.Compare(a.Text, b.Text))
 		})
 	}
 	return &c.verdict
 }
 
-// class returns the limits of a class. One that the figures do not list is held to the strictest idempotency.
+// class returns the limits of a class. A class that the figures do not list is non-idempotent and has no other limits.
 func (c *checker) class(name string) *Class {
 	for i := range c.figures.Classes {
 		if c.figures.Classes[i].Name == name {
--- a/internal/testbed/rules/connection.go
+++ b/internal/testbed/rules/connection.go
@@ -22,25 +22,25 @@
 type connection struct {
 	id         uint64
 	wire       string
-	dialer     string // known from its hello, or from its proxy
+	dialer     string // from its hello, or from its proxy if that serves only one
 	listener   string
 	openedAt   time.Duration
 	directions [2]stream
-	undecoded  bool // bytes of it made no sense; the rest is ignored
+	undecoded  bool // its bytes could not be decoded; the rest is ignored
 
 	requests       []*clientRequest // without a complete response
 	parser         httpcodec.Parser
 	responses      httpcodec.ResponseReader
-	consumedEvents int // bytes of a streamed body that were read
+	consumedEvents int // number of bytes of a streamed body that were handled
 
-	reportedAttempts map[string]bool // of a node's welcome
+	reportedAttempts map[string]bool // in the welcome of the node
 }
 
 // stream is one direction of a connection.
 type stream struct {
 	undelivered        []byte
-	sentRemainder      []byte // the start of a message that was not sent completely
-	deliveredRemainder []byte // the same of what was delivered
+	sentRemainder      []byte // sent bytes of an incomplete message
+	deliveredRemainder []byte // delivered bytes of an incomplete message
 }
 
 // clientRequest is an HTTP request.
@@ -51,7 +51,7 @@
 	body       []byte
 }
 
-// direction is the index of a connection's direction.
+// direction returns the index of a direction in connection.directions.
 func direction(fromListener bool) int {
 	if fromListener {
 		return 1
@@ -75,7 +75,7 @@
 	delete(c.connections, closed.Conn)
 }
 
-// decodable returns a connection whose bytes can be decoded; nil for another.
+// decodable returns the connection if its bytes can be decoded, otherwise nil.
 func (c *checker) decodable(id uint64) *connection {
 	link := c.connections[id]
 	if link == nil || link.undecoded {
@@ -84,7 +84,7 @@
 	return link
 }
 
-// bytesSent takes bytes as they leave a party.
+// bytesSent handles bytes when a party sends them.
 func (c *checker) bytesSent(sent *recordingpb.Sent) {
 	link := c.decodable(sent.Conn)
 	if link == nil {
@@ -103,9 +103,9 @@
 	}
 }
 
-var errExcessDelivery = errors.New("more was passed on than had come")
+var errExcessDelivery = errors.New("more bytes delivered than sent")
 
-// bytesDelivered takes bytes as they reach a party.
+// bytesDelivered handles bytes when they are delivered to a party.
 func (c *checker) bytesDelivered(delivered *recordingpb.Delivered) {
 	link := c.decodable(delivered.Conn)
 	if link == nil {
@@ -125,7 +125,7 @@
 	s.undelivered = append(s.undelivered[:0], s.undelivered[removed:]...)
 }
 
-// decodeFrames calls handle for each complete frame of buffer and returns the rest.
+// decodeFrames calls handle for each complete frame of buffer and returns the remaining bytes.
 func (c *checker) decodeFrames(link *connection, buffer []byte, handle func(*nodepb.Frame)) []byte {
 	used := 0
 	for {
@@ -142,8 +142,8 @@
 	}
 }
 
-// undecodable gives up a connection. After a proxy has dropped bytes on purpose that is to be expected, and the parties
-// close the connection as well; otherwise the verdict can't be trusted and says so.
+// undecodable marks a connection as undecoded. After a proxy has dropped bytes on purpose that is expected, and the parties
+// close the connection, too; otherwise the verdict is not reliable and lists the connection.
 func (c *checker) undecodable(link *connection, err error) {
 	link.undecoded = true
 	if !c.bytesDropped {
@@ -152,7 +152,7 @@
 	}
 }
 
-// frameSent takes a frame as it leaves a party.
+// frameSent handles a frame when a party sends it.
 func (c *checker) frameSent(link *connection, fromListener bool, frame *nodepb.Frame) {
 	switch {
 	case !fromListener:
@@ -162,7 +162,7 @@
 	}
 }
 
-// frameDelivered takes a frame as it reaches a party.
+// frameDelivered handles a frame when it is delivered to a party.
 func (c *checker) frameDelivered(link *connection, fromListener bool, frame *nodepb.Frame) {
 	switch {
 	case fromListener && link.wire == NodeWire:
@@ -178,13 +178,13 @@
 	}
 }
 
-// requestBytes parses the requests of a client.
+// requestBytes parses the bytes of requests of a client.
 func (c *checker) requestBytes(link *connection, data []byte) {
 	s := &link.directions[direction(false)]
 	s.sentRemainder = append(s.sentRemainder, data...)
 	for {
 		request, used, _, err := link.parser.Parse(s.sentRemainder)
-		if err != nil { // a client that sends malformed requests on purpose
+		if err != nil { // a misbehaving client sends malformed requests on purpose
 			link.undecoded = true
 			return
 		}
@@ -197,7 +197,7 @@
 	}
 }
 
-// responseBytes parses the responses of a scheduler, of which the first belongs to the oldest request.
+// responseBytes parses the bytes of responses of a scheduler, which are in the order of the requests.
 func (c *checker) responseBytes(link *connection, data []byte) {
 	err := link.responses.Feed(data, func(response *httpcodec.Response) {
 		if len(link.requests) == 0 {
--- a/internal/testbed/rules/figures.go
+++ b/internal/testbed/rules/figures.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// Figures are the limits by which a recording is judged. They are stored in the head of a recording; durations are in
-// nanoseconds there.
+// Figures are the limits by which a recording is judged. The head of a recording has them as JSON, with durations in
+// nanoseconds; the JSON names must not change.
 type Figures struct {
 	// Classes are the service classes; a class that is not listed counts as non-idempotent and has no other limits.
 	Classes []Class `json:"Classes"`
 	// DrainGrace is how long a scheduler may still offer tasks to a node after it was notified that the node drains.
 	DrainGrace time.Duration `json:"DrainGrace"`
-	// AnswerSlack is how much later than its placement timeout a job's outcome may come.
+	// AnswerSlack is how long after the placement timeout of a job its outcome may be reported.
 	AnswerSlack time.Duration `json:"AnswerSlack"`
 	// SettleTime is how long an attempt with an unknown outcome blocks another run of a non-idempotent task.
 	SettleTime time.Duration `json:"Settle"`
 	// SlowStart is the slow start of nodes.
 	SlowStart SlowStart `json:"Cold"`
-	// Skew is allowed between the recorder's times and the parties': the time that bytes spend on the way to the
+	// Skew is the tolerance between the times of the recorder and those of the parties: bytes take time from a party to the
 	// recorder on a busy machine.
 	Skew time.Duration `json:"Skew"`
 }
@@ -39,14 +39,14 @@
 	MaxPerDomain int `json:"Most"`
 }
 
-// The values of Class.Effect, as a recording stores them.
+// The values of Class.Idempotency, as a recording stores them.
 const (
 	effectIdempotent      = "safe"
 	effectIdempotentByKey = "keyed"
 	effectNonIdempotent   = "unsafe"
 )
 
-// The values of Class.Group and Class.Spread, as a recording stores them.
+// The values of Class.KeyDomain and Class.SpreadDomain, as a recording stores them.
 const (
 	domainMachine    = "machine"
 	domainCell       = "cell"
@@ -54,24 +54,24 @@
 	domainEverywhere = "everywhere"
 )
 
-// SlowStart is the load that a node bears during its slow start.
+// SlowStart is the limit of offers to a node in slow start.
 type SlowStart struct {
-	// For is how long the slow start lasts.
-	For time.Duration `json:"For"`
-	// Window is the time over which offers are counted.
+	// Duration is how long the slow start lasts.
+	Duration time.Duration `json:"For"`
+	// Window is the length of the window in which offers are counted.
 	Window time.Duration `json:"Window"`
-	// From is the share of its full rate of starts that a node has when it comes up.
-	From float64 `json:"From"`
-	// Multiple is how many times its rate of starts a node bears.
+	// InitialFraction is the fraction of its full rate of starts that a node has when it starts.
+	InitialFraction float64 `json:"From"`
+	// Multiple is the limit as a multiple of the rate of starts.
 	Multiple float64 `json:"Multiple"`
-	// Always is the number of offers within Window that a node bears in any case.
-	Always float64 `json:"Always"`
+	// MinOffers is the limit of offers within Window that applies if it is larger than that of the rate.
+	MinOffers float64 `json:"Always"`
 	// StartsPerSecond is the full rate of starts.
 	StartsPerSecond float64 `json:"StartsPerSecond"`
 }
 
-// offerLimit is how many offers within Window a node of this age bears.
+// offerLimit returns the limit of offers within Window to a node that started the given time ago.
 func (c *SlowStart) offerLimit(age time.Duration) float64 {
-	rate := c.From + (1-c.From)*float64(age)/float64(max(c.For, 1))
-	return max(c.Always, c.Multiple*c.StartsPerSecond*min(rate, 1)*c.Window.Seconds())
+	rate := c.InitialFraction + (1-c.InitialFraction)*float64(age)/float64(max(c.Duration, 1))
+	return max(c.MinOffers, c.Multiple*c.StartsPerSecond*min(rate, 1)*c.Window.Seconds())
 }
--- a/internal/testbed/rules/follow.go
+++ b/internal/testbed/rules/follow.go
@@ -1,11 +1,9 @@
 package rules
 
 import (
-	"errors"
 	"fmt"
 	"io"
 	"strings"
-	"time"
 
 	"google.golang.org/protobuf/encoding/protojson"
 
@@ -15,41 +13,31 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/recordproxy/recordingpb"
 )
 
-// Follow writes the frames of a recording in which all the substrings occur, and all marks, one a line with its
-// seconds since the start: the history of a job, an attempt or a node. The error is a *RecordingError or that of w.
+// Follow writes the frames of a recording that contain all the substrings, and all marks, one per line with its time in
+// seconds since the start: the history of a job, an attempt or a node. The error is a *RecordingError or wraps that of w.
 func Follow(r io.Reader, w io.Writer, substrings ...string) error {
-	reader, err := recordproxy.NewReader(r)
+	reader, err := newReader(r)
 	if err != nil {
-		return &RecordingError{Section: "head", Err: err}
+		return err
 	}
 	f := &follower{out: w, substrings: substrings, connections: map[uint64]*connection{}}
-	for f.err == nil {
-		record, err := reader.Next()
-		if errors.Is(err, io.EOF) {
-			return nil
-		}
-		if err != nil {
-			return &RecordingError{Section: "records", Err: err}
-		}
+	return forEachRecord(reader, func(record *recordingpb.Record) error {
 		f.record(record)
-	}
-	return f.err
+		return f.err
+	})
 }
 
 // follower is the state of Follow.
 type follower struct {
+	recordTimes
 	out         io.Writer
 	substrings  []string
 	connections map[uint64]*connection
-	start, now  time.Duration
-	err         error // of out
+	err         error // the first error of out
 }
 
 func (f *follower) record(record *recordingpb.Record) {
-	f.now = time.Duration(record.TimeNs)
-	if f.start == 0 {
-		f.start = f.now
-	}
+	f.advance(record)
 	switch body := record.Body.(type) {
 	case *recordingpb.Record_Open:
 		open := body.Open
@@ -111,7 +99,7 @@
 	if f.err != nil {
 		return
 	}
-	if _, err := fmt.Fprintf(f.out, "%9.3f %s\n", (f.now - f.start).Seconds(), text); err != nil {
+	if _, err := fmt.Fprintf(f.out, "%9.3f %s\n", f.sinceStart().Seconds(), text); err != nil {
 		f.err = fmt.Errorf("rules: write: %w", err)
 	}
 }
--- a/internal/testbed/rules/format_test.go
+++ b/internal/testbed/rules/format_test.go
@@ -13,7 +13,7 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/recordproxy"
 )
 
-// Written by the build of commit ad3e0ee: the recording of a day of the emulator, with cold nodes, a drain, a lost node
+// Written by the build of commit ad3e0ee: the recording of a day of the emulator, with nodes in slow start, a drain, a lost node
 // and a killed scheduler, and figuresOfEveryField.
 const (
 	storedTraffic = "testdata/traffic.gz"
@@ -25,7 +25,7 @@
 		Classes: []Class{{Name: "keyed", Idempotency: "keyed", KeyDomain: "zone", KeyTTL: 2 * time.Second, PlacementTimeout: 3 * time.Second,
 			SpreadDomain: "cell", MaxPerDomain: 4}},
 		DrainGrace: time.Second, AnswerSlack: 150 * time.Millisecond, SettleTime: 2500 * time.Millisecond,
-		SlowStart: SlowStart{For: 5 * time.Second, Window: 1500 * time.Millisecond, From: 0.25, Multiple: 2.5, Always: 12,
+		SlowStart: SlowStart{Duration: 5 * time.Second, Window: 1500 * time.Millisecond, InitialFraction: 0.25, Multiple: 2.5, MinOffers: 12,
 			StartsPerSecond: 3.5},
 		Skew: 10 * time.Millisecond}
 }
@@ -48,26 +48,24 @@
 	return recording
 }
 
-// A recording of an earlier build gets the same verdict.
-func TestStoredTraffic(t *testing.T) {
+func TestStoredRecordingGetsTheSameVerdict(t *testing.T) {
 	v, err := Check(bytes.NewReader(readTraffic(t)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	want := &Verdict{Length: 9498 * time.Millisecond, Submitted: 169, Admitted: 169, Rejected: map[string]int{},
-		Outcomes: map[string]int{"placed": 123, "refused": 16},
+		Outcomes: map[string]int{"placed": 123, "rejected": 16},
 		States:   map[string]int{"DONE": 123, "FAILED": 16, "QUEUED": 30}, Orphaned: 30, Offers: 128,
-		Replies: map[string]int{"accepted": 123, "refused: no cores": 5}}
-	for i, checked := range []int{OneAnswer: 139, NoSecondStart: 155, DrainsKept: 128, ColdKept: 128, SpreadKept: 101} {
+		Replies: map[string]int{"accepted": 123, "rejected: insufficient cores": 5}}
+	for i, checked := range []int{OneOutcome: 139, NoDuplicateStart: 155, DrainRespected: 128, SlowStartRespected: 128, SpreadRespected: 101} {
 		want.Rules[i].Checked = checked
 	}
 	if !reflect.DeepEqual(v, want) {
-		t.Errorf("%+v,\nwant %+v", v, want)
+		t.Errorf("got %+v,\nwant %+v", v, want)
 	}
 }
 
-// The figures in a recording of an earlier build are written the same.
-func TestStoredTrafficFigures(t *testing.T) {
+func TestFiguresOfAStoredRecordingAreWrittenTheSame(t *testing.T) {
 	r, err := recordproxy.NewReader(bytes.NewReader(readTraffic(t)))
 	if err != nil {
 		t.Fatal(err)
@@ -75,15 +73,14 @@
 	checkFigures(t, r.Figures)
 }
 
-// Figures with every field set keep their names.
-func TestStoredFigures(t *testing.T) {
+func TestStoredFiguresKeepTheirNames(t *testing.T) {
 	stored, err := os.ReadFile(storedFigures)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if read, want := checkFigures(t, bytes.TrimSuffix(stored, []byte("\n"))), figuresOfEveryField(); !reflect.DeepEqual(read,
 		want) {
-		t.Errorf("%+v, want %+v", read, want)
+		t.Errorf("got %+v, want %+v", read, want)
 	}
 }
 
@@ -101,7 +98,7 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(text, stored) {
-		t.Errorf("%s,\nstored is %s", text, stored)
+		t.Errorf("got %s,\nwant %s", text, stored)
 	}
 	return f
 }
--- a/internal/testbed/rules/job.go
+++ b/internal/testbed/rules/job.go
@@ -15,10 +15,10 @@
 // job is a job that a scheduler admitted, as its clients see it.
 type job struct {
 	id, scheduler     string
-	incarnation       int // of the scheduler that reported it last
+	incarnation       int // of its scheduler when it was last reported
 	submittedAt       time.Duration
 	placementTimeout  time.Duration
-	outcomeExpected   bool // an outcome is due when the placement timeout is over
+	outcomeExpected   bool // an outcome is due at the placement timeout
 	placementRequests map[int]*placementRequest
 	state             string
 	finalState        string
@@ -28,13 +28,13 @@
 // placementRequest is one request to place a job; a job that is held and released has several.
 type placementRequest struct {
 	requestedAt time.Duration
-	outcome     string // empty while there is none
+	outcome     string // name on the wire; empty until it is reported
 }
 
-// firstPlacementRequest is the number of the request that the submission makes.
+// firstPlacementRequest is the number of the placement request of the submission.
 const firstPlacementRequest = 1
 
-// responseReceived takes a complete response of a scheduler.
+// responseReceived handles a complete response of a scheduler.
 func (c *checker) responseReceived(scheduler string, request *clientRequest, response *httpcodec.Response) {
 	isSubmission := request.isSubmission()
 	if isSubmission {
@@ -46,15 +46,15 @@
 		}
 		return
 	}
-	var answer drmaa2.Submitted
-	if json.Unmarshal(response.Body, &answer) != nil {
+	var submitted drmaa2.Submitted
+	if json.Unmarshal(response.Body, &submitted) != nil {
 		return
 	}
-	for i := range answer.Jobs {
+	for i := range submitted.Jobs {
 		if isSubmission {
-			c.jobAdmitted(scheduler, request, &answer, answer.Jobs[i].JobID)
+			c.jobAdmitted(scheduler, request, &submitted, submitted.Jobs[i].JobID)
 		}
-		c.jobReported(scheduler, &answer.Jobs[i])
+		c.jobReported(scheduler, &submitted.Jobs[i])
 	}
 }
 
@@ -62,7 +62,7 @@
 	return r.method == http.MethodPost && (strings.HasSuffix(r.path, "/jobs") || strings.HasSuffix(r.path, "/arrays"))
 }
 
-// rejectionCode is the error code of a response, or its status where the body has none.
+// rejectionCode returns the error code of a response, or its status if the body has none.
 func rejectionCode(response *httpcodec.Response) string {
 	var rejection drmaa2.Error
 	if json.Unmarshal(response.Body, &rejection) != nil || rejection.Code == "" {
@@ -71,8 +71,8 @@
 	return string(rejection.Code)
 }
 
-// jobAdmitted notes a job of a submission's response.
-func (c *checker) jobAdmitted(scheduler string, request *clientRequest, answer *drmaa2.Submitted, id string) {
+// jobAdmitted adds a job of the response to a submission.
+func (c *checker) jobAdmitted(scheduler string, request *clientRequest, submitted *drmaa2.Submitted, id string) {
 	if c.jobs[id] != nil {
 		return
 	}
@@ -83,10 +83,10 @@
 	}
 	template := &submission.Template
 	j.placementTimeout = c.placementTimeout(template)
-	// No outcome is due of a job that may be kept queued on purpose, nor of one that an earlier request submitted.
+	// No outcome is due for a job that may stay queued on purpose, or that was submitted by an earlier request.
 	mayStayQueued := template.SubmitAsHold || template.StartTime != nil ||
 		submission.Bulk != nil && submission.Bulk.MaxParallel != 0
-	j.outcomeExpected = !answer.Existing && !mayStayQueued
+	j.outcomeExpected = !submitted.Existing && !mayStayQueued
 }
 
 func (c *checker) addJob(id, scheduler string, submittedAt time.Duration) *job {
@@ -97,7 +97,7 @@
 	return j
 }
 
-// placementTimeout is that of the job's template, or else of its class; 0 for none.
+// placementTimeout returns the placement timeout of the template, or else of its class; zero means none.
 func (c *checker) placementTimeout(template *drmaa2.JobTemplate) time.Duration {
 	if own, err := time.ParseDuration(template.ImplementationSpecific[drmaa2.AttrGiveUp]); err == nil {
 		return own
@@ -111,13 +111,13 @@
 	return 0
 }
 
-// jobReported takes what a client is notified of a job, at the time when it left the scheduler.
+// jobReported handles a report on a job to a client, at the time when the scheduler sends it.
 func (c *checker) jobReported(scheduler string, info *drmaa2.JobInfo) {
 	j := c.jobs[info.JobID]
-	if j == nil { // the response to its submission was lost with its connection
+	if j == nil { // the response to its submission was lost with the connection
 		j = c.addJob(info.JobID, scheduler, c.now)
 	}
-	if j.incarnation != c.incarnations[scheduler] { // a later incarnation has adopted it, and its times begin anew
+	if j.incarnation != c.incarnations[scheduler] { // a later incarnation has adopted the job and restarts its times
 		j.incarnation, j.outcomeExpected, j.finalState = c.incarnations[scheduler], false, ""
 		j.placementRequests, j.revision = map[int]*placementRequest{}, 0
 	}
@@ -125,7 +125,7 @@
 	c.stateReported(j, info)
 }
 
-// outcomeReported judges the outcome of a placement request: there is one, and it comes in time.
+// outcomeReported judges the outcome of a placement request: there must be only one, reported in time.
 func (c *checker) outcomeReported(scheduler string, j *job, info *drmaa2.JobInfo) {
 	number := placementRequestNumber(info)
 	request := j.placementRequests[number]
@@ -141,21 +141,22 @@
 		return
 	}
 	if request.outcome != "" {
-		c.violated(OneAnswer, "job %s, ask %d: told %s, then %s", j.id, number, request.outcome, outcome)
+		c.violated(OneOutcome, "job %s, placement request %d: outcome %s, then %s", j.id, number,
+			OutcomeTerm(request.outcome), OutcomeTerm(outcome))
 	} else {
-		c.verdict.Rules[OneAnswer].Checked++
-		c.verdict.Outcomes[outcome]++
+		c.verdict.Rules[OneOutcome].Checked++
+		c.verdict.Outcomes[OutcomeTerm(outcome)]++
 		timed := j.outcomeExpected && number <= firstPlacementRequest && j.placementTimeout > 0
 		timeout := request.requestedAt + j.placementTimeout
 		if timed && c.now > c.outcomeDeadline(scheduler, timeout) {
-			c.violated(OneAnswer, "job %s: its outcome %s came %v after its owner had given up", j.id, outcome,
-				(c.now - timeout).Round(time.Millisecond))
+			c.violated(OneOutcome, "job %s: outcome %s was reported %v after the placement timeout", j.id,
+				OutcomeTerm(outcome), (c.now - timeout).Round(time.Millisecond))
 		}
 	}
 	request.outcome = outcome
 }
 
-// placementRequestNumber is 0 where the scheduler names none.
+// placementRequestNumber returns the number of the placement request, or zero if the report has none.
 func placementRequestNumber(info *drmaa2.JobInfo) int {
 	number, err := strconv.Atoi(info.ImplementationSpecific[drmaa2.AttrPlacementRequests])
 	if err != nil {
@@ -164,13 +165,13 @@
 	return number
 }
 
-// stateReported judges the state of a job: a final state stays.
+// stateReported judges the state of a job: a final state must not change.
 func (c *checker) stateReported(j *job, info *drmaa2.JobInfo) {
 	revision, err := strconv.ParseUint(info.ImplementationSpecific[drmaa2.AttrRevision], 10, 64)
 	if err != nil {
 		revision = 0
 	}
-	// Responses and event streams leave on connections of their own, so that an older revision may come later.
+	// Responses and event streams are on different connections, so that an older revision may be reported later.
 	if revision < j.revision {
 		return
 	}
@@ -181,20 +182,20 @@
 	switch {
 	case !info.JobState.Terminated():
 		if j.finalState != "" {
-			c.violated(OneAnswer, "job %s ended as %s and is %s again", j.id, j.finalState, j.state)
+			c.violated(OneOutcome, "job %s ended as %s, then is %s", j.id, j.finalState, j.state)
 		}
 	case j.finalState != "" && j.finalState != j.state:
-		c.violated(OneAnswer, "job %s ended as %s, then as %s", j.id, j.finalState, j.state)
+		c.violated(OneOutcome, "job %s ended as %s, then as %s", j.id, j.finalState, j.state)
 		j.finalState = j.state
 	default:
 		j.finalState = j.state
 	}
 }
 
-// maxConsumedEvents is how many bytes of consumed events a streamed body keeps, so that a long stream stays small.
+// maxConsumedEvents is the number of bytes of handled events after which they are removed from a streamed body.
 const maxConsumedEvents = 1 << 16
 
-// eventsReceived takes the events that a streamed body has gained.
+// eventsReceived handles the new events of a streamed body.
 func (c *checker) eventsReceived(link *connection, response *httpcodec.Response) {
 	const separator = "\n\n"
 	for {
@@ -218,7 +219,7 @@
 	}
 }
 
-// judgeMissingOutcomes judges, at the end, the jobs that never had an outcome.
+// judgeMissingOutcomes judges, at the end of the recording, the jobs without an outcome.
 func (c *checker) judgeMissingOutcomes() {
 	for _, j := range c.jobs {
 		c.verdict.States[j.state]++
@@ -231,8 +232,8 @@
 		}
 		timeout := j.submittedAt + j.placementTimeout
 		if c.now > c.outcomeDeadline(j.scheduler, timeout) {
-			c.verdict.Rules[OneAnswer].Checked++
-			c.violated(OneAnswer, "job %s: no outcome was told, %v after its owner had given up", j.id,
+			c.verdict.Rules[OneOutcome].Checked++
+			c.violated(OneOutcome, "job %s: no outcome was reported, %v after the placement timeout", j.id,
 				(c.now - timeout).Round(time.Millisecond))
 		}
 	}
--- a/internal/testbed/rules/nodeview.go
+++ b/internal/testbed/rules/nodeview.go
@@ -6,20 +6,20 @@
 	"flaxshelf.example/flaxshelf/internal/codec/nodeframe/nodepb"
 )
 
-// nodeView is what a scheduler was notified of a node.
+// nodeView is what a scheduler was notified of about a node.
 type nodeView struct {
 	membership      nodepb.Standing
-	membershipSince time.Duration // when it ceased to be an active member
+	membershipSince time.Duration // when the node ceased to be active
 	zone            string
 	cell            int32
-	listedStart     int64 // when the node came up by the inventory, in nanoseconds of Unix time; 0: not known
-	reportedStart   int64 // the same by the node itself
+	inventoryStart  int64 // start of the node as the inventory lists it, in nanoseconds of Unix time; zero means unknown
+	reportedStart   int64 // the same as the node reports it
 }
 
-// startedAt is when the node came up by the later report of the two, in nanoseconds of Unix time; 0: not known.
-func (v *nodeView) startedAt() int64 { return max(v.listedStart, v.reportedStart) }
+// startedAt returns the later of the two starts, in nanoseconds of Unix time; zero means unknown.
+func (v *nodeView) startedAt() int64 { return max(v.inventoryStart, v.reportedStart) }
 
-// setMembership notes a change of membership and, for one that ends, its time.
+// setMembership sets the membership and, if the node ceases to be active, the time.
 func (v *nodeView) setMembership(membership nodepb.Standing, now time.Duration) {
 	if membership != nodepb.Standing_IN && v.membership == nodepb.Standing_IN {
 		v.membershipSince = now
@@ -27,13 +27,7 @@
 	v.membership = membership
 }
 
-var membershipNames = map[nodepb.Standing]string{
-	nodepb.Standing_IN:       "in",
-	nodepb.Standing_DRAINING: "draining",
-	nodepb.Standing_OUT:      "out",
-}
-
-// view returns what a scheduler was notified of a node. Before the first notification the node is no member.
+// view returns what a scheduler was notified of about a node. Before the first notification the node counts as removed.
 func (c *checker) view(scheduler, node string) *nodeView {
 	views := c.views[scheduler]
 	if views == nil {
@@ -46,7 +40,7 @@
 	return views[node]
 }
 
-// listingDelivered takes a listing of the inventory as it reaches a scheduler.
+// listingDelivered handles a listing of the inventory when it reaches a scheduler.
 func (c *checker) listingDelivered(scheduler string, listing *nodepb.Listing) {
 	listed := map[string]bool{}
 	for _, entry := range listing.Entries {
@@ -66,17 +60,17 @@
 
 func (c *checker) entryDelivered(scheduler string, entry *nodepb.Entry) {
 	view := c.view(scheduler, entry.Node)
-	if entry.StartedUnixNs > view.listedStart && view.listedStart > 0 {
-		c.nodeRemoved(scheduler, entry.Node) // a restarted node has no tasks of its former incarnation
+	if entry.StartedUnixNs > view.inventoryStart && view.inventoryStart > 0 {
+		c.nodeRemoved(scheduler, entry.Node) // a restarted node has no tasks of its previous incarnation
 	}
 	view.setMembership(entry.Standing, c.now)
-	view.zone, view.cell, view.listedStart = entry.Zone, entry.Cell, entry.StartedUnixNs
+	view.zone, view.cell, view.inventoryStart = entry.Zone, entry.Cell, entry.StartedUnixNs
 	if entry.Standing == nodepb.Standing_OUT {
 		c.nodeRemoved(scheduler, entry.Node)
 	}
 }
 
-// nodeRemoved loses the accepted attempts on a node: the scheduler was notified that they do not run any more.
+// nodeRemoved marks the accepted attempts on a node as lost: the scheduler was notified that they no longer run.
 func (c *checker) nodeRemoved(scheduler, node string) {
 	for _, attempt := range c.sortedActive(scheduler) {
 		if attempt.node == node && attempt.phase == accepted {
@@ -85,7 +79,7 @@
 	}
 }
 
-// sameDomain reports whether two nodes, with what a scheduler knows of them, are in one topology domain of a level.
+// sameDomain reports whether two nodes are in the same topology domain of a level, by the views of one scheduler.
 func sameDomain(level string, view, otherView *nodeView, node, otherNode string) bool {
 	switch level {
 	case domainMachine:
--- a/internal/testbed/rules/offer.go
+++ b/internal/testbed/rules/offer.go
@@ -6,7 +6,7 @@
 	"flaxshelf.example/flaxshelf/internal/codec/nodeframe/nodepb"
 )
 
-// schedulerFrameSent takes a scheduler's frame as it leaves the scheduler.
+// schedulerFrameSent handles a frame of a scheduler when the scheduler sends it.
 func (c *checker) schedulerFrameSent(link *connection, frame *nodepb.Frame) {
 	switch body := frame.Body.(type) {
 	case *nodepb.Frame_Hello:
@@ -20,11 +20,11 @@
 	}
 }
 
-// offerSent judges an offer at the moment when it leaves its scheduler.
+// offerSent judges an offer when its scheduler sends it.
 func (c *checker) offerSent(link *connection, offer *nodepb.Offer) {
 	task := offer.Task
 	if task == nil || c.attempts[offer.Attempt] != nil {
-		c.violated(NoSecondStart, "offer %s was sent twice", offer.Attempt)
+		c.violated(NoDuplicateStart, "offer %s was sent twice", offer.Attempt)
 		return
 	}
 	c.verdict.Offers++
@@ -35,7 +35,7 @@
 		a.key = a.job
 	}
 	class, view := c.class(a.class), c.view(a.scheduler, a.node)
-	c.judgeSecondStart(class, a, view)
+	c.judgeDuplicateStart(class, a, view)
 	c.judgeDrain(a, view)
 	c.attempts[a.id] = a
 	c.attemptsByKey[a.key] = append(c.attemptsByKey[a.key], a)
@@ -45,47 +45,47 @@
 	}
 }
 
-// judgeSecondStart judges an offer by the earlier attempts of the same task.
-func (c *checker) judgeSecondStart(class *Class, offered *attempt, view *nodeView) {
-	c.verdict.Rules[NoSecondStart].Checked++
+// judgeDuplicateStart judges an offer by the earlier attempts of the same task.
+func (c *checker) judgeDuplicateStart(class *Class, offered *attempt, view *nodeView) {
+	c.verdict.Rules[NoDuplicateStart].Checked++
 	for _, earlier := range c.attemptsByKey[offered.key] {
 		c.expire(earlier)
 		switch earlier.phase {
 		case inFlight:
 			if !earlier.stopped {
-				c.violated(NoSecondStart, "%s is offered as %s while %s is in flight", offered.key, offered.id, earlier.id)
+				c.violated(NoDuplicateStart, "%s is offered as %s while %s is in flight", offered.key, offered.id, earlier.id)
 			}
 		case accepted:
-			c.judgeBesideAccepted(offered, earlier)
+			c.judgeAfterAcceptance(offered, earlier)
 		case outcomeUnknown:
-			c.judgeBesideUnknown(class, offered, earlier, view)
+			c.judgeAfterUnknownOutcome(class, offered, earlier, view)
 		}
 	}
 }
 
-// judgeBesideAccepted judges an offer of a task that a node has accepted.
-func (c *checker) judgeBesideAccepted(offered, earlier *attempt) {
-	// A reply that was delivered only just now is not yet read when the next offer leaves, such as an acceptance as the
-	// offer expires, or a welcome after a broken connection. The scheduler stops the earlier attempt when it reads it.
+// judgeAfterAcceptance judges an offer of a task that a node has accepted.
+func (c *checker) judgeAfterAcceptance(offered, earlier *attempt) {
+	// A reply that was delivered within the clock skew may cross the offer: the scheduler had not read it yet, as with an
+	// acceptance when the offer expires, or a welcome after a broken connection. It stops the earlier attempt afterwards.
 	crossed := c.now-earlier.phaseSince < c.figures.Skew
 	if !earlier.stopped && !crossed {
-		c.violated(NoSecondStart, "%s is offered as %s while %s holds it as %s", offered.key, offered.id, earlier.node,
+		c.violated(NoDuplicateStart, "%s is offered as %s while %s runs it as %s", offered.key, offered.id, earlier.node,
 			earlier.id)
 	}
 }
 
-// judgeBesideUnknown judges an offer of a task of which an earlier attempt may have run.
-func (c *checker) judgeBesideUnknown(class *Class, offered, earlier *attempt, view *nodeView) {
+// judgeAfterUnknownOutcome judges an offer of a task of which an earlier attempt may have run.
+func (c *checker) judgeAfterUnknownOutcome(class *Class, offered, earlier *attempt, view *nodeView) {
 	if class.Idempotency == effectIdempotent || c.deduplicated(class, offered, earlier, view) {
 		return
 	}
 	if offered.job == earlier.job && offered.placementRequest == earlier.placementRequest {
-		c.violated(NoSecondStart, "%s (%s) is offered as %s to %s though %s at %s may have run", offered.key,
+		c.violated(NoDuplicateStart, "%s (%s) is offered as %s to %s though %s at %s may have run", offered.key,
 			class.Idempotency, offered.id, offered.node, earlier.id, earlier.node)
 		return
 	}
 	if c.now < earlier.phaseSince+c.figures.SettleTime-c.figures.Skew {
-		c.violated(NoSecondStart, "%s (%s) is offered as %s only %v after %s may have run", offered.key, class.Idempotency,
+		c.violated(NoDuplicateStart, "%s (%s) is offered as %s only %v after %s may have run", offered.key, class.Idempotency,
 			offered.id, (c.now - earlier.phaseSince).Round(time.Millisecond), earlier.id)
 	}
 }
@@ -98,17 +98,17 @@
 
 // judgeDrain judges an offer by the membership of its node.
 func (c *checker) judgeDrain(offered *attempt, view *nodeView) {
-	c.verdict.Rules[DrainsKept].Checked++
+	c.verdict.Rules[DrainRespected].Checked++
 	notifiedFor := c.now - view.membershipSince
 	if view.membership != nodepb.Standing_IN && notifiedFor-c.figures.DrainGrace > c.figures.Skew {
-		c.violated(DrainsKept, "%s offers %s to %s, %v after word that it is %s", offered.scheduler, offered.id,
+		c.violated(DrainRespected, "%s offers %s to %s, %v after it was notified that the node is %s", offered.scheduler, offered.id,
 			offered.node, notifiedFor.Round(time.Millisecond), membershipNames[view.membership])
 	}
 }
 
 // judgeSpread counts the active tasks of an offer's service in the topology domain of its node.
 func (c *checker) judgeSpread(class *Class, offered *attempt, view *nodeView) {
-	c.verdict.Rules[SpreadKept].Checked++
+	c.verdict.Rules[SpreadRespected].Checked++
 	tasks := 0
 	for other := range c.activeAttempts[offered.scheduler] {
 		c.expire(other)
@@ -119,12 +119,12 @@
 		}
 	}
 	if tasks > class.MaxPerDomain {
-		c.violated(SpreadKept, "%s has %d tasks of %s in one %s with %s at %s, %d at most", offered.scheduler, tasks,
+		c.violated(SpreadRespected, "%s has %d tasks of %s in one %s with %s at %s, the limit is %d", offered.scheduler, tasks,
 			offered.service, class.SpreadDomain, offered.id, offered.node, class.MaxPerDomain)
 	}
 }
 
-// nodeFrameSent takes a node's frame as it leaves the node, which is before its scheduler may know.
+// nodeFrameSent handles a frame of a node when the node sends it, before it is delivered to the scheduler.
 func (c *checker) nodeFrameSent(link *connection, frame *nodepb.Frame) {
 	switch body := frame.Body.(type) {
 	case *nodepb.Frame_Accepted:
@@ -136,8 +136,8 @@
 	}
 }
 
-// nodeAccepted judges what nodes have, whatever their schedulers know: a task that must not run twice is never at two
-// places at a time.
+// nodeAccepted judges the acceptances of nodes, independently of what schedulers know: two nodes must not have accepted a
+// non-idempotent task at the same time.
 func (c *checker) nodeAccepted(node, id string) {
 	a := c.attempts[id]
 	if a == nil {
@@ -147,10 +147,10 @@
 		c.acceptedByNode[a.key] = map[string]*attempt{}
 	}
 	if class := c.class(a.class); class.Idempotency != effectIdempotent {
-		c.verdict.Rules[NoSecondStart].Checked++
+		c.verdict.Rules[NoDuplicateStart].Checked++
 		for _, other := range c.acceptedByNode[a.key] {
 			if other.id != id {
-				c.violated(NoSecondStart, "%s (%s) is held by %s as %s and by %s as %s", a.key, class.Idempotency,
+				c.violated(NoDuplicateStart, "%s (%s) is accepted by %s as %s and by %s as %s", a.key, class.Idempotency,
 					other.node, other.id, node, id)
 			}
 		}
--- a/internal/testbed/rules/recording_test.go
+++ b/internal/testbed/rules/recording_test.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"encoding/json"
 	"fmt"
+	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -23,7 +24,7 @@
 	AnswerSlack: 100 * time.Millisecond,
 	SettleTime:  2 * time.Second,
 	Skew:        10 * time.Millisecond,
-	SlowStart:   SlowStart{For: 5 * time.Second, Window: time.Second, From: 0.5, Multiple: 2, Always: 3, StartsPerSecond: 1},
+	SlowStart:   SlowStart{Duration: 5 * time.Second, Window: time.Second, InitialFraction: 0.5, Multiple: 2, MinOffers: 3, StartsPerSecond: 1},
 	Classes: []Class{
 		{Name: "safe", Idempotency: effectIdempotent, PlacementTimeout: time.Second, SpreadDomain: domainZone, MaxPerDomain: 2},
 		{Name: "keyed", Idempotency: effectIdempotentByKey, KeyDomain: domainZone, KeyTTL: 2 * time.Second, PlacementTimeout: 5 * time.Second},
@@ -40,10 +41,10 @@
 	clientConnection
 )
 
-// baseTime is when a recording begins, in nanoseconds of Unix time.
+// baseTime is the start of a recording in nanoseconds of Unix time.
 const baseTime = int64(1e18)
 
-// recording builds a recording at times that the test sets.
+// recording builds an encoded recording; the test sets the times.
 type recording struct {
 	encoded bytes.Buffer
 	nowMS   int64
@@ -77,13 +78,13 @@
 	}
 }
 
-// time is a time of the recording in nanoseconds of Unix time.
+// time converts milliseconds since the start to nanoseconds of Unix time.
 func (r *recording) time(ms int64) int64 { return baseTime + ms*int64(time.Millisecond) }
 
-// at sets the time of what follows, in milliseconds since the start.
+// at sets the time of the following records, in milliseconds since the start.
 func (r *recording) at(ms int64) *recording { r.nowMS = ms; return r }
 
-// bytes sends and delivers bytes.
+// bytes adds bytes that are sent and delivered.
 func (r *recording) bytes(connection int, fromListener bool, data []byte) {
 	r.add(&recordingpb.Record{Body: &recordingpb.Record_Sent{Sent: &recordingpb.Sent{Conn: uint64(connection), Back: fromListener,
 		Data: data}}})
@@ -99,7 +100,7 @@
 	r.bytes(connection, fromListener, encoded)
 }
 
-// listing notifies s of nodes; a name may carry a membership, as n1:draining, or behind @ its start in milliseconds.
+// listing notifies s of nodes. A membership may follow a name, as in n1:draining, and a start in milliseconds, as in n1@100.
 func (r *recording) listing(whole bool, nodes ...string) *recording {
 	listing := &nodepb.Listing{Whole: whole}
 	for _, node := range nodes {
@@ -129,7 +130,7 @@
 	return entry
 }
 
-// offer sends an offer; the job is the attempt's name up to the slash.
+// offer adds an offer; the job is the part of the attempt before the first slash.
 func (r *recording) offer(connection int, attempt, class string) *recording {
 	task := &nodepb.Task{Job: strings.Split(attempt, "/")[0], Class: class, Service: "v", Ask: 1}
 	r.frame(connection, false, &nodepb.Frame{Body: &nodepb.Frame_Offer{Offer: &nodepb.Offer{Attempt: attempt,
@@ -137,7 +138,7 @@
 	return r
 }
 
-// offerMany offers unsafe jobs to n1, which spread does not limit.
+// offerMany adds offers of unsafe jobs to n1; spread does not limit them.
 func (r *recording) offerMany(count int) *recording {
 	for i := range count {
 		r.offer(node1Connection, fmt.Sprintf("m%d/1/0", i), "unsafe")
@@ -162,7 +163,7 @@
 	return r.reply(connection, &nodepb.Frame{Body: &nodepb.Frame_Ended{Ended: &nodepb.Ended{Attempt: attempt}}})
 }
 
-// welcome is n1's, with its start; a fresh node may still be in its slow start.
+// welcome adds the welcome of n1 with its start; a fresh node may be in slow start.
 func (r *recording) welcome(startMS int64, fresh bool) *recording {
 	return r.reply(node1Connection, &nodepb.Frame{Body: &nodepb.Frame_Welcome{Welcome: &nodepb.Welcome{Node: "n1",
 		StartedUnixNs: r.time(startMS), Fresh: fresh}}})
@@ -178,7 +179,7 @@
 	return r
 }
 
-// submit is the client's request for a job of class safe.
+// submit adds the client's submission of a job of class safe.
 func (r *recording) submit() *recording {
 	body, err := json.Marshal(drmaa2.Submission{Template: drmaa2.JobTemplate{RemoteCommand: "x", JobCategory: "safe"}})
 	if err != nil {
@@ -189,13 +190,13 @@
 	return r
 }
 
-// poll is the client's request for the state of its job.
+// poll adds the client's request for the state of its job.
 func (r *recording) poll() *recording {
 	r.bytes(clientConnection, false, []byte("GET /drmaa2/v1/jobs/j HTTP/1.1\r\nHost: x\r\n\r\n"))
 	return r
 }
 
-// respond answers the client's oldest request with the state of its job.
+// respond adds the response to the client's oldest request, with the state of its job.
 func (r *recording) respond(revision int, state drmaa2.JobState, outcome string) *recording {
 	info := drmaa2.JobInfo{JobID: "j", JobState: state, ImplementationSpecific: map[string]string{drmaa2.AttrPlacementRequests: "1",
 		drmaa2.AttrRevision: fmt.Sprint(revision)}}
@@ -225,20 +226,17 @@
 }
 
 func (c *ruleCase) check(t *testing.T) {
+	t.Helper()
 	verdict, err := Check(&c.recording.encoded)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i, rule := range verdict.Rules {
-		want := false
-		for _, violated := range c.violated {
-			want = want || violated == i
-		}
-		if got := len(rule.Broken) > 0; got != want {
-			t.Errorf("rule %d: violated is %v, want %v\n%s", i+1, got, want, verdict)
+		if got, want := len(rule.Violations) > 0, slices.Contains(c.violated, i); got != want {
+			t.Errorf("rule %d: got violated %v, want %v\n%s", i+1, got, want, verdict)
 		}
 	}
-	if verdict.OK() != (len(c.violated) == 0) {
-		t.Error("OK does not agree")
+	if got, want := verdict.OK(), len(c.violated) == 0; got != want {
+		t.Errorf("got OK %v, want %v", got, want)
 	}
 }
--- a/internal/testbed/rules/rules_test.go
+++ b/internal/testbed/rules/rules_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"errors"
+	"io"
 	"strings"
 	"testing"
 
@@ -11,10 +12,10 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/recordproxy/recordingpb"
 )
 
-// TestRules checks each rule at its edges: what just keeps it and what just violates it.
-func TestRules(t *testing.T) {
+// Each rule is checked at its limits: with recordings that just respect it, and others that just violate it.
+func TestCheckFindsTheViolatedRules(t *testing.T) {
 	t.Run("outcome", func(t *testing.T) { checkRules(t, outcomeCases()) })
-	t.Run("second start", func(t *testing.T) { checkRules(t, secondStartCases()) })
+	t.Run("duplicate start", func(t *testing.T) { checkRules(t, duplicateStartCases()) })
 	t.Run("drain", func(t *testing.T) { checkRules(t, drainCases()) })
 	t.Run("slow start", func(t *testing.T) { checkRules(t, slowStartCases()) })
 	t.Run("spread", func(t *testing.T) { checkRules(t, spreadCases()) })
@@ -25,48 +26,48 @@
 		{"one in time", newRecording().submit().respond(1, drmaa2.Queued, "").at(900).poll().
 			respond(2, drmaa2.Running, "placed").at(5000).poll().respond(3, drmaa2.Done, "placed"), nil},
 		{"two", newRecording().submit().respond(1, drmaa2.Queued, "placed").poll().respond(2, drmaa2.Failed, "failed"),
-			[]int{OneAnswer}},
+			[]int{OneOutcome}},
 		{"late", newRecording().submit().respond(1, drmaa2.Queued, "").at(1200).poll().
-			respond(2, drmaa2.Queued, "placed"), []int{OneAnswer}},
+			respond(2, drmaa2.Queued, "placed"), []int{OneOutcome}},
 		{"late, but the process was paused", newRecording().submit().respond(1, drmaa2.Queued, "").at(500).
 			mark(recordproxy.EventSchedulerPaused, "s").at(3000).mark(recordproxy.EventSchedulerResumed, "s").at(3050).poll().
 			respond(2, drmaa2.Failed, "refused"), nil},
 		{"late after the process was resumed", newRecording().submit().respond(1, drmaa2.Queued, "").at(500).
 			mark(recordproxy.EventSchedulerPaused, "s").at(3000).mark(recordproxy.EventSchedulerResumed, "s").at(3200).poll().
-			respond(2, drmaa2.Failed, "refused"), []int{OneAnswer}},
-		{"none", newRecording().submit().respond(1, drmaa2.Queued, "").at(2000).mark(recordproxy.EventEnd, ""), []int{OneAnswer}},
+			respond(2, drmaa2.Failed, "refused"), []int{OneOutcome}},
+		{"none", newRecording().submit().respond(1, drmaa2.Queued, "").at(2000).mark(recordproxy.EventEnd, ""), []int{OneOutcome}},
 		{"none, but killed", newRecording().submit().respond(1, drmaa2.Queued, "").at(500).
 			mark(recordproxy.EventSchedulerKilled, "s").at(2000).mark(recordproxy.EventEnd, ""), nil},
 		{"running after a final state", newRecording().submit().respond(3, drmaa2.Done, "placed").poll().
-			respond(4, drmaa2.Running, "placed"), []int{OneAnswer}},
+			respond(4, drmaa2.Running, "placed"), []int{OneOutcome}},
 		{"an older state on another connection", newRecording().submit().respond(3, drmaa2.Done, "placed").poll().
 			respond(2, drmaa2.Running, "placed"), nil},
 	}
 }
 
-func secondStartCases() []ruleCase {
+func duplicateStartCases() []ruleCase {
 	first := func(class string) *recording { return newRecording().offer(node1Connection, "j/1/0", class) }
 	return []ruleCase{
 		{"after a rejection", first("unsafe").reject(node1Connection, "j/1/0").
 			offer(node2Connection, "j/1/1", "unsafe"), nil},
-		{"in flight", first("safe").at(100).offer(node2Connection, "j/1/1", "safe"), []int{NoSecondStart}},
+		{"in flight", first("safe").at(100).offer(node2Connection, "j/1/1", "safe"), []int{NoDuplicateStart}},
 		{"after the timeout, idempotent", first("safe").at(500).offer(node2Connection, "j/1/1", "safe"), nil},
 		{"after the timeout, non-idempotent", first("unsafe").at(500).offer(node2Connection, "j/1/1", "unsafe"),
-			[]int{NoSecondStart}},
+			[]int{NoDuplicateStart}},
 		{"while it runs", first("safe").accept(node1Connection, "j/1/0").at(600).
-			offer(node2Connection, "j/1/1", "safe"), []int{NoSecondStart}},
+			offer(node2Connection, "j/1/1", "safe"), []int{NoDuplicateStart}},
 		{"after its end", first("unsafe").accept(node1Connection, "j/1/0").at(600).end(node1Connection, "j/1/0").
 			offer(node2Connection, "j/1/1", "unsafe"), nil},
 		{"by key, to the same zone in its window", first("keyed").at(1900).offer(node1Connection, "j/1/1", "keyed"), nil},
 		{"by key, after its window", first("keyed").at(2100).offer(node1Connection, "j/1/1", "keyed"),
-			[]int{NoSecondStart}},
+			[]int{NoDuplicateStart}},
 		{"by key, to another zone", first("keyed").at(600).offer(node2Connection, "j/1/1", "keyed"),
-			[]int{NoSecondStart}},
+			[]int{NoDuplicateStart}},
 		{"a lost connection is no proof", first("unsafe").close(node1Connection).at(600).
-			offer(node2Connection, "j/1/1", "unsafe"), []int{NoSecondStart}},
+			offer(node2Connection, "j/1/1", "unsafe"), []int{NoDuplicateStart}},
 		{"accepted by two nodes", first("unsafe").reject(node1Connection, "j/1/0").
 			offer(node2Connection, "j/1/1", "unsafe").accept(node2Connection, "j/1/1").accept(node1Connection, "j/1/0"),
-			[]int{NoSecondStart}},
+			[]int{NoDuplicateStart}},
 	}
 }
 
@@ -74,11 +75,11 @@
 	draining := func() *recording { return newRecording().at(100).listing(false, "n1:draining") }
 	return []ruleCase{
 		{"within the grace period", draining().at(1000).offer(node1Connection, "j/1/0", "safe"), nil},
-		{"after the grace period", draining().at(1200).offer(node1Connection, "j/1/0", "safe"), []int{DrainsKept}},
+		{"after the grace period", draining().at(1200).offer(node1Connection, "j/1/0", "safe"), []int{DrainRespected}},
 		{"listed twice, counted from the first", draining().at(900).listing(false, "n1:draining").at(1200).
-			offer(node1Connection, "j/1/0", "safe"), []int{DrainsKept}},
+			offer(node1Connection, "j/1/0", "safe"), []int{DrainRespected}},
 		{"missing in a complete list", newRecording().at(100).listing(true, "n2").at(1200).
-			offer(node1Connection, "j/1/0", "safe"), []int{DrainsKept}},
+			offer(node1Connection, "j/1/0", "safe"), []int{DrainRespected}},
 		{"active again", draining().at(1200).listing(false, "n1").offer(node1Connection, "j/1/0", "safe"), nil},
 	}
 }
@@ -87,8 +88,8 @@
 	listed := func() *recording { return newRecording().at(100).listing(false, "n1@100") }
 	return []ruleCase{
 		{"at the limit", listed().offerMany(3), nil},
-		{"over the limit", listed().offerMany(4), []int{ColdKept}},
-		{"start reported by the node alone", newRecording().at(100).welcome(100, true).offerMany(4), []int{ColdKept}},
+		{"over the limit", listed().offerMany(4), []int{SlowStartRespected}},
+		{"start reported by the node alone", newRecording().at(100).welcome(100, true).offerMany(4), []int{SlowStartRespected}},
 		{"a node that is not fresh reports no start", newRecording().at(100).welcome(100, false).offerMany(9), nil},
 		{"after the slow start", listed().at(6000).offerMany(9), nil},
 		{"no scheduler was notified", newRecording().offerMany(9), nil},
@@ -101,48 +102,71 @@
 	}
 	return []ruleCase{
 		{"two in a zone", two().offer(node2Connection, "c/1/0", "safe"), nil},
-		{"three in a zone", two().offer(node1Connection, "c/1/0", "safe"), []int{SpreadKept}},
+		{"three in a zone", two().offer(node1Connection, "c/1/0", "safe"), []int{SpreadRespected}},
 		{"one of three has ended", two().accept(node1Connection, "a/1/0").end(node1Connection, "a/1/0").
 			offer(node1Connection, "c/1/0", "safe"), nil},
 	}
 }
 
-// TestUndecoded checks that a connection that can't be decoded makes the verdict untrusted, unless bytes were dropped on
-// purpose.
-func TestUndecoded(t *testing.T) {
-	for bytesDropped, want := range map[bool]bool{false: false, true: true} {
-		r := newRecording()
-		if bytesDropped {
-			r.mark(recordproxy.EventBytesDropped, "")
-		}
-		r.bytes(node1Connection, true, []byte{0xff, 0xff, 0xff, 0xff})
-		verdict, err := Check(&r.encoded)
-		if err != nil || verdict.OK() != want {
-			t.Errorf("bytes dropped is %v: %v, %v", bytesDropped, verdict, err)
-		}
-	}
-	for _, malformed := range []string{"", "nonsense"} {
-		_, err := Check(strings.NewReader(malformed))
-		var recordingError *RecordingError
-		if !errors.As(err, &recordingError) || recordingError.Section != "head" {
-			t.Errorf("%q: error %v, want one of the head", malformed, err)
-		}
+func TestVerdictListsUndecodedConnectionsUnlessBytesWereDropped(t *testing.T) {
+	for _, c := range []struct {
+		name         string
+		bytesDropped bool
+		want         int
+	}{
+		{"no bytes dropped", false, 1},
+		{"bytes dropped on purpose", true, 0},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			r := newRecording()
+			if c.bytesDropped {
+				r.mark(recordproxy.EventBytesDropped, "")
+			}
+			r.bytes(node1Connection, true, []byte{0xff, 0xff, 0xff, 0xff})
+			verdict, err := Check(&r.encoded)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if got := len(verdict.Undecoded); got != c.want || verdict.OK() != (c.want == 0) {
+				t.Errorf("got %d undecoded connections, OK is %v, want %d: %v", got, verdict.OK(), c.want, verdict)
+			}
+		})
 	}
 }
 
-// TestMalformedFigures checks that a recording whose figures are no JSON is rejected with an error that says so.
-func TestMalformedFigures(t *testing.T) {
-	r := &recording{}
-	r.add(&recordingpb.Record{Body: &recordingpb.Record_Head{Head: &recordingpb.Head{Version: recordproxy.Version, Figures: []byte("{")}}})
-	_, err := Check(&r.encoded)
-	var recordingError *RecordingError
-	if !errors.As(err, &recordingError) || recordingError.Section != "figures" {
-		t.Errorf("error %v, want one of the figures", err)
+func TestUnreadableRecordingsAreRejected(t *testing.T) {
+	malformedFigures := &recording{}
+	malformedFigures.add(&recordingpb.Record{Body: &recordingpb.Record_Head{Head: &recordingpb.Head{
+		Version: recordproxy.Version, Figures: []byte("{")}}})
+	oversizedRecord := newRecording().encoded.String() + "\xff\xff\xff\xff\x7f"
+	check := func(r io.Reader) error {
+		_, err := Check(r)
+		return err
+	}
+	follow := func(r io.Reader) error { return Follow(r, io.Discard) }
+	for _, c := range []struct {
+		name, recording string
+		read            func(r io.Reader) error
+		wantSection     string
+	}{
+		{"empty file", "", check, "head"},
+		{"another file", "nonsense", check, "head"},
+		{"malformed figures", malformedFigures.encoded.String(), check, "figures"},
+		{"oversized record", oversizedRecord, check, "records"},
+		{"follow an empty file", "", follow, "head"},
+		{"follow up to an oversized record", oversizedRecord, follow, "records"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			err := c.read(strings.NewReader(c.recording))
+			var recordingError *RecordingError
+			if !errors.As(err, &recordingError) || recordingError.Section != c.wantSection {
+				t.Errorf("got error %v, want a RecordingError of the %s", err, c.wantSection)
+			}
+		})
 	}
 }
 
-// TestFollow checks that Follow prints the frames of one job with the marks.
-func TestFollow(t *testing.T) {
+func TestFollowWritesTheFramesOfOneJobAndAllMarks(t *testing.T) {
 	r := newRecording().at(5).offer(node1Connection, "j/1/0", "safe").accept(node1Connection, "j/1/0").
 		mark(recordproxy.EventSchedulerKilled, "s").offer(node2Connection, "other/1/0", "safe")
 	var out bytes.Buffer
@@ -152,15 +176,15 @@
 	got := out.String()
 	for _, want := range []string{"s > n1 ", "n1 > s ", "-- s: scheduler killed"} {
 		if !strings.Contains(got, want) {
-			t.Errorf("%q does not contain %q", got, want)
+			t.Errorf("got %q, want it to contain %q", got, want)
 		}
 	}
 	if strings.Contains(got, "other") {
-		t.Error("it contains another job")
+		t.Errorf("got %q, want no frame of another job", got)
 	}
 }
 
-// FuzzCheck checks that Check returns on any recording, without a panic.
+// FuzzCheck checks that Check does not panic, whatever the recording.
 func FuzzCheck(f *testing.F) {
 	f.Add(newRecording().submit().respond(1, drmaa2.Running, "placed").offer(node1Connection, "j/1/0", "safe").
 		encoded.Bytes())
--- a/internal/testbed/rules/slowstart.go
+++ b/internal/testbed/rules/slowstart.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// slowStart is the time after a node has come up, in which it bears fewer offers than later.
+// slowStart is the interval after the start of a node in which its limit of offers is lower.
 type slowStart struct {
 	startedAt  int64 // nanoseconds of Unix time
 	offers     []slowStartOffer
-	overloaded bool // reported once
+	overloaded bool // reported as a violation
 }
 
 type slowStartOffer struct {
@@ -14,8 +14,8 @@
 	schedulerNotified bool // its scheduler was notified of this start of the node
 }
 
-// offerDelivered judges an offer as it reaches a node in its slow start. A scheduler that was not notified of the start
-// can't know better, so that most of the offers must come from schedulers that were.
+// offerDelivered judges an offer when it reaches a node in slow start. The limit is violated only if at least two thirds of
+// the offers are from schedulers that were notified of the start: the others could not know of it.
 func (c *checker) offerDelivered(link *connection) {
 	node, limits := link.listener, &c.figures.SlowStart
 	view := c.view(link.dialer, node)
@@ -24,21 +24,21 @@
 		return
 	}
 	age := c.now - time.Duration(start.startedAt)
-	if age < 0 || age >= limits.For {
+	if age < 0 || age >= limits.Duration {
 		return
 	}
-	c.verdict.Rules[ColdKept].Checked++
+	c.verdict.Rules[SlowStartRespected].Checked++
 	start.add(slowStartOffer{deliveredAt: c.now, schedulerNotified: view.startedAt() == start.startedAt}, limits.Window)
 	limit, offers := limits.offerLimit(age), len(start.offers)
 	mostNotified := 3*start.notified() >= 2*offers
 	if float64(offers) > limit && mostNotified && !start.overloaded {
 		start.overloaded = true
-		c.violated(ColdKept, "%s, up for %v, gets %d offers within %v and bears %.0f", node, age.Round(time.Millisecond),
+		c.violated(SlowStartRespected, "%s, up for %v, gets %d offers within %v, the limit is %.0f", node, age.Round(time.Millisecond),
 			offers, limits.Window, limit)
 	}
 }
 
-// slowStartOf returns the latest start of a node that any scheduler was notified of; nil for none.
+// slowStartOf returns the slow start of the latest start of a node that any scheduler was notified of, or nil.
 func (c *checker) slowStartOf(node string, view *nodeView) *slowStart {
 	start := c.slowStarts[node]
 	if at := view.startedAt(); at > 0 && (start == nil || start.startedAt < at) {
@@ -48,7 +48,7 @@
 	return start
 }
 
-// add notes an offer and forgets those before the window that ends with it.
+// add adds an offer and removes those before the window that ends with it.
 func (s *slowStart) add(offer slowStartOffer, window time.Duration) {
 	recent := s.offers[:0]
 	for _, earlier := range s.offers {
@@ -59,7 +59,7 @@
 	s.offers = append(recent, offer)
 }
 
-// notified counts the offers of schedulers that were notified of the start.
+// notified returns the number of offers of schedulers that were notified of the start.
 func (s *slowStart) notified() int {
 	count := 0
 	for _, offer := range s.offers {
--- a/internal/testbed/rules/verdict.go
+++ b/internal/testbed/rules/verdict.go
@@ -10,38 +10,38 @@
 
 // The five rules, as indices of Verdict.Rules.
 const (
-	// OneAnswer is that each job gets one final outcome before its placement timeout.
-	OneAnswer = iota
-	// NoSecondStart is that no task is started a second time where its class forbids that.
-	NoSecondStart
-	// DrainsKept is that a draining node gets no new task after the grace period.
-	DrainsKept
-	// ColdKept is that a node in its slow start is not overloaded.
-	ColdKept
-	// SpreadKept is that the tasks of one service are spread over topology domains.
-	SpreadKept
+	// OneOutcome requires that each placement request gets exactly one outcome, before the job's placement timeout.
+	OneOutcome = iota
+	// NoDuplicateStart requires that no task is started again where the idempotency of its class forbids that.
+	NoDuplicateStart
+	// DrainRespected requires that a draining node gets no new task after the grace period.
+	DrainRespected
+	// SlowStartRespected requires that a node in slow start is not overloaded.
+	SlowStartRespected
+	// SpreadRespected requires that the tasks of a service are spread over topology domains.
+	SpreadRespected
 	ruleCount
 )
 
-// Names are the rules' names, in their order.
+// Names are the names of the rules.
 var Names = [ruleCount]string{
-	OneAnswer:     "one final answer in time for each task",
-	NoSecondStart: "no second start its class forbids",
-	DrainsKept:    "no new work after word of a drain",
-	ColdKept:      "no cold node pushed over",
-	SpreadKept:    "spread kept",
+	OneOutcome:         "one final outcome in time for each job",
+	NoDuplicateStart:   "no duplicate start its class forbids",
+	DrainRespected:     "no new task after the drain was notified",
+	SlowStartRespected: "no node overloaded in slow start",
+	SpreadRespected:    "tasks of a service are spread",
 }
 
-// Finding is one violation of a rule.
-type Finding struct {
+// Violation is one violation of a rule.
+type Violation struct {
 	At   time.Duration // since the start of the recording
 	Text string        // what was violated, with the attempts, nodes and times
 }
 
 // Rule is the result for one rule.
 type Rule struct {
-	Checked int       // cases that were judged; a rule with none is not proven
-	Broken  []Finding // violations, in the order of their times
+	Checked    int         // number of judged cases; zero means that the recording does not exercise the rule
+	Violations []Violation // in the order of their times
 }
 
 // Verdict is the result of Check for a recording.
@@ -52,59 +52,59 @@
 	Submitted       int            // requests that submit jobs
 	Admitted        int            // jobs that a scheduler admitted
 	Rejected        map[string]int // rejected submissions by error code
-	Outcomes        map[string]int // outcomes of placement requests
-	States          map[string]int // the last state that was seen of each admitted job
-	Orphaned        int            // jobs of a scheduler's process that was killed, which no later process reported
-	OverloadedNodes int            // nodes that crashed of overload in their slow start
+	Outcomes        map[string]int // outcomes of placement requests, by OutcomeTerm
+	States          map[string]int // last reported states of admitted jobs
+	Orphaned        int            // jobs of killed schedulers that no later incarnation reported
+	OverloadedNodes int            // nodes that crashed because of too many starts
 	Offers          int            // offers that schedulers sent to nodes
-	Replies         map[string]int // replies of nodes to offers
+	Replies         map[string]int // replies of nodes to offers, with the reason of a rejection
 }
 
-// OK reports whether no rule is violated and every connection could be decoded.
+// OK reports whether no rule is violated and all connections could be decoded.
 func (v *Verdict) OK() bool {
 	for i := range v.Rules {
-		if len(v.Rules[i].Broken) > 0 {
+		if len(v.Rules[i].Violations) > 0 {
 			return false
 		}
 	}
 	return len(v.Undecoded) == 0
 }
 
-// maxPrintedFindings bounds the violations of one rule that String prints.
-const maxPrintedFindings = 10
+// maxPrintedViolations is the maximum number of violations of one rule that String prints.
+const maxPrintedViolations = 10
 
-// String is the verdict for people, on several lines.
+// String returns the verdict as text of several lines.
 func (v *Verdict) String() string {
 	var text strings.Builder
 	for i := range v.Rules {
 		v.Rules[i].print(&text, i)
 	}
-	fmt.Fprintf(&text, "%d submissions in %.1f s: %d jobs taken, turned away %s\n", v.Submitted,
+	fmt.Fprintf(&text, "%d submissions in %.1f s: %d jobs admitted, rejected: %s\n", v.Submitted,
 		v.Length.Seconds(), v.Admitted, countformat.Format(v.Rejected))
-	fmt.Fprintf(&text, "outcomes %s; jobs at the end %s; %d were held by a scheduler that was killed\n",
+	fmt.Fprintf(&text, "outcomes: %s; job states at the end: %s; %d jobs orphaned by killed schedulers\n",
 		countformat.Format(v.Outcomes), countformat.Format(v.States), v.Orphaned)
-	fmt.Fprintf(&text, "%d offers to nodes, answered %s; %d nodes fell over\n", v.Offers, countformat.Format(v.Replies),
-		v.OverloadedNodes)
+	fmt.Fprintf(&text, "%d offers to nodes, replies: %s; %d nodes crashed of overload\n", v.Offers,
+		countformat.Format(v.Replies), v.OverloadedNodes)
 	for _, connection := range v.Undecoded {
-		fmt.Fprintf(&text, "unread: %s\n", connection)
+		fmt.Fprintf(&text, "undecoded: %s\n", connection)
 	}
 	return text.String()
 }
 
 func (r *Rule) print(text *strings.Builder, index int) {
-	result := "kept"
+	result := "respected"
 	switch {
-	case len(r.Broken) > 0:
-		result = fmt.Sprintf("BROKEN %d times", len(r.Broken))
+	case len(r.Violations) > 0:
+		result = fmt.Sprintf("VIOLATED %d times", len(r.Violations))
 	case r.Checked == 0:
-		result = "had nothing to judge"
+		result = "not exercised"
 	}
 	fmt.Fprintf(text, "rule %d  %-40s %s (%d checked)\n", index+1, Names[index], result, r.Checked)
-	for i, finding := range r.Broken {
-		if i == maxPrintedFindings {
-			fmt.Fprintf(text, "        and %d more\n", len(r.Broken)-i)
+	for i, violation := range r.Violations {
+		if i == maxPrintedViolations {
+			fmt.Fprintf(text, "        and %d more\n", len(r.Violations)-i)
 			return
 		}
-		fmt.Fprintf(text, "        at %8.3f s: %s\n", finding.At.Seconds(), finding.Text)
+		fmt.Fprintf(text, "        at %8.3f s: %s\n", violation.At.Seconds(), violation.Text)
 	}
 }
--- a/internal/testbed/scenario/figures.go
+++ b/internal/testbed/scenario/figures.go
@@ -14,8 +14,8 @@
 	b := &d.Behaviour
 	f := rules.Figures{DrainGrace: d.Rules.DrainGrace.Duration(), AnswerSlack: d.Rules.AnswerSlack.Duration(),
 		SettleTime: d.Rules.SettleTime.Duration(), Skew: clockSkew,
-		SlowStart: rules.SlowStart{For: d.Rules.SlowStartDuration.Duration(), Window: d.Rules.OverloadWindow.Duration(),
-			From: b.SlowStartInitialRate, Multiple: b.OverloadMultiple, Always: d.Rules.SlowStartBudget,
+		SlowStart: rules.SlowStart{Duration: d.Rules.SlowStartDuration.Duration(), Window: d.Rules.OverloadWindow.Duration(),
+			InitialFraction: b.SlowStartInitialRate, Multiple: b.OverloadMultiple, MinOffers: d.Rules.SlowStartBudget,
 			StartsPerSecond: float64(b.StartSlots) / (b.CachedStartTime.Duration().Seconds() * max(b.UncachedStartFactor, 1))}}
 	for _, c := range d.Classes {
 		f.Classes = append(f.Classes, rules.Class{Name: c.Name, Idempotency: c.Idempotency, KeyDomain: c.KeyDomain,
--- a/internal/testbed/trial/bench_test.go
+++ b/internal/testbed/trial/bench_test.go
@@ -26,15 +26,16 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/standin/nodemodel"
 )
 
-// benchScheduler is a scheduler in a process of its own, whose CPU and memory are its own, with stand-in nodes here.
+// benchScheduler is a scheduler in a process of its own, so that its CPU time and memory can be measured, with stand-in nodes
+// in this process.
 type benchScheduler struct {
 	b       *testing.B
 	metrics string // address
 	session *drmaa2.JobSession
 }
 
-// startBenchScheduler starts nodes of so many cores each and a scheduler that decides on so many of its own. They end with
-// the benchmark.
+// startBenchScheduler starts nodes with nodeCores cores each, and a scheduler with schedulerCores cores. They are stopped at the
+// end of the benchmark.
 func startBenchScheduler(b *testing.B, nodes int, nodeCores float64, schedulerCores int) *benchScheduler {
 	b.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
@@ -88,7 +89,7 @@
 		CachedStartTime: time.Millisecond, UncachedStartFactor: 2, MaxCachedPrograms: 8, Seed: uint64(index)}
 }
 
-// freeAddress is an address of loopback that was free a moment ago.
+// freeAddress returns an address of loopback that was free when it was checked.
 func freeAddress(b *testing.B) string {
 	b.Helper()
 	listener, err := net.Listen("tcp", loopbackAnyPort)
@@ -99,7 +100,7 @@
 	return listener.Addr().String()
 }
 
-// writeBenchConfig returns the path of a scheduler's configuration.
+// writeBenchConfig writes the configuration of a scheduler and returns its path.
 func writeBenchConfig(b *testing.B, metrics, inventory string, nodeCores float64, schedulerCores int) string {
 	b.Helper()
 	text, err := json.Marshal(map[string]any{"name": "bench", "listen": loopbackAnyPort, "metrics": metrics,
@@ -119,7 +120,7 @@
 	return path
 }
 
-// startBenchProcess returns the URL of a scheduler's process.
+// startBenchProcess starts the process of a scheduler and returns its URL.
 func startBenchProcess(b *testing.B, configPath string) string {
 	b.Helper()
 	process := command("")("serve", "--config", configPath)
@@ -147,7 +148,7 @@
 	return url
 }
 
-// warmUp runs some jobs to their ends, so that all connections are up and all programs are cached.
+// warmUp runs some jobs until they have ended, so that all connections are open and all programs are cached.
 func (s *benchScheduler) warmUp(ctx context.Context) {
 	s.b.Helper()
 	for range warmUpJobs {
@@ -161,15 +162,15 @@
 	}
 }
 
-// warmUpJobs is how many jobs warmUp runs.
+// warmUpJobs is the number of jobs that warmUp runs.
 const warmUpJobs = 20
 
-// cpu is the processor time of the scheduler's process so far.
+// cpu returns the CPU time of the scheduler's process.
 func (s *benchScheduler) cpu() time.Duration {
 	return time.Duration(s.value("process_cpu_seconds_total") * 1e9)
 }
 
-// value reads a metric; labels are part of the name.
+// value returns the value of a metric; labels are part of the name.
 func (s *benchScheduler) value(name string) float64 {
 	s.b.Helper()
 	response, err := http.Get("http://" + s.metrics + "/metrics")
--- a/internal/testbed/trial/clients.go
+++ b/internal/testbed/trial/clients.go
@@ -9,6 +9,7 @@
 
 	"flaxshelf.example/flaxshelf/drmaa2"
 	"flaxshelf.example/flaxshelf/internal/testbed/fault"
+	"flaxshelf.example/flaxshelf/internal/testbed/rules"
 	"flaxshelf.example/flaxshelf/internal/testbed/scenario"
 )
 
@@ -16,26 +17,26 @@
 const sessionName = "trial"
 
 const (
-	// outcomeGrace is how much longer than its outcome is due a client waits for it.
+	// outcomeGrace is how long a client waits for an outcome after it is due.
 	outcomeGrace = 2 * time.Second
 	// lateAfter is the delay from which a submission counts as sent late.
 	lateAfter = 50 * time.Millisecond
-	// requestRetryFor is how long a client's library retries a request.
+	// requestRetryFor is how long the client library retries a request.
 	requestRetryFor = 3 * time.Second
-	// pollInterval is how often a client looks whether its scheduler was killed.
+	// pollInterval is the interval at which a client checks whether its scheduler was killed.
 	pollInterval = 100 * time.Millisecond
-	// sessionRetryPause and releaseRetryPause come before a client's own retries.
+	// sessionRetryPause and releaseRetryPause are the pauses before a client retries a request itself.
 	sessionRetryPause = 50 * time.Millisecond
 	releaseRetryPause = 100 * time.Millisecond
 )
 
-// clients submit the load and account for every submission. They have one connection pool for each scheduler.
+// clients submit the load and account for every submission. There is one connection pool for each scheduler.
 type clients struct {
 	cluster     *cluster
 	begin       time.Time
 	pools       []*drmaa2.Client // by scheduler
-	submissions sync.WaitGroup   // goroutines with a submission each
-	watches     sync.WaitGroup   // goroutines that follow the events of a scheduler
+	submissions sync.WaitGroup   // one goroutine for each submission
+	watches     sync.WaitGroup   // one goroutine for each scheduler, which watches its events
 
 	mu        sync.Mutex
 	tally     Tally
@@ -43,7 +44,7 @@
 	loadState fault.LoadState
 }
 
-// submission is one job as its client sees it. The fields are guarded by clients.mu.
+// submission is a submitted job from the view of its client. The maps and strings are guarded by clients.mu.
 type submission struct {
 	outcomes     map[string]string // by job and placement request
 	firstOutcome string
@@ -52,7 +53,7 @@
 
 func newClients(c *cluster, begin time.Time) *clients {
 	load := &clients{cluster: c, begin: begin, open: map[string]*submission{},
-		tally: Tally{Ends: map[string]int{}, Verbs: map[string]int{}}}
+		tally: Tally{Ends: map[string]int{}, Commands: map[string]int{}}}
 	for _, p := range c.schedulers {
 		pool := drmaa2.NewClient("http://" + p.clientProxy.Addr())
 		pool.RetryFor = requestRetryFor
@@ -61,7 +62,7 @@
 	return load
 }
 
-// run submits the load until the end of the day.
+// run watches the events and submits the load until the end of the day.
 func (c *clients) run(ctx context.Context) {
 	for scheduler := range c.pools {
 		c.watches.Go(func() { c.watch(ctx, scheduler) })
@@ -73,13 +74,13 @@
 	loads.Wait()
 }
 
-// settle waits until what was submitted is accounted for, and for the rest of the day, in which running jobs may end.
+// settle waits until all submissions are accounted for, and for the rest of the day, in which running jobs may end.
 func (c *clients) settle(ctx context.Context) {
 	c.submissions.Wait()
 	sleepUntil(ctx, c.begin.Add(scenario.Seconds(c.cluster.day.Seconds+c.cluster.day.After)))
 }
 
-// close waits for the watches, whose context must be canceled, and closes all connections.
+// close waits for the watches, whose context must be canceled before, and closes all connections.
 func (c *clients) close() {
 	c.watches.Wait()
 	for _, pool := range c.pools {
@@ -87,14 +88,14 @@
 	}
 }
 
-// result is the tally, once all is closed.
+// result returns the tally, after close.
 func (c *clients) result() Tally {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.tally
 }
 
-// submitLoad sends the submissions of one load at their times, whatever becomes of them.
+// submitLoad sends the submissions of one load at their times, without waiting for earlier ones.
 func (c *clients) submitLoad(ctx context.Context, index int) {
 	class := c.cluster.day.Load[index].Class
 	arrivals := c.cluster.day.Arrivals(index, c.cluster.opt.Seed)
@@ -112,7 +113,7 @@
 	}
 }
 
-// loadNow is the factor of a class's load and the share of one service, by the faults of the present.
+// loadNow returns the factor of the load of a class and the fraction that goes to one service, by the present faults.
 func (c *clients) loadNow(class string) (factor, hotServiceFraction float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -175,15 +176,15 @@
 		end = s.firstOutcome
 	}
 	if end == endNoOutcome {
-		c.tally.Open++
-		c.cluster.opt.Note("no outcome was heard for %s", arrival.Key)
+		c.tally.Unaccounted++
+		c.cluster.opt.Note("no outcome was reported for %s", arrival.Key)
 	}
 	c.tally.Ends[end]++
 	delete(c.open, arrival.Key)
 }
 
-// submitUntilOutcome submits a job, and again to each incarnation of its scheduler until there is an outcome. It returns
-// how the submission ended if there is none.
+// submitUntilOutcome submits a job, and resubmits it to each later incarnation of its scheduler until there is an outcome. It
+// returns how the submission ended if there is none.
 func (c *clients) submitUntilOutcome(ctx context.Context, arrival *scenario.Arrival, s *submission,
 	deadline time.Time) string {
 	process := c.cluster.schedulers[arrival.Scheduler]
@@ -199,7 +200,7 @@
 		killed := c.awaitOutcome(ctx, s, process, incarnation, deadline)
 		switch {
 		case s.isDecided():
-			return endNoOutcome // which the first outcome replaces
+			return endNoOutcome // replaced by the first outcome
 		case killed && time.Now().After(deadline):
 			return endKilled
 		case !killed:
@@ -218,7 +219,7 @@
 }
 
 // awaitOutcome waits for the outcome. It reports whether the scheduler that admitted the job has been killed, so that the
-// client submits to the next incarnation.
+// client has to resubmit it to the next incarnation.
 func (c *clients) awaitOutcome(ctx context.Context, s *submission, process *process, incarnation int,
 	deadline time.Time) bool {
 	for {
@@ -238,7 +239,7 @@
 	}
 }
 
-// submit makes the session where a new incarnation of the scheduler has none.
+// submit submits a job, and creates the session if a new incarnation of the scheduler does not have it.
 func (c *clients) submit(ctx context.Context, arrival *scenario.Arrival, retry bool) (*drmaa2.Job, error) {
 	template := jobTemplate(arrival)
 	for {
@@ -266,7 +267,7 @@
 			session, err = pool.CreateJobSession(ctx, sessionName)
 		}
 		switch {
-		case errors.Is(err, drmaa2.ErrInvalidArgument): // another client has just created it
+		case errors.Is(err, drmaa2.ErrInvalidArgument): // another client has created it in the meantime
 			continue
 		case !errors.Is(err, drmaa2.ErrDrmCommunication):
 			return session, err
@@ -278,7 +279,7 @@
 	}
 }
 
-// command terminates some jobs, and holds and releases some, while they are being placed.
+// command terminates the job, holds and releases it, or does neither, by the arrival's draw.
 func (c *clients) command(ctx context.Context, job *drmaa2.Job, arrival *scenario.Arrival) {
 	load := arrival.Load
 	switch {
@@ -288,14 +289,14 @@
 	case arrival.ControlDraw < load.Terminate+load.Hold:
 		err := job.Hold(ctx)
 		c.countCommand("hold", err)
-		if err == nil || errors.Is(err, drmaa2.ErrDrmCommunication) { // without a response it may be held
+		if err == nil || errors.Is(err, drmaa2.ErrDrmCommunication) { // the job may be held even if the response was lost
 			sleep(ctx, arrival.ControlDelay)
 			c.countCommand("release", release(ctx, job))
 		}
 	}
 }
 
-// release retries while connections break: the job would be held for good.
+// release releases a job. It retries after broken connections, since otherwise the job would be held forever.
 func release(ctx context.Context, job *drmaa2.Job) error {
 	for {
 		err := job.Release(ctx)
@@ -312,10 +313,10 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.tally.Verbs[name]++
+	c.tally.Commands[name]++
 }
 
-// watch follows the session's events at one scheduler over all its incarnations.
+// watch handles the events of the session at one scheduler, over all its incarnations.
 func (c *clients) watch(ctx context.Context, scheduler int) {
 	for !canceled(ctx) {
 		session, err := c.session(ctx, scheduler)
@@ -330,15 +331,15 @@
 	}
 }
 
-// withdrawnOutcome is the outcome of a placement request that its client has ended.
-const withdrawnOutcome = "withdrawn"
+// canceledOutcome is the name on the wire of the outcome of a placement request that its client has canceled.
+const canceledOutcome = "withdrawn"
 
-// jobChanged takes an event of a job.
+// jobChanged handles an event of a job.
 func (c *clients) jobChanged(info *drmaa2.JobInfo) {
 	attributes := info.ImplementationSpecific
 	outcome := attributes[drmaa2.AttrOutcome]
-	if outcome == "" || outcome == withdrawnOutcome && !info.JobState.Terminated() {
-		return // held by its client: another request follows
+	if outcome == "" || outcome == canceledOutcome && !info.JobState.Terminated() {
+		return // held by its client: another placement request follows
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -348,11 +349,11 @@
 	}
 	request := info.JobID + "#" + attributes[drmaa2.AttrPlacementRequests]
 	if earlier := s.outcomes[request]; earlier != "" && earlier != outcome {
-		c.tally.Doubles++
+		c.tally.Duplicates++
 	}
 	s.outcomes[request] = outcome
 	if s.firstOutcome == "" {
-		s.firstOutcome = outcome
+		s.firstOutcome = rules.OutcomeTerm(outcome)
 		close(s.hasOutcome)
 	}
 }
--- a/internal/testbed/trial/cluster.go
+++ b/internal/testbed/trial/cluster.go
@@ -18,12 +18,12 @@
 
 const (
 	loopbackAnyPort = "127.0.0.1:0"
-	// closedAddress is one at which nobody listens.
+	// closedAddress is an address at which no process listens.
 	closedAddress = "127.0.0.1:1"
 )
 
-// cluster is the deployment of one trial: the inventory and the nodes in this process, each scheduler in one of
-// its own, and a recording proxy before each party.
+// cluster is the deployment of one trial: the inventory and the nodes run in this process, each scheduler runs in a process of
+// its own, and there is a recording proxy in front of each party.
 type cluster struct {
 	day        *scenario.Day
 	opt        Options
@@ -33,11 +33,11 @@
 	inventory  *host.Inventory
 	nodes      []*node
 	schedulers []*process
-	zoneKeys   map[string]nodemodel.KeyRegistry // the idempotency keys that the nodes of a zone share
+	zoneKeys   map[string]nodemodel.KeyRegistry // by zone: the idempotency keys that its nodes share
 	nodeEnds   sync.WaitGroup                   // goroutines that watch or stop nodes
 }
 
-// newCluster starts all parties. With an error it returns what it has started, for close; nil for nothing.
+// newCluster starts all parties. With an error it returns the cluster that must be closed, or nil if nothing was started.
 func newCluster(ctx context.Context, day *scenario.Day, opt Options, directory string,
 	recorder *recordproxy.Recorder) (*cluster, error) {
 	c := &cluster{day: day, opt: opt, directory: directory, recorder: recorder, log: zerolog.Nop(),
@@ -95,7 +95,7 @@
 	return p.start()
 }
 
-// close ends everything and waits for it. Schedulers are shut down gracefully, and killed if they don't end.
+// close stops all parties and waits until they have stopped. Schedulers are shut down gracefully, and killed after a timeout.
 func (c *cluster) close() error {
 	errs := make([]error, len(c.schedulers))
 	var ends sync.WaitGroup
--- a/internal/testbed/trial/faults.go
+++ b/internal/testbed/trial/faults.go
@@ -14,7 +14,7 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/standin/nodemodel"
 )
 
-// startFaults injects each fault of the day at its time. The function returned waits for all.
+// startFaults injects each fault of the day at its time. The returned function waits for all injections.
 func (c *cluster) startFaults(ctx context.Context, begin time.Time, load *clients) (wait func() error, err error) {
 	faults := make([]*fault.Fault, len(c.day.Faults))
 	for i := range faults {
@@ -42,7 +42,7 @@
 	}, nil
 }
 
-// describe is the zone and class of a fault, if it is of one.
+// describe returns the zone and the class that a fault is limited to, or an empty string.
 func describe(scheduled *scenario.Fault) string {
 	text := ""
 	if scheduled.Zone != "" {
@@ -54,7 +54,7 @@
 	return text
 }
 
-// sleepUntil returns at the time, or when the context is canceled.
+// sleepUntil returns at the given time, or when the context is canceled.
 func sleepUntil(ctx context.Context, at time.Time) { sleep(ctx, time.Until(at)) }
 
 // sleep returns after the duration, or when the context is canceled.
@@ -67,7 +67,7 @@
 
 func canceled(ctx context.Context) bool { return ctx.Err() != nil }
 
-// faultTarget is the cluster as a fault.Cluster and fault.Network. Several faults may use it at a time.
+// faultTarget implements fault.Cluster and fault.Network for the cluster. It is safe for concurrent use.
 type faultTarget struct {
 	cluster *cluster
 	clients *clients
@@ -89,17 +89,17 @@
 	return schedulers
 }
 
-// Wait is of fault.Cluster.
+// Wait implements fault.Cluster.
 func (t *faultTarget) Wait(ctx context.Context, duration time.Duration) { sleep(ctx, duration) }
 
-// ChangeNodeFaults is of fault.Cluster.
+// ChangeNodeFaults implements fault.Cluster.
 func (t *faultTarget) ChangeNodeFaults(nodes []int, change fault.NodeFaultChange) {
 	for _, n := range t.nodes(nodes) {
 		n.changeFault(change)
 	}
 }
 
-// DropPrograms is of fault.Cluster.
+// DropPrograms implements fault.Cluster.
 func (t *faultTarget) DropPrograms(nodes []int, fraction float64) {
 	for _, n := range t.nodes(nodes) {
 		n.do(func(model *nodemodel.Node, _ nodemodel.Time) []nodemodel.Send {
@@ -109,21 +109,21 @@
 	}
 }
 
-// DrainNodes is of fault.Cluster.
+// DrainNodes implements fault.Cluster.
 func (t *faultTarget) DrainNodes(nodes []int) {
 	for _, n := range t.nodes(nodes) {
 		n.do(func(model *nodemodel.Node, now nodemodel.Time) []nodemodel.Send { return model.Drain(now) })
 	}
 }
 
-// StopNodes is of fault.Cluster.
+// StopNodes implements fault.Cluster.
 func (t *faultTarget) StopNodes(nodes []int) {
 	for _, n := range t.nodes(nodes) {
 		n.stop()
 	}
 }
 
-// StartNodes is of fault.Cluster.
+// StartNodes implements fault.Cluster.
 func (t *faultTarget) StartNodes(ctx context.Context, nodes []int) error {
 	if canceled(ctx) {
 		return nil
@@ -135,18 +135,18 @@
 	return errors.Join(errs...)
 }
 
-// RestartNodes is of fault.Cluster.
+// RestartNodes implements fault.Cluster.
 func (t *faultTarget) RestartNodes(ctx context.Context, nodes []int) error {
 	t.StopNodes(nodes)
 	return t.StartNodes(ctx, nodes)
 }
 
-// PauseSchedulers is of fault.Cluster.
+// PauseSchedulers implements fault.Cluster.
 func (t *faultTarget) PauseSchedulers(schedulers []int, _ time.Duration) {
 	t.signal(schedulers, syscall.SIGSTOP, recordproxy.EventSchedulerPaused)
 }
 
-// ResumeSchedulers is of fault.Cluster.
+// ResumeSchedulers implements fault.Cluster.
 func (t *faultTarget) ResumeSchedulers(schedulers []int) {
 	t.signal(schedulers, syscall.SIGCONT, recordproxy.EventSchedulerResumed)
 }
@@ -158,24 +158,24 @@
 	}
 }
 
-// KillSchedulers is of fault.Cluster.
+// KillSchedulers implements fault.Cluster.
 func (t *faultTarget) KillSchedulers(schedulers []int) {
 	for _, p := range t.schedulers(schedulers) {
 		p.kill()
 	}
 }
 
-// TerminateSchedulers is of fault.Cluster.
+// TerminateSchedulers implements fault.Cluster.
 func (t *faultTarget) TerminateSchedulers(schedulers []int) error {
 	var errs []error
 	for _, p := range t.schedulers(schedulers) {
 		errs = append(errs, p.terminate())
-		t.cluster.recorder.Mark(recordproxy.EventSchedulerKilled, p.name) // what comes after is another incarnation
+		t.cluster.recorder.Mark(recordproxy.EventSchedulerKilled, p.name) // the next process is another incarnation
 	}
 	return errors.Join(errs...)
 }
 
-// StartSchedulers is of fault.Cluster.
+// StartSchedulers implements fault.Cluster.
 func (t *faultTarget) StartSchedulers(ctx context.Context, schedulers []int) error {
 	if canceled(ctx) {
 		return nil
@@ -187,24 +187,24 @@
 	return errors.Join(errs...)
 }
 
-// SetLoadFactor is of fault.Cluster.
+// SetLoadFactor implements fault.Cluster.
 func (t *faultTarget) SetLoadFactor(class string, factor float64) {
 	t.clients.setLoadFactor(class, factor)
 }
 
-// SetHotServiceFraction is of fault.Cluster.
+// SetHotServiceFraction implements fault.Cluster.
 func (t *faultTarget) SetHotServiceFraction(class string, fraction float64) {
 	t.clients.setHotServiceFraction(class, fraction)
 }
 
-// SetInventoryFault is of fault.Cluster.
+// SetInventoryFault implements fault.Cluster.
 func (t *faultTarget) SetInventoryFault(inventoryFault inventorymodel.Fault) {
 	t.cluster.inventory.Do(func(model *inventorymodel.Inventory, now inventorymodel.Time) []inventorymodel.Send {
 		return model.SetFault(now, inventoryFault)
 	})
 }
 
-// SetLinkFault is of fault.Network.
+// SetLinkFault implements fault.Network.
 func (t *faultTarget) SetLinkFault(nodes []int, linkFault recordproxy.Fault) {
 	if linkFault.DropReplies {
 		t.cluster.recorder.Mark(recordproxy.EventBytesDropped, "nodes")
@@ -214,28 +214,28 @@
 	}
 }
 
-// BreakLinks is of fault.Network.
+// BreakLinks implements fault.Network.
 func (t *faultTarget) BreakLinks(nodes []int) {
 	for _, n := range t.nodes(nodes) {
 		n.proxy.Disconnect()
 	}
 }
 
-// BreakInventoryLinks is of fault.Network.
+// BreakInventoryLinks implements fault.Network.
 func (t *faultTarget) BreakInventoryLinks(schedulers []int) {
 	for _, p := range t.schedulers(schedulers) {
 		p.inventoryProxy.Disconnect()
 	}
 }
 
-// BreakClientLinks is of fault.Network.
+// BreakClientLinks implements fault.Network.
 func (t *faultTarget) BreakClientLinks(schedulers []int) {
 	for _, p := range t.schedulers(schedulers) {
 		p.clientProxy.Disconnect()
 	}
 }
 
-// RunMisbehavingClients is of fault.Network.
+// RunMisbehavingClients implements fault.Network.
 func (t *faultTarget) RunMisbehavingClients(ctx context.Context, schedulers []int, count int, duration time.Duration) {
 	for _, p := range t.schedulers(schedulers) {
 		misbehave(ctx, p.address(), count, duration)
--- a/internal/testbed/trial/hook_test.go
+++ b/internal/testbed/trial/hook_test.go
@@ -8,24 +8,24 @@
 	"flaxshelf.example/flaxshelf/internal/scheduler"
 )
 
-// hooks change what passes between a daemon and its core, each so that one rule is violated.
+// hooks change inputs and effects between a daemon and its core so that one rule is violated.
 var hooks = map[string]daemon.Hook{
-	"":             nil,
-	"two answers":  &secondOutcome{},
-	"second start": &secondStart{},
-	"drained node": newRedirection(func(offer *scheduler.SendOffer, age scheduler.Time) target {
+	"":                nil,
+	"two outcomes":    &secondOutcome{},
+	"duplicate start": &duplicateStart{},
+	"draining node": newRedirection(func(offer *scheduler.SendOffer, age scheduler.Time) target {
 		if age > 3*time.Second && offer.Spec.Class == 0 && strings.HasSuffix(offer.Job, "7") {
 			return faultyNode
 		}
 		return chosenNode
 	}),
-	"cold node": newRedirection(func(offer *scheduler.SendOffer, age scheduler.Time) target {
+	"node in slow start": newRedirection(func(offer *scheduler.SendOffer, age scheduler.Time) target {
 		if age > 1500*time.Millisecond && offer.Spec.Class == 0 {
 			return faultyNode
 		}
 		return chosenNode
 	}),
-	"one room": newRedirection(func(offer *scheduler.SendOffer, _ scheduler.Time) target {
+	"one zone": newRedirection(func(offer *scheduler.SendOffer, _ scheduler.Time) target {
 		if offer.Spec.Class == 0 && offer.Spec.Service == "sensor-0" {
 			return fixedNode
 		}
@@ -33,10 +33,10 @@
 	}),
 }
 
-// secondOutcome reports the outcome of every twentieth placed job once more, as a failure.
+// secondOutcome reports a second outcome, a failure, for every twentieth placed job.
 type secondOutcome struct{ placed int }
 
-// outcomeInterval is how many placed jobs have one with two outcomes.
+// outcomeInterval is the number of placed jobs of which one has two outcomes.
 const outcomeInterval = 20
 
 func (*secondOutcome) In(in scheduler.Input) scheduler.Input { return in }
@@ -57,12 +57,12 @@
 	return out
 }
 
-// secondStart offers the jobs of one class twice. It is to the same node, so that spread and zones stay as they are.
-type secondStart struct{}
+// duplicateStart offers the jobs of one class twice to the same node, so that their spread does not change.
+type duplicateStart struct{}
 
-func (*secondStart) In(in scheduler.Input) scheduler.Input { return in }
+func (*duplicateStart) In(in scheduler.Input) scheduler.Input { return in }
 
-func (*secondStart) Out(_ scheduler.Time, effects []scheduler.Effect) []scheduler.Effect {
+func (*duplicateStart) Out(_ scheduler.Time, effects []scheduler.Effect) []scheduler.Effect {
 	var out []scheduler.Effect
 	for _, effect := range effects {
 		out = append(out, effect)
@@ -86,12 +86,12 @@
 // fixedNodeName is the node of fixedNode, and of stops and acknowledgements while the faulty node is not known.
 const fixedNodeName = "c0"
 
-// redirection sends offers to other nodes than the core has chosen. The core receives the replies as from the node that it
-// had chosen.
+// redirection sends offers to other nodes than the core has chosen. The core receives the replies as if they came from the
+// chosen node.
 type redirection struct {
 	choose      func(offer *scheduler.SendOffer, age scheduler.Time) target // age is of the scheduler
 	chosenNodes map[string]string                                           // by redirected attempt
-	faultyNode  string                                                      // drained or restarted; empty while there is none
+	faultyNode  string                                                      // drained or restarted; empty if there is none yet
 	startedAt   scheduler.Time
 }
 
@@ -129,7 +129,7 @@
 	return in
 }
 
-// chosen is the node that the core has chosen for an attempt, which has come from the given node.
+// chosen returns the node that the core has chosen for an attempt; node is the one that the message came from.
 func (h *redirection) chosen(attempt, node string) string {
 	if chosen := h.chosenNodes[attempt]; chosen != "" {
 		return chosen
@@ -162,7 +162,7 @@
 	return out
 }
 
-// node is where an offer is redirected to; empty for the node that the core has chosen.
+// node returns the node that an offer is redirected to, or an empty string for the chosen node.
 func (h *redirection) node(offer *scheduler.SendOffer, now scheduler.Time) string {
 	switch h.choose(offer, now-h.startedAt) {
 	case faultyNode:
@@ -174,7 +174,7 @@
 	}
 }
 
-// redirected is where a later message of an attempt goes.
+// redirected returns the node that a later message of an attempt is sent to.
 func (h *redirection) redirected(attempt, node string) string {
 	switch {
 	case h.chosenNodes[attempt] == "":
--- a/internal/testbed/trial/misbehaving.go
+++ b/internal/testbed/trial/misbehaving.go
@@ -10,14 +10,14 @@
 	"time"
 )
 
-// Pauses of misbehaving clients.
+// The pauses of misbehaving clients.
 const (
 	reconnectPause = 50 * time.Millisecond
 	byteInterval   = 20 * time.Millisecond
 	rejectionWait  = 200 * time.Millisecond
 )
 
-// misbehave has clients break the protocol, each in its own way, and connect again and again for the duration.
+// misbehave runs clients that break the protocol, each in its own way, and reconnect until the duration is over.
 func misbehave(ctx context.Context, address string, count int, duration time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, duration)
 	defer cancel()
@@ -33,7 +33,7 @@
 	running.Wait()
 }
 
-// misbehaveOnce runs one connection; one that can't be made is left out.
+// misbehaveOnce runs one connection; an error of the dial is ignored.
 func misbehaveOnce(ctx context.Context, address string, misbehavior func(ctx context.Context, connection net.Conn)) {
 	connection, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
@@ -45,8 +45,8 @@
 	misbehavior(ctx, connection)
 }
 
-// misbehaviors are the ways to break the protocol. What the server makes of it is judged by the recording, so that errors
-// of the connection are no concern of the client.
+// misbehaviors are the ways to break the protocol. Clients ignore errors of the connection: the recording shows how the server
+// reacts.
 var misbehaviors = []func(ctx context.Context, connection net.Conn){
 	sendSlowly,
 	readNothing,
@@ -55,7 +55,7 @@
 	sendMalformedJSON,
 }
 
-// sendSlowly sends a request one byte at a time and never completes it.
+// sendSlowly sends a request byte by byte and never completes it.
 func sendSlowly(ctx context.Context, connection net.Conn) {
 	for _, b := range []byte("POST /drmaa2/v1/sessions HTTP/1.1\r\nHost: x\r\nContent-Length: 1000\r\n\r\n{") {
 		if _, err := connection.Write([]byte{b}); err != nil {
--- a/internal/testbed/trial/node.go
+++ b/internal/testbed/trial/node.go
@@ -13,7 +13,7 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/standin/nodemodel"
 )
 
-// node is a node of the fleet, with a host for each incarnation. Its methods may be called by several goroutines.
+// node is a node of the fleet, with a host for each incarnation. It is safe for concurrent use.
 type node struct {
 	cluster *cluster
 	index   int
@@ -22,12 +22,12 @@
 	proxy   *recordproxy.Proxy
 
 	mu           sync.Mutex
-	host         *host.Node // nil while it is stopped
+	host         *host.Node // nil while the node is stopped
 	incarnations int
 	fault        nodemodel.Fault
 }
 
-// address is where the present incarnation listens.
+// address returns the address at which the present incarnation listens.
 func (n *node) address() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -37,7 +37,7 @@
 	return n.host.Addr()
 }
 
-// start begins an incarnation, unless one runs. A warm one has the programs of its tasks cached.
+// start starts an incarnation, unless one is running. A warm node has the programs of its tasks cached.
 func (n *node) start(warm bool) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// watch waits for the end of an incarnation and records whether it crashed of overload.
+// watch waits until an incarnation has stopped, and handles a crash of overload.
 func (n *node) watch(incarnation *host.Node) {
 	<-incarnation.Done()
 	if incarnation.Overloaded() {
@@ -68,7 +68,7 @@
 	}
 }
 
-// stop ends the present incarnation at once, with its faults.
+// stop stops the present incarnation at once, and its faults.
 func (n *node) stop() {
 	n.mu.Lock()
 	present := n.host
@@ -76,10 +76,10 @@
 	n.stopIncarnation(present)
 }
 
-// stopIncarnation ends an incarnation unless it has ended; it leaves a later one alone.
-func (n *node) stopIncarnation(ended *host.Node) {
+// stopIncarnation stops an incarnation unless it has been stopped; a later incarnation is not affected.
+func (n *node) stopIncarnation(incarnation *host.Node) {
 	n.mu.Lock()
-	isPresent := ended != nil && n.host == ended
+	isPresent := incarnation != nil && n.host == incarnation
 	if isPresent {
 		n.host = nil
 		n.fault = nodemodel.Fault{}
@@ -87,11 +87,11 @@
 	n.mu.Unlock()
 	if isPresent {
 		n.cluster.recorder.Mark(recordproxy.EventNodeStopped, n.name)
-		n.cluster.nodeEnds.Go(ended.Stop) // its sockets may take a while to close; the crash is at once
+		n.cluster.nodeEnds.Go(incarnation.Stop) // closing its sockets may take a while
 	}
 }
 
-// do runs a function with the model of the present incarnation, if there is one.
+// do calls a function with the model of the present incarnation, if there is one.
 func (n *node) do(call func(model *nodemodel.Node, now nodemodel.Time) []nodemodel.Send) {
 	n.mu.Lock()
 	present := n.host
--- a/internal/testbed/trial/node_test.go
+++ b/internal/testbed/trial/node_test.go
@@ -13,8 +13,7 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/standin/nodemodel"
 )
 
-// TestStopIncarnation checks that the end of an incarnation which is noticed late leaves the next one running.
-func TestStopIncarnation(t *testing.T) {
+func TestStopOfAFormerIncarnationLeavesTheNextOneRunning(t *testing.T) {
 	day, err := scenario.Read("calm")
 	if err != nil {
 		t.Fatal(err)
@@ -40,10 +39,10 @@
 	}
 	n.stopIncarnation(first)
 	if n.address() == closedAddress {
-		t.Error("the second incarnation was stopped with the first")
+		t.Error("got the second incarnation stopped, want it running")
 	}
 	n.stop()
 	if n.address() != closedAddress {
-		t.Error("the second incarnation was not stopped")
+		t.Error("got the second incarnation running, want it stopped")
 	}
 }
--- a/internal/testbed/trial/plan_test.go
+++ b/internal/testbed/trial/plan_test.go
@@ -11,12 +11,12 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/plancheck"
 )
 
-// TestPlanOnSockets plays the planner's cases over sockets a tenth under and a tenth over the predicted first limit, and
-// sets the share of submissions placed beside the emulator's. It takes minutes and is for a person to run:
+// The planner's cases are run on sockets with a tenth less and a tenth more than the predicted first limit; the test logs the
+// fraction of placed submissions with that of the emulator. It takes minutes and is run by hand:
 //
 //	FLAXSHELF_SOCKETS=1 go test -v -run PlanOnSockets -timeout 20m -parallel 3 ./internal/testbed/trial
-func TestPlanOnSockets(t *testing.T) {
-	if os.Getenv(playAll) == "" {
+func TestPlanOnSocketsRespectsTheRules(t *testing.T) {
+	if os.Getenv(runAllDays) == "" {
 		t.Skip("set FLAXSHELF_SOCKETS to run it")
 	}
 	for _, c := range plancheck.Cases {
--- a/internal/testbed/trial/process.go
+++ b/internal/testbed/trial/process.go
@@ -18,14 +18,13 @@
 )
 
 const (
-	// startTimeout is how long a scheduler's process may take until it prints its address.
+	// startTimeout is how long a scheduler's process may take to print its address.
 	startTimeout = 15 * time.Second
-	// terminateSlack is how much longer than its shutdown timeout a process may take to end.
+	// terminateSlack is how long after its shutdown timeout a process is killed.
 	terminateSlack = 5 * time.Second
 )
 
-// process is a scheduler, with an operating-system process for each incarnation. Its methods may be called by several
-// goroutines.
+// process is a scheduler, with an operating-system process for each incarnation. It is safe for concurrent use.
 type process struct {
 	cluster        *cluster
 	index          int
@@ -36,36 +35,36 @@
 
 	mu           sync.Mutex
 	stepFiles    []string // recorded steps of all incarnations, a file for each core
-	listening    string   // address; empty while none runs
+	listening    string   // address; empty while no process runs
 	command      *exec.Cmd
-	exited       chan struct{} // closed when command has ended
+	exited       chan struct{} // closed when command has exited
 	exitErr      error
 	incarnations int
 }
 
-// StartError is a scheduler's process that did not start.
+// StartError reports a scheduler's process that did not start.
 type StartError struct {
 	Scheduler string
-	Output    string // its first line, or its log
+	Output    string // its first line of output, or its log
 	Err       error
 }
 
-// Error names the scheduler, the cause and what the process printed.
+// Error returns a message with the scheduler, the cause and the output.
 func (e *StartError) Error() string {
 	return fmt.Sprintf("trial: start %s: %v: %.2000s", e.Scheduler, e.Err, e.Output)
 }
 
-// Unwrap is the cause.
+// Unwrap returns the cause.
 func (e *StartError) Unwrap() error { return e.Err }
 
-// The causes of a StartError beside those of the operating system.
+// The causes of a StartError, in addition to errors of the operating system.
 var (
-	errNoAddress    = errors.New("it printed no address")
-	errEarlyExit    = errors.New("it ended")
-	errStartTimeout = fmt.Errorf("it printed nothing within %v", startTimeout)
+	errNoAddress    = errors.New("no address in its output")
+	errExited       = errors.New("it exited")
+	errStartTimeout = fmt.Errorf("no output within %v", startTimeout)
 )
 
-// address is where the present incarnation listens for clients.
+// address returns the address at which the present incarnation listens for clients.
 func (p *process) address() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -75,7 +74,7 @@
 	return p.listening
 }
 
-// start begins an incarnation and waits until it listens.
+// start starts an incarnation and waits until it listens.
 func (p *process) start() error {
 	if err := p.writeConfig(); err != nil {
 		return err
@@ -86,7 +85,7 @@
 	}
 	address, err := awaitAddress(firstLine, exited)
 	if err != nil {
-		_ = command.Process.Kill() // it may have ended by itself
+		_ = command.Process.Kill() // it may have exited already
 		<-exited
 		return &StartError{Scheduler: p.name, Output: address + p.readLog(), Err: err}
 	}
@@ -120,8 +119,8 @@
 	return nil
 }
 
-// launch starts the operating-system process and a goroutine that reads its output until it has ended; exited is closed
-// then. The first line comes on a channel.
+// launch starts the operating-system process and a goroutine that reads its output. firstLine receives the first line; exited
+// is closed when the process has exited.
 func (p *process) launch() (command *exec.Cmd, firstLine <-chan string, exited chan struct{}, err error) {
 	command = p.cluster.opt.Command("serve", "--config", p.configPath)
 	output, err := command.StdoutPipe()
@@ -134,7 +133,7 @@
 	}
 	defer func() { _ = log.Close() }() // the process has a descriptor of its own
 	command.Stderr = log
-	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // none outlives a trial that is killed
+	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // it must not outlive a killed trial
 	if err := command.Start(); err != nil {
 		return nil, nil, nil, &StartError{Scheduler: p.name, Err: err}
 	}
@@ -152,14 +151,14 @@
 	if scanner.Scan() {
 		firstLine <- scanner.Text()
 	}
-	_, _ = io.Copy(io.Discard, output) // it ends with the process
+	_, _ = io.Copy(io.Discard, output) // until the process exits
 	err := command.Wait()
 	p.mu.Lock()
 	p.exitErr = err
 	p.mu.Unlock()
 }
 
-// awaitAddress returns the address of a process's first line; with errNoAddress, the line.
+// awaitAddress returns the address in the first line of output; with errNoAddress, the line.
 func awaitAddress(firstLine <-chan string, exited <-chan struct{}) (string, error) {
 	select {
 	case line := <-firstLine:
@@ -169,7 +168,7 @@
 		}
 		return address, nil
 	case <-exited:
-		return "", errEarlyExit
+		return "", errExited
 	case <-time.After(startTimeout):
 		return "", errStartTimeout
 	}
@@ -177,7 +176,7 @@
 
 func (p *process) logPath() string { return filepath.Join(p.cluster.directory, p.name+".log") }
 
-// readLog is the log for an error; a log that can't be read is empty.
+// readLog returns the log of the process, or an empty string if it can't be read.
 func (p *process) readLog() string {
 	text, err := os.ReadFile(p.logPath())
 	if err != nil {
@@ -191,11 +190,11 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.command != nil {
-		_ = p.command.Process.Signal(signal) // it may just have ended
+		_ = p.command.Process.Signal(signal) // it may have exited in the meantime
 	}
 }
 
-// kill ends the process by force and breaks its connections.
+// kill kills the process and closes its connections.
 func (p *process) kill() {
 	p.mu.Lock()
 	command, exited := p.command, p.exited
@@ -204,30 +203,30 @@
 	if command == nil {
 		return
 	}
-	_ = command.Process.Kill() // it may just have ended
+	_ = command.Process.Kill() // it may have exited in the meantime
 	<-exited
 	p.cluster.recorder.Mark(recordproxy.EventSchedulerKilled, p.name)
 	p.clientProxy.Disconnect()
 	p.inventoryProxy.Disconnect()
 }
 
-// TerminateError is a scheduler's process that did not end well on SIGTERM.
+// TerminateError reports a scheduler's process that did not exit cleanly after SIGTERM.
 type TerminateError struct {
 	Scheduler string
 	Err       error
 }
 
-// Error names the scheduler and the cause.
+// Error returns a message with the scheduler and the cause.
 func (e *TerminateError) Error() string {
-	return fmt.Sprintf("trial: %s on SIGTERM: %v", e.Scheduler, e.Err)
+	return fmt.Sprintf("trial: %s after SIGTERM: %v", e.Scheduler, e.Err)
 }
 
-// Unwrap is the cause.
+// Unwrap returns the cause.
 func (e *TerminateError) Unwrap() error { return e.Err }
 
-var errTerminateTimeout = errors.New("it did not end")
+var errTerminateTimeout = errors.New("it did not exit in time")
 
-// terminate shuts the process down gracefully. It must end with status 0 within the time that the day gives it.
+// terminate shuts the process down gracefully. The process must exit with status 0 within its shutdown timeout.
 func (p *process) terminate() error {
 	p.mu.Lock()
 	command, exited := p.command, p.exited
@@ -236,7 +235,7 @@
 	if command == nil {
 		return nil
 	}
-	_ = command.Process.Signal(syscall.SIGCONT) // it may have ended: its status shows that
+	_ = command.Process.Signal(syscall.SIGCONT) // it may have exited: its status shows that
 	_ = command.Process.Signal(syscall.SIGTERM)
 	select {
 	case <-exited:
@@ -254,7 +253,7 @@
 	return nil
 }
 
-// incarnation is the number of the latest incarnation.
+// incarnation returns the number of the latest incarnation.
 func (p *process) incarnation() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/testbed/trial/run.go
+++ b/internal/testbed/trial/run.go
@@ -1,5 +1,5 @@
-// Package trial runs days of scenarios over real processes and sockets on loopback, and has the recording checked. It must
-// not place anything itself.
+// Package trial runs days of scenarios with real processes and sockets on loopback, and judges their recordings with the
+// rules checker. It must not place tasks itself.
 package trial
 
 import (
@@ -21,39 +21,39 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/scenario"
 )
 
-// Options are how a day is run.
+// Options are the options of a run.
 type Options struct {
 	Seed uint64
-	// Record is the file for the recording; empty: a temporary one.
+	// Record is the file for the recording; empty means a temporary file.
 	Record string
-	// Keep is the directory for the schedulers' logs and configurations; empty: a temporary one.
-	Keep string
-	// Replay has the steps of the modules recorded and checked by a module alone.
+	// Directory is where the logs and configurations of the schedulers are written; empty means a temporary directory.
+	Directory string
+	// Replay records the steps of the modules, and replays them to a module by itself, which must return the same actions.
 	Replay bool
-	// Also is, with Replay, another module that must answer the same; may be nil.
-	Also Module
-	// Command makes the command that runs flaxshelf with the arguments.
+	// ReplayTo is, with Replay, another module that must return the same actions; it may be nil.
+	ReplayTo ModuleFactory
+	// Command returns the command that runs flaxshelf with the arguments.
 	Command func(args ...string) *exec.Cmd
-	// Note is called with a line of text for each fault and each submission without outcome, by several goroutines; may be
-	// nil.
+	// Note is called with a line of text for each fault and each submission without an outcome. It is called concurrently; it
+	// may be nil.
 	Note func(format string, args ...any)
 }
 
-// Module makes a module to which recorded steps are replayed.
-type Module func(c flaxshelf.Config, seed uint64) (replay.Module, error)
+// ModuleFactory returns a new module to which recorded steps are replayed.
+type ModuleFactory func(c flaxshelf.Config, seed uint64) (replay.Module, error)
 
-// Result is the result of a day.
+// Result is the result of a run.
 type Result struct {
 	Verdict *rules.Verdict
 	Tally   Tally
-	Replays []string // one line for each incarnation of a scheduler
-	Failed  []string // failures beside the rules
+	Replays []string // one line for each recording of steps: each core of each incarnation of a scheduler
+	Failed  []string // failures other than violations of the rules
 }
 
-// OK reports whether all rules are kept, every submission is accounted for and nothing else failed.
+// OK reports whether no rule is violated, every submission is accounted for and nothing else failed.
 func (r *Result) OK() bool { return r.Verdict.OK() && len(r.Failed) == 0 }
 
-// String is the result for people, on several lines.
+// String returns the result as text of several lines.
 func (r *Result) String() string {
 	var text strings.Builder
 	text.WriteString(r.Verdict.String())
@@ -67,27 +67,27 @@
 	return text.String()
 }
 
-// UnsupportedError is a day that a trial can't run.
+// UnsupportedError reports a day that a trial can't run.
 type UnsupportedError struct {
 	Day    string
 	Reason string
 }
 
-// Error names the day and the reason.
+// Error returns a message with the day and the reason.
 func (e *UnsupportedError) Error() string { return fmt.Sprintf("trial: %s: %s", e.Day, e.Reason) }
 
-// Run runs a day. The error is of the trial itself, an *UnsupportedError among others; what the trial shows of the
-// schedulers is in the result.
+// Run runs a day. The error is an *UnsupportedError or another failure of the trial itself; failures of the schedulers are in
+// the result.
 func Run(ctx context.Context, d *scenario.Day, opt Options) (result *Result, err error) {
 	for i := range d.Load {
 		if d.Load[i].Retry > 0 {
-			return nil, &UnsupportedError{Day: d.Name, Reason: "clients that retry are run by the emulator only"}
+			return nil, &UnsupportedError{Day: d.Name, Reason: "only the emulator has clients that retry"}
 		}
 	}
 	if opt.Note == nil {
 		opt.Note = func(string, ...any) {}
 	}
-	directory, remove, err := makeDirectory(opt.Keep)
+	directory, remove, err := makeDirectory(opt.Directory)
 	if err != nil {
 		return nil, err
 	}
@@ -102,19 +102,20 @@
 	if result.Verdict, err = check(opt.Record); err != nil {
 		return nil, err
 	}
-	if open := result.Tally.Open; open > 0 {
-		result.Failed = append(result.Failed, fmt.Sprintf("%d submissions are not accounted for", open))
+	if count := result.Tally.Unaccounted; count > 0 {
+		result.Failed = append(result.Failed, fmt.Sprintf("%d submissions are unaccounted for", count))
 	}
 	return result, nil
 }
 
-// makeDirectory makes the directory of a trial. The function removes a temporary one.
-func makeDirectory(keep string) (directory string, remove func() error, err error) {
-	if keep != "" {
-		if err := os.MkdirAll(keep, 0o700); err != nil {
+// makeDirectory creates the given directory, or a temporary one if path is empty. The returned function removes a temporary
+// directory.
+func makeDirectory(path string) (directory string, remove func() error, err error) {
+	if path != "" {
+		if err := os.MkdirAll(path, 0o700); err != nil {
 			return "", nil, fmt.Errorf("trial: %w", err)
 		}
-		return keep, func() error { return nil }, nil
+		return path, func() error { return nil }, nil
 	}
 	directory, err = os.MkdirTemp("", "flaxshelf-trial-")
 	if err != nil {
@@ -123,7 +124,7 @@
 	return directory, func() error { return os.RemoveAll(directory) }, nil
 }
 
-// runCluster records a day; the verdict is left to the caller.
+// runCluster runs and records a day. The caller sets the verdict of the result.
 func runCluster(ctx context.Context, d *scenario.Day, opt Options, directory string) (*Result, error) {
 	figures, err := json.Marshal(d.Figures())
 	if err != nil {
@@ -152,7 +153,7 @@
 	return result, nil
 }
 
-// check judges a recording in a file.
+// check judges the recording in a file.
 func check(path string) (*rules.Verdict, error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -162,7 +163,7 @@
 	return rules.Check(file)
 }
 
-// run submits load and injects faults until the day is over and all is accounted for.
+// run submits the load and injects the faults until the day is over and all submissions are accounted for.
 func (c *cluster) run(ctx context.Context, result *Result) error {
 	begin := time.Now()
 	load := newClients(c, begin)
@@ -182,13 +183,13 @@
 	return errors.Join(err, ctx.Err())
 }
 
-// replaySteps replays the recorded steps of each incarnation to a module alone.
+// replaySteps replays the recorded steps of each incarnation to a module by itself.
 func (c *cluster) replaySteps(result *Result) {
 	for _, p := range c.schedulers {
 		for _, path := range p.stepFiles {
 			line, err := checkSteps(path, nil)
-			if err == nil && c.opt.Also != nil {
-				_, err = checkSteps(path, c.opt.Also)
+			if err == nil && c.opt.ReplayTo != nil {
+				_, err = checkSteps(path, c.opt.ReplayTo)
 			}
 			if err != nil {
 				result.Failed = append(result.Failed, fmt.Sprintf("%s: %v", filepath.Base(path), err))
@@ -199,9 +200,9 @@
 	}
 }
 
-// checkSteps replays recorded steps to the module that recorded them, or to another. A recording that a kill has cut off
-// is replayed as far as it goes.
-func checkSteps(path string, module Module) (string, error) {
+// checkSteps replays recorded steps to a new instance of the module that recorded them, or to another module if that is not
+// nil. A recording that was truncated by a kill is replayed up to its last complete step.
+func checkSteps(path string, module ModuleFactory) (string, error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return "", err
@@ -216,6 +217,6 @@
 	if err != nil && !errors.Is(err, io.EOF) {
 		return "", err
 	}
-	return fmt.Sprintf("%s: the module alone answers the same: %d steps, %d events, %d actions", filepath.Base(path),
+	return fmt.Sprintf("%s: the replayed module returns the same actions: %d steps, %d events, %d actions", filepath.Base(path),
 		replayed.Steps, replayed.Events, replayed.Actions), nil
 }
--- a/internal/testbed/trial/tally.go
+++ b/internal/testbed/trial/tally.go
@@ -9,37 +9,37 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/countformat"
 )
 
-// Tally is what the clients have seen, for a comparison with the recording.
+// Tally has the counts of what the clients observed, to be compared with the recording.
 type Tally struct {
-	Submitted int
-	Ends      map[string]int // submissions, by how they ended for their clients
-	Open      int            // submissions without an outcome though their scheduler lived
-	Doubles   int            // placement requests with two outcomes
-	Late      int            // submissions that were sent late
-	Verbs     map[string]int // commands of clients, with their errors
+	Submitted   int
+	Ends        map[string]int // submissions, by how they ended for their clients
+	Unaccounted int            // submissions without an outcome although their scheduler was not killed
+	Duplicates  int            // placement requests with two outcomes
+	Late        int            // submissions that were sent late
+	Commands    map[string]int // commands of clients, with their errors
 }
 
 // The ends of submissions that have no outcome.
 const (
-	endRejected  = "turned away: " // and the error
-	endKilled    = "its scheduler was killed"
+	endRejected  = "rejected: " // followed by the error
+	endKilled    = "scheduler killed"
 	endNoOutcome = "no outcome"
 )
 
-// String is the tally for people, on one line.
+// String returns the tally as one line of text.
 func (t *Tally) String() string {
-	return fmt.Sprintf("owners: %d submissions (%d sent late): %s; not accounted for %d; two outcomes %d; verbs %s\n",
-		t.Submitted, t.Late, countformat.Format(t.Ends), t.Open, t.Doubles, countformat.Format(t.Verbs))
+	return fmt.Sprintf("clients: %d submissions (%d sent late): %s; %d unaccounted for; %d with two outcomes; commands: %s\n",
+		t.Submitted, t.Late, countformat.Format(t.Ends), t.Unaccounted, t.Duplicates, countformat.Format(t.Commands))
 }
 
-// errorText is a short text of an error, by which errors are counted.
+// errorText returns a short text of an error, by which errors are counted.
 func errorText(err error) string {
 	var rejection *drmaa2.Error
 	if errors.As(err, &rejection) {
 		return string(rejection.Code)
 	}
 	if errors.Is(err, context.DeadlineExceeded) {
-		return "no answer in time"
+		return "request timed out"
 	}
 	return err.Error()
 }
--- a/internal/testbed/trial/trial_test.go
+++ b/internal/testbed/trial/trial_test.go
@@ -24,12 +24,13 @@
 )
 
 const (
-	// serverHook is the environment variable that makes a process of this test binary a scheduler; its value names a hook.
+	// serverHook is the environment variable that makes a process of this test binary a scheduler; its value is the name of a
+	// hook.
 	serverHook = "FLAXSHELF_TEST_SERVER"
-	// profilePath is the one with the file for a CPU profile of such a process; empty for none.
+	// profilePath is the environment variable with the file for a CPU profile of such a process; empty means none.
 	profilePath = "FLAXSHELF_TEST_PROFILE"
-	// playAll is the one that has all days played, which takes minutes.
-	playAll = "FLAXSHELF_SOCKETS"
+	// runAllDays is the environment variable that makes TestDaysRespectTheRules run all days, which takes minutes.
+	runAllDays = "FLAXSHELF_SOCKETS"
 )
 
 func TestMain(m *testing.M) {
@@ -39,7 +40,7 @@
 	os.Exit(m.Run())
 }
 
-// serve is `flaxshelf serve --config path`, with a hook.
+// serve runs `flaxshelf serve --config path` with a hook and returns the exit code.
 func serve(path, hook string) int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer stop()
@@ -80,10 +81,11 @@
 	}
 }
 
-// running limits the days that run at a time: with more, a machine of two cores is too busy for the recorder's times.
+// running limits the days that run at the same time: with more, a machine of two cores is too busy for the times of the
+// recorder.
 var running = make(chan struct{}, 3)
 
-// runDay runs a day with a hook in the schedulers, and replays their steps to the reference module as well.
+// runDay runs a day with a hook in the schedulers, and replays their steps to the reference module, too.
 func runDay(t *testing.T, d *scenario.Day, seed uint64, hook string) *Result {
 	t.Helper()
 	running <- struct{}{}
@@ -91,28 +93,28 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Minute)
 	defer cancel()
 	newReference := func(c flaxshelf.Config, seed uint64) (replay.Module, error) { return reference.New(c, seed) }
-	result, err := Run(ctx, d, Options{Seed: seed, Replay: true, Also: newReference, Command: command(hook), Keep: t.TempDir()})
+	result, err := Run(ctx, d, Options{Seed: seed, Replay: true, ReplayTo: newReference, Command: command(hook), Directory: t.TempDir()})
 	if err != nil {
 		t.Fatal(err)
 	}
 	return result
 }
 
-// TestDaysParse checks that the days that ship with the program can be read.
-func TestDaysParse(t *testing.T) {
+func TestShippedDaysAreValid(t *testing.T) {
 	for _, name := range scenario.Names() {
-		if _, err := scenario.Read(name); err != nil {
-			t.Errorf("%s: %v", name, err)
-		}
+		t.Run(name, func(t *testing.T) {
+			if _, err := scenario.Read(name); err != nil {
+				t.Errorf("got error %v, want none", err)
+			}
+		})
 	}
 }
 
-// TestDaysKeepTheRules checks that short days keep every rule, that each submission is accounted for, and that both the
-// module alone and the reference module answer as the scheduler's did. With FLAXSHELF_SOCKETS set all days are run, which
-// takes minutes.
-func TestDaysKeepTheRules(t *testing.T) {
+// Every submission must be accounted for, and both a replayed module and the reference module must return the same actions as
+// the schedulers' modules. With FLAXSHELF_SOCKETS set all days are run, which takes minutes.
+func TestDaysRespectTheRules(t *testing.T) {
 	names := []string{"calm", "bad-day", "schedulers", "links", "mass-restart"}
-	if os.Getenv(playAll) != "" {
+	if os.Getenv(runAllDays) != "" {
 		names = scenario.Names()
 	}
 	for _, name := range names {
@@ -127,39 +129,38 @@
 				t.Errorf("%s", result)
 			}
 			if result.Tally.Submitted == 0 || result.Verdict.Admitted == 0 || len(result.Replays) == 0 {
-				t.Errorf("nothing was run: %s", result)
+				t.Errorf("got nothing submitted, admitted or replayed, want some of each: %s", result)
 			}
 			for i, rule := range result.Verdict.Rules {
-				if rule.Checked == 0 && (i != rules.ColdKept || name == "bad-day" || name == "mass-restart") {
-					t.Errorf("rule %d had nothing to judge", i+1)
+				if rule.Checked == 0 && (i != rules.SlowStartRespected || name == "bad-day" || name == "mass-restart") {
+					t.Errorf("rule %d was not exercised", i+1)
 				}
 			}
 		})
 	}
 }
 
-// TestFourCoresKeepTheRules checks the worst day with schedulers of four cores each, whose modules alone answer the same:
-// sixteen recordings of steps. It runs by itself: a dozen cores beside other days keep a small machine too busy for the
-// recorder's times.
-func TestFourCoresKeepTheRules(t *testing.T) {
+// The schedulers of the worst day have four cores each, which makes sixteen recordings of steps. The day runs by itself: with
+// a dozen cores besides other days a small machine is too busy for the times of the recorder.
+func TestSchedulersOfFourCoresRespectTheRules(t *testing.T) {
 	d, err := scenario.Read("bad-day")
 	if err != nil {
 		t.Fatal(err)
 	}
 	d.Cores = 4
 	if result := runDay(t, d, 20, ""); !result.OK() || len(result.Replays) != 16 {
-		t.Errorf("%d recordings of steps\n%s", len(result.Replays), result)
+		t.Errorf("got %d recordings of steps, want 16 and all rules respected\n%s", len(result.Replays), result)
 	}
 }
 
-// TestViolationsAreFound checks that each rule's check fails on a run whose scheduler violates just that rule.
-func TestViolationsAreFound(t *testing.T) {
+// Each run has a scheduler that violates one rule.
+func TestOnlyTheViolatedRuleIsReported(t *testing.T) {
 	for i, c := range []struct{ hook, troubles, wantText string }{
-		{"two answers", "", "then failed"},
-		{"second start", "", "is in flight"},
-		{"drained node", `[{at: 0.5, for: 6, do: "shrink", zone: "room-a", share: 0.1}]`, "after word that it is draining"},
-		{"cold node", `[{at: 1, do: "restart", zone: "room-a", share: 0.1}]`, "and bears"},
-		{"one room", `[{at: 0, for: 4, do: "hot-service", class: "sensor", factor: 0.9}]`, "in one zone"},
+		{"two outcomes", "", "then failed"},
+		{"duplicate start", "", "is in flight"},
+		{"draining node", `[{at: 0.5, for: 6, do: "shrink", zone: "room-a", share: 0.1}]`, "after it was notified that the node is draining"},
+		{"node in slow start", `[{at: 1, do: "restart", zone: "room-a", share: 0.1}]`, "offers within"},
+		{"one zone", `[{at: 0, for: 4, do: "hot-service", class: "sensor", factor: 0.9}]`, "in one zone"},
 	} {
 		t.Run(c.hook, func(t *testing.T) {
 			t.Parallel()
@@ -179,12 +180,12 @@
 			}
 			verdict := runDay(t, d, 3, c.hook).Verdict
 			for j, rule := range verdict.Rules {
-				if (j == i) != (len(rule.Broken) > 0) {
-					t.Errorf("rule %d: violated %d times, wanted only rule %d\n%s", j+1, len(rule.Broken), i+1, verdict)
+				if (j == i) != (len(rule.Violations) > 0) {
+					t.Errorf("rule %d: got %d violations, want some of rule %d only\n%s", j+1, len(rule.Violations), i+1, verdict)
 				}
 			}
 			if !strings.Contains(verdict.String(), c.wantText) {
-				t.Errorf("the verdict does not contain %q:\n%s", c.wantText, verdict)
+				t.Errorf("got %s, want it to contain %q", verdict, c.wantText)
 			}
 		})
 	}
