--- a/internal/testbed/recordproxy/event.go
+++ b/internal/testbed/recordproxy/event.go
@@ -24,8 +24,8 @@
 	EventEnd Event = "end"
 )
 
-// deprecatedEvents are the names of events in recordings of earlier versions. They are written beside the present names until 0.2.0.
-// An event without a deprecated name has kept its name.
+// deprecatedEvents are the names of events in recordings of earlier versions. They are written besides the present names, and
+// are removed in 0.2.0. The names of the other events have not changed.
 var deprecatedEvents = map[Event]string{
 	EventSchedulerPaused:  "scheduler stopped",
 	EventSchedulerResumed: "scheduler goes on",
@@ -48,7 +48,7 @@
 	closedMidReply: "cut in the middle",
 }
 
-// NewMark returns the message that records an event of a party. It has the deprecated name beside the present one.
+// NewMark returns the message that records an event of a party. It has the deprecated name besides the present one.
 func NewMark(event Event, party string) *recordingpb.Mark {
 	return &recordingpb.Mark{Event: string(event), What: deprecatedName(deprecatedEvents, event), Party: party}
 }
--- a/internal/testbed/rules/check.go
+++ b/internal/testbed/rules/check.go
@@ -6,7 +6,7 @@
 // would be wrong on both sides, and the checker would accept its violations. So this package has formulas of its own: for the
 // limit of offers in slow start, for topology domains, for idempotency keys, for deadlines and for the phases of an attempt.
 // It takes from the traffic what each party had sent and received, and from the recording's head the limits of the deployment;
-// it never takes the word of a scheduler for a decision. It shares the codecs of the wire (internal/codec, drmaa2), without
+// it never trusts a decision because a scheduler has made it. It shares the codecs of the wire (internal/codec, drmaa2), without
 // which it could not decode the traffic, and the format of recordings.
 package rules
 
--- a/internal/testbed/trial/bench_test.go
+++ b/internal/testbed/trial/bench_test.go
@@ -195,13 +195,30 @@
 	return 0
 }
 
+// placed returns the number of placed jobs.
+func (s *benchScheduler) placed() float64 {
+	s.b.Helper()
+	return s.value(`flaxshelf_outcomes_total{class="service",outcome="placed"}`)
+}
+
+// awaitPlaced reads the metric at an interval until the number of jobs is placed or the timeout is over. The benchmark reports
+// how many are placed.
+func (s *benchScheduler) awaitPlaced(ctx context.Context, jobs int, timeout, interval time.Duration) {
+	s.b.Helper()
+	ctx, cancel := context.WithTimeout(ctx, timeout)
+	defer cancel()
+	for s.placed() < float64(jobs) && !canceled(ctx) {
+		sleep(ctx, interval)
+	}
+}
+
 func benchTemplate(runtime string) drmaa2.JobTemplate {
 	return drmaa2.JobTemplate{RemoteCommand: "x", JobCategory: "service", ImplementationSpecific: map[string]string{
 		drmaa2.AttrExpectedRuntime: runtime}}
 }
 
 // BenchmarkPlacements saturates a scheduler with clients that submit one job after the other, each on a connection
-// of its own, and compares the CPU time of its process with the module's share.
+// of its own, and compares the CPU time of its process with that of the module.
 func BenchmarkPlacements(b *testing.B) {
 	for _, c := range []struct{ nodes, cores int }{{33, 1}, {130, 1}, {130, 2}, {130, 4}, {130, 8}} {
 		b.Run(fmt.Sprintf("nodes=%d/cores=%d", c.nodes, c.cores), func(b *testing.B) {
@@ -223,12 +240,7 @@
 				})
 			}
 			running.Wait()
-			placed := func() float64 {
-				return s.value(`flaxshelf_outcomes_total{class="service",outcome="placed"}`)
-			}
-			for until := time.Now().Add(20 * time.Second); placed() < float64(b.N+warmUpJobs) && time.Now().Before(until); {
-				time.Sleep(time.Millisecond)
-			}
+			s.awaitPlaced(ctx, b.N+warmUpJobs, 20*time.Second, time.Millisecond)
 			b.StopTimer()
 			perPlacement := 1e6 / float64(b.N) // microseconds
 			processCPU := (s.cpu() - cpu).Seconds() * perPlacement
@@ -242,7 +254,7 @@
 	}
 }
 
-// BenchmarkLatency submits 1,000 jobs a second, open-loop, for b.N milliseconds or so, and reports the scheduler's
+// BenchmarkLatency submits 1,000 jobs per second, open-loop, for about b.N milliseconds, and reports the scheduler's
 // own time from a submission to its offer.
 func BenchmarkLatency(b *testing.B) {
 	ctx, s := context.Background(), startBenchScheduler(b, 33, 64, 1)
@@ -250,7 +262,7 @@
 	b.ResetTimer()
 	begin := time.Now()
 	for i := range b.N {
-		time.Sleep(time.Until(begin.Add(time.Duration(i) * time.Millisecond)))
+		sleepUntil(ctx, begin.Add(time.Duration(i)*time.Millisecond))
 		running.Go(func() {
 			template := benchTemplate("500ms")
 			template.ImplementationSpecific[drmaa2.AttrService] = fmt.Sprint("v", i%200)
@@ -266,24 +278,21 @@
 	}
 }
 
-// BenchmarkMemory has 100,000 jobs running and reports the process's memory for each. It runs once.
+// BenchmarkMemory starts 100,000 jobs and reports the memory of the process per job. It runs once.
 func BenchmarkMemory(b *testing.B) {
-	const jobs, arraySize = 100000, 10000
+	const jobs, arraySize, arrayPause = 100000, 10000, 500 * time.Millisecond
 	ctx, s := context.Background(), startBenchScheduler(b, 33, 1000, 1)
 	heap, rss := s.value("go_memstats_heap_inuse_bytes"), s.value("process_resident_memory_bytes")
 	for range jobs / arraySize {
 		if _, err := s.session.RunBulkJobs(ctx, benchTemplate("10h"), 1, arraySize, 1, 0); err != nil {
 			b.Fatal(err)
 		}
-		time.Sleep(500 * time.Millisecond)
-	}
-	placed := func() float64 { return s.value(`flaxshelf_outcomes_total{class="service",outcome="placed"}`) }
-	for until := time.Now().Add(60 * time.Second); placed() < jobs && time.Now().Before(until); {
-		time.Sleep(100 * time.Millisecond)
+		sleep(ctx, arrayPause)
 	}
+	s.awaitPlaced(ctx, jobs, time.Minute, 100*time.Millisecond)
 	for b.Loop() {
 	}
-	b.ReportMetric(placed(), "jobs")
-	b.ReportMetric((s.value("go_memstats_heap_inuse_bytes")-heap)/placed(), "heap-B/job")
-	b.ReportMetric((s.value("process_resident_memory_bytes")-rss)/placed(), "rss-B/job")
+	b.ReportMetric(s.placed(), "jobs")
+	b.ReportMetric((s.value("go_memstats_heap_inuse_bytes")-heap)/s.placed(), "heap-B/job")
+	b.ReportMetric((s.value("process_resident_memory_bytes")-rss)/s.placed(), "rss-B/job")
 }
