--- a/internal/testbed/scenario/read_test.go
+++ b/internal/testbed/scenario/read_test.go
@@ -7,8 +7,7 @@
 	"testing"
 )
 
-// Every day that ships with the program is valid and has the name that it is read by.
-func TestReadShippedDays(t *testing.T) {
+func TestShippedDaysAreValidAndHaveTheNameTheyAreReadBy(t *testing.T) {
 	for _, name := range Names() {
 		t.Run(name, func(t *testing.T) {
 			d, err := Read(name)
@@ -16,26 +15,24 @@
 				t.Fatal(err)
 			}
 			if d.Name != name {
-				t.Errorf("the day is named %q", d.Name)
+				t.Errorf("got name %q, want %q", d.Name, name)
 			}
 		})
 	}
 }
 
-// A name that is neither a day nor a file is reported with the names that there are.
-func TestReadUnknownDay(t *testing.T) {
+func TestUnknownDayIsReportedWithTheNamesOfTheShippedDays(t *testing.T) {
 	_, err := Read("nowhere")
 	var unknown *UnknownDayError
 	if !errors.As(err, &unknown) || unknown.Name != "nowhere" || !errors.Is(err, os.ErrNotExist) {
 		t.Fatalf("got %v, want an UnknownDayError of a missing file", err)
 	}
 	if !strings.Contains(err.Error(), "calm") {
-		t.Errorf("%q does not name the days", err)
+		t.Errorf("got error %q, want it to contain the names of the days", err)
 	}
 }
 
-// What a day refers to must be defined in it.
-func TestParseReportsUnknownReferences(t *testing.T) {
+func TestParseReportsReferencesThatTheDayDoesNotDefine(t *testing.T) {
 	const text = `#Town & {about: "x"
 load: [{class: "sensor", perSecond: 1, life: ["1s", "2s"]}]
 troubles: [{at: 1, do: "silent", class: "sensor", schedulers: [2]}]}`
--- a/internal/testbed/scenario/storedday_test.go
+++ b/internal/testbed/scenario/storedday_test.go
@@ -35,7 +35,7 @@
 	return d
 }
 
-// unset lists the fields that have their zero value.
+// unset returns the paths of the fields that have their zero value.
 func unset(path string, v reflect.Value) []string {
 	var fields []string
 	switch {
@@ -53,11 +53,11 @@
 	return fields
 }
 
-// The JSON of a day keeps its names, whatever the fields are called: experiments know their stored results by its hash.
-func TestStoredDay(t *testing.T) {
+// Experiments identify their stored results by the hash of the day's JSON.
+func TestJSONOfADayKeepsItsNames(t *testing.T) {
 	d := parseDay(t)
 	if fields := unset("Day", reflect.ValueOf(*d)); fields != nil {
-		t.Errorf("the day of this test does not set %v", fields)
+		t.Errorf("got unset fields %v in the day of this test, want none", fields)
 	}
 	stored := bytes.TrimSuffix(readFile(t, storedDay), []byte("\n"))
 	text, err := json.Marshal(d)
@@ -65,7 +65,7 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(text, stored) {
-		t.Errorf("%s,\nstored is %s", text, stored)
+		t.Errorf("got %s,\nwant %s", text, stored)
 	}
 	read := &Day{Name: d.Name}
 	dec := json.NewDecoder(bytes.NewReader(stored))
@@ -74,17 +74,16 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(read, d) {
-		t.Errorf("read %+v, want %+v", read, d)
+		t.Errorf("got %+v, want %+v", read, d)
 	}
 }
 
-// The configuration that a trial writes for a scheduler has the names of the schema.
-func TestStoredSchedulerFile(t *testing.T) {
+func TestSchedulerFileHasTheNamesOfTheSchema(t *testing.T) {
 	text, err := parseDay(t).SchedulerFile(1, "127.0.0.1:7170", "tap", 7)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if stored := bytes.TrimSuffix(readFile(t, storedSchedulerFile), []byte("\n")); !bytes.Equal(text, stored) {
-		t.Errorf("%s,\nstored is %s", text, stored)
+		t.Errorf("got %s,\nwant %s", text, stored)
 	}
 }
