--- a/internal/testbed/trial/clients.go
+++ b/internal/testbed/trial/clients.go
@@ -2,8 +2,6 @@
 
 import (
 	"context"
-	"errors"
-	"fmt"
 	"sync"
 	"time"
 
@@ -13,22 +11,8 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/scenario"
 )
 
-// sessionName is the job session in which a trial's clients submit.
-const sessionName = "trial"
-
-const (
-	// outcomeGrace is how long a client waits for an outcome after it is due.
-	outcomeGrace = 2 * time.Second
-	// lateAfter is the delay from which a submission counts as sent late.
-	lateAfter = 50 * time.Millisecond
-	// requestRetryFor is how long the client library retries a request.
-	requestRetryFor = 3 * time.Second
-	// pollInterval is the interval at which a client checks whether its scheduler was killed.
-	pollInterval = 100 * time.Millisecond
-	// sessionRetryPause and releaseRetryPause are the pauses before a client retries a request itself.
-	sessionRetryPause = 50 * time.Millisecond
-	releaseRetryPause = 100 * time.Millisecond
-)
+// requestRetryFor is how long the client library retries a request.
+const requestRetryFor = 3 * time.Second
 
 // clients submit the load and account for every submission. There is one connection pool for each scheduler.
 type clients struct {
@@ -44,13 +28,6 @@
 	loadState fault.LoadState
 }
 
-// submission is a submitted job from the view of its client. The maps and strings are guarded by clients.mu.
-type submission struct {
-	outcomes     map[string]string // by job and placement request
-	firstOutcome string
-	hasOutcome   chan struct{} // closed at the first outcome
-}
-
 func newClients(c *cluster, begin time.Time) *clients {
 	load := &clients{cluster: c, begin: begin, open: map[string]*submission{},
 		tally: Tally{Ends: map[string]int{}, Commands: map[string]int{}}}
@@ -132,190 +109,6 @@
 	c.loadState.SetHotServiceFraction(class, fraction)
 }
 
-func jobTemplate(arrival *scenario.Arrival) drmaa2.JobTemplate {
-	load := arrival.Load
-	attributes := map[string]string{drmaa2.AttrKey: arrival.Key, drmaa2.AttrExpectedRuntime: arrival.Runtime.String(),
-		drmaa2.AttrService: arrival.Service}
-	if arrival.Cores > 0 {
-		attributes[drmaa2.AttrCores] = fmt.Sprint(arrival.Cores)
-	}
-	if arrival.Memory > 0 {
-		attributes[drmaa2.AttrMemory] = fmt.Sprint(arrival.Memory)
-	}
-	return drmaa2.JobTemplate{RemoteCommand: load.Class, JobCategory: load.Class, Rerunnable: load.Rerunnable,
-		AccountingID: load.Tenant, ImplementationSpecific: attributes}
-}
-
-func (c *clients) placementTimeout(class string) time.Duration {
-	for i := range c.cluster.day.Classes {
-		if c.cluster.day.Classes[i].Name == class {
-			return c.cluster.day.Classes[i].PlacementTimeout.Duration()
-		}
-	}
-	return 0
-}
-
-// runSubmission submits one job and accounts for it.
-func (c *clients) runSubmission(ctx context.Context, arrival *scenario.Arrival, due time.Time) {
-	s := &submission{outcomes: map[string]string{}, hasOutcome: make(chan struct{})}
-	c.mu.Lock()
-	c.open[arrival.Key] = s
-	c.tally.Submitted++
-	if time.Since(due) > lateAfter {
-		c.tally.Late++
-	}
-	c.mu.Unlock()
-	deadline := due.Add(c.placementTimeout(arrival.Load.Class) + c.cluster.day.Rules.AnswerSlack.Duration() + outcomeGrace)
-	ctx, cancel := context.WithDeadline(ctx, deadline.Add(outcomeGrace))
-	defer cancel()
-	end := c.submitUntilOutcome(ctx, arrival, s, deadline)
-
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if s.firstOutcome != "" {
-		end = s.firstOutcome
-	}
-	if end == endNoOutcome {
-		c.tally.Unaccounted++
-		c.cluster.opt.Note("no outcome was reported for %s", arrival.Key)
-	}
-	c.tally.Ends[end]++
-	delete(c.open, arrival.Key)
-}
-
-// submitUntilOutcome submits a job, and resubmits it to each later incarnation of its scheduler until there is an outcome. It
-// returns how the submission ended if there is none.
-func (c *clients) submitUntilOutcome(ctx context.Context, arrival *scenario.Arrival, s *submission,
-	deadline time.Time) string {
-	process := c.cluster.schedulers[arrival.Scheduler]
-	for retry := false; ; retry = true {
-		incarnation := process.incarnation()
-		job, err := c.submit(ctx, arrival, retry)
-		if err != nil {
-			return endRejected + errorText(err)
-		}
-		if !retry {
-			c.command(ctx, job, arrival)
-		}
-		killed := c.awaitOutcome(ctx, s, process, incarnation, deadline)
-		switch {
-		case s.isDecided():
-			return endNoOutcome // replaced by the first outcome
-		case killed && time.Now().After(deadline):
-			return endKilled
-		case !killed:
-			return endNoOutcome
-		}
-	}
-}
-
-func (s *submission) isDecided() bool {
-	select {
-	case <-s.hasOutcome:
-		return true
-	default:
-		return false
-	}
-}
-
-// awaitOutcome waits for the outcome. It reports whether the scheduler that admitted the job has been killed, so that the
-// client has to resubmit it to the next incarnation.
-func (c *clients) awaitOutcome(ctx context.Context, s *submission, process *process, incarnation int,
-	deadline time.Time) bool {
-	for {
-		select {
-		case <-s.hasOutcome:
-			return false
-		case <-ctx.Done():
-			return process.incarnation() != incarnation || !process.isRunning()
-		case <-time.After(pollInterval):
-			if process.incarnation() != incarnation {
-				return true
-			}
-			if time.Now().After(deadline) {
-				return !process.isRunning()
-			}
-		}
-	}
-}
-
-// submit submits a job, and creates the session if a new incarnation of the scheduler does not have it.
-func (c *clients) submit(ctx context.Context, arrival *scenario.Arrival, retry bool) (*drmaa2.Job, error) {
-	template := jobTemplate(arrival)
-	for {
-		session, err := c.session(ctx, arrival.Scheduler)
-		if err != nil {
-			return nil, err
-		}
-		run := session.RunJob
-		if retry {
-			run = session.RunJobAgain
-		}
-		job, err := run(ctx, template)
-		if !errors.Is(err, drmaa2.ErrInvalidSession) || canceled(ctx) {
-			return job, err
-		}
-	}
-}
-
-// session opens or creates the session at a scheduler, and retries until the context is canceled.
-func (c *clients) session(ctx context.Context, scheduler int) (*drmaa2.JobSession, error) {
-	pool := c.pools[scheduler]
-	for {
-		session, err := pool.OpenJobSession(ctx, sessionName)
-		if errors.Is(err, drmaa2.ErrInvalidArgument) {
-			session, err = pool.CreateJobSession(ctx, sessionName)
-		}
-		switch {
-		case errors.Is(err, drmaa2.ErrInvalidArgument): // another client has created it in the meantime
-			continue
-		case !errors.Is(err, drmaa2.ErrDrmCommunication):
-			return session, err
-		}
-		sleep(ctx, sessionRetryPause)
-		if err := ctx.Err(); err != nil {
-			return nil, err
-		}
-	}
-}
-
-// command terminates the job, holds and releases it, or does neither, by the arrival's draw.
-func (c *clients) command(ctx context.Context, job *drmaa2.Job, arrival *scenario.Arrival) {
-	load := arrival.Load
-	switch {
-	case arrival.ControlDraw < load.Terminate:
-		sleep(ctx, arrival.ControlDelay)
-		c.countCommand("terminate", job.Terminate(ctx))
-	case arrival.ControlDraw < load.Terminate+load.Hold:
-		err := job.Hold(ctx)
-		c.countCommand("hold", err)
-		if err == nil || errors.Is(err, drmaa2.ErrDrmCommunication) { // the job may be held even if the response was lost
-			sleep(ctx, arrival.ControlDelay)
-			c.countCommand("release", release(ctx, job))
-		}
-	}
-}
-
-// release releases a job. It retries after broken connections, since otherwise the job would be held forever.
-func release(ctx context.Context, job *drmaa2.Job) error {
-	for {
-		err := job.Release(ctx)
-		if !errors.Is(err, drmaa2.ErrDrmCommunication) || canceled(ctx) {
-			return err
-		}
-		sleep(ctx, releaseRetryPause)
-	}
-}
-
-func (c *clients) countCommand(name string, err error) {
-	if err != nil {
-		name += " (" + errorText(err) + ")"
-	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.tally.Commands[name]++
-}
-
 // watch handles the events of the session at one scheduler, over all its incarnations.
 func (c *clients) watch(ctx context.Context, scheduler int) {
 	for !canceled(ctx) {
--- /dev/null
+++ b/internal/testbed/trial/submission.go
@@ -0,0 +1,153 @@
+package trial
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"time"
+
+	"flaxshelf.example/flaxshelf/drmaa2"
+	"flaxshelf.example/flaxshelf/internal/testbed/scenario"
+)
+
+const (
+	// outcomeGrace is how long a client waits for an outcome after it is due.
+	outcomeGrace = 2 * time.Second
+	// lateAfter is the delay from which a submission counts as sent late.
+	lateAfter = 50 * time.Millisecond
+	// pollInterval is the interval at which a client checks whether its scheduler was killed.
+	pollInterval = 100 * time.Millisecond
+)
+
+// submission is a submitted job from the view of its client. The maps and strings are guarded by clients.mu.
+type submission struct {
+	outcomes     map[string]string // by job and placement request
+	firstOutcome string
+	hasOutcome   chan struct{} // closed at the first outcome
+}
+
+// runSubmission submits one job and accounts for it.
+func (c *clients) runSubmission(ctx context.Context, arrival *scenario.Arrival, due time.Time) {
+	s := &submission{outcomes: map[string]string{}, hasOutcome: make(chan struct{})}
+	c.mu.Lock()
+	c.open[arrival.Key] = s
+	c.tally.Submitted++
+	if time.Since(due) > lateAfter {
+		c.tally.Late++
+	}
+	c.mu.Unlock()
+	deadline := due.Add(c.placementTimeout(arrival.Load.Class) + c.cluster.day.Rules.AnswerSlack.Duration() + outcomeGrace)
+	ctx, cancel := context.WithDeadline(ctx, deadline.Add(outcomeGrace))
+	defer cancel()
+	end := c.submitUntilOutcome(ctx, arrival, s, deadline)
+
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if s.firstOutcome != "" {
+		end = s.firstOutcome
+	}
+	if end == endNoOutcome {
+		c.tally.Unaccounted++
+		c.cluster.opt.Note("no outcome was reported for %s", arrival.Key)
+	}
+	c.tally.Ends[end]++
+	delete(c.open, arrival.Key)
+}
+
+// submitUntilOutcome submits a job, and resubmits it to each later incarnation of its scheduler until there is an outcome. It
+// returns how the submission ended if there is none.
+func (c *clients) submitUntilOutcome(ctx context.Context, arrival *scenario.Arrival, s *submission,
+	deadline time.Time) string {
+	process := c.cluster.schedulers[arrival.Scheduler]
+	for retry := false; ; retry = true {
+		incarnation := process.incarnation()
+		job, err := c.submit(ctx, arrival, retry)
+		if err != nil {
+			return endRejected + errorText(err)
+		}
+		if !retry {
+			c.command(ctx, job, arrival)
+		}
+		killed := c.awaitOutcome(ctx, s, process, incarnation, deadline)
+		switch {
+		case s.isDecided():
+			return endNoOutcome // replaced by the first outcome
+		case killed && time.Now().After(deadline):
+			return endKilled
+		case !killed:
+			return endNoOutcome
+		}
+	}
+}
+
+func (s *submission) isDecided() bool {
+	select {
+	case <-s.hasOutcome:
+		return true
+	default:
+		return false
+	}
+}
+
+// awaitOutcome waits for the outcome. It reports whether the scheduler that admitted the job has been killed, so that the
+// client has to resubmit it to the next incarnation.
+func (c *clients) awaitOutcome(ctx context.Context, s *submission, process *process, incarnation int,
+	deadline time.Time) bool {
+	for {
+		select {
+		case <-s.hasOutcome:
+			return false
+		case <-ctx.Done():
+			return process.incarnation() != incarnation || !process.isRunning()
+		case <-time.After(pollInterval):
+			if process.incarnation() != incarnation {
+				return true
+			}
+			if time.Now().After(deadline) {
+				return !process.isRunning()
+			}
+		}
+	}
+}
+
+// jobTemplate returns the job template of an arrival.
+func jobTemplate(arrival *scenario.Arrival) drmaa2.JobTemplate {
+	load := arrival.Load
+	attributes := map[string]string{drmaa2.AttrKey: arrival.Key, drmaa2.AttrExpectedRuntime: arrival.Runtime.String(),
+		drmaa2.AttrService: arrival.Service}
+	if arrival.Cores > 0 {
+		attributes[drmaa2.AttrCores] = fmt.Sprint(arrival.Cores)
+	}
+	if arrival.Memory > 0 {
+		attributes[drmaa2.AttrMemory] = fmt.Sprint(arrival.Memory)
+	}
+	return drmaa2.JobTemplate{RemoteCommand: load.Class, JobCategory: load.Class, Rerunnable: load.Rerunnable,
+		AccountingID: load.Tenant, ImplementationSpecific: attributes}
+}
+
+// placementTimeout returns the placement timeout of a class, or zero if the day does not define the class.
+func (c *clients) placementTimeout(name string) time.Duration {
+	if class := c.cluster.day.Class(name); class != nil {
+		return class.PlacementTimeout.Duration()
+	}
+	return 0
+}
+
+// submit submits a job, and creates the session if a new incarnation of the scheduler does not have it.
+func (c *clients) submit(ctx context.Context, arrival *scenario.Arrival, retry bool) (*drmaa2.Job, error) {
+	template := jobTemplate(arrival)
+	for {
+		session, err := c.session(ctx, arrival.Scheduler)
+		if err != nil {
+			return nil, err
+		}
+		run := session.RunJob
+		if retry {
+			run = session.RunJobAgain
+		}
+		job, err := run(ctx, template)
+		if !errors.Is(err, drmaa2.ErrInvalidSession) || canceled(ctx) {
+			return job, err
+		}
+	}
+}
