--- a/internal/benchadapter/reader_test.go
+++ b/internal/benchadapter/reader_test.go
@@ -2,12 +2,15 @@
 
 import (
 	"errors"
+	"fmt"
 	"io"
 	"reflect"
 	"strings"
 	"testing"
+	"time"
 
 	"flaxshelf.example/flaxshelf"
+	"flaxshelf.example/flaxshelf/internal/machinetest"
 )
 
 const upLine = "UP who=3 init_seed=9 balancers=2 kinds=k1,k2 specifics.kind_cores=30,48 specifics.mem_of_kind=86.0,155.0 " +
@@ -32,7 +35,25 @@
 	}
 }
 
-// A list takes over the number of an older one in the middle of a batch; unknown messages are skipped.
+func TestStartHasTheConfiguration(t *testing.T) {
+	config := readAll(t, "FRAME clock_ns=5 serial=1\n"+upLine+"END\n")[0].Items[0].Start.Config
+	if config.Schedulers != 2 || !config.DiscoveryOnRequest || config.Tick != 2*time.Millisecond || len(config.Tenants) != 0 {
+		t.Errorf("got %+v, want 2 schedulers, discovery on request, a tick of 2 ms and no tenants", config)
+	}
+	want := []flaxshelf.Kind{{Name: "k1", Cores: 30, Memory: 86}, {Name: "k2", Cores: 48, Memory: 155}}
+	if !reflect.DeepEqual(config.Kinds, want) {
+		t.Errorf("kinds: got %+v, want %+v", config.Kinds, want)
+	}
+	if c := config.Classes[1]; c.Idempotency != flaxshelf.IdempotentByKey || c.KeyDomain != flaxshelf.ZoneDomain ||
+		c.KeyTTL != 5*time.Second || c.Kind != 1 {
+		t.Errorf("class 1: got %+v, want it idempotent by key in its zone for 5 s, on kind 1", c)
+	}
+	if c := config.Classes[0]; c.SpreadDomain != flaxshelf.ZoneDomain || c.MaxPerDomain != 4 || c.Kind != -1 {
+		t.Errorf("class 0: got %+v, want 4 tasks a zone, on any kind", c)
+	}
+}
+
+// A list replaces an older one of the same number in the middle of a batch; unknown messages are skipped.
 func TestEventsInOrderWithReusedLists(t *testing.T) {
 	text := "FRAME clock_ns=5 serial=1\n" + upLine +
 		"REGISTER page=0 records=1\nM node=n1 shape=k2 readiness=IN az=a pod=2 last_start_ns=4\nVIEW who=3 form=Complete page=0\n" +
@@ -49,20 +70,19 @@
 			Latency: 7, Load: flaxshelf.LoadReport{Present: true, HasCores: true, FreeCores: 3.5}},
 		flaxshelf.UsageReport{Task: "c:1", Machine: "n1", Kind: flaxshelf.ServiceLevel, Amount: 0.5}, nil}
 	if len(items) != len(want) {
-		t.Fatalf("%d items", len(items))
+		t.Fatalf("got %d items, want %d", len(items), len(want))
 	}
 	for i, event := range want {
 		if event != nil && !reflect.DeepEqual(items[i].Event, event) {
-			t.Errorf("item %d: %+v, want %+v", i, items[i].Event, event)
+			t.Errorf("item %d: got %+v, want %+v", i, items[i].Event, event)
 		}
 	}
 	if !items[len(items)-1].Stop {
-		t.Error("no stop")
+		t.Errorf("last item: got %+v, want a stop", items[len(items)-1])
 	}
 }
 
-// Every line that is one event is decoded, with all its fields.
-func TestEvents(t *testing.T) {
+func TestEventsHaveAllFields(t *testing.T) {
 	task := flaxshelf.Task{ID: "t", Key: "k", Service: "s", Class: 1, Cores: 2, Memory: 3, ExpectedRuntime: 4, Deadline: 5, Retry: true, Tenant: -1}
 	taskFields := "tid=t uid=k owner_set=s cores=2 ram_units=3 time_to_run_ns=4 valid_until_ns=5 again=1 priority=c1 client_group=x"
 	for line, want := range map[string]flaxshelf.Event{
@@ -79,12 +99,12 @@
 	} {
 		items := readAll(t, "FRAME clock_ns=5 serial=1\n"+upLine+line+"\nEND\n")[0].Items
 		if len(items) != 2 || items[1].Instance != 3 || !reflect.DeepEqual(items[1].Event, want) {
-			t.Errorf("%s: %+v, want %+v", line, items, want)
+			t.Errorf("%s: got %+v, want %+v", line, items, want)
 		}
 	}
 }
 
-func TestMalformedInput(t *testing.T) {
+func TestMalformedInputIsAProtocolError(t *testing.T) {
 	const frame = "FRAME clock_ns=5 serial=4\n"
 	for line, want := range map[string]ProtocolError{
 		"WAKEUP who=x":                              {4, "who", "x"},
@@ -95,6 +115,7 @@
 		"VIEW who=1 form=Partial page=3":            {4, "page", "3"},
 		"INBOX who=1 neighbour=1 blob=***":          {4, "blob", "***"},
 		"REGISTER page=0 records=1\nX y=1":          {4, "records", "X y=1"},
+		"UP who=1 round_ns=x":                       {4, "round_ns", "x"},
 	} {
 		t.Run(line, func(t *testing.T) {
 			_, err := NewReader(strings.NewReader(frame + line + "\nEND\n")).Next()
@@ -104,9 +125,9 @@
 			}
 		})
 	}
-	t.Run("input that breaks off", func(t *testing.T) {
+	t.Run("input that ends within a batch", func(t *testing.T) {
 		if _, err := NewReader(strings.NewReader(frame + "WAKEUP who=1\n")).Next(); !errors.Is(err, io.ErrUnexpectedEOF) {
-			t.Error(err)
+			t.Errorf("got %v, want %v", err, io.ErrUnexpectedEOF)
 		}
 	})
 	t.Run("no frame", func(t *testing.T) {
@@ -118,7 +139,7 @@
 	})
 }
 
-// The parser never panics, and what it accepts once it accepts again.
+// The reader never panics, and accepts an input again that it has accepted.
 func FuzzReader(f *testing.F) {
 	f.Add("FRAME clock_ns=5 serial=1\n" + upLine + "REGISTER page=0 records=1\nM node=n1\nVIEW who=3 form=Complete page=0\nEND\n")
 	f.Add("FRAME clock_ns=5 serial=1\nATTEMPT_END who=1 tid=t verdict=0 load=x0:1\nEND\n")
@@ -126,7 +147,7 @@
 		first, errFirst := NewReader(strings.NewReader(text)).Next()
 		second, errSecond := NewReader(strings.NewReader(text)).Next()
 		if (errFirst == nil) != (errSecond == nil) || errFirst == nil && len(first.Items) != len(second.Items) {
-			t.Errorf("read twice: %v, %v", errFirst, errSecond)
+			t.Errorf("second read: got %v, want the same as the first: %v", errSecond, errFirst)
 		}
 	})
 }
@@ -143,3 +164,27 @@
 		}
 	}
 }
+
+// machineLine writes an entry of a list of machines. A field of Machine that is missing here makes
+// TestListKeepsEveryFieldOfMachine fail.
+func machineLine(m flaxshelf.Machine, kinds ...string) string {
+	readiness := ""
+	for name, state := range machineStates {
+		if state == m.State {
+			readiness = name
+		}
+	}
+	return fmt.Sprintf("M node=%s shape=%s readiness=%s az=%s pod=%d last_start_ns=%d open_cores=%g spare_mem=%g", m.ID,
+		kinds[m.Kind], readiness, m.Zone, m.Cell, int64(m.Started), m.FreeCores, m.FreeMemory)
+}
+
+func TestListKeepsEveryFieldOfMachine(t *testing.T) {
+	want := machinetest.Filled(t)
+	items := readAll(t, "FRAME clock_ns=5 serial=1\n"+upLine+"REGISTER page=0 records=1\n"+machineLine(want, "k1", "k2")+
+		"\nVIEW who=3 form=Complete page=0\nEND\n")[0].Items
+	update, ok := items[len(items)-1].Event.(flaxshelf.MachinesUpdated)
+	if !ok || len(update.Machines) != 1 {
+		t.Fatalf("got %+v, want an update with one machine", items)
+	}
+	machinetest.Expect(t, update.Machines[0], want)
+}
--- a/internal/front/drmaafront/responses.go
+++ b/internal/front/drmaafront/responses.go
@@ -34,7 +34,7 @@
 	return httpcodec.AppendResponse(nil, status, jsonContentType, append(encoded, '\n'), false)
 }
 
-// orError encodes the errors of the core and has encode encode the other answers.
+// orError returns an encoder that encodes errors of the core itself and other answers by encode.
 func orError(encode func(*scheduler.Answer) []byte) func(*scheduler.Answer) []byte {
 	return func(answer *scheduler.Answer) []byte {
 		if answer.Err == nil {
@@ -46,7 +46,7 @@
 	}
 }
 
-// getInfo describes the scheduler and what it can do.
+// getInfo handles the description of the scheduler and its capabilities.
 func getInfo(f *Front, _ *httpcodec.Request, _ []string) (*Call, *drmaa2.Error) {
 	info := drmaa2.Drms{
 		DrmsName:     "flaxshelf",
@@ -56,10 +56,11 @@
 		Machine:      f.set.Name,
 		Capabilities: []string{"RT_ACCOUNTINGID", "RT_STARTTIME", "RT_DEADLINE", "BULK_JOBS_MAXPARALLEL"},
 		JobTemplate: []string{drmaa2.AttrService, drmaa2.AttrKey, drmaa2.AttrCores, drmaa2.AttrMemory, drmaa2.AttrExpectedRuntime,
-			drmaa2.AttrGiveUp},
+			drmaa2.AttrPlacementTimeout},
 		JobInfo: []string{drmaa2.AttrOutcome, drmaa2.AttrPlacementRequests, drmaa2.AttrAttempts, drmaa2.AttrNode,
 			drmaa2.AttrArray,
-			drmaa2.AttrIndex, drmaa2.AttrRequestedAt, drmaa2.AttrDue, drmaa2.AttrRevision, drmaa2.AttrClass, drmaa2.AttrTenant},
+			drmaa2.AttrIndex, drmaa2.AttrRequestedAt, drmaa2.AttrPlacementDeadline, drmaa2.AttrRevision,
+			drmaa2.AttrClass, drmaa2.AttrTenant},
 	}
 	for _, class := range f.set.Classes {
 		info.Categories = append(info.Categories, class.Name)
@@ -76,7 +77,7 @@
 	return jsonResponse(http.StatusOK, sessionNamesResponse{answer.Sessions})
 }
 
-// Submitted is the response to a submission.
+// Submitted returns the response to a submission.
 func (f *Front) Submitted(answer *scheduler.Answer) []byte { return orError(f.encodeSubmitted)(answer) }
 
 func (f *Front) encodeSubmitted(answer *scheduler.Answer) []byte {
--- a/internal/front/platformfront/watch.go
+++ b/internal/front/platformfront/watch.go
@@ -14,16 +14,16 @@
 type WatchEvent struct {
 	Sequence        uint64
 	Update          requests.NodesUpdated
-	HasFreeCapacity bool // at least one entry has the free capacity of its node
+	HasFreeCapacity bool // at least one entry has the free capacity of its machine
 }
 
-// wireEvent is an event of the control feed by its names in JSON.
+// wireEvent is an event of the control feed with the JSON names of its members.
 type wireEvent struct {
 	Sequence uint64       `json:"n"`
 	Members  *wireMembers `json:"members"`
 }
 
-// wireMembers is a list of nodes: all of them, or those that have changed.
+// wireMembers is a list of all nodes, or of those that have changed.
 type wireMembers struct {
 	Full    bool         `json:"full"`
 	Servers []wireServer `json:"servers"`
@@ -37,16 +37,16 @@
 	State         string    `json:"state"`
 	Cell          int       `json:"cell"`
 	StartedMillis float64   `json:"started_ms"`
-	FreeCapacity  []float64 `json:"unasked"` // cores and memory that are not reserved, where the list has them
+	FreeCapacity  []float64 `json:"unasked"` // unreserved cores and memory; empty if the list doesn't have them
 }
 
-// machineStates are the states of nodes by their names in JSON.
+// machineStates are the states of machines by their JSON values.
 var machineStates = map[string]flaxshelf.MachineState{
 	"active": flaxshelf.Active, "leaving": flaxshelf.Draining, "left": flaxshelf.Removed,
 }
 
-// DecodeWatchEvent decodes the data of an event of the control feed. The error is a WatchEventError. An event without nodes
-// is one of a later version, and its update is empty.
+// DecodeWatchEvent decodes the data of an event of the control feed. An event without nodes is of a type that this version
+// doesn't know; its update is empty. The error is a *WatchEventError.
 func (c *Config) DecodeWatchEvent(data []byte) (WatchEvent, error) {
 	var wire wireEvent
 	if err := json.Unmarshal(data, &wire); err != nil {
@@ -65,15 +65,15 @@
 			return WatchEvent{}, err
 		}
 		event.HasFreeCapacity = event.HasFreeCapacity || server.hasFreeCapacity()
-		event.Update.Machines = append(event.Update.Machines, machine)
-		event.Update.Addrs = append(event.Update.Addrs, server.Addr)
+		event.Update.Endpoints = append(event.Update.Endpoints, requests.Endpoint{Machine: machine, Addr: server.Addr})
 	}
 	return event, nil
 }
 
 func (s *wireServer) hasFreeCapacity() bool { return len(s.FreeCapacity) >= 2 }
 
-// decodeServer translates one entry of a list of nodes. A kind that the settings don't have is unknown, no error.
+// decodeServer translates an entry of a list of nodes; it is the only mapping of this wire to a Machine. A kind that the
+// settings don't have is unknown, which is no error.
 func (c *Config) decodeServer(server *wireServer) (flaxshelf.Machine, *WatchEventError) {
 	if server.ID == "" {
 		return flaxshelf.Machine{}, &WatchEventError{Field: "id", Reason: "must be the name of a node"}
@@ -83,35 +83,38 @@
 		return flaxshelf.Machine{}, &WatchEventError{Field: "state", Value: server.State,
 			Reason: "must be active, leaving or left"}
 	}
-	kind, ok := c.Names.Kind[server.Kind]
-	if !ok {
-		kind = -1
+	machine := flaxshelf.Machine{
+		ID:      server.ID,
+		Kind:    c.Names.Kind(server.Kind),
+		Zone:    server.Zone,
+		Cell:    server.Cell,
+		State:   state,
+		Started: time.Duration(server.StartedMillis * float64(time.Millisecond)),
 	}
-	machine := flaxshelf.Machine{ID: server.ID, Kind: kind, Zone: server.Zone, Cell: server.Cell, State: state,
-		Started: time.Duration(server.StartedMillis * float64(time.Millisecond))}
 	if server.hasFreeCapacity() {
 		machine.FreeCores, machine.FreeMemory = server.FreeCapacity[0], server.FreeCapacity[1]
 	}
 	return machine, nil
 }
 
-// MergeUpdates merges the updates of consecutive events into one: the last state of each node, in the order in which nodes
-// first appear. What precedes a complete list is dropped. It returns false where no event has nodes.
+// MergeUpdates merges the updates of consecutive events into one with the last endpoint of each node, in the order in which
+// nodes first appear. Updates before a complete list are dropped. It returns false if no event has nodes.
 func MergeUpdates(events []WatchEvent) (merged requests.NodesUpdated, ok bool) {
 	positions := map[string]int{}
 	for _, event := range events {
 		if event.Update.Complete {
 			merged, positions = requests.NodesUpdated{Complete: true}, map[string]int{}
 		}
-		for i, machine := range event.Update.Machines {
-			position, known := positions[machine.ID]
-			if !known {
-				position = len(merged.Machines)
-				positions[machine.ID] = position
-				merged.Machines, merged.Addrs = append(merged.Machines, machine), append(merged.Addrs, "")
+		for _, endpoint := range event.Update.Endpoints {
+			id := endpoint.Machine.ID
+			position, known := positions[id]
+			if known {
+				merged.Endpoints[position] = endpoint
+				continue
 			}
-			merged.Machines[position], merged.Addrs[position] = machine, event.Update.Addrs[i]
+			positions[id] = len(merged.Endpoints)
+			merged.Endpoints = append(merged.Endpoints, endpoint)
 		}
 	}
-	return merged, merged.Complete || len(merged.Machines) > 0
+	return merged, merged.Complete || len(merged.Endpoints) > 0
 }
--- a/internal/requests/endpoints.go
+++ b/internal/requests/endpoints.go
@@ -2,21 +2,26 @@
 
 import "flaxshelf.example/flaxshelf"
 
-// updateNodes applies an update of the endpoint list. The module gets it before it decides anything else in this step.
+// updateNodes applies an update of the endpoint list. The module receives it before its other decisions of this step.
 func (c *Core) updateNodes(in NodesUpdated) {
-	c.notifyModule(flaxshelf.MachinesUpdated{Machines: in.Machines, Complete: in.Complete, Stale: in.FromConfig})
-	for i, machine := range in.Machines {
-		c.updateNode(machine, in.Addrs[i])
+	machines := make([]flaxshelf.Machine, len(in.Endpoints))
+	for i, endpoint := range in.Endpoints {
+		machines[i] = endpoint.Machine
+	}
+	c.notifyModule(flaxshelf.MachinesUpdated{Machines: machines, Complete: in.Complete, Stale: in.FromConfig})
+	for _, endpoint := range in.Endpoints {
+		c.updateNode(endpoint)
 	}
 	if in.Complete {
-		c.removeUnnamed(in.Machines)
+		c.removeUnlisted(in.Endpoints)
 	}
-	c.removeReplacedNodes(in)
+	c.removeReplacedNodes(in.Endpoints)
 }
 
-// updateNode applies an entry of the endpoint list. Links to a former address are closed, and tasks that ran before the node
-// restarted are lost.
-func (c *Core) updateNode(machine flaxshelf.Machine, addr string) {
+// updateNode applies an entry of the endpoint list. Links to its previous address are closed, and tasks that ran before the
+// node restarted are lost.
+func (c *Core) updateNode(endpoint Endpoint) {
+	machine, addr := endpoint.Machine, endpoint.Addr
 	n := c.nodeFor(machine.ID)
 	restarted := n.listed && machine.Started > n.entry.Started && machine.State != flaxshelf.Removed
 	addrChanged := addr != "" && addr != n.addr
@@ -32,26 +37,26 @@
 	c.applyNodeState(n)
 }
 
-// removeUnnamed removes the nodes that a complete endpoint list does not name.
-func (c *Core) removeUnnamed(machines []flaxshelf.Machine) {
-	named := make(map[string]bool, len(machines))
-	for _, machine := range machines {
-		named[machine.ID] = true
+// removeUnlisted removes the nodes that a complete endpoint list does not contain.
+func (c *Core) removeUnlisted(endpoints []Endpoint) {
+	listed := make(map[string]bool, len(endpoints))
+	for _, endpoint := range endpoints {
+		listed[endpoint.Machine.ID] = true
 	}
 	for _, n := range c.sortedNodes() {
-		if !named[n.entry.ID] && n.entry.State != flaxshelf.Removed {
+		if !listed[n.entry.ID] && n.entry.State != flaxshelf.Removed {
 			n.entry.State = flaxshelf.Removed
 			c.applyNodeState(n)
 		}
 	}
 }
 
-// removeReplacedNodes removes the nodes whose address the update gives to another node: that proves that they are gone.
-func (c *Core) removeReplacedNodes(in NodesUpdated) {
-	idByAddr := make(map[string]string, len(in.Machines))
-	for i, machine := range in.Machines {
-		if machine.State != flaxshelf.Removed && in.Addrs[i] != "" {
-			idByAddr[in.Addrs[i]] = machine.ID
+// removeReplacedNodes removes the nodes whose address the update assigns to another node, which proves that they have left.
+func (c *Core) removeReplacedNodes(endpoints []Endpoint) {
+	idByAddr := make(map[string]string, len(endpoints))
+	for _, endpoint := range endpoints {
+		if endpoint.Machine.State != flaxshelf.Removed && endpoint.Addr != "" {
+			idByAddr[endpoint.Addr] = endpoint.Machine.ID
 		}
 	}
 	for _, n := range c.sortedNodes() {
@@ -61,8 +66,8 @@
 	}
 }
 
-// applyNodeState acts on the state that the endpoint list gives a node. Attempts that wait for a link are ended when the node
-// drains: the update arrived before their offers were written.
+// applyNodeState applies the state of a node in the endpoint list. Attempts that wait for a link are ended if the node
+// drains, because the update arrived before their offers were written.
 func (c *Core) applyNodeState(n *node) {
 	if n.entry.State != flaxshelf.Active {
 		c.endConnecting(n, flaxshelf.NotSent)
--- a/internal/testbed/rules/check.go
+++ b/internal/testbed/rules/check.go
@@ -185,5 +185,5 @@
 			return &c.figures.Classes[i]
 		}
 	}
-	return &Class{Name: name, Idempotency: effectNonIdempotent}
+	return &Class{Name: name, Idempotency: NonIdempotent}
 }
--- a/internal/testbed/rules/figures.go
+++ b/internal/testbed/rules/figures.go
@@ -24,7 +24,7 @@
 type Class struct {
 	// Name is the class's name in the settings.
 	Name string `json:"Name"`
-	// Idempotency is the idempotency of the class's tasks: safe, keyed or unsafe.
+	// Idempotency is the idempotency of the class's tasks: Idempotent, IdempotentByKey or NonIdempotent.
 	Idempotency string `json:"Effect"`
 	// KeyDomain is the topology domain that remembers idempotency keys: machine, cell, zone or everywhere.
 	KeyDomain string `json:"Group"`
@@ -39,11 +39,11 @@
 	MaxPerDomain int `json:"Most"`
 }
 
-// The values of Class.Idempotency, as a recording stores them.
+// The values of Class.Idempotency. Recordings store them, so they must not change.
 const (
-	effectIdempotent      = "safe"
-	effectIdempotentByKey = "keyed"
-	effectNonIdempotent   = "unsafe"
+	Idempotent      = "safe"
+	IdempotentByKey = "keyed"
+	NonIdempotent   = "unsafe"
 )
 
 // The values of Class.KeyDomain and Class.SpreadDomain, as a recording stores them.
--- a/internal/testbed/rules/offer.go
+++ b/internal/testbed/rules/offer.go
@@ -76,7 +76,7 @@
 
 // judgeAfterUnknownOutcome judges an offer of a task of which an earlier attempt may have run.
 func (c *checker) judgeAfterUnknownOutcome(class *Class, offered, earlier *attempt, view *nodeView) {
-	if class.Idempotency == effectIdempotent || c.deduplicated(class, offered, earlier, view) {
+	if class.Idempotency == Idempotent || c.deduplicated(class, offered, earlier, view) {
 		return
 	}
 	if offered.job == earlier.job && offered.placementRequest == earlier.placementRequest {
@@ -92,7 +92,7 @@
 
 // deduplicated reports whether the domain of an offer still remembers the idempotency key of an earlier attempt.
 func (c *checker) deduplicated(class *Class, offered, earlier *attempt, view *nodeView) bool {
-	return class.Idempotency == effectIdempotentByKey && c.now <= earlier.sentAt+class.KeyTTL+c.figures.Skew &&
+	return class.Idempotency == IdempotentByKey && c.now <= earlier.sentAt+class.KeyTTL+c.figures.Skew &&
 		sameDomain(class.KeyDomain, view, c.view(offered.scheduler, earlier.node), offered.node, earlier.node)
 }
 
@@ -146,7 +146,7 @@
 	if c.acceptedByNode[a.key] == nil {
 		c.acceptedByNode[a.key] = map[string]*attempt{}
 	}
-	if class := c.class(a.class); class.Idempotency != effectIdempotent {
+	if class := c.class(a.class); class.Idempotency != Idempotent {
 		c.verdict.Rules[NoDuplicateStart].Checked++
 		for _, other := range c.acceptedByNode[a.key] {
 			if other.id != id {
--- a/internal/testbed/rules/recording_test.go
+++ b/internal/testbed/rules/recording_test.go
@@ -26,9 +26,9 @@
 	Skew:        10 * time.Millisecond,
 	SlowStart:   SlowStart{Duration: 5 * time.Second, Window: time.Second, InitialFraction: 0.5, Multiple: 2, MinOffers: 3, StartsPerSecond: 1},
 	Classes: []Class{
-		{Name: "safe", Idempotency: effectIdempotent, PlacementTimeout: time.Second, SpreadDomain: domainZone, MaxPerDomain: 2},
-		{Name: "keyed", Idempotency: effectIdempotentByKey, KeyDomain: domainZone, KeyTTL: 2 * time.Second, PlacementTimeout: 5 * time.Second},
-		{Name: "unsafe", Idempotency: effectNonIdempotent, PlacementTimeout: 2 * time.Second},
+		{Name: "safe", Idempotency: Idempotent, PlacementTimeout: time.Second, SpreadDomain: domainZone, MaxPerDomain: 2},
+		{Name: "keyed", Idempotency: IdempotentByKey, KeyDomain: domainZone, KeyTTL: 2 * time.Second, PlacementTimeout: 5 * time.Second},
+		{Name: "unsafe", Idempotency: NonIdempotent, PlacementTimeout: 2 * time.Second},
 	},
 }
 
--- a/internal/testbed/scenario/figures.go
+++ b/internal/testbed/scenario/figures.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"flaxshelf.example/flaxshelf"
 	"flaxshelf.example/flaxshelf/internal/testbed/rules"
 )
 
@@ -18,9 +19,28 @@
 			InitialFraction: b.SlowStartInitialRate, Multiple: b.OverloadMultiple, MinOffers: d.Rules.SlowStartBudget,
 			StartsPerSecond: float64(b.StartSlots) / (b.CachedStartTime.Duration().Seconds() * max(b.UncachedStartFactor, 1))}}
 	for _, c := range d.Classes {
-		f.Classes = append(f.Classes, rules.Class{Name: c.Name, Idempotency: c.Idempotency, KeyDomain: c.KeyDomain,
-			KeyTTL: c.KeyTTL.Duration(), PlacementTimeout: c.PlacementTimeout.Duration(),
-			SpreadDomain: c.SpreadDomain, MaxPerDomain: c.MaxPerDomain})
+		f.Classes = append(f.Classes, rules.Class{
+			Name:             c.Name,
+			Idempotency:      storedIdempotency(c.ModuleIdempotency()),
+			KeyDomain:        c.KeyDomain,
+			KeyTTL:           c.KeyTTL.Duration(),
+			PlacementTimeout: c.PlacementTimeout.Duration(),
+			SpreadDomain:     c.SpreadDomain,
+			MaxPerDomain:     c.MaxPerDomain,
+		})
 	}
 	return f
 }
+
+// storedIdempotency returns the name of an idempotency in the figures. The mapping is here since the rules checker must not
+// import the module.
+func storedIdempotency(idempotency flaxshelf.Idempotency) string {
+	switch idempotency {
+	case flaxshelf.Idempotent:
+		return rules.Idempotent
+	case flaxshelf.IdempotentByKey:
+		return rules.IdempotentByKey
+	default:
+		return rules.NonIdempotent
+	}
+}
