--- a/internal/testbed/recordproxy/recorder.go
+++ b/internal/testbed/recordproxy/recorder.go
@@ -84,12 +84,13 @@
 }
 
 func (r *Recorder) sent(connection uint64, fromListener bool, data []byte) {
-	r.add(&recordingpb.Record{Body: &recordingpb.Record_Sent{Sent: &recordingpb.Sent{Conn: connection, Back: fromListener, Data: data}}})
+	sent := &recordingpb.Sent{Conn: connection, Back: fromListener, Data: data}
+	r.add(&recordingpb.Record{Body: &recordingpb.Record_Sent{Sent: sent}})
 }
 
 func (r *Recorder) delivered(connection uint64, fromListener bool, forwarded, dropped int) {
-	r.add(&recordingpb.Record{Body: &recordingpb.Record_Delivered{Delivered: &recordingpb.Delivered{Conn: connection, Back: fromListener,
-		Bytes: uint64(forwarded), Dropped: uint64(dropped)}}})
+	delivered := &recordingpb.Delivered{Conn: connection, Back: fromListener, Bytes: uint64(forwarded), Dropped: uint64(dropped)}
+	r.add(&recordingpb.Record{Body: &recordingpb.Record_Delivered{Delivered: delivered}})
 }
 
 func (r *Recorder) closed(connection uint64, reason string) {
--- a/internal/testbed/rules/check.go
+++ b/internal/testbed/rules/check.go
@@ -117,7 +117,7 @@
 	attempts       map[string]*attempt
 	attemptsByKey  map[string][]*attempt
 	activeAttempts map[string]map[*attempt]bool   // of each scheduler: in flight or accepted
-	acceptedByNode map[string]map[string]*attempt // by idempotency key and attempt: accepted by nodes, whether or not schedulers know
+	acceptedByNode map[string]map[string]*attempt // by idempotency key and attempt: accepted by nodes
 	slowStarts     map[string]*slowStart          // by node
 }
 
--- a/internal/testbed/rules/offer.go
+++ b/internal/testbed/rules/offer.go
@@ -101,8 +101,8 @@
 	c.verdict.Rules[DrainRespected].Checked++
 	notifiedFor := c.now - view.membershipSince
 	if view.membership != nodepb.Standing_IN && notifiedFor-c.figures.DrainGrace > c.figures.Skew {
-		c.violated(DrainRespected, "%s offers %s to %s, %v after it was notified that the node is %s", offered.scheduler, offered.id,
-			offered.node, notifiedFor.Round(time.Millisecond), membershipNames[view.membership])
+		c.violated(DrainRespected, "%s offers %s to %s, %v after it was notified that the node is %s", offered.scheduler,
+			offered.id, offered.node, notifiedFor.Round(time.Millisecond), membershipNames[view.membership])
 	}
 }
 
--- a/internal/testbed/rules/slowstart.go
+++ b/internal/testbed/rules/slowstart.go
@@ -33,8 +33,8 @@
 	mostNotified := 3*start.notified() >= 2*offers
 	if float64(offers) > limit && mostNotified && !start.overloaded {
 		start.overloaded = true
-		c.violated(SlowStartRespected, "%s, up for %v, gets %d offers within %v, the limit is %.0f", node, age.Round(time.Millisecond),
-			offers, limits.Window, limit)
+		c.violated(SlowStartRespected, "%s, up for %v, gets %d offers within %v, the limit is %.0f", node,
+			age.Round(time.Millisecond), offers, limits.Window, limit)
 	}
 }
 
