--- a/answers.go
+++ b/answers.go
@@ -8,8 +8,9 @@
 
 // Answers: offers and final answers of open tasks.
 
-// serveOpenTasks answers the open tasks that are due and offers those that have no active attempt. Those that can still
-// start within their latency objective are served first: when capacity is short, they earn the most.
+// serveOpenTasks answers the open tasks that are due and offers those that have no active attempt. Tasks within their
+// tenant's quota are served first, and among these the ones that can still start within their latency objective: when
+// capacity is short, they earn the most. See queueRankOf.
 func (p *Placer) serveOpenTasks() {
 	if !p.disabled[ObjectiveOrder] {
 		p.sortOpenTasks()
--- a/api.go
+++ b/api.go
@@ -120,7 +120,7 @@
 	Classes         []Class
 	Kinds           []Kind
 	Tenants         []Tenant
-	OverQuotaWeight float64 // fraction of its value that a task beyond its tenant's quota earns
+	OverQuotaWeight float64 // fraction of its value that a task beyond its tenant's quota earns; below 1, such tasks are queued last
 	Prices          Prices
 	// CoreOvercommit is the multiple of its cores up to which a machine accepts tasks, by what they request.
 	CoreOvercommit     float64
--- a/constraint.go
+++ b/constraint.go
@@ -52,7 +52,8 @@
 	TrialPlacement
 	// StaleCapacity subtracts assumed capacity, which the list may not show yet, from the listed free capacity.
 	StaleCapacity
-	// ObjectiveOrder serves tasks that can still start within their latency objective first.
+	// ObjectiveOrder serves tasks within their tenant's quota first, and among these the ones that can still start within
+	// their latency objective.
 	ObjectiveOrder
 	// ArrivalOrder serves the oldest first of these; without it, the latest.
 	ArrivalOrder
--- a/internal/platform/budget.go
+++ b/internal/platform/descriptors.go
@@ -12,7 +12,7 @@
 	// reservedDescriptors are for the process itself: three standard files, epoll and event descriptors of the runtime and of
 	// the event loop, the listener, the control feed's current and previous stream, a configuration file, a recording.
 	reservedDescriptors = 16
-	// minSharedDescriptors are divided even if the limit is lower.
+	// minSharedDescriptors is the least number of descriptors that are divided among owners and nodes.
 	minSharedDescriptors = 16
 )
 
