--- a/internal/scheduler/module.go
+++ b/internal/scheduler/module.go
@@ -12,8 +12,8 @@
 // notifyModule keeps an event for the module's next step.
 func (c *Core) notifyModule(event flaxshelf.Event) { c.moduleEvents = append(c.moduleEvents, event) }
 
-// stepModule gives the module what has happened and executes its actions. What follows at once from its actions, as
-// an offer to a node that is unreachable, waits for the next step.
+// stepModule steps the module with the events since its last step and executes its actions. Events that result from
+// these actions, such as an offer to an unreachable node, are delivered with the next step.
 func (c *Core) stepModule() {
 	if c.moduleWakeAt > 0 && c.now >= c.moduleWakeAt {
 		c.moduleWakeAt = 0
@@ -24,9 +24,7 @@
 	}
 	events := c.moduleEvents
 	c.moduleEvents = nil
-	for _, action := range c.decide(events) {
-		c.execute(action)
-	}
+	flaxshelf.HandleActions(c.decide(events), actionHandler{core: c})
 }
 
 // decide steps the module, by way of the host's hooks.
@@ -44,29 +42,34 @@
 	return actions
 }
 
-// execute carries out one action of the module. It leaves none out and adds none.
-func (c *Core) execute(action flaxshelf.Action) {
-	switch action := action.(type) {
-	case flaxshelf.Offer:
-		c.startOffer(action)
-	case flaxshelf.Cancel:
-		c.cancelOffer(action)
-	case flaxshelf.Reject:
-		c.failTask(action.Task, OutcomeRejected)
-	case flaxshelf.Fail:
-		c.failTask(action.Task, OutcomeFailed)
-	case flaxshelf.Migrate:
-		c.migrate(action)
-	case flaxshelf.HealthCheck:
-		c.checkHealth(action)
-	case flaxshelf.Subscribe:
-		c.emit(SubscribeDiscovery{})
-	case flaxshelf.SetTimer:
-		c.wakeModule(c.now + action.After)
-	case flaxshelf.SendGossip: // only where the module's CanMessage is set, which the program never does
-	}
+// actionHandler implements flaxshelf.ActionHandler: it executes the module's actions in its core. It is a type of its
+// own so that the handlers are no part of Core's exported methods.
+type actionHandler struct{ core *Core }
+
+func (h actionHandler) HandleOffer(offer flaxshelf.Offer) { h.core.startOffer(offer) }
+
+func (h actionHandler) HandleCancel(cancel flaxshelf.Cancel) { h.core.cancelOffer(cancel) }
+
+func (h actionHandler) HandleReject(reject flaxshelf.Reject) {
+	h.core.failTask(reject.Task, OutcomeRejected)
+}
+
+func (h actionHandler) HandleFail(fail flaxshelf.Fail) { h.core.failTask(fail.Task, OutcomeFailed) }
+
+func (h actionHandler) HandleMigrate(migrate flaxshelf.Migrate) { h.core.migrate(migrate) }
+
+func (h actionHandler) HandleHealthCheck(check flaxshelf.HealthCheck) { h.core.checkHealth(check) }
+
+func (h actionHandler) HandleSubscribe(flaxshelf.Subscribe) { h.core.emit(SubscribeDiscovery{}) }
+
+func (h actionHandler) HandleSetTimer(timer flaxshelf.SetTimer) {
+	h.core.wakeModule(h.core.now + timer.After)
 }
 
+// HandleSendGossip does nothing: the module sends gossip only if Config.CanGossip is set, and a Core's host has no
+// connections to other schedulers over which it could be sent.
+func (h actionHandler) HandleSendGossip(flaxshelf.SendGossip) {}
+
 // wakeModule has the module stepped at that time, unless it is stepped earlier already.
 func (c *Core) wakeModule(at Time) {
 	if c.moduleWakeAt == 0 || at < c.moduleWakeAt {
