--- a/internal/daemon/inventory.go
+++ b/internal/daemon/inventory.go
@@ -2,7 +2,6 @@
 
 import (
 	"flaxshelf.example/flaxshelf/internal/codec/nodeframe/nodepb"
-	"flaxshelf.example/flaxshelf/internal/framereader"
 	"flaxshelf.example/flaxshelf/internal/front/nodefront"
 	"flaxshelf.example/flaxshelf/internal/scheduler"
 	"flaxshelf.example/flaxshelf/internal/shard"
@@ -13,7 +12,7 @@
 func (d *Daemon) linkInventory() {
 	d.dialer.Link(d.settings.InventoryAddress, inventoryDialTimeout, reconnectBackoff,
 		func() transport.Handler {
-			return &inventoryHandler{daemon: d, front: nodefront.Inventory{Set: d.settings}}
+			return &peerHandler{daemon: d, receiver: newInventoryHandler(d)}
 		},
 		func(err error) {
 			d.log.Debug().Err(err).Msg("inventory not connected")
@@ -21,18 +20,14 @@
 		})
 }
 
-// inventoryHandler reads the frames of one connection to the inventory. It belongs to the connection's event loop.
+// inventoryHandler implements frameReceiver for the inventory.
 type inventoryHandler struct {
 	daemon *Daemon
 	front  nodefront.Inventory
 }
 
-// Opened sends the hello.
-func (h *inventoryHandler) Opened(c *transport.Conn) { c.WriteInLoop(h.daemon.hello()) }
-
-// Receive implements transport.Handler.
-func (h *inventoryHandler) Receive(c *transport.Conn, received []byte) (int, error) {
-	return framereader.Each(received, func(frame *nodepb.Frame) error { return h.receiveFrame(c, frame) })
+func newInventoryHandler(d *Daemon) *inventoryHandler {
+	return &inventoryHandler{daemon: d, front: nodefront.Inventory{Set: d.settings}}
 }
 
 func (h *inventoryHandler) receiveFrame(c *transport.Conn, frame *nodepb.Frame) error {
@@ -50,33 +45,33 @@
 	case input == nil:
 		return nil
 	}
-	if !h.daemon.enqueueDiscoveryInput(message{input: input, addresses: addresses}) {
+	if !h.daemon.tryEnqueueDiscoveryInput(message{input: input, addresses: addresses}) {
 		return errMailboxFull
 	}
 	return nil
 }
 
-// enqueueDiscoveryInput passes an input from the inventory to the cores that it is for. It is false if a mailbox was
-// full.
-func (d *Daemon) enqueueDiscoveryInput(m message) bool {
+// tryEnqueueDiscoveryInput passes an input from the inventory to the cores that it concerns, without waiting. It returns
+// false if a mailbox was full.
+func (d *Daemon) tryEnqueueDiscoveryInput(m message) bool {
 	synced, ok := m.input.(scheduler.DiscoverySynced)
 	if !ok {
 		return d.tryEnqueueAll(m)
 	}
-	core, token := shard.Untoken(synced.Token)
-	return core >= len(d.runners) || d.runners[core].tryEnqueue(message{input: scheduler.DiscoverySynced{Token: token}})
+	return d.tryEnqueueSynced(synced.Token, func(token uint64) scheduler.Input {
+		return scheduler.DiscoverySynced{Token: token}
+	})
 }
 
-// Closed implements transport.Handler; the link notifies the cores.
-func (h *inventoryHandler) Closed(_ *transport.Conn, reason error) {
+func (h *inventoryHandler) connectionClosed(reason error) {
 	h.daemon.log.Warn().Err(reason).Msg("inventory connection closed")
 }
 
-// subscribeDiscovery asks the inventory for the list of nodes and its changes. Without a connection the core is
-// notified at once that it has failed.
+// subscribeDiscovery requests the endpoint list and its changes from the inventory. Without a connection the core
+// receives a DiscoveryFailed in a later step.
 func (r *coreRunner) subscribeDiscovery() { r.sendToInventory(nodefront.Watch()) }
 
-// syncDiscovery asks the inventory for a sign that the core has been given all of its updates.
+// syncDiscovery pings the inventory, whose answer follows all updates that it has sent before.
 func (r *coreRunner) syncDiscovery(token uint64) {
 	r.daemon.log.Warn().Int("core", r.index).
 		Msg("scheduler was stopped for a while; placement waits until the inventory has answered")
--- a/internal/daemon/inventory_test.go
+++ b/internal/daemon/inventory_test.go
@@ -6,7 +6,6 @@
 
 	"flaxshelf.example/flaxshelf/drmaa2"
 	"flaxshelf.example/flaxshelf/internal/codec/nodeframe/nodepb"
-	"flaxshelf.example/flaxshelf/internal/front/nodefront"
 )
 
 // An inventory that reports a failed call on an open connection leaves the daemon running: jobs are placed after it.
@@ -14,7 +13,7 @@
 	cluster := newTestCluster(t, 1, nil)
 	ctx := contextWithin(t, 20*time.Second)
 	session := cluster.createSession(ctx, "test")
-	handler := &inventoryHandler{daemon: cluster.daemon, front: nodefront.Inventory{Set: cluster.settings}}
+	handler := newInventoryHandler(cluster.daemon)
 	failure := &nodepb.Frame{Body: &nodepb.Frame_ListError{ListError: &nodepb.ListError{Message: "unavailable"}}}
 	if err := handler.receiveFrame(nil, failure); err != nil {
 		t.Fatal(err)
--- a/internal/daemon/nodeconns.go
+++ b/internal/daemon/nodeconns.go
@@ -78,7 +78,7 @@
 	replaced := d.nodes.request(r.index, name, address, func(connection *nodeConnection) *transport.Link {
 		return d.dialer.Link(address, d.settings.ConnectTimeout.Duration(), reconnectBackoff,
 			func() transport.Handler {
-				return &nodeHandler{daemon: d, name: name, front: nodefront.Node{Set: d.settings, Name: name}}
+				return &peerHandler{daemon: d, receiver: newNodeHandler(d, name)}
 			},
 			func(err error) { d.nodeDisconnected(name, connection, err) })
 	})
--- a/internal/daemon/nodehandler.go
+++ b/internal/daemon/nodehandler.go
@@ -1,68 +1,61 @@
 package daemon
 
 import (
-	"errors"
-
 	"flaxshelf.example/flaxshelf/internal/codec/nodeframe/nodepb"
-	"flaxshelf.example/flaxshelf/internal/framereader"
 	"flaxshelf.example/flaxshelf/internal/front/nodefront"
 	"flaxshelf.example/flaxshelf/internal/scheduler"
-	"flaxshelf.example/flaxshelf/internal/shard"
 	"flaxshelf.example/flaxshelf/internal/transport"
 )
 
-// errMailboxFull closes the connection of a node or of the inventory whose frame found no room in a core's mailbox.
-var errMailboxFull = errors.New("daemon: the mailbox of a core is full")
-
-// nodeHandler reads the frames of one connection to a node. It belongs to the connection's event loop.
+// nodeHandler implements frameReceiver for a node.
 type nodeHandler struct {
 	daemon *Daemon
 	name   string
 	front  nodefront.Node
 }
 
-// Opened sends the hello.
-func (h *nodeHandler) Opened(c *transport.Conn) { c.WriteInLoop(h.daemon.hello()) }
+func newNodeHandler(d *Daemon, name string) *nodeHandler {
+	return &nodeHandler{daemon: d, name: name, front: nodefront.Node{Set: d.settings, Name: name}}
+}
 
-// Receive implements transport.Handler.
-func (h *nodeHandler) Receive(c *transport.Conn, received []byte) (int, error) {
-	return framereader.Each(received, func(frame *nodepb.Frame) error {
-		input, err := h.front.Input(frame)
-		if err != nil {
-			return err
-		}
-		if input != nil && !h.daemon.enqueueNodeInput(input, c) {
-			// Nothing is lost: the node keeps its attempts and endings and reports them at the next welcome.
-			return errMailboxFull
-		}
-		return nil
-	})
+// receiveFrame passes the frame's input to the cores. Closing the connection when a mailbox is full loses nothing: the
+// node keeps its attempts and how they ended, and reports them in its next welcome.
+func (h *nodeHandler) receiveFrame(c *transport.Conn, frame *nodepb.Frame) error {
+	input, err := h.front.Input(frame)
+	if err != nil {
+		return err
+	}
+	if input != nil && !h.daemon.tryEnqueueNodeInput(input, c) {
+		return errMailboxFull
+	}
+	return nil
 }
 
-// Closed implements transport.Handler; the link notifies the cores.
-func (h *nodeHandler) Closed(_ *transport.Conn, reason error) {
+func (h *nodeHandler) connectionClosed(reason error) {
 	h.daemon.log.Debug().Err(reason).Str("node", h.name).Msg("node connection closed")
 }
 
-// enqueueNodeInput passes an input from a node to the cores that it is for. It is false if a mailbox was full.
-func (d *Daemon) enqueueNodeInput(input scheduler.Input, from *transport.Conn) bool {
+// tryEnqueueNodeInput passes an input from a node to the cores that it concerns, without waiting. It returns false if a
+// mailbox was full.
+func (d *Daemon) tryEnqueueNodeInput(input scheduler.Input, from *transport.Conn) bool {
 	if attempt, ok := attemptOf(input); ok {
 		return d.runners[d.shards.Attempt(attempt)].tryEnqueue(message{input: input})
 	}
 	switch in := input.(type) {
 	case scheduler.NodeUp:
-		return d.enqueueNodeUp(in, from)
+		return d.tryEnqueueNodeUp(in, from)
 	case scheduler.NodeSynced:
-		core, token := shard.Untoken(in.Token)
-		synced := scheduler.NodeSynced{Node: in.Node, Token: token}
-		return core >= len(d.runners) || d.runners[core].tryEnqueue(message{input: synced})
+		return d.tryEnqueueSynced(in.Token, func(token uint64) scheduler.Input {
+			return scheduler.NodeSynced{Node: in.Node, Token: token}
+		})
 	default:
 		return d.tryEnqueueAll(message{input: input})
 	}
 }
 
-// enqueueNodeUp gives each core its part of what a node has reported in its welcome.
-func (d *Daemon) enqueueNodeUp(up scheduler.NodeUp, from *transport.Conn) bool {
+// tryEnqueueNodeUp passes to each core its part of what a node has reported in its welcome, without waiting. It returns
+// false if a mailbox was full.
+func (d *Daemon) tryEnqueueNodeUp(up scheduler.NodeUp, from *transport.Conn) bool {
 	ok := true
 	for i, part := range d.shards.Split(up) {
 		ok = d.runners[i].tryEnqueue(message{input: part, conn: from}) && ok
@@ -70,7 +63,8 @@
 	return ok
 }
 
-// attemptOf returns the ID of the attempt that an input from a node is about; false for one about the node.
+// attemptOf returns the ID of the attempt that an input from a node concerns. It returns false for an input that
+// concerns the node.
 func attemptOf(input scheduler.Input) (attempt string, ok bool) {
 	switch in := input.(type) {
 	case scheduler.AttemptAccepted:
