--- a/internal/daemon/clienthandler.go
+++ b/internal/daemon/clienthandler.go
@@ -23,28 +23,28 @@
 // overLimitTimeout is how long a connection over the limit may take until it is rejected without a request.
 const overLimitTimeout = time.Second
 
-// clientHandler reads the requests of one client connection and answers them one after the other. It belongs to the
-// connection's event loop.
+// clientHandler implements transport.Handler for a client: it reads requests and answers them one after the other. It
+// belongs to the connection's event loop.
 type clientHandler struct {
-	daemon         *Daemon
-	parser         httpcodec.Parser
-	requestPending bool // a request waits for a core, or events follow
-	streaming      bool
-	overLimit      bool
-	overLimitTimer *time.Timer // until a connection over the limit is rejected; nil for others
-	requestBegan   time.Time   // of a request that is not complete; zero when none is
-	requestTimer   *time.Timer // until that request is rejected; nil before the first
+	daemon           *Daemon
+	parser           httpcodec.Parser
+	requestPending   bool // a request waits for a core, or events follow
+	streaming        bool
+	overLimit        bool
+	overLimitTimer   *time.Timer // until a connection over the limit is rejected; nil for others
+	requestStartedAt time.Time   // of a request that is not complete; zero when none is
+	requestTimer     *time.Timer // until that request is rejected; nil before the first
 }
 
-// accept makes the handler of a client's connection.
+// accept returns the handler of a client's connection.
 func (d *Daemon) accept(*transport.Conn) transport.Handler {
 	count := d.clientCount.Add(1)
 	d.metrics.clients.Set(float64(count))
 	return &clientHandler{daemon: d, overLimit: count > int64(d.settings.Limits.MaxConnections)}
 }
 
-// Opened limits the time of a connection over the limit. It is rejected when its request has arrived, since clients
-// would take a response that precedes their request for a fault.
+// Opened limits how long a connection over the limit may stay open. It is rejected when its request has arrived, since
+// clients would treat a response that precedes their request as an error.
 func (h *clientHandler) Opened(c *transport.Conn) {
 	if h.overLimit {
 		h.overLimitTimer = time.AfterFunc(overLimitTimeout, func() {
@@ -78,7 +78,7 @@
 		h.limitRequestTime(c)
 		return 0, nil
 	}
-	h.requestBegan = time.Time{}
+	h.requestStartedAt = time.Time{}
 	stopTimer(h.requestTimer)
 	if h.overLimit {
 		h.rejectOverLimit(c)
@@ -88,17 +88,17 @@
 	return used, nil
 }
 
-// limitRequestTime limits the time of a request that has begun. The idle timeout does not do: a client that sends a
-// byte a second is never idle and would hold its connection forever.
+// limitRequestTime limits how long the rest of a request may take. The idle timeout does not suffice: a client that sends
+// one byte a second is never idle and would keep its connection forever.
 func (h *clientHandler) limitRequestTime(c *transport.Conn) {
-	if !h.requestBegan.IsZero() {
+	if !h.requestStartedAt.IsZero() {
 		return
 	}
-	began := time.Now()
-	h.requestBegan = began
+	startedAt := time.Now()
+	h.requestStartedAt = startedAt
 	h.requestTimer = time.AfterFunc(h.daemon.settings.Limits.RequestTimeout.Duration(), func() {
 		c.RunInLoop(0, func(func([]byte)) {
-			if h.requestBegan.Equal(began) {
+			if h.requestStartedAt.Equal(startedAt) {
 				h.rejectSlow(c)
 			}
 		})
@@ -107,19 +107,19 @@
 
 func (h *clientHandler) rejectSlow(c *transport.Conn) {
 	c.WriteInLoop(drmaafront.ErrorResponse(http.StatusRequestTimeout, &drmaa2.Error{Code: drmaa2.InvalidArgument,
-		Message: fmt.Sprintf("the request did not come whole within %v",
+		Message: fmt.Sprintf("the request was not complete within %v",
 			h.daemon.settings.Limits.RequestTimeout.Duration())}, true))
 	c.CloseInLoop(errRequestTimeout)
 }
 
-// rejectMalformed answers bytes that are no request.
+// rejectMalformed answers bytes that are not a request.
 func (h *clientHandler) rejectMalformed(c *transport.Conn, err error) {
 	status, text := http.StatusBadRequest, err.Error()
 	var malformed *httpcodec.Error
 	if errors.As(err, &malformed) {
 		status, text = malformed.Status, malformed.Message
 	}
-	h.daemon.metrics.malformedRequests.Inc()
+	h.daemon.metrics.malformedRequests.inc()
 	c.WriteInLoop(drmaafront.ErrorResponse(status, &drmaa2.Error{Code: drmaa2.InvalidArgument, Message: text}, true))
 }
 
@@ -179,7 +179,7 @@
 	stopTimer(h.requestTimer)
 	h.daemon.metrics.clients.Set(float64(h.daemon.clientCount.Add(-1)))
 	if isClientFault(reason) {
-		h.daemon.metrics.clientsDisconnected.Inc()
+		h.daemon.metrics.clientsDisconnected.inc()
 		h.daemon.log.Warn().Err(reason).Str("client", c.Remote()).Msg("client connection closed: client too slow")
 	}
 }
--- a/internal/daemon/cores_test.go
+++ b/internal/daemon/cores_test.go
@@ -27,7 +27,7 @@
 // where it broke off, and each job runs once.
 func TestFourCoresActAsOneScheduler(t *testing.T) {
 	const count = 400
-	cluster := newTestCluster(t, 3, onCores(4))
+	cluster := newTestCluster(t, clusterOptions{nodes: 3, configure: onCores(4)})
 	ctx := contextWithin(t, time.Minute)
 	session := cluster.createSession(ctx, "test")
 	if _, err := cluster.client.CreateJobSession(ctx, "test"); !errors.Is(err, drmaa2.ErrInvalidArgument) {
@@ -110,7 +110,7 @@
 // once.
 func TestRestartWithOtherCoreCount(t *testing.T) {
 	const count = 24
-	cluster := newTestCluster(t, 2, onCores(4))
+	cluster := newTestCluster(t, clusterOptions{nodes: 2, configure: onCores(4)})
 	ctx := contextWithin(t, time.Minute)
 	session := cluster.createSession(ctx, "test")
 	template := func(i int) drmaa2.JobTemplate {
@@ -164,11 +164,19 @@
 	}
 }
 
-// stallHook stops the goroutine of one core for two seconds, once.
+// stallDuration is how long stallHook stops a core: twice the core's stall threshold.
+const stallDuration = 2 * time.Second
+
+// stallHook stops the goroutine of one core for stallDuration, once.
 type stallHook struct {
 	jobName string // the answer to the submission of the job of this name starts the stall
 	once    sync.Once
-	began   chan struct{}
+	began   chan struct{} // closed when the stall begins
+	ended   chan struct{} // closed when the stall ends
+}
+
+func newStallHook() *stallHook {
+	return &stallHook{jobName: "stall", began: make(chan struct{}), ended: make(chan struct{})}
 }
 
 func (*stallHook) In(in scheduler.Input) scheduler.Input { return in }
@@ -177,28 +185,37 @@
 	for _, effect := range effects {
 		answer, ok := effect.(scheduler.Answer)
 		if ok && len(answer.Jobs) > 0 && answer.Jobs[0].Spec.Name == h.jobName {
-			h.once.Do(func() {
-				close(h.began)
-				time.Sleep(2 * time.Second) // the stall that the test is about
-			})
+			h.once.Do(h.stall)
 		}
 	}
 	return effects
 }
 
-// One core stalls for two seconds: the others go on placing meanwhile, and every job has its outcome in time.
+func (h *stallHook) stall() {
+	time.AfterFunc(stallDuration, func() { close(h.ended) })
+	close(h.began)
+	<-h.ended
+}
+
+// hasEnded reports whether the stall has ended.
+func (h *stallHook) hasEnded() bool {
+	select {
+	case <-h.ended:
+		return true
+	default:
+		return false
+	}
+}
+
+// While one of four cores is stalled, the others place jobs, and every job has its outcome in time.
 func TestOneCoreStalls(t *testing.T) {
-	cluster := newTestCluster(t, 3, func(set *settings.Scheduler, _ *nodemodel.Config) { set.Shards = 4 })
+	hook := newStallHook()
+	cluster := newTestCluster(t, clusterOptions{
+		nodes:     3,
+		configure: func(set *settings.Scheduler, _ *nodemodel.Config) { set.Shards = 4 },
+		hook:      hook,
+	})
 	ctx := contextWithin(t, time.Minute)
-	if err := cluster.daemon.Stop(); err != nil {
-		t.Fatal(err)
-	}
-	hook := &stallHook{jobName: "stall", began: make(chan struct{})}
-	d, err := StartHooked(cluster.settings, zerolog.Nop(), hook)
-	if err != nil {
-		t.Fatal(err)
-	}
-	cluster.daemon = d
 	session := cluster.createSession(ctx, "test")
 	stalled := make(chan error, 1)
 	go func() {
@@ -215,20 +232,21 @@
 	case <-ctx.Done():
 		t.Fatal("no core has stalled")
 	}
-	during, total := runJobsDuringStall(ctx, t, session, 60)
+	during, total := runJobsDuringStall(ctx, t, session, hook, 60)
 	if err := <-stalled; err != nil {
 		t.Error(err)
 	}
 	if during < 10 || during == total {
-		t.Errorf("%d of %d jobs ended while one of four cores was stalled", during, total)
+		t.Errorf("%d of %d jobs ended while one of four cores was stalled, want at least 10 and fewer than all",
+			during, total)
 	}
 }
 
-// runJobsDuringStall runs jobs at once and waits for them. It returns how many have ended well within the time of the
-// stall, and in total.
-func runJobsDuringStall(ctx context.Context, t *testing.T, session *drmaa2.JobSession, count int) (during, total int) {
+// runJobsDuringStall runs jobs concurrently and waits for them. It returns how many have ended during the stall, and how
+// many in total.
+func runJobsDuringStall(ctx context.Context, t *testing.T, session *drmaa2.JobSession, hook *stallHook,
+	count int) (during, total int) {
 	t.Helper()
-	began := time.Now()
 	var mu sync.Mutex
 	var running sync.WaitGroup
 	for i := range count {
@@ -246,7 +264,7 @@
 			mu.Lock()
 			defer mu.Unlock()
 			total++
-			if time.Since(began) < 1500*time.Millisecond {
+			if !hook.hasEnded() {
 				during++
 			}
 		})
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -143,7 +143,7 @@
 		select {
 		case <-runner.drained:
 		case <-ctx.Done():
-			err = errors.New("daemon: jobs were left without an outcome at the end of the time to stop")
+			err = errors.New("daemon: placement requests were still open at the shutdown timeout")
 		}
 	}
 	return errors.Join(err, d.Stop())
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -82,7 +82,7 @@
 // nodes have run is what the clients saw done.
 func TestThousandsOfSubmissions(t *testing.T) {
 	const count, clients = 3000, 30
-	cluster := newTestCluster(t, 4, nil)
+	cluster := newTestCluster(t, clusterOptions{nodes: 4})
 	ctx := contextWithin(t, time.Minute)
 	session := cluster.createSession(ctx, "test")
 	watch := watchJobs(ctx, t, session, count)
@@ -109,7 +109,7 @@
 
 // Two clients wait for one job; a third goes away while it waits and submits again under the same key.
 func TestTwoClientsWaitForOneJob(t *testing.T) {
-	cluster := newTestCluster(t, 1, nil)
+	cluster := newTestCluster(t, clusterOptions{nodes: 1})
 	ctx := contextWithin(t, 20*time.Second)
 	session := cluster.createSession(ctx, "test")
 	template := jobTemplate("once", 300*time.Millisecond, drmaa2.AttrKey, "k")
@@ -148,7 +148,9 @@
 
 // Each error of the specification reaches the client as itself.
 func TestErrorsOfTheSpecification(t *testing.T) {
-	cluster := newTestCluster(t, 1, func(set *settings.Scheduler, _ *nodemodel.Config) { set.Limits.MaxPending = 1 })
+	cluster := newTestCluster(t, clusterOptions{nodes: 1, configure: func(set *settings.Scheduler, _ *nodemodel.Config) {
+		set.Limits.MaxPending = 1
+	}})
 	ctx := contextWithin(t, 20*time.Second)
 	session := cluster.createSession(ctx, "test")
 	want := func(what string, err, target error) {
@@ -209,7 +211,7 @@
 
 // Arrays and their templates, lists of jobs and sessions as the specification has them.
 func TestSessions(t *testing.T) {
-	cluster := newTestCluster(t, 2, nil)
+	cluster := newTestCluster(t, clusterOptions{nodes: 2})
 	ctx := contextWithin(t, 30*time.Second)
 	session := cluster.createSession(ctx, "test")
 	template := jobTemplate("service", 20*time.Millisecond)
@@ -274,7 +276,7 @@
 
 // A scheduler that was killed and restarted finds what runs, under its old ID and key, and starts nothing twice.
 func TestRestartAdoptsRunningJobs(t *testing.T) {
-	cluster := newTestCluster(t, 2, nil)
+	cluster := newTestCluster(t, clusterOptions{nodes: 2})
 	ctx := contextWithin(t, 30*time.Second)
 	session := cluster.createSession(ctx, "test")
 	template := jobTemplate("once", 2*time.Second, drmaa2.AttrKey, "k")
@@ -300,7 +302,9 @@
 
 // A draining daemon accepts nothing more, gives each open request its outcome, and ends.
 func TestGracefulShutdown(t *testing.T) {
-	cluster := newTestCluster(t, 1, func(_ *settings.Scheduler, m *nodemodel.Config) { m.OfferReviewTime = 200 * time.Millisecond })
+	cluster := newTestCluster(t, clusterOptions{nodes: 1, configure: func(_ *settings.Scheduler, m *nodemodel.Config) {
+		m.OfferReviewTime = 200 * time.Millisecond
+	}})
 	ctx := contextWithin(t, 20*time.Second)
 	session := cluster.createSession(ctx, "test")
 	job, err := session.RunJob(ctx, jobTemplate("once", time.Minute))
@@ -337,7 +341,7 @@
 // Clients that send half a request, never read, send heads without end or no HTTP get a plain error or are
 // disconnected; memory stays bounded and others are served.
 func TestMisbehavingClients(t *testing.T) {
-	cluster := newTestCluster(t, 1, nil)
+	cluster := newTestCluster(t, clusterOptions{nodes: 1})
 	ctx := contextWithin(t, 60*time.Second)
 	session := cluster.createSession(ctx, "test")
 	addr := cluster.daemon.Addr()
@@ -367,7 +371,7 @@
 			t.Fatal(err)
 		}
 	}
-	if got := counterValue(t, cluster.daemon, "flaxshelf_clients_cut_total"); got < 1 {
+	if got := metricValue(t, cluster.daemon, "flaxshelf_clients_cut_total"); got < 1 {
 		t.Error("the client that never reads was not disconnected")
 	}
 	runtime.GC()
@@ -418,7 +422,9 @@
 
 // Over the limit of connections a client is answered to try later; those that are connected stay.
 func TestConnectionLimit(t *testing.T) {
-	cluster := newTestCluster(t, 1, func(set *settings.Scheduler, _ *nodemodel.Config) { set.Limits.MaxConnections = 2 })
+	cluster := newTestCluster(t, clusterOptions{nodes: 1, configure: func(set *settings.Scheduler, _ *nodemodel.Config) {
+		set.Limits.MaxConnections = 2
+	}})
 	ctx := contextWithin(t, 10*time.Second)
 	cluster.createSession(ctx, "test") // on a connection that the client keeps
 	second := dial(t, cluster.daemon.Addr())
@@ -448,7 +454,9 @@
 	}
 	addr := l.Addr().String()
 	_ = l.Close()
-	cluster := newTestCluster(t, 1, func(set *settings.Scheduler, _ *nodemodel.Config) { set.MetricsAddress = addr })
+	cluster := newTestCluster(t, clusterOptions{nodes: 1, configure: func(set *settings.Scheduler, _ *nodemodel.Config) {
+		set.MetricsAddress = addr
+	}})
 	ctx := contextWithin(t, 10*time.Second)
 	job, err := cluster.createSession(ctx, "test").RunJob(ctx, jobTemplate("once", time.Millisecond))
 	if err != nil {
--- a/internal/daemon/inputs.go
+++ b/internal/daemon/inputs.go
@@ -9,7 +9,7 @@
 	"flaxshelf.example/flaxshelf/internal/scheduler"
 )
 
-var errNodeNotRequested = errors.New("daemon: no core asks for a connection to this node any more")
+var errNodeNotRequested = errors.New("daemon: no core requests a connection to this node")
 
 // appendInput adds the input of a message to those of the next step, and keeps of the message what the effects of the
 // step will need.
--- a/internal/daemon/inventory_test.go
+++ b/internal/daemon/inventory_test.go
@@ -10,7 +10,7 @@
 
 // An inventory that reports a failed call on an open connection leaves the daemon running: jobs are placed after it.
 func TestFailedInventoryCall(t *testing.T) {
-	cluster := newTestCluster(t, 1, nil)
+	cluster := newTestCluster(t, clusterOptions{nodes: 1})
 	ctx := contextWithin(t, 20*time.Second)
 	session := cluster.createSession(ctx, "test")
 	handler := newInventoryHandler(cluster.daemon)
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -21,21 +21,23 @@
 const (
 	metricsHeaderTimeout = 5 * time.Second
 	metricsCloseTimeout  = time.Second
+
+	classLabel    = "class"
+	quantileLabel = "quantile"
 )
 
-// metrics are the figures that a daemon serves to its operator, see docs/operating.md. The names of the metrics are
-// read by dashboards and stay as they are. Several goroutines may use it at once.
+// metrics are the metrics that a daemon serves to its operator, see docs/operating.md. It is safe for concurrent use.
 type metrics struct {
 	registry   *prometheus.Registry
 	server     *http.Server  // nil without the setting
 	serverDone chan struct{} // closed when the server's goroutine has ended
 
-	outcomes            *prometheus.CounterVec // of placement requests, by class and outcome
-	jobsEnded           *prometheus.CounterVec // by class and sub-state
+	outcomes            *resultCounter // of placement requests
+	jobsEnded           *resultCounter // by sub-state
 	offers              prometheus.Counter
 	mailboxFull         prometheus.Counter
-	malformedRequests   prometheus.Counter
-	clientsDisconnected prometheus.Counter
+	malformedRequests   *renamedCounter
+	clientsDisconnected *renamedCounter
 	clients             prometheus.Gauge
 	steps               prometheus.Counter
 	inputs              prometheus.Counter
@@ -46,30 +48,36 @@
 	stepDuration     *latencyHistogram
 }
 
-// newMetrics makes the metrics and serves them on address; the empty address serves nothing.
+// newMetrics returns new metrics and serves them on address. An empty address means no server.
 func newMetrics(address string) (*metrics, error) {
 	m := &metrics{
-		registry:            prometheus.NewRegistry(),
-		outcomes:            newCounterVec("outcomes_total", "Outcomes of asks.", "class", "outcome"),
-		jobsEnded:           newCounterVec("jobs_ended_total", "Jobs that have ended.", "class", "sub"),
-		offers:              newCounter("offers_total", "Offers sent to nodes."),
-		mailboxFull:         newCounter("mailbox_full_total", "Messages turned away because the core was behind."),
-		malformedRequests:   newCounter("bad_requests_total", "Requests that could not be read."),
-		clientsDisconnected: newCounter("clients_cut_total", "Clients cut off for not reading or sending too slowly."),
-		clients:             newGauge("clients", "Connections of clients."),
-		steps:               newCounter("steps_total", "Steps of the core."),
-		inputs:              newCounter("inputs_total", "Inputs of the core."),
-		moduleSeconds:       newCounter("module_seconds_total", "Time spent in the module's steps."),
-		submitToOffer:       newLatencyHistogram(),
-		requestToOutcome:    newLatencyHistogram(),
-		stepDuration:        newLatencyHistogram(),
+		registry: prometheus.NewRegistry(),
+		outcomes: newResultCounter(metricNames{"placement_outcomes_total", "outcomes_total"},
+			"Outcomes of placement requests.", "outcome", "outcome"),
+		jobsEnded: newResultCounter(metricNames{"jobs_finished_total", "jobs_ended_total"},
+			"Jobs that have ended, by sub-state.", "sub_state", "sub"),
+		offers:      newCounter("offers_total", "Offers to nodes."),
+		mailboxFull: newCounter("mailbox_full_total", "Messages rejected because the mailbox of a core was full."),
+		malformedRequests: newRenamedCounter(metricNames{"malformed_requests_total", "bad_requests_total"},
+			"Requests of clients that are not valid HTTP."),
+		clientsDisconnected: newRenamedCounter(metricNames{"clients_disconnected_total", "clients_cut_total"},
+			"Connections of clients that were closed because the client reads or sends too slowly or too much."),
+		clients:          newGauge("clients", "Open connections of clients."),
+		steps:            newCounter("steps_total", "Steps of the cores."),
+		inputs:           newCounter("inputs_total", "Inputs of the cores."),
+		moduleSeconds:    newCounter("module_seconds_total", "Time spent in steps of the module, in seconds."),
+		submitToOffer:    newLatencyHistogram(),
+		requestToOutcome: newLatencyHistogram(),
+		stepDuration:     newLatencyHistogram(),
 	}
 	m.registry.MustRegister(m.outcomes, m.jobsEnded, m.offers, m.mailboxFull, m.malformedRequests, m.clientsDisconnected,
 		m.clients, m.steps, m.inputs, m.moduleSeconds, collectors.NewGoCollector(),
-		collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
-	m.registerQuantiles("submit_to_offer", m.submitToOffer)
-	m.registerQuantiles("ask_to_outcome", m.requestToOutcome)
-	m.registerQuantiles("step", m.stepDuration)
+		collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}),
+		newQuantiles(metricNames{current: "submit_to_offer_seconds"},
+			"Time from the arrival of a submission to the first offer of its job, in quantiles since the process started.", m.submitToOffer),
+		newQuantiles(metricNames{"placement_request_duration_seconds", "ask_to_outcome_seconds"},
+			"Time from the start of a placement request to its outcome, in quantiles since the process started.", m.requestToOutcome),
+		newQuantiles(metricNames{current: "step_seconds"}, "Duration of a step of a core, in quantiles since the process started.", m.stepDuration))
 	if address == "" {
 		return m, nil
 	}
@@ -77,28 +85,32 @@
 }
 
 func newCounter(name, help string) prometheus.Counter {
-	return prometheus.NewCounter(prometheus.CounterOpts{Name: "flaxshelf_" + name, Help: help})
+	return prometheus.NewCounter(prometheus.CounterOpts{Name: metricPrefix + name, Help: help})
 }
 
 func newGauge(name, help string) prometheus.Gauge {
-	return prometheus.NewGauge(prometheus.GaugeOpts{Name: "flaxshelf_" + name, Help: help})
+	return prometheus.NewGauge(prometheus.GaugeOpts{Name: metricPrefix + name, Help: help})
+}
+
+// quantiles exports quantiles of a histogram, in seconds, as gauges with a label for the quantile.
+type quantiles struct {
+	metricDescs
+	histogram *latencyHistogram
 }
 
-func newCounterVec(name, help string, labels ...string) *prometheus.CounterVec {
-	return prometheus.NewCounterVec(prometheus.CounterOpts{Name: "flaxshelf_" + name, Help: help}, labels)
+func newQuantiles(names metricNames, help string, histogram *latencyHistogram) *quantiles {
+	labels := []string{quantileLabel}
+	return &quantiles{metricDescs: names.describe(help, labels, labels), histogram: histogram}
 }
 
-// registerQuantiles registers the quantiles of a histogram, in seconds.
-func (m *metrics) registerQuantiles(name string, histogram *latencyHistogram) {
+// Collect implements prometheus.Collector.
+func (q *quantiles) Collect(metrics chan<- prometheus.Metric) {
 	for _, quantile := range []struct {
 		label   string
 		percent float64
 	}{{"0.5", 50}, {"0.99", 99}, {"0.999", 99.9}} {
-		m.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
-			Name:        "flaxshelf_" + name + "_seconds",
-			Help:        "Quantiles since the start.",
-			ConstLabels: prometheus.Labels{"quantile": quantile.label},
-		}, func() float64 { return histogram.seconds(quantile.percent) }))
+		labels := []string{quantile.label}
+		q.export(metrics, prometheus.GaugeValue, q.histogram.seconds(quantile.percent), labels, labels)
 	}
 }
 
@@ -133,9 +145,9 @@
 
 // timeModuleStep runs a step of the module and adds the time that it took.
 func (m *metrics) timeModuleStep(step func()) {
-	began := time.Now()
+	startedAt := time.Now()
 	step()
-	m.moduleSeconds.Add(time.Since(began).Seconds())
+	m.moduleSeconds.Add(time.Since(startedAt).Seconds())
 }
 
 // recordStep records a step of a core.
@@ -149,22 +161,22 @@
 func (m *metrics) recordOutcome(set *settings.Scheduler, info *scheduler.Info) {
 	class := set.Classes[info.Spec.Class].Name
 	if info.State.Ended() {
-		m.jobsEnded.WithLabelValues(class, info.SubState).Inc()
+		m.jobsEnded.inc(classResult{class, scheduler.SubStateTerm(info.SubState), info.SubState})
 		return
 	}
-	m.outcomes.WithLabelValues(class, string(info.Outcome)).Inc()
+	m.outcomes.inc(classResult{class, info.Outcome.Term(), string(info.Outcome)})
 	m.requestToOutcome.record(clock.Now() - info.RequestedAt)
 }
 
 const (
-	maxLatency       = 10 * time.Minute // that a histogram distinguishes from longer ones
+	maxLatency       = 10 * time.Minute // longer latencies are recorded as this one
 	histogramDigits  = 2                // significant decimal digits of a recorded latency
 	minLatencyMicros = 1
 	microsPerSecond  = 1e6
 )
 
 // latencyHistogram is a histogram of latencies since the start, in microseconds. HDR histograms are exact at the high
-// quantiles, which are what matters of a latency. Several goroutines may use it at once.
+// quantiles, by which latencies are judged. It is safe for concurrent use.
 type latencyHistogram struct {
 	mu        sync.Mutex
 	histogram *hdrhistogram.Histogram
@@ -174,7 +186,7 @@
 	return &latencyHistogram{histogram: hdrhistogram.New(minLatencyMicros, maxLatency.Microseconds(), histogramDigits)}
 }
 
-// record adds a latency; one out of range counts as the nearest one in range.
+// record adds a latency. One out of range counts as the nearest one in range.
 func (l *latencyHistogram) record(latency time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -182,7 +194,7 @@
 	_ = l.histogram.RecordValue(micros) // fails only out of range
 }
 
-// seconds is the latency below which the given percentage of all latencies lie.
+// seconds returns the latency, in seconds, below which the given percentage of all latencies lie.
 func (l *latencyHistogram) seconds(percent float64) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/daemon/outcomelog.go
+++ b/internal/daemon/outcomelog.go
@@ -24,11 +24,13 @@
 		Str("session", info.Spec.Session).
 		Str("class", d.settings.Classes[info.Spec.Class].Name).
 		Int("request", info.Request).
-		Str("outcome", string(info.Outcome)).
+		Str("placement_outcome", info.Outcome.Term()).
+		Str("outcome", string(info.Outcome)). // Deprecated: use placement_outcome; removed in 0.2.0
 		Str("attempt", outcome.Attempt).
 		Str("node", info.Node).
 		Str("state", string(info.State)).
-		Str("sub_state", info.SubState).
+		Str("job_sub_state", scheduler.SubStateTerm(info.SubState)).
+		Str("sub_state", info.SubState). // Deprecated: use job_sub_state; removed in 0.2.0
 		Str("reason", info.Reason).
 		Dur("waited_ms", time.Duration(clock.Now()-info.RequestedAt)).
 		Msg(message)
--- a/internal/daemon/testcluster_test.go
+++ b/internal/daemon/testcluster_test.go
@@ -3,6 +3,8 @@
 import (
 	"context"
 	"fmt"
+	"io"
+	"strings"
 	"testing"
 	"time"
 
@@ -36,9 +38,18 @@
 limits: {idle: "20s", request: "500ms", clientOut: 65536, stopWithin: "5s"}
 `
 
+// clusterOptions configure a testCluster. The zero value is a scheduler without nodes.
+type clusterOptions struct {
+	nodes     int
+	configure func(*settings.Scheduler, *nodemodel.Config) // changes the default settings; nil for none
+	hook      Hook                                         // of the daemon; nil for none
+	log       io.Writer                                    // of the daemon; nil for none
+}
+
 // testCluster is a scheduler with an inventory and nodes, all in this process.
 type testCluster struct {
 	t         testing.TB
+	options   clusterOptions
 	settings  *settings.Scheduler
 	inventory *host.Inventory
 	nodes     []*host.Node
@@ -46,26 +57,36 @@
 	client    *drmaa2.Client
 }
 
-// newTestCluster starts a scheduler with nodes; change, if not nil, changes their settings first.
-func newTestCluster(t testing.TB, nodes int, change func(*settings.Scheduler, *nodemodel.Config)) *testCluster {
+// newTestCluster starts a scheduler, its inventory and its nodes, which the end of the test stops.
+func newTestCluster(t testing.TB, options clusterOptions) *testCluster {
 	t.Helper()
 	set, err := settings.ParseScheduler("test", []byte(testScheduler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	model := nodemodel.Config{Cores: 64, Memory: 256, CoreOvercommit: 2, MemoryOvercommit: 2, OfferReviewTime: 100 * time.Microsecond,
-		MaxWaitingOffers: 1000, StartSlots: 64, CachedStartTime: time.Millisecond, UncachedStartFactor: 1, MaxCachedPrograms: 4}
-	if change != nil {
-		change(set, &model)
+	model := nodemodel.Config{
+		Cores:               64,
+		Memory:              256,
+		CoreOvercommit:      2,
+		MemoryOvercommit:    2,
+		OfferReviewTime:     100 * time.Microsecond,
+		MaxWaitingOffers:    1000,
+		StartSlots:          64,
+		CachedStartTime:     time.Millisecond,
+		UncachedStartFactor: 1,
+		MaxCachedPrograms:   4,
+	}
+	if options.configure != nil {
+		options.configure(set, &model)
 	}
-	cluster := &testCluster{t: t, settings: set}
+	cluster := &testCluster{t: t, options: options, settings: set}
 	cluster.inventory, err = host.StartInventory("127.0.0.1:0", inventorymodel.Config{RemovalDelay: 50 * time.Millisecond},
 		zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(cluster.inventory.Stop)
-	cluster.startNodes(nodes, model)
+	cluster.startNodes(model)
 	set.InventoryAddress = cluster.inventory.Addr()
 	cluster.startDaemon()
 	t.Cleanup(func() {
@@ -77,21 +98,21 @@
 	return cluster
 }
 
-// startNodes starts nodes and waits until the inventory lists them.
-func (c *testCluster) startNodes(count int, model nodemodel.Config) {
+// startNodes starts the nodes and waits until the inventory lists them.
+func (c *testCluster) startNodes(model nodemodel.Config) {
 	c.t.Helper()
-	room := host.NewKeyRegistry()
-	for i := range count {
+	keys := host.NewKeyRegistry()
+	for i := range c.options.nodes {
 		model.Name, model.Seed = fmt.Sprintf("n%d", i), uint64(i)
 		node, err := host.StartNode(host.NodeOptions{Model: model, Kind: "k", Listen: "127.0.0.1:0",
-			Inventory: c.inventory.Addr(), Keys: room, Log: zerolog.Nop()})
+			Inventory: c.inventory.Addr(), Keys: keys, Log: zerolog.Nop()})
 		if err != nil {
 			c.t.Fatal(err)
 		}
 		c.t.Cleanup(node.Stop)
 		c.nodes = append(c.nodes, node)
 	}
-	if err := c.inventory.WaitFor(contextWithin(c.t, 10*time.Second), count); err != nil {
+	if err := c.inventory.WaitFor(contextWithin(c.t, 10*time.Second), c.options.nodes); err != nil {
 		c.t.Fatal(err)
 	}
 }
@@ -99,7 +120,11 @@
 // startDaemon starts the daemon and a client of it. A restarted daemon has the same address.
 func (c *testCluster) startDaemon() {
 	c.t.Helper()
-	d, err := Start(c.settings, zerolog.Nop())
+	log := zerolog.Nop()
+	if c.options.log != nil {
+		log = zerolog.New(c.options.log)
+	}
+	d, err := StartHooked(c.settings, log, c.options.hook)
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -146,6 +171,7 @@
 
 // contextWithin is a context that ends after a time, and with the test.
 func contextWithin(t testing.TB, timeout time.Duration) context.Context {
+	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	t.Cleanup(cancel)
 	return ctx
@@ -161,18 +187,36 @@
 	return template
 }
 
-// counterValue is the value of a counter of the daemon.
-func counterValue(t *testing.T, d *Daemon, name string) float64 {
+// metricValues returns the daemon's counters and gauges by series, such as name{label="value"}.
+func metricValues(t *testing.T, d *Daemon) map[string]float64 {
 	t.Helper()
 	families, err := d.metrics.registry.Gather()
 	if err != nil {
 		t.Fatal(err)
 	}
+	values := map[string]float64{}
 	for _, family := range families {
-		if family.GetName() == name {
-			return family.GetMetric()[0].GetCounter().GetValue()
+		for _, metric := range family.GetMetric() {
+			var labels []string
+			for _, label := range metric.GetLabel() {
+				labels = append(labels, fmt.Sprintf("%s=%q", label.GetName(), label.GetValue()))
+			}
+			series := family.GetName()
+			if len(labels) > 0 {
+				series += "{" + strings.Join(labels, ",") + "}"
+			}
+			values[series] = metric.GetCounter().GetValue() + metric.GetGauge().GetValue()
 		}
 	}
-	t.Fatalf("no metric %s", name)
-	return 0
+	return values
+}
+
+// metricValue returns the value of one series of the daemon.
+func metricValue(t *testing.T, d *Daemon, series string) float64 {
+	t.Helper()
+	value, ok := metricValues(t, d)[series]
+	if !ok {
+		t.Fatalf("no metric %s", series)
+	}
+	return value
 }
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -182,7 +182,7 @@
 	wait := max(backoff(job.backoffLevel, reason), c.earliestResubmission(job)-c.now)
 	job.backoffLevel += backoffLevelsOfLoss
 	job.state, job.subState = Requeued, SubBackoff
-	job.reason = "it was " + lostSubState(reason) + " on " + job.nodeID
+	job.reason = "it was " + SubStateTerm(lostSubState(reason)) + " on " + job.nodeID
 	job.nodeID = ""
 	if job.requestOpen { // accepted but not yet running, where running counts as placed
 		c.notifyModule(flaxshelf.TaskCanceled{Task: job.taskID()})
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -80,14 +80,14 @@
 func (c *Core) failOverdue(job *job) {
 	c.notifyModule(flaxshelf.TaskCanceled{Task: job.taskID()})
 	if job.subState == SubRecovering {
-		c.failPlacementRequest(job, OutcomeFailed, "it may run on a node that has not been heard since the scheduler started")
+		c.failPlacementRequest(job, OutcomeFailed, "it may run on a node that has not reported since the scheduler started")
 		return
 	}
 	outcome := OutcomeFailed
 	if job.attemptCount == 0 || c.isIdempotent(job) {
 		outcome = OutcomeRejected
 	}
-	c.failPlacementRequest(job, outcome, "the scheduler was kept from deciding in time")
+	c.failPlacementRequest(job, outcome, "the scheduler did not decide in time")
 }
 
 // failTask carries out the module's decision that a task is not placed.
@@ -106,7 +106,7 @@
 		job.reason = reason
 	}
 	c.closeWithAttempt(job, outcome)
-	subState, defaultReason := SubRejected, "no node took it in time; asking again does no harm"
+	subState, defaultReason := SubRejected, "no node accepted it in time; it is safe to submit it again"
 	if outcome == OutcomeFailed {
 		subState, defaultReason = SubUncertain, "an attempt may have run"
 	}
@@ -167,6 +167,6 @@
 	if job.outcome == OutcomePlaced {
 		c.reject(job.pendingHoldReq, InvalidState, 0, "job %s was placed before the hold", job.id)
 	} else {
-		c.reject(job.pendingHoldReq, InvalidState, 0, "job %s ended before the hold: %s", job.id, job.outcome)
+		c.reject(job.pendingHoldReq, InvalidState, 0, "job %s ended before the hold: %s", job.id, job.outcome.Term())
 	}
 }
