--- a/internal/daemon/core.go
+++ b/internal/daemon/core.go
@@ -193,5 +193,5 @@
 	}
 	r.executeEffects(now, output.Effects)
 	r.daemon.metrics.recordStep(time.Since(began), len(inputs))
-	return output.Wake
+	return output.NextStep
 }
--- a/internal/scheduler/adoption.go
+++ b/internal/scheduler/adoption.go
@@ -7,7 +7,7 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-// apply reconciles the attempts that the node has with those that the core knows, see docs/scheduler.md, "Adoption".
+// apply reconciles the attempts that the node reports with those that the core knows; see docs/scheduler.md, "Adoption".
 func (in NodeUp) apply(c *Core) {
 	node := c.ensureNode(in.Node)
 	restarted := node.reconciled && node.startedAt != in.Started
@@ -27,7 +27,7 @@
 	}
 	for _, attempt := range node.sortedAttempts() {
 		switch {
-		case attempt.phase == phaseConnecting && coldStart: // chosen for the load that the former process could bear
+		case attempt.phase == phaseConnecting && coldStart: // chosen for the capacity of the former process
 			c.endAttempt(attempt, attemptEnd{outcome: flaxshelf.NotSent})
 		case attempt.phase == phaseConnecting:
 			c.sendOffer(attempt)
@@ -39,8 +39,8 @@
 	}
 }
 
-// reportColdStart reports a start of a node to the module that the endpoint list does not show yet. The list may be
-// late or discovery may fail, and a node that is warming up would be offered what its former process could bear.
+// reportColdStart reports a restart of a node to the module before the endpoint list shows it. The list may be delayed or
+// discovery may fail, and a node that is warming up would be offered the load of its former process.
 func (c *Core) reportColdStart(node *node, startedAt Time) {
 	node.coldStartedAt, node.machine.Started = startedAt, startedAt
 	if !node.removed() {
@@ -48,27 +48,27 @@
 	}
 }
 
-// resumeAttempt goes on with an accepted attempt whose node is connected again.
+// resumeAttempt updates an accepted attempt whose node is connected again.
 func (c *Core) resumeAttempt(attempt *attempt) {
 	job := attempt.job
 	switch {
 	case job.stopping || job.migrating || job.state.Ended():
-		c.stopAttempt(attempt) // the former stop may not have arrived
+		c.stopAttempt(attempt) // the earlier stop may have been lost
 	case job.subState == SubUnreachable:
 		job.subState = attempt.phase.subState()
 		c.changed(job)
 	}
 }
 
-// adoptAttempt reconciles one attempt that the node has. The core may know it, may know its job, may know the same work
-// under the key of a later submission, or may know neither, because a former incarnation started it.
+// adoptAttempt reconciles one attempt that the node reports. The core may know the attempt, its job, or a later submission
+// of the same key; it knows none of them if a former incarnation started the attempt.
 func (c *Core) adoptAttempt(node *node, reported RunningAttempt) {
 	if known := c.attempts[reported.Attempt]; known != nil && known.node == node {
 		c.catchUp(known, reported.Running)
 		return
 	}
 	job := c.findRunningJob(reported)
-	if job != nil && job.attempt != nil && job.attempt.phase == phaseConnecting { // not sent: the reported one takes its place
+	if job != nil && job.attempt != nil && job.attempt.phase == phaseConnecting { // not sent, and replaced by the reported one
 		c.endAttempt(job.attempt, attemptEnd{outcome: flaxshelf.NotSent})
 	}
 	switch {
@@ -81,7 +81,7 @@
 	}
 }
 
-// catchUp brings a known attempt to the phase that its node reports: messages before may have been lost.
+// catchUp advances a known attempt to the phase that its node reports, since earlier messages may have been lost.
 func (c *Core) catchUp(known *attempt, started bool) {
 	if known.phase == phaseOffered {
 		c.acceptAttempt(known, flaxshelf.LoadReport{})
@@ -91,7 +91,8 @@
 	}
 }
 
-// findRunningJob finds the job of an attempt by its ID, or else by its key: then the job gets the former ID besides.
+// findRunningJob returns the job of an attempt by its ID or else by its key, or nil if there is none. A job found by its key
+// gets the reported ID as an alias.
 func (c *Core) findRunningJob(reported RunningAttempt) *job {
 	if known := c.jobs[reported.Job]; known != nil || reported.Spec.Key == "" {
 		return known
@@ -105,18 +106,18 @@
 	return resubmitted
 }
 
-// mayAdopt reports whether the attempt becomes the job's own; job is nil for one that the core does not know.
+// mayAdopt reports whether the attempt may become the job's current one. job is nil if the core does not know it.
 func (c *Core) mayAdopt(job *job, reported RunningAttempt) bool {
 	if !c.knownClass(reported.Spec.Class) {
 		return false
 	}
 	if job == nil {
-		return !strings.HasPrefix(reported.Job, c.idPrefix) // of this incarnation: it has its outcome and was removed
+		return !strings.HasPrefix(reported.Job, c.idPrefix) // a job of this incarnation has ended and was removed
 	}
 	return !job.state.Ended() && job.attempt == nil && !job.stopping && !job.onHold()
 }
 
-// newAdoptedJob makes a job of what a former incarnation started.
+// newAdoptedJob adds a job for an attempt that a former incarnation started.
 func (c *Core) newAdoptedJob(reported RunningAttempt) *job {
 	spec := reported.Spec
 	job := &job{
@@ -134,17 +135,17 @@
 	return job
 }
 
-// attachAttempt makes the reported attempt the job's own. It decides the open placement request, if any.
+// attachAttempt makes the reported attempt the job's current one and closes its placement request as placed.
 func (c *Core) attachAttempt(job *job, node *node, reported RunningAttempt) {
 	if job.requestOpen {
 		c.notifyModule(flaxshelf.TaskCanceled{Task: job.taskID()})
 		delete(c.jobsByTask, job.taskID())
 	} else {
-		c.openRequests++ // closePlacementRequest below counts it down
+		c.openRequests++ // closePlacementRequest below decrements it
 		job.requestOpen = true
 	}
 	c.lastSerial++
-	job.taskName = fmt.Sprintf("%s#%d.%d", job.id, job.request, c.lastSerial) // a task that the module does not know yet
+	job.taskName = fmt.Sprintf("%s#%d.%d", job.id, job.request, c.lastSerial) // a new task for the module
 	c.jobsByTask[job.taskID()] = job
 	attempt := &attempt{
 		id:        reported.Attempt,
--- a/internal/scheduler/array.go
+++ b/internal/scheduler/array.go
@@ -2,13 +2,13 @@
 
 import "fmt"
 
-// array is a DRMAA job array. It may bound how many of its jobs are active at once.
+// array is a DRMAA job array. It may limit how many of its jobs are active concurrently.
 type array struct {
 	id, key      string
 	jobs         []*job
 	remaining    int // jobs that have not been removed
-	maxParallel  int // active jobs; 0 stands for all
-	active       int // jobs that were admitted and have not ended
+	maxParallel  int // active jobs; zero means no limit
+	active       int // admitted jobs that have not ended
 	firstWaiting int // index in jobs: those before it were admitted or have ended
 }
 
@@ -44,8 +44,8 @@
 	c.admitFromArray(array)
 }
 
-// admitFromArray admits jobs in the order of their indexes while the array's limit allows. One on hold is passed over;
-// its release calls admitFromArray again.
+// admitFromArray admits jobs in the order of their indexes up to the array's limit. Jobs on hold are skipped; their
+// release calls admitFromArray again.
 func (c *Core) admitFromArray(array *array) {
 	allBeforeAdmitted := true
 	for i := array.firstWaiting; i < len(array.jobs) && !array.full(); i++ {
@@ -61,7 +61,7 @@
 	}
 }
 
-// arrayJobEnded admits another job in place of one that has ended.
+// arrayJobEnded admits the next job of an array after one has ended.
 func (c *Core) arrayJobEnded(ended *job) {
 	if ended.admitted {
 		ended.array.active--
@@ -69,7 +69,7 @@
 	}
 }
 
-// arrayJobRemoved removes an array with the last of its jobs.
+// arrayJobRemoved counts a removed job, and removes the array with its last job.
 func (c *Core) arrayJobRemoved(array *array) {
 	array.remaining--
 	if array.remaining > 0 {
--- a/internal/scheduler/attempt.go
+++ b/internal/scheduler/attempt.go
@@ -8,12 +8,12 @@
 	"flaxshelf.example/flaxshelf/internal/timerqueue"
 )
 
-// attemptPhase is how far an attempt has come. Phases are passed in their order; some may be skipped.
+// attemptPhase is the phase of an attempt. Phases follow each other in this order; some may be skipped.
 type attemptPhase int
 
 const (
-	phaseConnecting attemptPhase = iota // waits for the connection to its node; nothing has been sent
-	phaseOffered                        // sent; the node's reply is waited for
+	phaseConnecting attemptPhase = iota // awaits the connection to its node; nothing has been sent
+	phaseOffered                        // sent; awaits the node's reply
 	phaseAccepted
 	phaseRunning
 	phaseEnded
@@ -23,15 +23,15 @@
 	return [...]string{"connecting", "offered", "accepted", "running", "ended"}[p]
 }
 
-// subState is the sub-state of a job whose attempt is in the phase.
+// subState returns the sub-state of a job whose attempt is in the phase.
 func (p attemptPhase) subState() string {
 	return [...]string{SubOffered, SubOffered, SubAccepted, SubRunning, SubWaiting}[p]
 }
 
-// attempt is one offer of a job to a node, until the core has reported to the module how it ended.
+// attempt is one offer of a job to a node and, if accepted, its run.
 type attempt struct {
 	id        string // unique over all incarnations of this scheduler
-	taskID    string // the module's name for the placement request
+	taskID    string // the module's ID of the placement request
 	number    int    // the module's number of the attempt
 	job       *job
 	node      *node
@@ -43,19 +43,19 @@
 	timer     *timerqueue.Timer // ends the current phase
 }
 
-// attemptEnd is how an attempt ended, as it is reported to the module.
+// attemptEnd is how an attempt ended, as reported to the module.
 type attemptEnd struct {
 	outcome flaxshelf.Outcome
 	reason  flaxshelf.Reason
 	load    flaxshelf.LoadReport
 }
 
-// provesNotRun reports whether an attempt that ended so has never run.
+// provesNotRun reports whether an attempt with this end has certainly not run.
 func (e attemptEnd) provesNotRun() bool {
 	return e.outcome == flaxshelf.Rejected || e.outcome == flaxshelf.Unreachable || e.outcome == flaxshelf.NotSent
 }
 
-// startOffer carries out the module's choice of a node.
+// startOffer offers a task to the node that the module has chosen. An offer that is no longer possible ends as NotSent.
 func (c *Core) startOffer(offer flaxshelf.Offer) {
 	job, node := c.jobsByTask[offer.Task], c.nodes[offer.Machine]
 	if job == nil || node == nil || job.taskID() != offer.Task {
@@ -77,7 +77,7 @@
 	}
 }
 
-// newAttempt makes the job's next attempt. Its timeout ends with the placement request at the latest.
+// newAttempt adds the job's next attempt. Its timeout ends at the deadline of the placement request or earlier.
 func (c *Core) newAttempt(job *job, node *node, offer flaxshelf.Offer) *attempt {
 	timeout := offer.Timeout
 	if left := job.placementDeadline - c.now; timeout <= 0 || timeout > left {
@@ -100,14 +100,14 @@
 	return attempt
 }
 
-// addAttempt makes an attempt the current one of its job.
+// addAttempt stores an attempt as the current one of its job.
 func (c *Core) addAttempt(attempt *attempt) {
 	c.attempts[attempt.id] = attempt
 	attempt.node.attempts[attempt.id] = attempt
 	attempt.job.attempt = attempt
 }
 
-// sendOffer sends the offer of an attempt whose node is connected.
+// sendOffer sends the offer of an attempt whose node is connected, or retries later while a sync is in progress.
 func (c *Core) sendOffer(attempt *attempt) {
 	left := attempt.offeredAt + attempt.timeout - c.now
 	c.timers.Cancel(attempt.timer)
@@ -115,7 +115,7 @@
 		c.endAttempt(attempt, attemptEnd{outcome: flaxshelf.NotSent})
 		return
 	}
-	if c.barrier.active() { // a drain of this node may be among the messages that have not been read yet
+	if c.barrier.active() { // unread messages may include a drain of this node
 		attempt.timer = c.timers.Schedule(c.soon(), func() {
 			if attempt.phase == phaseConnecting && attempt.node.connected {
 				c.sendOffer(attempt)
@@ -142,7 +142,7 @@
 	})
 }
 
-// stopAttempt asks the node to drop or stop an attempt, once for each connection.
+// stopAttempt sends a stop for an attempt, once per connection.
 func (c *Core) stopAttempt(attempt *attempt) {
 	if !attempt.stopSent && attempt.node.connected {
 		attempt.stopSent = true
@@ -150,7 +150,7 @@
 	}
 }
 
-// currentAttempt is the attempt of a task that has not ended; nil for none.
+// currentAttempt returns the attempt of a task that has not ended, or nil if there is none.
 func (c *Core) currentAttempt(taskID string) *attempt {
 	job := c.jobsByTask[taskID]
 	if job == nil || job.attempt == nil || job.attempt.taskID != taskID {
@@ -159,7 +159,7 @@
 	return job.attempt
 }
 
-// cancelOffer carries out the module's cancellation of an offer that has no reply yet.
+// cancelOffer cancels an offer without a reply.
 func (c *Core) cancelOffer(cancel flaxshelf.Cancel) {
 	attempt := c.currentAttempt(cancel.Task)
 	if attempt == nil || attempt.number != cancel.Attempt || attempt.phase > phaseOffered {
@@ -173,7 +173,7 @@
 	c.endAttempt(attempt, attemptEnd{outcome: outcome})
 }
 
-// migrate stops a placed attempt. The job gets another placement request when the node has confirmed that.
+// migrate stops a placed attempt. The job is requeued when the node has confirmed the stop.
 func (c *Core) migrate(migrate flaxshelf.Migrate) {
 	attempt := c.currentAttempt(migrate.Task)
 	if attempt == nil || attempt.phase < phaseAccepted {
@@ -193,7 +193,7 @@
 	}
 	if job.attempt != attempt || job.state.Ended() || job.stopping || job.onHold() {
 		c.reportPlaced(attempt)
-		c.stopAttempt(attempt) // its job does not want it any more
+		c.stopAttempt(attempt) // its job no longer needs it
 		return
 	}
 	job.subState = SubAccepted
@@ -204,7 +204,7 @@
 	}
 }
 
-// markPlaced closes the placement request with an attempt that was accepted, or runs where that counts.
+// markPlaced closes the placement request of an attempt that counts as placed, see countsAsPlaced.
 func (c *Core) markPlaced(attempt *attempt) {
 	c.reportPlaced(attempt)
 	c.closePlacementRequest(attempt.job, OutcomePlaced, attempt.id)
@@ -251,12 +251,12 @@
 	})
 }
 
-// loseAttempt ends an attempt whose node is gone or does not have it.
+// loseAttempt ends an attempt whose node is unreachable, was removed or does not have it.
 func (c *Core) loseAttempt(attempt *attempt) {
 	c.endAttempt(attempt, attemptEnd{outcome: flaxshelf.Lost})
 }
 
-// endAttempt reports to the module how an attempt ended, once, and goes on with the job.
+// endAttempt reports the end of an attempt to the module, once, and updates the job.
 func (c *Core) endAttempt(attempt *attempt, end attemptEnd) {
 	if attempt.phase == phaseEnded {
 		return
@@ -301,7 +301,8 @@
 	}
 }
 
-// countsAsPlaced reports whether an attempt in the phase has been reported to the module as placed.
+// countsAsPlaced reports whether an attempt in the phase has been reported to the module as placed: from its acceptance or,
+// with Config.PlacedWhenRunning, from its start.
 func (c *Core) countsAsPlaced(phase attemptPhase) bool {
 	if c.cfg.Module.PlacedWhenRunning {
 		return phase == phaseRunning
@@ -309,7 +310,7 @@
 	return phase >= phaseAccepted
 }
 
-// continueUnplaced goes on with a job whose offer has ended without having been accepted.
+// continueUnplaced updates a job whose offer has ended without being accepted.
 func (c *Core) continueUnplaced(job *job) {
 	job.nodeID = ""
 	switch {
--- a/internal/scheduler/attempt_messages.go
+++ b/internal/scheduler/attempt_messages.go
@@ -2,7 +2,7 @@
 
 import "flaxshelf.example/flaxshelf"
 
-// findAttempt finds the attempt that a node's message names; nil for one that the core has given up.
+// findAttempt returns the attempt that a node's message refers to, or nil if it has ended for the core.
 func (c *Core) findAttempt(nodeID, attemptID string) *attempt {
 	attempt := c.attempts[attemptID]
 	if attempt == nil || attempt.node.machine.ID != nodeID {
@@ -11,8 +11,8 @@
 	return attempt
 }
 
-// findOrStopAttempt is findAttempt for messages of attempts that run or may begin to: one that was given up is
-// stopped, since it must not run beside its successor.
+// findOrStopAttempt is findAttempt for messages of attempts that run or may start. It stops an attempt that has ended for
+// the core, since it must not run concurrently with its successor.
 func (c *Core) findOrStopAttempt(nodeID, attemptID string) *attempt {
 	attempt := c.findAttempt(nodeID, attemptID)
 	if attempt == nil {
@@ -80,7 +80,7 @@
 	c.endAttempt(attempt, in.attemptEnd())
 }
 
-// attemptEnd is the module's view of the message.
+// attemptEnd returns the end that is reported to the module.
 func (in AttemptEnded) attemptEnd() attemptEnd {
 	switch in.End {
 	case EndCompleted:
--- a/internal/scheduler/command.go
+++ b/internal/scheduler/command.go
@@ -2,7 +2,7 @@
 
 import "flaxshelf.example/flaxshelf"
 
-// apply acts on a job, or on each job of an array.
+// apply executes a command on a job, or on each job of an array.
 func (in Command) apply(c *Core) {
 	if array := c.arrays[in.Job]; array != nil {
 		for _, job := range array.jobs {
@@ -34,7 +34,7 @@
 	}
 }
 
-// rejectVerb answers a command that the job's state does not allow.
+// rejectVerb rejects a command that is not allowed in the job's state.
 func (c *Core) rejectVerb(req uint64, verb Verb, job *job) {
 	c.reject(req, InvalidState, 0, "job %s is %s, which %s does not apply to", job.id, job.state, verb)
 }
@@ -47,7 +47,7 @@
 		c.rejectVerb(req, Hold, job)
 	case job.attempt != nil:
 		c.holdOffered(req, job)
-	case c.outcomeUnknown(job): // the module decides its outcome in a moment
+	case c.outcomeUnknown(job): // the module decides its outcome shortly
 		c.reject(req, InvalidState, 0, "job %s may have run and can't be held", job.id)
 	default:
 		c.holdJob(job)
@@ -82,8 +82,8 @@
 	c.removeJob(job)
 }
 
-// holdOffered holds a job that is offered to a node: the node's reply decides whether the hold or the offer wins. The
-// module is notified at once that the task is canceled, so it makes no further offer.
+// holdOffered holds a job that is offered to a node, unless the node accepts the offer. The module is notified at once that
+// the task is canceled, so that it makes no further offer.
 func (c *Core) holdOffered(req uint64, job *job) {
 	offer := job.attempt
 	if offer.phase >= phaseAccepted || job.holdPending {
@@ -96,13 +96,13 @@
 	c.whenUnplaced(offer, func() { c.completeHold(job) })
 }
 
-// completeHold holds a job whose offer has ended unplaced.
+// completeHold holds a job whose offer has ended without being accepted.
 func (c *Core) completeHold(job *job) {
 	if !job.holdPending || job.state.Ended() {
 		return
 	}
-	// A report that the start failed may cross the stop. Held and released, the job would get a new placement request,
-	// and the module does not know the attempts of the former one.
+	// A report of a failed start may cross the stop. A hold and a release would open a new placement request, in which the
+	// module does not know the attempts of the former one.
 	if c.outcomeUnknown(job) {
 		c.failPlacementRequest(job, OutcomeFailed, "an attempt may have run before it could be held")
 		return
@@ -112,8 +112,8 @@
 	c.answerJob(job.pendingHoldReq, job)
 }
 
-// whenUnplaced calls done once an offer has ended without having been accepted, and never if it is accepted. It polls:
-// an attempt in flight ends after its timeout at the latest.
+// whenUnplaced calls done when an offer has ended without being accepted. It does not call done if the offer is accepted.
+// It polls until the attempt ends, which is at its timeout or earlier.
 func (c *Core) whenUnplaced(offer *attempt, done func()) {
 	if offer.phase == phaseEnded {
 		done()
@@ -153,7 +153,7 @@
 	c.placeWhenReady(job)
 }
 
-// terminateJob ends a job for good. An attempt that may run is stopped first; a job that waits ends at once.
+// terminateJob ends a job: at once if it waits, or else after its attempt has stopped.
 func (c *Core) terminateJob(job *job) {
 	if job.state.Ended() || job.stopping {
 		return
--- a/internal/scheduler/config.go
+++ b/internal/scheduler/config.go
@@ -7,30 +7,30 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-// Time is the host's clock in nanoseconds of Unix time. It never goes back.
+// Time is a time of the host's clock, in nanoseconds since the Unix epoch. It does not decrease.
 type Time = flaxshelf.Time
 
-// Limits bound what a Core keeps and how long it waits. All of them must be above zero.
+// Limits bound how much a Core stores and how long it waits. All of them must be above zero.
 type Limits struct {
 	MaxPending  int // jobs whose placement request is open; submissions beyond it are rejected with TryLater
 	MaxRunning  int // jobs that have not ended; submissions beyond it are rejected with TryLater
-	MaxFinished int // ended jobs kept for queries; the oldest is removed first
+	MaxFinished int // ended jobs retained for queries; the oldest is removed first
 	MaxSessions int // job sessions
 
-	Retention  time.Duration // how long an ended job is kept
-	SettleTime time.Duration // how long a possibly running attempt is waited for before the work may start again
+	Retention  time.Duration // of an ended job
+	SettleTime time.Duration // how long to wait for an attempt that may be running before its work may start again
 
-	PlacementTimeouts []time.Duration // of each class: how long a placement request may stay open
-	StallThreshold    time.Duration   // a step that comes this long after the last one is taken for a stall
+	PlacementTimeouts []time.Duration // by class: how long a placement request may stay open
+	StallThreshold    time.Duration   // an interval between two steps that counts as a stall of the process
 }
 
-// Module chooses placements: a flaxshelf.Placer, or a baseline in its place. The core calls it from the goroutine that
-// calls Core.Step.
+// Module chooses placements. It is a flaxshelf.Placer, or a baseline for comparison. The core calls it from the goroutine
+// that calls Core.Step.
 type Module interface {
 	Step(now Time, events []flaxshelf.Event) []flaxshelf.Action
 }
 
-// Config configures a Core. The core keeps a copy; the host must not change what its slices refer to.
+// Config configures a Core. The core stores a shallow copy; the host must not change the elements of its slices.
 type Config struct {
 	Module    flaxshelf.Config // the module's own configuration
 	Seed      uint64           // of the module's random choices
@@ -38,23 +38,24 @@
 	StartedAt Time             // start of this incarnation
 	Limits    Limits
 
-	// NewModule makes the module; nil stands for flaxshelf.New. Experiments put baselines in its place.
+	// NewModule creates the module; nil means flaxshelf.New. Experiments use it to run baselines.
 	NewModule func(cfg flaxshelf.Config, seed uint64) (Module, error)
-	// RecordStep, when set, receives each step of the module. It must not keep or change the slices.
+	// RecordStep, when set, receives each step of the module. It must not retain or change the slices.
 	RecordStep func(now Time, events []flaxshelf.Event, actions []flaxshelf.Action)
-	// DisabledGuards switches off guards of the core, for tests that show whether the module alone keeps a rule.
+	// DisabledGuards disables guards of the core, for tests of whether the module enforces a rule by itself.
 	DisabledGuards Guards
-	// WrapStep, when set, runs each step of the module, so that a host can measure its share. It must call step.
+	// WrapStep, when set, is called for each step of the module, so that a host can measure its duration. It must call
+	// step.
 	WrapStep func(step func())
 }
 
-// Guards are the rules that the core enforces although the module enforces them already.
+// Guards are the rules that the core enforces in addition to the module.
 type Guards struct {
 	Drain  bool // no offer to a node that is draining
-	Answer bool // an outcome where the module gave none in time
+	Answer bool // an outcome if the module has not given one in time
 }
 
-// ConfigError reports a value of a Config that a Core can't work with.
+// ConfigError reports an invalid value of a Config.
 type ConfigError struct {
 	Field  string // as in Config, such as Limits.MaxPending
 	Value  any
@@ -65,7 +66,7 @@
 	return fmt.Sprintf("scheduler: Config.%s is %v: %s", e.Field, e.Value, e.Reason)
 }
 
-// validate returns a *ConfigError for the first value that is out of bounds.
+// validate returns a *ConfigError for the first invalid value.
 func (cfg *Config) validate() error {
 	if cfg.Name == "" {
 		return &ConfigError{Field: "Name", Value: `""`, Reason: "a scheduler needs a name"}
--- a/internal/scheduler/core.go
+++ b/internal/scheduler/core.go
@@ -9,25 +9,25 @@
 	"flaxshelf.example/flaxshelf/internal/timerqueue"
 )
 
-// moduleFirstWake makes the module's first step come at once: it subscribes to discovery then.
-const moduleFirstWake Time = 1
+// firstModuleStep is a time in the past, so that the module's first step, in which it subscribes to discovery, is that of
+// the core.
+const firstModuleStep Time = 1
 
-// Core is the state machine of one scheduler. Its zero value is of no use; see New. It is not safe for
-// concurrent use.
+// Core is the state machine of one scheduler. Its zero value is not usable; see New. It is not safe for concurrent use.
 type Core struct {
 	cfg        Config
 	module     Module
 	now        Time
-	lastStepAt Time     // time of the step before this one; 0 before the first
+	lastStepAt Time     // time of the previous step; zero before the first
 	effects    []Effect // of this step
 
-	moduleWakeAt Time // when the module wants to be stepped; 0 for never
+	moduleStepAt Time // of the module's timer; zero means no timer is set
 	moduleEvents []flaxshelf.Event
 
-	idPrefix       string // of the IDs that this incarnation gives
+	idPrefix       string // of the IDs that this incarnation assigns
 	lastJobNumber  uint64 // of jobs and arrays
 	lastSerial     uint64 // of attempts
-	lastRevision   uint64 // of changes of jobs
+	lastRevision   uint64 // of changes to jobs
 	jobs           map[string]*job
 	jobsByKey      map[string]*job
 	jobsByTask     map[string]*job // by the module's task ID, while the placement request or one of its attempts is open
@@ -51,7 +51,7 @@
 	drainReported bool
 }
 
-// New makes the core of one scheduler in a new incarnation. The error is a *ConfigError, or wraps the error of
+// New returns the core of one scheduler in a new incarnation. The error is a *ConfigError, or wraps the error of
 // Config.NewModule.
 func New(cfg Config) (*Core, error) {
 	if err := cfg.validate(); err != nil {
@@ -67,7 +67,7 @@
 	return &Core{
 		cfg:          cfg,
 		module:       module,
-		moduleWakeAt: moduleFirstWake,
+		moduleStepAt: firstModuleStep,
 		idPrefix:     IDPrefix(cfg.Name, cfg.StartedAt),
 		jobs:         map[string]*job{},
 		jobsByKey:    map[string]*job{},
@@ -81,14 +81,14 @@
 	}, nil
 }
 
-// IDPrefix is what the IDs of all jobs and arrays begin with that a scheduler of that name gives in the incarnation
+// IDPrefix returns the prefix of the IDs of all jobs and arrays that a scheduler of that name creates in the incarnation
 // that started at startedAt.
 func IDPrefix(name string, startedAt Time) string {
 	return name + "." + strconv.FormatInt(int64(startedAt/time.Millisecond), 36) + "."
 }
 
-// Step applies the inputs that arrived since the last step and returns what to do now. Time must not go back; where a
-// host's clock does, the core stays at the latest time it has seen.
+// Step applies the inputs that arrived since the last step and returns the effects to execute. A time before that of an
+// earlier step counts as the latest time that Step was called with.
 func (c *Core) Step(now Time, inputs []Input) Output {
 	c.now = max(now, c.now)
 	c.effects = make([]Effect, 0, len(c.effects)+8)
@@ -104,11 +104,12 @@
 	c.expireEndedJobs()
 	c.reportDrained()
 	c.lastStepAt = c.now
-	return Output{Effects: c.effects, Wake: c.nextWake()}
+	return Output{Effects: c.effects, NextStep: c.nextStep()}
 }
 
-// nextWake is never later than a quarter of the stall threshold, so that a step which comes late is known for a stall.
-func (c *Core) nextWake() Time {
+// nextStep returns the time of the next step. It is at most a quarter of the stall threshold ahead, so that a longer
+// interval between two steps is evidence of a stall.
+func (c *Core) nextStep() Time {
 	at := c.now + c.cfg.Limits.StallThreshold/4
 	if c.barrier.active() {
 		return min(at, c.barrier.deadline)
@@ -116,8 +117,8 @@
 	if next, ok := c.timers.Next(); ok {
 		at = min(at, next)
 	}
-	if c.moduleWakeAt > 0 {
-		at = min(at, c.moduleWakeAt)
+	if c.moduleStepAt > 0 {
+		at = min(at, c.moduleStepAt)
 	}
 	if len(c.moduleEvents) > 0 {
 		at = min(at, c.now+c.cfg.Module.Tick)
@@ -127,7 +128,7 @@
 
 func (c *Core) emit(effect Effect) { c.effects = append(c.effects, effect) }
 
-// answer answers a request; 0 stands for one that wants no answer, as a command on one job of an array.
+// answer answers a request. Zero means a request without an answer, such as a command on one job of an array.
 func (c *Core) answer(req uint64, answer Answer) {
 	if req != 0 {
 		answer.Req = req
@@ -143,14 +144,14 @@
 	c.answer(req, Answer{Array: array.id, Jobs: array.infos()})
 }
 
-// reject answers a request with an error. retryAfter is 0 where a retry is not expected to help.
+// reject answers a request with an error. A retryAfter of zero means that a retry is not expected to succeed.
 func (c *Core) reject(req uint64, code ErrorCode, retryAfter time.Duration, format string, args ...any) {
 	c.answer(req, Answer{Err: newError(code, retryAfter, format, args...)})
 }
 
 func (Drain) apply(c *Core) { c.draining = true }
 
-// reportDrained reports once that a draining core has no open placement request any more.
+// reportDrained reports once that a draining core has no more open placement requests.
 func (c *Core) reportDrained() {
 	if c.draining && c.openRequests == 0 && !c.drainReported {
 		c.drainReported = true
--- a/internal/scheduler/effect.go
+++ b/internal/scheduler/effect.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// Output is what a step asks of its host.
+// Output is the result of a step, to be executed by the host.
 type Output struct {
-	Effects []Effect // to execute in order
-	Wake    Time     // step again at this time at the latest
+	Effects  []Effect // to execute in order
+	NextStep Time     // the latest time of the next step
 }
 
 // Effect is one of the effect types below.
 type Effect interface{ effect() }
 
 type (
-	// SendOffer offers a job to a node, which drops it unread after ValidFor.
+	// SendOffer offers a job to a node, which discards the offer after ValidFor.
 	SendOffer struct {
 		Node, Attempt, Job string
 		Request            int // number of the placement request
@@ -22,19 +22,19 @@
 	}
 	// SendStop cancels an offer or stops an accepted attempt.
 	SendStop struct{ Node, Attempt string }
-	// SendAck tells the node that its AttemptEnded was received, so it may forget the attempt.
+	// SendAck acknowledges an AttemptEnded to its node, which may then forget the attempt.
 	SendAck struct{ Node, Attempt string }
-	// SendHealthCheck asks a node for its load.
+	// SendHealthCheck requests a load report from a node.
 	SendHealthCheck struct{ Node string }
-	// Connect asks the host to keep a connection to the node until Disconnect.
+	// Connect requests a connection to the node, which the host maintains until Disconnect.
 	Connect struct{ Node string }
 	// Disconnect closes the connection to a node that was removed.
 	Disconnect struct{ Node string }
-	// SubscribeDiscovery asks discovery for the endpoint list and for its changes.
+	// SubscribeDiscovery requests the endpoint list and its changes from discovery.
 	SubscribeDiscovery struct{}
-	// SyncDiscovery asks for a DiscoverySynced with the same token, behind all that discovery has sent before.
+	// SyncDiscovery requests a DiscoverySynced with the same token, after everything that discovery has already sent.
 	SyncDiscovery struct{ Token uint64 }
-	// SyncNode asks for a NodeSynced with the same token, behind all that the node has sent before.
+	// SyncNode requests a NodeSynced with the same token, after everything that the node has already sent.
 	SyncNode struct {
 		Node  string
 		Token uint64
@@ -45,7 +45,7 @@
 		Err      *Error
 		Jobs     []Info
 		Array    string
-		Existing bool // the submission's key was known: Jobs are those of the earlier submission
+		Existing bool // the submission's key is known, and Jobs are those of the earlier submission
 		Sessions []string
 		Machines []MachineInfo
 	}
@@ -57,9 +57,9 @@
 	// LogOutcome logs how a placement request or a job ended.
 	LogOutcome struct {
 		Info    Info
-		Attempt string // that decided the placement request; empty for none
+		Attempt string // that decided the placement request; empty if none did
 	}
-	// Drained reports that the core is draining and no placement request is open any more.
+	// Drained reports that the core is draining and has no more open placement requests.
 	Drained struct{}
 )
 
--- a/internal/scheduler/errors.go
+++ b/internal/scheduler/errors.go
@@ -8,7 +8,7 @@
 // ErrorCode names an error of DRMAA version 2, section 5 of GFD.194.
 type ErrorCode string
 
-// The errors that a Core answers with.
+// The errors of a Core.
 const (
 	InvalidArgument ErrorCode = "InvalidArgument"
 	InvalidState    ErrorCode = "InvalidState"
@@ -22,7 +22,7 @@
 type Error struct {
 	Code       ErrorCode
 	Message    string
-	RetryAfter time.Duration // 0 where a retry is not expected to help
+	RetryAfter time.Duration // zero means that a retry is not expected to succeed
 }
 
 func (e *Error) Error() string { return string(e.Code) + ": " + e.Message }
--- a/internal/scheduler/info.go
+++ b/internal/scheduler/info.go
@@ -9,7 +9,7 @@
 // State is a job state of DRMAA version 2, section 7.1 of GFD.194.
 type State string
 
-// The job states. Suspended ones do not occur: nodes don't suspend jobs.
+// The job states. DRMAA's SUSPENDED does not occur, since nodes do not suspend jobs.
 const (
 	Undetermined State = "UNDETERMINED"
 	Queued       State = "QUEUED"
@@ -24,31 +24,32 @@
 // Ended reports whether s is final.
 func (s State) Ended() bool { return s == Done || s == Failed }
 
-// Sub-states refine a State. DRMAA leaves their names to the implementation.
+// Sub-states refine a State. DRMAA leaves them to the implementation. Their values are part of the client protocol; see
+// SubStateTerm for the terms of logs and metrics.
 const (
-	SubWaiting     = "waiting"     // the module looks for a node
-	SubRecovering  = "recovering"  // waits until the nodes have reported what they run
+	SubWaiting     = "waiting"     // for the module to choose a node
+	SubRecovering  = "recovering"  // waits until the nodes have reported their attempts
 	SubStartTime   = "start-time"  // waits for its start time
 	SubArrayLimit  = "array-limit" // waits for a slot of its array
-	SubOffered     = "offered"     // an offer waits for its node's reply, or for the connection to it
-	SubAccepted    = "accepted"    // a node has accepted it and has not started it yet
+	SubOffered     = "offered"     // an offer awaits the node's reply or the connection to the node
+	SubAccepted    = "accepted"    // a node has accepted but not started it
 	SubRunning     = "running"
-	SubUnreachable = "unreached" // accepted or running on a node that is not connected now
-	SubStopping    = "stopping"  // its owner terminated it, and the node has not confirmed that yet
-	SubRejected    = "refused"   // it never ran, or running it again does no harm
+	SubUnreachable = "unreached" // accepted or running on a node that is not connected
+	SubStopping    = "stopping"  // its owner has terminated it; the node has not confirmed that
+	SubRejected    = "refused"   // it never ran, or is idempotent
 	SubUncertain   = "uncertain" // an attempt may have run
 	SubTerminated  = "terminated"
 	SubEvicted     = "evicted"
 	SubPreempted   = "pushed-out"
 	SubDrainedAway = "sent-away"
-	SubLost        = "lost" // its node is gone or does not have it any more
+	SubLost        = "lost" // its node was removed, or no longer has it
 	SubExited      = "exited"
 	SubStartFailed = "broke"
 	SubHeld        = "held"
-	SubBackoff     = "backoff" // waits before its next placement request
+	SubBackoff     = "backoff" // delays its next placement request
 )
 
-// Spec is a job as it was submitted. The client protocol has validated it.
+// Spec is a job as submitted. It has been validated by the client protocol.
 type Spec struct {
 	Key, Session, Name, Owner, Service string
 
@@ -58,21 +59,22 @@
 	Priority         int
 	Rerunnable, Hold bool
 	Retry            bool          // the owner has submitted this key before
-	PlacementTimeout time.Duration // 0 stands for the one of the class
-	NotBefore        Time          // DRMAA startTime; 0 stands for at once
-	Deadline         Time          // DRMAA deadlineTime; 0 stands for none
-	Template         []byte        // the DRMAA job template as the client protocol wants it back, opaque to the core
+	PlacementTimeout time.Duration // zero means that of the class
+	NotBefore        Time          // DRMAA startTime; zero means none
+	Deadline         Time          // DRMAA deadlineTime; zero means none
+	Template         []byte        // the encoded DRMAA job template, opaque to the core
 }
 
-// Outcome is how a placement request ended. Each request has exactly one.
+// Outcome is how a placement request ended. Each request has exactly one. Its values are part of the client protocol; see
+// Term for the terms of logs and metrics.
 type Outcome string
 
 // The outcomes of a placement request.
 const (
 	OutcomePlaced   Outcome = "placed"
-	OutcomeRejected Outcome = "refused"   // it never ran, or running it again does no harm
+	OutcomeRejected Outcome = "refused"   // it never ran, or is idempotent
 	OutcomeFailed   Outcome = "failed"    // it may have run
-	OutcomeCanceled Outcome = "withdrawn" // its owner held or terminated the job first
+	OutcomeCanceled Outcome = "withdrawn" // its owner has held or terminated the job
 )
 
 // Info is a snapshot of a job.
@@ -89,13 +91,13 @@
 	Attempts          int     // of the last placement request
 	Exit              int     // exit status
 	Signal            string
-	Reason            string // why it ended or waits, in words
+	Reason            string // why it ended or waits, for people
 	SubmittedAt       Time
 	RequestedAt       Time // when the last placement request was opened
-	PlacementDeadline Time // when the last placement request is given up
+	PlacementDeadline Time // of the last placement request
 	StartedAt         Time
 	FinishedAt        Time
-	Revision          uint64 // grows with each change of any job of this core
+	Revision          uint64 // increases with each change of any job of this core
 }
 
 // MachineInfo is a node as this scheduler knows it.
--- a/internal/scheduler/input.go
+++ b/internal/scheduler/input.go
@@ -2,19 +2,19 @@
 
 import "flaxshelf.example/flaxshelf"
 
-// Input is one of the input types below. Req is the host's own number for a request, given back in Answer; 0 asks for
-// no answer. Each type applies itself to the core; its method is defined with the code of its subject.
+// Input is one of the input types below. Req is a number that the host assigns to a request and that the Answer repeats;
+// zero means that no answer is wanted. Each type's apply method is defined in the file of its subject.
 type Input interface{ apply(c *Core) }
 
 // The requests of clients.
 type (
-	// Submit asks for one job, or for an array when Indexes is not empty.
+	// Submit submits one job, or an array if Indexes is not empty.
 	Submit struct {
 		Req         uint64
-		ReceivedAt  Time // when it reached the host, from which its placement timeout runs; 0 stands for now
+		ReceivedAt  Time // when it reached the host, which starts its placement timeout; zero means now
 		Spec        Spec
 		Indexes     []int
-		MaxParallel int // jobs of the array that run at once; 0 stands for all
+		MaxParallel int // jobs of the array that may be active concurrently; zero means no limit
 	}
 	// Command acts on a job or on each job of an array.
 	Command struct {
@@ -22,8 +22,8 @@
 		Verb Verb // Hold, Release, Terminate or Reap
 		Job  string
 	}
-	// Query asks for jobs: one by its ID, an array, or those of a session (empty: all), in the order of their IDs,
-	// beginning behind After and at most Limit of them.
+	// Query requests a job or an array by its ID. Without an ID it requests the jobs of a session, or of all sessions if
+	// Session is empty: at most Limit of them with IDs above After, ordered by ID.
 	Query struct {
 		Req                 uint64
 		Job, Session, After string
@@ -35,27 +35,28 @@
 		Verb Verb
 		Name string
 	}
-	// Machines asks for the nodes as this scheduler knows them.
+	// Machines requests the nodes that this scheduler knows.
 	Machines struct{ Req uint64 }
-	// Watch publishes every change of a job, an array or a session's jobs (empty: all) to Stream until Unwatch,
-	// beginning with what has changed since revision Since.
+	// Watch publishes every change of a job, of an array or of a session's jobs to Stream until Unwatch, starting with the
+	// changes since revision Since. An empty Job and Session mean all jobs.
 	Watch struct {
 		Req, Stream, Since uint64
 		Job, Session       string
 	}
 	// Unwatch ends a Watch.
 	Unwatch struct{ Stream uint64 }
-	// Drain tells the core to reject new work and to finish the open placement requests.
+	// Drain makes the core reject new work and finish the open placement requests.
 	Drain struct{}
 )
 
 // The messages of nodes and the state of the connections to them.
 type (
-	// NodeUp reports that a connection to the node is established, and which of our attempts the node has.
+	// NodeUp reports that a connection to the node is established, and which of this scheduler's
+	// attempts the node has.
 	NodeUp struct {
 		Node      string
 		Started   Time // when the node's process started
-		MayBeCold bool // it may still be warming up
+		MayBeCold bool // the node may still be warming up
 		Running   []RunningAttempt
 		Ended     []AttemptEnded // not acknowledged yet
 	}
@@ -66,7 +67,7 @@
 		Node, Attempt string
 		Load          flaxshelf.LoadReport
 	}
-	// AttemptRejected is proof that the attempt never ran.
+	// AttemptRejected reports that the node has rejected an offer. The attempt has not run and will not run.
 	AttemptRejected struct {
 		Node, Attempt string
 		Reason        flaxshelf.Reason
@@ -77,7 +78,7 @@
 		Node, Attempt, Message string
 		Load                   flaxshelf.LoadReport
 	}
-	// AttemptStarted reports that an accepted attempt runs.
+	// AttemptStarted reports that the node has started an accepted attempt.
 	AttemptStarted struct{ Node, Attempt string }
 	// UsageReport reports what an accepted attempt uses.
 	UsageReport struct {
@@ -97,9 +98,9 @@
 	HealthChecked struct {
 		Node string
 		Load flaxshelf.LoadReport
-		Lost bool // no reply came
+		Lost bool // no reply was received
 	}
-	// SendFailed reports that an offer never left this process.
+	// SendFailed reports that an offer was not sent.
 	SendFailed struct{ Node, Attempt string }
 	// NodeSynced answers a SyncNode.
 	NodeSynced struct {
@@ -115,9 +116,9 @@
 		Machines []flaxshelf.Machine // the core may correct their start times in place
 		Complete bool                // nodes that are not named are removed
 	}
-	// DiscoveryFailed reports that discovery could not be reached or ended the subscription.
+	// DiscoveryFailed reports that discovery is unreachable or has ended the subscription.
 	DiscoveryFailed struct{}
-	// DiscoverySynced answers a SyncDiscovery: all that discovery had sent before has been received.
+	// DiscoverySynced answers a SyncDiscovery: everything that discovery had sent before it has been received.
 	DiscoverySynced struct{ Token uint64 }
 )
 
@@ -137,8 +138,8 @@
 const (
 	EndCompleted   End = iota // with its exit status
 	EndLost                   // evicted, preempted or drained away, see Reason
-	EndStopped                // by our SendStop
-	EndStartFailed            // its start failed after it was accepted
+	EndStopped                // by a SendStop
+	EndStartFailed            // it was accepted but could not be started
 )
 
 func (e End) String() string {
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -8,38 +8,38 @@
 	"flaxshelf.example/flaxshelf/internal/timerqueue"
 )
 
-// A job whose node was lost waits for its next placement request: initialBackoff, doubled with each further loss up to
-// maxBackoff. An eviction or a preemption is a sign of short capacity, so the wait begins at evictedBackoff.
+// The delay of the next placement request of a job whose attempt was lost is initialBackoff, doubled with each further
+// loss up to maxBackoff. It starts at evictedBackoff after an eviction or a preemption, which indicate a lack of capacity.
 const (
 	initialBackoff = 200 * time.Millisecond
 	evictedBackoff = time.Second
 	maxBackoff     = 30 * time.Second
 
-	maxBackoffDoublings = 8 // beyond it the shift would only exceed maxBackoff further
-	backoffLevelsOfLoss = 2 // a loss counts for two levels, a placement takes one back
+	maxBackoffDoublings = 8 // more would only exceed maxBackoff further
+	backoffLevelsOfLoss = 2 // added by a loss; a placement subtracts one
 )
 
-// terminatedReason is the reason of a job that its owner terminated.
+// terminatedReason is the reason of a job that was terminated by its owner.
 const terminatedReason = "terminated by its owner"
 
 // job is the state of one job.
 type job struct {
 	id       string
-	aliases  []string // IDs of former incarnations that stand for the same work
+	aliases  []string // IDs of the same work in former incarnations
 	spec     *Spec
 	state    State
 	subState string
-	nodeID   string // that the current attempt was offered to
+	nodeID   string // of the current attempt
 	reason   string
 	array    *array // nil for none
 	index    int    // in the array
-	admitted bool   // its array has admitted it, or it has none
+	admitted bool   // by its array; always true without an array
 	revision uint64
 
 	submittedAt Time
 	startedAt   Time
 	finishedAt  Time
-	receivedAt  Time // of a submission whose placement request is still to be opened; 0 for none
+	receivedAt  Time // of a submission whose placement request has not been opened; zero otherwise
 
 	// The placement request.
 	request           int    // its number, counted from 1
@@ -51,24 +51,24 @@
 	attemptCount      int
 	attempt           *attempt // that has not ended; nil for none
 	outcome           Outcome
-	outcomeUnknownAt  Time // when an attempt that may have run was last given up; 0 for never
+	outcomeUnknownAt  Time // when an attempt that may have run last ended; zero means never
 	unknownRequest    int  // the last placement request with such an attempt
 
-	// Commands that wait for a node.
+	// Commands that await a node.
 	stopping       bool // the job ends when its attempt has ended
 	migrating      bool // the attempt is stopped to run elsewhere
-	holdPending    bool // the job is held if its attempt ends unplaced
+	holdPending    bool // the job is held if its attempt ends without being accepted
 	pendingHoldReq uint64
 
 	exitStatus    int
 	backoffLevel  int
 	deadlineTimer *timerqueue.Timer // at which the job is terminated
-	delayTimer    *timerqueue.Timer // its start time or the end of its backoff
+	delayTimer    *timerqueue.Timer // for its start time or backoff
 }
 
 func (j *job) onHold() bool { return j.state == QueuedHeld || j.state == RequeuedHeld }
 
-// inSession reports whether the job belongs to a session; the empty one stands for all.
+// inSession reports whether the job belongs to a session. Every job belongs to the empty session.
 func (j *job) inSession(session string) bool { return session == "" || j.spec.Session == session }
 
 // endedUnplaced reports whether the job failed because its last placement request did.
@@ -79,7 +79,7 @@
 	return j.outcome == OutcomeRejected || j.outcome == OutcomeFailed || j.outcome == OutcomeCanceled
 }
 
-// taskID is the module's name for the current placement request.
+// taskID returns the module's ID of the current placement request.
 func (j *job) taskID() string {
 	if j.taskName == "" {
 		j.taskName = j.id + "#" + strconv.Itoa(j.request)
@@ -113,8 +113,8 @@
 	return info
 }
 
-// knownClass reports whether the settings name a class of that index. A node may hold work of one that they no longer
-// name.
+// knownClass reports whether the configuration has a class of that index. A node may run work of a class that has been
+// removed from it.
 func (c *Core) knownClass(class int) bool { return class >= 0 && class < len(c.cfg.Module.Classes) }
 
 func (c *Core) classOf(job *job) *flaxshelf.Class { return &c.cfg.Module.Classes[job.spec.Class] }
@@ -127,16 +127,16 @@
 	return c.classOf(job).Idempotency == flaxshelf.NonIdempotent
 }
 
-// outcomeUnknown reports that an attempt of the open placement request may have run, and that the work must not start
-// again in another request.
+// outcomeUnknown reports whether an attempt of the open placement request may have run, so that the work must not start
+// in another request.
 func (c *Core) outcomeUnknown(job *job) bool {
 	return job.requestOpen && job.unknownRequest == job.request && !c.isIdempotent(job)
 }
 
-// earliestResubmission is when the next placement request of a job may be opened whose class is not idempotent: until
-// then an attempt of a former request may still run, of which the module knows nothing. Otherwise a job that is
-// idempotent by key, was placed after an unanswered attempt and loses its node at once, would start in another key
-// domain while the unanswered attempt runs.
+// earliestResubmission returns when the next placement request of a job may be opened. Zero means at any time, as for
+// idempotent classes. Until then an attempt of a former request, which the module does not know, may still run. Otherwise
+// a job that is idempotent by key, was placed after an attempt without a reply and soon lost its node, could start in
+// another key domain while the attempt without a reply runs.
 func (c *Core) earliestResubmission(job *job) Time {
 	if job.outcomeUnknownAt == 0 || c.isIdempotent(job) {
 		return 0
@@ -144,7 +144,7 @@
 	return job.outcomeUnknownAt + c.cfg.Limits.SettleTime
 }
 
-// continueAfterAttempt goes on with a job whose accepted attempt has ended.
+// continueAfterAttempt finishes or requeues a job whose accepted attempt has ended.
 func (c *Core) continueAfterAttempt(job *job, end attemptEnd) {
 	migrating := job.migrating
 	job.migrating = false
@@ -164,7 +164,7 @@
 	}
 }
 
-// lostSubState is the sub-state of a job that its node gave up for the reason.
+// lostSubState returns the sub-state of a job whose attempt was lost for the reason.
 func lostSubState(reason flaxshelf.Reason) string {
 	switch reason {
 	case flaxshelf.Evicted:
@@ -177,14 +177,14 @@
 	return SubLost
 }
 
-// requeue opens another placement request for a job that lost its node, after a backoff.
+// requeue opens another placement request, after a backoff, for a job whose attempt was lost.
 func (c *Core) requeue(job *job, reason flaxshelf.Reason) {
 	wait := max(backoff(job.backoffLevel, reason), c.earliestResubmission(job)-c.now)
 	job.backoffLevel += backoffLevelsOfLoss
 	job.state, job.subState = Requeued, SubBackoff
 	job.reason = "it was " + SubStateTerm(lostSubState(reason)) + " on " + job.nodeID
 	job.nodeID = ""
-	if job.requestOpen { // accepted but not yet running, where running counts as placed
+	if job.requestOpen { // accepted but not running, with Config.PlacedWhenRunning
 		c.notifyModule(flaxshelf.TaskCanceled{Task: job.taskID()})
 		c.closePlacementRequest(job, OutcomeFailed, "")
 	}
@@ -198,7 +198,7 @@
 	})
 }
 
-// backoff is how long a job waits that was lost for the reason.
+// backoff returns the delay of the next placement request after a loss for the reason.
 func backoff(level int, reason flaxshelf.Reason) time.Duration {
 	first := initialBackoff
 	if reason == flaxshelf.Evicted || reason == flaxshelf.Preempted {
@@ -207,7 +207,7 @@
 	return min(first<<min(level, maxBackoffDoublings), maxBackoff)
 }
 
-// addJob begins to keep a job that has not ended.
+// addJob stores a job that has not ended.
 func (c *Core) addJob(job *job) {
 	c.jobs[job.id] = job
 	c.unfinishedJobs++
@@ -216,7 +216,7 @@
 	}
 }
 
-// finishJob ends a job. It is kept until expireEndedJobs or its owner removes it.
+// finishJob ends a job. It is retained until expireEndedJobs or its owner removes it.
 func (c *Core) finishJob(job *job, state State, subState, reason string) {
 	if job.state.Ended() {
 		return
@@ -236,20 +236,20 @@
 	}
 }
 
-// expireEndedJobs removes ended jobs beyond the limits of number and time.
+// expireEndedJobs removes ended jobs beyond MaxFinished or Retention.
 func (c *Core) expireEndedJobs() {
 	for len(c.endedJobs) > 0 {
 		oldest := c.endedJobs[0]
 		if len(c.endedJobs) <= c.cfg.Limits.MaxFinished && c.now-oldest.finishedAt < c.cfg.Limits.Retention {
 			return
 		}
-		c.endedJobs[0] = nil // so that it can be collected before the slice is copied
+		c.endedJobs[0] = nil // so that the job can be garbage collected
 		c.endedJobs = c.endedJobs[1:]
 		c.removeJob(oldest)
 	}
 }
 
-// removeJob forgets an ended job. One that its owner has reaped is forgotten already.
+// removeJob removes an ended job, unless its owner has reaped it already.
 func (c *Core) removeJob(job *job) {
 	if c.jobs[job.id] != job {
 		return
--- a/internal/scheduler/module.go
+++ b/internal/scheduler/module.go
@@ -6,17 +6,17 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-// newPlacer makes the module that schedulers run, unless Config.NewModule says otherwise.
+// newPlacer returns a flaxshelf.Placer, the default of Config.NewModule.
 func newPlacer(cfg flaxshelf.Config, seed uint64) (Module, error) { return flaxshelf.New(cfg, seed) }
 
-// notifyModule keeps an event for the module's next step.
+// notifyModule queues an event for the module's next step.
 func (c *Core) notifyModule(event flaxshelf.Event) { c.moduleEvents = append(c.moduleEvents, event) }
 
 // stepModule steps the module with the events since its last step and executes its actions. Events that result from
 // these actions, such as an offer to an unreachable node, are delivered with the next step.
 func (c *Core) stepModule() {
-	if c.moduleWakeAt > 0 && c.now >= c.moduleWakeAt {
-		c.moduleWakeAt = 0
+	if c.moduleStepAt > 0 && c.now >= c.moduleStepAt {
+		c.moduleStepAt = 0
 		c.notifyModule(flaxshelf.TimerFired{})
 	}
 	if len(c.moduleEvents) == 0 {
@@ -27,7 +27,7 @@
 	flaxshelf.HandleActions(c.decide(events), actionHandler{core: c})
 }
 
-// decide steps the module, by way of the host's hooks.
+// decide steps the module and calls the host's hooks Config.WrapStep and Config.RecordStep.
 func (c *Core) decide(events []flaxshelf.Event) []flaxshelf.Action {
 	var actions []flaxshelf.Action
 	step := func() { actions = c.module.Step(c.now, events) }
@@ -63,19 +63,19 @@
 func (h actionHandler) HandleSubscribe(flaxshelf.Subscribe) { h.core.emit(SubscribeDiscovery{}) }
 
 func (h actionHandler) HandleSetTimer(timer flaxshelf.SetTimer) {
-	h.core.wakeModule(h.core.now + timer.After)
+	h.core.scheduleModuleStep(h.core.now + timer.After)
 }
 
 // HandleSendGossip does nothing: the module sends gossip only if Config.CanGossip is set, and a Core's host has no
 // connections to other schedulers over which it could be sent.
 func (h actionHandler) HandleSendGossip(flaxshelf.SendGossip) {}
 
-// wakeModule has the module stepped at that time, unless it is stepped earlier already.
-func (c *Core) wakeModule(at Time) {
-	if c.moduleWakeAt == 0 || at < c.moduleWakeAt {
-		c.moduleWakeAt = at
+// scheduleModuleStep sets the module's timer to the given time, unless it is set to an earlier one.
+func (c *Core) scheduleModuleStep(at Time) {
+	if c.moduleStepAt == 0 || at < c.moduleStepAt {
+		c.moduleStepAt = at
 	}
 }
 
-// soon is the earliest time at which a check is repeated that waits for another event.
+// soon returns the earliest time at which to repeat a check that polls for a condition.
 func (c *Core) soon() Time { return c.now + max(c.cfg.Module.Tick, time.Millisecond) }
--- a/internal/scheduler/node.go
+++ b/internal/scheduler/node.go
@@ -7,20 +7,20 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-// node is what the core knows of a machine: its entry in the endpoint list, the connection to it and our attempts there.
+// node is the core's state of a machine: its entry in the endpoint list, its connection and its attempts.
 type node struct {
 	machine          flaxshelf.Machine
 	connected        bool
-	reconciled       bool // it has reported in this incarnation of ours what it runs
-	connectRequested bool // the host keeps a connection
-	startedAt        Time // as the node itself reported
-	coldStartedAt    Time // the same, of the last start after which it was warming up
+	reconciled       bool // it has reported its attempts to this incarnation
+	connectRequested bool // a Connect is in effect
+	startedAt        Time // as reported by the node
+	coldStartedAt    Time // of its last cold start, as reported by the node
 	attempts         map[string]*attempt
 }
 
 func (n *node) removed() bool { return n.machine.State == flaxshelf.Removed }
 
-// sortedAttempts lists the attempts in the order in which they were made.
+// sortedAttempts returns the attempts in the order of their creation.
 func (n *node) sortedAttempts() []*attempt {
 	all := make([]*attempt, 0, len(n.attempts))
 	for _, attempt := range n.attempts {
@@ -30,7 +30,7 @@
 	return all
 }
 
-// hasUnresolvedAttempts reports whether the node has an offer of ours without a reply.
+// hasUnresolvedAttempts reports whether the node has an offer without a reply.
 func (n *node) hasUnresolvedAttempts() bool {
 	for _, attempt := range n.attempts {
 		if attempt.phase == phaseOffered {
@@ -40,7 +40,7 @@
 	return false
 }
 
-// ensureNode returns the node of that ID. One that is not known yet is added as removed from the endpoint list.
+// ensureNode returns the node with the ID. An unknown node is added as removed from the endpoint list.
 func (c *Core) ensureNode(id string) *node {
 	if known := c.nodes[id]; known != nil {
 		return known
@@ -76,7 +76,7 @@
 	c.notifyModule(flaxshelf.MachinesUpdated{Machines: in.Machines, Complete: in.Complete})
 }
 
-// removeUnnamed removes the nodes that a complete list does not name.
+// removeUnnamed marks nodes that a complete list does not name as removed.
 func (c *Core) removeUnnamed(named map[string]bool) {
 	for _, node := range c.nodesByName {
 		if !named[node.machine.ID] && !node.removed() {
@@ -86,8 +86,8 @@
 	}
 }
 
-// machineChanged acts on a new list entry of a node. Offers that still wait for a connection are given up when the
-// node drains, since the drain was announced before they were sent.
+// machineChanged applies a new list entry of a node. Offers that await a connection are canceled if the node drains, since
+// the drain was announced before they were sent.
 func (c *Core) machineChanged(node *node) {
 	if node.machine.State != flaxshelf.Active {
 		for _, attempt := range node.sortedAttempts() {
@@ -105,7 +105,7 @@
 	}
 }
 
-// scheduleExpiry gives up a node after the settle time, if it is removed and not connected then.
+// scheduleExpiry expires a node after the settle time if it is removed and not connected then.
 func (c *Core) scheduleExpiry(node *node) {
 	c.timers.Schedule(c.now+c.cfg.Limits.SettleTime, func() {
 		if node.removed() && !node.connected {
@@ -114,7 +114,7 @@
 	})
 }
 
-// expireNode gives up all attempts on a node and the connection to it.
+// expireNode ends all attempts on a node as lost and disconnects it.
 func (c *Core) expireNode(node *node) {
 	for _, attempt := range node.sortedAttempts() {
 		c.loseAttempt(attempt)
@@ -125,7 +125,7 @@
 	}
 }
 
-// apply gives up what was not accepted on the node: it may have been. What was accepted runs on.
+// apply ends the offers to the node, which may or may not have been accepted. Accepted attempts stay.
 func (in NodeDown) apply(c *Core) {
 	node := c.nodes[in.Node]
 	if node == nil {
@@ -134,7 +134,7 @@
 	node.connected = false
 	c.barrier.nodeLost(in.Node)
 	for _, attempt := range node.sortedAttempts() {
-		attempt.stopSent = false // it may not have arrived
+		attempt.stopSent = false // the stop may have been lost
 		switch attempt.phase {
 		case phaseConnecting:
 			c.endAttempt(attempt, attemptEnd{outcome: flaxshelf.Unreachable})
@@ -148,7 +148,7 @@
 	c.scheduleExpiry(node)
 }
 
-// checkHealth carries out a health check that the module asks for.
+// checkHealth sends a health check, or reports the machine as unreachable if it is not connected.
 func (c *Core) checkHealth(check flaxshelf.HealthCheck) {
 	if node := c.nodes[check.Machine]; node != nil && node.connected {
 		c.emit(SendHealthCheck{check.Machine})
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -6,7 +6,7 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-// submitToModule gives a job to the module, in a new placement request unless one is open.
+// submitToModule submits a job to the module, in a new placement request unless one is open.
 func (c *Core) submitToModule(job *job) {
 	job.subState = SubWaiting
 	c.openPlacementRequest(job)
@@ -15,7 +15,7 @@
 	c.changed(job)
 }
 
-// moduleTask is the current placement request as the module sees it.
+// moduleTask returns the current placement request as a task of the module.
 func (c *Core) moduleTask(job *job) flaxshelf.Task {
 	spec := job.spec
 	key, service := spec.Key, spec.Service
@@ -23,7 +23,7 @@
 		key = job.id
 	}
 	if service == "" {
-		service = job.id // else all jobs without a service would share the preferred machines of the empty name
+		service = job.id // otherwise all jobs without a service would share preferred machines
 	}
 	return flaxshelf.Task{
 		ID:              job.taskID(),
@@ -39,8 +39,8 @@
 	}
 }
 
-// openPlacementRequest begins a placement request, unless one is open. Its timeout runs also while the job waits for
-// the recovery of this incarnation.
+// openPlacementRequest opens a placement request unless one is open. Its timeout includes the time for which the job
+// awaits the recovery of this incarnation.
 func (c *Core) openPlacementRequest(job *job) {
 	if job.requestOpen {
 		return
@@ -49,7 +49,7 @@
 	job.request++
 	job.taskName, job.attemptCount, job.outcome, job.nodeID = "", 0, "", ""
 	job.requestOpen, job.requestedAt = true, c.now
-	if job.receivedAt > 0 { // the first request of a job that no start time or hold has delayed
+	if job.receivedAt > 0 { // the first request of a job without a delay by a start time or hold
 		job.requestedAt = job.receivedAt
 	}
 	job.receivedAt = 0
@@ -58,7 +58,7 @@
 	c.guardDeadline(job)
 }
 
-// placementTimeout is how long a placement request may stay open.
+// placementTimeout returns how long a placement request may stay open.
 func (c *Core) placementTimeout(spec *Spec) time.Duration {
 	if spec.PlacementTimeout > 0 {
 		return spec.PlacementTimeout
@@ -66,8 +66,8 @@
 	return c.cfg.Limits.PlacementTimeouts[spec.Class]
 }
 
-// guardDeadline gives the placement request an outcome after its deadline where the module was kept from doing so, as
-// by a stall.
+// guardDeadline closes the placement request after its deadline if the module has not done so, for example because of a
+// stall.
 func (c *Core) guardDeadline(job *job) {
 	deadline := job.placementDeadline
 	job.placementTimer = c.timers.Schedule(deadline+c.cfg.Module.AnswerSlack/2, func() {
@@ -90,7 +90,7 @@
 	c.failPlacementRequest(job, outcome, "the scheduler did not decide in time")
 }
 
-// failTask carries out the module's decision that a task is not placed.
+// failTask executes the module's decision not to place a task.
 func (c *Core) failTask(taskID string, outcome Outcome) {
 	job := c.jobsByTask[taskID]
 	if job == nil || !job.requestOpen || job.taskID() != taskID {
@@ -99,8 +99,8 @@
 	c.failPlacementRequest(job, outcome, "")
 }
 
-// failPlacementRequest ends a job whose placement request has failed. An empty reason leaves that of the last attempt,
-// or gives a general one.
+// failPlacementRequest ends a job whose placement request has failed. If the reason is empty, the job keeps that of its
+// last attempt or gets a default.
 func (c *Core) failPlacementRequest(job *job, outcome Outcome, reason string) {
 	if reason != "" {
 		job.reason = reason
@@ -116,8 +116,8 @@
 	c.finishJob(job, Failed, subState, job.reason)
 }
 
-// closeWithAttempt closes a placement request and gives up its attempt, if any: an offer that was not sent ends at
-// once, any other is stopped.
+// closeWithAttempt closes a placement request and cancels its attempt, if any: an offer that was not sent ends at once,
+// any other attempt is stopped.
 func (c *Core) closeWithAttempt(job *job, outcome Outcome) {
 	current := job.attempt
 	switch {
@@ -132,7 +132,7 @@
 	}
 }
 
-// cancelPlacementRequest cancels the open placement request, if any, on behalf of the job's owner.
+// cancelPlacementRequest cancels the open placement request, if any, for the job's owner.
 func (c *Core) cancelPlacementRequest(job *job, attemptID string) {
 	if !job.requestOpen {
 		return
@@ -141,7 +141,7 @@
 	c.closePlacementRequest(job, OutcomeCanceled, attemptID)
 }
 
-// closePlacementRequest gives an open placement request its one outcome.
+// closePlacementRequest closes the placement request with an outcome, if it is open.
 func (c *Core) closePlacementRequest(job *job, outcome Outcome, attemptID string) {
 	if !job.requestOpen {
 		return
@@ -158,7 +158,7 @@
 	c.emit(LogOutcome{Info: job.info(), Attempt: attemptID})
 }
 
-// rejectPendingHold answers a hold that came too late: the placement request has its outcome.
+// rejectPendingHold rejects a hold that is pending when the placement request is closed.
 func (c *Core) rejectPendingHold(job *job) {
 	if !job.holdPending {
 		return
--- a/internal/scheduler/property_test.go
+++ b/internal/scheduler/property_test.go
@@ -263,7 +263,7 @@
 	if replicated := s.replica.Step(s.now, inputs); outputText(out) != outputText(replicated) {
 		s.t.Fatalf("equal inputs, two outputs:\n%s\n%s", outputText(out), outputText(replicated))
 	}
-	s.wake = out.Wake
+	s.wake = out.NextStep
 	if s.wake < s.now || s.wake > s.now+s.core.cfg.Limits.StallThreshold {
 		s.t.Fatalf("at %v the core wants to be woken at %v", s.now, s.wake)
 	}
--- a/internal/scheduler/query.go
+++ b/internal/scheduler/query.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// defaultQueryLimit bounds the answer to a query that names no limit.
+// defaultQueryLimit is the limit of a query without one.
 const defaultQueryLimit = 1000
 
 func (in Query) apply(c *Core) {
@@ -26,7 +26,7 @@
 	}
 }
 
-// page lists jobs in the order of their IDs, beginning behind after. An empty session stands for all.
+// page returns at most limit jobs of a session with IDs above after, ordered by ID. An empty session means all jobs.
 func (c *Core) page(session, after string, limit int) []Info {
 	found := c.jobsWhere(func(job *job) bool { return job.id > after && job.inSession(session) })
 	slices.SortFunc(found, func(a, b *job) int { return cmp.Compare(a.id, b.id) })
@@ -38,7 +38,7 @@
 	return infos
 }
 
-// jobsWhere lists the jobs that match, each once though it may have several IDs, in no particular order.
+// jobsWhere returns the jobs that match, in no particular order. A job with aliases is returned once.
 func (c *Core) jobsWhere(match func(*job) bool) []*job {
 	var found []*job
 	for id, job := range c.jobs {
--- a/internal/scheduler/recovery.go
+++ b/internal/scheduler/recovery.go
@@ -2,17 +2,17 @@
 
 import "flaxshelf.example/flaxshelf"
 
-// recovery holds work back at the start of an incarnation. Otherwise a scheduler that was killed would come back, an
-// owner would retry, and the job would be started anew while a node that has not reported yet runs it.
+// recovery delays work at the start of an incarnation until the nodes have reported their attempts. Otherwise an owner
+// that retries after a restart would start a job a second time, while a node that has not reported yet runs it.
 type recovery struct {
 	active       bool
-	listReceived bool // a complete endpoint list, which tells which nodes must report
-	deadline     Time // after which nodes that have not reported are not waited for
+	listReceived bool // a complete endpoint list, from which the nodes that must report are known
+	deadline     Time // after which nodes that have not reported are ignored
 	waiting      []*job
 }
 
-// mustAwaitRecovery reports whether a job must wait. The first submission of idempotent work need not, unless the
-// spread of its class is bounded: what a former incarnation placed counts.
+// mustAwaitRecovery reports whether a job must wait for the recovery. The first submission of idempotent work need not,
+// unless its class has a spread limit, for which the placements of former incarnations count.
 func (c *Core) mustAwaitRecovery(job *job) bool {
 	if !c.recovery.active {
 		return false
@@ -20,19 +20,19 @@
 	return job.spec.Retry || !c.isIdempotent(job) || c.classOf(job).SpreadDomain != flaxshelf.NoDomain
 }
 
-// startRecoveryTimer bounds the recovery, from the first complete endpoint list on.
+// startRecoveryTimer starts the deadline of the recovery at the first complete endpoint list.
 func (c *Core) startRecoveryTimer() {
 	if c.recovery.listReceived {
 		return
 	}
 	c.recovery.listReceived = true
 	c.recovery.deadline = c.now + c.cfg.Limits.SettleTime
-	c.timers.Schedule(c.recovery.deadline, func() {}) // checkRecovery runs in each step; this has one come in time
+	c.timers.Schedule(c.recovery.deadline, func() {}) // checkRecovery is called by every step; the timer causes one
 }
 
-// checkRecovery ends the recovery when every listed node has reported what it runs, or has had the settle time to do
-// so. A retry of work that must run at most once waits for an unreachable node without end: its placement request then
-// fails at its deadline.
+// checkRecovery ends the recovery when every listed node has reported its attempts, or at the deadline. Retries of work
+// that must run at most once wait for unreachable nodes beyond it, until their placement requests fail at their own
+// deadlines.
 func (c *Core) checkRecovery() {
 	if !c.recovery.active || !c.recovery.listReceived {
 		return
@@ -54,7 +54,7 @@
 	return true
 }
 
-// submitRecovered gives the waiting jobs to the module and returns those that must wait on.
+// submitRecovered submits the waiting jobs to the module and returns those that must wait longer.
 func (c *Core) submitRecovered(allReported bool) []*job {
 	var stillWaiting []*job
 	for _, job := range c.recovery.waiting {
--- a/internal/scheduler/script_test.go
+++ b/internal/scheduler/script_test.go
@@ -90,7 +90,7 @@
 
 // print prints the effects of a step with its time.
 func (s *scriptRunner) print(b *strings.Builder, at Time, out Output, all bool) {
-	s.now, s.wake = at, max(out.Wake, at+time.Millisecond)
+	s.now, s.wake = at, max(out.NextStep, at+time.Millisecond)
 	for _, effect := range out.Effects {
 		if line := effectText(effect, all); line != "" {
 			fmt.Fprintf(b, "%v %s\n", at, line)
--- a/internal/scheduler/stall.go
+++ b/internal/scheduler/stall.go
@@ -6,19 +6,19 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-// maxSyncTimeout bounds how long the core waits for the answers to a sync. After it a peer counts as unreachable, and
-// the core goes on with what it knows.
+// maxSyncTimeout bounds how long the core waits for the answers to a sync. Peers that have not answered by then count as
+// unreachable, and the core continues without their answers.
 const maxSyncTimeout = time.Second
 
-// syncGraceDivisor gives the part of the drain grace that a sync may take, so that the rest is left to drain.
+// syncGraceDivisor is the divisor of the drain grace that gives the timeout of a sync; the rest remains for the drain.
 const syncGraceDivisor = 4
 
-// syncBarrier holds the core back after a stall. A process that was stopped resumes with drains and replies of nodes
-// unread in its sockets, and with timers that are due. Were the module stepped at once, it would offer to a node that
-// is draining; were timeouts applied at once, jobs that nodes have long accepted would be offered again.
+// syncBarrier suspends timers and the module after a stall. A process that was stopped resumes with drains and replies of
+// nodes unread in its sockets, and with timers that are due. Stepping the module at once could send offers to draining
+// nodes; running timers at once could offer jobs again that nodes have already accepted.
 //
-// So discovery and each node with unresolved attempts are asked for a sync message, which arrives behind all that they
-// had sent before. Until then no timer fires and the module is not stepped.
+// The core therefore requests a sync message from discovery and from each node with unresolved attempts. It arrives after
+// everything that they had sent before. Until then no timer runs and the module is not stepped.
 type syncBarrier struct {
 	token            uint64          // of the last sync
 	discoveryPending bool            // discovery has not answered
@@ -28,13 +28,13 @@
 
 func (b *syncBarrier) active() bool { return b.discoveryPending || len(b.pendingNodes) > 0 }
 
-// lift ends the wait for all peers.
+// lift ends the barrier without the missing answers.
 func (b *syncBarrier) lift() {
 	b.discoveryPending = false
 	clear(b.pendingNodes)
 }
 
-// nodeLost ends the wait for a node: from a connection that is closed nothing more can be read.
+// nodeLost stops waiting for a node: nothing more can be read from a closed connection.
 func (b *syncBarrier) nodeLost(node string) { delete(b.pendingNodes, node) }
 
 func (in DiscoverySynced) apply(c *Core) {
@@ -58,7 +58,7 @@
 	return min(maxSyncTimeout, c.cfg.Module.DrainGrace/syncGraceDivisor)
 }
 
-// checkStall begins a sync where this step comes so late that the process must have been stopped.
+// checkStall starts a sync if the interval since the last step shows that the process was stalled.
 func (c *Core) checkStall() {
 	if c.barrier.active() && c.now >= c.barrier.deadline {
 		c.barrier.lift()
--- a/internal/scheduler/submission.go
+++ b/internal/scheduler/submission.go
@@ -11,7 +11,7 @@
 // maxArrayJobs bounds the jobs of one array.
 const maxArrayJobs = 100000
 
-// apply accepts a job or an array, or answers why not. What is accepted is never dropped later.
+// apply accepts or rejects a job or an array. Accepted jobs are not discarded later.
 func (in Submit) apply(c *Core) {
 	if err := c.validateSubmission(in); err != nil {
 		c.answer(in.Req, Answer{Err: err})
@@ -36,10 +36,10 @@
 	c.admit(job)
 }
 
-// jobCount is the number of jobs that a submission asks for.
+// jobCount returns the number of jobs of a submission.
 func (in Submit) jobCount() int { return max(len(in.Indexes), 1) }
 
-// validateSubmission returns why a submission can never be accepted as it is.
+// validateSubmission returns an error if the submission is invalid.
 func (c *Core) validateSubmission(in Submit) *Error {
 	spec := &in.Spec
 	switch {
@@ -53,9 +53,9 @@
 	return nil
 }
 
-// admissionError returns why a valid submission is not accepted now.
+// admissionError returns an error if a valid submission can't be accepted now.
 func (c *Core) admissionError(in Submit) *Error {
-	// A core that is overloaded would accept what it can hardly place before its owner gives up.
+	// An overloaded core would otherwise accept jobs that it can hardly place before their deadlines.
 	if late := c.now - in.ReceivedAt; in.ReceivedAt > 0 && late > c.placementTimeout(&in.Spec)/2 {
 		return newError(TryLater, overloadRetryAfter, "the scheduler is %v behind", late.Round(time.Millisecond))
 	}
@@ -73,9 +73,9 @@
 	return nil
 }
 
-// answerKnownKey answers a submission whose key names an earlier job: an owner that did not receive the answer retries
-// and must not start the work twice. It returns false where the submission is to be treated as new: only a job that
-// ended without having been placed is replaced, and where it may have run, not before the settle time.
+// answerKnownKey answers a submission with the key of an earlier job, such as a retry by an owner that did not receive the
+// answer. It returns false if the submission is to be treated as new: a job is replaced only if it ended without being
+// placed and, if it may have run, only after the settle time.
 func (c *Core) answerKnownKey(in Submit, job *job) bool {
 	if !job.endedUnplaced() {
 		answer := Answer{Jobs: []Info{job.info()}, Existing: true}
@@ -93,13 +93,13 @@
 	return true
 }
 
-// newID gives a job or an array its ID.
+// newID returns a new ID for a job or an array.
 func (c *Core) newID() string {
 	c.lastJobNumber++
 	return c.idPrefix + strconv.FormatUint(c.lastJobNumber, 36)
 }
 
-// newJob makes a job of this incarnation. It is placed after admit.
+// newJob adds a job of this incarnation; admit starts its placement.
 func (c *Core) newJob(spec *Spec) *job {
 	job := &job{id: c.newID(), spec: spec, state: Queued, subState: SubWaiting, submittedAt: c.now}
 	if spec.Hold {
@@ -109,7 +109,7 @@
 	return job
 }
 
-// admit has an accepted job placed, unless it is on hold.
+// admit starts the placement of an accepted job, unless it is on hold.
 func (c *Core) admit(job *job) {
 	job.admitted = true
 	if job.spec.Deadline > 0 {
@@ -123,8 +123,8 @@
 	c.placeWhenReady(job)
 }
 
-// placeWhenReady gives a job to the module, once its start time, the settle time of a former attempt and the recovery
-// of this incarnation allow it.
+// placeWhenReady submits a job to the module after its start time, after the settle time of a former attempt, and after
+// the recovery of this incarnation.
 func (c *Core) placeWhenReady(job *job) {
 	switch {
 	case job.spec.NotBefore > c.now:
@@ -142,7 +142,7 @@
 	}
 }
 
-// delay puts a job into a waiting sub-state, and goes on with it at the given time if it still is in that sub-state.
+// delay sets a waiting sub-state, and calls proceed at the given time if the job is still in that sub-state.
 func (c *Core) delay(job *job, subState string, until Time, proceed func(*job)) {
 	job.subState = subState
 	c.changed(job)
--- a/internal/scheduler/watch.go
+++ b/internal/scheduler/watch.go
@@ -5,13 +5,13 @@
 	"slices"
 )
 
-// watches knows which streams follow which jobs. A stream follows one topic: a job, an array or a session.
+// watches maps streams to topics. A stream has one topic, which is a job, an array or a session.
 type watches struct {
-	streams map[string][]uint64 // by topic, in the order in which they subscribed
+	streams map[string][]uint64 // by topic, in the order of their subscription
 	topics  map[uint64]string   // by stream
 }
 
-// The prefixes of topics. A topic of an empty session is that of all jobs.
+// The prefixes of topics. The topic of the empty session is that of all jobs.
 const (
 	jobTopic     = "j:"
 	arrayTopic   = "a:"
@@ -42,7 +42,7 @@
 	}
 }
 
-// apply starts a stream with every job of its topic that has changed since in.Since, oldest change first.
+// apply starts a stream and publishes the jobs of its topic that have changed since in.Since, oldest change first.
 func (in Watch) apply(c *Core) {
 	topic, found, err := c.watchedJobs(in)
 	if err != nil {
@@ -59,7 +59,7 @@
 	}
 }
 
-// watchedJobs returns the topic that a watch names and the jobs that belong to it now.
+// watchedJobs returns the topic of a watch and the jobs that it has now.
 func (c *Core) watchedJobs(in Watch) (topic string, jobs []*job, err *Error) {
 	if watched := c.jobs[in.Job]; watched != nil {
 		return jobTopic + watched.id, []*job{watched}, nil
@@ -79,7 +79,7 @@
 
 func (in Unwatch) apply(c *Core) { c.watches.remove(in.Stream) }
 
-// changed gives a job its next revision and publishes it to those who follow it, its array, its session, or all.
+// changed assigns the next revision to a job and publishes it to the streams of its topics.
 func (c *Core) changed(job *job) {
 	c.lastRevision++
 	job.revision = c.lastRevision
--- a/internal/testbed/emulator/scheduler.go
+++ b/internal/testbed/emulator/scheduler.go
@@ -144,7 +144,7 @@
 		s.busyTime += cost
 		now = s.busyUntil
 	}
-	s.wakeAt = output.Wake
+	s.wakeAt = output.NextStep
 	for _, effect := range output.Effects {
 		s.execute(effect, now, out)
 	}
