--- a/internal/daemon/clienthandler.go
+++ b/internal/daemon/clienthandler.go
@@ -20,7 +20,7 @@
 	errRequestTimeout     = errors.New("daemon: a request took too long to arrive")
 )
 
-// overLimitTimeout is how long a connection over the limit may take until it is rejected without a request.
+// overLimitTimeout is how long a connection over the limit waits for its request before it is rejected without one.
 const overLimitTimeout = time.Second
 
 // clientHandler implements transport.Handler for a client: it reads requests and answers them one after the other. It
@@ -28,12 +28,12 @@
 type clientHandler struct {
 	daemon           *Daemon
 	parser           httpcodec.Parser
-	requestPending   bool // a request waits for a core, or events follow
+	requestPending   bool // a request awaits an answer, or events follow
 	streaming        bool
 	overLimit        bool
-	overLimitTimer   *time.Timer // until a connection over the limit is rejected; nil for others
-	requestStartedAt time.Time   // of a request that is not complete; zero when none is
-	requestTimer     *time.Timer // until that request is rejected; nil before the first
+	overLimitTimer   *time.Timer // rejects a connection over the limit; nil for others
+	requestStartedAt time.Time   // of an incomplete request; zero if there is none
+	requestTimer     *time.Timer // rejects the incomplete request; nil before the first
 }
 
 // accept returns the handler of a client's connection.
@@ -62,7 +62,7 @@
 func (h *clientHandler) Receive(c *transport.Conn, received []byte) (int, error) {
 	switch {
 	case h.streaming:
-		return len(received), nil // nothing more is expected on a stream
+		return len(received), nil // a client sends nothing more on a stream
 	case h.requestPending:
 		return 0, nil
 	}
@@ -145,7 +145,7 @@
 	}
 }
 
-// complete responds with the answer of the cores, in the event loop.
+// complete writes the response with the answer of the cores. It is called in the event loop.
 func (h *clientHandler) complete(c *transport.Conn, call *drmaafront.Call, events *eventStream, answer *scheduler.Answer) {
 	if call.Stream && answer.Err == nil {
 		h.streaming = true
--- a/internal/daemon/core.go
+++ b/internal/daemon/core.go
@@ -14,44 +14,44 @@
 )
 
 const (
-	minStepInterval = 500 * time.Microsecond // between steps, so that the inputs of a burst share them
-	mailboxCapacity = 1 << 16                // messages that may wait for a core
-	maxStepInputs   = 4096                   // that one step takes
+	minStepInterval = 500 * time.Microsecond // so that one step handles the inputs of a burst
+	mailboxCapacity = 1 << 16                // messages per core
+	maxStepInputs   = 4096                   // per step
 )
 
-// message is what event loops pass to the goroutine that owns a core. Exactly one of stop, input and buildInput is set.
+// message is passed to the goroutine that owns a core. Exactly one of stop, input and buildInput is set.
 type message struct {
 	stop       bool
 	input      scheduler.Input
-	buildInput func(requestID, streamID uint64) scheduler.Input // of a client's request, which the owner numbers
+	buildInput func(requestID, streamID uint64) scheduler.Input // of a client's request, to which the owner assigns IDs
 
 	reply      func(*scheduler.Answer)    // to a client's request
 	publish    func(*scheduler.Info) bool // a change to the client of a Watch; false ends the stream
 	heartbeat  func() bool                // to the client of a Watch; false ends the stream
-	receivedAt time.Time                  // when the client's request had been read
+	receivedAt time.Time                  // when the client's request was complete
 	isNewJob   bool                       // a submission; set by the owner
 
 	conn      *transport.Conn   // of a NodeUp
 	addresses map[string]string // of the nodes in a NodesUpdated
 }
 
-// coreRunner is a scheduler.Core with the goroutine that owns it. Other goroutines may call enqueue, tryEnqueue and
-// requeue, and read done and drained; all else belongs to the owner.
+// coreRunner runs a scheduler.Core in a goroutine that owns it. The methods enqueue, tryEnqueue and requeue and the channels
+// done and drained are safe for concurrent use; everything else is for the owner only.
 type coreRunner struct {
 	daemon       *Daemon
 	index        int
 	core         *scheduler.Core
 	mailbox      chan message
 	done         chan struct{} // closed when the owner has ended
-	drained      chan struct{} // closed when a draining core has no open request any more
+	drained      chan struct{} // closed when a draining core has no more open placement requests
 	isDrained    bool
 	recorder     *replay.Writer // of the module's steps; nil without the setting
-	blockedSends sync.WaitGroup // goroutines of requeue; none is added once the event loops have ended
+	blockedSends sync.WaitGroup // goroutines of requeue; none are added after the event loops have ended
 
 	lastRequestID uint64
-	pending       map[uint64]message   // requests by ID that wait for their answer
+	pending       map[uint64]message   // requests without an answer, by request ID
 	streams       map[uint64]message   // Watch requests by stream ID
-	submittedAt   map[string]time.Time // of jobs not yet offered, by job ID
+	submittedAt   map[string]time.Time // of jobs without an offer, by job ID
 	outboxes      map[string]*nodeOutbox
 	unflushed     []*nodeOutbox     // those with frames of the current step
 	addresses     map[string]string // of nodes
@@ -59,9 +59,18 @@
 }
 
 func newCoreRunner(d *Daemon, index, coreCount int) (*coreRunner, error) {
-	r := &coreRunner{daemon: d, index: index, mailbox: make(chan message, mailboxCapacity), done: make(chan struct{}),
-		drained: make(chan struct{}), pending: map[uint64]message{}, streams: map[uint64]message{},
-		submittedAt: map[string]time.Time{}, outboxes: map[string]*nodeOutbox{}, addresses: map[string]string{}}
+	r := &coreRunner{
+		daemon:      d,
+		index:       index,
+		mailbox:     make(chan message, mailboxCapacity),
+		done:        make(chan struct{}),
+		drained:     make(chan struct{}),
+		pending:     map[uint64]message{},
+		streams:     map[uint64]message{},
+		submittedAt: map[string]time.Time{},
+		outboxes:    map[string]*nodeOutbox{},
+		addresses:   map[string]string{},
+	}
 	r.offer.init()
 	config := shard.Divide(d.settings.CoreConfig(d.startedAt), index, coreCount)
 	config.WrapStep = d.metrics.timeModuleStep
@@ -80,7 +89,7 @@
 	return r, nil
 }
 
-// recordingPath is where the steps of a core's module are recorded.
+// recordingPath returns the path of the recording of a core's module.
 func recordingPath(path string, index int) string {
 	if index == 0 {
 		return path
@@ -88,7 +97,7 @@
 	return fmt.Sprintf("%s.%d", path, index)
 }
 
-// enqueue passes a message to the owner and waits while the mailbox is full; not for event loops.
+// enqueue passes a message to the owner. It blocks while the mailbox is full, so event loops must not call it.
 func (r *coreRunner) enqueue(m message) {
 	select {
 	case r.mailbox <- m:
@@ -96,7 +105,7 @@
 	}
 }
 
-// tryEnqueue passes a message to the owner if the mailbox has room; for event loops.
+// tryEnqueue passes a message to the owner without blocking. It returns false if the mailbox is full.
 func (r *coreRunner) tryEnqueue(m message) bool {
 	select {
 	case r.mailbox <- m:
@@ -107,8 +116,8 @@
 	}
 }
 
-// requeue gives the core an input in a later step. It must not be lost, and neither the owner, which would wait for
-// itself, nor an event loop may wait: if the mailbox is full, a goroutine does.
+// requeue passes an input to the core in a later step, without blocking or losing it: if the mailbox is full, a goroutine
+// waits instead of the caller, which may be the owner or an event loop.
 func (r *coreRunner) requeue(input scheduler.Input) {
 	m := message{input: input}
 	if !r.tryEnqueue(m) {
@@ -116,7 +125,7 @@
 	}
 }
 
-// discardMail empties the mailbox of a runner whose goroutine has ended until closed is closed.
+// discardMail discards messages to a runner whose goroutine has ended, until closed is closed.
 func (r *coreRunner) discardMail(closed <-chan struct{}) {
 	for {
 		select {
@@ -127,14 +136,14 @@
 	}
 }
 
-// run is the goroutine that owns the core. It ends with the message to stop.
+// run steps the core until it receives a stop message. It is the goroutine that owns the core.
 func (r *coreRunner) run() {
 	defer close(r.done)
 	gcBallast()
 	defer retainGCBallast()
-	wake := time.NewTimer(0)
+	stepTimer := time.NewTimer(0)
 	heartbeat, ping := time.NewTicker(streamHeartbeatInterval), time.NewTicker(pingInterval)
-	defer wake.Stop()
+	defer stepTimer.Stop()
 	defer heartbeat.Stop()
 	defer ping.Stop()
 	var lastStep time.Time
@@ -146,7 +155,7 @@
 				return
 			}
 			inputs = r.appendInput(inputs, m)
-		case <-wake.C:
+		case <-stepTimer.C:
 		case <-heartbeat.C:
 			r.sendHeartbeats()
 			continue
@@ -162,14 +171,14 @@
 			return
 		}
 		lastStep = time.Now()
-		wakeAt := r.step(lastStep, inputs)
-		wake.Reset(max(wakeAt-clock.Now(), 0))
+		nextStep := r.step(lastStep, inputs)
+		stepTimer.Reset(max(nextStep-clock.Now(), 0))
 	}
 }
 
-// collectInputs adds the inputs that wait in the mailbox, up to the bound of a step. It is true after the message to
-// stop.
-func (r *coreRunner) collectInputs(inputs []scheduler.Input) ([]scheduler.Input, bool) {
+// collectInputs appends the inputs in the mailbox, up to maxStepInputs in total. It reports whether it received a stop
+// message.
+func (r *coreRunner) collectInputs(inputs []scheduler.Input) (collected []scheduler.Input, stop bool) {
 	for len(inputs) < maxStepInputs {
 		select {
 		case m := <-r.mailbox:
@@ -184,14 +193,14 @@
 	return inputs, false
 }
 
-// step steps the core, executes its effects and returns the time of the next step.
-func (r *coreRunner) step(began time.Time, inputs []scheduler.Input) (wakeAt scheduler.Time) {
-	now := clock.At(began)
+// step steps the core, executes its effects and returns the latest time of the next step.
+func (r *coreRunner) step(startedAt time.Time, inputs []scheduler.Input) (nextStep scheduler.Time) {
+	now := clock.At(startedAt)
 	output := r.core.Step(now, inputs)
 	if hook := r.daemon.hook; hook != nil {
 		output.Effects = hook.Out(now, output.Effects)
 	}
 	r.executeEffects(now, output.Effects)
-	r.daemon.metrics.recordStep(time.Since(began), len(inputs))
+	r.daemon.metrics.recordStep(time.Since(startedAt), len(inputs))
 	return output.NextStep
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon runs a scheduler: it connects scheduler cores to sockets, the clock, logs and metrics. It must decide
-// nothing about jobs. One goroutine owns each core; the event loops of connections only parse and pass messages on.
+// Package daemon runs a scheduler: it connects scheduler cores to sockets, the clock, logs and metrics. It must not make
+// decisions about jobs. One goroutine owns each core; the event loops of connections parse messages and pass them to it.
 package daemon
 
 import (
@@ -32,7 +32,7 @@
 // reconnectBackoff is the backoff of the links to nodes and to the inventory.
 var reconnectBackoff = transport.Backoff{Initial: 20 * time.Millisecond, Max: time.Second}
 
-// Daemon is a running scheduler. Its methods may be called from several goroutines.
+// Daemon is a running scheduler. It is safe for concurrent use.
 type Daemon struct {
 	settings  *settings.Scheduler
 	log       zerolog.Logger
@@ -53,16 +53,16 @@
 	metrics            *metrics
 }
 
-// Hook sees and changes what passes between the cores and the sockets. It is there for tests: of the rules' checker,
-// with a host that errs on purpose, and of cores that stall. Both methods are called by the goroutine that owns a core.
+// Hook intercepts inputs and effects between the cores and the sockets, for tests: of the rule checker, with a host that
+// breaks rules on purpose, and of cores that stall. Both methods are called by the goroutine that owns a core.
 type Hook interface {
-	// In returns the input that the core is given in place of the argument.
+	// In returns the input that the core receives instead of the argument.
 	In(scheduler.Input) scheduler.Input
-	// Out returns the effects that are executed in place of those of the core's step at the time now.
+	// Out returns the effects to execute instead of those of the core's step at the time now.
 	Out(now scheduler.Time, effects []scheduler.Effect) []scheduler.Effect
 }
 
-// Start runs a daemon. Its address is known when Start returns. The caller ends it with Shutdown or Stop.
+// Start starts a daemon, which listens when Start returns. The caller ends it with Shutdown or Stop.
 func Start(set *settings.Scheduler, log zerolog.Logger) (*Daemon, error) {
 	return StartHooked(set, log, nil)
 }
@@ -71,9 +71,15 @@
 func StartHooked(set *settings.Scheduler, log zerolog.Logger, hook Hook) (*Daemon, error) {
 	coreCount := max(set.Shards, 1)
 	startedAt := clock.Now()
-	d := &Daemon{settings: set, hook: hook, log: log.With().Str("scheduler", set.Name).Logger(), startedAt: startedAt,
-		shards: shard.New(set.Name, set.CoreConfig(startedAt), coreCount), front: drmaafront.New(set, startedAt)}
-	d.nodes.byName = map[string]*nodeConnection{}
+	d := &Daemon{
+		settings:  set,
+		hook:      hook,
+		log:       log.With().Str("scheduler", set.Name).Logger(),
+		startedAt: startedAt,
+		shards:    shard.New(set.Name, set.CoreConfig(startedAt), coreCount),
+		front:     drmaafront.New(set, startedAt),
+		nodes:     nodeConnections{byName: map[string]*nodeConnection{}},
+	}
 	if err := d.open(coreCount); err != nil {
 		return nil, errors.Join(err, d.closeResources(context.Background()))
 	}
@@ -86,8 +92,8 @@
 	return d, nil
 }
 
-// open makes what the daemon consists of; the cores' goroutines are not started yet. After an error the caller closes
-// what was opened.
+// open opens the daemon's resources; it does not start the goroutines of the cores. After an error the caller must call
+// closeResources.
 func (d *Daemon) open(coreCount int) (err error) {
 	if d.metrics, err = newMetrics(d.settings.MetricsAddress); err != nil {
 		return err
@@ -99,30 +105,37 @@
 		}
 		d.runners = append(d.runners, runner)
 	}
-	// One loop writes to all nodes: with several, the stop of an attempt that was given up could leave after the offer
-	// that follows it, to another node.
-	d.dialer, err = transport.NewDialer(transport.Options{MaxWriteQueue: d.settings.Limits.MaxNodeWriteQueue,
-		IdleTimeout: peerIdleTimeout, Log: d.log})
+	// One event loop writes to all nodes. With several, the stop of an attempt could be sent after the offer of its
+	// successor to another node.
+	d.dialer, err = transport.NewDialer(transport.Options{
+		MaxWriteQueue: d.settings.Limits.MaxNodeWriteQueue,
+		IdleTimeout:   peerIdleTimeout,
+		Log:           d.log,
+	})
 	if err != nil {
 		return err
 	}
-	d.server, err = transport.Listen(d.settings.ListenAddress, transport.Options{
+	clientOptions := transport.Options{
 		MaxWriteQueue: d.settings.Limits.MaxClientWriteQueue,
-		IdleTimeout:   d.settings.Limits.IdleTimeout.Duration(), Loops: coreCount, Log: d.log}, d.accept)
+		IdleTimeout:   d.settings.Limits.IdleTimeout.Duration(),
+		Loops:         coreCount,
+		Log:           d.log,
+	}
+	d.server, err = transport.Listen(d.settings.ListenAddress, clientOptions, d.accept)
 	return err
 }
 
-// Addr is the address, host:port, on which the daemon serves its clients.
+// Addr returns the address, as host:port, on which the daemon serves its clients.
 func (d *Daemon) Addr() string { return d.server.Addr() }
 
-// enqueueAll passes an input to all cores and waits while a mailbox is full; not for event loops.
+// enqueueAll passes an input to all cores. It blocks while a mailbox is full, so event loops must not call it.
 func (d *Daemon) enqueueAll(input scheduler.Input) {
 	for _, runner := range d.runners {
 		runner.enqueue(message{input: input})
 	}
 }
 
-// tryEnqueueAll passes a message to all cores without waiting; for event loops. It is false if a mailbox was full.
+// tryEnqueueAll passes a message to all cores without blocking. It returns false if a mailbox was full.
 func (d *Daemon) tryEnqueueAll(m message) bool {
 	ok := true
 	for _, runner := range d.runners {
@@ -131,9 +144,9 @@
 	return ok
 }
 
-// Shutdown is the graceful end: it takes no new work, waits until each open request has its outcome, or for the time
-// that the settings give, and stops. It returns an error if a request had no outcome by then. Running jobs run on at
-// their nodes.
+// Shutdown ends the daemon gracefully: it rejects new work, waits until all placement requests are closed or for the
+// shutdown timeout of the settings, and stops. It returns an error if a placement request was still open then. Running
+// jobs continue on their nodes.
 func (d *Daemon) Shutdown(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, d.settings.Limits.ShutdownTimeout.Duration())
 	defer cancel()
@@ -149,7 +162,8 @@
 	return errors.Join(err, d.Stop())
 }
 
-// Stop ends the daemon without waiting for open requests, and returns when all its goroutines have ended.
+// Stop ends the daemon without waiting for open placement requests, and returns when all its goroutines have ended. It may
+// be called repeatedly.
 func (d *Daemon) Stop() error {
 	for _, runner := range d.runners {
 		runner.enqueue(message{stop: true})
@@ -161,8 +175,8 @@
 	return d.closeErr
 }
 
-// close ends the sockets after the cores have stopped. What event loops still pass to the cores is discarded meanwhile,
-// so that no loop finds a mailbox full because nobody reads it.
+// close closes the sockets after the cores have stopped. It discards messages from event loops meanwhile, so that no loop
+// finds a full mailbox without a reader.
 func (d *Daemon) close() {
 	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
@@ -182,7 +196,7 @@
 	}
 }
 
-// closeResources closes all that open has opened, until ctx ends where queued writes are slow.
+// closeResources closes what open has opened. When ctx ends it stops waiting for queued writes.
 func (d *Daemon) closeResources(ctx context.Context) error {
 	var errs []error
 	if d.server != nil {
--- a/internal/daemon/dispatch.go
+++ b/internal/daemon/dispatch.go
@@ -6,8 +6,8 @@
 	"flaxshelf.example/flaxshelf/internal/shard"
 )
 
-// dispatch passes a client's request to the core that it is for, or to all cores, whose answers are merged. It is false
-// if a mailbox was full; no reply is made then. It is called by event loops and does not wait.
+// dispatch passes a client's request to the core that it concerns, or to all cores, whose answers are merged. It returns
+// false, and m.reply is not called, if a mailbox was full. It does not block.
 func (d *Daemon) dispatch(call *drmaafront.Call, m message, events *eventStream) bool {
 	sample := call.BuildInput(0, 0)
 	if submit, ok := sample.(scheduler.Submit); ok {
@@ -16,7 +16,7 @@
 		m.buildInput = call.BuildInput
 		return d.runners[core].tryEnqueue(m)
 	}
-	core, all := d.shards.Everyone(sample)
+	core, all := d.shards.Route(sample)
 	switch {
 	case !all:
 		return d.dispatchToCore(core, call, m, events)
@@ -39,7 +39,7 @@
 	return d.runners[core].tryEnqueue(m)
 }
 
-// dispatchToAll passes a request to all cores at once. The heartbeats of a stream are sent for the first core.
+// dispatchToAll passes a request to all cores concurrently. The first core sends the heartbeats of a stream.
 func (d *Daemon) dispatchToAll(sample scheduler.Input, call *drmaafront.Call, m message, events *eventStream) bool {
 	responses := newScatterGather(sample, len(d.runners), m.reply)
 	for i, runner := range d.runners {
@@ -59,8 +59,8 @@
 	return true
 }
 
-// dispatchByFirstCore passes a command to the first core, whose goroutine passes it on to the others unless it has
-// failed: so all cores are given all such commands in the first core's order.
+// dispatchByFirstCore passes a command to the first core, whose goroutine passes it to the others unless it has failed. All
+// cores thus receive these commands in the same order.
 func (d *Daemon) dispatchByFirstCore(sample scheduler.Input, call *drmaafront.Call, m message) bool {
 	responses := newScatterGather(sample, len(d.runners), m.reply)
 	reply := m.reply
--- a/internal/daemon/effects.go
+++ b/internal/daemon/effects.go
@@ -9,7 +9,7 @@
 	"flaxshelf.example/flaxshelf/internal/shard"
 )
 
-// executeEffects executes the effects of a step in order. The frames for one node go to its event loop together.
+// executeEffects executes the effects of a step in order. The frames to each node are passed to its event loop together.
 func (r *coreRunner) executeEffects(decidedAt scheduler.Time, effects []scheduler.Effect) {
 	for _, effect := range effects {
 		r.executeEffect(effect)
@@ -31,7 +31,7 @@
 	case scheduler.SendHealthCheck:
 		r.sendFrame(e.Node, nodefront.Probe())
 	case scheduler.SyncNode:
-		r.sendFrame(e.Node, nodefront.Ping(shard.Token(r.index, e.Token)))
+		r.sendFrame(e.Node, nodefront.Ping(shard.EncodeToken(r.index, e.Token)))
 	case scheduler.Connect:
 		r.connect(e.Node)
 	case scheduler.Disconnect:
@@ -51,7 +51,8 @@
 	}
 }
 
-// sendOffer puts an offer into the outbox of its node. If there is no connection, the core is notified that it was not sent.
+// sendOffer puts an offer into the outbox of its node. Without a connection it reports to the core that the offer was not
+// sent.
 func (r *coreRunner) sendOffer(e *scheduler.SendOffer) {
 	r.daemon.metrics.offers.Inc()
 	if submittedAt, ok := r.submittedAt[e.Job]; ok {
@@ -65,14 +66,14 @@
 	r.reportUnsent(e.Node, e.Attempt)
 }
 
-// sendFrame puts a frame into the outbox of a node; without a connection the frame is dropped.
+// sendFrame puts a frame into the outbox of a node. Without a connection the frame is discarded.
 func (r *coreRunner) sendFrame(node string, frame *nodepb.Frame) {
 	if outbox := r.outboxForWrite(node); outbox != nil {
 		outbox.put(frame)
 	}
 }
 
-// answer replies to the request that the core has answered.
+// answer passes an answer of the core to the client that sent the request.
 func (r *coreRunner) answer(e *scheduler.Answer) {
 	m, ok := r.pending[e.Req]
 	if !ok {
@@ -106,7 +107,7 @@
 	}
 }
 
-// endStream drops a stream that nobody reads any more.
+// endStream ends a stream that its client no longer reads.
 func (r *coreRunner) endStream(id uint64) {
 	delete(r.streams, id)
 	r.requeue(scheduler.Unwatch{Stream: id})
--- a/internal/daemon/eventstream.go
+++ b/internal/daemon/eventstream.go
@@ -9,22 +9,21 @@
 	"flaxshelf.example/flaxshelf/internal/transport"
 )
 
-// eventBytes is what a response or an event that is encoded in the event loop counts in the queue of writes.
+// eventBytes is the size at which the write queue counts a response or an event that is encoded in the event loop.
 const eventBytes = 512
 
-// eventStream is the stream of job changes to one client, published by one core or by all. What is published before the
-// head of the response is buffered until the head is written. Its fields but ended belong to the connection's event
-// loop.
+// eventStream is the stream of job changes to one client, published by one core or by all. Changes are buffered until the
+// head of the response has been written. All fields except ended belong to the connection's event loop.
 type eventStream struct {
 	client      *clientHandler
 	conn        *transport.Conn
 	position    shard.Position
 	headWritten bool
 	buffered    [][]byte
-	ended       atomic.Bool // the request was rejected or has failed
+	ended       atomic.Bool // the request was rejected or failed
 }
 
-// resumed makes the input of a Watch begin where the client left off with a core.
+// resumed returns a function that builds the input of a Watch from the revision up to which the client has read from a core.
 func (s *eventStream) resumed(buildInput func(requestID, streamID uint64) scheduler.Input,
 	core int) func(requestID, streamID uint64) scheduler.Input {
 	since := s.position[core]
@@ -39,7 +38,7 @@
 	}
 }
 
-// publisher returns the function that a core calls for each change; it is false when nobody reads any more.
+// publisher returns the function that a core calls for each change. It returns false when the client no longer reads.
 func (s *eventStream) publisher(core int) func(*scheduler.Info) bool {
 	return func(change *scheduler.Info) bool {
 		info := *change
@@ -55,7 +54,7 @@
 	}
 }
 
-// begin writes the buffered events behind the head of the response.
+// begin writes the buffered events. It is called after the head of the response has been written.
 func (s *eventStream) begin(write func([]byte)) {
 	s.headWritten = true
 	for _, event := range s.buffered {
@@ -64,10 +63,10 @@
 	s.buffered = nil
 }
 
-// sendHeartbeat sends a heartbeat; it is false when nobody reads any more.
+// sendHeartbeat sends a heartbeat. It returns false when the client no longer reads.
 func (s *eventStream) sendHeartbeat() bool {
 	return !s.ended.Load() && s.conn.Send(drmaafront.Heartbeat()) && !s.conn.IsClosed()
 }
 
-// isRead is used in place of sendHeartbeat by a core that leaves the heartbeats to another.
+// isRead reports whether the client still reads. A core that sends no heartbeats uses it instead of sendHeartbeat.
 func (s *eventStream) isRead() bool { return !s.ended.Load() && !s.conn.IsClosed() }
--- a/internal/daemon/inputs.go
+++ b/internal/daemon/inputs.go
@@ -11,8 +11,7 @@
 
 var errNodeNotRequested = errors.New("daemon: no core requests a connection to this node")
 
-// appendInput adds the input of a message to those of the next step, and keeps of the message what the effects of the
-// step will need.
+// appendInput appends the input of a message, and stores what the effects of the step will need of the message.
 func (r *coreRunner) appendInput(inputs []scheduler.Input, m message) []scheduler.Input {
 	input := m.input
 	switch in := m.input.(type) {
@@ -37,8 +36,8 @@
 	return append(inputs, input)
 }
 
-// updateAddresses keeps the addresses of an update's nodes. The core writes into the list of machines, which other
-// cores are given too, so each has a copy.
+// updateAddresses stores the addresses of an update's nodes. The core writes to the list of machines, so each core gets a
+// copy.
 func (r *coreRunner) updateAddresses(update scheduler.NodesUpdated, addresses map[string]string) scheduler.Input {
 	if len(r.daemon.runners) > 1 {
 		update.Machines = slices.Clone(update.Machines)
@@ -47,7 +46,7 @@
 	return update
 }
 
-// registerRequest numbers a client's request and keeps where its answer and its stream go.
+// registerRequest assigns an ID to a client's request and stores where its answer and its stream are sent.
 func (r *coreRunner) registerRequest(m message) scheduler.Input {
 	r.lastRequestID++
 	id := r.lastRequestID
--- a/internal/daemon/inventory.go
+++ b/internal/daemon/inventory.go
@@ -8,7 +8,7 @@
 	"flaxshelf.example/flaxshelf/internal/transport"
 )
 
-// linkInventory keeps a connection to the inventory until the dialer stops.
+// linkInventory maintains a connection to the inventory until the dialer stops.
 func (d *Daemon) linkInventory() {
 	d.dialer.Link(d.settings.InventoryAddress, inventoryDialTimeout, reconnectBackoff,
 		func() transport.Handler {
@@ -39,7 +39,7 @@
 		h.daemon.inventoryConn.Store(c)
 		return nil
 	case failed:
-		// The cores are not notified: docs/ROADMAP.md lists this as a fault.
+		// The cores are not notified; docs/ROADMAP.md lists this as a known issue.
 		h.daemon.log.Warn().Str("reason", frame.GetListError().Message).Msg("inventory reported a failed call")
 		return nil
 	case input == nil:
@@ -75,7 +75,7 @@
 func (r *coreRunner) syncDiscovery(token uint64) {
 	r.daemon.log.Warn().Int("core", r.index).
 		Msg("scheduler was stopped for a while; placement waits until the inventory has answered")
-	r.sendToInventory(nodefront.Ping(shard.Token(r.index, token)))
+	r.sendToInventory(nodefront.Ping(shard.EncodeToken(r.index, token)))
 }
 
 func (r *coreRunner) sendToInventory(frame *nodepb.Frame) {
--- a/internal/daemon/nodeconns.go
+++ b/internal/daemon/nodeconns.go
@@ -8,13 +8,13 @@
 	"flaxshelf.example/flaxshelf/internal/transport"
 )
 
-// nodeConnections are the connections to nodes, one to each for all cores. Several goroutines may use it at once.
+// nodeConnections are the connections to nodes, which the cores share. It is safe for concurrent use.
 type nodeConnections struct {
 	mu     sync.Mutex
 	byName map[string]*nodeConnection
 }
 
-// nodeConnection is the connection to a node, kept while a core requests it.
+// nodeConnection is the connection to a node, which is maintained while any core requests it.
 type nodeConnection struct {
 	address     string
 	link        *transport.Link
@@ -28,8 +28,8 @@
 	return n.byName[name] != nil
 }
 
-// request has a connection kept for a core from now on, made by dial unless there is one to the address. It reports
-// whether a connection to another address was given up for it, of which nothing more will be reported.
+// request adds a core's request for a connection, which dial makes unless there is one to the address. It reports whether
+// a connection to another address was replaced, whose end will not be reported.
 func (n *nodeConnections) request(core int, name, address string,
 	dial func(*nodeConnection) *transport.Link) (replaced bool) {
 	n.mu.Lock()
@@ -50,14 +50,14 @@
 	return old != nil
 }
 
-// isCurrent reports whether a connection is the one that is kept to its node, and not one that was given up.
+// isCurrent reports whether a connection to a node is the current one and has not been replaced.
 func (n *nodeConnections) isCurrent(name string, connection *nodeConnection) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.byName[name] == connection
 }
 
-// release gives up a core's request for a connection. The last one ends it.
+// release removes a core's request for a connection. The connection ends with its last request.
 func (n *nodeConnections) release(core int, name string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -72,7 +72,7 @@
 	}
 }
 
-// connect keeps a connection to a node from now on.
+// connect requests a connection to a node for the core.
 func (r *coreRunner) connect(name string) {
 	d, address := r.daemon, r.addresses[name]
 	replaced := d.nodes.request(r.index, name, address, func(connection *nodeConnection) *transport.Link {
@@ -85,13 +85,13 @@
 	if !replaced {
 		return
 	}
-	for _, runner := range d.runners { // at once: what is sent until the next welcome waits for it
+	for _, runner := range d.runners { // at once, so that what is sent before the next welcome waits for it
 		runner.requeue(scheduler.NodeDown{Node: name})
 	}
 }
 
-// nodeDisconnected notifies the cores that a connection has closed or could not be made. A connection that was given up
-// may be reported after the welcome of the next, and the node would count as down while it is up: it is passed over.
+// nodeDisconnected notifies the cores that a connection has closed or could not be made. It ignores a connection that was
+// replaced: its end may be reported after the welcome of its successor, when the node is connected again.
 func (d *Daemon) nodeDisconnected(name string, connection *nodeConnection, err error) {
 	d.log.Debug().Err(err).Str("node", name).Msg("node not connected")
 	if d.nodes.isCurrent(name, connection) {
@@ -99,13 +99,13 @@
 	}
 }
 
-// disconnect gives up the core's connection to a node.
+// disconnect releases the core's connection to a node.
 func (r *coreRunner) disconnect(name string) {
 	delete(r.outboxes, name)
 	r.daemon.nodes.release(r.index, name)
 }
 
-// pingPeers pings the connected nodes and the inventory, so that idle connections are known to be alive.
+// pingPeers pings the connected nodes and the inventory, whose replies prevent the idle timeout.
 func (r *coreRunner) pingPeers() {
 	frame := encode(nodefront.Ping(0))
 	for _, outbox := range r.outboxes {
--- a/internal/daemon/outbox.go
+++ b/internal/daemon/outbox.go
@@ -11,14 +11,14 @@
 	"flaxshelf.example/flaxshelf/internal/transport"
 )
 
-// nodeOutbox is one core's end of the connection to a node. It belongs to the owner of the core.
+// nodeOutbox collects one core's frames to a node. It belongs to the owner of the core.
 type nodeOutbox struct {
 	node   string
-	conn   *transport.Conn // nil until the node has sent its welcome
+	conn   *transport.Conn // nil before the node has sent its welcome
 	frames transport.Outbox
 }
 
-// outbox returns the outbox of a node, made at its first use.
+// outbox returns the outbox of a node, which it creates at first use.
 func (r *coreRunner) outbox(node string) *nodeOutbox {
 	outbox := r.outboxes[node]
 	if outbox == nil {
@@ -28,7 +28,8 @@
 	return outbox
 }
 
-// outboxForWrite returns the outbox of a connected node, to be flushed at the end of the step; nil for another node.
+// outboxForWrite returns the outbox of a connected node, and marks it to be flushed at the end of the step. It returns nil
+// if the node is not connected.
 func (r *coreRunner) outboxForWrite(node string) *nodeOutbox {
 	outbox := r.outboxes[node]
 	if outbox == nil || outbox.conn == nil {
@@ -40,12 +41,12 @@
 	return outbox
 }
 
-// put encodes a frame behind those of the step.
+// put appends an encoded frame.
 func (o *nodeOutbox) put(frame *nodepb.Frame) {
 	mustEncode(o.frames.Put(func(dst []byte) ([]byte, error) { return nodeframe.Append(dst, frame) }))
 }
 
-// mustEncode is for frames that can always be encoded: every field is bounded where it comes in.
+// mustEncode panics if a frame could not be encoded. All fields are bounded when they are received, so this is a bug.
 func mustEncode(err error) {
 	if err != nil {
 		panic(fmt.Sprintf("daemon: encode frame: %v", err))
@@ -58,10 +59,10 @@
 	return encoded
 }
 
-// hello is the encoded first frame of each connection to a node or to the inventory.
+// hello returns the encoded first frame of a connection to a node or to the inventory.
 func (d *Daemon) hello() []byte { return encode(nodefront.Hello(d.settings, d.startedAt)) }
 
-// putOffer encodes an offer behind the frames of the step.
+// putOffer appends an encoded offer.
 func (r *coreRunner) putOffer(outbox *nodeOutbox, e *scheduler.SendOffer) {
 	nodefront.Task(r.daemon.settings, e, &r.offer.task)
 	r.offer.body.Attempt, r.offer.body.ValidForNs = e.Attempt, int64(e.ValidFor)
@@ -72,8 +73,8 @@
 		func() { r.reportUnsent(node, attempt) }))
 }
 
-// offerFrame is the frame of an offer that is filled and encoded again and again: allocating the messages for each
-// offer showed in profiles.
+// offerFrame is the frame of an offer, which is reused for each offer because its allocation was significant in
+// profiles.
 type offerFrame struct {
 	frame nodepb.Frame
 	body  nodepb.Offer
@@ -85,14 +86,14 @@
 	o.frame.Body = &nodepb.Frame_Offer{Offer: &o.body}
 }
 
-// flush passes a step's frames to the event loop of the node's connection. An offer that comes there after half the
-// drain grace, or not at all, is reported as not sent.
+// flush passes a step's frames to the event loop of the node's connection. An offer that the loop handles later than half
+// the drain grace, or never, is reported as not sent.
 func (r *coreRunner) flush(outbox *nodeOutbox, decidedAt scheduler.Time) {
 	limit := r.daemon.settings.Rules.DrainGrace.Duration() / 2
 	outbox.frames.Flush(outbox.conn, func() bool { return clock.Now()-decidedAt < limit })
 }
 
-// reportUnsent notifies the core that an offer was never written. It may be called from any goroutine.
+// reportUnsent notifies the core that an offer was not written. It is safe for concurrent use.
 func (r *coreRunner) reportUnsent(node, attempt string) {
 	r.requeue(scheduler.SendFailed{Node: node, Attempt: attempt})
 }
--- a/internal/daemon/peerhandler.go
+++ b/internal/daemon/peerhandler.go
@@ -42,7 +42,7 @@
 // tryEnqueueSynced passes the answer to a sync to the core that the peer's token names, without waiting. It returns
 // false if the mailbox was full. A token of a core that does not exist is ignored.
 func (d *Daemon) tryEnqueueSynced(peerToken uint64, newInput func(token uint64) scheduler.Input) bool {
-	core, token := shard.Untoken(peerToken)
+	core, token := shard.DecodeToken(peerToken)
 	if core >= len(d.runners) {
 		return true
 	}
--- a/internal/daemon/scattergather.go
+++ b/internal/daemon/scattergather.go
@@ -7,14 +7,14 @@
 	"flaxshelf.example/flaxshelf/internal/shard"
 )
 
-// scatterGather collects the answers of all cores to one request and replies with them merged. Several goroutines may
-// use it at once.
+// scatterGather collects the answers of all cores to one request and replies with the merged answer. It is safe for
+// concurrent use.
 type scatterGather struct {
 	request scheduler.Input
 	reply   func(*scheduler.Answer)
 
 	mu        sync.Mutex
-	remaining int // answers still to come
+	remaining int // missing answers
 	answers   []scheduler.Answer
 	canceled  bool
 }
@@ -23,7 +23,7 @@
 	return &scatterGather{request: request, reply: reply, remaining: cores, answers: make([]scheduler.Answer, cores)}
 }
 
-// collector returns the function that takes the answer of one core. The last of them replies.
+// collector returns the function that receives the answer of one core. It replies after the last answer.
 func (s *scatterGather) collector(core int) func(*scheduler.Answer) {
 	return func(answer *scheduler.Answer) {
 		s.mu.Lock()
@@ -38,7 +38,7 @@
 	}
 }
 
-// cancel discards the answers: the request was rejected after some cores had been given it.
+// cancel discards the answers, for a request that was rejected after some cores had received it.
 func (s *scatterGather) cancel() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/shard/config.go
+++ b/internal/shard/config.go
@@ -10,17 +10,18 @@
 // MaxCores is the largest number of cores of one scheduler.
 const MaxCores = 64
 
-// seedStep tells the seeds of the cores apart: 2^64 divided by the golden ratio, so that multiples of it spread evenly.
+// seedStep is the difference between the seeds of two cores: 2^64 divided by the golden ratio, whose multiples are spread
+// evenly.
 const seedStep = 0x9e3779b97f4a7c15
 
-// CoreCountError reports a number of cores that a scheduler can't have.
+// CoreCountError reports an invalid number of cores.
 type CoreCountError struct{ Cores int }
 
 func (e *CoreCountError) Error() string {
 	return fmt.Sprintf("is %d, expected 1 to %d", e.Cores, MaxCores)
 }
 
-// Check returns a *CoreCountError where a scheduler can't have that number of cores.
+// Check returns a *CoreCountError if the number of cores is invalid.
 func Check(cores int) error {
 	if cores < 1 || cores > MaxCores {
 		return &CoreCountError{Cores: cores}
@@ -28,7 +29,7 @@
 	return nil
 }
 
-// CoreName is the name of one of several cores; the scheduler's own where there is one core.
+// CoreName returns the name of a core. A single core has the scheduler's name.
 func CoreName(scheduler string, core, cores int) string {
 	if cores == 1 {
 		return scheduler
@@ -36,8 +37,8 @@
 	return scheduler + "~" + strconv.Itoa(core)
 }
 
-// Divide returns the configuration of one of several cores, which has its share of the limits. Its module is configured
-// for a cluster with that many times more schedulers; slow-start budgets are divided by the number of schedulers there.
+// Divide returns the configuration of a core, with its share of the limits. The module's number of schedulers is multiplied
+// by the number of cores, since slow-start budgets are divided by it.
 func Divide(cfg scheduler.Config, core, cores int) scheduler.Config {
 	if cores == 1 {
 		return cfg
@@ -52,5 +53,6 @@
 	return cfg
 }
 
-// quotaOf is a core's share of a limit, at least 1. Otherwise the shares of all cores add up to the limit.
+// quotaOf returns a core's share of a limit. The shares of all cores add up to the limit, unless that is below the number
+// of cores: a share is at least 1.
 func quotaOf(limit, core, cores int) int { return max((limit+cores-1-core)/cores, 1) }
--- a/internal/shard/keycache.go
+++ b/internal/shard/keycache.go
@@ -1,18 +1,18 @@
 package shard
 
-// keyCache remembers the cores of the keys that were used last, between capacity and twice as many of them. It is not
-// safe for concurrent use.
+// keyCache maps the most recently used keys to cores. It retains at least the last capacity keys and at most twice as many.
+// It is not safe for concurrent use.
 type keyCache struct {
-	capacity int // as many as a scheduler keeps jobs
+	capacity int // the number of jobs that a scheduler retains
 	recent   map[string]int
-	older    map[string]int // replaced by recent when that is full
+	older    map[string]int // replaced by recent when recent is full
 }
 
 func newKeyCache(capacity int) keyCache {
 	return keyCache{capacity: capacity, recent: map[string]int{}}
 }
 
-// coreOf returns the core that is remembered for the key, or else remembers the default.
+// coreOf returns the core of a key. If the key is not in the cache, it is added with the default.
 func (k *keyCache) coreOf(key string, defaultCore int) int {
 	if core, ok := k.recent[key]; ok {
 		return core
--- a/internal/shard/merge.go
+++ b/internal/shard/merge.go
@@ -7,9 +7,9 @@
 	"flaxshelf.example/flaxshelf/internal/scheduler"
 )
 
-// Everyone reports whether a request concerns all cores, or one, which it then names. Of the session commands, those
-// that change a session concern all cores; IsAnsweredByFirstCore tells in which order they get it.
-func (m *Map) Everyone(in scheduler.Input) (core int, all bool) {
+// Route reports whether a request concerns all cores; if not, it returns the core that it concerns. Of the session
+// commands, those that change a session concern all cores; for their order see IsAnsweredByFirstCore.
+func (m *Map) Route(in scheduler.Input) (core int, all bool) {
 	if m.cores == 1 {
 		return 0, false
 	}
@@ -28,14 +28,14 @@
 	return 0, false
 }
 
-// IsAnsweredByFirstCore reports whether core 0 gets a request first, whose answer decides whether the other cores get
-// it: otherwise two cores might get the end of a session and its new creation in different orders.
+// IsAnsweredByFirstCore reports whether a request must be passed to core 0 first, and to the other cores only if core 0 does
+// not answer with an error. Otherwise two cores might destroy and create a session in different orders.
 func IsAnsweredByFirstCore(in scheduler.Input) bool {
 	_, ok := in.(scheduler.SessionCommand)
 	return ok
 }
 
-// Merge makes one answer of those of all cores to one request. If any is an error, the first of them is the answer.
+// Merge merges the answers of all cores to a request. If any of them is an error, it returns the first error.
 func Merge(in scheduler.Input, answers []scheduler.Answer) scheduler.Answer {
 	for _, answer := range answers {
 		if answer.Err != nil {
@@ -52,7 +52,7 @@
 	return merged
 }
 
-// mergeJobs lists the jobs of all cores in the order of their IDs, at most limit of them; 0 stands for all.
+// mergeJobs returns the jobs of all cores ordered by ID, at most limit of them. Zero means no limit.
 func mergeJobs(answers []scheduler.Answer, limit int) []scheduler.Info {
 	var jobs []scheduler.Info
 	for _, answer := range answers {
@@ -65,8 +65,8 @@
 	return jobs
 }
 
-// mergeMachines lists each machine once, in the order of their IDs, with the jobs of all cores added up. A machine is
-// connected if it is for any core.
+// mergeMachines returns each machine once, ordered by ID, with the sum of its jobs. A machine is connected if it is
+// connected for any core.
 func mergeMachines(answers []scheduler.Answer) []scheduler.MachineInfo {
 	merged := slices.Clone(answers[0].Machines)
 	indexes := map[string]int{}
--- a/internal/shard/position.go
+++ b/internal/shard/position.go
@@ -5,14 +5,14 @@
 	"strings"
 )
 
-// positionSeparator stands between the revisions of a position.
+// positionSeparator separates the revisions of a position.
 const positionSeparator = "-"
 
-// Position is a place in the stream of all cores' changes: of each core, the latest revision that was published.
+// Position is a position in the stream of the changes of all cores: the latest published revision of each core.
 type Position []uint64
 
-// ParsePosition reads a position as String writes it. One that is not valid, or is of another number of cores, is
-// taken for the beginning of the stream.
+// ParsePosition parses a position as formatted by String. It returns the start of the stream if s is invalid or has another
+// number of cores.
 func ParsePosition(s string, cores int) Position {
 	position := make(Position, cores)
 	words := strings.Split(s, positionSeparator)
--- a/internal/shard/shard_test.go
+++ b/internal/shard/shard_test.go
@@ -218,7 +218,7 @@
 
 func TestTokens(t *testing.T) {
 	for _, core := range []int{0, 1, MaxCores - 1} {
-		if gotCore, gotToken := Untoken(Token(core, 9)); gotCore != core || gotToken != 9 {
+		if gotCore, gotToken := DecodeToken(EncodeToken(core, 9)); gotCore != core || gotToken != 9 {
 			t.Errorf("token of core %d comes back as %d of %d", core, gotToken, gotCore)
 		}
 	}
--- a/internal/shard/shardmap.go
+++ b/internal/shard/shardmap.go
@@ -11,23 +11,23 @@
 	"flaxshelf.example/flaxshelf/internal/scheduler"
 )
 
-// maxBacklogLead is how many more inputs than twice those of the least loaded core may wait for a core before it is
-// passed over.
+// maxBacklogLead bounds the backlog of a core that gets work: the core is skipped if its backlog exceeds twice that of the
+// least loaded core by more than this number of inputs.
 const maxBacklogLead = 64
 
-// Map knows which core has what, for one incarnation of a scheduler. It is safe for concurrent use.
+// Map maps jobs, keys and attempts to cores, for one incarnation of a scheduler. It is safe for concurrent use.
 type Map struct {
 	cores      int
-	byService  bool     // all tasks of a service go to one core
-	idPrefixes []string // of the IDs that each core of this incarnation gives
+	byService  bool     // all tasks of a service are on one core
+	idPrefixes []string // of the IDs that each core of this incarnation assigns
 
 	mu      sync.RWMutex
-	adopted map[string]int // core of each job of a former incarnation that its ID does not lead to
-	keys    keyCache       // used where the service decides, and a key alone does not lead to the core
+	adopted map[string]int // cores of the jobs of former incarnations that are not on the core of their ID's hash
+	keys    keyCache       // used with byService, where the key alone does not determine the core
 }
 
-// New makes the map of one incarnation of a scheduler. Where the spread of any class is bounded, all tasks of a service
-// go to one core, which counts them exactly; no other division keeps the bound whatever is adopted.
+// New returns the map of one incarnation of a scheduler. If any class has a spread limit, all tasks of a service are on one
+// core, which counts them exactly; with any other division, adopted tasks could exceed the limit.
 func New(name string, cfg scheduler.Config, cores int) *Map {
 	isSpread := func(class flaxshelf.Class) bool { return class.SpreadDomain != flaxshelf.NoDomain }
 	m := &Map{
@@ -42,9 +42,9 @@
 	return m
 }
 
-// Submit returns the core for a submission. A key always leads to the same core, also in another incarnation of the
-// scheduler, since an owner that retries names the same service. Work without a key or a service goes round the cores
-// by turn, past a core that is overloaded: backlog returns how many inputs wait for a core.
+// Submit returns the core for a submission. A key always has the same core, in other incarnations of the scheduler too,
+// since an owner that retries uses the same service. Work without a key or a service is distributed round-robin by turn, and
+// skips overloaded cores: backlog returns the number of inputs that wait for a core.
 func (m *Map) Submit(spec *scheduler.Spec, turn uint64, backlog func(core int) int) int {
 	if m.cores == 1 {
 		return 0
@@ -55,7 +55,7 @@
 	return m.roundRobin(turn, backlog)
 }
 
-// coreOfWork returns the core that a service or a key leads to; false for work without either.
+// coreOfWork returns the core of a service or a key. It returns false for work without either.
 func (m *Map) coreOfWork(spec *scheduler.Spec) (core int, ok bool) {
 	if m.byService && spec.Service != "" {
 		return m.coreOfKey(spec.Key, m.hash(spec.Service)), true
@@ -80,8 +80,8 @@
 	return next
 }
 
-// coreOfKey returns the core that a key has led to before, or else the default, which it leads to from now on.
-// Otherwise a key that is used again with another service would start the work twice.
+// coreOfKey returns the core that the key had before, or else assigns the default to it. Otherwise a key that is submitted
+// again with another service would start the work twice.
 func (m *Map) coreOfKey(key string, defaultCore int) int {
 	if key == "" || !m.byService {
 		return defaultCore
@@ -107,12 +107,12 @@
 	return m.hash(id)
 }
 
-// coreOfPrefix returns the core of this incarnation that gave the ID; -1 for none.
+// coreOfPrefix returns the core of this incarnation that has assigned the ID, or -1 if there is none.
 func (m *Map) coreOfPrefix(id string) int {
 	return slices.IndexFunc(m.idPrefixes, func(prefix string) bool { return strings.HasPrefix(id, prefix) })
 }
 
-// Attempt returns the core of an attempt, whose ID is that of its job with two numbers.
+// Attempt returns the core of an attempt, whose ID consists of its job's ID and two numbers.
 func (m *Map) Attempt(id string) int {
 	job := id
 	for range 2 {
@@ -123,9 +123,10 @@
 	return m.Job(job)
 }
 
-// Split divides a node's report of what it has: each core is notified that the node is up, with its own jobs. Jobs of a
-// former incarnation, which may have had another number of cores, go where the same work would be submitted to, since
-// an owner that retries must find them and the spread of their service counts them; others go by their IDs.
+// Split divides a node's report among the cores: each core gets a NodeUp with its own jobs. A job of a former incarnation,
+// which may have had another number of cores, is assigned to the core to which the same work would be submitted, so that an
+// owner that retries finds it and the spread limit of its service counts it. Without a key or a service it is assigned by
+// its ID.
 func (m *Map) Split(up scheduler.NodeUp) []scheduler.NodeUp {
 	if m.cores == 1 {
 		return []scheduler.NodeUp{up}
@@ -145,7 +146,7 @@
 	return parts
 }
 
-// coreOfRunning returns the core that has or adopts the job of an attempt, and remembers it where the ID leads elsewhere.
+// coreOfRunning returns the core that has or adopts the job of an attempt, and stores it if the ID determines another one.
 func (m *Map) coreOfRunning(reported *scheduler.RunningAttempt) int {
 	if core := m.coreOfPrefix(reported.Job); core >= 0 {
 		return core
--- a/internal/shard/token.go
+++ b/internal/shard/token.go
@@ -1,7 +1,7 @@
 package shard
 
-// Token is what a peer is sent in place of a core's sync token, so that its answer leads to the core.
-func Token(core int, token uint64) uint64 { return token*MaxCores + uint64(core) }
+// EncodeToken encodes a core and its sync token as one token for a peer.
+func EncodeToken(core int, token uint64) uint64 { return token*MaxCores + uint64(core) }
 
-// Untoken returns the core and its token of what Token made.
-func Untoken(sent uint64) (core int, token uint64) { return int(sent % MaxCores), sent / MaxCores }
+// DecodeToken decodes a token that was encoded by EncodeToken.
+func DecodeToken(sent uint64) (core int, token uint64) { return int(sent % MaxCores), sent / MaxCores }
--- a/internal/transport/acceptor.go
+++ b/internal/transport/acceptor.go
@@ -9,17 +9,16 @@
 )
 
 const (
-	// drainPeriod is how long a draining acceptor goes on accepting what the listener's queue holds.
+	// drainPeriod is how long a draining acceptor accepts connections from the listener's queue.
 	drainPeriod = 20 * time.Millisecond
-	// acceptRetryDelay is how long an acceptor waits after accepting has failed: descriptors come free over time.
+	// acceptRetryDelay is how long an acceptor waits after a failed accept, for descriptors to become free.
 	acceptRetryDelay = 20 * time.Millisecond
 )
 
 // Acceptor accepts the connections of a listener into a Dialer's event loops, so that one loop serves connections of both
-// directions. Several goroutines may use it. Stop or Drain ends it, and the Dialer's Stop waits for it.
+// directions. It is safe for concurrent use. Stop or Drain ends it, and the Dialer's Stop waits for it.
 //
-// It exists beside Server because gnet's own listener ends its engine when accepting fails, as it does when the process has
-// no descriptor left.
+// Unlike Server, it survives a failed accept: gnet's listener ends its engine when the process has no free descriptors.
 type Acceptor struct {
 	listener   *net.TCPListener
 	dialer     *Dialer
@@ -29,8 +28,8 @@
 }
 
 // Accept listens at addr, as host:port. admit is called before each connection is accepted from the listener's queue, and may
-// wait. newHandler makes the handler of each; its Closed is called once in any case. Both are called from the acceptor's
-// goroutine. The error says that the address is malformed or cannot be listened at.
+// block. newHandler returns the handler of each; its Closed is called exactly once. Both are called from the acceptor's
+// goroutine. The error reports an address that is malformed or unavailable.
 func (d *Dialer) Accept(addr string, admit func(), newHandler func(c *Conn) Handler) (*Acceptor, error) {
 	address, err := net.ResolveTCPAddr("tcp", addr)
 	if err != nil {
@@ -63,7 +62,7 @@
 		case errors.Is(err, os.ErrDeadlineExceeded): // Drain was called and the queue is empty
 			_ = a.listener.Close()
 			return
-		case err != nil: // no descriptor is left, or the peer has gone already
+		case err != nil: // no descriptor is free, or the peer has closed the connection
 			time.Sleep(acceptRetryDelay)
 			continue
 		}
@@ -81,19 +80,19 @@
 	}
 }
 
-// Addr returns the bound address, with the port that was picked.
+// Addr returns the bound address, with the actual port.
 func (a *Acceptor) Addr() string { return a.listener.Addr().String() }
 
-// Drain accepts the connections that wait in the listener's queue and then ends listening; it does not wait. Closing the
-// listener at once would reset them, with requests that the operating system has accepted though the process has not.
+// Drain accepts the connections in the listener's queue and then stops listening. It returns at once. Closing the listener
+// directly would reset these connections, although their peers may have sent requests already.
 func (a *Acceptor) Drain() {
 	_ = a.listener.SetDeadline(time.Now().Add(drainPeriod)) // it may be closed already
 }
 
-// Done returns a channel that is closed when listening has ended.
+// Done returns a channel that is closed when the acceptor has stopped listening.
 func (a *Acceptor) Done() <-chan struct{} { return a.done }
 
-// Stopped reports whether listening has ended.
+// Stopped reports whether the acceptor has stopped listening.
 func (a *Acceptor) Stopped() bool {
 	select {
 	case <-a.done:
@@ -103,7 +102,7 @@
 	}
 }
 
-// Stop ends listening and waits for the acceptor's goroutine; connections stay open.
+// Stop stops listening and waits for the acceptor's goroutine. Connections stay open.
 func (a *Acceptor) Stop() {
 	_ = a.listener.Close() // it may be closed already
 	<-a.done
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -10,10 +10,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// flushCheckInterval is how often CloseWrite checks whether a slow peer has read what was queued for it.
+// flushCheckInterval is how often CloseWrite checks whether a slow peer has read its queue.
 const flushCheckInterval = 2 * time.Millisecond
 
-// Conn is one connection. Several goroutines may use it, except for the methods that are for its event loop only. The event
+// Conn is one connection. It is safe for concurrent use, except for the methods that are for its event loop only. The event
 // loop owns the socket and closes it.
 type Conn struct {
 	options *Options
@@ -24,14 +24,14 @@
 	reason  error // why this side closes; belongs to the event loop
 
 	lastRead     atomic.Int64 // Unix nanoseconds, or neverIdle
-	idleTimer    *time.Timer  // nil: there is no idle timeout
-	messageTimer *time.Timer  // nil: no message timeout is set; belongs to the event loop
+	idleTimer    *time.Timer  // nil without an idle timeout
+	messageTimer *time.Timer  // nil without a message timeout; belongs to the event loop
 
-	queuedBytes atomic.Int64 // accepted by RunInLoop, not yet written
+	queuedBytes atomic.Int64 // accepted by RunInLoop and not yet written
 
 	mu        sync.Mutex
-	pending   []func() // to be run on the event loop
-	scheduled bool     // the event loop is about to run them
+	pending   []func() // functions to run on the event loop
+	scheduled bool     // the event loop will run them
 }
 
 // Remote returns the peer's address. It is empty until the connection is open.
@@ -40,7 +40,7 @@
 // IsClosed reports whether the connection has closed.
 func (c *Conn) IsClosed() bool { return c.closed.Load() }
 
-// WriteInLoop writes b, which it does not keep. It is for the event loop only, as within Receive.
+// WriteInLoop writes b and does not retain it. It is for the event loop only, such as in Receive.
 func (c *Conn) WriteInLoop(b []byte) { c.write(b) }
 
 func (c *Conn) write(b []byte) {
@@ -52,7 +52,7 @@
 	}
 }
 
-// Resume has Receive called again with the bytes that the handler had left unused, if there are any. It is for the event
+// Resume causes another call of Receive with the bytes that the handler has not used, if there are any. It is for the event
 // loop only.
 func (c *Conn) Resume() {
 	if !c.closed.Load() && c.socket.InboundBuffered() > 0 {
@@ -60,8 +60,8 @@
 	}
 }
 
-// CloseWrite sends what was queued before and then closes our side of the connection; what the peer still sends is read until
-// it has closed its side too.
+// CloseWrite closes the writing side of the connection after all queued bytes have been written. Bytes from the peer are
+// read until it closes its side too.
 func (c *Conn) CloseWrite() {
 	c.runOnLoop(func() {
 		if c.closed.Load() {
@@ -71,16 +71,17 @@
 			time.AfterFunc(flushCheckInterval, c.CloseWrite)
 			return
 		}
-		_ = unix.Shutdown(c.socket.Fd(), unix.SHUT_WR) // it fails where the peer has gone, and the close follows
+		_ = unix.Shutdown(c.socket.Fd(), unix.SHUT_WR) // it fails if the peer has closed the connection, and OnClose follows
 	})
 }
 
-// Close closes the connection, after what was queued before. Handler.Closed gets the reason, unless there was another before.
+// Close closes the connection after the functions that were queued before. Handler.Closed receives the reason, unless an
+// earlier one is set.
 func (c *Conn) Close(reason error) {
 	c.runOnLoop(func() { c.CloseInLoop(reason) })
 }
 
-// CloseInLoop is Close for the event loop only, after what was written.
+// CloseInLoop is Close for the event loop only. It closes the connection after the preceding writes.
 func (c *Conn) CloseInLoop(reason error) {
 	if c.closed.Load() {
 		return
--- a/internal/transport/dialer.go
+++ b/internal/transport/dialer.go
@@ -11,17 +11,17 @@
 	"github.com/panjf2000/gnet/v2/pkg/logging"
 )
 
-// Dialer makes connections that live on its own event loops. Several goroutines may use it. Stop ends it.
+// Dialer makes connections on its own event loops. It is safe for concurrent use. Stop ends it.
 type Dialer struct {
 	client     *gnet.Client
 	events     *eventHandler
 	options    Options
-	lifetime   context.Context // ends at Stop; it bounds the links and acceptors, which the dialer owns
+	lifetime   context.Context // ends at Stop, with the links and acceptors of the dialer
 	cancel     context.CancelFunc
 	goroutines sync.WaitGroup // of links and acceptors
 }
 
-// NewDialer starts the event loops.
+// NewDialer returns a Dialer with running event loops.
 func NewDialer(options Options) (*Dialer, error) {
 	d := &Dialer{options: options.withDefaults()}
 	events := &eventHandler{options: d.options}
@@ -39,7 +39,7 @@
 }
 
 // Dial connects to addr, as host:port, within timeout and passes the connection's events to handler. An Opener's Opened is
-// called first; handler is not used where the connect call fails. The error wraps that of the connect call, as
+// called first. If the connect call fails, no method of handler is called, and the error wraps that of the call, such as
 // syscall.ECONNREFUSED or context.Canceled.
 func (d *Dialer) Dial(ctx context.Context, addr string, timeout time.Duration, handler Handler) (*Conn, error) {
 	netDialer := net.Dialer{Timeout: timeout}
@@ -54,8 +54,8 @@
 	return c, nil
 }
 
-// Stop ends all links, acceptors and connections, after what was queued on them, and waits for their goroutines and for the
-// event loops. The error is that of the event loops' end.
+// Stop ends all links, acceptors and connections after their queued writes, and waits for their goroutines and the event
+// loops. The error is that of stopping the event loops.
 func (d *Dialer) Stop() error {
 	d.cancel()
 	d.goroutines.Wait()
@@ -63,7 +63,7 @@
 	return d.client.Stop()
 }
 
-// discardLogger drops gnet's log: what matters of it reaches Handler.Closed.
+// discardLogger discards gnet's log, since errors of connections are passed to Handler.Closed.
 type discardLogger struct{}
 
 func (discardLogger) Debugf(string, ...any) {}
--- a/internal/transport/eventhandler.go
+++ b/internal/transport/eventhandler.go
@@ -13,8 +13,8 @@
 type eventHandler struct {
 	gnet.BuiltinEventEngine
 	options    Options
-	newHandler func(c *Conn) Handler // makes the handlers of accepted connections; nil for a Dialer
-	booted     chan gnet.Engine      // receives the engine once it runs; nil: nobody waits for it
+	newHandler func(c *Conn) Handler // of accepted connections; nil for a Dialer
+	booted     chan gnet.Engine      // receives the engine when it runs; nil for a Dialer
 	loops      sync.Map              // the set of gnet.EventLoop that have had a connection
 }
 
@@ -88,7 +88,8 @@
 	return gnet.None
 }
 
-// closeReason returns why the connection closed: this side's reason, else the error of the socket, if there was one.
+// closeReason returns why the connection closed: the reason of this side or else ErrPeerClosed, with the error of the
+// socket if there is one.
 func (c *Conn) closeReason(socketError error) error {
 	switch {
 	case c.reason != nil:
@@ -99,8 +100,8 @@
 	return ErrPeerClosed
 }
 
-// flush waits until the event loops have run what was queued before: the engine's end would overtake it, for example the
-// last message of a connection.
+// flush waits until the event loops have run the tasks that are queued now. Stopping the engine would discard these tasks,
+// such as the last message of a connection.
 func (h *eventHandler) flush() {
 	h.loops.Range(func(loop, _ any) bool {
 		done := make(chan struct{})
--- a/internal/transport/link.go
+++ b/internal/transport/link.go
@@ -9,11 +9,11 @@
 // maxBackoffDoublings bounds the shift of Backoff.Initial.
 const maxBackoffDoublings = 16
 
-// Backoff is how long a link waits between attempts to connect: Initial after the first failure, doubled by each further one up
-// to Max, with jitter so that many links that broke at one moment do not reconnect at one moment.
+// Backoff is how long a link waits between attempts to connect: Initial after the first failure, doubled with each further
+// one up to Max, with jitter so that many links that broke at once do not reconnect at once.
 type Backoff struct{ Initial, Max time.Duration }
 
-// wait returns the time to wait, between half of the backoff and all of it, after a number of failures beyond the first.
+// wait returns the delay after a number of failures beyond the first. It is between half of the backoff and all of it.
 func (b Backoff) wait(failures int) time.Duration {
 	backoff := b.Max
 	if failures < maxBackoffDoublings {
@@ -22,8 +22,8 @@
 	return backoff/2 + rand.N(backoff/2+1)
 }
 
-// Link keeps one connection to an address, and connects again whenever it breaks. Several goroutines may use it. Stop or
-// Cancel ends it; the Dialer's Stop ends it too, and waits for it.
+// Link maintains one connection to an address and reconnects when it breaks. It is safe for concurrent use. Stop or Cancel
+// ends it; the Dialer's Stop ends it too, and waits for it.
 type Link struct {
 	dialer     *Dialer
 	addr       string
@@ -35,8 +35,8 @@
 	done       chan struct{}
 }
 
-// Link starts a link to addr. newHandler makes the handler of each connection. down gets the reason of each connection that
-// could not be made or has closed. Both are called from the link's goroutine and may block.
+// Link starts a link to addr. newHandler returns the handler of each connection. down is called with the reason each time a
+// connection could not be made or has closed. Both are called from the link's goroutine and may block.
 func (d *Dialer) Link(addr string, timeout time.Duration, backoff Backoff, newHandler func() Handler, down func(error)) *Link {
 	ctx, cancel := context.WithCancel(d.lifetime)
 	l := &Link{
@@ -53,7 +53,7 @@
 	return l
 }
 
-// run connects again and again until ctx ends.
+// run connects, and reconnects after each failure, until ctx ends.
 func (l *Link) run(ctx context.Context) {
 	defer close(l.done)
 	for failures := 0; ctx.Err() == nil; {
@@ -63,7 +63,7 @@
 		l.down(err)
 		failures++
 		if connected && time.Since(start) > l.backoff.Max {
-			failures = 0 // the connection had held
+			failures = 0 // the connection was stable
 		}
 		select {
 		case <-ctx.Done():
@@ -72,8 +72,8 @@
 	}
 }
 
-// connectOnce makes one connection and waits until it has closed; it closes the connection itself when ctx ends. It returns
-// whether the connection was made, and why it was not or why it closed.
+// connectOnce makes one connection and waits until it has closed. It closes the connection when ctx ends. It returns
+// whether the connection was made, and the reason why it was not made or has closed.
 func (l *Link) connectOnce(ctx context.Context, handler *linkHandler) (connected bool, reason error) {
 	c, err := l.dialer.Dial(ctx, l.addr, l.timeout, handler)
 	if err != nil {
@@ -94,10 +94,10 @@
 	<-l.done
 }
 
-// Cancel ends the link without waiting, for callers that the link's handler may be waiting for.
+// Cancel ends the link without waiting, for callers on which the link's callbacks may block.
 func (l *Link) Cancel() { l.cancel() }
 
-// linkHandler is the handler of a link's connection, which also signals the link that it has closed.
+// linkHandler wraps the handler of a link's connection, to signal to the link that the connection has closed.
 type linkHandler struct {
 	Handler
 	closed chan struct{} // closed by Closed
--- a/internal/transport/outbox.go
+++ b/internal/transport/outbox.go
@@ -1,23 +1,23 @@
 package transport
 
-// Outbox collects the messages that one step has for one connection, so that they go to its event loop together. It belongs
-// to the goroutine that makes the steps. The zero value is empty and ready to use.
+// Outbox collects messages to one connection, to pass them to its event loop together. It is not safe for concurrent use.
+// The zero value is empty and ready to use.
 type Outbox struct {
 	bytes    []byte
 	expiring []expiringMessage
 }
 
-// expiringMessage is a part of an outbox's bytes that is to be written only while it is of use.
+// expiringMessage is a range of an outbox's bytes that is written only if it has not expired.
 type expiringMessage struct {
 	begin, end int
-	wanted     func() bool // nil: always
+	wanted     func() bool // nil means always
 	expired    func()
 }
 
-// Empty reports whether nothing was put in since the last flush.
+// Empty reports whether the outbox has no messages.
 func (o *Outbox) Empty() bool { return len(o.bytes) == 0 }
 
-// Put has encode append a message. The error is that of encode, and the outbox is then unchanged.
+// Put appends a message by calling encode. If encode fails, Put returns its error and leaves the outbox unchanged.
 func (o *Outbox) Put(encode func(dst []byte) ([]byte, error)) error {
 	bytes, err := encode(o.bytes)
 	if err == nil {
@@ -26,9 +26,9 @@
 	return err
 }
 
-// PutExpiring is Put for a message that is dropped if, when it is to be written, the flush is no longer in time or wanted
-// returns false; expired is then called. wanted is called on the event loop, and may be nil; expired is called on the event
-// loop or on the goroutine that flushes. Neither is called where PutExpiring fails.
+// PutExpiring is Put for a message that is discarded if it is too late for it when it is about to be written, according to
+// Flush, or if wanted returns false then. In these cases expired is called. wanted may be nil; it is called on the event
+// loop. expired is called on the event loop or from Flush. Neither is called if PutExpiring fails.
 func (o *Outbox) PutExpiring(encode func(dst []byte) ([]byte, error), wanted func() bool, expired func()) error {
 	begin := len(o.bytes)
 	if err := o.Put(encode); err != nil {
@@ -38,9 +38,9 @@
 	return nil
 }
 
-// Flush hands the messages to the connection's event loop and empties the outbox. inTime is called on the event loop: a
-// process that is stopped between a decision and its write would write it long after it had become wrong. If c is nil, or
-// the connection cannot take the messages, all expiring ones expire.
+// Flush passes the messages to the connection's event loop and empties the outbox. inTime is called on the event loop, since
+// a process that is stopped between a decision and its write would write messages that are out of date. If c is nil, or its
+// write queue is full, or its event loop has stopped, all expiring messages expire.
 func (o *Outbox) Flush(c *Conn, inTime func() bool) {
 	bytes, expiring := o.bytes, o.expiring
 	o.bytes, o.expiring = nil, nil
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -18,15 +18,15 @@
 	stopRetryInterval = 5 * time.Millisecond
 )
 
-// Server is a listener with its own event loops. Several goroutines may use it. Stop ends it.
+// Server is a listener with its own event loops. It is safe for concurrent use. Stop ends it.
 type Server struct {
 	engine gnet.Engine
 	addr   string
 	done   chan error // receives the result of the engine's goroutine
 }
 
-// Listen binds addr, as host:port where port 0 picks one, and serves. newHandler makes the handler of each new connection; it
-// is called on that connection's event loop. The error says that the address is malformed or cannot be listened at.
+// Listen listens at addr, as host:port, and serves; port 0 means any free port. newHandler returns the handler of each new
+// connection and is called on its event loop. The error reports an address that is malformed or unavailable.
 func Listen(addr string, options Options, newHandler func(c *Conn) Handler) (*Server, error) {
 	if _, _, err := net.SplitHostPort(addr); err != nil {
 		return nil, fmt.Errorf("transport: listen address %q: %w", addr, err)
@@ -41,7 +41,7 @@
 	}
 	bound, err := boundAddress(s.engine)
 	if err != nil {
-		_ = s.Stop(context.Background()) // err says more
+		_ = s.Stop(context.Background()) // the error of boundAddress is returned
 		return nil, fmt.Errorf("transport: address of %s: %w", addr, err)
 	}
 	s.addr = bound
@@ -54,13 +54,13 @@
 		gnet.WithLogger(discardLogger{}), gnet.WithLogLevel(logging.FatalLevel)}
 }
 
-// boundAddress returns the address at which an engine listens.
+// boundAddress returns the address on which an engine listens.
 func boundAddress(engine gnet.Engine) (string, error) {
 	descriptor, err := engine.Dup()
 	if err != nil {
 		return "", err
 	}
-	defer func() { _ = syscall.Close(descriptor) }() // a duplicate that was only read
+	defer func() { _ = syscall.Close(descriptor) }() // a duplicate, used only to read the address
 	address, err := syscall.Getsockname(descriptor)
 	if err != nil {
 		return "", err
@@ -74,15 +74,15 @@
 	return "", fmt.Errorf("unknown address type %T", address)
 }
 
-// Addr returns the bound address, with the port that was picked.
+// Addr returns the bound address, with the actual port.
 func (s *Server) Addr() string { return s.addr }
 
-// Stop closes the listener and all connections and waits for the event loops to end. The error is theirs, or that of ctx if it
-// ends first.
+// Stop closes the listener and all connections and waits for the event loops. The error is theirs, or that of ctx if it ends
+// first.
 func (s *Server) Stop(ctx context.Context) error {
-	// gnet may pass the engine out before its loops run, and a Stop is lost then: it is repeated.
+	// gnet may call OnBoot before its loops run, and then ignores a Stop, so Stop is repeated.
 	for {
-		_ = s.engine.Stop(ctx) // the result comes by done
+		_ = s.engine.Stop(ctx) // the result is received from done
 		select {
 		case err := <-s.done:
 			return err
--- a/internal/transport/timeouts.go
+++ b/internal/transport/timeouts.go
@@ -9,8 +9,8 @@
 // neverIdle is the value of Conn.lastRead of a connection without an idle timeout.
 const neverIdle = math.MaxInt64
 
-// SetMessageTimeout closes the connection with ErrPartialMessage unless it is called again within timeout; 0 removes the
-// timeout. It is for the event loop only.
+// SetMessageTimeout closes the connection with ErrPartialMessage after timeout, unless it is called again before. Zero means
+// no timeout. It is for the event loop only.
 func (c *Conn) SetMessageTimeout(timeout time.Duration) {
 	if c.messageTimer != nil {
 		c.messageTimer.Stop()
@@ -21,24 +21,24 @@
 	}
 }
 
-// DisableIdleTimeout removes the idle timeout, for a connection on which only this side sends.
+// DisableIdleTimeout disables the idle timeout, for a connection on which only this side sends.
 func (c *Conn) DisableIdleTimeout() { c.lastRead.Store(neverIdle) }
 
-// startIdleTimer starts the idle timeout, if there is one. It is called on the event loop when the connection opens.
+// startIdleTimer starts the idle timeout, if any. It is called on the event loop when the connection opens.
 func (c *Conn) startIdleTimer() {
 	if c.options.IdleTimeout > 0 {
 		c.idleTimer = time.AfterFunc(c.options.IdleTimeout, c.checkIdle)
 	}
 }
 
-// markRead notes that bytes were read.
+// markRead records that bytes were read.
 func (c *Conn) markRead() {
 	if c.options.IdleTimeout > 0 && c.lastRead.Load() != neverIdle {
 		c.lastRead.Store(time.Now().UnixNano())
 	}
 }
 
-// stopTimers ends all timeouts. It is called on the event loop when the connection closes.
+// stopTimers stops all timeouts. It is called on the event loop when the connection closes.
 func (c *Conn) stopTimers() {
 	if c.idleTimer != nil {
 		c.idleTimer.Stop()
@@ -46,7 +46,7 @@
 	c.SetMessageTimeout(0)
 }
 
-// checkIdle runs in the timer's goroutine; it only reads an atomic and queues a close.
+// checkIdle closes the connection if it is idle, or resets the timer. It is called in the timer's goroutine.
 func (c *Conn) checkIdle() {
 	lastRead := c.lastRead.Load()
 	if lastRead == neverIdle {
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -1,5 +1,5 @@
-// Package transport owns sockets: gnet event loops, bounded queues in both directions, idle and connect timeouts, and
-// reconnection. It must not know what the bytes mean.
+// Package transport implements connections: gnet event loops, bounded queues in both directions, idle and connect timeouts,
+// and reconnection. It must not interpret the bytes.
 //
 // Each connection belongs to one event loop for its lifetime. A Handler's methods are called on that loop, one at a time;
 // all loops of a Dialer or a Server end with its Stop.
@@ -12,7 +12,7 @@
 	"github.com/rs/zerolog"
 )
 
-// The reasons for which a connection is closed. Handler.Closed gets them wrapped, with figures where there are some.
+// The reasons why a connection is closed. Handler.Closed receives them wrapped, with details if there are any.
 var (
 	// ErrSlowReader reports that more bytes than Options.MaxWriteQueue wait for the peer.
 	ErrSlowReader = errors.New("transport: the peer does not read what is sent")
@@ -20,7 +20,7 @@
 	ErrReadBufferFull = errors.New("transport: the peer sends more than can be buffered")
 	// ErrIdleTimeout reports that nothing was read for Options.IdleTimeout.
 	ErrIdleTimeout = errors.New("transport: idle timeout")
-	// ErrStopping reports that this side is stopping, or gave the connection up.
+	// ErrStopping reports that this side is stopping or no longer needs the connection.
 	ErrStopping = errors.New("transport: stopping")
 	// ErrPeerClosed reports that the peer closed the connection, or that it broke.
 	ErrPeerClosed = errors.New("transport: closed by the peer")
@@ -34,11 +34,11 @@
 	defaultLoops         = 1
 )
 
-// Options bound a connection. Zero values mean the defaults given.
+// Options configure connections. Zero values mean the defaults given.
 type Options struct {
-	MaxReadBuffer int           // bytes that the handler has not used yet; 2 MiB by default
+	MaxReadBuffer int           // bytes read and not used by the handler; 2 MiB by default
 	MaxWriteQueue int           // bytes queued for the peer; 8 MiB by default
-	IdleTimeout   time.Duration // a connection on which nothing was read for so long is closed; 0: never
+	IdleTimeout   time.Duration // after which a connection without reads is closed; zero means never
 	Loops         int           // event loops; 1 by default
 	Log           zerolog.Logger
 }
@@ -56,17 +56,17 @@
 	return o
 }
 
-// Handler handles the events of one connection. All calls come from the connection's event loop, one at a time; they must
-// not block or take a lock that others hold for long.
+// Handler handles the events of one connection. Its methods are called on the connection's event loop, one at a time. They
+// must not block or wait for a lock that may be held for long.
 type Handler interface {
-	// Receive gets all bytes not used yet and returns how many it has used. It must not keep any part of in. An error closes
-	// the connection, and is what Closed gets.
+	// Receive is called with all unused bytes and returns how many it has used. It must not retain in. An error closes the
+	// connection and is passed to Closed.
 	Receive(c *Conn, in []byte) (used int, err error)
-	// Closed is called once, as the last method; reason is never nil.
+	// Closed is called once, after all other methods. reason is not nil.
 	Closed(c *Conn, reason error)
 }
 
-// Opener is a Handler that is called when its connection is open, before any other method.
+// Opener is implemented by a Handler that is notified when its connection opens, before any other call.
 type Opener interface {
 	// Opened is called on the connection's event loop.
 	Opened(c *Conn)
--- a/internal/transport/writequeue.go
+++ b/internal/transport/writequeue.go
@@ -5,14 +5,14 @@
 	"fmt"
 )
 
-// Send queues b, which the caller must not change any more. It returns false if the write queue is full; the connection is
-// then closed with ErrSlowReader, since the peer does not read. Order is kept among the calls of one goroutine.
+// Send queues b, which the caller must not change afterwards. It returns false if the write queue is full, and then closes
+// the connection with ErrSlowReader, since the peer does not read. It preserves the order of the calls of a goroutine.
 func (c *Conn) Send(b []byte) bool {
 	return c.RunInLoop(len(b), func(write func([]byte)) { write(b) })
 }
 
 // RunInLoop runs f on the connection's event loop, unless the connection has closed by then. f may write about size bytes.
-// RunInLoop returns false, and f is never run, if the write queue is full, as with Send, or if the event loop has stopped.
+// RunInLoop returns false, and does not run f, if the write queue is full, as with Send, or if the event loop has stopped.
 func (c *Conn) RunInLoop(size int, f func(write func([]byte))) bool {
 	if queued := c.queuedBytes.Add(int64(size)); queued > int64(c.options.MaxWriteQueue) {
 		c.queuedBytes.Add(-int64(size))
@@ -37,8 +37,8 @@
 
 // runOnLoop runs f on the connection's event loop, in the order of the calls. It returns false if the loop has stopped.
 //
-// The loop's own queue would not keep the order: it has two lanes, and puts what comes while more than 1,024 tasks wait
-// behind what comes after it.
+// The event loop's own queue does not preserve the order: it has two priorities, and gives the lower one to tasks that are
+// queued while more than 1,024 tasks wait.
 func (c *Conn) runOnLoop(f func()) bool {
 	c.mu.Lock()
 	c.pending = append(c.pending, f)
@@ -57,7 +57,7 @@
 	return true
 }
 
-// runPending runs what runOnLoop has queued, on the event loop.
+// runPending runs the queued functions. It is called on the event loop.
 func (c *Conn) runPending() {
 	for {
 		c.mu.Lock()
@@ -74,7 +74,7 @@
 	}
 }
 
-// loopTask is a function as gnet's event loops run it.
+// loopTask adapts a function to gnet.Runnable.
 type loopTask func()
 
 // Run implements gnet.Runnable.
