--- a/internal/scheduler/config_test.go
+++ b/internal/scheduler/config_test.go
@@ -8,11 +8,11 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-// A configuration that a core can't work with is refused with the field that is wrong.
-func TestNewReportsTheWrongField(t *testing.T) {
+// An invalid configuration is rejected with the name of the invalid field.
+func TestNewReportsInvalidField(t *testing.T) {
 	for _, test := range []struct {
-		field string
-		spoil func(*Config)
+		field      string
+		invalidate func(*Config)
 	}{
 		{"Name", func(cfg *Config) { cfg.Name = "" }},
 		{"Limits.MaxPending", func(cfg *Config) { cfg.Limits.MaxPending = 0 }},
@@ -26,22 +26,22 @@
 	} {
 		t.Run(test.field, func(t *testing.T) {
 			cfg := testConfig()
-			test.spoil(&cfg)
+			test.invalidate(&cfg)
 			_, err := New(cfg)
 			var configError *ConfigError
 			if !errors.As(err, &configError) || configError.Field != test.field {
-				t.Errorf("error %v, want one of field %s", err, test.field)
+				t.Errorf("got error %v, want a *ConfigError of field %s", err, test.field)
 			}
 		})
 	}
 }
 
-// The error of the module's own configuration is passed on.
-func TestNewPassesOnTheModulesError(t *testing.T) {
-	wrong := errors.New("no classes")
+// New returns the error of the module.
+func TestNewReturnsErrorOfModule(t *testing.T) {
+	moduleError := errors.New("no classes")
 	cfg := testConfig()
-	cfg.NewModule = func(flaxshelf.Config, uint64) (Module, error) { return nil, wrong }
-	if _, err := New(cfg); !errors.Is(err, wrong) {
-		t.Errorf("error %v, want one that wraps %v", err, wrong)
+	cfg.NewModule = func(flaxshelf.Config, uint64) (Module, error) { return nil, moduleError }
+	if _, err := New(cfg); !errors.Is(err, moduleError) {
+		t.Errorf("got error %v, want one that wraps %v", err, moduleError)
 	}
 }
--- a/internal/scheduler/helpers_test.go
+++ b/internal/scheduler/helpers_test.go
@@ -4,12 +4,13 @@
 	"testing"
 	"time"
 
+	"pgregory.net/rapid"
+
 	"flaxshelf.example/flaxshelf"
 )
 
-// testConfig has one kind of node, a drain grace of 1 s, a settle time of 2 s and four classes: one that is idempotent,
-// one that is idempotent by key in a zone for 5 s, one that must run at most once, and one that is idempotent with a
-// spread of at most one for each zone.
+// testConfig returns a configuration with one kind of node, a drain grace of 1 s, a settle time of 2 s and four classes:
+// idempotent; idempotent by key in a zone for 5 s; not idempotent; and idempotent with at most one task per zone.
 func testConfig() Config {
 	return Config{
 		Name: "s",
@@ -52,13 +53,20 @@
 	}
 }
 
-// newConnectedCore makes a core to which n1, n2 and n3 have connected.
-func newConnectedCore(t *testing.T, now Time) *Core {
+// newTestCore creates a core.
+func newTestCore(t rapid.TB, cfg Config) *Core {
 	t.Helper()
-	core, err := New(testConfig())
+	core, err := New(cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
+	return core
+}
+
+// newConnectedCore creates a core with testConfig to which n1, n2 and n3 are connected.
+func newConnectedCore(t *testing.T, now Time) *Core {
+	t.Helper()
+	core := newTestCore(t, testConfig())
 	machines := (&simulation{}).machines()
 	core.Step(now, []Input{
 		NodesUpdated{Complete: true, Machines: machines},
@@ -67,7 +75,7 @@
 	return core
 }
 
-// answerTo finds the one answer to a request.
+// answerTo returns the only answer to a request.
 func answerTo(t *testing.T, out Output, req uint64) Answer {
 	t.Helper()
 	var found []Answer
@@ -82,7 +90,7 @@
 	return found[0]
 }
 
-// offersOf lists the offers that a step sends.
+// offersOf returns the offers of a step.
 func offersOf(out Output) []SendOffer {
 	var offers []SendOffer
 	for _, effect := range out.Effects {
--- a/internal/scheduler/main_test.go
+++ b/internal/scheduler/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestMain fixes the seed of property tests: each run plays the same cases. -rapid.seed=0 draws another.
+// TestMain fixes the seed of property tests, so that each run has the same cases. -rapid.seed=0 draws another seed.
 func TestMain(m *testing.M) {
 	_ = flag.Set("rapid.seed", "20261201")
 	_ = flag.Set("rapid.checks", "1000")
--- a/internal/scheduler/property_test.go
+++ b/internal/scheduler/property_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"reflect"
 	"strings"
 	"testing"
 	"time"
@@ -12,11 +11,11 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-// TestRandomSimulationsKeepInvariants drives a core with random simulations. Every placement request has one outcome,
-// no job is offered while it is offered or runs, work that must run at most once is offered again only after proof that
-// it did not run, nothing is offered to a node that is draining or while a sync after a stall is unanswered, the counts
-// agree with what the core holds, and equal inputs give equal outputs.
-func TestRandomSimulationsKeepInvariants(t *testing.T) {
+// TestRandomSimulationsPreserveInvariants checks these invariants in random simulations: every placement request has one
+// outcome; no job is offered while it is offered or runs; work that must run at most once is offered again only after proof
+// that it did not run; nothing is offered to a draining node or while a sync after a stall is unanswered; the core's counts
+// are correct; and equal inputs give equal outputs.
+func TestRandomSimulationsPreserveInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSimulation(t)
 		s.step(NodesUpdated{Complete: true, Machines: s.machines()}, NodeUp{Node: "n1"}, NodeUp{Node: "n2"})
@@ -30,22 +29,22 @@
 
 var nodeNames = []string{"n1", "n2", "n3"}
 
-// simulation plays nodes and owners that send anything that the protocols allow, in any order, and checks the core's
+// simulation simulates nodes and owners that send any input that the protocols allow, in any order, and checks the core's
 // effects.
 type simulation struct {
 	t         *rapid.T
 	core      *Core
-	replica   *Core // gets the same inputs and must give the same outputs
+	replica   *Core // receives the same inputs and must have the same outputs
 	now       Time
-	wake      Time
-	draining  map[string]bool // nodes, by the list that the core got last
+	nextStep  Time            // of the core
+	draining  map[string]bool // nodes, as in the last list
 	connected map[string]bool // nodes
 	offers    []*sentOffer
 	offerByID map[string]*sentOffer
 	jobs      []string
 	outcomes  map[string]Outcome // by job and placement request
-	syncToken uint64             // of the sync that discovery has not answered; 0 for none
-	syncedAt  Time               // when that sync began
+	syncToken uint64             // of the sync without an answer of discovery; zero means none
+	syncedAt  Time               // the start of that sync
 	stalled   bool
 }
 
@@ -53,27 +52,20 @@
 type sentOffer struct {
 	SendOffer
 	at           Time
-	closed       bool // answered, stopped, timed out or its connection broken
-	provedNotRun bool // that it never ran: rejected
+	closed       bool // answered, stopped, timed out or lost its connection
+	provenNotRun bool // rejected
 	accepted     bool
 	ended        bool
 }
 
 func newSimulation(t *rapid.T) *simulation {
+	t.Helper()
 	cfg := testConfig()
 	cfg.Limits.MaxPending = 20
-	core, err := New(cfg)
-	if err != nil {
-		t.Fatal(err)
-	}
-	replica, err := New(cfg)
-	if err != nil {
-		t.Fatal(err)
-	}
 	return &simulation{
 		t:         t,
-		core:      core,
-		replica:   replica,
+		core:      newTestCore(t, cfg),
+		replica:   newTestCore(t, cfg),
 		now:       time.Second,
 		draining:  map[string]bool{},
 		connected: map[string]bool{},
@@ -94,10 +86,10 @@
 	return all
 }
 
-// pick draws a number below n.
+// pick draws a number from 0 to n-1.
 func (s *simulation) pick(n int, label string) int { return rapid.IntRange(0, n-1).Draw(s.t, label) }
 
-// oneIn draws true once in n times.
+// oneIn draws true with a probability of 1/n.
 func (s *simulation) oneIn(n int, label string) bool { return s.pick(n, label) == 0 }
 
 func (s *simulation) act() {
@@ -190,7 +182,7 @@
 	s.step()
 }
 
-// reply answers an offer, also one that was answered before or given up.
+// reply sends a reply to an offer, which may have been answered or have ended before.
 func (s *simulation) reply(offer *sentOffer, how int) {
 	if !s.connected[offer.Node] {
 		return
@@ -212,7 +204,7 @@
 }
 
 func (s *simulation) accept(offer *sentOffer) {
-	if offer.provedNotRun || offer.ended {
+	if offer.provenNotRun || offer.ended {
 		return
 	}
 	offer.accepted = true
@@ -224,7 +216,7 @@
 		return
 	}
 	if !offer.closed {
-		offer.provedNotRun = true
+		offer.provenNotRun = true
 	}
 	offer.closed = true
 	s.step(AttemptRejected{Node: offer.Node, Attempt: offer.Attempt, Reason: flaxshelf.InsufficientMemory})
@@ -248,24 +240,24 @@
 
 func (s *simulation) advance(d time.Duration) {
 	until := s.now + d
-	for !s.stalled && s.wake > 0 && s.wake < until {
-		s.now = max(s.wake, s.now+1)
+	for !s.stalled && s.nextStep > 0 && s.nextStep < until {
+		s.now = max(s.nextStep, s.now+1)
 		s.step()
 	}
 	s.now = until
 	s.step()
 }
 
-// step gives inputs to the core and its replica and checks what they answer.
+// step steps the core and its replica and checks their outputs.
 func (s *simulation) step(inputs ...Input) {
 	s.endSync(inputs)
 	out := s.core.Step(s.now, inputs)
 	if replicated := s.replica.Step(s.now, inputs); outputText(out) != outputText(replicated) {
-		s.t.Fatalf("equal inputs, two outputs:\n%s\n%s", outputText(out), outputText(replicated))
+		s.t.Fatalf("outputs of equal inputs differ:\n%s\n%s", outputText(out), outputText(replicated))
 	}
-	s.wake = out.NextStep
-	if s.wake < s.now || s.wake > s.now+s.core.cfg.Limits.StallThreshold {
-		s.t.Fatalf("at %v the core wants to be woken at %v", s.now, s.wake)
+	s.nextStep = out.NextStep
+	if s.nextStep < s.now || s.nextStep > s.now+s.core.cfg.Limits.StallThreshold {
+		s.t.Fatalf("at %v the next step is at %v, want between now and the stall threshold", s.now, s.nextStep)
 	}
 	for _, effect := range out.Effects {
 		s.check(effect)
@@ -273,7 +265,7 @@
 	s.checkCounts()
 }
 
-// endSync records that the sync of discovery has been answered or given up, after its timeout or by the inputs.
+// endSync records the end of the sync of discovery, by its timeout or by an input.
 func (s *simulation) endSync(inputs []Input) {
 	if s.syncToken > 0 && s.now-s.syncedAt >= s.core.syncTimeout() {
 		s.syncToken = 0
@@ -322,7 +314,7 @@
 func (s *simulation) checkOutcome(info Info) {
 	request := fmt.Sprint(info.ID, "#", info.Request)
 	if former, ok := s.outcomes[request]; ok {
-		s.t.Fatalf("%s: outcome %s, then %s", request, former, info.Outcome)
+		s.t.Fatalf("%s: got outcome %s after outcome %s, want one outcome", request, info.Outcome, former)
 	}
 	s.outcomes[request] = info.Outcome
 }
@@ -330,9 +322,9 @@
 func (s *simulation) checkOffer(sent SendOffer) {
 	switch {
 	case s.draining[sent.Node]:
-		s.t.Fatalf("%s is offered to %s, which drains", sent.Attempt, sent.Node)
+		s.t.Fatalf("%s is offered to %s, which is draining", sent.Attempt, sent.Node)
 	case !s.connected[sent.Node]:
-		s.t.Fatalf("%s is offered to %s, which is down", sent.Attempt, sent.Node)
+		s.t.Fatalf("%s is offered to %s, which is not connected", sent.Attempt, sent.Node)
 	case s.syncToken > 0:
 		s.t.Fatalf("%s is offered at %v though the sync after the stall of %v is not answered", sent.Attempt, s.now, s.syncedAt)
 	case s.offerByID[sent.Attempt] != nil:
@@ -347,12 +339,12 @@
 	s.offers, s.offerByID[sent.Attempt] = append(s.offers, offer), offer
 }
 
-// checkSuccessor checks that a job may be offered though it was offered before.
+// checkSuccessor checks that a job may be offered after an earlier offer.
 func (s *simulation) checkSuccessor(former *sentOffer, sent SendOffer) {
 	if !former.closed && s.now < former.at+former.ValidFor {
 		s.t.Fatalf("%s is offered while %s is in flight or runs", sent.Attempt, former.Attempt)
 	}
-	if former.Request != sent.Request || former.provedNotRun {
+	if former.Request != sent.Request || former.provenNotRun {
 		return
 	}
 	otherZone := (former.Node == "n3") != (sent.Node == "n3")
@@ -365,7 +357,7 @@
 	}
 }
 
-// checkCounts compares the core's counts with what it holds.
+// checkCounts compares the core's counts with its jobs.
 func (s *simulation) checkCounts() {
 	open, unfinished, ended := 0, 0, 0
 	for id, job := range s.core.jobs {
@@ -384,17 +376,17 @@
 			unfinished++
 		}
 	}
-	got := []int{s.core.openRequests, s.core.unfinishedJobs, s.core.endedJobCount}
-	if !reflect.DeepEqual(got, []int{open, unfinished, ended}) {
-		s.t.Fatalf("counts open, unfinished, ended are %v, held are %d, %d, %d", got, open, unfinished, ended)
+	got := [3]int{s.core.openRequests, s.core.unfinishedJobs, s.core.endedJobCount}
+	if want := [3]int{open, unfinished, ended}; got != want {
+		s.t.Fatalf("counts of open requests, unfinished jobs, ended jobs: got %v, want %v", got, want)
 	}
 }
 
-// finish lets time pass without a message from anybody: every placement request must have its outcome.
+// finish advances the time without messages. Every placement request must then have its outcome.
 func (s *simulation) finish() {
 	s.step(DiscoverySynced{s.syncToken})
 	for range 200 {
-		s.now = max(s.wake, s.now+time.Millisecond)
+		s.now = max(s.nextStep, s.now+time.Millisecond)
 		s.step()
 	}
 	s.advance(9 * time.Second)
--- a/internal/scheduler/script_input_test.go
+++ b/internal/scheduler/script_input_test.go
@@ -10,8 +10,8 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-// scriptLine is one input of a script: a command, arguments and options, as `submit unsafe key=k`,
-// `list n1 n2:draining` or `up n1 started=3s held=ATTEMPT`.
+// scriptLine is one input of a script: a command, arguments and options, such as `submit unsafe key=k`,
+// `list n1 n2:draining` or `up n1 started=3s running=ATTEMPT`.
 type scriptLine struct {
 	t       *testing.T
 	text    string
@@ -21,33 +21,33 @@
 	options map[string]string
 }
 
-// scriptInputs parses the line of each command.
+// scriptInputs has the parser of each command.
 var scriptInputs = map[string]func(*scriptLine) Input{
-	"submit":      func(l *scriptLine) Input { return Submit{Req: l.req, Spec: l.spec(l.arg(0))} },
-	"array":       parseArray,
-	"hold":        parseCommand,
-	"release":     parseCommand,
-	"terminate":   parseCommand,
-	"reap":        parseCommand,
-	"query":       parseQuery,
-	"session":     parseSessionCommand,
-	"machines":    func(l *scriptLine) Input { return Machines{Req: l.req} },
-	"watch":       parseWatch,
-	"unwatch":     func(l *scriptLine) Input { return Unwatch{Stream: l.number(0)} },
-	"list":        func(l *scriptLine) Input { return l.nodes(true) },
-	"change":      func(l *scriptLine) Input { return l.nodes(false) },
-	"list-failed": func(*scriptLine) Input { return DiscoveryFailed{} },
-	"synced":      func(l *scriptLine) Input { return DiscoverySynced{Token: l.number(0)} },
-	"node-synced": func(l *scriptLine) Input { return NodeSynced{Node: l.arg(0), Token: l.number(1)} },
-	"up":          parseNodeUp,
-	"down":        func(l *scriptLine) Input { return NodeDown{Node: l.arg(0)} },
-	"accept":      func(l *scriptLine) Input { return AttemptAccepted{Node: l.arg(0), Attempt: l.arg(1)} },
-	"refuse":      parseRejected,
-	"fail":        parseFailed,
-	"started":     func(l *scriptLine) Input { return AttemptStarted{Node: l.arg(0), Attempt: l.arg(1)} },
-	"not-sent":    func(l *scriptLine) Input { return SendFailed{Node: l.arg(0), Attempt: l.arg(1)} },
-	"ended":       parseEnded,
-	"drain":       func(*scriptLine) Input { return Drain{} },
+	"submit":           func(l *scriptLine) Input { return Submit{Req: l.req, Spec: l.spec(l.arg(0))} },
+	"array":            parseArray,
+	"hold":             parseCommand,
+	"release":          parseCommand,
+	"terminate":        parseCommand,
+	"reap":             parseCommand,
+	"query":            parseQuery,
+	"session":          parseSessionCommand,
+	"machines":         func(l *scriptLine) Input { return Machines{Req: l.req} },
+	"watch":            parseWatch,
+	"unwatch":          func(l *scriptLine) Input { return Unwatch{Stream: l.number(0)} },
+	"list":             func(l *scriptLine) Input { return l.nodes(true) },
+	"change":           func(l *scriptLine) Input { return l.nodes(false) },
+	"discovery-failed": func(*scriptLine) Input { return DiscoveryFailed{} },
+	"discovery-synced": func(l *scriptLine) Input { return DiscoverySynced{Token: l.number(0)} },
+	"node-synced":      func(l *scriptLine) Input { return NodeSynced{Node: l.arg(0), Token: l.number(1)} },
+	"up":               parseNodeUp,
+	"down":             func(l *scriptLine) Input { return NodeDown{Node: l.arg(0)} },
+	"accept":           func(l *scriptLine) Input { return AttemptAccepted{Node: l.arg(0), Attempt: l.arg(1)} },
+	"reject":           parseRejected,
+	"fail":             parseFailed,
+	"started":          func(l *scriptLine) Input { return AttemptStarted{Node: l.arg(0), Attempt: l.arg(1)} },
+	"send-failed":      func(l *scriptLine) Input { return SendFailed{Node: l.arg(0), Attempt: l.arg(1)} },
+	"ended":            parseEnded,
+	"drain":            func(*scriptLine) Input { return Drain{} },
 }
 
 func parseInput(t *testing.T, text string, req uint64) Input {
@@ -85,7 +85,7 @@
 	return n
 }
 
-// intOption is 0 for an option that is not given.
+// intOption returns the value of an option, or 0 without it.
 func (l *scriptLine) intOption(name string) int {
 	l.t.Helper()
 	if l.options[name] == "" {
@@ -94,7 +94,7 @@
 	return parseInt(l.t, l.options[name])
 }
 
-// timeOption is 0 for an option that is not given.
+// timeOption returns the value of an option, or 0 without it.
 func (l *scriptLine) timeOption(name string) Time {
 	l.t.Helper()
 	if l.options[name] == "" {
@@ -103,7 +103,7 @@
 	return parseTime(l.t, l.options[name])
 }
 
-// spec is a job of a class of testConfig; of none where the class is not known.
+// spec returns a job of a class of testConfig. The class is -1 if testConfig does not have it.
 func (l *scriptLine) spec(class string) Spec {
 	l.t.Helper()
 	isClass := func(c flaxshelf.Class) bool { return c.Name == class }
@@ -117,7 +117,7 @@
 		Memory:     1,
 		Rerunnable: l.options["rerunnable"] != "",
 		Hold:       l.options["hold"] != "",
-		Retry:      l.options["again"] != "",
+		Retry:      l.options["retry"] != "",
 		NotBefore:  l.timeOption("start"),
 		Deadline:   l.timeOption("deadline"),
 	}
@@ -147,8 +147,8 @@
 	return Watch{Req: l.req, Stream: l.req, Job: l.options["job"], Session: l.options["session"]}
 }
 
-// nodes reads names with their states: n1, n2:draining, n3:out, or n4:3s for the start time. The zone of n1 and n2 is
-// a, that of all others b.
+// nodes reads names with states: n1, n2:draining, n3:out, or n4:3s for the start time. The zone of n1 and n2 is a, that of
+// all others b.
 func (l *scriptLine) nodes(complete bool) NodesUpdated {
 	l.t.Helper()
 	update := NodesUpdated{Complete: complete}
@@ -173,11 +173,11 @@
 	return update
 }
 
-// parseNodeUp reads held=ATTEMPT,ATTEMPT+ with + for one that runs, and ended=ATTEMPT,ATTEMPT.
+// parseNodeUp reads running=ATTEMPT,ATTEMPT+, where + marks an attempt that has been started, and ended=ATTEMPT,ATTEMPT.
 func parseNodeUp(l *scriptLine) Input {
-	up := NodeUp{Node: l.arg(0), MayBeCold: l.options["fresh"] != "", Started: l.timeOption("started")}
-	for _, held := range l.listOption("held") {
-		id, running := strings.CutSuffix(held, "+")
+	up := NodeUp{Node: l.arg(0), MayBeCold: l.options["may-be-cold"] != "", Started: l.timeOption("started")}
+	for _, reported := range l.listOption("running") {
+		id, running := strings.CutSuffix(reported, "+")
 		parts := strings.Split(id, "/")
 		up.Running = append(up.Running, RunningAttempt{Attempt: id, Job: parts[0], Request: parseInt(l.t, parts[1]),
 			Running: running, Spec: l.spec(l.options["class"])})
@@ -188,7 +188,7 @@
 	return up
 }
 
-// listOption splits an option at its commas; one that is not given is empty.
+// listOption returns the values of an option, separated by commas, or none without it.
 func (l *scriptLine) listOption(option string) []string {
 	return strings.FieldsFunc(l.options[option], func(r rune) bool { return r == ',' })
 }
@@ -201,18 +201,18 @@
 	return AttemptFailed{Node: l.arg(0), Attempt: l.arg(1), Message: "the start failed"}
 }
 
-// parseEnded reads how=WORD; without it the attempt has completed, with exit=STATUS.
+// parseEnded reads how=END. Without it the attempt has completed, with exit=STATUS.
 func parseEnded(l *scriptLine) Input {
 	ended := AttemptEnded{Node: l.arg(0), Attempt: l.arg(1), Exit: l.intOption("exit")}
 	switch how := l.options["how"]; how {
 	case "":
 	case "evicted":
 		ended.End, ended.Reason = EndLost, flaxshelf.Evicted
-	case "sent-away":
+	case "drained-away":
 		ended.End, ended.Reason = EndLost, flaxshelf.DrainedAway
 	case "stopped":
 		ended.End = EndStopped
-	case "broke":
+	case "start-failed":
 		ended.End = EndStartFailed
 	default:
 		l.t.Fatalf("%q: no end %q", l.text, how)
--- a/internal/scheduler/script_output_test.go
+++ b/internal/scheduler/script_output_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// effectText is an effect as the transcripts have it; empty for a published change, unless all are wanted.
+// effectText formats an effect for a transcript. It returns "" for a published change, unless all is set.
 func effectText(effect Effect, all bool) string {
 	switch effect := effect.(type) {
 	case Connect:
@@ -14,9 +14,9 @@
 	case Disconnect:
 		return "disconnect " + effect.Node
 	case SubscribeDiscovery:
-		return "> inventory watch"
+		return "> discovery subscribe"
 	case SyncDiscovery:
-		return fmt.Sprintf("> inventory ping %d", effect.Token)
+		return fmt.Sprintf("> discovery sync %d", effect.Token)
 	case Answer:
 		return answerText(effect)
 	case Publish:
@@ -29,7 +29,7 @@
 	return messageText(effect)
 }
 
-// messageText is a message to a node.
+// messageText formats a message to a node.
 func messageText(effect Effect) string {
 	switch effect := effect.(type) {
 	case SendOffer:
@@ -39,9 +39,9 @@
 	case SendAck:
 		return fmt.Sprintf("> %s ack %s", effect.Node, effect.Attempt)
 	case SendHealthCheck:
-		return fmt.Sprintf("> %s probe", effect.Node)
+		return fmt.Sprintf("> %s health-check", effect.Node)
 	case SyncNode:
-		return fmt.Sprintf("> %s ping %d", effect.Node, effect.Token)
+		return fmt.Sprintf("> %s sync %d", effect.Node, effect.Token)
 	}
 	return fmt.Sprintf("%#v", effect)
 }
@@ -74,7 +74,7 @@
 		return ""
 	}
 	info := publish.Info
-	return fmt.Sprintf("publish to %d: %s ask %d %s/%s %s", publish.Stream, info.ID, info.Request, info.State,
+	return fmt.Sprintf("publish to %d: %s request %d %s/%s %s", publish.Stream, info.ID, info.Request, info.State,
 		info.SubState, info.Outcome)
 }
 
@@ -82,5 +82,5 @@
 	if info.State.Ended() {
 		return fmt.Sprintf("end %s %s/%s %s", info.ID, info.State, info.SubState, info.Reason)
 	}
-	return fmt.Sprintf("outcome %s ask %d %s", info.ID, info.Request, info.Outcome)
+	return fmt.Sprintf("outcome %s request %d %s", info.ID, info.Request, info.Outcome)
 }
--- a/internal/scheduler/script_test.go
+++ b/internal/scheduler/script_test.go
@@ -10,9 +10,9 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// TestScripts plays the scripts of testdata. Each begins with `core`; `step` gives the core its inputs at a time, one a
-// line, and prints the effects. Between two steps the core is woken as it asked, unless the script says stall. Run
-// with -rewrite to write the transcripts anew.
+// TestScripts runs the scripts of testdata. Each starts with `core`; `step` steps the core at a time with one input per line,
+// and prints the effects. Between two steps the core is stepped at each Output.NextStep, unless the second step has the
+// option stall. Run with -rewrite to rewrite the transcripts.
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata/scripts", func(t *testing.T, path string) {
 		runner := &scriptRunner{}
@@ -32,35 +32,33 @@
 type scriptRunner struct {
 	core *Core
 	now  Time
-	wake Time
-	req  uint64 // of the last input; each input counts
+	next Time   // of the next step
+	req  uint64 // of the last input
 }
 
-// newCore makes a new core: open=N changes the limit of pending jobs, boot=TIME begins a later incarnation, and with
-// runs-when-placed a job counts as placed when it runs.
+// newCore creates a core. max-pending=N sets the limit of pending jobs, started-at=TIME starts a later incarnation, and
+// placed-when-running sets PlacedWhenRunning.
 func (s *scriptRunner) newCore(t *testing.T, data *datadriven.TestData) string {
+	t.Helper()
 	cfg := testConfig()
 	for _, arg := range data.CmdArgs {
 		switch arg.Key {
-		case "open":
+		case "max-pending":
 			cfg.Limits.MaxPending = parseInt(t, arg.Vals[0])
-		case "boot":
+		case "started-at":
 			cfg.StartedAt = parseTime(t, arg.Vals[0])
-		case "runs-when-placed":
+		case "placed-when-running":
 			cfg.Module.PlacedWhenRunning = true
 		}
 	}
-	core, err := New(cfg)
-	if err != nil {
-		return err.Error()
-	}
-	s.core, s.wake, s.req = core, 0, 0
+	s.core, s.next, s.req = newTestCore(t, cfg), 0, 0
 	s.now = max(s.now, cfg.StartedAt)
 	return ""
 }
 
-// step steps the core at a time: with stall it is not woken before, with all the published changes are printed too.
+// step steps the core at a time. stall omits the steps before it, and all prints published changes too.
 func (s *scriptRunner) step(t *testing.T, data *datadriven.TestData) string {
+	t.Helper()
 	var at Time
 	stall, all := false, false
 	for _, arg := range data.CmdArgs {
@@ -74,8 +72,8 @@
 		}
 	}
 	var b strings.Builder
-	for !stall && s.wake > 0 && s.wake < at && s.core.lastStepAt > 0 {
-		s.print(&b, s.wake, s.core.Step(s.wake, nil), all)
+	for !stall && s.next > 0 && s.next < at && s.core.lastStepAt > 0 {
+		s.print(&b, s.next, s.core.Step(s.next, nil), all)
 	}
 	var inputs []Input
 	for _, line := range strings.Split(data.Input, "\n") {
@@ -90,7 +88,7 @@
 
 // print prints the effects of a step with its time.
 func (s *scriptRunner) print(b *strings.Builder, at Time, out Output, all bool) {
-	s.now, s.wake = at, max(out.NextStep, at+time.Millisecond)
+	s.now, s.next = at, max(out.NextStep, at+time.Millisecond)
 	for _, effect := range out.Effects {
 		if line := effectText(effect, all); line != "" {
 			fmt.Fprintf(b, "%v %s\n", at, line)
--- a/internal/scheduler/submission_test.go
+++ b/internal/scheduler/submission_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// The placement timeout runs from when a submission was received, not from when an overloaded core got to it. A
-// submission that has lost half of its time by then is rejected.
+// The placement timeout starts when a submission is received, not when an overloaded core handles it. A submission is
+// rejected if half of its timeout has passed by then.
 func TestPlacementTimeoutRunsFromReceipt(t *testing.T) {
 	const req = 7
 	now := 10 * time.Second
--- a/internal/scheduler/timer_test.go
+++ b/internal/scheduler/timer_test.go
@@ -5,8 +5,7 @@
 	"time"
 )
 
-// A timer that is of no use any more leaves the heap at once: a finished job leaves none behind, though its timeouts
-// and its deadline lie far ahead.
+// The timers of a job are removed when the job ends, even if they are due much later.
 func TestTimersOfEndedJobsAreCanceled(t *testing.T) {
 	const jobs = 50
 	now := time.Second
@@ -18,7 +17,7 @@
 		out := core.Step(now, []Input{Submit{Req: uint64(i) + 1, Spec: spec}})
 		for _, offer := range offersOf(out) {
 			if core.timers.Len() < before+3 {
-				t.Fatalf("%d timers with an offer out: the test shows nothing", core.timers.Len())
+				t.Fatalf("%d timers during an offer, want at least %d for the test to be meaningful", core.timers.Len(), before+3)
 			}
 			core.Step(now+1, []Input{
 				AttemptAccepted{Node: offer.Node, Attempt: offer.Attempt},
@@ -29,6 +28,7 @@
 		}
 	}
 	if ended < 45 || core.timers.Len() > before+2*(jobs-ended) {
-		t.Errorf("%d timers are left of %d ended jobs, %d before", core.timers.Len(), ended, before)
+		t.Errorf("%d timers after %d of %d jobs have ended, want at most %d and at least 45 ended jobs",
+			core.timers.Len(), ended, jobs, before+2*(jobs-ended))
 	}
 }
