--- a/internal/daemon/cores_test.go
+++ b/internal/daemon/cores_test.go
@@ -16,33 +16,33 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/standin/nodemodel"
 )
 
-// onCores sets the number of cores, with room for the events of all of them.
+// onCores returns a configuration with a number of cores, and write queues that are long enough for their events.
 func onCores(count int) func(*settings.Scheduler, *nodemodel.Config) {
 	return func(set *settings.Scheduler, _ *nodemodel.Config) {
 		set.Shards, set.Limits.MaxClientWriteQueue = count, 4<<20
 	}
 }
 
-// To its clients a scheduler of four cores is one: one session, one list in the order of IDs, one stream that goes on
-// where it broke off, and each job runs once.
+// To its clients a scheduler with four cores is one scheduler: it has one session, one list ordered by ID and one stream,
+// and runs each job once.
 func TestFourCoresActAsOneScheduler(t *testing.T) {
 	const count = 400
 	cluster := newTestCluster(t, clusterOptions{nodes: 3, configure: onCores(4)})
 	ctx := contextWithin(t, time.Minute)
 	session := cluster.createSession(ctx, "test")
 	if _, err := cluster.client.CreateJobSession(ctx, "test"); !errors.Is(err, drmaa2.ErrInvalidArgument) {
-		t.Errorf("the session a second time: %v", err)
+		t.Errorf("create the session again: got error %v, want %v", err, drmaa2.ErrInvalidArgument)
 	}
 	watch := watchJobs(ctx, t, session, count)
 	submitFromClients(ctx, t, session, 8, count/8)
 	watch.wait(ctx, t)
 	cores := checkJobList(ctx, t, cluster, session, count)
 	if finished := cluster.finishedOnNodes(); finished != count || cores != 4 {
-		t.Errorf("%d jobs have run, %d were submitted; on %d cores", finished, count, cores)
+		t.Errorf("%d jobs have run on %d cores, want %d on 4", finished, cores, count)
 	}
 	machines, err := cluster.monitoringSession(ctx).AllMachines(ctx)
 	if err != nil || len(machines) != 3 || !machines[0].Available {
-		t.Errorf("machines %+v, %v", machines, err)
+		t.Errorf("got machines %+v, %v, want 3, available", machines, err)
 	}
 	array, err := session.RunBulkJobs(ctx, jobTemplate("service", 5*time.Millisecond), 1, 40, 1, 4)
 	if err != nil {
@@ -54,15 +54,15 @@
 	if err := cluster.client.DestroyJobSession(ctx, "test"); err != nil {
 		t.Error(err)
 	}
-	for range 8 { // every core has forgotten it
+	for range 8 { // on every core
 		_, err := session.RunJob(ctx, jobTemplate("service", time.Millisecond))
 		if !errors.Is(err, drmaa2.ErrInvalidSession) {
-			t.Errorf("in a session that was destroyed: %v", err)
+			t.Errorf("submit to a destroyed session: got error %v, want %v", err, drmaa2.ErrInvalidSession)
 		}
 	}
 }
 
-// submitFromClients submits jobs from several clients at once; every second job has a key and is submitted twice.
+// submitFromClients submits jobs from several clients concurrently. Every second job has a key and is submitted twice.
 func submitFromClients(ctx context.Context, t *testing.T, session *drmaa2.JobSession, clients, jobsEach int) {
 	t.Helper()
 	var submitting sync.WaitGroup
@@ -85,30 +85,30 @@
 	submitting.Wait()
 }
 
-// checkJobList checks that the session's list has a number of jobs in the order of their IDs, and that each is found by
-// its ID. It returns how many cores have made the IDs.
+// checkJobList checks that the session lists count jobs ordered by ID, and that each job is found by its ID. It returns the
+// number of cores that have assigned the IDs.
 func checkJobList(ctx context.Context, t *testing.T, cluster *testCluster, session *drmaa2.JobSession, count int) int {
 	t.Helper()
 	jobs, err := session.Jobs(ctx, nil)
 	if err != nil || len(jobs) != count {
-		t.Fatalf("%d jobs are listed, %v", len(jobs), err)
+		t.Fatalf("got %d jobs, %v, want %d", len(jobs), err, count)
 	}
 	cores := map[string]bool{}
 	for i, job := range jobs {
 		cores[job.ID[:3]] = true
 		if i > 0 && jobs[i-1].ID >= job.ID {
-			t.Fatalf("%s is listed before %s", jobs[i-1].ID, job.ID)
+			t.Fatalf("got %s before %s, want them ordered by ID", jobs[i-1].ID, job.ID)
 		}
 		if got, err := cluster.client.Job(ctx, job.ID); err != nil || got.ID != job.ID {
-			t.Fatalf("%s: %v, %v", job.ID, got, err)
+			t.Fatalf("got job %v, %v, want %s", got, err, job.ID)
 		}
 	}
 	return len(cores)
 }
 
-// A scheduler with 4 cores is restarted with 2, 1 and 3: what runs is found under its ID and key each time, and runs
-// once.
-func TestRestartWithOtherCoreCount(t *testing.T) {
+// A scheduler with 4 cores that is restarted with 2, 1 and 3 cores adopts running jobs under their IDs and keys each time,
+// and starts nothing twice.
+func TestRestartWithOtherCoreCountAdoptsRunningJobs(t *testing.T) {
 	const count = 24
 	cluster := newTestCluster(t, clusterOptions{nodes: 2, configure: onCores(4)})
 	ctx := contextWithin(t, time.Minute)
@@ -144,12 +144,12 @@
 		checkAdoptedJobEnds(ctx, t, cluster, job.ID, 40*time.Second)
 	}
 	if finished := cluster.finishedOnNodes(); finished != count {
-		t.Errorf("%d jobs have run, %d were submitted", finished, count)
+		t.Errorf("%d jobs have run, want %d", finished, count)
 	}
 }
 
-// checkAdoptedJobEnds checks that a restarted scheduler finds a job under its ID, once its node has reported it, and
-// that the job ends well within a time.
+// checkAdoptedJobEnds checks that a restarted scheduler finds a job by its ID, after its node has reported it, and that the
+// job ends in the state DONE within the timeout.
 func checkAdoptedJobEnds(ctx context.Context, t *testing.T, cluster *testCluster, id string, timeout time.Duration) {
 	t.Helper()
 	job, err := cluster.client.Job(ctx, id)
@@ -160,7 +160,7 @@
 		t.Fatal(err)
 	}
 	if info, err := job.WaitTerminated(ctx, timeout); err != nil || info.JobState != drmaa2.Done {
-		t.Errorf("%s: %+v, %v", id, info, err)
+		t.Errorf("%s: got %+v, %v, want state DONE", id, info, err)
 	}
 }
 
@@ -208,7 +208,7 @@
 }
 
 // While one of four cores is stalled, the others place jobs, and every job has its outcome in time.
-func TestOneCoreStalls(t *testing.T) {
+func TestOtherCoresPlaceJobsWhileOneStalls(t *testing.T) {
 	hook := newStallHook()
 	cluster := newTestCluster(t, clusterOptions{
 		nodes:     3,
@@ -259,7 +259,7 @@
 			}
 			info, err := job.WaitTerminated(ctx, 20*time.Second)
 			if err != nil || info.ImplementationSpecific[drmaa2.AttrOutcome] != "placed" {
-				t.Errorf("%s: %+v, %v", job.ID, info, err)
+				t.Errorf("%s: got %+v, %v, want outcome placed", job.ID, info, err)
 			}
 			mu.Lock()
 			defer mu.Unlock()
@@ -273,15 +273,28 @@
 	return during, total
 }
 
-// A number of cores out of bounds and settings without a name are errors.
-func TestCoresOutOfBounds(t *testing.T) {
-	if _, err := settings.ParseScheduler("f.cue", []byte(`inventory: "127.0.0.1:1"
+// Settings with too many cores or without a name are rejected.
+func TestInvalidSettingsAreRejected(t *testing.T) {
+	for _, test := range []struct {
+		name  string
+		start func() error
+	}{
+		{"65 cores", func() error {
+			_, err := settings.ParseScheduler("f.cue", []byte(`inventory: "127.0.0.1:1"
 cores: 65
 kinds: [{name: "k", cores: 8, memory: 32}]
-classes: [{name: "c", effect: "safe", aim: "1s", giveup: "5s"}]`)); err == nil {
-		t.Error("65 cores are accepted")
-	}
-	if _, err := Start(&settings.Scheduler{}, zerolog.Nop()); err == nil {
-		t.Error("settings without a name are accepted")
+classes: [{name: "c", effect: "safe", aim: "1s", giveup: "5s"}]`))
+			return err
+		}},
+		{"no name", func() error {
+			_, err := Start(&settings.Scheduler{}, zerolog.Nop())
+			return err
+		}},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			if err := test.start(); err == nil {
+				t.Error("got no error, want one")
+			}
+		})
 	}
 }
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -4,11 +4,6 @@
 	"context"
 	"errors"
 	"fmt"
-	"io"
-	"net"
-	"net/http"
-	"runtime"
-	"strings"
 	"sync"
 	"testing"
 	"time"
@@ -18,69 +13,9 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/standin/nodemodel"
 )
 
-// jobWatch is what a session's stream of events has shown of its jobs.
-type jobWatch struct {
-	mu       sync.Mutex
-	outcomes map[string]string          // by job ID
-	ends     map[string]drmaa2.JobState // of jobs that have ended, by job ID
-	count    int
-	done     chan struct{} // closed when count jobs have ended, or with the context
-}
-
-// watchJobs watches a session until a number of its jobs have ended. An outcome of a job that differs from its earlier one
-// is an error.
-func watchJobs(ctx context.Context, t *testing.T, session *drmaa2.JobSession, count int) *jobWatch {
-	watch := &jobWatch{outcomes: map[string]string{}, ends: map[string]drmaa2.JobState{}, count: count,
-		done: make(chan struct{})}
-	go func() {
-		defer close(watch.done)
-		_ = session.Watch(ctx, func(info drmaa2.JobInfo) bool { return watch.record(t, info) })
-	}()
-	return watch
-}
-
-// record records an event; it is true while events are missing.
-func (w *jobWatch) record(t *testing.T, info drmaa2.JobInfo) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	outcome := info.ImplementationSpecific[drmaa2.AttrOutcome]
-	if former := w.outcomes[info.JobID]; former != "" && former != outcome {
-		t.Errorf("%s: outcome %s, then %s", info.JobID, former, outcome)
-	}
-	w.outcomes[info.JobID] = outcome
-	if info.JobState.Terminated() {
-		w.ends[info.JobID] = info.JobState
-	}
-	return len(w.ends) < w.count
-}
-
-// wait waits until all jobs have ended.
-func (w *jobWatch) wait(ctx context.Context, t *testing.T) {
-	t.Helper()
-	select {
-	case <-w.done:
-	case <-ctx.Done():
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		t.Fatalf("%d of %d jobs have ended", len(w.ends), w.count)
-	}
-}
-
-// placedAndDone is the number of jobs that were placed and have ended well.
-func (w *jobWatch) placedAndDone() (count int) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for id, state := range w.ends {
-		if w.outcomes[id] == "placed" && state == drmaa2.Done {
-			count++
-		}
-	}
-	return count
-}
-
-// Thousands of submissions that must never start twice, counted at both ends: each has one outcome, and what the
-// nodes have run is what the clients saw done.
-func TestThousandsOfSubmissions(t *testing.T) {
+// Each of thousands of concurrent submissions that must run at most once has one outcome, and the nodes have finished as
+// many tasks as the clients have seen end.
+func TestConcurrentSubmissionsRunOnce(t *testing.T) {
 	const count, clients = 3000, 30
 	cluster := newTestCluster(t, clusterOptions{nodes: 4})
 	ctx := contextWithin(t, time.Minute)
@@ -103,11 +38,11 @@
 	watch.wait(ctx, t)
 	placed, finished := watch.placedAndDone(), cluster.finishedOnNodes()
 	if placed != count || finished != count {
-		t.Errorf("%d of %d were placed and done, nodes have finished %d", placed, count, finished)
+		t.Errorf("%d jobs were placed and done, nodes have finished %d, want %d each", placed, finished, count)
 	}
 }
 
-// Two clients wait for one job; a third goes away while it waits and submits again under the same key.
+// Two clients wait for one job, one of which has submitted it again with its key. A third has stopped waiting before.
 func TestTwoClientsWaitForOneJob(t *testing.T) {
 	cluster := newTestCluster(t, clusterOptions{nodes: 1})
 	ctx := contextWithin(t, 20*time.Second)
@@ -120,7 +55,7 @@
 	short, cancel := context.WithTimeout(ctx, 10*time.Millisecond)
 	defer cancel()
 	if _, err := job.WaitTerminated(short, drmaa2.InfiniteTime); !errors.Is(err, context.DeadlineExceeded) {
-		t.Errorf("the one that goes away: %v", err)
+		t.Errorf("wait of the client that stops: got error %v, want %v", err, context.DeadlineExceeded)
 	}
 	other := drmaa2.NewClient(cluster.daemon.Addr())
 	defer other.Close()
@@ -130,13 +65,13 @@
 	}
 	retried, err := otherSession.RunJob(ctx, template)
 	if err != nil || retried.ID != job.ID {
-		t.Fatalf("submitted again: %v, %v", retried, err)
+		t.Fatalf("submitted again: got job %v, %v, want job %s", retried, err, job.ID)
 	}
 	var waiting sync.WaitGroup
 	for _, j := range []*drmaa2.Job{job, retried} {
 		waiting.Go(func() {
 			if info, err := j.WaitTerminated(ctx, 10*time.Second); err != nil || info.JobState != drmaa2.Done {
-				t.Errorf("%v, %v", info, err)
+				t.Errorf("got %+v, %v, want state DONE", info, err)
 			}
 		})
 	}
@@ -146,70 +81,103 @@
 	}
 }
 
-// Each error of the specification reaches the client as itself.
+// errorCase is a call to a scheduler that returns an error of the DRMAA specification.
+type errorCase struct {
+	name string
+	call func() error
+	want error
+}
+
+// errorCases returns calls in a session with a held job and as many pending jobs as the limit allows.
+func errorCases(ctx context.Context, client *drmaa2.Client, session *drmaa2.JobSession, heldJob *drmaa2.Job) []errorCase {
+	runJob := func(template drmaa2.JobTemplate) func() error {
+		return func() error {
+			_, err := session.RunJob(ctx, template)
+			return err
+		}
+	}
+	return []errorCase{
+		{"limit of pending jobs", runJob(jobTemplate("service", time.Second)), drmaa2.ErrTryLater},
+		{"session exists", func() error {
+			_, err := client.CreateJobSession(ctx, session.Name())
+			return err
+		}, drmaa2.ErrInvalidArgument},
+		{"unknown session", func() error {
+			_, err := client.OpenJobSession(ctx, "nowhere")
+			return err
+		}, drmaa2.ErrInvalidArgument},
+		{"unsupported attribute", runJob(drmaa2.JobTemplate{RemoteCommand: "x", JobCategory: "service", WorkingDirectory: "/"}),
+			drmaa2.ErrUnsupportedAttribute},
+		{"unknown class", runJob(drmaa2.JobTemplate{RemoteCommand: "x", JobCategory: "z"}), drmaa2.ErrInvalidArgument},
+		{"timeout of a wait", func() error {
+			_, err := heldJob.WaitStarted(ctx, 50*time.Millisecond)
+			return err
+		}, drmaa2.ErrTimeout},
+		{"reap of a held job", func() error { return heldJob.Reap(ctx) }, drmaa2.ErrInvalidState},
+		{"suspend", func() error { return heldJob.Suspend(ctx) }, drmaa2.ErrUnsupportedOperation},
+		{"unreachable scheduler", func() error {
+			unreachable := drmaa2.NewClient("127.0.0.1:1")
+			unreachable.RetryFor = 0
+			_, err := unreachable.Drms(ctx)
+			return err
+		}, drmaa2.ErrDrmCommunication},
+	}
+}
+
+// Each error of the DRMAA specification is returned to the client as such.
 func TestErrorsOfTheSpecification(t *testing.T) {
 	cluster := newTestCluster(t, clusterOptions{nodes: 1, configure: func(set *settings.Scheduler, _ *nodemodel.Config) {
 		set.Limits.MaxPending = 1
 	}})
 	ctx := contextWithin(t, 20*time.Second)
 	session := cluster.createSession(ctx, "test")
-	want := func(what string, err, target error) {
-		t.Helper()
-		if !errors.Is(err, target) {
-			t.Errorf("%s: %v, want %v", what, err, target)
-		}
-	}
-	_, err := cluster.client.CreateJobSession(ctx, "test")
-	want("session exists", err, drmaa2.ErrInvalidArgument)
-	_, err = cluster.client.OpenJobSession(ctx, "nowhere")
-	want("no session", err, drmaa2.ErrInvalidArgument)
-	_, err = session.RunJob(ctx, drmaa2.JobTemplate{RemoteCommand: "x", JobCategory: "service", WorkingDirectory: "/"})
-	want("attribute", err, drmaa2.ErrUnsupportedAttribute)
-	_, err = session.RunJob(ctx, drmaa2.JobTemplate{RemoteCommand: "x", JobCategory: "z"})
-	want("class", err, drmaa2.ErrInvalidArgument)
 	held := jobTemplate("service", time.Millisecond)
 	held.SubmitAsHold = true
-	job, err := session.RunJob(ctx, held)
+	heldJob, err := session.RunJob(ctx, held)
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, err = job.WaitStarted(ctx, 50*time.Millisecond)
-	want("wait", err, drmaa2.ErrTimeout)
-	want("reap", job.Reap(ctx), drmaa2.ErrInvalidState)
-	want("suspend", job.Suspend(ctx), drmaa2.ErrUnsupportedOperation)
-	huge, err := session.RunJob(ctx, jobTemplate("huge", time.Second))
+	pendingJob, err := session.RunJob(ctx, jobTemplate("huge", time.Second))
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, err = session.RunJob(ctx, jobTemplate("service", time.Second))
-	want("bound", err, drmaa2.ErrTryLater)
-	var e *drmaa2.Error
-	if errors.As(err, &e); e.RetryAfter <= 0 {
-		t.Error("TryLater without a time")
+	for _, test := range errorCases(ctx, cluster.client, session, heldJob) {
+		t.Run(test.name, func(t *testing.T) {
+			err := test.call()
+			if !errors.Is(err, test.want) {
+				t.Errorf("got error %v, want %v", err, test.want)
+			}
+			var drmaaError *drmaa2.Error
+			if errors.Is(err, drmaa2.ErrTryLater) && (!errors.As(err, &drmaaError) || drmaaError.RetryAfter <= 0) {
+				t.Errorf("got error %v without a time to retry after", err)
+			}
+		})
 	}
-	info, err := huge.WaitTerminated(ctx, 10*time.Second)
+	info, err := pendingJob.WaitTerminated(ctx, 10*time.Second)
 	if err != nil || info.JobSubState != "refused" || info.ImplementationSpecific[drmaa2.AttrOutcome] != "refused" {
-		t.Errorf("%+v, %v", info, err)
+		t.Errorf("job without a fitting node: got %+v, %v, want sub-state and outcome refused", info, err)
 	}
+	checkReleaseAndReap(ctx, t, heldJob)
+}
+
+// checkReleaseAndReap releases a held job and checks that it ends in the state DONE, and is unknown after it was reaped.
+func checkReleaseAndReap(ctx context.Context, t *testing.T, job *drmaa2.Job) {
+	t.Helper()
 	if err := job.Release(ctx); err != nil {
 		t.Error(err)
 	}
-	if info, err = job.WaitTerminated(ctx, 10*time.Second); err != nil || info.JobState != drmaa2.Done {
-		t.Errorf("%+v, %v", info, err)
+	if info, err := job.WaitTerminated(ctx, 10*time.Second); err != nil || info.JobState != drmaa2.Done {
+		t.Errorf("released job: got %+v, %v, want state DONE", info, err)
 	}
 	if err := job.Reap(ctx); err != nil {
 		t.Error(err)
 	}
-	_, err = job.Info(ctx)
-	want("reaped", err, drmaa2.ErrInvalidArgument)
-	cluster.client.RetryFor = 0
-	nobody := drmaa2.NewClient("127.0.0.1:1")
-	nobody.RetryFor = 0
-	_, err = nobody.Drms(ctx)
-	want("nobody there", err, drmaa2.ErrDrmCommunication)
+	if _, err := job.Info(ctx); !errors.Is(err, drmaa2.ErrInvalidArgument) {
+		t.Errorf("reaped job: got error %v, want %v", err, drmaa2.ErrInvalidArgument)
+	}
 }
 
-// Arrays and their templates, lists of jobs and sessions as the specification has them.
+// A session runs arrays, lists its jobs and job categories, and can be destroyed.
 func TestSessions(t *testing.T) {
 	cluster := newTestCluster(t, clusterOptions{nodes: 2})
 	ctx := contextWithin(t, 30*time.Second)
@@ -218,7 +186,7 @@
 	template.JobName = "n"
 	array, err := session.RunBulkJobs(ctx, template, 1, 9, 2, 2)
 	if err != nil || len(array.Jobs) != 5 {
-		t.Fatalf("%v, %v", array, err)
+		t.Fatalf("got array %v, %v, want 5 jobs", array, err)
 	}
 	if err := array.WaitTerminated(ctx, 10*time.Second); err != nil {
 		t.Fatal(err)
@@ -226,55 +194,55 @@
 	checkArray(ctx, t, session, array)
 	checkMonitoring(ctx, t, cluster.monitoringSession(ctx))
 	if names, err := cluster.client.JobSessionNames(ctx); err != nil || fmt.Sprint(names) != "[test]" {
-		t.Errorf("%v, %v", names, err)
+		t.Errorf("got sessions %v, %v, want [test]", names, err)
 	}
 	if err := cluster.client.DestroyJobSession(ctx, "test"); err != nil {
 		t.Error(err)
 	}
 	if categories, err := session.JobCategories(ctx); err != nil || len(categories) != 3 {
-		t.Errorf("%v, %v", categories, err)
+		t.Errorf("got job categories %v, %v, want 3", categories, err)
 	}
 }
 
-// checkArray checks what is known of an array of five jobs, named n, that have ended.
+// checkArray checks the infos, the template and the list of an array of five jobs with the name n, all of which are done.
 func checkArray(ctx context.Context, t *testing.T, session *drmaa2.JobSession, array *drmaa2.JobArray) {
 	t.Helper()
 	infos, err := array.Infos(ctx)
 	if err != nil || len(infos) != 5 || infos[4].ImplementationSpecific[drmaa2.AttrIndex] != "9" {
-		t.Errorf("%+v, %v", infos, err)
+		t.Errorf("got infos %+v, %v, want 5 with the last index 9", infos, err)
 	}
 	if template, err := array.Jobs[0].Template(ctx); err != nil || template.JobName != "n" {
-		t.Errorf("%+v, %v", template, err)
+		t.Errorf("got template %+v, %v, want name n", template, err)
 	}
 	jobs, err := session.Jobs(ctx, &drmaa2.JobInfo{JobState: drmaa2.Done, JobName: "n"})
 	if err != nil || len(jobs) != 5 {
-		t.Errorf("%v, %v", jobs, err)
+		t.Errorf("got jobs %v, %v, want 5", jobs, err)
 	}
 	if job, err := session.WaitAnyTerminated(ctx, array.Jobs[2:], time.Second); err != nil || job == nil {
-		t.Errorf("%v, %v", job, err)
+		t.Errorf("got terminated job %v, %v, want one", job, err)
 	}
 }
 
-// checkMonitoring checks the monitoring session of a scheduler with two nodes on which nothing runs.
+// checkMonitoring checks the monitoring session of a scheduler with two idle nodes.
 func checkMonitoring(ctx context.Context, t *testing.T, monitoring *drmaa2.MonitoringSession) {
 	t.Helper()
 	machines, err := monitoring.AllMachines(ctx, "n1")
 	if err != nil || len(machines) != 1 || !machines[0].Available {
-		t.Errorf("%+v, %v", machines, err)
+		t.Errorf("got machines %+v, %v, want n1, available", machines, err)
 	}
 	if queues, err := monitoring.AllQueues(ctx); err != nil || len(queues) != 1 {
-		t.Errorf("%v, %v", queues, err)
+		t.Errorf("got queues %v, %v, want 1", queues, err)
 	}
 	if err := monitoring.AllReservations(ctx); !errors.Is(err, drmaa2.ErrUnsupportedOperation) {
-		t.Error(err)
+		t.Errorf("reservations: got error %v, want %v", err, drmaa2.ErrUnsupportedOperation)
 	}
 	running, err := monitoring.AllJobs(ctx, &drmaa2.JobInfo{JobState: drmaa2.Running})
 	if err != nil || len(running) != 0 {
-		t.Errorf("%v, %v", running, err)
+		t.Errorf("got running jobs %v, %v, want none", running, err)
 	}
 }
 
-// A scheduler that was killed and restarted finds what runs, under its old ID and key, and starts nothing twice.
+// A restarted scheduler adopts running jobs under their IDs and keys, and starts nothing twice.
 func TestRestartAdoptsRunningJobs(t *testing.T) {
 	cluster := newTestCluster(t, clusterOptions{nodes: 2})
 	ctx := contextWithin(t, 30*time.Second)
@@ -296,12 +264,12 @@
 		checkAdoptedJobEnds(ctx, t, cluster, id, 10*time.Second)
 	}
 	if finished := cluster.finishedOnNodes(); finished != 1 {
-		t.Errorf("it ran %d times", finished)
+		t.Errorf("the job ran %d times, want once", finished)
 	}
 }
 
-// A draining daemon accepts nothing more, gives each open request its outcome, and ends.
-func TestGracefulShutdown(t *testing.T) {
+// A graceful shutdown ends after the open placement request has its outcome.
+func TestShutdownWaitsForOutcomes(t *testing.T) {
 	cluster := newTestCluster(t, clusterOptions{nodes: 1, configure: func(_ *settings.Scheduler, m *nodemodel.Config) {
 		m.OfferReviewTime = 200 * time.Millisecond
 	}})
@@ -328,154 +296,9 @@
 		last = outcome
 	}
 	if last != "placed" {
-		t.Errorf("outcome of %s: %q", job.ID, last)
+		t.Errorf("outcome of %s: got %q, want placed", job.ID, last)
 	}
 	if err := <-stopped; err != nil {
 		t.Error(err)
 	}
 }
-
-// maxHeapGrowth is what the heap may grow by, in bytes, while clients misbehave.
-const maxHeapGrowth = 64 << 20
-
-// Clients that send half a request, never read, send heads without end or no HTTP get a plain error or are
-// disconnected; memory stays bounded and others are served.
-func TestMisbehavingClients(t *testing.T) {
-	cluster := newTestCluster(t, clusterOptions{nodes: 1})
-	ctx := contextWithin(t, 60*time.Second)
-	session := cluster.createSession(ctx, "test")
-	addr := cluster.daemon.Addr()
-	half := "POST /drmaa2/v1/sessions HTTP/1.1\r\nHost: x\r\nContent-Length: 100\r\n\r\n{"
-	if got := responseTo(t, addr, half); !strings.Contains(got, " 408 ") {
-		t.Errorf("half a request: %q", got)
-	}
-	if got := responseTo(t, addr, "\x16\x03\x01\x00\x00\r\n\r\n"); !strings.Contains(got, " 400 ") {
-		t.Errorf("no HTTP: %q", got)
-	}
-	var before, after runtime.MemStats
-	runtime.GC()
-	runtime.ReadMemStats(&before)
-	if sent := sendEndlessHead(t, addr); sent > 32<<20 {
-		t.Errorf("%d MiB of a head were taken in", sent>>20)
-	}
-	neverReads := dial(t, addr)
-	_ = neverReads.SetReadBuffer(4096) // a larger buffer takes longer to fill, no more
-	write(neverReads, "GET /drmaa2/v1/sessions/test/events HTTP/1.1\r\nHost: x\r\n\r\n")
-	// 20,000 changes of jobs are over 10 MB of events that one client does not read.
-	for range 20 {
-		array, err := session.RunBulkJobs(ctx, jobTemplate("service", time.Millisecond), 1, 250, 1, 0)
-		if err != nil {
-			t.Fatal(err)
-		}
-		if err := array.WaitTerminated(ctx, 20*time.Second); err != nil {
-			t.Fatal(err)
-		}
-	}
-	if got := metricValue(t, cluster.daemon, "flaxshelf_clients_cut_total"); got < 1 {
-		t.Error("the client that never reads was not disconnected")
-	}
-	runtime.GC()
-	runtime.ReadMemStats(&after)
-	if grown := int64(after.HeapAlloc) - int64(before.HeapAlloc); grown > maxHeapGrowth {
-		t.Errorf("the heap has grown by %d MiB", grown>>20)
-	}
-}
-
-// dial opens a connection that is closed with the test.
-func dial(t *testing.T, addr string) *net.TCPConn {
-	t.Helper()
-	conn, err := net.Dial("tcp", addr)
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { _ = conn.Close() })
-	return conn.(*net.TCPConn)
-}
-
-// write writes text; the daemon may have closed the connection, which the test sees by other means.
-func write(conn net.Conn, text string) { _, _ = io.WriteString(conn, text) }
-
-// responseTo is all that the daemon sends on a connection on which text was sent.
-func responseTo(t *testing.T, addr, text string) string {
-	t.Helper()
-	conn := dial(t, addr)
-	write(conn, text)
-	_ = conn.SetReadDeadline(time.Now().Add(5 * time.Second))
-	response, _ := io.ReadAll(conn) // what was read until the deadline, too
-	return string(response)
-}
-
-// sendEndlessHead sends up to 64 MiB of a request's head and returns how many bytes the daemon has taken.
-func sendEndlessHead(t *testing.T, addr string) (sent int) {
-	t.Helper()
-	conn := dial(t, addr)
-	write(conn, "GET / HTTP/1.1\r\nHost: x\r\n")
-	line := "X: " + strings.Repeat("y", 1<<16) + "\r\n"
-	for range 1024 {
-		n, err := io.WriteString(conn, line)
-		if sent += n; err != nil {
-			break
-		}
-	}
-	return sent
-}
-
-// Over the limit of connections a client is answered to try later; those that are connected stay.
-func TestConnectionLimit(t *testing.T) {
-	cluster := newTestCluster(t, clusterOptions{nodes: 1, configure: func(set *settings.Scheduler, _ *nodemodel.Config) {
-		set.Limits.MaxConnections = 2
-	}})
-	ctx := contextWithin(t, 10*time.Second)
-	cluster.createSession(ctx, "test") // on a connection that the client keeps
-	second := dial(t, cluster.daemon.Addr())
-	write(second, "GET /drmaa2/v1/info HTTP/1.1\r\nHost: x\r\n\r\n")
-	if _, err := second.Read(make([]byte, 10)); err != nil {
-		t.Fatal(err)
-	}
-	res, err := http.Get("http://" + cluster.daemon.Addr() + "/drmaa2/v1/info")
-	if err != nil {
-		t.Fatal(err)
-	}
-	res.Body.Close()
-	http.DefaultClient.CloseIdleConnections()
-	if res.StatusCode != 503 || res.Header.Get("Retry-After") == "" {
-		t.Errorf("status %s", res.Status)
-	}
-	if _, err := cluster.client.JobSessionNames(ctx); err != nil {
-		t.Errorf("one that is connected: %v", err)
-	}
-}
-
-// Metrics are served on the address of the settings.
-func TestMetrics(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	addr := l.Addr().String()
-	_ = l.Close()
-	cluster := newTestCluster(t, clusterOptions{nodes: 1, configure: func(set *settings.Scheduler, _ *nodemodel.Config) {
-		set.MetricsAddress = addr
-	}})
-	ctx := contextWithin(t, 10*time.Second)
-	job, err := cluster.createSession(ctx, "test").RunJob(ctx, jobTemplate("once", time.Millisecond))
-	if err != nil {
-		t.Fatal(err)
-	}
-	if _, err := job.WaitTerminated(ctx, 5*time.Second); err != nil {
-		t.Fatal(err)
-	}
-	res, err := http.Get("http://" + addr + "/metrics")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer http.DefaultClient.CloseIdleConnections()
-	defer res.Body.Close()
-	b, _ := io.ReadAll(res.Body)
-	for _, want := range []string{`flaxshelf_outcomes_total{class="once",outcome="placed"} 1`,
-		`flaxshelf_jobs_ended_total{class="once",sub="exited"} 1`, `flaxshelf_submit_to_offer_seconds{quantile="0.99"}`} {
-		if !strings.Contains(string(b), want) {
-			t.Errorf("the metrics lack %s", want)
-		}
-	}
-}
--- a/internal/daemon/inventory_test.go
+++ b/internal/daemon/inventory_test.go
@@ -8,8 +8,8 @@
 	"flaxshelf.example/flaxshelf/internal/codec/nodeframe/nodepb"
 )
 
-// An inventory that reports a failed call on an open connection leaves the daemon running: jobs are placed after it.
-func TestFailedInventoryCall(t *testing.T) {
+// Jobs are placed after the inventory has reported a failed call on an open connection.
+func TestFailedInventoryCallDoesNotStopPlacement(t *testing.T) {
 	cluster := newTestCluster(t, clusterOptions{nodes: 1})
 	ctx := contextWithin(t, 20*time.Second)
 	session := cluster.createSession(ctx, "test")
--- /dev/null
+++ b/internal/daemon/jobwatch_test.go
@@ -0,0 +1,70 @@
+package daemon
+
+import (
+	"context"
+	"sync"
+	"testing"
+
+	"flaxshelf.example/flaxshelf/drmaa2"
+)
+
+// jobWatch records the events of a session's stream. It is safe for concurrent use.
+type jobWatch struct {
+	mu       sync.Mutex
+	outcomes map[string]string          // by job ID
+	ends     map[string]drmaa2.JobState // of jobs that have ended, by job ID
+	count    int
+	done     chan struct{} // closed when count jobs have ended, or with the context
+}
+
+// watchJobs watches a session until count of its jobs have ended. A job with two outcomes is an error.
+func watchJobs(ctx context.Context, t *testing.T, session *drmaa2.JobSession, count int) *jobWatch {
+	t.Helper()
+	watch := &jobWatch{outcomes: map[string]string{}, ends: map[string]drmaa2.JobState{}, count: count,
+		done: make(chan struct{})}
+	go func() {
+		defer close(watch.done)
+		_ = session.Watch(ctx, func(info drmaa2.JobInfo) bool { return watch.record(t, info) })
+	}()
+	return watch
+}
+
+// record records an event. It returns whether jobs have not ended yet.
+func (w *jobWatch) record(t *testing.T, info drmaa2.JobInfo) bool {
+	t.Helper()
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	outcome := info.ImplementationSpecific[drmaa2.AttrOutcome]
+	if former := w.outcomes[info.JobID]; former != "" && former != outcome {
+		t.Errorf("%s: got outcome %s after outcome %s, want one outcome", info.JobID, outcome, former)
+	}
+	w.outcomes[info.JobID] = outcome
+	if info.JobState.Terminated() {
+		w.ends[info.JobID] = info.JobState
+	}
+	return len(w.ends) < w.count
+}
+
+// wait waits until all jobs have ended.
+func (w *jobWatch) wait(ctx context.Context, t *testing.T) {
+	t.Helper()
+	select {
+	case <-w.done:
+	case <-ctx.Done():
+		w.mu.Lock()
+		defer w.mu.Unlock()
+		t.Fatalf("%d jobs have ended, want %d", len(w.ends), w.count)
+	}
+}
+
+// placedAndDone returns the number of jobs that were placed and have ended in the state DONE.
+func (w *jobWatch) placedAndDone() (count int) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	for id, state := range w.ends {
+		if w.outcomes[id] == "placed" && state == drmaa2.Done {
+			count++
+		}
+	}
+	return count
+}
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -122,7 +122,7 @@
 	}
 	mux := http.NewServeMux()
 	mux.Handle("/metrics", promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{}))
-	m.server = &http.Server{Handler: mux, ReadHeaderTimeout: metricsHeaderTimeout}
+	m.server = &http.Server{Addr: listener.Addr().String(), Handler: mux, ReadHeaderTimeout: metricsHeaderTimeout}
 	m.serverDone = make(chan struct{})
 	go func() {
 		defer close(m.serverDone)
--- a/internal/daemon/names_test.go
+++ b/internal/daemon/metrics_test.go
@@ -3,14 +3,49 @@
 import (
 	"bytes"
 	"encoding/json"
+	"io"
+	"net/http"
 	"strings"
 	"sync"
 	"testing"
 	"time"
 
 	"flaxshelf.example/flaxshelf/drmaa2"
+	"flaxshelf.example/flaxshelf/internal/settings"
+	"flaxshelf.example/flaxshelf/internal/testbed/standin/nodemodel"
 )
 
+// Metrics are served at the address of the settings.
+func TestMetricsAreServed(t *testing.T) {
+	cluster := newTestCluster(t, clusterOptions{nodes: 1, configure: func(set *settings.Scheduler, _ *nodemodel.Config) {
+		set.MetricsAddress = "127.0.0.1:0"
+	}})
+	ctx := contextWithin(t, 10*time.Second)
+	job, err := cluster.createSession(ctx, "test").RunJob(ctx, jobTemplate("once", time.Millisecond))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, err := job.WaitTerminated(ctx, 5*time.Second); err != nil {
+		t.Fatal(err)
+	}
+	res, err := http.Get("http://" + cluster.daemon.metrics.server.Addr + "/metrics")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer http.DefaultClient.CloseIdleConnections()
+	defer res.Body.Close()
+	body, err := io.ReadAll(res.Body)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, want := range []string{`flaxshelf_outcomes_total{class="once",outcome="placed"} 1`,
+		`flaxshelf_jobs_ended_total{class="once",sub="exited"} 1`, `flaxshelf_submit_to_offer_seconds{quantile="0.99"}`} {
+		if !strings.Contains(string(body), want) {
+			t.Errorf("got metrics without %s", want)
+		}
+	}
+}
+
 // logBuffer collects log lines. It is safe for concurrent use.
 type logBuffer struct {
 	mu    sync.Mutex
@@ -65,8 +100,8 @@
 			rejectedJob = job.ID
 		}
 	}
-	responseTo(t, cluster.daemon.Addr(), "\x16\x03\x01\x00\x00\r\n\r\n")
-	responseTo(t, cluster.daemon.Addr(), "POST /drmaa2/v1/sessions HTTP/1.1\r\nHost: x\r\nContent-Length: 100\r\n\r\n{")
+	responseTo(t, cluster.daemon.Addr(), malformedRequest)
+	responseTo(t, cluster.daemon.Addr(), incompleteRequest)
 	if err := cluster.daemon.Stop(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/daemon/sessions_test.go
+++ b/internal/daemon/sessions_test.go
@@ -9,8 +9,8 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/standin/nodemodel"
 )
 
-// Where there are no sessions, clients get an empty list of names, as docs/drmaa.md says, and not null.
-func TestNoSessionsAreAnEmptyList(t *testing.T) {
+// Without sessions the list of their names is encoded as an empty list and not as null, see docs/drmaa.md.
+func TestNoSessionsAreEncodedAsEmptyList(t *testing.T) {
 	for _, cores := range []int{1, 4} {
 		t.Run(fmt.Sprintf("%d cores", cores), func(t *testing.T) {
 			cluster := newTestCluster(t, clusterOptions{nodes: 0, configure: func(set *settings.Scheduler, _ *nodemodel.Config) {
@@ -19,7 +19,7 @@
 			response := responseTo(t, cluster.daemon.Addr(),
 				"GET /drmaa2/v1/sessions HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
 			if !strings.HasSuffix(response, "\r\n\r\n{\"names\":[]}\n") {
-				t.Errorf("%q", response)
+				t.Errorf("got response %q, want an empty list", response)
 			}
 		})
 	}
--- a/internal/daemon/testcluster_test.go
+++ b/internal/daemon/testcluster_test.go
@@ -117,7 +117,7 @@
 	}
 }
 
-// startDaemon starts the daemon and a client of it. A restarted daemon has the same address.
+// startDaemon starts the daemon and its client. A restarted daemon has the same address.
 func (c *testCluster) startDaemon() {
 	c.t.Helper()
 	log := zerolog.Nop()
@@ -133,7 +133,7 @@
 	c.client = drmaa2.NewClient(d.Addr())
 }
 
-// restartDaemon stops the daemon without a graceful end and starts it again.
+// restartDaemon stops the daemon without a graceful shutdown and starts it again.
 func (c *testCluster) restartDaemon() {
 	c.t.Helper()
 	c.client.Close()
@@ -161,7 +161,7 @@
 	return session
 }
 
-// finishedOnNodes is the number of tasks that the nodes have run to their end.
+// finishedOnNodes returns the number of tasks that the nodes have finished.
 func (c *testCluster) finishedOnNodes() (finished int) {
 	for _, node := range c.nodes {
 		node.Do(func(m *nodemodel.Node, _ nodemodel.Time) []nodemodel.Send { finished += m.Finished(); return nil })
@@ -169,7 +169,7 @@
 	return finished
 }
 
-// contextWithin is a context that ends after a time, and with the test.
+// contextWithin returns a context that ends after the timeout or with the test.
 func contextWithin(t testing.TB, timeout time.Duration) context.Context {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
@@ -177,7 +177,8 @@
 	return ctx
 }
 
-// jobTemplate is a job of a class that runs for a time, with further attributes as pairs of name and value.
+// jobTemplate returns the template of a job with a class, an expected runtime and further attributes, as pairs of name and
+// value.
 func jobTemplate(class string, runtime time.Duration, attributes ...string) drmaa2.JobTemplate {
 	template := drmaa2.JobTemplate{RemoteCommand: "x", JobCategory: class,
 		ImplementationSpecific: map[string]string{drmaa2.AttrExpectedRuntime: runtime.String()}}
