--- a/internal/transport/acceptor_test.go
+++ b/internal/transport/acceptor_test.go
@@ -1,16 +1,14 @@
 package transport
 
 import (
-	"errors"
-	"io"
 	"net"
 	"syscall"
 	"testing"
 	"time"
 )
 
-// takeDescriptors lowers the process's limit and takes all descriptors that are left. The returned functions give them back,
-// and restore the limit.
+// takeDescriptors lowers the process's limit of descriptors and takes all free ones. The returned functions close them and
+// restore the limit.
 func takeDescriptors(t *testing.T) (giveBack, restoreLimit func()) {
 	t.Helper()
 	var limit syscall.Rlimit
@@ -43,47 +41,35 @@
 	return giveBack, restoreLimit
 }
 
-// An acceptor survives that no descriptor is left: what connects meanwhile waits, and is served when some come free.
-func TestAcceptDescriptorExhaustion(t *testing.T) {
+// Without free descriptors connections wait; they are served when descriptors are free again.
+func TestAcceptorSurvivesDescriptorExhaustion(t *testing.T) {
 	admitted, closed := make(chan struct{}), make(chan error, 1)
 	a, stop := accept(t, func() { <-admitted }, func(*Conn) Handler { return &echoHandler{closed: closed} })
 	defer stop()
 	defer a.Stop()
-	c, err := net.Dial("tcp", a.Addr()) // it waits in the listener's queue
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer c.Close()
-	if _, err := c.Write([]byte("hello\n")); err != nil {
-		t.Fatal(err)
-	}
+	c := dial(t, a.Addr()) // it waits in the listener's queue
+	writeText(t, c, "hello\n")
 	giveBack, restoreLimit := takeDescriptors(t)
 	defer restoreLimit()
 	close(admitted)
 	_ = c.SetReadDeadline(time.Now().Add(5 * acceptRetryDelay))
 	if _, err := c.Read(make([]byte, 1)); err == nil {
-		t.Error("served without a descriptor")
+		t.Error("the connection was served without a descriptor, want it to wait")
 	}
 	giveBack()
-	_ = c.SetReadDeadline(time.Now().Add(10 * time.Second))
-	b := make([]byte, 6)
-	if _, err := io.ReadFull(c, b); err != nil || string(b) != "hello\n" {
-		t.Fatalf("%q, %v", b, err)
-	}
+	expectText(t, c, "hello\n")
 	_ = c.Close()
-	if err := awaitReason(t, closed); !errors.Is(err, ErrPeerClosed) {
-		t.Error(err)
-	}
+	expectReason(t, closed, ErrPeerClosed)
 }
 
-// A connection that waits in the listener's queue when listening ends is accepted, with what was written on it.
+// Drain accepts the connections that wait in the listener's queue, and serves what was written to them.
 func TestDrainServesPendingConnections(t *testing.T) {
 	slots, closed := make(chan struct{}), make(chan error, 2)
 	a, stop := accept(t, func() { slots <- struct{}{} }, func(*Conn) Handler { return &echoHandler{closed: closed} })
 	var peers []net.Conn
 	for range 2 {
 		c := dial(t, a.Addr())
-		_, _ = io.WriteString(c, "ask\n")
+		writeText(t, c, "request\n")
 		peers = append(peers, c)
 	}
 	a.Drain()
@@ -94,10 +80,7 @@
 	}()
 	<-slots
 	for _, c := range peers {
-		b := make([]byte, 4)
-		if _, err := io.ReadFull(c, b); err != nil || string(b) != "ask\n" {
-			t.Errorf("%q, %v", b, err)
-		}
+		expectText(t, c, "request\n")
 	}
 	<-a.Done()
 	stop()
--- a/internal/transport/conn_test.go
+++ b/internal/transport/conn_test.go
@@ -1,9 +1,6 @@
 package transport
 
 import (
-	"context"
-	"errors"
-	"fmt"
 	"io"
 	"net"
 	"strings"
@@ -11,27 +8,20 @@
 	"time"
 )
 
-// Partial input is kept; several messages in one read are all handled; what the handler writes arrives.
-func TestEcho(t *testing.T) {
+// A partial message is buffered until the rest arrives, and all messages of one read are handled.
+func TestPartialAndMultipleMessagesAreHandled(t *testing.T) {
 	closed := make(chan error, 1)
 	s := listen(t, Options{}, func(*Conn) Handler { return &echoHandler{closed: closed} })
 	c := dial(t, s.Addr())
 	for _, part := range []string{"o", "ne\ntw", "o\nthree\n"} {
-		if _, err := io.WriteString(c, part); err != nil {
-			t.Fatal(err)
-		}
-	}
-	b := make([]byte, len("one\ntwo\nthree\n"))
-	if _, err := io.ReadFull(c, b); err != nil || string(b) != "one\ntwo\nthree\n" {
-		t.Errorf("%q, %v", b, err)
+		writeText(t, c, part)
 	}
+	expectText(t, c, "one\ntwo\nthree\n")
 	_ = c.Close()
-	if err := awaitReason(t, closed); !errors.Is(err, ErrPeerClosed) {
-		t.Error(err)
-	}
+	expectReason(t, closed, ErrPeerClosed)
 }
 
-// Each way in which this side closes a connection is reported by its error.
+// Handler.Closed receives the reason why this side has closed the connection.
 func TestCloseReasons(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -64,14 +54,12 @@
 			})
 			peer := dial(t, s.Addr())
 			c.provoke(peer, <-conns)
-			if err := awaitReason(t, closed); !errors.Is(err, c.want) {
-				t.Errorf("%v, want %v", err, c.want)
-			}
+			expectReason(t, closed, c.want)
 		})
 	}
 }
 
-// DisableIdleTimeout removes the idle timeout.
+// A connection without an idle timeout stays open and is served.
 func TestDisableIdleTimeout(t *testing.T) {
 	closed := make(chan error, 1)
 	s := listen(t, Options{IdleTimeout: 30 * time.Millisecond}, func(c *Conn) Handler {
@@ -81,14 +69,11 @@
 	c := dial(t, s.Addr())
 	select {
 	case err := <-closed:
-		t.Errorf("closed: %v", err)
+		t.Errorf("got close reason %v, want an open connection", err)
 	case <-time.After(150 * time.Millisecond):
 	}
-	_, _ = io.WriteString(c, "x\n")
-	b := make([]byte, 2)
-	if _, err := io.ReadFull(c, b); err != nil {
-		t.Error(err)
-	}
+	writeText(t, c, "x\n")
+	expectText(t, c, "x\n")
 }
 
 // A slow reader does not block another connection of the same event loop.
@@ -105,14 +90,11 @@
 	for range 32 {
 		slow.Send(make([]byte, 1<<20))
 	}
-	_ = other.SetDeadline(time.Now().Add(5 * time.Second))
-	_, _ = io.WriteString(other, "x\n")
-	if _, err := io.ReadFull(other, make([]byte, 2)); err != nil {
-		t.Error(err)
-	}
+	writeText(t, other, "x\n")
+	expectText(t, other, "x\n")
 }
 
-// Our side closes after what was queued, and what the peer sends until it has closed too is read.
+// CloseWrite closes after the queued bytes were written; bytes from the peer are read until it closes too.
 func TestCloseWrite(t *testing.T) {
 	conns, closed := make(chan *Conn, 1), make(chan error, 1)
 	a, stop := accept(t, func() {}, func(*Conn) Handler { return &openedHandler{echoHandler{closed: closed}, conns} })
@@ -121,55 +103,47 @@
 	conn.Send([]byte(big))
 	conn.CloseWrite()
 	if got, err := io.ReadAll(c); err != nil || string(got) != big {
-		t.Errorf("%d bytes, %v", len(got), err)
-	}
-	if _, err := io.WriteString(c, "still read\n"); err != nil {
-		t.Error(err)
+		t.Errorf("got %d bytes, %v, want %d bytes, equal to those sent", len(got), err, len(big))
 	}
+	writeText(t, c, "still read\n")
 	_ = c.Close()
-	if err := awaitReason(t, closed); !errors.Is(err, ErrPeerClosed) {
-		t.Error(err)
-	}
+	expectReason(t, closed, ErrPeerClosed)
 	a.Stop()
 	stop()
 }
 
-// Addresses that are malformed or in use are errors.
-func TestInvalidAddresses(t *testing.T) {
-	for _, addr := range []string{"", "nonsense", "127.0.0.1:99999", "256.0.0.1:1"} {
-		if s, err := Listen(addr, Options{}, nil); err == nil {
-			_ = s.Stop(context.Background())
-			t.Errorf("%q was accepted", addr)
-		}
-	}
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+// Listen returns an error for an address that is malformed or in use.
+func TestListenRejectsInvalidAddresses(t *testing.T) {
+	occupied, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
-	if s, err := Listen(l.Addr().String(), Options{}, func(*Conn) Handler { return nil }); err == nil {
-		_ = s.Stop(context.Background())
-		t.Error("a port in use was accepted")
+	defer occupied.Close()
+	for _, test := range []struct{ name, addr string }{
+		{"empty", ""},
+		{"without port", "nonsense"},
+		{"port out of range", "127.0.0.1:99999"},
+		{"invalid IP address", "256.0.0.1:1"},
+		{"port in use", occupied.Addr().String()},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			s, err := Listen(test.addr, Options{}, newEchoHandler)
+			if err == nil {
+				stopServer(t, s)
+				t.Errorf("listen at %q: got no error, want one", test.addr)
+			}
+		})
 	}
 }
 
 func BenchmarkEcho(b *testing.B) {
-	s, err := Listen("127.0.0.1:0", Options{}, newEchoHandler)
-	if err != nil {
-		b.Fatal(err)
-	}
-	defer func() { _ = s.Stop(context.Background()) }()
-	c, err := net.Dial("tcp", s.Addr())
-	if err != nil {
-		b.Fatal(err)
-	}
-	defer c.Close()
-	buf := make([]byte, 64)
+	c := dial(b, listen(b, Options{}, newEchoHandler).Addr())
+	buf := make([]byte, len("0123456789\n"))
 	for b.Loop() {
-		if _, err := fmt.Fprintln(c, "0123456789"); err != nil {
+		if _, err := io.WriteString(c, "0123456789\n"); err != nil {
 			b.Fatal(err)
 		}
-		if _, err := io.ReadFull(c, buf[:11]); err != nil {
+		if _, err := io.ReadFull(c, buf); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/transport/helpers_test.go
+++ b/internal/transport/helpers_test.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"io"
 	"net"
 	"runtime"
 	"strings"
@@ -22,10 +23,10 @@
 // errBadLine is the error of echoHandler for the line "bad".
 var errBadLine = errors.New("bad line")
 
-// echoHandler answers each line with itself, and passes the reason of its connection's close on.
+// echoHandler echoes each line, and reports the reason for the close of its connection.
 type echoHandler struct {
 	closed  chan error
-	discard bool // leave the bytes unused
+	discard bool // use no bytes
 }
 
 func (h *echoHandler) Receive(c *Conn, in []byte) (int, error) {
@@ -45,10 +46,10 @@
 
 func (h *echoHandler) Closed(_ *Conn, reason error) { h.closed <- reason }
 
-// newEchoHandler makes an echoHandler for a test that does not ask why its connection closes.
+// newEchoHandler returns an echoHandler whose close reason is not read.
 func newEchoHandler(*Conn) Handler { return &echoHandler{closed: make(chan error, 1)} }
 
-// greetingHandler sends a line when its connection is open, and reports that something was received.
+// greetingHandler sends a line when its connection opens, and reports that bytes were received.
 type greetingHandler struct{ received chan struct{} }
 
 func (h *greetingHandler) Opened(c *Conn) { c.WriteInLoop([]byte("hello\n")) }
@@ -60,7 +61,7 @@
 
 func (h *greetingHandler) Closed(*Conn, error) {}
 
-// lineHandler passes on each line that it receives.
+// lineHandler reports each line that it receives.
 type lineHandler struct{ lines chan string }
 
 func (h *lineHandler) Receive(_ *Conn, in []byte) (int, error) {
@@ -73,11 +74,11 @@
 
 func (h *lineHandler) Closed(*Conn, error) {}
 
-// blockingHandler blocks the event loop in Receive, so that a test decides what the loop finds when it goes on.
+// blockingHandler blocks the event loop in Receive, so that a test determines what is queued when the loop continues.
 type blockingHandler struct {
 	echoHandler
-	blocked chan struct{} // receives once the loop is blocked
-	release chan struct{} // a value lets it go on
+	blocked chan struct{} // receives when the loop is blocked
+	release chan struct{} // a value lets the loop continue
 }
 
 func newBlockingHandler() *blockingHandler {
@@ -90,7 +91,7 @@
 	return len(in), nil
 }
 
-// releaseDuringStop lets the event loop go on after a Stop that runs meanwhile has got as far as it can.
+// releaseDuringStop lets the event loop continue after a concurrent Stop has progressed as far as it can.
 func (h *blockingHandler) releaseDuringStop() {
 	for range 1000 {
 		runtime.Gosched()
@@ -98,7 +99,7 @@
 	h.release <- struct{}{}
 }
 
-// openedHandler is an echoHandler that passes its connection on when it is open.
+// openedHandler is an echoHandler that reports its connection when it opens.
 type openedHandler struct {
 	echoHandler
 	conns chan *Conn
@@ -106,24 +107,34 @@
 
 func (h *openedHandler) Opened(c *Conn) { h.conns <- c }
 
-// listen starts a server that the end of the test stops.
-func listen(t *testing.T, options Options, newHandler func(c *Conn) Handler) *Server {
+// listen starts a server at a free port, which the end of the test stops.
+func listen(t testing.TB, options Options, newHandler func(c *Conn) Handler) *Server {
 	t.Helper()
-	s, err := Listen("127.0.0.1:0", options, newHandler)
+	s := startServer(t, "127.0.0.1:0", options, newHandler)
+	t.Cleanup(func() { stopServer(t, s) })
+	return s
+}
+
+// startServer starts a server at addr, which the test stops.
+func startServer(t testing.TB, addr string, options Options, newHandler func(c *Conn) Handler) *Server {
+	t.Helper()
+	s, err := Listen(addr, options, newHandler)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() {
-		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
-		defer cancel()
-		if err := s.Stop(ctx); err != nil {
-			t.Error(err)
-		}
-	})
 	return s
 }
 
-// newDialer makes a dialer, and returns it with a function that stops it.
+func stopServer(t testing.TB, s *Server) {
+	t.Helper()
+	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
+	defer cancel()
+	if err := s.Stop(ctx); err != nil {
+		t.Error(err)
+	}
+}
+
+// newDialer returns a dialer and a function that stops it.
 func newDialer(t *testing.T) (d *Dialer, stop func()) {
 	t.Helper()
 	d, err := NewDialer(Options{})
@@ -138,7 +149,7 @@
 	}
 }
 
-// accept makes a dialer that listens too. The test stops it.
+// accept returns an acceptor of a new dialer, and a function that stops the dialer.
 func accept(t *testing.T, admit func(), newHandler func(c *Conn) Handler) (*Acceptor, func()) {
 	t.Helper()
 	d, stop := newDialer(t)
@@ -149,8 +160,8 @@
 	return a, stop
 }
 
-// dial connects to addr until the end of the test.
-func dial(t *testing.T, addr string) net.Conn {
+// dial opens a connection to addr, which the end of the test closes.
+func dial(t testing.TB, addr string) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -160,6 +171,34 @@
 	return c
 }
 
+// writeText writes text to a connection.
+func writeText(t testing.TB, c net.Conn, text string) {
+	t.Helper()
+	if _, err := io.WriteString(c, text); err != nil {
+		t.Fatalf("write %q: %v", text, err)
+	}
+}
+
+// expectText reads the length of want from a connection and compares.
+func expectText(t testing.TB, c net.Conn, want string) {
+	t.Helper()
+	if err := c.SetReadDeadline(time.Now().Add(10 * time.Second)); err != nil {
+		t.Fatal(err)
+	}
+	got := make([]byte, len(want))
+	if n, err := io.ReadFull(c, got); err != nil || string(got) != want {
+		t.Fatalf("read: got %q, %v, want %q", got[:n], err, want)
+	}
+}
+
+// expectReason waits for the close of a connection and compares its reason.
+func expectReason(t *testing.T, closed <-chan error, want error) {
+	t.Helper()
+	if got := awaitReason(t, closed); !errors.Is(got, want) {
+		t.Errorf("close reason: got %v, want %v", got, want)
+	}
+}
+
 // awaitReason waits for the reason of a close.
 func awaitReason(t *testing.T, closed <-chan error) error {
 	t.Helper()
--- a/internal/transport/link_test.go
+++ b/internal/transport/link_test.go
@@ -1,30 +1,16 @@
 package transport
 
 import (
-	"context"
-	"errors"
 	"strings"
 	"testing"
 	"time"
 )
 
-// A link connects, reports that its connection is gone, and connects again when the other side is back.
+// A link connects, reports the close of its connection, and reconnects when the other side is available again.
 func TestLinkReconnects(t *testing.T) {
 	d, stopDialer := newDialer(t)
 	defer stopDialer()
-	startServer := func(addr string) *Server {
-		s, err := Listen(addr, Options{}, newEchoHandler)
-		if err != nil {
-			t.Fatal(err)
-		}
-		return s
-	}
-	stopServer := func(s *Server) {
-		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
-		defer cancel()
-		_ = s.Stop(ctx)
-	}
-	s := startServer("127.0.0.1:0")
+	s := startServer(t, "127.0.0.1:0", Options{}, newEchoHandler)
 	addr := s.Addr()
 	handler := &greetingHandler{received: make(chan struct{}, 100)}
 	downs := make(chan error, 100)
@@ -39,25 +25,23 @@
 		}
 	}
 	awaitAnswer("no answer")
-	stopServer(s)
-	if err := awaitReason(t, downs); !errors.Is(err, ErrPeerClosed) {
-		t.Errorf("%v, want the end of the connection", err)
-	}
+	stopServer(t, s)
+	expectReason(t, downs, ErrPeerClosed)
 	if err := awaitReason(t, downs); err == nil || !strings.Contains(err.Error(), "connect") {
-		t.Errorf("%v, want a failure to connect", err)
+		t.Errorf("got %v, want a failure to connect", err)
 	}
-	s = startServer(addr)
-	defer stopServer(s)
-	awaitAnswer("no answer from the server that came back")
+	s = startServer(t, addr, Options{}, newEchoHandler)
+	defer stopServer(t, s)
+	awaitAnswer("no answer from the restarted server")
 }
 
-// Waits double up to the maximum, with jitter, and never overflow.
-func TestBackoff(t *testing.T) {
+// The backoff is doubled up to its maximum, with jitter, and does not overflow.
+func TestBackoffIsBounded(t *testing.T) {
 	b := Backoff{Initial: 10 * time.Millisecond, Max: time.Second}
 	for failures := range 100 {
 		wait := b.wait(failures)
 		if wait > time.Second || wait < 5*time.Millisecond || failures > 20 && wait < 500*time.Millisecond {
-			t.Errorf("after %d failures: %v", failures, wait)
+			t.Errorf("after %d failures: got %v, want 5ms to 1s, and from 500ms after 20 failures", failures, wait)
 		}
 	}
 }
--- a/internal/transport/order_test.go
+++ b/internal/transport/order_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// What was sent before Stop reaches each peer, though the event loop was busy and more than 1,024 tasks wait for it.
+// Messages that were sent before Stop reach their peers, even if the event loop is busy and more than 1,024 tasks wait.
 func TestStopDeliversQueuedMessages(t *testing.T) {
 	const count = 1200
 	opened, blocker := make(chan *Conn, count), newBlockingHandler()
@@ -27,7 +27,7 @@
 	for range count {
 		conns = append(conns, <-opened)
 	}
-	_, _ = io.WriteString(peers[count], "busy")
+	writeText(t, peers[count], "busy")
 	<-blocker.blocked
 	for _, c := range conns {
 		c.Send([]byte("last message"))
@@ -37,21 +37,21 @@
 	stop()
 	for _, c := range peers[:count] {
 		if got, err := io.ReadAll(c); err != nil || string(got) != "last message" {
-			t.Fatalf("%q, %v", got, err)
+			t.Fatalf("got %q, %v, want the last message", got, err)
 		}
 	}
 }
 
-// What is sent on a connection keeps its order, however much waits for a busy event loop, and all of it reaches the peer though
-// the engine is stopped right behind it.
-func TestOrderUnderLoad(t *testing.T) {
+// Messages on a connection keep their order, however many wait for a busy event loop, and all of them reach the peer even if
+// the dialer is stopped directly afterwards.
+func TestMessagesKeepOrderUnderLoad(t *testing.T) {
 	conns, blocker := make(chan *Conn, 1), newBlockingHandler()
 	a, stop := accept(t, func() {}, func(c *Conn) Handler {
 		conns <- c
 		return blocker
 	})
 	c := dial(t, a.Addr())
-	_, _ = io.WriteString(c, "busy")
+	writeText(t, c, "busy")
 	<-blocker.blocked
 	conn, want := <-conns, strings.Builder{}
 	const count = 5000
@@ -64,12 +64,13 @@
 	go blocker.releaseDuringStop()
 	stop()
 	if got, err := io.ReadAll(c); err != nil || string(got) != want.String() {
-		t.Errorf("%d bytes of %d, %v, in order: %v", len(got), want.Len(), err, strings.HasPrefix(want.String(), string(got)))
+		t.Errorf("got %d bytes, %v, in order: %v, want %d bytes in order", len(got), err,
+			strings.HasPrefix(want.String(), string(got)), want.Len())
 	}
 }
 
-// A goroutine may send while the event loop works: its messages keep their order.
-func TestConcurrentSendOrder(t *testing.T) {
+// Messages of a goroutine keep their order while the event loop writes concurrently.
+func TestMessagesKeepOrderWithConcurrentWrites(t *testing.T) {
 	conns := make(chan *Conn, 1)
 	a, stop := accept(t, func() {}, func(*Conn) Handler {
 		return &openedHandler{echoHandler{closed: make(chan error, 1)}, conns}
@@ -89,11 +90,11 @@
 	}
 	lines := strings.Split(strings.TrimSpace(string(got)), "\n")
 	if len(lines) != count {
-		t.Errorf("%d lines, want %d", len(lines), count)
+		t.Errorf("got %d lines, want %d", len(lines), count)
 	}
 	for i, line := range lines {
 		if line != fmt.Sprint(i) {
-			t.Fatalf("line %d is %q", i, line)
+			t.Fatalf("line %d: got %q, want %d", i, line, i)
 		}
 	}
 	_ = c.Close()
--- a/internal/transport/outbox_test.go
+++ b/internal/transport/outbox_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Messages of an outbox that have expired when they are written are dropped and reported, the others are written in order;
-// without a connection all expiring ones expire.
+// An outbox discards and reports messages that have expired when they are written, and writes the others in order. Without a
+// connection all expiring messages expire.
 func TestOutboxDropsExpiredMessages(t *testing.T) {
 	closed := make(chan error, 1)
 	s := listen(t, Options{}, func(*Conn) Handler { return &echoHandler{closed: closed} })
@@ -24,9 +24,9 @@
 		want           string
 		expired        int
 	}{
-		{"all are written", true, true, "abcd", 0},
-		{"the flush is late", false, true, "ad", 2},
-		{"b is not wanted", true, false, "acd", 1},
+		{"in time", true, true, "abcd", 0},
+		{"too late", false, true, "ad", 2},
+		{"one message not wanted", true, false, "acd", 1},
 	} {
 		t.Run(round.name, func(t *testing.T) {
 			var o Outbox
@@ -52,15 +52,15 @@
 			o.Flush(c, func() bool { return round.inTime })
 			for _, want := range round.want {
 				if line := <-lines; line != string(want) {
-					t.Errorf("%q was received, want %q", line, want)
+					t.Errorf("received line: got %q, want %q", line, want)
 				}
 			}
 			if len(expired) != round.expired || !o.Empty() {
-				t.Errorf("%d expired, want %d", len(expired), round.expired)
+				t.Errorf("got %d expired messages and an empty outbox %v, want %d and true", len(expired), o.Empty(), round.expired)
 			}
 			putExpiring("e")
 			if o.Flush(nil, func() bool { return true }); len(expired) != round.expired+1 {
-				t.Error("a message did not expire without a connection")
+				t.Errorf("without a connection: got %d expired messages, want %d", len(expired), round.expired+1)
 			}
 		})
 	}
