--- a/internal/shard/cores_test.go
+++ b/internal/shard/cores_test.go
@@ -22,12 +22,12 @@
 	loadRuntime     = time.Second          // of each job, by the simulated clock
 )
 
-// loadedCore is one core of a scheduler whose nodes accept each offer at once.
+// loadedCore is one core of a scheduler whose nodes accept every offer immediately.
 type loadedCore struct {
 	core      *scheduler.Core
 	now       scheduler.Time
 	submitted int
-	running   []runningJob // in the order in which they end
+	running   []runningJob // ordered by end
 	inputs    []scheduler.Input
 	stepTimes []time.Duration
 }
@@ -86,7 +86,7 @@
 	return loaded
 }
 
-// step submits jobs, gives the core the messages of the nodes, and returns how many offers it sent.
+// step submits jobs, steps the core with the messages of the nodes, and returns the number of offers.
 func (l *loadedCore) step() (placed int) {
 	l.now += loadStep
 	l.submit()
@@ -132,8 +132,8 @@
 	})
 }
 
-// TestCoresFigure has 1 to 8 cores decide at once, without sockets, and draws placements a second and the 99th
-// percentile of a step:
+// TestCoresFigure runs 1 to 8 cores concurrently, without sockets, and draws the placements per second and the 99th
+// percentile of the duration of a step:
 //
 //	FLAXSHELF_FIGURES=$PWD/docs/figures go test -v -run CoresFigure ./internal/shard
 func TestCoresFigure(t *testing.T) {
@@ -155,7 +155,7 @@
 	}
 }
 
-// measureCores runs cores at once for three seconds of real time.
+// measureCores runs a number of cores concurrently for three seconds of real time.
 func measureCores(t *testing.T, count int) (placedPerSecond float64, stepP99 time.Duration) {
 	t.Helper()
 	const measureFor = 3 * time.Second
--- a/internal/shard/shard_test.go
+++ b/internal/shard/shard_test.go
@@ -26,12 +26,12 @@
 	}
 }
 
-// noBacklog is the backlog of cores that are idle.
+// noBacklog returns the backlog of idle cores.
 func noBacklog(int) int { return 0 }
 
-// A key leads to the core that has its work: in the same incarnation, and in a later one of any number of cores, where
-// a node reports the work before or after the owner retries.
-func TestKeyLeadsToOneCore(t *testing.T) {
+// Submissions of a key are passed to the core that has its work: in the same incarnation, and in a later one with any number
+// of cores, whether a node reports the work before or after the owner retries.
+func TestKeyHasOneCore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		domains := []flaxshelf.TopologyDomain{flaxshelf.NoDomain, flaxshelf.ZoneDomain}
 		spread := rapid.SampledFrom(domains).Draw(t, "spread")
@@ -44,7 +44,7 @@
 		core := checkSameIncarnation(t, m, spec)
 		id := CoreName("s", core, cores) + "." + "rs" + ".1" // 1,000 ms in base 36
 		if got := m.Job(id); got != core {
-			t.Fatalf("%s belongs to core %d, not %d", id, got, core)
+			t.Fatalf("core of %s: got %d, want %d", id, got, core)
 		}
 		later := New("s", testConfig(time.Minute, spread), laterCores)
 		checkLaterIncarnation(t, later, spec, id, rapid.Bool().Draw(t, "owner first"))
@@ -53,19 +53,21 @@
 
 // checkSameIncarnation submits the same work several times and returns its core.
 func checkSameIncarnation(t *rapid.T, m *Map, spec scheduler.Spec) int {
+	t.Helper()
 	core := m.Submit(&spec, 5, noBacklog)
 	if got := m.Submit(&spec, 6, noBacklog); got != core {
-		t.Fatalf("first to core %d, then to %d", core, got)
+		t.Fatalf("core of the second submission: got %d, want %d", got, core)
 	}
 	spec.Service = "elsewhere"
 	if got := m.Submit(&spec, 6, noBacklog); got != core {
-		t.Fatalf("with another service to %d, not %d", got, core)
+		t.Fatalf("core of a submission with another service: got %d, want %d", got, core)
 	}
 	return core
 }
 
-// checkLaterIncarnation has a node report the work and its owner submit it again.
+// checkLaterIncarnation checks that the report of a node and a retry of the owner are passed to the same core.
 func checkLaterIncarnation(t *rapid.T, m *Map, spec scheduler.Spec, id string, ownerFirst bool) {
+	t.Helper()
 	submittedTo := -1
 	if ownerFirst {
 		submittedTo = m.Submit(&spec, 0, noBacklog)
@@ -74,7 +76,7 @@
 	adoptedBy := -1
 	for core, part := range m.Split(scheduler.NodeUp{Node: "n", Running: []scheduler.RunningAttempt{reported}}) {
 		if part.Node != "n" {
-			t.Fatalf("core %d is not notified of the node", core)
+			t.Fatalf("node of the report to core %d: got %q, want n", core, part.Node)
 		}
 		if len(part.Running) > 0 {
 			adoptedBy = core
@@ -84,55 +86,54 @@
 		submittedTo = m.Submit(&spec, 0, noBacklog)
 	}
 	if adoptedBy != submittedTo || m.Job(id) != adoptedBy || m.Attempt(reported.Attempt) != adoptedBy {
-		t.Fatalf("adopted by core %d, submitted to %d, found at %d and %d",
+		t.Fatalf("got adoption by core %d, submission to %d, job on %d, attempt on %d, want the same core",
 			adoptedBy, submittedTo, m.Job(id), m.Attempt(reported.Attempt))
 	}
 }
 
-// Where spread is bounded, a service has one core, whatever the keys, whose count is then exact. Otherwise the keys of
-// a service use all cores.
-func TestBoundedServiceHasOneCore(t *testing.T) {
+// With a spread limit all keys of a service have one core. Without one the keys of a service use all cores.
+func TestServiceWithSpreadLimitHasOneCore(t *testing.T) {
 	const cores = 5
-	bounded := New("s", testConfig(0, flaxshelf.CellDomain), cores)
+	limited := New("s", testConfig(0, flaxshelf.CellDomain), cores)
 	for service := range 20 {
 		used := map[int]bool{}
 		for key := range 30 {
 			spec := scheduler.Spec{Service: fmt.Sprint(service), Key: fmt.Sprint(service, "-", key)}
-			used[bounded.Submit(&spec, uint64(key), noBacklog)] = true
+			used[limited.Submit(&spec, uint64(key), noBacklog)] = true
 		}
 		if len(used) != 1 {
-			t.Errorf("service %d is on %d cores", service, len(used))
+			t.Errorf("cores of service %d with a spread limit: got %d, want 1", service, len(used))
 		}
 	}
-	unbounded, used := New("s", testConfig(0, flaxshelf.NoDomain), cores), map[int]bool{}
+	unlimited, used := New("s", testConfig(0, flaxshelf.NoDomain), cores), map[int]bool{}
 	for key := range 50 {
-		used[unbounded.Submit(&scheduler.Spec{Service: "one", Key: fmt.Sprint(key)}, 0, noBacklog)] = true
+		used[unlimited.Submit(&scheduler.Spec{Service: "one", Key: fmt.Sprint(key)}, 0, noBacklog)] = true
 	}
 	if len(used) != cores {
-		t.Errorf("an unbounded service uses %d of %d cores", len(used), cores)
+		t.Errorf("cores of a service without a spread limit: got %d, want %d", len(used), cores)
 	}
 }
 
-// Work without a key goes round, and past a core that is overloaded.
-func TestWorkWithoutKeyGoesRound(t *testing.T) {
+// Work without a key is distributed round-robin, except to an overloaded core.
+func TestWorkWithoutKeyIsDistributedRoundRobin(t *testing.T) {
 	m := New("s", testConfig(0, flaxshelf.NoDomain), 4)
 	count := [4]int{}
 	for turn := range 400 {
 		count[m.Submit(&scheduler.Spec{}, uint64(turn), noBacklog)]++
 	}
-	if count != [4]int{100, 100, 100, 100} {
-		t.Errorf("submissions by core %v", count)
+	if want := [4]int{100, 100, 100, 100}; count != want {
+		t.Errorf("submissions by core: got %v, want %v", count, want)
 	}
 	backlog := []int{3, 5000, 9, 7}
 	for turn := range 100 {
 		if core := m.Submit(&scheduler.Spec{}, uint64(turn), func(core int) int { return backlog[core] }); core == 1 {
-			t.Fatal("work went to the core that is overloaded")
+			t.Fatalf("submission %d: got the overloaded core 1, want another", turn)
 		}
 	}
 }
 
-// The cores are schedulers of their own to the module, and their limits add up to the scheduler's.
-func TestDivide(t *testing.T) {
+// Each core is a separate scheduler to the module, and the limits of the cores add up to those of the scheduler.
+func TestDivideAmongSeveralCores(t *testing.T) {
 	indexes, seeds := map[int]bool{}, map[uint64]bool{}
 	pending, running := 0, 0
 	for core := range 4 {
@@ -140,52 +141,68 @@
 		indexes[cfg.Module.Index], seeds[cfg.Seed] = true, true
 		pending, running = pending+cfg.Limits.MaxPending, running+cfg.Limits.MaxRunning
 		if cfg.Module.Schedulers != 12 || cfg.Module.Index/4 != 2 {
-			t.Errorf("core %d is scheduler %d of %d", core, cfg.Module.Index, cfg.Module.Schedulers)
+			t.Errorf("core %d: got scheduler %d of %d, want 8 to 11 of 12", core, cfg.Module.Index, cfg.Module.Schedulers)
 		}
 		if cfg.Limits.MaxFinished < 1 || cfg.Module.Classes[0].MaxPerDomain != 3 {
-			t.Errorf("core %d: %+v", core, cfg)
+			t.Errorf("core %d: got MaxFinished %d, MaxPerDomain %d, want at least 1, and 3", core, cfg.Limits.MaxFinished,
+				cfg.Module.Classes[0].MaxPerDomain)
 		}
 	}
 	if len(indexes) != 4 || len(seeds) != 4 {
-		t.Errorf("indexes %v, seeds %v", indexes, seeds)
+		t.Errorf("got indexes %v, seeds %v, want 4 different ones each", indexes, seeds)
 	}
 	if pending != 10 || running != 11 {
-		t.Errorf("limits add up to %d pending and %d running", pending, running)
+		t.Errorf("sum of limits: got %d pending and %d running, want 10 and 11", pending, running)
 	}
 }
 
-// A single core is the scheduler itself.
+// A single core has the configuration of the scheduler.
 func TestDivideAmongOneCore(t *testing.T) {
 	if cfg := Divide(testConfig(0, flaxshelf.ZoneDomain), 0, 1); cfg.Name != "s" || cfg.Seed != 7 || cfg.Module.Index != 2 {
-		t.Errorf("one core is not the scheduler itself: %+v", cfg)
+		t.Errorf("got name %q, seed %d, index %d, want those of the scheduler", cfg.Name, cfg.Seed, cfg.Module.Index)
 	}
 }
 
-func TestCheck(t *testing.T) {
-	for cores, ok := range map[int]bool{-1: false, 0: false, 1: true, MaxCores: true, MaxCores + 1: false} {
-		err := Check(cores)
-		if ok != (err == nil) {
-			t.Errorf("%d cores: %v", cores, err)
-		}
-		var countError *CoreCountError
-		if !ok && (!errors.As(err, &countError) || countError.Cores != cores) {
-			t.Errorf("%d cores: error %v", cores, err)
-		}
+func TestCheckAcceptsUpToMaxCores(t *testing.T) {
+	for _, test := range []struct {
+		cores int
+		valid bool
+	}{
+		{-1, false},
+		{0, false},
+		{1, true},
+		{MaxCores, true},
+		{MaxCores + 1, false},
+	} {
+		t.Run(fmt.Sprintf("%d cores", test.cores), func(t *testing.T) {
+			err := Check(test.cores)
+			if test.valid {
+				if err != nil {
+					t.Errorf("got error %v, want none", err)
+				}
+				return
+			}
+			var countError *CoreCountError
+			if !errors.As(err, &countError) || countError.Cores != test.cores {
+				t.Errorf("got error %v, want a *CoreCountError of %d cores", err, test.cores)
+			}
+		})
 	}
 }
 
+// Merge merges lists in the order of IDs and prefers errors.
 func TestMerge(t *testing.T) {
 	query := scheduler.Query{Limit: 3}
-	t.Run("jobs", func(t *testing.T) {
+	t.Run("jobs are ordered and limited", func(t *testing.T) {
 		got := Merge(query, []scheduler.Answer{
 			{Jobs: []scheduler.Info{{ID: "b"}, {ID: "d"}}},
 			{Jobs: []scheduler.Info{{ID: "a"}, {ID: "c"}}},
 		})
 		if len(got.Jobs) != 3 || got.Jobs[0].ID != "a" || got.Jobs[1].ID != "b" || got.Jobs[2].ID != "c" {
-			t.Errorf("jobs %v", got.Jobs)
+			t.Errorf("got jobs %v, want a, b, c", got.Jobs)
 		}
 	})
-	t.Run("machines", func(t *testing.T) {
+	t.Run("machines are added up", func(t *testing.T) {
 		first := scheduler.MachineInfo{Machine: flaxshelf.Machine{ID: "m"}, Jobs: 2}
 		second := scheduler.MachineInfo{Machine: flaxshelf.Machine{ID: "m"}, Jobs: 3, Connected: true}
 		other := scheduler.MachineInfo{Machine: flaxshelf.Machine{ID: "a"}}
@@ -194,32 +211,41 @@
 			{Machines: []scheduler.MachineInfo{second, other}},
 		})
 		if len(got.Machines) != 2 || got.Machines[0].ID != "a" || got.Machines[1].Jobs != 5 || !got.Machines[1].Connected {
-			t.Errorf("machines %+v", got.Machines)
+			t.Errorf("got machines %+v, want a, and m connected with 5 jobs", got.Machines)
 		}
 	})
-	t.Run("error", func(t *testing.T) {
+	t.Run("an error wins", func(t *testing.T) {
 		got := Merge(query, []scheduler.Answer{{}, {Err: &scheduler.Error{Code: scheduler.TryLater}}})
 		if got.Err == nil {
-			t.Error("an error was lost")
+			t.Errorf("got answer %+v, want the error", got)
 		}
 	})
 }
 
-func TestPositions(t *testing.T) {
-	if p := ParsePosition("3-0-12", 3); p.String() != "3-0-12" {
-		t.Errorf("position %v", p)
-	}
-	for _, invalid := range []string{"", "3", "3-x-1", "1-2-3-4", "-1-2-3"} {
-		if p := ParsePosition(invalid, 3); p.String() != "0-0-0" {
-			t.Errorf("%q is taken for %v", invalid, p)
-		}
+func TestPositionsAreParsed(t *testing.T) {
+	for _, test := range []struct{ name, text, want string }{
+		{"valid", "3-0-12", "3-0-12"},
+		{"empty", "", "0-0-0"},
+		{"too few cores", "3", "0-0-0"},
+		{"not a number", "3-x-1", "0-0-0"},
+		{"too many cores", "1-2-3-4", "0-0-0"},
+		{"leading separator", "-1-2-3", "0-0-0"},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			if got := ParsePosition(test.text, 3).String(); got != test.want {
+				t.Errorf("position of %q: got %s, want %s", test.text, got, test.want)
+			}
+		})
 	}
 }
 
-func TestTokens(t *testing.T) {
+func TestTokensAreDecodedAsEncoded(t *testing.T) {
+	const token = 9
 	for _, core := range []int{0, 1, MaxCores - 1} {
-		if gotCore, gotToken := DecodeToken(EncodeToken(core, 9)); gotCore != core || gotToken != 9 {
-			t.Errorf("token of core %d comes back as %d of %d", core, gotToken, gotCore)
-		}
+		t.Run(fmt.Sprintf("core %d", core), func(t *testing.T) {
+			if gotCore, gotToken := DecodeToken(EncodeToken(core, token)); gotCore != core || gotToken != token {
+				t.Errorf("got core %d, token %d, want core %d, token %d", gotCore, gotToken, core, token)
+			}
+		})
 	}
 }
