--- a/constraints_soft.go
+++ b/constraints_soft.go
@@ -1,22 +1,24 @@
 package flaxshelf
 
 import (
-	"math"
+	"slices"
 
 	"github.com/bits-and-blooms/bitset"
+
+	"flaxshelf.example/flaxshelf/internal/machineindex"
 )
 
-// Soft constraints.
+// Soft constraints: preferences among the eligible machines, which evidence gives reason for.
 
-// softFilter narrows the eligible machines by one soft constraint after another. The first are the strongest:
-// a later one is skipped where it would leave too few, so that wrong evidence never stops placements.
+// softFilter narrows the eligible machines by one soft constraint after another. The first are the strongest: a later one
+// is skipped where it would leave too few, so that wrong evidence never stops placements.
 type softFilter struct {
 	placer   *Placer
 	eligible *bitset.BitSet
 	count    uint // of the eligible
 }
 
-// exclude applies a constraint where it leaves at least so many machines.
+// exclude applies a constraint unless it would leave fewer machines than least.
 func (f *softFilter) exclude(c Constraint, least uint, excluded *bitset.BitSet) {
 	kept := f.eligible.DifferenceCardinality(excluded)
 	if kept >= least && kept < f.count && !f.placer.disabled[c] {
@@ -25,8 +27,8 @@
 	}
 }
 
-// applySoftConstraints is the candidates for t among the eligible machines, which it narrows.
-func (p *Placer) applySoftConstraints(t *task, eligible *bitset.BitSet) []candidate {
+// applySoftConstraints returns the candidates for t among the eligible machines, which it narrows.
+func (p *Placer) applySoftConstraints(t *task, eligible *bitset.BitSet) []machineindex.Candidate {
 	f := softFilter{placer: p, eligible: eligible, count: eligible.Count()}
 	if f.count == 0 {
 		return nil
@@ -42,35 +44,34 @@
 	return p.preferredMachines(t, eligible)
 }
 
-// excludeTried prefers machines that this task was not offered to: another machine gives more evidence.
+// excludeTried prefers machines that this task was not offered to before: another machine gives more evidence.
 func (p *Placer) excludeTried(t *task, f *softFilter) {
 	if len(t.attempts) == 0 {
 		return
 	}
-	tried := p.index.scratch.ClearAll()
+	tried := p.conditions.excluded.ClearAll()
 	for _, a := range t.attempts {
-		if a.machine.number >= 0 {
-			tried.Set(uint(a.machine.number))
+		if number := a.machine.entry.Number(); number >= 0 {
+			tried.Set(uint(number))
 		}
 	}
 	f.exclude(TriedConstraint, 1, tried)
 }
 
-// excludeFailing avoids ejected machines, and those that fail t's class. When over half are ejected, the
-// cause is not a machine; but a class may fail on most machines, so the few that serve it are kept.
+// excludeFailing avoids ejected machines, and those that fail t's class. When over half are ejected, no single machine is
+// the cause; but a class may fail on most machines, so the few that serve it remain candidates.
 func (p *Placer) excludeFailing(t *task, f *softFilter) {
-	x := &p.index
-	f.exclude(FailingConstraint, max(minCandidates, f.count/2), x.failing)
-	failingClass := x.failing
-	if t.Class >= 0 && t.Class < len(x.failingByClass) {
-		failingClass = x.failingByClass[t.Class]
+	c := &p.conditions
+	f.exclude(FailingConstraint, max(minCandidates, f.count/2), c.failing)
+	failingClass := c.failing
+	if t.Class >= 0 && t.Class < len(c.failingByClass) {
+		failingClass = c.failingByClass[t.Class]
 	}
 	f.exclude(ClassFailureConstraint, minCandidates, failingClass)
 }
 
-// excludeFull removes machines without capacity, as far as known. A rejected offer is priced and uses up an
-// attempt, so a task is queued while no machine has capacity; near its deadline it is offered once all the
-// same, in case the evidence is wrong.
+// excludeFull excludes machines without capacity, as far as known. A rejected offer is priced and uses up an attempt, so a
+// task is queued while no machine has capacity. Near its deadline it is still offered once, in case the evidence is wrong.
 func (p *Placer) excludeFull(t *task, f *softFilter) {
 	least := uint(0)
 	if p.nearDeadline(t) {
@@ -88,32 +89,33 @@
 	return p.now >= t.submittedAt+(t.Deadline-t.submittedAt)*3/4 && len(t.attempts) == 0
 }
 
-// withoutCapacity is the machines that rejected such a size lately, have the most pending offers since a
-// rejection, or lack free capacity by the list. After a rejection one offer may be pending, after each
-// acceptance one more: else all queued tasks go to the first machine that takes one (incident i959772).
+// withoutCapacity returns the machines that recently rejected t's size or a smaller one, have as many pending offers as
+// allowed since a rejection, or lack free capacity by the list. After a rejection one offer may be pending, after each
+// acceptance one more: otherwise all queued tasks are offered to the first machine that accepts one (incident i959772).
 //
-// The list is delayed, so what this scheduler requested within listDelay before an entry counts as requested
-// too. An estimate of what other schedulers requested since kept too many tasks waiting.
+// The list is delayed, so what this scheduler requested within listDelay before an entry is assumed to be in use too. An
+// estimate of what other schedulers requested since then queued too many tasks.
 func (p *Placer) withoutCapacity(t *task, eligible *bitset.BitSet) *bitset.BitSet {
-	x := &p.index
-	full := x.scratch.ClearAll()
-	forEachCommon(eligible, x.rejecting, func(number int) {
+	full := p.conditions.excluded.ClearAll()
+	machineindex.ForEachCommon(eligible, p.conditions.rejecting, func(number int) {
 		m := p.machinesByID[number]
 		if p.sizeOn(t, m) >= m.rejectedSize && !p.disabled[RejectionConstraint] {
 			full.Set(uint(number))
 		}
 	})
 	if !p.disabled[OfferLimitConstraint] {
-		full.InPlaceUnion(x.offerLimited)
+		full.InPlaceUnion(p.conditions.offerLimited)
 	}
 	if p.cfg.ListsFreeCapacity && !p.disabled[CapacityConstraint] {
-		p.updateUnshown(eligible.Difference(full), listDelay)
-		x.addLackingCapacity(eligible, full, t.Cores, t.Memory)
+		if !p.disabled[StaleCapacity] {
+			p.index.UpdateAssumed(eligible.Difference(full))
+		}
+		p.index.AddLackingCapacity(eligible, full, t.Cores, t.Memory)
 	}
 	return full
 }
 
-// consolidate keeps to the machines that suffice, where the settings price machines in use.
+// consolidate narrows the choice to consolidationSet, where the settings price machines in use.
 func (p *Placer) consolidate(f *softFilter) {
 	if p.cfg.Prices.Fleet <= 0 || !p.cfg.ListsFreeCapacity || p.disabled[ConsolidationConstraint] {
 		return
@@ -124,23 +126,21 @@
 	}
 }
 
-// consolidationSet is the machines that suffice for all that is requested of the fleet, filled to
-// consolidationFill, in the order of what is requested of them by the list. All schedulers share that order,
-// and the machines left out become empty the soonest. Where the fullest machines are overloaded, the vote and
-// the constraint on reported load, which come later, still avoid them.
+// consolidationSet returns the machines that suffice for all that is requested of the fleet, filled to consolidationFill,
+// in the order of what is requested of them by the list. All schedulers share that order, and the machines left out become
+// empty the soonest. Where the fullest machines are overloaded, the later steps still avoid them: the vote and the
+// constraint on reported load.
 func (p *Placer) consolidationSet(eligible *bitset.BitSet) *bitset.BitSet {
-	x := &p.index
-	cores, memory := x.totals()
-	ranked := x.rankedByRequestedFraction()
-	used, count := x.scratch.ClearAll(), 0
-	for _, number := range ranked {
+	cores, memory := p.index.TotalRequested()
+	used, count := p.conditions.excluded.ClearAll(), 0
+	for _, number := range p.index.RankedByRequestedFraction() {
 		if !eligible.Test(uint(number)) {
 			continue
 		}
 		if cores <= 0 && memory <= 0 && count > minCandidates {
 			break
 		}
-		kind := p.cfg.Kinds[x.kindOf[number]]
+		kind := p.cfg.Kinds[p.index.Kind(int(number))]
 		used.Set(uint(number))
 		count++
 		cores -= kind.Cores * consolidationFill
@@ -149,49 +149,68 @@
 	return used
 }
 
-// highReportedLoad is the eligible machines whose last report is far over the mean of all eligible ones.
+// highReportedLoad returns the eligible machines whose last reported load is far above the mean of all eligible ones.
 func (p *Placer) highReportedLoad(f *softFilter) *bitset.BitSet {
-	x, mean, count := &p.index, 0.0, float64(f.count)
-	forEachCommon(f.eligible, x.reporting, func(number int) { mean += x.reportedLoad[number] / count })
-	over := x.scratch.ClearAll()
-	forEachCommon(f.eligible, x.reporting, func(number int) {
-		setMember(over, number, !(x.reportedLoad[number] < mean+reportedLoadMargin))
+	load, mean, count := p.conditions.reportedLoad, 0.0, float64(f.count)
+	reporting := p.conditions.reporting
+	machineindex.ForEachCommon(f.eligible, reporting, func(number int) { mean += load.At(number) / count })
+	over := p.conditions.excluded.ClearAll()
+	machineindex.ForEachCommon(f.eligible, reporting, func(number int) {
+		over.SetTo(uint(number), !(load.At(number) < mean+reportedLoadMargin))
 	})
 	return over
 }
 
-// preferredMachines is the machines that likely have a service's program in their cache: those with active
-// attempts of it, and its machine of highest affinity. Affinity comes from a hash, weighted by the machine's
-// size (weighted rendezvous hashing), so it is the same at all schedulers, and when a machine is excluded
-// only its own services move. The next in affinity fill up to minCandidates, since a vote among one is none.
-// Where the preferred machines lost their caches, this only narrows the vote.
+// preferredMachines returns the machines that probably have a service's program in their cache: those with active attempts
+// of it, and its machine of highest affinity. When a machine is excluded, only its own services move to others. The machine
+// of the next affinity is added where there are fewer than minCandidates, since a vote needs more than one. Where the
+// preferred machines lost their caches, this only narrows the vote.
 //
-// A large task may also go to the best machines of those not known to be overloaded: migrated from one of the
-// two of highest affinity it came back from the other (incident r0b92bb), and capacity is worth more to it
-// than the program.
-func (p *Placer) preferredMachines(t *task, eligible *bitset.BitSet) []candidate {
-	x, s := &p.index, p.findOrAddService(t.Service)
+// A large task may also be offered to the two machines of highest affinity that are not known to be overloaded: a task that
+// was migrated from one of its preferred machines was placed on the other one (incident r0b92bb), and capacity is worth
+// more to it than the cached program.
+func (p *Placer) preferredMachines(t *task, eligible *bitset.BitSet) []machineindex.Candidate {
+	service := p.index.Service(t.Service)
 	if p.disabled[AffinityConstraint] {
-		return p.allAsCandidates(s, eligible)
+		return p.allAsCandidates(service, eligible)
 	}
-	list := x.candidates[:0]
-	for _, number := range s.machines {
+	list := p.voteBuffers.candidates[:0]
+	for _, number := range service.Machines() {
 		if eligible.Test(uint(number)) {
-			list = append(list, candidate{number, x.affinityOf(s, number)})
+			list = append(list, p.index.Candidate(service, number))
 		}
 	}
-	first, second := x.bestTwo(s, eligible)
-	list = x.addCandidate(list, s, first)
+	first, second := p.index.BestTwo(service, eligible)
+	list = p.addCandidate(list, service, first)
 	if len(list) < minCandidates {
-		list = x.addCandidate(list, s, second)
+		list = p.addCandidate(list, service, second)
 	}
 	if p.sizeOn(t, p.machinesByID[first]) > largeTaskSize {
-		first, second = x.bestTwo(s, eligible.Difference(x.overloaded))
-		list = x.addCandidate(x.addCandidate(list, s, first), s, second)
+		first, second = p.index.BestTwo(service, eligible.Difference(p.conditions.overloaded))
+		list = p.addCandidate(list, service, first)
+		list = p.addCandidate(list, service, second)
 	}
-	x.candidates = list
+	p.voteBuffers.candidates = list
 	return list
 }
 
-// score is the rank of a machine among those for a service; the highest is the best.
-func (k affinity) score() float64 { return math.Log(k.hashValue/(1<<53)) / k.weight }
+// addCandidate appends a machine unless it is in the list or -1.
+func (p *Placer) addCandidate(
+	list []machineindex.Candidate, service *machineindex.Service, number int32,
+) []machineindex.Candidate {
+	isListed := func(c machineindex.Candidate) bool { return c.Machine == number }
+	if number < 0 || slices.ContainsFunc(list, isListed) {
+		return list
+	}
+	return append(list, p.index.Candidate(service, number))
+}
+
+// allAsCandidates returns all eligible machines, for when affinity is disabled.
+func (p *Placer) allAsCandidates(service *machineindex.Service, eligible *bitset.BitSet) []machineindex.Candidate {
+	list := p.voteBuffers.candidates[:0]
+	machineindex.ForEachCommon(eligible, eligible, func(number int) {
+		list = append(list, p.index.Candidate(service, int32(number)))
+	})
+	p.voteBuffers.candidates = list
+	return list
+}
