--- a/internal/daemon/clients_test.go
+++ b/internal/daemon/clients_test.go
@@ -24,9 +24,7 @@
 // Clients that send incomplete requests, endless heads or no HTTP, or that never read, receive an error or are
 // disconnected. Memory stays bounded and other clients are served.
 func TestMisbehavingClientsAreDisconnected(t *testing.T) {
-	cluster := newTestCluster(t, clusterOptions{nodes: 1})
-	ctx := contextWithin(t, 60*time.Second)
-	session := cluster.createSession(ctx, "test")
+	ctx, cluster, session := newTestSession(t, 60*time.Second, clusterOptions{nodes: 1})
 	addr := cluster.daemon.Addr()
 	for _, test := range []struct{ name, request, wantStatus string }{
 		{"incomplete request", incompleteRequest, "408"},
--- a/internal/daemon/cores_test.go
+++ b/internal/daemon/cores_test.go
@@ -27,9 +27,7 @@
 // and runs each job once.
 func TestFourCoresActAsOneScheduler(t *testing.T) {
 	const count = 400
-	cluster := newTestCluster(t, clusterOptions{nodes: 3, configure: onCores(4)})
-	ctx := contextWithin(t, time.Minute)
-	session := cluster.createSession(ctx, "test")
+	ctx, cluster, session := newTestSession(t, time.Minute, clusterOptions{nodes: 3, configure: onCores(4)})
 	if _, err := cluster.client.CreateJobSession(ctx, "test"); !errors.Is(err, drmaa2.ErrInvalidArgument) {
 		t.Errorf("create the session again: got error %v, want %v", err, drmaa2.ErrInvalidArgument)
 	}
@@ -110,9 +108,7 @@
 // and starts nothing twice.
 func TestRestartWithOtherCoreCountAdoptsRunningJobs(t *testing.T) {
 	const count = 24
-	cluster := newTestCluster(t, clusterOptions{nodes: 2, configure: onCores(4)})
-	ctx := contextWithin(t, time.Minute)
-	session := cluster.createSession(ctx, "test")
+	ctx, cluster, session := newTestSession(t, time.Minute, clusterOptions{nodes: 2, configure: onCores(4)})
 	template := func(i int) drmaa2.JobTemplate {
 		return jobTemplate("once", 10*time.Second, drmaa2.AttrKey, fmt.Sprint("k", i), drmaa2.AttrService,
 			fmt.Sprint("v", i%5))
@@ -210,13 +206,11 @@
 // While one of four cores is stalled, the others place jobs, and every job has its outcome in time.
 func TestOtherCoresPlaceJobsWhileOneStalls(t *testing.T) {
 	hook := newStallHook()
-	cluster := newTestCluster(t, clusterOptions{
+	ctx, _, session := newTestSession(t, time.Minute, clusterOptions{
 		nodes:     3,
 		configure: func(set *settings.Scheduler, _ *nodemodel.Config) { set.Shards = 4 },
 		hook:      hook,
 	})
-	ctx := contextWithin(t, time.Minute)
-	session := cluster.createSession(ctx, "test")
 	stalled := make(chan error, 1)
 	go func() {
 		template := jobTemplate("service", time.Millisecond)
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -17,9 +17,7 @@
 // many tasks as the clients have seen end.
 func TestConcurrentSubmissionsRunOnce(t *testing.T) {
 	const count, clients = 3000, 30
-	cluster := newTestCluster(t, clusterOptions{nodes: 4})
-	ctx := contextWithin(t, time.Minute)
-	session := cluster.createSession(ctx, "test")
+	ctx, cluster, session := newTestSession(t, time.Minute, clusterOptions{nodes: 4})
 	watch := watchJobs(ctx, t, session, count)
 	var submitting sync.WaitGroup
 	for client := range clients {
@@ -44,9 +42,7 @@
 
 // Two clients wait for one job, one of which has submitted it again with its key. A third has stopped waiting before.
 func TestTwoClientsWaitForOneJob(t *testing.T) {
-	cluster := newTestCluster(t, clusterOptions{nodes: 1})
-	ctx := contextWithin(t, 20*time.Second)
-	session := cluster.createSession(ctx, "test")
+	ctx, cluster, session := newTestSession(t, 20*time.Second, clusterOptions{nodes: 1})
 	template := jobTemplate("once", 300*time.Millisecond, drmaa2.AttrKey, "k")
 	job, err := session.RunJob(ctx, template)
 	if err != nil {
@@ -126,11 +122,9 @@
 
 // Each error of the DRMAA specification is returned to the client as such.
 func TestErrorsOfTheSpecification(t *testing.T) {
-	cluster := newTestCluster(t, clusterOptions{nodes: 1, configure: func(set *settings.Scheduler, _ *nodemodel.Config) {
+	ctx, cluster, session := newTestSession(t, 20*time.Second, clusterOptions{nodes: 1, configure: func(set *settings.Scheduler, _ *nodemodel.Config) {
 		set.Limits.MaxPending = 1
 	}})
-	ctx := contextWithin(t, 20*time.Second)
-	session := cluster.createSession(ctx, "test")
 	held := jobTemplate("service", time.Millisecond)
 	held.SubmitAsHold = true
 	heldJob, err := session.RunJob(ctx, held)
@@ -179,9 +173,7 @@
 
 // A session runs arrays, lists its jobs and job categories, and can be destroyed.
 func TestSessions(t *testing.T) {
-	cluster := newTestCluster(t, clusterOptions{nodes: 2})
-	ctx := contextWithin(t, 30*time.Second)
-	session := cluster.createSession(ctx, "test")
+	ctx, cluster, session := newTestSession(t, 30*time.Second, clusterOptions{nodes: 2})
 	template := jobTemplate("service", 20*time.Millisecond)
 	template.JobName = "n"
 	array, err := session.RunBulkJobs(ctx, template, 1, 9, 2, 2)
@@ -244,9 +236,7 @@
 
 // A restarted scheduler adopts running jobs under their IDs and keys, and starts nothing twice.
 func TestRestartAdoptsRunningJobs(t *testing.T) {
-	cluster := newTestCluster(t, clusterOptions{nodes: 2})
-	ctx := contextWithin(t, 30*time.Second)
-	session := cluster.createSession(ctx, "test")
+	ctx, cluster, session := newTestSession(t, 30*time.Second, clusterOptions{nodes: 2})
 	template := jobTemplate("once", 2*time.Second, drmaa2.AttrKey, "k")
 	job, err := session.RunJob(ctx, template)
 	if err != nil {
@@ -270,11 +260,9 @@
 
 // A graceful shutdown ends after the open placement request has its outcome.
 func TestShutdownWaitsForOutcomes(t *testing.T) {
-	cluster := newTestCluster(t, clusterOptions{nodes: 1, configure: func(_ *settings.Scheduler, m *nodemodel.Config) {
+	ctx, cluster, session := newTestSession(t, 20*time.Second, clusterOptions{nodes: 1, configure: func(_ *settings.Scheduler, m *nodemodel.Config) {
 		m.OfferReviewTime = 200 * time.Millisecond
 	}})
-	ctx := contextWithin(t, 20*time.Second)
-	session := cluster.createSession(ctx, "test")
 	job, err := session.RunJob(ctx, jobTemplate("once", time.Minute))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/daemon/inventory_test.go
+++ b/internal/daemon/inventory_test.go
@@ -10,9 +10,7 @@
 
 // Jobs are placed after the inventory has reported a failed call on an open connection.
 func TestFailedInventoryCallDoesNotStopPlacement(t *testing.T) {
-	cluster := newTestCluster(t, clusterOptions{nodes: 1})
-	ctx := contextWithin(t, 20*time.Second)
-	session := cluster.createSession(ctx, "test")
+	ctx, cluster, session := newTestSession(t, 20*time.Second, clusterOptions{nodes: 1})
 	handler := newInventoryHandler(cluster.daemon)
 	failure := &nodepb.Frame{Body: &nodepb.Frame_ListError{ListError: &nodepb.ListError{Message: "unavailable"}}}
 	if err := handler.receiveFrame(nil, failure); err != nil {
--- a/internal/daemon/testcluster_test.go
+++ b/internal/daemon/testcluster_test.go
@@ -98,6 +98,15 @@
 	return cluster
 }
 
+// newTestSession starts a test cluster and creates a job session in it. The context ends after the timeout or with the test.
+func newTestSession(t testing.TB, timeout time.Duration, options clusterOptions) (context.Context, *testCluster,
+	*drmaa2.JobSession) {
+	t.Helper()
+	cluster := newTestCluster(t, options)
+	ctx := contextWithin(t, timeout)
+	return ctx, cluster, cluster.createSession(ctx, "test")
+}
+
 // startNodes starts the nodes and waits until the inventory lists them.
 func (c *testCluster) startNodes(model nodemodel.Config) {
 	c.t.Helper()
