--- a/internal/daemon/inventory.go
+++ b/internal/daemon/inventory.go
@@ -45,7 +45,7 @@
 	case decoded.Input == nil:
 		return nil
 	}
-	if !h.daemon.enqueueDiscoveryInput(message{input: decoded.Input, addresses: decoded.Addresses}) {
+	if !h.daemon.tryEnqueueDiscoveryInput(message{input: decoded.Input, addresses: decoded.Addresses}) {
 		return errMailboxFull
 	}
 	return nil
