--- a/internal/testbed/trial/bench_test.go
+++ b/internal/testbed/trial/bench_test.go
@@ -26,15 +26,16 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/standin/nodemodel"
 )
 
-// benchScheduler is a scheduler in a process of its own, whose CPU and memory are its own, with stand-in nodes here.
+// benchScheduler is a scheduler in a process of its own, so that its CPU time and memory can be measured, with stand-in nodes
+// in this process.
 type benchScheduler struct {
 	b       *testing.B
 	metrics string // address
 	session *drmaa2.JobSession
 }
 
-// startBenchScheduler starts nodes of so many cores each and a scheduler that decides on so many of its own. They end with
-// the benchmark.
+// startBenchScheduler starts nodes with nodeCores cores each, and a scheduler with schedulerCores cores. They are stopped at the
+// end of the benchmark.
 func startBenchScheduler(b *testing.B, nodes int, nodeCores float64, schedulerCores int) *benchScheduler {
 	b.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
@@ -88,7 +89,7 @@
 		CachedStartTime: time.Millisecond, UncachedStartFactor: 2, MaxCachedPrograms: 8, Seed: uint64(index)}
 }
 
-// freeAddress is an address of loopback that was free a moment ago.
+// freeAddress returns an address of loopback that was free when it was checked.
 func freeAddress(b *testing.B) string {
 	b.Helper()
 	listener, err := net.Listen("tcp", loopbackAnyPort)
@@ -99,7 +100,7 @@
 	return listener.Addr().String()
 }
 
-// writeBenchConfig returns the path of a scheduler's configuration.
+// writeBenchConfig writes the configuration of a scheduler and returns its path.
 func writeBenchConfig(b *testing.B, metrics, inventory string, nodeCores float64, schedulerCores int) string {
 	b.Helper()
 	text, err := json.Marshal(map[string]any{"name": "bench", "listen": loopbackAnyPort, "metrics": metrics,
@@ -119,7 +120,7 @@
 	return path
 }
 
-// startBenchProcess returns the URL of a scheduler's process.
+// startBenchProcess starts the process of a scheduler and returns its URL.
 func startBenchProcess(b *testing.B, configPath string) string {
 	b.Helper()
 	process := command("")("serve", "--config", configPath)
@@ -147,7 +148,7 @@
 	return url
 }
 
-// warmUp runs some jobs to their ends, so that all connections are up and all programs are cached.
+// warmUp runs some jobs until they have ended, so that all connections are open and all programs are cached.
 func (s *benchScheduler) warmUp(ctx context.Context) {
 	s.b.Helper()
 	for range warmUpJobs {
@@ -161,15 +162,15 @@
 	}
 }
 
-// warmUpJobs is how many jobs warmUp runs.
+// warmUpJobs is the number of jobs that warmUp runs.
 const warmUpJobs = 20
 
-// cpu is the processor time of the scheduler's process so far.
+// cpu returns the CPU time of the scheduler's process.
 func (s *benchScheduler) cpu() time.Duration {
 	return time.Duration(s.value("process_cpu_seconds_total") * 1e9)
 }
 
-// value reads a metric; labels are part of the name.
+// value returns the value of a metric; labels are part of the name.
 func (s *benchScheduler) value(name string) float64 {
 	s.b.Helper()
 	response, err := http.Get("http://" + s.metrics + "/metrics")
@@ -194,13 +195,30 @@
 	return 0
 }
 
+// placed returns the number of placed jobs.
+func (s *benchScheduler) placed() float64 {
+	s.b.Helper()
+	return s.value(`flaxshelf_outcomes_total{class="service",outcome="placed"}`)
+}
+
+// awaitPlaced reads the metric at an interval until the number of jobs is placed or the timeout is over. The benchmark reports
+// how many are placed.
+func (s *benchScheduler) awaitPlaced(ctx context.Context, jobs int, timeout, interval time.Duration) {
+	s.b.Helper()
+	ctx, cancel := context.WithTimeout(ctx, timeout)
+	defer cancel()
+	for s.placed() < float64(jobs) && !canceled(ctx) {
+		sleep(ctx, interval)
+	}
+}
+
 func benchTemplate(runtime string) drmaa2.JobTemplate {
 	return drmaa2.JobTemplate{RemoteCommand: "x", JobCategory: "service", ImplementationSpecific: map[string]string{
 		drmaa2.AttrExpectedRuntime: runtime}}
 }
 
 // BenchmarkPlacements saturates a scheduler with clients that submit one job after the other, each on a connection
-// of its own, and compares the CPU time of its process with the module's share.
+// of its own, and compares the CPU time of its process with that of the module.
 func BenchmarkPlacements(b *testing.B) {
 	for _, c := range []struct{ nodes, cores int }{{33, 1}, {130, 1}, {130, 2}, {130, 4}, {130, 8}} {
 		b.Run(fmt.Sprintf("nodes=%d/cores=%d", c.nodes, c.cores), func(b *testing.B) {
@@ -222,12 +240,7 @@
 				})
 			}
 			running.Wait()
-			placed := func() float64 {
-				return s.value(`flaxshelf_outcomes_total{class="service",outcome="placed"}`)
-			}
-			for until := time.Now().Add(20 * time.Second); placed() < float64(b.N+warmUpJobs) && time.Now().Before(until); {
-				time.Sleep(time.Millisecond)
-			}
+			s.awaitPlaced(ctx, b.N+warmUpJobs, 20*time.Second, time.Millisecond)
 			b.StopTimer()
 			perPlacement := 1e6 / float64(b.N) // microseconds
 			processCPU := (s.cpu() - cpu).Seconds() * perPlacement
@@ -241,7 +254,7 @@
 	}
 }
 
-// BenchmarkLatency submits 1,000 jobs a second, open-loop, for b.N milliseconds or so, and reports the scheduler's
+// BenchmarkLatency submits 1,000 jobs per second, open-loop, for about b.N milliseconds, and reports the scheduler's
 // own time from a submission to its offer.
 func BenchmarkLatency(b *testing.B) {
 	ctx, s := context.Background(), startBenchScheduler(b, 33, 64, 1)
@@ -249,7 +262,7 @@
 	b.ResetTimer()
 	begin := time.Now()
 	for i := range b.N {
-		time.Sleep(time.Until(begin.Add(time.Duration(i) * time.Millisecond)))
+		sleepUntil(ctx, begin.Add(time.Duration(i)*time.Millisecond))
 		running.Go(func() {
 			template := benchTemplate("500ms")
 			template.ImplementationSpecific[drmaa2.AttrService] = fmt.Sprint("v", i%200)
@@ -265,24 +278,21 @@
 	}
 }
 
-// BenchmarkMemory has 100,000 jobs running and reports the process's memory for each. It runs once.
+// BenchmarkMemory starts 100,000 jobs and reports the memory of the process per job. It runs once.
 func BenchmarkMemory(b *testing.B) {
-	const jobs, arraySize = 100000, 10000
+	const jobs, arraySize, arrayPause = 100000, 10000, 500 * time.Millisecond
 	ctx, s := context.Background(), startBenchScheduler(b, 33, 1000, 1)
 	heap, rss := s.value("go_memstats_heap_inuse_bytes"), s.value("process_resident_memory_bytes")
 	for range jobs / arraySize {
 		if _, err := s.session.RunBulkJobs(ctx, benchTemplate("10h"), 1, arraySize, 1, 0); err != nil {
 			b.Fatal(err)
 		}
-		time.Sleep(500 * time.Millisecond)
-	}
-	placed := func() float64 { return s.value(`flaxshelf_outcomes_total{class="service",outcome="placed"}`) }
-	for until := time.Now().Add(60 * time.Second); placed() < jobs && time.Now().Before(until); {
-		time.Sleep(100 * time.Millisecond)
+		sleep(ctx, arrayPause)
 	}
+	s.awaitPlaced(ctx, jobs, time.Minute, 100*time.Millisecond)
 	for b.Loop() {
 	}
-	b.ReportMetric(placed(), "jobs")
-	b.ReportMetric((s.value("go_memstats_heap_inuse_bytes")-heap)/placed(), "heap-B/job")
-	b.ReportMetric((s.value("process_resident_memory_bytes")-rss)/placed(), "rss-B/job")
+	b.ReportMetric(s.placed(), "jobs")
+	b.ReportMetric((s.value("go_memstats_heap_inuse_bytes")-heap)/s.placed(), "heap-B/job")
+	b.ReportMetric((s.value("process_resident_memory_bytes")-rss)/s.placed(), "rss-B/job")
 }
--- a/internal/testbed/trial/node.go
+++ b/internal/testbed/trial/node.go
@@ -7,17 +7,13 @@
 	"flaxshelf.example/flaxshelf/internal/settings"
 	"flaxshelf.example/flaxshelf/internal/testbed/fault"
 	"flaxshelf.example/flaxshelf/internal/testbed/recordproxy"
-	"flaxshelf.example/flaxshelf/internal/testbed/rules"
 	"flaxshelf.example/flaxshelf/internal/testbed/scenario"
 	"flaxshelf.example/flaxshelf/internal/testbed/standin/fleet"
 	"flaxshelf.example/flaxshelf/internal/testbed/standin/host"
 	"flaxshelf.example/flaxshelf/internal/testbed/standin/nodemodel"
 )
 
-// nodeSeedStride keeps the seeds of the incarnations of different nodes apart.
-const nodeSeedStride = 1000
-
-// node is a node of the fleet, with a host for each incarnation. Its methods may be called by several goroutines.
+// node is a node of the fleet, with a host for each incarnation. It is safe for concurrent use.
 type node struct {
 	cluster *cluster
 	index   int
@@ -26,12 +22,12 @@
 	proxy   *recordproxy.Proxy
 
 	mu           sync.Mutex
-	host         *host.Node // nil while it is stopped
+	host         *host.Node // nil while the node is stopped
 	incarnations int
 	fault        nodemodel.Fault
 }
 
-// address is where the present incarnation listens.
+// address returns the address at which the present incarnation listens.
 func (n *node) address() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -41,7 +37,7 @@
 	return n.host.Addr()
 }
 
-// start begins an incarnation, unless one runs. A warm one has the programs of its tasks cached.
+// start starts an incarnation, unless one is running. A warm node has the programs of its tasks cached.
 func (n *node) start(warm bool) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -51,7 +47,7 @@
 	n.incarnations++
 	c := n.cluster
 	set := settings.Node{Name: n.name, Kind: n.group.Kind, Zone: n.group.Zone, Cell: n.group.Cell, Warm: warm}
-	seed := c.opt.Seed + uint64(n.index*nodeSeedStride+n.incarnations)
+	seed := scenario.NodeSeed(c.opt.Seed, n.index, n.incarnations)
 	started, err := host.StartNode(host.NodeOptions{Kind: n.group.Kind, Cell: n.group.Cell, Listen: loopbackAnyPort,
 		Model:     fleet.NodeModel(set, c.day.Kinds, c.day.Rules, c.day.Behaviour, seed),
 		Advertise: n.proxy.Addr(), Inventory: c.inventory.Addr(), Keys: c.zoneKeys[n.group.Zone], Log: c.log})
@@ -63,16 +59,16 @@
 	return nil
 }
 
-// watch waits for the end of an incarnation and records whether it crashed of overload.
+// watch waits until an incarnation has stopped, and handles a crash of overload.
 func (n *node) watch(incarnation *host.Node) {
 	<-incarnation.Done()
 	if incarnation.Overloaded() {
-		n.cluster.recorder.Mark(rules.MarkNodeOverloaded, n.name)
+		n.cluster.recorder.Mark(recordproxy.EventNodeOverloaded, n.name)
 		n.stopIncarnation(incarnation)
 	}
 }
 
-// stop ends the present incarnation at once, with its faults.
+// stop stops the present incarnation at once, and its faults.
 func (n *node) stop() {
 	n.mu.Lock()
 	present := n.host
@@ -80,22 +76,22 @@
 	n.stopIncarnation(present)
 }
 
-// stopIncarnation ends an incarnation unless it has ended; it leaves a later one alone.
-func (n *node) stopIncarnation(ended *host.Node) {
+// stopIncarnation stops an incarnation unless it has been stopped; a later incarnation is not affected.
+func (n *node) stopIncarnation(incarnation *host.Node) {
 	n.mu.Lock()
-	isPresent := ended != nil && n.host == ended
+	isPresent := incarnation != nil && n.host == incarnation
 	if isPresent {
 		n.host = nil
 		n.fault = nodemodel.Fault{}
 	}
 	n.mu.Unlock()
 	if isPresent {
-		n.cluster.recorder.Mark(rules.MarkNodeDied, n.name)
-		n.cluster.nodeEnds.Go(ended.Stop) // its sockets may take a while to close; the crash is at once
+		n.cluster.recorder.Mark(recordproxy.EventNodeStopped, n.name)
+		n.cluster.nodeEnds.Go(incarnation.Stop) // closing its sockets may take a while
 	}
 }
 
-// do runs a function with the model of the present incarnation, if there is one.
+// do calls a function with the model of the present incarnation, if there is one.
 func (n *node) do(call func(model *nodemodel.Node, now nodemodel.Time) []nodemodel.Send) {
 	n.mu.Lock()
 	present := n.host
