--- a/internal/testbed/emulator/clients.go
+++ b/internal/testbed/emulator/clients.go
@@ -2,13 +2,13 @@
 
 import (
 	"cmp"
-	"container/heap"
 	"slices"
 	"time"
 
 	"flaxshelf.example/flaxshelf/internal/scheduler"
 	"flaxshelf.example/flaxshelf/internal/testbed/fault"
 	"flaxshelf.example/flaxshelf/internal/testbed/scenario"
+	"flaxshelf.example/flaxshelf/internal/timerqueue"
 )
 
 // outcomeGrace is how much longer than its outcome is due a client waits for it, as in trials.
@@ -27,14 +27,16 @@
 	inbox       inbox
 	latency     *latencyModel
 	loads       []loadState
-	timers      timers
-	timersSet   int64
+	timers      timerqueue.Heap[timerFunc]
 	submissions map[string]*submitted // by idempotency key, while they are open
 	stats       *clientStats
 	measureFrom time.Duration // submissions before it are not counted
 	loadState   fault.LoadState
 }
 
+// timerFunc is what a timer does when it fires at now.
+type timerFunc func(now Time, out *outbox)
+
 // loadState is one load with its next submission.
 type loadState struct {
 	arrivals arrivals
@@ -77,8 +79,8 @@
 
 func (c *clients) nextDue() Time {
 	due := c.inbox.nextDue()
-	if len(c.timers) > 0 {
-		due = min(due, c.timers[0].at)
+	if at, ok := c.timers.Next(); ok {
+		due = min(due, at)
 	}
 	for i := range c.loads {
 		if c.loads[i].ok {
@@ -91,19 +93,18 @@
 // arrivalTime is when a submission is intended to be sent.
 func arrivalTime(arrival *scenario.Arrival) Time { return Epoch + warmUp + arrival.At }
 
-// setTimer calls a function at a time.
-func (c *clients) setTimer(at Time, call func(now Time, out *outbox)) {
-	c.timersSet++
-	heap.Push(&c.timers, timer{at: at, number: c.timersSet, call: call})
+// setTimer has fire called at a time. Timers of the same time fire in the order in which they were set.
+func (c *clients) setTimer(at Time, fire timerFunc) {
+	c.timers.Set(&timerqueue.Item[timerFunc]{Value: fire}, at)
 }
 
 func (c *clients) run(end Time, out *outbox) {
 	for _, m := range c.inbox.due(end) {
 		c.handle(m)
 	}
-	for len(c.timers) > 0 && c.timers[0].at < end {
-		t := heap.Pop(&c.timers).(timer)
-		t.call(t.at, out)
+	lastInWindow := end - 1
+	for timer := c.timers.PopDue(lastInWindow); timer != nil; timer = c.timers.PopDue(lastInWindow) {
+		timer.Value(timer.At(), out)
 	}
 	for i := range c.loads {
 		load := &c.loads[i]
--- a/internal/testbed/emulator/inbox.go
+++ b/internal/testbed/emulator/inbox.go
@@ -66,6 +66,33 @@
 	return m
 }
 
+// modelEntity is an entity that runs a model on messages from an inbox.
+type modelEntity interface {
+	// modelNextDue returns when the model has something due; math.MaxInt64 for nothing.
+	modelNextDue() Time
+	// advance does what the model has due at now.
+	advance(now Time, out *outbox)
+	// handle handles a message.
+	handle(m message, out *outbox)
+}
+
+// runModel does what is due before end, what the model has due and the messages, in the order of their times. What the
+// model has due precedes a message of the same time.
+func (b *inbox) runModel(e modelEntity, end Time, out *outbox) {
+	for {
+		messageAt, modelAt := b.nextDue(), e.modelNextDue()
+		now := min(messageAt, modelAt)
+		if now >= end {
+			return
+		}
+		if modelAt <= messageAt {
+			e.advance(now, out)
+		} else {
+			e.handle(b.pop(), out)
+		}
+	}
+}
+
 // nextDue is the time of the first message; math.MaxInt64 for none.
 func (b *inbox) nextDue() Time {
 	next := Time(math.MaxInt64)
--- a/internal/testbed/emulator/inventory.go
+++ b/internal/testbed/emulator/inventory.go
@@ -15,7 +15,9 @@
 
 func (v *inventory) receive(m message) { v.inbox.put(m) }
 
-func (v *inventory) nextDue() Time { return min(v.inbox.nextDue(), v.model.Next()) }
+func (v *inventory) nextDue() Time { return min(v.inbox.nextDue(), v.modelNextDue()) }
+
+func (v *inventory) modelNextDue() Time { return v.model.Next() }
 
 func (v *inventory) peerName(id int32) string {
 	name, ok := v.peerNames[id]
@@ -26,20 +28,9 @@
 	return name
 }
 
-func (v *inventory) run(end Time, out *outbox) {
-	for {
-		messageAt, modelAt := v.inbox.nextDue(), v.model.Next()
-		now := min(messageAt, modelAt)
-		if now >= end {
-			return
-		}
-		if modelAt <= messageAt {
-			v.send(now, v.model.Advance(now), out)
-		} else {
-			v.handle(v.inbox.pop(), out)
-		}
-	}
-}
+func (v *inventory) run(end Time, out *outbox) { v.inbox.runModel(v, end, out) }
+
+func (v *inventory) advance(now Time, out *outbox) { v.send(now, v.model.Advance(now), out) }
 
 func (v *inventory) handle(m message, out *outbox) {
 	switch body := m.body.(type) {
--- a/internal/testbed/emulator/node.go
+++ b/internal/testbed/emulator/node.go
@@ -41,10 +41,10 @@
 
 func (n *nodeEntity) receive(m message) { n.inbox.put(m) }
 
-func (n *nodeEntity) nextDue() Time { return min(n.inbox.nextDue(), n.ownNextDue()) }
+func (n *nodeEntity) nextDue() Time { return min(n.inbox.nextDue(), n.modelNextDue()) }
 
-// ownNextDue is when the node does something by itself.
-func (n *nodeEntity) ownNextDue() Time {
+// modelNextDue returns when the model has something due or the node registers; math.MaxInt64 while it is stopped.
+func (n *nodeEntity) modelNextDue() Time {
 	if n.model == nil {
 		return math.MaxInt64
 	}
@@ -87,23 +87,7 @@
 	out.send(n.latency.deliveryTime(now, to), to, body)
 }
 
-func (n *nodeEntity) run(end Time, out *outbox) {
-	for {
-		messageAt, ownAt := n.inbox.nextDue(), n.ownNextDue()
-		now := min(messageAt, ownAt)
-		if now >= end {
-			return
-		}
-		if ownAt <= messageAt {
-			n.advance(now, out)
-			continue
-		}
-		n.handle(n.inbox.pop(), out)
-		if n.model != nil && n.model.Dead() {
-			n.crash(now, out)
-		}
-	}
-}
+func (n *nodeEntity) run(end Time, out *outbox) { n.inbox.runModel(n, end, out) }
 
 func (n *nodeEntity) advance(now Time, out *outbox) {
 	if n.registerAt <= now {
@@ -122,7 +106,15 @@
 	n.stop(now, out)
 }
 
+// handle handles a message, and ends the incarnation if its model has died of it.
 func (n *nodeEntity) handle(m message, out *outbox) {
+	n.dispatch(m, out)
+	if n.model != nil && n.model.Dead() {
+		n.crash(m.at, out)
+	}
+}
+
+func (n *nodeEntity) dispatch(m message, out *outbox) {
 	switch body := m.body.(type) {
 	case stopNode:
 		n.stop(m.at, out)
--- a/internal/testbed/load/send.go
+++ b/internal/testbed/load/send.go
@@ -4,12 +4,11 @@
 	"context"
 	"errors"
 	"fmt"
-	"sort"
-	"strings"
 	"sync"
 	"time"
 
 	"flaxshelf.example/flaxshelf/drmaa2"
+	"flaxshelf.example/flaxshelf/internal/testbed/countformat"
 )
 
 // Result is what came of a load that was sent. Latencies count from the intended time of each submission, so that delays of
@@ -26,19 +25,7 @@
 // String returns the result in words.
 func (r *Result) String() string {
 	return fmt.Sprintf("%d submissions (%d left late), errors %s, outcomes %s\nanswered: %v\nplaced:   %v\n",
-		r.Sent, r.Late, formatCounts(r.Errors), formatCounts(r.Outcomes), r.Answered, r.Placed)
-}
-
-func formatCounts(counts map[string]int) string {
-	var all []string
-	for name, n := range counts {
-		all = append(all, fmt.Sprintf("%s %d", name, n))
-	}
-	sort.Strings(all)
-	if all == nil {
-		return "none"
-	}
-	return strings.Join(all, ", ")
+		r.Sent, r.Late, countformat.Format(r.Errors), countformat.Format(r.Outcomes), r.Answered, r.Placed)
 }
 
 const (
