--- a/internal/planner/limits.go
+++ b/internal/planner/limits.go
@@ -13,15 +13,15 @@
 
 // The kinds of limit.
 const (
-	RequestedCores    LimitName = "cores asked"             // cores that running jobs request
-	RequestedMemory   LimitName = "memory asked"            // memory that running jobs request
+	RequestedCores    LimitName = "requested cores"         // cores that running jobs request
+	RequestedMemory   LimitName = "requested memory"        // memory that running jobs request
 	UsedCores         LimitName = "cores in use"            // beyond it, tasks are served worse
 	UsedMemory        LimitName = "memory in use"           // beyond it, nodes evict tasks
-	StartRate         LimitName = "start pace"              // starts at a time
-	OfferReview       LimitName = "ask line"                // time that nodes take to decide on offers
-	SpreadCapacity    LimitName = "spread room"             // jobs of one service within their spread
+	StartRate         LimitName = "start rate"              // starts at a time
+	OfferReview       LimitName = "offer review"            // time that nodes take to decide on offers
+	SpreadCapacity    LimitName = "spread capacity"         // jobs of one service within their spread
 	SchedulerCPU      LimitName = "scheduler CPU"           // placements that the schedulers handle
-	ClassCapacity     LimitName = "room for whole jobs"     // jobs of one class that fit the nodes without being divided
+	ClassCapacity     LimitName = "class capacity"          // jobs of one class that fit the nodes without being divided
 	NoNodeLargeEnough LimitName = "no node is large enough" // a job requests more than any node has
 )
 
@@ -111,9 +111,9 @@
 	cores, memory := f.capacity()
 	acceptedCores, acceptedMemory := cores*f.CoreOvercommit, memory*f.MemoryOvercommit
 	requestedCores := newLimit(RequestedCores, d.cores/acceptedCores, true,
-		"%.0f cores asked at a time of %.0f that nodes accept", d.cores, acceptedCores)
+		"running jobs request %.0f cores of %.0f that nodes accept", d.cores, acceptedCores)
 	requestedMemory := newLimit(RequestedMemory, d.memory/acceptedMemory, true,
-		"%.0f GiB asked at a time of %.0f", d.memory, acceptedMemory)
+		"running jobs request %.0f GiB of %.0f that nodes accept", d.memory, acceptedMemory)
 	return []Limit{
 		f.withLoss(requestedCores, d.running,
 			func(g *Group) float64 { return g.Cores * f.CoreOvercommit / d.coresPerJob }),
@@ -131,14 +131,14 @@
 	slots := f.Nodes() * f.StartSlots
 	limits := []Limit{
 		newLimit(StartRate, d.startsInFlight/float64(slots), true,
-			"%.1f starts are under way at a time of %d that nodes make", d.startsInFlight, slots),
-		newLimit(OfferReview, d.reviewTime, true, "nodes look at asks for %.0f%% of their time",
+			"%.1f starts are in progress at a time, of %d start slots", d.startsInFlight, slots),
+		newLimit(OfferReview, d.reviewTime, true, "nodes review offers for %.0f%% of their time",
 			100*d.reviewTime),
 	}
 	if f.PlacementsPerSecond > 0 {
 		placements := f.PlacementsPerSecond * float64(f.Schedulers)
 		limits = append(limits, newLimit(SchedulerCPU, d.jobsPerSecond/placements, false,
-			"%.0f placements a second of %.0f that %d schedulers bear", d.jobsPerSecond, placements, f.Schedulers))
+			"%.0f placements a second of %.0f that %d schedulers handle", d.jobsPerSecond, placements, f.Schedulers))
 	}
 	return limits
 }
@@ -151,9 +151,9 @@
 	}
 	if slots == 0 {
 		return []Limit{{Name: NoNodeLargeEnough, Class: c.Name,
-			Reason: fmt.Sprintf("%.4g cores and %.4g GiB fit no node, full or empty", c.Cores, c.Memory)}}
+			Reason: fmt.Sprintf("%.4g cores and %.4g GiB fit no node, not even an empty one", c.Cores, c.Memory)}}
 	}
-	capacity := newLimit(ClassCapacity, c.runningJobs()/slots, true, "%.0f run at a time of %.0f that fit whole",
+	capacity := newLimit(ClassCapacity, c.runningJobs()/slots, true, "%.0f jobs run at a time of %.0f that fit the nodes",
 		c.runningJobs(), slots)
 	capacity.Class = c.Name
 	limits := []Limit{f.withLoss(capacity, c.runningJobs(), func(g *Group) float64 { return f.jobsPerNode(g, c) })}
@@ -163,7 +163,7 @@
 	return limits
 }
 
-// spreadLimit is the limit of a class whose jobs of one service are bounded in each domain. Clients turn to any scheduler,
+// spreadLimit is the limit of a class whose jobs of one service are bounded in each domain. Clients submit to any scheduler,
 // so a service's jobs are divided among the schedulers by chance: the largest part of one meets its bound first.
 func (f *Fleet) spreadLimit(c *Class) Limit {
 	schedulers := max(f.Schedulers, 1)
@@ -171,7 +171,7 @@
 	bound := float64(domains * c.MaxPerDomain)
 	perScheduler := c.jobsPerService() / float64(schedulers)
 	l := newLimit(SpreadCapacity, perScheduler/loadAtLoss(bound, lossFraction), c.SpreadDomain == "machine",
-		"%.1f of a service run at a time; %d schedulers may have %d in each of %d places, %.0f in all",
+		"%.1f jobs of a service run at a time; %d schedulers may have %d in each of %d domains, %.0f in all",
 		c.jobsPerService(), f.Schedulers, c.MaxPerDomain, domains, float64(domains*c.MaxPerDomain*schedulers))
 	l.Class = c.Name
 	return l
--- a/internal/planner/nodes.go
+++ b/internal/planner/nodes.go
@@ -64,7 +64,7 @@
 			low = middle + 1
 		}
 	}
-	reason := "the goal is met with what is there"
+	reason := "the goal is met with the present nodes"
 	if enough > 0 {
 		limit, _ := firstLimit(enough - 1)
 		reason = "with one fewer: " + limit.String()
@@ -110,7 +110,7 @@
 	return Replacement{
 		OffersPerSecond:      offersPerSecond,
 		MissingStartFraction: float64(min(nodes, f.Nodes())) / float64(max(f.Nodes(), 1)),
-		Reason: fmt.Sprintf("%d nodes are cold for %.3gs and get %.3g offers a second each", nodes,
+		Reason: fmt.Sprintf("%d nodes are in slow start for %.3gs and get %.3g offers a second each", nodes,
 			f.SlowStartSeconds, offersPerSecond),
 	}
 }
--- a/internal/testbed/ablation/ablation_test.go
+++ b/internal/testbed/ablation/ablation_test.go
@@ -96,8 +96,8 @@
 			cell += fmt.Sprintf(" %d", i+1)
 		}
 	}
-	if report.FellOver > 0 && h.Rule == rules.ColdKept {
-		cell += fmt.Sprintf(" (%d fell)", report.FellOver)
+	if report.Overloaded > 0 && h.Rule == rules.ColdKept {
+		cell += fmt.Sprintf(" (%d fell)", report.Overloaded)
 	}
 	return cell
 }
--- a/internal/testbed/emulator/clients.go
+++ b/internal/testbed/emulator/clients.go
@@ -152,7 +152,7 @@
 
 // The ends of submissions that have no outcome, in the report.
 const (
-	endRejected  = "turned away: " // and the error code
+	endRejected  = "rejected: " // and the error code
 	endKilled    = "its scheduler was killed"
 	endNoOutcome = "no outcome"
 	endOpen      = "open at the end"
--- a/internal/testbed/emulator/message.go
+++ b/internal/testbed/emulator/message.go
@@ -55,7 +55,7 @@
 )
 
 // unreachableCode is the error code of an answer for a scheduler that does not run.
-const unreachableCode = "unreached"
+const unreachableCode = "unreachable"
 
 // From the fault injector to nodes.
 type (
--- a/internal/testbed/emulator/report.go
+++ b/internal/testbed/emulator/report.go
@@ -30,7 +30,7 @@
 	Ended       map[string]int // jobs, by how they ended
 	Classes     []*ClassReport // in the day's order
 	Finished    int            // tasks that nodes have run to their end
-	FellOver    int            // nodes that crashed of overload
+	Overloaded  int            // nodes that crashed of overload
 	Retries     int            // submissions of jobs that were submitted before
 	Events      int64          // runs of entities
 	Messages    int64          // between entities
@@ -57,7 +57,7 @@
 		if node.model != nil {
 			r.Finished += node.model.Finished()
 		}
-		r.FellOver += node.overloads
+		r.Overloaded += node.overloads
 	}
 	for _, scheduler := range s.schedulers {
 		r.Steps += scheduler.steps
@@ -72,13 +72,13 @@
 	for _, class := range r.Classes {
 		class.print(&text)
 	}
-	fmt.Fprintf(&text, "submissions: %s; asked again %d times; not accounted for %d\n", countformat.Format(r.Ends), r.Retries,
+	fmt.Fprintf(&text, "submissions: %s; %d retries, %d unaccounted for\n", countformat.FormatOutcomes(r.Ends), r.Retries,
 		r.Unaccounted)
-	fmt.Fprintf(&text, "jobs ended: %s; %d nodes fell over\n", countformat.Format(r.Ended), r.FellOver)
+	fmt.Fprintf(&text, "jobs ended: %s; %d nodes crashed of overload\n", countformat.FormatOutcomes(r.Ended), r.Overloaded)
 	if r.Busiest > 0 {
-		fmt.Fprintf(&text, "the busiest core works %.0f%% of its time\n", 100*r.Busiest)
+		fmt.Fprintf(&text, "the busiest core is busy %.0f%% of the time\n", 100*r.Busiest)
 	}
-	fmt.Fprintf(&text, "%.1f simulated seconds: %d events, %d messages, %d steps of cores\n", r.Seconds, r.Events,
+	fmt.Fprintf(&text, "%.1f simulated seconds: %d events, %d messages, %d core steps\n", r.Seconds, r.Events,
 		r.Messages, r.Steps)
 	return text.String()
 }
@@ -87,8 +87,9 @@
 	wait := func(percentile float64) time.Duration {
 		return time.Duration(c.Wait.ValueAtQuantile(percentile)) * time.Microsecond
 	}
-	fmt.Fprintf(text, "%-12s %6d submitted, %6d placed, %6d in time; wait p50 %v p99 %v p99.9 %v; asks %s\n",
-		c.Class, c.Submitted, c.Placed, c.InTime, wait(50), wait(99), wait(99.9), countformat.Format(c.Outcomes))
+	fmt.Fprintf(text, "%-12s %6d submitted, %6d placed, %6d in time; wait p50 %v p99 %v p99.9 %v; placement requests: %s\n",
+		c.Class, c.Submitted, c.Placed, c.InTime, wait(50), wait(99), wait(99.9),
+		countformat.FormatOutcomes(c.Outcomes))
 }
 
 // clientStats is what the clients have seen.
--- a/internal/testbed/experiment/measure.go
+++ b/internal/testbed/experiment/measure.go
@@ -13,17 +13,24 @@
 	InTimeShare Measure = "in time" // share of the submissions that were placed within their latency objective
 	WaitP50     Measure = "wait p50"
 	WaitP99     Measure = "wait p99"
-	FailedNodes Measure = "nodes fallen" // nodes that broke down during slow start
+	// OverloadedNodes is the number of nodes that crashed of overload during slow start.
+	OverloadedNodes Measure = "overloaded nodes"
 )
 
+// deprecatedOverloadedNodes is the name of OverloadedNodes in the results of earlier versions. Results are written under
+// both names.
+//
+// Deprecated: use OverloadedNodes; removed in 0.2.0.
+const deprecatedOverloadedNodes Measure = "nodes fallen"
+
 // Measures lists all measures in the order of a report.
-var Measures = []Measure{PlacedShare, InTimeShare, WaitP50, WaitP99, FailedNodes}
+var Measures = []Measure{PlacedShare, InTimeShare, WaitP50, WaitP99, OverloadedNodes}
 
 const microsecondsPerSecond = 1e6
 
 // measure takes the measures from a report. It merges the report's histograms.
 func measure(r *emulator.Report) map[Measure]float64 {
-	m := map[Measure]float64{FailedNodes: float64(r.FellOver)}
+	m := map[Measure]float64{OverloadedNodes: float64(r.Overloaded)}
 	var submitted, placed, inTime float64
 	for _, c := range r.Classes {
 		submitted += float64(c.Submitted)
--- a/internal/testbed/experiment/report.go
+++ b/internal/testbed/experiment/report.go
@@ -96,7 +96,7 @@
 <p>{{len .Plan.Designs}} designs on {{.Plan.Seeds}} seeds from {{.Plan.FirstSeed}} on, emulated. Intervals are of 95%;
 differences are of pairs of one seed, which meet the same arrivals.</p>
 <table><tr><th>design</th><th>day</th>
-<th>load</th><th>schedulers</th><th>room lost</th><th>module</th></tr>
+<th>load</th><th>schedulers</th><th>zone lost</th><th>module</th></tr>
 {{range .Plan.Designs}}<tr><td>{{.Name}}</td><td>{{.Day}}</td>
 <td>{{.Load}}</td><td>{{.Schedulers}}</td><td>{{.LostZone}}</td><td>{{.Module}}</td></tr>
 {{end}}</table>
--- a/internal/testbed/experiment/results.go
+++ b/internal/testbed/experiment/results.go
@@ -3,22 +3,56 @@
 import (
 	"bufio"
 	"bytes"
+	"cmp"
 	"encoding/json"
 	"errors"
 	"fmt"
 	"io"
+	"maps"
 	"os"
 )
 
 // maxResultBytes bounds a line of a file of results.
 const maxResultBytes = 1 << 20
 
-// Run is the result of one seed of one design, a line of a file of results.
+// Run is the result of one seed of one design.
 type Run struct {
-	Design      string              `json:"Design"`
-	Fingerprint string              `json:"Mark"` // of the design
-	Seed        uint64              `json:"Seed"`
-	Measures    map[Measure]float64 `json:"Measures"`
+	Design      string
+	Fingerprint string // of the design
+	Seed        uint64
+	Measures    map[Measure]float64
+}
+
+// storedRun is a Run as a line of a file of results. Besides the present names it has those of earlier versions, which
+// are written until 0.2.0 and read for as long as such files exist.
+type storedRun struct {
+	Design      string `json:"Design"`
+	Fingerprint string `json:"Fingerprint,omitempty"`
+	// Deprecated: use Fingerprint; removed in 0.2.0.
+	Mark     string              `json:"Mark,omitempty"`
+	Seed     uint64              `json:"Seed"`
+	Measures map[Measure]float64 `json:"Measures"`
+}
+
+// newStoredRun returns the line of a run, with both names of what has two.
+func newStoredRun(r *Run) storedRun {
+	measures := maps.Clone(r.Measures)
+	if count, ok := measures[OverloadedNodes]; ok {
+		measures[deprecatedOverloadedNodes] = count
+	}
+	return storedRun{Design: r.Design, Fingerprint: r.Fingerprint, Mark: r.Fingerprint, Seed: r.Seed, Measures: measures}
+}
+
+// run returns the run of a line, with present names only.
+func (s *storedRun) run() Run {
+	measures := maps.Clone(s.Measures)
+	if count, ok := measures[deprecatedOverloadedNodes]; ok {
+		delete(measures, deprecatedOverloadedNodes)
+		if _, ok := measures[OverloadedNodes]; !ok {
+			measures[OverloadedNodes] = count
+		}
+	}
+	return Run{Design: s.Design, Fingerprint: cmp.Or(s.Fingerprint, s.Mark), Seed: s.Seed, Measures: measures}
 }
 
 // runKey identifies a run among the stored ones.
@@ -66,11 +100,11 @@
 	lines := bufio.NewScanner(bytes.NewReader(text[:complete]))
 	lines.Buffer(nil, maxResultBytes)
 	for number := 1; lines.Scan(); number++ {
-		var r Run
-		if err := json.Unmarshal(lines.Bytes(), &r); err != nil {
+		var stored storedRun
+		if err := json.Unmarshal(lines.Bytes(), &stored); err != nil {
 			return nil, &ResultsError{Path: path, Line: number, Err: err}
 		}
-		runs = append(runs, r)
+		runs = append(runs, stored.run())
 	}
 	if err := lines.Err(); err != nil {
 		return nil, &ResultsError{Path: path, Err: err}
@@ -80,7 +114,7 @@
 
 // writeRun appends a run to a file of results.
 func writeRun(w io.Writer, r *Run) error {
-	line, err := json.Marshal(r)
+	line, err := json.Marshal(newStoredRun(r))
 	if err != nil {
 		return err
 	}
--- a/internal/testbed/experiment/storedresults_test.go
+++ b/internal/testbed/experiment/storedresults_test.go
@@ -51,10 +51,10 @@
 	}
 }
 
-// A result is written as by earlier builds.
+// A result of an earlier build keeps its bytes when it is read and written again.
 func TestStoredResultsEncoding(t *testing.T) {
 	for _, line := range bytes.Split(bytes.TrimSpace(readFile(t, storedResults)), []byte("\n")) {
-		var r, decoded Run
+		var r, decoded storedRun
 		dec := json.NewDecoder(bytes.NewReader(line))
 		dec.DisallowUnknownFields()
 		if err := dec.Decode(&r); err != nil {
@@ -72,3 +72,36 @@
 		}
 	}
 }
+
+// A new result has the present names beside those of earlier versions, and either is read as the same run.
+func TestStoredResultHasPresentAndDeprecatedNames(t *testing.T) {
+	want := Run{Design: "a", Fingerprint: "f", Seed: 7, Measures: map[Measure]float64{PlacedShare: 0.5, OverloadedNodes: 3}}
+	var written bytes.Buffer
+	if err := writeRun(&written, &want); err != nil {
+		t.Fatal(err)
+	}
+	const wantLine = `{"Design":"a","Fingerprint":"f","Mark":"f","Seed":7,` +
+		`"Measures":{"nodes fallen":3,"overloaded nodes":3,"placed":0.5}}` + "\n"
+	if got := written.String(); got != wantLine {
+		t.Errorf("got line %s, want %s", got, wantLine)
+	}
+	for _, c := range []struct{ name, line string }{
+		{"both names", wantLine},
+		{"deprecated names", `{"Design":"a","Mark":"f","Seed":7,"Measures":{"nodes fallen":3,"placed":0.5}}` + "\n"},
+		{"present names", `{"Design":"a","Fingerprint":"f","Seed":7,"Measures":{"overloaded nodes":3,"placed":0.5}}` + "\n"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			path := filepath.Join(t.TempDir(), "results")
+			if err := os.WriteFile(path, []byte(c.line), 0o600); err != nil {
+				t.Fatal(err)
+			}
+			got, err := readRuns(path)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if !reflect.DeepEqual(got, []Run{want}) {
+				t.Errorf("got %+v, want %+v", got, want)
+			}
+		})
+	}
+}
--- a/internal/testbed/load/send.go
+++ b/internal/testbed/load/send.go
@@ -24,8 +24,8 @@
 
 // String returns the result in words.
 func (r *Result) String() string {
-	return fmt.Sprintf("%d submissions (%d left late), errors %s, outcomes %s\nanswered: %v\nplaced:   %v\n",
-		r.Sent, r.Late, countformat.Format(r.Errors), countformat.Format(r.Outcomes), r.Answered, r.Placed)
+	return fmt.Sprintf("%d submissions (%d sent late), errors %s, outcomes %s\nanswered: %v\nplaced:   %v\n",
+		r.Sent, r.Late, countformat.Format(r.Errors), countformat.FormatOutcomes(r.Outcomes), r.Answered, r.Placed)
 }
 
 const (
@@ -36,7 +36,7 @@
 	// outcomePlaced is the outcome of a placed task in the attributes of a job.
 	outcomePlaced = "placed"
 	// outcomeUnknown counts in Result.Outcomes the submissions whose outcome did not come in time.
-	outcomeUnknown = "none heard"
+	outcomeUnknown = "unknown"
 )
 
 // Options say how a load is sent.
--- a/internal/testbed/plancheck/cases.go
+++ b/internal/testbed/plancheck/cases.go
@@ -9,8 +9,8 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/scenario"
 )
 
-// baseDay is a fleet of three rooms with one class. Cases replace the words that begin with a dollar sign; see
-// baseValues.
+// baseDay is a fleet of three zones with one class. Cases replace the placeholders, which begin with a
+// dollar sign; see baseValues.
 const baseDay = `#Trial & {
 about: "planned"
 seconds: 40
@@ -27,7 +27,7 @@
 load: [{class: "c", perSecond: $RATE, services: $SERVICES, life: ["2s", "4s"]}]
 }`
 
-// baseValues are pairs of a word of baseDay and what replaces it where a case does not name it.
+// baseValues are pairs of a placeholder of baseDay and its value where a case does not replace it.
 var baseValues = []string{
 	"$CORES", "1",
 	"$MEMORY", "1",
@@ -49,7 +49,7 @@
 	Name         string
 	Limit        planner.LimitName // first that the load meets
 	Replacements []string          // pairs, as baseValues
-	RoomLost     bool              // the nodes of the first room are lost
+	ZoneLost     bool              // the nodes of the first zone are lost
 }
 
 // Day is the case as a scripted day.
@@ -59,25 +59,25 @@
 	if err != nil {
 		return nil, fmt.Errorf("plancheck: case %s: %w", c.Name, err)
 	}
-	if c.RoomLost {
+	if c.ZoneLost {
 		day.Fleet = day.Fleet[1:]
 	}
 	return day, nil
 }
 
-// Cases are fleets and loads whose first limits differ; two of them are what is left when a room is lost.
+// Cases are fleets and loads whose first limits differ; two of them are what remains when a zone is lost.
 var Cases = []Case{
 	{Name: "cores", Limit: planner.RequestedCores},
 	{Name: "memory", Limit: planner.RequestedMemory, Replacements: []string{"$MEMORY", "8"}},
 	{Name: "large", Limit: planner.RequestedCores, Replacements: []string{"$CORES", "6", "$RATE", "4"}},
-	{Name: "a room lost", Limit: planner.RequestedCores, Replacements: []string{"$NB", "1"}},
-	{Name: "the largest room lost", Limit: planner.RequestedCores, RoomLost: true,
+	{Name: "most of a zone lost", Limit: planner.RequestedCores, Replacements: []string{"$NB", "1"}},
+	{Name: "the largest zone lost", Limit: planner.RequestedCores, ZoneLost: true,
 		Replacements: []string{"$NA", "10", "$NB", "3", "$NC", "3"}},
 	{Name: "one scheduler", Limit: planner.RequestedCores, Replacements: []string{"$SCHEDULERS", "1"}},
 	{Name: "sixteen schedulers", Limit: planner.RequestedCores, Replacements: []string{"$SCHEDULERS", "16"}},
-	{Name: "two kinds of room", Limit: planner.RequestedMemory,
+	{Name: "uneven zones", Limit: planner.RequestedMemory,
 		Replacements: []string{"$MEMORY", "7", "$NA", "8", "$NB", "2"}},
 	{Name: "slow starts", Limit: planner.StartRate,
 		Replacements: []string{"$RUNS", "true", "$START", "300ms", "$RATE", "50", "$CORES", "0.05", "$MEMORY", "0.1"}},
-	{Name: "slow asks", Limit: planner.OfferReview, Replacements: []string{"$LOOK", "200ms", "$CORES", "0.25"}},
+	{Name: "slow offer review", Limit: planner.OfferReview, Replacements: []string{"$LOOK", "200ms", "$CORES", "0.25"}},
 }
--- a/internal/testbed/plancheck/estimate.go
+++ b/internal/testbed/plancheck/estimate.go
@@ -38,7 +38,7 @@
 		length -= gap.To - gap.From
 	}
 	if length <= 0 || len(trace.Jobs) < 2 {
-		return nil, fmt.Errorf("plancheck: the captured load has %d jobs in %v: nothing to plan with", len(trace.Jobs), length)
+		return nil, fmt.Errorf("plancheck: the captured load has %d jobs in %v: too few to plan with", len(trace.Jobs), length)
 	}
 	jobsByClass := map[string][]load.Job{}
 	for _, job := range trace.Jobs {
@@ -61,7 +61,7 @@
 func estimateClass(day *scenario.Day, name string, jobs []load.Job, length time.Duration) (CapturedClass, error) {
 	settings := day.Class(name)
 	if settings == nil {
-		return CapturedClass{}, fmt.Errorf("plancheck: the captured load has class %q, which the fleet's file does not know", name)
+		return CapturedClass{}, fmt.Errorf("plancheck: the captured load has class %q, which the day does not have", name)
 	}
 	count := float64(len(jobs))
 	class := CapturedClass{Jobs: len(jobs), Class: planner.Class{
@@ -100,15 +100,15 @@
 		warn("only %d jobs were captured", c.Jobs)
 	}
 	if c.ends() < minSamples {
-		warn("only %d lives were seen to their end", c.ends())
+		warn("only %d runtimes were observed to their end", c.ends())
 	}
 	if float64(c.CensoredRuntimes) > maxCensoredFraction*float64(c.Jobs) {
-		warn("%d of %d lives were cut off; the mean takes them for exponential", c.CensoredRuntimes, c.Jobs)
+		warn("%d of %d runtimes are censored; the mean assumes an exponential distribution", c.CensoredRuntimes, c.Jobs)
 	}
 	if gaps > 0 {
-		warn("%d gaps were left out", gaps)
+		warn("%d gaps were excluded", gaps)
 	}
 	if length.Seconds() < minMeanRuntimes*c.MeanRuntimeSeconds {
-		warn("%v were captured, under five mean lives: a daily peak is not in it", length.Round(time.Second))
+		warn("only %v were captured, under five mean runtimes: a daily peak is not included", length.Round(time.Second))
 	}
 }
--- a/internal/testbed/plancheck/estimate_test.go
+++ b/internal/testbed/plancheck/estimate_test.go
@@ -48,8 +48,8 @@
 		warning        string
 	}{
 		{"complete", complete, 10, 3, ""},
-		{"half of the run times cut off at 1 s", cutOff, 10, 4, "lives were cut off"},
-		{"a gap of an hour", gap, 10, 3, "1 gaps were left out"},
+		{"half of the run times cut off at 1 s", cutOff, 10, 4, "runtimes are censored"},
+		{"a gap of an hour", gap, 10, 3, "1 gaps were excluded"},
 		{"too short", short, 10.9, 3, "only 12 jobs"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/testbed/plancheck/search.go
+++ b/internal/testbed/plancheck/search.go
@@ -51,8 +51,12 @@
 
 // Error names the bound.
 func (e *OutOfRangeError) Error() string {
-	return fmt.Sprintf("plancheck: the edge is elsewhere: the goal is met: %v at %.3g times the load, so its edge is not between "+
-		"%.3g and %.3g", e.GoalMet, e.Multiple, e.Low, e.High)
+	result := "missed"
+	if e.GoalMet {
+		result = "met"
+	}
+	return fmt.Sprintf("plancheck: the goal is %s at %.3g times the load: its breaking point is not between %.3g and %.3g",
+		result, e.Multiple, e.Low, e.High)
 }
 
 // FindBreakingPoint searches for the multiple of the day's load at which the goal breaks, by bisection: most runs are
