--- a/cmd/flaxshelf/emulate.go
+++ b/cmd/flaxshelf/emulate.go
@@ -48,7 +48,7 @@
 
 // judge emulates the day and has the rules' checker read the trace.
 func (c *emulateCmd) judge(ctx context.Context, std *streams, day *scenario.Day, options emulator.Options) error {
-	report, verdict, err := emulator.Judge(ctx, day, options)
+	report, verdict, err := emulator.RunAndCheck(ctx, day, options)
 	if err != nil {
 		return err
 	}
--- a/internal/platform/leak_test.go
+++ b/internal/platform/leak_test.go
@@ -33,8 +33,8 @@
 	for len(n.Received) > 0 {
 		<-n.Received
 	}
-	for len(n.Conns) > 0 {
-		<-n.Conns
+	for len(n.ConnectionEvents) > 0 {
+		<-n.ConnectionEvents
 	}
 }
 
--- a/internal/platform/offer_race_test.go
+++ b/internal/platform/offer_race_test.go
@@ -61,7 +61,7 @@
 			c.ping()
 			c.submit(2) // it waits, since both nodes are draining
 			for _, n := range []*scripted.Node{other, n} {
-				if event := <-n.Conns; event != "came" {
+				if event := <-n.ConnectionEvents; event != scripted.ConnectionOpened {
 					t.Fatal(event)
 				}
 			}
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -122,11 +122,11 @@
 	if line := <-s.closedLinks; !strings.Contains(line, transport.ErrPartialMessage.Error()) {
 		t.Errorf("the link closed for another reason: %s", line)
 	}
-	seen := map[string]int{}
+	seen := map[scripted.ConnectionEvent]int{}
 	for range 3 {
-		seen[<-n.Conns]++
+		seen[<-n.ConnectionEvents]++
 	}
-	if seen["came"] != 2 || seen["went"] != 1 {
+	if seen[scripted.ConnectionOpened] != 2 || seen[scripted.ConnectionClosed] != 1 {
 		t.Errorf("connections: %v", seen)
 	}
 }
@@ -285,7 +285,7 @@
 	}
 	n := newNode(t, scripted.AcceptAll)
 	s.feed.Publish(false, scripted.Entry("s-1", "", "leaving"), scripted.Entry("s-2", n.Addr(), "active"))
-	if event := <-n.Conns; event != "came" {
+	if event := <-n.ConnectionEvents; event != scripted.ConnectionOpened {
 		t.Error(event)
 	}
 	c.placeTask(3)
--- a/internal/platform/shutdown_test.go
+++ b/internal/platform/shutdown_test.go
@@ -180,7 +180,7 @@
 	}
 	n := newNode(t, scripted.AcceptAll)
 	second.Publish(false, scripted.Entry("s-1", drained.Addr(), "leaving"), scripted.Entry("s-2", n.Addr(), "active"))
-	if event := <-n.Conns; event != "came" { // the watch event was applied
+	if event := <-n.ConnectionEvents; event != scripted.ConnectionOpened { // the watch event was applied
 		t.Error(event)
 	}
 	for i := range 4 {
--- a/internal/testbed/ablation/ablation.go
+++ b/internal/testbed/ablation/ablation.go
@@ -60,9 +60,9 @@
 // Options returns options that disable guards and constraints in every scheduler of a day.
 func Options(seed uint64, guards scheduler.Guards, disabled ...flaxshelf.Constraint) emulator.Options {
 	return emulator.Options{
-		Seed: seed,
-		Core: func(c *scheduler.Config) { c.DisabledGuards = guards },
-		Make: func(c flaxshelf.Config, seed uint64) (scheduler.Module, error) {
+		Seed:          seed,
+		ConfigureCore: func(c *scheduler.Config) { c.DisabledGuards = guards },
+		NewModule: func(c flaxshelf.Config, seed uint64) (scheduler.Module, error) {
 			p, err := flaxshelf.New(c, seed)
 			if err != nil {
 				return nil, err
@@ -79,7 +79,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	report, verdict, err := emulator.Judge(ctx, d, opt)
+	report, verdict, err := emulator.RunAndCheck(ctx, d, opt)
 	if err != nil {
 		return nil, nil, err
 	}
--- a/internal/testbed/baseline/baseline_test.go
+++ b/internal/testbed/baseline/baseline_test.go
@@ -22,8 +22,8 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				rep, v, err := emulator.Judge(context.Background(), d, emulator.Options{Seed: 2,
-					Make: func(cfg flaxshelf.Config, seed uint64) (scheduler.Module, error) {
+				rep, v, err := emulator.RunAndCheck(context.Background(), d, emulator.Options{Seed: 2,
+					NewModule: func(cfg flaxshelf.Config, seed uint64) (scheduler.Module, error) {
 						return baseline.New(strategy, cfg, seed)
 					}})
 				if err != nil {
--- a/internal/testbed/emulator/clients.go
+++ b/internal/testbed/emulator/clients.go
@@ -175,7 +175,7 @@
 		s.end = endNoOutcome
 	}
 	s.closed = true
-	c.stats.ends[s.end]++
+	c.stats.submissionEnds[s.end]++
 	delete(c.submissions, s.arrival.Key)
 }
 
@@ -294,7 +294,7 @@
 func (c *clients) outcomeReceived(notice *outcomeNotice) {
 	info := &notice.info
 	if info.State.Ended() {
-		c.stats.ended[info.SubState]++
+		c.stats.jobEnds[info.SubState]++
 		return
 	}
 	c.stats.outcome(c.simulation.day.Classes[info.Spec.Class].Name, info.Outcome)
--- a/internal/testbed/emulator/emulator.go
+++ b/internal/testbed/emulator/emulator.go
@@ -24,10 +24,10 @@
 	Workers int
 	// Record, when set, gets a recording for rules.Check; with one worker only.
 	Record io.Writer
-	// Make makes the module of each scheduler; nil: flaxshelf.New.
-	Make func(cfg flaxshelf.Config, seed uint64) (scheduler.Module, error)
-	// Core, when set, may change the configuration of each scheduler's core, as for tests without a guard.
-	Core func(cfg *scheduler.Config)
+	// NewModule returns the module of each scheduler; nil means flaxshelf.New.
+	NewModule func(cfg flaxshelf.Config, seed uint64) (scheduler.Module, error)
+	// ConfigureCore, when set, may change the configuration of each scheduler's core, as for tests without a guard.
+	ConfigureCore func(cfg *scheduler.Config)
 	// Load, when set, replaces the day's own load; the day lasts at least as long.
 	Load *load.Trace
 	// MeasureFrom leaves submissions before so many seconds out of the classes' figures, while the fleet fills.
@@ -91,8 +91,8 @@
 	return s.report(end), nil
 }
 
-// Judge emulates a day and has rules.Check read its recording. It replaces opt.Record.
-func Judge(ctx context.Context, d *scenario.Day, opt Options) (*Report, *rules.Verdict, error) {
+// RunAndCheck emulates a day and has rules.Check read its recording. It replaces opt.Record.
+func RunAndCheck(ctx context.Context, d *scenario.Day, opt Options) (*Report, *rules.Verdict, error) {
 	recording, out := io.Pipe()
 	type checked struct {
 		verdict *rules.Verdict
--- a/internal/testbed/emulator/emulator_test.go
+++ b/internal/testbed/emulator/emulator_test.go
@@ -34,10 +34,10 @@
 	return d
 }
 
-// TestDaysKeepTheRules checks that the days of the trials that need no sockets keep the rules on the simulated clock as
+// TestEmulatedDaysFollowTheRules checks that the days of the trials that need no sockets keep the rules on the simulated clock as
 // well, by the very same checker; that every submission is accounted for; and that every decision is that of the
 // reference module.
-func TestDaysKeepTheRules(t *testing.T) {
+func TestEmulatedDaysFollowTheRules(t *testing.T) {
 	emulated := 0
 	for _, name := range scenario.Names() {
 		switch name {
@@ -53,7 +53,7 @@
 				twins = append(twins, twin)
 				return twin, err
 			}
-			report, verdict, err := Judge(context.Background(), day(t, name), Options{Seed: 5, Make: newTwin})
+			report, verdict, err := RunAndCheck(context.Background(), day(t, name), Options{Seed: 5, NewModule: newTwin})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -152,7 +152,7 @@
 
 // TestManySchedulers checks that the rules hold in an emulated cluster of 400 schedulers and 130 nodes.
 func TestManySchedulers(t *testing.T) {
-	report, verdict, err := Judge(context.Background(), scaledDay(t, 130, 400, 3), Options{Seed: 1})
+	report, verdict, err := RunAndCheck(context.Background(), scaledDay(t, 130, 400, 3), Options{Seed: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testbed/emulator/engine.go
+++ b/internal/testbed/emulator/engine.go
@@ -144,25 +144,25 @@
 	out.messages = out.messages[:0]
 }
 
-// runParallel shares the due entities out among the workers: those of a group as one piece, the rest one by one.
+// runParallel shares the due entities out among the workers: those of a group as one batch, the rest one by one.
 func (e *engine) runParallel(due []int32, end Time) {
-	var pieces [][]int32
-	pieceOfGroup := map[int32]int{}
+	var batches [][]int32
+	batchOfGroup := map[int32]int{}
 	for i, id := range due {
 		group := e.groups[id]
-		if piece, ok := pieceOfGroup[group]; ok && group != 0 {
-			pieces[piece] = append(pieces[piece], id)
+		if batch, ok := batchOfGroup[group]; ok && group != 0 {
+			batches[batch] = append(batches[batch], id)
 			continue
 		}
-		pieceOfGroup[group] = len(pieces)
-		pieces = append(pieces, due[i:i+1:i+1])
+		batchOfGroup[group] = len(batches)
+		batches = append(batches, due[i:i+1:i+1])
 	}
 	var workers sync.WaitGroup
 	var next atomic.Int64
 	for range e.workers {
 		workers.Go(func() {
-			for i := next.Add(1) - 1; i < int64(len(pieces)); i = next.Add(1) - 1 {
-				e.runEntities(pieces[i], end)
+			for i := next.Add(1) - 1; i < int64(len(batches)); i = next.Add(1) - 1 {
+				e.runEntities(batches[i], end)
 			}
 		})
 	}
--- a/internal/testbed/emulator/inventory.go
+++ b/internal/testbed/emulator/inventory.go
@@ -2,15 +2,15 @@
 
 import "flaxshelf.example/flaxshelf/internal/testbed/standin/inventorymodel"
 
-// inventory is the inventory model as an entity. Its peers are known by their names to the model.
+// inventory is the inventory model as an entity. The model knows the other entities by their names.
 type inventory struct {
-	id         int32
-	simulation *simulation
-	inbox      inbox
-	latency    *latencyModel
-	model      *inventorymodel.Inventory
-	peerNames  map[int32]string
-	peers      map[string]int32
+	id          int32
+	simulation  *simulation
+	inbox       inbox
+	latency     *latencyModel
+	model       *inventorymodel.Inventory
+	entityNames map[int32]string
+	entityIDs   map[string]int32
 }
 
 func (v *inventory) receive(m message) { v.inbox.put(m) }
@@ -19,11 +19,11 @@
 
 func (v *inventory) modelNextDue() Time { return v.model.Next() }
 
-func (v *inventory) peerName(id int32) string {
-	name, ok := v.peerNames[id]
+func (v *inventory) entityName(id int32) string {
+	name, ok := v.entityNames[id]
 	if !ok {
 		name = v.simulation.entityName(id)
-		v.peerNames[id], v.peers[name] = name, id
+		v.entityNames[id], v.entityIDs[name] = name, id
 	}
 	return name
 }
@@ -35,9 +35,9 @@
 func (v *inventory) handle(m message, out *outbox) {
 	switch body := m.body.(type) {
 	case frame:
-		v.send(m.at, v.model.Receive(m.at, v.peerName(m.from), body.Frame), out)
+		v.send(m.at, v.model.Receive(m.at, v.entityName(m.from), body.Frame), out)
 	case disconnected:
-		v.send(m.at, v.model.Disconnect(m.at, v.peerName(m.from)), out)
+		v.send(m.at, v.model.Disconnect(m.at, v.entityName(m.from)), out)
 	case inventorymodel.Fault:
 		v.send(m.at, v.model.SetFault(m.at, body), out)
 	}
@@ -45,7 +45,7 @@
 
 func (v *inventory) send(now Time, frames []inventorymodel.Send, out *outbox) {
 	for _, s := range frames {
-		if to, ok := v.peers[s.To]; ok {
+		if to, ok := v.entityIDs[s.To]; ok {
 			out.send(v.latency.deliveryTime(now, to), to, frame{s.Frame})
 		}
 	}
--- a/internal/testbed/emulator/node.go
+++ b/internal/testbed/emulator/node.go
@@ -30,9 +30,9 @@
 	incarnations int
 	fault        nodemodel.Fault
 
-	peers     map[string]int32 // connected schedulers
-	peerNames map[int32]string
-	peerOrder []string // of the first connections
+	schedulerIDs    map[string]int32 // of connected schedulers, by name
+	schedulerNames  map[int32]string
+	connectionOrder []string // names of schedulers in the order of their first connections
 
 	registerAt    Time
 	overloads     int // incarnations that crashed of overload
@@ -62,7 +62,7 @@
 	seed := n.simulation.seed + uint64(int(n.id)*nodeSeedStride+n.incarnations)
 	n.model = nodemodel.New(fleet.NodeModel(set, day.Kinds, day.Rules, day.Behaviour, seed), now,
 		n.simulation.zoneKeys[n.place.Group.Zone])
-	n.peers, n.peerNames, n.peerOrder = map[string]int32{}, map[int32]string{}, nil
+	n.schedulerIDs, n.schedulerNames, n.connectionOrder = map[string]int32{}, map[int32]string{}, nil
 	n.registerAt = now
 }
 
@@ -75,8 +75,8 @@
 	n.finishedTasks += n.model.Finished()
 	n.model.Die()
 	n.model, n.fault = nil, nodemodel.Fault{}
-	for _, name := range n.peerOrder {
-		if id, ok := n.peers[name]; ok {
+	for _, name := range n.connectionOrder {
+		if id, ok := n.schedulerIDs[name]; ok {
 			n.reply(now, id, disconnected{}, out)
 		}
 	}
@@ -136,7 +136,7 @@
 	case disconnected:
 		n.disconnect(m)
 	case frame:
-		if name, ok := n.peerNames[m.from]; ok && n.model != nil {
+		if name, ok := n.schedulerNames[m.from]; ok && n.model != nil {
 			n.send(m.at, n.model.Receive(m.at, name, body.Frame), out)
 		}
 	}
@@ -167,24 +167,24 @@
 		n.reply(m.at, m.from, disconnected{}, out)
 		return
 	}
-	if _, known := n.peers[hello.scheduler]; !known {
-		n.peerOrder = append(n.peerOrder, hello.scheduler)
+	if _, known := n.schedulerIDs[hello.scheduler]; !known {
+		n.connectionOrder = append(n.connectionOrder, hello.scheduler)
 	}
-	n.peers[hello.scheduler], n.peerNames[m.from] = m.from, hello.scheduler
+	n.schedulerIDs[hello.scheduler], n.schedulerNames[m.from] = m.from, hello.scheduler
 	n.send(m.at, frames, out)
 }
 
 func (n *nodeEntity) disconnect(m message) {
-	if name, ok := n.peerNames[m.from]; ok && n.model != nil {
+	if name, ok := n.schedulerNames[m.from]; ok && n.model != nil {
 		n.model.Disconnect(m.at, name)
-		delete(n.peers, name)
-		delete(n.peerNames, m.from)
+		delete(n.schedulerIDs, name)
+		delete(n.schedulerNames, m.from)
 	}
 }
 
 func (n *nodeEntity) send(now Time, frames []nodemodel.Send, out *outbox) {
 	for _, s := range frames {
-		if to, ok := n.peers[s.To]; ok {
+		if to, ok := n.schedulerIDs[s.To]; ok {
 			n.reply(now, to, frame{s.Frame}, out)
 		}
 	}
--- a/internal/testbed/emulator/recorder.go
+++ b/internal/testbed/emulator/recorder.go
@@ -88,7 +88,7 @@
 	if r.connections == nil {
 		r.connections = map[string]*schedulerConnections{}
 	}
-	at, name := s.wakeAt, s.settings.Name
+	at, name := s.nextDeadline, s.settings.Name
 	c := &schedulerConnections{front: drmaafront.New(s.settings, at)}
 	c.inventory = r.open(rules.InventoryWire, "inventory", name, at)
 	c.requests = r.open(rules.ClientWire, name, "", at)
--- a/internal/testbed/emulator/report.go
+++ b/internal/testbed/emulator/report.go
@@ -25,18 +25,18 @@
 
 // Report is the result of a day.
 type Report struct {
-	Seconds     float64        // simulated
-	Ends        map[string]int // submissions, by how they ended for their clients
-	Ended       map[string]int // jobs, by how they ended
-	Classes     []*ClassReport // in the day's order
-	Finished    int            // tasks that nodes have run to their end
-	Overloaded  int            // nodes that crashed of overload
-	Retries     int            // submissions of jobs that were submitted before
-	Events      int64          // runs of entities
-	Messages    int64          // between entities
-	Steps       int64          // of cores
-	Busiest     float64        // share of its time that the busiest core worked, where the day has costs of steps
-	Unaccounted int            // submissions without any end
+	Seconds        float64        // simulated
+	SubmissionEnds map[string]int // submissions, by how they ended for their clients
+	JobEnds        map[string]int // jobs, by how they ended
+	Classes        []*ClassReport // in the day's order
+	Finished       int            // tasks that nodes have run to their end
+	Overloaded     int            // nodes that crashed of overload
+	Retries        int            // submissions of jobs that were submitted before
+	Events         int64          // runs of entities
+	Messages       int64          // between entities
+	Steps          int64          // of cores
+	Busiest        float64        // share of its time that the busiest core worked, where the day has costs of steps
+	Unaccounted    int            // submissions without any end
 }
 
 func (s *simulation) report(end Time) *Report {
@@ -47,8 +47,8 @@
 		}
 		s.clients.close(open)
 	}
-	r := &Report{Seconds: (end - Epoch).Seconds(), Ends: stats.ends, Ended: stats.ended, Events: s.engine.events,
-		Messages: s.engine.messages, Unaccounted: stats.ends[endNoOutcome], Retries: stats.retries}
+	r := &Report{Seconds: (end - Epoch).Seconds(), SubmissionEnds: stats.submissionEnds, JobEnds: stats.jobEnds, Events: s.engine.events,
+		Messages: s.engine.messages, Unaccounted: stats.submissionEnds[endNoOutcome], Retries: stats.retries}
 	for _, name := range stats.classOrder {
 		r.Classes = append(r.Classes, stats.classes[name])
 	}
@@ -72,9 +72,9 @@
 	for _, class := range r.Classes {
 		class.print(&text)
 	}
-	fmt.Fprintf(&text, "submissions: %s; %d retries, %d unaccounted for\n", countformat.FormatOutcomes(r.Ends), r.Retries,
+	fmt.Fprintf(&text, "submissions: %s; %d retries, %d unaccounted for\n", countformat.FormatOutcomes(r.SubmissionEnds), r.Retries,
 		r.Unaccounted)
-	fmt.Fprintf(&text, "jobs ended: %s; %d nodes crashed of overload\n", countformat.FormatOutcomes(r.Ended), r.Overloaded)
+	fmt.Fprintf(&text, "jobs ended: %s; %d nodes crashed of overload\n", countformat.FormatOutcomes(r.JobEnds), r.Overloaded)
 	if r.Busiest > 0 {
 		fmt.Fprintf(&text, "the busiest core is busy %.0f%% of the time\n", 100*r.Busiest)
 	}
@@ -94,17 +94,17 @@
 
 // clientStats is what the clients have seen.
 type clientStats struct {
-	retries     int
-	ends, ended map[string]int
-	classes     map[string]*ClassReport
-	classOrder  []string
+	retries                 int
+	submissionEnds, jobEnds map[string]int
+	classes                 map[string]*ClassReport
+	classOrder              []string
 }
 
 // waitDigits is the precision of the histograms of waits in significant digits.
 const waitDigits = 3
 
 func newClientStats(day *scenario.Day) *clientStats {
-	s := &clientStats{ends: map[string]int{}, ended: map[string]int{}, classes: map[string]*ClassReport{}}
+	s := &clientStats{submissionEnds: map[string]int{}, jobEnds: map[string]int{}, classes: map[string]*ClassReport{}}
 	for i := range day.Classes {
 		name := day.Classes[i].Name
 		s.classOrder = append(s.classOrder, name)
--- a/internal/testbed/emulator/scheduler.go
+++ b/internal/testbed/emulator/scheduler.go
@@ -20,10 +20,10 @@
 	recorder     *recorder
 	incarnations int
 
-	core     *scheduler.Core
-	wakeAt   Time              // by the core
-	feedback []scheduler.Input // for the next step, of the effects of the last
-	drained  bool              // the core has nothing open after a graceful shutdown
+	core         *scheduler.Core
+	nextDeadline Time              // when the core is to run next, as it requested
+	feedback     []scheduler.Input // for the next step, of the effects of the last
+	drained      bool              // the core has nothing open after a graceful shutdown
 
 	pausedUntil Time
 	busyUntil   Time // the last step of the core takes until then
@@ -56,7 +56,7 @@
 func (s *schedulerEntity) nextDue() Time {
 	due := s.inbox.nextDue()
 	if s.core != nil {
-		due = min(due, s.wakeAt, s.nextDialAt)
+		due = min(due, s.nextDeadline, s.nextDialAt)
 	}
 	return max(due, s.pausedUntil, s.busyUntil)
 }
@@ -71,15 +71,15 @@
 	set.Seed = s.simulation.seed*schedulerSeedStride + uint64(set.Index*schedulerIndexStride+s.incarnations) + 1
 	config := set.CoreConfig(now)
 	config.NewModule = s.simulation.newModule
-	if s.simulation.changeCore != nil {
-		s.simulation.changeCore(&config)
+	if s.simulation.configureCore != nil {
+		s.simulation.configureCore(&config)
 	}
 	core, err := scheduler.New(config)
 	if err != nil {
 		s.simulation.fail(err)
 		return
 	}
-	s.core, s.wakeAt, s.feedback, s.nextDialAt = core, now, nil, math.MaxInt64
+	s.core, s.nextDeadline, s.feedback, s.nextDialAt = core, now, nil, math.MaxInt64
 	s.links, s.linksByEntity = map[string]*link{}, map[int32]*link{}
 	s.requests = map[uint64]clientRequest{}
 	s.inventoryFront = &nodefront.Inventory{Set: s.settings}
@@ -129,7 +129,7 @@
 	if s.nextDialAt < end {
 		s.redial(end, out)
 	}
-	if len(inputs) > 0 || len(s.feedback) > 0 || s.wakeAt < end {
+	if len(inputs) > 0 || len(s.feedback) > 0 || s.nextDeadline < end {
 		s.step(now, append(inputs, s.feedback...), out)
 	}
 }
@@ -144,12 +144,12 @@
 		s.busyTime += cost
 		now = s.busyUntil
 	}
-	s.wakeAt = output.Wake
+	s.nextDeadline = output.Wake
 	for _, effect := range output.Effects {
 		s.execute(effect, now, out)
 	}
 	if len(s.feedback) > 0 {
-		s.wakeAt = now
+		s.nextDeadline = now
 	}
 	if s.drained {
 		s.drained = false
--- a/internal/testbed/emulator/simulation.go
+++ b/internal/testbed/emulator/simulation.go
@@ -30,8 +30,8 @@
 	recorder   *recorder                        // nil for none
 	trace      *traceArrivals                   // in place of the day's load; nil for none
 
-	newModule  func(cfg flaxshelf.Config, seed uint64) (scheduler.Module, error)
-	changeCore func(cfg *scheduler.Config)
+	newModule     func(cfg flaxshelf.Config, seed uint64) (scheduler.Module, error)
+	configureCore func(cfg *scheduler.Config)
 
 	errMu sync.Mutex // entities may fail at one time
 	err   error      // the first
@@ -67,7 +67,7 @@
 		day = &longer
 	}
 	s := &simulation{day: day, seed: opt.Seed, engine: newEngine(opt.Workers), nodeIDs: map[string]int32{},
-		zoneKeys: map[string]nodemodel.KeyRegistry{}, zoneGroups: map[string]int32{}, newModule: opt.Make, changeCore: opt.Core}
+		zoneKeys: map[string]nodemodel.KeyRegistry{}, zoneGroups: map[string]int32{}, newModule: opt.NewModule, configureCore: opt.ConfigureCore}
 	if err := s.checkOptions(opt); err != nil {
 		return nil, err
 	}
@@ -108,7 +108,7 @@
 }
 
 func (s *simulation) addInventory() {
-	s.inventory = &inventory{simulation: s, peerNames: map[int32]string{}, peers: map[string]int32{},
+	s.inventory = &inventory{simulation: s, entityNames: map[int32]string{}, entityIDs: map[string]int32{},
 		model: inventorymodel.New(inventorymodel.Config{DiscoveryDelay: s.day.DiscoveryDelay.Duration(),
 			RemovalDelay: s.day.RemovalDelay.Duration()})}
 	s.inventory.id = s.engine.add(s.inventory)
--- a/internal/testbed/emulator/tracearrivals_test.go
+++ b/internal/testbed/emulator/tracearrivals_test.go
@@ -26,7 +26,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	report, verdict, err := Judge(context.Background(), day(t, "calm"), Options{Seed: 1, Load: trace})
+	report, verdict, err := RunAndCheck(context.Background(), day(t, "calm"), Options{Seed: 1, Load: trace})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testbed/experiment/execute.go
+++ b/internal/testbed/experiment/execute.go
@@ -108,7 +108,7 @@
 func (e *execution) execute(ctx context.Context, r pendingRun) {
 	design := &e.plan.Designs[r.design]
 	report, err := emulator.Run(ctx, e.plan.days[r.design], emulator.Options{Seed: r.seed,
-		MeasureFrom: e.plan.WarmUpSeconds, Make: design.moduleFactory()})
+		MeasureFrom: e.plan.WarmUpSeconds, NewModule: design.moduleFactory()})
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if err != nil {
--- a/internal/testbed/experiment/measure.go
+++ b/internal/testbed/experiment/measure.go
@@ -9,10 +9,10 @@
 
 // The measures. Waits are in seconds from the intended submission to the first placement.
 const (
-	PlacedShare Measure = "placed"  // share of the submissions that were placed
-	InTimeShare Measure = "in time" // share of the submissions that were placed within their latency objective
-	WaitP50     Measure = "wait p50"
-	WaitP99     Measure = "wait p99"
+	PlacedFraction Measure = "placed"  // share of the submissions that were placed
+	InTimeFraction Measure = "in time" // share of the submissions that were placed within their latency objective
+	WaitP50        Measure = "wait p50"
+	WaitP99        Measure = "wait p99"
 	// OverloadedNodes is the number of nodes that crashed of overload during slow start.
 	OverloadedNodes Measure = "overloaded nodes"
 )
@@ -24,7 +24,7 @@
 const deprecatedOverloadedNodes Measure = "nodes fallen"
 
 // Measures lists all measures in the order of a report.
-var Measures = []Measure{PlacedShare, InTimeShare, WaitP50, WaitP99, OverloadedNodes}
+var Measures = []Measure{PlacedFraction, InTimeFraction, WaitP50, WaitP99, OverloadedNodes}
 
 const microsecondsPerSecond = 1e6
 
@@ -38,7 +38,7 @@
 		inTime += float64(c.InTime)
 	}
 	if submitted > 0 {
-		m[PlacedShare], m[InTimeShare] = placed/submitted, inTime/submitted
+		m[PlacedFraction], m[InTimeFraction] = placed/submitted, inTime/submitted
 	}
 	m[WaitP50], m[WaitP99] = WaitPercentiles(r)
 	return m
--- a/internal/testbed/experiment/statistics.go
+++ b/internal/testbed/experiment/statistics.go
@@ -37,14 +37,14 @@
 	Mean    Estimate
 	// Difference is the mean difference to the first design, over pairs of one seed.
 	Difference Estimate
-	// HigherShare is the share of the seeds on which the value is higher than that of the first design.
-	HigherShare float64
+	// HigherFraction is the share of the seeds on which the value is higher than that of the first design.
+	HigherFraction float64
 	// Values has one value for each seed.
 	Values []float64
 }
 
-// HigherPercent returns HigherShare in percent.
-func (r Row) HigherPercent() float64 { return 100 * r.HigherShare }
+// HigherPercent returns HigherFraction in percent.
+func (r Row) HigherPercent() float64 { return 100 * r.HigherFraction }
 
 // valuesBySeed are the values of one measure of one design.
 type valuesBySeed map[uint64]float64
@@ -99,6 +99,6 @@
 		return false
 	}
 	row.Mean, row.Difference = EstimateMean(row.Values), EstimateMean(differences)
-	row.HigherShare = float64(higher) / float64(len(differences))
+	row.HigherFraction = float64(higher) / float64(len(differences))
 	return true
 }
--- a/internal/testbed/experiment/storedresults_test.go
+++ b/internal/testbed/experiment/storedresults_test.go
@@ -75,7 +75,7 @@
 
 // A new result has the present names beside those of earlier versions, and either is read as the same run.
 func TestStoredResultHasPresentAndDeprecatedNames(t *testing.T) {
-	want := Run{Design: "a", Fingerprint: "f", Seed: 7, Measures: map[Measure]float64{PlacedShare: 0.5, OverloadedNodes: 3}}
+	want := Run{Design: "a", Fingerprint: "f", Seed: 7, Measures: map[Measure]float64{PlacedFraction: 0.5, OverloadedNodes: 3}}
 	var written bytes.Buffer
 	if err := writeRun(&written, &want); err != nil {
 		t.Fatal(err)
--- a/internal/testbed/fault/fault_test.go
+++ b/internal/testbed/fault/fault_test.go
@@ -30,7 +30,7 @@
 
 func (j *journal) ChangeNodeFaults(nodes []int, change NodeFaultChange) {
 	// Fields that a change leaves keep these values.
-	fault := nodemodel.Fault{FailShare: 9, SwellFactor: 9, Crowd: 9, FailClass: "-", SwellClass: "-", SilentClass: "-"}
+	fault := nodemodel.Fault{StartFailureFraction: 9, UsageFactor: 9, OccupiedFraction: 9, StartFailureClass: "-", UsageClass: "-", DropRepliesClass: "-"}
 	change(&fault)
 	j.note("faults %v %v", nodes, fault)
 }
--- a/internal/testbed/fault/handlers.go
+++ b/internal/testbed/fault/handlers.go
@@ -54,26 +54,26 @@
 
 func failStarts(ctx context.Context, f *Fault, cluster Cluster) error {
 	return nodeFault(ctx, f, cluster,
-		func(fault *nodemodel.Fault) { fault.FailShare, fault.FailClass = f.Factor, f.Class },
-		func(fault *nodemodel.Fault) { fault.FailShare, fault.FailClass = 0, "" })
+		func(fault *nodemodel.Fault) { fault.StartFailureFraction, fault.StartFailureClass = f.Factor, f.Class },
+		func(fault *nodemodel.Fault) { fault.StartFailureFraction, fault.StartFailureClass = 0, "" })
 }
 
 func dropReplies(ctx context.Context, f *Fault, cluster Cluster) error {
 	return nodeFault(ctx, f, cluster,
-		func(fault *nodemodel.Fault) { fault.SilentClass = f.Class },
-		func(fault *nodemodel.Fault) { fault.SilentClass = "" })
+		func(fault *nodemodel.Fault) { fault.DropRepliesClass = f.Class },
+		func(fault *nodemodel.Fault) { fault.DropRepliesClass = "" })
 }
 
 func inflateUsage(ctx context.Context, f *Fault, cluster Cluster) error {
 	return nodeFault(ctx, f, cluster,
-		func(fault *nodemodel.Fault) { fault.SwellFactor, fault.SwellClass = f.Factor, f.Class },
-		func(fault *nodemodel.Fault) { fault.SwellFactor, fault.SwellClass = 0, "" })
+		func(fault *nodemodel.Fault) { fault.UsageFactor, fault.UsageClass = f.Factor, f.Class },
+		func(fault *nodemodel.Fault) { fault.UsageFactor, fault.UsageClass = 0, "" })
 }
 
 func occupyNodes(ctx context.Context, f *Fault, cluster Cluster) error {
 	return nodeFault(ctx, f, cluster,
-		func(fault *nodemodel.Fault) { fault.Crowd = f.Factor },
-		func(fault *nodemodel.Fault) { fault.Crowd = 0 })
+		func(fault *nodemodel.Fault) { fault.OccupiedFraction = f.Factor },
+		func(fault *nodemodel.Fault) { fault.OccupiedFraction = 0 })
 }
 
 func dropPrograms(_ context.Context, f *Fault, cluster Cluster) error {
--- a/internal/testbed/load/plan.go
+++ b/internal/testbed/load/plan.go
@@ -14,14 +14,14 @@
 
 // Stream is submissions of one class, the record #Stream of the schema.
 type Stream struct {
-	Class    string              `json:"class"`
-	Tenant   string              `json:"tenant"`
-	Shape    Shape               `json:"shape"`
-	Runtimes RuntimeDistribution `json:"lives"`
-	Services int                 `json:"services"` // number of services that the submissions are spread over
-	HotShare float64             `json:"popular"`  // share of the submissions that goes to the first service, not to a random one
-	Cores    float64             `json:"cores"`    // requested; 0: as the class has it
-	Memory   float64             `json:"memory"`   // requested, in GiB; 0: as the class has it
+	Class              string              `json:"class"`
+	Tenant             string              `json:"tenant"`
+	Shape              Shape               `json:"shape"`
+	Runtimes           RuntimeDistribution `json:"lives"`
+	Services           int                 `json:"services"` // number of services that the submissions are spread over
+	HotServiceFraction float64             `json:"popular"`  // share of the submissions that goes to the first service, not to a random one
+	Cores              float64             `json:"cores"`    // requested; 0: as the class has it
+	Memory             float64             `json:"memory"`   // requested, in GiB; 0: as the class has it
 }
 
 // Plan is a load made of streams, the record #Plan of the schema.
@@ -103,7 +103,7 @@
 			continue
 		}
 		service := services.IntN(max(s.Services, 1))
-		if services.Float64() < s.HotShare {
+		if services.Float64() < s.HotServiceFraction {
 			service = 0
 		}
 		jobs = append(jobs, Job{
--- a/internal/testbed/standin/host/inventory.go
+++ b/internal/testbed/standin/host/inventory.go
@@ -50,17 +50,17 @@
 // WaitFor waits until the list shows a number of nodes.
 func (v *Inventory) WaitFor(ctx context.Context, nodes int) error {
 	for {
-		shown := 0
+		published := 0
 		v.Do(func(m *inventorymodel.Inventory, _ inventorymodel.Time) []inventorymodel.Send {
-			shown = len(m.Shown())
+			published = len(m.Published())
 			return nil
 		})
-		if shown >= nodes {
+		if published >= nodes {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("inventory: %d of %d nodes have registered: %w", shown, nodes, ctx.Err())
+			return fmt.Errorf("inventory: %d of %d nodes have registered: %w", published, nodes, ctx.Err())
 		case <-v.Done():
 			return errInventoryStopped
 		case <-time.After(waitForInterval):
--- a/internal/testbed/standin/host/node.go
+++ b/internal/testbed/standin/host/node.go
@@ -15,7 +15,7 @@
 )
 
 // errFenced closes the connection of a scheduler's earlier start, which may still run.
-var errFenced = errors.New("host: a later life of this party has come")
+var errFenced = errors.New("host: a later incarnation of this party has connected")
 
 // NodeOptions are what a node needs beside its model.
 type NodeOptions struct {
@@ -83,7 +83,7 @@
 		n.state.Die()
 		return
 	}
-	n.options.Log.Warn().Str("node", n.options.Model.Name).Bool("fell_over", n.state.Overloaded()).Msg("node has died")
+	n.options.Log.Warn().Str("node", n.options.Model.Name).Bool("overloaded", n.state.Overloaded()).Msg("node has died")
 }
 
 func (n *Node) close() {
--- a/internal/testbed/standin/inventorymodel/inventory.go
+++ b/internal/testbed/standin/inventorymodel/inventory.go
@@ -55,10 +55,10 @@
 	bySource      map[string][]*registration // by the connection that registered them, in order of registration
 	removals      timerqueue.Heap[*registration]
 
-	listed   map[string]*nodepb.Entry // by node, as schedulers see them
-	revision uint64                   // of the list
-	pending  []change                 // not listed yet, in order of time
-	watchers []string
+	published map[string]*nodepb.Entry // by node, as schedulers see them
+	revision  uint64                   // of the list
+	pending   []change                 // not listed yet, in order of time
+	watchers  []string
 }
 
 // registration is what a node has last registered.
@@ -83,7 +83,7 @@
 		cfg:           cfg,
 		registrations: map[string]*registration{},
 		bySource:      map[string][]*registration{},
-		listed:        map[string]*nodepb.Entry{},
+		published:     map[string]*nodepb.Entry{},
 	}
 }
 
@@ -154,10 +154,10 @@
 	return next
 }
 
-// Shown returns the list as schedulers see it now, in order of the nodes' names.
-func (v *Inventory) Shown() []*nodepb.Entry {
+// Published returns the list as schedulers see it now, in order of the nodes' names.
+func (v *Inventory) Published() []*nodepb.Entry {
 	var all []*nodepb.Entry
-	for _, e := range v.listed {
+	for _, e := range v.published {
 		all = append(all, e)
 	}
 	slices.SortFunc(all, func(a, b *nodepb.Entry) int { return cmp.Compare(a.Node, b.Node) })
@@ -184,7 +184,7 @@
 		v.bySource[from] = append(v.bySource[from], r)
 	}
 	r.entry = e
-	v.listLater(v.now, e)
+	v.publishLater(v.now, e)
 }
 
 // detach takes a registration from its connection.
@@ -197,8 +197,8 @@
 	}
 }
 
-// listLater lists an entry DiscoveryDelay after its change.
-func (v *Inventory) listLater(changed Time, e *nodepb.Entry) {
+// publishLater lists an entry DiscoveryDelay after its change.
+func (v *Inventory) publishLater(changed Time, e *nodepb.Entry) {
 	at := changed + v.cfg.DiscoveryDelay
 	i := len(v.pending)
 	for i > 0 && v.pending[i-1].at > at {
@@ -213,7 +213,7 @@
 	if v.fault.Stale {
 		return
 	}
-	changes := v.listDue()
+	changes := v.publishDue()
 	if len(changes) == 0 {
 		return
 	}
@@ -229,25 +229,25 @@
 		removed.Standing = nodepb.Standing_OUT
 		delete(v.registrations, removed.Node)
 		v.detach(due.Value)
-		v.listLater(due.At(), removed)
+		v.publishLater(due.At(), removed)
 	}
 }
 
-// listDue lists the pending changes that are due and returns those that differ from what was listed.
-func (v *Inventory) listDue() []*nodepb.Entry {
+// publishDue lists the pending changes that are due and returns those that differ from what was listed.
+func (v *Inventory) publishDue() []*nodepb.Entry {
 	var changes []*nodepb.Entry
 	for len(v.pending) > 0 && v.pending[0].at <= v.now {
 		e := v.pending[0].entry
 		v.pending = v.pending[1:]
-		old := v.listed[e.Node]
+		old := v.published[e.Node]
 		if old != nil && (old == e || proto.Equal(old, e)) {
 			continue
 		}
 		v.revision++
 		if e.Standing == nodepb.Standing_OUT {
-			delete(v.listed, e.Node)
+			delete(v.published, e.Node)
 		} else {
-			v.listed[e.Node] = e
+			v.published[e.Node] = e
 		}
 		changes = append(changes, e)
 	}
@@ -260,15 +260,15 @@
 		v.sendError(from)
 		return
 	}
-	v.sendList(from)
+	v.sendSnapshot(from)
 	if changes && !slices.Contains(v.watchers, from) {
 		v.watchers = append(v.watchers, from)
 	}
 }
 
-// sendList sends the complete list, in one frame at least.
-func (v *Inventory) sendList(to string) {
-	rest := v.Shown()
+// sendSnapshot sends the complete list, in one frame at least.
+func (v *Inventory) sendSnapshot(to string) {
+	rest := v.Published()
 	for first := true; first || len(rest) > 0; first = false {
 		count := min(len(rest), v.cfg.MaxEntriesPerFrame)
 		frame := listing(v.revision, first, rest[:count])
--- a/internal/testbed/standin/inventorymodel/inventory_test.go
+++ b/internal/testbed/standin/inventorymodel/inventory_test.go
@@ -79,7 +79,7 @@
 	v.SetFault(1100*ms, Fault{})
 	v.Register(1100*ms, "n5", entry("n5", nodepb.Standing_IN))
 	expect("no watchers after the fault", describe(v.Advance(1300*ms)), "")
-	if names := len(v.Shown()); names != 4 {
+	if names := len(v.Published()); names != 4 {
 		t.Errorf("%d nodes are listed, want 4", names)
 	}
 }
--- a/internal/testbed/standin/nodemodel/fault.go
+++ b/internal/testbed/standin/nodemodel/fault.go
@@ -1,32 +1,32 @@
 package nodemodel
 
-// everyClass as SilentClass stands for all classes.
+// everyClass as DropRepliesClass stands for all classes.
 const everyClass = "*"
 
 // Fault is what goes wrong on a node. The zero value is a node without faults.
 type Fault struct {
-	FailShare   float64 // share of starts that fail at once
-	FailClass   string  // the class whose starts fail; empty: all
-	SilentClass string  // the class whose offers are never answered; "*": all, empty: none
-	SwellFactor float64 // multiplies what tasks use; 0: no change
-	SwellClass  string  // the class whose tasks use more; empty: all
-	Crowd       float64 // share of the machine that another program uses
+	StartFailureFraction float64 // share of starts that fail at once
+	StartFailureClass    string  // the class whose starts fail; empty: all
+	DropRepliesClass     string  // the class whose offers are never answered; "*": all, empty: none
+	UsageFactor          float64 // multiplies what tasks use; 0: no change
+	UsageClass           string  // the class whose tasks use more; empty: all
+	OccupiedFraction     float64 // share of the machine that another program uses
 }
 
-// silences reports whether offers of a class are not answered.
-func (f *Fault) silences(class string) bool {
-	return f.SilentClass == everyClass || f.SilentClass == class && class != ""
+// dropsReplies reports whether offers of a class are not answered.
+func (f *Fault) dropsReplies(class string) bool {
+	return f.DropRepliesClass == everyClass || f.DropRepliesClass == class && class != ""
 }
 
 // failsStart reports whether the start of a task of a class fails; draw is a number drawn from [0, 1).
 func (f *Fault) failsStart(class string, draw float64) bool {
-	return (f.FailClass == "" || f.FailClass == class) && draw < f.FailShare
+	return (f.StartFailureClass == "" || f.StartFailureClass == class) && draw < f.StartFailureFraction
 }
 
 // usageFactor multiplies what tasks of a class use.
 func (f *Fault) usageFactor(class string) float64 {
-	if f.SwellFactor > 0 && (f.SwellClass == "" || f.SwellClass == class) {
-		return f.SwellFactor
+	if f.UsageFactor > 0 && (f.UsageClass == "" || f.UsageClass == class) {
+		return f.UsageFactor
 	}
 	return 1
 }
@@ -35,7 +35,7 @@
 func (n *Node) SetFault(now Time, f Fault) []Send {
 	n.out = nil
 	n.advance(now)
-	f.Crowd = min(max(f.Crowd, 0), 1)
+	f.OccupiedFraction = min(max(f.OccupiedFraction, 0), 1)
 	n.fault = f
 	return n.out
 }
--- a/internal/testbed/standin/nodemodel/node.go
+++ b/internal/testbed/standin/nodemodel/node.go
@@ -31,7 +31,7 @@
 // Each method that takes the time first does what has fallen due by then; a time before the last one counts as the last.
 type Node struct {
 	cfg     Config
-	rng     *rand.Rand
+	random  *rand.Rand
 	now     Time
 	started Time
 	out     []Send // frames of the call in progress
@@ -65,7 +65,7 @@
 	cfg = cfg.withDefaults()
 	return &Node{
 		cfg:        cfg,
-		rng:        rand.New(rand.NewPCG(cfg.Seed, randomStream)),
+		random:     rand.New(rand.NewPCG(cfg.Seed, randomStream)),
 		now:        now,
 		started:    now,
 		tasks:      map[string]*task{},
--- a/internal/testbed/standin/nodemodel/node_test.go
+++ b/internal/testbed/standin/nodemodel/node_test.go
@@ -42,8 +42,8 @@
 	t    *testing.T
 }
 
-func newDriver(t *testing.T, cfg Config, room KeyRegistry) *driver {
-	p := &driver{node: New(cfg, time.Second, room), now: time.Second, t: t}
+func newDriver(t *testing.T, cfg Config, keys KeyRegistry) *driver {
+	p := &driver{node: New(cfg, time.Second, keys), now: time.Second, t: t}
 	if _, ok := p.node.Connect(p.now, "s", 1, 100); !ok {
 		t.Fatal("rejected")
 	}
@@ -177,8 +177,8 @@
 
 // The nodes that share keys accept one copy of a keyed task until it has ended.
 func TestKeys(t *testing.T) {
-	room := NewLocalKeys()
-	p, q := newDriver(t, testConfig(), room), newDriver(t, testConfig(), room)
+	keys := NewLocalKeys()
+	p, q := newDriver(t, testConfig(), keys), newDriver(t, testConfig(), keys)
 	q.node.cfg.Name = "other"
 	keyed := func(o *nodepb.Offer) { o.Task.Key, o.Task.Effect = "k", 1 }
 	p.offer("a", keyed)
@@ -194,7 +194,7 @@
 	// A rejected task leaves no key behind.
 	p.offer("e", func(o *nodepb.Offer) { keyed(o); o.Task.Key, o.Task.Cores = "big", 100 })
 	p.want(p.after(10*ms), "refused e NO_CORES")
-	if !room.Reserve("big", "x") {
+	if !keys.Reserve("big", "x") {
 		t.Error("the key of a rejected task is taken")
 	}
 }
@@ -291,11 +291,11 @@
 			t.Errorf("%q does not contain %q", got, want)
 		}
 	}
-	p.node.SetFault(p.now, Fault{Crowd: 0.3})
+	p.node.SetFault(p.now, Fault{OccupiedFraction: 0.3})
 	if got := p.after(100 * ms); !strings.HasPrefix(got, "ended c LOST EVICTED; note a") {
 		t.Errorf("another program took memory: %q", got)
 	}
-	p.node.SetFault(p.now, Fault{SwellFactor: 2, SwellClass: "c"})
+	p.node.SetFault(p.now, Fault{UsageFactor: 2, UsageClass: "c"})
 	if got := p.after(100 * ms); !strings.HasPrefix(got, "ended b LOST EVICTED") {
 		t.Errorf("tasks swelled: %q", got)
 	}
@@ -304,16 +304,16 @@
 // A fault affects the classes that it names.
 func TestFaults(t *testing.T) {
 	p := newDriver(t, testConfig(), nil)
-	p.node.SetFault(p.now, Fault{SilentClass: "c"})
+	p.node.SetFault(p.now, Fault{DropRepliesClass: "c"})
 	p.offer("a", nil)
 	p.want(p.after(time.Second), "")
-	p.node.SetFault(p.now, Fault{FailShare: 1, FailClass: "other"})
+	p.node.SetFault(p.now, Fault{StartFailureFraction: 1, StartFailureClass: "other"})
 	p.offer("b", nil)
 	p.want(p.after(10*ms), "accepted b")
-	p.node.SetFault(p.now, Fault{FailShare: 1, FailClass: "c"})
+	p.node.SetFault(p.now, Fault{StartFailureFraction: 1, StartFailureClass: "c"})
 	p.offer("c", nil)
 	p.want(p.after(10*ms), "failed c")
-	p.node.SetFault(p.now, Fault{SilentClass: "*"})
+	p.node.SetFault(p.now, Fault{DropRepliesClass: "*"})
 	p.offer("d", nil)
 	p.want(p.after(10*ms), "")
 }
--- a/internal/testbed/standin/nodemodel/offer.go
+++ b/internal/testbed/standin/nodemodel/offer.go
@@ -65,11 +65,11 @@
 // review decides on an offer.
 func (n *Node) review(w *waitingOffer) {
 	offer, spec := w.offer, w.offer.Task
-	if n.fault.silences(spec.Class) {
+	if n.fault.dropsReplies(spec.Class) {
 		return
 	}
 	expired := n.now-w.arrived > time.Duration(offer.ValidForNs) // its scheduler waits no longer
-	if expired || n.draining || !n.takeKey(spec) {
+	if expired || n.draining || !n.reserveKey(spec) {
 		n.reject(w.from, offer, nodepb.Reason_NOT_HERE)
 		return
 	}
@@ -78,7 +78,7 @@
 		n.reject(w.from, offer, reason)
 		return
 	}
-	if n.fault.failsStart(spec.Class, n.rng.Float64()) {
+	if n.fault.failsStart(spec.Class, n.random.Float64()) {
 		n.releaseKey(spec)
 		n.send(w.from, &nodepb.Frame{Body: &nodepb.Frame_Failed{Failed: &nodepb.Failed{Attempt: offer.Attempt,
 			Message: "the start failed", Load: n.loadReport()}}})
@@ -102,15 +102,15 @@
 		Load: n.loadReport()}}})
 }
 
-// takeKey reserves the task's key among the nodes of the zone. It returns false if a copy of the task is there already.
-func (n *Node) takeKey(spec *nodepb.Task) bool {
+// reserveKey reserves the task's key among the nodes of the zone. It returns false if a copy of the task is there already.
+func (n *Node) reserveKey(spec *nodepb.Task) bool {
 	if spec.Key == "" || spec.Effect == effectIdempotent {
 		return true
 	}
 	return n.keys.Reserve(spec.Key, n.cfg.Name)
 }
 
-// releaseKey gives back what takeKey has reserved.
+// releaseKey gives back what reserveKey has reserved.
 func (n *Node) releaseKey(spec *nodepb.Task) { n.keys.Release(spec.Key, n.cfg.Name) }
 
 // fitTask reports whether a task fits, after it has evicted tasks of lower priority if the node does that. If the task
--- a/internal/testbed/standin/nodemodel/task.go
+++ b/internal/testbed/standin/nodemodel/task.go
@@ -77,7 +77,7 @@
 	n.startingTasks--
 	runtime := time.Duration(t.spec.LifeNs)
 	if runtime <= 0 {
-		runtime = time.Duration(float64(n.cfg.DefaultRuntime) * n.rng.ExpFloat64())
+		runtime = time.Duration(float64(n.cfg.DefaultRuntime) * n.random.ExpFloat64())
 	}
 	t.endsAt = n.now + runtime
 	t.coreUsage = n.drawBetween(n.cfg.CoreUsageRange)
@@ -88,7 +88,7 @@
 }
 
 func (n *Node) drawBetween(bounds [2]float64) float64 {
-	return bounds[0] + (bounds[1]-bounds[0])*n.rng.Float64()
+	return bounds[0] + (bounds[1]-bounds[0])*n.random.Float64()
 }
 
 // stop cancels an offer that waits for review, or ends an accepted task. The answer is a Refused for the former and an
@@ -139,5 +139,5 @@
 
 // DropPrograms removes each cached program with a probability of share.
 func (n *Node) DropPrograms(share float64) {
-	n.cachedPrograms = slices.DeleteFunc(n.cachedPrograms, func(string) bool { return n.rng.Float64() < share })
+	n.cachedPrograms = slices.DeleteFunc(n.cachedPrograms, func(string) bool { return n.random.Float64() < share })
 }
--- a/internal/testbed/standin/nodemodel/usage.go
+++ b/internal/testbed/standin/nodemodel/usage.go
@@ -30,8 +30,8 @@
 	return cores, memory
 }
 
-// Use returns what all running tasks use.
-func (n *Node) Use() (cores, memory float64) {
+// Usage returns what all running tasks use.
+func (n *Node) Usage() (cores, memory float64) {
 	for _, t := range n.tasksByAge {
 		if t.running {
 			taskCores, taskMemory := n.usage(t)
@@ -45,10 +45,10 @@
 // updateUsage lets usage drift, evicts tasks while memory is short and sends usage reports.
 func (n *Node) updateUsage() {
 	for _, t := range n.tasksByAge { // a random walk that starts at what the task drew
-		t.coreUsage *= 0.95 + 0.1*n.rng.Float64()
-		t.memoryUsage *= 0.97 + 0.06*n.rng.Float64()
+		t.coreUsage *= 0.95 + 0.1*n.random.Float64()
+		t.memoryUsage *= 0.97 + 0.06*n.random.Float64()
 	}
-	memoryAvailable := n.cfg.Memory * (1 - n.fault.Crowd)
+	memoryAvailable := n.cfg.Memory * (1 - n.fault.OccupiedFraction)
 	n.evictDownTo(memoryAvailable)
 	n.reportUsage(memoryAvailable)
 }
@@ -56,7 +56,7 @@
 // evictDownTo evicts running tasks until the rest uses no more than the available memory.
 func (n *Node) evictDownTo(memoryAvailable float64) {
 	for {
-		_, memory := n.Use()
+		_, memory := n.Usage()
 		if memory <= memoryAvailable {
 			return
 		}
@@ -68,9 +68,9 @@
 
 // reportUsage sends each running task's usage to its scheduler, and what the machine is short of.
 func (n *Node) reportUsage(memoryAvailable float64) {
-	cores, memory := n.Use()
+	cores, memory := n.Usage()
 	level := 1.0
-	if coresAvailable := n.cfg.Cores * (1 - n.fault.Crowd); cores > coresAvailable {
+	if coresAvailable := n.cfg.Cores * (1 - n.fault.OccupiedFraction); cores > coresAvailable {
 		level = coresAvailable / cores
 	}
 	pressure := 1.0
--- a/internal/testbed/standin/scripted/feed.go
+++ b/internal/testbed/standin/scripted/feed.go
@@ -13,9 +13,9 @@
 // heartbeatInterval is how often a feed writes a comment on a call that is otherwise silent.
 const heartbeatInterval = time.Second
 
-// firstListEvent is the number of the first event that a test adds. Event 1 is the configuration's, which the scheduler
+// firstMembershipEvent is the number of the first event that a test adds. Event 1 is the configuration's, which the scheduler
 // has from elsewhere.
-const firstListEvent = 2
+const firstMembershipEvent = 2
 
 // Feed is a control feed, a server of the platform's event stream, whose events a test adds. Each event is written twice,
 // as happens on the platform. Its methods may be called by several goroutines.
@@ -31,15 +31,15 @@
 	repeats  chan int // event numbers
 
 	mu     sync.Mutex
-	events []string // from firstListEvent on
+	events []string // from firstMembershipEvent on
 }
 
 // breakMode is what becomes of a call after a part of an event.
 type breakMode int
 
 const (
-	endCall breakMode = iota
-	keepCallOpen
+	endStream breakMode = iota
+	leaveStreamOpen
 )
 
 // NewFeed starts a feed on a port of its own; Close ends it.
@@ -88,7 +88,7 @@
 			f.mu.Unlock()
 		case mode := <-f.breaks:
 			writeText(w, "id: 99\ndata: {\"n\":99,\"mem") // the start of an event
-			if mode == keepCallOpen {
+			if mode == leaveStreamOpen {
 				<-r.Context().Done()
 			}
 			return
@@ -102,8 +102,8 @@
 func (f *Feed) writeFrom(w io.Writer, first int) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	last := len(f.events) + firstListEvent - 1
-	for number := max(first, firstListEvent); number <= last; number++ {
+	last := len(f.events) + firstMembershipEvent - 1
+	for number := max(first, firstMembershipEvent); number <= last; number++ {
 		f.write(w, number)
 		f.write(w, number)
 	}
@@ -112,7 +112,7 @@
 
 // write writes an event; mu is held.
 func (f *Feed) write(w io.Writer, number int) {
-	writeText(w, fmt.Sprintf("id: %d\ndata: %s\n\n", number, f.events[number-firstListEvent]))
+	writeText(w, fmt.Sprintf("id: %d\ndata: %s\n\n", number, f.events[number-firstMembershipEvent]))
 }
 
 // writeText writes to a caller. One that has gone gets nothing: the context of its call ends.
@@ -121,16 +121,16 @@
 // Publish adds an event that lists nodes, as a complete list or as a change.
 func (f *Feed) Publish(whole bool, nodes ...string) {
 	f.mu.Lock()
-	f.events = append(f.events, Event(len(f.events)+firstListEvent, whole, nodes...))
+	f.events = append(f.events, Event(len(f.events)+firstMembershipEvent, whole, nodes...))
 	f.mu.Unlock()
 	f.added <- struct{}{}
 }
 
 // Break ends the present call in the middle of an event.
-func (f *Feed) Break() { f.breaks <- endCall }
+func (f *Feed) Break() { f.breaks <- endStream }
 
 // Stall stops writing to the present call in the middle of an event, and leaves it open.
-func (f *Feed) Stall() { f.breaks <- keepCallOpen }
+func (f *Feed) Stall() { f.breaks <- leaveStreamOpen }
 
 // Republish writes an old event once more.
 func (f *Feed) Republish(n int) { f.repeats <- n }
--- a/internal/testbed/standin/scripted/node.go
+++ b/internal/testbed/standin/scripted/node.go
@@ -17,10 +17,13 @@
 // channelCapacity is how many messages and events a stand-in keeps for its test; it waits with more.
 const channelCapacity = 1000
 
-// The values of Node.Conns.
+// ConnectionEvent is what happened to a connection of a Node.
+type ConnectionEvent string
+
+// The events of a connection.
 const (
-	connectionOpened = "came"
-	connectionClosed = "went"
+	ConnectionOpened ConnectionEvent = "opened"
+	ConnectionClosed ConnectionEvent = "closed"
 )
 
 // Script is what a node does with a message of a connection. It is called by the goroutine that reads the connection.
@@ -30,8 +33,8 @@
 type Node struct {
 	// Received has each message that was received.
 	Received chan nodebinary.Message
-	// Conns has "came" and "went" for each connection.
-	Conns chan string
+	// ConnectionEvents receives ConnectionOpened and then ConnectionClosed for each connection.
+	ConnectionEvents chan ConnectionEvent
 
 	listener *net.TCPListener
 	script   Script
@@ -49,7 +52,7 @@
 		return nil, fmt.Errorf("scripted: node: %w", err)
 	}
 	n := &Node{listener: listener, script: play, Received: make(chan nodebinary.Message, channelCapacity),
-		Conns: make(chan string, channelCapacity)}
+		ConnectionEvents: make(chan ConnectionEvent, channelCapacity)}
 	n.readers.Go(n.accept)
 	return n, nil
 }
@@ -69,7 +72,7 @@
 		}
 		n.connections = append(n.connections, connection)
 		n.mu.Unlock()
-		n.Conns <- connectionOpened
+		n.ConnectionEvents <- ConnectionOpened
 		n.readers.Go(func() { n.read(connection) })
 	}
 }
@@ -83,7 +86,7 @@
 	for {
 		size, err := connection.Read(received)
 		if err != nil {
-			n.Conns <- connectionClosed
+			n.ConnectionEvents <- ConnectionClosed
 			return
 		}
 		buffer = n.handle(connection, append(buffer, received[:size]...))
