--- a/internal/planner/doc.go
+++ b/internal/planner/doc.go
@@ -1,6 +1,6 @@
-// Package planner owns the arithmetic of capacity: which limit a load meets first on a fleet, at what multiple of the load,
-// what more nodes or fewer would change, and why. It must not do I/O or run anything; internal/testbed/plancheck checks its
+// Package planner computes the capacity of a fleet: which limit a load meets first, at what multiple of the load, and what
+// adding or removing nodes changes. It does no I/O and does not emulate anything; internal/testbed/plancheck checks its
 // predictions by emulation. docs/planner.md describes the method.
 //
-// All functions are pure: they change none of their arguments and may be called by several goroutines.
+// All functions are pure: they do not change their arguments and are safe for concurrent use.
 package planner
--- a/internal/planner/erlang.go
+++ b/internal/planner/erlang.go
@@ -2,23 +2,23 @@
 
 import "math"
 
-// lossFraction is the fraction of jobs that find no capacity at which a limit on capacity counts as met.
+// lossFraction is the fraction of jobs without capacity at which a limit on capacity counts as met.
 const lossFraction = 0.01
 
-// roundingSlack keeps a number of slots that is whole, but for rounding, from being rounded down to the next.
+// roundingSlack is added before rounding down, so that a rounding error does not cost a slot.
 const roundingSlack = 1e-9
 
 // roundDownSlots rounds a number of slots down.
 func roundDownSlots(slots float64) float64 { return math.Floor(slots + roundingSlack) }
 
-// Steps of the searches by bisection: enough that the result no longer changes.
+// Steps of the bisections, after which their results no longer change.
 const (
 	loadSteps      = 60
 	occupancySteps = 50
 )
 
-// loadAtLoss is the offered load, in erlangs, at which a fraction of the arrivals finds all servers busy: Erlang's loss
-// formula, solved for the load.
+// loadAtLoss returns the offered load, in erlangs, at which a fraction of the arrivals finds all servers busy: Erlang's
+// loss formula, solved for the load.
 func loadAtLoss(servers, loss float64) float64 {
 	low, high := 0.0, 2*servers+1
 	for range loadSteps {
@@ -32,7 +32,8 @@
 	return low
 }
 
-// erlangB is Erlang's loss formula: the fraction of arrivals that find all servers busy, for an offered load in erlangs.
+// erlangB returns the fraction of arrivals that find all servers busy, for an offered load in erlangs: Erlang's loss
+// formula.
 func erlangB(servers, load float64) float64 {
 	if load <= 0 {
 		return 0
@@ -44,12 +45,13 @@
 	return loss
 }
 
-// withLoss turns a limit on capacity into the multiple of the load at which lossFraction of the jobs find none.
-// slotsPerNode is how many jobs one node of a group holds; running is how many run at a time now.
+// withLoss sets the multiple of a limit on capacity to that at which lossFraction of the jobs find no capacity. slotsPerNode
+// returns how many jobs a node of a group holds; running is the mean number of running jobs.
 //
-// High: all nodes are one pool, Erlang's loss formula. Low: a job tries MaxAttempts nodes at random and is lost when
-// all are full. A scheduler knows its own part of the load, so the truth lies between, nearer to the pool the fewer
-// schedulers there are: the geometric mean, weighted by one over the root of their number.
+// High assumes that all nodes are one pool: Erlang's loss formula. Low assumes that a job tries MaxAttempts random nodes and
+// is lost if all are full. A scheduler knows the part of the load that it placed itself, so the multiple is between the two,
+// and the closer to High the fewer schedulers there are: the geometric mean, weighted by one over the square root of their
+// number.
 func (f *Fleet) withLoss(l Limit, running float64, slotsPerNode func(*Group) float64) Limit {
 	pool := 0.0
 	for i := range f.Groups {
@@ -65,8 +67,8 @@
 	return l
 }
 
-// carriedByRandomChoice is how many jobs run at a time when each tries MaxAttempts nodes at random and lossFraction of
-// them find all of these full. pool is the number of slots of all nodes.
+// carriedByRandomChoice returns the mean number of running jobs if each job tries MaxAttempts random nodes and lossFraction
+// of the jobs find all of them full. pool is the number of slots of all nodes.
 func (f *Fleet) carriedByRandomChoice(pool float64, slotsPerNode func(*Group) float64) float64 {
 	fullFraction := math.Pow(lossFraction, 1/float64(max(f.MaxAttempts, 1))) // of the nodes that a job tries
 	low, high := 0.0, 8.0                                                    // load offered to each slot
--- a/internal/planner/fleet.go
+++ b/internal/planner/fleet.go
@@ -14,18 +14,18 @@
 	Memory             float64 // requested by one job, in GiB
 	CoreUsage          float64 // cores in use, as a fraction of the request
 	MemoryUsage        float64 // memory in use, as a fraction of the request
-	Services           int     // over which the jobs are divided evenly
-	SpreadDomain       string  // machine, cell or zone, to which MaxPerDomain applies; empty: no limit
+	Services           int     // number of services, over which the jobs are distributed evenly
+	SpreadDomain       string  // machine, cell or zone, to which MaxPerDomain applies; empty means no limit
 	MaxPerDomain       int     // jobs of one service in one domain, for each scheduler
 }
 
-// runningJobs is how many of its jobs run at a time, by Little's law.
+// runningJobs returns the mean number of running jobs of the class, by Little's law.
 func (c *Class) runningJobs() float64 { return c.JobsPerSecond * c.MeanRuntimeSeconds }
 
-// jobsPerService is how many jobs of one service run at a time.
+// jobsPerService returns the mean number of running jobs of one service.
 func (c *Class) jobsPerService() float64 { return c.runningJobs() / float64(max(c.Services, 1)) }
 
-// Group is nodes of one kind in one cell.
+// Group is the nodes of one kind in one cell.
 type Group struct {
 	Name, Kind, Zone string
 	Cell, Count      int
@@ -33,24 +33,24 @@
 	Memory           float64 // of one node, in GiB
 }
 
-// Fleet is nodes, and how they handle offers.
+// Fleet is the nodes and the parameters with which they handle offers.
 type Fleet struct {
 	Groups                []Group
 	Schedulers            int
-	CoreOvercommit        float64 // nodes accept until their tasks request this multiple of their cores
+	CoreOvercommit        float64 // multiple of a node's cores up to which it accepts tasks
 	MemoryOvercommit      float64 // the same for memory
-	OfferReviewSeconds    float64 // to decide on one offer; a node decides on one at a time
-	StartSlots            int     // starts at a time on one node
+	OfferReviewSeconds    float64 // to decide on one offer; a node decides on one offer at a time
+	StartSlots            int     // concurrent starts on one node
 	CachedStartSeconds    float64 // of a start whose program is cached
-	UncachedStartFactor   float64 // multiple of that for a program that is not cached
+	UncachedStartFactor   float64 // multiple of CachedStartSeconds if the program is not cached
 	SlowStartBudget       float64 // offers within OverloadWindowSeconds that a node in slow start withstands
 	OverloadWindowSeconds float64
 	SlowStartSeconds      float64
 	MaxAttempts           int     // of a placement request
-	PlacementsPerSecond   float64 // that one scheduler handles, as measured; 0: no limit
+	PlacementsPerSecond   float64 // that one scheduler handles; zero means no limit
 }
 
-// Nodes is the number of nodes.
+// Nodes returns the number of nodes.
 func (f *Fleet) Nodes() int {
 	count := 0
 	for _, g := range f.Groups {
@@ -59,7 +59,7 @@
 	return count
 }
 
-// capacity is the cores and the memory of all nodes.
+// capacity returns the cores and the memory of all nodes.
 func (f *Fleet) capacity() (cores, memory float64) {
 	for _, g := range f.Groups {
 		cores += float64(g.Count) * g.Cores
@@ -68,12 +68,12 @@
 	return cores, memory
 }
 
-// domains counts the topology domains of a size: machine, cell or zone.
-func (f *Fleet) domains(size string) int {
+// domains returns the number of topology domains of a kind: machine, cell or zone.
+func (f *Fleet) domains(kind string) int {
 	names := map[string]bool{}
 	machines := 0
 	for _, g := range f.Groups {
-		switch size {
+		switch kind {
 		case "machine":
 			machines += g.Count
 		case "cell":
@@ -85,18 +85,18 @@
 	return machines + len(names)
 }
 
-// jobsPerNode is how many jobs of a class the resources of one empty node of a group hold; not rounded.
+// jobsPerNode returns how many jobs of a class fit the resources of an empty node of a group, without rounding.
 func (f *Fleet) jobsPerNode(g *Group, c *Class) float64 {
 	return min(g.Cores*f.CoreOvercommit/c.Cores, g.Memory*f.MemoryOvercommit/c.Memory)
 }
 
-// startSeconds is the mean work of a start: the fewer jobs a service runs, the fewer nodes have its program cached.
+// startSeconds returns the mean duration of a start: the fewer jobs a service runs, the fewer nodes have its program cached.
 func (f *Fleet) startSeconds(c *Class) float64 {
-	cached := 1 - math.Exp(-c.jobsPerService()) // chance that a job of the service runs where the next one is placed
+	cached := 1 - math.Exp(-c.jobsPerService()) // probability that a job of the service runs where the next one is placed
 	return f.CachedStartSeconds * (cached + (1-cached)*max(f.UncachedStartFactor, 1))
 }
 
-// Without is the fleet without the nodes that match. An empty zone or kind, and a cell below 0, match all.
+// Without returns the fleet without the nodes that match. An empty zone or kind, and a cell below zero, match all.
 func (f *Fleet) Without(zone string, cell int, kind string) *Fleet {
 	rest := *f
 	rest.Groups = nil
--- a/internal/planner/limits.go
+++ b/internal/planner/limits.go
@@ -8,37 +8,37 @@
 	"strings"
 )
 
-// LimitName names a kind of limit, as the command prints it.
+// LimitName is a kind of limit. The value is its name in reports.
 type LimitName string
 
 // The kinds of limit.
 const (
 	RequestedCores    LimitName = "requested cores"         // cores that running jobs request
 	RequestedMemory   LimitName = "requested memory"        // memory that running jobs request
-	UsedCores         LimitName = "cores in use"            // beyond it, tasks are served worse
-	UsedMemory        LimitName = "memory in use"           // beyond it, nodes evict tasks
-	StartRate         LimitName = "start rate"              // starts at a time
-	OfferReview       LimitName = "offer review"            // time that nodes take to decide on offers
-	SpreadCapacity    LimitName = "spread capacity"         // jobs of one service within their spread
+	UsedCores         LimitName = "cores in use"            // above it, tasks get fewer cores than they use
+	UsedMemory        LimitName = "memory in use"           // above it, nodes evict tasks
+	StartRate         LimitName = "start rate"              // concurrent starts
+	OfferReview       LimitName = "offer review"            // time that nodes need to decide on offers
+	SpreadCapacity    LimitName = "spread capacity"         // jobs of one service that their spread allows
 	SchedulerCPU      LimitName = "scheduler CPU"           // placements that the schedulers handle
-	ClassCapacity     LimitName = "class capacity"          // jobs of one class that fit the nodes without being divided
+	ClassCapacity     LimitName = "class capacity"          // jobs of one class that fit the nodes
 	NoNodeLargeEnough LimitName = "no node is large enough" // a job requests more than any node has
 )
 
-// Limit is one limit and how far the load is from it.
+// Limit is a limit and the distance of the load from it.
 type Limit struct {
 	Name     LimitName
-	Class    string  // empty: of all classes together
-	Multiple float64 // of the load at which it is met; 0: it is met by any load
-	// Low and High bound Multiple where chance and knowledge matter: a scheduler that knows nothing of the nodes' free
-	// capacity, and one that knows all, reject lossFraction of the jobs there. Elsewhere they equal Multiple.
+	Class    string  // empty means all classes together
+	Multiple float64 // multiple of the load at which the limit is met; zero means that any load meets it
+	// Low and High bound Multiple for limits on capacity: at Low a scheduler without knowledge of the nodes' free capacity
+	// rejects lossFraction of the jobs, at High one with full knowledge does. For other limits they equal Multiple.
 	Low, High    float64
-	LoadFraction float64 // of the limit that the load takes now
-	MovedByNodes bool    // more nodes raise it
+	LoadFraction float64 // fraction of the limit that the present load uses
+	MovedByNodes bool    // whether more nodes raise the limit
 	Reason       string
 }
 
-// String is a line of a table.
+// String returns the limit as a line of a table.
 func (l Limit) String() string {
 	class := "all classes"
 	if l.Class != "" {
@@ -51,7 +51,7 @@
 	return fmt.Sprintf("%-24s %-12s at %6.2f times the load%s: %s", l.Name, class, l.Multiple, interval, l.Reason)
 }
 
-// newLimit is a limit of all classes together, of which the load takes a fraction, with an interval of one point.
+// newLimit returns a limit of all classes together of which the load uses a fraction. Low and High equal Multiple.
 func newLimit(name LimitName, loadFraction float64, movedByNodes bool, reason string, args ...any) Limit {
 	multiple := math.Inf(1)
 	if loadFraction > 0 {
@@ -61,7 +61,7 @@
 		MovedByNodes: movedByNodes, Reason: fmt.Sprintf(reason, args...)}
 }
 
-// demand is what a load takes of a fleet at a time, over all classes.
+// demand is the mean use of a fleet by a load, over all classes.
 type demand struct {
 	running        float64 // jobs
 	cores, memory  float64 // requested
@@ -71,11 +71,11 @@
 	startsInFlight float64
 	coresPerJob    float64 // mean request
 	memoryPerJob   float64
-	reviewTime     float64 // fraction of their time in which nodes decide on offers
+	reviewTime     float64 // fraction of the time in which nodes decide on offers
 }
 
 func demandOf(f *Fleet, load []Class) demand {
-	const leastJobs = 1e-9 // so that an empty load has a mean request
+	const minJobs = 1e-9 // prevents a division by zero for an empty load
 	var d demand
 	for i := range load {
 		c := &load[i]
@@ -88,12 +88,12 @@
 		d.jobsPerSecond += c.JobsPerSecond
 		d.startsInFlight += c.JobsPerSecond * f.startSeconds(c)
 	}
-	d.coresPerJob, d.memoryPerJob = d.cores/max(d.running, leastJobs), d.memory/max(d.running, leastJobs)
+	d.coresPerJob, d.memoryPerJob = d.cores/max(d.running, minJobs), d.memory/max(d.running, minJobs)
 	d.reviewTime = d.jobsPerSecond * f.OfferReviewSeconds / float64(f.Nodes())
 	return d
 }
 
-// Limits lists every limit of a load on a fleet, the first to be met first.
+// Limits returns all limits of a load on a fleet, ordered by the multiple of the load at which they are met.
 func Limits(f *Fleet, load []Class) []Limit {
 	d := demandOf(f, load)
 	limits := f.resourceLimits(&d)
@@ -105,8 +105,7 @@
 	return limits
 }
 
-// resourceLimits are the limits of cores and memory. Where large and small jobs mix, capacity is counted in jobs of the
-// mean size.
+// resourceLimits returns the limits of cores and memory. Capacity is counted in jobs of the mean size.
 func (f *Fleet) resourceLimits(d *demand) []Limit {
 	cores, memory := f.capacity()
 	acceptedCores, acceptedMemory := cores*f.CoreOvercommit, memory*f.MemoryOvercommit
@@ -126,7 +125,7 @@
 	}
 }
 
-// rateLimits are the limits of starts, of offers and of placements.
+// rateLimits returns the limits of starts, of offers and of placements.
 func (f *Fleet) rateLimits(d *demand) []Limit {
 	slots := f.Nodes() * f.StartSlots
 	limits := []Limit{
@@ -143,7 +142,7 @@
 	return limits
 }
 
-// classLimits are the limits of one class.
+// classLimits returns the limits of one class.
 func (f *Fleet) classLimits(c *Class) []Limit {
 	slots := 0.0
 	for i := range f.Groups {
@@ -163,8 +162,8 @@
 	return limits
 }
 
-// spreadLimit is the limit of a class whose jobs of one service are bounded in each domain. Clients submit to any scheduler,
-// so a service's jobs are divided among the schedulers by chance: the largest part of one meets its bound first.
+// spreadLimit returns the limit of a class whose jobs of one service are limited in each domain. Clients submit to any scheduler,
+// so a service's jobs are distributed randomly over the schedulers, and the scheduler with the most meets the limit first.
 func (f *Fleet) spreadLimit(c *Class) Limit {
 	schedulers := max(f.Schedulers, 1)
 	domains := f.domains(c.SpreadDomain)
@@ -177,8 +176,8 @@
 	return l
 }
 
-// First is the first limit of all, and for each class the first that is its own or that of all classes. The limits are in
-// the order of Limits.
+// First returns the first limit, and for each class the first that is its own or that of all classes. limits must be in the
+// order of Limits.
 func First(limits []Limit) (all Limit, byClass map[string]Limit) {
 	byClass = map[string]Limit{}
 	for _, l := range slices.Backward(limits) {
@@ -194,7 +193,7 @@
 	return all, byClass
 }
 
-// FormatLimits is a line of text for each limit.
+// FormatLimits returns a line of text for each limit.
 func FormatLimits(limits []Limit) string {
 	var text strings.Builder
 	for _, l := range limits {
--- a/internal/planner/nodes.go
+++ b/internal/planner/nodes.go
@@ -5,18 +5,18 @@
 	"slices"
 )
 
-// NoNumberOfNodes is the Nodes of a requirement that no number of nodes meets.
+// NoNumberOfNodes as NodeRequirement.Nodes means that no number of nodes is enough.
 const NoNumberOfNodes = -1
 
-// NodeRequirement is how many more nodes of a kind a goal needs.
+// NodeRequirement is the number of additional nodes of a kind that a goal requires.
 type NodeRequirement struct {
 	Kind   string
-	Nodes  int // more than there are now; NoNumberOfNodes: no number of them meets the goal
+	Nodes  int // additional nodes; NoNumberOfNodes if no number is enough
 	Reason string
 }
 
-// RequiredNodes returns, for each kind, how many more nodes of it, divided evenly among the zones, the load times multiple
-// needs. Where a limit that nodes don't raise is in the way, no number is enough, and the reason is that limit.
+// RequiredNodes returns, for each kind, how many additional nodes, distributed evenly over the zones, a multiple of the load
+// requires. If a limit that nodes don't raise is met before, no number is enough, and the reason is that limit.
 func RequiredNodes(f *Fleet, load []Class, multiple float64) []NodeRequirement {
 	var kinds []Group
 	var zones []string
@@ -35,7 +35,7 @@
 	return requirements
 }
 
-// maxAddedNodes bounds the search for a number of nodes.
+// maxAddedNodes limits the search for a number of nodes.
 const maxAddedNodes = 1 << 17
 
 // requiredNodesOfKind doubles the number of nodes until the goal is met, and then narrows it down.
@@ -72,7 +72,7 @@
 	return NodeRequirement{Kind: kind.Kind, Nodes: enough, Reason: reason}
 }
 
-// withNodes is the fleet with more nodes of a kind, divided evenly among the zones.
+// withNodes returns the fleet with additional nodes of a kind, distributed evenly over the zones.
 func (f *Fleet) withNodes(count int, kind Group, zones []string) *Fleet {
 	larger := *f
 	larger.Groups = slices.Clone(f.Groups)
@@ -90,18 +90,18 @@
 	return &larger
 }
 
-// Replacement is what it costs to replace nodes at once.
+// Replacement is the cost of replacing nodes at the same time.
 type Replacement struct {
-	OffersPerSecond      float64 // that one new node gets in slow start, over all schedulers
-	MissingStartFraction float64 // of the fleet's starts that is missing while so many nodes are in slow start
+	OffersPerSecond      float64 // offers that a new node gets in slow start, from all schedulers
+	MissingStartFraction float64 // fraction of the fleet's nodes that are in slow start
 	Reason               string
 }
 
-// windowMargin is by how much schedulers widen the overload window.
+// windowMargin is the factor by which schedulers extend the overload window.
 const windowMargin = 1.5
 
-// ReplacementCost is what it costs to replace so many nodes at once: while they are in slow start, schedulers send them
-// no more offers than they always withstand.
+// ReplacementCost returns the cost of replacing a number of nodes at the same time: while they are in slow start, schedulers
+// send them no more offers than the slow-start budget.
 func (f *Fleet) ReplacementCost(nodes int) Replacement {
 	offersPerSecond := 0.0
 	if f.OverloadWindowSeconds > 0 {
--- a/internal/testbed/chart/chart.go
+++ b/internal/testbed/chart/chart.go
@@ -1,4 +1,4 @@
-// Package chart draws measured series as line charts in SVG files. It does not measure anything.
+// Package chart draws series of measurements as line charts in SVG files.
 package chart
 
 import (
@@ -30,7 +30,7 @@
 	X, Y []float64
 }
 
-// Chart is lines over common axes.
+// Chart is a line chart.
 type Chart struct {
 	Title          string
 	XLabel, YLabel string // of the axes
@@ -38,7 +38,7 @@
 	Lines          []Line
 }
 
-// Write draws the chart into an SVG file, which it replaces.
+// Write writes the chart to an SVG file, which is replaced if it exists.
 func (c *Chart) Write(path string) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = c.Title, c.XLabel, c.YLabel
@@ -66,7 +66,7 @@
 	return appendEmptyLine(path)
 }
 
-// addLine adds line i with its color, dashes and markers.
+// addLine adds a line to the plot; i determines its color, dashes and markers.
 func addLine(p *plot.Plot, i int, l *Line) error {
 	points := make(plotter.XYs, len(l.X))
 	for j := range l.X {
@@ -83,7 +83,7 @@
 	return nil
 }
 
-// appendEmptyLine ends the file with an empty line: the figures that are stored end so.
+// appendEmptyLine appends an empty line to the file, with which the stored figures end.
 func appendEmptyLine(path string) error {
 	file, err := os.OpenFile(path, os.O_APPEND|os.O_WRONLY, 0)
 	if err != nil {
--- a/internal/testbed/countformat/countformat.go
+++ b/internal/testbed/countformat/countformat.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Format lists counts by name, as "a 1, b 2"; "none" without any.
+// Format returns the counts ordered by name, as "a 1, b 2", or "none" if there are none.
 func Format(counts map[string]int) string {
 	if len(counts) == 0 {
 		return "none"
--- a/internal/testbed/emulator/clients.go
+++ b/internal/testbed/emulator/clients.go
@@ -11,10 +11,10 @@
 	"flaxshelf.example/flaxshelf/internal/timerqueue"
 )
 
-// outcomeGrace is how much longer than its outcome is due a client waits for it, as in trials.
+// outcomeGrace is how long a client waits for an outcome after it is due, as in trials.
 const outcomeGrace = 2 * time.Second
 
-// warmUp is simulated time before the day begins, in which schedulers connect.
+// warmUp is the simulated time before the day begins, in which schedulers connect.
 const warmUp = 500 * time.Millisecond
 
 // resubmitDelay is how long a client waits until it submits a job again to a scheduler that was killed.
@@ -44,14 +44,14 @@
 	ok       bool
 }
 
-// submitted is a submission with what its client knows of it.
+// submitted is a submission and the state that its client has of it.
 type submitted struct {
 	arrival     scenario.Arrival
 	spec        scheduler.Spec
 	job         string
 	outcome     scheduler.Outcome
-	end         string // how it ended other than by an outcome
-	lastOutcome string // of a request after which its client retries
+	end         string // how it ended without an outcome; empty: it is open or has one
+	lastOutcome string // of the last request that its client retried
 	orphaned    bool   // its scheduler was killed
 	due         Time   // when it is accounted for
 	closed      bool
@@ -90,7 +90,7 @@
 	return due
 }
 
-// arrivalTime is when a submission is intended to be sent.
+// arrivalTime returns when a submission is intended to be sent.
 func arrivalTime(arrival *scenario.Arrival) Time { return Epoch + warmUp + arrival.At }
 
 // setTimer has fire called at a time. Timers of the same time fire in the order in which they were set.
@@ -128,7 +128,7 @@
 	c.setTimer(s.due, func(Time, *outbox) { c.close(s) })
 }
 
-// spec is what a client submits, with what the class gives a job that names none.
+// spec returns the job that a client submits, with the defaults of its class.
 func (c *clients) spec(arrival *scenario.Arrival) scheduler.Spec {
 	set, load := c.simulation.schedulers[arrival.Scheduler].settings, arrival.Load
 	spec := scheduler.Spec{Key: arrival.Key, Session: "", Name: load.Class, Service: arrival.Service,
@@ -150,7 +150,7 @@
 	out.send(c.latency.deliveryTime(now, to), to, submission{s.spec})
 }
 
-// The ends of submissions that have no outcome, in the report.
+// The ends in the report of submissions without an outcome.
 const (
 	endRejected  = "rejected: " // and the error code
 	endKilled    = "its scheduler was killed"
@@ -194,7 +194,7 @@
 	}
 }
 
-// answered takes the answer to a submission.
+// answered handles the answer to a submission.
 func (c *clients) answered(a *answer, now Time) {
 	s := c.submissions[a.key]
 	if s == nil {
@@ -229,7 +229,8 @@
 	}
 }
 
-// retry submits a job again that was not placed, while its client's patience lasts.
+// retry resubmits a job that was not placed, after a backoff. It returns false if the load does not retry or its
+// client's patience would end first.
 func (c *clients) retry(s *submitted, now Time) bool {
 	backoff := s.arrival.Load.Retry.Duration()
 	if backoff <= 0 {
@@ -244,7 +245,7 @@
 	return true
 }
 
-// openSubmissions lists the open submissions in the order of their times and keys.
+// openSubmissions returns the open submissions in the order of their times and keys.
 func (c *clients) openSubmissions() []*submitted {
 	open := make([]*submitted, 0, len(c.submissions))
 	for _, s := range c.submissions {
@@ -256,7 +257,7 @@
 	return open
 }
 
-// resubmit submits a job again whose scheduler was killed, while its client still waits.
+// resubmit submits a job again whose scheduler was killed, unless its client has stopped waiting by then.
 func (c *clients) resubmit(s *submitted, now Time) {
 	at := now + resubmitDelay
 	if at >= s.due-outcomeGrace {
@@ -270,7 +271,7 @@
 	})
 }
 
-// command terminates some jobs, and holds and releases some, as the load has it.
+// command terminates, or holds and later releases, the fractions of the jobs that the load sets.
 func (c *clients) command(s *submitted, now Time) {
 	load := s.arrival.Load
 	later := now + s.arrival.ControlDelay
@@ -290,7 +291,7 @@
 	})
 }
 
-// outcomeReceived takes an event of a job.
+// outcomeReceived handles an event of a job.
 func (c *clients) outcomeReceived(notice *outcomeNotice) {
 	info := &notice.info
 	if info.State.Ended() {
@@ -304,7 +305,7 @@
 	}
 	canceled, placed := info.Outcome == scheduler.OutcomeCanceled, info.Outcome == scheduler.OutcomePlaced
 	if canceled && s.arrival.ControlDraw >= s.arrival.Load.Terminate {
-		return // held by its client: another request follows
+		return // its client holds it: releasing it starts another request
 	}
 	if !placed && !canceled && c.retry(s, notice.at) {
 		s.lastOutcome = string(info.Outcome)
--- a/internal/testbed/emulator/effects.go
+++ b/internal/testbed/emulator/effects.go
@@ -5,7 +5,7 @@
 	"flaxshelf.example/flaxshelf/internal/scheduler"
 )
 
-// execute carries out an effect of the core.
+// execute executes an effect of the core.
 func (s *schedulerEntity) execute(effect scheduler.Effect, now Time, out *outbox) {
 	switch e := effect.(type) {
 	case scheduler.SendOffer:
@@ -42,7 +42,7 @@
 	}
 }
 
-// sendNode reports whether the node is connected; if not, the frame is lost.
+// sendNode sends a frame to a node. It returns false, and drops the frame, if the node is not connected.
 func (s *schedulerEntity) sendNode(node string, f frame, now Time, out *outbox) bool {
 	l := s.links[node]
 	if l == nil || !l.up {
--- a/internal/testbed/emulator/emulator.go
+++ b/internal/testbed/emulator/emulator.go
@@ -1,6 +1,6 @@
 // Package emulator runs simulated clusters: the schedulers' cores, the node models and the inventory model, which are the
-// very code that runs on sockets, under one simulated clock. One seed gives one trace, whatever the number of workers. To
-// keep that, the package must not read a clock or open sockets.
+// same code that runs on sockets, under one simulated clock. A seed determines the trace, whatever the number of workers;
+// therefore the package must not read a clock or open sockets.
 package emulator
 
 import (
@@ -18,11 +18,11 @@
 
 // Options are how a day is emulated.
 type Options struct {
-	// Seed of all that is drawn.
+	// Seed determines all random numbers.
 	Seed uint64
-	// Workers is the number of goroutines that run entities; 0 is one.
+	// Workers is the number of goroutines that run entities. Zero means one.
 	Workers int
-	// Record, when set, gets a recording for rules.Check; with one worker only.
+	// Record, when set, receives a recording for rules.Check. It requires one worker.
 	Record io.Writer
 	// NewModule returns the module of each scheduler; nil means flaxshelf.New.
 	NewModule func(cfg flaxshelf.Config, seed uint64) (scheduler.Module, error)
@@ -30,13 +30,14 @@
 	ConfigureCore func(cfg *scheduler.Config)
 	// Load, when set, replaces the day's own load; the day lasts at least as long.
 	Load *load.Trace
-	// MeasureFrom leaves submissions before so many seconds out of the classes' figures, while the fleet fills.
+	// MeasureFrom is the time in seconds from which on submissions count in the reports of the classes. Those before it
+	// only fill the fleet.
 	MeasureFrom float64
-	// Progress, when set, is called with the simulated seconds now and then.
+	// Progress, when set, is called with the simulated seconds every 1,000 windows.
 	Progress func(seconds float64)
 }
 
-// OptionsError is a combination of a day and options that can't be emulated.
+// OptionsError is returned for a combination of a day and options that can't be emulated.
 type OptionsError struct {
 	Option string // a field of Options or of the day
 	Value  any
@@ -48,14 +49,14 @@
 	return fmt.Sprintf("emulator: %s %v %s", e.Option, e.Value, e.Reason)
 }
 
-// How often Run does other things than simulate, in windows.
+// Intervals, in windows, of the calls of Options.Progress and of the checks of the context.
 const (
 	progressWindows    = 1000
 	cancelCheckWindows = 256
 )
 
-// Run emulates a day. The error is that of the context, an *OptionsError, a *fault.Error for a fault that needs sockets, or
-// one of a core or the recording.
+// Run emulates a day. It returns the error of the context, an *OptionsError, the error of a fault that the emulator does
+// not support, or an error of a core or of writing the recording.
 func Run(ctx context.Context, d *scenario.Day, opt Options) (*Report, error) {
 	s, err := newSimulation(d, opt)
 	if err != nil {
@@ -91,7 +92,7 @@
 	return s.report(end), nil
 }
 
-// RunAndCheck emulates a day and has rules.Check read its recording. It replaces opt.Record.
+// RunAndCheck emulates a day and checks its recording with rules.Check. opt.Record is ignored.
 func RunAndCheck(ctx context.Context, d *scenario.Day, opt Options) (*Report, *rules.Verdict, error) {
 	recording, out := io.Pipe()
 	type checked struct {
@@ -99,7 +100,7 @@
 		err     error
 	}
 	done := make(chan checked, 1)
-	go func() { // ends when the pipe is closed below
+	go func() { // ends when the pipe is closed
 		verdict, err := rules.Check(recording)
 		_ = recording.CloseWithError(err) // it never fails
 		done <- checked{verdict, err}
--- a/internal/testbed/emulator/engine.go
+++ b/internal/testbed/emulator/engine.go
@@ -11,20 +11,20 @@
 // Time is simulated time in nanoseconds of Unix time.
 type Time = time.Duration
 
-// Epoch is when every simulated day begins.
+// Epoch is the simulated time at which every day begins.
 const Epoch = Time(1_800_000_000) * time.Second
 
-// window is the step of the engine, and the least time that a message takes. What entities do within one window can't
-// reach another entity before the next, so all of them can run at once and in any order.
+// window is the step of the engine, and the minimum latency of a message. What an entity does within one window can't
+// reach another entity before the next, so all entities of a window may run concurrently and in any order.
 const window = time.Millisecond
 
 // entity is one party of a simulated cluster. Its methods are called by one worker at a time.
 type entity interface {
-	// receive is called with a message; those of one sender come in the order of their times.
+	// receive queues a message. Messages of one sender are received in the order of their times.
 	receive(m message)
-	// run does all that is due before the end of a window.
+	// run does everything that is due before the end of a window.
 	run(end Time, out *outbox)
-	// nextDue is when something falls due; math.MaxInt64 for nothing.
+	// nextDue returns when something is due next; math.MaxInt64 if nothing is.
 	nextDue() Time
 }
 
@@ -60,7 +60,7 @@
 	return &engine{wheel: newWheel(wheelBits), workers: max(workers, 1)}
 }
 
-// add returns the number of the entity.
+// add adds an entity and returns its number.
 func (e *engine) add(added entity) int32 {
 	id := int32(len(e.entities))
 	e.entities = append(e.entities, added)
@@ -85,7 +85,8 @@
 	e.wheel.add(due, id)
 }
 
-// run goes on until the given time, or until stop, which is called after each window, returns true.
+// run runs the entities until the given time, until nothing is due, or until stop, which is called before each window,
+// returns true.
 func (e *engine) run(until Time, stop func() bool) {
 	for id := range e.entities {
 		e.schedule(int32(id), e.entities[id].nextDue())
@@ -98,7 +99,7 @@
 		}
 		due = due[:0]
 		for _, id := range ids {
-			if e.queued[id] == number { // others were queued again for sooner, or are repeats
+			if e.queued[id] == number { // else it was queued again for an earlier window, or is a duplicate
 				e.queued[id] = notQueued
 				due = append(due, id)
 			}
@@ -108,7 +109,7 @@
 	}
 }
 
-// minParallel is how many entities for each worker are worth the start of goroutines.
+// minParallel is the number of due entities for each worker from which on a window is run by several goroutines.
 const minParallel = 4
 
 // runWindow runs the entities that are due and delivers their messages, in the order of their numbers.
@@ -135,7 +136,7 @@
 
 func (e *engine) deliver(out *outbox, end Time) {
 	for _, m := range out.messages {
-		m.at = max(m.at, end) // a message takes a window at least
+		m.at = max(m.at, end) // the minimum latency
 		e.entities[m.to].receive(m)
 		e.schedule(m.to, m.at)
 	}
@@ -144,7 +145,7 @@
 	out.messages = out.messages[:0]
 }
 
-// runParallel shares the due entities out among the workers: those of a group as one batch, the rest one by one.
+// runParallel distributes the due entities among the workers: those of a group as one batch, the others one by one.
 func (e *engine) runParallel(due []int32, end Time) {
 	var batches [][]int32
 	batchOfGroup := map[int32]int{}
--- a/internal/testbed/emulator/faults.go
+++ b/internal/testbed/emulator/faults.go
@@ -10,15 +10,15 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/standin/inventorymodel"
 )
 
-// faultInjector sends the actions of the scenario's faults at their times. It is an entity whose actions travel like
-// messages. They are all planned before the simulation runs.
+// faultInjector is the entity that sends the actions of the scenario's faults, as messages, at their times. All actions
+// are planned before the simulation runs.
 type faultInjector struct {
 	id         int32
 	simulation *simulation
 	actions    []plannedAction // in the order of their times
 }
 
-// plannedAction is one message to some entities.
+// plannedAction is a message to several entities.
 type plannedAction struct {
 	at   Time
 	to   []int32
@@ -44,7 +44,7 @@
 	}
 }
 
-// plan lays out the whole scenario: the first starts of the schedulers and all faults.
+// plan plans the whole scenario: the first starts of the schedulers and all faults.
 func (f *faultInjector) plan(ctx context.Context) error {
 	s := f.simulation
 	starts := &faultPlan{injector: f, now: Epoch}
@@ -64,13 +64,13 @@
 	return nil
 }
 
-// faultPlan is the simulated cluster as a fault.Cluster: it plans the actions of one fault, and time passes by its waits.
+// faultPlan implements fault.Cluster by planning the actions of one fault. Its time advances by its waits.
 type faultPlan struct {
 	injector *faultInjector
 	now      Time
 }
 
-// Wait has the next action come later. There is nothing to cancel while a scenario is planned.
+// Wait implements fault.Cluster: it delays the next actions. It returns at once.
 func (p *faultPlan) Wait(_ context.Context, duration time.Duration) { p.now += duration }
 
 func (p *faultPlan) send(body any, to ...int32) {
@@ -95,67 +95,68 @@
 
 func (p *faultPlan) sendClients(body any) { p.send(body, p.injector.simulation.clients.id) }
 
-// ChangeNodeFaults is of fault.Cluster.
+// ChangeNodeFaults implements fault.Cluster.
 func (p *faultPlan) ChangeNodeFaults(nodes []int, change fault.NodeFaultChange) {
 	p.sendNodes(nodes, changeNodeFault{change})
 }
 
-// DropPrograms is of fault.Cluster.
+// DropPrograms implements fault.Cluster.
 func (p *faultPlan) DropPrograms(nodes []int, share float64) { p.sendNodes(nodes, dropPrograms{share}) }
 
-// DrainNodes is of fault.Cluster.
+// DrainNodes implements fault.Cluster.
 func (p *faultPlan) DrainNodes(nodes []int) { p.sendNodes(nodes, drainNode{}) }
 
-// StopNodes is of fault.Cluster.
+// StopNodes implements fault.Cluster.
 func (p *faultPlan) StopNodes(nodes []int) { p.sendNodes(nodes, stopNode{}) }
 
-// StartNodes is of fault.Cluster.
+// StartNodes implements fault.Cluster.
 func (p *faultPlan) StartNodes(_ context.Context, nodes []int) error {
 	p.sendNodes(nodes, startNode{})
 	return nil
 }
 
-// RestartNodes is of fault.Cluster.
+// RestartNodes implements fault.Cluster.
 func (p *faultPlan) RestartNodes(_ context.Context, nodes []int) error {
 	p.sendNodes(nodes, restartNode{})
 	return nil
 }
 
-// PauseSchedulers is of fault.Cluster. The message has the end of the pause, since a paused scheduler takes no message.
+// PauseSchedulers implements fault.Cluster. The message has the end of the pause, since a paused scheduler handles no
+// message.
 func (p *faultPlan) PauseSchedulers(schedulers []int, duration time.Duration) {
 	p.sendSchedulers(schedulers, pauseScheduler{until: p.now + duration})
 }
 
-// ResumeSchedulers is of fault.Cluster: a pause ends by itself.
+// ResumeSchedulers implements fault.Cluster. It does nothing: PauseSchedulers has set the end of the pause.
 func (p *faultPlan) ResumeSchedulers([]int) {}
 
-// KillSchedulers is of fault.Cluster.
+// KillSchedulers implements fault.Cluster.
 func (p *faultPlan) KillSchedulers(schedulers []int) { p.sendSchedulers(schedulers, killScheduler{}) }
 
-// TerminateSchedulers is of fault.Cluster. It takes as long as a scheduler may.
+// TerminateSchedulers implements fault.Cluster. It waits for the shutdown timeout.
 func (p *faultPlan) TerminateSchedulers(schedulers []int) error {
 	p.sendSchedulers(schedulers, terminateScheduler{})
 	p.now += p.injector.simulation.day.Limits.ShutdownTimeout.Duration()
 	return nil
 }
 
-// StartSchedulers is of fault.Cluster.
+// StartSchedulers implements fault.Cluster.
 func (p *faultPlan) StartSchedulers(_ context.Context, schedulers []int) error {
 	p.sendSchedulers(schedulers, startScheduler{})
 	return nil
 }
 
-// SetLoadFactor is of fault.Cluster.
+// SetLoadFactor implements fault.Cluster.
 func (p *faultPlan) SetLoadFactor(class string, factor float64) {
 	p.sendClients(loadFactor{class: class, factor: factor})
 }
 
-// SetHotServiceShare is of fault.Cluster.
+// SetHotServiceShare implements fault.Cluster.
 func (p *faultPlan) SetHotServiceShare(class string, share float64) {
 	p.sendClients(hotServiceShare{class: class, share: share})
 }
 
-// SetInventoryFault is of fault.Cluster.
+// SetInventoryFault implements fault.Cluster.
 func (p *faultPlan) SetInventoryFault(inventoryFault inventorymodel.Fault) {
 	p.send(inventoryFault, p.injector.simulation.inventory.id)
 }
--- a/internal/testbed/emulator/inbox.go
+++ b/internal/testbed/emulator/inbox.go
@@ -6,12 +6,12 @@
 	"slices"
 )
 
-// inbox keeps messages in the order of their times. New ones are only noted; they are sorted in when the next is wanted,
-// all at once, since a busy party gets hundreds in one window in no order.
+// inbox is a queue of messages in the order of their times. New messages are appended unsorted and are sorted together when
+// the next message is requested, since a busy entity receives hundreds in one window in no order.
 type inbox struct {
 	sorted        []message
 	unsorted      []message
-	firstUnsorted Time // the least time of unsorted
+	firstUnsorted Time // the earliest time in unsorted
 	taken         []message
 }
 
@@ -26,7 +26,7 @@
 
 func compareMessageTime(m message, t Time) int { return cmp.Compare(m.at, t) }
 
-// merge sorts the new ones in, behind others of the same time.
+// merge sorts the new messages in, behind others of the same time.
 func (b *inbox) merge() {
 	if len(b.unsorted) == 0 {
 		return
@@ -44,7 +44,7 @@
 	b.unsorted = b.unsorted[:0]
 }
 
-// due takes the messages before end. They are valid until the next call.
+// due removes and returns the messages before end. The slice is valid until the next call.
 func (b *inbox) due(end Time) []message {
 	if b.nextDue() >= end {
 		return nil
@@ -57,7 +57,7 @@
 	return b.taken
 }
 
-// pop takes the first message; there must be one.
+// pop removes and returns the first message. The inbox must not be empty.
 func (b *inbox) pop() message {
 	b.merge()
 	m := b.sorted[0]
@@ -68,7 +68,7 @@
 
 // modelEntity is an entity that runs a model on messages from an inbox.
 type modelEntity interface {
-	// modelNextDue returns when the model has something due; math.MaxInt64 for nothing.
+	// modelNextDue returns when the model has something due next; math.MaxInt64 if it has nothing.
 	modelNextDue() Time
 	// advance does what the model has due at now.
 	advance(now Time, out *outbox)
@@ -76,8 +76,8 @@
 	handle(m message, out *outbox)
 }
 
-// runModel does what is due before end, what the model has due and the messages, in the order of their times. What the
-// model has due precedes a message of the same time.
+// runModel advances the model and handles messages, in the order of their times, until end. What the model has due
+// precedes a message of the same time.
 func (b *inbox) runModel(e modelEntity, end Time, out *outbox) {
 	for {
 		messageAt, modelAt := b.nextDue(), e.modelNextDue()
@@ -93,7 +93,7 @@
 	}
 }
 
-// nextDue is the time of the first message; math.MaxInt64 for none.
+// nextDue returns the time of the first message; math.MaxInt64 if there is none.
 func (b *inbox) nextDue() Time {
 	next := Time(math.MaxInt64)
 	if len(b.sorted) > 0 {
--- a/internal/testbed/emulator/inventory.go
+++ b/internal/testbed/emulator/inventory.go
@@ -2,7 +2,7 @@
 
 import "flaxshelf.example/flaxshelf/internal/testbed/standin/inventorymodel"
 
-// inventory is the inventory model as an entity. The model knows the other entities by their names.
+// inventory is the entity that runs the inventory model. The model knows the other entities by their names.
 type inventory struct {
 	id          int32
 	simulation  *simulation
--- a/internal/testbed/emulator/link.go
+++ b/internal/testbed/emulator/link.go
@@ -16,9 +16,9 @@
 	up         bool
 	dialing    bool
 	retryAt    Time
-	failures   int // since it was up
+	failures   int // failed or broken connections since it was last up
 	front      *nodefront.Node
-	connection uint64 // in the recording; 0: none
+	connection uint64 // its number in the recording; 0 without a recording
 }
 
 func (l *link) isOpen() bool { return l.up || l.dialing }
@@ -30,7 +30,7 @@
 	maxBackoffBits = 10 // doublings, far above maxBackoff
 )
 
-// connect opens the link to a node, or keeps it.
+// connect opens the link to a node, unless it is open.
 func (s *schedulerEntity) connect(node string, now Time, out *outbox) {
 	l := s.links[node]
 	if l == nil {
@@ -63,13 +63,14 @@
 	l.connection = s.recorder.dialed(s, l.name, now)
 }
 
-// incarnationID is what the scheduler's hello says of its incarnation; a later one has a larger one.
+// incarnationID returns the number of the scheduler's incarnation in its hello frames. Later incarnations have larger
+// numbers.
 func (s *schedulerEntity) incarnationID() int64 { return int64(Epoch) + int64(s.incarnations) }
 
-// redial dials the links whose backoff ends before the end of a window.
+// redial dials the links whose backoff ends before end.
 func (s *schedulerEntity) redial(end Time, out *outbox) {
 	s.nextDialAt = math.MaxInt64
-	for _, name := range s.simulation.nodeNames { // in one order, whatever the map's
+	for _, name := range s.simulation.nodeNames { // the order must not be that of a map
 		l := s.links[name]
 		if l == nil || !l.wanted || l.isOpen() {
 			continue
@@ -82,7 +83,8 @@
 	}
 }
 
-// linkLost has a link wait for its next dial.
+// linkLost closes a link that has broken and sets the backoff until its next dial. It returns the core's input; nil for
+// an entity that is not a node.
 func (s *schedulerEntity) linkLost(node int32, now Time) scheduler.Input {
 	l := s.linksByEntity[node]
 	if l == nil {
--- a/internal/testbed/emulator/message.go
+++ b/internal/testbed/emulator/message.go
@@ -9,27 +9,27 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/fault"
 )
 
-// message is what one entity sends another. Its body is of one of the types below, or an inventorymodel.Fault.
+// message is a message between entities. Its body is of one of the types below, or an inventorymodel.Fault.
 type message struct {
 	at       Time // when it is delivered
 	from, to int32
 	body     any
 }
 
-// Between schedulers, nodes and the inventory.
+// The messages between schedulers, nodes and the inventory.
 type (
 	// connect requests a connection, with the hello of the scheduler that dials.
 	connect struct {
 		scheduler   string
 		incarnation int64
 	}
-	// disconnected is that a connection has broken or could not be made.
+	// disconnected reports that a connection has broken or could not be opened.
 	disconnected struct{}
 	// frame is a frame on a connection.
 	frame struct{ *nodepb.Frame }
 )
 
-// From clients to schedulers.
+// The messages from clients to schedulers.
 type (
 	submission struct{ spec scheduler.Spec }
 	command    struct {
@@ -38,26 +38,26 @@
 	}
 )
 
-// From schedulers to clients.
+// The messages from schedulers to clients.
 type (
 	// answer is the response to a submission: a job or an error code.
 	answer struct {
 		key, job, errorCode string
 		scheduler           int
 	}
-	// outcomeNotice is an event of a job.
+	// outcomeNotice reports an event of a job.
 	outcomeNotice struct {
 		info scheduler.Info
 		at   Time
 	}
-	// schedulerKilled is that the connections to a scheduler have broken.
+	// schedulerKilled reports that the connections to a scheduler have broken.
 	schedulerKilled struct{ scheduler int }
 )
 
-// unreachableCode is the error code of an answer for a scheduler that does not run.
+// unreachableCode is the error code of the answer to a submission to a scheduler that does not run.
 const unreachableCode = "unreachable"
 
-// From the fault injector to nodes.
+// The messages from the fault injector to nodes.
 type (
 	stopNode        struct{}
 	startNode       struct{}
@@ -67,7 +67,7 @@
 	dropPrograms    struct{ share float64 }
 )
 
-// From the fault injector to schedulers.
+// The messages from the fault injector to schedulers.
 type (
 	startScheduler     struct{}
 	killScheduler      struct{}
@@ -75,7 +75,7 @@
 	pauseScheduler     struct{ until Time }
 )
 
-// From the fault injector to the clients.
+// The messages from the fault injector to the clients.
 type (
 	loadFactor struct {
 		class  string
@@ -87,26 +87,26 @@
 	}
 )
 
-// latencyModel gives messages of one sender their delivery times: a least latency, jitter, and the order kept on each
-// way.
+// latencyModel draws the delivery times of the messages of one sender: a minimum latency with jitter. Messages to one
+// entity keep their order.
 type latencyModel struct {
 	random       *rand.Rand
-	least        time.Duration
+	minimum      time.Duration
 	jitter       time.Duration
 	lastDelivery map[int32]Time
 }
 
-// latencyStream keeps the draws of latencies apart from the other draws of a seed.
+// latencyStream separates the random numbers of latencies from the others of a seed.
 const latencyStream = 0xfeed << 20
 
 func newLatencyModel(seed uint64, sender int32) *latencyModel {
-	return &latencyModel{random: rand.New(rand.NewPCG(seed, latencyStream|uint64(sender))), least: window, jitter: window,
+	return &latencyModel{random: rand.New(rand.NewPCG(seed, latencyStream|uint64(sender))), minimum: window, jitter: window,
 		lastDelivery: map[int32]Time{}}
 }
 
-// deliveryTime is when a message that is sent now reaches an entity.
+// deliveryTime returns when a message that is sent now is delivered to an entity.
 func (l *latencyModel) deliveryTime(now Time, to int32) Time {
-	at := max(now+l.least+time.Duration(l.random.Int64N(int64(l.jitter))), l.lastDelivery[to])
+	at := max(now+l.minimum+time.Duration(l.random.Int64N(int64(l.jitter))), l.lastDelivery[to])
 	l.lastDelivery[to] = at
 	return at
 }
--- a/internal/testbed/emulator/node.go
+++ b/internal/testbed/emulator/node.go
@@ -12,13 +12,13 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/standin/nodemodel"
 )
 
-// registerInterval is how often a node reports its state to the inventory, as on sockets.
+// registerInterval is the interval at which a node reports its state to the inventory, as on sockets.
 const registerInterval = 500 * time.Millisecond
 
 // nodeSeedStride keeps the seeds of the incarnations of different nodes apart.
 const nodeSeedStride = 1000
 
-// nodeEntity is a node of the fleet, with a node model for each incarnation; there is none while it is stopped.
+// nodeEntity is a node of the fleet. It has a model for each incarnation, and none while it is stopped.
 type nodeEntity struct {
 	simulation   *simulation
 	id           int32
@@ -36,7 +36,7 @@
 
 	registerAt    Time
 	overloads     int // incarnations that crashed of overload
-	finishedTasks int // of former incarnations
+	finishedTasks int // of earlier incarnations
 }
 
 func (n *nodeEntity) receive(m message) { n.inbox.put(m) }
@@ -51,7 +51,7 @@
 	return min(n.model.Next(), n.registerAt)
 }
 
-// start begins an incarnation, unless one runs.
+// start starts an incarnation, unless one runs.
 func (n *nodeEntity) start(now Time, warm bool) {
 	if n.model != nil {
 		return
@@ -156,7 +156,7 @@
 	}
 }
 
-// accept takes a connection of a scheduler, or breaks it.
+// accept accepts a connection of a scheduler, or closes it.
 func (n *nodeEntity) accept(m message, hello connect, out *outbox) {
 	if n.model == nil {
 		n.reply(m.at, m.from, disconnected{}, out)
--- a/internal/testbed/emulator/recorder.go
+++ b/internal/testbed/emulator/recorder.go
@@ -24,9 +24,9 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/rules"
 )
 
-// recorder makes the recording of a simulated day that a proxy makes of a trial, so that the same checker reads it.
-// Frames to a scheduler are recorded when it handles them, frames from it when it sends them. A nil recorder records
-// nothing. It is used by one worker.
+// recorder records a simulated day in the format in which a recording proxy records a trial, so that the same checker
+// reads both. Frames to a scheduler are recorded when it handles them, frames from it when it sends them. A nil recorder
+// records nothing. Not safe for concurrent use.
 type recorder struct {
 	records        []*recordingpb.Record
 	lastConnection uint64
@@ -34,8 +34,8 @@
 	err            error                            // the first
 }
 
-// schedulerConnections are the recorded connections of one incarnation of a scheduler, with the encoder of what clients
-// get.
+// schedulerConnections are the recorded connections of one incarnation of a scheduler, with the encoder of its responses
+// to clients.
 type schedulerConnections struct {
 	front     *drmaafront.Front
 	inventory uint64
@@ -50,8 +50,8 @@
 
 func (r *recorder) open(wire, listener, dialer string, at Time) uint64 {
 	r.lastConnection++
-	r.add(at, &recordingpb.Record{Body: &recordingpb.Record_Open{Open: &recordingpb.Open{Conn: r.lastConnection, Wire: wire, To: listener,
-		Via: dialer}}})
+	r.add(at, &recordingpb.Record{Body: &recordingpb.Record_Open{Open: &recordingpb.Open{Conn: r.lastConnection, Wire: wire,
+		To: listener, Via: dialer}}})
 	return r.lastConnection
 }
 
@@ -80,7 +80,7 @@
 	}
 }
 
-// schedulerStarted begins the recorded connections of a scheduler's incarnation.
+// schedulerStarted opens the recorded connections of a scheduler's incarnation.
 func (r *recorder) schedulerStarted(s *schedulerEntity) {
 	if r == nil {
 		return
@@ -116,7 +116,7 @@
 	}
 }
 
-// inventoryConnection is the number of a scheduler's connection to the inventory; 0 without a recording.
+// inventoryConnection returns the number of a scheduler's connection to the inventory; 0 without a recording.
 func (r *recorder) inventoryConnection(s *schedulerEntity) uint64 {
 	if r == nil {
 		return 0
@@ -145,7 +145,7 @@
 	r.mark(rules.MarkSchedulerResumed, s.settings.Name, until)
 }
 
-// answered records a submission and its answer, as a client and the front have them.
+// answered records a submission and its answer as they are between a client and the front.
 func (r *recorder) answered(s *schedulerEntity, answer *scheduler.Answer, at Time) {
 	if r == nil {
 		return
@@ -181,8 +181,8 @@
 	slices.SortStableFunc(r.records, func(a, b *recordingpb.Record) int { return cmp.Compare(a.TimeNs, b.TimeNs) })
 	r.mark("end", "", end)
 	buffer := bufio.NewWriter(w)
-	head := &recordingpb.Record{TimeNs: int64(Epoch), Body: &recordingpb.Record_Head{Head: &recordingpb.Head{Version: recordproxy.Version,
-		Figures: figures}}}
+	head := &recordingpb.Record{TimeNs: int64(Epoch), Body: &recordingpb.Record_Head{Head: &recordingpb.Head{
+		Version: recordproxy.Version, Figures: figures}}}
 	for _, record := range append([]*recordingpb.Record{head}, r.records...) {
 		if _, err := protodelim.MarshalTo(buffer, record); err != nil {
 			return fmt.Errorf("emulator: record: %w", err)
--- a/internal/testbed/emulator/report.go
+++ b/internal/testbed/emulator/report.go
@@ -17,8 +17,8 @@
 type ClassReport struct {
 	Class     string
 	Submitted int
-	Placed    int                     // first placements of submissions
-	InTime    int                     // of them within the class's latency objective
+	Placed    int                     // submissions that were placed
+	InTime    int                     // first placements within the class's latency objective
 	Outcomes  map[string]int          // of placement requests
 	Wait      *hdrhistogram.Histogram // microseconds from the intended submission to the first placement
 }
@@ -35,7 +35,7 @@
 	Events         int64          // runs of entities
 	Messages       int64          // between entities
 	Steps          int64          // of cores
-	Busiest        float64        // share of its time that the busiest core worked, where the day has costs of steps
+	Busiest        float64        // fraction of the time that the busiest core worked; 0 if the day has no costs of steps
 	Unaccounted    int            // submissions without any end
 }
 
@@ -47,8 +47,15 @@
 		}
 		s.clients.close(open)
 	}
-	r := &Report{Seconds: (end - Epoch).Seconds(), SubmissionEnds: stats.submissionEnds, JobEnds: stats.jobEnds, Events: s.engine.events,
-		Messages: s.engine.messages, Unaccounted: stats.submissionEnds[endNoOutcome], Retries: stats.retries}
+	r := &Report{
+		Seconds:        (end - Epoch).Seconds(),
+		SubmissionEnds: stats.submissionEnds,
+		JobEnds:        stats.jobEnds,
+		Events:         s.engine.events,
+		Messages:       s.engine.messages,
+		Unaccounted:    stats.submissionEnds[endNoOutcome],
+		Retries:        stats.retries,
+	}
 	for _, name := range stats.classOrder {
 		r.Classes = append(r.Classes, stats.classes[name])
 	}
@@ -66,7 +73,7 @@
 	return r
 }
 
-// String is the report for people, on several lines.
+// String returns the report for people, in several lines.
 func (r *Report) String() string {
 	var text strings.Builder
 	for _, class := range r.Classes {
@@ -92,7 +99,7 @@
 		countformat.FormatOutcomes(c.Outcomes))
 }
 
-// clientStats is what the clients have seen.
+// clientStats counts the results that clients observe.
 type clientStats struct {
 	retries                 int
 	submissionEnds, jobEnds map[string]int
@@ -100,7 +107,7 @@
 	classOrder              []string
 }
 
-// waitDigits is the precision of the histograms of waits in significant digits.
+// waitDigits is the precision of the histograms of waits, in significant digits.
 const waitDigits = 3
 
 func newClientStats(day *scenario.Day) *clientStats {
--- a/internal/testbed/emulator/scheduler.go
+++ b/internal/testbed/emulator/scheduler.go
@@ -9,7 +9,7 @@
 	"flaxshelf.example/flaxshelf/internal/settings"
 )
 
-// schedulerEntity is a scheduler, with a core for each incarnation; there is none while it is stopped.
+// schedulerEntity is a scheduler. It has a core for each incarnation, and none while it is stopped.
 type schedulerEntity struct {
 	id           int32
 	simulation   *simulation
@@ -22,17 +22,17 @@
 
 	core         *scheduler.Core
 	nextDeadline Time              // when the core is to run next, as it requested
-	feedback     []scheduler.Input // for the next step, of the effects of the last
+	feedback     []scheduler.Input // inputs of the next step that effects of the last one caused
 	drained      bool              // the core has nothing open after a graceful shutdown
 
 	pausedUntil Time
-	busyUntil   Time // the last step of the core takes until then
-	busyTime    Time // in all
+	busyUntil   Time // end of the last step of the core
+	busyTime    Time // total duration of the steps
 	steps       int64
 
 	links         map[string]*link // by node
 	linksByEntity map[int32]*link
-	nextDialAt    Time // the soonest of the links that wait to dial
+	nextDialAt    Time // the earliest dial of the links that wait for their backoff
 
 	inventoryFront *nodefront.Inventory
 	requests       map[uint64]clientRequest
@@ -61,7 +61,7 @@
 	return max(due, s.pausedUntil, s.busyUntil)
 }
 
-// start begins an incarnation, unless one runs.
+// start starts an incarnation, unless one runs.
 func (s *schedulerEntity) start(now Time) {
 	if s.core != nil {
 		return
@@ -107,8 +107,8 @@
 	out.send(s.latency.deliveryTime(now, to), to, body)
 }
 
-// run gives the core all that has come in a window in one step at its end, as a daemon gives it what has come since the
-// last step.
+// run passes everything received in a window to the core in one step at the end of the window, as a daemon does with what
+// it has received since the last step.
 func (s *schedulerEntity) run(end Time, out *outbox) {
 	if end <= s.pausedUntil || end <= s.busyUntil {
 		return
@@ -134,12 +134,12 @@
 	}
 }
 
-// step runs the core and carries out its effects.
+// step runs the core and executes its effects.
 func (s *schedulerEntity) step(now Time, inputs []scheduler.Input, out *outbox) {
 	s.feedback = nil
 	s.steps++
 	output := s.core.Step(now, inputs)
-	if cost := s.simulation.day.CPU.Of(len(inputs)); cost > 0 { // effects come when it is done, and no inputs until then
+	if cost := s.simulation.day.CPU.Of(len(inputs)); cost > 0 { // effects are executed at its end, and inputs wait until then
 		s.busyUntil = now + cost
 		s.busyTime += cost
 		now = s.busyUntil
@@ -157,7 +157,7 @@
 	}
 }
 
-// control handles the messages of the fault injector that are not for the core.
+// control handles the messages of the fault injector that do not concern the core. It returns false for any other.
 func (s *schedulerEntity) control(m message, now Time, out *outbox) bool {
 	switch body := m.body.(type) {
 	case startScheduler:
@@ -173,7 +173,7 @@
 	return true
 }
 
-// input turns a message into an input of the core; nil for none.
+// input converts a message into an input of the core; nil if it is none.
 func (s *schedulerEntity) input(m message, now Time, out *outbox) scheduler.Input {
 	if s.core == nil {
 		if body, ok := m.body.(submission); ok {
@@ -211,7 +211,7 @@
 func (s *schedulerEntity) nodeFrame(from int32, f frame, now Time) scheduler.Input {
 	l := s.linksByEntity[from]
 	if l == nil || !l.isOpen() {
-		return nil // of a connection that is closed
+		return nil // the connection was closed before the frame was delivered
 	}
 	s.recorder.frame(l.connection, true, f, now)
 	input, err := l.front.Input(f.Frame)
--- a/internal/testbed/emulator/simulation.go
+++ b/internal/testbed/emulator/simulation.go
@@ -33,7 +33,7 @@
 	newModule     func(cfg flaxshelf.Config, seed uint64) (scheduler.Module, error)
 	configureCore func(cfg *scheduler.Config)
 
-	errMu sync.Mutex // entities may fail at one time
+	errMu sync.Mutex // guards err, since entities may fail concurrently
 	err   error      // the first
 }
 
@@ -49,7 +49,7 @@
 	}
 }
 
-// entityName is the name of a node or scheduler.
+// entityName returns the name of a node or scheduler; for another entity, its number.
 func (s *simulation) entityName(id int32) string {
 	switch entity := s.engine.entities[id].(type) {
 	case *nodeEntity:
@@ -66,8 +66,16 @@
 		longer.Seconds = max(day.Seconds, opt.Load.Length().Seconds())
 		day = &longer
 	}
-	s := &simulation{day: day, seed: opt.Seed, engine: newEngine(opt.Workers), nodeIDs: map[string]int32{},
-		zoneKeys: map[string]nodemodel.KeyRegistry{}, zoneGroups: map[string]int32{}, newModule: opt.NewModule, configureCore: opt.ConfigureCore}
+	s := &simulation{
+		day:           day,
+		seed:          opt.Seed,
+		engine:        newEngine(opt.Workers),
+		nodeIDs:       map[string]int32{},
+		zoneKeys:      map[string]nodemodel.KeyRegistry{},
+		zoneGroups:    map[string]int32{},
+		newModule:     opt.NewModule,
+		configureCore: opt.ConfigureCore,
+	}
 	if err := s.checkOptions(opt); err != nil {
 		return nil, err
 	}
@@ -80,7 +88,7 @@
 			return nil, err
 		}
 	}
-	// The order of the entities is part of what a seed draws.
+	// The random numbers of an entity depend on its number: the order in which entities are added must not change.
 	s.clients = newClients(s)
 	s.clients.id = s.engine.add(s.clients)
 	s.clients.measureFrom = scenario.Seconds(opt.MeasureFrom)
@@ -124,14 +132,14 @@
 		s.zoneGroups[zone] = int32(len(s.zoneGroups) + 1)
 	}
 	n.id = s.engine.add(n)
-	s.engine.groups[n.id] = s.zoneGroups[zone] // nodes of a zone share their idempotency keys
+	s.engine.groups[n.id] = s.zoneGroups[zone] // since the nodes of a zone share their idempotency keys
 	n.latency = newLatencyModel(s.seed, n.id)
 	s.nodes, s.nodeNames = append(s.nodes, n), append(s.nodeNames, place.Name)
 	s.nodeIDs[place.Name] = n.id
 	n.start(Epoch, place.Group.Warm)
 }
 
-// schedulerStream keeps the draws of schedulers apart from the other draws of a seed.
+// schedulerStream separates the random numbers of schedulers from the others of a seed.
 const schedulerStream = 32
 
 func (s *simulation) addSchedulers() error {
@@ -144,7 +152,7 @@
 		return err
 	}
 	for i := range s.day.Schedulers {
-		set := new(settings.Scheduler) // they differ in names and zones alone, and parsing the file takes milliseconds
+		set := new(settings.Scheduler) // schedulers differ in names and zones only, and parsing the file takes milliseconds
 		*set = *first
 		set.Name, set.Index, set.Zone = scenario.SchedulerName(i), i, s.day.Zone(i)
 		entity := &schedulerEntity{simulation: s, settings: set, recorder: s.recorder}
--- a/internal/testbed/emulator/tracearrivals.go
+++ b/internal/testbed/emulator/tracearrivals.go
@@ -7,14 +7,15 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/scenario"
 )
 
-// arrivals is where submissions come from: drawn from a day's load, or taken from a trace.
+// arrivals is a source of submissions: they are drawn from a day's load, or read from a trace.
 type arrivals interface {
-	// Next is the next submission, with the present factor of the load and share of one service.
+	// Next returns the next submission, given the present factor of the load and the share of its hot service. It returns
+	// false after the last one.
 	Next(factor, hotServiceShare float64) (scenario.Arrival, bool)
 }
 
-// traceArrivals is the submissions of a trace at their own times. The schedulers get them in turn. Factors of the load do
-// not change it.
+// traceArrivals is the submissions of a trace at their own times, distributed round-robin over the schedulers. Factors of
+// the load have no effect on it.
 type traceArrivals struct {
 	trace      *load.Trace
 	loads      map[loadKey]*scenario.Load
@@ -22,10 +23,11 @@
 	next       int
 }
 
-// loadKey is what the jobs of one load have in common.
+// loadKey identifies the load of a job.
 type loadKey struct{ class, tenant string }
 
-// newTraceArrivals checks a trace against the day that it replaces the load of. The error is an *OptionsError.
+// newTraceArrivals returns the submissions of a trace that replaces the load of a day. It returns an *OptionsError if the
+// trace has a class that the day does not have.
 func newTraceArrivals(trace *load.Trace, day *scenario.Day) (*traceArrivals, error) {
 	t := &traceArrivals{trace: trace, loads: map[loadKey]*scenario.Load{}, schedulers: day.Schedulers}
 	for i := range trace.Jobs {
@@ -40,7 +42,7 @@
 	return t, nil
 }
 
-// Next is the next job of the trace. No command follows it.
+// Next implements arrivals. No command follows a job of a trace.
 func (t *traceArrivals) Next(float64, float64) (scenario.Arrival, bool) {
 	if t.next == len(t.trace.Jobs) {
 		return scenario.Arrival{}, false
--- a/internal/testbed/emulator/wheel.go
+++ b/internal/testbed/emulator/wheel.go
@@ -2,15 +2,15 @@
 
 import "container/heap"
 
-// wheel is a timing wheel: it orders entities by the window of simulated time in which something falls due for them. It is
-// made for the engine's access pattern: nearly all of it is due within a few thousand windows, entities are due again and
-// again, and all that is due in one window is wanted at once. Adding costs one append; what lies further ahead waits in a
-// heap. wheel_test.go measures it beside a plain heap.
+// wheel is a timing wheel: a queue of entities by the window of simulated time in which they are due. It is made for the
+// engine's access pattern: entities are due repeatedly, nearly always within a few thousand windows, and all entities of a
+// window are requested together. Adding an entity appends to a slot; entities that are due later than the wheel spans wait
+// in a heap. BenchmarkQueue compares it with a heap.
 type wheel struct {
 	slots [][]int32
 	mask  int64
-	now   int64 // the window that was taken last
-	count int   // in slots
+	now   int64 // the last window that next returned
+	count int   // entities in slots
 	far   windowHeap
 }
 
@@ -19,24 +19,24 @@
 	id     int32
 }
 
-// windowHeap is a heap for container/heap.
+// windowHeap implements heap.Interface. The earliest window comes first.
 type windowHeap []windowItem
 
-// Len is of heap.Interface.
+// Len implements heap.Interface.
 func (h windowHeap) Len() int { return len(h) }
 
-// Less is of heap.Interface.
+// Less implements heap.Interface.
 func (h windowHeap) Less(i, j int) bool {
 	return h[i].window < h[j].window || h[i].window == h[j].window && h[i].id < h[j].id
 }
 
-// Swap is of heap.Interface.
+// Swap implements heap.Interface.
 func (h windowHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
-// Push is of heap.Interface.
+// Push implements heap.Interface.
 func (h *windowHeap) Push(x any) { *h = append(*h, x.(windowItem)) }
 
-// Pop is of heap.Interface.
+// Pop implements heap.Interface.
 func (h *windowHeap) Pop() any {
 	old := *h
 	last := old[len(old)-1]
@@ -44,7 +44,7 @@
 	return last
 }
 
-// newWheel makes a wheel of 2^bits windows.
+// newWheel returns a wheel that spans 2^bits windows.
 func newWheel(bits int) *wheel {
 	return &wheel{slots: make([][]int32, 1<<bits), mask: 1<<bits - 1, now: -1}
 }
@@ -65,16 +65,16 @@
 	w.count++
 }
 
-// minSlotCapacity is the rest of a slot's memory that is worth keeping.
+// minSlotCapacity is the remaining capacity below which the memory of a slot is released.
 const minSlotCapacity = 16
 
-// next takes all that is due in the earliest window that has something. ids may hold repeats; they are valid until
-// the next call of next that returns the same slot. ok is false when nothing is left.
+// next removes and returns the entities of the earliest window that has any. ids may have duplicates; it is valid until
+// next returns the same slot again. ok is false if the wheel is empty.
 func (w *wheel) next() (window int64, ids []int32, ok bool) {
 	if w.count == 0 && len(w.far) == 0 {
 		return 0, nil, false
 	}
-	if w.count == 0 { // nothing near: leap
+	if w.count == 0 { // skip the empty windows before the first in the heap
 		w.now = max(w.now, w.far[0].window-1)
 	}
 	for {
@@ -88,7 +88,7 @@
 			continue
 		}
 		ids = *slot
-		*slot = (*slot)[len(*slot):] // what is added for this slot while ids is in use goes behind it
+		*slot = (*slot)[len(*slot):] // ids is in use: entities that are added to this slot are appended behind it
 		if cap(*slot) < minSlotCapacity {
 			*slot = nil
 		}
--- a/internal/testbed/experiment/execute.go
+++ b/internal/testbed/experiment/execute.go
@@ -15,11 +15,12 @@
 // resultsMode is the mode of a new file of results.
 const resultsMode = 0o644
 
-// Execute runs what the file of results does not have yet, several runs at a time, and appends each when it is done: an
-// interrupted experiment resumes where it was. It returns all runs of the experiment, ordered by design and seed.
+// Execute executes the runs that the file of results does not have, several at a time, and appends the result of each when it
+// is done, so that an interrupted experiment can be resumed. It returns all runs of the experiment, ordered by design and
+// seed.
 //
-// progress is called after each run with the number of runs that are done and that there are; its calls do not overlap. If
-// a run fails, the others are still executed, and the errors are returned joined.
+// progress is called after each run with the number of runs that are done and the number of all runs; it is not called
+// concurrently. If a run fails, the others are still executed, and Execute returns the joined errors.
 func (p *Plan) Execute(ctx context.Context, resultsPath string, workers int, progress func(done, all int)) ([]Run, error) {
 	stored, err := readRuns(resultsPath)
 	if err != nil {
@@ -41,14 +42,14 @@
 	return e.runs, nil
 }
 
-// pendingRun is a run that is not done yet.
+// pendingRun is a run that has no result yet.
 type pendingRun struct {
 	design int
 	seed   uint64
 }
 
-// split returns the stored runs of this experiment and the runs that are missing. The missing ones come seed by seed, so
-// that an interrupted experiment has complete pairs.
+// split returns the stored runs of this experiment and the runs that are missing. The missing ones are ordered by
+// seed, so that an interrupted experiment has complete pairs.
 func (p *Plan) split(stored []Run) (done []Run, missing []pendingRun) {
 	byKey := map[runKey]Run{}
 	for _, r := range stored {
@@ -74,13 +75,12 @@
 	path     string
 	progress func(done, all int)
 
-	mu   sync.Mutex // guards what follows, the file and calls of progress
+	mu   sync.Mutex // guards the fields below, the file and calls of progress
 	runs []Run
 	errs []error
 }
 
-// executeAll executes runs with a number of workers, and returns when these have ended. It starts no more runs when the
-// context has ended.
+// executeAll executes runs with a number of workers, and waits for them. It starts no runs after the context has ended.
 func (e *execution) executeAll(ctx context.Context, runs []pendingRun, workers int) {
 	queue := make(chan pendingRun)
 	var wg sync.WaitGroup
@@ -104,7 +104,7 @@
 	wg.Wait()
 }
 
-// execute executes a run and records what came of it.
+// execute executes a run and appends its result.
 func (e *execution) execute(ctx context.Context, r pendingRun) {
 	design := &e.plan.Designs[r.design]
 	report, err := emulator.Run(ctx, e.plan.days[r.design], emulator.Options{Seed: r.seed,
--- a/internal/testbed/experiment/measure.go
+++ b/internal/testbed/experiment/measure.go
@@ -4,13 +4,13 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/emulator"
 )
 
-// Measure is what is measured of a run; the value is its name in stored results and reports.
+// Measure is a quantity that is measured in a run. The value is its name in stored results and reports.
 type Measure string
 
 // The measures. Waits are in seconds from the intended submission to the first placement.
 const (
-	PlacedFraction Measure = "placed"  // share of the submissions that were placed
-	InTimeFraction Measure = "in time" // share of the submissions that were placed within their latency objective
+	PlacedFraction Measure = "placed"  // fraction of the submissions that were placed
+	InTimeFraction Measure = "in time" // fraction of the submissions that were placed within their latency objective
 	WaitP50        Measure = "wait p50"
 	WaitP99        Measure = "wait p99"
 	// OverloadedNodes is the number of nodes that crashed of overload during slow start.
@@ -28,7 +28,7 @@
 
 const microsecondsPerSecond = 1e6
 
-// measure takes the measures from a report. It merges the report's histograms.
+// measure returns the measures of a report. It merges the report's histograms.
 func measure(r *emulator.Report) map[Measure]float64 {
 	m := map[Measure]float64{OverloadedNodes: float64(r.Overloaded)}
 	var submitted, placed, inTime float64
@@ -45,7 +45,7 @@
 }
 
 // WaitPercentiles returns the median and the 99th percentile, in seconds, of the time to the first placement over all
-// classes. It merges the histograms of the classes into that of the first, so it must be called once for a report.
+// classes. It merges the histograms of the classes into that of the first, so it must not be called twice for a report.
 func WaitPercentiles(r *emulator.Report) (p50, p99 float64) {
 	wait := r.Classes[0].Wait
 	for _, c := range r.Classes[1:] {
--- a/internal/testbed/experiment/plan.go
+++ b/internal/testbed/experiment/plan.go
@@ -1,5 +1,5 @@
-// Package experiment compares designs over seeds: it runs emulated days, stores what came of each, and computes statistics and
-// reports. It does not know how a cluster is emulated.
+// Package experiment compares designs over seeds: it emulates days, stores the results, and computes statistics and reports.
+// It does not know how a cluster is emulated.
 package experiment
 
 import (
@@ -20,32 +20,32 @@
 //go:embed schema.cue
 var schema string
 
-// placerModule as Design.Module stands for the module itself; any other is a baseline.
+// placerModule as Design.Module means the module of this repository. Any other value is a baseline.
 const placerModule = "vote"
 
-// Design is one way to run a day, the record #Design of the schema.
+// Design is a variant of a day, the record #Design of the schema.
 type Design struct {
 	Name       string  `json:"name"`
-	Day        string  `json:"day"`        // name of a day that ships with the program, or a file
-	LostZone   string  `json:"lose"`       // zone whose nodes the fleet does not have; empty: none
-	Module     string  `json:"module"`     // what chooses machines: "vote" or a strategy of baseline
+	Day        string  `json:"day"`        // name of an embedded day, or a file
+	LostZone   string  `json:"lose"`       // zone whose nodes are removed from the fleet; empty means none
+	Module     string  `json:"module"`     // what chooses machines: "vote", the module of this repository, or a strategy of baseline
 	Load       float64 `json:"load"`       // multiplies the rates of the day's loads
-	Schedulers int     `json:"schedulers"` // replaces the day's number of schedulers; 0: as the day has it
+	Schedulers int     `json:"schedulers"` // replaces the day's number of schedulers; zero means no change
 }
 
-// Plan is an experiment, the record #Experiment of the schema. The designs are compared with the first of them.
+// Plan is an experiment, the record #Experiment of the schema. The designs are compared with the first one.
 type Plan struct {
 	About         string   `json:"about"`
 	Seeds         int      `json:"seeds"` // number of seeds
 	FirstSeed     int      `json:"first"`
-	WarmUpSeconds float64  `json:"warm"` // submissions of this time at the start of the day are not measured
+	WarmUpSeconds float64  `json:"warm"` // time at the start of the day whose submissions are not measured
 	Designs       []Design `json:"designs"`
 
 	days         []*scenario.Day // of each design
-	fingerprints []string        // of each design: stored runs with another one are of another design
+	fingerprints []string        // of each design: stored runs with another fingerprint are of another version of the design
 }
 
-// UnknownZoneError says that a design loses a zone that the fleet does not have, or the only one.
+// UnknownZoneError is returned for a design without a zone that the fleet does not have, or without the only one.
 type UnknownZoneError struct{ Zone string }
 
 func (e *UnknownZoneError) Error() string {
@@ -87,7 +87,8 @@
 	return p, file.Err()
 }
 
-// fingerprint hashes all that the results of a design depend on, save for the seed. Stored results are known by it.
+// fingerprint returns a hash of everything that the results of a design depend on, except the seed. It identifies the design
+// in stored results.
 func fingerprint(day *scenario.Day, warmUpSeconds float64, module string) (string, error) {
 	text, err := json.Marshal([]any{day, warmUpSeconds, module})
 	if err != nil {
@@ -96,7 +97,7 @@
 	return fmt.Sprintf("%016x", xxhash.Sum64(text)), nil
 }
 
-// scenario returns the day with the design's changes.
+// scenario returns the day of the design. It returns an *UnknownZoneError if the lost zone can't be removed.
 func (d *Design) scenario() (*scenario.Day, error) {
 	day, err := scenario.Read(d.Day)
 	if err != nil {
@@ -118,7 +119,7 @@
 	return day, nil
 }
 
-// moduleFactory returns what makes the schedulers' modules; nil stands for the module itself.
+// moduleFactory returns the constructor of the schedulers' modules; nil means the module of this repository.
 func (d *Design) moduleFactory() func(cfg flaxshelf.Config, seed uint64) (scheduler.Module, error) {
 	if d.Module == placerModule {
 		return nil
--- a/internal/testbed/experiment/report.go
+++ b/internal/testbed/experiment/report.go
@@ -50,7 +50,7 @@
 	return table.Flush()
 }
 
-// boxPlot draws one measure of all designs as boxes over the seeds, and returns the SVG element.
+// boxPlot returns an SVG element with a box plot over the seeds of one measure, with a box for each design.
 func boxPlot(measure Measure, rows []Row) (template.HTML, error) {
 	fail := func(err error) (template.HTML, error) {
 		return "", fmt.Errorf("experiment: plot %s: %w", measure, err)
@@ -76,7 +76,7 @@
 	if _, err := canvas.WriteTo(&document); err != nil {
 		return fail(err)
 	}
-	_, svg, _ := strings.Cut(document.String(), "<svg") // HTML takes the element without the head of an XML document
+	_, svg, _ := strings.Cut(document.String(), "<svg") // HTML has the element without the head of an XML document
 	return template.HTML("<svg" + svg), nil
 }
 
@@ -87,7 +87,7 @@
 	Plots []template.HTML
 }
 
-// page is the HTML report; its data is a pageData.
+// page is the template of the HTML report. Its data is a pageData.
 var page = template.Must(template.New("page").Parse(`<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>{{.Plan.About}}</title>
 <style>body{font:14px sans-serif;max-width:70em;margin:2em auto}table{border-collapse:collapse}
@@ -110,7 +110,7 @@
 {{end}}</body></html>
 `))
 
-// HTML writes a report as one page that loads nothing from elsewhere.
+// HTML writes a report as one self-contained page.
 func (p *Plan) HTML(w io.Writer, rows []Row) error {
 	data := pageData{Plan: p, Rows: rows}
 	for _, m := range Measures {
--- a/internal/testbed/experiment/results.go
+++ b/internal/testbed/experiment/results.go
@@ -12,7 +12,7 @@
 	"os"
 )
 
-// maxResultBytes bounds a line of a file of results.
+// maxResultBytes limits the length of a line of a file of results.
 const maxResultBytes = 1 << 20
 
 // Run is the result of one seed of one design.
@@ -66,7 +66,7 @@
 // ResultsError is returned for a file of results that cannot be read or written.
 type ResultsError struct {
 	Path string
-	Line int // counted from 1; 0: the file
+	Line int // counted from 1; zero means the whole file
 	Err  error
 }
 
@@ -80,8 +80,8 @@
 // Unwrap returns the cause.
 func (e *ResultsError) Unwrap() error { return e.Err }
 
-// readRuns reads a file of results; there are none if there is no file. A last line without its end, from a run that was
-// interrupted, is removed, so that what is appended next begins on a line of its own.
+// readRuns reads a file of results. It returns no runs if the file does not exist. It removes an incomplete last line, of an
+// experiment that was interrupted, from the file, so that the next result starts on a line of its own.
 func readRuns(path string) ([]Run, error) {
 	text, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
--- a/internal/testbed/experiment/statistics.go
+++ b/internal/testbed/experiment/statistics.go
@@ -37,7 +37,7 @@
 	Mean    Estimate
 	// Difference is the mean difference to the first design, over pairs of one seed.
 	Difference Estimate
-	// HigherFraction is the share of the seeds on which the value is higher than that of the first design.
+	// HigherFraction is the fraction of the seeds for which the value is higher than that of the first design.
 	HigherFraction float64
 	// Values has one value for each seed.
 	Values []float64
@@ -49,7 +49,7 @@
 // valuesBySeed are the values of one measure of one design.
 type valuesBySeed map[uint64]float64
 
-// Table returns a row for each measure of each design. Seeds that either design of a pair lacks are left out.
+// Table returns a row for each measure of each design. Seeds for which a design or the first design has no run are ignored.
 func (p *Plan) Table(runs []Run) []Row {
 	type column struct {
 		design  string
@@ -78,7 +78,7 @@
 	return rows
 }
 
-// compare fills in a row; it returns false if there is no pair of values.
+// compare fills in a row. It returns false if there is no pair of values.
 func (p *Plan) compare(row *Row, values, reference valuesBySeed) bool {
 	var differences []float64
 	higher := 0
--- a/internal/testbed/load/capture.go
+++ b/internal/testbed/load/capture.go
@@ -9,10 +9,11 @@
 	"flaxshelf.example/flaxshelf/drmaa2"
 )
 
-// gapAfter is how long a capture may receive nothing before it records a gap.
+// gapAfter is the time without any event after which a capture records a gap.
 const gapAfter = 30 * time.Second
 
-// Capture watches a scheduler for the given time and returns a trace of the jobs that were submitted meanwhile.
+// Capture watches a scheduler for the given time, or until the context ends, and returns a trace of the jobs that were
+// submitted in that time.
 func Capture(ctx context.Context, client *drmaa2.Client, length time.Duration) (*Trace, error) {
 	session, err := client.OpenMonitoringSession(ctx)
 	if err != nil {
@@ -28,7 +29,7 @@
 	return c.finish(time.Now()), nil
 }
 
-// capture is a trace in the making. Not safe for concurrent use.
+// capture builds a trace from the events of jobs. Not safe for concurrent use.
 type capture struct {
 	trace        *Trace
 	indexes      map[string]int // in trace.Jobs, by job identifier
@@ -92,7 +93,7 @@
 	return index
 }
 
-// finish takes the time until now as the runtime of jobs that still run, and returns the trace.
+// finish sets the runtimes of jobs that still run to the time until now, and returns the trace.
 func (c *capture) finish(now time.Time) *Trace {
 	for n := range c.trace.Jobs {
 		if j := &c.trace.Jobs[n]; j.Censored && j.Runtime == 0 && !c.started[n].IsZero() {
--- a/internal/testbed/load/latency.go
+++ b/internal/testbed/load/latency.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// maxLatency is the longest latency that a LatencyHistogram tells apart.
+	// maxLatency is the longest latency of a LatencyHistogram.
 	maxLatency = time.Hour
-	// latencyDigits is its precision in significant digits.
+	// latencyDigits is the precision of a LatencyHistogram in significant digits.
 	latencyDigits = 3
 )
 
@@ -26,14 +26,14 @@
 	return &LatencyHistogram{histogram: hdrhistogram.New(1, maxLatency.Microseconds(), latencyDigits)}
 }
 
-// Record adds a latency. Those under 1 µs or over an hour count as these.
+// Record adds a latency. It is recorded as at least 1 µs and at most an hour.
 func (l *LatencyHistogram) Record(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	_ = l.histogram.RecordValue(min(max(d.Microseconds(), 1), maxLatency.Microseconds())) // always within the bounds
 }
 
-// At returns the latency that the given percentage of all does not exceed.
+// At returns the given percentile.
 func (l *LatencyHistogram) At(percent float64) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/testbed/load/plan.go
+++ b/internal/testbed/load/plan.go
@@ -18,13 +18,13 @@
 	Tenant             string              `json:"tenant"`
 	Shape              Shape               `json:"shape"`
 	Runtimes           RuntimeDistribution `json:"lives"`
-	Services           int                 `json:"services"` // number of services that the submissions are spread over
-	HotServiceFraction float64             `json:"popular"`  // share of the submissions that goes to the first service, not to a random one
-	Cores              float64             `json:"cores"`    // requested; 0: as the class has it
-	Memory             float64             `json:"memory"`   // requested, in GiB; 0: as the class has it
+	Services           int                 `json:"services"` // over which the submissions are distributed
+	HotServiceFraction float64             `json:"popular"`  // fraction of the submissions that is for the first service
+	Cores              float64             `json:"cores"`    // requested; zero means the default of the class
+	Memory             float64             `json:"memory"`   // requested, in GiB; zero means the default of the class
 }
 
-// Plan is a load made of streams, the record #Plan of the schema.
+// Plan is a load that consists of streams, the record #Plan of the schema.
 type Plan struct {
 	About   string   `json:"about"`
 	Seconds float64  `json:"seconds"` // length
@@ -58,25 +58,25 @@
 // maxJobs bounds the jobs of a stream.
 const maxJobs = 10_000_000
 
-// TooManyJobsError is returned by Jobs for a plan with a stream that could exceed the limit.
+// TooManyJobsError is returned by Plan.Jobs for a stream that could exceed the limit of jobs.
 type TooManyJobsError struct {
 	Stream int
-	Jobs   float64 // that the stream could have
+	Jobs   float64 // maximum number of its jobs
 }
 
 func (e *TooManyJobsError) Error() string {
 	return fmt.Sprintf("load: the plan has too many jobs: streams[%d] may have %.0f, the limit is %d", e.Stream, e.Jobs, maxJobs)
 }
 
-// What the sources of random numbers of a stream are for. Each has its own, so that a change of one law leaves what the
-// others draw as it was.
+// The purposes of random numbers of a stream. Each has its own source, so that a change of one distribution does not change
+// what is drawn from the others.
 const (
 	arrivalSource = 1 + iota
 	runtimeSource
 	serviceSource
 )
 
-// Jobs draws the submissions of the plan. They depend on the plan and the seed alone.
+// Jobs draws the submissions of the plan. They depend on the plan and the seed only.
 func (p *Plan) Jobs(seed uint64) (*Trace, error) {
 	t := &Trace{Source: SourcePlan}
 	for i := range p.Streams {
@@ -91,8 +91,8 @@
 	return t, nil
 }
 
-// jobs draws the submissions of a stream by thinning: candidates come at the highest rate, and each is retained with the
-// share that the rate of its time has of it.
+// jobs draws the submissions of a stream by thinning: candidates arrive at the highest rate, and each is retained with a
+// probability of the rate at its time divided by the highest rate.
 func (s *Stream) jobs(length float64, source func(purpose uint64) rand.Source) []Job {
 	arrivals, services := rand.New(source(arrivalSource)), rand.New(source(serviceSource))
 	runtime := s.Runtimes.sampler(source(runtimeSource))
--- a/internal/testbed/load/runtimes.go
+++ b/internal/testbed/load/runtimes.go
@@ -10,14 +10,14 @@
 	"flaxshelf.example/flaxshelf/internal/settings"
 )
 
-// The laws of RuntimeDistribution. Any other one stands for a constant runtime.
+// The laws of RuntimeDistribution. Any other law means a constant runtime.
 const (
 	lawExponential = "exponential"
 	lawLognormal   = "lognormal"
 	lawPareto      = "pareto"
 )
 
-// maxRuntimeSeconds bounds a runtime that is drawn.
+// maxRuntimeSeconds limits the runtimes that are drawn.
 const maxRuntimeSeconds = 1e6
 
 // RuntimeDistribution is the distribution of the runtimes of jobs, the record #Lives of the schema.
--- a/internal/testbed/load/send.go
+++ b/internal/testbed/load/send.go
@@ -11,45 +11,45 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/countformat"
 )
 
-// Result is what came of a load that was sent. Latencies count from the intended time of each submission, so that delays of
-// the sender and of the scheduler are included.
+// Result is the result of sending a load. Latencies are measured from the intended time of each submission, so that they
+// include delays of the sender and of the scheduler.
 type Result struct {
 	Sent     int
-	Late     int               // submissions that left more than 10 ms after their time
+	Late     int               // submissions that were sent more than 10 ms after their intended time
 	Answered *LatencyHistogram // until the scheduler answered the submission
 	Placed   *LatencyHistogram // until the task was placed
-	Errors   map[string]int    // submissions that failed, by code or text
-	Outcomes map[string]int    // the others, by outcome
+	Errors   map[string]int    // failed submissions, by error code or error text
+	Outcomes map[string]int    // the other submissions, by outcome
 }
 
-// String returns the result in words.
+// String returns the result for people, in several lines.
 func (r *Result) String() string {
 	return fmt.Sprintf("%d submissions (%d sent late), errors %s, outcomes %s\nanswered: %v\nplaced:   %v\n",
 		r.Sent, r.Late, countformat.Format(r.Errors), countformat.FormatOutcomes(r.Outcomes), r.Answered, r.Placed)
 }
 
 const (
-	// lateAfter is how long after its time a submission counts as late.
+	// lateAfter is the delay beyond which a submission counts as late.
 	lateAfter = 10 * time.Millisecond
-	// outcomePollInterval is how often the sender looks whether outcomes are still open.
+	// outcomePollInterval is the interval at which the sender checks for open outcomes.
 	outcomePollInterval = 10 * time.Millisecond
 	// outcomePlaced is the outcome of a placed task in the attributes of a job.
 	outcomePlaced = "placed"
-	// outcomeUnknown counts in Result.Outcomes the submissions whose outcome did not come in time.
+	// outcomeUnknown is the key in Result.Outcomes of the submissions whose outcome was not received in time.
 	outcomeUnknown = "unknown"
 )
 
-// Options say how a load is sent.
+// Options configures Send.
 type Options struct {
-	Session string        // job session; it is created if there is none of that name
-	Speed   float64       // multiplies the rate of the load; 0: 1
-	Wait    time.Duration // for open outcomes, after the last submission
-	Prefix  string        // of the idempotency keys; must be unique for each sending
+	Session string        // name of the job session, which is created if it does not exist
+	Speed   float64       // multiplies the rate of the load; zero means 1
+	Wait    time.Duration // how long to wait for outcomes after the last submission
+	Prefix  string        // of the idempotency keys; must be unique for each call of Send
 }
 
-// Send sends a load to a scheduler, open-loop: each submission leaves at its time, whatever the outcomes of earlier ones.
-// It returns when all outcomes are known or after Options.Wait. If ctx ends, it returns the result so far and the
-// context's error.
+// Send sends a load to a scheduler, open-loop: each submission is sent at its time, whatever the state of earlier ones.
+// It returns when all outcomes are known or after Options.Wait. If the context ends, it returns the result so far and the
+// error of the context.
 func Send(ctx context.Context, c *drmaa2.Client, t *Trace, opt Options) (*Result, error) {
 	session, err := openSession(ctx, c, opt.Session)
 	if err != nil {
@@ -78,7 +78,7 @@
 type sender struct {
 	session *drmaa2.JobSession
 
-	mu     sync.Mutex // guards what follows
+	mu     sync.Mutex // guards the fields below
 	result *Result
 	due    map[string]time.Time // intended times of the submissions without an outcome, by key
 }
@@ -102,7 +102,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		// A watch that breaks leaves outcomes open, which the result counts.
+		// After an error of the watch outcomes remain open; the result counts them as unknown.
 		_ = s.session.Watch(ctx, func(i drmaa2.JobInfo) bool { s.recordOutcome(&i); return true })
 	}()
 	return func() {
@@ -167,7 +167,7 @@
 	}
 }
 
-// attributes returns what a job template says of a job beyond DRMAA.
+// attributes returns the implementation-specific attributes of a job's template.
 func attributes(j *Job, key string) map[string]string {
 	all := map[string]string{drmaa2.AttrKey: key}
 	if j.Service != "" {
@@ -205,7 +205,7 @@
 	}
 }
 
-// awaitOutcomes waits for the outcomes that are open and counts those that do not come in time.
+// awaitOutcomes waits for the open outcomes, at most for the given time, and counts the rest as unknown.
 func (s *sender) awaitOutcomes(ctx context.Context, wait time.Duration) {
 	deadline := time.Now().Add(wait)
 	for s.open() > 0 && time.Now().Before(deadline) && ctx.Err() == nil {
--- a/internal/testbed/load/shape.go
+++ b/internal/testbed/load/shape.go
@@ -10,25 +10,25 @@
 	shapeDiurnal  = "diurnal"
 )
 
-// A cold snap rises until the first of these shares of its time, stays at its peak until the second, and then falls
-// exponentially with this rate.
+// A cold snap rises until coldSnapRiseEnd, stays at its peak until coldSnapPeakEnd, both fractions of its length, and then
+// falls exponentially at coldSnapFallRate for its length.
 const (
 	coldSnapRiseEnd  = 0.2
 	coldSnapPeakEnd  = 0.5
 	coldSnapFallRate = 8
 )
 
-// minPeriod, in seconds, keeps divisions by a period from dividing by zero.
+// minPeriod is the shortest period in seconds. It prevents divisions by zero.
 const minPeriod = 1e-9
 
-// Shape is the rate of submissions over time, the record #Shape of the schema. Rates are a second, times in seconds.
+// Shape is the rate of submissions over time, the record #Shape of the schema. Rates are per second, times in seconds.
 type Shape struct {
 	Kind      string  `json:"kind"`
 	PerSecond float64 `json:"perSecond"` // rate at the base
 	Peak      float64 `json:"peak"`      // rate at the peak
 	From      float64 `json:"from"`      // start of the peak
 	For       float64 `json:"for"`       // length of the peak
-	Every     float64 `json:"every"`     // period after which the peak recurs; 0: never
+	Every     float64 `json:"every"`     // period of the peak; zero means that it does not recur
 }
 
 // rate returns the rate at a time of a load of the given length.
@@ -59,18 +59,18 @@
 	return s.PerSecond
 }
 
-// coldSnap returns the rate at a share of the time of a cold snap: it rises fast, stays for a while and falls slowly, as
-// demand for heat does.
-func (s *Shape) coldSnap(share float64) float64 {
+// coldSnap returns the rate at a fraction of the length of a cold snap, during which the demand for heat rises fast and falls
+// slowly.
+func (s *Shape) coldSnap(fraction float64) float64 {
 	switch {
-	case share < 0 || share >= 1:
+	case fraction < 0 || fraction >= 1:
 		return s.PerSecond
-	case share < coldSnapRiseEnd:
-		return s.PerSecond + (s.Peak-s.PerSecond)*share/coldSnapRiseEnd
-	case share < coldSnapPeakEnd:
+	case fraction < coldSnapRiseEnd:
+		return s.PerSecond + (s.Peak-s.PerSecond)*fraction/coldSnapRiseEnd
+	case fraction < coldSnapPeakEnd:
 		return s.Peak
 	}
-	return s.PerSecond + (s.Peak-s.PerSecond)*math.Exp(-(share-coldSnapPeakEnd)*coldSnapFallRate)
+	return s.PerSecond + (s.Peak-s.PerSecond)*math.Exp(-(fraction-coldSnapPeakEnd)*coldSnapFallRate)
 }
 
 // maxRate returns the highest rate.
--- a/internal/testbed/load/swf.go
+++ b/internal/testbed/load/swf.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// The fields of the Standard Workload Format, version 2.2 of the Parallel Workloads Archive, counted from 0. A field of -1
-// is not known.
+// The fields of the Standard Workload Format, version 2.2 of the Parallel Workloads Archive, counted from 0. The value -1
+// means unknown.
 const (
 	swfSubmitTime          = 1 // seconds since the start of the log
 	swfRunTime             = 3 // seconds
@@ -35,7 +35,7 @@
 // SWFError is returned by ReadSWF for a line that is not of the Standard Workload Format.
 type SWFError struct {
 	Line   int // counted from 1
-	Field  int // counted from 1; 0: the line as a whole
+	Field  int // counted from 1; zero means the whole line
 	Reason string
 }
 
@@ -46,12 +46,12 @@
 	return fmt.Sprintf("load: line %d, field %d: %s", e.Line, e.Field, e.Reason)
 }
 
-// swfLine has the fields of one job.
+// swfLine is the fields of one job.
 type swfLine [swfFields]float64
 
 // ReadSWF imports a log of the Standard Workload Format. Its jobs become jobs of the class; the application is the service,
-// the user the tenant. Jobs without a submission time or processors are skipped and counted. A line of another format is
-// reported by an SWFError.
+// the user the tenant. Jobs without a submission time or processors are skipped and counted. For a line of another format it
+// returns an *SWFError.
 func ReadSWF(r io.Reader, class string) (t *Trace, skipped int, err error) {
 	t = &Trace{Source: SourceSWF}
 	lines := bufio.NewScanner(r)
@@ -82,7 +82,7 @@
 	return t, skipped, nil
 }
 
-// readSWFComment takes the start time from a comment that has it.
+// readSWFComment sets the start of the trace if the comment has it.
 func (t *Trace) readSWFComment(text string) {
 	_, value, found := strings.Cut(text, swfStartTime)
 	if !found {
--- a/internal/testbed/load/trace.go
+++ b/internal/testbed/load/trace.go
@@ -1,5 +1,5 @@
-// Package load defines what is sent to a scheduler under test: plans of load, captured loads with their file format, and an
-// open-loop sender that measures latency from the intended time. It knows schedulers by their public interface only.
+// Package load has the loads that are sent to a scheduler under test: load plans, captured loads with their file format, and
+// an open-loop sender that measures latency from the intended time. It uses the public interface of schedulers only.
 package load
 
 import (
@@ -17,14 +17,14 @@
 	Class    string
 	Service  string
 	Tenant   string
-	Cores    float64       // requested; 0: as the class has it
-	Memory   float64       // requested, in GiB; 0: as the class has it
-	Runtime  time.Duration // runtime
-	Censored bool          // the job ran longer than Life: its end was not seen, or was forced
+	Cores    float64       // requested; zero means the default of the class
+	Memory   float64       // requested, in GiB; zero means the default of the class
+	Runtime  time.Duration // observed runtime
+	Censored bool          // the job would have run longer than Runtime: its end was not observed, or was forced
 	Outcome  string
 }
 
-// Gap is a time in which a capture received nothing, since the start.
+// Gap is an interval in which a capture received nothing. Its times count from the start of the capture.
 type Gap struct{ From, To time.Duration }
 
 // The sources of a trace.
@@ -34,7 +34,7 @@
 	SourcePlan   = "plan"   // drawn from a plan
 )
 
-// Trace is a captured load, or one that a plan has drawn. Its jobs are in order of time.
+// Trace is a load that was captured or imported, or was drawn from a plan. Its jobs are in the order of their times.
 type Trace struct {
 	Source    string // one of the Source constants
 	Start     time.Time
@@ -51,14 +51,14 @@
 	return t.Jobs[len(t.Jobs)-1].At
 }
 
-// The context that the key of the hashes is derived under, and how many bytes of a hash replace a name.
+// Parameters of Anonymise: the context of the key derivation, and the number of bytes of a hash that replace a name.
 const (
 	anonymiseContext = "flaxshelf trace names v1"
 	nameHashBytes    = 8
 )
 
-// Anonymise replaces the names of services and tenants by hashes under the key. Equal names stay equal, and without the
-// key the name of a hash cannot be found by hashing candidates. Classes stay, because a load is of no use without them.
+// Anonymise replaces the names of services and tenants by keyed hashes. Equal names have equal hashes, and without the key
+// the name of a hash cannot be found by hashing candidates. Classes are not replaced, since a load is useless without them.
 func (t *Trace) Anonymise(key string) error {
 	var derived [32]byte
 	blake3.DeriveKey(anonymiseContext, []byte(key), derived[:])
@@ -82,7 +82,7 @@
 	return nil
 }
 
-// sort puts the jobs in order of time; those of one time keep their order.
+// sort sorts the jobs by their times. The sort is stable.
 func (t *Trace) sort() {
 	slices.SortStableFunc(t.Jobs, func(a, b Job) int { return cmp.Compare(a.At, b.At) })
 }
--- a/internal/testbed/load/traceformat.go
+++ b/internal/testbed/load/traceformat.go
@@ -18,16 +18,16 @@
 // Version is the version of the trace format.
 const Version = 1
 
-// maxRecordBytes bounds a record of a trace.
+// maxRecordBytes limits the size of a record of a trace.
 const maxRecordBytes = 1 << 20
 
-// Errors of a trace that was a valid one once.
+// Errors of Read for a trace that was truncated or damaged.
 var (
 	ErrTruncated = errors.New("load: the trace ends before its end")
 	ErrChecksum  = errors.New("load: the trace is damaged")
 )
 
-// FormatError is returned by Read for what is not a trace of this version.
+// FormatError is returned by Read for data that is not a trace of this version.
 type FormatError struct {
 	Offset int // of the record in bytes
 	Reason string
--- a/internal/testbed/plancheck/cases.go
+++ b/internal/testbed/plancheck/cases.go
@@ -44,15 +44,15 @@
 	"$NC", "4",
 }
 
-// Case is a fleet and load for which predictions are compared with emulated load and with load over sockets.
+// Case is a fleet and a load for which predictions are compared with emulated load and with load over sockets.
 type Case struct {
 	Name         string
-	Limit        planner.LimitName // first that the load meets
-	Replacements []string          // pairs, as baseValues
+	Limit        planner.LimitName // first limit that the load meets
+	Replacements []string          // placeholders and their values, as baseValues
 	ZoneLost     bool              // the nodes of the first zone are lost
 }
 
-// Day is the case as a scripted day.
+// Day returns the case as a scenario.
 func (c Case) Day() (*scenario.Day, error) {
 	text := strings.NewReplacer(slices.Concat(c.Replacements, baseValues)...).Replace(baseDay)
 	day, err := scenario.Parse("planned", []byte(text))
--- a/internal/testbed/plancheck/estimate.go
+++ b/internal/testbed/plancheck/estimate.go
@@ -12,25 +12,25 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/scenario"
 )
 
-// CapturedClass is the load of one class as estimated from a captured load, and how far that can be trusted.
+// CapturedClass is an estimate of the load of one class from a captured load, with its uncertainty.
 type CapturedClass struct {
 	planner.Class
-	Jobs             int      // that were captured
-	CensoredRuntimes int      // jobs whose end was not captured
-	RelativeError    float64  // of the rate and of the mean run time, two standard errors
+	Jobs             int      // captured jobs
+	CensoredRuntimes int      // jobs whose end was not observed
+	RelativeError    float64  // of the rate and of the mean runtime: two standard errors
 	Warnings         []string // reasons not to trust the estimate
 }
 
-// Figures below or above which an estimate has a warning.
+// Thresholds of the warnings.
 const (
 	minSamples          = 30 // jobs, or ends of jobs
 	maxCensoredFraction = 0.25
-	minMeanRuntimes     = 5 // length of the capture, in mean run times
+	minMeanRuntimes     = 5 // length of the capture, in mean runtimes
 )
 
-// EstimateLoad estimates the load of a captured trace, class by class, with the classes and nodes of a day. Gaps of the
-// capture don't count as time. Jobs whose end was not captured count as censored: the time that all jobs were seen running
-// is divided by the ends that were seen, as for exponential run times. The error is a capture that is too short, or a
+// EstimateLoad estimates the load of each class of a captured trace, with the classes and nodes of a day. Gaps of the
+// capture are excluded from its length. The mean runtime is the total runtime of all jobs divided by the number of ends that
+// were observed, which assumes exponential runtimes. EstimateLoad returns an error if the capture is too short or has a
 // class that the day does not have.
 func EstimateLoad(trace *load.Trace, day *scenario.Day) ([]CapturedClass, error) {
 	length := trace.Length()
@@ -57,7 +57,7 @@
 	return classes, nil
 }
 
-// estimateClass estimates the load of one class from its jobs within a length of time.
+// estimateClass estimates the load of one class from its jobs in a capture of the given length.
 func estimateClass(day *scenario.Day, name string, jobs []load.Job, length time.Duration) (CapturedClass, error) {
 	settings := day.Class(name)
 	if settings == nil {
@@ -90,7 +90,7 @@
 	return class, nil
 }
 
-// ends is how many jobs were captured to their end.
+// ends returns the number of jobs whose end was observed.
 func (c *CapturedClass) ends() int { return c.Jobs - c.CensoredRuntimes }
 
 // addWarnings adds the reasons not to trust the estimate.
--- a/internal/testbed/plancheck/model.go
+++ b/internal/testbed/plancheck/model.go
@@ -5,10 +5,10 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/scenario"
 )
 
-// placementsPerSecond is half of what one scheduler's process has handled at 33 nodes, see docs/results.md.
+// placementsPerSecond is half of the measured throughput of one scheduler with 33 nodes, see docs/results.md.
 const placementsPerSecond = 10000
 
-// Model is a day's fleet and load as the planner takes them.
+// Model returns a day's fleet and load in the planner's terms.
 func Model(day *scenario.Day) (*planner.Fleet, []planner.Class) {
 	var load []planner.Class
 	for i := range day.Load {
@@ -45,7 +45,7 @@
 	return fleet
 }
 
-// classOf is one stream of a day's load. What the stream does not name, its class does.
+// classOf returns one stream of a day's load, with the defaults of its class.
 func classOf(day *scenario.Day, stream *scenario.Load) planner.Class {
 	class := day.Class(stream.Class)
 	return planner.Class{
@@ -64,10 +64,10 @@
 
 func mean(bounds [2]float64) float64 { return (bounds[0] + bounds[1]) / 2 }
 
-// orDefault is a value where it is above 0, else its default.
-func orDefault(value, byDefault float64) float64 {
+// orDefault returns value if it is above zero, and fallback otherwise.
+func orDefault(value, fallback float64) float64 {
 	if value > 0 {
 		return value
 	}
-	return byDefault
+	return fallback
 }
--- a/internal/testbed/plancheck/search.go
+++ b/internal/testbed/plancheck/search.go
@@ -13,40 +13,40 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/scenario"
 )
 
-// Goal is the service that a load must get.
+// Goal is the service level that a load must get.
 type Goal struct {
 	MinPlacedFraction float64 // of the submissions of each class
-	WarmupSeconds     float64 // at the start of the day, in which submissions don't count
-	Surge             Surge   // in the warmup; the zero value: none
+	WarmupSeconds     float64 // time at the start of the day whose submissions don't count
+	Surge             Surge   // during the warmup; the zero value means none
 }
 
-// Surge is a higher load at the start of a day. Where clients retry, a load that holds while it rises may not hold when it
-// falls back from a surge.
+// Surge is a higher load at the start of a day. If clients retry, a fleet that handles a load may not recover at the same
+// load after a surge.
 type Surge struct {
 	Factor  float64 // multiple of the load
 	Seconds float64 // length
 }
 
-// Search is where a breaking point is looked for, and how exactly.
+// Search is the interval in which a breaking point is searched for, and the precision.
 type Search struct {
 	Low, High     float64 // multiples of the load
-	RelativeWidth float64 // of the interval that is found, to its lower end
-	Seeds         int     // days that are emulated for each multiple; a goal is met when their mean meets it
+	RelativeWidth float64 // width of the resulting interval, relative to its lower bound
+	Seeds         int     // emulated days for each multiple; the goal is met if their mean meets it
 }
 
 // BreakingPoint is the interval of the load in which the goal breaks.
 type BreakingPoint struct {
 	Low, High      float64 // the goal is met at Low and missed at High, in multiples of the load
 	Runs           int     // emulated days
-	Class          string  // that missed the goal, at the lowest multiple that did
-	PlacedFraction float64 // of its submissions there
+	Class          string  // that missed the goal at the lowest multiple at which it was missed
+	PlacedFraction float64 // of the submissions of Class at that multiple
 }
 
-// OutOfRangeError is a breaking point that is not within the bounds of the search.
+// OutOfRangeError is returned for a breaking point outside the bounds of the search.
 type OutOfRangeError struct {
 	Low, High float64 // bounds of the search
-	Multiple  float64 // the bound that shows it
-	GoalMet   bool    // whether the goal is met there
+	Multiple  float64 // the bound beyond which the breaking point is
+	GoalMet   bool    // whether the goal is met at Multiple
 }
 
 // Error names the bound.
@@ -59,8 +59,8 @@
 		result, e.Multiple, e.Low, e.High)
 }
 
-// FindBreakingPoint searches for the multiple of the day's load at which the goal breaks, by bisection: most runs are
-// made where the answer is uncertain. The error is an OutOfRangeError, or that of the emulation; the context ends it.
+// FindBreakingPoint searches by bisection for the multiple of the day's load at which the goal is missed. It returns an
+// *OutOfRangeError, or an error of the emulation, such as that of the context.
 func FindBreakingPoint(ctx context.Context, day *scenario.Day, goal Goal, search Search) (BreakingPoint, error) {
 	point := BreakingPoint{Low: search.Low, High: search.High}
 	goalMet := func(multiple float64) (bool, error) {
@@ -103,8 +103,8 @@
 	return point, nil
 }
 
-// FindWithSurge searches for the breaking point while load rises, and for that after the goal's surge. Where the second is
-// lower, the load between is metastable: it holds until something overloads the fleet, and then does not recover.
+// FindWithSurge searches for the breaking point without the goal's surge, rising, and with it, falling. If the second is
+// lower, the loads between are metastable: the fleet handles them until something overloads it, and then does not recover.
 func FindWithSurge(ctx context.Context, day *scenario.Day, goal Goal, search Search) (rising, falling BreakingPoint,
 	err error) {
 	withoutSurge := goal
@@ -114,7 +114,7 @@
 	}
 	falling, err = FindBreakingPoint(ctx, day, goal, search)
 	var outOfRange *OutOfRangeError
-	if errors.As(err, &outOfRange) && outOfRange.Multiple == search.Low { // it does not even recover at the lower bound
+	if errors.As(err, &outOfRange) && outOfRange.Multiple == search.Low { // the fleet does not recover even at the lower bound
 		falling.Low, falling.High = 0, search.Low
 		return rising, falling, nil
 	}
@@ -124,7 +124,8 @@
 	return rising, falling, nil
 }
 
-// worstClass emulates the day at a multiple of its load, and returns the class of which the least fraction was placed.
+// worstClass emulates the day at a multiple of its load, and returns the class with the lowest fraction of placed
+// submissions, and that fraction.
 func worstClass(ctx context.Context, day *scenario.Day, goal Goal, multiple float64, seeds int) (string, float64, error) {
 	reports, err := emulate(ctx, scaledDay(day, goal.Surge, multiple), goal.WarmupSeconds, seeds)
 	if err != nil {
@@ -145,13 +146,13 @@
 			worst, leastFraction = reports[0].Classes[i].Class, fraction
 		}
 	}
-	if counted == 0 { // else a goal would be met by no load at all
+	if counted == 0 { // no load at all must not meet a goal
 		return "", 0, fmt.Errorf("plancheck: no submission counts: the load ends before %v s", goal.WarmupSeconds)
 	}
 	return worst, leastFraction, nil
 }
 
-// scaledDay is the day at a multiple of its load, with a surge at its start.
+// scaledDay returns the day at a multiple of its load, with a surge at its start.
 func scaledDay(day *scenario.Day, surge Surge, multiple float64) *scenario.Day {
 	scaled := *day
 	scaled.Load = slices.Clone(day.Load)
@@ -165,7 +166,7 @@
 	return &scaled
 }
 
-// emulate emulates the day once for each seed, as many at a time as there are processors, and waits for all.
+// emulate emulates the day once for each seed, GOMAXPROCS days at a time, and returns their reports in the order of seeds.
 func emulate(ctx context.Context, day *scenario.Day, warmupSeconds float64, seeds int) ([]*emulator.Report, error) {
 	reports, errs := make([]*emulator.Report, seeds), make([]error, seeds)
 	slots := make(chan struct{}, runtime.GOMAXPROCS(0))
--- a/internal/testbed/standin/fleet/fleet.go
+++ b/internal/testbed/standin/fleet/fleet.go
@@ -1,5 +1,5 @@
-// Package fleet derives the configurations of node models from the settings of a stand-in fleet, for nodes on sockets and in
-// the emulator alike. It does not run the nodes.
+// Package fleet derives the configurations of node models from the settings of a stand-in fleet, for nodes on sockets and
+// in the emulator. It does not run the nodes.
 package fleet
 
 import (
--- a/internal/testbed/standin/host/connection.go
+++ b/internal/testbed/standin/host/connection.go
@@ -76,8 +76,8 @@
 	return &nodepb.Frame{Body: &nodepb.Frame_Bye{Bye: &nodepb.Bye{Reason: reason}}}
 }
 
-// encode never fails on the frames that stand-ins make: they are split to stay within the limit. Should one fail, a
-// goodbye with the error takes its place.
+// encode encodes a frame. Stand-ins split their frames to stay within the size limit, so that encoding does not fail. If it
+// fails nevertheless, encode returns a goodbye with the error instead.
 func encode(frame *nodepb.Frame) []byte {
 	encoded, err := nodeframe.Append(nil, frame)
 	if err != nil {
@@ -105,7 +105,7 @@
 	p.conns[name], p.names[conn] = conn, name
 }
 
-// remove returns the party whose connection conn was, if it was not replaced.
+// remove removes a connection and returns its party; empty if the connection was replaced.
 func (p *parties) remove(conn *transport.Conn) string {
 	name, ok := p.names[conn]
 	if ok {
--- a/internal/testbed/standin/host/host.go
+++ b/internal/testbed/standin/host/host.go
@@ -1,5 +1,6 @@
-// Package host puts the stand-in models on sockets: nodes and the inventory. It must not decide what a node or the
-// inventory does; the models do. One goroutine owns each model; event loops of connections only parse and pass on.
+// Package host runs the stand-in models of nodes and the inventory on sockets. The models decide what a node or the
+// inventory does; this package must not. One goroutine owns each model; the event loops of connections only parse frames and
+// pass them to it.
 package host
 
 import (
@@ -19,29 +20,30 @@
 // mailboxCapacity is how many tasks may wait for an owner. A party whose frames find the mailbox full is disconnected.
 const mailboxCapacity = 16384
 
-// never is when a model has nothing due.
+// never is the due time of a model that has nothing due.
 const never = time.Duration(math.MaxInt64)
 
 var errMailboxFull = errors.New("host: the mailbox is full")
 
-// model is what a host runs. All methods are called by the goroutine that owns it. Times are those of package clock.
+// model is the model that a host runs. All methods are called by the goroutine that owns it. Times are those of package
+// clock.
 type model interface {
-	// nextDue is when something falls due, or never.
+	// nextDue returns when something is due next, or never.
 	nextDue() time.Duration
-	// advance does what has fallen due.
+	// advance does what is due.
 	advance(now time.Duration)
-	// connect takes a party's connection after its hello.
+	// connect handles a party's connection after its hello.
 	connect(now time.Duration, conn *transport.Conn, hello *nodepb.Hello)
-	// disconnect reports that a party's connection has closed.
+	// disconnect handles the end of a party's connection.
 	disconnect(now time.Duration, party string)
-	// receive takes a frame of a party.
+	// receive handles a frame of a party.
 	receive(now time.Duration, party string, frame *nodepb.Frame)
-	// isDead ends the host.
+	// isDead reports whether the model has died, which ends the host.
 	isDead() bool
 }
 
-// host runs a model with a server for the connections of parties. Its exported methods, enqueue and tryEnqueue may be
-// called from any goroutine; all else belongs to the owner.
+// host runs a model with a server for the connections of parties. Its exported methods, enqueue and tryEnqueue are safe for
+// concurrent use; everything else belongs to the owner.
 type host struct {
 	model        model
 	server       *transport.Server
@@ -49,13 +51,12 @@
 	mailbox      chan func() // tasks for the owner
 	stopping     chan struct{}
 	stopOnce     sync.Once
-	closing      chan struct{}  // closed when the owner takes no tasks any more
+	closing      chan struct{}  // closed when the owner runs no more tasks
 	blockedSends sync.WaitGroup // goroutines that wait for a full mailbox
 	done         chan struct{}
 }
 
-// listen makes a host that listens on an address; port 0 picks one. It serves nothing until its caller sets the model
-// and starts serve.
+// listen returns a host that listens on an address; port 0 picks a free port. The caller must set the model and start serve.
 func listen(address string, log zerolog.Logger) (*host, error) {
 	h := &host{parties: newParties(), mailbox: make(chan func(), mailboxCapacity), stopping: make(chan struct{}),
 		closing: make(chan struct{}), done: make(chan struct{})}
@@ -68,19 +69,19 @@
 	return h, nil
 }
 
-// Addr is the address, host:port, on which it listens.
+// Addr returns the address, host:port, on which the host listens.
 func (h *host) Addr() string { return h.server.Addr() }
 
-// Done is closed when it has ended.
+// Done returns a channel that is closed when the host has ended.
 func (h *host) Done() <-chan struct{} { return h.done }
 
-// Stop ends it at once, as a crash does, and returns when it has ended.
+// Stop ends the host at once, as a crash does, and waits until it has ended.
 func (h *host) Stop() {
 	h.stopOnce.Do(func() { close(h.stopping) })
 	<-h.done
 }
 
-// do runs a task on the owner's goroutine and returns when it has run, or when the host has ended.
+// do runs a task on the owner's goroutine. It returns when the task has run or the host has ended.
 func (h *host) do(task func()) {
 	ran := make(chan struct{})
 	select {
@@ -94,7 +95,8 @@
 	}
 }
 
-// tryEnqueue passes a task to the owner if the mailbox has room; for event loops.
+// tryEnqueue passes a task to the owner. It returns false if the mailbox is full. It does not block, so event loops may
+// call it.
 func (h *host) tryEnqueue(task func()) bool {
 	select {
 	case h.mailbox <- task:
@@ -104,7 +106,8 @@
 	}
 }
 
-// enqueue passes a task that must not be lost to the owner, without waiting. If the mailbox is full, a goroutine waits.
+// enqueue passes a task that must not be lost to the owner, without blocking. If the mailbox is full, a goroutine waits
+// until it is not.
 func (h *host) enqueue(task func()) {
 	if h.tryEnqueue(task) {
 		return
@@ -117,8 +120,8 @@
 	})
 }
 
-// serve is the loop of the goroutine that owns the model. It ends when the model is dead or Stop is called, and reports
-// which; tick is called whenever ticks has a time.
+// serve is the loop of the goroutine that owns the model. It returns true after Stop, and false when the model has died.
+// tick is called for each value of ticks.
 func (h *host) serve(ticks <-chan time.Time, tick func()) (stopped bool) {
 	due := time.NewTimer(never)
 	defer due.Stop()
@@ -140,10 +143,10 @@
 	return false
 }
 
-// closeServer ends the server and waits for all goroutines of the host but the owner's, which calls it last.
+// closeServer stops the server and waits for the goroutines of the host except the owner's, which calls it last.
 func (h *host) closeServer() {
 	close(h.closing)
-	_ = h.server.Stop(context.Background()) // a stand-in that ends has nobody to report it to
+	_ = h.server.Stop(context.Background()) // the stand-in ends anyway
 	h.blockedSends.Wait()
 	close(h.done)
 }
--- a/internal/testbed/standin/host/inventory.go
+++ b/internal/testbed/standin/host/inventory.go
@@ -16,18 +16,18 @@
 
 const (
 	inventoryName   = "inventory"          // in its welcome
-	waitForInterval = 5 * time.Millisecond // between two looks of WaitFor
+	waitForInterval = 5 * time.Millisecond // between two polls of WaitFor
 )
 
 var errInventoryStopped = errors.New("inventory: stopped")
 
-// Inventory is the stand-in inventory on sockets. Its methods may be called from any goroutine.
+// Inventory is the stand-in inventory on sockets. Its methods are safe for concurrent use.
 type Inventory struct {
 	*host
-	state *inventorymodel.Inventory // of the owner
+	state *inventorymodel.Inventory // belongs to the owner
 }
 
-// StartInventory starts an inventory that listens on addr; port 0 picks one. The caller ends it with Stop.
+// StartInventory starts an inventory that listens on addr; port 0 picks a free port. The caller must call Stop.
 func StartInventory(addr string, cfg inventorymodel.Config, log zerolog.Logger) (*Inventory, error) {
 	h, err := listen(addr, log)
 	if err != nil {
@@ -47,7 +47,8 @@
 	v.do(func() { v.send(f(v.state, clock.Now())) })
 }
 
-// WaitFor waits until the list shows a number of nodes.
+// WaitFor waits until the list has at least the given number of nodes. It returns an error if the context or the inventory
+// ends first.
 func (v *Inventory) WaitFor(ctx context.Context, nodes int) error {
 	for {
 		published := 0
--- a/internal/testbed/standin/host/keyregistry.go
+++ b/internal/testbed/standin/host/keyregistry.go
@@ -6,13 +6,13 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/standin/nodemodel"
 )
 
-// KeyRegistry is a nodemodel.KeyRegistry that several nodes share, each with a goroutine of its own.
+// KeyRegistry is a nodemodel.KeyRegistry for nodes on several goroutines. It is safe for concurrent use.
 type KeyRegistry struct {
 	mu   sync.Mutex
 	keys *nodemodel.LocalKeys
 }
 
-// NewKeyRegistry makes a KeyRegistry in which no key is reserved.
+// NewKeyRegistry returns a KeyRegistry without reserved keys.
 func NewKeyRegistry() *KeyRegistry { return &KeyRegistry{keys: nodemodel.NewLocalKeys()} }
 
 // Reserve implements nodemodel.KeyRegistry.
--- a/internal/testbed/standin/host/node.go
+++ b/internal/testbed/standin/host/node.go
@@ -14,31 +14,31 @@
 	"flaxshelf.example/flaxshelf/internal/transport"
 )
 
-// errFenced closes the connection of a scheduler's earlier start, which may still run.
+// errFenced closes the connection of an earlier incarnation of a scheduler, which may still run.
 var errFenced = errors.New("host: a later incarnation of this party has connected")
 
-// NodeOptions are what a node needs beside its model.
+// NodeOptions configures a node.
 type NodeOptions struct {
 	Model     nodemodel.Config
 	Kind      string
 	Cell      int
-	Listen    string                // host:port; port 0 picks one
+	Listen    string                // host:port; port 0 picks a free port
 	Advertise string                // address for the inventory; empty: the bound address
 	Inventory string                // address; empty: the node registers nowhere
-	Keys      nodemodel.KeyRegistry // shared with the nodes that reject the same copies of tasks with a key
+	Keys      nodemodel.KeyRegistry // shared by the nodes of a zone; nil: the node has its own
 	Log       zerolog.Logger
 }
 
-// Node is a stand-in node on sockets. Its methods may be called from any goroutine.
+// Node is a stand-in node on sockets. Its methods are safe for concurrent use.
 type Node struct {
 	*host
 	options      NodeOptions
-	state        *nodemodel.Node   // of the owner
+	state        *nodemodel.Node   // belongs to the owner
 	dialer       *transport.Dialer // nil without an inventory
-	registration *transport.Conn   // to the inventory; nil while not connected; of the owner
+	registration *transport.Conn   // to the inventory; nil while not connected; belongs to the owner
 }
 
-// StartNode starts a node. The caller ends it with Stop.
+// StartNode starts a node. The caller must call Stop.
 func StartNode(options NodeOptions) (*Node, error) {
 	h, err := listen(options.Listen, options.Log)
 	if err != nil {
@@ -63,7 +63,7 @@
 	return n, nil
 }
 
-// Overloaded reports, once Done, whether the node has died of too many starts while cold.
+// Overloaded reports whether the node crashed of overload during slow start. It must not be called before Done is closed.
 func (n *Node) Overloaded() bool { return n.state.Overloaded() }
 
 // Do runs f with the model, on the goroutine that owns it, and sends what it returns.
@@ -88,7 +88,7 @@
 
 func (n *Node) close() {
 	if n.dialer != nil {
-		_ = n.dialer.Stop() // a stand-in that ends has nobody to report it to
+		_ = n.dialer.Stop() // the stand-in ends anyway
 	}
 	n.closeServer()
 }
--- a/internal/testbed/standin/host/registration.go
+++ b/internal/testbed/standin/host/registration.go
@@ -17,11 +17,11 @@
 // inventoryBackoff is the backoff of a node's link to the inventory.
 var inventoryBackoff = transport.Backoff{Initial: 50 * time.Millisecond, Max: time.Second}
 
-// linkInventory keeps a connection to the inventory until the dialer stops.
+// linkInventory maintains a connection to the inventory until the dialer stops.
 func (n *Node) linkInventory() {
 	n.dialer.Link(n.options.Inventory, inventoryDialTimeout, inventoryBackoff,
 		func() transport.Handler { return &registrationHandler{node: n} },
-		func(error) {}) // the link connects again by itself
+		func(error) {}) // the link reconnects
 }
 
 // register reports the node to the inventory.
@@ -41,11 +41,11 @@
 	n.registration.Send(encode(&nodepb.Frame{Body: &nodepb.Frame_Register{Register: &nodepb.Register{Entry: entry}}}))
 }
 
-// registrationHandler is the node's end of a connection to the inventory. A change that finds the mailbox full is
-// dropped: the next connection or report makes up for it.
+// registrationHandler is the node's end of a connection to the inventory. A change is dropped if the mailbox is full,
+// since the next connection or report repeats it.
 type registrationHandler struct{ node *Node }
 
-// Opened sends the hello and has the node register.
+// Opened implements transport.Handler: it sends the hello and registers the node.
 func (r *registrationHandler) Opened(conn *transport.Conn) {
 	n := r.node
 	conn.WriteInLoop(encode(&nodepb.Frame{Body: &nodepb.Frame_Hello{Hello: &nodepb.Hello{VersionMin: nodeframe.Version,
@@ -56,7 +56,7 @@
 	})
 }
 
-// Receive implements transport.Handler; nothing that the inventory sends matters to a node.
+// Receive implements transport.Handler. It ignores what the inventory sends.
 func (*registrationHandler) Receive(_ *transport.Conn, received []byte) (int, error) {
 	return len(received), nil
 }
--- a/internal/testbed/standin/inventorymodel/inventory.go
+++ b/internal/testbed/standin/inventorymodel/inventory.go
@@ -1,6 +1,6 @@
-// Package inventorymodel models the stand-in inventory, from which schedulers learn of nodes: it lists them with a delay,
-// as a complete list or as a watch on changes, and fails when a fault is set. The model is deterministic: it does no I/O
-// and reads no clock.
+// Package inventorymodel models the stand-in inventory, from which schedulers discover nodes. It publishes changes after a
+// delay, as a complete list or to watches, and fails when a fault is set. The model is deterministic: it does no I/O and
+// reads no clock.
 package inventorymodel
 
 import (
@@ -20,20 +20,20 @@
 
 // Config is the behaviour of an inventory.
 type Config struct {
-	// DiscoveryDelay is how long after its registration a change is listed.
+	// DiscoveryDelay is the time from the registration of a change to its publication.
 	DiscoveryDelay time.Duration
-	// RemovalDelay is how long after its connection broke a node is removed, unless it registers anew.
+	// RemovalDelay is the time from the loss of a node's connection to its removal, unless it registers again.
 	RemovalDelay time.Duration
-	// MaxEntriesPerFrame bounds the entries of a frame of a complete list. 0: 2,000.
+	// MaxEntriesPerFrame limits the entries in one frame of a complete list. Zero means 2,000.
 	MaxEntriesPerFrame int
 }
 
 const defaultMaxEntriesPerFrame = 2000
 
-// Fault is what goes wrong at the inventory. The zero value is an inventory without faults.
+// Fault is the faults of an inventory. The zero value means none.
 type Fault struct {
-	Fails bool // requests are answered with an error, and watches are dropped
-	Stale bool // no change is listed
+	Fails bool // requests are answered with an error, and watches are closed
+	Stale bool // no change is published
 }
 
 // Send is a frame that the inventory sends.
@@ -44,7 +44,8 @@
 
 // Inventory is the model. Not safe for concurrent use.
 //
-// Each method that takes the time also does what has fallen due by then; a time before the last one counts as the last.
+// Each method that has a time as its argument also does what is due by then. A time before that of the last call counts as
+// that of the last call.
 type Inventory struct {
 	cfg   Config
 	now   Time
@@ -57,24 +58,24 @@
 
 	published map[string]*nodepb.Entry // by node, as schedulers see them
 	revision  uint64                   // of the list
-	pending   []change                 // not listed yet, in order of time
+	pending   []change                 // not published yet, in order of time
 	watchers  []string
 }
 
-// registration is what a node has last registered.
+// registration is the last registration of a node.
 type registration struct {
 	entry   *nodepb.Entry
 	source  string
 	removal timerqueue.Item[*registration] // queued while the connection is broken
 }
 
-// change is an entry that replaces the listed one of its node at a given time.
+// change is an entry that replaces the published one of its node at a given time.
 type change struct {
 	at    Time
 	entry *nodepb.Entry
 }
 
-// New returns an inventory that lists nothing.
+// New returns an inventory without nodes.
 func New(cfg Config) *Inventory {
 	if cfg.MaxEntriesPerFrame <= 0 {
 		cfg.MaxEntriesPerFrame = defaultMaxEntriesPerFrame
@@ -121,7 +122,7 @@
 	return v.out
 }
 
-// SetFault replaces the faults of the inventory.
+// SetFault replaces the faults of the inventory, and closes all watches if requests fail from now on.
 func (v *Inventory) SetFault(now Time, f Fault) []Send {
 	v.begin(now)
 	v.fault = f
@@ -135,14 +136,14 @@
 	return v.out
 }
 
-// Advance does what has fallen due by now.
+// Advance does what is due by now.
 func (v *Inventory) Advance(now Time) []Send {
 	v.begin(now)
 	v.advance()
 	return v.out
 }
 
-// Next returns when something falls due; the largest Time if nothing does.
+// Next returns when something is due next; math.MaxInt64 if nothing is.
 func (v *Inventory) Next() Time {
 	next := Time(math.MaxInt64)
 	if len(v.pending) > 0 && !v.fault.Stale {
@@ -154,7 +155,7 @@
 	return next
 }
 
-// Published returns the list as schedulers see it now, in order of the nodes' names.
+// Published returns the list as schedulers see it now, ordered by node.
 func (v *Inventory) Published() []*nodepb.Entry {
 	var all []*nodepb.Entry
 	for _, e := range v.published {
@@ -166,7 +167,7 @@
 
 func (v *Inventory) begin(now Time) { v.now, v.out = max(now, v.now), nil }
 
-// register records what a node registers. The node belongs to the last connection that registered it.
+// register records a registration. A node belongs to the last connection that registered it.
 func (v *Inventory) register(from string, e *nodepb.Entry) {
 	if e == nil || e.Node == "" {
 		return
@@ -187,7 +188,7 @@
 	v.publishLater(v.now, e)
 }
 
-// detach takes a registration from its connection.
+// detach removes a registration from those of its connection.
 func (v *Inventory) detach(r *registration) {
 	rest := slices.DeleteFunc(v.bySource[r.source], func(o *registration) bool { return o == r })
 	if len(rest) == 0 {
@@ -197,7 +198,7 @@
 	}
 }
 
-// publishLater lists an entry DiscoveryDelay after its change.
+// publishLater schedules the publication of an entry, DiscoveryDelay after its change.
 func (v *Inventory) publishLater(changed Time, e *nodepb.Entry) {
 	at := changed + v.cfg.DiscoveryDelay
 	i := len(v.pending)
@@ -233,7 +234,7 @@
 	}
 }
 
-// publishDue lists the pending changes that are due and returns those that differ from what was listed.
+// publishDue publishes the pending changes that are due and returns those that differ from what was published.
 func (v *Inventory) publishDue() []*nodepb.Entry {
 	var changes []*nodepb.Entry
 	for len(v.pending) > 0 && v.pending[0].at <= v.now {
@@ -254,7 +255,7 @@
 	return changes
 }
 
-// watch answers a request for the list; with changes, the scheduler is sent each later change as well.
+// watch answers a request for the list. With changes, each later change is sent to the scheduler as well.
 func (v *Inventory) watch(from string, changes bool) {
 	if v.fault.Fails {
 		v.sendError(from)
@@ -266,7 +267,7 @@
 	}
 }
 
-// sendSnapshot sends the complete list, in one frame at least.
+// sendSnapshot sends the complete list, in at least one frame.
 func (v *Inventory) sendSnapshot(to string) {
 	rest := v.Published()
 	for first := true; first || len(rest) > 0; first = false {
--- a/internal/testbed/standin/nodemodel/config.go
+++ b/internal/testbed/standin/nodemodel/config.go
@@ -22,36 +22,37 @@
 	CachedStartTime time.Duration
 	// UncachedStartFactor multiplies CachedStartTime when the program is not cached. Values below 1 count as 1.
 	UncachedStartFactor float64
-	// MaxCachedPrograms is how many programs stay cached after their last task. 0 caches none.
+	// MaxCachedPrograms is how many programs stay cached after their last task. Zero means none.
 	MaxCachedPrograms int
-	// SlowStartInitialRate is the share of the full start rate that a node has when it boots. The share rises evenly to 1
-	// within SlowStartDuration.
+	// SlowStartInitialRate is the fraction of the full start rate that a node has when it boots. The fraction rises linearly
+	// to 1 within SlowStartDuration.
 	SlowStartInitialRate float64
-	// SlowStartDuration is how long the node warms up after it boots. 0: it is warm from the start.
+	// SlowStartDuration is the duration of the slow start after a boot. Zero means no slow start.
 	SlowStartDuration time.Duration
-	// OverloadMultiple and OverloadWindow say when a node that warms up breaks down: when the offers within OverloadWindow
-	// exceed this multiple of the starts that it can do in that time. A window of 0 turns this off.
+	// OverloadMultiple and OverloadWindow determine when a node in slow start crashes of overload: when the offers within
+	// OverloadWindow exceed this multiple of the starts that the node can do in that time. A window of zero means never.
 	OverloadMultiple float64
 	OverloadWindow   time.Duration
-	// SlowStartBudget is how many offers within OverloadWindow never break the node down.
+	// SlowStartBudget is the number of offers within OverloadWindow that never overload the node.
 	SlowStartBudget float64
-	// Preempts says whether the node evicts tasks of lower priority when an offered task does not fit.
+	// Preempts is whether the node preempts tasks of lower priority when an offered task does not fit.
 	Preempts bool
-	// DrainMigrationInterval is how often a draining node ends one of its tasks so that it moves elsewhere. 0: tasks stay
-	// until they end.
+	// DrainMigrationInterval is the interval at which a draining node ends one of its tasks, to be migrated. Zero means that
+	// tasks run to their end.
 	DrainMigrationInterval time.Duration
-	// CoreUsageRange and MemoryUsageRange bound the share of its request that a task uses; each task draws its own.
+	// CoreUsageRange and MemoryUsageRange bound the fraction of its request that a task uses; each task draws its own.
 	CoreUsageRange   [2]float64
 	MemoryUsageRange [2]float64
-	// UsageReportInterval is how often the node looks for memory pressure and sends usage reports. 0: never.
+	// UsageReportInterval is the interval at which the node checks for memory pressure and sends usage reports. Zero means
+	// never.
 	UsageReportInterval time.Duration
-	// SendsLoadReports says whether answers carry the node's free resources.
+	// SendsLoadReports is whether replies have the node's free resources.
 	SendsLoadReports bool
-	// DefaultRuntime is the mean of the runtime of a task that does not give its own. 0: 20 s.
+	// DefaultRuntime is the mean runtime of tasks that do not set their own. Zero means 20 s.
 	DefaultRuntime time.Duration
-	// MaxUnackedOutcomes is how many outcomes are retained for a scheduler until it acknowledges them. 0: 100,000.
+	// MaxUnackedOutcomes limits the outcomes that are retained for a scheduler until it acknowledges them. Zero means 100,000.
 	MaxUnackedOutcomes int
-	// Seed determines all that the node draws.
+	// Seed determines the random numbers of the node.
 	Seed uint64
 }
 
@@ -60,7 +61,7 @@
 	defaultMaxUnackedOutcomes = 100_000
 )
 
-// withDefaults fills in what is not set.
+// withDefaults returns the configuration with defaults for what is not set.
 func (c Config) withDefaults() Config {
 	if c.DefaultRuntime <= 0 {
 		c.DefaultRuntime = defaultRuntime
--- a/internal/testbed/standin/nodemodel/connection.go
+++ b/internal/testbed/standin/nodemodel/connection.go
@@ -6,7 +6,7 @@
 	"flaxshelf.example/flaxshelf/internal/codec/nodeframe/nodepb"
 )
 
-// schedulerState is what the node knows of one scheduler.
+// schedulerState is the state that the node has for a scheduler.
 type schedulerState struct {
 	incarnation int64
 	connected   bool
@@ -17,8 +17,8 @@
 // time in nanoseconds at which the scheduler started; Connect returns false if a later one has connected before, or if
 // the node is dead. Each frame lists at most perFrame tasks and as many outcomes.
 //
-// Offers of an earlier connection that wait for review are dropped: the Welcome says which tasks the node has, and none of
-// another may start after it.
+// Offers of an earlier connection that wait for review are dropped: the Welcome lists the tasks that the node has, and no
+// other may start after it.
 func (n *Node) Connect(now Time, from string, incarnation int64, perFrame int) ([]Send, bool) {
 	n.out = nil
 	n.advance(now)
@@ -32,7 +32,7 @@
 	return n.out, true
 }
 
-// welcome sends the tasks and the outcomes of a scheduler, in one frame at least.
+// welcome sends the tasks and the outcomes of a scheduler, in at least one frame.
 func (n *Node) welcome(to string, unacked []*nodepb.Ended, perFrame int) {
 	var held []*nodepb.Held
 	for _, t := range n.tasksByAge {
@@ -83,7 +83,7 @@
 	return s
 }
 
-// send queues a frame for a scheduler that is connected.
+// send adds a frame to those that the call in progress returns. It drops the frame if the scheduler is not connected.
 func (n *Node) send(to string, f *nodepb.Frame) {
 	if s := n.schedulers[to]; s != nil && s.connected && !n.dead {
 		n.out = append(n.out, Send{to, f})
--- a/internal/testbed/standin/nodemodel/fault.go
+++ b/internal/testbed/standin/nodemodel/fault.go
@@ -1,19 +1,19 @@
 package nodemodel
 
-// everyClass as DropRepliesClass stands for all classes.
+// everyClass as DropRepliesClass means all classes.
 const everyClass = "*"
 
-// Fault is what goes wrong on a node. The zero value is a node without faults.
+// Fault is the faults of a node. The zero value means none.
 type Fault struct {
-	StartFailureFraction float64 // share of starts that fail at once
-	StartFailureClass    string  // the class whose starts fail; empty: all
-	DropRepliesClass     string  // the class whose offers are never answered; "*": all, empty: none
-	UsageFactor          float64 // multiplies what tasks use; 0: no change
-	UsageClass           string  // the class whose tasks use more; empty: all
-	OccupiedFraction     float64 // share of the machine that another program uses
+	StartFailureFraction float64 // fraction of starts that fail at once
+	StartFailureClass    string  // the class whose starts fail; empty means all
+	DropRepliesClass     string  // the class whose offers get no reply; "*" means all, empty none
+	UsageFactor          float64 // multiplies what tasks use; zero means no change
+	UsageClass           string  // the class whose tasks use more; empty means all
+	OccupiedFraction     float64 // fraction of the machine that another program uses
 }
 
-// dropsReplies reports whether offers of a class are not answered.
+// dropsReplies reports whether offers of a class get no reply.
 func (f *Fault) dropsReplies(class string) bool {
 	return f.DropRepliesClass == everyClass || f.DropRepliesClass == class && class != ""
 }
@@ -23,7 +23,7 @@
 	return (f.StartFailureClass == "" || f.StartFailureClass == class) && draw < f.StartFailureFraction
 }
 
-// usageFactor multiplies what tasks of a class use.
+// usageFactor returns the factor of what tasks of a class use.
 func (f *Fault) usageFactor(class string) float64 {
 	if f.UsageFactor > 0 && (f.UsageClass == "" || f.UsageClass == class) {
 		return f.UsageFactor
--- a/internal/testbed/standin/nodemodel/node.go
+++ b/internal/testbed/standin/nodemodel/node.go
@@ -1,5 +1,5 @@
 // Package nodemodel models a stand-in node: which tasks it accepts, starts, evicts and loses, and what they use. The model
-// is deterministic: it does no I/O and reads no clock, so that one model serves nodes on sockets and in the emulator.
+// is deterministic: it does no I/O and reads no clock, so that it runs on sockets and in the emulator.
 package nodemodel
 
 import (
@@ -14,7 +14,7 @@
 // Time is the time since the Unix epoch.
 type Time = time.Duration
 
-// noDeadline is the time of what never falls due.
+// noDeadline is the time of what is never due.
 const noDeadline = Time(math.MaxInt64)
 
 // randomStream is the second half of the generator's seed. Recordings depend on it.
@@ -28,7 +28,8 @@
 
 // Node is the model of one node from its boot to its death. Not safe for concurrent use.
 //
-// Each method that takes the time first does what has fallen due by then; a time before the last one counts as the last.
+// Each method that has a time as its argument first does what is due by then. A time before that of the last call counts
+// as that of the last call.
 type Node struct {
 	cfg     Config
 	random  *rand.Rand
@@ -38,7 +39,7 @@
 
 	waitingOffers []*waitingOffer // the first is under review
 	reviewDone    Time            // when the review of the first ends
-	recentOffers  []Time          // within OverloadWindow, while the node warms up
+	recentOffers  []Time          // within OverloadWindow, during slow start
 
 	tasks          map[string]*task // by attempt
 	tasksByAge     []*task          // the same tasks in order of acceptance
@@ -57,7 +58,7 @@
 	overloaded    bool
 }
 
-// New boots a node at now. keys is shared by the nodes of one zone; nil stands for keys of its own.
+// New returns a node that boots at now. keys is shared by the nodes of one zone; nil means that the node has its own.
 func New(cfg Config, now Time, keys KeyRegistry) *Node {
 	if keys == nil {
 		keys = NewLocalKeys()
@@ -81,7 +82,7 @@
 // Dead reports whether the node has died. A dead node ignores what it receives and sends nothing.
 func (n *Node) Dead() bool { return n.dead }
 
-// Overloaded reports whether the node died because it was offered too much while it warmed up.
+// Overloaded reports whether the node crashed of overload during slow start.
 func (n *Node) Overloaded() bool { return n.overloaded }
 
 // Draining reports whether the node rejects new tasks because it drains.
@@ -110,7 +111,7 @@
 // Finished returns how many tasks have run to their end since the node booted.
 func (n *Node) Finished() int { return n.finishedTasks }
 
-// Advance does what has fallen due by now.
+// Advance does what is due by now.
 func (n *Node) Advance(now Time) []Send {
 	n.out = nil
 	n.advance(now)
@@ -141,7 +142,7 @@
 	return n.out
 }
 
-// Drain has the node reject new tasks from now on.
+// Drain starts draining the node: it rejects new tasks from now on.
 func (n *Node) Drain(now Time) []Send {
 	n.out = nil
 	n.advance(now)
@@ -158,7 +159,7 @@
 	n.tasks, n.tasksByAge, n.waitingOffers, n.startingTasks = map[string]*task{}, nil, nil, 0
 }
 
-// Next returns when something falls due; the largest Time if nothing does.
+// Next returns when something is due next; math.MaxInt64 if nothing is.
 func (n *Node) Next() Time {
 	if n.dead {
 		return noDeadline
@@ -179,7 +180,7 @@
 	return max(next, n.now)
 }
 
-// advance does what is due in the order of its time, so that one late call has the effect of many on time.
+// advance does what is due in the order of its time, so that one late call has the same effect as many on time.
 func (n *Node) advance(now Time) {
 	for !n.dead {
 		next := n.Next()
--- a/internal/testbed/standin/nodemodel/offer.go
+++ b/internal/testbed/standin/nodemodel/offer.go
@@ -17,7 +17,7 @@
 	arrived Time
 }
 
-// receiveOffer queues an offer for review. Rejected offers count towards overload as well.
+// receiveOffer queues an offer for review. Offers that are rejected count towards overload as well.
 func (n *Node) receiveOffer(from string, o *nodepb.Offer) {
 	if o.Task == nil || o.Attempt == "" || n.tasks[o.Attempt] != nil {
 		return
@@ -37,10 +37,10 @@
 	n.waitingOffers = append(n.waitingOffers, &waitingOffer{from, o, n.now})
 }
 
-// dropWaitingOffers forgets the unreviewed offers of a scheduler.
+// dropWaitingOffers discards the unreviewed offers of a scheduler.
 func (n *Node) dropWaitingOffers(from string) {
 	if len(n.waitingOffers) > 0 && n.waitingOffers[0].from == from {
-		n.reviewDone = n.now + n.cfg.OfferReviewTime // the review starts anew with the next
+		n.reviewDone = n.now + n.cfg.OfferReviewTime // of the next offer
 	}
 	n.waitingOffers = slices.DeleteFunc(n.waitingOffers, func(w *waitingOffer) bool { return w.from == from })
 }
@@ -68,7 +68,7 @@
 	if n.fault.dropsReplies(spec.Class) {
 		return
 	}
-	expired := n.now-w.arrived > time.Duration(offer.ValidForNs) // its scheduler waits no longer
+	expired := n.now-w.arrived > time.Duration(offer.ValidForNs) // its scheduler has stopped waiting
 	if expired || n.draining || !n.reserveKey(spec) {
 		n.reject(w.from, offer, nodepb.Reason_NOT_HERE)
 		return
@@ -87,7 +87,7 @@
 	n.accept(w)
 }
 
-// accept takes an offered task over.
+// accept accepts an offered task and starts it when a start slot is free.
 func (n *Node) accept(w *waitingOffer) {
 	t := &task{attempt: w.offer.Attempt, scheduler: w.from, spec: w.offer.Task, accepted: n.now}
 	n.tasks[t.attempt] = t
@@ -102,7 +102,7 @@
 		Load: n.loadReport()}}})
 }
 
-// reserveKey reserves the task's key among the nodes of the zone. It returns false if a copy of the task is there already.
+// reserveKey reserves the task's key among the nodes of the zone. It returns false if a copy of the task has it.
 func (n *Node) reserveKey(spec *nodepb.Task) bool {
 	if spec.Key == "" || spec.Effect == effectIdempotent {
 		return true
@@ -110,11 +110,11 @@
 	return n.keys.Reserve(spec.Key, n.cfg.Name)
 }
 
-// releaseKey gives back what reserveKey has reserved.
+// releaseKey releases the key that reserveKey has reserved.
 func (n *Node) releaseKey(spec *nodepb.Task) { n.keys.Release(spec.Key, n.cfg.Name) }
 
-// fitTask reports whether a task fits, after it has evicted tasks of lower priority if the node does that. If the task
-// does not fit, none is evicted and the reason says what is short.
+// fitTask reports whether a task fits, and makes room for it by preempting tasks of lower priority if the node preempts. If
+// the task does not fit, no task is preempted and the reason is the resource that is short.
 func (n *Node) fitTask(spec *nodepb.Task) (reason nodepb.Reason, fits bool) {
 	cores, memory := n.Free()
 	cores += (n.cfg.CoreOvercommit - 1) * n.cfg.Cores
--- a/internal/testbed/standin/nodemodel/slowstart.go
+++ b/internal/testbed/standin/nodemodel/slowstart.go
@@ -2,12 +2,12 @@
 
 import "slices"
 
-// warmingUp reports whether the node booted less than SlowStartDuration ago.
+// warmingUp reports whether the node is in slow start.
 func (n *Node) warmingUp() bool {
 	return n.cfg.SlowStartDuration > 0 && n.now-n.started < n.cfg.SlowStartDuration
 }
 
-// startRate is the share of its full rate at which the node starts tasks now.
+// startRate returns the fraction of its full rate at which the node starts tasks now.
 func (n *Node) startRate() float64 {
 	if !n.warmingUp() {
 		return 1
@@ -16,7 +16,7 @@
 	return n.cfg.SlowStartInitialRate + (1-n.cfg.SlowStartInitialRate)*float64(age)/float64(n.cfg.SlowStartDuration)
 }
 
-// overloadedByOffer counts an offer and reports whether it was one too many for a node that warms up.
+// overloadedByOffer counts an offer and reports whether it overloads the node.
 func (n *Node) overloadedByOffer() bool {
 	if !n.warmingUp() || n.cfg.OverloadWindow <= 0 {
 		return false
--- a/internal/testbed/standin/nodemodel/task.go
+++ b/internal/testbed/standin/nodemodel/task.go
@@ -18,7 +18,7 @@
 	running   bool
 	startDone Time // while it starts
 	endsAt    Time // while it runs
-	// coreUsage and memoryUsage are the shares of its request that a running task uses.
+	// coreUsage and memoryUsage are the fractions of its request that a running task uses.
 	coreUsage   float64
 	memoryUsage float64
 }
@@ -34,7 +34,7 @@
 	return noDeadline
 }
 
-// byEvictionOrder orders tasks as they are evicted: the lowest priority first, the latest of these first.
+// byEvictionOrder compares tasks in the order of eviction: the lowest priority first, the latest of these first.
 func byEvictionOrder(a, b *task) int {
 	return cmp.Or(
 		cmp.Compare(a.spec.Priority, b.spec.Priority),
@@ -43,7 +43,7 @@
 	)
 }
 
-// startTasks starts accepted tasks, the oldest first, while start slots are free.
+// startTasks starts accepted tasks, the oldest first, as long as start slots are free.
 func (n *Node) startTasks() {
 	for _, t := range n.tasksByAge {
 		if n.startingTasks >= n.cfg.StartSlots {
@@ -61,7 +61,7 @@
 	}
 }
 
-// programCached reports whether the program of the task's service is cached or runs already.
+// programCached reports whether the program of the task's service is cached or running.
 func (n *Node) programCached(t *task) bool {
 	if slices.Contains(n.cachedPrograms, t.spec.Service) {
 		return true
@@ -91,8 +91,8 @@
 	return bounds[0] + (bounds[1]-bounds[0])*n.random.Float64()
 }
 
-// stop cancels an offer that waits for review, or ends an accepted task. The answer is a Refused for the former and an
-// Ended for the latter, so that the scheduler knows which of them it was.
+// stop cancels an offer that waits for review, or ends an accepted task. The reply is a Refused for the former and an Ended
+// for the latter, which tells the scheduler whether the task was accepted.
 func (n *Node) stop(from, attempt string) {
 	if n.cancelWaitingOffer(from, attempt) {
 		return
@@ -102,7 +102,7 @@
 	}
 }
 
-// end removes an accepted task and sends its outcome. Every task but those of a dead node ends here.
+// end removes an accepted task and sends its outcome. Every task ends here, except those of a node that dies.
 func (n *Node) end(t *task, ending nodepb.Ending, reason nodepb.Reason) {
 	if n.tasks[t.attempt] != t {
 		return
--- a/internal/testbed/standin/nodemodel/usage.go
+++ b/internal/testbed/standin/nodemodel/usage.go
@@ -10,19 +10,19 @@
 const (
 	usageCores     = 2 // cores in use by the task
 	usageMemory    = 3 // memory in use by the task
-	serviceLevel   = 4 // share of the cores in use that the machine has
-	memoryPressure = 5 // share of the machine's memory in use
+	serviceLevel   = 4 // available cores as a fraction of the cores in use
+	memoryPressure = 5 // memory in use as a fraction of the available memory
 )
 
 const (
 	// maxUsage caps the use of a task at this multiple of its request.
 	maxUsage = 2
-	// serviceLevelReportedBelow and memoryPressureReportedAbove are the shares from which on a node reports that it is short.
+	// serviceLevelReportedBelow and memoryPressureReportedAbove are the bounds beyond which a node reports a shortage.
 	serviceLevelReportedBelow   = 0.95
 	memoryPressureReportedAbove = 0.85
 )
 
-// usage returns what a running task uses.
+// usage returns the cores and the memory that a running task uses.
 func (n *Node) usage(t *task) (cores, memory float64) {
 	factor := n.fault.usageFactor(t.spec.Class)
 	cores = t.spec.Cores * min(t.coreUsage*factor, maxUsage)
@@ -30,7 +30,7 @@
 	return cores, memory
 }
 
-// Usage returns what all running tasks use.
+// Usage returns the cores and the memory that all running tasks use.
 func (n *Node) Usage() (cores, memory float64) {
 	for _, t := range n.tasksByAge {
 		if t.running {
@@ -42,9 +42,9 @@
 	return cores, memory
 }
 
-// updateUsage lets usage drift, evicts tasks while memory is short and sends usage reports.
+// updateUsage changes the usage of tasks by a random walk, evicts tasks while memory is short and sends usage reports.
 func (n *Node) updateUsage() {
-	for _, t := range n.tasksByAge { // a random walk that starts at what the task drew
+	for _, t := range n.tasksByAge {
 		t.coreUsage *= 0.95 + 0.1*n.random.Float64()
 		t.memoryUsage *= 0.97 + 0.06*n.random.Float64()
 	}
@@ -66,7 +66,7 @@
 	}
 }
 
-// reportUsage sends each running task's usage to its scheduler, and what the machine is short of.
+// reportUsage sends to each running task's scheduler its usage and the shortages of the machine.
 func (n *Node) reportUsage(memoryAvailable float64) {
 	cores, memory := n.Usage()
 	level := 1.0
--- a/internal/testbed/standin/scripted/feed.go
+++ b/internal/testbed/standin/scripted/feed.go
@@ -10,17 +10,17 @@
 	"time"
 )
 
-// heartbeatInterval is how often a feed writes a comment on a call that is otherwise silent.
+// heartbeatInterval is the interval at which a feed writes a comment to each stream.
 const heartbeatInterval = time.Second
 
-// firstMembershipEvent is the number of the first event that a test adds. Event 1 is the configuration's, which the scheduler
-// has from elsewhere.
+// firstMembershipEvent is the number of the first event that a test adds. Event 1 is the configuration's, which the
+// scheduler reads elsewhere.
 const firstMembershipEvent = 2
 
 // Feed is a control feed, a server of the platform's event stream, whose events a test adds. Each event is written twice,
-// as happens on the platform. Its methods may be called by several goroutines.
+// as the platform may. Its methods are safe for concurrent use.
 type Feed struct {
-	// Requests has the Last-Event-ID of each call.
+	// Requests receives the Last-Event-ID of each request.
 	Requests chan string
 
 	listener net.Listener
@@ -34,7 +34,7 @@
 	events []string // from firstMembershipEvent on
 }
 
-// breakMode is what becomes of a call after a part of an event.
+// breakMode is what happens to a stream after a part of an event.
 type breakMode int
 
 const (
@@ -42,7 +42,7 @@
 	leaveStreamOpen
 )
 
-// NewFeed starts a feed on a port of its own; Close ends it.
+// NewFeed starts a feed on a free port. The caller must call Close.
 func NewFeed() (*Feed, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -58,26 +58,26 @@
 	return f, nil
 }
 
-// Addr is where the feed listens.
+// Addr returns the address, host:port, on which the feed listens.
 func (f *Feed) Addr() string { return f.listener.Addr().String() }
 
-// Close ends the feed with all calls, and waits for its server.
+// Close ends the feed with all streams, and waits for its server.
 func (f *Feed) Close() {
 	_ = f.server.Close()
 	<-f.served
 }
 
-// serve writes the events behind the caller's last one, and further ones as they come, until the call ends.
+// serve writes the events after the client's last one, and new ones as they are added, until the stream ends.
 func (f *Feed) serve(w http.ResponseWriter, r *http.Request) {
 	lastEventID := r.Header.Get("Last-Event-ID")
 	f.Requests <- lastEventID
 	last := 0
-	_, _ = fmt.Sscan(lastEventID, &last) // a first call has none
+	_, _ = fmt.Sscan(lastEventID, &last) // a first request has none
 	heartbeat := time.NewTicker(heartbeatInterval)
 	defer heartbeat.Stop()
 	for {
 		last = f.writeFrom(w, last+1)
-		_ = http.NewResponseController(w).Flush() // for a caller that has gone, the context ends
+		_ = http.NewResponseController(w).Flush() // if it fails, the client has disconnected and the context ends
 		select {
 		case <-f.added:
 		case <-heartbeat.C:
@@ -98,7 +98,7 @@
 	}
 }
 
-// writeFrom writes the events from a number on, and returns the number of the last.
+// writeFrom writes the events from a number on, and returns the number of the last one.
 func (f *Feed) writeFrom(w io.Writer, first int) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -110,12 +110,12 @@
 	return max(first-1, last)
 }
 
-// write writes an event; mu is held.
+// write writes an event. The caller must hold mu.
 func (f *Feed) write(w io.Writer, number int) {
 	writeText(w, fmt.Sprintf("id: %d\ndata: %s\n\n", number, f.events[number-firstMembershipEvent]))
 }
 
-// writeText writes to a caller. One that has gone gets nothing: the context of its call ends.
+// writeText writes to a client. Errors are ignored, since the context of the request ends when the client disconnects.
 func writeText(w io.Writer, text string) { _, _ = io.WriteString(w, text) }
 
 // Publish adds an event that lists nodes, as a complete list or as a change.
@@ -126,21 +126,21 @@
 	f.added <- struct{}{}
 }
 
-// Break ends the present call in the middle of an event.
+// Break ends the present stream in the middle of an event.
 func (f *Feed) Break() { f.breaks <- endStream }
 
-// Stall stops writing to the present call in the middle of an event, and leaves it open.
+// Stall stops writing to the present stream in the middle of an event, and leaves it open.
 func (f *Feed) Stall() { f.breaks <- leaveStreamOpen }
 
-// Republish writes an old event once more.
+// Republish writes event n again.
 func (f *Feed) Republish(n int) { f.repeats <- n }
 
-// Event is the data of event n, with nodes as made by Entry.
+// Event returns the data of event n; nodes are results of Entry.
 func Event(n int, whole bool, nodes ...string) string {
 	return fmt.Sprintf(`{"n":%d,"members":{"version":%d,"full":%v,"servers":[%s]}}`, n, n, whole, strings.Join(nodes, ","))
 }
 
-// Entry is a node in an event: its state is active, leaving or left.
+// Entry returns a node of an event. Its state is active, leaving or left.
 func Entry(id, addr, state string) string {
 	return fmt.Sprintf(`{"id":%q,"addr":%q,"zone":"east","kind":"std","cell":1,"state":%q,"weight":1,"started_ms":0}`,
 		id, addr, state)
--- a/internal/testbed/standin/scripted/node.go
+++ b/internal/testbed/standin/scripted/node.go
@@ -1,6 +1,6 @@
-// Package scripted has stand-ins for the platform's parties, made from its protocol page: nodes and a control feed on
-// loopback that answer each message as a test's script says. It must not model anything: what a message is answered with
-// is the script's.
+// Package scripted has scripted stand-ins of the platform's nodes and control feed, on loopback. They follow the page of
+// the platform's protocol, and reply to each message as the script of a test does. The package must not model anything:
+// replies are up to the script.
 package scripted
 
 import (
@@ -14,7 +14,7 @@
 	"flaxshelf.example/flaxshelf/internal/codec/nodebinary"
 )
 
-// channelCapacity is how many messages and events a stand-in keeps for its test; it waits with more.
+// channelCapacity is how many messages and events a stand-in buffers for its test. It blocks when they are exceeded.
 const channelCapacity = 1000
 
 // ConnectionEvent is what happened to a connection of a Node.
@@ -26,12 +26,12 @@
 	ConnectionClosed ConnectionEvent = "closed"
 )
 
-// Script is what a node does with a message of a connection. It is called by the goroutine that reads the connection.
+// Script handles a message of a connection. It is called by the goroutine that reads the connection.
 type Script func(c net.Conn, m nodebinary.Message)
 
-// Node is a node that answers by a script. Its methods may be called by several goroutines.
+// Node is a node that replies by a script. Its methods are safe for concurrent use.
 type Node struct {
-	// Received has each message that was received.
+	// Received receives each message of any connection.
 	Received chan nodebinary.Message
 	// ConnectionEvents receives ConnectionOpened and then ConnectionClosed for each connection.
 	ConnectionEvents chan ConnectionEvent
@@ -45,7 +45,7 @@
 	dead        bool
 }
 
-// NewNode starts a node on a port of its own; Die ends it.
+// NewNode starts a node on a free port. The caller must call Kill.
 func NewNode(play Script) (*Node, error) {
 	listener, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -57,7 +57,7 @@
 	return n, nil
 }
 
-// Addr is where the node listens.
+// Addr returns the address, host:port, on which the node listens.
 func (n *Node) Addr() string { return n.listener.Addr().String() }
 
 func (n *Node) accept() {
@@ -77,7 +77,7 @@
 	}
 }
 
-// readSize is how many bytes a node reads at a time.
+// readSize is the size of a read in bytes.
 const readSize = 4096
 
 func (n *Node) read(connection net.Conn) {
@@ -93,8 +93,8 @@
 	}
 }
 
-// handle runs the script for each complete message and returns the rest. Malformed bytes are kept and never get further:
-// a test sees that by the messages that don't come.
+// handle runs the script for each complete message and returns the remaining bytes. It never gets past a malformed message,
+// so that its test misses the messages after it.
 func (n *Node) handle(connection net.Conn, buffer []byte) []byte {
 	for {
 		message, used, err := nodebinary.Next(buffer)
@@ -107,7 +107,7 @@
 	}
 }
 
-// Send writes a message on all open connections.
+// Send writes a message to all connections.
 func (n *Node) Send(m nodebinary.Message) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -121,13 +121,14 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, connection := range n.connections {
-		_ = connection.(*net.TCPConn).SetLinger(0) // it may be closed already
+		_ = connection.(*net.TCPConn).SetLinger(0) // fails only on a closed connection
 		_ = connection.Close()
 	}
 	n.connections = nil
 }
 
-// Kill ends the process that the node stands for, and waits for its goroutines. It may be called again.
+// Kill stops listening, resets all connections, as the crash of a process does, and waits for the node's goroutines. It may
+// be called more than once.
 func (n *Node) Kill() {
 	_ = n.listener.Close()
 	n.mu.Lock()
@@ -137,21 +138,22 @@
 	n.readers.Wait()
 }
 
-// StopListening ends listening and leaves the connections open, as a draining node does.
+// StopListening stops listening and leaves the connections open, as a draining node does.
 func (n *Node) StopListening() { _ = n.listener.Close() }
 
-// Freezing a node fills the queue of its listener.
+// Limits of Freeze, which fills the queue of the listener.
 const (
-	// maxQueuedConnections is far above the length of a queue that is as short as can be.
+	// maxQueuedConnections is far above the minimum length of a listener's queue.
 	maxQueuedConnections = 16
-	// queueTimeout is how long a connection may take that fits into the queue.
+	// queueTimeout is the timeout of a dial, after which the queue counts as full.
 	queueTimeout = 100 * time.Millisecond
 )
 
 var errQueueNotFull = errors.New("the listener's queue does not fill")
 
-// Freeze has the node's machine vanish: what is open stays open and silent, and new connections never come up, since the
-// listener's queue is full and nobody accepts from it. The connections that fill it are returned; the caller closes them.
+// Freeze simulates the loss of the node's machine: open connections stay open without traffic, and new ones are never
+// established, since the listener's queue is full and nothing accepts from it. Freeze returns the connections that fill the
+// queue; the caller must close them.
 func (n *Node) Freeze() (filling []net.Conn, err error) {
 	_ = n.listener.SetDeadline(time.Unix(1, 0)) // ends accept; fails only on a closed listener, as SyscallConn does
 	if err := n.shortenQueue(); err != nil {
@@ -167,7 +169,7 @@
 	return filling, fmt.Errorf("scripted: freeze: %w", errQueueNotFull)
 }
 
-// shortenQueue makes the listener's queue as short as can be.
+// shortenQueue sets the length of the listener's queue to its minimum.
 func (n *Node) shortenQueue() error {
 	raw, err := n.listener.SyscallConn()
 	if err != nil {
@@ -178,7 +180,7 @@
 	return errors.Join(controlErr, listenErr)
 }
 
-// dialQueue adds a connection to the listener's queue; nil if it is full.
+// dialQueue adds a connection to the listener's queue. It returns nil if the queue is full.
 func (n *Node) dialQueue() net.Conn {
 	connection, err := net.DialTimeout("tcp", n.Addr(), queueTimeout)
 	if err != nil {
@@ -187,23 +189,23 @@
 	return connection
 }
 
-// Send writes a message on a connection; a peer that has gone does not get it.
+// Send writes a message to a connection. Errors are ignored: the other end may have disconnected.
 func Send(c net.Conn, m nodebinary.Message) {
 	if encoded, err := nodebinary.Append(nil, &m); err == nil {
 		_, _ = c.Write(encoded)
 	}
 }
 
-// Description is the description in the answers of Answers.
+// Description is the description in the answers of AcceptAll.
 const Description = "node's\r\n"
 
-// The causes in the messages of Answers.
+// The causes in the messages of AcceptAll.
 const (
-	causeNone       = -1 // the message carries no cause
+	causeNone       = -1 // the message has no cause
 	causeTerminated = 31
 )
 
-// AcceptAll is a Script that accepts every task and ends what is released.
+// AcceptAll is a Script that accepts every task and terminates each task that is released.
 func AcceptAll(c net.Conn, m nodebinary.Message) {
 	switch m.Type {
 	case nodebinary.SetUp:
