--- a/internal/testbed/standin/host/host_test.go
+++ b/internal/testbed/standin/host/host_test.go
@@ -36,10 +36,22 @@
 	return inventory
 }
 
+// startNode starts a node that registers with the inventory, unless its address is empty.
 func startNode(t *testing.T, inventory string) *Node {
 	t.Helper()
-	model := nodemodel.Config{Name: "n", Cores: 4, Memory: 8, CoreOvercommit: 2, MemoryOvercommit: 2, OfferReviewTime: time.Millisecond,
-		MaxWaitingOffers: 10, StartSlots: 4, CachedStartTime: time.Millisecond, UncachedStartFactor: 1, MaxCachedPrograms: 4}
+	model := nodemodel.Config{
+		Name:                "n",
+		Cores:               4,
+		Memory:              8,
+		CoreOvercommit:      2,
+		MemoryOvercommit:    2,
+		OfferReviewTime:     time.Millisecond,
+		MaxWaitingOffers:    10,
+		StartSlots:          4,
+		CachedStartTime:     time.Millisecond,
+		UncachedStartFactor: 1,
+		MaxCachedPrograms:   4,
+	}
 	node, err := StartNode(NodeOptions{Model: model, Kind: "k", Listen: "127.0.0.1:0", Inventory: inventory, Keys: NewKeyRegistry(),
 		Log: zerolog.Nop()})
 	if err != nil {
@@ -73,7 +85,21 @@
 		Party: party, LifeUnixNs: incarnation}}}
 }
 
-// readFrame reads one frame; nil when the host has closed the connection.
+// connectParty opens a connection with the hello of an incarnation of a party.
+func connectParty(t *testing.T, addr, party string, incarnation int64) net.Conn {
+	t.Helper()
+	return connect(t, addr, helloFrame(party, nodeframe.Version, nodeframe.Version, incarnation))
+}
+
+// wantClosed fails the test unless the host has closed the connection and sends no more frames on it.
+func wantClosed(t *testing.T, conn net.Conn) {
+	t.Helper()
+	if frame := readFrame(t, conn); frame != nil {
+		t.Errorf("got frame %v, want the end of the connection", frame)
+	}
+}
+
+// readFrame reads one frame. It returns nil if the host has closed the connection.
 func readFrame(t *testing.T, conn net.Conn) *nodepb.Frame {
 	t.Helper()
 	var received []byte
@@ -89,7 +115,7 @@
 		if _, err := io.ReadFull(conn, next); err != nil {
 			var netErr net.Error
 			if errors.As(err, &netErr) && netErr.Timeout() {
-				t.Fatal("neither a frame nor the end of the connection")
+				t.Fatalf("got nothing for %v, want a frame or the end of the connection", testTimeout)
 			}
 			return nil
 		}
@@ -97,12 +123,12 @@
 	}
 }
 
-// A connection whose first frame is not an acceptable hello is closed, with the reason where the peer can read it.
-func TestHello(t *testing.T) {
+// The reason is sent if the party can read it.
+func TestConnectionWithoutAcceptableHelloIsClosed(t *testing.T) {
 	tests := []struct {
 		name  string
 		frame *nodepb.Frame
-		bye   string // in the reason of a goodbye; empty: none is sent
+		bye   string // a part of the reason of the goodbye; empty means that none is sent
 	}{
 		{"no hello", &nodepb.Frame{Body: &nodepb.Frame_Watch{Watch: &nodepb.Watch{}}}, ""},
 		{"hello without a name", helloFrame("", nodeframe.Version, nodeframe.Version, 1), ""},
@@ -114,51 +140,42 @@
 			conn := connect(t, addr, test.frame)
 			if test.bye != "" {
 				if bye := readFrame(t, conn).GetBye(); !strings.Contains(bye.GetReason(), test.bye) {
-					t.Errorf("goodbye %v, want one with %q", bye, test.bye)
+					t.Errorf("got goodbye %v, want a reason with %q", bye, test.bye)
 				}
 			}
-			if frame := readFrame(t, conn); frame != nil {
-				t.Errorf("frame %v, want the end of the connection", frame)
-			}
+			wantClosed(t, conn)
 		})
 	}
 }
 
-// A party that connects again replaces its earlier connection.
 func TestSecondConnectionReplacesFirst(t *testing.T) {
 	addr := startInventory(t).Addr()
-	hello := helloFrame("s", nodeframe.Version, nodeframe.Version, 1)
-	first := connect(t, addr, hello)
+	first := connectParty(t, addr, "s", 1)
 	if welcome := readFrame(t, first).GetWelcome(); welcome.GetNode() != "inventory" {
-		t.Errorf("welcome %v", welcome)
+		t.Errorf("got welcome %v, want that of the inventory", welcome)
 	}
-	second := connect(t, addr, hello)
+	second := connectParty(t, addr, "s", 1)
 	if readFrame(t, second).GetWelcome() == nil {
-		t.Error("no welcome on the second connection")
-	}
-	if frame := readFrame(t, first); frame != nil {
-		t.Errorf("frame %v on the first connection, want its end", frame)
+		t.Error("got no welcome on the second connection, want one")
 	}
+	wantClosed(t, first)
 }
 
-// A node rejects a scheduler that was started before the one it knows.
 func TestNodeFencesEarlierIncarnation(t *testing.T) {
 	addr := startNode(t, "").Addr()
-	later := connect(t, addr, helloFrame("s", nodeframe.Version, nodeframe.Version, 2))
+	later := connectParty(t, addr, "s", 2)
 	if readFrame(t, later).GetWelcome() == nil {
-		t.Error("no welcome for the later incarnation")
+		t.Error("got no welcome for the later incarnation, want one")
 	}
-	earlier := connect(t, addr, helloFrame("s", nodeframe.Version, nodeframe.Version, 1))
+	earlier := connectParty(t, addr, "s", 1)
 	if bye := readFrame(t, earlier).GetBye(); bye.GetReason() != errFenced.Error() {
-		t.Errorf("goodbye %v, want %q", bye, errFenced)
-	}
-	if frame := readFrame(t, earlier); frame != nil {
-		t.Errorf("frame %v, want the end of the connection", frame)
+		t.Errorf("got goodbye %v, want %q", bye, errFenced)
 	}
+	wantClosed(t, earlier)
 }
 
-// A node registers with the inventory. After Stop, Do and WaitFor return, and no goroutine is left (see TestMain).
-func TestRegistrationAndStop(t *testing.T) {
+// After Stop, Do and WaitFor return, and no goroutine is left (see TestMain).
+func TestNodeRegistersAndStops(t *testing.T) {
 	inventory := startInventory(t)
 	node := startNode(t, inventory.Addr())
 	if err := inventory.WaitFor(t.Context(), 1); err != nil {
@@ -169,14 +186,17 @@
 	select {
 	case <-node.Done():
 	default:
-		t.Error("the node has not ended")
+		t.Error("got a Done channel that is open after Stop, want it closed")
 	}
-	node.Do(func(*nodemodel.Node, nodemodel.Time) []nodemodel.Send { t.Error("ran on a stopped node"); return nil })
+	node.Do(func(*nodemodel.Node, nodemodel.Time) []nodemodel.Send {
+		t.Error("got a call on a stopped node, want none")
+		return nil
+	})
 	if node.Overloaded() {
-		t.Error("a stopped node counts as one that fell over")
+		t.Error("got an overloaded node after Stop, want one that is not")
 	}
 	inventory.Stop()
 	if err := inventory.WaitFor(t.Context(), 1); !errors.Is(err, errInventoryStopped) {
-		t.Errorf("error %v, want %v", err, errInventoryStopped)
+		t.Errorf("got error %v, want %v", err, errInventoryStopped)
 	}
 }
--- a/internal/testbed/standin/nodemodel/node_test.go
+++ b/internal/testbed/standin/nodemodel/node_test.go
@@ -35,22 +35,24 @@
 	}
 }
 
-// driver runs a node on a clock of its own, as scheduler "s", and describes the frames that the node sends.
-type driver struct {
+// testNode is a node on a clock of its own that scheduler "s" has connected to.
+type testNode struct {
 	node *Node
 	now  Time
 	t    *testing.T
 }
 
-func newDriver(t *testing.T, cfg Config, keys KeyRegistry) *driver {
-	p := &driver{node: New(cfg, time.Second, keys), now: time.Second, t: t}
+// newTestNode boots a node; nil means that it has keys of its own.
+func newTestNode(t *testing.T, cfg Config, keys KeyRegistry) *testNode {
+	t.Helper()
+	p := &testNode{node: New(cfg, time.Second, keys), now: time.Second, t: t}
 	if _, ok := p.node.Connect(p.now, "s", 1, 100); !ok {
-		t.Fatal("rejected")
+		t.Fatal("got a rejected connection, want an accepted one")
 	}
 	return p
 }
 
-// describe writes frames in short form.
+// describe returns frames in a short form.
 func describe(out []Send) string {
 	var all []string
 	for _, s := range out {
@@ -86,37 +88,59 @@
 	return strings.Join(all, "; ")
 }
 
-// after advances the clock.
-func (p *driver) after(d time.Duration) string {
+// after advances the clock and returns the frames that the node sends.
+func (p *testNode) after(d time.Duration) string {
 	p.now += d
 	return describe(p.node.Advance(p.now))
 }
 
-// offer sends an offer of a task of one core; change may change it first.
-func (p *driver) offer(attempt string, change func(o *nodepb.Offer)) string {
+// offer sends an offer of a task of one core, after change, if not nil, has changed it.
+func (p *testNode) offer(attempt string, change func(o *nodepb.Offer)) string {
 	o := &nodepb.Offer{Attempt: attempt, ValidForNs: int64(time.Second), Task: &nodepb.Task{Service: "v", Class: "c",
 		Cores: 1, Memory: 1, LifeNs: int64(time.Second)}}
 	if change != nil {
 		change(o)
 	}
-	return describe(p.node.Receive(p.now, "s", &nodepb.Frame{Body: &nodepb.Frame_Offer{Offer: o}}))
+	return p.receive(&nodepb.Frame{Body: &nodepb.Frame_Offer{Offer: o}})
 }
 
-func (p *driver) stop(attempt string) string {
-	return describe(p.node.Receive(p.now, "s", &nodepb.Frame{Body: &nodepb.Frame_Stop{Stop: &nodepb.Stop{Attempt: attempt}}}))
+func (p *testNode) stop(attempt string) string {
+	return p.receive(&nodepb.Frame{Body: &nodepb.Frame_Stop{Stop: &nodepb.Stop{Attempt: attempt}}})
 }
 
-func (p *driver) want(got, want string) {
+// receive passes a frame of scheduler "s" to the node.
+func (p *testNode) receive(frame *nodepb.Frame) string {
+	return describe(p.node.Receive(p.now, "s", frame))
+}
+
+// connect connects a scheduler and returns the frames that welcome it.
+func (p *testNode) connect(scheduler string, incarnation int64, perFrame int) string {
+	p.t.Helper()
+	frames, ok := p.node.Connect(p.now, scheduler, incarnation, perFrame)
+	if !ok {
+		p.t.Errorf("at %v: got a rejected connection of incarnation %d of %s, want an accepted one", p.now, incarnation, scheduler)
+	}
+	return describe(frames)
+}
+
+func (p *testNode) want(got, want string) {
 	p.t.Helper()
 	if got != want {
 		p.t.Errorf("at %v: got %q, want %q", p.now, got, want)
 	}
 }
 
+func (p *testNode) wantPrefix(got, want string) {
+	p.t.Helper()
+	if !strings.HasPrefix(got, want) {
+		p.t.Errorf("at %v: got %q, want it to begin with %q", p.now, got, want)
+	}
+}
+
 // One offer is reviewed at a time and MaxWaitingOffers may wait. Accepted tasks start one after the other: slowly, or fast if
 // their program is cached.
-func TestTaskLifecycle(t *testing.T) {
-	p := newDriver(t, testConfig(), nil)
+func TestOffersAreReviewedAndTasksStartedOneByOne(t *testing.T) {
+	p := newTestNode(t, testConfig(), nil)
 	p.want(p.offer("a", nil), "")
 	p.want(p.offer("b", nil), "")
 	p.want(p.offer("c", nil), "refused c TOO_MANY_WAIT")
@@ -137,10 +161,9 @@
 	p.want(p.after(80*ms), "started e")
 }
 
-// One late call has the effect of many on time.
-func TestLateAdvance(t *testing.T) {
-	a, b := newDriver(t, testConfig(), nil), newDriver(t, testConfig(), nil)
-	for _, p := range []*driver{a, b} {
+func TestLateAdvanceHasEffectOfManyOnTime(t *testing.T) {
+	a, b := newTestNode(t, testConfig(), nil), newTestNode(t, testConfig(), nil)
+	for _, p := range []*testNode{a, b} {
 		p.offer("a", nil)
 		p.offer("b", nil)
 	}
@@ -153,12 +176,11 @@
 	b.want(b.after(4*time.Second), strings.Join(parts, "; "))
 }
 
-// Each reason for a rejection; a higher priority preempts.
-func TestRejections(t *testing.T) {
+func TestRejectionHasReasonAndHigherPriorityPreempts(t *testing.T) {
 	cfg := testConfig()
 	cfg.Preempts = true
 	cfg.MaxWaitingOffers = 10
-	p := newDriver(t, cfg, nil)
+	p := newTestNode(t, cfg, nil)
 	p.offer("big", func(o *nodepb.Offer) { o.Task.Cores = 4 })
 	p.want(p.after(10*ms), "accepted big")
 	p.offer("cores", nil)
@@ -175,10 +197,9 @@
 	p.want(p.offer("", nil), "")
 }
 
-// The nodes that share keys accept one copy of a keyed task until it has ended.
-func TestKeys(t *testing.T) {
+func TestNodesThatShareKeysAcceptOneCopyOfTask(t *testing.T) {
 	keys := NewLocalKeys()
-	p, q := newDriver(t, testConfig(), keys), newDriver(t, testConfig(), keys)
+	p, q := newTestNode(t, testConfig(), keys), newTestNode(t, testConfig(), keys)
 	q.node.cfg.Name = "other"
 	keyed := func(o *nodepb.Offer) { o.Task.Key, o.Task.Effect = "k", 1 }
 	p.offer("a", keyed)
@@ -195,13 +216,12 @@
 	p.offer("e", func(o *nodepb.Offer) { keyed(o); o.Task.Key, o.Task.Cores = "big", 100 })
 	p.want(p.after(10*ms), "refused e NO_CORES")
 	if !keys.Reserve("big", "x") {
-		t.Error("the key of a rejected task is taken")
+		t.Error("got a reserved key of a rejected task, want a free one")
 	}
 }
 
-// A stop cancels an offer that waits or ends an accepted task; the scheduler learns which.
-func TestStop(t *testing.T) {
-	p := newDriver(t, testConfig(), nil)
+func TestStopCancelsWaitingOfferOrEndsTask(t *testing.T) {
+	p := newTestNode(t, testConfig(), nil)
 	p.offer("a", nil)
 	p.offer("b", nil)
 	p.want(p.stop("b"), "refused b UNTOLD")
@@ -213,11 +233,11 @@
 	p.want(p.after(time.Second), "")
 }
 
-// After a disconnect, accepted tasks run on and the next Welcome lists them, outcomes are retained until they are acknowledged,
-// unreviewed offers are dropped, and an older incarnation is rejected.
-func TestReconnect(t *testing.T) {
+// After a disconnect, accepted tasks run on and the next Welcome lists them, outcomes are retained until they are
+// acknowledged, unreviewed offers are dropped, and an earlier incarnation is rejected.
+func TestReconnectedSchedulerGetsTasksAndOutcomes(t *testing.T) {
 	cfg := testConfig()
-	p := newDriver(t, cfg, nil)
+	p := newTestNode(t, cfg, nil)
 	p.offer("a", nil)
 	p.after(10 * ms)
 	p.offer("b", func(o *nodepb.Offer) { o.Task.LifeNs = int64(time.Hour) })
@@ -225,27 +245,20 @@
 	p.offer("waits", nil)
 	p.node.Disconnect(p.now, "s")
 	p.want(p.after(2*time.Second), "")
-	out, ok := p.node.Connect(p.now, "s", 2, 1)
-	if !ok {
-		t.Fatal("rejected")
-	}
-	p.want(describe(out), "welcome [b ended:a] more=false fresh=false")
-	describe(p.node.Receive(p.now, "s", &nodepb.Frame{Body: &nodepb.Frame_Ack{Ack: &nodepb.Ack{Attempt: "a"}}}))
-	out, _ = p.node.Connect(p.now, "s", 3, 100)
-	p.want(describe(out), "welcome [b] more=false fresh=false")
+	p.want(p.connect("s", 2, 1), "welcome [b ended:a] more=false fresh=false")
+	p.receive(&nodepb.Frame{Body: &nodepb.Frame_Ack{Ack: &nodepb.Ack{Attempt: "a"}}})
+	p.want(p.connect("s", 3, 100), "welcome [b] more=false fresh=false")
 	if _, ok := p.node.Connect(p.now, "s", 2, 100); ok {
-		t.Error("an older incarnation was accepted")
+		t.Error("got an accepted connection of an earlier incarnation, want a rejected one")
 	}
-	out, _ = p.node.Connect(p.now, "another", 1, 100)
-	p.want(describe(out), "welcome [] more=false fresh=false")
+	p.want(p.connect("another", 1, 100), "welcome [] more=false fresh=false")
 }
 
-// A node that warms up starts tasks slowly, and breaks down when it is offered too much.
-func TestSlowStart(t *testing.T) {
+func TestNodeInSlowStartIsSlowAndOverloadable(t *testing.T) {
 	cfg := testConfig()
 	cfg.SlowStartDuration = 10 * time.Second
 	cfg.MaxWaitingOffers = 100
-	p := newDriver(t, cfg, nil)
+	p := newTestNode(t, cfg, nil)
 	p.offer("a", nil)
 	p.want(p.after(10*ms), "accepted a")
 	p.want(p.after(150*ms), "") // 100 ms at half the rate take 200
@@ -256,29 +269,32 @@
 		p.after(ms)
 	}
 	if p.node.Dead() {
-		t.Fatal("it broke down too early")
+		t.Fatal("got a dead node after 20 offers within a second, want it alive")
 	}
 	p.offer("b", nil)
 	p.offer("c", nil)
 	if !p.node.Dead() || !p.node.Overloaded() {
-		t.Error("it did not break down")
+		t.Errorf("got a node that is dead: %v, overloaded: %v; want both", p.node.Dead(), p.node.Overloaded())
 	}
 	p.want(p.offer("d", nil), "")
-	warm := newDriver(t, testConfig(), nil)
+}
+
+func TestWarmNodeIsNotOverloaded(t *testing.T) {
+	warm := newTestNode(t, testConfig(), nil)
 	for i := range 100 {
 		warm.offer(fmt.Sprint(i), nil)
 	}
 	if warm.node.Dead() {
-		t.Error("a warm node broke down")
+		t.Error("got a dead node, want it alive")
 	}
 }
 
 // A shortage of memory evicts the lowest priority, the latest first; shortages of cores and memory are reported.
-func TestMemoryPressure(t *testing.T) {
+func TestMemoryPressureEvictsAndIsReported(t *testing.T) {
 	cfg := testConfig()
 	cfg.CoreOvercommit, cfg.MemoryOvercommit, cfg.UsageReportInterval, cfg.CachedStartTime, cfg.StartSlots = 3, 2, 100*ms, ms, 4
 	cfg.MemoryUsageRange = [2]float64{0.9, 0.9}
-	p := newDriver(t, cfg, nil)
+	p := newTestNode(t, cfg, nil)
 	for i, priority := range []int32{1, 0, 0} {
 		p.offer(string(rune('a'+i)), func(o *nodepb.Offer) {
 			o.Task.Priority, o.Task.Memory, o.Task.Cores, o.Task.LifeNs = priority, 2.5, 2, int64(time.Hour)
@@ -288,22 +304,17 @@
 	got := p.after(100 * ms)
 	for _, want := range []string{"note a 4 0.", "note b 4 0.", "note c 5 0."} {
 		if !strings.Contains(got, want) {
-			t.Errorf("%q does not contain %q", got, want)
+			t.Errorf("got %q, want it to contain %q", got, want)
 		}
 	}
 	p.node.SetFault(p.now, Fault{OccupiedFraction: 0.3})
-	if got := p.after(100 * ms); !strings.HasPrefix(got, "ended c LOST EVICTED; note a") {
-		t.Errorf("another program took memory: %q", got)
-	}
+	p.wantPrefix(p.after(100*ms), "ended c LOST EVICTED; note a")
 	p.node.SetFault(p.now, Fault{UsageFactor: 2, UsageClass: "c"})
-	if got := p.after(100 * ms); !strings.HasPrefix(got, "ended b LOST EVICTED") {
-		t.Errorf("tasks swelled: %q", got)
-	}
+	p.wantPrefix(p.after(100*ms), "ended b LOST EVICTED")
 }
 
-// A fault affects the classes that it names.
-func TestFaults(t *testing.T) {
-	p := newDriver(t, testConfig(), nil)
+func TestFaultAffectsItsClassOnly(t *testing.T) {
+	p := newTestNode(t, testConfig(), nil)
 	p.node.SetFault(p.now, Fault{DropRepliesClass: "c"})
 	p.offer("a", nil)
 	p.want(p.after(time.Second), "")
@@ -318,11 +329,10 @@
 	p.want(p.after(10*ms), "")
 }
 
-// A draining node with a migration interval ends its tasks one after the other.
-func TestDrainMigratesTasks(t *testing.T) {
+func TestDrainingNodeMigratesTasksOneByOne(t *testing.T) {
 	cfg := testConfig()
 	cfg.DrainMigrationInterval = 50 * ms
-	p := newDriver(t, cfg, nil)
+	p := newTestNode(t, cfg, nil)
 	for _, a := range []string{"a", "b"} {
 		p.offer(a, func(o *nodepb.Offer) { o.Task.LifeNs = int64(time.Hour) })
 		p.after(10 * ms)
@@ -332,14 +342,13 @@
 	p.want(p.after(50*ms), "ended b LOST SENT_AWAY")
 }
 
-// Answers carry load reports if the settings say so.
-func TestLoadReports(t *testing.T) {
+func TestRepliesHaveLoadReportsIfConfigured(t *testing.T) {
 	cfg := testConfig()
-	p := newDriver(t, cfg, nil)
+	p := newTestNode(t, cfg, nil)
 	probe := &nodepb.Frame{Body: &nodepb.Frame_Probe{Probe: &nodepb.Probe{Token: 1}}}
-	p.want(describe(p.node.Receive(p.now, "s", probe)), "probed false")
+	p.want(p.receive(probe), "probed false")
 	cfg.SendsLoadReports = true
-	p = newDriver(t, cfg, nil)
-	p.want(describe(p.node.Receive(p.now, "s", probe)), "probed true")
-	p.want(describe(p.node.Receive(p.now, "s", &nodepb.Frame{Body: &nodepb.Frame_Ping{Ping: &nodepb.Ping{}}})), "pong")
+	p = newTestNode(t, cfg, nil)
+	p.want(p.receive(probe), "probed true")
+	p.want(p.receive(&nodepb.Frame{Body: &nodepb.Frame_Ping{Ping: &nodepb.Ping{}}}), "pong")
 }
