--- a/internal/planner/limits_test.go
+++ b/internal/planner/limits_test.go
@@ -1,6 +1,7 @@
 package planner
 
 import (
+	"fmt"
 	"math"
 	"slices"
 	"strings"
@@ -36,8 +37,7 @@
 		MemoryUsage: 0.5, Services: 50}
 }
 
-// Each limit is the first where the load is nearest to it.
-func TestFirst(t *testing.T) {
+func TestFirstLimitIsTheOneClosestToLoad(t *testing.T) {
 	for _, c := range []struct {
 		name         string
 		change       func(f *Fleet, c *Class)
@@ -62,86 +62,100 @@
 			c.change(fleet, &class)
 			first, byClass := First(Limits(fleet, []Class{class}))
 			if first.Name != c.want || first.MovedByNodes != c.movedByNodes || first.Reason == "" {
-				t.Errorf("first is %v (moved by nodes: %v), want %v (%v)", first, first.MovedByNodes, c.want, c.movedByNodes)
+				t.Errorf("got first limit %v (moved by nodes: %v), want %v (%v)", first, first.MovedByNodes, c.want, c.movedByNodes)
 			}
 			if byClass["service"].Name != c.want {
-				t.Errorf("first of the class is %v, want %v", byClass["service"], c.want)
+				t.Errorf("got first limit %v of the class, want %v", byClass["service"], c.want)
 			}
 		})
 	}
 }
 
-// A class has its own first limit beside that of all.
-func TestByClass(t *testing.T) {
+func TestClassHasFirstLimitOfItsOwn(t *testing.T) {
 	big := testClass()
 	big.Name, big.Cores, big.JobsPerSecond, big.MeanRuntimeSeconds = "big", 40, 0.1, 10
 	all, byClass := First(Limits(testFleet(), []Class{testClass(), big}))
 	if byClass["big"].Class != "big" || byClass["big"].Name != ClassCapacity || all != byClass["big"] {
-		t.Errorf("all %v, big %v", all, byClass["big"])
+		t.Errorf("got first limit %v of all and %v of big, want the class capacity of big for both", all, byClass["big"])
 	}
 	if byClass["service"].Name != RequestedCores || byClass["service"].Multiple <= all.Multiple {
-		t.Errorf("service meets %v, all meet %v", byClass["service"], all)
+		t.Errorf("got first limit %v of service and %v of all, want requested cores above that of all", byClass["service"], all)
 	}
 }
 
-// What a goal needs is the least number of nodes that meets it, or a reason why no number does.
-func TestRequiredNodes(t *testing.T) {
-	fleet, class := testFleet(), testClass()
-	for _, r := range RequiredNodes(fleet, []Class{class}, 4) {
-		if r.Nodes < 1 || !strings.Contains(r.Reason, string(RequestedCores)) {
-			t.Errorf("%+v", r)
-		}
-	}
-	for _, r := range RequiredNodes(fleet, []Class{class}, 0.5) {
-		if r.Nodes != 0 {
-			t.Errorf("%+v", r)
-		}
+// The requirement is the lowest number of nodes with which the goal is met, or the reason why no number is enough.
+func TestRequiredNodesByGoal(t *testing.T) {
+	service := testClass()
+	spread := testClass()
+	spread.Services, spread.SpreadDomain, spread.MaxPerDomain = 2, "zone", 2
+	for _, c := range []struct {
+		name               string
+		class              Class
+		multiple           float64
+		minNodes, maxNodes int
+		reason             string
+	}{
+		{"more nodes are required", service, 4, 1, math.MaxInt, string(RequestedCores)},
+		{"the present nodes are enough", service, 0.5, 0, 0, "the goal is met with the present nodes"},
+		{"no number is enough", spread, 50, NoNumberOfNodes, NoNumberOfNodes, string(SpreadCapacity)},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			for _, got := range RequiredNodes(testFleet(), []Class{c.class}, c.multiple) {
+				if got.Nodes < c.minNodes || got.Nodes > c.maxNodes {
+					t.Errorf("got %d nodes of kind %s, want %d to %d", got.Nodes, got.Kind, c.minNodes, c.maxNodes)
+				}
+				if !strings.Contains(got.Reason, c.reason) {
+					t.Errorf("got reason %q for kind %s, want it to contain %q", got.Reason, got.Kind, c.reason)
+				}
+			}
+		})
 	}
-	class.Services, class.SpreadDomain, class.MaxPerDomain = 2, "zone", 2
-	for _, r := range RequiredNodes(fleet, []Class{class}, 50) {
-		if r.Nodes != NoNumberOfNodes || !strings.Contains(r.Reason, string(SpreadCapacity)) {
-			t.Errorf("%+v", r)
+}
+
+func TestRequiredNodesForLargeJobsAreOfLargeKind(t *testing.T) {
+	class := testClass()
+	class.Cores = 45 // fits the large kind only
+	for _, got := range RequiredNodes(testFleet(), []Class{class}, 1) {
+		if got.Kind == "large" && got.Nodes >= 1 {
+			return
 		}
 	}
-	class = testClass()
-	class.Cores = 45 // only the large kind holds it
-	nodesByKind := map[string]int{}
-	for _, r := range RequiredNodes(fleet, []Class{class}, 1) {
-		nodesByKind[r.Kind] = r.Nodes
-	}
-	if nodesByKind["large"] < 1 {
-		t.Errorf("%v", nodesByKind)
-	}
+	t.Error("got no required nodes of kind large, want at least 1")
 }
 
-// A fleet without a part has the other nodes, and stays as it is itself.
-func TestWithout(t *testing.T) {
+func TestWithoutRemovesMatchingNodes(t *testing.T) {
 	fleet := testFleet()
 	for _, c := range []struct {
-		zone  string
-		cell  int
-		kind  string
-		nodes int
+		name string
+		zone string
+		cell int
+		kind string
+		want int
 	}{
-		{"b", -1, "", 8},
-		{"a", 0, "", 8},
-		{"", -1, "small", 4},
-		{"", -1, "", 0},
-		{"z", -1, "", 12},
+		{"zone", "b", -1, "", 8},
+		{"cell of a zone", "a", 0, "", 8},
+		{"kind", "", -1, "small", 4},
+		{"everything", "", -1, "", 0},
+		{"unknown zone", "z", -1, "", 12},
 	} {
-		if got := fleet.Without(c.zone, c.cell, c.kind).Nodes(); got != c.nodes {
-			t.Errorf("without %+v: %d nodes", c, got)
-		}
-	}
-	if fleet.Nodes() != 12 {
-		t.Error("the fleet itself has changed")
+		t.Run(c.name, func(t *testing.T) {
+			if got := fleet.Without(c.zone, c.cell, c.kind).Nodes(); got != c.want {
+				t.Errorf("got %d nodes, want %d", got, c.want)
+			}
+			if got := fleet.Nodes(); got != 12 {
+				t.Errorf("got a fleet that was changed to %d nodes, want 12", got)
+			}
+		})
 	}
-	if r := fleet.ReplacementCost(6); r.MissingStartFraction != 0.5 || r.OffersPerSecond != 10 {
-		t.Errorf("%+v", r)
+}
+
+func TestReplacementCost(t *testing.T) {
+	if got := testFleet().ReplacementCost(6); got.MissingStartFraction != 0.5 || got.OffersPerSecond != 10 {
+		t.Errorf("got %+v, want a missing fraction of 0.5 and 10 offers a second", got)
 	}
 }
 
-// More load is never further from a limit, more nodes never nearer to one; the estimate lies within its interval.
+// More load is never further from a limit, more nodes never closer to one, and the estimate lies within its interval.
 func TestLimitsAreMonotone(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const slack = 0.000001 // of rounding
@@ -154,29 +168,31 @@
 		for _, l := range limits {
 			within := l.Low <= l.Multiple*(1+slack) && l.Multiple <= l.High*(1+slack)
 			if l.Name != NoNodeLargeEnough && !within || math.IsNaN(l.Multiple) {
-				t.Fatalf("%v is not between %v and %v", l, l.Low, l.High)
+				t.Fatalf("got %v, want it between %v and %v", l, l.Low, l.High)
 			}
 		}
 		before := limits[0].Multiple
 		moreLoad := class
 		moreLoad.JobsPerSecond *= 1.5
 		if after := Limits(fleet, []Class{moreLoad})[0].Multiple; after > before*(1+slack) {
-			t.Fatalf("at more load the limit is %v, before %v", after, before)
+			t.Fatalf("got a limit at %v with more load, want at most %v", after, before)
 		}
 		moreNodes := *fleet
 		moreNodes.Groups = append(slices.Clone(fleet.Groups),
 			Group{Name: "d", Kind: "small", Zone: "a", Cell: 0, Count: 4, Cores: 16, Memory: 64})
 		if after := Limits(&moreNodes, []Class{class})[0].Multiple; after < before*(1-slack) {
-			t.Fatalf("with more nodes the limit is %v, before %v", after, before)
+			t.Fatalf("got a limit at %v with more nodes, want at least %v", after, before)
 		}
 	})
 }
 
-// Erlang's formula against values from tables: 10 servers lose 1 in 100 at 4.46 erlangs, 100 at 84.1.
-func TestErlangLossFormula(t *testing.T) {
-	for servers, want := range map[float64]float64{1: 0.0101, 10: 4.46, 100: 84.1} {
-		if got := loadAtLoss(servers, 0.01); math.Abs(got-want) > 0.01*want {
-			t.Errorf("%v servers: %v, want %v", servers, got, want)
-		}
+// The values are from tables of Erlang's loss formula at a loss of 1 in 100.
+func TestLoadAtLossAgreesWithTables(t *testing.T) {
+	for _, c := range []struct{ servers, want float64 }{{1, 0.0101}, {10, 4.46}, {100, 84.1}} {
+		t.Run(fmt.Sprintf("%v servers", c.servers), func(t *testing.T) {
+			if got := loadAtLoss(c.servers, 0.01); math.Abs(got-c.want) > 0.01*c.want {
+				t.Errorf("got %v erlangs, want %v", got, c.want)
+			}
+		})
 	}
 }
--- a/internal/testbed/chart/chart_test.go
+++ b/internal/testbed/chart/chart_test.go
@@ -8,9 +8,8 @@
 	"testing"
 )
 
-// A chart is an SVG file with its title, the labels of its axes and the names of its lines. It ends with an empty line, as the
-// stored figures do.
-func TestWrite(t *testing.T) {
+// The file ends with an empty line, as the stored figures do.
+func TestChartIsSVGWithTitleLabelsAndLines(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		logScale bool
@@ -30,18 +29,17 @@
 			}
 			for _, want := range []string{"<svg", "the title", "horizontal", "vertical", "first", "second"} {
 				if !strings.Contains(string(text), want) {
-					t.Errorf("the file does not contain %q", want)
+					t.Errorf("got a file without %q, want it", want)
 				}
 			}
 			if !strings.HasSuffix(string(text), "</svg>\n\n") {
-				t.Errorf("the file ends with %q", text[max(0, len(text)-20):])
+				t.Errorf("got a file that ends with %q, want an empty line after </svg>", text[max(0, len(text)-20):])
 			}
 		})
 	}
 }
 
-// A file that cannot be written and a point that is not a number are reported.
-func TestWriteErrors(t *testing.T) {
+func TestWriteReportsErrors(t *testing.T) {
 	folder := t.TempDir()
 	for _, c := range []struct {
 		name, path string
@@ -52,7 +50,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if err := (&Chart{Lines: c.lines}).Write(c.path); err == nil {
-				t.Error("the chart was written")
+				t.Error("got no error, want one")
 			}
 		})
 	}
--- a/internal/testbed/experiment/experiment_test.go
+++ b/internal/testbed/experiment/experiment_test.go
@@ -25,120 +25,127 @@
 	return p
 }
 
-// What makes no sense is reported with its field.
-func TestParse(t *testing.T) {
-	for _, c := range []struct{ from, to, want string }{
-		{`name: "b"`, `name: "a"`, `designs[1].name: "a" names two designs`},
-		{`day: "calm", load`, `day: "nowhere", load`, `designs[1].day: no day of that name`},
-		{`room-b`, `room-z`, `the fleet has no such zone`},
-		{`warm: 1`, `warm: 99`, `expected under the 4 s`},
-		{`seeds: 3`, `seeds: 1`, `seeds`},
-		{`load: 2`, `load: -2`, `load`},
-	} {
-		_, err := Parse("x.cue", []byte(strings.Replace(experimentText, c.from, c.to, 1)))
-		if err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: %v, want %q", c.to, err, c.want)
-		}
+// execute executes an experiment and returns its runs, and how many of them were not in the file of results.
+func execute(t *testing.T, p *Plan, results string, workers int) (runs []Run, executed int) {
+	t.Helper()
+	runs, err := p.Execute(context.Background(), results, workers, func(int, int) { executed++ })
+	if err != nil {
+		t.Fatal(err)
 	}
+	return runs, executed
 }
 
-// An interrupted experiment resumes where it was, ignores an incomplete line, runs anew what has changed, and gives the same
-// figures as one that was not interrupted.
-func TestResume(t *testing.T) {
-	p := parse(t, experimentText)
-	dir := t.TempDir()
-	execute := func(p *Plan, file string, workers int) (rows []Row, ran int) {
-		t.Helper()
-		first := -1
-		runs, err := p.Execute(context.Background(), filepath.Join(dir, file), workers, func(done, _ int) {
-			if first < 0 {
-				first = done
+func writeFile(t *testing.T, path string, text []byte) {
+	t.Helper()
+	if err := os.WriteFile(path, text, 0o600); err != nil {
+		t.Fatal(err)
+	}
+}
+
+func TestParseReportsInvalidField(t *testing.T) {
+	for _, c := range []struct{ name, from, to, want string }{
+		{"two designs of one name", `name: "b"`, `name: "a"`, `designs[1].name: "a" names two designs`},
+		{"unknown day", `day: "calm", load`, `day: "nowhere", load`, `designs[1].day: no day of that name`},
+		{"unknown zone", `room-b`, `room-z`, `the fleet has no such zone`},
+		{"warm-up longer than the day", `warm: 1`, `warm: 99`, `expected under the 4 s`},
+		{"one seed", `seeds: 3`, `seeds: 1`, `seeds`},
+		{"negative load", `load: 2`, `load: -2`, `load`},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			_, err := Parse("x.cue", []byte(strings.Replace(experimentText, c.from, c.to, 1)))
+			if err == nil || !strings.Contains(err.Error(), c.want) {
+				t.Errorf("got error %v, want one with %q", err, c.want)
 			}
-			ran++
 		})
-		if err != nil {
-			t.Fatal(err)
-		}
-		return p.Table(runs), ran
-	}
-	complete, ran := execute(p, "complete", 1)
-	if ran != 9 {
-		t.Errorf("%d runs", ran)
 	}
-	all, err := os.ReadFile(filepath.Join(dir, "complete"))
-	if err != nil {
-		t.Fatal(err)
-	}
-	lines := bytes.SplitAfter(all, []byte("\n"))
-	interrupted := append(bytes.Join(lines[:4], nil), lines[4][:20]...)
-	if err := os.WriteFile(filepath.Join(dir, "interrupted"), interrupted, 0o600); err != nil {
-		t.Fatal(err)
+}
+
+// An interrupted experiment resumes, ignores an incomplete line, executes again what has changed, and has the same statistics
+// as one that was not interrupted.
+func TestInterruptedExperimentResumes(t *testing.T) {
+	p := parse(t, experimentText)
+	dir := t.TempDir()
+	completePath, interruptedPath := filepath.Join(dir, "complete"), filepath.Join(dir, "interrupted")
+	completeRuns, executed := execute(t, p, completePath, 1)
+	if executed != 9 {
+		t.Errorf("got %d executed runs, want 9", executed)
 	}
-	resumed, ran := execute(p, "interrupted", 3)
-	if ran != 5 {
-		t.Errorf("%d runs after the interruption, wanted 5", ran)
+	lines := bytes.SplitAfter(readFile(t, completePath), []byte("\n"))
+	writeFile(t, interruptedPath, append(bytes.Join(lines[:4], nil), lines[4][:20]...))
+	resumedRuns, executed := execute(t, p, interruptedPath, 3)
+	if executed != 5 {
+		t.Errorf("got %d executed runs after the interruption, want 5", executed)
 	}
-	if len(complete) != len(resumed) || len(complete) != len(Measures)*3 {
-		t.Fatalf("%d and %d rows", len(complete), len(resumed))
+	complete, resumed := p.Table(completeRuns), p.Table(resumedRuns)
+	if want := len(Measures) * 3; len(complete) != want || len(resumed) != want {
+		t.Fatalf("got %d and %d rows, want %d each", len(complete), len(resumed), want)
 	}
 	for i := range complete {
-		if complete[i].Mean != resumed[i].Mean || complete[i].Difference != resumed[i].Difference {
-			t.Errorf("%+v and %+v", complete[i], resumed[i])
+		if resumed[i].Mean != complete[i].Mean || resumed[i].Difference != complete[i].Difference {
+			t.Errorf("got row %+v, want that without interruption, %+v", resumed[i], complete[i])
 		}
 	}
-	if _, ran := execute(parse(t, strings.Replace(experimentText, "load: 2", "load: 3", 1)), "interrupted", 3); ran != 3 {
-		t.Errorf("%d runs after one design changed, wanted 3", ran)
+	changed := parse(t, strings.Replace(experimentText, "load: 2", "load: 3", 1))
+	if _, executed := execute(t, changed, interruptedPath, 3); executed != 3 {
+		t.Errorf("got %d executed runs after one design changed, want 3", executed)
 	}
 }
 
-// A line of the file of results that is not a result is reported.
-func TestResumeReportsBadResults(t *testing.T) {
+func TestExecuteReportsInvalidResults(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "bad")
-	if err := os.WriteFile(path, []byte("nonsense\n"), 0o600); err != nil {
-		t.Fatal(err)
-	}
+	writeFile(t, path, []byte("nonsense\n"))
 	_, err := parse(t, experimentText).Execute(context.Background(), path, 1, func(int, int) {})
 	var results *ResultsError
 	if !errors.As(err, &results) || results.Line != 1 || results.Path != path {
-		t.Errorf("got %v, want a ResultsError of line 1", err)
+		t.Errorf("got error %v, want a ResultsError of line 1", err)
 	}
 }
 
-// Intervals agree with tables: for 5 values of standard deviation 1 the half width is 2.776/sqrt(5).
-func TestEstimate(t *testing.T) {
+// For 5 values of standard deviation 1 the half width is 2.776/sqrt(5) by tables of Student's t-distribution.
+func TestEstimateMeanHasConfidenceInterval(t *testing.T) {
 	offset := math.Sqrt(2)
-	e := EstimateMean([]float64{5, 5 + offset, 5 - offset, 5, 5})
-	if math.Abs(e.Mean-5) > 1e-9 || math.Abs(e.HalfWidth-2.776/math.Sqrt(5)) > 1e-3 || !e.Differs() {
-		t.Errorf("%v", e)
+	got, want := EstimateMean([]float64{5, 5 + offset, 5 - offset, 5, 5}), Estimate{5, 2.776 / math.Sqrt(5)}
+	if math.Abs(got.Mean-want.Mean) > 1e-9 || math.Abs(got.HalfWidth-want.HalfWidth) > 1e-3 {
+		t.Errorf("got %v, want %v", got, want)
 	}
-	if single := EstimateMean([]float64{3}); !math.IsInf(single.HalfWidth, 1) || single.Differs() {
-		t.Errorf("estimate of one value: %v", single)
+	if !got.Differs() {
+		t.Errorf("got an interval of %v that contains zero, want one that does not", got)
 	}
 }
 
-// The page names every design and loads nothing from elsewhere.
-func TestHTML(t *testing.T) {
-	p := parse(t, strings.Replace(experimentText, `"b"`, `"<b>"`, 1))
-	runs, err := p.Execute(context.Background(), filepath.Join(t.TempDir(), "runs"), 2, func(int, int) {})
-	if err != nil {
-		t.Fatal(err)
+func TestEstimateMeanOfOneValueHasInfiniteInterval(t *testing.T) {
+	if got := EstimateMean([]float64{3}); !math.IsInf(got.HalfWidth, 1) || got.Differs() {
+		t.Errorf("got %v, want an infinite half width", got)
 	}
-	var b, plain bytes.Buffer
+}
+
+func TestReportsNameDesignsAndLoadNothing(t *testing.T) {
+	p := parse(t, strings.Replace(experimentText, `"b"`, `"<b>"`, 1))
+	runs, _ := execute(t, p, filepath.Join(t.TempDir(), "runs"), 2)
 	rows := p.Table(runs)
-	if err := p.HTML(&b, rows); err != nil {
-		t.Fatal(err)
-	}
-	for _, want := range []string{"&lt;b&gt;", "<svg", "wait p99", "</html>"} {
-		if !strings.Contains(b.String(), want) {
-			t.Errorf("the page does not contain %q", want)
+	t.Run("HTML", func(t *testing.T) {
+		var page bytes.Buffer
+		if err := p.HTML(&page, rows); err != nil {
+			t.Fatal(err)
 		}
-	}
-	for _, bad := range []string{"src=", "<link", "href=", "<?xml"} {
-		if strings.Contains(b.String(), bad) {
-			t.Errorf("the page has %q", bad)
+		for _, want := range []string{"&lt;b&gt;", "<svg", "wait p99", "overloaded nodes", "</html>"} {
+			if !strings.Contains(page.String(), want) {
+				t.Errorf("got a page without %q, want it", want)
+			}
 		}
-	}
-	if err := p.Text(&plain, rows); err != nil || !strings.Contains(plain.String(), "±") {
-		t.Errorf("%s, %v", plain.String(), err)
-	}
+		for _, unwanted := range []string{"src=", "<link", "href=", "<?xml"} {
+			if strings.Contains(page.String(), unwanted) {
+				t.Errorf("got a page with %q, want none", unwanted)
+			}
+		}
+	})
+	t.Run("text", func(t *testing.T) {
+		var text bytes.Buffer
+		if err := p.Text(&text, rows); err != nil {
+			t.Fatal(err)
+		}
+		if got := text.String(); !strings.Contains(got, "±") {
+			t.Errorf("got %q, want it to contain ±", got)
+		}
+	})
 }
--- a/internal/testbed/experiment/storedresults_test.go
+++ b/internal/testbed/experiment/storedresults_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"context"
 	"encoding/json"
 	"os"
 	"path/filepath"
@@ -25,34 +24,26 @@
 	return text
 }
 
-// The results of an earlier build are found by design, fingerprint and seed: nothing is run, and nothing is written.
+// The results of an earlier build are found by design, fingerprint and seed: nothing is executed, and nothing is written.
 func TestStoredResultsAreReused(t *testing.T) {
 	stored := readFile(t, storedResults)
 	results := filepath.Join(t.TempDir(), "results")
-	if err := os.WriteFile(results, stored, 0o600); err != nil {
-		t.Fatal(err)
-	}
-	p := parse(t, string(readFile(t, storedExperiment)))
-	ran := 0
-	runs, err := p.Execute(context.Background(), results, 1, func(int, int) { ran++ })
-	if err != nil {
-		t.Fatal(err)
+	writeFile(t, results, stored)
+	runs, executed := execute(t, parse(t, string(readFile(t, storedExperiment))), results, 1)
+	if executed != 0 || len(runs) != 4 {
+		t.Errorf("got %d executed runs of %d, want 0 of 4", executed, len(runs))
 	}
-	if ran != 0 || len(runs) != 4 {
-		t.Errorf("%d runs of an experiment with %d results, want 0 of 4", ran, len(runs))
-	}
-	if after := readFile(t, results); !bytes.Equal(after, stored) {
-		t.Errorf("the file of results is %s,\nwas %s", after, stored)
+	if got := readFile(t, results); !bytes.Equal(got, stored) {
+		t.Errorf("got a file of results with %s,\nwant the stored %s", got, stored)
 	}
 	for _, r := range runs {
 		if r.Design == "" || r.Fingerprint == "" || r.Seed == 0 || len(r.Measures) != len(Measures) {
-			t.Errorf("a field is not set: %+v", r)
+			t.Errorf("got run %+v, want all fields set", r)
 		}
 	}
 }
 
-// A result of an earlier build keeps its bytes when it is read and written again.
-func TestStoredResultsEncoding(t *testing.T) {
+func TestStoredResultKeepsItsBytesWhenReencoded(t *testing.T) {
 	for _, line := range bytes.Split(bytes.TrimSpace(readFile(t, storedResults)), []byte("\n")) {
 		var r, decoded storedRun
 		dec := json.NewDecoder(bytes.NewReader(line))
@@ -65,10 +56,10 @@
 			t.Fatal(err)
 		}
 		if !bytes.Equal(text, line) {
-			t.Errorf("%s, stored is %s", text, line)
+			t.Errorf("got %s, want the stored %s", text, line)
 		}
 		if err := json.Unmarshal(text, &decoded); err != nil || !reflect.DeepEqual(r, decoded) {
-			t.Errorf("%+v, %v, want %+v", decoded, err, r)
+			t.Errorf("got %+v and error %v, want %+v", decoded, err, r)
 		}
 	}
 }
@@ -92,9 +83,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "results")
-			if err := os.WriteFile(path, []byte(c.line), 0o600); err != nil {
-				t.Fatal(err)
-			}
+			writeFile(t, path, []byte(c.line))
 			got, err := readRuns(path)
 			if err != nil {
 				t.Fatal(err)
--- a/internal/testbed/plancheck/estimate_test.go
+++ b/internal/testbed/plancheck/estimate_test.go
@@ -10,7 +10,7 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/load"
 )
 
-// newTrace is a trace of jobs at 10 a second, of seven services and with a run time of 3 s; change may change each.
+// newTrace returns a trace of jobs at 10 a second, of seven services and with a runtime of 3 s; change may change each job.
 func newTrace(jobs int, change func(i int, job *load.Job)) *load.Trace {
 	trace := &load.Trace{}
 	for i := range jobs {
@@ -24,12 +24,23 @@
 
 func unchanged(int, *load.Job) {}
 
-// An estimate has the rate and the run time of the captured load, with run times that were cut off counted as longer, gaps
-// left out, and warnings.
-func TestEstimateLoad(t *testing.T) {
-	day := plannedDay(t)
+// estimateClassC estimates the load of a trace, which must be of one class.
+func estimateClassC(t *testing.T, trace *load.Trace) CapturedClass {
+	t.Helper()
+	classes, err := EstimateLoad(trace, plannedDay(t))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if len(classes) != 1 || classes[0].Name != "c" {
+		t.Fatalf("got classes %+v, want c only", classes)
+	}
+	return classes[0]
+}
+
+// Censored runtimes count as longer than observed, and gaps are excluded.
+func TestEstimateHasRateAndRuntimeOfCapturedLoad(t *testing.T) {
 	complete, short := newTrace(1001, unchanged), newTrace(12, unchanged)
-	cutOff := newTrace(1001, func(i int, job *load.Job) {
+	censored := newTrace(1001, func(i int, job *load.Job) {
 		if i%2 == 0 {
 			job.Censored, job.Runtime = true, time.Second
 		}
@@ -48,53 +59,49 @@
 		warning        string
 	}{
 		{"complete", complete, 10, 3, ""},
-		{"half of the run times cut off at 1 s", cutOff, 10, 4, "runtimes are censored"},
+		{"half of the runtimes censored at 1 s", censored, 10, 4, "runtimes are censored"},
 		{"a gap of an hour", gap, 10, 3, "1 gaps were excluded"},
 		{"too short", short, 10.9, 3, "only 12 jobs"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			classes, err := EstimateLoad(c.trace, day)
-			if err != nil {
-				t.Fatal(err)
+			class := estimateClassC(t, c.trace)
+			if got := class.JobsPerSecond; math.Abs(got/c.jobsPerSecond-1) > 0.02 {
+				t.Errorf("got %v jobs a second, want %v", got, c.jobsPerSecond)
 			}
-			class := classes[0]
-			if math.Abs(class.JobsPerSecond/c.jobsPerSecond-1) > 0.02 ||
-				math.Abs(class.MeanRuntimeSeconds/c.runtimeSeconds-1) > 0.02 ||
-				class.Services != 7 || math.Abs(class.Cores-1) > 1e-9 {
-				t.Errorf("%+v", class)
+			if got := class.MeanRuntimeSeconds; math.Abs(got/c.runtimeSeconds-1) > 0.02 {
+				t.Errorf("got a mean runtime of %v s, want %v s", got, c.runtimeSeconds)
+			}
+			if class.Services != 7 || math.Abs(class.Cores-1) > 1e-9 {
+				t.Errorf("got %d services and %v cores, want 7 and 1", class.Services, class.Cores)
 			}
 			warnings := strings.Join(class.Warnings, "; ")
 			if (c.warning == "") != (warnings == "") || !strings.Contains(warnings, c.warning) {
-				t.Errorf("warnings %q, want %q", warnings, c.warning)
+				t.Errorf("got warnings %q, want %q", warnings, c.warning)
 			}
 		})
 	}
 }
 
-// The fewer jobs were captured, the larger the error of the estimate.
-func TestErrorOfEstimates(t *testing.T) {
-	day := plannedDay(t)
-	estimateError := func(jobs int) float64 {
-		classes, err := EstimateLoad(newTrace(jobs, unchanged), day)
-		if err != nil {
-			t.Fatal(err)
-		}
-		return classes[0].RelativeError
-	}
-	if few, many := estimateError(12), estimateError(1001); few < 3*many {
-		t.Errorf("the error of few jobs is %v, of many %v", few, many)
+func TestErrorOfEstimateIsLargerForFewerJobs(t *testing.T) {
+	few, many := estimateClassC(t, newTrace(12, unchanged)), estimateClassC(t, newTrace(1001, unchanged))
+	if few.RelativeError < 3*many.RelativeError {
+		t.Errorf("got an error of %v for 12 jobs, want at least three times that of 1,001 jobs, %v", few.RelativeError,
+			many.RelativeError)
 	}
 }
 
-// A capture without jobs, or of a class that the day does not have, can't be planned with.
-func TestEstimateLoadErrors(t *testing.T) {
-	day := plannedDay(t)
-	for name, trace := range map[string]*load.Trace{
-		"empty":         {},
-		"unknown class": newTrace(9, func(_ int, job *load.Job) { job.Class = "z" }),
+func TestEstimateRejectsUnusableCapture(t *testing.T) {
+	for _, c := range []struct {
+		name  string
+		trace *load.Trace
+	}{
+		{"no jobs", &load.Trace{}},
+		{"class that the day does not have", newTrace(9, func(_ int, job *load.Job) { job.Class = "z" })},
 	} {
-		if _, err := EstimateLoad(trace, day); err == nil {
-			t.Errorf("%s: no error", name)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			if classes, err := EstimateLoad(c.trace, plannedDay(t)); err == nil {
+				t.Errorf("got classes %+v, want an error", classes)
+			}
+		})
 	}
 }
