--- a/internal/benchadapter/reader_test.go
+++ b/internal/benchadapter/reader_test.go
@@ -2,12 +2,15 @@
 
 import (
 	"errors"
+	"fmt"
 	"io"
 	"reflect"
 	"strings"
 	"testing"
+	"time"
 
 	"flaxshelf.example/flaxshelf"
+	"flaxshelf.example/flaxshelf/internal/machinetest"
 )
 
 const upLine = "UP who=3 init_seed=9 balancers=2 kinds=k1,k2 specifics.kind_cores=30,48 specifics.mem_of_kind=86.0,155.0 " +
@@ -32,6 +35,24 @@
 	}
 }
 
+func TestStartHasTheConfiguration(t *testing.T) {
+	config := readAll(t, "FRAME clock_ns=5 serial=1\n"+upLine+"END\n")[0].Items[0].Start.Config
+	if config.Schedulers != 2 || !config.DiscoveryOnRequest || config.Tick != 2*time.Millisecond || len(config.Tenants) != 0 {
+		t.Errorf("got %+v, want 2 schedulers, discovery on request, a tick of 2 ms and no tenants", config)
+	}
+	want := []flaxshelf.Kind{{Name: "k1", Cores: 30, Memory: 86}, {Name: "k2", Cores: 48, Memory: 155}}
+	if !reflect.DeepEqual(config.Kinds, want) {
+		t.Errorf("kinds: got %+v, want %+v", config.Kinds, want)
+	}
+	if c := config.Classes[1]; c.Idempotency != flaxshelf.IdempotentByKey || c.KeyDomain != flaxshelf.ZoneDomain ||
+		c.KeyTTL != 5*time.Second || c.Kind != 1 {
+		t.Errorf("class 1: got %+v, want it idempotent by key in its zone for 5 s, on kind 1", c)
+	}
+	if c := config.Classes[0]; c.SpreadDomain != flaxshelf.ZoneDomain || c.MaxPerDomain != 4 || c.Kind != -1 {
+		t.Errorf("class 0: got %+v, want 4 tasks a zone, on any kind", c)
+	}
+}
+
 // A list takes over the number of an older one in the middle of a batch; unknown messages are skipped.
 func TestEventsInOrderWithReusedLists(t *testing.T) {
 	text := "FRAME clock_ns=5 serial=1\n" + upLine +
@@ -95,6 +116,7 @@
 		"VIEW who=1 form=Partial page=3":            {4, "page", "3"},
 		"INBOX who=1 neighbour=1 blob=***":          {4, "blob", "***"},
 		"REGISTER page=0 records=1\nX y=1":          {4, "records", "X y=1"},
+		"UP who=1 round_ns=x":                       {4, "round_ns", "x"},
 	} {
 		t.Run(line, func(t *testing.T) {
 			_, err := NewReader(strings.NewReader(frame + line + "\nEND\n")).Next()
@@ -143,3 +165,27 @@
 		}
 	}
 }
+
+// machineLine writes an entry of a list of machines. A field of Machine that is missing here makes
+// TestListKeepsEveryFieldOfMachine fail.
+func machineLine(m flaxshelf.Machine, kinds ...string) string {
+	readiness := ""
+	for name, state := range machineStates {
+		if state == m.State {
+			readiness = name
+		}
+	}
+	return fmt.Sprintf("M node=%s shape=%s readiness=%s az=%s pod=%d last_start_ns=%d open_cores=%g spare_mem=%g", m.ID,
+		kinds[m.Kind], readiness, m.Zone, m.Cell, int64(m.Started), m.FreeCores, m.FreeMemory)
+}
+
+func TestListKeepsEveryFieldOfMachine(t *testing.T) {
+	want := machinetest.Filled(t)
+	items := readAll(t, "FRAME clock_ns=5 serial=1\n"+upLine+"REGISTER page=0 records=1\n"+machineLine(want, "k1", "k2")+
+		"\nVIEW who=3 form=Complete page=0\nEND\n")[0].Items
+	update, ok := items[len(items)-1].Event.(flaxshelf.MachinesUpdated)
+	if !ok || len(update.Machines) != 1 {
+		t.Fatalf("got %+v, want an update with one machine", items)
+	}
+	machinetest.Expect(t, update.Machines[0], want)
+}
