--- a/internal/testbed/emulator/clients.go
+++ b/internal/testbed/emulator/clients.go
@@ -1,8 +1,6 @@
 package emulator
 
 import (
-	"cmp"
-	"slices"
 	"time"
 
 	"flaxshelf.example/flaxshelf/internal/scheduler"
@@ -28,7 +26,7 @@
 	latency     *latencyModel
 	loads       []loadState
 	timers      timerqueue.Heap[timerFunc]
-	submissions map[string]*submitted // by idempotency key, while they are open
+	submissions map[string]*submissionState // by idempotency key, while they are open
 	stats       *clientStats
 	measureFrom time.Duration // submissions before it are not counted
 	loadState   fault.LoadState
@@ -44,21 +42,8 @@
 	ok       bool
 }
 
-// submitted is a submission and the state that its client has of it.
-type submitted struct {
-	arrival     scenario.Arrival
-	spec        scheduler.Spec
-	job         string
-	outcome     scheduler.Outcome
-	end         string // how it ended without an outcome; empty: it is open or has one
-	lastOutcome string // of the last request that its client retried
-	orphaned    bool   // its scheduler was killed
-	due         Time   // when it is accounted for
-	closed      bool
-}
-
 func newClients(s *simulation) *clients {
-	c := &clients{simulation: s, latency: newLatencyModel(s.seed, 0), submissions: map[string]*submitted{},
+	c := &clients{simulation: s, latency: newLatencyModel(s.seed, 0), submissions: map[string]*submissionState{},
 		stats: newClientStats(s.day)}
 	var sources []arrivals
 	for i := range s.day.Load {
@@ -117,12 +102,12 @@
 
 func (c *clients) submit(arrival scenario.Arrival, out *outbox) {
 	now, load, rules := arrivalTime(&arrival), arrival.Load, &c.simulation.day.Rules
-	s := &submitted{arrival: arrival, spec: c.spec(&arrival)}
+	s := &submissionState{arrival: arrival, spec: c.spec(&arrival)}
 	timeout := c.simulation.schedulers[arrival.Scheduler].settings.Classes[s.spec.Class].PlacementTimeout.Duration()
 	s.due = now + max(timeout+rules.AnswerSlack.Duration()+outcomeGrace, load.Patience.Duration())
 	c.submissions[arrival.Key] = s
 	if arrival.At >= c.measureFrom {
-		c.stats.submitted(load.Class)
+		c.stats.countSubmitted(load.Class)
 	}
 	c.send(s, now, out)
 	c.setTimer(s.due, func(Time, *outbox) { c.close(s) })
@@ -145,57 +130,28 @@
 	return spec
 }
 
-func (c *clients) send(s *submitted, now Time, out *outbox) {
+func (c *clients) send(s *submissionState, now Time, out *outbox) {
 	to := c.simulation.schedulers[s.arrival.Scheduler].id
 	out.send(c.latency.deliveryTime(now, to), to, submission{s.spec})
 }
 
-// The ends in the report of submissions without an outcome.
-const (
-	endRejected  = "rejected: " // and the error code
-	endKilled    = "its scheduler was killed"
-	endNoOutcome = "no outcome"
-	endOpen      = "open at the end"
-)
-
-// close accounts for a submission at the end of its time.
-func (c *clients) close(s *submitted) {
-	if s.closed {
-		return
-	}
-	switch {
-	case s.outcome != "":
-		s.end = string(s.outcome)
-	case s.end != "":
-	case s.lastOutcome != "":
-		s.end = s.lastOutcome
-	case s.orphaned:
-		s.end = endKilled
-	default:
-		s.end = endNoOutcome
-	}
-	s.closed = true
-	c.stats.submissionEnds[s.end]++
-	delete(c.submissions, s.arrival.Key)
-}
-
 func (c *clients) handle(m message) {
 	switch body := m.body.(type) {
 	case answer:
-		c.answered(&body, m.at)
+		c.handleAnswer(&body, m.at)
 	case outcomeNotice:
-		c.outcomeReceived(&body)
+		c.handleOutcome(&body)
 	case loadFactor:
 		c.loadState.SetFactor(body.class, body.factor)
 	case hotServiceShare:
 		c.loadState.SetHotServiceShare(body.class, body.share)
 	case schedulerKilled:
-		c.schedulerKilled(body.scheduler, m.at)
+		c.handleSchedulerKilled(body.scheduler, m.at)
 	}
 }
 
-// answered handles the answer to a submission.
-func (c *clients) answered(a *answer, now Time) {
+// handleAnswer handles the answer to a submission.
+func (c *clients) handleAnswer(a *answer, now Time) {
 	s := c.submissions[a.key]
 	if s == nil {
 		return
@@ -220,7 +176,7 @@
 	}
 }
 
-func (c *clients) schedulerKilled(index int, now Time) {
+func (c *clients) handleSchedulerKilled(index int, now Time) {
 	for _, s := range c.openSubmissions() {
 		if s.arrival.Scheduler == index && s.outcome == "" && s.end == "" {
 			s.orphaned = true
@@ -229,50 +185,8 @@
 	}
 }
 
-// retry resubmits a job that was not placed, after a backoff. It returns false if the load does not retry or its
-// client's patience would end first.
-func (c *clients) retry(s *submitted, now Time) bool {
-	backoff := s.arrival.Load.Retry.Duration()
-	if backoff <= 0 {
-		return false
-	}
-	at := now + backoff/2 + time.Duration(c.latency.random.Int64N(int64(backoff)))
-	if at >= arrivalTime(&s.arrival)+s.arrival.Load.Patience.Duration() {
-		return false
-	}
-	c.stats.retries++
-	c.setTimer(at, func(now Time, out *outbox) { c.send(s, now, out) })
-	return true
-}
-
-// openSubmissions returns the open submissions in the order of their times and keys.
-func (c *clients) openSubmissions() []*submitted {
-	open := make([]*submitted, 0, len(c.submissions))
-	for _, s := range c.submissions {
-		open = append(open, s)
-	}
-	slices.SortFunc(open, func(a, b *submitted) int {
-		return cmp.Or(cmp.Compare(a.arrival.At, b.arrival.At), cmp.Compare(a.arrival.Key, b.arrival.Key))
-	})
-	return open
-}
-
-// resubmit submits a job again whose scheduler was killed, unless its client has stopped waiting by then.
-func (c *clients) resubmit(s *submitted, now Time) {
-	at := now + resubmitDelay
-	if at >= s.due-outcomeGrace {
-		return
-	}
-	s.spec.Retry = true
-	c.setTimer(at, func(now Time, out *outbox) {
-		if s.outcome == "" {
-			c.send(s, now, out)
-		}
-	})
-}
-
 // command terminates, or holds and later releases, the fractions of the jobs that the load sets.
-func (c *clients) command(s *submitted, now Time) {
+func (c *clients) command(s *submissionState, now Time) {
 	load := s.arrival.Load
 	later := now + s.arrival.ControlDelay
 	switch {
@@ -284,21 +198,21 @@
 	}
 }
 
-func (c *clients) sendCommand(s *submitted, at Time, verb scheduler.Verb) {
+func (c *clients) sendCommand(s *submissionState, at Time, verb scheduler.Verb) {
 	to := c.simulation.schedulers[s.arrival.Scheduler].id
 	c.setTimer(at, func(now Time, out *outbox) {
 		out.send(c.latency.deliveryTime(now, to), to, command{verb: verb, job: s.job})
 	})
 }
 
-// outcomeReceived handles an event of a job.
-func (c *clients) outcomeReceived(notice *outcomeNotice) {
+// handleOutcome handles an event of a job.
+func (c *clients) handleOutcome(notice *outcomeNotice) {
 	info := &notice.info
 	if info.State.Ended() {
 		c.stats.jobEnds[info.SubState]++
 		return
 	}
-	c.stats.outcome(c.simulation.day.Classes[info.Spec.Class].Name, info.Outcome)
+	c.stats.countOutcome(c.simulation.day.Classes[info.Spec.Class].Name, info.Outcome)
 	s := c.submissions[info.Spec.Key]
 	if s == nil || s.outcome != "" {
 		return
@@ -314,6 +228,6 @@
 	s.outcome = info.Outcome
 	if placed && s.arrival.At >= c.measureFrom {
 		class := c.simulation.day.Class(s.arrival.Load.Class)
-		c.stats.placed(class.Name, notice.at-arrivalTime(&s.arrival), class.LatencyObjective.Duration())
+		c.stats.countPlaced(class.Name, notice.at-arrivalTime(&s.arrival), class.LatencyObjective.Duration())
 	}
 }
--- a/internal/testbed/emulator/report.go
+++ b/internal/testbed/emulator/report.go
@@ -121,13 +121,13 @@
 	return s
 }
 
-func (s *clientStats) submitted(class string) { s.classes[class].Submitted++ }
+func (s *clientStats) countSubmitted(class string) { s.classes[class].Submitted++ }
 
-func (s *clientStats) outcome(class string, outcome scheduler.Outcome) {
+func (s *clientStats) countOutcome(class string, outcome scheduler.Outcome) {
 	s.classes[class].Outcomes[string(outcome)]++
 }
 
-func (s *clientStats) placed(class string, wait, latencyObjective time.Duration) {
+func (s *clientStats) countPlaced(class string, wait, latencyObjective time.Duration) {
 	c := s.classes[class]
 	_ = c.Wait.RecordValue(max(int64(wait/time.Microsecond), 1)) // a wait of weeks is more than a day simulates
 	c.Placed++
--- /dev/null
+++ b/internal/testbed/emulator/submission.go
@@ -0,0 +1,94 @@
+package emulator
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"flaxshelf.example/flaxshelf/internal/scheduler"
+	"flaxshelf.example/flaxshelf/internal/testbed/scenario"
+)
+
+// submissionState is a submission and the state that its client has of it.
+type submissionState struct {
+	arrival     scenario.Arrival
+	spec        scheduler.Spec
+	job         string
+	outcome     scheduler.Outcome
+	end         string // how it ended without an outcome; empty: it is open or has one
+	lastOutcome string // of the last request that its client retried
+	orphaned    bool   // its scheduler was killed
+	due         Time   // when it is accounted for
+	closed      bool
+}
+
+// The ends in the report of submissions without an outcome.
+const (
+	endRejected  = "rejected: " // and the error code
+	endKilled    = "its scheduler was killed"
+	endNoOutcome = "no outcome"
+	endOpen      = "open at the end"
+)
+
+// close accounts for a submission at the end of its time.
+func (c *clients) close(s *submissionState) {
+	if s.closed {
+		return
+	}
+	switch {
+	case s.outcome != "":
+		s.end = string(s.outcome)
+	case s.end != "":
+	case s.lastOutcome != "":
+		s.end = s.lastOutcome
+	case s.orphaned:
+		s.end = endKilled
+	default:
+		s.end = endNoOutcome
+	}
+	s.closed = true
+	c.stats.submissionEnds[s.end]++
+	delete(c.submissions, s.arrival.Key)
+}
+
+// retry resubmits a job that was not placed, after a backoff. It returns false if the load does not retry or its
+// client's patience would end first.
+func (c *clients) retry(s *submissionState, now Time) bool {
+	backoff := s.arrival.Load.Retry.Duration()
+	if backoff <= 0 {
+		return false
+	}
+	at := now + backoff/2 + time.Duration(c.latency.random.Int64N(int64(backoff)))
+	if at >= arrivalTime(&s.arrival)+s.arrival.Load.Patience.Duration() {
+		return false
+	}
+	c.stats.retries++
+	c.setTimer(at, func(now Time, out *outbox) { c.send(s, now, out) })
+	return true
+}
+
+// openSubmissions returns the open submissions in the order of their times and keys.
+func (c *clients) openSubmissions() []*submissionState {
+	open := make([]*submissionState, 0, len(c.submissions))
+	for _, s := range c.submissions {
+		open = append(open, s)
+	}
+	slices.SortFunc(open, func(a, b *submissionState) int {
+		return cmp.Or(cmp.Compare(a.arrival.At, b.arrival.At), cmp.Compare(a.arrival.Key, b.arrival.Key))
+	})
+	return open
+}
+
+// resubmit submits a job again whose scheduler was killed, unless its client has stopped waiting by then.
+func (c *clients) resubmit(s *submissionState, now Time) {
+	at := now + resubmitDelay
+	if at >= s.due-outcomeGrace {
+		return
+	}
+	s.spec.Retry = true
+	c.setTimer(at, func(now Time, out *outbox) {
+		if s.outcome == "" {
+			c.send(s, now, out)
+		}
+	})
+}
