--- a/internal/testbed/standin/host/host_test.go
+++ b/internal/testbed/standin/host/host_test.go
@@ -85,10 +85,10 @@
 		Party: party, LifeUnixNs: incarnation}}}
 }
 
-// connectParty opens a connection with the hello of an incarnation of a party.
-func connectParty(t *testing.T, addr, party string, incarnation int64) net.Conn {
+// connectScheduler opens a connection with the hello of an incarnation of scheduler "s".
+func connectScheduler(t *testing.T, addr string, incarnation int64) net.Conn {
 	t.Helper()
-	return connect(t, addr, helloFrame(party, nodeframe.Version, nodeframe.Version, incarnation))
+	return connect(t, addr, helloFrame("s", nodeframe.Version, nodeframe.Version, incarnation))
 }
 
 // wantClosed fails the test unless the host has closed the connection and sends no more frames on it.
@@ -150,11 +150,11 @@
 
 func TestSecondConnectionReplacesFirst(t *testing.T) {
 	addr := startInventory(t).Addr()
-	first := connectParty(t, addr, "s", 1)
+	first := connectScheduler(t, addr, 1)
 	if welcome := readFrame(t, first).GetWelcome(); welcome.GetNode() != "inventory" {
 		t.Errorf("got welcome %v, want that of the inventory", welcome)
 	}
-	second := connectParty(t, addr, "s", 1)
+	second := connectScheduler(t, addr, 1)
 	if readFrame(t, second).GetWelcome() == nil {
 		t.Error("got no welcome on the second connection, want one")
 	}
@@ -163,11 +163,11 @@
 
 func TestNodeFencesEarlierIncarnation(t *testing.T) {
 	addr := startNode(t, "").Addr()
-	later := connectParty(t, addr, "s", 2)
+	later := connectScheduler(t, addr, 2)
 	if readFrame(t, later).GetWelcome() == nil {
 		t.Error("got no welcome for the later incarnation, want one")
 	}
-	earlier := connectParty(t, addr, "s", 1)
+	earlier := connectScheduler(t, addr, 1)
 	if bye := readFrame(t, earlier).GetBye(); bye.GetReason() != errFenced.Error() {
 		t.Errorf("got goodbye %v, want %q", bye, errFenced)
 	}
