--- a/internal/testbed/emulator/report.go
+++ b/internal/testbed/emulator/report.go
@@ -79,8 +79,8 @@
 	for _, class := range r.Classes {
 		class.print(&text)
 	}
-	fmt.Fprintf(&text, "submissions: %s; %d retries, %d unaccounted for\n", countformat.FormatOutcomes(r.SubmissionEnds), r.Retries,
-		r.Unaccounted)
+	fmt.Fprintf(&text, "submissions: %s; %d retries, %d unaccounted for\n", countformat.FormatOutcomes(r.SubmissionEnds),
+		r.Retries, r.Unaccounted)
 	fmt.Fprintf(&text, "jobs ended: %s; %d nodes crashed of overload\n", countformat.FormatOutcomes(r.JobEnds), r.Overloaded)
 	if r.Busiest > 0 {
 		fmt.Fprintf(&text, "the busiest core is busy %.0f%% of the time\n", 100*r.Busiest)
--- a/internal/testbed/experiment/plan.go
+++ b/internal/testbed/experiment/plan.go
@@ -28,7 +28,7 @@
 	Name       string  `json:"name"`
 	Day        string  `json:"day"`        // name of an embedded day, or a file
 	LostZone   string  `json:"lose"`       // zone whose nodes are removed from the fleet; empty means none
-	Module     string  `json:"module"`     // what chooses machines: "vote", the module of this repository, or a strategy of baseline
+	Module     string  `json:"module"`     // what chooses machines: "vote", which is flaxshelf itself, or a strategy of baseline
 	Load       float64 `json:"load"`       // multiplies the rates of the day's loads
 	Schedulers int     `json:"schedulers"` // replaces the day's number of schedulers; zero means no change
 }
