--- a/internal/testbed/load/capture.go
+++ b/internal/testbed/load/capture.go
@@ -12,6 +12,9 @@
 // gapAfter is the time without any event after which a capture records a gap.
 const gapAfter = 30 * time.Second
 
+// subStateExited is the sub-state of a job that ran to its end.
+const subStateExited = "exited"
+
 // Capture watches a scheduler for the given time, or until the context ends, and returns a trace of the jobs that were
 // submitted in that time.
 func Capture(ctx context.Context, client *drmaa2.Client, length time.Duration) (*Trace, error) {
@@ -22,7 +25,7 @@
 	ctx, cancel := context.WithTimeout(ctx, length)
 	defer cancel()
 	c := newCapture(time.Now())
-	err = session.Watch(ctx, func(i drmaa2.JobInfo) bool { c.receive(&i, time.Now()); return true })
+	err = session.Watch(ctx, func(info drmaa2.JobInfo) bool { c.receive(&info, time.Now()); return true })
 	if ctx.Err() == nil && err != nil {
 		return nil, fmt.Errorf("load: capture: %w", err)
 	}
@@ -46,42 +49,42 @@
 }
 
 // receive records the state of a job.
-func (c *capture) receive(i *drmaa2.JobInfo, now time.Time) {
+func (c *capture) receive(info *drmaa2.JobInfo, now time.Time) {
 	if now.Sub(c.lastReceived) > gapAfter {
 		c.trace.Gaps = append(c.trace.Gaps, Gap{c.lastReceived.Sub(c.trace.Start), now.Sub(c.trace.Start)})
 	}
 	c.lastReceived = now
-	index, known := c.indexes[i.JobID]
+	index, known := c.indexes[info.JobID]
 	if !known {
-		if i.SubmissionTime.Before(c.trace.Start) {
+		if info.SubmissionTime.Before(c.trace.Start) {
 			return // the job is older than the capture
 		}
-		index = c.add(i)
+		index = c.add(info)
 	}
-	j := &c.trace.Jobs[index]
-	if outcome := i.ImplementationSpecific[drmaa2.AttrOutcome]; outcome != "" && j.Outcome == "" {
-		j.Outcome = outcome
+	job := &c.trace.Jobs[index]
+	if outcome := info.ImplementationSpecific[drmaa2.AttrOutcome]; outcome != "" && job.Outcome == "" {
+		job.Outcome = outcome
 	}
-	if i.DispatchTime != nil {
-		c.started[index] = *i.DispatchTime
+	if info.DispatchTime != nil {
+		c.started[index] = *info.DispatchTime
 	}
-	if i.FinishTime != nil && i.DispatchTime != nil {
+	if info.FinishTime != nil && info.DispatchTime != nil {
 		// A job that its node or its client ended early would have run longer.
-		j.Runtime, j.Censored = i.FinishTime.Sub(*i.DispatchTime), i.JobSubState != "exited"
+		job.Runtime, job.Censored = info.FinishTime.Sub(*info.DispatchTime), info.JobSubState != subStateExited
 	}
 }
 
 // add adds a job to the trace and returns its index.
-func (c *capture) add(i *drmaa2.JobInfo) int {
-	attributes := i.ImplementationSpecific
+func (c *capture) add(info *drmaa2.JobInfo) int {
+	attributes := info.ImplementationSpecific
 	number := func(name string) float64 {
 		value, _ := strconv.ParseFloat(attributes[name], 64) // 0 if the job does not have the attribute
 		return value
 	}
 	index := len(c.trace.Jobs)
-	c.indexes[i.JobID] = index
+	c.indexes[info.JobID] = index
 	c.trace.Jobs = append(c.trace.Jobs, Job{
-		At:       i.SubmissionTime.Sub(c.trace.Start),
+		At:       info.SubmissionTime.Sub(c.trace.Start),
 		Class:    attributes[drmaa2.AttrClass],
 		Service:  attributes[drmaa2.AttrService],
 		Tenant:   attributes[drmaa2.AttrTenant],
@@ -95,9 +98,9 @@
 
 // finish sets the runtimes of jobs that still run to the time until now, and returns the trace.
 func (c *capture) finish(now time.Time) *Trace {
-	for n := range c.trace.Jobs {
-		if j := &c.trace.Jobs[n]; j.Censored && j.Runtime == 0 && !c.started[n].IsZero() {
-			j.Runtime = now.Sub(c.started[n])
+	for index := range c.trace.Jobs {
+		if job := &c.trace.Jobs[index]; job.Censored && job.Runtime == 0 && !c.started[index].IsZero() {
+			job.Runtime = now.Sub(c.started[index])
 		}
 	}
 	c.trace.sort()
--- a/internal/testbed/load/send.go
+++ b/internal/testbed/load/send.go
@@ -32,18 +32,18 @@
 // Send sends a load to a scheduler, open-loop: each submission is sent at its time, whatever the state of earlier ones.
 // It returns when all outcomes are known or after Options.Wait. If the context ends, it returns the result so far and the
 // error of the context.
-func Send(ctx context.Context, c *drmaa2.Client, t *Trace, opt Options) (*Result, error) {
-	session, err := openSession(ctx, c, opt.Session)
+func Send(ctx context.Context, client *drmaa2.Client, trace *Trace, opt Options) (*Result, error) {
+	session, err := openSession(ctx, client, opt.Session)
 	if err != nil {
 		return nil, err
 	}
-	return newSender(session).send(ctx, t.Jobs, opt)
+	return newSender(session).send(ctx, trace.Jobs, opt)
 }
 
-func openSession(ctx context.Context, c *drmaa2.Client, name string) (*drmaa2.JobSession, error) {
-	session, err := c.OpenJobSession(ctx, name)
+func openSession(ctx context.Context, client *drmaa2.Client, name string) (*drmaa2.JobSession, error) {
+	session, err := client.OpenJobSession(ctx, name)
 	if errors.Is(err, drmaa2.ErrInvalidArgument) {
-		session, err = c.CreateJobSession(ctx, name)
+		session, err = client.CreateJobSession(ctx, name)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("load: session: %w", err)
@@ -95,7 +95,7 @@
 	go func() {
 		defer close(done)
 		// After an error of the watch outcomes remain open; the result counts them as unknown.
-		_ = s.session.Watch(ctx, func(i drmaa2.JobInfo) bool { s.recordOutcome(&i); return true })
+		_ = s.session.Watch(ctx, func(info drmaa2.JobInfo) bool { s.recordOutcome(&info); return true })
 	}()
 	return func() {
 		cancel()
@@ -134,7 +134,7 @@
 }
 
 // submit submits a job and records the answer.
-func (s *sender) submit(ctx context.Context, j *Job, key string, due time.Time) {
+func (s *sender) submit(ctx context.Context, job *Job, key string, due time.Time) {
 	s.mu.Lock()
 	s.result.Sent++
 	if time.Since(due) > lateAfter {
@@ -142,8 +142,8 @@
 	}
 	s.due[key] = due
 	s.mu.Unlock()
-	_, err := s.session.RunJob(ctx, drmaa2.JobTemplate{RemoteCommand: "load", JobCategory: j.Class, AccountingID: j.Tenant,
-		ImplementationSpecific: attributes(j, key)})
+	_, err := s.session.RunJob(ctx, drmaa2.JobTemplate{RemoteCommand: "load", JobCategory: job.Class, AccountingID: job.Tenant,
+		ImplementationSpecific: attributes(job, key)})
 	s.result.Answered.Record(time.Since(due))
 	if err == nil {
 		return
@@ -151,35 +151,35 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.due, key)
-	var e *drmaa2.Error
-	if errors.As(err, &e) {
-		s.result.Errors[string(e.Code)]++
+	var drmaaErr *drmaa2.Error
+	if errors.As(err, &drmaaErr) {
+		s.result.Errors[string(drmaaErr.Code)]++
 	} else {
 		s.result.Errors[err.Error()]++
 	}
 }
 
 // attributes returns the implementation-specific attributes of a job's template.
-func attributes(j *Job, key string) map[string]string {
+func attributes(job *Job, key string) map[string]string {
 	all := map[string]string{drmaa2.AttrKey: key}
-	if j.Service != "" {
-		all[drmaa2.AttrService] = j.Service
+	if job.Service != "" {
+		all[drmaa2.AttrService] = job.Service
 	}
-	if j.Runtime > 0 {
-		all[drmaa2.AttrExpectedRuntime] = j.Runtime.String()
+	if job.Runtime > 0 {
+		all[drmaa2.AttrExpectedRuntime] = job.Runtime.String()
 	}
-	if j.Cores > 0 {
-		all[drmaa2.AttrCores] = fmt.Sprint(j.Cores)
+	if job.Cores > 0 {
+		all[drmaa2.AttrCores] = fmt.Sprint(job.Cores)
 	}
-	if j.Memory > 0 {
-		all[drmaa2.AttrMemory] = fmt.Sprint(j.Memory)
+	if job.Memory > 0 {
+		all[drmaa2.AttrMemory] = fmt.Sprint(job.Memory)
 	}
 	return all
 }
 
 // recordOutcome records the first outcome of a submission.
-func (s *sender) recordOutcome(i *drmaa2.JobInfo) {
-	key, outcome := i.ImplementationSpecific[drmaa2.AttrKey], i.ImplementationSpecific[drmaa2.AttrOutcome]
+func (s *sender) recordOutcome(info *drmaa2.JobInfo) {
+	key, outcome := info.ImplementationSpecific[drmaa2.AttrKey], info.ImplementationSpecific[drmaa2.AttrOutcome]
 	if outcome == "" {
 		return
 	}
--- a/internal/testbed/load/swf.go
+++ b/internal/testbed/load/swf.go
@@ -69,8 +69,8 @@
 		if err != nil {
 			return nil, 0, err
 		}
-		if j, ok := line.job(class); ok {
-			t.Jobs = append(t.Jobs, j)
+		if job, ok := line.job(class); ok {
+			t.Jobs = append(t.Jobs, job)
 		} else {
 			skipped++
 		}
@@ -117,21 +117,21 @@
 	if l[swfSubmitTime] < 0 || cores <= 0 {
 		return Job{}, false
 	}
-	j := Job{At: swfSeconds(l[swfSubmitTime]), Class: class, Cores: cores}
+	job := Job{At: swfSeconds(l[swfSubmitTime]), Class: class, Cores: cores}
 	if l[swfApplication] >= 0 {
-		j.Service = fmt.Sprintf("app-%.0f", l[swfApplication])
+		job.Service = fmt.Sprintf("app-%.0f", l[swfApplication])
 	}
 	if l[swfUser] >= 0 {
-		j.Tenant = fmt.Sprintf("user-%.0f", l[swfUser])
+		job.Tenant = fmt.Sprintf("user-%.0f", l[swfUser])
 	}
 	if l[swfRunTime] >= 0 {
-		j.Runtime = swfSeconds(l[swfRunTime])
+		job.Runtime = swfSeconds(l[swfRunTime])
 	}
-	j.Censored = l[swfRunTime] < 0 || l[swfStatus] == swfStatusCanceled
+	job.Censored = l[swfRunTime] < 0 || l[swfStatus] == swfStatusCanceled
 	if l[swfRequestedMemory] > 0 {
-		j.Memory = l[swfRequestedMemory] * cores / kibPerGiB
+		job.Memory = l[swfRequestedMemory] * cores / kibPerGiB
 	}
-	return j, true
+	return job, true
 }
 
 func swfSeconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/testbed/load/trace.go
+++ b/internal/testbed/load/trace.go
@@ -75,8 +75,8 @@
 		return fmt.Sprintf("%s-%x", kind, hasher.Sum(nil)[:nameHashBytes])
 	}
 	for i := range t.Jobs {
-		j := &t.Jobs[i]
-		j.Service, j.Tenant = hide("v", j.Service), hide("t", j.Tenant)
+		job := &t.Jobs[i]
+		job.Service, job.Tenant = hide("v", job.Service), hide("t", job.Tenant)
 	}
 	t.Anonymous = true
 	return nil
