--- a/internal/testbed/emulator/tracearrivals_test.go
+++ b/internal/testbed/emulator/tracearrivals_test.go
@@ -17,8 +17,8 @@
 	plan, err := load.ParsePlan("p.cue", []byte(`about: "two classes"
 seconds: 20
 streams: [
-	{class: "sensor", shape: {kind: "burst", perSecond: 2, peak: 30, from: 5, for: 2}, lives: mean: "1s"},
-	{class: "ledger", shape: perSecond: 3, lives: {law: "constant", mean: "2s"}},
+	{class: "sensor", shape: {kind: "burst", perSecond: 2, peak: 30, from: 5, for: 2}, runtimes: mean: "1s"},
+	{class: "ledger", shape: perSecond: 3, runtimes: {law: "constant", mean: "2s"}},
 ]`))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/testbed/experiment/experiment_test.go
+++ b/internal/testbed/experiment/experiment_test.go
@@ -7,14 +7,15 @@
 	"math"
 	"os"
 	"path/filepath"
+	"slices"
 	"strings"
 	"testing"
 )
 
 const experimentText = `about: "x"
 seeds: 3
-warm: 1
-designs: [{name: "a", day: "calm"}, {name: "b", day: "calm", load: 2}, {name: "c", day: "calm", lose: "room-b", schedulers: 1}]`
+warmUpSeconds: 1
+designs: [{name: "a", day: "calm"}, {name: "b", day: "calm", load: 2}, {name: "c", day: "calm", lostZone: "room-b", schedulers: 1}]`
 
 func parse(t *testing.T, text string) *Plan {
 	t.Helper()
@@ -47,7 +48,7 @@
 		{"two designs of one name", `name: "b"`, `name: "a"`, `designs[1].name: "a" names two designs`},
 		{"unknown day", `day: "calm", load`, `day: "nowhere", load`, `designs[1].day: no day of that name`},
 		{"unknown zone", `room-b`, `room-z`, `the fleet has no such zone`},
-		{"warm-up longer than the day", `warm: 1`, `warm: 99`, `expected under the 4 s`},
+		{"warm-up longer than the day", `warmUpSeconds: 1`, `warmUpSeconds: 99`, `expected under the 4 s`},
 		{"one seed", `seeds: 3`, `seeds: 1`, `seeds`},
 		{"negative load", `load: 2`, `load: -2`, `load`},
 	} {
@@ -60,6 +61,20 @@
 	}
 }
 
+// An experiment is the same, with the same fingerprints, under the present names of fields and under those of earlier versions.
+func TestParseReadsPresentAndDeprecatedNames(t *testing.T) {
+	want := parse(t, experimentText)
+	if want.WarmUpSeconds != 1 || want.Designs[2].LostZone != "room-b" {
+		t.Errorf("present names: got a warm-up of %v s and lost zone %q, want 1 s and room-b", want.WarmUpSeconds,
+			want.Designs[2].LostZone)
+	}
+	got := parse(t, strings.NewReplacer("warmUpSeconds", "warm", "lostZone", "lose").Replace(experimentText))
+	if got.WarmUpSeconds != want.WarmUpSeconds || !slices.Equal(got.Designs, want.Designs) ||
+		!slices.Equal(got.fingerprints, want.fingerprints) {
+		t.Errorf("deprecated names: got %+v, want %+v", got, want)
+	}
+}
+
 // An interrupted experiment resumes, ignores an incomplete line, executes again what has changed, and has the same statistics
 // as one that was not interrupted.
 func TestInterruptedExperimentResumes(t *testing.T) {
--- a/internal/testbed/experiment/plan.go
+++ b/internal/testbed/experiment/plan.go
@@ -27,7 +27,7 @@
 type Design struct {
 	Name       string  `json:"name"`
 	Day        string  `json:"day"`        // name of an embedded day, or a file
-	LostZone   string  `json:"lose"`       // zone whose nodes are removed from the fleet; empty means none
+	LostZone   string  `json:"lostZone"`   // zone whose nodes are removed from the fleet; empty means none
 	Module     string  `json:"module"`     // what chooses machines: "vote", which is flaxshelf itself, or a strategy of baseline
 	Load       float64 `json:"load"`       // multiplies the rates of the day's loads
 	Schedulers int     `json:"schedulers"` // replaces the day's number of schedulers; zero means no change
@@ -38,7 +38,7 @@
 	About         string   `json:"about"`
 	Seeds         int      `json:"seeds"` // number of seeds
 	FirstSeed     int      `json:"first"`
-	WarmUpSeconds float64  `json:"warm"` // time at the start of the day whose submissions are not measured
+	WarmUpSeconds float64  `json:"warmUpSeconds"` // time at the start of the day whose submissions are not measured
 	Designs       []Design `json:"designs"`
 
 	days         []*scenario.Day // of each design
@@ -75,7 +75,7 @@
 			continue
 		}
 		if p.WarmUpSeconds >= day.Seconds {
-			file.Fail("warm", "is %v, expected under the %v s of day %s", p.WarmUpSeconds, day.Seconds, d.Day)
+			file.Fail("warmUpSeconds", "is %v, expected under the %v s of day %s", p.WarmUpSeconds, day.Seconds, d.Day)
 		}
 		fingerprint, err := fingerprint(day, p.WarmUpSeconds, d.Module)
 		if err != nil {
--- a/internal/testbed/load/capture_test.go
+++ b/internal/testbed/load/capture_test.go
@@ -11,9 +11,9 @@
 // captureStart is when the captures of the tests start.
 var captureStart = time.Unix(1_700_000_000, 0)
 
-// jobInfo returns the state of a job that was submitted at a time since the start of a capture; change adds to it.
-func jobInfo(id string, submitted time.Duration, change func(*drmaa2.JobInfo)) *drmaa2.JobInfo {
-	info := &drmaa2.JobInfo{JobID: id, SubmissionTime: captureStart.Add(submitted), ImplementationSpecific: map[string]string{
+// jobInfo returns the state of job 1, which was submitted at a time since the start of a capture; change adds to it.
+func jobInfo(submitted time.Duration, change func(*drmaa2.JobInfo)) *drmaa2.JobInfo {
+	info := &drmaa2.JobInfo{JobID: "1", SubmissionTime: captureStart.Add(submitted), ImplementationSpecific: map[string]string{
 		drmaa2.AttrClass: "c", drmaa2.AttrService: "v", drmaa2.AttrTenant: "t", drmaa2.AttrCores: "0.5", drmaa2.AttrMemory: "2"}}
 	change(info)
 	return info
@@ -52,15 +52,15 @@
 		events []*drmaa2.JobInfo
 		want   []Job
 	}{
-		{"not started", []*drmaa2.JobInfo{jobInfo("1", second, unchanged)}, with(func(j *Job) { j.Censored = true })},
-		{"ran to its end", []*drmaa2.JobInfo{jobInfo("1", second, started(2*second)),
-			jobInfo("1", second, ended(2*second, 5*second, "exited"))},
+		{"not started", []*drmaa2.JobInfo{jobInfo(second, unchanged)}, with(func(j *Job) { j.Censored = true })},
+		{"ran to its end", []*drmaa2.JobInfo{jobInfo(second, started(2*second)),
+			jobInfo(second, ended(2*second, 5*second, "exited"))},
 			with(func(j *Job) { j.Outcome, j.Runtime = "placed", 3*second })},
-		{"terminated", []*drmaa2.JobInfo{jobInfo("1", second, ended(2*second, 5*second, "terminated"))},
+		{"terminated", []*drmaa2.JobInfo{jobInfo(second, ended(2*second, 5*second, "terminated"))},
 			with(func(j *Job) { j.Outcome, j.Runtime, j.Censored = "placed", 3*second, true })},
-		{"runs at the end of the capture", []*drmaa2.JobInfo{jobInfo("1", second, started(2*second))},
+		{"runs at the end of the capture", []*drmaa2.JobInfo{jobInfo(second, started(2*second))},
 			with(func(j *Job) { j.Outcome, j.Runtime, j.Censored = "placed", 8*second, true })},
-		{"submitted before the capture", []*drmaa2.JobInfo{jobInfo("1", -second, started(2*second))}, nil},
+		{"submitted before the capture", []*drmaa2.JobInfo{jobInfo(-second, started(2*second))}, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			capture := newCapture(captureStart)
@@ -81,7 +81,7 @@
 func TestCaptureRecordsGaps(t *testing.T) {
 	capture := newCapture(captureStart)
 	for _, at := range []time.Duration{10 * time.Second, 40 * time.Second, 71 * time.Second} {
-		capture.receive(jobInfo("1", time.Second, unchanged), captureStart.Add(at))
+		capture.receive(jobInfo(time.Second, unchanged), captureStart.Add(at))
 	}
 	got, want := capture.finish(captureStart.Add(80*time.Second)).Gaps, []Gap{{From: 40 * time.Second, To: 71 * time.Second}}
 	if !reflect.DeepEqual(got, want) {
--- a/internal/testbed/load/plan.go
+++ b/internal/testbed/load/plan.go
@@ -17,11 +17,11 @@
 	Class              string              `json:"class"`
 	Tenant             string              `json:"tenant"`
 	Shape              Shape               `json:"shape"`
-	Runtimes           RuntimeDistribution `json:"lives"`
-	Services           int                 `json:"services"` // over which the submissions are distributed
-	HotServiceFraction float64             `json:"popular"`  // fraction of the submissions that is for the first service
-	Cores              float64             `json:"cores"`    // requested; zero means the default of the class
-	Memory             float64             `json:"memory"`   // requested, in GiB; zero means the default of the class
+	Runtimes           RuntimeDistribution `json:"runtimes"`
+	Services           int                 `json:"services"`           // over which the submissions are distributed
+	HotServiceFraction float64             `json:"hotServiceFraction"` // fraction for the first service
+	Cores              float64             `json:"cores"`              // requested; zero means the default of the class
+	Memory             float64             `json:"memory"`             // requested, in GiB; zero means the default of the class
 }
 
 // Plan is a load that consists of streams, the record #Plan of the schema.
@@ -44,7 +44,7 @@
 	}
 	for i, s := range p.Streams {
 		if s.Runtimes.Law == lawPareto && s.Runtimes.Tail <= 1 {
-			file.Fail(fmt.Sprintf("streams[%d].lives.tail", i),
+			file.Fail(fmt.Sprintf("streams[%d].runtimes.tail", i),
 				"is %v, expected above 1: the mean would be infinite", s.Runtimes.Tail)
 		}
 		if s.Shape.Kind == shapeDiurnal && s.Shape.Every <= 0 {
--- a/internal/testbed/load/plan_test.go
+++ b/internal/testbed/load/plan_test.go
@@ -6,6 +6,8 @@
 	"math"
 	"testing"
 	"time"
+
+	"flaxshelf.example/flaxshelf/internal/settings"
 )
 
 // drawJobs draws the jobs of a plan of one stream of 1,000 s.
@@ -13,7 +15,7 @@
 	t.Helper()
 	plan, err := ParsePlan("p.cue", []byte(fmt.Sprintf(`about: "x"
 seconds: 1000
-streams: [{class: "c", shape: %s, lives: %s}]`, shape, runtimes)))
+streams: [{class: "c", shape: %s, runtimes: %s}]`, shape, runtimes)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -87,7 +89,7 @@
 
 func TestParsePlanRejectsInvalidStreams(t *testing.T) {
 	for _, c := range []struct{ name, field string }{
-		{"pareto law with an infinite mean", `lives: {law: "pareto", tail: 1}`},
+		{"pareto law with an infinite mean", `runtimes: {law: "pareto", tail: 1}`},
 		{"diurnal shape without a period", `shape: {kind: "diurnal", perSecond: 1}`},
 		{"negative rate", `shape: {perSecond: -1}`},
 		{"unknown shape", `shape: {kind: "odd", perSecond: 1}`},
@@ -110,3 +112,31 @@
 		t.Errorf("got error %v, want a TooManyJobsError of streams[1] with 10,001,000 jobs", err)
 	}
 }
+
+// A plan has the same jobs under the present names of fields and under those of earlier versions.
+func TestParsePlanReadsPresentAndDeprecatedNames(t *testing.T) {
+	parse := func(t *testing.T, fields string) (*Plan, error) {
+		t.Helper()
+		return ParsePlan("p.cue", []byte(`about: "x", seconds: 1, streams: [{class: "c", shape: perSecond: 1, `+fields+`}]`))
+	}
+	present, err := parse(t, `runtimes: {law: "pareto", mean: "3s", tail: 2, min: "2ms"}, hotServiceFraction: 0.5`)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := Stream{Class: "c", Shape: Shape{Kind: "steady", PerSecond: 1}, Services: 20, HotServiceFraction: 0.5,
+		Runtimes: RuntimeDistribution{Law: lawPareto, Mean: settings.Duration(3 * time.Second), Tail: 2,
+			Min: settings.Duration(2 * time.Millisecond)}}
+	if got := present.Streams[0]; got != want {
+		t.Errorf("present names: got %+v, want %+v", got, want)
+	}
+	deprecated, err := parse(t, `lives: {law: "pareto", mean: "3s", tail: 2, least: "2ms"}, popular: 0.5`)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got := deprecated.Streams[0]; got != want {
+		t.Errorf("deprecated names: got %+v, want %+v", got, want)
+	}
+	if plan, err := parse(t, `hotServiceFraction: 0.5, popular: 0.6`); err == nil {
+		t.Errorf("both names with different values: got %+v, want an error", plan.Streams[0])
+	}
+}
--- a/internal/testbed/load/runtimes.go
+++ b/internal/testbed/load/runtimes.go
@@ -20,14 +20,14 @@
 // maxRuntimeSeconds limits the runtimes that are drawn.
 const maxRuntimeSeconds = 1e6
 
-// RuntimeDistribution is the distribution of the runtimes of jobs, the record #Lives of the schema.
+// RuntimeDistribution is the distribution of the runtimes of jobs, the record #RuntimeDistribution of the schema.
 type RuntimeDistribution struct {
 	Law  string            `json:"law"`
 	Mean settings.Duration `json:"mean"`
 	// Tail is the weight of the tail: for the lognormal law the standard deviation of the logarithm, for the Pareto law the
 	// exponent, above 1. The mean does not depend on it.
 	Tail float64           `json:"tail"`
-	Min  settings.Duration `json:"least"`
+	Min  settings.Duration `json:"min"`
 }
 
 // sampler returns a function that draws runtimes.
--- a/internal/testbed/load/schema.cue
+++ b/internal/testbed/load/schema.cue
@@ -12,13 +12,17 @@
 	every:     *0 | (number & >=0)
 }
 
-// #Lives is the distribution of the runtimes of jobs.
-#Lives: {
+// #RuntimeDistribution is the distribution of the runtimes of jobs.
+#RuntimeDistribution: {
 	law:   *"exponential" | "constant" | "lognormal" | "pareto"
 	mean:  *"5s" | #Duration
 	// lognormal: standard deviation of the logarithm; pareto: the exponent, above 1.
 	tail:  *1.5 | (number & >0)
+	min:   *"1ms" | #Duration
+	min:   least
+	// Deprecated: use min; removed in 0.2.0.
 	least: *"1ms" | #Duration
+	least: min
 }
 
 // #Stream is submissions of one class.
@@ -26,9 +30,16 @@
 	class:    #Name
 	tenant:   *"" | #Name
 	shape:    #Shape
-	lives:    #Lives
+	runtimes: #RuntimeDistribution & lives
+	// Deprecated: use runtimes; removed in 0.2.0.
+	lives:    #RuntimeDistribution & runtimes
 	services: *20 | (int & >=1)
-	popular:  *0 | (number & >=0 & <=1) // share that goes to one service
+	// Fraction of the submissions that is for one service.
+	hotServiceFraction: *0 | (number & >=0 & <=1)
+	hotServiceFraction: popular
+	// Deprecated: use hotServiceFraction; removed in 0.2.0.
+	popular:  *0 | (number & >=0 & <=1)
+	popular:  hotServiceFraction
 	cores:    *0 | (number & >=0)       // 0: as the class has it
 	memory:   *0 | (number & >=0)
 }
