--- a/internal/testbed/emulator/emulator_test.go
+++ b/internal/testbed/emulator/emulator_test.go
@@ -8,6 +8,7 @@
 	"fmt"
 	"os"
 	"slices"
+	"strings"
 	"testing"
 	"time"
 
@@ -146,15 +147,20 @@
 		day     *scenario.Day
 		options Options
 		want    any // value of the OptionsError
+		text    string
 	}{
-		{"recording by two workers", readDay(t, "calm"), Options{Seed: 1, Workers: 2, Record: &bytes.Buffer{}}, 2},
-		{"schedulers of two cores", severalCores, Options{Seed: 1}, 2},
+		{"recording by two workers", readDay(t, "calm"), Options{Seed: 1, Workers: 2, Record: &bytes.Buffer{}}, 2,
+			"emulator: Workers 2 can't make a recording"},
+		{"schedulers of two cores", severalCores, Options{Seed: 1}, 2, "emulator: calm: cores 2 can't be emulated"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			_, err := Run(context.Background(), c.day, c.options)
 			var got *OptionsError
 			if !errors.As(err, &got) || got.Value != c.want {
-				t.Errorf("got error %v, want an OptionsError with value %v", err, c.want)
+				t.Fatalf("got error %v, want an OptionsError with value %v", err, c.want)
+			}
+			if !strings.HasPrefix(got.Error(), c.text) {
+				t.Errorf("got text %q, want it to begin with %q", got, c.text)
 			}
 		})
 	}
@@ -175,6 +181,40 @@
 	}
 }
 
+func TestErrorOfModuleEndsRun(t *testing.T) {
+	want := errors.New("no module")
+	newModule := func(flaxshelf.Config, uint64) (scheduler.Module, error) { return nil, want }
+	if _, err := Run(context.Background(), readDay(t, "calm"), Options{NewModule: newModule}); !errors.Is(err, want) {
+		t.Errorf("got error %v, want %v", err, want)
+	}
+}
+
+// Clients retry jobs that were not placed until their patience ends, and every submission is accounted for.
+func TestClientsRetryWhilePatient(t *testing.T) {
+	retriesWith := func(t *testing.T, fields string) int {
+		t.Helper()
+		day := parseDay(t, `#Town
+about: "more load than the schedulers handle"
+schedulers: 1
+seconds: 4
+after: 6
+behaviour: {look: "100ms", startWork: "1ms"}
+load: [{class: "sensor", perSecond: 200, services: 50, life: ["1s", "2s"]`+fields+`}]`)
+		report, _ := emulateByRules(t, day, Options{Seed: 1})
+		return report.Retries
+	}
+	t.Run("with retries", func(t *testing.T) {
+		if got := retriesWith(t, `, retry: "200ms", patience: "3s"`); got == 0 {
+			t.Error("got no retries, want some")
+		}
+	})
+	t.Run("without retries", func(t *testing.T) {
+		if got := retriesWith(t, ""); got != 0 {
+			t.Errorf("got %d retries, want none", got)
+		}
+	})
+}
+
 // scaledDay returns a day with the given numbers of nodes and schedulers, whose load is in proportion to the nodes.
 func scaledDay(t testing.TB, nodes, schedulers int, seconds float64) *scenario.Day {
 	t.Helper()
--- a/internal/testbed/emulator/tracearrivals_test.go
+++ b/internal/testbed/emulator/tracearrivals_test.go
@@ -3,7 +3,9 @@
 import (
 	"context"
 	"errors"
+	"fmt"
 	"math"
+	"strings"
 	"testing"
 	"time"
 
@@ -92,6 +94,12 @@
 			}
 		})
 	}
+	t.Run("a busy core is in the report", func(t *testing.T) {
+		want := fmt.Sprintf("the busiest core is busy %.0f%% of the time", 100*heavy.Busiest)
+		if got := heavy.String(); !strings.Contains(got, want) {
+			t.Errorf("got report\n%s\nwant it to contain %q", got, want)
+		}
+	})
 	t.Run("light load changes hardly anything", func(t *testing.T) {
 		if got, want := light.Classes[0].Placed, free.Classes[0].Placed*98/100; got < want {
 			t.Errorf("got %d placed submissions, want at least %d", got, want)
