--- a/cmd/flaxshelf/replay.go
+++ b/cmd/flaxshelf/replay.go
@@ -3,7 +3,7 @@
 import "flaxshelf.example/flaxshelf/internal/replay"
 
 type replayCmd struct {
-	File string `arg:"" type:"existingfile" help:"A module recording: the file that a scheduler's setting tap or flag --module-recording names."`
+	File string `arg:"" type:"existingfile" help:"A module recording: the file that a scheduler's setting moduleRecording or flag --module-recording names."`
 }
 
 // Run replays the recorded steps to the module.
