--- a/cmd/flaxshelf/emulate.go
+++ b/cmd/flaxshelf/emulate.go
@@ -51,7 +51,7 @@
 
 // verify emulates the day and checks the trace against the rules.
 func (c *emulateCmd) verify(ctx context.Context, std *streams, day *scenario.Day, options emulator.Options) error {
-	report, verdict, err := emulator.Judge(ctx, day, options)
+	report, verdict, err := emulator.RunAndCheck(ctx, day, options)
 	if err != nil {
 		return err
 	}
--- a/internal/platform/helpers_test.go
+++ b/internal/platform/helpers_test.go
@@ -226,8 +226,8 @@
 // expectConnection waits for the node's next event of a connection, which must be that one has opened.
 func expectConnection(t *testing.T, n *scripted.Node) {
 	t.Helper()
-	if event := <-n.Conns; event != "came" {
-		t.Fatalf("the node got connection event %q, want %q", event, "came")
+	if event := <-n.ConnectionEvents; event != scripted.ConnectionOpened {
+		t.Fatalf("the node got connection event %q, want %q", event, scripted.ConnectionOpened)
 	}
 }
 
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -116,12 +116,12 @@
 	if line := <-s.closedLinks; !strings.Contains(line, transport.ErrPartialMessage.Error()) {
 		t.Errorf("got log line %s, want the reason %v", line, transport.ErrPartialMessage)
 	}
-	seen := map[string]int{}
+	seen := map[scripted.ConnectionEvent]int{}
 	for range 3 {
-		seen[<-n.Conns]++
+		seen[<-n.ConnectionEvents]++
 	}
-	if seen["came"] != 2 || seen["went"] != 1 {
-		t.Errorf("got connection events %v, want 2 came and 1 went", seen)
+	if seen[scripted.ConnectionOpened] != 2 || seen[scripted.ConnectionClosed] != 1 {
+		t.Errorf("got connection events %v, want 2 opened and 1 closed", seen)
 	}
 }
 
--- a/internal/testbed/emulator/node.go
+++ b/internal/testbed/emulator/node.go
@@ -13,10 +13,10 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/standin/nodemodel"
 )
 
-// registerInterval is how often a node reports its state to the inventory, as on sockets.
+// registerInterval is the interval at which a node reports its state to the inventory, as on sockets.
 const registerInterval = 500 * time.Millisecond
 
-// nodeEntity is a node of the fleet, with a node model for each incarnation; there is none while it is stopped.
+// nodeEntity is a node of the fleet. It has a model for each incarnation, and none while it is stopped.
 type nodeEntity struct {
 	simulation   *simulation
 	id           int32
@@ -28,28 +28,28 @@
 	incarnations int
 	fault        nodemodel.Fault
 
-	peers     map[string]int32 // connected schedulers
-	peerNames map[int32]string
-	peerOrder []string // of the first connections
+	schedulerIDs    map[string]int32 // of connected schedulers, by name
+	schedulerNames  map[int32]string
+	connectionOrder []string // names of schedulers in the order of their first connections
 
 	registerAt    Time
 	overloads     int // incarnations that crashed of overload
-	finishedTasks int // of former incarnations
+	finishedTasks int // of earlier incarnations
 }
 
 func (n *nodeEntity) receive(m message) { n.inbox.put(m) }
 
-func (n *nodeEntity) nextDue() Time { return min(n.inbox.nextDue(), n.ownNextDue()) }
+func (n *nodeEntity) nextDue() Time { return min(n.inbox.nextDue(), n.modelNextDue()) }
 
-// ownNextDue is when the node does something by itself.
-func (n *nodeEntity) ownNextDue() Time {
+// modelNextDue returns when the model has something due or the node registers; math.MaxInt64 while it is stopped.
+func (n *nodeEntity) modelNextDue() Time {
 	if n.model == nil {
 		return math.MaxInt64
 	}
 	return min(n.model.Next(), n.registerAt)
 }
 
-// start begins an incarnation, unless one runs.
+// start starts an incarnation, unless one runs.
 func (n *nodeEntity) start(now Time, warm bool) {
 	if n.model != nil {
 		return
@@ -60,7 +60,7 @@
 	seed := scenario.NodeSeed(n.simulation.seed, int(n.id), n.incarnations)
 	n.model = nodemodel.New(fleet.NodeModel(set, day.Kinds, day.Rules, day.Behaviour, seed), now,
 		n.simulation.zoneKeys[n.place.Group.Zone])
-	n.peers, n.peerNames, n.peerOrder = map[string]int32{}, map[int32]string{}, nil
+	n.schedulerIDs, n.schedulerNames, n.connectionOrder = map[string]int32{}, map[int32]string{}, nil
 	n.registerAt = now
 }
 
@@ -73,8 +73,8 @@
 	n.finishedTasks += n.model.Finished()
 	n.model.Die()
 	n.model, n.fault = nil, nodemodel.Fault{}
-	for _, name := range n.peerOrder {
-		if id, ok := n.peers[name]; ok {
+	for _, name := range n.connectionOrder {
+		if id, ok := n.schedulerIDs[name]; ok {
 			n.reply(now, id, disconnected{}, out)
 		}
 	}
@@ -85,23 +85,7 @@
 	out.send(n.latency.deliveryTime(now, to), to, body)
 }
 
-func (n *nodeEntity) run(end Time, out *outbox) {
-	for {
-		messageAt, ownAt := n.inbox.nextDue(), n.ownNextDue()
-		now := min(messageAt, ownAt)
-		if now >= end {
-			return
-		}
-		if ownAt <= messageAt {
-			n.advance(now, out)
-			continue
-		}
-		n.handle(n.inbox.pop(), out)
-		if n.model != nil && n.model.Dead() {
-			n.crash(now, out)
-		}
-	}
-}
+func (n *nodeEntity) run(end Time, out *outbox) { n.inbox.runModel(n, end, out) }
 
 func (n *nodeEntity) advance(now Time, out *outbox) {
 	if n.registerAt <= now {
@@ -120,7 +104,15 @@
 	n.stop(now, out)
 }
 
+// handle handles a message, and ends the incarnation if its model has died of it.
 func (n *nodeEntity) handle(m message, out *outbox) {
+	n.dispatch(m, out)
+	if n.model != nil && n.model.Dead() {
+		n.crash(m.at, out)
+	}
+}
+
+func (n *nodeEntity) dispatch(m message, out *outbox) {
 	switch body := m.body.(type) {
 	case stopNode:
 		n.stop(m.at, out)
@@ -142,7 +134,7 @@
 	case disconnected:
 		n.disconnect(m)
 	case frame:
-		if name, ok := n.peerNames[m.from]; ok && n.model != nil {
+		if name, ok := n.schedulerNames[m.from]; ok && n.model != nil {
 			n.send(m.at, n.model.Receive(m.at, name, body.Frame), out)
 		}
 	}
@@ -162,7 +154,7 @@
 	}
 }
 
-// accept takes a connection of a scheduler, or breaks it.
+// accept accepts a connection of a scheduler, or closes it.
 func (n *nodeEntity) accept(m message, hello connect, out *outbox) {
 	if n.model == nil {
 		n.reply(m.at, m.from, disconnected{}, out)
@@ -173,24 +165,24 @@
 		n.reply(m.at, m.from, disconnected{}, out)
 		return
 	}
-	if _, known := n.peers[hello.scheduler]; !known {
-		n.peerOrder = append(n.peerOrder, hello.scheduler)
+	if _, known := n.schedulerIDs[hello.scheduler]; !known {
+		n.connectionOrder = append(n.connectionOrder, hello.scheduler)
 	}
-	n.peers[hello.scheduler], n.peerNames[m.from] = m.from, hello.scheduler
+	n.schedulerIDs[hello.scheduler], n.schedulerNames[m.from] = m.from, hello.scheduler
 	n.send(m.at, frames, out)
 }
 
 func (n *nodeEntity) disconnect(m message) {
-	if name, ok := n.peerNames[m.from]; ok && n.model != nil {
+	if name, ok := n.schedulerNames[m.from]; ok && n.model != nil {
 		n.model.Disconnect(m.at, name)
-		delete(n.peers, name)
-		delete(n.peerNames, m.from)
+		delete(n.schedulerIDs, name)
+		delete(n.schedulerNames, m.from)
 	}
 }
 
 func (n *nodeEntity) send(now Time, frames []nodemodel.Send, out *outbox) {
 	for _, s := range frames {
-		if to, ok := n.peers[s.To]; ok {
+		if to, ok := n.schedulerIDs[s.To]; ok {
 			n.reply(now, to, frame{s.Frame}, out)
 		}
 	}
--- a/internal/testbed/emulator/report.go
+++ b/internal/testbed/emulator/report.go
@@ -17,26 +17,26 @@
 type ClassReport struct {
 	Class     string
 	Submitted int
-	Placed    int                     // first placements of submissions
-	InTime    int                     // of them within the class's latency objective
+	Placed    int                     // submissions that were placed
+	InTime    int                     // first placements within the class's latency objective
 	Outcomes  map[string]int          // of placement requests
 	Wait      *hdrhistogram.Histogram // microseconds from the intended submission to the first placement
 }
 
 // Report is the result of a day.
 type Report struct {
-	Seconds     float64        // simulated
-	Ends        map[string]int // submissions, by how they ended for their clients
-	Ended       map[string]int // jobs, by how they ended
-	Classes     []*ClassReport // in the day's order
-	Finished    int            // tasks that nodes have run to their end
-	FellOver    int            // nodes that crashed of overload
-	Retries     int            // submissions of jobs that were submitted before
-	Events      int64          // runs of entities
-	Messages    int64          // between entities
-	Steps       int64          // of cores
-	Busiest     float64        // share of its time that the busiest core worked, where the day has costs of steps
-	Unaccounted int            // submissions without any end
+	Seconds        float64        // simulated
+	SubmissionEnds map[string]int // submissions, by how they ended for their clients
+	JobEnds        map[string]int // jobs, by how they ended
+	Classes        []*ClassReport // in the day's order
+	Finished       int            // tasks that nodes have run to their end
+	Overloaded     int            // nodes that crashed of overload
+	Retries        int            // submissions of jobs that were submitted before
+	Events         int64          // runs of entities
+	Messages       int64          // between entities
+	Steps          int64          // of cores
+	Busiest        float64        // fraction of the time that the busiest core worked; 0 if the day has no costs of steps
+	Unaccounted    int            // submissions without any end
 }
 
 func (s *simulation) report(end Time) *Report {
@@ -47,8 +47,15 @@
 		}
 		s.clients.close(open)
 	}
-	r := &Report{Seconds: (end - Epoch).Seconds(), Ends: stats.ends, Ended: stats.ended, Events: s.engine.events,
-		Messages: s.engine.messages, Unaccounted: stats.ends[endNoOutcome], Retries: stats.retries}
+	r := &Report{
+		Seconds:        (end - Epoch).Seconds(),
+		SubmissionEnds: stats.submissionEnds,
+		JobEnds:        stats.jobEnds,
+		Events:         s.engine.events,
+		Messages:       s.engine.messages,
+		Unaccounted:    stats.submissionEnds[endNoOutcome],
+		Retries:        stats.retries,
+	}
 	for _, name := range stats.classOrder {
 		r.Classes = append(r.Classes, stats.classes[name])
 	}
@@ -57,7 +64,7 @@
 		if node.model != nil {
 			r.Finished += node.model.Finished()
 		}
-		r.FellOver += node.overloads
+		r.Overloaded += node.overloads
 	}
 	for _, scheduler := range s.schedulers {
 		r.Steps += scheduler.steps
@@ -66,19 +73,19 @@
 	return r
 }
 
-// String is the report for people, on several lines.
+// String returns the report for people, in several lines.
 func (r *Report) String() string {
 	var text strings.Builder
 	for _, class := range r.Classes {
 		class.print(&text)
 	}
-	fmt.Fprintf(&text, "submissions: %s; asked again %d times; not accounted for %d\n", countformat.Format(r.Ends), r.Retries,
-		r.Unaccounted)
-	fmt.Fprintf(&text, "jobs ended: %s; %d nodes fell over\n", countformat.Format(r.Ended), r.FellOver)
+	fmt.Fprintf(&text, "submissions: %s; %d retries, %d unaccounted for\n", countformat.FormatOutcomes(r.SubmissionEnds),
+		r.Retries, r.Unaccounted)
+	fmt.Fprintf(&text, "jobs ended: %s; %d nodes crashed of overload\n", countformat.FormatOutcomes(r.JobEnds), r.Overloaded)
 	if r.Busiest > 0 {
-		fmt.Fprintf(&text, "the busiest core works %.0f%% of its time\n", 100*r.Busiest)
+		fmt.Fprintf(&text, "the busiest core is busy %.0f%% of the time\n", 100*r.Busiest)
 	}
-	fmt.Fprintf(&text, "%.1f simulated seconds: %d events, %d messages, %d steps of cores\n", r.Seconds, r.Events,
+	fmt.Fprintf(&text, "%.1f simulated seconds: %d events, %d messages, %d core steps\n", r.Seconds, r.Events,
 		r.Messages, r.Steps)
 	return text.String()
 }
@@ -87,23 +94,24 @@
 	wait := func(percentile float64) time.Duration {
 		return time.Duration(c.Wait.ValueAtQuantile(percentile)) * time.Microsecond
 	}
-	fmt.Fprintf(text, "%-12s %6d submitted, %6d placed, %6d in time; wait p50 %v p99 %v p99.9 %v; asks %s\n",
-		c.Class, c.Submitted, c.Placed, c.InTime, wait(50), wait(99), wait(99.9), countformat.Format(c.Outcomes))
+	fmt.Fprintf(text, "%-12s %6d submitted, %6d placed, %6d in time; wait p50 %v p99 %v p99.9 %v; placement requests: %s\n",
+		c.Class, c.Submitted, c.Placed, c.InTime, wait(50), wait(99), wait(99.9),
+		countformat.FormatOutcomes(c.Outcomes))
 }
 
-// clientStats is what the clients have seen.
+// clientStats counts the results that clients observe.
 type clientStats struct {
-	retries     int
-	ends, ended map[string]int
-	classes     map[string]*ClassReport
-	classOrder  []string
+	retries                 int
+	submissionEnds, jobEnds map[string]int
+	classes                 map[string]*ClassReport
+	classOrder              []string
 }
 
-// waitDigits is the precision of the histograms of waits in significant digits.
+// waitDigits is the precision of the histograms of waits, in significant digits.
 const waitDigits = 3
 
 func newClientStats(day *scenario.Day) *clientStats {
-	s := &clientStats{ends: map[string]int{}, ended: map[string]int{}, classes: map[string]*ClassReport{}}
+	s := &clientStats{submissionEnds: map[string]int{}, jobEnds: map[string]int{}, classes: map[string]*ClassReport{}}
 	for i := range day.Classes {
 		name := day.Classes[i].Name
 		s.classOrder = append(s.classOrder, name)
@@ -113,13 +121,13 @@
 	return s
 }
 
-func (s *clientStats) submitted(class string) { s.classes[class].Submitted++ }
+func (s *clientStats) countSubmitted(class string) { s.classes[class].Submitted++ }
 
-func (s *clientStats) outcome(class string, outcome scheduler.Outcome) {
+func (s *clientStats) countOutcome(class string, outcome scheduler.Outcome) {
 	s.classes[class].Outcomes[string(outcome)]++
 }
 
-func (s *clientStats) placed(class string, wait, latencyObjective time.Duration) {
+func (s *clientStats) countPlaced(class string, wait, latencyObjective time.Duration) {
 	c := s.classes[class]
 	_ = c.Wait.RecordValue(max(int64(wait/time.Microsecond), 1)) // a wait of weeks is more than a day simulates
 	c.Placed++
--- a/internal/testbed/experiment/measure.go
+++ b/internal/testbed/experiment/measure.go
@@ -4,26 +4,33 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/emulator"
 )
 
-// Measure is what is measured of a run; the value is its name in stored results and reports.
+// Measure is a quantity that is measured in a run. The value is its name in stored results and reports.
 type Measure string
 
 // The measures. Waits are in seconds from the intended submission to the first placement.
 const (
-	PlacedShare Measure = "placed"  // share of the submissions that were placed
-	InTimeShare Measure = "in time" // share of the submissions that were placed within their latency objective
-	WaitP50     Measure = "wait p50"
-	WaitP99     Measure = "wait p99"
-	FailedNodes Measure = "nodes fallen" // nodes that broke down during slow start
+	PlacedFraction Measure = "placed"  // fraction of the submissions that were placed
+	InTimeFraction Measure = "in time" // fraction of the submissions that were placed within their latency objective
+	WaitP50        Measure = "wait p50"
+	WaitP99        Measure = "wait p99"
+	// OverloadedNodes is the number of nodes that crashed of overload during slow start.
+	OverloadedNodes Measure = "overloaded nodes"
 )
 
+// deprecatedOverloadedNodes is the name of OverloadedNodes in the results of earlier versions. Results are written under
+// both names.
+//
+// Deprecated: use OverloadedNodes; removed in 0.2.0.
+const deprecatedOverloadedNodes Measure = "nodes fallen"
+
 // Measures lists all measures in the order of a report.
-var Measures = []Measure{PlacedShare, InTimeShare, WaitP50, WaitP99, FailedNodes}
+var Measures = []Measure{PlacedFraction, InTimeFraction, WaitP50, WaitP99, OverloadedNodes}
 
 const microsecondsPerSecond = 1e6
 
-// measure takes the measures from a report. It merges the report's histograms.
+// measure returns the measures of a report. It merges the report's histograms.
 func measure(r *emulator.Report) map[Measure]float64 {
-	m := map[Measure]float64{FailedNodes: float64(r.FellOver)}
+	m := map[Measure]float64{OverloadedNodes: float64(r.Overloaded)}
 	var submitted, placed, inTime float64
 	for _, c := range r.Classes {
 		submitted += float64(c.Submitted)
@@ -31,14 +38,14 @@
 		inTime += float64(c.InTime)
 	}
 	if submitted > 0 {
-		m[PlacedShare], m[InTimeShare] = placed/submitted, inTime/submitted
+		m[PlacedFraction], m[InTimeFraction] = placed/submitted, inTime/submitted
 	}
 	m[WaitP50], m[WaitP99] = WaitPercentiles(r)
 	return m
 }
 
 // WaitPercentiles returns the median and the 99th percentile, in seconds, of the time to the first placement over all
-// classes. It merges the histograms of the classes into that of the first, so it must be called once for a report.
+// classes. It merges the histograms of the classes into that of the first, so it must not be called twice for a report.
 func WaitPercentiles(r *emulator.Report) (p50, p99 float64) {
 	wait := r.Classes[0].Wait
 	for _, c := range r.Classes[1:] {
--- a/internal/testbed/experiment/statistics.go
+++ b/internal/testbed/experiment/statistics.go
@@ -37,19 +37,19 @@
 	Mean    Estimate
 	// Difference is the mean difference to the first design, over pairs of one seed.
 	Difference Estimate
-	// HigherShare is the share of the seeds on which the value is higher than that of the first design.
-	HigherShare float64
+	// HigherFraction is the fraction of the seeds for which the value is higher than that of the first design.
+	HigherFraction float64
 	// Values has one value for each seed.
 	Values []float64
 }
 
-// HigherPercent returns HigherShare in percent.
-func (r Row) HigherPercent() float64 { return 100 * r.HigherShare }
+// HigherPercent returns HigherFraction in percent.
+func (r Row) HigherPercent() float64 { return 100 * r.HigherFraction }
 
 // valuesBySeed are the values of one measure of one design.
 type valuesBySeed map[uint64]float64
 
-// Table returns a row for each measure of each design. Seeds that either design of a pair lacks are left out.
+// Table returns a row for each measure of each design. Seeds for which a design or the first design has no run are ignored.
 func (p *Plan) Table(runs []Run) []Row {
 	type column struct {
 		design  string
@@ -78,7 +78,7 @@
 	return rows
 }
 
-// compare fills in a row; it returns false if there is no pair of values.
+// compare fills in a row. It returns false if there is no pair of values.
 func (p *Plan) compare(row *Row, values, reference valuesBySeed) bool {
 	var differences []float64
 	higher := 0
@@ -99,6 +99,6 @@
 		return false
 	}
 	row.Mean, row.Difference = EstimateMean(row.Values), EstimateMean(differences)
-	row.HigherShare = float64(higher) / float64(len(differences))
+	row.HigherFraction = float64(higher) / float64(len(differences))
 	return true
 }
--- a/internal/testbed/fault/fault_test.go
+++ b/internal/testbed/fault/fault_test.go
@@ -29,7 +29,8 @@
 
 func (c *fakeCluster) ChangeNodeFaults(nodes []int, change NodeFaultChange) {
 	// A field that the change does not set keeps its value.
-	fault := nodemodel.Fault{FailShare: 9, SwellFactor: 9, Crowd: 9, FailClass: "-", SwellClass: "-", SilentClass: "-"}
+	fault := nodemodel.Fault{StartFailureFraction: 9, UsageFactor: 9, OccupiedFraction: 9, StartFailureClass: "-",
+		UsageClass: "-", DropRepliesClass: "-"}
 	change(&fault)
 	c.record("faults %v %v", nodes, fault)
 }
--- a/internal/testbed/load/send.go
+++ b/internal/testbed/load/send.go
@@ -4,82 +4,46 @@
 	"context"
 	"errors"
 	"fmt"
-	"sort"
-	"strings"
 	"sync"
 	"time"
 
 	"flaxshelf.example/flaxshelf/drmaa2"
 )
 
-// Result is what came of a load that was sent. Latencies count from the intended time of each submission, so that delays of
-// the sender and of the scheduler are included.
-type Result struct {
-	Sent     int
-	Late     int               // submissions that left more than 10 ms after their time
-	Answered *LatencyHistogram // until the scheduler answered the submission
-	Placed   *LatencyHistogram // until the task was placed
-	Errors   map[string]int    // submissions that failed, by code or text
-	Outcomes map[string]int    // the others, by outcome
-}
-
-// String returns the result in words.
-func (r *Result) String() string {
-	return fmt.Sprintf("%d submissions (%d left late), errors %s, outcomes %s\nanswered: %v\nplaced:   %v\n",
-		r.Sent, r.Late, formatCounts(r.Errors), formatCounts(r.Outcomes), r.Answered, r.Placed)
-}
-
-func formatCounts(counts map[string]int) string {
-	var all []string
-	for name, n := range counts {
-		all = append(all, fmt.Sprintf("%s %d", name, n))
-	}
-	sort.Strings(all)
-	if all == nil {
-		return "none"
-	}
-	return strings.Join(all, ", ")
-}
-
 const (
-	// lateAfter is how long after its time a submission counts as late.
+	// lateAfter is the delay beyond which a submission counts as late.
 	lateAfter = 10 * time.Millisecond
-	// outcomePollInterval is how often the sender looks whether outcomes are still open.
+	// outcomePollInterval is the interval at which the sender checks for open outcomes.
 	outcomePollInterval = 10 * time.Millisecond
 	// outcomePlaced is the outcome of a placed task in the attributes of a job.
 	outcomePlaced = "placed"
-	// outcomeUnknown counts in Result.Outcomes the submissions whose outcome did not come in time.
-	outcomeUnknown = "none heard"
+	// outcomeUnknown is the key in Result.Outcomes of the submissions whose outcome was not received in time.
+	outcomeUnknown = "unknown"
 )
 
-// Options say how a load is sent.
+// Options configures Send.
 type Options struct {
-	Session string        // job session; it is created if there is none of that name
-	Speed   float64       // multiplies the rate of the load; 0: 1
-	Wait    time.Duration // for open outcomes, after the last submission
-	Prefix  string        // of the idempotency keys; must be unique for each sending
+	Session string        // name of the job session, which is created if it does not exist
+	Speed   float64       // multiplies the rate of the load; zero means 1
+	Wait    time.Duration // how long to wait for outcomes after the last submission
+	Prefix  string        // of the idempotency keys; must be unique for each call of Send
 }
 
-// Send sends a load to a scheduler, open-loop: each submission leaves at its time, whatever the outcomes of earlier ones.
-// It returns when all outcomes are known or after Options.Wait. If ctx ends, it returns the result so far and the
-// context's error.
-func Send(ctx context.Context, c *drmaa2.Client, t *Trace, opt Options) (*Result, error) {
-	session, err := openSession(ctx, c, opt.Session)
+// Send sends a load to a scheduler, open-loop: each submission is sent at its time, whatever the state of earlier ones.
+// It returns when all outcomes are known or after Options.Wait. If the context ends, it returns the result so far and the
+// error of the context.
+func Send(ctx context.Context, client *drmaa2.Client, trace *Trace, opt Options) (*Result, error) {
+	session, err := openSession(ctx, client, opt.Session)
 	if err != nil {
 		return nil, err
 	}
-	s := newSender(session)
-	stopWatching := s.watch(ctx)
-	defer stopWatching()
-	s.submitAll(ctx, t.Jobs, opt)
-	s.awaitOutcomes(ctx, opt.Wait)
-	return s.result, ctx.Err()
+	return newSender(session).send(ctx, trace.Jobs, opt)
 }
 
-func openSession(ctx context.Context, c *drmaa2.Client, name string) (*drmaa2.JobSession, error) {
-	session, err := c.OpenJobSession(ctx, name)
+func openSession(ctx context.Context, client *drmaa2.Client, name string) (*drmaa2.JobSession, error) {
+	session, err := client.OpenJobSession(ctx, name)
 	if errors.Is(err, drmaa2.ErrInvalidArgument) {
-		session, err = c.CreateJobSession(ctx, name)
+		session, err = client.CreateJobSession(ctx, name)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("load: session: %w", err)
@@ -87,16 +51,22 @@
 	return session, nil
 }
 
+// jobSession is the part of a *drmaa2.JobSession that a sender uses.
+type jobSession interface {
+	RunJob(ctx context.Context, template drmaa2.JobTemplate) (*drmaa2.Job, error)
+	Watch(ctx context.Context, handle func(drmaa2.JobInfo) bool) error
+}
+
 // sender sends one load.
 type sender struct {
-	session *drmaa2.JobSession
+	session jobSession
 
-	mu     sync.Mutex // guards what follows
+	mu     sync.Mutex // guards the fields below
 	result *Result
 	due    map[string]time.Time // intended times of the submissions without an outcome, by key
 }
 
-func newSender(session *drmaa2.JobSession) *sender {
+func newSender(session jobSession) *sender {
 	return &sender{
 		session: session,
 		result: &Result{
@@ -109,14 +79,23 @@
 	}
 }
 
+// send sends the jobs and returns the result as Send does.
+func (s *sender) send(ctx context.Context, jobs []Job, opt Options) (*Result, error) {
+	stopWatching := s.watch(ctx)
+	defer stopWatching()
+	s.submitAll(ctx, jobs, opt)
+	s.awaitOutcomes(ctx, opt.Wait)
+	return s.result, ctx.Err()
+}
+
 // watch records outcomes until the function that it returns is called; that function waits for the watch to end.
 func (s *sender) watch(ctx context.Context) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		// A watch that breaks leaves outcomes open, which the result counts.
-		_ = s.session.Watch(ctx, func(i drmaa2.JobInfo) bool { s.recordOutcome(&i); return true })
+		// After an error of the watch outcomes remain open; the result counts them as unknown.
+		_ = s.session.Watch(ctx, func(info drmaa2.JobInfo) bool { s.recordOutcome(&info); return true })
 	}()
 	return func() {
 		cancel()
@@ -155,7 +134,7 @@
 }
 
 // submit submits a job and records the answer.
-func (s *sender) submit(ctx context.Context, j *Job, key string, due time.Time) {
+func (s *sender) submit(ctx context.Context, job *Job, key string, due time.Time) {
 	s.mu.Lock()
 	s.result.Sent++
 	if time.Since(due) > lateAfter {
@@ -163,8 +142,8 @@
 	}
 	s.due[key] = due
 	s.mu.Unlock()
-	_, err := s.session.RunJob(ctx, drmaa2.JobTemplate{RemoteCommand: "load", JobCategory: j.Class, AccountingID: j.Tenant,
-		ImplementationSpecific: attributes(j, key)})
+	_, err := s.session.RunJob(ctx, drmaa2.JobTemplate{RemoteCommand: "load", JobCategory: job.Class, AccountingID: job.Tenant,
+		ImplementationSpecific: attributes(job, key)})
 	s.result.Answered.Record(time.Since(due))
 	if err == nil {
 		return
@@ -172,35 +151,35 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.due, key)
-	var e *drmaa2.Error
-	if errors.As(err, &e) {
-		s.result.Errors[string(e.Code)]++
+	var drmaaErr *drmaa2.Error
+	if errors.As(err, &drmaaErr) {
+		s.result.Errors[string(drmaaErr.Code)]++
 	} else {
 		s.result.Errors[err.Error()]++
 	}
 }
 
-// attributes returns what a job template says of a job beyond DRMAA.
-func attributes(j *Job, key string) map[string]string {
+// attributes returns the implementation-specific attributes of a job's template.
+func attributes(job *Job, key string) map[string]string {
 	all := map[string]string{drmaa2.AttrKey: key}
-	if j.Service != "" {
-		all[drmaa2.AttrService] = j.Service
+	if job.Service != "" {
+		all[drmaa2.AttrService] = job.Service
 	}
-	if j.Runtime > 0 {
-		all[drmaa2.AttrExpectedRuntime] = j.Runtime.String()
+	if job.Runtime > 0 {
+		all[drmaa2.AttrExpectedRuntime] = job.Runtime.String()
 	}
-	if j.Cores > 0 {
-		all[drmaa2.AttrCores] = fmt.Sprint(j.Cores)
+	if job.Cores > 0 {
+		all[drmaa2.AttrCores] = fmt.Sprint(job.Cores)
 	}
-	if j.Memory > 0 {
-		all[drmaa2.AttrMemory] = fmt.Sprint(j.Memory)
+	if job.Memory > 0 {
+		all[drmaa2.AttrMemory] = fmt.Sprint(job.Memory)
 	}
 	return all
 }
 
 // recordOutcome records the first outcome of a submission.
-func (s *sender) recordOutcome(i *drmaa2.JobInfo) {
-	key, outcome := i.ImplementationSpecific[drmaa2.AttrKey], i.ImplementationSpecific[drmaa2.AttrOutcome]
+func (s *sender) recordOutcome(info *drmaa2.JobInfo) {
+	key, outcome := info.ImplementationSpecific[drmaa2.AttrKey], info.ImplementationSpecific[drmaa2.AttrOutcome]
 	if outcome == "" {
 		return
 	}
@@ -218,7 +197,7 @@
 	}
 }
 
-// awaitOutcomes waits for the outcomes that are open and counts those that do not come in time.
+// awaitOutcomes waits for the open outcomes, at most for the given time, and counts the rest as unknown.
 func (s *sender) awaitOutcomes(ctx context.Context, wait time.Duration) {
 	deadline := time.Now().Add(wait)
 	for s.open() > 0 && time.Now().Before(deadline) && ctx.Err() == nil {
--- a/internal/testbed/rules/job.go
+++ b/internal/testbed/rules/job.go
@@ -10,6 +10,7 @@
 
 	"flaxshelf.example/flaxshelf/drmaa2"
 	"flaxshelf.example/flaxshelf/internal/codec/httpcodec"
+	"flaxshelf.example/flaxshelf/internal/testbed/countformat"
 )
 
 // job is a job that a scheduler admitted, as its clients see it.
@@ -142,15 +143,15 @@
 	}
 	if request.outcome != "" {
 		c.violated(OneOutcome, "job %s, placement request %d: outcome %s, then %s", j.id, number,
-			OutcomeTerm(request.outcome), OutcomeTerm(outcome))
+			countformat.OutcomeTerm(request.outcome), countformat.OutcomeTerm(outcome))
 	} else {
 		c.verdict.Rules[OneOutcome].Checked++
-		c.verdict.Outcomes[OutcomeTerm(outcome)]++
+		c.verdict.Outcomes[countformat.OutcomeTerm(outcome)]++
 		timed := j.outcomeExpected && number <= firstPlacementRequest && j.placementTimeout > 0
 		timeout := request.requestedAt + j.placementTimeout
 		if timed && c.now > c.outcomeDeadline(scheduler, timeout) {
 			c.violated(OneOutcome, "job %s: outcome %s was reported %v after the placement timeout", j.id,
-				OutcomeTerm(outcome), (c.now - timeout).Round(time.Millisecond))
+				countformat.OutcomeTerm(outcome), (c.now - timeout).Round(time.Millisecond))
 		}
 	}
 	request.outcome = outcome
--- a/internal/testbed/rules/terms.go
+++ b/internal/testbed/rules/terms.go
@@ -2,20 +2,6 @@
 
 import "flaxshelf.example/flaxshelf/internal/codec/nodeframe/nodepb"
 
-// outcomeTerms are the terms of outcomes whose names on the wire differ.
-var outcomeTerms = map[string]string{
-	"refused":   "rejected",
-	"withdrawn": "canceled",
-}
-
-// OutcomeTerm returns the term of the outcome of a placement request, by its name on the wire.
-func OutcomeTerm(outcome string) string {
-	if term, ok := outcomeTerms[outcome]; ok {
-		return term
-	}
-	return outcome
-}
-
 // Replies of nodes to offers, as Verdict.Replies counts them.
 const (
 	replyAccepted = "accepted"
--- a/internal/testbed/rules/verdict.go
+++ b/internal/testbed/rules/verdict.go
@@ -52,7 +52,7 @@
 	Submitted       int            // requests that submit jobs
 	Admitted        int            // jobs that a scheduler admitted
 	Rejected        map[string]int // rejected submissions by error code
-	Outcomes        map[string]int // outcomes of placement requests, by OutcomeTerm
+	Outcomes        map[string]int // outcomes of placement requests, by countformat.OutcomeTerm
 	States          map[string]int // last reported states of admitted jobs
 	Orphaned        int            // jobs of killed schedulers that no later incarnation reported
 	OverloadedNodes int            // nodes that crashed because of too many starts
--- a/internal/testbed/rules/verdict_test.go
+++ b/internal/testbed/rules/verdict_test.go
@@ -31,18 +31,3 @@
 		}
 	}
 }
-
-func TestOutcomesOfTheWireHaveTerms(t *testing.T) {
-	for _, c := range []struct{ name, want string }{
-		{"placed", "placed"},
-		{"failed", "failed"},
-		{"refused", "rejected"},
-		{"withdrawn", "canceled"},
-	} {
-		t.Run(c.name, func(t *testing.T) {
-			if got := OutcomeTerm(c.name); got != c.want {
-				t.Errorf("got %q, want %q", got, c.want)
-			}
-		})
-	}
-}
--- a/internal/testbed/trial/clients.go
+++ b/internal/testbed/trial/clients.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"flaxshelf.example/flaxshelf/drmaa2"
+	"flaxshelf.example/flaxshelf/internal/testbed/countformat"
 	"flaxshelf.example/flaxshelf/internal/testbed/fault"
-	"flaxshelf.example/flaxshelf/internal/testbed/rules"
 	"flaxshelf.example/flaxshelf/internal/testbed/scenario"
 )
 
@@ -146,7 +146,7 @@
 	}
 	s.outcomes[request] = outcome
 	if s.firstOutcome == "" {
-		s.firstOutcome = rules.OutcomeTerm(outcome)
+		s.firstOutcome = countformat.OutcomeTerm(outcome)
 		close(s.hasOutcome)
 	}
 }
