--- a/api.go
+++ b/api.go
@@ -114,13 +114,15 @@
 // Tenant.TasksPerSecond and Tenant.QuotaFraction.
 type Config struct {
 	// Index is this scheduler's number among Schedulers, from 0. It must differ between schedulers.
-	Index           int
-	Schedulers      int
-	Zone            string // of this scheduler
-	Classes         []Class
-	Kinds           []Kind
-	Tenants         []Tenant
-	OverQuotaWeight float64 // fraction of its value that a task beyond its tenant's quota earns
+	Index      int
+	Schedulers int
+	Zone       string // of this scheduler
+	Classes    []Class
+	Kinds      []Kind
+	Tenants    []Tenant
+	// OverQuotaWeight is the fraction of its value that a task beyond its tenant's quota earns; below 1, such tasks are
+	// queued last.
+	OverQuotaWeight float64
 	Prices          Prices
 	// CoreOvercommit is the multiple of its cores up to which a machine accepts tasks, by what they request.
 	CoreOvercommit     float64
--- a/choices_test.go
+++ b/choices_test.go
@@ -113,7 +113,7 @@
 				placers = append(placers, placer)
 				return placer, err
 			}
-			if _, err := emulator.Run(context.Background(), day, emulator.Options{Seed: 5, Make: newPlacer}); err != nil {
+			if _, err := emulator.Run(context.Background(), day, emulator.Options{Seed: 5, NewModule: newPlacer}); err != nil {
 				t.Fatal(err)
 			}
 			counts := flaxshelf.ChoiceCounts{}
--- a/internal/replay/recorded_test.go
+++ b/internal/replay/recorded_test.go
@@ -93,7 +93,7 @@
 		modules = append(modules, module)
 		return module, err
 	}
-	options := emulator.Options{Seed: recordedDaySeed, Make: newModule}
+	options := emulator.Options{Seed: recordedDaySeed, NewModule: newModule}
 	if _, err := emulator.Run(context.Background(), day, options); err != nil {
 		return err
 	}
--- a/internal/testbed/ablation/ablation.go
+++ b/internal/testbed/ablation/ablation.go
@@ -30,16 +30,16 @@
 		Constraint: flaxshelf.DrainConstraint,
 		Guards:     scheduler.Guards{Drain: true},
 		Day:        "shrink",
-		Rule:       rules.DrainsKept,
+		Rule:       rules.DrainRespected,
 	},
-	{Constraint: flaxshelf.RetrySafetyConstraint, Day: "class-silence", Rule: rules.NoSecondStart},
-	{Constraint: flaxshelf.SpreadConstraint, Day: "hot-service", Rule: rules.SpreadKept},
-	{Constraint: flaxshelf.SlowStartConstraint, Day: "mass-restart", Rule: rules.ColdKept},
+	{Constraint: flaxshelf.RetrySafetyConstraint, Day: "class-silence", Rule: rules.NoDuplicateStart},
+	{Constraint: flaxshelf.SpreadConstraint, Day: "hot-service", Rule: rules.SpreadRespected},
+	{Constraint: flaxshelf.SlowStartConstraint, Day: "mass-restart", Rule: rules.SlowStartRespected},
 	{
 		Constraint: flaxshelf.AnswerDeadlineConstraint,
 		Guards:     scheduler.Guards{Answer: true},
 		Day:        "hot-service",
-		Rule:       rules.OneAnswer,
+		Rule:       rules.OneOutcome,
 	},
 }
 
@@ -60,9 +60,9 @@
 // Options returns options that disable guards and constraints in every scheduler of a day.
 func Options(seed uint64, guards scheduler.Guards, disabled ...flaxshelf.Constraint) emulator.Options {
 	return emulator.Options{
-		Seed: seed,
-		Core: func(c *scheduler.Config) { c.DisabledGuards = guards },
-		Make: func(c flaxshelf.Config, seed uint64) (scheduler.Module, error) {
+		Seed:          seed,
+		ConfigureCore: func(c *scheduler.Config) { c.DisabledGuards = guards },
+		NewModule: func(c flaxshelf.Config, seed uint64) (scheduler.Module, error) {
 			p, err := flaxshelf.New(c, seed)
 			if err != nil {
 				return nil, err
@@ -79,13 +79,13 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	report, verdict, err := emulator.Judge(ctx, d, opt)
+	report, verdict, err := emulator.RunAndCheck(ctx, d, opt)
 	if err != nil {
 		return nil, nil, err
 	}
 	broken := make([]bool, len(verdict.Rules))
 	for i, r := range verdict.Rules {
-		broken[i] = len(r.Broken) > 0
+		broken[i] = len(r.Violations) > 0
 	}
 	return broken, report, nil
 }
--- a/internal/testbed/emulator/scheduler.go
+++ b/internal/testbed/emulator/scheduler.go
@@ -7,9 +7,10 @@
 	"flaxshelf.example/flaxshelf/internal/front/nodefront"
 	"flaxshelf.example/flaxshelf/internal/scheduler"
 	"flaxshelf.example/flaxshelf/internal/settings"
+	"flaxshelf.example/flaxshelf/internal/testbed/scenario"
 )
 
-// schedulerEntity is a scheduler, with a core for each incarnation; there is none while it is stopped.
+// schedulerEntity is a scheduler. It has a core for each incarnation, and none while it is stopped.
 type schedulerEntity struct {
 	id           int32
 	simulation   *simulation
@@ -20,19 +21,19 @@
 	recorder     *recorder
 	incarnations int
 
-	core     *scheduler.Core
-	wakeAt   Time              // by the core
-	feedback []scheduler.Input // for the next step, of the effects of the last
-	drained  bool              // the core has nothing open after a graceful shutdown
+	core         *scheduler.Core
+	nextDeadline Time              // when the core is to run next, as it requested
+	feedback     []scheduler.Input // inputs of the next step that effects of the last one caused
+	drained      bool              // the core has nothing open after a graceful shutdown
 
 	pausedUntil Time
-	busyUntil   Time // the last step of the core takes until then
-	busyTime    Time // in all
+	busyUntil   Time // end of the last step of the core
+	busyTime    Time // total duration of the steps
 	steps       int64
 
 	links         map[string]*link // by node
 	linksByEntity map[int32]*link
-	nextDialAt    Time // the soonest of the links that wait to dial
+	nextDialAt    Time // the earliest dial of the links that wait for their backoff
 
 	inventoryFront *nodefront.Inventory
 	requests       map[uint64]clientRequest
@@ -45,41 +46,35 @@
 	key    string
 }
 
-// schedulerSeedStride and schedulerIndexStride keep the seeds of the incarnations of different schedulers and runs apart.
-const (
-	schedulerSeedStride  = 1000
-	schedulerIndexStride = 100
-)
-
 func (s *schedulerEntity) receive(m message) { s.inbox.put(m) }
 
 func (s *schedulerEntity) nextDue() Time {
 	due := s.inbox.nextDue()
 	if s.core != nil {
-		due = min(due, s.wakeAt, s.nextDialAt)
+		due = min(due, s.nextDeadline, s.nextDialAt)
 	}
 	return max(due, s.pausedUntil, s.busyUntil)
 }
 
-// start begins an incarnation, unless one runs.
+// start starts an incarnation, unless one runs.
 func (s *schedulerEntity) start(now Time) {
 	if s.core != nil {
 		return
 	}
 	s.incarnations++
 	set := *s.settings
-	set.Seed = s.simulation.seed*schedulerSeedStride + uint64(set.Index*schedulerIndexStride+s.incarnations) + 1
+	set.Seed = scenario.SchedulerSeed(s.simulation.seed, set.Index, s.incarnations)
 	config := set.CoreConfig(now)
 	config.NewModule = s.simulation.newModule
-	if s.simulation.changeCore != nil {
-		s.simulation.changeCore(&config)
+	if s.simulation.configureCore != nil {
+		s.simulation.configureCore(&config)
 	}
 	core, err := scheduler.New(config)
 	if err != nil {
 		s.simulation.fail(err)
 		return
 	}
-	s.core, s.wakeAt, s.feedback, s.nextDialAt = core, now, nil, math.MaxInt64
+	s.core, s.nextDeadline, s.feedback, s.nextDialAt = core, now, nil, math.MaxInt64
 	s.links, s.linksByEntity = map[string]*link{}, map[int32]*link{}
 	s.requests = map[uint64]clientRequest{}
 	s.inventoryFront = &nodefront.Inventory{Set: s.settings}
@@ -107,8 +102,8 @@
 	out.send(s.latency.deliveryTime(now, to), to, body)
 }
 
-// run gives the core all that has come in a window in one step at its end, as a daemon gives it what has come since the
-// last step.
+// run passes everything received in a window to the core in one step at the end of the window, as a daemon does with what
+// it has received since the last step.
 func (s *schedulerEntity) run(end Time, out *outbox) {
 	if end <= s.pausedUntil || end <= s.busyUntil {
 		return
@@ -129,27 +124,28 @@
 	if s.nextDialAt < end {
 		s.redial(end, out)
 	}
-	if len(inputs) > 0 || len(s.feedback) > 0 || s.wakeAt < end {
+	if len(inputs) > 0 || len(s.feedback) > 0 || s.nextDeadline < end {
 		s.step(now, append(inputs, s.feedback...), out)
 	}
 }
 
-// step runs the core and carries out its effects.
+// step runs the core and executes its effects.
 func (s *schedulerEntity) step(now Time, inputs []scheduler.Input, out *outbox) {
 	s.feedback = nil
 	s.steps++
 	output := s.core.Step(now, inputs)
-	if cost := s.simulation.day.CPU.Of(len(inputs)); cost > 0 { // effects come when it is done, and no inputs until then
+	// Effects are executed at the end of the step's time, and inputs wait until then.
+	if cost := s.simulation.day.CPU.StepTime(len(inputs)); cost > 0 {
 		s.busyUntil = now + cost
 		s.busyTime += cost
 		now = s.busyUntil
 	}
-	s.wakeAt = output.Wake
+	s.nextDeadline = output.NextStep
 	for _, effect := range output.Effects {
 		s.execute(effect, now, out)
 	}
 	if len(s.feedback) > 0 {
-		s.wakeAt = now
+		s.nextDeadline = now
 	}
 	if s.drained {
 		s.drained = false
@@ -157,7 +153,7 @@
 	}
 }
 
-// control handles the messages of the fault injector that are not for the core.
+// control handles the messages of the fault injector that do not concern the core. It returns false for any other.
 func (s *schedulerEntity) control(m message, now Time, out *outbox) bool {
 	switch body := m.body.(type) {
 	case startScheduler:
@@ -173,7 +169,7 @@
 	return true
 }
 
-// input turns a message into an input of the core; nil for none.
+// input converts a message into an input of the core; nil if it is none.
 func (s *schedulerEntity) input(m message, now Time, out *outbox) scheduler.Input {
 	if s.core == nil {
 		if body, ok := m.body.(submission); ok {
@@ -211,7 +207,7 @@
 func (s *schedulerEntity) nodeFrame(from int32, f frame, now Time) scheduler.Input {
 	l := s.linksByEntity[from]
 	if l == nil || !l.isOpen() {
-		return nil // of a connection that is closed
+		return nil // the connection was closed before the frame was delivered
 	}
 	s.recorder.frame(l.connection, true, f, now)
 	input, err := l.front.Input(f.Frame)
--- a/internal/testbed/rules/follow.go
+++ b/internal/testbed/rules/follow.go
@@ -1,11 +1,9 @@
 package rules
 
 import (
-	"errors"
 	"fmt"
 	"io"
 	"strings"
-	"time"
 
 	"google.golang.org/protobuf/encoding/protojson"
 
@@ -15,50 +13,40 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/recordproxy/recordingpb"
 )
 
-// Follow writes the frames of a recording in which all the substrings occur, and all marks, one a line with its
-// seconds since the start: the history of a job, an attempt or a node. The error is a *RecordingError or that of w.
+// Follow writes the frames of a recording that contain all the substrings, and all marks, one per line with its time in
+// seconds since the start: the history of a job, an attempt or a node. The error is a *RecordingError or wraps that of w.
 func Follow(r io.Reader, w io.Writer, substrings ...string) error {
-	reader, err := recordproxy.NewReader(r)
+	reader, err := newReader(r)
 	if err != nil {
-		return &RecordingError{Section: "head", Err: err}
+		return err
 	}
 	f := &follower{out: w, substrings: substrings, connections: map[uint64]*connection{}}
-	for f.err == nil {
-		record, err := reader.Next()
-		if errors.Is(err, io.EOF) {
-			return nil
-		}
-		if err != nil {
-			return &RecordingError{Section: "records", Err: err}
-		}
+	return forEachRecord(reader, func(record *recordingpb.Record) error {
 		f.record(record)
-	}
-	return f.err
+		return f.err
+	})
 }
 
 // follower is the state of Follow.
 type follower struct {
+	recordTimes
 	out         io.Writer
 	substrings  []string
 	connections map[uint64]*connection
-	start, now  time.Duration
-	err         error // of out
+	err         error // the first error of out
 }
 
 func (f *follower) record(record *recordingpb.Record) {
-	f.now = time.Duration(record.TimeNs)
-	if f.start == 0 {
-		f.start = f.now
-	}
+	f.advance(record)
 	switch body := record.Body.(type) {
 	case *recordingpb.Record_Open:
 		open := body.Open
 		f.connections[open.Conn] = &connection{wire: open.Wire, listener: open.To, dialer: open.Via}
 	case *recordingpb.Record_Mark:
-		f.print("-- " + body.Mark.Party + ": " + body.Mark.What)
+		f.print("-- " + body.Mark.Party + ": " + string(recordproxy.EventOf(body.Mark)))
 	case *recordingpb.Record_Close:
 		if link := f.connections[body.Close.Conn]; link != nil {
-			f.printMatch(fmt.Sprintf("%s to %s closed: %s", link.dialer, link.listener, body.Close.Why))
+			f.printMatch(fmt.Sprintf("%s to %s closed: %s", link.dialer, link.listener, recordproxy.ReasonOf(body.Close)))
 		}
 	case *recordingpb.Record_Sent:
 		f.sent(body.Sent)
@@ -111,7 +99,7 @@
 	if f.err != nil {
 		return
 	}
-	if _, err := fmt.Fprintf(f.out, "%9.3f %s\n", (f.now - f.start).Seconds(), text); err != nil {
+	if _, err := fmt.Fprintf(f.out, "%9.3f %s\n", f.sinceStart().Seconds(), text); err != nil {
 		f.err = fmt.Errorf("rules: write: %w", err)
 	}
 }
--- /dev/null
+++ b/internal/testbed/scenario/figures_test.go
@@ -0,0 +1,27 @@
+package scenario
+
+import (
+	"testing"
+
+	"flaxshelf.example/flaxshelf/internal/settings"
+)
+
+// Recordings store the names of the idempotency, whichever names the settings of the day have.
+func TestFiguresHaveTheStoredIdempotency(t *testing.T) {
+	for _, c := range []struct{ setting, want string }{
+		{"safe", "safe"},
+		{"idempotent", "safe"},
+		{"keyed", "keyed"},
+		{"idempotent-by-key", "keyed"},
+		{"unsafe", "unsafe"},
+		{"non-idempotent", "unsafe"},
+	} {
+		t.Run(c.setting, func(t *testing.T) {
+			d := parseDay(t)
+			d.Classes = []settings.Class{{Idempotency: c.setting}}
+			if got := d.Figures().Classes[0].Idempotency; got != c.want {
+				t.Errorf("got %q, want %q", got, c.want)
+			}
+		})
+	}
+}
--- a/internal/testbed/scenario/storedday_test.go
+++ b/internal/testbed/scenario/storedday_test.go
@@ -7,14 +7,17 @@
 	"os"
 	"reflect"
 	"testing"
+
+	"flaxshelf.example/flaxshelf/internal/settings"
 )
 
-// dayText is a day with every field set. storedDay is its JSON, written by the build of commit ad3e0ee, and storedSchedulerFile
-// the configuration of a scheduler, without deprecated settings.
+// dayText is a day with every field set. storedDay is its JSON and deprecatedSchedulerFile the configuration of a scheduler, both
+// written by the build of commit ad3e0ee. storedSchedulerFile is the same configuration without deprecated settings.
 const (
-	dayText             = "testdata/day.cue"
-	storedDay           = "testdata/day.json"
-	storedSchedulerFile = "testdata/scheduler.json"
+	dayText                 = "testdata/day.cue"
+	storedDay               = "testdata/day.json"
+	storedSchedulerFile     = "testdata/scheduler.json"
+	deprecatedSchedulerFile = "testdata/scheduler-deprecated.json"
 )
 
 func readFile(t *testing.T, path string) []byte {
@@ -35,7 +38,7 @@
 	return d
 }
 
-// unset lists the fields that have their zero value.
+// unset returns the paths of the fields that have their zero value.
 func unset(path string, v reflect.Value) []string {
 	var fields []string
 	switch {
@@ -53,11 +56,11 @@
 	return fields
 }
 
-// The JSON of a day keeps its names, whatever the fields are called: experiments know their stored results by its hash.
-func TestStoredDay(t *testing.T) {
+// Experiments identify their stored results by the hash of the day's JSON.
+func TestJSONOfADayKeepsItsNames(t *testing.T) {
 	d := parseDay(t)
 	if fields := unset("Day", reflect.ValueOf(*d)); fields != nil {
-		t.Errorf("the day of this test does not set %v", fields)
+		t.Errorf("got unset fields %v in the day of this test, want none", fields)
 	}
 	stored := bytes.TrimSuffix(readFile(t, storedDay), []byte("\n"))
 	text, err := json.Marshal(d)
@@ -65,7 +68,7 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(text, stored) {
-		t.Errorf("%s,\nstored is %s", text, stored)
+		t.Errorf("got %s,\nwant %s", text, stored)
 	}
 	read := &Day{Name: d.Name}
 	dec := json.NewDecoder(bytes.NewReader(stored))
@@ -74,17 +77,38 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(read, d) {
-		t.Errorf("read %+v, want %+v", read, d)
+		t.Errorf("got %+v, want %+v", read, d)
 	}
 }
 
-// The configuration that a trial writes for a scheduler has the names of the schema.
-func TestStoredSchedulerFile(t *testing.T) {
+func TestSchedulerFileHasTheNamesOfTheSchema(t *testing.T) {
 	text, err := parseDay(t).SchedulerFile(1, "127.0.0.1:7170", "tap", 7)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if stored := bytes.TrimSuffix(readFile(t, storedSchedulerFile), []byte("\n")); !bytes.Equal(text, stored) {
-		t.Errorf("%s,\nstored is %s", text, stored)
+		t.Errorf("got %s,\nwant %s", text, stored)
+	}
+}
+
+func TestSchedulerFileOfEarlierBuildHasTheSameMeaning(t *testing.T) {
+	parse := func(path string) *settings.Scheduler {
+		t.Helper()
+		s, err := settings.ParseScheduler(path, readFile(t, path))
+		if err != nil {
+			t.Fatal(err)
+		}
+		return s
+	}
+	earlier, current := parse(deprecatedSchedulerFile), parse(storedSchedulerFile)
+	if got, want := earlier.ModuleConfig(), current.ModuleConfig(); !reflect.DeepEqual(got, want) {
+		t.Errorf("got configuration %+v,\nwant %+v", got, want)
+	}
+	if got, want := earlier.ModuleRecording, current.ModuleRecording; got != want {
+		t.Errorf("got module recording %q, want %q", got, want)
+	}
+	if len(earlier.Deprecations()) == 0 || len(current.Deprecations()) > 0 {
+		t.Errorf("got deprecations %v and %v, want some of the earlier build's file alone", earlier.Deprecations(),
+			current.Deprecations())
 	}
 }
--- a/internal/testbed/standin/inventorymodel/inventory.go
+++ b/internal/testbed/standin/inventorymodel/inventory.go
@@ -1,6 +1,6 @@
-// Package inventorymodel models the stand-in inventory, from which schedulers learn of nodes: it lists them with a delay,
-// as a complete list or as a watch on changes, and fails when a fault is set. The model is deterministic: it does no I/O
-// and reads no clock.
+// Package inventorymodel models the stand-in inventory, from which schedulers discover nodes. It publishes changes after a
+// delay, as a complete list or to watches, and fails when a fault is set. The model is deterministic: it does no I/O and
+// reads no clock.
 package inventorymodel
 
 import (
@@ -20,20 +20,20 @@
 
 // Config is the behaviour of an inventory.
 type Config struct {
-	// DiscoveryDelay is how long after its registration a change is listed.
+	// DiscoveryDelay is the time from the registration of a change to its publication.
 	DiscoveryDelay time.Duration
-	// RemovalDelay is how long after its connection broke a node is removed, unless it registers anew.
+	// RemovalDelay is the time from the loss of a node's connection to its removal, unless it registers again.
 	RemovalDelay time.Duration
-	// MaxEntriesPerFrame bounds the entries of a frame of a complete list. 0: 2,000.
+	// MaxEntriesPerFrame limits the entries in one frame of a complete list. Zero means 2,000.
 	MaxEntriesPerFrame int
 }
 
 const defaultMaxEntriesPerFrame = 2000
 
-// Fault is what goes wrong at the inventory. The zero value is an inventory without faults.
+// Fault is the faults of an inventory. The zero value means none.
 type Fault struct {
-	Fails bool // requests are answered with an error, and watches are dropped
-	Stale bool // no change is listed
+	Fails bool // requests are answered with an error, and watches are closed
+	Stale bool // no change is published
 }
 
 // Send is a frame that the inventory sends.
@@ -44,7 +44,8 @@
 
 // Inventory is the model. Not safe for concurrent use.
 //
-// Each method that takes the time also does what has fallen due by then; a time before the last one counts as the last.
+// Each method that has a time as its argument also does what is due by then. A time before that of the last call counts as
+// that of the last call.
 type Inventory struct {
 	cfg   Config
 	now   Time
@@ -55,26 +56,26 @@
 	bySource      map[string][]*registration // by the connection that registered them, in order of registration
 	removals      timerqueue.Heap[*registration]
 
-	listed   map[string]*nodepb.Entry // by node, as schedulers see them
-	revision uint64                   // of the list
-	pending  []change                 // not listed yet, in order of time
-	watchers []string
+	published map[string]*nodepb.Entry // by node, as schedulers see them
+	revision  uint64                   // of the list
+	pending   []change                 // not published yet, in order of time
+	watchers  []string
 }
 
-// registration is what a node has last registered.
+// registration is the last registration of a node.
 type registration struct {
 	entry   *nodepb.Entry
 	source  string
 	removal timerqueue.Item[*registration] // queued while the connection is broken
 }
 
-// change is an entry that replaces the listed one of its node at a given time.
+// change is an entry that replaces the published one of its node at a given time.
 type change struct {
 	at    Time
 	entry *nodepb.Entry
 }
 
-// New returns an inventory that lists nothing.
+// New returns an inventory without nodes.
 func New(cfg Config) *Inventory {
 	if cfg.MaxEntriesPerFrame <= 0 {
 		cfg.MaxEntriesPerFrame = defaultMaxEntriesPerFrame
@@ -83,7 +84,7 @@
 		cfg:           cfg,
 		registrations: map[string]*registration{},
 		bySource:      map[string][]*registration{},
-		listed:        map[string]*nodepb.Entry{},
+		published:     map[string]*nodepb.Entry{},
 	}
 }
 
@@ -121,7 +122,7 @@
 	return v.out
 }
 
-// SetFault replaces the faults of the inventory.
+// SetFault replaces the faults of the inventory, and closes all watches if requests fail from now on.
 func (v *Inventory) SetFault(now Time, f Fault) []Send {
 	v.begin(now)
 	v.fault = f
@@ -135,14 +136,14 @@
 	return v.out
 }
 
-// Advance does what has fallen due by now.
+// Advance does what is due by now.
 func (v *Inventory) Advance(now Time) []Send {
 	v.begin(now)
 	v.advance()
 	return v.out
 }
 
-// Next returns when something falls due; the largest Time if nothing does.
+// Next returns when something is due next; math.MaxInt64 if nothing is.
 func (v *Inventory) Next() Time {
 	next := Time(math.MaxInt64)
 	if len(v.pending) > 0 && !v.fault.Stale {
@@ -154,10 +155,10 @@
 	return next
 }
 
-// Shown returns the list as schedulers see it now, in order of the nodes' names.
-func (v *Inventory) Shown() []*nodepb.Entry {
+// Published returns the list as schedulers see it now, ordered by node.
+func (v *Inventory) Published() []*nodepb.Entry {
 	var all []*nodepb.Entry
-	for _, e := range v.listed {
+	for _, e := range v.published {
 		all = append(all, e)
 	}
 	slices.SortFunc(all, func(a, b *nodepb.Entry) int { return cmp.Compare(a.Node, b.Node) })
@@ -166,7 +167,7 @@
 
 func (v *Inventory) begin(now Time) { v.now, v.out = max(now, v.now), nil }
 
-// register records what a node registers. The node belongs to the last connection that registered it.
+// register records a registration. A node belongs to the last connection that registered it.
 func (v *Inventory) register(from string, e *nodepb.Entry) {
 	if e == nil || e.Node == "" {
 		return
@@ -184,10 +185,10 @@
 		v.bySource[from] = append(v.bySource[from], r)
 	}
 	r.entry = e
-	v.listLater(v.now, e)
+	v.publishLater(v.now, e)
 }
 
-// detach takes a registration from its connection.
+// detach removes a registration from those of its connection.
 func (v *Inventory) detach(r *registration) {
 	rest := slices.DeleteFunc(v.bySource[r.source], func(o *registration) bool { return o == r })
 	if len(rest) == 0 {
@@ -197,8 +198,8 @@
 	}
 }
 
-// listLater lists an entry DiscoveryDelay after its change.
-func (v *Inventory) listLater(changed Time, e *nodepb.Entry) {
+// publishLater schedules the publication of an entry, DiscoveryDelay after its change.
+func (v *Inventory) publishLater(changed Time, e *nodepb.Entry) {
 	at := changed + v.cfg.DiscoveryDelay
 	i := len(v.pending)
 	for i > 0 && v.pending[i-1].at > at {
@@ -213,7 +214,7 @@
 	if v.fault.Stale {
 		return
 	}
-	changes := v.listDue()
+	changes := v.publishDue()
 	if len(changes) == 0 {
 		return
 	}
@@ -229,46 +230,46 @@
 		removed.Standing = nodepb.Standing_OUT
 		delete(v.registrations, removed.Node)
 		v.detach(due.Value)
-		v.listLater(due.At(), removed)
+		v.publishLater(due.At(), removed)
 	}
 }
 
-// listDue lists the pending changes that are due and returns those that differ from what was listed.
-func (v *Inventory) listDue() []*nodepb.Entry {
+// publishDue publishes the pending changes that are due and returns those that differ from what was published.
+func (v *Inventory) publishDue() []*nodepb.Entry {
 	var changes []*nodepb.Entry
 	for len(v.pending) > 0 && v.pending[0].at <= v.now {
 		e := v.pending[0].entry
 		v.pending = v.pending[1:]
-		old := v.listed[e.Node]
+		old := v.published[e.Node]
 		if old != nil && (old == e || proto.Equal(old, e)) {
 			continue
 		}
 		v.revision++
 		if e.Standing == nodepb.Standing_OUT {
-			delete(v.listed, e.Node)
+			delete(v.published, e.Node)
 		} else {
-			v.listed[e.Node] = e
+			v.published[e.Node] = e
 		}
 		changes = append(changes, e)
 	}
 	return changes
 }
 
-// watch answers a request for the list; with changes, the scheduler is sent each later change as well.
+// watch answers a request for the list. With changes, each later change is sent to the scheduler as well.
 func (v *Inventory) watch(from string, changes bool) {
 	if v.fault.Fails {
 		v.sendError(from)
 		return
 	}
-	v.sendList(from)
+	v.sendSnapshot(from)
 	if changes && !slices.Contains(v.watchers, from) {
 		v.watchers = append(v.watchers, from)
 	}
 }
 
-// sendList sends the complete list, in one frame at least.
-func (v *Inventory) sendList(to string) {
-	rest := v.Shown()
+// sendSnapshot sends the complete list, in at least one frame.
+func (v *Inventory) sendSnapshot(to string) {
+	rest := v.Published()
 	for first := true; first || len(rest) > 0; first = false {
 		count := min(len(rest), v.cfg.MaxEntriesPerFrame)
 		frame := listing(v.revision, first, rest[:count])
--- a/internal/testbed/standin/nodemodel/usage.go
+++ b/internal/testbed/standin/nodemodel/usage.go
@@ -10,19 +10,19 @@
 const (
 	usageCores     = 2 // cores in use by the task
 	usageMemory    = 3 // memory in use by the task
-	serviceLevel   = 4 // share of the cores in use that the machine has
-	memoryPressure = 5 // share of the machine's memory in use
+	serviceLevel   = 4 // available cores as a fraction of the cores in use
+	memoryPressure = 5 // memory in use as a fraction of the available memory
 )
 
 const (
 	// maxUsage caps the use of a task at this multiple of its request.
 	maxUsage = 2
-	// serviceLevelReportedBelow and memoryPressureReportedAbove are the shares from which on a node reports that it is short.
+	// serviceLevelReportedBelow and memoryPressureReportedAbove are the bounds beyond which a node reports a shortage.
 	serviceLevelReportedBelow   = 0.95
 	memoryPressureReportedAbove = 0.85
 )
 
-// usage returns what a running task uses.
+// usage returns the cores and the memory that a running task uses.
 func (n *Node) usage(t *task) (cores, memory float64) {
 	factor := n.fault.usageFactor(t.spec.Class)
 	cores = t.spec.Cores * min(t.coreUsage*factor, maxUsage)
@@ -30,8 +30,8 @@
 	return cores, memory
 }
 
-// Use returns what all running tasks use.
-func (n *Node) Use() (cores, memory float64) {
+// Usage returns the cores and the memory that all running tasks use.
+func (n *Node) Usage() (cores, memory float64) {
 	for _, t := range n.tasksByAge {
 		if t.running {
 			taskCores, taskMemory := n.usage(t)
@@ -42,13 +42,13 @@
 	return cores, memory
 }
 
-// updateUsage lets usage drift, evicts tasks while memory is short and sends usage reports.
+// updateUsage changes the usage of tasks by a random walk, evicts tasks while memory is short and sends usage reports.
 func (n *Node) updateUsage() {
-	for _, t := range n.tasksByAge { // a random walk that starts at what the task drew
-		t.coreUsage *= 0.95 + 0.1*n.rng.Float64()
-		t.memoryUsage *= 0.97 + 0.06*n.rng.Float64()
+	for _, t := range n.tasksByAge {
+		t.coreUsage *= 0.95 + 0.1*n.random.Float64()
+		t.memoryUsage *= 0.97 + 0.06*n.random.Float64()
 	}
-	memoryAvailable := n.cfg.Memory * (1 - n.fault.Crowd)
+	memoryAvailable := n.cfg.Memory * (1 - n.fault.OccupiedFraction)
 	n.evictDownTo(memoryAvailable)
 	n.reportUsage(memoryAvailable)
 }
@@ -56,7 +56,7 @@
 // evictDownTo evicts running tasks until the rest uses no more than the available memory.
 func (n *Node) evictDownTo(memoryAvailable float64) {
 	for {
-		_, memory := n.Use()
+		_, memory := n.Usage()
 		if memory <= memoryAvailable {
 			return
 		}
@@ -66,11 +66,11 @@
 	}
 }
 
-// reportUsage sends each running task's usage to its scheduler, and what the machine is short of.
+// reportUsage sends to each running task's scheduler its usage and the shortages of the machine.
 func (n *Node) reportUsage(memoryAvailable float64) {
-	cores, memory := n.Use()
+	cores, memory := n.Usage()
 	level := 1.0
-	if coresAvailable := n.cfg.Cores * (1 - n.fault.Crowd); cores > coresAvailable {
+	if coresAvailable := n.cfg.Cores * (1 - n.fault.OccupiedFraction); cores > coresAvailable {
 		level = coresAvailable / cores
 	}
 	pressure := 1.0
