--- a/internal/replay/format_test.go
+++ b/internal/replay/format_test.go
@@ -45,7 +45,10 @@
 			return err
 		}
 	}
-	return writeStored(decisionsFile, recordDecisions)
+	if err := writeStored(decisionsFile, recordDecisions); err != nil {
+		return err
+	}
+	return updateDaysAndWorlds()
 }
 
 func writeStored(path string, record func(io.Writer) error) error {
--- a/internal/testbed/emulator/emulator_test.go
+++ b/internal/testbed/emulator/emulator_test.go
@@ -15,7 +15,6 @@
 	"flaxshelf.example/flaxshelf"
 	"flaxshelf.example/flaxshelf/internal/scheduler"
 	"flaxshelf.example/flaxshelf/internal/testbed/fault"
-	"flaxshelf.example/flaxshelf/internal/testbed/reference"
 	"flaxshelf.example/flaxshelf/internal/testbed/rules"
 	"flaxshelf.example/flaxshelf/internal/testbed/scenario"
 )
@@ -75,9 +74,9 @@
 	return report, verdict
 }
 
-// The days of the trials that need no sockets satisfy the rules on the simulated clock as well, by the same checker; every
-// submission is accounted for; and every decision is that of the reference module.
-func TestEmulatedDaysSatisfyRulesAndMatchReference(t *testing.T) {
+// The days of the trials that need no sockets satisfy the rules on the simulated clock as well, by the same checker, and every
+// submission is accounted for. TestChoicesOfDaysEqualPlainScans of package flaxshelf compares the choices of these days.
+func TestEmulatedDaysSatisfyRules(t *testing.T) {
 	days := emulatedDays()
 	if len(days) < 12 {
 		t.Errorf("got %d days, want at least 12", len(days))
@@ -85,18 +84,7 @@
 	for _, name := range days {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			var twins []*reference.Twin
-			newTwin := func(config flaxshelf.Config, seed uint64) (scheduler.Module, error) {
-				twin, err := reference.NewTwin(config, seed)
-				twins = append(twins, twin)
-				return twin, err
-			}
-			_, verdict := emulateByRules(t, readDay(t, name), Options{Seed: 5, NewModule: newTwin})
-			for i, twin := range twins {
-				if twin.Err != nil || twin.Steps == 0 {
-					t.Errorf("incarnation %d: got %d steps and error %v, want some steps and no error", i, twin.Steps, twin.Err)
-				}
-			}
+			_, verdict := emulateByRules(t, readDay(t, name), Options{Seed: 5})
 			answers, starts := verdict.Rules[rules.OneOutcome].Checked, verdict.Rules[rules.NoDuplicateStart].Checked
 			if verdict.Admitted == 0 || answers == 0 || starts == 0 {
 				t.Errorf("got %d admitted jobs, %d checked answers and %d checked starts, want some of each", verdict.Admitted,
--- a/internal/testbed/rules/check.go
+++ b/internal/testbed/rules/check.go
@@ -2,9 +2,10 @@
 // nodes and the inventory, and judges the rules only from that.
 //
 // The checker must share neither code nor state with what it checks: it must not import, directly or indirectly, the
-// placement module, the cores of schedulers (internal/scheduler, internal/requests) or the reference module. A shared formula
-// would be wrong on both sides, and the checker would accept its violations. So this package has formulas of its own: for the
-// limit of offers in slow start, for topology domains, for idempotency keys, for deadlines and for the phases of an attempt.
+// placement module, its index (internal/machineindex) or the cores of schedulers (internal/scheduler, internal/requests). A
+// shared formula would be wrong on both sides, and the checker would accept its violations. So this package has formulas of its
+// own: for the limit of offers in slow start, for topology domains, for idempotency keys, for deadlines and for the phases of an
+// attempt.
 // It takes from the traffic what each party had sent and received, and from the recording's head the limits of the deployment;
 // it never trusts a decision because a scheduler has made it. It shares the codecs of the wire (internal/codec, drmaa2), without
 // which it could not decode the traffic, and the format of recordings.
--- a/internal/testbed/rules/independence_test.go
+++ b/internal/testbed/rules/independence_test.go
@@ -18,7 +18,7 @@
 	if own := module + "/internal/testbed/rules"; !slices.Contains(dependencies, own) {
 		t.Fatalf("got dependencies %q, want %s among them", dependencies, own)
 	}
-	for _, checked := range []string{"", "/internal/scheduler", "/internal/requests", "/internal/testbed/reference"} {
+	for _, checked := range []string{"", "/internal/scheduler", "/internal/requests", "/internal/machineindex"} {
 		if slices.Contains(dependencies, module+checked) {
 			t.Errorf("got %s among the dependencies, want the checker to be independent of it", module+checked)
 		}
--- a/internal/testbed/trial/run.go
+++ b/internal/testbed/trial/run.go
@@ -14,7 +14,6 @@
 	"strings"
 	"time"
 
-	"flaxshelf.example/flaxshelf"
 	"flaxshelf.example/flaxshelf/internal/replay"
 	"flaxshelf.example/flaxshelf/internal/testbed/recordproxy"
 	"flaxshelf.example/flaxshelf/internal/testbed/rules"
@@ -30,8 +29,6 @@
 	Directory string
 	// Replay records the steps of the modules, and replays them to a module by itself, which must return the same actions.
 	Replay bool
-	// ReplayTo is, with Replay, another module that must return the same actions; it may be nil.
-	ReplayTo ModuleFactory
 	// Command returns the command that runs flaxshelf with the arguments.
 	Command func(args ...string) *exec.Cmd
 	// Note is called with a line of text for each fault and each submission without an outcome. It is called concurrently; it
@@ -39,9 +36,6 @@
 	Note func(format string, args ...any)
 }
 
-// ModuleFactory returns a new module to which recorded steps are replayed.
-type ModuleFactory func(c flaxshelf.Config, seed uint64) (replay.Module, error)
-
 // Result is the result of a run.
 type Result struct {
 	Verdict *rules.Verdict
@@ -187,10 +181,7 @@
 func (c *cluster) replaySteps(result *Result) {
 	for _, p := range c.schedulers {
 		for _, path := range p.stepFiles {
-			line, err := checkSteps(path, nil)
-			if err == nil && c.opt.ReplayTo != nil {
-				_, err = checkSteps(path, c.opt.ReplayTo)
-			}
+			line, err := checkSteps(path)
 			if err != nil {
 				result.Failed = append(result.Failed, fmt.Sprintf("%s: %v", filepath.Base(path), err))
 				continue
@@ -200,20 +191,15 @@
 	}
 }
 
-// checkSteps replays recorded steps to a new instance of the module that recorded them, or to another module if that is not
-// nil. A recording that was truncated by a kill is replayed up to its last complete step.
-func checkSteps(path string, module ModuleFactory) (string, error) {
+// checkSteps replays recorded steps to a new instance of the module. A recording that was truncated by a kill is replayed up to
+// its last complete step.
+func checkSteps(path string) (string, error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return "", err
 	}
 	defer func() { _ = file.Close() }() // it was only read
-	var replayed replay.Result
-	if module == nil {
-		replayed, err = replay.Check(file)
-	} else {
-		replayed, err = replay.CheckWith(file, module)
-	}
+	replayed, err := replay.Check(file)
 	if err != nil && !errors.Is(err, io.EOF) {
 		return "", err
 	}
--- a/internal/testbed/trial/trial_test.go
+++ b/internal/testbed/trial/trial_test.go
@@ -14,11 +14,8 @@
 
 	"github.com/rs/zerolog"
 
-	"flaxshelf.example/flaxshelf"
 	"flaxshelf.example/flaxshelf/internal/daemon"
-	"flaxshelf.example/flaxshelf/internal/replay"
 	"flaxshelf.example/flaxshelf/internal/settings"
-	"flaxshelf.example/flaxshelf/internal/testbed/reference"
 	"flaxshelf.example/flaxshelf/internal/testbed/rules"
 	"flaxshelf.example/flaxshelf/internal/testbed/scenario"
 )
@@ -85,15 +82,14 @@
 // recorder.
 var running = make(chan struct{}, 3)
 
-// runDay runs a day with a hook in the schedulers, and replays their steps to the reference module, too.
+// runDay runs a day with a hook in the schedulers, and replays their steps to a module by itself.
 func runDay(t *testing.T, d *scenario.Day, seed uint64, hook string) *Result {
 	t.Helper()
 	running <- struct{}{}
 	defer func() { <-running }()
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Minute)
 	defer cancel()
-	newReference := func(c flaxshelf.Config, seed uint64) (replay.Module, error) { return reference.New(c, seed) }
-	result, err := Run(ctx, d, Options{Seed: seed, Replay: true, ReplayTo: newReference, Command: command(hook), Directory: t.TempDir()})
+	result, err := Run(ctx, d, Options{Seed: seed, Replay: true, Command: command(hook), Directory: t.TempDir()})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -110,8 +106,8 @@
 	}
 }
 
-// Every submission must be accounted for, and both a replayed module and the reference module must return the same actions as
-// the schedulers' modules. With FLAXSHELF_SOCKETS set all days are run, which takes minutes.
+// Every submission must be accounted for, and a replayed module must return the same actions as the schedulers' modules.
+// With FLAXSHELF_SOCKETS set all days are run, which takes minutes.
 func TestDaysRespectTheRules(t *testing.T) {
 	names := []string{"calm", "bad-day", "schedulers", "links", "mass-restart"}
 	if os.Getenv(runAllDays) != "" {
