--- a/choices_test.go
+++ b/choices_test.go
@@ -155,7 +155,7 @@
 	}
 }
 
-// openRecording opens a recording, which is compressed where its name says so.
+// openRecording opens a recording. A name that ends with .gz means that it is compressed.
 func openRecording(t *testing.T, path string) io.Reader {
 	t.Helper()
 	data, err := os.ReadFile(path)
--- a/internal/testbed/ablation/ablation.go
+++ b/internal/testbed/ablation/ablation.go
@@ -1,5 +1,5 @@
 // Package ablation measures what each constraint of the module contributes: emulated days are played with one of them
-// disabled, and the rules checker or a paired comparison says what that changes.
+// disabled, and the rules checker or a paired comparison shows the effect.
 package ablation
 
 import (
--- a/internal/testbed/ablation/overload_test.go
+++ b/internal/testbed/ablation/overload_test.go
@@ -12,7 +12,7 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/scenario"
 )
 
-// overloadDay submits to four nodes a multiple of what they can run; ratePlaceholder stands for the rate.
+// overloadDay submits to four nodes a multiple of what they can run; ratePlaceholder is replaced by the rate.
 const overloadDay = `#Town
 about: "many times what four nodes bear"
 seconds: 20
--- a/internal/testbed/baseline/baseline.go
+++ b/internal/testbed/baseline/baseline.go
@@ -17,7 +17,7 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-// Strategy says how a machine is chosen among those that the constraints allow.
+// Strategy is the rule by which a machine is chosen among those that the constraints allow.
 type Strategy string
 
 // The strategies. The load of a machine is what this scheduler's own tasks and attempts request there.
--- a/internal/testbed/baseline/constraints.go
+++ b/internal/testbed/baseline/constraints.go
@@ -19,8 +19,8 @@
 	return t.Cores <= kind.Cores*max(c.cfg.CoreOvercommit, 1) && t.Memory <= kind.Memory*max(c.cfg.MemoryOvercommit, 1)
 }
 
-// retryIsSafe reports whether a task does not run twice if it is offered to the machine, whatever came of its earlier
-// attempts; or that this does no harm.
+// retryIsSafe reports whether an offer of the task to the machine can't run it twice, whatever the outcome of its earlier
+// attempts, or whether running it twice does no harm.
 func (c *Chooser) retryIsSafe(t *task, m *machine) bool {
 	for i := range t.attempts {
 		a := &t.attempts[i]
--- a/internal/testbed/baseline/place.go
+++ b/internal/testbed/baseline/place.go
@@ -72,7 +72,7 @@
 	return slices.ContainsFunc(t.attempts, func(a attempt) bool { return !a.neverRan })
 }
 
-// answer answers a task that is not placed. A Reject promises that the client may safely submit the task anew: that takes
+// answer answers a task that is not placed. A Reject promises that the client may safely submit the task again. This needs
 // proof that it never ran, or a class that permits repeated runs.
 func (c *Chooser) answer(t *task) {
 	t.answered = true
--- a/internal/testbed/worlds/config.go
+++ b/internal/testbed/worlds/config.go
@@ -60,8 +60,8 @@
 	return kinds[:1+draw(2, "further kinds")]
 }
 
-// classes draws the classes of tasks, two of them idempotent. Keys are kept for whole half seconds, or so briefly that many
-// retries come just before or after their end.
+// classes draws the classes of tasks, two of them idempotent. Keys expire after multiples of half a second, or so soon that many
+// retries are made just before or after they expire.
 func classes(draw Draw, kinds int) (classes []flaxshelf.Class) {
 	keyUnit := 500 * millisecond
 	if draw.yes("short keys") {
--- a/internal/testbed/worlds/machines.go
+++ b/internal/testbed/worlds/machines.go
@@ -23,7 +23,7 @@
 	return m
 }
 
-// setFreeCapacity draws what the list says is free: for half of the machines a round fraction of their kind.
+// setFreeCapacity draws the free capacity of the list: for half of the machines a round fraction of their kind.
 func (w *World) setFreeCapacity(m *flaxshelf.Machine) {
 	if !w.cfg.ListsFreeCapacity {
 		return
--- a/internal/testbed/worlds/world.go
+++ b/internal/testbed/worlds/world.go
@@ -90,7 +90,7 @@
 	}
 }
 
-// pause draws the time between two steps: rarely so long that removed machines are forgotten and evidence expires.
+// pause draws the time between two steps. It is rarely long enough that removed machines are forgotten and evidence expires.
 func (w *World) pause() time.Duration {
 	if w.random.IntN(100) == 0 {
 		return longPause
--- a/oracle_test.go
+++ b/oracle_test.go
@@ -47,7 +47,7 @@
 	listedAt Time
 }
 
-// startedAttempt names an attempt whose record says whether it is active.
+// startedAttempt identifies an attempt; its record has whether it is active.
 type startedAttempt struct {
 	task   *task
 	number int
@@ -81,7 +81,7 @@
 	return o
 }
 
-// differ records a difference; the first is kept.
+// differ records a difference unless one has been recorded.
 func (o *choiceOracle) differ(format string, args ...any) {
 	if o.err == nil {
 		o.err = fmt.Errorf("at %v: %s", o.placer.now, fmt.Sprintf(format, args...))
