--- a/constraints_hard.go
+++ b/constraints_hard.go
@@ -88,7 +88,7 @@
 		}
 	case CellDomain:
 		service.ClearFullDomains(eligible, machineindex.Cells, t.class.MaxPerDomain)
-	default:
+	case ZoneDomain:
 		service.ClearFullDomains(eligible, machineindex.Zones, t.class.MaxPerDomain)
 	}
 }
--- a/internal/daemon/inventory.go
+++ b/internal/daemon/inventory.go
@@ -30,6 +30,7 @@
 	return &inventoryHandler{daemon: d, front: nodefront.Inventory{Set: d.settings}}
 }
 
+// receiveFrame passes what the inventory sent to the cores, and logs a call that it reports as failed.
 func (h *inventoryHandler) receiveFrame(c *transport.Conn, frame *nodepb.Frame) error {
 	decoded, err := h.front.Decode(frame)
 	switch {
@@ -63,6 +64,7 @@
 	})
 }
 
+// connectionClosed logs the end of an established connection; attempts to connect again are logged by linkInventory.
 func (h *inventoryHandler) connectionClosed(reason error) {
 	h.daemon.log.Warn().Err(reason).Msg("inventory connection closed")
 }
--- a/internal/platform/watch.go
+++ b/internal/platform/watch.go
@@ -108,7 +108,7 @@
 }
 
 // start opens a stream that starts after position.last, and replaces the previous one. The stream's lifetime is owned by the
-// watch.
+// watch, which logs its end.
 func (w *endpointWatch) start(addr string, position watchPosition) {
 	w.cancelStream()
 	ctx, cancel := context.WithCancelCause(context.Background())
--- a/selection.go
+++ b/selection.go
@@ -4,7 +4,7 @@
 // later ones are skipped where they would leave too few machines, and the replay vote among the remaining candidates.
 
 // equivalenceClass is what determines, before a task's first offer, whether any machine may take it. Tasks with equal
-// fields share the answer within a step.
+// fields share the answer within a step, so a property of tasks that a hard constraint or capacity reads must be a field.
 type equivalenceClass struct {
 	class        int
 	service      string // only where spread is bounded
