--- a/affinity.go
+++ b/affinity.go
@@ -11,8 +11,8 @@
 // services in proportion to its weight, at every scheduler alike.
 
 // affinityPolicy is how the index ranks machines of the given kinds.
-func affinityPolicy(kinds []Kind) machineindex.AffinityPolicy {
-	policy := machineindex.AffinityPolicy{Compare: compareAffinity, TopFraction: topAffinityFraction}
+func affinityPolicy(kinds []MachineKind) machineindex.AffinityPolicy {
+	policy := machineindex.AffinityPolicy{Compare: compareAffinity, HashThreshold: topAffinityFraction}
 	for _, kind := range kinds {
 		policy.KindWeights = append(policy.KindWeights, kindWeight(kind, kinds))
 	}
@@ -40,8 +40,8 @@
 }
 
 // kindWeight returns the size of a kind of machine: the smaller of its fractions of the largest cores and memory.
-func kindWeight(kind Kind, kinds []Kind) float64 {
-	var largest Kind
+func kindWeight(kind MachineKind, kinds []MachineKind) float64 {
+	var largest MachineKind
 	for _, other := range kinds {
 		largest.Cores, largest.Memory = max(largest.Cores, other.Cores), max(largest.Memory, other.Memory)
 	}
--- a/answers.go
+++ b/answers.go
@@ -12,7 +12,7 @@
 // tenant's quota are served first, and among these the ones that can still start within their latency objective: when
 // capacity is short, they earn the most. See queueRankOf.
 func (p *Placer) serveOpenTasks() {
-	if !p.disabled[ObjectiveOrder] {
+	if !p.disabled[QueueRankOrder] {
 		p.sortOpenTasks()
 	}
 	for _, t := range p.openTasks {
--- a/api.go
+++ b/api.go
@@ -7,9 +7,9 @@
 //
 // # Files
 //
-// The interface of the package is in api.go, dispatch.go, config.go, constraint.go and enums.go; placer.go, machine.go and
-// task.go hold the records. Every decision is in the other files, which deploy/balancer.toml lists as policy. The sets,
-// columns and tables that the decisions read are kept by internal/machineindex.
+// The interface of the package is in api.go, action_handler.go, config.go, policy_rules.go and enums.go; placer.go,
+// machine.go and task.go hold the records. Every decision is in the other files, which deploy/balancer.toml lists as
+// policy. The sets, columns and tables that the decisions read are kept by internal/machineindex.
 package flaxshelf
 
 import "time"
@@ -47,8 +47,8 @@
 	FleetDomain
 )
 
-// Class is one class of tasks.
-type Class struct {
+// TaskClass is one class of tasks.
+type TaskClass struct {
 	Name        string
 	Idempotency Idempotency
 	// KeyDomain is the scope within which a second task of one key is dropped, for IdempotentByKey.
@@ -76,8 +76,8 @@
 	MaxPerDomain int
 }
 
-// Kind is one kind of machine.
-type Kind struct {
+// MachineKind is one kind of machine.
+type MachineKind struct {
 	Name   string
 	Cores  float64
 	Memory float64 // in the unit of Task.Memory
@@ -95,14 +95,14 @@
 
 // Prices are points that are subtracted from the result; zero means free.
 type Prices struct {
-	CrossZone   float64
-	Waste       float64
-	HealthCheck float64
-	Gossip      float64
-	Migration   float64
-	Discovery   float64
-	Fleet       float64 // machines in use
-	Rejection   float64
+	CrossZone     float64
+	Waste         float64
+	HealthCheck   float64
+	Gossip        float64
+	Migration     float64
+	Discovery     float64
+	MachinesInUse float64
+	Rejection     float64
 	// EvictionMigrations is the price of an eviction or preemption, in migrations.
 	EvictionMigrations float64
 }
@@ -117,8 +117,8 @@
 	Index      int
 	Schedulers int
 	Zone       string // of this scheduler
-	Classes    []Class
-	Kinds      []Kind
+	Classes    []TaskClass
+	Kinds      []MachineKind
 	Tenants    []Tenant
 	// OverQuotaWeight is the fraction of its value that a task beyond its tenant's quota earns; below 1, such tasks are
 	// queued last.
--- a/bench_test.go
+++ b/bench_test.go
@@ -47,14 +47,14 @@
 		DrainGrace:            time.Second,
 		CanCancel:             true,
 		ListsFreeCapacity:     s.listsCapacity,
-		Kinds:                 []flaxshelf.Kind{{Name: "small", Cores: 32, Memory: 128}, {Name: "big", Cores: 64, Memory: 256}},
-		Classes: []flaxshelf.Class{
+		Kinds:                 []flaxshelf.MachineKind{{Name: "small", Cores: 32, Memory: 128}, {Name: "big", Cores: 64, Memory: 256}},
+		Classes: []flaxshelf.TaskClass{
 			{Name: "a", Kind: -1, LatencyObjective: time.Second},
 			{Name: "large", Kind: -1, LatencyObjective: time.Second, Idempotency: flaxshelf.Idempotent},
 		},
 	}
 	if s.listsCapacity {
-		cfg.Prices.Fleet = 0.1
+		cfg.Prices.MachinesInUse = 0.1
 	}
 	if s.boundedSpread {
 		cfg.Classes[0].SpreadDomain, cfg.Classes[0].MaxPerDomain = flaxshelf.ZoneDomain, 8*tasksPerMachine
@@ -63,7 +63,7 @@
 }
 
 // machineList is the machines of the fleet.
-func (s fleetShape) machineList(kinds []flaxshelf.Kind) (list []flaxshelf.Machine) {
+func (s fleetShape) machineList(kinds []flaxshelf.MachineKind) (list []flaxshelf.Machine) {
 	for i := range s.machines {
 		kind := kinds[i%2]
 		list = append(list, flaxshelf.Machine{
--- a/capacity.go
+++ b/capacity.go
@@ -8,7 +8,7 @@
 // free capacity may not show them.
 func (p *Placer) recordListing(m *machine) {
 	m.coresSinceListed, m.memorySinceListed = 0, 0
-	p.index.AssumeSince(m.entry, p.now-listDelay)
+	p.index.SetAssumedSince(m.entry, p.now-listDelay)
 }
 
 // indexCapacity writes the capacity and the external load of a machine into the index; kindIndex is -1 for a machine
@@ -48,7 +48,7 @@
 // skipped when most machines are overloaded. It is wrong where one of the tasks is itself at fault.
 func (p *Placer) externalLoad(m *machine) float64 {
 	overload := 0.0
-	if p.now < m.overloadedUntil && !p.disabled[OverloadLoad] {
+	if p.now < m.overloadedUntil && !p.disabled[OverloadPenalty] {
 		overload = shortfallWeight * m.serviceShortfall
 	}
 	if !p.cfg.ListsFreeCapacity {
--- a/config.go
+++ b/config.go
@@ -51,7 +51,7 @@
 }
 
 // validateKind validates a kind of machine, whose path in Config is field.
-func validateKind(field string, kind Kind) error {
+func validateKind(field string, kind MachineKind) error {
 	if !(kind.Cores > 0) { // not a number is refused too
 		return &ConfigError{field + ".Cores", kind.Cores, "must be above 0"}
 	}
@@ -62,7 +62,7 @@
 }
 
 // validateClass validates a class of tasks, whose path in Config is field.
-func validateClass(field string, class Class, kinds int) error {
+func validateClass(field string, class TaskClass, kinds int) error {
 	switch {
 	case class.Kind < -1 || class.Kind >= kinds:
 		return &ConfigError{field + ".Kind", class.Kind, "no such kind"}
--- a/config_test.go
+++ b/config_test.go
@@ -49,7 +49,7 @@
 }
 
 func TestTaskIsPlacedWithMinimalConfig(t *testing.T) {
-	cfg := Config{Kinds: []Kind{{"k", 8, 8}}, Classes: []Class{{Name: "c", Kind: -1}}}
+	cfg := Config{Kinds: []MachineKind{{"k", 8, 8}}, Classes: []TaskClass{{Name: "c", Kind: -1}}}
 	p := startPlacer(t, cfg, nil)
 	if actions := p.Step(time.Second, []Event{submit("t", 0, 3*time.Second)}); len(offersOf(actions)) != 0 {
 		t.Fatalf("without machines got %v, want no offer", actions)
--- a/constraints_hard.go
+++ b/constraints_hard.go
@@ -87,9 +87,9 @@
 			}
 		}
 	case CellDomain:
-		service.ClearFullDomains(eligible, machineindex.Cells, t.class.MaxPerDomain)
+		service.ExcludeFullDomains(eligible, machineindex.Cells, t.class.MaxPerDomain)
 	case ZoneDomain:
-		service.ClearFullDomains(eligible, machineindex.Zones, t.class.MaxPerDomain)
+		service.ExcludeFullDomains(eligible, machineindex.Zones, t.class.MaxPerDomain)
 	}
 }
 
--- a/constraints_soft.go
+++ b/constraints_soft.go
@@ -19,7 +19,7 @@
 }
 
 // exclude applies a constraint unless it would leave fewer machines than least.
-func (f *softFilter) exclude(c Constraint, least uint, excluded *bitset.BitSet) {
+func (f *softFilter) exclude(c PolicyRule, least uint, excluded *bitset.BitSet) {
 	kept := f.eligible.DifferenceCardinality(excluded)
 	if kept >= least && kept < f.count && !f.placer.disabled[c] {
 		f.eligible.InPlaceDifference(excluded)
@@ -55,19 +55,19 @@
 			tried.Set(uint(number))
 		}
 	}
-	f.exclude(TriedConstraint, 1, tried)
+	f.exclude(PreviousAttemptConstraint, 1, tried)
 }
 
 // excludeFailing avoids ejected machines, and those that fail t's class. When over half are ejected, no single machine is
 // the cause; but a class may fail on most machines, so the few that serve it remain candidates.
 func (p *Placer) excludeFailing(t *task, f *softFilter) {
 	c := &p.conditions
-	f.exclude(FailingConstraint, max(minCandidates, f.count/2), c.failing)
+	f.exclude(EjectionConstraint, max(minCandidates, f.count/2), c.failing)
 	failingClass := c.failing
 	if t.Class >= 0 && t.Class < len(c.failingByClass) {
 		failingClass = c.failingByClass[t.Class]
 	}
-	f.exclude(ClassFailureConstraint, minCandidates, failingClass)
+	f.exclude(ClassEjectionConstraint, minCandidates, failingClass)
 }
 
 // excludeFull excludes machines without capacity, as far as known. A rejected offer is priced and uses up an attempt, so a
@@ -107,17 +107,17 @@
 		full.InPlaceUnion(p.conditions.offerLimited)
 	}
 	if p.cfg.ListsFreeCapacity && !p.disabled[CapacityConstraint] {
-		if !p.disabled[StaleCapacity] {
+		if !p.disabled[AssumedCapacity] {
 			p.index.UpdateAssumed(eligible.Difference(full))
 		}
-		p.index.AddLackingCapacity(eligible, full, t.Cores, t.Memory)
+		p.index.AddMachinesLackingCapacity(eligible, full, t.Cores, t.Memory)
 	}
 	return full
 }
 
 // consolidate narrows the choice to consolidationSet, where the settings price machines in use.
 func (p *Placer) consolidate(f *softFilter) {
-	if p.cfg.Prices.Fleet <= 0 || !p.cfg.ListsFreeCapacity || p.disabled[ConsolidationConstraint] {
+	if p.cfg.Prices.MachinesInUse <= 0 || !p.cfg.ListsFreeCapacity || p.disabled[ConsolidationConstraint] {
 		return
 	}
 	if used := p.consolidationSet(f.eligible); f.eligible.IntersectionCardinality(used) >= minCandidates {
@@ -170,7 +170,7 @@
 // was migrated from one of its preferred machines was placed on the other one (incident r0b92bb), and capacity is worth
 // more to it than the cached program.
 func (p *Placer) preferredMachines(t *task, eligible *bitset.BitSet) []machineindex.Candidate {
-	service := p.index.Service(t.Service)
+	service := p.index.FindOrAddService(t.Service)
 	if p.disabled[AffinityConstraint] {
 		return p.allAsCandidates(service, eligible)
 	}
@@ -180,13 +180,13 @@
 			list = append(list, p.index.Candidate(service, number))
 		}
 	}
-	first, second := p.index.BestTwo(service, eligible)
+	first, second := p.index.TopTwoByAffinity(service, eligible)
 	list = p.addCandidate(list, service, first)
 	if len(list) < minCandidates {
 		list = p.addCandidate(list, service, second)
 	}
 	if p.sizeOn(t, p.machinesByID[first]) > largeTaskSize {
-		first, second = p.index.BestTwo(service, eligible.Difference(p.conditions.overloaded))
+		first, second = p.index.TopTwoByAffinity(service, eligible.Difference(p.conditions.overloaded))
 		list = p.addCandidate(list, service, first)
 		list = p.addCandidate(list, service, second)
 	}
--- a/constraints_soft_test.go
+++ b/constraints_soft_test.go
@@ -120,7 +120,7 @@
 // Where machines in use are priced, only as many are used as the requests of the fleet need.
 func TestConsolidationUsesFullestMachines(t *testing.T) {
 	cfg := testConfig()
-	cfg.ListsFreeCapacity, cfg.Prices.Fleet = true, 0.25
+	cfg.ListsFreeCapacity, cfg.Prices.MachinesInUse = true, 0.25
 	machines := testMachines(6)
 	for i := range machines {
 		machines[i].FreeCores, machines[i].FreeMemory = 16, 50 // half of each is requested
--- a/enums_test.go
+++ b/enums_test.go
@@ -17,7 +17,7 @@
 		{Completed, "Completed"}, {NotSent, "NotSent"}, {Outcome(8), "Outcome(8)"},
 		{UnspecifiedReason, "UnspecifiedReason"}, {DrainedAway, "DrainedAway"}, {Reason(8), "Reason(8)"},
 		{TaskRunning, "TaskRunning"}, {MemoryPressure, "MemoryPressure"}, {UsageKind(0), "UsageKind(0)"},
-		{DrainConstraint, "drain"}, {Migrations, "moves"},
+		{DrainConstraint, "drain"}, {TaskMigration, "moves"},
 	} {
 		t.Run(c.want, func(t *testing.T) {
 			if got := c.value.String(); got != c.want {
--- a/event_source_test.go
+++ b/event_source_test.go
@@ -11,13 +11,13 @@
 	yes := func() bool { return random.IntN(2) == 0 }
 	cfg := testConfig()
 	cfg.Schedulers = 1 + random.IntN(4)
-	cfg.Kinds = []Kind{{"small", 16, 50}, {"big", 64, 200}}
+	cfg.Kinds = []MachineKind{{"small", 16, 50}, {"big", 64, 200}}
 	cfg.SlowStartBudget = float64(5 + random.IntN(30))
 	cfg.DiscoveryOnRequest, cfg.ListsFreeCapacity, cfg.CanCancel = yes(), yes(), yes()
-	cfg.Prices = Prices{CrossZone: float64(random.IntN(2)), Fleet: float64(random.IntN(2))}
+	cfg.Prices = Prices{CrossZone: float64(random.IntN(2)), MachinesInUse: float64(random.IntN(2))}
 	cfg.Classes = nil
 	for _, idempotency := range []Idempotency{Idempotent, IdempotentByKey, IdempotentByKey, NonIdempotent} {
-		cfg.Classes = append(cfg.Classes, Class{
+		cfg.Classes = append(cfg.Classes, TaskClass{
 			Name:             fmt.Sprint(len(cfg.Classes)),
 			Idempotency:      idempotency,
 			KeyDomain:        MachineDomain + TopologyDomain(random.IntN(4)),
--- a/evidence.go
+++ b/evidence.go
@@ -26,7 +26,7 @@
 	if placements < minCandidates {
 		return 0
 	}
-	gap := (p.now - p.history.Oldest()) / time.Duration(placements)
+	gap := (p.now - p.history.OldestOfferedAt()) / time.Duration(placements)
 	return min(failureMemory, gap*time.Duration(len(p.machinesByID)))
 }
 
--- a/example_test.go
+++ b/example_test.go
@@ -10,8 +10,8 @@
 // A Placer that knows one machine places one task.
 func Example() {
 	p, err := flaxshelf.New(flaxshelf.Config{
-		Kinds:   []flaxshelf.Kind{{Name: "small", Cores: 16, Memory: 64}},
-		Classes: []flaxshelf.Class{{Name: "web", Idempotency: flaxshelf.Idempotent, LatencyObjective: time.Second, Kind: -1}},
+		Kinds:   []flaxshelf.MachineKind{{Name: "small", Cores: 16, Memory: 64}},
+		Classes: []flaxshelf.TaskClass{{Name: "web", Idempotency: flaxshelf.Idempotent, LatencyObjective: time.Second, Kind: -1}},
 	}, 1)
 	if err != nil {
 		panic(err)
--- a/helpers_test.go
+++ b/helpers_test.go
@@ -16,8 +16,8 @@
 // testConfig is a valid configuration that tests modify.
 func testConfig() Config {
 	return Config{
-		Schedulers: 1, Zone: "a", Kinds: []Kind{{"k", 32, 100}}, CoreOvercommit: 2, MemoryOvercommit: 1.5,
-		Classes:     []Class{{Name: "c", Idempotency: Idempotent, LatencyObjective: time.Second, Kind: -1}},
+		Schedulers: 1, Zone: "a", Kinds: []MachineKind{{"k", 32, 100}}, CoreOvercommit: 2, MemoryOvercommit: 1.5,
+		Classes:     []TaskClass{{Name: "c", Idempotency: Idempotent, LatencyObjective: time.Second, Kind: -1}},
 		MaxAttempts: 3, CanCancel: true, Tick: 2 * millisecond, OverloadWindow: time.Second, SlowStartDuration: 10 * time.Second,
 		SlowStartBudget: 12, DiscoveryPollDeadline: 10 * time.Second,
 	}
--- a/internal/benchadapter/reader_test.go
+++ b/internal/benchadapter/reader_test.go
@@ -40,7 +40,7 @@
 	if config.Schedulers != 2 || !config.DiscoveryOnRequest || config.Tick != 2*time.Millisecond || len(config.Tenants) != 0 {
 		t.Errorf("got %+v, want 2 schedulers, discovery on request, a tick of 2 ms and no tenants", config)
 	}
-	want := []flaxshelf.Kind{{Name: "k1", Cores: 30, Memory: 86}, {Name: "k2", Cores: 48, Memory: 155}}
+	want := []flaxshelf.MachineKind{{Name: "k1", Cores: 30, Memory: 86}, {Name: "k2", Cores: 48, Memory: 155}}
 	if !reflect.DeepEqual(config.Kinds, want) {
 		t.Errorf("kinds: got %+v, want %+v", config.Kinds, want)
 	}
--- a/internal/fleetsettings/decode.go
+++ b/internal/fleetsettings/decode.go
@@ -82,30 +82,30 @@
 		Gossip:             f.Number("prices.peer"),
 		Migration:          f.Number("prices.moves"),
 		Discovery:          f.Number("prices.discovery"),
-		Fleet:              f.Number("prices.fleet"),
+		MachinesInUse:      f.Number("prices.fleet"),
 		Rejection:          f.Number("specifics.refusal_fee"),
 		EvictionMigrations: f.Number("specifics.eviction_as_moves"),
 	}
 }
 
-func decodeKinds(f *textfields.Fields) (kinds []flaxshelf.Kind) {
+func decodeKinds(f *textfields.Fields) (kinds []flaxshelf.MachineKind) {
 	for i, name := range f.List("kinds") {
-		kinds = append(kinds, flaxshelf.Kind{Name: name,
+		kinds = append(kinds, flaxshelf.MachineKind{Name: name,
 			Cores: f.NumberAt("specifics.kind_cores", i, 0), Memory: f.NumberAt("specifics.mem_of_kind", i, 0)})
 	}
 	return kinds
 }
 
-func decodeClasses(f *textfields.Fields) (classes []flaxshelf.Class) {
+func decodeClasses(f *textfields.Fields) (classes []flaxshelf.TaskClass) {
 	for i := range f.Count("categories.count") {
 		classes = append(classes, decodeClass(f, i))
 	}
 	return classes
 }
 
-func decodeClass(f *textfields.Fields, i int) flaxshelf.Class {
+func decodeClass(f *textfields.Fields, i int) flaxshelf.TaskClass {
 	path := fmt.Sprintf("categories.%d.", i)
-	class := flaxshelf.Class{
+	class := flaxshelf.TaskClass{
 		Name:                   f.RequiredText(path + "name"),
 		Idempotency:            textfields.Lookup(f, path+"effect", idempotencies, flaxshelf.NonIdempotent),
 		KeyDomain:              textfields.Lookup(f, path+"key_scope", topologyDomains, flaxshelf.FleetDomain),
--- a/internal/fleetsettings/decode_test.go
+++ b/internal/fleetsettings/decode_test.go
@@ -50,7 +50,7 @@
 		"prices.peer=0.5":                             {Prices: flaxshelf.Prices{Gossip: 0.5}},
 		"prices.moves=0.5":                            {Prices: flaxshelf.Prices{Migration: 0.5}},
 		"prices.discovery=0.5":                        {Prices: flaxshelf.Prices{Discovery: 0.5}},
-		"prices.fleet=0.5":                            {Prices: flaxshelf.Prices{Fleet: 0.5}},
+		"prices.fleet=0.5":                            {Prices: flaxshelf.Prices{MachinesInUse: 0.5}},
 		"specifics.refusal_fee=0.5":                   {Prices: flaxshelf.Prices{Rejection: 0.5}},
 		"specifics.eviction_as_moves=0.5":             {Prices: flaxshelf.Prices{EvictionMigrations: 0.5}},
 		"a.later.setting=1":                           {},
--- a/internal/fleetsettings/json_test.go
+++ b/internal/fleetsettings/json_test.go
@@ -32,7 +32,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	wantKinds := []flaxshelf.Kind{{Name: "a_b"}, {Name: "a_b"}, {Name: "c_d"}}
+	wantKinds := []flaxshelf.MachineKind{{Name: "a_b"}, {Name: "a_b"}, {Name: "c_d"}}
 	if !reflect.DeepEqual(config.Kinds, wantKinds) {
 		t.Errorf("kinds: got %+v, want %+v", config.Kinds, wantKinds)
 	}
--- a/internal/machineindex/affinity.go
+++ b/internal/machineindex/affinity.go
@@ -21,9 +21,9 @@
 	// Compare is above 0 where a ranks higher than b, and 0 where they are equal. Of two with one weight, the higher hash
 	// value must rank higher.
 	Compare func(a, b Affinity) int
-	// TopFraction returns the fraction of MaxHashValue that a machine of the given weight needs in order to be among the
+	// HashThreshold returns the fraction of MaxHashValue that a machine of the given weight needs in order to be among the
 	// first few of a fleet, in expectation.
-	TopFraction func(weight, totalWeight float64) float64
+	HashThreshold func(weight, totalWeight float64) float64
 }
 
 // Candidate is a machine with its affinity to a service.
@@ -63,8 +63,8 @@
 	return Candidate{number, idx.Affinity(s, number)}
 }
 
-// BestTwo returns the two machines of the set that have the highest affinity to a service; -1 where there are fewer.
-func (idx *Index) BestTwo(s *Service, machines *bitset.BitSet) (first, second int32) {
+// TopTwoByAffinity returns the two machines of the set that have the highest affinity to a service; -1 where there are fewer.
+func (idx *Index) TopTwoByAffinity(s *Service, machines *bitset.BitSet) (first, second int32) {
 	if s.topVersion != idx.fleetVersion {
 		idx.rankTopMachines(s)
 	}
@@ -137,6 +137,6 @@
 		}
 	}
 	for kind, weight := range weights {
-		t.thresholds[kind] = uint64(t.policy.TopFraction(weight, totalWeight) * MaxHashValue)
+		t.thresholds[kind] = uint64(t.policy.HashThreshold(weight, totalWeight) * MaxHashValue)
 	}
 }
--- a/internal/machineindex/affinity_test.go
+++ b/internal/machineindex/affinity_test.go
@@ -37,12 +37,12 @@
 		case 200:
 			f.index.SetKind(40, -1) // of unknown kind, it has weight 1 where it is in the set
 		}
-		service := f.index.Service(fmt.Sprint("s", random.IntN(40)))
+		service := f.index.FindOrAddService(fmt.Sprint("s", random.IntN(40)))
 		machines := f.randomSubset(random, []float64{0, 0.01, 0.1, 1}[round%4])
 		if round >= 200 {
 			machines.Clear(40)
 		}
-		first, second := f.index.BestTwo(service, machines)
+		first, second := f.index.TopTwoByAffinity(service, machines)
 		wantFirst, wantSecond := bestTwoByScan(f, service, machines)
 		if first != wantFirst || second != wantSecond {
 			t.Fatalf("round %d: got %d and %d, want %d and %d", round, first, second, wantFirst, wantSecond)
@@ -57,11 +57,11 @@
 	for number := range f.entries {
 		f.index.SetKind(number, number%2)
 	}
-	s, u := f.index.Service("s"), f.index.Service("u")
+	s, u := f.index.FindOrAddService("s"), f.index.FindOrAddService("u")
 	if a, b := f.index.Affinity(s, 2), f.index.Affinity(u, 2); a.HashValue == b.HashValue {
 		t.Errorf("two services have hash value %v", a.HashValue)
 	}
-	a, b := f.index.Affinity(s, 2), g.index.Affinity(g.index.Service("s"), 1)
+	a, b := f.index.Affinity(s, 2), g.index.Affinity(g.index.FindOrAddService("s"), 1)
 	if a.HashValue != b.HashValue {
 		t.Errorf("hash values %v and %v in two indices, want equal ones", a.HashValue, b.HashValue)
 	}
--- a/internal/machineindex/assumed.go
+++ b/internal/machineindex/assumed_capacity.go
@@ -31,11 +31,11 @@
 	a.checked = bitset.MustNew(uint(machines))
 }
 
-// AssumeSince has the placements on a machine count as assumed that were offered at the given time or later.
-func (idx *Index) AssumeSince(e *Entry, since time.Duration) { e.assumed.since = since }
+// SetAssumedSince sets the time of offer from which on the placements on a machine count as assumed.
+func (idx *Index) SetAssumedSince(e *Entry, since time.Duration) { e.assumed.since = since }
 
-// ExpireAssumed makes the sums of assumed capacity void. It must be called at the start of each step.
-func (idx *Index) ExpireAssumed() { idx.assumed.current = false }
+// InvalidateAssumed makes the sums of assumed capacity void. It must be called at the start of each step.
+func (idx *Index) InvalidateAssumed() { idx.assumed.current = false }
 
 // UpdateAssumed subtracts assumed placements from the free capacity of the given machines.
 func (idx *Index) UpdateAssumed(machines *bitset.BitSet) {
--- a/internal/machineindex/capacity.go
+++ b/internal/machineindex/capacity.go
@@ -52,8 +52,8 @@
 	idx.capacity.requestedCores[number], idx.capacity.requestedMemory[number] = 0, 0
 }
 
-// AddLackingCapacity adds to lacking the given machines that have less free than cores and memory.
-func (idx *Index) AddLackingCapacity(machines, lacking *bitset.BitSet, cores, memory float64) {
+// AddMachinesLackingCapacity adds to lacking those of the given machines that have less free than cores or memory.
+func (idx *Index) AddMachinesLackingCapacity(machines, lacking *bitset.BitSet, cores, memory float64) {
 	c := &idx.capacity
 	from, to := machines.Words(), lacking.Words()
 	for w := range from {
--- a/internal/machineindex/capacity_test.go
+++ b/internal/machineindex/capacity_test.go
@@ -45,7 +45,7 @@
 		f.index.SetCapacity(number, Capacity{FreeCores: free[0], FreeMemory: free[1]})
 	}
 	lacking := f.setOf(3)
-	f.index.AddLackingCapacity(f.setOf(0, 1, 3), lacking, 4, 4)
+	f.index.AddMachinesLackingCapacity(f.setOf(0, 1, 3), lacking, 4, 4)
 	if got, want := members(lacking), []int{1, 3}; !slices.Equal(got, want) {
 		t.Errorf("lacking %v, want %v: machine 2 is not in question, 3 was in the set before", got, want)
 	}
--- a/internal/machineindex/helpers_test.go
+++ b/internal/machineindex/helpers_test.go
@@ -32,7 +32,7 @@
 			Compare: func(a, b Affinity) int {
 				return cmp.Compare(math.Log(a.HashValue/MaxHashValue)/a.Weight, math.Log(b.HashValue/MaxHashValue)/b.Weight)
 			},
-			TopFraction: func(weight, totalWeight float64) float64 { return math.Exp(-5 / totalWeight * weight) },
+			HashThreshold: func(weight, totalWeight float64) float64 { return math.Exp(-5 / totalWeight * weight) },
 		},
 		HistoryLimit:    testHistoryLimit,
 		MaxIdleServices: 2,
--- a/internal/machineindex/history.go
+++ b/internal/machineindex/history.go
@@ -34,8 +34,8 @@
 // Len returns the number of placements, with those forgotten since the last Prune.
 func (h *History) Len() int { return len(h.placements) }
 
-// Oldest returns when the first placement was offered. The history must not be empty.
-func (h *History) Oldest() time.Duration { return h.placements[0].OfferedAt }
+// OldestOfferedAt returns when the first placement was offered. The history must not be empty.
+func (h *History) OldestOfferedAt() time.Duration { return h.placements[0].OfferedAt }
 
 // Recent returns the part of the history that counts: at most Options.HistoryLimit placements, also within a step that
 // makes thousands. The caller must not change the result, which is valid until the next Prune.
--- a/internal/machineindex/history_test.go
+++ b/internal/machineindex/history_test.go
@@ -84,7 +84,7 @@
 		t.Errorf("%d placements after pruning by number, want %d", got, want)
 	}
 	h.Prune(20 * time.Second)
-	if got, want := h.Oldest(), 20*time.Second; got != want {
+	if got, want := h.OldestOfferedAt(), 20*time.Second; got != want {
 		t.Errorf("the oldest placement is of %v after pruning by time, want %v", got, want)
 	}
 	h.ForgetMachine(f.entries[0], 40*time.Second)
@@ -119,9 +119,9 @@
 	now := time.Second
 	for step := range 200 {
 		now += time.Second
-		f.index.ExpireAssumed()
+		f.index.InvalidateAssumed()
 		listed := random.IntN(8)
-		f.index.AssumeSince(f.entries[listed], now-3*time.Second)
+		f.index.SetAssumedSince(f.entries[listed], now-3*time.Second)
 		for range 5 {
 			machines := f.randomSubset(random, 0.5)
 			f.index.UpdateAssumed(machines)
--- a/internal/machineindex/services.go
+++ b/internal/machineindex/services.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// Service returns the record of a service, which it adds where there is none.
-func (idx *Index) Service(name string) *Service {
+// FindOrAddService returns the record of a service, which it adds where there is none.
+func (idx *Index) FindOrAddService(name string) *Service {
 	s := idx.services.byName[name]
 	if s == nil {
 		s = &Service{nameHash: Hash(name), zones: domainCounts{}, cells: domainCounts{}}
@@ -66,7 +66,7 @@
 func (idx *Index) AddAttempt(service string, e *Entry) {
 	count := e.attempts[service]
 	if count == nil {
-		count = &attemptCount{service: idx.Service(service), position: -1}
+		count = &attemptCount{service: idx.FindOrAddService(service), position: -1}
 		e.attempts[service] = count
 		if !idx.renumberPending {
 			count.service.addMachine(count, int32(e.number))
@@ -113,8 +113,8 @@
 // caller must not change the result, which is valid until the next attempt is added or removed.
 func (s *Service) Machines() []int32 { return s.machines }
 
-// ClearFullDomains removes from machines those that are in a domain with limit active attempts of the service or more.
-func (s *Service) ClearFullDomains(machines *bitset.BitSet, scope DomainScope, limit int) {
+// ExcludeFullDomains removes from machines those that are in a domain with limit active attempts of the service or more.
+func (s *Service) ExcludeFullDomains(machines *bitset.BitSet, scope DomainScope, limit int) {
 	counts := s.zones
 	if scope == Cells {
 		counts = s.cells
--- a/internal/machineindex/services_test.go
+++ b/internal/machineindex/services_test.go
@@ -40,7 +40,7 @@
 // check compares the counts of the index with those of the scan.
 func (s *serviceScan) check(service string, limit int) {
 	s.f.t.Helper()
-	record := s.f.index.Service(service)
+	record := s.f.index.FindOrAddService(service)
 	located := func(a, b *Entry) bool { return s.zoneOf[a] != "" && s.zoneOf[b] != "" }
 	sameZone := func(a, b *Entry) bool { return located(a, b) && s.zoneOf[a] == s.zoneOf[b] }
 	sameCell := func(a, b *Entry) bool { return located(a, b) && s.cellOf[a] == s.cellOf[b] }
@@ -54,7 +54,7 @@
 		{Cells, s.fullBy(service, limit, sameCell)},
 	} {
 		left := s.f.all()
-		record.ClearFullDomains(left, c.scope, limit)
+		record.ExcludeFullDomains(left, c.scope, limit)
 		if got := members(s.f.all().Difference(left)); !slices.Equal(got, c.want) {
 			s.f.t.Fatalf("scope %d, %s, limit %d: full %v, want %v", c.scope, service, limit, got, c.want)
 		}
--- a/internal/replay/fixtures_test.go
+++ b/internal/replay/fixtures_test.go
@@ -15,7 +15,7 @@
 		Schedulers: 2,
 		Zone:       "zone-a",
 		Classes:    storedClasses(),
-		Kinds: []flaxshelf.Kind{
+		Kinds: []flaxshelf.MachineKind{
 			{Name: "small", Cores: 8, Memory: 32},
 			{Name: "large", Cores: 16, Memory: 64},
 		},
@@ -31,7 +31,7 @@
 			Gossip:             0.04,
 			Migration:          0.05,
 			Discovery:          0.06,
-			Fleet:              0.07,
+			MachinesInUse:      0.07,
 			Rejection:          0.08,
 			EvictionMigrations: 2,
 		},
@@ -60,8 +60,8 @@
 	}
 }
 
-func storedClasses() []flaxshelf.Class {
-	return []flaxshelf.Class{
+func storedClasses() []flaxshelf.TaskClass {
+	return []flaxshelf.TaskClass{
 		{
 			Name:                   "service",
 			Idempotency:            flaxshelf.Idempotent,
--- a/internal/replay/record.go
+++ b/internal/replay/record.go
@@ -65,7 +65,7 @@
 	Message       float64 `model:"Gossip"`
 	Moves         float64 `model:"Migration"`
 	Discovery     float64
-	Fleet         float64
+	Fleet         float64 `model:"MachinesInUse"`
 	Refused       float64 `model:"Rejection"`
 	EvictionMoves float64 `model:"EvictionMigrations"`
 }
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -14,8 +14,8 @@
 // step 11.
 func recordSteps(t testing.TB, change func(actions []flaxshelf.Action) []flaxshelf.Action) []byte {
 	t.Helper()
-	cfg := flaxshelf.Config{Kinds: []flaxshelf.Kind{{Name: "k", Cores: 8, Memory: 8}},
-		Classes: []flaxshelf.Class{{Name: "c", LatencyObjective: time.Second, Kind: -1}}}
+	cfg := flaxshelf.Config{Kinds: []flaxshelf.MachineKind{{Name: "k", Cores: 8, Memory: 8}},
+		Classes: []flaxshelf.TaskClass{{Name: "c", LatencyObjective: time.Second, Kind: -1}}}
 	p, err := flaxshelf.New(cfg, 3)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/requests/harness_test.go
+++ b/internal/requests/harness_test.go
@@ -40,8 +40,8 @@
 		DrainGrace:       2 * time.Second,
 		CoreOvercommit:   1.5,
 		MemoryOvercommit: 1.5,
-		Kinds:            []flaxshelf.Kind{{Name: "k", Cores: 32, Memory: 64}},
-		Classes: []flaxshelf.Class{
+		Kinds:            []flaxshelf.MachineKind{{Name: "k", Cores: 32, Memory: 64}},
+		Classes: []flaxshelf.TaskClass{
 			classIdempotent: {Name: "safe", Idempotency: flaxshelf.Idempotent, LatencyObjective: 600 * time.Millisecond,
 				PriorityWeight: 1, Kind: -1},
 			classKeyed: {Name: "keyed", Idempotency: flaxshelf.IdempotentByKey, KeyDomain: flaxshelf.ZoneDomain,
--- a/internal/scheduler/helpers_test.go
+++ b/internal/scheduler/helpers_test.go
@@ -30,8 +30,8 @@
 			SlowStartDuration:     10 * time.Second,
 			OverloadWindow:        2 * time.Second,
 			SlowStartBudget:       4,
-			Kinds:                 []flaxshelf.Kind{{Name: "small", Cores: 8, Memory: 32}},
-			Classes: []flaxshelf.Class{
+			Kinds:                 []flaxshelf.MachineKind{{Name: "small", Cores: 8, Memory: 32}},
+			Classes: []flaxshelf.TaskClass{
 				{Name: "safe", Idempotency: flaxshelf.Idempotent, LatencyObjective: time.Second, Kind: -1},
 				{Name: "keyed", Idempotency: flaxshelf.IdempotentByKey, KeyDomain: flaxshelf.ZoneDomain,
 					KeyTTL: 5 * time.Second, LatencyObjective: time.Second, Kind: -1},
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -117,7 +117,7 @@
 // removed from it.
 func (c *Core) knownClass(class int) bool { return class >= 0 && class < len(c.cfg.Module.Classes) }
 
-func (c *Core) classOf(job *job) *flaxshelf.Class { return &c.cfg.Module.Classes[job.spec.Class] }
+func (c *Core) classOf(job *job) *flaxshelf.TaskClass { return &c.cfg.Module.Classes[job.spec.Class] }
 
 func (c *Core) isIdempotent(job *job) bool {
 	return c.classOf(job).Idempotency == flaxshelf.Idempotent
--- a/internal/scheduler/script_input_test.go
+++ b/internal/scheduler/script_input_test.go
@@ -106,7 +106,7 @@
 // spec returns a job of a class of testConfig. The class is -1 if testConfig does not have it.
 func (l *scriptLine) spec(class string) Spec {
 	l.t.Helper()
-	isClass := func(c flaxshelf.Class) bool { return c.Name == class }
+	isClass := func(c flaxshelf.TaskClass) bool { return c.Name == class }
 	return Spec{
 		Key:        l.options["key"],
 		Session:    l.options["session"],
--- a/internal/settings/module.go
+++ b/internal/settings/module.go
@@ -38,7 +38,7 @@
 		Schedulers:            s.Schedulers,
 		Zone:                  s.Zone,
 		OverQuotaWeight:       s.OverQuotaWeight,
-		Prices:                flaxshelf.Prices{CrossZone: s.CrossZonePrice, Fleet: s.FleetPrice},
+		Prices:                flaxshelf.Prices{CrossZone: s.CrossZonePrice, MachinesInUse: s.FleetPrice},
 		CoreOvercommit:        r.CoreOvercommit,
 		MemoryOvercommit:      r.MemoryOvercommit,
 		PlacedWhenRunning:     s.PlacedWhenRunning,
@@ -58,7 +58,7 @@
 		SlowStartBudget:       r.SlowStartBudget,
 	}
 	for _, k := range s.Kinds {
-		c.Kinds = append(c.Kinds, flaxshelf.Kind{Name: k.Name, Cores: k.Cores, Memory: k.Memory})
+		c.Kinds = append(c.Kinds, flaxshelf.MachineKind{Name: k.Name, Cores: k.Cores, Memory: k.Memory})
 	}
 	for i := range s.Classes {
 		c.Classes = append(c.Classes, s.moduleClass(&s.Classes[i]))
@@ -70,8 +70,8 @@
 	return c
 }
 
-func (s *Scheduler) moduleClass(c *Class) flaxshelf.Class {
-	return flaxshelf.Class{
+func (s *Scheduler) moduleClass(c *Class) flaxshelf.TaskClass {
+	return flaxshelf.TaskClass{
 		Name:                   c.Name,
 		Idempotency:            c.ModuleIdempotency(),
 		KeyDomain:              c.ModuleKeyDomain(),
--- a/internal/shard/cores_test.go
+++ b/internal/shard/cores_test.go
@@ -52,8 +52,8 @@
 			AnswerSlack:           100 * time.Millisecond,
 			DrainGrace:            2 * time.Second,
 			DiscoveryPollDeadline: 10 * time.Second,
-			Kinds:                 []flaxshelf.Kind{{Name: "k", Cores: 64, Memory: 256}},
-			Classes:               []flaxshelf.Class{{Name: "c", LatencyObjective: time.Second, Kind: -1}},
+			Kinds:                 []flaxshelf.MachineKind{{Name: "k", Cores: 64, Memory: 256}},
+			Classes:               []flaxshelf.TaskClass{{Name: "c", LatencyObjective: time.Second, Kind: -1}},
 		},
 		Limits: scheduler.Limits{
 			MaxPending:        1 << 20,
--- a/internal/shard/shard_test.go
+++ b/internal/shard/shard_test.go
@@ -20,7 +20,7 @@
 		Module: flaxshelf.Config{
 			Index:      2,
 			Schedulers: 3,
-			Classes:    []flaxshelf.Class{{Name: "c", SpreadDomain: spread, MaxPerDomain: 3}},
+			Classes:    []flaxshelf.TaskClass{{Name: "c", SpreadDomain: spread, MaxPerDomain: 3}},
 		},
 		Limits: scheduler.Limits{MaxPending: 10, MaxRunning: 11, MaxFinished: 2},
 	}
--- a/internal/shard/shardmap.go
+++ b/internal/shard/shardmap.go
@@ -29,7 +29,7 @@
 // New returns the map of one incarnation of a scheduler. If any class has a spread limit, all tasks of a service are on one
 // core, which counts them exactly; with any other division, adopted tasks could exceed the limit.
 func New(name string, cfg scheduler.Config, cores int) *Map {
-	isSpread := func(class flaxshelf.Class) bool { return class.SpreadDomain != flaxshelf.NoDomain }
+	isSpread := func(class flaxshelf.TaskClass) bool { return class.SpreadDomain != flaxshelf.NoDomain }
 	m := &Map{
 		cores:     cores,
 		byService: cores > 1 && slices.ContainsFunc(cfg.Module.Classes, isSpread),
--- a/internal/testbed/ablation/ablation.go
+++ b/internal/testbed/ablation/ablation.go
@@ -17,7 +17,7 @@
 
 // HardConstraint is a hard constraint with a day on which a rule is broken without it.
 type HardConstraint struct {
-	Constraint flaxshelf.Constraint
+	Constraint flaxshelf.PolicyRule
 	// Guards are those of the scheduler core that enforce the same rule once more: with them enabled, no rule is broken.
 	Guards scheduler.Guards
 	Day    string
@@ -58,7 +58,7 @@
 }
 
 // Options returns options that disable guards and constraints in every scheduler of a day.
-func Options(seed uint64, guards scheduler.Guards, disabled ...flaxshelf.Constraint) emulator.Options {
+func Options(seed uint64, guards scheduler.Guards, disabled ...flaxshelf.PolicyRule) emulator.Options {
 	return emulator.Options{
 		Seed:          seed,
 		ConfigureCore: func(c *scheduler.Config) { c.DisabledGuards = guards },
@@ -92,7 +92,7 @@
 
 // MeasureDay plays a day with constraints disabled, over the seeds from 1 on, and returns the outcome of each. It plays
 // as many at a time as there are processors.
-func MeasureDay(ctx context.Context, day string, seeds int, disabled ...flaxshelf.Constraint) ([]Outcome, error) {
+func MeasureDay(ctx context.Context, day string, seeds int, disabled ...flaxshelf.PolicyRule) ([]Outcome, error) {
 	d, err := scenario.Read(day)
 	if err != nil {
 		return nil, err
--- a/internal/testbed/ablation/ablation_test.go
+++ b/internal/testbed/ablation/ablation_test.go
@@ -21,7 +21,7 @@
 	for _, h := range HardConstraints {
 		t.Run(h.Constraint.String(), func(t *testing.T) {
 			t.Parallel()
-			play := func(guards scheduler.Guards, disabled ...flaxshelf.Constraint) []bool {
+			play := func(guards scheduler.Guards, disabled ...flaxshelf.PolicyRule) []bool {
 				broken, _, err := BrokenRules(context.Background(), h.Day, Options(hardConstraintSeed, guards, disabled...))
 				if err != nil {
 					t.Fatal(err)
@@ -110,7 +110,7 @@
 		with[day] = measureDay(t, day, seeds)
 	}
 	var table strings.Builder
-	for _, c := range flaxshelf.Constraints() {
+	for _, c := range flaxshelf.PolicyRules() {
 		if c.IsHard() {
 			continue
 		}
@@ -130,7 +130,7 @@
 	return table.String()
 }
 
-func measureDay(t *testing.T, day string, seeds int, disabled ...flaxshelf.Constraint) []Outcome {
+func measureDay(t *testing.T, day string, seeds int, disabled ...flaxshelf.PolicyRule) []Outcome {
 	t.Helper()
 	outcomes, err := MeasureDay(context.Background(), day, seeds, disabled...)
 	if err != nil {
--- a/internal/testbed/ablation/overload_test.go
+++ b/internal/testbed/ablation/overload_test.go
@@ -52,7 +52,7 @@
 	}
 }
 
-func playOverload(t *testing.T, d *scenario.Day, disabled ...flaxshelf.Constraint) []Outcome {
+func playOverload(t *testing.T, d *scenario.Day, disabled ...flaxshelf.PolicyRule) []Outcome {
 	t.Helper()
 	var outcomes []Outcome
 	for i := range overloadSeeds {
--- a/internal/testbed/baseline/baseline.go
+++ b/internal/testbed/baseline/baseline.go
@@ -93,7 +93,7 @@
 
 type task struct {
 	flaxshelf.Task
-	class    *flaxshelf.Class
+	class    *flaxshelf.TaskClass
 	attempts []attempt
 	answered bool // it needs no further attempt
 }
--- a/internal/testbed/worlds/config.go
+++ b/internal/testbed/worlds/config.go
@@ -44,15 +44,15 @@
 		OverQuotaWeight:       0.3,
 	}
 	cfg.Index = draw(cfg.Schedulers-1, "index")
-	cfg.Prices.Fleet = float64(draw(1, "fleet priced"))
+	cfg.Prices.MachinesInUse = float64(draw(1, "fleet priced"))
 	cfg.Prices.Migration = float64(draw(2, "migration price")) / 4
 	cfg.Classes = classes(draw, len(cfg.Kinds))
 	return cfg
 }
 
 // kinds draws one to three kinds of machines. The third is large in cores alone.
-func kinds(draw Draw) []flaxshelf.Kind {
-	kinds := []flaxshelf.Kind{
+func kinds(draw Draw) []flaxshelf.MachineKind {
+	kinds := []flaxshelf.MachineKind{
 		{Name: "small", Cores: 16, Memory: 50},
 		{Name: "big", Cores: 64, Memory: 200},
 		{Name: "wide", Cores: 64, Memory: 100},
@@ -62,7 +62,7 @@
 
 // classes draws the classes of tasks, two of them idempotent. Keys expire after multiples of half a second, or so soon that many
 // retries are made just before or after they expire.
-func classes(draw Draw, kinds int) (classes []flaxshelf.Class) {
+func classes(draw Draw, kinds int) (classes []flaxshelf.TaskClass) {
 	keyUnit := 500 * millisecond
 	if draw.yes("short keys") {
 		keyUnit = 30 * millisecond
@@ -70,7 +70,7 @@
 	for i, idempotency := range []flaxshelf.Idempotency{
 		flaxshelf.Idempotent, flaxshelf.Idempotent, flaxshelf.IdempotentByKey, flaxshelf.NonIdempotent,
 	} {
-		classes = append(classes, flaxshelf.Class{
+		classes = append(classes, flaxshelf.TaskClass{
 			Name:             fmt.Sprint(i),
 			Idempotency:      idempotency,
 			KeyDomain:        flaxshelf.MachineDomain + flaxshelf.TopologyDomain(draw(3, "key domain")),
--- a/machine.go
+++ b/machine.go
@@ -63,7 +63,7 @@
 	position, _ := slices.BinarySearchFunc(p.machinesByID, id, compareID)
 	p.machinesByID = slices.Insert(p.machinesByID, position, m)
 	m.entry = p.index.Insert(position, id)
-	p.index.AssumeSince(m.entry, -listDelay)
+	p.index.SetAssumedSince(m.entry, -listDelay)
 	return m
 }
 
--- a/migration.go
+++ b/migration.go
@@ -19,7 +19,7 @@
 		a.poorServiceSince = p.now
 	}
 	a.poorServiceAt = p.now
-	if a.migrating || t.class == &p.unknownClass || p.disabled[Migrations] ||
+	if a.migrating || t.class == &p.unknownClass || p.disabled[TaskMigration] ||
 		p.now-a.poorServiceSince < overloadDuration/2 || !p.migrationPays(t, shortfall) {
 		return
 	}
--- a/migration_test.go
+++ b/migration_test.go
@@ -11,7 +11,7 @@
 type migrationCase struct {
 	name      string
 	change    func(*Config)
-	disabled  []Constraint
+	disabled  []PolicyRule
 	levels    [3]float64    // of task a, in successive reports
 	interval  time.Duration // between reports; zero means a second
 	elsewhere float64       // service level of the tasks on the other machines
@@ -38,7 +38,7 @@
 			levels: [3]float64{0.4, 0.4, 0.4}, elsewhere: 1},
 		{name: "starts take longer than lifetimes", levels: [3]float64{0.4, 0.4, 0.4}, elsewhere: 1,
 			change: func(cfg *Config) { cfg.Classes[0].LatencyObjective = time.Minute }},
-		{name: "disabled", disabled: []Constraint{Migrations}, levels: [3]float64{0.4, 0.4, 0.4}, elsewhere: 1},
+		{name: "disabled", disabled: []PolicyRule{TaskMigration}, levels: [3]float64{0.4, 0.4, 0.4}, elsewhere: 1},
 	} {
 		t.Run(c.name, func(t *testing.T) { c.run(t) })
 	}
--- a/oracle_scan_test.go
+++ b/oracle_scan_test.go
@@ -192,7 +192,7 @@
 	if len(left) == 0 {
 		return nil
 	}
-	if p.cfg.Prices.Fleet > 0 && p.cfg.ListsFreeCapacity {
+	if p.cfg.Prices.MachinesInUse > 0 && p.cfg.ListsFreeCapacity {
 		used := o.scanConsolidation(left)
 		leave(2, "consolidation", func(m *machine) bool { return !slices.Contains(used, m) })
 	}
@@ -339,7 +339,7 @@
 // rank is the rendezvous rank of m for a service: a number in (0, 1] from a hash, to the power of one over the machine's
 // weight. The weight is the smaller of its fractions of the largest cores and the largest memory.
 func (o *choiceOracle) rank(service string, m *machine) float64 {
-	var most Kind
+	var most MachineKind
 	for _, kind := range o.placer.cfg.Kinds {
 		most.Cores, most.Memory = max(most.Cores, kind.Cores), max(most.Memory, kind.Memory)
 	}
--- a/placer.go
+++ b/placer.go
@@ -12,7 +12,7 @@
 // Placer makes the decisions of one scheduler. It is not safe for concurrent use.
 type Placer struct {
 	cfg      Config
-	disabled [constraintCount]bool // by Disable
+	disabled [policyRuleCount]bool // by Disable
 
 	// random draws from randomSource, which the vote also reads directly. Equal inputs give equal decisions only while the
 	// sequence of draws is the same.
@@ -50,7 +50,7 @@
 	subscribeAt       Time // when to subscribe next; zero means never
 	discoveryFailures int  // in a row
 
-	unknownClass Class // of tasks whose class is not in the settings
+	unknownClass TaskClass // of tasks whose class is not in the settings
 }
 
 // New returns the Placer of one scheduler. Equal settings, seeds and events give equal actions. Invalid settings give a
@@ -79,6 +79,6 @@
 		tasks:        map[string]*task{},
 		lifetimes:    make([]lifetimeStats, len(cfg.Classes)),
 		tenantCores:  map[int]float64{},
-		unknownClass: Class{Idempotency: NonIdempotent, Kind: -1},
+		unknownClass: TaskClass{Idempotency: NonIdempotent, Kind: -1},
 	}, nil
 }
--- a/retention.go
+++ b/retention.go
@@ -46,7 +46,7 @@
 // forgetMachinePlacements removes the placements on a removed or restarted machine from the history. With them the machine
 // would look full after its next start.
 func (p *Placer) forgetMachinePlacements(m *machine) {
-	if !p.disabled[ForgetRemovedPlacements] {
+	if !p.disabled[ForgetRemovedMachinePlacements] {
 		p.history.ForgetMachine(m.entry, p.now)
 	}
 }
--- a/rule_checker_test.go
+++ b/rule_checker_test.go
@@ -163,7 +163,7 @@
 	}
 }
 
-func (c *ruleChecker) checkMachine(offer Offer, class Class) {
+func (c *ruleChecker) checkMachine(offer Offer, class TaskClass) {
 	machine, ok := c.machines[offer.Machine]
 	if !ok {
 		c.t.Errorf("%v: offer to unlisted %s", c.now, offer.Machine)
@@ -177,7 +177,7 @@
 }
 
 // checkRetry checks that a further attempt does no harm.
-func (c *ruleChecker) checkRetry(offer Offer, task *checkedTask, class Class) {
+func (c *ruleChecker) checkRetry(offer Offer, task *checkedTask, class TaskClass) {
 	if len(task.attempts) >= c.cfg.MaxAttempts {
 		c.t.Errorf("%v: too many attempts of %s", c.now, offer.Task)
 	}
@@ -195,7 +195,7 @@
 	}
 }
 
-func (c *ruleChecker) checkSpread(offer Offer, task *checkedTask, class Class) {
+func (c *ruleChecker) checkSpread(offer Offer, task *checkedTask, class TaskClass) {
 	if class.SpreadDomain == NoDomain {
 		return
 	}
--- a/step.go
+++ b/step.go
@@ -10,7 +10,7 @@
 		p.subscribeFirst(now)
 	}
 	p.now, p.actions = max(now, p.now), nil
-	p.index.ExpireAssumed()
+	p.index.InvalidateAssumed()
 	p.index.InvalidateExpired(p.now)
 	clear(p.infeasible)
 	if p.timerDue <= p.now {
--- a/task.go
+++ b/task.go
@@ -5,7 +5,7 @@
 // task is a submitted or adopted task with its attempts.
 type task struct {
 	Task
-	class       *Class
+	class       *TaskClass
 	submittedAt Time
 	attempts    []attempt
 	settled     bool // it has its final answer or needs none
--- a/vote_test.go
+++ b/vote_test.go
@@ -90,7 +90,7 @@
 // may every service start on all of its preferred machines, nor the small machines fill first.
 func TestTiesGoToHigherAffinity(t *testing.T) {
 	cfg := testConfig()
-	cfg.Kinds = append(cfg.Kinds, Kind{"big", 96, 300})
+	cfg.Kinds = append(cfg.Kinds, MachineKind{"big", 96, 300})
 	machines := testMachines(8)
 	for i := range 4 {
 		machines[i].Kind = 1
