--- a/internal/machineindex/affinity.go
+++ b/internal/machineindex/affinity.go
@@ -6,46 +6,46 @@
 	"github.com/bits-and-blooms/bitset"
 )
 
-// Affinity is how a machine ranks as a host of a service, see AffinityPolicy.
+// Affinity determines how a machine ranks as a host of a service, see AffinityPolicy.
 type Affinity struct {
-	HashValue float64 // of machine and service, above 0 and at most 1<<53
-	Weight    float64 // of the machine's kind
+	HashValue float64 // hash of machine and service: an integer from 1 to MaxHashValue
+	Weight    float64 // of the machine's kind; 1 for a machine without a kind
 }
 
 // MaxHashValue is the largest Affinity.HashValue.
 const MaxHashValue = 1 << 53
 
-// AffinityPolicy is what an Index needs of the rules that rank machines as hosts of a service.
+// AffinityPolicy determines how an Index ranks machines as hosts of a service.
 type AffinityPolicy struct {
-	KindWeights []float64 // by kind, above 0
-	// Compare is above 0 where a ranks higher than b, and 0 where they are equal. Of two with one weight, the higher hash
-	// value must rank higher.
+	KindWeights []float64 // by kind, positive
+	// Compare returns a positive value if a ranks higher than b, a negative value if it ranks lower, and 0 if they are
+	// equal. Of two affinities of the same weight, the one with the higher hash value must rank higher.
 	Compare func(a, b Affinity) int
-	// HashThreshold returns the fraction of MaxHashValue that a machine of the given weight needs in order to be among the
-	// first few of a fleet, in expectation.
+	// HashThreshold returns the hash value, as a fraction of MaxHashValue, from which on a machine of the given weight is
+	// expected to rank among the first few machines of a fleet. totalWeight is the sum of the weights of the fleet.
 	HashThreshold func(weight, totalWeight float64) float64
 }
 
 // Candidate is a machine with its affinity to a service.
 type Candidate struct {
-	Machine  int32 // its number
+	Machine  int32 // machine number
 	Affinity Affinity
 }
 
-// affinityTable finds the machines of highest affinity without computing the affinity of each machine.
+// affinityTable holds what is needed to find the machines of the highest affinity without computing the affinity of each.
 type affinityTable struct {
 	policy AffinityPolicy
 
-	columns    []hashColumn // by kind
-	thresholds []uint64     // by kind: the least hash value of those that rank among the first few
-	version    int          // Index.fleetVersion at which columns and thresholds were made
+	columns      []hashColumn // by kind
+	thresholds   []uint64     // by kind: the minimum hash value of machines that may rank among the first few
+	fleetVersion int          // Index.fleetVersion for which columns and thresholds were built
 
-	buffer []Candidate
+	candidateBuffer []Candidate // reused by rankTopMachines
 }
 
-// hashColumn is the machines of one kind side by side.
+// hashColumn has the ID hashes and the numbers of the machines of one kind.
 type hashColumn struct {
-	hashes   []uint64
+	idHashes []uint64
 	machines []int32
 }
 
@@ -63,9 +63,10 @@
 	return Candidate{number, idx.Affinity(s, number)}
 }
 
-// TopTwoByAffinity returns the two machines of the set that have the highest affinity to a service; -1 where there are fewer.
+// TopTwoByAffinity returns the two machines of the set that have the highest affinity to a service, the higher one first. If
+// the set has fewer than two machines, -1 stands for each missing one.
 func (idx *Index) TopTwoByAffinity(s *Service, machines *bitset.BitSet) (first, second int32) {
-	if s.topVersion != idx.fleetVersion {
+	if s.topFleetVersion != idx.fleetVersion {
 		idx.rankTopMachines(s)
 	}
 	first = -1
@@ -78,53 +79,54 @@
 		}
 		first = number
 	}
-	return idx.scanBestTwo(s, machines)
+	return idx.scanTopTwo(s, machines)
 }
 
-// scanBestTwo compares all machines of the set, for when few of the top machines are in it.
-func (idx *Index) scanBestTwo(s *Service, machines *bitset.BitSet) (first, second int32) {
+// scanTopTwo implements TopTwoByAffinity by a scan of the whole set, for a set with fewer than two of the service's top
+// machines.
+func (idx *Index) scanTopTwo(s *Service, machines *bitset.BitSet) (first, second int32) {
 	compare := idx.affinity.policy.Compare
-	best, next := Candidate{Machine: -1}, Candidate{Machine: -1}
+	best, runnerUp := Candidate{Machine: -1}, Candidate{Machine: -1}
 	ForEachCommon(machines, machines, func(number int) {
 		switch c := idx.Candidate(s, int32(number)); {
 		case best.Machine < 0 || compare(c.Affinity, best.Affinity) > 0:
-			best, next = c, best
-		case next.Machine < 0 || compare(c.Affinity, next.Affinity) > 0:
-			next = c
+			best, runnerUp = c, best
+		case runnerUp.Machine < 0 || compare(c.Affinity, runnerUp.Affinity) > 0:
+			runnerUp = c
 		}
 	})
-	return best.Machine, next.Machine
+	return best.Machine, runnerUp.Machine
 }
 
-// rankTopMachines finds the machines of highest affinity of all. A hash value is compared with what a machine of its weight
-// needs in order to be among the first few, so hardly any affinity is computed.
+// rankTopMachines determines the machines of the fleet that have the highest affinity to a service. It skips machines whose
+// hash value is below the threshold of their kind, so it computes and compares the affinities of only a few machines.
 func (idx *Index) rankTopMachines(s *Service) {
 	t := &idx.affinity
-	if t.version != idx.fleetVersion {
+	if t.fleetVersion != idx.fleetVersion {
 		idx.buildHashColumns()
 	}
-	top := t.buffer[:0]
+	top := t.candidateBuffer[:0]
 	for kind := range t.columns {
 		column, threshold := &t.columns[kind], t.thresholds[kind]
-		for i, idHash := range column.hashes {
+		for i, idHash := range column.idHashes {
 			if mix(idHash^s.nameHash)>>11 >= threshold {
 				top = append(top, idx.Candidate(s, column.machines[i]))
 			}
 		}
 	}
 	slices.SortFunc(top, func(a, b Candidate) int { return t.policy.Compare(b.Affinity, a.Affinity) })
-	s.topVersion, s.topMachines = idx.fleetVersion, s.topMachines[:0]
+	s.topFleetVersion, s.topMachines = idx.fleetVersion, s.topMachines[:0]
 	for _, c := range top {
 		s.topMachines = append(s.topMachines, c.Machine)
 	}
-	t.buffer = top
+	t.candidateBuffer = top
 }
 
-// buildHashColumns lays the machines of each kind side by side.
+// buildHashColumns builds the columns and thresholds for the current fleet.
 func (idx *Index) buildHashColumns() {
 	t := &idx.affinity
 	weights := t.policy.KindWeights
-	t.version = idx.fleetVersion
+	t.fleetVersion = idx.fleetVersion
 	t.columns = make([]hashColumn, len(weights))
 	t.thresholds = make([]uint64, len(weights))
 	totalWeight := 0.0
@@ -132,7 +134,7 @@
 		if kind >= 0 {
 			totalWeight += weights[kind]
 			column := &t.columns[kind]
-			column.hashes = append(column.hashes, idx.idHashes[number])
+			column.idHashes = append(column.idHashes, idx.idHashes[number])
 			column.machines = append(column.machines, int32(number))
 		}
 	}
--- a/internal/machineindex/affinity_test.go
+++ b/internal/machineindex/affinity_test.go
@@ -9,8 +9,8 @@
 	"github.com/bits-and-blooms/bitset"
 )
 
-// bestTwoByScan compares all machines of the set.
-func bestTwoByScan(f *fleet, service *Service, machines *bitset.BitSet) (first, second int32) {
+// topTwoByScan returns the expected result of TopTwoByAffinity, from a sort of the whole set.
+func topTwoByScan(f *fleet, service *Service, machines *bitset.BitSet) (first, second int32) {
 	ranked := []Candidate{}
 	for _, number := range members(machines) {
 		ranked = append(ranked, f.index.Candidate(service, int32(number)))
@@ -22,7 +22,7 @@
 	return ranked[0].Machine, ranked[1].Machine
 }
 
-func TestBestTwoAgreesWithFullScan(t *testing.T) {
+func TestTopTwoAgreesWithFullScan(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	f := newFleet(t, 150)
 	for round := range 300 {
@@ -35,7 +35,7 @@
 				f.index.SetKind(number, (number+1)%2)
 			}
 		case 200:
-			f.index.SetKind(40, -1) // of unknown kind, it has weight 1 where it is in the set
+			f.index.SetKind(40, -1) // a machine without a kind has weight 1 if it is in the set
 		}
 		service := f.index.FindOrAddService(fmt.Sprint("s", random.IntN(40)))
 		machines := f.randomSubset(random, []float64{0, 0.01, 0.1, 1}[round%4])
@@ -43,7 +43,7 @@
 			machines.Clear(40)
 		}
 		first, second := f.index.TopTwoByAffinity(service, machines)
-		wantFirst, wantSecond := bestTwoByScan(f, service, machines)
+		wantFirst, wantSecond := topTwoByScan(f, service, machines)
 		if first != wantFirst || second != wantSecond {
 			t.Fatalf("round %d: got %d and %d, want %d and %d", round, first, second, wantFirst, wantSecond)
 		}
@@ -59,13 +59,13 @@
 	}
 	s, u := f.index.FindOrAddService("s"), f.index.FindOrAddService("u")
 	if a, b := f.index.Affinity(s, 2), f.index.Affinity(u, 2); a.HashValue == b.HashValue {
-		t.Errorf("two services have hash value %v", a.HashValue)
+		t.Errorf("two services have the same hash value %v, want different ones", a.HashValue)
 	}
 	a, b := f.index.Affinity(s, 2), g.index.Affinity(g.index.FindOrAddService("s"), 1)
 	if a.HashValue != b.HashValue {
-		t.Errorf("hash values %v and %v in two indices, want equal ones", a.HashValue, b.HashValue)
+		t.Errorf("got hash values %v and %v in two indexes, want equal ones", a.HashValue, b.HashValue)
 	}
 	if a.Weight != 1 || b.Weight != 0.25 {
-		t.Errorf("weights %v and %v, want 1 and 0.25", a.Weight, b.Weight)
+		t.Errorf("got weights %v and %v, want 1 and 0.25", a.Weight, b.Weight)
 	}
 }
--- a/internal/machineindex/assumed_capacity.go
+++ b/internal/machineindex/assumed_capacity.go
@@ -7,74 +7,75 @@
 	"github.com/bits-and-blooms/bitset"
 )
 
-// assumedCapacity is what recent placements request that the listed free capacity may not show yet: it is assumed to be in
-// use. It is summed once a step, since thousands of tasks may wait; placements of the step are added.
+// assumedCapacity sums the capacity that is assumed to be in use: that of recent placements which the listed free capacity
+// may not reflect yet. The placements are summed once per step, because thousands of tasks may be waiting for a machine;
+// placements of the current step are added to the sums.
 type assumedCapacity struct {
-	current       bool // the sums hold for the step in progress
-	generation    int  // of the sums; grows whenever they are made
-	historyLength int  // when they were made
-	summed        []*Entry
-	checked       *bitset.BitSet // machines whose sums UpdateAssumed brought up to date in this step
+	valid         bool           // the placements were summed in the current step
+	generation    int            // incremented whenever all placements are summed
+	historyLength int            // length of the history when all placements were summed
+	entries       []*Entry       // machines with an assumedSum of this generation
+	updated       *bitset.BitSet // machines passed to UpdateAssumed in the current step
 }
 
-// assumedSum is what is assumed on one machine.
+// assumedSum is the capacity that is assumed to be in use on one machine.
 type assumedSum struct {
-	since      time.Duration // placements from then on count
-	generation int           // of assumedCapacity, at which the machine was put into summed
+	since      time.Duration // placements offered before are not counted
+	generation int           // assumedCapacity.generation of the sum
 	cores      float64
 	memory     float64
 }
 
-// resize makes the sums void for the given number of machines.
-func (a *assumedCapacity) resize(machines int) {
-	a.current, a.summed = false, nil
-	a.checked = bitset.MustNew(uint(machines))
+// resize discards the sums when the number of machines changes.
+func (a *assumedCapacity) resize(machineCount int) {
+	a.valid, a.entries = false, nil
+	a.updated = bitset.MustNew(uint(machineCount))
 }
 
-// SetAssumedSince sets the time of offer from which on the placements on a machine count as assumed.
+// SetAssumedSince sets which placements on a machine are assumed to use capacity: those offered at the given time or later.
 func (idx *Index) SetAssumedSince(e *Entry, since time.Duration) { e.assumed.since = since }
 
-// InvalidateAssumed makes the sums of assumed capacity void. It must be called at the start of each step.
-func (idx *Index) InvalidateAssumed() { idx.assumed.current = false }
+// InvalidateAssumed discards the sums of assumed capacity. It must be called at the start of each step.
+func (idx *Index) InvalidateAssumed() { idx.assumed.valid = false }
 
-// UpdateAssumed subtracts assumed placements from the free capacity of the given machines.
+// UpdateAssumed updates the assumed capacity of the given machines, which is subtracted from their free capacity.
 func (idx *Index) UpdateAssumed(machines *bitset.BitSet) {
 	a := &idx.assumed
-	if !a.current {
+	if !a.valid {
 		idx.sumAssumed()
 	}
-	if idx.history.Len() > a.historyLength { // placements of this step: machines not checked until now are summed again
-		for _, e := range a.summed {
-			if e.number >= 0 && machines.Test(uint(e.number)) && !a.checked.Test(uint(e.number)) {
+	if idx.history.Len() > a.historyLength { // placements were added: sum again for machines not yet updated in this step
+		for _, e := range a.entries {
+			if e.number >= 0 && machines.Test(uint(e.number)) && !a.updated.Test(uint(e.number)) {
 				idx.sumAssumedOn(e)
 			}
 		}
 	}
-	a.checked.InPlaceUnion(machines)
+	a.updated.InPlaceUnion(machines)
 }
 
-// sumAssumed sums for all machines, at the first use in a step.
+// sumAssumed sums the assumed placements of all machines, at the first UpdateAssumed of a step.
 func (idx *Index) sumAssumed() {
 	a := &idx.assumed
-	for _, e := range a.summed {
+	for _, e := range a.entries {
 		e.assumed.cores, e.assumed.memory = 0, 0
 		idx.updateFreeCapacity(e)
 	}
-	a.summed = a.summed[:0]
-	a.checked.ClearAll()
-	a.current, a.historyLength = true, idx.history.Len()
+	a.entries = a.entries[:0]
+	a.updated.ClearAll()
+	a.valid, a.historyLength = true, idx.history.Len()
 	a.generation++
 	for _, p := range slices.Backward(idx.history.Recent()) {
 		if !p.forgotten && p.OfferedAt >= p.Machine.assumed.since {
 			a.add(p)
 		}
 	}
-	for _, e := range a.summed {
+	for _, e := range a.entries {
 		idx.updateFreeCapacity(e)
 	}
 }
 
-// sumAssumedOn sums for one machine.
+// sumAssumedOn sums the assumed placements on one machine.
 func (idx *Index) sumAssumedOn(e *Entry) {
 	e.assumed.cores, e.assumed.memory = 0, 0
 	for _, p := range slices.Backward(idx.history.Recent()) {
@@ -89,20 +90,20 @@
 	idx.updateFreeCapacity(e)
 }
 
-// addAssumed adds a placement of the step in progress, where sums were made in it already.
+// addAssumed adds a placement of the current step to the sums, if there are any for this step.
 func (idx *Index) addAssumed(p *Placement) {
-	if idx.assumed.current && !idx.renumberPending {
+	if idx.assumed.valid && !idx.renumberPending {
 		idx.assumed.add(p)
 		idx.updateFreeCapacity(p.Machine)
 	}
 }
 
-// add adds a placement to the sum of its machine, which begins at 0 in each generation.
+// add adds a placement to the sum of its machine, which it first resets if the sum is of an earlier generation.
 func (a *assumedCapacity) add(p *Placement) {
 	sum := &p.Machine.assumed
 	if sum.generation != a.generation {
 		sum.generation, sum.cores, sum.memory = a.generation, 0, 0
-		a.summed = append(a.summed, p.Machine)
+		a.entries = append(a.entries, p.Machine)
 	}
 	sum.cores += p.Cores
 	sum.memory += p.Memory
--- a/internal/machineindex/capacity.go
+++ b/internal/machineindex/capacity.go
@@ -6,39 +6,39 @@
 	"github.com/bits-and-blooms/bitset"
 )
 
-// Capacity is what the owner knows of a machine's capacity.
+// Capacity is the free and the requested capacity of one machine.
 type Capacity struct {
-	FreeCores         float64 // without what is assumed, see UpdateAssumed
+	FreeCores         float64 // assumed capacity is not subtracted, see UpdateAssumed
 	FreeMemory        float64
 	RequestedCores    float64 // by all schedulers
 	RequestedMemory   float64
-	RequestedFraction float64 // by which RankedByRequestedFraction orders
+	RequestedFraction float64 // sort key of RankedByRequestedFraction
 }
 
-// capacityColumns is the capacity of the machines, by number.
+// capacityColumns has the capacity of all machines, by machine number.
 type capacityColumns struct {
 	listedCores  []float64 // Capacity.FreeCores
 	listedMemory []float64
-	freeCores    []float64 // listed, less what is assumed
+	freeCores    []float64 // listedCores minus the assumed cores
 	freeMemory   []float64
 
-	requestedCores  []float64
-	requestedMemory []float64
-	totalCores      float64 // requested of the fleet, as of totalsValid
-	totalMemory     float64
-	totalsValid     bool
+	requestedCores       []float64
+	requestedMemory      []float64
+	totalRequestedCores  float64 // sum of requestedCores, if totalsValid
+	totalRequestedMemory float64
+	totalsValid          bool // reset by Refresh
 }
 
-// resize empties the columns for the given number of machines.
-func (c *capacityColumns) resize(machines int) {
+// resize replaces the columns by zeros for the given number of machines.
+func (c *capacityColumns) resize(machineCount int) {
 	for _, column := range []*[]float64{&c.listedCores, &c.listedMemory, &c.freeCores, &c.freeMemory,
 		&c.requestedCores, &c.requestedMemory} {
-		*column = make([]float64, machines)
+		*column = make([]float64, machineCount)
 	}
 	c.totalsValid = false
 }
 
-// SetCapacity writes the capacity of a machine.
+// SetCapacity sets the capacity of a machine.
 func (idx *Index) SetCapacity(number int, capacity Capacity) {
 	c := &idx.capacity
 	c.listedCores[number], c.listedMemory[number] = capacity.FreeCores, capacity.FreeMemory
@@ -47,42 +47,44 @@
 	idx.updateFreeCapacity(idx.entries[number])
 }
 
-// ClearRequested records that nothing is requested of a machine. The rest of its Capacity stays.
+// ClearRequested sets the requested cores and memory of a machine to 0. The rest of its Capacity is unchanged.
 func (idx *Index) ClearRequested(number int) {
 	idx.capacity.requestedCores[number], idx.capacity.requestedMemory[number] = 0, 0
 }
 
-// AddMachinesLackingCapacity adds to lacking those of the given machines that have less free than cores or memory.
+// AddMachinesLackingCapacity adds to lacking those of the given machines that have fewer than the given cores free, or less
+// than the given memory.
 func (idx *Index) AddMachinesLackingCapacity(machines, lacking *bitset.BitSet, cores, memory float64) {
 	c := &idx.capacity
-	from, to := machines.Words(), lacking.Words()
-	for w := range from {
-		found := uint64(0)
-		for word := from[w] &^ to[w]; word != 0; word &= word - 1 {
+	machineWords, lackingWords := machines.Words(), lacking.Words()
+	for w := range machineWords {
+		added := uint64(0)
+		for word := machineWords[w] &^ lackingWords[w]; word != 0; word &= word - 1 {
 			number := w<<6 + bits.TrailingZeros64(word)
 			if !(c.freeCores[number] >= cores && c.freeMemory[number] >= memory) {
-				found |= word & -word
+				added |= word & -word
 			}
 		}
-		to[w] |= found
+		lackingWords[w] |= added
 	}
 }
 
-// TotalRequested returns what is requested of all machines. The terms are added in the order of the machines, so that the
-// sum is the same to the last bit whatever changed since.
+// TotalRequested returns the sums of the requested cores and memory of all machines. They are not updated incrementally but
+// added in the order of machine numbers, so that rounding does not depend on the order of earlier changes.
 func (idx *Index) TotalRequested() (cores, memory float64) {
 	c := &idx.capacity
 	if !c.totalsValid {
-		c.totalsValid, c.totalCores, c.totalMemory = true, 0, 0
+		c.totalsValid, c.totalRequestedCores, c.totalRequestedMemory = true, 0, 0
 		for number, requested := range c.requestedCores {
-			c.totalCores += requested
-			c.totalMemory += c.requestedMemory[number]
+			c.totalRequestedCores += requested
+			c.totalRequestedMemory += c.requestedMemory[number]
 		}
 	}
-	return c.totalCores, c.totalMemory
+	return c.totalRequestedCores, c.totalRequestedMemory
 }
 
-// updateFreeCapacity writes what is free on a machine, less what is assumed; nothing where it was removed.
+// updateFreeCapacity computes the free capacity of a machine from its listed and assumed capacity. It does nothing for a
+// machine without a number.
 func (idx *Index) updateFreeCapacity(e *Entry) {
 	if e.number < 0 {
 		return
--- a/internal/machineindex/capacity_test.go
+++ b/internal/machineindex/capacity_test.go
@@ -11,11 +11,11 @@
 	random := rand.New(rand.NewPCG(3, 4))
 	for _, c := range []struct {
 		name    string
-		changes int // before each ranking
+		changes int // number of changes before each ranking
 	}{
 		{"few changes", 3},
 		{"most machines change", 150},
-		{"none changes", 0},
+		{"no changes", 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFleet(t, 100)
@@ -47,7 +47,7 @@
 	lacking := f.setOf(3)
 	f.index.AddMachinesLackingCapacity(f.setOf(0, 1, 3), lacking, 4, 4)
 	if got, want := members(lacking), []int{1, 3}; !slices.Equal(got, want) {
-		t.Errorf("lacking %v, want %v: machine 2 is not in question, 3 was in the set before", got, want)
+		t.Errorf("got machines %v, want %v: machine 2 is not in the given set, and 3 was in lacking before", got, want)
 	}
 }
 
@@ -59,7 +59,7 @@
 	check := func(wantCores, wantMemory float64) {
 		t.Helper()
 		if cores, memory := f.index.TotalRequested(); cores != wantCores || memory != wantMemory {
-			t.Errorf("got %v and %v, want %v and %v", cores, memory, wantCores, wantMemory)
+			t.Errorf("got %v cores and %v memory, want %v and %v", cores, memory, wantCores, wantMemory)
 		}
 	}
 	check(6, 30)
--- a/internal/machineindex/doc.go
+++ b/internal/machineindex/doc.go
@@ -1,23 +1,24 @@
-// Package machineindex keeps sets and columns of machines by machine number, so that a choice among machines reads one
-// word for 64 of them instead of a record for each. It also keeps the placements that a scheduler has made on them.
+// Package machineindex indexes the machines of a scheduler by number. It has bit sets of machines and columns of values by
+// machine, so that a choice of a machine reads one word for 64 machines instead of one record for each. It also has the
+// history of the placements that the scheduler made on them.
 //
-// The package decides nothing. Its owner writes the sets and columns and determines from when a placement counts as assumed,
-// how machines rank as hosts of a service and when a placement is dropped. The package stores that and answers queries.
-// docs/scale.md compares its structures with plain scans.
+// The package makes no decisions. Its caller sets the contents of sets and columns, and determines how machines rank as
+// hosts of a service, from when on a placement is assumed to use capacity, and when it is removed from the history.
+// docs/scale.md compares the data structures with plain scans.
 //
-// # Numbers
+// # Machine numbers
 //
-// An Index has one Entry for each machine, in the order of the machines' IDs; the position of an Entry is the number of its
-// machine. After Insert or Remove, all numbers, and the sets, columns, rankings and counts by number, are void until Refresh,
-// which numbers the machines again and invalidates each of them. Numbers must not be stored across Refresh.
+// An Index has one Entry for each machine. The number of a machine is the position of its Entry in the order of machine IDs.
+// After Insert or Remove, the numbers, and all sets, columns, rankings and counts by number, must not be used until Refresh,
+// which renumbers the machines and invalidates each of them. Numbers must not be stored across calls of Refresh.
 //
 // # Ownership and concurrency
 //
-// An Index, its entries, sets, columns and placements belong to one owner, a Placer. None of them is safe for concurrent
-// use. Results that are documented as valid until the next call share the Index's memory.
+// An Index, its entries, sets, columns and placements belong to one Placer. None of them is safe for concurrent use. Results
+// that are documented as valid until another call share memory with the Index.
 //
 // # Determinism
 //
-// Equal sequences of calls give equal results. Sums of cores and memory are added in a fixed order, so that they are equal
-// to the last bit.
+// Equal sequences of calls give equal results. Cores and memory are summed in a fixed order, so that floating-point sums are
+// equal to the last bit.
 package machineindex
--- a/internal/machineindex/domains.go
+++ b/internal/machineindex/domains.go
@@ -2,10 +2,10 @@
 
 import "github.com/bits-and-blooms/bitset"
 
-// DomainScope selects the domains of a query.
+// DomainScope is the type of the domains of a query: zones or cells.
 type DomainScope int
 
-// The scopes.
+// Zones and Cells are the values of DomainScope.
 const (
 	Zones DomainScope = iota
 	Cells
@@ -13,48 +13,49 @@
 
 // domain is one zone or one cell.
 type domain struct {
-	machines *bitset.BitSet // those located in it
+	machines *bitset.BitSet // machines located in it
 }
 
-// domainMember is where a machine is located among the domains of one scope.
-type domainMember[K comparable] struct {
+// machineDomain is the zone or the cell of a machine.
+type machineDomain[K comparable] struct {
 	name   K
-	domain *domain // nil: not located, or to be renumbered
+	domain *domain // nil if the machine has no location or is not numbered yet
 }
 
-// domainSet is the domains of one scope.
+// domainSet has the domains of one scope by name.
 type domainSet[K comparable] map[K]*domain
 
-// find returns the domain of a name, which it adds where there is none.
-func (d domainSet[K]) find(name K, machines int) *domain {
+// findOrAdd returns the domain with the given name, and adds it if there is none. machineCount is the number of machines in
+// the Index.
+func (d domainSet[K]) findOrAdd(name K, machineCount int) *domain {
 	found := d[name]
 	if found == nil {
-		found = &domain{machines: bitset.MustNew(uint(machines))}
+		found = &domain{machines: bitset.MustNew(uint(machineCount))}
 		d[name] = found
 	}
 	return found
 }
 
-// domainCounts counts attempts by domain. Domains without any are left out.
+// domainCounts has the number of active attempts of one service by domain. Domains without attempts have no entry.
 type domainCounts map[*domain]int
 
-// add changes the count of a domain; nothing for nil.
-func (c domainCounts) add(d *domain, count int) {
+// add adds delta to the count of a domain. It does nothing if d is nil.
+func (c domainCounts) add(d *domain, delta int) {
 	if d == nil {
 		return
 	}
-	if c[d] += count; c[d] == 0 {
+	if c[d] += delta; c[d] == 0 {
 		delete(c, d)
 	}
 }
 
-// move transfers attempts from one domain to another, either of which may be nil.
+// move moves attempts from one domain to another. Either domain may be nil.
 func (c domainCounts) move(from, to *domain, count int) {
 	c.add(from, -count)
 	c.add(to, count)
 }
 
-// moveMachine moves a machine's number between domains, either of which may be nil.
+// moveMachine moves a machine from one domain to another. Either domain may be nil.
 func moveMachine(number int, from, to *domain) {
 	if from != nil {
 		from.machines.Clear(uint(number))
@@ -64,27 +65,27 @@
 	}
 }
 
-// SetLocation writes in which zone and cell a machine is.
+// SetLocation sets the zone and the cell of a machine.
 func (idx *Index) SetLocation(e *Entry, zone string, cell int) {
 	e.located, e.zone.name, e.cell.name = true, zone, cell
 	if !idx.renumberPending {
-		idx.services.joinDomains(e, len(idx.entries))
+		idx.services.updateDomains(e, len(idx.entries))
 	}
 }
 
-// joinDomains records a machine and its attempts in the domains in which it is located.
-func (s *servicePlacements) joinDomains(e *Entry, machines int) {
+// updateDomains moves a machine and its attempts to the domains of its location.
+func (s *serviceTable) updateDomains(e *Entry, machineCount int) {
 	if !e.located {
 		return
 	}
-	if zone := s.zones.find(e.zone.name, machines); e.zone.domain != zone {
-		for _, count := range e.attempts { // sums of integers, so their order doesn't matter
+	if zone := s.zones.findOrAdd(e.zone.name, machineCount); e.zone.domain != zone {
+		for _, count := range e.attempts { // integer sums do not depend on the order
 			count.service.zones.move(e.zone.domain, zone, count.active)
 		}
 		moveMachine(e.number, e.zone.domain, zone)
 		e.zone.domain = zone
 	}
-	if cell := s.cells.find(e.cell.name, machines); e.cell.domain != cell {
+	if cell := s.cells.findOrAdd(e.cell.name, machineCount); e.cell.domain != cell {
 		for _, count := range e.attempts {
 			count.service.cells.move(e.cell.domain, cell, count.active)
 		}
--- a/internal/machineindex/hash.go
+++ b/internal/machineindex/hash.go
@@ -2,7 +2,7 @@
 
 import "hash/fnv"
 
-// Hash returns a hash of s that is the same in every process, so that schedulers derive equal choices from it without
+// Hash returns a hash of s that is the same in every process, so that schedulers make the same choices without
 // communication.
 func Hash(s string) uint64 {
 	h := fnv.New64a()
@@ -10,7 +10,7 @@
 	return mix(h.Sum64())
 }
 
-// mix spreads the bits of a hash whose inputs differ little.
+// mix is the 64-bit finalizer of MurmurHash3. It distributes the hashes of similar inputs evenly.
 func mix(h uint64) uint64 {
 	h ^= h >> 33
 	h *= 0xff51afd7ed558ccd
--- a/internal/machineindex/hash_test.go
+++ b/internal/machineindex/hash_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Schedulers of several versions run side by side, so the values stay as they are.
+// Schedulers of different versions run side by side and must agree on the hashes, so the values must not change.
 func TestHashIsStable(t *testing.T) {
 	for s, want := range map[string]uint64{
 		"":            0xefd01f60ba992926,
--- a/internal/machineindex/helpers_test.go
+++ b/internal/machineindex/helpers_test.go
@@ -12,10 +12,10 @@
 	"github.com/bits-and-blooms/bitset"
 )
 
-// testHistoryLimit is Options.HistoryLimit of indices under test.
+// testHistoryLimit is the Options.HistoryLimit of newFleet.
 const testHistoryLimit = 40
 
-// fleet is an index under test and the entries of its machines, in the order of their IDs.
+// fleet is an Index under test, with the IDs and entries of its machines in the order of IDs.
 type fleet struct {
 	t       *testing.T
 	index   *Index
@@ -23,8 +23,8 @@
 	entries []*Entry
 }
 
-// newFleet makes an index of the given number of machines, which have kind 0 where their number is even, else 1.
-func newFleet(t *testing.T, machines int) *fleet {
+// newFleet returns an index of the given number of machines. Machines with even numbers have kind 0, the others kind 1.
+func newFleet(t *testing.T, machineCount int) *fleet {
 	t.Helper()
 	index := New(Options{
 		Affinity: AffinityPolicy{
@@ -38,11 +38,11 @@
 		MaxIdleServices: 2,
 	})
 	f := &fleet{t: t, index: index}
-	for i := range machines {
+	for i := range machineCount {
 		f.insert(fmt.Sprintf("m%03d", i))
 	}
 	f.refresh()
-	for number := range machines {
+	for number := range machineCount {
 		index.SetKind(number, number%2)
 	}
 	return f
@@ -53,7 +53,7 @@
 	f.t.Helper()
 	position, found := slices.BinarySearch(f.ids, id)
 	if found {
-		f.t.Fatalf("machine %s is there already", id)
+		f.t.Fatalf("machine %s was inserted before", id)
 	}
 	e := f.index.Insert(position, id)
 	f.ids = slices.Insert(f.ids, position, id)
@@ -61,7 +61,7 @@
 	return e
 }
 
-// remove takes the machine at a position out of the index and returns its entry.
+// remove removes the machine at a position from the index and returns its entry.
 func (f *fleet) remove(position int) *Entry {
 	f.t.Helper()
 	e := f.entries[position]
@@ -107,7 +107,7 @@
 	return numbers
 }
 
-// randomSubset returns a set that has each machine with the given probability.
+// randomSubset returns a set that contains each machine with the given probability.
 func (f *fleet) randomSubset(random *rand.Rand, probability float64) *bitset.BitSet {
 	set := f.setOf()
 	for number := range f.entries {
--- a/internal/machineindex/history_test.go
+++ b/internal/machineindex/history_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// placementsByScan returns the recent placements on the candidates by a scan of the history.
+// placementsByScan returns the placements that ForEachPlacement must visit, from a scan of the history.
 func placementsByScan(f *fleet, candidates []Candidate) (found []*Placement) {
 	for _, p := range f.index.History().Recent() {
 		onCandidate := func(c Candidate) bool { return f.entries[c.Machine] == p.Machine }
@@ -38,7 +38,7 @@
 		var got []*Placement
 		f.index.ForEachPlacement(candidates, func(candidate int, p *Placement) {
 			if f.entries[candidates[candidate].Machine] != p.Machine {
-				t.Fatalf("placement on machine %d is visited as candidate %d", p.Machine.Number(), candidate)
+				t.Fatalf("got a placement on machine %d for candidate %d of another machine", p.Machine.Number(), candidate)
 			}
 			got = append(got, p)
 		})
@@ -53,8 +53,8 @@
 		name   string
 		others int // placements on another machine
 	}{
-		{"read from the machine's list", 30},
-		{"read from the history", 0},
+		{"found in the machine's list", 30},
+		{"found in the history", 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFleet(t, 2)
@@ -64,7 +64,7 @@
 			}
 			f.index.SetKind(1, -1)
 			f.index.ForEachPlacement([]Candidate{{Machine: 1}}, func(int, *Placement) {
-				t.Error("a placement on a machine without a kind was visited")
+				t.Error("got a placement on a machine without a kind, want none")
 			})
 		})
 	}
@@ -77,29 +77,29 @@
 		f.place(f.entries[i%2], time.Duration(i)*time.Second, 1)
 	}
 	if got, want := len(h.Recent()), testHistoryLimit; got != want {
-		t.Errorf("%d recent placements, want %d", got, want)
+		t.Errorf("got %d recent placements, want %d", got, want)
 	}
 	h.Prune(0)
 	if got, want := h.Len(), testHistoryLimit; got != want {
-		t.Errorf("%d placements after pruning by number, want %d", got, want)
+		t.Errorf("got %d placements after pruning by number, want %d", got, want)
 	}
 	h.Prune(20 * time.Second)
 	if got, want := h.OldestOfferedAt(), 20*time.Second; got != want {
-		t.Errorf("the oldest placement is of %v after pruning by time, want %v", got, want)
+		t.Errorf("got the oldest placement of %v after pruning by time, want one of %v", got, want)
 	}
 	h.ForgetMachine(f.entries[0], 40*time.Second)
 	h.Prune(0)
 	for _, p := range h.Recent() {
 		if p.Machine == f.entries[0] && p.OfferedAt < 40*time.Second {
-			t.Errorf("the placement of %v was forgotten, but is still there", p.OfferedAt)
+			t.Errorf("got the forgotten placement of %v after pruning, want it removed", p.OfferedAt)
 		}
 	}
-	if got, want := h.Len(), 20; got != want { // from 20 s on 30, of which 10 are forgotten
-		t.Errorf("%d placements after forgetting, want %d", got, want)
+	if got, want := h.Len(), 20; got != want { // 30 since 20 s, of which 10 are forgotten
+		t.Errorf("got %d placements after forgetting, want %d", got, want)
 	}
 }
 
-// assumedByScan returns what is assumed on a machine, newest placements first.
+// assumedByScan returns the assumed capacity of a machine, from a scan of the history that starts with the newest placement.
 func assumedByScan(f *fleet, e *Entry) (cores, memory float64) {
 	for _, p := range slices.Backward(f.index.History().Recent()) {
 		if p.Machine == e && !p.forgotten && p.OfferedAt >= e.assumed.since {
@@ -128,8 +128,8 @@
 			for _, number := range members(machines) {
 				cores, memory := assumedByScan(f, f.entries[number])
 				gotCores, gotMemory := 100-f.index.capacity.freeCores[number], 200-f.index.capacity.freeMemory[number]
-				if gotCores != cores || gotMemory != memory { // the figures are small integers: sums are exact
-					t.Fatalf("step %d, machine %d: assumed %v and %v, want %v and %v",
+				if gotCores != cores || gotMemory != memory { // sums of small integers are exact
+					t.Fatalf("step %d, machine %d: got %v cores and %v memory assumed, want %v and %v",
 						step, number, gotCores, gotMemory, cores, memory)
 				}
 			}
@@ -142,7 +142,8 @@
 				f.index.SetCapacity(number, Capacity{FreeCores: 100, FreeMemory: 200})
 			}
 		}
-		f.index.History().Prune(now - 5*time.Second) // before testHistoryLimit is reached, sums within a step are exact
+		// The history stays below testHistoryLimit, beyond which the sums of a step may include placements no longer recent.
+		f.index.History().Prune(now - 5*time.Second)
 	}
 }
 
@@ -153,6 +154,6 @@
 	f.refresh()
 	f.index.UpdateAssumed(f.all())
 	if got := f.index.capacity.freeCores[0]; got != 0 {
-		t.Errorf("%v cores free on the other machine, want 0: nothing is assumed on it", got)
+		t.Errorf("got %v free cores on the other machine, want 0: it has no placements", got)
 	}
 }
--- a/internal/machineindex/index.go
+++ b/internal/machineindex/index.go
@@ -8,75 +8,75 @@
 	"flaxshelf.example/flaxshelf/internal/timerqueue"
 )
 
-// Options are the values that an Index takes from its owner's policy.
+// Options configures an Index.
 type Options struct {
 	Affinity        AffinityPolicy
-	HistoryLimit    int // most placements that count as recent
-	MaxIdleServices int // most services remembered of which no attempt is active
+	HistoryLimit    int // maximum number of recent placements, see History.Recent
+	MaxIdleServices int // maximum number of services without active attempts that are kept
 }
 
-// Index holds the machines of one scheduler by number, see the package documentation. Use New to make one.
+// Index has the machines of one scheduler by number, see the package documentation. Use New to create one.
 type Index struct {
-	entries         []*Entry // in the order of the machines' IDs
-	renumberPending bool     // entries were inserted or removed since they were numbered
+	entries         []*Entry // ordered by machine ID
+	renumberPending bool     // machines were inserted or removed since the last Refresh
 
-	invalid  []*Entry // to be updated by the next Refresh
+	invalid  []*Entry // machines that the next Refresh updates
 	expiries timerqueue.Heap[*Entry]
 
 	sets    []*bitset.BitSet
 	columns []*Column
 
-	fleetVersion int     // grows when a machine is added, removed or changes its kind
-	kinds        []int32 // by machine; -1: not listed or of unknown kind
-	idHashes     []uint64
+	fleetVersion int      // incremented by each renumbering and each change of a kind
+	kinds        []int32  // by machine number; -1: the machine is not listed, or its kind is unknown
+	idHashes     []uint64 // by machine number
 
-	services servicePlacements
+	services serviceTable
 	affinity affinityTable
 	capacity capacityColumns
 	ranking  requestedRanking
 	history  History
 	assumed  assumedCapacity
 
-	placementBuffer []*Placement
+	placementBuffer []*Placement // reused by placementsOn
 }
 
-// Entry is the part of an Index that belongs to one machine.
+// Entry is the entry of one machine in an Index.
 type Entry struct {
 	idHash uint64
-	number int // -1: none
+	number int // see Number
 
-	invalid bool // queued in Index.invalid
+	invalid bool // contained in Index.invalid
 	expiry  timerqueue.Item[*Entry]
 
 	located bool // SetLocation was called
-	zone    domainMember[string]
-	cell    domainMember[int]
+	zone    machineDomain[string]
+	cell    machineDomain[int]
 
-	attempts   map[string]*attemptCount // active ones, by service
-	placements []*Placement             // in order of time; some may have left the history
-	assumed    assumedSum
-	candidate  int32 // position among the candidates of a lookup, counted from 1; 0: none
+	attempts          map[string]*attemptCount // counts of active attempts by service
+	placements        []*Placement             // ordered by time; some may have been pruned from the history
+	assumed           assumedSum
+	candidatePosition int32 // position among the candidates of ForEachPlacement, counted from 1; 0 if it is none
 }
 
-// Number returns the machine's number: -1 before the first Refresh after Insert and after Remove.
+// Number returns the machine's number. It is -1 between Insert and the next Refresh, and after Remove.
 func (e *Entry) Number() int { return e.number }
 
 // IDHash returns the Hash of the machine's ID.
 func (e *Entry) IDHash() uint64 { return e.idHash }
 
-// New makes an Index without machines.
+// New returns an Index without machines.
 func New(options Options) *Index {
 	idx := &Index{
 		fleetVersion: 1,
 		affinity:     affinityTable{policy: options.Affinity},
 		history:      History{limit: options.HistoryLimit},
-		services:     newServicePlacements(options.MaxIdleServices),
+		services:     newServiceTable(options.MaxIdleServices),
 	}
 	idx.assumed.resize(0)
 	return idx
 }
 
-// Insert adds a machine at its position in the order of IDs.
+// Insert adds a machine. Its position must be that of its ID among the ordered IDs of all machines.
 func (idx *Index) Insert(position int, id string) *Entry {
 	e := &Entry{idHash: Hash(id), number: -1, attempts: map[string]*attemptCount{}}
 	e.expiry.Value = e
@@ -85,7 +85,8 @@
 	return e
 }
 
-// Remove takes the machine at a position in the order of IDs out of the Index. Its placements stay in the history.
+// Remove removes the machine at a position in the order of IDs, on which no attempt may be active. Its placements remain in
+// the history.
 func (idx *Index) Remove(position int) {
 	e := idx.entries[position]
 	idx.entries = slices.Delete(idx.entries, position, position+1)
@@ -93,10 +94,10 @@
 	idx.renumberPending, e.number = true, -1
 }
 
-// Kind returns the kind of a machine that SetKind wrote; -1 where there is none.
+// Kind returns the kind of a machine, or -1 if it has none.
 func (idx *Index) Kind(number int) int { return int(idx.kinds[number]) }
 
-// SetKind writes the kind of a machine, an index in AffinityPolicy.KindWeights; -1 for none.
+// SetKind sets the kind of a machine: an index in AffinityPolicy.KindWeights, or -1 for none.
 func (idx *Index) SetKind(number, kind int) {
 	if idx.kinds[number] != int32(kind) {
 		idx.kinds[number] = int32(kind)
@@ -106,24 +107,24 @@
 
 // renumber numbers the machines in the order of their IDs and invalidates each of them.
 func (idx *Index) renumber() {
-	machines := len(idx.entries)
+	machineCount := len(idx.entries)
 	idx.renumberPending = false
 	idx.fleetVersion++
-	idx.resizeSets(machines)
-	idx.kinds = make([]int32, machines)
-	idx.idHashes = make([]uint64, machines)
-	idx.capacity.resize(machines)
-	idx.ranking.resize(machines)
-	idx.assumed.resize(machines)
+	idx.resizeSets(machineCount)
+	idx.kinds = make([]int32, machineCount)
+	idx.idHashes = make([]uint64, machineCount)
+	idx.capacity.resize(machineCount)
+	idx.ranking.resize(machineCount)
+	idx.assumed.resize(machineCount)
 	idx.services.clearNumbers()
 	for number, e := range idx.entries {
 		e.number, idx.idHashes[number] = number, e.idHash
 		e.zone.domain, e.cell.domain = nil, nil
 		e.assumed.cores, e.assumed.memory = 0, 0
-		for _, count := range e.attempts { // each is in a list of its own, so their order doesn't matter
+		for _, count := range e.attempts { // each service has its own list, so the order doesn't matter
 			count.service.addMachine(count, int32(number))
 		}
-		idx.services.joinDomains(e, machines)
+		idx.services.updateDomains(e, machineCount)
 		idx.Invalidate(e)
 	}
 }
--- a/internal/machineindex/index_test.go
+++ b/internal/machineindex/index_test.go
@@ -11,19 +11,20 @@
 	f := newFleet(t, 3)
 	for _, id := range []string{"z", "a", "m001x"} {
 		if e := f.insert(id); e.Number() != -1 {
-			t.Errorf("%s has number %d before Refresh, want -1", id, e.Number())
+			t.Errorf("got number %d of %s before Refresh, want -1", e.Number(), id)
 		}
 	}
 	removed := f.remove(1) // m000
 	if removed.Number() != -1 {
-		t.Errorf("removed machine has number %d, want -1", removed.Number())
+		t.Errorf("got number %d of a removed machine, want -1", removed.Number())
 	}
 	if got, want := f.refresh(), []int{0, 1, 2, 3, 4}; !slices.Equal(got, want) {
 		t.Errorf("Refresh updated %v, want %v", got, want)
 	}
 	for number, e := range f.entries {
 		if e.Number() != number || e.IDHash() != Hash(f.ids[number]) {
-			t.Errorf("%s has number %d, want %d, or the hash of another machine", f.ids[number], e.Number(), number)
+			t.Errorf("%s: got number %d and hash %#x, want %d and %#x",
+				f.ids[number], e.Number(), e.IDHash(), number, Hash(f.ids[number]))
 		}
 	}
 }
@@ -35,22 +36,23 @@
 	column.Set(69, 1.5)
 	f.refresh()
 	if !set.Test(69) || column.At(69) != 1.5 {
-		t.Error("a Refresh without a new machine changed a set or a column")
+		t.Error("got a set or column changed by a Refresh without a new machine, want both unchanged")
 	}
 	f.insert("x")
 	f.refresh()
 	if got, want := set.Len(), uint(71); got != want {
-		t.Errorf("set has room for %d machines, want %d", got, want)
+		t.Errorf("got a set of length %d, want %d", got, want)
 	}
 	if set.Any() || column.At(69) != 0 || f.index.Kind(69) != 0 && f.index.Kind(69) != -1 {
-		t.Errorf("after renumbering: set %v, column %v", members(set), column.At(69))
+		t.Errorf("after renumbering: got set %v, value %v and kind %d of machine 69, want an empty set, 0, and kind 0 or -1",
+			members(set), column.At(69), f.index.Kind(69))
 	}
 }
 
 func TestRefreshUpdatesInvalidMachinesOnce(t *testing.T) {
 	f := newFleet(t, 5)
 	if got := f.refresh(); got != nil {
-		t.Errorf("nothing changed, but Refresh updated %v", got)
+		t.Errorf("got machines %v updated without a change, want none", got)
 	}
 	f.index.Invalidate(f.entries[3])
 	f.index.Invalidate(f.entries[1])
@@ -59,7 +61,7 @@
 		t.Errorf("Refresh updated %v, want %v", got, want)
 	}
 	if f.index.Refresh(func(int) {}) {
-		t.Error("Refresh reports invalid machines, though none was")
+		t.Error("got true from Refresh without invalid machines, want false")
 	}
 }
 
@@ -73,7 +75,7 @@
 	}
 	f.index.InvalidateExpired(time.Minute)
 	if got := f.refresh(); got != nil {
-		t.Errorf("the expiry of a removed machine had %v updated", got)
+		t.Errorf("got machines %v updated by the expiry of a removed machine, want none", got)
 	}
 }
 
@@ -95,11 +97,11 @@
 			f.index.SetExpiry(f.entries[1], c.expiry) // replaces the one before
 			f.index.InvalidateExpired(c.now)
 			if got := f.refresh(); !slices.Equal(got, c.updated) {
-				t.Errorf("updated %v, want %v", got, c.updated)
+				t.Errorf("got machines %v updated, want %v", got, c.updated)
 			}
 			f.index.InvalidateExpired(c.now)
 			if got := f.refresh(); got != nil {
-				t.Errorf("updated %v a second time", got)
+				t.Errorf("got machines %v updated a second time, want none", got)
 			}
 		})
 	}
@@ -114,9 +116,9 @@
 		a.Clear(uint(number))
 	})
 	if want := []int{5, 64, 130, 199}; !slices.Equal(got, want) {
-		t.Errorf("visited %v, want %v", got, want)
+		t.Errorf("got calls for %v, want %v", got, want)
 	}
 	if got, want := members(a), []int{0, 63}; !slices.Equal(got, want) {
-		t.Errorf("left %v, want %v", got, want)
+		t.Errorf("got %v left in the first set, want %v", got, want)
 	}
 }
--- a/internal/machineindex/invalidation.go
+++ b/internal/machineindex/invalidation.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Invalidate has a machine updated by the next Refresh. It must be called when anything changes that the owner derives the
-// machine's sets and columns from.
+// Invalidate marks a machine to be updated by the next Refresh. It must be called whenever a value changes from which the
+// update function of Refresh derives sets and columns.
 func (idx *Index) Invalidate(e *Entry) {
 	if !e.invalid {
 		e.invalid = true
@@ -14,8 +14,8 @@
 	}
 }
 
-// SetExpiry has InvalidateExpired invalidate a machine at a time, which replaces the time of the call before; math.MaxInt64
-// is never.
+// SetExpiry sets the time from which on InvalidateExpired invalidates a machine, and replaces the time set before.
+// math.MaxInt64 means never.
 func (idx *Index) SetExpiry(e *Entry, at time.Duration) {
 	if at < math.MaxInt64 {
 		idx.expiries.Set(&e.expiry, at)
@@ -24,15 +24,15 @@
 	}
 }
 
-// InvalidateExpired invalidates the machines whose expiry is now or before.
+// InvalidateExpired invalidates the machines whose expiry is at or before now.
 func (idx *Index) InvalidateExpired(now time.Duration) {
 	for item := idx.expiries.PopDue(now); item != nil; item = idx.expiries.PopDue(now) {
 		idx.Invalidate(item.Value)
 	}
 }
 
-// Refresh brings the Index up to date: it numbers the machines again where some were inserted or removed, and calls update
-// with the number of each invalid one, which is valid afterwards. It reports whether any machine was invalid.
+// Refresh updates the Index. It renumbers the machines if any were inserted or removed, and calls update with the number of
+// each invalid machine, which is valid afterwards. It reports whether any machine was invalid.
 func (idx *Index) Refresh(update func(number int)) bool {
 	if idx.renumberPending {
 		idx.renumber()
--- a/internal/machineindex/ranking.go
+++ b/internal/machineindex/ranking.go
@@ -7,26 +7,27 @@
 	"github.com/bits-and-blooms/bitset"
 )
 
-// requestedRanking orders the machines by requested fraction, highest first, then by number.
+// requestedRanking orders the machines by requested fraction, highest first. Machines of equal fractions are ordered by
+// number.
 type requestedRanking struct {
-	fractions []float64 // by machine
-	order     []int32
-	changed   []int32 // machines whose position in order is void; may have duplicates
-	isChanged *bitset.BitSet
+	fractions  []float64 // by machine number
+	order      []int32
+	changed    []int32        // machines whose position in order may be outdated; may contain duplicates
+	changedSet *bitset.BitSet // used within merge
 }
 
-// resize starts over with the given number of machines, whose fractions are 0.
-func (r *requestedRanking) resize(machines int) {
-	r.fractions = make([]float64, machines)
-	r.order = make([]int32, machines)
+// resize resets the ranking to the given number of machines with fraction 0.
+func (r *requestedRanking) resize(machineCount int) {
+	r.fractions = make([]float64, machineCount)
+	r.order = make([]int32, machineCount)
 	for number := range r.order {
 		r.order[number] = int32(number)
 	}
 	r.changed = slices.Clone(r.order)
-	r.isChanged = bitset.MustNew(uint(machines))
+	r.changedSet = bitset.MustNew(uint(machineCount))
 }
 
-// set writes the fraction of a machine.
+// set sets the fraction of a machine.
 func (r *requestedRanking) set(number int, fraction float64) {
 	if fraction != r.fractions[number] {
 		r.fractions[number] = fraction
@@ -34,8 +35,8 @@
 	}
 }
 
-// RankedByRequestedFraction returns the machines by Capacity.RequestedFraction, highest first, then by number. The caller
-// must not change the result, which is valid until the next SetCapacity or Refresh.
+// RankedByRequestedFraction returns the machines ordered by Capacity.RequestedFraction, highest first, and by number if it is
+// equal. The caller must not change the result, which is valid until the next SetCapacity or Refresh.
 func (idx *Index) RankedByRequestedFraction() []int32 {
 	r := &idx.ranking
 	if len(r.changed) == 0 {
@@ -52,13 +53,13 @@
 	return r.order
 }
 
-// merge takes the changed machines out of the order and merges them in again.
+// merge removes the changed machines from the order, sorts them, and merges them into it.
 func (r *requestedRanking) merge(changed []int32) {
-	r.isChanged.ClearAll()
+	r.changedSet.ClearAll()
 	for _, number := range changed {
-		r.isChanged.Set(uint(number))
+		r.changedSet.Set(uint(number))
 	}
-	kept := slices.DeleteFunc(r.order, func(number int32) bool { return r.isChanged.Test(uint(number)) })
+	kept := slices.DeleteFunc(r.order, func(number int32) bool { return r.changedSet.Test(uint(number)) })
 	slices.SortFunc(changed, r.compare)
 	merged := make([]int32, 0, len(kept)+len(changed))
 	for len(kept) > 0 && len(changed) > 0 {
--- a/internal/machineindex/services.go
+++ b/internal/machineindex/services.go
@@ -2,16 +2,17 @@
 
 import "github.com/bits-and-blooms/bitset"
 
-// Service is where the active attempts of one service are, and the machines of the highest affinity to it.
+// Service records on which machines and in which domains attempts of one service are active, and which machines have the
+// highest affinity to it.
 type Service struct {
 	nameHash uint64
 
-	machines []int32 // numbers of the machines with active attempts; void while a renumbering is pending
+	machines []int32 // numbers of the machines with active attempts; outdated while a renumbering is pending
 	zones    domainCounts
 	cells    domainCounts
 
-	topMachines []int32 // those of the highest affinity, highest first, as of topVersion
-	topVersion  int     // Index.fleetVersion at which topMachines was made
+	topMachines     []int32 // machines of the highest affinity, highest first
+	topFleetVersion int     // Index.fleetVersion for which topMachines was determined
 }
 
 // attemptCount counts the active attempts of one service on one machine.
@@ -21,16 +22,16 @@
 	position int // in service.machines
 }
 
-// servicePlacements is the services and the domains of the fleet.
-type servicePlacements struct {
+// serviceTable has the services of an Index, and the domains in which their attempts are counted.
+type serviceTable struct {
 	byName  map[string]*Service
 	maxIdle int
 	zones   domainSet[string]
 	cells   domainSet[int]
 }
 
-func newServicePlacements(maxIdle int) servicePlacements {
-	return servicePlacements{
+func newServiceTable(maxIdle int) serviceTable {
+	return serviceTable{
 		byName:  map[string]*Service{},
 		maxIdle: maxIdle,
 		zones:   domainSet[string]{},
@@ -38,8 +39,8 @@
 	}
 }
 
-// clearNumbers drops everything that depends on the numbers of machines.
-func (s *servicePlacements) clearNumbers() {
+// clearNumbers discards everything that depends on machine numbers.
+func (s *serviceTable) clearNumbers() {
 	clear(s.zones)
 	clear(s.cells)
 	for _, service := range s.byName {
@@ -49,7 +50,7 @@
 	}
 }
 
-// FindOrAddService returns the record of a service, which it adds where there is none.
+// FindOrAddService returns the record of a service, and adds it if there is none.
 func (idx *Index) FindOrAddService(name string) *Service {
 	s := idx.services.byName[name]
 	if s == nil {
@@ -59,10 +60,10 @@
 	return s
 }
 
-// FindService returns the record of a service; nil where there is none, so that no attempt of it is active.
+// FindService returns the record of a service, or nil if there is none. A service without a record has no active attempts.
 func (idx *Index) FindService(name string) *Service { return idx.services.byName[name] }
 
-// AddAttempt counts one more active attempt of a service on a machine.
+// AddAttempt records that an attempt of a service became active on a machine.
 func (idx *Index) AddAttempt(service string, e *Entry) {
 	count := e.attempts[service]
 	if count == nil {
@@ -77,7 +78,7 @@
 	count.service.cells.add(e.cell.domain, 1)
 }
 
-// RemoveAttempt counts one active attempt of a service on a machine less. It does nothing where there is none.
+// RemoveAttempt records that an attempt of a service is no longer active on a machine. It does nothing if none was.
 func (idx *Index) RemoveAttempt(service string, e *Entry) {
 	count := e.attempts[service]
 	if count == nil {
@@ -101,7 +102,7 @@
 // HasAttempts reports whether any attempt is active on the machine.
 func (e *Entry) HasAttempts() bool { return len(e.attempts) > 0 }
 
-// AttemptsOf returns how many attempts of a service are active on a machine.
+// AttemptsOf returns the number of active attempts of a service on a machine.
 func (idx *Index) AttemptsOf(service string, number int) int {
 	if count := idx.entries[number].attempts[service]; count != nil {
 		return count.active
@@ -113,31 +114,31 @@
 // caller must not change the result, which is valid until the next attempt is added or removed.
 func (s *Service) Machines() []int32 { return s.machines }
 
-// ExcludeFullDomains removes from machines those that are in a domain with limit active attempts of the service or more.
+// ExcludeFullDomains removes from machines those in a domain with at least limit active attempts of the service.
 func (s *Service) ExcludeFullDomains(machines *bitset.BitSet, scope DomainScope, limit int) {
 	counts := s.zones
 	if scope == Cells {
 		counts = s.cells
 	}
-	for d, count := range counts { // in any order: each takes away its own machines
+	for d, count := range counts { // the order doesn't matter: domains don't overlap
 		if count >= limit {
 			machines.InPlaceDifference(d.machines)
 		}
 	}
 }
 
-// addMachine adds a machine's number to those that have attempts of the service.
+// addMachine adds a machine to those with active attempts of the service.
 func (s *Service) addMachine(count *attemptCount, number int32) {
 	count.position = len(s.machines)
 	s.machines = append(s.machines, number)
 }
 
-// removeMachine takes a machine out of its service's list; the last of the list takes its position.
+// removeMachine removes a machine from the list of the service. The last machine of the list takes its position.
 func (idx *Index) removeMachine(service string, count *attemptCount) {
 	list := count.service.machines
 	last := list[len(list)-1]
 	list[count.position] = last
-	if moved := idx.entries[last].attempts[service]; moved != nil { // nil: the removed one was the last
+	if moved := idx.entries[last].attempts[service]; moved != nil { // nil if the removed machine is the last
 		moved.position = count.position
 	}
 	count.service.machines = list[:len(list)-1]
--- a/internal/machineindex/services_test.go
+++ b/internal/machineindex/services_test.go
@@ -7,13 +7,13 @@
 	"testing"
 )
 
-// runningAttempt is an attempt that a test added and did not remove.
+// runningAttempt is an attempt that a test has added and not removed.
 type runningAttempt struct {
 	service string
 	entry   *Entry
 }
 
-// serviceScan counts attempts by a scan over all of them.
+// serviceScan computes the expected counts from a list of all attempts.
 type serviceScan struct {
 	f        *fleet
 	attempts []runningAttempt
@@ -21,8 +21,8 @@
 	cellOf   map[*Entry]int
 }
 
-// fullBy returns the machines that are in a domain with at least limit attempts of the service.
-func (s *serviceScan) fullBy(service string, limit int, sameDomain func(a, b *Entry) bool) (full []int) {
+// fullMachines returns the machines in a domain with at least limit attempts of the service.
+func (s *serviceScan) fullMachines(service string, limit int, sameDomain func(a, b *Entry) bool) (full []int) {
 	for number, e := range s.f.entries {
 		count := 0
 		for _, a := range s.attempts {
@@ -50,13 +50,13 @@
 		scope DomainScope
 		want  []int
 	}{
-		{Zones, s.fullBy(service, limit, sameZone)},
-		{Cells, s.fullBy(service, limit, sameCell)},
+		{Zones, s.fullMachines(service, limit, sameZone)},
+		{Cells, s.fullMachines(service, limit, sameCell)},
 	} {
 		left := s.f.all()
 		record.ExcludeFullDomains(left, c.scope, limit)
 		if got := members(s.f.all().Difference(left)); !slices.Equal(got, c.want) {
-			s.f.t.Fatalf("scope %d, %s, limit %d: full %v, want %v", c.scope, service, limit, got, c.want)
+			s.f.t.Fatalf("scope %d, %s, limit %d: got machines %v in full domains, want %v", c.scope, service, limit, got, c.want)
 		}
 	}
 	var full, occupied []int
@@ -65,19 +65,19 @@
 			full = append(full, number)
 		}
 	}
-	if want := s.fullBy(service, limit, sameMachine); !slices.Equal(full, want) {
-		s.f.t.Fatalf("%s, limit %d: full machines %v, want %v", service, limit, full, want)
+	if want := s.fullMachines(service, limit, sameMachine); !slices.Equal(full, want) {
+		s.f.t.Fatalf("%s, limit %d: got full machines %v, want %v", service, limit, full, want)
 	}
 	for _, number := range record.Machines() {
 		occupied = append(occupied, int(number))
 	}
 	slices.Sort(occupied)
-	if want := s.fullBy(service, 1, sameMachine); !slices.Equal(occupied, want) {
-		s.f.t.Fatalf("%s is on %v, want %v", service, occupied, want)
+	if want := s.fullMachines(service, 1, sameMachine); !slices.Equal(occupied, want) {
+		s.f.t.Fatalf("%s: got attempts on machines %v, want %v", service, occupied, want)
 	}
 }
 
-// change adds or removes an attempt, locates a machine, or inserts one.
+// change adds or removes an attempt, changes the location of a machine, or inserts a machine.
 func (s *serviceScan) change(random *rand.Rand, round int) {
 	e := s.f.entries[random.IntN(len(s.f.entries))]
 	switch action := random.IntN(20); {
@@ -102,7 +102,7 @@
 	s := &serviceScan{f: newFleet(t, 20), zoneOf: map[*Entry]string{}, cellOf: map[*Entry]int{}}
 	for round := range 1500 {
 		s.change(random, round)
-		if random.IntN(3) > 0 { // else more changes while a renumbering may be pending
+		if random.IntN(3) > 0 { // otherwise a renumbering may be pending at the next change
 			s.f.refresh()
 			s.check(fmt.Sprint("s", random.IntN(3)), 1+random.IntN(4))
 		}
@@ -113,7 +113,7 @@
 	f := newFleet(t, 1)
 	f.index.RemoveAttempt("s", f.entries[0])
 	if f.entries[0].HasAttempts() || f.index.AttemptsOf("s", 0) != 0 {
-		t.Errorf("got %d attempts, want none", f.index.AttemptsOf("s", 0))
+		t.Errorf("got %d attempts, HasAttempts %v, want none", f.index.AttemptsOf("s", 0), f.entries[0].HasAttempts())
 	}
 }
 
@@ -126,9 +126,9 @@
 		f.index.RemoveAttempt(fmt.Sprint("s", i), f.entries[0])
 	}
 	if got, want := len(f.index.services.byName), f.index.services.maxIdle; got != want {
-		t.Errorf("%d idle services are remembered, want %d", got, want)
+		t.Errorf("got %d idle services, want %d", got, want)
 	}
 	if f.index.FindService("s0") != nil || f.index.FindService("s9") == nil {
-		t.Error("want the services that became idle first to be forgotten")
+		t.Error("got s0 present or s9 missing, want the services that became idle first removed")
 	}
 }
--- a/internal/machineindex/sets.go
+++ b/internal/machineindex/sets.go
@@ -6,32 +6,33 @@
 	"github.com/bits-and-blooms/bitset"
 )
 
-// Column is a figure for each machine, by number.
+// Column has a value for each machine, by machine number.
 type Column struct {
 	values []float64
 }
 
-// At returns the figure of a machine.
+// At returns the value of a machine.
 func (c *Column) At(number int) float64 { return c.values[number] }
 
-// Set writes the figure of a machine.
+// Set sets the value of a machine.
 func (c *Column) Set(number int, value float64) { c.values[number] = value }
 
-// NewSet returns a set of machine numbers. Refresh empties it whenever it numbers the machines again.
+// NewSet returns an empty set of machine numbers. Refresh empties it whenever it renumbers the machines.
 func (idx *Index) NewSet() *bitset.BitSet {
 	set := bitset.MustNew(uint(len(idx.entries)))
 	idx.sets = append(idx.sets, set)
 	return set
 }
 
-// NewColumn returns a column. Refresh sets it to 0 whenever it numbers the machines again.
+// NewColumn returns a column of zeros. Refresh resets its values to 0 whenever it renumbers the machines.
 func (idx *Index) NewColumn() *Column {
 	column := &Column{values: make([]float64, len(idx.entries))}
 	idx.columns = append(idx.columns, column)
 	return column
 }
 
-// ForEachCommon calls do for each number that is in both sets, in order. do may change either set at its own number.
+// ForEachCommon calls do for each number that is in both sets, in ascending order. do may add its number to either set or
+// remove it, but no other number.
 func ForEachCommon(a, b *bitset.BitSet, do func(number int)) {
 	wordsA, wordsB := a.Words(), b.Words()
 	for w := range wordsA {
@@ -41,12 +42,12 @@
 	}
 }
 
-// resizeSets empties all sets and columns for the given number of machines.
-func (idx *Index) resizeSets(machines int) {
+// resizeSets replaces all sets by empty ones, and all columns by zeros, for the given number of machines.
+func (idx *Index) resizeSets(machineCount int) {
 	for _, set := range idx.sets {
-		*set = *bitset.MustNew(uint(machines))
+		*set = *bitset.MustNew(uint(machineCount))
 	}
 	for _, column := range idx.columns {
-		column.values = make([]float64, machines)
+		column.values = make([]float64, machineCount)
 	}
 }
