--- a/internal/machinetest/machinetest.go
+++ b/internal/machinetest/machinetest.go
@@ -1,4 +1,5 @@
-// Package machinetest helps tests to show that no field of a flaxshelf.Machine is lost between a wire and the module.
+// Package machinetest helps tests to check that no field of a flaxshelf.Machine is lost between a wire format and the module
+// that places tasks.
 package machinetest
 
 import (
@@ -10,8 +11,8 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-// Filled returns a machine in which every field differs from its zero value, and each from the others where its type allows
-// it. Its kind is 1, its state Draining. Times are whole milliseconds, which every wire can carry.
+// Filled returns a machine in which no field has its zero value, and all fields differ from each other as far as their types
+// allow. Its kind is 1, its state Draining. Times are whole milliseconds, which every wire format can represent.
 func Filled(t testing.TB) flaxshelf.Machine {
 	t.Helper()
 	var machine flaxshelf.Machine
@@ -23,7 +24,7 @@
 	return machine
 }
 
-// fill sets a field to a value derived from number, which is not 0.
+// fill sets a field to a value that is derived from number, which must be positive.
 func fill(t testing.TB, name string, field reflect.Value, number int) {
 	t.Helper()
 	switch field.Kind() {
@@ -38,7 +39,7 @@
 	case reflect.Int64:
 		field.SetInt(int64(number) * int64(time.Millisecond))
 	default:
-		t.Fatalf("field %s of Machine is a %v: add to machinetest how to fill it", name, field.Kind())
+		t.Fatalf("field %s of Machine: got kind %v, want one that machinetest.fill supports", name, field.Kind())
 	}
 }
 
@@ -59,7 +60,7 @@
 	fields := reflect.ValueOf(machine)
 	for i := range fields.NumField() {
 		if fields.Field(i).IsZero() {
-			t.Errorf("field %s of Machine: got its zero value", fields.Type().Field(i).Name)
+			t.Errorf("field %s of Machine: got the zero value, want another", fields.Type().Field(i).Name)
 		}
 	}
 }
