--- a/internal/timerqueue/heap.go
+++ b/internal/timerqueue/heap.go
@@ -1,16 +1,16 @@
-// Package timerqueue has a heap of items ordered by time, from which any item can be removed, and timers based on it. It reads
-// no clock: the caller passes the current time.
+// Package timerqueue provides a heap of items ordered by time, from which any item can be removed, and timers based on it. It
+// reads no clock: the caller passes the current time.
 package timerqueue
 
 import "time"
 
-// Item is an entry of a Heap. The zero value is in no heap. An item must not be copied while it is in a heap, and must not be in
-// two heaps.
+// Item is an entry of a Heap. The zero value is in no heap. An item must not be copied while it is in a heap, and must not be
+// in two heaps at the same time.
 type Item[T any] struct {
 	Value    T
 	at       time.Duration
-	sequence uint64 // number of the last Set of the item; orders items of the same time
-	position int    // in the heap, counted from 1; zero if it is in no heap
+	sequence uint64 // Heap.sequence of the last Set of the item; orders items of the same time
+	position int    // in the heap, counted from 1; 0 if the item is in no heap
 }
 
 // Queued reports whether the item is in a heap.
@@ -19,17 +19,17 @@
 // At returns the time of the last Set, also after the item has left the heap.
 func (i *Item[T]) At() time.Duration { return i.at }
 
-// Heap orders items by their times, and items of the same time in the order of their last Set. The zero value is an empty
-// heap. It is not safe for concurrent use. Set, Remove and PopDue take O(log n) time, and allocate only to grow the heap.
+// Heap orders items by time, and items of the same time in the order of their last Set. The zero value is an empty heap. It
+// is not safe for concurrent use. Set, Remove and PopDue take O(log n) time, and allocate only when the heap grows.
 type Heap[T any] struct {
 	items    []*Item[T] // a binary heap: the children of position p are at 2p and 2p+1, positions counted from 1
-	sequence uint64     // number of the last Set
+	sequence uint64     // incremented by each Set
 }
 
 // Len returns the number of items in the heap.
 func (h *Heap[T]) Len() int { return len(h.items) }
 
-// Set adds an item that is due at the given time, or moves it to that time if it is already in the heap.
+// Set adds an item that is due at the given time, or changes its time if it is already in the heap.
 func (h *Heap[T]) Set(item *Item[T], at time.Duration) {
 	h.sequence++
 	item.at, item.sequence = at, h.sequence
@@ -56,7 +56,7 @@
 	}
 }
 
-// Next returns the time of the first item; ok is false if the heap is empty.
+// Next returns the time of the earliest item; ok is false if the heap is empty.
 func (h *Heap[T]) Next() (at time.Duration, ok bool) {
 	if len(h.items) == 0 {
 		return 0, false
@@ -64,7 +64,7 @@
 	return h.items[0].at, true
 }
 
-// PopDue removes and returns the first item if it is due at now, and nil otherwise.
+// PopDue removes and returns the earliest item if it is due at or before now, and returns nil otherwise.
 func (h *Heap[T]) PopDue(now time.Duration) *Item[T] {
 	if len(h.items) == 0 || h.items[0].at > now {
 		return nil
@@ -85,7 +85,7 @@
 	items[a-1].position, items[b-1].position = a, b
 }
 
-// fix moves the item at the position to where the order of the heap requires it.
+// fix moves an item whose time or position has changed to its place in the order of the heap.
 func (h *Heap[T]) fix(position int) {
 	if !h.up(position) {
 		h.down(position)
--- a/internal/timerqueue/heap_test.go
+++ b/internal/timerqueue/heap_test.go
@@ -14,7 +14,7 @@
 	modelTimes = 10
 )
 
-// model has a heap and the sorted list that it must match.
+// model is a heap under test and a sorted list with the same items.
 type model struct {
 	heap   Heap[int]
 	items  []Item[int]
@@ -23,7 +23,7 @@
 
 type modelEntry struct {
 	at    int
-	order int // number of the call that set it
+	order int // number of the step that set it
 	item  *Item[int]
 }
 
@@ -64,7 +64,7 @@
 	}
 }
 
-// check compares the heap with the list by all its accessors.
+// check compares the results of the heap's accessors with the list.
 func (m *model) check(t *rapid.T) {
 	t.Helper()
 	for i := range m.items {
--- a/internal/timerqueue/timers.go
+++ b/internal/timerqueue/timers.go
@@ -5,11 +5,11 @@
 // Timer is a scheduled call of a function. It belongs to the Timers that scheduled it.
 type Timer = Item[func()]
 
-// Timers calls functions at their scheduled times. Cancel removes a timer at once, so that canceled timers cost neither memory
-// nor wake-ups. The zero value has no timers. It is not safe for concurrent use.
+// Timers calls functions at their scheduled times. Cancel removes a timer immediately, so that canceled timers use no memory
+// and cause no wake-ups. The zero value has no timers. It is not safe for concurrent use.
 type Timers struct{ heap Heap[func()] }
 
-// Schedule schedules a call of callback by the first RunDue at or after the given time.
+// Schedule schedules a call of callback at the given time. The first RunDue at that time or later makes the call.
 func (t *Timers) Schedule(at time.Duration, callback func()) *Timer {
 	timer := &Timer{Value: callback}
 	t.heap.Set(timer, at)
@@ -23,14 +23,15 @@
 	}
 }
 
-// RunDue calls the functions that are due at now in the order of their times, including those that these calls schedule.
+// RunDue calls the functions that are due at or before now, in the order of their times. They include functions that are
+// scheduled by these calls.
 func (t *Timers) RunDue(now time.Duration) {
 	for timer := t.heap.PopDue(now); timer != nil; timer = t.heap.PopDue(now) {
 		timer.Value()
 	}
 }
 
-// Next returns the time of the first timer; ok is false if there is none.
+// Next returns the time of the earliest timer; ok is false if there is none.
 func (t *Timers) Next() (at time.Duration, ok bool) { return t.heap.Next() }
 
 // Len returns the number of scheduled timers.
--- a/internal/timerqueue/timers_test.go
+++ b/internal/timerqueue/timers_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// callRecorder schedules callbacks that record their names.
+// callRecorder records the order in which its timers call their callbacks.
 type callRecorder struct {
 	timers Timers
 	called []string
@@ -30,7 +30,7 @@
 	}
 }
 
-func TestRunDueCallsInTheOrderOfTime(t *testing.T) {
+func TestRunDueCallsInOrderOfTime(t *testing.T) {
 	r := &callRecorder{}
 	r.schedule(20, "second")
 	r.schedule(10, "first")
@@ -42,7 +42,7 @@
 	r.expectCalls(t, "first", "second", "third")
 }
 
-func TestRunDueCallsWhatItsCallsSchedule(t *testing.T) {
+func TestRunDueCallsTimersScheduledByCallbacks(t *testing.T) {
 	r := &callRecorder{}
 	r.timers.Schedule(20, func() {
 		r.schedule(20, "due at once")
