--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -16,14 +16,14 @@
 	}
 }
 
-func TestAtAndWallAreInverse(t *testing.T) {
+func TestAtAndWallTimeAreInverse(t *testing.T) {
 	for _, elapsed := range []time.Duration{0, time.Nanosecond, time.Hour, -time.Second} {
 		t.Run(elapsed.String()+" after the start", func(t *testing.T) {
 			reading := start.Add(elapsed)
 			if got := At(reading) - At(start); got != elapsed {
 				t.Errorf("got %v since the start, want %v", got, elapsed)
 			}
-			if got := Wall(At(reading)); !got.Equal(reading) {
+			if got := WallTime(At(reading)); !got.Equal(reading) {
 				t.Errorf("got %v, want %v", got, reading)
 			}
 		})
--- a/internal/front/drmaafront/jobinfo.go
+++ b/internal/front/drmaafront/jobinfo.go
@@ -46,7 +46,7 @@
 		JobOwner:               info.Spec.Owner,
 		Slots:                  slots(info.Spec.Cores),
 		QueueName:              defaultQueue,
-		SubmissionTime:         clock.Wall(info.SubmittedAt).UTC(),
+		SubmissionTime:         clock.WallTime(info.SubmittedAt).UTC(),
 		TerminatingSignal:      info.Signal,
 		ImplementationSpecific: f.jobAttributes(info),
 	}
@@ -55,14 +55,14 @@
 		job.ExitStatus = &exit
 	}
 	if info.StartedAt > 0 {
-		started := clock.Wall(info.StartedAt).UTC()
+		started := clock.WallTime(info.StartedAt).UTC()
 		job.DispatchTime = &started
 		if info.Node != "" {
 			job.AllocatedMachines = []drmaa2.SlotInfo{{MachineName: info.Node, Slots: job.Slots}}
 		}
 	}
 	if info.FinishedAt > 0 {
-		finished := clock.Wall(info.FinishedAt).UTC()
+		finished := clock.WallTime(info.FinishedAt).UTC()
 		job.FinishTime = &finished
 		if info.StartedAt > 0 {
 			job.WallclockTime = (info.FinishedAt - info.StartedAt).Seconds()
@@ -108,7 +108,7 @@
 	}
 }
 
-func formatTime(at scheduler.Time) string { return clock.Wall(at).UTC().Format(time.RFC3339Nano) }
+func formatTime(at scheduler.Time) string { return clock.WallTime(at).UTC().Format(time.RFC3339Nano) }
 
 // slots returns a number of cores as the specification's slots, which are whole numbers.
 func slots(cores float64) int64 { return int64(math.Ceil(cores)) }
