--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,5 +1,5 @@
 // Package admission decides which of the owners' connections a scheduler closes: when there are too many, when a connection
-// stays idle, and when it exceeds its limits. It does no I/O, reads no clock, and does not know what owners request.
+// stays idle, and when it exceeds its limits. It does no I/O, reads no clock, and does not depend on the contents of requests.
 package admission
 
 import (
@@ -7,33 +7,33 @@
 	"time"
 )
 
-// Time is the host's clock.
+// Time is a time on the caller's clock. It must not decrease from call to call.
 type Time = time.Duration
 
-// ID identifies a connection. It is never used again.
+// ID identifies a connection. It must not be reused for another one.
 type ID uint64
 
-// Limits are the limits on the connections.
+// Limits has the limits on the connections and their use.
 type Limits struct {
-	MaxConnections          int           // connections that stay open; for one more, another is closed
-	IdleTimeout             time.Duration // time after its opening at which an unverified connection is closed
-	RecentUseGrace          time.Duration // time after a ping or use in which a connection is not evicted
-	MaxProtocolErrors       int           // malformed messages that a connection may send after its last use
-	MaxPendingPerConnection int           // pending requests of a connection
+	MaxConnections          int           // most connections that stay open; for each further one, a connection is closed
+	IdleTimeout             time.Duration // time after its opening at which a connection is closed if it is still unverified
+	RecentUseGrace          time.Duration // time after its last use or ping within which a connection is not evicted
+	MaxProtocolErrors       int           // malformed messages that are tolerated on a connection since its last use
+	MaxPendingPerConnection int           // most pending requests on a connection
 }
 
-// connection is a client's connection, which may be an owner's. It is unverified until it is used. A health check, which any
-// client can send, makes it a pinged one; it is verified once it is used in a way that only owners use one.
+// connection is an open connection of a client, which may be an owner. It is unverified at first, pinged after a health check,
+// which any client can send, and verified after a use that only owners make of a connection.
 type connection struct {
 	id             ID
 	host           string
 	openedAt       Time
 	lastUsedAt     Time
 	likelyOwner    bool
-	pending        int        // requests
-	protocolErrors int        // since its last use
-	list           *list.List // the list of Control that contains it
-	element        *list.Element
+	pending        int           // number of pending requests
+	protocolErrors int           // number of malformed messages since the last use
+	list           *list.List    // the list of Control that contains the connection
+	element        *list.Element // in list
 }
 
 // connectionOf returns the connection of an element of Control's lists.
@@ -44,8 +44,8 @@
 	limits            Limits
 	connections       map[ID]*connection
 	unverified        list.List      // ordered by openedAt
-	pinged            list.List      // the least recently used first
-	verified          list.List      // the least recently used first
+	pinged            list.List      // least recently used first
+	verified          list.List      // least recently used first
 	unverifiedPerHost map[string]int // number of unverified connections by host
 }
 
@@ -81,9 +81,9 @@
 }
 
 // evictionCandidate returns the connection to close when there are too many, or nil if all are in use. Hundreds of
-// connections that are silent, or send one health check and stay, must displace neither the owners' connections nor a new
-// one that is about to be used. So unverified connections of hosts with several of them are closed first, then pinged ones,
-// then verified ones, and last the oldest unverified one.
+// connections that send nothing, or only one health check, must displace neither the owners' connections nor a new one that
+// is about to be used. So unverified connections of hosts with several of them are closed first, then pinged ones, then
+// verified ones, and last the oldest unverified one.
 func (c *Control) evictionCandidate(now Time) *connection {
 	if candidate := c.unverifiedOfBusiestHost(); candidate != nil {
 		return candidate
@@ -99,8 +99,8 @@
 	return nil
 }
 
-// unverifiedOfBusiestHost returns the oldest unverified connection without pending requests of the host with the most
-// unverified ones. It returns nil if no host has two: a host with a single one may be an owner.
+// unverifiedOfBusiestHost returns, of the host with the most unverified connections, the oldest unverified one without
+// pending requests. It returns nil if each host has at most one, since a host with a single one may be an owner's.
 func (c *Control) unverifiedOfBusiestHost() *connection {
 	var candidate *connection
 	maxPerHost := 1
@@ -113,8 +113,8 @@
 	return candidate
 }
 
-// leastRecentlyUsed returns the least recently used connection of a list without pending requests, or nil if all were used
-// within Limits.RecentUseGrace.
+// leastRecentlyUsed returns the least recently used connection of a list that has no pending requests. It returns nil if
+// there is none, or if that was used within Limits.RecentUseGrace.
 func (c *Control) leastRecentlyUsed(now Time, used *list.List) *connection {
 	for element := used.Front(); element != nil; element = element.Next() {
 		conn := connectionOf(element)
@@ -128,41 +128,42 @@
 	return nil
 }
 
-// RecordOwnerUse records a use that only owners make of a connection: it carried a request that has its response, a running
-// task or the end of one. A request alone is not enough: misbehaving clients send hundreds and cancel them at once.
+// RecordOwnerUse records a use that only owners make of a connection, which verifies it: a request on it was answered, or it
+// carried a running task or the end of one. A request alone is not enough: misbehaving clients send hundreds of them and
+// cancel them immediately.
 func (c *Control) RecordOwnerUse(now Time, id ID) {
 	if conn := c.connections[id]; conn != nil {
 		c.use(now, conn, &c.verified)
 	}
 }
 
-// RecordPing records a health check, which turns an unverified connection into a pinged one and does not verify it.
+// RecordPing records a health check, which makes an unverified connection a pinged one but does not verify it.
 func (c *Control) RecordPing(now Time, id ID) {
 	conn := c.connections[id]
 	if conn == nil {
 		return
 	}
-	to := &c.pinged
+	target := &c.pinged
 	if conn.list == &c.verified {
-		to = &c.verified
+		target = &c.verified
 	}
-	c.use(now, conn, to)
+	c.use(now, conn, target)
 }
 
-// use records a use of a connection, and moves it to the end of the list to.
-func (c *Control) use(now Time, conn *connection, to *list.List) {
+// use records a use of a connection, and moves it to the end of the target list.
+func (c *Control) use(now Time, conn *connection, target *list.List) {
 	conn.lastUsedAt = now
 	conn.protocolErrors = 0
-	if conn.list == to {
-		to.MoveToBack(conn.element)
+	if conn.list == target {
+		target.MoveToBack(conn.element)
 		return
 	}
 	c.removeFromList(conn)
-	conn.list = to
-	conn.element = to.PushBack(conn)
+	conn.list = target
+	conn.element = target.PushBack(conn)
 }
 
-// MarkLikelyOwner records that a connection carried what owners send, though that does not verify it.
+// MarkLikelyOwner records that a connection is likely to be an owner's, by evidence that is not sufficient to verify it.
 func (c *Control) MarkLikelyOwner(id ID) {
 	if conn := c.connections[id]; conn != nil {
 		conn.likelyOwner = true
@@ -181,8 +182,9 @@
 	}
 }
 
-// ProtocolError records a malformed message, and reports whether the connection exceeds the limit and must be closed.
-func (c *Control) ProtocolError(id ID) bool {
+// RecordProtocolError records a malformed message, and reports whether the connection now exceeds
+// Limits.MaxProtocolErrors and must be closed.
+func (c *Control) RecordProtocolError(id ID) bool {
 	conn := c.connections[id]
 	if conn == nil {
 		return false
@@ -191,7 +193,7 @@
 	return conn.protocolErrors > c.limits.MaxProtocolErrors
 }
 
-// BeginRequest reports whether the connection may have one more pending request, and if so records it. It reports false for
+// BeginRequest reports whether the connection may have one more pending request, and if so records it. It returns false for
 // a connection that is not open.
 func (c *Control) BeginRequest(id ID) bool {
 	conn := c.connections[id]
@@ -202,7 +204,7 @@
 	return true
 }
 
-// EndRequest records that a request has its response, if answered is true, or was canceled.
+// EndRequest records that a pending request was answered, or that it was canceled if answered is false.
 func (c *Control) EndRequest(now Time, id ID, answered bool) {
 	conn := c.connections[id]
 	if conn == nil || conn.pending == 0 {
@@ -214,7 +216,7 @@
 	}
 }
 
-// Closed records that a connection has ended.
+// Closed records that a connection was closed.
 func (c *Control) Closed(id ID) {
 	conn := c.connections[id]
 	if conn == nil {
@@ -224,13 +226,14 @@
 	c.removeFromList(conn)
 }
 
-// idleRecheckDivisor divides Limits.IdleTimeout into the time after which an idle connection that may stay is checked again.
+// idleRecheckDivisor determines when CloseIdle checks an idle connection again that it could not close: after
+// Limits.IdleTimeout divided by it.
 const idleRecheckDivisor = 8
 
-// CloseIdle returns the connections that were unverified for longer than Limits.IdleTimeout, and the time of its next call;
-// zero means not before the next connection opens. The returned connections count as closed. A connection with pending
-// requests is not closed; neither is a likely owner's while no connection is verified, because a scheduler that has just
-// started would otherwise close all connections of its owners and could not notify them.
+// CloseIdle returns the connections to close because they are still unverified at Limits.IdleTimeout after they were opened.
+// They count as closed. It also returns the time at which to call it again, or zero if that is not necessary before another
+// connection opens. It does not close a connection with pending requests, nor that of a likely owner while no connection is
+// verified: a scheduler that has just started would otherwise close all connections of its owners and could not notify them.
 func (c *Control) CloseIdle(now Time) (idle []ID, next Time) {
 	recheck := false
 	for element := c.unverified.Front(); element != nil; {
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -10,7 +10,7 @@
 
 const ms = time.Millisecond
 
-// maxConnections is the limit of newTestControl.
+// maxConnections is the Limits.MaxConnections of newTestControl.
 const maxConnections = 4
 
 func newTestControl() *Control {
@@ -23,7 +23,7 @@
 	})
 }
 
-// expectIdle checks the connections that CloseIdle closes at now, and the time of its next call.
+// expectIdle checks which connections CloseIdle closes at now, and when it is to be called again.
 func expectIdle(t *testing.T, c *Control, now, wantNext Time, want ...ID) {
 	t.Helper()
 	if got, next := c.CloseIdle(now); !slices.Equal(got, want) || next != wantNext {
@@ -31,7 +31,7 @@
 	}
 }
 
-// expectEvicted opens a connection and checks the ones to close for it.
+// expectEvicted opens a connection and checks which ones are closed for it.
 func expectEvicted(t *testing.T, c *Control, now Time, id ID, want ...ID) {
 	t.Helper()
 	if got := c.Opened(now, id, "h"); !slices.Equal(got, want) {
@@ -39,7 +39,8 @@
 	}
 }
 
-// Hundreds of unused connections of one host displace each other, not those that were used, nor a new one of another host.
+// Hundreds of unused connections of one host displace each other, but neither connections that were used nor a new one of
+// another host.
 func TestEvictsUnverifiedOfBusiestHostFirst(t *testing.T) {
 	c := newTestControl()
 	c.Opened(0, 1, "owner")
@@ -66,7 +67,7 @@
 		c.RecordOwnerUse(Time(i)*ms, i+1)
 	}
 	if !c.BeginRequest(1) {
-		t.Fatal("got the first request over the limit, want it under the limit")
+		t.Fatal("got the first request rejected, want it accepted")
 	}
 	expectEvicted(t, c, time.Second, 5, 2)
 	c.RecordOwnerUse(time.Second, 5)
@@ -76,8 +77,8 @@
 	expectEvicted(t, c, time.Second+ms, 6, 6) // all others were used within the grace
 }
 
-// Connections that each pass one health check and stay, each from its own host, displace each other and not one that carried a
-// task, even if that was used longer ago. One that was pinged and then carries a task is verified.
+// Connections from different hosts that send only one health check displace each other, but not a connection that carried a
+// task, even if that was used longer ago. A connection that was pinged and then carries a task is verified.
 func TestEvictsPingedBeforeVerified(t *testing.T) {
 	c := newTestControl()
 	c.Opened(0, 1, "owner")
@@ -100,7 +101,7 @@
 	}
 }
 
-// A connection with a health check is not closed as idle, and a likely owner's stays open until another one is verified.
+// A pinged connection is not closed as idle, and that of a likely owner stays open until another one is verified.
 func TestPingedConnectionIsNotClosedAsIdle(t *testing.T) {
 	c := newTestControl()
 	c.Opened(0, 1, "owner")
@@ -112,7 +113,7 @@
 	expectIdle(t, c, 2250*ms, 0, 1)
 }
 
-// A use of a connection that was used before allocates nothing: it is recorded for each request.
+// Uses are recorded for each request, so recording a further use of a connection must not allocate.
 func TestUseDoesNotAllocate(t *testing.T) {
 	for _, test := range []struct {
 		name string
@@ -168,7 +169,7 @@
 	c := newTestControl()
 	c.Opened(0, 1, "h")
 	for i := range 3 {
-		if got, want := c.ProtocolError(1), i == 2; got != want {
+		if got, want := c.RecordProtocolError(1), i == 2; got != want {
 			t.Errorf("protocol error %d: got over the limit %v, want %v", i+1, got, want)
 		}
 	}
@@ -178,15 +179,15 @@
 		}
 	}
 	if c.EndRequest(0, 1, true); !c.BeginRequest(1) {
-		t.Error("got a request rejected after the response of another, want it accepted")
+		t.Error("got a request rejected after another was answered, want it accepted")
 	}
-	if c.ProtocolError(9) || c.BeginRequest(9) {
+	if c.RecordProtocolError(9) || c.BeginRequest(9) {
 		t.Error("got a protocol error or request recorded for a connection that is not open, want neither")
 	}
 }
 
-// In any order of operations, the limit holds, no connection with a pending request is evicted, and no state is left of
-// connections that have ended.
+// In any order of operations, the limit on connections holds, no connection with a pending request is evicted, and no state
+// of closed connections remains.
 func TestRandomOperationsRespectLimits(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	c, now, lastID := newTestControl(), Time(0), ID(0)
@@ -226,7 +227,7 @@
 	}
 }
 
-// checkLists checks that each connection is in one list, and that the limit holds.
+// checkLists checks that each connection is in one list, and that the limit on connections holds.
 func checkLists(t *testing.T, c *Control) {
 	t.Helper()
 	inLists := c.unverified.Len() + c.pinged.Len() + c.verified.Len()
--- a/internal/requests/owner.go
+++ b/internal/requests/owner.go
@@ -72,7 +72,7 @@
 
 // protocolError counts a malformed message, and closes the connection if it exceeds the limit.
 func (c *Core) protocolError(conn Conn) {
-	if c.admission.ProtocolError(admission.ID(conn)) {
+	if c.admission.RecordProtocolError(admission.ID(conn)) {
 		c.closeOwner(conn)
 	}
 }
