--- a/cmd/flaxshelf/serve.go
+++ b/cmd/flaxshelf/serve.go
@@ -25,7 +25,7 @@
 		config.ListenAddress = c.Listen
 	}
 	if c.Cores != 0 {
-		if err := shard.Check(c.Cores); err != nil {
+		if err := shard.CheckCoreCount(c.Cores); err != nil {
 			return fmt.Errorf("--cores: %w", err)
 		}
 		config.Shards = c.Cores
--- a/internal/daemon/core.go
+++ b/internal/daemon/core.go
@@ -72,7 +72,7 @@
 		addresses:   map[string]string{},
 	}
 	r.offer.init()
-	config := shard.Divide(d.settings.CoreConfig(d.startedAt), index, coreCount)
+	config := shard.ConfigForCore(d.settings.CoreConfig(d.startedAt), index, coreCount)
 	config.WrapStep = d.metrics.timeModuleStep
 	if d.settings.ModuleRecording != "" {
 		recorder, err := replay.Create(recordingPath(d.settings.ModuleRecording, index), config.Module, config.Seed)
--- a/internal/daemon/dispatch.go
+++ b/internal/daemon/dispatch.go
@@ -11,7 +11,7 @@
 func (d *Daemon) dispatch(call *drmaafront.Call, m message, events *eventStream) bool {
 	sample := call.BuildInput(0, 0)
 	if submit, ok := sample.(scheduler.Submit); ok {
-		core := d.shards.Submit(&submit.Spec, d.keylessSubmissions.Add(1),
+		core := d.shards.CoreForSubmission(&submit.Spec, d.keylessSubmissions.Add(1),
 			func(core int) int { return len(d.runners[core].mailbox) })
 		m.buildInput = call.BuildInput
 		return d.runners[core].tryEnqueue(m)
@@ -20,7 +20,7 @@
 	switch {
 	case !all:
 		return d.dispatchToCore(core, call, m, events)
-	case shard.IsAnsweredByFirstCore(sample):
+	case shard.IsDecidedByFirstCore(sample):
 		return d.dispatchByFirstCore(sample, call, m)
 	default:
 		return d.dispatchToAll(sample, call, m, events)
--- a/internal/daemon/nodehandler.go
+++ b/internal/daemon/nodehandler.go
@@ -39,7 +39,7 @@
 // mailbox was full.
 func (d *Daemon) tryEnqueueNodeInput(input scheduler.Input, from *transport.Conn) bool {
 	if attempt, ok := attemptOf(input); ok {
-		return d.runners[d.shards.Attempt(attempt)].tryEnqueue(message{input: input})
+		return d.runners[d.shards.CoreOfAttempt(attempt)].tryEnqueue(message{input: input})
 	}
 	switch in := input.(type) {
 	case scheduler.NodeUp:
@@ -57,7 +57,7 @@
 // false if a mailbox was full.
 func (d *Daemon) tryEnqueueNodeUp(up scheduler.NodeUp, from *transport.Conn) bool {
 	ok := true
-	for i, part := range d.shards.Split(up) {
+	for i, part := range d.shards.SplitReport(up) {
 		ok = d.runners[i].tryEnqueue(message{input: part, conn: from}) && ok
 	}
 	return ok
--- a/internal/shard/cores_test.go
+++ b/internal/shard/cores_test.go
@@ -70,7 +70,7 @@
 
 func newLoadedCore(t testing.TB, index, cores int) *loadedCore {
 	t.Helper()
-	core, err := scheduler.New(shard.Divide(loadConfig(), index, cores))
+	core, err := scheduler.New(shard.ConfigForCore(loadConfig(), index, cores))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -86,7 +86,7 @@
 	return loaded
 }
 
-// step submits jobs, steps the core with the messages of the nodes, and returns the number of offers.
+// step submits jobs, passes them and the messages of the nodes to the core, and returns the number of offers that it makes.
 func (l *loadedCore) step() (placed int) {
 	l.now += loadStep
 	l.submit()
@@ -139,7 +139,7 @@
 func TestCoresFigure(t *testing.T) {
 	dir := os.Getenv("FLAXSHELF_FIGURES")
 	if dir == "" {
-		t.Skip("set FLAXSHELF_FIGURES to a folder to draw it")
+		t.Skip("set FLAXSHELF_FIGURES to the folder for the figure")
 	}
 	rate := chart.Line{Name: "thousand placements a second"}
 	tail := chart.Line{Name: "p99 of a step that takes ten, microseconds"}
@@ -155,7 +155,8 @@
 	}
 }
 
-// measureCores runs a number of cores concurrently for three seconds of real time.
+// measureCores runs the given number of cores concurrently for three seconds of real time, and returns the placements per
+// second of all cores and the 99th percentile of the duration of a step.
 func measureCores(t *testing.T, count int) (placedPerSecond float64, stepP99 time.Duration) {
 	t.Helper()
 	const measureFor = 3 * time.Second
--- a/internal/shard/keycache.go
+++ b/internal/shard/keycache.go
@@ -1,18 +1,18 @@
 package shard
 
-// keyCache maps the most recently used keys to cores. It retains at least the last capacity keys and at most twice as many.
+// keyCache maps the most recently used keys to cores. It retains at least the last capacity keys, and at most twice as many.
 // It is not safe for concurrent use.
 type keyCache struct {
-	capacity int // the number of jobs that a scheduler retains
+	capacity int // of each map: the number of jobs that a scheduler retains
 	recent   map[string]int
-	older    map[string]int // replaced by recent when recent is full
+	older    map[string]int // the former recent, which was full
 }
 
 func newKeyCache(capacity int) keyCache {
 	return keyCache{capacity: capacity, recent: map[string]int{}}
 }
 
-// coreOf returns the core of a key. If the key is not in the cache, it is added with the default.
+// coreOf returns the core of a key. It adds a key that is not in the cache with defaultCore.
 func (k *keyCache) coreOf(key string, defaultCore int) int {
 	if core, ok := k.recent[key]; ok {
 		return core
--- a/internal/shard/merge.go
+++ b/internal/shard/merge.go
@@ -7,19 +7,19 @@
 	"flaxshelf.example/flaxshelf/internal/scheduler"
 )
 
-// Route reports whether a request concerns all cores; if not, it returns the core that it concerns. Of the session
-// commands, those that change a session concern all cores; for their order see IsAnsweredByFirstCore.
+// Route reports whether a request concerns all cores; if not, it returns the core that it concerns. Commands that create or
+// destroy a session concern all cores, in the order that IsDecidedByFirstCore describes.
 func (m *Map) Route(in scheduler.Input) (core int, all bool) {
 	if m.cores == 1 {
 		return 0, false
 	}
 	switch in := in.(type) {
 	case scheduler.Command:
-		return m.Job(in.Job), false
+		return m.CoreOfJob(in.Job), false
 	case scheduler.Query:
-		return m.Job(in.Job), in.Job == ""
+		return m.CoreOfJob(in.Job), in.Job == ""
 	case scheduler.Watch:
-		return m.Job(in.Job), in.Job == ""
+		return m.CoreOfJob(in.Job), in.Job == ""
 	case scheduler.SessionCommand:
 		return 0, in.Verb == scheduler.Create || in.Verb == scheduler.Destroy
 	case scheduler.Machines:
@@ -28,14 +28,14 @@
 	return 0, false
 }
 
-// IsAnsweredByFirstCore reports whether a request must be passed to core 0 first, and to the other cores only if core 0 does
+// IsDecidedByFirstCore reports whether a request must be passed to core 0 first, and to the other cores only if core 0 does
 // not answer with an error. Otherwise two cores might destroy and create a session in different orders.
-func IsAnsweredByFirstCore(in scheduler.Input) bool {
+func IsDecidedByFirstCore(in scheduler.Input) bool {
 	_, ok := in.(scheduler.SessionCommand)
 	return ok
 }
 
-// Merge merges the answers of all cores to a request. If any of them is an error, it returns the first error.
+// Merge merges the answers of all cores to a request. If any of them has an error, it returns the first one that has.
 func Merge(in scheduler.Input, answers []scheduler.Answer) scheduler.Answer {
 	for _, answer := range answers {
 		if answer.Err != nil {
@@ -52,7 +52,7 @@
 	return merged
 }
 
-// mergeJobs returns the jobs of all cores ordered by ID, at most limit of them. Zero means no limit.
+// mergeJobs returns the jobs of all cores ordered by ID, at most limit of them. A limit of zero means no limit.
 func mergeJobs(answers []scheduler.Answer, limit int) []scheduler.Info {
 	var jobs []scheduler.Info
 	for _, answer := range answers {
@@ -65,8 +65,8 @@
 	return jobs
 }
 
-// mergeMachines returns each machine once, ordered by ID, with the sum of its jobs. A machine is connected if it is
-// connected for any core.
+// mergeMachines returns each machine once, ordered by ID, with the number of its jobs on all cores. A machine is connected if
+// any core reports it as connected.
 func mergeMachines(answers []scheduler.Answer) []scheduler.MachineInfo {
 	merged := slices.Clone(answers[0].Machines)
 	indexes := map[string]int{}
--- a/internal/shard/position.go
+++ b/internal/shard/position.go
@@ -5,14 +5,14 @@
 	"strings"
 )
 
-// positionSeparator separates the revisions of a position.
+// positionSeparator separates the revisions in the text of a Position.
 const positionSeparator = "-"
 
-// Position is a position in the stream of the changes of all cores: the latest published revision of each core.
+// Position is a position in the event stream that merges the changes of all cores: the last published revision of each core.
 type Position []uint64
 
-// ParsePosition parses a position as formatted by String. It returns the start of the stream if s is invalid or has another
-// number of cores.
+// ParsePosition parses a position in the format of Position.String. It returns the start of the stream if s is invalid or
+// has another number of cores.
 func ParsePosition(s string, cores int) Position {
 	position := make(Position, cores)
 	words := strings.Split(s, positionSeparator)
@@ -29,6 +29,7 @@
 	return position
 }
 
+// String returns the revisions of all cores in the format that ParsePosition expects.
 func (p Position) String() string {
 	words := make([]string, len(p))
 	for core, revision := range p {
--- a/internal/shard/shard_test.go
+++ b/internal/shard/shard_test.go
@@ -26,11 +26,11 @@
 	}
 }
 
-// noBacklog returns the backlog of idle cores.
+// noBacklog is the backlog function of idle cores.
 func noBacklog(int) int { return 0 }
 
-// Submissions of a key are passed to the core that has its work: in the same incarnation, and in a later one with any number
-// of cores, whether a node reports the work before or after the owner retries.
+// Submissions with the same key are passed to the core that has the job, in the same incarnation and in a later one with any
+// number of cores, whether a node reports the job before or after the owner retries.
 func TestKeyHasOneCore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		domains := []flaxshelf.TopologyDomain{flaxshelf.NoDomain, flaxshelf.ZoneDomain}
@@ -43,7 +43,7 @@
 		m := New("s", testConfig(time.Second, spread), cores)
 		core := checkSameIncarnation(t, m, spec)
 		id := CoreName("s", core, cores) + "." + "rs" + ".1" // 1,000 ms in base 36
-		if got := m.Job(id); got != core {
+		if got := m.CoreOfJob(id); got != core {
 			t.Fatalf("core of %s: got %d, want %d", id, got, core)
 		}
 		later := New("s", testConfig(time.Minute, spread), laterCores)
@@ -51,15 +51,15 @@
 	})
 }
 
-// checkSameIncarnation submits the same work several times and returns its core.
+// checkSameIncarnation checks that submissions with the same key are passed to one core, and returns the core.
 func checkSameIncarnation(t *rapid.T, m *Map, spec scheduler.Spec) int {
 	t.Helper()
-	core := m.Submit(&spec, 5, noBacklog)
-	if got := m.Submit(&spec, 6, noBacklog); got != core {
+	core := m.CoreForSubmission(&spec, 5, noBacklog)
+	if got := m.CoreForSubmission(&spec, 6, noBacklog); got != core {
 		t.Fatalf("core of the second submission: got %d, want %d", got, core)
 	}
 	spec.Service = "elsewhere"
-	if got := m.Submit(&spec, 6, noBacklog); got != core {
+	if got := m.CoreForSubmission(&spec, 6, noBacklog); got != core {
 		t.Fatalf("core of a submission with another service: got %d, want %d", got, core)
 	}
 	return core
@@ -70,11 +70,11 @@
 	t.Helper()
 	submittedTo := -1
 	if ownerFirst {
-		submittedTo = m.Submit(&spec, 0, noBacklog)
+		submittedTo = m.CoreForSubmission(&spec, 0, noBacklog)
 	}
 	reported := scheduler.RunningAttempt{Attempt: id + "/1/0", Job: id, Spec: spec}
 	adoptedBy := -1
-	for core, part := range m.Split(scheduler.NodeUp{Node: "n", Running: []scheduler.RunningAttempt{reported}}) {
+	for core, part := range m.SplitReport(scheduler.NodeUp{Node: "n", Running: []scheduler.RunningAttempt{reported}}) {
 		if part.Node != "n" {
 			t.Fatalf("node of the report to core %d: got %q, want n", core, part.Node)
 		}
@@ -83,15 +83,15 @@
 		}
 	}
 	if !ownerFirst {
-		submittedTo = m.Submit(&spec, 0, noBacklog)
+		submittedTo = m.CoreForSubmission(&spec, 0, noBacklog)
 	}
-	if adoptedBy != submittedTo || m.Job(id) != adoptedBy || m.Attempt(reported.Attempt) != adoptedBy {
+	if adoptedBy != submittedTo || m.CoreOfJob(id) != adoptedBy || m.CoreOfAttempt(reported.Attempt) != adoptedBy {
 		t.Fatalf("got adoption by core %d, submission to %d, job on %d, attempt on %d, want the same core",
-			adoptedBy, submittedTo, m.Job(id), m.Attempt(reported.Attempt))
+			adoptedBy, submittedTo, m.CoreOfJob(id), m.CoreOfAttempt(reported.Attempt))
 	}
 }
 
-// With a spread limit all keys of a service have one core. Without one the keys of a service use all cores.
+// With a spread limit, all keys of a service are on one core. Without one, they are distributed among all cores.
 func TestServiceWithSpreadLimitHasOneCore(t *testing.T) {
 	const cores = 5
 	limited := New("s", testConfig(0, flaxshelf.CellDomain), cores)
@@ -99,7 +99,7 @@
 		used := map[int]bool{}
 		for key := range 30 {
 			spec := scheduler.Spec{Service: fmt.Sprint(service), Key: fmt.Sprint(service, "-", key)}
-			used[limited.Submit(&spec, uint64(key), noBacklog)] = true
+			used[limited.CoreForSubmission(&spec, uint64(key), noBacklog)] = true
 		}
 		if len(used) != 1 {
 			t.Errorf("cores of service %d with a spread limit: got %d, want 1", service, len(used))
@@ -107,37 +107,37 @@
 	}
 	unlimited, used := New("s", testConfig(0, flaxshelf.NoDomain), cores), map[int]bool{}
 	for key := range 50 {
-		used[unlimited.Submit(&scheduler.Spec{Service: "one", Key: fmt.Sprint(key)}, 0, noBacklog)] = true
+		used[unlimited.CoreForSubmission(&scheduler.Spec{Service: "one", Key: fmt.Sprint(key)}, 0, noBacklog)] = true
 	}
 	if len(used) != cores {
 		t.Errorf("cores of a service without a spread limit: got %d, want %d", len(used), cores)
 	}
 }
 
-// Work without a key is distributed round-robin, except to an overloaded core.
-func TestWorkWithoutKeyIsDistributedRoundRobin(t *testing.T) {
+// Submissions without a key are distributed round-robin, except to an overloaded core.
+func TestSubmissionsWithoutKeyAreDistributedRoundRobin(t *testing.T) {
 	m := New("s", testConfig(0, flaxshelf.NoDomain), 4)
 	count := [4]int{}
 	for turn := range 400 {
-		count[m.Submit(&scheduler.Spec{}, uint64(turn), noBacklog)]++
+		count[m.CoreForSubmission(&scheduler.Spec{}, uint64(turn), noBacklog)]++
 	}
 	if want := [4]int{100, 100, 100, 100}; count != want {
 		t.Errorf("submissions by core: got %v, want %v", count, want)
 	}
 	backlog := []int{3, 5000, 9, 7}
 	for turn := range 100 {
-		if core := m.Submit(&scheduler.Spec{}, uint64(turn), func(core int) int { return backlog[core] }); core == 1 {
+		if core := m.CoreForSubmission(&scheduler.Spec{}, uint64(turn), func(core int) int { return backlog[core] }); core == 1 {
 			t.Fatalf("submission %d: got the overloaded core 1, want another", turn)
 		}
 	}
 }
 
-// Each core is a separate scheduler to the module, and the limits of the cores add up to those of the scheduler.
-func TestDivideAmongSeveralCores(t *testing.T) {
+// Each core is configured as a separate scheduler, and the limits of the cores add up to those of the scheduler.
+func TestConfigForSeveralCores(t *testing.T) {
 	indexes, seeds := map[int]bool{}, map[uint64]bool{}
 	pending, running := 0, 0
 	for core := range 4 {
-		cfg := Divide(testConfig(0, flaxshelf.ZoneDomain), core, 4)
+		cfg := ConfigForCore(testConfig(0, flaxshelf.ZoneDomain), core, 4)
 		indexes[cfg.Module.Index], seeds[cfg.Seed] = true, true
 		pending, running = pending+cfg.Limits.MaxPending, running+cfg.Limits.MaxRunning
 		if cfg.Module.Schedulers != 12 || cfg.Module.Index/4 != 2 {
@@ -157,13 +157,13 @@
 }
 
 // A single core has the configuration of the scheduler.
-func TestDivideAmongOneCore(t *testing.T) {
-	if cfg := Divide(testConfig(0, flaxshelf.ZoneDomain), 0, 1); cfg.Name != "s" || cfg.Seed != 7 || cfg.Module.Index != 2 {
+func TestConfigForOneCore(t *testing.T) {
+	if cfg := ConfigForCore(testConfig(0, flaxshelf.ZoneDomain), 0, 1); cfg.Name != "s" || cfg.Seed != 7 || cfg.Module.Index != 2 {
 		t.Errorf("got name %q, seed %d, index %d, want those of the scheduler", cfg.Name, cfg.Seed, cfg.Module.Index)
 	}
 }
 
-func TestCheckAcceptsUpToMaxCores(t *testing.T) {
+func TestCheckCoreCountAcceptsUpToMaxCores(t *testing.T) {
 	for _, test := range []struct {
 		cores int
 		valid bool
@@ -175,7 +175,7 @@
 		{MaxCores + 1, false},
 	} {
 		t.Run(fmt.Sprintf("%d cores", test.cores), func(t *testing.T) {
-			err := Check(test.cores)
+			err := CheckCoreCount(test.cores)
 			if test.valid {
 				if err != nil {
 					t.Errorf("got error %v, want none", err)
@@ -190,7 +190,7 @@
 	}
 }
 
-// Merge merges lists in the order of IDs and prefers errors.
+// Merge returns lists in the order of IDs, or an error if any core has one.
 func TestMerge(t *testing.T) {
 	query := scheduler.Query{Limit: 3}
 	t.Run("jobs are ordered and limited", func(t *testing.T) {
@@ -202,7 +202,7 @@
 			t.Errorf("got jobs %v, want a, b, c", got.Jobs)
 		}
 	})
-	t.Run("machines are added up", func(t *testing.T) {
+	t.Run("jobs of a machine are added up", func(t *testing.T) {
 		first := scheduler.MachineInfo{Machine: flaxshelf.Machine{ID: "m"}, Jobs: 2}
 		second := scheduler.MachineInfo{Machine: flaxshelf.Machine{ID: "m"}, Jobs: 3, Connected: true}
 		other := scheduler.MachineInfo{Machine: flaxshelf.Machine{ID: "a"}}
@@ -214,7 +214,7 @@
 			t.Errorf("got machines %+v, want a, and m connected with 5 jobs", got.Machines)
 		}
 	})
-	t.Run("an error wins", func(t *testing.T) {
+	t.Run("an error is returned instead of other answers", func(t *testing.T) {
 		got := Merge(query, []scheduler.Answer{{}, {Err: &scheduler.Error{Code: scheduler.TryLater}}})
 		if got.Err == nil {
 			t.Errorf("got answer %+v, want the error", got)
@@ -239,7 +239,7 @@
 	}
 }
 
-func TestTokensAreDecodedAsEncoded(t *testing.T) {
+func TestDecodeTokenInvertsEncodeToken(t *testing.T) {
 	const token = 9
 	for _, core := range []int{0, 1, MaxCores - 1} {
 		t.Run(fmt.Sprintf("core %d", core), func(t *testing.T) {
--- a/internal/shard/shardmap.go
+++ b/internal/shard/shardmap.go
@@ -11,23 +11,23 @@
 	"flaxshelf.example/flaxshelf/internal/scheduler"
 )
 
-// maxBacklogLead bounds the backlog of a core that gets work: the core is skipped if its backlog exceeds twice that of the
-// least loaded core by more than this number of inputs.
-const maxBacklogLead = 64
+// maxBacklogExcess bounds the backlog of a core that gets a submission in its turn. The core is skipped if its backlog exceeds
+// twice that of the least loaded core by more than this number of inputs.
+const maxBacklogExcess = 64
 
-// Map maps jobs, keys and attempts to cores, for one incarnation of a scheduler. It is safe for concurrent use.
+// Map maps the jobs, keys and attempts of one incarnation of a scheduler to cores. It is safe for concurrent use.
 type Map struct {
 	cores      int
-	byService  bool     // all tasks of a service are on one core
-	idPrefixes []string // of the IDs that each core of this incarnation assigns
+	byService  bool     // all jobs of a service are on one core
+	idPrefixes []string // by core: the prefix of the job IDs that it assigns in this incarnation
 
 	mu      sync.RWMutex
-	adopted map[string]int // cores of the jobs of former incarnations that are not on the core of their ID's hash
-	keys    keyCache       // used with byService, where the key alone does not determine the core
+	adopted map[string]int // by job ID: cores of jobs of former incarnations for which the hash of the ID gives another core
+	keys    keyCache       // used if byService, because the key alone does not determine the core then
 }
 
-// New returns the map of one incarnation of a scheduler. If any class has a spread limit, all tasks of a service are on one
-// core, which counts them exactly; with any other division, adopted tasks could exceed the limit.
+// New returns the map of one incarnation of a scheduler. If any class has a spread limit, all jobs of a service are on one
+// core, which counts their tasks exactly. If they were divided in any other way, adopted tasks could exceed the limit.
 func New(name string, cfg scheduler.Config, cores int) *Map {
 	isSpread := func(class flaxshelf.TaskClass) bool { return class.SpreadDomain != flaxshelf.NoDomain }
 	m := &Map{
@@ -42,21 +42,22 @@
 	return m
 }
 
-// Submit returns the core for a submission. A key always has the same core, in other incarnations of the scheduler too,
-// since an owner that retries uses the same service. Work without a key or a service is distributed round-robin by turn, and
-// skips overloaded cores: backlog returns the number of inputs that wait for a core.
-func (m *Map) Submit(spec *scheduler.Spec, turn uint64, backlog func(core int) int) int {
+// CoreForSubmission returns the core for a submission. A key always has the same core, also in other incarnations of the
+// scheduler, since an owner that retries uses the same service. Submissions that neither a key nor a service assigns to a core
+// are distributed round-robin by turn, which should increase from call to call, but not to overloaded cores. backlog returns
+// the number of inputs that wait for a core.
+func (m *Map) CoreForSubmission(spec *scheduler.Spec, turn uint64, backlog func(core int) int) int {
 	if m.cores == 1 {
 		return 0
 	}
-	if core, ok := m.coreOfWork(spec); ok {
+	if core, ok := m.coreOfSpec(spec); ok {
 		return core
 	}
 	return m.roundRobin(turn, backlog)
 }
 
-// coreOfWork returns the core of a service or a key. It returns false for work without either.
-func (m *Map) coreOfWork(spec *scheduler.Spec) (core int, ok bool) {
+// coreOfSpec returns the core that the service or the key determines. It returns false if neither does.
+func (m *Map) coreOfSpec(spec *scheduler.Spec) (core int, ok bool) {
 	if m.byService && spec.Service != "" {
 		return m.coreOfKey(spec.Key, m.hash(spec.Service)), true
 	}
@@ -66,6 +67,7 @@
 	return 0, false
 }
 
+// roundRobin returns the core whose turn it is, or the one with the smallest backlog if that core is overloaded.
 func (m *Map) roundRobin(turn uint64, backlog func(core int) int) int {
 	next := int(turn % uint64(m.cores))
 	least := next
@@ -74,14 +76,14 @@
 			least = core
 		}
 	}
-	if backlog(next) > 2*backlog(least)+maxBacklogLead {
+	if backlog(next) > 2*backlog(least)+maxBacklogExcess {
 		return least
 	}
 	return next
 }
 
-// coreOfKey returns the core that the key had before, or else assigns the default to it. Otherwise a key that is submitted
-// again with another service would start the work twice.
+// coreOfKey returns defaultCore, or, if byService, the core that was returned for the key before. Otherwise a key that is
+// submitted again with another service would start the same job twice.
 func (m *Map) coreOfKey(key string, defaultCore int) int {
 	if key == "" || !m.byService {
 		return defaultCore
@@ -93,8 +95,8 @@
 
 func (m *Map) hash(s string) int { return int(xxhash.Sum64String(s) % uint64(m.cores)) }
 
-// Job returns the core of a job or an array.
-func (m *Map) Job(id string) int {
+// CoreOfJob returns the core of a job or of a job array.
+func (m *Map) CoreOfJob(id string) int {
 	if core := m.coreOfPrefix(id); core >= 0 {
 		return core
 	}
@@ -107,27 +109,27 @@
 	return m.hash(id)
 }
 
-// coreOfPrefix returns the core of this incarnation that has assigned the ID, or -1 if there is none.
+// coreOfPrefix returns the core that has assigned the ID in this incarnation, or -1 if none has.
 func (m *Map) coreOfPrefix(id string) int {
 	return slices.IndexFunc(m.idPrefixes, func(prefix string) bool { return strings.HasPrefix(id, prefix) })
 }
 
-// Attempt returns the core of an attempt, whose ID consists of its job's ID and two numbers.
-func (m *Map) Attempt(id string) int {
+// CoreOfAttempt returns the core of an attempt, whose ID is that of its job followed by two numbers.
+func (m *Map) CoreOfAttempt(id string) int {
 	job := id
 	for range 2 {
 		if i := strings.LastIndexByte(job, '/'); i >= 0 {
 			job = job[:i]
 		}
 	}
-	return m.Job(job)
+	return m.CoreOfJob(job)
 }
 
-// Split divides a node's report among the cores: each core gets a NodeUp with its own jobs. A job of a former incarnation,
-// which may have had another number of cores, is assigned to the core to which the same work would be submitted, so that an
-// owner that retries finds it and the spread limit of its service counts it. Without a key or a service it is assigned by
-// its ID.
-func (m *Map) Split(up scheduler.NodeUp) []scheduler.NodeUp {
+// SplitReport divides a node's report among the cores: each core gets a NodeUp with its own jobs. A job of a former
+// incarnation, which may have had another number of cores, is assigned to the core that the same submission would get, so
+// that an owner that retries finds it and the spread limit of its service counts it. If neither a key nor a service determines
+// the core, the job's ID does.
+func (m *Map) SplitReport(up scheduler.NodeUp) []scheduler.NodeUp {
 	if m.cores == 1 {
 		return []scheduler.NodeUp{up}
 	}
@@ -140,19 +142,20 @@
 		parts[core].Running = append(parts[core].Running, reported)
 	}
 	for _, ended := range up.Ended {
-		core := m.Attempt(ended.Attempt)
+		core := m.CoreOfAttempt(ended.Attempt)
 		parts[core].Ended = append(parts[core].Ended, ended)
 	}
 	return parts
 }
 
-// coreOfRunning returns the core that has or adopts the job of an attempt, and stores it if the ID determines another one.
+// coreOfRunning returns the core that has the job of an attempt or is to adopt it. It stores the core if the hash of the job's
+// ID gives another one.
 func (m *Map) coreOfRunning(reported *scheduler.RunningAttempt) int {
 	if core := m.coreOfPrefix(reported.Job); core >= 0 {
 		return core
 	}
 	byID := m.hash(reported.Job)
-	core, ok := m.coreOfWork(&reported.Spec)
+	core, ok := m.coreOfSpec(&reported.Spec)
 	if !ok {
 		return byID
 	}
