--- a/internal/machineindex/doc.go
+++ b/internal/machineindex/doc.go
@@ -3,7 +3,7 @@
 // history of the placements that the scheduler made on them.
 //
 // The package makes no decisions. Its caller sets the contents of sets and columns, and determines how machines rank as
-// hosts of a service, from when on a placement is assumed to use capacity, and when it is removed from the history.
+// hosts of a service, which placements are assumed to use capacity, and when placements are removed from the history.
 // docs/scale.md compares the data structures with plain scans.
 //
 // # Machine numbers
--- a/internal/machineindex/domains.go
+++ b/internal/machineindex/domains.go
@@ -2,7 +2,7 @@
 
 import "github.com/bits-and-blooms/bitset"
 
-// DomainScope is the type of the domains of a query: zones or cells.
+// DomainScope selects the domains of a query: zones or cells.
 type DomainScope int
 
 // Zones and Cells are the values of DomainScope.
