--- a/internal/machineindex/index.go
+++ b/internal/machineindex/index.go
@@ -12,7 +12,7 @@
 type Options struct {
 	Affinity        AffinityPolicy
 	HistoryLimit    int // maximum number of recent placements, see History.Recent
-	MaxIdleServices int // maximum number of services without active attempts that are kept
+	MaxIdleServices int // a service whose last active attempt ends is removed if there are more services than this
 }
 
 // Index has the machines of one scheduler by number, see the package documentation. Use New to create one.
