--- a/internal/front/platformfront/node.go
+++ b/internal/front/platformfront/node.go
@@ -26,7 +26,7 @@
 
 // DecodeNodeMessage translates a message of a node into an input. It returns nil for a message that the core doesn't need. The
 // error is a *nodebinary.ProtocolError, for an answer without a description or a release without a cause.
-func DecodeNodeMessage(link requests.Link, m *nodebinary.Message) (requests.Input, error) {
+func DecodeNodeMessage(link requests.LinkID, m *nodebinary.Message) (requests.Input, error) {
 	input := requests.NodeMessage{
 		Link:   link,
 		Task:   formatTaskID(m.Task),
--- a/internal/front/platformfront/owner.go
+++ b/internal/front/platformfront/owner.go
@@ -35,7 +35,7 @@
 
 // DecodeOwnerMessage translates a message of an owner into an input. It returns nil for a message that the core doesn't need.
 // The error is an *OwnerMessageError.
-func (c *Config) DecodeOwnerMessage(conn requests.Conn, now requests.Time, m *ownerjson.Message) (requests.Input, error) {
+func (c *Config) DecodeOwnerMessage(conn requests.ConnID, now requests.Time, m *ownerjson.Message) (requests.Input, error) {
 	switch m.Type {
 	case ownerjson.SetUp:
 		return c.decodeSetUp(conn, now, m)
@@ -53,7 +53,7 @@
 }
 
 // decodeSetUp translates a set-up: the submission of a task, or the adoption of a running task.
-func (c *Config) decodeSetUp(conn requests.Conn, now requests.Time, m *ownerjson.Message) (requests.Input, error) {
+func (c *Config) decodeSetUp(conn requests.ConnID, now requests.Time, m *ownerjson.Message) (requests.Input, error) {
 	class, ok := c.Names.Class(m.Fields[fieldClass])
 	if !ok {
 		return nil, invalidField(m, fieldClass, "not a class of the settings")
@@ -145,7 +145,7 @@
 }
 
 // decodeSubmission decodes the fields that only submissions have.
-func (c *Config) decodeSubmission(conn requests.Conn, m *ownerjson.Message, task flaxshelf.Task) (requests.Input, error) {
+func (c *Config) decodeSubmission(conn requests.ConnID, m *ownerjson.Message, task flaxshelf.Task) (requests.Input, error) {
 	key := m.Fields[fieldIdempotencyKey]
 	if key == "" && c.Module.Classes[task.Class].Idempotency == flaxshelf.IdempotentByKey {
 		return nil, invalidField(m, fieldIdempotencyKey, "the class needs an idempotency key")
--- a/internal/platform/effects.go
+++ b/internal/platform/effects.go
@@ -140,7 +140,7 @@
 }
 
 // closeLink closes the connection to a node.
-func (s *Scheduler) closeLink(link requests.Link) {
+func (s *Scheduler) closeLink(link requests.LinkID) {
 	if node := s.links[link]; node != nil {
 		delete(s.links, link)
 		node.conn.Close(errLinkClosed)
@@ -148,7 +148,7 @@
 }
 
 // removeOwner removes an owner and appends its connection to closing.
-func (s *Scheduler) removeOwner(id requests.Conn, closing []*transport.Conn) []*transport.Conn {
+func (s *Scheduler) removeOwner(id requests.ConnID, closing []*transport.Conn) []*transport.Conn {
 	owner := s.owners[id]
 	if owner == nil {
 		return closing
--- a/internal/platform/mailbox_test.go
+++ b/internal/platform/mailbox_test.go
@@ -9,14 +9,14 @@
 )
 
 // disconnected returns a message that reports the end of a connection.
-func disconnected(conn requests.Conn) message {
+func disconnected(conn requests.ConnID) message {
 	return message{inputs: []requests.Input{requests.OwnerDisconnected{Conn: conn}}}
 }
 
 // expectTaken takes up to limit messages that disconnected has made, and checks their connections.
-func expectTaken(t *testing.T, b *mailbox, limit int, want ...requests.Conn) {
+func expectTaken(t *testing.T, b *mailbox, limit int, want ...requests.ConnID) {
 	t.Helper()
-	var got []requests.Conn
+	var got []requests.ConnID
 	for _, m := range b.take(nil, limit) {
 		got = append(got, m.inputs[0].(requests.OwnerDisconnected).Conn)
 	}
@@ -31,7 +31,7 @@
 	b := newMailbox(2)
 	put := func(m message) bool { b.put(m); return true }
 	for i, queue := range []func(message) bool{b.tryPut, b.tryPut, b.tryPut, put} {
-		if got, want := queue(disconnected(requests.Conn(i+1))), i != 2; got != want {
+		if got, want := queue(disconnected(requests.ConnID(i+1))), i != 2; got != want {
 			t.Errorf("message %d: got accepted %v, want %v", i+1, got, want)
 		}
 	}
--- a/internal/platform/nodes.go
+++ b/internal/platform/nodes.go
@@ -16,7 +16,7 @@
 // nodeHandler reads the messages of one link to a node. It belongs to the event loop.
 type nodeHandler struct {
 	scheduler *Scheduler
-	link      requests.Link
+	link      requests.LinkID
 	partial   partialMessage
 }
 
--- a/internal/platform/owners.go
+++ b/internal/platform/owners.go
@@ -25,13 +25,13 @@
 
 // newOwnerHandler returns the handler of an owner's new connection, which has acquired a slot.
 func (s *Scheduler) newOwnerHandler(*transport.Conn) transport.Handler {
-	return &ownerHandler{scheduler: s, id: requests.Conn(s.ownerConnections.Add(1))}
+	return &ownerHandler{scheduler: s, id: requests.ConnID(s.ownerConnections.Add(1))}
 }
 
 // ownerHandler reads the messages of one owner's connection. It belongs to the event loop.
 type ownerHandler struct {
 	scheduler *Scheduler
-	id        requests.Conn
+	id        requests.ConnID
 	partial   partialMessage
 }
 
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -73,8 +73,8 @@
 	// The fields below belong to the run loop.
 	core        *requests.Core
 	recording   *replay.Writer // nil means no recording
-	owners      map[requests.Conn]*peer
-	links       map[requests.Link]*peer
+	owners      map[requests.ConnID]*peer
+	links       map[requests.LinkID]*peer
 	unflushed   []*peer // peers whose outboxes are not empty
 	watch       endpointWatch
 	position    watchPosition
@@ -125,8 +125,8 @@
 		mailbox:    newMailbox(queueCapacity),
 		loopDone:   make(chan struct{}),
 		ownerSlots: make(chan struct{}, budget.ownerConnections),
-		owners:     map[requests.Conn]*peer{},
-		links:      map[requests.Link]*peer{},
+		owners:     map[requests.ConnID]*peer{},
+		links:      map[requests.LinkID]*peer{},
 		position:   watchPosition{last: config.LastSequence},
 	}
 	s.watch.scheduler = s
@@ -137,7 +137,7 @@
 // newCore creates the core, and the recording of its steps if Options.Recording names a file.
 func (s *Scheduler) newCore(config *platformfront.Config, budget descriptorBudget) error {
 	coreConfig := requests.Config{
-		Module:                 config.Module,
+		Placer:                 config.Module,
 		Seed:                   config.Seed,
 		NodeUnreachableTimeout: requests.DefaultNodeUnreachableTimeout,
 		NodeIdleTimeout:        config.NodeIdleTimeout,
--- a/internal/requests/action.go
+++ b/internal/requests/action.go
@@ -26,7 +26,7 @@
 func (h actionHandler) HandleMigrate(action flaxshelf.Migrate) { h.core.migrate(action) }
 
 // HandleSetTimer implements flaxshelf.ActionHandler.
-func (h actionHandler) HandleSetTimer(action flaxshelf.SetTimer) { h.core.setModuleTimer(action) }
+func (h actionHandler) HandleSetTimer(action flaxshelf.SetTimer) { h.core.setPlacerTimer(action) }
 
 // HandleSubscribe implements flaxshelf.ActionHandler.
 func (h actionHandler) HandleSubscribe(flaxshelf.Subscribe) { h.core.emit(Subscribe{}) }
@@ -39,9 +39,9 @@
 // between schedulers (caps.peers).
 func (h actionHandler) HandleSendGossip(flaxshelf.SendGossip) {}
 
-// setModuleTimer schedules the module's next TimerFired event; of several timers the earliest counts.
-func (c *Core) setModuleTimer(action flaxshelf.SetTimer) {
-	if at := c.now + action.After; c.moduleTimerAt == 0 || at < c.moduleTimerAt {
-		c.moduleTimerAt = at
+// setPlacerTimer schedules the module's next TimerFired event; of several timers the earliest counts.
+func (c *Core) setPlacerTimer(action flaxshelf.SetTimer) {
+	if at := c.now + action.After; c.placerTimerAt == 0 || at < c.placerTimerAt {
+		c.placerTimerAt = at
 	}
 }
--- a/internal/requests/action_test.go
+++ b/internal/requests/action_test.go
@@ -24,11 +24,11 @@
 	h := newHarness(t)
 	h.step()
 	handler, want := actionHandler{h.core}, h.now+time.Second
-	h.core.moduleTimerAt = 0
+	h.core.placerTimerAt = 0
 	for _, after := range []time.Duration{2 * time.Second, time.Second, 3 * time.Second} {
 		handler.HandleSetTimer(flaxshelf.SetTimer{After: after})
 	}
-	if got := h.core.moduleTimerAt; got != want {
+	if got := h.core.placerTimerAt; got != want {
 		t.Errorf("the module's timer is due at %v, want %v", got, want)
 	}
 }
--- a/internal/requests/adoption.go
+++ b/internal/requests/adoption.go
@@ -29,13 +29,13 @@
 	} else {
 		c.markLikelyOwner(in.Conn)
 	}
-	t := &task{id: in.Task.ID, spec: in.Task, conn: in.Conn, attempts: 1, unverified: true}
-	n := c.nodeFor(in.Node)
+	t := &task{id: in.Task.ID, spec: in.Task, conn: in.Conn, attempts: 1, unconfirmed: true}
+	n := c.getOrAddNode(in.Node)
 	t.attempt = &attempt{task: t, node: n, startedAt: c.now, phase: phaseRunning, unlisted: unlisted}
 	c.tasks[t.id] = t
 	n.attempts[t.id] = t.attempt
 	c.stats.Running++
 	c.stats.Adopted++
-	c.notifyModule(flaxshelf.TaskAdopted{Task: t.spec, Machine: in.Node})
+	c.notifyPlacer(flaxshelf.TaskAdopted{Task: t.spec, Machine: in.Node})
 	c.ensureLink(n)
 }
--- a/internal/requests/adoption_test.go
+++ b/internal/requests/adoption_test.go
@@ -18,7 +18,7 @@
 	noEffect[Accepted](h)
 	h.step(adopt)
 	want := []flaxshelf.TaskAdopted{{Task: adopt.Task, Machine: "n"}}
-	if got := moduleEventsOf[flaxshelf.TaskAdopted](h); !slices.Equal(got, want) {
+	if got := placerEventsOf[flaxshelf.TaskAdopted](h); !slices.Equal(got, want) {
 		t.Errorf("got adoptions %+v, want %+v", got, want)
 	}
 	h.step(NodeMessage{Link: h.links["n"], Kind: NodeReleased, Task: taskID(7), Cause: CauseLost, Reason: flaxshelf.Evicted})
--- a/internal/requests/attempt.go
+++ b/internal/requests/attempt.go
@@ -64,19 +64,19 @@
 	if t == nil || !t.pending || t.attempt != nil {
 		return // the module offers pending tasks only, and no task twice at once
 	}
-	a := c.newAttempt(t, c.nodeFor(action.Machine), action.Timeout)
-	if a.timeout <= 0 || a.node.entry.State != flaxshelf.Active {
+	a := c.newAttempt(t, c.getOrAddNode(action.Machine), action.Timeout)
+	if a.timeout <= 0 || a.node.machine.State != flaxshelf.Active {
 		c.endAttempt(a, flaxshelf.NotSent, flaxshelf.UnspecifiedReason)
 		return
 	}
 	n := a.node
 	// A message about the previous attempt at this node identifies only the task, and would be mistaken for one about this
 	// attempt. A new link distinguishes them.
-	if n.current != nil && !n.current.suspected && n.current.id <= t.unansweredLinks[n] {
-		c.suspectLink(n.current)
+	if n.currentLink != nil && !n.currentLink.suspected && n.currentLink.id <= t.unansweredLinks[n] {
+		c.suspectLink(n.currentLink)
 	}
-	if n.current != nil && n.current.up && !n.current.suspected {
-		c.sendOffer(a, n.current)
+	if n.currentLink != nil && n.currentLink.up && !n.currentLink.suspected {
+		c.sendOffer(a, n.currentLink)
 		return
 	}
 	c.awaitLink(a)
@@ -99,11 +99,11 @@
 
 // awaitLink has an attempt wait for a link to its node, which is dialed at once, without the redial backoff.
 func (c *Core) awaitLink(a *attempt) {
-	wait := min(a.timeout, max(c.config.Module.ConnectTimeout, minConnectTimeout))
+	wait := min(a.timeout, max(c.config.Placer.ConnectTimeout, minConnectTimeout))
 	a.timer = c.timers.Schedule(c.now+wait, func() {
 		c.endAttempt(a, flaxshelf.Unreachable, flaxshelf.UnspecifiedReason)
 	})
-	c.timers.Cancel(a.node.redial)
+	c.timers.Cancel(a.node.redialTimer)
 	c.ensureLink(a.node)
 }
 
@@ -124,7 +124,7 @@
 		Link:           l.id,
 		Attempt:        a.number,
 		Owner:          t.conn,
-		Node:           a.node.entry.ID,
+		Node:           a.node.machine.ID,
 		Task:           t.id,
 		Class:          t.class,
 		Key:            t.spec.Key,
@@ -137,7 +137,7 @@
 
 // sendFailed ends the attempt whose offer was not written.
 func (c *Core) sendFailed(in SendFailed) {
-	a := c.attemptOn(in.Link, in.Task)
+	a := c.findAttempt(in.Link, in.Task)
 	if a == nil || a.phase != phaseOffered || a.number != in.Attempt {
 		return
 	}
@@ -181,7 +181,7 @@
 	a.phase = phaseReleasing
 	l := a.link
 	if l == nil || !l.up {
-		l = a.node.current
+		l = a.node.currentLink
 	}
 	if l != nil && l.up {
 		c.sendRelease(a, l)
@@ -195,15 +195,15 @@
 	c.emit(SendRelease{Link: l.id, Task: a.task.id, Cause: CauseCanceled})
 }
 
-// awaitReleaseConfirmation schedules endUnconfirmedRelease for the time when the confirmation is overdue.
+// awaitReleaseConfirmation schedules checkUnconfirmedRelease for the time when the confirmation is overdue.
 func (c *Core) awaitReleaseConfirmation(a *attempt) {
-	a.timer = c.timers.Schedule(c.now+releaseConfirmationTimeout, func() { c.endUnconfirmedRelease(a) })
+	a.timer = c.timers.Schedule(c.now+releaseConfirmationTimeout, func() { c.checkUnconfirmedRelease(a) })
 }
 
-// endUnconfirmedRelease counts a released task as ended if its node has been responsive since, because nodes need not
+// checkUnconfirmedRelease counts a released task as ended if its node has been responsive since, because nodes need not
 // confirm a release. A partitioned node never receives the release and continues to run the task, which therefore counts as
 // running until a link is established or the node counts as unreachable.
-func (c *Core) endUnconfirmedRelease(a *attempt) {
+func (c *Core) checkUnconfirmedRelease(a *attempt) {
 	aliveSince := a.releasedAt > 0 && a.node.lastReceivedAt > a.releasedAt
 	if a.releaseDelivered || aliveSince {
 		c.endAttempt(a, flaxshelf.Canceled, flaxshelf.UnspecifiedReason)
@@ -212,8 +212,8 @@
 	c.awaitReleaseConfirmation(a)
 }
 
-// loseAttempt ends an attempt whose node is lost. The owner of a running task is notified.
-func (c *Core) loseAttempt(a *attempt) {
+// endLostAttempt ends an attempt whose node is lost. The owner of a running task is notified.
+func (c *Core) endLostAttempt(a *attempt) {
 	if a.phase == phaseRunning {
 		c.notifyTerminated(a.task, CauseLost)
 	}
@@ -253,16 +253,16 @@
 	}
 	delete(a.node.attempts, t.id)
 	t.attempt = nil
-	c.notifyModule(flaxshelf.AttemptEnded{
+	c.notifyPlacer(flaxshelf.AttemptEnded{
 		Task:    t.id,
-		Machine: a.node.entry.ID,
+		Machine: a.node.machine.ID,
 		Attempt: a.number,
 		Outcome: outcome,
 		Reason:  reason,
 		Final:   hadRun,
 		Latency: c.now - a.startedAt,
 	})
-	c.forgetIfDone(t)
+	c.deleteIfDone(t)
 	c.discardIfUnused(a.node)
 }
 
--- a/internal/requests/config.go
+++ b/internal/requests/config.go
@@ -10,7 +10,7 @@
 
 // Config holds the settings of a Core.
 type Config struct {
-	Module flaxshelf.Config
+	Placer flaxshelf.Config
 	Seed   uint64
 	// NodeUnreachableTimeout is how long a node may be unreachable before its tasks count as lost, usually
 	// DefaultNodeUnreachableTimeout.
--- a/internal/requests/config_test.go
+++ b/internal/requests/config_test.go
@@ -56,7 +56,7 @@
 // A setting that the module rejects is reported by the module's error.
 func TestNewReportsModuleError(t *testing.T) {
 	config := testConfig()
-	config.Module.MaxAttempts = -1
+	config.Placer.MaxAttempts = -1
 	core, err := New(config)
 	var configError *ConfigError
 	if core != nil || err == nil || errors.As(err, &configError) {
--- a/internal/requests/core.go
+++ b/internal/requests/core.go
@@ -21,21 +21,21 @@
 
 	effects       []Effect          // of the current step
 	pendingEvents []flaxshelf.Event // for the module's next step
-	moduleTimerAt Time              // when the module is to receive a TimerFired event; 0: never
+	placerTimerAt Time              // when the module is to receive a TimerFired event; 0: never
 
-	tasks         map[string]*task
-	owners        map[Conn]*ownerConnection
-	admission     *admission.Control
-	idleTimer     *timerqueue.Timer // of the next check for idle owners' connections
-	activityCount uint64            // number of calls of markActive
+	tasks            map[string]*task
+	owners           map[ConnID]*ownerConnection
+	admission        *admission.Control
+	idleTimer        *timerqueue.Timer // of the next check for idle owners' connections
+	lastConfirmedSeq uint64            // number of calls of markConfirmedOwner
 
 	undelivered  []*Terminated // notifications for which there was no owner's connection
 	preAdoption  preAdoptionTerminations
 	shuttingDown bool
 
 	nodes      map[string]*node
-	links      map[Link]*link
-	lastLinkID Link
+	links      map[LinkID]*link
+	lastLinkID LinkID
 	watch      discoveryWatch
 }
 
@@ -45,7 +45,7 @@
 	if err := config.validate(); err != nil {
 		return nil, err
 	}
-	placer, err := flaxshelf.New(config.Module, config.Seed)
+	placer, err := flaxshelf.New(config.Placer, config.Seed)
 	if err != nil {
 		return nil, fmt.Errorf("requests: module settings: %w", err)
 	}
@@ -53,17 +53,17 @@
 		config:    config,
 		placer:    placer,
 		tasks:     map[string]*task{},
-		owners:    map[Conn]*ownerConnection{},
+		owners:    map[ConnID]*ownerConnection{},
 		admission: admission.New(config.Admission),
 		nodes:     map[string]*node{},
-		links:     map[Link]*link{},
+		links:     map[LinkID]*link{},
 		watch:     discoveryWatch{rng: rand.New(rand.NewPCG(config.Seed, 1))},
 	}, nil
 }
 
-// maxModuleRounds is how often one Step runs the module at most. An action of the module, such as an offer to a node that
+// maxPlacerRounds is how often one Step runs the module at most. An action of the module, such as an offer to a node that
 // was removed, may cause its next event in the same step.
-const maxModuleRounds = 8
+const maxPlacerRounds = 8
 
 // Step handles the inputs in order. It returns the effects to execute, which are valid until the next step, and the time by
 // which it must be called again; zero means not before the next input.
@@ -77,16 +77,16 @@
 		in.apply(c)
 	}
 	c.timers.RunDue(c.now)
-	c.runModule()
+	c.runPlacer()
 	return c.effects, c.nextDeadline()
 }
 
-// runModule passes the events of this step to the module and executes its actions.
-func (c *Core) runModule() {
-	for range maxModuleRounds {
-		if c.moduleTimerAt > 0 && c.moduleTimerAt <= c.now {
-			c.moduleTimerAt = 0
-			c.notifyModule(flaxshelf.TimerFired{})
+// runPlacer passes the events of this step to the module and executes its actions.
+func (c *Core) runPlacer() {
+	for range maxPlacerRounds {
+		if c.placerTimerAt > 0 && c.placerTimerAt <= c.now {
+			c.placerTimerAt = 0
+			c.notifyPlacer(flaxshelf.TimerFired{})
 		}
 		if len(c.pendingEvents) == 0 {
 			return
@@ -106,7 +106,7 @@
 	if len(c.pendingEvents) > 0 {
 		return c.now + 1
 	}
-	next := c.moduleTimerAt
+	next := c.placerTimerAt
 	if at, ok := c.timers.Next(); ok && (next == 0 || at < next) {
 		next = at
 	}
@@ -116,8 +116,8 @@
 // emit adds an effect to those of the current step.
 func (c *Core) emit(effect Effect) { c.effects = append(c.effects, effect) }
 
-// notifyModule queues an event for the module's next step.
-func (c *Core) notifyModule(event flaxshelf.Event) { c.pendingEvents = append(c.pendingEvents, event) }
+// notifyPlacer queues an event for the module's next step.
+func (c *Core) notifyPlacer(event flaxshelf.Event) { c.pendingEvents = append(c.pendingEvents, event) }
 
 // Idle reports whether no request waits for its response.
 func (c *Core) Idle() bool { return c.stats.Pending == 0 }
--- a/internal/requests/effect.go
+++ b/internal/requests/effect.go
@@ -9,43 +9,43 @@
 type (
 	// Accepted responds to an owner that its task runs.
 	Accepted struct {
-		Conn        Conn
+		Conn        ConnID
 		Task        string
 		Description string
 	}
 	// Terminated responds to an owner that its request was rejected or has failed, or notifies it that its running task has
 	// ended: by a release with Cause or, if Migrate is true, by a migration, after which the owner submits the task again.
 	Terminated struct {
-		Conn    Conn
+		Conn    ConnID
 		Task    string
 		Cause   Cause
 		Migrate bool
 	}
 	// Pong answers a health check.
 	Pong struct {
-		Conn   Conn
+		Conn   ConnID
 		Task   string
 		Passed bool
 	}
 	// CloseOwner closes an owner's connection after what was written to it has been sent.
-	CloseOwner struct{ Conn Conn }
+	CloseOwner struct{ Conn ConnID }
 )
 
 // Effects on links to nodes, and on the discovery service.
 type (
 	// Dial opens a connection to a node; LinkUp or LinkDown follows.
 	Dial struct {
-		Link Link
+		Link LinkID
 		Node string
 		Addr string
 	}
 	// CloseLink closes a link; LinkDown may follow.
-	CloseLink struct{ Link Link }
+	CloseLink struct{ Link LinkID }
 	// Offer writes a request to a node.
 	Offer struct {
-		Link           Link
-		Attempt        int  // its number among the attempts of the task
-		Owner          Conn // the connection of the request
+		Link           LinkID
+		Attempt        int    // its number among the attempts of the task
+		Owner          ConnID // the connection of the request
 		Node           string
 		Task           string
 		Class          string
@@ -56,7 +56,7 @@
 	}
 	// SendRelease writes a release to a node.
 	SendRelease struct {
-		Link  Link
+		Link  LinkID
 		Task  string
 		Cause Cause
 	}
--- a/internal/requests/endpoints.go
+++ b/internal/requests/endpoints.go
@@ -8,7 +8,7 @@
 	for i, endpoint := range in.Endpoints {
 		machines[i] = endpoint.Machine
 	}
-	c.notifyModule(flaxshelf.MachinesUpdated{Machines: machines, Complete: in.Complete, Stale: in.FromConfig})
+	c.notifyPlacer(flaxshelf.MachinesUpdated{Machines: machines, Complete: in.Complete, Stale: in.FromConfig})
 	for _, endpoint := range in.Endpoints {
 		c.updateNode(endpoint)
 	}
@@ -22,17 +22,17 @@
 // node restarted are lost.
 func (c *Core) updateNode(endpoint Endpoint) {
 	machine, addr := endpoint.Machine, endpoint.Addr
-	n := c.nodeFor(machine.ID)
-	restarted := n.listed && machine.Started > n.entry.Started && machine.State != flaxshelf.Removed
+	n := c.getOrAddNode(machine.ID)
+	restarted := n.listed && machine.Started > n.machine.Started && machine.State != flaxshelf.Removed
 	addrChanged := addr != "" && addr != n.addr
-	n.entry, n.listed = machine, true
+	n.machine, n.listed = machine, true
 	if addrChanged {
 		n.addr = addr
 		c.closeLinksOf(n)
 	}
 	if restarted {
 		beforeRestart := func(a *attempt) bool { return a.startedAt < machine.Started }
-		c.stats.LostToRemoval += c.loseRunning(n, beforeRestart)
+		c.stats.LostToRemoval += c.endLostTasks(n, beforeRestart)
 	}
 	c.applyNodeState(n)
 }
@@ -44,8 +44,8 @@
 		listed[endpoint.Machine.ID] = true
 	}
 	for _, n := range c.sortedNodes() {
-		if !listed[n.entry.ID] && n.entry.State != flaxshelf.Removed {
-			n.entry.State = flaxshelf.Removed
+		if !listed[n.machine.ID] && n.machine.State != flaxshelf.Removed {
+			n.machine.State = flaxshelf.Removed
 			c.applyNodeState(n)
 		}
 	}
@@ -60,7 +60,7 @@
 		}
 	}
 	for _, n := range c.sortedNodes() {
-		if id, used := idByAddr[n.addr]; used && id != n.entry.ID {
+		if id, used := idByAddr[n.addr]; used && id != n.machine.ID {
 			c.removeNode(n)
 		}
 	}
@@ -69,10 +69,10 @@
 // applyNodeState applies the state of a node in the endpoint list. Attempts that wait for a link are ended if the node
 // drains, because the update arrived before their offers were written.
 func (c *Core) applyNodeState(n *node) {
-	if n.entry.State != flaxshelf.Active {
+	if n.machine.State != flaxshelf.Active {
 		c.endConnecting(n, flaxshelf.NotSent)
 	}
-	if n.entry.State == flaxshelf.Removed {
+	if n.machine.State == flaxshelf.Removed {
 		c.removeNode(n)
 		return
 	}
--- a/internal/requests/endpoints_test.go
+++ b/internal/requests/endpoints_test.go
@@ -13,12 +13,12 @@
 	h := newHarness(t)
 	want := machinetest.Filled(t)
 	h.step(nodeUpdated(want, "x"))
-	updates := moduleEventsOf[flaxshelf.MachinesUpdated](h)
+	updates := placerEventsOf[flaxshelf.MachinesUpdated](h)
 	if len(updates) != 1 || len(updates[0].Machines) != 1 {
 		t.Fatalf("got %+v, want one update of one machine", updates)
 	}
 	machinetest.Expect(t, updates[0].Machines[0], want)
-	machinetest.Expect(t, h.core.nodeFor(want.ID).entry, want)
+	machinetest.Expect(t, h.core.getOrAddNode(want.ID).machine, want)
 }
 
 // A node is identified by its ID: the tasks of a node are lost when another node is at its address.
@@ -52,7 +52,7 @@
 	h.updateNodes(flaxshelf.Draining, "n")
 	h.step(LinkUp{dial.Link})
 	noEffect[Offer](h)
-	if got := moduleEventsOf[flaxshelf.AttemptEnded](h); len(got) == 0 || got[0].Outcome != flaxshelf.NotSent {
+	if got := placerEventsOf[flaxshelf.AttemptEnded](h); len(got) == 0 || got[0].Outcome != flaxshelf.NotSent {
 		t.Errorf("got ended attempts %+v, want the first with outcome %v", got, flaxshelf.NotSent)
 	}
 }
--- a/internal/requests/harness_test.go
+++ b/internal/requests/harness_test.go
@@ -12,7 +12,7 @@
 	"flaxshelf.example/flaxshelf/internal/admission"
 )
 
-// Classes of moduleConfig, by their index.
+// Classes of placerConfig, by their index.
 const (
 	classIdempotent = iota
 	classKeyed
@@ -25,11 +25,11 @@
 	now          Time
 	effects      []Effect          // of the last step, or of the last advance
 	allEffects   []Effect          // so far
-	moduleEvents []flaxshelf.Event // so far
-	links        map[string]Link   // established by addNodes, by node
+	placerEvents []flaxshelf.Event // so far
+	links        map[string]LinkID // established by addNodes, by node
 }
 
-func moduleConfig() flaxshelf.Config {
+func placerConfig() flaxshelf.Config {
 	return flaxshelf.Config{
 		Schedulers:       1,
 		Zone:             "a",
@@ -52,7 +52,7 @@
 
 func testConfig() Config {
 	return Config{
-		Module:                 moduleConfig(),
+		Placer:                 placerConfig(),
 		Seed:                   1,
 		NodeUnreachableTimeout: 6 * time.Second,
 		MaxPending:             100,
@@ -73,9 +73,9 @@
 	for _, change := range changes {
 		change(&config)
 	}
-	h := &harness{t: t, now: Time(1_000_000 * time.Second), links: map[string]Link{}}
+	h := &harness{t: t, now: Time(1_000_000 * time.Second), links: map[string]LinkID{}}
 	config.RecordStep = func(_ Time, events []flaxshelf.Event, _ []flaxshelf.Action) {
-		h.moduleEvents = append(h.moduleEvents, events...)
+		h.placerEvents = append(h.placerEvents, events...)
 	}
 	var err error
 	if h.core, err = New(config); err != nil {
@@ -112,7 +112,7 @@
 }
 
 // connect opens owners' connections from one host.
-func (h *harness) connect(conns ...Conn) {
+func (h *harness) connect(conns ...ConnID) {
 	h.t.Helper()
 	var inputs []Input
 	for _, conn := range conns {
@@ -122,7 +122,7 @@
 }
 
 // connectPinged opens an owner's connection that is not closed as idle, since it has sent a health check.
-func (h *harness) connectPinged(conn Conn) {
+func (h *harness) connectPinged(conn ConnID) {
 	h.t.Helper()
 	h.step(OwnerConnected{Conn: conn, Host: "h"}, Ping{Conn: conn, Task: taskID(1)})
 }
@@ -164,10 +164,12 @@
 func taskID(n int) string { return fmt.Sprintf("%016x", n) }
 
 // newSubmit returns a request for the n-th task, which is idempotent.
-func (h *harness) newSubmit(conn Conn, n int) Submit { return h.newSubmitOf(classIdempotent, conn, n) }
+func (h *harness) newSubmit(conn ConnID, n int) Submit {
+	return h.newSubmitOf(classIdempotent, conn, n)
+}
 
 // newSubmitOf returns a request for the n-th task, of a class.
-func (h *harness) newSubmitOf(class int, conn Conn, n int) Submit {
+func (h *harness) newSubmitOf(class int, conn ConnID, n int) Submit {
 	return Submit{
 		Conn:           conn,
 		Class:          "c",
@@ -187,22 +189,22 @@
 }
 
 // newAdopt returns the Adopt of the n-th task, which runs on a node.
-func (h *harness) newAdopt(conn Conn, node string, n int) Adopt {
+func (h *harness) newAdopt(conn ConnID, node string, n int) Adopt {
 	return Adopt{Conn: conn, Node: node, Task: h.newSubmit(conn, n).Task}
 }
 
 // nodeAccepted returns a node's acceptance of the n-th task.
-func nodeAccepted(link Link, n int, description string) NodeMessage {
+func nodeAccepted(link LinkID, n int, description string) NodeMessage {
 	return NodeMessage{Link: link, Kind: NodeAccepted, Task: taskID(n), Description: description}
 }
 
 // nodeReleased returns a node's release of the n-th task.
-func nodeReleased(link Link, n int, cause Cause) NodeMessage {
+func nodeReleased(link LinkID, n int, cause Cause) NodeMessage {
 	return NodeMessage{Link: link, Kind: NodeReleased, Task: taskID(n), Cause: cause}
 }
 
 // placeTask submits the n-th task, has a node accept it, and returns the offer.
-func (h *harness) placeTask(conn Conn, n int) Offer {
+func (h *harness) placeTask(conn ConnID, n int) Offer {
 	h.t.Helper()
 	h.step(h.newSubmit(conn, n))
 	offer := oneEffect[Offer](h)
@@ -251,10 +253,10 @@
 	}
 }
 
-// moduleEventsOf returns the module's events of one type so far.
-func moduleEventsOf[T flaxshelf.Event](h *harness) []T {
+// placerEventsOf returns the module's events of one type so far.
+func placerEventsOf[T flaxshelf.Event](h *harness) []T {
 	var matching []T
-	for _, event := range h.moduleEvents {
+	for _, event := range h.placerEvents {
 		if e, ok := event.(T); ok {
 			matching = append(matching, e)
 		}
@@ -265,7 +267,7 @@
 // expectEnded fails the test unless the module's AttemptEnded events so far are the wanted ones, apart from their latency.
 func (h *harness) expectEnded(want ...flaxshelf.AttemptEnded) {
 	h.t.Helper()
-	got := moduleEventsOf[flaxshelf.AttemptEnded](h)
+	got := placerEventsOf[flaxshelf.AttemptEnded](h)
 	for i := range got {
 		got[i].Latency = 0
 	}
--- a/internal/requests/input.go
+++ b/internal/requests/input.go
@@ -5,11 +5,11 @@
 // Time is the host's clock: Unix nanoseconds that never go back.
 type Time = flaxshelf.Time
 
-// Conn identifies an owner's connection. The host assigns the numbers, never 0 and none twice.
-type Conn uint64
+// ConnID identifies an owner's connection. The host assigns the numbers, never 0 and none twice.
+type ConnID uint64
 
-// Link identifies a connection to a node. The core assigns the numbers.
-type Link uint64
+// LinkID identifies a connection to a node. The core assigns the numbers.
+type LinkID uint64
 
 // Cause is the reason for a release, by its number in the protocol.
 type Cause int
@@ -33,7 +33,7 @@
 type (
 	// Submit requests the placement of a task.
 	Submit struct {
-		Conn           Conn
+		Conn           ConnID
 		Task           flaxshelf.Task // its ID is the 16 hex digits of the wire
 		Class          string         // as the owner wrote it
 		IdempotencyKey string
@@ -41,48 +41,48 @@
 	}
 	// Adopt reports a task that a node runs already, so that this scheduler manages it. It gets no response.
 	Adopt struct {
-		Conn Conn
+		Conn ConnID
 		Task flaxshelf.Task
 		Node string
 	}
 	// Release is an owner's release: it cancels a pending request, or ends a running task.
 	Release struct {
-		Conn Conn
+		Conn ConnID
 		Task string
 	}
 	// Migrated is an owner's request to end a running task because the owner migrates it.
 	Migrated struct {
-		Conn Conn
+		Conn ConnID
 		Task string
 	}
 	// Ping is an owner's health check. The effect Pong answers it.
 	Ping struct {
-		Conn Conn
+		Conn ConnID
 		Task string
 	}
 	// OwnerConnected reports a new connection of an owner.
 	OwnerConnected struct {
-		Conn Conn
+		Conn ConnID
 		Host string // the peer's address without its port
 	}
 	// OwnerDisconnected reports that an owner's connection has ended. Requests pending on it are canceled.
-	OwnerDisconnected struct{ Conn Conn }
+	OwnerDisconnected struct{ Conn ConnID }
 	// ProtocolError reports that a message on an owner's connection was malformed or out of place.
-	ProtocolError struct{ Conn Conn }
+	ProtocolError struct{ Conn ConnID }
 )
 
 // Inputs from nodes and their links.
 type (
 	// LinkUp reports that a link is established.
-	LinkUp struct{ Link Link }
+	LinkUp struct{ Link LinkID }
 	// LinkDown reports that a link has ended or could not be established.
 	LinkDown struct {
-		Link              Link
+		Link              LinkID
 		ConnectionRefused bool // nothing listens at the address
 	}
 	// NodeMessage is a message of a node about a task.
 	NodeMessage struct {
-		Link        Link
+		Link        LinkID
 		Kind        NodeMessageKind
 		Task        string
 		Cause       Cause
@@ -93,7 +93,7 @@
 	}
 	// SendFailed reports that an Offer was not written.
 	SendFailed struct {
-		Link    Link
+		Link    LinkID
 		Task    string
 		Attempt int
 	}
--- a/internal/requests/link.go
+++ b/internal/requests/link.go
@@ -10,7 +10,7 @@
 
 // link is a connection to a node.
 type link struct {
-	id             Link
+	id             LinkID
 	node           *node
 	up             bool
 	suspected      bool // to be replaced by a newer link, see suspectLink
@@ -19,13 +19,13 @@
 	lastUsedAt     Time // time of the last offer or message on it, or of its establishment
 }
 
-// linkRetireDelay is how long messages are still received on a link that was replaced.
-const linkRetireDelay = 2 * time.Second
+// linkRetirementDelay is how long messages are still received on a link that was replaced.
+const linkRetirementDelay = 2 * time.Second
 
 // ensureLink dials a node that needs a link, unless it has one, is being dialed or waits for its redial backoff.
 func (c *Core) ensureLink(n *node) {
-	hasLink := n.current != nil && !n.current.suspected
-	waiting := n.redial != nil && n.redial.Queued()
+	hasLink := n.currentLink != nil && !n.currentLink.suspected
+	waiting := n.redialTimer != nil && n.redialTimer.Queued()
 	if !n.needsLink() || hasLink || waiting {
 		return
 	}
@@ -35,13 +35,13 @@
 	}
 	c.lastLinkID++
 	l := &link{id: c.lastLinkID, node: n}
-	n.current = l
+	n.currentLink = l
 	c.links[l.id] = l
-	c.emit(Dial{Link: l.id, Node: n.entry.ID, Addr: n.addr})
+	c.emit(Dial{Link: l.id, Node: n.machine.ID, Addr: n.addr})
 }
 
 // linkUp handles an established link, and writes the offers and releases that waited for it.
-func (c *Core) linkUp(id Link) {
+func (c *Core) linkUp(id LinkID) {
 	l := c.links[id]
 	if l == nil {
 		c.emit(CloseLink{id})
@@ -54,7 +54,7 @@
 	n.lastReceivedAt = c.now
 	n.failedDials = 0
 	n.everLinked = true
-	if n.current != l {
+	if n.currentLink != l {
 		c.closeLink(l)
 		return
 	}
@@ -75,7 +75,7 @@
 	if l == nil {
 		return
 	}
-	n, wasUp, wasCurrent := l.node, l.up, l.node.current == l
+	n, wasUp, wasCurrent := l.node, l.up, l.node.currentLink == l
 	c.removeLink(l)
 	if wasUp {
 		c.stats.BrokenLinks++
@@ -100,7 +100,7 @@
 func (c *Core) dialFailed(n *node, refused bool) {
 	// A draining node no longer listens, so a refused connection proves its death only after a link was up and broke.
 	// Otherwise a scheduler that has just started would report all tasks lost that it adopts there.
-	dead := refused && (n.everLinked || n.entry.State != flaxshelf.Draining)
+	dead := refused && (n.everLinked || n.machine.State != flaxshelf.Draining)
 	if refused && !dead {
 		n.lastReceivedAt = c.now
 	}
@@ -111,7 +111,7 @@
 			c.endAttempt(a, flaxshelf.Unreachable, flaxshelf.UnspecifiedReason)
 		case a.phase >= phaseRunning && dead:
 			c.stats.LostToNodeDeath++
-			c.loseAttempt(a)
+			c.endLostAttempt(a)
 		}
 	}
 	c.scheduleRedial(n, exponentialBackoff(initialRedialBackoff, maxRedialBackoff, n.failedDials-1))
@@ -121,7 +121,7 @@
 // that the machine is alive and its process no longer listens, as a draining node that keeps its running tasks and its open
 // links. If it were treated as a death, those tasks would be reported lost while they run.
 func (c *Core) retainLink(n *node, old *link, refused bool) {
-	n.current = old
+	n.currentLink = old
 	if refused {
 		n.lastReceivedAt = c.now
 		old.suspected = false
@@ -142,10 +142,10 @@
 	c.ensureLink(l.node)
 }
 
-// scheduleRetirement closes a suspected link after linkRetireDelay, once another has replaced it.
+// scheduleRetirement closes a suspected link after linkRetirementDelay, once another has replaced it.
 func (c *Core) scheduleRetirement(l *link) {
-	c.timers.Schedule(c.now+linkRetireDelay, func() {
-		current := l.node.current
+	c.timers.Schedule(c.now+linkRetirementDelay, func() {
+		current := l.node.currentLink
 		switch {
 		case c.links[l.id] == nil || current == l && !l.suspected:
 			return
@@ -183,8 +183,8 @@
 	delete(c.links, l.id)
 	l.up = false
 	n := l.node
-	if n.current == l {
-		n.current = nil
+	if n.currentLink == l {
+		n.currentLink = nil
 	}
 	if l.pendingOffers == 0 {
 		return
--- a/internal/requests/link_test.go
+++ b/internal/requests/link_test.go
@@ -51,7 +51,7 @@
 		h.step(h.newSubmit(1, 8))
 		noEffect[Offer](h)
 		h.step(LinkDown{Link: dial.Link, ConnectionRefused: refused})
-		ended := moduleEventsOf[flaxshelf.AttemptEnded](h)
+		ended := placerEventsOf[flaxshelf.AttemptEnded](h)
 		if len(ended) == 0 || ended[0].Outcome == flaxshelf.Lost && ended[0].Task == taskID(8) {
 			t.Fatalf("got ended attempts %+v, want one, and not that of task 8 as lost", ended)
 		}
@@ -91,7 +91,7 @@
 	offer := h.placeTask(1, 7)
 	h.updateNodes(flaxshelf.Draining, "n")
 	for range 5 {
-		h.advance(nodeSilenceThreshold + silenceCheckInterval)
+		h.advance(nodeUnresponsiveThreshold + nodeCheckInterval)
 		dials := effectsOf[Dial](h)
 		if len(dials) == 0 {
 			t.Fatalf("got effects %+v, want the dial of a newer link", h.effects)
--- a/internal/requests/linkpool.go
+++ b/internal/requests/linkpool.go
@@ -49,7 +49,7 @@
 	if candidate == nil {
 		return false
 	}
-	candidate.node.deniedLink = candidate.node.current == candidate
+	candidate.node.deniedLink = candidate.node.currentLink == candidate
 	c.closeLink(candidate)
 	return true
 }
@@ -76,28 +76,28 @@
 type evictionRank int
 
 const (
-	rankNotEvictable    evictionRank = iota
-	rankRunningTasks                 // tasks run on its node, which is dialed again later for its reports
-	rankNothingAssigned              // its node has no attempt
-	rankReplaced                     // a newer link has taken its place
+	rankNotEvictable evictionRank = iota
+	rankRunningTasks              // tasks run on its node, which is dialed again later for its reports
+	rankNoAttempts                // its node has no attempt
+	rankReplaced                  // a newer link has taken its place
 )
 
-// minIdleDivisor divides Config.NodeUnreachableTimeout into the time that a link to a node with running tasks must be unused
+// evictionIdleDivisor divides Config.NodeUnreachableTimeout into the time that a link to a node with running tasks must be unused
 // before another such link may replace it, so that each of several nodes gets a link in time.
-const minIdleDivisor = 4
+const evictionIdleDivisor = 4
 
 // rankForEviction returns the rank of l if a link of the given priority is required.
 func (c *Core) rankForEviction(l *link, wanted linkPriority) evictionRank {
 	switch {
 	case !l.up || l.pendingOffers > 0:
 		return rankNotEvictable
-	case l.node.current != l:
+	case l.node.currentLink != l:
 		return rankReplaced
 	case len(l.node.attempts) == 0:
-		return rankNothingAssigned
+		return rankNoAttempts
 	case l.node.linkPriority() == priorityPendingOffer:
 		return rankNotEvictable
-	case wanted == priorityPendingOffer || c.now-l.lastUsedAt >= c.config.NodeUnreachableTimeout/minIdleDivisor:
+	case wanted == priorityPendingOffer || c.now-l.lastUsedAt >= c.config.NodeUnreachableTimeout/evictionIdleDivisor:
 		return rankRunningTasks
 	}
 	return rankNotEvictable
--- a/internal/requests/linkpool_test.go
+++ b/internal/requests/linkpool_test.go
@@ -8,17 +8,17 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-// linkWatcher establishes each link that a core dials, accepts each offer, and records the open links.
-type linkWatcher struct {
+// linkPoolHarness establishes each link that a core dials, accepts each offer, and records the open links.
+type linkPoolHarness struct {
 	*harness
 	maxLinks   int
-	open       map[Link]string // the node of each open link
-	lastDialed map[string]Time // by node
+	open       map[LinkID]string // the node of each open link
+	lastDialed map[string]Time   // by node
 }
 
 // respond responds to the effects of the last step, and to those that follow, until there are none. It fails the test if
 // there are more than maxLinks links.
-func (w *linkWatcher) respond() {
+func (w *linkPoolHarness) respond() {
 	w.t.Helper()
 	for len(w.effects) > 0 {
 		effects := w.effects
@@ -42,7 +42,7 @@
 }
 
 // linked reports whether a link to the node is open.
-func (w *linkWatcher) linked(node string) bool {
+func (w *linkPoolHarness) linked(node string) bool {
 	for _, open := range w.open {
 		if open == node {
 			return true
@@ -52,11 +52,11 @@
 }
 
 // busyNodes are the nodes with attempts.
-func (w *linkWatcher) busyNodes() []string {
+func (w *linkPoolHarness) busyNodes() []string {
 	var busy []string
 	for _, n := range w.core.sortedNodes() {
 		if len(n.attempts) > 0 {
-			busy = append(busy, n.entry.ID)
+			busy = append(busy, n.machine.ID)
 		}
 	}
 	return busy
@@ -67,10 +67,10 @@
 func TestLinkPoolIsBounded(t *testing.T) {
 	const nodes, maxLinks, tasks = 24, 10, 120
 	const maxUnlinked = 6 * time.Second // NodeUnreachableTimeout of testConfig
-	w := &linkWatcher{
+	w := &linkPoolHarness{
 		harness:    newHarness(t, func(c *Config) { c.MaxLinks = maxLinks }),
 		maxLinks:   maxLinks,
-		open:       map[Link]string{},
+		open:       map[LinkID]string{},
 		lastDialed: map[string]Time{},
 	}
 	w.connect(1)
--- a/internal/requests/memory_test.go
+++ b/internal/requests/memory_test.go
@@ -19,7 +19,7 @@
 		effects, _ := h.core.Step(h.now, inputs)
 		return slices.Clone(effects)
 	}
-	conn, lastTask := Conn(0), 0
+	conn, lastTask := ConnID(0), 0
 	placeTasks := func() {
 		for range 5 {
 			conn++
--- a/internal/requests/node.go
+++ b/internal/requests/node.go
@@ -10,27 +10,27 @@
 
 // node is a machine, identified by its ID. Another machine at the same address is another node.
 type node struct {
-	entry          flaxshelf.Machine // as the endpoint list has it
+	machine        flaxshelf.Machine // as the endpoint list has it
 	addr           string
 	listed         bool  // an endpoint list has contained it
-	current        *link // the newest link: offers go on it
+	currentLink    *link // the newest link: offers go on it
 	attempts       map[string]*attempt
 	lastReceivedAt Time // when it was last responsive: a message or a new link
 	failedDials    int  // in a row
 	everLinked     bool // a link to it has been up since it became known
 	deniedLink     bool // it has no link because the pool is full
-	redial         *timerqueue.Timer
+	redialTimer    *timerqueue.Timer
 }
 
 // unknownKind is the kind of a machine that no endpoint list has described.
 const unknownKind = -1
 
-// nodeFor returns the node with an ID. It adds an unknown one in the state Removed.
-func (c *Core) nodeFor(id string) *node {
+// getOrAddNode returns the node with an ID. It adds an unknown one in the state Removed.
+func (c *Core) getOrAddNode(id string) *node {
 	n := c.nodes[id]
 	if n == nil {
 		n = &node{
-			entry:          flaxshelf.Machine{ID: id, Kind: unknownKind, State: flaxshelf.Removed},
+			machine:        flaxshelf.Machine{ID: id, Kind: unknownKind, State: flaxshelf.Removed},
 			attempts:       map[string]*attempt{},
 			lastReceivedAt: c.now,
 		}
@@ -41,7 +41,7 @@
 
 // sortedNodes returns all nodes in the order of their IDs.
 func (c *Core) sortedNodes() []*node {
-	return sortedValues(c.nodes, func(a, b *node) int { return cmp.Compare(a.entry.ID, b.entry.ID) })
+	return sortedValues(c.nodes, func(a, b *node) int { return cmp.Compare(a.machine.ID, b.machine.ID) })
 }
 
 // sortedAttempts returns the attempts at the node in the order of their task IDs.
@@ -51,7 +51,7 @@
 
 // needsLink reports whether the node is to have a link.
 func (n *node) needsLink() bool {
-	return n.addr != "" && (n.entry.State != flaxshelf.Removed || len(n.attempts) > 0)
+	return n.addr != "" && (n.machine.State != flaxshelf.Removed || len(n.attempts) > 0)
 }
 
 // discardIfUnused closes the links of a node that needs none, and deletes the node if it is removed.
@@ -59,10 +59,10 @@
 	if n.needsLink() || len(n.attempts) > 0 {
 		return
 	}
-	c.timers.Cancel(n.redial)
+	c.timers.Cancel(n.redialTimer)
 	c.closeLinksOf(n)
-	if n.entry.State == flaxshelf.Removed && c.nodes[n.entry.ID] == n {
-		delete(c.nodes, n.entry.ID)
+	if n.machine.State == flaxshelf.Removed && c.nodes[n.machine.ID] == n {
+		delete(c.nodes, n.machine.ID)
 	}
 }
 
@@ -72,17 +72,17 @@
 		if a.phase >= phaseRunning {
 			c.stats.LostToRemoval++
 		}
-		c.loseAttempt(a)
+		c.endLostAttempt(a)
 	}
-	n.entry.State = flaxshelf.Removed
+	n.machine.State = flaxshelf.Removed
 	c.discardIfUnused(n)
 }
 
-// loseRunning ends the running tasks of a node for which condition returns true, and returns their number.
-func (c *Core) loseRunning(n *node, condition func(*attempt) bool) (lost uint64) {
+// endLostTasks ends the running tasks of a node for which condition returns true, and returns their number.
+func (c *Core) endLostTasks(n *node, condition func(*attempt) bool) (lost uint64) {
 	for _, a := range n.sortedAttempts() {
 		if a.phase >= phaseRunning && condition(a) {
-			c.loseAttempt(a)
+			c.endLostAttempt(a)
 			lost++
 		}
 	}
@@ -97,5 +97,5 @@
 
 // scheduleRedial dials a node after a backoff.
 func (c *Core) scheduleRedial(n *node, backoff time.Duration) {
-	n.redial = c.timers.Schedule(c.now+backoff, func() { c.ensureLink(n) })
+	n.redialTimer = c.timers.Schedule(c.now+backoff, func() { c.ensureLink(n) })
 }
--- a/internal/requests/silence_test.go
+++ b/internal/requests/nodefailure_test.go
@@ -32,9 +32,9 @@
 	oneEffect[Accepted](h)
 }
 
-// A link that receives nothing after an offer is replaced by a new one, and closed after linkRetireDelay.
+// A link that receives nothing after an offer is replaced by a new one, and closed after linkRetirementDelay.
 func TestSilentLinkIsReplaced(t *testing.T) {
-	h := newHarness(t, func(c *Config) { c.Module.MaxAttempts = 2 })
+	h := newHarness(t, func(c *Config) { c.Placer.MaxAttempts = 2 })
 	h.connect(1)
 	h.addNodes("n")
 	h.now += time.Second
@@ -46,23 +46,23 @@
 		t.Fatalf("got effects %+v, want a release and a dial", h.effects)
 	}
 	h.step(LinkUp{dials[len(dials)-1].Link})
-	h.advance(linkRetireDelay)
+	h.advance(linkRetirementDelay)
 	expectEffect(h, CloseLink{offer.Link})
 }
 
 // The default timeouts are ordered so that a silent node's link is replaced, and the newer link has time to fail, before the
 // node counts as unreachable; and so that the check that finds it unreachable meets the protocol's deadline.
-func TestSilenceTimeoutsOrder(t *testing.T) {
-	unusedBeforeEviction := DefaultNodeUnreachableTimeout / minIdleDivisor
+func TestNodeFailureTimeoutsAreOrdered(t *testing.T) {
+	unusedBeforeEviction := DefaultNodeUnreachableTimeout / evictionIdleDivisor
 	for _, test := range []struct {
 		name           string
 		shorter, limit time.Duration
 	}{
-		{"a silent node is found by a check", silenceCheckInterval, nodeSilenceThreshold},
-		{"a silent node's link is replaced before the node is unreachable", nodeSilenceThreshold + silenceCheckInterval +
-			linkRetireDelay, DefaultNodeUnreachableTimeout},
-		{"a link for running tasks is reused before the next node is suspected", unusedBeforeEviction, nodeSilenceThreshold},
-		{"the owner is notified in time", DefaultNodeUnreachableTimeout + silenceCheckInterval, LossNotificationDeadline},
+		{"a silent node is found by a check", nodeCheckInterval, nodeUnresponsiveThreshold},
+		{"a silent node's link is replaced before the node is unreachable", nodeUnresponsiveThreshold + nodeCheckInterval +
+			linkRetirementDelay, DefaultNodeUnreachableTimeout},
+		{"a link for running tasks is reused before the next node is suspected", unusedBeforeEviction, nodeUnresponsiveThreshold},
+		{"the owner is notified in time", DefaultNodeUnreachableTimeout + nodeCheckInterval, LossNotificationDeadline},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if test.shorter >= test.limit {
@@ -87,7 +87,7 @@
 			h.addNodes("n")
 			h.placeTask(1, 7)
 			silentSince := h.now
-			failAt := map[Link]Time{}
+			failAt := map[LinkID]Time{}
 			noteDials := func() {
 				for _, dial := range effectsOf[Dial](h) {
 					failAt[dial.Link] = h.now + delay
@@ -116,17 +116,17 @@
 
 // A link that was replaced is closed once a newer one is up, even if that takes long.
 func TestReplacedLinkIsClosedOnceNewerIsUp(t *testing.T) {
-	h := newHarness(t, func(c *Config) { c.Module.MaxAttempts = 1 })
+	h := newHarness(t, func(c *Config) { c.Placer.MaxAttempts = 1 })
 	h.connect(1)
 	h.addNodes("n")
 	h.now += time.Second
 	h.step(h.newSubmit(1, 7))
 	old := oneEffect[Offer](h).Link
 	h.advance(3500 * time.Millisecond) // the offer times out and its link is suspected; the next link is slow
-	h.advance(linkRetireDelay)
+	h.advance(linkRetirementDelay)
 	noEffect[CloseLink](h)
-	h.step(LinkUp{h.core.nodes["n"].current.id})
-	h.advance(linkRetireDelay)
+	h.step(LinkUp{h.core.nodes["n"].currentLink.id})
+	h.advance(linkRetirementDelay)
 	expectEffect(h, CloseLink{old})
 }
 
@@ -142,7 +142,7 @@
 			h.step(NodeMessage{Link: offer.Link, Kind: NodeConfirmedRelease, Task: taskID(99)})
 		}, releaseConfirmationTimeout},
 		{"a new link", func(h *harness, _ Offer) {
-			h.step(LinkUp{h.core.nodes["n"].current.id})
+			h.step(LinkUp{h.core.nodes["n"].currentLink.id})
 		}, releaseConfirmationTimeout},
 		{"nothing further", func(*harness, Offer) {}, 6 * time.Second},
 	} {
@@ -182,12 +182,12 @@
 		{"a link that has received something is retained", false, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			h := newHarness(t, func(c *Config) { c.Module.MaxAttempts = 1 })
+			h := newHarness(t, func(c *Config) { c.Placer.MaxAttempts = 1 })
 			h.connect(1)
 			h.addNodes("n")
 			h.now += time.Second
 			submit := h.newSubmit(1, 7)
-			submit.Task.Deadline = h.now + time.Second // sooner than nodeSilenceThreshold
+			submit.Task.Deadline = h.now + time.Second // sooner than nodeUnresponsiveThreshold
 			h.step(submit)
 			offer := oneEffect[Offer](h)
 			if !test.silent {
--- a/internal/requests/nodemessage.go
+++ b/internal/requests/nodemessage.go
@@ -2,9 +2,9 @@
 
 import "flaxshelf.example/flaxshelf"
 
-// attemptOn returns the attempt that a message on a link refers to: that of the task if it is at the node of the link, else
+// findAttempt returns the attempt that a message on a link refers to: that of the task if it is at the node of the link, else
 // nil.
-func (c *Core) attemptOn(id Link, taskID string) *attempt {
+func (c *Core) findAttempt(id LinkID, taskID string) *attempt {
 	l, t := c.links[id], c.tasks[taskID]
 	if l == nil || t == nil || t.attempt == nil || t.attempt.node != l.node {
 		return nil
@@ -21,12 +21,12 @@
 	l.lastReceivedAt = c.now
 	l.lastUsedAt = c.now
 	l.node.lastReceivedAt = c.now
-	a := c.attemptOn(in.Link, in.Task)
+	a := c.findAttempt(in.Link, in.Task)
 	if a == nil {
 		c.handleUnmatchedMessage(l, in)
 		return
 	}
-	c.verifyOwnerOf(a.task)
+	c.confirmAdoption(a.task)
 	switch in.Kind {
 	case NodeAccepted:
 		if a.phase == phaseOffered && a.link == l {
@@ -66,10 +66,10 @@
 	c.stats.Running++
 	c.stats.Placed++
 	c.emit(Accepted{Conn: t.conn, Task: t.id, Description: description})
-	c.markActive(t.conn)
-	c.notifyModule(flaxshelf.AttemptPlaced{
+	c.markConfirmedOwner(t.conn)
+	c.notifyPlacer(flaxshelf.AttemptPlaced{
 		Task:    t.id,
-		Machine: a.node.entry.ID,
+		Machine: a.node.machine.ID,
 		Attempt: a.number,
 		Latency: c.now - a.startedAt,
 	})
@@ -80,9 +80,9 @@
 	if a.phase != phaseRunning {
 		return
 	}
-	c.notifyModule(flaxshelf.UsageReport{
+	c.notifyPlacer(flaxshelf.UsageReport{
 		Task:    in.Task,
-		Machine: a.node.entry.ID,
+		Machine: a.node.machine.ID,
 		Attempt: a.number,
 		Kind:    in.UsageKind,
 		Amount:  in.Amount,
--- a/internal/requests/notification.go
+++ b/internal/requests/notification.go
@@ -17,7 +17,7 @@
 
 // deliver sends a notification on the connection of its task or, if that is closed, on the most likely owner's connection.
 // If there is none, the notification waits for the next connection that is found to be an owner's.
-func (c *Core) deliver(conn Conn, notification Terminated) {
+func (c *Core) deliver(conn ConnID, notification Terminated) {
 	o := c.owners[conn]
 	if o == nil {
 		o = c.likelyOwner()
@@ -33,7 +33,7 @@
 }
 
 // retryUndelivered sends the undelivered notifications on a connection.
-func (c *Core) retryUndelivered(conn Conn) {
+func (c *Core) retryUndelivered(conn ConnID) {
 	for _, notification := range c.undelivered {
 		notification.Conn = conn
 		c.emit(*notification)
@@ -47,7 +47,7 @@
 func (c *Core) likelyOwner() *ownerConnection {
 	var best *ownerConnection
 	for _, o := range c.owners {
-		if o.activeSerial == 0 && o.adoptions == 0 {
+		if o.confirmedSeq == 0 && o.adoptions == 0 {
 			continue
 		}
 		if best == nil || compareLikelihood(o, best) > 0 {
@@ -60,7 +60,7 @@
 // compareLikelihood orders connections by how likely they are an owner's.
 func compareLikelihood(a, b *ownerConnection) int {
 	return cmp.Or(
-		cmp.Compare(a.activeSerial, b.activeSerial),
+		cmp.Compare(a.confirmedSeq, b.confirmedSeq),
 		cmp.Compare(a.adoptions, b.adoptions),
 		cmp.Compare(b.conn, a.conn),
 	)
--- a/internal/requests/notification_test.go
+++ b/internal/requests/notification_test.go
@@ -29,7 +29,7 @@
 	h.addNodes("n")
 	h.step(OwnerConnected{Conn: 1, Host: "owner"})
 	h.placeTask(1, 7)
-	for i := range Conn(50) {
+	for i := range ConnID(50) {
 		conn := 100 + i
 		h.advance(100 * time.Millisecond)
 		h.step(OwnerConnected{Conn: conn, Host: fmt.Sprint("h", conn)}, Ping{Conn: conn, Task: taskID(1)})
@@ -62,7 +62,7 @@
 	h := newHarness(t)
 	h.addNodes("n")
 	h.connect(1, 2, 3, 4)
-	for i, conn := range []Conn{1, 2, 3, 3, 4, 4} {
+	for i, conn := range []ConnID{1, 2, 3, 3, 4, 4} {
 		h.step(h.newAdopt(conn, "n", 7+i))
 	}
 	h.step(OwnerDisconnected{Conn: 1})
--- a/internal/requests/owner.go
+++ b/internal/requests/owner.go
@@ -8,9 +8,9 @@
 
 // ownerConnection is an owner's connection.
 type ownerConnection struct {
-	conn         Conn
+	conn         ConnID
 	pending      map[string]*task // its pending requests by task ID; nil before the first
-	activeSerial uint64           // Core.activityCount when it was last marked active; 0: never
+	confirmedSeq uint64           // Core.lastConfirmedSeq when it was last marked active; 0: never
 	adoptions    int              // tasks on listed nodes that were adopted from it
 }
 
@@ -31,7 +31,7 @@
 func (c *Core) connectOwner(in OwnerConnected) {
 	c.owners[in.Conn] = &ownerConnection{conn: in.Conn}
 	for _, id := range c.admission.Opened(c.now, admission.ID(in.Conn), in.Host) {
-		c.closeOwner(Conn(id))
+		c.closeOwner(ConnID(id))
 	}
 	if c.idleTimer == nil || !c.idleTimer.Queued() {
 		c.closeIdleOwners()
@@ -42,7 +42,7 @@
 func (c *Core) closeIdleOwners() {
 	idle, next := c.admission.CloseIdle(c.now)
 	for _, id := range idle {
-		c.closeOwner(Conn(id))
+		c.closeOwner(ConnID(id))
 	}
 	if next > 0 {
 		c.idleTimer = c.timers.Schedule(next, c.closeIdleOwners)
@@ -50,7 +50,7 @@
 }
 
 // closeOwner closes an owner's connection. Its pending requests are canceled without a response.
-func (c *Core) closeOwner(conn Conn) {
+func (c *Core) closeOwner(conn ConnID) {
 	c.stats.OwnersClosed++
 	c.disconnectOwner(conn)
 	c.emit(CloseOwner{conn})
@@ -58,7 +58,7 @@
 
 // disconnectOwner removes a connection that has ended, and cancels the requests pending on it. Running tasks continue,
 // since they belong to no connection.
-func (c *Core) disconnectOwner(conn Conn) {
+func (c *Core) disconnectOwner(conn ConnID) {
 	o := c.owners[conn]
 	if o == nil {
 		return
@@ -71,7 +71,7 @@
 }
 
 // protocolError counts a malformed message, and closes the connection if it exceeds the limit.
-func (c *Core) protocolError(conn Conn) {
+func (c *Core) protocolError(conn ConnID) {
 	if c.admission.ProtocolError(admission.ID(conn)) {
 		c.closeOwner(conn)
 	}
@@ -86,22 +86,22 @@
 	c.emit(Pong{Conn: in.Conn, Task: in.Task, Passed: !c.shuttingDown})
 }
 
-// touchOwner records that a connection was used by its owner.
-func (c *Core) touchOwner(conn Conn) { c.admission.RecordOwnerUse(c.now, admission.ID(conn)) }
+// recordOwnerUse records that a connection was used by its owner.
+func (c *Core) recordOwnerUse(conn ConnID) { c.admission.RecordOwnerUse(c.now, admission.ID(conn)) }
 
-// markActive marks a connection that is certainly an owner's: a request of it was placed, or a node has confirmed a task
+// markConfirmedOwner marks a connection that is certainly an owner's: a request of it was placed, or a node has confirmed a task
 // that was adopted from it. The undelivered notifications are sent on it.
-func (c *Core) markActive(conn Conn) {
+func (c *Core) markConfirmedOwner(conn ConnID) {
 	if o := c.owners[conn]; o != nil {
-		c.activityCount++
-		o.activeSerial = c.activityCount
+		c.lastConfirmedSeq++
+		o.confirmedSeq = c.lastConfirmedSeq
 		c.retryUndelivered(conn)
 	}
 }
 
 // markLikelyOwner marks a connection from which a task on a listed node was adopted. That does not prove an owner, so the
 // connection stays unverified until the node confirms the task, and gets notifications only if no better one is known.
-func (c *Core) markLikelyOwner(conn Conn) {
+func (c *Core) markLikelyOwner(conn ConnID) {
 	if o := c.owners[conn]; o != nil {
 		o.adoptions++
 		c.admission.MarkLikelyOwner(admission.ID(conn))
@@ -109,13 +109,13 @@
 	}
 }
 
-// verifyOwnerOf handles the first message of a node about an adopted task: the connection that it was adopted from is an
+// confirmAdoption handles the first message of a node about an adopted task: the connection that it was adopted from is an
 // owner's.
-func (c *Core) verifyOwnerOf(t *task) {
-	if !t.unverified {
+func (c *Core) confirmAdoption(t *task) {
+	if !t.unconfirmed {
 		return
 	}
-	t.unverified = false
-	c.touchOwner(t.conn)
-	c.markActive(t.conn)
+	t.unconfirmed = false
+	c.recordOwnerUse(t.conn)
+	c.markConfirmedOwner(t.conn)
 }
--- a/internal/requests/preadoption.go
+++ b/internal/requests/preadoption.go
@@ -10,10 +10,10 @@
 
 // preAdoptionTermination is the end of a task before its adoption.
 type preAdoptionTermination struct {
-	node       string
-	cause      Cause
-	receivedAt Time
-	delivered  bool // its owner was notified
+	node          string
+	cause         Cause
+	receivedAt    Time
+	ownerNotified bool // its owner was notified
 }
 
 const (
@@ -29,15 +29,15 @@
 	if p.byTask == nil {
 		p.byTask = map[string]preAdoptionTermination{}
 	}
-	p.discardOld(now)
+	p.evict(now)
 	if _, known := p.byTask[taskID]; !known {
 		p.byTask[taskID] = termination
 		p.order = append(p.order, taskID)
 	}
 }
 
-// discardOld removes the expired entries and, if the record is full, the oldest one.
-func (p *preAdoptionTerminations) discardOld(now Time) {
+// evict removes the expired entries and, if the record is full, the oldest one.
+func (p *preAdoptionTerminations) evict(now Time) {
 	for len(p.order) > 0 {
 		oldest := p.order[0]
 		if len(p.order) < maxPreAdoptionTerminations && now-p.byTask[oldest].receivedAt < preAdoptionRetention {
@@ -57,10 +57,10 @@
 	return termination, true
 }
 
-// markDelivered records that the owner was notified of the end of a task.
-func (p *preAdoptionTerminations) markDelivered(taskID string) {
+// markOwnerNotified records that the owner was notified of the end of a task.
+func (p *preAdoptionTerminations) markOwnerNotified(taskID string) {
 	termination := p.byTask[taskID]
-	termination.delivered = true
+	termination.ownerNotified = true
 	p.byTask[taskID] = termination
 }
 
@@ -71,11 +71,11 @@
 	if !ok {
 		return false
 	}
-	c.touchOwner(in.Conn)
-	if termination.delivered {
+	c.recordOwnerUse(in.Conn)
+	if termination.ownerNotified {
 		return true
 	}
-	c.preAdoption.markDelivered(in.Task.ID)
+	c.preAdoption.markOwnerNotified(in.Task.ID)
 	c.stats.Adopted++
 	c.stats.Ended++
 	if termination.cause != CauseCanceled {
@@ -89,5 +89,5 @@
 	if c.tasks[in.Task] != nil {
 		return
 	}
-	c.preAdoption.add(c.now, in.Task, preAdoptionTermination{node: n.entry.ID, cause: in.Cause, receivedAt: c.now})
+	c.preAdoption.add(c.now, in.Task, preAdoptionTermination{node: n.machine.ID, cause: in.Cause, receivedAt: c.now})
 }
--- a/internal/requests/property_test.go
+++ b/internal/requests/property_test.go
@@ -20,9 +20,9 @@
 	nodes       []string
 	unread      map[string][]Input // what each source has sent and the core has not read
 	sources     []string           // the keys of unread, in the order of their first input
-	conns       []Conn             // open from the owners' point of view
-	lastConn    Conn
-	openLinks   map[Link]string // the node of each link that is up or on its way
+	conns       []ConnID           // open from the owners' point of view
+	lastConn    ConnID
+	openLinks   map[LinkID]string // the node of each link that is up or on its way
 	lastTask    int
 	submissions map[string]*submission
 	inactive    map[string]bool // nodes that the core has read a draining or removing update of
@@ -30,7 +30,7 @@
 
 // submission is a request as its owner sees it.
 type submission struct {
-	conn         Conn
+	conn         ConnID
 	deadline     Time
 	read         bool // by the core
 	abandoned    bool // the core has read that its owner has canceled or left it, or has closed the connection
@@ -43,8 +43,8 @@
 // discoverySource is the source of endpoint list updates.
 const discoverySource = "discovery"
 
-func connSource(conn Conn) string { return fmt.Sprint("conn", conn) }
-func linkSource(link Link) string { return fmt.Sprint("link", link) }
+func connSource(conn ConnID) string { return fmt.Sprint("conn", conn) }
+func linkSource(link LinkID) string { return fmt.Sprint("link", link) }
 
 func newRandomRun(t *testing.T, seed uint64) *randomRun {
 	t.Helper()
@@ -53,7 +53,7 @@
 		rng:         rand.New(rand.NewPCG(seed, 7)),
 		nodes:       []string{"n0", "n1", "n2", "n3", "n4"},
 		unread:      map[string][]Input{},
-		openLinks:   map[Link]string{},
+		openLinks:   map[LinkID]string{},
 		submissions: map[string]*submission{},
 		inactive:    map[string]bool{},
 	}
@@ -63,8 +63,8 @@
 	return r
 }
 
-// drawn returns a random element.
-func drawn[T any](rng *rand.Rand, all []T) T { return all[rng.IntN(len(all))] }
+// randomElement returns a random element.
+func randomElement[T any](rng *rand.Rand, all []T) T { return all[rng.IntN(len(all))] }
 
 // send queues an input of a source, which the core reads in a later step.
 func (r *randomRun) send(source string, in Input) {
@@ -87,18 +87,18 @@
 	case draw < 11:
 		r.submitTask()
 	case draw < 13 && r.lastTask > 0:
-		conn, task := drawn(r.rng, r.conns), taskID(1+r.rng.IntN(r.lastTask))
-		r.send(connSource(conn), drawn(r.rng, []Input{Release{conn, task}, Migrated{conn, task}}))
+		conn, task := randomElement(r.rng, r.conns), taskID(1+r.rng.IntN(r.lastTask))
+		r.send(connSource(conn), randomElement(r.rng, []Input{Release{conn, task}, Migrated{conn, task}}))
 	case draw < 14:
 		i := r.rng.IntN(len(r.conns))
 		r.send(connSource(r.conns[i]), OwnerDisconnected{r.conns[i]})
 		r.conns = slices.Delete(r.conns, i, i+1)
 	case draw < 15:
-		conn, node := drawn(r.rng, r.conns), drawn(r.rng, r.nodes)
+		conn, node := randomElement(r.rng, r.conns), randomElement(r.rng, r.nodes)
 		r.send(connSource(conn), r.newAdopt(conn, node, 1_000_000+r.rng.IntN(50)))
 	case draw < 16:
-		node := drawn(r.rng, r.nodes)
-		r.sendNodeState(node, drawn(r.rng, []flaxshelf.MachineState{
+		node := randomElement(r.rng, r.nodes)
+		r.sendNodeState(node, randomElement(r.rng, []flaxshelf.MachineState{
 			flaxshelf.Active, flaxshelf.Active, flaxshelf.Draining, flaxshelf.Removed,
 		}))
 	case draw < 17:
@@ -116,8 +116,8 @@
 // submitTask submits a new task on one of the connections.
 func (r *randomRun) submitTask() {
 	r.lastTask++
-	conn := drawn(r.rng, r.conns)
-	in := r.newSubmitOf(drawn(r.rng, []int{classIdempotent, classKeyed}), conn, r.lastTask)
+	conn := randomElement(r.rng, r.conns)
+	in := r.newSubmitOf(randomElement(r.rng, []int{classIdempotent, classKeyed}), conn, r.lastTask)
 	in.Task.Service = fmt.Sprint("s", r.rng.IntN(4))
 	in.Task.Deadline = r.now + time.Second
 	r.submissions[in.Task.ID] = &submission{conn: conn, deadline: in.Task.Deadline}
@@ -142,7 +142,7 @@
 		if len(r.sources) == 0 {
 			break
 		}
-		source := drawn(r.rng, r.sources)
+		source := randomElement(r.rng, r.sources)
 		if queue := r.unread[source]; len(queue) > 0 {
 			inputs = append(inputs, queue[0])
 			r.unread[source] = queue[1:]
@@ -252,8 +252,8 @@
 }
 
 // closeConn records that the core has closed an owner's connection.
-func (r *randomRun) closeConn(conn Conn) {
-	r.conns = slices.DeleteFunc(r.conns, func(open Conn) bool { return open == conn })
+func (r *randomRun) closeConn(conn ConnID) {
+	r.conns = slices.DeleteFunc(r.conns, func(open ConnID) bool { return open == conn })
 	for _, submitted := range r.submissions {
 		if submitted.conn == conn {
 			submitted.connClosed = true
--- a/internal/requests/request.go
+++ b/internal/requests/request.go
@@ -12,20 +12,20 @@
 	class          string
 	idempotencyKey string
 	description    string
-	conn           Conn // on which it was submitted or adopted
-	pending        bool // its owner waits for the response
-	unverified     bool // it was adopted, and its node has sent no message about it
-	attempts       int  // made so far
+	conn           ConnID // on which it was submitted or adopted
+	pending        bool   // its owner waits for the response
+	unconfirmed    bool   // it was adopted, and its node has sent no message about it
+	attempts       int    // made so far
 	attempt        *attempt
 	// unansweredLinks has, by node, the link of the last attempt that ended without a message of the node: such a message
 	// may still arrive on it.
-	unansweredLinks map[*node]Link
+	unansweredLinks map[*node]LinkID
 }
 
 // recordUnanswered records the link of an attempt that ended without a message of its node.
-func (t *task) recordUnanswered(n *node, id Link) {
+func (t *task) recordUnanswered(n *node, id LinkID) {
 	if t.unansweredLinks == nil {
-		t.unansweredLinks = map[*node]Link{}
+		t.unansweredLinks = map[*node]LinkID{}
 	}
 	t.unansweredLinks[n] = max(id, t.unansweredLinks[n])
 }
@@ -59,7 +59,7 @@
 	c.tasks[t.id] = t
 	o.addPending(t)
 	c.stats.Pending++
-	c.notifyModule(flaxshelf.TaskSubmitted{Task: t.spec})
+	c.notifyPlacer(flaxshelf.TaskSubmitted{Task: t.spec})
 }
 
 // respondTerminated sends the final response to a request that the module has rejected or failed.
@@ -75,7 +75,7 @@
 		c.stats.Failed++
 	}
 	c.emit(Terminated{Conn: t.conn, Task: t.id, Cause: cause})
-	c.forgetIfDone(t)
+	c.deleteIfDone(t)
 }
 
 // finishRequest records that a request has its response, or was canceled by its owner.
@@ -92,7 +92,7 @@
 }
 
 // releaseByOwner handles an owner's release: it cancels a pending request, and ends a running task.
-func (c *Core) releaseByOwner(conn Conn, id string) {
+func (c *Core) releaseByOwner(conn ConnID, id string) {
 	t := c.tasks[id]
 	if t == nil {
 		return
@@ -101,7 +101,7 @@
 		c.cancelRequest(t)
 		return
 	}
-	c.touchOwner(conn)
+	c.recordOwnerUse(conn)
 	if t.attempt != nil && t.attempt.phase == phaseRunning {
 		c.releaseRunning(t)
 	}
@@ -111,11 +111,11 @@
 func (c *Core) cancelRequest(t *task) {
 	c.finishRequest(t, false)
 	c.stats.Canceled++
-	c.notifyModule(flaxshelf.TaskCanceled{Task: t.id})
+	c.notifyPlacer(flaxshelf.TaskCanceled{Task: t.id})
 	if t.attempt != nil {
 		c.withdrawOffer(t.attempt)
 	}
-	c.forgetIfDone(t)
+	c.deleteIfDone(t)
 }
 
 // migrate ends a running task that the module has chosen to migrate. The owner is notified of a migration, not of a release:
@@ -129,8 +129,8 @@
 	c.releaseRunning(t)
 }
 
-// forgetIfDone removes a task that has neither a pending response nor an attempt.
-func (c *Core) forgetIfDone(t *task) {
+// deleteIfDone removes a task that has neither a pending response nor an attempt.
+func (c *Core) deleteIfDone(t *task) {
 	if !t.pending && t.attempt == nil {
 		delete(c.tasks, t.id)
 	}
--- a/internal/requests/request_test.go
+++ b/internal/requests/request_test.go
@@ -212,7 +212,7 @@
 			h.addNodes("n")
 			h.step(h.newSubmit(1, 7), h.newSubmit(1, 8), h.newSubmit(1, 9))
 			expectEffect(h, Terminated{Conn: 1, Task: taskID(9), Cause: CauseRejected})
-			if got := moduleEventsOf[flaxshelf.TaskSubmitted](h); len(got) != 2 {
+			if got := placerEventsOf[flaxshelf.TaskSubmitted](h); len(got) != 2 {
 				t.Errorf("got submissions %+v, want 2", got)
 			}
 		})
--- a/internal/requests/watch.go
+++ b/internal/requests/watch.go
@@ -28,8 +28,8 @@
 		return
 	}
 	c.watch.started = true
-	c.checkSilence()
-	if !c.config.Module.DiscoveryOnRequest {
+	c.checkUnresponsiveNodes()
+	if !c.config.Placer.DiscoveryOnRequest {
 		c.emit(Subscribe{})
 	}
 }
@@ -37,14 +37,14 @@
 // watchEstablished resets the backoff and notifies the module that discovery is available.
 func (c *Core) watchEstablished() {
 	c.watch.failures = 0
-	c.notifyModule(flaxshelf.MachinesUpdated{})
+	c.notifyPlacer(flaxshelf.MachinesUpdated{})
 }
 
 // watchFailed opens the watch again after a backoff, with jitter so that schedulers whose watches broke at the same time do
 // not reconnect at the same time.
 func (c *Core) watchFailed() {
-	c.notifyModule(flaxshelf.DiscoveryFailed{})
-	if c.config.Module.DiscoveryOnRequest {
+	c.notifyPlacer(flaxshelf.DiscoveryFailed{})
+	if c.config.Placer.DiscoveryOnRequest {
 		return
 	}
 	backoff := exponentialBackoff(initialWatchBackoff, maxWatchBackoff, c.watch.failures)
--- a/internal/requests/watch_test.go
+++ b/internal/requests/watch_test.go
@@ -20,7 +20,7 @@
 		oneEffect[Subscribe](h)
 	})
 	t.Run("updates must be requested", func(t *testing.T) {
-		h := newHarness(t, func(c *Config) { c.Module.DiscoveryOnRequest = true })
+		h := newHarness(t, func(c *Config) { c.Placer.DiscoveryOnRequest = true })
 		initial := nodeUpdated(machine("n", flaxshelf.Active, 0), "n")
 		initial.Complete, initial.FromConfig = true, true
 		h.step(initial)
