--- a/internal/requests/action.go
+++ b/internal/requests/action.go
@@ -2,8 +2,8 @@
 
 import "flaxshelf.example/flaxshelf"
 
-// actionHandler executes the module's actions on a Core. It is a type of its own so that the methods that the module's
-// package calls are not methods of Core, which its host would see.
+// actionHandler executes the placer's actions on a Core. It is a separate type so that the methods of
+// flaxshelf.ActionHandler are not part of the exported API of Core.
 type actionHandler struct{ core *Core }
 
 // HandleOffer implements flaxshelf.ActionHandler.
@@ -32,14 +32,14 @@
 func (h actionHandler) HandleSubscribe(flaxshelf.Subscribe) { h.core.emit(Subscribe{}) }
 
 // HandleHealthCheck implements flaxshelf.ActionHandler. It does nothing: the platform's settings forbid health checks of
-// nodes (caps.probes), and an established link shows as much.
+// nodes (caps.probes), and an established link already shows that its node is healthy.
 func (h actionHandler) HandleHealthCheck(flaxshelf.HealthCheck) {}
 
-// HandleSendGossip implements flaxshelf.ActionHandler. It does nothing: the platform's settings have no connections
-// between schedulers (caps.peers).
+// HandleSendGossip implements flaxshelf.ActionHandler. It does nothing: the platform's settings allow no connections between
+// schedulers (caps.peers).
 func (h actionHandler) HandleSendGossip(flaxshelf.SendGossip) {}
 
-// setPlacerTimer schedules the module's next TimerFired event; of several timers the earliest counts.
+// setPlacerTimer schedules the placer's next TimerFired event. If several timers are set, only the earliest is kept.
 func (c *Core) setPlacerTimer(action flaxshelf.SetTimer) {
 	if at := c.now + action.After; c.placerTimerAt == 0 || at < c.placerTimerAt {
 		c.placerTimerAt = at
--- a/internal/requests/config.go
+++ b/internal/requests/config.go
@@ -10,37 +10,41 @@
 
 // Config holds the settings of a Core.
 type Config struct {
+	// Placer holds the settings of the flaxshelf.Placer that makes the placement decisions.
 	Placer flaxshelf.Config
-	Seed   uint64
-	// NodeUnreachableTimeout is how long a node may be unreachable before its tasks count as lost, usually
+	// Seed seeds the random numbers of the placer and the jitter of the discovery watch's backoff.
+	Seed uint64
+	// NodeUnreachableTimeout is how long a node may be unreachable before its tasks count as lost. It is usually
 	// DefaultNodeUnreachableTimeout.
 	NodeUnreachableTimeout time.Duration
-	// NodeIdleTimeout is the time without traffic after which nodes close a connection; zero means that it is unknown.
+	// NodeIdleTimeout is the time without traffic after which nodes close a connection. Zero means that it is unknown, and
+	// turns off the renewal of idle links.
 	NodeIdleTimeout time.Duration
-	// Admission limits the owners' connections and the requests that are pending on each of them.
+	// Admission holds the limits on owners' connections and on the requests that are pending on each of them.
 	Admission admission.Limits
-	// MaxPending is the maximum number of requests without a response; further ones are rejected.
+	// MaxPending is the maximum number of requests that wait for a response. Requests above it are rejected.
 	MaxPending int
-	// MaxLinks is the maximum number of links to nodes, including those being dialed; zero means no limit. If there are more
-	// nodes, those with a pending offer get links first, then those that run tasks, then the others.
+	// MaxLinks is the maximum number of links to nodes, including those being dialed. Zero means no limit. If there are more
+	// nodes than links, nodes for which an offer is waiting have priority, then nodes that run tasks, then the others.
 	MaxLinks int
-	// RecordStep, if not nil, is called after each step of the module. It must not retain or modify the slices.
+	// RecordStep, if not nil, is called after each step of the placer with its events and actions. It must not retain or
+	// modify the slices.
 	RecordStep func(now Time, events []flaxshelf.Event, actions []flaxshelf.Action)
 }
 
 // ConfigError reports a field of Config whose value is out of range.
 type ConfigError struct {
-	Field  string // path within Config, like Admission.IdleTimeout
+	Field  string // path within Config, such as "Admission.IdleTimeout"
 	Value  any
 	Reason string
 }
 
-// Error implements error.
+// Error returns the field, its value and the reason.
 func (e *ConfigError) Error() string {
 	return fmt.Sprintf("requests: Config.%s is %v: %s", e.Field, e.Value, e.Reason)
 }
 
-// validate returns a *ConfigError for the first field that is out of range. The module checks its own settings.
+// validate returns a *ConfigError for the first field that is out of range. flaxshelf.New validates the placer's settings.
 func (c *Config) validate() error {
 	const (
 		notPositive = "must be above 0"
--- a/internal/requests/core.go
+++ b/internal/requests/core.go
@@ -10,8 +10,8 @@
 	"flaxshelf.example/flaxshelf/internal/timerqueue"
 )
 
-// Core is the state machine of one scheduler on the platform. Its host passes inputs to Step and executes the
-// effects that Step returns. It is not safe for concurrent use.
+// Core is the state machine of one scheduler on the platform. The caller passes inputs to Step and executes the effects that
+// Step returns. A Core is not safe for concurrent use.
 type Core struct {
 	config Config
 	placer *flaxshelf.Placer
@@ -20,16 +20,16 @@
 	stats  Stats
 
 	effects       []Effect          // of the current step
-	pendingEvents []flaxshelf.Event // for the module's next step
-	placerTimerAt Time              // when the module is to receive a TimerFired event; 0: never
+	pendingEvents []flaxshelf.Event // for the placer's next step
+	placerTimerAt Time              // when the placer receives its next TimerFired event; 0: never
 
 	tasks            map[string]*task
 	owners           map[ConnID]*ownerConnection
 	admission        *admission.Control
-	idleTimer        *timerqueue.Timer // of the next check for idle owners' connections
-	lastConfirmedSeq uint64            // number of calls of markConfirmedOwner
+	idleTimer        *timerqueue.Timer // runs closeIdleOwners
+	lastConfirmedSeq uint64            // the last ownerConnection.confirmedSeq that was assigned
 
-	undelivered  []*Terminated // notifications for which there was no owner's connection
+	undelivered  []*Terminated // notifications that wait for an owner's connection
 	preAdoption  preAdoptionTerminations
 	shuttingDown bool
 
@@ -39,15 +39,15 @@
 	watch      discoveryWatch
 }
 
-// New returns the core of one scheduler. The error is a *ConfigError if a setting is out of range, and wraps the module's
-// error if the module rejects one.
+// New returns the Core of one scheduler. The error is a *ConfigError if a setting of this package is out of range, and wraps
+// the error of flaxshelf.New if the placer rejects its settings.
 func New(config Config) (*Core, error) {
 	if err := config.validate(); err != nil {
 		return nil, err
 	}
 	placer, err := flaxshelf.New(config.Placer, config.Seed)
 	if err != nil {
-		return nil, fmt.Errorf("requests: module settings: %w", err)
+		return nil, fmt.Errorf("requests: placer settings: %w", err)
 	}
 	return &Core{
 		config:    config,
@@ -61,18 +61,18 @@
 	}, nil
 }
 
-// maxPlacerRounds is how often one Step runs the module at most. An action of the module, such as an offer to a node that
-// was removed, may cause its next event in the same step.
+// maxPlacerRounds is the maximum number of times that one Step runs the placer. An action of the placer, such as an offer to
+// a node that was removed, may cause another event for it in the same step.
 const maxPlacerRounds = 8
 
-// Step handles the inputs in order. It returns the effects to execute, which are valid until the next step, and the time by
-// which it must be called again; zero means not before the next input.
+// Step handles the inputs in order. It returns the effects to execute and the time by which it must be called again, where
+// zero means not before the next input. The effects are valid until the next call.
 func (c *Core) Step(now Time, inputs []Input) ([]Effect, Time) {
 	c.now = max(now, c.now)
 	c.effects = c.effects[:0]
 	c.startWatch()
-	// Inputs are handled before timers, so that a process that was stopped for a while does not treat responses as late that
-	// arrived in time.
+	// Inputs are handled before timers: after the process was stopped for a while, responses that arrived in time must not be
+	// treated as late.
 	for _, in := range inputs {
 		in.apply(c)
 	}
@@ -81,7 +81,7 @@
 	return c.effects, c.nextDeadline()
 }
 
-// runPlacer passes the events of this step to the module and executes its actions.
+// runPlacer passes the events of this step to the placer and executes its actions.
 func (c *Core) runPlacer() {
 	for range maxPlacerRounds {
 		if c.placerTimerAt > 0 && c.placerTimerAt <= c.now {
@@ -101,7 +101,7 @@
 	}
 }
 
-// nextDeadline returns the time of the next step without new inputs; zero means never.
+// nextDeadline returns the time by which Step must be called even without new inputs; zero means never.
 func (c *Core) nextDeadline() Time {
 	if len(c.pendingEvents) > 0 {
 		return c.now + 1
@@ -116,13 +116,13 @@
 // emit adds an effect to those of the current step.
 func (c *Core) emit(effect Effect) { c.effects = append(c.effects, effect) }
 
-// notifyPlacer queues an event for the module's next step.
+// notifyPlacer queues an event for the placer's next step.
 func (c *Core) notifyPlacer(event flaxshelf.Event) { c.pendingEvents = append(c.pendingEvents, event) }
 
-// Idle reports whether no request waits for its response.
+// Idle reports whether no request is waiting for its response.
 func (c *Core) Idle() bool { return c.stats.Pending == 0 }
 
-// Stats returns the current gauges and the counters since the start.
+// Stats returns the current values of the gauges and counters.
 func (c *Core) Stats() Stats {
 	stats := c.stats
 	stats.Owners = len(c.owners)
@@ -131,7 +131,7 @@
 	return stats
 }
 
-// sortedValues returns the values of a map in the order of compare, so that effects do not depend on map iteration.
+// sortedValues returns the values of a map in the order of compare, so that the order of effects is deterministic.
 func sortedValues[K comparable, V any](m map[K]V, compare func(a, b V) int) []V {
 	values := make([]V, 0, len(m))
 	for _, value := range m {
