--- a/internal/requests/effect.go
+++ b/internal/requests/effect.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// Effect is something that the host has to do. The effect types of this package implement it.
+// Effect is an operation that the caller of Step must execute. The effect types of this package implement it.
 type Effect interface{ effect() }
 
 // Effects on owners' connections.
 type (
-	// Accepted responds to an owner that its task runs.
+	// Accepted responds to an owner that a node has accepted the task and runs it.
 	Accepted struct {
 		Conn        ConnID
 		Task        string
 		Description string
 	}
 	// Terminated responds to an owner that its request was rejected or has failed, or notifies it that its running task has
-	// ended: by a release with Cause or, if Migrate is true, by a migration, after which the owner submits the task again.
+	// ended. If Migrate is true, the task ends by a migration, Cause is unused, and the owner submits the task again.
 	Terminated struct {
 		Conn    ConnID
 		Task    string
@@ -27,7 +27,7 @@
 		Task   string
 		Passed bool
 	}
-	// CloseOwner closes an owner's connection after what was written to it has been sent.
+	// CloseOwner closes an owner's connection after the messages to it have been sent.
 	CloseOwner struct{ Conn ConnID }
 )
 
@@ -41,20 +41,20 @@
 	}
 	// CloseLink closes a link; LinkDown may follow.
 	CloseLink struct{ Link LinkID }
-	// Offer writes a request to a node.
+	// Offer offers a task to a node. If it cannot be sent, SendFailed follows.
 	Offer struct {
 		Link           LinkID
-		Attempt        int    // its number among the attempts of the task
-		Owner          ConnID // the connection of the request
+		Attempt        int    // number of the attempt among those of the task, from 0
+		Owner          ConnID // connection on which the task was submitted
 		Node           string
 		Task           string
 		Class          string
 		Key            string
 		IdempotencyKey string
 		Description    string
-		TimeLeft       time.Duration // until the attempt times out
+		TimeLeft       time.Duration // time until the attempt times out
 	}
-	// SendRelease writes a release to a node.
+	// SendRelease sends a node the release of a task.
 	SendRelease struct {
 		Link  LinkID
 		Task  string
--- a/internal/requests/input.go
+++ b/internal/requests/input.go
@@ -2,26 +2,26 @@
 
 import "flaxshelf.example/flaxshelf"
 
-// Time is the host's clock: Unix nanoseconds that never go back.
+// Time is the caller's clock: Unix nanoseconds that never go back.
 type Time = flaxshelf.Time
 
-// ConnID identifies an owner's connection. The host assigns the numbers, never 0 and none twice.
+// ConnID identifies an owner's connection. The caller assigns it, never 0 and never twice.
 type ConnID uint64
 
-// LinkID identifies a connection to a node. The core assigns the numbers.
+// LinkID identifies a link, which is a connection to a node. The core assigns it in ascending order.
 type LinkID uint64
 
-// Cause is the reason for a release, by its number in the protocol.
+// Cause is the protocol's number for the reason of a release.
 type Cause int
 
 // Causes of releases.
 const (
-	CauseNormal   Cause = 16  // a request is canceled; after its response: the task has completed
-	CauseCanceled Cause = 31  // migrated, or ended by its owner, who needs no notification
-	CauseRejected Cause = 34  // rejected: a retry does no harm
-	CauseLost     Cause = 41  // the connection or the node was lost: the task may have run
-	CauseError    Cause = 47  // an error: the task may have run
-	CauseObsolete Cause = 102 // from nodes: the offer arrived too late and the task never ran
+	CauseNormal   Cause = 16  // a pending request was canceled, or a running task has completed
+	CauseCanceled Cause = 31  // the task was migrated, or ended by its owner, who needs no notification
+	CauseRejected Cause = 34  // the request was rejected; a retry is safe
+	CauseLost     Cause = 41  // the connection or the node was lost; the task may have run
+	CauseError    Cause = 47  // an error occurred; the task may have run
+	CauseObsolete Cause = 102 // sent by nodes only: the offer arrived too late, and the task never ran
 )
 
 // Input is an event outside the core. The input types of this package implement it.
@@ -34,28 +34,29 @@
 	// Submit requests the placement of a task.
 	Submit struct {
 		Conn           ConnID
-		Task           flaxshelf.Task // its ID is the 16 hex digits of the wire
-		Class          string         // as the owner wrote it
+		Task           flaxshelf.Task // its ID is the 16 hex digits of the owner's message
+		Class          string         // name of the class as the owner sent it
 		IdempotencyKey string
 		Description    string
 	}
-	// Adopt reports a task that a node runs already, so that this scheduler manages it. It gets no response.
+	// Adopt is an owner's report of a task that a node already runs, and that this scheduler is to manage. It gets no
+	// response.
 	Adopt struct {
 		Conn ConnID
 		Task flaxshelf.Task
 		Node string
 	}
-	// Release is an owner's release: it cancels a pending request, or ends a running task.
+	// Release is an owner's message that cancels a pending request or ends a running task.
 	Release struct {
 		Conn ConnID
 		Task string
 	}
-	// Migrated is an owner's request to end a running task because the owner migrates it.
+	// Migrated is an owner's message that ends a running task because the owner migrates it. It has the effect of Release.
 	Migrated struct {
 		Conn ConnID
 		Task string
 	}
-	// Ping is an owner's health check. The effect Pong answers it.
+	// Ping is an owner's health check of the scheduler. The effect Pong answers it.
 	Ping struct {
 		Conn ConnID
 		Task string
@@ -67,7 +68,7 @@
 	}
 	// OwnerDisconnected reports that an owner's connection has ended. Requests pending on it are canceled.
 	OwnerDisconnected struct{ Conn ConnID }
-	// ProtocolError reports that a message on an owner's connection was malformed or out of place.
+	// ProtocolError reports that a message on an owner's connection was malformed or unexpected.
 	ProtocolError struct{ Conn ConnID }
 )
 
@@ -78,20 +79,20 @@
 	// LinkDown reports that a link has ended or could not be established.
 	LinkDown struct {
 		Link              LinkID
-		ConnectionRefused bool // nothing listens at the address
+		ConnectionRefused bool // the dial failed because nothing listens at the address
 	}
 	// NodeMessage is a message of a node about a task.
 	NodeMessage struct {
 		Link        LinkID
 		Kind        NodeMessageKind
 		Task        string
-		Cause       Cause
-		Reason      flaxshelf.Reason
-		UsageKind   flaxshelf.UsageKind
-		Amount      float64
-		Description string
+		Cause       Cause               // of NodeReleased
+		Reason      flaxshelf.Reason    // of NodeReleased
+		UsageKind   flaxshelf.UsageKind // of NodeUsage
+		Amount      float64             // of NodeUsage
+		Description string              // of NodeAccepted: the node's response to the owner
 	}
-	// SendFailed reports that an Offer was not written.
+	// SendFailed reports that an Offer was not sent.
 	SendFailed struct {
 		Link    LinkID
 		Task    string
@@ -104,19 +105,19 @@
 	// Endpoint is an entry of the endpoint list: a machine and the address at which its node listens.
 	Endpoint struct {
 		Machine flaxshelf.Machine
-		Addr    string // empty if the list has none: the address is unchanged
+		Addr    string // empty if the list contains none, which leaves the address unchanged
 	}
 	// NodesUpdated is an update of the endpoint list.
 	NodesUpdated struct {
 		Endpoints  []Endpoint
-		Complete   bool // nodes that it does not contain are removed
-		FromConfig bool // from the configuration at the start; it may be stale
+		Complete   bool // whether nodes that it does not contain are removed
+		FromConfig bool // whether it comes from the configuration at the start, and may be stale
 	}
 	// WatchEstablished reports that the discovery service has accepted the subscription.
 	WatchEstablished struct{}
-	// WatchFailed reports that the discovery service could not be reached, or that its watch broke off or timed out.
+	// WatchFailed reports that the discovery service could not be reached, or that the watch was interrupted or timed out.
 	WatchFailed struct{}
-	// Shutdown reports that the scheduler is to shut down. Health checks fail after it.
+	// Shutdown reports that the scheduler is shutting down. Health checks fail from then on.
 	Shutdown struct{}
 )
 
@@ -125,13 +126,13 @@
 
 // Kinds of node messages.
 const (
-	NodeAccepted         NodeMessageKind = iota // the task runs
-	NodeReleased                                // it never ran, or has ended
-	NodeConfirmedRelease                        // the node has received our release
-	NodeUsage                                   // a usage report
+	NodeAccepted         NodeMessageKind = iota // the node has accepted the offer and runs the task
+	NodeReleased                                // the node does not run the task: it never ran there, or it has ended
+	NodeConfirmedRelease                        // the node has received the scheduler's release
+	NodeUsage                                   // a usage report of a running task
 )
 
-// String returns the name of the kind.
+// String returns the name of the kind, as in the trace log.
 func (k NodeMessageKind) String() string {
 	switch k {
 	case NodeAccepted:
