--- a/internal/requests/adoption.go
+++ b/internal/requests/adoption.go
@@ -2,16 +2,16 @@
 
 import "flaxshelf.example/flaxshelf"
 
-// Bounds of adoption: misbehaving clients may report any number of tasks, also on nodes that do not exist.
+// Limits on adoption. Misbehaving clients may report any number of tasks, even on nodes that do not exist.
 const (
-	// maxRunningForAdoption is the number of running tasks from which on no more are adopted.
+	// maxRunningForAdoption is the number of running tasks at which no more tasks are adopted.
 	maxRunningForAdoption = 1 << 14
-	// maxRunningUnlisted is the maximum number of running tasks on nodes that the endpoint list did not name at their
-	// adoption.
+	// maxRunningUnlisted is the maximum number of running tasks on nodes that no endpoint list had contained when the tasks
+	// were adopted. At this number, no task is adopted on any node.
 	maxRunningUnlisted = 1024
 )
 
-// adopt adds a running task that this scheduler did not place. A task that is known already is left unchanged.
+// adopt registers a running task that this scheduler did not place. A task that is already known is left unchanged.
 func (c *Core) adopt(in Adopt) {
 	if c.tasks[in.Task.ID] != nil || c.owners[in.Conn] == nil {
 		return
--- a/internal/requests/attempt.go
+++ b/internal/requests/attempt.go
@@ -7,15 +7,15 @@
 	"flaxshelf.example/flaxshelf/internal/timerqueue"
 )
 
-// attemptPhase is the progress of an attempt. The phases are ordered: in phaseRunning and phaseReleasing the task has run.
-// Each phase may be followed by phaseEnded.
+// attemptPhase is the progress of an attempt. The phases are ordered, and comparisons rely on it: in phaseRunning and
+// phaseReleasing, the task has run. Each phase may be followed by phaseEnded.
 type attemptPhase int
 
 const (
-	phaseConnecting attemptPhase = iota // waits for a link
-	phaseOffered                        // the offer was written
-	phaseRunning                        // the node has accepted it, or it was adopted
-	phaseReleasing                      // it was running, and we have released it
+	phaseConnecting attemptPhase = iota // waiting for a link
+	phaseOffered                        // the offer was sent, and its response is pending
+	phaseRunning                        // the node has accepted the task, or the task was adopted
+	phaseReleasing                      // the scheduler has released the running task
 	phaseEnded
 )
 
@@ -36,33 +36,35 @@
 	return "unknown"
 }
 
-// attempt is one offer of a task to a node, and the task that runs there after it.
+// attempt is one offer of a task to a node and, once the node has accepted it, the running task. An adopted task has an attempt
+// without an offer.
 type attempt struct {
 	task             *task
-	number           int // as the module counts
+	number           int // among the attempts of the task, from 0
 	node             *node
-	link             *link // on which its offer was written; nil if the task was adopted
+	link             *link // on which the offer was sent; nil before, and if the task was adopted
 	phase            attemptPhase
 	startedAt        Time
 	timeout          time.Duration
 	timer            *timerqueue.Timer
-	unlisted         bool // it was adopted on a node that no endpoint list had named
-	releasedAt       Time // when its release was last written; 0: never
-	releaseDelivered bool // the release was written on a link that had just come up
+	unlisted         bool // the task was adopted on a node that no endpoint list had contained
+	releasedAt       Time // when the release was last sent; 0: never
+	releaseDelivered bool // the release was sent on a link that had just been established
 }
 
-// releaseConfirmationTimeout is how long the core waits for a node's confirmation of a release before the task may count as
-// ended without it.
+// releaseConfirmationTimeout is how long to wait for a node's confirmation of a release before the task may count as ended
+// without it.
 const releaseConfirmationTimeout = time.Second
 
-// minConnectTimeout is the shortest time that an attempt waits for a link, so that a link can be established at all.
+// minConnectTimeout is the minimum time that an attempt waits for a link, even if the configured connect timeout is shorter, so
+// that a link can be established at all.
 const minConnectTimeout = time.Millisecond
 
-// offer starts an attempt at the node that the module has chosen.
+// offer starts an attempt at the node that the placer has chosen.
 func (c *Core) offer(action flaxshelf.Offer) {
 	t := c.tasks[action.Task]
 	if t == nil || !t.pending || t.attempt != nil {
-		return // the module offers pending tasks only, and no task twice at once
+		return // unexpected: the placer offers only pending tasks, and one attempt of a task at a time
 	}
 	a := c.newAttempt(t, c.getOrAddNode(action.Machine), action.Timeout)
 	if a.timeout <= 0 || a.node.machine.State != flaxshelf.Active {
@@ -70,8 +72,8 @@
 		return
 	}
 	n := a.node
-	// A message about the previous attempt at this node identifies only the task, and would be mistaken for one about this
-	// attempt. A new link distinguishes them.
+	// A late message about an earlier attempt of the task at this node contains only the task's ID, and would be mistaken for
+	// one about this attempt. A new link tells the two apart.
 	if n.currentLink != nil && !n.currentLink.suspected && n.currentLink.id <= t.unansweredLinks[n] {
 		c.suspectLink(n.currentLink)
 	}
@@ -82,8 +84,8 @@
 	c.awaitLink(a)
 }
 
-// newAttempt registers an attempt of t at n. It times out at the request's deadline at the latest; zero means no earlier
-// timeout.
+// newAttempt registers an attempt of t at n, which times out after timeout but not later than the request's deadline. If
+// timeout is zero, only the deadline applies.
 func (c *Core) newAttempt(t *task, n *node, timeout time.Duration) *attempt {
 	a := &attempt{task: t, number: t.attempts, node: n, startedAt: c.now, timeout: timeout}
 	t.attempts++
@@ -97,7 +99,7 @@
 	return a
 }
 
-// awaitLink has an attempt wait for a link to its node, which is dialed at once, without the redial backoff.
+// awaitLink lets an attempt wait for a link to its node, and dials the node at once, without the redial backoff.
 func (c *Core) awaitLink(a *attempt) {
 	wait := min(a.timeout, max(c.config.Placer.ConnectTimeout, minConnectTimeout))
 	a.timer = c.timers.Schedule(c.now+wait, func() {
@@ -107,7 +109,7 @@
 	c.ensureLink(a.node)
 }
 
-// sendOffer writes the offer of an attempt on a link that is up.
+// sendOffer sends the offer of an attempt on an established link.
 func (c *Core) sendOffer(a *attempt, l *link) {
 	c.timers.Cancel(a.timer)
 	timeLeft := a.startedAt + a.timeout - c.now
@@ -135,7 +137,7 @@
 	a.timer = c.timers.Schedule(c.now+timeLeft, func() { c.timeOutOffer(a) })
 }
 
-// sendFailed ends the attempt whose offer was not written.
+// sendFailed ends the attempt whose offer was not sent.
 func (c *Core) sendFailed(in SendFailed) {
 	a := c.findAttempt(in.Link, in.Task)
 	if a == nil || a.phase != phaseOffered || a.number != in.Attempt {
@@ -144,8 +146,9 @@
 	c.endAttempt(a, flaxshelf.NotSent, flaxshelf.UnspecifiedReason)
 }
 
-// timeOutOffer ends an attempt without response. A link that has received nothing since the offer is suspected: a machine
-// that is cut off, or a peer that has lost track of the stream, shows no other sign.
+// timeOutOffer ends an attempt whose offer got no response in time. If the link has received nothing since the attempt
+// started, it is suspected: this is the only sign of a machine that is cut off from the network, or of a peer that can no
+// longer parse the stream.
 func (c *Core) timeOutOffer(a *attempt) {
 	l := a.link
 	c.emit(SendRelease{Link: l.id, Task: a.task.id, Cause: CauseNormal})
@@ -155,7 +158,7 @@
 	c.endAttempt(a, flaxshelf.TimedOut, flaxshelf.UnspecifiedReason)
 }
 
-// cancelAttempt executes the module's cancellation of an attempt that has no response yet.
+// cancelAttempt executes the placer's cancellation of an attempt that has no response yet.
 func (c *Core) cancelAttempt(action flaxshelf.Cancel) {
 	t := c.tasks[action.Task]
 	if t == nil || t.attempt == nil || t.attempt.number != action.Attempt {
@@ -164,7 +167,7 @@
 	c.withdrawOffer(t.attempt)
 }
 
-// withdrawOffer ends an attempt that has no response yet; one in a later phase is left unchanged.
+// withdrawOffer ends an attempt that has no response yet. An attempt in a later phase is left unchanged.
 func (c *Core) withdrawOffer(a *attempt) {
 	switch a.phase {
 	case phaseConnecting:
@@ -175,7 +178,7 @@
 	}
 }
 
-// releaseRunning releases a running task at its node, and waits for the node's confirmation.
+// releaseRunning releases a running task at its node, and schedules the check for the node's confirmation.
 func (c *Core) releaseRunning(t *task) {
 	a := t.attempt
 	a.phase = phaseReleasing
@@ -189,20 +192,20 @@
 	c.awaitReleaseConfirmation(a)
 }
 
-// sendRelease writes the release of a running task.
+// sendRelease sends the release of a running task on an established link.
 func (c *Core) sendRelease(a *attempt, l *link) {
 	a.releasedAt = c.now
 	c.emit(SendRelease{Link: l.id, Task: a.task.id, Cause: CauseCanceled})
 }
 
-// awaitReleaseConfirmation schedules checkUnconfirmedRelease for the time when the confirmation is overdue.
+// awaitReleaseConfirmation schedules checkUnconfirmedRelease for when the confirmation is overdue.
 func (c *Core) awaitReleaseConfirmation(a *attempt) {
 	a.timer = c.timers.Schedule(c.now+releaseConfirmationTimeout, func() { c.checkUnconfirmedRelease(a) })
 }
 
-// checkUnconfirmedRelease counts a released task as ended if its node has been responsive since, because nodes need not
-// confirm a release. A partitioned node never receives the release and continues to run the task, which therefore counts as
-// running until a link is established or the node counts as unreachable.
+// checkUnconfirmedRelease counts a released task as ended if its node has been responsive since the release, because nodes
+// need not confirm a release. A partitioned node does not receive the release and continues to run the task. The task
+// therefore counts as running until a link is established or the node counts as unreachable.
 func (c *Core) checkUnconfirmedRelease(a *attempt) {
 	aliveSince := a.releasedAt > 0 && a.node.lastReceivedAt > a.releasedAt
 	if a.releaseDelivered || aliveSince {
@@ -212,7 +215,7 @@
 	c.awaitReleaseConfirmation(a)
 }
 
-// endLostAttempt ends an attempt whose node is lost. The owner of a running task is notified.
+// endLostAttempt ends an attempt with the outcome Lost, and notifies the owner if the task was running.
 func (c *Core) endLostAttempt(a *attempt) {
 	if a.phase == phaseRunning {
 		c.notifyTerminated(a.task, CauseLost)
@@ -220,7 +223,7 @@
 	c.endAttempt(a, flaxshelf.Lost, flaxshelf.UnspecifiedReason)
 }
 
-// endConnecting ends the attempts at n that wait for a link.
+// endConnecting ends the attempts at n that are waiting for a link.
 func (c *Core) endConnecting(n *node, outcome flaxshelf.Outcome) {
 	for _, a := range n.sortedAttempts() {
 		if a.phase == phaseConnecting {
@@ -229,7 +232,7 @@
 	}
 }
 
-// endAttempt ends an attempt and reports its outcome to the module, once.
+// endAttempt ends an attempt and reports its outcome to the placer. It does nothing if the attempt has already ended.
 func (c *Core) endAttempt(a *attempt, outcome flaxshelf.Outcome, reason flaxshelf.Reason) {
 	if a.phase == phaseEnded {
 		return
@@ -266,7 +269,7 @@
 	c.discardIfUnused(a.node)
 }
 
-// endOffer records the outcome of an offer that was written and not accepted.
+// endOffer records the outcome of an offer that was sent and not accepted.
 func (c *Core) endOffer(a *attempt, outcome flaxshelf.Outcome) {
 	a.link.pendingOffers--
 	c.stats.countFailedOffer(outcome)
--- a/internal/requests/backoff.go
+++ b/internal/requests/backoff.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// exponentialBackoff returns the delay before a retry: initial, doubled for each earlier retry, and at most limit.
+// exponentialBackoff returns the delay before a retry: initial, doubled for each earlier retry, but at most limit.
 func exponentialBackoff(initial, limit time.Duration, earlierRetries int) time.Duration {
 	backoff := initial
 	for range earlierRetries {
--- a/internal/requests/endpoints.go
+++ b/internal/requests/endpoints.go
@@ -2,7 +2,7 @@
 
 import "flaxshelf.example/flaxshelf"
 
-// updateNodes applies an update of the endpoint list. The module receives it before its other decisions of this step.
+// updateNodes applies an update of the endpoint list. The placer receives it before it makes the decisions of this step.
 func (c *Core) updateNodes(in NodesUpdated) {
 	machines := make([]flaxshelf.Machine, len(in.Endpoints))
 	for i, endpoint := range in.Endpoints {
@@ -18,8 +18,8 @@
 	c.removeReplacedNodes(in.Endpoints)
 }
 
-// updateNode applies an entry of the endpoint list. Links to its previous address are closed, and tasks that ran before the
-// node restarted are lost.
+// updateNode applies an entry of the endpoint list. If the address has changed, the links to the previous one are closed. If
+// the node has restarted, the tasks that started before count as lost.
 func (c *Core) updateNode(endpoint Endpoint) {
 	machine, addr := endpoint.Machine, endpoint.Addr
 	n := c.getOrAddNode(machine.ID)
@@ -37,7 +37,7 @@
 	c.applyNodeState(n)
 }
 
-// removeUnlisted removes the nodes that a complete endpoint list does not contain.
+// removeUnlisted removes the nodes that are not in a complete endpoint list.
 func (c *Core) removeUnlisted(endpoints []Endpoint) {
 	listed := make(map[string]bool, len(endpoints))
 	for _, endpoint := range endpoints {
@@ -51,7 +51,7 @@
 	}
 }
 
-// removeReplacedNodes removes the nodes whose address the update assigns to another node, which proves that they have left.
+// removeReplacedNodes removes the nodes whose address the update assigns to another node: they have left the cluster.
 func (c *Core) removeReplacedNodes(endpoints []Endpoint) {
 	idByAddr := make(map[string]string, len(endpoints))
 	for _, endpoint := range endpoints {
@@ -66,8 +66,8 @@
 	}
 }
 
-// applyNodeState applies the state of a node in the endpoint list. Attempts that wait for a link are ended if the node
-// drains, because the update arrived before their offers were written.
+// applyNodeState applies the state of a node in the endpoint list. If the node is no longer active, the attempts that are
+// waiting for a link end with the outcome NotSent, because the update arrived before their offers were sent.
 func (c *Core) applyNodeState(n *node) {
 	if n.machine.State != flaxshelf.Active {
 		c.endConnecting(n, flaxshelf.NotSent)
--- a/internal/requests/preadoption.go
+++ b/internal/requests/preadoption.go
@@ -1,30 +1,30 @@
 package requests
 
 // preAdoptionTerminations records the nodes' releases of tasks that this scheduler does not know. After a start, a node may
-// report the end of a task before the owner's Adopt of that task is read; without this record the task would then be adopted
+// report the end of a task before the owner's Adopt of that task is read. Without this record, the task would then be adopted
 // and count as running forever.
 type preAdoptionTerminations struct {
 	byTask map[string]preAdoptionTermination
 	order  []string // task IDs in order of arrival
 }
 
-// preAdoptionTermination is the end of a task before its adoption.
+// preAdoptionTermination is the end of a task that a node reported before the task was adopted.
 type preAdoptionTermination struct {
 	node          string
 	cause         Cause
 	receivedAt    Time
-	ownerNotified bool // its owner was notified
+	ownerNotified bool // the owner was notified, or needs no notification
 }
 
 const (
-	// preAdoptionRetention is how long after the end of its task an Adopt may arrive. By then owners count a task as lost
-	// whose end they were not notified of.
+	// preAdoptionRetention is how long a termination is kept for an Adopt that arrives after it. By then, an owner that was
+	// not notified of the end of its task counts the task as lost.
 	preAdoptionRetention = LossNotificationDeadline
-	// maxPreAdoptionTerminations is the maximum number of entries; new ones replace the oldest.
+	// maxPreAdoptionTerminations is the maximum number of records. New ones replace the oldest.
 	maxPreAdoptionTerminations = 4096
 )
 
-// add records the end of a task. A second end of the same task is ignored.
+// add records the end of a task. A second report for the same task is ignored.
 func (p *preAdoptionTerminations) add(now Time, taskID string, termination preAdoptionTermination) {
 	if p.byTask == nil {
 		p.byTask = map[string]preAdoptionTermination{}
@@ -36,7 +36,7 @@
 	}
 }
 
-// evict removes the expired entries and, if the record is full, the oldest one.
+// evict removes the expired records and, if the limit is reached, the oldest one.
 func (p *preAdoptionTerminations) evict(now Time) {
 	for len(p.order) > 0 {
 		oldest := p.order[0]
@@ -48,7 +48,7 @@
 	}
 }
 
-// find returns the end of a task that the given node has reported; ok is false if there is none.
+// find returns the unexpired record of a task whose end the given node has reported. If there is none, ok is false.
 func (p *preAdoptionTerminations) find(now Time, taskID, node string) (termination preAdoptionTermination, ok bool) {
 	termination, ok = p.byTask[taskID]
 	if !ok || termination.node != node || now-termination.receivedAt >= preAdoptionRetention {
@@ -57,15 +57,15 @@
 	return termination, true
 }
 
-// markOwnerNotified records that the owner was notified of the end of a task.
+// markOwnerNotified records that the owner needs no further notification of the end of a task.
 func (p *preAdoptionTerminations) markOwnerNotified(taskID string) {
 	termination := p.byTask[taskID]
 	termination.ownerNotified = true
 	p.byTask[taskID] = termination
 }
 
-// adoptTerminated handles the Adopt of a task whose node has already reported its end, and reports whether it has. The owner
-// is notified once, however often it sends the Adopt.
+// adoptTerminated handles the Adopt of a task whose node has already reported its end. It returns false if the node has not.
+// The owner is notified once, even if it sends the Adopt several times.
 func (c *Core) adoptTerminated(in Adopt) bool {
 	termination, ok := c.preAdoption.find(c.now, in.Task.ID, in.Node)
 	if !ok {
@@ -84,7 +84,7 @@
 	return true
 }
 
-// recordPreAdoptionTermination records the release of a task that is not known here.
+// recordPreAdoptionTermination records a node's release of a task that this scheduler does not know.
 func (c *Core) recordPreAdoptionTermination(n *node, in NodeMessage) {
 	if c.tasks[in.Task] != nil {
 		return
