--- a/internal/requests/link.go
+++ b/internal/requests/link.go
@@ -8,21 +8,21 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-// link is a connection to a node.
+// link is a connection to a node, from its dial to its end.
 type link struct {
 	id             LinkID
 	node           *node
-	up             bool
-	suspected      bool // to be replaced by a newer link, see suspectLink
-	pendingOffers  int  // written on it and not responded to
+	up             bool // established, and not ended
+	suspected      bool // possibly broken, and to be replaced by a newer link
+	pendingOffers  int  // sent on it and without a response
 	lastReceivedAt Time
-	lastUsedAt     Time // time of the last offer or message on it, or of its establishment
+	lastUsedAt     Time // when it was established, or last used for an offer or a message of the node
 }
 
-// linkRetirementDelay is how long messages are still received on a link that was replaced.
+// linkRetirementDelay is the minimum time that a suspected link stays open to receive late messages.
 const linkRetirementDelay = 2 * time.Second
 
-// ensureLink dials a node that needs a link, unless it has one, is being dialed or waits for its redial backoff.
+// ensureLink dials a node that needs a link, unless it has an unsuspected one, is being dialed or waits for its redial backoff.
 func (c *Core) ensureLink(n *node) {
 	hasLink := n.currentLink != nil && !n.currentLink.suspected
 	waiting := n.redialTimer != nil && n.redialTimer.Queued()
@@ -40,7 +40,7 @@
 	c.emit(Dial{Link: l.id, Node: n.machine.ID, Addr: n.addr})
 }
 
-// linkUp handles an established link, and writes the offers and releases that waited for it.
+// linkUp handles an established link, and sends the offers and releases that were waiting for it.
 func (c *Core) linkUp(id LinkID) {
 	l := c.links[id]
 	if l == nil {
@@ -64,7 +64,7 @@
 			c.sendOffer(a, l)
 		case phaseReleasing:
 			a.releaseDelivered = true
-			c.sendRelease(a, l) // the former link may have broken before the release was sent
+			c.sendRelease(a, l) // the previous link may have broken before it transmitted the release
 		}
 	}
 }
@@ -94,12 +94,12 @@
 	c.dialFailed(n, in.ConnectionRefused)
 }
 
-// dialFailed handles a failed dial of a node that has no other link. A refused connection proves that the process is dead,
-// and with it what ran there, except on a draining node that never had a link; any other failure proves only that nothing
-// was sent.
+// dialFailed handles a failed dial of a node that has no other link. A refused connection proves that the node's process has
+// ended and its tasks are lost, except on a draining node that never had a link. Any other failure proves only that no offer
+// was sent on the link.
 func (c *Core) dialFailed(n *node, refused bool) {
-	// A draining node no longer listens, so a refused connection proves its death only after a link was up and broke.
-	// Otherwise a scheduler that has just started would report all tasks lost that it adopts there.
+	// A draining node no longer listens, so a refused connection proves its end only if a link to it was up and has broken.
+	// Otherwise, a scheduler that has just started would report all tasks that it adopts there as lost.
 	dead := refused && (n.everLinked || n.machine.State != flaxshelf.Draining)
 	if refused && !dead {
 		n.lastReceivedAt = c.now
@@ -118,8 +118,8 @@
 }
 
 // retainLink continues to use a link that is up after its replacement could not be established. A refused connection shows
-// that the machine is alive and its process no longer listens, as a draining node that keeps its running tasks and its open
-// links. If it were treated as a death, those tasks would be reported lost while they run.
+// that the machine is reachable and the node no longer listens, as when it drains: it then keeps its running tasks and open
+// links. If the refusal were treated as the end of the node, those tasks would be reported lost while they run.
 func (c *Core) retainLink(n *node, old *link, refused bool) {
 	n.currentLink = old
 	if refused {
@@ -131,8 +131,8 @@
 	c.endConnecting(n, flaxshelf.Unreachable)
 }
 
-// suspectLink starts to replace l by a newer link. Responses to the offers pending on l are still received on it until it is
-// retired.
+// suspectLink starts to replace l by a newer link. Until l is closed, responses to the offers pending on it are still
+// received.
 func (c *Core) suspectLink(l *link) {
 	if l.suspected || c.links[l.id] == nil {
 		return
@@ -142,7 +142,7 @@
 	c.ensureLink(l.node)
 }
 
-// scheduleRetirement closes a suspected link after linkRetirementDelay, once another has replaced it.
+// scheduleRetirement closes a suspected link once linkRetirementDelay has passed and a newer link is up.
 func (c *Core) scheduleRetirement(l *link) {
 	c.timers.Schedule(c.now+linkRetirementDelay, func() {
 		current := l.node.currentLink
@@ -157,7 +157,7 @@
 	})
 }
 
-// closeLink closes a link and removes it.
+// closeLink closes a link and removes it from the core.
 func (c *Core) closeLink(l *link) {
 	c.emit(CloseLink{l.id})
 	c.removeLink(l)
@@ -177,8 +177,8 @@
 	}
 }
 
-// removeLink removes a link that has ended. Offers that are pending on it may have been accepted, and count as lost. The
-// link is marked down, so that no release of a running task is written on it.
+// removeLink removes a link that has ended. Offers pending on it may have been accepted, so their outcome is Lost. The link
+// is marked as down, because an attempt may still refer to it, and no release may be sent on it.
 func (c *Core) removeLink(l *link) {
 	delete(c.links, l.id)
 	l.up = false
@@ -196,7 +196,7 @@
 	}
 }
 
-// newestLinkUp returns the newest link of a node that is up, or nil if there is none.
+// newestLinkUp returns the newest established link to a node, or nil if there is none.
 func (c *Core) newestLinkUp(n *node) *link {
 	var newest *link
 	for _, l := range c.links {
--- a/internal/requests/linkpool.go
+++ b/internal/requests/linkpool.go
@@ -2,16 +2,16 @@
 
 import "cmp"
 
-// linkPriority is the importance of a link to a node.
+// linkPriority is the priority of a link to a node when Config.MaxLinks limits the links.
 type linkPriority int
 
 const (
-	priorityPrefetch     linkPriority = iota // no task runs or waits there: a link only saves time later
-	priorityRunningTasks                     // tasks run there: their ends are reported on a link
-	priorityPendingOffer                     // an offer waits for the link
+	priorityPrefetch     linkPriority = iota // no task runs or waits there; a link only makes a later offer faster
+	priorityRunningTasks                     // tasks run there, and their ends are reported on the link
+	priorityPendingOffer                     // an offer is waiting for the link
 )
 
-// linkPriority returns the current priority of a link to the node.
+// linkPriority returns the priority of a link to the node at present.
 func (n *node) linkPriority() linkPriority {
 	priority := priorityPrefetch
 	for _, a := range n.attempts {
@@ -25,18 +25,18 @@
 	return priority
 }
 
-// prefetchLinkEighths is the number of eighths of Config.MaxLinks that must be in use, by links of any priority, for no more
-// links to be prefetched. The last eighth is reserved for links of a higher priority.
+// prefetchLinkEighths is the share of Config.MaxLinks, in eighths, at which no more links are prefetched. Links of any
+// priority count. The last eighth is reserved for links of a higher priority.
 const prefetchLinkEighths = 7
 
-// atCapacity reports whether no more links may be prefetched.
+// atCapacity reports whether the pool has no room for more prefetched links.
 func (c *Core) atCapacity() bool {
 	return c.config.MaxLinks > 0 && len(c.links) >= c.config.MaxLinks*prefetchLinkEighths/8
 }
 
-// reserveLink reports whether a link to n may be dialed, and evicts another one for it if the pool is full. Without the
-// limit, a large number of nodes, or of nodes with both an old and a new link, would leave no descriptor for a node with a
-// pending offer.
+// reserveLink reports whether a link to n may be dialed. If the pool is full, it closes another link to make room.
+// Without the limit, a large number of nodes, or of nodes with both an old and a new link, would use up the file descriptors,
+// and none would be left for a node with a pending offer.
 func (c *Core) reserveLink(n *node) bool {
 	priority := n.linkPriority()
 	if !c.atCapacity() || priority > priorityPrefetch && len(c.links) < c.config.MaxLinks {
@@ -54,8 +54,8 @@
 	return true
 }
 
-// evictionCandidate returns the link to close for one of the given priority: that of the highest rank, then the least
-// recently used, then the oldest. It returns nil if no link may be evicted.
+// evictionCandidate returns the link to close for a new one of the given priority: the one of the highest rank, of these the
+// least recently used, and of these the oldest. It returns nil if no link may be evicted.
 func (c *Core) evictionCandidate(priority linkPriority) *link {
 	var best *link
 	var bestRank evictionRank
@@ -72,21 +72,22 @@
 	return best
 }
 
-// evictionRank orders links by how little is lost when they are closed.
+// evictionRank orders links for eviction: links of the highest rank are closed first.
 type evictionRank int
 
 const (
 	rankNotEvictable evictionRank = iota
-	rankRunningTasks              // tasks run on its node, which is dialed again later for its reports
-	rankNoAttempts                // its node has no attempt
-	rankReplaced                  // a newer link has taken its place
+	rankRunningTasks              // tasks run on its node, which must be dialed again to receive its reports
+	rankNoAttempts                // its node has no attempts
+	rankReplaced                  // a newer link has replaced it
 )
 
-// evictionIdleDivisor divides Config.NodeUnreachableTimeout into the time that a link to a node with running tasks must be unused
-// before another such link may replace it, so that each of several nodes gets a link in time.
+// evictionIdleDivisor determines how long a link to a node with running tasks must be unused before another such link may
+// replace it: Config.NodeUnreachableTimeout divided by it. Each of several nodes then gets a link before it counts as
+// unreachable.
 const evictionIdleDivisor = 4
 
-// rankForEviction returns the rank of l if a link of the given priority is required.
+// rankForEviction returns the rank of l for the eviction in favor of a link of the priority wanted.
 func (c *Core) rankForEviction(l *link, wanted linkPriority) evictionRank {
 	switch {
 	case !l.up || l.pendingOffers > 0:
--- a/internal/requests/node.go
+++ b/internal/requests/node.go
@@ -8,24 +8,24 @@
 	"flaxshelf.example/flaxshelf/internal/timerqueue"
 )
 
-// node is a machine, identified by its ID. Another machine at the same address is another node.
+// node is the state of a machine, which is identified by its ID. Another machine at the same address is another node.
 type node struct {
-	machine        flaxshelf.Machine // as the endpoint list has it
+	machine        flaxshelf.Machine // its latest entry in the endpoint list
 	addr           string
-	listed         bool  // an endpoint list has contained it
-	currentLink    *link // the newest link: offers go on it
+	listed         bool  // whether an endpoint list has contained it
+	currentLink    *link // the newest link, on which offers are sent
 	attempts       map[string]*attempt
-	lastReceivedAt Time // when it was last responsive: a message or a new link
-	failedDials    int  // in a row
-	everLinked     bool // a link to it has been up since it became known
-	deniedLink     bool // it has no link because the pool is full
+	lastReceivedAt Time // when it was last responsive, such as by a message or a new link
+	failedDials    int  // consecutive
+	everLinked     bool // whether a link to it has ever been established
+	deniedLink     bool // whether it has no link because the pool is full
 	redialTimer    *timerqueue.Timer
 }
 
-// unknownKind is the kind of a machine that no endpoint list has described.
+// unknownKind is the Machine.Kind of a node that no endpoint list has contained.
 const unknownKind = -1
 
-// getOrAddNode returns the node with an ID. It adds an unknown one in the state Removed.
+// getOrAddNode returns the node with the given ID. An unknown node is added in the state Removed.
 func (c *Core) getOrAddNode(id string) *node {
 	n := c.nodes[id]
 	if n == nil {
@@ -49,12 +49,13 @@
 	return sortedValues(n.attempts, func(a, b *attempt) int { return cmp.Compare(a.task.id, b.task.id) })
 }
 
-// needsLink reports whether the node is to have a link.
+// needsLink reports whether the node is to have a link: its address is known, and it is not removed or
+// has attempts.
 func (n *node) needsLink() bool {
 	return n.addr != "" && (n.machine.State != flaxshelf.Removed || len(n.attempts) > 0)
 }
 
-// discardIfUnused closes the links of a node that needs none, and deletes the node if it is removed.
+// discardIfUnused closes the links of a node that needs none and has no attempts, and deletes the node if its state is Removed.
 func (c *Core) discardIfUnused(n *node) {
 	if n.needsLink() || len(n.attempts) > 0 {
 		return
@@ -66,7 +67,7 @@
 	}
 }
 
-// removeNode ends all attempts at a node that has left.
+// removeNode ends all attempts at a node that has left the cluster, and sets its state to Removed.
 func (c *Core) removeNode(n *node) {
 	for _, a := range n.sortedAttempts() {
 		if a.phase >= phaseRunning {
@@ -78,7 +79,7 @@
 	c.discardIfUnused(n)
 }
 
-// endLostTasks ends the running tasks of a node for which condition returns true, and returns their number.
+// endLostTasks ends the running tasks of a node for which condition returns true as lost, and returns their number.
 func (c *Core) endLostTasks(n *node, condition func(*attempt) bool) (lost uint64) {
 	for _, a := range n.sortedAttempts() {
 		if a.phase >= phaseRunning && condition(a) {
@@ -89,13 +90,13 @@
 	return lost
 }
 
-// Backoff between dials of a node that fail.
+// Limits of the backoff after failed dials of a node.
 const (
 	initialRedialBackoff = 100 * time.Millisecond
 	maxRedialBackoff     = 800 * time.Millisecond
 )
 
-// scheduleRedial dials a node after a backoff.
+// scheduleRedial schedules a dial of a node after a backoff.
 func (c *Core) scheduleRedial(n *node, backoff time.Duration) {
 	n.redialTimer = c.timers.Schedule(c.now+backoff, func() { c.ensureLink(n) })
 }
--- a/internal/requests/nodefailure.go
+++ b/internal/requests/nodefailure.go
@@ -6,28 +6,29 @@
 	"time"
 )
 
-// The timeouts of the detection of unreachable nodes. TestNodeFailureTimeoutsAreOrdered checks how they relate to each other.
+// Timeouts for the detection of unreachable nodes. TestNodeFailureTimeoutsAreOrdered checks their relations.
 const (
-	// LossNotificationDeadline is the protocol's limit on the time between the loss of a task that no node can report and
-	// the notification of its owner.
+	// LossNotificationDeadline is the protocol's limit on the time from the loss of a task that no node can report to the
+	// notification of its owner.
 	LossNotificationDeadline = 8 * time.Second
-	// nodeCheckInterval is how often nodes are checked for silence.
+	// nodeCheckInterval is the interval between checks for unresponsive nodes.
 	nodeCheckInterval = 500 * time.Millisecond
-	// nodeUnresponsiveThreshold is how long a node with running tasks may send nothing before a newer link has to prove that it
-	// is reachable.
+	// nodeUnresponsiveThreshold is how long a node with running tasks may send nothing before a new link to it is opened, to
+	// find out whether it is reachable.
 	nodeUnresponsiveThreshold = 5 * nodeCheckInterval
-	// maxSchedulingDelay is the longest time that a process on a shared CPU core is expected to wait before it can do a check
-	// that is due.
+	// maxSchedulingDelay is the longest delay that is expected before a process on a shared CPU core executes a check that is
+	// due.
 	maxSchedulingDelay = 300 * time.Millisecond
-	// DefaultNodeUnreachableTimeout is the Config.NodeUnreachableTimeout of a host that follows the protocol: the longest
-	// one with which owners are notified by LossNotificationDeadline. The longer it is, the fewer tasks are reported lost
-	// that survive a network partition of some seconds.
+	// DefaultNodeUnreachableTimeout is the longest Config.NodeUnreachableTimeout with which owners are notified within
+	// LossNotificationDeadline, as the protocol requires. A shorter one would report more tasks as lost that survive a network
+	// partition of a few seconds.
 	DefaultNodeUnreachableTimeout = LossNotificationDeadline - nodeCheckInterval - maxSchedulingDelay
 )
 
-// checkUnresponsiveNodes detects machines that crashed or were partitioned from the network without a sign: established links stay
-// open and silent, and new ones are never established. After Config.NodeUnreachableTimeout the tasks there count as lost; so
-// do tasks that were adopted on a node that no endpoint list names.
+// checkUnresponsiveNodes detects machines that have crashed or been partitioned from the network without closing their
+// connections: established links stay open but receive nothing, and new ones are never established. After
+// Config.NodeUnreachableTimeout, the tasks there count as lost, and so do tasks that were adopted on a node that no endpoint
+// list contains. It also renews idle links, and dials nodes that were denied a link.
 func (c *Core) checkUnresponsiveNodes() {
 	c.timers.Schedule(c.now+nodeCheckInterval, c.checkUnresponsiveNodes)
 	var denied []*node
@@ -35,7 +36,7 @@
 		switch {
 		case c.nearIdleTimeout(n.currentLink):
 			c.renewIdleLink(n)
-		case n.deniedLink: // without a link its silence proves nothing
+		case n.deniedLink: // without a link, the lack of messages proves nothing
 			denied = append(denied, n)
 		case len(n.attempts) > 0:
 			c.checkUnresponsiveNode(n)
@@ -47,7 +48,8 @@
 	}
 }
 
-// checkUnresponsiveNode suspects the link of a silent node, and counts the tasks of an unreachable one as lost.
+// checkUnresponsiveNode suspects the link of a node that has sent nothing for too long, and ends the tasks of an unreachable
+// node as lost.
 func (c *Core) checkUnresponsiveNode(n *node) {
 	silence := c.now - n.lastReceivedAt
 	if n.currentLink != nil && n.currentLink.up && !n.currentLink.suspected {
@@ -63,11 +65,11 @@
 	}
 }
 
-// idleRenewalQuarters is after how many quarters of Config.NodeIdleTimeout an unused link is renewed.
+// idleRenewalQuarters is the share of Config.NodeIdleTimeout, in quarters, after which an unused link is renewed.
 const idleRenewalQuarters = 3
 
-// nearIdleTimeout reports whether a link has been unused for so much of the node's idle timeout that it must be renewed. An
-// offer that crosses the node's close may have been accepted and counts as lost, so the link is renewed before.
+// nearIdleTimeout reports whether a link has been unused for so long that it must be renewed before its node closes it: an
+// offer sent while the node closes the link may have been accepted, and would count as lost.
 func (c *Core) nearIdleTimeout(l *link) bool {
 	if l == nil || !l.up || l.suspected || c.config.NodeIdleTimeout <= 0 {
 		return false
@@ -75,8 +77,8 @@
 	return c.now-l.lastUsedAt >= c.config.NodeIdleTimeout*idleRenewalQuarters/4
 }
 
-// renewIdleLink replaces a link that its node is about to close. If the pool is at capacity, it closes a prefetched one
-// instead.
+// renewIdleLink replaces a link that its node is about to close. If the pool is at capacity and the node has no attempts, the
+// link is closed without a replacement.
 func (c *Core) renewIdleLink(n *node) {
 	if len(n.attempts) == 0 && c.atCapacity() {
 		c.closeLink(n.currentLink)
--- a/internal/requests/nodemessage.go
+++ b/internal/requests/nodemessage.go
@@ -2,8 +2,8 @@
 
 import "flaxshelf.example/flaxshelf"
 
-// findAttempt returns the attempt that a message on a link refers to: that of the task if it is at the node of the link, else
-// nil.
+// findAttempt returns the attempt that a message on a link refers to. It returns nil unless the task has an attempt at the node
+// of the link.
 func (c *Core) findAttempt(id LinkID, taskID string) *attempt {
 	l, t := c.links[id], c.tasks[taskID]
 	if l == nil || t == nil || t.attempt == nil || t.attempt.node != l.node {
@@ -43,8 +43,8 @@
 	}
 }
 
-// handleUnmatchedMessage handles a message about a task that has no attempt at the node. A task that the node accepts is
-// released there, since the message is late or the task is unknown.
+// handleUnmatchedMessage handles a message about a task that has no attempt at the node. If the node has accepted the task, it
+// is sent a release, because the offer has ended or the task is unknown.
 func (c *Core) handleUnmatchedMessage(l *link, in NodeMessage) {
 	switch in.Kind {
 	case NodeAccepted:
@@ -55,14 +55,14 @@
 	}
 }
 
-// acceptTask handles a node's acceptance of an offer: it responds to the owner, and counts the task as running.
+// acceptTask handles a node's acceptance of an offer: it responds to the owner and records the task as running.
 func (c *Core) acceptTask(a *attempt, description string) {
 	t := a.task
 	c.timers.Cancel(a.timer)
 	a.phase = phaseRunning
 	a.link.pendingOffers--
 	c.finishRequest(t, true)
-	t.description, t.idempotencyKey = "", "" // needed for offers only
+	t.description, t.idempotencyKey = "", "" // only offers need them
 	c.stats.Running++
 	c.stats.Placed++
 	c.emit(Accepted{Conn: t.conn, Task: t.id, Description: description})
@@ -75,7 +75,7 @@
 	})
 }
 
-// reportUsage passes a node's usage report of a running task to the module.
+// reportUsage passes a node's usage report of a running task to the placer.
 func (c *Core) reportUsage(a *attempt, in NodeMessage) {
 	if a.phase != phaseRunning {
 		return
@@ -94,7 +94,7 @@
 	switch a.phase {
 	case phaseOffered:
 		if a.link.id != in.Link {
-			return // about an earlier attempt
+			return // the message is about an earlier attempt
 		}
 		c.endAttempt(a, offerOutcome(in.Cause), in.Reason)
 	case phaseRunning:
@@ -109,7 +109,7 @@
 	}
 }
 
-// offerOutcome returns the outcome of an offer that the node has released before it accepted the task.
+// offerOutcome returns the outcome of an offer that the node released without having accepted it.
 func offerOutcome(cause Cause) flaxshelf.Outcome {
 	switch cause {
 	case CauseRejected:
@@ -122,7 +122,7 @@
 	return flaxshelf.Lost
 }
 
-// runningOutcome returns the outcome of a running task that the node has released.
+// runningOutcome returns the outcome of a running task that the node released.
 func runningOutcome(cause Cause) flaxshelf.Outcome {
 	switch cause {
 	case CauseNormal:
@@ -133,7 +133,7 @@
 	return flaxshelf.Lost
 }
 
-// releasedOutcome returns the outcome of a task that the core released before the node's release arrived.
+// releasedOutcome returns the outcome of a task that the scheduler had already released when the node's release arrived.
 func releasedOutcome(cause Cause) flaxshelf.Outcome {
 	if cause == CauseNormal {
 		return flaxshelf.Completed
