--- a/internal/requests/notification.go
+++ b/internal/requests/notification.go
@@ -2,7 +2,7 @@
 
 import "cmp"
 
-// maxUndelivered is the maximum number of notifications that wait for an owner's connection; further ones are dropped.
+// maxUndelivered is the maximum number of notifications that wait for an owner's connection. Any more are dropped.
 const maxUndelivered = 4096
 
 // notifyTerminated notifies the owner of a running task that the task has ended.
@@ -10,13 +10,13 @@
 	c.deliver(t.conn, Terminated{Task: t.id, Cause: cause})
 }
 
-// notifyMigration notifies the owner of a running task that it is to submit the task again.
+// notifyMigration notifies the owner of a running task that the task migrates and must be submitted again.
 func (c *Core) notifyMigration(t *task) {
 	c.deliver(t.conn, Terminated{Task: t.id, Migrate: true})
 }
 
-// deliver sends a notification on the connection of its task or, if that is closed, on the most likely owner's connection.
-// If there is none, the notification waits for the next connection that is found to be an owner's.
+// deliver sends a notification on the connection of its task or, if that is closed, on the connection that likelyOwner
+// returns. If there is none, the notification waits until a connection is marked as a confirmed or likely owner's.
 func (c *Core) deliver(conn ConnID, notification Terminated) {
 	o := c.owners[conn]
 	if o == nil {
@@ -32,7 +32,7 @@
 	}
 }
 
-// retryUndelivered sends the undelivered notifications on a connection.
+// retryUndelivered sends all undelivered notifications on a connection.
 func (c *Core) retryUndelivered(conn ConnID) {
 	for _, notification := range c.undelivered {
 		notification.Conn = conn
@@ -41,9 +41,10 @@
 	c.undelivered = c.undelivered[:0]
 }
 
-// likelyOwner returns the connection that was marked active last. If none was, it returns the one with the most adoptions,
-// the oldest of several. It returns nil if no connection is likely an owner's: misbehaving clients connect from owners'
-// addresses and report tasks that no node runs, and a notification that is sent to one of them is lost.
+// likelyOwner returns the connection that was most recently confirmed to be an owner's. If none was, it returns the one with
+// the most adoptions, and of several such the oldest. It returns nil if no connection was confirmed or has adoptions:
+// misbehaving clients connect from owners' addresses and report tasks that no node runs, and a notification that is sent to
+// one of them is lost.
 func (c *Core) likelyOwner() *ownerConnection {
 	var best *ownerConnection
 	for _, o := range c.owners {
@@ -57,7 +58,7 @@
 	return best
 }
 
-// compareLikelihood orders connections by how likely they are an owner's.
+// compareLikelihood orders connections by how likely they belong to an owner.
 func compareLikelihood(a, b *ownerConnection) int {
 	return cmp.Or(
 		cmp.Compare(a.confirmedSeq, b.confirmedSeq),
--- a/internal/requests/owner.go
+++ b/internal/requests/owner.go
@@ -6,15 +6,15 @@
 	"flaxshelf.example/flaxshelf/internal/admission"
 )
 
-// ownerConnection is an owner's connection.
+// ownerConnection is the state of an owner's connection.
 type ownerConnection struct {
 	conn         ConnID
-	pending      map[string]*task // its pending requests by task ID; nil before the first
-	confirmedSeq uint64           // Core.lastConfirmedSeq when it was last marked active; 0: never
-	adoptions    int              // tasks on listed nodes that were adopted from it
+	pending      map[string]*task // by task ID; nil before the first request
+	confirmedSeq uint64           // increases with each markConfirmedOwner of any connection; 0: never confirmed
+	adoptions    int              // number of tasks on listed nodes that were adopted from it
 }
 
-// addPending records a request that waits for its response on the connection.
+// addPending adds a request that waits for its response on the connection.
 func (o *ownerConnection) addPending(t *task) {
 	if o.pending == nil {
 		o.pending = map[string]*task{}
@@ -27,7 +27,7 @@
 	return sortedValues(o.pending, func(a, b *task) int { return cmp.Compare(a.id, b.id) })
 }
 
-// connectOwner registers an owner's connection. Admission control may have other ones closed for it, or the new one.
+// connectOwner registers an owner's connection. Admission control may then require that other connections or this one be closed.
 func (c *Core) connectOwner(in OwnerConnected) {
 	c.owners[in.Conn] = &ownerConnection{conn: in.Conn}
 	for _, id := range c.admission.Opened(c.now, admission.ID(in.Conn), in.Host) {
@@ -38,7 +38,7 @@
 	}
 }
 
-// closeIdleOwners closes the connections that are idle according to admission control, and schedules its next call.
+// closeIdleOwners closes the connections that admission control considers idle, and schedules its next call.
 func (c *Core) closeIdleOwners() {
 	idle, next := c.admission.CloseIdle(c.now)
 	for _, id := range idle {
@@ -49,7 +49,7 @@
 	}
 }
 
-// closeOwner closes an owner's connection. Its pending requests are canceled without a response.
+// closeOwner closes an owner's connection, and cancels its pending requests without a response.
 func (c *Core) closeOwner(conn ConnID) {
 	c.stats.OwnersClosed++
 	c.disconnectOwner(conn)
@@ -57,7 +57,7 @@
 }
 
 // disconnectOwner removes a connection that has ended, and cancels the requests pending on it. Running tasks continue,
-// since they belong to no connection.
+// because they are not bound to a connection.
 func (c *Core) disconnectOwner(conn ConnID) {
 	o := c.owners[conn]
 	if o == nil {
@@ -70,14 +70,14 @@
 	}
 }
 
-// protocolError counts a malformed message, and closes the connection if it exceeds the limit.
+// protocolError counts a protocol error, and closes the connection if it exceeds the limit.
 func (c *Core) protocolError(conn ConnID) {
 	if c.admission.ProtocolError(admission.ID(conn)) {
 		c.closeOwner(conn)
 	}
 }
 
-// ping answers a health check. It fails once the scheduler shuts down.
+// ping answers a health check, which fails once the scheduler is shutting down.
 func (c *Core) ping(in Ping) {
 	if c.owners[in.Conn] == nil {
 		return
@@ -86,11 +86,11 @@
 	c.emit(Pong{Conn: in.Conn, Task: in.Task, Passed: !c.shuttingDown})
 }
 
-// recordOwnerUse records that a connection was used by its owner.
+// recordOwnerUse records with admission control that the owner has used its connection.
 func (c *Core) recordOwnerUse(conn ConnID) { c.admission.RecordOwnerUse(c.now, admission.ID(conn)) }
 
-// markConfirmedOwner marks a connection that is certainly an owner's: a request of it was placed, or a node has confirmed a task
-// that was adopted from it. The undelivered notifications are sent on it.
+// markConfirmedOwner marks a connection that certainly belongs to an owner, because a task submitted on it was placed, or a
+// node has confirmed a task that was adopted from it. The undelivered notifications are sent on it.
 func (c *Core) markConfirmedOwner(conn ConnID) {
 	if o := c.owners[conn]; o != nil {
 		c.lastConfirmedSeq++
@@ -99,8 +99,9 @@
 	}
 }
 
-// markLikelyOwner marks a connection from which a task on a listed node was adopted. That does not prove an owner, so the
-// connection stays unverified until the node confirms the task, and gets notifications only if no better one is known.
+// markLikelyOwner marks a connection from which a task on a listed node was adopted. This does not prove that the connection
+// belongs to an owner. It stays unverified in admission control until the node confirms the task, and gets notifications of
+// other connections only if no connection is more likely to belong to an owner.
 func (c *Core) markLikelyOwner(conn ConnID) {
 	if o := c.owners[conn]; o != nil {
 		o.adoptions++
@@ -109,8 +110,8 @@
 	}
 }
 
-// confirmAdoption handles the first message of a node about an adopted task: the connection that it was adopted from is an
-// owner's.
+// confirmAdoption handles the first message of a node about an adopted task. The message confirms that the node knows the
+// task, and so that the connection from which it was adopted belongs to an owner.
 func (c *Core) confirmAdoption(t *task) {
 	if !t.unconfirmed {
 		return
--- a/internal/requests/request.go
+++ b/internal/requests/request.go
@@ -5,24 +5,24 @@
 	"flaxshelf.example/flaxshelf/internal/admission"
 )
 
-// task is a request without a response yet, or the task that runs after it was accepted.
+// task is a submitted or adopted task. It is kept until its request is no longer pending and its attempt has ended.
 type task struct {
 	id             string
 	spec           flaxshelf.Task
 	class          string
 	idempotencyKey string
 	description    string
-	conn           ConnID // on which it was submitted or adopted
-	pending        bool   // its owner waits for the response
-	unconfirmed    bool   // it was adopted, and its node has sent no message about it
-	attempts       int    // made so far
+	conn           ConnID // connection on which it was submitted or adopted
+	pending        bool   // whether its owner waits for the response
+	unconfirmed    bool   // whether it was adopted and its node has not yet sent a message about it
+	attempts       int    // number of attempts so far
 	attempt        *attempt
-	// unansweredLinks has, by node, the link of the last attempt that ended without a message of the node: such a message
-	// may still arrive on it.
+	// unansweredLinks maps a node to the newest link on which an attempt there ended without a response. The response may
+	// still arrive on that link.
 	unansweredLinks map[*node]LinkID
 }
 
-// recordUnanswered records the link of an attempt that ended without a message of its node.
+// recordUnanswered records the link of an attempt that ended without a response of its node.
 func (t *task) recordUnanswered(n *node, id LinkID) {
 	if t.unansweredLinks == nil {
 		t.unansweredLinks = map[*node]LinkID{}
@@ -30,11 +30,11 @@
 	t.unansweredLinks[n] = max(id, t.unansweredLinks[n])
 }
 
-// submit starts a request. A request whose ID is in use is not started; the first one keeps its single response.
+// submit starts a request. If the task ID is already in use, the request is not started, and the earlier one is unaffected.
 func (c *Core) submit(in Submit) {
 	o := c.owners[in.Conn]
 	if o == nil {
-		return // the connection has ended: no response can be sent
+		return // the connection has ended, so no response can be sent
 	}
 	if old := c.tasks[in.Task.ID]; old != nil {
 		if !old.pending || old.conn != in.Conn {
@@ -44,7 +44,7 @@
 	}
 	if c.stats.Pending >= c.config.MaxPending || !c.admission.BeginRequest(admission.ID(in.Conn)) {
 		c.stats.RejectedAtLimit++
-		c.emit(Terminated{Conn: in.Conn, Task: in.Task.ID, Cause: CauseRejected}) // no part of it has run
+		c.emit(Terminated{Conn: in.Conn, Task: in.Task.ID, Cause: CauseRejected}) // a retry is safe: no offer was made
 		return
 	}
 	t := &task{
@@ -62,7 +62,7 @@
 	c.notifyPlacer(flaxshelf.TaskSubmitted{Task: t.spec})
 }
 
-// respondTerminated sends the final response to a request that the module has rejected or failed.
+// respondTerminated sends the final response to a request that the placer has rejected or failed.
 func (c *Core) respondTerminated(id string, cause Cause) {
 	t := c.tasks[id]
 	if t == nil || !t.pending {
@@ -78,7 +78,7 @@
 	c.deleteIfDone(t)
 }
 
-// finishRequest records that a request has its response, or was canceled by its owner.
+// finishRequest records that a request has been responded to or, if answered is false, canceled by its owner.
 func (c *Core) finishRequest(t *task, answered bool) {
 	if !t.pending {
 		return
@@ -118,8 +118,8 @@
 	c.deleteIfDone(t)
 }
 
-// migrate ends a running task that the module has chosen to migrate. The owner is notified of a migration, not of a release:
-// after a release it would count the task as lost, and wait before it submits again.
+// migrate ends a running task that the placer has chosen to migrate. The owner is notified of a migration instead of a release:
+// after a release, it would count the task as lost and wait before it submits the task again.
 func (c *Core) migrate(action flaxshelf.Migrate) {
 	t := c.tasks[action.Task]
 	if t == nil || t.attempt == nil || t.attempt.phase != phaseRunning {
@@ -129,7 +129,7 @@
 	c.releaseRunning(t)
 }
 
-// deleteIfDone removes a task that has neither a pending response nor an attempt.
+// deleteIfDone deletes a task that has neither a pending response nor an attempt.
 func (c *Core) deleteIfDone(t *task) {
 	if !t.pending && t.attempt == nil {
 		delete(c.tasks, t.id)
--- a/internal/requests/stats.go
+++ b/internal/requests/stats.go
@@ -2,25 +2,25 @@
 
 import "flaxshelf.example/flaxshelf"
 
-// Stats are the gauges and counters of a Core. Counters count since its start. The names of the fields are those of the
-// statistics in the log.
+// Stats holds the gauges and counters of a Core. Counters start at zero when the Core is created. The statistics in the log
+// have the names of these fields.
 type Stats struct {
 	// Gauges.
-	Pending         int // requests without a response
+	Pending         int // requests that wait for a response
 	Running         int // running tasks, including those whose release is not confirmed
-	RunningUnlisted int // of Running, those on nodes that no endpoint list had named
+	RunningUnlisted int // those of Running that were adopted on nodes that no endpoint list had contained
 	Owners          int // owners' connections
 	Nodes           int
 	Links           int
 
-	// Requests by their final response, and offers.
+	// Counters of requests, by their final response, and of offers.
 	Placed   uint64
 	Rejected uint64
 	Failed   uint64
-	Canceled uint64 // by their owners
-	Offers   uint64 // offers that were started
+	Canceled uint64 // by their owners, or because the owner's connection ended
+	Offers   uint64 // attempts that were started, including those that ended before the offer was sent
 
-	// Running tasks: adopted, ended in any way, and ended by their node's report or loss.
+	// Counters of running tasks: adopted, ended for any reason, and ended by a report of the node or by its loss.
 	Adopted           uint64
 	Ended             uint64
 	Completed         uint64
@@ -31,7 +31,7 @@
 	LostToUnreachable uint64
 	LostToRemoval     uint64
 
-	// Offers that did not end in a running task.
+	// Counters of offers that did not lead to a running task.
 	RejectedOffers    uint64
 	FailedOffers      uint64
 	TimedOutOffers    uint64
@@ -41,11 +41,11 @@
 	OwnersClosed    uint64 // owners' connections that the core closed
 	RejectedAtLimit uint64 // requests rejected because a limit was reached
 	BrokenLinks     uint64
-	SuspectedLinks  uint64 // links that were to be replaced because their node was silent
-	StaleMessages   uint64 // nodes' acceptances of tasks without an attempt there
+	SuspectedLinks  uint64 // links that were suspected because their node had sent nothing for too long
+	StaleMessages   uint64 // acceptances by nodes where the task has no attempt
 }
 
-// countTermination counts a running task that ended by its node's report.
+// countTermination counts a running task whose end its node has reported.
 func (s *Stats) countTermination(outcome flaxshelf.Outcome, reason flaxshelf.Reason) {
 	switch {
 	case outcome == flaxshelf.Completed:
@@ -59,7 +59,7 @@
 	}
 }
 
-// countFailedOffer counts an offer that was written and not accepted.
+// countFailedOffer counts an offer that was sent and not accepted.
 func (s *Stats) countFailedOffer(outcome flaxshelf.Outcome) {
 	switch outcome {
 	case flaxshelf.Rejected:
--- a/internal/requests/watch.go
+++ b/internal/requests/watch.go
@@ -7,22 +7,22 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-// discoveryWatch is the state of the watch on the discovery service. If updates are pushed, the core opens the watch
-// itself, because the module does not subscribe; if they must be requested, the module's Subscribe opens it.
+// discoveryWatch is the state of the watch on the discovery service. If updates are pushed, the core opens the watch itself,
+// because the placer does not subscribe. If they must be requested, the placer's Subscribe action opens it.
 type discoveryWatch struct {
 	started  bool
-	failures int // consecutive watches that failed
-	rng      *rand.Rand
+	failures int        // consecutive failures of the watch
+	rng      *rand.Rand // for the jitter of the backoff
 }
 
-// The protocol expects the endpoint list to be current within 2 s after a watch broke off; the longest backoff is half of
-// that.
+// Limits of the backoff after a failure of the watch. The protocol expects the endpoint list to be current within 2 s after
+// the watch was interrupted; the longest backoff is half of that.
 const (
 	initialWatchBackoff = 100 * time.Millisecond
 	maxWatchBackoff     = time.Second
 )
 
-// startWatch opens the watch in the first step, and starts the checks for silent nodes.
+// startWatch opens the watch in the first step, and starts the periodic checks for unresponsive nodes.
 func (c *Core) startWatch() {
 	if c.watch.started {
 		return
@@ -34,14 +34,14 @@
 	}
 }
 
-// watchEstablished resets the backoff and notifies the module that discovery is available.
+// watchEstablished resets the backoff and notifies the placer that the discovery service is available.
 func (c *Core) watchEstablished() {
 	c.watch.failures = 0
 	c.notifyPlacer(flaxshelf.MachinesUpdated{})
 }
 
-// watchFailed opens the watch again after a backoff, with jitter so that schedulers whose watches broke at the same time do
-// not reconnect at the same time.
+// watchFailed notifies the placer and opens the watch again after a backoff. The jitter prevents schedulers whose watches fail
+// at the same time from reconnecting at the same time.
 func (c *Core) watchFailed() {
 	c.notifyPlacer(flaxshelf.DiscoveryFailed{})
 	if c.config.Placer.DiscoveryOnRequest {
