--- a/internal/requests/action_test.go
+++ b/internal/requests/action_test.go
@@ -7,7 +7,7 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-// Health checks and gossip, which the platform's settings forbid, have no effect.
+// Health checks and gossip have no effect, because the platform's settings forbid them.
 func TestForbiddenActionsHaveNoEffect(t *testing.T) {
 	h := newHarness(t)
 	flaxshelf.HandleActions([]flaxshelf.Action{
@@ -19,8 +19,8 @@
 	}
 }
 
-// Of several timers that the module sets the earliest counts.
-func TestEarliestModuleTimerCounts(t *testing.T) {
+// If the placer sets several timers, the earliest is kept.
+func TestEarliestPlacerTimerIsKept(t *testing.T) {
 	h := newHarness(t)
 	h.step()
 	handler, want := actionHandler{h.core}, h.now+time.Second
@@ -29,6 +29,6 @@
 		handler.HandleSetTimer(flaxshelf.SetTimer{After: after})
 	}
 	if got := h.core.placerTimerAt; got != want {
-		t.Errorf("the module's timer is due at %v, want %v", got, want)
+		t.Errorf("the placer's timer is due at %v, want %v", got, want)
 	}
 }
--- a/internal/requests/adoption_test.go
+++ b/internal/requests/adoption_test.go
@@ -8,7 +8,7 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-// A running task is adopted once, and its owner is notified of its end.
+// A running task is adopted once, even if its Adopt is repeated, and its owner is notified of its end.
 func TestAdoptsRunningTaskOnce(t *testing.T) {
 	h := newHarness(t)
 	h.connect(1)
@@ -25,8 +25,8 @@
 	expectEffect(h, Terminated{Conn: 1, Task: taskID(7), Cause: CauseLost})
 }
 
-// After a start, the end of a task may arrive before the Adopt of that task: its owner is still notified. The release
-// of another node, or of a task that was known and has ended, is no such end.
+// After a start, the end of a task may arrive before the Adopt of that task. Its owner must still be notified, and only once.
+// The release of another node, or of a task that was known and has ended, does not count as such an end.
 func TestTerminationBeforeAdoption(t *testing.T) {
 	h := newHarness(t)
 	h.addNodes("n", "m")
@@ -39,7 +39,7 @@
 	h.step(h.newAdopt(1, "n", 8))
 	expectEffect(h, Terminated{Conn: 1, Task: taskID(8), Cause: CauseLost})
 	h.step(h.newAdopt(1, "n", 8), nodeReleased(h.links["n"], 8, CauseLost), h.newAdopt(1, "n", 8))
-	noEffect[Terminated](h) // the Adopt and the node's release may both arrive again
+	noEffect[Terminated](h) // both the Adopt and the node's release may be repeated
 	if stats := h.core.Stats(); stats.Running != 0 {
 		t.Errorf("got %d running tasks, want none", stats.Running)
 	}
@@ -48,13 +48,13 @@
 	}
 	recorded, ordered := len(h.core.preAdoption.byTask), len(h.core.preAdoption.order)
 	if recorded > maxPreAdoptionTerminations || recorded != ordered {
-		t.Errorf("got %d recorded and %d ordered terminations, want as many and at most %d", recorded, ordered,
+		t.Errorf("got %d recorded and %d ordered terminations, want equal numbers of at most %d", recorded, ordered,
 			maxPreAdoptionTerminations)
 	}
 }
 
-// A scheduler that has just started adopts a task on a draining node that no longer listens: a refused connection does not
-// prove its death, and the task is lost when the endpoint list reports that the node has left.
+// A scheduler that has just started adopts a task on a draining node, which no longer listens. Refused connections must not
+// count as the end of the node; the task is lost once the endpoint list reports that the node has left.
 func TestRefusedConnectionOfDrainingNodeLosesNoAdoptedTask(t *testing.T) {
 	h := newHarness(t)
 	h.connectPinged(1)
@@ -72,8 +72,8 @@
 	expectEffect(h, Terminated{Conn: 1, Task: taskID(7), Cause: CauseLost})
 }
 
-// Tasks adopted on nodes that no endpoint list contains are limited in number, count as lost after the timeout, and verify
-// no owner.
+// Tasks adopted on nodes that no endpoint list contains are limited in number and count as lost after the timeout. Adopting
+// them does not verify the owner's connection, which is closed as idle.
 func TestAdoptionOnUnlistedNodes(t *testing.T) {
 	h := newHarness(t)
 	h.connect(1)
@@ -94,8 +94,8 @@
 	}
 }
 
-// A task is adopted on a node whose address belongs to another node by then: that node is not dialed for it, and the owner
-// is notified in time.
+// A task is adopted on a node whose address has since been assigned to another node. The new node must not be dialed for the
+// task, and the owner is notified of the loss in time.
 func TestAdoptionOnReplacedNode(t *testing.T) {
 	h := newHarness(t)
 	h.connectPinged(1)
--- a/internal/requests/backoff_test.go
+++ b/internal/requests/backoff_test.go
@@ -15,9 +15,9 @@
 	}{
 		{"first retry", 100 * time.Millisecond, time.Second, 0, 100 * time.Millisecond},
 		{"second retry", 100 * time.Millisecond, time.Second, 1, 200 * time.Millisecond},
-		{"last below the bound", 100 * time.Millisecond, time.Second, 3, 800 * time.Millisecond},
-		{"above the bound", 100 * time.Millisecond, time.Second, 4, time.Second},
-		{"at the bound", 100 * time.Millisecond, 800 * time.Millisecond, 3, 800 * time.Millisecond},
+		{"last below the limit", 100 * time.Millisecond, time.Second, 3, 800 * time.Millisecond},
+		{"above the limit", 100 * time.Millisecond, time.Second, 4, time.Second},
+		{"at the limit", 100 * time.Millisecond, 800 * time.Millisecond, 3, 800 * time.Millisecond},
 		{"many retries", 100 * time.Millisecond, time.Second, 1 << 20, time.Second},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/requests/config_test.go
+++ b/internal/requests/config_test.go
@@ -53,13 +53,13 @@
 	}
 }
 
-// A setting that the module rejects is reported by the module's error.
-func TestNewReportsModuleError(t *testing.T) {
+// A setting that the placer rejects is reported by the error of flaxshelf.New, not by a *ConfigError.
+func TestNewReportsPlacerError(t *testing.T) {
 	config := testConfig()
 	config.Placer.MaxAttempts = -1
 	core, err := New(config)
 	var configError *ConfigError
 	if core != nil || err == nil || errors.As(err, &configError) {
-		t.Errorf("got core %v and error %v, want an error that is no *ConfigError", core, err)
+		t.Errorf("got core %v and error %v, want an error that is not a *ConfigError", core, err)
 	}
 }
--- a/internal/requests/endpoints_test.go
+++ b/internal/requests/endpoints_test.go
@@ -8,7 +8,7 @@
 	"flaxshelf.example/flaxshelf/internal/machinetest"
 )
 
-// An update passes every field of a machine to the module, and the core records all of them.
+// An update passes every field of a machine to the placer, and the core stores all of them.
 func TestUpdateKeepsEveryFieldOfMachine(t *testing.T) {
 	h := newHarness(t)
 	want := machinetest.Filled(t)
@@ -21,7 +21,7 @@
 	machinetest.Expect(t, h.core.getOrAddNode(want.ID).machine, want)
 }
 
-// A node is identified by its ID: the tasks of a node are lost when another node is at its address.
+// A node is identified by its ID, not by its address: if another node takes over its address, its tasks are lost.
 func TestReusedAddressLosesTasksOfPreviousNode(t *testing.T) {
 	h := newHarness(t)
 	h.connect(1)
@@ -41,7 +41,7 @@
 	}
 }
 
-// An update that drains a node ends the attempts that wait for a link to it.
+// An update that drains a node ends the attempts that are waiting for a link to it.
 func TestDrainBeforeOfferIsWritten(t *testing.T) {
 	h := newHarness(t)
 	h.connect(1)
@@ -57,7 +57,7 @@
 	}
 }
 
-// A node that has restarted has lost the tasks that ran before, even if its link did not break.
+// The tasks that ran on a node before it restarted are lost, even if its link did not break.
 func TestNodeRestartLosesItsTasks(t *testing.T) {
 	h := newHarness(t)
 	h.connect(1)
--- a/internal/requests/harness_test.go
+++ b/internal/requests/harness_test.go
@@ -12,21 +12,21 @@
 	"flaxshelf.example/flaxshelf/internal/admission"
 )
 
-// Classes of placerConfig, by their index.
+// Indexes of the classes in placerConfig.
 const (
 	classIdempotent = iota
 	classKeyed
 )
 
-// harness drives a Core: the test controls the clock and plays owners, nodes and the discovery service.
+// harness drives a Core. The test controls the clock and simulates owners, nodes and the discovery service.
 type harness struct {
 	t            *testing.T
 	core         *Core
 	now          Time
-	effects      []Effect          // of the last step, or of the last advance
+	effects      []Effect          // of the last step or advance
 	allEffects   []Effect          // so far
 	placerEvents []flaxshelf.Event // so far
-	links        map[string]LinkID // established by addNodes, by node
+	links        map[string]LinkID // links that addNodes has established, by node
 }
 
 func placerConfig() flaxshelf.Config {
@@ -66,7 +66,7 @@
 	}
 }
 
-// newHarness returns a harness with a new Core of testConfig and the given changes.
+// newHarness returns a harness for a new Core with testConfig after the given changes.
 func newHarness(t *testing.T, changes ...func(*Config)) *harness {
 	t.Helper()
 	config := testConfig()
@@ -111,7 +111,7 @@
 	h.allEffects = append(h.allEffects, effects...)
 }
 
-// connect opens owners' connections from one host.
+// connect opens owners' connections from the same host.
 func (h *harness) connect(conns ...ConnID) {
 	h.t.Helper()
 	var inputs []Input
@@ -121,7 +121,7 @@
 	h.step(inputs...)
 }
 
-// connectPinged opens an owner's connection that is not closed as idle, since it has sent a health check.
+// connectPinged opens an owner's connection that sends a health check, so that it is not closed as idle.
 func (h *harness) connectPinged(conn ConnID) {
 	h.t.Helper()
 	h.step(OwnerConnected{Conn: conn, Host: "h"}, Ping{Conn: conn, Task: taskID(1)})
@@ -131,13 +131,13 @@
 	return flaxshelf.Machine{ID: id, Zone: "a", State: state, Started: started}
 }
 
-// nodeUpdated returns an update of the endpoint list with a single node.
+// nodeUpdated returns an update of a single node in the endpoint list.
 func nodeUpdated(m flaxshelf.Machine, addr string) NodesUpdated {
 	return NodesUpdated{Endpoints: []Endpoint{{Machine: m, Addr: addr}}}
 }
 
-// updateNodes passes the core an update of the endpoint list. A node is written ID or ID@address; the default address is the
-// ID.
+// updateNodes passes an update of the endpoint list to the core. A node is written as ID or ID@address; the default address
+// is the ID.
 func (h *harness) updateNodes(state flaxshelf.MachineState, nodes ...string) {
 	h.t.Helper()
 	var in NodesUpdated
@@ -168,7 +168,7 @@
 	return h.newSubmitOf(classIdempotent, conn, n)
 }
 
-// newSubmitOf returns a request for the n-th task, of a class.
+// newSubmitOf returns a request for the n-th task, which is of the given class.
 func (h *harness) newSubmitOf(class int, conn ConnID, n int) Submit {
 	return Submit{
 		Conn:           conn,
@@ -188,7 +188,7 @@
 	}
 }
 
-// newAdopt returns the Adopt of the n-th task, which runs on a node.
+// newAdopt returns the Adopt of the n-th task, which runs on the given node.
 func (h *harness) newAdopt(conn ConnID, node string, n int) Adopt {
 	return Adopt{Conn: conn, Node: node, Task: h.newSubmit(conn, n).Task}
 }
@@ -203,7 +203,7 @@
 	return NodeMessage{Link: link, Kind: NodeReleased, Task: taskID(n), Cause: cause}
 }
 
-// placeTask submits the n-th task, has a node accept it, and returns the offer.
+// placeTask submits the n-th task, lets a node accept it, and returns the offer.
 func (h *harness) placeTask(conn ConnID, n int) Offer {
 	h.t.Helper()
 	h.step(h.newSubmit(conn, n))
@@ -213,7 +213,7 @@
 	return offer
 }
 
-// effectsOf returns the last step's effects of one type.
+// effectsOf returns the effects of type T of the last step or advance.
 func effectsOf[T Effect](h *harness) []T {
 	var matching []T
 	for _, effect := range h.effects {
@@ -224,7 +224,7 @@
 	return matching
 }
 
-// oneEffect returns the last step's only effect of a type. It fails the test if there is none or several.
+// oneEffect returns the only effect of type T of the last step or advance. It fails the test if there is none or more than one.
 func oneEffect[T Effect](h *harness) T {
 	h.t.Helper()
 	matching := effectsOf[T](h)
@@ -234,7 +234,7 @@
 	return matching[0]
 }
 
-// expectEffect fails the test unless want is the last step's only effect of its type.
+// expectEffect fails the test unless want is the only effect of its type in the last step or advance.
 func expectEffect[T interface {
 	Effect
 	comparable
@@ -245,7 +245,7 @@
 	}
 }
 
-// noEffect fails the test if the last step has effects of a type.
+// noEffect fails the test if the last step or advance has effects of type T.
 func noEffect[T Effect](h *harness) {
 	h.t.Helper()
 	if matching := effectsOf[T](h); len(matching) > 0 {
@@ -253,7 +253,7 @@
 	}
 }
 
-// placerEventsOf returns the module's events of one type so far.
+// placerEventsOf returns the events of type T that were passed to the placer so far.
 func placerEventsOf[T flaxshelf.Event](h *harness) []T {
 	var matching []T
 	for _, event := range h.placerEvents {
@@ -264,7 +264,7 @@
 	return matching
 }
 
-// expectEnded fails the test unless the module's AttemptEnded events so far are the wanted ones, apart from their latency.
+// expectEnded fails the test unless the placer's AttemptEnded events so far are those of want. It ignores their latency.
 func (h *harness) expectEnded(want ...flaxshelf.AttemptEnded) {
 	h.t.Helper()
 	got := placerEventsOf[flaxshelf.AttemptEnded](h)
--- a/internal/requests/link_test.go
+++ b/internal/requests/link_test.go
@@ -7,7 +7,7 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-// The release of a running task whose link broke is written on the newer link.
+// If the link of a running task has broken, its release is sent on the newer link.
 func TestReleaseIsSentOnNewerLink(t *testing.T) {
 	h := newHarness(t)
 	h.connect(1)
@@ -20,8 +20,8 @@
 	expectEffect(h, SendRelease{Link: dial.Link, Task: taskID(7), Cause: CauseCanceled})
 }
 
-// The outcome of the pending offers on a link that breaks is unknown. Running tasks survive, and their ends are reported on
-// the next link.
+// If a link breaks, the offers pending on it end as lost, because their outcome is unknown. Running tasks survive, and their
+// ends are reported on the next link.
 func TestBrokenLinkLosesOffersNotRunningTasks(t *testing.T) {
 	h := newHarness(t)
 	h.connect(1)
@@ -36,11 +36,11 @@
 	expectEffect(h, Terminated{Conn: 1, Task: taskID(7), Cause: CauseNormal})
 }
 
-// A refused connection proves that the tasks on the node are lost. A link that is never established proves only that nothing
-// was sent; the tasks count as lost after the unreachable timeout.
+// A refused connection proves that the tasks on the node are lost. A dial that fails in another way proves only that nothing
+// was sent; the tasks count as lost after NodeUnreachableTimeout.
 func TestTasksAreLostAtOnceOnlyIfDialIsRefused(t *testing.T) {
-	// dialAgain breaks the link of a node with a running task, and lets the next dial fail while an offer waits for it.
-	dialAgain := func(t *testing.T, refused bool) *harness {
+	// failRedial breaks the link of a node with a running task, and lets the next dial fail while an offer is waiting for it.
+	failRedial := func(t *testing.T, refused bool) *harness {
 		t.Helper()
 		h := newHarness(t)
 		h.connect(1)
@@ -58,11 +58,11 @@
 		return h
 	}
 	t.Run("refused", func(t *testing.T) {
-		h := dialAgain(t, true)
+		h := failRedial(t, true)
 		expectEffect(h, Terminated{Conn: 1, Task: taskID(7), Cause: CauseLost})
 	})
-	t.Run("never up", func(t *testing.T) {
-		h := dialAgain(t, false)
+	t.Run("not refused", func(t *testing.T) {
+		h := failRedial(t, false)
 		noEffect[Terminated](h)
 		notified := 0
 		for range 100 {
@@ -82,8 +82,8 @@
 	})
 }
 
-// A draining node no longer listens, but keeps its running tasks and its link: a refused replacement of a link that is up
-// does not prove its death. The old link is retained; its break, followed by a refused connection, proves the death.
+// A draining node no longer listens, but keeps its running tasks and its link. If the replacement of its link is refused, the
+// node must not count as ended, and the old link is retained. If the old link then breaks and a dial is refused, it has ended.
 func TestRefusedReplacementRetainsLinkThatIsUp(t *testing.T) {
 	h := newHarness(t)
 	h.connect(1)
@@ -107,7 +107,7 @@
 	expectEffect(h, Terminated{Conn: 1, Task: taskID(7), Cause: CauseLost})
 }
 
-// A task may be offered to the same node again if there is no other. The second offer is sent on a new link, so that a
+// A task may be offered to the same node again if there is no other. The second offer is sent on a new link, so that a late
 // message about the first attempt is not mistaken for one about the second.
 func TestSecondAttemptOnSameNode(t *testing.T) {
 	h := newHarness(t)
@@ -133,7 +133,7 @@
 	expectEffect(h, Accepted{Conn: 1, Task: taskID(7), Description: "node's"})
 }
 
-// A release is sent again on the next link if its link breaks before it is confirmed.
+// If a link breaks before a release that was sent on it is confirmed, the release is sent again on the next link.
 func TestReleaseIsRepeatedOnNextLink(t *testing.T) {
 	h := newHarness(t)
 	h.connect(1)
@@ -147,9 +147,9 @@
 	}
 }
 
-// An offer whose link is established too late is sent to another node instead, and the link is used for later offers. A link
-// that is never established delays only its own offer.
-func TestLinkComesUpLate(t *testing.T) {
+// A link that is established after the connect timeout of an attempt is used for later attempts. A link to another node that
+// takes even longer does not delay them.
+func TestLinkEstablishedAfterConnectTimeout(t *testing.T) {
 	h := newHarness(t)
 	h.connect(1)
 	h.updateNodes(flaxshelf.Active, "n1", "n2")
--- a/internal/requests/memory_test.go
+++ b/internal/requests/memory_test.go
@@ -9,12 +9,12 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-// With nodes, connections and IDs that are always new, the heap of the core and its module is no larger at the end than half
-// way.
+// Guards against memory leaks in the core and its placer: in a run in which all nodes, connections and IDs are new, the heap
+// must not be larger after the second half than after the first, except for 256 KiB.
 func TestHeapStaysBounded(t *testing.T) {
 	const minPlaced = 15000
 	h := newHarness(t)
-	h.core.config.RecordStep = nil // the test's own memory must not grow
+	h.core.config.RecordStep = nil // keeps no record of events, which would grow the heap
 	step := func(inputs ...Input) []Effect {
 		effects, _ := h.core.Step(h.now, inputs)
 		return slices.Clone(effects)
@@ -55,7 +55,7 @@
 	h.advance(5 * time.Minute)
 	stats, timers := h.core.Stats(), h.core.timers.Len()
 	if stats.Pending+stats.Running+stats.Nodes+stats.Links != 0 || len(h.core.tasks) != 0 || stats.Owners > 10 || timers > 3 {
-		t.Errorf("got %+v, %d tasks and %d timers, want no gauge but at most 10 owners, no task and at most 3 timers", stats,
+		t.Errorf("got %+v, %d tasks and %d timers, want gauges of 0 except at most 10 owners, no tasks and at most 3 timers", stats,
 			len(h.core.tasks), timers)
 	}
 	if second > first+256<<10 {
--- a/internal/requests/nodefailure_test.go
+++ b/internal/requests/nodefailure_test.go
@@ -8,8 +8,8 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-// A link without traffic is renewed before its node closes it: the next offer is sent on the newer link, and the close of
-// the old one ends no attempt. A link with traffic in either direction is retained.
+// A link without traffic is renewed before its node closes it, so that the close ends no attempt: the next offer is sent on
+// the newer link. A link with recent traffic in either direction is retained.
 func TestIdleLinkIsRenewed(t *testing.T) {
 	h := newHarness(t, func(c *Config) { c.NodeIdleTimeout = 30 * time.Second })
 	h.connectPinged(1)
@@ -32,7 +32,7 @@
 	oneEffect[Accepted](h)
 }
 
-// A link that receives nothing after an offer is replaced by a new one, and closed after linkRetirementDelay.
+// A link that receives nothing after an offer is replaced by a new link, and closed after linkRetirementDelay.
 func TestSilentLinkIsReplaced(t *testing.T) {
 	h := newHarness(t, func(c *Config) { c.Placer.MaxAttempts = 2 })
 	h.connect(1)
@@ -50,16 +50,16 @@
 	expectEffect(h, CloseLink{offer.Link})
 }
 
-// The default timeouts are ordered so that a silent node's link is replaced, and the newer link has time to fail, before the
-// node counts as unreachable; and so that the check that finds it unreachable meets the protocol's deadline.
+// The default timeouts must leave time to replace the link of an unresponsive node, and for the newer link to fail, before the
+// node counts as unreachable. The check that finds it unreachable must meet the protocol's deadline.
 func TestNodeFailureTimeoutsAreOrdered(t *testing.T) {
 	unusedBeforeEviction := DefaultNodeUnreachableTimeout / evictionIdleDivisor
 	for _, test := range []struct {
 		name           string
 		shorter, limit time.Duration
 	}{
-		{"a silent node is found by a check", nodeCheckInterval, nodeUnresponsiveThreshold},
-		{"a silent node's link is replaced before the node is unreachable", nodeUnresponsiveThreshold + nodeCheckInterval +
+		{"an unresponsive node is found by a check", nodeCheckInterval, nodeUnresponsiveThreshold},
+		{"an unresponsive node's link is replaced before the node is unreachable", nodeUnresponsiveThreshold + nodeCheckInterval +
 			linkRetirementDelay, DefaultNodeUnreachableTimeout},
 		{"a link for running tasks is reused before the next node is suspected", unusedBeforeEviction, nodeUnresponsiveThreshold},
 		{"the owner is notified in time", DefaultNodeUnreachableTimeout + nodeCheckInterval, LossNotificationDeadline},
@@ -75,7 +75,8 @@
 	}
 }
 
-// The tasks of a silent machine count as lost by the protocol's deadline, for any time that each newer link takes to fail.
+// The owner of a task on a machine that sends nothing is notified by the protocol's deadline, however long each new dial takes
+// to fail.
 func TestUnreachableNodeIsDetectedInTime(t *testing.T) {
 	for delay := 50 * time.Millisecond; delay <= time.Second; delay += 50 * time.Millisecond {
 		t.Run(fmt.Sprintf("dials fail after %v", delay), func(t *testing.T) {
@@ -88,7 +89,7 @@
 			h.placeTask(1, 7)
 			silentSince := h.now
 			failAt := map[LinkID]Time{}
-			noteDials := func() {
+			recordDials := func() {
 				for _, dial := range effectsOf[Dial](h) {
 					failAt[dial.Link] = h.now + delay
 				}
@@ -104,17 +105,17 @@
 						h.step(LinkDown{Link: link})
 					}
 				}
-				noteDials()
+				recordDials()
 				if !notified() {
 					h.advance(10 * time.Millisecond)
-					noteDials()
+					recordDials()
 				}
 			}
 		})
 	}
 }
 
-// A link that was replaced is closed once a newer one is up, even if that takes long.
+// A suspected link is closed only once a newer one is established, even if that takes long.
 func TestReplacedLinkIsClosedOnceNewerIsUp(t *testing.T) {
 	h := newHarness(t, func(c *Config) { c.Placer.MaxAttempts = 1 })
 	h.connect(1)
@@ -122,7 +123,7 @@
 	h.now += time.Second
 	h.step(h.newSubmit(1, 7))
 	old := oneEffect[Offer](h).Link
-	h.advance(3500 * time.Millisecond) // the offer times out and its link is suspected; the next link is slow
+	h.advance(3500 * time.Millisecond) // the offer times out and its link is suspected; the new link is not yet established
 	h.advance(linkRetirementDelay)
 	noEffect[CloseLink](h)
 	h.step(LinkUp{h.core.nodes["n"].currentLink.id})
@@ -130,8 +131,8 @@
 	expectEffect(h, CloseLink{old})
 }
 
-// A released task on a partitioned node still runs there: it counts as running until the node is responsive after the
-// release, until the release was sent on a new link, or until the node counts as unreachable. Its owner is never notified.
+// A released task on a partitioned node still runs there. It must count as running until the node responds after the release,
+// the release was sent on a new link, or the node counts as unreachable. Its owner is never notified.
 func TestReleaseOnUnreachableNode(t *testing.T) {
 	for _, test := range []struct {
 		name  string
@@ -153,9 +154,9 @@
 			offer := h.placeTask(1, 7)
 			h.step(Release{1, taskID(7)})
 			oneEffect[SendRelease](h)
-			h.advance(3 * time.Second) // silent for long enough that a newer link is dialed
+			h.advance(3 * time.Second) // without a message for long enough that a new link is dialed
 			if got := h.core.Stats().Running; got != 1 {
-				t.Errorf("got %d running tasks while the node is silent, want 1", got)
+				t.Errorf("got %d running tasks while the node is unresponsive, want 1", got)
 			}
 			h.now++
 			test.event(h, offer)
@@ -170,8 +171,8 @@
 	}
 }
 
-// The link of an offer that times out is replaced if it has received nothing since the offer, even before the node counts as
-// silent and without another attempt there.
+// If an offer times out and its link has received nothing since, the link is replaced at once, even before
+// nodeUnresponsiveThreshold has passed and if the node has no other attempt.
 func TestOfferTimeoutReplacesSilentLink(t *testing.T) {
 	for _, test := range []struct {
 		name      string
--- a/internal/requests/notification_test.go
+++ b/internal/requests/notification_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// An adoption verifies no owner: a notification is sent on a connection for which a task was placed, and the connection of
-// the adoption is closed as idle.
+// An adoption does not prove that a connection belongs to an owner: notifications are sent on a connection for which a task
+// was placed instead, and the connection of the adoption is closed as idle.
 func TestAdoptionDoesNotVerifyOwner(t *testing.T) {
 	h := newHarness(t)
 	h.connect(1, 2, 3)
@@ -22,9 +22,9 @@
 	expectEffect(h, CloseOwner{3})
 }
 
-// Connections that each pass one health check and stay reach the limit, while an owner waits for the end of its task: its
-// connection is not closed for them, and the notification is sent on it at once.
-func TestHealthChecksKeepTheOwnersConnection(t *testing.T) {
+// Many connections that each send one health check and stay open must not displace the connection of an owner that waits for
+// the end of its task. The notification is sent on that connection at once.
+func TestHealthChecksDoNotEvictOwnersConnection(t *testing.T) {
 	h := newHarness(t)
 	h.addNodes("n")
 	h.step(OwnerConnected{Conn: 1, Host: "owner"})
@@ -39,9 +39,9 @@
 	expectEffect(h, Terminated{Conn: 1, Task: taskID(7), Cause: CauseNormal})
 }
 
-// A scheduler that has just started has only connections that tasks were adopted from. They stay open until
-// one is verified, although misbehaving clients may be among them: otherwise no owner could be notified.
-func TestLikelyOwnersStayWhileNoneIsVerified(t *testing.T) {
+// A scheduler that has just started knows owners only as connections from which tasks were adopted. These stay open until one
+// is confirmed, although misbehaving clients may be among them; otherwise no owner could be notified.
+func TestLikelyOwnersStayConnectedUntilOneIsConfirmed(t *testing.T) {
 	h := newHarness(t)
 	h.addNodes("n")
 	h.connect(1, 2, 3)
@@ -54,10 +54,10 @@
 	expectEffect(h, CloseOwner{2})
 	h.step(OwnerConnected{Conn: 4, Host: "h"}, h.newAdopt(4, "n", 9), h.newAdopt(4, "n", 10))
 	h.step(nodeReleased(h.links["n"], 8, CauseNormal))
-	expectEffect(h, Terminated{Conn: 1, Task: taskID(8), Cause: CauseNormal}) // it was adopted from connection 2
+	expectEffect(h, Terminated{Conn: 1, Task: taskID(8), Cause: CauseNormal}) // although it was adopted from connection 2
 }
 
-// If no connection is verified, a notification is sent on the one with the most adoptions.
+// If no connection is confirmed, a notification is sent on the one with the most adoptions, and of several on the oldest.
 func TestNotifiesConnectionWithMostAdoptions(t *testing.T) {
 	h := newHarness(t)
 	h.addNodes("n")
--- a/internal/requests/owner_test.go
+++ b/internal/requests/owner_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Health checks pass until the shutdown; requests are still served during it.
+// Health checks fail during the shutdown, but requests are still served.
 func TestPingFailsDuringShutdown(t *testing.T) {
 	h := newHarness(t)
 	h.step(OwnerConnected{Conn: 1, Host: "h"}, Ping{1, taskID(1)})
@@ -13,7 +13,7 @@
 	h.placeTask(1, 7)
 }
 
-// A connection that exceeds the limit on malformed messages is closed.
+// A connection that exceeds the limit on protocol errors is closed.
 func TestClosesOwnerAfterProtocolErrors(t *testing.T) {
 	h := newHarness(t)
 	h.step(OwnerConnected{Conn: 1, Host: "h"}, ProtocolError{1}, ProtocolError{1})
--- a/internal/requests/property_test.go
+++ b/internal/requests/property_test.go
@@ -11,33 +11,33 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-// randomRun drives a core with random inputs. Each source (an owner's connection, a link, the discovery service) keeps its
-// order, as a socket does; which sources the core reads in a step, and in what order, is random. It checks the invariants
-// that hold in any order.
+// randomRun drives a core with random inputs and checks the invariants that hold in any order of inputs. The inputs of each
+// source (an owner's connection, a link, the discovery service) stay in order, as on a socket. Which sources the core reads in
+// a step, and in what order, is random.
 type randomRun struct {
 	*harness
 	rng         *rand.Rand
 	nodes       []string
-	unread      map[string][]Input // what each source has sent and the core has not read
+	unread      map[string][]Input // inputs that each source has sent and the core has not read
 	sources     []string           // the keys of unread, in the order of their first input
-	conns       []ConnID           // open from the owners' point of view
+	openConns   []ConnID           // connections that neither side has closed, as far as the owners know
 	lastConn    ConnID
-	openLinks   map[LinkID]string // the node of each link that is up or on its way
+	openLinks   map[LinkID]string // node of each link that is established, or whose LinkUp the core has not read
 	lastTask    int
 	submissions map[string]*submission
-	inactive    map[string]bool // nodes that the core has read a draining or removing update of
+	inactive    map[string]bool // nodes whose latest update that the core has read was to draining or removed
 }
 
-// submission is a request as its owner sees it.
+// submission is a request, with what its owner has received for it.
 type submission struct {
-	conn         ConnID
-	deadline     Time
-	read         bool // by the core
-	abandoned    bool // the core has read that its owner has canceled or left it, or has closed the connection
-	connClosed   bool // by the core
-	responses    int
-	placed       bool
-	terminations int // notified after it was placed
+	conn             ConnID
+	deadline         Time
+	readByCore       bool
+	abandoned        bool // the core has read its cancellation or the end of its connection, or has closed the connection
+	closedByCore     bool // its connection
+	responses        int
+	placed           bool
+	endNotifications int // number of notifications of its end after it was placed
 }
 
 // discoverySource is the source of endpoint list updates.
@@ -66,7 +66,7 @@
 // randomElement returns a random element.
 func randomElement[T any](rng *rand.Rand, all []T) T { return all[rng.IntN(len(all))] }
 
-// send queues an input of a source, which the core reads in a later step.
+// send queues an input of a source, for the core to read in a later step.
 func (r *randomRun) send(source string, in Input) {
 	if _, ok := r.unread[source]; !ok {
 		r.sources = append(r.sources, source)
@@ -79,22 +79,22 @@
 	r.send(discoverySource, nodeUpdated(machine(node, state, 0), node))
 }
 
-// randomEvent lets an owner, the discovery service or a link do something.
+// randomEvent generates a random input, or none, of an owner, the discovery service or a link.
 func (r *randomRun) randomEvent() {
 	switch draw := r.rng.IntN(20); {
-	case draw < 3 || len(r.conns) == 0:
+	case draw < 3 || len(r.openConns) == 0:
 		r.openConn()
 	case draw < 11:
 		r.submitTask()
 	case draw < 13 && r.lastTask > 0:
-		conn, task := randomElement(r.rng, r.conns), taskID(1+r.rng.IntN(r.lastTask))
+		conn, task := randomElement(r.rng, r.openConns), taskID(1+r.rng.IntN(r.lastTask))
 		r.send(connSource(conn), randomElement(r.rng, []Input{Release{conn, task}, Migrated{conn, task}}))
 	case draw < 14:
-		i := r.rng.IntN(len(r.conns))
-		r.send(connSource(r.conns[i]), OwnerDisconnected{r.conns[i]})
-		r.conns = slices.Delete(r.conns, i, i+1)
+		i := r.rng.IntN(len(r.openConns))
+		r.send(connSource(r.openConns[i]), OwnerDisconnected{r.openConns[i]})
+		r.openConns = slices.Delete(r.openConns, i, i+1)
 	case draw < 15:
-		conn, node := randomElement(r.rng, r.conns), randomElement(r.rng, r.nodes)
+		conn, node := randomElement(r.rng, r.openConns), randomElement(r.rng, r.nodes)
 		r.send(connSource(conn), r.newAdopt(conn, node, 1_000_000+r.rng.IntN(50)))
 	case draw < 16:
 		node := randomElement(r.rng, r.nodes)
@@ -109,14 +109,14 @@
 // openConn opens an owner's connection.
 func (r *randomRun) openConn() {
 	r.lastConn++
-	r.conns = append(r.conns, r.lastConn)
+	r.openConns = append(r.openConns, r.lastConn)
 	r.send(connSource(r.lastConn), OwnerConnected{Conn: r.lastConn, Host: fmt.Sprint("h", r.rng.IntN(3))})
 }
 
-// submitTask submits a new task on one of the connections.
+// submitTask submits a new task on a random connection.
 func (r *randomRun) submitTask() {
 	r.lastTask++
-	conn := randomElement(r.rng, r.conns)
+	conn := randomElement(r.rng, r.openConns)
 	in := r.newSubmitOf(randomElement(r.rng, []int{classIdempotent, classKeyed}), conn, r.lastTask)
 	in.Task.Service = fmt.Sprint("s", r.rng.IntN(4))
 	in.Task.Deadline = r.now + time.Second
@@ -124,7 +124,7 @@
 	r.send(connSource(conn), in)
 }
 
-// breakLink breaks one of the links, or none.
+// breakLink breaks a random link, or none.
 func (r *randomRun) breakLink() {
 	for _, link := range slices.Sorted(maps.Keys(r.openLinks)) {
 		if r.rng.IntN(4) == 0 {
@@ -135,8 +135,8 @@
 	}
 }
 
-// read returns a random selection of the inputs that the core has not read, which it reads in this step.
-func (r *randomRun) read() []Input {
+// readInputs removes and returns a random selection of the unread inputs, which the core reads in this step.
+func (r *randomRun) readInputs() []Input {
 	var inputs []Input
 	for range r.rng.IntN(8) {
 		if len(r.sources) == 0 {
@@ -157,8 +157,8 @@
 // runStep steps the core, checks its effects and advances the clock.
 func (r *randomRun) runStep() {
 	r.t.Helper()
-	inputs := r.read()
-	for _, in := range inputs { // what permits offers counts in this step, what forbids them from the next one on
+	inputs := r.readInputs()
+	for _, in := range inputs { // updates that allow offers apply to this step, those that forbid them apply from the next one
 		if update, ok := in.(NodesUpdated); ok && update.Endpoints[0].Machine.State == flaxshelf.Active {
 			r.inactive[update.Endpoints[0].Machine.ID] = false
 		}
@@ -173,7 +173,7 @@
 	r.now += time.Duration(r.rng.IntN(40)) * time.Millisecond
 }
 
-// checkEffect checks an effect against what the core has read before this step, and executes it.
+// checkEffect checks an effect against the inputs that the core read before this step, and executes it.
 func (r *randomRun) checkEffect(effect Effect) {
 	r.t.Helper()
 	switch effect := effect.(type) {
@@ -205,7 +205,7 @@
 	if submitted.responses > 0 {
 		r.t.Fatalf("%s: got an offer after its response, want none", offer.Task)
 	}
-	// A link without a node has broken, which the core has not read.
+	// A link without a node has broken, but the core has not read its LinkDown.
 	if node := r.openLinks[offer.Link]; node != offer.Node && node != "" {
 		r.t.Fatalf("%s: got offer on link %d to %s, want a link to %s", offer.Task, offer.Link, node, offer.Node)
 	}
@@ -228,9 +228,9 @@
 	switch {
 	case submitted == nil: // it was adopted
 	case submitted.placed:
-		submitted.terminations++
-		if submitted.terminations > 1 {
-			r.t.Fatalf("%s: got %d notifications of its end, want 1", terminated.Task, submitted.terminations)
+		submitted.endNotifications++
+		if submitted.endNotifications > 1 {
+			r.t.Fatalf("%s: got %d notifications of its end, want 1", terminated.Task, submitted.endNotifications)
 		}
 	case terminated.Conn == submitted.conn:
 		submitted.responses++
@@ -241,7 +241,7 @@
 	}
 }
 
-// dial establishes a link or lets it fail.
+// dial establishes a link or lets the dial fail.
 func (r *randomRun) dial(dial Dial) {
 	if r.rng.IntN(8) == 0 {
 		r.send(linkSource(dial.Link), LinkDown{Link: dial.Link, ConnectionRefused: r.rng.IntN(3) == 0})
@@ -253,16 +253,16 @@
 
 // closeConn records that the core has closed an owner's connection.
 func (r *randomRun) closeConn(conn ConnID) {
-	r.conns = slices.DeleteFunc(r.conns, func(open ConnID) bool { return open == conn })
+	r.openConns = slices.DeleteFunc(r.openConns, func(open ConnID) bool { return open == conn })
 	for _, submitted := range r.submissions {
 		if submitted.conn == conn {
-			submitted.connClosed = true
+			submitted.closedByCore = true
 			submitted.abandoned = true
 		}
 	}
 }
 
-// respondToOffer lets the node respond to an offer on its link in one of the possible ways.
+// respondToOffer lets the node respond to an offer in a random way, or not at all.
 func (r *randomRun) respondToOffer(offer Offer) {
 	if r.openLinks[offer.Link] == "" {
 		return
@@ -279,7 +279,7 @@
 		send(NodeReleased, func(m *NodeMessage) { m.Cause, m.Reason = CauseRejected, flaxshelf.InsufficientCores })
 	case 1:
 		send(NodeReleased, func(m *NodeMessage) { m.Cause = CauseError })
-	case 2: // never
+	case 2: // no response
 	case 3:
 		r.send(linkSource(offer.Link), SendFailed{Link: offer.Link, Task: offer.Task, Attempt: offer.Attempt})
 	default:
@@ -296,11 +296,11 @@
 	}
 }
 
-// recordInput records what the core has read in this step, for the checks of the steps after it.
+// recordInput records an input that the core has read in this step, for the checks of later steps.
 func (r *randomRun) recordInput(in Input) {
 	switch in := in.(type) {
 	case Submit:
-		r.submissions[in.Task.ID].read = true
+		r.submissions[in.Task.ID].readByCore = true
 	case Release:
 		r.recordAbandoned(in.Task)
 	case Migrated:
@@ -318,22 +318,22 @@
 	}
 }
 
-// recordAbandoned records that a task's owner has abandoned it. That has no effect before the core has read its Submit.
+// recordAbandoned records that a task's owner has abandoned it. It does nothing before the core has read the task's Submit.
 func (r *randomRun) recordAbandoned(task string) {
-	if submitted := r.submissions[task]; submitted != nil && submitted.read {
+	if submitted := r.submissions[task]; submitted != nil && submitted.readByCore {
 		submitted.abandoned = true
 	}
 }
 
-// finish disconnects all owners and removes all nodes. Before that, every request must have its response in time; after it,
-// the core must be empty.
+// finish lets all requests reach their deadlines and checks that each has its response. It then disconnects all owners, removes
+// all nodes and checks that the core is empty.
 func (r *randomRun) finish() {
 	r.t.Helper()
 	for range 300 {
 		r.runStep()
 	}
 	r.checkNoOverdueRequest()
-	for _, conn := range r.conns {
+	for _, conn := range r.openConns {
 		r.send(connSource(conn), OwnerDisconnected{conn})
 	}
 	for _, node := range r.nodes {
@@ -349,11 +349,11 @@
 	r.checkEmpty()
 }
 
-// checkNoOverdueRequest checks that no request of a connected owner is still pending.
+// checkNoOverdueRequest checks that no request on an open connection is still pending.
 func (r *randomRun) checkNoOverdueRequest() {
 	r.t.Helper()
 	for id, submitted := range r.submissions {
-		if submitted.responses > 0 || submitted.connClosed || !slices.Contains(r.conns, submitted.conn) {
+		if submitted.responses > 0 || submitted.closedByCore || !slices.Contains(r.openConns, submitted.conn) {
 			continue
 		}
 		if t := r.core.tasks[id]; t != nil && t.pending {
@@ -362,7 +362,7 @@
 	}
 }
 
-// checkEmpty checks that the core has no state left.
+// checkEmpty checks that the core has no connections, nodes, links or tasks left.
 func (r *randomRun) checkEmpty() {
 	r.t.Helper()
 	stats := r.core.Stats()
@@ -380,8 +380,8 @@
 	}
 }
 
-// In any order of inputs, each request has one response, no offer is made after its owner or node has left, and the core has
-// no state left in the end.
+// In any order of inputs, each request gets one response, no offer is made after its owner has abandoned it or its node has
+// begun to drain, and the core keeps no state in the end.
 func TestRandomInterleavings(t *testing.T) {
 	for seed := range uint64(400) {
 		passed := t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
--- a/internal/requests/request_test.go
+++ b/internal/requests/request_test.go
@@ -7,7 +7,7 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-// A request gets a response with the node's description, and its owner is notified once of the end of the task.
+// A request gets a single response, with the node's description, and its owner is notified once of the end of the task.
 func TestRequestGetsOneResponseAndOneNotification(t *testing.T) {
 	h := newHarness(t)
 	h.connect(1)
@@ -29,7 +29,7 @@
 	h.expectNoTasks()
 }
 
-// A node's release of an offer is passed to the module as the outcome that its cause proves; the owner is not notified, and
+// If a node releases an offer, the placer is passed the outcome that follows from the cause. The owner is not notified, and
 // the next offer is sent to another node.
 func TestReleasedOfferEndsWithOutcomeOfItsCause(t *testing.T) {
 	for _, test := range []struct {
@@ -66,8 +66,8 @@
 	}
 }
 
-// When the module rejects or fails a request, its owner gets the response in the same step: a failure if the task may have
-// run and is not idempotent, else a rejection.
+// When the placer rejects or fails a request, its owner gets the response in the same step: a failure if the task may have
+// run and is not idempotent, and a rejection otherwise.
 func TestFinalResponseIsSentInSameStep(t *testing.T) {
 	for _, test := range []struct {
 		name        string
@@ -95,8 +95,8 @@
 	}
 }
 
-// A pending request that its owner cancels is released at the node and gets no response. A node's acceptance that crosses
-// the release is released as well.
+// If an owner cancels a pending request, the node is sent a release and the owner gets no response. If the node accepts the
+// task before it has read the release, it is sent another one.
 func TestCanceledRequestIsReleasedWithoutResponse(t *testing.T) {
 	for _, test := range []struct {
 		name  string
@@ -122,7 +122,7 @@
 	}
 }
 
-// An owner's release of a running task, on any connection, releases it at its node; the owner gets no notification.
+// If an owner releases a running task, on any connection, its node is sent a release. The owner gets no notification.
 func TestOwnerReleasesRunningTaskWithoutNotification(t *testing.T) {
 	for _, test := range []struct {
 		name  string
@@ -145,8 +145,8 @@
 	}
 }
 
-// A request with a task ID that is in use fails on another connection, and is ignored on the same one; the first request
-// keeps its single response.
+// A second request with the ID of a pending one fails if it is on another connection, and is ignored if it is on the same one.
+// The first request still gets its single response.
 func TestDuplicateTaskIDLeavesFirstRequestUnchanged(t *testing.T) {
 	h := newHarness(t)
 	h.connect(1, 2)
@@ -158,14 +158,13 @@
 	expectEffect(h, Accepted{Conn: 1, Task: taskID(7), Description: "d"})
 }
 
-// A task that the module migrates is released at its node, and its owner is notified of a migration: after a release it
-// would count the task as lost, and wait before it submits again. The node's release ends the task without a second
-// notification.
+// If the placer migrates a task, its node is sent a release, and its owner is notified of a migration: after a release, it
+// would count the task as lost and wait before it submits the task again. The node's release causes no second notification.
 func TestMigrationNotifiesOwnerOnce(t *testing.T) {
 	h := newHarness(t)
 	h.connect(1)
 	h.addNodes("n1", "n2", "n3", "n4")
-	for i, node := range []string{"n1", "n2", "n3", "n4"} { // the module knows all as working
+	for i, node := range []string{"n1", "n2", "n3", "n4"} { // so that the placer knows all nodes to be working
 		h.step(h.newAdopt(1, node, 20+i))
 	}
 	offer := h.placeTask(1, 7)
@@ -183,8 +182,8 @@
 	h.expectEnded(flaxshelf.AttemptEnded{Task: taskID(7), Machine: offer.Node, Outcome: flaxshelf.Canceled, Final: true})
 }
 
-// A process that was stopped for a while finds responses that arrived in time together with their expired timeouts: the
-// responses count.
+// A process that was stopped for a while may read a response that arrived in time when its timeout has already expired. The
+// response must count.
 func TestResponseBeforeTimeoutAfterPause(t *testing.T) {
 	h := newHarness(t)
 	h.connect(1)
@@ -197,7 +196,7 @@
 	noEffect[SendRelease](h)
 }
 
-// Requests over a limit are rejected at once, and the module is not notified of them.
+// Requests above a limit are rejected at once, and the placer is not notified of them.
 func TestRejectsRequestsOverLimit(t *testing.T) {
 	for _, test := range []struct {
 		name   string
--- a/internal/requests/string_test.go
+++ b/internal/requests/string_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Every value of an enumeration has a name of its own, and so has a value that is out of range.
+// Each value of an enumeration, and one that is out of range, has a different name.
 func TestEnumerationNamesAreUnique(t *testing.T) {
 	kinds, phases := map[string]bool{}, map[string]bool{}
 	for kind := NodeAccepted; kind <= NodeUsage+1; kind++ {
--- a/internal/requests/watch_test.go
+++ b/internal/requests/watch_test.go
@@ -7,8 +7,8 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-// If updates are pushed, the core opens the watch in its first step, and again within a second after it broke off. If they
-// must be requested, only the module's Subscribe opens it.
+// If updates are pushed, the core opens the watch in its first step, and again within a second after it failed. If they must
+// be requested, only the placer's Subscribe action opens it.
 func TestWatchIsOpenedAgainAfterFailure(t *testing.T) {
 	t.Run("updates are pushed", func(t *testing.T) {
 		h := newHarness(t)
