--- a/internal/requests/attempt.go
+++ b/internal/requests/attempt.go
@@ -39,17 +39,17 @@
 // attempt is one offer of a task to a node and, once the node has accepted it, the running task. An adopted task has an attempt
 // without an offer.
 type attempt struct {
-	task             *task
-	number           int // among the attempts of the task, from 0
-	node             *node
-	link             *link // on which the offer was sent; nil before, and if the task was adopted
-	phase            attemptPhase
-	startedAt        Time
-	timeout          time.Duration
-	timer            *timerqueue.Timer
-	unlisted         bool // the task was adopted on a node that no endpoint list had contained
-	releasedAt       Time // when the release was last sent; 0: never
-	releaseDelivered bool // the release was sent on a link that had just been established
+	task              *task
+	number            int // among the attempts of the task, from 0
+	node              *node
+	link              *link // on which the offer was sent; nil before, and if the task was adopted
+	phase             attemptPhase
+	startedAt         Time
+	timeout           time.Duration
+	timer             *timerqueue.Timer
+	unlisted          bool // the task was adopted on a node that no endpoint list had contained
+	releasedAt        Time // when the release was last sent; 0: never
+	releasedOnNewLink bool // the release was sent on a link that had just been established
 }
 
 // releaseConfirmationTimeout is how long to wait for a node's confirmation of a release before the task may count as ended
@@ -207,8 +207,8 @@
 // need not confirm a release. A partitioned node does not receive the release and continues to run the task. The task
 // therefore counts as running until a link is established or the node counts as unreachable.
 func (c *Core) checkUnconfirmedRelease(a *attempt) {
-	aliveSince := a.releasedAt > 0 && a.node.lastReceivedAt > a.releasedAt
-	if a.releaseDelivered || aliveSince {
+	respondedSinceRelease := a.releasedAt > 0 && a.node.lastReceivedAt > a.releasedAt
+	if a.releasedOnNewLink || respondedSinceRelease {
 		c.endAttempt(a, flaxshelf.Canceled, flaxshelf.UnspecifiedReason)
 		return
 	}
--- a/internal/requests/endpoints_test.go
+++ b/internal/requests/endpoints_test.go
@@ -42,7 +42,7 @@
 }
 
 // An update that drains a node ends the attempts that are waiting for a link to it.
-func TestDrainBeforeOfferIsWritten(t *testing.T) {
+func TestDrainBeforeOfferIsSent(t *testing.T) {
 	h := newHarness(t)
 	h.connect(1)
 	h.updateNodes(flaxshelf.Active, "n")
--- a/internal/requests/link.go
+++ b/internal/requests/link.go
@@ -53,7 +53,7 @@
 	l.lastReceivedAt = c.now
 	n.lastReceivedAt = c.now
 	n.failedDials = 0
-	n.everLinked = true
+	n.everConnected = true
 	if n.currentLink != l {
 		c.closeLink(l)
 		return
@@ -63,7 +63,7 @@
 		case phaseConnecting:
 			c.sendOffer(a, l)
 		case phaseReleasing:
-			a.releaseDelivered = true
+			a.releasedOnNewLink = true
 			c.sendRelease(a, l) // the previous link may have broken before it transmitted the release
 		}
 	}
@@ -100,8 +100,8 @@
 func (c *Core) dialFailed(n *node, refused bool) {
 	// A draining node no longer listens, so a refused connection proves its end only if a link to it was up and has broken.
 	// Otherwise, a scheduler that has just started would report all tasks that it adopts there as lost.
-	dead := refused && (n.everLinked || n.machine.State != flaxshelf.Draining)
-	if refused && !dead {
+	nodeEnded := refused && (n.everConnected || n.machine.State != flaxshelf.Draining)
+	if refused && !nodeEnded {
 		n.lastReceivedAt = c.now
 	}
 	n.failedDials++
@@ -109,7 +109,7 @@
 		switch {
 		case a.phase == phaseConnecting:
 			c.endAttempt(a, flaxshelf.Unreachable, flaxshelf.UnspecifiedReason)
-		case a.phase >= phaseRunning && dead:
+		case a.phase >= phaseRunning && nodeEnded:
 			c.stats.LostToNodeDeath++
 			c.endLostAttempt(a)
 		}
--- a/internal/requests/link_test.go
+++ b/internal/requests/link_test.go
@@ -116,7 +116,7 @@
 	h.now += time.Second
 	h.step(h.newSubmit(1, 7))
 	first := oneEffect[Offer](h)
-	h.step(nodeReleased(first.Link, 99, CauseRejected)) // the link is alive
+	h.step(nodeReleased(first.Link, 99, CauseRejected)) // a message that shows that the link works
 	h.advance(first.TimeLeft + time.Millisecond)
 	noEffect[Offer](h)
 	h.step(LinkUp{oneEffect[Dial](h).Link})
--- a/internal/requests/linkpool.go
+++ b/internal/requests/linkpool.go
@@ -64,8 +64,8 @@
 		if rank == rankNotEvictable {
 			continue
 		}
-		olderUse := best != nil && cmp.Or(cmp.Compare(l.lastUsedAt, best.lastUsedAt), cmp.Compare(l.id, best.id)) < 0
-		if rank > bestRank || rank == bestRank && olderUse {
+		evictEarlier := best != nil && cmp.Or(cmp.Compare(l.lastUsedAt, best.lastUsedAt), cmp.Compare(l.id, best.id)) < 0
+		if rank > bestRank || rank == bestRank && evictEarlier {
 			best, bestRank = l, rank
 		}
 	}
--- a/internal/requests/node.go
+++ b/internal/requests/node.go
@@ -17,7 +17,7 @@
 	attempts       map[string]*attempt
 	lastReceivedAt Time // when it was last responsive, such as by a message or a new link
 	failedDials    int  // consecutive
-	everLinked     bool // whether a link to it has ever been established
+	everConnected  bool // whether a link to it has ever been established
 	deniedLink     bool // whether it has no link because the pool is full
 	redialTimer    *timerqueue.Timer
 }
--- a/internal/requests/nodefailure.go
+++ b/internal/requests/nodefailure.go
@@ -51,15 +51,15 @@
 // checkUnresponsiveNode suspects the link of a node that has sent nothing for too long, and ends the tasks of an unreachable
 // node as lost.
 func (c *Core) checkUnresponsiveNode(n *node) {
-	silence := c.now - n.lastReceivedAt
+	unresponsiveFor := c.now - n.lastReceivedAt
 	if n.currentLink != nil && n.currentLink.up && !n.currentLink.suspected {
-		if silence >= nodeUnresponsiveThreshold {
+		if unresponsiveFor >= nodeUnresponsiveThreshold {
 			c.stats.SuspectedLinks++
 			c.suspectLink(n.currentLink)
 		}
 		return
 	}
-	if silence >= c.config.NodeUnreachableTimeout {
+	if unresponsiveFor >= c.config.NodeUnreachableTimeout {
 		all := func(*attempt) bool { return true }
 		c.stats.LostToUnreachable += c.endLostTasks(n, all)
 	}
--- a/internal/requests/nodefailure_test.go
+++ b/internal/requests/nodefailure_test.go
@@ -33,7 +33,7 @@
 }
 
 // A link that receives nothing after an offer is replaced by a new link, and closed after linkRetirementDelay.
-func TestSilentLinkIsReplaced(t *testing.T) {
+func TestUnresponsiveLinkIsReplaced(t *testing.T) {
 	h := newHarness(t, func(c *Config) { c.Placer.MaxAttempts = 2 })
 	h.connect(1)
 	h.addNodes("n")
@@ -87,7 +87,7 @@
 			h.connect(1)
 			h.addNodes("n")
 			h.placeTask(1, 7)
-			silentSince := h.now
+			unresponsiveSince := h.now
 			failAt := map[LinkID]Time{}
 			recordDials := func() {
 				for _, dial := range effectsOf[Dial](h) {
@@ -96,8 +96,8 @@
 			}
 			notified := func() bool { return len(effectsOf[Terminated](h)) > 0 }
 			for !notified() {
-				if silence := h.now - silentSince; silence > LossNotificationDeadline {
-					t.Fatalf("the owner is not notified after %v, want within %v", silence, LossNotificationDeadline)
+				if unresponsiveFor := h.now - unresponsiveSince; unresponsiveFor > LossNotificationDeadline {
+					t.Fatalf("the owner is not notified after %v, want within %v", unresponsiveFor, LossNotificationDeadline)
 				}
 				for link, at := range failAt {
 					if h.now >= at {
@@ -173,13 +173,13 @@
 
 // If an offer times out and its link has received nothing since, the link is replaced at once, even before
 // nodeUnresponsiveThreshold has passed and if the node has no other attempt.
-func TestOfferTimeoutReplacesSilentLink(t *testing.T) {
+func TestOfferTimeoutReplacesUnresponsiveLink(t *testing.T) {
 	for _, test := range []struct {
-		name      string
-		silent    bool
-		wantDials int
+		name         string
+		unresponsive bool
+		wantDials    int
 	}{
-		{"a silent link is replaced", true, 1},
+		{"a link that has received nothing is replaced", true, 1},
 		{"a link that has received something is retained", false, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -191,7 +191,7 @@
 			submit.Task.Deadline = h.now + time.Second // sooner than nodeUnresponsiveThreshold
 			h.step(submit)
 			offer := oneEffect[Offer](h)
-			if !test.silent {
+			if !test.unresponsive {
 				h.now++
 				h.step(nodeReleased(offer.Link, 99, CauseNormal))
 			}
