--- a/internal/requests/effect.go
+++ b/internal/requests/effect.go
@@ -2,61 +2,61 @@
 
 import "time"
 
-// Effect is something that the host has to do. The effect types of this package implement it.
+// Effect is an operation that the caller of Step must execute. The effect types of this package implement it.
 type Effect interface{ effect() }
 
 // Effects on owners' connections.
 type (
-	// Accepted responds to an owner that its task runs.
+	// Accepted responds to an owner that a node has accepted the task and runs it.
 	Accepted struct {
-		Conn        Conn
+		Conn        ConnID
 		Task        string
 		Description string
 	}
 	// Terminated responds to an owner that its request was rejected or has failed, or notifies it that its running task has
-	// ended: by a release with Cause or, if Migrate is true, by a migration, after which the owner submits the task again.
+	// ended. If Migrate is true, the task ends by a migration, Cause is unused, and the owner submits the task again.
 	Terminated struct {
-		Conn    Conn
+		Conn    ConnID
 		Task    string
 		Cause   Cause
 		Migrate bool
 	}
 	// Pong answers a health check.
 	Pong struct {
-		Conn   Conn
+		Conn   ConnID
 		Task   string
 		Passed bool
 	}
-	// CloseOwner closes an owner's connection after what was written to it has been sent.
-	CloseOwner struct{ Conn Conn }
+	// CloseOwner closes an owner's connection after the messages to it have been sent.
+	CloseOwner struct{ Conn ConnID }
 )
 
 // Effects on links to nodes, and on the discovery service.
 type (
 	// Dial opens a connection to a node; LinkUp or LinkDown follows.
 	Dial struct {
-		Link Link
+		Link LinkID
 		Node string
 		Addr string
 	}
 	// CloseLink closes a link; LinkDown may follow.
-	CloseLink struct{ Link Link }
-	// Offer writes a request to a node.
+	CloseLink struct{ Link LinkID }
+	// Offer offers a task to a node. If it cannot be sent, SendFailed follows.
 	Offer struct {
-		Link           Link
-		Attempt        int  // its number among the attempts of the task
-		Owner          Conn // the connection of the request
+		Link           LinkID
+		Attempt        int    // number of the attempt among those of the task, from 0
+		Owner          ConnID // connection on which the task was submitted
 		Node           string
 		Task           string
 		Class          string
 		Key            string
 		IdempotencyKey string
 		Description    string
-		TimeLeft       time.Duration // until the attempt times out
+		TimeLeft       time.Duration // time until the attempt times out
 	}
-	// SendRelease writes a release to a node.
+	// SendRelease sends a node the release of a task.
 	SendRelease struct {
-		Link  Link
+		Link  LinkID
 		Task  string
 		Cause Cause
 	}
--- a/internal/requests/silence_test.go
+++ b/internal/requests/nodefailure_test.go
@@ -8,8 +8,8 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-// A link without traffic is renewed before its node closes it: the next offer is sent on the newer link, and the close of
-// the old one ends no attempt. A link with traffic in either direction is retained.
+// A link without traffic is renewed before its node closes it, so that the close ends no attempt: the next offer is sent on
+// the newer link. A link with recent traffic in either direction is retained.
 func TestIdleLinkIsRenewed(t *testing.T) {
 	h := newHarness(t, func(c *Config) { c.NodeIdleTimeout = 30 * time.Second })
 	h.connectPinged(1)
@@ -32,9 +32,9 @@
 	oneEffect[Accepted](h)
 }
 
-// A link that receives nothing after an offer is replaced by a new one, and closed after linkRetireDelay.
-func TestSilentLinkIsReplaced(t *testing.T) {
-	h := newHarness(t, func(c *Config) { c.Module.MaxAttempts = 2 })
+// A link that receives nothing after an offer is replaced by a new link, and closed after linkRetirementDelay.
+func TestUnresponsiveLinkIsReplaced(t *testing.T) {
+	h := newHarness(t, func(c *Config) { c.Placer.MaxAttempts = 2 })
 	h.connect(1)
 	h.addNodes("n")
 	h.now += time.Second
@@ -46,23 +46,23 @@
 		t.Fatalf("got effects %+v, want a release and a dial", h.effects)
 	}
 	h.step(LinkUp{dials[len(dials)-1].Link})
-	h.advance(linkRetireDelay)
+	h.advance(linkRetirementDelay)
 	expectEffect(h, CloseLink{offer.Link})
 }
 
-// The default timeouts are ordered so that a silent node's link is replaced, and the newer link has time to fail, before the
-// node counts as unreachable; and so that the check that finds it unreachable meets the protocol's deadline.
-func TestSilenceTimeoutsOrder(t *testing.T) {
-	unusedBeforeEviction := DefaultNodeUnreachableTimeout / minIdleDivisor
+// The default timeouts must leave time to replace the link of an unresponsive node, and for the newer link to fail, before the
+// node counts as unreachable. The check that finds it unreachable must meet the protocol's deadline.
+func TestNodeFailureTimeoutsAreOrdered(t *testing.T) {
+	unusedBeforeEviction := DefaultNodeUnreachableTimeout / evictionIdleDivisor
 	for _, test := range []struct {
 		name           string
 		shorter, limit time.Duration
 	}{
-		{"a silent node is found by a check", silenceCheckInterval, nodeSilenceThreshold},
-		{"a silent node's link is replaced before the node is unreachable", nodeSilenceThreshold + silenceCheckInterval +
-			linkRetireDelay, DefaultNodeUnreachableTimeout},
-		{"a link for running tasks is reused before the next node is suspected", unusedBeforeEviction, nodeSilenceThreshold},
-		{"the owner is notified in time", DefaultNodeUnreachableTimeout + silenceCheckInterval, LossNotificationDeadline},
+		{"an unresponsive node is found by a check", nodeCheckInterval, nodeUnresponsiveThreshold},
+		{"an unresponsive node's link is replaced before the node is unreachable", nodeUnresponsiveThreshold + nodeCheckInterval +
+			linkRetirementDelay, DefaultNodeUnreachableTimeout},
+		{"a link for running tasks is reused before the next node is suspected", unusedBeforeEviction, nodeUnresponsiveThreshold},
+		{"the owner is notified in time", DefaultNodeUnreachableTimeout + nodeCheckInterval, LossNotificationDeadline},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if test.shorter >= test.limit {
@@ -75,7 +75,8 @@
 	}
 }
 
-// The tasks of a silent machine count as lost by the protocol's deadline, for any time that each newer link takes to fail.
+// The owner of a task on a machine that sends nothing is notified by the protocol's deadline, however long each new dial takes
+// to fail.
 func TestUnreachableNodeIsDetectedInTime(t *testing.T) {
 	for delay := 50 * time.Millisecond; delay <= time.Second; delay += 50 * time.Millisecond {
 		t.Run(fmt.Sprintf("dials fail after %v", delay), func(t *testing.T) {
@@ -86,17 +87,17 @@
 			h.connect(1)
 			h.addNodes("n")
 			h.placeTask(1, 7)
-			silentSince := h.now
-			failAt := map[Link]Time{}
-			noteDials := func() {
+			unresponsiveSince := h.now
+			failAt := map[LinkID]Time{}
+			recordDials := func() {
 				for _, dial := range effectsOf[Dial](h) {
 					failAt[dial.Link] = h.now + delay
 				}
 			}
 			notified := func() bool { return len(effectsOf[Terminated](h)) > 0 }
 			for !notified() {
-				if silence := h.now - silentSince; silence > LossNotificationDeadline {
-					t.Fatalf("the owner is not notified after %v, want within %v", silence, LossNotificationDeadline)
+				if unresponsiveFor := h.now - unresponsiveSince; unresponsiveFor > LossNotificationDeadline {
+					t.Fatalf("the owner is not notified after %v, want within %v", unresponsiveFor, LossNotificationDeadline)
 				}
 				for link, at := range failAt {
 					if h.now >= at {
@@ -104,34 +105,34 @@
 						h.step(LinkDown{Link: link})
 					}
 				}
-				noteDials()
+				recordDials()
 				if !notified() {
 					h.advance(10 * time.Millisecond)
-					noteDials()
+					recordDials()
 				}
 			}
 		})
 	}
 }
 
-// A link that was replaced is closed once a newer one is up, even if that takes long.
+// A suspected link is closed only once a newer one is established, even if that takes long.
 func TestReplacedLinkIsClosedOnceNewerIsUp(t *testing.T) {
-	h := newHarness(t, func(c *Config) { c.Module.MaxAttempts = 1 })
+	h := newHarness(t, func(c *Config) { c.Placer.MaxAttempts = 1 })
 	h.connect(1)
 	h.addNodes("n")
 	h.now += time.Second
 	h.step(h.newSubmit(1, 7))
 	old := oneEffect[Offer](h).Link
-	h.advance(3500 * time.Millisecond) // the offer times out and its link is suspected; the next link is slow
-	h.advance(linkRetireDelay)
+	h.advance(3500 * time.Millisecond) // the offer times out and its link is suspected; the new link is not yet established
+	h.advance(linkRetirementDelay)
 	noEffect[CloseLink](h)
-	h.step(LinkUp{h.core.nodes["n"].current.id})
-	h.advance(linkRetireDelay)
+	h.step(LinkUp{h.core.nodes["n"].currentLink.id})
+	h.advance(linkRetirementDelay)
 	expectEffect(h, CloseLink{old})
 }
 
-// A released task on a partitioned node still runs there: it counts as running until the node is responsive after the
-// release, until the release was sent on a new link, or until the node counts as unreachable. Its owner is never notified.
+// A released task on a partitioned node still runs there. It must count as running until the node responds after the release,
+// the release was sent on a new link, or the node counts as unreachable. Its owner is never notified.
 func TestReleaseOnUnreachableNode(t *testing.T) {
 	for _, test := range []struct {
 		name  string
@@ -142,7 +143,7 @@
 			h.step(NodeMessage{Link: offer.Link, Kind: NodeConfirmedRelease, Task: taskID(99)})
 		}, releaseConfirmationTimeout},
 		{"a new link", func(h *harness, _ Offer) {
-			h.step(LinkUp{h.core.nodes["n"].current.id})
+			h.step(LinkUp{h.core.nodes["n"].currentLink.id})
 		}, releaseConfirmationTimeout},
 		{"nothing further", func(*harness, Offer) {}, 6 * time.Second},
 	} {
@@ -153,9 +154,9 @@
 			offer := h.placeTask(1, 7)
 			h.step(Release{1, taskID(7)})
 			oneEffect[SendRelease](h)
-			h.advance(3 * time.Second) // silent for long enough that a newer link is dialed
+			h.advance(3 * time.Second) // without a message for long enough that a new link is dialed
 			if got := h.core.Stats().Running; got != 1 {
-				t.Errorf("got %d running tasks while the node is silent, want 1", got)
+				t.Errorf("got %d running tasks while the node is unresponsive, want 1", got)
 			}
 			h.now++
 			test.event(h, offer)
@@ -170,27 +171,27 @@
 	}
 }
 
-// The link of an offer that times out is replaced if it has received nothing since the offer, even before the node counts as
-// silent and without another attempt there.
-func TestOfferTimeoutReplacesSilentLink(t *testing.T) {
+// If an offer times out and its link has received nothing since, the link is replaced at once, even before
+// nodeUnresponsiveThreshold has passed and if the node has no other attempt.
+func TestOfferTimeoutReplacesUnresponsiveLink(t *testing.T) {
 	for _, test := range []struct {
-		name      string
-		silent    bool
-		wantDials int
+		name         string
+		unresponsive bool
+		wantDials    int
 	}{
-		{"a silent link is replaced", true, 1},
+		{"a link that has received nothing is replaced", true, 1},
 		{"a link that has received something is retained", false, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			h := newHarness(t, func(c *Config) { c.Module.MaxAttempts = 1 })
+			h := newHarness(t, func(c *Config) { c.Placer.MaxAttempts = 1 })
 			h.connect(1)
 			h.addNodes("n")
 			h.now += time.Second
 			submit := h.newSubmit(1, 7)
-			submit.Task.Deadline = h.now + time.Second // sooner than nodeSilenceThreshold
+			submit.Task.Deadline = h.now + time.Second // sooner than nodeUnresponsiveThreshold
 			h.step(submit)
 			offer := oneEffect[Offer](h)
-			if !test.silent {
+			if !test.unresponsive {
 				h.now++
 				h.step(nodeReleased(offer.Link, 99, CauseNormal))
 			}
--- a/internal/requests/owner.go
+++ b/internal/requests/owner.go
@@ -6,15 +6,15 @@
 	"flaxshelf.example/flaxshelf/internal/admission"
 )
 
-// ownerConnection is an owner's connection.
+// ownerConnection is the state of an owner's connection.
 type ownerConnection struct {
-	conn         Conn
-	pending      map[string]*task // its pending requests by task ID; nil before the first
-	activeSerial uint64           // Core.activityCount when it was last marked active; 0: never
-	adoptions    int              // tasks on listed nodes that were adopted from it
+	conn         ConnID
+	pending      map[string]*task // by task ID; nil before the first request
+	confirmedSeq uint64           // increases with each markConfirmedOwner of any connection; 0: never confirmed
+	adoptions    int              // number of tasks on listed nodes that were adopted from it
 }
 
-// addPending records a request that waits for its response on the connection.
+// addPending adds a request that waits for its response on the connection.
 func (o *ownerConnection) addPending(t *task) {
 	if o.pending == nil {
 		o.pending = map[string]*task{}
@@ -27,38 +27,38 @@
 	return sortedValues(o.pending, func(a, b *task) int { return cmp.Compare(a.id, b.id) })
 }
 
-// connectOwner registers an owner's connection. Admission control may have other ones closed for it, or the new one.
+// connectOwner registers an owner's connection. Admission control may then require that other connections or this one be closed.
 func (c *Core) connectOwner(in OwnerConnected) {
 	c.owners[in.Conn] = &ownerConnection{conn: in.Conn}
 	for _, id := range c.admission.Opened(c.now, admission.ID(in.Conn), in.Host) {
-		c.closeOwner(Conn(id))
+		c.closeOwner(ConnID(id))
 	}
 	if c.idleTimer == nil || !c.idleTimer.Queued() {
 		c.closeIdleOwners()
 	}
 }
 
-// closeIdleOwners closes the connections that are idle according to admission control, and schedules its next call.
+// closeIdleOwners closes the connections that admission control considers idle, and schedules its next call.
 func (c *Core) closeIdleOwners() {
 	idle, next := c.admission.CloseIdle(c.now)
 	for _, id := range idle {
-		c.closeOwner(Conn(id))
+		c.closeOwner(ConnID(id))
 	}
 	if next > 0 {
 		c.idleTimer = c.timers.Schedule(next, c.closeIdleOwners)
 	}
 }
 
-// closeOwner closes an owner's connection. Its pending requests are canceled without a response.
-func (c *Core) closeOwner(conn Conn) {
+// closeOwner closes an owner's connection, and cancels its pending requests without a response.
+func (c *Core) closeOwner(conn ConnID) {
 	c.stats.OwnersClosed++
 	c.disconnectOwner(conn)
 	c.emit(CloseOwner{conn})
 }
 
 // disconnectOwner removes a connection that has ended, and cancels the requests pending on it. Running tasks continue,
-// since they belong to no connection.
-func (c *Core) disconnectOwner(conn Conn) {
+// because they are not bound to a connection.
+func (c *Core) disconnectOwner(conn ConnID) {
 	o := c.owners[conn]
 	if o == nil {
 		return
@@ -70,14 +70,14 @@
 	}
 }
 
-// protocolError counts a malformed message, and closes the connection if it exceeds the limit.
-func (c *Core) protocolError(conn Conn) {
+// protocolError counts a protocol error, and closes the connection if it exceeds the limit.
+func (c *Core) protocolError(conn ConnID) {
 	if c.admission.RecordProtocolError(admission.ID(conn)) {
 		c.closeOwner(conn)
 	}
 }
 
-// ping answers a health check. It fails once the scheduler shuts down.
+// ping answers a health check, which fails once the scheduler is shutting down.
 func (c *Core) ping(in Ping) {
 	if c.owners[in.Conn] == nil {
 		return
@@ -86,22 +86,23 @@
 	c.emit(Pong{Conn: in.Conn, Task: in.Task, Passed: !c.shuttingDown})
 }
 
-// touchOwner records that a connection was used by its owner.
-func (c *Core) touchOwner(conn Conn) { c.admission.RecordOwnerUse(c.now, admission.ID(conn)) }
+// recordOwnerUse records with admission control that the owner has used its connection.
+func (c *Core) recordOwnerUse(conn ConnID) { c.admission.RecordOwnerUse(c.now, admission.ID(conn)) }
 
-// markActive marks a connection that is certainly an owner's: a request of it was placed, or a node has confirmed a task
-// that was adopted from it. The undelivered notifications are sent on it.
-func (c *Core) markActive(conn Conn) {
+// markConfirmedOwner marks a connection that certainly belongs to an owner, because a task submitted on it was placed, or a
+// node has confirmed a task that was adopted from it. The undelivered notifications are sent on it.
+func (c *Core) markConfirmedOwner(conn ConnID) {
 	if o := c.owners[conn]; o != nil {
-		c.activityCount++
-		o.activeSerial = c.activityCount
+		c.lastConfirmedSeq++
+		o.confirmedSeq = c.lastConfirmedSeq
 		c.retryUndelivered(conn)
 	}
 }
 
-// markLikelyOwner marks a connection from which a task on a listed node was adopted. That does not prove an owner, so the
-// connection stays unverified until the node confirms the task, and gets notifications only if no better one is known.
-func (c *Core) markLikelyOwner(conn Conn) {
+// markLikelyOwner marks a connection from which a task on a listed node was adopted. This does not prove that the connection
+// belongs to an owner. It stays unverified in admission control until the node confirms the task, and gets notifications of
+// other connections only if no connection is more likely to belong to an owner.
+func (c *Core) markLikelyOwner(conn ConnID) {
 	if o := c.owners[conn]; o != nil {
 		o.adoptions++
 		c.admission.MarkLikelyOwner(admission.ID(conn))
@@ -109,13 +110,13 @@
 	}
 }
 
-// verifyOwnerOf handles the first message of a node about an adopted task: the connection that it was adopted from is an
-// owner's.
-func (c *Core) verifyOwnerOf(t *task) {
-	if !t.unverified {
+// confirmAdoption handles the first message of a node about an adopted task. The message confirms that the node knows the
+// task, and so that the connection from which it was adopted belongs to an owner.
+func (c *Core) confirmAdoption(t *task) {
+	if !t.unconfirmed {
 		return
 	}
-	t.unverified = false
-	c.touchOwner(t.conn)
-	c.markActive(t.conn)
+	t.unconfirmed = false
+	c.recordOwnerUse(t.conn)
+	c.markConfirmedOwner(t.conn)
 }
