--- a/affinity.go
+++ b/affinity.go
@@ -12,7 +12,7 @@
 
 // affinityPolicy is how the index ranks machines of the given kinds.
 func affinityPolicy(kinds []MachineKind) machineindex.AffinityPolicy {
-	policy := machineindex.AffinityPolicy{Compare: compareAffinity, HashThreshold: topAffinityFraction}
+	policy := machineindex.AffinityPolicy{Compare: compareAffinity, HashThreshold: topAffinityThreshold}
 	for _, kind := range kinds {
 		policy.KindWeights = append(policy.KindWeights, kindWeight(kind, kinds))
 	}
@@ -33,9 +33,9 @@
 	return cmp.Compare(affinityScore(a), affinityScore(b))
 }
 
-// topAffinityFraction returns the fraction of the largest hash value from which on affinityScore ranks a machine among the
+// topAffinityThreshold returns the fraction of the largest hash value from which on affinityScore ranks a machine among the
 // topAffinityCount of highest affinity, in expectation, where the weights of all machines add up to totalWeight.
-func topAffinityFraction(weight, totalWeight float64) float64 {
+func topAffinityThreshold(weight, totalWeight float64) float64 {
 	return math.Exp(-topAffinityCount / totalWeight * weight)
 }
 
--- a/answers.go
+++ b/answers.go
@@ -8,10 +8,10 @@
 
 // Answers: offers and final answers of open tasks.
 
-// serveOpenTasks answers the open tasks that are due and offers those that have no active attempt. Tasks within their
+// processOpenTasks answers the open tasks that are due and offers those that have no active attempt. Tasks within their
 // tenant's quota are served first, and among these the ones that can still start within their latency objective: when
 // capacity is short, they earn the most. See queueRankOf.
-func (p *Placer) serveOpenTasks() {
+func (p *Placer) processOpenTasks() {
 	if !p.disabled[QueueRankOrder] {
 		p.sortOpenTasks()
 	}
@@ -21,7 +21,7 @@
 		case t.activeAttempt() == nil:
 			p.placeTask(t)
 		case p.now >= p.answerDeadline(t):
-			p.answerTask(t)
+			p.sendFinalAnswer(t)
 		}
 	}
 	p.openTasks = slices.DeleteFunc(p.openTasks, func(t *task) bool { return t.settled })
@@ -30,17 +30,17 @@
 // placeTask offers t to a machine, leaves it in the queue, or gives it its final answer.
 func (p *Placer) placeTask(t *task) {
 	if !p.mayOffer(t) {
-		p.answerTask(t)
+		p.sendFinalAnswer(t)
 		return
 	}
 	m := p.chooseMachine(t)
 	if m == nil {
-		if !p.mayQueue(t) {
-			p.answerTask(t)
+		if !p.mayStayQueued(t) {
+			p.sendFinalAnswer(t)
 		}
 		return
 	}
-	p.recordPlacement(t, m)
+	p.recordAttempt(t, m)
 	p.startTrial(&m.health)
 	p.startTrial(m.healthOf(t.Class))
 	p.invalidate(m)
@@ -50,22 +50,22 @@
 
 // mayOffer reports whether t may have a further attempt.
 func (p *Placer) mayOffer(t *task) bool {
-	if p.now >= p.offerDeadline(t) || p.attemptsUsedUp(t) || t.class == &p.unknownClass {
+	if p.now >= p.offerDeadline(t) || p.attemptsExhausted(t) || t.class == &p.unknownClass {
 		return false
 	}
 	return t.class.Idempotency != NonIdempotent || !t.mayHaveRun() || p.disabled[RetrySafetyConstraint]
 }
 
-// mayQueue reports whether t stays queued while no machine may take it. Owners may be slow to submit a rejected task again.
-func (p *Placer) mayQueue(t *task) bool {
+// mayStayQueued reports whether t stays queued while no machine may take it. Owners may be slow to submit a rejected task again.
+func (p *Placer) mayStayQueued(t *task) bool {
 	if t.mayHaveRun() && t.class.Idempotency == IdempotentByKey {
 		return false
 	}
-	return p.now-t.submittedAt <= max(t.class.LatencyObjective, minQueueLimit)
+	return p.now-t.submittedAt <= max(t.class.LatencyObjective, minQueueTimeout)
 }
 
-// attemptsUsedUp reports whether t has had as many attempts as the settings allow.
-func (p *Placer) attemptsUsedUp(t *task) bool {
+// attemptsExhausted reports whether t has had as many attempts as the settings allow.
+func (p *Placer) attemptsExhausted(t *task) bool {
 	return p.cfg.MaxAttempts > 0 && len(t.attempts) >= p.cfg.MaxAttempts
 }
 
@@ -73,11 +73,11 @@
 // allowed, and ends before the answer is due.
 func (p *Placer) attemptTimeout(t *task) time.Duration {
 	remaining := p.offerDeadline(t) - p.now
-	if t.class.Idempotency == NonIdempotent || p.attemptsUsedUp(t) {
+	if t.class.Idempotency == NonIdempotent || p.attemptsExhausted(t) {
 		return remaining
 	}
-	usual := time.Duration((p.latencyMean + latencyDeviations*p.latencyDeviation) * float64(time.Second))
-	return min(remaining, max(usual, t.class.LatencyObjective/2, minAttemptTimeout))
+	latencyBound := time.Duration((p.latencyMean + latencyDeviations*p.latencyDeviation) * float64(time.Second))
+	return min(remaining, max(latencyBound, t.class.LatencyObjective/2, minAttemptTimeout))
 }
 
 // recordLatency updates the smoothed time from offer to placement.
@@ -101,9 +101,9 @@
 	return 2*p.cfg.Tick + answerDeadlineMargin
 }
 
-// answerTask gives t its final answer. A rejection guarantees that a retry is safe, so it needs proof that no attempt ran,
+// sendFinalAnswer gives t its final answer. A rejection guarantees that a retry is safe, so it needs proof that no attempt ran,
 // or a class for which a second start does no harm on any machine.
-func (p *Placer) answerTask(t *task) {
+func (p *Placer) sendFinalAnswer(t *task) {
 	t.settled = true
 	p.attributeFailures(t)
 	for i := range t.attempts {
@@ -118,7 +118,7 @@
 	} else {
 		p.emit(Fail{Task: t.ID})
 	}
-	p.forgetIfSettled(t)
+	p.deleteIfSettled(t)
 }
 
 // mayHaveRun reports whether an attempt lacks proof that the task was not started.
--- a/capacity.go
+++ b/capacity.go
@@ -11,9 +11,9 @@
 	p.index.SetAssumedSince(m.entry, p.now-listDelay)
 }
 
-// indexCapacity writes the capacity and the external load of a machine into the index; kindIndex is -1 for a machine
+// updateCapacity writes the capacity and the external load of a machine into the index; kindIndex is -1 for a machine
 // without a kind.
-func (p *Placer) indexCapacity(m *machine, kindIndex int) {
+func (p *Placer) updateCapacity(m *machine, kindIndex int) {
 	number := m.entry.Number()
 	if kindIndex < 0 {
 		p.index.ClearRequested(number)
@@ -60,9 +60,9 @@
 	return overload + max(0, cores/kind.Cores, memory/kind.Memory)
 }
 
-// sizeOn returns the fraction of machine m that task t requests: the larger of those of cores and memory. It is 0 for a
+// relativeSize returns the fraction of machine m that task t requests: the larger of those of cores and memory. It is 0 for a
 // machine of unknown kind.
-func (p *Placer) sizeOn(t *task, m *machine) float64 {
+func (p *Placer) relativeSize(t *task, m *machine) float64 {
 	if m.Kind < 0 {
 		return 0
 	}
--- a/conditions.go
+++ b/conditions.go
@@ -12,38 +12,38 @@
 // constraints read them.
 type conditions struct {
 	slowStarting   *bitset.BitSet
-	failing        *bitset.BitSet
-	failingByClass []*bitset.BitSet
+	ejected        *bitset.BitSet
+	ejectedByClass []*bitset.BitSet
 	overloaded     *bitset.BitSet
-	occupied       *bitset.BitSet // with attempts of this scheduler
+	withAttempts   *bitset.BitSet // with attempts of this scheduler
 	rejecting      *bitset.BitSet
 	offerLimited   *bitset.BitSet
-	reporting      *bitset.BitSet // with a fresh load report
+	withLoadReport *bitset.BitSet // with a fresh load report
 	activeByKind   []*bitset.BitSet
 
 	reportedLoad *machineindex.Column
 	externalLoad *machineindex.Column
 
 	// Sets in use by the choice in progress.
-	eligible *bitset.BitSet
-	excluded *bitset.BitSet
+	eligibleBuffer *bitset.BitSet
+	excludedBuffer *bitset.BitSet
 }
 
 func newConditions(index *machineindex.Index, kinds, classes int) conditions {
 	return conditions{
 		slowStarting:   index.NewSet(),
-		failing:        index.NewSet(),
-		failingByClass: newSets(index, classes),
+		ejected:        index.NewSet(),
+		ejectedByClass: newSets(index, classes),
 		overloaded:     index.NewSet(),
-		occupied:       index.NewSet(),
+		withAttempts:   index.NewSet(),
 		rejecting:      index.NewSet(),
 		offerLimited:   index.NewSet(),
-		reporting:      index.NewSet(),
+		withLoadReport: index.NewSet(),
 		activeByKind:   newSets(index, kinds),
 		reportedLoad:   index.NewColumn(),
 		externalLoad:   index.NewColumn(),
-		eligible:       index.NewSet(),
-		excluded:       index.NewSet(),
+		eligibleBuffer: index.NewSet(),
+		excludedBuffer: index.NewSet(),
 	}
 }
 
@@ -70,9 +70,9 @@
 	return true
 }
 
-// refresh brings the index up to date.
-func (p *Placer) refresh() {
-	if p.index.Refresh(func(number int) { p.updateIndex(p.machinesByID[number]) }) {
+// refreshIndex brings the index up to date.
+func (p *Placer) refreshIndex() {
+	if p.index.Refresh(func(number int) { p.updateIndex(p.sortedMachines[number]) }) {
 		clear(p.infeasible)
 	}
 }
@@ -86,17 +86,17 @@
 	kind := p.updateKind(m)
 	tracker := expiryTracker{now: p.now, next: math.MaxInt64}
 	c.slowStarting.SetTo(number, p.inSlowStart(m) && tracker.isActive(p.slowStartEnd(m)))
-	c.failing.SetTo(number, tracker.isActive(m.health.ejectedUntil))
-	for class := range c.failingByClass {
-		c.failingByClass[class].SetTo(number, tracker.isActive(m.classHealth[class].ejectedUntil))
+	c.ejected.SetTo(number, tracker.isActive(m.health.ejectedUntil))
+	for class := range c.ejectedByClass {
+		c.ejectedByClass[class].SetTo(number, tracker.isActive(m.classHealth[class].ejectedUntil))
 	}
 	c.overloaded.SetTo(number, tracker.isActive(m.overloadedUntil))
-	c.occupied.SetTo(number, m.entry.HasAttempts())
+	c.withAttempts.SetTo(number, m.entry.HasAttempts())
 	c.rejecting.SetTo(number, tracker.isActive(m.rejectsUntil))
-	c.offerLimited.SetTo(number, m.offerWindow > 0 && m.pendingOffers >= m.offerWindow)
-	c.reporting.SetTo(number, m.loadReport.Present && tracker.isActive(m.loadReportedAt+reportFreshness+1))
+	c.offerLimited.SetTo(number, m.offerLimit > 0 && m.pendingOffers >= m.offerLimit)
+	c.withLoadReport.SetTo(number, m.loadReport.Present && tracker.isActive(m.loadReportedAt+reportFreshness+1))
 	c.reportedLoad.Set(int(number), p.reportedLoad(m))
-	p.indexCapacity(m, kind)
+	p.updateCapacity(m, kind)
 	p.index.SetExpiry(m.entry, tracker.next)
 }
 
--- a/constraints_hard.go
+++ b/constraints_hard.go
@@ -20,7 +20,7 @@
 // eligibleByKind returns the machines that are listed, in service, and of a kind that t's class allows and that has
 // capacity for t when empty. The result is valid until the next call.
 func (p *Placer) eligibleByKind(t *task) *bitset.BitSet {
-	eligible := p.conditions.eligible.ClearAll()
+	eligible := p.conditions.eligibleBuffer.ClearAll()
 	for kind, active := range p.conditions.activeByKind {
 		if (t.class.Kind < 0 || t.class.Kind == kind) && p.fitsKind(t, kind) {
 			eligible.InPlaceUnion(active)
@@ -47,13 +47,13 @@
 		if a.neverRan {
 			continue
 		}
-		keyExpired := p.now+p.cfg.Tick >= a.sentAt+t.class.KeyTTL
+		keyExpired := p.now+p.cfg.Tick >= a.offeredAt+t.class.KeyTTL
 		if t.class.Idempotency != IdempotentByKey || keyExpired {
 			eligible.ClearAll()
 			return
 		}
 		machineindex.ForEachCommon(eligible, eligible, func(number int) {
-			if !inSameDomain(t.class.KeyDomain, a.machine, p.machinesByID[number]) {
+			if !inSameDomain(t.class.KeyDomain, a.machine, p.sortedMachines[number]) {
 				eligible.Clear(uint(number))
 			}
 		})
@@ -96,7 +96,7 @@
 // applySlowStart excludes machines in slow start for which this scheduler's budget is used up.
 func (p *Placer) applySlowStart(eligible *bitset.BitSet) {
 	machineindex.ForEachCommon(eligible, p.conditions.slowStarting, func(number int) {
-		if !p.hasSlowStartBudget(p.machinesByID[number]) {
+		if !p.hasSlowStartBudget(p.sortedMachines[number]) {
 			eligible.Clear(uint(number))
 		}
 	})
--- a/constraints_soft.go
+++ b/constraints_soft.go
@@ -19,9 +19,9 @@
 }
 
 // exclude applies a constraint unless it would leave fewer machines than least.
-func (f *softFilter) exclude(c PolicyRule, least uint, excluded *bitset.BitSet) {
+func (f *softFilter) exclude(rule PolicyRule, minKept uint, excluded *bitset.BitSet) {
 	kept := f.eligible.DifferenceCardinality(excluded)
-	if kept >= least && kept < f.count && !f.placer.disabled[c] {
+	if kept >= minKept && kept < f.count && !f.placer.disabled[rule] {
 		f.eligible.InPlaceDifference(excluded)
 		f.count = kept
 	}
@@ -33,23 +33,23 @@
 	if f.count == 0 {
 		return nil
 	}
-	p.excludeTried(t, &f)
-	p.excludeFailing(t, &f)
-	p.excludeFull(t, &f)
+	p.excludePreviouslyTried(t, &f)
+	p.excludeEjected(t, &f)
+	p.excludeWithoutCapacity(t, &f)
 	if f.count == 0 {
 		return nil
 	}
-	p.consolidate(&f)
-	f.exclude(ReportedLoadConstraint, minCandidates, p.highReportedLoad(&f))
+	p.applyConsolidation(&f)
+	f.exclude(ReportedLoadConstraint, minCandidates, p.machinesWithHighReportedLoad(&f))
 	return p.preferredMachines(t, eligible)
 }
 
-// excludeTried prefers machines that this task was not offered to before: another machine gives more evidence.
-func (p *Placer) excludeTried(t *task, f *softFilter) {
+// excludePreviouslyTried prefers machines that this task was not offered to before: another machine gives more evidence.
+func (p *Placer) excludePreviouslyTried(t *task, f *softFilter) {
 	if len(t.attempts) == 0 {
 		return
 	}
-	tried := p.conditions.excluded.ClearAll()
+	tried := p.conditions.excludedBuffer.ClearAll()
 	for _, a := range t.attempts {
 		if number := a.machine.entry.Number(); number >= 0 {
 			tried.Set(uint(number))
@@ -58,27 +58,28 @@
 	f.exclude(PreviousAttemptConstraint, 1, tried)
 }
 
-// excludeFailing avoids ejected machines, and those that fail t's class. When over half are ejected, no single machine is
+// excludeEjected avoids ejected machines, and those that fail t's class. When over half are ejected, no single machine is
 // the cause; but a class may fail on most machines, so the few that serve it remain candidates.
-func (p *Placer) excludeFailing(t *task, f *softFilter) {
+func (p *Placer) excludeEjected(t *task, f *softFilter) {
 	c := &p.conditions
-	f.exclude(EjectionConstraint, max(minCandidates, f.count/2), c.failing)
-	failingClass := c.failing
-	if t.Class >= 0 && t.Class < len(c.failingByClass) {
-		failingClass = c.failingByClass[t.Class]
+	f.exclude(EjectionConstraint, max(minCandidates, f.count/2), c.ejected)
+	failingClass := c.ejected
+	if t.Class >= 0 && t.Class < len(c.ejectedByClass) {
+		failingClass = c.ejectedByClass[t.Class]
 	}
 	f.exclude(ClassEjectionConstraint, minCandidates, failingClass)
 }
 
-// excludeFull excludes machines without capacity, as far as known. A rejected offer is priced and uses up an attempt, so a
-// task is queued while no machine has capacity. Near its deadline it is still offered once, in case the evidence is wrong.
-func (p *Placer) excludeFull(t *task, f *softFilter) {
-	least := uint(0)
+// excludeWithoutCapacity excludes machines that are known to lack capacity. A rejected offer has a price and uses up an
+// attempt, so a task is queued while no machine has capacity. Shortly before its deadline, a task that was never offered is
+// offered once in any case, because the evidence may be wrong.
+func (p *Placer) excludeWithoutCapacity(t *task, f *softFilter) {
+	minKept := uint(0)
 	if p.nearDeadline(t) {
-		least = 1
+		minKept = 1
 	}
-	full := p.withoutCapacity(t, f.eligible)
-	if f.eligible.DifferenceCardinality(full) >= least {
+	full := p.machinesWithoutCapacity(t, f.eligible)
+	if f.eligible.DifferenceCardinality(full) >= minKept {
 		f.eligible.InPlaceDifference(full)
 		f.count = f.eligible.Count()
 	}
@@ -89,17 +90,17 @@
 	return p.now >= t.submittedAt+(t.Deadline-t.submittedAt)*3/4 && len(t.attempts) == 0
 }
 
-// withoutCapacity returns the machines that recently rejected t's size or a smaller one, have as many pending offers as
+// machinesWithoutCapacity returns the machines that recently rejected t's size or a smaller one, have as many pending offers as
 // allowed since a rejection, or lack free capacity by the list. After a rejection one offer may be pending, after each
 // acceptance one more: otherwise all queued tasks are offered to the first machine that accepts one (incident i959772).
 //
 // The list is delayed, so what this scheduler requested within listDelay before an entry is assumed to be in use too. An
 // estimate of what other schedulers requested since then queued too many tasks.
-func (p *Placer) withoutCapacity(t *task, eligible *bitset.BitSet) *bitset.BitSet {
-	full := p.conditions.excluded.ClearAll()
+func (p *Placer) machinesWithoutCapacity(t *task, eligible *bitset.BitSet) *bitset.BitSet {
+	full := p.conditions.excludedBuffer.ClearAll()
 	machineindex.ForEachCommon(eligible, p.conditions.rejecting, func(number int) {
-		m := p.machinesByID[number]
-		if p.sizeOn(t, m) >= m.rejectedSize && !p.disabled[RejectionConstraint] {
+		m := p.sortedMachines[number]
+		if p.relativeSize(t, m) >= m.minRejectedSize && !p.disabled[RejectionConstraint] {
 			full.Set(uint(number))
 		}
 	})
@@ -115,8 +116,8 @@
 	return full
 }
 
-// consolidate narrows the choice to consolidationSet, where the settings price machines in use.
-func (p *Placer) consolidate(f *softFilter) {
+// applyConsolidation narrows the choice to consolidationSet, where the settings price machines in use.
+func (p *Placer) applyConsolidation(f *softFilter) {
 	if p.cfg.Prices.MachinesInUse <= 0 || !p.cfg.ListsFreeCapacity || p.disabled[ConsolidationConstraint] {
 		return
 	}
@@ -132,7 +133,7 @@
 // constraint on reported load.
 func (p *Placer) consolidationSet(eligible *bitset.BitSet) *bitset.BitSet {
 	cores, memory := p.index.TotalRequested()
-	used, count := p.conditions.excluded.ClearAll(), 0
+	used, count := p.conditions.excludedBuffer.ClearAll(), 0
 	for _, number := range p.index.RankedByRequestedFraction() {
 		if !eligible.Test(uint(number)) {
 			continue
@@ -149,16 +150,16 @@
 	return used
 }
 
-// highReportedLoad returns the eligible machines whose last reported load is far above the mean of all eligible ones.
-func (p *Placer) highReportedLoad(f *softFilter) *bitset.BitSet {
+// machinesWithHighReportedLoad returns the eligible machines whose last reported load is far above the mean of all eligible ones.
+func (p *Placer) machinesWithHighReportedLoad(f *softFilter) *bitset.BitSet {
 	load, mean, count := p.conditions.reportedLoad, 0.0, float64(f.count)
-	reporting := p.conditions.reporting
+	reporting := p.conditions.withLoadReport
 	machineindex.ForEachCommon(f.eligible, reporting, func(number int) { mean += load.At(number) / count })
-	over := p.conditions.excluded.ClearAll()
+	high := p.conditions.excludedBuffer.ClearAll()
 	machineindex.ForEachCommon(f.eligible, reporting, func(number int) {
-		over.SetTo(uint(number), !(load.At(number) < mean+reportedLoadMargin))
+		high.SetTo(uint(number), !(load.At(number) < mean+reportedLoadMargin))
 	})
-	return over
+	return high
 }
 
 // preferredMachines returns the machines that probably have a service's program in their cache: those with active attempts
@@ -181,28 +182,28 @@
 		}
 	}
 	first, second := p.index.TopTwoByAffinity(service, eligible)
-	list = p.addCandidate(list, service, first)
+	list = p.appendCandidate(list, service, first)
 	if len(list) < minCandidates {
-		list = p.addCandidate(list, service, second)
+		list = p.appendCandidate(list, service, second)
 	}
-	if p.sizeOn(t, p.machinesByID[first]) > largeTaskSize {
+	if p.relativeSize(t, p.sortedMachines[first]) > largeTaskSize {
 		first, second = p.index.TopTwoByAffinity(service, eligible.Difference(p.conditions.overloaded))
-		list = p.addCandidate(list, service, first)
-		list = p.addCandidate(list, service, second)
+		list = p.appendCandidate(list, service, first)
+		list = p.appendCandidate(list, service, second)
 	}
 	p.voteBuffers.candidates = list
 	return list
 }
 
-// addCandidate appends a machine unless it is in the list or -1.
-func (p *Placer) addCandidate(
-	list []machineindex.Candidate, service *machineindex.Service, number int32,
+// appendCandidate appends a machine unless it is in the list or -1.
+func (p *Placer) appendCandidate(
+	candidates []machineindex.Candidate, service *machineindex.Service, number int32,
 ) []machineindex.Candidate {
 	isListed := func(c machineindex.Candidate) bool { return c.Machine == number }
-	if number < 0 || slices.ContainsFunc(list, isListed) {
-		return list
+	if number < 0 || slices.ContainsFunc(candidates, isListed) {
+		return candidates
 	}
-	return append(list, p.index.Candidate(service, number))
+	return append(candidates, p.index.Candidate(service, number))
 }
 
 // allAsCandidates returns all eligible machines, for when affinity is disabled.
--- a/constraints_soft_test.go
+++ b/constraints_soft_test.go
@@ -28,7 +28,7 @@
 // Incident i959772 and a crash found with it: all machines are expected to reject.
 func TestTaskQueuedWhenAllMachinesReject(t *testing.T) {
 	p := startPlacer(t, testConfig(), testMachines(2))
-	for _, m := range p.machinesByID {
+	for _, m := range p.sortedMachines {
 		m.rejectsUntil = time.Hour
 	}
 	invalidateAll(p)
@@ -45,10 +45,10 @@
 	ended := endOf(offer, Rejected)
 	ended.Final, ended.Reason = true, InsufficientCores
 	p.Step(time.Second+millisecond, []Event{ended})
-	m := p.machinesByID[0]
+	m := p.sortedMachines[0]
 	full := func() bool {
 		invalidateAll(p)
-		return p.withoutCapacity(&task{Task: submit("x", 0, 0).Task}, allMachines(p)).Test(uint(m.entry.Number()))
+		return p.machinesWithoutCapacity(&task{Task: submit("x", 0, 0).Task}, allMachines(p)).Test(uint(m.entry.Number()))
 	}
 	if p.now = 4 * time.Second; full() {
 		t.Fatal("got no capacity after the backoff, want an offer allowed")
@@ -57,7 +57,7 @@
 	if !full() {
 		t.Error("got a second offer allowed after the rejection, want one")
 	}
-	m.offerWindow++ // as after an acceptance
+	m.offerLimit++ // as after an acceptance
 	if full() {
 		t.Error("got one offer allowed after an acceptance, want two")
 	}
@@ -65,7 +65,7 @@
 
 func TestTaskIsPlacedWhenAllMachinesFail(t *testing.T) {
 	p := startPlacer(t, testConfig(), testMachines(4))
-	for _, m := range p.machinesByID {
+	for _, m := range p.sortedMachines {
 		p.recordFailure(&m.health)
 		p.recordFailure(m.healthOf(0))
 	}
@@ -75,7 +75,7 @@
 
 func TestFailingMachineIsAvoided(t *testing.T) {
 	p := startPlacer(t, testConfig(), testMachines(4))
-	p.recordFailure(&p.machinesByID[2].health)
+	p.recordFailure(&p.sortedMachines[2].health)
 	invalidateAll(p)
 	for i := range 40 {
 		actions := p.Step(time.Second+millisecond, []Event{submit(fmt.Sprint("t", i), 0, 9*time.Second)})
@@ -99,7 +99,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			p := startPlacer(t, testConfig(), testMachines(4))
 			p.now = 2 * time.Minute
-			for i, m := range p.machinesByID {
+			for i, m := range p.sortedMachines {
 				m.loadReport, m.loadReportedAt = LoadReport{Present: true, HasCores: true, FreeCores: 28}, p.now
 				if i == 0 {
 					m.loadReport.FreeCores, m.loadReportedAt = c.freeCores, p.now-c.age
@@ -151,7 +151,7 @@
 		}
 		for _, c := range preferredA {
 			if !slices.Contains(preferredB, c) {
-				t.Errorf("service %s: the other scheduler does not prefer %s", service, a.machinesByID[c.Machine].ID)
+				t.Errorf("service %s: the other scheduler does not prefer %s", service, a.sortedMachines[c.Machine].ID)
 			}
 		}
 	}
@@ -159,7 +159,7 @@
 
 func TestMachinesWithTasksOfServiceArePreferred(t *testing.T) {
 	p := startPlacer(t, testConfig(), testMachines(6))
-	for _, m := range p.machinesByID[:4] {
+	for _, m := range p.sortedMachines[:4] {
 		p.index.AddAttempt("s", m.entry)
 	}
 	task := &task{Task: submit("t", 0, 0).Task}
@@ -183,7 +183,7 @@
 			task := p.addTask(Task{ID: "t", Service: "s", Cores: c.cores, Memory: 1})
 			names := func() (all []string) {
 				for _, c := range p.preferredMachines(task, allMachines(p)) {
-					all = append(all, p.machinesByID[c.Machine].ID)
+					all = append(all, p.sortedMachines[c.Machine].ID)
 				}
 				return all
 			}
--- a/discovery.go
+++ b/discovery.go
@@ -4,8 +4,8 @@
 
 // Discovery: subscriptions to changes of the machine list.
 
-// subscribeFirst subscribes in the first step, where discovery sends changes on request only.
-func (p *Placer) subscribeFirst(now Time) {
+// scheduleFirstSubscribe subscribes in the first step, where discovery sends changes on request only.
+func (p *Placer) scheduleFirstSubscribe(now Time) {
 	if p.cfg.DiscoveryOnRequest {
 		p.subscribeAt = now
 	}
--- a/events.go
+++ b/events.go
@@ -58,13 +58,13 @@
 }
 
 // removeUnlisted marks the machines as removed that a complete list does not name.
-func (p *Placer) removeUnlisted(list []Machine) {
-	named := make(map[string]bool, len(list))
-	for _, entry := range list {
-		named[entry.ID] = true
+func (p *Placer) removeUnlisted(entries []Machine) {
+	listedIDs := make(map[string]bool, len(entries))
+	for _, entry := range entries {
+		listedIDs[entry.ID] = true
 	}
-	for _, m := range p.machinesByID {
-		if !named[m.ID] && m.State != Removed {
+	for _, m := range p.sortedMachines {
+		if !listedIDs[m.ID] && m.State != Removed {
 			m.State = Removed
 			p.markRemoved(m)
 			p.invalidate(m)
@@ -93,7 +93,7 @@
 	}
 	t := p.addTask(e.Task)
 	t.settled = true
-	p.recordPlacement(t, p.findOrAddMachine(e.Machine))
+	p.recordAttempt(t, p.findOrAddMachine(e.Machine))
 	p.markPlaced(t, &t.attempts[0])
 }
 
@@ -101,7 +101,7 @@
 func (p *Placer) handleTaskCanceled(e TaskCanceled) {
 	if t := p.tasks[e.Task]; t != nil {
 		t.settled = true
-		p.forgetIfSettled(t)
+		p.deleteIfSettled(t)
 	}
 }
 
@@ -132,7 +132,7 @@
 	if a.neverRan {
 		p.forgetUnstartedPlacement(a)
 	}
-	p.releasePlacement(t, a.machine)
+	p.releaseAttempt(t, a.machine)
 	if !a.placed {
 		a.machine.pendingOffers--
 	}
@@ -142,7 +142,7 @@
 	if e.Final || a.placed {
 		t.settled = true
 	}
-	p.forgetIfSettled(t)
+	p.deleteIfSettled(t)
 }
 
 // handleHealthChecked records the load report of a health check.
--- a/evidence.go
+++ b/evidence.go
@@ -7,10 +7,10 @@
 // provesNeverRan reports whether an outcome proves that the task was not started.
 func provesNeverRan(o Outcome) bool { return o == Rejected || o == Unreachable || o == NotSent }
 
-// recordFailure ejects a machine, or a class on it, for longer at each further failure within failureMemory, and at least
+// recordFailure ejects a machine, or a class on it, for longer at each further failure within outcomeRetention, and at least
 // for the trial interval.
 func (p *Placer) recordFailure(h *health) {
-	if p.now-h.lastFailure > failureMemory {
+	if p.now-h.lastFailure > outcomeRetention {
 		h.consecutiveFailures = 0
 	}
 	if p.now >= h.ejectedUntil {
@@ -26,8 +26,8 @@
 	if placements < minCandidates {
 		return 0
 	}
-	gap := (p.now - p.history.OldestOfferedAt()) / time.Duration(placements)
-	return min(failureMemory, gap*time.Duration(len(p.machinesByID)))
+	meanInterval := (p.now - p.history.OldestOfferedAt()) / time.Duration(placements)
+	return min(outcomeRetention, meanInterval*time.Duration(len(p.sortedMachines)))
 }
 
 // startTrial ejects what failed recently until the outcome of the present offer is known, so that one task shows whether
@@ -41,14 +41,14 @@
 // recordSuccess ends an ejection.
 func (p *Placer) recordSuccess(h *health) {
 	h.lastSuccess, h.ejectedUntil = p.now, 0
-	if p.now-h.lastFailure > failureMemory {
+	if p.now-h.lastFailure > outcomeRetention {
 		h.consecutiveFailures = 0
 	}
 }
 
-// succeededRecently reports whether there was a success within failureMemory.
+// succeededRecently reports whether there was a success within outcomeRetention.
 func (p *Placer) succeededRecently(h *health) bool {
-	return h.lastSuccess > 0 && p.now-h.lastSuccess < failureMemory
+	return h.lastSuccess > 0 && p.now-h.lastSuccess < outcomeRetention
 }
 
 // recordTaskFailure records an error or a time-out of t on m as a failure of its class there, and also of the machine
@@ -65,7 +65,7 @@
 
 // attributeFailures records failures of the machines that answered t with an error, once it is placed or has its final
 // answer. Where several did and none placed it, the task is at fault: malformed tasks would otherwise eject every machine
-// in turn. Where most machines begin to fail at the same time, they are ejected only after failureMemory without a
+// in turn. Where most machines begin to fail at the same time, they are ejected only after outcomeRetention without a
 // success.
 func (p *Placer) attributeFailures(t *task) {
 	for _, m := range t.unattributedFailures {
@@ -81,9 +81,9 @@
 func (p *Placer) recordAcceptance(t *task, m *machine) {
 	p.attributeFailures(t)
 	m.consecutiveRejections = max(m.consecutiveRejections-1, 0)
-	m.offerWindow++
-	if m.offerWindow == 1 || m.offerWindow >= maxOfferWindow {
-		m.offerWindow = 0 // there was no limit, or it ends here
+	m.offerLimit++
+	if m.offerLimit == 1 || m.offerLimit >= maxOfferLimit {
+		m.offerLimit = 0 // there was no limit, or it ends here
 	}
 	p.recordSuccess(&m.health)
 	p.recordSuccess(m.healthOf(t.Class))
@@ -93,7 +93,7 @@
 func (p *Placer) classifyOutcome(t *task, a *attempt, e AttemptEnded) {
 	m := a.machine
 	if a.placed {
-		m.rejectedSize += p.sizeOn(t, m) // which was freed
+		m.minRejectedSize += p.relativeSize(t, m) // which was freed
 	}
 	switch e.Outcome {
 	case Failed:
@@ -123,7 +123,7 @@
 func (p *Placer) classifyLoss(m *machine, reason Reason) {
 	switch reason {
 	case Evicted, Preempted:
-		p.markOverloaded(m, 2*overloadDuration, memoryShortfall)
+		p.markOverloaded(m, 2*overloadDuration, memoryPressureShortfall)
 	case DrainedAway:
 	default:
 		p.recordFailure(&m.health)
@@ -132,17 +132,17 @@
 
 // recordRejection has m avoided for tasks of the same size or larger, for longer at each rejection in a row.
 func (p *Placer) recordRejection(t *task, m *machine, reason Reason) {
-	m.offerWindow = 1
-	size := p.sizeOn(t, m)
-	if p.now >= m.rejectsUntil || size < m.rejectedSize {
-		m.rejectedSize = size
+	m.offerLimit = 1
+	size := p.relativeSize(t, m)
+	if p.now >= m.rejectsUntil || size < m.minRejectedSize {
+		m.minRejectedSize = size
 	}
 	switch reason {
 	case QueueFull:
-		m.rejectedSize = 0
+		m.minRejectedSize = 0
 		m.rejectsUntil = max(m.rejectsUntil, p.now+queueFullBackoff)
 	case UnsupportedTask:
-		m.rejectedSize = 0
+		m.minRejectedSize = 0
 		m.rejectsUntil = max(m.rejectsUntil, p.now+rejectionBackoff)
 	default:
 		m.rejectsUntil = max(m.rejectsUntil, p.now+rejectionBackoff<<m.consecutiveRejections)
@@ -164,7 +164,7 @@
 		}
 	case MemoryPressure:
 		if e.Amount > memoryPressureLimit {
-			p.markOverloaded(a.machine, overloadDuration, memoryShortfall)
+			p.markOverloaded(a.machine, overloadDuration, memoryPressureShortfall)
 		}
 	}
 }
--- a/evidence_test.go
+++ b/evidence_test.go
@@ -9,7 +9,7 @@
 
 func TestTrialPlacementEjectsUntilAnswered(t *testing.T) {
 	p := startPlacer(t, testConfig(), testMachines(4))
-	h := p.machinesByID[2].healthOf(0)
+	h := p.sortedMachines[2].healthOf(0)
 	p.recordFailure(h)
 	p.now = h.ejectedUntil
 	p.startTrial(h)
@@ -29,13 +29,13 @@
 	p := startPlacer(t, cfg, testMachines(8))
 	failing, other := &task{Task: Task{Class: 0}}, &task{Task: Task{Class: 1}}
 	failing.class, other.class = &p.cfg.Classes[0], &p.cfg.Classes[1]
-	for _, m := range p.machinesByID[:6] {
+	for _, m := range p.sortedMachines[:6] {
 		p.recordSuccess(m.healthOf(1))
 		p.recordTaskFailure(failing, m)
 	}
 	invalidateAll(p)
 	usable := func(t *task) (ids []string) {
-		for _, m := range p.machinesByID {
+		for _, m := range p.sortedMachines {
 			if p.now >= m.health.ejectedUntil && p.now >= m.healthOf(t.Class).ejectedUntil {
 				ids = append(ids, m.ID)
 			}
@@ -53,7 +53,7 @@
 			t.Errorf("the failing class was placed on %s, want m6 or m7", m.ID)
 		}
 	}
-	p.recordTaskFailure(failing, p.machinesByID[7])
+	p.recordTaskFailure(failing, p.sortedMachines[7])
 	if got := usable(other); len(got) != 7 {
 		t.Errorf("the other class may use %v, want 7: m7 failed without any success", got)
 	}
@@ -82,7 +82,7 @@
 			cfg.Classes[0].Idempotency = c.idempotency
 			p := startPlacer(t, cfg, testMachines(6))
 			if c.succeeded {
-				for _, m := range p.machinesByID {
+				for _, m := range p.sortedMachines {
 					p.recordSuccess(m.healthOf(0))
 				}
 			}
@@ -101,7 +101,7 @@
 				t.Errorf("got %v, want no further offer", actions)
 			}
 			ejected := 0
-			for _, m := range p.machinesByID {
+			for _, m := range p.sortedMachines {
 				if p.now < m.healthOf(0).ejectedUntil {
 					ejected++
 				}
@@ -119,30 +119,30 @@
 	for i := range 4 {
 		p.Step(time.Second+Time(i+1)*400*millisecond, []Event{submit(fmt.Sprint("t", i), 0, time.Minute)})
 	}
-	if h := &p.machinesByID[0].health; h.ejectedUntil == 0 {
+	if h := &p.sortedMachines[0].health; h.ejectedUntil == 0 {
 		p.recordFailure(h)
 		if h.ejectedUntil-p.now < 2*time.Second {
 			t.Errorf("ejected for %v, want at least 2 s", h.ejectedUntil-p.now)
 		}
 	}
-	if p.trialInterval() > failureMemory {
-		t.Errorf("trial interval %v, want at most %v", p.trialInterval(), failureMemory)
+	if p.trialInterval() > outcomeRetention {
+		t.Errorf("trial interval %v, want at most %v", p.trialInterval(), outcomeRetention)
 	}
 }
 
 // Each acceptance after a rejection allows one more pending offer, until so many are allowed that the limit ends.
 func TestAcceptancesEndOfferLimit(t *testing.T) {
 	p := startPlacer(t, testConfig(), testMachines(1))
-	m, accepted := p.machinesByID[0], p.addTask(submit("t", 0, 0).Task)
+	m, accepted := p.sortedMachines[0], p.addTask(submit("t", 0, 0).Task)
 	p.recordRejection(accepted, m, InsufficientCores)
-	for want := 2; want < maxOfferWindow; want++ {
+	for want := 2; want < maxOfferLimit; want++ {
 		p.recordAcceptance(accepted, m)
-		if m.offerWindow != want {
-			t.Fatalf("got %d pending offers allowed after %d acceptances, want %d", m.offerWindow, want-1, want)
+		if m.offerLimit != want {
+			t.Fatalf("got %d pending offers allowed after %d acceptances, want %d", m.offerLimit, want-1, want)
 		}
 	}
 	p.recordAcceptance(accepted, m)
-	if m.offerWindow != 0 {
-		t.Errorf("got %d pending offers allowed after %d acceptances, want no limit", m.offerWindow, maxOfferWindow-1)
+	if m.offerLimit != 0 {
+		t.Errorf("got %d pending offers allowed after %d acceptances, want no limit", m.offerLimit, maxOfferLimit-1)
 	}
 }
--- a/helpers_test.go
+++ b/helpers_test.go
@@ -65,7 +65,7 @@
 
 // addPlacement adds a placement on the machine of the given number to the history.
 func addPlacement(p *Placer, number int, placed machineindex.Placement) *machineindex.Placement {
-	placed.Machine = p.machinesByID[number].entry
+	placed.Machine = p.sortedMachines[number].entry
 	p.index.AddPlacement(&placed)
 	return &placed
 }
@@ -92,9 +92,9 @@
 
 // allMachines returns the set of all machines.
 func allMachines(p *Placer) *bitset.BitSet {
-	p.refresh()
-	set := bitset.MustNew(uint(len(p.machinesByID)))
-	return set.FlipRange(0, uint(len(p.machinesByID)))
+	p.refreshIndex()
+	set := bitset.MustNew(uint(len(p.sortedMachines)))
+	return set.FlipRange(0, uint(len(p.sortedMachines)))
 }
 
 // allCandidates returns all machines as candidates of equal affinity.
@@ -107,7 +107,7 @@
 
 // invalidateAll has the index updated after a test has written into the records of machines.
 func invalidateAll(p *Placer) {
-	for _, m := range p.machinesByID {
+	for _, m := range p.sortedMachines {
 		p.invalidate(m)
 	}
 }
--- a/lifetimes.go
+++ b/lifetimes.go
@@ -11,10 +11,10 @@
 
 // lifetimeStats adds up the lifetimes of one class's tasks, from which meanLifetime estimates their mean.
 type lifetimeStats struct {
-	observed time.Duration // total lifetime of those that ended
-	ended    int           // those that ended by themselves or were canceled
-	running  int
-	startSum Time // sum of the start times of those that run
+	pastRuntime   time.Duration // total lifetime of those that ended
+	fullLifetimes int           // those that ended by themselves or were canceled
+	running       int
+	startTimeSum  Time // sum of the start times of those that run
 }
 
 // lifetimesOf returns the statistics of a class; nil for a class that the settings don't name.
@@ -29,30 +29,30 @@
 func (p *Placer) recordStart(t *task, a *attempt) {
 	if stats := p.lifetimesOf(t.Class); stats != nil {
 		stats.running++
-		stats.startSum += a.sentAt
+		stats.startTimeSum += a.offeredAt
 	}
 }
 
-// recordLifetime adds the lifetime of an attempt that ended, see endsLifetime.
+// recordLifetime adds the lifetime of an attempt that ended, see ranFullLifetime.
 func (p *Placer) recordLifetime(t *task, a *attempt, outcome Outcome) {
 	stats := p.lifetimesOf(t.Class)
 	if !a.placed || stats == nil {
 		return
 	}
-	stats.observed += p.now - a.sentAt
+	stats.pastRuntime += p.now - a.offeredAt
 	stats.running--
-	stats.startSum -= a.sentAt
-	if endsLifetime(outcome) {
-		stats.ended++
+	stats.startTimeSum -= a.offeredAt
+	if ranFullLifetime(outcome) {
+		stats.fullLifetimes++
 	}
 }
 
-// endsLifetime reports whether a task ran its whole lifetime, or else was cut short.
-func endsLifetime(o Outcome) bool { return o == Completed || o == Canceled }
+// ranFullLifetime reports whether a task ran its whole lifetime, or else was cut short.
+func ranFullLifetime(o Outcome) bool { return o == Completed || o == Canceled }
 
-// survival returns the probability that a placement still runs: by its expected runtime where known, else by an
+// survivalProbability returns the probability that a placement still runs: by its expected runtime where known, else by an
 // exponential distribution with its class's mean lifetime. A draw against it is the same as drawing the lifetime.
-func (p *Placer) survival(placed *machineindex.Placement) float64 {
+func (p *Placer) survivalProbability(placed *machineindex.Placement) float64 {
 	age := p.now - placed.OfferedAt
 	if placed.ExpectedRuntime > 0 {
 		if age < placed.ExpectedRuntime {
@@ -70,8 +70,8 @@
 	if stats == nil {
 		return initialLifetime
 	}
-	running := time.Duration(stats.running)*p.now - stats.startSum
-	return (stats.observed + running + initialLifetime) / time.Duration(stats.ended+1)
+	running := time.Duration(stats.running)*p.now - stats.startTimeSum
+	return (stats.pastRuntime + running + initialLifetime) / time.Duration(stats.fullLifetimes+1)
 }
 
 // longestMeanLifetime returns that of the longest-lived class, within minMeanLifetime and maxMeanLifetime.
--- a/machine.go
+++ b/machine.go
@@ -21,10 +21,10 @@
 	overloadedUntil  Time    // its tasks get poor service, or memory is short
 	serviceShortfall float64 // fraction of full service missing, as last reported while overloaded
 
-	rejectsUntil          Time    // until then it is expected to reject tasks of rejectedSize or more
-	rejectedSize          float64 // fraction of its capacity, see sizeOn
+	rejectsUntil          Time    // until then it is expected to reject tasks of minRejectedSize or more
+	minRejectedSize       float64 // fraction of its capacity, see relativeSize
 	consecutiveRejections int     // reduced by acceptances
-	offerWindow           int     // most pending offers; zero means no limit
+	offerLimit            int     // most pending offers; zero means no limit
 	pendingOffers         int     // offers without an answer
 	slowStartOffers       []Time  // recent offers while it was in slow start
 
@@ -60,18 +60,18 @@
 	p.machines[id] = m
 	p.removedMachines = append(p.removedMachines, m)
 	compareID := func(m *machine, id string) int { return cmp.Compare(m.ID, id) }
-	position, _ := slices.BinarySearchFunc(p.machinesByID, id, compareID)
-	p.machinesByID = slices.Insert(p.machinesByID, position, m)
+	position, _ := slices.BinarySearchFunc(p.sortedMachines, id, compareID)
+	p.sortedMachines = slices.Insert(p.sortedMachines, position, m)
 	m.entry = p.index.Insert(position, id)
 	p.index.SetAssumedSince(m.entry, -listDelay)
 	return m
 }
 
-// forgetMachine deletes the record of a machine.
-func (p *Placer) forgetMachine(m *machine) {
+// deleteMachine deletes the record of a machine.
+func (p *Placer) deleteMachine(m *machine) {
 	delete(p.machines, m.ID)
-	if position := slices.Index(p.machinesByID, m); position >= 0 {
-		p.machinesByID = slices.Delete(p.machinesByID, position, position+1)
+	if position := slices.Index(p.sortedMachines, m); position >= 0 {
+		p.sortedMachines = slices.Delete(p.sortedMachines, position, position+1)
 		p.index.Remove(position)
 	}
 }
--- a/migration.go
+++ b/migration.go
@@ -12,20 +12,20 @@
 // and better machines are known.
 func (p *Placer) migrateIfUnderserved(t *task, a *attempt, shortfall float64) {
 	if shortfall < poorServiceShortfall {
-		a.poorServiceAt = 0
+		a.lastPoorServiceAt = 0
 		return
 	}
-	if p.now-a.poorServiceAt > overloadDuration {
+	if p.now-a.lastPoorServiceAt > overloadDuration {
 		a.poorServiceSince = p.now
 	}
-	a.poorServiceAt = p.now
-	if a.migrating || t.class == &p.unknownClass || p.disabled[TaskMigration] ||
+	a.lastPoorServiceAt = p.now
+	if a.migrationRequested || t.class == &p.unknownClass || p.disabled[TaskMigration] ||
 		p.now-a.poorServiceSince < overloadDuration/2 || !p.migrationPays(t, shortfall) {
 		return
 	}
-	a.migrating = p.hasBetterMachines(t)
-	p.observer.afterMigrationCheck(t, a.migrating)
-	if a.migrating {
+	a.migrationRequested = p.hasBetterMachines(t)
+	p.observer.afterMigrationCheck(t, a.migrationRequested)
+	if a.migrationRequested {
 		p.emit(Migrate{Task: t.ID})
 	}
 }
@@ -44,12 +44,12 @@
 // known of machines without any. It is false while any machine fails t's class or rejects tasks, since the new start may
 // be lost.
 func (p *Placer) hasBetterMachines(t *task) bool {
-	p.refresh()
+	p.refreshIndex()
 	c, good := &p.conditions, p.eligibleByKind(t)
-	least := max(minCandidates, good.Count()/2)
-	for _, bad := range []*bitset.BitSet{c.overloaded, c.failing, c.slowStarting} {
+	required := max(minCandidates, good.Count()/2)
+	for _, bad := range []*bitset.BitSet{c.overloaded, c.ejected, c.slowStarting} {
 		good.InPlaceDifference(bad)
 	}
-	good.InPlaceIntersection(c.occupied)
-	return good.Count() >= least && c.failingByClass[t.Class].None() && c.rejecting.None()
+	good.InPlaceIntersection(c.withAttempts)
+	return good.Count() >= required && c.ejectedByClass[t.Class].None() && c.rejecting.None()
 }
--- a/oracle_scan_test.go
+++ b/oracle_scan_test.go
@@ -32,7 +32,7 @@
 		}
 	}
 	var unsafe, spread, slowStarting int
-	for _, m := range o.placer.machinesByID { // checkNumbers compares it with all machine records
+	for _, m := range o.placer.sortedMachines { // checkNumbers compares it with all machine records
 		switch {
 		case !o.couldTake(t, m):
 		case !o.retryIsSafe(t, m):
@@ -72,7 +72,7 @@
 		if a.neverRan || t.class.Idempotency == Idempotent {
 			continue
 		}
-		keyEnds := a.sentAt + t.class.KeyTTL - o.placer.cfg.Tick
+		keyEnds := a.offeredAt + t.class.KeyTTL - o.placer.cfg.Tick
 		former, here := domainOf(t.class.KeyDomain, a.machine), domainOf(t.class.KeyDomain, m)
 		safe = safe && t.class.Idempotency == IdempotentByKey && keyEnds > o.placer.now && former != (domainKey{}) && former == here
 	}
@@ -210,8 +210,8 @@
 	p, full := o.placer, map[*machine]bool{}
 	var withOffers []*machine
 	for _, m := range machines {
-		rejects := m.rejectsUntil > p.now && m.rejectedSize <= p.sizeOn(t, m)
-		limited := m.offerWindow > 0 && o.attempts.pending[m] >= m.offerWindow
+		rejects := m.rejectsUntil > p.now && m.minRejectedSize <= p.relativeSize(t, m)
+		limited := m.offerLimit > 0 && o.attempts.pending[m] >= m.offerLimit
 		if rejects || limited {
 			full[m] = true
 		} else {
@@ -250,7 +250,7 @@
 	for _, m := range machines {
 		from, ok := o.assumedFrom[m]
 		if !ok {
-			from = max(0, len(o.history)-maxHistory)
+			from = max(0, len(o.history)-maxHistoryPlacements)
 		}
 		if first {
 			o.assumedFrom[m] = from
@@ -271,7 +271,7 @@
 func (o *choiceOracle) scanConsolidation(machines []*machine) (used []*machine) {
 	p := o.placer
 	var cores, memory float64 // not provided for yet
-	for _, m := range p.machinesByID {
+	for _, m := range p.sortedMachines {
 		if m.listed && m.State != Removed && m.Kind >= 0 {
 			cores += p.cfg.Kinds[m.Kind].Cores - m.FreeCores + m.coresSinceListed
 			memory += p.cfg.Kinds[m.Kind].Memory - m.FreeMemory + m.memorySinceListed
@@ -315,7 +315,7 @@
 	if len(best) > 1 && len(preferred) < 2 {
 		add(best[1])
 	}
-	if o.placer.sizeOn(t, best[0]) > largeTaskSize {
+	if o.placer.relativeSize(t, best[0]) > largeTaskSize {
 		o.counts["large tasks"]++
 		notOverloaded := slices.DeleteFunc(best, func(m *machine) bool { return m.overloadedUntil > o.placer.now })
 		for _, m := range notOverloaded[:min(2, len(notOverloaded))] {
@@ -411,7 +411,7 @@
 
 // replayedOn returns the recent history on the machines.
 func (o *choiceOracle) replayedOn(machines []*machine) (found []*oraclePlacement) {
-	for _, b := range o.history[max(0, len(o.history)-maxHistory):] {
+	for _, b := range o.history[max(0, len(o.history)-maxHistoryPlacements):] {
 		o.resolve(b)
 		if !b.forgotten && slices.Contains(machines, b.machine) {
 			found = append(found, b)
--- a/oracle_test.go
+++ b/oracle_test.go
@@ -158,7 +158,7 @@
 	kept := o.history[:0]
 	for i, b := range o.history {
 		o.resolve(b)
-		recent := i >= len(o.history)-maxHistory && b.offeredAt >= p.now-p.historyReach()
+		recent := i >= len(o.history)-maxHistoryPlacements && b.offeredAt >= p.now-p.historyMaxAge()
 		if recent && !b.forgotten {
 			kept = append(kept, b)
 		}
@@ -187,14 +187,14 @@
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
-	numbered := o.placer.machinesByID
+	numbered := o.placer.sortedMachines
 	if !slices.EqualFunc(ids, numbered, func(id string, m *machine) bool { return m.ID == id }) {
 		o.differ("%d machines are numbered, want %d in the order of their IDs", len(numbered), len(ids))
 	}
 }
 
 // machineOf returns the machine that a number names.
-func (o *choiceOracle) machineOf(number int32) *machine { return o.placer.machinesByID[number] }
+func (o *choiceOracle) machineOf(number int32) *machine { return o.placer.sortedMachines[number] }
 
 // The stages of a choice.
 
@@ -233,7 +233,7 @@
 	want := o.scanContenders()
 	o.compareMachines(nil, "contenders", got, want)
 	o.counts["votes"]++
-	if len(o.history) > maxHistory {
+	if len(o.history) > maxHistoryPlacements {
 		o.counts["votes with more than the recent history"]++
 	}
 	if len(want) < len(o.candidates) {
--- a/placer.go
+++ b/placer.go
@@ -25,7 +25,7 @@
 	actions   []Action // of the step in progress
 
 	machines        map[string]*machine
-	machinesByID    []*machine // in the order of their IDs; after refresh, by their numbers in index
+	sortedMachines  []*machine // in the order of their IDs; after refreshIndex, by their numbers in index
 	removedMachines []*machine // removed when they were appended; may have been listed again since
 	index           *machineindex.Index
 	conditions      conditions
@@ -63,7 +63,7 @@
 	source := rand.NewPCG(seed, randomStream)
 	index := machineindex.New(machineindex.Options{
 		Affinity:        affinityPolicy(cfg.Kinds),
-		HistoryLimit:    maxHistory,
+		HistoryLimit:    maxHistoryPlacements,
 		MaxIdleServices: maxIdleServices,
 	})
 	return &Placer{
--- a/queue.go
+++ b/queue.go
@@ -7,8 +7,8 @@
 
 // Queue: the order in which open tasks are served.
 
-// queueRanks bounds the ranks of open tasks.
-const queueRanks = 4
+// queueRankCount bounds the ranks of open tasks.
+const queueRankCount = 4
 
 // queueRankOf returns the rank of an open task, the lowest first.
 func (p *Placer) queueRankOf(t *task) int {
@@ -34,12 +34,12 @@
 // sortOpenTasks sorts the open tasks by queue rank; those of one rank keep their order. It is a counting sort, since
 // thousands may wait in each step.
 func (p *Placer) sortOpenTasks() {
-	var next [queueRanks]int // counts, then positions
-	sorted, last := true, 0
+	var next [queueRankCount]int // counts, then positions
+	sorted, previousRank := true, 0
 	for _, t := range p.openTasks {
 		t.queueRank = p.queueRankOf(t)
 		next[t.queueRank]++
-		sorted, last = sorted && t.queueRank >= last, t.queueRank
+		sorted, previousRank = sorted && t.queueRank >= previousRank, t.queueRank
 	}
 	if p.disabled[ArrivalOrder] {
 		slices.SortStableFunc(p.openTasks, func(a, b *task) int {
@@ -50,7 +50,7 @@
 	if sorted {
 		return
 	}
-	for rank, position := 0, 0; rank < queueRanks; rank++ {
+	for rank, position := 0, 0; rank < queueRankCount; rank++ {
 		next[rank], position = position, position+next[rank]
 	}
 	p.sortBuffer = append(p.sortBuffer[:0], p.openTasks...)
--- a/retention.go
+++ b/retention.go
@@ -8,11 +8,11 @@
 // Retention: how long placements and machines are remembered, and what is forgotten early.
 
 // pruneHistory drops placements that are too old, too many or forgotten.
-func (p *Placer) pruneHistory() { p.history.Prune(p.now - p.historyReach()) }
+func (p *Placer) pruneHistory() { p.history.Prune(p.now - p.historyMaxAge()) }
 
-// historyReach returns the age beyond which placements are dropped from the history.
-func (p *Placer) historyReach() time.Duration {
-	return time.Duration(historyLifetimes * float64(p.longestMeanLifetime()))
+// historyMaxAge returns the age beyond which placements are dropped from the history.
+func (p *Placer) historyMaxAge() time.Duration {
+	return time.Duration(historyMeanLifetimes * float64(p.longestMeanLifetime()))
 }
 
 // pruneMachines forgets machines that were removed a while ago and have no attempt of this scheduler.
@@ -24,7 +24,7 @@
 		if m.entry.HasAttempts() || p.now-m.removedAt <= removedMachineRetention {
 			return false
 		}
-		p.forgetMachine(m)
+		p.deleteMachine(m)
 		return true
 	})
 }
--- a/retention_test.go
+++ b/retention_test.go
@@ -12,7 +12,7 @@
 	ended := endOf(offer, Rejected)
 	ended.Reason = InsufficientCores
 	p.Step(time.Second+millisecond, []Event{ended})
-	if p.history.Len() != 1 || p.machinesByID[p.history.Recent()[0].Machine.Number()].ID == offer.Machine {
+	if p.history.Len() != 1 || p.sortedMachines[p.history.Recent()[0].Machine.Number()].ID == offer.Machine {
 		t.Errorf("got history %v, want the second attempt alone", p.history.Recent())
 	}
 }
@@ -44,8 +44,8 @@
 		temporary := Machine{ID: fmt.Sprint("x", i/50)}
 		p.Step(now, []Event{MachinesUpdated{Complete: true, Machines: append(testMachines(3), temporary)}})
 	}
-	if p.history.Len() > maxHistory || len(p.tasks) > 10 || len(p.machinesByID) > 100 {
+	if p.history.Len() > maxHistoryPlacements || len(p.tasks) > 10 || len(p.sortedMachines) > 100 {
 		t.Errorf("got %d placements, %d tasks and %d machines, want at most %d, 10 and 100",
-			p.history.Len(), len(p.tasks), len(p.machinesByID), maxHistory)
+			p.history.Len(), len(p.tasks), len(p.sortedMachines), maxHistoryPlacements)
 	}
 }
--- a/selection.go
+++ b/selection.go
@@ -6,7 +6,7 @@
 // equivalenceClass is what determines, before a task's first offer, whether any machine may take it. Tasks with equal
 // fields share the answer within a step, so a property of tasks that a hard constraint or capacity reads must be a field.
 type equivalenceClass struct {
-	class        int
+	taskClass    int
 	service      string // only where spread is bounded
 	cores        float64
 	memory       float64
@@ -15,9 +15,9 @@
 
 // chooseMachine returns the machine to offer t to; nil where none may take it now.
 func (p *Placer) chooseMachine(t *task) *machine {
-	p.refresh()
+	p.refreshIndex()
 	request := equivalenceClass{
-		class: t.Class, cores: t.Cores, memory: t.Memory, nearDeadline: p.nearDeadline(t),
+		taskClass: t.Class, cores: t.Cores, memory: t.Memory, nearDeadline: p.nearDeadline(t),
 	}
 	if t.class.SpreadDomain != NoDomain {
 		request.service = t.Service
@@ -25,7 +25,7 @@
 	first := len(t.attempts) == 0
 	var m *machine
 	if !first || !p.infeasible[request] {
-		m = p.selectMachine(t)
+		m = p.filterAndVote(t)
 	}
 	if m == nil && first {
 		p.infeasible[request] = true
@@ -34,8 +34,8 @@
 	return m
 }
 
-// selectMachine applies the constraints and holds the vote.
-func (p *Placer) selectMachine(t *task) *machine {
+// filterAndVote applies the constraints and holds the vote.
+func (p *Placer) filterAndVote(t *task) *machine {
 	eligible := p.applyHardConstraints(t)
 	p.observer.afterHardConstraints(t, eligible)
 	candidates := p.applySoftConstraints(t, eligible)
--- a/slow_start.go
+++ b/slow_start.go
@@ -18,12 +18,12 @@
 		return true
 	}
 	budget := int(p.cfg.SlowStartBudget / float64(p.cfg.Schedulers))
-	shared := p.cfg.SlowStartBudget - float64(budget*p.cfg.Schedulers)
+	remainder := p.cfg.SlowStartBudget - float64(budget*p.cfg.Schedulers)
 	windowStart := p.now - p.cfg.OverloadWindow*3/2
 	if p.startedAt > windowStart && p.startedAt > m.Started {
 		return false
 	}
-	if shared >= 1 && p.inSlowStartSlot(m, shared) {
+	if remainder >= 1 && p.inSlowStartSlot(m, remainder) {
 		budget++
 	}
 	for _, offeredAt := range m.slowStartOffers {
@@ -39,11 +39,11 @@
 // apart and each lasts an overload window. So an offer sent within any one window belongs to a slot that began within two,
 // and the interval is such that these are never more than the budget; where tasks are queued at each scheduler, half of it
 // is used. Schedulers with a wrong count of each other, such as two with one index, exceed the budget.
-func (p *Placer) inSlowStartSlot(m *machine, budget float64) bool {
-	interval := time.Duration(float64(2*p.cfg.OverloadWindow)/budget) + 1
+func (p *Placer) inSlowStartSlot(m *machine, sharedBudget float64) bool {
+	interval := time.Duration(float64(2*p.cfg.OverloadWindow)/sharedBudget) + 1
 	schedulers := uint64(p.cfg.Schedulers)
-	position := (m.entry.IDHash()%schedulers + uint64(p.cfg.Index)) % schedulers
-	elapsed := p.now - m.Started - time.Duration(position)*interval
+	slotIndex := (m.entry.IDHash()%schedulers + uint64(p.cfg.Index)) % schedulers
+	elapsed := p.now - m.Started - time.Duration(slotIndex)*interval
 	return elapsed >= 0 && elapsed%(time.Duration(schedulers)*interval) < p.cfg.OverloadWindow
 }
 
--- a/step.go
+++ b/step.go
@@ -7,7 +7,7 @@
 func (p *Placer) Step(now Time, events []Event) []Action {
 	if !p.started {
 		p.started, p.startedAt = true, now
-		p.subscribeFirst(now)
+		p.scheduleFirstSubscribe(now)
 	}
 	p.now, p.actions = max(now, p.now), nil
 	p.index.InvalidateAssumed()
@@ -20,7 +20,7 @@
 		p.handle(e)
 	}
 	p.subscribeIfDue()
-	p.serveOpenTasks()
+	p.processOpenTasks()
 	p.pruneHistory()
 	p.pruneMachines()
 	p.setTimer()
--- a/task.go
+++ b/task.go
@@ -18,17 +18,17 @@
 
 // attempt is one offer of a task to a machine.
 type attempt struct {
-	machine   *machine
-	placement *machineindex.Placement
-	sentAt    Time
-	active    bool // it has not ended
-	placed    bool
-	neverRan  bool // its outcome proves that the task was not started
-	migrating bool // Migrate was emitted for it
+	machine            *machine
+	placement          *machineindex.Placement
+	offeredAt          Time
+	active             bool // it has not ended
+	placed             bool
+	neverRan           bool // its outcome proves that the task was not started
+	migrationRequested bool // Migrate was emitted for it
 
 	// When poor service was last reported, and since when every report was poor. See migrateIfUnderserved.
-	poorServiceAt    Time
-	poorServiceSince Time
+	lastPoorServiceAt Time
+	poorServiceSince  Time
 }
 
 // addTask makes the record of a task that is submitted or adopted now.
@@ -50,8 +50,8 @@
 	return t, &t.attempts[number]
 }
 
-// recordPlacement records a new attempt of t on m.
-func (p *Placer) recordPlacement(t *task, m *machine) {
+// recordAttempt records a new attempt of t on m.
+func (p *Placer) recordAttempt(t *task, m *machine) {
 	placed := &machineindex.Placement{
 		Machine:         m.entry,
 		OfferedAt:       p.now,
@@ -61,7 +61,7 @@
 		ExpectedRuntime: t.ExpectedRuntime,
 	}
 	p.index.AddPlacement(placed)
-	t.attempts = append(t.attempts, attempt{machine: m, sentAt: p.now, active: true, placement: placed})
+	t.attempts = append(t.attempts, attempt{machine: m, offeredAt: p.now, active: true, placement: placed})
 	p.index.AddAttempt(t.Service, m.entry)
 	m.ownCores += t.Cores
 	m.ownMemory += t.Memory
@@ -72,8 +72,8 @@
 	p.tenantCores[t.Tenant] += t.Cores
 }
 
-// releasePlacement undoes the counts of recordPlacement when the attempt has ended.
-func (p *Placer) releasePlacement(t *task, m *machine) {
+// releaseAttempt undoes the counts of recordAttempt when the attempt has ended.
+func (p *Placer) releaseAttempt(t *task, m *machine) {
 	p.index.RemoveAttempt(t.Service, m.entry)
 	p.invalidate(m)
 	m.ownCores -= t.Cores
@@ -88,8 +88,8 @@
 	p.recordStart(t, a)
 }
 
-// forgetIfSettled deletes a task that is settled and has no active attempt.
-func (p *Placer) forgetIfSettled(t *task) {
+// deleteIfSettled deletes a task that is settled and has no active attempt.
+func (p *Placer) deleteIfSettled(t *task) {
 	if t.settled && t.activeAttempt() == nil {
 		delete(p.tasks, t.ID)
 	}
--- a/vote.go
+++ b/vote.go
@@ -37,17 +37,18 @@
 	case 0:
 		return nil
 	case 1:
-		return p.machinesByID[candidates[0].Machine]
+		return p.sortedMachines[candidates[0].Machine]
 	}
-	replayed, hasHistory := p.collectReplayed(candidates)
+	replayed, hasHistory := p.collectReplayedPlacements(candidates)
 	contenders := p.selectContenders(candidates, hasHistory, replayed)
 	p.observer.beforeReplay(contenders, replayed)
 	votes := p.replay(contenders, replayed)
-	return p.machinesByID[contenders[p.leastLoaded(contenders, votes)].Machine]
+	return p.sortedMachines[contenders[p.indexOfLowest(contenders, votes)].Machine]
 }
 
-// collectReplayed returns the history on the candidates, and which of them have any. Both are valid until the next call.
-func (p *Placer) collectReplayed(
+// collectReplayedPlacements returns the placements of the history on the candidates, and for each candidate whether it has
+// any. Both results are valid until the next call.
+func (p *Placer) collectReplayedPlacements(
 	candidates []machineindex.Candidate,
 ) (replayed []replayedPlacement, hasHistory []bool) {
 	buffers := &p.voteBuffers
@@ -55,7 +56,7 @@
 	hasHistory, replayed = buffers.hasHistory, buffers.replayed[:0]
 	p.index.ForEachPlacement(candidates, func(candidate int, placed *machineindex.Placement) {
 		hasHistory[candidate] = true
-		replayed = append(replayed, p.replayedOf(placed, int32(candidate)))
+		replayed = append(replayed, p.newReplayedPlacement(placed, int32(candidate)))
 	})
 	buffers.replayed = replayed
 	return replayed, hasHistory
@@ -67,26 +68,26 @@
 	candidates []machineindex.Candidate, hasHistory []bool, replayed []replayedPlacement,
 ) []machineindex.Candidate {
 	load := p.conditions.externalLoad
-	idle := -1
-	compareToIdle := func(c machineindex.Candidate) int {
-		best := candidates[idle]
+	bestWithoutHistory := -1
+	compareToBest := func(c machineindex.Candidate) int {
+		best := candidates[bestWithoutHistory]
 		return compareCandidates(c, best, load.At(int(c.Machine)), load.At(int(best.Machine)))
 	}
 	for i, c := range candidates {
-		if !hasHistory[i] && (idle < 0 || compareToIdle(c) < 0) {
-			idle = i
+		if !hasHistory[i] && (bestWithoutHistory < 0 || compareToBest(c) < 0) {
+			bestWithoutHistory = i
 		}
 	}
-	contenders, position := p.voteBuffers.contenders[:0], make([]int32, len(candidates))
+	contenders, contenderIndex := p.voteBuffers.contenders[:0], make([]int32, len(candidates))
 	for i, c := range candidates {
-		if hasHistory[i] || compareToIdle(c) == 0 {
-			position[i] = int32(len(contenders))
+		if hasHistory[i] || compareToBest(c) == 0 {
+			contenderIndex[i] = int32(len(contenders))
 			contenders = append(contenders, c)
 		}
 	}
 	p.voteBuffers.contenders = contenders
 	for i := range replayed {
-		replayed[i].candidate = position[replayed[i].candidate]
+		replayed[i].candidate = contenderIndex[replayed[i].candidate]
 	}
 	return contenders
 }
@@ -113,29 +114,29 @@
 		for i := range loads {
 			loads[i] = external[i] + max(cores[i], memory[i])
 		}
-		votes[p.leastLoaded(contenders, loads)]--
+		votes[p.indexOfLowest(contenders, loads)]--
 	}
 	return votes
 }
 
-// replayedOf returns what a placement counts in the vote: fractions of its machine's kind, and its survival.
-func (p *Placer) replayedOf(placed *machineindex.Placement, candidate int32) replayedPlacement {
+// newReplayedPlacement returns what a placement counts in the vote: fractions of its machine's kind, and its survival.
+func (p *Placer) newReplayedPlacement(placed *machineindex.Placement, candidate int32) replayedPlacement {
 	kind := p.cfg.Kinds[p.index.Kind(placed.Machine.Number())]
 	return replayedPlacement{
 		candidate: candidate,
 		cores:     placed.Cores / kind.Cores,
 		memory:    placed.Memory / kind.Memory,
-		survival:  uint64(math.Ceil(p.survival(placed) * survivalScale)),
+		survival:  uint64(math.Ceil(p.survivalProbability(placed) * survivalScale)),
 	}
 }
 
-// leastLoaded returns the index of the least value. A tie goes to the higher affinity, and a tie in that too is broken by
+// indexOfLowest returns the index of the least value. A tie goes to the higher affinity, and a tie in that too is broken by
 // a random draw. With few placements most machines tie at 0, and a draw alone would start every service on each of its
 // preferred machines.
-func (p *Placer) leastLoaded(list []machineindex.Candidate, value []float64) int {
+func (p *Placer) indexOfLowest(candidates []machineindex.Candidate, costs []float64) int {
 	best, ties := 0, 1
-	for i := 1; i < len(list); i++ {
-		order := compareCandidates(list[i], list[best], value[i], value[best])
+	for i := 1; i < len(candidates); i++ {
+		order := compareCandidates(candidates[i], candidates[best], costs[i], costs[best])
 		switch {
 		case order < 0:
 			best, ties = i, 1
--- a/vote_test.go
+++ b/vote_test.go
@@ -50,7 +50,7 @@
 	}
 	machines[0].FreeCores, machines[1].FreeCores = 32, 24 // m1 has the eight of this scheduler, the others' have ended
 	p.Step(4*time.Second, []Event{MachinesUpdated{Machines: machines}})
-	for _, m := range p.machinesByID {
+	for _, m := range p.sortedMachines {
 		if load := p.externalLoad(m); load != 0 {
 			t.Errorf("%s: external load %v, want 0", m.ID, load)
 		}
@@ -67,7 +67,7 @@
 		TaskAdopted{Task: Task{ID: "c", Service: "z", Cores: 8, Memory: 1, Tenant: -1}, Machine: "m2"}})
 	p.Step(time.Second+millisecond, []Event{UsageReport{Task: "a", Machine: "m0", Kind: ServiceLevel, Amount: 0.4},
 		UsageReport{Task: "b", Machine: "m1", Kind: ServiceLevel, Amount: 0.8}})
-	p.refresh()
+	p.refreshIndex()
 	if m := p.vote(allCandidates(p)); m.ID != "m2" {
 		t.Errorf("chose %s, want m2, the one with full service", m.ID)
 	}
@@ -76,12 +76,12 @@
 	}
 	p.now += 2 * overloadDuration
 	invalidateAll(p)
-	p.refresh()
+	p.refreshIndex()
 	if m := p.vote(allCandidates(p)); m.ID == "m2" {
 		t.Errorf("chose %s, so old reports still count", m.ID)
 	}
 	p.Step(p.now, []Event{UsageReport{Task: "a", Machine: "m0", Kind: MemoryPressure, Amount: 0.99}})
-	if p.refresh(); p.vote(allCandidates(p)[:2]).ID != "m1" {
+	if p.refreshIndex(); p.vote(allCandidates(p)[:2]).ID != "m1" {
 		t.Error("chose m0, want m1: memory pressure counts")
 	}
 }
