--- a/api.go
+++ b/api.go
@@ -1,5 +1,6 @@
-// Package flaxshelf decides where the tasks of services run on shared machines, for one scheduler among several. Its
-// mechanism is the replay vote of the CAA policy; see docs/design.md.
+// Package flaxshelf decides on which machines of a shared fleet the tasks of services run. Several schedulers may place
+// tasks on the same machines; each decides by itself, with its own Placer. Among the machines that may take a task it
+// chooses by the replay vote of the CAA policy, which is described in docs/design.md.
 //
 // A host makes one Placer for each scheduler with New and passes it batches of events with Placer.Step, which returns the
 // actions to execute. A Placer reads no clock, does no input or output and starts no goroutine. It is not safe for
@@ -7,9 +8,10 @@
 //
 // # Files
 //
-// The interface of the package is in api.go, action_handler.go, config.go, policy_rules.go and enums.go; placer.go,
-// machine.go and task.go hold the records. Every decision is in the other files, which deploy/balancer.toml lists as
-// policy. The sets, columns and tables that the decisions read are kept by internal/machineindex.
+// The exported API is in api.go, action_handler.go, config.go, policy_rules.go and enums.go. The state of a Placer and its
+// records of machines and tasks are in placer.go, machine.go and task.go, and the hooks for tests in observer.go. The other
+// files make the decisions; deploy/balancer.toml lists them as policy. Package internal/machineindex keeps the sets,
+// columns and tables that they read.
 package flaxshelf
 
 import "time"
@@ -17,47 +19,48 @@
 // Time is a reading of the host's clock. Its origin is arbitrary, and it never decreases.
 type Time = time.Duration
 
-// Idempotency is the effect of starting a task twice.
+// Idempotency tells whether a task may be started twice.
 type Idempotency int
 
 // The kinds of idempotency.
 const (
 	// Idempotent tasks may be started twice without harm.
 	Idempotent Idempotency = iota
-	// IdempotentByKey tasks have a key: the machines of one domain drop a task whose key they have seen recently.
+	// IdempotentByKey tasks have a key: the machines of one TaskClass.KeyDomain drop a task whose key one of them has seen
+	// within TaskClass.KeyTTL.
 	IdempotentByKey
 	// NonIdempotent tasks must never be started twice.
 	NonIdempotent
 )
 
-// TopologyDomain is the scope of an idempotency key or of a spread rule.
+// TopologyDomain is the set of machines for which an idempotency key or a spread limit holds.
 type TopologyDomain int
 
-// The scopes, each wider than the one before.
+// The domains, from the narrowest to the widest.
 const (
-	// NoDomain means that there is no such key or rule.
+	// NoDomain means that there is no such key or limit.
 	NoDomain TopologyDomain = iota
 	// MachineDomain is one machine.
 	MachineDomain
-	// CellDomain is all machines of one cell.
+	// CellDomain is all machines in one cell.
 	CellDomain
-	// ZoneDomain is all machines of one zone.
+	// ZoneDomain is all machines in one zone.
 	ZoneDomain
-	// FleetDomain is all machines.
+	// FleetDomain is all machines of the fleet.
 	FleetDomain
 )
 
-// TaskClass is one class of tasks.
+// TaskClass holds the settings that the tasks of one class share.
 type TaskClass struct {
 	Name        string
 	Idempotency Idempotency
-	// KeyDomain is the scope within which a second task of one key is dropped, for IdempotentByKey.
+	// KeyDomain is where a second task with the same key is dropped. It is used with IdempotentByKey only.
 	KeyDomain TopologyDomain
-	// KeyTTL is how long a key is remembered, from the send of the first attempt that may have run.
+	// KeyTTL is how long machines remember a key, from when the first attempt that may have run was sent.
 	KeyTTL time.Duration
-	// LatencyObjective is the time from submission to start within which a start earns its full value.
+	// LatencyObjective is the time from submission to start up to which a start earns its full value.
 	LatencyObjective time.Duration
-	// PriorityWeight is the value of one second of full service.
+	// PriorityWeight is the value of one second in which a task gets full service.
 	PriorityWeight float64
 	// LateStartWeight is the fraction of its value that a start earns after the objective.
 	LateStartWeight float64
@@ -65,35 +68,35 @@
 	StartValueSeconds float64
 	// FullServiceUtilization is the fraction of busy cores up to which tasks get full service.
 	FullServiceUtilization float64
-	// ServiceFadeRange is the range of the fraction of busy cores, beyond FullServiceUtilization, over which service falls to 0.
+	// ServiceFadeRange is by how much the fraction of busy cores exceeds FullServiceUtilization where service reaches 0.
 	ServiceFadeRange float64
-	// Kind is the index in Config.Kinds of the required kind of machine; -1 means any.
+	// Kind is the index in Config.Kinds of the kind of machine that the tasks require; -1 means any kind.
 	Kind     int
 	Priority int
-	// SpreadDomain is the scope of MaxPerDomain: NoDomain, MachineDomain, CellDomain or ZoneDomain.
+	// SpreadDomain is where MaxPerDomain limits tasks: NoDomain, MachineDomain, CellDomain or ZoneDomain.
 	SpreadDomain TopologyDomain
-	// MaxPerDomain is the most tasks of one service that this scheduler may have in one such domain.
+	// MaxPerDomain is how many tasks of one service this scheduler may have in one such domain.
 	MaxPerDomain int
 }
 
-// MachineKind is one kind of machine.
+// MachineKind is the size of the machines of one kind.
 type MachineKind struct {
 	Name   string
 	Cores  float64
 	Memory float64 // in the unit of Task.Memory
 }
 
-// Tenant is a user of the shared fleet.
+// Tenant is a user of the fleet, with a quota of it.
 type Tenant struct {
 	Name          string
-	QuotaFraction float64 // of the fleet
-	// TasksPerSecond is the rate of new tasks within its quota, over all schedulers; zero means unknown.
+	QuotaFraction float64 // fraction of the fleet
+	// TasksPerSecond is the rate of new tasks that its quota covers, summed over all schedulers; zero means unknown.
 	TasksPerSecond float64
-	// QuotaCores is the cores requested within its quota, over all schedulers; zero means unknown.
+	// QuotaCores is the number of requested cores that its quota covers, summed over all schedulers; zero means unknown.
 	QuotaCores float64
 }
 
-// Prices are points that are subtracted from the result; zero means free.
+// Prices are the points that each kind of cost subtracts from a run's score; zero means free.
 type Prices struct {
 	CrossZone     float64
 	Waste         float64
@@ -103,37 +106,39 @@
 	Discovery     float64
 	MachinesInUse float64
 	Rejection     float64
-	// EvictionMigrations is the price of an eviction or preemption, in migrations.
+	// EvictionMigrations is the price of an eviction or preemption, as a multiple of the price of a migration.
 	EvictionMigrations float64
 }
 
-// Config is the settings of one scheduler and its fleet. Zero values mean unknown or not allowed.
+// Config holds the settings of one scheduler and its fleet. A zero value means unknown or not allowed.
 //
-// It has all settings that a deployment may have. At present the package does not use
-// HedgedRequests, CanHealthCheck, CanGossip, CanRetryAfter, MaxRetryAfter, Preempts, ReportsUsage, AnswerSlack,
-// Tenant.TasksPerSecond and Tenant.QuotaFraction.
+// It has all settings of a deployment, also those that only hosts read. The decisions of this package do not depend on Zone,
+// PlacedWhenRunning, Preempts, ReportsUsage, HedgedRequests, CanHealthCheck, CanGossip, CanRetryAfter, MaxRetryAfter,
+// ConnectTimeout, AnswerSlack and DrainGrace. Of Tenant they do not use TasksPerSecond and QuotaFraction, of TaskClass not
+// PriorityWeight, LateStartWeight, FullServiceUtilization, ServiceFadeRange and Priority, and of Prices only MachinesInUse
+// and Migration.
 type Config struct {
-	// Index is this scheduler's number among Schedulers, from 0. It must differ between schedulers.
+	// Index is this scheduler's number, from 0 to Schedulers-1. No two schedulers may have the same one.
 	Index      int
 	Schedulers int
 	Zone       string // of this scheduler
 	Classes    []TaskClass
 	Kinds      []MachineKind
 	Tenants    []Tenant
-	// OverQuotaWeight is the fraction of its value that a task beyond its tenant's quota earns; below 1, such tasks are
-	// queued last.
+	// OverQuotaWeight is the fraction of its value that a task beyond its tenant's quota earns. Where it is below 1, queued
+	// tasks of tenants beyond their quota are served last.
 	OverQuotaWeight float64
 	Prices          Prices
-	// CoreOvercommit is the multiple of its cores up to which a machine accepts tasks, by what they request.
+	// CoreOvercommit is the ratio of requested cores to its own cores up to which a machine accepts tasks.
 	CoreOvercommit     float64
 	MemoryOvercommit   float64 // the same for memory
 	PlacedWhenRunning  bool    // AttemptPlaced means that the task runs, not only that it was accepted
-	Preempts           bool    // machines preempt lower priorities
-	ListsFreeCapacity  bool    // entries of the machine list carry free cores and memory
-	ReportsUsage       bool    // load reports subtract what is used, not what is requested
+	Preempts           bool    // machines preempt tasks of lower priority
+	ListsFreeCapacity  bool    // the machine list gives the free cores and memory of each machine
+	ReportsUsage       bool    // in load reports, free means not used instead of not requested
 	DiscoveryOnRequest bool    // changes of the machine list are sent only after Subscribe
-	MaxAttempts        int     // for each task; zero means no limit
-	HedgedRequests     bool    // two attempts of one task may be active at once
+	MaxAttempts        int     // per task; zero means no limit
+	HedgedRequests     bool    // two attempts of one task may be active at the same time
 	CanCancel          bool
 	CanHealthCheck     bool
 	CanGossip          bool
@@ -145,30 +150,30 @@
 	DrainGrace         time.Duration
 	// DiscoveryPollDeadline is how long an answer to Subscribe may take.
 	DiscoveryPollDeadline time.Duration
-	// SlowStartDuration is the longest time after its start for which a machine is in slow start. The package adds an
-	// OverloadWindow, for offers that are still counted then.
+	// SlowStartDuration is the longest time after its start for which a machine is in slow start. The package limits offers
+	// for one OverloadWindow longer, because offers of the last window still count.
 	SlowStartDuration time.Duration
-	// OverloadWindow is the time within which offers to a machine in slow start are counted.
+	// OverloadWindow is the sliding window over which offers to a machine in slow start are counted.
 	OverloadWindow time.Duration
-	// SlowStartBudget is the number of offers of all schedulers within OverloadWindow that a machine in slow start always
-	// accepts without overload.
+	// SlowStartBudget is the number of offers of all schedulers together within OverloadWindow up to which a machine in slow
+	// start is never overloaded.
 	SlowStartBudget float64
 }
 
-// Task is one request to place a task.
+// Task is a request to place a task on a machine.
 type Task struct {
 	// ID is unique to the request.
 	ID string
-	// Key is the idempotency key. It is the same when the task is submitted again.
+	// Key is the idempotency key. A task that is submitted again keeps its key.
 	Key             string
 	Service         string
 	Class           int // index in Config.Classes
 	Tenant          int // index in Config.Tenants, or -1
 	Cores           float64
 	Memory          float64
-	ExpectedRuntime time.Duration // remaining, roughly; zero means unknown
+	ExpectedRuntime time.Duration // estimate of the remaining run time; zero means unknown
 	Deadline        Time          // when its owner stops waiting for an answer
-	Retry           bool          // the task has been requested before
+	Retry           bool          // the task was submitted before
 }
 
 // MachineState is the state of a machine according to discovery.
@@ -214,41 +219,41 @@
 	Completed Outcome = iota
 	// Failed means that the machine answered with an error. The task may have started.
 	Failed
-	// Rejected is proof that the task never ran.
+	// Rejected means that the machine refused the task, which proves that it never ran.
 	Rejected
-	// TimedOut means that there was no answer within the offer's time-out. The task may have started.
+	// TimedOut means that the machine did not answer within Offer.Timeout. The task may have started.
 	TimedOut
-	// Unreachable is proof that the task never ran.
+	// Unreachable means that the machine could not be reached, which proves that the task never ran.
 	Unreachable
-	// Lost means, after AttemptPlaced, that the task was evicted, preempted, drained away or lost with its machine, and
-	// before it, that the reply broke off.
+	// Lost means, after AttemptPlaced, that the task was evicted, preempted, drained away or lost with its machine. Before
+	// AttemptPlaced it means that the reply broke off; the task may have started.
 	Lost
-	// Canceled on request.
+	// Canceled means that the attempt was canceled on request.
 	Canceled
-	// NotSent is proof that the task never ran.
+	// NotSent means that the offer was not sent to the machine, which proves that the task never ran.
 	NotSent
 )
 
-// Reason details a Rejected or Lost attempt.
+// Reason is why an attempt was Rejected or Lost.
 type Reason int
 
 // The reasons.
 const (
 	// UnspecifiedReason means that the reason is unknown.
 	UnspecifiedReason Reason = iota
-	// InsufficientCores rejects a task for the cores that it requests.
+	// InsufficientCores means that the machine rejected the task for the cores that it requests.
 	InsufficientCores
-	// InsufficientMemory rejects a task for the memory that it requests.
+	// InsufficientMemory means that the machine rejected the task for the memory that it requests.
 	InsufficientMemory
-	// QueueFull rejects a task whatever its size.
+	// QueueFull means that the machine rejected the task regardless of its size.
 	QueueFull
-	// UnsupportedTask rejects a task that the machine never accepts.
+	// UnsupportedTask means that the machine never accepts this task.
 	UnsupportedTask
-	// Evicted to free a resource that ran short.
+	// Evicted means that the task was stopped to free a resource that ran short.
 	Evicted
-	// Preempted by a task of higher priority.
+	// Preempted means that the task was stopped for one of higher priority.
 	Preempted
-	// DrainedAway because the machine leaves service.
+	// DrainedAway means that the task was stopped because its machine leaves service.
 	DrainedAway
 )
 
@@ -259,36 +264,36 @@
 const (
 	// TaskRunning reports that the task has started.
 	TaskRunning UsageKind = iota + 1
-	// CoresUsed by the task.
+	// CoresUsed reports the cores that the task uses.
 	CoresUsed
-	// MemoryUsed by the task.
+	// MemoryUsed reports the memory that the task uses.
 	MemoryUsed
-	// ServiceLevel is the fraction of full service that the task gets.
+	// ServiceLevel reports the fraction of full service that the task gets.
 	ServiceLevel
-	// MemoryPressure is the fraction of its machine's memory in use.
+	// MemoryPressure reports the fraction of the machine's memory that is in use.
 	MemoryPressure
 )
 
-// Event is one of the event types of this package, which report to a Placer what has happened.
+// Event is one of the event types of this package. Events tell a Placer what has happened.
 type Event interface{ event() }
 
 type (
 	// MachinesUpdated reports entries of the machine list.
 	MachinesUpdated struct {
 		Machines []Machine
-		Complete bool // it is the complete list, so other machines are removed
-		Stale    bool // as last seen before this scheduler started; it may be out of date
+		Complete bool // these are all machines; any other one was removed
+		Stale    bool // the entries are from before this scheduler started and may be out of date
 	}
-	// DiscoveryFailed reports that a request to discovery failed or the subscription broke off.
+	// DiscoveryFailed reports that a request to discovery failed or that the subscription broke off.
 	DiscoveryFailed struct{}
-	// TaskSubmitted requests that a task is placed.
+	// TaskSubmitted requests the placement of a task.
 	TaskSubmitted struct{ Task Task }
-	// TaskAdopted reports a task that runs already, as its attempt 0.
+	// TaskAdopted reports a task that already runs on a machine. That run is the task's attempt 0.
 	TaskAdopted struct {
 		Task    Task
 		Machine string
 	}
-	// AttemptPlaced reports that an attempt was accepted; with Config.PlacedWhenRunning, that it runs.
+	// AttemptPlaced reports that a machine accepted an attempt or, with Config.PlacedWhenRunning, that the attempt runs.
 	AttemptPlaced struct {
 		Task    string
 		Machine string
@@ -302,11 +307,11 @@
 		Attempt int
 		Outcome Outcome
 		Reason  Reason
-		Final   bool // the task needs no further answer
+		Final   bool // the task needs no other final answer
 		Latency time.Duration
 		Load    LoadReport
 	}
-	// UsageReport is a measurement of an active attempt.
+	// UsageReport reports a measurement of an active attempt.
 	UsageReport struct {
 		Task    string
 		Machine string
@@ -314,20 +319,20 @@
 		Kind    UsageKind
 		Amount  float64 // in the unit of Kind
 	}
-	// HealthChecked answers a HealthCheck.
+	// HealthChecked reports the result of a HealthCheck.
 	HealthChecked struct {
 		Machine string
 		Outcome Outcome
 		Load    LoadReport
 	}
-	// GossipReceived delivers the data of another scheduler's SendGossip.
+	// GossipReceived delivers the data that another scheduler sent with SendGossip.
 	GossipReceived struct {
 		From int // Config.Index of the sender
 		Data []byte
 	}
-	// TimerFired answers a SetTimer.
+	// TimerFired reports that the time of a SetTimer has passed.
 	TimerFired struct{}
-	// TaskCanceled reports that the owner no longer needs the task.
+	// TaskCanceled reports that the task's owner no longer needs it.
 	TaskCanceled struct{ Task string }
 )
 
@@ -343,7 +348,7 @@
 func (TimerFired) event()      {}
 func (TaskCanceled) event()    {}
 
-// Action is one of the action types of this package, which a Placer requests of its host, see HandleActions.
+// Action is one of the action types of this package. Placer.Step returns them and the host executes them, see HandleActions.
 type Action interface{ handle(ActionHandler) }
 
 type (
@@ -358,18 +363,18 @@
 		Task    string
 		Attempt int
 	}
-	// Reject is a final answer that guarantees that a retry does no harm.
+	// Reject tells the task's owner that the task was not placed and that submitting it again does no harm.
 	Reject struct{ Task string }
-	// Fail is a final answer without that guarantee.
+	// Fail tells the task's owner that the task was not placed, but may have run.
 	Fail struct{ Task string }
-	// Migrate stops a placed task, so that its owner submits it again.
+	// Migrate stops a placed task so that its owner submits it again.
 	Migrate struct{ Task string }
 	// HealthCheck requests a load report from a machine.
 	HealthCheck struct{ Machine string }
 	// SendGossip sends data to all other schedulers.
 	SendGossip struct{ Data []byte }
-	// Subscribe requests changes of the machine list from now on.
+	// Subscribe requests that discovery sends changes of the machine list from now on.
 	Subscribe struct{}
-	// SetTimer requests a TimerFired event.
+	// SetTimer requests a TimerFired event after the given time.
 	SetTimer struct{ After time.Duration }
 )
