--- a/action_handler.go
+++ b/action_handler.go
@@ -1,7 +1,7 @@
 package flaxshelf
 
-// ActionHandler executes the actions of a Placer. It has one method for each type of action, so a host that does not
-// handle one of them does not compile.
+// ActionHandler executes the actions of a Placer. It has one method for each type of action, so that a host which forgets
+// one does not compile.
 type ActionHandler interface {
 	HandleOffer(Offer)
 	HandleCancel(Cancel)
@@ -14,7 +14,7 @@
 	HandleSetTimer(SetTimer)
 }
 
-// HandleActions calls the handler's method for each action, in order.
+// HandleActions passes each action, in order, to the method of handler for its type.
 func HandleActions(actions []Action, handler ActionHandler) {
 	for _, action := range actions {
 		action.handle(handler)
--- a/affinity.go
+++ b/affinity.go
@@ -7,10 +7,10 @@
 	"flaxshelf.example/flaxshelf/internal/machineindex"
 )
 
-// Affinity ranks the machines as hosts of a service by weighted rendezvous hashing: a machine is the best for a number of
-// services in proportion to its weight, at every scheduler alike.
+// Affinity ranks the machines for each service by weighted rendezvous hashing. Every scheduler computes the same ranking,
+// and the number of services for which a machine ranks first is in proportion to the weight of its kind.
 
-// affinityPolicy is how the index ranks machines of the given kinds.
+// affinityPolicy returns the rules by which the index ranks machines of the given kinds.
 func affinityPolicy(kinds []MachineKind) machineindex.AffinityPolicy {
 	policy := machineindex.AffinityPolicy{Compare: compareAffinity, HashThreshold: topAffinityThreshold}
 	for _, kind := range kinds {
@@ -19,13 +19,13 @@
 	return policy
 }
 
-// affinityScore returns the rank of a machine among those for a service; the highest is the best.
+// affinityScore returns the score of weighted rendezvous hashing; the machine with the highest score ranks first.
 func affinityScore(a machineindex.Affinity) float64 {
 	return math.Log(a.HashValue/machineindex.MaxHashValue) / a.Weight
 }
 
-// compareAffinity returns a value above 0 where a is the higher affinity. Among machines of one weight the hash value
-// decides, without a logarithm.
+// compareAffinity returns a value above 0 if a is the higher affinity. For equal weights it compares the hash values, which
+// give the same order as the scores and need no logarithm.
 func compareAffinity(a, b machineindex.Affinity) int {
 	if a.Weight == b.Weight {
 		return cmp.Compare(a.HashValue, b.HashValue)
@@ -33,13 +33,14 @@
 	return cmp.Compare(affinityScore(a), affinityScore(b))
 }
 
-// topAffinityThreshold returns the fraction of the largest hash value from which on affinityScore ranks a machine among the
-// topAffinityCount of highest affinity, in expectation, where the weights of all machines add up to totalWeight.
+// topAffinityThreshold returns the hash value, as a fraction of the largest one, that a machine of the given weight needs to
+// rank among the first for a service. The expected number of such machines is topAffinityCount, where totalWeight is the
+// sum of the weights of all machines.
 func topAffinityThreshold(weight, totalWeight float64) float64 {
 	return math.Exp(-topAffinityCount / totalWeight * weight)
 }
 
-// kindWeight returns the size of a kind of machine: the smaller of its fractions of the largest cores and memory.
+// kindWeight returns the size of a kind relative to the largest kind: by cores or by memory, whichever gives less.
 func kindWeight(kind MachineKind, kinds []MachineKind) float64 {
 	var largest MachineKind
 	for _, other := range kinds {
--- a/answers.go
+++ b/answers.go
@@ -6,11 +6,12 @@
 	"time"
 )
 
-// Answers: offers and final answers of open tasks.
+// Open tasks are those that are submitted and not settled. Each is offered to machines until one accepts it, or gets a final
+// answer: Reject or Fail.
 
-// processOpenTasks answers the open tasks that are due and offers those that have no active attempt. Tasks within their
-// tenant's quota are served first, and among these the ones that can still start within their latency objective: when
-// capacity is short, they earn the most. See queueRankOf.
+// processOpenTasks offers the open tasks that have no active attempt and gives the final answer to those whose answer is
+// due. Tasks within their tenant's quota come first, and among these the ones that can still start within their latency
+// objective: when capacity is short, they earn the most. See queueRankOf.
 func (p *Placer) processOpenTasks() {
 	if !p.disabled[QueueRankOrder] {
 		p.sortOpenTasks()
@@ -27,7 +28,7 @@
 	p.openTasks = slices.DeleteFunc(p.openTasks, func(t *task) bool { return t.settled })
 }
 
-// placeTask offers t to a machine, leaves it in the queue, or gives it its final answer.
+// placeTask offers t to a machine, leaves it in the queue or gives it its final answer.
 func (p *Placer) placeTask(t *task) {
 	if !p.mayOffer(t) {
 		p.sendFinalAnswer(t)
@@ -56,7 +57,8 @@
 	return t.class.Idempotency != NonIdempotent || !t.mayHaveRun() || p.disabled[RetrySafetyConstraint]
 }
 
-// mayStayQueued reports whether t stays queued while no machine may take it. Owners may be slow to submit a rejected task again.
+// mayStayQueued reports whether t stays queued while no machine may take it. Even a task without a latency objective may be
+// queued for minQueueTimeout, because owners may be slow to submit a rejected task again.
 func (p *Placer) mayStayQueued(t *task) bool {
 	if t.mayHaveRun() && t.class.Idempotency == IdempotentByKey {
 		return false
@@ -69,8 +71,8 @@
 	return p.cfg.MaxAttempts > 0 && len(t.attempts) >= p.cfg.MaxAttempts
 }
 
-// attemptTimeout returns the time-out of an attempt that starts now. It leaves time for a further attempt where one is
-// allowed, and ends before the answer is due.
+// attemptTimeout returns the time-out of an attempt that is offered now. It ends before the final answer is due and, if
+// another attempt is allowed, leaves time for it.
 func (p *Placer) attemptTimeout(t *task) time.Duration {
 	remaining := p.offerDeadline(t) - p.now
 	if t.class.Idempotency == NonIdempotent || p.attemptsExhausted(t) {
@@ -80,20 +82,20 @@
 	return min(remaining, max(latencyBound, t.class.LatencyObjective/2, minAttemptTimeout))
 }
 
-// recordLatency updates the smoothed time from offer to placement.
+// recordLatency updates the smoothed mean and deviation of the time from offer to placement.
 func (p *Placer) recordLatency(latency time.Duration) {
 	seconds := latency.Seconds()
 	p.latencyDeviation += (math.Abs(seconds-p.latencyMean) - p.latencyDeviation) / latencySmoothing
 	p.latencyMean += (seconds - p.latencyMean) / latencySmoothing
 }
 
-// answerDeadline returns the latest time to give the final answer.
+// answerDeadline returns the time at which t must get its final answer.
 func (p *Placer) answerDeadline(t *task) Time { return t.Deadline - p.answerMargin() }
 
-// offerDeadline returns the latest time for an attempt to end, which leaves time to answer.
+// offerDeadline returns the time by which an attempt must end, so that time remains for the final answer.
 func (p *Placer) offerDeadline(t *task) Time { return t.Deadline - 2*p.answerMargin() }
 
-// answerMargin returns how long before its deadline a task is answered.
+// answerMargin returns how long before its deadline a task must get its final answer.
 func (p *Placer) answerMargin() time.Duration {
 	if p.disabled[AnswerDeadlineConstraint] {
 		return -time.Second
@@ -101,8 +103,8 @@
 	return 2*p.cfg.Tick + answerDeadlineMargin
 }
 
-// sendFinalAnswer gives t its final answer. A rejection guarantees that a retry is safe, so it needs proof that no attempt ran,
-// or a class for which a second start does no harm on any machine.
+// sendFinalAnswer gives t its final answer. Reject guarantees that submitting the task again is safe, so it needs proof that
+// no attempt ran, or a class for which a second start does no harm on any machine. Otherwise the answer is Fail.
 func (p *Placer) sendFinalAnswer(t *task) {
 	t.settled = true
 	p.attributeFailures(t)
@@ -121,7 +123,7 @@
 	p.deleteIfSettled(t)
 }
 
-// mayHaveRun reports whether an attempt lacks proof that the task was not started.
+// mayHaveRun reports whether t has an attempt without proof that it was never started.
 func (t *task) mayHaveRun() bool {
 	return slices.ContainsFunc(t.attempts, func(a attempt) bool { return !a.neverRan })
 }
--- a/capacity.go
+++ b/capacity.go
@@ -2,17 +2,18 @@
 
 import "flaxshelf.example/flaxshelf/internal/machineindex"
 
-// Capacity: what is free on a machine and what is requested of it, by the machine list and this scheduler's own offers.
+// Capacity: how much is free on a machine and how much is requested of it, according to the machine list and to this
+// scheduler's own offers.
 
-// recordListing records that the machine list names m now. Placements from listDelay before count as assumed: the listed
-// free capacity may not show them.
+// recordListing records that m was updated from the machine list now. Placements that were offered at most listDelay ago
+// may be missing from the listed free capacity, so they are assumed to use capacity in addition.
 func (p *Placer) recordListing(m *machine) {
 	m.coresSinceListed, m.memorySinceListed = 0, 0
 	p.index.SetAssumedSince(m.entry, p.now-listDelay)
 }
 
-// updateCapacity writes the capacity and the external load of a machine into the index; kindIndex is -1 for a machine
-// without a kind.
+// updateCapacity writes the capacity and the external load of a machine into the index. kindIndex is -1 if its kind is
+// unknown.
 func (p *Placer) updateCapacity(m *machine, kindIndex int) {
 	number := m.entry.Number()
 	if kindIndex < 0 {
@@ -36,16 +37,18 @@
 	p.index.SetCapacity(number, capacity)
 }
 
-// requestedFraction returns the fraction of m that all schedulers together have requested, by the machine list.
+// requestedFraction returns the fraction of m that all schedulers together have requested according to the machine list: of
+// cores or of memory, whichever is larger.
 func (p *Placer) requestedFraction(m *machine) float64 {
 	kind := p.cfg.Kinds[m.Kind]
 	return max((kind.Cores-m.FreeCores)/kind.Cores, (kind.Memory-m.FreeMemory)/kind.Memory)
 }
 
-// externalLoad returns the load of m without this scheduler's placements, as a fraction of its kind: what others
-// requested by the list, and the service shortfall of this scheduler's tasks there. The plain replay begins with an empty
-// fleet; with few placements in the history most machines would tie at 0, and a constraint on overload would be
-// skipped when most machines are overloaded. It is wrong where one of the tasks is itself at fault.
+// externalLoad returns the load of m with which the replay vote begins, as a fraction of the machine's size: what other
+// schedulers requested according to the machine list, and a penalty for the service shortfall of this scheduler's tasks
+// there. If the replay began with an empty fleet and the history was short, most machines would tie at 0. The shortfall is
+// a penalty and not a soft constraint, because that would be skipped when most machines are overloaded. The penalty is
+// wrong where one of the tasks itself causes the poor service.
 func (p *Placer) externalLoad(m *machine) float64 {
 	overload := 0.0
 	if p.now < m.overloadedUntil && !p.disabled[OverloadPenalty] {
@@ -60,8 +63,8 @@
 	return overload + max(0, cores/kind.Cores, memory/kind.Memory)
 }
 
-// relativeSize returns the fraction of machine m that task t requests: the larger of those of cores and memory. It is 0 for a
-// machine of unknown kind.
+// relativeSize returns the fraction of m that t requests: of cores or of memory, whichever is larger. It is 0 if the kind of
+// m is unknown.
 func (p *Placer) relativeSize(t *task, m *machine) float64 {
 	if m.Kind < 0 {
 		return 0
