--- a/conditions.go
+++ b/conditions.go
@@ -8,23 +8,23 @@
 	"flaxshelf.example/flaxshelf/internal/machineindex"
 )
 
-// conditions is the present state of all machines, as sets and columns of the index. updateIndex writes them and the
-// constraints read them.
+// conditions holds the current state of all machines, in sets and columns of the index. updateIndex writes them from the
+// records of the machines; the constraints and the vote read them.
 type conditions struct {
 	slowStarting   *bitset.BitSet
-	ejected        *bitset.BitSet
-	ejectedByClass []*bitset.BitSet
+	ejected        *bitset.BitSet   // as a whole
+	ejectedByClass []*bitset.BitSet // for one class of tasks
 	overloaded     *bitset.BitSet
-	withAttempts   *bitset.BitSet // with attempts of this scheduler
-	rejecting      *bitset.BitSet
-	offerLimited   *bitset.BitSet
-	withLoadReport *bitset.BitSet // with a fresh load report
-	activeByKind   []*bitset.BitSet
+	withAttempts   *bitset.BitSet   // with active attempts of this scheduler
+	rejecting      *bitset.BitSet   // expected to reject tasks of some size
+	offerLimited   *bitset.BitSet   // with as many pending offers as machine.offerLimit allows
+	withLoadReport *bitset.BitSet   // with a fresh load report
+	activeByKind   []*bitset.BitSet // in service
 
 	reportedLoad *machineindex.Column
 	externalLoad *machineindex.Column
 
-	// Sets in use by the choice in progress.
+	// Sets that choices use for their results.
 	eligibleBuffer *bitset.BitSet
 	excludedBuffer *bitset.BitSet
 }
@@ -70,17 +70,18 @@
 	return true
 }
 
-// refreshIndex brings the index up to date.
+// refreshIndex brings the index up to date. After a change, machines may take requests that were infeasible before.
 func (p *Placer) refreshIndex() {
 	if p.index.Refresh(func(number int) { p.updateIndex(p.sortedMachines[number]) }) {
 		clear(p.infeasible)
 	}
 }
 
-// invalidate has the index updated from the record of m before the next choice.
+// invalidate marks m as changed, so that the next choice first updates the index from the record of m.
 func (p *Placer) invalidate(m *machine) { p.index.Invalidate(m.entry) }
 
-// updateIndex writes the present state of m into the index, and has it written again when a part of that state ends.
+// updateIndex writes the current state of m into the index. It sets the expiry of m to the earliest time at which a part of
+// that state ends, so that m is updated again then.
 func (p *Placer) updateIndex(m *machine) {
 	c, number := &p.conditions, uint(m.entry.Number())
 	kind := p.updateKind(m)
@@ -100,7 +101,7 @@
 	p.index.SetExpiry(m.entry, tracker.next)
 }
 
-// updateKind writes of which kind m is and whether it is in service. It returns the kind; -1 for an unlisted machine.
+// updateKind writes the kind of m into the index, and whether m is in service. It returns the kind, or -1 if it is unknown.
 func (p *Placer) updateKind(m *machine) int {
 	number, kind := m.entry.Number(), -1
 	if m.listed && m.Kind >= 0 {
--- a/config.go
+++ b/config.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// ConfigError reports a field of a Config whose value is invalid. New returns it.
+// ConfigError is the error of New for a Config with an invalid value.
 type ConfigError struct {
-	Field  string // path within Config, with the name of the kind or class: Classes[2] (web).Kind
-	Value  any    // of the field
+	Field  string // path within Config, with the name of the kind or class, such as Classes[2] (web).Kind
+	Value  any    // the invalid value
 	Reason string
 }
 
@@ -17,7 +17,7 @@
 	return fmt.Sprintf("flaxshelf: Config.%s is %v: %s", e.Field, e.Value, e.Reason)
 }
 
-// validate returns a *ConfigError for the first invalid field.
+// validate returns a *ConfigError for the first field that is invalid, or nil.
 func validate(cfg *Config) error {
 	for i, kind := range cfg.Kinds {
 		if err := validateKind(fmt.Sprintf("Kinds[%d] (%s)", i, kind.Name), kind); err != nil {
@@ -50,9 +50,9 @@
 	return nil
 }
 
-// validateKind validates a kind of machine, whose path in Config is field.
+// validateKind checks a kind of machine. field is its path in Config.
 func validateKind(field string, kind MachineKind) error {
-	if !(kind.Cores > 0) { // not a number is refused too
+	if !(kind.Cores > 0) { // the negation also catches NaN
 		return &ConfigError{field + ".Cores", kind.Cores, "must be above 0"}
 	}
 	if !(kind.Memory > 0) {
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// validateClass validates a class of tasks, whose path in Config is field.
+// validateClass checks a class of tasks. field is its path in Config and kinds the number of machine kinds.
 func validateClass(field string, class TaskClass, kinds int) error {
 	switch {
 	case class.Kind < -1 || class.Kind >= kinds:
--- a/constraints_hard.go
+++ b/constraints_hard.go
@@ -6,9 +6,10 @@
 	"flaxshelf.example/flaxshelf/internal/machineindex"
 )
 
-// Hard constraints: a guarantee to users depends on each, so they are never relaxed.
+// Hard constraints are never relaxed, because a guarantee to users depends on each of them.
 
-// applyHardConstraints returns the machines that may take t. The result is valid until the next call.
+// applyHardConstraints returns the machines that satisfy all hard constraints for t. The result is valid until the next
+// call.
 func (p *Placer) applyHardConstraints(t *task) *bitset.BitSet {
 	eligible := p.eligibleByKind(t)
 	p.applyRetrySafety(t, eligible)
@@ -17,8 +18,8 @@
 	return eligible
 }
 
-// eligibleByKind returns the machines that are listed, in service, and of a kind that t's class allows and that has
-// capacity for t when empty. The result is valid until the next call.
+// eligibleByKind returns the machines that are listed, in service and of a kind that t's class allows, if an empty machine
+// of that kind has capacity for t. The result is valid until the next call.
 func (p *Placer) eligibleByKind(t *task) *bitset.BitSet {
 	eligible := p.conditions.eligibleBuffer.ClearAll()
 	for kind, active := range p.conditions.activeByKind {
@@ -37,7 +38,8 @@
 	return t.Cores <= cores && t.Memory <= memory
 }
 
-// applyRetrySafety excludes machines where a second start may do harm, once an attempt may have run.
+// applyRetrySafety excludes the machines on which a second start of t may do harm, if an earlier attempt may have run. With
+// an idempotency key, those are the machines outside the key's domain, and all machines once the key has expired.
 func (p *Placer) applyRetrySafety(t *task, eligible *bitset.BitSet) {
 	if t.class.Idempotency == Idempotent || p.disabled[RetrySafetyConstraint] {
 		return
@@ -60,7 +62,8 @@
 	}
 }
 
-// inSameDomain reports whether two machines are in the same topology domain of the given scope.
+// inSameDomain reports whether two machines are in the same topology domain of the given scope. The cell and zone of a
+// machine that was never listed are unknown.
 func inSameDomain(scope TopologyDomain, a, b *machine) bool {
 	switch scope {
 	case MachineDomain:
@@ -73,7 +76,7 @@
 	return scope == FleetDomain
 }
 
-// applySpread excludes the domains that have as many attempts of t's service as its class allows.
+// applySpread excludes the machines of domains that already have as many active attempts of t's service as its class allows.
 func (p *Placer) applySpread(t *task, eligible *bitset.BitSet) {
 	service := p.index.FindService(t.Service)
 	if t.class.SpreadDomain == NoDomain || service == nil || p.disabled[SpreadConstraint] {
@@ -93,7 +96,7 @@
 	}
 }
 
-// applySlowStart excludes machines in slow start for which this scheduler's budget is used up.
+// applySlowStart excludes the machines in slow start for which this scheduler has used up its offers.
 func (p *Placer) applySlowStart(eligible *bitset.BitSet) {
 	machineindex.ForEachCommon(eligible, p.conditions.slowStarting, func(number int) {
 		if !p.hasSlowStartBudget(p.sortedMachines[number]) {
