--- a/constraints_soft.go
+++ b/constraints_soft.go
@@ -8,17 +8,17 @@
 	"flaxshelf.example/flaxshelf/internal/machineindex"
 )
 
-// Soft constraints: preferences among the eligible machines, which evidence gives reason for.
+// Soft constraints are preferences among the eligible machines. They rest on evidence, which may be wrong.
 
-// softFilter narrows the eligible machines by one soft constraint after another. The first are the strongest: a later one
-// is skipped where it would leave too few, so that wrong evidence never stops placements.
+// softFilter applies the soft constraints to the eligible machines, the most important one first. A constraint that would
+// leave too few machines is skipped, so that wrong evidence never stops placements.
 type softFilter struct {
 	placer   *Placer
 	eligible *bitset.BitSet
-	count    uint // of the eligible
+	count    uint // number of eligible machines
 }
 
-// exclude applies a constraint unless it would leave fewer machines than least.
+// exclude removes the excluded machines, unless fewer than minKept would remain or the rule is disabled.
 func (f *softFilter) exclude(rule PolicyRule, minKept uint, excluded *bitset.BitSet) {
 	kept := f.eligible.DifferenceCardinality(excluded)
 	if kept >= minKept && kept < f.count && !f.placer.disabled[rule] {
@@ -27,7 +27,8 @@
 	}
 }
 
-// applySoftConstraints returns the candidates for t among the eligible machines, which it narrows.
+// applySoftConstraints returns the candidates for t among the eligible machines. It removes the others from eligible, except
+// those that only affinity excludes.
 func (p *Placer) applySoftConstraints(t *task, eligible *bitset.BitSet) []machineindex.Candidate {
 	f := softFilter{placer: p, eligible: eligible, count: eligible.Count()}
 	if f.count == 0 {
@@ -44,7 +45,8 @@
 	return p.preferredMachines(t, eligible)
 }
 
-// excludePreviouslyTried prefers machines that this task was not offered to before: another machine gives more evidence.
+// excludePreviouslyTried avoids machines that t was offered to before. An attempt on another machine gives more evidence on
+// whether the task or the machine is at fault.
 func (p *Placer) excludePreviouslyTried(t *task, f *softFilter) {
 	if len(t.attempts) == 0 {
 		return
@@ -58,16 +60,17 @@
 	f.exclude(PreviousAttemptConstraint, 1, tried)
 }
 
-// excludeEjected avoids ejected machines, and those that fail t's class. When over half are ejected, no single machine is
-// the cause; but a class may fail on most machines, so the few that serve it remain candidates.
+// excludeEjected avoids machines that are ejected as a whole or for t's class. The first is skipped when more than half of
+// the machines are ejected, since single machines are then not the cause. A class, however, may fail on most machines, so
+// the second keeps to the few that serve it.
 func (p *Placer) excludeEjected(t *task, f *softFilter) {
 	c := &p.conditions
 	f.exclude(EjectionConstraint, max(minCandidates, f.count/2), c.ejected)
-	failingClass := c.ejected
+	ejectedForClass := c.ejected
 	if t.Class >= 0 && t.Class < len(c.ejectedByClass) {
-		failingClass = c.ejectedByClass[t.Class]
+		ejectedForClass = c.ejectedByClass[t.Class]
 	}
-	f.exclude(ClassEjectionConstraint, minCandidates, failingClass)
+	f.exclude(ClassEjectionConstraint, minCandidates, ejectedForClass)
 }
 
 // excludeWithoutCapacity excludes machines that are known to lack capacity. A rejected offer has a price and uses up an
@@ -78,45 +81,46 @@
 	if p.nearDeadline(t) {
 		minKept = 1
 	}
-	full := p.machinesWithoutCapacity(t, f.eligible)
-	if f.eligible.DifferenceCardinality(full) >= minKept {
-		f.eligible.InPlaceDifference(full)
+	lacking := p.machinesWithoutCapacity(t, f.eligible)
+	if f.eligible.DifferenceCardinality(lacking) >= minKept {
+		f.eligible.InPlaceDifference(lacking)
 		f.count = f.eligible.Count()
 	}
 }
 
-// nearDeadline reports whether t was never offered and little of its time remains.
+// nearDeadline reports whether t was never offered and at most a quarter of the time until its deadline remains.
 func (p *Placer) nearDeadline(t *task) bool {
 	return p.now >= t.submittedAt+(t.Deadline-t.submittedAt)*3/4 && len(t.attempts) == 0
 }
 
-// machinesWithoutCapacity returns the machines that recently rejected t's size or a smaller one, have as many pending offers as
-// allowed since a rejection, or lack free capacity by the list. After a rejection one offer may be pending, after each
-// acceptance one more: otherwise all queued tasks are offered to the first machine that accepts one (incident i959772).
+// machinesWithoutCapacity returns the machines that recently rejected a task of t's size or a smaller one, that have as many
+// pending offers as their limit allows, or that lack free capacity according to the machine list. A rejection sets the limit
+// to one pending offer and each acceptance raises it by one. Without the limit, all queued tasks are offered to the first
+// machine that accepts one of them (incident i959772).
 //
-// The list is delayed, so what this scheduler requested within listDelay before an entry is assumed to be in use too. An
-// estimate of what other schedulers requested since then queued too many tasks.
+// The machine list is delayed, so what this scheduler requested from listDelay before a machine's last listing on counts as
+// used too. An estimate of what the other schedulers requested in that time was tried; it queued too many tasks.
 func (p *Placer) machinesWithoutCapacity(t *task, eligible *bitset.BitSet) *bitset.BitSet {
-	full := p.conditions.excludedBuffer.ClearAll()
+	lacking := p.conditions.excludedBuffer.ClearAll()
 	machineindex.ForEachCommon(eligible, p.conditions.rejecting, func(number int) {
 		m := p.sortedMachines[number]
 		if p.relativeSize(t, m) >= m.minRejectedSize && !p.disabled[RejectionConstraint] {
-			full.Set(uint(number))
+			lacking.Set(uint(number))
 		}
 	})
 	if !p.disabled[OfferLimitConstraint] {
-		full.InPlaceUnion(p.conditions.offerLimited)
+		lacking.InPlaceUnion(p.conditions.offerLimited)
 	}
 	if p.cfg.ListsFreeCapacity && !p.disabled[CapacityConstraint] {
 		if !p.disabled[AssumedCapacity] {
-			p.index.UpdateAssumed(eligible.Difference(full))
+			p.index.UpdateAssumed(eligible.Difference(lacking))
 		}
-		p.index.AddMachinesLackingCapacity(eligible, full, t.Cores, t.Memory)
+		p.index.AddMachinesLackingCapacity(eligible, lacking, t.Cores, t.Memory)
 	}
-	return full
+	return lacking
 }
 
-// applyConsolidation narrows the choice to consolidationSet, where the settings price machines in use.
+// applyConsolidation excludes the machines outside consolidationSet, if machines in use have a price.
 func (p *Placer) applyConsolidation(f *softFilter) {
 	if p.cfg.Prices.MachinesInUse <= 0 || !p.cfg.ListsFreeCapacity || p.disabled[ConsolidationConstraint] {
 		return
@@ -127,10 +131,10 @@
 	}
 }
 
-// consolidationSet returns the machines that suffice for all that is requested of the fleet, filled to consolidationFill,
-// in the order of what is requested of them by the list. All schedulers share that order, and the machines left out become
-// empty the soonest. Where the fullest machines are overloaded, the later steps still avoid them: the vote and the
-// constraint on reported load.
+// consolidationSet returns enough machines for everything that is requested of the fleet, if each is filled to
+// consolidationFill. It takes the machines with the largest requested fraction first: by the machine list, so that all
+// schedulers choose the same ones, and because the least used machines become empty the soonest. If some of the fullest
+// machines are overloaded, the constraint on reported load and the vote still avoid them.
 func (p *Placer) consolidationSet(eligible *bitset.BitSet) *bitset.BitSet {
 	cores, memory := p.index.TotalRequested()
 	used, count := p.conditions.excludedBuffer.ClearAll(), 0
@@ -150,7 +154,8 @@
 	return used
 }
 
-// machinesWithHighReportedLoad returns the eligible machines whose last reported load is far above the mean of all eligible ones.
+// machinesWithHighReportedLoad returns the eligible machines whose last reported load exceeds the mean of all eligible ones
+// by at least reportedLoadMargin. Machines without a fresh report count as 0 in the mean.
 func (p *Placer) machinesWithHighReportedLoad(f *softFilter) *bitset.BitSet {
 	load, mean, count := p.conditions.reportedLoad, 0.0, float64(f.count)
 	reporting := p.conditions.withLoadReport
@@ -162,14 +167,15 @@
 	return high
 }
 
-// preferredMachines returns the machines that probably have a service's program in their cache: those with active attempts
-// of it, and its machine of highest affinity. When a machine is excluded, only its own services move to others. The machine
-// of the next affinity is added where there are fewer than minCandidates, since a vote needs more than one. Where the
-// preferred machines lost their caches, this only narrows the vote.
+// preferredMachines returns the machines that probably have the program of t's service in their cache: those with active
+// attempts of the service and the machine of highest affinity to it. With affinity, the exclusion of a machine moves only
+// the services that prefer it. If these are fewer than minCandidates, the machine of second highest affinity is added, since
+// a vote needs more than one candidate. If the preferred machines have lost their caches, the constraint brings nothing but
+// fewer candidates.
 //
-// A large task may also be offered to the two machines of highest affinity that are not known to be overloaded: a task that
-// was migrated from one of its preferred machines was placed on the other one (incident r0b92bb), and capacity is worth
-// more to it than the cached program.
+// For a large task, the two machines of highest affinity that are not known to be overloaded are added. Otherwise a task
+// that was migrated from one of its preferred machines was placed on the other one (incident r0b92bb). Free capacity is
+// worth more to a large task than a cached program.
 func (p *Placer) preferredMachines(t *task, eligible *bitset.BitSet) []machineindex.Candidate {
 	service := p.index.FindOrAddService(t.Service)
 	if p.disabled[AffinityConstraint] {
@@ -195,7 +201,7 @@
 	return list
 }
 
-// appendCandidate appends a machine unless it is in the list or -1.
+// appendCandidate appends the machine of the given number, unless the number is -1 or already among the candidates.
 func (p *Placer) appendCandidate(
 	candidates []machineindex.Candidate, service *machineindex.Service, number int32,
 ) []machineindex.Candidate {
@@ -206,7 +212,7 @@
 	return append(candidates, p.index.Candidate(service, number))
 }
 
-// allAsCandidates returns all eligible machines, for when affinity is disabled.
+// allAsCandidates returns all eligible machines as candidates. It is used when AffinityConstraint is disabled.
 func (p *Placer) allAsCandidates(service *machineindex.Service, eligible *bitset.BitSet) []machineindex.Candidate {
 	list := p.voteBuffers.candidates[:0]
 	machineindex.ForEachCommon(eligible, eligible, func(number int) {
