--- a/discovery.go
+++ b/discovery.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Discovery: subscriptions to changes of the machine list.
+// Subscriptions to changes of the machine list. They are only made if discovery sends changes on request.
 
-// scheduleFirstSubscribe subscribes in the first step, where discovery sends changes on request only.
+// scheduleFirstSubscribe makes the first subscription due in the first step.
 func (p *Placer) scheduleFirstSubscribe(now Time) {
 	if p.cfg.DiscoveryOnRequest {
 		p.subscribeAt = now
 	}
 }
 
-// handleDiscoveryFailed subscribes again after a backoff with jitter.
+// handleDiscoveryFailed schedules the next subscription after an exponential backoff with jitter.
 func (p *Placer) handleDiscoveryFailed() {
 	if !p.cfg.DiscoveryOnRequest {
 		return
@@ -21,7 +21,7 @@
 	p.subscribeAt = p.now + backoff/2 + time.Duration(p.random.Int64N(int64(backoff)))
 }
 
-// subscribeIfDue subscribes when due, and again when there is no answer.
+// subscribeIfDue subscribes when due. If no answer comes in time, it subscribes again.
 func (p *Placer) subscribeIfDue() {
 	if p.subscribeAt == 0 || p.now < p.subscribeAt {
 		return
--- a/enums.go
+++ b/enums.go
@@ -2,7 +2,7 @@
 
 import "strconv"
 
-// enumName returns the name of an enumeration's value, or its type and number where it has none.
+// enumName returns the name of a constant. For a value without a name it returns the type and the number: Outcome(99).
 func enumName(typeName string, names []string, value int) string {
 	if value < 0 || value >= len(names) || names[value] == "" {
 		return typeName + "(" + strconv.Itoa(value) + ")"
--- a/events.go
+++ b/events.go
@@ -1,8 +1,10 @@
 package flaxshelf
 
-// Event handlers: they update the records of machines, tasks and attempts and pass on what is evidence about a machine.
+// The event handlers update the records of machines, tasks and attempts. What an event shows about a machine is evaluated
+// in evidence.go.
 
-// handle calls the handler of an event. TimerFired needs none, since Step does what is due; GossipReceived is ignored.
+// handle calls the handler for the type of an event. TimerFired has none, because every Step does what is due.
+// GossipReceived is ignored.
 func (p *Placer) handle(e Event) {
 	switch e := e.(type) {
 	case MachinesUpdated:
@@ -26,7 +28,7 @@
 	}
 }
 
-// handleMachinesUpdated applies an update of the machine list. Unless it is stale it also answers a subscription.
+// handleMachinesUpdated applies an update of the machine list. Unless it is stale, it also answers a pending subscription.
 func (p *Placer) handleMachinesUpdated(e MachinesUpdated) {
 	for _, entry := range e.Machines {
 		p.updateMachine(entry)
@@ -39,7 +41,7 @@
 	}
 }
 
-// updateMachine applies one entry of the machine list.
+// updateMachine applies one entry of the machine list. A later start time means that the machine has restarted.
 func (p *Placer) updateMachine(entry Machine) {
 	m := p.findOrAddMachine(entry.ID)
 	if entry.Kind < 0 || entry.Kind >= len(p.cfg.Kinds) {
@@ -57,7 +59,7 @@
 	p.invalidate(m)
 }
 
-// removeUnlisted marks the machines as removed that a complete list does not name.
+// removeUnlisted marks the machines as removed that are not among the entries of a complete list.
 func (p *Placer) removeUnlisted(entries []Machine) {
 	listedIDs := make(map[string]bool, len(entries))
 	for _, entry := range entries {
@@ -72,21 +74,21 @@
 	}
 }
 
-// markRemoved records that a machine's state becomes Removed.
+// markRemoved records that m is removed now. The caller sets its state.
 func (p *Placer) markRemoved(m *machine) {
 	m.removedAt = p.now
 	p.removedMachines = append(p.removedMachines, m)
 	p.forgetMachinePlacements(m)
 }
 
-// handleTaskSubmitted opens a task. An ID that is in use is ignored.
+// handleTaskSubmitted adds an open task. A task whose ID is in use is ignored.
 func (p *Placer) handleTaskSubmitted(e TaskSubmitted) {
 	if p.tasks[e.Task.ID] == nil {
 		p.openTasks = append(p.openTasks, p.addTask(e.Task))
 	}
 }
 
-// handleTaskAdopted adds a running task: it counts for spread, and for the history as if it was placed now.
+// handleTaskAdopted adds a task that already runs. It counts for spread limits, and in the history as if it were placed now.
 func (p *Placer) handleTaskAdopted(e TaskAdopted) {
 	if p.tasks[e.Task.ID] != nil {
 		return
@@ -97,7 +99,7 @@
 	p.markPlaced(t, &t.attempts[0])
 }
 
-// handleTaskCanceled settles a task. Its active attempt, if any, is still tracked.
+// handleTaskCanceled settles a task. If it has an active attempt, that is tracked until it ends.
 func (p *Placer) handleTaskCanceled(e TaskCanceled) {
 	if t := p.tasks[e.Task]; t != nil {
 		t.settled = true
@@ -105,7 +107,7 @@
 	}
 }
 
-// handleAttemptPlaced settles a task, whose machine has accepted it.
+// handleAttemptPlaced settles a task that its machine has accepted.
 func (p *Placer) handleAttemptPlaced(e AttemptPlaced) {
 	t, a := p.findAttempt(e.Task, e.Attempt)
 	if a == nil || !a.active {
@@ -118,7 +120,7 @@
 	p.invalidate(a.machine)
 }
 
-// handleAttemptEnded releases what an attempt requested and records its outcome as evidence.
+// handleAttemptEnded releases what an attempt requested of its machine and records the outcome as evidence.
 func (p *Placer) handleAttemptEnded(e AttemptEnded) {
 	if m := p.machines[e.Machine]; m != nil {
 		p.recordLoadReport(m, e.Load)
--- a/evidence.go
+++ b/evidence.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// Evidence: what outcomes and usage reports show about a machine. Each piece of evidence expires.
+// Evidence is what outcomes and usage reports show about a machine. All of it expires.
 
-// provesNeverRan reports whether an outcome proves that the task was not started.
+// provesNeverRan reports whether an outcome proves that the task was never started.
 func provesNeverRan(o Outcome) bool { return o == Rejected || o == Unreachable || o == NotSent }
 
-// recordFailure ejects a machine, or a class on it, for longer at each further failure within outcomeRetention, and at least
-// for the trial interval.
+// recordFailure ejects a machine, or a class on it. The ejection is twice as long for each further failure within
+// outcomeRetention, and at least as long as the trial interval.
 func (p *Placer) recordFailure(h *health) {
 	if p.now-h.lastFailure > outcomeRetention {
 		h.consecutiveFailures = 0
@@ -20,7 +20,7 @@
 	h.ejectedUntil = max(h.ejectedUntil, p.now+max(baseEjection<<h.consecutiveFailures, p.trialInterval()))
 }
 
-// trialInterval returns the mean time between this scheduler's offers to one machine, from the history.
+// trialInterval returns the mean time between this scheduler's offers to the same machine, estimated from the history.
 func (p *Placer) trialInterval() time.Duration {
 	placements := p.history.Len()
 	if placements < minCandidates {
@@ -30,15 +30,15 @@
 	return min(outcomeRetention, meanInterval*time.Duration(len(p.sortedMachines)))
 }
 
-// startTrial ejects what failed recently until the outcome of the present offer is known, so that one task shows whether
-// it has recovered and not all queued tasks are offered to it.
+// startTrial makes the offer that was just sent a trial, if the machine or class failed recently: it is ejected again until
+// the outcome is known, so that one task shows whether it has recovered and the other queued tasks are not offered to it.
 func (p *Placer) startTrial(h *health) {
 	if h.consecutiveFailures > 0 && !p.disabled[TrialPlacement] {
 		h.ejectedUntil = max(h.ejectedUntil, p.now+baseEjection)
 	}
 }
 
-// recordSuccess ends an ejection.
+// recordSuccess ends an ejection. The count of failures stays for outcomeRetention after the last one.
 func (p *Placer) recordSuccess(h *health) {
 	h.lastSuccess, h.ejectedUntil = p.now, 0
 	if p.now-h.lastFailure > outcomeRetention {
@@ -46,13 +46,13 @@
 	}
 }
 
-// succeededRecently reports whether there was a success within outcomeRetention.
+// succeededRecently reports whether the last success was within outcomeRetention.
 func (p *Placer) succeededRecently(h *health) bool {
 	return h.lastSuccess > 0 && p.now-h.lastSuccess < outcomeRetention
 }
 
-// recordTaskFailure records an error or a time-out of t on m as a failure of its class there, and also of the machine
-// unless another class succeeded there recently.
+// recordTaskFailure records an error or a time-out of t as a failure of its class on m. It counts against the whole machine
+// too, unless another class succeeded there recently.
 func (p *Placer) recordTaskFailure(t *task, m *machine) {
 	p.recordFailure(m.healthOf(t.Class))
 	for class := range m.classHealth {
@@ -63,10 +63,10 @@
 	p.recordFailure(&m.health)
 }
 
-// attributeFailures records failures of the machines that answered t with an error, once it is placed or has its final
-// answer. Where several did and none placed it, the task is at fault: malformed tasks would otherwise eject every machine
-// in turn. Where most machines begin to fail at the same time, they are ejected only after outcomeRetention without a
-// success.
+// attributeFailures decides, once t is placed or gets its final answer, whether t or the machines that answered it with an
+// error are at fault. If several did and none placed it, the task is, and no failure is recorded: a malformed task would
+// otherwise eject one machine after the other. The drawback is that when most machines begin to fail at the same time, they
+// are only ejected once they had no success for outcomeRetention.
 func (p *Placer) attributeFailures(t *task) {
 	for _, m := range t.unattributedFailures {
 		if t.placed || len(t.unattributedFailures) < minCandidates {
@@ -77,23 +77,23 @@
 	t.unattributedFailures = nil
 }
 
-// recordAcceptance records as evidence that m accepted t.
+// recordAcceptance records that m accepted t. It relaxes what earlier rejections and failures set.
 func (p *Placer) recordAcceptance(t *task, m *machine) {
 	p.attributeFailures(t)
 	m.consecutiveRejections = max(m.consecutiveRejections-1, 0)
 	m.offerLimit++
 	if m.offerLimit == 1 || m.offerLimit >= maxOfferLimit {
-		m.offerLimit = 0 // there was no limit, or it ends here
+		m.offerLimit = 0 // there was no limit, or it is high enough to be lifted
 	}
 	p.recordSuccess(&m.health)
 	p.recordSuccess(m.healthOf(t.Class))
 }
 
-// classifyOutcome records the end of an attempt as evidence about its machine.
+// classifyOutcome records what the end of an attempt shows about its machine.
 func (p *Placer) classifyOutcome(t *task, a *attempt, e AttemptEnded) {
 	m := a.machine
 	if a.placed {
-		m.minRejectedSize += p.relativeSize(t, m) // which was freed
+		m.minRejectedSize += p.relativeSize(t, m) // t has freed that capacity
 	}
 	switch e.Outcome {
 	case Failed:
@@ -109,8 +109,8 @@
 	}
 }
 
-// classifyError records an error as a failure at once, unless the class succeeded there recently and a further attempt may
-// show that the task is at fault: see attributeFailures.
+// classifyError records an error as a failure at once. If the class succeeded on m recently and t may have further attempts,
+// attributeFailures decides later, since the task may be at fault.
 func (p *Placer) classifyError(t *task, m *machine) {
 	if p.succeededRecently(m.healthOf(t.Class)) && t.class.Idempotency != NonIdempotent {
 		t.unattributedFailures = append(t.unattributedFailures, m)
@@ -119,7 +119,8 @@
 	p.recordTaskFailure(t, m)
 }
 
-// classifyLoss records the loss of an attempt: an eviction is evidence of overload, a drain is none.
+// classifyLoss records the loss of an attempt. Eviction and preemption show overload, a drain shows nothing, and any other
+// loss is a failure of the machine.
 func (p *Placer) classifyLoss(m *machine, reason Reason) {
 	switch reason {
 	case Evicted, Preempted:
@@ -130,7 +131,8 @@
 	}
 }
 
-// recordRejection has m avoided for tasks of the same size or larger, for longer at each rejection in a row.
+// recordRejection makes the scheduler avoid m for tasks of t's size or larger, twice as long at each further rejection. A
+// full queue or an unsupported task makes it avoid m for tasks of any size.
 func (p *Placer) recordRejection(t *task, m *machine, reason Reason) {
 	m.offerLimit = 1
 	size := p.relativeSize(t, m)
@@ -150,7 +152,7 @@
 	}
 }
 
-// handleUsageReport records a report of a running task as evidence about its machine.
+// handleUsageReport records what the usage report of an attempt shows about its machine, and may migrate the task.
 func (p *Placer) handleUsageReport(e UsageReport) {
 	t, a := p.findAttempt(e.Task, e.Attempt)
 	if a == nil || !a.active {
@@ -169,7 +171,7 @@
 	}
 }
 
-// markOverloaded has the service shortfall of m count as load for the duration, see externalLoad.
+// markOverloaded records that m is overloaded for the given duration. The shortfall counts as load, see externalLoad.
 func (p *Placer) markOverloaded(m *machine, duration time.Duration, shortfall float64) {
 	m.overloadedUntil, m.serviceShortfall = max(m.overloadedUntil, p.now+duration), shortfall
 	p.invalidate(m)
