--- a/lifetimes.go
+++ b/lifetimes.go
@@ -7,17 +7,17 @@
 	"flaxshelf.example/flaxshelf/internal/machineindex"
 )
 
-// Lifetimes: how long tasks run, from which the vote takes the probability that a placement still runs.
+// Lifetimes: how long tasks run. The replay vote derives from them the probability that a placement still runs.
 
-// lifetimeStats adds up the lifetimes of one class's tasks, from which meanLifetime estimates their mean.
+// lifetimeStats holds sums over the placed attempts of one class, from which meanLifetime estimates the mean lifetime.
 type lifetimeStats struct {
-	pastRuntime   time.Duration // total lifetime of those that ended
-	fullLifetimes int           // those that ended by themselves or were canceled
+	pastRuntime   time.Duration // total run time of attempts that ended, also of those cut short
+	fullLifetimes int           // number of attempts that completed or were canceled
 	running       int
-	startTimeSum  Time // sum of the start times of those that run
+	offerTimeSum  Time // sum of the offer times of the running attempts
 }
 
-// lifetimesOf returns the statistics of a class; nil for a class that the settings don't name.
+// lifetimesOf returns the statistics of a class, or nil for a class that is not in the settings.
 func (p *Placer) lifetimesOf(class int) *lifetimeStats {
 	if class < 0 || class >= len(p.lifetimes) {
 		return nil
@@ -25,15 +25,15 @@
 	return &p.lifetimes[class]
 }
 
-// recordStart counts an attempt that begins to run, as seen from its offer on.
+// recordStart counts an attempt that was placed. Its lifetime counts from its offer.
 func (p *Placer) recordStart(t *task, a *attempt) {
 	if stats := p.lifetimesOf(t.Class); stats != nil {
 		stats.running++
-		stats.startTimeSum += a.offeredAt
+		stats.offerTimeSum += a.offeredAt
 	}
 }
 
-// recordLifetime adds the lifetime of an attempt that ended, see ranFullLifetime.
+// recordLifetime adds the lifetime of an attempt that has ended, unless it was never placed.
 func (p *Placer) recordLifetime(t *task, a *attempt, outcome Outcome) {
 	stats := p.lifetimesOf(t.Class)
 	if !a.placed || stats == nil {
@@ -41,17 +41,18 @@
 	}
 	stats.pastRuntime += p.now - a.offeredAt
 	stats.running--
-	stats.startTimeSum -= a.offeredAt
+	stats.offerTimeSum -= a.offeredAt
 	if ranFullLifetime(outcome) {
 		stats.fullLifetimes++
 	}
 }
 
-// ranFullLifetime reports whether a task ran its whole lifetime, or else was cut short.
+// ranFullLifetime reports whether an attempt with this outcome ran its full lifetime; others were cut short.
 func ranFullLifetime(o Outcome) bool { return o == Completed || o == Canceled }
 
-// survivalProbability returns the probability that a placement still runs: by its expected runtime where known, else by an
-// exponential distribution with its class's mean lifetime. A draw against it is the same as drawing the lifetime.
+// survivalProbability returns the probability that a placement still runs. It is 1 or 0 if the expected runtime is known.
+// Otherwise lifetimes are taken to be exponentially distributed, with the mean of the class. A random draw against this
+// probability is equivalent to drawing the lifetime.
 func (p *Placer) survivalProbability(placed *machineindex.Placement) float64 {
 	age := p.now - placed.OfferedAt
 	if placed.ExpectedRuntime > 0 {
@@ -63,18 +64,19 @@
 	return math.Exp(-float64(age) / float64(p.meanLifetime(placed.Class)))
 }
 
-// meanLifetime estimates a class's mean of exponential lifetimes: time observed over ends, where those that still run are
-// censored. It begins with one lifetime of initialLifetime.
+// meanLifetime estimates the mean of a class's lifetimes, taken to be exponentially distributed: total run time divided by
+// the number of full lifetimes. Attempts that still run or were cut short are censored observations, which only add run
+// time. The estimate begins with one lifetime of initialLifetime.
 func (p *Placer) meanLifetime(class int) time.Duration {
 	stats := p.lifetimesOf(class)
 	if stats == nil {
 		return initialLifetime
 	}
-	running := time.Duration(stats.running)*p.now - stats.startTimeSum
+	running := time.Duration(stats.running)*p.now - stats.offerTimeSum
 	return (stats.pastRuntime + running + initialLifetime) / time.Duration(stats.fullLifetimes+1)
 }
 
-// longestMeanLifetime returns that of the longest-lived class, within minMeanLifetime and maxMeanLifetime.
+// longestMeanLifetime returns the largest mean lifetime of any class, bounded by minMeanLifetime and maxMeanLifetime.
 func (p *Placer) longestMeanLifetime() time.Duration {
 	longest := minMeanLifetime
 	for class := range p.lifetimes {
--- a/lifetimes_test.go
+++ b/lifetimes_test.go
@@ -26,7 +26,7 @@
 		t.Errorf("mean lifetime %v, want (180+60)/4", mean)
 	}
 	// Two that still run, observed for 40 s and 60 s, count as time without an end.
-	p.lifetimes[0].running, p.lifetimes[0].startTimeSum = 2, 30*time.Second+10*time.Second
+	p.lifetimes[0].running, p.lifetimes[0].offerTimeSum = 2, 30*time.Second+10*time.Second
 	if mean := p.meanLifetime(0); mean != 85*time.Second {
 		t.Errorf("mean lifetime %v, want (180+40+60+60)/4", mean)
 	}
--- a/load_reports.go
+++ b/load_reports.go
@@ -1,8 +1,8 @@
 package flaxshelf
 
-// Load reports: how a machine's own report of its load is used.
+// Load reports: what machines report of their own load.
 
-// recordLoadReport keeps a machine's own report of its load.
+// recordLoadReport stores the latest load report of a machine.
 func (p *Placer) recordLoadReport(m *machine, report LoadReport) {
 	if report.Present {
 		m.loadReport, m.loadReportedAt = report, p.now
@@ -10,7 +10,8 @@
 	}
 }
 
-// reportedLoad returns the load by a machine's last report, as a fraction of its kind; 0 without a fresh one.
+// reportedLoad returns the load of m according to its last report: the used fraction of cores or of memory, whichever is
+// larger. It is 0 if there is no report, if it is older than reportFreshness, or if the kind of m is unknown.
 func (p *Placer) reportedLoad(m *machine) float64 {
 	if !m.loadReport.Present || p.now-m.loadReportedAt > reportFreshness || m.Kind < 0 {
 		return 0
--- a/machine.go
+++ b/machine.go
@@ -7,26 +7,26 @@
 	"flaxshelf.example/flaxshelf/internal/machineindex"
 )
 
-// machine is the record of one machine: its entry of the machine list, what this scheduler requested of it, and the
-// evidence of its condition.
+// machine is the record of one machine: its entry in the machine list, what this scheduler has requested of it, and what
+// evidence shows of its condition.
 type machine struct {
 	Machine
 	entry     *machineindex.Entry
 	listed    bool // the machine list has named it since this scheduler started
 	removedAt Time
 
-	health      health   // of the machine as a whole
-	classHealth []health // of each class on it
+	health      health   // as a whole
+	classHealth []health // for each class of tasks
 
-	overloadedUntil  Time    // its tasks get poor service, or memory is short
-	serviceShortfall float64 // fraction of full service missing, as last reported while overloaded
+	overloadedUntil  Time    // its tasks get poor service or its memory is short until then
+	serviceShortfall float64 // missing fraction of full service, as last reported
 
-	rejectsUntil          Time    // until then it is expected to reject tasks of minRejectedSize or more
-	minRejectedSize       float64 // fraction of its capacity, see relativeSize
-	consecutiveRejections int     // reduced by acceptances
-	offerLimit            int     // most pending offers; zero means no limit
-	pendingOffers         int     // offers without an answer
-	slowStartOffers       []Time  // recent offers while it was in slow start
+	rejectsUntil          Time    // it is expected to reject tasks of minRejectedSize or more until then
+	minRejectedSize       float64 // as a fraction of the machine, see relativeSize
+	consecutiveRejections int     // each acceptance reduces it by one
+	offerLimit            int     // largest number of pending offers; zero means no limit
+	pendingOffers         int     // number of offers without an answer
+	slowStartOffers       []Time  // times of recent offers while it was in slow start
 
 	loadReport     LoadReport
 	loadReportedAt Time
@@ -34,12 +34,12 @@
 	ownCores  float64 // requested by this scheduler's active attempts
 	ownMemory float64
 
-	// Requested by this scheduler since the machine list last named it.
+	// Requested by this scheduler since the machine was last updated from the machine list.
 	coresSinceListed  float64
 	memorySinceListed float64
 }
 
-// health is the evidence of outcomes about a machine or about one class on it.
+// health is what the outcomes of attempts show about a machine as a whole, or about one class of tasks on it.
 type health struct {
 	ejectedUntil        Time // no offers until then
 	consecutiveFailures int
@@ -47,7 +47,7 @@
 	lastSuccess         Time
 }
 
-// findOrAddMachine returns the record of a machine. Until the machine list names it, it counts as removed.
+// findOrAddMachine returns the record of a machine. A new record counts as removed until the machine list names the machine.
 func (p *Placer) findOrAddMachine(id string) *machine {
 	if m := p.machines[id]; m != nil {
 		return m
@@ -67,7 +67,7 @@
 	return m
 }
 
-// deleteMachine deletes the record of a machine.
+// deleteMachine deletes the record of a machine, also from the index.
 func (p *Placer) deleteMachine(m *machine) {
 	delete(p.machines, m.ID)
 	if position := slices.Index(p.sortedMachines, m); position >= 0 {
@@ -76,7 +76,7 @@
 	}
 }
 
-// healthOf returns the health of a class on m, or that of the machine for a class that the settings don't name.
+// healthOf returns the health of a class on m. For a class that is not in the settings it returns that of the machine.
 func (m *machine) healthOf(class int) *health {
 	if class < 0 || class >= len(m.classHealth) {
 		return &m.health
--- a/migration.go
+++ b/migration.go
@@ -8,8 +8,8 @@
 
 // Migration: running tasks that get poor service are stopped, so that their owners submit them again.
 
-// migrateIfUnderserved emits Migrate for a task that has been served poorly for half an overloadDuration, where that pays
-// and better machines are known.
+// migrateIfUnderserved emits Migrate for a task that has had poor service for half an overloadDuration, if the migration
+// pays and better machines are known. Reports of poor service more than an overloadDuration apart count separately.
 func (p *Placer) migrateIfUnderserved(t *task, a *attempt, shortfall float64) {
 	if shortfall < poorServiceShortfall {
 		a.lastPoorServiceAt = 0
@@ -31,7 +31,8 @@
 }
 
 // migrationPays reports whether the service that the task lacks in a mean lifetime is worth more than a migration and two
-// starts.
+// starts. The price of a migration is taken as a fraction of the lifetime and of the value of a start, and each start is
+// taken to last for the latency objective.
 func (p *Placer) migrationPays(t *task, shortfall float64) bool {
 	price := p.cfg.Prices.Migration
 	gain := time.Duration((shortfall - price) * float64(p.meanLifetime(t.Class)))
@@ -40,9 +41,9 @@
 	return gain >= cost
 }
 
-// hasBetterMachines reports whether half of the machines that could take t serve this scheduler's tasks well; nothing is
-// known of machines without any. It is false while any machine fails t's class or rejects tasks, since the new start may
-// be lost.
+// hasBetterMachines reports whether at least half of the machines that could take t serve this scheduler's tasks well.
+// Machines without such tasks don't count, since nothing is known of their service. It is false while t's class is ejected
+// on any machine or any machine rejects tasks, since t might not be placed again.
 func (p *Placer) hasBetterMachines(t *task) bool {
 	p.refreshIndex()
 	c, good := &p.conditions, p.eligibleByKind(t)
--- a/observer.go
+++ b/observer.go
@@ -6,23 +6,23 @@
 	"flaxshelf.example/flaxshelf/internal/machineindex"
 )
 
-// choiceObserver is called at each stage of a choice, so that tests compare what the index gave with plain scans. It must
-// not change its arguments, which are valid during the call.
+// choiceObserver is called at each stage of a choice. Tests use it to compare the results of the index with those of plain
+// scans over all machines. It must not change its arguments, which are valid during the call only.
 type choiceObserver interface {
-	// afterHardConstraints is called with the machines that may take t.
+	// afterHardConstraints is called with the machines that satisfy the hard constraints for t.
 	afterHardConstraints(t *task, eligible *bitset.BitSet)
-	// afterSoftConstraints is called with the machines in the vote.
+	// afterSoftConstraints is called with the machines that take part in the vote.
 	afterSoftConstraints(t *task, candidates []machineindex.Candidate)
-	// beforeReplay is called with the candidates that can win and the history that is replayed on them.
+	// beforeReplay is called with the candidates that can win the vote and the placements that are replayed on them.
 	beforeReplay(contenders []machineindex.Candidate, replayed []replayedPlacement)
-	// afterChoice is called with the machine that was chosen, or nil; the other stages are left out for a request that is
-	// known to be infeasible.
+	// afterChoice is called with the machine that was chosen, or nil. If the request is already known to be infeasible, it
+	// is the only stage.
 	afterChoice(t *task, chosen *machine)
 	// afterMigrationCheck is called with the result of hasBetterMachines.
 	afterMigrationCheck(t *task, hasBetter bool)
 }
 
-// noObserver is the observer outside of tests.
+// noObserver is the observer outside of tests. It does nothing.
 type noObserver struct{}
 
 func (noObserver) afterHardConstraints(*task, *bitset.BitSet)                 {}
