--- a/placer.go
+++ b/placer.go
@@ -6,55 +6,57 @@
 	"flaxshelf.example/flaxshelf/internal/machineindex"
 )
 
-// randomStream is the second half of the generator's seed. It is the same for all schedulers.
+// randomStream is the second half of the seed of the random generator, the same for every Placer. The first half is an
+// argument of New.
 const randomStream = 0x9e3779b97f4a7c15
 
-// Placer makes the decisions of one scheduler. It is not safe for concurrent use.
+// Placer makes the placement decisions of one scheduler. It is not safe for concurrent use.
 type Placer struct {
 	cfg      Config
 	disabled [policyRuleCount]bool // by Disable
 
-	// random draws from randomSource, which the vote also reads directly. Equal inputs give equal decisions only while the
-	// sequence of draws is the same.
+	// random draws from randomSource, from which the vote also draws directly. Equal inputs give equal decisions only as long
+	// as the order and number of draws stay the same.
 	randomSource *rand.PCG
 	random       *rand.Rand
 
 	now       Time
-	started   bool // the first Step has been made
-	startedAt Time
+	started   bool     // Step was called
+	startedAt Time     // time of the first step
 	actions   []Action // of the step in progress
 
 	machines        map[string]*machine
-	sortedMachines  []*machine // in the order of their IDs; after refreshIndex, by their numbers in index
-	removedMachines []*machine // removed when they were appended; may have been listed again since
+	sortedMachines  []*machine // by ID; after refreshIndex, the position is the number in index
+	removedMachines []*machine // machines that were removed; some may have been listed again since
 	index           *machineindex.Index
 	conditions      conditions
 	observer        choiceObserver
 	voteBuffers     voteBuffers
 
-	// infeasible is the equivalence classes of requests that no machine may take, until something is offered or has changed.
+	// infeasible holds the equivalence classes of requests that no machine may take. It is cleared in each step and when a
+	// machine has changed.
 	infeasible map[equivalenceClass]bool
 
 	tasks       map[string]*task
-	openTasks   []*task         // submitted and not settled, in the order in which they are served
+	openTasks   []*task         // submitted and not settled, in the order in which they are processed
 	sortBuffer  []*task         // reused by sortOpenTasks
-	tenantCores map[int]float64 // requested by this scheduler's active attempts, by tenant
+	tenantCores map[int]float64 // cores requested by this scheduler's active attempts, by tenant
 
 	history   *machineindex.History // the placements that the vote replays
 	lifetimes []lifetimeStats       // by class
 
-	latencyMean      float64 // seconds from offer to AttemptPlaced, smoothed
-	latencyDeviation float64 // seconds, smoothed
+	latencyMean      float64 // smoothed time from offer to AttemptPlaced, in seconds
+	latencyDeviation float64 // smoothed absolute deviation from it, in seconds
 
-	timerDue          Time // the earliest timer that has not fired; zero means none
+	timerDue          Time // when the earliest pending timer fires; zero means none
 	subscribeAt       Time // when to subscribe next; zero means never
 	discoveryFailures int  // in a row
 
-	unknownClass TaskClass // of tasks whose class is not in the settings
+	unknownClass TaskClass // stands for any class that is not in the settings
 }
 
-// New returns the Placer of one scheduler. Equal settings, seeds and events give equal actions. Invalid settings give a
-// *ConfigError.
+// New returns the Placer of one scheduler. Equal settings, seeds and sequences of steps give equal actions. If cfg is
+// invalid, the error is a *ConfigError.
 func New(cfg Config, seed uint64) (*Placer, error) {
 	if err := validate(&cfg); err != nil {
 		return nil, err
--- a/policy_rules.go
+++ b/policy_rules.go
@@ -1,18 +1,18 @@
 package flaxshelf
 
-// PolicyRule is one rule of the placement policy that Placer.Disable can switch off, so that tests show its purpose: a hard
-// or soft constraint on machines, a use of evidence, or an order of queued tasks.
+// PolicyRule is one rule of the placement policy: a hard or soft constraint on machines, a use of evidence, or an order of
+// queued tasks. Placer.Disable switches rules off, so that tests can show what each is for.
 type PolicyRule int
 
 // The hard constraints.
 const (
 	// DrainConstraint excludes draining machines.
 	DrainConstraint PolicyRule = iota
-	// RetrySafetyConstraint excludes machines where a second start may do harm.
+	// RetrySafetyConstraint excludes machines on which a second start of a task may do harm.
 	RetrySafetyConstraint
-	// SpreadConstraint excludes domains that have as many tasks of a service as its class allows.
+	// SpreadConstraint excludes domains that already have as many tasks of a service as the class allows.
 	SpreadConstraint
-	// SlowStartConstraint excludes machines in slow start for which this scheduler's budget is used up.
+	// SlowStartConstraint excludes machines in slow start for which this scheduler has used up its offers.
 	SlowStartConstraint
 	// AnswerDeadlineConstraint gives the final answer before the task's deadline.
 	AnswerDeadlineConstraint
@@ -20,7 +20,7 @@
 
 // The soft constraints, in the order in which they are applied, and OverloadPenalty, which acts in the vote after them.
 const (
-	// PreviousAttemptConstraint avoids machines that this task was offered to before.
+	// PreviousAttemptConstraint avoids machines that the task was offered to before.
 	PreviousAttemptConstraint PolicyRule = iota + AnswerDeadlineConstraint + 1
 	// EjectionConstraint avoids machines that are ejected.
 	EjectionConstraint
@@ -30,19 +30,19 @@
 	RejectionConstraint
 	// OfferLimitConstraint limits the pending offers to a machine after a rejection.
 	OfferLimitConstraint
-	// CapacityConstraint avoids machines without free capacity by the list.
+	// CapacityConstraint avoids machines that lack free capacity according to the machine list.
 	CapacityConstraint
-	// ConsolidationConstraint avoids machines beyond those that the requests of the fleet need.
+	// ConsolidationConstraint avoids machines that are not needed for what is requested of the fleet.
 	ConsolidationConstraint
-	// OverloadPenalty counts the service shortfall of overloaded machines as load in the vote; it excludes none.
+	// OverloadPenalty counts the service shortfall of overloaded machines as load in the vote; it excludes no machine.
 	OverloadPenalty
 	// ReportedLoadConstraint avoids machines whose reported load is far above the mean.
 	ReportedLoadConstraint
-	// AffinityConstraint keeps to the service's preferred machines.
+	// AffinityConstraint avoids machines that are not among the preferred ones of the task's service.
 	AffinityConstraint
 )
 
-// The ways in which evidence is used, and the order of queued tasks.
+// The uses of evidence, and the orders of queued tasks.
 const (
 	// ForgetRemovedMachinePlacements removes placements on removed or restarted machines from the history.
 	ForgetRemovedMachinePlacements PolicyRule = iota + AffinityConstraint + 1
@@ -50,21 +50,22 @@
 	ForgetUnstartedPlacements
 	// TrialPlacement limits a failing machine to one offer until its outcome shows whether the machine has recovered.
 	TrialPlacement
-	// AssumedCapacity subtracts what recent placements request, which the machine list may not show yet, from the listed free
-	// capacity.
+	// AssumedCapacity subtracts from the listed free capacity what recent placements request, since the machine list may not
+	// show them yet.
 	AssumedCapacity
-	// QueueRankOrder serves tasks within their tenant's quota first, and among these the ones that can still start within
+	// QueueRankOrder places tasks within their tenant's quota first, and among these the ones that can still start within
 	// their latency objective.
 	QueueRankOrder
-	// ArrivalOrder serves the oldest first of these; without it, the latest.
+	// ArrivalOrder places the oldest task first among those of one rank. Without it, the latest is first.
 	ArrivalOrder
-	// TaskMigration migrates tasks that are served poorly.
+	// TaskMigration migrates tasks that get poor service.
 	TaskMigration
 
 	policyRuleCount
 )
 
-// policyRuleNames are stored in results and printed, so they are not renamed with the constants.
+// policyRuleNames are the names of the rules in stored results and printed output. They must not change, even if a constant
+// is renamed.
 var policyRuleNames = [policyRuleCount]string{
 	DrainConstraint:                "drain",
 	RetrySafetyConstraint:          "repeat",
@@ -99,13 +100,13 @@
 	return all
 }
 
-// String returns the name under which results are stored.
+// String returns the name of the rule in stored results.
 func (r PolicyRule) String() string { return policyRuleNames[r] }
 
 // IsHard reports whether the rule is a hard constraint: a guarantee to users depends on it.
 func (r PolicyRule) IsHard() bool { return r <= AnswerDeadlineConstraint }
 
-// Disable switches rules off. It is for tests and experiments only and must be called before the first Step.
+// Disable switches rules off. It is for tests and experiments only. It must be called before the first Step.
 func (p *Placer) Disable(rules ...PolicyRule) {
 	for _, r := range rules {
 		p.disabled[r] = true
--- a/queue.go
+++ b/queue.go
@@ -5,12 +5,13 @@
 	"slices"
 )
 
-// Queue: the order in which open tasks are served.
+// The queue is the open tasks in the order in which they are processed.
 
-// queueRankCount bounds the ranks of open tasks.
+// queueRankCount is the number of ranks: queueRankOf returns values below it.
 const queueRankCount = 4
 
-// queueRankOf returns the rank of an open task, the lowest first.
+// queueRankOf returns the rank of an open task. Tasks of lower rank are processed first. Those of tenants beyond their quota
+// have the two higher ranks, and in each pair those past their latency objective have the higher one.
 func (p *Placer) queueRankOf(t *task) int {
 	rank := 0
 	if p.now > t.submittedAt+t.class.LatencyObjective {
@@ -22,7 +23,8 @@
 	return rank
 }
 
-// overQuota reports whether t's tenant has more than its quota, where that is worth less. It only orders queued tasks.
+// overQuota reports whether t's tenant exceeds its quota, if tasks beyond the quota earn less. It assumes that the tenant
+// requests as much at each scheduler. The result only affects the order of queued tasks.
 func (p *Placer) overQuota(t *task) bool {
 	if t.Tenant < 0 || t.Tenant >= len(p.cfg.Tenants) || p.cfg.OverQuotaWeight >= 1 {
 		return false
@@ -31,10 +33,10 @@
 	return quota > 0 && p.tenantCores[t.Tenant]*float64(p.cfg.Schedulers) > quota
 }
 
-// sortOpenTasks sorts the open tasks by queue rank; those of one rank keep their order. It is a counting sort, since
-// thousands may wait in each step.
+// sortOpenTasks sorts the open tasks by queue rank; those of one rank keep their order. It is a counting sort,
+// since thousands of tasks may be queued in each step.
 func (p *Placer) sortOpenTasks() {
-	var next [queueRankCount]int // counts, then positions
+	var next [queueRankCount]int // by rank: the number of tasks, then the position of the next one
 	sorted, previousRank := true, 0
 	for _, t := range p.openTasks {
 		t.queueRank = p.queueRankOf(t)
--- a/retention.go
+++ b/retention.go
@@ -5,17 +5,19 @@
 	"time"
 )
 
-// Retention: how long placements and machines are remembered, and what is forgotten early.
+// Retention: how long placements and machines are kept, and what is dropped earlier.
 
-// pruneHistory drops placements that are too old, too many or forgotten.
+// pruneHistory drops placements that are older than historyMaxAge, exceed maxHistoryPlacements or were forgotten.
 func (p *Placer) pruneHistory() { p.history.Prune(p.now - p.historyMaxAge()) }
 
-// historyMaxAge returns the age beyond which placements are dropped from the history.
+// historyMaxAge returns the age beyond which placements are dropped from the history. It is based on the class with the
+// longest mean lifetime.
 func (p *Placer) historyMaxAge() time.Duration {
 	return time.Duration(historyMeanLifetimes * float64(p.longestMeanLifetime()))
 }
 
-// pruneMachines forgets machines that were removed a while ago and have no attempt of this scheduler.
+// pruneMachines deletes machines that were removed more than removedMachineRetention ago and have no active attempt of this
+// scheduler.
 func (p *Placer) pruneMachines() {
 	p.removedMachines = slices.DeleteFunc(p.removedMachines, func(m *machine) bool {
 		if m.State != Removed {
@@ -29,22 +31,22 @@
 	})
 }
 
-// resetMachine forgets what was known of a machine that has restarted.
+// resetMachine drops the evidence and the placements on a machine that has restarted.
 func (p *Placer) resetMachine(m *machine) {
 	m.health, m.overloadedUntil, m.rejectsUntil, m.loadReport = health{}, 0, 0, LoadReport{}
 	clear(m.classHealth)
 	p.forgetMachinePlacements(m)
 }
 
-// forgetUnstartedPlacement removes the placement of an attempt that never ran from the history.
+// forgetUnstartedPlacement removes from the history the placement of an attempt that never ran.
 func (p *Placer) forgetUnstartedPlacement(a *attempt) {
 	if !p.disabled[ForgetUnstartedPlacements] {
 		p.history.Forget(a.placement)
 	}
 }
 
-// forgetMachinePlacements removes the placements on a removed or restarted machine from the history. With them the machine
-// would look full after its next start.
+// forgetMachinePlacements removes from the history the placements on a removed or restarted machine. With them the machine
+// would look full after its next start, although none of these tasks runs any more.
 func (p *Placer) forgetMachinePlacements(m *machine) {
 	if !p.disabled[ForgetRemovedMachinePlacements] {
 		p.history.ForgetMachine(m.entry, p.now)
