--- a/selection.go
+++ b/selection.go
@@ -1,19 +1,20 @@
 package flaxshelf
 
-// A machine for a task is chosen in three steps: hard constraints, which are never relaxed, soft constraints, of which the
-// later ones are skipped where they would leave too few machines, and the replay vote among the remaining candidates.
+// The machine for a task is chosen in three steps. The hard constraints are never relaxed. Then the soft constraints apply,
+// each of which is skipped if it would leave too few machines. Among the remaining candidates, the replay vote decides.
 
-// equivalenceClass is what determines, before a task's first offer, whether any machine may take it. Tasks with equal
-// fields share the answer within a step, so a property of tasks that a hard constraint or capacity reads must be a field.
+// equivalenceClass holds what determines, before a task's first offer, whether any machine may take the task. If one task
+// is infeasible, others with equal fields are not tried in the same step. So each property of tasks that a hard constraint
+// or the check of capacity reads must be a field.
 type equivalenceClass struct {
 	taskClass    int
-	service      string // only where spread is bounded
+	service      string // only if the class has a spread limit
 	cores        float64
 	memory       float64
 	nearDeadline bool
 }
 
-// chooseMachine returns the machine to offer t to; nil where none may take it now.
+// chooseMachine returns the machine to offer t to, or nil if none may take it now.
 func (p *Placer) chooseMachine(t *task) *machine {
 	p.refreshIndex()
 	request := equivalenceClass{
@@ -34,7 +35,7 @@
 	return m
 }
 
-// filterAndVote applies the constraints and holds the vote.
+// filterAndVote applies the constraints and returns the winner of the vote, or nil if no candidate remains.
 func (p *Placer) filterAndVote(t *task) *machine {
 	eligible := p.applyHardConstraints(t)
 	p.observer.afterHardConstraints(t, eligible)
--- a/slow_start.go
+++ b/slow_start.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Slow start: a machine that has just started may be sent Config.SlowStartBudget offers of all schedulers together within
-// any Config.OverloadWindow. Schedulers divide that budget without communication.
+// Slow start: all schedulers together may send a machine that has just started at most Config.SlowStartBudget offers within
+// any Config.OverloadWindow. They divide this budget without communication: each has an equal number of whole offers, and
+// the remainder is used in time slots, see inSlowStartSlot.
 
-// hasSlowStartBudget reports whether this scheduler may make one more offer to a machine in slow start. The window is wider
-// than the overload window because offers that were sent apart may arrive together. A scheduler that started after the
-// machine can't know what it sent before, so its budget counts as spent for a window.
-//
-// What remains of the budget when each scheduler has an equal number of whole offers is used in slots.
+// hasSlowStartBudget reports whether this scheduler may send m one more offer. It always may if m is not in slow start. Its
+// own offers count for one and a half overload windows, because offers that were sent apart may arrive together. A scheduler
+// that started after the machine doesn't know what it sent before its own start, so its budget counts as used up for as
+// long.
 func (p *Placer) hasSlowStartBudget(m *machine) bool {
 	if !p.inSlowStart(m) || p.disabled[SlowStartConstraint] {
 		return true
@@ -34,11 +34,14 @@
 	return budget > 0
 }
 
-// inSlowStartSlot reports whether this scheduler has a slot for one further offer to a machine in slow start. Slots are
-// derived from the machine, its start, this scheduler's index and the number of schedulers alone: they begin one interval
-// apart and each lasts an overload window. So an offer sent within any one window belongs to a slot that began within two,
-// and the interval is such that these are never more than the budget; where tasks are queued at each scheduler, half of it
-// is used. Schedulers with a wrong count of each other, such as two with one index, exceed the budget.
+// inSlowStartSlot reports whether this scheduler is in a time slot in which it may send m one further offer. sharedBudget is
+// what remains of the budget after the equal parts of all schedulers.
+//
+// The slots follow from the machine's ID and start, this scheduler's index and the number of schedulers alone. They begin
+// one interval apart, and each lasts an overload window. So the offers sent within any one window belong to slots that began
+// within two windows. The interval is chosen so that these slots are never more than sharedBudget. If tasks are queued at
+// every scheduler, half of sharedBudget is used. If schedulers disagree on their number or two have the same index, they may
+// exceed the budget.
 func (p *Placer) inSlowStartSlot(m *machine, sharedBudget float64) bool {
 	interval := time.Duration(float64(2*p.cfg.OverloadWindow)/sharedBudget) + 1
 	schedulers := uint64(p.cfg.Schedulers)
@@ -47,7 +50,7 @@
 	return elapsed >= 0 && elapsed%(time.Duration(schedulers)*interval) < p.cfg.OverloadWindow
 }
 
-// recordSlowStartOffer remembers an offer to a machine in slow start for as long as it counts.
+// recordSlowStartOffer records an offer to a machine in slow start, and drops those that no longer count.
 func (p *Placer) recordSlowStartOffer(m *machine) {
 	if !p.inSlowStart(m) {
 		return
@@ -56,12 +59,13 @@
 	m.slowStartOffers = append(slices.DeleteFunc(m.slowStartOffers, expired), p.now)
 }
 
-// inSlowStart reports whether m started so recently that its offers are limited.
+// inSlowStart reports whether m started so recently that offers to it are limited.
 func (p *Placer) inSlowStart(m *machine) bool {
 	return m.Started > 0 && p.cfg.OverloadWindow > 0 && p.now < p.slowStartEnd(m)
 }
 
-// slowStartEnd returns when the slow start of m ends.
+// slowStartEnd returns the time from which offers to m are no longer limited. Config.SlowStartDuration says why that is one
+// overload window later than the end of slow start.
 func (p *Placer) slowStartEnd(m *machine) Time {
 	return m.Started + p.cfg.SlowStartDuration + p.cfg.OverloadWindow
 }
--- a/step.go
+++ b/step.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// Step takes the events since the last step, in order, and returns the actions to execute now. A time before that of the
-// last step counts as the time of the last step.
+// Step processes the events since the last step, in order, and returns the actions to execute now. If now is before the time
+// of the last step, the time of the last step is used.
 func (p *Placer) Step(now Time, events []Event) []Action {
 	if !p.started {
 		p.started, p.startedAt = true, now
@@ -27,10 +27,10 @@
 	return p.actions
 }
 
-// emit adds an action to those of the step in progress.
+// emit appends an action to those that the step in progress returns.
 func (p *Placer) emit(a Action) { p.actions = append(p.actions, a) }
 
-// setTimer requests a TimerFired event for the next time at which something falls due.
+// setTimer requests a TimerFired event for the next time at which something is due, unless an earlier timer is pending.
 func (p *Placer) setTimer() {
 	next, ok := p.nextDue()
 	if !ok || p.timerDue != 0 && p.timerDue <= next {
@@ -40,7 +40,8 @@
 	p.emit(SetTimer{After: p.timerDue - p.now})
 }
 
-// nextDue returns when the next subscription, answer or choice for a queued task falls due; ok is false where none will.
+// nextDue returns when the next subscription, final answer or choice of a machine for a queued task is due. ok is false if
+// there is none.
 func (p *Placer) nextDue() (next Time, ok bool) {
 	next = math.MaxInt64
 	if p.subscribeAt > 0 {
--- a/task.go
+++ b/task.go
@@ -2,17 +2,18 @@
 
 import "flaxshelf.example/flaxshelf/internal/machineindex"
 
-// task is a submitted or adopted task with its attempts.
+// task is the record of a submitted or adopted task.
 type task struct {
 	Task
 	class       *TaskClass
 	submittedAt Time
 	attempts    []attempt
 	settled     bool // it has its final answer or needs none
-	placed      bool // by one of its attempts
-	queueRank   int  // among the open tasks of this step, see queueRankOf
+	placed      bool // one of its attempts was placed
+	queueRank   int  // in the step in progress, see queueRankOf
 
-	// Machines that answered it with an error that is not attributed to the machine or the task yet.
+	// Machines that answered with an error for which it is not decided yet whether the machine or the task is at fault, see
+	// attributeFailures.
 	unattributedFailures []*machine
 }
 
@@ -26,12 +27,13 @@
 	neverRan           bool // its outcome proves that the task was not started
 	migrationRequested bool // Migrate was emitted for it
 
-	// When poor service was last reported, and since when every report was poor. See migrateIfUnderserved.
+	// The time of the last report, if that was of poor service, and the time since which all reports were. See
+	// migrateIfUnderserved.
 	lastPoorServiceAt Time
 	poorServiceSince  Time
 }
 
-// addTask makes the record of a task that is submitted or adopted now.
+// addTask adds the record of a task that is submitted or adopted now.
 func (p *Placer) addTask(spec Task) *task {
 	t := &task{Task: spec, class: &p.unknownClass, submittedAt: p.now}
 	if spec.Class >= 0 && spec.Class < len(p.cfg.Classes) {
@@ -41,7 +43,7 @@
 	return t
 }
 
-// findAttempt returns a task by its ID and one of its attempts by number. Either is nil where it is unknown.
+// findAttempt returns a task by its ID and one of its attempts by number. Each is nil if unknown.
 func (p *Placer) findAttempt(taskID string, number int) (*task, *attempt) {
 	t := p.tasks[taskID]
 	if t == nil || number < 0 || number >= len(t.attempts) {
@@ -50,7 +52,7 @@
 	return t, &t.attempts[number]
 }
 
-// recordAttempt records a new attempt of t on m.
+// recordAttempt adds an attempt of t on m: to the history, and to what this scheduler requests of m and for the tenant.
 func (p *Placer) recordAttempt(t *task, m *machine) {
 	placed := &machineindex.Placement{
 		Machine:         m.entry,
@@ -72,7 +74,8 @@
 	p.tenantCores[t.Tenant] += t.Cores
 }
 
-// releaseAttempt undoes the counts of recordAttempt when the attempt has ended.
+// releaseAttempt subtracts an ended attempt from what this scheduler requests of m and for the tenant. The sums since the
+// last listing keep it.
 func (p *Placer) releaseAttempt(t *task, m *machine) {
 	p.index.RemoveAttempt(t.Service, m.entry)
 	p.invalidate(m)
@@ -81,7 +84,7 @@
 	p.tenantCores[t.Tenant] -= t.Cores
 }
 
-// markPlaced records that a machine accepted an attempt, or runs it.
+// markPlaced records that a machine accepted an attempt or already runs it.
 func (p *Placer) markPlaced(t *task, a *attempt) {
 	a.placed, t.placed = true, true
 	a.machine.pendingOffers--
