--- a/vote.go
+++ b/vote.go
@@ -8,20 +8,21 @@
 	"flaxshelf.example/flaxshelf/internal/machineindex"
 )
 
-// The replay vote, see docs/design.md.
+// The replay vote chooses among the candidates for a task by this scheduler's recent placements. It replays them several
+// times, and each time draws at random which of them still run. See docs/design.md.
 
-// replayedPlacement is a placement of the history in the vote in progress.
+// replayedPlacement is a placement of the history as the vote in progress uses it.
 type replayedPlacement struct {
-	candidate int32 // its index
+	candidate int32 // index of its machine among the candidates; after selectContenders, among the contenders
 	cores     float64
 	memory    float64
 	survival  uint64 // probability that it still runs, in units of 1/survivalScale
 }
 
-// survivalScale is the survival of a placement that certainly still runs. Draws have as many bits.
+// survivalScale is the value of replayedPlacement.survival for a probability of 1. Random draws are integers below it.
 const survivalScale = 1 << 53
 
-// voteBuffers is memory that votes use again.
+// voteBuffers holds slices that are reused from vote to vote.
 type voteBuffers struct {
 	candidates []machineindex.Candidate
 	contenders []machineindex.Candidate
@@ -30,8 +31,8 @@
 	votes      []float64
 }
 
-// vote replays the history replayRuns times, beginning with the external load. Each run votes for the candidate that is
-// least loaded at its end; the one with the most votes wins. It returns nil without candidates.
+// vote replays the history replayRuns times on top of the external load. Each run votes for the candidate that is least
+// loaded at its end. It returns the machine with the most votes, or nil if there are no candidates.
 func (p *Placer) vote(candidates []machineindex.Candidate) *machine {
 	switch len(candidates) {
 	case 0:
@@ -62,8 +63,8 @@
 	return replayed, hasHistory
 }
 
-// selectContenders returns the candidates that can win: of those without history, only the least loaded. It renumbers the
-// candidates of the replayed placements accordingly.
+// selectContenders returns the candidates that can win: all that have history, and of the others the least loaded one with
+// those that tie with it. It changes the candidate indexes of the replayed placements to indexes of the contenders.
 func (p *Placer) selectContenders(
 	candidates []machineindex.Candidate, hasHistory []bool, replayed []replayedPlacement,
 ) []machineindex.Candidate {
@@ -92,7 +93,7 @@
 	return contenders
 }
 
-// replay makes the runs of a vote and returns the votes of the contenders, as negative counts.
+// replay makes the runs of a vote. It returns the votes for each contender as negative numbers, so that the lowest wins.
 func (p *Placer) replay(contenders []machineindex.Candidate, replayed []replayedPlacement) (votes []float64) {
 	p.voteBuffers.votes = zeroed(p.voteBuffers.votes, len(contenders))
 	votes, loads := p.voteBuffers.votes, make([]float64, len(contenders))
@@ -119,7 +120,8 @@
 	return votes
 }
 
-// newReplayedPlacement returns what a placement counts in the vote: fractions of its machine's kind, and its survival.
+// newReplayedPlacement converts a placement for the vote: its cores and memory to fractions of the machine, and its survival
+// probability to an integer.
 func (p *Placer) newReplayedPlacement(placed *machineindex.Placement, candidate int32) replayedPlacement {
 	kind := p.cfg.Kinds[p.index.Kind(placed.Machine.Number())]
 	return replayedPlacement{
@@ -130,9 +132,9 @@
 	}
 }
 
-// indexOfLowest returns the index of the least value. A tie goes to the higher affinity, and a tie in that too is broken by
-// a random draw. With few placements most machines tie at 0, and a draw alone would start every service on each of its
-// preferred machines.
+// indexOfLowest returns the index of the candidate with the lowest cost. Among equal costs the higher affinity decides, and
+// among equal affinities a random draw. Affinity comes first because with few placements most machines tie at 0: a draw
+// alone would start each service on all of its preferred machines.
 func (p *Placer) indexOfLowest(candidates []machineindex.Candidate, costs []float64) int {
 	best, ties := 0, 1
 	for i := 1; i < len(candidates); i++ {
@@ -149,7 +151,8 @@
 	return best
 }
 
-// compareCandidates returns a value below 0 where candidate a with its value comes before b.
+// compareCandidates returns a value below 0 if candidate a, with its value, comes before b: by the lower value, then by the
+// higher affinity.
 func compareCandidates(a, b machineindex.Candidate, valueA, valueB float64) int {
 	if valueA != valueB {
 		return cmp.Compare(valueA, valueB)
@@ -157,7 +160,7 @@
 	return compareAffinity(b.Affinity, a.Affinity)
 }
 
-// zeroed returns a slice of the given number of zero values, in the memory of buffer where that suffices.
+// zeroed returns a slice of the given length with zero values. It reuses the memory of buffer if that is large enough.
 func zeroed[T any](buffer []T, length int) []T {
 	buffer = slices.Grow(buffer[:0], length)[:length]
 	clear(buffer)
