--- a/answers.go
+++ b/answers.go
@@ -95,7 +95,8 @@
 // offerDeadline returns the time by which an attempt must end, so that time remains for the final answer.
 func (p *Placer) offerDeadline(t *task) Time { return t.Deadline - 2*p.answerMargin() }
 
-// answerMargin returns how long before its deadline a task must get its final answer.
+// answerMargin returns how long before its deadline a task must get its final answer. It is negative, so that answers are
+// late, if AnswerDeadlineConstraint is disabled.
 func (p *Placer) answerMargin() time.Duration {
 	if p.disabled[AnswerDeadlineConstraint] {
 		return -time.Second
--- a/conditions.go
+++ b/conditions.go
@@ -24,7 +24,7 @@
 	reportedLoad *machineindex.Column
 	externalLoad *machineindex.Column
 
-	// Sets that choices use for their results.
+	// Sets that each choice reuses, for the eligible machines and for those that a constraint excludes.
 	eligibleBuffer *bitset.BitSet
 	excludedBuffer *bitset.BitSet
 }
--- a/constraints_soft.go
+++ b/constraints_soft.go
@@ -98,8 +98,8 @@
 // to one pending offer and each acceptance raises it by one. Without the limit, all queued tasks are offered to the first
 // machine that accepts one of them (incident i959772).
 //
-// The machine list is delayed, so what this scheduler requested from listDelay before a machine's last listing on counts as
-// used too. An estimate of what the other schedulers requested in that time was tried; it queued too many tasks.
+// The machine list is delayed, so what this scheduler has requested since listDelay before a machine's last listing counts
+// as used too. An estimate of what the other schedulers requested in that time was tried, but it queued too many tasks.
 func (p *Placer) machinesWithoutCapacity(t *task, eligible *bitset.BitSet) *bitset.BitSet {
 	lacking := p.conditions.excludedBuffer.ClearAll()
 	machineindex.ForEachCommon(eligible, p.conditions.rejecting, func(number int) {
@@ -132,9 +132,9 @@
 }
 
 // consolidationSet returns enough machines for everything that is requested of the fleet, if each is filled to
-// consolidationFill. It takes the machines with the largest requested fraction first: by the machine list, so that all
-// schedulers choose the same ones, and because the least used machines become empty the soonest. If some of the fullest
-// machines are overloaded, the constraint on reported load and the vote still avoid them.
+// consolidationFill. It takes the machines with the largest requested fraction first. That fraction is from the machine
+// list, so that all schedulers choose the same machines, and those left out are the least used, which become empty the
+// soonest. If some of the fullest machines are overloaded, the constraint on reported load and the vote still avoid them.
 func (p *Placer) consolidationSet(eligible *bitset.BitSet) *bitset.BitSet {
 	cores, memory := p.index.TotalRequested()
 	used, count := p.conditions.excludedBuffer.ClearAll(), 0
--- a/evidence.go
+++ b/evidence.go
@@ -8,7 +8,7 @@
 func provesNeverRan(o Outcome) bool { return o == Rejected || o == Unreachable || o == NotSent }
 
 // recordFailure ejects a machine, or a class on it. The ejection is twice as long for each further failure within
-// outcomeRetention, and at least as long as the trial interval.
+// outcomeRetention, up to maxEjectionDoublings times, and at least as long as the trial interval.
 func (p *Placer) recordFailure(h *health) {
 	if p.now-h.lastFailure > outcomeRetention {
 		h.consecutiveFailures = 0
