--- a/answers.go
+++ b/answers.go
@@ -6,12 +6,13 @@
 	"time"
 )
 
-// Answers: offers and final answers of open tasks.
+// Open tasks are those that are submitted and not settled. Each is offered to machines until one accepts it, or gets a final
+// answer: Reject or Fail.
 
-// serveOpenTasks answers the open tasks that are due and offers those that have no active attempt. Tasks within their
-// tenant's quota are served first, and among these the ones that can still start within their latency objective: when
-// capacity is short, they earn the most. See queueRankOf.
-func (p *Placer) serveOpenTasks() {
+// processOpenTasks offers the open tasks that have no active attempt and gives the final answer to those whose answer is
+// due. Tasks within their tenant's quota come first, and among these the ones that can still start within their latency
+// objective: when capacity is short, they earn the most. See queueRankOf.
+func (p *Placer) processOpenTasks() {
 	if !p.disabled[QueueRankOrder] {
 		p.sortOpenTasks()
 	}
@@ -21,26 +22,26 @@
 		case t.activeAttempt() == nil:
 			p.placeTask(t)
 		case p.now >= p.answerDeadline(t):
-			p.answerTask(t)
+			p.sendFinalAnswer(t)
 		}
 	}
 	p.openTasks = slices.DeleteFunc(p.openTasks, func(t *task) bool { return t.settled })
 }
 
-// placeTask offers t to a machine, leaves it in the queue, or gives it its final answer.
+// placeTask offers t to a machine, leaves it in the queue or gives it its final answer.
 func (p *Placer) placeTask(t *task) {
 	if !p.mayOffer(t) {
-		p.answerTask(t)
+		p.sendFinalAnswer(t)
 		return
 	}
 	m := p.chooseMachine(t)
 	if m == nil {
-		if !p.mayQueue(t) {
-			p.answerTask(t)
+		if !p.mayStayQueued(t) {
+			p.sendFinalAnswer(t)
 		}
 		return
 	}
-	p.recordPlacement(t, m)
+	p.recordAttempt(t, m)
 	p.startTrial(&m.health)
 	p.startTrial(m.healthOf(t.Class))
 	p.invalidate(m)
@@ -50,50 +51,52 @@
 
 // mayOffer reports whether t may have a further attempt.
 func (p *Placer) mayOffer(t *task) bool {
-	if p.now >= p.offerDeadline(t) || p.attemptsUsedUp(t) || t.class == &p.unknownClass {
+	if p.now >= p.offerDeadline(t) || p.attemptsExhausted(t) || t.class == &p.unknownClass {
 		return false
 	}
 	return t.class.Idempotency != NonIdempotent || !t.mayHaveRun() || p.disabled[RetrySafetyConstraint]
 }
 
-// mayQueue reports whether t stays queued while no machine may take it. Owners may be slow to submit a rejected task again.
-func (p *Placer) mayQueue(t *task) bool {
+// mayStayQueued reports whether t stays queued while no machine may take it. Even a task without a latency objective may be
+// queued for minQueueTimeout, because owners may be slow to submit a rejected task again.
+func (p *Placer) mayStayQueued(t *task) bool {
 	if t.mayHaveRun() && t.class.Idempotency == IdempotentByKey {
 		return false
 	}
-	return p.now-t.submittedAt <= max(t.class.LatencyObjective, minQueueLimit)
+	return p.now-t.submittedAt <= max(t.class.LatencyObjective, minQueueTimeout)
 }
 
-// attemptsUsedUp reports whether t has had as many attempts as the settings allow.
-func (p *Placer) attemptsUsedUp(t *task) bool {
+// attemptsExhausted reports whether t has had as many attempts as the settings allow.
+func (p *Placer) attemptsExhausted(t *task) bool {
 	return p.cfg.MaxAttempts > 0 && len(t.attempts) >= p.cfg.MaxAttempts
 }
 
-// attemptTimeout returns the time-out of an attempt that starts now. It leaves time for a further attempt where one is
-// allowed, and ends before the answer is due.
+// attemptTimeout returns the time-out of an attempt that is offered now. It ends before the final answer is due and, if
+// another attempt is allowed, leaves time for it.
 func (p *Placer) attemptTimeout(t *task) time.Duration {
 	remaining := p.offerDeadline(t) - p.now
-	if t.class.Idempotency == NonIdempotent || p.attemptsUsedUp(t) {
+	if t.class.Idempotency == NonIdempotent || p.attemptsExhausted(t) {
 		return remaining
 	}
-	usual := time.Duration((p.latencyMean + latencyDeviations*p.latencyDeviation) * float64(time.Second))
-	return min(remaining, max(usual, t.class.LatencyObjective/2, minAttemptTimeout))
+	latencyBound := time.Duration((p.latencyMean + latencyDeviations*p.latencyDeviation) * float64(time.Second))
+	return min(remaining, max(latencyBound, t.class.LatencyObjective/2, minAttemptTimeout))
 }
 
-// recordLatency updates the smoothed time from offer to placement.
+// recordLatency updates the smoothed mean and deviation of the time from offer to placement.
 func (p *Placer) recordLatency(latency time.Duration) {
 	seconds := latency.Seconds()
 	p.latencyDeviation += (math.Abs(seconds-p.latencyMean) - p.latencyDeviation) / latencySmoothing
 	p.latencyMean += (seconds - p.latencyMean) / latencySmoothing
 }
 
-// answerDeadline returns the latest time to give the final answer.
+// answerDeadline returns the time at which t must get its final answer.
 func (p *Placer) answerDeadline(t *task) Time { return t.Deadline - p.answerMargin() }
 
-// offerDeadline returns the latest time for an attempt to end, which leaves time to answer.
+// offerDeadline returns the time by which an attempt must end, so that time remains for the final answer.
 func (p *Placer) offerDeadline(t *task) Time { return t.Deadline - 2*p.answerMargin() }
 
-// answerMargin returns how long before its deadline a task is answered.
+// answerMargin returns how long before its deadline a task must get its final answer. It is negative, so that answers are
+// late, if AnswerDeadlineConstraint is disabled.
 func (p *Placer) answerMargin() time.Duration {
 	if p.disabled[AnswerDeadlineConstraint] {
 		return -time.Second
@@ -101,9 +104,9 @@
 	return 2*p.cfg.Tick + answerDeadlineMargin
 }
 
-// answerTask gives t its final answer. A rejection guarantees that a retry is safe, so it needs proof that no attempt ran,
-// or a class for which a second start does no harm on any machine.
-func (p *Placer) answerTask(t *task) {
+// sendFinalAnswer gives t its final answer. Reject guarantees that submitting the task again is safe, so it needs proof that
+// no attempt ran, or a class for which a second start does no harm on any machine. Otherwise the answer is Fail.
+func (p *Placer) sendFinalAnswer(t *task) {
 	t.settled = true
 	p.attributeFailures(t)
 	for i := range t.attempts {
@@ -118,10 +121,10 @@
 	} else {
 		p.emit(Fail{Task: t.ID})
 	}
-	p.forgetIfSettled(t)
+	p.deleteIfSettled(t)
 }
 
-// mayHaveRun reports whether an attempt lacks proof that the task was not started.
+// mayHaveRun reports whether t has an attempt without proof that it was never started.
 func (t *task) mayHaveRun() bool {
 	return slices.ContainsFunc(t.attempts, func(a attempt) bool { return !a.neverRan })
 }
--- a/conditions.go
+++ b/conditions.go
@@ -8,42 +8,42 @@
 	"flaxshelf.example/flaxshelf/internal/machineindex"
 )
 
-// conditions is the present state of all machines, as sets and columns of the index. updateIndex writes them and the
-// constraints read them.
+// conditions holds the current state of all machines, in sets and columns of the index. updateIndex writes them from the
+// records of the machines; the constraints and the vote read them.
 type conditions struct {
 	slowStarting   *bitset.BitSet
-	failing        *bitset.BitSet
-	failingByClass []*bitset.BitSet
+	ejected        *bitset.BitSet   // as a whole
+	ejectedByClass []*bitset.BitSet // for one class of tasks
 	overloaded     *bitset.BitSet
-	occupied       *bitset.BitSet // with attempts of this scheduler
-	rejecting      *bitset.BitSet
-	offerLimited   *bitset.BitSet
-	reporting      *bitset.BitSet // with a fresh load report
-	activeByKind   []*bitset.BitSet
+	withAttempts   *bitset.BitSet   // with active attempts of this scheduler
+	rejecting      *bitset.BitSet   // expected to reject tasks of some size
+	offerLimited   *bitset.BitSet   // with as many pending offers as machine.offerLimit allows
+	withLoadReport *bitset.BitSet   // with a fresh load report
+	activeByKind   []*bitset.BitSet // in service
 
 	reportedLoad *machineindex.Column
 	externalLoad *machineindex.Column
 
-	// Sets in use by the choice in progress.
-	eligible *bitset.BitSet
-	excluded *bitset.BitSet
+	// Sets that each choice reuses, for the eligible machines and for those that a constraint excludes.
+	eligibleBuffer *bitset.BitSet
+	excludedBuffer *bitset.BitSet
 }
 
 func newConditions(index *machineindex.Index, kinds, classes int) conditions {
 	return conditions{
 		slowStarting:   index.NewSet(),
-		failing:        index.NewSet(),
-		failingByClass: newSets(index, classes),
+		ejected:        index.NewSet(),
+		ejectedByClass: newSets(index, classes),
 		overloaded:     index.NewSet(),
-		occupied:       index.NewSet(),
+		withAttempts:   index.NewSet(),
 		rejecting:      index.NewSet(),
 		offerLimited:   index.NewSet(),
-		reporting:      index.NewSet(),
+		withLoadReport: index.NewSet(),
 		activeByKind:   newSets(index, kinds),
 		reportedLoad:   index.NewColumn(),
 		externalLoad:   index.NewColumn(),
-		eligible:       index.NewSet(),
-		excluded:       index.NewSet(),
+		eligibleBuffer: index.NewSet(),
+		excludedBuffer: index.NewSet(),
 	}
 }
 
@@ -70,37 +70,38 @@
 	return true
 }
 
-// refresh brings the index up to date.
-func (p *Placer) refresh() {
-	if p.index.Refresh(func(number int) { p.updateIndex(p.machinesByID[number]) }) {
+// refreshIndex brings the index up to date. After a change, machines may take requests that were infeasible before.
+func (p *Placer) refreshIndex() {
+	if p.index.Refresh(func(number int) { p.updateIndex(p.sortedMachines[number]) }) {
 		clear(p.infeasible)
 	}
 }
 
-// invalidate has the index updated from the record of m before the next choice.
+// invalidate marks m as changed, so that the next choice first updates the index from the record of m.
 func (p *Placer) invalidate(m *machine) { p.index.Invalidate(m.entry) }
 
-// updateIndex writes the present state of m into the index, and has it written again when a part of that state ends.
+// updateIndex writes the current state of m into the index. It sets the expiry of m to the earliest time at which a part of
+// that state ends, so that m is updated again then.
 func (p *Placer) updateIndex(m *machine) {
 	c, number := &p.conditions, uint(m.entry.Number())
 	kind := p.updateKind(m)
 	tracker := expiryTracker{now: p.now, next: math.MaxInt64}
 	c.slowStarting.SetTo(number, p.inSlowStart(m) && tracker.isActive(p.slowStartEnd(m)))
-	c.failing.SetTo(number, tracker.isActive(m.health.ejectedUntil))
-	for class := range c.failingByClass {
-		c.failingByClass[class].SetTo(number, tracker.isActive(m.classHealth[class].ejectedUntil))
+	c.ejected.SetTo(number, tracker.isActive(m.health.ejectedUntil))
+	for class := range c.ejectedByClass {
+		c.ejectedByClass[class].SetTo(number, tracker.isActive(m.classHealth[class].ejectedUntil))
 	}
 	c.overloaded.SetTo(number, tracker.isActive(m.overloadedUntil))
-	c.occupied.SetTo(number, m.entry.HasAttempts())
+	c.withAttempts.SetTo(number, m.entry.HasAttempts())
 	c.rejecting.SetTo(number, tracker.isActive(m.rejectsUntil))
-	c.offerLimited.SetTo(number, m.offerWindow > 0 && m.pendingOffers >= m.offerWindow)
-	c.reporting.SetTo(number, m.loadReport.Present && tracker.isActive(m.loadReportedAt+reportFreshness+1))
+	c.offerLimited.SetTo(number, m.offerLimit > 0 && m.pendingOffers >= m.offerLimit)
+	c.withLoadReport.SetTo(number, m.loadReport.Present && tracker.isActive(m.loadReportedAt+reportFreshness+1))
 	c.reportedLoad.Set(int(number), p.reportedLoad(m))
-	p.indexCapacity(m, kind)
+	p.updateCapacity(m, kind)
 	p.index.SetExpiry(m.entry, tracker.next)
 }
 
-// updateKind writes of which kind m is and whether it is in service. It returns the kind; -1 for an unlisted machine.
+// updateKind writes the kind of m into the index, and whether m is in service. It returns the kind, or -1 if it is unknown.
 func (p *Placer) updateKind(m *machine) int {
 	number, kind := m.entry.Number(), -1
 	if m.listed && m.Kind >= 0 {
