--- a/bench_test.go
+++ b/bench_test.go
@@ -8,11 +8,11 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-// tasksPerMachine is how many run on each machine of a benchFleet.
+// tasksPerMachine is the number of tasks that run on each machine of a benchFleet.
 const tasksPerMachine = 20
 
-// benchFleet is a fleet in a steady state: each step brings one task to place and the placement of the one before, and
-// another task ends.
+// benchFleet is a fleet in a steady state. Each step submits one task, reports the task of the previous step as placed and
+// completes the task that has run longest.
 type benchFleet struct {
 	placer    *flaxshelf.Placer
 	now       flaxshelf.Time
@@ -20,18 +20,18 @@
 	running   []string          // task IDs, in the order of their starts
 	machineOf map[string]string // by task ID
 	events    []flaxshelf.Event // of the next step
-	offers    int
+	offers    int               // made so far
 }
 
-// fleetShape is what a step's cost depends on.
+// fleetShape is the parameters on which the cost of a step depends.
 type fleetShape struct {
 	machines      int
-	queued        int  // tasks for which no machine has capacity
-	boundedSpread bool // of a service over zones
-	listsCapacity bool
+	queued        int  // number of queued tasks, too large for any machine
+	boundedSpread bool // the number of a service's tasks in a zone is limited
+	listsCapacity bool // the machine list has free capacity, and machines in use are priced
 }
 
-// String names the shape in results of benchmarks.
+// String returns the name of the sub-benchmark.
 func (s fleetShape) String() string {
 	return fmt.Sprintf("machines=%d/spread=%v/capacity=%v/queued=%d", s.machines, s.boundedSpread, s.listsCapacity, s.queued)
 }
@@ -62,7 +62,7 @@
 	return cfg
 }
 
-// machineList is the machines of the fleet.
+// machineList returns machines of two kinds in three zones, 16 to a cell.
 func (s fleetShape) machineList(kinds []flaxshelf.MachineKind) (list []flaxshelf.Machine) {
 	for i := range s.machines {
 		kind := kinds[i%2]
@@ -78,7 +78,7 @@
 	return list
 }
 
-// newBenchFleet returns a fleet in the steady state.
+// newBenchFleet returns a fleet in its steady state, after 200 steps.
 func newBenchFleet(b testing.TB, s fleetShape) *benchFleet {
 	b.Helper()
 	cfg := s.config()
@@ -101,22 +101,22 @@
 	return f
 }
 
-// adopt has tasks run on each machine.
+// adopt records tasksPerMachine running tasks on each machine and returns the events that report them to the Placer.
 func (f *benchFleet) adopt(list []flaxshelf.Machine) (events []flaxshelf.Event) {
 	for i := range tasksPerMachine * len(list) {
 		task, machine := f.newTask(), list[i%len(list)].ID
 		events = append(events, flaxshelf.TaskAdopted{Task: task, Machine: machine})
-		f.start(task.ID, machine)
+		f.recordRunning(task.ID, machine)
 	}
 	return events
 }
 
-func (f *benchFleet) start(task, machine string) {
+func (f *benchFleet) recordRunning(task, machine string) {
 	f.running = append(f.running, task)
 	f.machineOf[task] = machine
 }
 
-// newTask is of one of as many services as the fleet has machines.
+// newTask returns a task of class 0. There are about as many services as machines.
 func (f *benchFleet) newTask() flaxshelf.Task {
 	f.taskCount++
 	services := 1 + len(f.running)/tasksPerMachine%20000
@@ -140,12 +140,12 @@
 		if offer, ok := action.(flaxshelf.Offer); ok {
 			f.offers++
 			f.events = append(f.events, flaxshelf.AttemptPlaced{Task: offer.Task, Machine: offer.Machine, Latency: time.Millisecond})
-			f.start(offer.Task, offer.Machine)
+			f.recordRunning(offer.Task, offer.Machine)
 		}
 	}
 }
 
-// BenchmarkStep is one task to place, one placed and one ended in a step.
+// BenchmarkStep measures a step in which one task is submitted, one reported as placed and one completed.
 func BenchmarkStep(b *testing.B) {
 	for _, machines := range []int{33, 130, 1000, 10000} {
 		for _, shape := range []fleetShape{
@@ -168,7 +168,7 @@
 	}
 	b.StopTimer()
 	if f.offers < steps*9/10 {
-		b.Errorf("got %d offers in %d steps, want one in nearly each", f.offers, steps)
+		b.Errorf("got %d offers in %d steps, want at least %d", f.offers, steps, steps*9/10)
 	}
 	b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(steps), "us/step")
 }
--- a/step_figure_test.go
+++ b/step_figure_test.go
@@ -9,13 +9,13 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/chart"
 )
 
-// TestStepFigure draws how the cost of a step grows with the machines, as docs/scale.md shows it:
+// TestStepFigure draws the chart in docs/scale.md of the cost of a step against the number of machines. To write it, run:
 //
 //	FLAXSHELF_FIGURES=$PWD/docs/figures go test -v -run StepFigure -timeout 20m .
 func TestStepFigure(t *testing.T) {
 	dir := os.Getenv("FLAXSHELF_FIGURES")
 	if dir == "" {
-		t.Skip("set FLAXSHELF_FIGURES to a folder to draw it")
+		t.Skip("FLAXSHELF_FIGURES is not set; set it to a folder to write the chart there")
 	}
 	figure := chart.Chart{Title: "one task placed, one placed before, one ended a step",
 		XLabel: "machines, 20 tasks on each", YLabel: "microseconds a step", LogScale: true}
@@ -32,7 +32,7 @@
 		for _, machines := range []int{33, 130, 1000, 10000} {
 			shape := line.shape
 			shape.machines = machines
-			cost := stepMicroseconds(t, shape)
+			cost := meanStepMicroseconds(t, shape)
 			points.X, points.Y = append(points.X, float64(machines)), append(points.Y, cost)
 			t.Logf("%-28s %6d machines %10.1f us", line.name, machines, cost)
 		}
@@ -46,8 +46,8 @@
 	}
 }
 
-// stepMicroseconds is the mean cost of a step, over a second of steps.
-func stepMicroseconds(t *testing.T, shape fleetShape) float64 {
+// meanStepMicroseconds returns the mean duration of a step in microseconds, from steps made for one second.
+func meanStepMicroseconds(t *testing.T, shape fleetShape) float64 {
 	t.Helper()
 	f := newBenchFleet(t, shape)
 	steps, began := 0, time.Now()
