--- a/choices_test.go
+++ b/choices_test.go
@@ -25,50 +25,51 @@
 )
 
 var recordings = flag.String("recordings", "internal/replay/testdata/socketdays/*.gob.gz",
-	"recordings of which each choice is compared with plain scans")
+	"file pattern of the recordings whose choices are compared with linear scans")
 
-// TestMain fixes the random worlds, so that each run draws the same. With -rapid.seed=0 each run draws others, with
-// -rapid.checks=N as many.
+// TestMain sets defaults for the flags of package rapid: a fixed seed, so that each run checks the same random worlds, and
+// 60 worlds. -rapid.seed=0 draws a new seed in each run; -rapid.checks=N sets the number of worlds.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "20261201", "rapid.nofailfile": "true", "rapid.checks": "60"} {
-		_ = flag.Set(name, value) // flags of package rapid: they exist
+		_ = flag.Set(name, value) // fails only for a flag that package rapid does not define
 	}
 	flag.Parse()
 	os.Exit(m.Run())
 }
 
-const worldSteps = 120
+const stepsPerWorld = 120
 
-// exercisedChoices is how often the random worlds must exercise each part of a choice, at least.
-var exercisedChoices = map[string]int{
-	"choices":            50_000,
-	"votes":              5000,
-	"dropped contenders": 300,
-	"votes with more than the recent history": 100,
-	"replayed placements":                     50_000,
-	"infeasible requests":                     300,
-	"forgotten machines":                      50,
-	"retry safety":                            1000,
-	"slow start":                              10_000,
-	"spread in machines":                      5000,
-	"spread in cells":                         100_000,
-	"spread in zones":                         200_000,
-	"tried":                                   500,
-	"failing":                                 5000,
-	"class failure":                           2000,
-	"capacity":                                10_000,
-	"assumed requests":                        20_000,
-	"consolidation":                           100,
-	"reported load":                           3000,
-	"machines of the service":                 5000,
-	"large tasks":                             1000,
-	"possible migrations":                     20,
-	"refused migrations":                      100,
+// minCoverage is how often, at least, each constraint or stage must affect a choice in the random worlds. It fails the test
+// when a change of the worlds or of the Placer leaves some of them unchecked.
+var minCoverage = map[string]int{
+	"choices": 50_000,
+	"votes":   5000,
+	"votes with fewer contenders than candidates": 300,
+	"votes with truncated history":                100,
+	"replayed placements":                         50_000,
+	"infeasible requests":                         300,
+	"pruned machines":                             50,
+	"retry safety":                                1000,
+	"slow start":                                  10_000,
+	"spread in machines":                          5000,
+	"spread in cells":                             100_000,
+	"spread in zones":                             200_000,
+	"previous attempt":                            500,
+	"ejection":                                    5000,
+	"class ejection":                              2000,
+	"capacity":                                    10_000,
+	"assumed requests":                            20_000,
+	"consolidation":                               100,
+	"reported load":                               3000,
+	"machines with attempts of the service":       5000,
+	"large tasks":                                 1000,
+	"migrations allowed":                          20,
+	"migrations refused":                          100,
 }
 
-// Each choice in random worlds is the one that plain scans over the records find.
+// Compares each choice in random worlds with linear scans over the Placer's records.
 func TestChoicesEqualPlainScans(t *testing.T) {
-	counts, events := flaxshelf.ChoiceCounts{}, 0
+	coverage, events := flaxshelf.ChoiceCoverage{}, 0
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := worlds.Config(func(limit int, name string) int { return rapid.IntRange(0, limit).Draw(t, name) })
 		seed := rapid.Uint64().Draw(t, "seed")
@@ -80,25 +81,25 @@
 			events += len(stepEvents)
 			actions := placer.Step(now, stepEvents)
 			if err := placer.Err(); err != nil {
-				t.Fatalf("%v\nafter %v", err, stepEvents)
+				t.Fatalf("%v\nin the step with events %+v", err, stepEvents)
 			}
 			return actions
 		}
-		worlds.New(cfg, rand.New(rand.NewPCG(seed, 0))).Play(worldSteps, step)
-		counts.Add(placer.Counts())
+		worlds.New(cfg, rand.New(rand.NewPCG(seed, 0))).Play(stepsPerWorld, step)
+		coverage.Add(placer.Coverage())
 	})
-	t.Logf("%d events", events)
-	for _, name := range slices.Sorted(maps.Keys(counts)) {
-		t.Logf("%8d %s", counts[name], name)
+	t.Logf("%d events in all worlds", events)
+	for _, name := range slices.Sorted(maps.Keys(coverage)) {
+		t.Logf("%8d %s", coverage[name], name)
 	}
-	for name, least := range exercisedChoices {
-		if counts[name] < least && !t.Failed() {
-			t.Errorf("got %d of %s, want %d or more: the random worlds exercise too little", counts[name], name, least)
+	for name, minCount := range minCoverage {
+		if coverage[name] < minCount && !t.Failed() {
+			t.Errorf("coverage %q is %d, want at least %d", name, coverage[name], minCount)
 		}
 	}
 }
 
-// Each choice on the days that the emulator plays is the one that plain scans over the records find.
+// Compares each choice on the emulator's scripted days with linear scans over the Placer's records.
 func TestChoicesOfDaysEqualPlainScans(t *testing.T) {
 	for _, name := range ablation.Days() {
 		t.Run(name, func(t *testing.T) {
@@ -116,26 +117,27 @@
 			if _, err := emulator.Run(context.Background(), day, emulator.Options{Seed: 5, NewModule: newPlacer}); err != nil {
 				t.Fatal(err)
 			}
-			counts := flaxshelf.ChoiceCounts{}
+			coverage := flaxshelf.ChoiceCoverage{}
 			for i, placer := range placers {
-				counts.Add(placer.Counts())
-				if err := placer.Err(); err != nil || placer.Counts()["steps"] == 0 {
-					t.Errorf("incarnation %d: %v after %d steps", i, err, placer.Counts()["steps"])
+				coverage.Add(placer.Coverage())
+				if err := placer.Err(); err != nil || placer.Coverage()["steps"] == 0 {
+					t.Errorf("incarnation %d: got error %v and %d steps, want no error and at least 1 step",
+						i, err, placer.Coverage()["steps"])
 				}
 			}
-			if counts["votes"] == 0 {
-				t.Errorf("got %v, want votes", counts)
+			if coverage["votes"] == 0 {
+				t.Errorf("got 0 votes on the day, want at least 1; coverage %v", coverage)
 			}
 		})
 	}
 }
 
-// Each choice on recorded days is the one that plain scans over the records find. With -recordings=PATTERN the recordings
-// are those of a trial, as `flaxshelf trial DAY --keep DIRECTORY` leaves them in DIRECTORY/*.tap.
+// Compares each choice in recordings of scripted days with linear scans over the Placer's records. To check a trial, keep its
+// recordings with `flaxshelf trial DAY --keep DIRECTORY` and pass -recordings='DIRECTORY/*.tap'.
 func TestChoicesOfRecordingsEqualPlainScans(t *testing.T) {
 	paths, err := filepath.Glob(*recordings)
 	if err != nil || len(paths) == 0 {
-		t.Fatalf("got %d recordings, %v", len(paths), err)
+		t.Fatalf("pattern %q matches %d recordings (error %v), want at least 1", *recordings, len(paths), err)
 	}
 	for _, path := range paths {
 		t.Run(filepath.Base(path), func(t *testing.T) {
@@ -148,14 +150,14 @@
 			if _, err := replay.CheckWith(openRecording(t, path), newPlacer); err != nil {
 				t.Fatal(err)
 			}
-			if err := placer.Err(); err != nil || placer.Counts()["choices"] == 0 {
-				t.Errorf("%v after %d choices", err, placer.Counts()["choices"])
+			if err := placer.Err(); err != nil || placer.Coverage()["choices"] == 0 {
+				t.Errorf("got error %v and %d choices, want no error and at least 1 choice", err, placer.Coverage()["choices"])
 			}
 		})
 	}
 }
 
-// openRecording opens a recording. A name that ends with .gz means that it is compressed.
+// openRecording opens a recording and decompresses it if its name ends with .gz.
 func openRecording(t *testing.T, path string) io.Reader {
 	t.Helper()
 	data, err := os.ReadFile(path)
--- a/export_test.go
+++ b/export_test.go
@@ -1,17 +1,17 @@
 package flaxshelf
 
-// Exports for the tests of package flaxshelf_test, which play worlds and days to a Placer.
+// Exports for the tests in package flaxshelf_test, which check a Placer in random worlds, on scripted days and on recordings.
 
-// CheckedPlacer is a Placer that compares each of its choices with plain scans.
+// CheckedPlacer is a Placer whose choices are each compared with linear scans over its records, see choiceOracle.
 type CheckedPlacer struct {
 	*Placer
 	oracle *choiceOracle
 }
 
-// ChoiceCounts is how often each part of a choice made a difference.
-type ChoiceCounts = oracleCounts
+// ChoiceCoverage is how often each constraint or stage of a choice affected its result, by name.
+type ChoiceCoverage = choiceCoverage
 
-// NewChecked makes a CheckedPlacer.
+// NewChecked returns a CheckedPlacer that makes its decisions as New(cfg, seed) does.
 func NewChecked(cfg Config, seed uint64) (*CheckedPlacer, error) {
 	p, err := New(cfg, seed)
 	if err != nil {
@@ -20,7 +20,7 @@
 	return &CheckedPlacer{Placer: p, oracle: newChoiceOracle(p)}, nil
 }
 
-// Step makes a step of the Placer and compares its choices.
+// Step is Placer.Step with a comparison of each choice; Err returns the first mismatch.
 func (c *CheckedPlacer) Step(now Time, events []Event) []Action {
 	c.oracle.beforeStep(max(now, c.now), events)
 	actions := c.Placer.Step(now, events)
@@ -28,8 +28,8 @@
 	return actions
 }
 
-// Err returns the first difference.
-func (c *CheckedPlacer) Err() error { return c.oracle.err }
+// Err returns the first mismatch between the Placer and the linear scans, nil if there was none.
+func (c *CheckedPlacer) Err() error { return c.oracle.firstMismatch }
 
-// Counts returns the counts so far.
-func (c *CheckedPlacer) Counts() ChoiceCounts { return c.oracle.counts }
+// Coverage returns the counts of all steps so far.
+func (c *CheckedPlacer) Coverage() ChoiceCoverage { return c.oracle.coverage }
--- a/oracle_scan_test.go
+++ b/oracle_scan_test.go
@@ -8,10 +8,10 @@
 	"flaxshelf.example/flaxshelf/internal/machineindex"
 )
 
-// The plain scans of choiceOracle.
+// The linear scans of choiceOracle, each the counterpart of a function of the Placer that uses the index.
 
-// spreadCounts names the counts of machines excluded by a bounded spread.
-var spreadCounts = map[TopologyDomain]string{
+// spreadCoverageNames has the names under which machines excluded by a bounded spread are counted, by spread domain.
+var spreadCoverageNames = map[TopologyDomain]string{
 	MachineDomain: "spread in machines",
 	CellDomain:    "spread in cells",
 	ZoneDomain:    "spread in zones",
@@ -19,42 +19,42 @@
 
 // Hard constraints.
 
-// scanEligible returns the machines that may take t.
+// scanEligible returns the machines that satisfy the hard constraints for t, see applyHardConstraints.
 func (o *choiceOracle) scanEligible(t *task) (eligible []*machine) {
-	if !o.counted {
-		o.countAttempts()
-		o.counted = true
+	if !o.attemptsCounted {
+		o.recountAttempts()
+		o.attemptsCounted = true
 	}
-	inDomain := map[domainKey]int{}
+	attemptsByDomain := map[domainKey]int{}
 	if t.class.SpreadDomain != NoDomain {
-		for m, count := range o.attempts.byService[t.Service] {
-			inDomain[domainOf(t.class.SpreadDomain, m)] += count
+		for m, count := range o.activeAttempts.byService[t.Service] {
+			attemptsByDomain[domainOf(t.class.SpreadDomain, m)] += count
 		}
 	}
-	var unsafe, spread, slowStarting int
-	for _, m := range o.placer.machinesByID { // checkNumbers compares it with all machine records
+	var unsafeRetries, overSpreadLimit, withoutBudget int
+	for _, m := range o.placer.machinesByID { // compareMachineNumbers compares it with all machine records
 		switch {
-		case !o.couldTake(t, m):
+		case !o.isEligibleByKind(t, m):
 		case !o.retryIsSafe(t, m):
-			unsafe++
-		case len(inDomain) > 0 && inDomain[domainOf(t.class.SpreadDomain, m)] >= t.class.MaxPerDomain:
-			spread++
+			unsafeRetries++
+		case len(attemptsByDomain) > 0 && attemptsByDomain[domainOf(t.class.SpreadDomain, m)] >= t.class.MaxPerDomain:
+			overSpreadLimit++
 		case !o.placer.hasSlowStartBudget(m):
-			slowStarting++
+			withoutBudget++
 		default:
 			eligible = append(eligible, m)
 		}
 	}
-	o.counts["retry safety"] += unsafe
-	if spread > 0 {
-		o.counts[spreadCounts[t.class.SpreadDomain]] += spread
+	o.coverage["retry safety"] += unsafeRetries
+	if overSpreadLimit > 0 {
+		o.coverage[spreadCoverageNames[t.class.SpreadDomain]] += overSpreadLimit
 	}
-	o.counts["slow start"] += slowStarting
+	o.coverage["slow start"] += withoutBudget
 	return eligible
 }
 
-// couldTake reports whether m is in service and would take t when empty.
-func (o *choiceOracle) couldTake(t *task, m *machine) bool {
+// isEligibleByKind reports whether m is listed, in service, of a kind that t's class allows and large enough for t when empty.
+func (o *choiceOracle) isEligibleByKind(t *task, m *machine) bool {
 	if !m.listed || m.State != Active || m.Kind < 0 {
 		return false
 	}
@@ -65,52 +65,53 @@
 	return kind.Cores*cfg.CoreOvercommit-t.Cores >= 0 && kind.Memory*cfg.MemoryOvercommit-t.Memory >= 0
 }
 
-// retryIsSafe reports whether a start of t on m harms no start that there may have been.
+// retryIsSafe reports whether t may be started on m although earlier attempts may have run, by t's idempotency.
 func (o *choiceOracle) retryIsSafe(t *task, m *machine) bool {
 	safe := true
 	for _, a := range t.attempts {
 		if a.neverRan || t.class.Idempotency == Idempotent {
 			continue
 		}
-		keyEnds := a.sentAt + t.class.KeyTTL - o.placer.cfg.Tick
-		former, here := domainOf(t.class.KeyDomain, a.machine), domainOf(t.class.KeyDomain, m)
-		safe = safe && t.class.Idempotency == IdempotentByKey && keyEnds > o.placer.now && former != (domainKey{}) && former == here
+		keyExpiry := a.sentAt + t.class.KeyTTL - o.placer.cfg.Tick
+		previousDomain, domain := domainOf(t.class.KeyDomain, a.machine), domainOf(t.class.KeyDomain, m)
+		safe = safe && t.class.Idempotency == IdempotentByKey && keyExpiry > o.placer.now &&
+			previousDomain != (domainKey{}) && previousDomain == domain
 	}
 	return safe
 }
 
-// domainKey identifies a domain of any reach; its zero value none.
+// domainKey identifies a topology domain of any scope. The zero value means that the domain is not known.
 type domainKey struct {
-	reach TopologyDomain
+	scope TopologyDomain
 	name  string // of a machine or zone
-	cell  int
+	cell  int    // of a cell
 }
 
-// domainOf returns the domain of m; none for a cell or zone that no list has named.
-func domainOf(reach TopologyDomain, m *machine) domainKey {
+// domainOf returns the domain of m of the given scope: the zero value for the cell or zone of an unlisted machine.
+func domainOf(scope TopologyDomain, m *machine) domainKey {
 	switch {
-	case reach == MachineDomain:
-		return domainKey{reach: reach, name: m.ID}
-	case reach == FleetDomain:
-		return domainKey{reach: reach}
+	case scope == MachineDomain:
+		return domainKey{scope: scope, name: m.ID}
+	case scope == FleetDomain:
+		return domainKey{scope: scope}
 	case !m.listed:
 		return domainKey{}
-	case reach == CellDomain:
-		return domainKey{reach: reach, cell: m.Cell}
+	case scope == CellDomain:
+		return domainKey{scope: scope, cell: m.Cell}
 	}
-	return domainKey{reach: reach, name: m.Zone}
+	return domainKey{scope: scope, name: m.Zone}
 }
 
-// attemptCounts counts active attempts by machine.
+// attemptCounts is the numbers of active attempts by machine.
 type attemptCounts struct {
-	all       map[*machine]int
+	byMachine map[*machine]int
 	pending   map[*machine]int // offers without an answer
 	byService map[string]map[*machine]int
 }
 
 func newAttemptCounts() *attemptCounts {
 	return &attemptCounts{
-		all:       map[*machine]int{},
+		byMachine: map[*machine]int{},
 		pending:   map[*machine]int{},
 		byService: map[string]map[*machine]int{},
 	}
@@ -118,20 +119,20 @@
 
 // clear sets all counts to 0.
 func (c *attemptCounts) clear() {
-	clear(c.all)
+	clear(c.byMachine)
 	clear(c.pending)
 	for _, counts := range c.byService {
 		clear(counts)
 	}
 }
 
-// countAttempts counts the active attempts of all tasks, and forgets those that have ended.
-func (o *choiceOracle) countAttempts() {
-	counts := o.attempts
+// recountAttempts sets activeAttempts from the attempts' records, and drops ended attempts from startedAttempts.
+func (o *choiceOracle) recountAttempts() {
+	counts := o.activeAttempts
 	counts.clear()
-	o.startAdopted()
-	o.started = slices.DeleteFunc(o.started, func(s startedAttempt) bool {
-		a := s.task.attempts[s.number]
+	o.addAdoptedAttempts()
+	o.startedAttempts = slices.DeleteFunc(o.startedAttempts, func(s startedAttempt) bool {
+		a := s.task.attempts[s.index]
 		if a.active {
 			counts.add(s.task.Service, a.machine, !a.placed)
 		}
@@ -139,20 +140,20 @@
 	})
 }
 
-// startAdopted adds the attempts of tasks that were adopted since the last call.
-func (o *choiceOracle) startAdopted() {
-	o.adopted = slices.DeleteFunc(o.adopted, func(id string) bool {
+// addAdoptedAttempts adds the attempts of adopted tasks to startedAttempts once the Placer has the tasks' records.
+func (o *choiceOracle) addAdoptedAttempts() {
+	o.pendingAdoptions = slices.DeleteFunc(o.pendingAdoptions, func(id string) bool {
 		t := o.placer.tasks[id]
 		if t != nil {
-			o.started = append(o.started, startedAttempt{t, 0})
+			o.startedAttempts = append(o.startedAttempts, startedAttempt{t, 0})
 		}
 		return t != nil
 	})
 }
 
-// add counts one more attempt.
+// add counts one more active attempt, which is pending until its offer is answered.
 func (c *attemptCounts) add(service string, m *machine, pending bool) {
-	c.all[m]++
+	c.byMachine[m]++
 	if pending {
 		c.pending[m]++
 	}
@@ -164,65 +165,65 @@
 
 // Soft constraints.
 
-// scanCandidates returns the machines in the vote for t. The comparison of capacities is that of the step in progress where
-// first is set.
-func (o *choiceOracle) scanCandidates(t *task, eligible []*machine, first bool) []*machine {
-	left, p := slices.Clone(eligible), o.placer
-	leave := func(least int, constraint string, excluded func(m *machine) bool) {
-		if !slices.ContainsFunc(left, excluded) {
+// scanCandidates returns the eligible machines that remain after the soft constraints for t, see applySoftConstraints. Where
+// the Placer evaluated the constraints itself, recordStart is set, and the comparison of capacities sets assumedStart.
+func (o *choiceOracle) scanCandidates(t *task, eligible []*machine, recordStart bool) []*machine {
+	remaining, p := slices.Clone(eligible), o.placer
+	exclude := func(minRemaining int, coverageName string, excluded func(m *machine) bool) {
+		if !slices.ContainsFunc(remaining, excluded) {
 			return
 		}
-		kept := slices.DeleteFunc(slices.Clone(left), excluded)
-		if len(kept) >= least && len(kept) < len(left) {
-			left = kept
-			o.counts[constraint]++
+		kept := slices.DeleteFunc(slices.Clone(remaining), excluded)
+		if len(kept) >= minRemaining && len(kept) < len(remaining) {
+			remaining = kept
+			o.coverage[coverageName]++
 		}
 	}
-	leave(1, "tried", func(m *machine) bool {
+	exclude(1, "previous attempt", func(m *machine) bool {
 		return slices.ContainsFunc(t.attempts, func(a attempt) bool { return a.machine == m })
 	})
-	leave(max(2, len(left)/2), "failing", func(m *machine) bool { return m.health.ejectedUntil > p.now })
-	leave(2, "class failure", func(m *machine) bool { return m.healthOf(t.Class).ejectedUntil > p.now })
-	full := o.scanFull(t, left, first)
-	leastWithCapacity := 0
+	exclude(max(2, len(remaining)/2), "ejection", func(m *machine) bool { return m.health.ejectedUntil > p.now })
+	exclude(2, "class ejection", func(m *machine) bool { return m.healthOf(t.Class).ejectedUntil > p.now })
+	full := o.scanWithoutCapacity(t, remaining, recordStart)
+	minWithCapacity := 0
 	if p.nearDeadline(t) {
-		leastWithCapacity = 1
+		minWithCapacity = 1
 	}
-	leave(leastWithCapacity, "capacity", func(m *machine) bool { return full[m] })
-	if len(left) == 0 {
+	exclude(minWithCapacity, "capacity", func(m *machine) bool { return full[m] })
+	if len(remaining) == 0 {
 		return nil
 	}
 	if p.cfg.Prices.MachinesInUse > 0 && p.cfg.ListsFreeCapacity {
-		used := o.scanConsolidation(left)
-		leave(2, "consolidation", func(m *machine) bool { return !slices.Contains(used, m) })
+		selected := o.scanConsolidation(remaining)
+		exclude(2, "consolidation", func(m *machine) bool { return !slices.Contains(selected, m) })
 	}
 	sum := 0.0
-	for _, m := range left {
+	for _, m := range remaining {
 		sum += p.reportedLoad(m)
 	}
-	limit := sum/float64(len(left)) + reportedLoadMargin
-	leave(2, "reported load", func(m *machine) bool { return p.reportedLoad(m) >= limit })
-	return o.scanPreferred(t, left)
+	limit := sum/float64(len(remaining)) + reportedLoadMargin
+	exclude(2, "reported load", func(m *machine) bool { return p.reportedLoad(m) >= limit })
+	return o.scanPreferred(t, remaining)
 }
 
-// scanFull returns those of the machines that have no capacity for t, as far as known.
-func (o *choiceOracle) scanFull(t *task, machines []*machine, first bool) map[*machine]bool {
+// scanWithoutCapacity returns those of the machines that are not expected to have capacity for t, see withoutCapacity.
+func (o *choiceOracle) scanWithoutCapacity(t *task, machines []*machine, recordStart bool) map[*machine]bool {
 	p, full := o.placer, map[*machine]bool{}
-	var withOffers []*machine
+	var accepting []*machine
 	for _, m := range machines {
 		rejects := m.rejectsUntil > p.now && m.rejectedSize <= p.sizeOn(t, m)
-		limited := m.offerWindow > 0 && o.attempts.pending[m] >= m.offerWindow
+		limited := m.offerWindow > 0 && o.activeAttempts.pending[m] >= m.offerWindow
 		if rejects || limited {
 			full[m] = true
 		} else {
-			withOffers = append(withOffers, m)
+			accepting = append(accepting, m)
 		}
 	}
 	if !p.cfg.ListsFreeCapacity {
 		return full
 	}
-	assumed := o.assumedOn(withOffers, first)
-	for _, m := range withOffers {
+	assumed := o.sumAssumedRequests(accepting, recordStart)
+	for _, m := range accepting {
 		kind := p.cfg.Kinds[m.Kind]
 		freeCores := m.FreeCores + kind.Cores*(p.cfg.CoreOvercommit-1)
 		freeMemory := m.FreeMemory + kind.Memory*(p.cfg.MemoryOvercommit-1)
@@ -231,46 +232,47 @@
 		}
 		full[m] = true
 		if t.Cores <= freeCores && t.Memory <= freeMemory {
-			o.counts["assumed requests"]++
+			o.coverage["assumed requests"]++
 		}
 	}
 	return full
 }
 
-// requested is the sum of what the placements on a machine request, from a position in the history and a time on.
-type requested struct {
-	from          int
-	since         Time
+// assumedRequests is the sum of what the placements on a machine request that count as assumed.
+type assumedRequests struct {
+	startIndex    int  // first index in the history that counts
+	since         Time // earliest time of an offer that counts
 	cores, memory float64
 }
 
-// assumedOn sums by machine what this scheduler requested so recently that the list may not show it.
-func (o *choiceOracle) assumedOn(machines []*machine, first bool) map[*machine]*requested {
-	sums := map[*machine]*requested{}
+// sumAssumedRequests returns, by machine, what this scheduler requested so recently that the machine list may not show it.
+func (o *choiceOracle) sumAssumedRequests(machines []*machine, recordStart bool) map[*machine]*assumedRequests {
+	sums := map[*machine]*assumedRequests{}
 	for _, m := range machines {
-		from, ok := o.assumedFrom[m]
+		startIndex, ok := o.assumedStart[m]
 		if !ok {
-			from = max(0, len(o.history)-maxHistory)
+			startIndex = max(0, len(o.history)-maxHistory)
 		}
-		if first {
-			o.assumedFrom[m] = from
+		if recordStart {
+			o.assumedStart[m] = startIndex
 		}
-		sums[m] = &requested{from: from, since: o.listings[m.ID].listedAt - listDelay}
+		sums[m] = &assumedRequests{startIndex: startIndex, since: o.listings[m.ID].listedAt - listDelay}
 	}
-	for i, b := range o.history {
-		o.resolve(b)
-		if sum := sums[b.machine]; sum != nil && i >= sum.from && !b.forgotten && b.offeredAt >= sum.since {
-			sum.cores += b.task.Cores
-			sum.memory += b.task.Memory
+	for i, placed := range o.history {
+		o.resolveMachine(placed)
+		if sum := sums[placed.machine]; sum != nil && i >= sum.startIndex && !placed.forgotten && placed.offeredAt >= sum.since {
+			sum.cores += placed.task.Cores
+			sum.memory += placed.task.Memory
 		}
 	}
 	return sums
 }
 
-// scanConsolidation returns the machines that suffice for what is requested of the fleet, the fullest first.
-func (o *choiceOracle) scanConsolidation(machines []*machine) (used []*machine) {
+// scanConsolidation returns the fullest machines, as many as suffice for all that is requested of the fleet, see
+// consolidationSet.
+func (o *choiceOracle) scanConsolidation(machines []*machine) (selected []*machine) {
 	p := o.placer
-	var cores, memory float64 // not provided for yet
+	var cores, memory float64 // requested of the fleet and not covered by the selected machines
 	for _, m := range p.machinesByID {
 		if m.listed && m.State != Removed && m.Kind >= 0 {
 			cores += p.cfg.Kinds[m.Kind].Cores - m.FreeCores + m.coresSinceListed
@@ -286,18 +288,19 @@
 		return cmp.Or(cmp.Compare(freeFraction(a), freeFraction(b)), cmp.Compare(a.ID, b.ID))
 	})
 	for _, m := range byFreeFraction {
-		if len(used) >= 3 && cores <= 0 && memory <= 0 {
+		if len(selected) >= 3 && cores <= 0 && memory <= 0 {
 			break
 		}
-		used = append(used, m)
+		selected = append(selected, m)
 		cores -= consolidationFill * p.cfg.Kinds[m.Kind].Cores
 		memory -= consolidationFill * p.cfg.Kinds[m.Kind].Memory
 	}
-	return used
+	return selected
 }
 
-// scanPreferred returns the machines with attempts of t's service, with the best by rank and the second where there is no
-// other; for a large task also the two best that are not overloaded.
+// scanPreferred returns the machines with attempts of t's service and the one of the highest rank, and the one of the second
+// rank if that is a single machine. For a large task it adds the two of the highest ranks that are not overloaded. See
+// preferredMachines.
 func (o *choiceOracle) scanPreferred(t *task, machines []*machine) (preferred []*machine) {
 	add := func(m *machine) {
 		if !slices.Contains(preferred, m) {
@@ -305,19 +308,19 @@
 		}
 	}
 	for _, m := range machines {
-		if o.attempts.byService[t.Service][m] > 0 {
+		if o.activeAttempts.byService[t.Service][m] > 0 {
 			add(m)
-			o.counts["machines of the service"]++
+			o.coverage["machines with attempts of the service"]++
 		}
 	}
-	best := o.byRank(t.Service, machines)
-	add(best[0])
-	if len(best) > 1 && len(preferred) < 2 {
-		add(best[1])
+	ranked := o.sortedByRank(t.Service, machines)
+	add(ranked[0])
+	if len(ranked) > 1 && len(preferred) < 2 {
+		add(ranked[1])
 	}
-	if o.placer.sizeOn(t, best[0]) > largeTaskSize {
-		o.counts["large tasks"]++
-		notOverloaded := slices.DeleteFunc(best, func(m *machine) bool { return m.overloadedUntil > o.placer.now })
+	if o.placer.sizeOn(t, ranked[0]) > largeTaskSize {
+		o.coverage["large tasks"]++
+		notOverloaded := slices.DeleteFunc(ranked, func(m *machine) bool { return m.overloadedUntil > o.placer.now })
 		for _, m := range notOverloaded[:min(2, len(notOverloaded))] {
 			add(m)
 		}
@@ -325,8 +328,8 @@
 	return preferred
 }
 
-// byRank returns machines by their rank for a service, the highest first.
-func (o *choiceOracle) byRank(service string, machines []*machine) []*machine {
+// sortedByRank returns the machines in the order of their ranks for a service, the highest first.
+func (o *choiceOracle) sortedByRank(service string, machines []*machine) []*machine {
 	ranked := slices.Clone(machines)
 	ranks := map[*machine]float64{}
 	for _, m := range ranked {
@@ -336,25 +339,25 @@
 	return ranked
 }
 
-// rank is the rendezvous rank of m for a service: a number in (0, 1] from a hash, to the power of one over the machine's
-// weight. The weight is the smaller of its fractions of the largest cores and the largest memory.
+// rank returns the weighted rendezvous rank of m for a service: u^(1/weight), where u is in (0, 1] and derived from a hash of
+// both. The weight is the smaller of the machine's fractions of the cores and the memory of the largest kinds.
 func (o *choiceOracle) rank(service string, m *machine) float64 {
-	var most MachineKind
+	var largest MachineKind
 	for _, kind := range o.placer.cfg.Kinds {
-		most.Cores, most.Memory = max(most.Cores, kind.Cores), max(most.Memory, kind.Memory)
+		largest.Cores, largest.Memory = max(largest.Cores, kind.Cores), max(largest.Memory, kind.Memory)
 	}
 	kind := o.placer.cfg.Kinds[m.Kind]
-	weight := kind.Cores / most.Cores
-	if byMemory := kind.Memory / most.Memory; byMemory < weight {
-		weight = byMemory
+	weight := kind.Cores / largest.Cores
+	if memoryFraction := kind.Memory / largest.Memory; memoryFraction < weight {
+		weight = memoryFraction
 	}
-	h := machineindex.Hash(m.ID) ^ machineindex.Hash(service)
-	uniform := math.Ldexp(float64(finalize(h)>>11+1), -53)
+	hash := machineindex.Hash(m.ID) ^ machineindex.Hash(service)
+	uniform := math.Ldexp(float64(fmix64(hash)>>11+1), -53)
 	return math.Pow(uniform, 1/weight)
 }
 
-// finalize is the last step of MurmurHash3 for 64 bits.
-func finalize(h uint64) uint64 {
+// fmix64 is the 64-bit finalizer of MurmurHash3.
+func fmix64(h uint64) uint64 {
 	for _, factor := range []uint64{0xff51afd7ed558ccd, 0xc4ceb9fe1a85ec53} {
 		h = (h ^ h>>33) * factor
 	}
@@ -363,19 +366,20 @@
 
 // The vote.
 
-// indexedLoad returns the external load of m by the index.
+// indexedLoad returns the external load of m in the index.
 func (o *choiceOracle) indexedLoad(m *machine) float64 {
 	return o.placer.conditions.externalLoad.At(m.entry.Number())
 }
 
-// externalLoadOf returns the load of m without this scheduler's active attempts that the list shows.
+// externalLoadOf returns the load of m from other schedulers, by the machine list, and from its service shortfall, see
+// externalLoad.
 func (o *choiceOracle) externalLoadOf(m *machine) float64 {
 	p, load := o.placer, 0.0
 	if p.cfg.ListsFreeCapacity {
 		kind := p.cfg.Kinds[m.Kind]
 		freeCores, freeMemory := m.FreeCores-m.coresSinceListed, m.FreeMemory-m.memorySinceListed
-		for _, s := range o.started {
-			if a := s.task.attempts[s.number]; a.active && a.machine == m {
+		for _, s := range o.startedAttempts {
+			if a := s.task.attempts[s.index]; a.active && a.machine == m {
 				freeCores += s.task.Cores
 				freeMemory += s.task.Memory
 			}
@@ -388,13 +392,13 @@
 	return load
 }
 
-// scanContenders returns the candidates that can win: those with history, and of the others the one of the least load, of
-// the highest rank among equals.
+// scanContenders returns the candidates that can win the vote: those with placements in the recent history, and of the others
+// the one with the least load, with the highest rank among equals.
 func (o *choiceOracle) scanContenders() (contenders []*machine) {
 	var idle []*machine
-	history := o.replayedOn(o.candidates)
+	history := o.recentPlacementsOn(o.candidates)
 	for _, m := range o.candidates {
-		if slices.ContainsFunc(history, func(b *oraclePlacement) bool { return b.machine == m }) {
+		if slices.ContainsFunc(history, func(placed *oraclePlacement) bool { return placed.machine == m }) {
 			contenders = append(contenders, m)
 		} else {
 			idle = append(idle, m)
@@ -409,25 +413,25 @@
 	return contenders
 }
 
-// replayedOn returns the recent history on the machines.
-func (o *choiceOracle) replayedOn(machines []*machine) (found []*oraclePlacement) {
-	for _, b := range o.history[max(0, len(o.history)-maxHistory):] {
-		o.resolve(b)
-		if !b.forgotten && slices.Contains(machines, b.machine) {
-			found = append(found, b)
+// recentPlacementsOn returns the placements on the machines among the last maxHistory of the history, in order of time.
+func (o *choiceOracle) recentPlacementsOn(machines []*machine) (found []*oraclePlacement) {
+	for _, placed := range o.history[max(0, len(o.history)-maxHistory):] {
+		o.resolveMachine(placed)
+		if !placed.forgotten && slices.Contains(machines, placed.machine) {
+			found = append(found, placed)
 		}
 	}
 	return found
 }
 
-// survivalOf returns the probability that a placement still runs.
-func (o *choiceOracle) survivalOf(b *oraclePlacement) float64 {
-	age := o.placer.now - b.offeredAt
-	switch expected := b.task.ExpectedRuntime; {
+// survivalOf returns the probability that a placement still runs, see Placer.survival.
+func (o *choiceOracle) survivalOf(placed *oraclePlacement) float64 {
+	age := o.placer.now - placed.offeredAt
+	switch expected := placed.task.ExpectedRuntime; {
 	case expected > age:
 		return 1
 	case expected > 0:
 		return 0
 	}
-	return math.Exp(-age.Seconds() / o.placer.meanLifetime(b.task.Class).Seconds())
+	return math.Exp(-age.Seconds() / o.placer.meanLifetime(placed.task.Class).Seconds())
 }
--- a/oracle_test.go
+++ b/oracle_test.go
@@ -10,53 +10,53 @@
 	"flaxshelf.example/flaxshelf/internal/machineindex"
 )
 
-// choiceOracle compares each choice of a Placer with what plain scans over its records find. It reads the records of
-// machines, tasks and attempts and keeps a history of its own, but no set, column or list of the index; machine numbers only
-// name the machines in what the index gave.
+// choiceOracle is a test oracle that observes a Placer and compares the result of each stage of its choices with linear
+// scans. The scans read the Placer's records of machines, tasks and attempts and the oracle's own history, but none of the
+// sets, columns and lists of the index. Machine numbers only serve to find the machines that the index returned.
 //
-// Where a formula reads one record alone, as for the budget in slow start, the oracle calls it: a second text of it would
-// repeat its errors. The recorded decisions of package replay hold those formulas.
+// Where a formula reads a single record, such as the slow start budget, the oracle calls the Placer's own function, since a
+// copy would have the same errors. The recorded decisions of package replay check those formulas.
 type choiceOracle struct {
-	placer   *Placer
-	listings map[string]*listing // by machine ID
-	history  []*oraclePlacement  // in order of time
-	offers   map[string]int      // by task ID
-
-	// Where the recent history began when a machine's capacity was first compared in this step. Placements of the step do
-	// not push older ones out until it ends.
-	assumedFrom map[*machine]int
-	attempts    *attemptCounts // as of the step in progress, from its first choice on
-	counted     bool           // attempts is up to date
-	started     []startedAttempt
-	adopted     []string // task IDs, until the Placer has their records
+	placer      *Placer
+	listings    map[string]*listing // by machine ID
+	history     []*oraclePlacement  // in order of time
+	offerCounts map[string]int      // placements added so far, by task ID
+
+	// assumedStart is the index in history of the first placement that counts as assumed on a machine. It is fixed when the
+	// machine's capacity is first compared in a step: placements of that step push no older ones out until it ends.
+	assumedStart     map[*machine]int
+	activeAttempts   *attemptCounts // counted at the first choice of a step and updated by the later ones
+	attemptsCounted  bool           // activeAttempts is of the step in progress
+	startedAttempts  []startedAttempt
+	pendingAdoptions []string // IDs of adopted tasks that the Placer may not have records of yet
 
 	// The choice in progress.
-	service    string
-	eligible   []*machine
-	candidates []*machine
-	observed   bool // it was not answered by the infeasible requests
+	service             string
+	eligible            []*machine
+	candidates          []*machine
+	constraintsObserved bool // afterHardConstraints was called; false for a request known to be infeasible
 
-	counts oracleCounts
-	err    error // the first difference
+	coverage      choiceCoverage
+	firstMismatch error
 }
 
-// listing is what the oracle knows of a machine from the machine list.
+// listing is the latest entry of a machine in the machine list.
 type listing struct {
 	entry    Machine
-	listed   bool
+	listed   bool // false until a list has named the machine
 	listedAt Time
 }
 
-// startedAttempt identifies an attempt; its record has whether it is active.
+// startedAttempt identifies an attempt by its task and its index in task.attempts, which tells whether it is active.
 type startedAttempt struct {
-	task   *task
-	number int
+	task  *task
+	index int
 }
 
 // oraclePlacement is an entry of the oracle's history.
 type oraclePlacement struct {
 	machineID string
-	machine   *machine // nil until it is needed
+	machine   *machine // nil for an adopted task until resolveMachine
 	taskID    string
 	attempt   int
 	offeredAt Time
@@ -64,59 +64,61 @@
 	forgotten bool
 }
 
-// oracleCounts is how often each part of a choice made a difference.
-type oracleCounts map[string]int
+// choiceCoverage is how often each constraint or stage of a choice affected its result, by name.
+type choiceCoverage map[string]int
 
-// Add adds the counts of another run.
-func (c oracleCounts) Add(other oracleCounts) {
+// Add adds the counts of another oracle.
+func (c choiceCoverage) Add(other choiceCoverage) {
 	for name, count := range other {
 		c[name] += count
 	}
 }
 
 func newChoiceOracle(p *Placer) *choiceOracle {
-	o := &choiceOracle{placer: p, listings: map[string]*listing{}, offers: map[string]int{}, counts: oracleCounts{},
-		assumedFrom: map[*machine]int{}, attempts: newAttemptCounts()}
+	o := &choiceOracle{placer: p, listings: map[string]*listing{}, offerCounts: map[string]int{}, coverage: choiceCoverage{},
+		assumedStart: map[*machine]int{}, activeAttempts: newAttemptCounts()}
 	p.observer = o
 	return o
 }
 
-// differ records a difference unless one has been recorded.
-func (o *choiceOracle) differ(format string, args ...any) {
-	if o.err == nil {
-		o.err = fmt.Errorf("at %v: %s", o.placer.now, fmt.Sprintf(format, args...))
+// recordMismatch records a mismatch unless there was one before.
+func (o *choiceOracle) recordMismatch(format string, args ...any) {
+	if o.firstMismatch == nil {
+		o.firstMismatch = fmt.Errorf("at %v: %s", o.placer.now, fmt.Sprintf(format, args...))
 	}
 }
 
 // Events and steps.
 
-// beforeStep follows the events of a step before the Placer gets them.
+// beforeStep updates the oracle's listings and history by the events of a step. It is called before the Placer's Step.
 func (o *choiceOracle) beforeStep(now Time, events []Event) {
-	o.counts["steps"]++
-	o.counted = false
-	clear(o.assumedFrom)
+	o.coverage["steps"]++
+	o.attemptsCounted = false
+	clear(o.assumedStart)
 	for _, e := range events {
 		switch e := e.(type) {
 		case MachinesUpdated:
-			o.followList(now, e)
+			o.updateListings(now, e)
 		case TaskAdopted:
 			if o.placer.tasks[e.Task.ID] == nil {
 				o.addPlacement(now, e.Task, e.Machine, nil)
-				o.adopted = append(o.adopted, e.Task.ID)
+				o.pendingAdoptions = append(o.pendingAdoptions, e.Task.ID)
 			}
 		case AttemptEnded:
 			if e.Outcome == Rejected || e.Outcome == Unreachable || e.Outcome == NotSent {
-				o.forget(func(b *oraclePlacement) bool { return b.taskID == e.Task && b.attempt == e.Attempt })
+				o.forgetPlacements(func(placed *oraclePlacement) bool {
+					return placed.taskID == e.Task && placed.attempt == e.Attempt
+				})
 			}
 		}
 	}
 }
 
-// followList keeps the entries of the machine list and forgets the placements on machines that restarted or were removed.
-func (o *choiceOracle) followList(now Time, e MachinesUpdated) {
+// updateListings records an update of the machine list and forgets the placements on machines that restarted or were removed.
+func (o *choiceOracle) updateListings(now Time, e MachinesUpdated) {
 	stillListed := map[string]bool{}
-	forgetMachine := func(id string) {
-		o.forget(func(b *oraclePlacement) bool { return b.machineID == id && b.offeredAt < now })
+	forgetMachinePlacements := func(id string) {
+		o.forgetPlacements(func(placed *oraclePlacement) bool { return placed.machineID == id && placed.offeredAt < now })
 	}
 	for _, entry := range e.Machines {
 		stillListed[entry.ID] = true
@@ -128,60 +130,60 @@
 		restarted := known.listed && entry.Started > known.entry.Started
 		removed := entry.State == Removed && known.entry.State != Removed
 		if restarted || removed {
-			forgetMachine(entry.ID)
+			forgetMachinePlacements(entry.ID)
 		}
 		*known = listing{entry: entry, listed: true, listedAt: now}
 	}
 	for id, known := range o.listings {
 		if e.Complete && !stillListed[id] && known.entry.State != Removed {
 			known.entry.State = Removed
-			forgetMachine(id)
+			forgetMachinePlacements(id)
 		}
 	}
 }
 
-func (o *choiceOracle) forget(which func(*oraclePlacement) bool) {
-	for _, b := range o.history {
-		b.forgotten = b.forgotten || which(b)
+func (o *choiceOracle) forgetPlacements(matches func(*oraclePlacement) bool) {
+	for _, placed := range o.history {
+		placed.forgotten = placed.forgotten || matches(placed)
 	}
 }
 
 func (o *choiceOracle) addPlacement(now Time, spec Task, machineID string, m *machine) {
 	o.history = append(o.history, &oraclePlacement{machineID: machineID, machine: m, taskID: spec.ID,
-		attempt: o.offers[spec.ID], offeredAt: now, task: spec})
-	o.offers[spec.ID]++
+		attempt: o.offerCounts[spec.ID], offeredAt: now, task: spec})
+	o.offerCounts[spec.ID]++
 }
 
-// afterStep drops what has left the history and the listings of machines that the Placer forgot.
+// afterStep drops placements that are too old, too many or forgotten, and the listings of machines that the Placer pruned.
 func (o *choiceOracle) afterStep() {
 	p := o.placer
 	kept := o.history[:0]
-	for i, b := range o.history {
-		o.resolve(b)
-		recent := i >= len(o.history)-maxHistory && b.offeredAt >= p.now-p.historyReach()
-		if recent && !b.forgotten {
-			kept = append(kept, b)
+	for i, placed := range o.history {
+		o.resolveMachine(placed)
+		recent := i >= len(o.history)-maxHistory && placed.offeredAt >= p.now-p.historyReach()
+		if recent && !placed.forgotten {
+			kept = append(kept, placed)
 		}
 	}
 	o.history = kept
 	for id := range o.listings {
 		if p.machines[id] == nil {
 			delete(o.listings, id)
-			o.counts["forgotten machines"]++
+			o.coverage["pruned machines"]++
 		}
 	}
-	o.checkNumbers()
+	o.compareMachineNumbers()
 }
 
-// resolve finds the record of the machine of an adopted task.
-func (o *choiceOracle) resolve(b *oraclePlacement) {
-	if b.machine == nil {
-		b.machine = o.placer.machines[b.machineID]
+// resolveMachine sets the machine record of the placement of an adopted task, once the Placer has that record.
+func (o *choiceOracle) resolveMachine(placed *oraclePlacement) {
+	if placed.machine == nil {
+		placed.machine = o.placer.machines[placed.machineID]
 	}
 }
 
-// checkNumbers compares the order of the numbered machines with that of all machine records.
-func (o *choiceOracle) checkNumbers() {
+// compareMachineNumbers checks that machinesByID has all machine records in the order of their IDs.
+func (o *choiceOracle) compareMachineNumbers() {
 	var ids []string
 	for id := range o.placer.machines {
 		ids = append(ids, id)
@@ -189,20 +191,20 @@
 	slices.Sort(ids)
 	numbered := o.placer.machinesByID
 	if !slices.EqualFunc(ids, numbered, func(id string, m *machine) bool { return m.ID == id }) {
-		o.differ("%d machines are numbered, want %d in the order of their IDs", len(numbered), len(ids))
+		o.recordMismatch("machinesByID has %d machines, want all %d in the order of their IDs: %v", len(numbered), len(ids), ids)
 	}
 }
 
-// machineOf returns the machine that a number names.
-func (o *choiceOracle) machineOf(number int32) *machine { return o.placer.machinesByID[number] }
+// machineByNumber returns the machine with a number of the index.
+func (o *choiceOracle) machineByNumber(number int32) *machine { return o.placer.machinesByID[number] }
 
-// The stages of a choice.
+// The stages of a choice: the methods of choiceObserver.
 
 func (o *choiceOracle) afterHardConstraints(t *task, eligible *bitset.BitSet) {
-	o.observed, o.service = true, t.Service
+	o.constraintsObserved, o.service = true, t.Service
 	var got []*machine
 	for number := range eligible.EachSet() {
-		got = append(got, o.machineOf(int32(number)))
+		got = append(got, o.machineByNumber(int32(number)))
 	}
 	o.eligible = o.scanEligible(t)
 	o.compareMachines(t, "eligible", got, o.eligible)
@@ -211,16 +213,16 @@
 func (o *choiceOracle) afterSoftConstraints(t *task, candidates []machineindex.Candidate) {
 	var got []*machine
 	for _, c := range candidates {
-		got = append(got, o.machineOf(c.Machine))
+		got = append(got, o.machineByNumber(c.Machine))
 	}
 	o.candidates = o.scanCandidates(t, o.eligible, true)
-	o.compareMachines(t, "candidates", got, o.candidates)
+	o.compareMachines(t, "candidate", got, o.candidates)
 	o.compareAffinities(t, candidates)
 	for _, c := range candidates {
-		m := o.machineOf(c.Machine)
+		m := o.machineByNumber(c.Machine)
 		got, want := o.indexedLoad(m), o.externalLoadOf(m)
 		if math.Abs(got-want) > 1e-9 {
-			o.differ("load of %s is %v, want %v", m.ID, got, want)
+			o.recordMismatch("external load of %s is %v in the index, want %v", m.ID, got, want)
 		}
 	}
 }
@@ -228,81 +230,81 @@
 func (o *choiceOracle) beforeReplay(contenders []machineindex.Candidate, replayed []replayedPlacement) {
 	var got []*machine
 	for _, c := range contenders {
-		got = append(got, o.machineOf(c.Machine))
+		got = append(got, o.machineByNumber(c.Machine))
 	}
 	want := o.scanContenders()
-	o.compareMachines(nil, "contenders", got, want)
-	o.counts["votes"]++
+	o.compareMachines(nil, "contender", got, want)
+	o.coverage["votes"]++
 	if len(o.history) > maxHistory {
-		o.counts["votes with more than the recent history"]++
+		o.coverage["votes with truncated history"]++
 	}
 	if len(want) < len(o.candidates) {
-		o.counts["dropped contenders"]++
+		o.coverage["votes with fewer contenders than candidates"]++
 	}
-	if o.err == nil {
+	if o.firstMismatch == nil {
 		o.compareReplayed(got, replayed)
 	}
 	o.candidates = want
 }
 
 func (o *choiceOracle) afterChoice(t *task, chosen *machine) {
-	o.counts["choices"]++
-	if !o.observed {
-		o.counts["infeasible requests"]++
+	o.coverage["choices"]++
+	if !o.constraintsObserved {
+		o.coverage["infeasible requests"]++
 		o.candidates = o.scanCandidates(t, o.scanEligible(t), false)
 	}
 	switch {
 	case chosen == nil && len(o.candidates) > 0:
-		o.differ("task %s finds no machine, want one of %v", t.ID, idsOf(o.candidates))
+		o.recordMismatch("no machine is chosen for task %s, want one of %v", t.ID, idsOf(o.candidates))
 	case chosen != nil && !slices.Contains(o.candidates, chosen):
-		o.differ("task %s is offered to %s, want one of %v", t.ID, chosen.ID, idsOf(o.candidates))
+		o.recordMismatch("machine %s is chosen for task %s, want one of %v", chosen.ID, t.ID, idsOf(o.candidates))
 	}
 	if chosen != nil {
 		o.addPlacement(o.placer.now, t.Task, chosen.ID, chosen)
-		o.attempts.add(t.Service, chosen, true)
-		o.started = append(o.started, startedAttempt{t, len(t.attempts)})
+		o.activeAttempts.add(t.Service, chosen, true)
+		o.startedAttempts = append(o.startedAttempts, startedAttempt{t, len(t.attempts)})
 	}
-	o.eligible, o.candidates, o.observed = nil, nil, false
+	o.eligible, o.candidates, o.constraintsObserved = nil, nil, false
 }
 
-// afterMigrationCheck: half of the machines that could take t, and two at least, serve tasks well, and none fails t's class
-// or rejects tasks.
+// afterMigrationCheck compares hasBetter with a scan: at least two, and half, of the machines that t may run on must serve
+// tasks well, and no machine may be ejected for t's class or reject tasks.
 func (o *choiceOracle) afterMigrationCheck(t *task, hasBetter bool) {
 	p := o.placer
-	o.countAttempts()
-	attempts := o.attempts.all
-	possible, good, bad := 0, 0, 0
+	o.recountAttempts()
+	attempts := o.activeAttempts.byMachine
+	feasible, good, unreliable := 0, 0, 0
 	for _, m := range p.machines {
 		if m.classHealth[t.Class].ejectedUntil > p.now || m.rejectsUntil > p.now {
-			bad++
+			unreliable++
 		}
-		if !o.couldTake(t, m) {
+		if !o.isEligibleByKind(t, m) {
 			continue
 		}
-		possible++
+		feasible++
 		ejected, overloaded := m.health.ejectedUntil > p.now, m.overloadedUntil > p.now
 		if attempts[m] > 0 && !ejected && !overloaded && !p.inSlowStart(m) {
 			good++
 		}
 	}
-	want := bad == 0 && good >= 2 && good >= possible/2
+	want := unreliable == 0 && good >= 2 && good >= feasible/2
 	if hasBetter != want {
-		o.differ("better machines for %s are known: %v, want %v", t.ID, hasBetter, want)
+		o.recordMismatch("hasBetterMachines of task %s is %v, want %v", t.ID, hasBetter, want)
 	}
 	if want {
-		o.counts["possible migrations"]++
+		o.coverage["migrations allowed"]++
 	} else {
-		o.counts["refused migrations"]++
+		o.coverage["migrations refused"]++
 	}
 }
 
-// compareMachines compares two sets of machines.
-func (o *choiceOracle) compareMachines(t *task, what string, got, want []*machine) {
+// compareMachines compares two sets of machines in any order. The task and the stage are for the message.
+func (o *choiceOracle) compareMachines(t *task, stage string, got, want []*machine) {
 	if slices.Equal(got, want) {
 		return
 	}
 	if gotIDs, wantIDs := idsOf(got), idsOf(want); !slices.Equal(gotIDs, wantIDs) {
-		o.differ("%s of %+v are %v, want %v", what, t, gotIDs, wantIDs)
+		o.recordMismatch("%s machines for task %+v are %v, want %v", stage, t, gotIDs, wantIDs)
 	}
 }
 
@@ -314,34 +316,36 @@
 	return ids
 }
 
-// compareAffinities compares the order of the candidates by affinity with that by rendezvous rank.
+// compareAffinities checks that the candidates' affinities order each pair of them as their rendezvous ranks do.
 func (o *choiceOracle) compareAffinities(t *task, candidates []machineindex.Candidate) {
 	for _, a := range candidates {
 		for _, b := range candidates {
 			higher := compareAffinity(a.Affinity, b.Affinity) > 0
-			if want := o.rank(t.Service, o.machineOf(a.Machine)) > o.rank(t.Service, o.machineOf(b.Machine)); higher != want {
-				o.differ("affinity of %s to %s is above that of %s: %v, want %v", t.Service,
-					o.machineOf(a.Machine).ID, o.machineOf(b.Machine).ID, higher, want)
+			machineA, machineB := o.machineByNumber(a.Machine), o.machineByNumber(b.Machine)
+			if want := o.rank(t.Service, machineA) > o.rank(t.Service, machineB); higher != want {
+				o.recordMismatch("service %s has a higher affinity for %s than for %s: got %v, want %v",
+					t.Service, machineA.ID, machineB.ID, higher, want)
 			}
 		}
 	}
 }
 
-// compareReplayed compares the history of the vote, in order of time.
+// compareReplayed compares the placements that a vote replays, in order of time, with the oracle's history.
 func (o *choiceOracle) compareReplayed(contenders []*machine, replayed []replayedPlacement) {
-	want := o.replayedOn(o.candidates)
+	want := o.recentPlacementsOn(o.candidates)
 	if len(replayed) != len(want) {
-		o.differ("%d placements are replayed, want %d", len(replayed), len(want))
+		o.recordMismatch("vote replays %d placements, want %d", len(replayed), len(want))
 		return
 	}
-	o.counts["replayed placements"] += len(want)
+	o.coverage["replayed placements"] += len(want)
 	for i, r := range replayed {
-		b, m := want[i], contenders[r.candidate]
+		placed, m := want[i], contenders[r.candidate]
 		kind := o.placer.cfg.Kinds[m.Kind]
 		survival := float64(r.survival) / (1 << 53)
-		same := m == b.machine && r.cores*kind.Cores == b.task.Cores && r.memory == b.task.Memory/kind.Memory
-		if !same || math.Abs(survival-o.survivalOf(b)) > 1e-9 {
-			o.differ("placement %d of the replay is %+v on %s, want %+v with survival %v", i, r, m.ID, *b, o.survivalOf(b))
+		same := m == placed.machine && r.cores*kind.Cores == placed.task.Cores && r.memory == placed.task.Memory/kind.Memory
+		if !same || math.Abs(survival-o.survivalOf(placed)) > 1e-9 {
+			o.recordMismatch("replayed placement %d is %+v on %s, want %+v with survival %v",
+				i, r, m.ID, *placed, o.survivalOf(placed))
 			return
 		}
 	}
