--- a/event_source_test.go
+++ b/event_source_test.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// randomConfig returns the settings of a random deployment.
+// randomConfig returns valid random settings with one class for each idempotency and a second one with a key.
 func randomConfig(random *rand.Rand) Config {
-	yes := func() bool { return random.IntN(2) == 0 }
+	randomBool := func() bool { return random.IntN(2) == 0 }
 	cfg := testConfig()
 	cfg.Schedulers = 1 + random.IntN(4)
 	cfg.Kinds = []MachineKind{{"small", 16, 50}, {"big", 64, 200}}
 	cfg.SlowStartBudget = float64(5 + random.IntN(30))
-	cfg.DiscoveryOnRequest, cfg.ListsFreeCapacity, cfg.CanCancel = yes(), yes(), yes()
+	cfg.DiscoveryOnRequest, cfg.ListsFreeCapacity, cfg.CanCancel = randomBool(), randomBool(), randomBool()
 	cfg.Prices = Prices{CrossZone: float64(random.IntN(2)), MachinesInUse: float64(random.IntN(2))}
 	cfg.Classes = nil
 	for _, idempotency := range []Idempotency{Idempotent, IdempotentByKey, IdempotentByKey, NonIdempotent} {
@@ -32,7 +32,8 @@
 	return cfg
 }
 
-// eventSource generates random legal events: it answers offers, changes the machine list and submits tasks.
+// eventSource generates random events that a real deployment could send: answers to offers, changes of the machine list and
+// submissions.
 type eventSource struct {
 	random    *rand.Rand
 	checker   *ruleChecker
@@ -40,23 +41,23 @@
 	taskCount int
 }
 
-// pendingAttempt is an offer that has not ended.
+// pendingAttempt is an attempt that has not ended.
 type pendingAttempt struct {
-	task    string
-	machine string
-	attempt int
-	due     Time // when something happens to it next
-	placed  bool
+	task        string
+	machine     string
+	attempt     int
+	nextEventAt Time // when it is placed or ends
+	placed      bool
 }
 
-// events returns the events of one step.
-func (s *eventSource) events() []Event {
-	events := s.attemptEvents()
+// nextEvents returns the events of the next step.
+func (s *eventSource) nextEvents() []Event {
+	events := s.dueAttemptEvents()
 	for range s.random.IntN(4) {
-		events = append(events, s.submission())
+		events = append(events, s.randomSubmission())
 	}
 	if s.random.IntN(6) == 0 {
-		events = append(events, s.machineChange())
+		events = append(events, s.randomMachineChange())
 	}
 	if s.random.IntN(40) == 0 {
 		events = append(events, DiscoveryFailed{})
@@ -64,28 +65,28 @@
 	return events
 }
 
-// attemptEvents returns events that place or end the pending attempts that are due.
-func (s *eventSource) attemptEvents() (events []Event) {
-	kept := s.pending[:0]
+// dueAttemptEvents returns the events that place or end the pending attempts whose time has come.
+func (s *eventSource) dueAttemptEvents() (events []Event) {
+	remaining := s.pending[:0]
 	for _, p := range s.pending {
-		if s.checker.now >= p.due {
+		if s.checker.now >= p.nextEventAt {
 			answered := s.checker.tasks[p.task].answered
 			if p.placed || answered || s.random.IntN(3) == 0 {
-				events = append(events, s.end(p, answered))
+				events = append(events, s.randomEnd(p, answered))
 				continue
 			}
 			events = append(events,
 				AttemptPlaced{Task: p.task, Machine: p.machine, Attempt: p.attempt, Latency: 20 * millisecond})
-			p.placed, p.due = true, s.checker.now+time.Duration(s.random.IntN(4000))*millisecond
+			p.placed, p.nextEventAt = true, s.checker.now+time.Duration(s.random.IntN(4000))*millisecond
 		}
-		kept = append(kept, p)
+		remaining = append(remaining, p)
 	}
-	s.pending = kept
+	s.pending = remaining
 	return events
 }
 
-// end returns the event of a random end of an attempt.
-func (s *eventSource) end(p pendingAttempt, answered bool) Event {
+// randomEnd returns the event that ends an attempt with a random outcome: a placed one as completed or lost.
+func (s *eventSource) randomEnd(p pendingAttempt, answered bool) Event {
 	outcome := Outcome(1 + s.random.IntN(7))
 	if p.placed {
 		outcome = []Outcome{Completed, Lost}[s.random.IntN(2)]
@@ -95,16 +96,17 @@
 		Load: LoadReport{Present: s.random.IntN(2) == 0, HasCores: true, FreeCores: float64(s.random.IntN(20))}}
 }
 
-// submission returns the event of a random task.
-func (s *eventSource) submission() Event {
+// randomSubmission returns the submission of a random task.
+func (s *eventSource) randomSubmission() Event {
 	s.taskCount++
 	return TaskSubmitted{Task{ID: fmt.Sprint("t", s.taskCount), Service: fmt.Sprint("s", s.random.IntN(3)),
 		Class: s.random.IntN(4), Cores: 1, Memory: 2, Tenant: -1,
 		Deadline: s.checker.now + time.Duration(1+s.random.IntN(3000))*millisecond}}
 }
 
-// machineChange returns an event that adds, changes, restarts, drains or removes one machine.
-func (s *eventSource) machineChange() Event {
+// randomMachineChange returns an event that adds, updates, restarts, drains or removes one machine. A complete list also
+// removes all others.
+func (s *eventSource) randomMachineChange() Event {
 	m := Machine{ID: fmt.Sprint("m", s.random.IntN(8)), Kind: s.random.IntN(2), State: MachineState(s.random.IntN(3))}
 	m.Zone, m.Cell = "z"+m.ID[1:2], int(m.ID[1])%3
 	if old, ok := s.checker.machines[m.ID]; ok {
@@ -116,9 +118,9 @@
 	return MachinesUpdated{Machines: []Machine{m}, Complete: s.random.IntN(30) == 0}
 }
 
-// offered records an offer, which will be answered within its time-out.
-func (s *eventSource) offered(offer Offer) {
+// recordOffer adds a pending attempt, which is placed or ends at a random time within the offer's time-out.
+func (s *eventSource) recordOffer(offer Offer) {
 	delay := time.Duration(s.random.IntN(int(offer.Timeout/millisecond)+1)) * millisecond
 	s.pending = append(s.pending, pendingAttempt{task: offer.Task, machine: offer.Machine,
-		attempt: len(s.checker.tasks[offer.Task].attempts) - 1, due: s.checker.now + delay})
+		attempt: len(s.checker.tasks[offer.Task].attempts) - 1, nextEventAt: s.checker.now + delay})
 }
--- a/rule_checker_test.go
+++ b/rule_checker_test.go
@@ -5,46 +5,47 @@
 	"testing"
 )
 
-// ruleChecker follows a run by its events and actions alone and checks the five rules of placement. It shares no records
-// with the Placer.
+// ruleChecker checks a scheduler against five rules, from its events and actions alone; it reads no records of the Placer. Each
+// task gets one answer in time. An offer goes to a listed machine in service, of the right kind. A retry is made only where a
+// second start is safe. Offers keep to the bounded spread and to the slow start budget.
 type ruleChecker struct {
-	t            *testing.T
-	cfg          Config
-	now          Time
-	startedAt    Time // of the scheduler
-	machines     map[string]Machine
-	stoppedSince map[string]Time // since when a machine is known to drain or to be removed
-	tasks        map[string]*checkedTask
-	offeredAt    map[string][]Time // offers to each machine in slow start
+	t                *testing.T
+	cfg              Config
+	now              Time
+	startedAt        Time // when the scheduler started
+	machines         map[string]Machine
+	unavailableSince map[string]Time // by machine ID, when the scheduler learned of its drain or removal
+	tasks            map[string]*checkedTask
+	slowStartOffers  map[string][]Time // times of offers to each machine in slow start
 }
 
-// checkedTask is a task as the checker has seen it.
+// checkedTask is the checker's record of a task.
 type checkedTask struct {
 	task     Task
 	answered bool
 	attempts []checkedAttempt
 }
 
-// checkedAttempt is an attempt as the checker has seen it.
+// checkedAttempt is the checker's record of an attempt.
 type checkedAttempt struct {
 	machine    string
 	sentAt     Time
 	active     bool
-	mayHaveRun bool
+	mayHaveRun bool // its outcome, if any, does not prove that it never ran
 }
 
-// newRuleChecker makes the checker of a scheduler that starts at now.
+// newRuleChecker returns the checker of a scheduler that starts at the given time.
 func newRuleChecker(t *testing.T, cfg Config, now Time) *ruleChecker {
 	t.Helper()
 	return &ruleChecker{t: t, cfg: cfg, now: now, startedAt: now, machines: map[string]Machine{},
-		stoppedSince: map[string]Time{}, tasks: map[string]*checkedTask{}, offeredAt: map[string][]Time{}}
+		unavailableSince: map[string]Time{}, tasks: map[string]*checkedTask{}, slowStartOffers: map[string][]Time{}}
 }
 
-// event records an event that the scheduler is about to process.
-func (c *ruleChecker) event(e Event) {
+// observeEvent records an event. It is called before the scheduler processes the event.
+func (c *ruleChecker) observeEvent(e Event) {
 	switch e := e.(type) {
 	case MachinesUpdated:
-		c.machinesUpdated(e)
+		c.observeMachineList(e)
 	case TaskSubmitted:
 		c.tasks[e.Task.ID] = &checkedTask{task: e.Task}
 	case TaskAdopted:
@@ -61,38 +62,39 @@
 	}
 }
 
-func (c *ruleChecker) machinesUpdated(e MachinesUpdated) {
-	named := map[string]bool{}
+func (c *ruleChecker) observeMachineList(e MachinesUpdated) {
+	listed := map[string]bool{}
 	for _, m := range e.Machines {
-		named[m.ID] = true
+		listed[m.ID] = true
 		c.machines[m.ID] = m
 		if m.State == Active {
-			delete(c.stoppedSince, m.ID)
-		} else if _, ok := c.stoppedSince[m.ID]; !ok {
-			c.stoppedSince[m.ID] = c.now
+			delete(c.unavailableSince, m.ID)
+		} else if _, ok := c.unavailableSince[m.ID]; !ok {
+			c.unavailableSince[m.ID] = c.now
 		}
 	}
 	for id := range c.machines {
-		if _, ok := c.stoppedSince[id]; e.Complete && !named[id] && !ok {
-			c.stoppedSince[id] = c.now
+		if _, ok := c.unavailableSince[id]; e.Complete && !listed[id] && !ok {
+			c.unavailableSince[id] = c.now
 		}
 	}
 }
 
-// action checks an action of the scheduler.
-func (c *ruleChecker) action(action Action) {
+// checkAction checks an action of the scheduler and records it.
+func (c *ruleChecker) checkAction(action Action) {
 	switch action := action.(type) {
 	case Offer:
-		c.offer(action)
+		c.checkOffer(action)
 	case Reject:
 		c.checkRejection(action)
-		c.answer(action.Task)
+		c.checkAnswer(action.Task)
 	case Fail:
-		c.answer(action.Task)
+		c.checkAnswer(action.Task)
 	}
 }
 
-// checkRejection checks that a retry after a rejection does no harm.
+// checkRejection checks that no attempt of a rejected task may have run, unless the task's idempotency makes a second start
+// safe on any machine: after a rejection the owner may submit the task again.
 func (c *ruleChecker) checkRejection(reject Reject) {
 	task := c.tasks[reject.Task]
 	class := c.cfg.Classes[task.task.Class]
@@ -101,34 +103,36 @@
 	}
 	for _, attempt := range task.attempts {
 		if attempt.mayHaveRun {
-			c.t.Errorf("%v: rejected %s, which may have run", c.now, reject.Task)
+			c.t.Errorf("%v: task %s is rejected although its attempt on %s may have run, want Fail",
+				c.now, reject.Task, attempt.machine)
 		}
 	}
 }
 
-// answer checks that a task has one final answer, before its deadline.
-func (c *ruleChecker) answer(id string) {
+// checkAnswer checks that a task gets its only final answer, before its deadline, and records the answer.
+func (c *ruleChecker) checkAnswer(id string) {
 	task := c.tasks[id]
 	if task.answered {
-		c.t.Errorf("%v: second answer for %s", c.now, id)
+		c.t.Errorf("%v: task %s gets a second answer, want one", c.now, id)
 	}
 	if c.now >= task.task.Deadline {
-		c.t.Errorf("%v: %s answered after %v", c.now, id, task.task.Deadline)
+		c.t.Errorf("%v: task %s gets its answer, want it before the deadline %v", c.now, id, task.task.Deadline)
 	}
 	task.answered = true
 }
 
-// checkAnswered checks that no task is open 12 ms after its deadline.
-func (c *ruleChecker) checkAnswered() {
+// checkNoneOverdue checks that no task is unanswered 12 ms after its deadline. Tasks with a deadline before the scheduler's
+// start are exempt.
+func (c *ruleChecker) checkNoneOverdue() {
 	for id, task := range c.tasks {
 		overdue := c.now-task.task.Deadline > 12*millisecond
 		if !task.answered && overdue && task.task.Deadline > c.startedAt {
-			c.t.Fatalf("%v: %s has no answer", c.now, id)
+			c.t.Fatalf("%v: task %s has no answer, want one before the deadline %v", c.now, id, task.task.Deadline)
 		}
 	}
 }
 
-// domainOf returns the name of the domain of a machine.
+// domainOf returns a name for a machine's domain of the given scope, the same name for all machines of the domain.
 func (c *ruleChecker) domainOf(scope TopologyDomain, machine string) string {
 	switch scope {
 	case MachineDomain:
@@ -141,11 +145,11 @@
 	return ""
 }
 
-// offer checks an offer by all rules.
-func (c *ruleChecker) offer(offer Offer) {
+// checkOffer checks an offer by all rules and records it.
+func (c *ruleChecker) checkOffer(offer Offer) {
 	task := c.tasks[offer.Task]
 	class := c.cfg.Classes[task.task.Class]
-	c.checkTimes(offer, task)
+	c.checkDeadline(offer, task)
 	c.checkMachine(offer, class)
 	c.checkRetry(offer, task, class)
 	task.attempts = append(task.attempts,
@@ -154,43 +158,48 @@
 	c.checkSlowStart(offer, c.machines[offer.Machine])
 }
 
-func (c *ruleChecker) checkTimes(offer Offer, task *checkedTask) {
+func (c *ruleChecker) checkDeadline(offer Offer, task *checkedTask) {
 	if task.answered || c.now >= task.task.Deadline {
-		c.t.Errorf("%v: offer for %s after its end", c.now, offer.Task)
+		c.t.Errorf("%v: offer of task %s (answered: %v), want none after its answer or its deadline %v",
+			c.now, offer.Task, task.answered, task.task.Deadline)
 	}
 	if c.now+offer.Timeout > task.task.Deadline {
-		c.t.Errorf("%v: time-out of %s is after its deadline", c.now, offer.Task)
+		c.t.Errorf("%v: offer of task %s times out at %v, want no later than the deadline %v",
+			c.now, offer.Task, c.now+offer.Timeout, task.task.Deadline)
 	}
 }
 
 func (c *ruleChecker) checkMachine(offer Offer, class TaskClass) {
 	machine, ok := c.machines[offer.Machine]
 	if !ok {
-		c.t.Errorf("%v: offer to unlisted %s", c.now, offer.Machine)
+		c.t.Errorf("%v: offer to machine %s, want a listed machine", c.now, offer.Machine)
 	}
-	if since, ok := c.stoppedSince[offer.Machine]; ok && c.now-since >= 0 {
-		c.t.Errorf("%v: offer to %s, draining or removed since %v", c.now, offer.Machine, since)
+	if since, ok := c.unavailableSince[offer.Machine]; ok && c.now-since >= 0 {
+		c.t.Errorf("%v: offer to machine %s, which drains or was removed at %v; want a machine in service",
+			c.now, offer.Machine, since)
 	}
 	if class.Kind >= 0 && class.Kind != machine.Kind {
-		c.t.Errorf("%v: wrong kind for %s", c.now, offer.Task)
+		c.t.Errorf("%v: offer of task %s to a machine of kind %d, want kind %d", c.now, offer.Task, machine.Kind, class.Kind)
 	}
 }
 
-// checkRetry checks that a further attempt does no harm.
+// checkRetry checks that a further attempt is allowed: attempts remain, none is active, and a second start is safe.
 func (c *ruleChecker) checkRetry(offer Offer, task *checkedTask, class TaskClass) {
 	if len(task.attempts) >= c.cfg.MaxAttempts {
-		c.t.Errorf("%v: too many attempts of %s", c.now, offer.Task)
+		c.t.Errorf("%v: task %s is offered after %d attempts, want at most %d in all",
+			c.now, offer.Task, len(task.attempts), c.cfg.MaxAttempts)
 	}
 	for _, attempt := range task.attempts {
 		if attempt.active {
-			c.t.Errorf("%v: two active attempts of %s", c.now, offer.Task)
+			c.t.Errorf("%v: task %s is offered while its attempt on %s is active", c.now, offer.Task, attempt.machine)
 		}
 		if !attempt.mayHaveRun || class.Idempotency == Idempotent {
 			continue
 		}
 		sameDomain := c.domainOf(class.KeyDomain, attempt.machine) == c.domainOf(class.KeyDomain, offer.Machine)
 		if class.Idempotency == NonIdempotent || !sameDomain || c.now-attempt.sentAt >= class.KeyTTL {
-			c.t.Errorf("%v: %s may have run, offered again to %s", c.now, offer.Task, offer.Machine)
+			c.t.Errorf("%v: task %s is offered to %s although its attempt on %s may have run (sent at %v)",
+				c.now, offer.Task, offer.Machine, attempt.machine, attempt.sentAt)
 		}
 	}
 }
@@ -209,7 +218,8 @@
 		}
 	}
 	if count > class.MaxPerDomain {
-		c.t.Errorf("%v: %d tasks of %s together", c.now, count, task.task.Service)
+		c.t.Errorf("%v: service %s has %d active attempts in domain %s, want at most %d",
+			c.now, task.task.Service, count, domain, class.MaxPerDomain)
 	}
 }
 
@@ -218,22 +228,24 @@
 		return
 	}
 	if c.startedAt > machine.Started && c.now < c.startedAt+c.cfg.OverloadWindow {
-		c.t.Errorf("%v: offer to %s in slow start with an unknown budget", c.now, offer.Machine)
+		c.t.Errorf("%v: offer to %s in slow start, want none within %v of the scheduler's start at %v",
+			c.now, offer.Machine, c.cfg.OverloadWindow, c.startedAt)
 	}
-	c.offeredAt[offer.Machine] = append(c.offeredAt[offer.Machine], c.now)
+	c.slowStartOffers[offer.Machine] = append(c.slowStartOffers[offer.Machine], c.now)
 	count := 0
-	for _, at := range c.offeredAt[offer.Machine] {
+	for _, at := range c.slowStartOffers[offer.Machine] {
 		if at >= machine.Started && c.now-at <= c.cfg.OverloadWindow {
 			count++
 		}
 	}
-	// An equal number of whole offers, and one more in a slot where these leave one over. That all schedulers together
-	// stay within the budget is checked by TestSlowStartBudgetOfFleet.
+	// The scheduler may make an equal share of whole offers, and one more in its slot where the shares leave at least one
+	// offer of the budget. TestSlowStartBudgetOfFleet checks that all schedulers together stay within the budget.
 	budget := int(c.cfg.SlowStartBudget / float64(c.cfg.Schedulers))
 	if c.cfg.SlowStartBudget-float64(budget*c.cfg.Schedulers) >= 1 {
 		budget++
 	}
 	if count > budget {
-		c.t.Errorf("%v: %d offers to %s in slow start", c.now, count, offer.Machine)
+		c.t.Errorf("%v: %d offers to %s in slow start within %v, want at most %d",
+			c.now, count, offer.Machine, c.cfg.OverloadWindow, budget)
 	}
 }
--- a/rules_test.go
+++ b/rules_test.go
@@ -8,15 +8,16 @@
 	"time"
 )
 
-// randomRun is the result of one sequence of random events.
+// randomRun is the result of a run with random events.
 type randomRun struct {
-	actions  string
+	actions  string // all actions with their times, as text
 	offers   int
-	failures int
+	failures int // number of Fail actions
 }
 
-// playRandomEvents plays one sequence of random events and checks the rules at each step.
-func playRandomEvents(t *testing.T, seed uint64) (run randomRun) {
+// runRandomEvents runs a Placer for 800 steps with random events that depend on the seed alone, and checks each event and
+// action with a ruleChecker.
+func runRandomEvents(t *testing.T, seed uint64) (run randomRun) {
 	t.Helper()
 	random := rand.New(rand.NewPCG(seed, 5))
 	cfg := randomConfig(random)
@@ -25,45 +26,45 @@
 	p := newPlacer(t, cfg, seed)
 	events := []Event{MachinesUpdated{Complete: true, Stale: true, Machines: []Machine{
 		{ID: "m0", Zone: "z0"}, {ID: "m1", Zone: "z1", Cell: 1, Kind: 1}}}}
-	var log strings.Builder
+	var actionLog strings.Builder
 	for range 800 {
 		for _, e := range events {
-			checker.event(e)
+			checker.observeEvent(e)
 		}
 		for _, action := range p.Step(checker.now, events) {
-			fmt.Fprint(&log, checker.now, action)
-			checker.action(action)
+			fmt.Fprint(&actionLog, checker.now, action)
+			checker.checkAction(action)
 			switch action := action.(type) {
 			case Offer:
 				run.offers++
-				source.offered(action)
+				source.recordOffer(action)
 			case Fail:
 				run.failures++
 			}
 		}
-		checker.checkAnswered()
+		checker.checkNoneOverdue()
 		checker.now += time.Duration(1+random.IntN(4)) * 2 * millisecond
-		events = append(source.events(), TimerFired{})
+		events = append(source.nextEvents(), TimerFired{})
 	}
-	run.actions = log.String()
+	run.actions = actionLog.String()
 	return run
 }
 
-// Equal sequences also give equal actions.
+// No action breaks a rule of ruleChecker, and a second run with the same seed gives the same actions.
 func TestRandomEventsBreakNoRule(t *testing.T) {
 	offers, failures := 0, 0
 	for seed := range uint64(60) {
-		first, second := playRandomEvents(t, seed), playRandomEvents(t, seed)
+		first, second := runRandomEvents(t, seed), runRandomEvents(t, seed)
 		if first.actions != second.actions {
-			t.Fatalf("seed %d: equal events, different actions", seed)
+			t.Fatalf("seed %d: two runs gave different actions, want the same", seed)
 		}
 		if t.Failed() {
-			t.Fatalf("seed %d", seed)
+			t.Fatalf("the runs with seed %d broke a rule", seed)
 		}
 		offers += first.offers + second.offers
 		failures += first.failures + second.failures
 	}
 	if offers < 10000 || failures < 100 {
-		t.Errorf("got %d offers and %d failures, want at least 10000 and 100", offers, failures)
+		t.Errorf("got %d offers and %d Fail actions in all runs, want at least 10000 and 100", offers, failures)
 	}
 }
