--- a/config_test.go
+++ b/config_test.go
@@ -8,9 +8,9 @@
 
 func TestNewReportsInvalidField(t *testing.T) {
 	for _, c := range []struct {
-		want   ConfigError
-		text   string
-		change func(*Config)
+		want    ConfigError
+		message string
+		modify  func(*Config)
 	}{
 		{ConfigError{"Kinds[0] (k).Cores", 0.0, "must be above 0"}, "flaxshelf: Config.Kinds[0] (k).Cores is 0: must be above 0",
 			func(c *Config) { c.Kinds[0].Cores = 0 }},
@@ -38,11 +38,11 @@
 	} {
 		t.Run(c.want.Field, func(t *testing.T) {
 			cfg := testConfig()
-			c.change(&cfg)
+			c.modify(&cfg)
 			_, err := New(cfg, testSeed)
 			var got *ConfigError
-			if !errors.As(err, &got) || *got != c.want || err.Error() != c.text {
-				t.Errorf("got %v, want %v", err, c.text)
+			if !errors.As(err, &got) || *got != c.want || err.Error() != c.message {
+				t.Errorf("got error %#v (%v), want %#v (%s)", got, err, c.want, c.message)
 			}
 		})
 	}
@@ -51,18 +51,18 @@
 func TestTaskIsPlacedWithMinimalConfig(t *testing.T) {
 	cfg := Config{Kinds: []MachineKind{{"k", 8, 8}}, Classes: []TaskClass{{Name: "c", Kind: -1}}}
 	p := startPlacer(t, cfg, nil)
-	if actions := p.Step(time.Second, []Event{submit("t", 0, 3*time.Second)}); len(offersOf(actions)) != 0 {
-		t.Fatalf("without machines got %v, want no offer", actions)
+	if actions := p.Step(time.Second, []Event{newSubmission("t", 0, 3*time.Second)}); len(offersOf(actions)) != 0 {
+		t.Fatalf("got actions %+v without machines, want no offer", actions)
 	}
 	offer := onlyOffer(t, p.Step(2*time.Second, []Event{MachinesUpdated{Machines: []Machine{{ID: "m"}}}}))
 	if offer.Machine != "m" || offer.Timeout <= 0 {
-		t.Errorf("got %v, want an offer to m with a time-out", offer)
+		t.Errorf("got offer %+v, want one to m with a time-out above 0", offer)
 	}
 }
 
 func TestTaskIsRejectedWithEmptyConfig(t *testing.T) {
 	p := newPlacer(t, Config{}, testSeed)
-	if actions := p.Step(time.Second, []Event{submit("t", 0, 3*time.Second)}); !hasAction(actions, Reject{"t"}) {
-		t.Errorf("got %v, want a rejection", actions)
+	if actions := p.Step(time.Second, []Event{newSubmission("t", 0, 3*time.Second)}); !hasAction(actions, Reject{"t"}) {
+		t.Errorf("got actions %+v, want Reject", actions)
 	}
 }
--- a/constraints_hard_test.go
+++ b/constraints_hard_test.go
@@ -14,32 +14,33 @@
 	}
 }
 
-// checkRetry ends the first attempt of a task and checks whether and where it is retried.
+// checkRetry ends the first attempt of a task with an outcome and checks whether and where the task is offered again.
 func checkRetry(t *testing.T, idempotency Idempotency, outcome Outcome) {
 	t.Helper()
 	cfg := testConfig()
 	class := &cfg.Classes[0]
 	class.Idempotency, class.KeyDomain, class.KeyTTL = idempotency, ZoneDomain, 2*time.Second
 	p := startPlacer(t, cfg, []Machine{{ID: "m0", Zone: "a"}, {ID: "m1", Zone: "a"}, {ID: "m2", Zone: "b", Cell: 1}})
-	first := onlyOffer(t, p.Step(time.Second, []Event{submit("t", 0, 9*time.Second)}))
-	actions := p.Step(time.Second+millisecond, []Event{endOf(first, outcome)})
+	first := onlyOffer(t, p.Step(time.Second, []Event{newSubmission("t", 0, 9*time.Second)}))
+	actions := p.Step(time.Second+millisecond, []Event{firstAttemptEnded(first, outcome)})
 	next := offersOf(actions)
 	neverRan := outcome == Rejected || outcome == Unreachable || outcome == NotSent
 	switch {
 	case neverRan || idempotency == Idempotent:
 		if len(next) != 1 || next[0].Machine == first.Machine {
-			t.Errorf("got %v, want an offer to another machine", actions)
+			t.Errorf("got actions %+v, want one offer to a machine other than %s", actions, first.Machine)
 		}
 	case idempotency == NonIdempotent:
 		if len(next) != 0 || !hasAction(actions, Fail{"t"}) {
-			t.Errorf("got %v, want a failure", actions)
+			t.Errorf("got actions %+v, want Fail and no offer", actions)
 		}
 	default:
 		if len(next) > 1 || len(next) == 1 && p.machines[next[0].Machine].Zone != p.machines[first.Machine].Zone {
-			t.Errorf("got %v, want no offer outside the domain of the key", actions)
+			t.Errorf("got actions %+v, want at most one offer, in the key domain: zone %s",
+				actions, p.machines[first.Machine].Zone)
 		}
 		if hasAction(actions, Reject{"t"}) {
-			t.Errorf("got %v, want no rejection, since it may have run", actions)
+			t.Errorf("got actions %+v, want no Reject: the first attempt may have run", actions)
 		}
 	}
 }
@@ -48,14 +49,14 @@
 	cfg := testConfig()
 	cfg.Classes[0].Idempotency, cfg.Classes[0].KeyDomain, cfg.Classes[0].KeyTTL = IdempotentByKey, FleetDomain, 500*millisecond
 	p := startPlacer(t, cfg, testMachines(4))
-	offer := onlyOffer(t, p.Step(time.Second, []Event{submit("t", 0, 9*time.Second)}))
-	actions := p.Step(time.Second+500*millisecond, []Event{endOf(offer, TimedOut)})
+	offer := onlyOffer(t, p.Step(time.Second, []Event{newSubmission("t", 0, 9*time.Second)}))
+	actions := p.Step(time.Second+500*millisecond, []Event{firstAttemptEnded(offer, TimedOut)})
 	if len(offersOf(actions)) != 0 || !hasAction(actions, Reject{"t"}) {
-		t.Errorf("got %v, want a rejection: the key expired and was known to all machines", actions)
+		t.Errorf("got actions %+v, want Reject and no offer: the key has expired", actions)
 	}
 }
 
-// The offer of the step that reports it already avoids the machine.
+// An update takes effect on offers of the same step, also when the task is submitted in that step.
 func TestDrainingAndRemovedMachinesGetNoOffers(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -67,9 +68,9 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			p := startPlacer(t, testConfig(), testMachines(2))
-			actions := p.Step(2*time.Second, []Event{c.update, submit("t", 0, 9*time.Second)})
+			actions := p.Step(2*time.Second, []Event{c.update, newSubmission("t", 0, 9*time.Second)})
 			if offer := onlyOffer(t, actions); offer.Machine != "m0" {
-				t.Errorf("offered to %s, want m0", offer.Machine)
+				t.Errorf("got an offer to %s, want m0: m1 is out of service", offer.Machine)
 			}
 		})
 	}
@@ -81,25 +82,25 @@
 	}
 }
 
-// checkSpread submits more tasks than the domain allows.
+// checkSpread submits more tasks of a service than the two machines, each its own domain, may run.
 func checkSpread(t *testing.T, domain TopologyDomain) {
 	t.Helper()
 	cfg := testConfig()
 	cfg.Classes[0].SpreadDomain, cfg.Classes[0].MaxPerDomain = domain, 2
 	p := startPlacer(t, cfg, []Machine{{ID: "m0", Zone: "a"}, {ID: "m1", Zone: "b", Cell: 1}})
-	events := []Event{TaskAdopted{submit("r", 0, 0).Task, "m0"}}
+	events := []Event{TaskAdopted{newSubmission("r", 0, 0).Task, "m0"}}
 	for i := range 6 {
-		events = append(events, submit(fmt.Sprint("t", i), 0, 9*time.Second))
+		events = append(events, newSubmission(fmt.Sprint("t", i), 0, 9*time.Second))
 	}
 	count := map[string]int{"m0": 1}
 	for _, offer := range offersOf(p.Step(2*time.Second, events)) {
 		count[offer.Machine]++
 	}
 	if count["m0"] != 2 || count["m1"] != 2 {
-		t.Errorf("got %v, want 2 on each machine", count)
+		t.Errorf("got attempts by machine %v, want 2 on each of m0 and m1", count)
 	}
 	actions := p.Step(3*time.Second, []Event{AttemptEnded{Task: "r", Machine: "m0", Outcome: Completed, Final: true}})
 	if offer := onlyOffer(t, actions); offer.Machine != "m0" {
-		t.Errorf("after a task on m0 ended, offered to %s", offer.Machine)
+		t.Errorf("got an offer to %s after a task on m0 ended, want m0", offer.Machine)
 	}
 }
--- a/constraints_soft_test.go
+++ b/constraints_soft_test.go
@@ -9,57 +9,59 @@
 	"flaxshelf.example/flaxshelf/internal/machineindex"
 )
 
-// Incident i4c1909: while no listed machine has free capacity, tasks are queued, and offered once near their deadline.
+// Regression test for incident i4c1909: while no listed machine has free capacity, a task is queued rather than offered and
+// rejected. It is still offered once near its deadline, or when capacity becomes free.
 func TestTaskQueuedWithoutListedCapacity(t *testing.T) {
 	cfg := testConfig()
 	cfg.ListsFreeCapacity = true
 	full := []Machine{{ID: "m0", Zone: "a", FreeCores: -32, FreeMemory: -50}}
 	p := startPlacer(t, cfg, full)
-	if actions := p.Step(time.Second, []Event{submit("t", 0, 5*time.Second)}); len(offersOf(actions)) != 0 {
-		t.Fatalf("got %v, want no offer to a full machine", actions)
+	if actions := p.Step(time.Second, []Event{newSubmission("t", 0, 5*time.Second)}); len(offersOf(actions)) != 0 {
+		t.Fatalf("got actions %+v, want no offer to the full machine", actions)
 	}
 	onlyOffer(t, p.Step(4100*millisecond, []Event{TimerFired{}}))
 	p = startPlacer(t, cfg, full)
-	p.Step(time.Second, []Event{submit("t", 0, 5*time.Second)})
+	p.Step(time.Second, []Event{newSubmission("t", 0, 5*time.Second)})
 	full[0].FreeCores, full[0].FreeMemory = 10, 10
 	onlyOffer(t, p.Step(2*time.Second, []Event{MachinesUpdated{Machines: full}}))
 }
 
-// Incident i959772 and a crash found with it: all machines are expected to reject.
+// Regression test for incident i959772, and for a crash found with it: a task is queued while all machines are expected to
+// reject it.
 func TestTaskQueuedWhenAllMachinesReject(t *testing.T) {
 	p := startPlacer(t, testConfig(), testMachines(2))
 	for _, m := range p.machinesByID {
 		m.rejectsUntil = time.Hour
 	}
 	invalidateAll(p)
-	actions := p.Step(time.Second+millisecond, []Event{submit("t", 0, 9*time.Second)})
+	actions := p.Step(time.Second+millisecond, []Event{newSubmission("t", 0, 9*time.Second)})
 	if len(offersOf(actions)) != 0 || hasAction(actions, Reject{"t"}) {
-		t.Errorf("got %v, want the task queued", actions)
+		t.Errorf("got actions %+v, want the task queued: neither an offer nor Reject", actions)
 	}
 }
 
-// After a rejection one offer may be pending, and one more after each acceptance.
+// After a rejection a machine may have one pending offer, and one more for each acceptance.
 func TestRejectionLimitsPendingOffers(t *testing.T) {
 	p := startPlacer(t, testConfig(), testMachines(1))
-	offer := onlyOffer(t, p.Step(time.Second, []Event{submit("t", 0, 2*time.Second)}))
-	ended := endOf(offer, Rejected)
+	offer := onlyOffer(t, p.Step(time.Second, []Event{newSubmission("t", 0, 2*time.Second)}))
+	ended := firstAttemptEnded(offer, Rejected)
 	ended.Final, ended.Reason = true, InsufficientCores
 	p.Step(time.Second+millisecond, []Event{ended})
 	m := p.machinesByID[0]
-	full := func() bool {
+	lacksCapacity := func() bool {
 		invalidateAll(p)
-		return p.withoutCapacity(&task{Task: submit("x", 0, 0).Task}, allMachines(p)).Test(uint(m.entry.Number()))
+		return p.withoutCapacity(&task{Task: newSubmission("x", 0, 0).Task}, allMachines(p)).Test(uint(m.entry.Number()))
 	}
-	if p.now = 4 * time.Second; full() {
-		t.Fatal("got no capacity after the backoff, want an offer allowed")
+	if p.now = 4 * time.Second; lacksCapacity() {
+		t.Fatal("m0 gets no offer after the backoff with 0 of 1 offers pending, want one allowed")
 	}
 	m.pendingOffers = 1
-	if !full() {
-		t.Error("got a second offer allowed after the rejection, want one")
+	if !lacksCapacity() {
+		t.Error("m0 may get a second pending offer after the rejection, want at most 1")
 	}
-	m.offerWindow++ // as after an acceptance
-	if full() {
-		t.Error("got one offer allowed after an acceptance, want two")
+	m.offerWindow++ // as recordAcceptance does
+	if lacksCapacity() {
+		t.Error("m0 gets no second pending offer after an acceptance, want at most 2 allowed")
 	}
 }
 
@@ -70,7 +72,7 @@
 		p.recordFailure(m.healthOf(0))
 	}
 	invalidateAll(p)
-	onlyOffer(t, p.Step(time.Second+millisecond, []Event{submit("t", 0, 9*time.Second)}))
+	onlyOffer(t, p.Step(time.Second+millisecond, []Event{newSubmission("t", 0, 9*time.Second)}))
 }
 
 func TestFailingMachineIsAvoided(t *testing.T) {
@@ -78,23 +80,23 @@
 	p.recordFailure(&p.machinesByID[2].health)
 	invalidateAll(p)
 	for i := range 40 {
-		actions := p.Step(time.Second+millisecond, []Event{submit(fmt.Sprint("t", i), 0, 9*time.Second)})
+		actions := p.Step(time.Second+millisecond, []Event{newSubmission(fmt.Sprint("t", i), 0, 9*time.Second)})
 		if offer := onlyOffer(t, actions); offer.Machine == "m2" {
-			t.Fatal("offered to m2, which fails; want another machine")
+			t.Fatalf("got offer %d to m2, which is ejected; want another machine", i)
 		}
 	}
 }
 
 func TestHighReportedLoadExcludesMachine(t *testing.T) {
 	for _, c := range []struct {
-		name      string
-		freeCores float64
-		age       time.Duration
-		excluded  bool
+		name         string
+		freeCores    float64
+		age          time.Duration
+		wantExcluded bool
 	}{
-		{"fresh, far above the others", 2, 0, true},
-		{"fresh, little above the others", 24, 0, false},
-		{"old, far above the others", 2, time.Minute, false},
+		{"fresh report, load far above the mean", 2, 0, true},
+		{"fresh report, load little above the mean", 24, 0, false},
+		{"expired report, load far above the mean", 2, time.Minute, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			p := startPlacer(t, testConfig(), testMachines(4))
@@ -107,17 +109,17 @@
 				p.index.AddAttempt("s", m.entry)
 			}
 			invalidateAll(p)
-			task := &task{Task: submit("t", 0, time.Hour).Task, class: &p.cfg.Classes[0]}
+			task := &task{Task: newSubmission("t", 0, time.Hour).Task, class: &p.cfg.Classes[0]}
 			candidates := p.applySoftConstraints(task, allMachines(p))
 			excluded := !slices.ContainsFunc(candidates, func(c machineindex.Candidate) bool { return c.Machine == 0 })
-			if excluded != c.excluded {
-				t.Errorf("got excluded %v, want %v", excluded, c.excluded)
+			if excluded != c.wantExcluded {
+				t.Errorf("m0 excluded: got %v, want %v", excluded, c.wantExcluded)
 			}
 		})
 	}
 }
 
-// Where machines in use are priced, only as many are used as the requests of the fleet need.
+// Where machines in use are priced, offers go to the fullest machines, as many as the requests of the whole fleet need.
 func TestConsolidationUsesFullestMachines(t *testing.T) {
 	cfg := testConfig()
 	cfg.ListsFreeCapacity, cfg.Prices.MachinesInUse = true, 0.25
@@ -127,7 +129,7 @@
 	}
 	p := startPlacer(t, cfg, machines)
 	if used := p.consolidationSet(allMachines(p)).Count(); used < 3 || used > 4 {
-		t.Errorf("got %d of 6 half-full machines in use, want 3 or 4", used)
+		t.Errorf("got a consolidation set of %d of 6 half-full machines, want 3 or 4", used)
 	}
 	for i := range machines {
 		machines[i].FreeMemory = 50 - float64(i%2)
@@ -135,13 +137,13 @@
 	p.Step(2*time.Second, []Event{MachinesUpdated{Machines: machines}})
 	for _, id := range []string{"m1", "m3", "m5"} {
 		if !p.consolidationSet(allMachines(p)).Test(uint(p.machines[id].entry.Number())) {
-			t.Errorf("%s, one of the fullest, is not in use", id)
+			t.Errorf("consolidation set lacks %s, want the three fullest machines m1, m3 and m5", id)
 		}
 	}
 }
 
 func TestSchedulersPreferSameMachines(t *testing.T) {
-	task := &task{Task: submit("t", 0, 0).Task}
+	task := &task{Task: newSubmission("t", 0, 0).Task}
 	a, b := startPlacer(t, testConfig(), testMachines(6)), startPlacer(t, testConfig(), testMachines(6))
 	for _, service := range []string{"s", "u", "v"} {
 		task.Service = service
@@ -151,7 +153,8 @@
 		}
 		for _, c := range preferredA {
 			if !slices.Contains(preferredB, c) {
-				t.Errorf("service %s: the other scheduler does not prefer %s", service, a.machinesByID[c.Machine].ID)
+				t.Errorf("service %s: the first scheduler prefers %s, the second does not; want the same machines",
+					service, a.machinesByID[c.Machine].ID)
 			}
 		}
 	}
@@ -162,18 +165,18 @@
 	for _, m := range p.machinesByID[:4] {
 		p.index.AddAttempt("s", m.entry)
 	}
-	task := &task{Task: submit("t", 0, 0).Task}
+	task := &task{Task: newSubmission("t", 0, 0).Task}
 	if preferred := p.preferredMachines(task, allMachines(p)); len(preferred) < 4 || len(preferred) > 5 {
-		t.Errorf("with tasks on four machines got %d preferred machines, want 4 or 5", len(preferred))
+		t.Errorf("got %d preferred machines with attempts of the service on 4, want 4 or 5", len(preferred))
 	}
 }
 
-// Both preferred machines of a service are overloaded.
+// While both preferred machines of a service are overloaded, its large tasks get further candidates and its small tasks don't.
 func TestLargeTasksMayAvoidOverloadedPreferredMachines(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		cores float64
-		added int // machines that are not overloaded
+		name      string
+		cores     float64
+		wantAdded int // number of candidates that are not overloaded
 	}{
 		{"small task", 1, 0},
 		{"large task", 16, minCandidates},
@@ -181,27 +184,28 @@
 		t.Run(c.name, func(t *testing.T) {
 			p := startPlacer(t, testConfig(), testMachines(6))
 			task := p.addTask(Task{ID: "t", Service: "s", Cores: c.cores, Memory: 1})
-			names := func() (all []string) {
+			preferredIDs := func() (ids []string) {
 				for _, c := range p.preferredMachines(task, allMachines(p)) {
-					all = append(all, p.machinesByID[c.Machine].ID)
+					ids = append(ids, p.machinesByID[c.Machine].ID)
 				}
-				return all
+				return ids
 			}
-			preferred := names()
+			preferred := preferredIDs()
 			if len(preferred) != minCandidates {
 				t.Fatalf("got preferred machines %v, want %d", preferred, minCandidates)
 			}
-			for _, name := range preferred {
-				p.markOverloaded(p.findOrAddMachine(name), overloadDuration, 1)
+			for _, id := range preferred {
+				p.markOverloaded(p.findOrAddMachine(id), overloadDuration, 1)
 			}
-			withOverload, added := names(), 0
-			for _, name := range withOverload {
-				if p.findOrAddMachine(name).overloadedUntil == 0 {
+			withOverload, added := preferredIDs(), 0
+			for _, id := range withOverload {
+				if p.findOrAddMachine(id).overloadedUntil == 0 {
 					added++
 				}
 			}
-			if added != c.added || !slices.Equal(withOverload[:minCandidates], preferred) {
-				t.Errorf("got %v where %v are overloaded, want %d more", withOverload, preferred, c.added)
+			if added != c.wantAdded || !slices.Equal(withOverload[:minCandidates], preferred) {
+				t.Errorf("got preferred machines %v, want the overloaded %v first and %d more",
+					withOverload, preferred, c.wantAdded)
 			}
 		})
 	}
--- a/discovery_test.go
+++ b/discovery_test.go
@@ -11,7 +11,7 @@
 	p := newPlacer(t, cfg, testSeed)
 	actions := p.Step(time.Second, []Event{MachinesUpdated{Complete: true, Stale: true, Machines: testMachines(1)}})
 	if !hasAction(actions, Subscribe{}) {
-		t.Fatalf("got %v at the start, want a subscription", actions)
+		t.Fatalf("got actions %+v in the first step, want Subscribe", actions)
 	}
 	now, subscriptions := time.Second, 0
 	for range 20 {
@@ -22,11 +22,11 @@
 				break
 			}
 			if now > time.Minute {
-				t.Fatalf("got %d subscriptions within a minute, want 20", subscriptions)
+				t.Fatalf("got %d subscriptions until %v, want 20 within 1 min", subscriptions, now)
 			}
 		}
 	}
 	if subscriptions != 20 || now > 60*time.Second || now < 10*time.Second {
-		t.Errorf("got %d subscriptions in %v, want 20 in 10 s to 60 s", subscriptions, now)
+		t.Errorf("got %d subscriptions until %v, want 20 until a time from 10 s to 1 min", subscriptions, now)
 	}
 }
--- a/enums_test.go
+++ b/enums_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Values without a constant print as numbers.
+// A value without a constant prints its number, as in Outcome(8).
 func TestEnumerationsPrintNamesOfConstants(t *testing.T) {
 	for _, c := range []struct {
 		value fmt.Stringer
--- a/evidence_test.go
+++ b/evidence_test.go
@@ -14,15 +14,15 @@
 	p.now = h.ejectedUntil
 	p.startTrial(h)
 	if p.now >= h.ejectedUntil {
-		t.Errorf("ejected until %v during the trial placement, want it after %v", h.ejectedUntil, p.now)
+		t.Errorf("ejected until %v during the trial placement, want a time after %v", h.ejectedUntil, p.now)
 	}
 	if p.recordSuccess(h); p.now < h.ejectedUntil {
-		t.Errorf("ejected until %v after a success, want no ejection", h.ejectedUntil)
+		t.Errorf("ejected until %v after a success at %v, want no ejection", h.ejectedUntil, p.now)
 	}
 }
 
-// One class fails on most machines where another succeeds: only the first is ejected there. Where no class has succeeded,
-// the machine itself is ejected.
+// One class fails on most machines, where another class succeeds: the failing class alone is ejected there. A machine where
+// no class has succeeded is itself ejected.
 func TestClassFailureEjectsClassAlone(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes = append(cfg.Classes, cfg.Classes[0])
@@ -34,7 +34,7 @@
 		p.recordTaskFailure(failing, m)
 	}
 	invalidateAll(p)
-	usable := func(t *task) (ids []string) {
+	usableMachines := func(t *task) (ids []string) {
 		for _, m := range p.machinesByID {
 			if p.now >= m.health.ejectedUntil && p.now >= m.healthOf(t.Class).ejectedUntil {
 				ids = append(ids, m.ID)
@@ -42,63 +42,64 @@
 		}
 		return ids
 	}
-	if got := usable(failing); !slices.Equal(got, []string{"m6", "m7"}) {
-		t.Errorf("the failing class may use %v, want m6 and m7", got)
+	if got := usableMachines(failing); !slices.Equal(got, []string{"m6", "m7"}) {
+		t.Errorf("machines not ejected for the failing class: got %v, want [m6 m7]", got)
 	}
-	if got := usable(other); len(got) != 8 {
-		t.Errorf("the other class may use %v, want all 8", got)
+	if got := usableMachines(other); len(got) != 8 {
+		t.Errorf("machines not ejected for the other class: got %v, want all 8", got)
 	}
 	for range 20 {
 		if m := p.chooseMachine(failing); m.ID != "m6" && m.ID != "m7" {
-			t.Errorf("the failing class was placed on %s, want m6 or m7", m.ID)
+			t.Errorf("got %s for a task of the failing class, want m6 or m7", m.ID)
 		}
 	}
 	p.recordTaskFailure(failing, p.machinesByID[7])
-	if got := usable(other); len(got) != 7 {
-		t.Errorf("the other class may use %v, want 7: m7 failed without any success", got)
+	if got := usableMachines(other); len(got) != 7 {
+		t.Errorf("machines not ejected for the other class: got %v, want 7: m7 failed and no class succeeded there", got)
 	}
 }
 
-// An error is attributed to its machine once another has placed the task, or when the task ends with it alone. A malformed
-// task, which several machines answer with an error and none places, ejects none of them. Where the class has not
-// succeeded recently, or there is no second attempt, the machine is ejected at once.
+// An error counts as a failure of the machine once another machine has placed the task, or when the task ends with that one
+// error. A malformed task, which several machines answer with an error and none places, ejects none of them. The machine is
+// ejected at once where the class has not succeeded there recently or the task may not be retried.
 func TestTaskFaultEjectsNoMachine(t *testing.T) {
 	for _, c := range []struct {
-		name        string
-		idempotency Idempotency
-		succeeded   bool // the class, on all machines
-		errors      int
-		placed      bool
-		ejected     int
+		name            string
+		idempotency     Idempotency
+		succeededBefore bool // the class has succeeded on all machines
+		failedAttempts  int
+		placedLast      bool
+		wantEjected     int
 	}{
-		{"errors everywhere", Idempotent, true, 3, false, 0},
-		{"placed by the second", Idempotent, true, 1, true, 1},
-		{"placed by the third", Idempotent, true, 2, true, 2},
-		{"no success there", Idempotent, false, 3, false, 3},
-		{"no second attempt", NonIdempotent, true, 1, false, 1},
+		{"error in every attempt", Idempotent, true, 3, false, 0},
+		{"placed in the second attempt", Idempotent, true, 1, true, 1},
+		{"placed in the third attempt", Idempotent, true, 2, true, 2},
+		{"no earlier success", Idempotent, false, 3, false, 3},
+		{"no retry allowed", NonIdempotent, true, 1, false, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			cfg := testConfig()
 			cfg.Classes[0].Idempotency = c.idempotency
 			p := startPlacer(t, cfg, testMachines(6))
-			if c.succeeded {
+			if c.succeededBefore {
 				for _, m := range p.machinesByID {
 					p.recordSuccess(m.healthOf(0))
 				}
 			}
 			invalidateAll(p)
-			actions := p.Step(time.Second+millisecond, []Event{submit("t", 0, 9*time.Second)})
-			for n := range c.errors {
+			actions := p.Step(time.Second+millisecond, []Event{newSubmission("t", 0, 9*time.Second)})
+			for n := range c.failedAttempts {
 				offer := onlyOffer(t, actions)
-				ended := endOf(offer, Failed)
+				ended := firstAttemptEnded(offer, Failed)
 				ended.Attempt = n
 				actions = p.Step(time.Second+Time(n+2)*millisecond, []Event{ended})
 			}
-			if c.placed {
+			if c.placedLast {
 				offer := onlyOffer(t, actions)
-				p.Step(time.Second+9*millisecond, []Event{AttemptPlaced{Task: "t", Machine: offer.Machine, Attempt: c.errors}})
+				p.Step(time.Second+9*millisecond, []Event{
+					AttemptPlaced{Task: "t", Machine: offer.Machine, Attempt: c.failedAttempts}})
 			} else if len(offersOf(actions)) > 0 {
-				t.Errorf("got %v, want no further offer", actions)
+				t.Errorf("got actions %+v after %d errors, want no further offer", actions, c.failedAttempts)
 			}
 			ejected := 0
 			for _, m := range p.machinesByID {
@@ -106,43 +107,44 @@
 					ejected++
 				}
 			}
-			if ejected != c.ejected {
-				t.Errorf("%d machines ejected, want %d", ejected, c.ejected)
+			if ejected != c.wantEjected {
+				t.Errorf("got %d machines ejected for the class, want %d", ejected, c.wantEjected)
 			}
 		})
 	}
 }
 
-// Where there are far fewer placements than machines, an ejection lasts for the mean time between offers to one machine.
+// Where there are far fewer placements than machines, an ejection lasts for at least the mean time between this scheduler's
+// offers to one machine, and that time is limited to failureMemory.
 func TestEjectionLastsTrialInterval(t *testing.T) {
 	p := startPlacer(t, testConfig(), testMachines(10))
 	for i := range 4 {
-		p.Step(time.Second+Time(i+1)*400*millisecond, []Event{submit(fmt.Sprint("t", i), 0, time.Minute)})
+		p.Step(time.Second+Time(i+1)*400*millisecond, []Event{newSubmission(fmt.Sprint("t", i), 0, time.Minute)})
 	}
 	if h := &p.machinesByID[0].health; h.ejectedUntil == 0 {
 		p.recordFailure(h)
 		if h.ejectedUntil-p.now < 2*time.Second {
-			t.Errorf("ejected for %v, want at least 2 s", h.ejectedUntil-p.now)
+			t.Errorf("got an ejection of %v, want at least 2s", h.ejectedUntil-p.now)
 		}
 	}
 	if p.trialInterval() > failureMemory {
-		t.Errorf("trial interval %v, want at most %v", p.trialInterval(), failureMemory)
+		t.Errorf("got a trial interval of %v, want at most %v", p.trialInterval(), failureMemory)
 	}
 }
 
-// Each acceptance after a rejection allows one more pending offer, until so many are allowed that the limit ends.
+// Each acceptance after a rejection allows one more pending offer. The limit ends when maxOfferWindow offers are allowed.
 func TestAcceptancesEndOfferLimit(t *testing.T) {
 	p := startPlacer(t, testConfig(), testMachines(1))
-	m, accepted := p.machinesByID[0], p.addTask(submit("t", 0, 0).Task)
+	m, accepted := p.machinesByID[0], p.addTask(newSubmission("t", 0, 0).Task)
 	p.recordRejection(accepted, m, InsufficientCores)
 	for want := 2; want < maxOfferWindow; want++ {
 		p.recordAcceptance(accepted, m)
 		if m.offerWindow != want {
-			t.Fatalf("got %d pending offers allowed after %d acceptances, want %d", m.offerWindow, want-1, want)
+			t.Fatalf("got an offer window of %d after %d acceptances, want %d", m.offerWindow, want-1, want)
 		}
 	}
 	p.recordAcceptance(accepted, m)
 	if m.offerWindow != 0 {
-		t.Errorf("got %d pending offers allowed after %d acceptances, want no limit", m.offerWindow, maxOfferWindow-1)
+		t.Errorf("got an offer window of %d after %d acceptances, want 0: no limit", m.offerWindow, maxOfferWindow-1)
 	}
 }
--- a/example_test.go
+++ b/example_test.go
@@ -7,7 +7,7 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-// A Placer that knows one machine places one task.
+// A Placer with one machine gets a task and offers it to the machine.
 func Example() {
 	p, err := flaxshelf.New(flaxshelf.Config{
 		Kinds:   []flaxshelf.MachineKind{{Name: "small", Cores: 16, Memory: 64}},
--- a/helpers_test.go
+++ b/helpers_test.go
@@ -13,7 +13,7 @@
 
 const millisecond = time.Millisecond
 
-// testConfig is a valid configuration that tests modify.
+// testConfig returns valid settings, which tests modify.
 func testConfig() Config {
 	return Config{
 		Schedulers: 1, Zone: "a", Kinds: []MachineKind{{"k", 32, 100}}, CoreOvercommit: 2, MemoryOvercommit: 1.5,
@@ -23,7 +23,7 @@
 	}
 }
 
-// testMachines returns machines m0, m1 and so on, two in each cell.
+// testMachines returns the machines m0, m1 and so on in one zone, two to a cell.
 func testMachines(count int) []Machine {
 	var machines []Machine
 	for i := range count {
@@ -32,10 +32,10 @@
 	return machines
 }
 
-// testSeed is the seed of placers whose seed does not matter.
+// testSeed is the seed for tests that hold for any seed.
 const testSeed = 7
 
-// newPlacer makes a Placer that has made no step.
+// newPlacer returns a Placer before its first step.
 func newPlacer(t *testing.T, cfg Config, seed uint64) *Placer {
 	t.Helper()
 	p, err := New(cfg, seed)
@@ -45,7 +45,7 @@
 	return p
 }
 
-// startPlacer makes a Placer whose first step, at one second, lists the machines.
+// startPlacer returns a Placer after its first step, at 1 s, which got a complete list of the given machines.
 func startPlacer(t *testing.T, cfg Config, machines []Machine) *Placer {
 	t.Helper()
 	p := newPlacer(t, cfg, testSeed)
@@ -53,17 +53,17 @@
 	return p
 }
 
-// submit returns the submission of a small task of service s.
-func submit(id string, class int, deadline Time) TaskSubmitted {
+// newSubmission returns the event that submits a task of service s that requests one core and one unit of memory.
+func newSubmission(id string, class int, deadline Time) TaskSubmitted {
 	return TaskSubmitted{Task{ID: id, Service: "s", Class: class, Cores: 1, Memory: 1, Deadline: deadline, Tenant: -1}}
 }
 
-// endOf returns the event that the first attempt of a task, which was offered, ended.
-func endOf(offer Offer, outcome Outcome) AttemptEnded {
+// firstAttemptEnded returns the event that the first attempt of the offered task ended with the given outcome.
+func firstAttemptEnded(offer Offer, outcome Outcome) AttemptEnded {
 	return AttemptEnded{Task: offer.Task, Machine: offer.Machine, Outcome: outcome}
 }
 
-// addPlacement adds a placement on the machine of the given number to the history.
+// addPlacement adds a placement to the history. The number is the machine's position in machinesByID.
 func addPlacement(p *Placer, number int, placed machineindex.Placement) *machineindex.Placement {
 	placed.Machine = p.machinesByID[number].entry
 	p.index.AddPlacement(&placed)
@@ -80,24 +80,24 @@
 	return offers
 }
 
-// onlyOffer returns the one offer among actions.
+// onlyOffer returns the only offer among actions and fails the test if there is not exactly one.
 func onlyOffer(t *testing.T, actions []Action) Offer {
 	t.Helper()
 	offers := offersOf(actions)
 	if len(offers) != 1 {
-		t.Fatalf("got %v, want one offer", actions)
+		t.Fatalf("got actions %+v with %d offers, want 1 offer", actions, len(offers))
 	}
 	return offers[0]
 }
 
-// allMachines returns the set of all machines.
+// allMachines updates the index and returns the set of all machine numbers.
 func allMachines(p *Placer) *bitset.BitSet {
 	p.refresh()
 	set := bitset.MustNew(uint(len(p.machinesByID)))
 	return set.FlipRange(0, uint(len(p.machinesByID)))
 }
 
-// allCandidates returns all machines as candidates of equal affinity.
+// allCandidates returns all machines as candidates for the vote, with equal affinity.
 func allCandidates(p *Placer) (list []machineindex.Candidate) {
 	for i := range allMachines(p).EachSet() {
 		list = append(list, machineindex.Candidate{Machine: int32(i)})
@@ -105,12 +105,11 @@
 	return list
 }
 
-// invalidateAll has the index updated after a test has written into the records of machines.
+// invalidateAll marks all machines for an update of the index. Tests call it after they write to machine records directly.
 func invalidateAll(p *Placer) {
 	for _, m := range p.machinesByID {
 		p.invalidate(m)
 	}
 }
 
-// hasAction reports whether an action is among actions.
 func hasAction(actions []Action, want Action) bool { return slices.Contains(actions, want) }
--- a/vote_test.go
+++ b/vote_test.go
@@ -8,7 +8,7 @@
 	"flaxshelf.example/flaxshelf/internal/machineindex"
 )
 
-// With expected runtimes each survival is 1 or 0, so every run votes for the machine whose task has ended.
+// With expected runtimes the survival of each placement is 1 or 0, so every replay votes for the machine whose task has ended.
 func TestVoteChoosesMachineWithoutRunningTask(t *testing.T) {
 	p := startPlacer(t, testConfig(), testMachines(3))
 	p.now = 10 * time.Second
@@ -17,7 +17,7 @@
 	}
 	for range 50 {
 		if m := p.vote(allCandidates(p)); m.ID != "m1" {
-			t.Fatalf("chose %s, want m1, whose task alone has ended", m.ID)
+			t.Fatalf("vote chose %s, want m1, the only one whose task has ended", m.ID)
 		}
 	}
 }
@@ -28,11 +28,12 @@
 	addPlacement(p, 0, machineindex.Placement{OfferedAt: p.now, Cores: 1, Memory: 50, ExpectedRuntime: time.Hour})
 	addPlacement(p, 1, machineindex.Placement{OfferedAt: p.now, Cores: 8, Memory: 1, ExpectedRuntime: time.Hour})
 	if m := p.vote(allCandidates(p)); m.ID != "m1" {
-		t.Errorf("chose %s, want m1", m.ID)
+		t.Errorf("vote chose %s, want m1: 8 of 32 cores are less than 50 of 100 units of memory", m.ID)
 	}
 }
 
-// What other schedulers requested by the list counts in each run; this scheduler's own part of it counts once.
+// What other schedulers requested, by the machine list, counts as load in each replay. What this scheduler requested counts as
+// its own placements alone, also where the list shows it.
 func TestVoteCountsExternalLoad(t *testing.T) {
 	cfg := testConfig()
 	cfg.ListsFreeCapacity = true
@@ -43,22 +44,22 @@
 	machines[0].FreeCores = 12
 	p := startPlacer(t, cfg, machines)
 	for i := range 8 {
-		actions := p.Step(time.Second, []Event{submit(fmt.Sprint("t", i), 0, time.Minute)})
+		actions := p.Step(time.Second, []Event{newSubmission(fmt.Sprint("t", i), 0, time.Minute)})
 		if offer := onlyOffer(t, actions); offer.Machine != "m1" {
-			t.Errorf("offer %d to %s, want m1, which others do not use", i, offer.Machine)
+			t.Errorf("got offer %d to %s, want m1, where other schedulers request nothing", i, offer.Machine)
 		}
 	}
-	machines[0].FreeCores, machines[1].FreeCores = 32, 24 // m1 has the eight of this scheduler, the others' have ended
+	machines[0].FreeCores, machines[1].FreeCores = 32, 24 // m1 runs this scheduler's 8 tasks, those of others have ended
 	p.Step(4*time.Second, []Event{MachinesUpdated{Machines: machines}})
 	for _, m := range p.machinesByID {
 		if load := p.externalLoad(m); load != 0 {
-			t.Errorf("%s: external load %v, want 0", m.ID, load)
+			t.Errorf("%s: got external load %v, want 0", m.ID, load)
 		}
 	}
 }
 
-// The service shortfall of tasks counts as load in the vote for a while; a machine with a larger shortfall loses to one
-// with a smaller, and a fuller one with full service wins over both.
+// A reported service shortfall counts as load of the machine for a while: a machine without a shortfall wins the vote although
+// it is fuller, and of two machines with a shortfall the one with the smaller wins. Memory pressure counts as a shortfall.
 func TestServiceShortfallCountsAsLoad(t *testing.T) {
 	p := startPlacer(t, testConfig(), testMachines(3))
 	p.Step(time.Second, []Event{
@@ -69,25 +70,26 @@
 		UsageReport{Task: "b", Machine: "m1", Kind: ServiceLevel, Amount: 0.8}})
 	p.refresh()
 	if m := p.vote(allCandidates(p)); m.ID != "m2" {
-		t.Errorf("chose %s, want m2, the one with full service", m.ID)
+		t.Errorf("vote chose %s, want m2, the only one with full service", m.ID)
 	}
 	if m := p.vote(allCandidates(p)[:2]); m.ID != "m1" {
-		t.Errorf("chose %s, want m1, the one with better service", m.ID)
+		t.Errorf("vote chose %s, want m1, the one with the smaller shortfall", m.ID)
 	}
 	p.now += 2 * overloadDuration
 	invalidateAll(p)
 	p.refresh()
 	if m := p.vote(allCandidates(p)); m.ID == "m2" {
-		t.Errorf("chose %s, so old reports still count", m.ID)
+		t.Errorf("vote chose %s, the fullest, after the reports expired; want m0 or m1", m.ID)
 	}
 	p.Step(p.now, []Event{UsageReport{Task: "a", Machine: "m0", Kind: MemoryPressure, Amount: 0.99}})
 	if p.refresh(); p.vote(allCandidates(p)[:2]).ID != "m1" {
-		t.Error("chose m0, want m1: memory pressure counts")
+		t.Error("vote chose m0, want m1: m0 has memory pressure")
 	}
 }
 
-// Ties go to the machine of higher affinity, and large machines have it for more services: with an empty history neither
-// may every service start on all of its preferred machines, nor the small machines fill first.
+// With an empty history all machines tie. A tie goes to the machine of higher affinity, so that all schedulers choose the same
+// machine and a service does not start on all of its preferred machines. Larger machines have the highest affinity for more
+// services, so that small machines do not fill first.
 func TestTiesGoToHigherAffinity(t *testing.T) {
 	cfg := testConfig()
 	cfg.Kinds = append(cfg.Kinds, MachineKind{"big", 96, 300})
@@ -95,33 +97,33 @@
 	for i := range 4 {
 		machines[i].Kind = 1
 	}
-	p, q := startPlacer(t, cfg, machines), startPlacer(t, cfg, machines)
-	big := 0
+	p, otherPlacer := startPlacer(t, cfg, machines), startPlacer(t, cfg, machines)
+	onBigMachines := 0
 	for i := range 1000 {
 		task := &task{Task: Task{Service: fmt.Sprint("s", i), Cores: 1}, class: &cfg.Classes[0]}
 		m := p.chooseMachine(task)
-		if other := q.chooseMachine(task); other.ID != m.ID {
-			t.Fatalf("two schedulers chose %s and %s, want the same", m.ID, other.ID)
+		if other := otherPlacer.chooseMachine(task); other.ID != m.ID {
+			t.Fatalf("service s%d: two schedulers chose %s and %s, want the same machine", i, m.ID, other.ID)
 		}
 		if m.Kind == 1 {
-			big++
+			onBigMachines++
 		}
 	}
-	if big < 700 || big > 800 {
-		t.Errorf("machines of three times the size got %d of 1000 services, want 700 to 800", big)
+	if onBigMachines < 700 || onBigMachines > 800 {
+		t.Errorf("got %d of 1000 services on machines of three times the size, want 700 to 800", onBigMachines)
 	}
 }
 
-// Candidates of equal affinity tie where the history is empty.
+// With an empty history, candidates of equal affinity win equally often.
 func TestVoteTiesAreRandom(t *testing.T) {
 	p := startPlacer(t, testConfig(), testMachines(4))
-	count := map[string]int{}
+	wins := map[string]int{}
 	for range 4000 {
-		count[p.vote(allCandidates(p)).ID]++
+		wins[p.vote(allCandidates(p)).ID]++
 	}
-	for id, n := range count {
+	for id, n := range wins {
 		if n < 850 || n > 1150 {
-			t.Errorf("%s chosen %d times of 4000, want 850 to 1150", id, n)
+			t.Errorf("%s won %d of 4000 votes, want 850 to 1150", id, n)
 		}
 	}
 }
