--- a/internal/daemon/core.go
+++ b/internal/daemon/core.go
@@ -25,11 +25,11 @@
 	input      scheduler.Input
 	buildInput func(requestID, streamID uint64) scheduler.Input // of a client's request, to which the owner assigns IDs
 
-	reply      func(*scheduler.Answer)    // to a client's request
-	publish    func(*scheduler.Info) bool // a change to the client of a Watch; false ends the stream
-	heartbeat  func() bool                // to the client of a Watch; false ends the stream
-	receivedAt time.Time                  // when the client's request was complete
-	isNewJob   bool                       // a submission; set by the owner
+	reply      func(*scheduler.Answer)       // to a client's request
+	publish    func(*scheduler.JobInfo) bool // a change to the client of a Watch; false ends the stream
+	heartbeat  func() bool                   // to the client of a Watch; false ends the stream
+	receivedAt time.Time                     // when the client's request was complete
+	isNewJob   bool                          // a submission; set by the owner
 
 	conn      *transport.Conn   // of a NodeUp
 	addresses map[string]string // of the nodes in a NodesUpdated
--- a/internal/daemon/effects.go
+++ b/internal/daemon/effects.go
@@ -75,25 +75,25 @@
 
 // answer passes an answer of the core to the client that sent the request.
 func (r *coreRunner) answer(e *scheduler.Answer) {
-	m, ok := r.pending[e.Req]
+	m, ok := r.pending[e.RequestID]
 	if !ok {
 		return
 	}
-	delete(r.pending, e.Req)
+	delete(r.pending, e.RequestID)
 	if m.isNewJob && !e.Existing {
 		for i := range e.Jobs {
 			r.submittedAt[e.Jobs[i].ID] = m.receivedAt
 		}
 	}
 	if e.Err != nil {
-		delete(r.streams, e.Req)
+		delete(r.streams, e.RequestID)
 	}
 	m.reply(e)
 }
 
 // publish sends a change to the client of a stream.
 func (r *coreRunner) publish(e *scheduler.Publish) {
-	if m, ok := r.streams[e.Stream]; ok && !m.publish(&e.Info) {
+	if m, ok := r.streams[e.Stream]; ok && !m.publish(&e.Job) {
 		r.endStream(e.Stream)
 	}
 }
@@ -114,7 +114,7 @@
 }
 
 func (r *coreRunner) logOutcome(e *scheduler.LogOutcome) {
-	delete(r.submittedAt, e.Info.ID)
+	delete(r.submittedAt, e.Job.ID)
 	r.daemon.logOutcome(e)
 }
 
--- a/internal/daemon/eventstream.go
+++ b/internal/daemon/eventstream.go
@@ -33,14 +33,14 @@
 		if !ok {
 			return input
 		}
-		watch.Since = since
+		watch.SinceRevision = since
 		return watch
 	}
 }
 
 // publisher returns the function that a core calls for each change. It returns false when the client no longer reads.
-func (s *eventStream) publisher(core int) func(*scheduler.Info) bool {
-	return func(change *scheduler.Info) bool {
+func (s *eventStream) publisher(core int) func(*scheduler.JobInfo) bool {
+	return func(change *scheduler.JobInfo) bool {
 		info := *change
 		return !s.ended.Load() && s.conn.RunInLoop(eventBytes, func(write func([]byte)) {
 			s.position[core] = info.Revision
--- a/internal/daemon/inputs.go
+++ b/internal/daemon/inputs.go
@@ -19,13 +19,13 @@
 		input = r.registerRequest(m)
 	case scheduler.NodesUpdated:
 		input = r.updateAddresses(in, m.addresses)
-	case scheduler.NodeUp:
+	case scheduler.NodeConnected:
 		if !r.daemon.nodes.isRequested(in.Node) {
 			m.conn.Close(errNodeNotRequested)
 			return inputs
 		}
 		r.outbox(in.Node).conn = m.conn
-	case scheduler.NodeDown:
+	case scheduler.NodeDisconnected:
 		if outbox := r.outboxes[in.Node]; outbox != nil {
 			outbox.conn = nil
 		}
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -161,13 +161,13 @@
 }
 
 // recordOutcome records the outcome of a placement request or the end of a job.
-func (m *metrics) recordOutcome(set *settings.Scheduler, info *scheduler.Info) {
+func (m *metrics) recordOutcome(set *settings.Scheduler, info *scheduler.JobInfo) {
 	class := set.Classes[info.Spec.Class].Name
 	if info.State.Ended() {
-		m.jobsEnded.inc(classResult{class, scheduler.SubStateTerm(info.SubState), info.SubState})
+		m.jobsEnded.inc(classResult{class, scheduler.SubStateDisplayName(info.SubState), info.SubState})
 		return
 	}
-	m.outcomes.inc(classResult{class, info.Outcome.Term(), string(info.Outcome)})
+	m.outcomes.inc(classResult{class, info.Outcome.DisplayName(), string(info.Outcome)})
 	m.requestToOutcome.record(clock.Now() - info.RequestedAt)
 }
 
--- a/internal/daemon/nodeconns.go
+++ b/internal/daemon/nodeconns.go
@@ -86,7 +86,7 @@
 		return
 	}
 	for _, runner := range d.runners { // at once, so that what is sent before the next welcome waits for it
-		runner.requeue(scheduler.NodeDown{Node: name})
+		runner.requeue(scheduler.NodeDisconnected{Node: name})
 	}
 }
 
@@ -95,7 +95,7 @@
 func (d *Daemon) nodeDisconnected(name string, connection *nodeConnection, err error) {
 	d.log.Debug().Err(err).Str("node", name).Msg("node not connected")
 	if d.nodes.isCurrent(name, connection) {
-		d.enqueueAll(scheduler.NodeDown{Node: name})
+		d.enqueueAll(scheduler.NodeDisconnected{Node: name})
 	}
 }
 
--- a/internal/daemon/nodehandler.go
+++ b/internal/daemon/nodehandler.go
@@ -42,7 +42,7 @@
 		return d.runners[d.shards.Attempt(attempt)].tryEnqueue(message{input: input})
 	}
 	switch in := input.(type) {
-	case scheduler.NodeUp:
+	case scheduler.NodeConnected:
 		return d.tryEnqueueNodeUp(in, from)
 	case scheduler.NodeSynced:
 		return d.tryEnqueueSynced(in.Token, func(token uint64) scheduler.Input {
@@ -55,7 +55,7 @@
 
 // tryEnqueueNodeUp passes to each core its part of what a node has reported in its welcome, without waiting. It returns
 // false if a mailbox was full.
-func (d *Daemon) tryEnqueueNodeUp(up scheduler.NodeUp, from *transport.Conn) bool {
+func (d *Daemon) tryEnqueueNodeUp(up scheduler.NodeConnected, from *transport.Conn) bool {
 	ok := true
 	for i, part := range d.shards.Split(up) {
 		ok = d.runners[i].tryEnqueue(message{input: part, conn: from}) && ok
--- a/internal/daemon/outcomelog.go
+++ b/internal/daemon/outcomelog.go
@@ -11,7 +11,7 @@
 
 // logOutcome logs and counts the outcome of a placement request or the end of a job.
 func (d *Daemon) logOutcome(outcome *scheduler.LogOutcome) {
-	info := &outcome.Info
+	info := &outcome.Job
 	d.metrics.recordOutcome(d.settings, info)
 	var event *zerolog.Event
 	message := "job outcome"
@@ -23,13 +23,13 @@
 	event.Str("job", info.ID).
 		Str("session", info.Spec.Session).
 		Str("class", d.settings.Classes[info.Spec.Class].Name).
-		Int("request", info.Request).
-		Str("placement_outcome", info.Outcome.Term()).
+		Int("request", info.PlacementRequest).
+		Str("placement_outcome", info.Outcome.DisplayName()).
 		Str("outcome", string(info.Outcome)). // Deprecated: use placement_outcome; removed in 0.2.0
 		Str("attempt", outcome.Attempt).
 		Str("node", info.Node).
 		Str("state", string(info.State)).
-		Str("job_sub_state", scheduler.SubStateTerm(info.SubState)).
+		Str("job_sub_state", scheduler.SubStateDisplayName(info.SubState)).
 		Str("sub_state", info.SubState). // Deprecated: use job_sub_state; removed in 0.2.0
 		Str("reason", info.Reason).
 		Dur("waited_ms", time.Duration(clock.Now()-info.RequestedAt)).
--- a/internal/front/drmaafront/events.go
+++ b/internal/front/drmaafront/events.go
@@ -32,14 +32,14 @@
 	incarnation, position, ok := strings.Cut(request.Get("last-event-id"), ".")
 	if ok && incarnation == f.incarnation {
 		resumeAfter = position
-		watch.Since, _ = strconv.ParseUint(position, 10, 64) // an invalid position is 0: all jobs
+		watch.SinceRevision, _ = strconv.ParseUint(position, 10, 64) // an invalid position is 0: all jobs
 	}
 	return &Call{
 		Stream:      true,
 		ResumeAfter: resumeAfter,
 		BuildInput: func(requestID, streamID uint64) scheduler.Input {
 			numbered := watch // several cores may build the input at once
-			numbered.Req, numbered.Stream = requestID, streamID
+			numbered.RequestID, numbered.Stream = requestID, streamID
 			return numbered
 		},
 		EncodeAnswer: orError(func(*scheduler.Answer) []byte {
@@ -49,7 +49,7 @@
 }
 
 // Event returns the chunk with an event of a stream. position is its ID within the incarnation.
-func (f *Front) Event(info *scheduler.Info, position string) []byte {
+func (f *Front) Event(info *scheduler.JobInfo, position string) []byte {
 	data, err := json.Marshal(f.jobInfo(info))
 	if err != nil {
 		return nil
--- a/internal/front/drmaafront/events_test.go
+++ b/internal/front/drmaafront/events_test.go
@@ -24,7 +24,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			watch := request("GET", "/drmaa2/v1/sessions/s/events", "")
 			watch.Fields = []httpcodec.Field{{Name: "last-event-id", Value: test.id}}
-			if got := front.Route(watch).BuildInput(1, 2).(scheduler.Watch); got.Since != test.want || got.Stream != 2 {
+			if got := front.Route(watch).BuildInput(1, 2).(scheduler.Watch); got.SinceRevision != test.want || got.Stream != 2 {
 				t.Errorf("got %+v, want stream 2 since %d", got, test.want)
 			}
 		})
@@ -33,7 +33,7 @@
 
 func TestEventHasPositionAndJob(t *testing.T) {
 	front := newFront(t)
-	event := string(front.Event(&scheduler.Info{ID: "j", Spec: &scheduler.Spec{}, State: scheduler.Running, Revision: 7}, "7"))
+	event := string(front.Event(&scheduler.JobInfo{ID: "j", Spec: &scheduler.JobSpec{}, State: scheduler.Running, Revision: 7}, "7"))
 	if want := "id: " + front.incarnation + ".7\nevent: job\ndata: {\"jobId\":\"j\""; !strings.Contains(event, want) {
 		t.Errorf("got %q, want it to contain %q", event, want)
 	}
--- a/internal/front/drmaafront/extensions.go
+++ b/internal/front/drmaafront/extensions.go
@@ -17,7 +17,7 @@
 )
 
 // setExtensions sets the fields of a spec that implementation-specific attributes of a template have.
-func setExtensions(spec *scheduler.Spec, template *drmaa2.JobTemplate) *drmaa2.Error {
+func setExtensions(spec *scheduler.JobSpec, template *drmaa2.JobTemplate) *drmaa2.Error {
 	for name, value := range template.ImplementationSpecific {
 		var err *drmaa2.Error
 		switch name {
--- a/internal/front/drmaafront/jobinfo.go
+++ b/internal/front/drmaafront/jobinfo.go
@@ -35,7 +35,7 @@
 }
 
 // jobInfo returns the description of a job.
-func (f *Front) jobInfo(info *scheduler.Info) drmaa2.JobInfo {
+func (f *Front) jobInfo(info *scheduler.JobInfo) drmaa2.JobInfo {
 	job := drmaa2.JobInfo{
 		JobID:                  info.ID,
 		JobName:                info.Spec.Name,
@@ -50,8 +50,8 @@
 		TerminatingSignal:      info.Signal,
 		ImplementationSpecific: f.jobAttributes(info),
 	}
-	if info.SubState == scheduler.SubExited {
-		exit := info.Exit
+	if info.SubState == scheduler.SubStateExited {
+		exit := info.ExitStatus
 		job.ExitStatus = &exit
 	}
 	if info.StartedAt > 0 {
@@ -72,10 +72,10 @@
 }
 
 // jobAttributes returns the implementation-specific attributes of a job. Those without a value are left out.
-func (f *Front) jobAttributes(info *scheduler.Info) map[string]string {
+func (f *Front) jobAttributes(info *scheduler.JobInfo) map[string]string {
 	spec := info.Spec
 	attributes := map[string]string{
-		drmaa2.AttrPlacementRequests: strconv.Itoa(info.Request),
+		drmaa2.AttrPlacementRequests: strconv.Itoa(info.PlacementRequest),
 		drmaa2.AttrAttempts:          strconv.Itoa(info.Attempts),
 		drmaa2.AttrRevision:          strconv.FormatUint(info.Revision, 10),
 		drmaa2.AttrCores:             strconv.FormatFloat(spec.Cores, 'g', -1, 64),
@@ -83,15 +83,15 @@
 	}
 	setUnlessEmpty(attributes, drmaa2.AttrOutcome, string(info.Outcome))
 	setUnlessEmpty(attributes, drmaa2.AttrNode, info.Node)
-	setUnlessEmpty(attributes, drmaa2.AttrArray, info.Array)
+	setUnlessEmpty(attributes, drmaa2.AttrArray, info.ArrayID)
 	setUnlessEmpty(attributes, drmaa2.AttrKey, spec.Key)
 	setUnlessEmpty(attributes, drmaa2.AttrService, spec.Service)
 	setUnlessEmpty(attributes, drmaa2.AttrClass, f.set.Classes[spec.Class].Name)
 	if spec.Tenant >= 0 {
 		setUnlessEmpty(attributes, drmaa2.AttrTenant, f.set.Tenants[spec.Tenant].Name)
 	}
-	if info.Array != "" {
-		attributes[drmaa2.AttrIndex] = strconv.Itoa(info.Index)
+	if info.ArrayID != "" {
+		attributes[drmaa2.AttrIndex] = strconv.Itoa(info.ArrayIndex)
 	}
 	if info.RequestedAt > 0 {
 		attributes[drmaa2.AttrRequestedAt] = formatTime(info.RequestedAt)
--- a/internal/front/drmaafront/requests.go
+++ b/internal/front/drmaafront/requests.go
@@ -35,7 +35,7 @@
 func listSessions(*Front, *httpcodec.Request, []string) (*Call, *drmaa2.Error) {
 	return &Call{
 		BuildInput: func(requestID, _ uint64) scheduler.Input {
-			return scheduler.SessionCommand{Req: requestID, Verb: scheduler.List}
+			return scheduler.SessionCommand{RequestID: requestID, Verb: scheduler.ListSessions}
 		},
 		EncodeAnswer: orError(encodeSessionNames),
 	}, nil
@@ -49,7 +49,7 @@
 	if err := checkSessionName(body.Name); err != nil {
 		return nil, err
 	}
-	return sessionCall(scheduler.Create, body.Name, http.StatusCreated), nil
+	return sessionCall(scheduler.CreateSession, body.Name, http.StatusCreated), nil
 }
 
 func checkSessionName(name string) *drmaa2.Error {
@@ -72,7 +72,7 @@
 func sessionCall(verb scheduler.Verb, name string, status int) *Call {
 	return &Call{
 		BuildInput: func(requestID, _ uint64) scheduler.Input {
-			return scheduler.SessionCommand{Req: requestID, Verb: verb, Name: name}
+			return scheduler.SessionCommand{RequestID: requestID, Verb: verb, Name: name}
 		},
 		EncodeAnswer: orError(func(*scheduler.Answer) []byte { return jsonResponse(status, sessionResponse{name}) }),
 	}
@@ -127,7 +127,7 @@
 	return &Call{
 		BuildInput: func(requestID, _ uint64) scheduler.Input {
 			numbered := submit // several cores may build the input at once
-			numbered.Req = requestID
+			numbered.RequestID = requestID
 			return numbered
 		},
 		EncodeAnswer: f.Submitted,
@@ -155,7 +155,7 @@
 	if err != nil {
 		return nil, invalidArgument("", "the query can't be read")
 	}
-	query := scheduler.Query{After: parameters.Get("after"), Limit: maxPageSize}
+	query := scheduler.Query{AfterID: parameters.Get("after"), Limit: maxPageSize}
 	if text := parameters.Get("limit"); text != "" {
 		limit, err := strconv.Atoi(text)
 		if err != nil || limit < 1 || limit > maxPageSize {
@@ -169,7 +169,7 @@
 	return &Call{
 		BuildInput: func(requestID, _ uint64) scheduler.Input {
 			numbered := query // several cores may build the input at once
-			numbered.Req = requestID
+			numbered.RequestID = requestID
 			return numbered
 		},
 		EncodeAnswer: orError(f.encodeJobs),
@@ -185,7 +185,7 @@
 }
 
 func queryJob(id string) func(requestID, streamID uint64) scheduler.Input {
-	return func(requestID, _ uint64) scheduler.Input { return scheduler.Query{Req: requestID, Job: id} }
+	return func(requestID, _ uint64) scheduler.Input { return scheduler.Query{RequestID: requestID, Job: id} }
 }
 
 // jobCommand returns the handler of a command on the job or array that the path names.
@@ -193,7 +193,7 @@
 	return func(f *Front, _ *httpcodec.Request, args []string) (*Call, *drmaa2.Error) {
 		return &Call{
 			BuildInput: func(requestID, _ uint64) scheduler.Input {
-				return scheduler.Command{Req: requestID, Verb: verb, Job: args[0]}
+				return scheduler.Command{RequestID: requestID, Verb: verb, Job: args[0]}
 			},
 			EncodeAnswer: orError(f.encodeJobs),
 		}, nil
@@ -208,7 +208,7 @@
 
 func listMachines(f *Front, _ *httpcodec.Request, _ []string) (*Call, *drmaa2.Error) {
 	return &Call{
-		BuildInput:   func(requestID, _ uint64) scheduler.Input { return scheduler.Machines{Req: requestID} },
+		BuildInput:   func(requestID, _ uint64) scheduler.Input { return scheduler.Machines{RequestID: requestID} },
 		EncodeAnswer: orError(f.encodeMachines),
 	}, nil
 }
--- a/internal/front/drmaafront/responses.go
+++ b/internal/front/drmaafront/responses.go
@@ -93,7 +93,7 @@
 }
 
 func (f *Front) jobs(answer *scheduler.Answer) drmaa2.Submitted {
-	jobs := drmaa2.Submitted{ArrayID: answer.Array, Existing: answer.Existing, Jobs: make([]drmaa2.JobInfo, len(answer.Jobs))}
+	jobs := drmaa2.Submitted{ArrayID: answer.ArrayID, Existing: answer.Existing, Jobs: make([]drmaa2.JobInfo, len(answer.Jobs))}
 	for i := range answer.Jobs {
 		jobs.Jobs[i] = f.jobInfo(&answer.Jobs[i])
 	}
--- a/internal/front/drmaafront/responses_test.go
+++ b/internal/front/drmaafront/responses_test.go
@@ -137,7 +137,7 @@
 // requestsToCore returns requests that the core answers, with answers of all shapes.
 func requestsToCore() []namedRequest {
 	jobs := scheduler.Answer{Jobs: sampleJobs()}
-	array := scheduler.Answer{Jobs: sampleJobs(), Array: "array", Existing: true}
+	array := scheduler.Answer{Jobs: sampleJobs(), ArrayID: "array", Existing: true}
 	machines := scheduler.Answer{Machines: []scheduler.MachineInfo{
 		{Machine: flaxshelf.Machine{ID: "n", Zone: "z", Cell: 3}, Connected: true, Jobs: 2},
 		{Machine: flaxshelf.Machine{ID: "m", Kind: -1, State: flaxshelf.Draining}, Connected: true},
@@ -177,18 +177,18 @@
 }
 
 // sampleJobs returns jobs with all, with none, and with some of their attributes.
-func sampleJobs() []scheduler.Info {
-	spec := scheduler.Spec{Key: "key", Session: "session", Name: "name", Owner: "owner", Service: "service", Class: 1,
+func sampleJobs() []scheduler.JobInfo {
+	spec := scheduler.JobSpec{Key: "key", Session: "session", Name: "name", Owner: "owner", Service: "service", Class: 1,
 		Tenant: 0, Cores: 2.5, Memory: 4, Template: []byte(`{"remoteCommand":"x"}`)}
-	ended := scheduler.Info{ID: "ended", Spec: &spec, State: scheduler.Done, SubState: scheduler.SubExited, Reason: "reason",
-		Outcome: scheduler.OutcomePlaced, Node: "n", Array: "array", Index: 3, Request: 2, Attempts: 4, Revision: 9, Exit: 5,
+	ended := scheduler.JobInfo{ID: "ended", Spec: &spec, State: scheduler.Done, SubState: scheduler.SubStateExited, Reason: "reason",
+		Outcome: scheduler.OutcomePlaced, Node: "n", ArrayID: "array", ArrayIndex: 3, PlacementRequest: 2, Attempts: 4, Revision: 9, ExitStatus: 5,
 		SubmittedAt: time.Second, RequestedAt: 2 * time.Second, PlacementDeadline: 3 * time.Second,
 		StartedAt: 4 * time.Second, FinishedAt: 5500 * time.Millisecond, Signal: "KILL"}
 	running := ended
-	running.ID, running.State, running.SubState, running.FinishedAt = "running", scheduler.Running, scheduler.SubRunning, 0
+	running.ID, running.State, running.SubState, running.FinishedAt = "running", scheduler.Running, scheduler.SubStateRunning, 0
 	rejected := ended
 	rejected.ID, rejected.State, rejected.SubState, rejected.StartedAt = "rejected", scheduler.Failed, "refused", 0
-	return []scheduler.Info{ended, {ID: "empty", Spec: &scheduler.Spec{Tenant: -1}}, running, rejected}
+	return []scheduler.JobInfo{ended, {ID: "empty", Spec: &scheduler.JobSpec{Tenant: -1}}, running, rejected}
 }
 
 // The response to an error of the core has its code and the time after which to retry.
--- a/internal/front/drmaafront/template.go
+++ b/internal/front/drmaafront/template.go
@@ -24,14 +24,14 @@
 )
 
 // spec validates a template and translates it for the core.
-func (f *Front) spec(template *drmaa2.JobTemplate) (*scheduler.Spec, *drmaa2.Error) {
+func (f *Front) spec(template *drmaa2.JobTemplate) (*scheduler.JobSpec, *drmaa2.Error) {
 	for _, check := range []func(*drmaa2.JobTemplate) *drmaa2.Error{checkUnsupported, checkLengths, checkNULs,
 		checkQueue, checkSlots} {
 		if err := check(template); err != nil {
 			return nil, err
 		}
 	}
-	spec := &scheduler.Spec{Name: template.JobName, Tenant: -1, Rerunnable: template.Rerunnable,
+	spec := &scheduler.JobSpec{Name: template.JobName, Tenant: -1, Rerunnable: template.Rerunnable,
 		Hold: template.SubmitAsHold}
 	if err := f.setClass(spec, template); err != nil {
 		return nil, err
@@ -135,7 +135,7 @@
 }
 
 // setClass sets the class of a job and the defaults of the class. A template may leave it out if there is only one class.
-func (f *Front) setClass(spec *scheduler.Spec, template *drmaa2.JobTemplate) *drmaa2.Error {
+func (f *Front) setClass(spec *scheduler.JobSpec, template *drmaa2.JobTemplate) *drmaa2.Error {
 	spec.Class = f.set.ClassIndex(template.JobCategory)
 	if spec.Class < 0 {
 		if template.JobCategory != "" || len(f.set.Classes) > 1 {
@@ -157,7 +157,7 @@
 	return strings.Join(names, ", ")
 }
 
-func (f *Front) setTenant(spec *scheduler.Spec, template *drmaa2.JobTemplate) *drmaa2.Error {
+func (f *Front) setTenant(spec *scheduler.JobSpec, template *drmaa2.JobTemplate) *drmaa2.Error {
 	if template.AccountingID == "" {
 		return nil
 	}
--- a/internal/front/drmaafront/template_test.go
+++ b/internal/front/drmaafront/template_test.go
@@ -84,7 +84,7 @@
 	}
 	got := call.BuildInput(3, 0).(scheduler.Submit).Spec
 	got.Template = nil
-	want := scheduler.Spec{Key: "k", Session: "s", Name: "n", Service: "v", Class: 0, Tenant: 0, Cores: 0.5, Memory: 3,
+	want := scheduler.JobSpec{Key: "k", Session: "s", Name: "n", Service: "v", Class: 0, Tenant: 0, Cores: 0.5, Memory: 3,
 		ExpectedRuntime: 90 * time.Second, Priority: 2, Rerunnable: true, Hold: true, Retry: true, PlacementTimeout: 7 * time.Second,
 		NotBefore: 9 * time.Second, Deadline: time.Minute}
 	if fmt.Sprintf("%+v", got) != fmt.Sprintf("%+v", want) {
--- a/internal/front/nodefront/frames.go
+++ b/internal/front/nodefront/frames.go
@@ -30,8 +30,8 @@
 	task.LifeNs = int64(spec.ExpectedRuntime)
 	task.Priority = int32(spec.Priority)
 	task.Rerunnable = spec.Rerunnable
-	task.Ask = int32(offer.Request)
-	task.SubmittedUnixNs = int64(offer.Submitted)
+	task.Ask = int32(offer.PlacementRequest)
+	task.SubmittedUnixNs = int64(offer.SubmittedAt)
 	task.Owner = spec.Owner
 	task.Template = spec.Template
 	task.Tenant = ""
--- a/internal/front/nodefront/node.go
+++ b/internal/front/nodefront/node.go
@@ -15,8 +15,8 @@
 	Set  *settings.Scheduler
 	Name string // of the node
 
-	welcome  scheduler.NodeUp // collected from the welcome frames so far
-	welcomed bool             // all of them have arrived
+	welcome  scheduler.NodeConnected // collected from the welcome frames so far
+	welcomed bool                    // all of them have arrived
 }
 
 // Input translates a frame into an input. It returns nil for a frame that the core doesn't need, and for a frame of a welcome
@@ -43,10 +43,10 @@
 	if welcome.Node != n.Name {
 		return nil, newProtocolError(n.Name, frame, fmt.Sprintf("names the node %q", welcome.Node))
 	}
-	n.welcome.Node, n.welcome.MayBeCold = welcome.Node, welcome.Fresh
-	n.welcome.Started = scheduler.Time(welcome.StartedUnixNs)
+	n.welcome.Node, n.welcome.MayBeWarmingUp = welcome.Node, welcome.Fresh
+	n.welcome.StartedAt = scheduler.Time(welcome.StartedUnixNs)
 	for _, held := range welcome.Held {
-		n.welcome.Running = append(n.welcome.Running, runningAttempt(n.Set, held))
+		n.welcome.Accepted = append(n.welcome.Accepted, runningAttempt(n.Set, held))
 	}
 	for _, ended := range welcome.Ended {
 		n.welcome.Ended = append(n.welcome.Ended, n.attemptEnded(ended))
@@ -55,7 +55,7 @@
 		return nil, nil
 	}
 	up := n.welcome
-	n.welcomed, n.welcome = true, scheduler.NodeUp{}
+	n.welcomed, n.welcome = true, scheduler.NodeConnected{}
 	return up, nil
 }
 
@@ -94,10 +94,10 @@
 
 func (n *Node) attemptEnded(ended *nodepb.Ended) scheduler.AttemptEnded {
 	return scheduler.AttemptEnded{Node: n.Name, Attempt: ended.Attempt, End: ends[ended.Ending],
-		Reason: reasonOf(ended.Reason), Exit: int(ended.ExitStatus), Load: loadReport(ended.Load)}
+		Reason: reasonOf(ended.Reason), ExitStatus: int(ended.ExitStatus), Load: loadReport(ended.Load)}
 }
 
-var ends = map[nodepb.Ending]scheduler.End{
+var ends = map[nodepb.Ending]scheduler.EndKind{
 	nodepb.Ending_FINISHED: scheduler.EndCompleted,
 	nodepb.Ending_LOST:     scheduler.EndLost,
 	nodepb.Ending_STOPPED:  scheduler.EndStopped,
@@ -121,18 +121,18 @@
 }
 
 // runningAttempt translates an attempt that a node reports in its welcome.
-func runningAttempt(set *settings.Scheduler, held *nodepb.Held) scheduler.RunningAttempt {
+func runningAttempt(set *settings.Scheduler, held *nodepb.Held) scheduler.ReportedAttempt {
 	task := held.Task
 	if task == nil {
 		task = &nodepb.Task{}
 	}
-	return scheduler.RunningAttempt{
-		Attempt:   held.Attempt,
-		Job:       task.Job,
-		Request:   int(task.Ask),
-		Running:   held.Running,
-		Submitted: scheduler.Time(task.SubmittedUnixNs),
-		Spec: scheduler.Spec{
+	return scheduler.ReportedAttempt{
+		Attempt:          held.Attempt,
+		Job:              task.Job,
+		PlacementRequest: int(task.Ask),
+		Started:          held.Running,
+		SubmittedAt:      scheduler.Time(task.SubmittedUnixNs),
+		Spec: scheduler.JobSpec{
 			Key:             task.Key,
 			Session:         task.Session,
 			Name:            task.Name,
--- a/internal/front/nodefront/nodefront_test.go
+++ b/internal/front/nodefront/nodefront_test.go
@@ -60,9 +60,9 @@
 // The frames of a welcome are one input, and a running attempt that the node reports has the fields of its offer.
 func TestNodeWelcome(t *testing.T) {
 	set := testSettings(t)
-	spec := scheduler.Spec{Key: "key", Session: "session", Name: "name", Owner: "owner", Service: "service", Class: 1,
+	spec := scheduler.JobSpec{Key: "key", Session: "session", Name: "name", Owner: "owner", Service: "service", Class: 1,
 		Tenant: 0, Cores: 2, Memory: 4, ExpectedRuntime: time.Minute, Priority: 3, Rerunnable: true, Template: []byte("{}")}
-	offer := Offer(set, &scheduler.SendOffer{Node: "n", Attempt: "a", Job: "j", Request: 2, Spec: &spec, Submitted: 7,
+	offer := Offer(set, &scheduler.SendOffer{Node: "n", Attempt: "a", Job: "j", PlacementRequest: 2, Spec: &spec, SubmittedAt: 7,
 		ValidFor: time.Second}).GetOffer()
 	if offer.Attempt != "a" || offer.ValidForNs != int64(time.Second) {
 		t.Errorf("offer: got %v, want attempt a, valid for 1 s", offer)
@@ -75,9 +75,9 @@
 	}
 	input, err = node.Input(welcomeFrame(&nodepb.Welcome{Node: "n", StartedUnixNs: 5, Fresh: true,
 		Ended: []*nodepb.Ended{{Attempt: "b", Ending: nodepb.Ending_LOST}}}))
-	want := scheduler.NodeUp{Node: "n", Started: 5, MayBeCold: true,
-		Running: []scheduler.RunningAttempt{{Attempt: "a", Job: "j", Request: 2, Spec: spec, Submitted: 7, Running: true}},
-		Ended:   []scheduler.AttemptEnded{{Node: "n", Attempt: "b", End: scheduler.EndLost}}}
+	want := scheduler.NodeConnected{Node: "n", StartedAt: 5, MayBeWarmingUp: true,
+		Accepted: []scheduler.ReportedAttempt{{Attempt: "a", Job: "j", PlacementRequest: 2, Spec: spec, SubmittedAt: 7, Started: true}},
+		Ended:    []scheduler.AttemptEnded{{Node: "n", Attempt: "b", End: scheduler.EndLost}}}
 	if err != nil || !reflect.DeepEqual(input, want) {
 		t.Errorf("got %+v, %v, want %+v", input, err, want)
 	}
@@ -105,7 +105,7 @@
 			scheduler.AttemptStarted{Node: "n", Attempt: "a"}},
 		{"ended", &nodepb.Frame{Body: &nodepb.Frame_Ended{Ended: &nodepb.Ended{Attempt: "a",
 			Ending: nodepb.Ending_FINISHED, ExitStatus: 3, Load: load}}},
-			scheduler.AttemptEnded{Node: "n", Attempt: "a", End: scheduler.EndCompleted, Exit: 3, Load: report}},
+			scheduler.AttemptEnded{Node: "n", Attempt: "a", End: scheduler.EndCompleted, ExitStatus: 3, Load: report}},
 		{"health check", &nodepb.Frame{Body: &nodepb.Frame_Probed{Probed: &nodepb.Probed{Load: load}}},
 			scheduler.HealthChecked{Node: "n", Load: report}},
 		{"pong without a token", pongFrame(0), nil},
--- a/internal/scheduler/adoption.go
+++ b/internal/scheduler/adoption.go
@@ -8,20 +8,20 @@
 )
 
 // apply reconciles the attempts that the node reports with those that the core knows; see docs/scheduler.md, "Adoption".
-func (in NodeUp) apply(c *Core) {
+func (in NodeConnected) apply(c *Core) {
 	node := c.ensureNode(in.Node)
-	restarted := node.reconciled && node.startedAt != in.Started
-	node.connected, node.reconciled, node.startedAt = true, true, in.Started
-	coldStart := in.MayBeCold && in.Started > node.machine.Started
+	restarted := node.reconciled && node.startedAt != in.StartedAt
+	node.connected, node.reconciled, node.startedAt = true, true, in.StartedAt
+	coldStart := in.MayBeWarmingUp && in.StartedAt > node.machine.Started
 	if coldStart {
-		c.reportColdStart(node, in.Started)
+		c.reportColdStart(node, in.StartedAt)
 	}
 	for _, ended := range in.Ended {
 		ended.Node = in.Node
 		ended.apply(c)
 	}
 	present := map[string]bool{}
-	for _, reported := range in.Running {
+	for _, reported := range in.Accepted {
 		present[reported.Attempt] = true
 		c.adoptAttempt(node, reported)
 	}
@@ -54,7 +54,7 @@
 	switch {
 	case job.stopping || job.migrating || job.state.Ended():
 		c.stopAttempt(attempt) // the earlier stop may have been lost
-	case job.subState == SubUnreachable:
+	case job.subState == SubStateUnreachable:
 		job.subState = attempt.phase.subState()
 		c.changed(job)
 	}
@@ -62,9 +62,9 @@
 
 // adoptAttempt reconciles one attempt that the node reports. The core may know the attempt, its job, or a later submission
 // of the same key; it knows none of them if a former incarnation started the attempt.
-func (c *Core) adoptAttempt(node *node, reported RunningAttempt) {
+func (c *Core) adoptAttempt(node *node, reported ReportedAttempt) {
 	if known := c.attempts[reported.Attempt]; known != nil && known.node == node {
-		c.catchUp(known, reported.Running)
+		c.catchUp(known, reported.Started)
 		return
 	}
 	job := c.findRunningJob(reported)
@@ -93,7 +93,7 @@
 
 // findRunningJob returns the job of an attempt by its ID or else by its key, or nil if there is none. A job found by its key
 // gets the reported ID as an alias.
-func (c *Core) findRunningJob(reported RunningAttempt) *job {
+func (c *Core) findRunningJob(reported ReportedAttempt) *job {
 	if known := c.jobs[reported.Job]; known != nil || reported.Spec.Key == "" {
 		return known
 	}
@@ -107,7 +107,7 @@
 }
 
 // mayAdopt reports whether the attempt may become the job's current one. job is nil if the core does not know it.
-func (c *Core) mayAdopt(job *job, reported RunningAttempt) bool {
+func (c *Core) mayAdopt(job *job, reported ReportedAttempt) bool {
 	if !c.knownClass(reported.Spec.Class) {
 		return false
 	}
@@ -118,15 +118,15 @@
 }
 
 // newAdoptedJob adds a job for an attempt that a former incarnation started.
-func (c *Core) newAdoptedJob(reported RunningAttempt) *job {
+func (c *Core) newAdoptedJob(reported ReportedAttempt) *job {
 	spec := reported.Spec
 	job := &job{
 		id:          reported.Job,
 		spec:        &spec,
-		submittedAt: reported.Submitted,
-		request:     max(reported.Request, 1),
+		submittedAt: reported.SubmittedAt,
+		request:     max(reported.PlacementRequest, 1),
 		state:       Queued,
-		subState:    SubAccepted,
+		subState:    SubStateAccepted,
 	}
 	c.addJob(job)
 	if spec.Session != "" {
@@ -136,7 +136,7 @@
 }
 
 // attachAttempt makes the reported attempt the job's current one and closes its placement request as placed.
-func (c *Core) attachAttempt(job *job, node *node, reported RunningAttempt) {
+func (c *Core) attachAttempt(job *job, node *node, reported ReportedAttempt) {
 	if job.requestOpen {
 		c.notifyModule(flaxshelf.TaskCanceled{Task: job.taskID()})
 		delete(c.jobsByTask, job.taskID())
@@ -158,10 +158,10 @@
 	}
 	c.addAttempt(attempt)
 	c.notifyModule(flaxshelf.TaskAdopted{Task: c.moduleTask(job), Machine: node.machine.ID})
-	job.nodeID, job.state, job.subState = node.machine.ID, Queued, SubAccepted
+	job.nodeID, job.state, job.subState = node.machine.ID, Queued, SubStateAccepted
 	job.requestedAt, job.attemptCount = c.now, 1
 	c.closePlacementRequest(job, OutcomePlaced, attempt.id)
-	if reported.Running {
+	if reported.Started {
 		c.startAttempt(attempt)
 	}
 }
--- a/internal/scheduler/array.go
+++ b/internal/scheduler/array.go
@@ -14,8 +14,8 @@
 
 func (a *array) full() bool { return a.maxParallel > 0 && a.active >= a.maxParallel }
 
-func (a *array) infos() []Info {
-	infos := make([]Info, len(a.jobs))
+func (a *array) infos() []JobInfo {
+	infos := make([]JobInfo, len(a.jobs))
 	for i, job := range a.jobs {
 		infos[i] = job.info()
 	}
@@ -33,14 +33,14 @@
 		job := c.newJob(&spec)
 		job.array, job.index = array, index
 		if job.state == Queued {
-			job.subState = SubArrayLimit
+			job.subState = SubStateArrayLimit
 		}
 		array.jobs = append(array.jobs, job)
 	}
 	if array.key != "" {
 		c.jobsByKey[array.key] = array.jobs[0]
 	}
-	c.answerArray(in.Req, array)
+	c.answerArray(in.RequestID, array)
 	c.admitFromArray(array)
 }
 
--- a/internal/scheduler/attempt.go
+++ b/internal/scheduler/attempt.go
@@ -25,7 +25,7 @@
 
 // subState returns the sub-state of a job whose attempt is in the phase.
 func (p attemptPhase) subState() string {
-	return [...]string{SubOffered, SubOffered, SubAccepted, SubRunning, SubWaiting}[p]
+	return [...]string{SubStateOffered, SubStateOffered, SubStateAccepted, SubStateRunning, SubStateWaiting}[p]
 }
 
 // attempt is one offer of a job to a node and, if accepted, its run.
@@ -96,7 +96,7 @@
 	}
 	job.attemptCount++
 	c.addAttempt(attempt)
-	job.nodeID, job.subState = node.machine.ID, SubOffered
+	job.nodeID, job.subState = node.machine.ID, SubStateOffered
 	return attempt
 }
 
@@ -125,13 +125,13 @@
 	}
 	attempt.phase = phaseOffered
 	c.emit(SendOffer{
-		Node:      attempt.node.machine.ID,
-		Attempt:   attempt.id,
-		Job:       attempt.job.id,
-		Request:   attempt.job.request,
-		Spec:      attempt.job.spec,
-		Submitted: attempt.job.submittedAt,
-		ValidFor:  left,
+		Node:             attempt.node.machine.ID,
+		Attempt:          attempt.id,
+		Job:              attempt.job.id,
+		PlacementRequest: attempt.job.request,
+		Spec:             attempt.job.spec,
+		SubmittedAt:      attempt.job.submittedAt,
+		ValidFor:         left,
 	})
 	c.changed(attempt.job)
 	attempt.timer = c.timers.Schedule(c.now+left, func() {
@@ -196,7 +196,7 @@
 		c.stopAttempt(attempt) // its job no longer needs it
 		return
 	}
-	job.subState = SubAccepted
+	job.subState = SubStateAccepted
 	if c.cfg.Module.PlacedWhenRunning {
 		c.changed(job)
 	} else {
@@ -234,7 +234,7 @@
 	} else {
 		c.reportUsage(attempt, flaxshelf.TaskRunning, 0)
 	}
-	job.state, job.subState = Running, SubRunning
+	job.state, job.subState = Running, SubStateRunning
 	if job.startedAt == 0 {
 		job.startedAt = c.now
 	}
@@ -315,9 +315,9 @@
 	job.nodeID = ""
 	switch {
 	case job.stopping:
-		c.finishJob(job, Failed, SubTerminated, "terminated before its start")
+		c.finishJob(job, Failed, SubStateTerminated, "terminated before its start")
 	case job.requestOpen:
-		job.subState = SubWaiting
+		job.subState = SubStateWaiting
 		c.changed(job)
 	case job.onHold():
 		c.changed(job)
--- a/internal/scheduler/attempt_messages.go
+++ b/internal/scheduler/attempt_inputs.go
@@ -76,7 +76,7 @@
 		}
 		c.acceptAttempt(attempt, flaxshelf.LoadReport{})
 	}
-	attempt.job.exitStatus = in.Exit
+	attempt.job.exitStatus = in.ExitStatus
 	c.endAttempt(attempt, in.attemptEnd())
 }
 
--- a/internal/scheduler/command.go
+++ b/internal/scheduler/command.go
@@ -8,15 +8,15 @@
 		for _, job := range array.jobs {
 			c.commandJob(0, in.Verb, job)
 		}
-		c.answerArray(in.Req, array)
+		c.answerArray(in.RequestID, array)
 		return
 	}
 	job := c.jobs[in.Job]
 	if job == nil {
-		c.rejectUnknownJob(in.Req, in.Job)
+		c.rejectUnknownJob(in.RequestID, in.Job)
 		return
 	}
-	c.commandJob(in.Req, in.Verb, job)
+	c.commandJob(in.RequestID, in.Verb, job)
 }
 
 func (c *Core) commandJob(req uint64, verb Verb, job *job) {
@@ -133,13 +133,13 @@
 		job.state = QueuedHeld
 	}
 	c.timers.Cancel(job.delayTimer)
-	job.subState, job.nodeID = SubHeld, ""
+	job.subState, job.nodeID = SubStateHeld, ""
 	c.changed(job)
 }
 
 func (c *Core) releaseJob(job *job) {
 	if job.array != nil && !job.admitted {
-		job.state, job.subState = Queued, SubArrayLimit
+		job.state, job.subState = Queued, SubStateArrayLimit
 		job.array.firstWaiting = 0
 		c.changed(job)
 		c.admitFromArray(job.array)
@@ -164,10 +164,10 @@
 		if current != nil {
 			c.endAttempt(current, attemptEnd{outcome: flaxshelf.NotSent})
 		}
-		c.finishJob(job, Failed, SubTerminated, terminatedReason)
+		c.finishJob(job, Failed, SubStateTerminated, terminatedReason)
 		return
 	}
-	job.subState = SubStopping
+	job.subState = SubStateStopping
 	c.cancelPlacementRequest(job, current.id)
 	c.stopAttempt(current)
 	c.changed(job)
--- a/internal/scheduler/config.go
+++ b/internal/scheduler/config.go
@@ -51,8 +51,8 @@
 
 // Guards are the rules that the core enforces in addition to the module.
 type Guards struct {
-	Drain  bool // no offer to a node that is draining
-	Answer bool // an outcome if the module has not given one in time
+	Drain             bool // no offer to a node that is draining
+	PlacementDeadline bool // an outcome if the module has not given one in time
 }
 
 // ConfigError reports an invalid value of a Config.
--- a/internal/scheduler/core.go
+++ b/internal/scheduler/core.go
@@ -131,17 +131,17 @@
 // answer answers a request. Zero means a request without an answer, such as a command on one job of an array.
 func (c *Core) answer(req uint64, answer Answer) {
 	if req != 0 {
-		answer.Req = req
+		answer.RequestID = req
 		c.emit(answer)
 	}
 }
 
 // answerJob answers a request with one job.
-func (c *Core) answerJob(req uint64, job *job) { c.answer(req, Answer{Jobs: []Info{job.info()}}) }
+func (c *Core) answerJob(req uint64, job *job) { c.answer(req, Answer{Jobs: []JobInfo{job.info()}}) }
 
 // answerArray answers a request with all jobs of an array.
 func (c *Core) answerArray(req uint64, array *array) {
-	c.answer(req, Answer{Array: array.id, Jobs: array.infos()})
+	c.answer(req, Answer{ArrayID: array.id, Jobs: array.infos()})
 }
 
 // reject answers a request with an error. A retryAfter of zero means that a retry is not expected to succeed.
--- /dev/null
+++ b/internal/scheduler/display_names_test.go
@@ -0,0 +1,60 @@
+package scheduler
+
+import "testing"
+
+// The values are part of the client protocol and of stored data, so they must not change; the terms are those of
+// docs/glossary.md.
+func TestOutcomesKeepTheirValuesAndHaveTerms(t *testing.T) {
+	for _, test := range []struct {
+		outcome     PlacementOutcome
+		value, term string
+	}{
+		{OutcomePlaced, "placed", "placed"},
+		{OutcomeRejected, "refused", "rejected"},
+		{OutcomeFailed, "failed", "failed"},
+		{OutcomeCanceled, "withdrawn", "canceled"},
+	} {
+		t.Run(test.term, func(t *testing.T) {
+			if got := string(test.outcome); got != test.value {
+				t.Errorf("value %q, want %q", got, test.value)
+			}
+			if got := test.outcome.DisplayName(); got != test.term {
+				t.Errorf("term %q, want %q", got, test.term)
+			}
+		})
+	}
+}
+
+func TestSubStatesKeepTheirValuesAndHaveTerms(t *testing.T) {
+	for _, test := range []struct{ subState, value, term string }{
+		{SubStateWaiting, "waiting", "waiting"},
+		{SubStateRecovering, "recovering", "recovering"},
+		{SubStateStartTime, "start-time", "start-time"},
+		{SubStateArrayLimit, "array-limit", "array-limit"},
+		{SubStateOffered, "offered", "offered"},
+		{SubStateAccepted, "accepted", "accepted"},
+		{SubStateRunning, "running", "running"},
+		{SubStateUnreachable, "unreached", "unreachable"},
+		{SubStateStopping, "stopping", "stopping"},
+		{SubStateRejected, "refused", "rejected"},
+		{SubStateUncertain, "uncertain", "uncertain"},
+		{SubStateTerminated, "terminated", "terminated"},
+		{SubStateEvicted, "evicted", "evicted"},
+		{SubStatePreempted, "pushed-out", "preempted"},
+		{SubStateDrainedAway, "sent-away", "drained-away"},
+		{SubStateLost, "lost", "lost"},
+		{SubStateExited, "exited", "exited"},
+		{SubStateStartFailed, "broke", "start-failed"},
+		{SubStateHeld, "held", "held"},
+		{SubStateBackoff, "backoff", "backoff"},
+	} {
+		t.Run(test.term, func(t *testing.T) {
+			if test.subState != test.value {
+				t.Errorf("value %q, want %q", test.subState, test.value)
+			}
+			if got := SubStateDisplayName(test.subState); got != test.term {
+				t.Errorf("term %q, want %q", got, test.term)
+			}
+		})
+	}
+}
--- a/internal/scheduler/effect.go
+++ b/internal/scheduler/effects.go
@@ -15,9 +15,9 @@
 	// SendOffer offers a job to a node, which discards the offer after ValidFor.
 	SendOffer struct {
 		Node, Attempt, Job string
-		Request            int // number of the placement request
-		Spec               *Spec
-		Submitted          Time
+		PlacementRequest   int // number of the placement request
+		Spec               *JobSpec
+		SubmittedAt        Time
 		ValidFor           time.Duration
 	}
 	// SendStop cancels an offer or stops an accepted attempt.
@@ -39,24 +39,24 @@
 		Node  string
 		Token uint64
 	}
-	// Answer answers the request Req. Err is nil on success.
+	// Answer answers the request RequestID. Err is nil on success.
 	Answer struct {
-		Req      uint64
-		Err      *Error
-		Jobs     []Info
-		Array    string
-		Existing bool // the submission's key is known, and Jobs are those of the earlier submission
-		Sessions []string
-		Machines []MachineInfo
+		RequestID uint64
+		Err       *Error
+		Jobs      []JobInfo
+		ArrayID   string
+		Existing  bool // the submission's key is known, and Jobs are those of the earlier submission
+		Sessions  []string
+		Machines  []MachineInfo
 	}
 	// Publish sends a changed job to a watch.
 	Publish struct {
 		Stream uint64
-		Info   Info
+		Job    JobInfo
 	}
 	// LogOutcome logs how a placement request or a job ended.
 	LogOutcome struct {
-		Info    Info
+		Job     JobInfo
 		Attempt string // that decided the placement request; empty if none did
 	}
 	// Drained reports that the core is draining and has no more open placement requests.
--- a/internal/scheduler/helpers_test.go
+++ b/internal/scheduler/helpers_test.go
@@ -70,7 +70,7 @@
 	machines := (&simulation{}).machines()
 	core.Step(now, []Input{
 		NodesUpdated{Complete: true, Machines: machines},
-		NodeUp{Node: "n1"}, NodeUp{Node: "n2"}, NodeUp{Node: "n3"},
+		NodeConnected{Node: "n1"}, NodeConnected{Node: "n2"}, NodeConnected{Node: "n3"},
 	})
 	return core
 }
@@ -80,7 +80,7 @@
 	t.Helper()
 	var found []Answer
 	for _, effect := range out.Effects {
-		if answer, ok := effect.(Answer); ok && answer.Req == req {
+		if answer, ok := effect.(Answer); ok && answer.RequestID == req {
 			found = append(found, answer)
 		}
 	}
--- a/internal/scheduler/input.go
+++ b/internal/scheduler/inputs.go
@@ -2,7 +2,7 @@
 
 import "flaxshelf.example/flaxshelf"
 
-// Input is one of the input types below. Req is a number that the host assigns to a request and that the Answer repeats;
+// Input is one of the input types below. RequestID is assigned by the host to a request and that the Answer repeats;
 // zero means that no answer is wanted. Each type's apply method is defined in the file of its subject.
 type Input interface{ apply(c *Core) }
 
@@ -10,38 +10,38 @@
 type (
 	// Submit submits one job, or an array if Indexes is not empty.
 	Submit struct {
-		Req         uint64
+		RequestID   uint64
 		ReceivedAt  Time // when it reached the host, which starts its placement timeout; zero means now
-		Spec        Spec
+		Spec        JobSpec
 		Indexes     []int
 		MaxParallel int // jobs of the array that may be active concurrently; zero means no limit
 	}
 	// Command acts on a job or on each job of an array.
 	Command struct {
-		Req  uint64
-		Verb Verb // Hold, Release, Terminate or Reap
-		Job  string
+		RequestID uint64
+		Verb      Verb // Hold, Release, Terminate or Reap
+		Job       string
 	}
 	// Query requests a job or an array by its ID. Without an ID it requests the jobs of a session, or of all sessions if
-	// Session is empty: at most Limit of them with IDs above After, ordered by ID.
+	// Session is empty: at most Limit of them with IDs above AfterID, ordered by ID.
 	Query struct {
-		Req                 uint64
-		Job, Session, After string
-		Limit               int
+		RequestID             uint64
+		Job, Session, AfterID string
+		Limit                 int
 	}
 	// SessionCommand creates, opens, destroys or lists job sessions.
 	SessionCommand struct {
-		Req  uint64
-		Verb Verb
-		Name string
+		RequestID uint64
+		Verb      Verb
+		Name      string
 	}
 	// Machines requests the nodes that this scheduler knows.
-	Machines struct{ Req uint64 }
+	Machines struct{ RequestID uint64 }
 	// Watch publishes every change of a job, of an array or of a session's jobs to Stream until Unwatch, starting with the
-	// changes since revision Since. An empty Job and Session mean all jobs.
+	// changes since revision SinceRevision. An empty Job and Session mean all jobs.
 	Watch struct {
-		Req, Stream, Since uint64
-		Job, Session       string
+		RequestID, Stream, SinceRevision uint64
+		Job, Session                     string
 	}
 	// Unwatch ends a Watch.
 	Unwatch struct{ Stream uint64 }
@@ -51,17 +51,17 @@
 
 // The messages of nodes and the state of the connections to them.
 type (
-	// NodeUp reports that a connection to the node is established, and which of this scheduler's
+	// NodeConnected reports that a connection to the node is established, and which of this scheduler's
 	// attempts the node has.
-	NodeUp struct {
-		Node      string
-		Started   Time // when the node's process started
-		MayBeCold bool // the node may still be warming up
-		Running   []RunningAttempt
-		Ended     []AttemptEnded // not acknowledged yet
+	NodeConnected struct {
+		Node           string
+		StartedAt      Time // when the node's process started
+		MayBeWarmingUp bool // the node may still be warming up
+		Accepted       []ReportedAttempt
+		Ended          []AttemptEnded // not acknowledged yet
 	}
-	// NodeDown reports that the connection broke or could not be established.
-	NodeDown struct{ Node string }
+	// NodeDisconnected reports that the connection broke or could not be established.
+	NodeDisconnected struct{ Node string }
 	// AttemptAccepted reports that the node has accepted an offer.
 	AttemptAccepted struct {
 		Node, Attempt string
@@ -89,16 +89,16 @@
 	// AttemptEnded reports that an accepted attempt has ended. The core acknowledges it with SendAck.
 	AttemptEnded struct {
 		Node, Attempt string
-		End           End
+		End           EndKind
 		Reason        flaxshelf.Reason
-		Exit          int // exit status
+		ExitStatus    int // exit status
 		Load          flaxshelf.LoadReport
 	}
 	// HealthChecked is the result of a SendHealthCheck.
 	HealthChecked struct {
-		Node string
-		Load flaxshelf.LoadReport
-		Lost bool // no reply was received
+		Node    string
+		Load    flaxshelf.LoadReport
+		NoReply bool // no reply was received
 	}
 	// SendFailed reports that an offer was not sent.
 	SendFailed struct{ Node, Attempt string }
@@ -122,27 +122,27 @@
 	DiscoverySynced struct{ Token uint64 }
 )
 
-// RunningAttempt is an accepted attempt that a node has.
-type RunningAttempt struct {
-	Attempt, Job string
-	Request      int // number of the placement request
-	Spec         Spec
-	Submitted    Time
-	Running      bool // it has been started
+// ReportedAttempt is an accepted attempt that a node has.
+type ReportedAttempt struct {
+	Attempt, Job     string
+	PlacementRequest int // number of the placement request
+	Spec             JobSpec
+	SubmittedAt      Time
+	Started          bool // it has been started
 }
 
-// End is how an accepted attempt ended.
-type End int
+// EndKind is how an accepted attempt ended.
+type EndKind int
 
 // The ways in which an accepted attempt ends.
 const (
-	EndCompleted   End = iota // with its exit status
-	EndLost                   // evicted, preempted or drained away, see Reason
-	EndStopped                // by a SendStop
-	EndStartFailed            // it was accepted but could not be started
+	EndCompleted   EndKind = iota // with its exit status
+	EndLost                       // evicted, preempted or drained away, see Reason
+	EndStopped                    // by a SendStop
+	EndStartFailed                // it was accepted but could not be started
 )
 
-func (e End) String() string {
+func (e EndKind) String() string {
 	switch e {
 	case EndCompleted:
 		return "completed"
@@ -161,12 +161,12 @@
 
 // The verbs of Command and SessionCommand.
 const (
-	Hold      Verb = "hold"
-	Release   Verb = "release"
-	Terminate Verb = "terminate"
-	Reap      Verb = "reap"
-	Create    Verb = "create"
-	Open      Verb = "open"
-	Destroy   Verb = "destroy"
-	List      Verb = "list"
+	Hold           Verb = "hold"
+	Release        Verb = "release"
+	Terminate      Verb = "terminate"
+	Reap           Verb = "reap"
+	CreateSession  Verb = "create"
+	OpenSession    Verb = "open"
+	DestroySession Verb = "destroy"
+	ListSessions   Verb = "list"
 )
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -26,8 +26,8 @@
 type job struct {
 	id       string
 	aliases  []string // IDs of the same work in former incarnations
-	spec     *Spec
-	state    State
+	spec     *JobSpec
+	state    JobState
 	subState string
 	nodeID   string // of the current attempt
 	reason   string
@@ -50,7 +50,7 @@
 	placementTimer    *timerqueue.Timer
 	attemptCount      int
 	attempt           *attempt // that has not ended; nil for none
-	outcome           Outcome
+	outcome           PlacementOutcome
 	outcomeUnknownAt  Time // when an attempt that may have run last ended; zero means never
 	unknownRequest    int  // the last placement request with such an attempt
 
@@ -87,18 +87,18 @@
 	return j.taskName
 }
 
-func (j *job) info() Info {
-	info := Info{
+func (j *job) info() JobInfo {
+	info := JobInfo{
 		ID:                j.id,
 		Spec:              j.spec,
 		State:             j.state,
 		SubState:          j.subState,
-		Index:             j.index,
+		ArrayIndex:        j.index,
 		Node:              j.nodeID,
-		Request:           j.request,
+		PlacementRequest:  j.request,
 		Outcome:           j.outcome,
 		Attempts:          j.attemptCount,
-		Exit:              j.exitStatus,
+		ExitStatus:        j.exitStatus,
 		Reason:            j.reason,
 		SubmittedAt:       j.submittedAt,
 		RequestedAt:       j.requestedAt,
@@ -108,7 +108,7 @@
 		Revision:          j.revision,
 	}
 	if j.array != nil {
-		info.Array = j.array.id
+		info.ArrayID = j.array.id
 	}
 	return info
 }
@@ -150,13 +150,13 @@
 	job.migrating = false
 	switch {
 	case job.stopping:
-		c.finishJob(job, Failed, SubTerminated, terminatedReason)
+		c.finishJob(job, Failed, SubStateTerminated, terminatedReason)
 	case end.outcome == flaxshelf.Completed && job.exitStatus == 0:
-		c.finishJob(job, Done, SubExited, "")
+		c.finishJob(job, Done, SubStateExited, "")
 	case end.outcome == flaxshelf.Completed:
-		c.finishJob(job, Failed, SubExited, "exit status "+strconv.Itoa(job.exitStatus))
+		c.finishJob(job, Failed, SubStateExited, "exit status "+strconv.Itoa(job.exitStatus))
 	case end.outcome == flaxshelf.Failed:
-		c.finishJob(job, Failed, SubStartFailed, "its start failed on "+job.nodeID)
+		c.finishJob(job, Failed, SubStateStartFailed, "its start failed on "+job.nodeID)
 	case migrating || job.spec.Rerunnable:
 		c.requeue(job, end.reason)
 	default:
@@ -168,21 +168,21 @@
 func lostSubState(reason flaxshelf.Reason) string {
 	switch reason {
 	case flaxshelf.Evicted:
-		return SubEvicted
+		return SubStateEvicted
 	case flaxshelf.Preempted:
-		return SubPreempted
+		return SubStatePreempted
 	case flaxshelf.DrainedAway:
-		return SubDrainedAway
+		return SubStateDrainedAway
 	}
-	return SubLost
+	return SubStateLost
 }
 
 // requeue opens another placement request, after a backoff, for a job whose attempt was lost.
 func (c *Core) requeue(job *job, reason flaxshelf.Reason) {
 	wait := max(backoff(job.backoffLevel, reason), c.earliestResubmission(job)-c.now)
 	job.backoffLevel += backoffLevelsOfLoss
-	job.state, job.subState = Requeued, SubBackoff
-	job.reason = "it was " + SubStateTerm(lostSubState(reason)) + " on " + job.nodeID
+	job.state, job.subState = Requeued, SubStateBackoff
+	job.reason = "it was " + SubStateDisplayName(lostSubState(reason)) + " on " + job.nodeID
 	job.nodeID = ""
 	if job.requestOpen { // accepted but not running, with Config.PlacedWhenRunning
 		c.notifyModule(flaxshelf.TaskCanceled{Task: job.taskID()})
@@ -191,7 +191,7 @@
 	c.changed(job)
 	request := job.request
 	job.delayTimer = c.timers.Schedule(c.now+wait, func() {
-		if job.state == Requeued && job.subState == SubBackoff && job.request == request {
+		if job.state == Requeued && job.subState == SubStateBackoff && job.request == request {
 			job.reason = ""
 			c.submitToModule(job)
 		}
@@ -217,7 +217,7 @@
 }
 
 // finishJob ends a job. It is retained until expireEndedJobs or its owner removes it.
-func (c *Core) finishJob(job *job, state State, subState, reason string) {
+func (c *Core) finishJob(job *job, state JobState, subState, reason string) {
 	if job.state.Ended() {
 		return
 	}
@@ -230,7 +230,7 @@
 	c.endedJobCount++
 	c.endedJobs = append(c.endedJobs, job)
 	c.changed(job)
-	c.emit(LogOutcome{Info: job.info()})
+	c.emit(LogOutcome{Job: job.info()})
 	if job.array != nil {
 		c.arrayJobEnded(job)
 	}
--- a/internal/scheduler/machine_test.go
+++ b/internal/scheduler/machine_update_test.go
@@ -24,7 +24,7 @@
 		t.Fatal(err)
 	}
 	want := machinetest.Filled(t)
-	out := core.Step(0, []Input{NodesUpdated{Machines: []flaxshelf.Machine{want}}, Machines{Req: req}})
+	out := core.Step(0, []Input{NodesUpdated{Machines: []flaxshelf.Machine{want}}, Machines{RequestID: req}})
 	if len(updates) != 1 || len(updates[0].Machines) != 1 {
 		t.Fatalf("updates of the module: got %+v, want one with one machine", updates)
 	}
--- a/internal/scheduler/node.go
+++ b/internal/scheduler/node.go
@@ -126,7 +126,7 @@
 }
 
 // apply ends the offers to the node, which may or may not have been accepted. Accepted attempts stay.
-func (in NodeDown) apply(c *Core) {
+func (in NodeDisconnected) apply(c *Core) {
 	node := c.nodes[in.Node]
 	if node == nil {
 		return
@@ -141,7 +141,7 @@
 		case phaseOffered:
 			c.loseAttempt(attempt)
 		default:
-			attempt.job.subState = SubUnreachable
+			attempt.job.subState = SubStateUnreachable
 			c.changed(attempt.job)
 		}
 	}
@@ -159,7 +159,7 @@
 
 func (in HealthChecked) apply(c *Core) {
 	result := flaxshelf.HealthChecked{Machine: in.Node, Load: in.Load}
-	if in.Lost {
+	if in.NoReply {
 		result.Outcome = flaxshelf.Lost
 	}
 	c.notifyModule(result)
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -8,7 +8,7 @@
 
 // submitToModule submits a job to the module, in a new placement request unless one is open.
 func (c *Core) submitToModule(job *job) {
-	job.subState = SubWaiting
+	job.subState = SubStateWaiting
 	c.openPlacementRequest(job)
 	c.jobsByTask[job.taskID()] = job
 	c.notifyModule(flaxshelf.TaskSubmitted{Task: c.moduleTask(job)})
@@ -59,7 +59,7 @@
 }
 
 // placementTimeout returns how long a placement request may stay open.
-func (c *Core) placementTimeout(spec *Spec) time.Duration {
+func (c *Core) placementTimeout(spec *JobSpec) time.Duration {
 	if spec.PlacementTimeout > 0 {
 		return spec.PlacementTimeout
 	}
@@ -71,7 +71,7 @@
 func (c *Core) guardDeadline(job *job) {
 	deadline := job.placementDeadline
 	job.placementTimer = c.timers.Schedule(deadline+c.cfg.Module.AnswerSlack/2, func() {
-		if job.requestOpen && job.placementDeadline == deadline && !c.cfg.DisabledGuards.Answer {
+		if job.requestOpen && job.placementDeadline == deadline && !c.cfg.DisabledGuards.PlacementDeadline {
 			c.failOverdue(job)
 		}
 	})
@@ -79,7 +79,7 @@
 
 func (c *Core) failOverdue(job *job) {
 	c.notifyModule(flaxshelf.TaskCanceled{Task: job.taskID()})
-	if job.subState == SubRecovering {
+	if job.subState == SubStateRecovering {
 		c.failPlacementRequest(job, OutcomeFailed, "it may run on a node that has not reported since the scheduler started")
 		return
 	}
@@ -91,7 +91,7 @@
 }
 
 // failTask executes the module's decision not to place a task.
-func (c *Core) failTask(taskID string, outcome Outcome) {
+func (c *Core) failTask(taskID string, outcome PlacementOutcome) {
 	job := c.jobsByTask[taskID]
 	if job == nil || !job.requestOpen || job.taskID() != taskID {
 		return
@@ -101,14 +101,14 @@
 
 // failPlacementRequest ends a job whose placement request has failed. If the reason is empty, the job keeps that of its
 // last attempt or gets a default.
-func (c *Core) failPlacementRequest(job *job, outcome Outcome, reason string) {
+func (c *Core) failPlacementRequest(job *job, outcome PlacementOutcome, reason string) {
 	if reason != "" {
 		job.reason = reason
 	}
 	c.closeWithAttempt(job, outcome)
-	subState, defaultReason := SubRejected, "no node accepted it in time; it is safe to submit it again"
+	subState, defaultReason := SubStateRejected, "no node accepted it in time; it is safe to submit it again"
 	if outcome == OutcomeFailed {
-		subState, defaultReason = SubUncertain, "an attempt may have run"
+		subState, defaultReason = SubStateUncertain, "an attempt may have run"
 	}
 	if job.reason == "" {
 		job.reason = defaultReason
@@ -118,7 +118,7 @@
 
 // closeWithAttempt closes a placement request and cancels its attempt, if any: an offer that was not sent ends at once,
 // any other attempt is stopped.
-func (c *Core) closeWithAttempt(job *job, outcome Outcome) {
+func (c *Core) closeWithAttempt(job *job, outcome PlacementOutcome) {
 	current := job.attempt
 	switch {
 	case current == nil:
@@ -142,7 +142,7 @@
 }
 
 // closePlacementRequest closes the placement request with an outcome, if it is open.
-func (c *Core) closePlacementRequest(job *job, outcome Outcome, attemptID string) {
+func (c *Core) closePlacementRequest(job *job, outcome PlacementOutcome, attemptID string) {
 	if !job.requestOpen {
 		return
 	}
@@ -155,7 +155,7 @@
 	}
 	c.rejectPendingHold(job)
 	c.changed(job)
-	c.emit(LogOutcome{Info: job.info(), Attempt: attemptID})
+	c.emit(LogOutcome{Job: job.info(), Attempt: attemptID})
 }
 
 // rejectPendingHold rejects a hold that is pending when the placement request is closed.
@@ -167,6 +167,6 @@
 	if job.outcome == OutcomePlaced {
 		c.reject(job.pendingHoldReq, InvalidState, 0, "job %s was placed before the hold", job.id)
 	} else {
-		c.reject(job.pendingHoldReq, InvalidState, 0, "job %s ended before the hold: %s", job.id, job.outcome.Term())
+		c.reject(job.pendingHoldReq, InvalidState, 0, "job %s ended before the hold: %s", job.id, job.outcome.DisplayName())
 	}
 }
--- a/internal/scheduler/property_test.go
+++ b/internal/scheduler/property_test.go
@@ -18,7 +18,7 @@
 func TestRandomSimulationsPreserveInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSimulation(t)
-		s.step(NodesUpdated{Complete: true, Machines: s.machines()}, NodeUp{Node: "n1"}, NodeUp{Node: "n2"})
+		s.step(NodesUpdated{Complete: true, Machines: s.machines()}, NodeConnected{Node: "n1"}, NodeConnected{Node: "n2"})
 		s.connected["n1"], s.connected["n2"] = true, true
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			s.act()
@@ -42,9 +42,9 @@
 	offers    []*sentOffer
 	offerByID map[string]*sentOffer
 	jobs      []string
-	outcomes  map[string]Outcome // by job and placement request
-	syncToken uint64             // of the sync without an answer of discovery; zero means none
-	syncedAt  Time               // the start of that sync
+	outcomes  map[string]PlacementOutcome // by job and placement request
+	syncToken uint64                      // of the sync without an answer of discovery; zero means none
+	syncedAt  Time                        // the start of that sync
 	stalled   bool
 }
 
@@ -70,7 +70,7 @@
 		draining:  map[string]bool{},
 		connected: map[string]bool{},
 		offerByID: map[string]*sentOffer{},
-		outcomes:  map[string]Outcome{},
+		outcomes:  map[string]PlacementOutcome{},
 	}
 }
 
@@ -120,7 +120,7 @@
 }
 
 func (s *simulation) submit() {
-	s.step(Submit{Req: 1, Spec: Spec{
+	s.step(Submit{RequestID: 1, Spec: JobSpec{
 		Key:        fmt.Sprint("k", s.pick(30, "key")),
 		Class:      s.pick(4, "class"),
 		Tenant:     -1,
@@ -142,16 +142,16 @@
 func (s *simulation) disconnect(node string) {
 	s.connected[node] = false
 	s.closeUnaccepted(node)
-	s.step(NodeDown{Node: node})
+	s.step(NodeDisconnected{Node: node})
 }
 
 func (s *simulation) connect(node string) {
 	s.connected[node] = true
 	s.closeUnaccepted(node) // a node drops what it was offered over a former connection
-	up := NodeUp{Node: node}
+	up := NodeConnected{Node: node}
 	for _, offer := range s.offers {
 		if offer.Node == node && offer.accepted && !offer.ended {
-			up.Running = append(up.Running, RunningAttempt{Attempt: offer.Attempt, Job: offer.Job, Request: offer.Request,
+			up.Accepted = append(up.Accepted, ReportedAttempt{Attempt: offer.Attempt, Job: offer.Job, PlacementRequest: offer.PlacementRequest,
 				Spec: *offer.Spec})
 		}
 	}
@@ -172,7 +172,7 @@
 	}
 	verbs := []Verb{Hold, Release, Terminate, Hold, Release, Reap}
 	verb := verbs[s.pick(len(verbs), "verb")]
-	s.step(Command{Req: 2, Verb: verb, Job: s.jobs[s.pick(len(s.jobs), "job")]})
+	s.step(Command{RequestID: 2, Verb: verb, Job: s.jobs[s.pick(len(s.jobs), "job")]})
 }
 
 func (s *simulation) stall() {
@@ -199,7 +199,7 @@
 			s.step(AttemptStarted{Node: offer.Node, Attempt: offer.Attempt})
 		}
 	default:
-		s.end(offer, End(how%3))
+		s.end(offer, EndKind(how%3))
 	}
 }
 
@@ -230,7 +230,7 @@
 	s.step(AttemptFailed{Node: offer.Node, Attempt: offer.Attempt})
 }
 
-func (s *simulation) end(offer *sentOffer, end End) {
+func (s *simulation) end(offer *sentOffer, end EndKind) {
 	if !offer.accepted || offer.ended {
 		return
 	}
@@ -295,7 +295,7 @@
 	case SyncDiscovery:
 		s.syncToken, s.syncedAt = effect.Token, s.now
 	case Answer:
-		if effect.Err == nil && effect.Req == 1 && !effect.Existing {
+		if effect.Err == nil && effect.RequestID == 1 && !effect.Existing {
 			s.jobs = append(s.jobs, effect.Jobs[0].ID)
 		}
 	case SendStop:
@@ -303,16 +303,16 @@
 			offer.closed = true
 		}
 	case LogOutcome:
-		if !effect.Info.State.Ended() {
-			s.checkOutcome(effect.Info)
+		if !effect.Job.State.Ended() {
+			s.checkOutcome(effect.Job)
 		}
 	case SendOffer:
 		s.checkOffer(effect)
 	}
 }
 
-func (s *simulation) checkOutcome(info Info) {
-	request := fmt.Sprint(info.ID, "#", info.Request)
+func (s *simulation) checkOutcome(info JobInfo) {
+	request := fmt.Sprint(info.ID, "#", info.PlacementRequest)
 	if former, ok := s.outcomes[request]; ok {
 		s.t.Fatalf("%s: got outcome %s after outcome %s, want one outcome", request, info.Outcome, former)
 	}
@@ -344,7 +344,7 @@
 	if !former.closed && s.now < former.at+former.ValidFor {
 		s.t.Fatalf("%s is offered while %s is in flight or runs", sent.Attempt, former.Attempt)
 	}
-	if former.Request != sent.Request || former.provenNotRun {
+	if former.PlacementRequest != sent.PlacementRequest || former.provenNotRun {
 		return
 	}
 	otherZone := (former.Node == "n3") != (sent.Node == "n3")
--- a/internal/scheduler/query.go
+++ b/internal/scheduler/query.go
@@ -14,24 +14,24 @@
 		if limit <= 0 {
 			limit = defaultQueryLimit
 		}
-		c.answer(in.Req, Answer{Jobs: c.page(in.Session, in.After, limit)})
+		c.answer(in.RequestID, Answer{Jobs: c.page(in.Session, in.AfterID, limit)})
 		return
 	}
 	if array := c.arrays[in.Job]; array != nil {
-		c.answerArray(in.Req, array)
+		c.answerArray(in.RequestID, array)
 	} else if job := c.jobs[in.Job]; job != nil {
-		c.answerJob(in.Req, job)
+		c.answerJob(in.RequestID, job)
 	} else {
-		c.rejectUnknownJob(in.Req, in.Job)
+		c.rejectUnknownJob(in.RequestID, in.Job)
 	}
 }
 
 // page returns at most limit jobs of a session with IDs above after, ordered by ID. An empty session means all jobs.
-func (c *Core) page(session, after string, limit int) []Info {
+func (c *Core) page(session, after string, limit int) []JobInfo {
 	found := c.jobsWhere(func(job *job) bool { return job.id > after && job.inSession(session) })
 	slices.SortFunc(found, func(a, b *job) int { return cmp.Compare(a.id, b.id) })
 	found = found[:min(limit, len(found))]
-	infos := make([]Info, len(found))
+	infos := make([]JobInfo, len(found))
 	for i, job := range found {
 		infos[i] = job.info()
 	}
@@ -54,7 +54,7 @@
 	for i, node := range c.nodesByName {
 		all[i] = MachineInfo{Machine: node.machine, Connected: node.connected, Jobs: len(node.attempts)}
 	}
-	c.answer(in.Req, Answer{Machines: all})
+	c.answer(in.RequestID, Answer{Machines: all})
 }
 
 func (c *Core) rejectUnknownJob(req uint64, id string) {
--- a/internal/scheduler/recovery.go
+++ b/internal/scheduler/recovery.go
@@ -59,7 +59,7 @@
 	var stillWaiting []*job
 	for _, job := range c.recovery.waiting {
 		switch {
-		case job.subState != SubRecovering: // it was found running, held or ended meanwhile
+		case job.subState != SubStateRecovering: // it was found running, held or ended meanwhile
 		case !allReported && job.spec.Retry && c.atMostOnce(job):
 			stillWaiting = append(stillWaiting, job)
 		default:
--- a/internal/scheduler/script_input_test.go
+++ b/internal/scheduler/script_input_test.go
@@ -23,7 +23,7 @@
 
 // scriptInputs has the parser of each command.
 var scriptInputs = map[string]func(*scriptLine) Input{
-	"submit":           func(l *scriptLine) Input { return Submit{Req: l.req, Spec: l.spec(l.arg(0))} },
+	"submit":           func(l *scriptLine) Input { return Submit{RequestID: l.req, Spec: l.spec(l.arg(0))} },
 	"array":            parseArray,
 	"hold":             parseCommand,
 	"release":          parseCommand,
@@ -31,7 +31,7 @@
 	"reap":             parseCommand,
 	"query":            parseQuery,
 	"session":          parseSessionCommand,
-	"machines":         func(l *scriptLine) Input { return Machines{Req: l.req} },
+	"machines":         func(l *scriptLine) Input { return Machines{RequestID: l.req} },
 	"watch":            parseWatch,
 	"unwatch":          func(l *scriptLine) Input { return Unwatch{Stream: l.number(0)} },
 	"list":             func(l *scriptLine) Input { return l.nodes(true) },
@@ -40,7 +40,7 @@
 	"discovery-synced": func(l *scriptLine) Input { return DiscoverySynced{Token: l.number(0)} },
 	"node-synced":      func(l *scriptLine) Input { return NodeSynced{Node: l.arg(0), Token: l.number(1)} },
 	"up":               parseNodeUp,
-	"down":             func(l *scriptLine) Input { return NodeDown{Node: l.arg(0)} },
+	"down":             func(l *scriptLine) Input { return NodeDisconnected{Node: l.arg(0)} },
 	"accept":           func(l *scriptLine) Input { return AttemptAccepted{Node: l.arg(0), Attempt: l.arg(1)} },
 	"reject":           parseRejected,
 	"fail":             parseFailed,
@@ -104,10 +104,10 @@
 }
 
 // spec returns a job of a class of testConfig. The class is -1 if testConfig does not have it.
-func (l *scriptLine) spec(class string) Spec {
+func (l *scriptLine) spec(class string) JobSpec {
 	l.t.Helper()
 	isClass := func(c flaxshelf.TaskClass) bool { return c.Name == class }
-	return Spec{
+	return JobSpec{
 		Key:        l.options["key"],
 		Session:    l.options["session"],
 		Service:    l.options["service"],
@@ -124,7 +124,7 @@
 }
 
 func parseArray(l *scriptLine) Input {
-	submit := Submit{Req: l.req, Spec: l.spec(l.arg(0)), MaxParallel: l.intOption("parallel")}
+	submit := Submit{RequestID: l.req, Spec: l.spec(l.arg(0)), MaxParallel: l.intOption("parallel")}
 	for i := range parseInt(l.t, l.arg(1)) {
 		submit.Indexes = append(submit.Indexes, i+1)
 	}
@@ -132,19 +132,19 @@
 }
 
 func parseCommand(l *scriptLine) Input {
-	return Command{Req: l.req, Verb: Verb(l.command), Job: l.arg(0)}
+	return Command{RequestID: l.req, Verb: Verb(l.command), Job: l.arg(0)}
 }
 
 func parseQuery(l *scriptLine) Input {
-	return Query{Req: l.req, Job: l.options["job"], Session: l.options["session"]}
+	return Query{RequestID: l.req, Job: l.options["job"], Session: l.options["session"]}
 }
 
 func parseSessionCommand(l *scriptLine) Input {
-	return SessionCommand{Req: l.req, Verb: Verb(l.arg(0)), Name: l.options["name"]}
+	return SessionCommand{RequestID: l.req, Verb: Verb(l.arg(0)), Name: l.options["name"]}
 }
 
 func parseWatch(l *scriptLine) Input {
-	return Watch{Req: l.req, Stream: l.req, Job: l.options["job"], Session: l.options["session"]}
+	return Watch{RequestID: l.req, Stream: l.req, Job: l.options["job"], Session: l.options["session"]}
 }
 
 // nodes reads names with states: n1, n2:draining, n3:out, or n4:3s for the start time. The zone of n1 and n2 is a, that of
@@ -175,12 +175,12 @@
 
 // parseNodeUp reads running=ATTEMPT,ATTEMPT+, where + marks an attempt that has been started, and ended=ATTEMPT,ATTEMPT.
 func parseNodeUp(l *scriptLine) Input {
-	up := NodeUp{Node: l.arg(0), MayBeCold: l.options["may-be-cold"] != "", Started: l.timeOption("started")}
+	up := NodeConnected{Node: l.arg(0), MayBeWarmingUp: l.options["may-be-cold"] != "", StartedAt: l.timeOption("started")}
 	for _, reported := range l.listOption("running") {
 		id, running := strings.CutSuffix(reported, "+")
 		parts := strings.Split(id, "/")
-		up.Running = append(up.Running, RunningAttempt{Attempt: id, Job: parts[0], Request: parseInt(l.t, parts[1]),
-			Running: running, Spec: l.spec(l.options["class"])})
+		up.Accepted = append(up.Accepted, ReportedAttempt{Attempt: id, Job: parts[0], PlacementRequest: parseInt(l.t, parts[1]),
+			Started: running, Spec: l.spec(l.options["class"])})
 	}
 	for _, ended := range l.listOption("ended") {
 		up.Ended = append(up.Ended, AttemptEnded{Attempt: ended})
@@ -203,7 +203,7 @@
 
 // parseEnded reads how=END. Without it the attempt has completed, with exit=STATUS.
 func parseEnded(l *scriptLine) Input {
-	ended := AttemptEnded{Node: l.arg(0), Attempt: l.arg(1), Exit: l.intOption("exit")}
+	ended := AttemptEnded{Node: l.arg(0), Attempt: l.arg(1), ExitStatus: l.intOption("exit")}
 	switch how := l.options["how"]; how {
 	case "":
 	case "evicted":
--- a/internal/scheduler/script_output_test.go
+++ b/internal/scheduler/script_output_test.go
@@ -22,7 +22,7 @@
 	case Publish:
 		return publishText(effect, all)
 	case LogOutcome:
-		return outcomeText(effect.Info)
+		return outcomeText(effect.Job)
 	case Drained:
 		return "drained"
 	}
@@ -48,16 +48,16 @@
 
 func answerText(answer Answer) string {
 	if answer.Err != nil {
-		return fmt.Sprintf("answer %d: %v retry after %v", answer.Req, answer.Err,
+		return fmt.Sprintf("answer %d: %v retry after %v", answer.RequestID, answer.Err,
 			answer.Err.RetryAfter.Round(time.Millisecond))
 	}
 	var b strings.Builder
-	fmt.Fprintf(&b, "answer %d:", answer.Req)
+	fmt.Fprintf(&b, "answer %d:", answer.RequestID)
 	if answer.Existing {
 		b.WriteString(" existing")
 	}
-	if answer.Array != "" {
-		b.WriteString(" array " + answer.Array)
+	if answer.ArrayID != "" {
+		b.WriteString(" array " + answer.ArrayID)
 	}
 	for _, job := range answer.Jobs {
 		fmt.Fprintf(&b, " %s %s/%s", job.ID, job.State, job.SubState)
@@ -73,14 +73,14 @@
 	if !all {
 		return ""
 	}
-	info := publish.Info
-	return fmt.Sprintf("publish to %d: %s request %d %s/%s %s", publish.Stream, info.ID, info.Request, info.State,
+	info := publish.Job
+	return fmt.Sprintf("publish to %d: %s request %d %s/%s %s", publish.Stream, info.ID, info.PlacementRequest, info.State,
 		info.SubState, info.Outcome)
 }
 
-func outcomeText(info Info) string {
+func outcomeText(info JobInfo) string {
 	if info.State.Ended() {
 		return fmt.Sprintf("end %s %s/%s %s", info.ID, info.State, info.SubState, info.Reason)
 	}
-	return fmt.Sprintf("outcome %s request %d %s", info.ID, info.Request, info.Outcome)
+	return fmt.Sprintf("outcome %s request %d %s", info.ID, info.PlacementRequest, info.Outcome)
 }
--- a/internal/scheduler/session.go
+++ b/internal/scheduler/session.go
@@ -9,22 +9,22 @@
 func (in SessionCommand) apply(c *Core) {
 	exists := c.sessions[in.Name]
 	switch {
-	case in.Verb == List:
-		c.answer(in.Req, Answer{Sessions: c.sessionNames()})
-	case in.Verb == Create && exists:
-		c.reject(in.Req, InvalidArgument, 0, "job session %q exists", in.Name)
-	case in.Verb == Create && len(c.sessions) >= c.cfg.Limits.MaxSessions:
-		c.reject(in.Req, OutOfResource, 0, "%d job sessions, no more are kept", len(c.sessions))
-	case in.Verb == Create:
+	case in.Verb == ListSessions:
+		c.answer(in.RequestID, Answer{Sessions: c.sessionNames()})
+	case in.Verb == CreateSession && exists:
+		c.reject(in.RequestID, InvalidArgument, 0, "job session %q exists", in.Name)
+	case in.Verb == CreateSession && len(c.sessions) >= c.cfg.Limits.MaxSessions:
+		c.reject(in.RequestID, OutOfResource, 0, "%d job sessions, no more are kept", len(c.sessions))
+	case in.Verb == CreateSession:
 		c.sessions[in.Name] = true
-		c.answer(in.Req, Answer{Sessions: []string{in.Name}})
+		c.answer(in.RequestID, Answer{Sessions: []string{in.Name}})
 	case !exists:
-		c.reject(in.Req, InvalidArgument, 0, "no job session %q", in.Name)
-	case in.Verb == Destroy: // its jobs continue, see section 8.4 of GFD.194
+		c.reject(in.RequestID, InvalidArgument, 0, "no job session %q", in.Name)
+	case in.Verb == DestroySession: // its jobs continue, see section 8.4 of GFD.194
 		delete(c.sessions, in.Name)
-		c.answer(in.Req, Answer{})
+		c.answer(in.RequestID, Answer{})
 	default:
-		c.answer(in.Req, Answer{Sessions: []string{in.Name}})
+		c.answer(in.RequestID, Answer{Sessions: []string{in.Name}})
 	}
 }
 
--- a/internal/scheduler/submission.go
+++ b/internal/scheduler/submission.go
@@ -14,7 +14,7 @@
 // apply accepts or rejects a job or an array. Accepted jobs are not discarded later.
 func (in Submit) apply(c *Core) {
 	if err := c.validateSubmission(in); err != nil {
-		c.answer(in.Req, Answer{Err: err})
+		c.answer(in.RequestID, Answer{Err: err})
 		return
 	}
 	if in.Spec.Key != "" {
@@ -23,7 +23,7 @@
 		}
 	}
 	if err := c.admissionError(in); err != nil {
-		c.answer(in.Req, Answer{Err: err})
+		c.answer(in.RequestID, Answer{Err: err})
 		return
 	}
 	if len(in.Indexes) > 0 {
@@ -32,7 +32,7 @@
 	}
 	job := c.newJob(&in.Spec)
 	job.receivedAt = in.ReceivedAt
-	c.answerJob(in.Req, job)
+	c.answerJob(in.RequestID, job)
 	c.admit(job)
 }
 
@@ -78,18 +78,18 @@
 // placed and, if it may have run, only after the settle time.
 func (c *Core) answerKnownKey(in Submit, job *job) bool {
 	if !job.endedUnplaced() {
-		answer := Answer{Jobs: []Info{job.info()}, Existing: true}
+		answer := Answer{Jobs: []JobInfo{job.info()}, Existing: true}
 		if job.array != nil {
-			answer.Array, answer.Jobs = job.array.id, job.array.infos()
+			answer.ArrayID, answer.Jobs = job.array.id, job.array.infos()
 		}
-		c.answer(in.Req, answer)
+		c.answer(in.RequestID, answer)
 		return true
 	}
 	wait := c.earliestResubmission(job) - c.now
 	if wait <= 0 {
 		return false
 	}
-	c.reject(in.Req, TryLater, wait, "an attempt for key %q may have run; it is waited for", in.Spec.Key)
+	c.reject(in.RequestID, TryLater, wait, "an attempt for key %q may have run; it is waited for", in.Spec.Key)
 	return true
 }
 
@@ -100,10 +100,10 @@
 }
 
 // newJob adds a job of this incarnation; admit starts its placement.
-func (c *Core) newJob(spec *Spec) *job {
-	job := &job{id: c.newID(), spec: spec, state: Queued, subState: SubWaiting, submittedAt: c.now}
+func (c *Core) newJob(spec *JobSpec) *job {
+	job := &job{id: c.newID(), spec: spec, state: Queued, subState: SubStateWaiting, submittedAt: c.now}
 	if spec.Hold {
-		job.state, job.subState = QueuedHeld, SubHeld
+		job.state, job.subState = QueuedHeld, SubStateHeld
 	}
 	c.addJob(job)
 	return job
@@ -129,11 +129,11 @@
 	switch {
 	case job.spec.NotBefore > c.now:
 		job.receivedAt = 0
-		c.delay(job, SubStartTime, job.spec.NotBefore, c.submitToModule)
+		c.delay(job, SubStateStartTime, job.spec.NotBefore, c.submitToModule)
 	case job.request > 0 && c.earliestResubmission(job) > c.now:
-		c.delay(job, SubBackoff, c.earliestResubmission(job), c.placeWhenReady)
+		c.delay(job, SubStateBackoff, c.earliestResubmission(job), c.placeWhenReady)
 	case c.mustAwaitRecovery(job):
-		job.subState = SubRecovering
+		job.subState = SubStateRecovering
 		c.openPlacementRequest(job)
 		c.recovery.waiting = append(c.recovery.waiting, job)
 		c.changed(job)
--- a/internal/scheduler/submission_test.go
+++ b/internal/scheduler/submission_test.go
@@ -11,7 +11,7 @@
 	const req = 7
 	now := 10 * time.Second
 	core := newConnectedCore(t, now)
-	spec := Spec{Tenant: -1, Cores: 1, Memory: 1, PlacementTimeout: 4 * time.Second}
+	spec := JobSpec{Tenant: -1, Cores: 1, Memory: 1, PlacementTimeout: 4 * time.Second}
 	for _, test := range []struct {
 		name       string
 		receivedAt Time
@@ -23,7 +23,7 @@
 		{"received too long ago", now - 3*time.Second, false, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			out := core.Step(now, []Input{Submit{Req: req, ReceivedAt: test.receivedAt, Spec: spec}})
+			out := core.Step(now, []Input{Submit{RequestID: req, ReceivedAt: test.receivedAt, Spec: spec}})
 			answer := answerTo(t, out, req)
 			if accepted := answer.Err == nil; accepted != test.accepted {
 				t.Fatalf("accepted %v, want %v: %v", accepted, test.accepted, answer.Err)
--- a/internal/scheduler/timer_test.go
+++ b/internal/scheduler/timer_test.go
@@ -13,8 +13,8 @@
 	before, ended := core.timers.Len(), 0
 	for i := range jobs {
 		now += 20 * time.Millisecond
-		spec := Spec{Tenant: -1, Cores: 0.01, Memory: 0.01, PlacementTimeout: time.Hour, Deadline: now + time.Hour}
-		out := core.Step(now, []Input{Submit{Req: uint64(i) + 1, Spec: spec}})
+		spec := JobSpec{Tenant: -1, Cores: 0.01, Memory: 0.01, PlacementTimeout: time.Hour, Deadline: now + time.Hour}
+		out := core.Step(now, []Input{Submit{RequestID: uint64(i) + 1, Spec: spec}})
 		for _, offer := range offersOf(out) {
 			if core.timers.Len() < before+3 {
 				t.Fatalf("%d timers during an offer, want at least %d for the test to be meaningful", core.timers.Len(), before+3)
--- a/internal/scheduler/watch.go
+++ b/internal/scheduler/watch.go
@@ -42,18 +42,18 @@
 	}
 }
 
-// apply starts a stream and publishes the jobs of its topic that have changed since in.Since, oldest change first.
+// apply starts a stream and publishes the jobs of its topic that have changed since in.SinceRevision, oldest change first.
 func (in Watch) apply(c *Core) {
 	topic, found, err := c.watchedJobs(in)
 	if err != nil {
-		c.answer(in.Req, Answer{Err: err})
+		c.answer(in.RequestID, Answer{Err: err})
 		return
 	}
 	c.watches.add(in.Stream, topic)
-	c.answer(in.Req, Answer{})
+	c.answer(in.RequestID, Answer{})
 	slices.SortFunc(found, func(a, b *job) int { return cmp.Compare(a.revision, b.revision) })
 	for _, job := range found {
-		if job.revision > in.Since {
+		if job.revision > in.SinceRevision {
 			c.emit(Publish{in.Stream, job.info()})
 		}
 	}
--- a/internal/shard/cores_test.go
+++ b/internal/shard/cores_test.go
@@ -79,7 +79,7 @@
 	for i := range loadNodes {
 		name := fmt.Sprintf("n%d", i)
 		list.Machines = append(list.Machines, flaxshelf.Machine{ID: name, Zone: fmt.Sprint("z", i%3), Cell: i / 8})
-		connected = append(connected, scheduler.NodeUp{Node: name})
+		connected = append(connected, scheduler.NodeConnected{Node: name})
 	}
 	loaded := &loadedCore{core: core, now: time.Second}
 	loaded.core.Step(loaded.now, append([]scheduler.Input{list}, connected...))
@@ -109,7 +109,7 @@
 		l.submitted++
 		service := fmt.Sprint("v", l.submitted%200)
 		l.inputs = append(l.inputs,
-			scheduler.Submit{Spec: scheduler.Spec{Tenant: -1, Service: service, Cores: 0.25, Memory: 0.5}})
+			scheduler.Submit{Spec: scheduler.JobSpec{Tenant: -1, Service: service, Cores: 0.25, Memory: 0.5}})
 	}
 }
 
--- a/internal/shard/merge.go
+++ b/internal/shard/merge.go
@@ -21,7 +21,7 @@
 	case scheduler.Watch:
 		return m.Job(in.Job), in.Job == ""
 	case scheduler.SessionCommand:
-		return 0, in.Verb == scheduler.Create || in.Verb == scheduler.Destroy
+		return 0, in.Verb == scheduler.CreateSession || in.Verb == scheduler.DestroySession
 	case scheduler.Machines:
 		return 0, true
 	}
@@ -53,12 +53,12 @@
 }
 
 // mergeJobs returns the jobs of all cores ordered by ID, at most limit of them. Zero means no limit.
-func mergeJobs(answers []scheduler.Answer, limit int) []scheduler.Info {
-	var jobs []scheduler.Info
+func mergeJobs(answers []scheduler.Answer, limit int) []scheduler.JobInfo {
+	var jobs []scheduler.JobInfo
 	for _, answer := range answers {
 		jobs = append(jobs, answer.Jobs...)
 	}
-	slices.SortFunc(jobs, func(a, b scheduler.Info) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(jobs, func(a, b scheduler.JobInfo) int { return cmp.Compare(a.ID, b.ID) })
 	if limit > 0 {
 		jobs = jobs[:min(limit, len(jobs))]
 	}
--- a/internal/shard/shard_test.go
+++ b/internal/shard/shard_test.go
@@ -36,7 +36,7 @@
 		domains := []flaxshelf.TopologyDomain{flaxshelf.NoDomain, flaxshelf.ZoneDomain}
 		spread := rapid.SampledFrom(domains).Draw(t, "spread")
 		cores, laterCores := rapid.IntRange(1, 8).Draw(t, "cores"), rapid.IntRange(1, 8).Draw(t, "later cores")
-		spec := scheduler.Spec{
+		spec := scheduler.JobSpec{
 			Key:     rapid.StringMatching("[a-z]{1,3}").Draw(t, "key"),
 			Service: rapid.StringMatching("[a-z]{0,2}").Draw(t, "service"),
 		}
@@ -52,7 +52,7 @@
 }
 
 // checkSameIncarnation submits the same work several times and returns its core.
-func checkSameIncarnation(t *rapid.T, m *Map, spec scheduler.Spec) int {
+func checkSameIncarnation(t *rapid.T, m *Map, spec scheduler.JobSpec) int {
 	t.Helper()
 	core := m.Submit(&spec, 5, noBacklog)
 	if got := m.Submit(&spec, 6, noBacklog); got != core {
@@ -66,19 +66,19 @@
 }
 
 // checkLaterIncarnation checks that the report of a node and a retry of the owner are passed to the same core.
-func checkLaterIncarnation(t *rapid.T, m *Map, spec scheduler.Spec, id string, ownerFirst bool) {
+func checkLaterIncarnation(t *rapid.T, m *Map, spec scheduler.JobSpec, id string, ownerFirst bool) {
 	t.Helper()
 	submittedTo := -1
 	if ownerFirst {
 		submittedTo = m.Submit(&spec, 0, noBacklog)
 	}
-	reported := scheduler.RunningAttempt{Attempt: id + "/1/0", Job: id, Spec: spec}
+	reported := scheduler.ReportedAttempt{Attempt: id + "/1/0", Job: id, Spec: spec}
 	adoptedBy := -1
-	for core, part := range m.Split(scheduler.NodeUp{Node: "n", Running: []scheduler.RunningAttempt{reported}}) {
+	for core, part := range m.Split(scheduler.NodeConnected{Node: "n", Accepted: []scheduler.ReportedAttempt{reported}}) {
 		if part.Node != "n" {
 			t.Fatalf("node of the report to core %d: got %q, want n", core, part.Node)
 		}
-		if len(part.Running) > 0 {
+		if len(part.Accepted) > 0 {
 			adoptedBy = core
 		}
 	}
@@ -98,7 +98,7 @@
 	for service := range 20 {
 		used := map[int]bool{}
 		for key := range 30 {
-			spec := scheduler.Spec{Service: fmt.Sprint(service), Key: fmt.Sprint(service, "-", key)}
+			spec := scheduler.JobSpec{Service: fmt.Sprint(service), Key: fmt.Sprint(service, "-", key)}
 			used[limited.Submit(&spec, uint64(key), noBacklog)] = true
 		}
 		if len(used) != 1 {
@@ -107,7 +107,7 @@
 	}
 	unlimited, used := New("s", testConfig(0, flaxshelf.NoDomain), cores), map[int]bool{}
 	for key := range 50 {
-		used[unlimited.Submit(&scheduler.Spec{Service: "one", Key: fmt.Sprint(key)}, 0, noBacklog)] = true
+		used[unlimited.Submit(&scheduler.JobSpec{Service: "one", Key: fmt.Sprint(key)}, 0, noBacklog)] = true
 	}
 	if len(used) != cores {
 		t.Errorf("cores of a service without a spread limit: got %d, want %d", len(used), cores)
@@ -119,14 +119,14 @@
 	m := New("s", testConfig(0, flaxshelf.NoDomain), 4)
 	count := [4]int{}
 	for turn := range 400 {
-		count[m.Submit(&scheduler.Spec{}, uint64(turn), noBacklog)]++
+		count[m.Submit(&scheduler.JobSpec{}, uint64(turn), noBacklog)]++
 	}
 	if want := [4]int{100, 100, 100, 100}; count != want {
 		t.Errorf("submissions by core: got %v, want %v", count, want)
 	}
 	backlog := []int{3, 5000, 9, 7}
 	for turn := range 100 {
-		if core := m.Submit(&scheduler.Spec{}, uint64(turn), func(core int) int { return backlog[core] }); core == 1 {
+		if core := m.Submit(&scheduler.JobSpec{}, uint64(turn), func(core int) int { return backlog[core] }); core == 1 {
 			t.Fatalf("submission %d: got the overloaded core 1, want another", turn)
 		}
 	}
@@ -195,8 +195,8 @@
 	query := scheduler.Query{Limit: 3}
 	t.Run("jobs are ordered and limited", func(t *testing.T) {
 		got := Merge(query, []scheduler.Answer{
-			{Jobs: []scheduler.Info{{ID: "b"}, {ID: "d"}}},
-			{Jobs: []scheduler.Info{{ID: "a"}, {ID: "c"}}},
+			{Jobs: []scheduler.JobInfo{{ID: "b"}, {ID: "d"}}},
+			{Jobs: []scheduler.JobInfo{{ID: "a"}, {ID: "c"}}},
 		})
 		if len(got.Jobs) != 3 || got.Jobs[0].ID != "a" || got.Jobs[1].ID != "b" || got.Jobs[2].ID != "c" {
 			t.Errorf("got jobs %v, want a, b, c", got.Jobs)
--- a/internal/shard/shardmap.go
+++ b/internal/shard/shardmap.go
@@ -45,7 +45,7 @@
 // Submit returns the core for a submission. A key always has the same core, in other incarnations of the scheduler too,
 // since an owner that retries uses the same service. Work without a key or a service is distributed round-robin by turn, and
 // skips overloaded cores: backlog returns the number of inputs that wait for a core.
-func (m *Map) Submit(spec *scheduler.Spec, turn uint64, backlog func(core int) int) int {
+func (m *Map) Submit(spec *scheduler.JobSpec, turn uint64, backlog func(core int) int) int {
 	if m.cores == 1 {
 		return 0
 	}
@@ -56,7 +56,7 @@
 }
 
 // coreOfWork returns the core of a service or a key. It returns false for work without either.
-func (m *Map) coreOfWork(spec *scheduler.Spec) (core int, ok bool) {
+func (m *Map) coreOfWork(spec *scheduler.JobSpec) (core int, ok bool) {
 	if m.byService && spec.Service != "" {
 		return m.coreOfKey(spec.Key, m.hash(spec.Service)), true
 	}
@@ -127,17 +127,17 @@
 // which may have had another number of cores, is assigned to the core to which the same work would be submitted, so that an
 // owner that retries finds it and the spread limit of its service counts it. Without a key or a service it is assigned by
 // its ID.
-func (m *Map) Split(up scheduler.NodeUp) []scheduler.NodeUp {
+func (m *Map) Split(up scheduler.NodeConnected) []scheduler.NodeConnected {
 	if m.cores == 1 {
-		return []scheduler.NodeUp{up}
+		return []scheduler.NodeConnected{up}
 	}
-	parts := make([]scheduler.NodeUp, m.cores)
+	parts := make([]scheduler.NodeConnected, m.cores)
 	for core := range parts {
-		parts[core] = scheduler.NodeUp{Node: up.Node, Started: up.Started, MayBeCold: up.MayBeCold}
+		parts[core] = scheduler.NodeConnected{Node: up.Node, StartedAt: up.StartedAt, MayBeWarmingUp: up.MayBeWarmingUp}
 	}
-	for _, reported := range up.Running {
+	for _, reported := range up.Accepted {
 		core := m.coreOfRunning(&reported)
-		parts[core].Running = append(parts[core].Running, reported)
+		parts[core].Accepted = append(parts[core].Accepted, reported)
 	}
 	for _, ended := range up.Ended {
 		core := m.Attempt(ended.Attempt)
@@ -147,7 +147,7 @@
 }
 
 // coreOfRunning returns the core that has or adopts the job of an attempt, and stores it if the ID determines another one.
-func (m *Map) coreOfRunning(reported *scheduler.RunningAttempt) int {
+func (m *Map) coreOfRunning(reported *scheduler.ReportedAttempt) int {
 	if core := m.coreOfPrefix(reported.Job); core >= 0 {
 		return core
 	}
--- a/internal/testbed/ablation/ablation.go
+++ b/internal/testbed/ablation/ablation.go
@@ -37,7 +37,7 @@
 	{Constraint: flaxshelf.SlowStartConstraint, Day: "mass-restart", Rule: rules.SlowStartRespected},
 	{
 		Constraint: flaxshelf.AnswerDeadlineConstraint,
-		Guards:     scheduler.Guards{Answer: true},
+		Guards:     scheduler.Guards{PlacementDeadline: true},
 		Day:        "hot-service",
 		Rule:       rules.OneOutcome,
 	},
--- a/internal/testbed/emulator/clients.go
+++ b/internal/testbed/emulator/clients.go
@@ -114,9 +114,9 @@
 }
 
 // spec returns the job that a client submits, with the defaults of its class.
-func (c *clients) spec(arrival *scenario.Arrival) scheduler.Spec {
+func (c *clients) spec(arrival *scenario.Arrival) scheduler.JobSpec {
 	set, load := c.simulation.schedulers[arrival.Scheduler].settings, arrival.Load
-	spec := scheduler.Spec{Key: arrival.Key, Session: "", Name: load.Class, Service: arrival.Service,
+	spec := scheduler.JobSpec{Key: arrival.Key, Session: "", Name: load.Class, Service: arrival.Service,
 		Class: set.ClassIndex(load.Class), Tenant: set.TenantIndex(load.Tenant), Cores: arrival.Cores,
 		Memory: arrival.Memory, ExpectedRuntime: arrival.Runtime, Rerunnable: load.Rerunnable}
 	class := &set.Classes[spec.Class]
--- a/internal/testbed/emulator/effects.go
+++ b/internal/testbed/emulator/effects.go
@@ -31,8 +31,8 @@
 	case scheduler.Drained:
 		s.drained = true
 	case scheduler.LogOutcome:
-		s.recorder.outcome(s, &e.Info, now)
-		s.send(now, s.simulation.clients.id, outcomeNotice{info: e.Info, at: now}, out)
+		s.recorder.outcome(s, &e.Job, now)
+		s.send(now, s.simulation.clients.id, outcomeNotice{info: e.Job, at: now}, out)
 	}
 }
 
@@ -54,11 +54,11 @@
 }
 
 func (s *schedulerEntity) sendAnswer(e *scheduler.Answer, now Time, out *outbox) {
-	request, ok := s.requests[e.Req]
+	request, ok := s.requests[e.RequestID]
 	if !ok {
 		return
 	}
-	delete(s.requests, e.Req)
+	delete(s.requests, e.RequestID)
 	a := answer{key: request.key, scheduler: s.settings.Index}
 	if e.Err != nil {
 		a.errorCode = string(e.Err.Code)
--- a/internal/testbed/emulator/link.go
+++ b/internal/testbed/emulator/link.go
@@ -96,5 +96,5 @@
 	l.failures++
 	l.retryAt = now + backoff/2 + time.Duration(s.random.Int64N(int64(backoff/2)))
 	s.nextDialAt = min(s.nextDialAt, l.retryAt)
-	return scheduler.NodeDown{Node: l.name}
+	return scheduler.NodeDisconnected{Node: l.name}
 }
--- a/internal/testbed/emulator/message.go
+++ b/internal/testbed/emulator/message.go
@@ -31,7 +31,7 @@
 
 // The messages from clients to schedulers.
 type (
-	submission struct{ spec scheduler.Spec }
+	submission struct{ spec scheduler.JobSpec }
 	command    struct {
 		verb scheduler.Verb
 		job  string
@@ -47,7 +47,7 @@
 	}
 	// outcomeNotice reports an event of a job.
 	outcomeNotice struct {
-		info scheduler.Info
+		info scheduler.JobInfo
 		at   Time
 	}
 	// schedulerKilled reports that the connections to a scheduler have broken.
--- a/internal/testbed/emulator/recorder.go
+++ b/internal/testbed/emulator/recorder.go
@@ -168,7 +168,7 @@
 }
 
 // outcome records an event of a job.
-func (r *recorder) outcome(s *schedulerEntity, info *scheduler.Info, at Time) {
+func (r *recorder) outcome(s *schedulerEntity, info *scheduler.JobInfo, at Time) {
 	if r != nil {
 		c := r.connections[s.settings.Name]
 		r.bytes(c.events, true, c.front.Event(info, strconv.FormatUint(info.Revision, 10)), at)
--- a/internal/testbed/emulator/report.go
+++ b/internal/testbed/emulator/report.go
@@ -123,7 +123,7 @@
 
 func (s *clientStats) countSubmitted(class string) { s.classes[class].Submitted++ }
 
-func (s *clientStats) countOutcome(class string, outcome scheduler.Outcome) {
+func (s *clientStats) countOutcome(class string, outcome scheduler.PlacementOutcome) {
 	s.classes[class].Outcomes[string(outcome)]++
 }
 
--- a/internal/testbed/emulator/scheduler.go
+++ b/internal/testbed/emulator/scheduler.go
@@ -181,7 +181,7 @@
 	case submission:
 		s.lastRequest++
 		s.requests[s.lastRequest] = clientRequest{client: m.from, key: body.spec.Key}
-		return scheduler.Submit{Req: s.lastRequest, ReceivedAt: m.at, Spec: body.spec}
+		return scheduler.Submit{RequestID: s.lastRequest, ReceivedAt: m.at, Spec: body.spec}
 	case terminateScheduler:
 		return scheduler.Drain{}
 	case command:
@@ -212,7 +212,7 @@
 	s.recorder.frame(l.connection, true, f, now)
 	input, err := l.front.Input(f.Frame)
 	s.simulation.fail(err)
-	if _, ok := input.(scheduler.NodeUp); ok {
+	if _, ok := input.(scheduler.NodeConnected); ok {
 		l.up, l.dialing, l.failures = true, false, 0
 	}
 	return input
--- a/internal/testbed/emulator/submission.go
+++ b/internal/testbed/emulator/submission.go
@@ -12,9 +12,9 @@
 // submissionState is a submission and the state that its client has of it.
 type submissionState struct {
 	arrival     scenario.Arrival
-	spec        scheduler.Spec
+	spec        scheduler.JobSpec
 	job         string
-	outcome     scheduler.Outcome
+	outcome     scheduler.PlacementOutcome
 	end         string // how it ended without an outcome; empty: it is open or has one
 	lastOutcome string // of the last request that its client retried
 	orphaned    bool   // its scheduler was killed
--- a/internal/testbed/trial/hook_test.go
+++ b/internal/testbed/trial/hook_test.go
@@ -46,11 +46,11 @@
 	for _, effect := range effects {
 		out = append(out, effect)
 		publish, ok := effect.(scheduler.Publish)
-		if !ok || publish.Info.State != scheduler.Running || publish.Info.SubState != scheduler.SubRunning {
+		if !ok || publish.Job.State != scheduler.Running || publish.Job.SubState != scheduler.SubStateRunning {
 			continue
 		}
 		if h.placed++; h.placed%outcomeInterval == 0 {
-			publish.Info.Outcome = scheduler.OutcomeFailed
+			publish.Job.Outcome = scheduler.OutcomeFailed
 			out = append(out, publish)
 		}
 	}
