--- a/internal/scheduler/adoption.go
+++ b/internal/scheduler/adoption.go
@@ -7,11 +7,12 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-// apply reconciles the attempts that the node reports with those that the core knows; see docs/scheduler.md, "Adoption".
+// apply reconciles the attempts that the node reports with those that the core knows. Attempts that a former incarnation
+// started are adopted; see docs/scheduler.md, "Adoption".
 func (in NodeConnected) apply(c *Core) {
 	node := c.ensureNode(in.Node)
-	restarted := node.reconciled && node.startedAt != in.StartedAt
-	node.connected, node.reconciled, node.startedAt = true, true, in.StartedAt
+	restarted := node.hasReported && node.startedAt != in.StartedAt
+	node.connected, node.hasReported, node.startedAt = true, true, in.StartedAt
 	coldStart := in.MayBeWarmingUp && in.StartedAt > node.machine.Started
 	if coldStart {
 		c.reportColdStart(node, in.StartedAt)
@@ -27,20 +28,20 @@
 	}
 	for _, attempt := range node.sortedAttempts() {
 		switch {
-		case attempt.phase == phaseConnecting && coldStart: // chosen for the capacity of the former process
+		case attempt.phase == phaseConnecting && coldStart: // the module chose it for the capacity before the restart
 			c.endAttempt(attempt, attemptEnd{outcome: flaxshelf.NotSent})
 		case attempt.phase == phaseConnecting:
 			c.sendOffer(attempt)
 		case !present[attempt.id] || restarted:
-			c.loseAttempt(attempt)
+			c.endAsLost(attempt)
 		default:
 			c.resumeAttempt(attempt)
 		}
 	}
 }
 
-// reportColdStart reports a restart of a node to the module before the endpoint list shows it. The list may be delayed or
-// discovery may fail, and a node that is warming up would be offered the load of its former process.
+// reportColdStart notifies the module of a node's restart before the endpoint list shows it. If the list is delayed or
+// discovery fails, the module would otherwise offer a node that is warming up as many jobs as before its restart.
 func (c *Core) reportColdStart(node *node, startedAt Time) {
 	node.coldStartedAt, node.machine.Started = startedAt, startedAt
 	if !node.removed() {
@@ -48,7 +49,8 @@
 	}
 }
 
-// resumeAttempt updates an accepted attempt whose node is connected again.
+// resumeAttempt updates the job of an attempt whose node is connected again. If the job no longer needs the attempt, the
+// stop is sent again.
 func (c *Core) resumeAttempt(attempt *attempt) {
 	job := attempt.job
 	switch {
@@ -56,19 +58,19 @@
 		c.stopAttempt(attempt) // the earlier stop may have been lost
 	case job.subState == SubStateUnreachable:
 		job.subState = attempt.phase.subState()
-		c.changed(job)
+		c.publishChange(job)
 	}
 }
 
-// adoptAttempt reconciles one attempt that the node reports. The core may know the attempt, its job, or a later submission
-// of the same key; it knows none of them if a former incarnation started the attempt.
+// adoptAttempt reconciles one attempt that the node reports. The core may know the attempt, its job or a later submission
+// of the same key. If it knows none of them, a former incarnation started the attempt, or its job was removed.
 func (c *Core) adoptAttempt(node *node, reported ReportedAttempt) {
 	if known := c.attempts[reported.Attempt]; known != nil && known.node == node {
-		c.catchUp(known, reported.Started)
+		c.advanceToReportedPhase(known, reported.Started)
 		return
 	}
 	job := c.findRunningJob(reported)
-	if job != nil && job.attempt != nil && job.attempt.phase == phaseConnecting { // not sent, and replaced by the reported one
+	if job != nil && job.attempt != nil && job.attempt.phase == phaseConnecting { // not sent; the reported one replaces it
 		c.endAttempt(job.attempt, attemptEnd{outcome: flaxshelf.NotSent})
 	}
 	switch {
@@ -81,8 +83,9 @@
 	}
 }
 
-// catchUp advances a known attempt to the phase that its node reports, since earlier messages may have been lost.
-func (c *Core) catchUp(known *attempt, started bool) {
+// advanceToReportedPhase advances a known attempt to the phase that its node reports, since earlier messages may have been
+// lost.
+func (c *Core) advanceToReportedPhase(known *attempt, started bool) {
 	if known.phase == phaseOffered {
 		c.acceptAttempt(known, flaxshelf.LoadReport{})
 	}
@@ -91,8 +94,8 @@
 	}
 }
 
-// findRunningJob returns the job of an attempt by its ID or else by its key, or nil if there is none. A job found by its key
-// gets the reported ID as an alias.
+// findRunningJob returns the job of a reported attempt, or nil if the core does not know it. If the job's ID is unknown, an
+// unfinished job with the same key is the same work submitted again; it gets the reported ID as an alias.
 func (c *Core) findRunningJob(reported ReportedAttempt) *job {
 	if known := c.jobs[reported.Job]; known != nil || reported.Spec.Key == "" {
 		return known
@@ -106,13 +109,13 @@
 	return resubmitted
 }
 
-// mayAdopt reports whether the attempt may become the job's current one. job is nil if the core does not know it.
+// mayAdopt reports whether the attempt may become the job's current one. A job of nil means that the core does not know it.
 func (c *Core) mayAdopt(job *job, reported ReportedAttempt) bool {
 	if !c.knownClass(reported.Spec.Class) {
 		return false
 	}
 	if job == nil {
-		return !strings.HasPrefix(reported.Job, c.idPrefix) // a job of this incarnation has ended and was removed
+		return !strings.HasPrefix(reported.Job, c.idPrefix) // else a job of this incarnation that was removed
 	}
 	return !job.state.Ended() && job.attempt == nil && !job.stopping && !job.onHold()
 }
@@ -121,12 +124,12 @@
 func (c *Core) newAdoptedJob(reported ReportedAttempt) *job {
 	spec := reported.Spec
 	job := &job{
-		id:          reported.Job,
-		spec:        &spec,
-		submittedAt: reported.SubmittedAt,
-		request:     max(reported.PlacementRequest, 1),
-		state:       Queued,
-		subState:    SubStateAccepted,
+		id:            reported.Job,
+		spec:          &spec,
+		submittedAt:   reported.SubmittedAt,
+		requestNumber: max(reported.PlacementRequest, 1),
+		state:         Queued,
+		subState:      SubStateAccepted,
 	}
 	c.addJob(job)
 	if spec.Session != "" {
@@ -135,17 +138,17 @@
 	return job
 }
 
-// attachAttempt makes the reported attempt the job's current one and closes its placement request as placed.
+// attachAttempt makes the reported attempt the job's current one and closes the job's placement request as placed.
 func (c *Core) attachAttempt(job *job, node *node, reported ReportedAttempt) {
 	if job.requestOpen {
 		c.notifyModule(flaxshelf.TaskCanceled{Task: job.taskID()})
 		delete(c.jobsByTask, job.taskID())
 	} else {
-		c.openRequests++ // closePlacementRequest below decrements it
+		c.openRequests++ // closePlacementRequest, called below, decrements it
 		job.requestOpen = true
 	}
 	c.lastSerial++
-	job.taskName = fmt.Sprintf("%s#%d.%d", job.id, job.request, c.lastSerial) // a new task for the module
+	job.assignedTaskID = fmt.Sprintf("%s#%d.%d", job.id, job.requestNumber, c.lastSerial) // a new task for the module
 	c.jobsByTask[job.taskID()] = job
 	attempt := &attempt{
 		id:        reported.Attempt,
--- a/internal/scheduler/array.go
+++ b/internal/scheduler/array.go
@@ -2,14 +2,14 @@
 
 import "fmt"
 
-// array is a DRMAA job array. It may limit how many of its jobs are active concurrently.
+// array is a DRMAA job array: jobs that were submitted together. It may limit how many of them are active concurrently.
 type array struct {
 	id, key      string
 	jobs         []*job
 	remaining    int // jobs that have not been removed
-	maxParallel  int // active jobs; zero means no limit
+	maxParallel  int // limit of active; zero means no limit
 	active       int // admitted jobs that have not ended
-	firstWaiting int // index in jobs: those before it were admitted or have ended
+	firstWaiting int // index in jobs; all jobs before it were admitted or have ended
 }
 
 func (a *array) full() bool { return a.maxParallel > 0 && a.active >= a.maxParallel }
@@ -44,8 +44,8 @@
 	c.admitFromArray(array)
 }
 
-// admitFromArray admits jobs in the order of their indexes up to the array's limit. Jobs on hold are skipped; their
-// release calls admitFromArray again.
+// admitFromArray admits jobs in the order of their indexes until the array's limit is reached. Jobs on hold are skipped;
+// releaseJob calls admitFromArray again.
 func (c *Core) admitFromArray(array *array) {
 	allBeforeAdmitted := true
 	for i := array.firstWaiting; i < len(array.jobs) && !array.full(); i++ {
@@ -61,7 +61,7 @@
 	}
 }
 
-// arrayJobEnded admits the next job of an array after one has ended.
+// arrayJobEnded admits the next job of the array if the ended one was admitted.
 func (c *Core) arrayJobEnded(ended *job) {
 	if ended.admitted {
 		ended.array.active--
@@ -69,7 +69,7 @@
 	}
 }
 
-// arrayJobRemoved counts a removed job, and removes the array with its last job.
+// arrayJobRemoved counts a removed job and, after the last one, removes the array.
 func (c *Core) arrayJobRemoved(array *array) {
 	array.remaining--
 	if array.remaining > 0 {
--- a/internal/scheduler/attempt.go
+++ b/internal/scheduler/attempt.go
@@ -8,12 +8,12 @@
 	"flaxshelf.example/flaxshelf/internal/timerqueue"
 )
 
-// attemptPhase is the phase of an attempt. Phases follow each other in this order; some may be skipped.
+// attemptPhase is a phase of an attempt. An attempt goes through the phases in this order and may skip some.
 type attemptPhase int
 
 const (
-	phaseConnecting attemptPhase = iota // awaits the connection to its node; nothing has been sent
-	phaseOffered                        // sent; awaits the node's reply
+	phaseConnecting attemptPhase = iota // waits for the connection to its node; nothing has been sent
+	phaseOffered                        // the offer was sent; waits for the node's reply
 	phaseAccepted
 	phaseRunning
 	phaseEnded
@@ -28,38 +28,39 @@
 	return [...]string{SubStateOffered, SubStateOffered, SubStateAccepted, SubStateRunning, SubStateWaiting}[p]
 }
 
-// attempt is one offer of a job to a node and, if accepted, its run.
+// attempt is one offer of a job to a node and, if the node accepts it, the run of the job there.
 type attempt struct {
 	id        string // unique over all incarnations of this scheduler
 	taskID    string // the module's ID of the placement request
 	number    int    // the module's number of the attempt
 	job       *job
 	node      *node
-	serial    uint64 // orders the attempts of all jobs
+	serial    uint64 // increases in the order in which the core creates attempts
 	offeredAt Time
 	timeout   time.Duration // for the node's reply, from offeredAt
 	phase     attemptPhase
-	stopSent  bool              // over the current connection
+	stopSent  bool              // a stop was sent over the current connection
 	timer     *timerqueue.Timer // ends the current phase
 }
 
-// attemptEnd is how an attempt ended, as reported to the module.
+// attemptEnd describes to the module how an attempt ended.
 type attemptEnd struct {
 	outcome flaxshelf.Outcome
 	reason  flaxshelf.Reason
 	load    flaxshelf.LoadReport
 }
 
-// provesNotRun reports whether an attempt with this end has certainly not run.
+// provesNotRun reports whether an attempt that ended in this way certainly has not run.
 func (e attemptEnd) provesNotRun() bool {
 	return e.outcome == flaxshelf.Rejected || e.outcome == flaxshelf.Unreachable || e.outcome == flaxshelf.NotSent
 }
 
-// startOffer offers a task to the node that the module has chosen. An offer that is no longer possible ends as NotSent.
+// startOffer offers a task to the node that the module has chosen. If that is no longer possible, the attempt ends as
+// NotSent.
 func (c *Core) startOffer(offer flaxshelf.Offer) {
 	job, node := c.jobsByTask[offer.Task], c.nodes[offer.Machine]
 	if job == nil || node == nil || job.taskID() != offer.Task {
-		return // the module only offers the tasks that it was given
+		return // not reached if the module offers only tasks and machines that it was given
 	}
 	attempt := c.newAttempt(job, node, offer)
 	draining := node.machine.State != flaxshelf.Active && !c.cfg.DisabledGuards.Drain
@@ -77,15 +78,16 @@
 	}
 }
 
-// newAttempt adds the job's next attempt. Its timeout ends at the deadline of the placement request or earlier.
+// newAttempt adds the job's next attempt. Its timeout is reduced so that it does not exceed the deadline of the placement
+// request.
 func (c *Core) newAttempt(job *job, node *node, offer flaxshelf.Offer) *attempt {
 	timeout := offer.Timeout
-	if left := job.placementDeadline - c.now; timeout <= 0 || timeout > left {
-		timeout = left
+	if remaining := job.placementDeadline - c.now; timeout <= 0 || timeout > remaining {
+		timeout = remaining
 	}
 	c.lastSerial++
 	attempt := &attempt{
-		id:        job.id + "/" + strconv.Itoa(job.request) + "/" + strconv.Itoa(job.attemptCount),
+		id:        job.id + "/" + strconv.Itoa(job.requestNumber) + "/" + strconv.Itoa(job.attemptCount),
 		taskID:    offer.Task,
 		number:    job.attemptCount,
 		job:       job,
@@ -100,23 +102,23 @@
 	return attempt
 }
 
-// addAttempt stores an attempt as the current one of its job.
+// addAttempt stores an attempt and makes it the current one of its job.
 func (c *Core) addAttempt(attempt *attempt) {
 	c.attempts[attempt.id] = attempt
 	attempt.node.attempts[attempt.id] = attempt
 	attempt.job.attempt = attempt
 }
 
-// sendOffer sends the offer of an attempt whose node is connected, or retries later while a sync is in progress.
+// sendOffer sends the offer of an attempt whose node is connected. While the sync barrier is active, it retries later.
 func (c *Core) sendOffer(attempt *attempt) {
-	left := attempt.offeredAt + attempt.timeout - c.now
+	remaining := attempt.offeredAt + attempt.timeout - c.now
 	c.timers.Cancel(attempt.timer)
-	if left <= 0 {
+	if remaining <= 0 {
 		c.endAttempt(attempt, attemptEnd{outcome: flaxshelf.NotSent})
 		return
 	}
-	if c.barrier.active() { // unread messages may include a drain of this node
-		attempt.timer = c.timers.Schedule(c.soon(), func() {
+	if c.barrier.active() { // messages that were not read yet may announce a drain of this node
+		attempt.timer = c.timers.Schedule(c.nextPollTime(), func() {
 			if attempt.phase == phaseConnecting && attempt.node.connected {
 				c.sendOffer(attempt)
 			}
@@ -128,13 +130,13 @@
 		Node:             attempt.node.machine.ID,
 		Attempt:          attempt.id,
 		Job:              attempt.job.id,
-		PlacementRequest: attempt.job.request,
+		PlacementRequest: attempt.job.requestNumber,
 		Spec:             attempt.job.spec,
 		SubmittedAt:      attempt.job.submittedAt,
-		ValidFor:         left,
+		ValidFor:         remaining,
 	})
-	c.changed(attempt.job)
-	attempt.timer = c.timers.Schedule(c.now+left, func() {
+	c.publishChange(attempt.job)
+	attempt.timer = c.timers.Schedule(c.now+remaining, func() {
 		if attempt.phase == phaseOffered {
 			c.stopAttempt(attempt)
 			c.endAttempt(attempt, attemptEnd{outcome: flaxshelf.TimedOut})
@@ -142,7 +144,7 @@
 	})
 }
 
-// stopAttempt sends a stop for an attempt, once per connection.
+// stopAttempt sends a stop for an attempt, at most once per connection.
 func (c *Core) stopAttempt(attempt *attempt) {
 	if !attempt.stopSent && attempt.node.connected {
 		attempt.stopSent = true
@@ -150,7 +152,7 @@
 	}
 }
 
-// currentAttempt returns the attempt of a task that has not ended, or nil if there is none.
+// currentAttempt returns the attempt of a task that is in progress, or nil if there is none.
 func (c *Core) currentAttempt(taskID string) *attempt {
 	job := c.jobsByTask[taskID]
 	if job == nil || job.attempt == nil || job.attempt.taskID != taskID {
@@ -159,7 +161,7 @@
 	return job.attempt
 }
 
-// cancelOffer cancels an offer without a reply.
+// cancelOffer cancels an offer to which the node has not replied.
 func (c *Core) cancelOffer(cancel flaxshelf.Cancel) {
 	attempt := c.currentAttempt(cancel.Task)
 	if attempt == nil || attempt.number != cancel.Attempt || attempt.phase > phaseOffered {
@@ -173,7 +175,7 @@
 	c.endAttempt(attempt, attemptEnd{outcome: outcome})
 }
 
-// migrate stops a placed attempt. The job is requeued when the node has confirmed the stop.
+// migrate stops an attempt that its node has accepted. The job is requeued when the node has confirmed the stop.
 func (c *Core) migrate(migrate flaxshelf.Migrate) {
 	attempt := c.currentAttempt(migrate.Task)
 	if attempt == nil || attempt.phase < phaseAccepted {
@@ -193,18 +195,18 @@
 	}
 	if job.attempt != attempt || job.state.Ended() || job.stopping || job.onHold() {
 		c.reportPlaced(attempt)
-		c.stopAttempt(attempt) // its job no longer needs it
+		c.stopAttempt(attempt) // the job no longer needs it
 		return
 	}
 	job.subState = SubStateAccepted
 	if c.cfg.Module.PlacedWhenRunning {
-		c.changed(job)
+		c.publishChange(job)
 	} else {
 		c.markPlaced(attempt)
 	}
 }
 
-// markPlaced closes the placement request of an attempt that counts as placed, see countsAsPlaced.
+// markPlaced closes the placement request of an attempt that counts as placed; see countsAsPlaced.
 func (c *Core) markPlaced(attempt *attempt) {
 	c.reportPlaced(attempt)
 	c.closePlacementRequest(attempt.job, OutcomePlaced, attempt.id)
@@ -219,7 +221,7 @@
 	})
 }
 
-// startAttempt records that the node has started an accepted attempt.
+// startAttempt records that the node has started an accepted attempt. It has no effect in other phases.
 func (c *Core) startAttempt(attempt *attempt) {
 	if attempt.phase != phaseAccepted {
 		return
@@ -238,7 +240,7 @@
 	if job.startedAt == 0 {
 		job.startedAt = c.now
 	}
-	c.changed(job)
+	c.publishChange(job)
 }
 
 func (c *Core) reportUsage(attempt *attempt, kind flaxshelf.UsageKind, amount float64) {
@@ -251,12 +253,13 @@
 	})
 }
 
-// loseAttempt ends an attempt whose node is unreachable, was removed or does not have it.
-func (c *Core) loseAttempt(attempt *attempt) {
+// endAsLost ends an attempt whose node is unreachable, was removed or does not report it.
+func (c *Core) endAsLost(attempt *attempt) {
 	c.endAttempt(attempt, attemptEnd{outcome: flaxshelf.Lost})
 }
 
-// endAttempt reports the end of an attempt to the module, once, and updates the job.
+// endAttempt ends an attempt: it reports the end to the module and updates the job. It has no effect if the attempt has
+// ended already.
 func (c *Core) endAttempt(attempt *attempt, end attemptEnd) {
 	if attempt.phase == phaseEnded {
 		return
@@ -276,21 +279,21 @@
 		Load:    end.load,
 	})
 	if !placed && !end.provesNotRun() {
-		job.outcomeUnknownAt = c.now
+		job.uncertainAttemptEndedAt = c.now
 		if current && end.outcome != flaxshelf.Canceled {
-			job.unknownRequest = job.request
+			job.uncertainRequest = job.requestNumber
 		}
 	}
 	switch {
 	case !current || job.state.Ended():
 	case lastPhase >= phaseAccepted:
-		c.continueAfterAttempt(job, end)
+		c.finishOrRequeue(job, end)
 	default:
-		c.continueUnplaced(job)
+		c.handleUnacceptedOffer(job)
 	}
 }
 
-// removeAttempt marks an attempt as ended.
+// removeAttempt marks an attempt as ended and removes all references to it.
 func (c *Core) removeAttempt(attempt *attempt) {
 	attempt.phase = phaseEnded
 	c.timers.Cancel(attempt.timer)
@@ -301,8 +304,8 @@
 	}
 }
 
-// countsAsPlaced reports whether an attempt in the phase has been reported to the module as placed: from its acceptance or,
-// with Config.PlacedWhenRunning, from its start.
+// countsAsPlaced reports whether an attempt in the phase has been reported to the module as placed. It counts as placed
+// when it is accepted or, if Config.Module.PlacedWhenRunning is set, when it is started.
 func (c *Core) countsAsPlaced(phase attemptPhase) bool {
 	if c.cfg.Module.PlacedWhenRunning {
 		return phase == phaseRunning
@@ -310,16 +313,16 @@
 	return phase >= phaseAccepted
 }
 
-// continueUnplaced updates a job whose offer has ended without being accepted.
-func (c *Core) continueUnplaced(job *job) {
+// handleUnacceptedOffer updates a job whose offer has ended without being accepted.
+func (c *Core) handleUnacceptedOffer(job *job) {
 	job.nodeID = ""
 	switch {
 	case job.stopping:
 		c.finishJob(job, Failed, SubStateTerminated, "terminated before its start")
 	case job.requestOpen:
 		job.subState = SubStateWaiting
-		c.changed(job)
+		c.publishChange(job)
 	case job.onHold():
-		c.changed(job)
+		c.publishChange(job)
 	}
 }
--- a/internal/scheduler/attempt_inputs.go
+++ b/internal/scheduler/attempt_inputs.go
@@ -2,7 +2,7 @@
 
 import "flaxshelf.example/flaxshelf"
 
-// findAttempt returns the attempt that a node's message refers to, or nil if it has ended for the core.
+// findAttempt returns the attempt that a node's message refers to, or nil if the core no longer has it.
 func (c *Core) findAttempt(nodeID, attemptID string) *attempt {
 	attempt := c.attempts[attemptID]
 	if attempt == nil || attempt.node.machine.ID != nodeID {
@@ -11,8 +11,8 @@
 	return attempt
 }
 
-// findOrStopAttempt is findAttempt for messages of attempts that run or may start. It stops an attempt that has ended for
-// the core, since it must not run concurrently with its successor.
+// findOrStopAttempt is findAttempt for messages which show that the attempt runs or may start. It stops an attempt that the
+// core no longer has, since the job's next attempt may start meanwhile and the two must not run concurrently.
 func (c *Core) findOrStopAttempt(nodeID, attemptID string) *attempt {
 	attempt := c.findAttempt(nodeID, attemptID)
 	if attempt == nil {
@@ -80,7 +80,7 @@
 	c.endAttempt(attempt, in.attemptEnd())
 }
 
-// attemptEnd returns the end that is reported to the module.
+// attemptEnd translates the node's report for the module.
 func (in AttemptEnded) attemptEnd() attemptEnd {
 	switch in.End {
 	case EndCompleted:
--- a/internal/scheduler/command.go
+++ b/internal/scheduler/command.go
@@ -6,7 +6,7 @@
 func (in Command) apply(c *Core) {
 	if array := c.arrays[in.Job]; array != nil {
 		for _, job := range array.jobs {
-			c.commandJob(0, in.Verb, job)
+			c.handleCommand(0, in.Verb, job)
 		}
 		c.answerArray(in.RequestID, array)
 		return
@@ -16,84 +16,84 @@
 		c.rejectUnknownJob(in.RequestID, in.Job)
 		return
 	}
-	c.commandJob(in.RequestID, in.Verb, job)
+	c.handleCommand(in.RequestID, in.Verb, job)
 }
 
-func (c *Core) commandJob(req uint64, verb Verb, job *job) {
+func (c *Core) handleCommand(requestID uint64, verb Verb, job *job) {
 	switch verb {
 	case Hold:
-		c.commandHold(req, job)
+		c.handleHold(requestID, job)
 	case Release:
-		c.commandRelease(req, job)
+		c.handleRelease(requestID, job)
 	case Terminate:
-		c.commandTerminate(req, job)
+		c.handleTerminate(requestID, job)
 	case Reap:
-		c.commandReap(req, job)
+		c.handleReap(requestID, job)
 	default:
-		c.reject(req, InvalidArgument, 0, "no command %q", verb)
+		c.reject(requestID, InvalidArgument, 0, "no command %q", verb)
 	}
 }
 
 // rejectVerb rejects a command that is not allowed in the job's state.
-func (c *Core) rejectVerb(req uint64, verb Verb, job *job) {
-	c.reject(req, InvalidState, 0, "job %s is %s, which %s does not apply to", job.id, job.state, verb)
+func (c *Core) rejectInState(requestID uint64, verb Verb, job *job) {
+	c.reject(requestID, InvalidState, 0, "job %s is %s, which %s does not apply to", job.id, job.state, verb)
 }
 
-func (c *Core) commandHold(req uint64, job *job) {
+func (c *Core) handleHold(requestID uint64, job *job) {
 	switch {
 	case job.onHold():
-		c.answerJob(req, job)
+		c.answerJob(requestID, job)
 	case job.state != Queued && job.state != Requeued:
-		c.rejectVerb(req, Hold, job)
+		c.rejectInState(requestID, Hold, job)
 	case job.attempt != nil:
-		c.holdOffered(req, job)
-	case c.outcomeUnknown(job): // the module decides its outcome shortly
-		c.reject(req, InvalidState, 0, "job %s may have run and can't be held", job.id)
+		c.holdOfferedJob(requestID, job)
+	case c.mayHaveRun(job): // the module decides its outcome shortly
+		c.reject(requestID, InvalidState, 0, "job %s may have run and can't be held", job.id)
 	default:
 		c.holdJob(job)
-		c.answerJob(req, job)
+		c.answerJob(requestID, job)
 	}
 }
 
-func (c *Core) commandRelease(req uint64, job *job) {
+func (c *Core) handleRelease(requestID uint64, job *job) {
 	if !job.onHold() {
-		c.rejectVerb(req, Release, job)
+		c.rejectInState(requestID, Release, job)
 		return
 	}
 	c.releaseJob(job)
-	c.answerJob(req, job)
+	c.answerJob(requestID, job)
 }
 
-func (c *Core) commandTerminate(req uint64, job *job) {
+func (c *Core) handleTerminate(requestID uint64, job *job) {
 	if job.state.Ended() {
-		c.rejectVerb(req, Terminate, job)
+		c.rejectInState(requestID, Terminate, job)
 		return
 	}
 	c.terminateJob(job)
-	c.answerJob(req, job)
+	c.answerJob(requestID, job)
 }
 
-func (c *Core) commandReap(req uint64, job *job) {
+func (c *Core) handleReap(requestID uint64, job *job) {
 	if !job.state.Ended() {
-		c.rejectVerb(req, Reap, job)
+		c.rejectInState(requestID, Reap, job)
 		return
 	}
-	c.answerJob(req, job)
+	c.answerJob(requestID, job)
 	c.removeJob(job)
 }
 
 // holdOffered holds a job that is offered to a node, unless the node accepts the offer. The module is notified at once that
 // the task is canceled, so that it makes no further offer.
-func (c *Core) holdOffered(req uint64, job *job) {
+func (c *Core) holdOfferedJob(requestID uint64, job *job) {
 	offer := job.attempt
 	if offer.phase >= phaseAccepted || job.holdPending {
-		c.rejectVerb(req, Hold, job)
+		c.rejectInState(requestID, Hold, job)
 		return
 	}
-	job.pendingHoldReq, job.holdPending = req, true
+	job.pendingHoldRequestID, job.holdPending = requestID, true
 	c.notifyModule(flaxshelf.TaskCanceled{Task: job.taskID()})
 	c.stopAttempt(offer)
-	c.whenUnplaced(offer, func() { c.completeHold(job) })
+	c.whenNotAccepted(offer, func() { c.completeHold(job) })
 }
 
 // completeHold holds a job whose offer has ended without being accepted.
@@ -103,18 +103,18 @@
 	}
 	// A report of a failed start may cross the stop. A hold and a release would open a new placement request, in which the
 	// module does not know the attempts of the former one.
-	if c.outcomeUnknown(job) {
+	if c.mayHaveRun(job) {
 		c.failPlacementRequest(job, OutcomeFailed, "an attempt may have run before it could be held")
 		return
 	}
 	job.holdPending = false
 	c.holdJob(job)
-	c.answerJob(job.pendingHoldReq, job)
+	c.answerJob(job.pendingHoldRequestID, job)
 }
 
 // whenUnplaced calls done when an offer has ended without being accepted. It does not call done if the offer is accepted.
 // It polls until the attempt ends, which is at its timeout or earlier.
-func (c *Core) whenUnplaced(offer *attempt, done func()) {
+func (c *Core) whenNotAccepted(offer *attempt, done func()) {
 	if offer.phase == phaseEnded {
 		done()
 		return
@@ -122,7 +122,7 @@
 	if offer.phase >= phaseAccepted {
 		return
 	}
-	c.timers.Schedule(c.soon(), func() { c.whenUnplaced(offer, done) })
+	c.timers.Schedule(c.nextPollTime(), func() { c.whenNotAccepted(offer, done) })
 }
 
 func (c *Core) holdJob(job *job) {
@@ -134,14 +134,14 @@
 	}
 	c.timers.Cancel(job.delayTimer)
 	job.subState, job.nodeID = SubStateHeld, ""
-	c.changed(job)
+	c.publishChange(job)
 }
 
 func (c *Core) releaseJob(job *job) {
 	if job.array != nil && !job.admitted {
 		job.state, job.subState = Queued, SubStateArrayLimit
 		job.array.firstWaiting = 0
-		c.changed(job)
+		c.publishChange(job)
 		c.admitFromArray(job.array)
 		return
 	}
@@ -170,5 +170,5 @@
 	job.subState = SubStateStopping
 	c.cancelPlacementRequest(job, current.id)
 	c.stopAttempt(current)
-	c.changed(job)
+	c.publishChange(job)
 }
--- a/internal/scheduler/config.go
+++ b/internal/scheduler/config.go
@@ -7,57 +7,57 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-// Time is a time of the host's clock, in nanoseconds since the Unix epoch. It does not decrease.
+// Time is a reading of the host's clock, in nanoseconds since the Unix epoch. It does not decrease.
 type Time = flaxshelf.Time
 
-// Limits bound how much a Core stores and how long it waits. All of them must be above zero.
+// Limits bound how much a Core stores and how long it waits. All values must be above zero.
 type Limits struct {
-	MaxPending  int // jobs whose placement request is open; submissions beyond it are rejected with TryLater
-	MaxRunning  int // jobs that have not ended; submissions beyond it are rejected with TryLater
-	MaxFinished int // ended jobs retained for queries; the oldest is removed first
+	MaxPending  int // jobs whose placement request is open; further submissions are rejected with TryLater
+	MaxRunning  int // jobs that have not ended, running or not; further submissions are rejected with TryLater
+	MaxFinished int // ended jobs retained for queries; the job that ended first is removed first
 	MaxSessions int // job sessions
 
-	Retention  time.Duration // of an ended job
-	SettleTime time.Duration // how long to wait for an attempt that may be running before its work may start again
+	Retention  time.Duration // how long an ended job is retained for queries
+	SettleTime time.Duration // how long to wait for an attempt that may be running before its job may start elsewhere
 
 	PlacementTimeouts []time.Duration // by class: how long a placement request may stay open
-	StallThreshold    time.Duration   // an interval between two steps that counts as a stall of the process
+	StallThreshold    time.Duration   // shortest interval between two steps that counts as a stall of the process
 }
 
-// Module chooses placements. It is a flaxshelf.Placer, or a baseline for comparison. The core calls it from the goroutine
-// that calls Core.Step.
+// Module is the decision module, which chooses the machines of tasks. It is a flaxshelf.Placer, or a simpler strategy that
+// serves as a baseline in experiments. The core calls it from the goroutine that calls Core.Step.
 type Module interface {
 	Step(now Time, events []flaxshelf.Event) []flaxshelf.Action
 }
 
 // Config configures a Core. The core stores a shallow copy; the host must not change the elements of its slices.
 type Config struct {
-	Module    flaxshelf.Config // the module's own configuration
-	Seed      uint64           // of the module's random choices
-	Name      string           // of this scheduler, the same in each incarnation
+	Module    flaxshelf.Config // configuration of the module
+	Seed      uint64           // seed of the module's random choices
+	Name      string           // name of this scheduler, the same in each incarnation
 	StartedAt Time             // start of this incarnation
 	Limits    Limits
 
 	// NewModule creates the module; nil means flaxshelf.New. Experiments use it to run baselines.
 	NewModule func(cfg flaxshelf.Config, seed uint64) (Module, error)
-	// RecordStep, when set, receives each step of the module. It must not retain or change the slices.
+	// RecordStep, if set, is called after each step of the module. It must not retain or change the slices.
 	RecordStep func(now Time, events []flaxshelf.Event, actions []flaxshelf.Action)
-	// DisabledGuards disables guards of the core, for tests of whether the module enforces a rule by itself.
+	// DisabledGuards selects guards that the core does not apply, for tests of whether the module enforces a rule by itself.
 	DisabledGuards Guards
-	// WrapStep, when set, is called for each step of the module, so that a host can measure its duration. It must call
-	// step.
+	// WrapStep, if set, is called for each step of the module, so that a host can measure its duration. It must call step
+	// once.
 	WrapStep func(step func())
 }
 
-// Guards are the rules that the core enforces in addition to the module.
+// Guards selects rules that the core enforces in addition to the module.
 type Guards struct {
-	Drain             bool // no offer to a node that is draining
-	PlacementDeadline bool // an outcome if the module has not given one in time
+	Drain             bool // a node that is draining or removed gets no offer
+	PlacementDeadline bool // a placement request fails if the module has not decided on it shortly after its deadline
 }
 
 // ConfigError reports an invalid value of a Config.
 type ConfigError struct {
-	Field  string // as in Config, such as Limits.MaxPending
+	Field  string // path in Config, such as Limits.MaxPending
 	Value  any
 	Reason string
 }
@@ -69,7 +69,7 @@
 // validate returns a *ConfigError for the first invalid value.
 func (cfg *Config) validate() error {
 	if cfg.Name == "" {
-		return &ConfigError{Field: "Name", Value: `""`, Reason: "a scheduler needs a name"}
+		return &ConfigError{Field: "Name", Value: `""`, Reason: "must not be empty"}
 	}
 	limits := &cfg.Limits
 	for _, limit := range []struct {
@@ -90,7 +90,7 @@
 	}
 	if timeouts, classes := len(limits.PlacementTimeouts), len(cfg.Module.Classes); timeouts != classes {
 		return &ConfigError{Field: "Limits.PlacementTimeouts", Value: limits.PlacementTimeouts,
-			Reason: fmt.Sprintf("%d values for %d classes", timeouts, classes)}
+			Reason: fmt.Sprintf("got %d values, want one for each of the %d classes", timeouts, classes)}
 	}
 	return nil
 }
--- a/internal/scheduler/core.go
+++ b/internal/scheduler/core.go
@@ -9,9 +9,9 @@
 	"flaxshelf.example/flaxshelf/internal/timerqueue"
 )
 
-// firstModuleStep is a time in the past, so that the module's first step, in which it subscribes to discovery, is that of
-// the core.
-const firstModuleStep Time = 1
+// initialModuleTimer makes the module's timer due in the core's first step, so that the module subscribes to discovery at
+// once. It is not zero, which would mean that no timer is set.
+const initialModuleTimer Time = 1
 
 // Core is the state machine of one scheduler. Its zero value is not usable; see New. It is not safe for concurrent use.
 type Core struct {
@@ -19,19 +19,19 @@
 	module     Module
 	now        Time
 	lastStepAt Time     // time of the previous step; zero before the first
-	effects    []Effect // of this step
+	effects    []Effect // of the current step
 
-	moduleStepAt Time // of the module's timer; zero means no timer is set
-	moduleEvents []flaxshelf.Event
+	moduleTimerAt Time              // when the module's timer is due; zero means no timer is set
+	moduleEvents  []flaxshelf.Event // for the module's next step
 
 	idPrefix       string // of the IDs that this incarnation assigns
-	lastJobNumber  uint64 // of jobs and arrays
-	lastSerial     uint64 // of attempts
-	lastRevision   uint64 // of changes to jobs
+	lastJobNumber  uint64 // last number used in the ID of a job or an array
+	lastSerial     uint64 // last serial number of an attempt
+	lastRevision   uint64 // last revision of a job
 	jobs           map[string]*job
 	jobsByKey      map[string]*job
 	jobsByTask     map[string]*job // by the module's task ID, while the placement request or one of its attempts is open
-	endedJobs      []*job          // in the order in which they ended
+	endedJobs      []*job          // in the order in which they ended; includes jobs that were reaped since
 	openRequests   int             // jobs whose placement request is open
 	unfinishedJobs int             // jobs that have not ended
 	endedJobCount  int             // ended jobs that have not been removed
@@ -40,7 +40,7 @@
 	sessions    map[string]bool
 	attempts    map[string]*attempt
 	nodes       map[string]*node
-	nodesByName []*node
+	sortedNodes []*node // ordered by ID
 
 	watches  watches
 	timers   timerqueue.Timers
@@ -51,7 +51,7 @@
 	drainReported bool
 }
 
-// New returns the core of one scheduler in a new incarnation. The error is a *ConfigError, or wraps the error of
+// New returns the core of a new incarnation of a scheduler. The error is a *ConfigError, or wraps the error of
 // Config.NewModule.
 func New(cfg Config) (*Core, error) {
 	if err := cfg.validate(); err != nil {
@@ -65,19 +65,19 @@
 		return nil, fmt.Errorf("scheduler: module settings: %w", err)
 	}
 	return &Core{
-		cfg:          cfg,
-		module:       module,
-		moduleStepAt: firstModuleStep,
-		idPrefix:     IDPrefix(cfg.Name, cfg.StartedAt),
-		jobs:         map[string]*job{},
-		jobsByKey:    map[string]*job{},
-		jobsByTask:   map[string]*job{},
-		arrays:       map[string]*array{},
-		sessions:     map[string]bool{},
-		attempts:     map[string]*attempt{},
-		nodes:        map[string]*node{},
-		watches:      newWatches(),
-		recovery:     recovery{active: true},
+		cfg:           cfg,
+		module:        module,
+		moduleTimerAt: initialModuleTimer,
+		idPrefix:      IDPrefix(cfg.Name, cfg.StartedAt),
+		jobs:          map[string]*job{},
+		jobsByKey:     map[string]*job{},
+		jobsByTask:    map[string]*job{},
+		arrays:        map[string]*array{},
+		sessions:      map[string]bool{},
+		attempts:      map[string]*attempt{},
+		nodes:         map[string]*node{},
+		watches:       newWatches(),
+		recovery:      recovery{active: true},
 	}, nil
 }
 
@@ -87,8 +87,8 @@
 	return name + "." + strconv.FormatInt(int64(startedAt/time.Millisecond), 36) + "."
 }
 
-// Step applies the inputs that arrived since the last step and returns the effects to execute. A time before that of an
-// earlier step counts as the latest time that Step was called with.
+// Step applies the inputs that arrived since the last step and returns the effects to execute. If now is before the time
+// of an earlier step, the latest time of all steps is used instead.
 func (c *Core) Step(now Time, inputs []Input) Output {
 	c.now = max(now, c.now)
 	c.effects = make([]Effect, 0, len(c.effects)+8)
@@ -107,8 +107,8 @@
 	return Output{Effects: c.effects, NextStep: c.nextStep()}
 }
 
-// nextStep returns the time of the next step. It is at most a quarter of the stall threshold ahead, so that a longer
-// interval between two steps is evidence of a stall.
+// nextStep returns the latest time of the next step. It is at most a quarter of the stall threshold ahead, so that an
+// interval as long as the threshold is evidence of a stall.
 func (c *Core) nextStep() Time {
 	at := c.now + c.cfg.Limits.StallThreshold/4
 	if c.barrier.active() {
@@ -117,8 +117,8 @@
 	if next, ok := c.timers.Next(); ok {
 		at = min(at, next)
 	}
-	if c.moduleStepAt > 0 {
-		at = min(at, c.moduleStepAt)
+	if c.moduleTimerAt > 0 {
+		at = min(at, c.moduleTimerAt)
 	}
 	if len(c.moduleEvents) > 0 {
 		at = min(at, c.now+c.cfg.Module.Tick)
@@ -128,30 +128,33 @@
 
 func (c *Core) emit(effect Effect) { c.effects = append(c.effects, effect) }
 
-// answer answers a request. Zero means a request without an answer, such as a command on one job of an array.
-func (c *Core) answer(req uint64, answer Answer) {
-	if req != 0 {
-		answer.RequestID = req
+// answer answers a request. A requestID of zero means that no answer is wanted, for example for a command that is applied
+// to each job of an array.
+func (c *Core) answer(requestID uint64, answer Answer) {
+	if requestID != 0 {
+		answer.RequestID = requestID
 		c.emit(answer)
 	}
 }
 
 // answerJob answers a request with one job.
-func (c *Core) answerJob(req uint64, job *job) { c.answer(req, Answer{Jobs: []JobInfo{job.info()}}) }
+func (c *Core) answerJob(requestID uint64, job *job) {
+	c.answer(requestID, Answer{Jobs: []JobInfo{job.info()}})
+}
 
 // answerArray answers a request with all jobs of an array.
-func (c *Core) answerArray(req uint64, array *array) {
-	c.answer(req, Answer{ArrayID: array.id, Jobs: array.infos()})
+func (c *Core) answerArray(requestID uint64, array *array) {
+	c.answer(requestID, Answer{ArrayID: array.id, Jobs: array.infos()})
 }
 
 // reject answers a request with an error. A retryAfter of zero means that a retry is not expected to succeed.
-func (c *Core) reject(req uint64, code ErrorCode, retryAfter time.Duration, format string, args ...any) {
-	c.answer(req, Answer{Err: newError(code, retryAfter, format, args...)})
+func (c *Core) reject(requestID uint64, code ErrorCode, retryAfter time.Duration, format string, args ...any) {
+	c.answer(requestID, Answer{Err: newError(code, retryAfter, format, args...)})
 }
 
 func (Drain) apply(c *Core) { c.draining = true }
 
-// reportDrained reports once that a draining core has no more open placement requests.
+// reportDrained emits Drained once, when the core is draining and no placement request is open.
 func (c *Core) reportDrained() {
 	if c.draining && c.openRequests == 0 && !c.drainReported {
 		c.drainReported = true
--- a/internal/scheduler/display_names.go
+++ b/internal/scheduler/display_names.go
@@ -3,11 +3,11 @@
 // The client protocol and stored data fix the values of some outcomes and sub-states, which docs/drmaa.md lists. Logs,
 // metrics and texts for people use the terms below instead.
 var (
-	outcomeTerms = map[PlacementOutcome]string{
+	outcomeDisplayNames = map[PlacementOutcome]string{
 		OutcomeRejected: "rejected",
 		OutcomeCanceled: "canceled",
 	}
-	subStateTerms = map[string]string{
+	subStateDisplayNames = map[string]string{
 		SubStateUnreachable: "unreachable",
 		SubStateRejected:    "rejected",
 		SubStatePreempted:   "preempted",
@@ -18,7 +18,7 @@
 
 // DisplayName returns the name of the outcome for logs, metrics and texts.
 func (o PlacementOutcome) DisplayName() string {
-	if term, ok := outcomeTerms[o]; ok {
+	if term, ok := outcomeDisplayNames[o]; ok {
 		return term
 	}
 	return string(o)
@@ -26,7 +26,7 @@
 
 // SubStateDisplayName returns the name of a sub-state for logs, metrics and texts.
 func SubStateDisplayName(subState string) string {
-	if term, ok := subStateTerms[subState]; ok {
+	if term, ok := subStateDisplayNames[subState]; ok {
 		return term
 	}
 	return subState
--- a/internal/scheduler/display_names_test.go
+++ b/internal/scheduler/display_names_test.go
@@ -4,29 +4,29 @@
 
 // The values are part of the client protocol and of stored data, so they must not change; the terms are those of
 // docs/glossary.md.
-func TestOutcomesKeepTheirValuesAndHaveTerms(t *testing.T) {
+func TestOutcomesKeepTheirValuesAndHaveDisplayNames(t *testing.T) {
 	for _, test := range []struct {
-		outcome     PlacementOutcome
-		value, term string
+		outcome            PlacementOutcome
+		value, displayName string
 	}{
 		{OutcomePlaced, "placed", "placed"},
 		{OutcomeRejected, "refused", "rejected"},
 		{OutcomeFailed, "failed", "failed"},
 		{OutcomeCanceled, "withdrawn", "canceled"},
 	} {
-		t.Run(test.term, func(t *testing.T) {
+		t.Run(test.displayName, func(t *testing.T) {
 			if got := string(test.outcome); got != test.value {
 				t.Errorf("value %q, want %q", got, test.value)
 			}
-			if got := test.outcome.DisplayName(); got != test.term {
-				t.Errorf("term %q, want %q", got, test.term)
+			if got := test.outcome.DisplayName(); got != test.displayName {
+				t.Errorf("term %q, want %q", got, test.displayName)
 			}
 		})
 	}
 }
 
-func TestSubStatesKeepTheirValuesAndHaveTerms(t *testing.T) {
-	for _, test := range []struct{ subState, value, term string }{
+func TestSubStatesKeepTheirValuesAndHaveDisplayNames(t *testing.T) {
+	for _, test := range []struct{ subState, value, displayName string }{
 		{SubStateWaiting, "waiting", "waiting"},
 		{SubStateRecovering, "recovering", "recovering"},
 		{SubStateStartTime, "start-time", "start-time"},
@@ -48,12 +48,12 @@
 		{SubStateHeld, "held", "held"},
 		{SubStateBackoff, "backoff", "backoff"},
 	} {
-		t.Run(test.term, func(t *testing.T) {
+		t.Run(test.displayName, func(t *testing.T) {
 			if test.subState != test.value {
 				t.Errorf("value %q, want %q", test.subState, test.value)
 			}
-			if got := SubStateDisplayName(test.subState); got != test.term {
-				t.Errorf("term %q, want %q", got, test.term)
+			if got := SubStateDisplayName(test.subState); got != test.displayName {
+				t.Errorf("term %q, want %q", got, test.displayName)
 			}
 		})
 	}
--- a/internal/scheduler/effects.go
+++ b/internal/scheduler/effects.go
@@ -8,14 +8,14 @@
 	NextStep Time     // the latest time of the next step
 }
 
-// Effect is one of the effect types below.
+// Effect is something that the host must do. Its implementations are the types below.
 type Effect interface{ effect() }
 
 type (
-	// SendOffer offers a job to a node, which discards the offer after ValidFor.
+	// SendOffer offers a job to a node. The offer expires after ValidFor.
 	SendOffer struct {
 		Node, Attempt, Job string
-		PlacementRequest   int // number of the placement request
+		PlacementRequest   int // its number, counted from 1 for each job
 		Spec               *JobSpec
 		SubmittedAt        Time
 		ValidFor           time.Duration
@@ -26,40 +26,41 @@
 	SendAck struct{ Node, Attempt string }
 	// SendHealthCheck requests a load report from a node.
 	SendHealthCheck struct{ Node string }
-	// Connect requests a connection to the node, which the host maintains until Disconnect.
+	// Connect requests a connection to the node. The host maintains it until Disconnect.
 	Connect struct{ Node string }
 	// Disconnect closes the connection to a node that was removed.
 	Disconnect struct{ Node string }
 	// SubscribeDiscovery requests the endpoint list and its changes from discovery.
 	SubscribeDiscovery struct{}
-	// SyncDiscovery requests a DiscoverySynced with the same token, after everything that discovery has already sent.
+	// SyncDiscovery requests a DiscoverySynced with the same token, to be delivered after all messages that discovery has
+	// already sent.
 	SyncDiscovery struct{ Token uint64 }
-	// SyncNode requests a NodeSynced with the same token, after everything that the node has already sent.
+	// SyncNode requests a NodeSynced with the same token, to be delivered after all messages that the node has already sent.
 	SyncNode struct {
 		Node  string
 		Token uint64
 	}
-	// Answer answers the request RequestID. Err is nil on success.
+	// Answer answers the client request with the given ID. Err is nil on success.
 	Answer struct {
 		RequestID uint64
 		Err       *Error
 		Jobs      []JobInfo
 		ArrayID   string
-		Existing  bool // the submission's key is known, and Jobs are those of the earlier submission
+		Existing  bool // the key was submitted before, and Jobs are those of the earlier submission
 		Sessions  []string
 		Machines  []MachineInfo
 	}
-	// Publish sends a changed job to a watch.
+	// Publish sends a changed job to the stream of a Watch.
 	Publish struct {
 		Stream uint64
 		Job    JobInfo
 	}
-	// LogOutcome logs how a placement request or a job ended.
+	// LogOutcome logs the outcome of a placement request or, if the job's state is final, the end of the job.
 	LogOutcome struct {
 		Job     JobInfo
-		Attempt string // that decided the placement request; empty if none did
+		Attempt string // attempt that was placed or in progress when the placement request was closed; empty for none
 	}
-	// Drained reports that the core is draining and has no more open placement requests.
+	// Drained reports that the core is draining and that no placement request is open.
 	Drained struct{}
 )
 
--- a/internal/scheduler/errors.go
+++ b/internal/scheduler/errors.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// ErrorCode names an error of DRMAA version 2, section 5 of GFD.194.
+// ErrorCode is the name of an error of DRMAA version 2; see section 5 of GFD.194.
 type ErrorCode string
 
-// The errors of a Core.
+// The error codes that a Core uses.
 const (
 	InvalidArgument ErrorCode = "InvalidArgument"
 	InvalidState    ErrorCode = "InvalidState"
--- a/internal/scheduler/helpers_test.go
+++ b/internal/scheduler/helpers_test.go
@@ -76,16 +76,16 @@
 }
 
 // answerTo returns the only answer to a request.
-func answerTo(t *testing.T, out Output, req uint64) Answer {
+func answerTo(t *testing.T, out Output, requestID uint64) Answer {
 	t.Helper()
 	var found []Answer
 	for _, effect := range out.Effects {
-		if answer, ok := effect.(Answer); ok && answer.RequestID == req {
+		if answer, ok := effect.(Answer); ok && answer.RequestID == requestID {
 			found = append(found, answer)
 		}
 	}
 	if len(found) != 1 {
-		t.Fatalf("%d answers to request %d, want 1", len(found), req)
+		t.Fatalf("%d answers to request %d, want 1", len(found), requestID)
 	}
 	return found[0]
 }
--- a/internal/scheduler/inputs.go
+++ b/internal/scheduler/inputs.go
@@ -2,16 +2,16 @@
 
 import "flaxshelf.example/flaxshelf"
 
-// Input is one of the input types below. RequestID is assigned by the host to a request and that the Answer repeats;
-// zero means that no answer is wanted. Each type's apply method is defined in the file of its subject.
+// Input is something that has happened. Its implementations are the types below; their apply methods are in the files of
+// their subjects. The host assigns RequestID, which the Answer repeats. Zero means that no answer is wanted.
 type Input interface{ apply(c *Core) }
 
-// The requests of clients.
+// The requests of clients, and the host's request to shut down.
 type (
 	// Submit submits one job, or an array if Indexes is not empty.
 	Submit struct {
 		RequestID   uint64
-		ReceivedAt  Time // when it reached the host, which starts its placement timeout; zero means now
+		ReceivedAt  Time // when the host received it, from which the placement timeout counts; zero means now
 		Spec        JobSpec
 		Indexes     []int
 		MaxParallel int // jobs of the array that may be active concurrently; zero means no limit
@@ -35,32 +35,32 @@
 		Verb      Verb
 		Name      string
 	}
-	// Machines requests the nodes that this scheduler knows.
+	// Machines requests the machines that this scheduler knows.
 	Machines struct{ RequestID uint64 }
-	// Watch publishes every change of a job, of an array or of a session's jobs to Stream until Unwatch, starting with the
-	// changes since revision SinceRevision. An empty Job and Session mean all jobs.
+	// Watch publishes each change of a job, of the jobs of an array or of the jobs of a session to Stream until Unwatch. It
+	// starts with the jobs that have changed after SinceRevision. If Job and Session are empty, it includes all jobs.
 	Watch struct {
 		RequestID, Stream, SinceRevision uint64
 		Job, Session                     string
 	}
-	// Unwatch ends a Watch.
+	// Unwatch ends the Watch of the stream.
 	Unwatch struct{ Stream uint64 }
-	// Drain makes the core reject new work and finish the open placement requests.
+	// Drain makes the core reject submissions and report with Drained when no placement request is open.
 	Drain struct{}
 )
 
-// The messages of nodes and the state of the connections to them.
+// Messages of nodes, and reports of the host on its connections to them.
 type (
-	// NodeConnected reports that a connection to the node is established, and which of this scheduler's
-	// attempts the node has.
+	// NodeConnected reports that a connection to the node is established, and which of this scheduler's attempts the node
+	// has.
 	NodeConnected struct {
 		Node           string
 		StartedAt      Time // when the node's process started
-		MayBeWarmingUp bool // the node may still be warming up
+		MayBeWarmingUp bool // the node may still be warming up after its start
 		Accepted       []ReportedAttempt
-		Ended          []AttemptEnded // not acknowledged yet
+		Ended          []AttemptEnded // reports of ended attempts that were not acknowledged
 	}
-	// NodeDisconnected reports that the connection broke or could not be established.
+	// NodeDisconnected reports that the connection to the node was lost or could not be established.
 	NodeDisconnected struct{ Node string }
 	// AttemptAccepted reports that the node has accepted an offer.
 	AttemptAccepted struct {
@@ -73,14 +73,14 @@
 		Reason        flaxshelf.Reason
 		Load          flaxshelf.LoadReport
 	}
-	// AttemptFailed reports that the node could not start the attempt; it may have run.
+	// AttemptFailed is a node's reply to an offer: the start failed, and the attempt may have run.
 	AttemptFailed struct {
 		Node, Attempt, Message string
 		Load                   flaxshelf.LoadReport
 	}
 	// AttemptStarted reports that the node has started an accepted attempt.
 	AttemptStarted struct{ Node, Attempt string }
-	// UsageReport reports what an accepted attempt uses.
+	// UsageReport reports the resource usage of an accepted attempt.
 	UsageReport struct {
 		Node, Attempt string
 		Kind          flaxshelf.UsageKind
@@ -91,44 +91,44 @@
 		Node, Attempt string
 		End           EndKind
 		Reason        flaxshelf.Reason
-		ExitStatus    int // exit status
+		ExitStatus    int
 		Load          flaxshelf.LoadReport
 	}
-	// HealthChecked is the result of a SendHealthCheck.
+	// HealthChecked reports the result of a SendHealthCheck.
 	HealthChecked struct {
 		Node    string
 		Load    flaxshelf.LoadReport
 		NoReply bool // no reply was received
 	}
-	// SendFailed reports that an offer was not sent.
+	// SendFailed reports that the host could not send an offer.
 	SendFailed struct{ Node, Attempt string }
-	// NodeSynced answers a SyncNode.
+	// NodeSynced answers a SyncNode. All messages that the node sent before it have been received.
 	NodeSynced struct {
 		Node  string
 		Token uint64
 	}
 )
 
-// The messages of discovery.
+// Messages of discovery, and reports of the host on its connection to it.
 type (
-	// NodesUpdated is an endpoint list, or changes of it.
+	// NodesUpdated is the endpoint list, or changes to it.
 	NodesUpdated struct {
-		Machines []flaxshelf.Machine // the core may correct their start times in place
-		Complete bool                // nodes that are not named are removed
+		Machines []flaxshelf.Machine // the core may correct their start times in this slice
+		Complete bool                // the list is complete: machines that it does not name are removed
 	}
 	// DiscoveryFailed reports that discovery is unreachable or has ended the subscription.
 	DiscoveryFailed struct{}
-	// DiscoverySynced answers a SyncDiscovery: everything that discovery had sent before it has been received.
+	// DiscoverySynced answers a SyncDiscovery. All messages that discovery sent before it have been received.
 	DiscoverySynced struct{ Token uint64 }
 )
 
-// ReportedAttempt is an accepted attempt that a node has.
+// ReportedAttempt is an accepted attempt that a node reports when it connects.
 type ReportedAttempt struct {
 	Attempt, Job     string
 	PlacementRequest int // number of the placement request
 	Spec             JobSpec
 	SubmittedAt      Time
-	Started          bool // it has been started
+	Started          bool // the node has started it
 }
 
 // EndKind is how an accepted attempt ended.
@@ -136,8 +136,8 @@
 
 // The ways in which an accepted attempt ends.
 const (
-	EndCompleted   EndKind = iota // with its exit status
-	EndLost                       // evicted, preempted or drained away, see Reason
+	EndCompleted   EndKind = iota // its process exited; see AttemptEnded.ExitStatus
+	EndLost                       // evicted, preempted or drained away; see AttemptEnded.Reason
 	EndStopped                    // by a SendStop
 	EndStartFailed                // it was accepted but could not be started
 )
@@ -156,7 +156,7 @@
 	return "unknown"
 }
 
-// Verb is what a Command or a SessionCommand does.
+// Verb is the operation of a Command or a SessionCommand.
 type Verb string
 
 // The verbs of Command and SessionCommand.
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -11,12 +11,12 @@
 // The delay of the next placement request of a job whose attempt was lost is initialBackoff, doubled with each further
 // loss up to maxBackoff. It starts at evictedBackoff after an eviction or a preemption, which indicate a lack of capacity.
 const (
-	initialBackoff = 200 * time.Millisecond
-	evictedBackoff = time.Second
-	maxBackoff     = 30 * time.Second
+	initialBackoff         = 200 * time.Millisecond
+	initialEvictionBackoff = time.Second
+	maxBackoff             = 30 * time.Second
 
-	maxBackoffDoublings = 8 // more would only exceed maxBackoff further
-	backoffLevelsOfLoss = 2 // added by a loss; a placement subtracts one
+	maxBackoffDoublings  = 8 // more would only exceed maxBackoff further
+	backoffLevelsPerLoss = 2 // added by a loss; a placement subtracts one
 )
 
 // terminatedReason is the reason of a job that was terminated by its owner.
@@ -42,23 +42,23 @@
 	receivedAt  Time // of a submission whose placement request has not been opened; zero otherwise
 
 	// The placement request.
-	request           int    // its number, counted from 1
-	taskName          string // see taskID
-	requestOpen       bool   // it has no outcome yet
-	requestedAt       Time
-	placementDeadline Time
-	placementTimer    *timerqueue.Timer
-	attemptCount      int
-	attempt           *attempt // that has not ended; nil for none
-	outcome           PlacementOutcome
-	outcomeUnknownAt  Time // when an attempt that may have run last ended; zero means never
-	unknownRequest    int  // the last placement request with such an attempt
+	requestNumber           int    // its number, counted from 1
+	assignedTaskID          string // see taskID
+	requestOpen             bool   // it has no outcome yet
+	requestedAt             Time
+	placementDeadline       Time
+	placementTimer          *timerqueue.Timer
+	attemptCount            int
+	attempt                 *attempt // that has not ended; nil for none
+	outcome                 PlacementOutcome
+	uncertainAttemptEndedAt Time // when an attempt that may have run last ended; zero means never
+	uncertainRequest        int  // the last placement request with such an attempt
 
 	// Commands that await a node.
-	stopping       bool // the job ends when its attempt has ended
-	migrating      bool // the attempt is stopped to run elsewhere
-	holdPending    bool // the job is held if its attempt ends without being accepted
-	pendingHoldReq uint64
+	stopping             bool // the job ends when its attempt has ended
+	migrating            bool // the attempt is stopped to run elsewhere
+	holdPending          bool // the job is held if its attempt ends without being accepted
+	pendingHoldRequestID uint64
 
 	exitStatus    int
 	backoffLevel  int
@@ -81,10 +81,10 @@
 
 // taskID returns the module's ID of the current placement request.
 func (j *job) taskID() string {
-	if j.taskName == "" {
-		j.taskName = j.id + "#" + strconv.Itoa(j.request)
+	if j.assignedTaskID == "" {
+		j.assignedTaskID = j.id + "#" + strconv.Itoa(j.requestNumber)
 	}
-	return j.taskName
+	return j.assignedTaskID
 }
 
 func (j *job) info() JobInfo {
@@ -95,7 +95,7 @@
 		SubState:          j.subState,
 		ArrayIndex:        j.index,
 		Node:              j.nodeID,
-		PlacementRequest:  j.request,
+		PlacementRequest:  j.requestNumber,
 		Outcome:           j.outcome,
 		Attempts:          j.attemptCount,
 		ExitStatus:        j.exitStatus,
@@ -123,14 +123,14 @@
 	return c.classOf(job).Idempotency == flaxshelf.Idempotent
 }
 
-func (c *Core) atMostOnce(job *job) bool {
+func (c *Core) runsAtMostOnce(job *job) bool {
 	return c.classOf(job).Idempotency == flaxshelf.NonIdempotent
 }
 
 // outcomeUnknown reports whether an attempt of the open placement request may have run, so that the work must not start
 // in another request.
-func (c *Core) outcomeUnknown(job *job) bool {
-	return job.requestOpen && job.unknownRequest == job.request && !c.isIdempotent(job)
+func (c *Core) mayHaveRun(job *job) bool {
+	return job.requestOpen && job.uncertainRequest == job.requestNumber && !c.isIdempotent(job)
 }
 
 // earliestResubmission returns when the next placement request of a job may be opened. Zero means at any time, as for
@@ -138,14 +138,14 @@
 // a job that is idempotent by key, was placed after an attempt without a reply and soon lost its node, could start in
 // another key domain while the attempt without a reply runs.
 func (c *Core) earliestResubmission(job *job) Time {
-	if job.outcomeUnknownAt == 0 || c.isIdempotent(job) {
+	if job.uncertainAttemptEndedAt == 0 || c.isIdempotent(job) {
 		return 0
 	}
-	return job.outcomeUnknownAt + c.cfg.Limits.SettleTime
+	return job.uncertainAttemptEndedAt + c.cfg.Limits.SettleTime
 }
 
 // continueAfterAttempt finishes or requeues a job whose accepted attempt has ended.
-func (c *Core) continueAfterAttempt(job *job, end attemptEnd) {
+func (c *Core) finishOrRequeue(job *job, end attemptEnd) {
 	migrating := job.migrating
 	job.migrating = false
 	switch {
@@ -180,7 +180,7 @@
 // requeue opens another placement request, after a backoff, for a job whose attempt was lost.
 func (c *Core) requeue(job *job, reason flaxshelf.Reason) {
 	wait := max(backoff(job.backoffLevel, reason), c.earliestResubmission(job)-c.now)
-	job.backoffLevel += backoffLevelsOfLoss
+	job.backoffLevel += backoffLevelsPerLoss
 	job.state, job.subState = Requeued, SubStateBackoff
 	job.reason = "it was " + SubStateDisplayName(lostSubState(reason)) + " on " + job.nodeID
 	job.nodeID = ""
@@ -188,10 +188,10 @@
 		c.notifyModule(flaxshelf.TaskCanceled{Task: job.taskID()})
 		c.closePlacementRequest(job, OutcomeFailed, "")
 	}
-	c.changed(job)
-	request := job.request
+	c.publishChange(job)
+	request := job.requestNumber
 	job.delayTimer = c.timers.Schedule(c.now+wait, func() {
-		if job.state == Requeued && job.subState == SubStateBackoff && job.request == request {
+		if job.state == Requeued && job.subState == SubStateBackoff && job.requestNumber == request {
 			job.reason = ""
 			c.submitToModule(job)
 		}
@@ -202,7 +202,7 @@
 func backoff(level int, reason flaxshelf.Reason) time.Duration {
 	first := initialBackoff
 	if reason == flaxshelf.Evicted || reason == flaxshelf.Preempted {
-		first = evictedBackoff
+		first = initialEvictionBackoff
 	}
 	return min(first<<min(level, maxBackoffDoublings), maxBackoff)
 }
@@ -229,7 +229,7 @@
 	c.unfinishedJobs--
 	c.endedJobCount++
 	c.endedJobs = append(c.endedJobs, job)
-	c.changed(job)
+	c.publishChange(job)
 	c.emit(LogOutcome{Job: job.info()})
 	if job.array != nil {
 		c.arrayJobEnded(job)
--- a/internal/scheduler/module.go
+++ b/internal/scheduler/module.go
@@ -15,8 +15,8 @@
 // stepModule steps the module with the events since its last step and executes its actions. Events that result from
 // these actions, such as an offer to an unreachable node, are delivered with the next step.
 func (c *Core) stepModule() {
-	if c.moduleStepAt > 0 && c.now >= c.moduleStepAt {
-		c.moduleStepAt = 0
+	if c.moduleTimerAt > 0 && c.now >= c.moduleTimerAt {
+		c.moduleTimerAt = 0
 		c.notifyModule(flaxshelf.TimerFired{})
 	}
 	if len(c.moduleEvents) == 0 {
@@ -24,11 +24,11 @@
 	}
 	events := c.moduleEvents
 	c.moduleEvents = nil
-	flaxshelf.HandleActions(c.decide(events), actionHandler{core: c})
+	flaxshelf.HandleActions(c.callModule(events), actionHandler{core: c})
 }
 
 // decide steps the module and calls the host's hooks Config.WrapStep and Config.RecordStep.
-func (c *Core) decide(events []flaxshelf.Event) []flaxshelf.Action {
+func (c *Core) callModule(events []flaxshelf.Event) []flaxshelf.Action {
 	var actions []flaxshelf.Action
 	step := func() { actions = c.module.Step(c.now, events) }
 	if c.cfg.WrapStep != nil {
@@ -63,7 +63,7 @@
 func (h actionHandler) HandleSubscribe(flaxshelf.Subscribe) { h.core.emit(SubscribeDiscovery{}) }
 
 func (h actionHandler) HandleSetTimer(timer flaxshelf.SetTimer) {
-	h.core.scheduleModuleStep(h.core.now + timer.After)
+	h.core.setModuleTimer(h.core.now + timer.After)
 }
 
 // HandleSendGossip does nothing: the module sends gossip only if Config.CanGossip is set, and a Core's host has no
@@ -71,11 +71,11 @@
 func (h actionHandler) HandleSendGossip(flaxshelf.SendGossip) {}
 
 // scheduleModuleStep sets the module's timer to the given time, unless it is set to an earlier one.
-func (c *Core) scheduleModuleStep(at Time) {
-	if c.moduleStepAt == 0 || at < c.moduleStepAt {
-		c.moduleStepAt = at
+func (c *Core) setModuleTimer(at Time) {
+	if c.moduleTimerAt == 0 || at < c.moduleTimerAt {
+		c.moduleTimerAt = at
 	}
 }
 
 // soon returns the earliest time at which to repeat a check that polls for a condition.
-func (c *Core) soon() Time { return c.now + max(c.cfg.Module.Tick, time.Millisecond) }
+func (c *Core) nextPollTime() Time { return c.now + max(c.cfg.Module.Tick, time.Millisecond) }
--- a/internal/scheduler/node.go
+++ b/internal/scheduler/node.go
@@ -11,7 +11,7 @@
 type node struct {
 	machine          flaxshelf.Machine
 	connected        bool
-	reconciled       bool // it has reported its attempts to this incarnation
+	hasReported      bool // it has reported its attempts to this incarnation
 	connectRequested bool // a Connect is in effect
 	startedAt        Time // as reported by the node
 	coldStartedAt    Time // of its last cold start, as reported by the node
@@ -31,7 +31,7 @@
 }
 
 // hasUnresolvedAttempts reports whether the node has an offer without a reply.
-func (n *node) hasUnresolvedAttempts() bool {
+func (n *node) hasUnansweredOffer() bool {
 	for _, attempt := range n.attempts {
 		if attempt.phase == phaseOffered {
 			return true
@@ -50,45 +50,45 @@
 		attempts: map[string]*attempt{},
 	}
 	c.nodes[id] = added
-	position, _ := slices.BinarySearchFunc(c.nodesByName, id,
+	position, _ := slices.BinarySearchFunc(c.sortedNodes, id,
 		func(other *node, id string) int { return cmp.Compare(other.machine.ID, id) })
-	c.nodesByName = slices.Insert(c.nodesByName, position, added)
+	c.sortedNodes = slices.Insert(c.sortedNodes, position, added)
 	return added
 }
 
 // apply adopts an endpoint list. The module is notified after the offers that the list makes void.
 func (in NodesUpdated) apply(c *Core) {
-	named := map[string]bool{}
+	listed := map[string]bool{}
 	for i, machine := range in.Machines {
-		named[machine.ID] = true
+		listed[machine.ID] = true
 		node := c.ensureNode(machine.ID)
 		if machine.Started < node.coldStartedAt { // the list is older than what the node itself has reported
 			machine.Started = node.coldStartedAt
 			in.Machines[i] = machine
 		}
 		node.machine = machine
-		c.machineChanged(node)
+		c.applyMachineChange(node)
 	}
 	if in.Complete {
-		c.removeUnnamed(named)
+		c.removeUnlistedNodes(listed)
 		c.startRecoveryTimer()
 	}
 	c.notifyModule(flaxshelf.MachinesUpdated{Machines: in.Machines, Complete: in.Complete})
 }
 
 // removeUnnamed marks nodes that a complete list does not name as removed.
-func (c *Core) removeUnnamed(named map[string]bool) {
-	for _, node := range c.nodesByName {
-		if !named[node.machine.ID] && !node.removed() {
+func (c *Core) removeUnlistedNodes(listed map[string]bool) {
+	for _, node := range c.sortedNodes {
+		if !listed[node.machine.ID] && !node.removed() {
 			node.machine.State = flaxshelf.Removed
-			c.machineChanged(node)
+			c.applyMachineChange(node)
 		}
 	}
 }
 
 // machineChanged applies a new list entry of a node. Offers that await a connection are canceled if the node drains, since
 // the drain was announced before they were sent.
-func (c *Core) machineChanged(node *node) {
+func (c *Core) applyMachineChange(node *node) {
 	if node.machine.State != flaxshelf.Active {
 		for _, attempt := range node.sortedAttempts() {
 			if attempt.phase == phaseConnecting {
@@ -101,12 +101,12 @@
 		node.connectRequested = true
 		c.emit(Connect{node.machine.ID})
 	case node.removed() && node.connectRequested:
-		c.scheduleExpiry(node)
+		c.scheduleNodeExpiry(node)
 	}
 }
 
 // scheduleExpiry expires a node after the settle time if it is removed and not connected then.
-func (c *Core) scheduleExpiry(node *node) {
+func (c *Core) scheduleNodeExpiry(node *node) {
 	c.timers.Schedule(c.now+c.cfg.Limits.SettleTime, func() {
 		if node.removed() && !node.connected {
 			c.expireNode(node)
@@ -117,7 +117,7 @@
 // expireNode ends all attempts on a node as lost and disconnects it.
 func (c *Core) expireNode(node *node) {
 	for _, attempt := range node.sortedAttempts() {
-		c.loseAttempt(attempt)
+		c.endAsLost(attempt)
 	}
 	if node.connectRequested {
 		node.connectRequested = false
@@ -132,20 +132,20 @@
 		return
 	}
 	node.connected = false
-	c.barrier.nodeLost(in.Node)
+	c.barrier.nodeDisconnected(in.Node)
 	for _, attempt := range node.sortedAttempts() {
 		attempt.stopSent = false // the stop may have been lost
 		switch attempt.phase {
 		case phaseConnecting:
 			c.endAttempt(attempt, attemptEnd{outcome: flaxshelf.Unreachable})
 		case phaseOffered:
-			c.loseAttempt(attempt)
+			c.endAsLost(attempt)
 		default:
 			attempt.job.subState = SubStateUnreachable
-			c.changed(attempt.job)
+			c.publishChange(attempt.job)
 		}
 	}
-	c.scheduleExpiry(node)
+	c.scheduleNodeExpiry(node)
 }
 
 // checkHealth sends a health check, or reports the machine as unreachable if it is not connected.
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -12,7 +12,7 @@
 	c.openPlacementRequest(job)
 	c.jobsByTask[job.taskID()] = job
 	c.notifyModule(flaxshelf.TaskSubmitted{Task: c.moduleTask(job)})
-	c.changed(job)
+	c.publishChange(job)
 }
 
 // moduleTask returns the current placement request as a task of the module.
@@ -35,7 +35,7 @@
 		Memory:          spec.Memory,
 		ExpectedRuntime: spec.ExpectedRuntime,
 		Deadline:        job.placementDeadline,
-		Retry:           spec.Retry || job.request > 1,
+		Retry:           spec.Retry || job.requestNumber > 1,
 	}
 }
 
@@ -46,8 +46,8 @@
 		return
 	}
 	delete(c.jobsByTask, job.taskID())
-	job.request++
-	job.taskName, job.attemptCount, job.outcome, job.nodeID = "", 0, "", ""
+	job.requestNumber++
+	job.assignedTaskID, job.attemptCount, job.outcome, job.nodeID = "", 0, "", ""
 	job.requestOpen, job.requestedAt = true, c.now
 	if job.receivedAt > 0 { // the first request of a job without a delay by a start time or hold
 		job.requestedAt = job.receivedAt
@@ -55,7 +55,7 @@
 	job.receivedAt = 0
 	c.openRequests++
 	job.placementDeadline = job.requestedAt + c.placementTimeout(job.spec)
-	c.guardDeadline(job)
+	c.scheduleDeadlineCheck(job)
 }
 
 // placementTimeout returns how long a placement request may stay open.
@@ -68,16 +68,16 @@
 
 // guardDeadline closes the placement request after its deadline if the module has not done so, for example because of a
 // stall.
-func (c *Core) guardDeadline(job *job) {
+func (c *Core) scheduleDeadlineCheck(job *job) {
 	deadline := job.placementDeadline
 	job.placementTimer = c.timers.Schedule(deadline+c.cfg.Module.AnswerSlack/2, func() {
 		if job.requestOpen && job.placementDeadline == deadline && !c.cfg.DisabledGuards.PlacementDeadline {
-			c.failOverdue(job)
+			c.failOverdueRequest(job)
 		}
 	})
 }
 
-func (c *Core) failOverdue(job *job) {
+func (c *Core) failOverdueRequest(job *job) {
 	c.notifyModule(flaxshelf.TaskCanceled{Task: job.taskID()})
 	if job.subState == SubStateRecovering {
 		c.failPlacementRequest(job, OutcomeFailed, "it may run on a node that has not reported since the scheduler started")
@@ -105,7 +105,7 @@
 	if reason != "" {
 		job.reason = reason
 	}
-	c.closeWithAttempt(job, outcome)
+	c.closeRequestAndAttempt(job, outcome)
 	subState, defaultReason := SubStateRejected, "no node accepted it in time; it is safe to submit it again"
 	if outcome == OutcomeFailed {
 		subState, defaultReason = SubStateUncertain, "an attempt may have run"
@@ -118,7 +118,7 @@
 
 // closeWithAttempt closes a placement request and cancels its attempt, if any: an offer that was not sent ends at once,
 // any other attempt is stopped.
-func (c *Core) closeWithAttempt(job *job, outcome PlacementOutcome) {
+func (c *Core) closeRequestAndAttempt(job *job, outcome PlacementOutcome) {
 	current := job.attempt
 	switch {
 	case current == nil:
@@ -154,7 +154,7 @@
 		job.backoffLevel = max(job.backoffLevel-1, 0)
 	}
 	c.rejectPendingHold(job)
-	c.changed(job)
+	c.publishChange(job)
 	c.emit(LogOutcome{Job: job.info(), Attempt: attemptID})
 }
 
@@ -165,8 +165,8 @@
 	}
 	job.holdPending = false
 	if job.outcome == OutcomePlaced {
-		c.reject(job.pendingHoldReq, InvalidState, 0, "job %s was placed before the hold", job.id)
+		c.reject(job.pendingHoldRequestID, InvalidState, 0, "job %s was placed before the hold", job.id)
 	} else {
-		c.reject(job.pendingHoldReq, InvalidState, 0, "job %s ended before the hold: %s", job.id, job.outcome.DisplayName())
+		c.reject(job.pendingHoldRequestID, InvalidState, 0, "job %s ended before the hold: %s", job.id, job.outcome.DisplayName())
 	}
 }
--- a/internal/scheduler/property_test.go
+++ b/internal/scheduler/property_test.go
@@ -21,7 +21,7 @@
 		s.step(NodesUpdated{Complete: true, Machines: s.machines()}, NodeConnected{Node: "n1"}, NodeConnected{Node: "n2"})
 		s.connected["n1"], s.connected["n2"] = true, true
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
-			s.act()
+			s.randomAction()
 		}
 		s.finish()
 	})
@@ -86,19 +86,21 @@
 	return all
 }
 
-// pick draws a number from 0 to n-1.
-func (s *simulation) pick(n int, label string) int { return rapid.IntRange(0, n-1).Draw(s.t, label) }
+// drawIndex draws a number from 0 to n-1.
+func (s *simulation) drawIndex(n int, label string) int {
+	return rapid.IntRange(0, n-1).Draw(s.t, label)
+}
 
-// oneIn draws true with a probability of 1/n.
-func (s *simulation) oneIn(n int, label string) bool { return s.pick(n, label) == 0 }
+// drawOneIn draws true with a probability of 1/n.
+func (s *simulation) drawOneIn(n int, label string) bool { return s.drawIndex(n, label) == 0 }
 
-func (s *simulation) act() {
-	node := nodeNames[s.pick(len(nodeNames), "node")]
-	switch s.pick(16, "act") {
+func (s *simulation) randomAction() {
+	node := nodeNames[s.drawIndex(len(nodeNames), "node")]
+	switch s.drawIndex(16, "act") {
 	case 0, 1, 2:
 		s.submit()
 	case 3, 4, 5, 6:
-		s.replyToAny()
+		s.replyToRandomOffer()
 	case 7:
 		s.disconnect(node)
 	case 8:
@@ -107,7 +109,7 @@
 		s.draining[node] = !s.draining[node]
 		s.step(NodesUpdated{Machines: s.machines()})
 	case 10, 11:
-		s.command()
+		s.commandRandomJob()
 	case 12:
 		s.stall()
 	case 13:
@@ -115,27 +117,27 @@
 	case 14:
 		s.step(DiscoveryFailed{})
 	default:
-		s.advance(time.Duration(s.pick(700, "pause")) * time.Millisecond)
+		s.advance(time.Duration(s.drawIndex(700, "pause")) * time.Millisecond)
 	}
 }
 
 func (s *simulation) submit() {
 	s.step(Submit{RequestID: 1, Spec: JobSpec{
-		Key:        fmt.Sprint("k", s.pick(30, "key")),
-		Class:      s.pick(4, "class"),
+		Key:        fmt.Sprint("k", s.drawIndex(30, "key")),
+		Class:      s.drawIndex(4, "class"),
 		Tenant:     -1,
-		Service:    fmt.Sprint(s.pick(2, "service")),
+		Service:    fmt.Sprint(s.drawIndex(2, "service")),
 		Cores:      1,
 		Memory:     1,
-		Rerunnable: s.oneIn(2, "rerunnable"),
-		Hold:       s.oneIn(8, "hold"),
-		Retry:      s.oneIn(4, "retry"),
+		Rerunnable: s.drawOneIn(2, "rerunnable"),
+		Hold:       s.drawOneIn(8, "hold"),
+		Retry:      s.drawOneIn(4, "retry"),
 	}})
 }
 
-func (s *simulation) replyToAny() {
+func (s *simulation) replyToRandomOffer() {
 	if len(s.offers) > 0 {
-		s.reply(s.offers[s.pick(len(s.offers), "offer")], s.pick(7, "reply"))
+		s.replyTo(s.offers[s.drawIndex(len(s.offers), "offer")], s.drawIndex(7, "reply"))
 	}
 }
 
@@ -151,8 +153,8 @@
 	up := NodeConnected{Node: node}
 	for _, offer := range s.offers {
 		if offer.Node == node && offer.accepted && !offer.ended {
-			up.Accepted = append(up.Accepted, ReportedAttempt{Attempt: offer.Attempt, Job: offer.Job, PlacementRequest: offer.PlacementRequest,
-				Spec: *offer.Spec})
+			up.Accepted = append(up.Accepted, ReportedAttempt{Attempt: offer.Attempt, Job: offer.Job,
+				PlacementRequest: offer.PlacementRequest, Spec: *offer.Spec})
 		}
 	}
 	s.step(up)
@@ -166,44 +168,44 @@
 	}
 }
 
-func (s *simulation) command() {
+func (s *simulation) commandRandomJob() {
 	if len(s.jobs) == 0 {
 		return
 	}
 	verbs := []Verb{Hold, Release, Terminate, Hold, Release, Reap}
-	verb := verbs[s.pick(len(verbs), "verb")]
-	s.step(Command{RequestID: 2, Verb: verb, Job: s.jobs[s.pick(len(s.jobs), "job")]})
+	verb := verbs[s.drawIndex(len(verbs), "verb")]
+	s.step(Command{RequestID: 2, Verb: verb, Job: s.jobs[s.drawIndex(len(s.jobs), "job")]})
 }
 
 func (s *simulation) stall() {
 	s.stalled = true
-	s.advance(time.Duration(s.pick(3000, "stall")) * time.Millisecond)
+	s.advance(time.Duration(s.drawIndex(3000, "stall")) * time.Millisecond)
 	s.stalled = false
 	s.step()
 }
 
-// reply sends a reply to an offer, which may have been answered or have ended before.
-func (s *simulation) reply(offer *sentOffer, how int) {
+// replyTo sends a reply to an offer, which may have been answered or have ended before.
+func (s *simulation) replyTo(offer *sentOffer, how int) {
 	if !s.connected[offer.Node] {
 		return
 	}
 	switch how {
 	case 0, 1, 2:
-		s.accept(offer)
+		s.acceptOffer(offer)
 	case 3:
-		s.reject(offer)
+		s.rejectOffer(offer)
 	case 4:
-		s.fail(offer)
+		s.failOffer(offer)
 	case 5:
 		if offer.accepted && !offer.ended {
 			s.step(AttemptStarted{Node: offer.Node, Attempt: offer.Attempt})
 		}
 	default:
-		s.end(offer, EndKind(how%3))
+		s.endAttempt(offer, EndKind(how%3))
 	}
 }
 
-func (s *simulation) accept(offer *sentOffer) {
+func (s *simulation) acceptOffer(offer *sentOffer) {
 	if offer.provenNotRun || offer.ended {
 		return
 	}
@@ -211,7 +213,7 @@
 	s.step(AttemptAccepted{Node: offer.Node, Attempt: offer.Attempt})
 }
 
-func (s *simulation) reject(offer *sentOffer) {
+func (s *simulation) rejectOffer(offer *sentOffer) {
 	if offer.accepted {
 		return
 	}
@@ -222,7 +224,7 @@
 	s.step(AttemptRejected{Node: offer.Node, Attempt: offer.Attempt, Reason: flaxshelf.InsufficientMemory})
 }
 
-func (s *simulation) fail(offer *sentOffer) {
+func (s *simulation) failOffer(offer *sentOffer) {
 	if offer.accepted {
 		return
 	}
@@ -230,12 +232,12 @@
 	s.step(AttemptFailed{Node: offer.Node, Attempt: offer.Attempt})
 }
 
-func (s *simulation) end(offer *sentOffer, end EndKind) {
+func (s *simulation) endAttempt(offer *sentOffer, endAttempt EndKind) {
 	if !offer.accepted || offer.ended {
 		return
 	}
 	offer.ended, offer.closed = true, true
-	s.step(AttemptEnded{Node: offer.Node, Attempt: offer.Attempt, End: end, Reason: flaxshelf.Evicted})
+	s.step(AttemptEnded{Node: offer.Node, Attempt: offer.Attempt, End: endAttempt, Reason: flaxshelf.Evicted})
 }
 
 func (s *simulation) advance(d time.Duration) {
@@ -260,7 +262,7 @@
 		s.t.Fatalf("at %v the next step is at %v, want between now and the stall threshold", s.now, s.nextStep)
 	}
 	for _, effect := range out.Effects {
-		s.check(effect)
+		s.checkEffect(effect)
 	}
 	s.checkCounts()
 }
@@ -290,7 +292,7 @@
 	return b.String()
 }
 
-func (s *simulation) check(effect Effect) {
+func (s *simulation) checkEffect(effect Effect) {
 	switch effect := effect.(type) {
 	case SyncDiscovery:
 		s.syncToken, s.syncedAt = effect.Token, s.now
--- a/internal/scheduler/query.go
+++ b/internal/scheduler/query.go
@@ -14,7 +14,7 @@
 		if limit <= 0 {
 			limit = defaultQueryLimit
 		}
-		c.answer(in.RequestID, Answer{Jobs: c.page(in.Session, in.AfterID, limit)})
+		c.answer(in.RequestID, Answer{Jobs: c.listJobs(in.Session, in.AfterID, limit)})
 		return
 	}
 	if array := c.arrays[in.Job]; array != nil {
@@ -26,9 +26,9 @@
 	}
 }
 
-// page returns at most limit jobs of a session with IDs above after, ordered by ID. An empty session means all jobs.
-func (c *Core) page(session, after string, limit int) []JobInfo {
-	found := c.jobsWhere(func(job *job) bool { return job.id > after && job.inSession(session) })
+// listJobs returns at most limit jobs of a session with IDs above after, ordered by ID. An empty session means all jobs.
+func (c *Core) listJobs(session, after string, limit int) []JobInfo {
+	found := c.filterJobs(func(job *job) bool { return job.id > after && job.inSession(session) })
 	slices.SortFunc(found, func(a, b *job) int { return cmp.Compare(a.id, b.id) })
 	found = found[:min(limit, len(found))]
 	infos := make([]JobInfo, len(found))
@@ -38,8 +38,8 @@
 	return infos
 }
 
-// jobsWhere returns the jobs that match, in no particular order. A job with aliases is returned once.
-func (c *Core) jobsWhere(match func(*job) bool) []*job {
+// filterJobs returns the jobs that match, in no particular order. A job with aliases is returned once.
+func (c *Core) filterJobs(match func(*job) bool) []*job {
 	var found []*job
 	for id, job := range c.jobs {
 		if id == job.id && match(job) {
@@ -50,13 +50,13 @@
 }
 
 func (in Machines) apply(c *Core) {
-	all := make([]MachineInfo, len(c.nodesByName))
-	for i, node := range c.nodesByName {
+	all := make([]MachineInfo, len(c.sortedNodes))
+	for i, node := range c.sortedNodes {
 		all[i] = MachineInfo{Machine: node.machine, Connected: node.connected, Jobs: len(node.attempts)}
 	}
 	c.answer(in.RequestID, Answer{Machines: all})
 }
 
-func (c *Core) rejectUnknownJob(req uint64, id string) {
-	c.reject(req, InvalidArgument, 0, "no job %q", id)
+func (c *Core) rejectUnknownJob(requestID uint64, id string) {
+	c.reject(requestID, InvalidArgument, 0, "no job %q", id)
 }
--- a/internal/scheduler/recovery.go
+++ b/internal/scheduler/recovery.go
@@ -8,7 +8,7 @@
 	active       bool
 	listReceived bool // a complete endpoint list, from which the nodes that must report are known
 	deadline     Time // after which nodes that have not reported are ignored
-	waiting      []*job
+	waitingJobs  []*job
 }
 
 // mustAwaitRecovery reports whether a job must wait for the recovery. The first submission of idempotent work need not,
@@ -41,13 +41,13 @@
 	if !allReported && c.now < c.recovery.deadline {
 		return
 	}
-	c.recovery.waiting = c.submitRecovered(allReported)
-	c.recovery.active = len(c.recovery.waiting) > 0
+	c.recovery.waitingJobs = c.submitWaitingJobs(allReported)
+	c.recovery.active = len(c.recovery.waitingJobs) > 0
 }
 
 func (c *Core) allNodesReported() bool {
-	for _, node := range c.nodesByName {
-		if !node.reconciled && !node.removed() {
+	for _, node := range c.sortedNodes {
+		if !node.hasReported && !node.removed() {
 			return false
 		}
 	}
@@ -55,12 +55,12 @@
 }
 
 // submitRecovered submits the waiting jobs to the module and returns those that must wait longer.
-func (c *Core) submitRecovered(allReported bool) []*job {
+func (c *Core) submitWaitingJobs(allReported bool) []*job {
 	var stillWaiting []*job
-	for _, job := range c.recovery.waiting {
+	for _, job := range c.recovery.waitingJobs {
 		switch {
 		case job.subState != SubStateRecovering: // it was found running, held or ended meanwhile
-		case !allReported && job.spec.Retry && c.atMostOnce(job):
+		case !allReported && job.spec.Retry && c.runsAtMostOnce(job):
 			stillWaiting = append(stillWaiting, job)
 		default:
 			c.submitToModule(job)
--- a/internal/scheduler/script_input_test.go
+++ b/internal/scheduler/script_input_test.go
@@ -13,17 +13,17 @@
 // scriptLine is one input of a script: a command, arguments and options, such as `submit unsafe key=k`,
 // `list n1 n2:draining` or `up n1 started=3s running=ATTEMPT`.
 type scriptLine struct {
-	t       *testing.T
-	text    string
-	command string
-	req     uint64
-	args    []string
-	options map[string]string
+	t         *testing.T
+	text      string
+	command   string
+	requestID uint64
+	args      []string
+	options   map[string]string
 }
 
-// scriptInputs has the parser of each command.
-var scriptInputs = map[string]func(*scriptLine) Input{
-	"submit":           func(l *scriptLine) Input { return Submit{RequestID: l.req, Spec: l.spec(l.arg(0))} },
+// inputParsers has the parser of each command.
+var inputParsers = map[string]func(*scriptLine) Input{
+	"submit":           func(l *scriptLine) Input { return Submit{RequestID: l.requestID, Spec: l.spec(l.argument(0))} },
 	"array":            parseArray,
 	"hold":             parseCommand,
 	"release":          parseCommand,
@@ -31,29 +31,29 @@
 	"reap":             parseCommand,
 	"query":            parseQuery,
 	"session":          parseSessionCommand,
-	"machines":         func(l *scriptLine) Input { return Machines{RequestID: l.req} },
+	"machines":         func(l *scriptLine) Input { return Machines{RequestID: l.requestID} },
 	"watch":            parseWatch,
-	"unwatch":          func(l *scriptLine) Input { return Unwatch{Stream: l.number(0)} },
-	"list":             func(l *scriptLine) Input { return l.nodes(true) },
-	"change":           func(l *scriptLine) Input { return l.nodes(false) },
+	"unwatch":          func(l *scriptLine) Input { return Unwatch{Stream: l.numericArgument(0)} },
+	"list":             func(l *scriptLine) Input { return l.nodesUpdated(true) },
+	"change":           func(l *scriptLine) Input { return l.nodesUpdated(false) },
 	"discovery-failed": func(*scriptLine) Input { return DiscoveryFailed{} },
-	"discovery-synced": func(l *scriptLine) Input { return DiscoverySynced{Token: l.number(0)} },
-	"node-synced":      func(l *scriptLine) Input { return NodeSynced{Node: l.arg(0), Token: l.number(1)} },
+	"discovery-synced": func(l *scriptLine) Input { return DiscoverySynced{Token: l.numericArgument(0)} },
+	"node-synced":      func(l *scriptLine) Input { return NodeSynced{Node: l.argument(0), Token: l.numericArgument(1)} },
 	"up":               parseNodeUp,
-	"down":             func(l *scriptLine) Input { return NodeDisconnected{Node: l.arg(0)} },
-	"accept":           func(l *scriptLine) Input { return AttemptAccepted{Node: l.arg(0), Attempt: l.arg(1)} },
+	"down":             func(l *scriptLine) Input { return NodeDisconnected{Node: l.argument(0)} },
+	"accept":           func(l *scriptLine) Input { return AttemptAccepted{Node: l.argument(0), Attempt: l.argument(1)} },
 	"reject":           parseRejected,
 	"fail":             parseFailed,
-	"started":          func(l *scriptLine) Input { return AttemptStarted{Node: l.arg(0), Attempt: l.arg(1)} },
-	"send-failed":      func(l *scriptLine) Input { return SendFailed{Node: l.arg(0), Attempt: l.arg(1)} },
+	"started":          func(l *scriptLine) Input { return AttemptStarted{Node: l.argument(0), Attempt: l.argument(1)} },
+	"send-failed":      func(l *scriptLine) Input { return SendFailed{Node: l.argument(0), Attempt: l.argument(1)} },
 	"ended":            parseEnded,
 	"drain":            func(*scriptLine) Input { return Drain{} },
 }
 
-func parseInput(t *testing.T, text string, req uint64) Input {
+func parseInput(t *testing.T, text string, requestID uint64) Input {
 	t.Helper()
 	words := strings.Fields(text)
-	line := &scriptLine{t: t, text: text, command: words[0], req: req, options: map[string]string{}}
+	line := &scriptLine{t: t, text: text, command: words[0], requestID: requestID, options: map[string]string{}}
 	for _, word := range words[1:] {
 		if name, value, ok := strings.Cut(word, "="); ok {
 			line.options[name] = value
@@ -61,14 +61,14 @@
 			line.args = append(line.args, word)
 		}
 	}
-	parse := scriptInputs[line.command]
+	parse := inputParsers[line.command]
 	if parse == nil {
 		t.Fatalf("no input %q", text)
 	}
 	return parse(line)
 }
 
-func (l *scriptLine) arg(i int) string {
+func (l *scriptLine) argument(i int) string {
 	l.t.Helper()
 	if i >= len(l.args) {
 		l.t.Fatalf("%q: argument %d is missing", l.text, i+1)
@@ -76,9 +76,9 @@
 	return l.args[i]
 }
 
-func (l *scriptLine) number(i int) uint64 {
+func (l *scriptLine) numericArgument(i int) uint64 {
 	l.t.Helper()
-	n, err := strconv.ParseUint(l.arg(i), 10, 64)
+	n, err := strconv.ParseUint(l.argument(i), 10, 64)
 	if err != nil {
 		l.t.Fatalf("%q: %v", l.text, err)
 	}
@@ -124,32 +124,32 @@
 }
 
 func parseArray(l *scriptLine) Input {
-	submit := Submit{RequestID: l.req, Spec: l.spec(l.arg(0)), MaxParallel: l.intOption("parallel")}
-	for i := range parseInt(l.t, l.arg(1)) {
+	submit := Submit{RequestID: l.requestID, Spec: l.spec(l.argument(0)), MaxParallel: l.intOption("parallel")}
+	for i := range parseInt(l.t, l.argument(1)) {
 		submit.Indexes = append(submit.Indexes, i+1)
 	}
 	return submit
 }
 
 func parseCommand(l *scriptLine) Input {
-	return Command{RequestID: l.req, Verb: Verb(l.command), Job: l.arg(0)}
+	return Command{RequestID: l.requestID, Verb: Verb(l.command), Job: l.argument(0)}
 }
 
 func parseQuery(l *scriptLine) Input {
-	return Query{RequestID: l.req, Job: l.options["job"], Session: l.options["session"]}
+	return Query{RequestID: l.requestID, Job: l.options["job"], Session: l.options["session"]}
 }
 
 func parseSessionCommand(l *scriptLine) Input {
-	return SessionCommand{RequestID: l.req, Verb: Verb(l.arg(0)), Name: l.options["name"]}
+	return SessionCommand{RequestID: l.requestID, Verb: Verb(l.argument(0)), Name: l.options["name"]}
 }
 
 func parseWatch(l *scriptLine) Input {
-	return Watch{RequestID: l.req, Stream: l.req, Job: l.options["job"], Session: l.options["session"]}
+	return Watch{RequestID: l.requestID, Stream: l.requestID, Job: l.options["job"], Session: l.options["session"]}
 }
 
-// nodes reads names with states: n1, n2:draining, n3:out, or n4:3s for the start time. The zone of n1 and n2 is a, that of
+// nodesUpdated reads names with states: n1, n2:draining, n3:out, or n4:3s for the start time. The zone of n1 and n2 is a, that of
 // all others b.
-func (l *scriptLine) nodes(complete bool) NodesUpdated {
+func (l *scriptLine) nodesUpdated(complete bool) NodesUpdated {
 	l.t.Helper()
 	update := NodesUpdated{Complete: complete}
 	for _, arg := range l.args {
@@ -175,7 +175,7 @@
 
 // parseNodeUp reads running=ATTEMPT,ATTEMPT+, where + marks an attempt that has been started, and ended=ATTEMPT,ATTEMPT.
 func parseNodeUp(l *scriptLine) Input {
-	up := NodeConnected{Node: l.arg(0), MayBeWarmingUp: l.options["may-be-cold"] != "", StartedAt: l.timeOption("started")}
+	up := NodeConnected{Node: l.argument(0), MayBeWarmingUp: l.options["may-be-cold"] != "", StartedAt: l.timeOption("started")}
 	for _, reported := range l.listOption("running") {
 		id, running := strings.CutSuffix(reported, "+")
 		parts := strings.Split(id, "/")
@@ -194,16 +194,16 @@
 }
 
 func parseRejected(l *scriptLine) Input {
-	return AttemptRejected{Node: l.arg(0), Attempt: l.arg(1), Reason: flaxshelf.InsufficientCores}
+	return AttemptRejected{Node: l.argument(0), Attempt: l.argument(1), Reason: flaxshelf.InsufficientCores}
 }
 
 func parseFailed(l *scriptLine) Input {
-	return AttemptFailed{Node: l.arg(0), Attempt: l.arg(1), Message: "the start failed"}
+	return AttemptFailed{Node: l.argument(0), Attempt: l.argument(1), Message: "the start failed"}
 }
 
 // parseEnded reads how=END. Without it the attempt has completed, with exit=STATUS.
 func parseEnded(l *scriptLine) Input {
-	ended := AttemptEnded{Node: l.arg(0), Attempt: l.arg(1), ExitStatus: l.intOption("exit")}
+	ended := AttemptEnded{Node: l.argument(0), Attempt: l.argument(1), ExitStatus: l.intOption("exit")}
 	switch how := l.options["how"]; how {
 	case "":
 	case "evicted":
--- a/internal/scheduler/script_output_test.go
+++ b/internal/scheduler/script_output_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// effectText formats an effect for a transcript. It returns "" for a published change, unless all is set.
-func effectText(effect Effect, all bool) string {
+// effectText formats an effect for a transcript. It returns "" for a published change, unless printChanges is set.
+func effectText(effect Effect, printChanges bool) string {
 	switch effect := effect.(type) {
 	case Connect:
 		return "connect " + effect.Node
@@ -20,7 +20,7 @@
 	case Answer:
 		return answerText(effect)
 	case Publish:
-		return publishText(effect, all)
+		return publishText(effect, printChanges)
 	case LogOutcome:
 		return outcomeText(effect.Job)
 	case Drained:
@@ -69,8 +69,8 @@
 	return b.String()
 }
 
-func publishText(publish Publish, all bool) string {
-	if !all {
+func publishText(publish Publish, printChanges bool) string {
+	if !printChanges {
 		return ""
 	}
 	info := publish.Job
--- a/internal/scheduler/script_test.go
+++ b/internal/scheduler/script_test.go
@@ -30,10 +30,10 @@
 }
 
 type scriptRunner struct {
-	core *Core
-	now  Time
-	next Time   // of the next step
-	req  uint64 // of the last input
+	core          *Core
+	now           Time
+	nextStep      Time   // of the next step
+	lastRequestID uint64 // of the last input
 }
 
 // newCore creates a core. max-pending=N sets the limit of pending jobs, started-at=TIME starts a later incarnation, and
@@ -51,7 +51,7 @@
 			cfg.Module.PlacedWhenRunning = true
 		}
 	}
-	s.core, s.next, s.req = newTestCore(t, cfg), 0, 0
+	s.core, s.nextStep, s.lastRequestID = newTestCore(t, cfg), 0, 0
 	s.now = max(s.now, cfg.StartedAt)
 	return ""
 }
@@ -60,37 +60,37 @@
 func (s *scriptRunner) step(t *testing.T, data *datadriven.TestData) string {
 	t.Helper()
 	var at Time
-	stall, all := false, false
+	stall, printChanges := false, false
 	for _, arg := range data.CmdArgs {
 		switch arg.Key {
 		case "stall":
 			stall = true
 		case "all":
-			all = true
+			printChanges = true
 		default:
 			at = parseTime(t, arg.Key)
 		}
 	}
 	var b strings.Builder
-	for !stall && s.next > 0 && s.next < at && s.core.lastStepAt > 0 {
-		s.print(&b, s.next, s.core.Step(s.next, nil), all)
+	for !stall && s.nextStep > 0 && s.nextStep < at && s.core.lastStepAt > 0 {
+		s.print(&b, s.nextStep, s.core.Step(s.nextStep, nil), printChanges)
 	}
 	var inputs []Input
 	for _, line := range strings.Split(data.Input, "\n") {
 		if line = strings.TrimSpace(line); line != "" {
-			s.req++
-			inputs = append(inputs, parseInput(t, line, s.req))
+			s.lastRequestID++
+			inputs = append(inputs, parseInput(t, line, s.lastRequestID))
 		}
 	}
-	s.print(&b, at, s.core.Step(at, inputs), all)
+	s.print(&b, at, s.core.Step(at, inputs), printChanges)
 	return b.String()
 }
 
 // print prints the effects of a step with its time.
-func (s *scriptRunner) print(b *strings.Builder, at Time, out Output, all bool) {
-	s.now, s.next = at, max(out.NextStep, at+time.Millisecond)
+func (s *scriptRunner) print(b *strings.Builder, at Time, out Output, printChanges bool) {
+	s.now, s.nextStep = at, max(out.NextStep, at+time.Millisecond)
 	for _, effect := range out.Effects {
-		if line := effectText(effect, all); line != "" {
+		if line := effectText(effect, printChanges); line != "" {
 			fmt.Fprintf(b, "%v %s\n", at, line)
 		}
 	}
--- a/internal/scheduler/stall.go
+++ b/internal/scheduler/stall.go
@@ -35,7 +35,7 @@
 }
 
 // nodeLost stops waiting for a node: nothing more can be read from a closed connection.
-func (b *syncBarrier) nodeLost(node string) { delete(b.pendingNodes, node) }
+func (b *syncBarrier) nodeDisconnected(node string) { delete(b.pendingNodes, node) }
 
 func (in DiscoverySynced) apply(c *Core) {
 	if in.Token == c.barrier.token {
@@ -76,8 +76,8 @@
 		deadline:         c.now + c.syncTimeout(),
 	}
 	c.emit(SyncDiscovery{c.barrier.token})
-	for _, node := range c.nodesByName {
-		if node.connected && node.hasUnresolvedAttempts() {
+	for _, node := range c.sortedNodes {
+		if node.connected && node.hasUnansweredOffer() {
 			c.barrier.pendingNodes[node.machine.ID] = true
 			c.emit(SyncNode{node.machine.ID, c.barrier.token})
 		}
--- a/internal/scheduler/submission.go
+++ b/internal/scheduler/submission.go
@@ -117,7 +117,7 @@
 	}
 	if job.onHold() {
 		job.receivedAt = 0
-		c.changed(job)
+		c.publishChange(job)
 		return
 	}
 	c.placeWhenReady(job)
@@ -130,13 +130,13 @@
 	case job.spec.NotBefore > c.now:
 		job.receivedAt = 0
 		c.delay(job, SubStateStartTime, job.spec.NotBefore, c.submitToModule)
-	case job.request > 0 && c.earliestResubmission(job) > c.now:
+	case job.requestNumber > 0 && c.earliestResubmission(job) > c.now:
 		c.delay(job, SubStateBackoff, c.earliestResubmission(job), c.placeWhenReady)
 	case c.mustAwaitRecovery(job):
 		job.subState = SubStateRecovering
 		c.openPlacementRequest(job)
-		c.recovery.waiting = append(c.recovery.waiting, job)
-		c.changed(job)
+		c.recovery.waitingJobs = append(c.recovery.waitingJobs, job)
+		c.publishChange(job)
 	default:
 		c.submitToModule(job)
 	}
@@ -145,7 +145,7 @@
 // delay sets a waiting sub-state, and calls proceed at the given time if the job is still in that sub-state.
 func (c *Core) delay(job *job, subState string, until Time, proceed func(*job)) {
 	job.subState = subState
-	c.changed(job)
+	c.publishChange(job)
 	job.delayTimer = c.timers.Schedule(until, func() {
 		if !job.state.Ended() && job.subState == subState {
 			proceed(job)
--- a/internal/scheduler/watch.go
+++ b/internal/scheduler/watch.go
@@ -13,9 +13,9 @@
 
 // The prefixes of topics. The topic of the empty session is that of all jobs.
 const (
-	jobTopic     = "j:"
-	arrayTopic   = "a:"
-	sessionTopic = "s:"
+	jobTopicPrefix     = "j:"
+	arrayTopicPrefix   = "a:"
+	sessionTopicPrefix = "s:"
 )
 
 func newWatches() watches {
@@ -62,10 +62,10 @@
 // watchedJobs returns the topic of a watch and the jobs that it has now.
 func (c *Core) watchedJobs(in Watch) (topic string, jobs []*job, err *Error) {
 	if watched := c.jobs[in.Job]; watched != nil {
-		return jobTopic + watched.id, []*job{watched}, nil
+		return jobTopicPrefix + watched.id, []*job{watched}, nil
 	}
 	if array := c.arrays[in.Job]; array != nil {
-		return arrayTopic + in.Job, slices.Clone(array.jobs), nil
+		return arrayTopicPrefix + in.Job, slices.Clone(array.jobs), nil
 	}
 	if in.Job != "" {
 		return "", nil, newError(InvalidArgument, 0, "no job %q", in.Job)
@@ -73,23 +73,23 @@
 	if in.Session != "" && !c.sessions[in.Session] {
 		return "", nil, newError(InvalidSession, 0, "no job session %q", in.Session)
 	}
-	found := c.jobsWhere(func(job *job) bool { return job.inSession(in.Session) })
-	return sessionTopic + in.Session, found, nil
+	found := c.filterJobs(func(job *job) bool { return job.inSession(in.Session) })
+	return sessionTopicPrefix + in.Session, found, nil
 }
 
 func (in Unwatch) apply(c *Core) { c.watches.remove(in.Stream) }
 
-// changed assigns the next revision to a job and publishes it to the streams of its topics.
-func (c *Core) changed(job *job) {
+// publishChange assigns the next revision to a job and publishes it to the streams of its topics.
+func (c *Core) publishChange(job *job) {
 	c.lastRevision++
 	job.revision = c.lastRevision
-	c.publish(jobTopic+job.id, job)
+	c.publish(jobTopicPrefix+job.id, job)
 	if job.array != nil {
-		c.publish(arrayTopic+job.array.id, job)
+		c.publish(arrayTopicPrefix+job.array.id, job)
 	}
-	c.publish(sessionTopic, job)
+	c.publish(sessionTopicPrefix, job)
 	if job.spec.Session != "" {
-		c.publish(sessionTopic+job.spec.Session, job)
+		c.publish(sessionTopicPrefix+job.spec.Session, job)
 	}
 }
 
