--- a/internal/scheduler/command.go
+++ b/internal/scheduler/command.go
@@ -2,7 +2,7 @@
 
 import "flaxshelf.example/flaxshelf"
 
-// apply executes a command on a job, or on each job of an array.
+// apply executes a command on a job or on each job of an array.
 func (in Command) apply(c *Core) {
 	if array := c.arrays[in.Job]; array != nil {
 		for _, job := range array.jobs {
@@ -30,11 +30,11 @@
 	case Reap:
 		c.handleReap(requestID, job)
 	default:
-		c.reject(requestID, InvalidArgument, 0, "no command %q", verb)
+		c.reject(requestID, InvalidArgument, 0, "unknown command %q", verb)
 	}
 }
 
-// rejectVerb rejects a command that is not allowed in the job's state.
+// rejectInState rejects a command that is not allowed in the job's state.
 func (c *Core) rejectInState(requestID uint64, verb Verb, job *job) {
 	c.reject(requestID, InvalidState, 0, "job %s is %s, which %s does not apply to", job.id, job.state, verb)
 }
@@ -47,7 +47,7 @@
 		c.rejectInState(requestID, Hold, job)
 	case job.attempt != nil:
 		c.holdOfferedJob(requestID, job)
-	case c.mayHaveRun(job): // the module decides its outcome shortly
+	case c.mayHaveRun(job): // its placement request is still open; the module decides on it shortly
 		c.reject(requestID, InvalidState, 0, "job %s may have run and can't be held", job.id)
 	default:
 		c.holdJob(job)
@@ -82,8 +82,8 @@
 	c.removeJob(job)
 }
 
-// holdOffered holds a job that is offered to a node, unless the node accepts the offer. The module is notified at once that
-// the task is canceled, so that it makes no further offer.
+// holdOfferedJob stops the offer of a job and holds the job, unless the node accepts the offer first. The module is notified
+// at once that the task is canceled, so that it makes no further offer.
 func (c *Core) holdOfferedJob(requestID uint64, job *job) {
 	offer := job.attempt
 	if offer.phase >= phaseAccepted || job.holdPending {
@@ -96,13 +96,13 @@
 	c.whenNotAccepted(offer, func() { c.completeHold(job) })
 }
 
-// completeHold holds a job whose offer has ended without being accepted.
+// completeHold holds a job whose offer has ended without being accepted, and answers the hold.
 func (c *Core) completeHold(job *job) {
 	if !job.holdPending || job.state.Ended() {
 		return
 	}
-	// A report of a failed start may cross the stop. A hold and a release would open a new placement request, in which the
-	// module does not know the attempts of the former one.
+	// The node's report of a failed start may cross the stop, and the failed attempt may have run. If the job were held and
+	// released, the module would not know that attempt in the new placement request and might start the work again.
 	if c.mayHaveRun(job) {
 		c.failPlacementRequest(job, OutcomeFailed, "an attempt may have run before it could be held")
 		return
@@ -112,8 +112,8 @@
 	c.answerJob(job.pendingHoldRequestID, job)
 }
 
-// whenUnplaced calls done when an offer has ended without being accepted. It does not call done if the offer is accepted.
-// It polls until the attempt ends, which is at its timeout or earlier.
+// whenNotAccepted calls done when an offer has ended without being accepted, and never if the offer is accepted. It polls
+// the attempt, which is accepted or ends by its timeout at the latest.
 func (c *Core) whenNotAccepted(offer *attempt, done func()) {
 	if offer.phase == phaseEnded {
 		done()
@@ -153,7 +153,7 @@
 	c.placeWhenReady(job)
 }
 
-// terminateJob ends a job: at once if it waits, or else after its attempt has stopped.
+// terminateJob ends a job: at once if no offer was sent, otherwise when its attempt has ended.
 func (c *Core) terminateJob(job *job) {
 	if job.state.Ended() || job.stopping {
 		return
--- a/internal/scheduler/display_names.go
+++ b/internal/scheduler/display_names.go
@@ -1,7 +1,7 @@
 package scheduler
 
-// The client protocol and stored data fix the values of some outcomes and sub-states, which docs/drmaa.md lists. Logs,
-// metrics and texts for people use the terms below instead.
+// Some outcomes and sub-states have older values in the client protocol and in stored data, where they must not change;
+// docs/drmaa.md lists them. Logs, metrics and texts for people use the names below instead.
 var (
 	outcomeDisplayNames = map[PlacementOutcome]string{
 		OutcomeRejected: "rejected",
@@ -16,7 +16,7 @@
 	}
 )
 
-// DisplayName returns the name of the outcome for logs, metrics and texts.
+// DisplayName returns the name of the outcome in logs, metrics and texts for people.
 func (o PlacementOutcome) DisplayName() string {
 	if term, ok := outcomeDisplayNames[o]; ok {
 		return term
@@ -24,7 +24,7 @@
 	return string(o)
 }
 
-// SubStateDisplayName returns the name of a sub-state for logs, metrics and texts.
+// SubStateDisplayName returns the name of a sub-state in logs, metrics and texts for people.
 func SubStateDisplayName(subState string) string {
 	if term, ok := subStateDisplayNames[subState]; ok {
 		return term
--- a/internal/scheduler/query.go
+++ b/internal/scheduler/query.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// defaultQueryLimit is the limit of a query without one.
+// defaultQueryLimit is the limit of a query that does not specify one.
 const defaultQueryLimit = 1000
 
 func (in Query) apply(c *Core) {
--- a/internal/scheduler/session.go
+++ b/internal/scheduler/session.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// apply executes a command on DRMAA job sessions, which are names that group jobs.
+// apply executes a command on DRMAA job sessions. A session is a name that groups jobs.
 func (in SessionCommand) apply(c *Core) {
 	exists := c.sessions[in.Name]
 	switch {
@@ -20,7 +20,7 @@
 		c.answer(in.RequestID, Answer{Sessions: []string{in.Name}})
 	case !exists:
 		c.reject(in.RequestID, InvalidArgument, 0, "no job session %q", in.Name)
-	case in.Verb == DestroySession: // its jobs continue, see section 8.4 of GFD.194
+	case in.Verb == DestroySession: // its jobs continue; see section 8.4 of GFD.194
 		delete(c.sessions, in.Name)
 		c.answer(in.RequestID, Answer{})
 	default:
@@ -28,7 +28,7 @@
 	}
 }
 
-// sessionNames returns the names of the job sessions, sorted. It is never nil, so that it is encoded as a list.
+// sessionNames returns the names of the job sessions, sorted. The result is never nil, so that it is encoded as a list.
 func (c *Core) sessionNames() []string {
 	names := slices.AppendSeq(make([]string, 0, len(c.sessions)), maps.Keys(c.sessions))
 	slices.Sort(names)
--- a/internal/scheduler/watch.go
+++ b/internal/scheduler/watch.go
@@ -5,13 +5,14 @@
 	"slices"
 )
 
-// watches maps streams to topics. A stream has one topic, which is a job, an array or a session.
+// watches records which streams receive the changes of which topic. A topic is a job, an array or a session, and a stream
+// has one topic.
 type watches struct {
-	streams map[string][]uint64 // by topic, in the order of their subscription
+	streams map[string][]uint64 // by topic, in the order of the subscriptions
 	topics  map[uint64]string   // by stream
 }
 
-// The prefixes of topics. The topic of the empty session is that of all jobs.
+// The prefixes of topics, followed by the ID or the session's name. The topic of the empty session includes all jobs.
 const (
 	jobTopicPrefix     = "j:"
 	arrayTopicPrefix   = "a:"
@@ -42,7 +43,7 @@
 	}
 }
 
-// apply starts a stream and publishes the jobs of its topic that have changed since in.SinceRevision, oldest change first.
+// apply starts a watch and publishes the jobs of its topic that have changed after in.SinceRevision, oldest change first.
 func (in Watch) apply(c *Core) {
 	topic, found, err := c.watchedJobs(in)
 	if err != nil {
@@ -59,7 +60,7 @@
 	}
 }
 
-// watchedJobs returns the topic of a watch and the jobs that it has now.
+// watchedJobs returns the topic of a watch and its current jobs.
 func (c *Core) watchedJobs(in Watch) (topic string, jobs []*job, err *Error) {
 	if watched := c.jobs[in.Job]; watched != nil {
 		return jobTopicPrefix + watched.id, []*job{watched}, nil
@@ -79,7 +80,7 @@
 
 func (in Unwatch) apply(c *Core) { c.watches.remove(in.Stream) }
 
-// publishChange assigns the next revision to a job and publishes it to the streams of its topics.
+// publishChange assigns the next revision to a changed job and publishes it to the streams of its topics.
 func (c *Core) publishChange(job *job) {
 	c.lastRevision++
 	job.revision = c.lastRevision
