--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -8,24 +8,25 @@
 	"flaxshelf.example/flaxshelf/internal/timerqueue"
 )
 
-// The delay of the next placement request of a job whose attempt was lost is initialBackoff, doubled with each further
-// loss up to maxBackoff. It starts at evictedBackoff after an eviction or a preemption, which indicate a lack of capacity.
+// A job whose attempt was lost waits before its next placement request. The delay is initialBackoff, or
+// initialEvictionBackoff after an eviction or a preemption, which indicate a lack of capacity. It doubles with each level
+// of the job's backoff, up to maxBackoff.
 const (
 	initialBackoff         = 200 * time.Millisecond
 	initialEvictionBackoff = time.Second
 	maxBackoff             = 30 * time.Second
 
-	maxBackoffDoublings  = 8 // more would only exceed maxBackoff further
-	backoffLevelsPerLoss = 2 // added by a loss; a placement subtracts one
+	maxBackoffDoublings  = 8 // the limit for the shift; the result exceeds maxBackoff already
+	backoffLevelsPerLoss = 2 // a loss adds this many levels, a placement subtracts one
 )
 
-// terminatedReason is the reason of a job that was terminated by its owner.
+// terminatedReason is the reason that a terminated job shows.
 const terminatedReason = "terminated by its owner"
 
-// job is the state of one job.
+// job is the core's state of a job.
 type job struct {
 	id       string
-	aliases  []string // IDs of the same work in former incarnations
+	aliases  []string // IDs that former incarnations gave to the same work
 	spec     *JobSpec
 	state    JobState
 	subState string
@@ -39,39 +40,39 @@
 	submittedAt Time
 	startedAt   Time
 	finishedAt  Time
-	receivedAt  Time // of a submission whose placement request has not been opened; zero otherwise
+	receivedAt  Time // when the submission was received; zero once a placement request was opened or delayed
 
-	// The placement request.
-	requestNumber           int    // its number, counted from 1
-	assignedTaskID          string // see taskID
+	// The last placement request.
+	requestNumber           int    // its number, counted from 1; zero before the first
+	assignedTaskID          string // the module's ID for it; empty until taskID derives it
 	requestOpen             bool   // it has no outcome yet
 	requestedAt             Time
 	placementDeadline       Time
 	placementTimer          *timerqueue.Timer
 	attemptCount            int
-	attempt                 *attempt // that has not ended; nil for none
+	attempt                 *attempt // the attempt that has not ended; nil for none
 	outcome                 PlacementOutcome
-	uncertainAttemptEndedAt Time // when an attempt that may have run last ended; zero means never
-	uncertainRequest        int  // the last placement request with such an attempt
+	uncertainAttemptEndedAt Time // end of the last attempt that may have run without being placed; zero for none
+	uncertainRequest        int  // number of the last placement request with such an attempt
 
-	// Commands that await a node.
-	stopping             bool // the job ends when its attempt has ended
-	migrating            bool // the attempt is stopped to run elsewhere
-	holdPending          bool // the job is held if its attempt ends without being accepted
+	// Commands that wait for a node.
+	stopping             bool // it was terminated and ends when its attempt has ended
+	migrating            bool // its attempt is being stopped so that it can run on another node
+	holdPending          bool // it is held if its offer ends without being accepted
 	pendingHoldRequestID uint64
 
 	exitStatus    int
 	backoffLevel  int
-	deadlineTimer *timerqueue.Timer // at which the job is terminated
-	delayTimer    *timerqueue.Timer // for its start time or backoff
+	deadlineTimer *timerqueue.Timer // terminates the job
+	delayTimer    *timerqueue.Timer // ends the wait for the start time or the backoff
 }
 
 func (j *job) onHold() bool { return j.state == QueuedHeld || j.state == RequeuedHeld }
 
-// inSession reports whether the job belongs to a session. Every job belongs to the empty session.
+// inSession reports whether the job belongs to the session. An empty session includes every job.
 func (j *job) inSession(session string) bool { return session == "" || j.spec.Session == session }
 
-// endedUnplaced reports whether the job failed because its last placement request did.
+// endedUnplaced reports whether the job ended without being placed by its last placement request.
 func (j *job) endedUnplaced() bool {
 	if j.state != Failed {
 		return false
@@ -79,7 +80,7 @@
 	return j.outcome == OutcomeRejected || j.outcome == OutcomeFailed || j.outcome == OutcomeCanceled
 }
 
-// taskID returns the module's ID of the current placement request.
+// taskID returns the module's ID of the last placement request.
 func (j *job) taskID() string {
 	if j.assignedTaskID == "" {
 		j.assignedTaskID = j.id + "#" + strconv.Itoa(j.requestNumber)
@@ -113,8 +114,8 @@
 	return info
 }
 
-// knownClass reports whether the configuration has a class of that index. A node may run work of a class that has been
-// removed from it.
+// knownClass reports whether the configuration has a class of that index. A node may report an attempt of a class that has
+// been removed from the configuration.
 func (c *Core) knownClass(class int) bool { return class >= 0 && class < len(c.cfg.Module.Classes) }
 
 func (c *Core) classOf(job *job) *flaxshelf.TaskClass { return &c.cfg.Module.Classes[job.spec.Class] }
@@ -127,16 +128,16 @@
 	return c.classOf(job).Idempotency == flaxshelf.NonIdempotent
 }
 
-// outcomeUnknown reports whether an attempt of the open placement request may have run, so that the work must not start
-// in another request.
+// mayHaveRun reports whether an attempt of the open placement request may have run, so that the job must not start in
+// another request.
 func (c *Core) mayHaveRun(job *job) bool {
 	return job.requestOpen && job.uncertainRequest == job.requestNumber && !c.isIdempotent(job)
 }
 
 // earliestResubmission returns when the next placement request of a job may be opened. Zero means at any time, as for
-// idempotent classes. Until then an attempt of a former request, which the module does not know, may still run. Otherwise
-// a job that is idempotent by key, was placed after an attempt without a reply and soon lost its node, could start in
-// another key domain while the attempt without a reply runs.
+// idempotent classes. Until then an attempt of a former request may still run, and the module does not know it in the next
+// request. Without this delay, a job that is idempotent by key could start in a second key domain: its first attempt gets
+// no reply but runs, its second one is placed and soon loses its node, and the next request ignores the first.
 func (c *Core) earliestResubmission(job *job) Time {
 	if job.uncertainAttemptEndedAt == 0 || c.isIdempotent(job) {
 		return 0
@@ -144,7 +145,7 @@
 	return job.uncertainAttemptEndedAt + c.cfg.Limits.SettleTime
 }
 
-// continueAfterAttempt finishes or requeues a job whose accepted attempt has ended.
+// finishOrRequeue finishes or requeues a job whose accepted attempt has ended.
 func (c *Core) finishOrRequeue(job *job, end attemptEnd) {
 	migrating := job.migrating
 	job.migrating = false
@@ -177,14 +178,14 @@
 	return SubStateLost
 }
 
-// requeue opens another placement request, after a backoff, for a job whose attempt was lost.
+// requeue opens a new placement request, after a backoff, for a job whose attempt was lost or migrates.
 func (c *Core) requeue(job *job, reason flaxshelf.Reason) {
 	wait := max(backoff(job.backoffLevel, reason), c.earliestResubmission(job)-c.now)
 	job.backoffLevel += backoffLevelsPerLoss
 	job.state, job.subState = Requeued, SubStateBackoff
 	job.reason = "it was " + SubStateDisplayName(lostSubState(reason)) + " on " + job.nodeID
 	job.nodeID = ""
-	if job.requestOpen { // accepted but not running, with Config.PlacedWhenRunning
+	if job.requestOpen { // accepted but not started, with Config.Module.PlacedWhenRunning
 		c.notifyModule(flaxshelf.TaskCanceled{Task: job.taskID()})
 		c.closePlacementRequest(job, OutcomeFailed, "")
 	}
@@ -198,7 +199,7 @@
 	})
 }
 
-// backoff returns the delay of the next placement request after a loss for the reason.
+// backoff returns the delay of the next placement request at a backoff level, after a loss for the reason.
 func backoff(level int, reason flaxshelf.Reason) time.Duration {
 	first := initialBackoff
 	if reason == flaxshelf.Evicted || reason == flaxshelf.Preempted {
@@ -216,7 +217,7 @@
 	}
 }
 
-// finishJob ends a job. It is retained until expireEndedJobs or its owner removes it.
+// finishJob ends a job. The job is retained until expireEndedJobs removes it or its owner reaps it.
 func (c *Core) finishJob(job *job, state JobState, subState, reason string) {
 	if job.state.Ended() {
 		return
@@ -236,20 +237,20 @@
 	}
 }
 
-// expireEndedJobs removes ended jobs beyond MaxFinished or Retention.
+// expireEndedJobs removes ended jobs that exceed Limits.MaxFinished or Limits.Retention.
 func (c *Core) expireEndedJobs() {
 	for len(c.endedJobs) > 0 {
 		oldest := c.endedJobs[0]
 		if len(c.endedJobs) <= c.cfg.Limits.MaxFinished && c.now-oldest.finishedAt < c.cfg.Limits.Retention {
 			return
 		}
-		c.endedJobs[0] = nil // so that the job can be garbage collected
+		c.endedJobs[0] = nil // lets the job be garbage collected
 		c.endedJobs = c.endedJobs[1:]
 		c.removeJob(oldest)
 	}
 }
 
-// removeJob removes an ended job, unless its owner has reaped it already.
+// removeJob removes an ended job. It has no effect if the job was removed already.
 func (c *Core) removeJob(job *job) {
 	if c.jobs[job.id] != job {
 		return
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -6,7 +6,7 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-// submitToModule submits a job to the module, in a new placement request unless one is open.
+// submitToModule submits a job to the module. It opens a placement request unless one is open.
 func (c *Core) submitToModule(job *job) {
 	job.subState = SubStateWaiting
 	c.openPlacementRequest(job)
@@ -15,7 +15,7 @@
 	c.publishChange(job)
 }
 
-// moduleTask returns the current placement request as a task of the module.
+// moduleTask returns the job's last placement request as a task for the module.
 func (c *Core) moduleTask(job *job) flaxshelf.Task {
 	spec := job.spec
 	key, service := spec.Key, spec.Service
@@ -23,7 +23,7 @@
 		key = job.id
 	}
 	if service == "" {
-		service = job.id // otherwise all jobs without a service would share preferred machines
+		service = job.id // jobs without a service would otherwise all prefer the same machines
 	}
 	return flaxshelf.Task{
 		ID:              job.taskID(),
@@ -39,8 +39,8 @@
 	}
 }
 
-// openPlacementRequest opens a placement request unless one is open. Its timeout includes the time for which the job
-// awaits the recovery of this incarnation.
+// openPlacementRequest opens a placement request unless one is open. Its timeout includes the time for which the job waits
+// for the recovery of this incarnation.
 func (c *Core) openPlacementRequest(job *job) {
 	if job.requestOpen {
 		return
@@ -49,7 +49,7 @@
 	job.requestNumber++
 	job.assignedTaskID, job.attemptCount, job.outcome, job.nodeID = "", 0, "", ""
 	job.requestOpen, job.requestedAt = true, c.now
-	if job.receivedAt > 0 { // the first request of a job without a delay by a start time or hold
+	if job.receivedAt > 0 { // first request of a job that no start time or hold has delayed
 		job.requestedAt = job.receivedAt
 	}
 	job.receivedAt = 0
@@ -66,8 +66,8 @@
 	return c.cfg.Limits.PlacementTimeouts[spec.Class]
 }
 
-// guardDeadline closes the placement request after its deadline if the module has not done so, for example because of a
-// stall.
+// scheduleDeadlineCheck sets a timer that fails the placement request shortly after its deadline if the module has not
+// decided on it, for example because of a stall.
 func (c *Core) scheduleDeadlineCheck(job *job) {
 	deadline := job.placementDeadline
 	job.placementTimer = c.timers.Schedule(deadline+c.cfg.Module.AnswerSlack/2, func() {
@@ -77,6 +77,7 @@
 	})
 }
 
+// failOverdueRequest fails a placement request that the module has not decided on in time.
 func (c *Core) failOverdueRequest(job *job) {
 	c.notifyModule(flaxshelf.TaskCanceled{Task: job.taskID()})
 	if job.subState == SubStateRecovering {
@@ -99,8 +100,8 @@
 	c.failPlacementRequest(job, outcome, "")
 }
 
-// failPlacementRequest ends a job whose placement request has failed. If the reason is empty, the job keeps that of its
-// last attempt or gets a default.
+// failPlacementRequest closes a placement request as not placed and ends its job. If the reason is empty, the job keeps the
+// reason of its last attempt or gets a default.
 func (c *Core) failPlacementRequest(job *job, outcome PlacementOutcome, reason string) {
 	if reason != "" {
 		job.reason = reason
@@ -116,8 +117,8 @@
 	c.finishJob(job, Failed, subState, job.reason)
 }
 
-// closeWithAttempt closes a placement request and cancels its attempt, if any: an offer that was not sent ends at once,
-// any other attempt is stopped.
+// closeRequestAndAttempt closes a placement request and its attempt, if any: an offer that was not sent ends at once, any
+// other attempt is stopped.
 func (c *Core) closeRequestAndAttempt(job *job, outcome PlacementOutcome) {
 	current := job.attempt
 	switch {
@@ -132,7 +133,7 @@
 	}
 }
 
-// cancelPlacementRequest cancels the open placement request, if any, for the job's owner.
+// cancelPlacementRequest cancels the placement request, if it is open, and notifies the module.
 func (c *Core) cancelPlacementRequest(job *job, attemptID string) {
 	if !job.requestOpen {
 		return
@@ -141,7 +142,8 @@
 	c.closePlacementRequest(job, OutcomeCanceled, attemptID)
 }
 
-// closePlacementRequest closes the placement request with an outcome, if it is open.
+// closePlacementRequest closes the placement request with an outcome, if it is open. attemptID is that of the attempt that
+// was placed or in progress, or empty.
 func (c *Core) closePlacementRequest(job *job, outcome PlacementOutcome, attemptID string) {
 	if !job.requestOpen {
 		return
@@ -158,7 +160,7 @@
 	c.emit(LogOutcome{Job: job.info(), Attempt: attemptID})
 }
 
-// rejectPendingHold rejects a hold that is pending when the placement request is closed.
+// rejectPendingHold answers a pending hold with an error, because the placement request was closed before it took effect.
 func (c *Core) rejectPendingHold(job *job) {
 	if !job.holdPending {
 		return
--- a/internal/scheduler/submission.go
+++ b/internal/scheduler/submission.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// overloadRetryAfter is the Retry-After of submissions that are rejected because of a limit.
+// overloadRetryAfter is the Error.RetryAfter of submissions that are rejected because of overload or a limit.
 const overloadRetryAfter = time.Second
 
-// maxArrayJobs bounds the jobs of one array.
+// maxArrayJobs is the maximum number of jobs of one array.
 const maxArrayJobs = 100000
 
 // apply accepts or rejects a job or an array. Accepted jobs are not discarded later.
@@ -36,7 +36,7 @@
 	c.admit(job)
 }
 
-// jobCount returns the number of jobs of a submission.
+// jobCount returns the number of jobs that a submission creates.
 func (in Submit) jobCount() int { return max(len(in.Indexes), 1) }
 
 // validateSubmission returns an error if the submission is invalid.
@@ -44,20 +44,21 @@
 	spec := &in.Spec
 	switch {
 	case !c.knownClass(spec.Class):
-		return newError(InvalidArgument, 0, "no class %d", spec.Class)
+		return newError(InvalidArgument, 0, "unknown class %d, want 0 to %d", spec.Class, len(c.cfg.Module.Classes)-1)
 	case in.jobCount() > maxArrayJobs:
-		return newError(InvalidArgument, 0, "an array of %d jobs, %d at most", in.jobCount(), maxArrayJobs)
+		return newError(InvalidArgument, 0, "the array has %d jobs, want at most %d", in.jobCount(), maxArrayJobs)
 	case spec.Session != "" && !c.sessions[spec.Session]:
 		return newError(InvalidSession, 0, "no job session %q", spec.Session)
 	}
 	return nil
 }
 
-// admissionError returns an error if a valid submission can't be accepted now.
+// admissionError returns an error if a valid submission cannot be accepted now.
 func (c *Core) admissionError(in Submit) *Error {
-	// An overloaded core would otherwise accept jobs that it can hardly place before their deadlines.
+	// An overloaded core would otherwise accept jobs whose deadlines leave it too little time to place them.
 	if late := c.now - in.ReceivedAt; in.ReceivedAt > 0 && late > c.placementTimeout(&in.Spec)/2 {
-		return newError(TryLater, overloadRetryAfter, "the scheduler is %v behind", late.Round(time.Millisecond))
+		return newError(TryLater, overloadRetryAfter, "the submission waited %v, want at most half of its placement timeout %v",
+			late.Round(time.Millisecond), c.placementTimeout(&in.Spec))
 	}
 	limits := &c.cfg.Limits
 	switch {
@@ -73,9 +74,9 @@
 	return nil
 }
 
-// answerKnownKey answers a submission with the key of an earlier job, such as a retry by an owner that did not receive the
-// answer. It returns false if the submission is to be treated as new: a job is replaced only if it ended without being
-// placed and, if it may have run, only after the settle time.
+// answerKnownKey answers a submission whose key is that of an earlier job, for example if the owner did not receive the
+// first answer. It returns false if the submission must be treated as new. That is so only if the earlier job ended without
+// being placed and, if it may have run, the settle time has passed.
 func (c *Core) answerKnownKey(in Submit, job *job) bool {
 	if !job.endedUnplaced() {
 		answer := Answer{Jobs: []JobInfo{job.info()}, Existing: true}
@@ -99,7 +100,7 @@
 	return c.idPrefix + strconv.FormatUint(c.lastJobNumber, 36)
 }
 
-// newJob adds a job of this incarnation; admit starts its placement.
+// newJob adds a submitted job. The caller must call admit to start its placement.
 func (c *Core) newJob(spec *JobSpec) *job {
 	job := &job{id: c.newID(), spec: spec, state: Queued, subState: SubStateWaiting, submittedAt: c.now}
 	if spec.Hold {
@@ -123,8 +124,8 @@
 	c.placeWhenReady(job)
 }
 
-// placeWhenReady submits a job to the module after its start time, after the settle time of a former attempt, and after
-// the recovery of this incarnation.
+// placeWhenReady submits a job to the module when its start time is reached, the settle time of an earlier attempt has
+// passed and the recovery of this incarnation has ended, as far as each applies to the job.
 func (c *Core) placeWhenReady(job *job) {
 	switch {
 	case job.spec.NotBefore > c.now:
@@ -142,7 +143,7 @@
 	}
 }
 
-// delay sets a waiting sub-state, and calls proceed at the given time if the job is still in that sub-state.
+// delay puts a job into a waiting sub-state and calls proceed at the given time if the job is still in that sub-state.
 func (c *Core) delay(job *job, subState string, until Time, proceed func(*job)) {
 	job.subState = subState
 	c.publishChange(job)
