--- a/internal/scheduler/module.go
+++ b/internal/scheduler/module.go
@@ -6,14 +6,14 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-// newPlacer returns a flaxshelf.Placer, the default of Config.NewModule.
+// newPlacer is the default of Config.NewModule.
 func newPlacer(cfg flaxshelf.Config, seed uint64) (Module, error) { return flaxshelf.New(cfg, seed) }
 
 // notifyModule queues an event for the module's next step.
 func (c *Core) notifyModule(event flaxshelf.Event) { c.moduleEvents = append(c.moduleEvents, event) }
 
-// stepModule steps the module with the events since its last step and executes its actions. Events that result from
-// these actions, such as an offer to an unreachable node, are delivered with the next step.
+// stepModule steps the module with the events since its last step and executes its actions. Events that result from these
+// actions, for example because an offer could not be sent, are delivered with the next step.
 func (c *Core) stepModule() {
 	if c.moduleTimerAt > 0 && c.now >= c.moduleTimerAt {
 		c.moduleTimerAt = 0
@@ -27,7 +27,7 @@
 	flaxshelf.HandleActions(c.callModule(events), actionHandler{core: c})
 }
 
-// decide steps the module and calls the host's hooks Config.WrapStep and Config.RecordStep.
+// callModule steps the module and calls the host's hooks Config.WrapStep and Config.RecordStep.
 func (c *Core) callModule(events []flaxshelf.Event) []flaxshelf.Action {
 	var actions []flaxshelf.Action
 	step := func() { actions = c.module.Step(c.now, events) }
@@ -42,8 +42,8 @@
 	return actions
 }
 
-// actionHandler implements flaxshelf.ActionHandler: it executes the module's actions in its core. It is a type of its
-// own so that the handlers are no part of Core's exported methods.
+// actionHandler implements flaxshelf.ActionHandler: it executes the module's actions in a core. It is a separate type so
+// that Core does not export the handler methods.
 type actionHandler struct{ core *Core }
 
 func (h actionHandler) HandleOffer(offer flaxshelf.Offer) { h.core.startOffer(offer) }
@@ -66,16 +66,16 @@
 	h.core.setModuleTimer(h.core.now + timer.After)
 }
 
-// HandleSendGossip does nothing: the module sends gossip only if Config.CanGossip is set, and a Core's host has no
-// connections to other schedulers over which it could be sent.
+// HandleSendGossip does nothing. The module sends gossip only if Config.CanGossip is set, and the hosts of a Core have no
+// connections to other schedulers.
 func (h actionHandler) HandleSendGossip(flaxshelf.SendGossip) {}
 
-// scheduleModuleStep sets the module's timer to the given time, unless it is set to an earlier one.
+// setModuleTimer sets the module's timer to the given time, unless it is set to an earlier one.
 func (c *Core) setModuleTimer(at Time) {
 	if c.moduleTimerAt == 0 || at < c.moduleTimerAt {
 		c.moduleTimerAt = at
 	}
 }
 
-// soon returns the earliest time at which to repeat a check that polls for a condition.
+// nextPollTime returns when to repeat a check that polls for a condition.
 func (c *Core) nextPollTime() Time { return c.now + max(c.cfg.Module.Tick, time.Millisecond) }
--- a/internal/scheduler/node.go
+++ b/internal/scheduler/node.go
@@ -7,14 +7,15 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-// node is the core's state of a machine: its entry in the endpoint list, its connection and its attempts.
+// node is the core's state of a machine and its node process: the entry in the endpoint list, the connection and the
+// attempts.
 type node struct {
 	machine          flaxshelf.Machine
 	connected        bool
-	hasReported      bool // it has reported its attempts to this incarnation
-	connectRequested bool // a Connect is in effect
-	startedAt        Time // as reported by the node
-	coldStartedAt    Time // of its last cold start, as reported by the node
+	hasReported      bool // the node has reported its attempts to this incarnation
+	connectRequested bool // the host was asked to connect and not to disconnect since
+	startedAt        Time // start of its process, as reported by the node
+	coldStartedAt    Time // latest start that the node reported before the endpoint list showed it
 	attempts         map[string]*attempt
 }
 
@@ -30,7 +31,7 @@
 	return all
 }
 
-// hasUnresolvedAttempts reports whether the node has an offer without a reply.
+// hasUnansweredOffer reports whether the node was sent an offer to which it has not replied.
 func (n *node) hasUnansweredOffer() bool {
 	for _, attempt := range n.attempts {
 		if attempt.phase == phaseOffered {
@@ -40,7 +41,7 @@
 	return false
 }
 
-// ensureNode returns the node with the ID. An unknown node is added as removed from the endpoint list.
+// ensureNode returns the node with the ID. An unknown node is added in the state Removed, until an endpoint list names it.
 func (c *Core) ensureNode(id string) *node {
 	if known := c.nodes[id]; known != nil {
 		return known
@@ -56,13 +57,14 @@
 	return added
 }
 
-// apply adopts an endpoint list. The module is notified after the offers that the list makes void.
+// apply applies an endpoint list or changes to it. Offers that have become invalid are ended before the module is notified
+// of the machines.
 func (in NodesUpdated) apply(c *Core) {
 	listed := map[string]bool{}
 	for i, machine := range in.Machines {
 		listed[machine.ID] = true
 		node := c.ensureNode(machine.ID)
-		if machine.Started < node.coldStartedAt { // the list is older than what the node itself has reported
+		if machine.Started < node.coldStartedAt { // the list is older than the node's own report
 			machine.Started = node.coldStartedAt
 			in.Machines[i] = machine
 		}
@@ -76,7 +78,7 @@
 	c.notifyModule(flaxshelf.MachinesUpdated{Machines: in.Machines, Complete: in.Complete})
 }
 
-// removeUnnamed marks nodes that a complete list does not name as removed.
+// removeUnlistedNodes marks the nodes that a complete list does not name as removed.
 func (c *Core) removeUnlistedNodes(listed map[string]bool) {
 	for _, node := range c.sortedNodes {
 		if !listed[node.machine.ID] && !node.removed() {
@@ -86,8 +88,8 @@
 	}
 }
 
-// machineChanged applies a new list entry of a node. Offers that await a connection are canceled if the node drains, since
-// the drain was announced before they were sent.
+// applyMachineChange applies a node's new entry in the endpoint list. If the node drains or was removed, offers that wait
+// for a connection are canceled: they must not be sent after the drain was announced.
 func (c *Core) applyMachineChange(node *node) {
 	if node.machine.State != flaxshelf.Active {
 		for _, attempt := range node.sortedAttempts() {
@@ -105,7 +107,7 @@
 	}
 }
 
-// scheduleExpiry expires a node after the settle time if it is removed and not connected then.
+// scheduleNodeExpiry expires a node after the settle time, if it is then removed and not connected.
 func (c *Core) scheduleNodeExpiry(node *node) {
 	c.timers.Schedule(c.now+c.cfg.Limits.SettleTime, func() {
 		if node.removed() && !node.connected {
@@ -114,7 +116,7 @@
 	})
 }
 
-// expireNode ends all attempts on a node as lost and disconnects it.
+// expireNode ends all attempts of a node as lost and disconnects it.
 func (c *Core) expireNode(node *node) {
 	for _, attempt := range node.sortedAttempts() {
 		c.endAsLost(attempt)
@@ -125,7 +127,8 @@
 	}
 }
 
-// apply ends the offers to the node, which may or may not have been accepted. Accepted attempts stay.
+// apply ends the offers to the node as lost, since the node may have accepted them, or as unreachable if they were not sent.
+// Accepted attempts are retained until the node connects again or expires.
 func (in NodeDisconnected) apply(c *Core) {
 	node := c.nodes[in.Node]
 	if node == nil {
@@ -148,7 +151,7 @@
 	c.scheduleNodeExpiry(node)
 }
 
-// checkHealth sends a health check, or reports the machine as unreachable if it is not connected.
+// checkHealth sends a health check, or reports the machine to the module as unreachable if its node is not connected.
 func (c *Core) checkHealth(check flaxshelf.HealthCheck) {
 	if node := c.nodes[check.Machine]; node != nil && node.connected {
 		c.emit(SendHealthCheck{check.Machine})
--- a/internal/scheduler/recovery.go
+++ b/internal/scheduler/recovery.go
@@ -2,17 +2,17 @@
 
 import "flaxshelf.example/flaxshelf"
 
-// recovery delays work at the start of an incarnation until the nodes have reported their attempts. Otherwise an owner
-// that retries after a restart would start a job a second time, while a node that has not reported yet runs it.
+// recovery delays jobs at the start of an incarnation until the nodes have reported their attempts. Without it, an owner
+// that submits a job again after a restart could start it a second time while a node that has not reported yet runs it.
 type recovery struct {
 	active       bool
-	listReceived bool // a complete endpoint list, from which the nodes that must report are known
-	deadline     Time // after which nodes that have not reported are ignored
+	listReceived bool // a complete endpoint list was received, so that the nodes that must report are known
+	deadline     Time // when to stop waiting for nodes, except for some jobs; see checkRecovery
 	waitingJobs  []*job
 }
 
-// mustAwaitRecovery reports whether a job must wait for the recovery. The first submission of idempotent work need not,
-// unless its class has a spread limit, for which the placements of former incarnations count.
+// mustAwaitRecovery reports whether a job must wait for the recovery. The first submission of an idempotent job need not,
+// unless its class has a spread limit, to which the placements of former incarnations count.
 func (c *Core) mustAwaitRecovery(job *job) bool {
 	if !c.recovery.active {
 		return false
@@ -20,19 +20,19 @@
 	return job.spec.Retry || !c.isIdempotent(job) || c.classOf(job).SpreadDomain != flaxshelf.NoDomain
 }
 
-// startRecoveryTimer starts the deadline of the recovery at the first complete endpoint list.
+// startRecoveryTimer sets the deadline of the recovery when the first complete endpoint list is received.
 func (c *Core) startRecoveryTimer() {
 	if c.recovery.listReceived {
 		return
 	}
 	c.recovery.listReceived = true
 	c.recovery.deadline = c.now + c.cfg.Limits.SettleTime
-	c.timers.Schedule(c.recovery.deadline, func() {}) // checkRecovery is called by every step; the timer causes one
+	c.timers.Schedule(c.recovery.deadline, func() {}) // causes a step, which calls checkRecovery
 }
 
-// checkRecovery ends the recovery when every listed node has reported its attempts, or at the deadline. Retries of work
-// that must run at most once wait for unreachable nodes beyond it, until their placement requests fail at their own
-// deadlines.
+// checkRecovery submits the waiting jobs when every listed node has reported its attempts, or at the deadline. Retries of
+// jobs that must run at most once wait for unreachable nodes beyond that deadline, until their placement requests fail at
+// their own deadlines.
 func (c *Core) checkRecovery() {
 	if !c.recovery.active || !c.recovery.listReceived {
 		return
@@ -54,12 +54,12 @@
 	return true
 }
 
-// submitRecovered submits the waiting jobs to the module and returns those that must wait longer.
+// submitWaitingJobs submits the waiting jobs to the module and returns those that must wait longer.
 func (c *Core) submitWaitingJobs(allReported bool) []*job {
 	var stillWaiting []*job
 	for _, job := range c.recovery.waitingJobs {
 		switch {
-		case job.subState != SubStateRecovering: // it was found running, held or ended meanwhile
+		case job.subState != SubStateRecovering: // it was adopted, held or ended meanwhile
 		case !allReported && job.spec.Retry && c.runsAtMostOnce(job):
 			stillWaiting = append(stillWaiting, job)
 		default:
--- a/internal/scheduler/stall.go
+++ b/internal/scheduler/stall.go
@@ -6,21 +6,22 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-// maxSyncTimeout bounds how long the core waits for the answers to a sync. Peers that have not answered by then count as
-// unreachable, and the core continues without their answers.
+// maxSyncTimeout bounds how long the core waits for the answers to a sync. It then continues without the answers of peers
+// that have not answered, as if they were unreachable.
 const maxSyncTimeout = time.Second
 
-// syncGraceDivisor is the divisor of the drain grace that gives the timeout of a sync; the rest remains for the drain.
+// syncGraceDivisor limits the timeout of a sync to the drain grace divided by it. The rest remains for the drain.
 const syncGraceDivisor = 4
 
-// syncBarrier suspends timers and the module after a stall. A process that was stopped resumes with drains and replies of
-// nodes unread in its sockets, and with timers that are due. Stepping the module at once could send offers to draining
-// nodes; running timers at once could offer jobs again that nodes have already accepted.
+// syncBarrier suspends timers and the module after a stall. A process that was stopped resumes with timers that are due,
+// and with announcements of drains and replies of nodes that it has not read from its sockets. Stepping the module at once
+// could send offers to draining nodes, and running timers at once could offer jobs again that nodes have already accepted.
 //
-// The core therefore requests a sync message from discovery and from each node with unresolved attempts. It arrives after
-// everything that they had sent before. Until then no timer runs and the module is not stepped.
+// The core therefore requests a sync message from discovery and from each connected node with an unanswered offer. The sync
+// message arrives after all messages that the peer had sent before. Until all sync messages have arrived or the deadline
+// has passed, no timer runs and the module is not stepped.
 type syncBarrier struct {
-	token            uint64          // of the last sync
+	token            uint64          // of the last sync; answers with other tokens are ignored
 	discoveryPending bool            // discovery has not answered
 	pendingNodes     map[string]bool // nodes that have not answered
 	deadline         Time
@@ -28,13 +29,13 @@
 
 func (b *syncBarrier) active() bool { return b.discoveryPending || len(b.pendingNodes) > 0 }
 
-// lift ends the barrier without the missing answers.
+// lift ends the barrier without waiting for the missing answers.
 func (b *syncBarrier) lift() {
 	b.discoveryPending = false
 	clear(b.pendingNodes)
 }
 
-// nodeLost stops waiting for a node: nothing more can be read from a closed connection.
+// nodeDisconnected stops waiting for a node: nothing more can be read from a closed connection.
 func (b *syncBarrier) nodeDisconnected(node string) { delete(b.pendingNodes, node) }
 
 func (in DiscoverySynced) apply(c *Core) {
@@ -51,14 +52,15 @@
 
 func (DiscoveryFailed) apply(c *Core) {
 	c.notifyModule(flaxshelf.DiscoveryFailed{})
-	c.barrier.discoveryPending = false // nothing more can be read from it
+	c.barrier.discoveryPending = false // nothing more can be read from its connection
 }
 
 func (c *Core) syncTimeout() time.Duration {
 	return min(maxSyncTimeout, c.cfg.Module.DrainGrace/syncGraceDivisor)
 }
 
-// checkStall starts a sync if the interval since the last step shows that the process was stalled.
+// checkStall lifts the barrier at its deadline, and starts a sync if the interval since the last step shows that the process
+// was stalled.
 func (c *Core) checkStall() {
 	if c.barrier.active() && c.now >= c.barrier.deadline {
 		c.barrier.lift()
@@ -68,6 +70,7 @@
 	}
 }
 
+// startSync activates the barrier and requests the sync messages.
 func (c *Core) startSync() {
 	c.barrier = syncBarrier{
 		token:            c.barrier.token + 1,
