--- a/internal/scheduler/config_test.go
+++ b/internal/scheduler/config_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// New returns the error of the module.
+// New returns an error that wraps that of Config.NewModule.
 func TestNewReturnsErrorOfModule(t *testing.T) {
 	moduleError := errors.New("no classes")
 	cfg := testConfig()
--- a/internal/scheduler/display_names_test.go
+++ b/internal/scheduler/display_names_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// The values are part of the client protocol and of stored data, so they must not change; the terms are those of
+// The values are part of the client protocol and of stored data, so they must not change. The display names are those of
 // docs/glossary.md.
 func TestOutcomesKeepTheirValuesAndHaveDisplayNames(t *testing.T) {
 	for _, test := range []struct {
@@ -16,10 +16,10 @@
 	} {
 		t.Run(test.displayName, func(t *testing.T) {
 			if got := string(test.outcome); got != test.value {
-				t.Errorf("value %q, want %q", got, test.value)
+				t.Errorf("got value %q, want %q", got, test.value)
 			}
 			if got := test.outcome.DisplayName(); got != test.displayName {
-				t.Errorf("term %q, want %q", got, test.displayName)
+				t.Errorf("got display name %q, want %q", got, test.displayName)
 			}
 		})
 	}
@@ -50,10 +50,10 @@
 	} {
 		t.Run(test.displayName, func(t *testing.T) {
 			if test.subState != test.value {
-				t.Errorf("value %q, want %q", test.subState, test.value)
+				t.Errorf("got value %q, want %q", test.subState, test.value)
 			}
 			if got := SubStateDisplayName(test.subState); got != test.displayName {
-				t.Errorf("term %q, want %q", got, test.displayName)
+				t.Errorf("got display name %q, want %q", got, test.displayName)
 			}
 		})
 	}
--- a/internal/scheduler/helpers_test.go
+++ b/internal/scheduler/helpers_test.go
@@ -53,7 +53,6 @@
 	}
 }
 
-// newTestCore creates a core.
 func newTestCore(t rapid.TB, cfg Config) *Core {
 	t.Helper()
 	core, err := New(cfg)
@@ -63,7 +62,7 @@
 	return core
 }
 
-// newConnectedCore creates a core with testConfig to which n1, n2 and n3 are connected.
+// newConnectedCore creates a core with testConfig and the connected nodes n1, n2 and n3.
 func newConnectedCore(t *testing.T, now Time) *Core {
 	t.Helper()
 	core := newTestCore(t, testConfig())
@@ -75,7 +74,7 @@
 	return core
 }
 
-// answerTo returns the only answer to a request.
+// answerTo returns the answer to a request. It fails the test unless there is exactly one.
 func answerTo(t *testing.T, out Output, requestID uint64) Answer {
 	t.Helper()
 	var found []Answer
@@ -85,12 +84,12 @@
 		}
 	}
 	if len(found) != 1 {
-		t.Fatalf("%d answers to request %d, want 1", len(found), requestID)
+		t.Fatalf("got %d answers to request %d, want 1", len(found), requestID)
 	}
 	return found[0]
 }
 
-// offersOf returns the offers of a step.
+// offersOf returns the offers that a step sent.
 func offersOf(out Output) []SendOffer {
 	var offers []SendOffer
 	for _, effect := range out.Effects {
--- a/internal/scheduler/machine_update_test.go
+++ b/internal/scheduler/machine_update_test.go
@@ -7,9 +7,9 @@
 	"flaxshelf.example/flaxshelf/internal/machinetest"
 )
 
-// A machine of an update reaches the module and the answers to queries with all its fields.
+// A machine in an update from discovery reaches the module and the answer to Machines with all its fields.
 func TestUpdateKeepsEveryFieldOfMachine(t *testing.T) {
-	const req = 7
+	const requestID = 7
 	var updates []flaxshelf.MachinesUpdated
 	config := testConfig()
 	config.RecordStep = func(_ Time, events []flaxshelf.Event, _ []flaxshelf.Action) {
@@ -24,12 +24,12 @@
 		t.Fatal(err)
 	}
 	want := machinetest.Filled(t)
-	out := core.Step(0, []Input{NodesUpdated{Machines: []flaxshelf.Machine{want}}, Machines{RequestID: req}})
+	out := core.Step(0, []Input{NodesUpdated{Machines: []flaxshelf.Machine{want}}, Machines{RequestID: requestID}})
 	if len(updates) != 1 || len(updates[0].Machines) != 1 {
 		t.Fatalf("updates of the module: got %+v, want one with one machine", updates)
 	}
 	machinetest.Expect(t, updates[0].Machines[0], want)
-	answer := answerTo(t, out, req)
+	answer := answerTo(t, out, requestID)
 	if len(answer.Machines) != 1 {
 		t.Fatalf("answer: got %+v, want one machine", answer)
 	}
--- a/internal/scheduler/property_test.go
+++ b/internal/scheduler/property_test.go
@@ -11,10 +11,15 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-// TestRandomSimulationsPreserveInvariants checks these invariants in random simulations: every placement request has one
-// outcome; no job is offered while it is offered or runs; work that must run at most once is offered again only after proof
-// that it did not run; nothing is offered to a draining node or while a sync after a stall is unanswered; the core's counts
-// are correct; and equal inputs give equal outputs.
+// TestRandomSimulationsPreserveInvariants checks these invariants in random simulations:
+//
+//   - Every placement request has one outcome.
+//   - No job is offered while another offer of it is open or it runs.
+//   - A job that must run at most once is offered again only after proof that it did not run.
+//   - A job that is idempotent by key and may have run is not offered in another zone.
+//   - Nothing is offered to a draining node, to a node without a connection or while a sync after a stall is unanswered.
+//   - The core's counts of requests and jobs are correct.
+//   - Equal inputs give equal outputs.
 func TestRandomSimulationsPreserveInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSimulation(t)
@@ -23,36 +28,36 @@
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			s.randomAction()
 		}
-		s.finish()
+		s.checkAllRequestsClosed()
 	})
 }
 
 var nodeNames = []string{"n1", "n2", "n3"}
 
-// simulation simulates nodes and owners that send any input that the protocols allow, in any order, and checks the core's
-// effects.
+// simulation simulates nodes and owners. They send inputs that the protocols allow in random order, and the simulation checks
+// the core's effects.
 type simulation struct {
-	t         *rapid.T
-	core      *Core
-	replica   *Core // receives the same inputs and must have the same outputs
-	now       Time
-	nextStep  Time            // of the core
-	draining  map[string]bool // nodes, as in the last list
-	connected map[string]bool // nodes
-	offers    []*sentOffer
-	offerByID map[string]*sentOffer
-	jobs      []string
-	outcomes  map[string]PlacementOutcome // by job and placement request
-	syncToken uint64                      // of the sync without an answer of discovery; zero means none
-	syncedAt  Time                        // the start of that sync
-	stalled   bool
+	t             *rapid.T
+	core          *Core
+	replica       *Core // receives the same inputs and must have the same outputs
+	now           Time
+	nextStep      Time            // of the core
+	draining      map[string]bool // by node, as in the last endpoint list
+	connected     map[string]bool // by node
+	offers        []*sentOffer
+	offerByID     map[string]*sentOffer
+	jobs          []string
+	outcomes      map[string]PlacementOutcome // by job and placement request
+	syncToken     uint64                      // of the sync that discovery has not answered; zero means none
+	syncStartedAt Time                        // start of that sync
+	stalled       bool
 }
 
 // sentOffer is an offer that the core has sent.
 type sentOffer struct {
 	SendOffer
-	at           Time
-	closed       bool // answered, stopped, timed out or lost its connection
+	sentAt       Time
+	closed       bool // rejected, failed, ended or stopped, or its node disconnected before accepting it
 	provenNotRun bool // rejected
 	accepted     bool
 	ended        bool
@@ -98,7 +103,7 @@
 	node := nodeNames[s.drawIndex(len(nodeNames), "node")]
 	switch s.drawIndex(16, "act") {
 	case 0, 1, 2:
-		s.submit()
+		s.submitRandomJob()
 	case 3, 4, 5, 6:
 		s.replyToRandomOffer()
 	case 7:
@@ -111,7 +116,7 @@
 	case 10, 11:
 		s.commandRandomJob()
 	case 12:
-		s.stall()
+		s.stallProcess()
 	case 13:
 		s.step(DiscoverySynced{s.syncToken})
 	case 14:
@@ -121,7 +126,7 @@
 	}
 }
 
-func (s *simulation) submit() {
+func (s *simulation) submitRandomJob() {
 	s.step(Submit{RequestID: 1, Spec: JobSpec{
 		Key:        fmt.Sprint("k", s.drawIndex(30, "key")),
 		Class:      s.drawIndex(4, "class"),
@@ -143,13 +148,13 @@
 
 func (s *simulation) disconnect(node string) {
 	s.connected[node] = false
-	s.closeUnaccepted(node)
+	s.closeUnacceptedOffers(node)
 	s.step(NodeDisconnected{Node: node})
 }
 
 func (s *simulation) connect(node string) {
 	s.connected[node] = true
-	s.closeUnaccepted(node) // a node drops what it was offered over a former connection
+	s.closeUnacceptedOffers(node) // a node drops the offers of a former connection
 	up := NodeConnected{Node: node}
 	for _, offer := range s.offers {
 		if offer.Node == node && offer.accepted && !offer.ended {
@@ -160,7 +165,7 @@
 	s.step(up)
 }
 
-func (s *simulation) closeUnaccepted(node string) {
+func (s *simulation) closeUnacceptedOffers(node string) {
 	for _, offer := range s.offers {
 		if offer.Node == node && !offer.accepted {
 			offer.closed = true
@@ -177,19 +182,19 @@
 	s.step(Command{RequestID: 2, Verb: verb, Job: s.jobs[s.drawIndex(len(s.jobs), "job")]})
 }
 
-func (s *simulation) stall() {
+func (s *simulation) stallProcess() {
 	s.stalled = true
 	s.advance(time.Duration(s.drawIndex(3000, "stall")) * time.Millisecond)
 	s.stalled = false
 	s.step()
 }
 
-// replyTo sends a reply to an offer, which may have been answered or have ended before.
-func (s *simulation) replyTo(offer *sentOffer, how int) {
+// replyTo sends a reply to an offer, which may have been answered or have ended already.
+func (s *simulation) replyTo(offer *sentOffer, kind int) {
 	if !s.connected[offer.Node] {
 		return
 	}
-	switch how {
+	switch kind {
 	case 0, 1, 2:
 		s.acceptOffer(offer)
 	case 3:
@@ -201,7 +206,7 @@
 			s.step(AttemptStarted{Node: offer.Node, Attempt: offer.Attempt})
 		}
 	default:
-		s.endAttempt(offer, EndKind(how%3))
+		s.endAttempt(offer, EndKind(kind%3))
 	}
 }
 
@@ -252,7 +257,7 @@
 
 // step steps the core and its replica and checks their outputs.
 func (s *simulation) step(inputs ...Input) {
-	s.endSync(inputs)
+	s.trackSyncEnd(inputs)
 	out := s.core.Step(s.now, inputs)
 	if replicated := s.replica.Step(s.now, inputs); outputText(out) != outputText(replicated) {
 		s.t.Fatalf("outputs of equal inputs differ:\n%s\n%s", outputText(out), outputText(replicated))
@@ -267,9 +272,9 @@
 	s.checkCounts()
 }
 
-// endSync records the end of the sync of discovery, by its timeout or by an input.
-func (s *simulation) endSync(inputs []Input) {
-	if s.syncToken > 0 && s.now-s.syncedAt >= s.core.syncTimeout() {
+// trackSyncEnd records that the sync of discovery ends, by its timeout or by an input.
+func (s *simulation) trackSyncEnd(inputs []Input) {
+	if s.syncToken > 0 && s.now-s.syncStartedAt >= s.core.syncTimeout() {
 		s.syncToken = 0
 	}
 	for _, in := range inputs {
@@ -295,7 +300,7 @@
 func (s *simulation) checkEffect(effect Effect) {
 	switch effect := effect.(type) {
 	case SyncDiscovery:
-		s.syncToken, s.syncedAt = effect.Token, s.now
+		s.syncToken, s.syncStartedAt = effect.Token, s.now
 	case Answer:
 		if effect.Err == nil && effect.RequestID == 1 && !effect.Existing {
 			s.jobs = append(s.jobs, effect.Jobs[0].ID)
@@ -328,38 +333,39 @@
 	case !s.connected[sent.Node]:
 		s.t.Fatalf("%s is offered to %s, which is not connected", sent.Attempt, sent.Node)
 	case s.syncToken > 0:
-		s.t.Fatalf("%s is offered at %v though the sync after the stall of %v is not answered", sent.Attempt, s.now, s.syncedAt)
+		s.t.Fatalf("%s is offered at %v though the sync after the stall of %v is not answered", sent.Attempt, s.now,
+			s.syncStartedAt)
 	case s.offerByID[sent.Attempt] != nil:
 		s.t.Fatalf("%s is offered twice", sent.Attempt)
 	}
 	for _, former := range s.offers {
 		if former.Job == sent.Job {
-			s.checkSuccessor(former, sent)
+			s.checkRepeatedOffer(former, sent)
 		}
 	}
-	offer := &sentOffer{SendOffer: sent, at: s.now}
+	offer := &sentOffer{SendOffer: sent, sentAt: s.now}
 	s.offers, s.offerByID[sent.Attempt] = append(s.offers, offer), offer
 }
 
-// checkSuccessor checks that a job may be offered after an earlier offer.
-func (s *simulation) checkSuccessor(former *sentOffer, sent SendOffer) {
-	if !former.closed && s.now < former.at+former.ValidFor {
+// checkRepeatedOffer checks that a job may be offered after an earlier offer of it.
+func (s *simulation) checkRepeatedOffer(former *sentOffer, sent SendOffer) {
+	if !former.closed && s.now < former.sentAt+former.ValidFor {
 		s.t.Fatalf("%s is offered while %s is in flight or runs", sent.Attempt, former.Attempt)
 	}
 	if former.PlacementRequest != sent.PlacementRequest || former.provenNotRun {
 		return
 	}
-	otherZone := (former.Node == "n3") != (sent.Node == "n3")
+	inOtherZone := (former.Node == "n3") != (sent.Node == "n3")
 	switch class := s.core.cfg.Module.Classes[sent.Spec.Class]; {
 	case class.Idempotency == flaxshelf.NonIdempotent:
 		s.t.Fatalf("not idempotent: %s is offered though %s may have run", sent.Attempt, former.Attempt)
-	case class.Idempotency == flaxshelf.IdempotentByKey && otherZone:
+	case class.Idempotency == flaxshelf.IdempotentByKey && inOtherZone:
 		s.t.Fatalf("idempotent by key: %s is offered to %s though %s at %s may have run", sent.Attempt, sent.Node,
 			former.Attempt, former.Node)
 	}
 }
 
-// checkCounts compares the core's counts with its jobs.
+// checkCounts compares the core's counts of requests and jobs with its jobs.
 func (s *simulation) checkCounts() {
 	open, unfinished, ended := 0, 0, 0
 	for id, job := range s.core.jobs {
@@ -384,8 +390,8 @@
 	}
 }
 
-// finish advances the time without messages. Every placement request must then have its outcome.
-func (s *simulation) finish() {
+// checkAllRequestsClosed advances the time without messages. No overdue placement request may be open then.
+func (s *simulation) checkAllRequestsClosed() {
 	s.step(DiscoverySynced{s.syncToken})
 	for range 200 {
 		s.now = max(s.nextStep, s.now+time.Millisecond)
--- a/internal/scheduler/script_input_test.go
+++ b/internal/scheduler/script_input_test.go
@@ -10,7 +10,7 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-// scriptLine is one input of a script: a command, arguments and options, such as `submit unsafe key=k`,
+// scriptLine is one input of a script. It consists of a command, arguments and options, such as `submit unsafe key=k`,
 // `list n1 n2:draining` or `up n1 started=3s running=ATTEMPT`.
 type scriptLine struct {
 	t         *testing.T
@@ -39,7 +39,7 @@
 	"discovery-failed": func(*scriptLine) Input { return DiscoveryFailed{} },
 	"discovery-synced": func(l *scriptLine) Input { return DiscoverySynced{Token: l.numericArgument(0)} },
 	"node-synced":      func(l *scriptLine) Input { return NodeSynced{Node: l.argument(0), Token: l.numericArgument(1)} },
-	"up":               parseNodeUp,
+	"up":               parseNodeConnected,
 	"down":             func(l *scriptLine) Input { return NodeDisconnected{Node: l.argument(0)} },
 	"accept":           func(l *scriptLine) Input { return AttemptAccepted{Node: l.argument(0), Attempt: l.argument(1)} },
 	"reject":           parseRejected,
@@ -63,7 +63,7 @@
 	}
 	parse := inputParsers[line.command]
 	if parse == nil {
-		t.Fatalf("no input %q", text)
+		t.Fatalf("unknown input %q", text)
 	}
 	return parse(line)
 }
@@ -85,7 +85,7 @@
 	return n
 }
 
-// intOption returns the value of an option, or 0 without it.
+// intOption returns the value of an option, or 0 if it is not set.
 func (l *scriptLine) intOption(name string) int {
 	l.t.Helper()
 	if l.options[name] == "" {
@@ -94,7 +94,7 @@
 	return parseInt(l.t, l.options[name])
 }
 
-// timeOption returns the value of an option, or 0 without it.
+// timeOption returns the value of an option, or 0 if it is not set.
 func (l *scriptLine) timeOption(name string) Time {
 	l.t.Helper()
 	if l.options[name] == "" {
@@ -103,7 +103,7 @@
 	return parseTime(l.t, l.options[name])
 }
 
-// spec returns a job of a class of testConfig. The class is -1 if testConfig does not have it.
+// spec returns a job with the options of the line. Its class is one of testConfig, or -1 if testConfig does not have it.
 func (l *scriptLine) spec(class string) JobSpec {
 	l.t.Helper()
 	isClass := func(c flaxshelf.TaskClass) bool { return c.Name == class }
@@ -147,8 +147,8 @@
 	return Watch{RequestID: l.requestID, Stream: l.requestID, Job: l.options["job"], Session: l.options["session"]}
 }
 
-// nodesUpdated reads names with states: n1, n2:draining, n3:out, or n4:3s for the start time. The zone of n1 and n2 is a, that of
-// all others b.
+// nodesUpdated reads node names with a state or a start time: n1, n2:draining, n3:out (removed) or n4:3s. The zone of n1 and
+// n2 is a, that of all others is b.
 func (l *scriptLine) nodesUpdated(complete bool) NodesUpdated {
 	l.t.Helper()
 	update := NodesUpdated{Complete: complete}
@@ -173,8 +173,9 @@
 	return update
 }
 
-// parseNodeUp reads running=ATTEMPT,ATTEMPT+, where + marks an attempt that has been started, and ended=ATTEMPT,ATTEMPT.
-func parseNodeUp(l *scriptLine) Input {
+// parseNodeConnected reads running=ATTEMPT,ATTEMPT+, the accepted attempts, where + marks one that has been started, and
+// ended=ATTEMPT,ATTEMPT.
+func parseNodeConnected(l *scriptLine) Input {
 	up := NodeConnected{Node: l.argument(0), MayBeWarmingUp: l.options["may-be-cold"] != "", StartedAt: l.timeOption("started")}
 	for _, reported := range l.listOption("running") {
 		id, running := strings.CutSuffix(reported, "+")
@@ -188,7 +189,7 @@
 	return up
 }
 
-// listOption returns the values of an option, separated by commas, or none without it.
+// listOption returns the comma-separated values of an option, or none if it is not set.
 func (l *scriptLine) listOption(option string) []string {
 	return strings.FieldsFunc(l.options[option], func(r rune) bool { return r == ',' })
 }
@@ -201,7 +202,7 @@
 	return AttemptFailed{Node: l.argument(0), Attempt: l.argument(1), Message: "the start failed"}
 }
 
-// parseEnded reads how=END. Without it the attempt has completed, with exit=STATUS.
+// parseEnded reads how=END. Without it, the attempt has completed, with the exit status of exit=STATUS or 0.
 func parseEnded(l *scriptLine) Input {
 	ended := AttemptEnded{Node: l.argument(0), Attempt: l.argument(1), ExitStatus: l.intOption("exit")}
 	switch how := l.options["how"]; how {
@@ -215,7 +216,7 @@
 	case "start-failed":
 		ended.End = EndStartFailed
 	default:
-		l.t.Fatalf("%q: no end %q", l.text, how)
+		l.t.Fatalf("%q: unknown end %q", l.text, how)
 	}
 	return ended
 }
--- a/internal/scheduler/script_output_test.go
+++ b/internal/scheduler/script_output_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// effectText formats an effect for a transcript. It returns "" for a published change, unless printChanges is set.
+// effectText formats an effect for a transcript. It returns "" for a published change unless printChanges is set.
 func effectText(effect Effect, printChanges bool) string {
 	switch effect := effect.(type) {
 	case Connect:
--- a/internal/scheduler/script_test.go
+++ b/internal/scheduler/script_test.go
@@ -10,9 +10,9 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// TestScripts runs the scripts of testdata. Each starts with `core`; `step` steps the core at a time with one input per line,
-// and prints the effects. Between two steps the core is stepped at each Output.NextStep, unless the second step has the
-// option stall. Run with -rewrite to rewrite the transcripts.
+// TestScripts runs the scripts of testdata and compares the effects with the transcripts in them. `core` creates a core.
+// `step` steps it at the given time, with one input per line. Between two steps the core is stepped at each
+// Output.NextStep, unless the second step has the option stall. Run with -rewrite to rewrite the transcripts.
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata/scripts", func(t *testing.T, path string) {
 		runner := &scriptRunner{}
@@ -23,7 +23,7 @@
 			case "step":
 				return runner.step(t, data)
 			}
-			data.Fatalf(t, "no command %s", data.Cmd)
+			data.Fatalf(t, "unknown command %s", data.Cmd)
 			return ""
 		})
 	})
@@ -36,7 +36,7 @@
 	lastRequestID uint64 // of the last input
 }
 
-// newCore creates a core. max-pending=N sets the limit of pending jobs, started-at=TIME starts a later incarnation, and
+// newCore creates a core. max-pending=N sets Limits.MaxPending, started-at=TIME sets the start of the incarnation, and
 // placed-when-running sets PlacedWhenRunning.
 func (s *scriptRunner) newCore(t *testing.T, data *datadriven.TestData) string {
 	t.Helper()
@@ -56,7 +56,8 @@
 	return ""
 }
 
-// step steps the core at a time. stall omits the steps before it, and all prints published changes too.
+// step steps the core at a time. The option stall omits the steps between the last one and this one; all prints published
+// changes too.
 func (s *scriptRunner) step(t *testing.T, data *datadriven.TestData) string {
 	t.Helper()
 	var at Time
@@ -73,7 +74,7 @@
 	}
 	var b strings.Builder
 	for !stall && s.nextStep > 0 && s.nextStep < at && s.core.lastStepAt > 0 {
-		s.print(&b, s.nextStep, s.core.Step(s.nextStep, nil), printChanges)
+		s.printEffects(&b, s.nextStep, s.core.Step(s.nextStep, nil), printChanges)
 	}
 	var inputs []Input
 	for _, line := range strings.Split(data.Input, "\n") {
@@ -82,12 +83,12 @@
 			inputs = append(inputs, parseInput(t, line, s.lastRequestID))
 		}
 	}
-	s.print(&b, at, s.core.Step(at, inputs), printChanges)
+	s.printEffects(&b, at, s.core.Step(at, inputs), printChanges)
 	return b.String()
 }
 
-// print prints the effects of a step with its time.
-func (s *scriptRunner) print(b *strings.Builder, at Time, out Output, printChanges bool) {
+// printEffects prints the effects of a step, each with the time of the step.
+func (s *scriptRunner) printEffects(b *strings.Builder, at Time, out Output, printChanges bool) {
 	s.now, s.nextStep = at, max(out.NextStep, at+time.Millisecond)
 	for _, effect := range out.Effects {
 		if line := effectText(effect, printChanges); line != "" {
--- a/internal/scheduler/submission_test.go
+++ b/internal/scheduler/submission_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// The placement timeout starts when a submission is received, not when an overloaded core handles it. A submission is
-// rejected if half of its timeout has passed by then.
+// The placement timeout starts when the host receives a submission, not when an overloaded core handles it. The core rejects
+// a submission if more than half of the timeout has passed by then.
 func TestPlacementTimeoutRunsFromReceipt(t *testing.T) {
-	const req = 7
+	const requestID = 7
 	now := 10 * time.Second
 	core := newConnectedCore(t, now)
 	spec := JobSpec{Tenant: -1, Cores: 1, Memory: 1, PlacementTimeout: 4 * time.Second}
@@ -23,19 +23,19 @@
 		{"received too long ago", now - 3*time.Second, false, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			out := core.Step(now, []Input{Submit{RequestID: req, ReceivedAt: test.receivedAt, Spec: spec}})
-			answer := answerTo(t, out, req)
+			out := core.Step(now, []Input{Submit{RequestID: requestID, ReceivedAt: test.receivedAt, Spec: spec}})
+			answer := answerTo(t, out, requestID)
 			if accepted := answer.Err == nil; accepted != test.accepted {
-				t.Fatalf("accepted %v, want %v: %v", accepted, test.accepted, answer.Err)
+				t.Fatalf("got accepted %v, want %v: %v", accepted, test.accepted, answer.Err)
 			}
 			if !test.accepted {
 				if answer.Err.Code != TryLater {
-					t.Errorf("error %v, want %v", answer.Err.Code, TryLater)
+					t.Errorf("got error %v, want %v", answer.Err.Code, TryLater)
 				}
 				return
 			}
 			if got := core.jobs[answer.Jobs[0].ID].placementDeadline; got != test.deadline {
-				t.Errorf("placement deadline %v, want %v", got, test.deadline)
+				t.Errorf("got placement deadline %v, want %v", got, test.deadline)
 			}
 		})
 	}
--- a/internal/scheduler/timer_test.go
+++ b/internal/scheduler/timer_test.go
@@ -5,19 +5,21 @@
 	"time"
 )
 
-// The timers of a job are removed when the job ends, even if they are due much later.
+// The timers of a job are canceled when the job ends, even if they are due much later. Otherwise the timers of ended jobs
+// would accumulate.
 func TestTimersOfEndedJobsAreCanceled(t *testing.T) {
 	const jobs = 50
 	now := time.Second
 	core := newConnectedCore(t, now)
-	before, ended := core.timers.Len(), 0
+	timersBefore, ended := core.timers.Len(), 0
 	for i := range jobs {
 		now += 20 * time.Millisecond
 		spec := JobSpec{Tenant: -1, Cores: 0.01, Memory: 0.01, PlacementTimeout: time.Hour, Deadline: now + time.Hour}
 		out := core.Step(now, []Input{Submit{RequestID: uint64(i) + 1, Spec: spec}})
 		for _, offer := range offersOf(out) {
-			if core.timers.Len() < before+3 {
-				t.Fatalf("%d timers during an offer, want at least %d for the test to be meaningful", core.timers.Len(), before+3)
+			if core.timers.Len() < timersBefore+3 {
+				t.Fatalf("got %d timers during an offer, want at least %d, so that the test has timers to check",
+					core.timers.Len(), timersBefore+3)
 			}
 			core.Step(now+1, []Input{
 				AttemptAccepted{Node: offer.Node, Attempt: offer.Attempt},
@@ -27,8 +29,8 @@
 			ended++
 		}
 	}
-	if ended < 45 || core.timers.Len() > before+2*(jobs-ended) {
-		t.Errorf("%d timers after %d of %d jobs have ended, want at most %d and at least 45 ended jobs",
-			core.timers.Len(), ended, jobs, before+2*(jobs-ended))
+	if ended < 45 || core.timers.Len() > timersBefore+2*(jobs-ended) {
+		t.Errorf("got %d timers after %d of %d jobs have ended, want at most %d and at least 45 ended jobs",
+			core.timers.Len(), ended, jobs, timersBefore+2*(jobs-ended))
 	}
 }
