--- a/internal/scheduler/inputs.go
+++ b/internal/scheduler/inputs.go
@@ -55,10 +55,10 @@
 	// has.
 	NodeConnected struct {
 		Node           string
-		StartedAt      Time // when the node's process started
-		MayBeWarmingUp bool // the node may still be warming up after its start
-		Accepted       []ReportedAttempt
-		Ended          []AttemptEnded // reports of ended attempts that were not acknowledged
+		StartedAt      Time              // when the node's process started
+		MayBeWarmingUp bool              // the node may still be warming up after its start
+		Accepted       []ReportedAttempt // accepted attempts that have not ended
+		Ended          []AttemptEnded    // reports of ended attempts that were not acknowledged
 	}
 	// NodeDisconnected reports that the connection to the node was lost or could not be established.
 	NodeDisconnected struct{ Node string }
