--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -6,16 +6,16 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-// submitToModule submits a job to the module, in a new placement request unless one is open.
+// submitToModule submits a job to the module. It opens a placement request unless one is open.
 func (c *Core) submitToModule(job *job) {
-	job.subState = SubWaiting
+	job.subState = SubStateWaiting
 	c.openPlacementRequest(job)
 	c.jobsByTask[job.taskID()] = job
 	c.notifyModule(flaxshelf.TaskSubmitted{Task: c.moduleTask(job)})
-	c.changed(job)
+	c.publishChange(job)
 }
 
-// moduleTask returns the current placement request as a task of the module.
+// moduleTask returns the job's last placement request as a task for the module.
 func (c *Core) moduleTask(job *job) flaxshelf.Task {
 	spec := job.spec
 	key, service := spec.Key, spec.Service
@@ -23,7 +23,7 @@
 		key = job.id
 	}
 	if service == "" {
-		service = job.id // otherwise all jobs without a service would share preferred machines
+		service = job.id // jobs without a service would otherwise all prefer the same machines
 	}
 	return flaxshelf.Task{
 		ID:              job.taskID(),
@@ -35,51 +35,52 @@
 		Memory:          spec.Memory,
 		ExpectedRuntime: spec.ExpectedRuntime,
 		Deadline:        job.placementDeadline,
-		Retry:           spec.Retry || job.request > 1,
+		Retry:           spec.Retry || job.requestNumber > 1,
 	}
 }
 
-// openPlacementRequest opens a placement request unless one is open. Its timeout includes the time for which the job
-// awaits the recovery of this incarnation.
+// openPlacementRequest opens a placement request unless one is open. Its timeout includes the time for which the job waits
+// for the recovery of this incarnation.
 func (c *Core) openPlacementRequest(job *job) {
 	if job.requestOpen {
 		return
 	}
 	delete(c.jobsByTask, job.taskID())
-	job.request++
-	job.taskName, job.attemptCount, job.outcome, job.nodeID = "", 0, "", ""
+	job.requestNumber++
+	job.assignedTaskID, job.attemptCount, job.outcome, job.nodeID = "", 0, "", ""
 	job.requestOpen, job.requestedAt = true, c.now
-	if job.receivedAt > 0 { // the first request of a job without a delay by a start time or hold
+	if job.receivedAt > 0 { // first request of a job that no start time or hold has delayed
 		job.requestedAt = job.receivedAt
 	}
 	job.receivedAt = 0
 	c.openRequests++
 	job.placementDeadline = job.requestedAt + c.placementTimeout(job.spec)
-	c.guardDeadline(job)
+	c.scheduleDeadlineCheck(job)
 }
 
 // placementTimeout returns how long a placement request may stay open.
-func (c *Core) placementTimeout(spec *Spec) time.Duration {
+func (c *Core) placementTimeout(spec *JobSpec) time.Duration {
 	if spec.PlacementTimeout > 0 {
 		return spec.PlacementTimeout
 	}
 	return c.cfg.Limits.PlacementTimeouts[spec.Class]
 }
 
-// guardDeadline closes the placement request after its deadline if the module has not done so, for example because of a
-// stall.
-func (c *Core) guardDeadline(job *job) {
+// scheduleDeadlineCheck sets a timer that fails the placement request shortly after its deadline if the module has not
+// decided on it, for example because of a stall.
+func (c *Core) scheduleDeadlineCheck(job *job) {
 	deadline := job.placementDeadline
 	job.placementTimer = c.timers.Schedule(deadline+c.cfg.Module.AnswerSlack/2, func() {
-		if job.requestOpen && job.placementDeadline == deadline && !c.cfg.DisabledGuards.Answer {
-			c.failOverdue(job)
+		if job.requestOpen && job.placementDeadline == deadline && !c.cfg.DisabledGuards.PlacementDeadline {
+			c.failOverdueRequest(job)
 		}
 	})
 }
 
-func (c *Core) failOverdue(job *job) {
+// failOverdueRequest fails a placement request that the module has not decided on in time.
+func (c *Core) failOverdueRequest(job *job) {
 	c.notifyModule(flaxshelf.TaskCanceled{Task: job.taskID()})
-	if job.subState == SubRecovering {
+	if job.subState == SubStateRecovering {
 		c.failPlacementRequest(job, OutcomeFailed, "it may run on a node that has not reported since the scheduler started")
 		return
 	}
@@ -91,7 +92,7 @@
 }
 
 // failTask executes the module's decision not to place a task.
-func (c *Core) failTask(taskID string, outcome Outcome) {
+func (c *Core) failTask(taskID string, outcome PlacementOutcome) {
 	job := c.jobsByTask[taskID]
 	if job == nil || !job.requestOpen || job.taskID() != taskID {
 		return
@@ -99,16 +100,16 @@
 	c.failPlacementRequest(job, outcome, "")
 }
 
-// failPlacementRequest ends a job whose placement request has failed. If the reason is empty, the job keeps that of its
-// last attempt or gets a default.
-func (c *Core) failPlacementRequest(job *job, outcome Outcome, reason string) {
+// failPlacementRequest closes a placement request as not placed and ends its job. If the reason is empty, the job keeps the
+// reason of its last attempt or gets a default.
+func (c *Core) failPlacementRequest(job *job, outcome PlacementOutcome, reason string) {
 	if reason != "" {
 		job.reason = reason
 	}
-	c.closeWithAttempt(job, outcome)
-	subState, defaultReason := SubRejected, "no node accepted it in time; it is safe to submit it again"
+	c.closeRequestAndAttempt(job, outcome)
+	subState, defaultReason := SubStateRejected, "no node accepted it in time; it is safe to submit it again"
 	if outcome == OutcomeFailed {
-		subState, defaultReason = SubUncertain, "an attempt may have run"
+		subState, defaultReason = SubStateUncertain, "an attempt may have run"
 	}
 	if job.reason == "" {
 		job.reason = defaultReason
@@ -116,9 +117,9 @@
 	c.finishJob(job, Failed, subState, job.reason)
 }
 
-// closeWithAttempt closes a placement request and cancels its attempt, if any: an offer that was not sent ends at once,
-// any other attempt is stopped.
-func (c *Core) closeWithAttempt(job *job, outcome Outcome) {
+// closeRequestAndAttempt closes a placement request and its attempt, if any: an offer that was not sent ends at once, any
+// other attempt is stopped.
+func (c *Core) closeRequestAndAttempt(job *job, outcome PlacementOutcome) {
 	current := job.attempt
 	switch {
 	case current == nil:
@@ -132,7 +133,7 @@
 	}
 }
 
-// cancelPlacementRequest cancels the open placement request, if any, for the job's owner.
+// cancelPlacementRequest cancels the placement request, if it is open, and notifies the module.
 func (c *Core) cancelPlacementRequest(job *job, attemptID string) {
 	if !job.requestOpen {
 		return
@@ -141,8 +142,9 @@
 	c.closePlacementRequest(job, OutcomeCanceled, attemptID)
 }
 
-// closePlacementRequest closes the placement request with an outcome, if it is open.
-func (c *Core) closePlacementRequest(job *job, outcome Outcome, attemptID string) {
+// closePlacementRequest closes the placement request with an outcome, if it is open. attemptID is that of the attempt that
+// was placed or in progress, or empty.
+func (c *Core) closePlacementRequest(job *job, outcome PlacementOutcome, attemptID string) {
 	if !job.requestOpen {
 		return
 	}
@@ -154,19 +156,19 @@
 		job.backoffLevel = max(job.backoffLevel-1, 0)
 	}
 	c.rejectPendingHold(job)
-	c.changed(job)
-	c.emit(LogOutcome{Info: job.info(), Attempt: attemptID})
+	c.publishChange(job)
+	c.emit(LogOutcome{Job: job.info(), Attempt: attemptID})
 }
 
-// rejectPendingHold rejects a hold that is pending when the placement request is closed.
+// rejectPendingHold answers a pending hold with an error, because the placement request was closed before it took effect.
 func (c *Core) rejectPendingHold(job *job) {
 	if !job.holdPending {
 		return
 	}
 	job.holdPending = false
 	if job.outcome == OutcomePlaced {
-		c.reject(job.pendingHoldReq, InvalidState, 0, "job %s was placed before the hold", job.id)
+		c.reject(job.pendingHoldRequestID, InvalidState, 0, "job %s was placed before the hold", job.id)
 	} else {
-		c.reject(job.pendingHoldReq, InvalidState, 0, "job %s ended before the hold: %s", job.id, job.outcome.Term())
+		c.reject(job.pendingHoldRequestID, InvalidState, 0, "job %s ended before the hold: %s", job.id, job.outcome.DisplayName())
 	}
 }
--- a/internal/scheduler/property_test.go
+++ b/internal/scheduler/property_test.go
@@ -11,48 +11,53 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-// TestRandomSimulationsPreserveInvariants checks these invariants in random simulations: every placement request has one
-// outcome; no job is offered while it is offered or runs; work that must run at most once is offered again only after proof
-// that it did not run; nothing is offered to a draining node or while a sync after a stall is unanswered; the core's counts
-// are correct; and equal inputs give equal outputs.
+// TestRandomSimulationsPreserveInvariants checks these invariants in random simulations:
+//
+//   - Every placement request has one outcome.
+//   - No job is offered while another offer of it is open or it runs.
+//   - A job that must run at most once is offered again only after proof that it did not run.
+//   - A job that is idempotent by key and may have run is not offered in another zone.
+//   - Nothing is offered to a draining node, to a node without a connection or while a sync after a stall is unanswered.
+//   - The core's counts of requests and jobs are correct.
+//   - Equal inputs give equal outputs.
 func TestRandomSimulationsPreserveInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSimulation(t)
-		s.step(NodesUpdated{Complete: true, Machines: s.machines()}, NodeUp{Node: "n1"}, NodeUp{Node: "n2"})
+		s.step(NodesUpdated{Complete: true, Machines: s.machines()}, NodeConnected{Node: "n1"}, NodeConnected{Node: "n2"})
 		s.connected["n1"], s.connected["n2"] = true, true
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
-			s.act()
+			s.randomAction()
 		}
-		s.finish()
+		s.checkAllRequestsClosed()
 	})
 }
 
 var nodeNames = []string{"n1", "n2", "n3"}
 
-// simulation simulates nodes and owners that send any input that the protocols allow, in any order, and checks the core's
-// effects.
+// simulation simulates nodes and owners. They send inputs that the protocols allow in random order, and the simulation checks
+// the core's effects.
 type simulation struct {
-	t         *rapid.T
-	core      *Core
-	replica   *Core // receives the same inputs and must have the same outputs
-	now       Time
-	nextStep  Time            // of the core
-	draining  map[string]bool // nodes, as in the last list
-	connected map[string]bool // nodes
-	offers    []*sentOffer
-	offerByID map[string]*sentOffer
-	jobs      []string
-	outcomes  map[string]Outcome // by job and placement request
-	syncToken uint64             // of the sync without an answer of discovery; zero means none
-	syncedAt  Time               // the start of that sync
-	stalled   bool
+	t             *rapid.T
+	core          *Core
+	replica       *Core // receives the same inputs and must have the same outputs
+	now           Time
+	nextStep      Time            // of the core
+	draining      map[string]bool // by node, as in the last endpoint list
+	connected     map[string]bool // by node
+	offers        []*sentOffer
+	offerByID     map[string]*sentOffer
+	jobs          []string
+	outcomes      map[string]PlacementOutcome // by job and placement request
+	syncToken     uint64                      // of the sync that discovery has not answered; zero means none
+	syncStartedAt Time                        // start of that sync
+	stalled       bool
 }
 
 // sentOffer is an offer that the core has sent.
 type sentOffer struct {
 	SendOffer
-	at           Time
-	closed       bool // answered, stopped, timed out or lost its connection
+	sentAt       Time
+	closed       bool // rejected, failed, ended or stopped, or its node disconnected before accepting it
 	provenNotRun bool // rejected
 	accepted     bool
 	ended        bool
@@ -70,7 +75,7 @@
 		draining:  map[string]bool{},
 		connected: map[string]bool{},
 		offerByID: map[string]*sentOffer{},
-		outcomes:  map[string]Outcome{},
+		outcomes:  map[string]PlacementOutcome{},
 	}
 }
 
@@ -86,19 +91,21 @@
 	return all
 }
 
-// pick draws a number from 0 to n-1.
-func (s *simulation) pick(n int, label string) int { return rapid.IntRange(0, n-1).Draw(s.t, label) }
+// drawIndex draws a number from 0 to n-1.
+func (s *simulation) drawIndex(n int, label string) int {
+	return rapid.IntRange(0, n-1).Draw(s.t, label)
+}
 
-// oneIn draws true with a probability of 1/n.
-func (s *simulation) oneIn(n int, label string) bool { return s.pick(n, label) == 0 }
+// drawOneIn draws true with a probability of 1/n.
+func (s *simulation) drawOneIn(n int, label string) bool { return s.drawIndex(n, label) == 0 }
 
-func (s *simulation) act() {
-	node := nodeNames[s.pick(len(nodeNames), "node")]
-	switch s.pick(16, "act") {
+func (s *simulation) randomAction() {
+	node := nodeNames[s.drawIndex(len(nodeNames), "node")]
+	switch s.drawIndex(16, "act") {
 	case 0, 1, 2:
-		s.submit()
+		s.submitRandomJob()
 	case 3, 4, 5, 6:
-		s.replyToAny()
+		s.replyToRandomOffer()
 	case 7:
 		s.disconnect(node)
 	case 8:
@@ -107,58 +114,58 @@
 		s.draining[node] = !s.draining[node]
 		s.step(NodesUpdated{Machines: s.machines()})
 	case 10, 11:
-		s.command()
+		s.commandRandomJob()
 	case 12:
-		s.stall()
+		s.stallProcess()
 	case 13:
 		s.step(DiscoverySynced{s.syncToken})
 	case 14:
 		s.step(DiscoveryFailed{})
 	default:
-		s.advance(time.Duration(s.pick(700, "pause")) * time.Millisecond)
+		s.advance(time.Duration(s.drawIndex(700, "pause")) * time.Millisecond)
 	}
 }
 
-func (s *simulation) submit() {
-	s.step(Submit{Req: 1, Spec: Spec{
-		Key:        fmt.Sprint("k", s.pick(30, "key")),
-		Class:      s.pick(4, "class"),
+func (s *simulation) submitRandomJob() {
+	s.step(Submit{RequestID: 1, Spec: JobSpec{
+		Key:        fmt.Sprint("k", s.drawIndex(30, "key")),
+		Class:      s.drawIndex(4, "class"),
 		Tenant:     -1,
-		Service:    fmt.Sprint(s.pick(2, "service")),
+		Service:    fmt.Sprint(s.drawIndex(2, "service")),
 		Cores:      1,
 		Memory:     1,
-		Rerunnable: s.oneIn(2, "rerunnable"),
-		Hold:       s.oneIn(8, "hold"),
-		Retry:      s.oneIn(4, "retry"),
+		Rerunnable: s.drawOneIn(2, "rerunnable"),
+		Hold:       s.drawOneIn(8, "hold"),
+		Retry:      s.drawOneIn(4, "retry"),
 	}})
 }
 
-func (s *simulation) replyToAny() {
+func (s *simulation) replyToRandomOffer() {
 	if len(s.offers) > 0 {
-		s.reply(s.offers[s.pick(len(s.offers), "offer")], s.pick(7, "reply"))
+		s.replyTo(s.offers[s.drawIndex(len(s.offers), "offer")], s.drawIndex(7, "reply"))
 	}
 }
 
 func (s *simulation) disconnect(node string) {
 	s.connected[node] = false
-	s.closeUnaccepted(node)
-	s.step(NodeDown{Node: node})
+	s.closeUnacceptedOffers(node)
+	s.step(NodeDisconnected{Node: node})
 }
 
 func (s *simulation) connect(node string) {
 	s.connected[node] = true
-	s.closeUnaccepted(node) // a node drops what it was offered over a former connection
-	up := NodeUp{Node: node}
+	s.closeUnacceptedOffers(node) // a node drops the offers of a former connection
+	up := NodeConnected{Node: node}
 	for _, offer := range s.offers {
 		if offer.Node == node && offer.accepted && !offer.ended {
-			up.Running = append(up.Running, RunningAttempt{Attempt: offer.Attempt, Job: offer.Job, Request: offer.Request,
-				Spec: *offer.Spec})
+			up.Accepted = append(up.Accepted, ReportedAttempt{Attempt: offer.Attempt, Job: offer.Job,
+				PlacementRequest: offer.PlacementRequest, Spec: *offer.Spec})
 		}
 	}
 	s.step(up)
 }
 
-func (s *simulation) closeUnaccepted(node string) {
+func (s *simulation) closeUnacceptedOffers(node string) {
 	for _, offer := range s.offers {
 		if offer.Node == node && !offer.accepted {
 			offer.closed = true
@@ -166,44 +173,44 @@
 	}
 }
 
-func (s *simulation) command() {
+func (s *simulation) commandRandomJob() {
 	if len(s.jobs) == 0 {
 		return
 	}
 	verbs := []Verb{Hold, Release, Terminate, Hold, Release, Reap}
-	verb := verbs[s.pick(len(verbs), "verb")]
-	s.step(Command{Req: 2, Verb: verb, Job: s.jobs[s.pick(len(s.jobs), "job")]})
+	verb := verbs[s.drawIndex(len(verbs), "verb")]
+	s.step(Command{RequestID: 2, Verb: verb, Job: s.jobs[s.drawIndex(len(s.jobs), "job")]})
 }
 
-func (s *simulation) stall() {
+func (s *simulation) stallProcess() {
 	s.stalled = true
-	s.advance(time.Duration(s.pick(3000, "stall")) * time.Millisecond)
+	s.advance(time.Duration(s.drawIndex(3000, "stall")) * time.Millisecond)
 	s.stalled = false
 	s.step()
 }
 
-// reply sends a reply to an offer, which may have been answered or have ended before.
-func (s *simulation) reply(offer *sentOffer, how int) {
+// replyTo sends a reply to an offer, which may have been answered or have ended already.
+func (s *simulation) replyTo(offer *sentOffer, kind int) {
 	if !s.connected[offer.Node] {
 		return
 	}
-	switch how {
+	switch kind {
 	case 0, 1, 2:
-		s.accept(offer)
+		s.acceptOffer(offer)
 	case 3:
-		s.reject(offer)
+		s.rejectOffer(offer)
 	case 4:
-		s.fail(offer)
+		s.failOffer(offer)
 	case 5:
 		if offer.accepted && !offer.ended {
 			s.step(AttemptStarted{Node: offer.Node, Attempt: offer.Attempt})
 		}
 	default:
-		s.end(offer, End(how%3))
+		s.endAttempt(offer, EndKind(kind%3))
 	}
 }
 
-func (s *simulation) accept(offer *sentOffer) {
+func (s *simulation) acceptOffer(offer *sentOffer) {
 	if offer.provenNotRun || offer.ended {
 		return
 	}
@@ -211,7 +218,7 @@
 	s.step(AttemptAccepted{Node: offer.Node, Attempt: offer.Attempt})
 }
 
-func (s *simulation) reject(offer *sentOffer) {
+func (s *simulation) rejectOffer(offer *sentOffer) {
 	if offer.accepted {
 		return
 	}
@@ -222,7 +229,7 @@
 	s.step(AttemptRejected{Node: offer.Node, Attempt: offer.Attempt, Reason: flaxshelf.InsufficientMemory})
 }
 
-func (s *simulation) fail(offer *sentOffer) {
+func (s *simulation) failOffer(offer *sentOffer) {
 	if offer.accepted {
 		return
 	}
@@ -230,12 +237,12 @@
 	s.step(AttemptFailed{Node: offer.Node, Attempt: offer.Attempt})
 }
 
-func (s *simulation) end(offer *sentOffer, end End) {
+func (s *simulation) endAttempt(offer *sentOffer, endAttempt EndKind) {
 	if !offer.accepted || offer.ended {
 		return
 	}
 	offer.ended, offer.closed = true, true
-	s.step(AttemptEnded{Node: offer.Node, Attempt: offer.Attempt, End: end, Reason: flaxshelf.Evicted})
+	s.step(AttemptEnded{Node: offer.Node, Attempt: offer.Attempt, End: endAttempt, Reason: flaxshelf.Evicted})
 }
 
 func (s *simulation) advance(d time.Duration) {
@@ -250,7 +257,7 @@
 
 // step steps the core and its replica and checks their outputs.
 func (s *simulation) step(inputs ...Input) {
-	s.endSync(inputs)
+	s.trackSyncEnd(inputs)
 	out := s.core.Step(s.now, inputs)
 	if replicated := s.replica.Step(s.now, inputs); outputText(out) != outputText(replicated) {
 		s.t.Fatalf("outputs of equal inputs differ:\n%s\n%s", outputText(out), outputText(replicated))
@@ -260,14 +267,14 @@
 		s.t.Fatalf("at %v the next step is at %v, want between now and the stall threshold", s.now, s.nextStep)
 	}
 	for _, effect := range out.Effects {
-		s.check(effect)
+		s.checkEffect(effect)
 	}
 	s.checkCounts()
 }
 
-// endSync records the end of the sync of discovery, by its timeout or by an input.
-func (s *simulation) endSync(inputs []Input) {
-	if s.syncToken > 0 && s.now-s.syncedAt >= s.core.syncTimeout() {
+// trackSyncEnd records that the sync of discovery ends, by its timeout or by an input.
+func (s *simulation) trackSyncEnd(inputs []Input) {
+	if s.syncToken > 0 && s.now-s.syncStartedAt >= s.core.syncTimeout() {
 		s.syncToken = 0
 	}
 	for _, in := range inputs {
@@ -290,12 +297,12 @@
 	return b.String()
 }
 
-func (s *simulation) check(effect Effect) {
+func (s *simulation) checkEffect(effect Effect) {
 	switch effect := effect.(type) {
 	case SyncDiscovery:
-		s.syncToken, s.syncedAt = effect.Token, s.now
+		s.syncToken, s.syncStartedAt = effect.Token, s.now
 	case Answer:
-		if effect.Err == nil && effect.Req == 1 && !effect.Existing {
+		if effect.Err == nil && effect.RequestID == 1 && !effect.Existing {
 			s.jobs = append(s.jobs, effect.Jobs[0].ID)
 		}
 	case SendStop:
@@ -303,16 +310,16 @@
 			offer.closed = true
 		}
 	case LogOutcome:
-		if !effect.Info.State.Ended() {
-			s.checkOutcome(effect.Info)
+		if !effect.Job.State.Ended() {
+			s.checkOutcome(effect.Job)
 		}
 	case SendOffer:
 		s.checkOffer(effect)
 	}
 }
 
-func (s *simulation) checkOutcome(info Info) {
-	request := fmt.Sprint(info.ID, "#", info.Request)
+func (s *simulation) checkOutcome(info JobInfo) {
+	request := fmt.Sprint(info.ID, "#", info.PlacementRequest)
 	if former, ok := s.outcomes[request]; ok {
 		s.t.Fatalf("%s: got outcome %s after outcome %s, want one outcome", request, info.Outcome, former)
 	}
@@ -326,38 +333,39 @@
 	case !s.connected[sent.Node]:
 		s.t.Fatalf("%s is offered to %s, which is not connected", sent.Attempt, sent.Node)
 	case s.syncToken > 0:
-		s.t.Fatalf("%s is offered at %v though the sync after the stall of %v is not answered", sent.Attempt, s.now, s.syncedAt)
+		s.t.Fatalf("%s is offered at %v though the sync after the stall of %v is not answered", sent.Attempt, s.now,
+			s.syncStartedAt)
 	case s.offerByID[sent.Attempt] != nil:
 		s.t.Fatalf("%s is offered twice", sent.Attempt)
 	}
 	for _, former := range s.offers {
 		if former.Job == sent.Job {
-			s.checkSuccessor(former, sent)
+			s.checkRepeatedOffer(former, sent)
 		}
 	}
-	offer := &sentOffer{SendOffer: sent, at: s.now}
+	offer := &sentOffer{SendOffer: sent, sentAt: s.now}
 	s.offers, s.offerByID[sent.Attempt] = append(s.offers, offer), offer
 }
 
-// checkSuccessor checks that a job may be offered after an earlier offer.
-func (s *simulation) checkSuccessor(former *sentOffer, sent SendOffer) {
-	if !former.closed && s.now < former.at+former.ValidFor {
+// checkRepeatedOffer checks that a job may be offered after an earlier offer of it.
+func (s *simulation) checkRepeatedOffer(former *sentOffer, sent SendOffer) {
+	if !former.closed && s.now < former.sentAt+former.ValidFor {
 		s.t.Fatalf("%s is offered while %s is in flight or runs", sent.Attempt, former.Attempt)
 	}
-	if former.Request != sent.Request || former.provenNotRun {
+	if former.PlacementRequest != sent.PlacementRequest || former.provenNotRun {
 		return
 	}
-	otherZone := (former.Node == "n3") != (sent.Node == "n3")
+	inOtherZone := (former.Node == "n3") != (sent.Node == "n3")
 	switch class := s.core.cfg.Module.Classes[sent.Spec.Class]; {
 	case class.Idempotency == flaxshelf.NonIdempotent:
 		s.t.Fatalf("not idempotent: %s is offered though %s may have run", sent.Attempt, former.Attempt)
-	case class.Idempotency == flaxshelf.IdempotentByKey && otherZone:
+	case class.Idempotency == flaxshelf.IdempotentByKey && inOtherZone:
 		s.t.Fatalf("idempotent by key: %s is offered to %s though %s at %s may have run", sent.Attempt, sent.Node,
 			former.Attempt, former.Node)
 	}
 }
 
-// checkCounts compares the core's counts with its jobs.
+// checkCounts compares the core's counts of requests and jobs with its jobs.
 func (s *simulation) checkCounts() {
 	open, unfinished, ended := 0, 0, 0
 	for id, job := range s.core.jobs {
@@ -382,8 +390,8 @@
 	}
 }
 
-// finish advances the time without messages. Every placement request must then have its outcome.
-func (s *simulation) finish() {
+// checkAllRequestsClosed advances the time without messages. No overdue placement request may be open then.
+func (s *simulation) checkAllRequestsClosed() {
 	s.step(DiscoverySynced{s.syncToken})
 	for range 200 {
 		s.now = max(s.nextStep, s.now+time.Millisecond)
--- a/internal/scheduler/script_test.go
+++ b/internal/scheduler/script_test.go
@@ -10,9 +10,9 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// TestScripts runs the scripts of testdata. Each starts with `core`; `step` steps the core at a time with one input per line,
-// and prints the effects. Between two steps the core is stepped at each Output.NextStep, unless the second step has the
-// option stall. Run with -rewrite to rewrite the transcripts.
+// TestScripts runs the scripts of testdata and compares the effects with the transcripts in them. `core` creates a core.
+// `step` steps it at the given time, with one input per line. Between two steps the core is stepped at each
+// Output.NextStep, unless the second step has the option stall. Run with -rewrite to rewrite the transcripts.
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata/scripts", func(t *testing.T, path string) {
 		runner := &scriptRunner{}
@@ -23,20 +23,20 @@
 			case "step":
 				return runner.step(t, data)
 			}
-			data.Fatalf(t, "no command %s", data.Cmd)
+			data.Fatalf(t, "unknown command %s", data.Cmd)
 			return ""
 		})
 	})
 }
 
 type scriptRunner struct {
-	core *Core
-	now  Time
-	next Time   // of the next step
-	req  uint64 // of the last input
+	core          *Core
+	now           Time
+	nextStep      Time   // of the next step
+	lastRequestID uint64 // of the last input
 }
 
-// newCore creates a core. max-pending=N sets the limit of pending jobs, started-at=TIME starts a later incarnation, and
+// newCore creates a core. max-pending=N sets Limits.MaxPending, started-at=TIME sets the start of the incarnation, and
 // placed-when-running sets PlacedWhenRunning.
 func (s *scriptRunner) newCore(t *testing.T, data *datadriven.TestData) string {
 	t.Helper()
@@ -51,46 +51,47 @@
 			cfg.Module.PlacedWhenRunning = true
 		}
 	}
-	s.core, s.next, s.req = newTestCore(t, cfg), 0, 0
+	s.core, s.nextStep, s.lastRequestID = newTestCore(t, cfg), 0, 0
 	s.now = max(s.now, cfg.StartedAt)
 	return ""
 }
 
-// step steps the core at a time. stall omits the steps before it, and all prints published changes too.
+// step steps the core at a time. The option stall omits the steps between the last one and this one; all prints published
+// changes too.
 func (s *scriptRunner) step(t *testing.T, data *datadriven.TestData) string {
 	t.Helper()
 	var at Time
-	stall, all := false, false
+	stall, printChanges := false, false
 	for _, arg := range data.CmdArgs {
 		switch arg.Key {
 		case "stall":
 			stall = true
 		case "all":
-			all = true
+			printChanges = true
 		default:
 			at = parseTime(t, arg.Key)
 		}
 	}
 	var b strings.Builder
-	for !stall && s.next > 0 && s.next < at && s.core.lastStepAt > 0 {
-		s.print(&b, s.next, s.core.Step(s.next, nil), all)
+	for !stall && s.nextStep > 0 && s.nextStep < at && s.core.lastStepAt > 0 {
+		s.printEffects(&b, s.nextStep, s.core.Step(s.nextStep, nil), printChanges)
 	}
 	var inputs []Input
 	for _, line := range strings.Split(data.Input, "\n") {
 		if line = strings.TrimSpace(line); line != "" {
-			s.req++
-			inputs = append(inputs, parseInput(t, line, s.req))
+			s.lastRequestID++
+			inputs = append(inputs, parseInput(t, line, s.lastRequestID))
 		}
 	}
-	s.print(&b, at, s.core.Step(at, inputs), all)
+	s.printEffects(&b, at, s.core.Step(at, inputs), printChanges)
 	return b.String()
 }
 
-// print prints the effects of a step with its time.
-func (s *scriptRunner) print(b *strings.Builder, at Time, out Output, all bool) {
-	s.now, s.next = at, max(out.NextStep, at+time.Millisecond)
+// printEffects prints the effects of a step, each with the time of the step.
+func (s *scriptRunner) printEffects(b *strings.Builder, at Time, out Output, printChanges bool) {
+	s.now, s.nextStep = at, max(out.NextStep, at+time.Millisecond)
 	for _, effect := range out.Effects {
-		if line := effectText(effect, all); line != "" {
+		if line := effectText(effect, printChanges); line != "" {
 			fmt.Fprintf(b, "%v %s\n", at, line)
 		}
 	}
--- a/internal/scheduler/session.go
+++ b/internal/scheduler/session.go
@@ -5,30 +5,30 @@
 	"slices"
 )
 
-// apply executes a command on DRMAA job sessions, which are names that group jobs.
+// apply executes a command on DRMAA job sessions. A session is a name that groups jobs.
 func (in SessionCommand) apply(c *Core) {
 	exists := c.sessions[in.Name]
 	switch {
-	case in.Verb == List:
-		c.answer(in.Req, Answer{Sessions: c.sessionNames()})
-	case in.Verb == Create && exists:
-		c.reject(in.Req, InvalidArgument, 0, "job session %q exists", in.Name)
-	case in.Verb == Create && len(c.sessions) >= c.cfg.Limits.MaxSessions:
-		c.reject(in.Req, OutOfResource, 0, "%d job sessions, no more are kept", len(c.sessions))
-	case in.Verb == Create:
+	case in.Verb == ListSessions:
+		c.answer(in.RequestID, Answer{Sessions: c.sessionNames()})
+	case in.Verb == CreateSession && exists:
+		c.reject(in.RequestID, InvalidArgument, 0, "job session %q exists", in.Name)
+	case in.Verb == CreateSession && len(c.sessions) >= c.cfg.Limits.MaxSessions:
+		c.reject(in.RequestID, OutOfResource, 0, "%d job sessions, no more are kept", len(c.sessions))
+	case in.Verb == CreateSession:
 		c.sessions[in.Name] = true
-		c.answer(in.Req, Answer{Sessions: []string{in.Name}})
+		c.answer(in.RequestID, Answer{Sessions: []string{in.Name}})
 	case !exists:
-		c.reject(in.Req, InvalidArgument, 0, "no job session %q", in.Name)
-	case in.Verb == Destroy: // its jobs continue, see section 8.4 of GFD.194
+		c.reject(in.RequestID, InvalidArgument, 0, "no job session %q", in.Name)
+	case in.Verb == DestroySession: // its jobs continue; see section 8.4 of GFD.194
 		delete(c.sessions, in.Name)
-		c.answer(in.Req, Answer{})
+		c.answer(in.RequestID, Answer{})
 	default:
-		c.answer(in.Req, Answer{Sessions: []string{in.Name}})
+		c.answer(in.RequestID, Answer{Sessions: []string{in.Name}})
 	}
 }
 
-// sessionNames returns the names of the job sessions, sorted. It is never nil, so that it is encoded as a list.
+// sessionNames returns the names of the job sessions, sorted. The result is never nil, so that it is encoded as a list.
 func (c *Core) sessionNames() []string {
 	names := slices.AppendSeq(make([]string, 0, len(c.sessions)), maps.Keys(c.sessions))
 	slices.Sort(names)
--- a/internal/scheduler/submission.go
+++ b/internal/scheduler/submission.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// overloadRetryAfter is the Retry-After of submissions that are rejected because of a limit.
+// overloadRetryAfter is the Error.RetryAfter of submissions that are rejected because of overload or a limit.
 const overloadRetryAfter = time.Second
 
-// maxArrayJobs bounds the jobs of one array.
+// maxArrayJobs is the maximum number of jobs of one array.
 const maxArrayJobs = 100000
 
 // apply accepts or rejects a job or an array. Accepted jobs are not discarded later.
 func (in Submit) apply(c *Core) {
 	if err := c.validateSubmission(in); err != nil {
-		c.answer(in.Req, Answer{Err: err})
+		c.answer(in.RequestID, Answer{Err: err})
 		return
 	}
 	if in.Spec.Key != "" {
@@ -23,7 +23,7 @@
 		}
 	}
 	if err := c.admissionError(in); err != nil {
-		c.answer(in.Req, Answer{Err: err})
+		c.answer(in.RequestID, Answer{Err: err})
 		return
 	}
 	if len(in.Indexes) > 0 {
@@ -32,11 +32,11 @@
 	}
 	job := c.newJob(&in.Spec)
 	job.receivedAt = in.ReceivedAt
-	c.answerJob(in.Req, job)
+	c.answerJob(in.RequestID, job)
 	c.admit(job)
 }
 
-// jobCount returns the number of jobs of a submission.
+// jobCount returns the number of jobs that a submission creates.
 func (in Submit) jobCount() int { return max(len(in.Indexes), 1) }
 
 // validateSubmission returns an error if the submission is invalid.
@@ -44,20 +44,21 @@
 	spec := &in.Spec
 	switch {
 	case !c.knownClass(spec.Class):
-		return newError(InvalidArgument, 0, "no class %d", spec.Class)
+		return newError(InvalidArgument, 0, "unknown class %d, want 0 to %d", spec.Class, len(c.cfg.Module.Classes)-1)
 	case in.jobCount() > maxArrayJobs:
-		return newError(InvalidArgument, 0, "an array of %d jobs, %d at most", in.jobCount(), maxArrayJobs)
+		return newError(InvalidArgument, 0, "the array has %d jobs, want at most %d", in.jobCount(), maxArrayJobs)
 	case spec.Session != "" && !c.sessions[spec.Session]:
 		return newError(InvalidSession, 0, "no job session %q", spec.Session)
 	}
 	return nil
 }
 
-// admissionError returns an error if a valid submission can't be accepted now.
+// admissionError returns an error if a valid submission cannot be accepted now.
 func (c *Core) admissionError(in Submit) *Error {
-	// An overloaded core would otherwise accept jobs that it can hardly place before their deadlines.
+	// An overloaded core would otherwise accept jobs whose deadlines leave it too little time to place them.
 	if late := c.now - in.ReceivedAt; in.ReceivedAt > 0 && late > c.placementTimeout(&in.Spec)/2 {
-		return newError(TryLater, overloadRetryAfter, "the scheduler is %v behind", late.Round(time.Millisecond))
+		return newError(TryLater, overloadRetryAfter, "the submission waited %v, want at most half of its placement timeout %v",
+			late.Round(time.Millisecond), c.placementTimeout(&in.Spec))
 	}
 	limits := &c.cfg.Limits
 	switch {
@@ -73,23 +74,23 @@
 	return nil
 }
 
-// answerKnownKey answers a submission with the key of an earlier job, such as a retry by an owner that did not receive the
-// answer. It returns false if the submission is to be treated as new: a job is replaced only if it ended without being
-// placed and, if it may have run, only after the settle time.
+// answerKnownKey answers a submission whose key is that of an earlier job, for example if the owner did not receive the
+// first answer. It returns false if the submission must be treated as new. That is so only if the earlier job ended without
+// being placed and, if it may have run, the settle time has passed.
 func (c *Core) answerKnownKey(in Submit, job *job) bool {
 	if !job.endedUnplaced() {
-		answer := Answer{Jobs: []Info{job.info()}, Existing: true}
+		answer := Answer{Jobs: []JobInfo{job.info()}, Existing: true}
 		if job.array != nil {
-			answer.Array, answer.Jobs = job.array.id, job.array.infos()
+			answer.ArrayID, answer.Jobs = job.array.id, job.array.infos()
 		}
-		c.answer(in.Req, answer)
+		c.answer(in.RequestID, answer)
 		return true
 	}
 	wait := c.earliestResubmission(job) - c.now
 	if wait <= 0 {
 		return false
 	}
-	c.reject(in.Req, TryLater, wait, "an attempt for key %q may have run; it is waited for", in.Spec.Key)
+	c.reject(in.RequestID, TryLater, wait, "an attempt for key %q may have run; it is waited for", in.Spec.Key)
 	return true
 }
 
@@ -99,11 +100,11 @@
 	return c.idPrefix + strconv.FormatUint(c.lastJobNumber, 36)
 }
 
-// newJob adds a job of this incarnation; admit starts its placement.
-func (c *Core) newJob(spec *Spec) *job {
-	job := &job{id: c.newID(), spec: spec, state: Queued, subState: SubWaiting, submittedAt: c.now}
+// newJob adds a submitted job. The caller must call admit to start its placement.
+func (c *Core) newJob(spec *JobSpec) *job {
+	job := &job{id: c.newID(), spec: spec, state: Queued, subState: SubStateWaiting, submittedAt: c.now}
 	if spec.Hold {
-		job.state, job.subState = QueuedHeld, SubHeld
+		job.state, job.subState = QueuedHeld, SubStateHeld
 	}
 	c.addJob(job)
 	return job
@@ -117,35 +118,35 @@
 	}
 	if job.onHold() {
 		job.receivedAt = 0
-		c.changed(job)
+		c.publishChange(job)
 		return
 	}
 	c.placeWhenReady(job)
 }
 
-// placeWhenReady submits a job to the module after its start time, after the settle time of a former attempt, and after
-// the recovery of this incarnation.
+// placeWhenReady submits a job to the module when its start time is reached, the settle time of an earlier attempt has
+// passed and the recovery of this incarnation has ended, as far as each applies to the job.
 func (c *Core) placeWhenReady(job *job) {
 	switch {
 	case job.spec.NotBefore > c.now:
 		job.receivedAt = 0
-		c.delay(job, SubStartTime, job.spec.NotBefore, c.submitToModule)
-	case job.request > 0 && c.earliestResubmission(job) > c.now:
-		c.delay(job, SubBackoff, c.earliestResubmission(job), c.placeWhenReady)
+		c.delay(job, SubStateStartTime, job.spec.NotBefore, c.submitToModule)
+	case job.requestNumber > 0 && c.earliestResubmission(job) > c.now:
+		c.delay(job, SubStateBackoff, c.earliestResubmission(job), c.placeWhenReady)
 	case c.mustAwaitRecovery(job):
-		job.subState = SubRecovering
+		job.subState = SubStateRecovering
 		c.openPlacementRequest(job)
-		c.recovery.waiting = append(c.recovery.waiting, job)
-		c.changed(job)
+		c.recovery.waitingJobs = append(c.recovery.waitingJobs, job)
+		c.publishChange(job)
 	default:
 		c.submitToModule(job)
 	}
 }
 
-// delay sets a waiting sub-state, and calls proceed at the given time if the job is still in that sub-state.
+// delay puts a job into a waiting sub-state and calls proceed at the given time if the job is still in that sub-state.
 func (c *Core) delay(job *job, subState string, until Time, proceed func(*job)) {
 	job.subState = subState
-	c.changed(job)
+	c.publishChange(job)
 	job.delayTimer = c.timers.Schedule(until, func() {
 		if !job.state.Ended() && job.subState == subState {
 			proceed(job)
--- a/internal/shard/shardmap.go
+++ b/internal/shard/shardmap.go
@@ -46,7 +46,7 @@
 // scheduler, since an owner that retries uses the same service. Submissions that neither a key nor a service assigns to a core
 // are distributed round-robin by turn, which should increase from call to call, but not to overloaded cores. backlog returns
 // the number of inputs that wait for a core.
-func (m *Map) CoreForSubmission(spec *scheduler.Spec, turn uint64, backlog func(core int) int) int {
+func (m *Map) CoreForSubmission(spec *scheduler.JobSpec, turn uint64, backlog func(core int) int) int {
 	if m.cores == 1 {
 		return 0
 	}
@@ -57,7 +57,7 @@
 }
 
 // coreOfSpec returns the core that the service or the key determines. It returns false if neither does.
-func (m *Map) coreOfSpec(spec *scheduler.Spec) (core int, ok bool) {
+func (m *Map) coreOfSpec(spec *scheduler.JobSpec) (core int, ok bool) {
 	if m.byService && spec.Service != "" {
 		return m.coreOfKey(spec.Key, m.hash(spec.Service)), true
 	}
@@ -129,17 +129,17 @@
 // incarnation, which may have had another number of cores, is assigned to the core that the same submission would get, so
 // that an owner that retries finds it and the spread limit of its service counts it. If neither a key nor a service determines
 // the core, the job's ID does.
-func (m *Map) SplitReport(up scheduler.NodeUp) []scheduler.NodeUp {
+func (m *Map) SplitReport(up scheduler.NodeConnected) []scheduler.NodeConnected {
 	if m.cores == 1 {
-		return []scheduler.NodeUp{up}
+		return []scheduler.NodeConnected{up}
 	}
-	parts := make([]scheduler.NodeUp, m.cores)
+	parts := make([]scheduler.NodeConnected, m.cores)
 	for core := range parts {
-		parts[core] = scheduler.NodeUp{Node: up.Node, Started: up.Started, MayBeCold: up.MayBeCold}
+		parts[core] = scheduler.NodeConnected{Node: up.Node, StartedAt: up.StartedAt, MayBeWarmingUp: up.MayBeWarmingUp}
 	}
-	for _, reported := range up.Running {
+	for _, reported := range up.Accepted {
 		core := m.coreOfRunning(&reported)
-		parts[core].Running = append(parts[core].Running, reported)
+		parts[core].Accepted = append(parts[core].Accepted, reported)
 	}
 	for _, ended := range up.Ended {
 		core := m.CoreOfAttempt(ended.Attempt)
@@ -150,7 +150,7 @@
 
 // coreOfRunning returns the core that has the job of an attempt or is to adopt it. It stores the core if the hash of the job's
 // ID gives another one.
-func (m *Map) coreOfRunning(reported *scheduler.RunningAttempt) int {
+func (m *Map) coreOfRunning(reported *scheduler.ReportedAttempt) int {
 	if core := m.coreOfPrefix(reported.Job); core >= 0 {
 		return core
 	}
