--- a/internal/daemon/core.go
+++ b/internal/daemon/core.go
@@ -25,11 +25,11 @@
 	input      scheduler.Input
 	buildInput func(requestID, streamID uint64) scheduler.Input // of a client's request, to which the owner assigns IDs
 
-	reply      func(*scheduler.Answer)    // to a client's request
-	publish    func(*scheduler.Info) bool // a change to the client of a Watch; false ends the stream
-	heartbeat  func() bool                // to the client of a Watch; false ends the stream
-	receivedAt time.Time                  // when the client's request was complete
-	isNewJob   bool                       // a submission; set by the owner
+	reply      func(*scheduler.Answer)       // to a client's request
+	publish    func(*scheduler.JobInfo) bool // a change to the client of a Watch; false ends the stream
+	heartbeat  func() bool                   // to the client of a Watch; false ends the stream
+	receivedAt time.Time                     // when the client's request was complete
+	isNewJob   bool                          // a submission; set by the owner
 
 	conn      *transport.Conn   // of a NodeUp
 	addresses map[string]string // of the nodes in a NodesUpdated
@@ -72,7 +72,7 @@
 		addresses:   map[string]string{},
 	}
 	r.offer.init()
-	config := shard.Divide(d.settings.CoreConfig(d.startedAt), index, coreCount)
+	config := shard.ConfigForCore(d.settings.CoreConfig(d.startedAt), index, coreCount)
 	config.WrapStep = d.metrics.timeModuleStep
 	if d.settings.ModuleRecording != "" {
 		recorder, err := replay.Create(recordingPath(d.settings.ModuleRecording, index), config.Module, config.Seed)
--- a/internal/daemon/nodehandler.go
+++ b/internal/daemon/nodehandler.go
@@ -39,10 +39,10 @@
 // mailbox was full.
 func (d *Daemon) tryEnqueueNodeInput(input scheduler.Input, from *transport.Conn) bool {
 	if attempt, ok := attemptOf(input); ok {
-		return d.runners[d.shards.Attempt(attempt)].tryEnqueue(message{input: input})
+		return d.runners[d.shards.CoreOfAttempt(attempt)].tryEnqueue(message{input: input})
 	}
 	switch in := input.(type) {
-	case scheduler.NodeUp:
+	case scheduler.NodeConnected:
 		return d.tryEnqueueNodeUp(in, from)
 	case scheduler.NodeSynced:
 		return d.tryEnqueueSynced(in.Token, func(token uint64) scheduler.Input {
@@ -55,9 +55,9 @@
 
 // tryEnqueueNodeUp passes to each core its part of what a node has reported in its welcome, without waiting. It returns
 // false if a mailbox was full.
-func (d *Daemon) tryEnqueueNodeUp(up scheduler.NodeUp, from *transport.Conn) bool {
+func (d *Daemon) tryEnqueueNodeUp(up scheduler.NodeConnected, from *transport.Conn) bool {
 	ok := true
-	for i, part := range d.shards.Split(up) {
+	for i, part := range d.shards.SplitReport(up) {
 		ok = d.runners[i].tryEnqueue(message{input: part, conn: from}) && ok
 	}
 	return ok
--- a/internal/requests/endpoints.go
+++ b/internal/requests/endpoints.go
@@ -2,13 +2,13 @@
 
 import "flaxshelf.example/flaxshelf"
 
-// updateNodes applies an update of the endpoint list. The module receives it before its other decisions of this step.
+// updateNodes applies an update of the endpoint list. The placer receives it before it makes the decisions of this step.
 func (c *Core) updateNodes(in NodesUpdated) {
 	machines := make([]flaxshelf.Machine, len(in.Endpoints))
 	for i, endpoint := range in.Endpoints {
 		machines[i] = endpoint.Machine
 	}
-	c.notifyModule(flaxshelf.MachinesUpdated{Machines: machines, Complete: in.Complete, Stale: in.FromConfig})
+	c.notifyPlacer(flaxshelf.MachinesUpdated{Machines: machines, Complete: in.Complete, Stale: in.FromConfig})
 	for _, endpoint := range in.Endpoints {
 		c.updateNode(endpoint)
 	}
@@ -18,40 +18,40 @@
 	c.removeReplacedNodes(in.Endpoints)
 }
 
-// updateNode applies an entry of the endpoint list. Links to its previous address are closed, and tasks that ran before the
-// node restarted are lost.
+// updateNode applies an entry of the endpoint list. If the address has changed, the links to the previous one are closed. If
+// the node has restarted, the tasks that started before count as lost.
 func (c *Core) updateNode(endpoint Endpoint) {
 	machine, addr := endpoint.Machine, endpoint.Addr
-	n := c.nodeFor(machine.ID)
-	restarted := n.listed && machine.Started > n.entry.Started && machine.State != flaxshelf.Removed
+	n := c.getOrAddNode(machine.ID)
+	restarted := n.listed && machine.Started > n.machine.Started && machine.State != flaxshelf.Removed
 	addrChanged := addr != "" && addr != n.addr
-	n.entry, n.listed = machine, true
+	n.machine, n.listed = machine, true
 	if addrChanged {
 		n.addr = addr
 		c.closeLinksOf(n)
 	}
 	if restarted {
 		beforeRestart := func(a *attempt) bool { return a.startedAt < machine.Started }
-		c.stats.LostToRemoval += c.loseRunning(n, beforeRestart)
+		c.stats.LostToRemoval += c.endLostTasks(n, beforeRestart)
 	}
 	c.applyNodeState(n)
 }
 
-// removeUnlisted removes the nodes that a complete endpoint list does not contain.
+// removeUnlisted removes the nodes that are not in a complete endpoint list.
 func (c *Core) removeUnlisted(endpoints []Endpoint) {
 	listed := make(map[string]bool, len(endpoints))
 	for _, endpoint := range endpoints {
 		listed[endpoint.Machine.ID] = true
 	}
 	for _, n := range c.sortedNodes() {
-		if !listed[n.entry.ID] && n.entry.State != flaxshelf.Removed {
-			n.entry.State = flaxshelf.Removed
+		if !listed[n.machine.ID] && n.machine.State != flaxshelf.Removed {
+			n.machine.State = flaxshelf.Removed
 			c.applyNodeState(n)
 		}
 	}
 }
 
-// removeReplacedNodes removes the nodes whose address the update assigns to another node, which proves that they have left.
+// removeReplacedNodes removes the nodes whose address the update assigns to another node: they have left the cluster.
 func (c *Core) removeReplacedNodes(endpoints []Endpoint) {
 	idByAddr := make(map[string]string, len(endpoints))
 	for _, endpoint := range endpoints {
@@ -60,19 +60,19 @@
 		}
 	}
 	for _, n := range c.sortedNodes() {
-		if id, used := idByAddr[n.addr]; used && id != n.entry.ID {
+		if id, used := idByAddr[n.addr]; used && id != n.machine.ID {
 			c.removeNode(n)
 		}
 	}
 }
 
-// applyNodeState applies the state of a node in the endpoint list. Attempts that wait for a link are ended if the node
-// drains, because the update arrived before their offers were written.
+// applyNodeState applies the state of a node in the endpoint list. If the node is no longer active, the attempts that are
+// waiting for a link end with the outcome NotSent, because the update arrived before their offers were sent.
 func (c *Core) applyNodeState(n *node) {
-	if n.entry.State != flaxshelf.Active {
+	if n.machine.State != flaxshelf.Active {
 		c.endConnecting(n, flaxshelf.NotSent)
 	}
-	if n.entry.State == flaxshelf.Removed {
+	if n.machine.State == flaxshelf.Removed {
 		c.removeNode(n)
 		return
 	}
--- a/internal/requests/endpoints_test.go
+++ b/internal/requests/endpoints_test.go
@@ -8,20 +8,20 @@
 	"flaxshelf.example/flaxshelf/internal/machinetest"
 )
 
-// An update passes every field of a machine to the module, and the core records all of them.
+// An update passes every field of a machine to the placer, and the core stores all of them.
 func TestUpdateKeepsEveryFieldOfMachine(t *testing.T) {
 	h := newHarness(t)
 	want := machinetest.Filled(t)
 	h.step(nodeUpdated(want, "x"))
-	updates := moduleEventsOf[flaxshelf.MachinesUpdated](h)
+	updates := placerEventsOf[flaxshelf.MachinesUpdated](h)
 	if len(updates) != 1 || len(updates[0].Machines) != 1 {
 		t.Fatalf("got %+v, want one update of one machine", updates)
 	}
 	machinetest.Expect(t, updates[0].Machines[0], want)
-	machinetest.Expect(t, h.core.nodeFor(want.ID).entry, want)
+	machinetest.Expect(t, h.core.getOrAddNode(want.ID).machine, want)
 }
 
-// A node is identified by its ID: the tasks of a node are lost when another node is at its address.
+// A node is identified by its ID, not by its address: if another node takes over its address, its tasks are lost.
 func TestReusedAddressLosesTasksOfPreviousNode(t *testing.T) {
 	h := newHarness(t)
 	h.connect(1)
@@ -41,8 +41,8 @@
 	}
 }
 
-// An update that drains a node ends the attempts that wait for a link to it.
-func TestDrainBeforeOfferIsWritten(t *testing.T) {
+// An update that drains a node ends the attempts that are waiting for a link to it.
+func TestDrainBeforeOfferIsSent(t *testing.T) {
 	h := newHarness(t)
 	h.connect(1)
 	h.updateNodes(flaxshelf.Active, "n")
@@ -52,12 +52,12 @@
 	h.updateNodes(flaxshelf.Draining, "n")
 	h.step(LinkUp{dial.Link})
 	noEffect[Offer](h)
-	if got := moduleEventsOf[flaxshelf.AttemptEnded](h); len(got) == 0 || got[0].Outcome != flaxshelf.NotSent {
+	if got := placerEventsOf[flaxshelf.AttemptEnded](h); len(got) == 0 || got[0].Outcome != flaxshelf.NotSent {
 		t.Errorf("got ended attempts %+v, want the first with outcome %v", got, flaxshelf.NotSent)
 	}
 }
 
-// A node that has restarted has lost the tasks that ran before, even if its link did not break.
+// The tasks that ran on a node before it restarted are lost, even if its link did not break.
 func TestNodeRestartLosesItsTasks(t *testing.T) {
 	h := newHarness(t)
 	h.connect(1)
--- a/internal/requests/watch_test.go
+++ b/internal/requests/watch_test.go
@@ -7,8 +7,8 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-// If updates are pushed, the core opens the watch in its first step, and again within a second after it broke off. If they
-// must be requested, only the module's Subscribe opens it.
+// If updates are pushed, the core opens the watch in its first step, and again within a second after it failed. If they must
+// be requested, only the placer's Subscribe action opens it.
 func TestWatchIsOpenedAgainAfterFailure(t *testing.T) {
 	t.Run("updates are pushed", func(t *testing.T) {
 		h := newHarness(t)
@@ -20,7 +20,7 @@
 		oneEffect[Subscribe](h)
 	})
 	t.Run("updates must be requested", func(t *testing.T) {
-		h := newHarness(t, func(c *Config) { c.Module.DiscoveryOnRequest = true })
+		h := newHarness(t, func(c *Config) { c.Placer.DiscoveryOnRequest = true })
 		initial := nodeUpdated(machine("n", flaxshelf.Active, 0), "n")
 		initial.Complete, initial.FromConfig = true, true
 		h.step(initial)
--- a/internal/scheduler/helpers_test.go
+++ b/internal/scheduler/helpers_test.go
@@ -30,8 +30,8 @@
 			SlowStartDuration:     10 * time.Second,
 			OverloadWindow:        2 * time.Second,
 			SlowStartBudget:       4,
-			Kinds:                 []flaxshelf.Kind{{Name: "small", Cores: 8, Memory: 32}},
-			Classes: []flaxshelf.Class{
+			Kinds:                 []flaxshelf.MachineKind{{Name: "small", Cores: 8, Memory: 32}},
+			Classes: []flaxshelf.TaskClass{
 				{Name: "safe", Idempotency: flaxshelf.Idempotent, LatencyObjective: time.Second, Kind: -1},
 				{Name: "keyed", Idempotency: flaxshelf.IdempotentByKey, KeyDomain: flaxshelf.ZoneDomain,
 					KeyTTL: 5 * time.Second, LatencyObjective: time.Second, Kind: -1},
@@ -53,7 +53,6 @@
 	}
 }
 
-// newTestCore creates a core.
 func newTestCore(t rapid.TB, cfg Config) *Core {
 	t.Helper()
 	core, err := New(cfg)
@@ -63,34 +62,34 @@
 	return core
 }
 
-// newConnectedCore creates a core with testConfig to which n1, n2 and n3 are connected.
+// newConnectedCore creates a core with testConfig and the connected nodes n1, n2 and n3.
 func newConnectedCore(t *testing.T, now Time) *Core {
 	t.Helper()
 	core := newTestCore(t, testConfig())
 	machines := (&simulation{}).machines()
 	core.Step(now, []Input{
 		NodesUpdated{Complete: true, Machines: machines},
-		NodeUp{Node: "n1"}, NodeUp{Node: "n2"}, NodeUp{Node: "n3"},
+		NodeConnected{Node: "n1"}, NodeConnected{Node: "n2"}, NodeConnected{Node: "n3"},
 	})
 	return core
 }
 
-// answerTo returns the only answer to a request.
-func answerTo(t *testing.T, out Output, req uint64) Answer {
+// answerTo returns the answer to a request. It fails the test unless there is exactly one.
+func answerTo(t *testing.T, out Output, requestID uint64) Answer {
 	t.Helper()
 	var found []Answer
 	for _, effect := range out.Effects {
-		if answer, ok := effect.(Answer); ok && answer.Req == req {
+		if answer, ok := effect.(Answer); ok && answer.RequestID == requestID {
 			found = append(found, answer)
 		}
 	}
 	if len(found) != 1 {
-		t.Fatalf("%d answers to request %d, want 1", len(found), req)
+		t.Fatalf("got %d answers to request %d, want 1", len(found), requestID)
 	}
 	return found[0]
 }
 
-// offersOf returns the offers of a step.
+// offersOf returns the offers that a step sent.
 func offersOf(out Output) []SendOffer {
 	var offers []SendOffer
 	for _, effect := range out.Effects {
--- a/internal/scheduler/node.go
+++ b/internal/scheduler/node.go
@@ -7,14 +7,15 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-// node is the core's state of a machine: its entry in the endpoint list, its connection and its attempts.
+// node is the core's state of a machine and its node process: the entry in the endpoint list, the connection and the
+// attempts.
 type node struct {
 	machine          flaxshelf.Machine
 	connected        bool
-	reconciled       bool // it has reported its attempts to this incarnation
-	connectRequested bool // a Connect is in effect
-	startedAt        Time // as reported by the node
-	coldStartedAt    Time // of its last cold start, as reported by the node
+	hasReported      bool // the node has reported its attempts to this incarnation
+	connectRequested bool // the host was asked to connect and not to disconnect since
+	startedAt        Time // start of its process, as reported by the node
+	coldStartedAt    Time // latest start that the node reported before the endpoint list showed it
 	attempts         map[string]*attempt
 }
 
@@ -30,8 +31,8 @@
 	return all
 }
 
-// hasUnresolvedAttempts reports whether the node has an offer without a reply.
-func (n *node) hasUnresolvedAttempts() bool {
+// hasUnansweredOffer reports whether the node was sent an offer to which it has not replied.
+func (n *node) hasUnansweredOffer() bool {
 	for _, attempt := range n.attempts {
 		if attempt.phase == phaseOffered {
 			return true
@@ -40,7 +41,7 @@
 	return false
 }
 
-// ensureNode returns the node with the ID. An unknown node is added as removed from the endpoint list.
+// ensureNode returns the node with the ID. An unknown node is added in the state Removed, until an endpoint list names it.
 func (c *Core) ensureNode(id string) *node {
 	if known := c.nodes[id]; known != nil {
 		return known
@@ -50,45 +51,46 @@
 		attempts: map[string]*attempt{},
 	}
 	c.nodes[id] = added
-	position, _ := slices.BinarySearchFunc(c.nodesByName, id,
+	position, _ := slices.BinarySearchFunc(c.sortedNodes, id,
 		func(other *node, id string) int { return cmp.Compare(other.machine.ID, id) })
-	c.nodesByName = slices.Insert(c.nodesByName, position, added)
+	c.sortedNodes = slices.Insert(c.sortedNodes, position, added)
 	return added
 }
 
-// apply adopts an endpoint list. The module is notified after the offers that the list makes void.
+// apply applies an endpoint list or changes to it. Offers that have become invalid are ended before the module is notified
+// of the machines.
 func (in NodesUpdated) apply(c *Core) {
-	named := map[string]bool{}
+	listed := map[string]bool{}
 	for i, machine := range in.Machines {
-		named[machine.ID] = true
+		listed[machine.ID] = true
 		node := c.ensureNode(machine.ID)
-		if machine.Started < node.coldStartedAt { // the list is older than what the node itself has reported
+		if machine.Started < node.coldStartedAt { // the list is older than the node's own report
 			machine.Started = node.coldStartedAt
 			in.Machines[i] = machine
 		}
 		node.machine = machine
-		c.machineChanged(node)
+		c.applyMachineChange(node)
 	}
 	if in.Complete {
-		c.removeUnnamed(named)
+		c.removeUnlistedNodes(listed)
 		c.startRecoveryTimer()
 	}
 	c.notifyModule(flaxshelf.MachinesUpdated{Machines: in.Machines, Complete: in.Complete})
 }
 
-// removeUnnamed marks nodes that a complete list does not name as removed.
-func (c *Core) removeUnnamed(named map[string]bool) {
-	for _, node := range c.nodesByName {
-		if !named[node.machine.ID] && !node.removed() {
+// removeUnlistedNodes marks the nodes that a complete list does not name as removed.
+func (c *Core) removeUnlistedNodes(listed map[string]bool) {
+	for _, node := range c.sortedNodes {
+		if !listed[node.machine.ID] && !node.removed() {
 			node.machine.State = flaxshelf.Removed
-			c.machineChanged(node)
+			c.applyMachineChange(node)
 		}
 	}
 }
 
-// machineChanged applies a new list entry of a node. Offers that await a connection are canceled if the node drains, since
-// the drain was announced before they were sent.
-func (c *Core) machineChanged(node *node) {
+// applyMachineChange applies a node's new entry in the endpoint list. If the node drains or was removed, offers that wait
+// for a connection are canceled: they must not be sent after the drain was announced.
+func (c *Core) applyMachineChange(node *node) {
 	if node.machine.State != flaxshelf.Active {
 		for _, attempt := range node.sortedAttempts() {
 			if attempt.phase == phaseConnecting {
@@ -101,12 +103,12 @@
 		node.connectRequested = true
 		c.emit(Connect{node.machine.ID})
 	case node.removed() && node.connectRequested:
-		c.scheduleExpiry(node)
+		c.scheduleNodeExpiry(node)
 	}
 }
 
-// scheduleExpiry expires a node after the settle time if it is removed and not connected then.
-func (c *Core) scheduleExpiry(node *node) {
+// scheduleNodeExpiry expires a node after the settle time, if it is then removed and not connected.
+func (c *Core) scheduleNodeExpiry(node *node) {
 	c.timers.Schedule(c.now+c.cfg.Limits.SettleTime, func() {
 		if node.removed() && !node.connected {
 			c.expireNode(node)
@@ -114,10 +116,10 @@
 	})
 }
 
-// expireNode ends all attempts on a node as lost and disconnects it.
+// expireNode ends all attempts of a node as lost and disconnects it.
 func (c *Core) expireNode(node *node) {
 	for _, attempt := range node.sortedAttempts() {
-		c.loseAttempt(attempt)
+		c.endAsLost(attempt)
 	}
 	if node.connectRequested {
 		node.connectRequested = false
@@ -125,30 +127,31 @@
 	}
 }
 
-// apply ends the offers to the node, which may or may not have been accepted. Accepted attempts stay.
-func (in NodeDown) apply(c *Core) {
+// apply ends the offers to the node as lost, since the node may have accepted them, or as unreachable if they were not sent.
+// Accepted attempts are retained until the node connects again or expires.
+func (in NodeDisconnected) apply(c *Core) {
 	node := c.nodes[in.Node]
 	if node == nil {
 		return
 	}
 	node.connected = false
-	c.barrier.nodeLost(in.Node)
+	c.barrier.nodeDisconnected(in.Node)
 	for _, attempt := range node.sortedAttempts() {
 		attempt.stopSent = false // the stop may have been lost
 		switch attempt.phase {
 		case phaseConnecting:
 			c.endAttempt(attempt, attemptEnd{outcome: flaxshelf.Unreachable})
 		case phaseOffered:
-			c.loseAttempt(attempt)
+			c.endAsLost(attempt)
 		default:
-			attempt.job.subState = SubUnreachable
-			c.changed(attempt.job)
+			attempt.job.subState = SubStateUnreachable
+			c.publishChange(attempt.job)
 		}
 	}
-	c.scheduleExpiry(node)
+	c.scheduleNodeExpiry(node)
 }
 
-// checkHealth sends a health check, or reports the machine as unreachable if it is not connected.
+// checkHealth sends a health check, or reports the machine to the module as unreachable if its node is not connected.
 func (c *Core) checkHealth(check flaxshelf.HealthCheck) {
 	if node := c.nodes[check.Machine]; node != nil && node.connected {
 		c.emit(SendHealthCheck{check.Machine})
@@ -159,7 +162,7 @@
 
 func (in HealthChecked) apply(c *Core) {
 	result := flaxshelf.HealthChecked{Machine: in.Node, Load: in.Load}
-	if in.Lost {
+	if in.NoReply {
 		result.Outcome = flaxshelf.Lost
 	}
 	c.notifyModule(result)
--- a/internal/scheduler/script_input_test.go
+++ b/internal/scheduler/script_input_test.go
@@ -10,20 +10,20 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-// scriptLine is one input of a script: a command, arguments and options, such as `submit unsafe key=k`,
+// scriptLine is one input of a script. It consists of a command, arguments and options, such as `submit unsafe key=k`,
 // `list n1 n2:draining` or `up n1 started=3s running=ATTEMPT`.
 type scriptLine struct {
-	t       *testing.T
-	text    string
-	command string
-	req     uint64
-	args    []string
-	options map[string]string
+	t         *testing.T
+	text      string
+	command   string
+	requestID uint64
+	args      []string
+	options   map[string]string
 }
 
-// scriptInputs has the parser of each command.
-var scriptInputs = map[string]func(*scriptLine) Input{
-	"submit":           func(l *scriptLine) Input { return Submit{Req: l.req, Spec: l.spec(l.arg(0))} },
+// inputParsers has the parser of each command.
+var inputParsers = map[string]func(*scriptLine) Input{
+	"submit":           func(l *scriptLine) Input { return Submit{RequestID: l.requestID, Spec: l.spec(l.argument(0))} },
 	"array":            parseArray,
 	"hold":             parseCommand,
 	"release":          parseCommand,
@@ -31,29 +31,29 @@
 	"reap":             parseCommand,
 	"query":            parseQuery,
 	"session":          parseSessionCommand,
-	"machines":         func(l *scriptLine) Input { return Machines{Req: l.req} },
+	"machines":         func(l *scriptLine) Input { return Machines{RequestID: l.requestID} },
 	"watch":            parseWatch,
-	"unwatch":          func(l *scriptLine) Input { return Unwatch{Stream: l.number(0)} },
-	"list":             func(l *scriptLine) Input { return l.nodes(true) },
-	"change":           func(l *scriptLine) Input { return l.nodes(false) },
+	"unwatch":          func(l *scriptLine) Input { return Unwatch{Stream: l.numericArgument(0)} },
+	"list":             func(l *scriptLine) Input { return l.nodesUpdated(true) },
+	"change":           func(l *scriptLine) Input { return l.nodesUpdated(false) },
 	"discovery-failed": func(*scriptLine) Input { return DiscoveryFailed{} },
-	"discovery-synced": func(l *scriptLine) Input { return DiscoverySynced{Token: l.number(0)} },
-	"node-synced":      func(l *scriptLine) Input { return NodeSynced{Node: l.arg(0), Token: l.number(1)} },
-	"up":               parseNodeUp,
-	"down":             func(l *scriptLine) Input { return NodeDown{Node: l.arg(0)} },
-	"accept":           func(l *scriptLine) Input { return AttemptAccepted{Node: l.arg(0), Attempt: l.arg(1)} },
+	"discovery-synced": func(l *scriptLine) Input { return DiscoverySynced{Token: l.numericArgument(0)} },
+	"node-synced":      func(l *scriptLine) Input { return NodeSynced{Node: l.argument(0), Token: l.numericArgument(1)} },
+	"up":               parseNodeConnected,
+	"down":             func(l *scriptLine) Input { return NodeDisconnected{Node: l.argument(0)} },
+	"accept":           func(l *scriptLine) Input { return AttemptAccepted{Node: l.argument(0), Attempt: l.argument(1)} },
 	"reject":           parseRejected,
 	"fail":             parseFailed,
-	"started":          func(l *scriptLine) Input { return AttemptStarted{Node: l.arg(0), Attempt: l.arg(1)} },
-	"send-failed":      func(l *scriptLine) Input { return SendFailed{Node: l.arg(0), Attempt: l.arg(1)} },
+	"started":          func(l *scriptLine) Input { return AttemptStarted{Node: l.argument(0), Attempt: l.argument(1)} },
+	"send-failed":      func(l *scriptLine) Input { return SendFailed{Node: l.argument(0), Attempt: l.argument(1)} },
 	"ended":            parseEnded,
 	"drain":            func(*scriptLine) Input { return Drain{} },
 }
 
-func parseInput(t *testing.T, text string, req uint64) Input {
+func parseInput(t *testing.T, text string, requestID uint64) Input {
 	t.Helper()
 	words := strings.Fields(text)
-	line := &scriptLine{t: t, text: text, command: words[0], req: req, options: map[string]string{}}
+	line := &scriptLine{t: t, text: text, command: words[0], requestID: requestID, options: map[string]string{}}
 	for _, word := range words[1:] {
 		if name, value, ok := strings.Cut(word, "="); ok {
 			line.options[name] = value
@@ -61,14 +61,14 @@
 			line.args = append(line.args, word)
 		}
 	}
-	parse := scriptInputs[line.command]
+	parse := inputParsers[line.command]
 	if parse == nil {
-		t.Fatalf("no input %q", text)
+		t.Fatalf("unknown input %q", text)
 	}
 	return parse(line)
 }
 
-func (l *scriptLine) arg(i int) string {
+func (l *scriptLine) argument(i int) string {
 	l.t.Helper()
 	if i >= len(l.args) {
 		l.t.Fatalf("%q: argument %d is missing", l.text, i+1)
@@ -76,16 +76,16 @@
 	return l.args[i]
 }
 
-func (l *scriptLine) number(i int) uint64 {
+func (l *scriptLine) numericArgument(i int) uint64 {
 	l.t.Helper()
-	n, err := strconv.ParseUint(l.arg(i), 10, 64)
+	n, err := strconv.ParseUint(l.argument(i), 10, 64)
 	if err != nil {
 		l.t.Fatalf("%q: %v", l.text, err)
 	}
 	return n
 }
 
-// intOption returns the value of an option, or 0 without it.
+// intOption returns the value of an option, or 0 if it is not set.
 func (l *scriptLine) intOption(name string) int {
 	l.t.Helper()
 	if l.options[name] == "" {
@@ -94,7 +94,7 @@
 	return parseInt(l.t, l.options[name])
 }
 
-// timeOption returns the value of an option, or 0 without it.
+// timeOption returns the value of an option, or 0 if it is not set.
 func (l *scriptLine) timeOption(name string) Time {
 	l.t.Helper()
 	if l.options[name] == "" {
@@ -103,11 +103,11 @@
 	return parseTime(l.t, l.options[name])
 }
 
-// spec returns a job of a class of testConfig. The class is -1 if testConfig does not have it.
-func (l *scriptLine) spec(class string) Spec {
+// spec returns a job with the options of the line. Its class is one of testConfig, or -1 if testConfig does not have it.
+func (l *scriptLine) spec(class string) JobSpec {
 	l.t.Helper()
-	isClass := func(c flaxshelf.Class) bool { return c.Name == class }
-	return Spec{
+	isClass := func(c flaxshelf.TaskClass) bool { return c.Name == class }
+	return JobSpec{
 		Key:        l.options["key"],
 		Session:    l.options["session"],
 		Service:    l.options["service"],
@@ -124,32 +124,32 @@
 }
 
 func parseArray(l *scriptLine) Input {
-	submit := Submit{Req: l.req, Spec: l.spec(l.arg(0)), MaxParallel: l.intOption("parallel")}
-	for i := range parseInt(l.t, l.arg(1)) {
+	submit := Submit{RequestID: l.requestID, Spec: l.spec(l.argument(0)), MaxParallel: l.intOption("parallel")}
+	for i := range parseInt(l.t, l.argument(1)) {
 		submit.Indexes = append(submit.Indexes, i+1)
 	}
 	return submit
 }
 
 func parseCommand(l *scriptLine) Input {
-	return Command{Req: l.req, Verb: Verb(l.command), Job: l.arg(0)}
+	return Command{RequestID: l.requestID, Verb: Verb(l.command), Job: l.argument(0)}
 }
 
 func parseQuery(l *scriptLine) Input {
-	return Query{Req: l.req, Job: l.options["job"], Session: l.options["session"]}
+	return Query{RequestID: l.requestID, Job: l.options["job"], Session: l.options["session"]}
 }
 
 func parseSessionCommand(l *scriptLine) Input {
-	return SessionCommand{Req: l.req, Verb: Verb(l.arg(0)), Name: l.options["name"]}
+	return SessionCommand{RequestID: l.requestID, Verb: Verb(l.argument(0)), Name: l.options["name"]}
 }
 
 func parseWatch(l *scriptLine) Input {
-	return Watch{Req: l.req, Stream: l.req, Job: l.options["job"], Session: l.options["session"]}
+	return Watch{RequestID: l.requestID, Stream: l.requestID, Job: l.options["job"], Session: l.options["session"]}
 }
 
-// nodes reads names with states: n1, n2:draining, n3:out, or n4:3s for the start time. The zone of n1 and n2 is a, that of
-// all others b.
-func (l *scriptLine) nodes(complete bool) NodesUpdated {
+// nodesUpdated reads node names with a state or a start time: n1, n2:draining, n3:out (removed) or n4:3s. The zone of n1 and
+// n2 is a, that of all others is b.
+func (l *scriptLine) nodesUpdated(complete bool) NodesUpdated {
 	l.t.Helper()
 	update := NodesUpdated{Complete: complete}
 	for _, arg := range l.args {
@@ -173,14 +173,15 @@
 	return update
 }
 
-// parseNodeUp reads running=ATTEMPT,ATTEMPT+, where + marks an attempt that has been started, and ended=ATTEMPT,ATTEMPT.
-func parseNodeUp(l *scriptLine) Input {
-	up := NodeUp{Node: l.arg(0), MayBeCold: l.options["may-be-cold"] != "", Started: l.timeOption("started")}
+// parseNodeConnected reads running=ATTEMPT,ATTEMPT+, the accepted attempts, where + marks one that has been started, and
+// ended=ATTEMPT,ATTEMPT.
+func parseNodeConnected(l *scriptLine) Input {
+	up := NodeConnected{Node: l.argument(0), MayBeWarmingUp: l.options["may-be-cold"] != "", StartedAt: l.timeOption("started")}
 	for _, reported := range l.listOption("running") {
 		id, running := strings.CutSuffix(reported, "+")
 		parts := strings.Split(id, "/")
-		up.Running = append(up.Running, RunningAttempt{Attempt: id, Job: parts[0], Request: parseInt(l.t, parts[1]),
-			Running: running, Spec: l.spec(l.options["class"])})
+		up.Accepted = append(up.Accepted, ReportedAttempt{Attempt: id, Job: parts[0], PlacementRequest: parseInt(l.t, parts[1]),
+			Started: running, Spec: l.spec(l.options["class"])})
 	}
 	for _, ended := range l.listOption("ended") {
 		up.Ended = append(up.Ended, AttemptEnded{Attempt: ended})
@@ -188,22 +189,22 @@
 	return up
 }
 
-// listOption returns the values of an option, separated by commas, or none without it.
+// listOption returns the comma-separated values of an option, or none if it is not set.
 func (l *scriptLine) listOption(option string) []string {
 	return strings.FieldsFunc(l.options[option], func(r rune) bool { return r == ',' })
 }
 
 func parseRejected(l *scriptLine) Input {
-	return AttemptRejected{Node: l.arg(0), Attempt: l.arg(1), Reason: flaxshelf.InsufficientCores}
+	return AttemptRejected{Node: l.argument(0), Attempt: l.argument(1), Reason: flaxshelf.InsufficientCores}
 }
 
 func parseFailed(l *scriptLine) Input {
-	return AttemptFailed{Node: l.arg(0), Attempt: l.arg(1), Message: "the start failed"}
+	return AttemptFailed{Node: l.argument(0), Attempt: l.argument(1), Message: "the start failed"}
 }
 
-// parseEnded reads how=END. Without it the attempt has completed, with exit=STATUS.
+// parseEnded reads how=END. Without it, the attempt has completed, with the exit status of exit=STATUS or 0.
 func parseEnded(l *scriptLine) Input {
-	ended := AttemptEnded{Node: l.arg(0), Attempt: l.arg(1), Exit: l.intOption("exit")}
+	ended := AttemptEnded{Node: l.argument(0), Attempt: l.argument(1), ExitStatus: l.intOption("exit")}
 	switch how := l.options["how"]; how {
 	case "":
 	case "evicted":
@@ -215,7 +216,7 @@
 	case "start-failed":
 		ended.End = EndStartFailed
 	default:
-		l.t.Fatalf("%q: no end %q", l.text, how)
+		l.t.Fatalf("%q: unknown end %q", l.text, how)
 	}
 	return ended
 }
--- a/internal/scheduler/watch.go
+++ b/internal/scheduler/watch.go
@@ -5,17 +5,18 @@
 	"slices"
 )
 
-// watches maps streams to topics. A stream has one topic, which is a job, an array or a session.
+// watches records which streams receive the changes of which topic. A topic is a job, an array or a session, and a stream
+// has one topic.
 type watches struct {
-	streams map[string][]uint64 // by topic, in the order of their subscription
+	streams map[string][]uint64 // by topic, in the order of the subscriptions
 	topics  map[uint64]string   // by stream
 }
 
-// The prefixes of topics. The topic of the empty session is that of all jobs.
+// The prefixes of topics, followed by the ID or the session's name. The topic of the empty session includes all jobs.
 const (
-	jobTopic     = "j:"
-	arrayTopic   = "a:"
-	sessionTopic = "s:"
+	jobTopicPrefix     = "j:"
+	arrayTopicPrefix   = "a:"
+	sessionTopicPrefix = "s:"
 )
 
 func newWatches() watches {
@@ -42,30 +43,30 @@
 	}
 }
 
-// apply starts a stream and publishes the jobs of its topic that have changed since in.Since, oldest change first.
+// apply starts a watch and publishes the jobs of its topic that have changed after in.SinceRevision, oldest change first.
 func (in Watch) apply(c *Core) {
 	topic, found, err := c.watchedJobs(in)
 	if err != nil {
-		c.answer(in.Req, Answer{Err: err})
+		c.answer(in.RequestID, Answer{Err: err})
 		return
 	}
 	c.watches.add(in.Stream, topic)
-	c.answer(in.Req, Answer{})
+	c.answer(in.RequestID, Answer{})
 	slices.SortFunc(found, func(a, b *job) int { return cmp.Compare(a.revision, b.revision) })
 	for _, job := range found {
-		if job.revision > in.Since {
+		if job.revision > in.SinceRevision {
 			c.emit(Publish{in.Stream, job.info()})
 		}
 	}
 }
 
-// watchedJobs returns the topic of a watch and the jobs that it has now.
+// watchedJobs returns the topic of a watch and its current jobs.
 func (c *Core) watchedJobs(in Watch) (topic string, jobs []*job, err *Error) {
 	if watched := c.jobs[in.Job]; watched != nil {
-		return jobTopic + watched.id, []*job{watched}, nil
+		return jobTopicPrefix + watched.id, []*job{watched}, nil
 	}
 	if array := c.arrays[in.Job]; array != nil {
-		return arrayTopic + in.Job, slices.Clone(array.jobs), nil
+		return arrayTopicPrefix + in.Job, slices.Clone(array.jobs), nil
 	}
 	if in.Job != "" {
 		return "", nil, newError(InvalidArgument, 0, "no job %q", in.Job)
@@ -73,23 +74,23 @@
 	if in.Session != "" && !c.sessions[in.Session] {
 		return "", nil, newError(InvalidSession, 0, "no job session %q", in.Session)
 	}
-	found := c.jobsWhere(func(job *job) bool { return job.inSession(in.Session) })
-	return sessionTopic + in.Session, found, nil
+	found := c.filterJobs(func(job *job) bool { return job.inSession(in.Session) })
+	return sessionTopicPrefix + in.Session, found, nil
 }
 
 func (in Unwatch) apply(c *Core) { c.watches.remove(in.Stream) }
 
-// changed assigns the next revision to a job and publishes it to the streams of its topics.
-func (c *Core) changed(job *job) {
+// publishChange assigns the next revision to a changed job and publishes it to the streams of its topics.
+func (c *Core) publishChange(job *job) {
 	c.lastRevision++
 	job.revision = c.lastRevision
-	c.publish(jobTopic+job.id, job)
+	c.publish(jobTopicPrefix+job.id, job)
 	if job.array != nil {
-		c.publish(arrayTopic+job.array.id, job)
+		c.publish(arrayTopicPrefix+job.array.id, job)
 	}
-	c.publish(sessionTopic, job)
+	c.publish(sessionTopicPrefix, job)
 	if job.spec.Session != "" {
-		c.publish(sessionTopic+job.spec.Session, job)
+		c.publish(sessionTopicPrefix+job.spec.Session, job)
 	}
 }
 
--- a/internal/shard/cores_test.go
+++ b/internal/shard/cores_test.go
@@ -52,8 +52,8 @@
 			AnswerSlack:           100 * time.Millisecond,
 			DrainGrace:            2 * time.Second,
 			DiscoveryPollDeadline: 10 * time.Second,
-			Kinds:                 []flaxshelf.Kind{{Name: "k", Cores: 64, Memory: 256}},
-			Classes:               []flaxshelf.Class{{Name: "c", LatencyObjective: time.Second, Kind: -1}},
+			Kinds:                 []flaxshelf.MachineKind{{Name: "k", Cores: 64, Memory: 256}},
+			Classes:               []flaxshelf.TaskClass{{Name: "c", LatencyObjective: time.Second, Kind: -1}},
 		},
 		Limits: scheduler.Limits{
 			MaxPending:        1 << 20,
@@ -70,7 +70,7 @@
 
 func newLoadedCore(t testing.TB, index, cores int) *loadedCore {
 	t.Helper()
-	core, err := scheduler.New(shard.Divide(loadConfig(), index, cores))
+	core, err := scheduler.New(shard.ConfigForCore(loadConfig(), index, cores))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -79,14 +79,14 @@
 	for i := range loadNodes {
 		name := fmt.Sprintf("n%d", i)
 		list.Machines = append(list.Machines, flaxshelf.Machine{ID: name, Zone: fmt.Sprint("z", i%3), Cell: i / 8})
-		connected = append(connected, scheduler.NodeUp{Node: name})
+		connected = append(connected, scheduler.NodeConnected{Node: name})
 	}
 	loaded := &loadedCore{core: core, now: time.Second}
 	loaded.core.Step(loaded.now, append([]scheduler.Input{list}, connected...))
 	return loaded
 }
 
-// step submits jobs, steps the core with the messages of the nodes, and returns the number of offers.
+// step submits jobs, passes them and the messages of the nodes to the core, and returns the number of offers that it makes.
 func (l *loadedCore) step() (placed int) {
 	l.now += loadStep
 	l.submit()
@@ -109,7 +109,7 @@
 		l.submitted++
 		service := fmt.Sprint("v", l.submitted%200)
 		l.inputs = append(l.inputs,
-			scheduler.Submit{Spec: scheduler.Spec{Tenant: -1, Service: service, Cores: 0.25, Memory: 0.5}})
+			scheduler.Submit{Spec: scheduler.JobSpec{Tenant: -1, Service: service, Cores: 0.25, Memory: 0.5}})
 	}
 }
 
@@ -139,7 +139,7 @@
 func TestCoresFigure(t *testing.T) {
 	dir := os.Getenv("FLAXSHELF_FIGURES")
 	if dir == "" {
-		t.Skip("set FLAXSHELF_FIGURES to a folder to draw it")
+		t.Skip("set FLAXSHELF_FIGURES to the folder for the figure")
 	}
 	rate := chart.Line{Name: "thousand placements a second"}
 	tail := chart.Line{Name: "p99 of a step that takes ten, microseconds"}
@@ -155,7 +155,8 @@
 	}
 }
 
-// measureCores runs a number of cores concurrently for three seconds of real time.
+// measureCores runs the given number of cores concurrently for three seconds of real time, and returns the placements per
+// second of all cores and the 99th percentile of the duration of a step.
 func measureCores(t *testing.T, count int) (placedPerSecond float64, stepP99 time.Duration) {
 	t.Helper()
 	const measureFor = 3 * time.Second
--- a/queue.go
+++ b/queue.go
@@ -5,12 +5,13 @@
 	"slices"
 )
 
-// Queue: the order in which open tasks are served.
+// The queue is the open tasks in the order in which they are processed.
 
-// queueRanks bounds the ranks of open tasks.
-const queueRanks = 4
+// queueRankCount is the number of ranks: queueRankOf returns values below it.
+const queueRankCount = 4
 
-// queueRankOf returns the rank of an open task, the lowest first.
+// queueRankOf returns the rank of an open task. Tasks of lower rank are processed first. Those of tenants beyond their quota
+// have the two higher ranks, and in each pair those past their latency objective have the higher one.
 func (p *Placer) queueRankOf(t *task) int {
 	rank := 0
 	if p.now > t.submittedAt+t.class.LatencyObjective {
@@ -22,7 +23,8 @@
 	return rank
 }
 
-// overQuota reports whether t's tenant has more than its quota, where that is worth less. It only orders queued tasks.
+// overQuota reports whether t's tenant exceeds its quota, if tasks beyond the quota earn less. It assumes that the tenant
+// requests as much at each scheduler. The result only affects the order of queued tasks.
 func (p *Placer) overQuota(t *task) bool {
 	if t.Tenant < 0 || t.Tenant >= len(p.cfg.Tenants) || p.cfg.OverQuotaWeight >= 1 {
 		return false
@@ -31,15 +33,15 @@
 	return quota > 0 && p.tenantCores[t.Tenant]*float64(p.cfg.Schedulers) > quota
 }
 
-// sortOpenTasks sorts the open tasks by queue rank; those of one rank keep their order. It is a counting sort, since
-// thousands may wait in each step.
+// sortOpenTasks sorts the open tasks by queue rank; those of one rank keep their order. It is a counting sort,
+// since thousands of tasks may be queued in each step.
 func (p *Placer) sortOpenTasks() {
-	var next [queueRanks]int // counts, then positions
-	sorted, last := true, 0
+	var next [queueRankCount]int // by rank: the number of tasks, then the position of the next one
+	sorted, previousRank := true, 0
 	for _, t := range p.openTasks {
 		t.queueRank = p.queueRankOf(t)
 		next[t.queueRank]++
-		sorted, last = sorted && t.queueRank >= last, t.queueRank
+		sorted, previousRank = sorted && t.queueRank >= previousRank, t.queueRank
 	}
 	if p.disabled[ArrivalOrder] {
 		slices.SortStableFunc(p.openTasks, func(a, b *task) int {
@@ -50,7 +52,7 @@
 	if sorted {
 		return
 	}
-	for rank, position := 0, 0; rank < queueRanks; rank++ {
+	for rank, position := 0, 0; rank < queueRankCount; rank++ {
 		next[rank], position = position, position+next[rank]
 	}
 	p.sortBuffer = append(p.sortBuffer[:0], p.openTasks...)
--- a/task.go
+++ b/task.go
@@ -2,36 +2,38 @@
 
 import "flaxshelf.example/flaxshelf/internal/machineindex"
 
-// task is a submitted or adopted task with its attempts.
+// task is the record of a submitted or adopted task.
 type task struct {
 	Task
-	class       *Class
+	class       *TaskClass
 	submittedAt Time
 	attempts    []attempt
 	settled     bool // it has its final answer or needs none
-	placed      bool // by one of its attempts
-	queueRank   int  // among the open tasks of this step, see queueRankOf
+	placed      bool // one of its attempts was placed
+	queueRank   int  // in the step in progress, see queueRankOf
 
-	// Machines that answered it with an error that is not attributed to the machine or the task yet.
+	// Machines that answered with an error for which it is not decided yet whether the machine or the task is at fault, see
+	// attributeFailures.
 	unattributedFailures []*machine
 }
 
 // attempt is one offer of a task to a machine.
 type attempt struct {
-	machine   *machine
-	placement *machineindex.Placement
-	sentAt    Time
-	active    bool // it has not ended
-	placed    bool
-	neverRan  bool // its outcome proves that the task was not started
-	migrating bool // Migrate was emitted for it
+	machine            *machine
+	placement          *machineindex.Placement
+	offeredAt          Time
+	active             bool // it has not ended
+	placed             bool
+	neverRan           bool // its outcome proves that the task was not started
+	migrationRequested bool // Migrate was emitted for it
 
-	// When poor service was last reported, and since when every report was poor. See migrateIfUnderserved.
-	poorServiceAt    Time
-	poorServiceSince Time
+	// The time of the last report, if that was of poor service, and the time since which all reports were. See
+	// migrateIfUnderserved.
+	lastPoorServiceAt Time
+	poorServiceSince  Time
 }
 
-// addTask makes the record of a task that is submitted or adopted now.
+// addTask adds the record of a task that is submitted or adopted now.
 func (p *Placer) addTask(spec Task) *task {
 	t := &task{Task: spec, class: &p.unknownClass, submittedAt: p.now}
 	if spec.Class >= 0 && spec.Class < len(p.cfg.Classes) {
@@ -41,7 +43,7 @@
 	return t
 }
 
-// findAttempt returns a task by its ID and one of its attempts by number. Either is nil where it is unknown.
+// findAttempt returns a task by its ID and one of its attempts by number. Each is nil if unknown.
 func (p *Placer) findAttempt(taskID string, number int) (*task, *attempt) {
 	t := p.tasks[taskID]
 	if t == nil || number < 0 || number >= len(t.attempts) {
@@ -50,8 +52,8 @@
 	return t, &t.attempts[number]
 }
 
-// recordPlacement records a new attempt of t on m.
-func (p *Placer) recordPlacement(t *task, m *machine) {
+// recordAttempt adds an attempt of t on m: to the history, and to what this scheduler requests of m and for the tenant.
+func (p *Placer) recordAttempt(t *task, m *machine) {
 	placed := &machineindex.Placement{
 		Machine:         m.entry,
 		OfferedAt:       p.now,
@@ -61,7 +63,7 @@
 		ExpectedRuntime: t.ExpectedRuntime,
 	}
 	p.index.AddPlacement(placed)
-	t.attempts = append(t.attempts, attempt{machine: m, sentAt: p.now, active: true, placement: placed})
+	t.attempts = append(t.attempts, attempt{machine: m, offeredAt: p.now, active: true, placement: placed})
 	p.index.AddAttempt(t.Service, m.entry)
 	m.ownCores += t.Cores
 	m.ownMemory += t.Memory
@@ -72,8 +74,9 @@
 	p.tenantCores[t.Tenant] += t.Cores
 }
 
-// releasePlacement undoes the counts of recordPlacement when the attempt has ended.
-func (p *Placer) releasePlacement(t *task, m *machine) {
+// releaseAttempt subtracts an ended attempt from what this scheduler requests of m and for the tenant. The sums since the
+// last listing keep it.
+func (p *Placer) releaseAttempt(t *task, m *machine) {
 	p.index.RemoveAttempt(t.Service, m.entry)
 	p.invalidate(m)
 	m.ownCores -= t.Cores
@@ -81,15 +84,15 @@
 	p.tenantCores[t.Tenant] -= t.Cores
 }
 
-// markPlaced records that a machine accepted an attempt, or runs it.
+// markPlaced records that a machine accepted an attempt or already runs it.
 func (p *Placer) markPlaced(t *task, a *attempt) {
 	a.placed, t.placed = true, true
 	a.machine.pendingOffers--
 	p.recordStart(t, a)
 }
 
-// forgetIfSettled deletes a task that is settled and has no active attempt.
-func (p *Placer) forgetIfSettled(t *task) {
+// deleteIfSettled deletes a task that is settled and has no active attempt.
+func (p *Placer) deleteIfSettled(t *task) {
 	if t.settled && t.activeAttempt() == nil {
 		delete(p.tasks, t.ID)
 	}
