--- a/internal/codec/codectest/codectest.go
+++ b/internal/codec/codectest/codectest.go
@@ -8,20 +8,20 @@
 	"testing"
 )
 
-// RunSizes runs test as a subtest for input of the given length that arrives in pieces of one byte, of a few bytes, and as
-// a whole.
-func RunSizes(t *testing.T, inputLength int, test func(t *testing.T, size int)) {
+// RunWithPieceSizes runs test as a subtest for input of the given length that arrives in pieces of one byte, of a few bytes,
+// and as a whole.
+func RunWithPieceSizes(t *testing.T, inputLength int, test func(t *testing.T, pieceSize int)) {
 	t.Helper()
 	for _, size := range []int{1, 3, 5, 7, inputLength} {
 		t.Run(fmt.Sprintf("%d bytes at a time", size), func(t *testing.T) { test(t, size) })
 	}
 }
 
-// Pieces yields input in pieces of size bytes, of which the last may be shorter. A size below 1 counts as 1. The pieces are
-// copies, which the decoder may keep or change.
-func Pieces(input []byte, size int) iter.Seq[[]byte] {
+// Pieces yields input in pieces of pieceSize bytes, of which the last may be shorter. A pieceSize below 1 counts as 1. The
+// pieces are copies, which the decoder may keep or change.
+func Pieces(input []byte, pieceSize int) iter.Seq[[]byte] {
 	return func(yield func([]byte) bool) {
-		for piece := range slices.Chunk(input, max(size, 1)) {
+		for piece := range slices.Chunk(input, max(pieceSize, 1)) {
 			if !yield(slices.Clone(piece)) {
 				return
 			}
@@ -29,13 +29,13 @@
 	}
 }
 
-// Decode decodes all messages of input, which arrives in pieces of size bytes. next decodes the first message of a buffer
+// DecodeAll decodes all messages of input, which arrives in pieces of pieceSize bytes. next decodes the first message of a buffer
 // and returns how many bytes it took, 0 when more bytes are needed. An error of next fails the test.
-func Decode[M any](t testing.TB, input []byte, size int, next func(buffer []byte) (M, int, error)) []M {
+func DecodeAll[M any](t testing.TB, input []byte, pieceSize int, next func(buffer []byte) (M, int, error)) []M {
 	t.Helper()
 	var buffer []byte
 	var messages []M
-	for piece := range Pieces(input, size) {
+	for piece := range Pieces(input, pieceSize) {
 		buffer = append(buffer, piece...)
 		for {
 			message, used, err := next(buffer)
--- a/internal/codec/codectest/codectest_test.go
+++ b/internal/codec/codectest/codectest_test.go
@@ -8,7 +8,7 @@
 
 func TestPiecesAreTheInput(t *testing.T) {
 	input := []byte("seven b")
-	RunSizes(t, len(input), func(t *testing.T, size int) {
+	RunWithPieceSizes(t, len(input), func(t *testing.T, size int) {
 		var joined []byte
 		for piece := range Pieces(input, size) {
 			if len(piece) == 0 || len(piece) > size {
@@ -28,8 +28,8 @@
 		return string(buffer[:max(end, 0)]), end + 1, nil
 	}
 	input := []byte("one\ntwo\n\n")
-	RunSizes(t, len(input), func(t *testing.T, size int) {
-		if got, want := Decode(t, input, size, nextLine), []string{"one", "two", ""}; !slices.Equal(got, want) {
+	RunWithPieceSizes(t, len(input), func(t *testing.T, size int) {
+		if got, want := DecodeAll(t, input, size, nextLine), []string{"one", "two", ""}; !slices.Equal(got, want) {
 			t.Errorf("got %q, want %q", got, want)
 		}
 	})
--- a/internal/codec/httpcodec/chunks.go
+++ b/internal/codec/httpcodec/chunks.go
@@ -10,9 +10,9 @@
 const (
 	// maxChunkLine bounds the line before a chunk, and a trailer field, in bytes.
 	maxChunkLine = 1024
-	// maxChunkOverhead bounds the bytes of a chunked body with its framing, as a multiple of Limits.BodyBytes: a body of
+	// maxChunkedBodyFactor bounds the bytes of a chunked body with its framing, as a multiple of Limits.BodyBytes: a body of
 	// one-byte chunks has several bytes of framing for each byte of data.
-	maxChunkOverhead = 8
+	maxChunkedBodyFactor = 8
 )
 
 // chunkDecoder decodes a chunked body (RFC 9112 section 7.1). Its offsets are within the buffer that is passed to Parse.
@@ -33,12 +33,12 @@
 		}
 		if d.inTrailer {
 			d.offset = next
-			if done, err := d.trailerField(line); err != nil || done {
+			if done, err := d.checkTrailerField(line); err != nil || done {
 				return d.offset, err
 			}
 			continue
 		}
-		if complete, err := d.chunk(in, line, next); err != nil || !complete {
+		if complete, err := d.decodeChunk(in, line, next); err != nil || !complete {
 			return incomplete, err
 		}
 	}
@@ -57,8 +57,8 @@
 	return "", incomplete, nil
 }
 
-// trailerField checks and drops a trailer field. It returns true for the empty line after the last one.
-func (d *chunkDecoder) trailerField(line string) (done bool, err error) {
+// checkTrailerField checks and drops a trailer field. It returns true for the empty line after the last one.
+func (d *chunkDecoder) checkTrailerField(line string) (done bool, err error) {
 	if line == "" {
 		return true, nil
 	}
@@ -68,9 +68,9 @@
 	return false, nil
 }
 
-// chunk decodes the chunk that line begins and whose data begins at the given offset. It returns false when more bytes are
+// decodeChunk decodes the chunk that line begins and whose data begins at the given offset. It returns false when more bytes are
 // needed.
-func (d *chunkDecoder) chunk(in []byte, line string, begin int) (complete bool, err error) {
+func (d *chunkDecoder) decodeChunk(in []byte, line string, begin int) (complete bool, err error) {
 	sizeText, _, _ := strings.Cut(line, ";") // chunk extensions are ignored
 	parsed, err := strconv.ParseUint(strings.TrimSpace(sizeText), 16, 31)
 	if err != nil {
@@ -93,7 +93,7 @@
 	}
 	d.body = append(d.body, in[begin:end]...)
 	d.offset = end + len(crlf)
-	if d.offset-d.bodyOffset > maxChunkOverhead*d.limits.BodyBytes+maxChunkLine {
+	if d.offset-d.bodyOffset > maxChunkedBodyFactor*d.limits.BodyBytes+maxChunkLine {
 		return false, reject(http.StatusRequestEntityTooLarge, "the chunks are too small")
 	}
 	return true, nil
--- a/internal/codec/httpcodec/framing.go
+++ b/internal/codec/httpcodec/framing.go
@@ -9,15 +9,15 @@
 // framing collects the header fields that determine the end of a request. An ambiguous end is rejected, since it allows
 // request smuggling (RFC 9112 section 11.2).
 type framing struct {
-	request      *Request
-	bodyBytes    int
-	hasBodyBytes bool
-	chunked      bool
-	hosts        int
+	request          *Request
+	contentLength    int
+	hasContentLength bool
+	chunked          bool
+	hostFields       int
 }
 
-// frameBody returns the length of the request's body, or chunkedBody. It sets Close and ExpectsContinue.
-func frameBody(request *Request) (bodyBytes int, err error) {
+// parseFraming returns the length of the request's body, or chunkedBody. It sets Close and ExpectsContinue.
+func parseFraming(request *Request) (bodyBytes int, err error) {
 	f := framing{request: request}
 	for i := range request.Fields {
 		if err := f.apply(&request.Fields[i]); err != nil {
@@ -25,20 +25,20 @@
 		}
 	}
 	switch {
-	case request.MinorVersion > 0 && f.hosts != 1:
+	case request.MinorVersion > 0 && f.hostFields != 1:
 		return 0, reject(http.StatusBadRequest, "one Host field is needed")
-	case f.chunked && (f.hasBodyBytes || request.MinorVersion == 0):
+	case f.chunked && (f.hasContentLength || request.MinorVersion == 0):
 		return 0, reject(http.StatusBadRequest, "Transfer-Encoding where it may not be")
 	case f.chunked:
 		return chunkedBody, nil
 	}
-	return f.bodyBytes, nil
+	return f.contentLength, nil
 }
 
 func (f *framing) apply(field *Field) error {
 	switch field.Name {
 	case "host":
-		f.hosts++
+		f.hostFields++
 	case "content-length":
 		return f.applyContentLength(field.Value)
 	case "transfer-encoding":
@@ -56,10 +56,10 @@
 	if err != nil {
 		return reject(http.StatusBadRequest, "Content-Length is not a number")
 	}
-	if f.hasBodyBytes && f.bodyBytes != int(length) {
+	if f.hasContentLength && f.contentLength != int(length) {
 		return reject(http.StatusBadRequest, "two Content-Lengths")
 	}
-	f.bodyBytes, f.hasBodyBytes = int(length), true
+	f.contentLength, f.hasContentLength = int(length), true
 	return nil
 }
 
--- a/internal/codec/httpcodec/parser.go
+++ b/internal/codec/httpcodec/parser.go
@@ -35,7 +35,7 @@
 }
 
 // Parse parses one request and returns the number of bytes that it used. If req and err are nil, more bytes are needed.
-// sendContinue is true once for a request whose client waits for 100 Continue. The error is an *Error.
+// sendContinue is true once for a request whose client waits for 100 Continue. The error is a *RequestError.
 func (p *Parser) Parse(in []byte) (req *Request, used int, sendContinue bool, err error) {
 	if p.Limits == (Limits{}) {
 		p.Limits = DefaultLimits
@@ -80,7 +80,7 @@
 	if err := p.parseFields(request, lines[1:]); err != nil {
 		return false, err
 	}
-	if p.bodyBytes, err = frameBody(request); err != nil {
+	if p.bodyBytes, err = parseFraming(request); err != nil {
 		return false, err
 	}
 	if p.bodyBytes > p.Limits.BodyBytes {
--- a/internal/codec/httpcodec/parser_test.go
+++ b/internal/codec/httpcodec/parser_test.go
@@ -37,11 +37,11 @@
 	return strings.Join(seen, "; ")
 }
 
-// describeRejection returns the status of an Error.
+// describeRejection returns the status of a RequestError.
 func describeRejection(err error) string {
-	var rejected *Error
+	var rejected *RequestError
 	if !errors.As(err, &rejected) {
-		return "not an Error: " + err.Error()
+		return "not a RequestError: " + err.Error()
 	}
 	return fmt.Sprint(rejected.Status)
 }
@@ -92,7 +92,7 @@
 		{"too many fields", "GET / HTTP/1.1\r\n" + host + strings.Repeat("A: b\r\n", 101) + "\r\n", "431"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			codectest.RunSizes(t, len(c.input), func(t *testing.T, size int) {
+			codectest.RunWithPieceSizes(t, len(c.input), func(t *testing.T, size int) {
 				if got := parse(c.input, size); got != c.want {
 					t.Errorf("got %s, want %s", got, c.want)
 				}
@@ -134,7 +134,7 @@
 		chunked + strings.Repeat("1;"+strings.Repeat("x", 900)+"\r\na\r\n", (8<<20+1024)/907+1): "413 the chunks are too small",
 	} {
 		_, _, _, err := new(Parser).Parse([]byte(input))
-		var rejected *Error
+		var rejected *RequestError
 		if !errors.As(err, &rejected) || fmt.Sprintf("%d %s", rejected.Status, rejected.Message) != want {
 			t.Errorf("%.60q: got %v, want %s", input, err, want)
 		}
--- a/internal/codec/httpcodec/request.go
+++ b/internal/codec/httpcodec/request.go
@@ -20,20 +20,20 @@
 // DefaultLimits are the limits of a Parser whose Limits are zero.
 var DefaultLimits = Limits{RequestLineBytes: 8 << 10, HeadBytes: 32 << 10, HeaderFields: 100, BodyBytes: 1 << 20}
 
-// Error is the reason why a request can't be served. The connection must be closed after the response, since it is not known
-// where the next request begins.
-type Error struct {
+// RequestError is the reason why a request can't be served. The connection must be closed after the response, since it is
+// not known where the next request begins.
+type RequestError struct {
 	Status  int    // of the response
 	Message string // for the body of the response, so its wording is part of the interface
 }
 
-func (e *Error) Error() string {
+func (e *RequestError) Error() string {
 	return fmt.Sprintf("%d %s: %s", e.Status, StatusText(e.Status), e.Message)
 }
 
-// reject returns an *Error.
+// reject returns a *RequestError.
 func reject(status int, format string, args ...any) error {
-	return &Error{status, fmt.Sprintf(format, args...)}
+	return &RequestError{status, fmt.Sprintf(format, args...)}
 }
 
 // Field is a header field. Its name is in lower case.
--- a/internal/codec/httpcodec/response_reader.go
+++ b/internal/codec/httpcodec/response_reader.go
@@ -73,7 +73,7 @@
 			if end < 0 {
 				return nil
 			}
-			if err := r.begin(string(r.buf[:end])); err != nil {
+			if err := r.parseHead(string(r.buf[:end])); err != nil {
 				return err
 			}
 			r.buf = r.buf[end+len(headEnd):]
@@ -98,8 +98,8 @@
 	}
 }
 
-// begin parses the head of a response. For an interim response, current stays nil.
-func (r *ResponseReader) begin(head string) error {
+// parseHead parses the head of a response. For an interim response, current stays nil.
+func (r *ResponseReader) parseHead(head string) error {
 	lines := strings.Split(head, "\r\n")
 	status, err := parseStatusLine(lines[0])
 	if err != nil {
@@ -116,7 +116,7 @@
 		}
 		r.current.Fields = append(r.current.Fields, field)
 	}
-	return r.frameBody()
+	return r.parseFraming()
 }
 
 func parseStatusLine(line string) (status int, err error) {
@@ -131,8 +131,8 @@
 	return status, nil
 }
 
-// frameBody determines the end of the body from the header fields.
-func (r *ResponseReader) frameBody() error {
+// parseFraming determines the end of the body from the header fields.
+func (r *ResponseReader) parseFraming() error {
 	r.framing, r.remainingBytes = untilClose, 0
 	if r.current.Get("transfer-encoding") == "chunked" {
 		r.framing, r.remainingBytes = byChunks, chunkLineNext
@@ -155,7 +155,7 @@
 	case byChunks:
 		return r.readChunks()
 	case byLength:
-		return r.readLength(), nil
+		return r.readFixedLength(), nil
 	}
 	grown = len(r.buf) > 0
 	r.current.Body = append(r.current.Body, r.buf...)
@@ -163,7 +163,7 @@
 	return grown, nil
 }
 
-func (r *ResponseReader) readLength() (grown bool) {
+func (r *ResponseReader) readFixedLength() (grown bool) {
 	n := min(r.remainingBytes, len(r.buf))
 	r.current.Body = append(r.current.Body, r.buf[:n]...)
 	r.buf, r.remainingBytes = r.buf[n:], r.remainingBytes-n
--- a/internal/codec/httpcodec/response_test.go
+++ b/internal/codec/httpcodec/response_test.go
@@ -12,14 +12,14 @@
 
 // Responses are read as they were written, in whatever pieces their bytes arrive.
 func TestResponsesArriveInPieces(t *testing.T) {
-	written := AppendResponse(append([]byte{}, Continue...), 201, "application/json", []byte(`{"a":1}`), false, "Retry-After", "2")
+	written := AppendResponse(append([]byte{}, ContinueResponse...), 201, "application/json", []byte(`{"a":1}`), false, "Retry-After", "2")
 	written = AppendStreamHead(written, 200, "text/event-stream")
 	written = AppendChunk(written, []byte("one"))
 	written = AppendChunk(written, []byte("two"))
 	written = AppendChunk(written, nil)
 	written = AppendResponse(written, 404, "", nil, true)
 	want := []string{`201 2 {"a":1}`, "200  onetwo", "404  "}
-	codectest.RunSizes(t, len(written), func(t *testing.T, size int) {
+	codectest.RunWithPieceSizes(t, len(written), func(t *testing.T, size int) {
 		var got []string
 		read(t, codectest.Pieces(written, size), func(response *Response) {
 			if response.Done {
--- a/internal/codec/httpcodec/response_writer.go
+++ b/internal/codec/httpcodec/response_writer.go
@@ -6,19 +6,19 @@
 	"strconv"
 )
 
-// Continue is the interim response to a request that expects it. It must not be changed.
-var Continue = []byte("HTTP/1.1 100 Continue\r\n\r\n")
+// ContinueResponse is the interim response to a request that expects it. It must not be changed.
+var ContinueResponse = []byte("HTTP/1.1 100 Continue\r\n\r\n")
 
 // StatusText returns the reason phrase of a status.
 func StatusText(status int) string { return http.StatusText(status) }
 
-// AppendResponse appends a complete response, with Connection: close if closes is set. fields are alternating names and
+// AppendResponse appends a complete response, with Connection: close if closeConnection is set. fields are alternating names and
 // values of further header fields.
-func AppendResponse(dst []byte, status int, contentType string, body []byte, closes bool, fields ...string) []byte {
+func AppendResponse(dst []byte, status int, contentType string, body []byte, closeConnection bool, fields ...string) []byte {
 	dst = appendHead(dst, status, contentType, fields)
 	dst = append(dst, "Content-Length: "...)
 	dst = strconv.AppendInt(dst, int64(len(body)), 10)
-	if closes {
+	if closeConnection {
 		dst = append(dst, "\r\nConnection: close"...)
 	}
 	dst = append(dst, "\r\n\r\n"...)
--- a/internal/codec/nodebinary/decode.go
+++ b/internal/codec/nodebinary/decode.go
@@ -13,9 +13,9 @@
 		return m, 0, nil
 	}
 	size := int(binary.BigEndian.Uint16(buf)) + lengthSize
-	if size < headerSize || size > MaxMessage {
+	if size < headerSize || size > MaxMessageBytes {
 		return m, 0, &ProtocolError{Field: "length", Value: strconv.Itoa(size - lengthSize),
-			Reason: fmt.Sprintf("must be between %d and %d", headerSize-lengthSize, MaxMessage-lengthSize)}
+			Reason: fmt.Sprintf("must be between %d and %d", headerSize-lengthSize, MaxMessageBytes-lengthSize)}
 	}
 	// The type is checked before the rest of the message has arrived, since an invalid peer may never send it.
 	if len(buf) > lengthSize && !Type(buf[lengthSize]).known() {
@@ -48,7 +48,7 @@
 		if code == codeCause && size != 1 {
 			return m.invalidParameter(offset, parameterName(code), size, "a cause must have 1")
 		}
-		m.set(code, value[:size])
+		m.setParameter(code, value[:size])
 		offset += parameterHeaderSize + size
 	}
 	return nil
@@ -59,8 +59,8 @@
 	return &ProtocolError{Type: m.Type, Offset: offset, Field: name, Value: fmt.Sprintf("%d bytes", size), Reason: reason}
 }
 
-// set stores the value of the parameter with the code. Codes of later versions are skipped.
-func (m *Message) set(code byte, value []byte) {
+// setParameter stores the value of the parameter with the code. Codes of later versions are skipped.
+func (m *Message) setParameter(code byte, value []byte) {
 	switch code {
 	case codeClass:
 		m.Class = string(value)
@@ -77,7 +77,7 @@
 	case codeCause:
 		m.Cause = int(value[0])
 	case codeDescription:
-		m.Description, m.Described = string(value), true
+		m.Description, m.HasDescription = string(value), true
 	}
 }
 
--- a/internal/codec/nodebinary/encode.go
+++ b/internal/codec/nodebinary/encode.go
@@ -3,7 +3,7 @@
 import "encoding/binary"
 
 // Append appends the encoding of m to dst. Empty parameters and a negative Cause are left out. For a message longer than
-// MaxMessage it returns dst unchanged and a *SizeError.
+// MaxMessageBytes it returns dst unchanged and a *SizeError.
 func Append(dst []byte, m *Message) ([]byte, error) {
 	start := len(dst)
 	dst = append(dst, 0, 0, byte(m.Type)) // the length is filled in below
@@ -22,12 +22,12 @@
 	if m.Cause >= 0 {
 		dst = append(dst, codeCause, 0, 1, byte(m.Cause))
 	}
-	if m.Described {
+	if m.HasDescription {
 		dst = appendText(dst, codeDescription, m.Description)
 	}
 	size := len(dst) - start
-	if size > MaxMessage {
-		return dst[:start], &SizeError{Type: m.Type, Bytes: size, Limit: MaxMessage}
+	if size > MaxMessageBytes {
+		return dst[:start], &SizeError{Type: m.Type, Bytes: size, Limit: MaxMessageBytes}
 	}
 	binary.BigEndian.PutUint16(dst[start:], uint16(size-lengthSize))
 	return dst, nil
--- a/internal/codec/nodebinary/errors.go
+++ b/internal/codec/nodebinary/errors.go
@@ -8,7 +8,7 @@
 // ErrMalformed is matched by every error about a message that violates the protocol. The connection can't be used after it.
 var ErrMalformed = errors.New("malformed message")
 
-// ErrTooLong is matched by the error for an outgoing message longer than MaxMessage.
+// ErrTooLong is matched by the error for an outgoing message longer than MaxMessageBytes.
 var ErrTooLong = errors.New("message over the limit")
 
 // ProtocolError reports a message that violates the protocol. It matches ErrMalformed.
--- a/internal/codec/nodebinary/message.go
+++ b/internal/codec/nodebinary/message.go
@@ -4,8 +4,8 @@
 
 import "strconv"
 
-// MaxMessage is the longest message in bytes that either side may send, its length included.
-const MaxMessage = 16 << 10
+// MaxMessageBytes is the longest message in bytes that either side may send, its length included.
+const MaxMessageBytes = 16 << 10
 
 // NoCause is the Cause of a message without one.
 const NoCause = -1
@@ -76,5 +76,5 @@
 	Key            string
 	IdempotencyKey string
 	Description    string
-	Described      bool // the message has a description, which may be empty
+	HasDescription bool // the message has a description, which may be empty
 }
--- a/internal/codec/nodebinary/message_test.go
+++ b/internal/codec/nodebinary/message_test.go
@@ -10,7 +10,7 @@
 )
 
 var setUp = Message{Type: SetUp, Task: 0x9b1f03aa5c7e2d41, Cause: NoCause, Class: "batch", TimeLeft: "1500", Key: "7f3a",
-	IdempotencyKey: "5c0f", Description: "9d41\r\nc=IN\r\n", Described: true}
+	IdempotencyKey: "5c0f", Description: "9d41\r\nc=IN\r\n", HasDescription: true}
 
 // Messages are decoded as they were encoded, in whatever pieces their bytes arrive.
 func TestMessagesArriveInPieces(t *testing.T) {
@@ -23,8 +23,8 @@
 			t.Fatal(err)
 		}
 	}
-	codectest.RunSizes(t, len(input), func(t *testing.T, size int) {
-		if got := codectest.Decode(t, input, size, Next); !slices.Equal(got, want) {
+	codectest.RunWithPieceSizes(t, len(input), func(t *testing.T, size int) {
+		if got := codectest.DecodeAll(t, input, size, Next); !slices.Equal(got, want) {
 			t.Errorf("got %+v, want %+v", got, want)
 		}
 	})
@@ -70,7 +70,7 @@
 }
 
 func TestAppendRejectsLongMessages(t *testing.T) {
-	buf, err := Append([]byte("kept"), &Message{Type: SetUp, Description: strings.Repeat("x", MaxMessage), Described: true})
+	buf, err := Append([]byte("kept"), &Message{Type: SetUp, Description: strings.Repeat("x", MaxMessageBytes), HasDescription: true})
 	if !errors.Is(err, ErrTooLong) || string(buf) != "kept" {
 		t.Errorf("got %d bytes, %v, want the buffer as it was and %v", len(buf), err, ErrTooLong)
 	}
@@ -97,7 +97,7 @@
 		if err != nil || used == 0 {
 			return
 		}
-		if used > len(input) || used > MaxMessage {
+		if used > len(input) || used > MaxMessageBytes {
 			t.Fatalf("%d bytes used of %d", used, len(input))
 		}
 		encoded, err := Append(nil, &m)
--- a/internal/codec/nodeframe/frame.go
+++ b/internal/codec/nodeframe/frame.go
@@ -15,17 +15,17 @@
 // Version is the only version of the protocol that this build supports.
 const Version = 1
 
-// MaxFrame is the longest message that either side accepts, in bytes without the length prefix.
-const MaxFrame = 1 << 20
+// MaxMessageBytes is the longest message that either side accepts, in bytes without the length prefix.
+const MaxMessageBytes = 1 << 20
 
-// HeldPerWelcome is the number of tasks in a Welcome message at most, which keeps it within MaxFrame. A node with more tasks
-// sends several messages.
-const HeldPerWelcome = 1000
+// MaxHeldPerWelcome is the number of tasks in a Welcome message at most, which keeps it within MaxMessageBytes. A node with
+// more tasks sends several messages.
+const MaxHeldPerWelcome = 1000
 
 // lengthSize is the size of the length prefix: four bytes, big-endian.
 const lengthSize = 4
 
-// ErrTooLong is matched by the error for a message longer than MaxFrame, incoming or outgoing.
+// ErrTooLong is matched by the error for a message longer than MaxMessageBytes, incoming or outgoing.
 var ErrTooLong = errors.New("over the limit")
 
 // ErrEmpty is matched by the error for a frame without a message that this version knows.
@@ -39,17 +39,17 @@
 }
 
 func (e *FrameError) Error() string {
-	return fmt.Sprintf("nodeframe: message of %d bytes, %d at most: %v", e.Bytes, MaxFrame, e.Err)
+	return fmt.Sprintf("nodeframe: message of %d bytes, %d at most: %v", e.Bytes, MaxMessageBytes, e.Err)
 }
 
 // Unwrap returns the cause.
 func (e *FrameError) Unwrap() error { return e.Err }
 
 // VersionError reports a peer that does not support Version.
-type VersionError struct{ Least, Greatest uint32 }
+type VersionError struct{ Min, Max uint32 }
 
 func (e *VersionError) Error() string {
-	return fmt.Sprintf("nodeframe: the peer supports versions %d to %d, this build only %d", e.Least, e.Greatest, Version)
+	return fmt.Sprintf("nodeframe: the peer supports versions %d to %d, this build only %d", e.Min, e.Max, Version)
 }
 
 // Append appends the encoding of frame to dst. It returns dst unchanged and a *FrameError if the frame can't be encoded.
@@ -61,7 +61,7 @@
 		return dst[:start], &FrameError{Bytes: int64(proto.Size(frame)), Err: err}
 	}
 	size := len(dst) - start - lengthSize
-	if size > MaxFrame {
+	if size > MaxMessageBytes {
 		return dst[:start], &FrameError{Bytes: int64(size), Err: ErrTooLong}
 	}
 	binary.BigEndian.PutUint32(dst[start:], uint32(size))
@@ -76,7 +76,7 @@
 	}
 	size := int64(binary.BigEndian.Uint32(buf))
 	switch {
-	case size > MaxFrame: // before the message has arrived, which could be gigabytes
+	case size > MaxMessageBytes: // before the message has arrived, which could be gigabytes
 		return nil, 0, &FrameError{Bytes: size, Err: ErrTooLong}
 	case size == 0:
 		return nil, 0, &FrameError{Bytes: size, Err: ErrEmpty}
@@ -94,10 +94,11 @@
 	return frame, end, nil
 }
 
-// Agree returns the version to use with a peer that supports versions least to greatest. The error is a *VersionError.
-func Agree(least, greatest uint32) (uint32, error) {
-	if least > Version || greatest < Version {
-		return 0, &VersionError{Least: least, Greatest: greatest}
+// NegotiateVersion returns the version to use with a peer that supports versions peerMin to peerMax. The error is a
+// *VersionError.
+func NegotiateVersion(peerMin, peerMax uint32) (uint32, error) {
+	if peerMin > Version || peerMax < Version {
+		return 0, &VersionError{Min: peerMin, Max: peerMax}
 	}
 	return Version, nil
 }
--- a/internal/codec/nodeframe/frame_test.go
+++ b/internal/codec/nodeframe/frame_test.go
@@ -27,9 +27,9 @@
 			t.Fatal(err)
 		}
 	}
-	codectest.RunSizes(t, len(input), func(t *testing.T, size int) {
+	codectest.RunWithPieceSizes(t, len(input), func(t *testing.T, size int) {
 		var got []string
-		for _, frame := range codectest.Decode(t, input, size, Next) {
+		for _, frame := range codectest.DecodeAll(t, input, size, Next) {
 			got = append(got, frame.GetOffer().Task.Name)
 		}
 		if !slices.Equal(got, names) {
@@ -47,7 +47,7 @@
 		bytes int64
 	}{
 		{"gigabytes announced", []byte{0xff, 0xff, 0xff, 0xff}, ErrTooLong, 1<<32 - 1},
-		{"one byte over", []byte{0, 0x10, 0, 1}, ErrTooLong, MaxFrame + 1},
+		{"one byte over", []byte{0, 0x10, 0, 1}, ErrTooLong, MaxMessageBytes + 1},
 		{"empty", []byte{0, 0, 0, 0}, ErrEmpty, 0},
 		{"a message of a later version", []byte{0, 0, 0, 3, 0xfa, 0x07, 0}, ErrEmpty, 3},
 		{"no protobuf", []byte{0, 0, 0, 2, 0xff, 0xff}, nil, 2},
@@ -76,7 +76,7 @@
 		text    string
 		tooLong bool
 	}{
-		"over the limit": {strings.Repeat("x", MaxFrame), true},
+		"over the limit": {strings.Repeat("x", MaxMessageBytes), true},
 		"not UTF-8":      {"\xff", false},
 	} {
 		buf, err := Append([]byte("kept"), offerFrame(c.text))
@@ -86,12 +86,12 @@
 	}
 }
 
-func TestAgreeNeedsTheVersionOfThisBuild(t *testing.T) {
+func TestNegotiateVersionRequiresVersionOfThisBuild(t *testing.T) {
 	for _, c := range []struct {
 		least, greatest uint32
 		ok              bool
 	}{{1, 1, true}, {1, 9, true}, {0, 1, true}, {2, 3, false}, {0, 0, false}} {
-		version, err := Agree(c.least, c.greatest)
+		version, err := NegotiateVersion(c.least, c.greatest)
 		var unsupported *VersionError
 		if c.ok && (err != nil || version != Version) || !c.ok && !errors.As(err, &unsupported) {
 			t.Errorf("%d to %d: got %d, %v, want agreement: %v", c.least, c.greatest, version, err, c.ok)
--- a/internal/codec/ownerjson/decode.go
+++ b/internal/codec/ownerjson/decode.go
@@ -36,11 +36,11 @@
 
 // Next decodes the first line of buf and returns the number of bytes that it used. It returns nil and 0 when more bytes are
 // needed. It keeps no reference to buf. The error is a *ProtocolError, after which the connection can't be used. A line longer
-// than MaxLine is rejected as soon as that many bytes have arrived without a line feed; its error matches ErrTooLong.
+// than MaxLineBytes is rejected as soon as that many bytes have arrived without a line feed; its error matches ErrTooLong.
 func Next(buf []byte) (m *Message, used int, err error) {
 	end := bytes.IndexByte(buf, '\n')
-	if end < 0 && len(buf) >= MaxLine || end >= MaxLine {
-		return nil, 0, lineTooLong(buf, max(end+1, MaxLine))
+	if end < 0 && len(buf) >= MaxLineBytes || end >= MaxLineBytes {
+		return nil, 0, lineTooLong(buf, max(end+1, MaxLineBytes))
 	}
 	if end < 0 {
 		return nil, 0, nil
@@ -65,7 +65,7 @@
 		m.Cause = *wire.Cause
 	}
 	if wire.Description != nil {
-		m.Description, m.Described = *wire.Description, true
+		m.Description, m.HasDescription = *wire.Description, true
 	}
 	return m, nil
 }
--- a/internal/codec/ownerjson/encode.go
+++ b/internal/codec/ownerjson/encode.go
@@ -8,7 +8,7 @@
 )
 
 // Append appends the encoding of m to dst. Fields are not encoded, and a negative Cause is left out. It returns dst unchanged
-// and a *ProtocolError for a description that is not valid UTF-8, and for a line longer than MaxLine, which also matches
+// and a *ProtocolError for a description that is not valid UTF-8, and for a line longer than MaxLineBytes, which also matches
 // ErrTooLong.
 func Append(dst []byte, m *Message) ([]byte, error) {
 	start := len(dst)
@@ -17,7 +17,7 @@
 	dst = append(dst, `","id":"`...)
 	dst = append(dst, m.ID...)
 	dst = append(dst, `","fields":{}`...)
-	if m.Described {
+	if m.HasDescription {
 		dst = append(dst, `,"sdp":`...)
 		var err error
 		if dst, err = jsontext.AppendQuote(dst, m.Description); err != nil {
@@ -30,7 +30,7 @@
 		dst = strconv.AppendInt(dst, int64(m.Cause), 10)
 	}
 	dst = append(dst, "}\n"...)
-	if size := len(dst) - start; size > MaxLine {
+	if size := len(dst) - start; size > MaxLineBytes {
 		return dst[:start], lineTooLong(dst[start:], size)
 	}
 	return dst, nil
--- a/internal/codec/ownerjson/errors.go
+++ b/internal/codec/ownerjson/errors.go
@@ -8,17 +8,17 @@
 	"github.com/go-json-experiment/json/jsontext"
 )
 
-// ErrTooLong is matched by the error for a line longer than MaxLine, incoming or outgoing.
+// ErrTooLong is matched by the error for a line longer than MaxLineBytes, incoming or outgoing.
 var ErrTooLong = errors.New("line over the limit")
 
-// maxQuoted is the number of bytes of an invalid value that an error keeps.
-const maxQuoted = 40
+// maxErrorValueBytes is the number of bytes of an invalid value that an error keeps.
+const maxErrorValueBytes = 40
 
 // ProtocolError reports a line that violates the protocol. Field is empty if the line as a whole is invalid.
 type ProtocolError struct {
 	Field  string // JSON pointer of the field within the line, for instance /id
 	Offset int64  // of the invalid part within the line, in bytes; 0 if only Field is known
-	Value  string // the invalid text, truncated to maxQuoted bytes
+	Value  string // the invalid text, truncated to maxErrorValueBytes bytes
 	Reason string // what the protocol requires
 	Err    error  // the cause, or nil
 }
@@ -48,8 +48,8 @@
 
 // lineTooLong returns the error for a line of at least size bytes.
 func lineTooLong(line []byte, size int) error {
-	return &ProtocolError{Offset: MaxLine, Value: truncate(string(line[:min(len(line), maxQuoted)])),
-		Reason: fmt.Sprintf("%d bytes or more, %d at most", size, MaxLine), Err: ErrTooLong}
+	return &ProtocolError{Offset: MaxLineBytes, Value: truncate(string(line[:min(len(line), maxErrorValueBytes)])),
+		Reason: fmt.Sprintf("%d bytes or more, %d at most", size, MaxLineBytes), Err: ErrTooLong}
 }
 
 // invalidJSON returns the error for a line that the JSON decoder rejected, at the place that the decoder reports.
@@ -66,4 +66,4 @@
 	return e
 }
 
-func truncate(text string) string { return text[:min(len(text), maxQuoted)] }
+func truncate(text string) string { return text[:min(len(text), maxErrorValueBytes)] }
--- a/internal/codec/ownerjson/message.go
+++ b/internal/codec/ownerjson/message.go
@@ -2,8 +2,8 @@
 // object on each line. It does no I/O. Its functions are safe for concurrent use.
 package ownerjson
 
-// MaxLine is the longest line in bytes that either side may send, its line feed included.
-const MaxLine = 16 << 10
+// MaxLineBytes is the longest line in bytes that either side may send, its line feed included.
+const MaxLineBytes = 16 << 10
 
 // NoCause is the Cause of a message without one.
 const NoCause = -1
@@ -41,12 +41,12 @@
 
 // Message is a message, which is one line on the wire.
 type Message struct {
-	Type        Type
-	ID          string            // of the task: see ValidID
-	Fields      map[string]string // by their names on the wire; numbers as their JSON text
-	Cause       int               // 0 to 255, or NoCause
-	Description string
-	Described   bool // the line has a description, which may be empty
+	Type           Type
+	ID             string            // of the task: see ValidID
+	Fields         map[string]string // by their names on the wire; numbers as their JSON text
+	Cause          int               // 0 to 255, or NoCause
+	Description    string
+	HasDescription bool // the line has a description, which may be empty
 }
 
 // ValidID reports whether id is the ID of a task: 16 lower-case hex digits.
--- a/internal/codec/ownerjson/message_test.go
+++ b/internal/codec/ownerjson/message_test.go
@@ -16,15 +16,15 @@
 // Lines are decoded one by one, in whatever pieces their bytes arrive; fields are strings or numbers.
 func TestLinesArriveInPieces(t *testing.T) {
 	input := setUpLine + `{"type":"release","id":"9b1f03aa5c7e2d41","fields":{},"cause":34,"later":[1]}` + "\n"
-	codectest.RunSizes(t, len(input), func(t *testing.T, size int) {
-		got := codectest.Decode(t, []byte(input), size, Next)
+	codectest.RunWithPieceSizes(t, len(input), func(t *testing.T, size int) {
+		got := codectest.DecodeAll(t, []byte(input), size, Next)
 		if len(got) != 2 {
 			t.Fatalf("got %d messages, want 2", len(got))
 		}
 		if m := got[0]; m.Fields["left"] != "1500" || m.Description != "9d41\r\nc=IN\r\n" || m.Cause != NoCause {
 			t.Errorf("first message: got %+v, want %s", m, setUpLine)
 		}
-		if m := got[1]; m.Type != Release || m.Cause != 34 || m.Described {
+		if m := got[1]; m.Type != Release || m.Cause != 34 || m.HasDescription {
 			t.Errorf("second message: got %+v, want a release with cause 34 and no description", m)
 		}
 	})
@@ -83,8 +83,8 @@
 // A line over the limit is an error before its line feed has arrived.
 func TestNextRejectsLongLines(t *testing.T) {
 	for name, input := range map[string]string{
-		"without a line feed": strings.Repeat("x", MaxLine),
-		"with a line feed":    strings.Repeat(" ", MaxLine) + setUpLine,
+		"without a line feed": strings.Repeat("x", MaxLineBytes),
+		"with a line feed":    strings.Repeat(" ", MaxLineBytes) + setUpLine,
 	} {
 		if _, _, err := Next([]byte(input)); !errors.Is(err, ErrTooLong) {
 			t.Errorf("%s: got %v, want %v", name, err, ErrTooLong)
@@ -94,7 +94,7 @@
 
 func TestAppendKeepsDescription(t *testing.T) {
 	for _, text := range []string{"", "a\r\nb\"\\\t\u00e9/", "<&>"} {
-		line, err := Append(nil, &Message{Type: Answer, ID: taskID, Cause: NoCause, Description: text, Described: true})
+		line, err := Append(nil, &Message{Type: Answer, ID: taskID, Cause: NoCause, Description: text, HasDescription: true})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -107,12 +107,12 @@
 
 // A description that can't be encoded leaves the buffer as it was.
 func TestAppendRejectsDescription(t *testing.T) {
-	for name, text := range map[string]string{"not UTF-8": "\xff", "over the limit": strings.Repeat("x", MaxLine)} {
-		buf, err := Append([]byte("kept"), &Message{Type: Answer, ID: taskID, Description: text, Described: true})
+	for name, text := range map[string]string{"not UTF-8": "\xff", "over the limit": strings.Repeat("x", MaxLineBytes)} {
+		buf, err := Append([]byte("kept"), &Message{Type: Answer, ID: taskID, Description: text, HasDescription: true})
 		if err == nil || string(buf) != "kept" {
 			t.Errorf("%s: got %q, %v, want the buffer as it was and an error", name, buf, err)
 		}
-		if tooLong := len(text) == MaxLine; errors.Is(err, ErrTooLong) != tooLong {
+		if tooLong := len(text) == MaxLineBytes; errors.Is(err, ErrTooLong) != tooLong {
 			t.Errorf("%s: got %v, want ErrTooLong: %v", name, err, tooLong)
 		}
 	}
@@ -149,7 +149,7 @@
 }
 
 func BenchmarkAppend(b *testing.B) {
-	m := &Message{Type: Answer, ID: taskID, Cause: NoCause, Description: "9d41\r\nc=IN\r\n", Described: true}
+	m := &Message{Type: Answer, ID: taskID, Cause: NoCause, Description: "9d41\r\nc=IN\r\n", HasDescription: true}
 	var buf []byte
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/codec/sse/decoder.go
+++ b/internal/codec/sse/decoder.go
@@ -7,13 +7,13 @@
 	"fmt"
 )
 
-// MaxEvent bounds the bytes of an event that a Decoder keeps before the event ends.
-const MaxEvent = 1 << 20
+// MaxEventBytes bounds the bytes of an event that a Decoder keeps before the event ends.
+const MaxEventBytes = 1 << 20
 
-// ErrTooLong is matched by the error for an event over MaxEvent.
+// ErrTooLong is matched by the error for an event over MaxEventBytes.
 var ErrTooLong = errors.New("event over the limit")
 
-// SizeError reports an event that is longer than MaxEvent. It matches ErrTooLong.
+// SizeError reports an event that is longer than MaxEventBytes. It matches ErrTooLong.
 type SizeError struct {
 	ID           string // of the event; empty where its line has not arrived
 	Bytes, Limit int
@@ -56,7 +56,7 @@
 		if err := d.checkSize(); err != nil {
 			return err
 		}
-		if err := d.endLine(emit); err != nil {
+		if err := d.decodeLine(emit); err != nil {
 			return err
 		}
 	}
@@ -64,14 +64,14 @@
 }
 
 func (d *Decoder) checkSize() error {
-	if size := len(d.line) + len(d.data); size > MaxEvent {
-		return &SizeError{ID: d.id, Bytes: size, Limit: MaxEvent}
+	if size := len(d.line) + len(d.data); size > MaxEventBytes {
+		return &SizeError{ID: d.id, Bytes: size, Limit: MaxEventBytes}
 	}
 	return nil
 }
 
-// endLine decodes the complete line: a field, a comment, or the empty line that ends an event.
-func (d *Decoder) endLine(emit func(Event) error) error {
+// decodeLine decodes the complete line: a field, a comment, or the empty line that ends an event.
+func (d *Decoder) decodeLine(emit func(Event) error) error {
 	line := bytes.TrimSuffix(d.line, []byte("\r"))
 	d.line = d.line[:0]
 	if len(line) == 0 {
--- a/internal/codec/sse/decoder_test.go
+++ b/internal/codec/sse/decoder_test.go
@@ -30,7 +30,7 @@
 func TestEventsArriveInPieces(t *testing.T) {
 	input := ": hello\n\nid: 2\ndata: {\"n\":2}\n\n:\r\nid:3\r\nevent: x\r\ndata:a\r\ndata: b\r\n\r\n\n\nid: 4\ndata: half"
 	want := []string{`2={"n":2}`, "3=a\nb"}
-	codectest.RunSizes(t, len(input), func(t *testing.T, size int) {
+	codectest.RunWithPieceSizes(t, len(input), func(t *testing.T, size int) {
 		if got, err := decode(t, input, size); err != nil || !slices.Equal(got, want) {
 			t.Errorf("got %q, %v, want %q", got, err, want)
 		}
@@ -40,8 +40,8 @@
 // An event without an end is an error once it is over the limit, so that its size in memory is bounded.
 func TestEventOverTheLimit(t *testing.T) {
 	for name, input := range map[string]string{
-		"one line":   strings.Repeat("x", MaxEvent+1),
-		"many lines": "id: 7\n" + strings.Repeat("data: "+strings.Repeat("x", 1000)+"\n", MaxEvent/1000+1),
+		"one line":   strings.Repeat("x", MaxEventBytes+1),
+		"many lines": "id: 7\n" + strings.Repeat("data: "+strings.Repeat("x", 1000)+"\n", MaxEventBytes/1000+1),
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := decode(t, input, 4096)
@@ -49,8 +49,8 @@
 				t.Fatalf("got %v, want %v", err, ErrTooLong)
 			}
 			var size *SizeError
-			if !errors.As(err, &size) || size.Bytes <= MaxEvent || size.Bytes > MaxEvent+4096 || size.Limit != MaxEvent {
-				t.Errorf("got %+v, want a SizeError of up to 4096 bytes over %d", err, MaxEvent)
+			if !errors.As(err, &size) || size.Bytes <= MaxEventBytes || size.Bytes > MaxEventBytes+4096 || size.Limit != MaxEventBytes {
+				t.Errorf("got %+v, want a SizeError of up to 4096 bytes over %d", err, MaxEventBytes)
 			}
 		})
 	}
--- a/internal/daemon/clienthandler.go
+++ b/internal/daemon/clienthandler.go
@@ -48,7 +48,7 @@
 func (h *clientHandler) Opened(c *transport.Conn) {
 	if h.overLimit {
 		h.overLimitTimer = time.AfterFunc(overLimitTimeout, func() {
-			c.RunInLoop(0, func(func([]byte)) { h.rejectOverLimit(c) })
+			c.RunOnLoop(0, func(func([]byte)) { h.rejectOverLimit(c) })
 		})
 	}
 }
@@ -68,7 +68,7 @@
 	}
 	request, used, sendContinue, err := h.parser.Parse(received)
 	if sendContinue {
-		c.WriteInLoop(httpcodec.Continue)
+		c.WriteInLoop(httpcodec.ContinueResponse)
 	}
 	if err != nil {
 		h.rejectMalformed(c, err)
@@ -97,7 +97,7 @@
 	startedAt := time.Now()
 	h.requestStartedAt = startedAt
 	h.requestTimer = time.AfterFunc(h.daemon.settings.Limits.RequestTimeout.Duration(), func() {
-		c.RunInLoop(0, func(func([]byte)) {
+		c.RunOnLoop(0, func(func([]byte)) {
 			if h.requestStartedAt.Equal(startedAt) {
 				h.rejectSlow(c)
 			}
@@ -115,7 +115,7 @@
 // rejectMalformed answers bytes that are not a request.
 func (h *clientHandler) rejectMalformed(c *transport.Conn, err error) {
 	status, text := http.StatusBadRequest, err.Error()
-	var malformed *httpcodec.Error
+	var malformed *httpcodec.RequestError
 	if errors.As(err, &malformed) {
 		status, text = malformed.Status, malformed.Message
 	}
@@ -136,7 +136,7 @@
 	}
 	m := message{receivedAt: time.Now(), reply: func(a *scheduler.Answer) {
 		answer := *a
-		c.RunInLoop(eventBytes, func(func([]byte)) { h.complete(c, call, events, &answer) })
+		c.RunOnLoop(eventBytes, func(func([]byte)) { h.complete(c, call, events, &answer) })
 	}}
 	if !h.daemon.dispatch(call, m, events) {
 		events.ended.Store(true)
@@ -157,7 +157,7 @@
 	events.ended.Store(true)
 	h.requestPending = false
 	h.respond(c, call, call.EncodeAnswer(answer))
-	c.Resume()
+	c.ResumeReceive()
 }
 
 func (h *clientHandler) respond(c *transport.Conn, call *drmaafront.Call, response []byte) {
@@ -180,7 +180,7 @@
 	h.daemon.metrics.clients.Set(float64(h.daemon.clientCount.Add(-1)))
 	if isClientFault(reason) {
 		h.daemon.metrics.clientsDisconnected.inc()
-		h.daemon.log.Warn().Err(reason).Str("client", c.Remote()).Msg("client connection closed: client too slow")
+		h.daemon.log.Warn().Err(reason).Str("client", c.RemoteAddr()).Msg("client connection closed: client too slow")
 	}
 }
 
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -123,7 +123,7 @@
 	clientOptions := transport.Options{
 		MaxWriteQueue: d.settings.Limits.MaxClientWriteQueue,
 		IdleTimeout:   d.settings.Limits.IdleTimeout.Duration(),
-		Loops:         coreCount,
+		EventLoops:    coreCount,
 		Log:           d.log,
 	}
 	d.server, err = transport.Listen(d.settings.ListenAddress, clientOptions, d.accept)
--- a/internal/daemon/eventstream.go
+++ b/internal/daemon/eventstream.go
@@ -42,7 +42,7 @@
 func (s *eventStream) publisher(core int) func(*scheduler.Info) bool {
 	return func(change *scheduler.Info) bool {
 		info := *change
-		return !s.ended.Load() && s.conn.RunInLoop(eventBytes, func(write func([]byte)) {
+		return !s.ended.Load() && s.conn.RunOnLoop(eventBytes, func(write func([]byte)) {
 			s.position[core] = info.Revision
 			event := s.client.daemon.front.Event(&info, s.position.String())
 			if !s.headWritten {
--- a/internal/daemon/inventory.go
+++ b/internal/daemon/inventory.go
@@ -10,7 +10,7 @@
 
 // linkInventory maintains a connection to the inventory until the dialer stops.
 func (d *Daemon) linkInventory() {
-	d.dialer.Link(d.settings.InventoryAddress, inventoryDialTimeout, reconnectBackoff,
+	d.dialer.StartLink(d.settings.InventoryAddress, inventoryDialTimeout, reconnectBackoff,
 		func() transport.Handler {
 			return &peerHandler{daemon: d, receiver: newInventoryHandler(d)}
 		},
--- a/internal/daemon/nodeconns.go
+++ b/internal/daemon/nodeconns.go
@@ -76,7 +76,7 @@
 func (r *coreRunner) connect(name string) {
 	d, address := r.daemon, r.addresses[name]
 	replaced := d.nodes.request(r.index, name, address, func(connection *nodeConnection) *transport.Link {
-		return d.dialer.Link(address, d.settings.ConnectTimeout.Duration(), reconnectBackoff,
+		return d.dialer.StartLink(address, d.settings.ConnectTimeout.Duration(), reconnectBackoff,
 			func() transport.Handler {
 				return &peerHandler{daemon: d, receiver: newNodeHandler(d, name)}
 			},
--- a/internal/daemon/outbox.go
+++ b/internal/daemon/outbox.go
@@ -35,7 +35,7 @@
 	if outbox == nil || outbox.conn == nil {
 		return nil
 	}
-	if outbox.frames.Empty() {
+	if outbox.frames.IsEmpty() {
 		r.unflushed = append(r.unflushed, outbox)
 	}
 	return outbox
--- a/internal/front/platformfront/generated_test.go
+++ b/internal/front/platformfront/generated_test.go
@@ -180,7 +180,7 @@
 func (s *session) setUp(i int) *ownerjson.Message {
 	d := s.deployment
 	class, kind := i%len(d.classes), s.rng.IntN(len(d.kinds))
-	m := &ownerjson.Message{Type: ownerjson.SetUp, ID: fmt.Sprintf("%016x", i+1), Cause: ownerjson.NoCause, Described: true, Description: "x",
+	m := &ownerjson.Message{Type: ownerjson.SetUp, ID: fmt.Sprintf("%016x", i+1), Cause: ownerjson.NoCause, HasDescription: true, Description: "x",
 		Fields: map[string]string{"class": d.classes[class], "left": fmt.Sprint(d.timeLeftMillis), "key": fmt.Sprint("k", i),
 			"extras": fmt.Sprintf("cores:%g;memory:%g;service:v%d", d.cores[kind]/4, d.memory[kind]/4, i%3)}}
 	if d.keyed[class] {
--- a/internal/front/platformfront/node.go
+++ b/internal/front/platformfront/node.go
@@ -35,7 +35,7 @@
 	}
 	switch m.Type {
 	case nodebinary.Answer:
-		if !m.Described || m.Description == "" {
+		if !m.HasDescription || m.Description == "" {
 			return nil, missingParameter(m, "description")
 		}
 		input.Kind, input.Description = requests.NodeAccepted, m.Description
@@ -81,7 +81,7 @@
 	timeLeftMillis := max(1, int64(e.TimeLeft/time.Millisecond))
 	return nodebinary.Append(dst, &nodebinary.Message{Type: nodebinary.SetUp, Task: id, Cause: nodebinary.NoCause, Class: e.Class,
 		TimeLeft: strconv.FormatInt(timeLeftMillis, 10), Key: e.Key, IdempotencyKey: e.IdempotencyKey,
-		Description: e.Description, Described: true})
+		Description: e.Description, HasDescription: true})
 }
 
 // EncodeRelease appends the release message of a task to a node.
--- a/internal/front/platformfront/node_test.go
+++ b/internal/front/platformfront/node_test.go
@@ -16,7 +16,7 @@
 		message nodebinary.Message
 		want    requests.Input
 	}{
-		"answer": {nodebinary.Message{Type: nodebinary.Answer, Cause: nodebinary.NoCause, Description: "d", Described: true},
+		"answer": {nodebinary.Message{Type: nodebinary.Answer, Cause: nodebinary.NoCause, Description: "d", HasDescription: true},
 			requests.NodeMessage{Link: 4, Task: id, Kind: requests.NodeAccepted, Cause: -1, Description: "d"}},
 		"release": {nodebinary.Message{Type: nodebinary.Release, Cause: 34, Token: "busy"},
 			requests.NodeMessage{Link: 4, Task: id, Kind: requests.NodeReleased, Cause: 34, Reason: flaxshelf.QueueFull}},
@@ -60,7 +60,7 @@
 	}
 	got, used, err := nodebinary.Next(encoded)
 	want := nodebinary.Message{Type: nodebinary.SetUp, Task: 0xff, Cause: nodebinary.NoCause, Class: "batch", TimeLeft: "1500", Key: "k",
-		IdempotencyKey: "i", Description: "d\r\n", Described: true}
+		IdempotencyKey: "i", Description: "d\r\n", HasDescription: true}
 	if err != nil || used != len(encoded) || got != want {
 		t.Errorf("got %+v, %v, want %+v", got, err, want)
 	}
--- a/internal/front/platformfront/owner.go
+++ b/internal/front/platformfront/owner.go
@@ -153,7 +153,7 @@
 	if key != "" && !isName(key) {
 		return nil, invalidField(m, fieldIdempotencyKey, "must be a name")
 	}
-	if !m.Described || m.Description == "" {
+	if !m.HasDescription || m.Description == "" {
 		return nil, &OwnerMessageError{Task: m.ID, Type: m.Type, Field: fieldDescription, Reason: "must not be empty"}
 	}
 	return requests.Submit{Conn: conn, Task: task, Class: m.Fields[fieldClass], IdempotencyKey: key,
@@ -204,7 +204,7 @@
 // EncodeAccepted appends the answer message for a task that has been placed.
 func EncodeAccepted(dst []byte, e *requests.Accepted) ([]byte, error) {
 	return ownerjson.Append(dst, &ownerjson.Message{Type: ownerjson.Answer, ID: e.Task, Cause: ownerjson.NoCause,
-		Description: e.Description, Described: true})
+		Description: e.Description, HasDescription: true})
 }
 
 // EncodeTerminated appends the message for a task that was rejected, has failed, has ended or is to migrate.
--- a/internal/platform/effects.go
+++ b/internal/platform/effects.go
@@ -78,7 +78,7 @@
 
 // outboxOf returns a peer's outbox, which the end of the step flushes.
 func (s *Scheduler) outboxOf(p *peer) *transport.Outbox {
-	if p.outbox.Empty() {
+	if p.outbox.IsEmpty() {
 		s.unflushed = append(s.unflushed, p)
 	}
 	return &p.outbox
--- a/internal/platform/nodes.go
+++ b/internal/platform/nodes.go
@@ -57,6 +57,6 @@
 
 // Closed implements transport.Handler.
 func (h *nodeHandler) Closed(c *transport.Conn, reason error) {
-	h.scheduler.options.Log.Debug().Err(reason).Str("node_address", c.Remote()).Msg("link to the node closed")
+	h.scheduler.options.Log.Debug().Err(reason).Str("node_address", c.RemoteAddr()).Msg("link to the node closed")
 	h.scheduler.mailbox.put(message{inputs: []requests.Input{requests.LinkDown{Link: h.link}}})
 }
--- a/internal/platform/owners.go
+++ b/internal/platform/owners.go
@@ -37,7 +37,7 @@
 
 // Opened implements transport.Opener.
 func (h *ownerHandler) Opened(c *transport.Conn) {
-	host, _, _ := net.SplitHostPort(c.Remote())
+	host, _, _ := net.SplitHostPort(c.RemoteAddr())
 	connected := requests.OwnerConnected{Conn: h.id, Host: host}
 	m := message{inputs: []requests.Input{connected}, conn: c, receivedAt: clock.Now()}
 	if !h.scheduler.mailbox.tryPut(m) {
@@ -54,7 +54,7 @@
 	}
 	h.scheduler.ownerPartialMessages.Add(h.partial.update(c, used, len(in), idleTimeout))
 	if err != nil {
-		h.scheduler.options.Log.Debug().Err(err).Str("owner", c.Remote()).Msg("malformed message of an owner")
+		h.scheduler.options.Log.Debug().Err(err).Str("owner", c.RemoteAddr()).Msg("malformed message of an owner")
 	}
 	return used, err
 }
@@ -90,7 +90,7 @@
 // reject responds to an invalid request and returns the core's input for it. Any other invalid message is an error, with the
 // reason.
 func (h *ownerHandler) reject(c *transport.Conn, m *ownerjson.Message, reason error) (requests.Input, error) {
-	h.scheduler.options.Log.Debug().Err(reason).Str("owner", c.Remote()).Msg("message of an owner rejected")
+	h.scheduler.options.Log.Debug().Err(reason).Str("owner", c.RemoteAddr()).Msg("message of an owner rejected")
 	if m.Type != ownerjson.SetUp {
 		return nil, reason
 	}
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -168,7 +168,7 @@
 	if s.dialer, err = transport.NewDialer(transportOptions); err != nil {
 		return err
 	}
-	if s.acceptor, err = s.dialer.Accept(config.Listen, s.acquireOwnerSlot, s.newOwnerHandler); err != nil {
+	if s.acceptor, err = s.dialer.StartAcceptor(config.Listen, s.acquireOwnerSlot, s.newOwnerHandler); err != nil {
 		return errors.Join(err, s.dialer.Stop())
 	}
 	return nil
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -113,8 +113,8 @@
 	})
 	s := startScheduler(t, scripted.Entry("s-1", n.Addr(), "active"))
 	s.connect().placeTask(2)
-	if line := <-s.closedLinks; !strings.Contains(line, transport.ErrPartialMessage.Error()) {
-		t.Errorf("got log line %s, want the reason %v", line, transport.ErrPartialMessage)
+	if line := <-s.closedLinks; !strings.Contains(line, transport.ErrMessageTimeout.Error()) {
+		t.Errorf("got log line %s, want the reason %v", line, transport.ErrMessageTimeout)
 	}
 	seen := map[scripted.ConnectionEvent]int{}
 	for range 3 {
--- a/internal/testbed/emulator/node.go
+++ b/internal/testbed/emulator/node.go
@@ -160,7 +160,7 @@
 		n.reply(m.at, m.from, disconnected{}, out)
 		return
 	}
-	frames, ok := n.model.Connect(m.at, hello.scheduler, hello.incarnation, nodeframe.HeldPerWelcome)
+	frames, ok := n.model.Connect(m.at, hello.scheduler, hello.incarnation, nodeframe.MaxHeldPerWelcome)
 	if !ok {
 		n.reply(m.at, m.from, disconnected{}, out)
 		return
--- a/internal/testbed/standin/host/connection.go
+++ b/internal/testbed/standin/host/connection.go
@@ -40,7 +40,7 @@
 	if hello == nil || hello.Party == "" {
 		return errNoHello
 	}
-	if _, err := nodeframe.Agree(hello.VersionMin, hello.VersionMax); err != nil {
+	if _, err := nodeframe.NegotiateVersion(hello.VersionMin, hello.VersionMax); err != nil {
 		conn.WriteInLoop(encode(byeFrame(err.Error())))
 		return err
 	}
--- a/internal/testbed/standin/host/node.go
+++ b/internal/testbed/standin/host/node.go
@@ -104,7 +104,7 @@
 func (n *Node) isDead() bool              { return n.state.Dead() }
 
 func (n *Node) connect(now time.Duration, conn *transport.Conn, hello *nodepb.Hello) {
-	frames, ok := n.state.Connect(now, hello.Party, hello.LifeUnixNs, nodeframe.HeldPerWelcome)
+	frames, ok := n.state.Connect(now, hello.Party, hello.LifeUnixNs, nodeframe.MaxHeldPerWelcome)
 	if !ok {
 		conn.Send(encode(byeFrame(errFenced.Error())))
 		conn.Close(errFenced)
--- a/internal/testbed/standin/host/registration.go
+++ b/internal/testbed/standin/host/registration.go
@@ -20,7 +20,7 @@
 
 // linkInventory maintains a connection to the inventory until the dialer stops.
 func (n *Node) linkInventory() {
-	n.dialer.Link(n.options.Inventory, inventoryDialTimeout, inventoryBackoff,
+	n.dialer.StartLink(n.options.Inventory, inventoryDialTimeout, inventoryBackoff,
 		func() transport.Handler { return &registrationHandler{node: n} },
 		func(error) {}) // the link reconnects
 }
--- a/internal/testbed/standin/scripted/node.go
+++ b/internal/testbed/standin/scripted/node.go
@@ -210,7 +210,7 @@
 	switch m.Type {
 	case nodebinary.SetUp:
 		Send(c, nodebinary.Message{Type: nodebinary.Answer, Task: m.Task, Cause: causeNone, Description: Description,
-			Described: true})
+			HasDescription: true})
 	case nodebinary.Release:
 		Send(c, nodebinary.Message{Type: nodebinary.Release, Task: m.Task, Cause: causeTerminated})
 	}
--- a/internal/transport/acceptor.go
+++ b/internal/transport/acceptor.go
@@ -27,10 +27,10 @@
 	done       chan struct{}
 }
 
-// Accept listens at addr, as host:port. admit is called before each connection is accepted from the listener's queue, and may
-// block. newHandler returns the handler of each; its Closed is called exactly once. Both are called from the acceptor's
-// goroutine. The error reports an address that is malformed or unavailable.
-func (d *Dialer) Accept(addr string, admit func(), newHandler func(c *Conn) Handler) (*Acceptor, error) {
+// StartAcceptor listens at addr, as host:port. admit is called before each connection is accepted from the listener's queue,
+// and may block. newHandler returns the handler of each; its Closed is called exactly once. Both are called from the
+// acceptor's goroutine. The error reports an address that is malformed or unavailable.
+func (d *Dialer) StartAcceptor(addr string, admit func(), newHandler func(c *Conn) Handler) (*Acceptor, error) {
 	address, err := net.ResolveTCPAddr("tcp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("transport: listen address %q: %w", addr, err)
--- a/internal/transport/acceptor_test.go
+++ b/internal/transport/acceptor_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// takeDescriptors lowers the process's limit of descriptors and takes all free ones. The returned functions close them and
+// exhaustDescriptors lowers the process's limit of descriptors and takes all free ones. The returned functions close them and
 // restore the limit.
-func takeDescriptors(t *testing.T) (giveBack, restoreLimit func()) {
+func exhaustDescriptors(t *testing.T) (freeDescriptors, restoreLimit func()) {
 	t.Helper()
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
@@ -28,7 +28,7 @@
 		}
 		taken = append(taken, descriptor)
 	}
-	giveBack = func() {
+	freeDescriptors = func() {
 		for _, descriptor := range taken {
 			_ = syscall.Close(descriptor)
 		}
@@ -38,7 +38,7 @@
 			t.Error(err)
 		}
 	}
-	return giveBack, restoreLimit
+	return freeDescriptors, restoreLimit
 }
 
 // Without free descriptors connections wait; they are served when descriptors are free again.
@@ -49,14 +49,14 @@
 	defer a.Stop()
 	c := dial(t, a.Addr()) // it waits in the listener's queue
 	writeText(t, c, "hello\n")
-	giveBack, restoreLimit := takeDescriptors(t)
+	freeDescriptors, restoreLimit := exhaustDescriptors(t)
 	defer restoreLimit()
 	close(admitted)
 	_ = c.SetReadDeadline(time.Now().Add(5 * acceptRetryDelay))
 	if _, err := c.Read(make([]byte, 1)); err == nil {
 		t.Error("the connection was served without a descriptor, want it to wait")
 	}
-	giveBack()
+	freeDescriptors()
 	expectText(t, c, "hello\n")
 	_ = c.Close()
 	expectReason(t, closed, ErrPeerClosed)
--- a/internal/transport/dialer.go
+++ b/internal/transport/dialer.go
@@ -25,7 +25,7 @@
 func NewDialer(options Options) (*Dialer, error) {
 	d := &Dialer{options: options.withDefaults()}
 	events := &eventHandler{options: d.options}
-	client, err := gnet.NewClient(events, gnet.WithNumEventLoop(d.options.Loops), gnet.WithTCPNoDelay(gnet.TCPNoDelay),
+	client, err := gnet.NewClient(events, gnet.WithNumEventLoop(d.options.EventLoops), gnet.WithTCPNoDelay(gnet.TCPNoDelay),
 		gnet.WithLogger(discardLogger{}), gnet.WithLogLevel(logging.FatalLevel))
 	if err != nil {
 		return nil, fmt.Errorf("transport: dialer: %w", err)
@@ -59,7 +59,7 @@
 func (d *Dialer) Stop() error {
 	d.cancel()
 	d.goroutines.Wait()
-	d.events.flush()
+	d.events.awaitQueuedTasks()
 	return d.client.Stop()
 }
 
--- a/internal/transport/eventhandler.go
+++ b/internal/transport/eventhandler.go
@@ -33,7 +33,7 @@
 		c = &Conn{options: &h.options}
 		socket.SetContext(c)
 	}
-	c.socket, c.remote = socket, socket.RemoteAddr().String()
+	c.socket, c.remoteAddr = socket, socket.RemoteAddr().String()
 	h.loops.LoadOrStore(socket.EventLoop(), struct{}{})
 	c.lastRead.Store(time.Now().UnixNano())
 	if !enrolled {
@@ -100,9 +100,9 @@
 	return ErrPeerClosed
 }
 
-// flush waits until the event loops have run the tasks that are queued now. Stopping the engine would discard these tasks,
-// such as the last message of a connection.
-func (h *eventHandler) flush() {
+// awaitQueuedTasks waits until the event loops have run the tasks that are queued now. Stopping the engine would discard
+// these tasks, such as the last message of a connection.
+func (h *eventHandler) awaitQueuedTasks() {
 	h.loops.Range(func(loop, _ any) bool {
 		done := make(chan struct{})
 		task := loopTask(func() { close(done) })
--- a/internal/transport/helpers_test.go
+++ b/internal/transport/helpers_test.go
@@ -153,7 +153,7 @@
 func accept(t *testing.T, admit func(), newHandler func(c *Conn) Handler) (*Acceptor, func()) {
 	t.Helper()
 	d, stop := newDialer(t)
-	a, err := d.Accept("127.0.0.1:0", admit, newHandler)
+	a, err := d.StartAcceptor("127.0.0.1:0", admit, newHandler)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/transport/link.go
+++ b/internal/transport/link.go
@@ -13,8 +13,8 @@
 // one up to Max, with jitter so that many links that broke at once do not reconnect at once.
 type Backoff struct{ Initial, Max time.Duration }
 
-// wait returns the delay after a number of failures beyond the first. It is between half of the backoff and all of it.
-func (b Backoff) wait(failures int) time.Duration {
+// delay returns the delay after a number of failures beyond the first. It is between half of the backoff and all of it.
+func (b Backoff) delay(failures int) time.Duration {
 	backoff := b.Max
 	if failures < maxBackoffDoublings {
 		backoff = min(b.Initial<<failures, b.Max)
@@ -25,29 +25,30 @@
 // Link maintains one connection to an address and reconnects when it breaks. It is safe for concurrent use. Stop or Cancel
 // ends it; the Dialer's Stop ends it too, and waits for it.
 type Link struct {
-	dialer     *Dialer
-	addr       string
-	timeout    time.Duration // of one attempt to connect
-	backoff    Backoff
-	newHandler func() Handler
-	down       func(error)
-	cancel     context.CancelFunc
-	done       chan struct{}
+	dialer      *Dialer
+	addr        string
+	dialTimeout time.Duration // of one attempt to connect
+	backoff     Backoff
+	newHandler  func() Handler
+	onDown      func(error)
+	cancel      context.CancelFunc
+	done        chan struct{}
 }
 
-// Link starts a link to addr. newHandler returns the handler of each connection. down is called with the reason each time a
-// connection could not be made or has closed. Both are called from the link's goroutine and may block.
-func (d *Dialer) Link(addr string, timeout time.Duration, backoff Backoff, newHandler func() Handler, down func(error)) *Link {
+// StartLink starts a link to addr. newHandler returns the handler of each connection. onDown is called with the reason each
+// time a connection could not be made or has closed. Both are called from the link's goroutine and may block.
+func (d *Dialer) StartLink(addr string, dialTimeout time.Duration, backoff Backoff, newHandler func() Handler,
+	onDown func(error)) *Link {
 	ctx, cancel := context.WithCancel(d.lifetime)
 	l := &Link{
-		dialer:     d,
-		addr:       addr,
-		timeout:    timeout,
-		backoff:    backoff,
-		newHandler: newHandler,
-		down:       down,
-		cancel:     cancel,
-		done:       make(chan struct{}),
+		dialer:      d,
+		addr:        addr,
+		dialTimeout: dialTimeout,
+		backoff:     backoff,
+		newHandler:  newHandler,
+		onDown:      onDown,
+		cancel:      cancel,
+		done:        make(chan struct{}),
 	}
 	d.goroutines.Go(func() { l.run(ctx) })
 	return l
@@ -60,14 +61,14 @@
 		handler := &linkHandler{Handler: l.newHandler(), closed: make(chan struct{})}
 		start := time.Now()
 		connected, err := l.connectOnce(ctx, handler)
-		l.down(err)
+		l.onDown(err)
 		failures++
 		if connected && time.Since(start) > l.backoff.Max {
 			failures = 0 // the connection was stable
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(l.backoff.wait(max(failures-1, 0))):
+		case <-time.After(l.backoff.delay(max(failures-1, 0))):
 		}
 	}
 }
@@ -75,7 +76,7 @@
 // connectOnce makes one connection and waits until it has closed. It closes the connection when ctx ends. It returns
 // whether the connection was made, and the reason why it was not made or has closed.
 func (l *Link) connectOnce(ctx context.Context, handler *linkHandler) (connected bool, reason error) {
-	c, err := l.dialer.Dial(ctx, l.addr, l.timeout, handler)
+	c, err := l.dialer.Dial(ctx, l.addr, l.dialTimeout, handler)
 	if err != nil {
 		return false, err
 	}
--- a/internal/transport/link_test.go
+++ b/internal/transport/link_test.go
@@ -14,7 +14,7 @@
 	addr := s.Addr()
 	handler := &greetingHandler{received: make(chan struct{}, 100)}
 	downs := make(chan error, 100)
-	d.Link(addr, time.Second, Backoff{Initial: time.Millisecond, Max: 20 * time.Millisecond},
+	d.StartLink(addr, time.Second, Backoff{Initial: time.Millisecond, Max: 20 * time.Millisecond},
 		func() Handler { return handler }, func(err error) { downs <- err })
 	awaitAnswer := func(failure string) {
 		t.Helper()
@@ -39,9 +39,9 @@
 func TestBackoffIsBounded(t *testing.T) {
 	b := Backoff{Initial: 10 * time.Millisecond, Max: time.Second}
 	for failures := range 100 {
-		wait := b.wait(failures)
-		if wait > time.Second || wait < 5*time.Millisecond || failures > 20 && wait < 500*time.Millisecond {
-			t.Errorf("after %d failures: got %v, want 5ms to 1s, and from 500ms after 20 failures", failures, wait)
+		delay := b.delay(failures)
+		if delay > time.Second || delay < 5*time.Millisecond || failures > 20 && delay < 500*time.Millisecond {
+			t.Errorf("after %d failures: got %v, want 5ms to 1s, and from 500ms after 20 failures", failures, delay)
 		}
 	}
 }
--- a/internal/transport/outbox.go
+++ b/internal/transport/outbox.go
@@ -11,11 +11,11 @@
 type expiringMessage struct {
 	begin, end int
 	wanted     func() bool // nil means always
-	expired    func()
+	onExpired  func()
 }
 
-// Empty reports whether the outbox has no messages.
-func (o *Outbox) Empty() bool { return len(o.bytes) == 0 }
+// IsEmpty reports whether the outbox has no messages.
+func (o *Outbox) IsEmpty() bool { return len(o.bytes) == 0 }
 
 // Put appends a message by calling encode. If encode fails, Put returns its error and leaves the outbox unchanged.
 func (o *Outbox) Put(encode func(dst []byte) ([]byte, error)) error {
@@ -29,12 +29,12 @@
 // PutExpiring is Put for a message that is discarded if it is too late for it when it is about to be written, according to
 // Flush, or if wanted returns false then. In these cases expired is called. wanted may be nil; it is called on the event
 // loop. expired is called on the event loop or from Flush. Neither is called if PutExpiring fails.
-func (o *Outbox) PutExpiring(encode func(dst []byte) ([]byte, error), wanted func() bool, expired func()) error {
+func (o *Outbox) PutExpiring(encode func(dst []byte) ([]byte, error), wanted func() bool, onExpired func()) error {
 	begin := len(o.bytes)
 	if err := o.Put(encode); err != nil {
 		return err
 	}
-	o.expiring = append(o.expiring, expiringMessage{begin, len(o.bytes), wanted, expired})
+	o.expiring = append(o.expiring, expiringMessage{begin, len(o.bytes), wanted, onExpired})
 	return nil
 }
 
@@ -44,27 +44,27 @@
 func (o *Outbox) Flush(c *Conn, inTime func() bool) {
 	bytes, expiring := o.bytes, o.expiring
 	o.bytes, o.expiring = nil, nil
-	queued := c != nil && c.RunInLoop(len(bytes), func(write func([]byte)) {
+	queued := c != nil && c.RunOnLoop(len(bytes), func(write func([]byte)) {
 		writeUnexpired(write, bytes, expiring, inTime)
 	})
 	if queued {
 		return
 	}
 	for _, m := range expiring {
-		m.expired()
+		m.onExpired()
 	}
 }
 
 // writeUnexpired writes the bytes without the messages that have expired, in order.
 func writeUnexpired(write func([]byte), bytes []byte, expiring []expiringMessage, inTime func() bool) {
 	written := 0
-	current := len(expiring) == 0 || inTime()
+	sentInTime := len(expiring) == 0 || inTime()
 	for _, m := range expiring {
-		if current && (m.wanted == nil || m.wanted()) {
+		if sentInTime && (m.wanted == nil || m.wanted()) {
 			continue
 		}
 		write(bytes[written:m.begin])
-		m.expired()
+		m.onExpired()
 		written = m.end
 	}
 	write(bytes[written:])
--- a/internal/transport/outbox_test.go
+++ b/internal/transport/outbox_test.go
@@ -55,8 +55,8 @@
 					t.Errorf("received line: got %q, want %q", line, want)
 				}
 			}
-			if len(expired) != round.expired || !o.Empty() {
-				t.Errorf("got %d expired messages and an empty outbox %v, want %d and true", len(expired), o.Empty(), round.expired)
+			if len(expired) != round.expired || !o.IsEmpty() {
+				t.Errorf("got %d expired messages and an empty outbox %v, want %d and true", len(expired), o.IsEmpty(), round.expired)
 			}
 			putExpiring("e")
 			if o.Flush(nil, func() bool { return true }); len(expired) != round.expired+1 {
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -49,7 +49,7 @@
 }
 
 func engineOptions(o Options) []gnet.Option {
-	return []gnet.Option{gnet.WithNumEventLoop(o.Loops), gnet.WithTCPNoDelay(gnet.TCPNoDelay),
+	return []gnet.Option{gnet.WithNumEventLoop(o.EventLoops), gnet.WithTCPNoDelay(gnet.TCPNoDelay),
 		gnet.WithReuseAddr(true), gnet.WithTCPKeepAlive(serverKeepAlive),
 		gnet.WithLogger(discardLogger{}), gnet.WithLogLevel(logging.FatalLevel)}
 }
--- a/internal/transport/timeouts.go
+++ b/internal/transport/timeouts.go
@@ -9,7 +9,7 @@
 // neverIdle is the value of Conn.lastRead of a connection without an idle timeout.
 const neverIdle = math.MaxInt64
 
-// SetMessageTimeout closes the connection with ErrPartialMessage after timeout, unless it is called again before. Zero means
+// SetMessageTimeout closes the connection with ErrMessageTimeout after timeout, unless it is called again before. Zero means
 // no timeout. It is for the event loop only.
 func (c *Conn) SetMessageTimeout(timeout time.Duration) {
 	if c.messageTimer != nil {
@@ -17,7 +17,7 @@
 		c.messageTimer = nil
 	}
 	if timeout > 0 && !c.closed.Load() {
-		c.messageTimer = time.AfterFunc(timeout, func() { c.Close(ErrPartialMessage) })
+		c.messageTimer = time.AfterFunc(timeout, func() { c.Close(ErrMessageTimeout) })
 	}
 }
 
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -24,8 +24,8 @@
 	ErrStopping = errors.New("transport: stopping")
 	// ErrPeerClosed reports that the peer closed the connection, or that it broke.
 	ErrPeerClosed = errors.New("transport: closed by the peer")
-	// ErrPartialMessage reports that the rest of a message did not arrive within the timeout of Conn.SetMessageTimeout.
-	ErrPartialMessage = errors.New("transport: the rest of a partial message did not arrive")
+	// ErrMessageTimeout reports that the rest of a message did not arrive within the timeout of Conn.SetMessageTimeout.
+	ErrMessageTimeout = errors.New("transport: the rest of a partial message did not arrive")
 )
 
 const (
@@ -39,7 +39,7 @@
 	MaxReadBuffer int           // bytes read and not used by the handler; 2 MiB by default
 	MaxWriteQueue int           // bytes queued for the peer; 8 MiB by default
 	IdleTimeout   time.Duration // after which a connection without reads is closed; zero means never
-	Loops         int           // event loops; 1 by default
+	EventLoops    int           // event loops; 1 by default
 	Log           zerolog.Logger
 }
 
@@ -50,8 +50,8 @@
 	if o.MaxWriteQueue <= 0 {
 		o.MaxWriteQueue = defaultMaxWriteQueue
 	}
-	if o.Loops <= 0 {
-		o.Loops = defaultLoops
+	if o.EventLoops <= 0 {
+		o.EventLoops = defaultLoops
 	}
 	return o
 }
--- a/internal/transport/writequeue.go
+++ b/internal/transport/writequeue.go
@@ -8,18 +8,18 @@
 // Send queues b, which the caller must not change afterwards. It returns false if the write queue is full, and then closes
 // the connection with ErrSlowReader, since the peer does not read. It preserves the order of the calls of a goroutine.
 func (c *Conn) Send(b []byte) bool {
-	return c.RunInLoop(len(b), func(write func([]byte)) { write(b) })
+	return c.RunOnLoop(len(b), func(write func([]byte)) { write(b) })
 }
 
-// RunInLoop runs f on the connection's event loop, unless the connection has closed by then. f may write about size bytes.
-// RunInLoop returns false, and does not run f, if the write queue is full, as with Send, or if the event loop has stopped.
-func (c *Conn) RunInLoop(size int, f func(write func([]byte))) bool {
+// RunOnLoop runs f on the connection's event loop, unless the connection has closed by then. f may write about size bytes.
+// RunOnLoop returns false, and does not run f, if the write queue is full, as with Send, or if the event loop has stopped.
+func (c *Conn) RunOnLoop(size int, f func(write func([]byte))) bool {
 	if queued := c.queuedBytes.Add(int64(size)); queued > int64(c.options.MaxWriteQueue) {
 		c.queuedBytes.Add(-int64(size))
 		c.Close(slowReaderError(queued))
 		return false
 	}
-	return c.runOnLoop(func() {
+	return c.enqueue(func() {
 		c.queuedBytes.Add(-int64(size))
 		if c.closed.Load() {
 			return
@@ -35,11 +35,11 @@
 	return fmt.Errorf("%w: %d bytes wait", ErrSlowReader, queued)
 }
 
-// runOnLoop runs f on the connection's event loop, in the order of the calls. It returns false if the loop has stopped.
+// enqueue runs f on the connection's event loop, in the order of the calls. It returns false if the loop has stopped.
 //
 // The event loop's own queue does not preserve the order: it has two priorities, and gives the lower one to tasks that are
 // queued while more than 1,024 tasks wait.
-func (c *Conn) runOnLoop(f func()) bool {
+func (c *Conn) enqueue(f func()) bool {
 	c.mu.Lock()
 	c.pending = append(c.pending, f)
 	scheduled := c.scheduled
