--- a/internal/transport/acceptor.go
+++ b/internal/transport/acceptor.go
@@ -9,27 +9,29 @@
 )
 
 const (
-	// drainPeriod is how long a draining acceptor accepts connections from the listener's queue.
+	// drainPeriod is how long an acceptor accepts connections from the listen backlog after Drain.
 	drainPeriod = 20 * time.Millisecond
-	// acceptRetryDelay is how long an acceptor waits after a failed accept, for descriptors to become free.
+	// acceptRetryDelay is how long an acceptor waits after a failed accept, so that file descriptors can become free.
 	acceptRetryDelay = 20 * time.Millisecond
 )
 
-// Acceptor accepts the connections of a listener into a Dialer's event loops, so that one loop serves connections of both
-// directions. It is safe for concurrent use. Stop or Drain ends it, and the Dialer's Stop waits for it.
+// Acceptor accepts connections and passes them to a Dialer's event loops, so that the same loops serve accepted and dialed
+// connections. It is safe for concurrent use. Stop or Drain ends it, and the Dialer's Stop waits for its end.
 //
-// Unlike Server, it survives a failed accept: gnet's listener ends its engine when the process has no free descriptors.
+// Unlike a Server, it continues after a failed accept. gnet's own listener, which Server uses, stops all event loops when the
+// process has no free file descriptor.
 type Acceptor struct {
 	listener   *net.TCPListener
 	dialer     *Dialer
-	admit      func()
-	newHandler func(c *Conn) Handler
-	done       chan struct{}
+	admit      func()                // called before each accept; may block
+	newHandler func(c *Conn) Handler // returns the handler of each connection
+	done       chan struct{}         // closed when the acceptor has stopped listening
 }
 
-// StartAcceptor listens at addr, as host:port. admit is called before each connection is accepted from the listener's queue,
-// and may block. newHandler returns the handler of each; its Closed is called exactly once. Both are called from the
-// acceptor's goroutine. The error reports an address that is malformed or unavailable.
+// StartAcceptor listens at addr, as host:port, and starts an acceptor. admit is called before each connection is accepted from
+// the listen backlog, and may block to delay it. newHandler returns the handler of each connection; the handler's Closed is
+// called exactly once. Both functions are called on the acceptor's goroutine. The error reports an address that is malformed
+// or can't be listened at.
 func (d *Dialer) StartAcceptor(addr string, admit func(), newHandler func(c *Conn) Handler) (*Acceptor, error) {
 	address, err := net.ResolveTCPAddr("tcp", addr)
 	if err != nil {
@@ -44,7 +46,7 @@
 	return a, nil
 }
 
-// serve accepts connections until the listener is closed, the queue is drained or the dialer stops.
+// serve accepts connections until the listener is closed, the drain period has ended or the dialer stops.
 func (a *Acceptor) serve() {
 	defer close(a.done)
 	for admitted := false; ; {
@@ -59,10 +61,10 @@
 				_ = socket.Close()
 			}
 			return
-		case errors.Is(err, os.ErrDeadlineExceeded): // Drain was called and the queue is empty
+		case errors.Is(err, os.ErrDeadlineExceeded): // the drain period has ended
 			_ = a.listener.Close()
 			return
-		case err != nil: // no descriptor is free, or the peer has closed the connection
+		case err != nil: // no file descriptor is free, or the peer has already closed the connection
 			time.Sleep(acceptRetryDelay)
 			continue
 		}
@@ -71,22 +73,22 @@
 	}
 }
 
-// enroll passes a connection to an event loop.
+// enroll passes an accepted connection to an event loop.
 func (a *Acceptor) enroll(socket *net.TCPConn) {
 	c := &Conn{options: &a.dialer.options}
 	c.handler = a.newHandler(c)
 	if _, err := a.dialer.client.EnrollContext(socket, c); err != nil {
-		c.handler.Closed(c, fmt.Errorf("transport: enroll connection of %s: %w", socket.RemoteAddr(), err))
+		c.handler.Closed(c, fmt.Errorf("transport: pass connection from %s to an event loop: %w", socket.RemoteAddr(), err))
 	}
 }
 
-// Addr returns the bound address, with the actual port.
+// Addr returns the address on which the acceptor listens, with the actual port.
 func (a *Acceptor) Addr() string { return a.listener.Addr().String() }
 
-// Drain accepts the connections in the listener's queue and then stops listening. It returns at once. Closing the listener
-// directly would reset these connections, although their peers may have sent requests already.
+// Drain makes the acceptor accept the connections in the listen backlog for drainPeriod and then stop listening. It returns at
+// once. Closing the listener directly would reset these connections, although their peers may have sent requests already.
 func (a *Acceptor) Drain() {
-	_ = a.listener.SetDeadline(time.Now().Add(drainPeriod)) // it may be closed already
+	_ = a.listener.SetDeadline(time.Now().Add(drainPeriod)) // fails if the listener is closed already
 }
 
 // Done returns a channel that is closed when the acceptor has stopped listening.
@@ -104,6 +106,6 @@
 
 // Stop stops listening and waits for the acceptor's goroutine. Connections stay open.
 func (a *Acceptor) Stop() {
-	_ = a.listener.Close() // it may be closed already
+	_ = a.listener.Close() // fails if the listener is closed already
 	<-a.done
 }
--- a/internal/transport/acceptor_test.go
+++ b/internal/transport/acceptor_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// exhaustDescriptors lowers the process's limit of descriptors and takes all free ones. The returned functions close them and
-// restore the limit.
+// exhaustDescriptors lowers the process's limit of open files and opens files until no descriptor is free. freeDescriptors
+// closes these files; restoreLimit restores the limit.
 func exhaustDescriptors(t *testing.T) (freeDescriptors, restoreLimit func()) {
 	t.Helper()
 	var limit syscall.Rlimit
@@ -41,13 +41,13 @@
 	return freeDescriptors, restoreLimit
 }
 
-// Without free descriptors connections wait; they are served when descriptors are free again.
+// When no descriptor is free, a connection waits in the listen backlog and is served once a descriptor is free again.
 func TestAcceptorSurvivesDescriptorExhaustion(t *testing.T) {
 	admitted, closed := make(chan struct{}), make(chan error, 1)
 	a, stop := accept(t, func() { <-admitted }, func(*Conn) Handler { return &echoHandler{closed: closed} })
 	defer stop()
 	defer a.Stop()
-	c := dial(t, a.Addr()) // it waits in the listener's queue
+	c := dial(t, a.Addr()) // it waits in the listen backlog
 	writeText(t, c, "hello\n")
 	freeDescriptors, restoreLimit := exhaustDescriptors(t)
 	defer restoreLimit()
@@ -62,7 +62,7 @@
 	expectReason(t, closed, ErrPeerClosed)
 }
 
-// Drain accepts the connections that wait in the listener's queue, and serves what was written to them.
+// Drain accepts the connections in the listen backlog, and the requests that were already sent on them are served.
 func TestDrainServesPendingConnections(t *testing.T) {
 	slots, closed := make(chan struct{}), make(chan error, 2)
 	a, stop := accept(t, func() { slots <- struct{}{} }, func(*Conn) Handler { return &echoHandler{closed: closed} })
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -10,37 +10,37 @@
 	"golang.org/x/sys/unix"
 )
 
-// flushCheckInterval is how often CloseWrite checks whether a slow peer has read its queue.
+// flushCheckInterval is how often CloseWrite checks whether all queued bytes have been written.
 const flushCheckInterval = 2 * time.Millisecond
 
-// Conn is one connection. It is safe for concurrent use, except for the methods that are for its event loop only. The event
-// loop owns the socket and closes it.
+// Conn is one connection. It is safe for concurrent use, except for the methods that may be called on its event loop only.
+// The event loop owns the socket and closes it.
 type Conn struct {
 	options    *Options
 	handler    Handler
 	socket     gnet.Conn // set when the connection opens
 	remoteAddr string    // set when the connection opens
 	closed     atomic.Bool
-	reason     error // why this side closes; belongs to the event loop
+	reason     error // why this side closes the connection, nil if it does not; used on the event loop only
 
-	lastRead     atomic.Int64 // Unix nanoseconds, or neverIdle
+	lastRead     atomic.Int64 // when bytes were last received, in Unix nanoseconds, or neverIdle
 	idleTimer    *time.Timer  // nil without an idle timeout
-	messageTimer *time.Timer  // nil without a message timeout; belongs to the event loop
+	messageTimer *time.Timer  // nil without a message timeout; used on the event loop only
 
-	queuedBytes atomic.Int64 // accepted by RunOnLoop and not yet written
+	queuedBytes atomic.Int64 // sum of the sizes passed to RunOnLoop for functions that have not run yet
 
 	mu        sync.Mutex
-	pending   []func() // functions to run on the event loop
-	scheduled bool     // the event loop will run them
+	pending   []func() // functions to run on the event loop, in order
+	scheduled bool     // the event loop will run the pending functions
 }
 
-// RemoteAddr returns the peer's address. It is empty until the connection is open.
+// RemoteAddr returns the peer's address, as host:port. It is empty until the connection opens.
 func (c *Conn) RemoteAddr() string { return c.remoteAddr }
 
 // IsClosed reports whether the connection has closed.
 func (c *Conn) IsClosed() bool { return c.closed.Load() }
 
-// WriteInLoop writes b and does not retain it. It is for the event loop only, such as in Receive.
+// WriteInLoop writes b and does not retain it. It may be called on the event loop only, for instance by Handler.Receive.
 func (c *Conn) WriteInLoop(b []byte) { c.write(b) }
 
 func (c *Conn) write(b []byte) {
@@ -48,20 +48,20 @@
 		return
 	}
 	if _, err := c.socket.Write(b); err != nil {
-		c.reason = fmt.Errorf("transport: write: %w", err)
+		c.reason = fmt.Errorf("transport: write %d bytes: %w", len(b), err)
 	}
 }
 
-// ResumeReceive causes another call of Receive with the bytes that the handler has not used, if there are any. It is for the
-// event loop only.
+// ResumeReceive causes another call of Handler.Receive with the bytes that the handler has not used, if there are any. It may
+// be called on the event loop only.
 func (c *Conn) ResumeReceive() {
 	if !c.closed.Load() && c.socket.InboundBuffered() > 0 {
-		_ = c.socket.Wake(nil) // a failure leaves the bytes for the next read
+		_ = c.socket.Wake(nil) // after a failure, the bytes are passed on with the next ones received
 	}
 }
 
 // CloseWrite closes the writing side of the connection after all queued bytes have been written. Bytes from the peer are
-// read until it closes its side too.
+// still received until it closes its side, too.
 func (c *Conn) CloseWrite() {
 	c.enqueue(func() {
 		if c.closed.Load() {
@@ -71,17 +71,18 @@
 			time.AfterFunc(flushCheckInterval, c.CloseWrite)
 			return
 		}
-		_ = unix.Shutdown(c.socket.Fd(), unix.SHUT_WR) // it fails if the peer has closed the connection, and OnClose follows
+		// Shutdown fails if the peer has closed the connection; gnet then calls OnClose.
+		_ = unix.Shutdown(c.socket.Fd(), unix.SHUT_WR)
 	})
 }
 
-// Close closes the connection after the functions that were queued before. Handler.Closed receives the reason, unless an
-// earlier one is set.
+// Close closes the connection after all writes and functions that were queued before. Handler.Closed receives the reason,
+// unless another one was set before.
 func (c *Conn) Close(reason error) {
 	c.enqueue(func() { c.CloseInLoop(reason) })
 }
 
-// CloseInLoop is Close for the event loop only. It closes the connection after the preceding writes.
+// CloseInLoop closes the connection after all preceding writes, like Close. It may be called on the event loop only.
 func (c *Conn) CloseInLoop(reason error) {
 	if c.closed.Load() {
 		return
@@ -89,5 +90,5 @@
 	if c.reason == nil {
 		c.reason = reason
 	}
-	_ = c.socket.EventLoop().Close(c.socket) // it may be closing already
+	_ = c.socket.EventLoop().Close(c.socket) // fails if the connection is closing already
 }
--- a/internal/transport/conn_test.go
+++ b/internal/transport/conn_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// A partial message is buffered until the rest arrives, and all messages of one read are handled.
+// A partial message stays buffered until the rest arrives, and all messages that arrive together are handled.
 func TestPartialAndMultipleMessagesAreHandled(t *testing.T) {
 	closed := make(chan error, 1)
 	s := listen(t, Options{}, func(*Conn) Handler { return &echoHandler{closed: closed} })
@@ -59,7 +59,7 @@
 	}
 }
 
-// A connection without an idle timeout stays open and is served.
+// After DisableIdleTimeout, a connection stays open beyond the idle timeout and is still served.
 func TestDisableIdleTimeout(t *testing.T) {
 	closed := make(chan error, 1)
 	s := listen(t, Options{IdleTimeout: 30 * time.Millisecond}, func(c *Conn) Handler {
@@ -76,7 +76,7 @@
 	expectText(t, c, "x\n")
 }
 
-// A slow reader does not block another connection of the same event loop.
+// A peer that does not read does not block another connection on the same event loop.
 func TestSlowReaderDoesNotBlockOthers(t *testing.T) {
 	conns := make(chan *Conn, 2)
 	s := listen(t, Options{MaxWriteQueue: 64 << 20}, func(c *Conn) Handler {
@@ -94,7 +94,7 @@
 	expectText(t, other, "x\n")
 }
 
-// CloseWrite closes after the queued bytes were written; bytes from the peer are read until it closes too.
+// CloseWrite takes effect after all queued bytes were written; bytes from the peer are received until it closes, too.
 func TestCloseWrite(t *testing.T) {
 	conns, closed := make(chan *Conn, 1), make(chan error, 1)
 	a, stop := accept(t, func() {}, func(*Conn) Handler { return &openedHandler{echoHandler{closed: closed}, conns} })
--- a/internal/transport/eventhandler.go
+++ b/internal/transport/eventhandler.go
@@ -9,13 +9,13 @@
 	"github.com/panjf2000/gnet/v2"
 )
 
-// eventHandler connects gnet's events to the connections and their handlers. gnet calls the On methods on the event loops.
+// eventHandler passes gnet's events to connections and their handlers. gnet calls the On methods on the event loops.
 type eventHandler struct {
 	gnet.BuiltinEventEngine
 	options    Options
-	newHandler func(c *Conn) Handler // of accepted connections; nil for a Dialer
-	booted     chan gnet.Engine      // receives the engine when it runs; nil for a Dialer
-	loops      sync.Map              // the set of gnet.EventLoop that have had a connection
+	newHandler func(c *Conn) Handler // returns the handler of an accepted connection; nil for a Dialer
+	booted     chan gnet.Engine      // receives the engine when it has started; nil for a Dialer
+	loops      sync.Map              // keys are the gnet.EventLoops that have had a connection
 }
 
 // OnBoot implements gnet.EventHandler.
@@ -26,7 +26,8 @@
 	return gnet.None
 }
 
-// OnOpen implements gnet.EventHandler. The context of an enrolled connection is its Conn; an accepted one has none yet.
+// OnOpen implements gnet.EventHandler. A connection that a Dialer or Acceptor has enrolled has its Conn as context. One that a
+// Server has accepted has none yet.
 func (h *eventHandler) OnOpen(socket gnet.Conn) ([]byte, gnet.Action) {
 	c, enrolled := socket.Context().(*Conn)
 	if !enrolled {
@@ -57,7 +58,7 @@
 		}
 		used, err := c.handler.Receive(c, in)
 		if used > 0 {
-			_, _ = socket.Discard(used) // these bytes were just peeked at
+			_, _ = socket.Discard(used) // can't fail, since Peek has just returned these bytes
 		}
 		if err != nil {
 			if c.reason == nil {
@@ -69,7 +70,7 @@
 			continue
 		}
 		if len(in) > h.options.MaxReadBuffer {
-			c.reason = fmt.Errorf("%w: %d bytes wait", ErrReadBufferFull, len(in))
+			c.reason = fmt.Errorf("%w: %d bytes, limit %d", ErrReadBufferFull, len(in), h.options.MaxReadBuffer)
 			return gnet.Close
 		}
 		return gnet.None
@@ -88,8 +89,8 @@
 	return gnet.None
 }
 
-// closeReason returns why the connection closed: the reason of this side or else ErrPeerClosed, with the error of the
-// socket if there is one.
+// closeReason returns why the connection closed: the reason why this side closed it, or else ErrPeerClosed with the error of
+// the socket, if there is one.
 func (c *Conn) closeReason(socketError error) error {
 	switch {
 	case c.reason != nil:
@@ -100,8 +101,8 @@
 	return ErrPeerClosed
 }
 
-// awaitQueuedTasks waits until the event loops have run the tasks that are queued now. Stopping the engine would discard
-// these tasks, such as the last message of a connection.
+// awaitQueuedTasks waits until the event loops have run the tasks that are queued now. Without it, stopping the engine would
+// discard these tasks, for instance the last message on a connection.
 func (h *eventHandler) awaitQueuedTasks() {
 	h.loops.Range(func(loop, _ any) bool {
 		done := make(chan struct{})
--- a/internal/transport/helpers_test.go
+++ b/internal/transport/helpers_test.go
@@ -14,7 +14,7 @@
 )
 
 func TestMain(m *testing.M) {
-	// gnet keeps a pool of workers for the process.
+	// gnet starts these goroutines once and they run until the process ends.
 	goleak.VerifyTestMain(m, goleak.IgnoreTopFunction("github.com/panjf2000/ants/v2.(*poolCommon).purgeStaleWorkers"),
 		goleak.IgnoreTopFunction("github.com/panjf2000/ants/v2.(*poolCommon).ticktock"),
 		goleak.IgnoreTopFunction("github.com/panjf2000/gnet/v2/pkg/logging.init.0.func1"))
@@ -23,10 +23,10 @@
 // errBadLine is the error of echoHandler for the line "bad".
 var errBadLine = errors.New("bad line")
 
-// echoHandler echoes each line, and reports the reason for the close of its connection.
+// echoHandler echoes each line and sends the close reason of its connection to closed.
 type echoHandler struct {
 	closed  chan error
-	discard bool // use no bytes
+	discard bool // Receive uses no bytes
 }
 
 func (h *echoHandler) Receive(c *Conn, in []byte) (int, error) {
@@ -46,10 +46,10 @@
 
 func (h *echoHandler) Closed(_ *Conn, reason error) { h.closed <- reason }
 
-// newEchoHandler returns an echoHandler whose close reason is not read.
+// newEchoHandler returns an echoHandler for tests that don't check its close reason.
 func newEchoHandler(*Conn) Handler { return &echoHandler{closed: make(chan error, 1)} }
 
-// greetingHandler sends a line when its connection opens, and reports that bytes were received.
+// greetingHandler sends a line when its connection opens, and signals each receipt of bytes on received.
 type greetingHandler struct{ received chan struct{} }
 
 func (h *greetingHandler) Opened(c *Conn) { c.WriteInLoop([]byte("hello\n")) }
@@ -61,7 +61,7 @@
 
 func (h *greetingHandler) Closed(*Conn, error) {}
 
-// lineHandler reports each line that it receives.
+// lineHandler sends each line that it receives to lines.
 type lineHandler struct{ lines chan string }
 
 func (h *lineHandler) Receive(_ *Conn, in []byte) (int, error) {
@@ -74,11 +74,11 @@
 
 func (h *lineHandler) Closed(*Conn, error) {}
 
-// blockingHandler blocks the event loop in Receive, so that a test determines what is queued when the loop continues.
+// blockingHandler blocks the event loop in Receive, so that a test controls what is queued when the loop continues.
 type blockingHandler struct {
 	echoHandler
-	blocked chan struct{} // receives when the loop is blocked
-	release chan struct{} // a value lets the loop continue
+	blocked chan struct{} // Receive sends to it when it blocks the loop
+	release chan struct{} // a value sent to it lets the loop continue
 }
 
 func newBlockingHandler() *blockingHandler {
@@ -91,7 +91,8 @@
 	return len(in), nil
 }
 
-// releaseDuringStop lets the event loop continue after a concurrent Stop has progressed as far as it can.
+// releaseDuringStop lets the event loop continue, after it has yielded often enough for a concurrent Stop to reach the point
+// where it waits for the loop.
 func (h *blockingHandler) releaseDuringStop() {
 	for range 1000 {
 		runtime.Gosched()
@@ -99,7 +100,7 @@
 	h.release <- struct{}{}
 }
 
-// openedHandler is an echoHandler that reports its connection when it opens.
+// openedHandler is an echoHandler that sends its connection to conns when it opens.
 type openedHandler struct {
 	echoHandler
 	conns chan *Conn
@@ -107,7 +108,7 @@
 
 func (h *openedHandler) Opened(c *Conn) { h.conns <- c }
 
-// listen starts a server at a free port, which the end of the test stops.
+// listen starts a server at a free port. The server is stopped when the test ends.
 func listen(t testing.TB, options Options, newHandler func(c *Conn) Handler) *Server {
 	t.Helper()
 	s := startServer(t, "127.0.0.1:0", options, newHandler)
@@ -115,7 +116,7 @@
 	return s
 }
 
-// startServer starts a server at addr, which the test stops.
+// startServer starts a server at addr. The caller must stop it.
 func startServer(t testing.TB, addr string, options Options, newHandler func(c *Conn) Handler) *Server {
 	t.Helper()
 	s, err := Listen(addr, options, newHandler)
@@ -160,7 +161,7 @@
 	return a, stop
 }
 
-// dial opens a connection to addr, which the end of the test closes.
+// dial opens a connection to addr. The connection is closed when the test ends.
 func dial(t testing.TB, addr string) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -171,7 +172,6 @@
 	return c
 }
 
-// writeText writes text to a connection.
 func writeText(t testing.TB, c net.Conn, text string) {
 	t.Helper()
 	if _, err := io.WriteString(c, text); err != nil {
@@ -179,7 +179,7 @@
 	}
 }
 
-// expectText reads the length of want from a connection and compares.
+// expectText reads as many bytes as want has and compares them with it.
 func expectText(t testing.TB, c net.Conn, want string) {
 	t.Helper()
 	if err := c.SetReadDeadline(time.Now().Add(10 * time.Second)); err != nil {
@@ -191,7 +191,7 @@
 	}
 }
 
-// expectReason waits for the close of a connection and compares its reason.
+// expectReason waits until a connection closes and compares the close reason.
 func expectReason(t *testing.T, closed <-chan error, want error) {
 	t.Helper()
 	if got := awaitReason(t, closed); !errors.Is(got, want) {
@@ -199,14 +199,14 @@
 	}
 }
 
-// awaitReason waits for the reason of a close.
+// awaitReason waits until a connection closes and returns the close reason.
 func awaitReason(t *testing.T, closed <-chan error) error {
 	t.Helper()
 	select {
 	case err := <-closed:
 		return err
 	case <-time.After(10 * time.Second):
-		t.Fatal("the connection was not closed")
+		t.Fatal("the connection was not closed within 10 s")
 		return nil
 	}
 }
--- a/internal/transport/link.go
+++ b/internal/transport/link.go
@@ -6,14 +6,15 @@
 	"time"
 )
 
-// maxBackoffDoublings bounds the shift of Backoff.Initial.
+// maxBackoffDoublings limits how often Backoff.Initial is doubled, so that the shift does not overflow.
 const maxBackoffDoublings = 16
 
-// Backoff is how long a link waits between attempts to connect: Initial after the first failure, doubled with each further
-// one up to Max, with jitter so that many links that broke at once do not reconnect at once.
+// Backoff determines how long a link waits between attempts to connect: Initial after the first failure, and twice as long
+// after each further failure, up to Max. The wait has jitter, so that links that failed together do not reconnect together.
 type Backoff struct{ Initial, Max time.Duration }
 
-// delay returns the delay after a number of failures beyond the first. It is between half of the backoff and all of it.
+// delay returns how long to wait before the next attempt. failures is the number of consecutive failures after the first.
+// The jitter makes the delay half of the backoff at least, and all of it at most.
 func (b Backoff) delay(failures int) time.Duration {
 	backoff := b.Max
 	if failures < maxBackoffDoublings {
@@ -22,21 +23,22 @@
 	return backoff/2 + rand.N(backoff/2+1)
 }
 
-// Link maintains one connection to an address and reconnects when it breaks. It is safe for concurrent use. Stop or Cancel
-// ends it; the Dialer's Stop ends it too, and waits for it.
+// Link maintains one connection to an address and reconnects when the connection fails. It is safe for concurrent use. Stop
+// or Cancel ends it. The Dialer's Stop ends it too, and waits for its end.
 type Link struct {
 	dialer      *Dialer
 	addr        string
-	dialTimeout time.Duration // of one attempt to connect
+	dialTimeout time.Duration // of one attempt
 	backoff     Backoff
 	newHandler  func() Handler
 	onDown      func(error)
 	cancel      context.CancelFunc
-	done        chan struct{}
+	done        chan struct{} // closed when the link's goroutine ends
 }
 
-// StartLink starts a link to addr. newHandler returns the handler of each connection. onDown is called with the reason each
-// time a connection could not be made or has closed. Both are called from the link's goroutine and may block.
+// StartLink starts a link to addr. dialTimeout limits each attempt to connect. newHandler returns the handler of each
+// connection. onDown is called with the reason each time a connection could not be made or has closed. Both functions are
+// called on the link's goroutine and may block.
 func (d *Dialer) StartLink(addr string, dialTimeout time.Duration, backoff Backoff, newHandler func() Handler,
 	onDown func(error)) *Link {
 	ctx, cancel := context.WithCancel(d.lifetime)
@@ -64,7 +66,7 @@
 		l.onDown(err)
 		failures++
 		if connected && time.Since(start) > l.backoff.Max {
-			failures = 0 // the connection was stable
+			failures = 0 // the connection was stable, so the next backoff starts at Initial
 		}
 		select {
 		case <-ctx.Done():
@@ -73,8 +75,8 @@
 	}
 }
 
-// connectOnce makes one connection and waits until it has closed. It closes the connection when ctx ends. It returns
-// whether the connection was made, and the reason why it was not made or has closed.
+// connectOnce makes one connection and waits until it has closed. It closes the connection when ctx ends. reason is why the
+// connection could not be made, or why it has closed.
 func (l *Link) connectOnce(ctx context.Context, handler *linkHandler) (connected bool, reason error) {
 	c, err := l.dialer.Dial(ctx, l.addr, l.dialTimeout, handler)
 	if err != nil {
@@ -95,14 +97,15 @@
 	<-l.done
 }
 
-// Cancel ends the link without waiting, for callers on which the link's callbacks may block.
+// Cancel ends the link without waiting for it. It is for callers that must not wait because the link's callbacks may in turn
+// wait for them.
 func (l *Link) Cancel() { l.cancel() }
 
-// linkHandler wraps the handler of a link's connection, to signal to the link that the connection has closed.
+// linkHandler wraps the handler of a link's connection and notifies the link when the connection has closed.
 type linkHandler struct {
 	Handler
 	closed chan struct{} // closed by Closed
-	reason error         // set before closed is closed
+	reason error         // the reason passed to Closed; set before the channel is closed
 }
 
 // Opened implements Opener.
--- a/internal/transport/link_test.go
+++ b/internal/transport/link_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// A link connects, reports the close of its connection, and reconnects when the other side is available again.
+// A link connects, reports that its connection has closed, and reconnects when the server is available again.
 func TestLinkReconnects(t *testing.T) {
 	d, stopDialer := newDialer(t)
 	defer stopDialer()
--- a/internal/transport/order_test.go
+++ b/internal/transport/order_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// Messages that were sent before Stop reach their peers, even if the event loop is busy and more than 1,024 tasks wait.
+// Messages that were sent before Stop reach their peers, even if the event loop is busy and has more than 1,024 tasks queued,
+// which gnet then queues with lower priority.
 func TestStopDeliversQueuedMessages(t *testing.T) {
 	const count = 1200
 	opened, blocker := make(chan *Conn, count), newBlockingHandler()
@@ -42,8 +43,8 @@
 	}
 }
 
-// Messages on a connection keep their order, however many wait for a busy event loop, and all of them reach the peer even if
-// the dialer is stopped directly afterwards.
+// Messages on a connection keep their order, however many are queued for a busy event loop, and all of them reach the peer
+// even if the dialer is stopped directly afterwards.
 func TestMessagesKeepOrderUnderLoad(t *testing.T) {
 	conns, blocker := make(chan *Conn, 1), newBlockingHandler()
 	a, stop := accept(t, func() {}, func(c *Conn) Handler {
--- a/internal/transport/outbox.go
+++ b/internal/transport/outbox.go
@@ -1,16 +1,16 @@
 package transport
 
-// Outbox collects messages to one connection, to pass them to its event loop together. It is not safe for concurrent use.
-// The zero value is empty and ready to use.
+// Outbox collects encoded messages for one connection and passes them to its event loop together. It is not safe for
+// concurrent use. The zero value is empty and ready to use.
 type Outbox struct {
 	bytes    []byte
 	expiring []expiringMessage
 }
 
-// expiringMessage is a range of an outbox's bytes that is written only if it has not expired.
+// expiringMessage is a message, at a range of an outbox's bytes, that is discarded if it has expired when it would be written.
 type expiringMessage struct {
 	begin, end int
-	wanted     func() bool // nil means always
+	wanted     func() bool // whether the message is still wanted; nil means that it is
 	onExpired  func()
 }
 
@@ -26,9 +26,9 @@
 	return err
 }
 
-// PutExpiring is Put for a message that is discarded if it is too late for it when it is about to be written, according to
-// Flush, or if wanted returns false then. In these cases expired is called. wanted may be nil; it is called on the event
-// loop. expired is called on the event loop or from Flush. Neither is called if PutExpiring fails.
+// PutExpiring appends a message like Put. The message expires if, directly before it would be written, wanted or Flush's
+// inTime returns false. It is then discarded and onExpired is called. wanted may be nil and is called on the event loop.
+// onExpired is called on the event loop or by Flush. Neither is called if PutExpiring fails.
 func (o *Outbox) PutExpiring(encode func(dst []byte) ([]byte, error), wanted func() bool, onExpired func()) error {
 	begin := len(o.bytes)
 	if err := o.Put(encode); err != nil {
@@ -38,9 +38,11 @@
 	return nil
 }
 
-// Flush passes the messages to the connection's event loop and empties the outbox. inTime is called on the event loop, since
-// a process that is stopped between a decision and its write would write messages that are out of date. If c is nil, or its
-// write queue is full, or its event loop has stopped, all expiring messages expire.
+// Flush passes the messages to the connection's event loop and empties the outbox. inTime reports whether it is not too late
+// for the expiring messages. It is called on the event loop, directly before the write, because a process that is suspended
+// between a decision and its write would otherwise write outdated messages. If c is nil, or its write queue is full, or its
+// event loop has stopped, all expiring messages expire at once. If the connection closes before the write, all messages are
+// lost, and onExpired is not called.
 func (o *Outbox) Flush(c *Conn, inTime func() bool) {
 	bytes, expiring := o.bytes, o.expiring
 	o.bytes, o.expiring = nil, nil
@@ -55,7 +57,7 @@
 	}
 }
 
-// writeUnexpired writes the bytes without the messages that have expired, in order.
+// writeUnexpired writes all messages except those that have expired, in order.
 func writeUnexpired(write func([]byte), bytes []byte, expiring []expiringMessage, inTime func() bool) {
 	written := 0
 	sentInTime := len(expiring) == 0 || inTime()
--- a/internal/transport/outbox_test.go
+++ b/internal/transport/outbox_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// An outbox discards and reports messages that have expired when they are written, and writes the others in order. Without a
-// connection all expiring messages expire.
+// Flush discards the messages that have expired and calls their onExpired, and writes the others in order. Without a connection
+// all expiring messages expire.
 func TestOutboxDropsExpiredMessages(t *testing.T) {
 	closed := make(chan error, 1)
 	s := listen(t, Options{}, func(*Conn) Handler { return &echoHandler{closed: closed} })
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -14,7 +14,7 @@
 const (
 	// serverKeepAlive is the interval of TCP keep-alive probes on accepted connections.
 	serverKeepAlive = 30 * time.Second
-	// stopRetryInterval is how often Stop repeats the request to gnet's engine.
+	// stopRetryInterval is how often Stop repeats its call of gnet's Engine.Stop.
 	stopRetryInterval = 5 * time.Millisecond
 )
 
@@ -22,11 +22,12 @@
 type Server struct {
 	engine gnet.Engine
 	addr   string
-	done   chan error // receives the result of the engine's goroutine
+	done   chan error // receives the result of gnet.Run
 }
 
-// Listen listens at addr, as host:port, and serves; port 0 means any free port. newHandler returns the handler of each new
-// connection and is called on its event loop. The error reports an address that is malformed or unavailable.
+// Listen listens at addr, as host:port, and starts a Server; port 0 means any free port. newHandler returns the handler of
+// each accepted connection and is called on its event loop. The error reports an address that is malformed or can't be
+// listened at.
 func Listen(addr string, options Options, newHandler func(c *Conn) Handler) (*Server, error) {
 	if _, _, err := net.SplitHostPort(addr); err != nil {
 		return nil, fmt.Errorf("transport: listen address %q: %w", addr, err)
@@ -41,8 +42,8 @@
 	}
 	bound, err := boundAddress(s.engine)
 	if err != nil {
-		_ = s.Stop(context.Background()) // the error of boundAddress is returned
-		return nil, fmt.Errorf("transport: address of %s: %w", addr, err)
+		_ = s.Stop(context.Background()) // the error of boundAddress is returned instead
+		return nil, fmt.Errorf("transport: get the bound address of listener %s: %w", addr, err)
 	}
 	s.addr = bound
 	return s, nil
@@ -60,7 +61,7 @@
 	if err != nil {
 		return "", err
 	}
-	defer func() { _ = syscall.Close(descriptor) }() // a duplicate, used only to read the address
+	defer func() { _ = syscall.Close(descriptor) }() // a duplicate of the listener's descriptor
 	address, err := syscall.Getsockname(descriptor)
 	if err != nil {
 		return "", err
@@ -71,18 +72,18 @@
 	case *syscall.SockaddrInet6:
 		return (&net.TCPAddr{IP: address.Addr[:], Port: address.Port}).String(), nil
 	}
-	return "", fmt.Errorf("unknown address type %T", address)
+	return "", fmt.Errorf("got address type %T, want an IPv4 or IPv6 address", address)
 }
 
-// Addr returns the bound address, with the actual port.
+// Addr returns the address on which the server listens, with the actual port.
 func (s *Server) Addr() string { return s.addr }
 
-// Stop closes the listener and all connections and waits for the event loops. The error is theirs, or that of ctx if it ends
-// first.
+// Stop closes the listener and all connections and waits until the event loops have ended. The error is that of the event
+// loops, or that of ctx if ctx ends first.
 func (s *Server) Stop(ctx context.Context) error {
-	// gnet may call OnBoot before its loops run, and then ignores a Stop, so Stop is repeated.
+	// gnet may call OnBoot before its event loops run, and ignores Engine.Stop until they do, so the call is repeated.
 	for {
-		_ = s.engine.Stop(ctx) // the result is received from done
+		_ = s.engine.Stop(ctx) // the result arrives on s.done
 		select {
 		case err := <-s.done:
 			return err
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -1,8 +1,8 @@
-// Package transport implements connections: gnet event loops, bounded queues in both directions, idle and connect timeouts,
-// and reconnection. It must not interpret the bytes.
+// Package transport provides TCP connections on gnet event loops, with bounded buffers in both directions, connect, idle and
+// message timeouts, and reconnection. It must not interpret the bytes that it carries.
 //
-// Each connection belongs to one event loop for its lifetime. A Handler's methods are called on that loop, one at a time;
-// all loops of a Dialer or a Server end with its Stop.
+// Each connection belongs to one event loop for its lifetime. The methods of its Handler are called on that loop, one at a
+// time. The Stop method of a Dialer or Server ends its event loops.
 package transport
 
 import (
@@ -12,20 +12,20 @@
 	"github.com/rs/zerolog"
 )
 
-// The reasons why a connection is closed. Handler.Closed receives them wrapped, with details if there are any.
+// The reasons why a connection is closed. Handler.Closed may receive them wrapped in an error with details.
 var (
-	// ErrSlowReader reports that more bytes than Options.MaxWriteQueue wait for the peer.
-	ErrSlowReader = errors.New("transport: the peer does not read what is sent")
-	// ErrReadBufferFull reports that more bytes than Options.MaxReadBuffer wait for the handler.
-	ErrReadBufferFull = errors.New("transport: the peer sends more than can be buffered")
-	// ErrIdleTimeout reports that nothing was read for Options.IdleTimeout.
+	// ErrSlowReader reports that the peer reads too slowly: the bytes queued for it exceed Options.MaxWriteQueue.
+	ErrSlowReader = errors.New("transport: write queue full, the peer reads too slowly")
+	// ErrReadBufferFull reports that the bytes received and not used by the handler exceed Options.MaxReadBuffer.
+	ErrReadBufferFull = errors.New("transport: read buffer full")
+	// ErrIdleTimeout reports that no bytes were received for Options.IdleTimeout.
 	ErrIdleTimeout = errors.New("transport: idle timeout")
 	// ErrStopping reports that this side is stopping or no longer needs the connection.
 	ErrStopping = errors.New("transport: stopping")
-	// ErrPeerClosed reports that the peer closed the connection, or that it broke.
+	// ErrPeerClosed reports that the peer closed the connection, or that the connection failed.
 	ErrPeerClosed = errors.New("transport: closed by the peer")
 	// ErrMessageTimeout reports that the rest of a message did not arrive within the timeout of Conn.SetMessageTimeout.
-	ErrMessageTimeout = errors.New("transport: the rest of a partial message did not arrive")
+	ErrMessageTimeout = errors.New("transport: message timeout, the rest of a partial message did not arrive")
 )
 
 const (
@@ -34,12 +34,12 @@
 	defaultLoops         = 1
 )
 
-// Options configure connections. Zero values mean the defaults given.
+// Options configures the connections of a Dialer or Server. A zero value means the default.
 type Options struct {
-	MaxReadBuffer int           // bytes read and not used by the handler; 2 MiB by default
-	MaxWriteQueue int           // bytes queued for the peer; 8 MiB by default
-	IdleTimeout   time.Duration // after which a connection without reads is closed; zero means never
-	EventLoops    int           // event loops; 1 by default
+	MaxReadBuffer int           // limit of bytes received and not used by the handler; 2 MiB by default
+	MaxWriteQueue int           // limit of bytes queued for the peer; 8 MiB by default
+	IdleTimeout   time.Duration // a connection is closed when it has received nothing for this long; zero means never
+	EventLoops    int           // number of event loops; 1 by default
 	Log           zerolog.Logger
 }
 
@@ -57,17 +57,17 @@
 }
 
 // Handler handles the events of one connection. Its methods are called on the connection's event loop, one at a time. They
-// must not block or wait for a lock that may be held for long.
+// must not block, nor wait for a lock that may be held for long, since other connections share the event loop.
 type Handler interface {
-	// Receive is called with all unused bytes and returns how many it has used. It must not retain in. An error closes the
-	// connection and is passed to Closed.
+	// Receive is called with all received bytes that it has not used yet, and returns how many of them it has used. It must
+	// not retain in. An error closes the connection and is passed to Closed.
 	Receive(c *Conn, in []byte) (used int, err error)
-	// Closed is called once, after all other methods. reason is not nil.
+	// Closed is called once, as the last method. reason is not nil.
 	Closed(c *Conn, reason error)
 }
 
-// Opener is implemented by a Handler that is notified when its connection opens, before any other call.
+// Opener is implemented by a Handler that must know when its connection opens.
 type Opener interface {
-	// Opened is called on the connection's event loop.
+	// Opened is called on the connection's event loop, before all other methods of the Handler.
 	Opened(c *Conn)
 }
--- a/internal/transport/writequeue.go
+++ b/internal/transport/writequeue.go
@@ -5,14 +5,17 @@
 	"fmt"
 )
 
-// Send queues b, which the caller must not change afterwards. It returns false if the write queue is full, and then closes
-// the connection with ErrSlowReader, since the peer does not read. It preserves the order of the calls of a goroutine.
+// Send queues b to be written. The caller must not change b afterwards. If the write queue is full, Send closes the connection
+// with ErrSlowReader and returns false. It also returns false if the event loop has stopped. The calls of one goroutine are
+// written in order.
 func (c *Conn) Send(b []byte) bool {
 	return c.RunOnLoop(len(b), func(write func([]byte)) { write(b) })
 }
 
-// RunOnLoop runs f on the connection's event loop, unless the connection has closed by then. f may write about size bytes.
-// RunOnLoop returns false, and does not run f, if the write queue is full, as with Send, or if the event loop has stopped.
+// RunOnLoop queues f to run on the connection's event loop. f is not run if the connection has closed by then. size is about
+// how many bytes f will write; it counts towards the write queue until f runs. If the write queue is full, RunOnLoop closes
+// the connection with ErrSlowReader and returns false. It also returns false if the event loop has stopped. It may be called
+// on any goroutine.
 func (c *Conn) RunOnLoop(size int, f func(write func([]byte))) bool {
 	if queued := c.queuedBytes.Add(int64(size)); queued > int64(c.options.MaxWriteQueue) {
 		c.queuedBytes.Add(-int64(size))
@@ -32,13 +35,14 @@
 }
 
 func slowReaderError(queued int64) error {
-	return fmt.Errorf("%w: %d bytes wait", ErrSlowReader, queued)
+	return fmt.Errorf("%w: %d bytes queued", ErrSlowReader, queued)
 }
 
-// enqueue runs f on the connection's event loop, in the order of the calls. It returns false if the loop has stopped.
+// enqueue queues f to run on the connection's event loop, in the order of the calls. It returns false if the event loop has
+// stopped.
 //
-// The event loop's own queue does not preserve the order: it has two priorities, and gives the lower one to tasks that are
-// queued while more than 1,024 tasks wait.
+// The functions are queued here because gnet's queue does not preserve their order: it has two priorities, and gives the lower
+// one to tasks that are added while more than 1,024 tasks are queued.
 func (c *Conn) enqueue(f func()) bool {
 	c.mu.Lock()
 	c.pending = append(c.pending, f)
@@ -57,7 +61,7 @@
 	return true
 }
 
-// runPending runs the queued functions. It is called on the event loop.
+// runPending runs pending functions until there are none. It is called on the event loop.
 func (c *Conn) runPending() {
 	for {
 		c.mu.Lock()
