--- a/internal/framereader/framereader_test.go
+++ b/internal/framereader/framereader_test.go
@@ -9,7 +9,7 @@
 	"flaxshelf.example/flaxshelf/internal/codec/nodeframe/nodepb"
 )
 
-// ping returns the encoded frame of a ping with a token.
+// ping returns an encoded frame with a Ping message that carries token.
 func ping(t *testing.T, token uint64) []byte {
 	t.Helper()
 	encoded, err := nodeframe.Append(nil, &nodepb.Frame{Body: &nodepb.Frame_Ping{Ping: &nodepb.Ping{Token: token}}})
@@ -37,7 +37,7 @@
 		{"one frame", first, 0, "[1]", len(first), nil},
 		{"one frame and part of the next", both[:len(both)-1], 0, "[1]", len(first), nil},
 		{"two frames", both, 0, "[1 2]", len(both), nil},
-		{"handler error ends the reading", both, 1, "[1]", len(first), errHandler},
+		{"handler error on the first frame", both, 1, "[1]", len(first), errHandler},
 		{"handler error on the second frame", both, 2, "[1 2]", len(both), errHandler},
 		{"empty frame after a valid one", append(append([]byte(nil), first...), 0, 0, 0, 0), 0, "[1]", len(first),
 			nodeframe.ErrEmpty},
