--- a/internal/codec/httpcodec/chunks.go
+++ b/internal/codec/httpcodec/chunks.go
@@ -8,23 +8,24 @@
 )
 
 const (
-	// maxChunkLine bounds the line before a chunk, and a trailer field, in bytes.
+	// maxChunkLine is the limit in bytes of an incomplete line: the size line before a chunk, or a trailer field.
 	maxChunkLine = 1024
-	// maxChunkedBodyFactor bounds the bytes of a chunked body with its framing, as a multiple of Limits.BodyBytes: a body of
-	// one-byte chunks has several bytes of framing for each byte of data.
+	// maxChunkedBodyFactor limits the encoded size of a chunked body, as a multiple of Limits.BodyBytes. Chunks of one byte
+	// have several bytes of framing for each byte of data.
 	maxChunkedBodyFactor = 8
 )
 
-// chunkDecoder decodes a chunked body (RFC 9112 section 7.1). Its offsets are within the buffer that is passed to Parse.
+// chunkDecoder decodes a chunked body (RFC 9112 section 7.1). Its offsets are relative to the start of the buffer that is passed
+// to Parser.Parse.
 type chunkDecoder struct {
 	limits     Limits
 	bodyOffset int // where the first chunk begins
 	offset     int // where the next line begins
 	inTrailer  bool
-	body       []byte
+	body       []byte // the data of the chunks decoded so far
 }
 
-// decode decodes the chunks that are complete and returns where the body ends, or incomplete.
+// decode decodes the chunks and trailer fields that are complete, and returns where the body ends, or incomplete.
 func (d *chunkDecoder) decode(in []byte) (end int, err error) {
 	for {
 		line, next, err := d.nextLine(in)
@@ -57,7 +58,9 @@
 	return "", incomplete, nil
 }
 
-// checkTrailerField checks and drops a trailer field. It returns true for the empty line after the last one.
+// checkTrailerField checks a trailer field, which is then ignored. It returns true for the empty line after the last trailer
+// field. It also rejects the field if the encoded body and the trailer before it exceed the limit of the head plus twice that
+// of the body.
 func (d *chunkDecoder) checkTrailerField(line string) (done bool, err error) {
 	if line == "" {
 		return true, nil
@@ -68,8 +71,8 @@
 	return false, nil
 }
 
-// decodeChunk decodes the chunk that line begins and whose data begins at the given offset. It returns false when more bytes are
-// needed.
+// decodeChunk decodes the chunk whose size line is line and whose data begins at offset begin. It returns false when more bytes
+// are needed.
 func (d *chunkDecoder) decodeChunk(in []byte, line string, begin int) (complete bool, err error) {
 	sizeText, _, _ := strings.Cut(line, ";") // chunk extensions are ignored
 	parsed, err := strconv.ParseUint(strings.TrimSpace(sizeText), 16, 31)
--- a/internal/codec/httpcodec/framing.go
+++ b/internal/codec/httpcodec/framing.go
@@ -6,17 +6,18 @@
 	"strings"
 )
 
-// framing collects the header fields that determine the end of a request. An ambiguous end is rejected, since it allows
-// request smuggling (RFC 9112 section 11.2).
+// framing is what the header fields say about the end of a request. A request whose end is ambiguous is rejected, since it
+// allows request smuggling (RFC 9112 section 11.2).
 type framing struct {
 	request          *Request
 	contentLength    int
 	hasContentLength bool
 	chunked          bool
-	hostFields       int
+	hostFields       int // number of Host fields
 }
 
-// parseFraming returns the length of the request's body, or chunkedBody. It sets Close and ExpectsContinue.
+// parseFraming returns the length of the request's body in bytes, or chunkedBody. It also sets the request's Close and
+// ExpectsContinue.
 func parseFraming(request *Request) (bodyBytes int, err error) {
 	f := framing{request: request}
 	for i := range request.Fields {
--- a/internal/codec/httpcodec/parser.go
+++ b/internal/codec/httpcodec/parser.go
@@ -12,30 +12,30 @@
 )
 
 const (
-	// maxLeadingEmptyLines bounds the empty lines before a request.
+	// maxLeadingEmptyLines is the greatest number of empty lines that are skipped before a request.
 	maxLeadingEmptyLines = 4
-	// chunkedBody is the length of a chunked body, which the head does not have.
+	// chunkedBody stands for the length of a chunked body, which the head does not state.
 	chunkedBody = -1
-	// incomplete is the end of a head or body that has not arrived completely.
+	// incomplete stands for the end of a head or body whose end has not arrived yet.
 	incomplete = -1
 )
 
-// Parser parses requests from the front of a growing buffer. Its zero value is ready to use. Each call of Parse must be
-// given the bytes that earlier calls have not used, followed by those that have arrived since. It is not safe for concurrent
-// use.
+// Parser parses the requests of one connection. Each call of Parse must be given the bytes that earlier calls have not used,
+// followed by those that have arrived since. Its zero value is ready to use. It is not safe for concurrent use.
 type Parser struct {
 	Limits Limits
 
-	scannedBytes int // of the buffer, known not to have the end of the head
-	request      *Request
-	headBytes    int // including empty lines before it
-	bodyBytes    int // or chunkedBody
+	scannedBytes int      // length of the buffer that was searched for the end of the head without success
+	request      *Request // nil until the head has been parsed
+	headBytes    int      // including empty lines before it
+	bodyBytes    int      // length of the body, or chunkedBody
 	chunks       chunkDecoder
-	continueSent bool
+	continueSent bool // Parse has returned sendContinue for the current request
 }
 
 // Parse parses one request and returns the number of bytes that it used. If req and err are nil, more bytes are needed.
-// sendContinue is true once for a request whose client waits for 100 Continue. The error is a *RequestError.
+// sendContinue is true once for a request whose client waits for 100 Continue before it sends the body. The error is a
+// *RequestError.
 func (p *Parser) Parse(in []byte) (req *Request, used int, sendContinue bool, err error) {
 	if p.Limits == (Limits{}) {
 		p.Limits = DefaultLimits
@@ -60,7 +60,7 @@
 	return req, end, false, nil
 }
 
-// parseHead parses request line and header fields. It returns false when more bytes are needed.
+// parseHead parses the request line and the header fields. It returns false when more bytes are needed.
 func (p *Parser) parseHead(in []byte) (complete bool, err error) {
 	begin, err := skipEmptyLines(in)
 	if err != nil {
@@ -91,7 +91,7 @@
 	return true, nil
 }
 
-// skipEmptyLines returns where a request begins: empty lines before it are skipped (RFC 9112 section 2.2).
+// skipEmptyLines returns where the request begins after empty lines, which are ignored (RFC 9112 section 2.2).
 func skipEmptyLines(in []byte) (begin int, err error) {
 	for bytes.HasPrefix(in[begin:], crlf) {
 		if begin += len(crlf); begin > maxLeadingEmptyLines*len(crlf) {
@@ -101,7 +101,7 @@
 	return begin, nil
 }
 
-// findHeadEnd returns where the head ends, or incomplete. It does not scan bytes again that earlier calls have scanned.
+// findHeadEnd returns where the head ends, or incomplete. It skips the bytes that earlier calls have already searched.
 func (p *Parser) findHeadEnd(in []byte, begin int) int {
 	from := max(p.scannedBytes-len(headEnd)+1, begin)
 	if from <= len(in) {
@@ -113,7 +113,7 @@
 	return incomplete
 }
 
-// checkIncompleteHead rejects a head that is over the limits before its end has arrived.
+// checkIncompleteHead rejects a head that already exceeds the limits, although its end has not arrived.
 func (p *Parser) checkIncompleteHead(in []byte) error {
 	switch {
 	case len(in) > p.Limits.HeadBytes:
--- a/internal/codec/httpcodec/parser_test.go
+++ b/internal/codec/httpcodec/parser_test.go
@@ -9,7 +9,8 @@
 	"flaxshelf.example/flaxshelf/internal/codec/codectest"
 )
 
-// parse parses the requests of input, which arrives in pieces of size bytes, and describes them.
+// parse parses input, which arrives in pieces of size bytes, and describes the requests, the calls for 100 Continue, the status
+// of a rejection and the number of unused bytes.
 func parse(input string, size int) string {
 	var p Parser
 	var seen []string
@@ -37,7 +38,7 @@
 	return strings.Join(seen, "; ")
 }
 
-// describeRejection returns the status of a RequestError.
+// describeRejection returns the status code of a RequestError.
 func describeRejection(err error) string {
 	var rejected *RequestError
 	if !errors.As(err, &rejected) {
@@ -46,7 +47,7 @@
 	return fmt.Sprint(rejected.Status)
 }
 
-// Requests and rejections are the same in whatever pieces their bytes arrive.
+// Requests are parsed or rejected in the same way whatever the size of the pieces in which they arrive.
 func TestRequestsArriveInPieces(t *testing.T) {
 	const host = "Host: x\r\n"
 	for _, c := range []struct{ name, input, want string }{
@@ -101,7 +102,7 @@
 	}
 }
 
-// Messages are part of the response's body, so their wording is fixed.
+// The message of a RequestError is sent in the response's body, so its wording must not change.
 func TestErrorMessages(t *testing.T) {
 	const (
 		host    = "Host: x\r\n"
@@ -141,7 +142,7 @@
 	}
 }
 
-// A client that expects 100 Continue gets it once, and only for a request that can be served.
+// sendContinue is returned once for a request that expects 100 Continue, and not at all for one that is rejected.
 func TestContinueIsSentOnce(t *testing.T) {
 	head := "POST / HTTP/1.1\r\nHost: x\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n"
 	var p Parser
@@ -171,13 +172,13 @@
 	}
 }
 
-// The parser never panics, and the pieces in which its input arrives make no difference.
+// The parser never panics, and its results don't depend on the pieces in which the input arrives.
 func FuzzRequest(f *testing.F) {
 	f.Add([]byte("GET /a HTTP/1.1\r\nHost: x\r\n\r\n"), uint8(3))
 	f.Add([]byte("POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"), uint8(1))
 	f.Add([]byte("POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\nExpect: 100-continue\r\n\r\nabcdGET"), uint8(2))
 	f.Fuzz(func(t *testing.T, input []byte, step uint8) {
-		// Whether the client is told to continue depends on whether its body has arrived.
+		// Whether sendContinue is returned depends on whether the body has arrived with the head.
 		withoutContinue := func(s string) string { return strings.ReplaceAll(s, "continue; ", "") }
 		atOnce := withoutContinue(parse(string(input), len(input)))
 		if inPieces := withoutContinue(parse(string(input), int(step))); inPieces != atOnce {
--- a/internal/codec/httpcodec/request.go
+++ b/internal/codec/httpcodec/request.go
@@ -1,6 +1,6 @@
-// Package httpcodec encodes and decodes HTTP/1.1 (RFC 9112): an incremental parser of requests with limits on every length,
-// functions that append responses, and a reader of responses for programs that check recorded traffic. It does no I/O and
-// does not route requests.
+// Package httpcodec encodes and decodes HTTP/1.1 (RFC 9112). It has an incremental request parser with limits on every length,
+// functions that encode responses, and an incremental response reader for programs that check recorded traffic. It does no I/O
+// and does not route requests.
 package httpcodec
 
 import (
@@ -9,12 +9,12 @@
 	"strings"
 )
 
-// Limits bound a request.
+// Limits are the greatest sizes of a request and its parts.
 type Limits struct {
-	RequestLineBytes int
+	RequestLineBytes int // without its line end
 	HeadBytes        int // request line and header fields, with the empty line at their end
-	HeaderFields     int
-	BodyBytes        int
+	HeaderFields     int // number of header fields
+	BodyBytes        int // of a chunked body, the data without the framing
 }
 
 // DefaultLimits are the limits of a Parser whose Limits are zero.
@@ -23,23 +23,23 @@
 // RequestError is the reason why a request can't be served. The connection must be closed after the response, since it is
 // not known where the next request begins.
 type RequestError struct {
-	Status  int    // of the response
-	Message string // for the body of the response, so its wording is part of the interface
+	Status  int    // status code of the response
+	Message string // sent in the body of the response, so clients may depend on its wording
 }
 
 func (e *RequestError) Error() string {
 	return fmt.Sprintf("%d %s: %s", e.Status, StatusText(e.Status), e.Message)
 }
 
-// reject returns a *RequestError.
+// reject returns a *RequestError with a formatted message.
 func reject(status int, format string, args ...any) error {
 	return &RequestError{status, fmt.Sprintf(format, args...)}
 }
 
-// Field is a header field. Its name is in lower case.
+// Field is a header field. Name is in lower case.
 type Field struct{ Name, Value string }
 
-// fieldValue returns the value of the first field with the name, which must be in lower case, or an empty string.
+// fieldValue returns the value of the first field with the given lower-case name, or an empty string if there is none.
 func fieldValue(fields []Field, name string) string {
 	for i := range fields {
 		if fields[i].Name == name {
@@ -49,20 +49,20 @@
 	return ""
 }
 
-// Request is a parsed request. Body aliases the bytes passed to Parse, unless it was chunked.
+// Request is a parsed request. Body is a part of the buffer passed to Parse, unless it was chunked.
 type Request struct {
 	Method, Path, Query string
-	MinorVersion        int // of HTTP/1.x
+	MinorVersion        int // 0 for HTTP/1.0, 1 for HTTP/1.1
 	Fields              []Field
 	Body                []byte
-	Close               bool // the connection is closed after the response
+	Close               bool // the connection must be closed after the response
 	ExpectsContinue     bool // the client waits for 100 Continue before it sends the body
 }
 
-// Get returns the value of the first header field with the name, which must be in lower case, or an empty string.
+// Get returns the value of the first header field with the given lower-case name, or an empty string if there is none.
 func (r *Request) Get(name string) string { return fieldValue(r.Fields, name) }
 
-// parseRequestLine parses the first line of a request (RFC 9112 section 3).
+// parseRequestLine parses the request line (RFC 9112 section 3).
 func parseRequestLine(line string, maxBytes int) (*Request, error) {
 	if len(line) > maxBytes {
 		return nil, reject(http.StatusRequestURITooLong, "the request line is over %d bytes", maxBytes)
@@ -98,7 +98,7 @@
 	return nil
 }
 
-// originForm returns path and query of a target in origin-form or absolute-form (RFC 9112 section 3.2).
+// originForm returns the path and query of a request target in origin-form or absolute-form (RFC 9112 section 3.2).
 func originForm(target string) (string, error) {
 	if strings.HasPrefix(target, "/") {
 		return target, nil
--- a/internal/codec/httpcodec/response_reader.go
+++ b/internal/codec/httpcodec/response_reader.go
@@ -8,21 +8,21 @@
 	"strings"
 )
 
-// Response is what a ResponseReader has read of a response. Body grows until Done is set.
+// Response is the part of a response that a ResponseReader has read so far.
 type Response struct {
 	Status int
 	Fields []Field
-	Body   []byte
-	Done   bool
+	Body   []byte // grows until Done is set
+	Done   bool   // the response is complete
 }
 
-// Get returns the value of the first header field with the name, which must be in lower case, or an empty string.
+// Get returns the value of the first header field with the given lower-case name, or an empty string if there is none.
 func (r *Response) Get(name string) string { return fieldValue(r.Fields, name) }
 
-// ResponseError reports a response that violates the protocol. The rest of the connection can't be read.
+// ResponseError reports a response that violates the protocol. Later responses on the connection can't be read.
 type ResponseError struct {
-	Reason string
-	Value  string // the offending text
+	Reason string // which part of the response is invalid
+	Value  string // the invalid text
 	Err    error  // the cause, or nil
 }
 
@@ -36,35 +36,35 @@
 // Unwrap returns the cause.
 func (e *ResponseError) Unwrap() error { return e.Err }
 
-// bodyFraming is what determines the end of a response's body.
+// bodyFraming says what determines the end of a response's body.
 type bodyFraming int
 
 const (
 	untilClose bodyFraming = iota // the body ends with the connection
-	byLength
-	byChunks
+	byLength                      // the body has the length that Content-Length states
+	byChunks                      // the body is chunked
 )
 
-// The range of valid status codes.
+// The range of status codes that are accepted.
 const (
 	minStatus = 100
 	maxStatus = 999
 )
 
-// chunkLineNext is the value of remainingBytes when the line of the next chunk is expected.
+// chunkLineNext is the value of ResponseReader.remainingBytes before the size line of a chunk.
 const chunkLineNext = -1
 
-// ResponseReader reads the responses of one connection from bytes that arrive in pieces. Its zero value is ready to use. It
-// is not safe for concurrent use.
+// ResponseReader reads the responses of one connection from bytes that arrive in pieces of any size. Its zero value is ready to
+// use. It is not safe for concurrent use.
 type ResponseReader struct {
-	buf            []byte // arrived and not read yet
-	current        *Response
+	buf            []byte    // bytes that have arrived and were not read yet
+	current        *Response // nil before the head of a response has been read
 	framing        bodyFraming
-	remainingBytes int // of the body, or of the chunk with its line end; chunkLineNext between chunks
+	remainingBytes int // of the body, or of the chunk with its line end; chunkLineNext before a chunk
 }
 
-// Feed reads further bytes and calls each for a response whenever its body has grown and when it is done. It skips interim
-// responses. The error is a *ResponseError.
+// Feed reads the next bytes and calls each for a response whenever its body has grown and when it is complete. It skips
+// interim responses. The error is a *ResponseError.
 func (r *ResponseReader) Feed(b []byte, each func(*Response)) error {
 	r.buf = append(r.buf, b...)
 	for {
@@ -98,7 +98,7 @@
 	}
 }
 
-// parseHead parses the head of a response. For an interim response, current stays nil.
+// parseHead parses the head of a response, without the empty line at its end. It leaves current nil for an interim response.
 func (r *ResponseReader) parseHead(head string) error {
 	lines := strings.Split(head, "\r\n")
 	status, err := parseStatusLine(lines[0])
@@ -112,7 +112,7 @@
 	for _, line := range lines[1:] {
 		field, err := parseField(line)
 		if err != nil {
-			return &ResponseError{Reason: "response", Value: line, Err: err}
+			return &ResponseError{Reason: "invalid header field", Value: line, Err: err}
 		}
 		r.current.Fields = append(r.current.Fields, field)
 	}
@@ -122,16 +122,16 @@
 func parseStatusLine(line string) (status int, err error) {
 	parts := strings.SplitN(line, " ", 3)
 	if len(parts) < 2 || !strings.HasPrefix(parts[0], "HTTP/1.") {
-		return 0, &ResponseError{Reason: "not a status line", Value: line}
+		return 0, &ResponseError{Reason: "invalid status line", Value: line}
 	}
 	status, err = strconv.Atoi(parts[1])
 	if err != nil || status < minStatus || status > maxStatus {
-		return 0, &ResponseError{Reason: "not a status", Value: parts[1]}
+		return 0, &ResponseError{Reason: fmt.Sprintf("status code not between %d and %d", minStatus, maxStatus), Value: parts[1]}
 	}
 	return status, nil
 }
 
-// parseFraming determines the end of the body from the header fields.
+// parseFraming determines from the header fields and the status how the body ends.
 func (r *ResponseReader) parseFraming() error {
 	r.framing, r.remainingBytes = untilClose, 0
 	if r.current.Get("transfer-encoding") == "chunked" {
@@ -139,7 +139,7 @@
 	} else if text := r.current.Get("content-length"); text != "" {
 		length, err := strconv.ParseUint(text, 10, 31)
 		if err != nil {
-			return &ResponseError{Reason: "Content-Length is not a number", Value: text}
+			return &ResponseError{Reason: "invalid Content-Length", Value: text}
 		}
 		r.framing, r.remainingBytes = byLength, int(length)
 	}
@@ -149,7 +149,7 @@
 	return nil
 }
 
-// readBody reads the bytes of the body that have arrived, and reports whether there were any.
+// readBody reads the part of the body that has arrived, and reports whether the body has grown.
 func (r *ResponseReader) readBody() (grown bool, err error) {
 	switch r.framing {
 	case byChunks:
@@ -186,8 +186,8 @@
 	}
 }
 
-// readChunkLine reads the line before a chunk, and with the last one the line that ends the body. It returns false when
-// more bytes are needed.
+// readChunkLine reads the size line of a chunk and, for the last chunk, the empty line that ends the body. It returns false when
+// more bytes are needed. Chunk extensions and trailer fields are not supported.
 func (r *ResponseReader) readChunkLine() (complete bool, err error) {
 	end := bytes.Index(r.buf, crlf)
 	if end < 0 {
@@ -195,7 +195,7 @@
 	}
 	size, err := strconv.ParseUint(string(r.buf[:end]), 16, 31)
 	if err != nil {
-		return false, &ResponseError{Reason: "not the size of a chunk", Value: string(r.buf[:end])}
+		return false, &ResponseError{Reason: "invalid chunk size", Value: string(r.buf[:end])}
 	}
 	next := end + len(crlf)
 	if size > 0 {
--- a/internal/codec/httpcodec/response_test.go
+++ b/internal/codec/httpcodec/response_test.go
@@ -10,7 +10,7 @@
 	"flaxshelf.example/flaxshelf/internal/codec/codectest"
 )
 
-// Responses are read as they were written, in whatever pieces their bytes arrive.
+// Responses are read as they were written, whatever the size of the pieces in which they arrive.
 func TestResponsesArriveInPieces(t *testing.T) {
 	written := AppendResponse(append([]byte{}, ContinueResponse...), 201, "application/json", []byte(`{"a":1}`), false, "Retry-After", "2")
 	written = AppendStreamHead(written, 200, "text/event-stream")
@@ -32,7 +32,7 @@
 	})
 }
 
-// read feeds a reader with the pieces and calls each for every response that has grown.
+// read passes the pieces to a ResponseReader, which calls each.
 func read(t *testing.T, pieces iter.Seq[[]byte], each func(*Response)) {
 	t.Helper()
 	var r ResponseReader
@@ -43,7 +43,7 @@
 	}
 }
 
-// A response is passed on whenever a chunk of it is complete; without a length, whenever bytes of its body arrive.
+// A chunked response is passed on whenever a chunk is complete, one without a length whenever bytes of its body arrive.
 func TestResponsesGrow(t *testing.T) {
 	for name, c := range map[string]struct{ pieces, want []string }{
 		"chunks": {
@@ -94,7 +94,7 @@
 	}
 }
 
-// The reader of responses never panics.
+// ResponseReader never panics.
 func FuzzResponse(f *testing.F) {
 	f.Add(AppendChunk(AppendStreamHead(nil, 200, "text/event-stream"), []byte("x")))
 	f.Add(AppendResponse(nil, 200, "a", []byte("b"), true))
--- a/internal/codec/httpcodec/response_writer.go
+++ b/internal/codec/httpcodec/response_writer.go
@@ -6,14 +6,14 @@
 	"strconv"
 )
 
-// ContinueResponse is the interim response to a request that expects it. It must not be changed.
+// ContinueResponse is the interim response to a request with ExpectsContinue. It must not be modified.
 var ContinueResponse = []byte("HTTP/1.1 100 Continue\r\n\r\n")
 
-// StatusText returns the reason phrase of a status.
+// StatusText returns the reason phrase of a status code.
 func StatusText(status int) string { return http.StatusText(status) }
 
-// AppendResponse appends a complete response, with Connection: close if closeConnection is set. fields are alternating names and
-// values of further header fields.
+// AppendResponse appends a complete response to dst, with the field Connection: close if closeConnection is true. fields are
+// alternating names and values of further header fields.
 func AppendResponse(dst []byte, status int, contentType string, body []byte, closeConnection bool, fields ...string) []byte {
 	dst = appendHead(dst, status, contentType, fields)
 	dst = append(dst, "Content-Length: "...)
@@ -25,7 +25,7 @@
 	return append(dst, body...)
 }
 
-// AppendStreamHead appends the head of a response with a chunked body. fields are alternating names and values of further
+// AppendStreamHead appends the head of a response with a chunked body to dst. fields are alternating names and values of further
 // header fields.
 func AppendStreamHead(dst []byte, status int, contentType string, fields ...string) []byte {
 	dst = appendHead(dst, status, contentType, fields)
@@ -43,7 +43,7 @@
 	return dst
 }
 
-// AppendChunk appends a chunk of a chunked body. An empty chunk ends the body.
+// AppendChunk appends a chunk of a chunked body to dst. A chunk without data ends the body.
 func AppendChunk(dst, data []byte) []byte {
 	dst = strconv.AppendInt(dst, int64(len(data)), 16)
 	dst = append(dst, "\r\n"...)
