--- a/internal/codec/nodebinary/encode.go
+++ b/internal/codec/nodebinary/encode.go
@@ -2,8 +2,8 @@
 
 import "encoding/binary"
 
-// Append appends the encoding of m to dst. Empty parameters and a negative Cause are left out. For a message longer than
-// MaxMessageBytes it returns dst unchanged and a *SizeError.
+// Append appends the encoding of m to dst. It leaves out empty parameters, a negative Cause, and the Description unless
+// HasDescription is set. For a message longer than MaxMessageBytes it returns dst unchanged and a *SizeError.
 func Append(dst []byte, m *Message) ([]byte, error) {
 	start := len(dst)
 	dst = append(dst, 0, 0, byte(m.Type)) // the length is filled in below
--- a/internal/codec/nodebinary/errors.go
+++ b/internal/codec/nodebinary/errors.go
@@ -5,18 +5,18 @@
 	"fmt"
 )
 
-// ErrMalformed is matched by every error about a message that violates the protocol. The connection can't be used after it.
+// ErrMalformed is matched by each error about a message that violates the protocol. The connection must be closed after it.
 var ErrMalformed = errors.New("malformed message")
 
-// ErrTooLong is matched by the error for an outgoing message longer than MaxMessageBytes.
-var ErrTooLong = errors.New("message over the limit")
+// ErrTooLong is matched by the error about an outgoing message longer than MaxMessageBytes.
+var ErrTooLong = errors.New("message too long")
 
 // ProtocolError reports a message that violates the protocol. It matches ErrMalformed.
 type ProtocolError struct {
-	Type   Type   // of the message; 0 if it is not known
-	Offset int    // of the invalid part, from the first byte of the message
-	Field  string // for instance length, or parameter 194
-	Value  string // the offending value
+	Type   Type   // type of the message; 0 if unknown
+	Offset int    // position of the invalid part within the message, in bytes
+	Field  string // the invalid part, for instance "length" or "parameter 194"
+	Value  string // the invalid value
 	Reason string // what the protocol requires
 }
 
@@ -31,14 +31,14 @@
 // Unwrap returns ErrMalformed.
 func (e *ProtocolError) Unwrap() error { return ErrMalformed }
 
-// SizeError reports an outgoing message that is longer than Limit. It matches ErrTooLong.
+// SizeError reports an outgoing message that is longer than MaxMessageBytes. It matches ErrTooLong.
 type SizeError struct {
 	Type         Type
-	Bytes, Limit int
+	Bytes, Limit int // length of the message, and MaxMessageBytes
 }
 
 func (e *SizeError) Error() string {
-	return fmt.Sprintf("nodebinary: %s of %d bytes, %d at most", e.Type, e.Bytes, e.Limit)
+	return fmt.Sprintf("nodebinary: message %s has %d bytes, limit %d", e.Type, e.Bytes, e.Limit)
 }
 
 // Unwrap returns ErrTooLong.
--- a/internal/codec/nodebinary/message.go
+++ b/internal/codec/nodebinary/message.go
@@ -1,36 +1,37 @@
-// Package nodebinary encodes and decodes the messages between a scheduler and the nodes of the platform: binary, with a
-// length prefix, and made of parameters. It does no I/O. Its functions are safe for concurrent use.
+// Package nodebinary encodes and decodes the messages between a scheduler and the nodes of the platform. A message is binary. It
+// has a length prefix, a type, a task and a sequence of parameters. The package does no I/O. Its functions are safe for
+// concurrent use.
 package nodebinary
 
 import "strconv"
 
-// MaxMessageBytes is the longest message in bytes that either side may send, its length included.
+// MaxMessageBytes is the limit of a message that either side sends, including its length prefix.
 const MaxMessageBytes = 16 << 10
 
-// NoCause is the Cause of a message without one.
+// NoCause is the Cause of a message without a cause.
 const NoCause = -1
 
-// The sizes of a message's parts in bytes: its length (of all that follows), its type and its task. Then follow the
-// parameters, each with a header of its code and the length of its value. All numbers are big-endian.
+// The sizes in bytes of the parts of a message. Its header consists of the length of all that follows the length, of its type
+// and of its task. The parameters follow, each with a header of its code and the length of its value. Numbers are big-endian.
 const (
 	lengthSize          = 2
 	typeSize            = 1
 	taskSize            = 8
 	headerSize          = lengthSize + typeSize + taskSize
-	parameterHeaderSize = 1 + 2
+	parameterHeaderSize = 1 + 2 // code and length
 )
 
-// Type is the type of a message, by its number on the wire.
+// Type is the type of a message, as its number on the wire.
 type Type byte
 
 // The types of messages.
 const (
-	SetUp    Type = 1
+	SetUp    Type = 1 // offers a task to a node
 	Progress Type = 6
-	Answer   Type = 9
-	Release  Type = 12
-	Released Type = 16
-	Note     Type = 44
+	Answer   Type = 9  // accepts an offer
+	Release  Type = 12 // cancels, rejects or ends a task
+	Released Type = 16 // confirms a Release
+	Note     Type = 44 // reports usage
 	Move     Type = 51
 	Ping     Type = 52
 	Pong     Type = 53
@@ -41,18 +42,18 @@
 	Note: "note", Move: "move", Ping: "ping", Pong: "pong",
 }
 
-// known reports whether t is one of the types above.
-func (t Type) known() bool { return int(t) < len(typeNames) && typeNames[t] != "" }
+// isKnown reports whether t is one of the types that are declared above.
+func (t Type) isKnown() bool { return int(t) < len(typeNames) && typeNames[t] != "" }
 
-// String returns the name of the type, or its number if it is not one of the types above.
+// String returns the name of the type, or "type" and its number if it is unknown.
 func (t Type) String() string {
-	if t.known() {
+	if t.isKnown() {
 		return typeNames[t]
 	}
 	return "type " + strconv.Itoa(int(t))
 }
 
-// The codes of parameters on the wire.
+// The codes of the parameters on the wire.
 const (
 	codeClass          = 180
 	codeTimeLeft       = 181
@@ -64,17 +65,17 @@
 	codeDescription    = 195
 )
 
-// Message is a message. A parameter that the message does not have is empty.
+// Message is a decoded message. The field of a parameter that the message does not have is empty, and Cause is NoCause.
 type Message struct {
 	Type           Type
-	Task           uint64
-	Cause          int    // 0 to 255, or NoCause
-	Token          string // names the reason of a release, or the quantity of a note
-	Value          string // of the quantity that Token names, as a decimal number
+	Task           uint64 // ID of the task
+	Cause          int    // why a task was released: 0 to 255, or NoCause
+	Token          string // the reason of a Release, or the quantity that a Note reports
+	Value          string // value of the quantity that a Note reports, as a decimal number
 	Class          string
-	TimeLeft       string // until the deadline of the task, in milliseconds
+	TimeLeft       string // time until the deadline of the task, in milliseconds
 	Key            string
 	IdempotencyKey string
 	Description    string
-	HasDescription bool // the message has a description, which may be empty
+	HasDescription bool // whether the message has a description, which may be empty
 }
--- a/internal/codec/nodebinary/message_test.go
+++ b/internal/codec/nodebinary/message_test.go
@@ -12,7 +12,7 @@
 var setUp = Message{Type: SetUp, Task: 0x9b1f03aa5c7e2d41, Cause: NoCause, Class: "batch", TimeLeft: "1500", Key: "7f3a",
 	IdempotencyKey: "5c0f", Description: "9d41\r\nc=IN\r\n", HasDescription: true}
 
-// Messages are decoded as they were encoded, in whatever pieces their bytes arrive.
+// Messages are decoded as they were encoded, whatever the size of the pieces in which they arrive.
 func TestMessagesArriveInPieces(t *testing.T) {
 	want := []Message{setUp, {Type: Release, Task: 1, Cause: 34, Token: "cpu_full"}, {Type: Note, Task: 2, Cause: NoCause,
 		Token: "share", Value: "0.5"}}
@@ -30,7 +30,8 @@
 	})
 }
 
-// The expected bytes are written by hand: the length counts all that follows it.
+// The expected bytes are written out, so that Append is checked against the wire format and not against Next. The length
+// counts all bytes that follow it.
 func TestAppendWritesTheWireFormat(t *testing.T) {
 	got, err := Append(nil, &Message{Type: Release, Task: 0x0102030405060708, Cause: 16})
 	want := "\x00\x0d\x0c\x01\x02\x03\x04\x05\x06\x07\x08\xc2\x00\x01\x10"
@@ -39,7 +40,7 @@
 	}
 }
 
-// Malformed bytes are rejected before the bytes that they announce have arrived.
+// A malformed message is rejected as soon as its invalid part has arrived, without waiting for its announced length.
 func TestNextRejectsMalformedMessages(t *testing.T) {
 	const releaseHeader = "\x00\x10\x0c\x01\x02\x03\x04\x05\x06\x07\x08"
 	for name, c := range map[string]struct {
@@ -72,7 +73,7 @@
 func TestAppendRejectsLongMessages(t *testing.T) {
 	buf, err := Append([]byte("kept"), &Message{Type: SetUp, Description: strings.Repeat("x", MaxMessageBytes), HasDescription: true})
 	if !errors.Is(err, ErrTooLong) || string(buf) != "kept" {
-		t.Errorf("got %d bytes, %v, want the buffer as it was and %v", len(buf), err, ErrTooLong)
+		t.Errorf("got %d bytes, %v, want the buffer unchanged and %v", len(buf), err, ErrTooLong)
 	}
 }
 
@@ -84,7 +85,7 @@
 	}
 }
 
-// What Next decodes is the same after Append and Next.
+// A message that Next has decoded is the same after it was encoded by Append and decoded again.
 func FuzzNext(f *testing.F) {
 	seed, err := Append(nil, &setUp)
 	if err != nil {
