--- a/internal/codec/ownerjson/decode.go
+++ b/internal/codec/ownerjson/decode.go
@@ -9,8 +9,8 @@
 	"github.com/go-json-experiment/json/jsontext"
 )
 
-// wireMessage is a message with the JSON names of its members.
-type wireMessage struct {
+// jsonMessage is the JSON form of a message.
+type jsonMessage struct {
 	Type        Type                  `json:"type"`
 	ID          string                `json:"id"`
 	Fields      map[string]fieldValue `json:"fields"`
@@ -28,15 +28,15 @@
 		return err
 	}
 	if kind := token.Kind(); kind != '"' && kind != '0' {
-		return fmt.Errorf("a field must be a string or a number, not %v", kind)
+		return fmt.Errorf("got %v, want a string or a number", kind)
 	}
 	*v = fieldValue(token.String())
 	return nil
 }
 
 // Next decodes the first line of buf and returns the number of bytes that it used. It returns nil and 0 when more bytes are
-// needed. It keeps no reference to buf. The error is a *ProtocolError, after which the connection can't be used. A line longer
-// than MaxLineBytes is rejected as soon as that many bytes have arrived without a line feed; its error matches ErrTooLong.
+// needed. It does not retain buf. The error is a *ProtocolError, after which the connection must be closed. A line longer than
+// MaxLineBytes is rejected once that many bytes have arrived without a line feed. Its error matches ErrTooLong.
 func Next(buf []byte) (m *Message, used int, err error) {
 	end := bytes.IndexByte(buf, '\n')
 	if end < 0 && len(buf) >= MaxLineBytes || end >= MaxLineBytes {
@@ -50,7 +50,7 @@
 }
 
 func decodeLine(line []byte) (*Message, error) {
-	var wire wireMessage
+	var wire jsonMessage
 	if err := json.Unmarshal(line, &wire); err != nil {
 		return nil, invalidJSON(line, err)
 	}
@@ -70,15 +70,15 @@
 	return m, nil
 }
 
-func (w *wireMessage) validate() error {
+func (w *jsonMessage) validate() error {
 	if !ValidID(w.ID) {
 		return invalidField("/id", w.ID, "must be 16 lower-case hex digits")
 	}
 	if w.Cause != nil && (*w.Cause < 0 || *w.Cause > maxCause) {
 		return invalidField("/cause", strconv.Itoa(*w.Cause), "must be between 0 and 255")
 	}
-	if !w.Type.known() {
-		return invalidField("/type", string(w.Type), "not a type of message")
+	if !w.Type.isKnown() {
+		return invalidField("/type", string(w.Type), "unknown message type")
 	}
 	return nil
 }
--- a/internal/codec/ownerjson/encode.go
+++ b/internal/codec/ownerjson/encode.go
@@ -7,9 +7,9 @@
 	"github.com/go-json-experiment/json/jsontext"
 )
 
-// Append appends the encoding of m to dst. Fields are not encoded, and a negative Cause is left out. It returns dst unchanged
-// and a *ProtocolError for a description that is not valid UTF-8, and for a line longer than MaxLineBytes, which also matches
-// ErrTooLong.
+// Append appends the encoding of m to dst. It writes an empty object for Fields, and leaves out a negative Cause. For a
+// description that is not valid UTF-8 and for a line longer than MaxLineBytes, it returns dst unchanged and a *ProtocolError.
+// The error for a long line matches ErrTooLong.
 func Append(dst []byte, m *Message) ([]byte, error) {
 	start := len(dst)
 	dst = append(dst, `{"type":"`...)
--- a/internal/codec/ownerjson/errors.go
+++ b/internal/codec/ownerjson/errors.go
@@ -8,16 +8,16 @@
 	"github.com/go-json-experiment/json/jsontext"
 )
 
-// ErrTooLong is matched by the error for a line longer than MaxLineBytes, incoming or outgoing.
-var ErrTooLong = errors.New("line over the limit")
+// ErrTooLong is matched by the error about an incoming or outgoing line longer than MaxLineBytes.
+var ErrTooLong = errors.New("line too long")
 
-// maxErrorValueBytes is the number of bytes of an invalid value that an error keeps.
+// maxErrorValueBytes is the number of bytes to which ProtocolError.Value is truncated.
 const maxErrorValueBytes = 40
 
 // ProtocolError reports a line that violates the protocol. Field is empty if the line as a whole is invalid.
 type ProtocolError struct {
-	Field  string // JSON pointer of the field within the line, for instance /id
-	Offset int64  // of the invalid part within the line, in bytes; 0 if only Field is known
+	Field  string // JSON pointer to the invalid field within the line, for instance /id
+	Offset int64  // position of the invalid part within the line, in bytes; 0 if only Field is known
 	Value  string // the invalid text, truncated to maxErrorValueBytes bytes
 	Reason string // what the protocol requires
 	Err    error  // the cause, or nil
@@ -49,12 +49,12 @@
 // lineTooLong returns the error for a line of at least size bytes.
 func lineTooLong(line []byte, size int) error {
 	return &ProtocolError{Offset: MaxLineBytes, Value: truncate(string(line[:min(len(line), maxErrorValueBytes)])),
-		Reason: fmt.Sprintf("%d bytes or more, %d at most", size, MaxLineBytes), Err: ErrTooLong}
+		Reason: fmt.Sprintf("at least %d bytes, limit %d", size, MaxLineBytes), Err: ErrTooLong}
 }
 
-// invalidJSON returns the error for a line that the JSON decoder rejected, at the place that the decoder reports.
+// invalidJSON returns the error for a line that the JSON decoder has rejected, with the field and offset that it reports.
 func invalidJSON(line []byte, cause error) error {
-	e := &ProtocolError{Value: truncate(string(line)), Reason: "not a message as a JSON object", Err: cause}
+	e := &ProtocolError{Value: truncate(string(line)), Reason: "must be a JSON object that holds a message", Err: cause}
 	var syntactic *jsontext.SyntacticError
 	var semantic *json.SemanticError
 	switch {
--- a/internal/codec/ownerjson/message.go
+++ b/internal/codec/ownerjson/message.go
@@ -1,11 +1,11 @@
-// Package ownerjson encodes and decodes the messages between task owners and a scheduler on the platform: one JSON
-// object on each line. It does no I/O. Its functions are safe for concurrent use.
+// Package ownerjson encodes and decodes the messages between the task owners and a scheduler of the platform. Each message is a
+// JSON object on a line of its own. The package does no I/O. Its functions are safe for concurrent use.
 package ownerjson
 
-// MaxLineBytes is the longest line in bytes that either side may send, its line feed included.
+// MaxLineBytes is the limit of a line that either side sends, including its line feed.
 const MaxLineBytes = 16 << 10
 
-// NoCause is the Cause of a message without one.
+// NoCause is the Cause of a message without a cause.
 const NoCause = -1
 
 // maxCause is the greatest cause that a message may carry.
@@ -14,7 +14,7 @@
 // idLength is the number of hex digits in the ID of a task.
 const idLength = 16
 
-// Type is the type of a message, by its name on the wire.
+// Type is the type of a message, as its name on the wire.
 type Type string
 
 // The types of messages.
@@ -30,8 +30,8 @@
 	Move     Type = "move"
 )
 
-// known reports whether t is one of the types above.
-func (t Type) known() bool {
+// isKnown reports whether t is one of the types that are declared above.
+func (t Type) isKnown() bool {
 	switch t {
 	case SetUp, Progress, Answer, Release, Released, Ping, Pong, Note, Move:
 		return true
@@ -39,17 +39,17 @@
 	return false
 }
 
-// Message is a message, which is one line on the wire.
+// Message is a decoded message.
 type Message struct {
 	Type           Type
-	ID             string            // of the task: see ValidID
-	Fields         map[string]string // by their names on the wire; numbers as their JSON text
-	Cause          int               // 0 to 255, or NoCause
+	ID             string            // ID of the task; see ValidID
+	Fields         map[string]string // values by their names on the wire; the value of a number is its JSON text
+	Cause          int               // why a task was released, or the result of a ping: 0 to 255, or NoCause
 	Description    string
-	HasDescription bool // the line has a description, which may be empty
+	HasDescription bool // whether the message has a description, which may be empty
 }
 
-// ValidID reports whether id is the ID of a task: 16 lower-case hex digits.
+// ValidID reports whether id has the form of a task's ID, which is 16 lower-case hex digits.
 func ValidID(id string) bool {
 	if len(id) != idLength {
 		return false
--- a/internal/codec/ownerjson/message_test.go
+++ b/internal/codec/ownerjson/message_test.go
@@ -13,7 +13,7 @@
 	setUpLine = `{"type":"setup","id":"9b1f03aa5c7e2d41","fields":{"class":"batch","left":1500},"sdp":"9d41\r\nc=IN\r\n"}` + "\n"
 )
 
-// Lines are decoded one by one, in whatever pieces their bytes arrive; fields are strings or numbers.
+// Lines are decoded one by one, whatever the size of the pieces in which they arrive. Fields may be strings or numbers.
 func TestLinesArriveInPieces(t *testing.T) {
 	input := setUpLine + `{"type":"release","id":"9b1f03aa5c7e2d41","fields":{},"cause":34,"later":[1]}` + "\n"
 	codectest.RunWithPieceSizes(t, len(input), func(t *testing.T, size int) {
@@ -56,7 +56,7 @@
 	}
 }
 
-// An error names the field with the invalid value, or the byte at which the line is not JSON.
+// An error names the invalid field, or the offset at which the line is not valid JSON.
 func TestProtocolErrorNamesItsPlace(t *testing.T) {
 	for _, c := range []struct {
 		line string
@@ -80,7 +80,7 @@
 	}
 }
 
-// A line over the limit is an error before its line feed has arrived.
+// A line over the limit is rejected, also before its line feed has arrived.
 func TestNextRejectsLongLines(t *testing.T) {
 	for name, input := range map[string]string{
 		"without a line feed": strings.Repeat("x", MaxLineBytes),
@@ -105,12 +105,12 @@
 	}
 }
 
-// A description that can't be encoded leaves the buffer as it was.
+// If the description can't be encoded, Append returns the buffer unchanged.
 func TestAppendRejectsDescription(t *testing.T) {
 	for name, text := range map[string]string{"not UTF-8": "\xff", "over the limit": strings.Repeat("x", MaxLineBytes)} {
 		buf, err := Append([]byte("kept"), &Message{Type: Answer, ID: taskID, Description: text, HasDescription: true})
 		if err == nil || string(buf) != "kept" {
-			t.Errorf("%s: got %q, %v, want the buffer as it was and an error", name, buf, err)
+			t.Errorf("%s: got %q, %v, want the buffer unchanged and an error", name, buf, err)
 		}
 		if tooLong := len(text) == MaxLineBytes; errors.Is(err, ErrTooLong) != tooLong {
 			t.Errorf("%s: got %v, want ErrTooLong: %v", name, err, tooLong)
@@ -118,7 +118,8 @@
 	}
 }
 
-// What Next decodes is the same after Append and Next, save for its fields.
+// A message that Next has decoded is the same after it was encoded by Append and decoded again, except for its fields, which
+// are not encoded.
 func FuzzNext(f *testing.F) {
 	f.Add([]byte(setUpLine))
 	f.Add([]byte(`{"type":"ping","id":"9b1f03aa5c7e2d41","fields":{"a":1e9},"cause":0}` + "\n"))
@@ -129,7 +130,7 @@
 		}
 		line, err := Append(nil, m)
 		if err != nil {
-			return // escaped it may be longer than the limit
+			return // with escape sequences, the line may exceed the limit
 		}
 		again, _, err := Next(line)
 		if err != nil || again.ID != m.ID || again.Description != m.Description || again.Cause != m.Cause {
