--- a/internal/codec/nodeframe/frame.go
+++ b/internal/codec/nodeframe/frame.go
@@ -1,5 +1,5 @@
-// Package nodeframe encodes and decodes the frames between schedulers, nodes and the inventory: protobuf messages with a
-// length prefix. It does no I/O. Its functions are safe for concurrent use.
+// Package nodeframe encodes and decodes the frames that schedulers, nodes and the inventory exchange. A frame is a protobuf
+// message with a length prefix. The package does no I/O. Its functions are safe for concurrent use.
 package nodeframe
 
 import (
@@ -12,47 +12,48 @@
 	"flaxshelf.example/flaxshelf/internal/codec/nodeframe/nodepb"
 )
 
-// Version is the only version of the protocol that this build supports.
+// Version is the only protocol version that this build supports.
 const Version = 1
 
-// MaxMessageBytes is the longest message that either side accepts, in bytes without the length prefix.
+// MaxMessageBytes is the limit of a message that either side accepts, without its length prefix.
 const MaxMessageBytes = 1 << 20
 
-// MaxHeldPerWelcome is the number of tasks in a Welcome message at most, which keeps it within MaxMessageBytes. A node with
-// more tasks sends several messages.
+// MaxHeldPerWelcome is the greatest number of tasks in a Welcome message, which keeps the message within MaxMessageBytes. A node
+// that holds more tasks sends several Welcome messages.
 const MaxHeldPerWelcome = 1000
 
-// lengthSize is the size of the length prefix: four bytes, big-endian.
+// lengthSize is the size in bytes of the length prefix, which is big-endian.
 const lengthSize = 4
 
-// ErrTooLong is matched by the error for a message longer than MaxMessageBytes, incoming or outgoing.
-var ErrTooLong = errors.New("over the limit")
+// ErrTooLong is matched by the error about an incoming or outgoing message longer than MaxMessageBytes.
+var ErrTooLong = errors.New("message too long")
 
-// ErrEmpty is matched by the error for a frame without a message that this version knows.
-var ErrEmpty = errors.New("no message")
+// ErrEmpty is matched by the error about a frame without a body, or with a body of a type that this version doesn't know.
+var ErrEmpty = errors.New("no body of a known type")
 
-// FrameError reports a frame that violates the protocol, or can't be encoded. The connection that it arrived on can't be used
-// after it. It matches its cause: ErrTooLong, ErrEmpty, or an error of protobuf.
+// FrameError reports an incoming frame that violates the protocol, or a frame that can't be encoded. After the former, the
+// connection must be closed. It matches its cause: ErrTooLong, ErrEmpty, or an error of protobuf.
 type FrameError struct {
-	Bytes int64 // of the message, by its length prefix
-	Err   error
+	Bytes int64 // length of the message, without its length prefix
+	Err   error // the cause
 }
 
 func (e *FrameError) Error() string {
-	return fmt.Sprintf("nodeframe: message of %d bytes, %d at most: %v", e.Bytes, MaxMessageBytes, e.Err)
+	return fmt.Sprintf("nodeframe: message of %d bytes, limit %d: %v", e.Bytes, MaxMessageBytes, e.Err)
 }
 
 // Unwrap returns the cause.
 func (e *FrameError) Unwrap() error { return e.Err }
 
-// VersionError reports a peer that does not support Version.
+// VersionError reports a peer that does not support Version, but Min to Max.
 type VersionError struct{ Min, Max uint32 }
 
+// Error returns the text that nodes also send to the peer, as the reason of a Bye.
 func (e *VersionError) Error() string {
 	return fmt.Sprintf("nodeframe: the peer supports versions %d to %d, this build only %d", e.Min, e.Max, Version)
 }
 
-// Append appends the encoding of frame to dst. It returns dst unchanged and a *FrameError if the frame can't be encoded.
+// Append appends the encoding of frame to dst. If frame can't be encoded, it returns dst unchanged and a *FrameError.
 func Append(dst []byte, frame *nodepb.Frame) ([]byte, error) {
 	start := len(dst)
 	dst = append(dst, 0, 0, 0, 0) // the length is filled in below
@@ -69,14 +70,14 @@
 }
 
 // Next decodes the first frame of buf and returns the number of bytes that it used. It returns nil and 0 when more bytes are
-// needed. It keeps no reference to buf. The error is a *FrameError.
+// needed. It does not retain buf. The error is a *FrameError.
 func Next(buf []byte) (frame *nodepb.Frame, used int, err error) {
 	if len(buf) < lengthSize {
 		return nil, 0, nil
 	}
 	size := int64(binary.BigEndian.Uint32(buf))
 	switch {
-	case size > MaxMessageBytes: // before the message has arrived, which could be gigabytes
+	case size > MaxMessageBytes: // rejected before the rest arrives, which could be gigabytes
 		return nil, 0, &FrameError{Bytes: size, Err: ErrTooLong}
 	case size == 0:
 		return nil, 0, &FrameError{Bytes: size, Err: ErrEmpty}
@@ -88,13 +89,13 @@
 	if err := proto.Unmarshal(buf[lengthSize:end], frame); err != nil {
 		return nil, 0, &FrameError{Bytes: size, Err: err}
 	}
-	if frame.Body == nil { // also for a message of a later version
+	if frame.Body == nil { // also if the body is of a type that only a later version has
 		return nil, 0, &FrameError{Bytes: size, Err: ErrEmpty}
 	}
 	return frame, end, nil
 }
 
-// NegotiateVersion returns the version to use with a peer that supports versions peerMin to peerMax. The error is a
+// NegotiateVersion returns the protocol version to use with a peer that supports versions peerMin to peerMax. The error is a
 // *VersionError.
 func NegotiateVersion(peerMin, peerMax uint32) (uint32, error) {
 	if peerMin > Version || peerMax < Version {
--- a/internal/codec/nodeframe/frame_test.go
+++ b/internal/codec/nodeframe/frame_test.go
@@ -17,7 +17,7 @@
 		Task: &nodepb.Task{Job: "a", Cores: 0.5, Name: taskName}}}}
 }
 
-// Frames are decoded as they were encoded, in whatever pieces their bytes arrive.
+// Frames are decoded as they were encoded, whatever the size of the pieces in which they arrive.
 func TestFramesArriveInPieces(t *testing.T) {
 	names := []string{"one", "two", ""}
 	var input []byte
@@ -38,19 +38,20 @@
 	})
 }
 
-// What can't be a frame is an error before the bytes that it announces have arrived.
+// A length that is zero or over the limit is rejected before the announced bytes have arrived, and so are invalid messages once
+// they are complete.
 func TestNextRejectsMalformedFrames(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		input []byte
-		cause error // nil: one of protobuf
+		cause error // nil for an error of protobuf
 		bytes int64
 	}{
-		{"gigabytes announced", []byte{0xff, 0xff, 0xff, 0xff}, ErrTooLong, 1<<32 - 1},
-		{"one byte over", []byte{0, 0x10, 0, 1}, ErrTooLong, MaxMessageBytes + 1},
+		{"4 GiB announced", []byte{0xff, 0xff, 0xff, 0xff}, ErrTooLong, 1<<32 - 1},
+		{"one byte over the limit", []byte{0, 0x10, 0, 1}, ErrTooLong, MaxMessageBytes + 1},
 		{"empty", []byte{0, 0, 0, 0}, ErrEmpty, 0},
-		{"a message of a later version", []byte{0, 0, 0, 3, 0xfa, 0x07, 0}, ErrEmpty, 3},
-		{"no protobuf", []byte{0, 0, 0, 2, 0xff, 0xff}, nil, 2},
+		{"body type of a later version", []byte{0, 0, 0, 3, 0xfa, 0x07, 0}, ErrEmpty, 3},
+		{"not protobuf", []byte{0, 0, 0, 2, 0xff, 0xff}, nil, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			_, _, err := Next(c.input)
@@ -70,7 +71,7 @@
 	}
 }
 
-// A frame that can't be written leaves the buffer as it was.
+// If the frame can't be encoded, Append returns the buffer unchanged.
 func TestAppendRejectsInvalidFrames(t *testing.T) {
 	for name, c := range map[string]struct {
 		text    string
@@ -81,25 +82,26 @@
 	} {
 		buf, err := Append([]byte("kept"), offerFrame(c.text))
 		if err == nil || errors.Is(err, ErrTooLong) != c.tooLong || string(buf) != "kept" {
-			t.Errorf("%s: got %d bytes, %v, want the buffer as it was and an error", name, len(buf), err)
+			t.Errorf("%s: got %d bytes, %v, want the buffer unchanged and an error", name, len(buf), err)
 		}
 	}
 }
 
 func TestNegotiateVersionRequiresVersionOfThisBuild(t *testing.T) {
 	for _, c := range []struct {
-		least, greatest uint32
-		ok              bool
+		peerMin, peerMax uint32
+		ok               bool
 	}{{1, 1, true}, {1, 9, true}, {0, 1, true}, {2, 3, false}, {0, 0, false}} {
-		version, err := NegotiateVersion(c.least, c.greatest)
+		version, err := NegotiateVersion(c.peerMin, c.peerMax)
 		var unsupported *VersionError
 		if c.ok && (err != nil || version != Version) || !c.ok && !errors.As(err, &unsupported) {
-			t.Errorf("%d to %d: got %d, %v, want agreement: %v", c.least, c.greatest, version, err, c.ok)
+			t.Errorf("%d to %d: got %d, %v, want success: %v", c.peerMin, c.peerMax, version, err, c.ok)
 		}
 	}
 }
 
-// For any input Next neither panics nor uses more bytes than there are, and what it decodes can be encoded again.
+// For any input, Next does not panic and uses no more bytes than the input has. A frame that it decodes is the same after it was
+// encoded and decoded again.
 func FuzzNext(f *testing.F) {
 	seed, err := Append(nil, offerFrame("x"))
 	if err != nil {
@@ -117,7 +119,7 @@
 		}
 		encoded, err := Append(nil, frame)
 		if err != nil {
-			return // encoded again it may be longer than the limit
+			return // the new encoding may be longer than the limit
 		}
 		again, _, err := Next(encoded)
 		if err != nil || !proto.Equal(frame, again) {
