--- a/internal/codec/sse/decoder.go
+++ b/internal/codec/sse/decoder.go
@@ -1,4 +1,4 @@
-// Package sse decodes server-sent events as the control feed of the platform writes them. It does no I/O.
+// Package sse decodes streams of server-sent events, as the control feed of the platform sends them. It does no I/O.
 package sse
 
 import (
@@ -7,20 +7,20 @@
 	"fmt"
 )
 
-// MaxEventBytes bounds the bytes of an event that a Decoder keeps before the event ends.
+// MaxEventBytes is the limit of the bytes that a Decoder buffers for an incomplete event.
 const MaxEventBytes = 1 << 20
 
-// ErrTooLong is matched by the error for an event over MaxEventBytes.
-var ErrTooLong = errors.New("event over the limit")
+// ErrTooLong is matched by the error about an event longer than MaxEventBytes.
+var ErrTooLong = errors.New("event too long")
 
 // SizeError reports an event that is longer than MaxEventBytes. It matches ErrTooLong.
 type SizeError struct {
-	ID           string // of the event; empty where its line has not arrived
-	Bytes, Limit int
+	ID           string // ID of the event; empty if its id line has not arrived
+	Bytes, Limit int    // bytes that have arrived, and MaxEventBytes
 }
 
 func (e *SizeError) Error() string {
-	return fmt.Sprintf("sse: event %.40q has %d bytes and no end, %d at most", e.ID, e.Bytes, e.Limit)
+	return fmt.Sprintf("sse: incomplete event %.40q has %d bytes, limit %d", e.ID, e.Bytes, e.Limit)
 }
 
 // Unwrap returns ErrTooLong.
@@ -36,14 +36,14 @@
 // use.
 type Decoder struct {
 	line    []byte // the part of the current line that has arrived
-	id      string
-	data    []byte
-	hasData bool // an event without data is not emitted
+	id      string // ID of the current event
+	data    []byte // data of the current event
+	hasData bool   // the current event has a data line; an event without one is not emitted
 }
 
 // Write decodes the next bytes of the stream and calls emit for each event that they complete. The Data of an event is valid
-// until emit returns. An event that is truncated by the end of the stream is never emitted. The error is a *SizeError or the
-// error of emit; the Decoder can't be used after it.
+// until emit returns. An event that is incomplete when the stream ends is not emitted. The error is a *SizeError or that of
+// emit. The Decoder can't be used after it.
 func (d *Decoder) Write(b []byte, emit func(Event) error) error {
 	for len(b) > 0 {
 		end := bytes.IndexByte(b, '\n')
@@ -70,7 +70,8 @@
 	return nil
 }
 
-// decodeLine decodes the complete line: a field, a comment, or the empty line that ends an event.
+// decodeLine decodes the current line, which is complete: a field, a comment, or the empty line that ends an event. Comments
+// and fields other than id and data are ignored.
 func (d *Decoder) decodeLine(emit func(Event) error) error {
 	line := bytes.TrimSuffix(d.line, []byte("\r"))
 	d.line = d.line[:0]
@@ -91,6 +92,7 @@
 	return nil
 }
 
+// endEvent emits the current event, if it has data, and starts the next one.
 func (d *Decoder) endEvent(emit func(Event) error) error {
 	event, complete := Event{ID: d.id, Data: d.data}, d.hasData
 	d.id, d.data, d.hasData = "", d.data[:0], false
--- a/internal/codec/sse/decoder_test.go
+++ b/internal/codec/sse/decoder_test.go
@@ -10,7 +10,7 @@
 	"flaxshelf.example/flaxshelf/internal/codec/codectest"
 )
 
-// decode writes input to a decoder in pieces of size bytes, and returns the events as ID=Data.
+// decode writes input to a Decoder in pieces of size bytes and returns the events, each formatted as ID=Data.
 func decode(t *testing.T, input string, size int) (events []string, err error) {
 	t.Helper()
 	var decoder Decoder
@@ -26,7 +26,8 @@
 	return events, err
 }
 
-// Complete events are emitted once, in whatever pieces their bytes arrive; comments and an event without its end are not.
+// Each complete event is emitted once, whatever the size of the pieces in which it arrives. Comments and an incomplete event are
+// not emitted.
 func TestEventsArriveInPieces(t *testing.T) {
 	input := ": hello\n\nid: 2\ndata: {\"n\":2}\n\n:\r\nid:3\r\nevent: x\r\ndata:a\r\ndata: b\r\n\r\n\n\nid: 4\ndata: half"
 	want := []string{`2={"n":2}`, "3=a\nb"}
@@ -37,7 +38,7 @@
 	})
 }
 
-// An event without an end is an error once it is over the limit, so that its size in memory is bounded.
+// An incomplete event is rejected once it exceeds the limit, which bounds the memory of a Decoder.
 func TestEventOverTheLimit(t *testing.T) {
 	for name, input := range map[string]string{
 		"one line":   strings.Repeat("x", MaxEventBytes+1),
@@ -66,7 +67,7 @@
 	}
 }
 
-// Bytes in pieces mean the same as all at once.
+// The events don't depend on the pieces in which the stream arrives.
 func FuzzWrite(f *testing.F) {
 	f.Add("id: 2\ndata: x\n\n: c\n", 3)
 	f.Fuzz(func(t *testing.T, input string, step int) {
