--- a/internal/codec/nodebinary/message.go
+++ b/internal/codec/nodebinary/message.go
@@ -5,7 +5,7 @@
 
 import "strconv"
 
-// MaxMessageBytes is the limit of a message that either side sends, including its length prefix.
+// MaxMessageBytes is the greatest length of a message that either side may send, including its length prefix.
 const MaxMessageBytes = 16 << 10
 
 // NoCause is the Cause of a message without a cause.
--- a/internal/codec/nodeframe/frame.go
+++ b/internal/codec/nodeframe/frame.go
@@ -15,7 +15,7 @@
 // Version is the only protocol version that this build supports.
 const Version = 1
 
-// MaxMessageBytes is the limit of a message that either side accepts, without its length prefix.
+// MaxMessageBytes is the greatest length of a message that either side accepts, without its length prefix.
 const MaxMessageBytes = 1 << 20
 
 // MaxHeldPerWelcome is the greatest number of tasks in a Welcome message, which keeps the message within MaxMessageBytes. A node
--- a/internal/codec/ownerjson/errors.go
+++ b/internal/codec/ownerjson/errors.go
@@ -18,7 +18,7 @@
 type ProtocolError struct {
 	Field  string // JSON pointer to the invalid field within the line, for instance /id
 	Offset int64  // position of the invalid part within the line, in bytes; 0 if only Field is known
-	Value  string // the invalid text, truncated to maxErrorValueBytes bytes
+	Value  string // the invalid text, truncated to maxErrorValueBytes
 	Reason string // what the protocol requires
 	Err    error  // the cause, or nil
 }
--- a/internal/codec/ownerjson/message.go
+++ b/internal/codec/ownerjson/message.go
@@ -2,7 +2,7 @@
 // JSON object on a line of its own. The package does no I/O. Its functions are safe for concurrent use.
 package ownerjson
 
-// MaxLineBytes is the limit of a line that either side sends, including its line feed.
+// MaxLineBytes is the greatest length of a line that either side may send, including its line feed.
 const MaxLineBytes = 16 << 10
 
 // NoCause is the Cause of a message without a cause.
@@ -19,15 +19,15 @@
 
 // The types of messages.
 const (
-	SetUp    Type = "setup"
+	SetUp    Type = "setup" // submits a task, or asks for the adoption of a running one
 	Progress Type = "progress"
-	Answer   Type = "answer"
-	Release  Type = "release"
+	Answer   Type = "answer"  // a node has accepted the task
+	Release  Type = "release" // cancels a task, or reports that it was rejected or has ended
 	Released Type = "released"
 	Ping     Type = "ping"
-	Pong     Type = "pong"
+	Pong     Type = "pong" // its Cause is 1 if the check has passed, else 0
 	Note     Type = "note"
-	Move     Type = "move"
+	Move     Type = "move" // the task is to migrate, or has migrated
 )
 
 // isKnown reports whether t is one of the types that are declared above.
--- a/internal/codec/sse/decoder.go
+++ b/internal/codec/sse/decoder.go
@@ -7,7 +7,7 @@
 	"fmt"
 )
 
-// MaxEventBytes is the limit of the bytes that a Decoder buffers for an incomplete event.
+// MaxEventBytes is the greatest number of bytes that a Decoder buffers for an incomplete event.
 const MaxEventBytes = 1 << 20
 
 // ErrTooLong is matched by the error about an event longer than MaxEventBytes.
