--- a/internal/transport/outbox.go
+++ b/internal/transport/outbox.go
@@ -1,21 +1,21 @@
 package transport
 
-// Outbox collects messages to one connection, to pass them to its event loop together. It is not safe for concurrent use.
-// The zero value is empty and ready to use.
+// Outbox collects encoded messages for one connection and passes them to its event loop together. It is not safe for
+// concurrent use. The zero value is empty and ready to use.
 type Outbox struct {
 	bytes    []byte
 	expiring []expiringMessage
 }
 
-// expiringMessage is a range of an outbox's bytes that is written only if it has not expired.
+// expiringMessage is a message, at a range of an outbox's bytes, that is discarded if it has expired when it would be written.
 type expiringMessage struct {
 	begin, end int
-	wanted     func() bool // nil means always
-	expired    func()
+	wanted     func() bool // whether the message is still wanted; nil means that it is
+	onExpired  func()
 }
 
-// Empty reports whether the outbox has no messages.
-func (o *Outbox) Empty() bool { return len(o.bytes) == 0 }
+// IsEmpty reports whether the outbox has no messages.
+func (o *Outbox) IsEmpty() bool { return len(o.bytes) == 0 }
 
 // Put appends a message by calling encode. If encode fails, Put returns its error and leaves the outbox unchanged.
 func (o *Outbox) Put(encode func(dst []byte) ([]byte, error)) error {
@@ -26,45 +26,47 @@
 	return err
 }
 
-// PutExpiring is Put for a message that is discarded if it is too late for it when it is about to be written, according to
-// Flush, or if wanted returns false then. In these cases expired is called. wanted may be nil; it is called on the event
-// loop. expired is called on the event loop or from Flush. Neither is called if PutExpiring fails.
-func (o *Outbox) PutExpiring(encode func(dst []byte) ([]byte, error), wanted func() bool, expired func()) error {
+// PutExpiring appends a message like Put. The message expires if, directly before it would be written, wanted or Flush's
+// inTime returns false. It is then discarded and onExpired is called. wanted may be nil and is called on the event loop.
+// onExpired is called on the event loop or by Flush. Neither is called if PutExpiring fails.
+func (o *Outbox) PutExpiring(encode func(dst []byte) ([]byte, error), wanted func() bool, onExpired func()) error {
 	begin := len(o.bytes)
 	if err := o.Put(encode); err != nil {
 		return err
 	}
-	o.expiring = append(o.expiring, expiringMessage{begin, len(o.bytes), wanted, expired})
+	o.expiring = append(o.expiring, expiringMessage{begin, len(o.bytes), wanted, onExpired})
 	return nil
 }
 
-// Flush passes the messages to the connection's event loop and empties the outbox. inTime is called on the event loop, since
-// a process that is stopped between a decision and its write would write messages that are out of date. If c is nil, or its
-// write queue is full, or its event loop has stopped, all expiring messages expire.
+// Flush passes the messages to the connection's event loop and empties the outbox. inTime reports whether it is not too late
+// for the expiring messages. It is called on the event loop, directly before the write, because a process that is suspended
+// between a decision and its write would otherwise write outdated messages. If c is nil, or its write queue is full, or its
+// event loop has stopped, all expiring messages expire at once. If the connection closes before the write, all messages are
+// lost, and onExpired is not called.
 func (o *Outbox) Flush(c *Conn, inTime func() bool) {
 	bytes, expiring := o.bytes, o.expiring
 	o.bytes, o.expiring = nil, nil
-	queued := c != nil && c.RunInLoop(len(bytes), func(write func([]byte)) {
+	queued := c != nil && c.RunOnLoop(len(bytes), func(write func([]byte)) {
 		writeUnexpired(write, bytes, expiring, inTime)
 	})
 	if queued {
 		return
 	}
 	for _, m := range expiring {
-		m.expired()
+		m.onExpired()
 	}
 }
 
-// writeUnexpired writes the bytes without the messages that have expired, in order.
+// writeUnexpired writes all messages except those that have expired, in order.
 func writeUnexpired(write func([]byte), bytes []byte, expiring []expiringMessage, inTime func() bool) {
 	written := 0
-	current := len(expiring) == 0 || inTime()
+	sentInTime := len(expiring) == 0 || inTime()
 	for _, m := range expiring {
-		if current && (m.wanted == nil || m.wanted()) {
+		if sentInTime && (m.wanted == nil || m.wanted()) {
 			continue
 		}
 		write(bytes[written:m.begin])
-		m.expired()
+		m.onExpired()
 		written = m.end
 	}
 	write(bytes[written:])
