--- a/cmd/flaxshelf/platform.go
+++ b/cmd/flaxshelf/platform.go
@@ -27,7 +27,7 @@
 	}
 	reload, stop := notifyHangup()
 	defer stop()
-	err := platform.Run(platform.Options{Config: c.Config, Recording: c.ModuleRecording, Log: std.newLogger(c.Log)},
+	err := platform.Run(platform.Options{ConfigPath: c.Config, RecordingPath: c.ModuleRecording, Log: std.newLogger(c.Log)},
 		ctx.Done(), reload)
 	if errors.Is(err, platformfront.ErrConfig) {
 		return usageError{err}
--- a/internal/front/platformfront/config.go
+++ b/internal/front/platformfront/config.go
@@ -29,15 +29,15 @@
 
 // Config is the configuration of one scheduler. It is read-only after ParseConfig and then safe for concurrent use.
 type Config struct {
-	Name, Listen, DiscoveryAddr string
-	Seed                        uint64
-	Limits                      Limits
-	InitialEvents               []WatchEvent  // the events of the control feed up to the start
-	InitialEventData            [][]byte      // their JSON text
-	LastSequence                uint64        // of the last of them
-	NodeIdleTimeout             time.Duration // after which nodes close a connection without traffic; zero if not known
-	Module                      flaxshelf.Config
-	Names                       *fleetsettings.Names
+	Name, ListenAddr, ControlFeedAddr string
+	Seed                              uint64
+	Limits                            Limits
+	InitialEvents                     []WatchEvent  // the events of the control feed up to the start
+	InitialEventsJSON                 [][]byte      // their JSON text
+	LastSequence                      uint64        // of the last of them
+	NodeIdleTimeout                   time.Duration // after which nodes close a connection without traffic; zero if not known
+	Module                            flaxshelf.Config
+	Names                             *fleetsettings.Names
 }
 
 // wireConfig is a configuration file with the JSON names of its members.
@@ -77,7 +77,7 @@
 	if err := json.Unmarshal(text, &wire); err != nil {
 		return nil, invalidJSON(err)
 	}
-	c := &Config{Name: wire.Name, Listen: wire.Listen, DiscoveryAddr: wire.Feed, Limits: wire.Limits,
+	c := &Config{Name: wire.Name, ListenAddr: wire.Listen, ControlFeedAddr: wire.Feed, Limits: wire.Limits,
 		LastSequence: wire.Known.LastSequence}
 	if err := c.validate(); err != nil {
 		return nil, err
@@ -86,10 +86,10 @@
 	if c.Seed, err = strconv.ParseUint(wire.Seed, 16, 64); err != nil {
 		return nil, invalidConfig("seed", strconv.Quote(wire.Seed), "must be a number of up to 16 hex digits")
 	}
-	if err := c.setSettings(wire.Settings); err != nil {
+	if err := c.decodeSettings(wire.Settings); err != nil {
 		return nil, err
 	}
-	if err := c.setInitialEvents(wire.Known.Events); err != nil {
+	if err := c.decodeInitialEvents(wire.Known.Events); err != nil {
 		return nil, err
 	}
 	return c, nil
@@ -98,9 +98,9 @@
 // validate checks the fields that are not within the settings.
 func (c *Config) validate() error {
 	switch {
-	case c.Listen == "":
+	case c.ListenAddr == "":
 		return invalidConfig("listen", `""`, "must be an address")
-	case c.DiscoveryAddr == "":
+	case c.ControlFeedAddr == "":
 		return invalidConfig("feed", `""`, "must be an address")
 	case !(c.Limits.Cores > 0):
 		return invalidConfig("limits.cores", strconv.FormatFloat(c.Limits.Cores, 'g', -1, 64), "must be above 0")
@@ -112,14 +112,14 @@
 	return nil
 }
 
-// setInitialEvents decodes the events of the control feed up to the start.
-func (c *Config) setInitialEvents(events []json.RawMessage) error {
+// decodeInitialEvents decodes the events of the control feed up to the start.
+func (c *Config) decodeInitialEvents(events []json.RawMessage) error {
 	for i, data := range events {
 		event, err := c.DecodeWatchEvent(data)
 		if err != nil {
 			return &ConfigError{Field: "known.events[" + strconv.Itoa(i) + "]", Err: err}
 		}
-		c.InitialEvents, c.InitialEventData = append(c.InitialEvents, event), append(c.InitialEventData, data)
+		c.InitialEvents, c.InitialEventsJSON = append(c.InitialEvents, event), append(c.InitialEventsJSON, data)
 	}
 	// If the list has no free capacity although the settings say so, every node would look full.
 	c.Module.ListsFreeCapacity = c.Module.ListsFreeCapacity &&
--- a/internal/front/platformfront/config_test.go
+++ b/internal/front/platformfront/config_test.go
@@ -139,10 +139,10 @@
 	expectEqual(t, "configuration", c, parseConfig(t))
 }
 
-// withKeys returns the JSON text with each of the keys changed by write. keys are separated by spaces.
-func withKeys(text, keys string, write func(string) string) string {
+// rewriteKeys returns the JSON text with each of the keys changed by rewrite. keys are separated by spaces.
+func rewriteKeys(text, keys string, rewrite func(string) string) string {
 	for key := range strings.FieldsSeq(keys) {
-		text = strings.ReplaceAll(text, `"`+key+`":`, `"`+write(key)+`":`)
+		text = strings.ReplaceAll(text, `"`+key+`":`, `"`+rewrite(key)+`":`)
 	}
 	return text
 }
@@ -153,29 +153,29 @@
 	want := parseConfig(t)
 	settingsAt := strings.Index(configText, `"settings":`)
 	outside, settings := configText[:settingsAt], configText[settingsAt:]
-	for name, write := range map[string]func(string) string{
+	for name, rewrite := range map[string]func(string) string{
 		"upper case": strings.ToUpper,
 		"capital":    func(key string) string { return strings.ToUpper(key[:1]) + key[1:] },
 		"last upper": func(key string) string { return key[:len(key)-1] + strings.ToUpper(key[len(key)-1:]) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			c, err := ParseConfig([]byte(withKeys(outside, "name listen seed feed limits cores memory_mb sockets known n events "+
-				"members full servers id addr zone kind cell state started_ms", write) + withKeys(settings, "settings", write)))
+			c, err := ParseConfig([]byte(rewriteKeys(outside, "name listen seed feed limits cores memory_mb sockets known n events "+
+				"members full servers id addr zone kind cell state started_ms", rewrite) + rewriteKeys(settings, "settings", rewrite)))
 			if err != nil {
 				t.Fatal(err)
 			}
-			c.InitialEventData = want.InitialEventData // holds the keys as they were written
+			c.InitialEventsJSON = want.InitialEventsJSON // holds the keys as they were written
 			expectEqual(t, "configuration", c, want)
-			c, err = ParseConfig([]byte(withKeys(configText, "caps conn_idle_ns", write)))
+			c, err = ParseConfig([]byte(rewriteKeys(configText, "caps conn_idle_ns", rewrite)))
 			if err != nil || c.NodeIdleTimeout != 30*time.Second {
 				t.Errorf("idle timeout: got %+v, %v, want 30 s", c, err)
 			}
-			event, err := want.DecodeWatchEvent([]byte(withKeys(eventText, "members servers id state unasked", write)))
+			event, err := want.DecodeWatchEvent([]byte(rewriteKeys(eventText, "members servers id state unasked", rewrite)))
 			if err != nil || !event.HasFreeCapacity || event.Update.Endpoints[0].Machine.FreeMemory != 2 {
 				t.Errorf("event: got %+v, %v, want one with 2 GiB of free memory", event, err)
 			}
 			object := strings.TrimSuffix(strings.TrimPrefix(settings, `"settings":`), "}")
-			_, names, err := fleetsettings.DecodeJSON(json.RawMessage(withKeys(object, "kinds categories customers name", write)))
+			_, names, err := fleetsettings.DecodeJSON(json.RawMessage(rewriteKeys(object, "kinds categories customers name", rewrite)))
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/front/platformfront/generated_test.go
+++ b/internal/front/platformfront/generated_test.go
@@ -31,34 +31,34 @@
 // generator draws the parts of a deployment.
 type generator struct {
 	*rand.Rand
-	name func(what string, i int) string // returns the name of the class, tenant or kind with the number
+	nameOf func(what string, i int) string // returns the name of the class, tenant or kind with the number
 }
 
-func (g *generator) pick(all ...any) any { return all[g.IntN(len(all))] }
+func (g *generator) oneOf(values ...any) any { return values[g.IntN(len(values))] }
 
-func (g *generator) upTo(most int) int { return 1 + g.IntN(most) }
+func (g *generator) intUpTo(limit int) int { return 1 + g.IntN(limit) }
 
-func (g *generator) nanos(least, most time.Duration) int64 {
-	return int64(least) + g.Int64N(int64(most-least))
+func (g *generator) nanosBetween(lower, upper time.Duration) int64 {
+	return int64(lower) + g.Int64N(int64(upper-lower))
 }
 
-// draw returns a random deployment.
-func draw(g *generator) deployment {
+// generateDeployment returns a random deployment.
+func generateDeployment(g *generator) deployment {
 	d := deployment{specificsPerClass: map[string][]any{}}
-	g.drawClasses(&d)
-	g.drawTenants(&d)
-	for i := range g.upTo(4) {
-		d.kinds = append(d.kinds, g.name("kind", i))
-		d.cores, d.memory = append(d.cores, float64(g.upTo(64))), append(d.memory, float64(g.upTo(256)))
+	g.addClasses(&d)
+	g.addTenants(&d)
+	for i := range g.intUpTo(4) {
+		d.kinds = append(d.kinds, g.nameOf("kind", i))
+		d.cores, d.memory = append(d.cores, float64(g.intUpTo(64))), append(d.memory, float64(g.intUpTo(256)))
 	}
 	specifics := map[string]any{"kind_cores": d.cores, "mem_of_kind": d.memory, "admit_cores": 1 + g.Float64()*3,
-		"memory_multiple": 1 + g.Float64(), "confirms": g.pick("running", "accepted"), "pushes_out": g.pick(true, false),
-		"shows_free": g.pick(true, false), "fresh_offers": g.Float64() * 40, "refusal_fee": g.Float64() / 10}
+		"memory_multiple": 1 + g.Float64(), "confirms": g.oneOf("running", "accepted"), "pushes_out": g.oneOf(true, false),
+		"shows_free": g.oneOf(true, false), "fresh_offers": g.Float64() * 40, "refusal_fee": g.Float64() / 10}
 	for key, list := range d.specificsPerClass {
 		specifics[key] = list
 	}
-	settings := g.drawSettings(&d, specifics)
-	d.timeLeftMillis = 300 + g.upTo(90_000)
+	settings := g.generateSettings(&d, specifics)
+	d.timeLeftMillis = 300 + g.intUpTo(90_000)
 	text, _ := json.Marshal(map[string]any{"name": "n0", "listen": "127.0.0.1:0", "feed": "127.0.0.1:1", "seed": "1f", "settings": settings,
 		"limits": map[string]any{"cores": 0.1 + g.Float64(), "memory_mb": 32 + g.IntN(160), "sockets": 256 + g.IntN(768)},
 		"known":  map[string]any{"n": 1, "events": []any{d.initialEvent(g.IntN(2) == 0)}}})
@@ -66,38 +66,38 @@
 	return d
 }
 
-func (g *generator) drawClasses(d *deployment) {
-	for i := range g.upTo(6) {
-		d.classes = append(d.classes, g.name("class", i))
-		effect := g.pick("read_like", "idempotency_key", "non_idempotent")
+func (g *generator) addClasses(d *deployment) {
+	for i := range g.intUpTo(6) {
+		d.classes = append(d.classes, g.nameOf("class", i))
+		effect := g.oneOf("read_like", "idempotency_key", "non_idempotent")
 		d.keyed = append(d.keyed, effect == "idempotency_key")
-		d.categories = append(d.categories, map[string]any{"name": d.classes[i], "effect": effect, "worth": float64(g.upTo(9)),
-			"key_scope": g.pick("machine", "cell", "zone", "all"), "key_ttl_ns": g.nanos(time.Second, time.Minute),
-			"objective_ns": g.nanos(10*time.Millisecond, 20*time.Second), "late_worth": g.Float64()})
-		spread := g.pick("off", "machine", "cell", "zone")
-		for key, value := range map[string]any{"start_seconds": g.upTo(20), "class_calm": 1, "fade_span": 1, "kind_by_class": -1,
-			"priority_by_class": g.IntN(3), "together_max": g.upTo(5), "spread_over": spread} {
+		d.categories = append(d.categories, map[string]any{"name": d.classes[i], "effect": effect, "worth": float64(g.intUpTo(9)),
+			"key_scope": g.oneOf("machine", "cell", "zone", "all"), "key_ttl_ns": g.nanosBetween(time.Second, time.Minute),
+			"objective_ns": g.nanosBetween(10*time.Millisecond, 20*time.Second), "late_worth": g.Float64()})
+		spread := g.oneOf("off", "machine", "cell", "zone")
+		for key, value := range map[string]any{"start_seconds": g.intUpTo(20), "class_calm": 1, "fade_span": 1, "kind_by_class": -1,
+			"priority_by_class": g.IntN(3), "together_max": g.intUpTo(5), "spread_over": spread} {
 			d.specificsPerClass[key] = append(d.specificsPerClass[key], value)
 		}
 	}
 }
 
-func (g *generator) drawTenants(d *deployment) {
+func (g *generator) addTenants(d *deployment) {
 	for i := range g.IntN(6) {
-		d.tenants = append(d.tenants, g.name("tenant", i))
+		d.tenants = append(d.tenants, g.nameOf("tenant", i))
 		d.customers = append(d.customers, map[string]any{"name": d.tenants[i], "fraction": g.Float64(), "quota_per_s": g.Float64() * 50})
-		d.specificsPerClass["quota_cores"] = append(d.specificsPerClass["quota_cores"], g.upTo(100))
+		d.specificsPerClass["quota_cores"] = append(d.specificsPerClass["quota_cores"], g.intUpTo(100))
 	}
 }
 
-func (g *generator) drawSettings(d *deployment, specifics map[string]any) map[string]any {
-	balancers := g.upTo(100)
-	return map[string]any{"index": g.IntN(balancers), "balancers": balancers, "zone": g.pick("", "east"), "kinds": d.kinds,
-		"discovery": g.pick("pushed", "on_request"), "round_ns": g.nanos(time.Millisecond, 20*time.Millisecond),
-		"caps": map[string]any{"cancel": g.pick(true, false), "most_tries": g.IntN(6), "probes": g.pick(true, false),
-			"connect_timeout_ns": g.nanos(time.Millisecond, time.Second), "conn_idle_ns": g.Int64N(int64(time.Minute))},
-		"obligations": map[string]any{"stop_sending_within_ns": g.nanos(50*time.Millisecond, 10*time.Second),
-			"cold_ns": g.nanos(time.Second, 30*time.Second), "fall_ns": g.nanos(500*time.Millisecond, 5*time.Second)},
+func (g *generator) generateSettings(d *deployment, specifics map[string]any) map[string]any {
+	balancers := g.intUpTo(100)
+	return map[string]any{"index": g.IntN(balancers), "balancers": balancers, "zone": g.oneOf("", "east"), "kinds": d.kinds,
+		"discovery": g.oneOf("pushed", "on_request"), "round_ns": g.nanosBetween(time.Millisecond, 20*time.Millisecond),
+		"caps": map[string]any{"cancel": g.oneOf(true, false), "most_tries": g.IntN(6), "probes": g.oneOf(true, false),
+			"connect_timeout_ns": g.nanosBetween(time.Millisecond, time.Second), "conn_idle_ns": g.Int64N(int64(time.Minute))},
+		"obligations": map[string]any{"stop_sending_within_ns": g.nanosBetween(50*time.Millisecond, 10*time.Second),
+			"cold_ns": g.nanosBetween(time.Second, 30*time.Second), "fall_ns": g.nanosBetween(500*time.Millisecond, 5*time.Second)},
 		"categories": d.categories, "customers": d.customers, "specifics": specifics,
 		"prices": map[string]any{"moves": g.Float64() / 4, "fleet": g.Float64() / 4, "cross_zone": g.Float64() / 10}}
 }
@@ -192,8 +192,8 @@
 	return m
 }
 
-// play submits eight set-ups of each class and returns all effects.
-func play(t *testing.T, d, plain *deployment, seed uint64) []requests.Effect {
+// submitSetUps submits eight set-ups of each class and returns all effects.
+func submitSetUps(t *testing.T, d, plain *deployment, seed uint64) []requests.Effect {
 	t.Helper()
 	s := newSession(t, d, plain, seed)
 	nodes, _ := MergeUpdates(s.config.InitialEvents)
@@ -221,9 +221,9 @@
 		return strings.Repeat("é, ", i) + "a=b " + what[:1] + "\t\"" + strings.Repeat("z", 40*i)
 	}
 	for seed := range uint64(150) {
-		plain := draw(&generator{rand.New(rand.NewPCG(seed, 5)), plainName})
-		unusual := draw(&generator{rand.New(rand.NewPCG(seed, 5)), unusualName})
-		want, got := play(t, &plain, &plain, seed), play(t, &unusual, &plain, seed)
+		plain := generateDeployment(&generator{rand.New(rand.NewPCG(seed, 5)), plainName})
+		unusual := generateDeployment(&generator{rand.New(rand.NewPCG(seed, 5)), unusualName})
+		want, got := submitSetUps(t, &plain, &plain, seed), submitSetUps(t, &unusual, &plain, seed)
 		if !reflect.DeepEqual(want, got) {
 			t.Fatalf("seed %d: got %d effects with unusual names, want the same %d as with plain ones", seed, len(got), len(want))
 		}
--- a/internal/front/platformfront/owner.go
+++ b/internal/front/platformfront/owner.go
@@ -71,7 +71,7 @@
 	if !extras.adopted {
 		return c.decodeSubmission(conn, m, task)
 	}
-	if !isName(extras.node) {
+	if !isValidName(extras.node) {
 		return nil, invalidField(m, fieldExtras, "at must be the name of a node")
 	}
 	return requests.Adopt{Conn: conn, Task: task, Node: extras.node}, nil
@@ -115,7 +115,7 @@
 func (c *Config) decodeTask(m *ownerjson.Message, class int, extras *extraFields) (flaxshelf.Task, error) {
 	task := flaxshelf.Task{ID: m.ID, Key: m.Fields[fieldKey], Class: class, Tenant: -1, Service: extras.service,
 		ExpectedRuntime: decodeRuntimeHint(m.Fields[fieldRuntimeHint])}
-	if !isName(task.Key) {
+	if !isValidName(task.Key) {
 		return task, invalidField(m, fieldKey, "must be a name")
 	}
 	var ok bool
@@ -125,7 +125,7 @@
 	if task.Memory, ok = parseAmount(extras.memory, c.maxMemory()); !ok {
 		return task, invalidField(m, fieldExtras, "memory must be above 0 and fit a machine")
 	}
-	if !isName(task.Service) {
+	if !isValidName(task.Service) {
 		return task, invalidField(m, fieldExtras, "service must be a name")
 	}
 	task.Tenant = c.Names.Tenant(m.Fields[fieldTenant])
@@ -150,7 +150,7 @@
 	if key == "" && c.Module.Classes[task.Class].Idempotency == flaxshelf.IdempotentByKey {
 		return nil, invalidField(m, fieldIdempotencyKey, "the class needs an idempotency key")
 	}
-	if key != "" && !isName(key) {
+	if key != "" && !isValidName(key) {
 		return nil, invalidField(m, fieldIdempotencyKey, "must be a name")
 	}
 	if !m.Described || m.Description == "" {
@@ -162,30 +162,30 @@
 
 // maxCores returns the number of cores that a task may request on the largest kind of machine.
 func (c *Config) maxCores() float64 {
-	most := 0.0
+	limit := 0.0
 	for i := range c.Module.Kinds {
-		most = max(most, c.Module.Kinds[i].Cores*max(c.Module.CoreOvercommit, 1))
+		limit = max(limit, c.Module.Kinds[i].Cores*max(c.Module.CoreOvercommit, 1))
 	}
-	return most
+	return limit
 }
 
 // maxMemory returns the memory that a task may request on the largest kind of machine.
 func (c *Config) maxMemory() float64 {
-	most := 0.0
+	limit := 0.0
 	for i := range c.Module.Kinds {
-		most = max(most, c.Module.Kinds[i].Memory*max(c.Module.MemoryOvercommit, 1))
+		limit = max(limit, c.Module.Kinds[i].Memory*max(c.Module.MemoryOvercommit, 1))
 	}
-	return most
+	return limit
 }
 
-// parseAmount parses a finite number above 0 and up to most.
-func parseAmount(text string, most float64) (amount float64, ok bool) {
+// parseAmount parses a finite number above 0 and up to limit.
+func parseAmount(text string, limit float64) (amount float64, ok bool) {
 	amount, err := strconv.ParseFloat(text, 64)
-	return amount, err == nil && amount > 0 && amount <= most && !math.IsInf(amount, 0)
+	return amount, err == nil && amount > 0 && amount <= limit && !math.IsInf(amount, 0)
 }
 
-// isName reports whether text is a valid name: 1 to maxNameLength bytes of printable ASCII without spaces.
-func isName(text string) bool {
+// isValidName reports whether text is a valid name: 1 to maxNameLength bytes of printable ASCII without spaces.
+func isValidName(text string) bool {
 	if text == "" || len(text) > maxNameLength {
 		return false
 	}
--- a/internal/front/platformfront/owner_test.go
+++ b/internal/front/platformfront/owner_test.go
@@ -12,7 +12,7 @@
 	"flaxshelf.example/flaxshelf/internal/requests"
 )
 
-const goodExtras = "cores:1;memory:2;service:00b4"
+const validExtras = "cores:1;memory:2;service:00b4"
 
 func setUpLine(class, timeLeft, key, idempotencyKey, extras string) string {
 	return fmt.Sprintf(`{"type":"setup","id":"9b1f03aa5c7e2d41","fields":{"class":%q,"left":%q,"key":%q,"idem":%q,"extras":%q},"sdp":"d"}`,
@@ -38,7 +38,7 @@
 }
 
 func TestDecodeAdoption(t *testing.T) {
-	got, err := decodeOwnerLine(t, parseConfig(t), setUpLine("batch_one", "", "7f3a", "", goodExtras+";at:s-1"))
+	got, err := decodeOwnerLine(t, parseConfig(t), setUpLine("batch_one", "", "7f3a", "", validExtras+";at:s-1"))
 	if adopt, ok := got.(requests.Adopt); err != nil || !ok || adopt.Node != "s-1" || adopt.Conn != 3 {
 		t.Errorf("got %+v, %v, want the adoption of a task on s-1 by connection 3", got, err)
 	}
@@ -58,18 +58,18 @@
 func TestInvalidSetUpsAreRejected(t *testing.T) {
 	c := parseConfig(t)
 	for name, test := range map[string]struct{ line, field string }{
-		"unknown class":             {setUpLine("odd", "1500", "k", "i", goodExtras), "class"},
-		"no class":                  {setUpLine("", "1500", "k", "i", goodExtras), "class"},
-		"deadline in the past":      {setUpLine("batch_one", "-5", "k", "", goodExtras), "left"},
-		"deadline is a word":        {setUpLine("batch_one", "soon", "k", "", goodExtras), "left"},
-		"no deadline":               {setUpLine("batch_one", "", "k", "", goodExtras), "left"},
-		"deadline is no number":     {setUpLine("batch_one", "nan", "k", "", goodExtras), "left"},
-		"deadline too far":          {setUpLine("batch_one", "1e30", "k", "", goodExtras), "left"},
-		"no key":                    {setUpLine("batch_one", "1500", "", "", goodExtras), "key"},
-		"key with a space":          {setUpLine("batch_one", "1500", "a b", "", goodExtras), "key"},
-		"long key":                  {setUpLine("batch_one", "1500", strings.Repeat("k", 300), "", goodExtras), "key"},
-		"no idempotency key":        {setUpLine("keyed", "1500", "k", "", goodExtras), "idem"},
-		"idempotency key not ASCII": {setUpLine("batch_one", "1500", "k", "i\u00e9", goodExtras), "idem"},
+		"unknown class":             {setUpLine("odd", "1500", "k", "i", validExtras), "class"},
+		"no class":                  {setUpLine("", "1500", "k", "i", validExtras), "class"},
+		"deadline in the past":      {setUpLine("batch_one", "-5", "k", "", validExtras), "left"},
+		"deadline is a word":        {setUpLine("batch_one", "soon", "k", "", validExtras), "left"},
+		"no deadline":               {setUpLine("batch_one", "", "k", "", validExtras), "left"},
+		"deadline is no number":     {setUpLine("batch_one", "nan", "k", "", validExtras), "left"},
+		"deadline too far":          {setUpLine("batch_one", "1e30", "k", "", validExtras), "left"},
+		"no key":                    {setUpLine("batch_one", "1500", "", "", validExtras), "key"},
+		"key with a space":          {setUpLine("batch_one", "1500", "a b", "", validExtras), "key"},
+		"long key":                  {setUpLine("batch_one", "1500", strings.Repeat("k", 300), "", validExtras), "key"},
+		"no idempotency key":        {setUpLine("keyed", "1500", "k", "", validExtras), "idem"},
+		"idempotency key not ASCII": {setUpLine("batch_one", "1500", "k", "i\u00e9", validExtras), "idem"},
 		"no extras":                 {setUpLine("batch_one", "1500", "k", "", ""), "extras"},
 		"negative cores":            {setUpLine("batch_one", "1500", "k", "", "cores:-1;memory:1;service:s"), "extras"},
 		"cores are no number":       {setUpLine("batch_one", "1500", "k", "", "cores:nan;memory:1;service:s"), "extras"},
@@ -77,8 +77,8 @@
 		"no cores":                  {setUpLine("batch_one", "1500", "k", "", "cores:0;memory:1;service:s"), "extras"},
 		"infinite memory":           {setUpLine("batch_one", "1500", "k", "", "cores:1;memory:inf;service:s"), "extras"},
 		"no service":                {setUpLine("batch_one", "1500", "k", "", "cores:1;memory:1"), "extras"},
-		"adopted from nowhere":      {setUpLine("batch_one", "1500", "k", "", goodExtras+";at:"), "extras"},
-		"no description":            {strings.Replace(setUpLine("batch_one", "1500", "k", "", goodExtras), `,"sdp":"d"`, "", 1), "sdp"},
+		"adopted from nowhere":      {setUpLine("batch_one", "1500", "k", "", validExtras+";at:"), "extras"},
+		"no description":            {strings.Replace(setUpLine("batch_one", "1500", "k", "", validExtras), `,"sdp":"d"`, "", 1), "sdp"},
 		"message of a node":         {`{"type":"answer","id":"9b1f03aa5c7e2d41"}` + "\n", "type"},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/front/platformfront/settings.go
+++ b/internal/front/platformfront/settings.go
@@ -21,8 +21,8 @@
 	} `json:"caps"`
 }
 
-// setSettings decodes all that the settings hold: the configuration of the module, names, and the idle timeout of nodes.
-func (c *Config) setSettings(settings json.RawMessage) error {
+// decodeSettings decodes all that the settings hold: the configuration of the module, names, and the idle timeout of nodes.
+func (c *Config) decodeSettings(settings json.RawMessage) error {
 	var err error
 	if c.Module, c.Names, err = fleetsettings.DecodeJSON(settings); err != nil {
 		return invalidSetting(err)
--- a/internal/platform/descriptors.go
+++ b/internal/platform/descriptor_budget.go
@@ -3,9 +3,9 @@
 // descriptorBudget divides the process's descriptors in advance, so that owners can never take those of nodes or of the
 // control feed.
 type descriptorBudget struct {
-	ownerConnections    int // owners' connections that may be accepted
-	retainedConnections int // of these, how many admission control keeps open
-	links               int // connections to nodes
+	ownerConnections         int // owners' connections that may be accepted
+	retainedOwnerConnections int // of these, how many admission control keeps open
+	nodeLinks                int // connections to nodes
 }
 
 const (
@@ -22,8 +22,8 @@
 	shared := max(limit-reservedDescriptors, minSharedDescriptors)
 	owners := shared * 2 / 5
 	return descriptorBudget{
-		ownerConnections:    owners,
-		retainedConnections: owners - max(owners/16, 1),
-		links:               shared - owners,
+		ownerConnections:         owners,
+		retainedOwnerConnections: owners - max(owners/16, 1),
+		nodeLinks:                shared - owners,
 	}
 }
--- a/internal/platform/helpers_test.go
+++ b/internal/platform/helpers_test.go
@@ -130,7 +130,7 @@
 	_ = listener.Close()
 	s.writeConfig(s.feed.Addr(), options.settings, nodes...)
 	go func() {
-		s.runResult <- Run(Options{Config: s.configPath, Recording: s.recordingPath, Log: zerolog.New(s)}, s.stop, s.reload)
+		s.runResult <- Run(Options{ConfigPath: s.configPath, RecordingPath: s.recordingPath, Log: zerolog.New(s)}, s.stop, s.reload)
 	}()
 	t.Cleanup(s.shutDown)
 	<-s.feed.Requests
@@ -303,7 +303,7 @@
 func (c *client) placeTask(task int) {
 	c.t.Helper()
 	c.submit(task)
-	if r := c.expect("answer", task, 0); r.SDP != scripted.Description {
+	if r := c.expectReply("answer", task, 0); r.SDP != scripted.Description {
 		c.t.Errorf("got response %+v, want the node's description %q", r, scripted.Description)
 	}
 }
@@ -320,8 +320,8 @@
 	Cause         int
 }
 
-// read reads the next message.
-func (c *client) read() (r reply) {
+// readReply reads the next message.
+func (c *client) readReply() (r reply) {
 	c.t.Helper()
 	line, err := c.reader.ReadBytes('\n')
 	if err != nil {
@@ -333,10 +333,10 @@
 	return r
 }
 
-// expect reads the next message and checks its type, task and cause.
-func (c *client) expect(kind string, task, cause int) reply {
+// expectReply reads the next message and checks its type, task and cause.
+func (c *client) expectReply(kind string, task, cause int) reply {
 	c.t.Helper()
-	r := c.read()
+	r := c.readReply()
 	if r.Type != kind || r.ID != fmt.Sprintf("%016x", task) || r.Cause != cause {
 		c.t.Fatalf("got %+v, want %s of %d with cause %d", r, kind, task, cause)
 	}
@@ -347,7 +347,7 @@
 func (c *client) ping() bool {
 	c.t.Helper()
 	c.send(`{"type":"ping","id":"%016x","fields":{},"cause":0}`, 1)
-	return c.read().Cause == 1
+	return c.readReply().Cause == 1
 }
 
 // awaitClosed waits until the scheduler has closed the connection.
--- a/internal/platform/leak_test.go
+++ b/internal/platform/leak_test.go
@@ -47,7 +47,7 @@
 			c := s.dial() // without a cleanup, which would retain the client
 			c.placeTask(task)
 			n.Send(nodebinary.Message{Type: nodebinary.Release, Task: uint64(task), Cause: 16})
-			c.expect("release", task, 16)
+			c.expectReply("release", task, 16)
 			_ = c.conn.Close()
 			task++
 			switch {
@@ -109,7 +109,7 @@
 	}
 	other.placeTask(3)
 	for _, c := range clients {
-		if r := c.read(); r.Type != "answer" {
+		if r := c.readReply(); r.Type != "answer" {
 			t.Errorf("got %+v, want an answer", r)
 		}
 	}
--- a/internal/platform/mailbox.go
+++ b/internal/platform/mailbox.go
@@ -9,10 +9,10 @@
 
 // message is a message of the event loop or the endpoint watch to the run loop.
 type message struct {
-	inputs     []requests.Input
-	conn       *transport.Conn    // the connection that has just opened; else nil
-	receivedAt requests.Time      // when the event loop read it from an owner; 0: it is not from an owner
-	watch      *watchNotification // a notification of the endpoint watch; else nil
+	inputs       []requests.Input
+	openedConn   *transport.Conn    // the connection that has just opened; else nil
+	receivedAt   requests.Time      // when the event loop read it from an owner; 0: it is not from an owner
+	notification *watchNotification // a notification of the endpoint watch; else nil
 }
 
 // mailbox queues the messages for the run loop in the order of their arrival. Messages of peers are rejected while it is
@@ -42,8 +42,8 @@
 	return true
 }
 
-// put queues a message even if the mailbox is full.
-func (b *mailbox) put(m message) {
+// forcePut queues a message even if the mailbox is full.
+func (b *mailbox) forcePut(m message) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.enqueue(m)
--- a/internal/platform/mailbox_test.go
+++ b/internal/platform/mailbox_test.go
@@ -29,7 +29,7 @@
 // message.
 func TestMailboxOrder(t *testing.T) {
 	b := newMailbox(2)
-	put := func(m message) bool { b.put(m); return true }
+	put := func(m message) bool { b.forcePut(m); return true }
 	for i, queue := range []func(message) bool{b.tryPut, b.tryPut, b.tryPut, put} {
 		if got, want := queue(disconnected(requests.ConnID(i+1))), i != 2; got != want {
 			t.Errorf("message %d: got accepted %v, want %v", i+1, got, want)
--- a/internal/platform/module_state_test.go
+++ b/internal/platform/module_state_test.go
@@ -129,7 +129,7 @@
 		switch rng.IntN(5) {
 		case 0:
 			tasks.complete(nodes, task)
-			c.expect("release", task, 16)
+			c.expectReply("release", task, 16)
 		case 1:
 			node := nodes[tasks.nodeOf(task)]
 			c.release(task, 31)
@@ -160,7 +160,7 @@
 	lost := tasks.removeNode("s-3", running)
 	nodes["s-3"].Kill()
 	for range lost {
-		if r := c.read(); r.Type != "release" || r.Cause != 41 {
+		if r := c.readReply(); r.Type != "release" || r.Cause != 41 {
 			t.Errorf("got %+v, want the release of a task on the dead node with cause 41", r)
 		}
 	}
--- a/internal/platform/nodes.go
+++ b/internal/platform/node_handler.go
@@ -15,14 +15,14 @@
 
 // nodeHandler reads the messages of one link to a node. It belongs to the event loop.
 type nodeHandler struct {
-	scheduler *Scheduler
+	scheduler *scheduler
 	link      requests.LinkID
 	partial   partialMessage
 }
 
 // Opened implements transport.Opener.
 func (h *nodeHandler) Opened(c *transport.Conn) {
-	if !h.scheduler.mailbox.tryPut(message{inputs: []requests.Input{requests.LinkUp{Link: h.link}}, conn: c}) {
+	if !h.scheduler.mailbox.tryPut(message{inputs: []requests.Input{requests.LinkUp{Link: h.link}}, openedConn: c}) {
 		c.Close(errMailboxFull)
 	}
 }
@@ -58,5 +58,5 @@
 // Closed implements transport.Handler.
 func (h *nodeHandler) Closed(c *transport.Conn, reason error) {
 	h.scheduler.options.Log.Debug().Err(reason).Str("node_address", c.Remote()).Msg("link to the node closed")
-	h.scheduler.mailbox.put(message{inputs: []requests.Input{requests.LinkDown{Link: h.link}}})
+	h.scheduler.mailbox.forcePut(message{inputs: []requests.Input{requests.LinkDown{Link: h.link}}})
 }
--- a/internal/platform/owners.go
+++ b/internal/platform/owner_handler.go
@@ -16,7 +16,7 @@
 
 // acquireOwnerSlot waits for a slot for one more owner's connection. Connections beyond the slots wait in the listener's
 // queue, so that owners cannot take the descriptors of nodes.
-func (s *Scheduler) acquireOwnerSlot() {
+func (s *scheduler) acquireOwnerSlot() {
 	select {
 	case s.ownerSlots <- struct{}{}:
 	case <-s.loopDone:
@@ -24,13 +24,13 @@
 }
 
 // newOwnerHandler returns the handler of an owner's new connection, which has acquired a slot.
-func (s *Scheduler) newOwnerHandler(*transport.Conn) transport.Handler {
-	return &ownerHandler{scheduler: s, id: requests.ConnID(s.ownerConnections.Add(1))}
+func (s *scheduler) newOwnerHandler(*transport.Conn) transport.Handler {
+	return &ownerHandler{scheduler: s, id: requests.ConnID(s.lastConnID.Add(1))}
 }
 
 // ownerHandler reads the messages of one owner's connection. It belongs to the event loop.
 type ownerHandler struct {
-	scheduler *Scheduler
+	scheduler *scheduler
 	id        requests.ConnID
 	partial   partialMessage
 }
@@ -39,7 +39,7 @@
 func (h *ownerHandler) Opened(c *transport.Conn) {
 	host, _, _ := net.SplitHostPort(c.Remote())
 	connected := requests.OwnerConnected{Conn: h.id, Host: host}
-	m := message{inputs: []requests.Input{connected}, conn: c, receivedAt: clock.Now()}
+	m := message{inputs: []requests.Input{connected}, openedConn: c, receivedAt: clock.Now()}
 	if !h.scheduler.mailbox.tryPut(m) {
 		c.Close(errMailboxFull)
 	}
@@ -108,5 +108,5 @@
 		h.scheduler.ownerPartialMessages.Add(-1)
 	}
 	<-h.scheduler.ownerSlots
-	h.scheduler.mailbox.put(message{inputs: []requests.Input{requests.OwnerDisconnected{Conn: h.id}}})
+	h.scheduler.mailbox.forcePut(message{inputs: []requests.Input{requests.OwnerDisconnected{Conn: h.id}}})
 }
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -1,7 +1,7 @@
 // Package platform runs a scheduler on the users' platform: it connects requests.Core to sockets, the clock, signals and the
 // control feed. It makes no decisions about tasks.
 //
-// Goroutines: the run loop is the only one that uses the core and the fields of Scheduler marked as its own. One event loop
+// Goroutines: the run loop is the only one that uses the core and the fields of scheduler marked as its own. One event loop
 // of package transport serves all connections of owners and nodes. Each stream of the control feed, each dial and the
 // listener have a goroutine of their own. All of them pass messages to the run loop through a mailbox, and Run waits for all
 // of them before it returns.
@@ -27,10 +27,10 @@
 )
 
 const (
-	queueCapacity = 1 << 12  // messages in the mailbox of the run loop
-	maxBatch      = 512      // messages of one step
-	maxWriteQueue = 1 << 20  // bytes to be written to one peer
-	maxReadBuffer = 64 << 10 // bytes of one peer that are not parsed yet
+	mailboxCapacity  = 1 << 12  // messages in the mailbox of the run loop
+	maxBatchMessages = 512      // messages of one step
+	maxWriteQueue    = 1 << 20  // bytes to be written to one peer
+	maxReadBuffer    = 64 << 10 // bytes of one peer that are not parsed yet
 	// idleTimeout is how long an owner's connection may stay unused, or a message on it incomplete. The protocol expects the
 	// connection of a misbehaving client to be closed within 3 s.
 	idleTimeout = 2300 * time.Millisecond
@@ -44,18 +44,18 @@
 	// maxProtocolErrors is how many malformed requests a connection may send after its last use without being closed.
 	maxProtocolErrors = 3
 	// heapTenths is how many tenths of the process's memory its heap may use.
-	heapTenths = 6
+	maxHeapTenths = 6
 )
 
 // Options are the settings of the command line.
 type Options struct {
-	Config    string         // path of the configuration file
-	Recording string         // path of the file that records the module's steps; empty means no recording
-	Log       zerolog.Logger // at trace level it receives each input and effect of the core
+	ConfigPath    string         // path of the configuration file
+	RecordingPath string         // path of the file that records the module's steps; empty means no recording
+	Log           zerolog.Logger // at trace level it receives each input and effect of the core
 }
 
-// Scheduler is a running scheduler. Run creates it; it has no exported methods.
-type Scheduler struct {
+// scheduler is a running scheduler. Run creates it; it has no exported methods.
+type scheduler struct {
 	options  Options
 	config   atomic.Pointer[platformfront.Config] // replaced by the run loop, read by all goroutines
 	mailbox  *mailbox
@@ -64,21 +64,21 @@
 	acceptor *transport.Acceptor
 	dials    sync.WaitGroup
 
-	ownerConnections     atomic.Uint64 // number of owners' connections so far, and the last one's ID
+	lastConnID           atomic.Uint64 // number of owners' connections so far, and the last one's ID
 	ownerSlots           chan struct{} // contains a token for each owner's connection
 	ownerPartialMessages atomic.Int64  // owners' connections on which a message has arrived in part
 
 	released releasedTasks // belongs to the event loop
 
 	// The fields below belong to the run loop.
-	core        *requests.Core
-	recording   *replay.Writer // nil means no recording
-	owners      map[requests.ConnID]*peer
-	links       map[requests.LinkID]*peer
-	unflushed   []*peer // peers whose outboxes are not empty
-	watch       endpointWatch
-	position    watchPosition
-	reportedCPU time.Duration // CPU time of the process at the last report
+	core            *requests.Core
+	recording       *replay.Writer // nil means no recording
+	owners          map[requests.ConnID]*peer
+	links           map[requests.LinkID]*peer
+	peersToFlush    []*peer // peers whose outboxes are not empty
+	watch           endpointWatch
+	watchPosition   watchPosition
+	cpuAtLastReport time.Duration // CPU time of the process at the last report
 }
 
 // peer is a connection with the messages of a step for it.
@@ -91,7 +91,7 @@
 // reload it reads the configuration again. It limits the whole process to one CPU and sets its memory limit. The error
 // matches platformfront.ErrConfig if the configuration file cannot be read or decoded.
 func Run(options Options, stop, reload <-chan struct{}) error {
-	config, err := platformfront.ReadConfig(options.Config)
+	config, err := platformfront.ReadConfig(options.ConfigPath)
 	if err != nil {
 		return err
 	}
@@ -104,7 +104,7 @@
 	if err := s.listen(config); err != nil {
 		return errors.Join(err, s.closeRecording())
 	}
-	options.Log.Info().Str("address", s.acceptor.Addr()).Str("control_feed", config.DiscoveryAddr).
+	options.Log.Info().Str("address", s.acceptor.Addr()).Str("control_feed", config.ControlFeedAddr).
 		Float64("cores", config.Limits.Cores).Int("memory_mb", config.Limits.MemoryMB).Int("sockets", config.Limits.Sockets).
 		Uint64("last_event", config.LastSequence).Msg("scheduler started")
 	dialContext, cancelDials := context.WithCancel(context.Background())
@@ -116,35 +116,35 @@
 // limitProcess restricts the process to one CPU, of which it has a share, and limits its heap to heapTenths of its memory.
 func limitProcess(limits platformfront.Limits) {
 	runtime.GOMAXPROCS(1)
-	debug.SetMemoryLimit(int64(limits.MemoryMB) << 20 * heapTenths / 10)
+	debug.SetMemoryLimit(int64(limits.MemoryMB) << 20 * maxHeapTenths / 10)
 }
 
-func newScheduler(options Options, config *platformfront.Config, budget descriptorBudget) *Scheduler {
-	s := &Scheduler{
-		options:    options,
-		mailbox:    newMailbox(queueCapacity),
-		loopDone:   make(chan struct{}),
-		ownerSlots: make(chan struct{}, budget.ownerConnections),
-		owners:     map[requests.ConnID]*peer{},
-		links:      map[requests.LinkID]*peer{},
-		position:   watchPosition{last: config.LastSequence},
+func newScheduler(options Options, config *platformfront.Config, budget descriptorBudget) *scheduler {
+	s := &scheduler{
+		options:       options,
+		mailbox:       newMailbox(mailboxCapacity),
+		loopDone:      make(chan struct{}),
+		ownerSlots:    make(chan struct{}, budget.ownerConnections),
+		owners:        map[requests.ConnID]*peer{},
+		links:         map[requests.LinkID]*peer{},
+		watchPosition: watchPosition{lastSequence: config.LastSequence},
 	}
 	s.watch.scheduler = s
 	s.config.Store(config)
 	return s
 }
 
-// newCore creates the core, and the recording of its steps if Options.Recording names a file.
-func (s *Scheduler) newCore(config *platformfront.Config, budget descriptorBudget) error {
+// newCore creates the core, and the recording of its steps if Options.RecordingPath is set.
+func (s *scheduler) newCore(config *platformfront.Config, budget descriptorBudget) error {
 	coreConfig := requests.Config{
 		Placer:                 config.Module,
 		Seed:                   config.Seed,
 		NodeUnreachableTimeout: requests.DefaultNodeUnreachableTimeout,
 		NodeIdleTimeout:        config.NodeIdleTimeout,
 		MaxPending:             maxPendingRequests,
-		MaxLinks:               budget.links,
+		MaxLinks:               budget.nodeLinks,
 		Admission: admission.Limits{
-			MaxConnections:          budget.retainedConnections,
+			MaxConnections:          budget.retainedOwnerConnections,
 			IdleTimeout:             idleTimeout,
 			RecentUseGrace:          recentUseGrace,
 			MaxProtocolErrors:       maxProtocolErrors,
@@ -152,8 +152,8 @@
 		},
 	}
 	var err error
-	if s.options.Recording != "" {
-		if s.recording, err = replay.Create(s.options.Recording, config.Module, config.Seed); err != nil {
+	if s.options.RecordingPath != "" {
+		if s.recording, err = replay.Create(s.options.RecordingPath, config.Module, config.Seed); err != nil {
 			return err
 		}
 		coreConfig.RecordStep = s.recording.Step
@@ -163,19 +163,19 @@
 }
 
 // listen starts the event loop and listens for owners.
-func (s *Scheduler) listen(config *platformfront.Config) (err error) {
+func (s *scheduler) listen(config *platformfront.Config) (err error) {
 	transportOptions := transport.Options{MaxReadBuffer: maxReadBuffer, MaxWriteQueue: maxWriteQueue, Log: s.options.Log}
 	if s.dialer, err = transport.NewDialer(transportOptions); err != nil {
 		return err
 	}
-	if s.acceptor, err = s.dialer.Accept(config.Listen, s.acquireOwnerSlot, s.newOwnerHandler); err != nil {
+	if s.acceptor, err = s.dialer.Accept(config.ListenAddr, s.acquireOwnerSlot, s.newOwnerHandler); err != nil {
 		return errors.Join(err, s.dialer.Stop())
 	}
 	return nil
 }
 
 // close ends all connections and goroutines. What was written before is delivered to the owners first.
-func (s *Scheduler) close(cancelDials context.CancelFunc) error {
+func (s *scheduler) close(cancelDials context.CancelFunc) error {
 	s.acceptor.Stop()
 	cancelDials()
 	s.closeOwners()
@@ -188,7 +188,7 @@
 }
 
 // closeRecording ends the recording of the core's steps, if there is one.
-func (s *Scheduler) closeRecording() error {
+func (s *scheduler) closeRecording() error {
 	if s.recording == nil {
 		return nil
 	}
@@ -197,7 +197,7 @@
 
 // closeOwners ends our side of the owners' connections and waits up to ownerCloseTimeout until they have ended theirs: the
 // close of a socket with unread bytes sends a reset, which may destroy an answer on its way.
-func (s *Scheduler) closeOwners() {
+func (s *scheduler) closeOwners() {
 	for _, owner := range s.owners {
 		owner.conn.CloseWrite()
 	}
@@ -207,7 +207,7 @@
 	for len(s.owners) > 0 {
 		select {
 		case <-s.mailbox.ready:
-			batch = s.mailbox.take(batch[:0], maxBatch)
+			batch = s.mailbox.take(batch[:0], maxBatchMessages)
 			for _, m := range batch {
 				s.handleMessage(m, nil)
 			}
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -30,7 +30,7 @@
 		t.Errorf("the node got %+v, want task 2 of class batch with key k2, the owner's description and time left", m)
 	}
 	n.Send(nodebinary.Message{Type: nodebinary.Release, Task: 2, Cause: 16})
-	c.expect("release", 2, 16)
+	c.expectReply("release", 2, 16)
 }
 
 // Owners may end or migrate a running task on another connection than that of its request. A request with an ID that is in
@@ -45,7 +45,7 @@
 	expectMessage(t, n, nodebinary.Release, 3)
 	c.placeTask(4)
 	other.submit(4)
-	other.expect("release", 4, 41)
+	other.expectReply("release", 4, 41)
 	c.placeTask(5) // no release in between: an owner gets none for a task that it ended itself
 }
 
@@ -84,7 +84,7 @@
 	c.placeTask(8)
 	expectMessage(t, n, nodebinary.SetUp, 8)
 	n.Send(nodebinary.Message{Type: nodebinary.Release, Task: 7, Cause: 41, Token: "oom"})
-	c.expect("release", 7, 41)
+	c.expectReply("release", 7, 41)
 }
 
 // A malformed response of a node closes the link, and the task is placed on another node.
@@ -99,7 +99,7 @@
 	c.submit(2)
 	awaitMessage(t, n, nodebinary.SetUp)
 	s.feed.Publish(false, scripted.Entry("s-2", newNode(t, scripted.AcceptAll).Addr(), "active"))
-	c.expect("answer", 2, 0)
+	c.expectReply("answer", 2, 0)
 }
 
 // A link on which a message stays partial is closed even if no request is pending on it, because the message would consume
@@ -129,22 +129,22 @@
 func TestNodeDeathTerminatesTasks(t *testing.T) {
 	_, n, c := startSchedulerWithTask(t)
 	n.Kill()
-	c.expect("release", 2, 41)
+	c.expectReply("release", 2, 41)
 }
 
 // A node becomes unreachable while a task runs there: its connections stay open and new ones are never established. The
 // owner is notified by the protocol's deadline.
 func TestUnreachableNodeIsReportedWithinDeadline(t *testing.T) {
 	_, n, c := startSchedulerWithTask(t)
-	filling, err := n.Freeze()
-	for _, conn := range filling {
+	backlogConns, err := n.Freeze()
+	for _, conn := range backlogConns {
 		defer conn.Close()
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
 	start := time.Now()
-	c.expect("release", 2, 41)
+	c.expectReply("release", 2, 41)
 	if elapsed := time.Since(start); elapsed > requests.LossNotificationDeadline {
 		t.Errorf("the owner was notified after %v, want within %v", elapsed, requests.LossNotificationDeadline)
 	}
@@ -154,11 +154,11 @@
 func TestNodeAtReusedAddressGetsNoTasksOfPreviousNode(t *testing.T) {
 	s, n, c := startSchedulerWithTask(t)
 	s.feed.Publish(false, scripted.Entry("s-2", n.Addr(), "active"))
-	c.expect("release", 2, 41)
+	c.expectReply("release", 2, 41)
 	c.placeTask(3)
 	n.Send(nodebinary.Message{Type: nodebinary.Release, Task: 2, Cause: 16}) // a task of the former node: nothing follows
 	n.Send(nodebinary.Message{Type: nodebinary.Release, Task: 3, Cause: 16})
-	c.expect("release", 3, 16)
+	c.expectReply("release", 3, 16)
 }
 
 // Events are applied once and partial events are dropped. After a stream that breaks, and after one that stays open but
@@ -179,7 +179,7 @@
 		}
 	}
 	s.feed.Publish(false, scripted.Entry("s-1", old.Addr(), "left"))
-	c.expect("release", 2, 41)
+	c.expectReply("release", 2, 41)
 	s.feed.Republish(2) // an old event, by which the node is active
 	s.feed.Publish(false, scripted.Entry("s-2", newNode(t, scripted.AcceptAll).Addr(), "active"))
 	for i := range 8 {
@@ -194,7 +194,7 @@
 	s, old, c := startSchedulerWithTask(t)
 	entry := scripted.Entry("s-1", old.Addr(), "active")
 	s.feed.Publish(true, scripted.Entry("s-2", newNode(t, scripted.AcceptAll).Addr(), "active"))
-	c.expect("release", 2, 41)
+	c.expectReply("release", 2, 41)
 	if err := os.WriteFile(s.configPath, []byte("{"), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -241,7 +241,7 @@
 	for range 4 {
 		c.send(`{"type":"setup","id":"%016x","fields":{"class":"odd","left":"1000"},"sdp":"x"}`, 9)
 	}
-	c.expect("release", 9, 47)
+	c.expectReply("release", 9, 47)
 	c.awaitClosed()
 	partial := s.connect()
 	partial.placeTask(10)
@@ -282,13 +282,13 @@
 func TestDivideDescriptors(t *testing.T) {
 	for limit := 96; limit <= 1<<14; limit++ {
 		b := divideDescriptors(limit)
-		if b.ownerConnections+b.links+reservedDescriptors != limit || 3*b.retainedConnections < limit-reservedDescriptors ||
-			b.retainedConnections >= b.ownerConnections {
+		if b.ownerConnections+b.nodeLinks+reservedDescriptors != limit || 3*b.retainedOwnerConnections < limit-reservedDescriptors ||
+			b.retainedOwnerConnections >= b.ownerConnections {
 			t.Fatalf("limit %d: got %+v, want shares that add up, and retained connections from a third of it to the owners' share",
 				limit, b)
 		}
 	}
-	if b := divideDescriptors(32); b.retainedConnections < 1 || b.links < 1 || b.ownerConnections+b.links > 16 {
+	if b := divideDescriptors(32); b.retainedOwnerConnections < 1 || b.nodeLinks < 1 || b.ownerConnections+b.nodeLinks > 16 {
 		t.Errorf("limit 32: got %+v, want a connection of each kind and at most 16 in all", b)
 	}
 }
@@ -299,7 +299,7 @@
 	if err := os.WriteFile(path, []byte(`{"listen":"127.0.0.1:0"}`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := Run(Options{Config: path}, nil, nil); err == nil || !strings.Contains(err.Error(), "field feed") {
+	if err := Run(Options{ConfigPath: path}, nil, nil); err == nil || !strings.Contains(err.Error(), "field feed") {
 		t.Errorf("got error %v, want one that names the field feed", err)
 	}
 }
--- a/internal/platform/released_test.go
+++ b/internal/platform/released_tasks_test.go
@@ -6,7 +6,7 @@
 )
 
 // The last maxReleasedTasks tasks are recorded, each once; older ones are discarded in the order of their release.
-func TestReleasedTasksForgetOldest(t *testing.T) {
+func TestReleasedTasksDiscardOldest(t *testing.T) {
 	var released releasedTasks
 	task := func(n int) string { return fmt.Sprint(n) }
 	released.add(task(0))
--- a/internal/platform/reload.go
+++ b/internal/platform/reload.go
@@ -9,7 +9,7 @@
 
 // configuredNodes returns the nodes of the configuration, with its events merged into one update, so that a start dials only
 // the nodes that are still listed.
-func (s *Scheduler) configuredNodes() []requests.Input {
+func (s *scheduler) configuredNodes() []requests.Input {
 	list, found := platformfront.MergeUpdates(s.config.Load().InitialEvents)
 	if !found {
 		return nil
@@ -23,9 +23,9 @@
 //
 // The core retains the settings of its start, because other settings would number classes and kinds differently. The node
 // updates of the file are decoded with the names of the start, so that a drain is never missed.
-func (s *Scheduler) reload() []requests.Input {
+func (s *scheduler) reload() []requests.Input {
 	old := s.config.Load()
-	file, err := platformfront.ReadConfig(s.options.Config)
+	file, err := platformfront.ReadConfig(s.options.ConfigPath)
 	if err != nil {
 		s.options.Log.Error().Err(err).Msg("configuration cannot be reloaded, the old one stays in use")
 		return nil
@@ -35,26 +35,26 @@
 			Msg("changed settings are ignored until a restart, the control feed and the nodes of the new configuration are used")
 	}
 	var inputs []requests.Input
-	if list, found := platformfront.MergeUpdates(s.newEvents(old, file.InitialEventData)); found {
+	if list, found := platformfront.MergeUpdates(s.decodeNewEvents(old, file.InitialEventsJSON)); found {
 		inputs = append(inputs, list)
 	}
 	config := *old
-	config.DiscoveryAddr = file.DiscoveryAddr
+	config.ControlFeedAddr = file.ControlFeedAddr
 	s.config.Store(&config)
-	s.options.Log.Info().Str("control_feed", config.DiscoveryAddr).Str("former_control_feed", old.DiscoveryAddr).
-		Uint64("last_event", s.position.last).Msg("configuration reloaded")
+	s.options.Log.Info().Str("control_feed", config.ControlFeedAddr).Str("former_control_feed", old.ControlFeedAddr).
+		Uint64("last_event", s.watchPosition.lastSequence).Msg("configuration reloaded")
 	s.subscribe()
 	return inputs
 }
 
-// newEvents decodes the events after the position, which it advances to the last of them. Events that cannot be decoded with
+// decodeNewEvents decodes the events after the position, which it advances to the last of them. Events that cannot be decoded with
 // config are skipped.
-func (s *Scheduler) newEvents(config *platformfront.Config, data [][]byte) []platformfront.WatchEvent {
+func (s *scheduler) decodeNewEvents(config *platformfront.Config, data [][]byte) []platformfront.WatchEvent {
 	var events []platformfront.WatchEvent
 	for _, raw := range data {
 		event, err := config.DecodeWatchEvent(raw)
-		if err == nil && event.Sequence > s.position.last {
-			s.position.last = event.Sequence
+		if err == nil && event.Sequence > s.watchPosition.lastSequence {
+			s.watchPosition.lastSequence = event.Sequence
 			events = append(events, event)
 		}
 	}
--- a/internal/platform/loop.go
+++ b/internal/platform/run_loop.go
@@ -10,19 +10,19 @@
 
 // runLoop is the state of the goroutine that owns the core.
 type runLoop struct {
-	*Scheduler
-	timer    *time.Timer      // fires when the core's next step is due
-	inputs   []requests.Input // of the next step
-	batch    []message        // reused by each step
-	shutdown gracefulShutdown
-	recheck  <-chan time.Time // receives when the shutdown is to be checked again; nil: none was requested
-	drained  <-chan struct{}  // closed when listening has ended; nil: it is not being drained
+	*scheduler
+	timer           *time.Timer      // fires when the core's next step is due
+	inputs          []requests.Input // of the next step
+	batch           []message        // reused by each step
+	shutdown        gracefulShutdown
+	shutdownRecheck <-chan time.Time // receives when the shutdown is to be checked again; nil: none was requested
+	listenerStopped <-chan struct{}  // closed when listening has ended; nil: it is not being drained
 }
 
 // run steps the core until a shutdown is complete. Connections to nodes are dialed within dialContext.
-func (s *Scheduler) run(dialContext context.Context, stop, reload <-chan struct{}) {
+func (s *scheduler) run(dialContext context.Context, stop, reload <-chan struct{}) {
 	defer close(s.loopDone)
-	loop := &runLoop{Scheduler: s, timer: time.NewTimer(0), inputs: s.configuredNodes()}
+	loop := &runLoop{scheduler: s, timer: time.NewTimer(0), inputs: s.configuredNodes()}
 	defer loop.timer.Stop()
 	statsTicker := time.NewTicker(statsInterval)
 	defer statsTicker.Stop()
@@ -35,9 +35,9 @@
 		case <-stop:
 			stop = nil
 			loop.beginShutdown()
-		case <-loop.recheck:
-		case <-loop.drained:
-			loop.drained = nil
+		case <-loop.shutdownRecheck:
+		case <-loop.listenerStopped:
+			loop.listenerStopped = nil
 		case <-statsTicker.C:
 			s.reportStats()
 			continue
@@ -57,7 +57,7 @@
 // collectInputs takes one batch of messages and returns the time of the step that handles them, which is not before any of
 // them arrived.
 func (l *runLoop) collectInputs() requests.Time {
-	l.batch = l.mailbox.take(l.batch[:0], maxBatch)
+	l.batch = l.mailbox.take(l.batch[:0], maxBatchMessages)
 	for _, m := range l.batch {
 		l.inputs = l.handleMessage(m, l.inputs)
 		l.shutdown.lastReceived = max(l.shutdown.lastReceived, m.receivedAt)
@@ -72,7 +72,7 @@
 	effects, next := l.core.Step(now, l.inputs)
 	l.traceEffects(effects)
 	l.inputs = l.inputs[:0]
-	l.execute(dialContext, now, effects)
+	l.executeEffects(dialContext, now, effects)
 	return next
 }
 
@@ -85,26 +85,26 @@
 
 // advanceShutdown takes the next step of a graceful shutdown and reports whether it is complete.
 func (l *runLoop) advanceShutdown(now requests.Time) bool {
-	step := l.shutdown.next(now, shutdownBlockers{
-		Idle:            l.core.Idle() && l.mailbox.empty(),
-		PartialMessages: l.ownerPartialMessages.Load() > 0,
-		Listening:       !l.acceptor.Stopped(),
+	step := l.shutdown.nextStep(now, shutdownState{
+		idle:            l.core.Idle() && l.mailbox.empty(),
+		partialMessages: l.ownerPartialMessages.Load() > 0,
+		listening:       !l.acceptor.Stopped(),
 	})
 	if step.drain {
 		l.acceptor.Drain()
-		l.drained = l.acceptor.Done()
+		l.listenerStopped = l.acceptor.Done()
 	}
 	if !step.exit {
-		l.recheck = time.After(step.recheck)
+		l.shutdownRecheck = time.After(step.recheck)
 	}
 	return step.exit
 }
 
 // handleMessage applies a message to the scheduler's connections and the endpoint watch, and appends its inputs for the
 // core to inputs.
-func (s *Scheduler) handleMessage(m message, inputs []requests.Input) []requests.Input {
-	if m.watch != nil {
-		if input := s.applyWatch(m.watch); input != nil {
+func (s *scheduler) handleMessage(m message, inputs []requests.Input) []requests.Input {
+	if m.notification != nil {
+		if input := s.handleWatchNotification(m.notification); input != nil {
 			inputs = append(inputs, input)
 		}
 	}
@@ -116,14 +116,14 @@
 }
 
 // trackConnection updates owners and links for an input of a message.
-func (s *Scheduler) trackConnection(input requests.Input, m message) {
+func (s *scheduler) trackConnection(input requests.Input, m message) {
 	switch input := input.(type) {
 	case requests.OwnerConnected:
-		s.owners[input.Conn] = &peer{conn: m.conn}
+		s.owners[input.Conn] = &peer{conn: m.openedConn}
 	case requests.OwnerDisconnected:
 		delete(s.owners, input.Conn)
 	case requests.LinkUp:
-		s.links[input.Link] = &peer{conn: m.conn}
+		s.links[input.Link] = &peer{conn: m.openedConn}
 	case requests.LinkDown:
 		delete(s.links, input.Link)
 	}
--- a/internal/platform/shutdown.go
+++ b/internal/platform/shutdown.go
@@ -28,11 +28,11 @@
 	draining     bool          // the listener is being drained
 }
 
-// shutdownBlockers are the conditions that may delay the exit of a scheduler.
-type shutdownBlockers struct {
-	Idle            bool // no request is pending
-	PartialMessages bool // a message of an owner has arrived in part
-	Listening       bool // connections may wait in the listener's queue
+// shutdownState holds the conditions that may delay the exit of a scheduler.
+type shutdownState struct {
+	idle            bool // no request is pending
+	partialMessages bool // a message of an owner has arrived in part
+	listening       bool // connections may wait in the listener's queue
 }
 
 // shutdownStep is the next step of a graceful shutdown.
@@ -45,19 +45,19 @@
 // requested reports whether a shutdown was requested.
 func (g *gracefulShutdown) requested() bool { return g.requestedAt > 0 }
 
-// next returns the step to take at now.
-func (g *gracefulShutdown) next(now requests.Time, blockers shutdownBlockers) shutdownStep {
+// nextStep returns the step to take at now.
+func (g *gracefulShutdown) nextStep(now requests.Time, blockers shutdownState) shutdownStep {
 	elapsed := now - g.requestedAt
 	quiet := now - max(g.lastReceived, g.requestedAt)
 	switch {
 	case elapsed < acceptPeriod:
 		return shutdownStep{recheck: acceptPeriod - elapsed}
-	case blockers.Listening && !g.draining:
+	case blockers.listening && !g.draining:
 		g.draining = true
 		return shutdownStep{drain: true, recheck: quietPeriod}
-	case blockers.Listening && elapsed < partialMessageDeadline: // a connection in the queue waits for a slot
+	case blockers.listening && elapsed < partialMessageDeadline: // a connection in the queue waits for a slot
 		return shutdownStep{recheck: quietPeriod}
-	case !blockers.Idle || blockers.PartialMessages && elapsed < partialMessageDeadline:
+	case !blockers.idle || blockers.partialMessages && elapsed < partialMessageDeadline:
 		return shutdownStep{recheck: quietPeriod}
 	case quiet < quietPeriod:
 		return shutdownStep{recheck: quietPeriod - quiet}
--- a/internal/platform/shutdown_test.go
+++ b/internal/platform/shutdown_test.go
@@ -17,19 +17,19 @@
 // The next step of a shutdown follows from the time since it was requested and from what delays the exit.
 func TestShutdownSteps(t *testing.T) {
 	const requestedAt = requests.Time(time.Hour)
-	listening := shutdownBlockers{Idle: true, Listening: true}
-	partial := shutdownBlockers{Idle: true, PartialMessages: true}
-	idle := shutdownBlockers{Idle: true}
+	listening := shutdownState{idle: true, listening: true}
+	partial := shutdownState{idle: true, partialMessages: true}
+	idle := shutdownState{idle: true}
 	for _, c := range []struct {
 		name         string
 		elapsed      time.Duration
 		lastReceived time.Duration // since the request
-		blockers     shutdownBlockers
+		blockers     shutdownState
 		want         shutdownStep
 	}{
 		{"new requests are accepted", acceptPeriod - 1, 0, listening, shutdownStep{recheck: 1}},
 		{"the listener is drained first", acceptPeriod, 0, listening, shutdownStep{drain: true, recheck: quietPeriod}},
-		{"a request is pending", time.Minute, 0, shutdownBlockers{PartialMessages: true}, shutdownStep{recheck: quietPeriod}},
+		{"a request is pending", time.Minute, 0, shutdownState{partialMessages: true}, shutdownStep{recheck: quietPeriod}},
 		{"a partial request", partialMessageDeadline - 1, 0, partial, shutdownStep{recheck: quietPeriod}},
 		{"a partial request past its deadline", partialMessageDeadline, 0, partial, shutdownStep{exit: true}},
 		{"an owner sent just now", acceptPeriod + 30, acceptPeriod, idle, shutdownStep{recheck: quietPeriod - 30}},
@@ -37,18 +37,18 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := gracefulShutdown{requestedAt: requestedAt, lastReceived: requestedAt + c.lastReceived}
-			if got := g.next(requestedAt+c.elapsed, c.blockers); got != c.want {
+			if got := g.nextStep(requestedAt+c.elapsed, c.blockers); got != c.want {
 				t.Errorf("got %+v, want %+v", got, c.want)
 			}
 		})
 	}
 	t.Run("the listener's queue waits for slots", func(t *testing.T) {
 		g := gracefulShutdown{requestedAt: requestedAt}
-		g.next(requestedAt+acceptPeriod, shutdownBlockers{Listening: true})
-		if got := g.next(requestedAt+acceptPeriod+quietPeriod, listening); got.drain || got.exit {
+		g.nextStep(requestedAt+acceptPeriod, shutdownState{listening: true})
+		if got := g.nextStep(requestedAt+acceptPeriod+quietPeriod, listening); got.drain || got.exit {
 			t.Errorf("got %+v before the deadline, want a step that waits", got)
 		}
-		if got := g.next(requestedAt+partialMessageDeadline, listening); !got.exit {
+		if got := g.nextStep(requestedAt+partialMessageDeadline, listening); !got.exit {
 			t.Errorf("got %+v at the deadline, want an exit", got)
 		}
 	})
@@ -88,7 +88,7 @@
 	if _, err := c.conn.Write([]byte(line[20:])); err != nil {
 		t.Fatal(err)
 	}
-	c.expect("answer", 4, 0)
+	c.expectReply("answer", 4, 0)
 	s.awaitExit()
 }
 
@@ -109,7 +109,7 @@
 	close(s.stop)
 	s.awaitListenerClosed()
 	answer() // after it nothing delays the exit
-	c.expect("answer", 2, 0)
+	c.expectReply("answer", 2, 0)
 	if _, err := c.reader.ReadByte(); !errors.Is(err, io.EOF) {
 		t.Errorf("got error %v at the end of the connection, want EOF", err)
 	}
@@ -130,7 +130,7 @@
 	s.awaitExit()
 	stop := make(chan struct{})
 	close(stop)
-	if err := Run(Options{Config: s.configPath}, stop, nil); err != nil {
+	if err := Run(Options{ConfigPath: s.configPath}, stop, nil); err != nil {
 		t.Errorf("got error %v of Run, want none", err)
 	}
 }
--- a/internal/platform/stats.go
+++ b/internal/platform/stats.go
@@ -10,7 +10,7 @@
 const statsInterval = 5 * time.Second
 
 // reportStats logs the statistics of the core and the process. Their names and units are in docs/platform.md.
-func (s *Scheduler) reportStats() {
+func (s *scheduler) reportStats() {
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
 	var usage syscall.Rusage
@@ -18,7 +18,7 @@
 	cpu := time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 	s.options.Log.Info().Interface("stats", s.core.Stats()).
 		Int64("heap_kb", int64(memory.HeapAlloc>>10)).Int64("sys_kb", int64(memory.Sys>>10)).Int64("max_rss_kb", usage.Maxrss).
-		Dur("cpu_ms", cpu-s.reportedCPU).Int("owner_connections", len(s.ownerSlots)).Uint64("last_event", s.position.last).
+		Dur("cpu_ms", cpu-s.cpuAtLastReport).Int("owner_connections", len(s.ownerSlots)).Uint64("last_event", s.watchPosition.lastSequence).
 		Msg("stats")
-	s.reportedCPU = cpu
+	s.cpuAtLastReport = cpu
 }
--- a/internal/platform/trace.go
+++ b/internal/platform/trace.go
@@ -11,9 +11,9 @@
 
 // tracing reports whether each input and effect is logged, which allows an operator to follow a task through the schedulers
 // that handled it.
-func (s *Scheduler) tracing() bool { return s.options.Log.GetLevel() <= zerolog.TraceLevel }
+func (s *scheduler) tracing() bool { return s.options.Log.GetLevel() <= zerolog.TraceLevel }
 
-func (s *Scheduler) traceInputs(inputs []requests.Input) {
+func (s *scheduler) traceInputs(inputs []requests.Input) {
 	if !s.tracing() {
 		return
 	}
@@ -22,7 +22,7 @@
 	}
 }
 
-func (s *Scheduler) traceEffects(effects []requests.Effect) {
+func (s *scheduler) traceEffects(effects []requests.Effect) {
 	if !s.tracing() {
 		return
 	}
@@ -32,7 +32,7 @@
 }
 
 // trace logs a value of package requests with its type's name under the key direction.
-func (s *Scheduler) trace(direction string, value any) {
+func (s *scheduler) trace(direction string, value any) {
 	name := strings.TrimPrefix(fmt.Sprintf("%T", value), "requests.")
 	s.options.Log.Trace().Str(direction, name).Str("message", fmt.Sprintf("%+v", value)).Send()
 }
--- a/internal/platform/watch.go
+++ b/internal/platform/watch.go
@@ -67,25 +67,25 @@
 // watchNotification is a message of a stream of the endpoint watch to the run loop: either an event, or the input for the
 // core that reports that the stream was established or has failed.
 type watchNotification struct {
-	stream int                       // number of the stream that sent it
-	event  *platformfront.WatchEvent // nil: input is set
-	input  requests.Input
+	streamID int                       // number of the stream that sent it
+	event    *platformfront.WatchEvent // nil: input is set
+	input    requests.Input
 }
 
-// applyWatch returns the input for the core that follows from a notification, or nil if there is none. The end of a previous
+// handleWatchNotification returns the input for the core that follows from a notification, or nil if there is none. The end of a previous
 // stream is ignored, so that the core does not replace the current one.
-func (s *Scheduler) applyWatch(n *watchNotification) requests.Input {
+func (s *scheduler) handleWatchNotification(n *watchNotification) requests.Input {
 	if n.event == nil {
-		if n.stream != s.position.stream {
+		if n.streamID != s.watchPosition.streamID {
 			return nil
 		}
 		return n.input
 	}
-	switch s.position.advance(n.event.Sequence, n.event.Update.Complete, n.stream) {
+	switch s.watchPosition.advance(n.event.Sequence, n.event.Update.Complete, n.streamID) {
 	case eventInOrder:
 		return n.event.Update
 	case eventGap:
-		s.options.Log.Info().Uint64("missing_event", s.position.last+1).Uint64("received_event", n.event.Sequence).
+		s.options.Log.Info().Uint64("missing_event", s.watchPosition.lastSequence+1).Uint64("received_event", n.event.Sequence).
 			Msg("events of the control feed are missing, requesting them again")
 		s.subscribe()
 	case eventStale:
@@ -94,15 +94,15 @@
 }
 
 // subscribe opens a stream of the control feed that starts after the last event that was applied.
-func (s *Scheduler) subscribe() {
-	s.position.stream++
-	s.watch.start(s.config.Load().DiscoveryAddr, s.position)
+func (s *scheduler) subscribe() {
+	s.watchPosition.streamID++
+	s.watch.start(s.config.Load().ControlFeedAddr, s.watchPosition)
 }
 
 // endpointWatch reads the endpoint list from the control feed, one stream at a time. start and stop are for the run loop's
 // goroutine only. Each stream has a goroutine of its own, for which stop waits.
 type endpointWatch struct {
-	scheduler *Scheduler
+	scheduler *scheduler
 	cancel    context.CancelCauseFunc // of the current stream; nil: none was started
 	streams   sync.WaitGroup
 }
@@ -113,10 +113,10 @@
 	w.cancelStream()
 	ctx, cancel := context.WithCancelCause(context.Background())
 	w.cancel = cancel
-	stream := &watchStream{scheduler: w.scheduler, id: position.stream, addr: addr}
+	stream := &watchStream{scheduler: w.scheduler, id: position.streamID, addr: addr}
 	w.streams.Go(func() {
 		defer cancel(nil)
-		err := stream.run(ctx, cancel, position.last)
+		err := stream.run(ctx, cancel, position.lastSequence)
 		if errors.Is(context.Cause(ctx), errWatchReplaced) {
 			return
 		}
@@ -139,7 +139,7 @@
 
 // watchStream is one HTTP response of the control feed. It belongs to its goroutine.
 type watchStream struct {
-	scheduler *Scheduler
+	scheduler *scheduler
 	id        int
 	addr      string
 	timeout   *time.Timer // cancels the stream when nothing arrives
@@ -153,7 +153,7 @@
 	defer client.CloseIdleConnections()
 	response, err := st.connect(ctx, client, last)
 	if err != nil {
-		return st.failure(ctx, watchConnect, err)
+		return st.wrapError(ctx, watchConnect, err)
 	}
 	defer response.Body.Close()
 	st.notify(watchNotification{input: requests.WatchEstablished{}})
@@ -199,18 +199,18 @@
 		st.timeout.Reset(watchIdleTimeout)
 		size, err := body.Read(buffer)
 		if size > 0 {
-			if err := decoder.Write(buffer[:size], st.deliver); err != nil {
-				return st.failure(ctx, watchDecode, err)
+			if err := decoder.Write(buffer[:size], st.handleEvent); err != nil {
+				return st.wrapError(ctx, watchDecode, err)
 			}
 		}
 		if err != nil {
-			return st.failure(ctx, watchRead, err)
+			return st.wrapError(ctx, watchRead, err)
 		}
 	}
 }
 
-// deliver decodes an event and passes it to the run loop.
-func (st *watchStream) deliver(e sse.Event) error {
+// handleEvent decodes an event and passes it to the run loop.
+func (st *watchStream) handleEvent(e sse.Event) error {
 	event, err := st.scheduler.config.Load().DecodeWatchEvent(e.Data)
 	if err != nil {
 		return err
@@ -221,13 +221,13 @@
 
 // notify passes a notification to the run loop. It waits for capacity.
 func (st *watchStream) notify(n watchNotification) {
-	n.stream = st.id
-	st.scheduler.mailbox.putWait(message{watch: &n}, st.scheduler.loopDone)
+	n.streamID = st.id
+	st.scheduler.mailbox.putWait(message{notification: &n}, st.scheduler.loopDone)
 }
 
-// failure returns the error of an operation. For a canceled stream it wraps the cause instead of the error that results from
+// wrapError returns the error of an operation. For a canceled stream it wraps the cause instead of the error that results from
 // it.
-func (st *watchStream) failure(ctx context.Context, operation watchOperation, err error) error {
+func (st *watchStream) wrapError(ctx context.Context, operation watchOperation, err error) error {
 	if cause := context.Cause(ctx); cause != nil {
 		err = cause
 	}
--- a/internal/platform/watchposition.go
+++ b/internal/platform/watch_position.go
@@ -4,9 +4,9 @@
 
 // watchPosition is how far the events of the endpoint list have been applied. It belongs to the run loop.
 type watchPosition struct {
-	last         uint64 // sequence number of the last event applied
-	requestedGap uint64 // the missing sequence number for which the last stream was opened; 0: none
-	stream       int    // number of the current stream
+	lastSequence      uint64 // sequence number of the last event applied
+	requestedSequence uint64 // the missing sequence number for which the last stream was opened; 0: none
+	streamID          int    // number of the current stream
 }
 
 // eventOrder is the position of an event relative to those applied before.
@@ -34,15 +34,15 @@
 // advance classifies an event, and sets the position to an event that is in order. A missing event is requested once: if the
 // next stream does not contain it either, the event after the gap counts as in order.
 func (p *watchPosition) advance(sequence uint64, complete bool, stream int) eventOrder {
-	next := p.last + 1
+	next := p.lastSequence + 1
 	gap := sequence > next && !complete
 	switch {
-	case sequence < next, gap && stream != p.stream:
+	case sequence < next, gap && stream != p.streamID:
 		return eventStale
-	case gap && p.requestedGap != next:
-		p.requestedGap = next
+	case gap && p.requestedSequence != next:
+		p.requestedSequence = next
 		return eventGap
 	}
-	p.last = sequence
+	p.lastSequence = sequence
 	return eventInOrder
 }
--- a/internal/platform/watch_test.go
+++ b/internal/platform/watch_test.go
@@ -16,7 +16,7 @@
 
 // Events are applied once, in order; missing ones are requested once.
 func TestWatchEventOrder(t *testing.T) {
-	p := watchPosition{last: 4, stream: 2}
+	p := watchPosition{lastSequence: 4, streamID: 2}
 	for _, test := range []struct { // each case continues at the position of the one before
 		name     string
 		sequence uint64
@@ -47,8 +47,8 @@
 }
 
 // The end of a previous stream does not end the current one.
-func TestFailureOfFormerStream(t *testing.T) {
-	s := &Scheduler{position: watchPosition{stream: 2}}
+func TestFailureOfPreviousStreamIsIgnored(t *testing.T) {
+	s := &scheduler{watchPosition: watchPosition{streamID: 2}}
 	for _, test := range []struct {
 		name   string
 		stream int
@@ -58,7 +58,7 @@
 		{"of the current stream", 2, requests.WatchFailed{}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			got := s.applyWatch(&watchNotification{stream: test.stream, input: requests.WatchFailed{}})
+			got := s.handleWatchNotification(&watchNotification{streamID: test.stream, input: requests.WatchFailed{}})
 			if got != test.want {
 				t.Errorf("got input %T, want %T", got, test.want)
 			}
@@ -158,7 +158,7 @@
 func readStream(parent context.Context, t *testing.T, reply string) (addr string, err error) {
 	t.Helper()
 	addr, _ = serveReplies(t, []string{reply})
-	s := &Scheduler{mailbox: newMailbox(1 << 4), loopDone: make(chan struct{})}
+	s := &scheduler{mailbox: newMailbox(1 << 4), loopDone: make(chan struct{})}
 	s.config.Store(&platformfront.Config{})
 	ctx, cancel := context.WithCancelCause(parent)
 	defer cancel(nil)
