--- a/internal/platform/descriptor_budget.go
+++ b/internal/platform/descriptor_budget.go
@@ -1,23 +1,25 @@
 package platform
 
-// descriptorBudget divides the process's descriptors in advance, so that owners can never take those of nodes or of the
-// control feed.
+// descriptorBudget divides the process's file descriptors among owners and nodes in advance, so that connections from owners
+// can never use up the descriptors for nodes or for the control feed.
 type descriptorBudget struct {
-	ownerConnections         int // owners' connections that may be accepted
-	retainedOwnerConnections int // of these, how many admission control keeps open
-	nodeLinks                int // connections to nodes
+	ownerConnections         int // maximum number of accepted connections from owners
+	retainedOwnerConnections int // number of these beyond which admission control closes one for each new one
+	nodeLinks                int // maximum number of connections to nodes
 }
 
 const (
-	// reservedDescriptors are for the process itself: three standard files, epoll and event descriptors of the runtime and of
-	// the event loop, the listener, the control feed's current and previous stream, a configuration file, a recording.
+	// reservedDescriptors is the number of descriptors for the process itself: three standard files, the epoll and event
+	// descriptors of the Go runtime and of the event loop, the listener, the current and the previous stream of the control
+	// feed, a configuration file and a recording.
 	reservedDescriptors = 16
-	// minSharedDescriptors is the least number of descriptors that are divided among owners and nodes.
+	// minSharedDescriptors is the minimum number of descriptors to divide among owners and nodes, even if the limit is lower
+	// than this number and reservedDescriptors together.
 	minSharedDescriptors = 16
 )
 
-// divideDescriptors divides a limit on descriptors. Owners get two fifths, a little more than the third that they hold at
-// most by the protocol.
+// divideDescriptors divides the process's limit on descriptors. Owners get two fifths of what is not reserved, slightly more
+// than the third that the protocol lets them hold.
 func divideDescriptors(limit int) descriptorBudget {
 	shared := max(limit-reservedDescriptors, minSharedDescriptors)
 	owners := shared * 2 / 5
--- a/internal/platform/effects.go
+++ b/internal/platform/effects.go
@@ -12,14 +12,14 @@
 	"flaxshelf.example/flaxshelf/internal/transport"
 )
 
-// Reasons for closing a connection on behalf of the core.
+// Reasons for closing a connection at the request of the core.
 var (
-	errOwnerClosed = errors.New("platform: the connection was closed by admission control")
-	errLinkClosed  = errors.New("platform: the core closed the link")
+	errOwnerClosed = errors.New("platform: owner connection closed by admission control")
+	errLinkClosed  = errors.New("platform: link to the node closed by the scheduler core")
 )
 
-// executeEffects executes the effects of the step at now, in order. The messages of a step for one connection are passed to its
-// event loop together; a connection to be closed is closed after them.
+// executeEffects executes the effects of the core's step at now, in order. All messages of a step for one connection are passed
+// to the event loop together. An owner's connection that is to be closed is closed after its messages have been passed on.
 func (s *scheduler) executeEffects(dialContext context.Context, now requests.Time, effects []requests.Effect) {
 	var closing []*transport.Conn
 	for _, effect := range effects {
@@ -66,17 +66,17 @@
 	s.queueMessage(s.links[e.Link], func(dst []byte) ([]byte, error) { return platformfront.EncodeRelease(dst, e) })
 }
 
-// queueMessage puts a message into a peer's outbox. A message for a connection that has ended is dropped.
+// queueMessage puts a message into a peer's outbox. If to is nil, its connection has ended and the message is dropped.
 func (s *scheduler) queueMessage(to *peer, encode func(dst []byte) ([]byte, error)) {
 	if to == nil {
 		return
 	}
 	if err := s.outboxOf(to).Put(encode); err != nil {
-		s.options.Log.Error().Err(err).Msg("message cannot be encoded")
+		s.options.Log.Error().Err(err).Msg("cannot encode message, dropping it")
 	}
 }
 
-// outboxOf returns a peer's outbox, which the end of the step flushes.
+// outboxOf returns a peer's outbox and ensures that it is flushed at the end of the step.
 func (s *scheduler) outboxOf(p *peer) *transport.Outbox {
 	if p.outbox.Empty() {
 		s.peersToFlush = append(s.peersToFlush, p)
@@ -84,7 +84,7 @@
 	return &p.outbox
 }
 
-// sendOffer puts an offer into its node's outbox. An offer that is not written is reported to the core as SendFailed.
+// sendOffer puts an offer into its node's outbox. If the offer is not written to the connection, the core receives SendFailed.
 func (s *scheduler) sendOffer(e *requests.Offer) {
 	failed := func() { s.reportSendFailed(e) }
 	node := s.links[e.Link]
@@ -94,7 +94,7 @@
 	}
 	encode := func(dst []byte) ([]byte, error) { return platformfront.EncodeOffer(dst, e) }
 	if err := s.outboxOf(node).PutExpiring(encode, s.ownerStillWaiting(e), failed); err != nil {
-		s.options.Log.Error().Err(err).Str("task", e.Task).Str("node", e.Node).Msg("offer cannot be encoded")
+		s.options.Log.Error().Err(err).Str("task", e.Task).Str("node", e.Node).Msg("cannot encode offer, not sending it")
 		failed()
 	}
 }
@@ -104,9 +104,9 @@
 	s.mailbox.forcePut(message{inputs: []requests.Input{requests.SendFailed{Link: e.Link, Task: e.Task, Attempt: e.Attempt}}})
 }
 
-// ownerStillWaiting returns a function for the event loop that reports whether an offer's owner still waits for it. After a stall
-// the event loop may read that an owner disconnected or released its task in the same round in which it writes an offer
-// that was decided before.
+// ownerStillWaiting returns a function for the event loop that reports whether an offer's owner still waits for a response.
+// After a stall, the event loop may read a disconnect or release from the owner in the same iteration in which it is about to
+// write an offer that the core had decided earlier; the offer must then not be written.
 func (s *scheduler) ownerStillWaiting(e *requests.Offer) func() bool {
 	var conn *transport.Conn
 	if owner := s.owners[e.Owner]; owner != nil {
@@ -116,8 +116,8 @@
 	return func() bool { return conn != nil && !conn.IsClosed() && !s.released.has(task) }
 }
 
-// flushOutboxes passes the outboxes to the event loop. An offer expires half a drain grace period after the step: a node that has
-// begun to drain since then must not receive it.
+// flushOutboxes passes the queued messages to the event loop. An offer that is still unwritten half a drain grace period after
+// the step at now is discarded, because its node may have begun to drain since then.
 func (s *scheduler) flushOutboxes(now requests.Time) {
 	expiry := s.config.Load().Module.DrainGrace / 2
 	for _, p := range s.peersToFlush {
@@ -126,20 +126,19 @@
 	s.peersToFlush = s.peersToFlush[:0]
 }
 
-// dial connects to a node, in a goroutine for which close waits.
+// dial connects to a node in a goroutine, for which close waits.
 func (s *scheduler) dial(dialContext context.Context, e requests.Dial) {
 	timeout := max(s.config.Load().Module.ConnectTimeout, time.Millisecond)
 	s.dials.Go(func() {
 		_, err := s.dialer.Dial(dialContext, e.Addr, timeout, &nodeHandler{scheduler: s, link: e.Link})
 		if err != nil {
-			s.options.Log.Debug().Err(err).Str("node", e.Node).Msg("dialing the node failed")
+			s.options.Log.Debug().Err(err).Str("node", e.Node).Msg("cannot connect to node")
 			down := requests.LinkDown{Link: e.Link, ConnectionRefused: errors.Is(err, syscall.ECONNREFUSED)}
 			s.mailbox.forcePut(message{inputs: []requests.Input{down}})
 		}
 	})
 }
 
-// closeLink closes the connection to a node.
 func (s *scheduler) closeLink(link requests.LinkID) {
 	if node := s.links[link]; node != nil {
 		delete(s.links, link)
@@ -147,7 +146,7 @@
 	}
 }
 
-// removeOwner removes an owner and appends its connection to closing.
+// removeOwner removes an owner's connection from s.owners and appends it to closing, which it returns.
 func (s *scheduler) removeOwner(id requests.ConnID, closing []*transport.Conn) []*transport.Conn {
 	owner := s.owners[id]
 	if owner == nil {
--- a/internal/platform/mailbox.go
+++ b/internal/platform/mailbox.go
@@ -7,24 +7,24 @@
 	"flaxshelf.example/flaxshelf/internal/transport"
 )
 
-// message is a message of the event loop or the endpoint watch to the run loop.
+// message is a message to the run loop from another goroutine.
 type message struct {
 	inputs       []requests.Input
-	openedConn   *transport.Conn    // the connection that has just opened; else nil
-	receivedAt   requests.Time      // when the event loop read it from an owner; 0: it is not from an owner
-	notification *watchNotification // a notification of the endpoint watch; else nil
+	openedConn   *transport.Conn    // the connection, if the message reports that it has opened; else nil
+	receivedAt   requests.Time      // when the event loop received it from an owner; 0: it is not from an owner
+	notification *watchNotification // set if the message is from the endpoint watch; else nil
 }
 
-// mailbox queues the messages for the run loop in the order of their arrival. Messages of peers are rejected while it is
-// full. Messages that must not be lost are always accepted, since their number is bounded by what they report: one end for
-// each connection, one failure for each offer. It is safe for concurrent use.
+// mailbox queues the messages for the run loop in the order of their arrival. While it is full, it rejects messages from peers.
+// It always accepts messages that must not be lost; their number is bounded, since there is one end of each connection and at
+// most one failure of each offer. It is safe for concurrent use.
 type mailbox struct {
-	capacity int
-	ready    chan struct{} // holds one token while messages are queued
+	capacity int           // number of messages from which on the mailbox is full
+	ready    chan struct{} // contains one token while messages are queued
 
 	mu    sync.Mutex
 	queue []message
-	freed chan struct{} // closed and replaced whenever capacity becomes available
+	freed chan struct{} // closed and replaced by a new channel whenever messages are taken
 }
 
 func newMailbox(capacity int) *mailbox {
@@ -42,14 +42,14 @@
 	return true
 }
 
-// forcePut queues a message even if the mailbox is full.
+// forcePut queues a message even if the mailbox is full. It is for messages that must not be lost.
 func (b *mailbox) forcePut(m message) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.enqueue(m)
 }
 
-// putWait queues a message once there is capacity. It reports whether that was before done was closed.
+// putWait waits until the mailbox has capacity and queues a message. It returns false if done is closed before.
 func (b *mailbox) putWait(m message, done <-chan struct{}) bool {
 	for {
 		b.mu.Lock()
@@ -80,7 +80,7 @@
 	}
 }
 
-// take moves the first messages, limit at most, to the end of batch, in their order.
+// take removes up to limit messages from the front of the queue, appends them to batch and returns it.
 func (b *mailbox) take(batch []message, limit int) []message {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/platform/node_handler.go
+++ b/internal/platform/node_handler.go
@@ -9,25 +9,25 @@
 	"flaxshelf.example/flaxshelf/internal/transport"
 )
 
-// nodeMessageTimeout is how long the rest of a node's message may take: a message that ends too early, or whose length is
-// wrong, would consume all that follows on the connection.
+// nodeMessageTimeout is how long the rest of a partially received message from a node may take to arrive. Without it, a message
+// that is truncated or has a wrong length would swallow the messages that follow on the connection.
 const nodeMessageTimeout = 300 * time.Millisecond
 
-// nodeHandler reads the messages of one link to a node. It belongs to the event loop.
+// nodeHandler handles the messages that arrive on one link to a node. Its fields are used on the event loop only.
 type nodeHandler struct {
 	scheduler *scheduler
 	link      requests.LinkID
-	partial   partialMessage
+	partial   partialMessage // whether the link's last message is incomplete
 }
 
-// Opened implements transport.Opener.
+// Opened implements transport.Opener. It closes the link if the mailbox is full.
 func (h *nodeHandler) Opened(c *transport.Conn) {
 	if !h.scheduler.mailbox.tryPut(message{inputs: []requests.Input{requests.LinkUp{Link: h.link}}, openedConn: c}) {
 		c.Close(errMailboxFull)
 	}
 }
 
-// Receive implements transport.Handler. A message that cannot be parsed closes the connection.
+// Receive implements transport.Handler. A malformed message closes the link.
 func (h *nodeHandler) Receive(c *transport.Conn, in []byte) (used int, err error) {
 	inputs, used, err := h.decode(in)
 	if len(inputs) > 0 && !h.scheduler.mailbox.tryPut(message{inputs: inputs}) {
@@ -37,7 +37,7 @@
 	return used, err
 }
 
-// decode decodes the complete messages at the start of in, and returns how many bytes they take.
+// decode decodes the complete messages at the start of in. used is the number of bytes that they take.
 func (h *nodeHandler) decode(in []byte) (inputs []requests.Input, used int, err error) {
 	for {
 		m, size, err := nodebinary.Next(in[used:])
--- a/internal/platform/owner_handler.go
+++ b/internal/platform/owner_handler.go
@@ -11,11 +11,11 @@
 	"flaxshelf.example/flaxshelf/internal/transport"
 )
 
-// errMailboxFull is the reason for closing a connection whose messages arrive faster than the run loop handles them.
+// errMailboxFull is the reason for closing a connection when messages arrive faster than the run loop handles them.
 var errMailboxFull = errors.New("platform: the run loop's mailbox is full")
 
-// acquireOwnerSlot waits for a slot for one more owner's connection. Connections beyond the slots wait in the listener's
-// queue, so that owners cannot take the descriptors of nodes.
+// acquireOwnerSlot waits until one more connection from an owner may be accepted, or until the run loop has ended. Further
+// connections wait in the listener's queue, so that owners cannot use up the descriptors for nodes.
 func (s *scheduler) acquireOwnerSlot() {
 	select {
 	case s.ownerSlots <- struct{}{}:
@@ -23,19 +23,19 @@
 	}
 }
 
-// newOwnerHandler returns the handler of an owner's new connection, which has acquired a slot.
+// newOwnerHandler returns the handler of a new connection from an owner, for which a slot was acquired.
 func (s *scheduler) newOwnerHandler(*transport.Conn) transport.Handler {
 	return &ownerHandler{scheduler: s, id: requests.ConnID(s.lastConnID.Add(1))}
 }
 
-// ownerHandler reads the messages of one owner's connection. It belongs to the event loop.
+// ownerHandler handles the messages that arrive on one connection from an owner. Its fields are used on the event loop only.
 type ownerHandler struct {
 	scheduler *scheduler
 	id        requests.ConnID
-	partial   partialMessage
+	partial   partialMessage // whether the connection's last message is incomplete
 }
 
-// Opened implements transport.Opener.
+// Opened implements transport.Opener. It closes the connection if the mailbox is full.
 func (h *ownerHandler) Opened(c *transport.Conn) {
 	host, _, _ := net.SplitHostPort(c.Remote())
 	connected := requests.OwnerConnected{Conn: h.id, Host: host}
@@ -45,7 +45,7 @@
 	}
 }
 
-// Receive implements transport.Handler. A line that cannot be parsed closes the connection.
+// Receive implements transport.Handler. A malformed message closes the connection, unless reject responds to it.
 func (h *ownerHandler) Receive(c *transport.Conn, in []byte) (used int, err error) {
 	now := clock.Now()
 	inputs, used, err := h.decode(c, in, now)
@@ -54,12 +54,14 @@
 	}
 	h.scheduler.ownerPartialMessages.Add(h.partial.update(c, used, len(in), idleTimeout))
 	if err != nil {
-		h.scheduler.options.Log.Debug().Err(err).Str("owner", c.Remote()).Msg("malformed message of an owner")
+		h.scheduler.options.Log.Debug().Err(err).Str("owner", c.Remote()).
+			Msg("malformed message from owner, closing its connection")
 	}
 	return used, err
 }
 
-// decode decodes the complete messages at the start of in, and returns how many bytes they take.
+// decode decodes the complete messages at the start of in. used is the number of bytes that they take. Tasks that the owner
+// releases or migrates are recorded at once, so that offers of them that are still queued are not written.
 func (h *ownerHandler) decode(c *transport.Conn, in []byte, now requests.Time) (inputs []requests.Input, used int, err error) {
 	config := h.scheduler.config.Load()
 	for {
@@ -87,22 +89,22 @@
 	}
 }
 
-// reject responds to an invalid request and returns the core's input for it. Any other invalid message is an error, with the
-// reason.
+// reject handles an invalid message. It responds to a set-up with a release and returns the input that counts it as a protocol
+// error; for any other message, it returns reason as the error.
 func (h *ownerHandler) reject(c *transport.Conn, m *ownerjson.Message, reason error) (requests.Input, error) {
-	h.scheduler.options.Log.Debug().Err(reason).Str("owner", c.Remote()).Msg("message of an owner rejected")
+	h.scheduler.options.Log.Debug().Err(reason).Str("owner", c.Remote()).Msg("invalid message from owner")
 	if m.Type != ownerjson.SetUp {
 		return nil, reason
 	}
 	answer, err := platformfront.EncodeTerminated(nil, &requests.Terminated{Task: m.ID, Cause: requests.CauseError})
 	if err != nil {
-		h.scheduler.options.Log.Error().Err(err).Msg("message cannot be encoded")
+		h.scheduler.options.Log.Error().Err(err).Msg("cannot encode response to invalid request")
 	}
 	c.WriteInLoop(answer)
 	return requests.ProtocolError{Conn: h.id}, nil
 }
 
-// Closed implements transport.Handler.
+// Closed implements transport.Handler. It returns the connection's slot.
 func (h *ownerHandler) Closed(*transport.Conn, error) {
 	if h.partial {
 		h.scheduler.ownerPartialMessages.Add(-1)
--- a/internal/platform/partial_message.go
+++ b/internal/platform/partial_message.go
@@ -6,12 +6,12 @@
 	"flaxshelf.example/flaxshelf/internal/transport"
 )
 
-// partialMessage reports whether a message on a connection has arrived in part. It belongs to the event loop.
+// partialMessage records whether the last message on a connection was received only in part. It is used on the event loop only.
 type partialMessage bool
 
-// update records that a handler has used some of the bytes that were received, and sets the timeout for the rest of a
-// partial message: it starts with the message and is not extended by a further part of it. It returns the change in the
-// number of connections with a partial message: -1, 0 or 1.
+// update is called after a handler has used some of the received bytes. If bytes remain, they are the start of a partial
+// message, and update starts the timeout for its rest; further parts of the same message do not extend the timeout. It returns
+// the change in the number of connections with a partial message: -1, 0 or 1.
 func (p *partialMessage) update(c *transport.Conn, used, received int, timeout time.Duration) (change int64) {
 	before, after := bool(*p), used < received
 	if before == after && (!after || used == 0) {
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -1,10 +1,11 @@
-// Package platform runs a scheduler on the users' platform: it connects requests.Core to sockets, the clock, signals and the
-// control feed. It makes no decisions about tasks.
+// Package platform runs a scheduler on the users' platform. It connects requests.Core, which makes all decisions about tasks, to
+// sockets, the clock, requests to shut down or reload, and the control feed. The control feed is the platform's discovery
+// service: an HTTP stream of server-sent events with changes of the endpoint list.
 //
-// Goroutines: the run loop is the only one that uses the core and the fields of scheduler marked as its own. One event loop
-// of package transport serves all connections of owners and nodes. Each stream of the control feed, each dial and the
-// listener have a goroutine of their own. All of them pass messages to the run loop through a mailbox, and Run waits for all
-// of them before it returns.
+// Goroutines: only the run loop uses the core and those fields of scheduler that are marked as its own. One event loop of
+// package transport serves all connections to owners and nodes. Each stream of the control feed, each dial and the listener have
+// a goroutine of their own. All of them pass messages to the run loop through a mailbox, and Run waits for all of them before it
+// returns.
 package platform
 
 import (
@@ -27,34 +28,34 @@
 )
 
 const (
-	mailboxCapacity  = 1 << 12  // messages in the mailbox of the run loop
-	maxBatchMessages = 512      // messages of one step
-	maxWriteQueue    = 1 << 20  // bytes to be written to one peer
-	maxReadBuffer    = 64 << 10 // bytes of one peer that are not parsed yet
-	// idleTimeout is how long an owner's connection may stay unused, or a message on it incomplete. The protocol expects the
-	// connection of a misbehaving client to be closed within 3 s.
+	mailboxCapacity  = 1 << 12  // messages queued for the run loop
+	maxBatchMessages = 512      // messages handled by one step
+	maxWriteQueue    = 1 << 20  // bytes queued for writing to one peer
+	maxReadBuffer    = 64 << 10 // bytes received from one peer and not parsed yet
+	// idleTimeout is how long an owner's connection may stay unused after it was opened, and how long a message on it may stay
+	// incomplete. The protocol expects that the connection of a misbehaving client is closed within 3 s.
 	idleTimeout = 2300 * time.Millisecond
-	// recentUseGrace is how long after its last use a connection is not evicted: an owner resends what crosses a close once,
-	// within 50 ms.
+	// recentUseGrace is how long after its last use a connection is exempt from eviction. An owner whose message crosses the
+	// close of its connection resends it only once, within 50 ms.
 	recentUseGrace = 200 * time.Millisecond
-	// maxPendingRequests is the maximum number of requests without a response.
+	// maxPendingRequests is the maximum number of requests without a response, on all connections together.
 	maxPendingRequests = 2048
 	// maxPendingPerConnection is the maximum number of requests without a response on one connection.
 	maxPendingPerConnection = maxPendingRequests / 8
-	// maxProtocolErrors is how many malformed requests a connection may send after its last use without being closed.
+	// maxProtocolErrors is how many invalid messages are tolerated on a connection since its last use. One more closes it.
 	maxProtocolErrors = 3
-	// heapTenths is how many tenths of the process's memory its heap may use.
+	// maxHeapTenths is how many tenths of the configured memory Go's soft memory limit allows.
 	maxHeapTenths = 6
 )
 
-// Options are the settings of the command line.
+// Options are the settings from the command line.
 type Options struct {
-	ConfigPath    string         // path of the configuration file
-	RecordingPath string         // path of the file that records the module's steps; empty means no recording
-	Log           zerolog.Logger // at trace level it receives each input and effect of the core
+	ConfigPath    string         // the configuration file
+	RecordingPath string         // the file to which the steps of the placement module are recorded; empty means no recording
+	Log           zerolog.Logger // at trace level, each input and effect of the core is logged
 }
 
-// scheduler is a running scheduler. Run creates it; it has no exported methods.
+// scheduler is a running scheduler: the host of a requests.Core.
 type scheduler struct {
 	options  Options
 	config   atomic.Pointer[platformfront.Config] // replaced by the run loop, read by all goroutines
@@ -62,34 +63,34 @@
 	loopDone chan struct{} // closed when the run loop has ended
 	dialer   *transport.Dialer
 	acceptor *transport.Acceptor
-	dials    sync.WaitGroup
+	dials    sync.WaitGroup // dials in progress
 
-	lastConnID           atomic.Uint64 // number of owners' connections so far, and the last one's ID
-	ownerSlots           chan struct{} // contains a token for each owner's connection
-	ownerPartialMessages atomic.Int64  // owners' connections on which a message has arrived in part
+	lastConnID           atomic.Uint64 // ID of the newest connection from an owner; IDs count from 1
+	ownerSlots           chan struct{} // semaphore: contains a token for each open connection from an owner
+	ownerPartialMessages atomic.Int64  // number of owners' connections with a partially received message
 
-	released releasedTasks // belongs to the event loop
+	released releasedTasks // used on the event loop only
 
-	// The fields below belong to the run loop.
+	// The fields below are used by the run loop only.
 	core            *requests.Core
-	recording       *replay.Writer // nil means no recording
-	owners          map[requests.ConnID]*peer
-	links           map[requests.LinkID]*peer
-	peersToFlush    []*peer // peers whose outboxes are not empty
+	recording       *replay.Writer            // nil means no recording
+	owners          map[requests.ConnID]*peer // open connections from owners
+	links           map[requests.LinkID]*peer // open connections to nodes
+	peersToFlush    []*peer                   // peers whose outboxes are not empty
 	watch           endpointWatch
 	watchPosition   watchPosition
-	cpuAtLastReport time.Duration // CPU time of the process at the last report
+	cpuAtLastReport time.Duration // CPU time that the process had used at the last report of statistics
 }
 
-// peer is a connection with the messages of a step for it.
+// peer is the connection to an owner or a node, with the messages that the current step sends on it.
 type peer struct {
 	conn   *transport.Conn
 	outbox transport.Outbox
 }
 
-// Run runs a scheduler until stop is closed or receives a value and all requests have their responses. For each value from
-// reload it reads the configuration again. It limits the whole process to one CPU and sets its memory limit. The error
-// matches platformfront.ErrConfig if the configuration file cannot be read or decoded.
+// Run runs a scheduler until stop is closed or delivers a value; then it shuts down gracefully, and returns once all requests
+// have their responses. For each value from reload, it reads the configuration file again. Run limits the whole process to one
+// CPU and sets Go's memory limit. The error matches platformfront.ErrConfig if the configuration file cannot be read or decoded.
 func Run(options Options, stop, reload <-chan struct{}) error {
 	config, err := platformfront.ReadConfig(options.ConfigPath)
 	if err != nil {
@@ -113,7 +114,8 @@
 	return s.close(cancelDials)
 }
 
-// limitProcess restricts the process to one CPU, of which it has a share, and limits its heap to heapTenths of its memory.
+// limitProcess restricts the process to one CPU, since the platform gives it a share of one, and sets Go's memory limit to
+// maxHeapTenths tenths of the configured memory.
 func limitProcess(limits platformfront.Limits) {
 	runtime.GOMAXPROCS(1)
 	debug.SetMemoryLimit(int64(limits.MemoryMB) << 20 * maxHeapTenths / 10)
@@ -134,7 +136,7 @@
 	return s
 }
 
-// newCore creates the core, and the recording of its steps if Options.RecordingPath is set.
+// newCore creates the core, and the recording of the module's steps if Options.RecordingPath is set.
 func (s *scheduler) newCore(config *platformfront.Config, budget descriptorBudget) error {
 	coreConfig := requests.Config{
 		Placer:                 config.Module,
@@ -174,7 +176,7 @@
 	return nil
 }
 
-// close ends all connections and goroutines. What was written before is delivered to the owners first.
+// close closes all connections and ends all goroutines. It gives the owners time to read what was written to them before.
 func (s *scheduler) close(cancelDials context.CancelFunc) error {
 	s.acceptor.Stop()
 	cancelDials()
@@ -182,12 +184,12 @@
 	s.dials.Wait()
 	s.watch.stop()
 	if err := errors.Join(s.dialer.Stop(), s.closeRecording()); err != nil {
-		return fmt.Errorf("platform: stop: %w", err)
+		return fmt.Errorf("platform: stop the event loop and close the recording: %w", err)
 	}
 	return nil
 }
 
-// closeRecording ends the recording of the core's steps, if there is one.
+// closeRecording closes the recording of the module's steps, if there is one.
 func (s *scheduler) closeRecording() error {
 	if s.recording == nil {
 		return nil
@@ -195,8 +197,9 @@
 	return s.recording.Close()
 }
 
-// closeOwners ends our side of the owners' connections and waits up to ownerCloseTimeout until they have ended theirs: the
-// close of a socket with unread bytes sends a reset, which may destroy an answer on its way.
+// closeOwners closes the writing side of all connections to owners and waits up to ownerCloseTimeout for the owners to close
+// their side. If a socket were closed with unread bytes, the operating system would send a reset, and the owner could lose a
+// response that it has not read yet.
 func (s *scheduler) closeOwners() {
 	for _, owner := range s.owners {
 		owner.conn.CloseWrite()
--- a/internal/platform/reload.go
+++ b/internal/platform/reload.go
@@ -7,8 +7,8 @@
 	"flaxshelf.example/flaxshelf/internal/requests"
 )
 
-// configuredNodes returns the nodes of the configuration, with its events merged into one update, so that a start dials only
-// the nodes that are still listed.
+// configuredNodes returns the nodes in the configuration as an input for the core. The events in the configuration are merged
+// into one update, so that the scheduler dials only nodes that are still listed at its start.
 func (s *scheduler) configuredNodes() []requests.Input {
 	list, found := platformfront.MergeUpdates(s.config.Load().InitialEvents)
 	if !found {
@@ -18,21 +18,22 @@
 	return []requests.Input{list}
 }
 
-// reload reads the configuration again, follows its control feed and returns the node updates that are new. A file that
-// cannot be read changes nothing.
+// reload reads the configuration file again, subscribes to the control feed that it names, and returns the node updates in it
+// that are new. A file that cannot be read or decoded changes nothing.
 //
-// The core retains the settings of its start, because other settings would number classes and kinds differently. The node
-// updates of the file are decoded with the names of the start, so that a drain is never missed.
+// The core retains the settings from its start, because other settings could number classes and kinds of machines differently.
+// The node updates in the file are applied nevertheless, so that a drain is never missed. They are decoded with the names from
+// the start.
 func (s *scheduler) reload() []requests.Input {
 	old := s.config.Load()
 	file, err := platformfront.ReadConfig(s.options.ConfigPath)
 	if err != nil {
-		s.options.Log.Error().Err(err).Msg("configuration cannot be reloaded, the old one stays in use")
+		s.options.Log.Error().Err(err).Msg("cannot reload configuration, keeping the previous one")
 		return nil
 	}
 	if !reflect.DeepEqual(file.Module, old.Module) {
 		s.options.Log.Error().
-			Msg("changed settings are ignored until a restart, the control feed and the nodes of the new configuration are used")
+			Msg("changed settings are ignored until a restart; using the control feed and the nodes of the new configuration")
 	}
 	var inputs []requests.Input
 	if list, found := platformfront.MergeUpdates(s.decodeNewEvents(old, file.InitialEventsJSON)); found {
@@ -47,8 +48,8 @@
 	return inputs
 }
 
-// decodeNewEvents decodes the events after the position, which it advances to the last of them. Events that cannot be decoded with
-// config are skipped.
+// decodeNewEvents decodes those events in data that follow the last event applied, and counts them as applied. Events that
+// cannot be decoded with config are skipped.
 func (s *scheduler) decodeNewEvents(config *platformfront.Config, data [][]byte) []platformfront.WatchEvent {
 	var events []platformfront.WatchEvent
 	for _, raw := range data {
--- a/internal/platform/run_loop.go
+++ b/internal/platform/run_loop.go
@@ -8,18 +8,18 @@
 	"flaxshelf.example/flaxshelf/internal/requests"
 )
 
-// runLoop is the state of the goroutine that owns the core.
+// runLoop is the state of the goroutine that runs the core.
 type runLoop struct {
 	*scheduler
 	timer           *time.Timer      // fires when the core's next step is due
-	inputs          []requests.Input // of the next step
-	batch           []message        // reused by each step
+	inputs          []requests.Input // inputs of the core's next step
+	batch           []message        // messages taken from the mailbox; the slice is reused by each step
 	shutdown        gracefulShutdown
-	shutdownRecheck <-chan time.Time // receives when the shutdown is to be checked again; nil: none was requested
-	listenerStopped <-chan struct{}  // closed when listening has ended; nil: it is not being drained
+	shutdownRecheck <-chan time.Time // receives when it is time to check the shutdown again; nil until one is requested
+	listenerStopped <-chan struct{}  // closed when the listener has stopped; nil unless it is being drained
 }
 
-// run steps the core until a shutdown is complete. Connections to nodes are dialed within dialContext.
+// run steps the core until a shutdown is complete. Canceling dialContext cancels the dials to nodes that are in progress.
 func (s *scheduler) run(dialContext context.Context, stop, reload <-chan struct{}) {
 	defer close(s.loopDone)
 	loop := &runLoop{scheduler: s, timer: time.NewTimer(0), inputs: s.configuredNodes()}
@@ -54,8 +54,8 @@
 	}
 }
 
-// collectInputs takes one batch of messages and returns the time of the step that handles them, which is not before any of
-// them arrived.
+// collectInputs takes one batch of messages from the mailbox and appends their inputs to those of the next step. It returns
+// the time of that step, which is not earlier than the arrival of any of the messages.
 func (l *runLoop) collectInputs() requests.Time {
 	l.batch = l.mailbox.take(l.batch[:0], maxBatchMessages)
 	for _, m := range l.batch {
@@ -65,7 +65,7 @@
 	return clock.Now()
 }
 
-// step passes the inputs to the core and executes its effects. It returns the time of the next step; zero means
+// step passes the inputs to the core and executes its effects. It returns the time by which the next step is due; zero means
 // that none is scheduled.
 func (l *runLoop) step(dialContext context.Context, now requests.Time) requests.Time {
 	l.traceInputs(l.inputs)
@@ -76,14 +76,13 @@
 	return next
 }
 
-// beginShutdown starts a graceful shutdown.
 func (l *runLoop) beginShutdown() {
 	l.shutdown.requestedAt = clock.Now()
 	l.inputs = append(l.inputs, requests.Shutdown{})
-	l.options.Log.Info().Msg("shutdown requested, requests are still served")
+	l.options.Log.Info().Msg("shutdown requested, still serving requests")
 }
 
-// advanceShutdown takes the next step of a graceful shutdown and reports whether it is complete.
+// advanceShutdown performs the next step of a graceful shutdown and reports whether the shutdown is complete.
 func (l *runLoop) advanceShutdown(now requests.Time) bool {
 	step := l.shutdown.nextStep(now, shutdownState{
 		idle:            l.core.Idle() && l.mailbox.empty(),
@@ -100,8 +99,8 @@
 	return step.exit
 }
 
-// handleMessage applies a message to the scheduler's connections and the endpoint watch, and appends its inputs for the
-// core to inputs.
+// handleMessage applies a message to the tables of connections and to the endpoint watch, and appends the message's inputs for
+// the core to inputs, which it returns.
 func (s *scheduler) handleMessage(m message, inputs []requests.Input) []requests.Input {
 	if m.notification != nil {
 		if input := s.handleWatchNotification(m.notification); input != nil {
@@ -115,7 +114,7 @@
 	return inputs
 }
 
-// trackConnection updates owners and links for an input of a message.
+// trackConnection updates s.owners and s.links if an input of a message reports that a connection has opened or closed.
 func (s *scheduler) trackConnection(input requests.Input, m message) {
 	switch input := input.(type) {
 	case requests.OwnerConnected:
--- a/internal/platform/shutdown.go
+++ b/internal/platform/shutdown.go
@@ -7,45 +7,45 @@
 )
 
 const (
-	// acceptPeriod is how long new connections and requests are still accepted after SIGTERM: the protocol allows 0.4 s plus
-	// 0.2 s, and half of that is added for a scheduler that shares its core.
+	// acceptPeriod is how long the scheduler accepts connections after SIGTERM before it drains the listener. The protocol allows
+	// owners 0.4 s plus 0.2 s, and half of that is added for a scheduler that shares its CPU core.
 	acceptPeriod = 900 * time.Millisecond
-	// quietPeriod is how long no owner may have sent anything before the scheduler exits.
+	// quietPeriod is the time without data from any owner after which the scheduler may exit.
 	quietPeriod = 50 * time.Millisecond
-	// partialMessageDeadline is how long after SIGTERM the scheduler waits for the rest of a message: the platform sends
-	// SIGKILL 3.7 s after SIGTERM at the earliest.
+	// partialMessageDeadline is how long after SIGTERM the scheduler still waits for the rest of a partially received message
+	// and for connections in the listener's queue. The platform sends SIGKILL no earlier than 3.7 s after SIGTERM.
 	partialMessageDeadline = 3200 * time.Millisecond
-	// ownerCloseTimeout is how long the owners have to close their side of the connections after all responses are sent.
+	// ownerCloseTimeout is how long the scheduler waits, after all responses are sent, for owners to close their side of the
+	// connections.
 	ownerCloseTimeout = 250 * time.Millisecond
 )
 
 // gracefulShutdown decides when a scheduler that received SIGTERM stops listening, and when it exits. Requests that arrive
-// until then are served: a request counts as received once its last byte is written to a connection that the operating
-// system has accepted, even if the process has not. It belongs to the run loop.
+// before the exit are served. A request has arrived once its last byte is written to a connection that the operating system has
+// accepted, even if it still waits in the listener's queue. gracefulShutdown is used by the run loop only.
 type gracefulShutdown struct {
 	requestedAt  requests.Time // 0: not requested
-	lastReceived requests.Time // when an owner last sent something
+	lastReceived requests.Time // when an owner last connected or sent data
 	draining     bool          // the listener is being drained
 }
 
-// shutdownState holds the conditions that may delay the exit of a scheduler.
+// shutdownState holds the conditions that determine whether a scheduler may exit.
 type shutdownState struct {
-	idle            bool // no request is pending
-	partialMessages bool // a message of an owner has arrived in part
-	listening       bool // connections may wait in the listener's queue
+	idle            bool // no request is pending and no message is queued for the run loop
+	partialMessages bool // a message from an owner was received only in part
+	listening       bool // the listener is open, and connections may wait in its queue
 }
 
 // shutdownStep is the next step of a graceful shutdown.
 type shutdownStep struct {
 	drain   bool          // accept the connections in the listener's queue, then stop listening
 	exit    bool          // the shutdown is complete
-	recheck time.Duration // time until the next call of next, at the latest
+	recheck time.Duration // maximum time until nextStep is to be called again
 }
 
-// requested reports whether a shutdown was requested.
 func (g *gracefulShutdown) requested() bool { return g.requestedAt > 0 }
 
-// nextStep returns the step to take at now.
+// nextStep returns the step to perform at now.
 func (g *gracefulShutdown) nextStep(now requests.Time, blockers shutdownState) shutdownStep {
 	elapsed := now - g.requestedAt
 	quiet := now - max(g.lastReceived, g.requestedAt)
--- a/internal/platform/trace.go
+++ b/internal/platform/trace.go
@@ -9,8 +9,8 @@
 	"flaxshelf.example/flaxshelf/internal/requests"
 )
 
-// tracing reports whether each input and effect is logged, which allows an operator to follow a task through the schedulers
-// that handled it.
+// tracing reports whether each input and effect of the core is logged, which lets an operator follow a task through the
+// schedulers that have handled it.
 func (s *scheduler) tracing() bool { return s.options.Log.GetLevel() <= zerolog.TraceLevel }
 
 func (s *scheduler) traceInputs(inputs []requests.Input) {
@@ -31,7 +31,8 @@
 	}
 }
 
-// trace logs a value of package requests with its type's name under the key direction.
+// trace logs an input or effect of package requests: the name of its type under the key direction, and its fields as the
+// message.
 func (s *scheduler) trace(direction string, value any) {
 	name := strings.TrimPrefix(fmt.Sprintf("%T", value), "requests.")
 	s.options.Log.Trace().Str(direction, name).Str("message", fmt.Sprintf("%+v", value)).Send()
