--- a/internal/front/platformfront/config.go
+++ b/internal/front/platformfront/config.go
@@ -36,7 +36,7 @@
 	InitialEventsJSON                 [][]byte      // their JSON text
 	LastSequence                      uint64        // of the last of them
 	NodeIdleTimeout                   time.Duration // after which nodes close a connection without traffic; zero if not known
-	Module                            flaxshelf.Config
+	Placer                            flaxshelf.Config
 	Names                             *fleetsettings.Names
 }
 
@@ -122,7 +122,7 @@
 		c.InitialEvents, c.InitialEventsJSON = append(c.InitialEvents, event), append(c.InitialEventsJSON, data)
 	}
 	// If the list has no free capacity although the settings say so, every node would look full.
-	c.Module.ListsFreeCapacity = c.Module.ListsFreeCapacity &&
+	c.Placer.ListsFreeCapacity = c.Placer.ListsFreeCapacity &&
 		slices.ContainsFunc(c.InitialEvents, func(e WatchEvent) bool { return e.HasFreeCapacity })
 	return nil
 }
--- a/internal/front/platformfront/config_test.go
+++ b/internal/front/platformfront/config_test.go
@@ -53,22 +53,22 @@
 		expectEqual(t, "limits", c.Limits, Limits{Cores: 0.25, MemoryMB: 64, Sockets: 256})
 	})
 	t.Run("module", func(t *testing.T) {
-		expectEqual(t, "index", c.Module.Index, 1)
-		expectEqual(t, "schedulers", c.Module.Schedulers, 3)
-		expectEqual(t, "discovery on request", c.Module.DiscoveryOnRequest, false)
-		expectEqual(t, "can cancel", c.Module.CanCancel, true)
-		expectEqual(t, "attempts", c.Module.MaxAttempts, 3)
-		expectEqual(t, "tick", c.Module.Tick, 2*time.Millisecond)
-		expectEqual(t, "memory of a kind", c.Module.Kinds[0].Memory, 64.5)
+		expectEqual(t, "index", c.Placer.Index, 1)
+		expectEqual(t, "schedulers", c.Placer.Schedulers, 3)
+		expectEqual(t, "discovery on request", c.Placer.DiscoveryOnRequest, false)
+		expectEqual(t, "can cancel", c.Placer.CanCancel, true)
+		expectEqual(t, "attempts", c.Placer.MaxAttempts, 3)
+		expectEqual(t, "tick", c.Placer.Tick, 2*time.Millisecond)
+		expectEqual(t, "memory of a kind", c.Placer.Kinds[0].Memory, 64.5)
 	})
 	t.Run("classes", func(t *testing.T) {
-		if len(c.Module.Classes) != 2 {
-			t.Fatalf("%+v", c.Module.Classes)
+		if len(c.Placer.Classes) != 2 {
+			t.Fatalf("%+v", c.Placer.Classes)
 		}
-		expectEqual(t, "name", c.Module.Classes[0].Name, "batch_one")
-		expectEqual(t, "spread domain", c.Module.Classes[0].SpreadDomain, flaxshelf.ZoneDomain)
-		expectEqual(t, "idempotency", c.Module.Classes[1].Idempotency, flaxshelf.IdempotentByKey)
-		expectEqual(t, "kind", c.Module.Classes[1].Kind, -1)
+		expectEqual(t, "name", c.Placer.Classes[0].Name, "batch_one")
+		expectEqual(t, "spread domain", c.Placer.Classes[0].SpreadDomain, flaxshelf.ZoneDomain)
+		expectEqual(t, "idempotency", c.Placer.Classes[1].Idempotency, flaxshelf.IdempotentByKey)
+		expectEqual(t, "kind", c.Placer.Classes[1].Kind, -1)
 	})
 	// The events up to the start have the form of the control feed.
 	t.Run("events", func(t *testing.T) {
--- a/internal/front/platformfront/owner.go
+++ b/internal/front/platformfront/owner.go
@@ -147,7 +147,7 @@
 // decodeSubmission decodes the fields that only submissions have.
 func (c *Config) decodeSubmission(conn requests.ConnID, m *ownerjson.Message, task flaxshelf.Task) (requests.Input, error) {
 	key := m.Fields[fieldIdempotencyKey]
-	if key == "" && c.Module.Classes[task.Class].Idempotency == flaxshelf.IdempotentByKey {
+	if key == "" && c.Placer.Classes[task.Class].Idempotency == flaxshelf.IdempotentByKey {
 		return nil, invalidField(m, fieldIdempotencyKey, "the class needs an idempotency key")
 	}
 	if key != "" && !isValidName(key) {
@@ -163,8 +163,8 @@
 // maxCores returns the number of cores that a task may request on the largest kind of machine.
 func (c *Config) maxCores() float64 {
 	limit := 0.0
-	for i := range c.Module.Kinds {
-		limit = max(limit, c.Module.Kinds[i].Cores*max(c.Module.CoreOvercommit, 1))
+	for i := range c.Placer.Kinds {
+		limit = max(limit, c.Placer.Kinds[i].Cores*max(c.Placer.CoreOvercommit, 1))
 	}
 	return limit
 }
@@ -172,8 +172,8 @@
 // maxMemory returns the memory that a task may request on the largest kind of machine.
 func (c *Config) maxMemory() float64 {
 	limit := 0.0
-	for i := range c.Module.Kinds {
-		limit = max(limit, c.Module.Kinds[i].Memory*max(c.Module.MemoryOvercommit, 1))
+	for i := range c.Placer.Kinds {
+		limit = max(limit, c.Placer.Kinds[i].Memory*max(c.Placer.MemoryOvercommit, 1))
 	}
 	return limit
 }
--- a/internal/front/platformfront/settings.go
+++ b/internal/front/platformfront/settings.go
@@ -24,7 +24,7 @@
 // decodeSettings decodes all that the settings hold: the configuration of the module, names, and the idle timeout of nodes.
 func (c *Config) decodeSettings(settings json.RawMessage) error {
 	var err error
-	if c.Module, c.Names, err = fleetsettings.DecodeJSON(settings); err != nil {
+	if c.Placer, c.Names, err = fleetsettings.DecodeJSON(settings); err != nil {
 		return invalidSetting(err)
 	}
 	var capabilities wireCapabilities
--- a/internal/platform/effects.go
+++ b/internal/platform/effects.go
@@ -119,7 +119,7 @@
 // flushOutboxes passes the queued messages to the event loop. An offer that is still unwritten half a drain grace period after
 // the step at now is discarded, because its node may have begun to drain since then.
 func (s *scheduler) flushOutboxes(now requests.Time) {
-	expiry := s.config.Load().Module.DrainGrace / 2
+	expiry := s.config.Load().Placer.DrainGrace / 2
 	for _, p := range s.peersToFlush {
 		p.outbox.Flush(p.conn, func() bool { return clock.Now()-now < expiry })
 	}
@@ -128,7 +128,7 @@
 
 // dial connects to a node in a goroutine, for which close waits.
 func (s *scheduler) dial(dialContext context.Context, e requests.Dial) {
-	timeout := max(s.config.Load().Module.ConnectTimeout, time.Millisecond)
+	timeout := max(s.config.Load().Placer.ConnectTimeout, time.Millisecond)
 	s.dials.Go(func() {
 		_, err := s.dialer.Dial(dialContext, e.Addr, timeout, &nodeHandler{scheduler: s, link: e.Link})
 		if err != nil {
--- a/internal/platform/leak_test.go
+++ b/internal/platform/leak_test.go
@@ -26,7 +26,7 @@
 	return usage{runtime.NumGoroutine(), len(files), int(memory.HeapAlloc)}
 }
 
-// discardReports empties the channels on which a node reports to its test, so that they do not fill up.
+// discardReports drains the channels on which a node reports to the test, so that they do not fill up.
 func discardReports(n *scripted.Node) {
 	for len(n.Received) > 0 {
 		<-n.Received
@@ -36,15 +36,15 @@
 	}
 }
 
-// Goroutines, descriptors and heap do not grow while thousands of owners connect and disconnect, a thousand links break,
-// streams of the control feed end and the configuration is reloaded.
+// The number of goroutines and descriptors and the size of the heap do not grow while thousands of owners connect and
+// disconnect, a thousand links break, streams of the control feed end and the configuration is reloaded.
 func TestNoLeaks(t *testing.T) {
 	const tolerance = 4 // goroutines and descriptors
 	s, n, _ := startSchedulerWithTask(t)
 	task := 10
-	rounds := func(count int) {
+	runRounds := func(count int) {
 		for i := range count {
-			c := s.dial() // without a cleanup, which would retain the client
+			c := s.dial() // not connect, whose cleanup would retain the client
 			c.placeTask(task)
 			n.Send(nodebinary.Message{Type: nodebinary.Release, Task: uint64(task), Cause: 16})
 			c.expectReply("release", task, 16)
@@ -63,11 +63,11 @@
 			discardReports(n)
 		}
 	}
-	rounds(60)
+	runRounds(60)
 	before := measureUsage(t)
-	rounds(2000)
+	runRounds(2000)
 	var after usage
-	// Goroutines and descriptors of closed connections are released soon after, those of replaced links within two seconds.
+	// Goroutines and descriptors of closed connections are released with a short delay, those of replaced links within 2 s.
 	for deadline := time.Now().Add(10 * time.Second); ; {
 		after = measureUsage(t)
 		released := after.goroutines <= before.goroutines+tolerance && after.descriptors <= before.descriptors+tolerance
@@ -82,8 +82,8 @@
 	}
 }
 
-// Requests that arrive byte by byte, on many connections at once, are read like any other; malformed ones close their
-// connection.
+// Requests that arrive byte by byte, on many connections at once, are handled like any other. Malformed messages that arrive
+// byte by byte close their connection.
 func TestReadsMessagesWrittenByteByByte(t *testing.T) {
 	s, _, other := startSchedulerWithTask(t)
 	var clients []*client
@@ -117,7 +117,7 @@
 		c := s.connect()
 		for i := range len(malformed) {
 			if _, err := c.conn.Write([]byte{malformed[i]}); err != nil {
-				break // closed already
+				break // the scheduler has closed the connection already
 			}
 		}
 		c.awaitClosed()
--- a/internal/platform/mailbox_test.go
+++ b/internal/platform/mailbox_test.go
@@ -8,12 +8,12 @@
 	"flaxshelf.example/flaxshelf/internal/requests"
 )
 
-// disconnected returns a message that reports the end of a connection.
+// disconnected returns a message that reports that an owner's connection has closed.
 func disconnected(conn requests.ConnID) message {
 	return message{inputs: []requests.Input{requests.OwnerDisconnected{Conn: conn}}}
 }
 
-// expectTaken takes up to limit messages that disconnected has made, and checks their connections.
+// expectTaken takes up to limit messages, which disconnected must have created, and checks the connections that they name.
 func expectTaken(t *testing.T, b *mailbox, limit int, want ...requests.ConnID) {
 	t.Helper()
 	var got []requests.ConnID
@@ -25,8 +25,8 @@
 	}
 }
 
-// A full mailbox accepts messages that must not be lost, and keeps their order: a disconnect never overtakes an earlier
-// message.
+// A full mailbox rejects messages of tryPut and accepts those of forcePut, and delivers all in the order of their arrival: a
+// disconnect must not overtake an earlier message.
 func TestMailboxOrder(t *testing.T) {
 	b := newMailbox(2)
 	put := func(m message) bool { b.forcePut(m); return true }
@@ -44,7 +44,7 @@
 	}
 }
 
-// A goroutine that waits for capacity gets it when a message is taken, and stops waiting when the run loop has ended.
+// putWait queues its message once another message is taken, and gives up when the run loop has ended.
 func TestMailboxPutWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newMailbox(1)
--- a/internal/platform/offer_race_test.go
+++ b/internal/platform/offer_race_test.go
@@ -10,13 +10,14 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/standin/scripted"
 )
 
-// eventLoopBlocker is a log hook that blocks the event loop where it logs a closed link, and reports effects of one type.
+// eventLoopBlocker provides a log hook. Once armed, the hook blocks the event loop when it logs that a link has closed. It also
+// reports the effects of one type that the core returns.
 type eventLoopBlocker struct {
 	armed    atomic.Bool
-	blocked  chan struct{} // receives once the event loop is blocked
-	release  chan struct{} // closed to let it continue
-	effect   string
-	executed chan string // receives the log lines of the effects
+	blocked  chan struct{} // receives a value when the event loop is blocked
+	release  chan struct{} // closed by the test to let the event loop continue
+	effect   string        // part of the log lines of the effects to report
+	executed chan string   // receives the log lines of these effects
 }
 
 func newEventLoopBlocker(effect string) *eventLoopBlocker {
@@ -41,8 +42,9 @@
 	}
 }
 
-// An owner disconnects, or releases its task, between the decision of an offer and its write: the offer is not written. The
-// event loop is blocked by the closed link of another node, while a watch event makes the core decide the offer.
+// An offer is not written if its owner disconnects or releases the task after the core decided to make the offer. To produce
+// this order, the test blocks the event loop when the link to another node closes, and then publishes a watch event that makes
+// the core offer the task.
 func TestOfferCrossesOwnerRelease(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -62,10 +64,10 @@
 				scripted.Entry("s-1", other.Addr(), "leaving"), scripted.Entry("s-2", n.Addr(), "leaving"))
 			c := s.connect()
 			c.ping()
-			c.submit(2) // it is queued, since both nodes are draining
+			c.submit(2) // stays queued, since both nodes are draining
 			expectConnection(t, other)
 			expectConnection(t, n)
-			c.ping() // the request was read before
+			c.ping() // ensures that the request has been read
 			blocker.armed.Store(true)
 			other.ResetConnections()
 			<-blocker.blocked
--- a/internal/platform/module_state_test.go
+++ b/internal/platform/placer_state_test.go
@@ -14,17 +14,17 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/standin/scripted"
 )
 
-// taskID returns the ID of a task in the core.
+// taskID returns the ID that the core uses for a task.
 func taskID(task int) string { return fmt.Sprintf("%016x", task) }
 
-// nodeTasks records which tasks the scripted nodes run. It is safe for concurrent use by the nodes' readers and the test.
+// nodeTasks records which tasks the scripted nodes run. It is safe for concurrent use.
 type nodeTasks struct {
 	mu   sync.Mutex
-	node map[string]string // the node of each running task
+	node map[string]string // node of each running task, by task ID
 }
 
-// script returns the script of a node, which responds to messages and records its tasks. Node s-1 rejects every seventh
-// task.
+// script returns the script of the node with a name. It accepts and records offered tasks, except that node s-1 rejects each
+// task whose number is a multiple of seven.
 func (n *nodeTasks) script(name string) scripted.Script {
 	return func(conn net.Conn, m nodebinary.Message) {
 		n.mu.Lock()
@@ -50,7 +50,7 @@
 	return n.node[taskID(task)]
 }
 
-// complete lets a task's node report that the task has completed.
+// complete makes a task's node report that the task has completed.
 func (n *nodeTasks) complete(nodes map[string]*scripted.Node, task int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -59,7 +59,7 @@
 	node.Send(nodebinary.Message{Type: nodebinary.Release, Task: uint64(task), Cause: 16})
 }
 
-// removeNode removes the tasks of a node, and returns how many of the given tasks were among them.
+// removeNode removes the records of all tasks on a node, and returns how many of the given tasks were among them.
 func (n *nodeTasks) removeNode(name string, tasks []int) (removed int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -72,15 +72,15 @@
 	return removed
 }
 
-// observedModule is the module with a record of its events: which tasks are pending, and where each running task runs.
-type observedModule struct {
+// observedPlacer is a placer that records, from its input events, which tasks are pending and where each running task runs.
+type observedPlacer struct {
 	*flaxshelf.Placer
-	running map[string]string // the machine of each task
-	pending map[string]bool
+	running map[string]string // machine of each running task, by task ID
+	pending map[string]bool   // by task ID
 }
 
 // Step implements replay.Module.
-func (p *observedModule) Step(now flaxshelf.Time, events []flaxshelf.Event) []flaxshelf.Action {
+func (p *observedPlacer) Step(now flaxshelf.Time, events []flaxshelf.Event) []flaxshelf.Action {
 	for _, e := range events {
 		switch e := e.(type) {
 		case flaxshelf.TaskSubmitted:
@@ -101,23 +101,24 @@
 	return p.Placer.Step(now, events)
 }
 
-// replayModule replays the recorded steps into a new module, and returns the module.
-func (s *testScheduler) replayModule() *observedModule {
+// replayPlacer replays the recorded steps into a new placer, which it returns.
+func (s *testScheduler) replayPlacer() *observedPlacer {
 	s.t.Helper()
-	module := &observedModule{running: map[string]string{}, pending: map[string]bool{}}
+	placer := &observedPlacer{running: map[string]string{}, pending: map[string]bool{}}
 	_, err := replay.CheckWith(openFile(s.t, s.recordingPath), func(cfg flaxshelf.Config, seed uint64) (replay.Module, error) {
 		var err error
-		module.Placer, err = flaxshelf.New(cfg, seed)
-		return module, err
+		placer.Placer, err = flaxshelf.New(cfg, seed)
+		return placer, err
 	})
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	return module
+	return placer
 }
 
-// placeAndEndTasks places the tasks 2 to 199 and ends about two fifths of them, by their nodes or by their owner. Each
-// fortieth step may reset the links to s-2, which ends no task. It returns the tasks that still run.
+// placeAndEndTasks places the tasks 2 to 199 and ends about two fifths of them, by their nodes or by their owner. When it ends a
+// task after placing a multiple of 40, it also resets the links to s-2, which must not end any task. It returns the tasks that
+// still run.
 func placeAndEndTasks(t *testing.T, c *client, tasks *nodeTasks, nodes map[string]*scripted.Node) (running []int) {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(5, 5))
@@ -145,9 +146,9 @@
 	return running
 }
 
-// The module's running tasks match those of the nodes after placements, ends by nodes and owners, rejections, links that
-// break and a node that dies.
-func TestModuleStateMatchesNodes(t *testing.T) {
+// The placer and the nodes agree on which tasks run where, after placements, rejections, ends reported by nodes, releases by
+// owners, broken links and the death of a node.
+func TestPlacerStateMatchesNodes(t *testing.T) {
 	tasks := &nodeTasks{node: map[string]string{}}
 	nodes, entries := map[string]*scripted.Node{}, []string{}
 	for _, name := range []string{"s-1", "s-2", "s-3"} {
@@ -167,13 +168,13 @@
 	c.placeTask(200)
 	s.shutDown()
 
-	module := s.replayModule()
+	placer := s.replayPlacer()
 	tasks.mu.Lock()
 	defer tasks.mu.Unlock()
-	if !maps.Equal(module.running, tasks.node) || len(tasks.node) < 20 || lost < 5 {
-		t.Errorf("got running tasks %v, want %v, at least 20, and at least 5 of %d lost", module.running, tasks.node, lost)
+	if !maps.Equal(placer.running, tasks.node) || len(tasks.node) < 20 || lost < 5 {
+		t.Errorf("got running tasks %v, want %v, at least 20, and at least 5 of %d lost", placer.running, tasks.node, lost)
 	}
-	if len(module.pending) > 0 {
-		t.Errorf("got pending requests %v, want none", module.pending)
+	if len(placer.pending) > 0 {
+		t.Errorf("got pending requests %v, want none", placer.pending)
 	}
 }
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -51,7 +51,7 @@
 // Options are the settings from the command line.
 type Options struct {
 	ConfigPath    string         // the configuration file
-	RecordingPath string         // the file to which the steps of the placement module are recorded; empty means no recording
+	RecordingPath string         // the file to which the steps of the placer are recorded; empty means no recording
 	Log           zerolog.Logger // at trace level, each input and effect of the core is logged
 }
 
@@ -136,10 +136,10 @@
 	return s
 }
 
-// newCore creates the core, and the recording of the module's steps if Options.RecordingPath is set.
+// newCore creates the core, and the recording of the placer's steps if Options.RecordingPath is set.
 func (s *scheduler) newCore(config *platformfront.Config, budget descriptorBudget) error {
 	coreConfig := requests.Config{
-		Placer:                 config.Module,
+		Placer:                 config.Placer,
 		Seed:                   config.Seed,
 		NodeUnreachableTimeout: requests.DefaultNodeUnreachableTimeout,
 		NodeIdleTimeout:        config.NodeIdleTimeout,
@@ -155,7 +155,7 @@
 	}
 	var err error
 	if s.options.RecordingPath != "" {
-		if s.recording, err = replay.Create(s.options.RecordingPath, config.Module, config.Seed); err != nil {
+		if s.recording, err = replay.Create(s.options.RecordingPath, config.Placer, config.Seed); err != nil {
 			return err
 		}
 		coreConfig.RecordStep = s.recording.Step
@@ -189,7 +189,7 @@
 	return nil
 }
 
-// closeRecording closes the recording of the module's steps, if there is one.
+// closeRecording closes the recording of the placer's steps, if there is one.
 func (s *scheduler) closeRecording() error {
 	if s.recording == nil {
 		return nil
--- a/internal/platform/released_tasks_test.go
+++ b/internal/platform/released_tasks_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// The last maxReleasedTasks tasks are recorded, each once; older ones are discarded in the order of their release.
+// The last maxReleasedTasks released tasks are recorded, each once. Older ones are discarded, oldest first.
 func TestReleasedTasksDiscardOldest(t *testing.T) {
 	var released releasedTasks
 	task := func(n int) string { return fmt.Sprint(n) }
--- a/internal/platform/reload.go
+++ b/internal/platform/reload.go
@@ -31,7 +31,7 @@
 		s.options.Log.Error().Err(err).Msg("cannot reload configuration, keeping the previous one")
 		return nil
 	}
-	if !reflect.DeepEqual(file.Module, old.Module) {
+	if !reflect.DeepEqual(file.Placer, old.Placer) {
 		s.options.Log.Error().
 			Msg("changed settings are ignored until a restart; using the control feed and the nodes of the new configuration")
 	}
--- a/internal/platform/shutdown.go
+++ b/internal/platform/shutdown.go
@@ -46,18 +46,18 @@
 func (g *gracefulShutdown) requested() bool { return g.requestedAt > 0 }
 
 // nextStep returns the step to perform at now.
-func (g *gracefulShutdown) nextStep(now requests.Time, blockers shutdownState) shutdownStep {
+func (g *gracefulShutdown) nextStep(now requests.Time, state shutdownState) shutdownStep {
 	elapsed := now - g.requestedAt
 	quiet := now - max(g.lastReceived, g.requestedAt)
 	switch {
 	case elapsed < acceptPeriod:
 		return shutdownStep{recheck: acceptPeriod - elapsed}
-	case blockers.listening && !g.draining:
+	case state.listening && !g.draining:
 		g.draining = true
 		return shutdownStep{drain: true, recheck: quietPeriod}
-	case blockers.listening && elapsed < partialMessageDeadline: // a connection in the queue waits for a slot
+	case state.listening && elapsed < partialMessageDeadline: // a connection in the queue waits for a slot
 		return shutdownStep{recheck: quietPeriod}
-	case !blockers.idle || blockers.partialMessages && elapsed < partialMessageDeadline:
+	case !state.idle || state.partialMessages && elapsed < partialMessageDeadline:
 		return shutdownStep{recheck: quietPeriod}
 	case quiet < quietPeriod:
 		return shutdownStep{recheck: quietPeriod - quiet}
--- a/internal/platform/shutdown_test.go
+++ b/internal/platform/shutdown_test.go
@@ -24,7 +24,7 @@
 		name         string
 		elapsed      time.Duration
 		lastReceived time.Duration // since the request
-		blockers     shutdownState
+		state        shutdownState
 		want         shutdownStep
 	}{
 		{"new requests are accepted", acceptPeriod - 1, 0, listening, shutdownStep{recheck: 1}},
@@ -37,7 +37,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := gracefulShutdown{requestedAt: requestedAt, lastReceived: requestedAt + c.lastReceived}
-			if got := g.nextStep(requestedAt+c.elapsed, c.blockers); got != c.want {
+			if got := g.nextStep(requestedAt+c.elapsed, c.state); got != c.want {
 				t.Errorf("got %+v, want %+v", got, c.want)
 			}
 		})
--- a/internal/platform/stats_test.go
+++ b/internal/platform/stats_test.go
@@ -8,18 +8,18 @@
 	"testing"
 )
 
-// The log line of the statistics has the fields that docs/platform.md names for those who evaluate logs by machine.
+// The log line of the statistics has exactly the fields that docs/platform.md documents, because programs parse it.
 func TestStatsLogFields(t *testing.T) {
 	lines := make(chan string, 100)
 	s := startSchedulerWith(t, schedulerOptions{logHook: func(line string) {
 		if strings.Contains(line, `"message":"stats"`) {
 			select {
 			case lines <- line:
-			default: // the test needs one
+			default: // the test needs only one line
 			}
 		}
 	}})
-	s.shutDown() // logs the statistics
+	s.shutDown() // logs the statistics before the exit
 	var line map[string]json.RawMessage
 	if err := json.Unmarshal([]byte(<-lines), &line); err != nil {
 		t.Fatal(err)
--- a/internal/platform/watch.go
+++ b/internal/platform/watch.go
@@ -17,24 +17,25 @@
 )
 
 const (
-	// watchIdleTimeout is how long the control feed may send nothing: it sends a comment each second.
+	// watchIdleTimeout is the time without data after which a stream counts as broken. The control feed sends at least a comment
+	// each second.
 	watchIdleTimeout = 1700 * time.Millisecond
-	// watchConnectTimeout is how long the control feed may take to answer a request for its events.
+	// watchConnectTimeout is how long the control feed may take to respond to a request for its events.
 	watchConnectTimeout = time.Second
-	// maxWatchHeader bounds the header of the control feed's response, in bytes: memory is short.
+	// maxWatchHeader is the maximum size of the response header in bytes, since the process has little memory.
 	maxWatchHeader = 16 << 10
-	// watchReadBuffer is how many bytes of a stream are read at once.
+	// watchReadBuffer is the maximum number of bytes read from a stream at once.
 	watchReadBuffer = 4096
-	// watchPath is where the control feed serves its events.
+	// watchPath is the URL path at which the control feed serves its events.
 	watchPath = "/v1/events"
 )
 
 var (
-	errWatchTimeout  = errors.New("platform: the control feed timed out")
-	errWatchReplaced = errors.New("platform: the stream was replaced by another one or stopped")
+	errWatchTimeout  = errors.New("platform: the control feed sent nothing within the timeout")
+	errWatchReplaced = errors.New("platform: the stream of the control feed was replaced or stopped")
 )
 
-// watchOperation is a step of reading the control feed.
+// watchOperation is an operation on a stream of the control feed.
 type watchOperation string
 
 const (
@@ -43,7 +44,7 @@
 	watchDecode  watchOperation = "decode event"
 )
 
-// watchError reports which operation failed on a stream of the control feed.
+// watchError reports that an operation on a stream of the control feed failed.
 type watchError struct {
 	Operation watchOperation
 	Addr      string // of the control feed
@@ -62,18 +63,18 @@
 type watchStatusError struct{ Status string }
 
 // Error implements error.
-func (e *watchStatusError) Error() string { return "unexpected status " + e.Status }
+func (e *watchStatusError) Error() string { return "got HTTP status " + e.Status + ", want 200" }
 
-// watchNotification is a message of a stream of the endpoint watch to the run loop: either an event, or the input for the
-// core that reports that the stream was established or has failed.
+// watchNotification is a message to the run loop from a stream of the endpoint watch. It has either an event, or an input for
+// the core that reports that the stream was established or has failed.
 type watchNotification struct {
 	streamID int                       // number of the stream that sent it
-	event    *platformfront.WatchEvent // nil: input is set
-	input    requests.Input
+	event    *platformfront.WatchEvent // nil if input is set
+	input    requests.Input            // nil if event is set
 }
 
-// handleWatchNotification returns the input for the core that follows from a notification, or nil if there is none. The end of a previous
-// stream is ignored, so that the core does not replace the current one.
+// handleWatchNotification applies a notification and returns the resulting input for the core, or nil if there is none. That a
+// previous stream was established or has failed is ignored, so that the core does not replace the current stream.
 func (s *scheduler) handleWatchNotification(n *watchNotification) requests.Input {
 	if n.event == nil {
 		if n.streamID != s.watchPosition.streamID {
@@ -86,29 +87,29 @@
 		return n.event.Update
 	case eventGap:
 		s.options.Log.Info().Uint64("missing_event", s.watchPosition.lastSequence+1).Uint64("received_event", n.event.Sequence).
-			Msg("events of the control feed are missing, requesting them again")
+			Msg("events of the control feed are missing, requesting them")
 		s.subscribe()
 	case eventStale:
 	}
 	return nil
 }
 
-// subscribe opens a stream of the control feed that starts after the last event that was applied.
+// subscribe opens a stream of the control feed that starts after the last event applied. It replaces the current stream.
 func (s *scheduler) subscribe() {
 	s.watchPosition.streamID++
 	s.watch.start(s.config.Load().ControlFeedAddr, s.watchPosition)
 }
 
-// endpointWatch reads the endpoint list from the control feed, one stream at a time. start and stop are for the run loop's
-// goroutine only. Each stream has a goroutine of its own, for which stop waits.
+// endpointWatch reads changes of the endpoint list from the control feed, one stream at a time. Only the run loop's goroutine
+// may call start and stop. Each stream has a goroutine of its own, for which stop waits.
 type endpointWatch struct {
 	scheduler *scheduler
-	cancel    context.CancelCauseFunc // of the current stream; nil: none was started
-	streams   sync.WaitGroup
+	cancel    context.CancelCauseFunc // cancels the current stream; nil until one is started
+	streams   sync.WaitGroup          // goroutines of the streams
 }
 
-// start opens a stream that starts after position.last, and replaces the previous one. The stream's lifetime is owned by the
-// watch, which logs its end.
+// start opens a stream that starts after event position.lastSequence, and cancels the previous stream. If the new stream ends
+// otherwise than by its replacement or by stop, its goroutine logs the reason and notifies the run loop.
 func (w *endpointWatch) start(addr string, position watchPosition) {
 	w.cancelStream()
 	ctx, cancel := context.WithCancelCause(context.Background())
@@ -125,7 +126,7 @@
 	})
 }
 
-// stop ends the current stream and waits for all of them.
+// stop cancels the current stream and waits for the goroutines of all streams.
 func (w *endpointWatch) stop() {
 	w.cancelStream()
 	w.streams.Wait()
@@ -137,21 +138,21 @@
 	}
 }
 
-// watchStream is one HTTP response of the control feed. It belongs to its goroutine.
+// watchStream reads one HTTP response of the control feed. It is used by one goroutine only.
 type watchStream struct {
 	scheduler *scheduler
-	id        int
-	addr      string
-	timeout   *time.Timer // cancels the stream when nothing arrives
+	id        int         // number of the stream, as in watchPosition.streamID
+	addr      string      // address of the control feed
+	timeout   *time.Timer // cancels the stream when no data arrives in time
 }
 
-// run reads the stream until it ends, and returns the reason as a *watchError.
-func (st *watchStream) run(ctx context.Context, cancel context.CancelCauseFunc, last uint64) error {
+// run requests the events after lastSequence and reads the stream until it ends. It returns the reason as a *watchError.
+func (st *watchStream) run(ctx context.Context, cancel context.CancelCauseFunc, lastSequence uint64) error {
 	st.timeout = time.AfterFunc(watchConnectTimeout, func() { cancel(errWatchTimeout) })
 	defer st.timeout.Stop()
 	client := newWatchClient()
 	defer client.CloseIdleConnections()
-	response, err := st.connect(ctx, client, last)
+	response, err := st.connect(ctx, client, lastSequence)
 	if err != nil {
 		return st.wrapError(ctx, watchConnect, err)
 	}
@@ -160,7 +161,8 @@
 	return st.read(ctx, response.Body)
 }
 
-// newWatchClient returns an HTTP client for one stream, which must not wait for the connection of another stream.
+// newWatchClient returns an HTTP client for one stream. Each stream has its own client and connection, so that it never waits
+// for another stream.
 func newWatchClient() *http.Client {
 	dialer := &net.Dialer{Timeout: watchConnectTimeout}
 	return &http.Client{Transport: &http.Transport{
@@ -172,13 +174,13 @@
 	}}
 }
 
-// connect requests the events after last. The caller closes the body of the response.
-func (st *watchStream) connect(ctx context.Context, client *http.Client, last uint64) (*http.Response, error) {
+// connect requests the events after lastSequence. The caller must close the body of the response.
+func (st *watchStream) connect(ctx context.Context, client *http.Client, lastSequence uint64) (*http.Response, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+st.addr+watchPath, nil)
 	if err != nil {
 		return nil, err
 	}
-	request.Header.Set("Last-Event-ID", strconv.FormatUint(last, 10))
+	request.Header.Set("Last-Event-ID", strconv.FormatUint(lastSequence, 10))
 	request.Header.Set("Accept", "text/event-stream")
 	response, err := client.Do(request)
 	if err != nil {
@@ -191,7 +193,7 @@
 	return response, nil
 }
 
-// read delivers the stream's events until it fails. It never returns nil.
+// read passes the stream's events to the run loop until an operation fails. It never returns nil.
 func (st *watchStream) read(ctx context.Context, body io.Reader) error {
 	var decoder sse.Decoder
 	buffer := make([]byte, watchReadBuffer)
@@ -219,14 +221,14 @@
 	return nil
 }
 
-// notify passes a notification to the run loop. It waits for capacity.
+// notify passes a notification to the run loop. It waits while the mailbox is full.
 func (st *watchStream) notify(n watchNotification) {
 	n.streamID = st.id
 	st.scheduler.mailbox.putWait(message{notification: &n}, st.scheduler.loopDone)
 }
 
-// wrapError returns the error of an operation. For a canceled stream it wraps the cause instead of the error that results from
-// it.
+// wrapError returns a *watchError for a failed operation. If the stream was canceled, it wraps the cause of the cancellation,
+// not the error that results from it.
 func (st *watchStream) wrapError(ctx context.Context, operation watchOperation, err error) error {
 	if cause := context.Cause(ctx); cause != nil {
 		err = cause
--- a/internal/platform/watch_position.go
+++ b/internal/platform/watch_position.go
@@ -2,23 +2,22 @@
 
 import "fmt"
 
-// watchPosition is how far the events of the endpoint list have been applied. It belongs to the run loop.
+// watchPosition records up to which event the endpoint list is up to date. It is used by the run loop only.
 type watchPosition struct {
 	lastSequence      uint64 // sequence number of the last event applied
-	requestedSequence uint64 // the missing sequence number for which the last stream was opened; 0: none
-	streamID          int    // number of the current stream
+	requestedSequence uint64 // the last missing sequence number for which a stream was opened; 0: none
+	streamID          int    // number of the current stream; each new stream has the next number
 }
 
-// eventOrder is the position of an event relative to those applied before.
+// eventOrder is how an event's sequence number relates to the last event applied.
 type eventOrder int
 
 const (
-	eventStale   eventOrder = iota // applied before, or after a gap on a previous stream: the current one sends it again
-	eventInOrder                   // the next event, or a complete list that replaces all before it
-	eventGap                       // events before it are missing and have to be requested
+	eventStale   eventOrder = iota // ignored: already applied, or after a gap on a previous stream: the current one sends it
+	eventInOrder                   // applied: the next event, or a complete list, which replaces all earlier events
+	eventGap                       // not applied: earlier events are missing and must be requested
 )
 
-// String returns the name of the order.
 func (o eventOrder) String() string {
 	switch o {
 	case eventStale:
@@ -31,8 +30,9 @@
 	return fmt.Sprintf("eventOrder(%d)", int(o))
 }
 
-// advance classifies an event, and sets the position to an event that is in order. A missing event is requested once: if the
-// next stream does not contain it either, the event after the gap counts as in order.
+// advance classifies an event from a stream, and advances the position if the event is in order. complete says that the event
+// is a complete list. A missing event is requested only once: if the next stream does not send it either, the event after the
+// gap counts as in order.
 func (p *watchPosition) advance(sequence uint64, complete bool, stream int) eventOrder {
 	next := p.lastSequence + 1
 	gap := sequence > next && !complete
