--- a/internal/platform/helpers_test.go
+++ b/internal/platform/helpers_test.go
@@ -31,23 +31,23 @@
 "categories":[{"name":"batch","effect":"read_like","objective_ns":600000000,"worth":3.0}],
 "specifics":{"kind_cores":[32],"mem_of_kind":[64],"admit_cores":1.5,"memory_multiple":1.5}}`
 
-// linkClosedMessage is the log message of a link to a node that closed.
+// linkClosedMessage is the message that the scheduler logs when a link to a node closes.
 const linkClosedMessage = "link to the node closed"
 
-// testScheduler is a running scheduler with a scripted control feed, on loopback.
+// testScheduler is a running scheduler with a scripted control feed, on the loopback interface.
 type testScheduler struct {
 	t             *testing.T
 	feed          *scripted.Feed
 	configPath    string
 	recordingPath string
-	addr          string
-	stop, reload  chan struct{}
-	runResult     chan error
+	addr          string        // where the scheduler listens for owners
+	stop, reload  chan struct{} // parameters of Run
+	runResult     chan error    // receives the result of Run
 	closedLinks   linkLog
-	logHook       func(line string) // called with each line of the log by the goroutine that logs it, also the event loop
+	logHook       func(line string) // called with each line of the log by the goroutine that logs it, such as the event loop
 }
 
-// Write takes one line of the log.
+// Write implements io.Writer. Each call receives one line of the log.
 func (s *testScheduler) Write(line []byte) (int, error) {
 	if s.logHook != nil {
 		s.logHook(string(line))
@@ -55,10 +55,10 @@
 	return s.closedLinks.Write(line)
 }
 
-// linkLog receives the log lines on links that closed; lines beyond its capacity are dropped.
+// linkLog receives the log lines that report closed links. Lines beyond its capacity are dropped.
 type linkLog chan string
 
-// Write takes one line of the log.
+// Write implements io.Writer. Each call receives one line of the log.
 func (l linkLog) Write(line []byte) (int, error) {
 	if strings.Contains(string(line), linkClosedMessage) {
 		select {
@@ -89,22 +89,22 @@
 	return f
 }
 
-// schedulerOptions are the options of a scheduler under test. The zero value has testSettings and no hook.
+// schedulerOptions are the options of a scheduler under test. The zero value means testSettings and no hook.
 type schedulerOptions struct {
-	settings string
-	// logHook is called with each line of the log, at trace level. A test blocks the event loop or the run loop when it logs
-	// a line, and so determines the order of concurrent events.
+	settings string // JSON of the field settings in the configuration; empty means testSettings
+	// logHook is called with each line of the log, at trace level. A test can block in it when the event loop or the run loop
+	// logs a certain line, to control the order of concurrent events.
 	logHook func(line string)
 }
 
-// startScheduler starts a scheduler whose configuration lists nodes, and waits until it has connected to its control feed.
-// By then it listens for owners.
+// startScheduler starts a scheduler whose configuration lists nodes, and waits until it has requested the events of its control
+// feed. By then it listens for owners.
 func startScheduler(t *testing.T, nodes ...string) *testScheduler {
 	t.Helper()
 	return startSchedulerWith(t, schedulerOptions{}, nodes...)
 }
 
-// startSchedulerWith is startScheduler with options.
+// startSchedulerWith starts a scheduler with options and otherwise does the same as startScheduler.
 func startSchedulerWith(t *testing.T, options schedulerOptions, nodes ...string) *testScheduler {
 	t.Helper()
 	if options.settings == "" {
@@ -137,7 +137,7 @@
 	return s
 }
 
-// startSchedulerWithTask starts a scheduler with one node that accepts everything, and an owner whose task 2 runs there.
+// startSchedulerWithTask starts a scheduler with one node that accepts all tasks, and connects an owner whose task 2 runs there.
 func startSchedulerWithTask(t *testing.T) (*testScheduler, *scripted.Node, *client) {
 	t.Helper()
 	n := newNode(t, scripted.AcceptAll)
@@ -148,7 +148,7 @@
 	return s, n, c
 }
 
-// writeConfig writes the configuration file. The control feed is given by its address.
+// writeConfig writes the configuration file. feed is the address of the control feed.
 func (s *testScheduler) writeConfig(feed, settings string, nodes ...string) {
 	s.t.Helper()
 	text := fmt.Sprintf(`{"name":"n0","listen":%q,"seed":"1f","feed":%q,"limits":{"cores":0.5,"memory_mb":64,"sockets":128},
@@ -158,8 +158,8 @@
 	}
 }
 
-// shutDown stops the scheduler, unless the test has done so, and checks that a replay of the recorded steps has the same
-// actions.
+// shutDown stops the scheduler, unless the test has already requested that, and checks that a replay of the recorded steps
+// produces the same actions.
 func (s *testScheduler) shutDown() {
 	s.t.Helper()
 	select {
@@ -171,20 +171,21 @@
 	s.awaitExit()
 	f := openFile(s.t, s.recordingPath)
 	if result, err := replay.Check(f); err != nil || result.Steps == 0 {
-		s.t.Errorf("replay of the recorded steps: got %+v and error %v, want steps and no error", result, err)
+		s.t.Errorf("replay of the recorded steps: got %+v and error %v, want at least one step and no error", result, err)
 	}
 }
 
-// awaitExit waits until the scheduler, whose shutdown was requested, has exited without an error.
+// awaitExit waits until the scheduler has exited, and checks that Run returned no error. The test must have requested the
+// shutdown.
 func (s *testScheduler) awaitExit() {
 	s.t.Helper()
 	select {
 	case err := <-s.runResult:
 		if err != nil {
-			s.t.Errorf("got error %v of Run, want none", err)
+			s.t.Errorf("got error %v from Run, want none", err)
 		}
 	case <-time.After(10 * time.Second):
-		s.t.Fatal("the scheduler did not exit, want an exit within 10 s")
+		s.t.Fatal("the scheduler did not exit within 10 s")
 	}
 }
 
@@ -195,11 +196,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = f.Close() }) // it was only read
+	t.Cleanup(func() { _ = f.Close() }) // the file is only read, so an error does not matter
 	return f
 }
 
-// awaitMessage waits for the node's next message of a type.
+// awaitMessage waits until the node receives a message of a type, and returns it. Messages of other types are skipped.
 func awaitMessage(t *testing.T, n *scripted.Node, want nodebinary.Type) nodebinary.Message {
 	t.Helper()
 	timeout := time.After(10 * time.Second)
@@ -210,20 +211,20 @@
 				return m
 			}
 		case <-timeout:
-			t.Fatalf("the node got no message of type %d, want one within 10 s", want)
+			t.Fatalf("the node got no message of type %d within 10 s", want)
 		}
 	}
 }
 
-// expectMessage waits for the node's next message of a type, and checks its task.
+// expectMessage waits until the node receives a message of a type, and checks its task. Messages of other types are skipped.
 func expectMessage(t *testing.T, n *scripted.Node, want nodebinary.Type, task int) {
 	t.Helper()
 	if got := awaitMessage(t, n, want); got.Task != uint64(task) {
-		t.Errorf("the node got message %+v, want one of task %d", got, task)
+		t.Errorf("the node got message %+v, want one for task %d", got, task)
 	}
 }
 
-// expectConnection waits for the node's next event of a connection, which must be that one has opened.
+// expectConnection waits for the node's next connection event, which must report a new connection.
 func expectConnection(t *testing.T, n *scripted.Node) {
 	t.Helper()
 	if event := <-n.ConnectionEvents; event != scripted.ConnectionOpened {
@@ -231,16 +232,16 @@
 	}
 }
 
-// expectStream waits for the next request of a control feed, which must be for the events after last.
+// expectStream waits for the next request that a control feed receives, which must ask for the events after last.
 func expectStream(t *testing.T, feed *scripted.Feed, last string) {
 	t.Helper()
 	select {
 	case got := <-feed.Requests:
 		if got != last {
-			t.Errorf("got a stream requested from event %s, want %s", got, last)
+			t.Errorf("got a request for the events after %s, want those after %s", got, last)
 		}
 	case <-time.After(10 * time.Second):
-		t.Fatalf("got no request of a stream, want one from event %s", last)
+		t.Fatalf("got no request within 10 s, want one for the events after %s", last)
 	}
 }
 
@@ -254,14 +255,14 @@
 	}
 }
 
-// client is an owner's connection.
+// client is the test's end of a connection from an owner.
 type client struct {
 	t      *testing.T
 	conn   net.Conn
 	reader *bufio.Reader
 }
 
-// connect connects an owner until the end of the test.
+// connect connects an owner. The connection is closed at the end of the test.
 func (s *testScheduler) connect() *client {
 	s.t.Helper()
 	c := s.dial()
@@ -270,7 +271,7 @@
 	return c
 }
 
-// dial connects an owner, whose connection the test closes.
+// dial connects an owner. The test must close the connection.
 func (s *testScheduler) dial() *client {
 	s.t.Helper()
 	conn, err := net.Dial("tcp", s.addr)
@@ -280,7 +281,7 @@
 	return &client{s.t, conn, bufio.NewReader(conn)}
 }
 
-// send writes one line.
+// send writes one message, to which it adds the newline.
 func (c *client) send(format string, args ...any) {
 	c.t.Helper()
 	if _, err := fmt.Fprintf(c.conn, format+"\n", args...); err != nil {
@@ -288,7 +289,7 @@
 	}
 }
 
-// submit requests the placement of a task, each with a service of its own; moreExtras are added to the extras.
+// submit requests the placement of a task with a service of its own. moreExtras are appended to the field extras.
 func (c *client) submit(task int, moreExtras ...string) {
 	c.t.Helper()
 	extras := fmt.Sprintf("cores:1;memory:1;service:s%d", task)
@@ -299,7 +300,7 @@
 		task, task, extras)
 }
 
-// placeTask submits a task and expects that it is placed.
+// placeTask submits a task and checks that it is placed.
 func (c *client) placeTask(task int) {
 	c.t.Helper()
 	c.submit(task)
@@ -314,13 +315,13 @@
 	c.send(`{"type":"release","id":"%016x","fields":{},"cause":%d}`, task, cause)
 }
 
-// reply is a message of the scheduler.
+// reply is a message from the scheduler.
 type reply struct {
 	Type, ID, SDP string
 	Cause         int
 }
 
-// readReply reads the next message.
+// readReply reads the next message from the scheduler.
 func (c *client) readReply() (r reply) {
 	c.t.Helper()
 	line, err := c.reader.ReadBytes('\n')
@@ -333,12 +334,12 @@
 	return r
 }
 
-// expectReply reads the next message and checks its type, task and cause.
+// expectReply reads the next message from the scheduler and checks its type, task and cause.
 func (c *client) expectReply(kind string, task, cause int) reply {
 	c.t.Helper()
 	r := c.readReply()
 	if r.Type != kind || r.ID != fmt.Sprintf("%016x", task) || r.Cause != cause {
-		c.t.Fatalf("got %+v, want %s of %d with cause %d", r, kind, task, cause)
+		c.t.Fatalf("got %+v, want a message of type %s for task %d with cause %d", r, kind, task, cause)
 	}
 	return r
 }
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -15,8 +15,8 @@
 	"flaxshelf.example/flaxshelf/internal/transport"
 )
 
-// A health check passes; a request reaches its node unchanged and gets a response with the node's description; the owner is
-// notified of the end of the task.
+// A health check passes. A request reaches its node unchanged, and its response has the node's description. The owner is
+// notified when the task ends.
 func TestRequestReachesNodeAndResponseReachesOwner(t *testing.T) {
 	n := newNode(t, scripted.AcceptAll)
 	s := startScheduler(t, scripted.Entry("s-1", n.Addr(), "active"))
@@ -27,14 +27,14 @@
 	c.placeTask(2)
 	m := awaitMessage(t, n, nodebinary.SetUp)
 	if m.Task != 2 || m.Class != "batch" || m.Key != "k2" || m.Description != "owner's" || m.TimeLeft == "" {
-		t.Errorf("the node got %+v, want task 2 of class batch with key k2, the owner's description and time left", m)
+		t.Errorf("the node got %+v, want task 2 of class batch with key k2, the owner's description and a time left", m)
 	}
 	n.Send(nodebinary.Message{Type: nodebinary.Release, Task: 2, Cause: 16})
 	c.expectReply("release", 2, 16)
 }
 
-// Owners may end or migrate a running task on another connection than that of its request. A request with an ID that is in
-// use fails, and the task of the first one continues to run.
+// Owners may release or migrate a running task on another connection than that of its request. A request with the ID of a
+// running task fails, and the running task is not affected.
 func TestOwnerEndsTaskOnAnotherConnection(t *testing.T) {
 	s, n, c := startSchedulerWithTask(t)
 	other := s.connect()
@@ -46,11 +46,11 @@
 	c.placeTask(4)
 	other.submit(4)
 	other.expectReply("release", 4, 41)
-	c.placeTask(5) // no release in between: an owner gets none for a task that it ended itself
+	c.placeTask(5) // its response is the next message: an owner gets no release for a task that it ended itself
 }
 
-// A request is released while its node handles it: the node is sent a release, the owner gets no response, and a response of
-// the node that crosses the release causes a second release.
+// If a request is released while its node handles it, the node receives a release and the owner gets no response. If the node's
+// response crosses the release, the node receives a second release.
 func TestReleaseCrossesAnswer(t *testing.T) {
 	delayed := make(chan func(), 1)
 	n := newNode(t, func(c net.Conn, m nodebinary.Message) {
@@ -73,8 +73,9 @@
 	c.placeTask(3)
 }
 
-// Tasks that ran before a start are adopted by requests with the extra "at", which get no response. Their node
-// gets no offer of them, its report of the end reaches the owner, and a second request for the same task is ignored.
+// Tasks that ran before the scheduler started are adopted by requests with the extra "at", which get no response. Their node
+// gets no offer for them, and its report that the task has ended reaches the owner. A second request for the same task is
+// ignored.
 func TestAdoptedTasks(t *testing.T) {
 	n := newNode(t, scripted.AcceptAll)
 	s := startScheduler(t, scripted.Entry("s-1", n.Addr(), "active"))
@@ -87,7 +88,7 @@
 	c.expectReply("release", 7, 41)
 }
 
-// A malformed response of a node closes the link, and the task is placed on another node.
+// A malformed response from a node closes the link, and the task is placed on another node.
 func TestMalformedAnswerClosesLink(t *testing.T) {
 	n := newNode(t, func(c net.Conn, m nodebinary.Message) {
 		if m.Type == nodebinary.SetUp {
@@ -102,8 +103,8 @@
 	c.expectReply("answer", 2, 0)
 }
 
-// A link on which a message stays partial is closed even if no request is pending on it, because the message would consume
-// what follows. Another link replaces it. Which of the two events the node sees first is not determined.
+// A link on which a message stays incomplete is closed even if no request is pending on it, because the messages that follow
+// would be read as the rest of it. Another link replaces it. The node may see the new connection before or after the close.
 func TestPartialMessageClosesLink(t *testing.T) {
 	n := newNode(t, func(c net.Conn, m nodebinary.Message) {
 		scripted.AcceptAll(c, m)
@@ -125,15 +126,15 @@
 	}
 }
 
-// When a node dies, the owners of its tasks are notified at once.
+// When a node dies, the owners of its tasks are notified immediately.
 func TestNodeDeathTerminatesTasks(t *testing.T) {
 	_, n, c := startSchedulerWithTask(t)
 	n.Kill()
 	c.expectReply("release", 2, 41)
 }
 
-// A node becomes unreachable while a task runs there: its connections stay open and new ones are never established. The
-// owner is notified by the protocol's deadline.
+// When a node becomes unreachable while it runs a task, the owner is notified by the protocol's deadline. The node's connections
+// stay open, and new connections to it are never established.
 func TestUnreachableNodeIsReportedWithinDeadline(t *testing.T) {
 	_, n, c := startSchedulerWithTask(t)
 	backlogConns, err := n.Freeze()
@@ -150,19 +151,20 @@
 	}
 }
 
-// A node at the address of a previous one is not offered the previous one's tasks, and cannot end them.
+// A node that listens at the address of a previous node does not take over its tasks: the owner is notified of their loss, and
+// the new node cannot end them.
 func TestNodeAtReusedAddressGetsNoTasksOfPreviousNode(t *testing.T) {
 	s, n, c := startSchedulerWithTask(t)
 	s.feed.Publish(false, scripted.Entry("s-2", n.Addr(), "active"))
 	c.expectReply("release", 2, 41)
 	c.placeTask(3)
-	n.Send(nodebinary.Message{Type: nodebinary.Release, Task: 2, Cause: 16}) // a task of the former node: nothing follows
+	n.Send(nodebinary.Message{Type: nodebinary.Release, Task: 2, Cause: 16}) // a task of the previous node: it has no effect
 	n.Send(nodebinary.Message{Type: nodebinary.Release, Task: 3, Cause: 16})
 	c.expectReply("release", 3, 16)
 }
 
-// Events are applied once and partial events are dropped. After a stream that breaks, and after one that stays open but
-// silent, the next one is requested from the last event.
+// Events are applied once, and partially received events are dropped. After a stream that breaks, and after one that stays open
+// but sends nothing, the next one is requested from the last event applied.
 func TestWatchResumesAfterLastEvent(t *testing.T) {
 	s, old, c := startSchedulerWithTask(t)
 	s.feed.Publish(false, scripted.Entry("s-1", old.Addr(), "active"))
@@ -172,15 +174,15 @@
 		select {
 		case got := <-s.feed.Requests:
 			if want := fmt.Sprint(3 + i); got != want {
-				t.Errorf("got a stream requested from event %s, want %s", got, want)
+				t.Errorf("got a request for the events after %s, want those after %s", got, want)
 			}
-		case <-time.After(4 * time.Second): // the platform expects the events to be known by then
-			t.Fatal("got no request of a stream within 4 s, want one")
+		case <-time.After(4 * time.Second): // by then, the platform expects the scheduler to know the events
+			t.Fatal("got no request for the events within 4 s")
 		}
 	}
 	s.feed.Publish(false, scripted.Entry("s-1", old.Addr(), "left"))
 	c.expectReply("release", 2, 41)
-	s.feed.Republish(2) // an old event, by which the node is active
+	s.feed.Republish(2) // an event that was applied already, in which node s-1 is active
 	s.feed.Publish(false, scripted.Entry("s-2", newNode(t, scripted.AcceptAll).Addr(), "active"))
 	for i := range 8 {
 		c.placeTask(3 + i)
@@ -188,8 +190,9 @@
 	expectNoMessage(t, old, nodebinary.SetUp)
 }
 
-// A reloaded configuration names another control feed, whose sequence numbers continue. Events that are older than the last
-// one applied are ignored, and so are an invalid file and other settings: the core retains those of its start.
+// When the configuration is reloaded, the scheduler follows the control feed that it names, whose sequence numbers continue
+// those of the previous one. It ignores events older than the last one applied, an invalid file and changed settings: the core
+// retains the settings from its start.
 func TestReload(t *testing.T) {
 	s, old, c := startSchedulerWithTask(t)
 	entry := scripted.Entry("s-1", old.Addr(), "active")
@@ -216,8 +219,8 @@
 	expectNoMessage(t, old, nodebinary.SetUp)
 }
 
-// During a graceful shutdown health checks fail, requests are still served, also on new connections, and all requests have
-// their responses before the scheduler exits; running tasks continue to run.
+// During a graceful shutdown, health checks fail and requests are still served, also on new connections. All requests get their
+// responses before the scheduler exits, and running tasks are not released.
 func TestShutdownServesRequestsAndKeepsTasksRunning(t *testing.T) {
 	s, n, c := startSchedulerWithTask(t)
 	close(s.stop)
@@ -229,7 +232,8 @@
 	expectNoMessage(t, n, nodebinary.Release)
 }
 
-// Misbehaving clients are rejected or closed, none of their requests is placed, and another owner is served meanwhile.
+// The connections of clients that send malformed, oversized, repeatedly invalid or incomplete messages, or nothing, are closed.
+// None of the invalid requests is placed, and another owner is served meanwhile.
 func TestMisbehavingClientsAreClosed(t *testing.T) {
 	s, n, other := startSchedulerWithTask(t)
 	for _, malformed := range []string{"\x16\x03\x01\n", "{\n", strings.Repeat("x", 1<<20), `{"type":"setup","id":"7"}` + "\n"} {
@@ -245,7 +249,7 @@
 	c.awaitClosed()
 	partial := s.connect()
 	partial.placeTask(10)
-	_, _ = partial.conn.Write([]byte(`{"type":"setup"`))
+	_, _ = partial.conn.Write([]byte(`{"type":"setup"`)) // never completed
 	idle := []*client{s.connect(), partial}
 	for range 100 {
 		idle = append(idle, s.connect())
@@ -259,8 +263,8 @@
 	}
 }
 
-// While idle clients keep connecting and the control feed is down, its next stream, a new node and a health check still get
-// descriptors.
+// While 300 idle clients are connected or wait to be accepted, there are still descriptors for the next stream of the control
+// feed, for a health check on a new connection and for the link to a new node.
 func TestIdleClientsLeaveDescriptorsFree(t *testing.T) {
 	s, _, c := startSchedulerWithTask(t)
 	s.feed.Break()
@@ -278,22 +282,22 @@
 	expectMessage(t, n, nodebinary.SetUp, 3)
 }
 
-// The shares add up to the limit, and owners get the third of it that the protocol requires.
+// The shares add up to the limit, and admission control retains at least the third of it for owners that the protocol requires.
 func TestDivideDescriptors(t *testing.T) {
 	for limit := 96; limit <= 1<<14; limit++ {
 		b := divideDescriptors(limit)
 		if b.ownerConnections+b.nodeLinks+reservedDescriptors != limit || 3*b.retainedOwnerConnections < limit-reservedDescriptors ||
 			b.retainedOwnerConnections >= b.ownerConnections {
-			t.Fatalf("limit %d: got %+v, want shares that add up, and retained connections from a third of it to the owners' share",
-				limit, b)
+			t.Fatalf("limit %d: got %+v, want shares that add up to the limit, and retained connections of at least a third of "+
+				"what is not reserved and less than the owners' share", limit, b)
 		}
 	}
 	if b := divideDescriptors(32); b.retainedOwnerConnections < 1 || b.nodeLinks < 1 || b.ownerConnections+b.nodeLinks > 16 {
-		t.Errorf("limit 32: got %+v, want a connection of each kind and at most 16 in all", b)
+		t.Errorf("limit 32: got %+v, want at least one connection of each kind and at most 16 in total", b)
 	}
 }
 
-// An invalid configuration is reported with the name of the field.
+// The error for an invalid configuration names the field.
 func TestRunReportsFieldOfInvalidConfiguration(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(`{"listen":"127.0.0.1:0"}`), 0o600); err != nil {
--- a/internal/platform/shutdown_test.go
+++ b/internal/platform/shutdown_test.go
@@ -14,7 +14,7 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/standin/scripted"
 )
 
-// The next step of a shutdown follows from the time since it was requested and from what delays the exit.
+// The next step of a shutdown depends on the time since it was requested and on the conditions that delay the exit.
 func TestShutdownSteps(t *testing.T) {
 	const requestedAt = requests.Time(time.Hour)
 	listening := shutdownState{idle: true, listening: true}
@@ -54,7 +54,7 @@
 	})
 }
 
-// awaitListenerClosed waits until the scheduler no longer listens.
+// awaitListenerClosed waits until connections to the scheduler are refused.
 func (s *testScheduler) awaitListenerClosed() {
 	s.t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); ; {
@@ -64,16 +64,17 @@
 		}
 		_ = conn.Close()
 		if time.Now().After(deadline) {
-			s.t.Fatal("the scheduler still listens, want its listener closed within 10 s")
+			s.t.Fatal("the scheduler still listens after 10 s")
 		}
 	}
 }
 
-// A request whose last byte arrives after the scheduler has stopped listening is served: its connection was accepted.
+// A request whose last byte arrives after the scheduler has stopped listening is served, since its connection was accepted
+// before.
 func TestShutdownWaitsForPartialRequest(t *testing.T) {
 	s, _, other := startSchedulerWithTask(t)
 	c := s.connect()
-	c.placeTask(3) // the connection is known to be an owner's
+	c.placeTask(3) // marks the connection as one of an owner
 	line := `{"type":"setup","id":"0000000000000004","fields":{"class":"batch","left":"3000","key":"k",` +
 		`"extras":"cores:1;memory:1;service:s"},"sdp":"x"}` + "\n"
 	if _, err := c.conn.Write([]byte(line[:20])); err != nil {
@@ -83,7 +84,7 @@
 	s.awaitListenerClosed()
 	_ = other.conn.SetReadDeadline(time.Now().Add(4 * quietPeriod))
 	if _, err := other.reader.ReadByte(); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("got error %v, want the read deadline: the scheduler has exited", err)
+		t.Errorf("got error %v, want %v: the scheduler must wait for the partial request", err, os.ErrDeadlineExceeded)
 	}
 	if _, err := c.conn.Write([]byte(line[20:])); err != nil {
 		t.Fatal(err)
@@ -92,8 +93,8 @@
 	s.awaitExit()
 }
 
-// The scheduler exits while an owner still sends: the last answer arrives completely, and what the owner sends meanwhile
-// causes no reset, which would destroy an answer that the owner has not read yet.
+// When the scheduler exits while an owner still sends messages, the last response arrives completely. The messages that the
+// owner sends meanwhile must not cause a reset, which could destroy a response that the owner has not read yet.
 func TestShutdownDeliversLastAnswers(t *testing.T) {
 	delayed := make(chan func(), 1)
 	n := newNode(t, func(c net.Conn, m nodebinary.Message) {
@@ -105,22 +106,23 @@
 	s := startSchedulerWith(t, schedulerOptions{settings: longObjective}, scripted.Entry("s-1", n.Addr(), "active"))
 	c := s.connect()
 	c.submit(2)
-	answer := <-delayed // the attempt's timeout is after the end of listening
+	answer := <-delayed // the attempt does not time out before the listener closes
 	close(s.stop)
 	s.awaitListenerClosed()
-	answer() // after it nothing delays the exit
+	answer() // nothing else delays the exit
 	c.expectReply("answer", 2, 0)
 	if _, err := c.reader.ReadByte(); !errors.Is(err, io.EOF) {
 		t.Errorf("got error %v at the end of the connection, want EOF", err)
 	}
-	for range 2 { // a second write fails if the first met a closed socket
+	for range 2 { // if the scheduler had closed the socket, the first write would cause a reset and the second would fail
 		c.send(`{"type":"progress","id":"%016x","fields":{}}`, 2)
 	}
 	_ = c.conn.Close()
 	s.awaitExit()
 }
 
-// Signals in unusual order: a shutdown with a reload behind it, and a shutdown requested before the start.
+// The scheduler exits without an error if the configuration is reloaded during a shutdown, and if the shutdown was requested
+// before the start.
 func TestShutdownSignalOrder(t *testing.T) {
 	s, _, c := startSchedulerWithTask(t)
 	close(s.stop)
@@ -131,12 +133,12 @@
 	stop := make(chan struct{})
 	close(stop)
 	if err := Run(Options{ConfigPath: s.configPath}, stop, nil); err != nil {
-		t.Errorf("got error %v of Run, want none", err)
+		t.Errorf("got error %v from Run, want none", err)
 	}
 }
 
-// Node updates of a reloaded configuration are applied though its other settings are not: a drain that only the file
-// reports is applied too.
+// Node updates in a reloaded configuration are applied even if its settings are ignored, including a drain that only the
+// configuration file reports.
 func TestReloadAppliesDrain(t *testing.T) {
 	s, drained, c := startSchedulerWithTask(t)
 	b, err := os.ReadFile(s.configPath)
@@ -158,7 +160,8 @@
 	expectNoMessage(t, drained, nodebinary.SetUp)
 }
 
-// Two reloads in immediate succession: the second file's control feed is followed, from the first one's last event on.
+// After two reloads in immediate succession, the scheduler follows the control feed that the second file names, from the last
+// event applied on.
 func TestConsecutiveReloads(t *testing.T) {
 	s, drained, c := startSchedulerWithTask(t)
 	first, second := newControlFeed(t), newControlFeed(t)
@@ -170,7 +173,7 @@
 	expectStream(t, second, "1")
 	n := newNode(t, scripted.AcceptAll)
 	second.Publish(false, scripted.Entry("s-1", drained.Addr(), "leaving"), scripted.Entry("s-2", n.Addr(), "active"))
-	expectConnection(t, n) // the watch event was applied
+	expectConnection(t, n) // ensures that the watch event was applied
 	for i := range 4 {
 		c.placeTask(3 + i)
 	}
--- a/internal/platform/watch_test.go
+++ b/internal/platform/watch_test.go
@@ -14,10 +14,10 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/standin/scripted"
 )
 
-// Events are applied once, in order; missing ones are requested once.
+// Events are applied once and in order, and a missing event is requested once.
 func TestWatchEventOrder(t *testing.T) {
 	p := watchPosition{lastSequence: 4, streamID: 2}
-	for _, test := range []struct { // each case continues at the position of the one before
+	for _, test := range []struct { // each case continues from the position after the previous one
 		name     string
 		sequence uint64
 		complete bool
@@ -46,7 +46,7 @@
 	}
 }
 
-// The end of a previous stream does not end the current one.
+// The core is not notified when a previous stream fails, since it would replace the current one.
 func TestFailureOfPreviousStreamIsIgnored(t *testing.T) {
 	s := &scheduler{watchPosition: watchPosition{streamID: 2}}
 	for _, test := range []struct {
@@ -66,8 +66,8 @@
 	}
 }
 
-// serveReplies starts a control feed that answers each request with the next reply and closes the connection. It sends the
-// Last-Event-ID of each request to the channel.
+// serveReplies starts a control feed that answers each request with the next of replies and then closes the connection.
+// lastEvents receives the Last-Event-ID of each request.
 func serveReplies(t *testing.T, replies []string) (addr string, lastEvents <-chan string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -96,7 +96,8 @@
 	return listener.Addr().String(), requested
 }
 
-// Each stream that is anything but events is ended, and requested again. The events of the last one are applied.
+// Streams with another HTTP status than 200, an oversized header, a truncated or malformed event, no HTTP at all or a gap between
+// events are each replaced by a new request for the same events. The events that finally arrive are applied.
 func TestMalformedWatchStreams(t *testing.T) {
 	n := newNode(t, scripted.AcceptAll)
 	replies := []string{
@@ -115,14 +116,14 @@
 	s.reload <- struct{}{}
 	for i := range replies {
 		if got := <-lastEvents; got != "1" {
-			t.Errorf("got stream %d requested from event %s, want 1", i, got)
+			t.Errorf("stream %d: got a request for the events after %s, want those after 1", i, got)
 		}
 	}
 	s.connect().placeTask(2)
 	expectMessage(t, n, nodebinary.SetUp, 2)
 }
 
-// The error of a stream names the operation that failed, the address and the cause.
+// The error of a stream names the operation that failed, the control feed's address and the cause.
 func TestWatchErrorNamesOperationAndAddress(t *testing.T) {
 	for _, c := range []struct {
 		name, reply string
@@ -137,11 +138,11 @@
 			addr, err := readStream(context.Background(), t, c.reply)
 			var watchErr *watchError
 			if !errors.As(err, &watchErr) || watchErr.Operation != c.operation || watchErr.Addr != addr || watchErr.Err == nil {
-				t.Errorf("got error %v, want one of %s at %s", err, c.operation, addr)
+				t.Errorf("got error %v, want one of operation %q at %s, with a cause", err, c.operation, addr)
 			}
 			var status *watchStatusError
 			if errors.As(err, &status) != (c.name == "status") {
-				t.Errorf("got status error %v, want one only for a status", status)
+				t.Errorf("got status error %v, want one only for a status other than 200", status)
 			}
 		})
 	}
@@ -154,7 +155,8 @@
 	})
 }
 
-// readStream reads one stream of a control feed that sends a reply. It returns the feed's address and the stream's error.
+// readStream reads one stream from a control feed that sends a single reply. It returns the control feed's address and the error
+// with which the stream ended.
 func readStream(parent context.Context, t *testing.T, reply string) (addr string, err error) {
 	t.Helper()
 	addr, _ = serveReplies(t, []string{reply})
