--- a/internal/front/platformfront/config.go
+++ b/internal/front/platformfront/config.go
@@ -1,6 +1,7 @@
-// Package platformfront translates between the messages of the platform and the inputs and effects of requests.Core: the
-// configuration file, owners' and nodes' messages, and the events of the control feed. It validates all external input, and
-// maps the names of the platform's protocols to the terms of the core. It does no I/O, but for ReadConfig, and makes no decision.
+// Package platformfront translates between the platform's protocols and the inputs and effects of requests.Core. It decodes the
+// configuration file, messages from owners and nodes, and events of the control feed, which is the platform's discovery service.
+// It encodes messages to owners and nodes. It validates all external input, and maps the names on the wire to the terms of the
+// core. It makes no decisions about tasks, and does no I/O except in ReadConfig.
 package platformfront
 
 import (
@@ -17,30 +18,30 @@
 	"flaxshelf.example/flaxshelf/internal/fleetsettings"
 )
 
-// minSockets is the minimum number of sockets that a scheduler needs.
+// minSockets is the smallest limit on sockets with which a scheduler can run.
 const minSockets = 32
 
 // Limits are the resources that the platform gives one scheduler.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"`
-	Sockets  int     `json:"sockets"`
+	Sockets  int     `json:"sockets"` // open file descriptors of any kind
 }
 
-// Config is the configuration of one scheduler. It is read-only after ParseConfig and then safe for concurrent use.
+// Config is the configuration of one scheduler. It must not be modified after ParseConfig, and is then safe for concurrent use.
 type Config struct {
 	Name, ListenAddr, ControlFeedAddr string
 	Seed                              uint64
 	Limits                            Limits
-	InitialEvents                     []WatchEvent  // the events of the control feed up to the start
-	InitialEventsJSON                 [][]byte      // their JSON text
-	LastSequence                      uint64        // of the last of them
-	NodeIdleTimeout                   time.Duration // after which nodes close a connection without traffic; zero if not known
+	InitialEvents                     []WatchEvent  // events that the control feed sent before the scheduler started
+	InitialEventsJSON                 [][]byte      // the JSON texts of InitialEvents
+	LastSequence                      uint64        // sequence number of the last of InitialEvents
+	NodeIdleTimeout                   time.Duration // time without traffic after which nodes close a connection; zero: unknown
 	Placer                            flaxshelf.Config
 	Names                             *fleetsettings.Names
 }
 
-// wireConfig is a configuration file with the JSON names of its members.
+// wireConfig is the JSON form of a configuration file.
 type wireConfig struct {
 	Name     string          `json:"name"`
 	Listen   string          `json:"listen"`
@@ -51,17 +52,17 @@
 	Settings json.RawMessage `json:"settings"`
 }
 
-// wireKnown are the events of the control feed up to the start.
+// wireKnown is the JSON form of the events that the control feed sent before the scheduler started.
 type wireKnown struct {
 	LastSequence uint64            `json:"n"`
 	Events       []json.RawMessage `json:"events"`
 }
 
-// ReadConfig reads a configuration file. The error is a ConfigError.
+// ReadConfig reads and parses a configuration file. The error is a *ConfigError with the path.
 func ReadConfig(path string) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, &ConfigError{Path: path, Reason: "can't be read", Err: err}
+		return nil, &ConfigError{Path: path, Reason: "cannot read file", Err: err}
 	}
 	c, err := ParseConfig(text)
 	var invalid *ConfigError
@@ -71,7 +72,7 @@
 	return c, err
 }
 
-// ParseConfig parses the text of a configuration file. The error is a ConfigError without a path.
+// ParseConfig parses the text of a configuration file. The error is a *ConfigError without a path.
 func ParseConfig(text []byte) (*Config, error) {
 	var wire wireConfig
 	if err := json.Unmarshal(text, &wire); err != nil {
@@ -95,7 +96,7 @@
 	return c, nil
 }
 
-// validate checks the fields that are not within the settings.
+// validate checks the addresses and limits. The settings are validated when they are decoded.
 func (c *Config) validate() error {
 	switch {
 	case c.ListenAddr == "":
@@ -112,7 +113,7 @@
 	return nil
 }
 
-// decodeInitialEvents decodes the events of the control feed up to the start.
+// decodeInitialEvents decodes the events that the control feed sent before the scheduler started. It needs the settings.
 func (c *Config) decodeInitialEvents(events []json.RawMessage) error {
 	for i, data := range events {
 		event, err := c.DecodeWatchEvent(data)
@@ -121,7 +122,7 @@
 		}
 		c.InitialEvents, c.InitialEventsJSON = append(c.InitialEvents, event), append(c.InitialEventsJSON, data)
 	}
-	// If the list has no free capacity although the settings say so, every node would look full.
+	// The settings may say that the endpoint list has free capacities although it has none. Every node would then look full.
 	c.Placer.ListsFreeCapacity = c.Placer.ListsFreeCapacity &&
 		slices.ContainsFunc(c.InitialEvents, func(e WatchEvent) bool { return e.HasFreeCapacity })
 	return nil
@@ -131,12 +132,12 @@
 	return &ConfigError{Field: field, Value: value, Reason: reason}
 }
 
-// invalidJSON returns the error for a file that the JSON decoder rejected, with the field if the decoder reports it.
+// invalidJSON returns the error for a file that the JSON decoder rejected. It names the field if the decoder does.
 func invalidJSON(err error) error {
 	var mismatch *json.UnmarshalTypeError
 	if errors.As(err, &mismatch) {
 		return &ConfigError{Field: mismatch.Field,
 			Reason: fmt.Sprintf("must be of type %v, not %s", mismatch.Type, mismatch.Value)}
 	}
-	return &ConfigError{Reason: "not a configuration as a JSON object", Err: err}
+	return &ConfigError{Reason: "must be a valid JSON object", Err: err}
 }
--- a/internal/front/platformfront/config_test.go
+++ b/internal/front/platformfront/config_test.go
@@ -52,7 +52,7 @@
 		expectEqual(t, "last sequence", c.LastSequence, uint64(2))
 		expectEqual(t, "limits", c.Limits, Limits{Cores: 0.25, MemoryMB: 64, Sockets: 256})
 	})
-	t.Run("module", func(t *testing.T) {
+	t.Run("placer", func(t *testing.T) {
 		expectEqual(t, "index", c.Placer.Index, 1)
 		expectEqual(t, "schedulers", c.Placer.Schedulers, 3)
 		expectEqual(t, "discovery on request", c.Placer.DiscoveryOnRequest, false)
@@ -70,7 +70,7 @@
 		expectEqual(t, "idempotency", c.Placer.Classes[1].Idempotency, flaxshelf.IdempotentByKey)
 		expectEqual(t, "kind", c.Placer.Classes[1].Kind, -1)
 	})
-	// The events up to the start have the form of the control feed.
+	// The events in the configuration have the same form as those of the control feed.
 	t.Run("events", func(t *testing.T) {
 		if len(c.InitialEvents) != 2 {
 			t.Fatalf("%+v", c.InitialEvents)
@@ -81,7 +81,7 @@
 	})
 }
 
-// The error for an invalid configuration is one line that names the field.
+// The error for an invalid configuration is a single line that names the field.
 func TestConfigErrors(t *testing.T) {
 	for _, c := range []struct{ name, old, replacement, field, value, text string }{
 		{"not JSON", `{"name"`, `{{"name"`, "", "", "platform configuration"},
@@ -102,15 +102,15 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if !strings.Contains(configText, c.old) {
-				t.Fatalf("configText: got no %s, which this case replaces", c.old)
+				t.Fatalf("configText does not contain %s, which this case replaces", c.old)
 			}
 			_, err := ParseConfig([]byte(strings.Replace(configText, c.old, c.replacement, 1)))
 			if err == nil || !strings.Contains(err.Error(), c.text) || strings.Contains(err.Error(), "\n") {
-				t.Errorf("got %v, want one line with %s", err, c.text)
+				t.Errorf("got error %v, want a single line that contains %s", err, c.text)
 			}
 			var invalid *ConfigError
 			if !errors.Is(err, ErrConfig) || !errors.As(err, &invalid) || invalid.Field != c.field || invalid.Value != c.value {
-				t.Errorf("got %#v, want field %q with value %q", err, c.field, c.value)
+				t.Errorf("got error %#v, want a ConfigError of field %q with value %q", err, c.field, c.value)
 			}
 		})
 	}
@@ -139,7 +139,7 @@
 	expectEqual(t, "configuration", c, parseConfig(t))
 }
 
-// rewriteKeys returns the JSON text with each of the keys changed by rewrite. keys are separated by spaces.
+// rewriteKeys returns the JSON text with each of keys, which are separated by spaces, replaced by the result of rewrite.
 func rewriteKeys(text, keys string, rewrite func(string) string) string {
 	for key := range strings.FieldsSeq(keys) {
 		text = strings.ReplaceAll(text, `"`+key+`":`, `"`+rewrite(key)+`":`)
@@ -147,7 +147,7 @@
 	return text
 }
 
-// Keys of the configuration file and of the control feed match in any case, as they have since their first version.
+// Keys in the configuration file and in events of the control feed match in any case, as they have since their first version.
 func TestKeysMatchInAnyCase(t *testing.T) {
 	const eventText = `{"members":{"servers":[{"id":"a","state":"active","unasked":[1,2]}]}}`
 	want := parseConfig(t)
@@ -164,15 +164,15 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			c.InitialEventsJSON = want.InitialEventsJSON // holds the keys as they were written
+			c.InitialEventsJSON = want.InitialEventsJSON // contains the keys in their original case
 			expectEqual(t, "configuration", c, want)
 			c, err = ParseConfig([]byte(rewriteKeys(configText, "caps conn_idle_ns", rewrite)))
 			if err != nil || c.NodeIdleTimeout != 30*time.Second {
-				t.Errorf("idle timeout: got %+v, %v, want 30 s", c, err)
+				t.Errorf("idle timeout: got %+v and error %v, want 30 s", c, err)
 			}
 			event, err := want.DecodeWatchEvent([]byte(rewriteKeys(eventText, "members servers id state unasked", rewrite)))
 			if err != nil || !event.HasFreeCapacity || event.Update.Endpoints[0].Machine.FreeMemory != 2 {
-				t.Errorf("event: got %+v, %v, want one with 2 GiB of free memory", event, err)
+				t.Errorf("event: got %+v and error %v, want one with 2 GiB of free memory", event, err)
 			}
 			object := strings.TrimSuffix(strings.TrimPrefix(settings, `"settings":`), "}")
 			_, names, err := fleetsettings.DecodeJSON(json.RawMessage(rewriteKeys(object, "kinds categories customers name", rewrite)))
--- a/internal/front/platformfront/errors.go
+++ b/internal/front/platformfront/errors.go
@@ -8,18 +8,19 @@
 	"flaxshelf.example/flaxshelf/internal/codec/ownerjson"
 )
 
-// ErrConfig is matched by every error about a configuration file.
+// ErrConfig is matched by all errors of ReadConfig and ParseConfig.
 var ErrConfig = errors.New("platform configuration")
 
-// ConfigError reports an invalid configuration file. It matches ErrConfig and its cause.
+// ConfigError reports a configuration file that cannot be read or is invalid. It matches ErrConfig and its cause.
 type ConfigError struct {
-	Path   string // of the file; empty if the configuration was not read from a file
-	Field  string // path within the file, for instance limits.cores; empty if the whole file is invalid
-	Value  string // of the field, as the file has it; empty if Err has it
+	Path   string // path of the file; empty if the configuration was not read from a file
+	Field  string // path of the field within the file, such as limits.cores; empty if the whole file is invalid
+	Value  string // value of the field as written in the file; empty if Err contains it
 	Reason string // what is expected
 	Err    error  // the cause, or nil
 }
 
+// Error implements error.
 func (e *ConfigError) Error() string {
 	parts := []string{ErrConfig.Error()}
 	if e.Path != "" {
@@ -48,28 +49,31 @@
 	return []error{ErrConfig, e.Err}
 }
 
-// OwnerMessageError reports an invalid message of an owner. The connection can still be used.
+// OwnerMessageError reports a message from an owner that is well-formed but has an invalid field. The connection can still be
+// used.
 type OwnerMessageError struct {
-	Task   string // the ID that the message names
-	Type   ownerjson.Type
-	Field  string // name on the wire
-	Value  string
-	Reason string // what is expected
+	Task   string         // ID in the message
+	Type   ownerjson.Type // type of the message
+	Field  string         // name of the field on the wire
+	Value  string         // value of the field
+	Reason string         // what is expected
 }
 
+// Error implements error.
 func (e *OwnerMessageError) Error() string {
-	return fmt.Sprintf("%s of task %s: field %s: %.40q: %s", e.Type, e.Task, e.Field, e.Value, e.Reason)
+	return fmt.Sprintf("%s message for task %s: field %s: %.40q: %s", e.Type, e.Task, e.Field, e.Value, e.Reason)
 }
 
 // WatchEventError reports an invalid event of the control feed.
 type WatchEventError struct {
-	Sequence uint64 // 0 if it is not known
-	Field    string // path within the event; empty if the whole event is invalid
-	Value    string
+	Sequence uint64 // sequence number of the event; 0 if it is not known
+	Field    string // path of the field within the event; empty if the whole event is invalid
+	Value    string // value of the field
 	Reason   string // what is expected
 	Err      error  // the cause, or nil
 }
 
+// Error implements error.
 func (e *WatchEventError) Error() string {
 	if e.Err != nil {
 		return fmt.Sprintf("event of the control feed: %s: %v", e.Reason, e.Err)
@@ -77,5 +81,5 @@
 	return fmt.Sprintf("event %d of the control feed: field %s: %.40q: %s", e.Sequence, e.Field, e.Value, e.Reason)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the cause, or nil.
 func (e *WatchEventError) Unwrap() error { return e.Err }
--- a/internal/front/platformfront/generated_test.go
+++ b/internal/front/platformfront/generated_test.go
@@ -15,23 +15,23 @@
 	"flaxshelf.example/flaxshelf/internal/requests"
 )
 
-// deployment is a random configuration with its names.
+// deployment is a random configuration file and the names in it.
 type deployment struct {
-	text              string
+	text              string // the configuration file
 	classes, tenants  []string
 	kinds             []string
-	keyed             []bool // by class: an idempotency key is needed
-	cores, memory     []float64
-	timeLeftMillis    int
+	keyed             []bool    // by class: requests need an idempotency key
+	cores, memory     []float64 // capacity of a machine, by kind
+	timeLeftMillis    int       // time left in each request
 	categories        []map[string]any
 	customers         []map[string]any
-	specificsPerClass map[string][]any
+	specificsPerClass map[string][]any // settings that are lists with a value for each class or tenant
 }
 
-// generator draws the parts of a deployment.
+// generator generates the parts of a deployment.
 type generator struct {
 	*rand.Rand
-	nameOf func(what string, i int) string // returns the name of the class, tenant or kind with the number
+	nameOf func(what string, i int) string // returns the name of the i-th "class", "tenant" or "kind"
 }
 
 func (g *generator) oneOf(values ...any) any { return values[g.IntN(len(values))] }
@@ -102,7 +102,7 @@
 		"prices": map[string]any{"moves": g.Float64() / 4, "fleet": g.Float64() / 4, "cross_zone": g.Float64() / 10}}
 }
 
-// initialEvent returns an event of the control feed with three nodes of each kind.
+// initialEvent returns an event of the control feed that lists three nodes of each kind.
 func (d *deployment) initialEvent(withFreeCapacity bool) map[string]any {
 	var servers []map[string]any
 	for i := range 3 * len(d.kinds) {
@@ -116,7 +116,8 @@
 	return map[string]any{"n": 1, "members": map[string]any{"version": 1, "full": true, "servers": servers}}
 }
 
-// session submits set-ups to the core of a deployment and collects its effects, with the class names of plain.
+// session submits tasks to a core with the configuration of a deployment and collects the core's effects. In the effects, it
+// replaces the names of classes by those of the deployment plain, so that effects of both deployments can be compared.
 type session struct {
 	config            *Config
 	core              *requests.Core
@@ -142,7 +143,7 @@
 		now: 1_000_000 * time.Second}
 }
 
-// step gives the core inputs, and the answers of nodes to their effects.
+// step passes inputs to the core, and then the responses of nodes to the resulting effects.
 func (s *session) step(inputs ...requests.Input) {
 	effects, _ := s.core.Step(s.now, inputs)
 	effects = slices.Clone(effects)
@@ -162,7 +163,7 @@
 	}
 }
 
-// answer returns the answer of a node to an effect, or nil. On average, every third offer is rejected.
+// answer returns a node's response to an effect, or nil if there is none. One in three offers is rejected on average.
 func (s *session) answer(e requests.Effect) requests.Input {
 	switch e := e.(type) {
 	case requests.Dial:
@@ -192,7 +193,7 @@
 	return m
 }
 
-// submitSetUps submits eight set-ups of each class and returns all effects.
+// submitSetUps submits eight tasks of each class and returns all effects.
 func submitSetUps(t *testing.T, d, plain *deployment, seed uint64) []requests.Effect {
 	t.Helper()
 	s := newSession(t, d, plain, seed)
@@ -213,8 +214,8 @@
 	return ok
 }
 
-// Generated deployments can be configured and serve set-ups. Their decisions don't depend on the names of classes, tenants and
-// kinds, even unusual ones.
+// Random configurations are accepted, and their schedulers make offers. The decisions do not depend on the names of classes,
+// tenants and kinds, even if these have non-ASCII characters, separators, quotes or many characters.
 func TestGeneratedDeployments(t *testing.T) {
 	plainName := func(what string, i int) string { return fmt.Sprint(what, i) }
 	unusualName := func(what string, i int) string {
@@ -228,7 +229,7 @@
 			t.Fatalf("seed %d: got %d effects with unusual names, want the same %d as with plain ones", seed, len(got), len(want))
 		}
 		if !slices.ContainsFunc(want, isOffer) {
-			t.Errorf("seed %d: got no offer, want some", seed)
+			t.Errorf("seed %d: got no offer, want at least one", seed)
 		}
 	}
 }
--- a/internal/front/platformfront/node.go
+++ b/internal/front/platformfront/node.go
@@ -11,21 +11,21 @@
 	"flaxshelf.example/flaxshelf/internal/requests"
 )
 
-// releaseReasons are the reasons of a node's release by their tokens on the wire.
+// releaseReasons maps the tokens in a node's release message to reasons.
 var releaseReasons = map[string]flaxshelf.Reason{
 	"cpu_full": flaxshelf.InsufficientCores, "mem_full": flaxshelf.InsufficientMemory, "busy": flaxshelf.QueueFull,
 	"wrong_host": flaxshelf.UnsupportedTask, "oom": flaxshelf.Evicted, "preempted": flaxshelf.Preempted,
 	"drained": flaxshelf.DrainedAway,
 }
 
-// usageKinds are the quantities of a node's usage reports by their tokens on the wire.
+// usageKinds maps the tokens in a node's usage reports, which are notes on the wire, to the reported quantities.
 var usageKinds = map[string]flaxshelf.UsageKind{
 	"up": flaxshelf.TaskRunning, "cpu": flaxshelf.CoresUsed, "mem": flaxshelf.MemoryUsed, "share": flaxshelf.ServiceLevel,
 	"tight": flaxshelf.MemoryPressure,
 }
 
-// DecodeNodeMessage translates a message of a node into an input. It returns nil for a message that the core doesn't need. The
-// error is a *nodebinary.ProtocolError, for an answer without a description or a release without a cause.
+// DecodeNodeMessage translates a message from a node into an input for the core. It returns nil for a message that the core does
+// not need. The error is a *nodebinary.ProtocolError for an answer without a description or a release without a cause.
 func DecodeNodeMessage(link requests.LinkID, m *nodebinary.Message) (requests.Input, error) {
 	input := requests.NodeMessage{
 		Link:   link,
@@ -58,8 +58,8 @@
 	return input, nil
 }
 
-// decodeUsage decodes the quantity and amount of a note. The amount of a note without a value is 0. ok is false for an unknown
-// quantity and for a value that is not a finite number.
+// decodeUsage decodes the quantity and amount in a note. The amount is 0 if the note has no value. ok is false if the quantity is
+// unknown or the value is not a finite number.
 func decodeUsage(m *nodebinary.Message) (kind flaxshelf.UsageKind, amount float64, ok bool) {
 	if kind, ok = usageKinds[m.Token]; !ok || m.Value == "" {
 		return kind, 0, ok
@@ -68,11 +68,12 @@
 	return kind, amount, err == nil && !math.IsNaN(amount) && !math.IsInf(amount, 0)
 }
 
+// missingParameter returns the error for a message without a parameter that its type requires.
 func missingParameter(m *nodebinary.Message, name string) error {
-	return &nodebinary.ProtocolError{Type: m.Type, Field: name, Value: "none", Reason: "must have one"}
+	return &nodebinary.ProtocolError{Type: m.Type, Field: name, Value: "none", Reason: "must be present"}
 }
 
-// EncodeOffer appends the set-up message of an offer to a node.
+// EncodeOffer appends the set-up message to a node that offers it a task.
 func EncodeOffer(dst []byte, e *requests.Offer) ([]byte, error) {
 	id, err := parseTaskID(e.Task)
 	if err != nil {
@@ -84,7 +85,7 @@
 		Description: e.Description, Described: true})
 }
 
-// EncodeRelease appends the release message of a task to a node.
+// EncodeRelease appends the release message to a node for a task.
 func EncodeRelease(dst []byte, e *requests.SendRelease) ([]byte, error) {
 	id, err := parseTaskID(e.Task)
 	if err != nil {
@@ -93,15 +94,16 @@
 	return nodebinary.Append(dst, &nodebinary.Message{Type: nodebinary.Release, Task: id, Cause: int(e.Cause)})
 }
 
+// parseTaskID returns the number that nodes use as the ID of a task.
 func parseTaskID(id string) (uint64, error) {
 	n, err := strconv.ParseUint(id, 16, 64)
 	if err != nil {
-		return 0, fmt.Errorf("task %q: must be hex digits: %w", id, err)
+		return 0, fmt.Errorf("task ID %q: must be 1 to 16 hex digits: %w", id, err)
 	}
 	return n, nil
 }
 
-// formatTaskID returns the ID of a task as 16 hex digits, the form that owners use.
+// formatTaskID returns the ID of a task in the form that owners use: 16 hex digits.
 func formatTaskID(id uint64) string {
 	const digits = "0123456789abcdef"
 	var text [16]byte
--- a/internal/front/platformfront/node_test.go
+++ b/internal/front/platformfront/node_test.go
@@ -34,7 +34,7 @@
 		t.Run(name, func(t *testing.T) {
 			c.message.Task = 0xff
 			if got, err := DecodeNodeMessage(4, &c.message); err != nil || got != c.want {
-				t.Errorf("got %+v, %v, want %+v", got, err, c.want)
+				t.Errorf("got %+v and error %v, want %+v", got, err, c.want)
 			}
 		})
 	}
@@ -46,12 +46,12 @@
 		"a release without a cause":       {Type: nodebinary.Release, Cause: nodebinary.NoCause},
 	} {
 		if got, err := DecodeNodeMessage(4, &m); !errors.Is(err, nodebinary.ErrMalformed) {
-			t.Errorf("%s: got %+v, %v, want %v", name, got, err, nodebinary.ErrMalformed)
+			t.Errorf("%s: got %+v and error %v, want error %v", name, got, err, nodebinary.ErrMalformed)
 		}
 	}
 }
 
-// An offer has the fields that the owner sent, and no others.
+// The set-up message of an offer has the fields that the owner sent, and no others.
 func TestEncodeOffer(t *testing.T) {
 	encoded, err := EncodeOffer(nil, &requests.Offer{Link: 4, Task: "00000000000000ff", Class: "batch", Key: "k", IdempotencyKey: "i",
 		Description: "d\r\n", TimeLeft: 1500*time.Millisecond + 1})
@@ -62,7 +62,7 @@
 	want := nodebinary.Message{Type: nodebinary.SetUp, Task: 0xff, Cause: nodebinary.NoCause, Class: "batch", TimeLeft: "1500", Key: "k",
 		IdempotencyKey: "i", Description: "d\r\n", Described: true}
 	if err != nil || used != len(encoded) || got != want {
-		t.Errorf("got %+v, %v, want %+v", got, err, want)
+		t.Errorf("got %+v and error %v, want %+v", got, err, want)
 	}
 }
 
--- a/internal/front/platformfront/owner.go
+++ b/internal/front/platformfront/owner.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	// maxTimeLeft bounds how far ahead an owner may set the deadline of a task.
+	// maxTimeLeft is how far ahead of the submission a task's deadline may be.
 	maxTimeLeft = time.Hour
-	// maxRuntimeHint is the run time from which on an owner's hint is ignored.
+	// maxRuntimeHint is the expected run time from which on an owner's hint is ignored.
 	maxRuntimeHint = 24 * time.Hour
-	// maxNameLength bounds the names that an owner may give, in bytes.
+	// maxNameLength is the maximum length in bytes of a name in an owner's message.
 	maxNameLength = 256
 )
 
-// Names of a set-up's fields on the wire.
+// Names of the fields of an owner's message on the wire.
 const (
 	fieldClass          = "class"
 	fieldKey            = "key"
@@ -33,8 +33,8 @@
 	fieldType           = "type"
 )
 
-// DecodeOwnerMessage translates a message of an owner into an input. It returns nil for a message that the core doesn't need.
-// The error is an *OwnerMessageError.
+// DecodeOwnerMessage translates a message from an owner, received at now, into an input for the core. It returns nil for a
+// message that the core does not need. The error is an *OwnerMessageError.
 func (c *Config) DecodeOwnerMessage(conn requests.ConnID, now requests.Time, m *ownerjson.Message) (requests.Input, error) {
 	switch m.Type {
 	case ownerjson.SetUp:
@@ -49,14 +49,14 @@
 		return nil, nil
 	}
 	return nil, &OwnerMessageError{Task: m.ID, Type: m.Type, Field: fieldType, Value: string(m.Type),
-		Reason: "not a message that owners send"}
+		Reason: "must be a type that owners send"}
 }
 
-// decodeSetUp translates a set-up: the submission of a task, or the adoption of a running task.
+// decodeSetUp translates a set-up message, which submits a task or requests the adoption of a running task.
 func (c *Config) decodeSetUp(conn requests.ConnID, now requests.Time, m *ownerjson.Message) (requests.Input, error) {
 	class, ok := c.Names.Class(m.Fields[fieldClass])
 	if !ok {
-		return nil, invalidField(m, fieldClass, "not a class of the settings")
+		return nil, invalidField(m, fieldClass, "must be a class in the settings")
 	}
 	extras := parseExtras(m.Fields[fieldExtras])
 	deadline, err := decodeDeadline(m, now, extras.adopted)
@@ -77,11 +77,11 @@
 	return requests.Adopt{Conn: conn, Task: task, Node: extras.node}, nil
 }
 
-// extraFields are the parts of the field extras: name:value pairs separated by semicolons.
+// extraFields holds the values in the field extras, which has name:value pairs separated by semicolons.
 type extraFields struct {
 	cores, memory, service string
-	node                   string // that runs the task already
-	adopted                bool   // the field has a node, which may be empty
+	node                   string // node that already runs the task
+	adopted                bool   // a node is given, though its name may be empty
 }
 
 func parseExtras(text string) (extras extraFields) {
@@ -101,7 +101,8 @@
 	return extras
 }
 
-// decodeDeadline decodes the time until the deadline. An optional one that is missing or invalid is now.
+// decodeDeadline returns the deadline, which the message has as the time left in milliseconds. If it is optional, a missing or
+// invalid time is no error; a missing or negative one then means now.
 func decodeDeadline(m *ownerjson.Message, now requests.Time, optional bool) (requests.Time, error) {
 	millis, err := strconv.ParseFloat(m.Fields[fieldTimeLeft], 64)
 	valid := err == nil && millis >= 1 && millis <= float64(maxTimeLeft/time.Millisecond)
@@ -111,7 +112,7 @@
 	return now + time.Duration(max(millis, 0)*float64(time.Millisecond)), nil
 }
 
-// decodeTask decodes the fields that submissions and adoptions have in common, except for the deadline.
+// decodeTask decodes the fields that submissions and adoptions have in common, except the deadline.
 func (c *Config) decodeTask(m *ownerjson.Message, class int, extras *extraFields) (flaxshelf.Task, error) {
 	task := flaxshelf.Task{ID: m.ID, Key: m.Fields[fieldKey], Class: class, Tenant: -1, Service: extras.service,
 		ExpectedRuntime: decodeRuntimeHint(m.Fields[fieldRuntimeHint])}
@@ -132,7 +133,7 @@
 	return task, nil
 }
 
-// decodeRuntimeHint decodes the expected run time. It returns 0 for a missing or invalid one.
+// decodeRuntimeHint decodes the expected run time in milliseconds. It returns 0 if the text is empty, invalid or too large.
 func decodeRuntimeHint(text string) time.Duration {
 	if text == "" {
 		return 0
@@ -144,7 +145,7 @@
 	return time.Duration(millis * float64(time.Millisecond))
 }
 
-// decodeSubmission decodes the fields that only submissions have.
+// decodeSubmission decodes the fields that only submissions have, and returns the submission of task.
 func (c *Config) decodeSubmission(conn requests.ConnID, m *ownerjson.Message, task flaxshelf.Task) (requests.Input, error) {
 	key := m.Fields[fieldIdempotencyKey]
 	if key == "" && c.Placer.Classes[task.Class].Idempotency == flaxshelf.IdempotentByKey {
@@ -160,7 +161,7 @@
 		Description: m.Description}, nil
 }
 
-// maxCores returns the number of cores that a task may request on the largest kind of machine.
+// maxCores returns the largest number of cores that a task may request: those of the largest kind of machine, with overcommit.
 func (c *Config) maxCores() float64 {
 	limit := 0.0
 	for i := range c.Placer.Kinds {
@@ -169,7 +170,7 @@
 	return limit
 }
 
-// maxMemory returns the memory that a task may request on the largest kind of machine.
+// maxMemory returns the largest amount of memory that a task may request: that of the largest kind of machine, with overcommit.
 func (c *Config) maxMemory() float64 {
 	limit := 0.0
 	for i := range c.Placer.Kinds {
@@ -178,7 +179,7 @@
 	return limit
 }
 
-// parseAmount parses a finite number above 0 and up to limit.
+// parseAmount parses an amount of cores or memory. ok is false unless it is a finite number above 0 and not above limit.
 func parseAmount(text string, limit float64) (amount float64, ok bool) {
 	amount, err := strconv.ParseFloat(text, 64)
 	return amount, err == nil && amount > 0 && amount <= limit && !math.IsInf(amount, 0)
@@ -197,17 +198,19 @@
 	return true
 }
 
+// invalidField returns the error for a field of a message. reason is what is expected of its value.
 func invalidField(m *ownerjson.Message, field, reason string) error {
 	return &OwnerMessageError{Task: m.ID, Type: m.Type, Field: field, Value: m.Fields[field], Reason: reason}
 }
 
-// EncodeAccepted appends the answer message for a task that has been placed.
+// EncodeAccepted appends the answer message to an owner whose task has been placed.
 func EncodeAccepted(dst []byte, e *requests.Accepted) ([]byte, error) {
 	return ownerjson.Append(dst, &ownerjson.Message{Type: ownerjson.Answer, ID: e.Task, Cause: ownerjson.NoCause,
 		Description: e.Description, Described: true})
 }
 
-// EncodeTerminated appends the message for a task that was rejected, has failed, has ended or is to migrate.
+// EncodeTerminated appends the message to an owner whose task was rejected, has failed, has ended or is to be migrated: a move if
+// it is to be migrated, else a release.
 func EncodeTerminated(dst []byte, e *requests.Terminated) ([]byte, error) {
 	if e.Migrate {
 		return ownerjson.Append(dst, &ownerjson.Message{Type: ownerjson.Move, ID: e.Task, Cause: ownerjson.NoCause})
@@ -215,7 +218,7 @@
 	return ownerjson.Append(dst, &ownerjson.Message{Type: ownerjson.Release, ID: e.Task, Cause: int(e.Cause)})
 }
 
-// EncodePong appends the answer to a ping. Its cause on the wire is 1 if the check has passed, else 0.
+// EncodePong appends the answer to an owner's health check. The field cause on the wire is 1 if the check has passed, else 0.
 func EncodePong(dst []byte, e *requests.Pong) ([]byte, error) {
 	cause := 0
 	if e.Passed {
--- a/internal/front/platformfront/owner_test.go
+++ b/internal/front/platformfront/owner_test.go
@@ -23,7 +23,7 @@
 	t.Helper()
 	m, _, err := ownerjson.Next([]byte(line))
 	if err != nil || m == nil {
-		t.Fatalf("%s: got %v, %v, want a message", line, m, err)
+		t.Fatalf("%s: got message %v and error %v, want a message", line, m, err)
 	}
 	return c.DecodeOwnerMessage(3, 10*time.Second, m)
 }
@@ -33,14 +33,14 @@
 	want := requests.Submit{Conn: 3, Class: "keyed", IdempotencyKey: "5c0f", Description: "d", Task: flaxshelf.Task{ID: "9b1f03aa5c7e2d41",
 		Key: "7f3a", Service: "00b4", Class: 1, Tenant: -1, Cores: 1, Memory: 2.5, Deadline: 11500 * time.Millisecond}}
 	if err != nil || got != requests.Input(want) {
-		t.Errorf("got %+v, %v, want %+v", got, err, want)
+		t.Errorf("got %+v and error %v, want %+v", got, err, want)
 	}
 }
 
 func TestDecodeAdoption(t *testing.T) {
 	got, err := decodeOwnerLine(t, parseConfig(t), setUpLine("batch_one", "", "7f3a", "", validExtras+";at:s-1"))
 	if adopt, ok := got.(requests.Adopt); err != nil || !ok || adopt.Node != "s-1" || adopt.Conn != 3 {
-		t.Errorf("got %+v, %v, want the adoption of a task on s-1 by connection 3", got, err)
+		t.Errorf("got %+v and error %v, want the adoption of a task on node s-1, requested on connection 3", got, err)
 	}
 }
 
@@ -54,7 +54,7 @@
 	}
 }
 
-// A set-up that is invalid for nodes is rejected before it is offered to one.
+// An invalid set-up is rejected with an error that names the field, so that it is never offered to a node.
 func TestInvalidSetUpsAreRejected(t *testing.T) {
 	c := parseConfig(t)
 	for name, test := range map[string]struct{ line, field string }{
@@ -77,7 +77,7 @@
 		"no cores":                  {setUpLine("batch_one", "1500", "k", "", "cores:0;memory:1;service:s"), "extras"},
 		"infinite memory":           {setUpLine("batch_one", "1500", "k", "", "cores:1;memory:inf;service:s"), "extras"},
 		"no service":                {setUpLine("batch_one", "1500", "k", "", "cores:1;memory:1"), "extras"},
-		"adopted from nowhere":      {setUpLine("batch_one", "1500", "k", "", validExtras+";at:"), "extras"},
+		"adopted without a node":    {setUpLine("batch_one", "1500", "k", "", validExtras+";at:"), "extras"},
 		"no description":            {strings.Replace(setUpLine("batch_one", "1500", "k", "", validExtras), `,"sdp":"d"`, "", 1), "sdp"},
 		"message of a node":         {`{"type":"answer","id":"9b1f03aa5c7e2d41"}` + "\n", "type"},
 	} {
@@ -85,7 +85,7 @@
 			input, err := decodeOwnerLine(t, c, test.line)
 			var invalid *OwnerMessageError
 			if !errors.As(err, &invalid) || invalid.Field != test.field || invalid.Task != "9b1f03aa5c7e2d41" {
-				t.Errorf("%s: got %+v, %v, want an error of field %s", test.line, input, err, test.field)
+				t.Errorf("%s: got %+v and error %v, want an OwnerMessageError for field %s", test.line, input, err, test.field)
 			}
 		})
 	}
@@ -98,19 +98,19 @@
 		"ping": requests.Ping{Conn: 3, Task: "9b1f03aa5c7e2d41"}, "progress": nil, "released": nil,
 	} {
 		if got, err := decodeOwnerLine(t, c, `{"type":"`+kind+`","id":"9b1f03aa5c7e2d41"}`+"\n"); err != nil || got != want {
-			t.Errorf("%s: got %+v, %v, want %+v", kind, got, err, want)
+			t.Errorf("%s: got %+v and error %v, want %+v", kind, got, err, want)
 		}
 	}
 }
 
-// The end of a task is a release with its cause; a task that migrates gets a move.
+// The owner of a task that has ended gets a release with the cause, the owner of a task to be migrated gets a move.
 func TestEncodeTerminated(t *testing.T) {
 	for want, e := range map[string]requests.Terminated{
 		`{"type":"release","id":"0000000000000007","fields":{},"cause":31}`: {Task: "0000000000000007", Cause: 31},
 		`{"type":"move","id":"0000000000000007","fields":{}}`:               {Task: "0000000000000007", Migrate: true},
 	} {
 		if got, err := EncodeTerminated(nil, &e); err != nil || string(got) != want+"\n" {
-			t.Errorf("got %s, %v, want %s", got, err, want)
+			t.Errorf("got %s and error %v, want %s", got, err, want)
 		}
 	}
 }
--- a/internal/front/platformfront/settings.go
+++ b/internal/front/platformfront/settings.go
@@ -11,17 +11,18 @@
 	"flaxshelf.example/flaxshelf/internal/textfields"
 )
 
-// fieldSettings is the path of the settings within the configuration file.
+// fieldSettings is the name of the settings in the configuration file.
 const fieldSettings = "settings"
 
-// wireCapabilities are the capabilities of the settings that the module does not know.
+// wireCapabilities is the JSON form of those settings that this package needs itself, because the placer has none for them.
 type wireCapabilities struct {
 	Caps struct {
 		IdleTimeoutNanos int64 `json:"conn_idle_ns"`
 	} `json:"caps"`
 }
 
-// decodeSettings decodes all that the settings hold: the configuration of the module, names, and the idle timeout of nodes.
+// decodeSettings decodes the settings: the placer's configuration, the names of classes, kinds and tenants, and the idle timeout
+// of nodes.
 func (c *Config) decodeSettings(settings json.RawMessage) error {
 	var err error
 	if c.Placer, c.Names, err = fleetsettings.DecodeJSON(settings); err != nil {
@@ -40,7 +41,7 @@
 	return nil
 }
 
-// invalidSetting names the setting that the reader of settings rejected.
+// invalidSetting returns the error for settings that package fleetsettings rejected. It names the setting if err does.
 func invalidSetting(err error) error {
 	var invalid *textfields.ValueError
 	if errors.As(err, &invalid) {
--- a/internal/front/platformfront/watch.go
+++ b/internal/front/platformfront/watch.go
@@ -10,25 +10,26 @@
 	"flaxshelf.example/flaxshelf/internal/requests"
 )
 
-// WatchEvent is one event of the control feed.
+// WatchEvent is an event of the control feed: an update of the endpoint list.
 type WatchEvent struct {
-	Sequence        uint64
-	Update          requests.NodesUpdated
-	HasFreeCapacity bool // at least one entry has the free capacity of its machine
+	Sequence        uint64                // sequence number; those of consecutive events are consecutive
+	Update          requests.NodesUpdated // empty if the event has no nodes
+	HasFreeCapacity bool                  // at least one endpoint has the free capacity of its machine
 }
 
-// wireEvent is an event of the control feed with the JSON names of its members.
+// wireEvent is the JSON form of an event of the control feed.
 type wireEvent struct {
 	Sequence uint64       `json:"n"`
 	Members  *wireMembers `json:"members"`
 }
 
-// wireMembers is a list of all nodes, or of those that have changed.
+// wireMembers is the JSON form of a list of all nodes, if Full is true, or of those that have changed.
 type wireMembers struct {
 	Full    bool         `json:"full"`
 	Servers []wireServer `json:"servers"`
 }
 
+// wireServer is the JSON form of a node and its machine.
 type wireServer struct {
 	ID            string    `json:"id"`
 	Addr          string    `json:"addr"`
@@ -37,20 +38,20 @@
 	State         string    `json:"state"`
 	Cell          int       `json:"cell"`
 	StartedMillis float64   `json:"started_ms"`
-	FreeCapacity  []float64 `json:"unasked"` // unreserved cores and memory; empty if the list doesn't have them
+	FreeCapacity  []float64 `json:"unasked"` // unreserved cores and memory; empty if not known
 }
 
-// machineStates are the states of machines by their JSON values.
+// machineStates maps the JSON values of a machine's state to states.
 var machineStates = map[string]flaxshelf.MachineState{
 	"active": flaxshelf.Active, "leaving": flaxshelf.Draining, "left": flaxshelf.Removed,
 }
 
-// DecodeWatchEvent decodes the data of an event of the control feed. An event without nodes is of a type that this version
-// doesn't know; its update is empty. The error is a *WatchEventError.
+// DecodeWatchEvent decodes the data of an event of the control feed. An event without a list of nodes is of a type that this
+// version does not know; its update is empty. The error is a *WatchEventError.
 func (c *Config) DecodeWatchEvent(data []byte) (WatchEvent, error) {
 	var wire wireEvent
 	if err := json.Unmarshal(data, &wire); err != nil {
-		return WatchEvent{}, &WatchEventError{Reason: "not an event as a JSON object", Err: err}
+		return WatchEvent{}, &WatchEventError{Reason: "must be a valid JSON object", Err: err}
 	}
 	event := WatchEvent{Sequence: wire.Sequence}
 	if wire.Members == nil {
@@ -72,8 +73,8 @@
 
 func (s *wireServer) hasFreeCapacity() bool { return len(s.FreeCapacity) >= 2 }
 
-// decodeServer translates an entry of a list of nodes; it is the only mapping of this wire to a Machine. A kind that the
-// settings don't have is unknown, which is no error.
+// decodeServer translates an entry of a list of nodes to a Machine. No other function does so for this protocol, so a new field
+// of Machine needs to be added only here. A kind that the settings do not have counts as unknown and is no error.
 func (c *Config) decodeServer(server *wireServer) (flaxshelf.Machine, *WatchEventError) {
 	if server.ID == "" {
 		return flaxshelf.Machine{}, &WatchEventError{Field: "id", Reason: "must be the name of a node"}
@@ -97,8 +98,8 @@
 	return machine, nil
 }
 
-// MergeUpdates merges the updates of consecutive events into one with the last endpoint of each node, in the order in which
-// nodes first appear. Updates before a complete list are dropped. It returns false if no event has nodes.
+// MergeUpdates merges the updates of consecutive events into one that has the last endpoint of each node, in the order in which
+// the nodes first appear. Updates before a complete list are dropped. ok is false if no event has nodes.
 func MergeUpdates(events []WatchEvent) (merged requests.NodesUpdated, ok bool) {
 	positions := map[string]int{}
 	for _, event := range events {
--- a/internal/front/platformfront/watch_test.go
+++ b/internal/front/platformfront/watch_test.go
@@ -23,7 +23,7 @@
 			event, err := c.DecodeWatchEvent([]byte(test.data))
 			var invalid *WatchEventError
 			if !errors.As(err, &invalid) || invalid.Field != test.field || invalid.Value != test.value {
-				t.Errorf("got %+v, %v, want an error of field %s with value %q", event, err, test.field, test.value)
+				t.Errorf("got %+v and error %v, want a WatchEventError for field %s with value %q", event, err, test.field, test.value)
 			}
 		})
 	}
@@ -42,7 +42,7 @@
 	return event
 }
 
-// Consecutive updates become one with the last state of each node, without those before a complete list.
+// Consecutive updates are merged into one that has the last state of each node and nothing from before a complete list.
 func TestMergeUpdates(t *testing.T) {
 	t.Run("no nodes", func(t *testing.T) {
 		if got, ok := MergeUpdates([]WatchEvent{{Sequence: 1}}); ok {
@@ -72,8 +72,8 @@
 	})
 }
 
-// encodeWatchEvent writes an event with one node as the control feed writes it. A field of Machine that is missing here makes
-// TestWatchEventKeepsEveryFieldOfMachine fail.
+// encodeWatchEvent encodes an event with one node as the control feed does. kinds are the names of the kinds of machines by
+// index. TestWatchEventKeepsEveryFieldOfMachine fails if this function omits a field of Machine.
 func encodeWatchEvent(t *testing.T, endpoint requests.Endpoint, kinds ...string) []byte {
 	t.Helper()
 	machine := endpoint.Machine
@@ -111,7 +111,7 @@
 	}
 	merged, ok := MergeUpdates([]WatchEvent{event, event})
 	if !ok || len(merged.Endpoints) != 1 {
-		t.Fatalf("merged update: got %+v, %v, want one endpoint", merged, ok)
+		t.Fatalf("merged update: got %+v and ok %v, want one endpoint", merged, ok)
 	}
 	machinetest.Expect(t, merged.Endpoints[0].Machine, want.Machine)
 	expectEqual(t, "address", merged.Endpoints[0].Addr, want.Addr)
