--- a/internal/front/platformfront/config.go
+++ b/internal/front/platformfront/config.go
@@ -33,12 +33,12 @@
 	Name, ListenAddr, ControlFeedAddr string
 	Seed                              uint64
 	Limits                            Limits
-	InitialEvents                     []WatchEvent  // events that the control feed sent before the scheduler started
-	InitialEventsJSON                 [][]byte      // the JSON texts of InitialEvents
-	LastSequence                      uint64        // sequence number of the last of InitialEvents
-	NodeIdleTimeout                   time.Duration // time without traffic after which nodes close a connection; zero: unknown
-	Placer                            flaxshelf.Config
-	Names                             *fleetsettings.Names
+	InitialEvents                     []WatchEvent         // events that the control feed sent before the scheduler started
+	InitialEventsJSON                 [][]byte             // the JSON texts of InitialEvents
+	LastSequence                      uint64               // sequence number of the last of InitialEvents
+	NodeIdleTimeout                   time.Duration        // time without traffic after which nodes close a link; zero: unknown
+	Placer                            flaxshelf.Config     // settings of the placer
+	Names                             *fleetsettings.Names // indices in Placer of classes, kinds and tenants, by their names
 }
 
 // wireConfig is the JSON form of a configuration file.
@@ -113,7 +113,8 @@
 	return nil
 }
 
-// decodeInitialEvents decodes the events that the control feed sent before the scheduler started. It needs the settings.
+// decodeInitialEvents decodes the events that the control feed sent before the scheduler started. The settings must have been
+// decoded before.
 func (c *Config) decodeInitialEvents(events []json.RawMessage) error {
 	for i, data := range events {
 		event, err := c.DecodeWatchEvent(data)
--- a/internal/front/platformfront/settings.go
+++ b/internal/front/platformfront/settings.go
@@ -14,7 +14,7 @@
 // fieldSettings is the name of the settings in the configuration file.
 const fieldSettings = "settings"
 
-// wireCapabilities is the JSON form of those settings that this package needs itself, because the placer has none for them.
+// wireCapabilities is the JSON form of those capabilities in the settings that the placer does not use.
 type wireCapabilities struct {
 	Caps struct {
 		IdleTimeoutNanos int64 `json:"conn_idle_ns"`
--- a/internal/front/platformfront/watch.go
+++ b/internal/front/platformfront/watch.go
@@ -10,7 +10,7 @@
 	"flaxshelf.example/flaxshelf/internal/requests"
 )
 
-// WatchEvent is an event of the control feed: an update of the endpoint list.
+// WatchEvent is an event of the control feed, which may update the endpoint list.
 type WatchEvent struct {
 	Sequence        uint64                // sequence number; those of consecutive events are consecutive
 	Update          requests.NodesUpdated // empty if the event has no nodes
@@ -73,8 +73,8 @@
 
 func (s *wireServer) hasFreeCapacity() bool { return len(s.FreeCapacity) >= 2 }
 
-// decodeServer translates an entry of a list of nodes to a Machine. No other function does so for this protocol, so a new field
-// of Machine needs to be added only here. A kind that the settings do not have counts as unknown and is no error.
+// decodeServer translates an entry of a list of nodes to a Machine; it is the only function that does so for this protocol. A
+// kind that the settings do not have counts as unknown and is no error.
 func (c *Config) decodeServer(server *wireServer) (flaxshelf.Machine, *WatchEventError) {
 	if server.ID == "" {
 		return flaxshelf.Machine{}, &WatchEventError{Field: "id", Reason: "must be the name of a node"}
--- a/internal/platform/descriptor_budget.go
+++ b/internal/platform/descriptor_budget.go
@@ -13,8 +13,7 @@
 	// descriptors of the Go runtime and of the event loop, the listener, the current and the previous stream of the control
 	// feed, a configuration file and a recording.
 	reservedDescriptors = 16
-	// minSharedDescriptors is the minimum number of descriptors to divide among owners and nodes, even if the limit is lower
-	// than this number and reservedDescriptors together.
+	// minSharedDescriptors is the number of descriptors divided among owners and nodes if the limit leaves fewer than that.
 	minSharedDescriptors = 16
 )
 
--- a/internal/platform/mailbox.go
+++ b/internal/platform/mailbox.go
@@ -16,8 +16,8 @@
 }
 
 // mailbox queues the messages for the run loop in the order of their arrival. While it is full, it rejects messages from peers.
-// It always accepts messages that must not be lost; their number is bounded, since there is one end of each connection and at
-// most one failure of each offer. It is safe for concurrent use.
+// It always accepts messages that must not be lost. Their number is bounded, since each connection ends once and each offer
+// fails at most once. It is safe for concurrent use.
 type mailbox struct {
 	capacity int           // number of messages from which on the mailbox is full
 	ready    chan struct{} // contains one token while messages are queued
@@ -72,7 +72,7 @@
 	b.signal()
 }
 
-// signal puts the token into ready. The caller holds mu.
+// signal puts the token into ready, unless it is there already. The caller holds mu.
 func (b *mailbox) signal() {
 	select {
 	case b.ready <- struct{}{}:
--- a/internal/platform/watch_test.go
+++ b/internal/platform/watch_test.go
@@ -102,7 +102,7 @@
 	n := newNode(t, scripted.AcceptAll)
 	replies := []string{
 		"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n",
-		"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 1<<20), // an endless header
+		"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 1<<20), // larger than maxWatchHeader
 		"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n: half a comm",
 		"HTTP/1.1 200 OK\r\n\r\nid: 2\ndata: {\"n\":2,\"members\":[\n\n",
 		"no HTTP at all\r\n\r\n",
