--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -1,10 +1,11 @@
-// Package platform runs a scheduler on the users' platform: it connects requests.Core to sockets, the clock, signals and the
-// control feed. It makes no decisions about tasks.
+// Package platform runs a scheduler on the users' platform. It connects requests.Core, which makes all decisions about tasks, to
+// sockets, the clock, requests to shut down or reload, and the control feed. The control feed is the platform's discovery
+// service: an HTTP stream of server-sent events with changes of the endpoint list.
 //
-// Goroutines: the run loop is the only one that uses the core and the fields of Scheduler marked as its own. One event loop
-// of package transport serves all connections of owners and nodes. Each stream of the control feed, each dial and the
-// listener have a goroutine of their own. All of them pass messages to the run loop through a mailbox, and Run waits for all
-// of them before it returns.
+// Goroutines: only the run loop uses the core and those fields of scheduler that are marked as its own. One event loop of
+// package transport serves all connections to owners and nodes. Each stream of the control feed, each dial and the listener have
+// a goroutine of their own. All of them pass messages to the run loop through a mailbox, and Run waits for all of them before it
+// returns.
 package platform
 
 import (
@@ -27,71 +28,71 @@
 )
 
 const (
-	queueCapacity = 1 << 12  // messages in the mailbox of the run loop
-	maxBatch      = 512      // messages of one step
-	maxWriteQueue = 1 << 20  // bytes to be written to one peer
-	maxReadBuffer = 64 << 10 // bytes of one peer that are not parsed yet
-	// idleTimeout is how long an owner's connection may stay unused, or a message on it incomplete. The protocol expects the
-	// connection of a misbehaving client to be closed within 3 s.
+	mailboxCapacity  = 1 << 12  // messages queued for the run loop
+	maxBatchMessages = 512      // messages handled by one step
+	maxWriteQueue    = 1 << 20  // bytes queued for writing to one peer
+	maxReadBuffer    = 64 << 10 // bytes received from one peer and not parsed yet
+	// idleTimeout is how long an owner's connection may stay unused after it was opened, and how long a message on it may stay
+	// incomplete. The protocol expects that the connection of a misbehaving client is closed within 3 s.
 	idleTimeout = 2300 * time.Millisecond
-	// recentUseGrace is how long after its last use a connection is not evicted: an owner resends what crosses a close once,
-	// within 50 ms.
+	// recentUseGrace is how long after its last use a connection is exempt from eviction. An owner whose message crosses the
+	// close of its connection resends it only once, within 50 ms.
 	recentUseGrace = 200 * time.Millisecond
-	// maxPendingRequests is the maximum number of requests without a response.
+	// maxPendingRequests is the maximum number of requests without a response, on all connections together.
 	maxPendingRequests = 2048
 	// maxPendingPerConnection is the maximum number of requests without a response on one connection.
 	maxPendingPerConnection = maxPendingRequests / 8
-	// maxProtocolErrors is how many malformed requests a connection may send after its last use without being closed.
+	// maxProtocolErrors is how many invalid messages are tolerated on a connection since its last use. One more closes it.
 	maxProtocolErrors = 3
-	// heapTenths is how many tenths of the process's memory its heap may use.
-	heapTenths = 6
+	// maxHeapTenths is how many tenths of the configured memory Go's soft memory limit allows.
+	maxHeapTenths = 6
 )
 
-// Options are the settings of the command line.
+// Options are the settings from the command line.
 type Options struct {
-	Config    string         // path of the configuration file
-	Recording string         // path of the file that records the module's steps; empty means no recording
-	Log       zerolog.Logger // at trace level it receives each input and effect of the core
+	ConfigPath    string         // the configuration file
+	RecordingPath string         // the file to which the steps of the placer are recorded; empty means no recording
+	Log           zerolog.Logger // at trace level, each input and effect of the core is logged
 }
 
-// Scheduler is a running scheduler. Run creates it; it has no exported methods.
-type Scheduler struct {
+// scheduler is a running scheduler: the host of a requests.Core.
+type scheduler struct {
 	options  Options
 	config   atomic.Pointer[platformfront.Config] // replaced by the run loop, read by all goroutines
 	mailbox  *mailbox
 	loopDone chan struct{} // closed when the run loop has ended
 	dialer   *transport.Dialer
 	acceptor *transport.Acceptor
-	dials    sync.WaitGroup
-
-	ownerConnections     atomic.Uint64 // number of owners' connections so far, and the last one's ID
-	ownerSlots           chan struct{} // contains a token for each owner's connection
-	ownerPartialMessages atomic.Int64  // owners' connections on which a message has arrived in part
-
-	released releasedTasks // belongs to the event loop
-
-	// The fields below belong to the run loop.
-	core        *requests.Core
-	recording   *replay.Writer // nil means no recording
-	owners      map[requests.ConnID]*peer
-	links       map[requests.LinkID]*peer
-	unflushed   []*peer // peers whose outboxes are not empty
-	watch       endpointWatch
-	position    watchPosition
-	reportedCPU time.Duration // CPU time of the process at the last report
+	dials    sync.WaitGroup // dials in progress
+
+	lastConnID           atomic.Uint64 // ID of the newest connection from an owner; IDs count from 1
+	ownerSlots           chan struct{} // semaphore: contains a token for each open connection from an owner
+	ownerPartialMessages atomic.Int64  // number of owners' connections with a partially received message
+
+	released releasedTasks // used on the event loop only
+
+	// The fields below are used by the run loop only.
+	core            *requests.Core
+	recording       *replay.Writer            // nil means no recording
+	owners          map[requests.ConnID]*peer // open connections from owners
+	links           map[requests.LinkID]*peer // open connections to nodes
+	peersToFlush    []*peer                   // peers whose outboxes are not empty
+	watch           endpointWatch
+	watchPosition   watchPosition
+	cpuAtLastReport time.Duration // CPU time that the process had used at the last report of statistics
 }
 
-// peer is a connection with the messages of a step for it.
+// peer is the connection to an owner or a node, with the messages that the current step sends on it.
 type peer struct {
 	conn   *transport.Conn
 	outbox transport.Outbox
 }
 
-// Run runs a scheduler until stop is closed or receives a value and all requests have their responses. For each value from
-// reload it reads the configuration again. It limits the whole process to one CPU and sets its memory limit. The error
-// matches platformfront.ErrConfig if the configuration file cannot be read or decoded.
+// Run runs a scheduler until stop is closed or delivers a value; then it shuts down gracefully, and returns once all requests
+// have their responses. For each value from reload, it reads the configuration file again. Run limits the whole process to one
+// CPU and sets Go's memory limit. The error matches platformfront.ErrConfig if the configuration file cannot be read or decoded.
 func Run(options Options, stop, reload <-chan struct{}) error {
-	config, err := platformfront.ReadConfig(options.Config)
+	config, err := platformfront.ReadConfig(options.ConfigPath)
 	if err != nil {
 		return err
 	}
@@ -104,7 +105,7 @@
 	if err := s.listen(config); err != nil {
 		return errors.Join(err, s.closeRecording())
 	}
-	options.Log.Info().Str("address", s.acceptor.Addr()).Str("control_feed", config.DiscoveryAddr).
+	options.Log.Info().Str("address", s.acceptor.Addr()).Str("control_feed", config.ControlFeedAddr).
 		Float64("cores", config.Limits.Cores).Int("memory_mb", config.Limits.MemoryMB).Int("sockets", config.Limits.Sockets).
 		Uint64("last_event", config.LastSequence).Msg("scheduler started")
 	dialContext, cancelDials := context.WithCancel(context.Background())
@@ -113,38 +114,39 @@
 	return s.close(cancelDials)
 }
 
-// limitProcess restricts the process to one CPU, of which it has a share, and limits its heap to heapTenths of its memory.
+// limitProcess restricts the process to one CPU, since the platform gives it a share of one, and sets Go's memory limit to
+// maxHeapTenths tenths of the configured memory.
 func limitProcess(limits platformfront.Limits) {
 	runtime.GOMAXPROCS(1)
-	debug.SetMemoryLimit(int64(limits.MemoryMB) << 20 * heapTenths / 10)
+	debug.SetMemoryLimit(int64(limits.MemoryMB) << 20 * maxHeapTenths / 10)
 }
 
-func newScheduler(options Options, config *platformfront.Config, budget descriptorBudget) *Scheduler {
-	s := &Scheduler{
-		options:    options,
-		mailbox:    newMailbox(queueCapacity),
-		loopDone:   make(chan struct{}),
-		ownerSlots: make(chan struct{}, budget.ownerConnections),
-		owners:     map[requests.ConnID]*peer{},
-		links:      map[requests.LinkID]*peer{},
-		position:   watchPosition{last: config.LastSequence},
+func newScheduler(options Options, config *platformfront.Config, budget descriptorBudget) *scheduler {
+	s := &scheduler{
+		options:       options,
+		mailbox:       newMailbox(mailboxCapacity),
+		loopDone:      make(chan struct{}),
+		ownerSlots:    make(chan struct{}, budget.ownerConnections),
+		owners:        map[requests.ConnID]*peer{},
+		links:         map[requests.LinkID]*peer{},
+		watchPosition: watchPosition{lastSequence: config.LastSequence},
 	}
 	s.watch.scheduler = s
 	s.config.Store(config)
 	return s
 }
 
-// newCore creates the core, and the recording of its steps if Options.Recording names a file.
-func (s *Scheduler) newCore(config *platformfront.Config, budget descriptorBudget) error {
+// newCore creates the core, and the recording of the placer's steps if Options.RecordingPath is set.
+func (s *scheduler) newCore(config *platformfront.Config, budget descriptorBudget) error {
 	coreConfig := requests.Config{
-		Placer:                 config.Module,
+		Placer:                 config.Placer,
 		Seed:                   config.Seed,
 		NodeUnreachableTimeout: requests.DefaultNodeUnreachableTimeout,
 		NodeIdleTimeout:        config.NodeIdleTimeout,
 		MaxPending:             maxPendingRequests,
-		MaxLinks:               budget.links,
+		MaxLinks:               budget.nodeLinks,
 		Admission: admission.Limits{
-			MaxConnections:          budget.retainedConnections,
+			MaxConnections:          budget.retainedOwnerConnections,
 			IdleTimeout:             idleTimeout,
 			RecentUseGrace:          recentUseGrace,
 			MaxProtocolErrors:       maxProtocolErrors,
@@ -152,8 +154,8 @@
 		},
 	}
 	var err error
-	if s.options.Recording != "" {
-		if s.recording, err = replay.Create(s.options.Recording, config.Module, config.Seed); err != nil {
+	if s.options.RecordingPath != "" {
+		if s.recording, err = replay.Create(s.options.RecordingPath, config.Placer, config.Seed); err != nil {
 			return err
 		}
 		coreConfig.RecordStep = s.recording.Step
@@ -163,41 +165,42 @@
 }
 
 // listen starts the event loop and listens for owners.
-func (s *Scheduler) listen(config *platformfront.Config) (err error) {
+func (s *scheduler) listen(config *platformfront.Config) (err error) {
 	transportOptions := transport.Options{MaxReadBuffer: maxReadBuffer, MaxWriteQueue: maxWriteQueue, Log: s.options.Log}
 	if s.dialer, err = transport.NewDialer(transportOptions); err != nil {
 		return err
 	}
-	if s.acceptor, err = s.dialer.StartAcceptor(config.Listen, s.acquireOwnerSlot, s.newOwnerHandler); err != nil {
+	if s.acceptor, err = s.dialer.StartAcceptor(config.ListenAddr, s.acquireOwnerSlot, s.newOwnerHandler); err != nil {
 		return errors.Join(err, s.dialer.Stop())
 	}
 	return nil
 }
 
-// close ends all connections and goroutines. What was written before is delivered to the owners first.
-func (s *Scheduler) close(cancelDials context.CancelFunc) error {
+// close closes all connections and ends all goroutines. It gives the owners time to read what was written to them before.
+func (s *scheduler) close(cancelDials context.CancelFunc) error {
 	s.acceptor.Stop()
 	cancelDials()
 	s.closeOwners()
 	s.dials.Wait()
 	s.watch.stop()
 	if err := errors.Join(s.dialer.Stop(), s.closeRecording()); err != nil {
-		return fmt.Errorf("platform: stop: %w", err)
+		return fmt.Errorf("platform: stop the event loop and close the recording: %w", err)
 	}
 	return nil
 }
 
-// closeRecording ends the recording of the core's steps, if there is one.
-func (s *Scheduler) closeRecording() error {
+// closeRecording closes the recording of the placer's steps, if there is one.
+func (s *scheduler) closeRecording() error {
 	if s.recording == nil {
 		return nil
 	}
 	return s.recording.Close()
 }
 
-// closeOwners ends our side of the owners' connections and waits up to ownerCloseTimeout until they have ended theirs: the
-// close of a socket with unread bytes sends a reset, which may destroy an answer on its way.
-func (s *Scheduler) closeOwners() {
+// closeOwners closes the writing side of all connections to owners and waits up to ownerCloseTimeout for the owners to close
+// their side. If a socket were closed with unread bytes, the operating system would send a reset, and the owner could lose a
+// response that it has not read yet.
+func (s *scheduler) closeOwners() {
 	for _, owner := range s.owners {
 		owner.conn.CloseWrite()
 	}
@@ -207,7 +210,7 @@
 	for len(s.owners) > 0 {
 		select {
 		case <-s.mailbox.ready:
-			batch = s.mailbox.take(batch[:0], maxBatch)
+			batch = s.mailbox.take(batch[:0], maxBatchMessages)
 			for _, m := range batch {
 				s.handleMessage(m, nil)
 			}
--- a/internal/platform/released_test.go
+++ b/internal/platform/released_tasks_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// The last maxReleasedTasks tasks are recorded, each once; older ones are discarded in the order of their release.
-func TestReleasedTasksForgetOldest(t *testing.T) {
+// The last maxReleasedTasks released tasks are recorded, each once. Older ones are discarded, oldest first.
+func TestReleasedTasksDiscardOldest(t *testing.T) {
 	var released releasedTasks
 	task := func(n int) string { return fmt.Sprint(n) }
 	released.add(task(0))
--- a/internal/platform/trace.go
+++ b/internal/platform/trace.go
@@ -9,11 +9,11 @@
 	"flaxshelf.example/flaxshelf/internal/requests"
 )
 
-// tracing reports whether each input and effect is logged, which allows an operator to follow a task through the schedulers
-// that handled it.
-func (s *Scheduler) tracing() bool { return s.options.Log.GetLevel() <= zerolog.TraceLevel }
+// tracing reports whether each input and effect of the core is logged, which lets an operator follow a task through the
+// schedulers that have handled it.
+func (s *scheduler) tracing() bool { return s.options.Log.GetLevel() <= zerolog.TraceLevel }
 
-func (s *Scheduler) traceInputs(inputs []requests.Input) {
+func (s *scheduler) traceInputs(inputs []requests.Input) {
 	if !s.tracing() {
 		return
 	}
@@ -22,7 +22,7 @@
 	}
 }
 
-func (s *Scheduler) traceEffects(effects []requests.Effect) {
+func (s *scheduler) traceEffects(effects []requests.Effect) {
 	if !s.tracing() {
 		return
 	}
@@ -31,8 +31,9 @@
 	}
 }
 
-// trace logs a value of package requests with its type's name under the key direction.
-func (s *Scheduler) trace(direction string, value any) {
+// trace logs an input or effect of package requests: the name of its type under the key direction, and its fields as the
+// message.
+func (s *scheduler) trace(direction string, value any) {
 	name := strings.TrimPrefix(fmt.Sprintf("%T", value), "requests.")
 	s.options.Log.Trace().Str(direction, name).Str("message", fmt.Sprintf("%+v", value)).Send()
 }
