--- a/internal/daemon/clienthandler.go
+++ b/internal/daemon/clienthandler.go
@@ -124,7 +124,7 @@
 }
 
 func (h *clientHandler) serve(c *transport.Conn, request *httpcodec.Request) {
-	call := h.daemon.front.Route(request)
+	call := h.daemon.front.Decode(request)
 	if call.Response != nil {
 		h.respond(c, call, call.Response)
 		return
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -39,7 +39,7 @@
 	startedAt scheduler.Time
 	shards    *shard.Map
 	runners   []*coreRunner
-	front     *drmaafront.Front
+	front     *drmaafront.Frontend
 	hook      Hook
 	closeOnce sync.Once
 	closeErr  error
--- a/internal/daemon/effects.go
+++ b/internal/daemon/effects.go
@@ -25,13 +25,13 @@
 	case scheduler.SendOffer:
 		r.sendOffer(&e)
 	case scheduler.SendStop:
-		r.sendFrame(e.Node, nodefront.Stop(e.Attempt))
+		r.sendFrame(e.Node, nodefront.StopFrame(e.Attempt))
 	case scheduler.SendAck:
-		r.sendFrame(e.Node, nodefront.Ack(e.Attempt))
+		r.sendFrame(e.Node, nodefront.AckFrame(e.Attempt))
 	case scheduler.SendHealthCheck:
-		r.sendFrame(e.Node, nodefront.Probe())
+		r.sendFrame(e.Node, nodefront.ProbeFrame())
 	case scheduler.SyncNode:
-		r.sendFrame(e.Node, nodefront.Ping(shard.EncodeToken(r.index, e.Token)))
+		r.sendFrame(e.Node, nodefront.PingFrame(shard.EncodeToken(r.index, e.Token)))
 	case scheduler.Connect:
 		r.connect(e.Node)
 	case scheduler.Disconnect:
--- a/internal/daemon/eventstream.go
+++ b/internal/daemon/eventstream.go
@@ -44,7 +44,7 @@
 		info := *change
 		return !s.ended.Load() && s.conn.RunInLoop(eventBytes, func(write func([]byte)) {
 			s.position[core] = info.Revision
-			event := s.client.daemon.front.Event(&info, s.position.String())
+			event := s.client.daemon.front.EncodeEvent(&info, s.position.String())
 			if !s.headWritten {
 				s.buffered = append(s.buffered, event)
 				return
--- a/internal/daemon/inventory.go
+++ b/internal/daemon/inventory.go
@@ -23,11 +23,11 @@
 // inventoryHandler implements frameReceiver for the inventory.
 type inventoryHandler struct {
 	daemon *Daemon
-	front  nodefront.Inventory
+	front  nodefront.InventoryDecoder
 }
 
 func newInventoryHandler(d *Daemon) *inventoryHandler {
-	return &inventoryHandler{daemon: d, front: nodefront.Inventory{Set: d.settings}}
+	return &inventoryHandler{daemon: d, front: nodefront.InventoryDecoder{Settings: d.settings}}
 }
 
 // receiveFrame passes what the inventory sent to the cores, and logs a call that it reports as failed.
@@ -71,13 +71,13 @@
 
 // subscribeDiscovery requests the endpoint list and its changes from the inventory. Without a connection the core
 // receives a DiscoveryFailed in a later step.
-func (r *coreRunner) subscribeDiscovery() { r.sendToInventory(nodefront.Watch()) }
+func (r *coreRunner) subscribeDiscovery() { r.sendToInventory(nodefront.WatchFrame()) }
 
 // syncDiscovery pings the inventory, whose answer follows all updates that it has sent before.
 func (r *coreRunner) syncDiscovery(token uint64) {
 	r.daemon.log.Warn().Int("core", r.index).
 		Msg("scheduler was stopped for a while; placement waits until the inventory has answered")
-	r.sendToInventory(nodefront.Ping(shard.EncodeToken(r.index, token)))
+	r.sendToInventory(nodefront.PingFrame(shard.EncodeToken(r.index, token)))
 }
 
 func (r *coreRunner) sendToInventory(frame *nodepb.Frame) {
--- a/internal/daemon/nodeconns.go
+++ b/internal/daemon/nodeconns.go
@@ -107,7 +107,7 @@
 
 // pingPeers pings the connected nodes and the inventory, whose replies prevent the idle timeout.
 func (r *coreRunner) pingPeers() {
-	frame := encode(nodefront.Ping(0))
+	frame := encode(nodefront.PingFrame(0))
 	for _, outbox := range r.outboxes {
 		if outbox.conn != nil {
 			outbox.conn.Send(append([]byte(nil), frame...))
--- a/internal/daemon/nodehandler.go
+++ b/internal/daemon/nodehandler.go
@@ -11,17 +11,17 @@
 type nodeHandler struct {
 	daemon *Daemon
 	name   string
-	front  nodefront.Node
+	front  nodefront.NodeDecoder
 }
 
 func newNodeHandler(d *Daemon, name string) *nodeHandler {
-	return &nodeHandler{daemon: d, name: name, front: nodefront.Node{Set: d.settings, Name: name}}
+	return &nodeHandler{daemon: d, name: name, front: nodefront.NodeDecoder{Settings: d.settings, Name: name}}
 }
 
 // receiveFrame passes the frame's input to the cores. Closing the connection when a mailbox is full loses nothing: the
 // node keeps its attempts and how they ended, and reports them in its next welcome.
 func (h *nodeHandler) receiveFrame(c *transport.Conn, frame *nodepb.Frame) error {
-	input, err := h.front.Input(frame)
+	input, err := h.front.Decode(frame)
 	if err != nil {
 		return err
 	}
--- a/internal/daemon/outbox.go
+++ b/internal/daemon/outbox.go
@@ -60,11 +60,11 @@
 }
 
 // hello returns the encoded first frame of a connection to a node or to the inventory.
-func (d *Daemon) hello() []byte { return encode(nodefront.Hello(d.settings, d.startedAt)) }
+func (d *Daemon) hello() []byte { return encode(nodefront.HelloFrame(d.settings, d.startedAt)) }
 
 // putOffer appends an encoded offer.
 func (r *coreRunner) putOffer(outbox *nodeOutbox, e *scheduler.SendOffer) {
-	nodefront.Task(r.daemon.settings, e, &r.offer.task)
+	nodefront.FillTask(r.daemon.settings, e, &r.offer.task)
 	r.offer.body.Attempt, r.offer.body.ValidForNs = e.Attempt, int64(e.ValidFor)
 	node, attempt := outbox.node, e.Attempt
 	mustEncode(outbox.frames.PutExpiring(
--- a/internal/front/drmaafront/decode.go
+++ b/internal/front/drmaafront/decode.go
@@ -14,10 +14,10 @@
 	"flaxshelf.example/flaxshelf/drmaa2"
 )
 
-// decode decodes a body of exactly one JSON value. It is strict: unknown members, duplicate names and invalid UTF-8 are errors
-// that name the attribute. The decoder is the module of encoding/json/v2, which is strict in all of this; docs/scale.md has the
-// measurements of those that were compared.
-func decode(body []byte, value any) *drmaa2.Error {
+// decodeJSON decodes a body that consists of exactly one JSON value. It rejects unknown members, duplicate names, invalid UTF-8
+// and wrong types; the error names the attribute, if the value has one. It uses the module that became encoding/json/v2 because
+// that decoder makes all of these checks; docs/scale.md has the measurements of the decoders that were compared.
+func decodeJSON(body []byte, value any) *drmaa2.Error {
 	err := json.Unmarshal(body, value, json.RejectUnknownMembers(true))
 	if err == nil {
 		return nil
@@ -46,7 +46,7 @@
 
 // attributeName returns the path of a value, as in template.startTime.
 func attributeName(pointer jsontext.Pointer) string {
-	return clip(strings.Join(slices.Collect(pointer.Tokens()), "."))
+	return truncate(strings.Join(slices.Collect(pointer.Tokens()), "."))
 }
 
 // expectedType describes a type at the end of an error message; it returns an empty string for an unknown type.
--- a/internal/front/drmaafront/errors.go
+++ b/internal/front/drmaafront/errors.go
@@ -19,7 +19,7 @@
 )
 
 // ErrorResponse returns the response with an error. closes reports whether the connection is closed after it.
-func ErrorResponse(status int, err *drmaa2.Error, closes bool) []byte {
+func ErrorResponse(status int, err *drmaa2.Error, closeConnection bool) []byte {
 	var fields []string
 	if err.RetryAfter > 0 {
 		seconds := int(math.Ceil(err.RetryAfter.Seconds()))
@@ -28,17 +28,17 @@
 			"Flaxshelf-Retry-After-Ms", strconv.FormatInt(milliseconds, 10)}
 	}
 	body, _ := json.Marshal(err) // strings and a duration can always be encoded
-	return httpcodec.AppendResponse(nil, status, jsonContentType, append(body, '\n'), closes, fields...)
+	return httpcodec.AppendResponse(nil, status, jsonContentType, append(body, '\n'), closeConnection, fields...)
 }
 
 // BusyResponse returns the response for a scheduler whose queues are full.
-func BusyResponse(closes bool) []byte {
+func BusyResponse(closeConnection bool) []byte {
 	return ErrorResponse(http.StatusServiceUnavailable, &drmaa2.Error{Code: drmaa2.TryLater,
-		Message: "too many requests wait", RetryAfter: busyRetryAfter}, closes)
+		Message: "too many requests wait", RetryAfter: busyRetryAfter}, closeConnection)
 }
 
-// statusOf returns the HTTP status of an error.
-func statusOf(code drmaa2.ErrorCode) int {
+// httpStatus returns the HTTP status of an error.
+func httpStatus(code drmaa2.ErrorCode) int {
 	switch code {
 	case drmaa2.InvalidArgument:
 		return http.StatusBadRequest
@@ -74,8 +74,8 @@
 	return &drmaa2.Error{Code: drmaa2.UnsupportedAttribute, Attribute: attribute, Message: attribute + ": " + message}
 }
 
-// clip truncates a client's text for an error message.
-func clip(text string) string {
+// truncate truncates a client's text for an error message.
+func truncate(text string) string {
 	if len(text) > maxQuotedBytes {
 		return text[:maxQuotedBytes] + "..."
 	}
--- a/internal/front/drmaafront/events_test.go
+++ b/internal/front/drmaafront/events_test.go
@@ -10,21 +10,21 @@
 
 // A stream resumes after an event of the same incarnation, and begins with all jobs after any other one.
 func TestStreamResumesAfterLastEvent(t *testing.T) {
-	front := newFront(t)
+	frontend := newTestFrontend(t)
 	for _, test := range []struct {
 		name, id string
 		want     uint64
 	}{
 		{"no event", "", 0},
-		{"event of this incarnation", front.incarnation + ".42", 42},
+		{"event of this incarnation", frontend.incarnationID + ".42", 42},
 		{"event of another incarnation", "zz.42", 0},
-		{"invalid position", front.incarnation + ".x", 0},
+		{"invalid position", frontend.incarnationID + ".x", 0},
 		{"no incarnation", "42", 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			watch := request("GET", "/drmaa2/v1/sessions/s/events", "")
+			watch := newRequest("GET", "/drmaa2/v1/sessions/s/events", "")
 			watch.Fields = []httpcodec.Field{{Name: "last-event-id", Value: test.id}}
-			if got := front.Route(watch).BuildInput(1, 2).(scheduler.Watch); got.SinceRevision != test.want || got.Stream != 2 {
+			if got := frontend.Decode(watch).BuildInput(1, 2).(scheduler.Watch); got.SinceRevision != test.want || got.Stream != 2 {
 				t.Errorf("got %+v, want stream 2 since %d", got, test.want)
 			}
 		})
@@ -32,9 +32,9 @@
 }
 
 func TestEventHasPositionAndJob(t *testing.T) {
-	front := newFront(t)
-	event := string(front.Event(&scheduler.JobInfo{ID: "j", Spec: &scheduler.JobSpec{}, State: scheduler.Running, Revision: 7}, "7"))
-	if want := "id: " + front.incarnation + ".7\nevent: job\ndata: {\"jobId\":\"j\""; !strings.Contains(event, want) {
+	frontend := newTestFrontend(t)
+	event := string(frontend.EncodeEvent(&scheduler.JobInfo{ID: "j", Spec: &scheduler.JobSpec{}, State: scheduler.Running, Revision: 7}, "7"))
+	if want := "id: " + frontend.incarnationID + ".7\nevent: job\ndata: {\"jobId\":\"j\""; !strings.Contains(event, want) {
 		t.Errorf("got %q, want it to contain %q", event, want)
 	}
 }
--- a/internal/front/drmaafront/front.go
+++ b/internal/front/drmaafront/frontend.go
@@ -10,21 +10,21 @@
 	"flaxshelf.example/flaxshelf/internal/settings"
 )
 
-// Prefix is the path prefix of all resources.
-const Prefix = "/drmaa2/v1"
+// PathPrefix is the path prefix of all resources.
+const PathPrefix = "/drmaa2/v1"
 
 // defaultQueue is the name of the only queue: classes, not queues, determine how jobs are treated.
 const defaultQueue = "default"
 
-// Front is the DRMAA interface of one incarnation of a scheduler. It is safe for concurrent use.
-type Front struct {
-	set         *settings.Scheduler
-	incarnation string // prefix of the IDs of this incarnation's events
+// Frontend is the DRMAA interface of one incarnation of a scheduler. It is safe for concurrent use.
+type Frontend struct {
+	settings      *settings.Scheduler
+	incarnationID string // prefix of the IDs of this incarnation's events
 }
 
 // New returns the front of a scheduler that was started at the given time.
-func New(set *settings.Scheduler, startedAt scheduler.Time) *Front {
-	return &Front{set: set, incarnation: strconv.FormatInt(int64(startedAt/time.Millisecond), 36)}
+func New(config *settings.Scheduler, startedAt scheduler.Time) *Frontend {
+	return &Frontend{settings: config, incarnationID: strconv.FormatInt(int64(startedAt/time.Millisecond), 36)}
 }
 
 // Call is a decoded request. Exactly one of Response and BuildInput is set.
--- a/internal/front/drmaafront/helpers_test.go
+++ b/internal/front/drmaafront/helpers_test.go
@@ -11,9 +11,9 @@
 	"flaxshelf.example/flaxshelf/internal/settings"
 )
 
-func newFront(t testing.TB) *Front {
+func newTestFrontend(t testing.TB) *Frontend {
 	t.Helper()
-	set, err := settings.ParseScheduler("f.cue", []byte(`
+	config, err := settings.ParseScheduler("f.cue", []byte(`
 inventory: "127.0.0.1:1"
 kinds: [{name: "k", cores: 8, memory: 32}]
 classes: [{name: "batch", effect: "idempotent-by-key", priority: 2, cores: 2, memory: 4}, {name: "service", effect: "idempotent"}]
@@ -22,10 +22,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return New(set, 5*time.Second)
+	return New(config, 5*time.Second)
 }
 
-func request(method, path, body string) *httpcodec.Request {
+func newRequest(method, path, body string) *httpcodec.Request {
 	path, query, _ := strings.Cut(path, "?")
 	return &httpcodec.Request{Method: method, Path: path, Query: query, Body: []byte(body)}
 }
--- a/internal/front/drmaafront/extensions.go
+++ b/internal/front/drmaafront/implspecific.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	maxKeyBytes = 256 // of a key or a service's name
-	maxAmount   = 1e9 // cores or GiB
+	maxIdentifierBytes = 256 // of a key or a service's name
+	maxResourceAmount  = 1e9 // cores or GiB
 )
 
-// setExtensions sets the fields of a spec that implementation-specific attributes of a template have.
-func setExtensions(spec *scheduler.JobSpec, template *drmaa2.JobTemplate) *drmaa2.Error {
+// setImplementationSpecific sets the fields of a spec that implementation-specific attributes of a template have.
+func setImplementationSpecific(spec *scheduler.JobSpec, template *drmaa2.JobTemplate) *drmaa2.Error {
 	for name, value := range template.ImplementationSpecific {
 		var err *drmaa2.Error
 		switch name {
@@ -34,7 +34,7 @@
 		case drmaa2.AttrPlacementTimeout:
 			spec.PlacementTimeout, err = parseDuration(name, value)
 		default:
-			err = unsupportedAttribute(clip(name), "is not known")
+			err = unsupportedAttribute(truncate(name), "is not known")
 		}
 		if err != nil {
 			return err
@@ -44,8 +44,8 @@
 }
 
 func parseIdentifier(name, value string) (string, *drmaa2.Error) {
-	if value == "" || len(value) > maxKeyBytes || strings.ContainsFunc(value, isSpaceOrControl) {
-		return "", invalidArgument(name, fmt.Sprintf("expected 1 to %d bytes without spaces", maxKeyBytes))
+	if value == "" || len(value) > maxIdentifierBytes || strings.ContainsFunc(value, isSpaceOrControl) {
+		return "", invalidArgument(name, fmt.Sprintf("expected 1 to %d bytes without spaces", maxIdentifierBytes))
 	}
 	return value, nil
 }
@@ -53,12 +53,12 @@
 func isSpaceOrControl(r rune) bool { return r == ' ' || isControl(r) }
 
 // parseAmount parses a number of cores or GiB. duplicate reports whether an attribute of the specification has it too.
-func parseAmount(name, value string, duplicate bool) (float64, *drmaa2.Error) {
+func parseAmount(name, value string, alreadySet bool) (float64, *drmaa2.Error) {
 	amount, err := strconv.ParseFloat(value, 64)
 	switch {
-	case duplicate:
+	case alreadySet:
 		return 0, invalidArgument(name, "is given twice, by the specification's attribute too")
-	case err != nil || math.IsNaN(amount) || math.IsInf(amount, 0) || amount <= 0 || amount > maxAmount:
+	case err != nil || math.IsNaN(amount) || math.IsInf(amount, 0) || amount <= 0 || amount > maxResourceAmount:
 		return 0, invalidArgument(name, "expected a number above 0")
 	}
 	return amount, nil
--- a/internal/front/drmaafront/jobinfo.go
+++ b/internal/front/drmaafront/jobinfo.go
@@ -11,23 +11,23 @@
 	"flaxshelf.example/flaxshelf/internal/scheduler"
 )
 
-// standings are the states of machines on the wire.
-var standings = []string{flaxshelf.Active: "in", flaxshelf.Draining: "draining", flaxshelf.Removed: "out"}
+// machineStates are the states of machines on the wire.
+var machineStates = []string{flaxshelf.Active: "in", flaxshelf.Draining: "draining", flaxshelf.Removed: "out"}
 
 // machineInfo returns the description of a machine.
-func (f *Front) machineInfo(machine *scheduler.MachineInfo) drmaa2.MachineInfo {
+func (f *Frontend) machineInfo(machine *scheduler.MachineInfo) drmaa2.MachineInfo {
 	info := drmaa2.MachineInfo{
 		Name:      machine.ID,
 		Available: machine.Connected && machine.State == flaxshelf.Active,
 		ImplementationSpecific: map[string]string{
 			drmaa2.AttrZone:         machine.Zone,
 			drmaa2.AttrCell:         strconv.Itoa(machine.Cell),
-			drmaa2.AttrMachineState: standings[machine.State],
+			drmaa2.AttrMachineState: machineStates[machine.State],
 			drmaa2.AttrJobs:         strconv.Itoa(machine.Jobs),
 		},
 	}
-	if machine.Kind >= 0 && machine.Kind < len(f.set.Kinds) {
-		kind := f.set.Kinds[machine.Kind]
+	if machine.Kind >= 0 && machine.Kind < len(f.settings.Kinds) {
+		kind := f.settings.Kinds[machine.Kind]
 		info.ImplementationSpecific[drmaa2.AttrKind] = kind.Name
 		info.Sockets, info.CoresPerSocket, info.PhysMemory = 1, int64(kind.Cores), int64(kind.Memory*kibPerGiB)
 	}
@@ -35,16 +35,16 @@
 }
 
 // jobInfo returns the description of a job.
-func (f *Front) jobInfo(info *scheduler.JobInfo) drmaa2.JobInfo {
+func (f *Frontend) jobInfo(info *scheduler.JobInfo) drmaa2.JobInfo {
 	job := drmaa2.JobInfo{
 		JobID:                  info.ID,
 		JobName:                info.Spec.Name,
 		Annotation:             info.Reason,
 		JobState:               drmaa2.JobState(info.State),
 		JobSubState:            info.SubState,
-		SubmissionMachine:      f.set.Name,
+		SubmissionMachine:      f.settings.Name,
 		JobOwner:               info.Spec.Owner,
-		Slots:                  slots(info.Spec.Cores),
+		Slots:                  slotCount(info.Spec.Cores),
 		QueueName:              defaultQueue,
 		SubmissionTime:         clock.WallTime(info.SubmittedAt).UTC(),
 		TerminatingSignal:      info.Signal,
@@ -72,7 +72,7 @@
 }
 
 // jobAttributes returns the implementation-specific attributes of a job. Those without a value are left out.
-func (f *Front) jobAttributes(info *scheduler.JobInfo) map[string]string {
+func (f *Frontend) jobAttributes(info *scheduler.JobInfo) map[string]string {
 	spec := info.Spec
 	attributes := map[string]string{
 		drmaa2.AttrPlacementRequests: strconv.Itoa(info.PlacementRequest),
@@ -81,14 +81,14 @@
 		drmaa2.AttrCores:             strconv.FormatFloat(spec.Cores, 'g', -1, 64),
 		drmaa2.AttrMemory:            strconv.FormatFloat(spec.Memory, 'g', -1, 64),
 	}
-	setUnlessEmpty(attributes, drmaa2.AttrOutcome, string(info.Outcome))
-	setUnlessEmpty(attributes, drmaa2.AttrNode, info.Node)
-	setUnlessEmpty(attributes, drmaa2.AttrArray, info.ArrayID)
-	setUnlessEmpty(attributes, drmaa2.AttrKey, spec.Key)
-	setUnlessEmpty(attributes, drmaa2.AttrService, spec.Service)
-	setUnlessEmpty(attributes, drmaa2.AttrClass, f.set.Classes[spec.Class].Name)
+	setIfNotEmpty(attributes, drmaa2.AttrOutcome, string(info.Outcome))
+	setIfNotEmpty(attributes, drmaa2.AttrNode, info.Node)
+	setIfNotEmpty(attributes, drmaa2.AttrArray, info.ArrayID)
+	setIfNotEmpty(attributes, drmaa2.AttrKey, spec.Key)
+	setIfNotEmpty(attributes, drmaa2.AttrService, spec.Service)
+	setIfNotEmpty(attributes, drmaa2.AttrClass, f.settings.Classes[spec.Class].Name)
 	if spec.Tenant >= 0 {
-		setUnlessEmpty(attributes, drmaa2.AttrTenant, f.set.Tenants[spec.Tenant].Name)
+		setIfNotEmpty(attributes, drmaa2.AttrTenant, f.settings.Tenants[spec.Tenant].Name)
 	}
 	if info.ArrayID != "" {
 		attributes[drmaa2.AttrIndex] = strconv.Itoa(info.ArrayIndex)
@@ -102,7 +102,7 @@
 	return attributes
 }
 
-func setUnlessEmpty(attributes map[string]string, name, value string) {
+func setIfNotEmpty(attributes map[string]string, name, value string) {
 	if value != "" {
 		attributes[name] = value
 	}
@@ -110,5 +110,5 @@
 
 func formatTime(at scheduler.Time) string { return clock.WallTime(at).UTC().Format(time.RFC3339Nano) }
 
-// slots returns a number of cores as the specification's slots, which are whole numbers.
-func slots(cores float64) int64 { return int64(math.Ceil(cores)) }
+// slotCount returns a number of cores as the specification's slots, which are whole numbers.
+func slotCount(cores float64) int64 { return int64(math.Ceil(cores)) }
--- a/internal/front/drmaafront/requests.go
+++ b/internal/front/drmaafront/requests.go
@@ -28,28 +28,28 @@
 // submitRequest is the body of a submission. Its template is stored undecoded, for requests of the template and for the node.
 type submitRequest struct {
 	Template jsontext.Value `json:"template"`
-	Again    bool           `json:"again"`
+	Retry    bool           `json:"again"`
 	Bulk     *drmaa2.Bulk   `json:"bulk"`
 }
 
-func listSessions(*Front, *httpcodec.Request, []string) (*Call, *drmaa2.Error) {
+func listSessions(*Frontend, *httpcodec.Request, []string) (*Call, *drmaa2.Error) {
 	return &Call{
 		BuildInput: func(requestID, _ uint64) scheduler.Input {
 			return scheduler.SessionCommand{RequestID: requestID, Verb: scheduler.ListSessions}
 		},
-		EncodeAnswer: orError(encodeSessionNames),
+		EncodeAnswer: withErrorResponse(encodeSessionNames),
 	}, nil
 }
 
-func createSession(_ *Front, request *httpcodec.Request, _ []string) (*Call, *drmaa2.Error) {
+func createSession(_ *Frontend, request *httpcodec.Request, _ []string) (*Call, *drmaa2.Error) {
 	var body createSessionRequest
-	if err := decode(request.Body, &body); err != nil {
+	if err := decodeJSON(request.Body, &body); err != nil {
 		return nil, err
 	}
 	if err := checkSessionName(body.Name); err != nil {
 		return nil, err
 	}
-	return sessionCall(scheduler.CreateSession, body.Name, http.StatusCreated), nil
+	return newSessionCall(scheduler.CreateSession, body.Name, http.StatusCreated), nil
 }
 
 func checkSessionName(name string) *drmaa2.Error {
@@ -64,21 +64,21 @@
 
 // sessionCommand returns the handler of a command on the session that the path names.
 func sessionCommand(verb scheduler.Verb) handler {
-	return func(_ *Front, _ *httpcodec.Request, args []string) (*Call, *drmaa2.Error) {
-		return sessionCall(verb, args[0], http.StatusOK), nil
+	return func(_ *Frontend, _ *httpcodec.Request, args []string) (*Call, *drmaa2.Error) {
+		return newSessionCall(verb, args[0], http.StatusOK), nil
 	}
 }
 
-func sessionCall(verb scheduler.Verb, name string, status int) *Call {
+func newSessionCall(verb scheduler.Verb, name string, status int) *Call {
 	return &Call{
 		BuildInput: func(requestID, _ uint64) scheduler.Input {
 			return scheduler.SessionCommand{RequestID: requestID, Verb: verb, Name: name}
 		},
-		EncodeAnswer: orError(func(*scheduler.Answer) []byte { return jsonResponse(status, sessionResponse{name}) }),
+		EncodeAnswer: withErrorResponse(func(*scheduler.Answer) []byte { return jsonResponse(status, sessionResponse{name}) }),
 	}
 }
 
-func submitJob(f *Front, request *httpcodec.Request, args []string) (*Call, *drmaa2.Error) {
+func submitJob(f *Frontend, request *httpcodec.Request, args []string) (*Call, *drmaa2.Error) {
 	submit, bulk, err := f.decodeSubmission(request, args[0])
 	switch {
 	case err != nil:
@@ -86,10 +86,10 @@
 	case bulk != nil:
 		return nil, invalidArgument("bulk", "a range is for an array")
 	}
-	return f.submitCall(submit), nil
+	return f.newSubmitCall(submit), nil
 }
 
-func submitArray(f *Front, request *httpcodec.Request, args []string) (*Call, *drmaa2.Error) {
+func submitArray(f *Frontend, request *httpcodec.Request, args []string) (*Call, *drmaa2.Error) {
 	submit, bulk, err := f.decodeSubmission(request, args[0])
 	switch {
 	case err != nil:
@@ -101,36 +101,36 @@
 		return nil, err
 	}
 	submit.MaxParallel = bulk.MaxParallel
-	return f.submitCall(submit), nil
+	return f.newSubmitCall(submit), nil
 }
 
 // decodeSubmission decodes the body of a submission to a session. bulk is nil if the body has no range.
-func (f *Front) decodeSubmission(request *httpcodec.Request,
+func (f *Frontend) decodeSubmission(request *httpcodec.Request,
 	session string) (submit scheduler.Submit, bulk *drmaa2.Bulk, err *drmaa2.Error) {
 	var body submitRequest
-	if err := decode(request.Body, &body); err != nil {
+	if err := decodeJSON(request.Body, &body); err != nil {
 		return submit, nil, err
 	}
 	var template drmaa2.JobTemplate
-	if err := decode(body.Template, &template); err != nil {
+	if err := decodeJSON(body.Template, &template); err != nil {
 		return submit, nil, err
 	}
-	spec, err := f.spec(&template)
+	spec, err := f.jobSpec(&template)
 	if err != nil {
 		return submit, nil, err
 	}
-	spec.Template, spec.Session, spec.Retry = body.Template, session, body.Again
+	spec.Template, spec.Session, spec.Retry = body.Template, session, body.Retry
 	return scheduler.Submit{Spec: *spec}, body.Bulk, nil
 }
 
-func (f *Front) submitCall(submit scheduler.Submit) *Call {
+func (f *Frontend) newSubmitCall(submit scheduler.Submit) *Call {
 	return &Call{
 		BuildInput: func(requestID, _ uint64) scheduler.Input {
-			numbered := submit // several cores may build the input at once
-			numbered.RequestID = requestID
-			return numbered
+			input := submit // several cores may build the input at once
+			input.RequestID = requestID
+			return input
 		},
-		EncodeAnswer: f.Submitted,
+		EncodeAnswer: f.EncodeSubmitted,
 	}
 }
 
@@ -150,7 +150,7 @@
 }
 
 // listJobs handles the list of the jobs in the session that the path names, or in all sessions.
-func listJobs(f *Front, request *httpcodec.Request, args []string) (*Call, *drmaa2.Error) {
+func listJobs(f *Frontend, request *httpcodec.Request, args []string) (*Call, *drmaa2.Error) {
 	parameters, err := url.ParseQuery(request.Query)
 	if err != nil {
 		return nil, invalidArgument("", "the query can't be read")
@@ -168,20 +168,20 @@
 	}
 	return &Call{
 		BuildInput: func(requestID, _ uint64) scheduler.Input {
-			numbered := query // several cores may build the input at once
-			numbered.RequestID = requestID
-			return numbered
+			input := query // several cores may build the input at once
+			input.RequestID = requestID
+			return input
 		},
-		EncodeAnswer: orError(f.encodeJobs),
+		EncodeAnswer: withErrorResponse(f.encodeJobs),
 	}, nil
 }
 
-func getJob(f *Front, _ *httpcodec.Request, args []string) (*Call, *drmaa2.Error) {
-	return &Call{BuildInput: queryJob(args[0]), EncodeAnswer: orError(f.encodeJobs)}, nil
+func getJob(f *Frontend, _ *httpcodec.Request, args []string) (*Call, *drmaa2.Error) {
+	return &Call{BuildInput: queryJob(args[0]), EncodeAnswer: withErrorResponse(f.encodeJobs)}, nil
 }
 
-func getTemplate(_ *Front, _ *httpcodec.Request, args []string) (*Call, *drmaa2.Error) {
-	return &Call{BuildInput: queryJob(args[0]), EncodeAnswer: orError(encodeTemplate)}, nil
+func getTemplate(_ *Frontend, _ *httpcodec.Request, args []string) (*Call, *drmaa2.Error) {
+	return &Call{BuildInput: queryJob(args[0]), EncodeAnswer: withErrorResponse(encodeTemplate)}, nil
 }
 
 func queryJob(id string) func(requestID, streamID uint64) scheduler.Input {
@@ -190,25 +190,25 @@
 
 // jobCommand returns the handler of a command on the job or array that the path names.
 func jobCommand(verb scheduler.Verb) handler {
-	return func(f *Front, _ *httpcodec.Request, args []string) (*Call, *drmaa2.Error) {
+	return func(f *Frontend, _ *httpcodec.Request, args []string) (*Call, *drmaa2.Error) {
 		return &Call{
 			BuildInput: func(requestID, _ uint64) scheduler.Input {
 				return scheduler.Command{RequestID: requestID, Verb: verb, Job: args[0]}
 			},
-			EncodeAnswer: orError(f.encodeJobs),
+			EncodeAnswer: withErrorResponse(f.encodeJobs),
 		}, nil
 	}
 }
 
 // rejectSuspension handles the commands that no node can execute.
-func rejectSuspension(*Front, *httpcodec.Request, []string) (*Call, *drmaa2.Error) {
+func rejectSuspension(*Frontend, *httpcodec.Request, []string) (*Call, *drmaa2.Error) {
 	return nil, &drmaa2.Error{Code: drmaa2.UnsupportedOperation,
 		Message: "nodes run a job or stop it; they don't suspend"}
 }
 
-func listMachines(f *Front, _ *httpcodec.Request, _ []string) (*Call, *drmaa2.Error) {
+func listMachines(f *Frontend, _ *httpcodec.Request, _ []string) (*Call, *drmaa2.Error) {
 	return &Call{
 		BuildInput:   func(requestID, _ uint64) scheduler.Input { return scheduler.Machines{RequestID: requestID} },
-		EncodeAnswer: orError(f.encodeMachines),
+		EncodeAnswer: withErrorResponse(f.encodeMachines),
 	}, nil
 }
--- a/internal/front/drmaafront/responses.go
+++ b/internal/front/drmaafront/responses.go
@@ -34,26 +34,26 @@
 	return httpcodec.AppendResponse(nil, status, jsonContentType, append(encoded, '\n'), false)
 }
 
-// orError returns an encoder that encodes errors of the core itself and other answers by encode.
-func orError(encode func(*scheduler.Answer) []byte) func(*scheduler.Answer) []byte {
+// withErrorResponse returns an encoder that encodes errors of the core itself and other answers by encode.
+func withErrorResponse(encode func(*scheduler.Answer) []byte) func(*scheduler.Answer) []byte {
 	return func(answer *scheduler.Answer) []byte {
 		if answer.Err == nil {
 			return encode(answer)
 		}
 		err := &drmaa2.Error{Code: drmaa2.ErrorCode(answer.Err.Code), Message: answer.Err.Message,
 			RetryAfter: answer.Err.RetryAfter}
-		return ErrorResponse(statusOf(err.Code), err, false)
+		return ErrorResponse(httpStatus(err.Code), err, false)
 	}
 }
 
 // getInfo handles the description of the scheduler and its capabilities.
-func getInfo(f *Front, _ *httpcodec.Request, _ []string) (*Call, *drmaa2.Error) {
+func getInfo(f *Frontend, _ *httpcodec.Request, _ []string) (*Call, *drmaa2.Error) {
 	info := drmaa2.Drms{
 		DrmsName:     "flaxshelf",
 		DrmsVersion:  drmaa2.Version{Major: "0", Minor: "1"},
 		DrmaaName:    "flaxshelf",
 		DrmaaVersion: drmaa2.Version{Major: "2", Minor: "0"},
-		Machine:      f.set.Name,
+		Machine:      f.settings.Name,
 		Capabilities: []string{"RT_ACCOUNTINGID", "RT_STARTTIME", "RT_DEADLINE", "BULK_JOBS_MAXPARALLEL"},
 		JobTemplate: []string{drmaa2.AttrService, drmaa2.AttrKey, drmaa2.AttrCores, drmaa2.AttrMemory, drmaa2.AttrExpectedRuntime,
 			drmaa2.AttrPlacementTimeout},
@@ -62,13 +62,13 @@
 			drmaa2.AttrIndex, drmaa2.AttrRequestedAt, drmaa2.AttrPlacementDeadline, drmaa2.AttrRevision,
 			drmaa2.AttrClass, drmaa2.AttrTenant},
 	}
-	for _, class := range f.set.Classes {
+	for _, class := range f.settings.Classes {
 		info.Categories = append(info.Categories, class.Name)
 	}
 	return &Call{Response: jsonResponse(http.StatusOK, info)}, nil
 }
 
-func listQueues(*Front, *httpcodec.Request, []string) (*Call, *drmaa2.Error) {
+func listQueues(*Frontend, *httpcodec.Request, []string) (*Call, *drmaa2.Error) {
 	queues := queuesResponse{Queues: []drmaa2.QueueInfo{{Name: defaultQueue}}}
 	return &Call{Response: jsonResponse(http.StatusOK, queues)}, nil
 }
@@ -77,22 +77,24 @@
 	return jsonResponse(http.StatusOK, sessionNamesResponse{answer.Sessions})
 }
 
-// Submitted returns the response to a submission.
-func (f *Front) Submitted(answer *scheduler.Answer) []byte { return orError(f.encodeSubmitted)(answer) }
+// EncodeSubmitted returns the response to a submission.
+func (f *Frontend) EncodeSubmitted(answer *scheduler.Answer) []byte {
+	return withErrorResponse(f.encodeSubmittedJobs)(answer)
+}
 
-func (f *Front) encodeSubmitted(answer *scheduler.Answer) []byte {
+func (f *Frontend) encodeSubmittedJobs(answer *scheduler.Answer) []byte {
 	status := http.StatusCreated
 	if answer.Existing {
 		status = http.StatusOK
 	}
-	return jsonResponse(status, f.jobs(answer))
+	return jsonResponse(status, f.jobList(answer))
 }
 
-func (f *Front) encodeJobs(answer *scheduler.Answer) []byte {
-	return jsonResponse(http.StatusOK, f.jobs(answer))
+func (f *Frontend) encodeJobs(answer *scheduler.Answer) []byte {
+	return jsonResponse(http.StatusOK, f.jobList(answer))
 }
 
-func (f *Front) jobs(answer *scheduler.Answer) drmaa2.Submitted {
+func (f *Frontend) jobList(answer *scheduler.Answer) drmaa2.Submitted {
 	jobs := drmaa2.Submitted{ArrayID: answer.ArrayID, Existing: answer.Existing, Jobs: make([]drmaa2.JobInfo, len(answer.Jobs))}
 	for i := range answer.Jobs {
 		jobs.Jobs[i] = f.jobInfo(&answer.Jobs[i])
@@ -108,7 +110,7 @@
 	return httpcodec.AppendResponse(nil, http.StatusOK, jsonContentType, answer.Jobs[0].Spec.Template, false)
 }
 
-func (f *Front) encodeMachines(answer *scheduler.Answer) []byte {
+func (f *Frontend) encodeMachines(answer *scheduler.Answer) []byte {
 	machines := make([]drmaa2.MachineInfo, 0, len(answer.Machines))
 	for i := range answer.Machines {
 		machines = append(machines, f.machineInfo(&answer.Machines[i]))
--- a/internal/front/drmaafront/responses_test.go
+++ b/internal/front/drmaafront/responses_test.go
@@ -17,8 +17,8 @@
 
 const responsesFile = "testdata/responses.golden"
 
-// incarnation is the prefix of event IDs of newFront: its start at 5,000 ms in base 36.
-const incarnation = "3uw"
+// testIncarnationID is the prefix of event IDs of newTestFrontend: its start time, 5,000 ms, in base 36.
+const testIncarnationID = "3uw"
 
 var update = flag.Bool("update", false, "overwrite "+responsesFile+"; each change of it is a change of the wire")
 
@@ -49,14 +49,14 @@
 // allResponses returns the responses to requests of each kind, quoted, so that every byte is visible.
 func allResponses(t *testing.T) []byte {
 	t.Helper()
-	front := newFront(t)
+	frontend := newTestFrontend(t)
 	var out bytes.Buffer
 	write := func(name string, response []byte) { fmt.Fprintf(&out, "%s\n%q\n", name, response) }
 	for _, r := range requestsWithoutCore() {
-		write(r.name, front.Route(r.request).Response)
+		write(r.name, frontend.Decode(r.request).Response)
 	}
 	for _, r := range requestsToCore() {
-		call := front.Route(r.request)
+		call := frontend.Decode(r.request)
 		if call.BuildInput == nil {
 			t.Fatalf("%s: got response %s, want an input of the core", r.name, call.Response)
 		}
@@ -68,7 +68,7 @@
 		}
 	}
 	for _, info := range sampleJobs() {
-		write("event", front.Event(&info, "7-8"))
+		write("event", frontend.EncodeEvent(&info, "7-8"))
 	}
 	write("heartbeat", Heartbeat())
 	write("busy", BusyResponse(false))
@@ -76,7 +76,7 @@
 	for _, code := range []drmaa2.ErrorCode{drmaa2.InvalidArgument, drmaa2.UnsupportedAttribute, drmaa2.InvalidState,
 		drmaa2.InvalidSession, drmaa2.DeniedByDrms, drmaa2.TryLater, drmaa2.OutOfResource, drmaa2.UnsupportedOperation,
 		drmaa2.Internal} {
-		write("status of an error", fmt.Appendf(nil, "%d", statusOf(code)))
+		write("status of an error", fmt.Appendf(nil, "%d", httpStatus(code)))
 	}
 	return out.Bytes()
 }
@@ -91,18 +91,18 @@
 func requestsWithoutCore() []namedRequest {
 	var all []namedRequest
 	add := func(method, path, body string) {
-		all = append(all, namedRequest{name: method + " " + path + " " + body, request: request(method, path, body)})
+		all = append(all, namedRequest{name: method + " " + path + " " + body, request: newRequest(method, path, body)})
 	}
 	for _, path := range []string{"/info", "/queues", "/wings", "/sessions/a%zz", "/sessions/s/jobs?limit=0",
 		"/sessions/s/jobs?limit=x", "/jobs?a=%zz", "/" + strings.Repeat("p", 200)} {
-		add("GET", Prefix+path, "")
+		add("GET", PathPrefix+path, "")
 	}
 	add("GET", "/", "")
-	add("PUT", Prefix+"/jobs/j", "")
-	add("POST", Prefix+"/jobs/j/suspend", "")
-	add("POST", Prefix+"/jobs/j/resume", "")
+	add("PUT", PathPrefix+"/jobs/j", "")
+	add("POST", PathPrefix+"/jobs/j/suspend", "")
+	add("POST", PathPrefix+"/jobs/j/resume", "")
 	for _, body := range []string{"", "{", `{"name":""}`, `{"name":"a\nb"}`, `{"name":1}`, `{"wings":1}`, `{"name":"a","name":"b"}`} {
-		add("POST", Prefix+"/sessions", body)
+		add("POST", PathPrefix+"/sessions", body)
 	}
 	for _, template := range []string{``, `"wings":2`, `"startTime":"tomorrow"`, `"args":["\u0000"]`, `"jobName":"\u0000"`,
 		`"minSlots":"many"`, `"accountingId":"z"`, `"queueName":"z"`, `"minSlots":-4`, `"minSlots":1,"maxSlots":4`,
@@ -117,19 +117,19 @@
 		`"implementationSpecific":{"flaxshelf.key":"a b"}`, `"implementationSpecific":{"flaxshelf.service":""}`,
 		`"implementationSpecific":{"flaxshelf.wings":"2"}`, `"minSlots":1,"implementationSpecific":{"flaxshelf.cores":"2"}`,
 		`"minPhysMemory":1,"implementationSpecific":{"flaxshelf.memory":"2"}`} {
-		add("POST", Prefix+"/sessions/s/jobs", `{"template":{`+template+`}}`)
-		add("POST", Prefix+"/sessions/s/jobs", `{"template":{"remoteCommand":"x","jobCategory":"z",`+template+`}}`)
-		add("POST", Prefix+"/sessions/s/jobs", `{"template":{"remoteCommand":"x","jobCategory":"batch",`+template+`}}`)
+		add("POST", PathPrefix+"/sessions/s/jobs", `{"template":{`+template+`}}`)
+		add("POST", PathPrefix+"/sessions/s/jobs", `{"template":{"remoteCommand":"x","jobCategory":"z",`+template+`}}`)
+		add("POST", PathPrefix+"/sessions/s/jobs", `{"template":{"remoteCommand":"x","jobCategory":"batch",`+template+`}}`)
 	}
 	command := strings.Repeat("c", 5000)
-	add("POST", Prefix+"/sessions/s/jobs", `{"template":{"remoteCommand":"`+command+`","jobCategory":"batch"}}`)
-	add("POST", Prefix+"/sessions/s/jobs", `{"template":{"remoteCommand":"\u0000","jobCategory":"batch"}}`)
-	good := `{"template":{"remoteCommand":"x","jobCategory":"batch"}`
-	add("POST", Prefix+"/sessions/s/arrays", good+`}`)
+	add("POST", PathPrefix+"/sessions/s/jobs", `{"template":{"remoteCommand":"`+command+`","jobCategory":"batch"}}`)
+	add("POST", PathPrefix+"/sessions/s/jobs", `{"template":{"remoteCommand":"\u0000","jobCategory":"batch"}}`)
+	bodyStart := `{"template":{"remoteCommand":"x","jobCategory":"batch"}`
+	add("POST", PathPrefix+"/sessions/s/arrays", bodyStart+`}`)
 	for _, bulk := range []string{`{"beginIndex":0,"endIndex":1,"step":1}`, `{"beginIndex":1,"endIndex":9000000,"step":1}`,
 		`{"beginIndex":1,"endIndex":1,"step":1,"maxParallel":-1}`} {
-		add("POST", Prefix+"/sessions/s/jobs", good+`,"bulk":`+bulk+`}`)
-		add("POST", Prefix+"/sessions/s/arrays", good+`,"bulk":`+bulk+`}`)
+		add("POST", PathPrefix+"/sessions/s/jobs", bodyStart+`,"bulk":`+bulk+`}`)
+		add("POST", PathPrefix+"/sessions/s/arrays", bodyStart+`,"bulk":`+bulk+`}`)
 	}
 	return all
 }
@@ -142,19 +142,19 @@
 		{Machine: flaxshelf.Machine{ID: "n", Zone: "z", Cell: 3}, Connected: true, Jobs: 2},
 		{Machine: flaxshelf.Machine{ID: "m", Kind: -1, State: flaxshelf.Draining}, Connected: true},
 		{Machine: flaxshelf.Machine{ID: "o", Kind: 7, State: flaxshelf.Removed}}}}
-	good := `{"template":{"remoteCommand":"x","jobCategory":"batch"}`
+	bodyStart := `{"template":{"remoteCommand":"x","jobCategory":"batch"}`
 	var all []namedRequest
 	add := func(method, path, body string, answer scheduler.Answer) {
-		all = append(all, namedRequest{method + " " + path, request(method, Prefix+path, body), answer})
+		all = append(all, namedRequest{method + " " + path, newRequest(method, PathPrefix+path, body), answer})
 	}
 	add("GET", "/sessions", "", scheduler.Answer{})
 	add("GET", "/sessions", "", scheduler.Answer{Sessions: []string{"a", "b"}})
 	add("POST", "/sessions", `{"name":"a b"}`, scheduler.Answer{})
 	add("GET", "/sessions/a%20b", "", scheduler.Answer{})
 	add("DELETE", "/sessions/s", "", scheduler.Answer{})
-	add("POST", "/sessions/s/jobs", good+`}`, jobs)
-	add("POST", "/sessions/s/jobs", good+`,"again":true}`, array)
-	add("POST", "/sessions/s/arrays", good+`,"bulk":{"beginIndex":1,"endIndex":9,"step":2}}`, array)
+	add("POST", "/sessions/s/jobs", bodyStart+`}`, jobs)
+	add("POST", "/sessions/s/jobs", bodyStart+`,"again":true}`, array)
+	add("POST", "/sessions/s/arrays", bodyStart+`,"bulk":{"beginIndex":1,"endIndex":9,"step":2}}`, array)
 	add("GET", "/sessions/s/jobs?limit=3&after=j", "", jobs)
 	add("GET", "/jobs", "", scheduler.Answer{})
 	add("GET", "/jobs/j", "", jobs)
@@ -170,10 +170,10 @@
 	for _, path := range []string{"/events", "/jobs/j/events", "/sessions/s/events"} {
 		add("GET", path, "", scheduler.Answer{})
 	}
-	last := namedRequest{name: "resumed stream", request: request("GET", Prefix+"/events", "")}
-	last.request.Fields = []httpcodec.Field{{Name: "last-event-id", Value: incarnation + ".42-7"}}
-	last.request.Close = true
-	return append(all, last)
+	resumed := namedRequest{name: "resumed stream", request: newRequest("GET", PathPrefix+"/events", "")}
+	resumed.request.Fields = []httpcodec.Field{{Name: "last-event-id", Value: testIncarnationID + ".42-7"}}
+	resumed.request.Close = true
+	return append(all, resumed)
 }
 
 // sampleJobs returns jobs with all, with none, and with some of their attributes.
@@ -192,9 +192,9 @@
 }
 
 // The response to an error of the core has its code and the time after which to retry.
-func TestErrorsOfTheCore(t *testing.T) {
-	front := newFront(t)
-	call := front.Route(request("GET", "/drmaa2/v1/jobs/j", ""))
+func TestCoreErrorResponse(t *testing.T) {
+	frontend := newTestFrontend(t)
+	call := frontend.Decode(newRequest("GET", "/drmaa2/v1/jobs/j", ""))
 	response := string(call.EncodeAnswer(&scheduler.Answer{Err: &scheduler.Error{Code: scheduler.TryLater, Message: "m",
 		RetryAfter: 1500 * time.Millisecond}}))
 	for _, want := range []string{"503", "Retry-After: 2", "Flaxshelf-Retry-After-Ms: 1500", `"code":"TryLater"`} {
--- a/internal/front/drmaafront/routes.go
+++ b/internal/front/drmaafront/routes.go
@@ -11,7 +11,7 @@
 )
 
 // handler decodes a request to a route. args are the path segments that wildcards have matched.
-type handler func(f *Front, request *httpcodec.Request, args []string) (*Call, *drmaa2.Error)
+type handler func(f *Frontend, request *httpcodec.Request, args []string) (*Call, *drmaa2.Error)
 
 // wildcard matches any one segment of a path.
 const wildcard = "*"
@@ -23,31 +23,31 @@
 }
 
 var routes = []route{
-	{"GET", segments("/info"), getInfo},
-	{"GET", segments("/sessions"), listSessions},
-	{"POST", segments("/sessions"), createSession},
-	{"GET", segments("/sessions/*"), sessionCommand(scheduler.OpenSession)},
-	{"DELETE", segments("/sessions/*"), sessionCommand(scheduler.DestroySession)},
-	{"POST", segments("/sessions/*/jobs"), submitJob},
-	{"POST", segments("/sessions/*/arrays"), submitArray},
-	{"GET", segments("/sessions/*/jobs"), listJobs},
-	{"GET", segments("/sessions/*/events"), watchSession},
-	{"GET", segments("/jobs"), listJobs},
-	{"GET", segments("/jobs/*"), getJob},
-	{"GET", segments("/jobs/*/template"), getTemplate},
-	{"GET", segments("/jobs/*/events"), watchJob},
-	{"POST", segments("/jobs/*/hold"), jobCommand(scheduler.Hold)},
-	{"POST", segments("/jobs/*/release"), jobCommand(scheduler.Release)},
-	{"POST", segments("/jobs/*/terminate"), jobCommand(scheduler.Terminate)},
-	{"POST", segments("/jobs/*/suspend"), rejectSuspension},
-	{"POST", segments("/jobs/*/resume"), rejectSuspension},
-	{"DELETE", segments("/jobs/*"), jobCommand(scheduler.Reap)},
-	{"GET", segments("/events"), watchAll},
-	{"GET", segments("/machines"), listMachines},
-	{"GET", segments("/queues"), listQueues},
+	{"GET", splitPath("/info"), getInfo},
+	{"GET", splitPath("/sessions"), listSessions},
+	{"POST", splitPath("/sessions"), createSession},
+	{"GET", splitPath("/sessions/*"), sessionCommand(scheduler.OpenSession)},
+	{"DELETE", splitPath("/sessions/*"), sessionCommand(scheduler.DestroySession)},
+	{"POST", splitPath("/sessions/*/jobs"), submitJob},
+	{"POST", splitPath("/sessions/*/arrays"), submitArray},
+	{"GET", splitPath("/sessions/*/jobs"), listJobs},
+	{"GET", splitPath("/sessions/*/events"), watchSession},
+	{"GET", splitPath("/jobs"), listJobs},
+	{"GET", splitPath("/jobs/*"), getJob},
+	{"GET", splitPath("/jobs/*/template"), getTemplate},
+	{"GET", splitPath("/jobs/*/events"), watchJob},
+	{"POST", splitPath("/jobs/*/hold"), jobCommand(scheduler.Hold)},
+	{"POST", splitPath("/jobs/*/release"), jobCommand(scheduler.Release)},
+	{"POST", splitPath("/jobs/*/terminate"), jobCommand(scheduler.Terminate)},
+	{"POST", splitPath("/jobs/*/suspend"), rejectSuspension},
+	{"POST", splitPath("/jobs/*/resume"), rejectSuspension},
+	{"DELETE", splitPath("/jobs/*"), jobCommand(scheduler.Reap)},
+	{"GET", splitPath("/events"), watchAll},
+	{"GET", splitPath("/machines"), listMachines},
+	{"GET", splitPath("/queues"), listQueues},
 }
 
-func segments(path string) []string { return strings.Split(strings.TrimPrefix(path, "/"), "/") }
+func splitPath(path string) []string { return strings.Split(strings.TrimPrefix(path, "/"), "/") }
 
 // match reports whether a path matches the route, and returns the segments that wildcards have matched.
 func (r *route) match(path []string) (args []string, ok bool) {
@@ -64,40 +64,40 @@
 	return args, true
 }
 
-// Route decodes a request. It never returns nil: the response to an invalid request is an error.
-func (f *Front) Route(request *httpcodec.Request) *Call {
-	path, ok := strings.CutPrefix(request.Path, Prefix)
+// Decode decodes a request. It never returns nil: the response to an invalid request is an error.
+func (f *Frontend) Decode(request *httpcodec.Request) *Call {
+	path, ok := strings.CutPrefix(request.Path, PathPrefix)
 	if !ok {
-		return notFound(request)
+		return newNotFoundCall(request)
 	}
-	unescaped, ok := unescape(segments(path))
+	unescaped, ok := unescape(splitPath(path))
 	if !ok {
-		return errorCall(request, http.StatusBadRequest,
+		return newErrorCall(request, http.StatusBadRequest,
 			&drmaa2.Error{Code: drmaa2.InvalidArgument, Message: "the path can't be read"})
 	}
-	found := false
+	pathFound := false
 	for i := range routes {
 		args, ok := routes[i].match(unescaped)
 		if !ok {
 			continue
 		}
-		found = true
+		pathFound = true
 		if routes[i].method == request.Method {
-			return f.call(&routes[i], request, args)
+			return f.callHandler(&routes[i], request, args)
 		}
 	}
-	if found {
-		return errorCall(request, http.StatusMethodNotAllowed, &drmaa2.Error{Code: drmaa2.UnsupportedOperation,
-			Message: clip(request.Method) + " is not done here"})
+	if pathFound {
+		return newErrorCall(request, http.StatusMethodNotAllowed, &drmaa2.Error{Code: drmaa2.UnsupportedOperation,
+			Message: truncate(request.Method) + " is not done here"})
 	}
-	return notFound(request)
+	return newNotFoundCall(request)
 }
 
-// call decodes a request by the handler of its route.
-func (f *Front) call(r *route, request *httpcodec.Request, args []string) *Call {
+// callHandler decodes a request by the handler of its route.
+func (f *Frontend) callHandler(r *route, request *httpcodec.Request, args []string) *Call {
 	call, err := r.handle(f, request, args)
 	if err != nil {
-		return errorCall(request, statusOf(err.Code), err)
+		return newErrorCall(request, httpStatus(err.Code), err)
 	}
 	call.CloseConnection = request.Close
 	return call
@@ -115,11 +115,11 @@
 	return segments, true
 }
 
-func notFound(request *httpcodec.Request) *Call {
-	return errorCall(request, http.StatusNotFound,
-		&drmaa2.Error{Code: drmaa2.InvalidArgument, Message: "nothing is at " + clip(request.Path)})
+func newNotFoundCall(request *httpcodec.Request) *Call {
+	return newErrorCall(request, http.StatusNotFound,
+		&drmaa2.Error{Code: drmaa2.InvalidArgument, Message: "nothing is at " + truncate(request.Path)})
 }
 
-func errorCall(request *httpcodec.Request, status int, err *drmaa2.Error) *Call {
+func newErrorCall(request *httpcodec.Request, status int, err *drmaa2.Error) *Call {
 	return &Call{Response: ErrorResponse(status, err, request.Close), CloseConnection: request.Close}
 }
--- a/internal/front/drmaafront/routes_test.go
+++ b/internal/front/drmaafront/routes_test.go
@@ -7,7 +7,7 @@
 
 // Each resource and method becomes an input of the core, or is answered with an error.
 func TestRoutes(t *testing.T) {
-	front := newFront(t)
+	frontend := newTestFrontend(t)
 	for _, test := range []struct {
 		method, path, body string
 		status             int    // 0: the core answers
@@ -38,7 +38,7 @@
 		{"GET", "/", "", 404, ""},
 	} {
 		t.Run(test.method+" "+test.path+" "+test.body, func(t *testing.T) {
-			call := front.Route(request(test.method, test.path, test.body))
+			call := frontend.Decode(newRequest(test.method, test.path, test.body))
 			status, err := decodeResponse(t, call)
 			if status != test.status {
 				t.Fatalf("got status %d (%v), want %d", status, err, test.status)
--- a/internal/front/drmaafront/template.go
+++ b/internal/front/drmaafront/template.go
@@ -23,8 +23,8 @@
 	reasonNoStaging   = "no files are staged"
 )
 
-// spec validates a template and translates it for the core.
-func (f *Front) spec(template *drmaa2.JobTemplate) (*scheduler.JobSpec, *drmaa2.Error) {
+// jobSpec validates a template and translates it for the core.
+func (f *Frontend) jobSpec(template *drmaa2.JobTemplate) (*scheduler.JobSpec, *drmaa2.Error) {
 	for _, check := range []func(*drmaa2.JobTemplate) *drmaa2.Error{checkUnsupported, checkLengths, checkNULs,
 		checkQueue, checkSlots} {
 		if err := check(template); err != nil {
@@ -45,7 +45,7 @@
 	if template.MinPhysMemory > 0 {
 		spec.Memory = float64(template.MinPhysMemory) / kibPerGiB
 	}
-	if err := setExtensions(spec, template); err != nil {
+	if err := setImplementationSpecific(spec, template); err != nil {
 		return nil, err
 	}
 	if template.StartTime != nil {
@@ -119,7 +119,7 @@
 
 func checkQueue(t *drmaa2.JobTemplate) *drmaa2.Error {
 	if t.QueueName != "" && t.QueueName != defaultQueue {
-		return invalidArgument("queueName", fmt.Sprintf("no queue %q; there is %q", clip(t.QueueName), defaultQueue))
+		return invalidArgument("queueName", fmt.Sprintf("no queue %q; there is %q", truncate(t.QueueName), defaultQueue))
 	}
 	return nil
 }
@@ -135,35 +135,35 @@
 }
 
 // setClass sets the class of a job and the defaults of the class. A template may leave it out if there is only one class.
-func (f *Front) setClass(spec *scheduler.JobSpec, template *drmaa2.JobTemplate) *drmaa2.Error {
-	spec.Class = f.set.ClassIndex(template.JobCategory)
+func (f *Frontend) setClass(spec *scheduler.JobSpec, template *drmaa2.JobTemplate) *drmaa2.Error {
+	spec.Class = f.settings.ClassIndex(template.JobCategory)
 	if spec.Class < 0 {
-		if template.JobCategory != "" || len(f.set.Classes) > 1 {
+		if template.JobCategory != "" || len(f.settings.Classes) > 1 {
 			return invalidArgument("jobCategory",
-				fmt.Sprintf("no class %q; there are %s", clip(template.JobCategory), f.classNames()))
+				fmt.Sprintf("no class %q; there are %s", truncate(template.JobCategory), f.classNames()))
 		}
 		spec.Class = 0
 	}
-	class := &f.set.Classes[spec.Class]
+	class := &f.settings.Classes[spec.Class]
 	spec.Priority, spec.Cores, spec.Memory = class.Priority, class.Cores, class.Memory
 	return nil
 }
 
-func (f *Front) classNames() string {
-	names := make([]string, len(f.set.Classes))
-	for i := range f.set.Classes {
-		names[i] = f.set.Classes[i].Name
+func (f *Frontend) classNames() string {
+	names := make([]string, len(f.settings.Classes))
+	for i := range f.settings.Classes {
+		names[i] = f.settings.Classes[i].Name
 	}
 	return strings.Join(names, ", ")
 }
 
-func (f *Front) setTenant(spec *scheduler.JobSpec, template *drmaa2.JobTemplate) *drmaa2.Error {
+func (f *Frontend) setTenant(spec *scheduler.JobSpec, template *drmaa2.JobTemplate) *drmaa2.Error {
 	if template.AccountingID == "" {
 		return nil
 	}
-	spec.Tenant = f.set.TenantIndex(template.AccountingID)
+	spec.Tenant = f.settings.TenantIndex(template.AccountingID)
 	if spec.Tenant < 0 {
-		return invalidArgument("accountingId", fmt.Sprintf("no tenant %q", clip(template.AccountingID)))
+		return invalidArgument("accountingId", fmt.Sprintf("no tenant %q", truncate(template.AccountingID)))
 	}
 	return nil
 }
--- a/internal/front/drmaafront/template_test.go
+++ b/internal/front/drmaafront/template_test.go
@@ -13,7 +13,7 @@
 
 // An invalid submission is rejected with an error code and the attribute; no member is ignored.
 func TestInvalidSubmissionsAreRejected(t *testing.T) {
-	front := newFront(t)
+	frontend := newTestFrontend(t)
 	with := func(fields string) string {
 		return `{"template":{"remoteCommand":"x","jobCategory":"batch",` + fields + `}}`
 	}
@@ -63,7 +63,7 @@
 		{"deep nesting", strings.Repeat("[", 100000), drmaa2.InvalidArgument, ""},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			status, err := decodeResponse(t, front.Route(request("POST", "/drmaa2/v1/sessions/s/jobs", test.body)))
+			status, err := decodeResponse(t, frontend.Decode(newRequest("POST", "/drmaa2/v1/sessions/s/jobs", test.body)))
 			if status < 400 || err.Code != test.code || err.Attribute != test.attribute {
 				t.Errorf("got status %d, code %q, attribute %q: %s, want code %q, attribute %q", status, err.Code, err.Attribute,
 					err.Message, test.code, test.attribute)
@@ -73,9 +73,9 @@
 }
 
 // The spec of a job has the attributes of its template and the defaults of its class.
-func TestTemplateBecomesSpec(t *testing.T) {
-	front := newFront(t)
-	call := front.Route(request("POST", "/drmaa2/v1/sessions/s/jobs", `{"again":true,"template":{"remoteCommand":"x","args":["a"],
+func TestJobSpecFromTemplate(t *testing.T) {
+	frontend := newTestFrontend(t)
+	call := frontend.Decode(newRequest("POST", "/drmaa2/v1/sessions/s/jobs", `{"again":true,"template":{"remoteCommand":"x","args":["a"],
 		"jobCategory":"batch","jobName":"n","accountingId":"north","minPhysMemory":3145728,"rerunnable":true,"submitAsHold":true,
 		"startTime":"1970-01-01T00:00:09Z","deadlineTime":"1970-01-01T00:01:00Z",
 		"implementationSpecific":{"flaxshelf.cores":"0.5","flaxshelf.life":"90s","flaxshelf.giveup":"7s","flaxshelf.key":"k","flaxshelf.service":"v"}}}`))
@@ -94,19 +94,19 @@
 
 // An array has the indexes of its range. An invalid range is rejected.
 func TestArrayIndexes(t *testing.T) {
-	front := newFront(t)
+	frontend := newTestFrontend(t)
 	submission := func(bulk string) *httpcodec.Request {
-		return request("POST", "/drmaa2/v1/sessions/s/arrays",
+		return newRequest("POST", "/drmaa2/v1/sessions/s/arrays",
 			`{"template":{"remoteCommand":"x","jobCategory":"service"},"bulk":`+bulk+`}`)
 	}
-	call := front.Route(submission(`{"beginIndex":2,"endIndex":9,"step":3,"maxParallel":2}`))
+	call := frontend.Decode(submission(`{"beginIndex":2,"endIndex":9,"step":3,"maxParallel":2}`))
 	if got := call.BuildInput(1, 0).(scheduler.Submit); fmt.Sprint(got.Indexes, got.MaxParallel) != "[2 5 8] 2" {
 		t.Errorf("got indexes %v, %d in parallel, want [2 5 8], 2 in parallel", got.Indexes, got.MaxParallel)
 	}
 	for _, bulk := range []string{`{"beginIndex":0,"endIndex":1,"step":1}`, `{"beginIndex":3,"endIndex":1,"step":1}`,
 		`{"beginIndex":1,"endIndex":1,"step":0}`, `{"beginIndex":1,"endIndex":9000000,"step":1}`} {
 		t.Run(bulk, func(t *testing.T) {
-			if status, _ := decodeResponse(t, front.Route(submission(bulk))); status != 400 {
+			if status, _ := decodeResponse(t, frontend.Decode(submission(bulk))); status != 400 {
 				t.Errorf("got status %d, want 400", status)
 			}
 		})
@@ -115,12 +115,12 @@
 
 // Any submission is rejected, or becomes a spec within the limits.
 func FuzzSubmission(f *testing.F) {
-	front := newFront(f)
+	frontend := newTestFrontend(f)
 	f.Add([]byte(`{"template":{"remoteCommand":"x","jobCategory":"batch","implementationSpecific":{"flaxshelf.cores":"1e300"}}}`))
 	f.Add([]byte(`{"template":{"remoteCommand":"x","jobCategory":"service","startTime":"0000-01-01T00:00:00Z"}}`))
 	f.Add([]byte(`[]`))
 	f.Fuzz(func(t *testing.T, body []byte) {
-		call := front.Route(&httpcodec.Request{Method: "POST", Path: "/drmaa2/v1/sessions/s/jobs", Body: body})
+		call := frontend.Decode(&httpcodec.Request{Method: "POST", Path: "/drmaa2/v1/sessions/s/jobs", Body: body})
 		if call.BuildInput == nil {
 			if len(call.Response) == 0 {
 				t.Error("got neither a response nor an input")
--- a/internal/front/nodefront/entry.go
+++ b/internal/front/nodefront/entry.go
@@ -13,7 +13,7 @@
 	nodepb.Standing_OUT:      flaxshelf.Removed,
 }
 
-var standings = map[flaxshelf.MachineState]nodepb.Standing{
+var wireStates = map[flaxshelf.MachineState]nodepb.Standing{
 	flaxshelf.Active:   nodepb.Standing_IN,
 	flaxshelf.Draining: nodepb.Standing_DRAINING,
 	flaxshelf.Removed:  nodepb.Standing_OUT,
@@ -21,10 +21,10 @@
 
 // decodeEntry translates an entry of the inventory's list; it is the only mapping of this wire to a Machine, and NewEntry is
 // its inverse. A kind that the settings don't name is unknown, which is no error.
-func decodeEntry(set *settings.Scheduler, entry *nodepb.Entry) flaxshelf.Machine {
+func decodeEntry(config *settings.Scheduler, entry *nodepb.Entry) flaxshelf.Machine {
 	return flaxshelf.Machine{
 		ID:         entry.Node,
-		Kind:       set.KindIndex(entry.Kind),
+		Kind:       config.KindIndex(entry.Kind),
 		Zone:       entry.Zone,
 		Cell:       int(entry.Cell),
 		State:      machineStates[entry.Standing],
@@ -43,7 +43,7 @@
 		Kind:          kind,
 		Zone:          machine.Zone,
 		Cell:          int32(machine.Cell),
-		Standing:      standings[machine.State],
+		Standing:      wireStates[machine.State],
 		StartedUnixNs: int64(machine.Started),
 		FreeCores:     machine.FreeCores,
 		FreeMemory:    machine.FreeMemory,
--- a/internal/front/nodefront/errors.go
+++ b/internal/front/nodefront/errors.go
@@ -7,8 +7,8 @@
 	"flaxshelf.example/flaxshelf/internal/codec/nodeframe/nodepb"
 )
 
-// inventoryName is the name of the inventory in errors.
-const inventoryName = "inventory"
+// inventoryPeer is the name of the inventory in errors.
+const inventoryPeer = "inventory"
 
 // ErrProtocol is matched by every ProtocolError.
 var ErrProtocol = errors.New("nodefront: the peer does not keep to the protocol")
--- a/internal/front/nodefront/inventory.go
+++ b/internal/front/nodefront/inventory.go
@@ -6,13 +6,13 @@
 	"flaxshelf.example/flaxshelf/internal/settings"
 )
 
-// Inventory decodes the frames of one connection to the inventory. It is not safe for concurrent use.
-type Inventory struct {
-	Set *settings.Scheduler
+// InventoryDecoder decodes the frames of one connection to the inventory. It is not safe for concurrent use.
+type InventoryDecoder struct {
+	Settings *settings.Scheduler
 
-	entries  []*nodepb.Entry // of a listing that is split over several frames
-	complete bool            // the listing has all nodes, not only changes
-	partial  bool            // more frames of the listing follow
+	entries      []*nodepb.Entry // of a listing that is split over several frames
+	complete     bool            // the listing has all nodes, not only changes
+	moreExpected bool            // more frames of the listing follow
 }
 
 // InventoryMessage is the meaning of a frame of the inventory. Its zero value is that of a frame without one.
@@ -24,16 +24,16 @@
 
 // Decode translates a frame. The frames of a listing are one input, returned for the last of them. The error is a *ProtocolError
 // or *ByeError, after which the connection must be closed.
-func (v *Inventory) Decode(frame *nodepb.Frame) (InventoryMessage, error) {
+func (d *InventoryDecoder) Decode(frame *nodepb.Frame) (InventoryMessage, error) {
 	switch body := frame.Body.(type) {
 	case *nodepb.Frame_Welcome:
 		return InventoryMessage{}, nil
 	case *nodepb.Frame_Listing:
-		if !v.collectListing(body.Listing) {
+		if !d.collectListing(body.Listing) {
 			return InventoryMessage{}, nil
 		}
-		message := nodesUpdated(v.Set, v.entries, v.complete)
-		v.entries = nil
+		message := decodeListing(d.Settings, d.entries, d.complete)
+		d.entries = nil
 		return message, nil
 	case *nodepb.Frame_ListError:
 		return InventoryMessage{Input: scheduler.DiscoveryFailed{}, Failed: true}, nil
@@ -43,28 +43,28 @@
 		}
 		return InventoryMessage{Input: scheduler.DiscoverySynced{Token: body.Pong.Token}}, nil
 	case *nodepb.Frame_Bye:
-		return InventoryMessage{}, &ByeError{Peer: inventoryName, Reason: body.Bye.Reason}
+		return InventoryMessage{}, &ByeError{Peer: inventoryPeer, Reason: body.Bye.Reason}
 	default:
-		return InventoryMessage{}, newProtocolError(inventoryName, frame, "no frame of the inventory")
+		return InventoryMessage{}, newProtocolError(inventoryPeer, frame, "no frame of the inventory")
 	}
 }
 
 // collectListing adds a frame of a listing to those before it. It returns true for the last one.
-func (v *Inventory) collectListing(listing *nodepb.Listing) (last bool) {
-	if !v.partial {
-		v.entries, v.complete = nil, listing.Whole
+func (d *InventoryDecoder) collectListing(listing *nodepb.Listing) (last bool) {
+	if !d.moreExpected {
+		d.entries, d.complete = nil, listing.Whole
 	}
-	v.entries = append(v.entries, listing.Entries...)
-	v.partial = listing.More
-	return !v.partial
+	d.entries = append(d.entries, listing.Entries...)
+	d.moreExpected = listing.More
+	return !d.moreExpected
 }
 
-// nodesUpdated translates the entries of a listing.
-func nodesUpdated(set *settings.Scheduler, entries []*nodepb.Entry, complete bool) InventoryMessage {
+// decodeListing translates the entries of a listing.
+func decodeListing(config *settings.Scheduler, entries []*nodepb.Entry, complete bool) InventoryMessage {
 	update, addresses := scheduler.NodesUpdated{Complete: complete}, make(map[string]string, len(entries))
 	for _, entry := range entries {
 		addresses[entry.Node] = entry.Address
-		update.Machines = append(update.Machines, decodeEntry(set, entry))
+		update.Machines = append(update.Machines, decodeEntry(config, entry))
 	}
 	return InventoryMessage{Input: update, Addresses: addresses}
 }
--- a/internal/front/nodefront/nodefront_test.go
+++ b/internal/front/nodefront/nodefront_test.go
@@ -18,7 +18,7 @@
 
 func testSettings(t *testing.T) *settings.Scheduler {
 	t.Helper()
-	set, err := settings.ParseScheduler("f.cue", []byte(`
+	config, err := settings.ParseScheduler("f.cue", []byte(`
 inventory: "127.0.0.1:1"
 kinds: [{name: "k", cores: 8, memory: 32}, {name: "large", cores: 64, memory: 256}]
 classes: [{name: "batch", effect: "idempotent-by-key"}, {name: "service", effect: "idempotent"}]
@@ -27,18 +27,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return set
+	return config
 }
 
-// newNode returns the decoder of a connection to node n.
-func newNode(t *testing.T) *Node {
+// newNodeDecoder returns the decoder of a connection to node n.
+func newNodeDecoder(t *testing.T) *NodeDecoder {
 	t.Helper()
-	return &Node{Set: testSettings(t), Name: "n"}
+	return &NodeDecoder{Settings: testSettings(t), Name: "n"}
 }
 
-func newInventory(t *testing.T) *Inventory {
+func newInventoryDecoder(t *testing.T) *InventoryDecoder {
 	t.Helper()
-	return &Inventory{Set: testSettings(t)}
+	return &InventoryDecoder{Settings: testSettings(t)}
 }
 
 func welcomeFrame(welcome *nodepb.Welcome) *nodepb.Frame {
@@ -59,21 +59,21 @@
 
 // The frames of a welcome are one input, and a running attempt that the node reports has the fields of its offer.
 func TestNodeWelcome(t *testing.T) {
-	set := testSettings(t)
+	config := testSettings(t)
 	spec := scheduler.JobSpec{Key: "key", Session: "session", Name: "name", Owner: "owner", Service: "service", Class: 1,
 		Tenant: 0, Cores: 2, Memory: 4, ExpectedRuntime: time.Minute, Priority: 3, Rerunnable: true, Template: []byte("{}")}
-	offer := Offer(set, &scheduler.SendOffer{Node: "n", Attempt: "a", Job: "j", PlacementRequest: 2, Spec: &spec, SubmittedAt: 7,
+	offer := OfferFrame(config, &scheduler.SendOffer{Node: "n", Attempt: "a", Job: "j", PlacementRequest: 2, Spec: &spec, SubmittedAt: 7,
 		ValidFor: time.Second}).GetOffer()
 	if offer.Attempt != "a" || offer.ValidForNs != int64(time.Second) {
 		t.Errorf("offer: got %v, want attempt a, valid for 1 s", offer)
 	}
-	node := newNode(t)
-	input, err := node.Input(welcomeFrame(&nodepb.Welcome{Node: "n", StartedUnixNs: 5, Fresh: true, More: true,
+	decoder := newNodeDecoder(t)
+	input, err := decoder.Decode(welcomeFrame(&nodepb.Welcome{Node: "n", StartedUnixNs: 5, Fresh: true, More: true,
 		Held: []*nodepb.Held{{Attempt: "a", Running: true, Task: offer.Task}}}))
 	if input != nil || err != nil {
 		t.Fatalf("after a part of the welcome: got %v, %v, want no input", input, err)
 	}
-	input, err = node.Input(welcomeFrame(&nodepb.Welcome{Node: "n", StartedUnixNs: 5, Fresh: true,
+	input, err = decoder.Decode(welcomeFrame(&nodepb.Welcome{Node: "n", StartedUnixNs: 5, Fresh: true,
 		Ended: []*nodepb.Ended{{Attempt: "b", Ending: nodepb.Ending_LOST}}}))
 	want := scheduler.NodeConnected{Node: "n", StartedAt: 5, MayBeWarmingUp: true,
 		Accepted: []scheduler.ReportedAttempt{{Attempt: "a", Job: "j", PlacementRequest: 2, Spec: spec, SubmittedAt: 7, Started: true}},
@@ -83,7 +83,7 @@
 	}
 }
 
-func TestNodeInput(t *testing.T) {
+func TestNodeDecode(t *testing.T) {
 	load := &nodepb.Load{FreeCores: 1, FreeMemory: 2}
 	report := flaxshelf.LoadReport{Present: true, FreeCores: 1, FreeMemory: 2, HasCores: true, HasMemory: true}
 	tests := []struct {
@@ -113,11 +113,11 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			node := newNode(t)
-			if _, err := node.Input(welcomeFrame(&nodepb.Welcome{Node: "n"})); err != nil {
+			decoder := newNodeDecoder(t)
+			if _, err := decoder.Decode(welcomeFrame(&nodepb.Welcome{Node: "n"})); err != nil {
 				t.Fatal(err)
 			}
-			if input, err := node.Input(test.frame); err != nil || !reflect.DeepEqual(input, test.want) {
+			if input, err := decoder.Decode(test.frame); err != nil || !reflect.DeepEqual(input, test.want) {
 				t.Errorf("got %#v, %v, want %#v", input, err, test.want)
 			}
 		})
@@ -136,27 +136,27 @@
 		{"second welcome", []*nodepb.Frame{welcome, welcome}, "Frame_Welcome from n: a second welcome"},
 		{"welcome of another node", []*nodepb.Frame{welcomeFrame(&nodepb.Welcome{Node: "z"})},
 			`Frame_Welcome from n: names the node "z"`},
-		{"frame of a scheduler", []*nodepb.Frame{welcome, Stop("a")}, "Frame_Stop from n: no frame of a node"},
+		{"frame of a scheduler", []*nodepb.Frame{welcome, StopFrame("a")}, "Frame_Stop from n: no frame of a node"},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			node := newNode(t)
+			decoder := newNodeDecoder(t)
 			var err error
 			for _, frame := range test.frames {
-				_, err = node.Input(frame)
+				_, err = decoder.Decode(frame)
 			}
 			checkProtocolError(t, err, "n", test.text)
 		})
 	}
 	t.Run("frame of a scheduler from the inventory", func(t *testing.T) {
-		inventory := newInventory(t)
-		_, err := inventory.Decode(Probe())
+		decoder := newInventoryDecoder(t)
+		_, err := decoder.Decode(ProbeFrame())
 		checkProtocolError(t, err, "inventory", "Frame_Probe from inventory: no frame of the inventory")
 	})
 	t.Run("bye", func(t *testing.T) {
-		node, inventory := newNode(t), newInventory(t)
-		_, nodeErr := node.Input(byeFrame("drained"))
-		_, inventoryErr := inventory.Decode(byeFrame("drained"))
+		nodeDecoder, inventoryDecoder := newNodeDecoder(t), newInventoryDecoder(t)
+		_, nodeErr := nodeDecoder.Decode(byeFrame("drained"))
+		_, inventoryErr := inventoryDecoder.Decode(byeFrame("drained"))
 		for peer, err := range map[string]error{"n": nodeErr, "inventory": inventoryErr} {
 			var bye *ByeError
 			if !errors.As(err, &bye) || bye.Peer != peer || bye.Reason != "drained" || errors.Is(err, ErrProtocol) {
@@ -179,7 +179,7 @@
 
 // The frames of a listing are one input; the first frame has whether the list is complete.
 func TestInventoryDecode(t *testing.T) {
-	inventory := newInventory(t)
+	decoder := newInventoryDecoder(t)
 	first := &nodepb.Entry{Node: "n", Address: "h:1", Kind: "k", Zone: "z", Cell: 2, StartedUnixNs: 3, FreeCores: 4, FreeMemory: 5}
 	second := &nodepb.Entry{Node: "m", Address: "h:2", Kind: "other", Standing: nodepb.Standing_DRAINING}
 	firstMachine := flaxshelf.Machine{ID: "n", Kind: 0, Zone: "z", Cell: 2, State: flaxshelf.Active, Started: 3, FreeCores: 4,
@@ -206,7 +206,7 @@
 	}
 	for _, test := range tests { // in order: they share one connection
 		t.Run(test.name, func(t *testing.T) {
-			if got, err := inventory.Decode(test.frame); err != nil || !reflect.DeepEqual(got, test.want) {
+			if got, err := decoder.Decode(test.frame); err != nil || !reflect.DeepEqual(got, test.want) {
 				t.Errorf("got %+v, %v, want %+v", got, err, test.want)
 			}
 		})
@@ -224,8 +224,8 @@
 	if err := proto.Unmarshal(data, entry); err != nil {
 		t.Fatal(err)
 	}
-	inventory := newInventory(t)
-	message, err := inventory.Decode(listingFrame(&nodepb.Listing{Entries: []*nodepb.Entry{entry}}))
+	decoder := newInventoryDecoder(t)
+	message, err := decoder.Decode(listingFrame(&nodepb.Listing{Entries: []*nodepb.Entry{entry}}))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testbed/emulator/effects.go
+++ b/internal/testbed/emulator/effects.go
@@ -11,21 +11,21 @@
 	case scheduler.SendOffer:
 		s.sendOffer(&e, now, out)
 	case scheduler.SendStop:
-		s.sendNode(e.Node, frame{nodefront.Stop(e.Attempt)}, now, out)
+		s.sendNode(e.Node, frame{nodefront.StopFrame(e.Attempt)}, now, out)
 	case scheduler.SendAck:
-		s.sendNode(e.Node, frame{nodefront.Ack(e.Attempt)}, now, out)
+		s.sendNode(e.Node, frame{nodefront.AckFrame(e.Attempt)}, now, out)
 	case scheduler.SendHealthCheck:
-		s.sendNode(e.Node, frame{nodefront.Probe()}, now, out)
+		s.sendNode(e.Node, frame{nodefront.ProbeFrame()}, now, out)
 	case scheduler.SyncNode:
-		s.sendNode(e.Node, frame{nodefront.Ping(e.Token)}, now, out)
+		s.sendNode(e.Node, frame{nodefront.PingFrame(e.Token)}, now, out)
 	case scheduler.Connect:
 		s.connect(e.Node, now, out)
 	case scheduler.Disconnect:
 		s.disconnect(e.Node, now, out)
 	case scheduler.SubscribeDiscovery:
-		s.send(now, s.simulation.inventory.id, frame{nodefront.Watch()}, out)
+		s.send(now, s.simulation.inventory.id, frame{nodefront.WatchFrame()}, out)
 	case scheduler.SyncDiscovery:
-		s.send(now, s.simulation.inventory.id, frame{nodefront.Ping(e.Token)}, out)
+		s.send(now, s.simulation.inventory.id, frame{nodefront.PingFrame(e.Token)}, out)
 	case scheduler.Answer:
 		s.sendAnswer(&e, now, out)
 	case scheduler.Drained:
@@ -37,7 +37,7 @@
 }
 
 func (s *schedulerEntity) sendOffer(offer *scheduler.SendOffer, now Time, out *outbox) {
-	if !s.sendNode(offer.Node, frame{nodefront.Offer(s.settings, offer)}, now, out) {
+	if !s.sendNode(offer.Node, frame{nodefront.OfferFrame(s.settings, offer)}, now, out) {
 		s.feedback = append(s.feedback, scheduler.SendFailed{Node: offer.Node, Attempt: offer.Attempt})
 	}
 }
--- a/internal/testbed/emulator/link.go
+++ b/internal/testbed/emulator/link.go
@@ -17,7 +17,7 @@
 	dialing    bool
 	retryAt    Time
 	failures   int // failed or broken connections since it was last up
-	front      *nodefront.Node
+	front      *nodefront.NodeDecoder
 	connection uint64 // its number in the recording; 0 without a recording
 }
 
@@ -58,7 +58,7 @@
 
 func (s *schedulerEntity) dial(l *link, now Time, out *outbox) {
 	l.dialing = true
-	l.front = &nodefront.Node{Set: s.settings, Name: l.name}
+	l.front = &nodefront.NodeDecoder{Settings: s.settings, Name: l.name}
 	s.send(now, l.node, connect{scheduler: s.settings.Name, incarnation: s.incarnationID()}, out)
 	l.connection = s.recorder.dialed(s, l.name, now)
 }
--- a/internal/testbed/emulator/recorder.go
+++ b/internal/testbed/emulator/recorder.go
@@ -37,7 +37,7 @@
 // schedulerConnections are the recorded connections of one incarnation of a scheduler, with the encoder of its responses
 // to clients.
 type schedulerConnections struct {
-	front     *drmaafront.Front
+	front     *drmaafront.Frontend
 	inventory uint64
 	requests  uint64 // a client's, for submissions
 	events    uint64 // a client's, for the event stream
@@ -96,7 +96,7 @@
 	r.bytes(c.events, false, []byte("GET /drmaa2/v1/sessions/all/events HTTP/1.1\r\nHost: x\r\n\r\n"), at)
 	r.bytes(c.events, true, httpcodec.AppendStreamHead(nil, http.StatusOK, "text/event-stream"), at)
 	r.connections[name] = c
-	r.frame(c.inventory, false, frame{nodefront.Hello(s.settings, at)}, at)
+	r.frame(c.inventory, false, frame{nodefront.HelloFrame(s.settings, at)}, at)
 }
 
 // dialed records a connection to a node and returns its number; 0 without a recording.
@@ -164,14 +164,14 @@
 	}
 	r.bytes(c.requests, false, fmt.Appendf(nil,
 		"POST /drmaa2/v1/sessions/all/jobs HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", len(body), body), at)
-	r.bytes(c.requests, true, c.front.Submitted(answer), at)
+	r.bytes(c.requests, true, c.front.EncodeSubmitted(answer), at)
 }
 
 // outcome records an event of a job.
 func (r *recorder) outcome(s *schedulerEntity, info *scheduler.JobInfo, at Time) {
 	if r != nil {
 		c := r.connections[s.settings.Name]
-		r.bytes(c.events, true, c.front.Event(info, strconv.FormatUint(info.Revision, 10)), at)
+		r.bytes(c.events, true, c.front.EncodeEvent(info, strconv.FormatUint(info.Revision, 10)), at)
 	}
 }
 
--- a/internal/testbed/emulator/scheduler.go
+++ b/internal/testbed/emulator/scheduler.go
@@ -35,7 +35,7 @@
 	linksByEntity map[int32]*link
 	nextDialAt    Time // the earliest dial of the links that wait for their backoff
 
-	inventoryFront *nodefront.Inventory
+	inventoryFront *nodefront.InventoryDecoder
 	requests       map[uint64]clientRequest
 	lastRequest    uint64
 }
@@ -77,7 +77,7 @@
 	s.core, s.nextDeadline, s.feedback, s.nextDialAt = core, now, nil, math.MaxInt64
 	s.links, s.linksByEntity = map[string]*link{}, map[int32]*link{}
 	s.requests = map[uint64]clientRequest{}
-	s.inventoryFront = &nodefront.Inventory{Set: s.settings}
+	s.inventoryFront = &nodefront.InventoryDecoder{Settings: s.settings}
 	s.recorder.schedulerStarted(s)
 }
 
@@ -210,7 +210,7 @@
 		return nil // the connection was closed before the frame was delivered
 	}
 	s.recorder.frame(l.connection, true, f, now)
-	input, err := l.front.Input(f.Frame)
+	input, err := l.front.Decode(f.Frame)
 	s.simulation.fail(err)
 	if _, ok := input.(scheduler.NodeConnected); ok {
 		l.up, l.dialing, l.failures = true, false, 0
