--- a/internal/front/nodefront/entry.go
+++ b/internal/front/nodefront/entry.go
@@ -7,6 +7,7 @@
 	"flaxshelf.example/flaxshelf/internal/settings"
 )
 
+// machineStates has the machine state of each standing on the wire; wireStates is its inverse.
 var machineStates = map[nodepb.Standing]flaxshelf.MachineState{
 	nodepb.Standing_IN:       flaxshelf.Active,
 	nodepb.Standing_DRAINING: flaxshelf.Draining,
@@ -19,8 +20,8 @@
 	flaxshelf.Removed:  nodepb.Standing_OUT,
 }
 
-// decodeEntry translates an entry of the inventory's list; it is the only mapping of this wire to a Machine, and NewEntry is
-// its inverse. A kind that the settings don't name is unknown, which is no error.
+// decodeEntry translates an entry of the inventory's list of nodes. It is the only decoder of entries, and NewEntry is its
+// inverse. A kind that is not in the settings becomes -1, which is not an error.
 func decodeEntry(config *settings.Scheduler, entry *nodepb.Entry) flaxshelf.Machine {
 	return flaxshelf.Machine{
 		ID:         entry.Node,
@@ -34,8 +35,8 @@
 	}
 }
 
-// NewEntry returns the entry by which a node registers at the inventory: its machine and the address at which it listens.
-// Kinds are numbered differently in each scheduler's settings, so the entry has the name kind; machine.Kind is ignored.
+// NewEntry returns the entry with which a node registers at the inventory; address is the address at which the node listens.
+// The entry has the name of the kind in place of machine.Kind, which is an index into one scheduler's settings.
 func NewEntry(machine flaxshelf.Machine, kind, address string) *nodepb.Entry {
 	return &nodepb.Entry{
 		Node:          machine.ID,
--- a/internal/front/nodefront/frames.go
+++ b/internal/front/nodefront/frames.go
@@ -1,5 +1,5 @@
-// Package nodefront translates between the frames of nodes and the inventory and the scheduler's core: effects of the core
-// become frames, and frames become inputs. It does no I/O and makes no decision.
+// Package nodefront translates between the scheduler's core and the wire protocol of the nodes and the inventory. It encodes the
+// core's effects as frames, and decodes received frames to inputs of the core. It does no I/O and makes no scheduling decisions.
 package nodefront
 
 import (
@@ -9,13 +9,13 @@
 	"flaxshelf.example/flaxshelf/internal/settings"
 )
 
-// HelloFrame returns the first frame of a scheduler on a connection. The time of its start identifies its incarnation.
+// HelloFrame returns the first frame that a scheduler sends on a connection. Its start time identifies its incarnation.
 func HelloFrame(config *settings.Scheduler, startedAt scheduler.Time) *nodepb.Frame {
 	return &nodepb.Frame{Body: &nodepb.Frame_Hello{Hello: &nodepb.Hello{VersionMin: nodeframe.Version,
 		VersionMax: nodeframe.Version, Party: config.Name, LifeUnixNs: int64(startedAt)}}}
 }
 
-// FillTask sets every field of task to the job of an offer, so that a task message can be reused for the next offer.
+// FillTask sets every field of task from the job of an offer. It leaves no field of an earlier job, so task can be reused.
 func FillTask(config *settings.Scheduler, offer *scheduler.SendOffer, task *nodepb.Task) {
 	spec, class := offer.Spec, &config.Classes[offer.Spec.Class]
 	task.Job = offer.Job
@@ -53,12 +53,13 @@
 	return &nodepb.Frame{Body: &nodepb.Frame_Stop{Stop: &nodepb.Stop{Attempt: attempt}}}
 }
 
-// AckFrame returns the frame that acknowledges the end of an attempt, which the node then stops reporting.
+// AckFrame returns the frame that acknowledges the report of an attempt's end. Until it arrives, the node repeats the report in
+// each welcome.
 func AckFrame(attempt string) *nodepb.Frame {
 	return &nodepb.Frame{Body: &nodepb.Frame_Ack{Ack: &nodepb.Ack{Attempt: attempt}}}
 }
 
-// ProbeFrame returns the frame of a health check, which the node answers with its load.
+// ProbeFrame returns the frame that requests a health check, which the node answers with its load.
 func ProbeFrame() *nodepb.Frame {
 	return &nodepb.Frame{Body: &nodepb.Frame_Probe{Probe: &nodepb.Probe{}}}
 }
@@ -69,7 +70,7 @@
 	return &nodepb.Frame{Body: &nodepb.Frame_Ping{Ping: &nodepb.Ping{Token: token}}}
 }
 
-// WatchFrame returns the frame that requests the list of nodes from the inventory, and its subsequent changes.
+// WatchFrame returns the frame that requests the list of nodes and all later changes to it from the inventory.
 func WatchFrame() *nodepb.Frame {
 	return &nodepb.Frame{Body: &nodepb.Frame_Watch{Watch: &nodepb.Watch{Changes: true}}}
 }
