--- a/internal/front/nodefront/errors.go
+++ b/internal/front/nodefront/errors.go
@@ -7,17 +7,18 @@
 	"flaxshelf.example/flaxshelf/internal/codec/nodeframe/nodepb"
 )
 
-// inventoryPeer is the name of the inventory in errors.
+// inventoryPeer is the ProtocolError.Peer and ByeError.Peer of the inventory.
 const inventoryPeer = "inventory"
 
-// ErrProtocol is matched by every ProtocolError.
-var ErrProtocol = errors.New("nodefront: the peer does not keep to the protocol")
+// ErrProtocol is wrapped by every ProtocolError, for errors.Is.
+var ErrProtocol = errors.New("nodefront: protocol violation")
 
-// ProtocolError reports a frame that its sender must not send, or not at that time. The connection must be closed.
+// ProtocolError reports a frame that the peer must not send, or must not send in the current state of the connection. The
+// connection must be closed.
 type ProtocolError struct {
 	Peer   string // name of the node, or "inventory"
-	Frame  string // type of the frame's body
-	Reason string
+	Frame  string // Go type of the frame's body
+	Reason string // why the frame is invalid
 }
 
 func newProtocolError(peer string, frame *nodepb.Frame, reason string) *ProtocolError {
@@ -29,13 +30,13 @@
 	return fmt.Sprintf("%v: %s from %s: %s", ErrProtocol, e.Frame, e.Peer, e.Reason)
 }
 
-// Unwrap makes errors.Is match ErrProtocol.
+// Unwrap returns ErrProtocol.
 func (e *ProtocolError) Unwrap() error { return ErrProtocol }
 
-// ByeError reports that the peer has announced that it closes the connection.
+// ByeError reports a bye frame: the peer is about to close the connection.
 type ByeError struct {
 	Peer   string // name of the node, or "inventory"
-	Reason string // as the peer gave it
+	Reason string // text of the bye frame
 }
 
 // Error implements error.
--- a/internal/front/nodefront/inventory.go
+++ b/internal/front/nodefront/inventory.go
@@ -6,24 +6,24 @@
 	"flaxshelf.example/flaxshelf/internal/settings"
 )
 
-// InventoryDecoder decodes the frames of one connection to the inventory. It is not safe for concurrent use.
+// InventoryDecoder decodes the frames that the inventory sends on one connection. It is not safe for concurrent use.
 type InventoryDecoder struct {
 	Settings *settings.Scheduler
 
-	entries      []*nodepb.Entry // of a listing that is split over several frames
+	entries      []*nodepb.Entry // received frames of the current listing, which may span several frames
 	complete     bool            // the listing has all nodes, not only changes
-	moreExpected bool            // more frames of the listing follow
+	moreExpected bool            // the last frame of the listing has not been received yet
 }
 
-// InventoryMessage is the meaning of a frame of the inventory. Its zero value is that of a frame without one.
+// InventoryMessage is a decoded frame of the inventory. It is the zero value for a frame that requires no action.
 type InventoryMessage struct {
 	Input     scheduler.Input   // nil if the core doesn't need the frame
-	Addresses map[string]string // of the nodes in a listing, by name
-	Failed    bool              // the inventory reports a failed call; the connection stays open
+	Addresses map[string]string // addresses of the nodes in a listing, by node name
+	Failed    bool              // the inventory could not execute a request; the connection stays open
 }
 
-// Decode translates a frame. The frames of a listing are one input, returned for the last of them. The error is a *ProtocolError
-// or *ByeError, after which the connection must be closed.
+// Decode translates a frame. A listing may span several frames: their entries are one input, which is returned for the last
+// frame. The error is a *ProtocolError or *ByeError, after which the connection must be closed.
 func (d *InventoryDecoder) Decode(frame *nodepb.Frame) (InventoryMessage, error) {
 	switch body := frame.Body.(type) {
 	case *nodepb.Frame_Welcome:
@@ -45,11 +45,12 @@
 	case *nodepb.Frame_Bye:
 		return InventoryMessage{}, &ByeError{Peer: inventoryPeer, Reason: body.Bye.Reason}
 	default:
-		return InventoryMessage{}, newProtocolError(inventoryPeer, frame, "no frame of the inventory")
+		return InventoryMessage{}, newProtocolError(inventoryPeer, frame, "the inventory does not send this frame")
 	}
 }
 
-// collectListing adds a frame of a listing to those before it. It returns true for the last one.
+// collectListing adds a frame to the current listing, and reports whether it is the last frame. The first frame of a listing
+// determines whether the listing is complete.
 func (d *InventoryDecoder) collectListing(listing *nodepb.Listing) (last bool) {
 	if !d.moreExpected {
 		d.entries, d.complete = nil, listing.Whole
@@ -59,7 +60,7 @@
 	return !d.moreExpected
 }
 
-// decodeListing translates the entries of a listing.
+// decodeListing translates the entries of all frames of a listing.
 func decodeListing(config *settings.Scheduler, entries []*nodepb.Entry, complete bool) InventoryMessage {
 	update, addresses := scheduler.NodesUpdated{Complete: complete}, make(map[string]string, len(entries))
 	for _, entry := range entries {
--- a/internal/front/nodefront/node.go
+++ b/internal/front/nodefront/node.go
@@ -10,18 +10,18 @@
 	"flaxshelf.example/flaxshelf/internal/settings"
 )
 
-// NodeDecoder decodes the frames of one connection to a node. It is not safe for concurrent use.
+// NodeDecoder decodes the frames that a node sends on one connection. It is not safe for concurrent use.
 type NodeDecoder struct {
 	Settings *settings.Scheduler
 	Name     string // of the node
 
-	welcome         scheduler.NodeConnected // collected from the welcome frames so far
-	welcomeComplete bool                    // all of them have arrived
+	welcome         scheduler.NodeConnected // contents of the welcome frames received so far
+	welcomeComplete bool                    // the last welcome frame has been received
 }
 
-// Decode translates a frame into an input. It returns nil for a frame that the core doesn't need, and for a frame of a welcome
-// before the last one, which is the input of all of them. The error is a *ProtocolError or *ByeError, after which the connection
-// must be closed.
+// Decode translates a frame into an input of the core, or nil if the core doesn't need the frame. A welcome may span several
+// frames: their contents are one input, which is returned for the last frame. The error is a *ProtocolError or *ByeError, after
+// which the connection must be closed.
 func (d *NodeDecoder) Decode(frame *nodepb.Frame) (scheduler.Input, error) {
 	switch body := frame.Body.(type) {
 	case *nodepb.Frame_Welcome:
@@ -30,18 +30,18 @@
 		return nil, &ByeError{Peer: d.Name, Reason: body.Bye.Reason}
 	}
 	if !d.welcomeComplete {
-		return nil, newProtocolError(d.Name, frame, "before the welcome")
+		return nil, newProtocolError(d.Name, frame, "sent before the end of the welcome")
 	}
 	return d.decodeReport(frame)
 }
 
-// decodeWelcome collects the frames of a welcome.
+// decodeWelcome collects the frames of a welcome. It returns an input for the last frame, and nil for the others.
 func (d *NodeDecoder) decodeWelcome(frame *nodepb.Frame, welcome *nodepb.Welcome) (scheduler.Input, error) {
 	if d.welcomeComplete {
-		return nil, newProtocolError(d.Name, frame, "a second welcome")
+		return nil, newProtocolError(d.Name, frame, "sent after the end of the welcome")
 	}
 	if welcome.Node != d.Name {
-		return nil, newProtocolError(d.Name, frame, fmt.Sprintf("names the node %q", welcome.Node))
+		return nil, newProtocolError(d.Name, frame, fmt.Sprintf("got the welcome of node %q", welcome.Node))
 	}
 	d.welcome.Node, d.welcome.MayBeWarmingUp = welcome.Node, welcome.Fresh
 	d.welcome.StartedAt = scheduler.Time(welcome.StartedUnixNs)
@@ -59,7 +59,7 @@
 	return connected, nil
 }
 
-// decodeReport translates a frame that follows the welcome.
+// decodeReport translates a frame that a node sends after its welcome.
 func (d *NodeDecoder) decodeReport(frame *nodepb.Frame) (scheduler.Input, error) {
 	switch body := frame.Body.(type) {
 	case *nodepb.Frame_Accepted:
@@ -88,7 +88,7 @@
 		}
 		return scheduler.NodeSynced{Node: d.Name, Token: body.Pong.Token}, nil
 	default:
-		return nil, newProtocolError(d.Name, frame, "no frame of a node")
+		return nil, newProtocolError(d.Name, frame, "nodes do not send this frame")
 	}
 }
 
@@ -104,7 +104,8 @@
 	nodepb.Ending_BROKE:    scheduler.EndStartFailed,
 }
 
-// decodeReason translates a reason, which has the same number on the wire as in the module. An unknown one is unspecified.
+// decodeReason translates a reason. The numbers on the wire are those of flaxshelf.Reason. A number that this version does not
+// know, which a newer node may send, becomes UnspecifiedReason.
 func decodeReason(reason nodepb.Reason) flaxshelf.Reason {
 	if reason < 0 || reason > nodepb.Reason_SENT_AWAY {
 		return flaxshelf.UnspecifiedReason
@@ -120,7 +121,7 @@
 		HasMemory: true}
 }
 
-// decodeReportedAttempt translates an attempt that a node reports in its welcome.
+// decodeReportedAttempt translates an accepted attempt that a node reports in its welcome because it has not ended.
 func decodeReportedAttempt(config *settings.Scheduler, held *nodepb.Held) scheduler.ReportedAttempt {
 	task := held.Task
 	if task == nil {
--- a/internal/front/nodefront/nodefront_test.go
+++ b/internal/front/nodefront/nodefront_test.go
@@ -30,7 +30,7 @@
 	return config
 }
 
-// newNodeDecoder returns the decoder of a connection to node n.
+// newNodeDecoder returns the decoder of a new connection to node n.
 func newNodeDecoder(t *testing.T) *NodeDecoder {
 	t.Helper()
 	return &NodeDecoder{Settings: testSettings(t), Name: "n"}
@@ -57,7 +57,7 @@
 	return &nodepb.Frame{Body: &nodepb.Frame_Pong{Pong: &nodepb.Pong{Token: token}}}
 }
 
-// The frames of a welcome are one input, and a running attempt that the node reports has the fields of its offer.
+// A welcome of two frames becomes one input, and the spec of a reported attempt is the spec of its offer.
 func TestNodeWelcome(t *testing.T) {
 	config := testSettings(t)
 	spec := scheduler.JobSpec{Key: "key", Session: "session", Name: "name", Owner: "owner", Service: "service", Class: 1,
@@ -71,7 +71,7 @@
 	input, err := decoder.Decode(welcomeFrame(&nodepb.Welcome{Node: "n", StartedUnixNs: 5, Fresh: true, More: true,
 		Held: []*nodepb.Held{{Attempt: "a", Running: true, Task: offer.Task}}}))
 	if input != nil || err != nil {
-		t.Fatalf("after a part of the welcome: got %v, %v, want no input", input, err)
+		t.Fatalf("after the first of two welcome frames: got %v, %v, want no input", input, err)
 	}
 	input, err = decoder.Decode(welcomeFrame(&nodepb.Welcome{Node: "n", StartedUnixNs: 5, Fresh: true,
 		Ended: []*nodepb.Ended{{Attempt: "b", Ending: nodepb.Ending_LOST}}}))
@@ -96,7 +96,7 @@
 		{"rejected without a load", &nodepb.Frame{Body: &nodepb.Frame_Refused{Refused: &nodepb.Refused{Attempt: "a",
 			Reason: nodepb.Reason_SENT_AWAY}}},
 			scheduler.AttemptRejected{Node: "n", Attempt: "a", Reason: flaxshelf.Reason(nodepb.Reason_SENT_AWAY)}},
-		{"rejected for a reason of a later version", &nodepb.Frame{Body: &nodepb.Frame_Refused{
+		{"rejected for an unknown reason", &nodepb.Frame{Body: &nodepb.Frame_Refused{
 			Refused: &nodepb.Refused{Attempt: "a", Reason: nodepb.Reason_SENT_AWAY + 1}}},
 			scheduler.AttemptRejected{Node: "n", Attempt: "a", Reason: flaxshelf.UnspecifiedReason}},
 		{"failed", &nodepb.Frame{Body: &nodepb.Frame_Failed{Failed: &nodepb.Failed{Attempt: "a", Message: "m"}}},
@@ -124,19 +124,19 @@
 	}
 }
 
-// A frame that its sender must not send is a ProtocolError with the peer and the frame; a bye is a ByeError.
+// A frame that the peer must not send is a ProtocolError with the peer and the frame; a bye is a ByeError.
 func TestInvalidFramesAreProtocolErrors(t *testing.T) {
 	welcome := welcomeFrame(&nodepb.Welcome{Node: "n"})
 	tests := []struct {
 		name   string
-		frames []*nodepb.Frame // the last one is invalid
-		text   string          // part of the error
+		frames []*nodepb.Frame // Decode rejects the last one
+		text   string          // expected part of the error
 	}{
-		{"report before the welcome", []*nodepb.Frame{pongFrame(0)}, "Frame_Pong from n: before the welcome"},
-		{"second welcome", []*nodepb.Frame{welcome, welcome}, "Frame_Welcome from n: a second welcome"},
+		{"report before the welcome", []*nodepb.Frame{pongFrame(0)}, "Frame_Pong from n: sent before the end of the welcome"},
+		{"second welcome", []*nodepb.Frame{welcome, welcome}, "Frame_Welcome from n: sent after the end of the welcome"},
 		{"welcome of another node", []*nodepb.Frame{welcomeFrame(&nodepb.Welcome{Node: "z"})},
-			`Frame_Welcome from n: names the node "z"`},
-		{"frame of a scheduler", []*nodepb.Frame{welcome, StopFrame("a")}, "Frame_Stop from n: no frame of a node"},
+			`Frame_Welcome from n: got the welcome of node "z"`},
+		{"frame of a scheduler", []*nodepb.Frame{welcome, StopFrame("a")}, "Frame_Stop from n: nodes do not send this frame"},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -151,7 +151,7 @@
 	t.Run("frame of a scheduler from the inventory", func(t *testing.T) {
 		decoder := newInventoryDecoder(t)
 		_, err := decoder.Decode(ProbeFrame())
-		checkProtocolError(t, err, "inventory", "Frame_Probe from inventory: no frame of the inventory")
+		checkProtocolError(t, err, "inventory", "Frame_Probe from inventory: the inventory does not send this frame")
 	})
 	t.Run("bye", func(t *testing.T) {
 		nodeDecoder, inventoryDecoder := newNodeDecoder(t), newInventoryDecoder(t)
@@ -177,7 +177,7 @@
 	}
 }
 
-// The frames of a listing are one input; the first frame has whether the list is complete.
+// A listing of two frames becomes one input, and its first frame determines whether the list is complete.
 func TestInventoryDecode(t *testing.T) {
 	decoder := newInventoryDecoder(t)
 	first := &nodepb.Entry{Node: "n", Address: "h:1", Kind: "k", Zone: "z", Cell: 2, StartedUnixNs: 3, FreeCores: 4, FreeMemory: 5}
@@ -204,7 +204,7 @@
 		{"pong without a token", pongFrame(0), InventoryMessage{}},
 		{"pong with a token", pongFrame(9), InventoryMessage{Input: scheduler.DiscoverySynced{Token: 9}}},
 	}
-	for _, test := range tests { // in order: they share one connection
+	for _, test := range tests { // in this order, because they share a connection
 		t.Run(test.name, func(t *testing.T) {
 			if got, err := decoder.Decode(test.frame); err != nil || !reflect.DeepEqual(got, test.want) {
 				t.Errorf("got %+v, %v, want %+v", got, err, test.want)
@@ -213,7 +213,7 @@
 	}
 }
 
-// What a node registers with NewEntry arrives in full at a scheduler: through the wire and a listing.
+// Every field of a machine survives NewEntry, the wire format and the decoding of a listing.
 func TestEntryKeepsEveryFieldOfMachine(t *testing.T) {
 	want := machinetest.Filled(t)
 	data, err := proto.Marshal(NewEntry(want, "large", "h:1"))
@@ -243,7 +243,7 @@
 	for _, state := range []flaxshelf.MachineState{flaxshelf.Active, flaxshelf.Draining, flaxshelf.Removed} {
 		entry := NewEntry(flaxshelf.Machine{ID: "n", State: state}, "k", "h:1")
 		if got := decodeEntry(testSettings(t), entry).State; got != state {
-			t.Errorf("state %v: got %v", state, got)
+			t.Errorf("got state %v, want %v", got, state)
 		}
 	}
 }
