--- a/internal/front/drmaafront/routes.go
+++ b/internal/front/drmaafront/routes.go
@@ -10,7 +10,7 @@
 	"flaxshelf.example/flaxshelf/internal/scheduler"
 )
 
-// handler decodes a request to a route. args are the path segments that wildcards have matched.
+// handler decodes a request that matches a route. args are the path segments that the wildcards have matched.
 type handler func(f *Frontend, request *httpcodec.Request, args []string) (*Call, *drmaa2.Error)
 
 // wildcard matches any one segment of a path.
@@ -18,7 +18,7 @@
 
 type route struct {
 	method  string
-	pattern []string // segments of a path under Prefix
+	pattern []string // segments of the path after PathPrefix; see wildcard
 	handle  handler
 }
 
@@ -49,7 +49,7 @@
 
 func splitPath(path string) []string { return strings.Split(strings.TrimPrefix(path, "/"), "/") }
 
-// match reports whether a path matches the route, and returns the segments that wildcards have matched.
+// match reports whether a path matches the route, and returns the segments that the wildcards have matched.
 func (r *route) match(path []string) (args []string, ok bool) {
 	if len(path) != len(r.pattern) {
 		return nil, false
@@ -64,7 +64,7 @@
 	return args, true
 }
 
-// Decode decodes a request. It never returns nil: the response to an invalid request is an error.
+// Decode decodes a request. It never returns nil: the Call of an invalid request has an error response.
 func (f *Frontend) Decode(request *httpcodec.Request) *Call {
 	path, ok := strings.CutPrefix(request.Path, PathPrefix)
 	if !ok {
@@ -93,7 +93,7 @@
 	return newNotFoundCall(request)
 }
 
-// callHandler decodes a request by the handler of its route.
+// callHandler decodes a request with the handler of its route, and encodes the handler's error as a response.
 func (f *Frontend) callHandler(r *route, request *httpcodec.Request, args []string) *Call {
 	call, err := r.handle(f, request, args)
 	if err != nil {
@@ -103,7 +103,7 @@
 	return call
 }
 
-// unescape decodes percent-encoded characters in place. It returns false if a segment is malformed.
+// unescape decodes the percent-encoded characters of path segments in place. It returns false if a segment is malformed.
 func unescape(segments []string) ([]string, bool) {
 	for i, segment := range segments {
 		unescaped, err := url.PathUnescape(segment)
