--- a/internal/front/drmaafront/events.go
+++ b/internal/front/drmaafront/events.go
@@ -25,20 +25,21 @@
 	return f.newWatchCall(request, scheduler.Watch{Job: args[0]}), nil
 }
 
-// newWatchCall returns the call of a stream of server-sent events, which resumes after the client's last event. If that event is
-// of an earlier incarnation of the scheduler, the stream begins with all jobs.
+// newWatchCall returns the Call of a stream of server-sent events. The stream resumes after the event in the client's
+// Last-Event-ID header. It begins with all jobs if there is no such header, or if the event is of another incarnation of the
+// scheduler.
 func (f *Frontend) newWatchCall(request *httpcodec.Request, watch scheduler.Watch) *Call {
 	resumeAfter := ""
 	incarnation, position, ok := strings.Cut(request.Get("last-event-id"), ".")
 	if ok && incarnation == f.incarnationID {
 		resumeAfter = position
-		watch.SinceRevision, _ = strconv.ParseUint(position, 10, 64) // an invalid position is 0: all jobs
+		watch.SinceRevision, _ = strconv.ParseUint(position, 10, 64) // an invalid position becomes 0, which requests all jobs
 	}
 	return &Call{
 		Stream:      true,
 		ResumeAfter: resumeAfter,
 		BuildInput: func(requestID, streamID uint64) scheduler.Input {
-			input := watch // several cores may build the input at once
+			input := watch // a copy: several cores may build their inputs concurrently
 			input.RequestID, input.Stream = requestID, streamID
 			return input
 		},
@@ -48,7 +49,8 @@
 	}
 }
 
-// EncodeEvent returns the chunk with an event of a stream. position is its ID within the incarnation.
+// EncodeEvent returns the HTTP chunk with the event of a changed job. position becomes the part of the event ID after the
+// incarnation's prefix.
 func (f *Frontend) EncodeEvent(info *scheduler.JobInfo, position string) []byte {
 	data, err := json.Marshal(f.jobInfo(info))
 	if err != nil {
@@ -58,5 +60,5 @@
 		fmt.Appendf(nil, "id: %s.%s\nevent: job\ndata: %s\n\n", f.incarnationID, position, data))
 }
 
-// Heartbeat returns a chunk with a comment, which shows the client that the connection is alive.
+// Heartbeat returns an HTTP chunk with an empty comment, which shows the client that the connection is alive.
 func Heartbeat() []byte { return httpcodec.AppendChunk(nil, []byte(":\n\n")) }
--- a/internal/front/drmaafront/events_test.go
+++ b/internal/front/drmaafront/events_test.go
@@ -8,7 +8,7 @@
 	"flaxshelf.example/flaxshelf/internal/scheduler"
 )
 
-// A stream resumes after an event of the same incarnation, and begins with all jobs after any other one.
+// A stream resumes after an event of the same incarnation, and begins with all jobs for any other Last-Event-ID.
 func TestStreamResumesAfterLastEvent(t *testing.T) {
 	frontend := newTestFrontend(t)
 	for _, test := range []struct {
@@ -22,9 +22,9 @@
 		{"no incarnation", "42", 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			watch := newRequest("GET", "/drmaa2/v1/sessions/s/events", "")
-			watch.Fields = []httpcodec.Field{{Name: "last-event-id", Value: test.id}}
-			if got := frontend.Decode(watch).BuildInput(1, 2).(scheduler.Watch); got.SinceRevision != test.want || got.Stream != 2 {
+			watchRequest := newRequest("GET", "/drmaa2/v1/sessions/s/events", "")
+			watchRequest.Fields = []httpcodec.Field{{Name: "last-event-id", Value: test.id}}
+			if got := frontend.Decode(watchRequest).BuildInput(1, 2).(scheduler.Watch); got.SinceRevision != test.want || got.Stream != 2 {
 				t.Errorf("got %+v, want stream 2 since %d", got, test.want)
 			}
 		})
--- a/internal/front/drmaafront/requests.go
+++ b/internal/front/drmaafront/requests.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	maxNameBytes = 255    // of a session's or a job's name
-	maxArrayJobs = 100000 // in one array
+	maxNameBytes = 255    // length of a session's or a job's name
+	maxArrayJobs = 100000 // jobs in an array
 	maxPageSize  = 1000   // jobs in one page of a list
 )
 
@@ -25,7 +25,8 @@
 	Name string `json:"name"`
 }
 
-// submitRequest is the body of a submission. Its template is stored undecoded, for requests of the template and for the node.
+// submitRequest is the body of a submission. The template remains encoded because it is stored as the client sent it: it is
+// returned to clients that request it, and sent to the node with the offer.
 type submitRequest struct {
 	Template jsontext.Value `json:"template"`
 	Retry    bool           `json:"again"`
@@ -62,7 +63,7 @@
 
 func isControl(r rune) bool { return r < ' ' || r == 0x7f }
 
-// sessionCommand returns the handler of a command on the session that the path names.
+// sessionCommand returns the handler of a command on the session in the path.
 func sessionCommand(verb scheduler.Verb) handler {
 	return func(_ *Frontend, _ *httpcodec.Request, args []string) (*Call, *drmaa2.Error) {
 		return newSessionCall(verb, args[0], http.StatusOK), nil
@@ -104,7 +105,7 @@
 	return f.newSubmitCall(submit), nil
 }
 
-// decodeSubmission decodes the body of a submission to a session. bulk is nil if the body has no range.
+// decodeSubmission decodes and validates the body of a submission to a session. bulk is nil if the body has no range of indexes.
 func (f *Frontend) decodeSubmission(request *httpcodec.Request,
 	session string) (submit scheduler.Submit, bulk *drmaa2.Bulk, err *drmaa2.Error) {
 	var body submitRequest
@@ -126,7 +127,7 @@
 func (f *Frontend) newSubmitCall(submit scheduler.Submit) *Call {
 	return &Call{
 		BuildInput: func(requestID, _ uint64) scheduler.Input {
-			input := submit // several cores may build the input at once
+			input := submit // a copy: several cores may build their inputs concurrently
 			input.RequestID = requestID
 			return input
 		},
@@ -134,13 +135,13 @@
 	}
 }
 
-// arrayIndexes returns the indexes of an array's jobs.
+// arrayIndexes validates the range of an array and returns the indexes of its jobs.
 func arrayIndexes(bulk *drmaa2.Bulk) ([]int, *drmaa2.Error) {
 	if bulk.BeginIndex < 1 || bulk.EndIndex < bulk.BeginIndex || bulk.Step < 1 || bulk.MaxParallel < 0 {
 		return nil, invalidArgument("bulk", "expected 1 <= beginIndex <= endIndex, step >= 1 and maxParallel >= 0")
 	}
-	if last := (bulk.EndIndex - bulk.BeginIndex) / bulk.Step; last >= maxArrayJobs {
-		return nil, invalidArgument("bulk", fmt.Sprintf("%d jobs, %d at most", last+1, maxArrayJobs))
+	if steps := (bulk.EndIndex - bulk.BeginIndex) / bulk.Step; steps >= maxArrayJobs {
+		return nil, invalidArgument("bulk", fmt.Sprintf("%d jobs, %d at most", steps+1, maxArrayJobs))
 	}
 	var indexes []int
 	for index := bulk.BeginIndex; index <= bulk.EndIndex; index += bulk.Step {
@@ -149,7 +150,7 @@
 	return indexes, nil
 }
 
-// listJobs handles the list of the jobs in the session that the path names, or in all sessions.
+// listJobs handles a request for the jobs of the session in the path, or of all sessions if the path has none.
 func listJobs(f *Frontend, request *httpcodec.Request, args []string) (*Call, *drmaa2.Error) {
 	parameters, err := url.ParseQuery(request.Query)
 	if err != nil {
@@ -168,7 +169,7 @@
 	}
 	return &Call{
 		BuildInput: func(requestID, _ uint64) scheduler.Input {
-			input := query // several cores may build the input at once
+			input := query // a copy: several cores may build their inputs concurrently
 			input.RequestID = requestID
 			return input
 		},
@@ -188,7 +189,7 @@
 	return func(requestID, _ uint64) scheduler.Input { return scheduler.Query{RequestID: requestID, Job: id} }
 }
 
-// jobCommand returns the handler of a command on the job or array that the path names.
+// jobCommand returns the handler of a command on the job or array in the path.
 func jobCommand(verb scheduler.Verb) handler {
 	return func(f *Frontend, _ *httpcodec.Request, args []string) (*Call, *drmaa2.Error) {
 		return &Call{
@@ -200,7 +201,7 @@
 	}
 }
 
-// rejectSuspension handles the commands that no node can execute.
+// rejectSuspension rejects the commands suspend and resume, which nodes don't support.
 func rejectSuspension(*Frontend, *httpcodec.Request, []string) (*Call, *drmaa2.Error) {
 	return nil, &drmaa2.Error{Code: drmaa2.UnsupportedOperation,
 		Message: "nodes run a job or stop it; they don't suspend"}
