--- a/internal/front/drmaafront/decode.go
+++ b/internal/front/drmaafront/decode.go
@@ -14,9 +14,9 @@
 	"flaxshelf.example/flaxshelf/drmaa2"
 )
 
-// decodeJSON decodes a body that consists of exactly one JSON value. It rejects unknown members, duplicate names, invalid UTF-8
-// and wrong types; the error names the attribute, if the value has one. It uses the module that became encoding/json/v2 because
-// that decoder makes all of these checks; docs/scale.md has the measurements of the decoders that were compared.
+// decodeJSON decodes a body that consists of exactly one JSON value. It rejects unknown members, duplicate names and invalid
+// UTF-8, and names the attribute in the error if it is known. It uses go-json-experiment/json, the module of encoding/json/v2, because that
+// decoder is strict in all of this; docs/scale.md has the measurements of the decoders that were compared.
 func decodeJSON(body []byte, value any) *drmaa2.Error {
 	err := json.Unmarshal(body, value, json.RejectUnknownMembers(true))
 	if err == nil {
@@ -30,26 +30,27 @@
 	case errors.Is(err, json.ErrUnknownName) && errors.As(err, &semantic):
 		return unsupportedAttribute(attributeName(semantic.JSONPointer), "is not known")
 	case errors.Is(err, jsontext.ErrDuplicateName) && errors.As(err, &syntactic):
-		return namedAttributeError(syntactic.JSONPointer, "comes twice")
+		return invalidValueError(syntactic.JSONPointer, "comes twice")
 	case errors.As(err, &semantic) && semantic.JSONPointer != "":
-		return namedAttributeError(semantic.JSONPointer, "can't be read"+expectedType(semantic.GoType))
+		return invalidValueError(semantic.JSONPointer, "can't be read"+expectedType(semantic.GoType))
 	default:
 		return invalidArgument("", "the body can't be read: "+strings.TrimPrefix(err.Error(), "jsontext: "))
 	}
 }
 
-// namedAttributeError returns the error for an attribute whose name may be empty.
-func namedAttributeError(pointer jsontext.Pointer, message string) *drmaa2.Error {
+// invalidValueError returns the error for the value at a position in the body. Unlike the result of invalidArgument, its message
+// always begins with the attribute's name, even if the name is empty.
+func invalidValueError(pointer jsontext.Pointer, message string) *drmaa2.Error {
 	name := attributeName(pointer)
 	return &drmaa2.Error{Code: drmaa2.InvalidArgument, Attribute: name, Message: name + ": " + message}
 }
 
-// attributeName returns the path of a value, as in template.startTime.
+// attributeName returns the path of a value in the body, such as template.startTime.
 func attributeName(pointer jsontext.Pointer) string {
 	return truncate(strings.Join(slices.Collect(pointer.Tokens()), "."))
 }
 
-// expectedType describes a type at the end of an error message; it returns an empty string for an unknown type.
+// expectedType returns the end of an error message about a value of the wrong type. It is empty if the expected type is unknown.
 func expectedType(t reflect.Type) string {
 	switch {
 	case t == nil:
--- a/internal/front/drmaafront/implspecific.go
+++ b/internal/front/drmaafront/implspecific.go
@@ -12,11 +12,12 @@
 )
 
 const (
-	maxIdentifierBytes = 256 // of a key or a service's name
-	maxResourceAmount  = 1e9 // cores or GiB
+	maxIdentifierBytes = 256 // length of a key or a service name
+	maxResourceAmount  = 1e9 // cores, or GiB of memory
 )
 
-// setImplementationSpecific sets the fields of a spec that implementation-specific attributes of a template have.
+// setImplementationSpecific sets the fields of a spec from the template's implementation-specific attributes. It rejects unknown
+// ones.
 func setImplementationSpecific(spec *scheduler.JobSpec, template *drmaa2.JobTemplate) *drmaa2.Error {
 	for name, value := range template.ImplementationSpecific {
 		var err *drmaa2.Error
@@ -52,7 +53,8 @@
 
 func isSpaceOrControl(r rune) bool { return r == ' ' || isControl(r) }
 
-// parseAmount parses a number of cores or GiB. duplicate reports whether an attribute of the specification has it too.
+// parseAmount parses a number of cores or GiB. alreadySet reports whether the template also has the amount in the attribute of
+// the DRMAA specification, which is an error.
 func parseAmount(name, value string, alreadySet bool) (float64, *drmaa2.Error) {
 	amount, err := strconv.ParseFloat(value, 64)
 	switch {
--- a/internal/front/drmaafront/template.go
+++ b/internal/front/drmaafront/template.go
@@ -11,19 +11,19 @@
 )
 
 const (
-	kibPerGiB       = 1 << 20
+	kibPerGiB       = 1 << 20 // DRMAA has memory in KiB, the core in GiB
 	maxCommandBytes = 4096
 	maxArgs         = 1000
 )
 
-// Reasons why attributes of the specification are not supported.
+// Reasons why attributes of the DRMAA specification are not supported.
 const (
 	reasonNoProcesses = "stand-in nodes run no processes"
 	reasonNoMail      = "no mail is sent"
 	reasonNoStaging   = "no files are staged"
 )
 
-// jobSpec validates a template and translates it for the core.
+// jobSpec validates a job template and converts it to the spec of the job for the core.
 func (f *Frontend) jobSpec(template *drmaa2.JobTemplate) (*scheduler.JobSpec, *drmaa2.Error) {
 	for _, check := range []func(*drmaa2.JobTemplate) *drmaa2.Error{checkUnsupported, checkLengths, checkNULs,
 		checkQueue, checkSlots} {
@@ -57,7 +57,7 @@
 	return spec, nil
 }
 
-// checkUnsupported rejects attributes of the specification that this scheduler does not support.
+// checkUnsupported rejects attributes of the DRMAA specification that this scheduler does not support.
 func checkUnsupported(t *drmaa2.JobTemplate) *drmaa2.Error {
 	for _, attribute := range []struct {
 		name   string
@@ -134,7 +134,8 @@
 	return nil
 }
 
-// setClass sets the class of a job and the defaults of the class. A template may leave it out if there is only one class.
+// setClass sets the class of a job, and its priority, cores and memory to the defaults of the class. A template may omit the
+// class if the scheduler has only one.
 func (f *Frontend) setClass(spec *scheduler.JobSpec, template *drmaa2.JobTemplate) *drmaa2.Error {
 	spec.Class = f.settings.ClassIndex(template.JobCategory)
 	if spec.Class < 0 {
--- a/internal/front/drmaafront/template_test.go
+++ b/internal/front/drmaafront/template_test.go
@@ -11,14 +11,15 @@
 	"flaxshelf.example/flaxshelf/internal/scheduler"
 )
 
-// An invalid submission is rejected with an error code and the attribute; no member is ignored.
+// An invalid submission is rejected with an error that has the code and the attribute. Unsupported and unknown members are
+// rejected too; none is ignored.
 func TestInvalidSubmissionsAreRejected(t *testing.T) {
 	frontend := newTestFrontend(t)
-	with := func(fields string) string {
+	withFields := func(fields string) string {
 		return `{"template":{"remoteCommand":"x","jobCategory":"batch",` + fields + `}}`
 	}
-	extension := func(name, value string) string {
-		return with(fmt.Sprintf(`"implementationSpecific":{%q:%q}`, name, value))
+	withAttribute := func(name, value string) string {
+		return withFields(fmt.Sprintf(`"implementationSpecific":{%q:%q}`, name, value))
 	}
 	for _, test := range []struct {
 		name, body string
@@ -28,36 +29,36 @@
 		{"empty", ``, drmaa2.InvalidArgument, ""},
 		{"not JSON", `{"template":`, drmaa2.InvalidArgument, ""},
 		{"two values", `{"template":{"remoteCommand":"x","jobCategory":"batch"}} {}`, drmaa2.InvalidArgument, ""},
-		{"unknown field", with(`"wings":2`), drmaa2.UnsupportedAttribute, "wings"},
-		{"invalid time", with(`"startTime":"tomorrow"`), drmaa2.InvalidArgument, "startTime"},
+		{"unknown field", withFields(`"wings":2`), drmaa2.UnsupportedAttribute, "wings"},
+		{"invalid time", withFields(`"startTime":"tomorrow"`), drmaa2.InvalidArgument, "startTime"},
 		{"NUL in the command", `{"template":{"remoteCommand":"x\u0000y","jobCategory":"batch"}}`, drmaa2.InvalidArgument, "remoteCommand"},
-		{"NUL in an argument", with(`"args":["a","\u0000"]`), drmaa2.InvalidArgument, "args"},
-		{"duplicate member", with(`"jobName":"a","jobName":"b"`), drmaa2.InvalidArgument, "template.jobName"},
-		{"duplicate implementation-specific attribute", with(`"implementationSpecific":{"flaxshelf.key":"a","flaxshelf.key":"b"}`),
+		{"NUL in an argument", withFields(`"args":["a","\u0000"]`), drmaa2.InvalidArgument, "args"},
+		{"duplicate member", withFields(`"jobName":"a","jobName":"b"`), drmaa2.InvalidArgument, "template.jobName"},
+		{"duplicate implementation-specific attribute", withFields(`"implementationSpecific":{"flaxshelf.key":"a","flaxshelf.key":"b"}`),
 			drmaa2.InvalidArgument, "template.implementationSpecific.flaxshelf.key"},
 		{"not UTF-8", "{\"template\":{\"remoteCommand\":\"\xff\"}}", drmaa2.InvalidArgument, ""},
-		{"wrong type", with(`"minSlots":"many"`), drmaa2.InvalidArgument, "minSlots"},
+		{"wrong type", withFields(`"minSlots":"many"`), drmaa2.InvalidArgument, "minSlots"},
 		{"no command", `{"template":{"jobCategory":"batch"}}`, drmaa2.InvalidArgument, "remoteCommand"},
 		{"no class", `{"template":{"remoteCommand":"x"}}`, drmaa2.InvalidArgument, "jobCategory"},
 		{"unknown class", `{"template":{"remoteCommand":"x","jobCategory":"z"}}`, drmaa2.InvalidArgument, "jobCategory"},
-		{"unknown tenant", with(`"accountingId":"z"`), drmaa2.InvalidArgument, "accountingId"},
-		{"unknown queue", with(`"queueName":"z"`), drmaa2.InvalidArgument, "queueName"},
-		{"negative slots", with(`"minSlots":-4`), drmaa2.InvalidArgument, "minSlots"},
-		{"a range of slots", with(`"minSlots":1,"maxSlots":4`), drmaa2.UnsupportedAttribute, "maxSlots"},
-		{"cores by two attributes", with(`"minSlots":1,"implementationSpecific":{"flaxshelf.cores":"2"}`), drmaa2.InvalidArgument,
+		{"unknown tenant", withFields(`"accountingId":"z"`), drmaa2.InvalidArgument, "accountingId"},
+		{"unknown queue", withFields(`"queueName":"z"`), drmaa2.InvalidArgument, "queueName"},
+		{"negative slots", withFields(`"minSlots":-4`), drmaa2.InvalidArgument, "minSlots"},
+		{"a range of slots", withFields(`"minSlots":1,"maxSlots":4`), drmaa2.UnsupportedAttribute, "maxSlots"},
+		{"cores by two attributes", withFields(`"minSlots":1,"implementationSpecific":{"flaxshelf.cores":"2"}`), drmaa2.InvalidArgument,
 			"flaxshelf.cores"},
-		{"NaN", extension("flaxshelf.cores", "NaN"), drmaa2.InvalidArgument, "flaxshelf.cores"},
-		{"infinite", extension("flaxshelf.memory", "Inf"), drmaa2.InvalidArgument, "flaxshelf.memory"},
-		{"zero", extension("flaxshelf.cores", "0"), drmaa2.InvalidArgument, "flaxshelf.cores"},
-		{"negative expected runtime", extension("flaxshelf.life", "-1s"), drmaa2.InvalidArgument, "flaxshelf.life"},
-		{"key with a space", extension("flaxshelf.key", "a b"), drmaa2.InvalidArgument, "flaxshelf.key"},
-		{"long key", extension("flaxshelf.key", strings.Repeat("k", 257)), drmaa2.InvalidArgument, "flaxshelf.key"},
-		{"unknown implementation-specific attribute", extension("flaxshelf.wings", "2"), drmaa2.UnsupportedAttribute, "flaxshelf.wings"},
-		{"environment", with(`"jobEnvironment":{"A":"b"}`), drmaa2.UnsupportedAttribute, "jobEnvironment"},
-		{"mail", with(`"email":["a@b"]`), drmaa2.UnsupportedAttribute, "email"},
-		{"priority", with(`"priority":3`), drmaa2.UnsupportedAttribute, "priority"},
-		{"machines", with(`"candidateMachines":["a"]`), drmaa2.UnsupportedAttribute, "candidateMachines"},
-		{"limits", with(`"resourceLimits":{"a":"b"}`), drmaa2.UnsupportedAttribute, "resourceLimits"},
+		{"NaN", withAttribute("flaxshelf.cores", "NaN"), drmaa2.InvalidArgument, "flaxshelf.cores"},
+		{"infinite", withAttribute("flaxshelf.memory", "Inf"), drmaa2.InvalidArgument, "flaxshelf.memory"},
+		{"zero", withAttribute("flaxshelf.cores", "0"), drmaa2.InvalidArgument, "flaxshelf.cores"},
+		{"negative expected runtime", withAttribute("flaxshelf.life", "-1s"), drmaa2.InvalidArgument, "flaxshelf.life"},
+		{"key with a space", withAttribute("flaxshelf.key", "a b"), drmaa2.InvalidArgument, "flaxshelf.key"},
+		{"long key", withAttribute("flaxshelf.key", strings.Repeat("k", 257)), drmaa2.InvalidArgument, "flaxshelf.key"},
+		{"unknown implementation-specific attribute", withAttribute("flaxshelf.wings", "2"), drmaa2.UnsupportedAttribute, "flaxshelf.wings"},
+		{"environment", withFields(`"jobEnvironment":{"A":"b"}`), drmaa2.UnsupportedAttribute, "jobEnvironment"},
+		{"mail", withFields(`"email":["a@b"]`), drmaa2.UnsupportedAttribute, "email"},
+		{"priority", withFields(`"priority":3`), drmaa2.UnsupportedAttribute, "priority"},
+		{"machines", withFields(`"candidateMachines":["a"]`), drmaa2.UnsupportedAttribute, "candidateMachines"},
+		{"limits", withFields(`"resourceLimits":{"a":"b"}`), drmaa2.UnsupportedAttribute, "resourceLimits"},
 		{"a range for one job", `{"template":{"remoteCommand":"x","jobCategory":"batch"},"bulk":{"beginIndex":1,"endIndex":2,"step":1}}`,
 			drmaa2.InvalidArgument, "bulk"},
 		{"deep nesting", strings.Repeat("[", 100000), drmaa2.InvalidArgument, ""},
@@ -72,7 +73,7 @@
 	}
 }
 
-// The spec of a job has the attributes of its template and the defaults of its class.
+// The spec of a job has the attributes of its template, and the defaults of its class for those that the template omits.
 func TestJobSpecFromTemplate(t *testing.T) {
 	frontend := newTestFrontend(t)
 	call := frontend.Decode(newRequest("POST", "/drmaa2/v1/sessions/s/jobs", `{"again":true,"template":{"remoteCommand":"x","args":["a"],
@@ -92,7 +93,7 @@
 	}
 }
 
-// An array has the indexes of its range. An invalid range is rejected.
+// An array has a job for each index of its range, and an invalid range is rejected.
 func TestArrayIndexes(t *testing.T) {
 	frontend := newTestFrontend(t)
 	submission := func(bulk string) *httpcodec.Request {
@@ -113,7 +114,7 @@
 	}
 }
 
-// Any submission is rejected, or becomes a spec within the limits.
+// Any body of a submission is rejected, or becomes a spec within the limits.
 func FuzzSubmission(f *testing.F) {
 	frontend := newTestFrontend(f)
 	f.Add([]byte(`{"template":{"remoteCommand":"x","jobCategory":"batch","implementationSpecific":{"flaxshelf.cores":"1e300"}}}`))
