--- a/internal/front/drmaafront/errors.go
+++ b/internal/front/drmaafront/errors.go
@@ -13,12 +13,13 @@
 )
 
 const (
-	maxQuotedBytes  = 100         // of a client's text in an error
+	maxQuotedBytes  = 100         // length of a client's text in an error message
 	busyRetryAfter  = time.Second // when the scheduler's queues are full
 	jsonContentType = "application/json"
 )
 
-// ErrorResponse returns the response with an error. closes reports whether the connection is closed after it.
+// ErrorResponse returns the response with an error. closeConnection reports whether the connection is closed after it. A time
+// after which to retry is sent in whole seconds, rounded up, and in a field of its own in milliseconds.
 func ErrorResponse(status int, err *drmaa2.Error, closeConnection bool) []byte {
 	var fields []string
 	if err.RetryAfter > 0 {
@@ -27,17 +28,17 @@
 		fields = []string{"Retry-After", strconv.Itoa(seconds),
 			"Flaxshelf-Retry-After-Ms", strconv.FormatInt(milliseconds, 10)}
 	}
-	body, _ := json.Marshal(err) // strings and a duration can always be encoded
+	body, _ := json.Marshal(err) // cannot fail: the fields are strings and a duration
 	return httpcodec.AppendResponse(nil, status, jsonContentType, append(body, '\n'), closeConnection, fields...)
 }
 
-// BusyResponse returns the response for a scheduler whose queues are full.
+// BusyResponse returns the response of a scheduler whose queues are full. closeConnection is as for ErrorResponse.
 func BusyResponse(closeConnection bool) []byte {
 	return ErrorResponse(http.StatusServiceUnavailable, &drmaa2.Error{Code: drmaa2.TryLater,
 		Message: "too many requests wait", RetryAfter: busyRetryAfter}, closeConnection)
 }
 
-// httpStatus returns the HTTP status of an error.
+// httpStatus returns the HTTP status of a response with the error code.
 func httpStatus(code drmaa2.ErrorCode) int {
 	switch code {
 	case drmaa2.InvalidArgument:
@@ -74,7 +75,7 @@
 	return &drmaa2.Error{Code: drmaa2.UnsupportedAttribute, Attribute: attribute, Message: attribute + ": " + message}
 }
 
-// truncate truncates a client's text for an error message.
+// truncate limits a client's text to maxQuotedBytes for an error message.
 func truncate(text string) string {
 	if len(text) > maxQuotedBytes {
 		return text[:maxQuotedBytes] + "..."
--- a/internal/front/drmaafront/jobinfo.go
+++ b/internal/front/drmaafront/jobinfo.go
@@ -11,10 +11,10 @@
 	"flaxshelf.example/flaxshelf/internal/scheduler"
 )
 
-// machineStates are the states of machines on the wire.
+// machineStates has the value of drmaa2.AttrMachineState for each state of a machine.
 var machineStates = []string{flaxshelf.Active: "in", flaxshelf.Draining: "draining", flaxshelf.Removed: "out"}
 
-// machineInfo returns the description of a machine.
+// machineInfo returns the DRMAA description of a machine. A machine whose kind is unknown has no cores and no memory in it.
 func (f *Frontend) machineInfo(machine *scheduler.MachineInfo) drmaa2.MachineInfo {
 	info := drmaa2.MachineInfo{
 		Name:      machine.ID,
@@ -34,7 +34,7 @@
 	return info
 }
 
-// jobInfo returns the description of a job.
+// jobInfo returns the DRMAA description of a job.
 func (f *Frontend) jobInfo(info *scheduler.JobInfo) drmaa2.JobInfo {
 	job := drmaa2.JobInfo{
 		JobID:                  info.ID,
@@ -51,8 +51,8 @@
 		ImplementationSpecific: f.jobAttributes(info),
 	}
 	if info.SubState == scheduler.SubStateExited {
-		exit := info.ExitStatus
-		job.ExitStatus = &exit
+		exitStatus := info.ExitStatus
+		job.ExitStatus = &exitStatus
 	}
 	if info.StartedAt > 0 {
 		started := clock.WallTime(info.StartedAt).UTC()
@@ -71,7 +71,7 @@
 	return job
 }
 
-// jobAttributes returns the implementation-specific attributes of a job. Those without a value are left out.
+// jobAttributes returns the implementation-specific attributes of a job. Optional attributes without a value are omitted.
 func (f *Frontend) jobAttributes(info *scheduler.JobInfo) map[string]string {
 	spec := info.Spec
 	attributes := map[string]string{
@@ -110,5 +110,5 @@
 
 func formatTime(at scheduler.Time) string { return clock.WallTime(at).UTC().Format(time.RFC3339Nano) }
 
-// slotCount returns a number of cores as the specification's slots, which are whole numbers.
+// slotCount converts a number of cores to DRMAA slots, which are whole numbers, by rounding up.
 func slotCount(cores float64) int64 { return int64(math.Ceil(cores)) }
--- a/internal/front/drmaafront/responses.go
+++ b/internal/front/drmaafront/responses.go
@@ -10,7 +10,7 @@
 	"flaxshelf.example/flaxshelf/internal/scheduler"
 )
 
-// The bodies of responses that package drmaa2 has no type for.
+// Bodies of responses for which package drmaa2 has no type.
 type (
 	sessionResponse struct {
 		Name string `json:"name"`
@@ -34,7 +34,8 @@
 	return httpcodec.AppendResponse(nil, status, jsonContentType, append(encoded, '\n'), false)
 }
 
-// withErrorResponse returns an encoder that encodes errors of the core itself and other answers by encode.
+// withErrorResponse returns an encoder of answers. It encodes an error of the core as an error response, and passes any other
+// answer to encode.
 func withErrorResponse(encode func(*scheduler.Answer) []byte) func(*scheduler.Answer) []byte {
 	return func(answer *scheduler.Answer) []byte {
 		if answer.Err == nil {
@@ -46,7 +47,7 @@
 	}
 }
 
-// getInfo handles the description of the scheduler and its capabilities.
+// getInfo handles a request for the description of the scheduler and its capabilities.
 func getInfo(f *Frontend, _ *httpcodec.Request, _ []string) (*Call, *drmaa2.Error) {
 	info := drmaa2.Drms{
 		DrmsName:     "flaxshelf",
@@ -77,7 +78,8 @@
 	return jsonResponse(http.StatusOK, sessionNamesResponse{answer.Sessions})
 }
 
-// EncodeSubmitted returns the response to a submission.
+// EncodeSubmitted returns the response to a submission. Its status is 201 for new jobs, and 200 if the idempotency key was in
+// use and the response has the earlier jobs.
 func (f *Frontend) EncodeSubmitted(answer *scheduler.Answer) []byte {
 	return withErrorResponse(f.encodeSubmittedJobs)(answer)
 }
