--- a/internal/front/drmaafront/helpers_test.go
+++ b/internal/front/drmaafront/helpers_test.go
@@ -30,7 +30,7 @@
 	return &httpcodec.Request{Method: method, Path: path, Query: query, Body: []byte(body)}
 }
 
-// decodeResponse returns the status and error of a call that needs no core; 0 for a call that the core answers.
+// decodeResponse returns the status and the error of a call with a response. The status is 0 for a call that the core answers.
 func decodeResponse(t *testing.T, call *Call) (status int, responseError drmaa2.Error) {
 	t.Helper()
 	if call.Response == nil {
--- a/internal/front/drmaafront/responses_test.go
+++ b/internal/front/drmaafront/responses_test.go
@@ -20,9 +20,9 @@
 // testIncarnationID is the prefix of event IDs of newTestFrontend: its start time, 5,000 ms, in base 36.
 const testIncarnationID = "3uw"
 
-var update = flag.Bool("update", false, "overwrite "+responsesFile+"; each change of it is a change of the wire")
+var update = flag.Bool("update", false, "overwrite "+responsesFile+"; each difference is a change of the wire format")
 
-// The bytes of responses, errors and events are those of the golden file.
+// The bytes of responses, errors and events are those of the golden file, so that the wire format does not change by accident.
 func TestResponseBytes(t *testing.T) {
 	got := allResponses(t)
 	if *update {
@@ -46,7 +46,7 @@
 	}
 }
 
-// allResponses returns the responses to requests of each kind, quoted, so that every byte is visible.
+// allResponses returns the responses to requests of each kind. They are quoted so that every byte is visible.
 func allResponses(t *testing.T) []byte {
 	t.Helper()
 	frontend := newTestFrontend(t)
@@ -84,10 +84,10 @@
 type namedRequest struct {
 	name    string
 	request *httpcodec.Request
-	answer  scheduler.Answer // of the core
+	answer  scheduler.Answer // the core's answer, if the request reaches the core
 }
 
-// requestsWithoutCore returns requests that need no core: the constant resources and all kinds of errors.
+// requestsWithoutCore returns requests that are answered without the core: constant resources and all kinds of errors.
 func requestsWithoutCore() []namedRequest {
 	var all []namedRequest
 	add := func(method, path, body string) {
@@ -134,7 +134,7 @@
 	return all
 }
 
-// requestsToCore returns requests that the core answers, with answers of all shapes.
+// requestsToCore returns requests that the core answers, and answers with each kind of contents.
 func requestsToCore() []namedRequest {
 	jobs := scheduler.Answer{Jobs: sampleJobs()}
 	array := scheduler.Answer{Jobs: sampleJobs(), ArrayID: "array", Existing: true}
@@ -176,7 +176,7 @@
 	return append(all, resumed)
 }
 
-// sampleJobs returns jobs with all, with none, and with some of their attributes.
+// sampleJobs returns jobs that have all, none or some of their attributes.
 func sampleJobs() []scheduler.JobInfo {
 	spec := scheduler.JobSpec{Key: "key", Session: "session", Name: "name", Owner: "owner", Service: "service", Class: 1,
 		Tenant: 0, Cores: 2.5, Memory: 4, Template: []byte(`{"remoteCommand":"x"}`)}
@@ -191,7 +191,7 @@
 	return []scheduler.JobInfo{ended, {ID: "empty", Spec: &scheduler.JobSpec{Tenant: -1}}, running, rejected}
 }
 
-// The response to an error of the core has its code and the time after which to retry.
+// The response to an error of the core has the error's code and the time after which to retry.
 func TestCoreErrorResponse(t *testing.T) {
 	frontend := newTestFrontend(t)
 	call := frontend.Decode(newRequest("GET", "/drmaa2/v1/jobs/j", ""))
--- a/internal/front/drmaafront/routes_test.go
+++ b/internal/front/drmaafront/routes_test.go
@@ -5,13 +5,13 @@
 	"testing"
 )
 
-// Each resource and method becomes an input of the core, or is answered with an error.
+// A request becomes an input of the core, or is answered without the core with the expected status.
 func TestRoutes(t *testing.T) {
 	frontend := newTestFrontend(t)
 	for _, test := range []struct {
 		method, path, body string
-		status             int    // 0: the core answers
-		input              string // of the core
+		status             int    // 0 if the core answers
+		input              string // the expected input of the core, as fmt prints it
 	}{
 		{"GET", "/drmaa2/v1/info", "", 200, ""},
 		{"GET", "/drmaa2/v1/queues", "", 200, ""},
