--- a/internal/front/drmaafront/decode.go
+++ b/internal/front/drmaafront/decode.go
@@ -15,8 +15,8 @@
 )
 
 // decodeJSON decodes a body that consists of exactly one JSON value. It rejects unknown members, duplicate names and invalid
-// UTF-8, and names the attribute in the error if it is known. It uses go-json-experiment/json, the module of encoding/json/v2, because that
-// decoder is strict in all of this; docs/scale.md has the measurements of the decoders that were compared.
+// UTF-8, and names the attribute in the error if it is known. It uses go-json-experiment/json, the module of encoding/json/v2,
+// because that decoder is strict in all of this; docs/scale.md has the measurements of the decoders that were compared.
 func decodeJSON(body []byte, value any) *drmaa2.Error {
 	err := json.Unmarshal(body, value, json.RejectUnknownMembers(true))
 	if err == nil {
