--- a/internal/front/drmaafront/errors.go
+++ b/internal/front/drmaafront/errors.go
@@ -13,13 +13,14 @@
 )
 
 const (
-	maxQuotedBytes  = 100         // of a client's text in an error
+	maxQuotedBytes  = 100         // length of a client's text in an error message
 	busyRetryAfter  = time.Second // when the scheduler's queues are full
 	jsonContentType = "application/json"
 )
 
-// ErrorResponse returns the response with an error. closes reports whether the connection is closed after it.
-func ErrorResponse(status int, err *drmaa2.Error, closes bool) []byte {
+// ErrorResponse returns the response with an error. closeConnection reports whether the connection is closed after it. A time
+// after which to retry is sent in whole seconds, rounded up, and in a field of its own in milliseconds.
+func ErrorResponse(status int, err *drmaa2.Error, closeConnection bool) []byte {
 	var fields []string
 	if err.RetryAfter > 0 {
 		seconds := int(math.Ceil(err.RetryAfter.Seconds()))
@@ -27,18 +28,18 @@
 		fields = []string{"Retry-After", strconv.Itoa(seconds),
 			"Flaxshelf-Retry-After-Ms", strconv.FormatInt(milliseconds, 10)}
 	}
-	body, _ := json.Marshal(err) // strings and a duration can always be encoded
-	return httpcodec.AppendResponse(nil, status, jsonContentType, append(body, '\n'), closes, fields...)
+	body, _ := json.Marshal(err) // cannot fail: the fields are strings and a duration
+	return httpcodec.AppendResponse(nil, status, jsonContentType, append(body, '\n'), closeConnection, fields...)
 }
 
-// BusyResponse returns the response for a scheduler whose queues are full.
-func BusyResponse(closes bool) []byte {
+// BusyResponse returns the response of a scheduler whose queues are full. closeConnection is as for ErrorResponse.
+func BusyResponse(closeConnection bool) []byte {
 	return ErrorResponse(http.StatusServiceUnavailable, &drmaa2.Error{Code: drmaa2.TryLater,
-		Message: "too many requests wait", RetryAfter: busyRetryAfter}, closes)
+		Message: "too many requests wait", RetryAfter: busyRetryAfter}, closeConnection)
 }
 
-// statusOf returns the HTTP status of an error.
-func statusOf(code drmaa2.ErrorCode) int {
+// httpStatus returns the HTTP status of a response with the error code.
+func httpStatus(code drmaa2.ErrorCode) int {
 	switch code {
 	case drmaa2.InvalidArgument:
 		return http.StatusBadRequest
@@ -74,8 +75,8 @@
 	return &drmaa2.Error{Code: drmaa2.UnsupportedAttribute, Attribute: attribute, Message: attribute + ": " + message}
 }
 
-// clip truncates a client's text for an error message.
-func clip(text string) string {
+// truncate limits a client's text to maxQuotedBytes for an error message.
+func truncate(text string) string {
 	if len(text) > maxQuotedBytes {
 		return text[:maxQuotedBytes] + "..."
 	}
