--- a/cmd/benchadapter/main.go
+++ b/cmd/benchadapter/main.go
@@ -31,21 +31,21 @@
 		if err != nil {
 			return err
 		}
-		if err := reply(batch, placers, writer); err != nil {
+		if err := processBatch(batch, placers, writer); err != nil {
 			return err
 		}
-		if err := writer.End(batch.Serial); err != nil {
+		if err := writer.EndReply(batch.Serial); err != nil {
 			return err
 		}
 	}
 }
 
-// reply starts and stops instances, then runs one step of each instance with its events of the batch, in the order of their
+// processBatch starts and stops instances, then runs one step of each instance with its events of the batch, in the order of their
 // first events. Events before the stop or restart of an instance are dropped.
-func reply(batch *benchadapter.Batch, placers map[int]*flaxshelf.Placer, writer *benchadapter.Writer) error {
+func processBatch(batch *benchadapter.Batch, placers map[int]*flaxshelf.Placer, writer *benchadapter.Writer) error {
 	var order []int
 	events := map[int][]flaxshelf.Event{}
-	for _, item := range batch.Items {
+	for _, item := range batch.Messages {
 		instance := item.Instance
 		switch {
 		case item.Stop:
@@ -68,21 +68,21 @@
 	for _, instance := range order {
 		if placer := placers[instance]; placer != nil && !stepped[instance] && len(events[instance]) > 0 {
 			stepped[instance] = true
-			step(placer, batch, instance, events[instance], writer)
+			stepInstance(placer, batch, instance, events[instance], writer)
 		}
 	}
 	return nil
 }
 
-// step runs one step of an instance. If the module panics, it writes a BUG message of that instance.
-func step(placer *flaxshelf.Placer, batch *benchadapter.Batch, instance int, events []flaxshelf.Event,
+// stepInstance runs one step of an instance. If the module panics, it writes a BUG message of that instance.
+func stepInstance(placer *flaxshelf.Placer, batch *benchadapter.Batch, instance int, events []flaxshelf.Event,
 	writer *benchadapter.Writer) {
 	defer func() {
 		if cause := recover(); cause != nil {
-			writer.Bug(instance, fmt.Sprint(cause))
+			writer.WritePanic(instance, fmt.Sprint(cause))
 		}
 	}()
-	for _, action := range placer.Step(batch.Clock, events) {
-		writer.Action(instance, action)
+	for _, action := range placer.Step(batch.Now, events) {
+		writer.WriteAction(instance, action)
 	}
 }
--- a/cmd/benchadapter/main_test.go
+++ b/cmd/benchadapter/main_test.go
@@ -88,8 +88,8 @@
 func TestPanicBecomesBug(t *testing.T) {
 	var out bytes.Buffer
 	w := benchadapter.NewWriter(&out)
-	step(nil, &benchadapter.Batch{Clock: 1}, 4, []flaxshelf.Event{flaxshelf.TimerFired{}}, w)
-	if err := w.End(1); err != nil || !strings.HasPrefix(out.String(), "BUG who=4 msg=runtime error") {
+	stepInstance(nil, &benchadapter.Batch{Now: 1}, 4, []flaxshelf.Event{flaxshelf.TimerFired{}}, w)
+	if err := w.EndReply(1); err != nil || !strings.HasPrefix(out.String(), "BUG who=4 msg=runtime error") {
 		t.Errorf("%v, wrote %q", err, out.String())
 	}
 }
--- a/internal/benchadapter/events.go
+++ b/internal/benchadapter/events.go
@@ -61,7 +61,7 @@
 
 func decodeGossip(f *fields) flaxshelf.Event {
 	blob := f.Text("blob")
-	data, err := base64.StdEncoding.DecodeString(strings.TrimPrefix(blob, noData))
+	data, err := base64.StdEncoding.DecodeString(strings.TrimPrefix(blob, emptyValue))
 	if err != nil {
 		f.Fail("blob", blob, "must be base64 or -")
 	}
@@ -91,7 +91,7 @@
 // decodeLoad decodes a load report of name:value pairs: x0 for free cores, x1 for free memory. Other names are skipped.
 func decodeLoad(f *fields) (load flaxshelf.LoadReport) {
 	text := f.Text("load")
-	if text == "" || text == noData {
+	if text == "" || text == emptyValue {
 		return load
 	}
 	load.Present = true
--- a/internal/benchadapter/fields.go
+++ b/internal/benchadapter/fields.go
@@ -5,8 +5,8 @@
 	"flaxshelf.example/flaxshelf/internal/textfields"
 )
 
-// noData represents an empty value in fields that can't be empty.
-const noData = "-"
+// emptyValue represents an empty value in fields that can't be empty.
+const emptyValue = "-"
 
 // fields are the fields of a line.
 type fields struct {
@@ -14,16 +14,18 @@
 	names *fleetsettings.Names // of the instance that the line is for
 }
 
-// noNames are the names of an instance that has not started.
-var noNames = &fleetsettings.Names{}
+// emptyNames are the names of an instance that has not started.
+var emptyNames = &fleetsettings.Names{}
 
-func parseFields(line string) *fields { return &fields{Fields: textfields.Parse(line), names: noNames} }
+func parseFields(line string) *fields {
+	return &fields{Fields: textfields.Parse(line), names: emptyNames}
+}
 
-// check returns the first fault of a line as a ProtocolError, or nil.
-func (r *Reader) check(f *fields) error {
+// protocolError returns the first fault of a line as a ProtocolError, or nil.
+func (r *Reader) protocolError(f *fields) error {
 	invalid := f.Invalid()
 	if invalid == nil {
 		return nil
 	}
-	return &ProtocolError{Batch: r.serial, Field: invalid.Field, Value: invalid.Value}
+	return &ProtocolError{Batch: r.batchSerial, Field: invalid.Field, Value: invalid.Value}
 }
--- a/internal/benchadapter/machines.go
+++ b/internal/benchadapter/machines.go
@@ -11,8 +11,8 @@
 // listedMachine is an entry of a list of machines. It has the name of its kind, since a list is shared by instances, each of
 // which numbers kinds by its own settings.
 type listedMachine struct {
-	machine flaxshelf.Machine
-	kind    string
+	machine  flaxshelf.Machine
+	kindName string
 }
 
 // machineStates are the states of machines by their names in the protocol.
@@ -20,30 +20,30 @@
 	"IN": flaxshelf.Active, "LAME": flaxshelf.Draining, "OUT": flaxshelf.Removed,
 }
 
-// register reads the list of machines that follows a REGISTER line. It replaces an older list of the same number. The error is
+// readMachineList reads the list of machines that follows a REGISTER line. It replaces an older list of the same number. The error is
 // io.EOF, not io.ErrUnexpectedEOF, when the input ends between two entries.
-func (r *Reader) register(f *fields) error {
+func (r *Reader) readMachineList(f *fields) error {
 	page, count := int(f.RequiredInteger("page")), f.Integer("records")
 	var list []listedMachine
 	for range count {
-		line, err := r.line()
+		line, err := r.readLine()
 		if err != nil {
 			return err
 		}
 		message, rest, _ := strings.Cut(line, " ")
 		if message != "M" {
-			return &ProtocolError{Batch: r.serial, Field: "records", Value: line}
+			return &ProtocolError{Batch: r.batchSerial, Field: "records", Value: line}
 		}
 		entryFields := parseFields(rest)
 		list = append(list, decodeMachine(entryFields))
-		if err := r.check(entryFields); err != nil {
+		if err := r.protocolError(entryFields); err != nil {
 			return err
 		}
 	}
-	if err := r.check(f); err != nil {
+	if err := r.protocolError(f); err != nil {
 		return err
 	}
-	r.pages[page] = list
+	r.machineLists[page] = list
 	return nil
 }
 
@@ -58,13 +58,13 @@
 		FreeMemory: f.Number("spare_mem"),
 		State:      textfields.Lookup(&f.Fields, "readiness", machineStates, flaxshelf.Active),
 	}
-	return listedMachine{machine: machine, kind: f.Text("shape")}
+	return listedMachine{machine: machine, kindName: f.Text("shape")}
 }
 
-// forInstance returns the machine with the kind that it has in the settings of an instance.
-func (l listedMachine) forInstance(names *fleetsettings.Names) flaxshelf.Machine {
+// machineWithKind returns the machine with the kind that it has in the settings of an instance.
+func (l listedMachine) machineWithKind(names *fleetsettings.Names) flaxshelf.Machine {
 	machine := l.machine
-	machine.Kind = names.Kind(l.kind)
+	machine.Kind = names.Kind(l.kindName)
 	return machine
 }
 
@@ -79,14 +79,14 @@
 		f.Fail("form", form, "must be Complete, Partial, Persisted or Error")
 		return nil
 	}
-	list, ok := r.pages[int(f.RequiredInteger("page"))]
+	list, ok := r.machineLists[int(f.RequiredInteger("page"))]
 	if !ok {
 		f.Fail("page", f.Text("page"), "must be the number of a list that was registered before")
 		return nil
 	}
 	event := flaxshelf.MachinesUpdated{Complete: form != "Partial", Stale: form == "Persisted"}
 	for _, entry := range list {
-		event.Machines = append(event.Machines, entry.forInstance(f.names))
+		event.Machines = append(event.Machines, entry.machineWithKind(f.names))
 	}
 	return event
 }
--- a/internal/benchadapter/reader.go
+++ b/internal/benchadapter/reader.go
@@ -23,8 +23,8 @@
 	names  *fleetsettings.Names
 }
 
-// Item is an occurrence at an instance. Exactly one of Start, Stop and Event is set.
-type Item struct {
+// Message is an occurrence at an instance. Exactly one of Start, Stop and Event is set.
+type Message struct {
 	Instance int
 	Start    *Start
 	Stop     bool
@@ -33,9 +33,9 @@
 
 // Batch is the content of a FRAME.
 type Batch struct {
-	Clock  flaxshelf.Time
-	Serial int64
-	Items  []Item
+	Now      flaxshelf.Time
+	Serial   int64
+	Messages []Message
 }
 
 // ProtocolError reports malformed input: the serial number of the current batch, the field and its value.
@@ -50,30 +50,30 @@
 
 // Reader reads batches. It stores the names in the settings of instances, and the registered lists of machines.
 type Reader struct {
-	in     *bufio.Reader
-	names  map[int]*fleetsettings.Names // by instance
-	pages  map[int][]listedMachine
-	serial int64
+	in           *bufio.Reader
+	names        map[int]*fleetsettings.Names // by instance
+	machineLists map[int][]listedMachine
+	batchSerial  int64
 }
 
 // NewReader returns a Reader of in.
 func NewReader(in io.Reader) *Reader {
 	return &Reader{
-		in:    bufio.NewReaderSize(in, readBufferBytes),
-		names: map[int]*fleetsettings.Names{},
-		pages: map[int][]listedMachine{},
+		in:           bufio.NewReaderSize(in, readBufferBytes),
+		names:        map[int]*fleetsettings.Names{},
+		machineLists: map[int][]listedMachine{},
 	}
 }
 
 // Next reads a batch. The error is io.EOF when the input ends between batches, io.ErrUnexpectedEOF when it ends within one (but
-// see register), and otherwise a *ProtocolError or the error of the input.
+// see readMachineList), and otherwise a *ProtocolError or the error of the input.
 func (r *Reader) Next() (*Batch, error) {
-	batch, err := r.begin()
+	batch, err := r.readBatchStart()
 	if err != nil {
 		return nil, err
 	}
 	for {
-		line, err := r.line()
+		line, err := r.readLine()
 		if errors.Is(err, io.EOF) {
 			err = io.ErrUnexpectedEOF
 		}
@@ -86,40 +86,40 @@
 		if line == "" {
 			continue
 		}
-		item, ok, err := r.item(line)
+		item, ok, err := r.readMessage(line)
 		if err != nil {
 			return nil, err
 		}
 		if ok {
-			batch.Items = append(batch.Items, item)
+			batch.Messages = append(batch.Messages, item)
 		}
 	}
 }
 
-// begin reads the FRAME line of a batch. Empty lines before it are skipped.
-func (r *Reader) begin() (*Batch, error) {
-	line, err := r.line()
+// readBatchStart reads the FRAME line of a batch. Empty lines before it are skipped.
+func (r *Reader) readBatchStart() (*Batch, error) {
+	line, err := r.readLine()
 	for err == nil && line == "" {
-		line, err = r.line()
+		line, err = r.readLine()
 	}
 	if err != nil {
 		return nil, err
 	}
 	message, rest, _ := strings.Cut(line, " ")
 	if message != "FRAME" {
-		return nil, &ProtocolError{Batch: r.serial, Field: "FRAME", Value: line}
+		return nil, &ProtocolError{Batch: r.batchSerial, Field: "FRAME", Value: line}
 	}
 	f := parseFields(rest)
-	batch := &Batch{Clock: f.RequiredDuration("clock_ns"), Serial: f.RequiredInteger("serial")}
-	if err := r.check(f); err != nil {
+	batch := &Batch{Now: f.RequiredDuration("clock_ns"), Serial: f.RequiredInteger("serial")}
+	if err := r.protocolError(f); err != nil {
 		return nil, err
 	}
-	r.serial = batch.Serial
+	r.batchSerial = batch.Serial
 	return batch, nil
 }
 
-// line reads a line and returns it without its line break.
-func (r *Reader) line() (string, error) {
+// readLine reads a line and returns it without its line break.
+func (r *Reader) readLine() (string, error) {
 	line, err := r.in.ReadString('\n')
 	if errors.Is(err, io.EOF) && line != "" {
 		err = io.ErrUnexpectedEOF
@@ -127,22 +127,22 @@
 	return strings.TrimRight(line, "\r\n"), err
 }
 
-// item decodes a line of a batch, and the following lines that belong to it. ok is false for a line that is not about an
+// readMessage decodes a line of a batch, and the following lines that belong to it. ok is false for a line that is not about an
 // instance, and for an unknown message.
-func (r *Reader) item(line string) (item Item, ok bool, err error) {
+func (r *Reader) readMessage(line string) (item Message, ok bool, err error) {
 	message, rest, _ := strings.Cut(line, " ")
 	f := parseFields(rest)
 	if message == "REGISTER" {
-		return item, false, r.register(f)
+		return item, false, r.readMachineList(f)
 	}
 	item.Instance = int(f.RequiredInteger("who"))
 	if names := r.names[item.Instance]; names != nil {
 		f.names = names
 	}
-	if !r.decodeItem(message, f, &item) {
+	if !r.decodeMessage(message, f, &item) {
 		return item, false, nil
 	}
-	if err := r.check(f); err != nil {
+	if err := r.protocolError(f); err != nil {
 		return item, false, err
 	}
 	if item.Start != nil {
@@ -151,8 +151,8 @@
 	return item, true, nil
 }
 
-// decodeItem decodes a message about an instance. It returns false for an unknown message.
-func (r *Reader) decodeItem(message string, f *fields, item *Item) bool {
+// decodeMessage decodes a message about an instance. It returns false for an unknown message.
+func (r *Reader) decodeMessage(message string, f *fields, item *Message) bool {
 	switch message {
 	case "UP":
 		item.Start = &Start{Seed: uint64(f.Integer("init_seed"))}
--- a/internal/benchadapter/reader_test.go
+++ b/internal/benchadapter/reader_test.go
@@ -36,7 +36,7 @@
 }
 
 func TestStartHasTheConfiguration(t *testing.T) {
-	config := readAll(t, "FRAME clock_ns=5 serial=1\n"+upLine+"END\n")[0].Items[0].Start.Config
+	config := readAll(t, "FRAME clock_ns=5 serial=1\n"+upLine+"END\n")[0].Messages[0].Start.Config
 	if config.Schedulers != 2 || !config.DiscoveryOnRequest || config.Tick != 2*time.Millisecond || len(config.Tenants) != 0 {
 		t.Errorf("got %+v, want 2 schedulers, discovery on request, a tick of 2 ms and no tenants", config)
 	}
@@ -61,7 +61,7 @@
 		"LATER who=3 x=1\nLATER who=x\nVIEW who=3 form=Error\nINBOX who=3 neighbour=2 blob=aGkgNw==\n" +
 		"ATTEMPT_END who=3 tid=c:1 leg=1 node=n1 verdict=254 remark=2 lag_ns=7 load=x0:3.5,x9:1\n" +
 		"STATUS_NOTE who=3 tid=c:1 leg=0 node=n1 kind=4 amount=0.5\nRETIRE who=3\nEND\n"
-	items := readAll(t, text)[0].Items
+	items := readAll(t, text)[0].Messages
 	want := []flaxshelf.Event{nil,
 		flaxshelf.MachinesUpdated{Complete: true, Machines: []flaxshelf.Machine{{ID: "n1", Kind: 1, Zone: "a", Cell: 2, Started: 4}}},
 		flaxshelf.MachinesUpdated{Machines: []flaxshelf.Machine{{ID: "n1", Kind: -1, State: flaxshelf.Draining}}},
@@ -97,7 +97,7 @@
 		"WAKEUP who=3":                   flaxshelf.TimerFired{},
 		"ABORTED who=3 tid=t":            flaxshelf.TaskCanceled{Task: "t"},
 	} {
-		items := readAll(t, "FRAME clock_ns=5 serial=1\n"+upLine+line+"\nEND\n")[0].Items
+		items := readAll(t, "FRAME clock_ns=5 serial=1\n"+upLine+line+"\nEND\n")[0].Messages
 		if len(items) != 2 || items[1].Instance != 3 || !reflect.DeepEqual(items[1].Event, want) {
 			t.Errorf("%s: got %+v, want %+v", line, items, want)
 		}
@@ -146,7 +146,7 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		first, errFirst := NewReader(strings.NewReader(text)).Next()
 		second, errSecond := NewReader(strings.NewReader(text)).Next()
-		if (errFirst == nil) != (errSecond == nil) || errFirst == nil && len(first.Items) != len(second.Items) {
+		if (errFirst == nil) != (errSecond == nil) || errFirst == nil && len(first.Messages) != len(second.Messages) {
 			t.Errorf("second read: got %v, want the same as the first: %v", errSecond, errFirst)
 		}
 	})
@@ -181,7 +181,7 @@
 func TestListKeepsEveryFieldOfMachine(t *testing.T) {
 	want := machinetest.Filled(t)
 	items := readAll(t, "FRAME clock_ns=5 serial=1\n"+upLine+"REGISTER page=0 records=1\n"+machineLine(want, "k1", "k2")+
-		"\nVIEW who=3 form=Complete page=0\nEND\n")[0].Items
+		"\nVIEW who=3 form=Complete page=0\nEND\n")[0].Messages
 	update, ok := items[len(items)-1].Event.(flaxshelf.MachinesUpdated)
 	if !ok || len(update.Machines) != 1 {
 		t.Fatalf("got %+v, want an update with one machine", items)
--- a/internal/benchadapter/writer.go
+++ b/internal/benchadapter/writer.go
@@ -19,8 +19,8 @@
 // NewWriter returns a Writer to out.
 func NewWriter(out io.Writer) *Writer { return &Writer{bufio.NewWriterSize(out, writeBufferBytes)} }
 
-// Action writes one action of an instance.
-func (w *Writer) Action(instance int, action flaxshelf.Action) {
+// WriteAction writes one action of an instance.
+func (w *Writer) WriteAction(instance int, action flaxshelf.Action) {
 	switch a := action.(type) {
 	case flaxshelf.Offer:
 		w.printf("BIND who=%d tid=%s cap_ns=%d node=%s\n", instance, a.Task, a.Timeout, a.Machine)
@@ -45,24 +45,24 @@
 
 func encodeBlob(data []byte) string {
 	if len(data) == 0 {
-		return noData
+		return emptyValue
 	}
 	return base64.StdEncoding.EncodeToString(data)
 }
 
-// lineBreaks replaces line breaks, which would end a message.
-var lineBreaks = strings.NewReplacer("\n", " ", "\r", " ")
+// lineBreakReplacer replaces line breaks, which would end a message.
+var lineBreakReplacer = strings.NewReplacer("\n", " ", "\r", " ")
 
-// Bug writes that the module has panicked in a step of an instance.
-func (w *Writer) Bug(instance int, text string) {
-	w.printf("BUG who=%d msg=%s\n", instance, lineBreaks.Replace(text))
+// WritePanic writes that the module has panicked in a step of an instance.
+func (w *Writer) WritePanic(instance int, text string) {
+	w.printf("BUG who=%d msg=%s\n", instance, lineBreakReplacer.Replace(text))
 }
 
-// End writes the end of the reply to a batch and flushes it. The error is the first one of any write of the Writer.
-func (w *Writer) End(serial int64) error {
+// EndReply writes the end of the reply to a batch and flushes it. The error is the first one of any write of the Writer.
+func (w *Writer) EndReply(serial int64) error {
 	w.printf("READY serial=%d\n", serial)
 	return w.out.Flush()
 }
 
-// printf writes formatted text. bufio.Writer stores the first error for End.
+// printf writes formatted text. bufio.Writer stores the first error for EndReply.
 func (w *Writer) printf(format string, args ...any) { _, _ = fmt.Fprintf(w.out, format, args...) }
--- a/internal/benchadapter/writer_test.go
+++ b/internal/benchadapter/writer_test.go
@@ -17,10 +17,10 @@
 		flaxshelf.Reject{Task: "t"}, flaxshelf.Fail{Task: "t"}, flaxshelf.Migrate{Task: "t"}, flaxshelf.HealthCheck{Machine: "m"},
 		flaxshelf.SendGossip{Data: []byte("hi 7")}, flaxshelf.SendGossip{}, flaxshelf.Subscribe{}, flaxshelf.SetTimer{After: 7},
 	} {
-		w.Action(3, action)
+		w.WriteAction(3, action)
 	}
-	w.Bug(3, "a\nb")
-	if err := w.End(8); err != nil {
+	w.WritePanic(3, "a\nb")
+	if err := w.EndReply(8); err != nil {
 		t.Fatal(err)
 	}
 	want := "BIND who=3 tid=t cap_ns=1000000 node=m\nRECALL who=3 tid=t leg=2\nREJECT who=3 tid=t\n" +
@@ -38,11 +38,11 @@
 
 func (failingWriter) Write([]byte) (int, error) { return 0, errWrite }
 
-// End returns the error of a write within the reply.
+// EndReply returns the error of a write within the reply.
 func TestEndReturnsWriteError(t *testing.T) {
 	w := NewWriter(failingWriter{})
-	w.Bug(1, string(make([]byte, 2*writeBufferBytes)))
-	if err := w.End(1); !errors.Is(err, errWrite) {
+	w.WritePanic(1, string(make([]byte, 2*writeBufferBytes)))
+	if err := w.EndReply(1); !errors.Is(err, errWrite) {
 		t.Errorf("got %v, want %v", err, errWrite)
 	}
 }
--- a/internal/daemon/core.go
+++ b/internal/daemon/core.go
@@ -79,7 +79,7 @@
 		if err != nil {
 			return nil, err
 		}
-		r.recorder, config.RecordStep = recorder, recorder.Step
+		r.recorder, config.RecordStep = recorder, recorder.WriteStep
 	}
 	core, err := scheduler.New(config)
 	if err != nil {
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -156,7 +156,7 @@
 		if s.recording, err = replay.Create(s.options.Recording, config.Module, config.Seed); err != nil {
 			return err
 		}
-		coreConfig.RecordStep = s.recording.Step
+		coreConfig.RecordStep = s.recording.WriteStep
 	}
 	s.core, err = requests.New(coreConfig)
 	return err
--- a/internal/replay/benchmark_test.go
+++ b/internal/replay/benchmark_test.go
@@ -31,7 +31,7 @@
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				w.Step(1, s.events, s.actions)
+				w.WriteStep(1, s.events, s.actions)
 			}
 			if err := w.Close(); err != nil {
 				b.Fatal(err)
--- a/internal/replay/check.go
+++ b/internal/replay/check.go
@@ -57,11 +57,11 @@
 // compareActions returns a *DivergenceError if a module's actions differ from the recorded ones.
 func compareActions(step int, actions, recorded []flaxshelf.Action) error {
 	if len(actions) != len(recorded) {
-		return &DivergenceError{Step: step, Action: allActionsDiffer, Actions: actions, Recorded: recorded}
+		return &DivergenceError{Step: step, ActionIndex: actionCountDiffers, Replayed: actions, Recorded: recorded}
 	}
 	for i := range actions {
 		if !reflect.DeepEqual(actions[i], recorded[i]) {
-			return &DivergenceError{Step: step, Action: i, Actions: actions, Recorded: recorded}
+			return &DivergenceError{Step: step, ActionIndex: i, Replayed: actions, Recorded: recorded}
 		}
 	}
 	return nil
--- a/internal/replay/replay_test.go
+++ b/internal/replay/check_test.go
@@ -78,8 +78,8 @@
 			if !errors.As(err, &divergence) {
 				t.Fatalf("got %v, want a DivergenceError", err)
 			}
-			if divergence.Step != 11 || divergence.Action != c.action || !strings.Contains(err.Error(), "step 11") {
-				t.Errorf("got step %d, action %d (%v), want step 11, action %d", divergence.Step, divergence.Action, err, c.action)
+			if divergence.Step != 11 || divergence.ActionIndex != c.action || !strings.Contains(err.Error(), "step 11") {
+				t.Errorf("got step %d, action %d (%v), want step 11, action %d", divergence.Step, divergence.ActionIndex, err, c.action)
 			}
 		})
 	}
--- a/internal/replay/cluster_test.go
+++ b/internal/replay/cluster_test.go
@@ -68,8 +68,8 @@
 		Deadline: c.now + c.duration(500*time.Millisecond, 3*time.Second), Retry: c.rng.IntN(20) == 0}
 }
 
-// eventsOf returns the events of one step: external ones, and then those that are due, in their order.
-func (c *cluster) eventsOf(step int) []flaxshelf.Event {
+// stepEvents returns the events of one step: external ones, and then those that are due, in their order.
+func (c *cluster) stepEvents(step int) []flaxshelf.Event {
 	events := c.externalEvents(step)
 	var later []scheduledEvent
 	for _, d := range c.scheduled {
@@ -150,12 +150,12 @@
 			if !a.placed || a.ended {
 				continue
 			}
-			served := 1.0
+			serviceLevel := 1.0
 			if a.machine == "m1" {
-				served = 0.1
+				serviceLevel = 0.1
 			}
 			events = append(events, flaxshelf.UsageReport{Task: id, Machine: a.machine, Attempt: n, Kind: flaxshelf.ServiceLevel,
-				Amount: served})
+				Amount: serviceLevel})
 		}
 	}
 	return events
@@ -171,7 +171,7 @@
 	for _, a := range actions {
 		switch a := a.(type) {
 		case flaxshelf.Offer:
-			c.answerOffer(a)
+			c.respondToOffer(a)
 		case flaxshelf.Cancel:
 			c.schedule(0, flaxshelf.AttemptEnded{Task: a.Task, Machine: c.attempts[a.Task][a.Attempt].machine, Attempt: a.Attempt,
 				Outcome: flaxshelf.Canceled, Final: true})
@@ -187,31 +187,31 @@
 	}
 }
 
-func (c *cluster) answerOffer(o flaxshelf.Offer) {
+func (c *cluster) respondToOffer(o flaxshelf.Offer) {
 	n := len(c.attempts[o.Task])
 	c.attempts[o.Task] = append(c.attempts[o.Task], attempt{machine: o.Machine})
-	lag := c.duration(time.Millisecond, 40*time.Millisecond)
-	ended := flaxshelf.AttemptEnded{Task: o.Task, Machine: o.Machine, Attempt: n, Latency: lag, Load: c.loadReport()}
-	switch chance := c.rng.IntN(100); {
-	case chance < 10:
+	latency := c.duration(time.Millisecond, 40*time.Millisecond)
+	ended := flaxshelf.AttemptEnded{Task: o.Task, Machine: o.Machine, Attempt: n, Latency: latency, Load: c.loadReport()}
+	switch percentile := c.rng.IntN(100); {
+	case percentile < 10:
 		ended.Outcome, ended.Reason = flaxshelf.Rejected, flaxshelf.InsufficientCores
-	case chance < 13:
+	case percentile < 13:
 		ended.Outcome = flaxshelf.Failed
-	case chance < 16:
+	case percentile < 16:
 		ended.Outcome, ended.Load = flaxshelf.Unreachable, flaxshelf.LoadReport{}
-	case chance < 18:
+	case percentile < 18:
 		ended.Outcome = flaxshelf.NotSent
-	case chance < 25:
-		lag, ended.Outcome, ended.Load = o.Timeout, flaxshelf.TimedOut, flaxshelf.LoadReport{}
-	case chance < 29:
+	case percentile < 25:
+		latency, ended.Outcome, ended.Load = o.Timeout, flaxshelf.TimedOut, flaxshelf.LoadReport{}
+	case percentile < 29:
 		return // the offer stays without a response
 	default:
-		c.schedule(lag, flaxshelf.AttemptPlaced{Task: o.Task, Machine: o.Machine, Attempt: n, Latency: lag})
-		lag += c.duration(500*time.Millisecond, 4*time.Second)
+		c.schedule(latency, flaxshelf.AttemptPlaced{Task: o.Task, Machine: o.Machine, Attempt: n, Latency: latency})
+		latency += c.duration(500*time.Millisecond, 4*time.Second)
 		ended.Final = true
 		if c.rng.IntN(20) == 0 {
 			ended.Outcome, ended.Reason = flaxshelf.Lost, flaxshelf.Evicted
 		}
 	}
-	c.schedule(lag, ended)
+	c.schedule(latency, ended)
 }
--- a/internal/replay/convert.go
+++ b/internal/replay/convert.go
@@ -27,15 +27,15 @@
 	return conversion{record: record, model: model, toRecord: toRecord, toModel: toModel}, err
 }
 
-// store returns a pointer to the record of a value. Gob stores what it points to, so that no copy is needed.
-func (c *conversion) store(value any) any {
+// newRecord returns a pointer to the record of a value. Gob stores what it points to, so that no copy is needed.
+func (c *conversion) newRecord(value any) any {
 	record := reflect.New(c.record)
 	c.toRecord(record.Elem(), reflect.ValueOf(value))
 	return record.Interface()
 }
 
-// load returns the value of a record.
-func (c *conversion) load(record any) any {
+// newModelValue returns the value of a record.
+func (c *conversion) newModelValue(record any) any {
 	value := reflect.New(c.model).Elem()
 	c.toModel(value, reflect.ValueOf(record))
 	return value.Interface()
@@ -45,7 +45,7 @@
 func newCopiers(record, model reflect.Type) (toRecord, toModel copier, err error) {
 	switch {
 	case record == model:
-		same := copierOf(model.Kind())
+		same := sameTypeCopier(model.Kind())
 		return same, same, nil
 	case record.Kind() == reflect.Struct && model.Kind() == reflect.Struct:
 		return newStructCopiers(record, model)
@@ -61,8 +61,8 @@
 // copyNothing leaves a field at zero whose types have no copier.
 func copyNothing(_, _ reflect.Value) {}
 
-// copierOf returns the fastest copier between values of one type, which is of the given kind.
-func copierOf(kind reflect.Kind) copier {
+// sameTypeCopier returns the fastest copier between values of one type, which is of the given kind.
+func sameTypeCopier(kind reflect.Kind) copier {
 	switch kind {
 	case reflect.Bool:
 		return func(to, from reflect.Value) { to.SetBool(from.Bool()) }
@@ -123,7 +123,7 @@
 		name := modelFieldName(recordField)
 		modelField, ok := model.FieldByName(name)
 		if !ok || stored[name] {
-			problems = append(problems, &MissingFieldError{Type: record, Field: recordField.Name, In: model})
+			problems = append(problems, &MissingFieldError{Type: record, Field: recordField.Name, MissingIn: model})
 			continue
 		}
 		stored[name] = true
@@ -135,7 +135,7 @@
 	}
 	for i := range model.NumField() {
 		if name := model.Field(i).Name; !stored[name] {
-			problems = append(problems, &MissingFieldError{Type: model, Field: name, In: record})
+			problems = append(problems, &MissingFieldError{Type: model, Field: name, MissingIn: record})
 		}
 	}
 	return mappings, errors.Join(problems...)
--- a/internal/replay/convert_test.go
+++ b/internal/replay/convert_test.go
@@ -10,8 +10,8 @@
 
 // A new field of package flaxshelf without a field in its record fails here by its name.
 func TestFormatStoresEveryField(t *testing.T) {
-	if format.err != nil {
-		t.Errorf("fields without a counterpart, see record.go:\n%v", format.err)
+	if storedTypes.err != nil {
+		t.Errorf("fields without a counterpart, see record.go:\n%v", storedTypes.err)
 	}
 }
 
--- a/internal/replay/errors.go
+++ b/internal/replay/errors.go
@@ -43,32 +43,32 @@
 // MissingFieldError reports a field without a counterpart in the other type: a field of package flaxshelf that no field of its
 // record stores, or a field of a record that stores none.
 type MissingFieldError struct {
-	Type  reflect.Type // that has the field
-	Field string
-	In    reflect.Type // that lacks its counterpart
+	Type      reflect.Type // that has the field
+	Field     string
+	MissingIn reflect.Type // that lacks its counterpart
 }
 
 // Error names the field, and the type that lacks it.
 func (e *MissingFieldError) Error() string {
-	return fmt.Sprintf("%v.%s has no counterpart in %v", e.Type, e.Field, e.In)
+	return fmt.Sprintf("%v.%s has no counterpart in %v", e.Type, e.Field, e.MissingIn)
 }
 
 // DivergenceError reports a step in which a module's actions differ from the recorded ones.
 type DivergenceError struct {
-	Step     int                // number of the step, from 1
-	Action   int                // index of the first action that differs; -1 if the number of actions differs
-	Actions  []flaxshelf.Action // of the module
-	Recorded []flaxshelf.Action // of the recording
+	Step        int                // number of the step, from 1
+	ActionIndex int                // index of the first action that differs; -1 if the number of actions differs
+	Replayed    []flaxshelf.Action // of the module
+	Recorded    []flaxshelf.Action // of the recording
 }
 
-// allActionsDiffer is DivergenceError.Action if the number of actions differs.
-const allActionsDiffer = -1
+// actionCountDiffers is the DivergenceError.ActionIndex if the number of actions differs.
+const actionCountDiffers = -1
 
 // Error names the step and the first action that differs.
 func (e *DivergenceError) Error() string {
-	if e.Action == allActionsDiffer {
-		return fmt.Sprintf("replay: step %d: %d actions, recorded were %d", e.Step, len(e.Actions), len(e.Recorded))
+	if e.ActionIndex == actionCountDiffers {
+		return fmt.Sprintf("replay: step %d: %d actions, recorded were %d", e.Step, len(e.Replayed), len(e.Recorded))
 	}
-	return fmt.Sprintf("replay: step %d: action %d is %#v, recorded was %#v", e.Step, e.Action, e.Actions[e.Action],
-		e.Recorded[e.Action])
+	return fmt.Sprintf("replay: step %d: action %d is %#v, recorded was %#v", e.Step, e.ActionIndex, e.Replayed[e.ActionIndex],
+		e.Recorded[e.ActionIndex])
 }
--- a/internal/replay/format_test.go
+++ b/internal/replay/format_test.go
@@ -41,17 +41,17 @@
 
 func updateRecordings() error {
 	if _, err := os.Stat(allTypesFile); errors.Is(err, fs.ErrNotExist) {
-		if err := writeStored(allTypesFile, recordAllTypes); err != nil {
+		if err := writeCompressed(allTypesFile, recordAllTypes); err != nil {
 			return err
 		}
 	}
-	if err := writeStored(decisionsFile, recordDecisions); err != nil {
+	if err := writeCompressed(decisionsFile, recordDecisions); err != nil {
 		return err
 	}
 	return updateDaysAndWorlds()
 }
 
-func writeStored(path string, record func(io.Writer) error) error {
+func writeCompressed(path string, record func(io.Writer) error) error {
 	var plain, zipped bytes.Buffer
 	if err := record(&plain); err != nil {
 		return err
@@ -69,7 +69,7 @@
 	return os.WriteFile(path, zipped.Bytes(), 0o644)
 }
 
-func readStored(t *testing.T, path string) []byte {
+func readCompressed(t *testing.T, path string) []byte {
 	t.Helper()
 	f, err := os.Open(path)
 	if err != nil {
@@ -98,13 +98,13 @@
 	if err != nil {
 		return err
 	}
-	w.Step(allTypesNow, allEvents(), allActions())
-	w.Step(0, nil, nil)
+	w.WriteStep(allTypesNow, allEvents(), allActions())
+	w.WriteStep(0, nil, nil)
 	return w.Close()
 }
 
-// scripted is a module that expects the events of a test and returns the actions of the test.
-type scripted struct {
+// scriptedModule is a module that expects the events of a test and returns the actions of the test.
+type scriptedModule struct {
 	t       *testing.T
 	steps   int
 	events  [][]flaxshelf.Event
@@ -112,7 +112,7 @@
 	times   []flaxshelf.Time
 }
 
-func (s *scripted) Step(now flaxshelf.Time, events []flaxshelf.Event) []flaxshelf.Action {
+func (s *scriptedModule) Step(now flaxshelf.Time, events []flaxshelf.Event) []flaxshelf.Action {
 	i := s.steps
 	s.steps++
 	if i >= len(s.times) {
@@ -130,7 +130,7 @@
 // checkAllTypes reads a recording of recordAllTypes, and compares each value.
 func checkAllTypes(t *testing.T, recording []byte) {
 	t.Helper()
-	s := &scripted{t: t, times: []flaxshelf.Time{allTypesNow, 0}, events: [][]flaxshelf.Event{allEvents(), nil},
+	s := &scriptedModule{t: t, times: []flaxshelf.Time{allTypesNow, 0}, events: [][]flaxshelf.Event{allEvents(), nil},
 		actions: [][]flaxshelf.Action{allActions(), nil}}
 	result, err := CheckWith(bytes.NewReader(recording), func(c flaxshelf.Config, seed uint64) (Module, error) {
 		if !reflect.DeepEqual(c, storedConfig()) {
@@ -151,7 +151,7 @@
 }
 
 func TestReadsAllTypesOfEarlierBuild(t *testing.T) {
-	checkAllTypes(t, readStored(t, allTypesFile))
+	checkAllTypes(t, readCompressed(t, allTypesFile))
 }
 
 // typeCounter plays to a module, and counts the types of its events and actions.
@@ -173,7 +173,7 @@
 
 // The recording has all events, and all actions that a module takes today: none is a health check or sends gossip.
 func TestReplaysDecisionsOfEarlierBuild(t *testing.T) {
-	recording := readStored(t, decisionsFile)
+	recording := readCompressed(t, decisionsFile)
 	result, err := Check(bytes.NewReader(recording))
 	if err != nil {
 		t.Fatal(err)
@@ -226,9 +226,9 @@
 	c := newCluster()
 	for step := range decisionSteps {
 		c.now += decisionStep
-		events := c.eventsOf(step)
+		events := c.stepEvents(step)
 		actions := placer.Step(c.now, events)
-		w.Step(c.now, events, actions)
+		w.WriteStep(c.now, events, actions)
 		c.execute(actions)
 	}
 	return w.Close()
--- a/internal/replay/reader.go
+++ b/internal/replay/reader.go
@@ -19,10 +19,10 @@
 
 // reader reads a recording step by step.
 type reader struct {
-	decoder *gob.Decoder
-	config  flaxshelf.Config
-	seed    uint64
-	steps   int // steps read so far
+	decoder   *gob.Decoder
+	config    flaxshelf.Config
+	seed      uint64
+	stepsRead int // steps read so far
 }
 
 // newReader reads the header of a recording. It decodes the version alone first, since another version may have another
@@ -42,30 +42,30 @@
 	if err := decoder.Decode(&header); err != nil {
 		return nil, &FormatError{Part: part, Version: version.Version, Err: err}
 	}
-	config := format.config.load(header.Config).(flaxshelf.Config)
+	config := storedTypes.configConversion.newModelValue(header.Config).(flaxshelf.Config)
 	return &reader{decoder: decoder, config: config, seed: header.Seed}, nil
 }
 
 // next reads the next step. The error is a *FormatError, which wraps io.EOF at the end of the recording.
 func (r *reader) next() (step, error) {
-	r.steps++
+	r.stepsRead++
 	var record stepRecord
 	err := r.decoder.Decode(&record)
 	if err == nil {
 		var s step
-		if s, err = record.step(); err == nil {
+		if s, err = record.toStep(); err == nil {
 			return s, nil
 		}
 	}
-	return step{}, &FormatError{Part: fmt.Sprintf("step %d", r.steps), Version: Version, Err: err}
+	return step{}, &FormatError{Part: fmt.Sprintf("step %d", r.stepsRead), Version: Version, Err: err}
 }
 
-// step returns the step of the record.
-func (r *stepRecord) step() (step, error) {
-	events, err := loadAll[flaxshelf.Event](format, r.Events)
+// toStep returns the step of the record.
+func (r *stepRecord) toStep() (step, error) {
+	events, err := newModelValues[flaxshelf.Event](storedTypes, r.Events)
 	if err != nil {
 		return step{}, err
 	}
-	actions, err := loadAll[flaxshelf.Action](format, r.Actions)
+	actions, err := newModelValues[flaxshelf.Action](storedTypes, r.Actions)
 	return step{now: r.Now, events: events, actions: actions}, err
 }
--- a/internal/replay/record.go
+++ b/internal/replay/record.go
@@ -3,7 +3,7 @@
 import "time"
 
 // The types of this file are the format of recordings, Version 1. Gob finds the fields of a struct by their names, and
-// the type of an event or action by the name under which newRegistry registers it: none of these names may change, whatever
+// the type of an event or action by the name under which newTypeRegistry registers it: none of these names may change, whatever
 // the types and fields of package flaxshelf are called. The tag "model" names the field that is stored, where that has
 // another name today. Enumerations are stored as their numbers.
 //
@@ -11,10 +11,10 @@
 // builds ignore it. A field that changes its meaning needs a new Version.
 
 // eventRecord is the record of an event.
-type eventRecord interface{ storesEvent() }
+type eventRecord interface{ isEventRecord() }
 
 // actionRecord is the record of an action.
-type actionRecord interface{ storesAction() }
+type actionRecord interface{ isActionRecord() }
 
 type headerRecord struct {
 	Version int
@@ -232,24 +232,24 @@
 	After time.Duration
 }
 
-func (machinesUpdatedRecord) storesEvent() {}
-func (discoveryFailedRecord) storesEvent() {}
-func (taskSubmittedRecord) storesEvent()   {}
-func (taskAdoptedRecord) storesEvent()     {}
-func (attemptPlacedRecord) storesEvent()   {}
-func (attemptEndedRecord) storesEvent()    {}
-func (usageReportRecord) storesEvent()     {}
-func (healthCheckedRecord) storesEvent()   {}
-func (gossipReceivedRecord) storesEvent()  {}
-func (timerFiredRecord) storesEvent()      {}
-func (taskCanceledRecord) storesEvent()    {}
-
-func (offerRecord) storesAction()       {}
-func (cancelRecord) storesAction()      {}
-func (rejectRecord) storesAction()      {}
-func (failRecord) storesAction()        {}
-func (migrateRecord) storesAction()     {}
-func (healthCheckRecord) storesAction() {}
-func (sendGossipRecord) storesAction()  {}
-func (subscribeRecord) storesAction()   {}
-func (setTimerRecord) storesAction()    {}
+func (machinesUpdatedRecord) isEventRecord() {}
+func (discoveryFailedRecord) isEventRecord() {}
+func (taskSubmittedRecord) isEventRecord()   {}
+func (taskAdoptedRecord) isEventRecord()     {}
+func (attemptPlacedRecord) isEventRecord()   {}
+func (attemptEndedRecord) isEventRecord()    {}
+func (usageReportRecord) isEventRecord()     {}
+func (healthCheckedRecord) isEventRecord()   {}
+func (gossipReceivedRecord) isEventRecord()  {}
+func (timerFiredRecord) isEventRecord()      {}
+func (taskCanceledRecord) isEventRecord()    {}
+
+func (offerRecord) isActionRecord()       {}
+func (cancelRecord) isActionRecord()      {}
+func (rejectRecord) isActionRecord()      {}
+func (failRecord) isActionRecord()        {}
+func (migrateRecord) isActionRecord()     {}
+func (healthCheckRecord) isActionRecord() {}
+func (sendGossipRecord) isActionRecord()  {}
+func (subscribeRecord) isActionRecord()   {}
+func (setTimerRecord) isActionRecord()    {}
--- a/internal/replay/record_test.go
+++ b/internal/replay/record_test.go
@@ -87,7 +87,7 @@
 		t.Fatal(err)
 	}
 	for _, s := range steps {
-		w.Step(s.now, s.events, s.actions)
+		w.WriteStep(s.now, s.events, s.actions)
 	}
 	if err := w.Close(); err != nil {
 		t.Fatal(err)
@@ -125,8 +125,8 @@
 	}
 }
 
-// receivers returns the sorted names of the types of package flaxshelf that have a method.
-func receivers(t *testing.T, method string) []string {
+// receiverTypes returns the sorted names of the types of package flaxshelf that have a method.
+func receiverTypes(t *testing.T, method string) []string {
 	t.Helper()
 	files, err := filepath.Glob("../../*.go")
 	if err != nil {
@@ -164,11 +164,11 @@
 }
 
 // allEvents and allActions have every event and action type of package flaxshelf, also a new one.
-func TestTestsCoverEveryType(t *testing.T) {
-	if got, want := typeNames(allEvents()), receivers(t, "event"); !slices.Equal(got, want) {
+func TestFixturesCoverEveryType(t *testing.T) {
+	if got, want := typeNames(allEvents()), receiverTypes(t, "event"); !slices.Equal(got, want) {
 		t.Errorf("got events %v, want those of package flaxshelf: %v", got, want)
 	}
-	if got, want := typeNames(allActions()), receivers(t, "handle"); !slices.Equal(got, want) {
+	if got, want := typeNames(allActions()), receiverTypes(t, "handle"); !slices.Equal(got, want) {
 		t.Errorf("got actions %v, want those of package flaxshelf: %v", got, want)
 	}
 }
@@ -201,7 +201,7 @@
 
 func TestStoredRecordingsAreRewrittenUnchanged(t *testing.T) {
 	for _, path := range []string{allTypesFile, decisionsFile} {
-		stored, steps := readAll(t, readStored(t, path))
+		stored, steps := readAll(t, readCompressed(t, path))
 		rewritten := writeAll(t, stored.config, stored.seed, steps)
 		read, stepsRead := readAll(t, rewritten)
 		if !reflect.DeepEqual(read.config, stored.config) || read.seed != stored.seed ||
@@ -229,8 +229,8 @@
 
 func TestUnreadableRecordingReturnsFormatError(t *testing.T) {
 	header := headerRecord{Version: Version}
-	stored := readStored(t, allTypesFile)
-	renamed := bytes.ReplaceAll(stored, []byte(storedPackage+"Gone"), []byte(storedPackage+"Here"))
+	stored := readCompressed(t, allTypesFile)
+	renamed := bytes.ReplaceAll(stored, []byte(storedTypePrefix+"Gone"), []byte(storedTypePrefix+"Here"))
 	if bytes.Equal(renamed, stored) {
 		t.Fatal("the recording does not name its types")
 	}
@@ -253,7 +253,7 @@
 			Version int
 			Config  []string
 		}{Version, []string{"x"}}), Version, []string{"the header", "version 1", "the build that wrote it"}},
-		{"unknown type", renamed, Version, []string{"step 1", storedPackage + "Here", "the build that wrote it"}},
+		{"unknown type", renamed, Version, []string{"step 1", storedTypePrefix + "Here", "the build that wrote it"}},
 		{"an action among the events", encode(t, header, struct{ Events []any }{[]any{offerRecord{}}}), Version,
 			[]string{"step 1", "offerRecord"}},
 		{"no type", encode(t, header, struct{ Events []eventRecord }{[]eventRecord{nil}}), Version,
@@ -306,8 +306,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			w.Step(1, c.events, c.actions)
-			w.Step(2, nil, nil)
+			w.WriteStep(1, c.events, c.actions)
+			w.WriteStep(2, nil, nil)
 			err = w.Close()
 			var unknown *UnknownTypeError
 			if !errors.As(err, &unknown) || !strings.Contains(err.Error(), c.want) {
--- a/internal/replay/recorded_test.go
+++ b/internal/replay/recorded_test.go
@@ -59,7 +59,7 @@
 func (r *recordedModule) Step(now flaxshelf.Time, events []flaxshelf.Event) []flaxshelf.Action {
 	actions := r.module.Step(now, events)
 	if r.steps++; r.steps <= r.maxSteps {
-		r.writer.Step(now, events, actions)
+		r.writer.WriteStep(now, events, actions)
 	}
 	return actions
 }
@@ -103,7 +103,7 @@
 			break
 		}
 		steps += module.steps
-		if err := writeStored(dayFile(name, incarnation), module.write); err != nil {
+		if err := writeCompressed(dayFile(name, incarnation), module.write); err != nil {
 			return err
 		}
 	}
@@ -119,7 +119,7 @@
 		return err
 	}
 	worlds.New(cfg, random).Play(recordedWorldSteps, module.Step)
-	return writeStored(worldFile(world), module.write)
+	return writeCompressed(worldFile(world), module.write)
 }
 
 // updateDaysAndWorlds writes all recordings of this file.
@@ -137,10 +137,10 @@
 	return nil
 }
 
-// checkDecisions plays a stored recording and returns the number of its steps.
-func checkDecisions(t *testing.T, path string) int {
+// checkRecording plays a stored recording and returns the number of its steps.
+func checkRecording(t *testing.T, path string) int {
 	t.Helper()
-	result, err := Check(bytes.NewReader(readStored(t, path)))
+	result, err := Check(bytes.NewReader(readCompressed(t, path)))
 	if err != nil {
 		t.Error(err)
 	}
@@ -150,7 +150,7 @@
 	return result.Steps
 }
 
-func TestRecordedDaysArePlayed(t *testing.T) {
+func TestRecordedDaysAreReplayed(t *testing.T) {
 	for _, day := range ablation.Days() {
 		t.Run(day, func(t *testing.T) {
 			paths, err := filepath.Glob(strings.Replace(dayFile(day, 0), "-0.", "-[0-9].", 1))
@@ -159,7 +159,7 @@
 			}
 			steps := 0
 			for _, path := range paths {
-				steps += checkDecisions(t, path)
+				steps += checkRecording(t, path)
 			}
 			if steps < recordedDaySteps && !t.Failed() {
 				t.Errorf("got %d steps in %d recordings, want %d or more", steps, len(paths), recordedDaySteps)
@@ -169,7 +169,7 @@
 }
 
 // The days that the emulator does not play have faults of connections, which only sockets have.
-func TestRecordedSocketDaysArePlayed(t *testing.T) {
+func TestRecordedSocketDaysAreReplayed(t *testing.T) {
 	emulated := ablation.Days()
 	for _, day := range scenario.Names() {
 		if slices.Contains(emulated, day) {
@@ -177,20 +177,20 @@
 		}
 		t.Run(day, func(t *testing.T) {
 			path := filepath.Join(socketDayFiles, day+".gob.gz")
-			if size := len(readStored(t, path)); size != socketDayBytes {
+			if size := len(readCompressed(t, path)); size != socketDayBytes {
 				t.Errorf("got %d bytes, want %d", size, socketDayBytes)
 			}
-			if steps := checkDecisions(t, path); steps < minSocketDaySteps && !t.Failed() {
+			if steps := checkRecording(t, path); steps < minSocketDaySteps && !t.Failed() {
 				t.Errorf("got %d steps, want %d or more", steps, minSocketDaySteps)
 			}
 		})
 	}
 }
 
-func TestRecordedWorldsArePlayed(t *testing.T) {
+func TestRecordedWorldsAreReplayed(t *testing.T) {
 	for world := range uint64(recordedWorlds) {
 		t.Run(fmt.Sprint(world), func(t *testing.T) {
-			if steps := checkDecisions(t, worldFile(world)); steps != recordedWorldSteps && !t.Failed() {
+			if steps := checkRecording(t, worldFile(world)); steps != recordedWorldSteps && !t.Failed() {
 				t.Errorf("got %d steps, want %d", steps, recordedWorldSteps)
 			}
 		})
--- a/internal/replay/registry.go
+++ b/internal/replay/registry.go
@@ -8,25 +8,25 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-// storedPackage is the path before the stored names of event and action types.
-const storedPackage = "flaxshelf.example/flaxshelf."
+// storedTypePrefix is the path before the stored names of event and action types.
+const storedTypePrefix = "flaxshelf.example/flaxshelf."
 
-// registry has the conversions of the format. It is complete once package-level variables are initialized, and only read
+// typeRegistry has the conversions of the format. It is complete once package-level variables are initialized, and only read
 // afterwards.
-type registry struct {
-	byModel  map[reflect.Type]*conversion // of events and actions, by their type in package flaxshelf
-	byRecord map[reflect.Type]*conversion // the same, by the type of their record
-	config   conversion
-	err      error // joins the errors of all conversions: each is a mistake in record.go
+type typeRegistry struct {
+	byModel          map[reflect.Type]*conversion // of events and actions, by their type in package flaxshelf
+	byRecord         map[reflect.Type]*conversion // the same, by the type of their record
+	configConversion conversion
+	err              error // joins the errors of all conversions: each is a mistake in record.go
 }
 
-// format has the stored types. The names are those that the types of package flaxshelf had when the first recordings were
+// storedTypes has the stored types. The names are those that the types of package flaxshelf had when the first recordings were
 // written; they are in every recording and must not change.
-var format = newRegistry()
+var storedTypes = newTypeRegistry()
 
-func newRegistry() *registry {
-	r := &registry{byModel: map[reflect.Type]*conversion{}, byRecord: map[reflect.Type]*conversion{}}
-	r.config, r.err = newConversion(reflect.TypeFor[configRecord](), reflect.TypeFor[flaxshelf.Config]())
+func newTypeRegistry() *typeRegistry {
+	r := &typeRegistry{byModel: map[reflect.Type]*conversion{}, byRecord: map[reflect.Type]*conversion{}}
+	r.configConversion, r.err = newConversion(reflect.TypeFor[configRecord](), reflect.TypeFor[flaxshelf.Config]())
 
 	registerEvent[machinesUpdatedRecord, flaxshelf.MachinesUpdated](r, "Listed")
 	registerEvent[discoveryFailedRecord, flaxshelf.DiscoveryFailed](r, "ListFailed")
@@ -53,24 +53,24 @@
 }
 
 // registerEvent has Record store events of type Model under a name.
-func registerEvent[Record eventRecord, Model flaxshelf.Event](r *registry, storedName string) {
+func registerEvent[Record eventRecord, Model flaxshelf.Event](r *typeRegistry, storedName string) {
 	r.register(storedName, reflect.TypeFor[Record](), reflect.TypeFor[Model]())
 }
 
 // registerAction has Record store actions of type Model under a name.
-func registerAction[Record actionRecord, Model flaxshelf.Action](r *registry, storedName string) {
+func registerAction[Record actionRecord, Model flaxshelf.Action](r *typeRegistry, storedName string) {
 	r.register(storedName, reflect.TypeFor[Record](), reflect.TypeFor[Model]())
 }
 
-func (r *registry) register(storedName string, record, model reflect.Type) {
+func (r *typeRegistry) register(storedName string, record, model reflect.Type) {
 	c, err := newConversion(record, model)
 	r.err = errors.Join(r.err, err)
 	r.byModel[model], r.byRecord[record] = &c, &c
-	gob.RegisterName(storedPackage+storedName, reflect.Zero(record).Interface())
+	gob.RegisterName(storedTypePrefix+storedName, reflect.Zero(record).Interface())
 }
 
-// storeAll returns the records of events or actions. The error is an *UnknownTypeError for a type that has no record.
-func storeAll[Record, Model any](r *registry, values []Model) ([]Record, error) {
+// newRecords returns the records of events or actions. The error is an *UnknownTypeError for a type that has no record.
+func newRecords[Record, Model any](r *typeRegistry, values []Model) ([]Record, error) {
 	if len(values) == 0 {
 		return nil, nil
 	}
@@ -80,16 +80,16 @@
 		if c == nil {
 			return nil, &UnknownTypeError{Value: value}
 		}
-		records[i] = c.store(value).(Record)
+		records[i] = c.newRecord(value).(Record)
 	}
 	return records, nil
 }
 
-// errMissingType is an event or action of a damaged recording that has no value.
-var errMissingType = errors.New("an event or action has no type")
+// errNoType is an event or action of a damaged recording that has no value.
+var errNoType = errors.New("an event or action has no type")
 
-// loadAll returns the events or actions of records.
-func loadAll[Model, Record any](r *registry, records []Record) ([]Model, error) {
+// newModelValues returns the events or actions of records.
+func newModelValues[Model, Record any](r *typeRegistry, records []Record) ([]Model, error) {
 	if len(records) == 0 {
 		return nil, nil
 	}
@@ -97,9 +97,9 @@
 	for i, record := range records {
 		c := r.byRecord[reflect.TypeOf(record)]
 		if c == nil {
-			return nil, errMissingType
+			return nil, errNoType
 		}
-		values[i] = c.load(record).(Model)
+		values[i] = c.newModelValue(record).(Model)
 	}
 	return values, nil
 }
--- a/internal/replay/writer.go
+++ b/internal/replay/writer.go
@@ -16,21 +16,21 @@
 
 // Writer writes a recording. It is not safe for concurrent use: the goroutine that steps the module owns it.
 type Writer struct {
-	encoder   *gob.Encoder
-	buffer    *bufio.Writer
-	closer    io.Closer // of the file that Create opened; nil after NewWriter
-	stepError error     // first error of a step, after which nothing is recorded
+	encoder  *gob.Encoder
+	buffer   *bufio.Writer
+	closer   io.Closer // of the file that Create opened; nil after NewWriter
+	firstErr error     // first error of a step, after which nothing is recorded
 }
 
 // NewWriter starts a recording of a module with the given configuration and seed. The caller owns out, and must close it
 // after it has closed the Writer.
 func NewWriter(out io.Writer, config flaxshelf.Config, seed uint64) (*Writer, error) {
-	if format.err != nil {
-		return nil, fmt.Errorf("replay: %w", format.err)
+	if storedTypes.err != nil {
+		return nil, fmt.Errorf("replay: %w", storedTypes.err)
 	}
 	buffer := bufio.NewWriter(out)
 	w := &Writer{encoder: gob.NewEncoder(buffer), buffer: buffer}
-	header := headerRecord{Version: Version, Config: *format.config.store(config).(*configRecord), Seed: seed}
+	header := headerRecord{Version: Version, Config: *storedTypes.configConversion.newRecord(config).(*configRecord), Seed: seed}
 	if err := w.encoder.Encode(header); err != nil {
 		return nil, fmt.Errorf("replay: write the header: %w", err)
 	}
@@ -51,22 +51,22 @@
 	return w, nil
 }
 
-// Step records one step. It returns no error, since a module keeps running when its recording can't be written: the first
+// WriteStep records one step. It returns no error, since a module keeps running when its recording can't be written: the first
 // error ends the recording, and Close returns it.
-func (w *Writer) Step(now flaxshelf.Time, events []flaxshelf.Event, actions []flaxshelf.Action) {
-	if w.stepError != nil {
+func (w *Writer) WriteStep(now flaxshelf.Time, events []flaxshelf.Event, actions []flaxshelf.Action) {
+	if w.firstErr != nil {
 		return
 	}
 	record, err := newStepRecord(now, events, actions)
 	if err == nil {
 		err = w.encoder.Encode(record)
 	}
-	w.stepError = err
+	w.firstErr = err
 }
 
-// Close ends the recording. It returns the first error of Step joined with those of writing and closing the file.
+// Close ends the recording. It returns the first error of WriteStep joined with those of writing and closing the file.
 func (w *Writer) Close() error {
-	err := errors.Join(w.stepError, w.buffer.Flush())
+	err := errors.Join(w.firstErr, w.buffer.Flush())
 	if w.closer != nil {
 		err = errors.Join(err, w.closer.Close())
 	}
@@ -78,10 +78,10 @@
 
 // newStepRecord returns the record of a step. The error is an *UnknownTypeError for a type that has no record.
 func newStepRecord(now flaxshelf.Time, events []flaxshelf.Event, actions []flaxshelf.Action) (stepRecord, error) {
-	storedEvents, err := storeAll[eventRecord](format, events)
+	storedEvents, err := newRecords[eventRecord](storedTypes, events)
 	if err != nil {
 		return stepRecord{}, err
 	}
-	storedActions, err := storeAll[actionRecord](format, actions)
+	storedActions, err := newRecords[actionRecord](storedTypes, actions)
 	return stepRecord{Now: now, Events: storedEvents, Actions: storedActions}, err
 }
