--- a/internal/replay/benchmark_test.go
+++ b/internal/replay/benchmark_test.go
@@ -9,8 +9,8 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-// benchmarkSteps returns a complete machine list, as a scheduler gets it at its start, and a step with one value of each
-// type, as they come all the time.
+// benchmarkSteps returns two steps by name: one with a complete list of 1000 machines, as a scheduler gets when it starts, and
+// one with values of all event and action types, as in normal operation.
 func benchmarkSteps() map[string]step {
 	machines := make([]flaxshelf.Machine, 1000)
 	for i := range machines {
--- a/internal/replay/check.go
+++ b/internal/replay/check.go
@@ -9,24 +9,25 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-// Result counts the steps, events and actions that a check compared.
+// Result counts the steps, events and actions that were replayed.
 type Result struct{ Steps, Events, Actions int }
 
-// Module is a module that a recording is replayed to.
+// Module is the scheduling module as a replay sees it.
 type Module interface {
+	// Step handles the events of one step and returns the module's actions.
 	Step(now flaxshelf.Time, events []flaxshelf.Event) []flaxshelf.Action
 }
 
 // Check replays a recording to a new module and compares its actions with the recorded ones. A truncated recording is
-// checked up to its last complete step. The error is a *DivergenceError for the first step that differs, a *FormatError for
-// a file that can't be read as a recording, or the error of creating the module.
+// checked up to its last complete step. The error is a *DivergenceError for the first step with other actions, a *FormatError
+// for a file that cannot be read as a recording, or the error of creating the module.
 func Check(recording io.Reader) (Result, error) {
 	return CheckWith(recording, func(config flaxshelf.Config, seed uint64) (Module, error) {
 		return flaxshelf.New(config, seed)
 	})
 }
 
-// CheckWith is like Check, but replays to the module that newModule returns for the recorded configuration and seed.
+// CheckWith is like Check, but calls newModule with the recorded configuration and seed, and replays to the returned module.
 func CheckWith(recording io.Reader, newModule func(flaxshelf.Config, uint64) (Module, error)) (Result, error) {
 	var result Result
 	in, err := newReader(recording)
--- a/internal/replay/check_test.go
+++ b/internal/replay/check_test.go
@@ -10,8 +10,8 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-// recordSteps returns a recording of a module over 20 steps. If change is not nil, it changes the recorded actions of
-// step 11.
+// recordSteps returns a recording of 20 steps of a module. If change is not nil, step 11 is recorded with the actions that change
+// returns for the actions of the module.
 func recordSteps(t testing.TB, change func(actions []flaxshelf.Action) []flaxshelf.Action) []byte {
 	t.Helper()
 	cfg := flaxshelf.Config{Kinds: []flaxshelf.MachineKind{{Name: "k", Cores: 8, Memory: 8}},
@@ -57,7 +57,7 @@
 	for _, c := range []struct {
 		name   string
 		change func(actions []flaxshelf.Action) []flaxshelf.Action
-		action int // index of the first that differs
+		action int // want this DivergenceError.ActionIndex
 	}{
 		{"another machine", func(actions []flaxshelf.Action) []flaxshelf.Action {
 			for i := range actions {
@@ -87,11 +87,11 @@
 
 func TestCheckRejectsOtherFiles(t *testing.T) {
 	if _, err := Check(strings.NewReader("nonsense")); err == nil {
-		t.Error("got no error for a file that is no recording")
+		t.Error("got no error for a file that is no recording, want one")
 	}
 }
 
-// Check must not panic, whatever it reads.
+// Check must not panic, whatever the file has.
 func FuzzCheck(f *testing.F) {
 	f.Add(recordSteps(f, nil))
 	f.Add([]byte{})
--- a/internal/replay/cluster_test.go
+++ b/internal/replay/cluster_test.go
@@ -8,7 +8,8 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-// The simulated cluster of the stored decisions.
+// The simulated cluster from which the recording decisionsFile was made. These values and every random draw determine the
+// recording, so that changing one of them needs a run with -update.
 const (
 	decisionSteps    = 400
 	decisionStep     = 20 * time.Millisecond
@@ -22,7 +23,7 @@
 	maxTasksPerStep  = 2
 )
 
-// cluster responds to a module's actions at random, from a fixed seed.
+// cluster simulates machines and clients: it submits tasks and responds to a module's actions at random, from a fixed seed.
 type cluster struct {
 	rng       *rand.Rand
 	now       flaxshelf.Time
@@ -68,24 +69,26 @@
 		Deadline: c.now + c.duration(500*time.Millisecond, 3*time.Second), Retry: c.rng.IntN(20) == 0}
 }
 
-// stepEvents returns the events of one step: external ones, and then those that are due, in their order.
+// stepEvents returns the events of one step: the external events, and then the due responses in the order in which they were
+// scheduled.
 func (c *cluster) stepEvents(step int) []flaxshelf.Event {
 	events := c.externalEvents(step)
-	var later []scheduledEvent
-	for _, d := range c.scheduled {
-		if d.at > c.now {
-			later = append(later, d)
+	var pending []scheduledEvent
+	for _, s := range c.scheduled {
+		if s.at > c.now {
+			pending = append(pending, s)
 			continue
 		}
-		if c.apply(d.event) {
-			events = append(events, d.event)
+		if c.apply(s.event) {
+			events = append(events, s.event)
 		}
 	}
-	c.scheduled = later
+	c.scheduled = pending
 	return events
 }
 
-// apply reports whether an event's attempt is still open, and marks it as placed or ended.
+// apply marks an event's attempt as placed or ended. It returns false for an event that must be dropped, because its attempt has
+// ended already.
 func (c *cluster) apply(e flaxshelf.Event) bool {
 	switch e := e.(type) {
 	case flaxshelf.AttemptPlaced:
@@ -102,6 +105,8 @@
 	return true
 }
 
+// externalEvents returns the events of one step that no action causes: changes to the machine list, new and canceled tasks, an
+// adopted task, a health check, gossip and usage reports.
 func (c *cluster) externalEvents(step int) []flaxshelf.Event {
 	var events []flaxshelf.Event
 	switch step {
@@ -132,13 +137,15 @@
 	return append(events, c.usageReports(step)...)
 }
 
+// machineChanged returns a partial machine list with the new state of drainedMachine.
 func (c *cluster) machineChanged(state flaxshelf.MachineState) flaxshelf.MachinesUpdated {
 	m := c.machines[drainedMachine]
 	m.State = state
 	return flaxshelf.MachinesUpdated{Machines: []flaxshelf.Machine{m}}
 }
 
-// usageReports reports, for some steps, that one machine serves its tasks badly.
+// usageReports returns, in every fifth of degradedSteps steps, the service level of each running task: full on all machines but
+// m1, whose tasks get a tenth.
 func (c *cluster) usageReports(step int) []flaxshelf.Event {
 	if step < degradedFromStep || step >= degradedFromStep+degradedSteps || step%5 != 0 {
 		return nil
@@ -166,7 +173,7 @@
 		HasMemory: true}
 }
 
-// execute schedules the responses to a module's actions.
+// execute schedules the cluster's responses to a module's actions.
 func (c *cluster) execute(actions []flaxshelf.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
@@ -187,6 +194,8 @@
 	}
 }
 
+// respondToOffer schedules the response to an offer at random: a rejection, a failure, a timeout, no response at all, or, most
+// often, a placement and its end.
 func (c *cluster) respondToOffer(o flaxshelf.Offer) {
 	n := len(c.attempts[o.Task])
 	c.attempts[o.Task] = append(c.attempts[o.Task], attempt{machine: o.Machine})
@@ -204,7 +213,7 @@
 	case percentile < 25:
 		latency, ended.Outcome, ended.Load = o.Timeout, flaxshelf.TimedOut, flaxshelf.LoadReport{}
 	case percentile < 29:
-		return // the offer stays without a response
+		return // no response
 	default:
 		c.schedule(latency, flaxshelf.AttemptPlaced{Task: o.Task, Machine: o.Machine, Attempt: n, Latency: latency})
 		latency += c.duration(500*time.Millisecond, 4*time.Second)
--- a/internal/replay/convert.go
+++ b/internal/replay/convert.go
@@ -6,42 +6,44 @@
 	"reflect"
 )
 
-// modelTag is the key of the struct tag that names the field of package flaxshelf that a field of a record stores. A field
-// without the tag stores the field of its own name.
+// modelTag is the key of a struct tag on the fields of records: its value is the name of the field of package flaxshelf that is
+// stored. Without the tag, both fields have the same name.
 const modelTag = "model"
 
-// copier copies one value to another, whose type is the one that the copier was made for. The target must be settable.
+// copier copies a value to another one, possibly converting its type. Each copier is made for one pair of types. The target
+// must be settable.
 type copier func(to, from reflect.Value)
 
-// conversion copies values between one type of package flaxshelf and its record, in both directions. It is safe for
-// concurrent use.
+// conversion converts values of one type of package flaxshelf (the model) to their records, and back. It is safe for concurrent
+// use.
 type conversion struct {
 	record, model     reflect.Type
 	toRecord, toModel copier
 }
 
-// newConversion returns the conversion between two struct types. The error joins a *MissingFieldError for each field,
-// at any depth, that has no counterpart; the conversion copies all others.
+// newConversion returns the conversion between two struct types. The error joins a *MissingFieldError for each field at any
+// depth that has no counterpart, and an error for each field whose type cannot be converted. The conversion copies all other
+// fields.
 func newConversion(record, model reflect.Type) (conversion, error) {
 	toRecord, toModel, err := newCopiers(record, model)
 	return conversion{record: record, model: model, toRecord: toRecord, toModel: toModel}, err
 }
 
-// newRecord returns a pointer to the record of a value. Gob stores what it points to, so that no copy is needed.
+// newRecord returns a pointer to the record of a value. Gob encodes what the pointer points to, so the record is not copied.
 func (c *conversion) newRecord(value any) any {
 	record := reflect.New(c.record)
 	c.toRecord(record.Elem(), reflect.ValueOf(value))
 	return record.Interface()
 }
 
-// newModelValue returns the value of a record.
+// newModelValue returns the value that is stored in a record.
 func (c *conversion) newModelValue(record any) any {
 	value := reflect.New(c.model).Elem()
 	c.toModel(value, reflect.ValueOf(record))
 	return value.Interface()
 }
 
-// newCopiers returns the copiers between values of a record type and of a type of package flaxshelf.
+// newCopiers returns the copiers in both directions between a record type and a type of package flaxshelf.
 func newCopiers(record, model reflect.Type) (toRecord, toModel copier, err error) {
 	switch {
 	case record == model:
@@ -55,13 +57,14 @@
 	case record.Kind() == reflect.Int && model.Kind() == reflect.Int: // an enumeration and its number
 		return copyInt, copyInt, nil
 	}
-	return copyNothing, copyNothing, fmt.Errorf("%v can't store a %v", record, model)
+	return copyNothing, copyNothing, fmt.Errorf("type %v cannot store a value of type %v", record, model)
 }
 
-// copyNothing leaves a field at zero whose types have no copier.
+// copyNothing is the copier of types that cannot be converted. It leaves the target at zero.
 func copyNothing(_, _ reflect.Value) {}
 
-// sameTypeCopier returns the fastest copier between values of one type, which is of the given kind.
+// sameTypeCopier returns the copier between values of the same type, which is of the given kind. The setters of basic kinds
+// are faster than reflect.Value.Set.
 func sameTypeCopier(kind reflect.Kind) copier {
 	switch kind {
 	case reflect.Bool:
@@ -78,7 +81,7 @@
 
 func copyInt(to, from reflect.Value) { to.SetInt(from.Int()) }
 
-// sliceCopier returns the copier of slices whose elements are copied by copyElement. A nil slice stays nil.
+// sliceCopier returns a copier of slices that copies each element with copyElement. It leaves the target of a nil slice at nil.
 func sliceCopier(copyElement copier) copier {
 	return func(to, from reflect.Value) {
 		if from.IsNil() {
@@ -92,7 +95,7 @@
 	}
 }
 
-// fieldMapping is a field of a record with the field of package flaxshelf that it stores.
+// fieldMapping maps a field of a record to the field of package flaxshelf that it stores.
 type fieldMapping struct {
 	record, model     int // field indexes
 	toRecord, toModel copier
@@ -113,7 +116,8 @@
 	return toRecord, toModel, err
 }
 
-// mapFields maps the fields of two struct types to each other. The error joins those of all fields that have no counterpart.
+// mapFields maps the fields of a record type to those of a type of package flaxshelf. The error joins the errors of all fields
+// that have no counterpart or cannot be converted.
 func mapFields(record, model reflect.Type) ([]fieldMapping, error) {
 	var mappings []fieldMapping
 	var problems []error
@@ -141,7 +145,7 @@
 	return mappings, errors.Join(problems...)
 }
 
-// modelFieldName returns the name of the field of package flaxshelf that a field of a record stores.
+// modelFieldName returns the name of the field of package flaxshelf that recordField stores.
 func modelFieldName(recordField reflect.StructField) string {
 	if name, ok := recordField.Tag.Lookup(modelTag); ok {
 		return name
--- a/internal/replay/convert_test.go
+++ b/internal/replay/convert_test.go
@@ -8,17 +8,17 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-// A new field of package flaxshelf without a field in its record fails here by its name.
+// Guards against a field of package flaxshelf that no record stores: replays would run without its value.
 func TestFormatStoresEveryField(t *testing.T) {
 	if storedTypes.err != nil {
-		t.Errorf("fields without a counterpart, see record.go:\n%v", storedTypes.err)
+		t.Errorf("got fields without a counterpart, want none (add them to record.go):\n%v", storedTypes.err)
 	}
 }
 
 func TestNewConversionNamesFieldsWithoutCounterpart(t *testing.T) {
-	type lackingMachineRecord struct{ ID string }
-	type lackingListRecord struct {
-		Machines []lackingMachineRecord
+	type incompleteMachineRecord struct{ ID string }
+	type incompleteListRecord struct {
+		Machines []incompleteMachineRecord
 		Whole    bool `model:"Complete"`
 		Stale    bool
 	}
@@ -39,9 +39,9 @@
 			ID   string
 			Name string `model:"ID"`
 		}](), reflect.TypeFor[struct{ ID string }](), "Name"},
-		{"field within a slice", reflect.TypeFor[struct{ Machines []lackingMachineRecord }](),
+		{"field within a slice", reflect.TypeFor[struct{ Machines []incompleteMachineRecord }](),
 			reflect.TypeFor[machineList](), "Rack"},
-		{"field of a type of package flaxshelf", reflect.TypeFor[lackingListRecord](),
+		{"field of a type of package flaxshelf", reflect.TypeFor[incompleteListRecord](),
 			reflect.TypeFor[flaxshelf.MachinesUpdated](), "Kind"},
 	}
 	for _, test := range tests {
@@ -58,6 +58,6 @@
 func TestNewConversionRejectsOtherTypes(t *testing.T) {
 	record, model := reflect.TypeFor[struct{ Cores int }](), reflect.TypeFor[struct{ Cores float64 }]()
 	if _, err := newConversion(record, model); err == nil {
-		t.Error("got no error for a float64 that is to be stored as an int")
+		t.Error("got no error for a float64 stored as an int, want one")
 	}
 }
--- a/internal/replay/errors.go
+++ b/internal/replay/errors.go
@@ -7,15 +7,15 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-// FormatError reports a file that this build can't read as a recording: another kind of file, a recording of another
-// version or with types that this build does not know, or a damaged recording.
+// FormatError reports a file that this build cannot read as a recording: it is no recording, its version or one of its
+// types is unknown to this build, or it is damaged.
 type FormatError struct {
-	Part    string // part of the recording that can't be read: "the header" or "step 3"
+	Part    string // unreadable part of the recording: "the header" or "step 3"
 	Version int    // version of the recording; zero if unknown
 	Err     error  // nil if the version alone is the reason
 }
 
-// Error describes the part, the reason and the remedy.
+// Error describes the unreadable part, the reason and a remedy.
 func (e *FormatError) Error() string {
 	if e.Err == nil {
 		return fmt.Sprintf("replay: read %s: the recording has version %d, this build reads version %d: "+
@@ -23,7 +23,7 @@
 	}
 	if e.Version == 0 {
 		return fmt.Sprintf("replay: read %s: not a module recording, or a damaged one (this build reads version %d): "+
-			"name a file that a scheduler's setting tap wrote: %v", e.Part, Version, e.Err)
+			"expected a file that a scheduler wrote for its setting moduleRecording: %v", e.Part, Version, e.Err)
 	}
 	return fmt.Sprintf("replay: read %s: damaged, or of a newer build (the recording has version %d, which this build "+
 		"reads): replay it with the build that wrote it: %v", e.Part, e.Version, e.Err)
@@ -37,18 +37,18 @@
 
 // Error names the type.
 func (e *UnknownTypeError) Error() string {
-	return fmt.Sprintf("version %d of recordings has no form for values of type %T", Version, e.Value)
+	return fmt.Sprintf("recording format version %d cannot store values of type %T", Version, e.Value)
 }
 
-// MissingFieldError reports a field without a counterpart in the other type: a field of package flaxshelf that no field of its
-// record stores, or a field of a record that stores none.
+// MissingFieldError reports a field that has no counterpart: a field of package flaxshelf that its record does not store, or a
+// field of a record that stores no field of package flaxshelf, or one that another field of the record stores already.
 type MissingFieldError struct {
-	Type      reflect.Type // that has the field
+	Type      reflect.Type // has the field
 	Field     string
-	MissingIn reflect.Type // that lacks its counterpart
+	MissingIn reflect.Type // lacks the counterpart
 }
 
-// Error names the field, and the type that lacks it.
+// Error names the field and the type that lacks its counterpart.
 func (e *MissingFieldError) Error() string {
 	return fmt.Sprintf("%v.%s has no counterpart in %v", e.Type, e.Field, e.MissingIn)
 }
@@ -57,18 +57,19 @@
 type DivergenceError struct {
 	Step        int                // number of the step, from 1
 	ActionIndex int                // index of the first action that differs; -1 if the number of actions differs
-	Replayed    []flaxshelf.Action // of the module
-	Recorded    []flaxshelf.Action // of the recording
+	Replayed    []flaxshelf.Action // taken by the module in the replay
+	Recorded    []flaxshelf.Action // in the recording
 }
 
-// actionCountDiffers is the DivergenceError.ActionIndex if the number of actions differs.
+// actionCountDiffers is the value of DivergenceError.ActionIndex if the number of actions differs.
 const actionCountDiffers = -1
 
 // Error names the step and the first action that differs.
 func (e *DivergenceError) Error() string {
 	if e.ActionIndex == actionCountDiffers {
-		return fmt.Sprintf("replay: step %d: %d actions, recorded were %d", e.Step, len(e.Replayed), len(e.Recorded))
+		return fmt.Sprintf("replay: step %d: the module took %d actions, %d are recorded", e.Step, len(e.Replayed),
+			len(e.Recorded))
 	}
-	return fmt.Sprintf("replay: step %d: action %d is %#v, recorded was %#v", e.Step, e.ActionIndex, e.Replayed[e.ActionIndex],
-		e.Recorded[e.ActionIndex])
+	return fmt.Sprintf("replay: step %d: action %d differs: the module took %#v, recorded is %#v", e.Step, e.ActionIndex,
+		e.Replayed[e.ActionIndex], e.Recorded[e.ActionIndex])
 }
--- a/internal/replay/fixtures_test.go
+++ b/internal/replay/fixtures_test.go
@@ -8,7 +8,8 @@
 
 const storedSeed = 0x1234567890abcdef
 
-// storedConfig has every field set.
+// storedConfig returns the configuration of the recording allTypesFile, in which every field of that time is set. It must not
+// change.
 func storedConfig() flaxshelf.Config {
 	return flaxshelf.Config{
 		Index:      1,
@@ -60,6 +61,7 @@
 	}
 }
 
+// storedClasses returns the classes of storedConfig.
 func storedClasses() []flaxshelf.TaskClass {
 	return []flaxshelf.TaskClass{
 		{
@@ -109,7 +111,8 @@
 	}
 }
 
-// allEvents has each event type once, with every field set, and once as its zero value.
+// allEvents returns the events of the recording allTypesFile: each event type with every field set, then those that have fields
+// again as zero values.
 func allEvents() []flaxshelf.Event {
 	task := flaxshelf.Task{ID: "id", Key: "key", Service: "service", Class: 1, Tenant: 1, Cores: 0.5, Memory: 1.5,
 		ExpectedRuntime: 7 * time.Second, Deadline: 9 * time.Second, Retry: true}
@@ -134,7 +137,7 @@
 	}
 }
 
-// allActions is allEvents of the actions.
+// allActions returns the actions of the recording allTypesFile, composed like allEvents.
 func allActions() []flaxshelf.Action {
 	return []flaxshelf.Action{
 		flaxshelf.Offer{Task: "id", Machine: "m", Timeout: 50 * time.Millisecond},
--- a/internal/replay/format_test.go
+++ b/internal/replay/format_test.go
@@ -17,16 +17,17 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-// The stored recordings were written by the build of commit ad3e0ee, which encoded the module's own types.
+// The stored recordings were written by the build of commit ad3e0ee, which encoded the types of package flaxshelf itself instead
+// of record types.
 //
-// allTypesFile has one value of each event and action type and is never rewritten: it represents the recordings that
-// users have. decisionsFile also holds decisions, so it is rewritten with -update when they change on purpose.
+// allTypesFile has values of every event and action type and is never rewritten: it stands for the recordings that users have.
+// decisionsFile has the module's decisions in a simulated cluster: -update rewrites it when decisions change on purpose.
 const (
 	allTypesFile  = "testdata/all-types.gob.gz"
 	decisionsFile = "testdata/decisions.gob.gz"
 )
 
-var update = flag.Bool("update", false, "rewrite the stored decisions, and write the other recordings that are missing")
+var update = flag.Bool("update", false, "rewrite the stored recordings that hold decisions, and write all-types.gob.gz if it is missing")
 
 func TestMain(m *testing.M) {
 	flag.Parse()
@@ -39,6 +40,7 @@
 	os.Exit(m.Run())
 }
 
+// updateRecordings writes the stored recordings, but keeps an existing allTypesFile.
 func updateRecordings() error {
 	if _, err := os.Stat(allTypesFile); errors.Is(err, fs.ErrNotExist) {
 		if err := writeCompressed(allTypesFile, recordAllTypes); err != nil {
@@ -51,12 +53,13 @@
 	return updateDaysAndWorlds()
 }
 
+// writeCompressed writes a gzip file of what record writes.
 func writeCompressed(path string, record func(io.Writer) error) error {
-	var plain, zipped bytes.Buffer
+	var plain, compressed bytes.Buffer
 	if err := record(&plain); err != nil {
 		return err
 	}
-	compressor := gzip.NewWriter(&zipped)
+	compressor := gzip.NewWriter(&compressed)
 	if _, err := compressor.Write(plain.Bytes()); err != nil {
 		return err
 	}
@@ -66,9 +69,10 @@
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 		return err
 	}
-	return os.WriteFile(path, zipped.Bytes(), 0o644)
+	return os.WriteFile(path, compressed.Bytes(), 0o644)
 }
 
+// readCompressed returns the decompressed content of a gzip file.
 func readCompressed(t *testing.T, path string) []byte {
 	t.Helper()
 	f, err := os.Open(path)
@@ -93,6 +97,7 @@
 
 const allTypesNow = 11 * time.Second
 
+// recordAllTypes writes the recording that allTypesFile holds.
 func recordAllTypes(out io.Writer) error {
 	w, err := NewWriter(out, storedConfig(), storedSeed)
 	if err != nil {
@@ -103,7 +108,7 @@
 	return w.Close()
 }
 
-// scriptedModule is a module that expects the events of a test and returns the actions of the test.
+// scriptedModule is a module that expects given times and events in its steps, and returns given actions.
 type scriptedModule struct {
 	t       *testing.T
 	steps   int
@@ -116,7 +121,7 @@
 	i := s.steps
 	s.steps++
 	if i >= len(s.times) {
-		s.t.Fatalf("got step %d, which was not recorded", i+1)
+		s.t.Fatalf("got step %d, want %d steps", i+1, len(s.times))
 	}
 	if now != s.times[i] {
 		s.t.Errorf("step %d: got time %v, want %v", i+1, now, s.times[i])
@@ -127,7 +132,7 @@
 	return s.actions[i]
 }
 
-// checkAllTypes reads a recording of recordAllTypes, and compares each value.
+// checkAllTypes replays a recording of recordAllTypes and compares its configuration, seed, times, events and actions.
 func checkAllTypes(t *testing.T, recording []byte) {
 	t.Helper()
 	s := &scriptedModule{t: t, times: []flaxshelf.Time{allTypesNow, 0}, events: [][]flaxshelf.Event{allEvents(), nil},
@@ -154,7 +159,7 @@
 	checkAllTypes(t, readCompressed(t, allTypesFile))
 }
 
-// typeCounter plays to a module, and counts the types of its events and actions.
+// typeCounter wraps a module and counts its events and actions by type.
 type typeCounter struct {
 	Module
 	types map[reflect.Type]int
@@ -171,7 +176,8 @@
 	return actions
 }
 
-// The recording has all events, and all actions that a module takes today: none is a health check or sends gossip.
+// A recording of an earlier build must be replayed with the same decisions. It has all event types, and all action types that the
+// module uses today, which are all but HealthCheck and SendGossip.
 func TestReplaysDecisionsOfEarlierBuild(t *testing.T) {
 	recording := readCompressed(t, decisionsFile)
 	result, err := Check(bytes.NewReader(recording))
@@ -190,7 +196,7 @@
 	}
 	for _, e := range allEvents() {
 		if counter.types[reflect.TypeOf(e)] == 0 {
-			t.Errorf("got no event %T, want one", e)
+			t.Errorf("got no event of type %T, want at least one", e)
 		}
 	}
 	for _, a := range allActions() {
@@ -199,12 +205,13 @@
 			continue
 		}
 		if counter.types[reflect.TypeOf(a)] == 0 {
-			t.Errorf("got no action %T, want one", a)
+			t.Errorf("got no action of type %T, want at least one", a)
 		}
 	}
 }
 
-// decisionConfig leaves out the spread rules and the kinds, so that most tasks find a machine.
+// decisionConfig is storedConfig without hedged requests and PlacedWhenRunning, in a zone of the simulated cluster, and with
+// classes that may run on machines of any kind, so that most tasks find a machine.
 func decisionConfig() flaxshelf.Config {
 	cfg := storedConfig()
 	cfg.Index, cfg.PlacedWhenRunning, cfg.HedgedRequests, cfg.Zone = 0, false, false, "a"
@@ -214,6 +221,7 @@
 	return cfg
 }
 
+// recordDecisions writes the recording that decisionsFile holds: a module's steps in a simulated cluster.
 func recordDecisions(out io.Writer) error {
 	w, err := NewWriter(out, decisionConfig(), decisionSeed)
 	if err != nil {
--- a/internal/replay/reader.go
+++ b/internal/replay/reader.go
@@ -10,7 +10,7 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-// step has the inputs of one step of a module and its outputs.
+// step holds the inputs of one step of a module, and its outputs.
 type step struct {
 	now     flaxshelf.Time
 	events  []flaxshelf.Event
@@ -25,8 +25,8 @@
 	stepsRead int // steps read so far
 }
 
-// newReader reads the header of a recording. It decodes the version alone first, since another version may have another
-// header. The error is a *FormatError.
+// newReader reads the header of a recording. It first decodes only the version, since the header of another version may have
+// other fields. The error is a *FormatError.
 func newReader(in io.Reader) (*reader, error) {
 	const part = "the header"
 	var start bytes.Buffer
@@ -46,7 +46,8 @@
 	return &reader{decoder: decoder, config: config, seed: header.Seed}, nil
 }
 
-// next reads the next step. The error is a *FormatError, which wraps io.EOF at the end of the recording.
+// next reads the next step. The error is a *FormatError. It wraps io.EOF at the end of the recording, and
+// io.ErrUnexpectedEOF if the recording is truncated within a step.
 func (r *reader) next() (step, error) {
 	r.stepsRead++
 	var record stepRecord
@@ -60,7 +61,7 @@
 	return step{}, &FormatError{Part: fmt.Sprintf("step %d", r.stepsRead), Version: Version, Err: err}
 }
 
-// toStep returns the step of the record.
+// toStep returns the step that is stored in the record.
 func (r *stepRecord) toStep() (step, error) {
 	events, err := newModelValues[flaxshelf.Event](storedTypes, r.Events)
 	if err != nil {
--- a/internal/replay/record.go
+++ b/internal/replay/record.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// The types of this file are the format of recordings, Version 1. Gob finds the fields of a struct by their names, and
-// the type of an event or action by the name under which newTypeRegistry registers it: none of these names may change, whatever
-// the types and fields of package flaxshelf are called. The tag "model" names the field that is stored, where that has
-// another name today. Enumerations are stored as their numbers.
+// The types of this file are the recording format, Version 1. Gob identifies the fields of a struct by their names, and the
+// type of an event or action by the name under which newTypeRegistry registers it. These names must not change, even if the
+// types and fields of package flaxshelf are renamed: the tag "model" then names the field of package flaxshelf that a field
+// here stores. Enumerations are stored as their numbers.
 //
-// A new field of package flaxshelf needs one field here, and nothing else: the conversions are made of the types. Earlier
-// builds ignore it. A field that changes its meaning needs a new Version.
+// A new field of package flaxshelf needs only a field here: the conversions are derived from the types by reflection. Earlier
+// builds ignore the new field. A field whose meaning changes needs a new Version.
 
-// eventRecord is the record of an event.
+// eventRecord is implemented by the records of events.
 type eventRecord interface{ isEventRecord() }
 
-// actionRecord is the record of an action.
+// actionRecord is implemented by the records of actions.
 type actionRecord interface{ isActionRecord() }
 
 type headerRecord struct {
--- a/internal/replay/record_test.go
+++ b/internal/replay/record_test.go
@@ -20,7 +20,8 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-// fill sets every exported field of v, at any depth, to a value other than zero. Values differ where their type allows it.
+// fill sets every exported field of v, at any depth, to a nonzero value. It takes values from the counter next, so that fields
+// differ where their type allows it.
 func fill(t *testing.T, v reflect.Value, next *int64) {
 	t.Helper()
 	*next++
@@ -47,11 +48,11 @@
 			}
 		}
 	default:
-		t.Fatalf("a field of kind %v: add its kind here", v.Kind())
+		t.Fatalf("got a field of kind %v, want one that fill knows: add the kind to it", v.Kind())
 	}
 }
 
-// filled returns a value of the type of example with every field set.
+// filled returns a value of the dynamic type of example with every field set.
 func filled[T any](t *testing.T, example T, next *int64) T {
 	t.Helper()
 	v := reflect.New(reflect.TypeOf(example)).Elem()
@@ -59,7 +60,7 @@
 	return v.Interface().(T)
 }
 
-// readAll reads a whole recording.
+// readAll returns the reader of a recording, which has its header, and all steps.
 func readAll(t testing.TB, recording []byte) (*reader, []step) {
 	t.Helper()
 	in, err := newReader(bytes.NewReader(recording))
@@ -79,6 +80,7 @@
 	}
 }
 
+// writeAll returns a recording of steps.
 func writeAll(t testing.TB, config flaxshelf.Config, seed uint64, steps []step) []byte {
 	t.Helper()
 	var b bytes.Buffer
@@ -95,7 +97,8 @@
 	return b.Bytes()
 }
 
-// Every field of Config and of each event and action is filled, also a new one, and must be the same when it is read.
+// Guards against a field of Config, an event or an action that a recording loses or alters: all fields, also those added later,
+// are filled by reflection, written and read.
 func TestEveryFieldIsRestored(t *testing.T) {
 	var next int64
 	config := filled(t, flaxshelf.Config{}, &next)
@@ -125,7 +128,7 @@
 	}
 }
 
-// receiverTypes returns the sorted names of the types of package flaxshelf that have a method.
+// receiverTypes returns the sorted names of the types of package flaxshelf that have the named method.
 func receiverTypes(t *testing.T, method string) []string {
 	t.Helper()
 	files, err := filepath.Glob("../../*.go")
@@ -155,6 +158,7 @@
 	return types
 }
 
+// typeNames returns the sorted names of the types of values, each once.
 func typeNames[T any](values []T) []string {
 	names := map[string]bool{}
 	for _, v := range values {
@@ -163,17 +167,18 @@
 	return slices.Sorted(maps.Keys(names))
 }
 
-// allEvents and allActions have every event and action type of package flaxshelf, also a new one.
+// Guards against an event or action type of package flaxshelf that allEvents or allActions lacks, and which the tests of this
+// package would not cover. Every event type has a method event, and every action type a method handle.
 func TestFixturesCoverEveryType(t *testing.T) {
 	if got, want := typeNames(allEvents()), receiverTypes(t, "event"); !slices.Equal(got, want) {
-		t.Errorf("got events %v, want those of package flaxshelf: %v", got, want)
+		t.Errorf("got event types %v, want those of package flaxshelf: %v", got, want)
 	}
 	if got, want := typeNames(allActions()), receiverTypes(t, "handle"); !slices.Equal(got, want) {
-		t.Errorf("got actions %v, want those of package flaxshelf: %v", got, want)
+		t.Errorf("got action types %v, want those of package flaxshelf: %v", got, want)
 	}
 }
 
-// Enumerations are stored as their numbers, which therefore must not change.
+// Recordings store enumerations as their numbers: a changed number would alter the meaning of earlier recordings.
 func TestEnumerationsKeepTheirStoredNumbers(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -206,7 +211,7 @@
 		read, stepsRead := readAll(t, rewritten)
 		if !reflect.DeepEqual(read.config, stored.config) || read.seed != stored.seed ||
 			!reflect.DeepEqual(stepsRead, steps) {
-			t.Errorf("%s: got other content after rewriting it, want the same", path)
+			t.Errorf("%s: got other content after writing it again, want the same", path)
 		}
 		if path == allTypesFile {
 			checkAllTypes(t, rewritten)
@@ -214,7 +219,7 @@
 	}
 }
 
-// encode returns a gob stream of values.
+// encode returns the gob stream of values, which need not be a valid recording.
 func encode(t *testing.T, values ...any) []byte {
 	t.Helper()
 	var b bytes.Buffer
@@ -232,7 +237,7 @@
 	stored := readCompressed(t, allTypesFile)
 	renamed := bytes.ReplaceAll(stored, []byte(storedTypePrefix+"Gone"), []byte(storedTypePrefix+"Here"))
 	if bytes.Equal(renamed, stored) {
-		t.Fatal("the recording does not name its types")
+		t.Fatal("got a recording without the type name Gone, want it there")
 	}
 	for _, c := range []struct {
 		name      string
@@ -241,7 +246,7 @@
 		want      []string
 	}{
 		{"empty", nil, 0, []string{"the header", "EOF", "not a module recording"}},
-		{"another file", []byte("nonsense"), 0, []string{"the header", "not a module recording", "setting tap"}},
+		{"another file", []byte("nonsense"), 0, []string{"the header", "not a module recording", "setting moduleRecording"}},
 		{"another gob", encode(t, struct{ Wings int }{2}), 0, []string{"the header", "not a module recording"}},
 		{"newer", encode(t, headerRecord{Version: 2}), 2, []string{"the header", "version 2", "reads version 1",
 			"the build that wrote it"}},
--- a/internal/replay/recorded_test.go
+++ b/internal/replay/recorded_test.go
@@ -19,33 +19,33 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/worlds"
 )
 
-// The recorded days and worlds were written by the text of commit 898c958. They hold the decisions of each scripted day and
-// of random deployments. When decisions change on purpose, -update rewrites the worlds and the days that the emulator plays.
-// The other days need sockets: a recording of one is a file s1-1.tap that `flaxshelf trial DAY --seed 7 --keep DIRECTORY`
-// leaves, cut off after socketDayBytes and compressed.
+// The stored recordings of days and worlds were written by the build of commit 898c958. They hold the decisions of the module in
+// each scripted day, and in worlds, which are random deployments of package worlds. When decisions change on purpose, -update
+// rewrites the worlds and the days that the emulator runs. The other days need sockets: `flaxshelf trial DAY --seed 7
+// --keep DIRECTORY` leaves a file s1-1.tap, which is cut off after socketDayBytes and compressed.
 const (
 	dayFiles       = "testdata/days"
 	socketDayFiles = "testdata/socketdays"
 	worldFiles     = "testdata/worlds"
 
 	recordedDaySeed    = 5
-	recordedDaySteps   = 600 // of a day's schedulers, one after the other, so that the files stay small
+	recordedDaySteps   = 600 // minimum of a day's schedulers together, and maximum of each, so that the files stay small
 	socketDayBytes     = 120_000
-	minSocketDaySteps  = 500 // in as many bytes
+	minSocketDaySteps  = 500 // in socketDayBytes
 	recordedWorlds     = 8
 	recordedWorldSteps = 120
 )
 
-// recordedModule records the steps of a module into memory.
+// recordedModule wraps a module and records its first steps in memory.
 type recordedModule struct {
 	module    *flaxshelf.Placer
 	recording bytes.Buffer
 	writer    *Writer
 	steps     int
-	maxSteps  int // to record
+	maxSteps  int // number of steps that are recorded
 }
 
-// newRecordedModule makes a module that plays, of which the first maxSteps steps are recorded.
+// newRecordedModule returns a new module of which the first maxSteps steps are recorded.
 func newRecordedModule(cfg flaxshelf.Config, seed uint64, maxSteps int) (*recordedModule, error) {
 	module, err := flaxshelf.New(cfg, seed)
 	if err != nil {
@@ -64,7 +64,7 @@
 	return actions
 }
 
-// write writes the recording.
+// write ends the recording and writes it to out.
 func (r *recordedModule) write(out io.Writer) error {
 	if err := r.writer.Close(); err != nil {
 		return err
@@ -73,6 +73,7 @@
 	return err
 }
 
+// dayFile returns the path of the recording of the scheduler that started after `incarnation` others in a day.
 func dayFile(day string, incarnation int) string {
 	return filepath.Join(dayFiles, fmt.Sprintf("%s-%d.gob.gz", day, incarnation))
 }
@@ -81,7 +82,8 @@
 	return filepath.Join(worldFiles, fmt.Sprintf("%02d.gob.gz", world))
 }
 
-// updateDay writes the recordings of a day: of its schedulers in the order of their starts, recordedDaySteps in all.
+// updateDay runs a day in the emulator and writes the recordings of its schedulers in the order of their starts, until they have
+// recordedDaySteps steps together.
 func updateDay(name string) error {
 	day, err := scenario.Read(name)
 	if err != nil {
@@ -110,7 +112,7 @@
 	return nil
 }
 
-// updateWorld writes the recording of a random world.
+// updateWorld writes the recording of the random world with the seed world.
 func updateWorld(world uint64) error {
 	random := rand.New(rand.NewPCG(world, 1))
 	cfg := worlds.Config(func(limit int, _ string) int { return random.IntN(limit + 1) })
@@ -122,7 +124,7 @@
 	return writeCompressed(worldFile(world), module.write)
 }
 
-// updateDaysAndWorlds writes all recordings of this file.
+// updateDaysAndWorlds writes the recordings of all days that the emulator runs, and of all worlds.
 func updateDaysAndWorlds() error {
 	for _, day := range ablation.Days() {
 		if err := updateDay(day); err != nil {
@@ -137,7 +139,7 @@
 	return nil
 }
 
-// checkRecording plays a stored recording and returns the number of its steps.
+// checkRecording replays a stored recording and returns the number of its steps.
 func checkRecording(t *testing.T, path string) int {
 	t.Helper()
 	result, err := Check(bytes.NewReader(readCompressed(t, path)))
@@ -168,7 +170,7 @@
 	}
 }
 
-// The days that the emulator does not play have faults of connections, which only sockets have.
+// The days that the emulator cannot run have connection faults, which need sockets.
 func TestRecordedSocketDaysAreReplayed(t *testing.T) {
 	emulated := ablation.Days()
 	for _, day := range scenario.Names() {
--- a/internal/replay/registry.go
+++ b/internal/replay/registry.go
@@ -8,22 +8,23 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-// storedTypePrefix is the path before the stored names of event and action types.
+// storedTypePrefix precedes the name of an event or action type in a recording.
 const storedTypePrefix = "flaxshelf.example/flaxshelf."
 
-// typeRegistry has the conversions of the format. It is complete once package-level variables are initialized, and only read
-// afterwards.
+// typeRegistry holds the conversions between the types of package flaxshelf and their records. It is filled while package-level
+// variables are initialized, and only read afterwards.
 type typeRegistry struct {
-	byModel          map[reflect.Type]*conversion // of events and actions, by their type in package flaxshelf
-	byRecord         map[reflect.Type]*conversion // the same, by the type of their record
+	byModel          map[reflect.Type]*conversion // of events and actions, by their types in package flaxshelf
+	byRecord         map[reflect.Type]*conversion // the same conversions, by the types of the records
 	configConversion conversion
-	err              error // joins the errors of all conversions: each is a mistake in record.go
+	err              error // joined errors of all conversions; each is a mistake in record.go
 }
 
-// storedTypes has the stored types. The names are those that the types of package flaxshelf had when the first recordings were
-// written; they are in every recording and must not change.
+// storedTypes is the registry of the recording format.
 var storedTypes = newTypeRegistry()
 
+// newTypeRegistry registers all event and action types. The registered names are those that the types of package flaxshelf had
+// when the first recordings were written. They are in every recording and must not change.
 func newTypeRegistry() *typeRegistry {
 	r := &typeRegistry{byModel: map[reflect.Type]*conversion{}, byRecord: map[reflect.Type]*conversion{}}
 	r.configConversion, r.err = newConversion(reflect.TypeFor[configRecord](), reflect.TypeFor[flaxshelf.Config]())
@@ -52,12 +53,12 @@
 	return r
 }
 
-// registerEvent has Record store events of type Model under a name.
+// registerEvent registers Record under storedName as the record of events of type Model.
 func registerEvent[Record eventRecord, Model flaxshelf.Event](r *typeRegistry, storedName string) {
 	r.register(storedName, reflect.TypeFor[Record](), reflect.TypeFor[Model]())
 }
 
-// registerAction has Record store actions of type Model under a name.
+// registerAction registers Record under storedName as the record of actions of type Model.
 func registerAction[Record actionRecord, Model flaxshelf.Action](r *typeRegistry, storedName string) {
 	r.register(storedName, reflect.TypeFor[Record](), reflect.TypeFor[Model]())
 }
@@ -85,10 +86,10 @@
 	return records, nil
 }
 
-// errNoType is an event or action of a damaged recording that has no value.
+// errNoType reports a nil event or action, which only a damaged recording has.
 var errNoType = errors.New("an event or action has no type")
 
-// newModelValues returns the events or actions of records.
+// newModelValues returns the events or actions that are stored in records. The error is errNoType for a nil record.
 func newModelValues[Model, Record any](r *typeRegistry, records []Record) ([]Model, error) {
 	if len(records) == 0 {
 		return nil, nil
--- a/internal/replay/writer.go
+++ b/internal/replay/writer.go
@@ -11,7 +11,7 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-// Version is the version of the format that this build writes and reads.
+// Version is the version of the recording format that this build writes and reads.
 const Version = 1
 
 // Writer writes a recording. It is not safe for concurrent use: the goroutine that steps the module owns it.
@@ -19,11 +19,11 @@
 	encoder  *gob.Encoder
 	buffer   *bufio.Writer
 	closer   io.Closer // of the file that Create opened; nil after NewWriter
-	firstErr error     // first error of a step, after which nothing is recorded
+	firstErr error     // first error of WriteStep; no step is recorded after it
 }
 
-// NewWriter starts a recording of a module with the given configuration and seed. The caller owns out, and must close it
-// after it has closed the Writer.
+// NewWriter starts a recording of a module with the given configuration and seed. Closing the Writer does not close out: the
+// caller must do so afterwards.
 func NewWriter(out io.Writer, config flaxshelf.Config, seed uint64) (*Writer, error) {
 	if storedTypes.err != nil {
 		return nil, fmt.Errorf("replay: %w", storedTypes.err)
@@ -37,7 +37,7 @@
 	return w, nil
 }
 
-// Create starts a recording in a file, which it creates or truncates. Close closes the file.
+// Create creates or truncates a file and starts a recording in it. Closing the Writer closes the file.
 func Create(path string, config flaxshelf.Config, seed uint64) (*Writer, error) {
 	f, err := os.Create(path)
 	if err != nil {
@@ -51,8 +51,8 @@
 	return w, nil
 }
 
-// WriteStep records one step. It returns no error, since a module keeps running when its recording can't be written: the first
-// error ends the recording, and Close returns it.
+// WriteStep records one step. It returns no error, since a module keeps running when its recording cannot be written. After the
+// first error no further steps are recorded, and Close returns that error.
 func (w *Writer) WriteStep(now flaxshelf.Time, events []flaxshelf.Event, actions []flaxshelf.Action) {
 	if w.firstErr != nil {
 		return
@@ -64,7 +64,8 @@
 	w.firstErr = err
 }
 
-// Close ends the recording. It returns the first error of WriteStep joined with those of writing and closing the file.
+// Close ends the recording. It returns the first error of WriteStep, joined with the errors of flushing the output and of closing
+// a file that Create opened.
 func (w *Writer) Close() error {
 	err := errors.Join(w.firstErr, w.buffer.Flush())
 	if w.closer != nil {
