--- a/internal/benchadapter/events.go
+++ b/internal/benchadapter/events.go
@@ -9,13 +9,14 @@
 	"flaxshelf.example/flaxshelf/internal/textfields"
 )
 
-// outcomes are the outcomes of attempts and health checks by their numbers in the protocol.
+// outcomes maps the numbers of the protocol to outcomes of attempts and health checks.
 var outcomes = map[string]flaxshelf.Outcome{
 	"0": flaxshelf.Completed, "255": flaxshelf.Failed, "254": flaxshelf.Rejected, "253": flaxshelf.TimedOut,
 	"252": flaxshelf.Unreachable, "251": flaxshelf.Lost, "250": flaxshelf.Canceled, "249": flaxshelf.NotSent,
 }
 
-// eventDecoders decode the messages that are one event each, by their names.
+// eventDecoders has, by message name, the decoders of the messages that carry all fields of one event. VIEW, which refers to a
+// machine list, is decoded by Reader.decodeView.
 var eventDecoders = map[string]func(f *fields) flaxshelf.Event{
 	"TO_PLACE":      decodeTaskSubmitted,
 	"RUNNING":       decodeTaskAdopted,
@@ -59,6 +60,7 @@
 		Outcome: textfields.Lookup(&f.Fields, "verdict", outcomes, flaxshelf.Lost), Load: decodeLoad(f)}
 }
 
+// decodeGossip decodes an INBOX message, whose data is in base64.
 func decodeGossip(f *fields) flaxshelf.Event {
 	blob := f.Text("blob")
 	data, err := base64.StdEncoding.DecodeString(strings.TrimPrefix(blob, emptyValue))
@@ -72,6 +74,7 @@
 	return flaxshelf.TaskCanceled{Task: f.RequiredText("tid")}
 }
 
+// decodeTask decodes the fields of a task, which TO_PLACE and RUNNING have. The class is named by the field priority.
 func decodeTask(f *fields) flaxshelf.Task {
 	task := flaxshelf.Task{
 		ID: f.RequiredText("tid"), Key: f.Text("uid"), Service: f.Text("owner_set"),
@@ -88,7 +91,8 @@
 	return task
 }
 
-// decodeLoad decodes a load report of name:value pairs: x0 for free cores, x1 for free memory. Other names are skipped.
+// decodeLoad decodes the field load, a list of name:number pairs separated by commas: x0 is the number of free cores, x1 the free
+// memory. Pairs with other names are skipped.
 func decodeLoad(f *fields) (load flaxshelf.LoadReport) {
 	text := f.Text("load")
 	if text == "" || text == emptyValue {
--- a/internal/benchadapter/fields.go
+++ b/internal/benchadapter/fields.go
@@ -5,23 +5,24 @@
 	"flaxshelf.example/flaxshelf/internal/textfields"
 )
 
-// emptyValue represents an empty value in fields that can't be empty.
+// emptyValue stands for no data in fields whose value must not be empty: blob and load.
 const emptyValue = "-"
 
-// fields are the fields of a line.
+// fields holds the name=value fields of a line, and the names by which they refer to settings.
 type fields struct {
 	textfields.Fields
-	names *fleetsettings.Names // of the instance that the line is for
+	names *fleetsettings.Names // in the settings of the instance that the line is about
 }
 
-// emptyNames are the names of an instance that has not started.
+// emptyNames has no names. It is used for lines about no instance, and about an instance that has not started.
 var emptyNames = &fleetsettings.Names{}
 
+// parseFields returns the fields of a line without its message name.
 func parseFields(line string) *fields {
 	return &fields{Fields: textfields.Parse(line), names: emptyNames}
 }
 
-// protocolError returns the first fault of a line as a ProtocolError, or nil.
+// protocolError returns a *ProtocolError for the first invalid or missing field of a line, or nil if there is none.
 func (r *Reader) protocolError(f *fields) error {
 	invalid := f.Invalid()
 	if invalid == nil {
--- a/internal/benchadapter/machines.go
+++ b/internal/benchadapter/machines.go
@@ -8,20 +8,21 @@
 	"flaxshelf.example/flaxshelf/internal/textfields"
 )
 
-// listedMachine is an entry of a list of machines. It has the name of its kind, since a list is shared by instances, each of
-// which numbers kinds by its own settings.
+// listedMachine is an entry of a machine list. It has the kind's name instead of its number, because instances share the list
+// but number the kinds each by its own settings.
 type listedMachine struct {
-	machine  flaxshelf.Machine
+	machine  flaxshelf.Machine // without its kind
 	kindName string
 }
 
-// machineStates are the states of machines by their names in the protocol.
+// machineStates maps the names of the protocol to machine states.
 var machineStates = map[string]flaxshelf.MachineState{
 	"IN": flaxshelf.Active, "LAME": flaxshelf.Draining, "OUT": flaxshelf.Removed,
 }
 
-// readMachineList reads the list of machines that follows a REGISTER line. It replaces an older list of the same number. The error is
-// io.EOF, not io.ErrUnexpectedEOF, when the input ends between two entries.
+// readMachineList reads the entries that follow a REGISTER line, and stores them as the machine list of that page number. They
+// replace an earlier list with the same number. The error is io.EOF, not io.ErrUnexpectedEOF, when the input ends between two
+// entries.
 func (r *Reader) readMachineList(f *fields) error {
 	page, count := int(f.RequiredInteger("page")), f.Integer("records")
 	var list []listedMachine
@@ -30,8 +31,8 @@
 		if err != nil {
 			return err
 		}
-		message, rest, _ := strings.Cut(line, " ")
-		if message != "M" {
+		name, rest, _ := strings.Cut(line, " ")
+		if name != "M" {
 			return &ProtocolError{Batch: r.batchSerial, Field: "records", Value: line}
 		}
 		entryFields := parseFields(rest)
@@ -47,7 +48,8 @@
 	return nil
 }
 
-// decodeMachine decodes an entry; it is the only mapping of this wire to a Machine, but for its kind.
+// decodeMachine decodes an entry of a machine list. No other code maps the protocol's fields to a Machine, except that
+// machineWithKind sets the kind.
 func decodeMachine(f *fields) listedMachine {
 	machine := flaxshelf.Machine{
 		ID:         f.RequiredText("node"),
@@ -61,14 +63,15 @@
 	return listedMachine{machine: machine, kindName: f.Text("shape")}
 }
 
-// machineWithKind returns the machine with the kind that it has in the settings of an instance.
+// machineWithKind returns the machine with the number of its kind in an instance's settings, or -1 if they lack the kind.
 func (l listedMachine) machineWithKind(names *fleetsettings.Names) flaxshelf.Machine {
 	machine := l.machine
 	machine.Kind = names.Kind(l.kindName)
 	return machine
 }
 
-// decodeView decodes a VIEW line: a registered list of machines, or a failure of discovery.
+// decodeView decodes a VIEW line: an update with the machine list of a page number, or, with the form Error, a failure of
+// discovery.
 func (r *Reader) decodeView(f *fields) flaxshelf.Event {
 	form := f.RequiredText("form")
 	switch form {
@@ -81,7 +84,7 @@
 	}
 	list, ok := r.machineLists[int(f.RequiredInteger("page"))]
 	if !ok {
-		f.Fail("page", f.Text("page"), "must be the number of a list that was registered before")
+		f.Fail("page", f.Text("page"), "must be the number of a machine list that was registered before")
 		return nil
 	}
 	event := flaxshelf.MachinesUpdated{Complete: form != "Partial", Stale: form == "Persisted"}
--- a/internal/benchadapter/reader.go
+++ b/internal/benchadapter/reader.go
@@ -1,5 +1,10 @@
-// Package benchadapter translates between the bench's text protocol and the events and actions of the module: names and units.
-// It makes no decision. A Reader or Writer is not safe for concurrent use.
+// Package benchadapter translates between the bench's text protocol and the events and actions of the scheduling module (package
+// flaxshelf). It only maps names and units, and takes no scheduling decision. A Reader or Writer is not safe for concurrent
+// use.
+//
+// The input consists of batches: a FRAME line with the time and a serial number, one line for each message about an instance of
+// the module, and an END line. REGISTER lines with the entries of a machine list may stand between the messages. A line has a
+// name and name=value fields, separated by spaces.
 package benchadapter
 
 import (
@@ -13,17 +18,17 @@
 	"flaxshelf.example/flaxshelf/internal/fleetsettings"
 )
 
-// readBufferBytes is the size of a Reader's buffer. Lines may be longer.
+// readBufferBytes is the size of a Reader's buffer. It does not limit the length of lines.
 const readBufferBytes = 1 << 20
 
-// Start is the start of an instance with its seed and configuration.
+// Start has the seed and the configuration with which an instance starts.
 type Start struct {
 	Seed   uint64
 	Config flaxshelf.Config
-	names  *fleetsettings.Names
+	names  *fleetsettings.Names // in Config
 }
 
-// Message is an occurrence at an instance. Exactly one of Start, Stop and Event is set.
+// Message is a message about an instance. Exactly one of Start, Stop and Event is set.
 type Message struct {
 	Instance int
 	Start    *Start
@@ -31,32 +36,36 @@
 	Event    flaxshelf.Event
 }
 
-// Batch is the content of a FRAME.
+// Batch is the content of the lines from FRAME to END.
 type Batch struct {
 	Now      flaxshelf.Time
-	Serial   int64
+	Serial   int64 // number by which the reply refers to the batch
 	Messages []Message
 }
 
-// ProtocolError reports malformed input: the serial number of the current batch, the field and its value.
+// ProtocolError reports malformed input. Batch is the serial number of the current batch, or of the previous one if the FRAME
+// line itself is malformed; it is 0 before the first batch. Value is empty for a missing field, and the whole line where a line
+// with another name was expected.
 type ProtocolError struct {
 	Batch        int64
 	Field, Value string
 }
 
+// Error names the batch, the field and its value.
 func (e *ProtocolError) Error() string {
 	return fmt.Sprintf("malformed input: batch %d, field %s, value %q", e.Batch, e.Field, e.Value)
 }
 
-// Reader reads batches. It stores the names in the settings of instances, and the registered lists of machines.
+// Reader reads batches. From one batch to the next it keeps the machine lists and the names in the settings of the instances, to
+// which later messages refer.
 type Reader struct {
 	in           *bufio.Reader
 	names        map[int]*fleetsettings.Names // by instance
-	machineLists map[int][]listedMachine
-	batchSerial  int64
+	machineLists map[int][]listedMachine      // by page number
+	batchSerial  int64                        // of the current batch; 0 before the first
 }
 
-// NewReader returns a Reader of in.
+// NewReader returns a Reader that reads from in.
 func NewReader(in io.Reader) *Reader {
 	return &Reader{
 		in:           bufio.NewReaderSize(in, readBufferBytes),
@@ -65,8 +74,8 @@
 	}
 }
 
-// Next reads a batch. The error is io.EOF when the input ends between batches, io.ErrUnexpectedEOF when it ends within one (but
-// see readMachineList), and otherwise a *ProtocolError or the error of the input.
+// Next reads the next batch. The error is io.EOF when the input ends between batches or between the entries of a machine list,
+// io.ErrUnexpectedEOF when it ends elsewhere within a batch, and otherwise a *ProtocolError or the error of the input.
 func (r *Reader) Next() (*Batch, error) {
 	batch, err := r.readBatchStart()
 	if err != nil {
@@ -86,17 +95,17 @@
 		if line == "" {
 			continue
 		}
-		item, ok, err := r.readMessage(line)
+		message, ok, err := r.readMessage(line)
 		if err != nil {
 			return nil, err
 		}
 		if ok {
-			batch.Messages = append(batch.Messages, item)
+			batch.Messages = append(batch.Messages, message)
 		}
 	}
 }
 
-// readBatchStart reads the FRAME line of a batch. Empty lines before it are skipped.
+// readBatchStart reads the FRAME line of a batch and skips empty lines before it. It returns a batch without messages.
 func (r *Reader) readBatchStart() (*Batch, error) {
 	line, err := r.readLine()
 	for err == nil && line == "" {
@@ -105,8 +114,8 @@
 	if err != nil {
 		return nil, err
 	}
-	message, rest, _ := strings.Cut(line, " ")
-	if message != "FRAME" {
+	name, rest, _ := strings.Cut(line, " ")
+	if name != "FRAME" {
 		return nil, &ProtocolError{Batch: r.batchSerial, Field: "FRAME", Value: line}
 	}
 	f := parseFields(rest)
@@ -118,7 +127,8 @@
 	return batch, nil
 }
 
-// readLine reads a line and returns it without its line break.
+// readLine reads a line and returns it without its line break. The error is io.EOF when the input ends after a complete line, and
+// io.ErrUnexpectedEOF when the last line has no line break.
 func (r *Reader) readLine() (string, error) {
 	line, err := r.in.ReadString('\n')
 	if errors.Is(err, io.EOF) && line != "" {
@@ -127,44 +137,45 @@
 	return strings.TrimRight(line, "\r\n"), err
 }
 
-// readMessage decodes a line of a batch, and the following lines that belong to it. ok is false for a line that is not about an
-// instance, and for an unknown message.
-func (r *Reader) readMessage(line string) (item Message, ok bool, err error) {
-	message, rest, _ := strings.Cut(line, " ")
+// readMessage decodes a line of a batch. For a REGISTER line, it also reads the entries that follow. ok is false for a line that
+// yields no message: REGISTER, or an unknown name.
+func (r *Reader) readMessage(line string) (message Message, ok bool, err error) {
+	name, rest, _ := strings.Cut(line, " ")
 	f := parseFields(rest)
-	if message == "REGISTER" {
-		return item, false, r.readMachineList(f)
+	if name == "REGISTER" {
+		return message, false, r.readMachineList(f)
 	}
-	item.Instance = int(f.RequiredInteger("who"))
-	if names := r.names[item.Instance]; names != nil {
+	message.Instance = int(f.RequiredInteger("who"))
+	if names := r.names[message.Instance]; names != nil {
 		f.names = names
 	}
-	if !r.decodeMessage(message, f, &item) {
-		return item, false, nil
+	if !r.decodeMessage(name, f, &message) {
+		return message, false, nil
 	}
 	if err := r.protocolError(f); err != nil {
-		return item, false, err
+		return message, false, err
 	}
-	if item.Start != nil {
-		r.names[item.Instance] = item.Start.names
+	if message.Start != nil {
+		r.names[message.Instance] = message.Start.names
 	}
-	return item, true, nil
+	return message, true, nil
 }
 
-// decodeMessage decodes a message about an instance. It returns false for an unknown message.
-func (r *Reader) decodeMessage(message string, f *fields, item *Message) bool {
-	switch message {
+// decodeMessage sets Start, Stop or Event of message from the fields of a line with the given name. It returns false for an
+// unknown name.
+func (r *Reader) decodeMessage(name string, f *fields, message *Message) bool {
+	switch name {
 	case "UP":
-		item.Start = &Start{Seed: uint64(f.Integer("init_seed"))}
-		item.Start.Config, item.Start.names = fleetsettings.Decode(&f.Fields)
+		message.Start = &Start{Seed: uint64(f.Integer("init_seed"))}
+		message.Start.Config, message.Start.names = fleetsettings.Decode(&f.Fields)
 	case "RETIRE":
-		item.Stop = true
+		message.Stop = true
 	case "VIEW":
-		item.Event = r.decodeView(f)
+		message.Event = r.decodeView(f)
 	default:
-		decode, known := eventDecoders[message]
+		decode, known := eventDecoders[name]
 		if known {
-			item.Event = decode(f)
+			message.Event = decode(f)
 		}
 		return known
 	}
--- a/internal/benchadapter/reader_test.go
+++ b/internal/benchadapter/reader_test.go
@@ -13,12 +13,14 @@
 	"flaxshelf.example/flaxshelf/internal/machinetest"
 )
 
+// upLine starts instance 3 with two kinds of machines and two classes. It has an unknown field, which is ignored.
 const upLine = "UP who=3 init_seed=9 balancers=2 kinds=k1,k2 specifics.kind_cores=30,48 specifics.mem_of_kind=86.0,155.0 " +
 	"categories.count=2 categories.0.name=c0 categories.0.effect=read_like categories.1.name=c1 " +
 	"categories.1.effect=idempotency_key categories.1.key_scope=zone categories.1.key_ttl_ns=5000000000 " +
 	"specifics.spread_over=zone,off specifics.together_max=4,2 customers= discovery=on_request " +
 	"round_ns=2000000 future.thing=yes specifics.kind_by_class=-1,1\n"
 
+// readAll returns all batches of text, which must be valid.
 func readAll(t *testing.T, text string) []*Batch {
 	t.Helper()
 	r := NewReader(strings.NewReader(text))
@@ -53,7 +55,8 @@
 	}
 }
 
-// A list replaces an older one of the same number in the middle of a batch; unknown messages are skipped.
+// A machine list replaces the earlier one with the same page number from the REGISTER line on, in the middle of a batch: views
+// before and after it have different lists. Unknown messages are skipped, also without a valid instance.
 func TestEventsInOrderWithReusedLists(t *testing.T) {
 	text := "FRAME clock_ns=5 serial=1\n" + upLine +
 		"REGISTER page=0 records=1\nM node=n1 shape=k2 readiness=IN az=a pod=2 last_start_ns=4\nVIEW who=3 form=Complete page=0\n" +
@@ -61,7 +64,7 @@
 		"LATER who=3 x=1\nLATER who=x\nVIEW who=3 form=Error\nINBOX who=3 neighbour=2 blob=aGkgNw==\n" +
 		"ATTEMPT_END who=3 tid=c:1 leg=1 node=n1 verdict=254 remark=2 lag_ns=7 load=x0:3.5,x9:1\n" +
 		"STATUS_NOTE who=3 tid=c:1 leg=0 node=n1 kind=4 amount=0.5\nRETIRE who=3\nEND\n"
-	items := readAll(t, text)[0].Messages
+	messages := readAll(t, text)[0].Messages
 	want := []flaxshelf.Event{nil,
 		flaxshelf.MachinesUpdated{Complete: true, Machines: []flaxshelf.Machine{{ID: "n1", Kind: 1, Zone: "a", Cell: 2, Started: 4}}},
 		flaxshelf.MachinesUpdated{Machines: []flaxshelf.Machine{{ID: "n1", Kind: -1, State: flaxshelf.Draining}}},
@@ -69,16 +72,16 @@
 		flaxshelf.AttemptEnded{Task: "c:1", Machine: "n1", Attempt: 1, Outcome: flaxshelf.Rejected, Reason: flaxshelf.InsufficientMemory,
 			Latency: 7, Load: flaxshelf.LoadReport{Present: true, HasCores: true, FreeCores: 3.5}},
 		flaxshelf.UsageReport{Task: "c:1", Machine: "n1", Kind: flaxshelf.ServiceLevel, Amount: 0.5}, nil}
-	if len(items) != len(want) {
-		t.Fatalf("got %d items, want %d", len(items), len(want))
+	if len(messages) != len(want) {
+		t.Fatalf("got %d messages, want %d", len(messages), len(want))
 	}
 	for i, event := range want {
-		if event != nil && !reflect.DeepEqual(items[i].Event, event) {
-			t.Errorf("item %d: got %+v, want %+v", i, items[i].Event, event)
+		if event != nil && !reflect.DeepEqual(messages[i].Event, event) {
+			t.Errorf("message %d: got %+v, want %+v", i, messages[i].Event, event)
 		}
 	}
-	if !items[len(items)-1].Stop {
-		t.Errorf("last item: got %+v, want a stop", items[len(items)-1])
+	if !messages[len(messages)-1].Stop {
+		t.Errorf("last message: got %+v, want a stop", messages[len(messages)-1])
 	}
 }
 
@@ -97,9 +100,9 @@
 		"WAKEUP who=3":                   flaxshelf.TimerFired{},
 		"ABORTED who=3 tid=t":            flaxshelf.TaskCanceled{Task: "t"},
 	} {
-		items := readAll(t, "FRAME clock_ns=5 serial=1\n"+upLine+line+"\nEND\n")[0].Messages
-		if len(items) != 2 || items[1].Instance != 3 || !reflect.DeepEqual(items[1].Event, want) {
-			t.Errorf("%s: got %+v, want %+v", line, items, want)
+		messages := readAll(t, "FRAME clock_ns=5 serial=1\n"+upLine+line+"\nEND\n")[0].Messages
+		if len(messages) != 2 || messages[1].Instance != 3 || !reflect.DeepEqual(messages[1].Event, want) {
+			t.Errorf("%s: got %+v, want %+v", line, messages, want)
 		}
 	}
 }
@@ -139,7 +142,7 @@
 	})
 }
 
-// The reader never panics, and accepts an input again that it has accepted.
+// The reader must not panic, and must give the same result for the same input: the same acceptance and number of messages.
 func FuzzReader(f *testing.F) {
 	f.Add("FRAME clock_ns=5 serial=1\n" + upLine + "REGISTER page=0 records=1\nM node=n1\nVIEW who=3 form=Complete page=0\nEND\n")
 	f.Add("FRAME clock_ns=5 serial=1\nATTEMPT_END who=1 tid=t verdict=0 load=x0:1\nEND\n")
@@ -165,8 +168,8 @@
 	}
 }
 
-// machineLine writes an entry of a list of machines. A field of Machine that is missing here makes
-// TestListKeepsEveryFieldOfMachine fail.
+// machineLine returns the entry of a machine list for a machine whose kind is an index of kinds. A field of Machine that is
+// missing here makes TestListKeepsEveryFieldOfMachine fail.
 func machineLine(m flaxshelf.Machine, kinds ...string) string {
 	readiness := ""
 	for name, state := range machineStates {
@@ -178,13 +181,14 @@
 		kinds[m.Kind], readiness, m.Zone, m.Cell, int64(m.Started), m.FreeCores, m.FreeMemory)
 }
 
+// Guards against a field of Machine that the protocol's entries lose, also one added later.
 func TestListKeepsEveryFieldOfMachine(t *testing.T) {
 	want := machinetest.Filled(t)
-	items := readAll(t, "FRAME clock_ns=5 serial=1\n"+upLine+"REGISTER page=0 records=1\n"+machineLine(want, "k1", "k2")+
+	messages := readAll(t, "FRAME clock_ns=5 serial=1\n"+upLine+"REGISTER page=0 records=1\n"+machineLine(want, "k1", "k2")+
 		"\nVIEW who=3 form=Complete page=0\nEND\n")[0].Messages
-	update, ok := items[len(items)-1].Event.(flaxshelf.MachinesUpdated)
+	update, ok := messages[len(messages)-1].Event.(flaxshelf.MachinesUpdated)
 	if !ok || len(update.Machines) != 1 {
-		t.Fatalf("got %+v, want an update with one machine", items)
+		t.Fatalf("got %+v, want an update with one machine", messages)
 	}
 	machinetest.Expect(t, update.Machines[0], want)
 }
--- a/internal/benchadapter/writer.go
+++ b/internal/benchadapter/writer.go
@@ -10,13 +10,13 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-// writeBufferBytes is the size of a Writer's buffer. Longer replies are written in parts.
+// writeBufferBytes is the size of a Writer's buffer. A longer reply is written in several parts.
 const writeBufferBytes = 1 << 16
 
-// Writer writes replies, each of which has the actions of all instances and an end.
+// Writer writes replies to batches. A reply has the actions and panics of all instances, one line each, and a READY line.
 type Writer struct{ out *bufio.Writer }
 
-// NewWriter returns a Writer to out.
+// NewWriter returns a Writer that writes to out.
 func NewWriter(out io.Writer) *Writer { return &Writer{bufio.NewWriterSize(out, writeBufferBytes)} }
 
 // WriteAction writes one action of an instance.
@@ -43,6 +43,7 @@
 	}
 }
 
+// encodeBlob returns gossip data in base64.
 func encodeBlob(data []byte) string {
 	if len(data) == 0 {
 		return emptyValue
@@ -50,19 +51,20 @@
 	return base64.StdEncoding.EncodeToString(data)
 }
 
-// lineBreakReplacer replaces line breaks, which would end a message.
+// lineBreakReplacer replaces line breaks, which would end the line of a message early.
 var lineBreakReplacer = strings.NewReplacer("\n", " ", "\r", " ")
 
-// WritePanic writes that the module has panicked in a step of an instance.
+// WritePanic writes a BUG message: the module panicked with the given text in a step of an instance.
 func (w *Writer) WritePanic(instance int, text string) {
 	w.printf("BUG who=%d msg=%s\n", instance, lineBreakReplacer.Replace(text))
 }
 
-// EndReply writes the end of the reply to a batch and flushes it. The error is the first one of any write of the Writer.
+// EndReply ends the reply to the batch with the given serial number and flushes it. The error is the first one of all writes so
+// far.
 func (w *Writer) EndReply(serial int64) error {
 	w.printf("READY serial=%d\n", serial)
 	return w.out.Flush()
 }
 
-// printf writes formatted text. bufio.Writer stores the first error for EndReply.
+// printf writes formatted text. It drops the error, which bufio.Writer keeps and returns to EndReply.
 func (w *Writer) printf(format string, args ...any) { _, _ = fmt.Fprintf(w.out, format, args...) }
--- a/internal/benchadapter/writer_test.go
+++ b/internal/benchadapter/writer_test.go
@@ -38,8 +38,8 @@
 
 func (failingWriter) Write([]byte) (int, error) { return 0, errWrite }
 
-// EndReply returns the error of a write within the reply.
-func TestEndReturnsWriteError(t *testing.T) {
+// EndReply must return the error of an earlier write of the same reply, which WritePanic drops.
+func TestEndReplyReturnsWriteError(t *testing.T) {
 	w := NewWriter(failingWriter{})
 	w.WritePanic(1, string(make([]byte, 2*writeBufferBytes)))
 	if err := w.EndReply(1); !errors.Is(err, errWrite) {
