--- a/cmd/benchadapter/main.go
+++ b/cmd/benchadapter/main.go
@@ -1,5 +1,5 @@
-// Command benchadapter runs instances of the module for the bench: batches of events on standard input, replies with their
-// actions on standard output.
+// Command benchadapter runs instances of the scheduling module (package flaxshelf) for the bench. It reads batches of events from
+// standard input, and writes a reply to each batch with the instances' actions to standard output.
 package main
 
 import (
@@ -19,7 +19,7 @@
 	}
 }
 
-// serve replies to batches until the input ends.
+// serve reads batches and writes the reply to each until the input ends.
 func serve(in io.Reader, out io.Writer) error {
 	reader, writer := benchadapter.NewReader(in), benchadapter.NewWriter(out)
 	placers := map[int]*flaxshelf.Placer{}
@@ -40,8 +40,8 @@
 	}
 }
 
-// processBatch starts and stops instances, then runs one step of each instance with its events of the batch, in the order of their
-// first events. Events before the stop or restart of an instance are dropped.
+// processBatch applies all starts and stops of instances in the batch, and then runs one step of each running instance that has
+// events, in the order of the instances' first events. Events of an instance before its last start or stop are dropped.
 func processBatch(batch *benchadapter.Batch, placers map[int]*flaxshelf.Placer, writer *benchadapter.Writer) error {
 	var order []int
 	events := map[int][]flaxshelf.Event{}
@@ -74,7 +74,8 @@
 	return nil
 }
 
-// stepInstance runs one step of an instance. If the module panics, it writes a BUG message of that instance.
+// stepInstance runs one step of an instance and writes its actions. If the module panics, it writes a BUG message for the
+// instance instead.
 func stepInstance(placer *flaxshelf.Placer, batch *benchadapter.Batch, instance int, events []flaxshelf.Event,
 	writer *benchadapter.Writer) {
 	defer func() {
--- a/cmd/benchadapter/main_test.go
+++ b/cmd/benchadapter/main_test.go
@@ -10,7 +10,7 @@
 	"flaxshelf.example/flaxshelf/internal/benchadapter"
 )
 
-// startLines returns lines that start an instance and give it a list of three machines.
+// startLines returns the lines that start an instance and send it a list of three machines.
 func startLines(instance int) string {
 	return fmt.Sprintf("UP who=%d init_seed=%d kinds=k specifics.kind_cores=30 specifics.mem_of_kind=86 "+
 		"categories.count=1 categories.0.name=c categories.0.effect=read_like\n"+
@@ -18,7 +18,7 @@
 		"VIEW who=%d form=Persisted page=0\n", instance, instance+5, instance)
 }
 
-// script returns input that starts the instances and gives each 20 tasks, one in each batch.
+// script returns input that starts the instances, and then has 20 batches, each of which submits one task to every instance.
 func script(instances ...int) string {
 	var s strings.Builder
 	s.WriteString("FRAME clock_ns=1000 serial=1\n")
@@ -36,7 +36,7 @@
 	return s.String()
 }
 
-// replyLines returns the lines of all replies that are of one instance.
+// replyLines returns the lines about one instance from all replies to the input in.
 func replyLines(t *testing.T, in, instance string) string {
 	t.Helper()
 	var out bytes.Buffer
@@ -52,11 +52,11 @@
 	return s.String()
 }
 
-// The actions of an instance don't depend on other instances.
+// The actions of an instance must not depend on other instances.
 func TestInstancesAreIsolated(t *testing.T) {
 	together, alone := replyLines(t, script(1, 2, 3), "2"), replyLines(t, script(2), "2")
 	if together != alone || strings.Count(alone, "BIND") != 20 {
-		t.Errorf("got beside others\n%s\nwant the 20 offers that it makes alone\n%s", together, alone)
+		t.Errorf("got with other instances\n%s\nwant the 20 offers that the instance makes alone\n%s", together, alone)
 	}
 }
 
@@ -80,16 +80,17 @@
 	in := strings.Replace(script(1), "specifics.kind_cores=30", "specifics.kind_cores=0", 1)
 	err := serve(strings.NewReader(in), &bytes.Buffer{})
 	if err == nil || !strings.Contains(err.Error(), "Kinds[0] (k)") {
-		t.Errorf("got %v, want an error of Kinds[0]", err)
+		t.Errorf("got %v, want an error that names Kinds[0] (k)", err)
 	}
 }
 
-// A panic of the module becomes a BUG message of its instance. Here the call of a nil module panics.
+// A panic of the module must not end the process: it becomes a BUG message of the instance. Here, the call of a method of a nil
+// Placer panics.
 func TestPanicBecomesBug(t *testing.T) {
 	var out bytes.Buffer
 	w := benchadapter.NewWriter(&out)
 	stepInstance(nil, &benchadapter.Batch{Now: 1}, 4, []flaxshelf.Event{flaxshelf.TimerFired{}}, w)
 	if err := w.EndReply(1); err != nil || !strings.HasPrefix(out.String(), "BUG who=4 msg=runtime error") {
-		t.Errorf("%v, wrote %q", err, out.String())
+		t.Errorf("got error %v, wrote %q, want a BUG message of a runtime error", err, out.String())
 	}
 }
