--- a/internal/replay/recorded_test.go
+++ b/internal/replay/recorded_test.go
@@ -24,9 +24,9 @@
 // rewrites the worlds and the days that the emulator runs. The other days need sockets: `flaxshelf trial DAY --seed 7
 // --keep DIRECTORY` leaves a file s1-1.tap, which is cut off after socketDayBytes and compressed.
 const (
-	dayFiles       = "testdata/days"
-	socketDayFiles = "testdata/socketdays"
-	worldFiles     = "testdata/worlds"
+	dayDir       = "testdata/days"
+	socketDayDir = "testdata/socketdays"
+	worldDir     = "testdata/worlds"
 
 	recordedDaySeed    = 5
 	recordedDaySteps   = 600 // minimum of a day's schedulers together, and maximum of each, so that the files stay small
@@ -56,6 +56,7 @@
 	return r, err
 }
 
+// Step runs a step of the module, and records it unless maxSteps steps are recorded already.
 func (r *recordedModule) Step(now flaxshelf.Time, events []flaxshelf.Event) []flaxshelf.Action {
 	actions := r.module.Step(now, events)
 	if r.steps++; r.steps <= r.maxSteps {
@@ -75,11 +76,11 @@
 
 // dayFile returns the path of the recording of the scheduler that started after `incarnation` others in a day.
 func dayFile(day string, incarnation int) string {
-	return filepath.Join(dayFiles, fmt.Sprintf("%s-%d.gob.gz", day, incarnation))
+	return filepath.Join(dayDir, fmt.Sprintf("%s-%d.gob.gz", day, incarnation))
 }
 
 func worldFile(world uint64) string {
-	return filepath.Join(worldFiles, fmt.Sprintf("%02d.gob.gz", world))
+	return filepath.Join(worldDir, fmt.Sprintf("%02d.gob.gz", world))
 }
 
 // updateDay runs a day in the emulator and writes the recordings of its schedulers in the order of their starts, until they have
@@ -178,7 +179,7 @@
 			continue
 		}
 		t.Run(day, func(t *testing.T) {
-			path := filepath.Join(socketDayFiles, day+".gob.gz")
+			path := filepath.Join(socketDayDir, day+".gob.gz")
 			if size := len(readCompressed(t, path)); size != socketDayBytes {
 				t.Errorf("got %d bytes, want %d", size, socketDayBytes)
 			}
