--- a/cmd/benchadapter/main.go
+++ b/cmd/benchadapter/main.go
@@ -1,5 +1,5 @@
-// Command benchadapter runs instances of the module for the bench: batches of events on standard input, replies with their
-// actions on standard output.
+// Command benchadapter runs instances of the scheduling module (package flaxshelf) for the bench. It reads batches of events from
+// standard input, and writes a reply to each batch with the instances' actions to standard output.
 package main
 
 import (
@@ -19,7 +19,7 @@
 	}
 }
 
-// serve replies to batches until the input ends.
+// serve reads batches and writes the reply to each until the input ends.
 func serve(in io.Reader, out io.Writer) error {
 	reader, writer := benchadapter.NewReader(in), benchadapter.NewWriter(out)
 	placers := map[int]*flaxshelf.Placer{}
@@ -31,21 +31,21 @@
 		if err != nil {
 			return err
 		}
-		if err := reply(batch, placers, writer); err != nil {
+		if err := processBatch(batch, placers, writer); err != nil {
 			return err
 		}
-		if err := writer.End(batch.Serial); err != nil {
+		if err := writer.EndReply(batch.Serial); err != nil {
 			return err
 		}
 	}
 }
 
-// reply starts and stops instances, then runs one step of each instance with its events of the batch, in the order of their
-// first events. Events before the stop or restart of an instance are dropped.
-func reply(batch *benchadapter.Batch, placers map[int]*flaxshelf.Placer, writer *benchadapter.Writer) error {
+// processBatch applies all starts and stops of instances in the batch, and then runs one step of each running instance that has
+// events, in the order of the instances' first events. Events of an instance before its last start or stop are dropped.
+func processBatch(batch *benchadapter.Batch, placers map[int]*flaxshelf.Placer, writer *benchadapter.Writer) error {
 	var order []int
 	events := map[int][]flaxshelf.Event{}
-	for _, item := range batch.Items {
+	for _, item := range batch.Messages {
 		instance := item.Instance
 		switch {
 		case item.Stop:
@@ -68,21 +68,22 @@
 	for _, instance := range order {
 		if placer := placers[instance]; placer != nil && !stepped[instance] && len(events[instance]) > 0 {
 			stepped[instance] = true
-			step(placer, batch, instance, events[instance], writer)
+			stepInstance(placer, batch, instance, events[instance], writer)
 		}
 	}
 	return nil
 }
 
-// step runs one step of an instance. If the module panics, it writes a BUG message of that instance.
-func step(placer *flaxshelf.Placer, batch *benchadapter.Batch, instance int, events []flaxshelf.Event,
+// stepInstance runs one step of an instance and writes its actions. If the module panics, it writes a BUG message for the
+// instance instead.
+func stepInstance(placer *flaxshelf.Placer, batch *benchadapter.Batch, instance int, events []flaxshelf.Event,
 	writer *benchadapter.Writer) {
 	defer func() {
 		if cause := recover(); cause != nil {
-			writer.Bug(instance, fmt.Sprint(cause))
+			writer.WritePanic(instance, fmt.Sprint(cause))
 		}
 	}()
-	for _, action := range placer.Step(batch.Clock, events) {
-		writer.Action(instance, action)
+	for _, action := range placer.Step(batch.Now, events) {
+		writer.WriteAction(instance, action)
 	}
 }
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -158,7 +158,7 @@
 		if s.recording, err = replay.Create(s.options.RecordingPath, config.Placer, config.Seed); err != nil {
 			return err
 		}
-		coreConfig.RecordStep = s.recording.Step
+		coreConfig.RecordStep = s.recording.WriteStep
 	}
 	s.core, err = requests.New(coreConfig)
 	return err
