--- a/internal/daemon/core.go
+++ b/internal/daemon/corerunner.go
@@ -198,7 +198,7 @@
 	now := clock.At(startedAt)
 	output := r.core.Step(now, inputs)
 	if hook := r.daemon.hook; hook != nil {
-		output.Effects = hook.Out(now, output.Effects)
+		output.Effects = hook.InterceptEffects(now, output.Effects)
 	}
 	r.executeEffects(now, output.Effects)
 	r.daemon.metrics.recordStep(time.Since(startedAt), len(inputs))
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -53,22 +53,23 @@
 	metrics            *metrics
 }
 
-// Hook intercepts inputs and effects between the cores and the sockets, for tests: of the rule checker, with a host that
-// breaks rules on purpose, and of cores that stall. Both methods are called by the goroutine that owns a core.
+// Hook replaces inputs and effects on their way between the cores and the sockets. It is for tests, for example of a rule
+// checker with a daemon that violates a rule on purpose, or of a core that stalls. Each core's goroutine calls both methods,
+// so a hook of several cores must be safe for concurrent use.
 type Hook interface {
-	// In returns the input that the core receives instead of the argument.
-	In(scheduler.Input) scheduler.Input
-	// Out returns the effects to execute instead of those of the core's step at the time now.
-	Out(now scheduler.Time, effects []scheduler.Effect) []scheduler.Effect
+	// InterceptInput returns the input that the core receives in place of the argument.
+	InterceptInput(scheduler.Input) scheduler.Input
+	// InterceptEffects returns the effects that are executed in place of those that the core's step at the time now returned.
+	InterceptEffects(now scheduler.Time, effects []scheduler.Effect) []scheduler.Effect
 }
 
 // Start starts a daemon, which listens when Start returns. The caller ends it with Shutdown or Stop.
 func Start(set *settings.Scheduler, log zerolog.Logger) (*Daemon, error) {
-	return StartHooked(set, log, nil)
+	return StartWithHook(set, log, nil)
 }
 
-// StartHooked is Start with a hook, for tests.
-func StartHooked(set *settings.Scheduler, log zerolog.Logger, hook Hook) (*Daemon, error) {
+// StartWithHook is Start with a hook, for tests.
+func StartWithHook(set *settings.Scheduler, log zerolog.Logger, hook Hook) (*Daemon, error) {
 	coreCount := max(set.Shards, 1)
 	startedAt := clock.Now()
 	d := &Daemon{
--- a/internal/daemon/inputs.go
+++ b/internal/daemon/inputs.go
@@ -31,7 +31,7 @@
 		}
 	}
 	if hook := r.daemon.hook; hook != nil {
-		input = hook.In(input)
+		input = hook.InterceptInput(input)
 	}
 	return append(inputs, input)
 }
--- a/internal/daemon/cores_test.go
+++ b/internal/daemon/multicore_test.go
@@ -175,9 +175,9 @@
 	return &stallHook{jobName: "stall", began: make(chan struct{}), ended: make(chan struct{})}
 }
 
-func (*stallHook) In(in scheduler.Input) scheduler.Input { return in }
+func (*stallHook) InterceptInput(in scheduler.Input) scheduler.Input { return in }
 
-func (h *stallHook) Out(_ scheduler.Time, effects []scheduler.Effect) []scheduler.Effect {
+func (h *stallHook) InterceptEffects(_ scheduler.Time, effects []scheduler.Effect) []scheduler.Effect {
 	for _, effect := range effects {
 		answer, ok := effect.(scheduler.Answer)
 		if ok && len(answer.Jobs) > 0 && answer.Jobs[0].Spec.Name == h.jobName {
--- a/internal/daemon/testcluster_test.go
+++ b/internal/daemon/testcluster_test.go
@@ -133,7 +133,7 @@
 	if c.options.log != nil {
 		log = zerolog.New(c.options.log)
 	}
-	d, err := StartHooked(c.settings, log, c.options.hook)
+	d, err := StartWithHook(c.settings, log, c.options.hook)
 	if err != nil {
 		c.t.Fatal(err)
 	}
--- a/internal/testbed/trial/hook_test.go
+++ b/internal/testbed/trial/hook_test.go
@@ -39,9 +39,9 @@
 // outcomeInterval is the number of placed jobs of which one has two outcomes.
 const outcomeInterval = 20
 
-func (*secondOutcome) In(in scheduler.Input) scheduler.Input { return in }
+func (*secondOutcome) InterceptInput(in scheduler.Input) scheduler.Input { return in }
 
-func (h *secondOutcome) Out(_ scheduler.Time, effects []scheduler.Effect) []scheduler.Effect {
+func (h *secondOutcome) InterceptEffects(_ scheduler.Time, effects []scheduler.Effect) []scheduler.Effect {
 	var out []scheduler.Effect
 	for _, effect := range effects {
 		out = append(out, effect)
@@ -60,9 +60,9 @@
 // duplicateStart offers the jobs of one class twice to the same node, so that their spread does not change.
 type duplicateStart struct{}
 
-func (*duplicateStart) In(in scheduler.Input) scheduler.Input { return in }
+func (*duplicateStart) InterceptInput(in scheduler.Input) scheduler.Input { return in }
 
-func (*duplicateStart) Out(_ scheduler.Time, effects []scheduler.Effect) []scheduler.Effect {
+func (*duplicateStart) InterceptEffects(_ scheduler.Time, effects []scheduler.Effect) []scheduler.Effect {
 	var out []scheduler.Effect
 	for _, effect := range effects {
 		out = append(out, effect)
@@ -99,7 +99,7 @@
 	return &redirection{choose: choose, chosenNodes: map[string]string{}}
 }
 
-func (h *redirection) In(in scheduler.Input) scheduler.Input {
+func (h *redirection) InterceptInput(in scheduler.Input) scheduler.Input {
 	switch in := in.(type) {
 	case scheduler.NodesUpdated:
 		for _, machine := range in.Machines {
@@ -137,7 +137,7 @@
 	return node
 }
 
-func (h *redirection) Out(now scheduler.Time, effects []scheduler.Effect) []scheduler.Effect {
+func (h *redirection) InterceptEffects(now scheduler.Time, effects []scheduler.Effect) []scheduler.Effect {
 	if h.startedAt == 0 {
 		h.startedAt = now
 	}
--- a/internal/testbed/trial/trial_test.go
+++ b/internal/testbed/trial/trial_test.go
@@ -51,7 +51,7 @@
 		fmt.Fprintln(os.Stderr, err)
 		return 2
 	}
-	d, err := daemon.StartHooked(set, zerolog.New(os.Stderr).Level(level), hooks[hook])
+	d, err := daemon.StartWithHook(set, zerolog.New(os.Stderr).Level(level), hooks[hook])
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return 1
