--- a/internal/daemon/clienthandler.go
+++ b/internal/daemon/clienthandler.go
@@ -15,36 +15,37 @@
 )
 
 var (
-	errResponseSent       = errors.New("daemon: the last response was sent")
-	errTooManyConnections = errors.New("daemon: too many connections")
-	errRequestTimeout     = errors.New("daemon: a request took too long to arrive")
+	errResponseSent       = errors.New("daemon: connection closed after its last response")
+	errTooManyConnections = errors.New("daemon: client connection limit exceeded")
+	errRequestTimeout     = errors.New("daemon: request incomplete at the request timeout")
 )
 
-// overLimitTimeout is how long a connection over the limit waits for its request before it is rejected without one.
+// overLimitTimeout is how long a connection that exceeds the connection limit may take to send its request. Then it is
+// rejected without a request.
 const overLimitTimeout = time.Second
 
-// clientHandler implements transport.Handler for a client: it reads requests and answers them one after the other. It
-// belongs to the connection's event loop.
+// clientHandler implements transport.Handler for a client connection. It reads requests and answers them one at a time. Only
+// the connection's event loop accesses it.
 type clientHandler struct {
 	daemon           *Daemon
 	parser           httpcodec.Parser
-	requestPending   bool // a request awaits an answer, or events follow
-	streaming        bool
-	overLimit        bool
-	overLimitTimer   *time.Timer // rejects a connection over the limit; nil for others
-	requestStartedAt time.Time   // of an incomplete request; zero if there is none
-	requestTimer     *time.Timer // rejects the incomplete request; nil before the first
+	requestPending   bool        // the cores have not answered the last request, or its response is an event stream
+	streaming        bool        // the response is an event stream and its header was written
+	overLimit        bool        // the connection exceeds the connection limit
+	overLimitTimer   *time.Timer // rejects the connection; nil unless overLimit
+	requestStartedAt time.Time   // when the first bytes of an incomplete request arrived; zero without an incomplete request
+	requestTimer     *time.Timer // rejects an incomplete request; nil before the first one
 }
 
-// accept returns the handler of a client's connection.
+// accept counts a new client connection and returns its handler.
 func (d *Daemon) accept(*transport.Conn) transport.Handler {
 	count := d.clientCount.Add(1)
-	d.metrics.clients.Set(float64(count))
+	d.metrics.openClientConnections.Set(float64(count))
 	return &clientHandler{daemon: d, overLimit: count > int64(d.settings.Limits.MaxConnections)}
 }
 
-// Opened limits how long a connection over the limit may stay open. It is rejected when its request has arrived, since
-// clients would treat a response that precedes their request as an error.
+// Opened starts the timeout of a connection that exceeds the connection limit. The connection is rejected when its request
+// arrives and not at once, because clients treat a response that arrives before they sent a request as an error.
 func (h *clientHandler) Opened(c *transport.Conn) {
 	if h.overLimit {
 		h.overLimitTimer = time.AfterFunc(overLimitTimeout, func() {
@@ -58,11 +59,11 @@
 	c.CloseInLoop(errTooManyConnections)
 }
 
-// Receive implements transport.Handler.
+// Receive parses and serves the next request. It leaves the bytes in the connection's buffer while a request is pending.
 func (h *clientHandler) Receive(c *transport.Conn, received []byte) (int, error) {
 	switch {
 	case h.streaming:
-		return len(received), nil // a client sends nothing more on a stream
+		return len(received), nil // no request can follow an event stream, which ends with the connection
 	case h.requestPending:
 		return 0, nil
 	}
@@ -88,8 +89,8 @@
 	return used, nil
 }
 
-// limitRequestTime limits how long the rest of a request may take. The idle timeout does not suffice: a client that sends
-// one byte a second is never idle and would keep its connection forever.
+// limitRequestTime starts the timeout of an incomplete request, unless it is running. The idle timeout is not sufficient: a
+// client that sends one byte per second is never idle and would keep its connection forever.
 func (h *clientHandler) limitRequestTime(c *transport.Conn) {
 	if !h.requestStartedAt.IsZero() {
 		return
@@ -112,7 +113,7 @@
 	c.CloseInLoop(errRequestTimeout)
 }
 
-// rejectMalformed answers bytes that are not a request.
+// rejectMalformed responds to bytes that are not a valid HTTP request.
 func (h *clientHandler) rejectMalformed(c *transport.Conn, err error) {
 	status, text := http.StatusBadRequest, err.Error()
 	var malformed *httpcodec.Error
@@ -123,6 +124,7 @@
 	c.WriteInLoop(drmaafront.ErrorResponse(status, &drmaa2.Error{Code: drmaa2.InvalidArgument, Message: text}, true))
 }
 
+// serve routes a request. It responds at once if the cores are not needed or are too busy, and else when they have answered.
 func (h *clientHandler) serve(c *transport.Conn, request *httpcodec.Request) {
 	call := h.daemon.front.Route(request)
 	if call.Response != nil {
@@ -136,25 +138,25 @@
 	}
 	m := message{receivedAt: time.Now(), reply: func(a *scheduler.Answer) {
 		answer := *a
-		c.RunInLoop(eventBytes, func(func([]byte)) { h.complete(c, call, events, &answer) })
+		c.RunInLoop(estimatedEventSize, func(func([]byte)) { h.complete(c, call, events, &answer) })
 	}}
 	if !h.daemon.dispatch(call, m, events) {
-		events.ended.Store(true)
+		events.requestEnded.Store(true)
 		h.requestPending = false
 		h.respond(c, call, drmaafront.BusyResponse(call.CloseConnection))
 	}
 }
 
-// complete writes the response with the answer of the cores. It is called in the event loop.
+// complete writes the response to a request that the cores have answered. It must run on the event loop.
 func (h *clientHandler) complete(c *transport.Conn, call *drmaafront.Call, events *eventStream, answer *scheduler.Answer) {
 	if call.Stream && answer.Err == nil {
 		h.streaming = true
 		c.DisableIdleTimeout()
 		c.WriteInLoop(call.EncodeAnswer(answer))
-		events.begin(c.WriteInLoop)
+		events.start(c.WriteInLoop)
 		return
 	}
-	events.ended.Store(true)
+	events.requestEnded.Store(true)
 	h.requestPending = false
 	h.respond(c, call, call.EncodeAnswer(answer))
 	c.Resume()
@@ -173,18 +175,18 @@
 	}
 }
 
-// Closed implements transport.Handler.
+// Closed updates the connection count, and logs and counts a connection that was closed because of its client.
 func (h *clientHandler) Closed(c *transport.Conn, reason error) {
 	stopTimer(h.overLimitTimer)
 	stopTimer(h.requestTimer)
-	h.daemon.metrics.clients.Set(float64(h.daemon.clientCount.Add(-1)))
+	h.daemon.metrics.openClientConnections.Set(float64(h.daemon.clientCount.Add(-1)))
 	if isClientFault(reason) {
 		h.daemon.metrics.clientsDisconnected.inc()
 		h.daemon.log.Warn().Err(reason).Str("client", c.Remote()).Msg("client connection closed: client too slow")
 	}
 }
 
-// isClientFault reports whether a connection was closed because its client reads or sends too slowly or too much.
+// isClientFault reports whether a connection was closed because its client read or sent too slowly, or sent too much.
 func isClientFault(reason error) bool {
 	return errors.Is(reason, transport.ErrSlowReader) || errors.Is(reason, transport.ErrReadBufferFull) ||
 		errors.Is(reason, errRequestTimeout)
--- a/internal/daemon/clientlimits_test.go
+++ b/internal/daemon/clientlimits_test.go
@@ -39,7 +39,7 @@
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	if sent := sendEndlessHead(t, addr); sent > 32<<20 {
+	if sent := sendEndlessHeader(t, addr); sent > 32<<20 {
 		t.Errorf("%d MiB of a head were read, want at most 32", sent>>20)
 	}
 	neverReads := dial(t, addr)
@@ -90,7 +90,7 @@
 }
 
 // sendEndlessHead sends up to 64 MiB of a request's head and returns how many bytes were sent.
-func sendEndlessHead(t *testing.T, addr string) (sent int) {
+func sendEndlessHeader(t *testing.T, addr string) (sent int) {
 	t.Helper()
 	conn := dial(t, addr)
 	write(conn, "GET / HTTP/1.1\r\nHost: x\r\n")
@@ -106,8 +106,8 @@
 
 // A client above the connection limit receives status 503 and Retry-After. Connected clients are served.
 func TestConnectionLimitRejectsFurtherClients(t *testing.T) {
-	cluster := newTestCluster(t, clusterOptions{nodes: 1, configure: func(set *settings.Scheduler, _ *nodemodel.Config) {
-		set.Limits.MaxConnections = 2
+	cluster := newTestCluster(t, clusterOptions{nodes: 1, configure: func(cfg *settings.Scheduler, _ *nodemodel.Config) {
+		cfg.Limits.MaxConnections = 2
 	}})
 	ctx := contextWithin(t, 10*time.Second)
 	cluster.createSession(ctx, "test") // on a connection that the client keeps open
--- a/internal/daemon/corerunner.go
+++ b/internal/daemon/corerunner.go
@@ -14,64 +14,64 @@
 )
 
 const (
-	minStepInterval = 500 * time.Microsecond // so that one step handles the inputs of a burst
-	mailboxCapacity = 1 << 16                // messages per core
-	maxStepInputs   = 4096                   // per step
+	minStepInterval  = 500 * time.Microsecond // lets one step handle all inputs of a burst
+	mailboxCapacity  = 1 << 16                // messages per core
+	maxInputsPerStep = 4096
 )
 
-// message is passed to the goroutine that owns a core. Exactly one of stop, input and buildInput is set.
+// message is sent to the goroutine that owns a core, called the owner below. Exactly one of stop, input and buildInput is set.
 type message struct {
-	stop       bool
+	stop       bool // ends the owner
 	input      scheduler.Input
-	buildInput func(requestID, streamID uint64) scheduler.Input // of a client's request, to which the owner assigns IDs
+	buildInput func(requestID, streamID uint64) scheduler.Input // builds the input of a client's request with the owner's IDs
 
-	reply      func(*scheduler.Answer)       // to a client's request
-	publish    func(*scheduler.JobInfo) bool // a change to the client of a Watch; false ends the stream
-	heartbeat  func() bool                   // to the client of a Watch; false ends the stream
-	receivedAt time.Time                     // when the client's request was complete
-	isNewJob   bool                          // a submission; set by the owner
+	reply      func(*scheduler.Answer)       // receives the answer to a client's request
+	publish    func(*scheduler.JobInfo) bool // sends a job change to the client of a Watch; false ends the stream
+	heartbeat  func() bool                   // called periodically for the client of a Watch; false ends the stream
+	receivedAt time.Time                     // when the client's request had arrived completely
+	isNewJob   bool                          // the request submits jobs; set by the owner
 
-	conn      *transport.Conn   // of a NodeUp
-	addresses map[string]string // of the nodes in a NodesUpdated
+	conn          *transport.Conn   // the connection that a NodeConnected reports
+	nodeAddresses map[string]string // network addresses of the nodes in a NodesUpdated, by name
 }
 
-// coreRunner runs a scheduler.Core in a goroutine that owns it. The methods enqueue, tryEnqueue and requeue and the channels
-// done and drained are safe for concurrent use; everything else is for the owner only.
+// coreRunner runs a scheduler.Core in a goroutine that owns it. The methods enqueue, tryEnqueue, requeue and
+// reportUnsentOffer and the channels done and drained are safe for concurrent use. Only the owner may use everything else.
 type coreRunner struct {
-	daemon       *Daemon
-	index        int
-	core         *scheduler.Core
-	mailbox      chan message
-	done         chan struct{} // closed when the owner has ended
-	drained      chan struct{} // closed when a draining core has no more open placement requests
-	isDrained    bool
-	recorder     *replay.Writer // of the module's steps; nil without the setting
-	blockedSends sync.WaitGroup // goroutines of requeue; none are added after the event loops have ended
-
-	lastRequestID uint64
-	pending       map[uint64]message   // requests without an answer, by request ID
-	streams       map[uint64]message   // Watch requests by stream ID
-	submittedAt   map[string]time.Time // of jobs without an offer, by job ID
-	outboxes      map[string]*nodeOutbox
-	unflushed     []*nodeOutbox     // those with frames of the current step
-	addresses     map[string]string // of nodes
-	offer         offerFrame
+	daemon            *Daemon
+	index             int
+	core              *scheduler.Core
+	mailbox           chan message
+	done              chan struct{} // closed when the owner has ended
+	drained           chan struct{} // closed when the core is draining and has no open placement requests
+	isDrained         bool
+	recorder          *replay.Writer // records the module's steps; nil unless the settings request a recording
+	requeueGoroutines sync.WaitGroup // goroutines that requeue started; no more start after the event loops have ended
+
+	lastRequestID     uint64
+	pendingRequests   map[uint64]message   // unanswered client requests by request ID
+	streams           map[uint64]message   // Watch requests by stream ID
+	submittedAt       map[string]time.Time // arrival of the submissions of jobs that had no offer yet, by job ID
+	outboxes          map[string]*nodeOutbox
+	unflushedOutboxes []*nodeOutbox     // outboxes with frames of the current step
+	nodeAddresses     map[string]string // network addresses of the nodes, by name
+	offerFrame        offerFrame
 }
 
 func newCoreRunner(d *Daemon, index, coreCount int) (*coreRunner, error) {
 	r := &coreRunner{
-		daemon:      d,
-		index:       index,
-		mailbox:     make(chan message, mailboxCapacity),
-		done:        make(chan struct{}),
-		drained:     make(chan struct{}),
-		pending:     map[uint64]message{},
-		streams:     map[uint64]message{},
-		submittedAt: map[string]time.Time{},
-		outboxes:    map[string]*nodeOutbox{},
-		addresses:   map[string]string{},
+		daemon:          d,
+		index:           index,
+		mailbox:         make(chan message, mailboxCapacity),
+		done:            make(chan struct{}),
+		drained:         make(chan struct{}),
+		pendingRequests: map[uint64]message{},
+		streams:         map[uint64]message{},
+		submittedAt:     map[string]time.Time{},
+		outboxes:        map[string]*nodeOutbox{},
+		nodeAddresses:   map[string]string{},
 	}
-	r.offer.init()
+	r.offerFrame.init()
 	config := shard.ConfigForCore(d.settings.CoreConfig(d.startedAt), index, coreCount)
 	config.WrapStep = d.metrics.timeModuleStep
 	if d.settings.ModuleRecording != "" {
@@ -89,7 +89,8 @@
 	return r, nil
 }
 
-// recordingPath returns the path of the recording of a core's module.
+// recordingPath returns the path of the recording of one core's module: path for the first core, and path with the core's
+// index as suffix for the others.
 func recordingPath(path string, index int) string {
 	if index == 0 {
 		return path
@@ -97,7 +98,8 @@
 	return fmt.Sprintf("%s.%d", path, index)
 }
 
-// enqueue passes a message to the owner. It blocks while the mailbox is full, so event loops must not call it.
+// enqueue sends a message to the owner, or discards it if the owner has ended. It blocks while the mailbox is full, so event
+// loops must not call it.
 func (r *coreRunner) enqueue(m message) {
 	select {
 	case r.mailbox <- m:
@@ -105,7 +107,7 @@
 	}
 }
 
-// tryEnqueue passes a message to the owner without blocking. It returns false if the mailbox is full.
+// tryEnqueue sends a message to the owner without blocking. It returns false if the mailbox is full.
 func (r *coreRunner) tryEnqueue(m message) bool {
 	select {
 	case r.mailbox <- m:
@@ -116,17 +118,17 @@
 	}
 }
 
-// requeue passes an input to the core in a later step, without blocking or losing it: if the mailbox is full, a goroutine
-// waits instead of the caller, which may be the owner or an event loop.
+// requeue sends an input to the core for a later step. It neither blocks nor loses the input: if the mailbox is full, a new
+// goroutine waits, since the caller may be the owner or an event loop.
 func (r *coreRunner) requeue(input scheduler.Input) {
 	m := message{input: input}
 	if !r.tryEnqueue(m) {
-		r.blockedSends.Go(func() { r.enqueue(m) })
+		r.requeueGoroutines.Go(func() { r.enqueue(m) })
 	}
 }
 
-// discardMail discards messages to a runner whose goroutine has ended, until closed is closed.
-func (r *coreRunner) discardMail(closed <-chan struct{}) {
+// discardMessages discards messages to a runner whose owner has ended, until the channel closed is closed.
+func (r *coreRunner) discardMessages(closed <-chan struct{}) {
 	for {
 		select {
 		case <-r.mailbox:
@@ -136,7 +138,8 @@
 	}
 }
 
-// run steps the core until it receives a stop message. It is the goroutine that owns the core.
+// run is the goroutine that owns the core. It steps the core for each batch of inputs, and when the core's next step is due,
+// until it receives a stop message.
 func (r *coreRunner) run() {
 	defer close(r.done)
 	gcBallast()
@@ -163,8 +166,8 @@
 			r.pingPeers()
 			continue
 		}
-		if rest := minStepInterval - time.Since(lastStep); rest > 0 {
-			time.Sleep(rest)
+		if remaining := minStepInterval - time.Since(lastStep); remaining > 0 {
+			time.Sleep(remaining)
 		}
 		inputs, stop := r.collectInputs(inputs)
 		if stop {
@@ -176,10 +179,10 @@
 	}
 }
 
-// collectInputs appends the inputs in the mailbox, up to maxStepInputs in total. It reports whether it received a stop
-// message.
+// collectInputs appends the inputs that are in the mailbox, up to maxInputsPerStep in total, and reports whether it received
+// a stop message.
 func (r *coreRunner) collectInputs(inputs []scheduler.Input) (collected []scheduler.Input, stop bool) {
-	for len(inputs) < maxStepInputs {
+	for len(inputs) < maxInputsPerStep {
 		select {
 		case m := <-r.mailbox:
 			if m.stop {
@@ -193,7 +196,7 @@
 	return inputs, false
 }
 
-// step steps the core, executes its effects and returns the latest time of the next step.
+// step steps the core and executes its effects. It returns the time by which the core needs its next step.
 func (r *coreRunner) step(startedAt time.Time, inputs []scheduler.Input) (nextStep scheduler.Time) {
 	now := clock.At(startedAt)
 	output := r.core.Step(now, inputs)
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,5 +1,6 @@
-// Package daemon runs a scheduler: it connects scheduler cores to sockets, the clock, logs and metrics. It must not make
-// decisions about jobs. One goroutine owns each core; the event loops of connections parse messages and pass them to it.
+// Package daemon runs a scheduler: it connects one or more scheduler cores to sockets, the clock, logs and metrics. Decisions
+// about jobs are made by the cores only. Each core is owned by one goroutine; the event loops of connections parse messages
+// and send them to the mailboxes of these goroutines.
 package daemon
 
 import (
@@ -22,14 +23,14 @@
 )
 
 const (
-	streamHeartbeatInterval = 10 * time.Second // of event streams to clients
-	pingInterval            = time.Second      // of nodes and the inventory
-	peerIdleTimeout         = 5 * time.Second  // a node or inventory that does not answer pings is disconnected
+	streamHeartbeatInterval = 10 * time.Second // between the heartbeats on an event stream to a client
+	pingInterval            = time.Second      // between the pings to a node or the inventory
+	peerIdleTimeout         = 5 * time.Second  // after which a node or inventory that answers no pings is disconnected
 	inventoryDialTimeout    = time.Second
-	closeTimeout            = 5 * time.Second // for queued writes to clients when the daemon stops
+	closeTimeout            = 5 * time.Second // limits the wait for queued writes to clients when the daemon stops
 )
 
-// reconnectBackoff is the backoff of the links to nodes and to the inventory.
+// reconnectBackoff is the delay between attempts to connect to a node or to the inventory.
 var reconnectBackoff = transport.Backoff{Initial: 20 * time.Millisecond, Max: time.Second}
 
 // Daemon is a running scheduler. It is safe for concurrent use.
@@ -47,9 +48,9 @@
 	server             *transport.Server
 	dialer             *transport.Dialer
 	nodes              nodeConnections
-	inventoryConn      atomic.Pointer[transport.Conn] // nil before the first
+	inventoryConn      atomic.Pointer[transport.Conn] // latest connection, possibly closed; nil before the first
 	clientCount        atomic.Int64
-	keylessSubmissions atomic.Uint64 // spreads submissions without a key over the cores
+	keylessSubmissions atomic.Uint64 // counts submissions without a key, to distribute them over the cores
 	metrics            *metrics
 }
 
@@ -63,22 +64,22 @@
 	InterceptEffects(now scheduler.Time, effects []scheduler.Effect) []scheduler.Effect
 }
 
-// Start starts a daemon, which listens when Start returns. The caller ends it with Shutdown or Stop.
-func Start(set *settings.Scheduler, log zerolog.Logger) (*Daemon, error) {
-	return StartWithHook(set, log, nil)
+// Start starts a daemon. When Start returns, the daemon accepts connections. The caller must end it with Shutdown or Stop.
+func Start(cfg *settings.Scheduler, log zerolog.Logger) (*Daemon, error) {
+	return StartWithHook(cfg, log, nil)
 }
 
-// StartWithHook is Start with a hook, for tests.
-func StartWithHook(set *settings.Scheduler, log zerolog.Logger, hook Hook) (*Daemon, error) {
-	coreCount := max(set.Shards, 1)
+// StartWithHook is Start with a hook, for tests. The hook may be nil.
+func StartWithHook(cfg *settings.Scheduler, log zerolog.Logger, hook Hook) (*Daemon, error) {
+	coreCount := max(cfg.Shards, 1)
 	startedAt := clock.Now()
 	d := &Daemon{
-		settings:  set,
+		settings:  cfg,
 		hook:      hook,
-		log:       log.With().Str("scheduler", set.Name).Logger(),
+		log:       log.With().Str("scheduler", cfg.Name).Logger(),
 		startedAt: startedAt,
-		shards:    shard.New(set.Name, set.CoreConfig(startedAt), coreCount),
-		front:     drmaafront.New(set, startedAt),
+		shards:    shard.New(cfg.Name, cfg.CoreConfig(startedAt), coreCount),
+		front:     drmaafront.New(cfg, startedAt),
 		nodes:     nodeConnections{byName: map[string]*nodeConnection{}},
 	}
 	if err := d.open(coreCount); err != nil {
@@ -88,18 +89,18 @@
 		go runner.run()
 	}
 	d.linkInventory()
-	for _, deprecated := range set.Deprecations() {
+	for _, deprecated := range cfg.Deprecations() {
 		d.log.Warn().Str("file", deprecated.File).Int("line", deprecated.Line).Str("field", deprecated.Field).
 			Str("value", deprecated.Value).Str("replacement", deprecated.Replacement).Str("removed_in", deprecated.RemovedIn).
 			Msg("deprecated setting")
 	}
-	d.log.Info().Str("address", d.server.Addr()).Str("inventory", set.InventoryAddress).Int("cores", coreCount).
+	d.log.Info().Str("address", d.server.Addr()).Str("inventory", cfg.InventoryAddress).Int("cores", coreCount).
 		Msg("scheduler started")
 	return d, nil
 }
 
-// open opens the daemon's resources; it does not start the goroutines of the cores. After an error the caller must call
-// closeResources.
+// open creates the metrics, cores and sockets, but does not start the goroutines of the cores. After an error the caller must
+// call closeResources.
 func (d *Daemon) open(coreCount int) (err error) {
 	if d.metrics, err = newMetrics(d.settings.MetricsAddress); err != nil {
 		return err
@@ -111,8 +112,8 @@
 		}
 		d.runners = append(d.runners, runner)
 	}
-	// One event loop writes to all nodes. With several, the stop of an attempt could be sent after the offer of its
-	// successor to another node.
+	// The dialer has a single event loop for all nodes. With several loops, a node could receive the offer of a job's next
+	// attempt before another node receives the stop of the previous attempt.
 	d.dialer, err = transport.NewDialer(transport.Options{
 		MaxWriteQueue: d.settings.Limits.MaxNodeWriteQueue,
 		IdleTimeout:   peerIdleTimeout,
@@ -131,17 +132,18 @@
 	return err
 }
 
-// Addr returns the address, as host:port, on which the daemon serves its clients.
+// Addr returns the address on which the daemon serves clients, as host:port.
 func (d *Daemon) Addr() string { return d.server.Addr() }
 
-// enqueueAll passes an input to all cores. It blocks while a mailbox is full, so event loops must not call it.
+// enqueueAll sends an input to all cores. It blocks while a mailbox is full, so event loops must not call it.
 func (d *Daemon) enqueueAll(input scheduler.Input) {
 	for _, runner := range d.runners {
 		runner.enqueue(message{input: input})
 	}
 }
 
-// tryEnqueueAll passes a message to all cores without blocking. It returns false if a mailbox was full.
+// tryEnqueueAll sends a message to all cores without blocking. It returns false if a mailbox was full; cores with space in
+// their mailbox have received the message nevertheless.
 func (d *Daemon) tryEnqueueAll(m message) bool {
 	ok := true
 	for _, runner := range d.runners {
@@ -150,9 +152,9 @@
 	return ok
 }
 
-// Shutdown ends the daemon gracefully: it rejects new work, waits until all placement requests are closed or for the
-// shutdown timeout of the settings, and stops. It returns an error if a placement request was still open then. Running
-// jobs continue on their nodes.
+// Shutdown ends the daemon gracefully: it rejects new jobs, waits until no placement request is open, and stops. If ctx ends
+// or the shutdown timeout of the settings expires first, it stops nevertheless and returns an error. Running jobs continue
+// on their nodes.
 func (d *Daemon) Shutdown(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, d.settings.Limits.ShutdownTimeout.Duration())
 	defer cancel()
@@ -162,14 +164,14 @@
 		select {
 		case <-runner.drained:
 		case <-ctx.Done():
-			err = errors.New("daemon: placement requests were still open at the shutdown timeout")
+			err = errors.New("daemon: shutdown timeout expired while placement requests were open")
 		}
 	}
 	return errors.Join(err, d.Stop())
 }
 
 // Stop ends the daemon without waiting for open placement requests, and returns when all its goroutines have ended. It may
-// be called repeatedly.
+// be called more than once.
 func (d *Daemon) Stop() error {
 	for _, runner := range d.runners {
 		runner.enqueue(message{stop: true})
@@ -181,28 +183,28 @@
 	return d.closeErr
 }
 
-// close closes the sockets after the cores have stopped. It discards messages from event loops meanwhile, so that no loop
-// finds a full mailbox without a reader.
+// close closes the sockets after the cores have stopped. Meanwhile it discards messages from event loops, which would
+// otherwise fill the mailboxes that no core reads any more.
 func (d *Daemon) close() {
 	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
 	closed := make(chan struct{})
 	var discarding sync.WaitGroup
 	for _, runner := range d.runners {
-		discarding.Go(func() { runner.discardMail(closed) })
+		discarding.Go(func() { runner.discardMessages(closed) })
 	}
 	err := d.closeResources(ctx)
 	close(closed)
 	discarding.Wait()
 	for _, runner := range d.runners {
-		runner.blockedSends.Wait()
+		runner.requeueGoroutines.Wait()
 	}
 	if err != nil {
 		d.closeErr = fmt.Errorf("daemon: stop: %w", err)
 	}
 }
 
-// closeResources closes what open has opened. When ctx ends it stops waiting for queued writes.
+// closeResources closes what open has created. It waits for queued writes to clients until ctx ends.
 func (d *Daemon) closeResources(ctx context.Context) error {
 	var errs []error
 	if d.server != nil {
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -34,7 +34,7 @@
 	}
 	submitting.Wait()
 	watch.wait(ctx, t)
-	placed, finished := watch.placedAndDone(), cluster.finishedOnNodes()
+	placed, finished := watch.placedAndDone(), cluster.tasksFinishedOnNodes()
 	if placed != count || finished != count {
 		t.Errorf("%d jobs were placed and done, nodes have finished %d, want %d each", placed, finished, count)
 	}
@@ -48,9 +48,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	short, cancel := context.WithTimeout(ctx, 10*time.Millisecond)
+	shortCtx, cancel := context.WithTimeout(ctx, 10*time.Millisecond)
 	defer cancel()
-	if _, err := job.WaitTerminated(short, drmaa2.InfiniteTime); !errors.Is(err, context.DeadlineExceeded) {
+	if _, err := job.WaitTerminated(shortCtx, drmaa2.InfiniteTime); !errors.Is(err, context.DeadlineExceeded) {
 		t.Errorf("wait of the client that stops: got error %v, want %v", err, context.DeadlineExceeded)
 	}
 	other := drmaa2.NewClient(cluster.daemon.Addr())
@@ -121,9 +121,9 @@
 }
 
 // Each error of the DRMAA specification is returned to the client as such.
-func TestErrorsOfTheSpecification(t *testing.T) {
-	ctx, cluster, session := newTestSession(t, 20*time.Second, clusterOptions{nodes: 1, configure: func(set *settings.Scheduler, _ *nodemodel.Config) {
-		set.Limits.MaxPending = 1
+func TestDRMAAErrorsReachTheClient(t *testing.T) {
+	ctx, cluster, session := newTestSession(t, 20*time.Second, clusterOptions{nodes: 1, configure: func(cfg *settings.Scheduler, _ *nodemodel.Config) {
+		cfg.Limits.MaxPending = 1
 	}})
 	held := jobTemplate("service", time.Millisecond)
 	held.SubmitAsHold = true
@@ -172,7 +172,7 @@
 }
 
 // A session runs arrays, lists its jobs and job categories, and can be destroyed.
-func TestSessions(t *testing.T) {
+func TestSessionRunsArraysAndListsJobs(t *testing.T) {
 	ctx, cluster, session := newTestSession(t, 30*time.Second, clusterOptions{nodes: 2})
 	template := jobTemplate("service", 20*time.Millisecond)
 	template.JobName = "n"
@@ -253,7 +253,7 @@
 	for _, id := range []string{job.ID, retried.ID} {
 		checkAdoptedJobEnds(ctx, t, cluster, id, 10*time.Second)
 	}
-	if finished := cluster.finishedOnNodes(); finished != 1 {
+	if finished := cluster.tasksFinishedOnNodes(); finished != 1 {
 		t.Errorf("the job ran %d times, want once", finished)
 	}
 }
--- a/internal/daemon/deprecation_test.go
+++ b/internal/daemon/deprecation_test.go
@@ -12,7 +12,7 @@
 
 // The start logs each deprecated setting once, with the one that replaces it.
 func TestStartLogsDeprecatedSettings(t *testing.T) {
-	set, err := settings.ParseScheduler("f.cue", []byte(`
+	cfg, err := settings.ParseScheduler("f.cue", []byte(`
 listen: "127.0.0.1:0"
 inventory: "127.0.0.1:1"
 kinds: [{name: "k", cores: 1, memory: 1}]
@@ -21,7 +21,7 @@
 		t.Fatal(err)
 	}
 	var log bytes.Buffer
-	d, err := Start(set, zerolog.New(zerolog.SyncWriter(&log)))
+	d, err := Start(cfg, zerolog.New(zerolog.SyncWriter(&log)))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/daemon/dispatch.go
+++ b/internal/daemon/dispatch.go
@@ -6,47 +6,48 @@
 	"flaxshelf.example/flaxshelf/internal/shard"
 )
 
-// dispatch passes a client's request to the core that it concerns, or to all cores, whose answers are merged. It returns
-// false, and m.reply is not called, if a mailbox was full. It does not block.
+// dispatch sends a client's request to the core that it concerns, or to all cores and merges their answers. It does not block:
+// if a mailbox is full, it returns false, and m.reply is not called.
 func (d *Daemon) dispatch(call *drmaafront.Call, m message, events *eventStream) bool {
-	sample := call.BuildInput(0, 0)
-	if submit, ok := sample.(scheduler.Submit); ok {
+	request := call.BuildInput(0, 0) // only selects the cores; the input that a core receives has the IDs of its runner
+	if submit, ok := request.(scheduler.Submit); ok {
 		core := d.shards.CoreForSubmission(&submit.Spec, d.keylessSubmissions.Add(1),
 			func(core int) int { return len(d.runners[core].mailbox) })
 		m.buildInput = call.BuildInput
 		return d.runners[core].tryEnqueue(m)
 	}
-	core, all := d.shards.Route(sample)
+	core, toAllCores := d.shards.Route(request)
 	switch {
-	case !all:
+	case !toAllCores:
 		return d.dispatchToCore(core, call, m, events)
-	case shard.IsDecidedByFirstCore(sample):
-		return d.dispatchByFirstCore(sample, call, m)
+	case shard.IsDecidedByFirstCore(request):
+		return d.dispatchViaFirstCore(request, call, m)
 	default:
-		return d.dispatchToAll(sample, call, m, events)
+		return d.dispatchToAll(request, call, m, events)
 	}
 }
 
-// dispatchToCore passes a request to one core.
+// dispatchToCore sends a request to one core.
 func (d *Daemon) dispatchToCore(core int, call *drmaafront.Call, m message, events *eventStream) bool {
 	m.buildInput = call.BuildInput
 	if call.Stream {
 		m.publish, m.heartbeat = events.publisher(core), events.sendHeartbeat
 		if len(d.runners) > 1 {
-			m.buildInput = events.resumed(call.BuildInput, core)
+			m.buildInput = events.withResumeRevision(call.BuildInput, core)
 		}
 	}
 	return d.runners[core].tryEnqueue(m)
 }
 
-// dispatchToAll passes a request to all cores concurrently. The first core sends the heartbeats of a stream.
-func (d *Daemon) dispatchToAll(sample scheduler.Input, call *drmaafront.Call, m message, events *eventStream) bool {
-	responses := newScatterGather(sample, len(d.runners), m.reply)
+// dispatchToAll sends a request to all cores, which handle it concurrently. If its response is an event stream, only the first
+// core sends heartbeats on it.
+func (d *Daemon) dispatchToAll(request scheduler.Input, call *drmaafront.Call, m message, events *eventStream) bool {
+	responses := newScatterGather(request, len(d.runners), m.reply)
 	for i, runner := range d.runners {
 		part := message{buildInput: call.BuildInput, receivedAt: m.receivedAt, reply: responses.collector(i)}
 		if call.Stream {
-			part.buildInput, part.publish = events.resumed(call.BuildInput, i), events.publisher(i)
-			part.heartbeat = events.isRead
+			part.buildInput, part.publish = events.withResumeRevision(call.BuildInput, i), events.publisher(i)
+			part.heartbeat = events.isOpen
 			if i == 0 {
 				part.heartbeat = events.sendHeartbeat
 			}
@@ -59,10 +60,10 @@
 	return true
 }
 
-// dispatchByFirstCore passes a command to the first core, whose goroutine passes it to the others unless it has failed. All
-// cores thus receive these commands in the same order.
-func (d *Daemon) dispatchByFirstCore(sample scheduler.Input, call *drmaafront.Call, m message) bool {
-	responses := newScatterGather(sample, len(d.runners), m.reply)
+// dispatchViaFirstCore sends a command to the first core. If the command succeeds there, the goroutine of the first core sends
+// it to the other cores, so all cores receive such commands in the same order.
+func (d *Daemon) dispatchViaFirstCore(request scheduler.Input, call *drmaafront.Call, m message) bool {
+	responses := newScatterGather(request, len(d.runners), m.reply)
 	reply := m.reply
 	m.buildInput = call.BuildInput
 	m.reply = func(answer *scheduler.Answer) {
--- a/internal/daemon/effects.go
+++ b/internal/daemon/effects.go
@@ -9,15 +9,16 @@
 	"flaxshelf.example/flaxshelf/internal/shard"
 )
 
-// executeEffects executes the effects of a step in order. The frames to each node are passed to its event loop together.
-func (r *coreRunner) executeEffects(decidedAt scheduler.Time, effects []scheduler.Effect) {
+// executeEffects executes the effects of a step in order. Frames to nodes are collected in outboxes, and each outbox is flushed
+// once at the end.
+func (r *coreRunner) executeEffects(stepTime scheduler.Time, effects []scheduler.Effect) {
 	for _, effect := range effects {
 		r.executeEffect(effect)
 	}
-	for _, outbox := range r.unflushed {
-		r.flush(outbox, decidedAt)
+	for _, outbox := range r.unflushedOutboxes {
+		r.flush(outbox, stepTime)
 	}
-	r.unflushed = r.unflushed[:0]
+	r.unflushedOutboxes = r.unflushedOutboxes[:0]
 }
 
 func (r *coreRunner) executeEffect(effect scheduler.Effect) {
@@ -51,8 +52,8 @@
 	}
 }
 
-// sendOffer puts an offer into the outbox of its node. Without a connection it reports to the core that the offer was not
-// sent.
+// sendOffer puts an offer into the outbox of its node. If the node is not connected, it reports to the core that the offer was
+// not sent.
 func (r *coreRunner) sendOffer(e *scheduler.SendOffer) {
 	r.daemon.metrics.offers.Inc()
 	if submittedAt, ok := r.submittedAt[e.Job]; ok {
@@ -63,23 +64,24 @@
 		r.putOffer(outbox, e)
 		return
 	}
-	r.reportUnsent(e.Node, e.Attempt)
+	r.reportUnsentOffer(e.Node, e.Attempt)
 }
 
-// sendFrame puts a frame into the outbox of a node. Without a connection the frame is discarded.
+// sendFrame puts a frame into the outbox of a node, or discards it if the node is not connected.
 func (r *coreRunner) sendFrame(node string, frame *nodepb.Frame) {
 	if outbox := r.outboxForWrite(node); outbox != nil {
 		outbox.put(frame)
 	}
 }
 
-// answer passes an answer of the core to the client that sent the request.
+// answer sends an answer of the core to the client whose request it answers. From the answer to a submission it learns the IDs
+// of the new jobs, for the metric of the time to their first offer.
 func (r *coreRunner) answer(e *scheduler.Answer) {
-	m, ok := r.pending[e.RequestID]
+	m, ok := r.pendingRequests[e.RequestID]
 	if !ok {
 		return
 	}
-	delete(r.pending, e.RequestID)
+	delete(r.pendingRequests, e.RequestID)
 	if m.isNewJob && !e.Existing {
 		for i := range e.Jobs {
 			r.submittedAt[e.Jobs[i].ID] = m.receivedAt
@@ -91,14 +93,14 @@
 	m.reply(e)
 }
 
-// publish sends a change to the client of a stream.
+// publish sends a job change to the client of a stream, or ends the stream if the client no longer reads it.
 func (r *coreRunner) publish(e *scheduler.Publish) {
 	if m, ok := r.streams[e.Stream]; ok && !m.publish(&e.Job) {
 		r.endStream(e.Stream)
 	}
 }
 
-// sendHeartbeats sends a heartbeat to the client of each stream.
+// sendHeartbeats sends a heartbeat on each stream, and ends the streams whose clients no longer read them.
 func (r *coreRunner) sendHeartbeats() {
 	for id, m := range r.streams {
 		if !m.heartbeat() {
@@ -107,17 +109,19 @@
 	}
 }
 
-// endStream ends a stream that its client no longer reads.
+// endStream removes a stream and ends its Watch in the core.
 func (r *coreRunner) endStream(id uint64) {
 	delete(r.streams, id)
 	r.requeue(scheduler.Unwatch{Stream: id})
 }
 
+// logOutcome logs and counts an outcome. A job with an outcome or an end is no longer measured until its first offer.
 func (r *coreRunner) logOutcome(e *scheduler.LogOutcome) {
 	delete(r.submittedAt, e.Job.ID)
 	r.daemon.logOutcome(e)
 }
 
+// markDrained closes the channel drained. It may be called more than once.
 func (r *coreRunner) markDrained() {
 	if !r.isDrained {
 		r.isDrained = true
--- a/internal/daemon/eventstream.go
+++ b/internal/daemon/eventstream.go
@@ -9,22 +9,24 @@
 	"flaxshelf.example/flaxshelf/internal/transport"
 )
 
-// eventBytes is the size at which the write queue counts a response or an event that is encoded in the event loop.
-const eventBytes = 512
+// estimatedEventSize is the number of bytes that a response or event counts in the connection's write queue until the event
+// loop has encoded it.
+const estimatedEventSize = 512
 
-// eventStream is the stream of job changes to one client, published by one core or by all. Changes are buffered until the
-// head of the response has been written. All fields except ended belong to the connection's event loop.
+// eventStream is the stream of job changes to one client, which one core or all cores publish. Events are buffered until the
+// header of the response has been written. The connection's event loop owns the fields; cores only read conn and requestEnded.
 type eventStream struct {
-	client      *clientHandler
-	conn        *transport.Conn
-	position    shard.Position
-	headWritten bool
-	buffered    [][]byte
-	ended       atomic.Bool // the request was rejected or failed
+	client         *clientHandler
+	conn           *transport.Conn
+	position       shard.Position // revision of the last published change of each core
+	headerWritten  bool
+	bufferedEvents [][]byte
+	requestEnded   atomic.Bool // the request has ended without an event stream
 }
 
-// resumed returns a function that builds the input of a Watch from the revision up to which the client has read from a core.
-func (s *eventStream) resumed(buildInput func(requestID, streamID uint64) scheduler.Input,
+// withResumeRevision returns a function that builds the input with buildInput and, if it is a Watch, has it resume after the
+// last change of the core that the client has received.
+func (s *eventStream) withResumeRevision(buildInput func(requestID, streamID uint64) scheduler.Input,
 	core int) func(requestID, streamID uint64) scheduler.Input {
 	since := s.position[core]
 	return func(requestID, streamID uint64) scheduler.Input {
@@ -38,15 +40,16 @@
 	}
 }
 
-// publisher returns the function that a core calls for each change. It returns false when the client no longer reads.
+// publisher returns the function that a core calls to publish a job change. That function returns false if the request has
+// ended, the connection is closed or its write queue is full.
 func (s *eventStream) publisher(core int) func(*scheduler.JobInfo) bool {
 	return func(change *scheduler.JobInfo) bool {
 		info := *change
-		return !s.ended.Load() && s.conn.RunInLoop(eventBytes, func(write func([]byte)) {
+		return !s.requestEnded.Load() && s.conn.RunInLoop(estimatedEventSize, func(write func([]byte)) {
 			s.position[core] = info.Revision
 			event := s.client.daemon.front.Event(&info, s.position.String())
-			if !s.headWritten {
-				s.buffered = append(s.buffered, event)
+			if !s.headerWritten {
+				s.bufferedEvents = append(s.bufferedEvents, event)
 				return
 			}
 			write(event)
@@ -54,19 +57,21 @@
 	}
 }
 
-// begin writes the buffered events. It is called after the head of the response has been written.
-func (s *eventStream) begin(write func([]byte)) {
-	s.headWritten = true
-	for _, event := range s.buffered {
+// start writes the buffered events. It must be called on the event loop, after the header of the response has been written.
+func (s *eventStream) start(write func([]byte)) {
+	s.headerWritten = true
+	for _, event := range s.bufferedEvents {
 		write(event)
 	}
-	s.buffered = nil
+	s.bufferedEvents = nil
 }
 
-// sendHeartbeat sends a heartbeat. It returns false when the client no longer reads.
+// sendHeartbeat sends a heartbeat. It returns false if the request has ended, the connection is closed or its write queue is
+// full.
 func (s *eventStream) sendHeartbeat() bool {
-	return !s.ended.Load() && s.conn.Send(drmaafront.Heartbeat()) && !s.conn.IsClosed()
+	return !s.requestEnded.Load() && s.conn.Send(drmaafront.Heartbeat()) && !s.conn.IsClosed()
 }
 
-// isRead reports whether the client still reads. A core that sends no heartbeats uses it instead of sendHeartbeat.
-func (s *eventStream) isRead() bool { return !s.ended.Load() && !s.conn.IsClosed() }
+// isOpen reports whether the stream can still be read by its client. Cores that send no heartbeats call it in place of
+// sendHeartbeat, to learn when the stream has ended.
+func (s *eventStream) isOpen() bool { return !s.requestEnded.Load() && !s.conn.IsClosed() }
--- a/internal/daemon/gcballast.go
+++ b/internal/daemon/gcballast.go
@@ -5,13 +5,14 @@
 	"sync"
 )
 
-// gcBallastBytes is the size of the heap ballast.
+// gcBallastBytes is the size of the ballast that delays garbage collections.
 const gcBallastBytes = 64 << 20
 
-// gcBallast is memory that is never touched, so it costs address space and no pages. The collector waits until as much
-// again has been allocated: without it a small heap is collected many times a second. It is allocated with the first
-// daemon, not with the program: where the platform limits memory it would count, and the collector would never rest.
+// gcBallast returns memory that is never accessed. It uses address space but no physical pages, and makes the garbage collector
+// wait until the heap has grown by the same amount: without it, a small heap is collected many times per second. The first
+// daemon allocates it, not the start of the program: in a process that runs the platform with a memory limit, the ballast would
+// count towards the limit and the garbage collector would run continuously.
 var gcBallast = sync.OnceValue(func() []byte { return make([]byte, gcBallastBytes) })
 
-// retainGCBallast has the ballast stay reachable until it is called.
+// retainGCBallast keeps the ballast reachable until it is called. It is deferred.
 func retainGCBallast() { runtime.KeepAlive(gcBallast()) }
--- a/internal/daemon/inputs.go
+++ b/internal/daemon/inputs.go
@@ -11,20 +11,22 @@
 
 var errNodeNotRequested = errors.New("daemon: no core requests a connection to this node")
 
-// appendInput appends the input of a message, and stores what the effects of the step will need of the message.
+// appendInput appends the input of a message. It also records what later effects need from the message: the client's request,
+// the connection of a node or the addresses of nodes. A connection that no core requests any more is closed in place of an
+// input.
 func (r *coreRunner) appendInput(inputs []scheduler.Input, m message) []scheduler.Input {
 	input := m.input
 	switch in := m.input.(type) {
 	case nil:
 		input = r.registerRequest(m)
 	case scheduler.NodesUpdated:
-		input = r.updateAddresses(in, m.addresses)
+		input = r.updateAddresses(in, m.nodeAddresses)
 	case scheduler.NodeConnected:
 		if !r.daemon.nodes.isRequested(in.Node) {
 			m.conn.Close(errNodeNotRequested)
 			return inputs
 		}
-		r.outbox(in.Node).conn = m.conn
+		r.ensureOutbox(in.Node).conn = m.conn
 	case scheduler.NodeDisconnected:
 		if outbox := r.outboxes[in.Node]; outbox != nil {
 			outbox.conn = nil
@@ -36,17 +38,18 @@
 	return append(inputs, input)
 }
 
-// updateAddresses stores the addresses of an update's nodes. The core writes to the list of machines, so each core gets a
-// copy.
+// updateAddresses stores the network addresses of the nodes in an update. It returns the update with a copy of the machines if
+// there are several cores, because each core may modify the list.
 func (r *coreRunner) updateAddresses(update scheduler.NodesUpdated, addresses map[string]string) scheduler.Input {
 	if len(r.daemon.runners) > 1 {
 		update.Machines = slices.Clone(update.Machines)
 	}
-	maps.Copy(r.addresses, addresses)
+	maps.Copy(r.nodeAddresses, addresses)
 	return update
 }
 
-// registerRequest assigns an ID to a client's request and stores where its answer and its stream are sent.
+// registerRequest assigns an ID to a client's request and stores the functions that receive its answer and job changes. It
+// returns the input of the request.
 func (r *coreRunner) registerRequest(m message) scheduler.Input {
 	r.lastRequestID++
 	id := r.lastRequestID
@@ -56,7 +59,7 @@
 		m.isNewJob, input = true, submit
 	}
 	if m.reply != nil {
-		r.pending[id] = m
+		r.pendingRequests[id] = m
 	}
 	if m.publish != nil {
 		r.streams[id] = m
--- a/internal/daemon/inventory.go
+++ b/internal/daemon/inventory.go
@@ -8,7 +8,7 @@
 	"flaxshelf.example/flaxshelf/internal/transport"
 )
 
-// linkInventory maintains a connection to the inventory until the dialer stops.
+// linkInventory keeps a connection to the inventory open until the dialer stops, and reconnects after failures.
 func (d *Daemon) linkInventory() {
 	d.dialer.Link(d.settings.InventoryAddress, inventoryDialTimeout, reconnectBackoff,
 		func() transport.Handler {
@@ -30,7 +30,8 @@
 	return &inventoryHandler{daemon: d, front: nodefront.Inventory{Set: d.settings}}
 }
 
-// receiveFrame passes what the inventory sent to the cores, and logs a call that it reports as failed.
+// receiveFrame sends the input of a frame to the cores. It stores the connection when it is welcomed, and logs a request that
+// the inventory reports as failed.
 func (h *inventoryHandler) receiveFrame(c *transport.Conn, frame *nodepb.Frame) error {
 	decoded, err := h.front.Decode(frame)
 	switch {
@@ -40,49 +41,51 @@
 		h.daemon.inventoryConn.Store(c)
 		return nil
 	case decoded.Failed:
-		// The cores are not notified: docs/ROADMAP.md lists this as a known issue.
-		h.daemon.log.Warn().Str("reason", frame.GetListError().Message).Msg("inventory reported a failed call")
+		// decoded.Input is not sent to the cores. This is a known issue, listed in docs/ROADMAP.md.
+		h.daemon.log.Warn().Str("reason", frame.GetListError().Message).Msg("inventory reported a failed request")
 		return nil
 	case decoded.Input == nil:
 		return nil
 	}
-	if !h.daemon.tryEnqueueDiscoveryInput(message{input: decoded.Input, addresses: decoded.Addresses}) {
+	if !h.daemon.tryEnqueueDiscoveryInput(message{input: decoded.Input, nodeAddresses: decoded.Addresses}) {
 		return errMailboxFull
 	}
 	return nil
 }
 
-// tryEnqueueDiscoveryInput passes an input from the inventory to the cores that it concerns, without waiting. It returns
-// false if a mailbox was full.
+// tryEnqueueDiscoveryInput sends an input from the inventory to the cores that it concerns, without blocking. It returns false
+// if a mailbox was full.
 func (d *Daemon) tryEnqueueDiscoveryInput(m message) bool {
 	synced, ok := m.input.(scheduler.DiscoverySynced)
 	if !ok {
 		return d.tryEnqueueAll(m)
 	}
-	return d.tryEnqueueSynced(synced.Token, func(token uint64) scheduler.Input {
+	return d.tryEnqueueSyncReply(synced.Token, func(token uint64) scheduler.Input {
 		return scheduler.DiscoverySynced{Token: token}
 	})
 }
 
-// connectionClosed logs the end of an established connection; attempts to connect again are logged by linkInventory.
+// connectionClosed logs the end of an established connection. Failed attempts to reconnect are logged by linkInventory.
 func (h *inventoryHandler) connectionClosed(reason error) {
 	h.daemon.log.Warn().Err(reason).Msg("inventory connection closed")
 }
 
-// subscribeDiscovery requests the endpoint list and its changes from the inventory. Without a connection the core
-// receives a DiscoveryFailed in a later step.
+// subscribeDiscovery requests the endpoint list and its changes from the inventory.
 func (r *coreRunner) subscribeDiscovery() { r.sendToInventory(nodefront.Watch()) }
 
-// syncDiscovery pings the inventory, whose answer follows all updates that it has sent before.
+// syncDiscovery sends a ping with the token to the inventory. The pong arrives after all updates that the inventory had sent
+// before, so the core then knows that it has seen them. The core requests this after a stall.
 func (r *coreRunner) syncDiscovery(token uint64) {
 	r.daemon.log.Warn().Int("core", r.index).
-		Msg("scheduler was stopped for a while; placement waits until the inventory has answered")
+		Msg("core stalled; placement waits for the inventory to answer a ping")
 	r.sendToInventory(nodefront.Ping(shard.EncodeToken(r.index, token)))
 }
 
+// sendToInventory sends a frame to the inventory. If it is not connected or its write queue is full, the core receives a
+// DiscoveryFailed in a later step.
 func (r *coreRunner) sendToInventory(frame *nodepb.Frame) {
 	conn := r.daemon.inventoryConn.Load()
-	if conn == nil || conn.IsClosed() || !conn.Send(encode(frame)) {
+	if conn == nil || conn.IsClosed() || !conn.Send(encodeFrame(frame)) {
 		r.requeue(scheduler.DiscoveryFailed{})
 	}
 }
--- a/internal/daemon/jobwatch_test.go
+++ b/internal/daemon/jobwatch_test.go
@@ -10,17 +10,17 @@
 
 // jobWatch records the events of a session's stream. It is safe for concurrent use.
 type jobWatch struct {
-	mu       sync.Mutex
-	outcomes map[string]string          // by job ID
-	ends     map[string]drmaa2.JobState // of jobs that have ended, by job ID
-	count    int
-	done     chan struct{} // closed when count jobs have ended, or with the context
+	mu          sync.Mutex
+	outcomes    map[string]string          // by job ID
+	finalStates map[string]drmaa2.JobState // of jobs that have ended, by job ID
+	wantEnded   int
+	done        chan struct{} // closed when count jobs have ended, or with the context
 }
 
 // watchJobs watches a session until count of its jobs have ended. A job with two outcomes is an error.
 func watchJobs(ctx context.Context, t *testing.T, session *drmaa2.JobSession, count int) *jobWatch {
 	t.Helper()
-	watch := &jobWatch{outcomes: map[string]string{}, ends: map[string]drmaa2.JobState{}, count: count,
+	watch := &jobWatch{outcomes: map[string]string{}, finalStates: map[string]drmaa2.JobState{}, wantEnded: count,
 		done: make(chan struct{})}
 	go func() {
 		defer close(watch.done)
@@ -35,14 +35,14 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	outcome := info.ImplementationSpecific[drmaa2.AttrOutcome]
-	if former := w.outcomes[info.JobID]; former != "" && former != outcome {
-		t.Errorf("%s: got outcome %s after outcome %s, want one outcome", info.JobID, outcome, former)
+	if previous := w.outcomes[info.JobID]; previous != "" && previous != outcome {
+		t.Errorf("%s: got outcome %s after outcome %s, want one outcome", info.JobID, outcome, previous)
 	}
 	w.outcomes[info.JobID] = outcome
 	if info.JobState.Terminated() {
-		w.ends[info.JobID] = info.JobState
+		w.finalStates[info.JobID] = info.JobState
 	}
-	return len(w.ends) < w.count
+	return len(w.finalStates) < w.wantEnded
 }
 
 // wait waits until all jobs have ended.
@@ -53,7 +53,7 @@
 	case <-ctx.Done():
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		t.Fatalf("%d jobs have ended, want %d", len(w.ends), w.count)
+		t.Fatalf("%d jobs have ended, want %d", len(w.finalStates), w.wantEnded)
 	}
 }
 
@@ -61,7 +61,7 @@
 func (w *jobWatch) placedAndDone() (count int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for id, state := range w.ends {
+	for id, state := range w.finalStates {
 		if w.outcomes[id] == "placed" && state == drmaa2.Done {
 			count++
 		}
--- a/internal/daemon/metrics_test.go
+++ b/internal/daemon/metrics_test.go
@@ -17,8 +17,8 @@
 
 // Metrics are served at the address of the settings.
 func TestMetricsAreServed(t *testing.T) {
-	cluster := newTestCluster(t, clusterOptions{nodes: 1, configure: func(set *settings.Scheduler, _ *nodemodel.Config) {
-		set.MetricsAddress = "127.0.0.1:0"
+	cluster := newTestCluster(t, clusterOptions{nodes: 1, configure: func(cfg *settings.Scheduler, _ *nodemodel.Config) {
+		cfg.MetricsAddress = "127.0.0.1:0"
 	}})
 	ctx := contextWithin(t, 10*time.Second)
 	job, err := cluster.createSession(ctx, "test").RunJob(ctx, jobTemplate("once", time.Millisecond))
@@ -61,7 +61,7 @@
 }
 
 // event returns the fields of the first line with this value of the key event that concerns the job.
-func (b *logBuffer) event(t *testing.T, event, job string) map[string]any {
+func (b *logBuffer) findEvent(t *testing.T, event, job string) map[string]any {
 	t.Helper()
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -143,7 +143,7 @@
 		{"ended", "job_sub_state", "rejected", "sub_state", "refused"},
 	} {
 		t.Run("log key "+test.key, func(t *testing.T) {
-			fields := log.event(t, test.event, rejectedJob)
+			fields := log.findEvent(t, test.event, rejectedJob)
 			if got := fields[test.key]; got != test.want {
 				t.Errorf("%s is %v, want %s", test.key, got, test.want)
 			}
@@ -157,8 +157,8 @@
 // The help text of each deprecated metric names its successor and the version that removes it.
 func TestDeprecatedMetricsNameTheirSuccessor(t *testing.T) {
 	cluster := newTestCluster(t, clusterOptions{})
-	cluster.daemon.metrics.outcomes.inc(classResult{"c", "placed", "placed"})
-	cluster.daemon.metrics.jobsEnded.inc(classResult{"c", "exited", "exited"})
+	cluster.daemon.metrics.outcomes.inc(resultLabels{"c", "placed", "placed"})
+	cluster.daemon.metrics.jobsEnded.inc(resultLabels{"c", "exited", "exited"})
 	families, err := cluster.daemon.metrics.registry.Gather()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/daemon/multicore_test.go
+++ b/internal/daemon/multicore_test.go
@@ -17,9 +17,9 @@
 )
 
 // onCores returns a configuration with a number of cores, and write queues that are long enough for their events.
-func onCores(count int) func(*settings.Scheduler, *nodemodel.Config) {
-	return func(set *settings.Scheduler, _ *nodemodel.Config) {
-		set.Shards, set.Limits.MaxClientWriteQueue = count, 4<<20
+func configureCores(count int) func(*settings.Scheduler, *nodemodel.Config) {
+	return func(cfg *settings.Scheduler, _ *nodemodel.Config) {
+		cfg.Shards, cfg.Limits.MaxClientWriteQueue = count, 4<<20
 	}
 }
 
@@ -27,7 +27,7 @@
 // and runs each job once.
 func TestFourCoresActAsOneScheduler(t *testing.T) {
 	const count = 400
-	ctx, cluster, session := newTestSession(t, time.Minute, clusterOptions{nodes: 3, configure: onCores(4)})
+	ctx, cluster, session := newTestSession(t, time.Minute, clusterOptions{nodes: 3, configure: configureCores(4)})
 	if _, err := cluster.client.CreateJobSession(ctx, "test"); !errors.Is(err, drmaa2.ErrInvalidArgument) {
 		t.Errorf("create the session again: got error %v, want %v", err, drmaa2.ErrInvalidArgument)
 	}
@@ -35,7 +35,7 @@
 	submitFromClients(ctx, t, session, 8, count/8)
 	watch.wait(ctx, t)
 	cores := checkJobList(ctx, t, cluster, session, count)
-	if finished := cluster.finishedOnNodes(); finished != count || cores != 4 {
+	if finished := cluster.tasksFinishedOnNodes(); finished != count || cores != 4 {
 		t.Errorf("%d jobs have run on %d cores, want %d on 4", finished, cores, count)
 	}
 	machines, err := cluster.monitoringSession(ctx).AllMachines(ctx)
@@ -108,7 +108,7 @@
 // and starts nothing twice.
 func TestRestartWithOtherCoreCountAdoptsRunningJobs(t *testing.T) {
 	const count = 24
-	ctx, cluster, session := newTestSession(t, time.Minute, clusterOptions{nodes: 2, configure: onCores(4)})
+	ctx, cluster, session := newTestSession(t, time.Minute, clusterOptions{nodes: 2, configure: configureCores(4)})
 	template := func(i int) drmaa2.JobTemplate {
 		return jobTemplate("once", 10*time.Second, drmaa2.AttrKey, fmt.Sprint("k", i), drmaa2.AttrService,
 			fmt.Sprint("v", i%5))
@@ -139,7 +139,7 @@
 	for _, job := range jobs {
 		checkAdoptedJobEnds(ctx, t, cluster, job.ID, 40*time.Second)
 	}
-	if finished := cluster.finishedOnNodes(); finished != count {
+	if finished := cluster.tasksFinishedOnNodes(); finished != count {
 		t.Errorf("%d jobs have run, want %d", finished, count)
 	}
 }
@@ -208,7 +208,7 @@
 	hook := newStallHook()
 	ctx, _, session := newTestSession(t, time.Minute, clusterOptions{
 		nodes:     3,
-		configure: func(set *settings.Scheduler, _ *nodemodel.Config) { set.Shards = 4 },
+		configure: func(cfg *settings.Scheduler, _ *nodemodel.Config) { cfg.Shards = 4 },
 		hook:      hook,
 	})
 	stalled := make(chan error, 1)
@@ -226,20 +226,20 @@
 	case <-ctx.Done():
 		t.Fatal("no core has stalled")
 	}
-	during, total := runJobsDuringStall(ctx, t, session, hook, 60)
+	endedDuringStall, ended := runJobsDuringStall(ctx, t, session, hook, 60)
 	if err := <-stalled; err != nil {
 		t.Error(err)
 	}
-	if during < 10 || during == total {
+	if endedDuringStall < 10 || endedDuringStall == ended {
 		t.Errorf("%d of %d jobs ended while one of four cores was stalled, want at least 10 and fewer than all",
-			during, total)
+			endedDuringStall, ended)
 	}
 }
 
 // runJobsDuringStall runs jobs concurrently and waits for them. It returns how many have ended during the stall, and how
 // many in total.
 func runJobsDuringStall(ctx context.Context, t *testing.T, session *drmaa2.JobSession, hook *stallHook,
-	count int) (during, total int) {
+	count int) (endedDuringStall, ended int) {
 	t.Helper()
 	var mu sync.Mutex
 	var running sync.WaitGroup
@@ -257,14 +257,14 @@
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			total++
+			ended++
 			if !hook.hasEnded() {
-				during++
+				endedDuringStall++
 			}
 		})
 	}
 	running.Wait()
-	return during, total
+	return endedDuringStall, ended
 }
 
 // Settings with too many cores or without a name are rejected.
--- a/internal/daemon/nodeconnections.go
+++ b/internal/daemon/nodeconnections.go
@@ -8,28 +8,29 @@
 	"flaxshelf.example/flaxshelf/internal/transport"
 )
 
-// nodeConnections are the connections to nodes, which the cores share. It is safe for concurrent use.
+// nodeConnections holds the connections to nodes, which the cores share. It is safe for concurrent use.
 type nodeConnections struct {
 	mu     sync.Mutex
 	byName map[string]*nodeConnection
 }
 
-// nodeConnection is the connection to a node, which is maintained while any core requests it.
+// nodeConnection is the connection to a node. It is kept open, and reconnected after failures, while any core requests it.
 type nodeConnection struct {
 	address     string
 	link        *transport.Link
-	requestedBy map[int]bool // indexes of cores
+	requestedBy map[int]bool // by index of the core
 }
 
-// isRequested reports whether a core requests a connection to the node.
+// isRequested reports whether any core requests a connection to the node.
 func (n *nodeConnections) isRequested(name string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.byName[name] != nil
 }
 
-// request adds a core's request for a connection, which dial makes unless there is one to the address. It reports whether
-// a connection to another address was replaced, whose end will not be reported.
+// request adds a core's request for a connection to a node. It calls dial unless there is a connection to the same address. It
+// reports whether it replaced a connection to another address, in which case the end of the old connection is not reported to
+// the cores.
 func (n *nodeConnections) request(core int, name, address string,
 	dial func(*nodeConnection) *transport.Link) (replaced bool) {
 	n.mu.Lock()
@@ -50,14 +51,14 @@
 	return old != nil
 }
 
-// isCurrent reports whether a connection to a node is the current one and has not been replaced.
+// isCurrent reports whether a connection to a node has been neither replaced nor released.
 func (n *nodeConnections) isCurrent(name string, connection *nodeConnection) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.byName[name] == connection
 }
 
-// release removes a core's request for a connection. The connection ends with its last request.
+// release removes a core's request for a connection. When no core requests the connection any more, it is closed.
 func (n *nodeConnections) release(core int, name string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -72,9 +73,10 @@
 	}
 }
 
-// connect requests a connection to a node for the core.
+// connect requests a connection to a node for the core. If the node has a new address, the connection to the old one is
+// replaced, and all cores receive a NodeDisconnected.
 func (r *coreRunner) connect(name string) {
-	d, address := r.daemon, r.addresses[name]
+	d, address := r.daemon, r.nodeAddresses[name]
 	replaced := d.nodes.request(r.index, name, address, func(connection *nodeConnection) *transport.Link {
 		return d.dialer.Link(address, d.settings.ConnectTimeout.Duration(), reconnectBackoff,
 			func() transport.Handler {
@@ -85,13 +87,14 @@
 	if !replaced {
 		return
 	}
-	for _, runner := range d.runners { // at once, so that what is sent before the next welcome waits for it
+	// Reported now, so that the cores hold back what they send to the node until its new connection is ready.
+	for _, runner := range d.runners {
 		runner.requeue(scheduler.NodeDisconnected{Node: name})
 	}
 }
 
-// nodeDisconnected notifies the cores that a connection has closed or could not be made. It ignores a connection that was
-// replaced: its end may be reported after the welcome of its successor, when the node is connected again.
+// nodeDisconnected notifies the cores that a connection was closed or could not be opened. It ignores a connection that was
+// replaced, whose end may be reported when the node is already connected by the new connection.
 func (d *Daemon) nodeDisconnected(name string, connection *nodeConnection, err error) {
 	d.log.Debug().Err(err).Str("node", name).Msg("node not connected")
 	if d.nodes.isCurrent(name, connection) {
@@ -99,15 +102,15 @@
 	}
 }
 
-// disconnect releases the core's connection to a node.
+// disconnect removes the core's request for a connection to a node, and the node's outbox.
 func (r *coreRunner) disconnect(name string) {
 	delete(r.outboxes, name)
 	r.daemon.nodes.release(r.index, name)
 }
 
-// pingPeers pings the connected nodes and the inventory, whose replies prevent the idle timeout.
+// pingPeers pings the connected nodes and the inventory. Their replies keep the connections from reaching peerIdleTimeout.
 func (r *coreRunner) pingPeers() {
-	frame := encode(nodefront.Ping(0))
+	frame := encodeFrame(nodefront.Ping(0))
 	for _, outbox := range r.outboxes {
 		if outbox.conn != nil {
 			outbox.conn.Send(append([]byte(nil), frame...))
--- a/internal/daemon/nodehandler.go
+++ b/internal/daemon/nodehandler.go
@@ -18,8 +18,8 @@
 	return &nodeHandler{daemon: d, name: name, front: nodefront.Node{Set: d.settings, Name: name}}
 }
 
-// receiveFrame passes the frame's input to the cores. Closing the connection when a mailbox is full loses nothing: the
-// node keeps its attempts and how they ended, and reports them in its next welcome.
+// receiveFrame sends the input of a frame to the cores. If a mailbox is full, the returned error closes the connection. No
+// information is lost: the node keeps its attempts and their results and reports them when it is connected again.
 func (h *nodeHandler) receiveFrame(c *transport.Conn, frame *nodepb.Frame) error {
 	input, err := h.front.Input(frame)
 	if err != nil {
@@ -31,11 +31,12 @@
 	return nil
 }
 
+// connectionClosed implements frameReceiver.
 func (h *nodeHandler) connectionClosed(reason error) {
 	h.daemon.log.Debug().Err(reason).Str("node", h.name).Msg("node connection closed")
 }
 
-// tryEnqueueNodeInput passes an input from a node to the cores that it concerns, without waiting. It returns false if a
+// tryEnqueueNodeInput sends an input from a node to the cores that it concerns, without blocking. It returns false if a
 // mailbox was full.
 func (d *Daemon) tryEnqueueNodeInput(input scheduler.Input, from *transport.Conn) bool {
 	if attempt, ok := attemptOf(input); ok {
@@ -43,9 +44,9 @@
 	}
 	switch in := input.(type) {
 	case scheduler.NodeConnected:
-		return d.tryEnqueueNodeUp(in, from)
+		return d.tryEnqueueNodeConnected(in, from)
 	case scheduler.NodeSynced:
-		return d.tryEnqueueSynced(in.Token, func(token uint64) scheduler.Input {
+		return d.tryEnqueueSyncReply(in.Token, func(token uint64) scheduler.Input {
 			return scheduler.NodeSynced{Node: in.Node, Token: token}
 		})
 	default:
@@ -53,18 +54,18 @@
 	}
 }
 
-// tryEnqueueNodeUp passes to each core its part of what a node has reported in its welcome, without waiting. It returns
-// false if a mailbox was full.
-func (d *Daemon) tryEnqueueNodeUp(up scheduler.NodeConnected, from *transport.Conn) bool {
+// tryEnqueueNodeConnected splits the report of a node that has connected and sends each core its part, without blocking. It
+// returns false if a mailbox was full.
+func (d *Daemon) tryEnqueueNodeConnected(report scheduler.NodeConnected, from *transport.Conn) bool {
 	ok := true
-	for i, part := range d.shards.SplitReport(up) {
+	for i, part := range d.shards.SplitReport(report) {
 		ok = d.runners[i].tryEnqueue(message{input: part, conn: from}) && ok
 	}
 	return ok
 }
 
-// attemptOf returns the ID of the attempt that an input from a node concerns. It returns false for an input that
-// concerns the node.
+// attemptOf returns the ID of the attempt that an input from a node concerns, or false if the input concerns the node
+// itself.
 func attemptOf(input scheduler.Input) (attempt string, ok bool) {
 	switch in := input.(type) {
 	case scheduler.AttemptAccepted:
--- a/internal/daemon/nodeoutbox.go
+++ b/internal/daemon/nodeoutbox.go
@@ -11,15 +11,15 @@
 	"flaxshelf.example/flaxshelf/internal/transport"
 )
 
-// nodeOutbox collects one core's frames to a node. It belongs to the owner of the core.
+// nodeOutbox collects the frames from one core to one node during a step. Only the goroutine that owns the core uses it.
 type nodeOutbox struct {
 	node   string
-	conn   *transport.Conn // nil before the node has sent its welcome
+	conn   *transport.Conn // nil while the node is not connected
 	frames transport.Outbox
 }
 
-// outbox returns the outbox of a node, which it creates at first use.
-func (r *coreRunner) outbox(node string) *nodeOutbox {
+// ensureOutbox returns the outbox of a node, which it creates if there is none.
+func (r *coreRunner) ensureOutbox(node string) *nodeOutbox {
 	outbox := r.outboxes[node]
 	if outbox == nil {
 		outbox = &nodeOutbox{node: node}
@@ -28,53 +28,54 @@
 	return outbox
 }
 
-// outboxForWrite returns the outbox of a connected node, and marks it to be flushed at the end of the step. It returns nil
-// if the node is not connected.
+// outboxForWrite returns the outbox of a node and has it flushed at the end of the step. It returns nil if the node is not
+// connected.
 func (r *coreRunner) outboxForWrite(node string) *nodeOutbox {
 	outbox := r.outboxes[node]
 	if outbox == nil || outbox.conn == nil {
 		return nil
 	}
 	if outbox.frames.Empty() {
-		r.unflushed = append(r.unflushed, outbox)
+		r.unflushedOutboxes = append(r.unflushedOutboxes, outbox)
 	}
 	return outbox
 }
 
-// put appends an encoded frame.
+// put encodes a frame and appends it to the outbox.
 func (o *nodeOutbox) put(frame *nodepb.Frame) {
-	mustEncode(o.frames.Put(func(dst []byte) ([]byte, error) { return nodeframe.Append(dst, frame) }))
+	panicOnEncodeError(o.frames.Put(func(dst []byte) ([]byte, error) { return nodeframe.Append(dst, frame) }))
 }
 
-// mustEncode panics if a frame could not be encoded. All fields are bounded when they are received, so this is a bug.
-func mustEncode(err error) {
+// panicOnEncodeError panics if err, the result of encoding a frame, is not nil. The daemon bounds all fields when it receives
+// them, so a frame that cannot be encoded is a bug.
+func panicOnEncodeError(err error) {
 	if err != nil {
 		panic(fmt.Sprintf("daemon: encode frame: %v", err))
 	}
 }
 
-func encode(frame *nodepb.Frame) []byte {
+func encodeFrame(frame *nodepb.Frame) []byte {
 	encoded, err := nodeframe.Append(nil, frame)
-	mustEncode(err)
+	panicOnEncodeError(err)
 	return encoded
 }
 
-// hello returns the encoded first frame of a connection to a node or to the inventory.
-func (d *Daemon) hello() []byte { return encode(nodefront.Hello(d.settings, d.startedAt)) }
+// helloFrame returns the encoded first frame of a connection to a node or to the inventory.
+func (d *Daemon) helloFrame() []byte { return encodeFrame(nodefront.Hello(d.settings, d.startedAt)) }
 
-// putOffer appends an encoded offer.
+// putOffer encodes an offer and appends it to the outbox. If the offer is not sent in time, it is reported to the core.
 func (r *coreRunner) putOffer(outbox *nodeOutbox, e *scheduler.SendOffer) {
-	nodefront.Task(r.daemon.settings, e, &r.offer.task)
-	r.offer.body.Attempt, r.offer.body.ValidForNs = e.Attempt, int64(e.ValidFor)
+	nodefront.Task(r.daemon.settings, e, &r.offerFrame.task)
+	r.offerFrame.body.Attempt, r.offerFrame.body.ValidForNs = e.Attempt, int64(e.ValidFor)
 	node, attempt := outbox.node, e.Attempt
-	mustEncode(outbox.frames.PutExpiring(
-		func(dst []byte) ([]byte, error) { return nodeframe.Append(dst, &r.offer.frame) },
+	panicOnEncodeError(outbox.frames.PutExpiring(
+		func(dst []byte) ([]byte, error) { return nodeframe.Append(dst, &r.offerFrame.frame) },
 		nil,
-		func() { r.reportUnsent(node, attempt) }))
+		func() { r.reportUnsentOffer(node, attempt) }))
 }
 
-// offerFrame is the frame of an offer, which is reused for each offer because its allocation was significant in
-// profiles.
+// offerFrame is the frame of an offer. It is reused for all offers of a core, because allocating one for each offer was
+// significant in profiles.
 type offerFrame struct {
 	frame nodepb.Frame
 	body  nodepb.Offer
@@ -86,14 +87,15 @@
 	o.frame.Body = &nodepb.Frame_Offer{Offer: &o.body}
 }
 
-// flush passes a step's frames to the event loop of the node's connection. An offer that the loop handles later than half
-// the drain grace, or never, is reported as not sent.
-func (r *coreRunner) flush(outbox *nodeOutbox, decidedAt scheduler.Time) {
-	limit := r.daemon.settings.Rules.DrainGrace.Duration() / 2
-	outbox.frames.Flush(outbox.conn, func() bool { return clock.Now()-decidedAt < limit })
+// flush sends the frames of a step to the event loop of the node's connection. Offers are discarded, and reported as not sent,
+// if the event loop handles them later than half the drain grace after the step, or not at all: a draining node may receive
+// offers only during the drain grace.
+func (r *coreRunner) flush(outbox *nodeOutbox, stepTime scheduler.Time) {
+	maxDelay := r.daemon.settings.Rules.DrainGrace.Duration() / 2
+	outbox.frames.Flush(outbox.conn, func() bool { return clock.Now()-stepTime < maxDelay })
 }
 
-// reportUnsent notifies the core that an offer was not written. It is safe for concurrent use.
-func (r *coreRunner) reportUnsent(node, attempt string) {
+// reportUnsentOffer notifies the core that an offer was not sent. It is safe for concurrent use.
+func (r *coreRunner) reportUnsentOffer(node, attempt string) {
 	r.requeue(scheduler.SendFailed{Node: node, Attempt: attempt})
 }
--- a/internal/daemon/outcomelog.go
+++ b/internal/daemon/outcomelog.go
@@ -25,12 +25,12 @@
 		Str("class", d.settings.Classes[info.Spec.Class].Name).
 		Int("request", info.PlacementRequest).
 		Str("placement_outcome", info.Outcome.DisplayName()).
-		Str("outcome", string(info.Outcome)). // Deprecated: use placement_outcome; removed in 0.2.0
+		Str("outcome", string(info.Outcome)). // deprecated: replaced by placement_outcome; removed in 0.2.0
 		Str("attempt", outcome.Attempt).
 		Str("node", info.Node).
 		Str("state", string(info.State)).
 		Str("job_sub_state", scheduler.SubStateDisplayName(info.SubState)).
-		Str("sub_state", info.SubState). // Deprecated: use job_sub_state; removed in 0.2.0
+		Str("sub_state", info.SubState). // deprecated: replaced by job_sub_state; removed in 0.2.0
 		Str("reason", info.Reason).
 		Dur("waited_ms", time.Duration(clock.Now()-info.RequestedAt)).
 		Msg(message)
--- a/internal/daemon/peerhandler.go
+++ b/internal/daemon/peerhandler.go
@@ -10,39 +10,40 @@
 	"flaxshelf.example/flaxshelf/internal/transport"
 )
 
-// errMailboxFull closes the connection of a peer whose frame did not fit into a core's mailbox.
-var errMailboxFull = errors.New("daemon: the mailbox of a core is full")
+// errMailboxFull is the reason for closing the connection to a peer after a frame that did not fit into a core's mailbox.
+var errMailboxFull = errors.New("daemon: core mailbox full")
 
-// frameReceiver handles the frames of one kind of peer. Its methods are called by the connection's event loop.
+// frameReceiver handles the frames of one kind of peer. The connection's event loop calls its methods.
 type frameReceiver interface {
-	// receiveFrame handles one frame. After an error the connection is closed with it.
+	// receiveFrame handles one frame. An error closes the connection and is the reason for it.
 	receiveFrame(c *transport.Conn, frame *nodepb.Frame) error
-	// connectionClosed logs the end of the connection; the link notifies the cores.
+	// connectionClosed logs the end of the connection. It need not notify the cores, which the link does.
 	connectionClosed(reason error)
 }
 
-// peerHandler implements transport.Handler for a connection to a peer, which is a node or the inventory. It sends the
-// hello and reads frames. It belongs to the connection's event loop.
+// peerHandler implements transport.Handler for a connection to a peer: a node or the inventory. It sends the hello and parses
+// the frames that it receives. Only the connection's event loop accesses it.
 type peerHandler struct {
 	daemon   *Daemon
 	receiver frameReceiver
 }
 
-// Opened sends the hello.
-func (h *peerHandler) Opened(c *transport.Conn) { c.WriteInLoop(h.daemon.hello()) }
+// Opened sends the hello, the first frame of a connection.
+func (h *peerHandler) Opened(c *transport.Conn) { c.WriteInLoop(h.daemon.helloFrame()) }
 
-// Receive implements transport.Handler.
+// Receive parses the received frames and passes them to the frameReceiver.
 func (h *peerHandler) Receive(c *transport.Conn, received []byte) (int, error) {
 	return framereader.Each(received, func(frame *nodepb.Frame) error { return h.receiver.receiveFrame(c, frame) })
 }
 
-// Closed implements transport.Handler.
+// Closed passes the reason for the end of the connection to the frameReceiver.
 func (h *peerHandler) Closed(_ *transport.Conn, reason error) { h.receiver.connectionClosed(reason) }
 
-// tryEnqueueSynced passes the answer to a sync to the core that the peer's token names, without waiting. It returns
-// false if the mailbox was full. A token of a core that does not exist is ignored.
-func (d *Daemon) tryEnqueueSynced(peerToken uint64, newInput func(token uint64) scheduler.Input) bool {
-	core, token := shard.DecodeToken(peerToken)
+// tryEnqueueSyncReply sends a peer's reply to a sync ping to the core that requested the sync, without blocking. The token in
+// the reply encodes the index of that core; a reply for a core that does not exist is ignored. It returns false if the mailbox
+// was full.
+func (d *Daemon) tryEnqueueSyncReply(encodedToken uint64, newInput func(token uint64) scheduler.Input) bool {
+	core, token := shard.DecodeToken(encodedToken)
 	if core >= len(d.runners) {
 		return true
 	}
--- a/internal/daemon/renamedmetrics.go
+++ b/internal/daemon/renamedmetrics.go
@@ -9,17 +9,17 @@
 
 const (
 	metricPrefix = "flaxshelf_"
-	// removalVersion is the version that no longer exports deprecated names of metrics and log keys.
+	// removalVersion is the version that removes the deprecated names of metrics and log keys.
 	removalVersion = "0.2.0"
 )
 
-// metricNames are the names of one metric, without metricPrefix.
+// metricNames are the current and the deprecated name of a metric, without metricPrefix.
 type metricNames struct {
 	current    string
-	deprecated string // an earlier name that is exported too; empty for none
+	deprecated string // previous name, which is still exported; empty for none
 }
 
-// describe returns a description for each name. The help text of the deprecated one names its successor.
+// describe returns a description for each name. The help text of the deprecated name refers to the current name.
 func (n metricNames) describe(help string, labels, deprecatedLabels []string) metricDescs {
 	current := metricPrefix + n.current
 	descs := metricDescs{current: prometheus.NewDesc(current, help, labels, nil)}
@@ -30,8 +30,8 @@
 	return descs
 }
 
-// metricDescs are the descriptions of one metric under its names. Each value is read once and exported under all names,
-// so the names agree in every scrape.
+// metricDescs are the descriptions of a metric under its current and its deprecated name. A value is read once and exported
+// under both names, so both have the same value in every scrape.
 type metricDescs struct {
 	current    *prometheus.Desc
 	deprecated *prometheus.Desc // nil for none
@@ -45,7 +45,7 @@
 	}
 }
 
-// export sends a value under all names.
+// export sends a value under the current and the deprecated name. deprecatedLabels are the label values for the latter.
 func (d metricDescs) export(metrics chan<- prometheus.Metric, kind prometheus.ValueType, value float64,
 	labels, deprecatedLabels []string) {
 	metrics <- prometheus.MustNewConstMetric(d.current, kind, value, labels...)
@@ -54,7 +54,7 @@
 	}
 }
 
-// renamedCounter is a counter that is exported under a current and a deprecated name. It is safe for concurrent use.
+// renamedCounter is a counter that is exported under its current and its deprecated name. It is safe for concurrent use.
 type renamedCounter struct {
 	metricDescs
 	value atomic.Uint64
@@ -71,25 +71,25 @@
 	c.export(metrics, prometheus.CounterValue, float64(c.value.Load()), nil, nil)
 }
 
-// classResult is a class of jobs and a result of a job of that class, in current and deprecated terms.
-type classResult struct{ class, current, deprecated string }
+// resultLabels are the label values of a result: the job class, and the current and the deprecated name of the result.
+type resultLabels struct{ class, current, deprecated string }
 
-// resultCounter counts results of jobs by class. Both the metric's name and the terms of its results have deprecated
-// forms. It is safe for concurrent use.
+// resultCounter counts results of jobs by job class and result. Its name and its label values have deprecated forms, which are
+// exported too. It is safe for concurrent use.
 type resultCounter struct {
 	metricDescs
 	mu     sync.Mutex
-	counts map[classResult]uint64
+	counts map[resultLabels]uint64
 }
 
 func newResultCounter(names metricNames, help, label, deprecatedLabel string) *resultCounter {
 	return &resultCounter{
 		metricDescs: names.describe(help, []string{classLabel, label}, []string{classLabel, deprecatedLabel}),
-		counts:      map[classResult]uint64{},
+		counts:      map[resultLabels]uint64{},
 	}
 }
 
-func (c *resultCounter) inc(result classResult) {
+func (c *resultCounter) inc(result resultLabels) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.counts[result]++
--- a/internal/daemon/scattergather.go
+++ b/internal/daemon/scattergather.go
@@ -7,15 +7,15 @@
 	"flaxshelf.example/flaxshelf/internal/shard"
 )
 
-// scatterGather collects the answers of all cores to one request and replies with the merged answer. It is safe for
-// concurrent use.
+// scatterGather collects the answers of all cores to one request, and replies with the merged answer when it has all of them.
+// It is safe for concurrent use.
 type scatterGather struct {
 	request scheduler.Input
 	reply   func(*scheduler.Answer)
 
 	mu        sync.Mutex
-	remaining int // missing answers
-	answers   []scheduler.Answer
+	remaining int                // number of missing answers
+	answers   []scheduler.Answer // by index of the core
 	canceled  bool
 }
 
@@ -23,7 +23,7 @@
 	return &scatterGather{request: request, reply: reply, remaining: cores, answers: make([]scheduler.Answer, cores)}
 }
 
-// collector returns the function that receives the answer of one core. It replies after the last answer.
+// collector returns the function that must be called with the answer of one core. The last call replies to the request.
 func (s *scatterGather) collector(core int) func(*scheduler.Answer) {
 	return func(answer *scheduler.Answer) {
 		s.mu.Lock()
@@ -38,7 +38,7 @@
 	}
 }
 
-// cancel discards the answers, for a request that was rejected after some cores had received it.
+// cancel prevents the reply. It is for a request that is rejected after some cores have received it.
 func (s *scatterGather) cancel() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/daemon/sessionlist_test.go
+++ b/internal/daemon/sessionlist_test.go
@@ -13,8 +13,8 @@
 func TestNoSessionsAreEncodedAsEmptyList(t *testing.T) {
 	for _, cores := range []int{1, 4} {
 		t.Run(fmt.Sprintf("%d cores", cores), func(t *testing.T) {
-			cluster := newTestCluster(t, clusterOptions{nodes: 0, configure: func(set *settings.Scheduler, _ *nodemodel.Config) {
-				set.Shards = cores
+			cluster := newTestCluster(t, clusterOptions{nodes: 0, configure: func(cfg *settings.Scheduler, _ *nodemodel.Config) {
+				cfg.Shards = cores
 			}})
 			response := responseTo(t, cluster.daemon.Addr(),
 				"GET /drmaa2/v1/sessions HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
--- a/internal/daemon/testcluster_test.go
+++ b/internal/daemon/testcluster_test.go
@@ -24,7 +24,7 @@
 		goleak.IgnoreTopFunction("github.com/panjf2000/gnet/v2/pkg/logging.init.0.func1"))
 }
 
-const testScheduler = `
+const testSettings = `
 name: "s"
 listen: "127.0.0.1:0"
 inventory: "127.0.0.1:0"
@@ -60,7 +60,7 @@
 // newTestCluster starts a scheduler, its inventory and its nodes, which the end of the test stops.
 func newTestCluster(t testing.TB, options clusterOptions) *testCluster {
 	t.Helper()
-	set, err := settings.ParseScheduler("test", []byte(testScheduler))
+	cfg, err := settings.ParseScheduler("test", []byte(testSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -77,9 +77,9 @@
 		MaxCachedPrograms:   4,
 	}
 	if options.configure != nil {
-		options.configure(set, &model)
+		options.configure(cfg, &model)
 	}
-	cluster := &testCluster{t: t, options: options, settings: set}
+	cluster := &testCluster{t: t, options: options, settings: cfg}
 	cluster.inventory, err = host.StartInventory("127.0.0.1:0", inventorymodel.Config{RemovalDelay: 50 * time.Millisecond},
 		zerolog.Nop())
 	if err != nil {
@@ -87,7 +87,7 @@
 	}
 	t.Cleanup(cluster.inventory.Stop)
 	cluster.startNodes(model)
-	set.InventoryAddress = cluster.inventory.Addr()
+	cfg.InventoryAddress = cluster.inventory.Addr()
 	cluster.startDaemon()
 	t.Cleanup(func() {
 		cluster.client.Close()
@@ -171,7 +171,7 @@
 }
 
 // finishedOnNodes returns the number of tasks that the nodes have finished.
-func (c *testCluster) finishedOnNodes() (finished int) {
+func (c *testCluster) tasksFinishedOnNodes() (finished int) {
 	for _, node := range c.nodes {
 		node.Do(func(m *nodemodel.Node, _ nodemodel.Time) []nodemodel.Send { finished += m.Finished(); return nil })
 	}
