--- a/internal/daemon/clienthandler.go
+++ b/internal/daemon/clienthandler.go
@@ -15,13 +15,13 @@
 )
 
 var (
-	errResponseSent       = errors.New("daemon: connection closed after its last response")
-	errTooManyConnections = errors.New("daemon: client connection limit exceeded")
-	errRequestTimeout     = errors.New("daemon: request incomplete at the request timeout")
+	errResponseSent            = errors.New("daemon: connection closed after its last response")
+	errConnectionLimitExceeded = errors.New("daemon: client connection limit exceeded")
+	errRequestTimeout          = errors.New("daemon: request incomplete at the request timeout")
 )
 
-// overLimitTimeout is how long a connection that exceeds the connection limit may take to send its request. Then it is
-// rejected without a request.
+// overLimitTimeout is how long a connection that exceeds the connection limit may take to send its request. If none has arrived
+// by then, the connection is rejected nevertheless.
 const overLimitTimeout = time.Second
 
 // clientHandler implements transport.Handler for a client connection. It reads requests and answers them one at a time. Only
@@ -39,7 +39,7 @@
 
 // accept counts a new client connection and returns its handler.
 func (d *Daemon) accept(*transport.Conn) transport.Handler {
-	count := d.clientCount.Add(1)
+	count := d.clientConnectionCount.Add(1)
 	d.metrics.openClientConnections.Set(float64(count))
 	return &clientHandler{daemon: d, overLimit: count > int64(d.settings.Limits.MaxConnections)}
 }
@@ -54,9 +54,10 @@
 	}
 }
 
+// rejectOverLimit rejects a connection that exceeds the connection limit.
 func (h *clientHandler) rejectOverLimit(c *transport.Conn) {
 	c.WriteInLoop(drmaafront.BusyResponse(true))
-	c.CloseInLoop(errTooManyConnections)
+	c.CloseInLoop(errConnectionLimitExceeded)
 }
 
 // Receive parses and serves the next request. It leaves the bytes in the connection's buffer while a request is pending.
@@ -106,6 +107,7 @@
 	})
 }
 
+// rejectSlow rejects a connection whose request has not arrived completely within the request timeout.
 func (h *clientHandler) rejectSlow(c *transport.Conn) {
 	c.WriteInLoop(drmaafront.ErrorResponse(http.StatusRequestTimeout, &drmaa2.Error{Code: drmaa2.InvalidArgument,
 		Message: fmt.Sprintf("the request was not complete within %v",
@@ -179,10 +181,11 @@
 func (h *clientHandler) Closed(c *transport.Conn, reason error) {
 	stopTimer(h.overLimitTimer)
 	stopTimer(h.requestTimer)
-	h.daemon.metrics.openClientConnections.Set(float64(h.daemon.clientCount.Add(-1)))
+	h.daemon.metrics.openClientConnections.Set(float64(h.daemon.clientConnectionCount.Add(-1)))
 	if isClientFault(reason) {
 		h.daemon.metrics.clientsDisconnected.inc()
-		h.daemon.log.Warn().Err(reason).Str("client", c.Remote()).Msg("client connection closed: client too slow")
+		h.daemon.log.Warn().Err(reason).Str("client", c.Remote()).
+			Msg("client connection closed: client too slow or sent too much")
 	}
 }
 
--- a/internal/daemon/clientlimits_test.go
+++ b/internal/daemon/clientlimits_test.go
@@ -18,11 +18,11 @@
 	malformedRequest  = "\x16\x03\x01\x00\x00\r\n\r\n"
 )
 
-// maxHeapGrowth bounds the growth of the heap, in bytes, while clients misbehave.
+// maxHeapGrowth is the limit for the growth of the heap, in bytes, while clients misbehave.
 const maxHeapGrowth = 64 << 20
 
-// Clients that send incomplete requests, endless heads or no HTTP, or that never read, receive an error or are
-// disconnected. Memory stays bounded and other clients are served.
+// Clients that send an incomplete request, an endless request header or no HTTP, or that never read a response, receive an
+// error or are disconnected. Meanwhile memory stays bounded and other clients are served.
 func TestMisbehavingClientsAreDisconnected(t *testing.T) {
 	ctx, cluster, session := newTestSession(t, 60*time.Second, clusterOptions{nodes: 1})
 	addr := cluster.daemon.Addr()
@@ -32,7 +32,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := responseTo(t, addr, test.request); !strings.Contains(got, " "+test.wantStatus+" ") {
-				t.Errorf("got response %q, want status %s", got, test.wantStatus)
+				t.Errorf("got response %q, want one with status %s", got, test.wantStatus)
 			}
 		})
 	}
@@ -40,12 +40,12 @@
 	runtime.GC()
 	runtime.ReadMemStats(&before)
 	if sent := sendEndlessHeader(t, addr); sent > 32<<20 {
-		t.Errorf("%d MiB of a head were read, want at most 32", sent>>20)
+		t.Errorf("the daemon read %d MiB of a request header, want at most 32", sent>>20)
 	}
 	neverReads := dial(t, addr)
 	_ = neverReads.SetReadBuffer(4096) // a larger buffer only takes longer to fill
 	write(neverReads, "GET /drmaa2/v1/sessions/test/events HTTP/1.1\r\nHost: x\r\n\r\n")
-	// The client that never reads is sent 20,000 changes of jobs, which are over 10 MB of events.
+	// The client that never reads is sent 20,000 job changes, which are more than 10 MB of events.
 	for range 20 {
 		array, err := session.RunBulkJobs(ctx, jobTemplate("service", time.Millisecond), 1, 250, 1, 0)
 		if err != nil {
@@ -56,7 +56,7 @@
 		}
 	}
 	if got := metricValue(t, cluster.daemon, "flaxshelf_clients_cut_total"); got < 1 {
-		t.Errorf("%v clients were disconnected, want at least the one that never reads", got)
+		t.Errorf("%v clients were disconnected, want at least 1, the client that never reads", got)
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
@@ -65,7 +65,7 @@
 	}
 }
 
-// dial opens a connection, which the end of the test closes.
+// dial opens a connection that is closed at the end of the test.
 func dial(t *testing.T, addr string) *net.TCPConn {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
@@ -76,20 +76,20 @@
 	return conn.(*net.TCPConn)
 }
 
-// write writes text. It ignores errors, since the daemon may have closed the connection.
+// write writes text. It ignores errors, because the daemon may already have closed the connection.
 func write(conn net.Conn, text string) { _, _ = io.WriteString(conn, text) }
 
-// responseTo sends text on a new connection and returns what the daemon sends within 5 s.
+// responseTo sends text on a new connection and returns what the daemon sends until it closes the connection, or within 5 s.
 func responseTo(t *testing.T, addr, text string) string {
 	t.Helper()
 	conn := dial(t, addr)
 	write(conn, text)
 	_ = conn.SetReadDeadline(time.Now().Add(5 * time.Second))
-	response, _ := io.ReadAll(conn) // an error leaves what was read before
+	response, _ := io.ReadAll(conn) // after an error the response is what was read before it
 	return string(response)
 }
 
-// sendEndlessHead sends up to 64 MiB of a request's head and returns how many bytes were sent.
+// sendEndlessHeader sends up to 64 MiB of a request header and returns how many bytes were sent.
 func sendEndlessHeader(t *testing.T, addr string) (sent int) {
 	t.Helper()
 	conn := dial(t, addr)
@@ -104,7 +104,7 @@
 	return sent
 }
 
-// A client above the connection limit receives status 503 and Retry-After. Connected clients are served.
+// A client that exceeds the connection limit receives status 503 with Retry-After. Clients connected before are served.
 func TestConnectionLimitRejectsFurtherClients(t *testing.T) {
 	cluster := newTestCluster(t, clusterOptions{nodes: 1, configure: func(cfg *settings.Scheduler, _ *nodemodel.Config) {
 		cfg.Limits.MaxConnections = 2
--- a/internal/daemon/corerunner.go
+++ b/internal/daemon/corerunner.go
@@ -51,7 +51,7 @@
 	lastRequestID     uint64
 	pendingRequests   map[uint64]message   // unanswered client requests by request ID
 	streams           map[uint64]message   // Watch requests by stream ID
-	submittedAt       map[string]time.Time // arrival of the submissions of jobs that had no offer yet, by job ID
+	submittedAt       map[string]time.Time // when the submissions of jobs without an offer arrived, by job ID
 	outboxes          map[string]*nodeOutbox
 	unflushedOutboxes []*nodeOutbox     // outboxes with frames of the current step
 	nodeAddresses     map[string]string // network addresses of the nodes, by name
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -45,18 +45,18 @@
 	closeOnce sync.Once
 	closeErr  error
 
-	server             *transport.Server
-	dialer             *transport.Dialer
-	nodes              nodeConnections
-	inventoryConn      atomic.Pointer[transport.Conn] // latest connection, possibly closed; nil before the first
-	clientCount        atomic.Int64
-	keylessSubmissions atomic.Uint64 // counts submissions without a key, to distribute them over the cores
-	metrics            *metrics
+	server                *transport.Server
+	dialer                *transport.Dialer
+	nodes                 nodeConnections
+	inventoryConn         atomic.Pointer[transport.Conn] // latest connection, possibly closed; nil before the first
+	clientConnectionCount atomic.Int64
+	keylessSubmissions    atomic.Uint64 // counts submissions without a key, to distribute them over the cores
+	metrics               *metrics
 }
 
 // Hook replaces inputs and effects on their way between the cores and the sockets. It is for tests, for example of a rule
-// checker with a daemon that violates a rule on purpose, or of a core that stalls. Each core's goroutine calls both methods,
-// so a hook of several cores must be safe for concurrent use.
+// checker with a daemon that violates a rule on purpose, or of a core that stalls. The goroutine of each core calls both
+// methods, so the hook of a daemon with several cores must be safe for concurrent use.
 type Hook interface {
 	// InterceptInput returns the input that the core receives in place of the argument.
 	InterceptInput(scheduler.Input) scheduler.Input
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -13,8 +13,8 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/standin/nodemodel"
 )
 
-// Each of thousands of concurrent submissions that must run at most once has one outcome, and the nodes have finished as
-// many tasks as the clients have seen end.
+// Thousands of jobs that must run at most once are submitted concurrently. Each has one outcome, and the nodes finish as many
+// tasks as jobs were placed and done.
 func TestConcurrentSubmissionsRunOnce(t *testing.T) {
 	const count, clients = 3000, 30
 	ctx, cluster, session := newTestSession(t, time.Minute, clusterOptions{nodes: 4})
@@ -40,7 +40,8 @@
 	}
 }
 
-// Two clients wait for one job, one of which has submitted it again with its key. A third has stopped waiting before.
+// Two clients can wait for the same job, one of which has obtained it by submitting it again with its key. An earlier wait
+// whose context expired does not affect them.
 func TestTwoClientsWaitForOneJob(t *testing.T) {
 	ctx, cluster, session := newTestSession(t, 20*time.Second, clusterOptions{nodes: 1})
 	template := jobTemplate("once", 300*time.Millisecond, drmaa2.AttrKey, "k")
@@ -51,7 +52,7 @@
 	shortCtx, cancel := context.WithTimeout(ctx, 10*time.Millisecond)
 	defer cancel()
 	if _, err := job.WaitTerminated(shortCtx, drmaa2.InfiniteTime); !errors.Is(err, context.DeadlineExceeded) {
-		t.Errorf("wait of the client that stops: got error %v, want %v", err, context.DeadlineExceeded)
+		t.Errorf("wait with an expired context: got error %v, want %v", err, context.DeadlineExceeded)
 	}
 	other := drmaa2.NewClient(cluster.daemon.Addr())
 	defer other.Close()
@@ -77,14 +78,14 @@
 	}
 }
 
-// errorCase is a call to a scheduler that returns an error of the DRMAA specification.
+// errorCase is a call of the client that must return an error of the DRMAA specification.
 type errorCase struct {
 	name string
 	call func() error
 	want error
 }
 
-// errorCases returns calls in a session with a held job and as many pending jobs as the limit allows.
+// errorCases returns the calls to test. The session must have a held job and as many pending jobs as the limit allows.
 func errorCases(ctx context.Context, client *drmaa2.Client, session *drmaa2.JobSession, heldJob *drmaa2.Job) []errorCase {
 	runJob := func(template drmaa2.JobTemplate) func() error {
 		return func() error {
@@ -120,7 +121,7 @@
 	}
 }
 
-// Each error of the DRMAA specification is returned to the client as such.
+// The client receives the errors that the DRMAA specification defines.
 func TestDRMAAErrorsReachTheClient(t *testing.T) {
 	ctx, cluster, session := newTestSession(t, 20*time.Second, clusterOptions{nodes: 1, configure: func(cfg *settings.Scheduler, _ *nodemodel.Config) {
 		cfg.Limits.MaxPending = 1
@@ -143,7 +144,7 @@
 			}
 			var drmaaError *drmaa2.Error
 			if errors.Is(err, drmaa2.ErrTryLater) && (!errors.As(err, &drmaaError) || drmaaError.RetryAfter <= 0) {
-				t.Errorf("got error %v without a time to retry after", err)
+				t.Errorf("got error %v without RetryAfter, want one above 0", err)
 			}
 		})
 	}
@@ -154,7 +155,7 @@
 	checkReleaseAndReap(ctx, t, heldJob)
 }
 
-// checkReleaseAndReap releases a held job and checks that it ends in the state DONE, and is unknown after it was reaped.
+// checkReleaseAndReap releases a held job and checks that it ends in the state DONE, and that it is unknown once it is reaped.
 func checkReleaseAndReap(ctx context.Context, t *testing.T, job *drmaa2.Job) {
 	t.Helper()
 	if err := job.Release(ctx); err != nil {
@@ -171,7 +172,7 @@
 	}
 }
 
-// A session runs arrays, lists its jobs and job categories, and can be destroyed.
+// A job session runs job arrays, lists its jobs and the job categories, and can be destroyed.
 func TestSessionRunsArraysAndListsJobs(t *testing.T) {
 	ctx, cluster, session := newTestSession(t, 30*time.Second, clusterOptions{nodes: 2})
 	template := jobTemplate("service", 20*time.Millisecond)
@@ -196,7 +197,7 @@
 	}
 }
 
-// checkArray checks the infos, the template and the list of an array of five jobs with the name n, all of which are done.
+// checkArray checks what a session returns for an array of five jobs with the name n, all of which are done.
 func checkArray(ctx context.Context, t *testing.T, session *drmaa2.JobSession, array *drmaa2.JobArray) {
 	t.Helper()
 	infos, err := array.Infos(ctx)
@@ -215,7 +216,7 @@
 	}
 }
 
-// checkMonitoring checks the monitoring session of a scheduler with two idle nodes.
+// checkMonitoring checks what the monitoring session returns for a scheduler with two idle nodes.
 func checkMonitoring(ctx context.Context, t *testing.T, monitoring *drmaa2.MonitoringSession) {
 	t.Helper()
 	machines, err := monitoring.AllMachines(ctx, "n1")
@@ -234,7 +235,7 @@
 	}
 }
 
-// A restarted scheduler adopts running jobs under their IDs and keys, and starts nothing twice.
+// A restarted scheduler adopts a running job with its ID and key, and does not start it again.
 func TestRestartAdoptsRunningJobs(t *testing.T) {
 	ctx, cluster, session := newTestSession(t, 30*time.Second, clusterOptions{nodes: 2})
 	template := jobTemplate("once", 2*time.Second, drmaa2.AttrKey, "k")
@@ -258,7 +259,7 @@
 	}
 }
 
-// A graceful shutdown ends after the open placement request has its outcome.
+// A graceful shutdown waits until the open placement request has an outcome.
 func TestShutdownWaitsForOutcomes(t *testing.T) {
 	ctx, cluster, session := newTestSession(t, 20*time.Second, clusterOptions{nodes: 1, configure: func(_ *settings.Scheduler, m *nodemodel.Config) {
 		m.OfferReviewTime = 200 * time.Millisecond
--- a/internal/daemon/deprecation_test.go
+++ b/internal/daemon/deprecation_test.go
@@ -10,7 +10,7 @@
 	"flaxshelf.example/flaxshelf/internal/settings"
 )
 
-// The start logs each deprecated setting once, with the one that replaces it.
+// Start logs each deprecated setting once, with the setting that replaces it.
 func TestStartLogsDeprecatedSettings(t *testing.T) {
 	cfg, err := settings.ParseScheduler("f.cue", []byte(`
 listen: "127.0.0.1:0"
@@ -35,7 +35,7 @@
 		}
 	}
 	if len(lines) != 1 {
-		t.Fatalf("got %d lines, want 1: %s", len(lines), log.String())
+		t.Fatalf("got %d log lines about a deprecated setting, want 1: %s", len(lines), log.String())
 	}
 	for _, want := range []string{`"level":"warn"`, `"field":"classes[0].effect"`, `"value":"\"safe\""`, `"line":5`,
 		`"replacement":"effect: \"idempotent\""`, `"removed_in":"0.2.0"`} {
--- a/internal/daemon/dispatch.go
+++ b/internal/daemon/dispatch.go
@@ -9,7 +9,7 @@
 // dispatch sends a client's request to the core that it concerns, or to all cores and merges their answers. It does not block:
 // if a mailbox is full, it returns false, and m.reply is not called.
 func (d *Daemon) dispatch(call *drmaafront.Call, m message, events *eventStream) bool {
-	request := call.BuildInput(0, 0) // only selects the cores; the input that a core receives has the IDs of its runner
+	request := call.BuildInput(0, 0) // only selects the cores; each runner builds the input again with its IDs
 	if submit, ok := request.(scheduler.Submit); ok {
 		core := d.shards.CoreForSubmission(&submit.Spec, d.keylessSubmissions.Add(1),
 			func(core int) int { return len(d.runners[core].mailbox) })
--- a/internal/daemon/effects.go
+++ b/internal/daemon/effects.go
@@ -74,8 +74,8 @@
 	}
 }
 
-// answer sends an answer of the core to the client whose request it answers. From the answer to a submission it learns the IDs
-// of the new jobs, for the metric of the time to their first offer.
+// answer sends an answer of the core to the client whose request it answers. If the request has created jobs, it stores their
+// submission time, to measure the time to their first offer.
 func (r *coreRunner) answer(e *scheduler.Answer) {
 	m, ok := r.pendingRequests[e.RequestID]
 	if !ok {
@@ -115,7 +115,7 @@
 	r.requeue(scheduler.Unwatch{Stream: id})
 }
 
-// logOutcome logs and counts an outcome. A job with an outcome or an end is no longer measured until its first offer.
+// logOutcome logs and counts an outcome. It discards the submission time of the job, which may have ended without an offer.
 func (r *coreRunner) logOutcome(e *scheduler.LogOutcome) {
 	delete(r.submittedAt, e.Job.ID)
 	r.daemon.logOutcome(e)
--- a/internal/daemon/gcballast.go
+++ b/internal/daemon/gcballast.go
@@ -14,5 +14,5 @@
 // count towards the limit and the garbage collector would run continuously.
 var gcBallast = sync.OnceValue(func() []byte { return make([]byte, gcBallastBytes) })
 
-// retainGCBallast keeps the ballast reachable until it is called. It is deferred.
+// retainGCBallast keeps the ballast reachable until it is called, so callers defer it.
 func retainGCBallast() { runtime.KeepAlive(gcBallast()) }
--- a/internal/daemon/inputs.go
+++ b/internal/daemon/inputs.go
@@ -12,8 +12,8 @@
 var errNodeNotRequested = errors.New("daemon: no core requests a connection to this node")
 
 // appendInput appends the input of a message. It also records what later effects need from the message: the client's request,
-// the connection of a node or the addresses of nodes. A connection that no core requests any more is closed in place of an
-// input.
+// the connection of a node or the addresses of nodes. If a node has connected that no core requests any more, it closes the
+// connection and appends nothing.
 func (r *coreRunner) appendInput(inputs []scheduler.Input, m message) []scheduler.Input {
 	input := m.input
 	switch in := m.input.(type) {
--- a/internal/daemon/inventory_test.go
+++ b/internal/daemon/inventory_test.go
@@ -8,7 +8,7 @@
 	"flaxshelf.example/flaxshelf/internal/codec/nodeframe/nodepb"
 )
 
-// Jobs are placed after the inventory has reported a failed call on an open connection.
+// Jobs are still placed after the inventory has reported a failed request on an open connection.
 func TestFailedInventoryCallDoesNotStopPlacement(t *testing.T) {
 	ctx, cluster, session := newTestSession(t, 20*time.Second, clusterOptions{nodes: 1})
 	handler := newInventoryHandler(cluster.daemon)
--- a/internal/daemon/jobwatch_test.go
+++ b/internal/daemon/jobwatch_test.go
@@ -8,16 +8,16 @@
 	"flaxshelf.example/flaxshelf/drmaa2"
 )
 
-// jobWatch records the events of a session's stream. It is safe for concurrent use.
+// jobWatch records the events of a session's event stream. It is safe for concurrent use.
 type jobWatch struct {
 	mu          sync.Mutex
-	outcomes    map[string]string          // by job ID
-	finalStates map[string]drmaa2.JobState // of jobs that have ended, by job ID
+	outcomes    map[string]string          // latest outcomes by job ID
+	finalStates map[string]drmaa2.JobState // states of the jobs that have ended, by job ID
 	wantEnded   int
-	done        chan struct{} // closed when count jobs have ended, or with the context
+	done        chan struct{} // closed when wantEnded jobs have ended, or when the context has ended
 }
 
-// watchJobs watches a session until count of its jobs have ended. A job with two outcomes is an error.
+// watchJobs watches a session until count of its jobs have ended. It reports an error for a job with two outcomes.
 func watchJobs(ctx context.Context, t *testing.T, session *drmaa2.JobSession, count int) *jobWatch {
 	t.Helper()
 	watch := &jobWatch{outcomes: map[string]string{}, finalStates: map[string]drmaa2.JobState{}, wantEnded: count,
@@ -29,7 +29,7 @@
 	return watch
 }
 
-// record records an event. It returns whether jobs have not ended yet.
+// record records an event. It returns true until wantEnded jobs have ended.
 func (w *jobWatch) record(t *testing.T, info drmaa2.JobInfo) bool {
 	t.Helper()
 	w.mu.Lock()
@@ -45,7 +45,7 @@
 	return len(w.finalStates) < w.wantEnded
 }
 
-// wait waits until all jobs have ended.
+// wait waits until wantEnded jobs have ended. It fails the test if the context ends first.
 func (w *jobWatch) wait(ctx context.Context, t *testing.T) {
 	t.Helper()
 	select {
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -32,8 +32,8 @@
 	server     *http.Server  // nil if the settings have no address for metrics
 	serverDone chan struct{} // closed when the server's goroutine has ended
 
-	outcomes              *resultCounter // of placement requests
-	jobsEnded             *resultCounter // by sub-state
+	placementOutcomes     *resultCounter
+	jobsEnded             *resultCounter
 	offers                prometheus.Counter
 	mailboxFull           prometheus.Counter
 	malformedRequests     *renamedCounter
@@ -52,7 +52,7 @@
 func newMetrics(address string) (*metrics, error) {
 	m := &metrics{
 		registry: prometheus.NewRegistry(),
-		outcomes: newResultCounter(metricNames{"placement_outcomes_total", "outcomes_total"},
+		placementOutcomes: newResultCounter(metricNames{"placement_outcomes_total", "outcomes_total"},
 			"Number of placement requests with an outcome, by job class and outcome.", "outcome", "outcome"),
 		jobsEnded: newResultCounter(metricNames{"jobs_finished_total", "jobs_ended_total"},
 			"Number of jobs that have ended, by job class and sub-state.", "sub_state", "sub"),
@@ -70,7 +70,7 @@
 		requestToOutcome:      newLatencyHistogram(),
 		stepDuration:          newLatencyHistogram(),
 	}
-	m.registry.MustRegister(m.outcomes, m.jobsEnded, m.offers, m.mailboxFull, m.malformedRequests, m.clientsDisconnected,
+	m.registry.MustRegister(m.placementOutcomes, m.jobsEnded, m.offers, m.mailboxFull, m.malformedRequests, m.clientsDisconnected,
 		m.openClientConnections, m.steps, m.inputs, m.moduleSeconds, collectors.NewGoCollector(),
 		collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}),
 		newQuantileCollector(metricNames{current: "submit_to_offer_seconds"},
@@ -167,7 +167,7 @@
 		m.jobsEnded.inc(resultLabels{class, scheduler.SubStateDisplayName(info.SubState), info.SubState})
 		return
 	}
-	m.outcomes.inc(resultLabels{class, info.Outcome.DisplayName(), string(info.Outcome)})
+	m.placementOutcomes.inc(resultLabels{class, info.Outcome.DisplayName(), string(info.Outcome)})
 	m.requestToOutcome.record(clock.Now() - info.RequestedAt)
 }
 
--- a/internal/daemon/metrics_test.go
+++ b/internal/daemon/metrics_test.go
@@ -15,7 +15,7 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/standin/nodemodel"
 )
 
-// Metrics are served at the address of the settings.
+// Metrics are served at the address that the settings configure.
 func TestMetricsAreServed(t *testing.T) {
 	cluster := newTestCluster(t, clusterOptions{nodes: 1, configure: func(cfg *settings.Scheduler, _ *nodemodel.Config) {
 		cfg.MetricsAddress = "127.0.0.1:0"
@@ -60,7 +60,7 @@
 	return len(line), nil
 }
 
-// event returns the fields of the first line with this value of the key event that concerns the job.
+// findEvent returns the fields of the first log line of the job whose key event has the given value.
 func (b *logBuffer) findEvent(t *testing.T, event, job string) map[string]any {
 	t.Helper()
 	b.mu.Lock()
@@ -78,9 +78,9 @@
 	return nil
 }
 
-// newClusterWithRejectedJob runs a cluster in which one job of each of the classes once and huge has ended, done and
-// rejected, one client has sent a malformed request, and one has sent half a request. Its daemon has stopped, so all of
-// this is logged and counted.
+// newClusterWithRejectedJob runs a cluster in which a job of the class once is done, a job of the class huge is rejected, one
+// client sends a malformed request and one an incomplete request. It stops the daemon, so all of this is logged and counted
+// when it returns.
 func newClusterWithRejectedJob(t *testing.T) (cluster *testCluster, log *logBuffer, rejectedJob string) {
 	t.Helper()
 	log = &logBuffer{}
@@ -108,7 +108,8 @@
 	return cluster, log, rejectedJob
 }
 
-// Every renamed metric and log key is written under its current and its deprecated name, with the same content.
+// Every renamed metric has the same value under its current and its deprecated name. Every renamed log key is written under
+// both names, each with its current or deprecated term.
 func TestDeprecatedNamesAgreeWithCurrentNames(t *testing.T) {
 	cluster, log, rejectedJob := newClusterWithRejectedJob(t)
 	values := metricValues(t, cluster.daemon)
@@ -154,10 +155,10 @@
 	}
 }
 
-// The help text of each deprecated metric names its successor and the version that removes it.
+// The help text of each deprecated metric names the metric that replaces it and the version that removes it.
 func TestDeprecatedMetricsNameTheirSuccessor(t *testing.T) {
 	cluster := newTestCluster(t, clusterOptions{})
-	cluster.daemon.metrics.outcomes.inc(resultLabels{"c", "placed", "placed"})
+	cluster.daemon.metrics.placementOutcomes.inc(resultLabels{"c", "placed", "placed"})
 	cluster.daemon.metrics.jobsEnded.inc(resultLabels{"c", "exited", "exited"})
 	families, err := cluster.daemon.metrics.registry.Gather()
 	if err != nil {
--- a/internal/daemon/multicore_test.go
+++ b/internal/daemon/multicore_test.go
@@ -16,15 +16,15 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/standin/nodemodel"
 )
 
-// onCores returns a configuration with a number of cores, and write queues that are long enough for their events.
+// configureCores returns a function that sets the number of cores, and write queues that have space for all their events.
 func configureCores(count int) func(*settings.Scheduler, *nodemodel.Config) {
 	return func(cfg *settings.Scheduler, _ *nodemodel.Config) {
 		cfg.Shards, cfg.Limits.MaxClientWriteQueue = count, 4<<20
 	}
 }
 
-// To its clients a scheduler with four cores is one scheduler: it has one session, one list ordered by ID and one stream,
-// and runs each job once.
+// Clients see a scheduler with four cores as one scheduler: it has one namespace of sessions, one job list ordered by ID and
+// one event stream, and runs each job once.
 func TestFourCoresActAsOneScheduler(t *testing.T) {
 	const count = 400
 	ctx, cluster, session := newTestSession(t, time.Minute, clusterOptions{nodes: 3, configure: configureCores(4)})
@@ -52,7 +52,7 @@
 	if err := cluster.client.DestroyJobSession(ctx, "test"); err != nil {
 		t.Error(err)
 	}
-	for range 8 { // on every core
+	for range 8 { // enough for a submission to each core
 		_, err := session.RunJob(ctx, jobTemplate("service", time.Millisecond))
 		if !errors.Is(err, drmaa2.ErrInvalidSession) {
 			t.Errorf("submit to a destroyed session: got error %v, want %v", err, drmaa2.ErrInvalidSession)
@@ -60,7 +60,7 @@
 	}
 }
 
-// submitFromClients submits jobs from several clients concurrently. Every second job has a key and is submitted twice.
+// submitFromClients submits jobs from several goroutines concurrently. Every second job has a key and is submitted twice.
 func submitFromClients(ctx context.Context, t *testing.T, session *drmaa2.JobSession, clients, jobsEach int) {
 	t.Helper()
 	var submitting sync.WaitGroup
@@ -84,7 +84,7 @@
 }
 
 // checkJobList checks that the session lists count jobs ordered by ID, and that each job is found by its ID. It returns the
-// number of cores that have assigned the IDs.
+// number of cores that have assigned these IDs.
 func checkJobList(ctx context.Context, t *testing.T, cluster *testCluster, session *drmaa2.JobSession, count int) int {
 	t.Helper()
 	jobs, err := session.Jobs(ctx, nil)
@@ -104,8 +104,8 @@
 	return len(cores)
 }
 
-// A scheduler with 4 cores that is restarted with 2, 1 and 3 cores adopts running jobs under their IDs and keys each time,
-// and starts nothing twice.
+// A scheduler with 4 cores that is restarted with 2, 1 and then 3 cores adopts the running jobs with their IDs and keys each
+// time, and starts no job twice.
 func TestRestartWithOtherCoreCountAdoptsRunningJobs(t *testing.T) {
 	const count = 24
 	ctx, cluster, session := newTestSession(t, time.Minute, clusterOptions{nodes: 2, configure: configureCores(4)})
@@ -144,8 +144,8 @@
 	}
 }
 
-// checkAdoptedJobEnds checks that a restarted scheduler finds a job by its ID, after its node has reported it, and that the
-// job ends in the state DONE within the timeout.
+// checkAdoptedJobEnds waits until a restarted scheduler knows a job by its ID, which it does when the job's node has reported
+// it, and checks that the job ends in the state DONE within the timeout.
 func checkAdoptedJobEnds(ctx context.Context, t *testing.T, cluster *testCluster, id string, timeout time.Duration) {
 	t.Helper()
 	job, err := cluster.client.Job(ctx, id)
@@ -160,12 +160,12 @@
 	}
 }
 
-// stallDuration is how long stallHook stops a core: twice the core's stall threshold.
+// stallDuration is how long stallHook blocks a core: twice the core's stall threshold.
 const stallDuration = 2 * time.Second
 
-// stallHook stops the goroutine of one core for stallDuration, once.
+// stallHook blocks the goroutine of one core for stallDuration, once.
 type stallHook struct {
-	jobName string // the answer to the submission of the job of this name starts the stall
+	jobName string // the core that answers the submission of the job with this name stalls
 	once    sync.Once
 	began   chan struct{} // closed when the stall begins
 	ended   chan struct{} // closed when the stall ends
@@ -187,6 +187,7 @@
 	return effects
 }
 
+// stall blocks the caller for stallDuration.
 func (h *stallHook) stall() {
 	time.AfterFunc(stallDuration, func() { close(h.ended) })
 	close(h.began)
@@ -203,7 +204,7 @@
 	}
 }
 
-// While one of four cores is stalled, the others place jobs, and every job has its outcome in time.
+// While one of four cores is stalled, the other cores place jobs. The jobs of the stalled core are placed after the stall.
 func TestOtherCoresPlaceJobsWhileOneStalls(t *testing.T) {
 	hook := newStallHook()
 	ctx, _, session := newTestSession(t, time.Minute, clusterOptions{
@@ -224,7 +225,7 @@
 	select {
 	case <-hook.began:
 	case <-ctx.Done():
-		t.Fatal("no core has stalled")
+		t.Fatal("no core stalled before the end of the context")
 	}
 	endedDuringStall, ended := runJobsDuringStall(ctx, t, session, hook, 60)
 	if err := <-stalled; err != nil {
@@ -236,8 +237,8 @@
 	}
 }
 
-// runJobsDuringStall runs jobs concurrently and waits for them. It returns how many have ended during the stall, and how
-// many in total.
+// runJobsDuringStall runs jobs concurrently and waits until they have ended. It returns how many ended during the stall, and
+// how many ended in total.
 func runJobsDuringStall(ctx context.Context, t *testing.T, session *drmaa2.JobSession, hook *stallHook,
 	count int) (endedDuringStall, ended int) {
 	t.Helper()
@@ -267,7 +268,7 @@
 	return endedDuringStall, ended
 }
 
-// Settings with too many cores or without a name are rejected.
+// Settings with more than 64 cores, and empty settings, which have no name for the scheduler, are rejected.
 func TestInvalidSettingsAreRejected(t *testing.T) {
 	for _, test := range []struct {
 		name  string
--- a/internal/daemon/nodeconnections.go
+++ b/internal/daemon/nodeconnections.go
@@ -109,6 +109,7 @@
 }
 
 // pingPeers pings the connected nodes and the inventory. Their replies keep the connections from reaching peerIdleTimeout.
+// Send takes ownership of a frame, so each connection gets a copy.
 func (r *coreRunner) pingPeers() {
 	frame := encodeFrame(nodefront.Ping(0))
 	for _, outbox := range r.outboxes {
--- a/internal/daemon/sessionlist_test.go
+++ b/internal/daemon/sessionlist_test.go
@@ -9,7 +9,7 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/standin/nodemodel"
 )
 
-// Without sessions the list of their names is encoded as an empty list and not as null, see docs/drmaa.md.
+// If there are no sessions, the list of their names is encoded as an empty list and not as null, as docs/drmaa.md specifies.
 func TestNoSessionsAreEncodedAsEmptyList(t *testing.T) {
 	for _, cores := range []int{1, 4} {
 		t.Run(fmt.Sprintf("%d cores", cores), func(t *testing.T) {
--- a/internal/daemon/testcluster_test.go
+++ b/internal/daemon/testcluster_test.go
@@ -38,7 +38,7 @@
 limits: {idle: "20s", request: "500ms", clientOut: 65536, stopWithin: "5s"}
 `
 
-// clusterOptions configure a testCluster. The zero value is a scheduler without nodes.
+// clusterOptions configures a testCluster. The zero value configures a scheduler without nodes.
 type clusterOptions struct {
 	nodes     int
 	configure func(*settings.Scheduler, *nodemodel.Config) // changes the default settings; nil for none
@@ -57,7 +57,7 @@
 	client    *drmaa2.Client
 }
 
-// newTestCluster starts a scheduler, its inventory and its nodes, which the end of the test stops.
+// newTestCluster starts a scheduler, its inventory and its nodes, and stops them at the end of the test.
 func newTestCluster(t testing.TB, options clusterOptions) *testCluster {
 	t.Helper()
 	cfg, err := settings.ParseScheduler("test", []byte(testSettings))
@@ -98,7 +98,8 @@
 	return cluster
 }
 
-// newTestSession starts a test cluster and creates a job session in it. The context ends after the timeout or with the test.
+// newTestSession starts a test cluster and creates a job session in it. The context ends after the timeout, and at the latest
+// at the end of the test.
 func newTestSession(t testing.TB, timeout time.Duration, options clusterOptions) (context.Context, *testCluster,
 	*drmaa2.JobSession) {
 	t.Helper()
@@ -126,7 +127,8 @@
 	}
 }
 
-// startDaemon starts the daemon and its client. A restarted daemon has the same address.
+// startDaemon starts the daemon and its client. It sets the daemon's address in the settings, so that a restarted daemon has the
+// same address.
 func (c *testCluster) startDaemon() {
 	c.t.Helper()
 	log := zerolog.Nop()
@@ -170,7 +172,7 @@
 	return session
 }
 
-// finishedOnNodes returns the number of tasks that the nodes have finished.
+// tasksFinishedOnNodes returns the number of tasks that all nodes have finished.
 func (c *testCluster) tasksFinishedOnNodes() (finished int) {
 	for _, node := range c.nodes {
 		node.Do(func(m *nodemodel.Node, _ nodemodel.Time) []nodemodel.Send { finished += m.Finished(); return nil })
@@ -178,7 +180,7 @@
 	return finished
 }
 
-// contextWithin returns a context that ends after the timeout or with the test.
+// contextWithin returns a context that ends after the timeout, and at the latest at the end of the test.
 func contextWithin(t testing.TB, timeout time.Duration) context.Context {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
@@ -186,7 +188,7 @@
 	return ctx
 }
 
-// jobTemplate returns the template of a job with a class, an expected runtime and further attributes, as pairs of name and
+// jobTemplate returns the template of a job with a class and an expected runtime. The attributes are pairs of a name and a
 // value.
 func jobTemplate(class string, runtime time.Duration, attributes ...string) drmaa2.JobTemplate {
 	template := drmaa2.JobTemplate{RemoteCommand: "x", JobCategory: class,
@@ -197,7 +199,7 @@
 	return template
 }
 
-// metricValues returns the daemon's counters and gauges by series, such as name{label="value"}.
+// metricValues returns the values of the daemon's counters and gauges. The keys are series, such as name{label="value"}.
 func metricValues(t *testing.T, d *Daemon) map[string]float64 {
 	t.Helper()
 	families, err := d.metrics.registry.Gather()
@@ -221,7 +223,7 @@
 	return values
 }
 
-// metricValue returns the value of one series of the daemon.
+// metricValue returns the value of one series of the daemon, and fails the test if there is none.
 func metricValue(t *testing.T, d *Daemon, series string) float64 {
 	t.Helper()
 	value, ok := metricValues(t, d)[series]
