--- a/cmd/flaxshelf/plan.go
+++ b/cmd/flaxshelf/plan.go
@@ -53,11 +53,11 @@
 	printLimits(std, fleet, load, limits)
 	c.printRequiredNodes(std, fleet, load)
 	printLosses(std, fleet, load)
-	std.out.printf("\nreplacing a tenth of the nodes at once: %s\n", fleet.ReplacementCost((fleet.Nodes()+9)/10).Reason)
+	std.out.printf("\nreplacing a tenth of the nodes at once: %s\n", fleet.ReplacementCost((fleet.NodeCount()+9)/10).Reason)
 	if !c.Emulate {
 		return nil
 	}
-	first, _ := planner.First(limits)
+	first, _ := planner.FirstLimits(limits)
 	return c.emulate(ctx, std, day, first)
 }
 
@@ -74,8 +74,8 @@
 
 // printLimits prints the first limit of all and of each class, and then every limit.
 func printLimits(std *streams, fleet *planner.Fleet, load []planner.Class, limits []planner.Limit) {
-	first, byClass := planner.First(limits)
-	std.out.printf("%d nodes, %d schedulers\n\nfirst: %v\n", fleet.Nodes(), fleet.Schedulers, first)
+	first, byClass := planner.FirstLimits(limits)
+	std.out.printf("%d nodes, %d schedulers\n\nfirst: %v\n", fleet.NodeCount(), fleet.Schedulers, first)
 	for _, class := range load {
 		std.out.printf("  class %s: %v\n", class.Name, byClass[class.Name])
 	}
@@ -86,11 +86,11 @@
 func (c *planCmd) printRequiredNodes(std *streams, fleet *planner.Fleet, load []planner.Class) {
 	std.out.printf("for %.3g times the load:\n", c.Goal)
 	for _, required := range planner.RequiredNodes(fleet, load, c.Goal) {
-		if required.Nodes == planner.NoNumberOfNodes {
+		if required.AdditionalNodes == planner.Unattainable {
 			std.out.printf("  no number of nodes of kind %s is enough: %s\n", required.Kind, required.Reason)
 			continue
 		}
-		std.out.printf("  %d more nodes of kind %s; %s\n", required.Nodes, required.Kind, required.Reason)
+		std.out.printf("  %d more nodes of kind %s; %s\n", required.AdditionalNodes, required.Kind, required.Reason)
 	}
 }
 
@@ -99,19 +99,19 @@
 	std.out.println("\ncapacity after the loss of a failure domain:")
 	for _, domain := range failureDomains(fleet) {
 		rest := fleet.Without(domain.zone, domain.cell, domain.kind)
-		if rest.Nodes() == 0 {
+		if rest.NodeCount() == 0 {
 			std.out.printf("  %s: no nodes\n", domain.name)
 			continue
 		}
-		first, _ := planner.First(planner.Limits(rest, load))
-		std.out.printf("  %s: %d nodes; %v\n", domain.name, rest.Nodes(), first)
+		first, _ := planner.FirstLimits(planner.Limits(rest, load))
+		std.out.printf("  %s: %d nodes; %v\n", domain.name, rest.NodeCount(), first)
 	}
 }
 
 // emulate searches for the load at which the goal breaks by emulation, around the predicted first limit.
 func (c *planCmd) emulate(ctx context.Context, std *streams, day *scenario.Day, first planner.Limit) error {
 	goal := plancheck.Goal{MinPlacedFraction: c.Placed, WarmupSeconds: c.Warmup}
-	search := plancheck.Search{Low: first.Multiple * searchFrom, High: first.Multiple * searchTo,
+	search := plancheck.Search{Low: first.LoadMultiple * searchFrom, High: first.LoadMultiple * searchTo,
 		RelativeWidth: searchWidth, Seeds: c.Seeds}
 	var point, afterSurge plancheck.BreakingPoint
 	var err error
@@ -127,7 +127,7 @@
 	}
 	std.out.printf(
 		"\nemulated: the goal is met at %.2f and missed at %.2f times the load, by class %s (%.2f%% placed); predicted %.2f; "+
-			"%d emulated days\n", point.Low, point.High, point.Class, 100*point.PlacedFraction, first.Multiple, point.Runs)
+			"%d emulated days\n", point.Low, point.High, point.Class, 100*point.PlacedFraction, first.LoadMultiple, point.Runs)
 	if c.Surge > 0 {
 		std.out.printf("after a surge it is met at %.2f and missed at %.2f times the load\n", afterSurge.Low, afterSurge.High)
 	}
--- a/internal/benchadapter/events.go
+++ b/internal/benchadapter/events.go
@@ -43,7 +43,7 @@
 
 func decodeAttemptEnded(f *fields) flaxshelf.Event {
 	return flaxshelf.AttemptEnded{Task: f.RequiredText("tid"), Machine: f.Text("node"),
-		Attempt: int(f.Integer("leg")), Outcome: textfields.Lookup(&f.Fields, "verdict", outcomes, flaxshelf.Lost),
+		Attempt: int(f.Integer("leg")), Outcome: textfields.Enum(&f.Fields, "verdict", outcomes, flaxshelf.Lost),
 		Reason: flaxshelf.Reason(f.Integer("remark")), Final: f.Boolean("finished"),
 		Latency: f.Duration("lag_ns"), Load: decodeLoad(f)}
 }
@@ -56,14 +56,14 @@
 
 func decodeHealthChecked(f *fields) flaxshelf.Event {
 	return flaxshelf.HealthChecked{Machine: f.RequiredText("node"),
-		Outcome: textfields.Lookup(&f.Fields, "verdict", outcomes, flaxshelf.Lost), Load: decodeLoad(f)}
+		Outcome: textfields.Enum(&f.Fields, "verdict", outcomes, flaxshelf.Lost), Load: decodeLoad(f)}
 }
 
 func decodeGossip(f *fields) flaxshelf.Event {
 	blob := f.Text("blob")
 	data, err := base64.StdEncoding.DecodeString(strings.TrimPrefix(blob, noData))
 	if err != nil {
-		f.Fail("blob", blob, "must be base64 or -")
+		f.RecordError("blob", blob, "must be base64 or -")
 	}
 	return flaxshelf.GossipReceived{From: int(f.RequiredInteger("neighbour")), Data: data}
 }
@@ -82,7 +82,7 @@
 	className := f.RequiredText("priority")
 	class, ok := f.names.Class(className)
 	if !ok {
-		f.Fail("priority", className, "must be the name of a class")
+		f.RecordError("priority", className, "must be the name of a class")
 	}
 	task.Class = class
 	return task
@@ -99,7 +99,7 @@
 		name, value, _ := strings.Cut(pair, ":")
 		amount, err := strconv.ParseFloat(value, 64)
 		if err != nil {
-			f.Fail("load", text, "must be name:number pairs")
+			f.RecordError("load", text, "must be name:number pairs")
 			return load
 		}
 		switch name {
--- a/internal/benchadapter/machines.go
+++ b/internal/benchadapter/machines.go
@@ -56,13 +56,13 @@
 		Started:    f.Duration("last_start_ns"),
 		FreeCores:  f.Number("open_cores"),
 		FreeMemory: f.Number("spare_mem"),
-		State:      textfields.Lookup(&f.Fields, "readiness", machineStates, flaxshelf.Active),
+		State:      textfields.Enum(&f.Fields, "readiness", machineStates, flaxshelf.Active),
 	}
 	return listedMachine{machine: machine, kind: f.Text("shape")}
 }
 
 // forInstance returns the machine with the kind that it has in the settings of an instance.
-func (l listedMachine) forInstance(names *fleetsettings.Names) flaxshelf.Machine {
+func (l listedMachine) forInstance(names *fleetsettings.NameIndex) flaxshelf.Machine {
 	machine := l.machine
 	machine.Kind = names.Kind(l.kind)
 	return machine
@@ -76,12 +76,12 @@
 		return flaxshelf.DiscoveryFailed{}
 	case "Partial", "Complete", "Persisted":
 	default:
-		f.Fail("form", form, "must be Complete, Partial, Persisted or Error")
+		f.RecordError("form", form, "must be Complete, Partial, Persisted or Error")
 		return nil
 	}
 	list, ok := r.pages[int(f.RequiredInteger("page"))]
 	if !ok {
-		f.Fail("page", f.Text("page"), "must be the number of a list that was registered before")
+		f.RecordError("page", f.Text("page"), "must be the number of a list that was registered before")
 		return nil
 	}
 	event := flaxshelf.MachinesUpdated{Complete: form != "Partial", Stale: form == "Persisted"}
--- a/internal/benchadapter/reader.go
+++ b/internal/benchadapter/reader.go
@@ -20,7 +20,7 @@
 type Start struct {
 	Seed   uint64
 	Config flaxshelf.Config
-	names  *fleetsettings.Names
+	names  *fleetsettings.NameIndex
 }
 
 // Item is an occurrence at an instance. Exactly one of Start, Stop and Event is set.
@@ -51,7 +51,7 @@
 // Reader reads batches. It stores the names in the settings of instances, and the registered lists of machines.
 type Reader struct {
 	in     *bufio.Reader
-	names  map[int]*fleetsettings.Names // by instance
+	names  map[int]*fleetsettings.NameIndex // by instance
 	pages  map[int][]listedMachine
 	serial int64
 }
@@ -60,7 +60,7 @@
 func NewReader(in io.Reader) *Reader {
 	return &Reader{
 		in:    bufio.NewReaderSize(in, readBufferBytes),
-		names: map[int]*fleetsettings.Names{},
+		names: map[int]*fleetsettings.NameIndex{},
 		pages: map[int][]listedMachine{},
 	}
 }
--- a/internal/fleetsettings/decode.go
+++ b/internal/fleetsettings/decode.go
@@ -23,24 +23,24 @@
 
 // Decode decodes settings that are fields named by their paths. Fields that this version doesn't know are skipped. A fault is
 // recorded in the fields.
-func Decode(f *textfields.Fields) (flaxshelf.Config, *Names) {
+func Decode(f *textfields.Fields) (flaxshelf.Config, *NameIndex) {
 	config := flaxshelf.Config{
 		Index:      int(f.Integer("index")),
 		Schedulers: int(f.Integer("balancers")),
 		Zone:       f.Text("zone"),
 	}
-	setPlacement(&config, f)
-	setCapabilities(&config, f)
-	setTimings(&config, f)
+	decodePlacement(&config, f)
+	decodeCapabilities(&config, f)
+	decodeTimings(&config, f)
 	config.Prices = decodePrices(f)
 	config.Kinds = decodeKinds(f)
 	config.Classes = decodeClasses(f)
 	config.Tenants = decodeTenants(f)
-	return config, namesOf(&config)
+	return config, newNameIndex(&config)
 }
 
 // setPlacement decodes how tasks are placed and machines report on them.
-func setPlacement(config *flaxshelf.Config, f *textfields.Fields) {
+func decodePlacement(config *flaxshelf.Config, f *textfields.Fields) {
 	config.OverQuotaWeight = f.Number("over_share_worth")
 	config.CoreOvercommit = f.Number("specifics.admit_cores")
 	config.MemoryOvercommit = f.Number("specifics.memory_multiple")
@@ -52,7 +52,7 @@
 }
 
 // setCapabilities decodes what the platform can do.
-func setCapabilities(config *flaxshelf.Config, f *textfields.Fields) {
+func decodeCapabilities(config *flaxshelf.Config, f *textfields.Fields) {
 	config.MaxAttempts = int(f.Integer("caps.most_tries"))
 	config.HedgedRequests = f.Boolean("caps.second_copies")
 	config.CanCancel = f.Boolean("caps.cancel")
@@ -64,7 +64,7 @@
 }
 
 // setTimings decodes intervals, the times that the platform demands, and the budget of slow starts.
-func setTimings(config *flaxshelf.Config, f *textfields.Fields) {
+func decodeTimings(config *flaxshelf.Config, f *textfields.Fields) {
 	config.Tick = f.Duration("round_ns")
 	config.AnswerSlack = f.Duration("obligations.answer_slack_ns")
 	config.DrainGrace = f.Duration("obligations.stop_sending_within_ns")
@@ -97,7 +97,7 @@
 }
 
 func decodeClasses(f *textfields.Fields) (classes []flaxshelf.TaskClass) {
-	for i := range f.Count("categories.count") {
+	for i := range f.EntryCount("categories.count") {
 		classes = append(classes, decodeClass(f, i))
 	}
 	return classes
@@ -107,8 +107,8 @@
 	path := fmt.Sprintf("categories.%d.", i)
 	class := flaxshelf.TaskClass{
 		Name:                   f.RequiredText(path + "name"),
-		Idempotency:            textfields.Lookup(f, path+"effect", idempotencies, flaxshelf.NonIdempotent),
-		KeyDomain:              textfields.Lookup(f, path+"key_scope", topologyDomains, flaxshelf.FleetDomain),
+		Idempotency:            textfields.Enum(f, path+"effect", idempotencies, flaxshelf.NonIdempotent),
+		KeyDomain:              textfields.Enum(f, path+"key_scope", topologyDomains, flaxshelf.FleetDomain),
 		KeyTTL:                 f.Duration(path + "key_ttl_ns"),
 		LatencyObjective:       f.Duration(path + "objective_ns"),
 		PriorityWeight:         f.Number(path + "worth"),
@@ -133,13 +133,13 @@
 	}
 	domain, ok := topologyDomains[list[i]]
 	if !ok || domain == flaxshelf.FleetDomain {
-		f.Fail(name, list[i], "must be off, machine, cell or zone")
+		f.RecordError(name, list[i], "must be off, machine, cell or zone")
 	}
 	return domain
 }
 
 func decodeTenants(f *textfields.Fields) (tenants []flaxshelf.Tenant) {
-	for i := range f.Count("customers.count") {
+	for i := range f.EntryCount("customers.count") {
 		path := fmt.Sprintf("customers.%d.", i)
 		tenants = append(tenants, flaxshelf.Tenant{Name: f.RequiredText(path + "name"),
 			QuotaFraction: f.Number(path + "fraction"), TasksPerSecond: f.Number(path + "quota_per_s"),
--- a/internal/fleetsettings/decode_test.go
+++ b/internal/fleetsettings/decode_test.go
@@ -12,7 +12,7 @@
 func decodePairs(pairs ...string) (flaxshelf.Config, *textfields.ValueError) {
 	f := textfields.New(pairs)
 	config, _ := Decode(&f)
-	return config, f.Invalid()
+	return config, f.FirstError()
 }
 
 // Each of these settings has a place of its own in the configuration.
--- a/internal/fleetsettings/json.go
+++ b/internal/fleetsettings/json.go
@@ -13,54 +13,54 @@
 )
 
 // wireNames are the names in the settings.
-type wireNames struct {
-	Kinds      []string    `json:"kinds"`
-	Categories []wireNamed `json:"categories"`
-	Customers  []wireNamed `json:"customers"`
+type jsonNames struct {
+	Kinds      []string     `json:"kinds"`
+	Categories []namedEntry `json:"categories"`
+	Customers  []namedEntry `json:"customers"`
 }
 
-type wireNamed struct {
+type namedEntry struct {
 	Name string `json:"name"`
 }
 
 // DecodeJSON decodes settings that are a JSON object. Names are found as the object has them, and as path=value pairs hold
 // them. The error is a *textfields.ValueError where a setting has an invalid value.
-func DecodeJSON(settings json.RawMessage) (flaxshelf.Config, *Names, error) {
-	pairs, err := flatten(settings)
+func DecodeJSON(settings json.RawMessage) (flaxshelf.Config, *NameIndex, error) {
+	pairs, err := flattenObject(settings)
 	if err != nil {
 		return flaxshelf.Config{}, nil, fmt.Errorf("must be a JSON object: %w", err)
 	}
 	f := textfields.New(pairs)
 	config, _ := Decode(&f)
-	if invalid := f.Invalid(); invalid != nil {
+	if invalid := f.FirstError(); invalid != nil {
 		return flaxshelf.Config{}, nil, invalid
 	}
-	names, err := decodeNames(settings)
+	names, err := decodeNameIndex(settings)
 	return config, names, err
 }
 
 // decodeNames decodes the names as the JSON object has them. Those that Decode returns have no spaces and commas, which pairs
 // can't hold.
-func decodeNames(settings json.RawMessage) (*Names, error) {
-	var wire wireNames
-	if err := json.Unmarshal(settings, &wire); err != nil {
+func decodeNameIndex(settings json.RawMessage) (*NameIndex, error) {
+	var decoded jsonNames
+	if err := json.Unmarshal(settings, &decoded); err != nil {
 		return nil, fmt.Errorf("names must be strings: %w", err)
 	}
-	names := &Names{}
+	names := &NameIndex{}
 	var err error
-	if names.kinds, err = indexNames("kinds", "", wire.Kinds); err != nil {
+	if names.kinds, err = indexNames("kinds", "", decoded.Kinds); err != nil {
 		return nil, err
 	}
-	if names.classes, err = indexNames("categories", ".name", listNames(wire.Categories)); err != nil {
+	if names.classes, err = indexNames("categories", ".name", entryNames(decoded.Categories)); err != nil {
 		return nil, err
 	}
-	if names.tenants, err = indexNames("customers", ".name", listNames(wire.Customers)); err != nil {
+	if names.tenants, err = indexNames("customers", ".name", entryNames(decoded.Customers)); err != nil {
 		return nil, err
 	}
 	return names, nil
 }
 
-func listNames(entries []wireNamed) []string {
+func entryNames(entries []namedEntry) []string {
 	names := make([]string, len(entries))
 	for i, entry := range entries {
 		names[i] = entry.Name
@@ -70,26 +70,26 @@
 
 // indexNames returns the position of each name, and of each name as pairs hold it where no other name is written so. list is
 // the setting that the names are from, member the path of the name within an entry.
-func indexNames(list, member string, names []string) (map[string]int, error) {
+func indexNames(listPath, nameField string, names []string) (map[string]int, error) {
 	index := make(map[string]int, len(names))
 	for i, name := range names {
 		if _, duplicate := index[name]; duplicate || name == "" {
-			return nil, &textfields.ValueError{Field: fmt.Sprintf("%s[%d]%s", list, i, member), Value: name,
+			return nil, &textfields.ValueError{Field: fmt.Sprintf("%s[%d]%s", listPath, i, nameField), Value: name,
 				Reason: "must be a name, each once"}
 		}
 		index[name] = i
 	}
 	for i, name := range names {
-		inPairs := pairReplacer.Replace(name)
-		if _, taken := index[inPairs]; !taken {
-			index[inPairs] = i
+		pairName := separatorReplacer.Replace(name)
+		if _, taken := index[pairName]; !taken {
+			index[pairName] = i
 		}
 	}
 	return index, nil
 }
 
 // flatten returns the path=value pairs of a JSON object, in the order of their paths.
-func flatten(settings json.RawMessage) ([]string, error) {
+func flattenObject(settings json.RawMessage) ([]string, error) {
 	decoder := json.NewDecoder(strings.NewReader(string(settings)))
 	decoder.UseNumber()
 	var value any
@@ -112,7 +112,7 @@
 	case nil:
 		return pairs
 	default:
-		return append(pairs, path+"="+pairValue(value))
+		return append(pairs, path+"="+formatPairValue(value))
 	}
 }
 
@@ -142,7 +142,7 @@
 	}
 	values := make([]string, len(list))
 	for i, entry := range list {
-		values[i] = pairValue(entry)
+		values[i] = formatPairValue(entry)
 	}
 	return append(pairs, path+"="+strings.Join(values, ","))
 }
@@ -155,17 +155,17 @@
 }
 
 // pairReplacer takes out of a text what separates fields and list entries in pairs.
-var pairReplacer = strings.NewReplacer(" ", "_", ",", "_")
+var separatorReplacer = strings.NewReplacer(" ", "_", ",", "_")
 
 // pairValue is a value as pairs hold it.
-func pairValue(value any) string {
+func formatPairValue(value any) string {
 	switch value := value.(type) {
 	case bool:
 		return strconv.FormatBool(value)
 	case json.Number:
 		return value.String()
 	case string:
-		return pairReplacer.Replace(value)
+		return separatorReplacer.Replace(value)
 	}
 	return fmt.Sprint(value)
 }
--- a/internal/fleetsettings/names.go
+++ b/internal/fleetsettings/name_index.go
@@ -3,34 +3,34 @@
 import "flaxshelf.example/flaxshelf"
 
 // unknown is the index of a name that the settings don't have.
-const unknown = -1
+const unknownIndex = -1
 
 // Names are the indices in a flaxshelf.Config of the names that its settings have. The zero value has no names. It does not
 // change once it is decoded and is then safe for concurrent use.
-type Names struct{ classes, kinds, tenants map[string]int }
+type NameIndex struct{ classes, kinds, tenants map[string]int }
 
 // Class returns the index of a class, and reports whether the settings have it.
-func (n *Names) Class(name string) (index int, ok bool) {
+func (n *NameIndex) Class(name string) (index int, ok bool) {
 	index, ok = n.classes[name]
 	return index, ok
 }
 
 // Kind returns the index of a kind of machine, or -1 if the settings don't have it.
-func (n *Names) Kind(name string) int { return indexOf(n.kinds, name) }
+func (n *NameIndex) Kind(name string) int { return indexOrUnknown(n.kinds, name) }
 
 // Tenant returns the index of a tenant, or -1 if the settings don't have it.
-func (n *Names) Tenant(name string) int { return indexOf(n.tenants, name) }
+func (n *NameIndex) Tenant(name string) int { return indexOrUnknown(n.tenants, name) }
 
-func indexOf(indices map[string]int, name string) int {
+func indexOrUnknown(indices map[string]int, name string) int {
 	if index, ok := indices[name]; ok {
 		return index
 	}
-	return unknown
+	return unknownIndex
 }
 
 // namesOf returns the names in a configuration, with the last index of those that are equal.
-func namesOf(config *flaxshelf.Config) *Names {
-	names := &Names{classes: map[string]int{}, kinds: map[string]int{}, tenants: map[string]int{}}
+func newNameIndex(config *flaxshelf.Config) *NameIndex {
+	names := &NameIndex{classes: map[string]int{}, kinds: map[string]int{}, tenants: map[string]int{}}
 	for i := range config.Kinds {
 		names.kinds[config.Kinds[i].Name] = i
 	}
--- a/internal/front/platformfront/config.go
+++ b/internal/front/platformfront/config.go
@@ -37,7 +37,7 @@
 	LastSequence                uint64        // of the last of them
 	NodeIdleTimeout             time.Duration // after which nodes close a connection without traffic; zero if not known
 	Module                      flaxshelf.Config
-	Names                       *fleetsettings.Names
+	Names                       *fleetsettings.NameIndex
 }
 
 // wireConfig is a configuration file with the JSON names of its members.
--- a/internal/planner/erlang.go
+++ b/internal/planner/erlang.go
@@ -9,19 +9,19 @@
 const roundingSlack = 1e-9
 
 // roundDownSlots rounds a number of slots down.
-func roundDownSlots(slots float64) float64 { return math.Floor(slots + roundingSlack) }
+func floorSlots(slots float64) float64 { return math.Floor(slots + roundingSlack) }
 
 // Steps of the bisections, after which their results no longer change.
 const (
-	loadSteps      = 60
-	occupancySteps = 50
+	loadBisectionSteps      = 60
+	occupancyBisectionSteps = 50
 )
 
 // loadAtLoss returns the offered load, in erlangs, at which a fraction of the arrivals finds all servers busy: Erlang's
 // loss formula, solved for the load.
-func loadAtLoss(servers, loss float64) float64 {
+func offeredLoadAtLoss(servers, loss float64) float64 {
 	low, high := 0.0, 2*servers+1
-	for range loadSteps {
+	for range loadBisectionSteps {
 		middle := (low + high) / 2
 		if erlangB(servers, middle) > loss {
 			high = middle
@@ -52,42 +52,42 @@
 // is lost if all are full. A scheduler knows the part of the load that it placed itself, so the multiple is between the two,
 // and the closer to High the fewer schedulers there are: the geometric mean, weighted by one over the square root of their
 // number.
-func (f *Fleet) withLoss(l Limit, running float64, slotsPerNode func(*Group) float64) Limit {
-	pool := 0.0
+func (f *Fleet) withLossBounds(l Limit, runningJobs float64, slotsPerNode func(*NodeGroup) float64) Limit {
+	totalSlots := 0.0
 	for i := range f.Groups {
-		pool += float64(f.Groups[i].Count) * roundDownSlots(slotsPerNode(&f.Groups[i]))
+		totalSlots += float64(f.Groups[i].Count) * floorSlots(slotsPerNode(&f.Groups[i]))
 	}
-	if running <= 0 || pool <= 0 {
+	if runningJobs <= 0 || totalSlots <= 0 {
 		return l
 	}
-	l.High = loadAtLoss(pool, lossFraction) / running
-	l.Low = min(f.carriedByRandomChoice(pool, slotsPerNode)/running, l.High)
-	knowledge := 1 / math.Sqrt(float64(max(f.Schedulers, 1)))
-	l.Multiple = math.Pow(l.High, knowledge) * math.Pow(l.Low, 1-knowledge)
+	l.High = offeredLoadAtLoss(totalSlots, lossFraction) / runningJobs
+	l.Low = min(f.runningJobsByRandomChoice(totalSlots, slotsPerNode)/runningJobs, l.High)
+	highExponent := 1 / math.Sqrt(float64(max(f.Schedulers, 1)))
+	l.LoadMultiple = math.Pow(l.High, highExponent) * math.Pow(l.Low, 1-highExponent)
 	return l
 }
 
 // carriedByRandomChoice returns the mean number of running jobs if each job tries MaxAttempts random nodes and lossFraction
 // of the jobs find all of them full. pool is the number of slots of all nodes.
-func (f *Fleet) carriedByRandomChoice(pool float64, slotsPerNode func(*Group) float64) float64 {
+func (f *Fleet) runningJobsByRandomChoice(totalSlots float64, slotsPerNode func(*NodeGroup) float64) float64 {
 	fullFraction := math.Pow(lossFraction, 1/float64(max(f.MaxAttempts, 1))) // of the nodes that a job tries
 	low, high := 0.0, 8.0                                                    // load offered to each slot
-	carried := 0.0
-	for range occupancySteps {
+	runningJobs := 0.0
+	for range occupancyBisectionSteps {
 		load := (low + high) / 2
 		full, running := 0.0, 0.0
 		for i := range f.Groups {
-			slots := roundDownSlots(slotsPerNode(&f.Groups[i]))
+			slots := floorSlots(slotsPerNode(&f.Groups[i]))
 			loss := erlangB(slots, load*slots)
 			groupSlots := float64(f.Groups[i].Count) * slots
-			full += loss * groupSlots / pool
+			full += loss * groupSlots / totalSlots
 			running += groupSlots * load * (1 - loss)
 		}
 		if full > fullFraction {
 			high = load
 		} else {
-			low, carried = load, running
+			low, runningJobs = load, running
 		}
 	}
-	return carried
+	return runningJobs
 }
--- a/internal/planner/fleet.go
+++ b/internal/planner/fleet.go
@@ -26,7 +26,7 @@
 func (c *Class) jobsPerService() float64 { return c.runningJobs() / float64(max(c.Services, 1)) }
 
 // Group is the nodes of one kind in one cell.
-type Group struct {
+type NodeGroup struct {
 	Name, Kind, Zone string
 	Cell, Count      int
 	Cores            float64 // of one node
@@ -35,7 +35,7 @@
 
 // Fleet is the nodes and the parameters with which they handle offers.
 type Fleet struct {
-	Groups                []Group
+	Groups                []NodeGroup
 	Schedulers            int
 	CoreOvercommit        float64 // multiple of a node's cores up to which it accepts tasks
 	MemoryOvercommit      float64 // the same for memory
@@ -51,7 +51,7 @@
 }
 
 // Nodes returns the number of nodes.
-func (f *Fleet) Nodes() int {
+func (f *Fleet) NodeCount() int {
 	count := 0
 	for _, g := range f.Groups {
 		count += g.Count
@@ -69,7 +69,7 @@
 }
 
 // domains returns the number of topology domains of a kind: machine, cell or zone.
-func (f *Fleet) domains(kind string) int {
+func (f *Fleet) domainCount(kind string) int {
 	names := map[string]bool{}
 	machines := 0
 	for _, g := range f.Groups {
@@ -86,7 +86,7 @@
 }
 
 // jobsPerNode returns how many jobs of a class fit the resources of an empty node of a group, without rounding.
-func (f *Fleet) jobsPerNode(g *Group, c *Class) float64 {
+func (f *Fleet) jobsPerNode(g *NodeGroup, c *Class) float64 {
 	return min(g.Cores*f.CoreOvercommit/c.Cores, g.Memory*f.MemoryOvercommit/c.Memory)
 }
 
--- a/internal/planner/limits.go
+++ b/internal/planner/limits.go
@@ -27,15 +27,15 @@
 
 // Limit is a limit and the distance of the load from it.
 type Limit struct {
-	Name     LimitName
-	Class    string  // empty means all classes together
-	Multiple float64 // multiple of the load at which the limit is met; zero means that any load meets it
+	Name         LimitName
+	Class        string  // empty means all classes together
+	LoadMultiple float64 // multiple of the load at which the limit is met; zero means that any load meets it
 	// Low and High bound Multiple for limits on capacity: at Low a scheduler without knowledge of the nodes' free capacity
 	// rejects lossFraction of the jobs, at High one with full knowledge does. For other limits they equal Multiple.
-	Low, High    float64
-	LoadFraction float64 // fraction of the limit that the present load uses
-	MovedByNodes bool    // whether more nodes raise the limit
-	Reason       string
+	Low, High     float64
+	Utilization   float64 // fraction of the limit that the present load uses
+	RaisedByNodes bool    // whether more nodes raise the limit
+	Reason        string
 }
 
 // String returns the limit as a line of a table.
@@ -48,7 +48,7 @@
 	if l.Low < l.High {
 		interval = fmt.Sprintf(" (%.2f to %.2f)", l.Low, l.High)
 	}
-	return fmt.Sprintf("%-24s %-12s at %6.2f times the load%s: %s", l.Name, class, l.Multiple, interval, l.Reason)
+	return fmt.Sprintf("%-24s %-12s at %6.2f times the load%s: %s", l.Name, class, l.LoadMultiple, interval, l.Reason)
 }
 
 // newLimit returns a limit of all classes together of which the load uses a fraction. Low and High equal Multiple.
@@ -57,21 +57,21 @@
 	if loadFraction > 0 {
 		multiple = 1 / loadFraction
 	}
-	return Limit{Name: name, Multiple: multiple, Low: multiple, High: multiple, LoadFraction: loadFraction,
-		MovedByNodes: movedByNodes, Reason: fmt.Sprintf(reason, args...)}
+	return Limit{Name: name, LoadMultiple: multiple, Low: multiple, High: multiple, Utilization: loadFraction,
+		RaisedByNodes: movedByNodes, Reason: fmt.Sprintf(reason, args...)}
 }
 
 // demand is the mean use of a fleet by a load, over all classes.
 type demand struct {
-	running        float64 // jobs
-	cores, memory  float64 // requested
-	usedCores      float64
-	usedMemory     float64
-	jobsPerSecond  float64
-	startsInFlight float64
-	coresPerJob    float64 // mean request
-	memoryPerJob   float64
-	reviewTime     float64 // fraction of the time in which nodes decide on offers
+	runningJobs       float64 // jobs
+	cores, memory     float64 // requested
+	usedCores         float64
+	usedMemory        float64
+	jobsPerSecond     float64
+	startsInFlight    float64
+	coresPerJob       float64 // mean request
+	memoryPerJob      float64
+	reviewUtilization float64 // fraction of the time in which nodes decide on offers
 }
 
 func demandOf(f *Fleet, load []Class) demand {
@@ -80,7 +80,7 @@
 	for i := range load {
 		c := &load[i]
 		running := c.runningJobs()
-		d.running += running
+		d.runningJobs += running
 		d.cores += running * c.Cores
 		d.memory += running * c.Memory
 		d.usedCores += running * c.Cores * c.CoreUsage
@@ -88,8 +88,8 @@
 		d.jobsPerSecond += c.JobsPerSecond
 		d.startsInFlight += c.JobsPerSecond * f.startSeconds(c)
 	}
-	d.coresPerJob, d.memoryPerJob = d.cores/max(d.running, minJobs), d.memory/max(d.running, minJobs)
-	d.reviewTime = d.jobsPerSecond * f.OfferReviewSeconds / float64(f.Nodes())
+	d.coresPerJob, d.memoryPerJob = d.cores/max(d.runningJobs, minJobs), d.memory/max(d.runningJobs, minJobs)
+	d.reviewUtilization = d.jobsPerSecond * f.OfferReviewSeconds / float64(f.NodeCount())
 	return d
 }
 
@@ -101,7 +101,7 @@
 	for i := range load {
 		limits = append(limits, f.classLimits(&load[i])...)
 	}
-	slices.SortStableFunc(limits, func(a, b Limit) int { return cmp.Compare(a.Multiple, b.Multiple) })
+	slices.SortStableFunc(limits, func(a, b Limit) int { return cmp.Compare(a.LoadMultiple, b.LoadMultiple) })
 	return limits
 }
 
@@ -114,10 +114,10 @@
 	requestedMemory := newLimit(RequestedMemory, d.memory/acceptedMemory, true,
 		"running jobs request %.0f GiB of %.0f that nodes accept", d.memory, acceptedMemory)
 	return []Limit{
-		f.withLoss(requestedCores, d.running,
-			func(g *Group) float64 { return g.Cores * f.CoreOvercommit / d.coresPerJob }),
-		f.withLoss(requestedMemory, d.running,
-			func(g *Group) float64 { return g.Memory * f.MemoryOvercommit / d.memoryPerJob }),
+		f.withLossBounds(requestedCores, d.runningJobs,
+			func(g *NodeGroup) float64 { return g.Cores * f.CoreOvercommit / d.coresPerJob }),
+		f.withLossBounds(requestedMemory, d.runningJobs,
+			func(g *NodeGroup) float64 { return g.Memory * f.MemoryOvercommit / d.memoryPerJob }),
 		newLimit(UsedCores, d.usedCores/cores, true, "%.0f cores in use of %.0f; beyond, tasks are served worse",
 			d.usedCores, cores),
 		newLimit(UsedMemory, d.usedMemory/memory, true, "%.0f GiB in use of %.0f; beyond, nodes evict",
@@ -127,12 +127,12 @@
 
 // rateLimits returns the limits of starts, of offers and of placements.
 func (f *Fleet) rateLimits(d *demand) []Limit {
-	slots := f.Nodes() * f.StartSlots
+	slots := f.NodeCount() * f.StartSlots
 	limits := []Limit{
 		newLimit(StartRate, d.startsInFlight/float64(slots), true,
 			"%.1f starts are in progress at a time, of %d start slots", d.startsInFlight, slots),
-		newLimit(OfferReview, d.reviewTime, true, "nodes review offers for %.0f%% of their time",
-			100*d.reviewTime),
+		newLimit(OfferReview, d.reviewUtilization, true, "nodes review offers for %.0f%% of their time",
+			100*d.reviewUtilization),
 	}
 	if f.PlacementsPerSecond > 0 {
 		placements := f.PlacementsPerSecond * float64(f.Schedulers)
@@ -146,7 +146,7 @@
 func (f *Fleet) classLimits(c *Class) []Limit {
 	slots := 0.0
 	for i := range f.Groups {
-		slots += float64(f.Groups[i].Count) * roundDownSlots(f.jobsPerNode(&f.Groups[i], c))
+		slots += float64(f.Groups[i].Count) * floorSlots(f.jobsPerNode(&f.Groups[i], c))
 	}
 	if slots == 0 {
 		return []Limit{{Name: NoNodeLargeEnough, Class: c.Name,
@@ -155,7 +155,7 @@
 	capacity := newLimit(ClassCapacity, c.runningJobs()/slots, true, "%.0f jobs run at a time of %.0f that fit the nodes",
 		c.runningJobs(), slots)
 	capacity.Class = c.Name
-	limits := []Limit{f.withLoss(capacity, c.runningJobs(), func(g *Group) float64 { return f.jobsPerNode(g, c) })}
+	limits := []Limit{f.withLossBounds(capacity, c.runningJobs(), func(g *NodeGroup) float64 { return f.jobsPerNode(g, c) })}
 	if c.SpreadDomain != "" && c.MaxPerDomain > 0 {
 		limits = append(limits, f.spreadLimit(c))
 	}
@@ -166,10 +166,10 @@
 // so a service's jobs are distributed randomly over the schedulers, and the scheduler with the most meets the limit first.
 func (f *Fleet) spreadLimit(c *Class) Limit {
 	schedulers := max(f.Schedulers, 1)
-	domains := f.domains(c.SpreadDomain)
-	bound := float64(domains * c.MaxPerDomain)
+	domains := f.domainCount(c.SpreadDomain)
+	maxJobs := float64(domains * c.MaxPerDomain)
 	perScheduler := c.jobsPerService() / float64(schedulers)
-	l := newLimit(SpreadCapacity, perScheduler/loadAtLoss(bound, lossFraction), c.SpreadDomain == "machine",
+	l := newLimit(SpreadCapacity, perScheduler/offeredLoadAtLoss(maxJobs, lossFraction), c.SpreadDomain == "machine",
 		"%.1f jobs of a service run at a time; %d schedulers may have %d in each of %d domains, %.0f in all",
 		c.jobsPerService(), f.Schedulers, c.MaxPerDomain, domains, float64(domains*c.MaxPerDomain*schedulers))
 	l.Class = c.Name
@@ -178,10 +178,10 @@
 
 // First returns the first limit, and for each class the first that is its own or that of all classes. limits must be in the
 // order of Limits.
-func First(limits []Limit) (all Limit, byClass map[string]Limit) {
+func FirstLimits(limits []Limit) (overall Limit, byClass map[string]Limit) {
 	byClass = map[string]Limit{}
 	for _, l := range slices.Backward(limits) {
-		all = l
+		overall = l
 		if l.Class != "" {
 			byClass[l.Class] = l
 			continue
@@ -190,7 +190,7 @@
 			byClass[class] = l
 		}
 	}
-	return all, byClass
+	return overall, byClass
 }
 
 // FormatLimits returns a line of text for each limit.
--- a/internal/planner/limits_test.go
+++ b/internal/planner/limits_test.go
@@ -24,7 +24,7 @@
 		SlowStartBudget:       30,
 		OverloadWindowSeconds: 2,
 		SlowStartSeconds:      15,
-		Groups: []Group{
+		Groups: []NodeGroup{
 			{Name: "a", Kind: "small", Zone: "a", Cell: 0, Count: 4, Cores: 16, Memory: 64},
 			{Name: "b", Kind: "large", Zone: "b", Cell: 1, Count: 4, Cores: 32, Memory: 128},
 			{Name: "c", Kind: "small", Zone: "c", Cell: 2, Count: 4, Cores: 16, Memory: 64},
@@ -39,10 +39,10 @@
 
 func TestFirstLimitIsTheOneClosestToLoad(t *testing.T) {
 	for _, c := range []struct {
-		name         string
-		change       func(f *Fleet, c *Class)
-		want         LimitName
-		movedByNodes bool
+		name          string
+		change        func(f *Fleet, c *Class)
+		want          LimitName
+		raisedByNodes bool
 	}{
 		{"requested cores", func(*Fleet, *Class) {}, RequestedCores, true},
 		{"requested memory", func(_ *Fleet, c *Class) { c.Memory = 10 }, RequestedMemory, true},
@@ -60,9 +60,9 @@
 		t.Run(c.name, func(t *testing.T) {
 			fleet, class := testFleet(), testClass()
 			c.change(fleet, &class)
-			first, byClass := First(Limits(fleet, []Class{class}))
-			if first.Name != c.want || first.MovedByNodes != c.movedByNodes || first.Reason == "" {
-				t.Errorf("got first limit %v (moved by nodes: %v), want %v (%v)", first, first.MovedByNodes, c.want, c.movedByNodes)
+			first, byClass := FirstLimits(Limits(fleet, []Class{class}))
+			if first.Name != c.want || first.RaisedByNodes != c.raisedByNodes || first.Reason == "" {
+				t.Errorf("got first limit %v (moved by nodes: %v), want %v (%v)", first, first.RaisedByNodes, c.want, c.raisedByNodes)
 			}
 			if byClass["service"].Name != c.want {
 				t.Errorf("got first limit %v of the class, want %v", byClass["service"], c.want)
@@ -74,11 +74,11 @@
 func TestClassHasFirstLimitOfItsOwn(t *testing.T) {
 	big := testClass()
 	big.Name, big.Cores, big.JobsPerSecond, big.MeanRuntimeSeconds = "big", 40, 0.1, 10
-	all, byClass := First(Limits(testFleet(), []Class{testClass(), big}))
+	all, byClass := FirstLimits(Limits(testFleet(), []Class{testClass(), big}))
 	if byClass["big"].Class != "big" || byClass["big"].Name != ClassCapacity || all != byClass["big"] {
 		t.Errorf("got first limit %v of all and %v of big, want the class capacity of big for both", all, byClass["big"])
 	}
-	if byClass["service"].Name != RequestedCores || byClass["service"].Multiple <= all.Multiple {
+	if byClass["service"].Name != RequestedCores || byClass["service"].LoadMultiple <= all.LoadMultiple {
 		t.Errorf("got first limit %v of service and %v of all, want requested cores above that of all", byClass["service"], all)
 	}
 }
@@ -97,12 +97,12 @@
 	}{
 		{"more nodes are required", service, 4, 1, math.MaxInt, string(RequestedCores)},
 		{"the present nodes are enough", service, 0.5, 0, 0, "the goal is met with the present nodes"},
-		{"no number is enough", spread, 50, NoNumberOfNodes, NoNumberOfNodes, string(SpreadCapacity)},
+		{"no number is enough", spread, 50, Unattainable, Unattainable, string(SpreadCapacity)},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			for _, got := range RequiredNodes(testFleet(), []Class{c.class}, c.multiple) {
-				if got.Nodes < c.minNodes || got.Nodes > c.maxNodes {
-					t.Errorf("got %d nodes of kind %s, want %d to %d", got.Nodes, got.Kind, c.minNodes, c.maxNodes)
+				if got.AdditionalNodes < c.minNodes || got.AdditionalNodes > c.maxNodes {
+					t.Errorf("got %d nodes of kind %s, want %d to %d", got.AdditionalNodes, got.Kind, c.minNodes, c.maxNodes)
 				}
 				if !strings.Contains(got.Reason, c.reason) {
 					t.Errorf("got reason %q for kind %s, want it to contain %q", got.Reason, got.Kind, c.reason)
@@ -116,7 +116,7 @@
 	class := testClass()
 	class.Cores = 45 // fits the large kind only
 	for _, got := range RequiredNodes(testFleet(), []Class{class}, 1) {
-		if got.Kind == "large" && got.Nodes >= 1 {
+		if got.Kind == "large" && got.AdditionalNodes >= 1 {
 			return
 		}
 	}
@@ -139,10 +139,10 @@
 		{"unknown zone", "z", -1, "", 12},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if got := fleet.Without(c.zone, c.cell, c.kind).Nodes(); got != c.want {
+			if got := fleet.Without(c.zone, c.cell, c.kind).NodeCount(); got != c.want {
 				t.Errorf("got %d nodes, want %d", got, c.want)
 			}
-			if got := fleet.Nodes(); got != 12 {
+			if got := fleet.NodeCount(); got != 12 {
 				t.Errorf("got a fleet that was changed to %d nodes, want 12", got)
 			}
 		})
@@ -150,7 +150,7 @@
 }
 
 func TestReplacementCost(t *testing.T) {
-	if got := testFleet().ReplacementCost(6); got.MissingStartFraction != 0.5 || got.OffersPerSecond != 10 {
+	if got := testFleet().ReplacementCost(6); got.SlowStartFraction != 0.5 || got.OffersPerSecond != 10 {
 		t.Errorf("got %+v, want a missing fraction of 0.5 and 10 offers a second", got)
 	}
 }
@@ -166,21 +166,21 @@
 		fleet.Schedulers = rapid.IntRange(1, 200).Draw(t, "schedulers")
 		limits := Limits(fleet, []Class{class})
 		for _, l := range limits {
-			within := l.Low <= l.Multiple*(1+slack) && l.Multiple <= l.High*(1+slack)
-			if l.Name != NoNodeLargeEnough && !within || math.IsNaN(l.Multiple) {
+			within := l.Low <= l.LoadMultiple*(1+slack) && l.LoadMultiple <= l.High*(1+slack)
+			if l.Name != NoNodeLargeEnough && !within || math.IsNaN(l.LoadMultiple) {
 				t.Fatalf("got %v, want it between %v and %v", l, l.Low, l.High)
 			}
 		}
-		before := limits[0].Multiple
+		before := limits[0].LoadMultiple
 		moreLoad := class
 		moreLoad.JobsPerSecond *= 1.5
-		if after := Limits(fleet, []Class{moreLoad})[0].Multiple; after > before*(1+slack) {
+		if after := Limits(fleet, []Class{moreLoad})[0].LoadMultiple; after > before*(1+slack) {
 			t.Fatalf("got a limit at %v with more load, want at most %v", after, before)
 		}
 		moreNodes := *fleet
 		moreNodes.Groups = append(slices.Clone(fleet.Groups),
-			Group{Name: "d", Kind: "small", Zone: "a", Cell: 0, Count: 4, Cores: 16, Memory: 64})
-		if after := Limits(&moreNodes, []Class{class})[0].Multiple; after < before*(1-slack) {
+			NodeGroup{Name: "d", Kind: "small", Zone: "a", Cell: 0, Count: 4, Cores: 16, Memory: 64})
+		if after := Limits(&moreNodes, []Class{class})[0].LoadMultiple; after < before*(1-slack) {
 			t.Fatalf("got a limit at %v with more nodes, want at least %v", after, before)
 		}
 	})
@@ -190,7 +190,7 @@
 func TestLoadAtLossAgreesWithTables(t *testing.T) {
 	for _, c := range []struct{ servers, want float64 }{{1, 0.0101}, {10, 4.46}, {100, 84.1}} {
 		t.Run(fmt.Sprintf("%v servers", c.servers), func(t *testing.T) {
-			if got := loadAtLoss(c.servers, 0.01); math.Abs(got-c.want) > 0.01*c.want {
+			if got := offeredLoadAtLoss(c.servers, 0.01); math.Abs(got-c.want) > 0.01*c.want {
 				t.Errorf("got %v erlangs, want %v", got, c.want)
 			}
 		})
--- a/internal/planner/nodes.go
+++ b/internal/planner/node_requirements.go
@@ -6,22 +6,22 @@
 )
 
 // NoNumberOfNodes as NodeRequirement.Nodes means that no number of nodes is enough.
-const NoNumberOfNodes = -1
+const Unattainable = -1
 
 // NodeRequirement is the number of additional nodes of a kind that a goal requires.
 type NodeRequirement struct {
-	Kind   string
-	Nodes  int // additional nodes; NoNumberOfNodes if no number is enough
-	Reason string
+	Kind            string
+	AdditionalNodes int // additional nodes; NoNumberOfNodes if no number is enough
+	Reason          string
 }
 
 // RequiredNodes returns, for each kind, how many additional nodes, distributed evenly over the zones, a multiple of the load
 // requires. If a limit that nodes don't raise is met before, no number is enough, and the reason is that limit.
 func RequiredNodes(f *Fleet, load []Class, multiple float64) []NodeRequirement {
-	var kinds []Group
+	var kinds []NodeGroup
 	var zones []string
 	for _, g := range f.Groups {
-		if !slices.ContainsFunc(kinds, func(kind Group) bool { return kind.Kind == g.Kind }) {
+		if !slices.ContainsFunc(kinds, func(kind NodeGroup) bool { return kind.Kind == g.Kind }) {
 			kinds = append(kinds, g)
 		}
 		if !slices.Contains(zones, g.Zone) {
@@ -39,10 +39,10 @@
 const maxAddedNodes = 1 << 17
 
 // requiredNodesOfKind doubles the number of nodes until the goal is met, and then narrows it down.
-func requiredNodesOfKind(f *Fleet, load []Class, multiple float64, kind Group, zones []string) NodeRequirement {
+func requiredNodesOfKind(f *Fleet, load []Class, multiple float64, kind NodeGroup, zones []string) NodeRequirement {
 	firstLimit := func(added int) (limit Limit, goalMet bool) {
 		limit = Limits(f.withNodes(added, kind, zones), load)[0]
-		return limit, limit.Multiple >= multiple
+		return limit, limit.LoadMultiple >= multiple
 	}
 	enough := 0
 	for {
@@ -50,8 +50,8 @@
 		if goalMet {
 			break
 		}
-		if !limit.MovedByNodes || enough >= maxAddedNodes {
-			return NodeRequirement{Kind: kind.Kind, Nodes: NoNumberOfNodes, Reason: limit.String()}
+		if !limit.RaisedByNodes || enough >= maxAddedNodes {
+			return NodeRequirement{Kind: kind.Kind, AdditionalNodes: Unattainable, Reason: limit.String()}
 		}
 		enough = max(2*enough, 1)
 	}
@@ -69,11 +69,11 @@
 		limit, _ := firstLimit(enough - 1)
 		reason = "with one fewer: " + limit.String()
 	}
-	return NodeRequirement{Kind: kind.Kind, Nodes: enough, Reason: reason}
+	return NodeRequirement{Kind: kind.Kind, AdditionalNodes: enough, Reason: reason}
 }
 
 // withNodes returns the fleet with additional nodes of a kind, distributed evenly over the zones.
-func (f *Fleet) withNodes(count int, kind Group, zones []string) *Fleet {
+func (f *Fleet) withNodes(count int, kind NodeGroup, zones []string) *Fleet {
 	larger := *f
 	larger.Groups = slices.Clone(f.Groups)
 	for i, zone := range zones {
@@ -91,25 +91,25 @@
 }
 
 // Replacement is the cost of replacing nodes at the same time.
-type Replacement struct {
-	OffersPerSecond      float64 // offers that a new node gets in slow start, from all schedulers
-	MissingStartFraction float64 // fraction of the fleet's nodes that are in slow start
-	Reason               string
+type ReplacementCost struct {
+	OffersPerSecond   float64 // offers that a new node gets in slow start, from all schedulers
+	SlowStartFraction float64 // fraction of the fleet's nodes that are in slow start
+	Reason            string
 }
 
 // windowMargin is the factor by which schedulers extend the overload window.
-const windowMargin = 1.5
+const overloadWindowMargin = 1.5
 
 // ReplacementCost returns the cost of replacing a number of nodes at the same time: while they are in slow start, schedulers
 // send them no more offers than the slow-start budget.
-func (f *Fleet) ReplacementCost(nodes int) Replacement {
+func (f *Fleet) ReplacementCost(nodes int) ReplacementCost {
 	offersPerSecond := 0.0
 	if f.OverloadWindowSeconds > 0 {
-		offersPerSecond = f.SlowStartBudget / (windowMargin * f.OverloadWindowSeconds)
+		offersPerSecond = f.SlowStartBudget / (overloadWindowMargin * f.OverloadWindowSeconds)
 	}
-	return Replacement{
-		OffersPerSecond:      offersPerSecond,
-		MissingStartFraction: float64(min(nodes, f.Nodes())) / float64(max(f.Nodes(), 1)),
+	return ReplacementCost{
+		OffersPerSecond:   offersPerSecond,
+		SlowStartFraction: float64(min(nodes, f.NodeCount())) / float64(max(f.NodeCount(), 1)),
 		Reason: fmt.Sprintf("%d nodes are in slow start for %.3gs and get %.3g offers a second each", nodes,
 			f.SlowStartSeconds, offersPerSecond),
 	}
--- a/internal/settings/deprecation.go
+++ b/internal/settings/deprecation.go
@@ -21,12 +21,12 @@
 
 // String returns the place in the file, the setting and its replacement, in one line.
 func (d Deprecation) String() string {
-	return fmt.Sprintf("%s: %s: %s is deprecated and will be removed in %s, use %s", placeText(d.File, d.Line, d.Column), d.Field,
-		d.Value, d.RemovedIn, d.Replacement)
+	return fmt.Sprintf("%s: %s: %s is deprecated and will be removed in %s, use %s",
+		formatPosition(d.File, d.Line, d.Column), d.Field, d.Value, d.RemovedIn, d.Replacement)
 }
 
 // deprecatedIdempotencies are the current values of the setting `effect` by the deprecated ones.
-var deprecatedIdempotencies = map[string]string{
+var idempotencyReplacements = map[string]string{
 	"safe":   "idempotent",
 	"keyed":  "idempotent-by-key",
 	"unsafe": "non-idempotent",
@@ -34,7 +34,7 @@
 
 // CurrentIdempotency returns the value that replaces a deprecated one of the setting `effect`, and any other value as it is.
 func CurrentIdempotency(value string) string {
-	if current, deprecated := deprecatedIdempotencies[value]; deprecated {
+	if current, deprecated := idempotencyReplacements[value]; deprecated {
 		return current
 	}
 	return value
@@ -48,26 +48,26 @@
 }
 
 // findDeprecations reports the deprecated settings that the file uses, and sets those that replace them.
-func (s *Scheduler) findDeprecations(f *File) {
+func (s *Scheduler) replaceDeprecated(f *File) {
 	for i, c := range s.Classes {
 		if current := CurrentIdempotency(c.Idempotency); current != c.Idempotency {
-			s.deprecate(f, elementField("classes", i, "effect"), fmt.Sprintf("effect: %q", current))
+			s.addDeprecation(f, elementPath("classes", i, "effect"), fmt.Sprintf("effect: %q", current))
 		}
 	}
-	if s.DeprecatedRecording == "" {
+	if s.DeprecatedModuleRecording == "" {
 		return
 	}
-	s.deprecate(f, "tap", "moduleRecording")
+	s.addDeprecation(f, "tap", "moduleRecording")
 	if s.ModuleRecording != "" {
-		f.Fail("tap", "is the deprecated name of moduleRecording, expected only one of them")
+		f.AddErrorf("tap", "is the deprecated name of moduleRecording, expected only one of them")
 	}
-	s.ModuleRecording = s.DeprecatedRecording
+	s.ModuleRecording = s.DeprecatedModuleRecording
 }
 
 // deprecate reports the use of a deprecated setting.
-func (s *Scheduler) deprecate(f *File, field, replacement string) {
-	place := f.place(field)
-	s.deprecations = append(s.deprecations, Deprecation{File: f.name, Line: place.Line(), Column: place.Column(), Field: field,
+func (s *Scheduler) addDeprecation(f *File, field, replacement string) {
+	pos := f.pos(field)
+	s.deprecations = append(s.deprecations, Deprecation{File: f.name, Line: pos.Line(), Column: pos.Column(), Field: field,
 		Value: f.valueText(field), Replacement: replacement, RemovedIn: removalVersion})
 }
 
--- a/internal/settings/deprecation_test.go
+++ b/internal/settings/deprecation_test.go
@@ -10,7 +10,7 @@
 )
 
 func withEffect(effect string) string {
-	return strings.Replace(good, `effect: "idempotent-by-key"`, `effect: "`+effect+`"`, 1)
+	return strings.Replace(validSettings, `effect: "idempotent-by-key"`, `effect: "`+effect+`"`, 1)
 }
 
 // A deprecated value of `effect` means the same as the one that replaces it, and is reported once with it.
@@ -45,7 +45,7 @@
 }
 
 func TestDefaultIdempotencyIsCurrent(t *testing.T) {
-	s := parseScheduler(t, strings.Replace(good, `effect: "idempotent-by-key", `, "", 1))
+	s := parseScheduler(t, strings.Replace(validSettings, `effect: "idempotent-by-key", `, "", 1))
 	if got := s.Classes[0].Idempotency; got != "non-idempotent" || len(s.Deprecations()) > 0 {
 		t.Errorf("got %q, %v, want non-idempotent and no deprecation", got, s.Deprecations())
 	}
@@ -53,7 +53,7 @@
 
 func TestDeprecatedRecording(t *testing.T) {
 	t.Run("alone", func(t *testing.T) {
-		s := parseScheduler(t, good+`tap: "steps"`)
+		s := parseScheduler(t, validSettings+`tap: "steps"`)
 		if s.ModuleRecording != "steps" {
 			t.Errorf("recording: got %q, want steps", s.ModuleRecording)
 		}
@@ -63,13 +63,13 @@
 		}
 	})
 	t.Run("replaced", func(t *testing.T) {
-		s := parseScheduler(t, good+`moduleRecording: "steps"`)
+		s := parseScheduler(t, validSettings+`moduleRecording: "steps"`)
 		if s.ModuleRecording != "steps" || len(s.Deprecations()) > 0 {
 			t.Errorf("got %q, %v, want steps and no deprecation", s.ModuleRecording, s.Deprecations())
 		}
 	})
 	t.Run("with its replacement", func(t *testing.T) {
-		_, err := ParseScheduler("f.cue", []byte(good+"tap: \"a\"\nmoduleRecording: \"b\""))
+		_, err := ParseScheduler("f.cue", []byte(validSettings+"tap: \"a\"\nmoduleRecording: \"b\""))
 		var invalid ConfigError
 		if !errors.As(err, &invalid) || invalid.Field != "tap" {
 			t.Errorf("got %v, want an error of tap", err)
--- a/internal/settings/errors.go
+++ b/internal/settings/errors.go
@@ -18,15 +18,15 @@
 
 // Error returns the position in the file, the field and the reason, in one line.
 func (e ConfigError) Error() string {
-	place := placeText(e.File, e.Line, e.Column)
+	location := formatPosition(e.File, e.Line, e.Column)
 	if e.Field != "" {
-		place += ": " + e.Field
+		location += ": " + e.Field
 	}
-	return place + ": " + e.Reason
+	return location + ": " + e.Reason
 }
 
 // placeText returns file:line:column, or the file alone if line is 0.
-func placeText(file string, line, column int) string {
+func formatPosition(file string, line, column int) string {
 	if line == 0 {
 		return file
 	}
--- a/internal/settings/file.go
+++ b/internal/settings/file.go
@@ -23,52 +23,52 @@
 // File is a configuration file with the positions of its fields. It collects the errors that are found in it. It is not safe
 // for concurrent use.
 type File struct {
-	name   string
-	own    cue.Value // the text without the record
-	value  cue.Value // the text unified with the record
-	errors ConfigErrors
+	name      string
+	fileValue cue.Value // the text without the record
+	unified   cue.Value // the text unified with the record
+	errors    ConfigErrors
 }
 
 // Read reads text as the given record of the schema, such as "#Scheduler". extraSchema is CUE text that extends the schema.
 // name is the name of the file in errors. Errors of the text are ConfigErrors.
-func Read(name string, text []byte, record, extraSchema string) (*File, error) {
+func Parse(name string, text []byte, definitionName, extraSchema string) (*File, error) {
 	ctx := cuecontext.New()
-	base := ctx.CompileString(schema+extraSchema, cue.Filename("schema"))
-	if err := base.Err(); err != nil {
+	schemaValue := ctx.CompileString(schema+extraSchema, cue.Filename("schema"))
+	if err := schemaValue.Err(); err != nil {
 		return nil, fmt.Errorf("settings: schema: %w", err)
 	}
-	own := ctx.CompileBytes(text, cue.Filename(name), cue.Scope(base)) // files may refer to the schema's records
-	f := &File{name: name, own: own}
-	if err := own.Err(); err != nil {
+	fileValue := ctx.CompileBytes(text, cue.Filename(name), cue.Scope(schemaValue)) // files may refer to the schema's records
+	f := &File{name: name, fileValue: fileValue}
+	if err := fileValue.Err(); err != nil {
 		f.addCUE(err)
 		return nil, f.errors
 	}
-	definition := base.LookupPath(cue.ParsePath(record))
-	f.value = definition.Unify(own)
-	if err := f.value.Validate(cue.Concrete(true)); err != nil {
+	definition := schemaValue.LookupPath(cue.ParsePath(definitionName))
+	f.unified = definition.Unify(fileValue)
+	if err := f.unified.Validate(cue.Concrete(true)); err != nil {
 		f.addCUE(err)
-		f.validateFields(definition, own)
+		f.validateFields(definition, fileValue)
 		return nil, f.readableErrors()
 	}
 	return f, nil
 }
 
 // ReadFile is Read of the file at path. It wraps an error of the os package if the file can't be read.
-func ReadFile(path, record, extraSchema string) (*File, error) {
+func ReadFile(path, definitionName, extraSchema string) (*File, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("read configuration: %w", err)
 	}
-	return Read(path, text, record, extraSchema)
+	return Parse(path, text, definitionName, extraSchema)
 }
 
 // validateFields validates the record's fields one by one, since an error of CUE hides others: an unknown field hides missing
 // ones.
-func (f *File) validateFields(definition, own cue.Value) {
-	if fields, err := own.Fields(); err == nil {
+func (f *File) validateFields(definition, fileValue cue.Value) {
+	if fields, err := fileValue.Fields(); err == nil {
 		for fields.Next() {
 			if !definition.Allows(fields.Selector()) {
-				f.add(ConfigError{Field: fields.Selector().String(), Reason: "field not allowed"}, fields.Value().Pos())
+				f.addError(ConfigError{Field: fields.Selector().String(), Reason: "field not allowed"}, fields.Value().Pos())
 			}
 		}
 	}
@@ -78,15 +78,15 @@
 	}
 	for fields.Next() {
 		path := cue.MakePath(fields.Selector())
-		if err := f.value.LookupPath(path).Validate(cue.Concrete(true)); err != nil {
+		if err := f.unified.LookupPath(path).Validate(cue.Concrete(true)); err != nil {
 			f.addCUE(err)
 		}
 	}
 }
 
 // Decode stores the values of the record in the Go value that into points to, by its JSON tags.
-func (f *File) Decode(into any) error {
-	if err := f.value.Decode(into); err != nil {
+func (f *File) Decode(target any) error {
+	if err := f.unified.Decode(target); err != nil {
 		f.addCUE(err)
 		return f.errors
 	}
@@ -101,17 +101,17 @@
 		if strings.HasPrefix(e.Field, "#") { // the record's own name
 			_, e.Field, _ = strings.Cut(e.Field, ".")
 		}
-		f.add(e, append(cueerrors.Positions(cueErr), cueErr.Position())...)
+		f.addError(e, append(cueerrors.Positions(cueErr), cueErr.Position())...)
 	}
 }
 
 // add adds an error at the first of the positions that is in the user's file. It drops repeated errors.
-func (f *File) add(e ConfigError, places ...token.Pos) {
+func (f *File) addError(e ConfigError, positions ...token.Pos) {
 	e.File = f.name
 	e.Value = f.valueText(e.Field)
-	for _, place := range places {
-		if f.contains(place) {
-			e.Line, e.Column = place.Line(), place.Column()
+	for _, pos := range positions {
+		if f.isInFile(pos) {
+			e.Line, e.Column = pos.Line(), pos.Column()
 			break
 		}
 	}
@@ -126,7 +126,7 @@
 	if field == "" || path.Err() != nil {
 		return ""
 	}
-	for _, source := range []cue.Value{f.own, f.value} {
+	for _, source := range []cue.Value{f.fileValue, f.unified} {
 		v := source.LookupPath(path)
 		if !v.Exists() || !v.IsConcrete() {
 			continue
@@ -138,7 +138,7 @@
 	return ""
 }
 
-func (f *File) contains(place token.Pos) bool { return place.IsValid() && place.Filename() == f.name }
+func (f *File) isInFile(pos token.Pos) bool { return pos.IsValid() && pos.Filename() == f.name }
 
 // readableErrors returns the errors in the order of their lines, without those of CUE's evaluation if another error says what
 // was expected of the field.
@@ -163,23 +163,23 @@
 }
 
 // Fail adds an error of a field, such as "classes[2].kind", with its position in the file. Err returns all errors.
-func (f *File) Fail(field, reason string, args ...any) {
+func (f *File) AddErrorf(field, reason string, args ...any) {
 	e := ConfigError{File: f.name, Field: field, Value: f.valueText(field), Reason: fmt.Sprintf(reason, args...)}
-	if place := f.place(field); place.IsValid() {
-		e.Line, e.Column = place.Line(), place.Column()
+	if pos := f.pos(field); pos.IsValid() {
+		e.Line, e.Column = pos.Line(), pos.Column()
 	}
 	f.errors = append(f.errors, e)
 }
 
 // place returns the position of a field's value in the user's file, or token.NoPos if the file does not set it.
-func (f *File) place(field string) token.Pos {
-	value := f.value.LookupPath(cue.ParsePath(field))
+func (f *File) pos(field string) token.Pos {
+	value := f.unified.LookupPath(cue.ParsePath(field))
 	if !value.Exists() {
 		return token.NoPos
 	}
 	for _, candidate := range append([]cue.Value{value}, operands(value)...) {
-		if place := candidate.Pos(); f.contains(place) {
-			return place
+		if pos := candidate.Pos(); f.isInFile(pos) {
+			return pos
 		}
 	}
 	return token.NoPos
@@ -204,17 +204,17 @@
 }
 
 // elementField returns the path of a field of a list's element, such as "classes[2].kind".
-func elementField(list string, index int, field string) string {
-	return fmt.Sprintf("%s[%d].%s", list, index, field)
+func elementPath(listPath string, index int, field string) string {
+	return fmt.Sprintf("%s[%d].%s", listPath, index, field)
 }
 
 // failRepeatedNames adds an error for each element of a list with the same name as an earlier one.
-func failRepeatedNames[T any](f *File, list string, elements []T, name func(*T) string) {
+func checkUniqueNames[T any](f *File, listPath string, elements []T, name func(*T) string) {
 	seen := map[string]bool{}
 	for i := range elements {
 		n := name(&elements[i])
 		if seen[n] {
-			f.Fail(elementField(list, i, "name"), "%q names two %s", n, list)
+			f.AddErrorf(elementPath(listPath, i, "name"), "%q names two %s", n, listPath)
 		}
 		seen[n] = true
 	}
--- a/internal/settings/fleet.go
+++ b/internal/settings/fleet.go
@@ -2,12 +2,12 @@
 
 // Node is the record #Node: a node of the stand-in fleet.
 type Node struct {
-	Name          string `json:"name"`
-	Kind          string `json:"kind"` // name of its Kind
-	Zone          string `json:"zone"`
-	ListenAddress string `json:"listen"` // host:port
-	Cell          int    `json:"cell"`
-	Warm          bool   `json:"warm"` // its slow start is over
+	Name               string `json:"name"`
+	Kind               string `json:"kind"` // name of its Kind
+	Zone               string `json:"zone"`
+	ListenAddress      string `json:"listen"` // host:port
+	Cell               int    `json:"cell"`
+	SlowStartCompleted bool   `json:"warm"` // its slow start is over
 }
 
 // Behaviour is the record #Behaviour: the behaviour of stand-in nodes.
@@ -47,38 +47,38 @@
 	if err != nil {
 		return nil, err
 	}
-	return f.fleet()
+	return f.decodeFleet()
 }
 
 // ParseFleet is ReadFleet of text. name is the name of the file in errors.
 func ParseFleet(name string, text []byte) (*Fleet, error) {
-	f, err := Read(name, text, "#Fleet", "")
+	f, err := Parse(name, text, "#Fleet", "")
 	if err != nil {
 		return nil, err
 	}
-	return f.fleet()
+	return f.decodeFleet()
 }
 
-func (f *File) fleet() (*Fleet, error) {
+func (f *File) decodeFleet() (*Fleet, error) {
 	fleet := &Fleet{}
 	if err := f.Decode(fleet); err != nil {
 		return nil, err
 	}
-	failRepeatedNames(f, "kinds", fleet.Kinds, func(k *Kind) string { return k.Name })
-	failRepeatedNames(f, "nodes", fleet.Nodes, func(n *Node) string { return n.Name })
+	checkUniqueNames(f, "kinds", fleet.Kinds, func(k *Kind) string { return k.Name })
+	checkUniqueNames(f, "nodes", fleet.Nodes, func(n *Node) string { return n.Name })
 	for i, n := range fleet.Nodes {
 		if kindIndex(fleet.Kinds, n.Kind) < 0 {
-			f.Fail(elementField("nodes", i, "kind"), "no kind %q, expected one of kinds", n.Kind)
+			f.AddErrorf(elementPath("nodes", i, "kind"), "no kind %q, expected one of kinds", n.Kind)
 		}
 	}
-	f.failUsageRange("behaviour.useCores", fleet.Behaviour.CoreUsageRange)
-	f.failUsageRange("behaviour.useMemory", fleet.Behaviour.MemoryUsageRange)
+	f.checkUsageRange("behaviour.useCores", fleet.Behaviour.CoreUsageRange)
+	f.checkUsageRange("behaviour.useMemory", fleet.Behaviour.MemoryUsageRange)
 	return fleet, f.Err()
 }
 
 // failUsageRange adds an error for an invalid range of usage, in fractions of what a task requests.
-func (f *File) failUsageRange(field string, bounds [2]float64) {
+func (f *File) checkUsageRange(field string, bounds [2]float64) {
 	if bounds[0] < 0 || bounds[1] < bounds[0] {
-		f.Fail(field, "is %v, expected two rising fractions, from 0", bounds)
+		f.AddErrorf(field, "is %v, expected two rising fractions, from 0", bounds)
 	}
 }
--- a/internal/settings/module.go
+++ b/internal/settings/module_config.go
@@ -38,7 +38,7 @@
 		Schedulers:            s.Schedulers,
 		Zone:                  s.Zone,
 		OverQuotaWeight:       s.OverQuotaWeight,
-		Prices:                flaxshelf.Prices{CrossZone: s.CrossZonePrice, MachinesInUse: s.FleetPrice},
+		Prices:                flaxshelf.Prices{CrossZone: s.CrossZonePrice, MachinesInUse: s.MachinesInUsePrice},
 		CoreOvercommit:        r.CoreOvercommit,
 		MemoryOvercommit:      r.MemoryOvercommit,
 		PlacedWhenRunning:     s.PlacedWhenRunning,
--- a/internal/settings/scheduler.go
+++ b/internal/settings/scheduler.go
@@ -67,32 +67,32 @@
 
 // Scheduler is the record #Scheduler: the configuration of a daemon.
 type Scheduler struct {
-	Name              string   `json:"name"`
-	ListenAddress     string   `json:"listen"`    // host:port for clients
-	MetricsAddress    string   `json:"metrics"`   // host:port of the Prometheus metrics; empty: none
-	InventoryAddress  string   `json:"inventory"` // host:port of the inventory
-	Zone              string   `json:"zone"`
-	LogLevel          string   `json:"log"`             // debug, info, warn or error
-	ModuleRecording   string   `json:"moduleRecording"` // file that each step of the module is recorded to; empty: none
-	Index             int      `json:"index"`           // of this scheduler, from 0 to Schedulers-1
-	Schedulers        int      `json:"schedulers"`      // in the deployment
-	Shards            int      `json:"cores"`           // each with a core and a module of its own
-	Seed              uint64   `json:"seed"`            // of the random numbers; 0: from the time of the start
-	Tick              Duration `json:"tick"`            // minimum time between two steps of the module
-	ConnectTimeout    Duration `json:"connect"`         // of a connection to a node
-	ListsFreeCapacity bool     `json:"listsFree"`       // the inventory lists free cores and memory
-	PlacedWhenRunning bool     `json:"runsWhenPlaced"`  // a job is placed when it runs, not when a node accepts it
-	OverQuotaWeight   float64  `json:"overShareWorth"`  // of a job over its tenant's quota, as a fraction of PriorityWeight
-	CrossZonePrice    float64  `json:"crossZone"`       // price of a placement in another zone, in points
-	FleetPrice        float64  `json:"fleetPrice"`      // price of the machines in use, in points
-	Classes           []Class  `json:"classes"`
-	Kinds             []Kind   `json:"kinds"`
-	Tenants           []Tenant `json:"tenants"`
-	Rules             Rules    `json:"rules"`
-	Limits            Limits   `json:"limits"`
+	Name               string   `json:"name"`
+	ListenAddress      string   `json:"listen"`    // host:port for clients
+	MetricsAddress     string   `json:"metrics"`   // host:port of the Prometheus metrics; empty: none
+	InventoryAddress   string   `json:"inventory"` // host:port of the inventory
+	Zone               string   `json:"zone"`
+	LogLevel           string   `json:"log"`             // debug, info, warn or error
+	ModuleRecording    string   `json:"moduleRecording"` // file that each step of the module is recorded to; empty: none
+	Index              int      `json:"index"`           // of this scheduler, from 0 to Schedulers-1
+	Schedulers         int      `json:"schedulers"`      // in the deployment
+	Shards             int      `json:"cores"`           // each with a core and a module of its own
+	Seed               uint64   `json:"seed"`            // of the random numbers; 0: from the time of the start
+	Tick               Duration `json:"tick"`            // minimum time between two steps of the module
+	ConnectTimeout     Duration `json:"connect"`         // of a connection to a node
+	ListsFreeCapacity  bool     `json:"listsFree"`       // the inventory lists free cores and memory
+	PlacedWhenRunning  bool     `json:"runsWhenPlaced"`  // a job is placed when it runs, not when a node accepts it
+	OverQuotaWeight    float64  `json:"overShareWorth"`  // of a job over its tenant's quota, as a fraction of PriorityWeight
+	CrossZonePrice     float64  `json:"crossZone"`       // price of a placement in another zone, in points
+	MachinesInUsePrice float64  `json:"fleetPrice"`      // price of the machines in use, in points
+	Classes            []Class  `json:"classes"`
+	Kinds              []Kind   `json:"kinds"`
+	Tenants            []Tenant `json:"tenants"`
+	Rules              Rules    `json:"rules"`
+	Limits             Limits   `json:"limits"`
 
 	// DeprecatedRecording is ModuleRecording by its deprecated name. Reading a file sets ModuleRecording by it.
-	DeprecatedRecording string `json:"tap"`
+	DeprecatedModuleRecording string `json:"tap"`
 
 	deprecations []Deprecation
 }
@@ -103,36 +103,36 @@
 	if err != nil {
 		return nil, err
 	}
-	return f.scheduler()
+	return f.decodeScheduler()
 }
 
 // ParseScheduler is ReadScheduler of text. name is the name of the file in errors.
 func ParseScheduler(name string, text []byte) (*Scheduler, error) {
-	f, err := Read(name, text, "#Scheduler", "")
+	f, err := Parse(name, text, "#Scheduler", "")
 	if err != nil {
 		return nil, err
 	}
-	return f.scheduler()
+	return f.decodeScheduler()
 }
 
-func (f *File) scheduler() (*Scheduler, error) {
+func (f *File) decodeScheduler() (*Scheduler, error) {
 	s := &Scheduler{}
 	if err := f.Decode(s); err != nil {
 		return nil, err
 	}
 	if s.Index >= s.Schedulers {
-		f.Fail("index", "is %d, expected below schedulers, which is %d", s.Index, s.Schedulers)
+		f.AddErrorf("index", "is %d, expected below schedulers, which is %d", s.Index, s.Schedulers)
 	}
-	failRepeatedNames(f, "kinds", s.Kinds, func(k *Kind) string { return k.Name })
-	failRepeatedNames(f, "classes", s.Classes, func(c *Class) string { return c.Name })
-	failRepeatedNames(f, "tenants", s.Tenants, func(t *Tenant) string { return t.Name })
-	s.findDeprecations(f)
+	checkUniqueNames(f, "kinds", s.Kinds, func(k *Kind) string { return k.Name })
+	checkUniqueNames(f, "classes", s.Classes, func(c *Class) string { return c.Name })
+	checkUniqueNames(f, "tenants", s.Tenants, func(t *Tenant) string { return t.Name })
+	s.replaceDeprecated(f)
 	for i, c := range s.Classes {
 		if c.Kind != "" && kindIndex(s.Kinds, c.Kind) < 0 {
-			f.Fail(elementField("classes", i, "kind"), "no kind %q, expected one of kinds", c.Kind)
+			f.AddErrorf(elementPath("classes", i, "kind"), "no kind %q, expected one of kinds", c.Kind)
 		}
 		if c.LatencyObjective > c.PlacementTimeout {
-			f.Fail(elementField("classes", i, "aim"), "is %v, expected at most giveup, which is %v",
+			f.AddErrorf(elementPath("classes", i, "aim"), "is %v, expected at most giveup, which is %v",
 				c.LatencyObjective.Duration(), c.PlacementTimeout.Duration())
 		}
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -15,7 +15,7 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-const good = `
+const validSettings = `
 inventory: "127.0.0.1:7170"
 kinds: [{name: "k", cores: 8, memory: 32}]
 classes: [{name: "c", effect: "idempotent-by-key", group: "zone", window: "4s", aim: "1s", giveup: "5s", spread: "zone", most: 2, kind: "k"}]
@@ -33,7 +33,7 @@
 }
 
 func TestSettingsBecomeConfigurations(t *testing.T) {
-	s := parseScheduler(t, good)
+	s := parseScheduler(t, validSettings)
 	m, c := s.ModuleConfig(), s.CoreConfig(7)
 	k := m.Classes[0]
 	for _, x := range []struct {
@@ -72,17 +72,17 @@
 	}{
 		{"not CUE", `inventory: [`, []string{"f.cue:1:"}},
 		{"missing", `kinds: [{name: "k", cores: 1, memory: 1}]`, []string{"inventory", "classes"}},
-		{"unknown field", good + `wings: 2`, []string{"f.cue:6:1: wings: field not allowed"}},
-		{"wrong type", good + `tick: 5`, []string{"f.cue:6:7: tick:"}},
-		{"not a duration", good + `connect: "5 weeks"`, []string{"f.cue:6:", "connect:"}},
-		{"negative", good + `limits: maxOpen: -1`, []string{"f.cue:6:", "limits.maxOpen:", ">=1"}},
-		{"two at once", good + "tick: 5\nzone: 7", []string{"tick:", "zone:"}},
-		{"no such kind", strings.Replace(good, `kind: "k"`, `kind: "z"`, 1),
+		{"unknown field", validSettings + `wings: 2`, []string{"f.cue:6:1: wings: field not allowed"}},
+		{"wrong type", validSettings + `tick: 5`, []string{"f.cue:6:7: tick:"}},
+		{"not a duration", validSettings + `connect: "5 weeks"`, []string{"f.cue:6:", "connect:"}},
+		{"negative", validSettings + `limits: maxOpen: -1`, []string{"f.cue:6:", "limits.maxOpen:", ">=1"}},
+		{"two at once", validSettings + "tick: 5\nzone: 7", []string{"tick:", "zone:"}},
+		{"no such kind", strings.Replace(validSettings, `kind: "k"`, `kind: "z"`, 1),
 			[]string{"f.cue:4:", "classes[0].kind: no kind \"z\", expected one of kinds"}},
-		{"aim over giveup", strings.Replace(good, `aim: "1s"`, `aim: "9s"`, 1),
+		{"aim over giveup", strings.Replace(validSettings, `aim: "1s"`, `aim: "9s"`, 1),
 			[]string{"f.cue:4:", "classes[0].aim: is 9s, expected at most giveup, which is 5s"}},
-		{"index", good + "index: 4", []string{"f.cue:6:8: index: is 4, expected below schedulers, which is 1"}},
-		{"tenants", good + `tenants: [{name: "a"}, {name: "a"}]`, []string{`tenants[1].name: "a" names two tenants`}},
+		{"index", validSettings + "index: 4", []string{"f.cue:6:8: index: is 4, expected below schedulers, which is 1"}},
+		{"tenants", validSettings + `tenants: [{name: "a"}, {name: "a"}]`, []string{`tenants[1].name: "a" names two tenants`}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			_, err := ParseScheduler("f.cue", []byte(c.text))
@@ -113,11 +113,11 @@
 		name, text string
 		want       ConfigError
 	}{
-		{"own check", good + "index: 4", ConfigError{File: "f.cue", Line: 6, Column: 8, Field: "index", Value: "4",
+		{"own check", validSettings + "index: 4", ConfigError{File: "f.cue", Line: 6, Column: 8, Field: "index", Value: "4",
 			Reason: "is 4, expected below schedulers, which is 1"}},
-		{"of an element", strings.Replace(good, `kind: "k"`, `kind: "z"`, 1), ConfigError{File: "f.cue", Line: 4, Column: 137,
+		{"of an element", strings.Replace(validSettings, `kind: "k"`, `kind: "z"`, 1), ConfigError{File: "f.cue", Line: 4, Column: 137,
 			Field: "classes[0].kind", Value: `"z"`, Reason: `no kind "z", expected one of kinds`}},
-		{"unknown field", good + "wings: 2", ConfigError{File: "f.cue", Line: 6, Column: 1, Field: "wings", Value: "2",
+		{"unknown field", validSettings + "wings: 2", ConfigError{File: "f.cue", Line: 6, Column: 1, Field: "wings", Value: "2",
 			Reason: "field not allowed"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -135,7 +135,7 @@
 
 // Errors are in the order of their lines, whichever check has found them first.
 func TestErrorsAreInFileOrder(t *testing.T) {
-	text := strings.Replace(good, `kind: "k"`, `kind: "z"`, 1) + "tenants: [{name: \"a\"}, {name: \"a\"}]\nindex: 4"
+	text := strings.Replace(validSettings, `kind: "k"`, `kind: "z"`, 1) + "tenants: [{name: \"a\"}, {name: \"a\"}]\nindex: 4"
 	_, err := ParseScheduler("f.cue", []byte(text))
 	var got ConfigErrors
 	if !errors.As(err, &got) {
--- a/internal/testbed/emulator/node.go
+++ b/internal/testbed/emulator/node.go
@@ -56,7 +56,7 @@
 	}
 	n.incarnations++
 	set, day := n.settings, n.simulation.day
-	set.Warm = warm
+	set.SlowStartCompleted = warm
 	seed := scenario.NodeSeed(n.simulation.seed, int(n.id), n.incarnations)
 	n.model = nodemodel.New(fleet.NodeModel(set, day.Kinds, day.Rules, day.Behaviour, seed), now,
 		n.simulation.zoneKeys[n.place.Group.Zone])
--- a/internal/testbed/experiment/plan.go
+++ b/internal/testbed/experiment/plan.go
@@ -55,7 +55,7 @@
 // Parse reads an experiment from the text of a CUE file, and the days that it names. It returns settings.Problems if the
 // experiment is not valid; name is the file's name in them.
 func Parse(name string, text []byte) (*Plan, error) {
-	file, err := settings.Read(name, text, "#Experiment", schema)
+	file, err := settings.Parse(name, text, "#Experiment", schema)
 	if err != nil {
 		return nil, err
 	}
@@ -66,16 +66,16 @@
 	seen := map[string]bool{}
 	for i, d := range p.Designs {
 		if seen[d.Name] {
-			file.Fail(fmt.Sprintf("designs[%d].name", i), "%q names two designs", d.Name)
+			file.AddErrorf(fmt.Sprintf("designs[%d].name", i), "%q names two designs", d.Name)
 		}
 		seen[d.Name] = true
 		day, err := d.scenario()
 		if err != nil {
-			file.Fail(fmt.Sprintf("designs[%d].day", i), "%v", err)
+			file.AddErrorf(fmt.Sprintf("designs[%d].day", i), "%v", err)
 			continue
 		}
 		if p.WarmUpSeconds >= day.Seconds {
-			file.Fail("warmUpSeconds", "is %v, expected under the %v s of day %s", p.WarmUpSeconds, day.Seconds, d.Day)
+			file.AddErrorf("warmUpSeconds", "is %v, expected under the %v s of day %s", p.WarmUpSeconds, day.Seconds, d.Day)
 		}
 		fingerprint, err := fingerprint(day, p.WarmUpSeconds, d.Module)
 		if err != nil {
--- a/internal/testbed/load/plan.go
+++ b/internal/testbed/load/plan.go
@@ -34,7 +34,7 @@
 // ParsePlan reads a plan from the text of a CUE file. It returns settings.Problems if the plan is not valid; name is the
 // file's name in them.
 func ParsePlan(name string, text []byte) (*Plan, error) {
-	file, err := settings.Read(name, text, "#Plan", schema)
+	file, err := settings.Parse(name, text, "#Plan", schema)
 	if err != nil {
 		return nil, err
 	}
@@ -44,11 +44,11 @@
 	}
 	for i, s := range p.Streams {
 		if s.Runtimes.Law == lawPareto && s.Runtimes.Tail <= 1 {
-			file.Fail(fmt.Sprintf("streams[%d].runtimes.tail", i),
+			file.AddErrorf(fmt.Sprintf("streams[%d].runtimes.tail", i),
 				"is %v, expected above 1: the mean would be infinite", s.Runtimes.Tail)
 		}
 		if s.Shape.Kind == shapeDiurnal && s.Shape.Every <= 0 {
-			file.Fail(fmt.Sprintf("streams[%d].shape.every", i), "is %v, expected the length of a day above 0",
+			file.AddErrorf(fmt.Sprintf("streams[%d].shape.every", i), "is %v, expected the length of a day above 0",
 				s.Shape.Every)
 		}
 	}
--- a/internal/testbed/plancheck/model.go
+++ b/internal/testbed/plancheck/model.go
@@ -34,7 +34,7 @@
 		MaxAttempts:           day.Rules.MaxAttempts,
 	}
 	for _, g := range day.Fleet {
-		group := planner.Group{Name: g.Name, Kind: g.Kind, Zone: g.Zone, Cell: g.Cell, Count: g.Count}
+		group := planner.NodeGroup{Name: g.Name, Kind: g.Kind, Zone: g.Zone, Cell: g.Cell, Count: g.Count}
 		for _, kind := range day.Kinds {
 			if kind.Name == g.Kind {
 				group.Cores, group.Memory = kind.Cores, kind.Memory
--- a/internal/testbed/plancheck/search_test.go
+++ b/internal/testbed/plancheck/search_test.go
@@ -32,14 +32,14 @@
 // compare predicts the first limit of a day and searches around it for the load at which 1 job in 100 is not placed.
 func compare(t *testing.T, day *scenario.Day) comparison {
 	t.Helper()
-	first, _ := planner.First(planner.Limits(Model(day)))
+	first, _ := planner.FirstLimits(planner.Limits(Model(day)))
 	point, err := FindBreakingPoint(t.Context(), day, Goal{MinPlacedFraction: 0.99, WarmupSeconds: 10},
-		Search{Low: first.Multiple * 0.5, High: first.Multiple * 1.6, RelativeWidth: 0.03, Seeds: 2})
+		Search{Low: first.LoadMultiple * 0.5, High: first.LoadMultiple * 1.6, RelativeWidth: 0.03, Seeds: 2})
 	if err != nil {
 		t.Fatalf("got error %v for the predicted limit %v, want a breaking point", err, first)
 	}
-	deviation := first.Multiple/math.Sqrt(point.Low*point.High) - 1
-	t.Logf("%s predicted at %.2f, emulated %.2f to %.2f (%+.0f%%), %d runs", first.Name, first.Multiple, point.Low, point.High,
+	deviation := first.LoadMultiple/math.Sqrt(point.Low*point.High) - 1
+	t.Logf("%s predicted at %.2f, emulated %.2f to %.2f (%+.0f%%), %d runs", first.Name, first.LoadMultiple, point.Low, point.High,
 		100*deviation, point.Runs)
 	return comparison{first, point, deviation}
 }
--- a/internal/testbed/scenario/read.go
+++ b/internal/testbed/scenario/read.go
@@ -62,7 +62,7 @@
 // Parse reads a day from the text of a CUE file. The error is settings.Problems if the day is not valid; they contain name
 // as the name of the file.
 func Parse(name string, text []byte) (*Day, error) {
-	file, err := settings.Read(name, text, "#Trial", schema)
+	file, err := settings.Parse(name, text, "#Trial", schema)
 	if err != nil {
 		return nil, err
 	}
@@ -88,7 +88,7 @@
 	}
 	for i, g := range d.Fleet {
 		if !kinds[g.Kind] {
-			file.Fail(fmt.Sprintf("fleet[%d].kind", i), "no kind %q, expected one of kinds", g.Kind)
+			file.AddErrorf(fmt.Sprintf("fleet[%d].kind", i), "no kind %q, expected one of kinds", g.Kind)
 		}
 	}
 }
@@ -96,10 +96,10 @@
 func (d *Day) checkLoad(file *settings.File) {
 	for i, l := range d.Load {
 		if d.Class(l.Class) == nil {
-			file.Fail(fmt.Sprintf("load[%d].class", i), "no class %q, expected one of classes", l.Class)
+			file.AddErrorf(fmt.Sprintf("load[%d].class", i), "no class %q, expected one of classes", l.Class)
 		}
 		if l.Runtime[1] < l.Runtime[0] {
-			file.Fail(fmt.Sprintf("load[%d].life", i), "is %v, expected two rising durations", l.Runtime)
+			file.AddErrorf(fmt.Sprintf("load[%d].life", i), "is %v, expected two rising durations", l.Runtime)
 		}
 	}
 }
@@ -107,11 +107,11 @@
 func (d *Day) checkFaults(file *settings.File) {
 	for i, t := range d.Faults {
 		if t.Class != "" && t.Class != everyClass && d.Class(t.Class) == nil {
-			file.Fail(fmt.Sprintf("troubles[%d].class", i), "no class %q, expected one of classes", t.Class)
+			file.AddErrorf(fmt.Sprintf("troubles[%d].class", i), "no class %q, expected one of classes", t.Class)
 		}
 		for j, s := range t.Schedulers {
 			if s >= d.Schedulers {
-				file.Fail(fmt.Sprintf("troubles[%d].schedulers[%d]", i, j), "no scheduler %d, there are %d", s,
+				file.AddErrorf(fmt.Sprintf("troubles[%d].schedulers[%d]", i, j), "no scheduler %d, there are %d", s,
 					d.Schedulers)
 			}
 		}
--- a/internal/testbed/standin/fleet/fleet.go
+++ b/internal/testbed/standin/fleet/fleet.go
@@ -51,7 +51,7 @@
 	if kind >= 0 {
 		cfg.Cores, cfg.Memory = kinds[kind].Cores, kinds[kind].Memory
 	}
-	if node.Warm {
+	if node.SlowStartCompleted {
 		cfg.SlowStartDuration = 0
 	}
 	return cfg
--- a/internal/testbed/trial/node.go
+++ b/internal/testbed/trial/node.go
@@ -46,7 +46,7 @@
 	}
 	n.incarnations++
 	c := n.cluster
-	set := settings.Node{Name: n.name, Kind: n.group.Kind, Zone: n.group.Zone, Cell: n.group.Cell, Warm: warm}
+	set := settings.Node{Name: n.name, Kind: n.group.Kind, Zone: n.group.Zone, Cell: n.group.Cell, SlowStartCompleted: warm}
 	seed := scenario.NodeSeed(c.opt.Seed, n.index, n.incarnations)
 	started, err := host.StartNode(host.NodeOptions{Kind: n.group.Kind, Cell: n.group.Cell, Listen: loopbackAnyPort,
 		Model:     fleet.NodeModel(set, c.day.Kinds, c.day.Rules, c.day.Behaviour, seed),
--- a/internal/testbed/trial/plan_test.go
+++ b/internal/testbed/trial/plan_test.go
@@ -27,8 +27,8 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				first, _ := planner.First(planner.Limits(plancheck.Model(d)))
-				d.Load[0].PerSecond *= first.Multiple * m
+				first, _ := planner.FirstLimits(planner.Limits(plancheck.Model(d)))
+				d.Load[0].PerSecond *= first.LoadMultiple * m
 				d.Name = c.Name
 				rep, err := emulator.Run(context.Background(), d, emulator.Options{Seed: 1})
 				if err != nil {
@@ -43,7 +43,7 @@
 				}
 				sockets := float64(res.Tally.Ends["placed"]) / float64(res.Tally.Submitted)
 				emulated := float64(rep.Classes[0].Placed) / float64(rep.Classes[0].Submitted)
-				t.Logf("%-22s %-14s %.1f of %.2f: placed %.4f on sockets, %.4f emulated", c.Name, first.Name, m, first.Multiple, sockets,
+				t.Logf("%-22s %-14s %.1f of %.2f: placed %.4f on sockets, %.4f emulated", c.Name, first.Name, m, first.LoadMultiple, sockets,
 					emulated)
 			})
 		}
--- a/internal/textfields/textfields.go
+++ b/internal/textfields/textfields.go
@@ -26,8 +26,8 @@
 // keep the first fault: all fields of a line can be read before Invalid is checked. Only the methods named Required count the
 // absence of a field as a fault. It is not safe for concurrent use.
 type Fields struct {
-	pairs   []string
-	invalid *ValueError
+	pairs      []string
+	firstError *ValueError
 }
 
 // New returns the fields of pairs, each of which is name=value. A name that occurs twice has its first value.
@@ -37,12 +37,12 @@
 func Parse(line string) Fields { return New(strings.Split(line, " ")) }
 
 // Invalid returns the first fault, or nil if there was none.
-func (f *Fields) Invalid() *ValueError { return f.invalid }
+func (f *Fields) FirstError() *ValueError { return f.firstError }
 
 // Fail records a fault, unless there was one before.
-func (f *Fields) Fail(name, value, reason string) {
-	if f.invalid == nil {
-		f.invalid = &ValueError{Field: name, Value: value, Reason: reason}
+func (f *Fields) RecordError(name, value, reason string) {
+	if f.firstError == nil {
+		f.firstError = &ValueError{Field: name, Value: value, Reason: reason}
 	}
 }
 
@@ -63,7 +63,7 @@
 func (f *Fields) RequiredText(name string) string {
 	text := f.value(name)
 	if text == "" {
-		f.Fail(name, text, "must not be empty")
+		f.RecordError(name, text, "must not be empty")
 	}
 	return text
 }
@@ -82,7 +82,7 @@
 	}
 	n, err := strconv.ParseInt(text, 10, 64)
 	if err != nil {
-		f.Fail(name, text, "must be an integer of 64 bits")
+		f.RecordError(name, text, "must be an integer of 64 bits")
 	}
 	return n
 }
@@ -108,7 +108,7 @@
 func (f *Fields) parseNumber(name, text string) float64 {
 	x, err := strconv.ParseFloat(text, 64)
 	if err != nil || math.IsNaN(x) || math.IsInf(x, 0) {
-		f.Fail(name, text, "must be a finite number")
+		f.RecordError(name, text, "must be a finite number")
 		return 0
 	}
 	return x
@@ -121,7 +121,7 @@
 		return true
 	case "", "0", "false":
 	default:
-		f.Fail(name, text, "must be true or false")
+		f.RecordError(name, text, "must be true or false")
 	}
 	return false
 }
@@ -145,24 +145,24 @@
 }
 
 // Count returns the length of a list of objects. The line must have at least one pair for each of them.
-func (f *Fields) Count(name string) int {
+func (f *Fields) EntryCount(name string) int {
 	n := f.Integer(name)
 	if n < 0 || n > int64(len(f.pairs)) {
-		f.Fail(name, strconv.FormatInt(n, 10), "must be the number of the entries that follow")
+		f.RecordError(name, strconv.FormatInt(n, 10), "must be the number of the entries that follow")
 		return 0
 	}
 	return int(n)
 }
 
 // Lookup returns the meaning of a field, or fallback where it is absent or empty.
-func Lookup[T any](f *Fields, name string, meanings map[string]T, fallback T) T {
+func Enum[T any](f *Fields, name string, values map[string]T, fallback T) T {
 	text := f.Text(name)
 	if text == "" {
 		return fallback
 	}
-	meaning, ok := meanings[text]
+	value, ok := values[text]
 	if !ok {
-		f.Fail(name, text, "must be one of "+strings.Join(slices.Sorted(maps.Keys(meanings)), ", "))
+		f.RecordError(name, text, "must be one of "+strings.Join(slices.Sorted(maps.Keys(values)), ", "))
 	}
-	return meaning
+	return value
 }
--- a/internal/textfields/textfields_test.go
+++ b/internal/textfields/textfields_test.go
@@ -17,12 +17,12 @@
 		"length of a list":          {len(f.List("list")), 2},
 		"entry of a list":           {f.NumberAt("numbers", 1, 9), 2.5},
 		"entry after a list's end":  {f.NumberAt("numbers", 2, 9), 9.0},
-		"count":                     {f.Count("count"), 2},
-		"meaning":                   {Lookup(&f, "text", map[string]int{"a=b": 7}, 0), 7},
+		"count":                     {f.EntryCount("count"), 2},
+		"meaning":                   {Enum(&f, "text", map[string]int{"a=b": 7}, 0), 7},
 		"absent text":               {f.Text("none"), ""},
 		"absent integer":            {f.Integer("none"), int64(0)},
 		"absent boolean":            {f.Boolean("none"), false},
-		"absent meaning":            {Lookup(&f, "none", map[string]int{"": 7}, 5), 5},
+		"absent meaning":            {Enum(&f, "none", map[string]int{"": 7}, 5), 5},
 		"length of an absent list":  {len(f.List("none")), 0},
 		"a field named by a prefix": {f.Text("tex"), ""},
 	} {
@@ -30,7 +30,7 @@
 			t.Errorf("%s: got %v, want %v", name, test.got, test.want)
 		}
 	}
-	if invalid := f.Invalid(); invalid != nil {
+	if invalid := f.FirstError(); invalid != nil {
 		t.Errorf("got %v, want no fault", invalid)
 	}
 }
@@ -46,8 +46,8 @@
 		"number that is none":     {func(f *Fields) { f.Number("x") }, "x", "nan"},
 		"boolean":                 {func(f *Fields) { f.Boolean("n") }, "n", "3"},
 		"entry of a list":         {func(f *Fields) { f.NumberAt("list", 1, 0) }, "list", "y"},
-		"more entries than pairs": {func(f *Fields) { f.Count("n") }, "n", "3"},
-		"unknown meaning":         {func(f *Fields) { Lookup(f, "n", map[string]int{"a": 1}, 0) }, "n", "3"},
+		"more entries than pairs": {func(f *Fields) { f.EntryCount("n") }, "n", "3"},
+		"unknown meaning":         {func(f *Fields) { Enum(f, "n", map[string]int{"a": 1}, 0) }, "n", "3"},
 		"the first of two":        {func(f *Fields) { f.Boolean("n"); f.Integer("x") }, "n", "3"},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -56,7 +56,7 @@
 				f = New([]string{"list=1,y"})
 			}
 			test.read(&f)
-			got := f.Invalid()
+			got := f.FirstError()
 			if got == nil || got.Field != test.field || got.Value != test.value || got.Reason == "" {
 				t.Errorf("got %v, want field %s with value %q and a reason", got, test.field, test.value)
 			}
