--- a/internal/settings/deprecation_test.go
+++ b/internal/settings/deprecation_test.go
@@ -9,11 +9,12 @@
 	"flaxshelf.example/flaxshelf"
 )
 
+// withEffect returns validSettings with another value of `effect`.
 func withEffect(effect string) string {
 	return strings.Replace(validSettings, `effect: "idempotent-by-key"`, `effect: "`+effect+`"`, 1)
 }
 
-// A deprecated value of `effect` means the same as the one that replaces it, and is reported once with it.
+// A deprecated value of `effect` has the same meaning as its replacement, and is reported once, with the replacement.
 func TestDeprecatedIdempotency(t *testing.T) {
 	for _, test := range []struct {
 		deprecated, current string
@@ -35,7 +36,8 @@
 			if got := old.Classes[0].ModuleIdempotency(); got != test.want {
 				t.Errorf("%s: got %v, want %v", test.deprecated, got, test.want)
 			}
-			want := []Deprecation{{File: "f.cue", Line: 4, Column: 31, Field: "classes[0].effect", Value: `"` + test.deprecated + `"`,
+			want := []Deprecation{{File: "f.cue", Line: 4, Column: 31, Field: "classes[0].effect",
+				Value:       `"` + test.deprecated + `"`,
 				Replacement: `effect: "` + test.current + `"`, RemovedIn: "0.2.0"}}
 			if got := old.Deprecations(); !slices.Equal(got, want) {
 				t.Errorf("%s: got %+v, want %+v", test.deprecated, got, want)
--- a/internal/settings/doc.go
+++ b/internal/settings/doc.go
@@ -1,8 +1,10 @@
-// Package settings reads the configuration files: their schema, defaults and units, and errors that name the file, line,
-// field, value and reason.
+// Package settings reads and validates the CUE configuration files of schedulers and stand-in clusters. schema.cue defines
+// their fields, defaults and units. Errors name the file, line, field, value and reason.
 //
-// A file is a CUE document (JSON is CUE too) that must unify with a record of the schema. The keys of the schema are the
-// names in the files; the fields of the Go records have the terms of the module, and their JSON tags map one to the other.
-// A deprecated setting has its meaning until it is removed, and is reported as a Deprecation. Values of this package are
-// read-only after reading and then safe for concurrent use.
+// A file is a CUE document (JSON is valid CUE) that must unify with a definition of the schema, such as #Scheduler. The Go
+// structs name their fields after the placement module's configuration; their JSON tags have the keys that the files use. CUE
+// matches the tags regardless of case.
+//
+// Deprecated settings still work until the version that removes them, and each use is reported as a Deprecation. The decoded
+// configurations do not change after they are read and are then safe for concurrent use.
 package settings
--- a/internal/settings/errors.go
+++ b/internal/settings/errors.go
@@ -7,16 +7,20 @@
 	"strings"
 )
 
-// ConfigError reports an invalid field of a file.
+// ConfigError reports an invalid field of a configuration file.
 type ConfigError struct {
 	File         string
-	Line, Column int    // from 1; 0 if the position in the file is not known
-	Field        string // path such as "classes[2].kind", in errors of the schema "classes.2.kind"; empty: the whole file
-	Value        string // as the file writes it; empty if the field has none, and in errors of the schema within lists
-	Reason       string // what is invalid and what was expected
+	Line, Column int // counted from 1; 0 if the position is unknown
+	// Field is the path of the field, such as "classes[2].kind". Errors that CUE reports have the form "classes.2.kind". It is
+	// empty if the error concerns the whole file.
+	Field string
+	// Value is the value in CUE syntax, as written in the file. It is empty if the field has no value, and for errors that CUE
+	// reports within lists.
+	Value  string
+	Reason string // what is invalid and what was expected
 }
 
-// Error returns the position in the file, the field and the reason, in one line.
+// Error returns one line with the position in the file, the field and the reason.
 func (e ConfigError) Error() string {
 	location := formatPosition(e.File, e.Line, e.Column)
 	if e.Field != "" {
@@ -25,7 +29,7 @@
 	return location + ": " + e.Reason
 }
 
-// placeText returns file:line:column, or the file alone if line is 0.
+// formatPosition returns "file:line:column", or only the file name if line is 0.
 func formatPosition(file string, line, column int) string {
 	if line == 0 {
 		return file
@@ -33,11 +37,11 @@
 	return fmt.Sprintf("%s:%d:%d", file, line, column)
 }
 
-// ConfigErrors are all errors of a file in the order of their lines. An error of this package is ConfigErrors if the content of
-// a file is invalid; otherwise the file could not be read.
+// ConfigErrors are all errors found in one file, sorted by line. The functions of this package that read a file return
+// ConfigErrors if its content is invalid, and another type of error if the file could not be read.
 type ConfigErrors []ConfigError
 
-// Error returns a line for each error.
+// Error returns the errors, one per line.
 func (e ConfigErrors) Error() string {
 	lines := make([]string, len(e))
 	for i := range e {
@@ -46,7 +50,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Unwrap returns the errors, for errors.As.
+// Unwrap returns the individual errors, so that errors.As finds a ConfigError.
 func (e ConfigErrors) Unwrap() []error {
 	errs := make([]error, len(e))
 	for i := range e {
@@ -55,6 +59,7 @@
 	return errs
 }
 
+// sortByLine sorts the errors by line and keeps the order of errors on the same line.
 func (e ConfigErrors) sortByLine() {
 	slices.SortStableFunc(e, func(a, b ConfigError) int { return cmp.Compare(a.Line, b.Line) })
 }
--- a/internal/settings/file.go
+++ b/internal/settings/file.go
@@ -17,27 +17,28 @@
 //go:embed schema.cue
 var schema string
 
-// Schema returns the text of the schema.
+// Schema returns the CUE source of the schema.
 func Schema() string { return schema }
 
-// File is a configuration file with the positions of its fields. It collects the errors that are found in it. It is not safe
-// for concurrent use.
+// File is a parsed configuration file. It knows the position of each field and collects the errors that are found in it. It is
+// not safe for concurrent use.
 type File struct {
 	name      string
-	fileValue cue.Value // the text without the record
-	unified   cue.Value // the text unified with the record
+	fileValue cue.Value // the content of the file, without the schema
+	unified   cue.Value // the content of the file unified with the definition, which adds defaults
 	errors    ConfigErrors
 }
 
-// Read reads text as the given record of the schema, such as "#Scheduler". extraSchema is CUE text that extends the schema.
-// name is the name of the file in errors. Errors of the text are ConfigErrors.
+// Parse parses text and validates it against a definition of the schema, such as "#Scheduler". extraSchema is CUE source that is
+// appended to the schema. name is the name of the file in errors. The error is ConfigErrors if text is invalid.
 func Parse(name string, text []byte, definitionName, extraSchema string) (*File, error) {
 	ctx := cuecontext.New()
 	schemaValue := ctx.CompileString(schema+extraSchema, cue.Filename("schema"))
 	if err := schemaValue.Err(); err != nil {
-		return nil, fmt.Errorf("settings: schema: %w", err)
+		return nil, fmt.Errorf("settings: compile schema: %w", err)
 	}
-	fileValue := ctx.CompileBytes(text, cue.Filename(name), cue.Scope(schemaValue)) // files may refer to the schema's records
+	// The scope lets files refer to definitions of the schema.
+	fileValue := ctx.CompileBytes(text, cue.Filename(name), cue.Scope(schemaValue))
 	f := &File{name: name, fileValue: fileValue}
 	if err := fileValue.Err(); err != nil {
 		f.addCUE(err)
@@ -53,7 +54,8 @@
 	return f, nil
 }
 
-// ReadFile is Read of the file at path. It wraps an error of the os package if the file can't be read.
+// ReadFile is like Parse, but reads the text from the file at path. If the file can't be read, the error wraps that of
+// os.ReadFile.
 func ReadFile(path, definitionName, extraSchema string) (*File, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -62,8 +64,8 @@
 	return Parse(path, text, definitionName, extraSchema)
 }
 
-// validateFields validates the record's fields one by one, since an error of CUE hides others: an unknown field hides missing
-// ones.
+// validateFields validates each field of the definition separately. Validating the whole value is not enough because CUE does
+// not report every error: an unknown field hides missing fields.
 func (f *File) validateFields(definition, fileValue cue.Value) {
 	if fields, err := fileValue.Fields(); err == nil {
 		for fields.Next() {
@@ -84,7 +86,7 @@
 	}
 }
 
-// Decode stores the values of the record in the Go value that into points to, by its JSON tags.
+// Decode stores the values of the file and the defaults in the struct that target points to, according to its JSON tags.
 func (f *File) Decode(target any) error {
 	if err := f.unified.Decode(target); err != nil {
 		f.addCUE(err)
@@ -93,19 +95,20 @@
 	return nil
 }
 
-// addCUE adds the errors of CUE with their positions in the user's file.
+// addCUE adds the errors that CUE reports, with their positions in the user's file.
 func (f *File) addCUE(err error) {
 	for _, cueErr := range cueerrors.Errors(err) {
 		message, args := cueErr.Msg()
 		e := ConfigError{Field: strings.Join(cueErr.Path(), "."), Reason: fmt.Sprintf(message, args...)}
-		if strings.HasPrefix(e.Field, "#") { // the record's own name
+		if strings.HasPrefix(e.Field, "#") { // the path starts with the name of the definition
 			_, e.Field, _ = strings.Cut(e.Field, ".")
 		}
 		f.addError(e, append(cueerrors.Positions(cueErr), cueErr.Position())...)
 	}
 }
 
-// add adds an error at the first of the positions that is in the user's file. It drops repeated errors.
+// addError adds an error with the first of the positions that is in the user's file; the others are in the schema. An error
+// that equals an earlier one is dropped.
 func (f *File) addError(e ConfigError, positions ...token.Pos) {
 	e.File = f.name
 	e.Value = f.valueText(e.Field)
@@ -120,7 +123,8 @@
 	}
 }
 
-// valueText returns the value of a field as the file writes it, or its default. It is empty for a field without a value.
+// valueText returns the value of a field in CUE syntax, as written in the file, or its default if the file does not set it. It
+// returns "" for a field without a concrete value.
 func (f *File) valueText(field string) string {
 	path := cue.ParsePath(field)
 	if field == "" || path.Err() != nil {
@@ -138,10 +142,11 @@
 	return ""
 }
 
+// isInFile reports whether pos is in the user's file and not in the schema.
 func (f *File) isInFile(pos token.Pos) bool { return pos.IsValid() && pos.Filename() == f.name }
 
-// readableErrors returns the errors in the order of their lines, without those of CUE's evaluation if another error says what
-// was expected of the field.
+// readableErrors returns the errors that help the user, sorted by line. It drops the headings of failed disjunctions, and
+// conflicts between values if another error of the same field says which value was expected.
 func (f *File) readableErrors() ConfigErrors {
 	hasExpectation := map[string]bool{}
 	for _, e := range f.errors {
@@ -162,17 +167,18 @@
 	return readable
 }
 
-// Fail adds an error of a field, such as "classes[2].kind", with its position in the file. Err returns all errors.
+// AddErrorf adds an error of the field with the given path, such as "classes[2].kind", with its position and value. The format
+// string and args give the reason. Err returns the errors that were added.
 func (f *File) AddErrorf(field, reason string, args ...any) {
 	e := ConfigError{File: f.name, Field: field, Value: f.valueText(field), Reason: fmt.Sprintf(reason, args...)}
-	if pos := f.pos(field); pos.IsValid() {
+	if pos := f.position(field); pos.IsValid() {
 		e.Line, e.Column = pos.Line(), pos.Column()
 	}
 	f.errors = append(f.errors, e)
 }
 
-// place returns the position of a field's value in the user's file, or token.NoPos if the file does not set it.
-func (f *File) pos(field string) token.Pos {
+// position returns the position of a field's value in the user's file, or token.NoPos if the file does not set the field.
+func (f *File) position(field string) token.Pos {
 	value := f.unified.LookupPath(cue.ParsePath(field))
 	if !value.Exists() {
 		return token.NoPos
@@ -185,7 +191,8 @@
 	return token.NoPos
 }
 
-// operands returns the values that a conjunction or disjunction is made of, and nil for any other value.
+// operands returns the operands of a conjunction or disjunction, and nil for any other value. The position of a unified value may
+// be in the schema although that of one of its operands is in the file.
 func operands(v cue.Value) []cue.Value {
 	op, args := v.Expr()
 	if op == cue.AndOp || op == cue.OrOp {
@@ -194,7 +201,7 @@
 	return nil
 }
 
-// Err returns the errors that Fail has added as ConfigErrors in the order of their lines, or nil.
+// Err returns the collected errors as ConfigErrors, sorted by line, or nil if there are none.
 func (f *File) Err() error {
 	if len(f.errors) == 0 {
 		return nil
@@ -203,12 +210,12 @@
 	return f.errors
 }
 
-// elementField returns the path of a field of a list's element, such as "classes[2].kind".
+// elementPath returns the path of a field of a list element, such as "classes[2].kind".
 func elementPath(listPath string, index int, field string) string {
 	return fmt.Sprintf("%s[%d].%s", listPath, index, field)
 }
 
-// failRepeatedNames adds an error for each element of a list with the same name as an earlier one.
+// checkUniqueNames adds an error for each list element that has the same name as an earlier one.
 func checkUniqueNames[T any](f *File, listPath string, elements []T, name func(*T) string) {
 	seen := map[string]bool{}
 	for i := range elements {
--- a/internal/settings/fleet.go
+++ b/internal/settings/fleet.go
@@ -1,47 +1,48 @@
 package settings
 
-// Node is the record #Node: a node of the stand-in fleet.
+// Node is a node of a stand-in cluster. Its definition in the schema is #Node.
 type Node struct {
 	Name               string `json:"name"`
-	Kind               string `json:"kind"` // name of its Kind
+	Kind               string `json:"kind"` // name of its machine's Kind
 	Zone               string `json:"zone"`
 	ListenAddress      string `json:"listen"` // host:port
 	Cell               int    `json:"cell"`
-	SlowStartCompleted bool   `json:"warm"` // its slow start is over
+	SlowStartCompleted bool   `json:"warm"` // the node starts with its slow start already completed
 }
 
-// Behaviour is the record #Behaviour: the behaviour of stand-in nodes.
+// Behaviour is the behaviour of the stand-in nodes. Its definition in the schema is #Behaviour.
 type Behaviour struct {
-	OfferReviewTime        Duration   `json:"Look"`           // to decide on an offer; one at a time
-	CachedStartTime        Duration   `json:"StartWork"`      // of a start whose program is cached
-	UsageReportInterval    Duration   `json:"NoteEvery"`      // between usage reports; 0: none are sent
-	DrainMigrationInterval Duration   `json:"DrainSendsAway"` // between tasks sent away while draining; 0: none are
-	DefaultRuntime         Duration   `json:"Life"`           // of a task that names none
-	MaxWaitingOffers       int        `json:"MaxWait"`        // offers that may wait for review
-	StartSlots             int        `json:"StartSlots"`     // starts at a time
-	MaxCachedPrograms      int        `json:"Keep"`           // programs that stay cached after their last task
-	UncachedStartFactor    float64    `json:"FreshFactor"`    // multiple of CachedStartTime for a program that is not cached
-	SlowStartInitialRate   float64    `json:"ColdFrom"`       // rate of starts at boot, as a fraction of the full one
-	OverloadMultiple       float64    `json:"FallMultiple"`   // offers, as a multiple of possible starts, that crash a node
-	CoreUsageRange         [2]float64 `json:"UseCores"`       // least and most cores in use, as fractions of the request
-	MemoryUsageRange       [2]float64 `json:"UseMemory"`      // least and most memory in use, as fractions of the request
-	SendsLoadReports       bool       `json:"Reports"`        // answers carry the node's load
+	OfferReviewTime        Duration   `json:"Look"`           // time to decide on an offer; a node reviews one offer at a time
+	CachedStartTime        Duration   `json:"StartWork"`      // duration of a task start if the program is cached
+	UsageReportInterval    Duration   `json:"NoteEvery"`      // time between usage reports; 0: no reports
+	DrainMigrationInterval Duration   `json:"DrainSendsAway"` // time between migrations off a draining node; 0: no migrations
+	DefaultRuntime         Duration   `json:"Life"`           // run time of a task that does not specify one
+	MaxWaitingOffers       int        `json:"MaxWait"`        // limit of offers that wait for review
+	StartSlots             int        `json:"StartSlots"`     // number of concurrent task starts
+	MaxCachedPrograms      int        `json:"Keep"`           // programs that stay cached after their last task ended
+	UncachedStartFactor    float64    `json:"FreshFactor"`    // start time if it is not cached, as a multiple of CachedStartTime
+	SlowStartInitialRate   float64    `json:"ColdFrom"`       // start rate at boot, as a fraction of the full rate
+	OverloadMultiple       float64    `json:"FallMultiple"`   // offers that crash a node, as a multiple of its possible starts
+	CoreUsageRange         [2]float64 `json:"UseCores"`       // minimum and maximum of cores in use, as fractions of the request
+	MemoryUsageRange       [2]float64 `json:"UseMemory"`      // minimum and maximum of memory in use, as fractions of the request
+	SendsLoadReports       bool       `json:"Reports"`        // answers contain a load report
 }
 
-// Fleet is the record #Fleet: a stand-in cluster of an inventory and nodes.
+// Fleet is a stand-in cluster of nodes and an inventory, which lists them. Its definition in the schema is #Fleet.
 type Fleet struct {
-	InventoryAddress string    `json:"inventory"` // host:port
+	InventoryAddress string    `json:"inventory"` // host:port on which the inventory listens
 	LogLevel         string    `json:"log"`       // debug, info, warn or error
-	DiscoveryDelay   Duration  `json:"late"`      // until the inventory shows a change
-	RemovalDelay     Duration  `json:"goneAfter"` // until a node whose connection broke is removed
+	DiscoveryDelay   Duration  `json:"late"`      // time until the inventory lists a change
+	RemovalDelay     Duration  `json:"goneAfter"` // time until the inventory removes a disconnected node
 	Kinds            []Kind    `json:"kinds"`
 	Nodes            []Node    `json:"nodes"`
 	Rules            Rules     `json:"rules"`
 	Behaviour        Behaviour `json:"behaviour"`
-	Seed             uint64    `json:"seed"` // of the random numbers
+	Seed             uint64    `json:"seed"` // seed of the random numbers
 }
 
-// ReadFleet reads the configuration of a fleet from a file. The error is ConfigErrors if the content is invalid.
+// ReadFleet reads the configuration of a stand-in cluster from the file at path. The error is ConfigErrors if its content is
+// invalid.
 func ReadFleet(path string) (*Fleet, error) {
 	f, err := ReadFile(path, "#Fleet", "")
 	if err != nil {
@@ -50,7 +51,7 @@
 	return f.decodeFleet()
 }
 
-// ParseFleet is ReadFleet of text. name is the name of the file in errors.
+// ParseFleet is like ReadFleet, but parses text. name is the name of the file in errors.
 func ParseFleet(name string, text []byte) (*Fleet, error) {
 	f, err := Parse(name, text, "#Fleet", "")
 	if err != nil {
@@ -59,6 +60,7 @@
 	return f.decodeFleet()
 }
 
+// decodeFleet decodes the file as a Fleet and checks what the schema can't: unique names, references to kinds and ranges.
 func (f *File) decodeFleet() (*Fleet, error) {
 	fleet := &Fleet{}
 	if err := f.Decode(fleet); err != nil {
@@ -76,9 +78,9 @@
 	return fleet, f.Err()
 }
 
-// failUsageRange adds an error for an invalid range of usage, in fractions of what a task requests.
+// checkUsageRange adds an error if bounds are not a minimum of 0 or above and a maximum of at least the minimum.
 func (f *File) checkUsageRange(field string, bounds [2]float64) {
 	if bounds[0] < 0 || bounds[1] < bounds[0] {
-		f.AddErrorf(field, "is %v, expected two rising fractions, from 0", bounds)
+		f.AddErrorf(field, "is %v, expected a minimum of 0 or above, and a maximum not below it", bounds)
 	}
 }
--- a/internal/settings/module_config.go
+++ b/internal/settings/module_config.go
@@ -7,10 +7,10 @@
 	"flaxshelf.example/flaxshelf/internal/scheduler"
 )
 
-// discoveryPollDeadline is the time after which the module polls the inventory again if it has not answered.
+// discoveryPollDeadline is how long the inventory may take to answer before the placement module polls it again.
 const discoveryPollDeadline = 10 * time.Second
 
-// topologyDomains are the module's values for the settings `group` and `spread`.
+// topologyDomains maps the values of the settings `group` and `spread` to those of the placement module.
 var topologyDomains = map[string]flaxshelf.TopologyDomain{
 	"":           flaxshelf.NoDomain,
 	"machine":    flaxshelf.MachineDomain,
@@ -19,18 +19,19 @@
 	"everywhere": flaxshelf.FleetDomain,
 }
 
-// ModuleIdempotency returns the module's value for the class's idempotency.
+// ModuleIdempotency returns the idempotency of the class as a value of the placement module.
 func (c *Class) ModuleIdempotency() flaxshelf.Idempotency {
 	return idempotencies[CurrentIdempotency(c.Idempotency)]
 }
 
-// ModuleKeyDomain returns the module's value for the domain in which copies of a key are dropped.
+// ModuleKeyDomain returns, as a value of the placement module, the domain whose machines drop a job if one of them has already
+// received its idempotency key.
 func (c *Class) ModuleKeyDomain() flaxshelf.TopologyDomain { return topologyDomains[c.KeyDomain] }
 
-// ModuleSpreadDomain returns the module's value for the domain over which the class is spread.
+// ModuleSpreadDomain returns, as a value of the placement module, the domain in which MaxPerDomain limits the jobs of a service.
 func (c *Class) ModuleSpreadDomain() flaxshelf.TopologyDomain { return topologyDomains[c.SpreadDomain] }
 
-// ModuleConfig returns the module's configuration.
+// ModuleConfig returns the configuration of the placement module.
 func (s *Scheduler) ModuleConfig() flaxshelf.Config {
 	r := &s.Rules
 	c := flaxshelf.Config{
@@ -70,6 +71,7 @@
 	return c
 }
 
+// moduleClass returns a class as the placement module's configuration has it.
 func (s *Scheduler) moduleClass(c *Class) flaxshelf.TaskClass {
 	return flaxshelf.TaskClass{
 		Name:                   c.Name,
@@ -89,8 +91,8 @@
 	}
 }
 
-// CoreConfig returns the configuration of the scheduler's core for an incarnation that starts at the given time. That time is
-// the seed of its random numbers if the settings have no seed.
+// CoreConfig returns the configuration of the scheduler core for an incarnation that starts at startedAt. If no seed is set,
+// startedAt is the seed of the random numbers.
 func (s *Scheduler) CoreConfig(startedAt flaxshelf.Time) scheduler.Config {
 	l := &s.Limits
 	c := scheduler.Config{
--- a/internal/settings/scheduler.go
+++ b/internal/settings/scheduler.go
@@ -1,88 +1,89 @@
 package settings
 
-// Class is the record #Class: a class of jobs.
+// Class is a class of jobs. Its definition in the schema is #Class.
 type Class struct {
 	Name                   string   `json:"Name"`
-	Idempotency            string   `json:"Effect"`       // as the file has it; see ModuleIdempotency and CurrentIdempotency
-	KeyDomain              string   `json:"Group"`        // in which copies of one key are dropped; see ModuleKeyDomain
-	Kind                   string   `json:"Kind"`         // name of the Kind of machine that it requires; empty: any
-	SpreadDomain           string   `json:"Spread"`       // domain of MaxPerDomain; empty: no limit
-	KeyTTL                 Duration `json:"Window"`       // for which copies of one key are dropped, from the first send
-	LatencyObjective       Duration `json:"Aim"`          // a start within it earns PriorityWeight
-	PlacementTimeout       Duration `json:"Giveup"`       // a placement request ends after it
-	PriorityWeight         float64  `json:"Worth"`        // of a start within LatencyObjective
-	LateStartWeight        float64  `json:"LateWorth"`    // of a later start, as a fraction of PriorityWeight
-	StartValueSeconds      float64  `json:"StartSeconds"` // seconds of service that a start in time is worth
-	FullServiceUtilization float64  `json:"Calm"`         // fraction of cores in use up to which it has full service
-	ServiceFadeRange       float64  `json:"Fade"`         // above it, the range in which service falls to none
-	Priority               int      `json:"Priority"`     // 0 to 3; higher ones preempt lower ones
-	MaxPerDomain           int      `json:"Most"`         // tasks of one service in one SpreadDomain, for each scheduler
-	Cores                  float64  `json:"Cores"`        // of a job that requests none
-	Memory                 float64  `json:"Memory"`       // in GiB, of a job that requests none
+	Idempotency            string   `json:"Effect"`       // value of the file, may be deprecated; see ModuleIdempotency
+	KeyDomain              string   `json:"Group"`        // domain whose nodes drop jobs with a known key
+	Kind                   string   `json:"Kind"`         // name of the machine Kind that the jobs require; empty: any
+	SpreadDomain           string   `json:"Spread"`       // topology domain that MaxPerDomain limits; empty: no limit
+	KeyTTL                 Duration `json:"Window"`       // how long nodes remember a key, from the first send of its job
+	LatencyObjective       Duration `json:"Aim"`          // a start within this time has the full PriorityWeight
+	PlacementTimeout       Duration `json:"Giveup"`       // a placement request ends after this time
+	PriorityWeight         float64  `json:"Worth"`        // weight of a start within LatencyObjective
+	LateStartWeight        float64  `json:"LateWorth"`    // weight of a later start, as a fraction of PriorityWeight
+	StartValueSeconds      float64  `json:"StartSeconds"` // value of a start within LatencyObjective, in seconds of full service
+	FullServiceUtilization float64  `json:"Calm"`         // fraction of busy cores up to which jobs get full service
+	ServiceFadeRange       float64  `json:"Fade"`         // service falls to 0 over this range above FullServiceUtilization
+	Priority               int      `json:"Priority"`     // 0 to 3; jobs of higher priority preempt those of lower priority
+	MaxPerDomain           int      `json:"Most"`         // jobs of one service that one scheduler may have in one domain
+	Cores                  float64  `json:"Cores"`        // request of a job that specifies none
+	Memory                 float64  `json:"Memory"`       // the same, in GiB
 }
 
-// Kind is the record #Kind: a kind of machine.
+// Kind is a kind of machine. Its definition in the schema is #Kind.
 type Kind struct {
 	Name   string  `json:"Name"`
 	Cores  float64 `json:"Cores"`
 	Memory float64 `json:"Memory"` // in GiB
 }
 
-// Tenant is the record #Tenant: a customer whose jobs share a quota.
+// Tenant is a customer whose jobs share a quota. Its definition in the schema is #Tenant.
 type Tenant struct {
 	Name           string  `json:"Name"`
-	QuotaFraction  float64 `json:"Share"`      // of the fleet
-	TasksPerSecond float64 `json:"PerSecond"`  // new tasks within its quota, over all schedulers; 0: no limit
-	QuotaCores     float64 `json:"QuotaCores"` // over all schedulers; 0: no limit
+	QuotaFraction  float64 `json:"Share"`      // quota as a fraction of the fleet
+	TasksPerSecond float64 `json:"PerSecond"`  // quota of new tasks per second, over all schedulers; 0: no limit
+	QuotaCores     float64 `json:"QuotaCores"` // quota of requested cores, over all schedulers; 0: no limit
 }
 
-// Rules is the record #Rules: settings that the schedulers, nodes and checkers of a deployment share.
+// Rules are settings that must be the same for the schedulers, nodes and rule checkers of a deployment. Their definition in the
+// schema is #Rules.
 type Rules struct {
-	CoreOvercommit    float64  `json:"AcceptCores"`  // multiple of its cores that the tasks of a node may request
+	CoreOvercommit    float64  `json:"AcceptCores"`  // total request of a node's tasks, as a multiple of its cores
 	MemoryOvercommit  float64  `json:"AcceptMemory"` // the same for memory
-	Preempts          bool     `json:"Preempts"`     // nodes evict lower priorities for higher ones
-	DrainGrace        Duration `json:"DrainGrace"`   // for which a draining node may still receive offers
-	AnswerSlack       Duration `json:"AnswerSlack"`  // allowed after a deadline for the transmission of the answer
+	Preempts          bool     `json:"Preempts"`     // nodes evict tasks of lower priority to run those of higher priority
+	DrainGrace        Duration `json:"DrainGrace"`   // how long a draining node may still receive offers
+	AnswerSlack       Duration `json:"AnswerSlack"`  // time allowed after a deadline for the transmission of the answer
 	SlowStartDuration Duration `json:"ColdFor"`      // maximum length of a node's slow start
-	OverloadWindow    Duration `json:"FallWindow"`   // in which offers to a node in slow start are counted
-	SettleTime        Duration `json:"Settle"`       // before a job may restart after an attempt of unknown outcome
-	MaxAttempts       int      `json:"MaxAttempts"`  // of a placement request
-	SlowStartBudget   float64  `json:"ColdOffers"`   // offers within OverloadWindow that never overload a node
+	OverloadWindow    Duration `json:"FallWindow"`   // sliding window that counts offers to a node in slow start
+	SettleTime        Duration `json:"Settle"`       // wait before a job restarts after an attempt of unknown outcome
+	MaxAttempts       int      `json:"MaxAttempts"`  // maximum for one placement request
+	SlowStartBudget   float64  `json:"ColdOffers"`   // offers within OverloadWindow that do not overload a node
 }
 
-// Limits is the record #Limits: the resources and timeouts of a scheduler.
+// Limits are the resource limits and timeouts of a scheduler. Their definition in the schema is #Limits.
 type Limits struct {
-	MaxPending          int      `json:"MaxOpen"`     // jobs whose placement request has no outcome
+	MaxPending          int      `json:"MaxOpen"`     // jobs with a pending placement request
 	MaxRunning          int      `json:"MaxJobs"`     // running jobs
-	MaxFinished         int      `json:"MaxFinished"` // ended jobs that are retained for queries
+	MaxFinished         int      `json:"MaxFinished"` // ended jobs that are kept for queries
 	MaxSessions         int      `json:"MaxSessions"`
-	MaxConnections      int      `json:"Connections"` // of clients
-	MaxClientWriteQueue int      `json:"ClientOut"`   // bytes queued for a client that does not read
-	MaxNodeWriteQueue   int      `json:"NodeOut"`     // bytes queued for a node that does not read
-	Retention           Duration `json:"Retention"`   // of ended jobs
-	IdleTimeout         Duration `json:"Idle"`        // after which a client without traffic is disconnected
-	RequestTimeout      Duration `json:"Request"`     // for all bytes of a request to arrive
-	ShutdownTimeout     Duration `json:"StopWithin"`  // of a graceful shutdown
+	MaxConnections      int      `json:"Connections"` // client connections
+	MaxClientWriteQueue int      `json:"ClientOut"`   // bytes queued for one client that does not read
+	MaxNodeWriteQueue   int      `json:"NodeOut"`     // bytes queued for one node that does not read
+	Retention           Duration `json:"Retention"`   // how long ended jobs are kept
+	IdleTimeout         Duration `json:"Idle"`        // a client without traffic is disconnected after this time
+	RequestTimeout      Duration `json:"Request"`     // time in which all bytes of a request must arrive
+	ShutdownTimeout     Duration `json:"StopWithin"`  // maximum duration of a graceful shutdown
 }
 
-// Scheduler is the record #Scheduler: the configuration of a daemon.
+// Scheduler is the configuration of a scheduler daemon. Its definition in the schema is #Scheduler.
 type Scheduler struct {
 	Name               string   `json:"name"`
-	ListenAddress      string   `json:"listen"`    // host:port for clients
-	MetricsAddress     string   `json:"metrics"`   // host:port of the Prometheus metrics; empty: none
-	InventoryAddress   string   `json:"inventory"` // host:port of the inventory
+	ListenAddress      string   `json:"listen"`    // host:port for client connections
+	MetricsAddress     string   `json:"metrics"`   // host:port that serves Prometheus metrics; empty: disabled
+	InventoryAddress   string   `json:"inventory"` // host:port of the inventory, the discovery service
 	Zone               string   `json:"zone"`
 	LogLevel           string   `json:"log"`             // debug, info, warn or error
-	ModuleRecording    string   `json:"moduleRecording"` // file that each step of the module is recorded to; empty: none
-	Index              int      `json:"index"`           // of this scheduler, from 0 to Schedulers-1
-	Schedulers         int      `json:"schedulers"`      // in the deployment
-	Shards             int      `json:"cores"`           // each with a core and a module of its own
-	Seed               uint64   `json:"seed"`            // of the random numbers; 0: from the time of the start
+	ModuleRecording    string   `json:"moduleRecording"` // file to which each step of the module is recorded; empty: none
+	Index              int      `json:"index"`           // index of this scheduler, from 0 to Schedulers-1
+	Schedulers         int      `json:"schedulers"`      // number of schedulers in the deployment
+	Shards             int      `json:"cores"`           // number of shards; each has its own scheduler core and module
+	Seed               uint64   `json:"seed"`            // seed of the random numbers; 0: derived from the start time
 	Tick               Duration `json:"tick"`            // minimum time between two steps of the module
-	ConnectTimeout     Duration `json:"connect"`         // of a connection to a node
-	ListsFreeCapacity  bool     `json:"listsFree"`       // the inventory lists free cores and memory
-	PlacedWhenRunning  bool     `json:"runsWhenPlaced"`  // a job is placed when it runs, not when a node accepts it
-	OverQuotaWeight    float64  `json:"overShareWorth"`  // of a job over its tenant's quota, as a fraction of PriorityWeight
+	ConnectTimeout     Duration `json:"connect"`         // timeout for connecting to a node
+	ListsFreeCapacity  bool     `json:"listsFree"`       // the inventory reports free cores and memory
+	PlacedWhenRunning  bool     `json:"runsWhenPlaced"`  // a job counts as placed once it runs, not once a node accepts it
+	OverQuotaWeight    float64  `json:"overShareWorth"`  // weight of a job over its quota, as a fraction of PriorityWeight
 	CrossZonePrice     float64  `json:"crossZone"`       // price of a placement in another zone, in points
 	MachinesInUsePrice float64  `json:"fleetPrice"`      // price of the machines in use, in points
 	Classes            []Class  `json:"classes"`
@@ -91,13 +92,13 @@
 	Rules              Rules    `json:"rules"`
 	Limits             Limits   `json:"limits"`
 
-	// DeprecatedRecording is ModuleRecording by its deprecated name. Reading a file sets ModuleRecording by it.
+	// DeprecatedModuleRecording is the deprecated setting for ModuleRecording, to which it is copied if the file sets it.
 	DeprecatedModuleRecording string `json:"tap"`
 
 	deprecations []Deprecation
 }
 
-// ReadScheduler reads the configuration of a daemon from a file. The error is ConfigErrors if the content is invalid.
+// ReadScheduler reads the configuration of a daemon from the file at path. The error is ConfigErrors if its content is invalid.
 func ReadScheduler(path string) (*Scheduler, error) {
 	f, err := ReadFile(path, "#Scheduler", "")
 	if err != nil {
@@ -106,7 +107,7 @@
 	return f.decodeScheduler()
 }
 
-// ParseScheduler is ReadScheduler of text. name is the name of the file in errors.
+// ParseScheduler is like ReadScheduler, but parses text. name is the name of the file in errors.
 func ParseScheduler(name string, text []byte) (*Scheduler, error) {
 	f, err := Parse(name, text, "#Scheduler", "")
 	if err != nil {
@@ -115,6 +116,8 @@
 	return f.decodeScheduler()
 }
 
+// decodeScheduler decodes the file as a Scheduler, checks what the schema can't (unique names, references to kinds, bounds that
+// depend on another field) and applies deprecated settings.
 func (f *File) decodeScheduler() (*Scheduler, error) {
 	s := &Scheduler{}
 	if err := f.Decode(s); err != nil {
@@ -139,6 +142,7 @@
 	return s, f.Err()
 }
 
+// kindIndex returns the index of the kind with the given name, or -1 if there is none.
 func kindIndex(kinds []Kind, name string) int {
 	for i, k := range kinds {
 		if k.Name == name {
@@ -148,10 +152,10 @@
 	return -1
 }
 
-// KindIndex returns the index of the kind with the name, or -1 if there is none.
+// KindIndex returns the index in Kinds of the kind with the given name, or -1 if there is none.
 func (s *Scheduler) KindIndex(name string) int { return kindIndex(s.Kinds, name) }
 
-// ClassIndex returns the index of the class with the name, or -1 if there is none.
+// ClassIndex returns the index in Classes of the class with the given name, or -1 if there is none.
 func (s *Scheduler) ClassIndex(name string) int {
 	for i := range s.Classes {
 		if s.Classes[i].Name == name {
@@ -161,7 +165,7 @@
 	return -1
 }
 
-// TenantIndex returns the index of the tenant with the name, or -1 if there is none.
+// TenantIndex returns the index in Tenants of the tenant with the given name, or -1 if there is none.
 func (s *Scheduler) TenantIndex(name string) int {
 	for i := range s.Tenants {
 		if s.Tenants[i].Name == name {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -22,7 +22,7 @@
 rules: drainGrace: "3s"
 `
 
-// parseScheduler parses settings without errors, as the file f.cue.
+// parseScheduler parses valid settings under the file name f.cue.
 func parseScheduler(t *testing.T, text string) *Scheduler {
 	t.Helper()
 	s, err := ParseScheduler("f.cue", []byte(text))
@@ -34,37 +34,37 @@
 
 func TestSettingsBecomeConfigurations(t *testing.T) {
 	s := parseScheduler(t, validSettings)
-	m, c := s.ModuleConfig(), s.CoreConfig(7)
-	k := m.Classes[0]
-	for _, x := range []struct {
+	moduleConfig, coreConfig := s.ModuleConfig(), s.CoreConfig(7)
+	class := moduleConfig.Classes[0]
+	for _, test := range []struct {
 		name      string
 		got, want any
 	}{
 		{"name", s.Name, "flaxshelf"},
 		{"listen", s.ListenAddress, "127.0.0.1:7171"},
-		{"effect", k.Idempotency, flaxshelf.IdempotentByKey},
-		{"group", k.KeyDomain, flaxshelf.ZoneDomain},
-		{"window", k.KeyTTL, 4 * time.Second},
-		{"spread", k.SpreadDomain, flaxshelf.ZoneDomain},
-		{"most", k.MaxPerDomain, 2},
-		{"kind", k.Kind, 0},
-		{"late worth", k.LateStartWeight, 0.1},
-		{"grace", m.DrainGrace, 3 * time.Second},
-		{"stall", c.Limits.StallThreshold, 1500 * time.Millisecond},
-		{"give up", c.Limits.PlacementTimeouts[0], 5 * time.Second},
-		{"seed from the start", c.Seed, uint64(7)},
-		{"attempts", m.MaxAttempts, 3},
+		{"effect", class.Idempotency, flaxshelf.IdempotentByKey},
+		{"group", class.KeyDomain, flaxshelf.ZoneDomain},
+		{"window", class.KeyTTL, 4 * time.Second},
+		{"spread", class.SpreadDomain, flaxshelf.ZoneDomain},
+		{"most", class.MaxPerDomain, 2},
+		{"kind", class.Kind, 0},
+		{"late worth", class.LateStartWeight, 0.1},
+		{"drain grace", moduleConfig.DrainGrace, 3 * time.Second},
+		{"stall threshold", coreConfig.Limits.StallThreshold, 1500 * time.Millisecond},
+		{"placement timeout", coreConfig.Limits.PlacementTimeouts[0], 5 * time.Second},
+		{"seed from the start time", coreConfig.Seed, uint64(7)},
+		{"attempts", moduleConfig.MaxAttempts, 3},
 		{"class", s.ClassIndex("c"), 0},
 		{"no class", s.ClassIndex("x"), -1},
 		{"no tenant", s.TenantIndex("x"), -1},
 	} {
-		if x.got != x.want {
-			t.Errorf("%s: got %v, want %v", x.name, x.got, x.want)
+		if test.got != test.want {
+			t.Errorf("%s: got %v, want %v", test.name, test.got, test.want)
 		}
 	}
 }
 
-// Each error names the file, line and field and says what was expected. All errors are reported at once.
+// Each error names the file, line and field and says what was expected. All errors of a file are reported together.
 func TestErrorTexts(t *testing.T) {
 	for _, c := range []struct {
 		name, text string
@@ -113,9 +113,9 @@
 		name, text string
 		want       ConfigError
 	}{
-		{"own check", validSettings + "index: 4", ConfigError{File: "f.cue", Line: 6, Column: 8, Field: "index", Value: "4",
+		{"check of this package", validSettings + "index: 4", ConfigError{File: "f.cue", Line: 6, Column: 8, Field: "index", Value: "4",
 			Reason: "is 4, expected below schedulers, which is 1"}},
-		{"of an element", strings.Replace(validSettings, `kind: "k"`, `kind: "z"`, 1), ConfigError{File: "f.cue", Line: 4, Column: 137,
+		{"field of a list element", strings.Replace(validSettings, `kind: "k"`, `kind: "z"`, 1), ConfigError{File: "f.cue", Line: 4, Column: 137,
 			Field: "classes[0].kind", Value: `"z"`, Reason: `no kind "z", expected one of kinds`}},
 		{"unknown field", validSettings + "wings: 2", ConfigError{File: "f.cue", Line: 6, Column: 1, Field: "wings", Value: "2",
 			Reason: "field not allowed"}},
@@ -133,7 +133,7 @@
 	}
 }
 
-// Errors are in the order of their lines, whichever check has found them first.
+// Errors are sorted by line, regardless of the order in which the checks found them.
 func TestErrorsAreInFileOrder(t *testing.T) {
 	text := strings.Replace(validSettings, `kind: "k"`, `kind: "z"`, 1) + "tenants: [{name: \"a\"}, {name: \"a\"}]\nindex: 4"
 	_, err := ParseScheduler("f.cue", []byte(text))
@@ -150,7 +150,7 @@
 	}
 }
 
-// The tag of each field of a record is a key of the schema.
+// The JSON tag of each struct field is a key of its definition in the schema; otherwise the field would never be set.
 func TestTagsAreKeysOfTheSchema(t *testing.T) {
 	base := cuecontext.New().CompileString(schema)
 	for definition, record := range map[string]any{"#Scheduler": Scheduler{}, "#Fleet": Fleet{}, "#Node": Node{},
