--- a/internal/textfields/textfields_test.go
+++ b/internal/textfields/textfields_test.go
@@ -8,7 +8,7 @@
 func TestFieldsAreReadByName(t *testing.T) {
 	f := Parse("text=a=b n=-3 x=0.5 yes=1 list=a,b numbers=1,2.5 count=2 text=later")
 	for name, test := range map[string]struct{ got, want any }{
-		"the first of two values":   {f.Text("text"), "a=b"},
+		"first of two values":       {f.Text("text"), "a=b"},
 		"required text":             {f.RequiredText("text"), "a=b"},
 		"integer":                   {f.Integer("n"), int64(-3)},
 		"duration":                  {f.RequiredDuration("n"), -3 * time.Nanosecond},
@@ -16,22 +16,22 @@
 		"boolean":                   {f.Boolean("yes"), true},
 		"length of a list":          {len(f.List("list")), 2},
 		"entry of a list":           {f.NumberAt("numbers", 1, 9), 2.5},
-		"entry after a list's end":  {f.NumberAt("numbers", 2, 9), 9.0},
+		"entry past the list's end": {f.NumberAt("numbers", 2, 9), 9.0},
 		"count":                     {f.EntryCount("count"), 2},
-		"meaning":                   {Enum(&f, "text", map[string]int{"a=b": 7}, 0), 7},
-		"absent text":               {f.Text("none"), ""},
-		"absent integer":            {f.Integer("none"), int64(0)},
-		"absent boolean":            {f.Boolean("none"), false},
-		"absent meaning":            {Enum(&f, "none", map[string]int{"": 7}, 5), 5},
-		"length of an absent list":  {len(f.List("none")), 0},
-		"a field named by a prefix": {f.Text("tex"), ""},
+		"enumerated value":          {Enum(&f, "text", map[string]int{"a=b": 7}, 0), 7},
+		"missing text":              {f.Text("none"), ""},
+		"missing integer":           {f.Integer("none"), int64(0)},
+		"missing boolean":           {f.Boolean("none"), false},
+		"missing enumerated value":  {Enum(&f, "none", map[string]int{"": 7}, 5), 5},
+		"length of a missing list":  {len(f.List("none")), 0},
+		"prefix of a field's name":  {f.Text("tex"), ""},
 	} {
 		if test.got != test.want {
 			t.Errorf("%s: got %v, want %v", name, test.got, test.want)
 		}
 	}
-	if invalid := f.FirstError(); invalid != nil {
-		t.Errorf("got %v, want no fault", invalid)
+	if err := f.FirstError(); err != nil {
+		t.Errorf("got error %v, want none", err)
 	}
 }
 
@@ -40,15 +40,15 @@
 		read         func(f *Fields)
 		field, value string
 	}{
-		"required and absent":     {func(f *Fields) { f.RequiredText("none") }, "none", ""},
+		"required but missing":    {func(f *Fields) { f.RequiredText("none") }, "none", ""},
 		"integer":                 {func(f *Fields) { f.Integer("x") }, "x", "nan"},
 		"required integer":        {func(f *Fields) { f.RequiredInteger("none") }, "none", ""},
-		"number that is none":     {func(f *Fields) { f.Number("x") }, "x", "nan"},
+		"not a finite number":     {func(f *Fields) { f.Number("x") }, "x", "nan"},
 		"boolean":                 {func(f *Fields) { f.Boolean("n") }, "n", "3"},
 		"entry of a list":         {func(f *Fields) { f.NumberAt("list", 1, 0) }, "list", "y"},
 		"more entries than pairs": {func(f *Fields) { f.EntryCount("n") }, "n", "3"},
-		"unknown meaning":         {func(f *Fields) { Enum(f, "n", map[string]int{"a": 1}, 0) }, "n", "3"},
-		"the first of two":        {func(f *Fields) { f.Boolean("n"); f.Integer("x") }, "n", "3"},
+		"unknown enum value":      {func(f *Fields) { Enum(f, "n", map[string]int{"a": 1}, 0) }, "n", "3"},
+		"first of two errors":     {func(f *Fields) { f.Boolean("n"); f.Integer("x") }, "n", "3"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := New([]string{"n=3", "x=nan"})
