--- a/internal/fleetsettings/decode.go
+++ b/internal/fleetsettings/decode.go
@@ -1,6 +1,8 @@
-// Package fleetsettings decodes the settings that the platform and the bench give a scheduler: a flaxshelf.Config and the
-// names in it. The bench writes them as path=value pairs, the platform as a JSON object of the same paths. It is not the
-// reader of the CUE files of serve, which is package settings.
+// Package fleetsettings decodes the settings that the platform and the bench (see cmd/benchadapter) pass to a scheduler, into a
+// flaxshelf.Config and an index of the names in it. The platform passes a JSON object, the bench path=value pairs, where a path
+// is the keys that lead to a value in the object, joined by dots.
+//
+// The CUE configuration files of `flaxshelf serve` are read by package settings instead.
 package fleetsettings
 
 import (
@@ -10,19 +12,19 @@
 	"flaxshelf.example/flaxshelf/internal/textfields"
 )
 
-// idempotencies are the kinds of idempotency by their names in the settings.
+// idempotencies maps the values of the setting "effect" to kinds of idempotency.
 var idempotencies = map[string]flaxshelf.Idempotency{
 	"read_like": flaxshelf.Idempotent, "idempotency_key": flaxshelf.IdempotentByKey, "non_idempotent": flaxshelf.NonIdempotent,
 }
 
-// topologyDomains are the topology domains by their names in the settings.
+// topologyDomains maps the values of the settings "key_scope" and "spread_over" to topology domains.
 var topologyDomains = map[string]flaxshelf.TopologyDomain{
 	"off": flaxshelf.NoDomain, "machine": flaxshelf.MachineDomain, "cell": flaxshelf.CellDomain,
 	"zone": flaxshelf.ZoneDomain, "all": flaxshelf.FleetDomain,
 }
 
-// Decode decodes settings that are fields named by their paths. Fields that this version doesn't know are skipped. A fault is
-// recorded in the fields.
+// Decode decodes settings from fields that are named by their paths. Fields that this version does not know are ignored. The
+// caller must check f.FirstError for invalid fields.
 func Decode(f *textfields.Fields) (flaxshelf.Config, *NameIndex) {
 	config := flaxshelf.Config{
 		Index:      int(f.Integer("index")),
@@ -39,7 +41,7 @@
 	return config, newNameIndex(&config)
 }
 
-// setPlacement decodes how tasks are placed and machines report on them.
+// decodePlacement decodes the settings of placement, preemption and discovery, and of the reports that machines send.
 func decodePlacement(config *flaxshelf.Config, f *textfields.Fields) {
 	config.OverQuotaWeight = f.Number("over_share_worth")
 	config.CoreOvercommit = f.Number("specifics.admit_cores")
@@ -51,7 +53,7 @@
 	config.DiscoveryOnRequest = f.Text("discovery") == "on_request"
 }
 
-// setCapabilities decodes what the platform can do.
+// decodeCapabilities decodes which operations the platform supports, and their limits.
 func decodeCapabilities(config *flaxshelf.Config, f *textfields.Fields) {
 	config.MaxAttempts = int(f.Integer("caps.most_tries"))
 	config.HedgedRequests = f.Boolean("caps.second_copies")
@@ -63,7 +65,7 @@
 	config.ConnectTimeout = f.Duration("caps.connect_timeout_ns")
 }
 
-// setTimings decodes intervals, the times that the platform demands, and the budget of slow starts.
+// decodeTimings decodes the interval between steps, the time limits that the platform sets, and the slow-start budget.
 func decodeTimings(config *flaxshelf.Config, f *textfields.Fields) {
 	config.Tick = f.Duration("round_ns")
 	config.AnswerSlack = f.Duration("obligations.answer_slack_ns")
@@ -74,6 +76,7 @@
 	config.SlowStartBudget = f.Number("specifics.fresh_offers")
 }
 
+// decodePrices decodes the points that each kind of cost subtracts from the score of a run.
 func decodePrices(f *textfields.Fields) flaxshelf.Prices {
 	return flaxshelf.Prices{
 		CrossZone:          f.Number("prices.cross_zone"),
@@ -88,6 +91,7 @@
 	}
 }
 
+// decodeKinds decodes the kinds of machines. Cores and memory are in lists with an entry for each kind.
 func decodeKinds(f *textfields.Fields) (kinds []flaxshelf.MachineKind) {
 	for i, name := range f.List("kinds") {
 		kinds = append(kinds, flaxshelf.MachineKind{Name: name,
@@ -96,6 +100,7 @@
 	return kinds
 }
 
+// decodeClasses decodes the classes of tasks.
 func decodeClasses(f *textfields.Fields) (classes []flaxshelf.TaskClass) {
 	for i := range f.EntryCount("categories.count") {
 		classes = append(classes, decodeClass(f, i))
@@ -103,6 +108,8 @@
 	return classes
 }
 
+// decodeClass decodes the class with index i. The settings below "specifics" are lists with an entry for each class; a class
+// without an entry has the default.
 func decodeClass(f *textfields.Fields, i int) flaxshelf.TaskClass {
 	path := fmt.Sprintf("categories.%d.", i)
 	class := flaxshelf.TaskClass{
@@ -124,7 +131,8 @@
 	return class
 }
 
-// decodeSpreadDomain decodes the domain over which a class spreads; none where the list is too short.
+// decodeSpreadDomain decodes the topology domain in which MaxPerDomain limits the class with index i. A class without an entry
+// in the list has no such limit. The fleet is not a valid domain here.
 func decodeSpreadDomain(f *textfields.Fields, i int) flaxshelf.TopologyDomain {
 	const name = "specifics.spread_over"
 	list := f.List(name)
@@ -138,6 +146,7 @@
 	return domain
 }
 
+// decodeTenants decodes the tenants.
 func decodeTenants(f *textfields.Fields) (tenants []flaxshelf.Tenant) {
 	for i := range f.EntryCount("customers.count") {
 		path := fmt.Sprintf("customers.%d.", i)
--- a/internal/fleetsettings/decode_test.go
+++ b/internal/fleetsettings/decode_test.go
@@ -8,14 +8,14 @@
 	"flaxshelf.example/flaxshelf/internal/textfields"
 )
 
-// decodePairs decodes settings that are path=value pairs.
+// decodePairs decodes settings from path=value pairs, and returns the first error.
 func decodePairs(pairs ...string) (flaxshelf.Config, *textfields.ValueError) {
 	f := textfields.New(pairs)
 	config, _ := Decode(&f)
 	return config, f.FirstError()
 }
 
-// Each of these settings has a place of its own in the configuration.
+// Each setting sets exactly one field of the configuration. Unknown settings, and entries of lists for missing kinds, set none.
 func TestSettingsByPath(t *testing.T) {
 	for pair, want := range map[string]flaxshelf.Config{
 		"index=3":                                     {Index: 3},
@@ -65,7 +65,7 @@
 }
 
 func TestSettingsErrors(t *testing.T) {
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		pairs        []string
 		field, value string
 	}{
@@ -78,12 +78,12 @@
 			"specifics.spread_over", "all"},
 		"unknown idempotency": {[]string{"categories.count=1", "categories.0.name=c", "categories.0.effect=x"},
 			"categories.0.effect", "x"},
-		"the first of two faults": {[]string{"round_ns=x", "index=y"}, "index", "y"},
+		"first of two errors": {[]string{"round_ns=x", "index=y"}, "index", "y"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, invalid := decodePairs(c.pairs...)
-			if invalid == nil || invalid.Field != c.field || invalid.Value != c.value || invalid.Reason == "" {
-				t.Errorf("got %v, want field %s with value %q and a reason", invalid, c.field, c.value)
+			_, invalid := decodePairs(test.pairs...)
+			if invalid == nil || invalid.Field != test.field || invalid.Value != test.value || invalid.Reason == "" {
+				t.Errorf("got %v, want field %s with value %q and a reason", invalid, test.field, test.value)
 			}
 		})
 	}
--- a/internal/fleetsettings/json.go
+++ b/internal/fleetsettings/json.go
@@ -12,19 +12,21 @@
 	"flaxshelf.example/flaxshelf/internal/textfields"
 )
 
-// wireNames are the names in the settings.
+// jsonNames are the settings that hold names of kinds, classes and tenants.
 type jsonNames struct {
 	Kinds      []string     `json:"kinds"`
 	Categories []namedEntry `json:"categories"`
 	Customers  []namedEntry `json:"customers"`
 }
 
+// namedEntry is a class or tenant, of which only the name is read.
 type namedEntry struct {
 	Name string `json:"name"`
 }
 
-// DecodeJSON decodes settings that are a JSON object. Names are found as the object has them, and as path=value pairs hold
-// them. The error is a *textfields.ValueError where a setting has an invalid value.
+// DecodeJSON decodes settings from a JSON object. The index finds a name as the object spells it, and also as path=value pairs
+// spell it, with spaces and commas replaced by underscores. The error is a *textfields.ValueError if a setting has an invalid
+// value.
 func DecodeJSON(settings json.RawMessage) (flaxshelf.Config, *NameIndex, error) {
 	pairs, err := flattenObject(settings)
 	if err != nil {
@@ -39,8 +41,8 @@
 	return config, names, err
 }
 
-// decodeNames decodes the names as the JSON object has them. Those that Decode returns have no spaces and commas, which pairs
-// can't hold.
+// decodeNameIndex decodes the names with the spelling of the JSON object. The index that Decode returns can't be used for it,
+// because in pairs, spaces and commas are replaced.
 func decodeNameIndex(settings json.RawMessage) (*NameIndex, error) {
 	var decoded jsonNames
 	if err := json.Unmarshal(settings, &decoded); err != nil {
@@ -60,6 +62,7 @@
 	return names, nil
 }
 
+// entryNames returns the names of the entries, in their order.
 func entryNames(entries []namedEntry) []string {
 	names := make([]string, len(entries))
 	for i, entry := range entries {
@@ -68,14 +71,15 @@
 	return names
 }
 
-// indexNames returns the position of each name, and of each name as pairs hold it where no other name is written so. list is
-// the setting that the names are from, member the path of the name within an entry.
+// indexNames maps each name to its position in names. It also maps the spelling of a name in pairs, unless that is taken by
+// another name. listPath is the path of the setting that lists the names, and nameField the path of the name within an entry of
+// that list; both are for errors.
 func indexNames(listPath, nameField string, names []string) (map[string]int, error) {
 	index := make(map[string]int, len(names))
 	for i, name := range names {
 		if _, duplicate := index[name]; duplicate || name == "" {
 			return nil, &textfields.ValueError{Field: fmt.Sprintf("%s[%d]%s", listPath, i, nameField), Value: name,
-				Reason: "must be a name, each once"}
+				Reason: "must be a non-empty and unique name"}
 		}
 		index[name] = i
 	}
@@ -88,7 +92,7 @@
 	return index, nil
 }
 
-// flatten returns the path=value pairs of a JSON object, in the order of their paths.
+// flattenObject returns the path=value pairs of a JSON object. The keys of each object are in alphabetical order.
 func flattenObject(settings json.RawMessage) ([]string, error) {
 	decoder := json.NewDecoder(strings.NewReader(string(settings)))
 	decoder.UseNumber()
@@ -98,11 +102,12 @@
 	}
 	object, ok := value.(map[string]any)
 	if !ok {
-		return nil, fmt.Errorf("an object was expected, not %T", value)
+		return nil, fmt.Errorf("got %T, expected an object", value)
 	}
 	return appendObject(nil, "", object), nil
 }
 
+// appendPairs appends the pairs of a value. A null has none.
 func appendPairs(pairs []string, path string, value any) []string {
 	switch value := value.(type) {
 	case map[string]any:
@@ -116,6 +121,7 @@
 	}
 }
 
+// appendObject appends the pairs of an object's members, in the order of their keys.
 func appendObject(pairs []string, path string, object map[string]any) []string {
 	keys := make([]string, 0, len(object))
 	for key := range object {
@@ -128,8 +134,8 @@
 	return pairs
 }
 
-// appendList appends a list of objects as their count and the pairs of each, any other list as its values with commas
-// between them.
+// appendList appends a list. A list of objects becomes a pair with their number, under the key "count", and the pairs of each
+// object. Any other list becomes one pair with its values, separated by commas.
 func appendList(pairs []string, path string, list []any) []string {
 	if len(list) > 0 {
 		if _, objects := list[0].(map[string]any); objects {
@@ -147,6 +153,7 @@
 	return append(pairs, path+"="+strings.Join(values, ","))
 }
 
+// joinPath returns the path of a member of the object or list at path. An empty path is that of the whole settings.
 func joinPath(path, key string) string {
 	if path == "" {
 		return key
@@ -154,10 +161,10 @@
 	return path + "." + key
 }
 
-// pairReplacer takes out of a text what separates fields and list entries in pairs.
+// separatorReplacer replaces the characters that separate pairs on a line and entries in a list.
 var separatorReplacer = strings.NewReplacer(" ", "_", ",", "_")
 
-// pairValue is a value as pairs hold it.
+// formatPairValue returns the text of a value in a pair.
 func formatPairValue(value any) string {
 	switch value := value.(type) {
 	case bool:
--- a/internal/fleetsettings/json_test.go
+++ b/internal/fleetsettings/json_test.go
@@ -9,7 +9,7 @@
 	"flaxshelf.example/flaxshelf/internal/textfields"
 )
 
-// A JSON object and the pairs of the same paths are the same settings.
+// A JSON object and pairs with the same paths decode to the same configuration.
 func TestDecodeJSONEqualsPairs(t *testing.T) {
 	got, _, err := DecodeJSON([]byte(`{"index":1,"kinds":["a","b"],"categories":[{"name":"c","effect":"read_like","worth":2.5}],
 		"customers":[],"caps":{"cancel":true,"later":null},"specifics":{"kind_cores":[8,16],"kind_by_class":[1]}}`))
@@ -42,19 +42,19 @@
 		}
 	}
 	if _, ok := names.Class("a b"); ok {
-		t.Error("class of a kind's name: got one, want none")
+		t.Error("found a class with the name of a kind, want none")
 	}
 }
 
 func TestDecodeJSONErrors(t *testing.T) {
 	for name, test := range map[string]struct {
-		settings, field string // no field: the error is not about one setting
+		settings, field string // empty: the error does not concern a single setting
 	}{
-		"no object":        {`[]`, ""},
+		"not an object":    {`[]`, ""},
 		"not JSON":         {`{`, ""},
 		"repeated name":    {`{"customers":[{"name":"a"},{"name":"a"}]}`, "customers[1].name"},
 		"empty name":       {`{"kinds":["a",""]}`, "kinds[1]"},
-		"name of a number": {`{"kinds":[1]}`, ""},
+		"name is a number": {`{"kinds":[1]}`, ""},
 		"invalid value":    {`{"caps":{"cancel":"maybe"}}`, "caps.cancel"},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/fleetsettings/name_index.go
+++ b/internal/fleetsettings/name_index.go
@@ -2,23 +2,23 @@
 
 import "flaxshelf.example/flaxshelf"
 
-// unknown is the index of a name that the settings don't have.
+// unknownIndex is returned as the index of a name that the settings do not contain.
 const unknownIndex = -1
 
-// Names are the indices in a flaxshelf.Config of the names that its settings have. The zero value has no names. It does not
-// change once it is decoded and is then safe for concurrent use.
+// NameIndex finds the classes, kinds and tenants of a flaxshelf.Config by name. The zero value finds none. A NameIndex does not
+// change after it is decoded and is then safe for concurrent use.
 type NameIndex struct{ classes, kinds, tenants map[string]int }
 
-// Class returns the index of a class, and reports whether the settings have it.
+// Class returns the index in Config.Classes of a class, and whether the settings contain it.
 func (n *NameIndex) Class(name string) (index int, ok bool) {
 	index, ok = n.classes[name]
 	return index, ok
 }
 
-// Kind returns the index of a kind of machine, or -1 if the settings don't have it.
+// Kind returns the index in Config.Kinds of a kind of machine, or -1 if the settings do not contain it.
 func (n *NameIndex) Kind(name string) int { return indexOrUnknown(n.kinds, name) }
 
-// Tenant returns the index of a tenant, or -1 if the settings don't have it.
+// Tenant returns the index in Config.Tenants of a tenant, or -1 if the settings do not contain it.
 func (n *NameIndex) Tenant(name string) int { return indexOrUnknown(n.tenants, name) }
 
 func indexOrUnknown(indices map[string]int, name string) int {
@@ -28,7 +28,8 @@
 	return unknownIndex
 }
 
-// namesOf returns the names in a configuration, with the last index of those that are equal.
+// newNameIndex returns the index of the names in a configuration. Of entries with the
+// same name, it has the last.
 func newNameIndex(config *flaxshelf.Config) *NameIndex {
 	names := &NameIndex{classes: map[string]int{}, kinds: map[string]int{}, tenants: map[string]int{}}
 	for i := range config.Kinds {
