--- a/internal/planner/doc.go
+++ b/internal/planner/doc.go
@@ -1,6 +1,6 @@
-// Package planner computes the capacity of a fleet: which limit a load meets first, at what multiple of the load, and what
-// adding or removing nodes changes. It does no I/O and does not emulate anything; internal/testbed/plancheck checks its
-// predictions by emulation. docs/planner.md describes the method.
+// Package planner estimates the capacity of a fleet analytically: which limit a growing load reaches first, at which multiple of
+// the present load, and how additional or removed nodes change that. internal/testbed/plancheck compares its predictions with
+// emulations. docs/planner.md describes the method.
 //
-// All functions are pure: they do not change their arguments and are safe for concurrent use.
+// All functions are pure: they do no I/O, do not change their arguments and are safe for concurrent use.
 package planner
--- a/internal/planner/erlang.go
+++ b/internal/planner/erlang.go
@@ -2,23 +2,23 @@
 
 import "math"
 
-// lossFraction is the fraction of jobs without capacity at which a limit on capacity counts as met.
+// lossFraction is the fraction of jobs that find no capacity at which a capacity limit counts as reached.
 const lossFraction = 0.01
 
-// roundingSlack is added before rounding down, so that a rounding error does not cost a slot.
+// roundingSlack is added before rounding down, so that a floating-point error does not remove a slot.
 const roundingSlack = 1e-9
 
-// roundDownSlots rounds a number of slots down.
+// floorSlots rounds a number of slots down to a whole number.
 func floorSlots(slots float64) float64 { return math.Floor(slots + roundingSlack) }
 
-// Steps of the bisections, after which their results no longer change.
+// Numbers of bisection steps, after which the results no longer change.
 const (
 	loadBisectionSteps      = 60
 	occupancyBisectionSteps = 50
 )
 
-// loadAtLoss returns the offered load, in erlangs, at which a fraction of the arrivals finds all servers busy: Erlang's
-// loss formula, solved for the load.
+// offeredLoadAtLoss returns the offered load, in erlangs, at which the given fraction of arrivals finds all servers busy. It
+// solves Erlang's loss formula for the load by bisection.
 func offeredLoadAtLoss(servers, loss float64) float64 {
 	low, high := 0.0, 2*servers+1
 	for range loadBisectionSteps {
@@ -32,8 +32,8 @@
 	return low
 }
 
-// erlangB returns the fraction of arrivals that find all servers busy, for an offered load in erlangs: Erlang's loss
-// formula.
+// erlangB returns the fraction of arrivals that find all servers busy at an offered load in erlangs, by Erlang's loss formula
+// (Erlang B).
 func erlangB(servers, load float64) float64 {
 	if load <= 0 {
 		return 0
@@ -45,13 +45,14 @@
 	return loss
 }
 
-// withLoss sets the multiple of a limit on capacity to that at which lossFraction of the jobs find no capacity. slotsPerNode
-// returns how many jobs a node of a group holds; running is the mean number of running jobs.
+// withLossBounds returns a capacity limit with LoadMultiple, Low and High set to the multiples of the load at which lossFraction
+// of the jobs find no capacity. slotsPerNode returns how many jobs fit on a node of a group, and runningJobs is the mean number
+// of running jobs at the present load.
 //
-// High assumes that all nodes are one pool: Erlang's loss formula. Low assumes that a job tries MaxAttempts random nodes and
-// is lost if all are full. A scheduler knows the part of the load that it placed itself, so the multiple is between the two,
-// and the closer to High the fewer schedulers there are: the geometric mean, weighted by one over the square root of their
-// number.
+// High treats all nodes as a single pool and applies Erlang's loss formula to it. Low assumes that a job tries MaxAttempts
+// random nodes and is lost if all of them are full. A scheduler knows only the part of the load that it placed itself, so
+// LoadMultiple lies between the two, and closer to High the fewer schedulers there are: it is their weighted geometric mean, in
+// which the weight of High is 1 over the square root of the number of schedulers.
 func (f *Fleet) withLossBounds(l Limit, runningJobs float64, slotsPerNode func(*NodeGroup) float64) Limit {
 	totalSlots := 0.0
 	for i := range f.Groups {
@@ -67,11 +68,12 @@
 	return l
 }
 
-// carriedByRandomChoice returns the mean number of running jobs if each job tries MaxAttempts random nodes and lossFraction
-// of the jobs find all of them full. pool is the number of slots of all nodes.
+// runningJobsByRandomChoice returns the mean number of running jobs at which lossFraction of the jobs are lost, if each job tries
+// MaxAttempts random nodes and is lost if all of them are full. totalSlots is the number of slots of all nodes.
 func (f *Fleet) runningJobsByRandomChoice(totalSlots float64, slotsPerNode func(*NodeGroup) float64) float64 {
-	fullFraction := math.Pow(lossFraction, 1/float64(max(f.MaxAttempts, 1))) // of the nodes that a job tries
-	low, high := 0.0, 8.0                                                    // load offered to each slot
+	// All attempts of a job find full nodes with probability lossFraction if each one does with probability fullFraction.
+	fullFraction := math.Pow(lossFraction, 1/float64(max(f.MaxAttempts, 1)))
+	low, high := 0.0, 8.0 // bounds of the load offered to each slot, in erlangs
 	runningJobs := 0.0
 	for range occupancyBisectionSteps {
 		load := (low + high) / 2
--- a/internal/planner/fleet.go
+++ b/internal/planner/fleet.go
@@ -5,18 +5,18 @@
 	"math"
 )
 
-// Class is the load of one class of jobs, as means.
+// Class is the mean load of one class of jobs.
 type Class struct {
 	Name               string
-	JobsPerSecond      float64 // submissions, over all schedulers
+	JobsPerSecond      float64 // submission rate, over all schedulers
 	MeanRuntimeSeconds float64
-	Cores              float64 // requested by one job
-	Memory             float64 // requested by one job, in GiB
+	Cores              float64 // requested by each job
+	Memory             float64 // requested by each job, in GiB
 	CoreUsage          float64 // cores in use, as a fraction of the request
 	MemoryUsage        float64 // memory in use, as a fraction of the request
 	Services           int     // number of services, over which the jobs are distributed evenly
-	SpreadDomain       string  // machine, cell or zone, to which MaxPerDomain applies; empty means no limit
-	MaxPerDomain       int     // jobs of one service in one domain, for each scheduler
+	SpreadDomain       string  // topology domain of MaxPerDomain: machine, cell or zone; empty means no limit
+	MaxPerDomain       int     // jobs of one service that each scheduler may have in one domain
 }
 
 // runningJobs returns the mean number of running jobs of the class, by Little's law.
@@ -25,32 +25,32 @@
 // jobsPerService returns the mean number of running jobs of one service.
 func (c *Class) jobsPerService() float64 { return c.runningJobs() / float64(max(c.Services, 1)) }
 
-// Group is the nodes of one kind in one cell.
+// NodeGroup is the nodes of one kind in one cell.
 type NodeGroup struct {
 	Name, Kind, Zone string
 	Cell, Count      int
-	Cores            float64 // of one node
-	Memory           float64 // of one node, in GiB
+	Cores            float64 // of each node
+	Memory           float64 // of each node, in GiB
 }
 
-// Fleet is the nodes and the parameters with which they handle offers.
+// Fleet describes the nodes, how they handle offers and starts, and the schedulers that place jobs on them.
 type Fleet struct {
 	Groups                []NodeGroup
 	Schedulers            int
-	CoreOvercommit        float64 // multiple of a node's cores up to which it accepts tasks
+	CoreOvercommit        float64 // total request up to which a node accepts tasks, as a multiple of its cores
 	MemoryOvercommit      float64 // the same for memory
-	OfferReviewSeconds    float64 // to decide on one offer; a node decides on one offer at a time
+	OfferReviewSeconds    float64 // time to decide on an offer; a node decides on one offer at a time
 	StartSlots            int     // concurrent starts on one node
-	CachedStartSeconds    float64 // of a start whose program is cached
-	UncachedStartFactor   float64 // multiple of CachedStartSeconds if the program is not cached
-	SlowStartBudget       float64 // offers within OverloadWindowSeconds that a node in slow start withstands
-	OverloadWindowSeconds float64
-	SlowStartSeconds      float64
-	MaxAttempts           int     // of a placement request
-	PlacementsPerSecond   float64 // that one scheduler handles; zero means no limit
+	CachedStartSeconds    float64 // duration of a start if the program is cached
+	UncachedStartFactor   float64 // duration of a start if it is not cached, as a multiple of CachedStartSeconds
+	SlowStartBudget       float64 // offers within OverloadWindowSeconds that do not overload a node in slow start
+	OverloadWindowSeconds float64 // sliding window that counts offers to a node in slow start
+	SlowStartSeconds      float64 // maximum duration of a node's slow start
+	MaxAttempts           int     // maximum for one placement request
+	PlacementsPerSecond   float64 // capacity of each scheduler; zero means no limit
 }
 
-// Nodes returns the number of nodes.
+// NodeCount returns the number of nodes in all groups.
 func (f *Fleet) NodeCount() int {
 	count := 0
 	for _, g := range f.Groups {
@@ -59,7 +59,7 @@
 	return count
 }
 
-// capacity returns the cores and the memory of all nodes.
+// capacity returns the total cores and memory (GiB) of all nodes, without overcommit.
 func (f *Fleet) capacity() (cores, memory float64) {
 	for _, g := range f.Groups {
 		cores += float64(g.Count) * g.Cores
@@ -68,7 +68,7 @@
 	return cores, memory
 }
 
-// domains returns the number of topology domains of a kind: machine, cell or zone.
+// domainCount returns how many topology domains of the given kind (machine, cell or zone) the fleet has.
 func (f *Fleet) domainCount(kind string) int {
 	names := map[string]bool{}
 	machines := 0
@@ -85,18 +85,20 @@
 	return machines + len(names)
 }
 
-// jobsPerNode returns how many jobs of a class fit the resources of an empty node of a group, without rounding.
+// jobsPerNode returns how many jobs of a class an empty node of a group accepts. The result is not rounded.
 func (f *Fleet) jobsPerNode(g *NodeGroup, c *Class) float64 {
 	return min(g.Cores*f.CoreOvercommit/c.Cores, g.Memory*f.MemoryOvercommit/c.Memory)
 }
 
-// startSeconds returns the mean duration of a start: the fewer jobs a service runs, the fewer nodes have its program cached.
+// startSeconds returns the mean duration of a start. The fewer jobs a service runs, the fewer nodes have its program cached, and
+// the longer is the mean.
 func (f *Fleet) startSeconds(c *Class) float64 {
-	cached := 1 - math.Exp(-c.jobsPerService()) // probability that a job of the service runs where the next one is placed
+	cached := 1 - math.Exp(-c.jobsPerService()) // probability that a job is placed where the service runs
 	return f.CachedStartSeconds * (cached + (1-cached)*max(f.UncachedStartFactor, 1))
 }
 
-// Without returns the fleet without the nodes that match. An empty zone or kind, and a cell below zero, match all.
+// Without returns a copy of the fleet without the nodes that match zone, cell and kind. An empty zone or kind, and a negative
+// cell, match every node.
 func (f *Fleet) Without(zone string, cell int, kind string) *Fleet {
 	rest := *f
 	rest.Groups = nil
--- a/internal/planner/limits_test.go
+++ b/internal/planner/limits_test.go
@@ -10,6 +10,7 @@
 	"pgregory.net/rapid"
 )
 
+// testFleet returns a fleet of 12 nodes in three zones, one cell each.
 func testFleet() *Fleet {
 	return &Fleet{
 		Schedulers:            4,
@@ -32,6 +33,7 @@
 	}
 }
 
+// testClass returns a class for which the first limit of testFleet is RequestedCores.
 func testClass() Class {
 	return Class{Name: "service", JobsPerSecond: 10, MeanRuntimeSeconds: 10, Cores: 1, Memory: 1, CoreUsage: 0.5,
 		MemoryUsage: 0.5, Services: 50}
@@ -62,7 +64,8 @@
 			c.change(fleet, &class)
 			first, byClass := FirstLimits(Limits(fleet, []Class{class}))
 			if first.Name != c.want || first.RaisedByNodes != c.raisedByNodes || first.Reason == "" {
-				t.Errorf("got first limit %v (moved by nodes: %v), want %v (%v)", first, first.RaisedByNodes, c.want, c.raisedByNodes)
+				t.Errorf("got first limit %v (raised by nodes: %v), want %v (%v)", first, first.RaisedByNodes, c.want,
+					c.raisedByNodes)
 			}
 			if byClass["service"].Name != c.want {
 				t.Errorf("got first limit %v of the class, want %v", byClass["service"], c.want)
@@ -74,16 +77,17 @@
 func TestClassHasFirstLimitOfItsOwn(t *testing.T) {
 	big := testClass()
 	big.Name, big.Cores, big.JobsPerSecond, big.MeanRuntimeSeconds = "big", 40, 0.1, 10
-	all, byClass := FirstLimits(Limits(testFleet(), []Class{testClass(), big}))
-	if byClass["big"].Class != "big" || byClass["big"].Name != ClassCapacity || all != byClass["big"] {
-		t.Errorf("got first limit %v of all and %v of big, want the class capacity of big for both", all, byClass["big"])
+	overall, byClass := FirstLimits(Limits(testFleet(), []Class{testClass(), big}))
+	if byClass["big"].Class != "big" || byClass["big"].Name != ClassCapacity || overall != byClass["big"] {
+		t.Errorf("got first limit %v of all and %v of big, want the class capacity of big for both", overall, byClass["big"])
 	}
-	if byClass["service"].Name != RequestedCores || byClass["service"].LoadMultiple <= all.LoadMultiple {
-		t.Errorf("got first limit %v of service and %v of all, want requested cores above that of all", byClass["service"], all)
+	if byClass["service"].Name != RequestedCores || byClass["service"].LoadMultiple <= overall.LoadMultiple {
+		t.Errorf("got first limit %v of service and %v of all, want requested cores above that of all", byClass["service"],
+			overall)
 	}
 }
 
-// The requirement is the lowest number of nodes with which the goal is met, or the reason why no number is enough.
+// The requirement is the lowest number of additional nodes that meets the goal, or the reason why no number is sufficient.
 func TestRequiredNodesByGoal(t *testing.T) {
 	service := testClass()
 	spread := testClass()
@@ -96,8 +100,8 @@
 		reason             string
 	}{
 		{"more nodes are required", service, 4, 1, math.MaxInt, string(RequestedCores)},
-		{"the present nodes are enough", service, 0.5, 0, 0, "the goal is met with the present nodes"},
-		{"no number is enough", spread, 50, Unattainable, Unattainable, string(SpreadCapacity)},
+		{"the present nodes are sufficient", service, 0.5, 0, 0, "the goal is met with the present nodes"},
+		{"no number is sufficient", spread, 50, Unattainable, Unattainable, string(SpreadCapacity)},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			for _, got := range RequiredNodes(testFleet(), []Class{c.class}, c.multiple) {
@@ -143,7 +147,7 @@
 				t.Errorf("got %d nodes, want %d", got, c.want)
 			}
 			if got := fleet.NodeCount(); got != 12 {
-				t.Errorf("got a fleet that was changed to %d nodes, want 12", got)
+				t.Errorf("Without changed its fleet to %d nodes, want 12", got)
 			}
 		})
 	}
@@ -151,14 +155,14 @@
 
 func TestReplacementCost(t *testing.T) {
 	if got := testFleet().ReplacementCost(6); got.SlowStartFraction != 0.5 || got.OffersPerSecond != 10 {
-		t.Errorf("got %+v, want a missing fraction of 0.5 and 10 offers a second", got)
+		t.Errorf("got %+v, want a slow-start fraction of 0.5 and 10 offers per second", got)
 	}
 }
 
-// More load is never further from a limit, more nodes never closer to one, and the estimate lies within its interval.
+// More load never raises the first limit, more nodes never lower it, and each estimate lies between Low and High.
 func TestLimitsAreMonotone(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		const slack = 0.000001 // of rounding
+		const slack = 0.000001 // for rounding errors
 		fleet, class := testFleet(), testClass()
 		class.JobsPerSecond = rapid.Float64Range(0.1, 100).Draw(t, "rate")
 		class.Cores = rapid.Float64Range(0.1, 20).Draw(t, "cores")
@@ -186,7 +190,7 @@
 	})
 }
 
-// The values are from tables of Erlang's loss formula at a loss of 1 in 100.
+// The expected values are from tables of Erlang's loss formula, for a loss of 1%.
 func TestLoadAtLossAgreesWithTables(t *testing.T) {
 	for _, c := range []struct{ servers, want float64 }{{1, 0.0101}, {10, 4.46}, {100, 84.1}} {
 		t.Run(fmt.Sprintf("%v servers", c.servers), func(t *testing.T) {
--- a/internal/planner/node_requirements.go
+++ b/internal/planner/node_requirements.go
@@ -5,18 +5,19 @@
 	"slices"
 )
 
-// NoNumberOfNodes as NodeRequirement.Nodes means that no number of nodes is enough.
+// Unattainable as NodeRequirement.AdditionalNodes means that no number of additional nodes is sufficient.
 const Unattainable = -1
 
-// NodeRequirement is the number of additional nodes of a kind that a goal requires.
+// NodeRequirement is the number of additional nodes of one kind that the fleet needs to support a multiple of its load.
 type NodeRequirement struct {
 	Kind            string
-	AdditionalNodes int // additional nodes; NoNumberOfNodes if no number is enough
+	AdditionalNodes int // Unattainable if no number is sufficient
 	Reason          string
 }
 
-// RequiredNodes returns, for each kind, how many additional nodes, distributed evenly over the zones, a multiple of the load
-// requires. If a limit that nodes don't raise is met before, no number is enough, and the reason is that limit.
+// RequiredNodes returns, for each kind of node, how many additional nodes the fleet needs to support the given multiple of the
+// load, if they are distributed evenly over the zones. The result is Unattainable, with the limit as the reason, if the load
+// reaches a limit that nodes don't raise, or if maxAddedNodes are too few.
 func RequiredNodes(f *Fleet, load []Class, multiple float64) []NodeRequirement {
 	var kinds []NodeGroup
 	var zones []string
@@ -35,10 +36,11 @@
 	return requirements
 }
 
-// maxAddedNodes limits the search for a number of nodes.
+// maxAddedNodes bounds the search for the number of additional nodes.
 const maxAddedNodes = 1 << 17
 
-// requiredNodesOfKind doubles the number of nodes until the goal is met, and then narrows it down.
+// requiredNodesOfKind returns the requirement of one kind. It doubles the number of additional nodes until the goal is met, and
+// then finds the lowest sufficient number by binary search.
 func requiredNodesOfKind(f *Fleet, load []Class, multiple float64, kind NodeGroup, zones []string) NodeRequirement {
 	firstLimit := func(added int) (limit Limit, goalMet bool) {
 		limit = Limits(f.withNodes(added, kind, zones), load)[0]
@@ -67,12 +69,12 @@
 	reason := "the goal is met with the present nodes"
 	if enough > 0 {
 		limit, _ := firstLimit(enough - 1)
-		reason = "with one fewer: " + limit.String()
+		reason = "with one node fewer: " + limit.String()
 	}
 	return NodeRequirement{Kind: kind.Kind, AdditionalNodes: enough, Reason: reason}
 }
 
-// withNodes returns the fleet with additional nodes of a kind, distributed evenly over the zones.
+// withNodes returns a copy of the fleet with additional nodes of a kind, distributed evenly over the zones.
 func (f *Fleet) withNodes(count int, kind NodeGroup, zones []string) *Fleet {
 	larger := *f
 	larger.Groups = slices.Clone(f.Groups)
@@ -90,18 +92,19 @@
 	return &larger
 }
 
-// Replacement is the cost of replacing nodes at the same time.
+// ReplacementCost is the effect of replacing several nodes at the same time.
 type ReplacementCost struct {
-	OffersPerSecond   float64 // offers that a new node gets in slow start, from all schedulers
-	SlowStartFraction float64 // fraction of the fleet's nodes that are in slow start
+	OffersPerSecond   float64 // offers to each new node in slow start, from all schedulers together
+	SlowStartFraction float64 // new nodes, all in slow start, as a fraction of the fleet's nodes
 	Reason            string
 }
 
-// windowMargin is the factor by which schedulers extend the overload window.
+// overloadWindowMargin is the factor by which schedulers extend the overload window when they count offers to a node in slow
+// start.
 const overloadWindowMargin = 1.5
 
-// ReplacementCost returns the cost of replacing a number of nodes at the same time: while they are in slow start, schedulers
-// send them no more offers than the slow-start budget.
+// ReplacementCost returns the effect of replacing the given number of nodes at the same time: while the new nodes are in slow
+// start, schedulers send them no more offers than the slow-start budget allows.
 func (f *Fleet) ReplacementCost(nodes int) ReplacementCost {
 	offersPerSecond := 0.0
 	if f.OverloadWindowSeconds > 0 {
@@ -110,7 +113,7 @@
 	return ReplacementCost{
 		OffersPerSecond:   offersPerSecond,
 		SlowStartFraction: float64(min(nodes, f.NodeCount())) / float64(max(f.NodeCount(), 1)),
-		Reason: fmt.Sprintf("%d nodes are in slow start for %.3gs and get %.3g offers a second each", nodes,
+		Reason: fmt.Sprintf("%d nodes are in slow start for %.3gs and get %.3g offers per second each", nodes,
 			f.SlowStartSeconds, offersPerSecond),
 	}
 }
