--- a/internal/settings/schema.cue
+++ b/internal/settings/schema.cue
@@ -5,7 +5,7 @@
 // #Duration is a duration in Go's syntax, such as 250ms or 1m30s.
 #Duration: =~"^([0-9]+(\\.[0-9]+)?(ns|us|ms|s|m|h))+$"
 
-// #Name is a name of letters, digits, "_", "." and "-", at most 64 characters long.
+// #Name is a name of letters, digits, "_", "." and "-". It starts with a letter or digit and has at most 64 characters.
 #Name: =~"^[A-Za-z0-9][A-Za-z0-9_.-]{0,63}$"
 
 // #Address is a host:port to listen on or to connect to.
