--- a/internal/benchadapter/machines.go
+++ b/internal/benchadapter/machines.go
@@ -58,13 +58,13 @@
 		Started:    f.Duration("last_start_ns"),
 		FreeCores:  f.Number("open_cores"),
 		FreeMemory: f.Number("spare_mem"),
-		State:      textfields.Lookup(&f.Fields, "readiness", machineStates, flaxshelf.Active),
+		State:      textfields.Enum(&f.Fields, "readiness", machineStates, flaxshelf.Active),
 	}
 	return listedMachine{machine: machine, kindName: f.Text("shape")}
 }
 
 // machineWithKind returns the machine with the number of its kind in an instance's settings, or -1 if they lack the kind.
-func (l listedMachine) machineWithKind(names *fleetsettings.Names) flaxshelf.Machine {
+func (l listedMachine) machineWithKind(names *fleetsettings.NameIndex) flaxshelf.Machine {
 	machine := l.machine
 	machine.Kind = names.Kind(l.kindName)
 	return machine
@@ -79,12 +79,12 @@
 		return flaxshelf.DiscoveryFailed{}
 	case "Partial", "Complete", "Persisted":
 	default:
-		f.Fail("form", form, "must be Complete, Partial, Persisted or Error")
+		f.RecordError("form", form, "must be Complete, Partial, Persisted or Error")
 		return nil
 	}
 	list, ok := r.machineLists[int(f.RequiredInteger("page"))]
 	if !ok {
-		f.Fail("page", f.Text("page"), "must be the number of a machine list that was registered before")
+		f.RecordError("page", f.Text("page"), "must be the number of a machine list that was registered before")
 		return nil
 	}
 	event := flaxshelf.MachinesUpdated{Complete: form != "Partial", Stale: form == "Persisted"}
--- a/internal/benchadapter/reader.go
+++ b/internal/benchadapter/reader.go
@@ -25,7 +25,7 @@
 type Start struct {
 	Seed   uint64
 	Config flaxshelf.Config
-	names  *fleetsettings.Names // in Config
+	names  *fleetsettings.NameIndex // in Config
 }
 
 // Message is a message about an instance. Exactly one of Start, Stop and Event is set.
@@ -60,16 +60,16 @@
 // which later messages refer.
 type Reader struct {
 	in           *bufio.Reader
-	names        map[int]*fleetsettings.Names // by instance
-	machineLists map[int][]listedMachine      // by page number
-	batchSerial  int64                        // of the current batch; 0 before the first
+	names        map[int]*fleetsettings.NameIndex // by instance
+	machineLists map[int][]listedMachine          // by page number
+	batchSerial  int64                            // of the current batch; 0 before the first
 }
 
 // NewReader returns a Reader that reads from in.
 func NewReader(in io.Reader) *Reader {
 	return &Reader{
 		in:           bufio.NewReaderSize(in, readBufferBytes),
-		names:        map[int]*fleetsettings.Names{},
+		names:        map[int]*fleetsettings.NameIndex{},
 		machineLists: map[int][]listedMachine{},
 	}
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -15,14 +15,14 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-const good = `
+const validSettings = `
 inventory: "127.0.0.1:7170"
 kinds: [{name: "k", cores: 8, memory: 32}]
 classes: [{name: "c", effect: "idempotent-by-key", group: "zone", window: "4s", aim: "1s", giveup: "5s", spread: "zone", most: 2, kind: "k"}]
 rules: drainGrace: "3s"
 `
 
-// parseScheduler parses settings without errors, as the file f.cue.
+// parseScheduler parses valid settings under the file name f.cue.
 func parseScheduler(t *testing.T, text string) *Scheduler {
 	t.Helper()
 	s, err := ParseScheduler("f.cue", []byte(text))
@@ -33,38 +33,38 @@
 }
 
 func TestSettingsBecomeConfigurations(t *testing.T) {
-	s := parseScheduler(t, good)
-	m, c := s.ModuleConfig(), s.CoreConfig(7)
-	k := m.Classes[0]
-	for _, x := range []struct {
+	s := parseScheduler(t, validSettings)
+	moduleConfig, coreConfig := s.ModuleConfig(), s.CoreConfig(7)
+	class := moduleConfig.Classes[0]
+	for _, test := range []struct {
 		name      string
 		got, want any
 	}{
 		{"name", s.Name, "flaxshelf"},
 		{"listen", s.ListenAddress, "127.0.0.1:7171"},
-		{"effect", k.Idempotency, flaxshelf.IdempotentByKey},
-		{"group", k.KeyDomain, flaxshelf.ZoneDomain},
-		{"window", k.KeyTTL, 4 * time.Second},
-		{"spread", k.SpreadDomain, flaxshelf.ZoneDomain},
-		{"most", k.MaxPerDomain, 2},
-		{"kind", k.Kind, 0},
-		{"late worth", k.LateStartWeight, 0.1},
-		{"grace", m.DrainGrace, 3 * time.Second},
-		{"stall", c.Limits.StallThreshold, 1500 * time.Millisecond},
-		{"give up", c.Limits.PlacementTimeouts[0], 5 * time.Second},
-		{"seed from the start", c.Seed, uint64(7)},
-		{"attempts", m.MaxAttempts, 3},
+		{"effect", class.Idempotency, flaxshelf.IdempotentByKey},
+		{"group", class.KeyDomain, flaxshelf.ZoneDomain},
+		{"window", class.KeyTTL, 4 * time.Second},
+		{"spread", class.SpreadDomain, flaxshelf.ZoneDomain},
+		{"most", class.MaxPerDomain, 2},
+		{"kind", class.Kind, 0},
+		{"late worth", class.LateStartWeight, 0.1},
+		{"drain grace", moduleConfig.DrainGrace, 3 * time.Second},
+		{"stall threshold", coreConfig.Limits.StallThreshold, 1500 * time.Millisecond},
+		{"placement timeout", coreConfig.Limits.PlacementTimeouts[0], 5 * time.Second},
+		{"seed from the start time", coreConfig.Seed, uint64(7)},
+		{"attempts", moduleConfig.MaxAttempts, 3},
 		{"class", s.ClassIndex("c"), 0},
 		{"no class", s.ClassIndex("x"), -1},
 		{"no tenant", s.TenantIndex("x"), -1},
 	} {
-		if x.got != x.want {
-			t.Errorf("%s: got %v, want %v", x.name, x.got, x.want)
+		if test.got != test.want {
+			t.Errorf("%s: got %v, want %v", test.name, test.got, test.want)
 		}
 	}
 }
 
-// Each error names the file, line and field and says what was expected. All errors are reported at once.
+// Each error names the file, line and field and says what was expected. All errors of a file are reported together.
 func TestErrorTexts(t *testing.T) {
 	for _, c := range []struct {
 		name, text string
@@ -72,17 +72,17 @@
 	}{
 		{"not CUE", `inventory: [`, []string{"f.cue:1:"}},
 		{"missing", `kinds: [{name: "k", cores: 1, memory: 1}]`, []string{"inventory", "classes"}},
-		{"unknown field", good + `wings: 2`, []string{"f.cue:6:1: wings: field not allowed"}},
-		{"wrong type", good + `tick: 5`, []string{"f.cue:6:7: tick:"}},
-		{"not a duration", good + `connect: "5 weeks"`, []string{"f.cue:6:", "connect:"}},
-		{"negative", good + `limits: maxOpen: -1`, []string{"f.cue:6:", "limits.maxOpen:", ">=1"}},
-		{"two at once", good + "tick: 5\nzone: 7", []string{"tick:", "zone:"}},
-		{"no such kind", strings.Replace(good, `kind: "k"`, `kind: "z"`, 1),
+		{"unknown field", validSettings + `wings: 2`, []string{"f.cue:6:1: wings: field not allowed"}},
+		{"wrong type", validSettings + `tick: 5`, []string{"f.cue:6:7: tick:"}},
+		{"not a duration", validSettings + `connect: "5 weeks"`, []string{"f.cue:6:", "connect:"}},
+		{"negative", validSettings + `limits: maxOpen: -1`, []string{"f.cue:6:", "limits.maxOpen:", ">=1"}},
+		{"two at once", validSettings + "tick: 5\nzone: 7", []string{"tick:", "zone:"}},
+		{"no such kind", strings.Replace(validSettings, `kind: "k"`, `kind: "z"`, 1),
 			[]string{"f.cue:4:", "classes[0].kind: no kind \"z\", expected one of kinds"}},
-		{"aim over giveup", strings.Replace(good, `aim: "1s"`, `aim: "9s"`, 1),
+		{"aim over giveup", strings.Replace(validSettings, `aim: "1s"`, `aim: "9s"`, 1),
 			[]string{"f.cue:4:", "classes[0].aim: is 9s, expected at most giveup, which is 5s"}},
-		{"index", good + "index: 4", []string{"f.cue:6:8: index: is 4, expected below schedulers, which is 1"}},
-		{"tenants", good + `tenants: [{name: "a"}, {name: "a"}]`, []string{`tenants[1].name: "a" names two tenants`}},
+		{"index", validSettings + "index: 4", []string{"f.cue:6:8: index: is 4, expected below schedulers, which is 1"}},
+		{"tenants", validSettings + `tenants: [{name: "a"}, {name: "a"}]`, []string{`tenants[1].name: "a" names two tenants`}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			_, err := ParseScheduler("f.cue", []byte(c.text))
@@ -113,11 +113,11 @@
 		name, text string
 		want       ConfigError
 	}{
-		{"own check", good + "index: 4", ConfigError{File: "f.cue", Line: 6, Column: 8, Field: "index", Value: "4",
+		{"check of this package", validSettings + "index: 4", ConfigError{File: "f.cue", Line: 6, Column: 8, Field: "index", Value: "4",
 			Reason: "is 4, expected below schedulers, which is 1"}},
-		{"of an element", strings.Replace(good, `kind: "k"`, `kind: "z"`, 1), ConfigError{File: "f.cue", Line: 4, Column: 137,
+		{"field of a list element", strings.Replace(validSettings, `kind: "k"`, `kind: "z"`, 1), ConfigError{File: "f.cue", Line: 4, Column: 137,
 			Field: "classes[0].kind", Value: `"z"`, Reason: `no kind "z", expected one of kinds`}},
-		{"unknown field", good + "wings: 2", ConfigError{File: "f.cue", Line: 6, Column: 1, Field: "wings", Value: "2",
+		{"unknown field", validSettings + "wings: 2", ConfigError{File: "f.cue", Line: 6, Column: 1, Field: "wings", Value: "2",
 			Reason: "field not allowed"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -133,9 +133,9 @@
 	}
 }
 
-// Errors are in the order of their lines, whichever check has found them first.
+// Errors are sorted by line, regardless of the order in which the checks found them.
 func TestErrorsAreInFileOrder(t *testing.T) {
-	text := strings.Replace(good, `kind: "k"`, `kind: "z"`, 1) + "tenants: [{name: \"a\"}, {name: \"a\"}]\nindex: 4"
+	text := strings.Replace(validSettings, `kind: "k"`, `kind: "z"`, 1) + "tenants: [{name: \"a\"}, {name: \"a\"}]\nindex: 4"
 	_, err := ParseScheduler("f.cue", []byte(text))
 	var got ConfigErrors
 	if !errors.As(err, &got) {
@@ -150,7 +150,7 @@
 	}
 }
 
-// The tag of each field of a record is a key of the schema.
+// The JSON tag of each struct field is a key of its definition in the schema; otherwise the field would never be set.
 func TestTagsAreKeysOfTheSchema(t *testing.T) {
 	base := cuecontext.New().CompileString(schema)
 	for definition, record := range map[string]any{"#Scheduler": Scheduler{}, "#Fleet": Fleet{}, "#Node": Node{},
