--- a/internal/scheduler/submission.go
+++ b/internal/scheduler/submission.go
@@ -57,8 +57,7 @@
 func (c *Core) admissionError(in Submit) *Error {
 	// An overloaded core would otherwise accept jobs whose deadlines leave it too little time to place them.
 	if late := c.now - in.ReceivedAt; in.ReceivedAt > 0 && late > c.placementTimeout(&in.Spec)/2 {
-		return newError(TryLater, overloadRetryAfter, "the submission waited %v, want at most half of its placement timeout %v",
-			late.Round(time.Millisecond), c.placementTimeout(&in.Spec))
+		return newError(TryLater, overloadRetryAfter, "the scheduler is %v behind", late.Round(time.Millisecond))
 	}
 	limits := &c.cfg.Limits
 	switch {
