--- a/evidence_test.go
+++ b/evidence_test.go
@@ -115,7 +115,7 @@
 }
 
 // Where there are far fewer placements than machines, an ejection lasts for at least the mean time between this scheduler's
-// offers to one machine, and that time is limited to failureMemory.
+// offers to one machine, and that time is limited to outcomeRetention.
 func TestEjectionLastsTrialInterval(t *testing.T) {
 	p := startPlacer(t, testConfig(), testMachines(10))
 	for i := range 4 {
@@ -132,7 +132,7 @@
 	}
 }
 
-// Each acceptance after a rejection allows one more pending offer. The limit ends when maxOfferWindow offers are allowed.
+// Each acceptance after a rejection allows one more pending offer. The limit ends when maxOfferLimit offers are allowed.
 func TestAcceptancesEndOfferLimit(t *testing.T) {
 	p := startPlacer(t, testConfig(), testMachines(1))
 	m, accepted := p.sortedMachines[0], p.addTask(newSubmission("t", 0, 0).Task)
@@ -140,11 +140,11 @@
 	for want := 2; want < maxOfferLimit; want++ {
 		p.recordAcceptance(accepted, m)
 		if m.offerLimit != want {
-			t.Fatalf("got an offer window of %d after %d acceptances, want %d", m.offerLimit, want-1, want)
+			t.Fatalf("got an offer limit of %d after %d acceptances, want %d", m.offerLimit, want-1, want)
 		}
 	}
 	p.recordAcceptance(accepted, m)
 	if m.offerLimit != 0 {
-		t.Errorf("got an offer window of %d after %d acceptances, want 0: no limit", m.offerLimit, maxOfferLimit-1)
+		t.Errorf("got an offer limit of %d after %d acceptances, want 0: no limit", m.offerLimit, maxOfferLimit-1)
 	}
 }
--- a/helpers_test.go
+++ b/helpers_test.go
@@ -63,7 +63,7 @@
 	return AttemptEnded{Task: offer.Task, Machine: offer.Machine, Outcome: outcome}
 }
 
-// addPlacement adds a placement to the history. The number is the machine's position in machinesByID.
+// addPlacement adds a placement to the history. The number is the machine's position in sortedMachines.
 func addPlacement(p *Placer, number int, placed machineindex.Placement) *machineindex.Placement {
 	placed.Machine = p.sortedMachines[number].entry
 	p.index.AddPlacement(&placed)
--- a/internal/shard/shardmap.go
+++ b/internal/shard/shardmap.go
@@ -125,7 +125,7 @@
 	return m.CoreOfJob(job)
 }
 
-// SplitReport divides a node's report among the cores: each core gets a NodeUp with its own jobs. A job of a former
+// SplitReport divides a node's report among the cores: each core gets a NodeConnected with its own jobs. A job of a former
 // incarnation, which may have had another number of cores, is assigned to the core that the same submission would get, so
 // that an owner that retries finds it and the spread limit of its service counts it. If neither a key nor a service determines
 // the core, the job's ID does.
--- a/oracle_scan_test.go
+++ b/oracle_scan_test.go
@@ -206,7 +206,7 @@
 	return o.scanPreferred(t, remaining)
 }
 
-// scanWithoutCapacity returns those of the machines that are not expected to have capacity for t, see withoutCapacity.
+// scanWithoutCapacity returns those of the machines that are not expected to have capacity for t, see machinesWithoutCapacity.
 func (o *choiceOracle) scanWithoutCapacity(t *task, machines []*machine, recordStart bool) map[*machine]bool {
 	p, full := o.placer, map[*machine]bool{}
 	var accepting []*machine
@@ -413,7 +413,7 @@
 	return contenders
 }
 
-// recentPlacementsOn returns the placements on the machines among the last maxHistory of the history, in order of time.
+// recentPlacementsOn returns the placements on the machines among the last maxHistoryPlacements, in order of time.
 func (o *choiceOracle) recentPlacementsOn(machines []*machine) (found []*oraclePlacement) {
 	for _, placed := range o.history[max(0, len(o.history)-maxHistoryPlacements):] {
 		o.resolveMachine(placed)
--- a/oracle_test.go
+++ b/oracle_test.go
@@ -182,7 +182,7 @@
 	}
 }
 
-// compareMachineNumbers checks that machinesByID has all machine records in the order of their IDs.
+// compareMachineNumbers checks that sortedMachines has all machine records in the order of their IDs.
 func (o *choiceOracle) compareMachineNumbers() {
 	var ids []string
 	for id := range o.placer.machines {
@@ -191,7 +191,7 @@
 	slices.Sort(ids)
 	numbered := o.placer.sortedMachines
 	if !slices.EqualFunc(ids, numbered, func(id string, m *machine) bool { return m.ID == id }) {
-		o.recordMismatch("machinesByID has %d machines, want all %d in the order of their IDs: %v", len(numbered), len(ids), ids)
+		o.recordMismatch("sortedMachines has %d machines, want all %d in the order of their IDs: %v", len(numbered), len(ids), ids)
 	}
 }
 
--- a/slow_start_test.go
+++ b/slow_start_test.go
@@ -184,7 +184,7 @@
 	return offers
 }
 
-// maxWithin returns the largest number of times within any window of the given length.
+// maxInWindow returns the largest number of times within any window of the given length.
 func maxInWindow(window time.Duration, times []Time) (maxCount int) {
 	first := 0
 	for last := range times {
