--- a/config.go
+++ b/config.go
@@ -65,15 +65,17 @@
 func validateClass(field string, class TaskClass, kinds int) error {
 	switch {
 	case class.Kind < -1 || class.Kind >= kinds:
-		return &ConfigError{field + ".Kind", class.Kind, "no such kind"}
+		return &ConfigError{field + ".Kind", class.Kind, "must be -1 or an index in Config.Kinds"}
 	case class.Idempotency < Idempotent || class.Idempotency > NonIdempotent:
-		return &ConfigError{field + ".Idempotency", int(class.Idempotency), "no such idempotency"}
+		return &ConfigError{field + ".Idempotency", int(class.Idempotency),
+			"must be Idempotent (0), IdempotentByKey (1) or NonIdempotent (2)"}
 	case class.Idempotency == IdempotentByKey && (class.KeyDomain < MachineDomain || class.KeyDomain > FleetDomain):
-		return &ConfigError{field + ".KeyDomain", int(class.KeyDomain), "an idempotency key needs a domain"}
+		return &ConfigError{field + ".KeyDomain", int(class.KeyDomain),
+			"must be from MachineDomain (1) to FleetDomain (4) with IdempotentByKey"}
 	case class.SpreadDomain < NoDomain || class.SpreadDomain > ZoneDomain:
-		return &ConfigError{field + ".SpreadDomain", int(class.SpreadDomain), "no domain to spread over"}
+		return &ConfigError{field + ".SpreadDomain", int(class.SpreadDomain), "must be from NoDomain (0) to ZoneDomain (3)"}
 	case class.SpreadDomain != NoDomain && class.MaxPerDomain < 1:
-		return &ConfigError{field + ".MaxPerDomain", class.MaxPerDomain, "a bounded spread needs 1 or more"}
+		return &ConfigError{field + ".MaxPerDomain", class.MaxPerDomain, "must be above 0 unless SpreadDomain is NoDomain"}
 	}
 	return nil
 }
