--- a/internal/machineindex/helpers_test.go
+++ b/internal/machineindex/helpers_test.go
@@ -34,8 +34,8 @@
 			},
 			HashThreshold: func(weight, totalWeight float64) float64 { return math.Exp(-5 / totalWeight * weight) },
 		},
-		HistoryLimit:    testHistoryLimit,
-		MaxIdleServices: 2,
+		HistoryLimit:            testHistoryLimit,
+		ServiceRemovalThreshold: 2,
 	})
 	f := &fleet{t: t, index: index}
 	for i := range machineCount {
--- a/internal/machineindex/index.go
+++ b/internal/machineindex/index.go
@@ -10,9 +10,9 @@
 
 // Options configures an Index.
 type Options struct {
-	Affinity        AffinityPolicy
-	HistoryLimit    int // maximum number of recent placements, see History.Recent
-	MaxIdleServices int // a service whose last active attempt ends is removed if there are more services than this
+	Affinity                AffinityPolicy
+	HistoryLimit            int // maximum number of recent placements, see History.Recent
+	ServiceRemovalThreshold int // a service whose last active attempt ends is removed if there are more services than this
 }
 
 // Index has the machines of one scheduler by number, see the package documentation. Use New to create one.
@@ -70,7 +70,7 @@
 		fleetVersion: 1,
 		affinity:     affinityTable{policy: options.Affinity},
 		history:      History{limit: options.HistoryLimit},
-		services:     newServiceTable(options.MaxIdleServices),
+		services:     newServiceTable(options.ServiceRemovalThreshold),
 	}
 	idx.assumed.resize(0)
 	return idx
--- a/internal/machineindex/services.go
+++ b/internal/machineindex/services.go
@@ -24,18 +24,18 @@
 
 // serviceTable has the services of an Index, and the domains in which their attempts are counted.
 type serviceTable struct {
-	byName  map[string]*Service
-	maxIdle int
-	zones   domainSet[string]
-	cells   domainSet[int]
+	byName           map[string]*Service
+	removalThreshold int
+	zones            domainSet[string]
+	cells            domainSet[int]
 }
 
-func newServiceTable(maxIdle int) serviceTable {
+func newServiceTable(removalThreshold int) serviceTable {
 	return serviceTable{
-		byName:  map[string]*Service{},
-		maxIdle: maxIdle,
-		zones:   domainSet[string]{},
-		cells:   domainSet[int]{},
+		byName:           map[string]*Service{},
+		removalThreshold: removalThreshold,
+		zones:            domainSet[string]{},
+		cells:            domainSet[int]{},
 	}
 }
 
@@ -94,7 +94,7 @@
 		return
 	}
 	idx.removeMachine(service, count)
-	if len(count.service.machines) == 0 && len(idx.services.byName) > idx.services.maxIdle {
+	if len(count.service.machines) == 0 && len(idx.services.byName) > idx.services.removalThreshold {
 		delete(idx.services.byName, service)
 	}
 }
--- a/internal/machineindex/services_test.go
+++ b/internal/machineindex/services_test.go
@@ -125,7 +125,7 @@
 	for i := range 10 {
 		f.index.RemoveAttempt(fmt.Sprint("s", i), f.entries[0])
 	}
-	if got, want := len(f.index.services.byName), f.index.services.maxIdle; got != want {
+	if got, want := len(f.index.services.byName), f.index.services.removalThreshold; got != want {
 		t.Errorf("got %d idle services, want %d", got, want)
 	}
 	if f.index.FindService("s0") != nil || f.index.FindService("s9") == nil {
--- a/placer.go
+++ b/placer.go
@@ -64,9 +64,9 @@
 	cfg.Schedulers = max(cfg.Schedulers, 1)
 	source := rand.NewPCG(seed, randomStream)
 	index := machineindex.New(machineindex.Options{
-		Affinity:        affinityPolicy(cfg.Kinds),
-		HistoryLimit:    maxHistoryPlacements,
-		MaxIdleServices: maxIdleServices,
+		Affinity:                affinityPolicy(cfg.Kinds),
+		HistoryLimit:            maxHistoryPlacements,
+		ServiceRemovalThreshold: serviceRemovalThreshold,
 	})
 	return &Placer{
 		cfg:          cfg,
--- a/tuning.go
+++ b/tuning.go
@@ -53,5 +53,5 @@
 	maxSubscribeDoublings   = 3
 	minSubscribeInterval    = time.Second
 	removedMachineRetention = time.Minute // how long the record of a removed machine is kept
-	maxIdleServices         = 4096        // number of services without an active attempt whose records are kept
+	serviceRemovalThreshold = 4096        // an idle service is removed from the index if there are more services than this
 )
