--- a/cmd/flaxshelf/deploy_test.go
+++ b/cmd/flaxshelf/deploy_test.go
@@ -16,19 +16,19 @@
 
 const repoRoot = "../.."
 
-// deployFile has the keys that the platform reads of deploy/balancer.toml.
-type deployFile struct {
+// deployConfig has the keys that the platform reads of deploy/balancer.toml.
+type deployConfig struct {
 	Build, Run, Sim string
 	Policy, Node    []string
 }
 
-func readDeploy(t *testing.T) deployFile {
+func readDeployFile(t *testing.T) deployConfig {
 	t.Helper()
 	b, err := os.ReadFile(filepath.Join(repoRoot, "deploy", "balancer.toml"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	var d deployFile
+	var d deployConfig
 	if err := toml.Unmarshal(b, &d); err != nil {
 		t.Fatal(err)
 	}
@@ -37,7 +37,7 @@
 
 // The platform's shell must be replaced by the scheduler, so that signals reach it.
 func TestDeployFileRunsOneProcess(t *testing.T) {
-	d := readDeploy(t)
+	d := readDeployFile(t)
 	for name, line := range map[string]string{"run": d.Run, "sim": d.Sim} {
 		t.Run(name, func(t *testing.T) {
 			if !strings.HasPrefix(line, "exec bin/") {
@@ -52,7 +52,7 @@
 
 // A renamed package must be renamed in the deploy file too.
 func TestDeployFileNamesExistingFiles(t *testing.T) {
-	d := readDeploy(t)
+	d := readDeployFile(t)
 	for _, name := range append(slices.Clone(d.Policy), d.Node...) {
 		if _, err := os.Stat(filepath.Join(repoRoot, name)); err != nil {
 			t.Errorf("deploy/balancer.toml names %s: %v", name, err)
@@ -63,7 +63,7 @@
 // The bench's clock is a library that the dynamic linker loads into the process, so the program must name that linker and
 // the C library.
 func TestDeployFileBuildsADynamicallyLinkedProgram(t *testing.T) {
-	d := readDeploy(t)
+	d := readDeployFile(t)
 	dir := t.TempDir() + "/"
 	line := strings.Replace(d.Build, "-o bin/", "-o "+dir, 1)
 	if line == d.Build {
--- a/cmd/flaxshelf/deprecated.go
+++ b/cmd/flaxshelf/deprecated.go
@@ -9,12 +9,12 @@
 	"github.com/rs/zerolog"
 )
 
-// replacementTag is the key of the struct tag of a deprecated flag; its value is the name of the flag that replaces it.
+// replacementTagKey is the key of the struct tag of a deprecated flag; its value is the name of the flag that replaces it.
 // Both flags have the same type.
-const replacementTag = "replacement"
+const replacementTagKey = "replacement"
 
-// deprecatedFlagsRemovedIn is the version without the deprecated flags.
-const deprecatedFlagsRemovedIn = "0.2.0"
+// deprecatedFlagsRemovalVersion is the version without the deprecated flags.
+const deprecatedFlagsRemovalVersion = "0.2.0"
 
 // applyDeprecatedFlags sets the replacement of each deprecated flag that was given, and logs a warning that names it.
 // It returns a usageError if both are given.
@@ -22,7 +22,7 @@
 	given := givenFlags(command)
 	for _, name := range slices.Sorted(maps.Keys(given)) {
 		deprecated := given[name]
-		replacementName := deprecated.Tag.Get(replacementTag)
+		replacementName := deprecated.Tag.Get(replacementTagKey)
 		if replacementName == "" {
 			continue
 		}
@@ -35,7 +35,7 @@
 		}
 		replacement.Target.Set(deprecated.Target)
 		log.Warn().Str("flag", "--"+name).Str("replacement", "--"+replacementName).
-			Str("removed_in", deprecatedFlagsRemovedIn).Msg("deprecated flag")
+			Str("removed_in", deprecatedFlagsRemovalVersion).Msg("deprecated flag")
 	}
 	return nil
 }
--- a/cmd/flaxshelf/deprecated_test.go
+++ b/cmd/flaxshelf/deprecated_test.go
@@ -13,20 +13,20 @@
 
 // parseCommandLine parses a command line as run does, and returns the commands, the log and the error of
 // applyDeprecatedFlags.
-func parseCommandLine(t *testing.T, args []string) (commands *commandLine, log string, err error) {
+func parseCommandLine(t *testing.T, args []string) (commands *commandLine, logOutput string, err error) {
 	t.Helper()
-	var out, errOut buffer
+	var out, errOut outputBuffer
 	std := &streams{out: newPrinter(&out), err: newPrinter(&errOut), log: &errOut}
 	commands = &commandLine{}
 	parser, err := newParser(context.Background(), std, commands, func(int) {})
 	if err != nil {
 		t.Fatal(err)
 	}
-	command, err := parser.Parse(args)
+	parsed, err := parser.Parse(args)
 	if err != nil {
 		t.Fatal(err)
 	}
-	err = applyDeprecatedFlags(command, std.newLogger("warn"))
+	err = applyDeprecatedFlags(parsed, std.newLogger("warn"))
 	return commands, errOut.String(), err
 }
 
@@ -66,7 +66,7 @@
 	for _, c := range deprecatedFlagTests {
 		t.Run(c.name, func(t *testing.T) {
 			for _, flag := range []string{c.deprecated, c.replacement} {
-				commands, log, err := parseCommandLine(t, append(c.command, withValue(flag, c.value)))
+				commands, log, err := parseCommandLine(t, append(c.command, flagArgument(flag, c.value)))
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -91,7 +91,7 @@
 func TestDeprecatedFlagWithItsReplacementIsRejected(t *testing.T) {
 	for _, c := range deprecatedFlagTests {
 		t.Run(c.name, func(t *testing.T) {
-			_, _, err := parseCommandLine(t, append(c.command, withValue(c.deprecated, c.value), withValue(c.replacement, c.value)))
+			_, _, err := parseCommandLine(t, append(c.command, flagArgument(c.deprecated, c.value), flagArgument(c.replacement, c.value)))
 			if got := exitCode(err); got != exitUsage {
 				t.Errorf("got exit code %d (%v), want %d", got, err, exitUsage)
 			}
@@ -99,8 +99,8 @@
 	}
 }
 
-// withValue returns a flag as an argument, with its value if it takes one.
-func withValue(flag, value string) string {
+// flagArgument returns a flag as an argument, with its value if it takes one.
+func flagArgument(flag, value string) string {
 	if value == "" {
 		return flag
 	}
@@ -119,7 +119,7 @@
 	}
 	for _, leaf := range parser.Model.Leaves(false) {
 		for _, flag := range leaf.Flags {
-			replacement := flag.Tag.Get(replacementTag)
+			replacement := flag.Tag.Get(replacementTagKey)
 			if replacement == "" {
 				continue
 			}
@@ -127,7 +127,7 @@
 			if !tested[name] {
 				t.Errorf("%s: got no entry in deprecatedFlagTests, want one", name)
 			}
-			want := "Deprecated: use --" + replacement + "; removed in " + deprecatedFlagsRemovedIn + "."
+			want := "Deprecated: use --" + replacement + "; removed in " + deprecatedFlagsRemovalVersion + "."
 			if flag.Help != want {
 				t.Errorf("%s: got help %q, want %q", name, flag.Help, want)
 			}
--- a/cmd/flaxshelf/emulate.go
+++ b/cmd/flaxshelf/emulate.go
@@ -35,22 +35,22 @@
 	if c.Workers < 1 || c.Workers > 1 && (c.Verify || c.Record != "") {
 		return usageError{fmt.Errorf("--workers is %d: expected 1 or more, and 1 with --verify or --record", c.Workers)}
 	}
-	played, err := c.load()
+	trace, err := c.readLoad()
 	if err != nil {
 		return err
 	}
-	options := emulator.Options{Seed: c.Seed, Workers: c.Workers, Load: played}
+	options := emulator.Options{Seed: c.Seed, Workers: c.Workers, Load: trace}
 	if c.ProgressInterval > 0 {
-		options.Progress = c.progress(std)
+		options.Progress = c.progressReporter(std)
 	}
 	if c.Verify {
-		return c.verify(ctx, std, day, options)
+		return c.runAndVerify(ctx, std, day, options)
 	}
-	return c.measure(ctx, std, day, options)
+	return c.runAndMeasure(ctx, std, day, options)
 }
 
-// verify emulates the day and checks the trace against the rules.
-func (c *emulateCmd) verify(ctx context.Context, std *streams, day *scenario.Day, options emulator.Options) error {
+// runAndVerify emulates the day and checks the trace against the rules.
+func (c *emulateCmd) runAndVerify(ctx context.Context, std *streams, day *scenario.Day, options emulator.Options) error {
 	report, verdict, err := emulator.RunAndCheck(ctx, day, options)
 	if err != nil {
 		return err
@@ -60,15 +60,15 @@
 		return errRuleViolated
 	}
 	if report.Unaccounted > 0 {
-		return unaccountedError{submissions: report.Unaccounted}
+		return missingOutcomesError{submissions: report.Unaccounted}
 	}
 	return nil
 }
 
-// measure emulates the day and prints the simulated time per second of wall time.
-func (c *emulateCmd) measure(ctx context.Context, std *streams, day *scenario.Day, options emulator.Options) error {
+// runAndMeasure emulates the day and prints the simulated time per second of wall time.
+func (c *emulateCmd) runAndMeasure(ctx context.Context, std *streams, day *scenario.Day, options emulator.Options) error {
 	start := time.Now()
-	report, err := c.emulate(ctx, day, options)
+	report, err := c.runEmulator(ctx, day, options)
 	if err != nil {
 		return err
 	}
@@ -78,8 +78,8 @@
 	return nil
 }
 
-// emulate emulates the day, and writes the recording if --record is set.
-func (c *emulateCmd) emulate(ctx context.Context, day *scenario.Day,
+// runEmulator emulates the day, and writes the recording if --record is set.
+func (c *emulateCmd) runEmulator(ctx context.Context, day *scenario.Day,
 	options emulator.Options) (*emulator.Report, error) {
 	if c.Record == "" {
 		return emulator.Run(ctx, day, options)
@@ -94,8 +94,8 @@
 	return report, err
 }
 
-// load returns the jobs of the plan or trace, or nil for the day's own load.
-func (c *emulateCmd) load() (*load.Trace, error) {
+// readLoad returns the jobs of the plan or trace, or nil for the day's own load.
+func (c *emulateCmd) readLoad() (*load.Trace, error) {
 	switch {
 	case c.Plan != "":
 		return readPlan(c.Plan, c.Seed)
@@ -107,8 +107,9 @@
 
 const bytesPerMebibyte = 1 << 20
 
-// progress prints the simulated time and the memory in use, at most once in each interval of simulated time.
-func (c *emulateCmd) progress(std *streams) func(float64) {
+// progressReporter returns a function that prints the simulated time and the live heap, at most once in each
+// --progress-interval of simulated time. Its argument is the simulated time in seconds.
+func (c *emulateCmd) progressReporter(std *streams) func(float64) {
 	next := c.ProgressInterval.Seconds()
 	return func(seconds float64) {
 		if seconds < next {
--- a/cmd/flaxshelf/file.go
+++ b/cmd/flaxshelf/file.go
@@ -10,8 +10,8 @@
 func readFile[T any](path string, read func(io.Reader) (T, error)) (T, error) {
 	f, err := os.Open(path)
 	if err != nil {
-		var none T
-		return none, err
+		var zero T
+		return zero, err
 	}
 	content, err := read(f)
 	return content, errors.Join(err, f.Close())
--- a/cmd/flaxshelf/job.go
+++ b/cmd/flaxshelf/job.go
@@ -11,7 +11,7 @@
 	Server string `default:"http://127.0.0.1:7171" env:"FLAXSHELF_SERVER" placeholder:"URL" help:"The scheduler."`
 }
 
-func (s *serverFlag) client() *drmaa2.Client { return drmaa2.NewClient(s.Server) }
+func (s *serverFlag) newClient() *drmaa2.Client { return drmaa2.NewClient(s.Server) }
 
 type jobCmd struct {
 	Run       jobRunCmd       `cmd:"" help:"Submit a job (RunJob)."`
@@ -34,7 +34,7 @@
 
 // withJob calls use with the job, and closes the client afterwards.
 func (a *jobArgument) withJob(ctx context.Context, use func(*drmaa2.Job) error) error {
-	client := a.client()
+	client := a.newClient()
 	defer client.Close()
 	job, err := client.Job(ctx, a.Job)
 	if err != nil {
@@ -45,7 +45,7 @@
 
 // control calls one of the client's operations on the job or array.
 func (a *jobArgument) control(ctx context.Context, operation func(*drmaa2.Client, context.Context, string) error) error {
-	client := a.client()
+	client := a.newClient()
 	defer client.Close()
 	return operation(client, ctx, a.Job)
 }
--- a/cmd/flaxshelf/job_query.go
+++ b/cmd/flaxshelf/job_query.go
@@ -12,8 +12,8 @@
 // errJobNotDone reports that a job ended in another state than DONE.
 var errJobNotDone = errors.New("the job did not end as DONE")
 
-// printResult prints the state of a job after a wait. The error is errJobNotDone if the job failed.
-func printResult(std *streams, info *drmaa2.JobInfo) error {
+// printWaitResult prints the state of a job after a wait. The error is errJobNotDone if the job failed.
+func printWaitResult(std *streams, info *drmaa2.JobInfo) error {
 	std.out.println(info.JobState, info.JobSubState, info.Annotation)
 	if info.JobState == drmaa2.Failed {
 		return errJobNotDone
@@ -56,7 +56,7 @@
 		if err != nil {
 			return err
 		}
-		return printResult(std, info)
+		return printWaitResult(std, info)
 	})
 }
 
@@ -64,7 +64,7 @@
 
 // Run prints the JobInfo of the job, or of each job of the array, as JSON.
 func (c *jobInfoCmd) Run(ctx context.Context, std *streams) error {
-	client := c.client()
+	client := c.newClient()
 	defer client.Close()
 	infos, err := client.JobInfos(ctx, c.Job)
 	if err != nil {
@@ -86,7 +86,7 @@
 
 // Run lists jobs.
 func (c *jobListCmd) Run(ctx context.Context, std *streams) error {
-	client := c.client()
+	client := c.newClient()
 	defer client.Close()
 	monitoring, err := client.OpenMonitoringSession(ctx)
 	if err != nil {
--- a/cmd/flaxshelf/job_submit.go
+++ b/cmd/flaxshelf/job_submit.go
@@ -37,46 +37,46 @@
 
 // template returns the template of the file, if there is one, with the attributes that flags set.
 func (f *templateFlags) template() (drmaa2.JobTemplate, error) {
-	t, err := f.readTemplate()
+	template, err := f.readTemplate()
 	if err != nil {
-		return t, err
+		return template, err
 	}
-	setUnlessEmpty(&t.RemoteCommand, f.Command)
-	setUnlessEmpty(&t.JobCategory, f.Class)
-	setUnlessEmpty(&t.AccountingID, f.Tenant)
-	setUnlessEmpty(&t.JobName, f.Name)
+	setIfNotEmpty(&template.RemoteCommand, f.Command)
+	setIfNotEmpty(&template.JobCategory, f.Class)
+	setIfNotEmpty(&template.AccountingID, f.Tenant)
+	setIfNotEmpty(&template.JobName, f.Name)
 	if len(f.Args) > 0 {
-		t.Args = f.Args
+		template.Args = f.Args
 	}
-	t.SubmitAsHold = t.SubmitAsHold || f.Hold
-	t.Rerunnable = t.Rerunnable || f.Rerunnable
-	if t.ImplementationSpecific == nil {
-		t.ImplementationSpecific = map[string]string{}
+	template.SubmitAsHold = template.SubmitAsHold || f.Hold
+	template.Rerunnable = template.Rerunnable || f.Rerunnable
+	if template.ImplementationSpecific == nil {
+		template.ImplementationSpecific = map[string]string{}
 	}
 	for name, value := range f.implementationSpecific() {
 		if value != "" {
-			t.ImplementationSpecific[name] = value
+			template.ImplementationSpecific[name] = value
 		}
 	}
-	if t.RemoteCommand == "" {
-		return t, usageError{errors.New("no command: name one, or a --file that has a remoteCommand")}
+	if template.RemoteCommand == "" {
+		return template, usageError{errors.New("no command: name one, or a --file that has a remoteCommand")}
 	}
-	return t, nil
+	return template, nil
 }
 
 func (f *templateFlags) readTemplate() (drmaa2.JobTemplate, error) {
-	var t drmaa2.JobTemplate
+	var template drmaa2.JobTemplate
 	if f.File == "" {
-		return t, nil
+		return template, nil
 	}
 	text, err := os.ReadFile(f.File)
 	if err != nil {
-		return t, err
+		return template, err
 	}
-	if err := json.Unmarshal(text, &t); err != nil {
-		return t, usageError{fmt.Errorf("%s: not a JobTemplate: %w", f.File, err)}
+	if err := json.Unmarshal(text, &template); err != nil {
+		return template, usageError{fmt.Errorf("%s: not a JobTemplate: %w", f.File, err)}
 	}
-	return t, nil
+	return template, nil
 }
 
 // implementationSpecific returns the attributes that are specific to flaxshelf. Those that no flag sets are empty.
@@ -86,19 +86,19 @@
 		drmaa2.AttrKey:              f.Key,
 		drmaa2.AttrCores:            f.Cores,
 		drmaa2.AttrMemory:           f.Memory,
-		drmaa2.AttrExpectedRuntime:  durationText(f.ExpectedRuntime),
-		drmaa2.AttrPlacementTimeout: durationText(f.PlacementTimeout),
+		drmaa2.AttrExpectedRuntime:  formatDuration(f.ExpectedRuntime),
+		drmaa2.AttrPlacementTimeout: formatDuration(f.PlacementTimeout),
 	}
 }
 
-func setUnlessEmpty(to *string, value string) {
+func setIfNotEmpty(target *string, value string) {
 	if value != "" {
-		*to = value
+		*target = value
 	}
 }
 
-// durationText returns a duration as text, or the empty string for zero.
-func durationText(d time.Duration) string {
+// formatDuration returns a duration as text, or the empty string for zero.
+func formatDuration(d time.Duration) string {
 	if d == 0 {
 		return ""
 	}
@@ -131,7 +131,7 @@
 	if err != nil {
 		return err
 	}
-	client := f.client()
+	client := f.newClient()
 	defer client.Close()
 	session, err := f.openSession(ctx, client)
 	if err != nil {
@@ -173,7 +173,7 @@
 	if err != nil {
 		return err
 	}
-	return printResult(std, info)
+	return printWaitResult(std, info)
 }
 
 type jobBulkCmd struct {
--- a/cmd/flaxshelf/load.go
+++ b/cmd/flaxshelf/load.go
@@ -78,7 +78,7 @@
 	if err != nil {
 		return err
 	}
-	client := c.client()
+	client := c.newClient()
 	defer client.Close()
 	result, err := load.Send(ctx, client, trace, load.Options{Session: c.Session, Speed: c.Speed, Wait: c.Wait,
 		Prefix: fmt.Sprintf("load-%x", time.Now().UnixNano())})
@@ -97,7 +97,7 @@
 
 // Run captures a load.
 func (c *loadCaptureCmd) Run(ctx context.Context, std *streams) error {
-	client := c.client()
+	client := c.newClient()
 	defer client.Close()
 	trace, err := load.Capture(ctx, client, c.For)
 	if err != nil {
@@ -117,11 +117,11 @@
 func (c *loadImportCmd) Run(std *streams) error {
 	skipped := 0
 	trace, err := readFile(c.File, func(r io.Reader) (*load.Trace, error) {
-		trace, left, err := load.ReadSWF(r, c.Class)
+		trace, skippedJobs, err := load.ReadSWF(r, c.Class)
 		if err != nil {
 			return nil, usageError{fmt.Errorf("%s: %w", c.File, err)}
 		}
-		skipped = left
+		skipped = skippedJobs
 		return trace, nil
 	})
 	if err != nil {
@@ -145,10 +145,10 @@
 		return err
 	}
 	jobsByClass, censored := map[string]int{}, 0
-	var runtimes time.Duration
+	var totalRuntime time.Duration
 	for _, job := range trace.Jobs {
 		jobsByClass[job.Class]++
-		runtimes += job.Runtime
+		totalRuntime += job.Runtime
 		if job.Censored {
 			censored++
 		}
@@ -156,9 +156,9 @@
 	std.out.printf("from %s, anonymous %v: %d jobs in %v, %d gaps, %d censored runtimes\n", trace.Source, trace.Anonymous,
 		len(trace.Jobs), trace.Length().Round(time.Millisecond), len(trace.Gaps), censored)
 	if count := len(trace.Jobs); count > 0 {
-		const shortest = 1e-9 // seconds; all jobs of a trace may be submitted at once
-		perSecond := float64(count) / max(trace.Length().Seconds(), shortest)
-		mean := (runtimes / time.Duration(count)).Round(time.Millisecond)
+		const minSeconds = 1e-9 // seconds; all jobs of a trace may be submitted at once
+		perSecond := float64(count) / max(trace.Length().Seconds(), minSeconds)
+		mean := (totalRuntime / time.Duration(count)).Round(time.Millisecond)
 		std.out.printf("%.2f jobs per second, mean runtime %v, classes %v\n", perSecond, mean, jobsByClass)
 	}
 	return nil
--- a/cmd/flaxshelf/machines.go
+++ b/cmd/flaxshelf/machines.go
@@ -14,7 +14,7 @@
 
 // Run prints a table of the nodes.
 func (c *machinesCmd) Run(ctx context.Context, std *streams) error {
-	client := c.client()
+	client := c.newClient()
 	defer client.Close()
 	monitoring, err := client.OpenMonitoringSession(ctx)
 	if err != nil {
--- a/cmd/flaxshelf/main_test.go
+++ b/cmd/flaxshelf/main_test.go
@@ -14,20 +14,20 @@
 // testTimeout limits each command of a test.
 const testTimeout = 30 * time.Second
 
-// buffer collects the output of a command. It is safe for concurrent use.
-type buffer struct {
+// outputBuffer collects the output of a command. It is safe for concurrent use.
+type outputBuffer struct {
 	mu      sync.Mutex
 	text    bytes.Buffer
-	waiters []waiter
+	waiters []textWaiter
 }
 
-// waiter waits until a text has been written.
-type waiter struct {
+// textWaiter waits until a text has been written.
+type textWaiter struct {
 	text    string
 	written chan struct{} // closed then
 }
 
-func (b *buffer) Write(p []byte) (int, error) {
+func (b *outputBuffer) Write(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	n, err := b.text.Write(p)
@@ -35,24 +35,24 @@
 	return n, err
 }
 
-func (b *buffer) String() string {
+func (b *outputBuffer) String() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.text.String()
 }
 
 // waitFor returns a channel that is closed once the buffer contains text.
-func (b *buffer) waitFor(text string) <-chan struct{} {
+func (b *outputBuffer) waitFor(text string) <-chan struct{} {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	written := make(chan struct{})
-	b.waiters = append(b.waiters, waiter{text, written})
+	b.waiters = append(b.waiters, textWaiter{text, written})
 	b.notifyWaiters()
 	return written
 }
 
-func (b *buffer) notifyWaiters() {
-	var waiting []waiter
+func (b *outputBuffer) notifyWaiters() {
+	var waiting []textWaiter
 	for _, w := range b.waiters {
 		if bytes.Contains(b.text.Bytes(), []byte(w.text)) {
 			close(w.written)
@@ -63,19 +63,19 @@
 	b.waiters = waiting
 }
 
-// flaxshelf runs a command and returns its exit code and its outputs.
-func flaxshelf(args ...string) (code int, out, errOut string) {
+// runFlaxshelf runs a command and returns its exit code and its outputs.
+func runFlaxshelf(args ...string) (code int, out, errOut string) {
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	var outBuffer, errBuffer buffer
+	var outBuffer, errBuffer outputBuffer
 	code = run(ctx, args, &outBuffer, &errBuffer)
 	return code, outBuffer.String(), errBuffer.String()
 }
 
-// expect runs a command, compares its exit code, and looks for a text in its outputs. It returns standard output.
-func expect(t *testing.T, wantCode int, wantText string, args ...string) string {
+// expectCommand runs a command, compares its exit code, and looks for a text in its outputs. It returns standard output.
+func expectCommand(t *testing.T, wantCode int, wantText string, args ...string) string {
 	t.Helper()
-	code, out, errOut := flaxshelf(args...)
+	code, out, errOut := runFlaxshelf(args...)
 	if code != wantCode || !strings.Contains(out+errOut, wantText) {
 		t.Errorf("flaxshelf %s: got exit code %d and this output, want %d and %q:\n%s%s", strings.Join(args, " "), code,
 			wantCode, wantText, out, errOut)
@@ -130,7 +130,7 @@
 		{"wrong address", exitFailed, "nonsense", []string{"inventory", "--listen", "nonsense"}},
 		{"platform without configuration", exitUsage, "GW_CONFIG", []string{"platform"}},
 	} {
-		t.Run(c.name, func(t *testing.T) { expect(t, c.code, c.want, c.args...) })
+		t.Run(c.name, func(t *testing.T) { expectCommand(t, c.code, c.want, c.args...) })
 	}
 }
 
@@ -138,7 +138,7 @@
 func startUp(t *testing.T) string {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
-	var out, errOut buffer
+	var out, errOut outputBuffer
 	exited := make(chan int, 1)
 	go func() { exited <- run(ctx, []string{"up", "--listen", "127.0.0.1:0"}, &out, &errOut) }()
 	t.Cleanup(func() {
@@ -164,27 +164,27 @@
 
 func TestJobCommandsAgainstAScheduler(t *testing.T) {
 	t.Setenv("FLAXSHELF_SERVER", startUp(t))
-	expect(t, exitOK, "DONE", "job", "run", "--class", "service", "--expected-runtime", "50ms", "--wait", "hello")
-	expect(t, exitOK, "DONE", "job", "run", "--class", "service", "--life", "50ms", "--wait", "hello")
-	expect(t, exitUsage, "no class", "job", "run", "--class", "wings", "hello")
-	id := strings.TrimSpace(expect(t, exitOK, "", "job", "run", "--class", "once", "--hold", "--expected-runtime", "1m",
+	expectCommand(t, exitOK, "DONE", "job", "run", "--class", "service", "--expected-runtime", "50ms", "--wait", "hello")
+	expectCommand(t, exitOK, "DONE", "job", "run", "--class", "service", "--life", "50ms", "--wait", "hello")
+	expectCommand(t, exitUsage, "no class", "job", "run", "--class", "wings", "hello")
+	id := strings.TrimSpace(expectCommand(t, exitOK, "", "job", "run", "--class", "once", "--hold", "--expected-runtime", "1m",
 		"--name", "n", "hello", "--flag", "arg"))
-	expect(t, exitOK, "QUEUED_HELD held", "job", "state", id)
-	expect(t, exitTimeout, "Timeout", "job", "wait", "--timeout", "50ms", id)
-	expect(t, exitOK, "", "job", "release", id)
-	expect(t, exitOK, "RUNNING", "job", "wait", "--for", "started", id)
-	expect(t, exitOK, `"jobName": "n"`, "job", "info", id)
-	expect(t, exitOK, "RUNNING", "job", "list", "--session", "default")
-	expect(t, exitFailed, "InvalidState", "job", "hold", id)
-	expect(t, exitFailed, "InvalidState", "job", "reap", id)
-	expect(t, exitOK, "", "job", "terminate", id)
-	expect(t, exitFailed, "FAILED terminated", "job", "wait", id)
-	expect(t, exitOK, "", "job", "reap", id)
-	expect(t, exitUsage, "no job", "job", "state", id)
-	expect(t, exitOK, "DONE", "job", "bulk", "--class", "service", "--end", "4", "--max-parallel", "2",
+	expectCommand(t, exitOK, "QUEUED_HELD held", "job", "state", id)
+	expectCommand(t, exitTimeout, "Timeout", "job", "wait", "--timeout", "50ms", id)
+	expectCommand(t, exitOK, "", "job", "release", id)
+	expectCommand(t, exitOK, "RUNNING", "job", "wait", "--for", "started", id)
+	expectCommand(t, exitOK, `"jobName": "n"`, "job", "info", id)
+	expectCommand(t, exitOK, "RUNNING", "job", "list", "--session", "default")
+	expectCommand(t, exitFailed, "InvalidState", "job", "hold", id)
+	expectCommand(t, exitFailed, "InvalidState", "job", "reap", id)
+	expectCommand(t, exitOK, "", "job", "terminate", id)
+	expectCommand(t, exitFailed, "FAILED terminated", "job", "wait", id)
+	expectCommand(t, exitOK, "", "job", "reap", id)
+	expectCommand(t, exitUsage, "no job", "job", "state", id)
+	expectCommand(t, exitOK, "DONE", "job", "bulk", "--class", "service", "--end", "4", "--max-parallel", "2",
 		"--expected-runtime", "10ms", "--wait", "x")
-	expect(t, exitOK, "room-b", "machines")
+	expectCommand(t, exitOK, "room-b", "machines")
 	template := writeTestFile(t, "t.json",
 		`{"remoteCommand":"x","jobCategory":"once","implementationSpecific":{"flaxshelf.life":"10ms"}}`)
-	expect(t, exitOK, "DONE", "job", "run", "--file", template, "--wait")
+	expectCommand(t, exitOK, "DONE", "job", "run", "--file", template, "--wait")
 }
--- a/cmd/flaxshelf/node.go
+++ b/cmd/flaxshelf/node.go
@@ -31,11 +31,11 @@
 			return err
 		}
 	}
-	inventory := fleet.InventoryAddress
+	inventoryAddress := fleet.InventoryAddress
 	if c.Inventory != "" {
-		inventory = c.Inventory
+		inventoryAddress = c.Inventory
 	}
-	nodes, err := startNodes(fleet, inventory, std.newLogger(fleet.LogLevel))
+	nodes, err := startNodes(fleet, inventoryAddress, std.newLogger(fleet.LogLevel))
 	if err != nil {
 		return err
 	}
@@ -64,20 +64,20 @@
 
 // startNodes starts all nodes of a fleet, or none if there is an error. The nodes of one zone share a registry of idempotency
 // keys.
-func startNodes(fleet *settings.Fleet, inventory string, log zerolog.Logger) ([]*host.Node, error) {
-	keysByZone := map[string]nodemodel.KeyRegistry{}
+func startNodes(fleet *settings.Fleet, inventoryAddress string, log zerolog.Logger) ([]*host.Node, error) {
+	keyRegistryByZone := map[string]nodemodel.KeyRegistry{}
 	var nodes []*host.Node
 	for i, node := range fleet.Nodes {
-		if keysByZone[node.Zone] == nil {
-			keysByZone[node.Zone] = host.NewKeyRegistry()
+		if keyRegistryByZone[node.Zone] == nil {
+			keyRegistryByZone[node.Zone] = host.NewKeyRegistry()
 		}
 		started, err := host.StartNode(host.NodeOptions{
 			Model:     standins.Model(fleet, i),
 			Kind:      node.Kind,
 			Cell:      node.Cell,
 			Listen:    node.ListenAddress,
-			Inventory: inventory,
-			Keys:      keysByZone[node.Zone],
+			Inventory: inventoryAddress,
+			Keys:      keyRegistryByZone[node.Zone],
 			Log:       log,
 		})
 		if err != nil {
--- a/cmd/flaxshelf/plan.go
+++ b/cmd/flaxshelf/plan.go
@@ -15,10 +15,10 @@
 
 // Parameters of the search by emulation.
 const (
-	searchFrom       = 0.4  // lower bound, as a multiple of the predicted first limit
-	searchTo         = 2    // upper bound, likewise
-	searchWidth      = 0.03 // relative width to which the search narrows
-	searchWidthSurge = 0.05 // the same with a surge, which needs two searches
+	searchLowerFactor        = 0.4  // lower bound, as a multiple of the predicted first limit
+	searchUpperFactor        = 2    // upper bound, likewise
+	searchRelativeWidth      = 0.03 // relative width to which the search narrows
+	surgeSearchRelativeWidth = 0.05 // the same with a surge, which needs two searches
 )
 
 type planCmd struct {
@@ -45,20 +45,20 @@
 	}
 	fleet, load := plancheck.Model(day)
 	if c.Trace != "" {
-		if load, err = c.captured(std, day); err != nil {
+		if load, err = c.estimateCapturedLoad(std, day); err != nil {
 			return err
 		}
 	}
 	limits := planner.Limits(fleet, load)
 	printLimits(std, fleet, load, limits)
 	c.printRequiredNodes(std, fleet, load)
-	printLosses(std, fleet, load)
+	printCapacityWithoutDomains(std, fleet, load)
 	std.out.printf("\nreplacing a tenth of the nodes at once: %s\n", fleet.ReplacementCost((fleet.Nodes()+9)/10).Reason)
 	if !c.Emulate {
 		return nil
 	}
-	first, _ := planner.First(limits)
-	return c.emulate(ctx, std, day, first)
+	firstLimit, _ := planner.First(limits)
+	return c.searchBreakingPoint(ctx, std, day, firstLimit)
 }
 
 func (c *planCmd) validate(day *scenario.Day) error {
@@ -74,10 +74,10 @@
 
 // printLimits prints the first limit of all and of each class, and then every limit.
 func printLimits(std *streams, fleet *planner.Fleet, load []planner.Class, limits []planner.Limit) {
-	first, byClass := planner.First(limits)
-	std.out.printf("%d nodes, %d schedulers\n\nfirst: %v\n", fleet.Nodes(), fleet.Schedulers, first)
+	firstLimit, firstByClass := planner.First(limits)
+	std.out.printf("%d nodes, %d schedulers\n\nfirst: %v\n", fleet.Nodes(), fleet.Schedulers, firstLimit)
 	for _, class := range load {
-		std.out.printf("  class %s: %v\n", class.Name, byClass[class.Name])
+		std.out.printf("  class %s: %v\n", class.Name, firstByClass[class.Name])
 	}
 	std.out.printf("\nall limits:\n%s\n", planner.FormatLimits(limits))
 }
@@ -94,30 +94,30 @@
 	}
 }
 
-// printLosses prints the first limit of the fleet without each of its failure domains.
-func printLosses(std *streams, fleet *planner.Fleet, load []planner.Class) {
+// printCapacityWithoutDomains prints the first limit of the fleet without each of its failure domains.
+func printCapacityWithoutDomains(std *streams, fleet *planner.Fleet, load []planner.Class) {
 	std.out.println("\ncapacity after the loss of a failure domain:")
 	for _, domain := range failureDomains(fleet) {
-		rest := fleet.Without(domain.zone, domain.cell, domain.kind)
-		if rest.Nodes() == 0 {
+		remaining := fleet.Without(domain.zone, domain.cell, domain.kind)
+		if remaining.Nodes() == 0 {
 			std.out.printf("  %s: no nodes\n", domain.name)
 			continue
 		}
-		first, _ := planner.First(planner.Limits(rest, load))
-		std.out.printf("  %s: %d nodes; %v\n", domain.name, rest.Nodes(), first)
+		firstLimit, _ := planner.First(planner.Limits(remaining, load))
+		std.out.printf("  %s: %d nodes; %v\n", domain.name, remaining.Nodes(), firstLimit)
 	}
 }
 
-// emulate searches for the load at which the goal breaks by emulation, around the predicted first limit.
-func (c *planCmd) emulate(ctx context.Context, std *streams, day *scenario.Day, first planner.Limit) error {
+// searchBreakingPoint searches for the load at which the goal breaks by emulation, around the predicted first limit.
+func (c *planCmd) searchBreakingPoint(ctx context.Context, std *streams, day *scenario.Day, predicted planner.Limit) error {
 	goal := plancheck.Goal{MinPlacedFraction: c.Placed, WarmupSeconds: c.Warmup}
-	search := plancheck.Search{Low: first.Multiple * searchFrom, High: first.Multiple * searchTo,
-		RelativeWidth: searchWidth, Seeds: c.Seeds}
+	search := plancheck.Search{Low: predicted.Multiple * searchLowerFactor, High: predicted.Multiple * searchUpperFactor,
+		RelativeWidth: searchRelativeWidth, Seeds: c.Seeds}
 	var point, afterSurge plancheck.BreakingPoint
 	var err error
 	if c.Surge > 0 {
 		goal.Surge = plancheck.Surge{Factor: c.Surge, Seconds: c.Warmup / 4}
-		search.RelativeWidth = searchWidthSurge
+		search.RelativeWidth = surgeSearchRelativeWidth
 		point, afterSurge, err = plancheck.FindWithSurge(ctx, day, goal, search)
 	} else {
 		point, err = plancheck.FindBreakingPoint(ctx, day, goal, search)
@@ -127,15 +127,15 @@
 	}
 	std.out.printf(
 		"\nemulated: the goal is met at %.2f and missed at %.2f times the load, by class %s (%.2f%% placed); predicted %.2f; "+
-			"%d emulated days\n", point.Low, point.High, point.Class, 100*point.PlacedFraction, first.Multiple, point.Runs)
+			"%d emulated days\n", point.Low, point.High, point.Class, 100*point.PlacedFraction, predicted.Multiple, point.Runs)
 	if c.Surge > 0 {
 		std.out.printf("after a surge it is met at %.2f and missed at %.2f times the load\n", afterSurge.Low, afterSurge.High)
 	}
 	return nil
 }
 
-// captured returns the load of a trace. It prints the estimates with their errors and warnings.
-func (c *planCmd) captured(std *streams, day *scenario.Day) ([]planner.Class, error) {
+// estimateCapturedLoad returns the load of a trace. It prints the estimates with their errors and warnings.
+func (c *planCmd) estimateCapturedLoad(std *streams, day *scenario.Day) ([]planner.Class, error) {
 	const seed = 1 // of a plan; a trace is not random
 	trace, err := readLoad(c.Trace, seed)
 	if err != nil {
@@ -170,15 +170,15 @@
 
 // failureDomains returns the zones, cells and kinds of a fleet, sorted by name.
 func failureDomains(fleet *planner.Fleet) []failureDomain {
-	byName := map[string]failureDomain{}
+	domainsByName := map[string]failureDomain{}
 	for _, group := range fleet.Groups {
 		for _, domain := range []failureDomain{
 			{name: "zone " + group.Zone, zone: group.Zone, cell: anyCell},
 			{name: fmt.Sprintf("cell %d of %s", group.Cell, group.Zone), zone: group.Zone, cell: group.Cell},
 			{name: "kind " + group.Kind, kind: group.Kind, cell: anyCell},
 		} {
-			byName[domain.name] = domain
+			domainsByName[domain.name] = domain
 		}
 	}
-	return slices.SortedFunc(maps.Values(byName), func(a, b failureDomain) int { return cmp.Compare(a.name, b.name) })
+	return slices.SortedFunc(maps.Values(domainsByName), func(a, b failureDomain) int { return cmp.Compare(a.name, b.name) })
 }
--- a/cmd/flaxshelf/platform.go
+++ b/cmd/flaxshelf/platform.go
@@ -25,7 +25,7 @@
 	if c.Config == "" {
 		return usageError{errors.New("platform: no configuration: give --config or set GW_CONFIG")}
 	}
-	reload, stop := notifyHangup()
+	reload, stop := notifyReload()
 	defer stop()
 	err := platform.Run(platform.Options{ConfigPath: c.Config, RecordingPath: c.ModuleRecording, Log: std.newLogger(c.Log)},
 		ctx.Done(), reload)
@@ -35,11 +35,11 @@
 	return err
 }
 
-// notifyHangup returns a channel that receives for each SIGHUP until stop is called.
-func notifyHangup() (hangups <-chan struct{}, stop func()) {
+// notifyReload returns a channel that receives for each SIGHUP until stop is called.
+func notifyReload() (hangups <-chan struct{}, stop func()) {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
-	received, stopped := make(chan struct{}), make(chan struct{})
+	reloads, stopped := make(chan struct{}), make(chan struct{})
 	var forwarder sync.WaitGroup
 	forwarder.Go(func() {
 		for {
@@ -49,13 +49,13 @@
 				return
 			}
 			select {
-			case received <- struct{}{}:
+			case reloads <- struct{}{}:
 			case <-stopped:
 				return
 			}
 		}
 	})
-	return received, func() {
+	return reloads, func() {
 		signal.Stop(signals)
 		close(stopped)
 		forwarder.Wait()
--- a/cmd/flaxshelf/printer_test.go
+++ b/cmd/flaxshelf/printer_test.go
@@ -37,7 +37,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			out := &fullDisk{freeBytes: c.freeBytes}
-			var errOut buffer
+			var errOut outputBuffer
 			if code := run(context.Background(), c.args, out, &errOut); code != exitFailed {
 				t.Errorf("got exit code %d, want %d", code, exitFailed)
 			}
@@ -77,13 +77,13 @@
 	}
 }
 
-// failOnce fails its first write.
-type failOnce struct {
+// failingFirstWrite fails its first write.
+type failingFirstWrite struct {
 	failed  bool
 	written strings.Builder
 }
 
-func (w *failOnce) Write(text []byte) (int, error) {
+func (w *failingFirstWrite) Write(text []byte) (int, error) {
 	if !w.failed {
 		w.failed = true
 		return 0, errDiskFull
@@ -93,7 +93,7 @@
 
 // A daemon must keep logging after a write error that passes.
 func TestLogContinuesAfterAFailedWrite(t *testing.T) {
-	out := &failOnce{}
+	out := &failingFirstWrite{}
 	std := &streams{out: newPrinter(io.Discard), err: newPrinter(out), log: out}
 	log := std.newLogger("info")
 	log.Info().Msg("first")
--- a/cmd/flaxshelf/trial.go
+++ b/cmd/flaxshelf/trial.go
@@ -14,18 +14,18 @@
 // errRuleViolated reports a recording or a trace that violates a rule.
 var errRuleViolated = errors.New("a rule was violated")
 
-// unaccountedError reports submissions without an outcome.
-type unaccountedError struct{ submissions int }
+// missingOutcomesError reports submissions without an outcome.
+type missingOutcomesError struct{ submissions int }
 
-func (e unaccountedError) Error() string {
+func (e missingOutcomesError) Error() string {
 	return fmt.Sprintf("%d submissions have no outcome", e.submissions)
 }
 
 // trialsFailedError reports trials in which a rule was violated or another check failed; their results are printed.
-type trialsFailedError struct{ failed, played int }
+type trialsFailedError struct{ failed, total int }
 
 func (e trialsFailedError) Error() string {
-	return fmt.Sprintf("the trial has failed on %d of %d seeds", e.failed, e.played)
+	return fmt.Sprintf("the trial has failed on %d of %d seeds", e.failed, e.total)
 }
 
 type trialCmd struct {
@@ -51,14 +51,14 @@
 	if c.Cores != 0 {
 		day.Cores = c.Cores
 	}
-	self, err := os.Executable()
+	executable, err := os.Executable()
 	if err != nil {
 		return err
 	}
 	failed := 0
 	for i := range c.Seeds {
 		options := trial.Options{Seed: c.Seed + uint64(i), Record: c.Record, Directory: c.KeepDirectory, Replay: c.Replay,
-			Command: func(args ...string) *exec.Cmd { return exec.Command(self, args...) }}
+			Command: func(args ...string) *exec.Cmd { return exec.Command(executable, args...) }}
 		if !c.Quiet {
 			options.Note = func(format string, args ...any) { std.out.printf(format+"\n", args...) }
 		}
@@ -72,7 +72,7 @@
 		}
 	}
 	if failed > 0 {
-		return trialsFailedError{failed: failed, played: c.Seeds}
+		return trialsFailedError{failed: failed, total: c.Seeds}
 	}
 	return nil
 }
--- a/cmd/flaxshelf/up.go
+++ b/cmd/flaxshelf/up.go
@@ -64,7 +64,7 @@
 }
 
 func waitForNodes(ctx context.Context, inventory *host.Inventory, count int) error {
-	limited, cancel := context.WithTimeout(ctx, registrationTimeout)
+	waitCtx, cancel := context.WithTimeout(ctx, registrationTimeout)
 	defer cancel()
-	return inventory.WaitFor(limited, count)
+	return inventory.WaitFor(waitCtx, count)
 }
--- a/drmaa2/client.go
+++ b/drmaa2/client.go
@@ -73,8 +73,8 @@
 	return &d, c.call(ctx, http.MethodGet, "/info", nil, &d)
 }
 
-// sessionName is the body of a request to create a session.
-type sessionName struct {
+// createSessionRequest is the body of a request to create a session.
+type createSessionRequest struct {
 	Name string `json:"name"`
 }
 
@@ -83,7 +83,7 @@
 // CreateJobSession creates a session. The error is ErrInvalidArgument if the session exists, and ErrOutOfResource if there
 // are too many sessions.
 func (c *Client) CreateJobSession(ctx context.Context, session string) (*JobSession, error) {
-	if err := c.call(ctx, http.MethodPost, "/sessions", sessionName{session}, nil); err != nil {
+	if err := c.call(ctx, http.MethodPost, "/sessions", createSessionRequest{session}, nil); err != nil {
 		return nil, err
 	}
 	return &JobSession{c, session}, nil
@@ -114,8 +114,8 @@
 
 // call sends one request with the JSON of in, and decodes the response into out; either may be nil. The errors are those
 // of send.
-func (c *Client) call(ctx context.Context, method, path string, in, out any) error {
-	response, err := c.send(ctx, method, path, in, nil)
+func (c *Client) call(ctx context.Context, method, path string, requestBody, result any) error {
+	response, err := c.send(ctx, method, path, requestBody, nil)
 	if err != nil {
 		return err
 	}
@@ -124,10 +124,10 @@
 	if err != nil {
 		return communicationError(ctx, err)
 	}
-	if out == nil || len(body) == 0 {
+	if result == nil || len(body) == 0 {
 		return nil
 	}
-	if err := json.Unmarshal(body, out); err != nil {
+	if err := json.Unmarshal(body, result); err != nil {
 		return &Error{Code: DrmCommunication, Message: "the response can't be decoded: " + err.Error(), Err: err}
 	}
 	return nil
@@ -135,8 +135,8 @@
 
 // send sends one request. The caller must close the body of the response. The error is the scheduler's *Error,
 // ErrDrmCommunication if there is no response, or the context's error.
-func (c *Client) send(ctx context.Context, method, path string, in any, header http.Header) (*http.Response, error) {
-	request, err := c.newRequest(ctx, method, path, in, header)
+func (c *Client) send(ctx context.Context, method, path string, requestBody any, header http.Header) (*http.Response, error) {
+	request, err := c.newRequest(ctx, method, path, requestBody, header)
 	if err != nil {
 		return nil, argumentError(err)
 	}
@@ -148,18 +148,18 @@
 		return response, nil
 	}
 	defer response.Body.Close()
-	return nil, errorOf(response)
+	return nil, responseError(response)
 }
 
-func (c *Client) newRequest(ctx context.Context, method, path string, in any,
+func (c *Client) newRequest(ctx context.Context, method, path string, requestBody any,
 	header http.Header) (*http.Request, error) {
 	var body io.Reader
-	if in != nil {
-		text, err := json.Marshal(in)
+	if requestBody != nil {
+		encoded, err := json.Marshal(requestBody)
 		if err != nil {
 			return nil, err
 		}
-		body = bytes.NewReader(text)
+		body = bytes.NewReader(encoded)
 	}
 	request, err := http.NewRequestWithContext(ctx, method, c.baseURL+apiPath+path, body)
 	if err != nil {
@@ -168,22 +168,22 @@
 	for name, values := range header {
 		request.Header[name] = values
 	}
-	if in != nil {
+	if requestBody != nil {
 		request.Header.Set("Content-Type", "application/json")
 	}
 	return request, nil
 }
 
-// errorOf returns the error that a response carries. One of another sender, such as a proxy, has code DrmCommunication.
-func errorOf(response *http.Response) *Error {
+// responseError returns the error that a response carries. One of another sender, such as a proxy, has code DrmCommunication.
+func responseError(response *http.Response) *Error {
 	// The part of a truncated body is not JSON, and is put into the message below.
-	text, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBytes))
-	e := &Error{}
-	if json.Unmarshal(text, e) != nil || e.Code == "" {
-		e = &Error{Code: DrmCommunication, Message: fmt.Sprintf("status %s: %.200s", response.Status, text)}
+	body, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBytes))
+	decoded := &Error{}
+	if json.Unmarshal(body, decoded) != nil || decoded.Code == "" {
+		decoded = &Error{Code: DrmCommunication, Message: fmt.Sprintf("status %s: %.200s", response.Status, body)}
 	}
-	e.RetryAfter = retryAfter(response.Header)
-	return e
+	decoded.RetryAfter = retryAfter(response.Header)
+	return decoded
 }
 
 // retryAfter returns how long to wait before a retry, or zero if the response does not specify it.
--- a/drmaa2/events.go
+++ b/drmaa2/events.go
@@ -23,17 +23,17 @@
 // missed in between, it receives the latest state of each job. The error is ErrTimeout after the timeout.
 func (c *Client) followEvents(ctx context.Context, path string, timeout time.Duration,
 	handle func(*JobInfo) bool) error {
-	limited, cancel := ctx, context.CancelFunc(func() {})
+	waitCtx, cancel := ctx, context.CancelFunc(func() {})
 	if timeout != InfiniteTime {
-		limited, cancel = context.WithTimeout(ctx, timeout)
+		waitCtx, cancel = context.WithTimeout(ctx, timeout)
 	}
 	defer cancel()
 	events := eventStream{client: c, path: path, handle: handle}
 	for {
 		done := false
-		err := c.retry(limited, func(bool) error {
+		err := c.retry(waitCtx, func(bool) error {
 			var err error
-			done, err = events.read(limited)
+			done, err = events.read(waitCtx)
 			return err
 		})
 		switch {
@@ -41,13 +41,13 @@
 			return nil
 		case ctx.Err() != nil:
 			return ctx.Err()
-		case limited.Err() != nil || errors.Is(err, context.DeadlineExceeded):
+		case waitCtx.Err() != nil || errors.Is(err, context.DeadlineExceeded):
 			return &Error{Code: TimeoutCode, Message: "waited " + timeout.String()}
 		case err != nil:
 			return err
 		}
 		select { // the daemon has ended the stream, as it does when it shuts down
-		case <-limited.Done():
+		case <-waitCtx.Done():
 		case <-time.After(minBackoff):
 		}
 	}
--- a/drmaa2/job.go
+++ b/drmaa2/job.go
@@ -129,16 +129,16 @@
 
 // Job returns the job of an ID. The error is ErrInvalidArgument if the scheduler does not know the job.
 func (c *Client) Job(ctx context.Context, id string) (*Job, error) {
-	j := &Job{client: c, ID: id}
-	_, err := j.Info(ctx)
-	return j, err
+	job := &Job{client: c, ID: id}
+	_, err := job.Info(ctx)
+	return job, err
 }
 
 // JobInfos returns the current information on a job, or on each job of an array.
 func (c *Client) JobInfos(ctx context.Context, id string) ([]JobInfo, error) {
-	var found Submitted
-	err := c.call(ctx, http.MethodGet, jobPath(id), nil, &found)
-	return found.Jobs, err
+	var response Submitted
+	err := c.call(ctx, http.MethodGet, jobPath(id), nil, &response)
+	return response.Jobs, err
 }
 
 // SessionJobs returns the information on the jobs of a session that match the filter; see JobSession.Jobs.
--- a/drmaa2/monitoring.go
+++ b/drmaa2/monitoring.go
@@ -32,7 +32,7 @@
 	if err := m.client.call(ctx, http.MethodGet, "/machines", nil, &list); err != nil {
 		return list.Machines, err
 	}
-	return named(list.Machines, names, func(machine MachineInfo) string { return machine.Name }), nil
+	return filterByName(list.Machines, names, func(machine MachineInfo) string { return machine.Name }), nil
 }
 
 // AllQueues returns the queues of the given names, or all if there are no names. Unknown names are ignored.
@@ -43,18 +43,19 @@
 	if err := m.client.call(ctx, http.MethodGet, "/queues", nil, &list); err != nil {
 		return list.Queues, err
 	}
-	return named(list.Queues, names, func(queue QueueInfo) string { return queue.Name }), nil
+	return filterByName(list.Queues, names, func(queue QueueInfo) string { return queue.Name }), nil
 }
 
-// named returns the elements that have one of the names, once for each occurrence of the name, or all if there are no names.
-func named[T any](elements []T, names []string, name func(T) string) []T {
-	if len(names) == 0 {
+// filterByName returns the elements whose name is in wantedNames, once for each time that the name occurs there. An empty
+// wantedNames selects all elements.
+func filterByName[T any](elements []T, wantedNames []string, nameOf func(T) string) []T {
+	if len(wantedNames) == 0 {
 		return elements
 	}
 	var found []T
 	for _, element := range elements {
-		for _, wanted := range names {
-			if wanted == name(element) {
+		for _, wanted := range wantedNames {
+			if wanted == nameOf(element) {
 				found = append(found, element)
 			}
 		}
--- a/drmaa2/session.go
+++ b/drmaa2/session.go
@@ -34,8 +34,8 @@
 	return s.runJob(ctx, template, true)
 }
 
-func (s *JobSession) runJob(ctx context.Context, template JobTemplate, retry bool) (*Job, error) {
-	submitted, err := s.submit(ctx, "/jobs", Submission{Template: template, Again: retry})
+func (s *JobSession) runJob(ctx context.Context, template JobTemplate, resubmission bool) (*Job, error) {
+	submitted, err := s.submit(ctx, "/jobs", Submission{Template: template, Again: resubmission})
 	if err != nil {
 		return nil, err
 	}
@@ -70,13 +70,13 @@
 		attributes[AttrKey] = newIdempotencyKey()
 		submission.Template.ImplementationSpecific = attributes
 	}
-	submittedBefore := submission.Again
-	var submitted Submitted
+	isResubmission := submission.Again
+	var response Submitted
 	err := s.client.retry(ctx, func(repeated bool) error {
-		submission.Again = submittedBefore || repeated
-		return s.client.call(ctx, http.MethodPost, s.path()+path, submission, &submitted)
+		submission.Again = isResubmission || repeated
+		return s.client.call(ctx, http.MethodPost, s.path()+path, submission, &response)
 	})
-	return &submitted, err
+	return &response, err
 }
 
 func (s *JobSession) job(id string) *Job { return &Job{client: s.client, ID: id, SessionName: s.name} }
@@ -108,9 +108,9 @@
 // listJobs returns the information on all jobs below a path that match the filter, which it reads page by page.
 func (c *Client) listJobs(ctx context.Context, path string, filter *JobInfo) ([]JobInfo, error) {
 	var all []JobInfo
-	for after := ""; ; {
+	for afterID := ""; ; {
 		var page Submitted
-		pagePath := fmt.Sprintf("%s?limit=%d&after=%s", path, pageSize, url.QueryEscape(after))
+		pagePath := fmt.Sprintf("%s?limit=%d&after=%s", path, pageSize, url.QueryEscape(afterID))
 		if err := c.call(ctx, http.MethodGet, pagePath, nil, &page); err != nil {
 			return nil, err
 		}
@@ -122,16 +122,17 @@
 		if len(page.Jobs) < pageSize {
 			return all, nil
 		}
-		after = page.Jobs[len(page.Jobs)-1].JobID
+		afterID = page.Jobs[len(page.Jobs)-1].JobID
 	}
 }
 
 // matches reports whether a job has the values that are set in the filter. A nil filter matches every job.
-func (i *JobInfo) matches(job *JobInfo) bool {
-	return i == nil || (i.JobID == "" || i.JobID == job.JobID) && (i.JobName == "" || i.JobName == job.JobName) &&
-		(i.JobState == "" || i.JobState == job.JobState) &&
-		(i.JobSubState == "" || i.JobSubState == job.JobSubState) &&
-		(i.QueueName == "" || i.QueueName == job.QueueName)
+func (filter *JobInfo) matches(job *JobInfo) bool {
+	return filter == nil || (filter.JobID == "" || filter.JobID == job.JobID) &&
+		(filter.JobName == "" || filter.JobName == job.JobName) &&
+		(filter.JobState == "" || filter.JobState == job.JobState) &&
+		(filter.JobSubState == "" || filter.JobSubState == job.JobSubState) &&
+		(filter.QueueName == "" || filter.QueueName == job.QueueName)
 }
 
 // JobCategories returns the classes that JobTemplate.JobCategory may name.
