--- a/drmaa2/client.go
+++ b/drmaa2/client.go
@@ -18,7 +18,7 @@
 
 const (
 	apiPath          = "/drmaa2/v1"
-	minBackoff       = 50 * time.Millisecond
+	minBackoff       = 50 * time.Millisecond // also the time before a closed event stream is opened again
 	maxBackoff       = 2 * time.Second
 	maxResponseBytes = 256 << 20
 	maxErrorBytes    = 1 << 20
@@ -29,7 +29,7 @@
 	defaultRetryFor    = 10 * time.Second
 )
 
-// Headers of the protocol. Retry-After is in whole seconds; the header of flaxshelf is in milliseconds.
+// Names of HTTP headers. Retry-After is in whole seconds, and Flaxshelf-Retry-After-Ms in milliseconds.
 const (
 	headerRetryAfter   = "Retry-After"
 	headerRetryAfterMs = "Flaxshelf-Retry-After-Ms"
@@ -41,13 +41,13 @@
 type Client struct {
 	baseURL    string
 	httpClient *http.Client
-	// RetryFor is how long a submission without a response is retried under its idempotency key, and how long a
-	// wait retries to reach a scheduler. Zero means no retry. NewClient sets 10 seconds.
+	// RetryFor is how long the client repeats a submission that got no response, under the same idempotency key, and
+	// how long a wait or watch tries to reach the scheduler again. Zero means no retry. NewClient sets 10 seconds.
 	RetryFor time.Duration
 }
 
-// NewClient returns a client of the scheduler at a URL, such as http://127.0.0.1:7171; http:// may be omitted. It connects
-// on the first call, and keeps connections open until Close.
+// NewClient returns a client of the scheduler at baseURL, such as http://127.0.0.1:7171; http:// may be omitted. The client
+// connects on the first call, and keeps idle connections open for later calls; Close closes them.
 func NewClient(baseURL string) *Client {
 	if !strings.Contains(baseURL, "://") {
 		baseURL = "http://" + baseURL
@@ -67,7 +67,7 @@
 // Close closes idle connections. It does not interrupt calls in progress.
 func (c *Client) Close() { c.httpClient.CloseIdleConnections() }
 
-// Drms describes the scheduler and its capabilities.
+// Drms returns a description of the scheduler and its capabilities.
 func (c *Client) Drms(ctx context.Context) (*Drms, error) {
 	var d Drms
 	return &d, c.call(ctx, http.MethodGet, "/info", nil, &d)
@@ -78,6 +78,7 @@
 	Name string `json:"name"`
 }
 
+// sessionPath returns the path of a job session, relative to apiPath.
 func sessionPath(name string) string { return "/sessions/" + url.PathEscape(name) }
 
 // CreateJobSession creates a session. The error is ErrInvalidArgument if the session exists, and ErrOutOfResource if there
@@ -112,8 +113,8 @@
 	return sessions.Names, err
 }
 
-// call sends one request with the JSON of in, and decodes the response into out; either may be nil. The errors are those
-// of send.
+// call sends one request with requestBody as JSON, and decodes the response into result; either may be nil. It returns the
+// errors of send, and ErrDrmCommunication if the response can't be decoded.
 func (c *Client) call(ctx context.Context, method, path string, requestBody, result any) error {
 	response, err := c.send(ctx, method, path, requestBody, nil)
 	if err != nil {
@@ -128,13 +129,14 @@
 		return nil
 	}
 	if err := json.Unmarshal(body, result); err != nil {
-		return &Error{Code: DrmCommunication, Message: "the response can't be decoded: " + err.Error(), Err: err}
+		return &Error{Code: DrmCommunication, Message: "decode response: " + err.Error(), Err: err}
 	}
 	return nil
 }
 
-// send sends one request. The caller must close the body of the response. The error is the scheduler's *Error,
-// ErrDrmCommunication if there is no response, or the context's error.
+// send sends one request and returns its response, whose body the caller must close. The error is the *Error that the
+// scheduler returned, ErrInvalidArgument if no request can be built, ErrDrmCommunication if there is no response, or the
+// error of the context.
 func (c *Client) send(ctx context.Context, method, path string, requestBody any, header http.Header) (*http.Response, error) {
 	request, err := c.newRequest(ctx, method, path, requestBody, header)
 	if err != nil {
@@ -151,6 +153,7 @@
 	return nil, responseError(response)
 }
 
+// newRequest returns a request with requestBody as JSON, or without a body if it is nil.
 func (c *Client) newRequest(ctx context.Context, method, path string, requestBody any,
 	header http.Header) (*http.Request, error) {
 	var body io.Reader
@@ -174,9 +177,10 @@
 	return request, nil
 }
 
-// responseError returns the error that a response carries. One of another sender, such as a proxy, has code DrmCommunication.
+// responseError returns the error in the body of a response. If the body is not an error of the scheduler, for example because a
+// proxy sent it, the code is DrmCommunication.
 func responseError(response *http.Response) *Error {
-	// The part of a truncated body is not JSON, and is put into the message below.
+	// A read error is ignored: a body that is cut off is not valid JSON, so the part that was read goes into the message.
 	body, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBytes))
 	decoded := &Error{}
 	if json.Unmarshal(body, decoded) != nil || decoded.Code == "" {
@@ -186,7 +190,7 @@
 	return decoded
 }
 
-// retryAfter returns how long to wait before a retry, or zero if the response does not specify it.
+// retryAfter returns how long to wait before a retry, or zero if the headers of the response do not specify it.
 func retryAfter(header http.Header) time.Duration {
 	if ms, err := strconv.ParseInt(header.Get(headerRetryAfterMs), 10, 64); err == nil {
 		return time.Duration(ms) * time.Millisecond
@@ -197,8 +201,8 @@
 	return 0
 }
 
-// retry calls attempt with backoff until its error is not ErrDrmCommunication, for RetryFor at most. The argument repeated
-// is true from the second call on.
+// retry calls attempt until it returns nil or an error other than ErrDrmCommunication, for RetryFor at most. The backoff
+// between two calls doubles from minBackoff to maxBackoff. The argument repeated is false for the first call only.
 func (c *Client) retry(ctx context.Context, attempt func(repeated bool) error) error {
 	deadline, backoff := time.Now().Add(c.RetryFor), minBackoff
 	for repeated := false; ; repeated = true {
--- a/drmaa2/client_test.go
+++ b/drmaa2/client_test.go
@@ -11,9 +11,11 @@
 	"time"
 )
 
+// testTimeout limits the calls of one test.
 const testTimeout = 20 * time.Second
 
-// newTestClient serves requests by a handler, and returns a client of it and a context for its calls.
+// newTestClient starts an HTTP server with the handler, and returns a client of the server and a context with testTimeout for the
+// calls.
 func newTestClient(t *testing.T, handler http.HandlerFunc) (context.Context, *Client) {
 	t.Helper()
 	server := httptest.NewServer(handler)
@@ -34,7 +36,7 @@
 		}
 		received = append(received, submission)
 		if len(received) == 1 {
-			panic(http.ErrAbortHandler) // the connection breaks before the response
+			panic(http.ErrAbortHandler) // closes the connection without a response
 		}
 		_, _ = fmt.Fprint(w, `{"jobs":[{"jobId":"j1","jobState":"QUEUED"}]}`)
 	})
--- a/drmaa2/deprecated.go
+++ b/drmaa2/deprecated.go
@@ -2,7 +2,7 @@
 
 import "context"
 
-// Former names of attributes. Their values are those of the names that replace them.
+// Former names of attributes. Each has the value of the name that replaces it.
 const (
 	// AttrLife is the former name of AttrExpectedRuntime.
 	//
--- a/drmaa2/deprecated_test.go
+++ b/drmaa2/deprecated_test.go
@@ -39,7 +39,7 @@
 	if _, err := session.ResubmitJob(ctx, template); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := session.RunJobAgain(ctx, template); err != nil { // the deprecated name
+	if _, err := session.RunJobAgain(ctx, template); err != nil { // deprecated name of ResubmitJob
 		t.Fatal(err)
 	}
 	if len(received) != 2 {
--- a/drmaa2/errors.go
+++ b/drmaa2/errors.go
@@ -9,23 +9,23 @@
 // ErrorCode names an exception of GFD.194 section 6.
 type ErrorCode string
 
-// The exceptions. docs/drmaa.md lists when the scheduler raises each.
+// Error codes. docs/drmaa.md lists when the scheduler returns each of them.
 const (
-	DeniedByDrms           ErrorCode = "DeniedByDrms"           // reserved for access control; not raised yet
+	DeniedByDrms           ErrorCode = "DeniedByDrms"           // reserved for access control; not returned yet
 	DrmCommunication       ErrorCode = "DrmCommunication"       // the scheduler can't be reached, or sent an invalid response
-	TryLater               ErrorCode = "TryLater"               // temporarily rejected; see Error.RetryAfter
-	TimeoutCode            ErrorCode = "Timeout"                // a wait timed out; raised by the client
+	TryLater               ErrorCode = "TryLater"               // the scheduler rejects the request for now; see Error.RetryAfter
+	TimeoutCode            ErrorCode = "Timeout"                // a wait timed out; returned by the client itself
 	Internal               ErrorCode = "Internal"               // a fault of the scheduler
-	InvalidArgument        ErrorCode = "InvalidArgument"        // invalid value, or unknown job or session
-	InvalidSession         ErrorCode = "InvalidSession"         // a submission to, or a watch of, a session that does not exist
+	InvalidArgument        ErrorCode = "InvalidArgument"        // an invalid value, or an unknown job or session
+	InvalidSession         ErrorCode = "InvalidSession"         // submission to or watch of a session that does not exist
 	InvalidState           ErrorCode = "InvalidState"           // the job's state does not allow the operation
 	OutOfResource          ErrorCode = "OutOfResource"          // too many sessions
-	UnsupportedAttribute   ErrorCode = "UnsupportedAttribute"   // an attribute that the scheduler does not act on
-	UnsupportedOperation   ErrorCode = "UnsupportedOperation"   // an operation that the scheduler does not have
-	ImplementationSpecific ErrorCode = "ImplementationSpecific" // not raised
+	UnsupportedAttribute   ErrorCode = "UnsupportedAttribute"   // an attribute that the scheduler does not support
+	UnsupportedOperation   ErrorCode = "UnsupportedOperation"   // an operation that the scheduler does not support
+	ImplementationSpecific ErrorCode = "ImplementationSpecific" // not returned
 )
 
-// Values to match errors by code with errors.Is.
+// Errors to compare with errors.Is, which matches every *Error of the same code.
 var (
 	ErrDeniedByDrms         = &Error{Code: DeniedByDrms}
 	ErrDrmCommunication     = &Error{Code: DrmCommunication}
@@ -40,13 +40,13 @@
 	ErrUnsupportedOperation = &Error{Code: UnsupportedOperation}
 )
 
-// Error reports a call that failed. Use errors.As to get it, or errors.Is to match its code with an Err value.
+// Error is the error of a call that failed. Use errors.As to get it, or errors.Is to compare its code with an Err variable.
 type Error struct {
 	Code       ErrorCode     `json:"code"`
-	Message    string        `json:"message"`             // for people
-	Attribute  string        `json:"attribute,omitempty"` // of the template, if it is the reason
-	RetryAfter time.Duration `json:"-"`                   // with TryLater: time to wait before a retry; zero if unknown
-	Err        error         `json:"-"`                   // cause, if the client raised the error
+	Message    string        `json:"message"`             // description for people, not for programs
+	Attribute  string        `json:"attribute,omitempty"` // attribute of the template that caused the error; may be empty
+	RetryAfter time.Duration `json:"-"`                   // for TryLater, the time to wait before a retry; zero if unknown
+	Err        error         `json:"-"`                   // cause, for an error that the client itself returns
 }
 
 // Error returns the code and the message.
@@ -57,16 +57,17 @@
 	return fmt.Sprintf("drmaa2: %s: %s", e.Code, e.Message)
 }
 
-// Is reports whether target is an *Error of the same code.
+// Is reports whether target is an *Error with the same code, for errors.Is.
 func (e *Error) Is(target error) bool {
 	t, ok := target.(*Error)
 	return ok && t.Code == e.Code
 }
 
-// Unwrap returns the cause, or nil.
+// Unwrap returns the cause of an error of the client, or nil.
 func (e *Error) Unwrap() error { return e.Err }
 
-// communicationError returns the error of a request without a complete response, or the context's error if that has ended.
+// communicationError returns the error of a request that got no complete response: ErrDrmCommunication, or the error of the
+// context if that has ended.
 func communicationError(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return ctx.Err()
@@ -74,11 +75,12 @@
 	return &Error{Code: DrmCommunication, Message: err.Error(), Err: err}
 }
 
-// argumentError returns the error of arguments that no request can be made of.
+// argumentError returns the error of a call from whose arguments no request can be built.
 func argumentError(err error) error {
 	return &Error{Code: InvalidArgument, Message: err.Error(), Err: err}
 }
 
+// unsupportedError returns the error of an operation that nodes do not support.
 func unsupportedError(operation string) error {
-	return &Error{Code: UnsupportedOperation, Message: operation + " is not supported: nodes run a job or stop it"}
+	return &Error{Code: UnsupportedOperation, Message: operation + " is not supported: nodes can only start and stop jobs"}
 }
--- a/drmaa2/events.go
+++ b/drmaa2/events.go
@@ -19,8 +19,8 @@
 	eventDataPrefix = "data: "
 )
 
-// followEvents calls handle with each event of a stream until it returns true. It reconnects as needed; for events that it
-// missed in between, it receives the latest state of each job. The error is ErrTimeout after the timeout.
+// followEvents calls handle with each event of a stream until handle returns true. It reconnects if the connection breaks; the
+// scheduler then sends the latest state of each job whose events were missed. The error is ErrTimeout after the timeout.
 func (c *Client) followEvents(ctx context.Context, path string, timeout time.Duration,
 	handle func(*JobInfo) bool) error {
 	waitCtx, cancel := ctx, context.CancelFunc(func() {})
@@ -42,27 +42,28 @@
 		case ctx.Err() != nil:
 			return ctx.Err()
 		case waitCtx.Err() != nil || errors.Is(err, context.DeadlineExceeded):
-			return &Error{Code: TimeoutCode, Message: "waited " + timeout.String()}
+			return &Error{Code: TimeoutCode, Message: "timed out after " + timeout.String()}
 		case err != nil:
 			return err
 		}
-		select { // the daemon has ended the stream, as it does when it shuts down
+		select { // the stream has ended, for example because the daemon shuts down; wait before reconnecting
 		case <-waitCtx.Done():
 		case <-time.After(minBackoff):
 		}
 	}
 }
 
-// eventStream reads server-sent events. Each connection resumes after the last event that was handled.
+// eventStream reads the events of a stream over one connection after another. Each connection resumes after the last event that
+// was passed to handle.
 type eventStream struct {
 	client *Client
 	path   string
 	handle func(*JobInfo) bool
-	lastID string // ID of the last event that was handled
+	lastID string // ID of the last event that was passed to handle; empty before the first
 }
 
-// read handles the events of one connection. It returns true once handle does, and false without an error if the connection
-// was closed by the scheduler, or broke after it had received events.
+// read opens a connection and calls handle with its events. It returns true when handle returns true, and false without an error
+// if the scheduler closed the connection, or if the connection broke after at least one event.
 func (s *eventStream) read(ctx context.Context) (bool, error) {
 	header := http.Header{"Accept": {"text/event-stream"}}
 	if s.lastID != "" {
@@ -78,7 +79,7 @@
 	for events.next() {
 		info := &JobInfo{}
 		if err := json.Unmarshal([]byte(events.data), info); err != nil {
-			return false, &Error{Code: DrmCommunication, Message: "an event can't be decoded: " + err.Error(), Err: err}
+			return false, &Error{Code: DrmCommunication, Message: "decode event: " + err.Error(), Err: err}
 		}
 		s.lastID, received = events.id, true
 		if s.handle(info) {
@@ -94,7 +95,7 @@
 // eventReader parses the server-sent events of one connection.
 type eventReader struct {
 	lines    *bufio.Scanner
-	id, data string // of the event that next has read
+	id, data string // ID and data of the event that next read last
 }
 
 func newEventReader(stream io.Reader) *eventReader {
@@ -103,8 +104,8 @@
 	return &eventReader{lines: lines}
 }
 
-// next reads the next event that has data. It returns false at the end of the stream or at an error, which lines.Err
-// returns.
+// next reads the next event that has data. It returns false at the end of the stream or after an error; lines.Err returns the
+// error.
 func (r *eventReader) next() bool {
 	r.data = ""
 	for r.lines.Scan() {
--- a/drmaa2/example_test.go
+++ b/drmaa2/example_test.go
@@ -9,14 +9,14 @@
 	"flaxshelf.example/flaxshelf/drmaa2"
 )
 
-// A job is submitted and waited for. The scheduler is the one of `flaxshelf up`.
+// Submits a job to the scheduler that `flaxshelf up` runs, and waits until the job has ended.
 func Example() {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	client := drmaa2.NewClient("http://127.0.0.1:7171")
 	defer client.Close()
 	session, err := client.CreateJobSession(ctx, "billing")
-	if errors.Is(err, drmaa2.ErrInvalidArgument) { // it exists
+	if errors.Is(err, drmaa2.ErrInvalidArgument) { // the session exists already
 		session, err = client.OpenJobSession(ctx, "billing")
 	}
 	if err != nil {
--- a/drmaa2/monitoring.go
+++ b/drmaa2/monitoring.go
@@ -5,7 +5,8 @@
 	"net/http"
 )
 
-// MonitoringSession reads all jobs, machines and queues, GFD.194 section 8.9. It need not be closed.
+// MonitoringSession gives read access to all jobs, machines and queues of the scheduler, GFD.194 section 8.9. It need not be
+// closed.
 type MonitoringSession struct{ client *Client }
 
 // OpenMonitoringSession opens a monitoring session. The error is ErrDrmCommunication if the scheduler can't be reached.
@@ -24,7 +25,7 @@
 	return m.client.watch(ctx, eventsPath, handle)
 }
 
-// AllMachines returns the nodes of the given names, or all if there are no names. Unknown names are ignored.
+// AllMachines returns the nodes with the given names, or all nodes if no names are given. Unknown names are ignored.
 func (m *MonitoringSession) AllMachines(ctx context.Context, names ...string) ([]MachineInfo, error) {
 	var list struct {
 		Machines []MachineInfo `json:"machines"`
@@ -35,7 +36,7 @@
 	return filterByName(list.Machines, names, func(machine MachineInfo) string { return machine.Name }), nil
 }
 
-// AllQueues returns the queues of the given names, or all if there are no names. Unknown names are ignored.
+// AllQueues returns the queues with the given names, or all queues if no names are given. Unknown names are ignored.
 func (m *MonitoringSession) AllQueues(ctx context.Context, names ...string) ([]QueueInfo, error) {
 	var list struct {
 		Queues []QueueInfo `json:"queues"`
@@ -63,7 +64,7 @@
 	return found
 }
 
-// AllReservations returns ErrUnsupportedOperation: the scheduler has no advance reservations.
+// AllReservations returns ErrUnsupportedOperation, because the scheduler has no advance reservations.
 func (m *MonitoringSession) AllReservations(context.Context) error {
 	return &Error{Code: UnsupportedOperation, Message: "advance reservations are not supported"}
 }
