--- a/cmd/flaxshelf/deploy_test.go
+++ b/cmd/flaxshelf/deploy_test.go
@@ -16,7 +16,7 @@
 
 const repoRoot = "../.."
 
-// deployConfig has the keys that the platform reads of deploy/balancer.toml.
+// deployConfig has the keys of deploy/balancer.toml that the platform reads.
 type deployConfig struct {
 	Build, Run, Sim string
 	Policy, Node    []string
@@ -35,7 +35,8 @@
 	return d
 }
 
-// The platform's shell must be replaced by the scheduler, so that signals reach it.
+// The platform runs the lines of the deploy file in a shell. Each must replace the shell by the program with exec, or signals
+// such as SIGTERM go to the shell and do not reach the scheduler.
 func TestDeployFileRunsOneProcess(t *testing.T) {
 	d := readDeployFile(t)
 	for name, line := range map[string]string{"run": d.Run, "sim": d.Sim} {
@@ -50,7 +51,7 @@
 	}
 }
 
-// A renamed package must be renamed in the deploy file too.
+// Guards against a file or package that is renamed or removed, but still listed in the deploy file.
 func TestDeployFileNamesExistingFiles(t *testing.T) {
 	d := readDeployFile(t)
 	for _, name := range append(slices.Clone(d.Policy), d.Node...) {
@@ -60,17 +61,17 @@
 	}
 }
 
-// The bench's clock is a library that the dynamic linker loads into the process, so the program must name that linker and
-// the C library.
+// The test bench replaces the clock by a library that the dynamic linker loads into the process. This only works if the
+// program names a dynamic linker and is linked to the C library.
 func TestDeployFileBuildsADynamicallyLinkedProgram(t *testing.T) {
 	d := readDeployFile(t)
 	dir := t.TempDir() + "/"
 	line := strings.Replace(d.Build, "-o bin/", "-o "+dir, 1)
 	if line == d.Build {
-		t.Fatalf("build = %q does not write to bin/", d.Build)
+		t.Fatalf("build = %q: got no output in bin/, want -o bin/", d.Build)
 	}
 	if line = strings.Replace(line, "mkdir -p bin && ", "", 1); strings.Contains(line, "bin/ ") {
-		t.Fatalf("build = %q writes elsewhere too", d.Build)
+		t.Fatalf("build = %q: got another use of bin/, want bin/ only as the output of the build", d.Build)
 	}
 	cmd := exec.Command("/bin/sh", "-c", line)
 	cmd.Dir = repoRoot
@@ -82,7 +83,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// Go's own linker makes a dynamic file too, but one that starts without the C library's start.
+	// Go's internal linker also produces a dynamically linked file, but one that does not run the start code of the C library.
 	for _, want := range []debug.BuildSetting{{Key: "-ldflags", Value: "-linkmode=external"}, {Key: "CGO_ENABLED", Value: "1"}} {
 		if !slices.Contains(info.Settings, want) {
 			t.Errorf("got build settings %v, want %s=%s among them", info.Settings, want.Key, want.Value)
--- a/cmd/flaxshelf/deprecated_test.go
+++ b/cmd/flaxshelf/deprecated_test.go
@@ -11,8 +11,8 @@
 	"github.com/alecthomas/kong"
 )
 
-// parseCommandLine parses a command line as run does, and returns the commands, the log and the error of
-// applyDeprecatedFlags.
+// parseCommandLine parses a command line and applies its deprecated flags, as run does. It returns the parsed commands, and the
+// log output and the error of applyDeprecatedFlags.
 func parseCommandLine(t *testing.T, args []string) (commands *commandLine, logOutput string, err error) {
 	t.Helper()
 	var out, errOut outputBuffer
@@ -30,13 +30,13 @@
 	return commands, errOut.String(), err
 }
 
-// deprecatedFlagTests has each deprecated flag with its replacement.
+// deprecatedFlagTests has each deprecated flag of each command, with its replacement.
 var deprecatedFlagTests = []struct {
-	name        string // of the command and the deprecated flag
+	name        string // command, and deprecated flag without --
 	command     []string
 	deprecated  string
 	replacement string
-	value       string // empty for a flag that takes none
+	value       string // empty for a boolean flag
 	want        any
 	get         func(*commandLine) any
 }{
@@ -91,7 +91,8 @@
 func TestDeprecatedFlagWithItsReplacementIsRejected(t *testing.T) {
 	for _, c := range deprecatedFlagTests {
 		t.Run(c.name, func(t *testing.T) {
-			_, _, err := parseCommandLine(t, append(c.command, flagArgument(c.deprecated, c.value), flagArgument(c.replacement, c.value)))
+			_, _, err := parseCommandLine(t, append(c.command, flagArgument(c.deprecated, c.value),
+				flagArgument(c.replacement, c.value)))
 			if got := exitCode(err); got != exitUsage {
 				t.Errorf("got exit code %d (%v), want %d", got, err, exitUsage)
 			}
@@ -99,7 +100,7 @@
 	}
 }
 
-// flagArgument returns a flag as an argument, with its value if it takes one.
+// flagArgument returns the command-line argument that sets a flag to a value. The value is empty for a boolean flag.
 func flagArgument(flag, value string) string {
 	if value == "" {
 		return flag
@@ -113,7 +114,8 @@
 	for _, c := range deprecatedFlagTests {
 		tested[c.name] = true
 	}
-	parser, err := newParser(context.Background(), &streams{out: newPrinter(io.Discard), err: newPrinter(io.Discard)}, &commandLine{}, func(int) {})
+	std := &streams{out: newPrinter(io.Discard), err: newPrinter(io.Discard)}
+	parser, err := newParser(context.Background(), std, &commandLine{}, func(int) {})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -138,7 +140,7 @@
 	}
 }
 
-// flagType returns the type of a command's flag, or nil if it has none of the name.
+// flagType returns the type of the flag of a command that has the name, or nil if there is none.
 func flagType(command *kong.Node, name string) reflect.Type {
 	for _, flag := range command.Flags {
 		if flag.Name == name {
--- a/cmd/flaxshelf/heap_test.go
+++ b/cmd/flaxshelf/heap_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// heapBeforeTests is the size of the heap in bytes before any test has run: what initializing the packages costs.
+// heapBeforeTests is the size of the heap in bytes before any test has run, which is what package initialization allocates.
 var heapBeforeTests uint64
 
 func TestMain(m *testing.M) {
@@ -16,10 +16,10 @@
 	os.Exit(m.Run())
 }
 
-// The platform's memory limits begin at 32 MB, and memory that counts against the soft limit without being resident keeps
-// the garbage collector running.
+// The smallest memory limit of the platform is 32 MB. Memory that package initialization allocates counts against the soft limit
+// of the Go runtime even if it is not resident, and so keeps the garbage collector running.
 func TestPackageInitializationNeedsLittleMemory(t *testing.T) {
 	if heapBeforeTests > 16<<20 {
-		t.Errorf("got %d MiB of heap before any test, want 16 at most", heapBeforeTests>>20)
+		t.Errorf("got %d MiB of heap after package initialization, want at most 16", heapBeforeTests>>20)
 	}
 }
--- a/cmd/flaxshelf/main_test.go
+++ b/cmd/flaxshelf/main_test.go
@@ -21,10 +21,10 @@
 	waiters []textWaiter
 }
 
-// textWaiter waits until a text has been written.
+// textWaiter is a call of waitFor whose text has not been written yet.
 type textWaiter struct {
 	text    string
-	written chan struct{} // closed then
+	written chan struct{} // closed when the text has been written
 }
 
 func (b *outputBuffer) Write(p []byte) (int, error) {
@@ -41,7 +41,7 @@
 	return b.text.String()
 }
 
-// waitFor returns a channel that is closed once the buffer contains text.
+// waitFor returns a channel that is closed when the buffer contains the text.
 func (b *outputBuffer) waitFor(text string) <-chan struct{} {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -51,6 +51,7 @@
 	return written
 }
 
+// notifyWaiters closes the channels of the waiters whose text is in the buffer. The caller must hold mu.
 func (b *outputBuffer) notifyWaiters() {
 	var waiting []textWaiter
 	for _, w := range b.waiters {
@@ -63,7 +64,7 @@
 	b.waiters = waiting
 }
 
-// runFlaxshelf runs a command and returns its exit code and its outputs.
+// runFlaxshelf runs a command and returns its exit code, standard output and standard error.
 func runFlaxshelf(args ...string) (code int, out, errOut string) {
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
@@ -72,7 +73,8 @@
 	return code, outBuffer.String(), errBuffer.String()
 }
 
-// expectCommand runs a command, compares its exit code, and looks for a text in its outputs. It returns standard output.
+// expectCommand runs a command, and reports an error if it does not end with wantCode or its output does not contain wantText.
+// It returns standard output.
 func expectCommand(t *testing.T, wantCode int, wantText string, args ...string) string {
 	t.Helper()
 	code, out, errOut := runFlaxshelf(args...)
@@ -83,7 +85,7 @@
 	return out
 }
 
-// writeTestFile writes a file that exists until the test ends, and returns its path.
+// writeTestFile writes a file that is removed when the test ends, and returns its path.
 func writeTestFile(t *testing.T, name, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
@@ -153,7 +155,7 @@
 		}
 	})
 	select {
-	case <-out.waitFor("\ntry: "): // the line after the scheduler's
+	case <-out.waitFor("\ntry: "): // the line after that of the scheduler
 	case <-time.After(testTimeout):
 		t.Fatalf("flaxshelf up: got no scheduler: %s%s", out.String(), errOut.String())
 	}
--- a/cmd/flaxshelf/printer_test.go
+++ b/cmd/flaxshelf/printer_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// fullDisk fails each write that does not fit into its free bytes.
+// fullDisk is a writer that fails each write of more than freeBytes, the bytes that are left.
 type fullDisk struct {
 	freeBytes int
 	written   strings.Builder
@@ -77,7 +77,7 @@
 	}
 }
 
-// failingFirstWrite fails its first write.
+// failingFirstWrite is a writer that fails only its first write.
 type failingFirstWrite struct {
 	failed  bool
 	written strings.Builder
@@ -91,7 +91,7 @@
 	return w.written.Write(text)
 }
 
-// A daemon must keep logging after a write error that passes.
+// A daemon must continue to log after a temporary write error.
 func TestLogContinuesAfterAFailedWrite(t *testing.T) {
 	out := &failingFirstWrite{}
 	std := &streams{out: newPrinter(io.Discard), err: newPrinter(out), log: out}
