--- a/cmd/flaxshelf/config.go
+++ b/cmd/flaxshelf/config.go
@@ -6,16 +6,16 @@
 )
 
 type configCmd struct {
-	Check  configCheckCmd  `cmd:"" help:"Check a configuration and report every error with file, line, field and what was expected."`
-	Schema configSchemaCmd `cmd:"" help:"Print the schema with defaults and units."`
+	Check  configCheckCmd  `cmd:"" help:"Check a configuration file and print each error with line, field and expected value."`
+	Schema configSchemaCmd `cmd:"" help:"Print the schema of the configuration files, with defaults and units."`
 }
 
 type configCheckCmd struct {
-	File string `arg:"" type:"path" help:"The file."`
-	As   string `enum:"scheduler,fleet,trial" default:"scheduler" help:"What the file is: scheduler, fleet or trial."`
+	File string `arg:"" type:"path" help:"Configuration file."`
+	As   string `enum:"scheduler,fleet,trial" default:"scheduler" help:"Kind of configuration: scheduler, fleet or trial."`
 }
 
-// Run checks the file.
+// Run checks the configuration file and prints that it is valid, or returns its errors.
 func (c *configCheckCmd) Run(std *streams) error {
 	var err error
 	switch c.As {
@@ -35,7 +35,7 @@
 
 type configSchemaCmd struct{}
 
-// Run prints the schema.
+// Run prints the schema of the configuration files.
 func (configSchemaCmd) Run(std *streams) error { //nolint:unparam // kong requires a Run that returns an error
 	std.out.print(settings.Schema())
 	return nil
--- a/cmd/flaxshelf/emulate.go
+++ b/cmd/flaxshelf/emulate.go
@@ -13,27 +13,27 @@
 )
 
 type emulateCmd struct {
-	Day              string        `arg:"" help:"Name of a day that ships with the program, or a CUE file as #Trial of the schema."`
-	Seed             uint64        `default:"1" help:"Seed of the random numbers."`
-	Workers          int           `default:"1" help:"Parts of the cluster that are simulated in parallel; the trace does not depend on it."`
-	Verify           bool          `help:"Check the trace against the rules; exit 1 on a violation."`
-	Plan             string        `type:"existingfile" xor:"load" placeholder:"FILE" help:"Use this load plan instead of the day's load."`
-	Trace            string        `type:"existingfile" xor:"load" placeholder:"FILE" help:"Use this captured load instead of the day's load."`
-	ProgressInterval time.Duration `placeholder:"TIME" help:"Simulated time between reports of progress and memory."`
-	Record           string        `placeholder:"FILE" help:"Write the trace as a recording; with one worker."`
+	Day              string        `arg:"" help:"A built-in scripted day, or a CUE file of the schema's type #Trial."`
+	Seed             uint64        `default:"1" help:"Seed of the random number generator."`
+	Workers          int           `default:"1" help:"Parts of the cluster to simulate in parallel; does not change the trace."`
+	Verify           bool          `help:"Check the trace against the rules; exit code 1 on a violation."`
+	Plan             string        `type:"existingfile" xor:"load" placeholder:"FILE" help:"Play this load plan, not the day's."`
+	Trace            string        `type:"existingfile" xor:"load" placeholder:"FILE" help:"Play this trace, not the day's load."`
+	ProgressInterval time.Duration `placeholder:"TIME" help:"Simulated time between progress reports; 0: no reports."`
+	Record           string        `placeholder:"FILE" help:"Write the trace to this file as a recording; needs --workers 1."`
 
 	DeprecatedJudge bool          `name:"judge" replacement:"verify" help:"Deprecated: use --verify; removed in 0.2.0."`
 	DeprecatedEvery time.Duration `name:"every" replacement:"progress-interval" placeholder:"TIME" help:"Deprecated: use --progress-interval; removed in 0.2.0."`
 }
 
-// Run emulates a day on a simulated clock.
+// Run emulates a scripted day on a simulated clock.
 func (c *emulateCmd) Run(ctx context.Context, std *streams) error {
 	day, err := scenario.Read(c.Day)
 	if err != nil {
 		return err
 	}
 	if c.Workers < 1 || c.Workers > 1 && (c.Verify || c.Record != "") {
-		return usageError{fmt.Errorf("--workers is %d: expected 1 or more, and 1 with --verify or --record", c.Workers)}
+		return usageError{fmt.Errorf("--workers is %d: expected at least 1, and exactly 1 with --verify or --record", c.Workers)}
 	}
 	trace, err := c.readLoad()
 	if err != nil {
@@ -49,7 +49,8 @@
 	return c.runAndMeasure(ctx, std, day, options)
 }
 
-// runAndVerify emulates the day and checks the trace against the rules.
+// runAndVerify emulates the day and checks the trace against the rules. It returns errRuleViolated if a rule was violated, and
+// a missingOutcomesError if submissions have no outcome.
 func (c *emulateCmd) runAndVerify(ctx context.Context, std *streams, day *scenario.Day, options emulator.Options) error {
 	report, verdict, err := emulator.RunAndCheck(ctx, day, options)
 	if err != nil {
@@ -65,7 +66,7 @@
 	return nil
 }
 
-// runAndMeasure emulates the day and prints the simulated time per second of wall time.
+// runAndMeasure emulates the day and prints the wall time that it took and the ratio of simulated time to wall time.
 func (c *emulateCmd) runAndMeasure(ctx context.Context, std *streams, day *scenario.Day, options emulator.Options) error {
 	start := time.Now()
 	report, err := c.runEmulator(ctx, day, options)
@@ -78,7 +79,7 @@
 	return nil
 }
 
-// runEmulator emulates the day, and writes the recording if --record is set.
+// runEmulator emulates the day, and writes the trace as a recording if --record is set.
 func (c *emulateCmd) runEmulator(ctx context.Context, day *scenario.Day,
 	options emulator.Options) (*emulator.Report, error) {
 	if c.Record == "" {
@@ -94,7 +95,7 @@
 	return report, err
 }
 
-// readLoad returns the jobs of the plan or trace, or nil for the day's own load.
+// readLoad returns the load of --plan or --trace, or nil if neither is set and the emulator uses the load of the day.
 func (c *emulateCmd) readLoad() (*load.Trace, error) {
 	switch {
 	case c.Plan != "":
--- a/cmd/flaxshelf/experiment.go
+++ b/cmd/flaxshelf/experiment.go
@@ -11,13 +11,13 @@
 )
 
 type experimentCmd struct {
-	File    string `arg:"" type:"existingfile" help:"The experiment, a CUE file as #Experiment of the schema."`
-	Results string `placeholder:"FILE" help:"Completed runs, one per line; the next start resumes from them. Default: the file's name with .runs."`
-	Report  string `placeholder:"FILE" help:"Write one self-contained HTML page."`
-	Workers int    `default:"0" help:"Concurrent runs; 0: one for each processor."`
+	File    string `arg:"" type:"existingfile" help:"A CUE file of the schema's type #Experiment."`
+	Results string `placeholder:"FILE" help:"Completed runs, one per line, to resume from; default: the experiment with .runs."`
+	Report  string `placeholder:"FILE" help:"Write a report to this file, as one self-contained HTML page."`
+	Workers int    `default:"0" help:"Number of concurrent runs; 0: one for each processor."`
 }
 
-// Run executes the runs that are not completed yet, and prints the results.
+// Run executes the runs that the file of completed runs does not have yet, and prints a table of all results.
 func (c *experimentCmd) Run(ctx context.Context, std *streams) error {
 	text, err := os.ReadFile(c.File)
 	if err != nil {
--- a/cmd/flaxshelf/file.go
+++ b/cmd/flaxshelf/file.go
@@ -6,7 +6,7 @@
 	"os"
 )
 
-// readFile opens a file, reads it by a function, and closes it.
+// readFile opens a file, passes it to read, and closes it. It returns the value that read returns.
 func readFile[T any](path string, read func(io.Reader) (T, error)) (T, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -17,7 +17,7 @@
 	return content, errors.Join(err, f.Close())
 }
 
-// writeFile creates a file or empties it, writes it by a function, and closes it.
+// writeFile creates a file or truncates an existing one, passes it to write, and closes it.
 func writeFile(path string, write func(io.Writer) error) error {
 	f, err := os.Create(path)
 	if err != nil {
--- a/cmd/flaxshelf/inventory.go
+++ b/cmd/flaxshelf/inventory.go
@@ -2,7 +2,7 @@
 
 import (
 	"context"
-	"errors"
+	"fmt"
 	"time"
 
 	"flaxshelf.example/flaxshelf/internal/testbed/standin/host"
@@ -11,18 +11,19 @@
 
 type inventoryCmd struct {
 	Listen         string        `default:"127.0.0.1:7170" placeholder:"ADDRESS" help:"Address to listen on."`
-	DiscoveryDelay time.Duration `default:"200ms" help:"Delay until watchers see a change."`
-	RemovalDelay   time.Duration `default:"1s" help:"Delay until a node whose connection broke is removed."`
+	DiscoveryDelay time.Duration `default:"200ms" help:"Time after which watchers see a change."`
+	RemovalDelay   time.Duration `default:"1s" help:"Time after which a node whose connection broke is removed."`
 
 	DeprecatedLate      time.Duration `name:"late" replacement:"discovery-delay" help:"Deprecated: use --discovery-delay; removed in 0.2.0."`
 	DeprecatedGoneAfter time.Duration `name:"gone-after" replacement:"removal-delay" help:"Deprecated: use --removal-delay; removed in 0.2.0."`
 	Log                 string        `enum:"debug,info,warn,error" default:"info" help:"Log level: debug, info, warn or error."`
 }
 
-// Run runs the inventory until it is interrupted.
+// Run runs the stand-in inventory until the command is interrupted.
 func (c *inventoryCmd) Run(ctx context.Context, std *streams) error {
 	if c.DiscoveryDelay < 0 || c.RemovalDelay < 0 {
-		return usageError{errors.New("--discovery-delay and --removal-delay must not be negative")}
+		return usageError{fmt.Errorf("--discovery-delay is %v and --removal-delay is %v: expected no negative duration",
+			c.DiscoveryDelay, c.RemovalDelay)}
 	}
 	inventory, err := host.StartInventory(c.Listen,
 		inventorymodel.Config{DiscoveryDelay: c.DiscoveryDelay, RemovalDelay: c.RemovalDelay}, std.newLogger(c.Log))
--- a/cmd/flaxshelf/job_query.go
+++ b/cmd/flaxshelf/job_query.go
@@ -3,27 +3,29 @@
 import (
 	"context"
 	"encoding/json"
-	"errors"
+	"fmt"
 	"time"
 
 	"flaxshelf.example/flaxshelf/drmaa2"
 )
 
-// errJobNotDone reports that a job ended in another state than DONE.
-var errJobNotDone = errors.New("the job did not end as DONE")
+// newJobNotDoneError returns the error for a job that ended in a state other than DONE.
+func newJobNotDoneError(id string, state drmaa2.JobState) error {
+	return fmt.Errorf("job %s ended in state %s, expected %s", id, state, drmaa2.Done)
+}
 
-// printWaitResult prints the state of a job after a wait. The error is errJobNotDone if the job failed.
+// printWaitResult prints the state that a job has after a wait. It returns an error if the job has failed.
 func printWaitResult(std *streams, info *drmaa2.JobInfo) error {
 	std.out.println(info.JobState, info.JobSubState, info.Annotation)
 	if info.JobState == drmaa2.Failed {
-		return errJobNotDone
+		return newJobNotDoneError(info.JobID, info.JobState)
 	}
 	return nil
 }
 
 type jobStateCmd struct{ jobArgument }
 
-// Run prints the state.
+// Run prints the state and the sub-state of the job.
 func (c *jobStateCmd) Run(ctx context.Context, std *streams) error {
 	return c.withJob(ctx, func(job *drmaa2.Job) error {
 		state, subState, err := job.State(ctx)
@@ -37,11 +39,11 @@
 
 type jobWaitCmd struct {
 	jobArgument
-	For     string        `enum:"started,terminated" default:"terminated" help:"What to wait for: started or terminated."`
-	Timeout time.Duration `help:"Limit of the wait; 0: no limit."`
+	For     string        `enum:"started,terminated" default:"terminated" help:"Event to wait for: started or terminated."`
+	Timeout time.Duration `help:"Longest time to wait; 0: no limit."`
 }
 
-// Run waits, and prints the state.
+// Run waits for the job to start or end, and prints its state.
 func (c *jobWaitCmd) Run(ctx context.Context, std *streams) error {
 	return c.withJob(ctx, func(job *drmaa2.Job) error {
 		timeout := drmaa2.InfiniteTime
@@ -80,11 +82,11 @@
 
 type jobListCmd struct {
 	serverFlag
-	Session string `help:"Only of this job session."`
-	State   string `help:"Only in this state, as RUNNING."`
+	Session string `help:"List only the jobs of this job session."`
+	State   string `help:"List only the jobs in this state, such as RUNNING."`
 }
 
-// Run lists jobs.
+// Run prints a table of the jobs that match the flags.
 func (c *jobListCmd) Run(ctx context.Context, std *streams) error {
 	client := c.newClient()
 	defer client.Close()
@@ -106,7 +108,7 @@
 	return nil
 }
 
-// printJobs prints a table with a row for each job.
+// printJobs prints a table with one row for each job.
 func printJobs(std *streams, infos []drmaa2.JobInfo) {
 	rows := [][]string{{"JOB", "STATE", "SUB", "NODE", "NAME", "SUBMITTED", "NOTE"}}
 	for _, info := range infos {
--- a/cmd/flaxshelf/job_submit.go
+++ b/cmd/flaxshelf/job_submit.go
@@ -11,31 +11,32 @@
 	"flaxshelf.example/flaxshelf/drmaa2"
 )
 
-// templateFlags are the attributes of a JobTemplate that have a flag.
+// templateFlags are the flags and arguments that set attributes of a JobTemplate, and the job session to submit to.
 type templateFlags struct {
-	Session         string        `default:"default" help:"Job session; it is created if it does not exist."`
-	File            string        `type:"existingfile" placeholder:"FILE" help:"A JobTemplate as JSON; flags override it."`
-	Class           string        `placeholder:"NAME" help:"jobCategory: the class."`
-	Tenant          string        `placeholder:"NAME" help:"accountingId: the tenant."`
-	Name            string        `help:"jobName."`
-	Service         string        `help:"The service that the job belongs to."`
-	Key             string        `help:"Idempotency key: a retry under the same key is the same job."`
-	Cores           string        `help:"Cores requested."`
+	Session         string        `default:"default" help:"Name of the job session, which is created if it does not exist."`
+	File            string        `type:"existingfile" placeholder:"FILE" help:"JobTemplate in JSON; flags override its values."`
+	Class           string        `placeholder:"NAME" help:"Class of the job (jobCategory)."`
+	Tenant          string        `placeholder:"NAME" help:"Tenant of the job (accountingId)."`
+	Name            string        `help:"Name of the job (jobName)."`
+	Service         string        `help:"Service that the job belongs to."`
+	Key             string        `help:"Idempotency key; submissions with the same key create the job once."`
+	Cores           string        `help:"Number of cores requested."`
 	Memory          string        `help:"Memory requested, in GiB."`
-	ExpectedRuntime time.Duration `help:"Expected runtime."`
+	ExpectedRuntime time.Duration `help:"Expected runtime of the job."`
 
-	PlacementTimeout time.Duration `help:"Limit of the wait for a start."`
+	PlacementTimeout time.Duration `help:"Time within which the job must start."`
 
-	Hold       bool     `help:"Submit the job held."`
+	Hold       bool     `help:"Submit the job on hold."`
 	Rerunnable bool     `help:"Restart the job if it is evicted or its node is lost."`
-	Command    string   `arg:"" optional:"" help:"remoteCommand."`
+	Command    string   `arg:"" optional:"" help:"Command of the job (remoteCommand)."`
 	Args       []string `arg:"" optional:"" passthrough:"" help:"Arguments of the command."`
 
 	DeprecatedLife   time.Duration `name:"life" replacement:"expected-runtime" help:"Deprecated: use --expected-runtime; removed in 0.2.0."`
 	DeprecatedGiveUp time.Duration `name:"give-up" replacement:"placement-timeout" help:"Deprecated: use --placement-timeout; removed in 0.2.0."`
 }
 
-// template returns the template of the file, if there is one, with the attributes that flags set.
+// template returns the template of --file, or an empty one without --file, with the attributes that other flags set. It returns
+// a usageError if there is no command.
 func (f *templateFlags) template() (drmaa2.JobTemplate, error) {
 	template, err := f.readTemplate()
 	if err != nil {
@@ -59,11 +60,12 @@
 		}
 	}
 	if template.RemoteCommand == "" {
-		return template, usageError{errors.New("no command: name one, or a --file that has a remoteCommand")}
+		return template, usageError{errors.New("no command: expected one as an argument, or as remoteCommand in --file")}
 	}
 	return template, nil
 }
 
+// readTemplate returns the template of --file, or an empty one if the flag is not set.
 func (f *templateFlags) readTemplate() (drmaa2.JobTemplate, error) {
 	var template drmaa2.JobTemplate
 	if f.File == "" {
@@ -74,12 +76,13 @@
 		return template, err
 	}
 	if err := json.Unmarshal(text, &template); err != nil {
-		return template, usageError{fmt.Errorf("%s: not a JobTemplate: %w", f.File, err)}
+		return template, usageError{fmt.Errorf("%s: decode JobTemplate: %w", f.File, err)}
 	}
 	return template, nil
 }
 
-// implementationSpecific returns the attributes that are specific to flaxshelf. Those that no flag sets are empty.
+// implementationSpecific returns the values of the flags for the implementation-specific attributes of flaxshelf, by attribute.
+// The value is empty for a flag that is not set.
 func (f *templateFlags) implementationSpecific() map[string]string {
 	return map[string]string{
 		drmaa2.AttrService:          f.Service,
@@ -91,13 +94,14 @@
 	}
 }
 
+// setIfNotEmpty sets *target to value, unless value is empty.
 func setIfNotEmpty(target *string, value string) {
 	if value != "" {
 		*target = value
 	}
 }
 
-// formatDuration returns a duration as text, or the empty string for zero.
+// formatDuration formats a duration. It returns the empty string for zero, the value of a flag that is not set.
 func formatDuration(d time.Duration) string {
 	if d == 0 {
 		return ""
@@ -112,19 +116,19 @@
 		return session, err
 	}
 	session, err = client.CreateJobSession(ctx, f.Session)
-	if errors.Is(err, drmaa2.ErrInvalidArgument) { // another client created it in between
+	if errors.Is(err, drmaa2.ErrInvalidArgument) { // another client has created it since
 		session, err = client.OpenJobSession(ctx, f.Session)
 	}
 	return session, err
 }
 
-// submitFlags are the flags of the commands that submit.
+// submitFlags are the flags of the commands that submit jobs.
 type submitFlags struct {
 	serverFlag
 	templateFlags
 }
 
-// withSession calls submit with the session and the template, and closes the client afterwards.
+// withSession opens the job session, calls submit with it and the template, and closes the client afterwards.
 func (f *submitFlags) withSession(ctx context.Context,
 	submit func(*drmaa2.JobSession, drmaa2.JobTemplate) error) error {
 	template, err := f.template()
@@ -142,10 +146,10 @@
 
 type jobRunCmd struct {
 	submitFlags
-	Wait bool `help:"Wait until it has ended; exit 1 unless it is DONE."`
+	Wait bool `help:"Wait until the job has ended; exit code 1 unless its state is DONE."`
 }
 
-// Run submits a job and prints its ID.
+// Run submits a job and prints its ID. With --wait it also waits for the end of the job.
 func (c *jobRunCmd) Run(ctx context.Context, std *streams) error {
 	return c.withSession(ctx, func(session *drmaa2.JobSession, template drmaa2.JobTemplate) error {
 		job, err := session.RunJob(ctx, template)
@@ -160,7 +164,7 @@
 	})
 }
 
-// waitForJob prints where a job starts and how it ends.
+// waitForJob waits for a job to start and end. It prints the node that runs the job, and the state in which the job ends.
 func waitForJob(ctx context.Context, std *streams, job *drmaa2.Job) error {
 	started, err := job.WaitStarted(ctx, drmaa2.InfiniteTime)
 	if err != nil {
@@ -178,14 +182,14 @@
 
 type jobBulkCmd struct {
 	submitFlags
-	Begin       int  `default:"1" help:"First index."`
-	End         int  `required:"" help:"Last index."`
-	Step        int  `default:"1" help:"Step between indexes."`
-	MaxParallel int  `help:"Limit of jobs that run at a time; 0: no limit."`
-	Wait        bool `help:"Wait until all have ended; exit 1 unless all are DONE."`
+	Begin       int  `default:"1" help:"First index of the array."`
+	End         int  `required:"" help:"Last index of the array."`
+	Step        int  `default:"1" help:"Difference between two consecutive indexes."`
+	MaxParallel int  `help:"Number of jobs that may run at a time; 0: no limit."`
+	Wait        bool `help:"Wait until all jobs have ended; exit code 1 unless all are DONE."`
 }
 
-// Run submits an array and prints its ID.
+// Run submits a job array and prints its ID. With --wait it also waits for the end of its jobs.
 func (c *jobBulkCmd) Run(ctx context.Context, std *streams) error {
 	return c.withSession(ctx, func(session *drmaa2.JobSession, template drmaa2.JobTemplate) error {
 		array, err := session.RunBulkJobs(ctx, template, c.Begin, c.End, c.Step, c.MaxParallel)
@@ -200,7 +204,8 @@
 	})
 }
 
-// waitForArray prints how the jobs of an array end.
+// waitForArray waits for all jobs of an array to end, and prints a table of them. It returns an error for the first job that
+// did not end in state DONE.
 func waitForArray(ctx context.Context, std *streams, array *drmaa2.JobArray) error {
 	if err := array.WaitTerminated(ctx, drmaa2.InfiniteTime); err != nil {
 		return err
@@ -212,7 +217,7 @@
 	printJobs(std, infos)
 	for _, info := range infos {
 		if info.JobState != drmaa2.Done {
-			return errJobNotDone
+			return newJobNotDoneError(info.JobID, info.JobState)
 		}
 	}
 	return nil
--- a/cmd/flaxshelf/load.go
+++ b/cmd/flaxshelf/load.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"io"
 	"os"
@@ -13,13 +12,14 @@
 )
 
 type loadCmd struct {
-	Run     loadRunCmd     `cmd:"" help:"Send a load to a scheduler, open-loop; latency counts from the intended times."`
-	Capture loadCaptureCmd `cmd:"" help:"Listen to a scheduler and write the load as a trace."`
-	Import  loadImportCmd  `cmd:"" help:"Convert a log in the Standard Workload Format to a trace."`
+	Run     loadRunCmd     `cmd:"" help:"Send a load to a scheduler, open-loop; latencies begin at the scheduled send times."`
+	Capture loadCaptureCmd `cmd:"" help:"Watch the jobs of a scheduler and write them to a trace."`
+	Import  loadImportCmd  `cmd:"" help:"Convert a log in the Standard Workload Format (SWF) to a trace."`
 	Show    loadShowCmd    `cmd:"" help:"Check a plan or trace and print a summary."`
 }
 
-// readLoad reads a plan (.cue) or a trace. A file that is not a trace is a usageError.
+// readLoad reads a load plan, whose name ends in .cue, or a trace. The seed is that of the jobs of a plan. The error is a
+// usageError if the file is not a valid trace.
 func readLoad(path string, seed uint64) (*load.Trace, error) {
 	if strings.HasSuffix(path, ".cue") {
 		return readPlan(path, seed)
@@ -33,7 +33,7 @@
 	})
 }
 
-// readPlan reads a plan and generates its jobs.
+// readPlan reads a load plan and generates its jobs with the seed.
 func readPlan(path string, seed uint64) (*load.Trace, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -46,7 +46,8 @@
 	return plan.Jobs(seed)
 }
 
-// writeTrace writes a trace to a file, and prints its size. With a key, names are replaced by hashes.
+// writeTrace writes a trace to a file, and prints the number of its jobs and its length. Unless key is empty, it replaces the
+// names in the trace by hashes under the key.
 func writeTrace(std *streams, trace *load.Trace, path, key string) error {
 	if key != "" {
 		if err := trace.Anonymise(key); err != nil {
@@ -62,17 +63,17 @@
 
 type loadRunCmd struct {
 	serverFlag
-	File    string        `arg:"" type:"existingfile" help:"A plan (.cue, as #Plan of the schema) or a trace."`
-	Seed    uint64        `default:"1" help:"Seed of the random numbers of a plan."`
-	Speed   float64       `default:"1" help:"Factor by which the load is sent faster."`
-	Session string        `default:"load" help:"Job session."`
+	File    string        `arg:"" type:"existingfile" help:"A load plan (a .cue file of the schema's type #Plan) or a trace."`
+	Seed    uint64        `default:"1" help:"Seed of the random number generator; for a load plan only."`
+	Speed   float64       `default:"1" help:"Factor by which to send the load faster."`
+	Session string        `default:"load" help:"Name of the job session to submit to."`
 	Wait    time.Duration `default:"30s" help:"Time to wait for outcomes after the last submission."`
 }
 
-// Run sends the load.
+// Run sends the load and prints the result.
 func (c *loadRunCmd) Run(ctx context.Context, std *streams) error {
 	if c.Speed <= 0 {
-		return usageError{errors.New("--speed must be above 0")}
+		return usageError{fmt.Errorf("--speed is %v: expected a number above 0", c.Speed)}
 	}
 	trace, err := readLoad(c.File, c.Seed)
 	if err != nil {
@@ -90,12 +91,12 @@
 
 type loadCaptureCmd struct {
 	serverFlag
-	For time.Duration `default:"1m" help:"Duration of the capture; an interrupt ends it earlier."`
-	Out string        `required:"" placeholder:"FILE" help:"The trace."`
-	Key string        `env:"FLAXSHELF_TRACE_KEY" help:"Replace names of services and tenants by hashes under this key."`
+	For time.Duration `default:"1m" help:"Duration of the capture; an interrupt ends it early."`
+	Out string        `required:"" placeholder:"FILE" help:"Trace to write."`
+	Key string        `env:"FLAXSHELF_TRACE_KEY" help:"Replace the names of services and tenants by hashes under this key."`
 }
 
-// Run captures a load.
+// Run captures the load of a scheduler and writes it to a trace.
 func (c *loadCaptureCmd) Run(ctx context.Context, std *streams) error {
 	client := c.newClient()
 	defer client.Close()
@@ -107,13 +108,13 @@
 }
 
 type loadImportCmd struct {
-	File  string `arg:"" type:"existingfile" help:"The log."`
-	Class string `required:"" help:"Class of its jobs."`
-	Out   string `required:"" placeholder:"FILE" help:"The trace."`
-	Key   string `env:"FLAXSHELF_TRACE_KEY" help:"Replace names by hashes under this key."`
+	File  string `arg:"" type:"existingfile" help:"Log in the Standard Workload Format."`
+	Class string `required:"" help:"Class to give to the jobs."`
+	Out   string `required:"" placeholder:"FILE" help:"Trace to write."`
+	Key   string `env:"FLAXSHELF_TRACE_KEY" help:"Replace the names in the trace by hashes under this key."`
 }
 
-// Run imports a log.
+// Run converts a log in the Standard Workload Format to a trace.
 func (c *loadImportCmd) Run(std *streams) error {
 	skipped := 0
 	trace, err := readFile(c.File, func(r io.Reader) (*load.Trace, error) {
@@ -134,8 +135,8 @@
 }
 
 type loadShowCmd struct {
-	File string `arg:"" type:"existingfile" help:"A plan (.cue) or a trace."`
-	Seed uint64 `default:"1" help:"Seed of the random numbers of a plan."`
+	File string `arg:"" type:"existingfile" help:"A load plan (a .cue file) or a trace."`
+	Seed uint64 `default:"1" help:"Seed of the random number generator; for a load plan only."`
 }
 
 // Run prints a summary of the load.
@@ -156,7 +157,7 @@
 	std.out.printf("from %s, anonymous %v: %d jobs in %v, %d gaps, %d censored runtimes\n", trace.Source, trace.Anonymous,
 		len(trace.Jobs), trace.Length().Round(time.Millisecond), len(trace.Gaps), censored)
 	if count := len(trace.Jobs); count > 0 {
-		const minSeconds = 1e-9 // seconds; all jobs of a trace may be submitted at once
+		const minSeconds = 1e-9 // avoids a division by zero: all jobs of a trace may be submitted at the same time
 		perSecond := float64(count) / max(trace.Length().Seconds(), minSeconds)
 		mean := (totalRuntime / time.Duration(count)).Round(time.Millisecond)
 		std.out.printf("%.2f jobs per second, mean runtime %v, classes %v\n", perSecond, mean, jobsByClass)
--- a/cmd/flaxshelf/machines.go
+++ b/cmd/flaxshelf/machines.go
@@ -8,11 +8,12 @@
 	"flaxshelf.example/flaxshelf/drmaa2"
 )
 
+// kibibytesPerGibibyte converts MachineInfo.PhysMemory to GiB.
 const kibibytesPerGibibyte = 1 << 20
 
 type machinesCmd struct{ serverFlag }
 
-// Run prints a table of the nodes.
+// Run prints a table of the nodes that the scheduler knows.
 func (c *machinesCmd) Run(ctx context.Context, std *streams) error {
 	client := c.newClient()
 	defer client.Close()
--- a/cmd/flaxshelf/main.go
+++ b/cmd/flaxshelf/main.go
@@ -1,4 +1,5 @@
-// Command flaxshelf is the scheduler, its clients, its simulated peers and its checkers in one binary.
+// Command flaxshelf runs the scheduler, its DRMAA2 clients, the stand-in nodes and inventory, and the tools that test and plan
+// a cluster.
 package main
 
 import (
@@ -17,32 +18,32 @@
 	"flaxshelf.example/flaxshelf/internal/settings"
 )
 
-// Exit codes, as --help and docs/operating.md list them.
+// Exit codes. The same list is in the output of --help and in docs/operating.md.
 const (
 	exitOK          = 0
-	exitFailed      = 1 // the command failed: a violated rule, a failed job, any other error
+	exitFailed      = 1 // the command failed: a violated rule, a failed job, or an error without a code of its own
 	exitUsage       = 2 // a wrong flag, argument or configuration
 	exitUnreachable = 3 // the scheduler could not be reached
-	exitTryLater    = 4 // the scheduler answered TryLater
-	exitTimeout     = 5 // a wait timed out
+	exitTryLater    = 4 // the scheduler rejected the request with TryLater
+	exitTimeout     = 5 // a wait for a job timed out
 )
 
 type commandLine struct {
-	Up         upCmd         `cmd:"" help:"Run an inventory, a few stand-in nodes and a scheduler in one process, on loopback."`
+	Up         upCmd         `cmd:"" help:"Run an inventory, stand-in nodes and a scheduler in one process, on loopback."`
 	Serve      serveCmd      `cmd:"" help:"Run a scheduler."`
-	Platform   platformCmd   `cmd:"" help:"Run a scheduler on the platform, with its protocol and its configuration."`
+	Platform   platformCmd   `cmd:"" help:"Run a scheduler that uses the platform's protocol and configuration."`
 	Node       nodeCmd       `cmd:"" help:"Run the stand-in nodes of a fleet file."`
 	Inventory  inventoryCmd  `cmd:"" help:"Run the stand-in inventory."`
-	Job        jobCmd        `cmd:"" help:"Submit and control jobs, as a DRMAA client."`
-	Machines   machinesCmd   `cmd:"" help:"List the nodes as a scheduler sees them."`
-	Trial      trialCmd      `cmd:"" help:"Play a scripted day over real sockets and check the five rules. Exit 1 on a violation."`
-	Emulate    emulateCmd    `cmd:"" help:"Play a scripted day on a simulated clock."`
-	Load       loadCmd       `cmd:"" help:"Send, capture, import and show loads."`
-	Experiment experimentCmd `cmd:"" help:"Compare designs over seeds by emulation, with intervals and a report."`
-	Plan       planCmd       `cmd:"" help:"Show the first limit of a load, the nodes that a goal needs, and the capacity after the loss of a failure domain."`
-	Verify     verifyCmd     `cmd:"" help:"Check the recording of a trial again."`
-	Replay     replayCmd     `cmd:"" help:"Replay a scheduler's recorded steps to the module and compare its actions."`
-	Config     configCmd     `cmd:"" help:"Check configuration files."`
+	Job        jobCmd        `cmd:"" help:"Submit and control jobs through the DRMAA2 API."`
+	Machines   machinesCmd   `cmd:"" help:"List the nodes that a scheduler knows."`
+	Trial      trialCmd      `cmd:"" help:"Play a scripted day over sockets and check the five rules; exit code 1 if violated."`
+	Emulate    emulateCmd    `cmd:"" help:"Emulate a scripted day on a simulated clock."`
+	Load       loadCmd       `cmd:"" help:"Send, capture, import and summarize loads."`
+	Experiment experimentCmd `cmd:"" help:"Compare designs by emulation over seeds, with confidence intervals and a report."`
+	Plan       planCmd       `cmd:"" help:"Predict the limits of a load, the nodes for a goal, and capacity after failures."`
+	Verify     verifyCmd     `cmd:"" help:"Check the recording of a trial against the rules."`
+	Replay     replayCmd     `cmd:"" help:"Replay recorded placer steps and compare the actions with the recorded ones."`
+	Config     configCmd     `cmd:"" help:"Check configuration files and print their schema."`
 }
 
 const description = `A scheduler that places long-running jobs on the machines of a cluster.
@@ -50,11 +51,11 @@
 Exit codes: 0 success; 1 failed or a rule violated; 2 wrong usage or configuration; 3 the scheduler could not be reached;
 4 the scheduler answered TryLater; 5 a wait timed out.`
 
-// streams are the outputs of a command.
+// streams are the output streams of a command.
 type streams struct {
 	out *printer // results
 	err *printer // progress and errors
-	// log is standard error for the logger. It is not a printer, since a log must continue after a write that failed.
+	// log receives the log lines, on standard error. It is not a printer, because the log must continue after a failed write.
 	log io.Writer
 }
 
@@ -65,7 +66,7 @@
 	os.Exit(code)
 }
 
-// run runs the command line and returns the exit code. Long-running commands end when ctx does.
+// run parses and runs a command line and returns the exit code. Long-running commands end when ctx is done.
 func run(ctx context.Context, args []string, out, errOut io.Writer) int {
 	std := &streams{out: newPrinter(out), err: newPrinter(errOut), log: errOut}
 	var commands commandLine
@@ -77,7 +78,7 @@
 		return exitFailed
 	}
 	command, err := parser.Parse(args)
-	if parserExit != notExited { // --help
+	if parserExit != notExited { // the parser has printed the help
 		return parserExit
 	}
 	if err != nil {
@@ -97,7 +98,7 @@
 	return exitCode(err)
 }
 
-// newParser returns the parser of the command line. It calls exit after it has printed help.
+// newParser returns the parser of the command line. The parser calls exit after it has printed help.
 func newParser(ctx context.Context, std *streams, commands *commandLine, exit func(code int)) (*kong.Kong, error) {
 	return kong.New(commands, kong.Name("flaxshelf"), kong.Description(description), kong.UsageOnError(),
 		kong.ConfigureHelp(kong.HelpOptions{Compact: true}), kong.Writers(std.out, std.err), kong.Exit(exit),
@@ -106,7 +107,8 @@
 
 func (s *streams) reportError(err error) { s.err.println("flaxshelf:", err) }
 
-// outputError returns an error if results could not be written. A failed write to standard error can't be reported.
+// outputError returns an error if a write of results to standard output failed. A failed write to standard error has no
+// stream left to be reported on.
 func (s *streams) outputError() error {
 	if err := s.out.Err(); err != nil {
 		return fmt.Errorf("write to standard output: %w", err)
@@ -114,15 +116,15 @@
 	return nil
 }
 
-// usageError reports wrong flags, arguments or files.
+// usageError reports invalid flags, arguments or input files; its exit code is exitUsage.
 type usageError struct{ err error }
 
 func (e usageError) Error() string { return e.err.Error() }
 
-// Unwrap returns the reason.
+// Unwrap returns the wrapped error.
 func (e usageError) Unwrap() error { return e.err }
 
-// exitCode returns the exit code of a command that returned err.
+// exitCode returns the exit code for the error that a command returned.
 func exitCode(err error) int {
 	var usage usageError
 	var configErrors settings.ConfigErrors
@@ -142,7 +144,8 @@
 	return exitFailed
 }
 
-// newLogger returns a logger of JSON lines on standard error, with a level of trace, debug, info, warn or error.
+// newLogger returns a logger that writes JSON lines to standard error. The level is trace, debug, info, warn or error; for any
+// other value it is info.
 func (s *streams) newLogger(level string) zerolog.Logger {
 	threshold, err := zerolog.ParseLevel(level)
 	if err != nil {
--- a/cmd/flaxshelf/node.go
+++ b/cmd/flaxshelf/node.go
@@ -9,18 +9,18 @@
 	"github.com/rs/zerolog"
 
 	"flaxshelf.example/flaxshelf/internal/settings"
-	standins "flaxshelf.example/flaxshelf/internal/testbed/standin/fleet"
+	standinfleet "flaxshelf.example/flaxshelf/internal/testbed/standin/fleet"
 	"flaxshelf.example/flaxshelf/internal/testbed/standin/host"
 	"flaxshelf.example/flaxshelf/internal/testbed/standin/nodemodel"
 )
 
 type nodeCmd struct {
-	Config    string   `required:"" type:"path" placeholder:"FILE" help:"A CUE file as #Fleet of the schema."`
-	Inventory string   `placeholder:"ADDRESS" help:"Address of the inventory; overrides the file."`
-	Names     []string `name:"name" placeholder:"NODE" help:"Run only these nodes of the file. Nodes deduplicate idempotency keys only within one process."`
+	Config    string   `required:"" type:"path" placeholder:"FILE" help:"A CUE file of the schema's type #Fleet."`
+	Inventory string   `placeholder:"ADDRESS" help:"Address of the inventory; overrides the fleet file."`
+	Names     []string `name:"name" placeholder:"NODE" help:"Run only these nodes; keys are deduplicated in one process only."`
 }
 
-// Run runs nodes until it is interrupted; then they drain and stop.
+// Run runs the nodes until the command is interrupted. Then it drains and stops them.
 func (c *nodeCmd) Run(ctx context.Context, std *streams) error {
 	fleet, err := settings.ReadFleet(c.Config)
 	if err != nil {
@@ -45,11 +45,12 @@
 	for _, node := range nodes {
 		node.Do(func(model *nodemodel.Node, now nodemodel.Time) []nodemodel.Send { return model.Drain(now) })
 	}
-	time.Sleep(fleet.DiscoveryDelay.Duration()) // so that the inventory can show that they drain
+	time.Sleep(fleet.DiscoveryDelay.Duration()) // watchers of the inventory see the draining state after this delay
 	return nil
 }
 
-// selectNodes returns the named nodes of the file, in the order of the flags.
+// selectNodes returns the nodes that the --name flags select, in the order of the flags. The error is a usageError if the fleet
+// file has no node of a name.
 func (c *nodeCmd) selectNodes(nodes []settings.Node) ([]settings.Node, error) {
 	var selected []settings.Node
 	for _, name := range c.Names {
@@ -62,8 +63,8 @@
 	return selected, nil
 }
 
-// startNodes starts all nodes of a fleet, or none if there is an error. The nodes of one zone share a registry of idempotency
-// keys.
+// startNodes starts all nodes of a fleet. If one fails to start, it stops the others and returns the error. The nodes of a zone
+// share a registry of idempotency keys.
 func startNodes(fleet *settings.Fleet, inventoryAddress string, log zerolog.Logger) ([]*host.Node, error) {
 	keyRegistryByZone := map[string]nodemodel.KeyRegistry{}
 	var nodes []*host.Node
@@ -72,7 +73,7 @@
 			keyRegistryByZone[node.Zone] = host.NewKeyRegistry()
 		}
 		started, err := host.StartNode(host.NodeOptions{
-			Model:     standins.Model(fleet, i),
+			Model:     standinfleet.Model(fleet, i),
 			Kind:      node.Kind,
 			Cell:      node.Cell,
 			Listen:    node.ListenAddress,
@@ -95,7 +96,7 @@
 	}
 }
 
-// printNodes prints a line with name and address of each node.
+// printNodes prints one line for each node, with its name and address.
 func printNodes(std *streams, fleet *settings.Fleet, nodes []*host.Node) {
 	for i, node := range nodes {
 		std.out.printf("node %s %s\n", fleet.Nodes[i].Name, node.Addr())
--- a/cmd/flaxshelf/plan.go
+++ b/cmd/flaxshelf/plan.go
@@ -13,28 +13,29 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/scenario"
 )
 
-// Parameters of the search by emulation.
+// Parameters of the search for the breaking point by emulation.
 const (
-	searchLowerFactor        = 0.4  // lower bound, as a multiple of the predicted first limit
-	searchUpperFactor        = 2    // upper bound, likewise
-	searchRelativeWidth      = 0.03 // relative width to which the search narrows
-	surgeSearchRelativeWidth = 0.05 // the same with a surge, which needs two searches
+	searchLowerFactor        = 0.4  // lower bound of the load, as a multiple of the predicted first limit
+	searchUpperFactor        = 2    // upper bound of the load, as a multiple of the predicted first limit
+	searchRelativeWidth      = 0.03 // the search ends when its interval is this narrow, relative to its lower bound
+	surgeSearchRelativeWidth = 0.05 // the same with --surge; wider, because a surge needs two searches
 )
 
 type planCmd struct {
-	Day     string  `arg:"" help:"A day with the fleet and the load: one that ships with the program, or a CUE file as #Trial of the schema. Its faults are ignored."`
-	Goal    float64 `default:"1.5" help:"The multiple of the load that the fleet must support."`
-	Trace   string  `type:"existingfile" placeholder:"FILE" help:"Plan for this captured load instead of the day's."`
-	Emulate bool    `help:"Also search for the breaking point by emulation: the load at which the fraction placed of the worst class falls below --placed."`
-	Placed  float64 `default:"0.99" help:"Fraction of submissions that must be placed."`
-	Warmup  float64 `default:"10" help:"Seconds at the start of each emulated day that are not measured."`
-	Surge   float64 `help:"With --emulate: also search for the breaking point after a surge by this factor in the first quarter of --warmup."`
-	Seeds   int     `default:"2" help:"Emulated days for each load."`
+	Day     string  `arg:"" help:"Fleet and load: a built-in day, or a CUE file of the schema's type #Trial; faults are ignored."`
+	Goal    float64 `default:"1.5" help:"Multiple of the load that the fleet must support."`
+	Trace   string  `type:"existingfile" placeholder:"FILE" help:"Use the load of this captured trace instead of the day's."`
+	Emulate bool    `help:"Also search by emulation for the breaking point, where the worst class falls below --placed."`
+	Placed  float64 `default:"0.99" help:"Fraction of the submissions of each class that must be placed."`
+	Warmup  float64 `default:"10" help:"Seconds at the start of each emulated day to leave out of the measurement."`
+	Surge   float64 `help:"With --emulate: also search after a surge by this factor in the first quarter of --warmup."`
+	Seeds   int     `default:"2" help:"Number of seeds to emulate at each load."`
 
 	DeprecatedWarm float64 `name:"warm" replacement:"warmup" help:"Deprecated: use --warmup; removed in 0.2.0."`
 }
 
-// Run plans.
+// Run prints the limits of the fleet for the load and the nodes that the goal needs. With --emulate it also searches for the
+// breaking point by emulation.
 func (c *planCmd) Run(ctx context.Context, std *streams) error {
 	day, err := scenario.Read(c.Day)
 	if err != nil {
@@ -63,16 +64,17 @@
 
 func (c *planCmd) validate(day *scenario.Day) error {
 	if c.Goal <= 0 || c.Placed <= 0 || c.Placed > 1 || c.Seeds < 1 || c.Emulate && c.Warmup >= day.Seconds {
-		return usageError{fmt.Errorf("--goal above 0, --placed above 0 and at most 1, --seeds at least 1 and --warmup under the "+
-			"day's %v s are needed", day.Seconds)}
+		return usageError{fmt.Errorf("--goal is %v, --placed is %v, --seeds is %d and --warmup is %v: expected a goal above 0, "+
+			"a fraction placed above 0 and at most 1, at least 1 seed, and with --emulate a warm-up shorter than the day's %v s",
+			c.Goal, c.Placed, c.Seeds, c.Warmup, day.Seconds)}
 	}
 	if c.Trace != "" && c.Emulate {
-		return usageError{errors.New("--emulate plays the load of the day, not of a --trace")}
+		return usageError{errors.New("--emulate and --trace: expected only one, since --emulate uses the load of the day")}
 	}
 	return nil
 }
 
-// printLimits prints the first limit of all and of each class, and then every limit.
+// printLimits prints the limit that the load reaches first, the first one for each class, and then all limits.
 func printLimits(std *streams, fleet *planner.Fleet, load []planner.Class, limits []planner.Limit) {
 	firstLimit, firstByClass := planner.First(limits)
 	std.out.printf("%d nodes, %d schedulers\n\nfirst: %v\n", fleet.Nodes(), fleet.Schedulers, firstLimit)
@@ -82,7 +84,7 @@
 	std.out.printf("\nall limits:\n%s\n", planner.FormatLimits(limits))
 }
 
-// printRequiredNodes prints how many more nodes of each kind the goal needs.
+// printRequiredNodes prints how many more nodes of each kind are needed to support --goal times the load.
 func (c *planCmd) printRequiredNodes(std *streams, fleet *planner.Fleet, load []planner.Class) {
 	std.out.printf("for %.3g times the load:\n", c.Goal)
 	for _, required := range planner.RequiredNodes(fleet, load, c.Goal) {
@@ -94,7 +96,7 @@
 	}
 }
 
-// printCapacityWithoutDomains prints the first limit of the fleet without each of its failure domains.
+// printCapacityWithoutDomains prints, for each failure domain, the first limit of the fleet after the loss of that domain.
 func printCapacityWithoutDomains(std *streams, fleet *planner.Fleet, load []planner.Class) {
 	std.out.println("\ncapacity after the loss of a failure domain:")
 	for _, domain := range failureDomains(fleet) {
@@ -108,7 +110,8 @@
 	}
 }
 
-// searchBreakingPoint searches for the load at which the goal breaks by emulation, around the predicted first limit.
+// searchBreakingPoint searches by emulation for the load above which the goal is missed, in an interval around the predicted
+// first limit, and prints it. With --surge it also searches for that load after a surge.
 func (c *planCmd) searchBreakingPoint(ctx context.Context, std *streams, day *scenario.Day, predicted planner.Limit) error {
 	goal := plancheck.Goal{MinPlacedFraction: c.Placed, WarmupSeconds: c.Warmup}
 	search := plancheck.Search{Low: predicted.Multiple * searchLowerFactor, High: predicted.Multiple * searchUpperFactor,
@@ -134,9 +137,10 @@
 	return nil
 }
 
-// estimateCapturedLoad returns the load of a trace. It prints the estimates with their errors and warnings.
+// estimateCapturedLoad estimates the load of each class from --trace. It prints the estimates with their relative errors and
+// warnings.
 func (c *planCmd) estimateCapturedLoad(std *streams, day *scenario.Day) ([]planner.Class, error) {
-	const seed = 1 // of a plan; a trace is not random
+	const seed = 1 // only used if the file is a load plan; a trace is not random
 	trace, err := readLoad(c.Trace, seed)
 	if err != nil {
 		return nil, err
@@ -159,16 +163,17 @@
 	return load, nil
 }
 
-// anyCell is the cell of a failure domain that covers all cells.
+// anyCell is the cell of a failure domain that is not limited to one cell.
 const anyCell = -1
 
-// failureDomain is a set of nodes that may fail together. An empty zone or kind matches any.
+// failureDomain is a set of nodes that may fail together: those of the zone, cell and kind. An empty zone or kind, and anyCell,
+// match all nodes.
 type failureDomain struct {
 	name, zone, kind string
 	cell             int
 }
 
-// failureDomains returns the zones, cells and kinds of a fleet, sorted by name.
+// failureDomains returns each zone, cell and kind of a fleet as a failure domain, sorted by name.
 func failureDomains(fleet *planner.Fleet) []failureDomain {
 	domainsByName := map[string]failureDomain{}
 	for _, group := range fleet.Groups {
--- a/cmd/flaxshelf/platform.go
+++ b/cmd/flaxshelf/platform.go
@@ -13,17 +13,17 @@
 )
 
 type platformCmd struct {
-	Config          string `env:"GW_CONFIG" type:"path" placeholder:"FILE" help:"Configuration as the platform writes it, JSON; $GW_CONFIG where not given."`
-	Log             string `enum:"trace,debug,info,warn,error" default:"info" help:"What is logged to standard error; trace: each message."`
-	ModuleRecording string `type:"path" placeholder:"FILE" help:"Record the module's steps, for replay."`
+	Config          string `env:"GW_CONFIG" type:"path" placeholder:"FILE" help:"Configuration of the platform, in JSON."`
+	Log             string `enum:"trace,debug,info,warn,error" default:"info" help:"Log level; trace logs each message."`
+	ModuleRecording string `type:"path" placeholder:"FILE" help:"Record the steps of the placer to this file, for replay."`
 	DeprecatedTap   string `name:"tap" replacement:"module-recording" type:"path" placeholder:"FILE" help:"Deprecated: use --module-recording; removed in 0.2.0."`
 }
 
-// Run runs a scheduler on the platform until SIGTERM, and then shuts it down gracefully. On SIGHUP it reloads the
-// configuration.
+// Run runs a scheduler on the platform until SIGTERM or an interrupt, and then shuts it down gracefully. On SIGHUP it reloads
+// the configuration.
 func (c *platformCmd) Run(ctx context.Context, std *streams) error {
 	if c.Config == "" {
-		return usageError{errors.New("platform: no configuration: give --config or set GW_CONFIG")}
+		return usageError{errors.New("no configuration file: expected --config or GW_CONFIG to be set")}
 	}
 	reload, stop := notifyReload()
 	defer stop()
@@ -35,8 +35,9 @@
 	return err
 }
 
-// notifyReload returns a channel that receives for each SIGHUP until stop is called.
-func notifyReload() (hangups <-chan struct{}, stop func()) {
+// notifyReload returns a channel that receives a value after a SIGHUP, until stop is called. A signal may be
+// dropped while earlier ones are pending, since those cause a reload anyway.
+func notifyReload() (reload <-chan struct{}, stop func()) {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
 	reloads, stopped := make(chan struct{}), make(chan struct{})
--- a/cmd/flaxshelf/printer.go
+++ b/cmd/flaxshelf/printer.go
@@ -8,8 +8,8 @@
 	"text/tabwriter"
 )
 
-// printer writes text to an output and keeps the first error of a write, after which it writes nothing more. Commands
-// don't check each line; run checks Err once, at the end. It is safe for concurrent use.
+// printer writes text to an output. It keeps the first write error and writes nothing after it, so that commands need not
+// check each write: run checks Err once, at the end. It is safe for concurrent use.
 type printer struct {
 	mu  sync.Mutex
 	out io.Writer
@@ -18,7 +18,7 @@
 
 func newPrinter(out io.Writer) *printer { return &printer{out: out} }
 
-// Write implements io.Writer.
+// Write implements io.Writer. After a failed write it returns the error of that write.
 func (p *printer) Write(text []byte) (int, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -30,7 +30,7 @@
 	return n, err
 }
 
-// Err returns the first error of a write.
+// Err returns the error of the first failed write, or nil.
 func (p *printer) Err() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -38,18 +38,18 @@
 }
 
 func (p *printer) printf(format string, args ...any) {
-	_, _ = fmt.Fprintf(p, format, args...) // Err has the error
+	_, _ = fmt.Fprintf(p, format, args...) // Err returns the error
 }
 
 func (p *printer) println(args ...any) {
-	_, _ = fmt.Fprintln(p, args...) // Err has the error
+	_, _ = fmt.Fprintln(p, args...) // Err returns the error
 }
 
 func (p *printer) print(args ...any) {
-	_, _ = fmt.Fprint(p, args...) // Err has the error
+	_, _ = fmt.Fprint(p, args...) // Err returns the error
 }
 
-// table writes rows of cells in aligned columns; the first row is the header.
+// table writes rows of cells in aligned columns. The first row is the header.
 func (p *printer) table(rows [][]string) {
 	const (
 		tabWidth = 8
@@ -57,7 +57,7 @@
 	)
 	aligned := tabwriter.NewWriter(p, 0, tabWidth, padding, ' ', 0)
 	for _, row := range rows {
-		_, _ = fmt.Fprintln(aligned, strings.Join(row, "\t")) // Err has the error
+		_, _ = fmt.Fprintln(aligned, strings.Join(row, "\t")) // Err returns the error
 	}
-	_ = aligned.Flush() // Err has the error
+	_ = aligned.Flush() // Err returns the error
 }
--- a/cmd/flaxshelf/replay.go
+++ b/cmd/flaxshelf/replay.go
@@ -3,10 +3,10 @@
 import "flaxshelf.example/flaxshelf/internal/replay"
 
 type replayCmd struct {
-	File string `arg:"" type:"existingfile" help:"A module recording: the file that a scheduler's setting moduleRecording or flag --module-recording names."`
+	File string `arg:"" type:"existingfile" help:"Recording of placer steps, as moduleRecording or --module-recording writes."`
 }
 
-// Run replays the recorded steps to the module.
+// Run replays the recorded steps to a new placer, and returns an error for the first step whose actions differ.
 func (c *replayCmd) Run(std *streams) error {
 	result, err := readFile(c.File, replay.Check)
 	if err != nil {
--- a/cmd/flaxshelf/serve.go
+++ b/cmd/flaxshelf/serve.go
@@ -10,9 +10,9 @@
 )
 
 type serveCmd struct {
-	Config string `required:"" type:"path" placeholder:"FILE" help:"Configuration, a CUE file as #Scheduler of the schema."`
-	Cores  int    `placeholder:"N" help:"Cores to decide on; overrides the file."`
-	Listen string `placeholder:"ADDRESS" help:"Address to listen on; overrides the file."`
+	Config string `required:"" type:"path" placeholder:"FILE" help:"A CUE file of the schema's type #Scheduler."`
+	Cores  int    `placeholder:"N" help:"Number of cores that decide placements; overrides the configuration."`
+	Listen string `placeholder:"ADDRESS" help:"Address to listen on; overrides the configuration."`
 }
 
 // Run runs a scheduler until SIGTERM or an interrupt, and then shuts it down gracefully.
@@ -39,6 +39,6 @@
 	return shutDown(scheduler)
 }
 
-// shutDown shuts a scheduler down gracefully after the context of the command has ended; the settings limit how long it
-// takes.
+// shutDown shuts a scheduler down gracefully. It takes a new context, because that of the command has ended; the settings limit
+// how long a shutdown takes.
 func shutDown(scheduler *daemon.Daemon) error { return scheduler.Shutdown(context.Background()) }
--- a/cmd/flaxshelf/trial.go
+++ b/cmd/flaxshelf/trial.go
@@ -11,17 +11,17 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/trial"
 )
 
-// errRuleViolated reports a recording or a trace that violates a rule.
+// errRuleViolated reports that a recording or a trace violates a rule. The verdict, which is printed, names the rule.
 var errRuleViolated = errors.New("a rule was violated")
 
-// missingOutcomesError reports submissions without an outcome.
+// missingOutcomesError reports how many submissions have no outcome at the end of an emulated day.
 type missingOutcomesError struct{ submissions int }
 
 func (e missingOutcomesError) Error() string {
 	return fmt.Sprintf("%d submissions have no outcome", e.submissions)
 }
 
-// trialsFailedError reports trials in which a rule was violated or another check failed; their results are printed.
+// trialsFailedError reports how many trials violated a rule or failed another check. Their results have been printed.
 type trialsFailedError struct{ failed, total int }
 
 func (e trialsFailedError) Error() string {
@@ -29,17 +29,18 @@
 }
 
 type trialCmd struct {
-	Day           string `arg:"" help:"Name of a day that ships with the program, or a CUE file as #Trial of the schema. 'list' lists them."`
-	Seed          uint64 `default:"1" help:"Seed of the random numbers."`
-	Seeds         int    `default:"1" help:"Number of seeds to play one after the other, from --seed on."`
-	Cores         int    `placeholder:"N" help:"Cores of each scheduler; overrides the day."`
-	Record        string `placeholder:"FILE" help:"Write the recording of the traffic here; with several seeds, the last one's."`
-	KeepDirectory string `name:"keep" type:"path" placeholder:"DIR" help:"Keep the schedulers' logs and configurations here."`
-	Replay        bool   `default:"true" negatable:"" help:"Also replay the recorded steps to the module and compare its actions."`
-	Quiet         bool   `short:"q" help:"Don't report each fault."`
+	Day           string `arg:"" help:"A built-in scripted day, a CUE file of the schema's type #Trial, or list for the days."`
+	Seed          uint64 `default:"1" help:"Seed of the random number generator."`
+	Seeds         int    `default:"1" help:"Number of trials to run one after the other, with consecutive seeds from --seed on."`
+	Cores         int    `placeholder:"N" help:"Number of cores of each scheduler; overrides the day."`
+	Record        string `placeholder:"FILE" help:"Write the recording of the traffic here; with several seeds, of the last."`
+	KeepDirectory string `name:"keep" type:"path" placeholder:"DIR" help:"Keep the logs and configurations of schedulers here."`
+	Replay        bool   `default:"true" negatable:"" help:"Also replay the recorded steps to a placer and compare the actions."`
+	Quiet         bool   `short:"q" help:"Don't print faults and submissions without an outcome."`
 }
 
-// Run plays a day over real sockets, once for each seed.
+// Run plays a scripted day over real sockets, once for each seed, and prints the results. With the name list it prints the
+// built-in days instead.
 func (c *trialCmd) Run(ctx context.Context, std *streams) error {
 	if c.Day == "list" {
 		return listDays(std)
@@ -77,7 +78,7 @@
 	return nil
 }
 
-// listDays prints the days that ship with the program.
+// listDays prints the built-in scripted days with their descriptions.
 func listDays(std *streams) error {
 	for _, name := range scenario.Names() {
 		day, err := scenario.Read(name)
--- a/cmd/flaxshelf/up.go
+++ b/cmd/flaxshelf/up.go
@@ -17,7 +17,7 @@
 //go:embed up-scheduler.cue
 var upScheduler []byte
 
-// registrationTimeout is how long `up` waits for its nodes to register in the inventory.
+// registrationTimeout limits how long `flaxshelf up` waits for its nodes to register in the inventory.
 const registrationTimeout = 10 * time.Second
 
 type upCmd struct {
@@ -25,7 +25,7 @@
 	Log    string `enum:"debug,info,warn,error" default:"warn" help:"Log level: debug, info, warn or error."`
 }
 
-// Run runs everything in one process until it is interrupted.
+// Run runs an inventory, stand-in nodes and a scheduler in one process until the command is interrupted.
 func (c *upCmd) Run(ctx context.Context, std *streams) error {
 	fleet, err := settings.ParseFleet("up-fleet.cue", upFleet)
 	if err != nil {
@@ -63,6 +63,7 @@
 	return shutDown(scheduler)
 }
 
+// waitForNodes waits until count nodes have registered in the inventory, for registrationTimeout at most.
 func waitForNodes(ctx context.Context, inventory *host.Inventory, count int) error {
 	waitCtx, cancel := context.WithTimeout(ctx, registrationTimeout)
 	defer cancel()
--- a/cmd/flaxshelf/verify.go
+++ b/cmd/flaxshelf/verify.go
@@ -7,11 +7,11 @@
 )
 
 type verifyCmd struct {
-	File  string   `arg:"" type:"existingfile" help:"The recording."`
-	Terms []string `name:"follow" placeholder:"WORD" help:"Print the frames that contain all of these words, instead of checking the rules."`
+	File  string   `arg:"" type:"existingfile" help:"Recording of a trial or of an emulated day."`
+	Terms []string `name:"follow" placeholder:"WORD" help:"Print the frames with all these words instead of checking the rules."`
 }
 
-// Run checks a recording against the rules.
+// Run checks a recording against the rules, or prints the frames that --follow selects.
 func (c *verifyCmd) Run(std *streams) error {
 	if len(c.Terms) > 0 {
 		_, err := readFile(c.File, func(r io.Reader) (struct{}, error) {
