--- a/cmd/flaxshelf/node.go
+++ b/cmd/flaxshelf/node.go
@@ -17,7 +17,7 @@
 type nodeCmd struct {
 	Config    string   `required:"" type:"path" placeholder:"FILE" help:"A CUE file of the schema's type #Fleet."`
 	Inventory string   `placeholder:"ADDRESS" help:"Address of the inventory; overrides the fleet file."`
-	Names     []string `name:"name" placeholder:"NODE" help:"Run only these nodes; keys are deduplicated in one process only."`
+	Names     []string `name:"name" placeholder:"NODE" help:"Run only these nodes; nodes share idempotency keys per process."`
 }
 
 // Run runs the nodes until the command is interrupted. Then it drains and stops them.
