--- a/drmaa2/monitoring.go
+++ b/drmaa2/monitoring.go
@@ -5,7 +5,8 @@
 	"net/http"
 )
 
-// MonitoringSession reads all jobs, machines and queues, GFD.194 section 8.9. It need not be closed.
+// MonitoringSession gives read access to all jobs, machines and queues of the scheduler, GFD.194 section 8.9. It need not be
+// closed.
 type MonitoringSession struct{ client *Client }
 
 // OpenMonitoringSession opens a monitoring session. The error is ErrDrmCommunication if the scheduler can't be reached.
@@ -24,7 +25,7 @@
 	return m.client.watch(ctx, eventsPath, handle)
 }
 
-// AllMachines returns the nodes of the given names, or all if there are no names. Unknown names are ignored.
+// AllMachines returns the nodes with the given names, or all nodes if no names are given. Unknown names are ignored.
 func (m *MonitoringSession) AllMachines(ctx context.Context, names ...string) ([]MachineInfo, error) {
 	var list struct {
 		Machines []MachineInfo `json:"machines"`
@@ -32,10 +33,10 @@
 	if err := m.client.call(ctx, http.MethodGet, "/machines", nil, &list); err != nil {
 		return list.Machines, err
 	}
-	return named(list.Machines, names, func(machine MachineInfo) string { return machine.Name }), nil
+	return filterByName(list.Machines, names, func(machine MachineInfo) string { return machine.Name }), nil
 }
 
-// AllQueues returns the queues of the given names, or all if there are no names. Unknown names are ignored.
+// AllQueues returns the queues with the given names, or all queues if no names are given. Unknown names are ignored.
 func (m *MonitoringSession) AllQueues(ctx context.Context, names ...string) ([]QueueInfo, error) {
 	var list struct {
 		Queues []QueueInfo `json:"queues"`
@@ -43,18 +44,19 @@
 	if err := m.client.call(ctx, http.MethodGet, "/queues", nil, &list); err != nil {
 		return list.Queues, err
 	}
-	return named(list.Queues, names, func(queue QueueInfo) string { return queue.Name }), nil
+	return filterByName(list.Queues, names, func(queue QueueInfo) string { return queue.Name }), nil
 }
 
-// named returns the elements that have one of the names, once for each occurrence of the name, or all if there are no names.
-func named[T any](elements []T, names []string, name func(T) string) []T {
-	if len(names) == 0 {
+// filterByName returns the elements whose name is in wantedNames, once for each time that the name occurs there. An empty
+// wantedNames selects all elements.
+func filterByName[T any](elements []T, wantedNames []string, nameOf func(T) string) []T {
+	if len(wantedNames) == 0 {
 		return elements
 	}
 	var found []T
 	for _, element := range elements {
-		for _, wanted := range names {
-			if wanted == name(element) {
+		for _, wanted := range wantedNames {
+			if wanted == nameOf(element) {
 				found = append(found, element)
 			}
 		}
@@ -62,7 +64,7 @@
 	return found
 }
 
-// AllReservations returns ErrUnsupportedOperation: the scheduler has no advance reservations.
+// AllReservations returns ErrUnsupportedOperation, because the scheduler has no advance reservations.
 func (m *MonitoringSession) AllReservations(context.Context) error {
 	return &Error{Code: UnsupportedOperation, Message: "advance reservations are not supported"}
 }
