--- a/cmd/flaxshelf/trial.go
+++ b/cmd/flaxshelf/trial.go
@@ -57,10 +57,10 @@
 	}
 	failed := 0
 	for i := range c.Seeds {
-		options := trial.Options{Seed: c.Seed + uint64(i), Record: c.Record, Directory: c.KeepDirectory, Replay: c.Replay,
+		options := trial.Options{Seed: c.Seed + uint64(i), RecordingPath: c.Record, Directory: c.KeepDirectory, Replay: c.Replay,
 			Command: func(args ...string) *exec.Cmd { return exec.Command(self, args...) }}
 		if !c.Quiet {
-			options.Note = func(format string, args ...any) { std.out.printf(format+"\n", args...) }
+			options.Logf = func(format string, args ...any) { std.out.printf(format+"\n", args...) }
 		}
 		result, err := trial.Run(ctx, day, options)
 		if err != nil {
--- a/internal/testbed/recordproxy/event.go
+++ b/internal/testbed/recordproxy/event.go
@@ -36,16 +36,16 @@
 
 // The reasons of closed connections. They are part of the format of recordings.
 const (
-	closedByParty   = "closed by a party"
-	closedByFault   = "disconnected by a fault"
-	closedMidReply  = "disconnected in the middle of a reply"
-	closedWithProxy = "end of the trial"
+	reasonClosedByParty        = "closed by a party"
+	reasonDisconnectedByFault  = "disconnected by a fault"
+	reasonDisconnectedMidReply = "disconnected in the middle of a reply"
+	reasonProxyClosed          = "end of the trial"
 )
 
 // deprecatedReasons are the former reasons, as deprecatedEvents are the former events.
 var deprecatedReasons = map[string]string{
-	closedByFault:  "cut",
-	closedMidReply: "cut in the middle",
+	reasonDisconnectedByFault:  "cut",
+	reasonDisconnectedMidReply: "cut in the middle",
 }
 
 // NewMark returns the message that records an event of a party. It has the deprecated name besides the present one.
@@ -58,7 +58,7 @@
 	if mark.Event != "" {
 		return Event(mark.Event)
 	}
-	return presentName(deprecatedEvents, mark.What)
+	return currentName(deprecatedEvents, mark.What)
 }
 
 // newClose returns the message that records the end of a connection.
@@ -71,22 +71,22 @@
 	if closed.Reason != "" {
 		return closed.Reason
 	}
-	return presentName(deprecatedReasons, closed.Why)
+	return currentName(deprecatedReasons, closed.Why)
 }
 
 // deprecatedName returns the deprecated name, or the present one if it has not changed.
-func deprecatedName[Name ~string](deprecated map[Name]string, present Name) string {
-	if former, renamed := deprecated[present]; renamed {
+func deprecatedName[Name ~string](deprecated map[Name]string, current Name) string {
+	if former, renamed := deprecated[current]; renamed {
 		return former
 	}
-	return string(present)
+	return string(current)
 }
 
 // presentName returns the present name of a deprecated one, or the same name if it has not changed.
-func presentName[Name ~string](deprecated map[Name]string, name string) Name {
-	for present, former := range deprecated {
+func currentName[Name ~string](deprecated map[Name]string, name string) Name {
+	for current, former := range deprecated {
 		if former == name {
-			return present
+			return current
 		}
 	}
 	return Name(name)
--- a/internal/testbed/recordproxy/event_test.go
+++ b/internal/testbed/recordproxy/event_test.go
@@ -39,10 +39,10 @@
 
 func TestReasonsAreWrittenUnderBothNamesAndReadUnderEither(t *testing.T) {
 	for _, c := range []struct{ name, reason, deprecated string }{
-		{"closed by a party", closedByParty, "closed by a party"},
-		{"disconnected by a fault", closedByFault, "cut"},
-		{"disconnected in the middle of a reply", closedMidReply, "cut in the middle"},
-		{"end of the trial", closedWithProxy, "end of the trial"},
+		{"closed by a party", reasonClosedByParty, "closed by a party"},
+		{"disconnected by a fault", reasonDisconnectedByFault, "cut"},
+		{"disconnected in the middle of a reply", reasonDisconnectedMidReply, "cut in the middle"},
+		{"end of the trial", reasonProxyClosed, "end of the trial"},
 		{"another text", "another text", "another text"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/testbed/recordproxy/fault.go
+++ b/internal/testbed/recordproxy/fault.go
@@ -21,17 +21,17 @@
 }
 
 // errClosed reports that a connection was closed while bytes of it waited to be forwarded.
-var errClosed = errors.New("recordproxy: the connection is closed")
+var errConnectionClosed = errors.New("recordproxy: the connection is closed")
 
 // applyFault waits as long as the fault delays size bytes, and returns how many of them to forward, and whether to close the
 // connection after them. The error is errClosed.
-func (c *connection) applyFault(size int, fromListener bool) (forwarded int, closing bool, err error) {
+func (c *connection) applyFault(byteCount int, fromListener bool) (forwarded int, closeAfter bool, err error) {
 	fault, changed := c.proxy.currentFault()
 	for fault.Stall {
 		select {
 		case <-changed:
 		case <-c.done:
-			return 0, false, errClosed
+			return 0, false, errConnectionClosed
 		}
 		fault, changed = c.proxy.currentFault()
 	}
@@ -39,31 +39,31 @@
 		select {
 		case <-time.After(fault.Delay):
 		case <-c.done:
-			return 0, false, errClosed
+			return 0, false, errConnectionClosed
 		}
 	}
 	switch {
 	case fromListener && fault.DropReplies:
 		return 0, false, nil
 	case fromListener && fault.BreakAfterBytes > 0:
-		forwarded, closing = c.proxy.countDown(size)
-		return forwarded, closing, nil
+		forwarded, closeAfter = c.proxy.applyByteLimit(byteCount)
+		return forwarded, closeAfter, nil
 	}
-	return size, false, nil
+	return byteCount, false, nil
 }
 
 // countDown subtracts size bytes from those that remain until a connection is closed; the results are those of applyFault.
-func (p *Proxy) countDown(size int) (forwarded int, closing bool) {
+func (p *Proxy) applyByteLimit(byteCount int) (forwarded int, closeAfter bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	remaining := p.fault.BreakAfterBytes
 	switch {
 	case remaining <= 0: // another connection has just been broken
-		return size, false
-	case size >= remaining:
+		return byteCount, false
+	case byteCount >= remaining:
 		p.fault.BreakAfterBytes = 0
 		return remaining, true
 	}
-	p.fault.BreakAfterBytes -= size
-	return size, false
+	p.fault.BreakAfterBytes -= byteCount
+	return byteCount, false
 }
--- a/internal/testbed/recordproxy/proxy.go
+++ b/internal/testbed/recordproxy/proxy.go
@@ -14,11 +14,11 @@
 // Proxy forwards connections to one party, their listener, and records them. Its fault may be changed at any time. It is
 // safe for concurrent use.
 type Proxy struct {
-	recorder *Recorder
-	wire     string
-	to, via  string // names of the listening party and, if the proxy serves only one, of the dialing party
-	listener net.Listener
-	target   func() string
+	recorder                 *Recorder
+	protocol                 string
+	listenerName, dialerName string // names of the listening party and, if the proxy serves only one, of the dialing party
+	listener                 net.Listener
+	targetAddress            func() string
 
 	droppedBytes atomic.Int64
 
@@ -27,20 +27,20 @@
 	faultChanged chan struct{} // closed when fault changes
 	connections  map[*connection]bool
 	closed       bool
-	running      sync.WaitGroup // the accepting goroutine and those of connections
+	goroutines   sync.WaitGroup // the accepting goroutine and those of connections
 }
 
 // NewProxy returns a proxy that listens on a port of its own until Close. wire, to and via are the names of the protocol, the
 // listening and the dialing party in the recording; via may be empty. For each connection target is called for the address of
 // the listening party.
-func NewProxy(recorder *Recorder, wire, to, via string, target func() string) (*Proxy, error) {
+func NewProxy(recorder *Recorder, protocol, listenerName, dialerName string, targetAddress func() string) (*Proxy, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("recordproxy: proxy to %s: %w", to, err)
+		return nil, fmt.Errorf("recordproxy: proxy to %s: %w", listenerName, err)
 	}
-	p := &Proxy{recorder: recorder, wire: wire, to: to, via: via, listener: listener, target: target,
+	p := &Proxy{recorder: recorder, protocol: protocol, listenerName: listenerName, dialerName: dialerName, listener: listener, targetAddress: targetAddress,
 		faultChanged: make(chan struct{}), connections: map[*connection]bool{}}
-	p.running.Go(p.accept)
+	p.goroutines.Go(p.accept)
 	return p, nil
 }
 
@@ -64,7 +64,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for c := range p.connections {
-		c.close(closedByFault)
+		c.close(reasonDisconnectedByFault)
 	}
 }
 
@@ -73,11 +73,11 @@
 	p.mu.Lock()
 	p.closed = true
 	for c := range p.connections {
-		c.close(closedWithProxy)
+		c.close(reasonProxyClosed)
 	}
 	p.mu.Unlock()
 	_ = p.listener.Close()
-	p.running.Wait()
+	p.goroutines.Wait()
 }
 
 // currentFault returns the fault and a channel that is closed when it changes.
@@ -89,33 +89,33 @@
 
 func (p *Proxy) accept() {
 	for {
-		dialer, err := p.listener.Accept()
+		dialerConn, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
 		if fault, _ := p.currentFault(); fault.Reject {
-			_ = dialer.Close()
+			_ = dialerConn.Close()
 			continue
 		}
-		p.running.Go(func() { p.serve(dialer) })
+		p.goroutines.Go(func() { p.serve(dialerConn) })
 	}
 }
 
 // serve forwards a connection until it is closed.
-func (p *Proxy) serve(dialer net.Conn) {
-	listener, err := net.DialTimeout("tcp", p.target(), dialTimeout)
+func (p *Proxy) serve(dialerConn net.Conn) {
+	listenerConn, err := net.DialTimeout("tcp", p.targetAddress(), dialTimeout)
 	if err != nil {
-		_ = dialer.Close()
+		_ = dialerConn.Close()
 		return
 	}
-	c := &connection{proxy: p, id: p.recorder.opened(p.wire, p.to, p.via), dialer: dialer, listener: listener,
+	c := &connection{proxy: p, id: p.recorder.recordOpen(p.protocol, p.listenerName, p.dialerName), dialerConn: dialerConn, listenerConn: listenerConn,
 		done: make(chan struct{})}
 	p.mu.Lock()
 	p.connections[c] = true
 	closed := p.closed
 	p.mu.Unlock()
 	if closed {
-		c.close(closedWithProxy)
+		c.close(reasonProxyClosed)
 	}
 	c.run()
 	p.mu.Lock()
--- a/internal/testbed/recordproxy/proxy_test.go
+++ b/internal/testbed/recordproxy/proxy_test.go
@@ -20,13 +20,13 @@
 
 // proxiedConnection is a connection of a client through a proxy to a party that listens.
 type proxiedConnection struct {
-	t         *testing.T
-	recording bytes.Buffer
-	recorder  *Recorder
-	proxy     *Proxy
-	client    net.Conn
-	party     net.Conn
-	listener  net.Listener
+	t              *testing.T
+	recording      bytes.Buffer
+	recorder       *Recorder
+	proxy          *Proxy
+	client         net.Conn
+	listeningParty net.Conn
+	listener       net.Listener
 }
 
 // testTimeout bounds each wait for expected bytes.
@@ -54,15 +54,15 @@
 	if c.client, err = net.Dial("tcp", c.proxy.Addr()); err != nil {
 		c.t.Fatal(err)
 	}
-	if c.party, err = c.listener.Accept(); err != nil {
+	if c.listeningParty, err = c.listener.Accept(); err != nil {
 		c.t.Fatal(err)
 	}
 }
 
 // end closes everything and returns the recording with a word for each record.
-func (c *proxiedConnection) end() string {
+func (c *proxiedConnection) closeAndFormat() string {
 	c.t.Helper()
-	_, _ = c.client.Close(), c.party.Close()
+	_, _ = c.client.Close(), c.listeningParty.Close()
 	c.proxy.Close()
 	_ = c.listener.Close()
 	if err := c.recorder.Close(); err != nil {
@@ -114,7 +114,7 @@
 }
 
 // transfer checks that a text is forwarded.
-func (c *proxiedConnection) transfer(from, to net.Conn, text string) {
+func (c *proxiedConnection) checkForwarded(from, to net.Conn, text string) {
 	c.t.Helper()
 	_, _ = io.WriteString(from, text)
 	received := make([]byte, len(text))
@@ -159,10 +159,10 @@
 
 func TestBytesAndEventsAreRecordedInOrder(t *testing.T) {
 	c := newProxiedConnection(t)
-	c.transfer(c.client, c.party, "ab")
-	c.recorder.Mark("m", "p")
-	c.transfer(c.party, c.client, "c")
-	if got, want := c.end(), "open >ab >> mark:m <c < close"; got != want {
+	c.checkForwarded(c.client, c.listeningParty, "ab")
+	c.recorder.RecordEvent("m", "p")
+	c.checkForwarded(c.listeningParty, c.client, "c")
+	if got, want := c.closeAndFormat(), "open >ab >> mark:m <c < close"; got != want {
 		t.Errorf("got recording %q, want %q", got, want)
 	}
 }
@@ -171,17 +171,17 @@
 	c := newProxiedConnection(t)
 	c.proxy.SetFault(Fault{Stall: true})
 	_, _ = io.WriteString(c.client, "a")
-	_ = c.party.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
-	if n, err := c.party.Read(make([]byte, 1)); err == nil {
+	_ = c.listeningParty.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
+	if n, err := c.listeningParty.Read(make([]byte, 1)); err == nil {
 		t.Errorf("got %d bytes during the stall, want none", n)
 	}
 	c.proxy.SetFault(Fault{})
 	received := make([]byte, 1)
-	_ = c.party.SetReadDeadline(time.Now().Add(testTimeout))
-	if _, err := io.ReadFull(c.party, received); err != nil || received[0] != 'a' {
+	_ = c.listeningParty.SetReadDeadline(time.Now().Add(testTimeout))
+	if _, err := io.ReadFull(c.listeningParty, received); err != nil || received[0] != 'a' {
 		t.Errorf("got %q, error %v, want the stalled byte", received, err)
 	}
-	checkRecording(t, c.end(), "close", "open >a > close")
+	checkRecording(t, c.closeAndFormat(), "close", "open >a > close")
 }
 
 func TestDelayedBytesAreForwardedAfterTheDelay(t *testing.T) {
@@ -189,50 +189,50 @@
 	c := newProxiedConnection(t)
 	c.proxy.SetFault(Fault{Delay: delay})
 	began := time.Now()
-	c.transfer(c.client, c.party, "a")
+	c.checkForwarded(c.client, c.listeningParty, "a")
 	if got := time.Since(began); got < delay {
 		t.Errorf("got the bytes after %v, want them after %v at the earliest", got, delay)
 	}
-	checkRecording(t, c.end(), "close", "open >a > close")
+	checkRecording(t, c.closeAndFormat(), "close", "open >a > close")
 }
 
 func TestDroppedRepliesAreRecordedAndNotForwarded(t *testing.T) {
 	c := newProxiedConnection(t)
 	c.proxy.SetFault(Fault{DropReplies: true})
-	_, _ = io.WriteString(c.party, "lost")
-	c.transfer(c.client, c.party, "b")
-	_ = c.party.Close() // the proxy closes the connection after it has handled the reply
+	_, _ = io.WriteString(c.listeningParty, "lost")
+	c.checkForwarded(c.client, c.listeningParty, "b")
+	_ = c.listeningParty.Close() // the proxy closes the connection after it has handled the reply
 	if got := c.readToEnd(c.client); got != "" {
 		t.Errorf("got reply %q, want none", got)
 	}
 	if got, want := c.proxy.DroppedBytes(), int64(len("lost")); got != want {
 		t.Errorf("got %d dropped bytes, want %d", got, want)
 	}
-	checkRecording(t, c.end(), "<lost xxxx close", "open >b > close")
+	checkRecording(t, c.closeAndFormat(), "<lost xxxx close", "open >b > close")
 }
 
 func TestBreakAfterBytesClosesOneConnection(t *testing.T) {
 	c := newProxiedConnection(t)
 	c.proxy.SetFault(Fault{BreakAfterBytes: 2})
-	_, _ = io.WriteString(c.party, "cut")
+	_, _ = io.WriteString(c.listeningParty, "cut")
 	if got, want := c.readToEnd(c.client), "cu"; got != want {
 		t.Errorf("got %q before the connection was closed, want %q", got, want)
 	}
 	c.connect()
-	c.transfer(c.party, c.client, "whole")
-	checkRecording(t, c.end(), "<cut <<x close <whole <<<<< close", "open close open close")
+	c.checkForwarded(c.listeningParty, c.client, "whole")
+	checkRecording(t, c.closeAndFormat(), "<cut <<x close <whole <<<<< close", "open close open close")
 }
 
 func TestDisconnectClosesPresentConnections(t *testing.T) {
 	c := newProxiedConnection(t)
-	c.transfer(c.client, c.party, "a")
+	c.checkForwarded(c.client, c.listeningParty, "a")
 	c.proxy.Disconnect()
 	if got := c.readToEnd(c.client); got != "" {
 		t.Errorf("got %q, want nothing before the connection was closed", got)
 	}
 	c.connect()
-	c.transfer(c.client, c.party, "b")
-	checkRecording(t, c.end(), "close close", "open >a > close open >b > close")
+	c.checkForwarded(c.client, c.listeningParty, "b")
+	checkRecording(t, c.closeAndFormat(), "close close", "open >a > close open >b > close")
 }
 
 func TestRejectedConnectionsAreClosedAndNotRecorded(t *testing.T) {
@@ -246,14 +246,14 @@
 		t.Errorf("got %q, want nothing before the connection was closed", got)
 	}
 	_ = rejected.Close()
-	checkRecording(t, c.end(), "close", "open close")
+	checkRecording(t, c.closeAndFormat(), "close", "open close")
 }
 
 func TestTruncatedRecordingEndsAfterItsLastCompleteRecord(t *testing.T) {
 	var recording bytes.Buffer
 	recorder := NewRecorder(&recording, []byte("{}"))
-	recorder.Mark("one", "")
-	recorder.Mark("two", "")
+	recorder.RecordEvent("one", "")
+	recorder.RecordEvent("two", "")
 	if err := recorder.Close(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testbed/recordproxy/reader.go
+++ b/internal/testbed/recordproxy/reader.go
@@ -15,7 +15,7 @@
 type Reader struct {
 	buffer *bufio.Reader
 	// Figures are the limits for the rules checker, as JSON.
-	Figures []byte
+	CheckLimits []byte
 }
 
 // FormatError reports a file that is not a recording.
@@ -40,7 +40,7 @@
 // NewReader reads the head of a recording and returns a reader of the records after it. The error is a *FormatError or a
 // *VersionError.
 func NewReader(r io.Reader) (*Reader, error) {
-	reader := &Reader{buffer: bufio.NewReaderSize(r, bufferBytes)}
+	reader := &Reader{buffer: bufio.NewReaderSize(r, bufferSize)}
 	record, err := reader.Next()
 	if err != nil {
 		return nil, &FormatError{Err: err}
@@ -52,14 +52,14 @@
 	if head.Version != Version {
 		return nil, &VersionError{Version: head.Version}
 	}
-	reader.Figures = head.Figures
+	reader.CheckLimits = head.Figures
 	return reader, nil
 }
 
 // Next returns the next record, or io.EOF at the end. A truncated recording ends after its last complete record.
 func (r *Reader) Next() (*recordingpb.Record, error) {
 	record := &recordingpb.Record{}
-	err := protodelim.UnmarshalOptions{MaxSize: maxRecordBytes}.UnmarshalFrom(r.buffer, record)
+	err := protodelim.UnmarshalOptions{MaxSize: maxRecordSize}.UnmarshalFrom(r.buffer, record)
 	if errors.Is(err, io.ErrUnexpectedEOF) {
 		return nil, io.EOF
 	}
--- a/internal/testbed/recordproxy/recorder.go
+++ b/internal/testbed/recordproxy/recorder.go
@@ -22,86 +22,86 @@
 
 const (
 	// maxRecordBytes bounds the size of one record; a proxy reads less at a time.
-	maxRecordBytes = 4 << 20
+	maxRecordSize = 4 << 20
 	// bufferBytes is the size of the buffers of recorders and readers.
-	bufferBytes = 64 << 10
+	bufferSize = 64 << 10
 )
 
 // Recorder writes a recording. It is safe for concurrent use; records are in the order of their times.
 type Recorder struct {
-	mu             sync.Mutex
-	buffer         *bufio.Writer
-	closer         io.Closer // nil for none
-	lastTime       int64
-	lastConnection uint64
-	err            error // the first error
+	mu               sync.Mutex
+	buffer           *bufio.Writer
+	closer           io.Closer // nil for none
+	lastTime         int64
+	lastConnectionID uint64
+	firstErr         error // the first error
 }
 
 // NewRecorder returns a recorder that writes to w, and writes the head with the limits for the rules checker. Close closes w
 // if it is an io.Closer.
-func NewRecorder(w io.Writer, figures []byte) *Recorder {
-	r := &Recorder{buffer: bufio.NewWriterSize(w, bufferBytes)}
+func NewRecorder(w io.Writer, checkLimits []byte) *Recorder {
+	r := &Recorder{buffer: bufio.NewWriterSize(w, bufferSize)}
 	if closer, ok := w.(io.Closer); ok {
 		r.closer = closer
 	}
-	r.add(&recordingpb.Record{Body: &recordingpb.Record_Head{Head: &recordingpb.Head{Version: Version, Figures: figures}}})
+	r.write(&recordingpb.Record{Body: &recordingpb.Record_Head{Head: &recordingpb.Head{Version: Version, Figures: checkLimits}}})
 	return r
 }
 
 // Create returns a recorder that writes to a new file.
-func Create(path string, figures []byte) (*Recorder, error) {
+func NewFileRecorder(path string, checkLimits []byte) (*Recorder, error) {
 	file, err := os.Create(path)
 	if err != nil {
 		return nil, fmt.Errorf("recordproxy: %w", err)
 	}
-	return NewRecorder(file, figures), nil
+	return NewRecorder(file, checkLimits), nil
 }
 
 // add writes a record with the present time. Close returns the first error of a write.
-func (r *Recorder) add(record *recordingpb.Record) {
+func (r *Recorder) write(record *recordingpb.Record) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.lastTime = max(r.lastTime, int64(clock.Now()))
 	record.TimeNs = r.lastTime
-	if r.err == nil {
-		_, r.err = protodelim.MarshalTo(r.buffer, record)
+	if r.firstErr == nil {
+		_, r.firstErr = protodelim.MarshalTo(r.buffer, record)
 	}
 }
 
 // Mark records an event of a party.
-func (r *Recorder) Mark(event Event, party string) {
-	r.add(&recordingpb.Record{Body: &recordingpb.Record_Mark{Mark: NewMark(event, party)}})
+func (r *Recorder) RecordEvent(event Event, party string) {
+	r.write(&recordingpb.Record{Body: &recordingpb.Record_Mark{Mark: NewMark(event, party)}})
 }
 
 // opened records a new connection and returns its number.
-func (r *Recorder) opened(wire, to, via string) uint64 {
+func (r *Recorder) recordOpen(protocol, listenerName, dialerName string) uint64 {
 	r.mu.Lock()
-	r.lastConnection++
-	id := r.lastConnection
+	r.lastConnectionID++
+	id := r.lastConnectionID
 	r.mu.Unlock()
-	r.add(&recordingpb.Record{Body: &recordingpb.Record_Open{Open: &recordingpb.Open{Conn: id, Wire: wire, To: to, Via: via}}})
+	r.write(&recordingpb.Record{Body: &recordingpb.Record_Open{Open: &recordingpb.Open{Conn: id, Wire: protocol, To: listenerName, Via: dialerName}}})
 	return id
 }
 
-func (r *Recorder) sent(connection uint64, fromListener bool, data []byte) {
+func (r *Recorder) recordSent(connection uint64, fromListener bool, data []byte) {
 	sent := &recordingpb.Sent{Conn: connection, Back: fromListener, Data: data}
-	r.add(&recordingpb.Record{Body: &recordingpb.Record_Sent{Sent: sent}})
+	r.write(&recordingpb.Record{Body: &recordingpb.Record_Sent{Sent: sent}})
 }
 
-func (r *Recorder) delivered(connection uint64, fromListener bool, forwarded, dropped int) {
+func (r *Recorder) recordDelivered(connection uint64, fromListener bool, forwarded, dropped int) {
 	delivered := &recordingpb.Delivered{Conn: connection, Back: fromListener, Bytes: uint64(forwarded), Dropped: uint64(dropped)}
-	r.add(&recordingpb.Record{Body: &recordingpb.Record_Delivered{Delivered: delivered}})
+	r.write(&recordingpb.Record{Body: &recordingpb.Record_Delivered{Delivered: delivered}})
 }
 
-func (r *Recorder) closed(connection uint64, reason string) {
-	r.add(&recordingpb.Record{Body: &recordingpb.Record_Close{Close: newClose(connection, reason)}})
+func (r *Recorder) recordClose(connection uint64, reason string) {
+	r.write(&recordingpb.Record{Body: &recordingpb.Record_Close{Close: newClose(connection, reason)}})
 }
 
 // Close flushes and closes the recording, and returns its first error.
 func (r *Recorder) Close() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	err := errors.Join(r.err, r.buffer.Flush())
+	err := errors.Join(r.firstErr, r.buffer.Flush())
 	if r.closer != nil {
 		err = errors.Join(err, r.closer.Close())
 	}
--- a/internal/testbed/rules/check.go
+++ b/internal/testbed/rules/check.go
@@ -46,7 +46,7 @@
 		return nil, err
 	}
 	var figures Figures
-	if err := json.Unmarshal(reader.Figures, &figures); err != nil {
+	if err := json.Unmarshal(reader.CheckLimits, &figures); err != nil {
 		return nil, &RecordingError{Section: "figures", Err: err}
 	}
 	c := newChecker(figures)
--- a/internal/testbed/rules/format_test.go
+++ b/internal/testbed/rules/format_test.go
@@ -70,7 +70,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	checkFigures(t, r.Figures)
+	checkFigures(t, r.CheckLimits)
 }
 
 func TestStoredFiguresKeepTheirNames(t *testing.T) {
--- a/internal/testbed/trial/bench_test.go
+++ b/internal/testbed/trial/bench_test.go
@@ -29,9 +29,9 @@
 // benchScheduler is a scheduler in a process of its own, so that its CPU time and memory can be measured, with stand-in nodes
 // in this process.
 type benchScheduler struct {
-	b       *testing.B
-	metrics string // address
-	session *drmaa2.JobSession
+	b              *testing.B
+	metricsAddress string // address
+	session        *drmaa2.JobSession
 }
 
 // startBenchScheduler starts nodes with nodeCores cores each, and a scheduler with schedulerCores cores. They are stopped at the
@@ -41,8 +41,8 @@
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	inventory := startBenchFleet(ctx, b, nodes, nodeCores)
-	s := &benchScheduler{b: b, metrics: freeAddress(b)}
-	url := startBenchProcess(b, writeBenchConfig(b, s.metrics, inventory, nodeCores, schedulerCores))
+	s := &benchScheduler{b: b, metricsAddress: freeAddress(b)}
+	url := startBenchProcess(b, writeBenchConfig(b, s.metricsAddress, inventory, nodeCores, schedulerCores))
 	client := drmaa2.NewClient(url)
 	b.Cleanup(client.Close)
 	var err error
@@ -123,7 +123,7 @@
 // startBenchProcess starts the process of a scheduler and returns its URL.
 func startBenchProcess(b *testing.B, configPath string) string {
 	b.Helper()
-	process := command("")("serve", "--config", configPath)
+	process := schedulerCommand("")("serve", "--config", configPath)
 	process.Stderr = os.Stderr
 	output, err := process.StdoutPipe()
 	if err != nil {
@@ -133,7 +133,7 @@
 		b.Fatal(err)
 	}
 	b.Cleanup(func() {
-		if os.Getenv(profilePath) == "" {
+		if os.Getenv(profilePathEnv) == "" {
 			_ = process.Process.Kill()
 		} else {
 			_ = process.Process.Signal(syscall.SIGTERM) // it writes its profile
@@ -166,14 +166,14 @@
 const warmUpJobs = 20
 
 // cpu returns the CPU time of the scheduler's process.
-func (s *benchScheduler) cpu() time.Duration {
-	return time.Duration(s.value("process_cpu_seconds_total") * 1e9)
+func (s *benchScheduler) processCPU() time.Duration {
+	return time.Duration(s.metric("process_cpu_seconds_total") * 1e9)
 }
 
 // value returns the value of a metric; labels are part of the name.
-func (s *benchScheduler) value(name string) float64 {
+func (s *benchScheduler) metric(name string) float64 {
 	s.b.Helper()
-	response, err := http.Get("http://" + s.metrics + "/metrics")
+	response, err := http.Get("http://" + s.metricsAddress + "/metrics")
 	if err != nil {
 		s.b.Fatal(err)
 	}
@@ -198,7 +198,7 @@
 // placed returns the number of placed jobs.
 func (s *benchScheduler) placed() float64 {
 	s.b.Helper()
-	return s.value(`flaxshelf_outcomes_total{class="service",outcome="placed"}`)
+	return s.metric(`flaxshelf_outcomes_total{class="service",outcome="placed"}`)
 }
 
 // awaitPlaced reads the metric at an interval until the number of jobs is placed or the timeout is over. The benchmark reports
@@ -223,7 +223,7 @@
 	for _, c := range []struct{ nodes, cores int }{{33, 1}, {130, 1}, {130, 2}, {130, 4}, {130, 8}} {
 		b.Run(fmt.Sprintf("nodes=%d/cores=%d", c.nodes, c.cores), func(b *testing.B) {
 			ctx, s := context.Background(), startBenchScheduler(b, c.nodes, 64, c.cores)
-			cpu, module := s.cpu(), s.value("flaxshelf_module_seconds_total")
+			cpu, module := s.processCPU(), s.metric("flaxshelf_module_seconds_total")
 			b.ResetTimer()
 			const clientCount = 128
 			var running sync.WaitGroup
@@ -243,13 +243,13 @@
 			s.awaitPlaced(ctx, b.N+warmUpJobs, 20*time.Second, time.Millisecond)
 			b.StopTimer()
 			perPlacement := 1e6 / float64(b.N) // microseconds
-			processCPU := (s.cpu() - cpu).Seconds() * perPlacement
-			moduleCPU := (s.value("flaxshelf_module_seconds_total") - module) * perPlacement
+			processCPU := (s.processCPU() - cpu).Seconds() * perPlacement
+			moduleCPU := (s.metric("flaxshelf_module_seconds_total") - module) * perPlacement
 			b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "placements/s")
 			b.ReportMetric(processCPU, "cpu-us/placement")
 			b.ReportMetric(moduleCPU, "module-us/placement")
 			b.ReportMetric((processCPU-moduleCPU)/moduleCPU, "rest/module")
-			b.ReportMetric(s.value(`flaxshelf_submit_to_offer_seconds{quantile="0.99"}`)*1e3, "p99-ms")
+			b.ReportMetric(s.metric(`flaxshelf_submit_to_offer_seconds{quantile="0.99"}`)*1e3, "p99-ms")
 		})
 	}
 }
@@ -274,7 +274,7 @@
 	running.Wait()
 	b.StopTimer()
 	for _, q := range []string{"0.5", "0.99", "0.999"} {
-		b.ReportMetric(s.value(`flaxshelf_submit_to_offer_seconds{quantile="`+q+`"}`)*1e3, "p"+q+"-ms")
+		b.ReportMetric(s.metric(`flaxshelf_submit_to_offer_seconds{quantile="`+q+`"}`)*1e3, "p"+q+"-ms")
 	}
 }
 
@@ -282,7 +282,7 @@
 func BenchmarkMemory(b *testing.B) {
 	const jobs, arraySize, arrayPause = 100000, 10000, 500 * time.Millisecond
 	ctx, s := context.Background(), startBenchScheduler(b, 33, 1000, 1)
-	heap, rss := s.value("go_memstats_heap_inuse_bytes"), s.value("process_resident_memory_bytes")
+	heap, rss := s.metric("go_memstats_heap_inuse_bytes"), s.metric("process_resident_memory_bytes")
 	for range jobs / arraySize {
 		if _, err := s.session.RunBulkJobs(ctx, benchTemplate("10h"), 1, arraySize, 1, 0); err != nil {
 			b.Fatal(err)
@@ -293,6 +293,6 @@
 	for b.Loop() {
 	}
 	b.ReportMetric(s.placed(), "jobs")
-	b.ReportMetric((s.value("go_memstats_heap_inuse_bytes")-heap)/s.placed(), "heap-B/job")
-	b.ReportMetric((s.value("process_resident_memory_bytes")-rss)/s.placed(), "rss-B/job")
+	b.ReportMetric((s.metric("go_memstats_heap_inuse_bytes")-heap)/s.placed(), "heap-B/job")
+	b.ReportMetric((s.metric("process_resident_memory_bytes")-rss)/s.placed(), "rss-B/job")
 }
--- a/internal/testbed/trial/clients.go
+++ b/internal/testbed/trial/clients.go
@@ -17,32 +17,32 @@
 // clients submit the load and account for every submission. There is one connection pool for each scheduler.
 type clients struct {
 	cluster     *cluster
-	begin       time.Time
+	startTime   time.Time
 	pools       []*drmaa2.Client // by scheduler
 	submissions sync.WaitGroup   // one goroutine for each submission
 	watches     sync.WaitGroup   // one goroutine for each scheduler, which watches its events
 
-	mu        sync.Mutex
-	tally     Tally
-	open      map[string]*submission // by idempotency key
-	loadState fault.LoadState
+	mu              sync.Mutex
+	stats           ClientStats
+	openSubmissions map[string]*submission // by idempotency key
+	loadState       fault.LoadState
 }
 
-func newClients(c *cluster, begin time.Time) *clients {
-	load := &clients{cluster: c, begin: begin, open: map[string]*submission{},
-		tally: Tally{Ends: map[string]int{}, Commands: map[string]int{}}}
-	for _, p := range c.schedulers {
+func newClients(deployment *cluster, startTime time.Time) *clients {
+	created := &clients{cluster: deployment, startTime: startTime, openSubmissions: map[string]*submission{},
+		stats: ClientStats{EndCounts: map[string]int{}, CommandCounts: map[string]int{}}}
+	for _, p := range deployment.schedulers {
 		pool := drmaa2.NewClient("http://" + p.clientProxy.Addr())
 		pool.RetryFor = requestRetryFor
-		load.pools = append(load.pools, pool)
+		created.pools = append(created.pools, pool)
 	}
-	return load
+	return created
 }
 
 // run watches the events and submits the load until the end of the day.
 func (c *clients) run(ctx context.Context) {
 	for scheduler := range c.pools {
-		c.watches.Go(func() { c.watch(ctx, scheduler) })
+		c.watches.Go(func() { c.watchSession(ctx, scheduler) })
 	}
 	var loads sync.WaitGroup
 	for i := range c.cluster.day.Load {
@@ -52,9 +52,9 @@
 }
 
 // settle waits until all submissions are accounted for, and for the rest of the day, in which running jobs may end.
-func (c *clients) settle(ctx context.Context) {
+func (c *clients) awaitEndOfDay(ctx context.Context) {
 	c.submissions.Wait()
-	sleepUntil(ctx, c.begin.Add(scenario.Seconds(c.cluster.day.Seconds+c.cluster.day.After)))
+	sleepUntil(ctx, c.startTime.Add(scenario.Seconds(c.cluster.day.Seconds+c.cluster.day.After)))
 }
 
 // close waits for the watches, whose context must be canceled before, and closes all connections.
@@ -66,22 +66,22 @@
 }
 
 // result returns the tally, after close.
-func (c *clients) result() Tally {
+func (c *clients) finalStats() ClientStats {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.tally
+	return c.stats
 }
 
 // submitLoad sends the submissions of one load at their times, without waiting for earlier ones.
 func (c *clients) submitLoad(ctx context.Context, index int) {
 	class := c.cluster.day.Load[index].Class
-	arrivals := c.cluster.day.Arrivals(index, c.cluster.opt.Seed)
+	arrivals := c.cluster.day.Arrivals(index, c.cluster.options.Seed)
 	for {
-		arrival, ok := arrivals.Next(c.loadNow(class))
+		arrival, ok := arrivals.Next(c.currentLoad(class))
 		if !ok {
 			return
 		}
-		due := c.begin.Add(arrival.At)
+		due := c.startTime.Add(arrival.At)
 		sleepUntil(ctx, due)
 		if canceled(ctx) {
 			return
@@ -91,7 +91,7 @@
 }
 
 // loadNow returns the factor of the load of a class and the fraction that goes to one service, by the present faults.
-func (c *clients) loadNow(class string) (factor, hotServiceFraction float64) {
+func (c *clients) currentLoad(class string) (factor, hotServiceFraction float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.loadState.OfClass(class)
@@ -110,7 +110,7 @@
 }
 
 // watch handles the events of the session at one scheduler, over all its incarnations.
-func (c *clients) watch(ctx context.Context, scheduler int) {
+func (c *clients) watchSession(ctx context.Context, scheduler int) {
 	for !canceled(ctx) {
 		session, err := c.session(ctx, scheduler)
 		if err != nil {
@@ -118,7 +118,7 @@
 		}
 		// A stream that breaks is opened again.
 		_ = session.Watch(ctx, func(info drmaa2.JobInfo) bool {
-			c.jobChanged(&info)
+			c.handleJobEvent(&info)
 			return true
 		})
 	}
@@ -128,7 +128,7 @@
 const canceledOutcome = "withdrawn"
 
 // jobChanged handles an event of a job.
-func (c *clients) jobChanged(info *drmaa2.JobInfo) {
+func (c *clients) handleJobEvent(info *drmaa2.JobInfo) {
 	attributes := info.ImplementationSpecific
 	outcome := attributes[drmaa2.AttrOutcome]
 	if outcome == "" || outcome == canceledOutcome && !info.JobState.Terminated() {
@@ -136,17 +136,17 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := c.open[attributes[drmaa2.AttrKey]]
+	s := c.openSubmissions[attributes[drmaa2.AttrKey]]
 	if s == nil {
 		return
 	}
-	request := info.JobID + "#" + attributes[drmaa2.AttrPlacementRequests]
-	if earlier := s.outcomes[request]; earlier != "" && earlier != outcome {
-		c.tally.Duplicates++
+	requestKey := info.JobID + "#" + attributes[drmaa2.AttrPlacementRequests]
+	if earlier := s.outcomes[requestKey]; earlier != "" && earlier != outcome {
+		c.stats.DuplicateOutcomes++
 	}
-	s.outcomes[request] = outcome
+	s.outcomes[requestKey] = outcome
 	if s.firstOutcome == "" {
 		s.firstOutcome = countformat.OutcomeTerm(outcome)
-		close(s.hasOutcome)
+		close(s.outcomeReported)
 	}
 }
--- a/internal/testbed/trial/tally.go
+++ b/internal/testbed/trial/clientstats.go
@@ -10,13 +10,13 @@
 )
 
 // Tally has the counts of what the clients observed, to be compared with the recording.
-type Tally struct {
-	Submitted   int
-	Ends        map[string]int // submissions, by how they ended for their clients
-	Unaccounted int            // submissions without an outcome although their scheduler was not killed
-	Duplicates  int            // placement requests with two outcomes
-	Late        int            // submissions that were sent late
-	Commands    map[string]int // commands of clients, with their errors
+type ClientStats struct {
+	Submitted         int
+	EndCounts         map[string]int // submissions, by how they ended for their clients
+	Unaccounted       int            // submissions without an outcome although their scheduler was not killed
+	DuplicateOutcomes int            // placement requests with two outcomes
+	SentLate          int            // submissions that were sent late
+	CommandCounts     map[string]int // commands of clients, with their errors
 }
 
 // The ends of submissions that have no outcome.
@@ -27,13 +27,13 @@
 )
 
 // String returns the tally as one line of text.
-func (t *Tally) String() string {
+func (t *ClientStats) String() string {
 	return fmt.Sprintf("clients: %d submissions (%d sent late): %s; %d unaccounted for; %d with two outcomes; commands: %s\n",
-		t.Submitted, t.Late, countformat.Format(t.Ends), t.Unaccounted, t.Duplicates, countformat.Format(t.Commands))
+		t.Submitted, t.SentLate, countformat.Format(t.EndCounts), t.Unaccounted, t.DuplicateOutcomes, countformat.Format(t.CommandCounts))
 }
 
 // errorText returns a short text of an error, by which errors are counted.
-func errorText(err error) string {
+func errorLabel(err error) string {
 	var rejection *drmaa2.Error
 	if errors.As(err, &rejection) {
 		return string(rejection.Code)
--- a/internal/testbed/trial/cluster.go
+++ b/internal/testbed/trial/cluster.go
@@ -25,31 +25,31 @@
 // cluster is the deployment of one trial: the inventory and the nodes run in this process, each scheduler runs in a process of
 // its own, and there is a recording proxy in front of each party.
 type cluster struct {
-	day        *scenario.Day
-	opt        Options
-	directory  string
-	recorder   *recordproxy.Recorder
-	log        zerolog.Logger
-	inventory  *host.Inventory
-	nodes      []*node
-	schedulers []*process
-	zoneKeys   map[string]nodemodel.KeyRegistry // by zone: the idempotency keys that its nodes share
-	nodeEnds   sync.WaitGroup                   // goroutines that watch or stop nodes
+	day            *scenario.Day
+	options        Options
+	directory      string
+	recorder       *recordproxy.Recorder
+	log            zerolog.Logger
+	inventory      *host.Inventory
+	nodes          []*node
+	schedulers     []*schedulerProcess
+	keysByZone     map[string]nodemodel.KeyRegistry // by zone: the idempotency keys that its nodes share
+	nodeGoroutines sync.WaitGroup                   // goroutines that watch or stop nodes
 }
 
 // newCluster starts all parties. With an error it returns the cluster that must be closed, or nil if nothing was started.
-func newCluster(ctx context.Context, day *scenario.Day, opt Options, directory string,
+func newCluster(ctx context.Context, day *scenario.Day, options Options, directory string,
 	recorder *recordproxy.Recorder) (*cluster, error) {
-	c := &cluster{day: day, opt: opt, directory: directory, recorder: recorder, log: zerolog.Nop(),
-		zoneKeys: map[string]nodemodel.KeyRegistry{}}
+	c := &cluster{day: day, options: options, directory: directory, recorder: recorder, log: zerolog.Nop(),
+		keysByZone: map[string]nodemodel.KeyRegistry{}}
 	var err error
 	c.inventory, err = host.StartInventory(loopbackAnyPort, inventorymodel.Config{DiscoveryDelay: day.DiscoveryDelay.Duration(),
 		RemovalDelay: day.RemovalDelay.Duration()}, c.log)
 	if err != nil {
 		return nil, err
 	}
-	for _, place := range day.Nodes() {
-		if err := c.addNode(place); err != nil {
+	for _, member := range day.Nodes() {
+		if err := c.addNode(member); err != nil {
 			return c, err
 		}
 	}
@@ -64,12 +64,12 @@
 	return c, nil
 }
 
-func (c *cluster) addNode(place scenario.Node) error {
-	group := *place.Group
-	if c.zoneKeys[group.Zone] == nil {
-		c.zoneKeys[group.Zone] = host.NewKeyRegistry()
+func (c *cluster) addNode(member scenario.Node) error {
+	group := *member.Group
+	if c.keysByZone[group.Zone] == nil {
+		c.keysByZone[group.Zone] = host.NewKeyRegistry()
 	}
-	n := &node{cluster: c, index: len(c.nodes), group: group, name: place.Name}
+	n := &node{cluster: c, index: len(c.nodes), group: group, name: member.Name}
 	var err error
 	if n.proxy, err = recordproxy.NewProxy(c.recorder, rules.NodeWire, n.name, "", n.address); err != nil {
 		return err
@@ -80,7 +80,7 @@
 
 func (c *cluster) addScheduler(index int) error {
 	name := scenario.SchedulerName(index)
-	p := &process{cluster: c, index: index, name: name, configPath: filepath.Join(c.directory, name+".cue")}
+	p := &schedulerProcess{cluster: c, index: index, name: name, configPath: filepath.Join(c.directory, name+".cue")}
 	var err error
 	p.clientProxy, err = recordproxy.NewProxy(c.recorder, rules.ClientWire, name, "", p.address)
 	if err != nil {
@@ -96,13 +96,13 @@
 }
 
 // close stops all parties and waits until they have stopped. Schedulers are shut down gracefully, and killed after a timeout.
-func (c *cluster) close() error {
+func (c *cluster) shutdown() error {
 	errs := make([]error, len(c.schedulers))
-	var ends sync.WaitGroup
+	var shutdowns sync.WaitGroup
 	for i, p := range c.schedulers {
-		ends.Go(func() { errs[i] = p.terminate() })
+		shutdowns.Go(func() { errs[i] = p.terminate() })
 	}
-	ends.Wait()
+	shutdowns.Wait()
 	for _, p := range c.schedulers {
 		p.clientProxy.Close()
 		p.inventoryProxy.Close()
@@ -111,7 +111,7 @@
 		n.stop()
 		n.proxy.Close()
 	}
-	c.nodeEnds.Wait()
+	c.nodeGoroutines.Wait()
 	c.inventory.Stop()
 	return errors.Join(errs...)
 }
--- a/internal/testbed/trial/faults.go
+++ b/internal/testbed/trial/faultinjection.go
@@ -15,25 +15,25 @@
 )
 
 // startFaults injects each fault of the day at its time. The returned function waits for all injections.
-func (c *cluster) startFaults(ctx context.Context, begin time.Time, load *clients) (wait func() error, err error) {
+func (c *cluster) startFaults(ctx context.Context, startTime time.Time, clients *clients) (wait func() error, err error) {
 	faults := make([]*fault.Fault, len(c.day.Faults))
 	for i := range faults {
-		if faults[i], err = fault.New(c.day, i, c.opt.Seed); err != nil {
+		if faults[i], err = fault.New(c.day, i, c.options.Seed); err != nil {
 			return nil, err
 		}
 	}
-	target := &faultTarget{cluster: c, clients: load}
+	target := &faultTarget{cluster: c, clients: clients}
 	var injections sync.WaitGroup
 	errs := make([]error, len(faults))
-	for i, next := range faults {
+	for i, injected := range faults {
 		injections.Go(func() {
-			sleepUntil(ctx, begin.Add(next.Start))
+			sleepUntil(ctx, startTime.Add(injected.Start))
 			if canceled(ctx) {
 				return
 			}
 			scheduled := &c.day.Faults[i]
-			c.opt.Note("%6.2f s: %s%s for %v s", scheduled.At, scheduled.Kind, describe(scheduled), scheduled.For)
-			errs[i] = next.Inject(ctx, target)
+			c.options.Logf("%6.2f s: %s%s for %v s", scheduled.At, scheduled.Kind, describeScope(scheduled), scheduled.For)
+			errs[i] = injected.Inject(ctx, target)
 		})
 	}
 	return func() error {
@@ -43,7 +43,7 @@
 }
 
 // describe returns the zone and the class that a fault is limited to, or an empty string.
-func describe(scheduled *scenario.Fault) string {
+func describeScope(scheduled *scenario.Fault) string {
 	text := ""
 	if scheduled.Zone != "" {
 		text += " in " + scheduled.Zone
@@ -81,8 +81,8 @@
 	return nodes
 }
 
-func (t *faultTarget) schedulers(indices []int) []*process {
-	schedulers := make([]*process, len(indices))
+func (t *faultTarget) schedulers(indices []int) []*schedulerProcess {
+	schedulers := make([]*schedulerProcess, len(indices))
 	for i, index := range indices {
 		schedulers[i] = t.cluster.schedulers[index]
 	}
@@ -102,7 +102,7 @@
 // DropPrograms implements fault.Cluster.
 func (t *faultTarget) DropPrograms(nodes []int, fraction float64) {
 	for _, n := range t.nodes(nodes) {
-		n.do(func(model *nodemodel.Node, _ nodemodel.Time) []nodemodel.Send {
+		n.withModel(func(model *nodemodel.Node, _ nodemodel.Time) []nodemodel.Send {
 			model.DropPrograms(fraction)
 			return nil
 		})
@@ -112,7 +112,7 @@
 // DrainNodes implements fault.Cluster.
 func (t *faultTarget) DrainNodes(nodes []int) {
 	for _, n := range t.nodes(nodes) {
-		n.do(func(model *nodemodel.Node, now nodemodel.Time) []nodemodel.Send { return model.Drain(now) })
+		n.withModel(func(model *nodemodel.Node, now nodemodel.Time) []nodemodel.Send { return model.Drain(now) })
 	}
 }
 
@@ -154,7 +154,7 @@
 func (t *faultTarget) signal(schedulers []int, signal syscall.Signal, event recordproxy.Event) {
 	for _, p := range t.schedulers(schedulers) {
 		p.signal(signal)
-		t.cluster.recorder.Mark(event, p.name)
+		t.cluster.recorder.RecordEvent(event, p.name)
 	}
 }
 
@@ -170,7 +170,7 @@
 	var errs []error
 	for _, p := range t.schedulers(schedulers) {
 		errs = append(errs, p.terminate())
-		t.cluster.recorder.Mark(recordproxy.EventSchedulerKilled, p.name) // the next process is another incarnation
+		t.cluster.recorder.RecordEvent(recordproxy.EventSchedulerKilled, p.name) // the next process is another incarnation
 	}
 	return errors.Join(errs...)
 }
@@ -207,7 +207,7 @@
 // SetLinkFault implements fault.Network.
 func (t *faultTarget) SetLinkFault(nodes []int, linkFault recordproxy.Fault) {
 	if linkFault.DropReplies {
-		t.cluster.recorder.Mark(recordproxy.EventBytesDropped, "nodes")
+		t.cluster.recorder.RecordEvent(recordproxy.EventBytesDropped, "nodes")
 	}
 	for _, n := range t.nodes(nodes) {
 		n.proxy.SetFault(linkFault)
@@ -238,6 +238,6 @@
 // RunMisbehavingClients implements fault.Network.
 func (t *faultTarget) RunMisbehavingClients(ctx context.Context, schedulers []int, count int, duration time.Duration) {
 	for _, p := range t.schedulers(schedulers) {
-		misbehave(ctx, p.address(), count, duration)
+		runMisbehavingClients(ctx, p.address(), count, duration)
 	}
 }
--- a/internal/testbed/trial/hook_test.go
+++ b/internal/testbed/trial/hooks_test.go
@@ -108,29 +108,29 @@
 			}
 		}
 	case scheduler.AttemptAccepted:
-		in.Node = h.chosen(in.Attempt, in.Node)
+		in.Node = h.reportedNode(in.Attempt, in.Node)
 		return in
 	case scheduler.AttemptRejected:
-		in.Node = h.chosen(in.Attempt, in.Node)
+		in.Node = h.reportedNode(in.Attempt, in.Node)
 		return in
 	case scheduler.AttemptFailed:
-		in.Node = h.chosen(in.Attempt, in.Node)
+		in.Node = h.reportedNode(in.Attempt, in.Node)
 		return in
 	case scheduler.AttemptStarted:
-		in.Node = h.chosen(in.Attempt, in.Node)
+		in.Node = h.reportedNode(in.Attempt, in.Node)
 		return in
 	case scheduler.UsageReport:
-		in.Node = h.chosen(in.Attempt, in.Node)
+		in.Node = h.reportedNode(in.Attempt, in.Node)
 		return in
 	case scheduler.AttemptEnded:
-		in.Node = h.chosen(in.Attempt, in.Node)
+		in.Node = h.reportedNode(in.Attempt, in.Node)
 		return in
 	}
 	return in
 }
 
 // chosen returns the node that the core has chosen for an attempt; node is the one that the message came from.
-func (h *redirection) chosen(attempt, node string) string {
+func (h *redirection) reportedNode(attempt, node string) string {
 	if chosen := h.chosenNodes[attempt]; chosen != "" {
 		return chosen
 	}
@@ -145,16 +145,16 @@
 	for _, effect := range effects {
 		switch e := effect.(type) {
 		case scheduler.SendOffer:
-			if node := h.node(&e, now); node != "" {
+			if node := h.redirectionTarget(&e, now); node != "" {
 				h.chosenNodes[e.Attempt] = e.Node
 				e.Node = node
 			}
 			effect = e
 		case scheduler.SendStop:
-			e.Node = h.redirected(e.Attempt, e.Node)
+			e.Node = h.actualNode(e.Attempt, e.Node)
 			effect = e
 		case scheduler.SendAck:
-			e.Node = h.redirected(e.Attempt, e.Node)
+			e.Node = h.actualNode(e.Attempt, e.Node)
 			effect = e
 		}
 		out = append(out, effect)
@@ -163,7 +163,7 @@
 }
 
 // node returns the node that an offer is redirected to, or an empty string for the chosen node.
-func (h *redirection) node(offer *scheduler.SendOffer, now scheduler.Time) string {
+func (h *redirection) redirectionTarget(offer *scheduler.SendOffer, now scheduler.Time) string {
 	switch h.choose(offer, now-h.startedAt) {
 	case faultyNode:
 		return h.faultyNode
@@ -175,7 +175,7 @@
 }
 
 // redirected returns the node that a later message of an attempt is sent to.
-func (h *redirection) redirected(attempt, node string) string {
+func (h *redirection) actualNode(attempt, node string) string {
 	switch {
 	case h.chosenNodes[attempt] == "":
 		return node
--- a/internal/testbed/trial/misbehaving.go
+++ b/internal/testbed/trial/misbehavingclients.go
@@ -14,18 +14,18 @@
 const (
 	reconnectPause = 50 * time.Millisecond
 	byteInterval   = 20 * time.Millisecond
-	rejectionWait  = 200 * time.Millisecond
+	responseWait   = 200 * time.Millisecond
 )
 
 // misbehave runs clients that break the protocol, each in its own way, and reconnect until the duration is over.
-func misbehave(ctx context.Context, address string, count int, duration time.Duration) {
+func runMisbehavingClients(ctx context.Context, address string, count int, duration time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, duration)
 	defer cancel()
 	var running sync.WaitGroup
 	for i := range count {
 		running.Go(func() {
 			for !canceled(ctx) {
-				misbehaveOnce(ctx, address, misbehaviors[i%len(misbehaviors)])
+				runMisbehavior(ctx, address, misbehaviors[i%len(misbehaviors)])
 				sleep(ctx, reconnectPause)
 			}
 		})
@@ -34,7 +34,7 @@
 }
 
 // misbehaveOnce runs one connection; an error of the dial is ignored.
-func misbehaveOnce(ctx context.Context, address string, misbehavior func(ctx context.Context, connection net.Conn)) {
+func runMisbehavior(ctx context.Context, address string, misbehavior func(ctx context.Context, connection net.Conn)) {
 	connection, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
 		return
@@ -49,10 +49,10 @@
 // reacts.
 var misbehaviors = []func(ctx context.Context, connection net.Conn){
 	sendSlowly,
-	readNothing,
-	sendEndlessHead,
-	sendNoHTTP,
-	sendMalformedJSON,
+	subscribeWithoutReading,
+	sendOversizedHeader,
+	sendNonHTTP,
+	sendInvalidJobs,
 }
 
 // sendSlowly sends a request byte by byte and never completes it.
@@ -67,13 +67,13 @@
 }
 
 // readNothing subscribes to events and never reads them.
-func readNothing(ctx context.Context, connection net.Conn) {
+func subscribeWithoutReading(ctx context.Context, connection net.Conn) {
 	_, _ = io.WriteString(connection, "GET /drmaa2/v1/sessions/"+sessionName+"/events HTTP/1.1\r\nHost: x\r\n\r\n")
 	<-ctx.Done()
 }
 
 // sendEndlessHead sends headers until the connection is closed, or 64 MiB.
-func sendEndlessHead(_ context.Context, connection net.Conn) {
+func sendOversizedHeader(_ context.Context, connection net.Conn) {
 	_, _ = io.WriteString(connection, "GET / HTTP/1.1\r\nHost: x\r\n")
 	line := "X-Long: " + strings.Repeat("x", 4000) + "\r\n"
 	for range 16384 {
@@ -84,13 +84,13 @@
 }
 
 // sendNoHTTP sends the start of another protocol.
-func sendNoHTTP(_ context.Context, connection net.Conn) {
+func sendNonHTTP(_ context.Context, connection net.Conn) {
 	_, _ = io.WriteString(connection, "\x16\x03\x01\x02\x00\x01\x00 not HTTP at all\r\n\r\n")
 	_, _ = io.Copy(io.Discard, connection)
 }
 
 // sendMalformedJSON submits jobs that can't be parsed.
-func sendMalformedJSON(_ context.Context, connection net.Conn) {
+func sendInvalidJobs(_ context.Context, connection net.Conn) {
 	for _, body := range []string{`{"template":`, `{"template":{"remoteCommand":"x","wings":2}}`,
 		`{"template":{"remoteCommand":"x","implementationSpecific":{"flaxshelf.cores":"NaN"}}}`,
 		`{"template":{"remoteCommand":"x","minSlots":-4}}`, strings.Repeat("[", 100000)} {
@@ -98,6 +98,6 @@
 			"POST /drmaa2/v1/sessions/%s/jobs HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", sessionName,
 			len(body), body)
 	}
-	_ = connection.SetReadDeadline(time.Now().Add(rejectionWait))
+	_ = connection.SetReadDeadline(time.Now().Add(responseWait))
 	_, _ = io.Copy(io.Discard, connection)
 }
--- a/internal/testbed/trial/node.go
+++ b/internal/testbed/trial/node.go
@@ -21,49 +21,49 @@
 	name    string
 	proxy   *recordproxy.Proxy
 
-	mu           sync.Mutex
-	host         *host.Node // nil while the node is stopped
-	incarnations int
-	fault        nodemodel.Fault
+	mu               sync.Mutex
+	current          *host.Node // nil while the node is stopped
+	incarnationCount int
+	fault            nodemodel.Fault
 }
 
 // address returns the address at which the present incarnation listens.
 func (n *node) address() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.host == nil {
+	if n.current == nil {
 		return closedAddress
 	}
-	return n.host.Addr()
+	return n.current.Addr()
 }
 
 // start starts an incarnation, unless one is running. A warm node has the programs of its tasks cached.
 func (n *node) start(warm bool) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.host != nil {
+	if n.current != nil {
 		return nil
 	}
-	n.incarnations++
+	n.incarnationCount++
 	c := n.cluster
-	set := settings.Node{Name: n.name, Kind: n.group.Kind, Zone: n.group.Zone, Cell: n.group.Cell, Warm: warm}
-	seed := scenario.NodeSeed(c.opt.Seed, n.index, n.incarnations)
+	config := settings.Node{Name: n.name, Kind: n.group.Kind, Zone: n.group.Zone, Cell: n.group.Cell, Warm: warm}
+	seed := scenario.NodeSeed(c.options.Seed, n.index, n.incarnationCount)
 	started, err := host.StartNode(host.NodeOptions{Kind: n.group.Kind, Cell: n.group.Cell, Listen: loopbackAnyPort,
-		Model:     fleet.NodeModel(set, c.day.Kinds, c.day.Rules, c.day.Behaviour, seed),
-		Advertise: n.proxy.Addr(), Inventory: c.inventory.Addr(), Keys: c.zoneKeys[n.group.Zone], Log: c.log})
+		Model:     fleet.NodeModel(config, c.day.Kinds, c.day.Rules, c.day.Behaviour, seed),
+		Advertise: n.proxy.Addr(), Inventory: c.inventory.Addr(), Keys: c.keysByZone[n.group.Zone], Log: c.log})
 	if err != nil {
 		return fmt.Errorf("trial: start %s: %w", n.name, err)
 	}
-	n.host = started
-	c.nodeEnds.Go(func() { n.watch(started) })
+	n.current = started
+	c.nodeGoroutines.Go(func() { n.handleOverload(started) })
 	return nil
 }
 
 // watch waits until an incarnation has stopped, and handles a crash of overload.
-func (n *node) watch(incarnation *host.Node) {
+func (n *node) handleOverload(incarnation *host.Node) {
 	<-incarnation.Done()
 	if incarnation.Overloaded() {
-		n.cluster.recorder.Mark(recordproxy.EventNodeOverloaded, n.name)
+		n.cluster.recorder.RecordEvent(recordproxy.EventNodeOverloaded, n.name)
 		n.stopIncarnation(incarnation)
 	}
 }
@@ -71,33 +71,33 @@
 // stop stops the present incarnation at once, and its faults.
 func (n *node) stop() {
 	n.mu.Lock()
-	present := n.host
+	current := n.current
 	n.mu.Unlock()
-	n.stopIncarnation(present)
+	n.stopIncarnation(current)
 }
 
 // stopIncarnation stops an incarnation unless it has been stopped; a later incarnation is not affected.
 func (n *node) stopIncarnation(incarnation *host.Node) {
 	n.mu.Lock()
-	isPresent := incarnation != nil && n.host == incarnation
-	if isPresent {
-		n.host = nil
+	isCurrent := incarnation != nil && n.current == incarnation
+	if isCurrent {
+		n.current = nil
 		n.fault = nodemodel.Fault{}
 	}
 	n.mu.Unlock()
-	if isPresent {
-		n.cluster.recorder.Mark(recordproxy.EventNodeStopped, n.name)
-		n.cluster.nodeEnds.Go(incarnation.Stop) // closing its sockets may take a while
+	if isCurrent {
+		n.cluster.recorder.RecordEvent(recordproxy.EventNodeStopped, n.name)
+		n.cluster.nodeGoroutines.Go(incarnation.Stop) // closing its sockets may take a while
 	}
 }
 
 // do calls a function with the model of the present incarnation, if there is one.
-func (n *node) do(call func(model *nodemodel.Node, now nodemodel.Time) []nodemodel.Send) {
+func (n *node) withModel(call func(model *nodemodel.Node, now nodemodel.Time) []nodemodel.Send) {
 	n.mu.Lock()
-	present := n.host
+	current := n.current
 	n.mu.Unlock()
-	if present != nil {
-		present.Do(call)
+	if current != nil {
+		current.Do(call)
 	}
 }
 
@@ -107,5 +107,5 @@
 	change(&n.fault)
 	changed := n.fault
 	n.mu.Unlock()
-	n.do(func(model *nodemodel.Node, now nodemodel.Time) []nodemodel.Send { return model.SetFault(now, changed) })
+	n.withModel(func(model *nodemodel.Node, now nodemodel.Time) []nodemodel.Send { return model.SetFault(now, changed) })
 }
--- a/internal/testbed/trial/node_test.go
+++ b/internal/testbed/trial/node_test.go
@@ -19,12 +19,12 @@
 		t.Fatal(err)
 	}
 	c := &cluster{day: day, recorder: recordproxy.NewRecorder(io.Discard, nil), log: zerolog.Nop(),
-		zoneKeys: map[string]nodemodel.KeyRegistry{}}
+		keysByZone: map[string]nodemodel.KeyRegistry{}}
 	if c.inventory, err = host.StartInventory(loopbackAnyPort, inventorymodel.Config{}, c.log); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		if err := c.close(); err != nil {
+		if err := c.shutdown(); err != nil {
 			t.Error(err)
 		}
 	})
@@ -32,7 +32,7 @@
 		t.Fatal(err)
 	}
 	n := c.nodes[0]
-	first := n.host
+	first := n.current
 	n.stop()
 	if err := n.start(true); err != nil {
 		t.Fatal(err)
--- a/internal/testbed/trial/plan_test.go
+++ b/internal/testbed/trial/plan_test.go
@@ -16,35 +16,35 @@
 //
 //	FLAXSHELF_SOCKETS=1 go test -v -run PlanOnSockets -timeout 20m -parallel 3 ./internal/testbed/trial
 func TestPlanOnSocketsRespectsTheRules(t *testing.T) {
-	if os.Getenv(runAllDays) == "" {
+	if os.Getenv(runAllDaysEnv) == "" {
 		t.Skip("set FLAXSHELF_SOCKETS to run it")
 	}
 	for _, c := range plancheck.Cases {
-		for _, m := range []float64{0.9, 1.1} {
-			t.Run(fmt.Sprintf("%s at %v", c.Name, m), func(t *testing.T) {
+		for _, limitFraction := range []float64{0.9, 1.1} {
+			t.Run(fmt.Sprintf("%s at %v", c.Name, limitFraction), func(t *testing.T) {
 				t.Parallel()
-				d, err := c.Day()
+				day, err := c.Day()
 				if err != nil {
 					t.Fatal(err)
 				}
-				first, _ := planner.First(planner.Limits(plancheck.Model(d)))
-				d.Load[0].PerSecond *= first.Multiple * m
-				d.Name = c.Name
-				rep, err := emulator.Run(context.Background(), d, emulator.Options{Seed: 1})
+				firstLimit, _ := planner.First(planner.Limits(plancheck.Model(day)))
+				day.Load[0].PerSecond *= firstLimit.Multiple * limitFraction
+				day.Name = c.Name
+				report, err := emulator.Run(context.Background(), day, emulator.Options{Seed: 1})
 				if err != nil {
 					t.Fatal(err)
 				}
-				res, err := Run(context.Background(), d, Options{Seed: 1, Command: command("")})
+				result, err := Run(context.Background(), day, Options{Seed: 1, Command: schedulerCommand("")})
 				if err != nil {
 					t.Fatal(err)
 				}
-				if !res.OK() {
-					t.Errorf("%s", res)
+				if !result.OK() {
+					t.Errorf("%s", result)
 				}
-				sockets := float64(res.Tally.Ends["placed"]) / float64(res.Tally.Submitted)
-				emulated := float64(rep.Classes[0].Placed) / float64(rep.Classes[0].Submitted)
-				t.Logf("%-22s %-14s %.1f of %.2f: placed %.4f on sockets, %.4f emulated", c.Name, first.Name, m, first.Multiple, sockets,
-					emulated)
+				placedOnSockets := float64(result.ClientStats.EndCounts["placed"]) / float64(result.ClientStats.Submitted)
+				placedEmulated := float64(report.Classes[0].Placed) / float64(report.Classes[0].Submitted)
+				t.Logf("%-22s %-14s %.1f of %.2f: placed %.4f on sockets, %.4f emulated", c.Name, firstLimit.Name, limitFraction, firstLimit.Multiple, placedOnSockets,
+					placedEmulated)
 			})
 		}
 	}
--- a/internal/testbed/trial/run.go
+++ b/internal/testbed/trial/run.go
@@ -24,7 +24,7 @@
 type Options struct {
 	Seed uint64
 	// Record is the file for the recording; empty means a temporary file.
-	Record string
+	RecordingPath string
 	// Directory is where the logs and configurations of the schedulers are written; empty means a temporary directory.
 	Directory string
 	// Replay records the steps of the modules, and replays them to a module by itself, which must return the same actions.
@@ -33,29 +33,29 @@
 	Command func(args ...string) *exec.Cmd
 	// Note is called with a line of text for each fault and each submission without an outcome. It is called concurrently; it
 	// may be nil.
-	Note func(format string, args ...any)
+	Logf func(format string, args ...any)
 }
 
 // Result is the result of a run.
 type Result struct {
-	Verdict *rules.Verdict
-	Tally   Tally
-	Replays []string // one line for each recording of steps: each core of each incarnation of a scheduler
-	Failed  []string // failures other than violations of the rules
+	Verdict         *rules.Verdict
+	ClientStats     ClientStats
+	ReplaySummaries []string // one line for each recording of steps: each core of each incarnation of a scheduler
+	Failures        []string // failures other than violations of the rules
 }
 
 // OK reports whether no rule is violated, every submission is accounted for and nothing else failed.
-func (r *Result) OK() bool { return r.Verdict.OK() && len(r.Failed) == 0 }
+func (r *Result) OK() bool { return r.Verdict.OK() && len(r.Failures) == 0 }
 
 // String returns the result as text of several lines.
 func (r *Result) String() string {
 	var text strings.Builder
 	text.WriteString(r.Verdict.String())
-	text.WriteString(r.Tally.String())
-	for _, line := range r.Replays {
+	text.WriteString(r.ClientStats.String())
+	for _, line := range r.ReplaySummaries {
 		fmt.Fprintln(&text, line)
 	}
-	for _, line := range r.Failed {
+	for _, line := range r.Failures {
 		fmt.Fprintln(&text, "failed:", line)
 	}
 	return text.String()
@@ -72,32 +72,32 @@
 
 // Run runs a day. The error is an *UnsupportedError or another failure of the trial itself; failures of the schedulers are in
 // the result.
-func Run(ctx context.Context, d *scenario.Day, opt Options) (result *Result, err error) {
-	for i := range d.Load {
-		if d.Load[i].Retry > 0 {
-			return nil, &UnsupportedError{Day: d.Name, Reason: "only the emulator has clients that retry"}
+func Run(ctx context.Context, day *scenario.Day, options Options) (result *Result, err error) {
+	for i := range day.Load {
+		if day.Load[i].Retry > 0 {
+			return nil, &UnsupportedError{Day: day.Name, Reason: "only the emulator has clients that retry"}
 		}
 	}
-	if opt.Note == nil {
-		opt.Note = func(string, ...any) {}
+	if options.Logf == nil {
+		options.Logf = func(string, ...any) {}
 	}
-	directory, remove, err := makeDirectory(opt.Directory)
+	directory, remove, err := makeDirectory(options.Directory)
 	if err != nil {
 		return nil, err
 	}
 	defer func() { err = errors.Join(err, remove()) }()
-	if opt.Record == "" {
-		opt.Record = filepath.Join(directory, "recording")
+	if options.RecordingPath == "" {
+		options.RecordingPath = filepath.Join(directory, "recording")
 	}
-	result, err = runCluster(ctx, d, opt, directory)
+	result, err = runCluster(ctx, day, options, directory)
 	if err != nil {
 		return nil, err
 	}
-	if result.Verdict, err = check(opt.Record); err != nil {
+	if result.Verdict, err = checkRecording(options.RecordingPath); err != nil {
 		return nil, err
 	}
-	if count := result.Tally.Unaccounted; count > 0 {
-		result.Failed = append(result.Failed, fmt.Sprintf("%d submissions are unaccounted for", count))
+	if count := result.ClientStats.Unaccounted; count > 0 {
+		result.Failures = append(result.Failures, fmt.Sprintf("%d submissions are unaccounted for", count))
 	}
 	return result, nil
 }
@@ -119,36 +119,36 @@
 }
 
 // runCluster runs and records a day. The caller sets the verdict of the result.
-func runCluster(ctx context.Context, d *scenario.Day, opt Options, directory string) (*Result, error) {
-	figures, err := json.Marshal(d.Figures())
+func runCluster(ctx context.Context, day *scenario.Day, options Options, directory string) (*Result, error) {
+	checkLimits, err := json.Marshal(day.Figures())
 	if err != nil {
 		return nil, fmt.Errorf("trial: figures: %w", err)
 	}
-	recorder, err := recordproxy.Create(opt.Record, figures)
+	recorder, err := recordproxy.NewFileRecorder(options.RecordingPath, checkLimits)
 	if err != nil {
 		return nil, err
 	}
 	result := &Result{}
-	c, err := newCluster(ctx, d, opt, directory, recorder)
+	c, err := newCluster(ctx, day, options, directory, recorder)
 	if err == nil {
 		err = c.run(ctx, result)
 	}
 	if c != nil {
-		if closeErr := c.close(); closeErr != nil {
-			result.Failed = append(result.Failed, closeErr.Error())
+		if closeErr := c.shutdown(); closeErr != nil {
+			result.Failures = append(result.Failures, closeErr.Error())
 		}
 	}
 	if err := errors.Join(err, recorder.Close()); err != nil {
 		return nil, err
 	}
-	if opt.Replay {
+	if options.Replay {
 		c.replaySteps(result)
 	}
 	return result, nil
 }
 
 // check judges the recording in a file.
-func check(path string) (*rules.Verdict, error) {
+func checkRecording(path string) (*rules.Verdict, error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return nil, fmt.Errorf("trial: %w", err)
@@ -159,21 +159,21 @@
 
 // run submits the load and injects the faults until the day is over and all submissions are accounted for.
 func (c *cluster) run(ctx context.Context, result *Result) error {
-	begin := time.Now()
-	load := newClients(c, begin)
-	inner, cancel := context.WithCancel(ctx)
+	startTime := time.Now()
+	clients := newClients(c, startTime)
+	dayCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	wait, err := c.startFaults(inner, begin, load)
+	wait, err := c.startFaults(dayCtx, startTime, clients)
 	if err != nil {
-		load.close()
+		clients.close()
 		return err
 	}
-	load.run(inner)
+	clients.run(dayCtx)
 	err = wait()
-	load.settle(inner)
+	clients.awaitEndOfDay(dayCtx)
 	cancel()
-	load.close()
-	result.Tally = load.result()
+	clients.close()
+	result.ClientStats = clients.finalStats()
 	return errors.Join(err, ctx.Err())
 }
 
@@ -181,19 +181,19 @@
 func (c *cluster) replaySteps(result *Result) {
 	for _, p := range c.schedulers {
 		for _, path := range p.stepFiles {
-			line, err := checkSteps(path)
+			line, err := replayStepFile(path)
 			if err != nil {
-				result.Failed = append(result.Failed, fmt.Sprintf("%s: %v", filepath.Base(path), err))
+				result.Failures = append(result.Failures, fmt.Sprintf("%s: %v", filepath.Base(path), err))
 				continue
 			}
-			result.Replays = append(result.Replays, line)
+			result.ReplaySummaries = append(result.ReplaySummaries, line)
 		}
 	}
 }
 
 // checkSteps replays recorded steps to a new instance of the module. A recording that was truncated by a kill is replayed up to
 // its last complete step.
-func checkSteps(path string) (string, error) {
+func replayStepFile(path string) (string, error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return "", err
--- a/internal/testbed/trial/process.go
+++ b/internal/testbed/trial/schedulerprocess.go
@@ -25,7 +25,7 @@
 )
 
 // process is a scheduler, with an operating-system process for each incarnation. It is safe for concurrent use.
-type process struct {
+type schedulerProcess struct {
 	cluster        *cluster
 	index          int
 	name           string
@@ -33,13 +33,13 @@
 	inventoryProxy *recordproxy.Proxy
 	configPath     string
 
-	mu           sync.Mutex
-	stepFiles    []string // recorded steps of all incarnations, a file for each core
-	listening    string   // address; empty while no process runs
-	command      *exec.Cmd
-	exited       chan struct{} // closed when command has exited
-	exitErr      error
-	incarnations int
+	mu               sync.Mutex
+	stepFiles        []string // recorded steps of all incarnations, a file for each core
+	listenAddress    string   // address; empty while no process runs
+	command          *exec.Cmd
+	exited           chan struct{} // closed when command has exited
+	exitErr          error
+	incarnationCount int
 }
 
 // StartError reports a scheduler's process that did not start.
@@ -65,17 +65,17 @@
 )
 
 // address returns the address at which the present incarnation listens for clients.
-func (p *process) address() string {
+func (p *schedulerProcess) address() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.listening == "" {
+	if p.listenAddress == "" {
 		return closedAddress
 	}
-	return p.listening
+	return p.listenAddress
 }
 
 // start starts an incarnation and waits until it listens.
-func (p *process) start() error {
+func (p *schedulerProcess) start() error {
 	if err := p.writeConfig(); err != nil {
 		return err
 	}
@@ -91,23 +91,23 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.listening, p.command, p.exited = address, command, exited
+	p.listenAddress, p.command, p.exited = address, command, exited
 	return nil
 }
 
 // writeConfig writes the configuration of a new incarnation.
-func (p *process) writeConfig() error {
+func (p *schedulerProcess) writeConfig() error {
 	p.mu.Lock()
-	p.incarnations++
+	p.incarnationCount++
 	stepFile := ""
-	if p.cluster.opt.Replay {
-		stepFile = filepath.Join(p.cluster.directory, fmt.Sprintf("%s-%d.tap", p.name, p.incarnations))
+	if p.cluster.options.Replay {
+		stepFile = filepath.Join(p.cluster.directory, fmt.Sprintf("%s-%d.tap", p.name, p.incarnationCount))
 		p.stepFiles = append(p.stepFiles, stepFile)
 		for core := 1; core < p.cluster.day.Cores; core++ {
 			p.stepFiles = append(p.stepFiles, fmt.Sprintf("%s.%d", stepFile, core))
 		}
 	}
-	seed := scenario.SchedulerSeed(p.cluster.opt.Seed, p.index, p.incarnations)
+	seed := scenario.SchedulerSeed(p.cluster.options.Seed, p.index, p.incarnationCount)
 	p.mu.Unlock()
 	text, err := p.cluster.day.SchedulerFile(p.index, p.inventoryProxy.Addr(), stepFile, seed)
 	if err != nil {
@@ -121,8 +121,8 @@
 
 // launch starts the operating-system process and a goroutine that reads its output. firstLine receives the first line; exited
 // is closed when the process has exited.
-func (p *process) launch() (command *exec.Cmd, firstLine <-chan string, exited chan struct{}, err error) {
-	command = p.cluster.opt.Command("serve", "--config", p.configPath)
+func (p *schedulerProcess) launch() (command *exec.Cmd, firstLine <-chan string, exited chan struct{}, err error) {
+	command = p.cluster.options.Command("serve", "--config", p.configPath)
 	output, err := command.StdoutPipe()
 	if err != nil {
 		return nil, nil, nil, &StartError{Scheduler: p.name, Err: err}
@@ -146,7 +146,7 @@
 	return command, lines, exited, nil
 }
 
-func (p *process) readOutput(command *exec.Cmd, output io.Reader, firstLine chan<- string) {
+func (p *schedulerProcess) readOutput(command *exec.Cmd, output io.Reader, firstLine chan<- string) {
 	scanner := bufio.NewScanner(output)
 	if scanner.Scan() {
 		firstLine <- scanner.Text()
@@ -174,10 +174,10 @@
 	}
 }
 
-func (p *process) logPath() string { return filepath.Join(p.cluster.directory, p.name+".log") }
+func (p *schedulerProcess) logPath() string { return filepath.Join(p.cluster.directory, p.name+".log") }
 
 // readLog returns the log of the process, or an empty string if it can't be read.
-func (p *process) readLog() string {
+func (p *schedulerProcess) readLog() string {
 	text, err := os.ReadFile(p.logPath())
 	if err != nil {
 		return ""
@@ -186,7 +186,7 @@
 }
 
 // signal sends a signal to the present incarnation, if there is one.
-func (p *process) signal(signal syscall.Signal) {
+func (p *schedulerProcess) signal(signal syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.command != nil {
@@ -195,17 +195,17 @@
 }
 
 // kill kills the process and closes its connections.
-func (p *process) kill() {
+func (p *schedulerProcess) kill() {
 	p.mu.Lock()
 	command, exited := p.command, p.exited
-	p.command, p.listening = nil, ""
+	p.command, p.listenAddress = nil, ""
 	p.mu.Unlock()
 	if command == nil {
 		return
 	}
 	_ = command.Process.Kill() // it may have exited in the meantime
 	<-exited
-	p.cluster.recorder.Mark(recordproxy.EventSchedulerKilled, p.name)
+	p.cluster.recorder.RecordEvent(recordproxy.EventSchedulerKilled, p.name)
 	p.clientProxy.Disconnect()
 	p.inventoryProxy.Disconnect()
 }
@@ -227,7 +227,7 @@
 var errTerminateTimeout = errors.New("it did not exit in time")
 
 // terminate shuts the process down gracefully. The process must exit with status 0 within its shutdown timeout.
-func (p *process) terminate() error {
+func (p *schedulerProcess) terminate() error {
 	p.mu.Lock()
 	command, exited := p.command, p.exited
 	p.command = nil
@@ -246,7 +246,7 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.listening = ""
+	p.listenAddress = ""
 	if p.exitErr != nil {
 		return &TerminateError{Scheduler: p.name, Err: p.exitErr}
 	}
@@ -254,13 +254,13 @@
 }
 
 // incarnation returns the number of the latest incarnation.
-func (p *process) incarnation() int {
+func (p *schedulerProcess) incarnation() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.incarnations
+	return p.incarnationCount
 }
 
-func (p *process) isRunning() bool {
+func (p *schedulerProcess) isRunning() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.command != nil
--- a/internal/testbed/trial/session.go
+++ b/internal/testbed/trial/session.go
@@ -40,7 +40,7 @@
 }
 
 // command terminates the job, holds and releases it, or does neither, by the arrival's draw.
-func (c *clients) command(ctx context.Context, job *drmaa2.Job, arrival *scenario.Arrival) {
+func (c *clients) controlJob(ctx context.Context, job *drmaa2.Job, arrival *scenario.Arrival) {
 	load := arrival.Load
 	switch {
 	case arrival.ControlDraw < load.Terminate:
@@ -69,9 +69,9 @@
 
 func (c *clients) countCommand(name string, err error) {
 	if err != nil {
-		name += " (" + errorText(err) + ")"
+		name += " (" + errorLabel(err) + ")"
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.tally.Commands[name]++
+	c.stats.CommandCounts[name]++
 }
--- a/internal/testbed/trial/submission.go
+++ b/internal/testbed/trial/submission.go
@@ -14,26 +14,26 @@
 	// outcomeGrace is how long a client waits for an outcome after it is due.
 	outcomeGrace = 2 * time.Second
 	// lateAfter is the delay from which a submission counts as sent late.
-	lateAfter = 50 * time.Millisecond
+	lateThreshold = 50 * time.Millisecond
 	// pollInterval is the interval at which a client checks whether its scheduler was killed.
 	pollInterval = 100 * time.Millisecond
 )
 
 // submission is a submitted job from the view of its client. The maps and strings are guarded by clients.mu.
 type submission struct {
-	outcomes     map[string]string // by job and placement request
-	firstOutcome string
-	hasOutcome   chan struct{} // closed at the first outcome
+	outcomes        map[string]string // by job and placement request
+	firstOutcome    string
+	outcomeReported chan struct{} // closed at the first outcome
 }
 
 // runSubmission submits one job and accounts for it.
 func (c *clients) runSubmission(ctx context.Context, arrival *scenario.Arrival, due time.Time) {
-	s := &submission{outcomes: map[string]string{}, hasOutcome: make(chan struct{})}
+	s := &submission{outcomes: map[string]string{}, outcomeReported: make(chan struct{})}
 	c.mu.Lock()
-	c.open[arrival.Key] = s
-	c.tally.Submitted++
-	if time.Since(due) > lateAfter {
-		c.tally.Late++
+	c.openSubmissions[arrival.Key] = s
+	c.stats.Submitted++
+	if time.Since(due) > lateThreshold {
+		c.stats.SentLate++
 	}
 	c.mu.Unlock()
 	deadline := due.Add(c.placementTimeout(arrival.Load.Class) + c.cluster.day.Rules.AnswerSlack.Duration() + outcomeGrace)
@@ -47,11 +47,11 @@
 		end = s.firstOutcome
 	}
 	if end == endNoOutcome {
-		c.tally.Unaccounted++
-		c.cluster.opt.Note("no outcome was reported for %s", arrival.Key)
+		c.stats.Unaccounted++
+		c.cluster.options.Logf("no outcome was reported for %s", arrival.Key)
 	}
-	c.tally.Ends[end]++
-	delete(c.open, arrival.Key)
+	c.stats.EndCounts[end]++
+	delete(c.openSubmissions, arrival.Key)
 }
 
 // submitUntilOutcome submits a job, and resubmits it to each later incarnation of its scheduler until there is an outcome. It
@@ -63,14 +63,14 @@
 		incarnation := process.incarnation()
 		job, err := c.submit(ctx, arrival, retry)
 		if err != nil {
-			return endRejected + errorText(err)
+			return endRejected + errorLabel(err)
 		}
 		if !retry {
-			c.command(ctx, job, arrival)
+			c.controlJob(ctx, job, arrival)
 		}
 		killed := c.awaitOutcome(ctx, s, process, incarnation, deadline)
 		switch {
-		case s.isDecided():
+		case s.isOutcomeKnown():
 			return endNoOutcome // replaced by the first outcome
 		case killed && time.Now().After(deadline):
 			return endKilled
@@ -80,9 +80,9 @@
 	}
 }
 
-func (s *submission) isDecided() bool {
+func (s *submission) isOutcomeKnown() bool {
 	select {
-	case <-s.hasOutcome:
+	case <-s.outcomeReported:
 		return true
 	default:
 		return false
@@ -91,11 +91,11 @@
 
 // awaitOutcome waits for the outcome. It reports whether the scheduler that admitted the job has been killed, so that the
 // client has to resubmit it to the next incarnation.
-func (c *clients) awaitOutcome(ctx context.Context, s *submission, process *process, incarnation int,
+func (c *clients) awaitOutcome(ctx context.Context, s *submission, process *schedulerProcess, incarnation int,
 	deadline time.Time) bool {
 	for {
 		select {
-		case <-s.hasOutcome:
+		case <-s.outcomeReported:
 			return false
 		case <-ctx.Done():
 			return process.incarnation() != incarnation || !process.isRunning()
