--- a/internal/testbed/recordproxy/connection.go
+++ b/internal/testbed/recordproxy/connection.go
@@ -6,24 +6,25 @@
 )
 
 const (
-	// readSize is the maximum number of bytes of one read.
+	// maxReadSize limits the bytes that one read from a connection returns.
 	maxReadSize = 64 << 10
-	// queueLength is the maximum number of reads of one direction that wait to be forwarded; beyond it the proxy does not
-	// read, so that the sender is slowed down by TCP flow control.
+	// queueLength limits the reads of one direction that wait to be forwarded. When the queue is full the proxy stops reading,
+	// so that TCP flow control slows the sender down.
 	queueLength = 256
 )
 
-// connection is a pair of TCP connections: the dialer's to the proxy and the proxy's to the listener.
+// connection is one proxied connection: a TCP connection from the dialing party to the proxy, and one from the proxy to the
+// listening party.
 type connection struct {
 	proxy                    *Proxy
 	id                       uint64
 	dialerConn, listenerConn net.Conn
 	closeOnce                sync.Once
-	done                     chan struct{} // closed with the connection
+	done                     chan struct{} // closed by close
 }
 
-// close records the end of the connection and then closes both sides, so that the record precedes those of the parties'
-// reactions. Calls after the first have no effect.
+// close records the end of the connection and then closes both TCP connections. In this order the recording has the end before
+// anything that the parties send in reaction to it. Calls after the first have no effect.
 func (c *connection) close(reason string) {
 	c.closeOnce.Do(func() {
 		c.proxy.recorder.recordClose(c.id, reason)
@@ -33,7 +34,7 @@
 	})
 }
 
-// run forwards both directions until the connection is closed.
+// run forwards bytes in both directions until the connection is closed.
 func (c *connection) run() {
 	var directions sync.WaitGroup
 	directions.Go(func() { c.forward(c.dialerConn, c.listenerConn, false) })
@@ -41,8 +42,8 @@
 	directions.Wait()
 }
 
-// forward transfers one direction until the connection ends. Bytes are recorded when they are received, even while a fault
-// delays earlier ones, and again when they are forwarded.
+// forward copies bytes from source to destination until the connection ends. It records bytes as sent when it receives them,
+// even while a fault delays earlier bytes; forwardQueued records them as delivered.
 func (c *connection) forward(source, destination net.Conn, fromListener bool) {
 	queue := make(chan []byte, queueLength)
 	var writer sync.WaitGroup
@@ -66,14 +67,15 @@
 	}
 }
 
-// write forwards the queued bytes until the queue is closed, and returns the reason why the connection ends.
+// forwardQueued writes the queued bytes to destination until the queue is closed or the connection must end. It returns the
+// reason for the end.
 func (c *connection) forwardQueued(destination net.Conn, fromListener bool, queue <-chan []byte) string {
 	for data := range queue {
 		forwarded, closeAfter, err := c.applyFault(len(data), fromListener)
 		if err != nil {
 			return err.Error()
 		}
-		// Recorded before the write, so that no response to these bytes is recorded before them.
+		// Recorded before the write, so that a response to these bytes is never recorded ahead of their delivery.
 		c.proxy.recorder.recordDelivered(c.id, fromListener, forwarded, len(data)-forwarded)
 		c.proxy.droppedBytes.Add(int64(len(data) - forwarded))
 		if _, err := destination.Write(data[:forwarded]); err != nil {
--- a/internal/testbed/recordproxy/event.go
+++ b/internal/testbed/recordproxy/event.go
@@ -2,30 +2,30 @@
 
 import "flaxshelf.example/flaxshelf/internal/testbed/recordproxy/recordingpb"
 
-// Event is the name of something that happened to a party and that no recorded bytes show. The names are part of the format
-// of recordings.
+// Event is the name of an event that the recorded bytes do not show, such as the kill of a scheduler. The names are part of the
+// recording format.
 type Event string
 
 // The events of recordings.
 const (
-	// EventSchedulerKilled is that the process of a scheduler has exited; a later process is another incarnation.
+	// EventSchedulerKilled means that the process of a scheduler has exited. A later process is another incarnation.
 	EventSchedulerKilled Event = "scheduler killed"
-	// EventSchedulerPaused is that the process of a scheduler is suspended.
+	// EventSchedulerPaused means that the process of a scheduler is suspended.
 	EventSchedulerPaused Event = "scheduler paused"
-	// EventSchedulerResumed is that a suspended process runs again.
+	// EventSchedulerResumed means that the suspended process of a scheduler runs again.
 	EventSchedulerResumed Event = "scheduler resumed"
-	// EventNodeStopped is that a node has stopped with all its tasks.
+	// EventNodeStopped means that a node has stopped, and all its tasks with it.
 	EventNodeStopped Event = "node stopped"
-	// EventNodeOverloaded is that a node has crashed because of too many starts.
+	// EventNodeOverloaded means that a node has crashed because it had to start too many tasks.
 	EventNodeOverloaded Event = "node overloaded"
-	// EventBytesDropped is that proxies drop bytes on purpose from now on.
+	// EventBytesDropped means that from now on proxies drop bytes as part of a fault.
 	EventBytesDropped Event = "bytes dropped"
-	// EventEnd is the end of the recording.
+	// EventEnd marks the end of the recording.
 	EventEnd Event = "end"
 )
 
-// deprecatedEvents are the names of events in recordings of earlier versions. They are written besides the present names, and
-// are removed in 0.2.0. The names of the other events have not changed.
+// deprecatedEvents maps events to the names that they have in recordings of earlier versions. Both names are written; the
+// deprecated ones are to be removed in 0.2.0. An event that is not in the map has kept its name.
 var deprecatedEvents = map[Event]string{
 	EventSchedulerPaused:  "scheduler stopped",
 	EventSchedulerResumed: "scheduler goes on",
@@ -34,7 +34,7 @@
 	EventBytesDropped:     "bytes are dropped",
 }
 
-// The reasons of closed connections. They are part of the format of recordings.
+// The reasons why a connection was closed. They are part of the recording format.
 const (
 	reasonClosedByParty        = "closed by a party"
 	reasonDisconnectedByFault  = "disconnected by a fault"
@@ -42,18 +42,18 @@
 	reasonProxyClosed          = "end of the trial"
 )
 
-// deprecatedReasons are the former reasons, as deprecatedEvents are the former events.
+// deprecatedReasons maps reasons to their texts in recordings of earlier versions, as deprecatedEvents does for events.
 var deprecatedReasons = map[string]string{
 	reasonDisconnectedByFault:  "cut",
 	reasonDisconnectedMidReply: "cut in the middle",
 }
 
-// NewMark returns the message that records an event of a party. It has the deprecated name besides the present one.
+// NewMark returns the message that records an event of a party, under the current and the deprecated name.
 func NewMark(event Event, party string) *recordingpb.Mark {
 	return &recordingpb.Mark{Event: string(event), What: deprecatedName(deprecatedEvents, event), Party: party}
 }
 
-// EventOf returns the event of a mark, also of one that has only the deprecated name.
+// EventOf returns the event of a mark, which may have only the deprecated name.
 func EventOf(mark *recordingpb.Mark) Event {
 	if mark.Event != "" {
 		return Event(mark.Event)
@@ -61,12 +61,12 @@
 	return currentName(deprecatedEvents, mark.What)
 }
 
-// newClose returns the message that records the end of a connection.
+// newClose returns the message that records the end of a connection, under the current and the deprecated reason.
 func newClose(connection uint64, reason string) *recordingpb.Close {
 	return &recordingpb.Close{Conn: connection, Reason: reason, Why: deprecatedName(deprecatedReasons, reason)}
 }
 
-// ReasonOf returns the reason of a closed connection, also of one that has only the deprecated text.
+// ReasonOf returns the reason why a connection was closed. The message may have only the deprecated text.
 func ReasonOf(closed *recordingpb.Close) string {
 	if closed.Reason != "" {
 		return closed.Reason
@@ -74,7 +74,7 @@
 	return currentName(deprecatedReasons, closed.Why)
 }
 
-// deprecatedName returns the deprecated name, or the present one if it has not changed.
+// deprecatedName returns the deprecated name for a current one, or the current name if it has not changed.
 func deprecatedName[Name ~string](deprecated map[Name]string, current Name) string {
 	if former, renamed := deprecated[current]; renamed {
 		return former
@@ -82,7 +82,7 @@
 	return string(current)
 }
 
-// presentName returns the present name of a deprecated one, or the same name if it has not changed.
+// currentName returns the current name for a deprecated one, or the same name if it has not changed.
 func currentName[Name ~string](deprecated map[Name]string, name string) Name {
 	for current, former := range deprecated {
 		if former == name {
--- a/internal/testbed/recordproxy/event_test.go
+++ b/internal/testbed/recordproxy/event_test.go
@@ -6,8 +6,8 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/recordproxy/recordingpb"
 )
 
-// The names that recordings of earlier versions have must stay readable until 0.2.0, and readers of those versions must find
-// them in new recordings.
+// Until 0.2.0, recordings that have only the deprecated names must stay readable, and new recordings must have the deprecated
+// names too, for readers of earlier versions.
 func TestEventsAreWrittenUnderBothNamesAndReadUnderEither(t *testing.T) {
 	for _, c := range []struct {
 		name       string
--- a/internal/testbed/recordproxy/fault.go
+++ b/internal/testbed/recordproxy/fault.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-// Fault is a fault of the connections of a proxy. The zero value forwards all bytes at once.
+// Fault describes how a proxy disturbs its connections. The zero value forwards all bytes without delay.
 type Fault struct {
-	// Delay is the time after which each read is forwarded.
+	// Delay is how long the proxy waits before it forwards the bytes of each read.
 	Delay time.Duration
-	// Stall stops forwarding in both directions; no bytes are lost.
+	// Stall suspends forwarding in both directions. The bytes are forwarded when the stall ends.
 	Stall bool
-	// DropReplies drops the bytes from the listening party: the connection is half-open.
+	// DropReplies drops all bytes from the listening party, as on a half-open connection.
 	DropReplies bool
-	// Reject closes new connections at once.
+	// Reject closes each new connection as soon as it is accepted.
 	Reject bool
-	// BreakAfterBytes, if positive, closes one connection: the one on which the listening party has sent the last of that
-	// number of bytes, counted over all connections.
+	// BreakAfterBytes, if positive, closes one connection after the listening party has sent this many bytes, counted over all
+	// connections of the proxy. The connection that carries the last of these bytes is closed right after that byte.
 	BreakAfterBytes int
 }
 
-// errClosed reports that a connection was closed while bytes of it waited to be forwarded.
+// errConnectionClosed reports that a connection was closed while some of its bytes waited to be forwarded.
 var errConnectionClosed = errors.New("recordproxy: the connection is closed")
 
-// applyFault waits as long as the fault delays size bytes, and returns how many of them to forward, and whether to close the
-// connection after them. The error is errClosed.
+// applyFault waits as long as the fault delays the next bytes, byteCount in number. It returns how many of them to forward and
+// whether to close the connection after that; the rest is dropped. The error is errConnectionClosed.
 func (c *connection) applyFault(byteCount int, fromListener bool) (forwarded int, closeAfter bool, err error) {
 	fault, changed := c.proxy.currentFault()
 	for fault.Stall {
@@ -52,13 +52,13 @@
 	return byteCount, false, nil
 }
 
-// countDown subtracts size bytes from those that remain until a connection is closed; the results are those of applyFault.
+// applyByteLimit counts bytes toward Fault.BreakAfterBytes. The results are those of applyFault.
 func (p *Proxy) applyByteLimit(byteCount int) (forwarded int, closeAfter bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	remaining := p.fault.BreakAfterBytes
 	switch {
-	case remaining <= 0: // another connection has just been broken
+	case remaining <= 0: // another connection has reached the limit in the meantime
 		return byteCount, false
 	case byteCount >= remaining:
 		p.fault.BreakAfterBytes = 0
--- a/internal/testbed/recordproxy/proxy.go
+++ b/internal/testbed/recordproxy/proxy.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// dialTimeout bounds the connection attempt to the listening party.
+// dialTimeout limits how long the proxy tries to connect to the listening party.
 const dialTimeout = time.Second
 
-// Proxy forwards connections to one party, their listener, and records them. Its fault may be changed at any time. It is
-// safe for concurrent use.
+// Proxy accepts connections, forwards each to one listening party, and records the traffic. Its fault may be changed at any
+// time. It is safe for concurrent use.
 type Proxy struct {
 	recorder                 *Recorder
 	protocol                 string
@@ -24,22 +24,22 @@
 
 	mu           sync.Mutex
 	fault        Fault
-	faultChanged chan struct{} // closed when fault changes
+	faultChanged chan struct{} // closed and replaced when fault changes
 	connections  map[*connection]bool
 	closed       bool
-	goroutines   sync.WaitGroup // the accepting goroutine and those of connections
+	goroutines   sync.WaitGroup // accept, and serve for each connection
 }
 
-// NewProxy returns a proxy that listens on a port of its own until Close. wire, to and via are the names of the protocol, the
-// listening and the dialing party in the recording; via may be empty. For each connection target is called for the address of
-// the listening party.
+// NewProxy returns a proxy that listens on a free port of loopback until Close. The recording names the protocol and the two
+// parties as given; dialerName is empty if several parties dial this proxy. targetAddress returns the address of the listening
+// party and is called for each connection.
 func NewProxy(recorder *Recorder, protocol, listenerName, dialerName string, targetAddress func() string) (*Proxy, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("recordproxy: proxy to %s: %w", listenerName, err)
+		return nil, fmt.Errorf("recordproxy: listen for connections to %s: %w", listenerName, err)
 	}
-	p := &Proxy{recorder: recorder, protocol: protocol, listenerName: listenerName, dialerName: dialerName, listener: listener, targetAddress: targetAddress,
-		faultChanged: make(chan struct{}), connections: map[*connection]bool{}}
+	p := &Proxy{recorder: recorder, protocol: protocol, listenerName: listenerName, dialerName: dialerName, listener: listener,
+		targetAddress: targetAddress, faultChanged: make(chan struct{}), connections: map[*connection]bool{}}
 	p.goroutines.Go(p.accept)
 	return p, nil
 }
@@ -47,10 +47,10 @@
 // Addr returns the address at which the proxy listens.
 func (p *Proxy) Addr() string { return p.listener.Addr().String() }
 
-// DroppedBytes returns the number of bytes that were received and dropped.
+// DroppedBytes returns the number of bytes that faults have dropped so far.
 func (p *Proxy) DroppedBytes() int64 { return p.droppedBytes.Load() }
 
-// SetFault replaces the fault of all present and later connections.
+// SetFault replaces the fault, for open and for later connections.
 func (p *Proxy) SetFault(fault Fault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -59,7 +59,7 @@
 	p.faultChanged = make(chan struct{})
 }
 
-// Disconnect closes all present connections; later ones are accepted.
+// Disconnect closes all open connections. New connections are still accepted.
 func (p *Proxy) Disconnect() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -101,15 +101,16 @@
 	}
 }
 
-// serve forwards a connection until it is closed.
+// serve connects an accepted connection to the listening party and forwards both directions until it is closed. If the party
+// cannot be reached, nothing is recorded and the connection is closed.
 func (p *Proxy) serve(dialerConn net.Conn) {
 	listenerConn, err := net.DialTimeout("tcp", p.targetAddress(), dialTimeout)
 	if err != nil {
 		_ = dialerConn.Close()
 		return
 	}
-	c := &connection{proxy: p, id: p.recorder.recordOpen(p.protocol, p.listenerName, p.dialerName), dialerConn: dialerConn, listenerConn: listenerConn,
-		done: make(chan struct{})}
+	c := &connection{proxy: p, id: p.recorder.recordOpen(p.protocol, p.listenerName, p.dialerName), dialerConn: dialerConn,
+		listenerConn: listenerConn, done: make(chan struct{})}
 	p.mu.Lock()
 	p.connections[c] = true
 	closed := p.closed
--- a/internal/testbed/recordproxy/proxy_test.go
+++ b/internal/testbed/recordproxy/proxy_test.go
@@ -15,10 +15,10 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/recordproxy/recordingpb"
 )
 
-// TestMain checks that proxies leave no goroutine.
+// TestMain checks that no goroutine of a proxy is left after the tests.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// proxiedConnection is a connection of a client through a proxy to a party that listens.
+// proxiedConnection is a connection from a client through a proxy to a listening party, with its recording.
 type proxiedConnection struct {
 	t              *testing.T
 	recording      bytes.Buffer
@@ -29,7 +29,7 @@
 	listener       net.Listener
 }
 
-// testTimeout bounds each wait for expected bytes.
+// testTimeout limits each wait for expected bytes.
 const testTimeout = 10 * time.Second
 
 func newProxiedConnection(t *testing.T) *proxiedConnection {
@@ -59,7 +59,7 @@
 	}
 }
 
-// end closes everything and returns the recording with a word for each record.
+// closeAndFormat closes the connection, the proxy and the recorder, and returns the recording with a word for each record.
 func (c *proxiedConnection) closeAndFormat() string {
 	c.t.Helper()
 	_, _ = c.client.Close(), c.listeningParty.Close()
@@ -90,6 +90,8 @@
 	}
 }
 
+// formatRecord formats a record as one word. ">" stands for bytes of the client and "<" for bytes of the listening party, with
+// the data where they were sent and one character for each byte where they were delivered; "x" stands for a dropped byte.
 func formatRecord(record *recordingpb.Record) string {
 	arrow := func(fromListener bool) string {
 		if fromListener {
@@ -113,7 +115,7 @@
 	return "unknown"
 }
 
-// transfer checks that a text is forwarded.
+// checkForwarded sends a text and checks that it arrives at the other end.
 func (c *proxiedConnection) checkForwarded(from, to net.Conn, text string) {
 	c.t.Helper()
 	_, _ = io.WriteString(from, text)
@@ -124,20 +126,20 @@
 	}
 }
 
-// readToEnd waits until the connection has been closed and returns what was received until then.
+// readToEnd reads until the connection is closed and returns the bytes that it received.
 func (c *proxiedConnection) readToEnd(connection net.Conn) string {
 	c.t.Helper()
 	_ = connection.SetReadDeadline(time.Now().Add(testTimeout))
 	received, err := io.ReadAll(connection)
 	var netError net.Error
 	if errors.As(err, &netError) && netError.Timeout() {
-		c.t.Fatal("the connection is still open")
+		c.t.Fatalf("got the connection still open after %v, want it closed", testTimeout)
 	}
 	return string(received)
 }
 
-// checkRecording compares the records of the replies and of the requests with those that are wanted. The two directions of a
-// connection run on goroutines of their own, so that only the records of one direction have an order.
+// checkRecording compares the records of the replies and those of the requests with the wanted ones, each for itself: each
+// direction of a connection has its own goroutine, so that the order of records across directions is not determined.
 func checkRecording(t *testing.T, recorded, wantReplies, wantRequests string) {
 	t.Helper()
 	without := func(firstLetters string) string {
--- a/internal/testbed/recordproxy/reader.go
+++ b/internal/testbed/recordproxy/reader.go
@@ -14,31 +14,31 @@
 // Reader reads a recording. It is not safe for concurrent use.
 type Reader struct {
 	buffer *bufio.Reader
-	// Figures are the limits for the rules checker, as JSON.
+	// CheckLimits are the limits by which the rules checker judges the recording, as JSON.
 	CheckLimits []byte
 }
 
 // FormatError reports a file that is not a recording.
 type FormatError struct{ Err error }
 
-// Error returns a message with the cause.
+// Error describes why the file is not a recording.
 func (e *FormatError) Error() string { return fmt.Sprintf("recordproxy: not a recording: %v", e.Err) }
 
-// Unwrap returns the cause.
+// Unwrap returns Err.
 func (e *FormatError) Unwrap() error { return e.Err }
 
-// VersionError reports a recording of a version that this build cannot read.
+// VersionError reports a recording whose format version this build cannot read.
 type VersionError struct{ Version uint32 }
 
-// Error returns a message with the recording's version and that of this build.
+// Error names the version of the recording and the one that this build reads.
 func (e *VersionError) Error() string {
-	return fmt.Sprintf("recordproxy: version %d, this build reads %d", e.Version, Version)
+	return fmt.Sprintf("recordproxy: recording has format version %d, this build reads version %d", e.Version, Version)
 }
 
-var errNoHead = errors.New("it has no head")
+var errNoHead = errors.New("first record is not a head")
 
-// NewReader reads the head of a recording and returns a reader of the records after it. The error is a *FormatError or a
-// *VersionError.
+// NewReader reads the head of a recording and returns a reader for the records that follow it. The error is a *FormatError or
+// a *VersionError.
 func NewReader(r io.Reader) (*Reader, error) {
 	reader := &Reader{buffer: bufio.NewReaderSize(r, bufferSize)}
 	record, err := reader.Next()
--- a/internal/testbed/recordproxy/recorder.go
+++ b/internal/testbed/recordproxy/recorder.go
@@ -1,6 +1,6 @@
-// Package recordproxy records the traffic between the parties of a trial. A Proxy on loopback forwards connections and
-// injects faults into them; a Recorder writes the bytes with their times. The package must not interpret the bytes: a
-// recording shows what the parties sent and received, whatever the checker makes of it.
+// Package recordproxy records the traffic between the parties of a trial: clients, schedulers, nodes and the inventory. A Proxy
+// on loopback forwards connections and injects faults into them; a Recorder writes the bytes with their times. The package must
+// not interpret the bytes: a recording shows what the parties sent and received, independent of how the rules checker reads it.
 package recordproxy
 
 import (
@@ -17,28 +17,28 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/recordproxy/recordingpb"
 )
 
-// Version is the version of the format of recordings.
+// Version is the version of the recording format.
 const Version = 1
 
 const (
-	// maxRecordBytes bounds the size of one record; a proxy reads less at a time.
+	// maxRecordSize limits the bytes of one record when it is read. Recorded reads are smaller, see maxReadSize.
 	maxRecordSize = 4 << 20
-	// bufferBytes is the size of the buffers of recorders and readers.
+	// bufferSize is the size of the buffers of recorders and readers, in bytes.
 	bufferSize = 64 << 10
 )
 
-// Recorder writes a recording. It is safe for concurrent use; records are in the order of their times.
+// Recorder writes a recording, with the records in the order of their times. It is safe for concurrent use.
 type Recorder struct {
 	mu               sync.Mutex
 	buffer           *bufio.Writer
-	closer           io.Closer // nil for none
+	closer           io.Closer // nil if the writer needs no closing
 	lastTime         int64
 	lastConnectionID uint64
-	firstErr         error // the first error
+	firstErr         error // of a write
 }
 
-// NewRecorder returns a recorder that writes to w, and writes the head with the limits for the rules checker. Close closes w
-// if it is an io.Closer.
+// NewRecorder returns a recorder that writes to w, and writes the head. checkLimits are the limits for the rules checker, as
+// JSON. Close closes w if it is an io.Closer.
 func NewRecorder(w io.Writer, checkLimits []byte) *Recorder {
 	r := &Recorder{buffer: bufio.NewWriterSize(w, bufferSize)}
 	if closer, ok := w.(io.Closer); ok {
@@ -48,16 +48,16 @@
 	return r
 }
 
-// Create returns a recorder that writes to a new file.
+// NewFileRecorder returns a recorder that writes to the file at path, which it creates or truncates.
 func NewFileRecorder(path string, checkLimits []byte) (*Recorder, error) {
 	file, err := os.Create(path)
 	if err != nil {
-		return nil, fmt.Errorf("recordproxy: %w", err)
+		return nil, fmt.Errorf("recordproxy: create the recording: %w", err)
 	}
 	return NewRecorder(file, checkLimits), nil
 }
 
-// add writes a record with the present time. Close returns the first error of a write.
+// write writes a record with the current time. The first error is kept for Close, and no record is written after it.
 func (r *Recorder) write(record *recordingpb.Record) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -68,18 +68,19 @@
 	}
 }
 
-// Mark records an event of a party.
+// RecordEvent records an event of a party.
 func (r *Recorder) RecordEvent(event Event, party string) {
 	r.write(&recordingpb.Record{Body: &recordingpb.Record_Mark{Mark: NewMark(event, party)}})
 }
 
-// opened records a new connection and returns its number.
+// recordOpen records a new connection and returns its number, which is unique in the recording.
 func (r *Recorder) recordOpen(protocol, listenerName, dialerName string) uint64 {
 	r.mu.Lock()
 	r.lastConnectionID++
 	id := r.lastConnectionID
 	r.mu.Unlock()
-	r.write(&recordingpb.Record{Body: &recordingpb.Record_Open{Open: &recordingpb.Open{Conn: id, Wire: protocol, To: listenerName, Via: dialerName}}})
+	r.write(&recordingpb.Record{Body: &recordingpb.Record_Open{
+		Open: &recordingpb.Open{Conn: id, Wire: protocol, To: listenerName, Via: dialerName}}})
 	return id
 }
 
@@ -97,7 +98,7 @@
 	r.write(&recordingpb.Record{Body: &recordingpb.Record_Close{Close: newClose(connection, reason)}})
 }
 
-// Close flushes and closes the recording, and returns its first error.
+// Close flushes the recording and closes its writer. It returns the first error of a write, joined with those of Close itself.
 func (r *Recorder) Close() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -106,7 +107,7 @@
 		err = errors.Join(err, r.closer.Close())
 	}
 	if err != nil {
-		return fmt.Errorf("recordproxy: %w", err)
+		return fmt.Errorf("recordproxy: write the recording: %w", err)
 	}
 	return nil
 }
