--- a/internal/testbed/trial/bench_test.go
+++ b/internal/testbed/trial/bench_test.go
@@ -26,7 +26,7 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/standin/nodemodel"
 )
 
-// benchScheduler is a scheduler in a process of its own, so that its CPU time and memory can be measured, with stand-in nodes
+// benchScheduler is a scheduler in a process of its own, so that its CPU time and memory can be measured. Its stand-in nodes run
 // in this process.
 type benchScheduler struct {
 	b              *testing.B
@@ -34,8 +34,8 @@
 	session        *drmaa2.JobSession
 }
 
-// startBenchScheduler starts nodes with nodeCores cores each, and a scheduler with schedulerCores cores. They are stopped at the
-// end of the benchmark.
+// startBenchScheduler starts nodes with nodeCores cores each, and a scheduler with schedulerCores cores. Cleanup functions of the
+// benchmark stop them.
 func startBenchScheduler(b *testing.B, nodes int, nodeCores float64, schedulerCores int) *benchScheduler {
 	b.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
@@ -53,7 +53,7 @@
 	return s
 }
 
-// startBenchFleet starts an inventory and nodes, and returns the inventory's address once all nodes are registered.
+// startBenchFleet starts an inventory and nodes, waits until all nodes are registered, and returns the inventory's address.
 func startBenchFleet(ctx context.Context, b *testing.B, count int, cores float64) string {
 	b.Helper()
 	inventory, err := host.StartInventory(loopbackAnyPort, inventorymodel.Config{RemovalDelay: time.Second}, zerolog.Nop())
@@ -89,7 +89,7 @@
 		CachedStartTime: time.Millisecond, UncachedStartFactor: 2, MaxCachedPrograms: 8, Seed: uint64(index)}
 }
 
-// freeAddress returns an address of loopback that was free when it was checked.
+// freeAddress returns a loopback address whose port was free when it was checked.
 func freeAddress(b *testing.B) string {
 	b.Helper()
 	listener, err := net.Listen("tcp", loopbackAnyPort)
@@ -100,7 +100,7 @@
 	return listener.Addr().String()
 }
 
-// writeBenchConfig writes the configuration of a scheduler and returns its path.
+// writeBenchConfig writes the configuration of a scheduler to a file and returns its path.
 func writeBenchConfig(b *testing.B, metrics, inventory string, nodeCores float64, schedulerCores int) string {
 	b.Helper()
 	text, err := json.Marshal(map[string]any{"name": "bench", "listen": loopbackAnyPort, "metrics": metrics,
@@ -136,9 +136,9 @@
 		if os.Getenv(profilePathEnv) == "" {
 			_ = process.Process.Kill()
 		} else {
-			_ = process.Process.Signal(syscall.SIGTERM) // it writes its profile
+			_ = process.Process.Signal(syscall.SIGTERM) // so that it writes its profile
 		}
-		_ = process.Wait() // a killed process has no other status
+		_ = process.Wait() // the status of a killed process is always an error
 	})
 	line, err := bufio.NewReader(output).ReadString('\n')
 	if err != nil {
@@ -165,12 +165,12 @@
 // warmUpJobs is the number of jobs that warmUp runs.
 const warmUpJobs = 20
 
-// cpu returns the CPU time of the scheduler's process.
+// processCPU returns the CPU time of the scheduler's process.
 func (s *benchScheduler) processCPU() time.Duration {
 	return time.Duration(s.metric("process_cpu_seconds_total") * 1e9)
 }
 
-// value returns the value of a metric; labels are part of the name.
+// metric returns the value of a metric. The name includes the labels.
 func (s *benchScheduler) metric(name string) float64 {
 	s.b.Helper()
 	response, err := http.Get("http://" + s.metricsAddress + "/metrics")
@@ -201,8 +201,8 @@
 	return s.metric(`flaxshelf_outcomes_total{class="service",outcome="placed"}`)
 }
 
-// awaitPlaced reads the metric at an interval until the number of jobs is placed or the timeout is over. The benchmark reports
-// how many are placed.
+// awaitPlaced reads the number of placed jobs at an interval, until it reaches jobs or the timeout is over. A time-out is no
+// failure.
 func (s *benchScheduler) awaitPlaced(ctx context.Context, jobs int, timeout, interval time.Duration) {
 	s.b.Helper()
 	ctx, cancel := context.WithTimeout(ctx, timeout)
@@ -217,8 +217,8 @@
 		drmaa2.AttrExpectedRuntime: runtime}}
 }
 
-// BenchmarkPlacements saturates a scheduler with clients that submit one job after the other, each on a connection
-// of its own, and compares the CPU time of its process with that of the module.
+// BenchmarkPlacements saturates a scheduler with 128 clients that submit one job after the other, each on a connection of its own.
+// It compares the CPU time of the scheduler's process with that of its module.
 func BenchmarkPlacements(b *testing.B) {
 	for _, c := range []struct{ nodes, cores int }{{33, 1}, {130, 1}, {130, 2}, {130, 4}, {130, 8}} {
 		b.Run(fmt.Sprintf("nodes=%d/cores=%d", c.nodes, c.cores), func(b *testing.B) {
@@ -254,8 +254,8 @@
 	}
 }
 
-// BenchmarkLatency submits 1,000 jobs per second, open-loop, for about b.N milliseconds, and reports the scheduler's
-// own time from a submission to its offer.
+// BenchmarkLatency submits b.N jobs at 1,000 per second, open-loop, and reports quantiles of the time from a submission to its
+// offer as the scheduler measures it.
 func BenchmarkLatency(b *testing.B) {
 	ctx, s := context.Background(), startBenchScheduler(b, 33, 64, 1)
 	var running sync.WaitGroup
@@ -278,7 +278,8 @@
 	}
 }
 
-// BenchmarkMemory starts 100,000 jobs and reports the memory of the process per job. It runs once.
+// BenchmarkMemory starts 100,000 jobs and reports the memory of the scheduler's process per placed job. Because of b.Loop its
+// body runs only once.
 func BenchmarkMemory(b *testing.B) {
 	const jobs, arraySize, arrayPause = 100000, 10000, 500 * time.Millisecond
 	ctx, s := context.Background(), startBenchScheduler(b, 33, 1000, 1)
--- a/internal/testbed/trial/clients.go
+++ b/internal/testbed/trial/clients.go
@@ -11,16 +11,17 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/scenario"
 )
 
-// requestRetryFor is how long the client library retries a request.
+// requestRetryFor is how long the client library retries a request that gets no response.
 const requestRetryFor = 3 * time.Second
 
-// clients submit the load and account for every submission. There is one connection pool for each scheduler.
+// clients submits the load of a day and keeps account of how each submission ends for its client. It has one connection pool for
+// each scheduler.
 type clients struct {
 	cluster     *cluster
 	startTime   time.Time
 	pools       []*drmaa2.Client // by scheduler
 	submissions sync.WaitGroup   // one goroutine for each submission
-	watches     sync.WaitGroup   // one goroutine for each scheduler, which watches its events
+	watches     sync.WaitGroup   // one goroutine for each scheduler, which receives its job events
 
 	mu              sync.Mutex
 	stats           ClientStats
@@ -39,7 +40,7 @@
 	return created
 }
 
-// run watches the events and submits the load until the end of the day.
+// run starts to watch the job events, and submits the load until the end of the day. It does not wait for outcomes.
 func (c *clients) run(ctx context.Context) {
 	for scheduler := range c.pools {
 		c.watches.Go(func() { c.watchSession(ctx, scheduler) })
@@ -51,13 +52,14 @@
 	loads.Wait()
 }
 
-// settle waits until all submissions are accounted for, and for the rest of the day, in which running jobs may end.
+// awaitEndOfDay waits until all submissions are accounted for, and then until the time after the day is over in which running
+// jobs may end.
 func (c *clients) awaitEndOfDay(ctx context.Context) {
 	c.submissions.Wait()
 	sleepUntil(ctx, c.startTime.Add(scenario.Seconds(c.cluster.day.Seconds+c.cluster.day.After)))
 }
 
-// close waits for the watches, whose context must be canceled before, and closes all connections.
+// close waits for the watches and closes all connections. The context of run must have been canceled.
 func (c *clients) close() {
 	c.watches.Wait()
 	for _, pool := range c.pools {
@@ -65,14 +67,14 @@
 	}
 }
 
-// result returns the tally, after close.
+// finalStats returns the counts; they are complete after close.
 func (c *clients) finalStats() ClientStats {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.stats
 }
 
-// submitLoad sends the submissions of one load at their times, without waiting for earlier ones.
+// submitLoad sends each submission of a load at its time, whether or not earlier ones have an outcome (open loop).
 func (c *clients) submitLoad(ctx context.Context, index int) {
 	class := c.cluster.day.Load[index].Class
 	arrivals := c.cluster.day.Arrivals(index, c.cluster.options.Seed)
@@ -90,7 +92,8 @@
 	}
 }
 
-// loadNow returns the factor of the load of a class and the fraction that goes to one service, by the present faults.
+// currentLoad returns the factor by which the current faults change the load of a class, and the fraction of the load that they
+// direct to one service.
 func (c *clients) currentLoad(class string) (factor, hotServiceFraction float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -109,14 +112,14 @@
 	c.loadState.SetHotServiceFraction(class, fraction)
 }
 
-// watch handles the events of the session at one scheduler, over all its incarnations.
+// watchSession handles the job events of the session at one scheduler, over all its incarnations.
 func (c *clients) watchSession(ctx context.Context, scheduler int) {
 	for !canceled(ctx) {
 		session, err := c.session(ctx, scheduler)
 		if err != nil {
 			continue
 		}
-		// A stream that breaks is opened again.
+		// The error is ignored: a stream that breaks is opened again.
 		_ = session.Watch(ctx, func(info drmaa2.JobInfo) bool {
 			c.handleJobEvent(&info)
 			return true
@@ -124,15 +127,16 @@
 	}
 }
 
-// canceledOutcome is the name on the wire of the outcome of a placement request that its client has canceled.
+// canceledOutcome is the outcome, as written on the wire, of a placement request that its client has canceled.
 const canceledOutcome = "withdrawn"
 
-// jobChanged handles an event of a job.
+// handleJobEvent records the outcome that an event reports, if any, and counts a second, different outcome of the same placement
+// request as a duplicate.
 func (c *clients) handleJobEvent(info *drmaa2.JobInfo) {
 	attributes := info.ImplementationSpecific
 	outcome := attributes[drmaa2.AttrOutcome]
 	if outcome == "" || outcome == canceledOutcome && !info.JobState.Terminated() {
-		return // held by its client: another placement request follows
+		return // a hold canceled the placement request; the release starts another one
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/testbed/trial/clientstats.go
+++ b/internal/testbed/trial/clientstats.go
@@ -9,30 +9,31 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/countformat"
 )
 
-// Tally has the counts of what the clients observed, to be compared with the recording.
+// ClientStats counts what the clients observed, for comparison with the recording.
 type ClientStats struct {
 	Submitted         int
-	EndCounts         map[string]int // submissions, by how they ended for their clients
-	Unaccounted       int            // submissions without an outcome although their scheduler was not killed
-	DuplicateOutcomes int            // placement requests with two outcomes
-	SentLate          int            // submissions that were sent late
-	CommandCounts     map[string]int // commands of clients, with their errors
+	EndCounts         map[string]int // submissions, by outcome or by another way to end for their client
+	Unaccounted       int            // submissions that got no outcome although their scheduler was not killed
+	DuplicateOutcomes int            // placement requests that got two different outcomes
+	SentLate          int            // submissions that were sent more than lateThreshold after their time
+	CommandCounts     map[string]int // control commands (terminate, hold, release), by name and error
 }
 
-// The ends of submissions that have no outcome.
+// The ways to end for submissions without an outcome.
 const (
 	endRejected  = "rejected: " // followed by the error
 	endKilled    = "scheduler killed"
 	endNoOutcome = "no outcome"
 )
 
-// String returns the tally as one line of text.
+// String returns the counts as one line of text.
 func (t *ClientStats) String() string {
 	return fmt.Sprintf("clients: %d submissions (%d sent late): %s; %d unaccounted for; %d with two outcomes; commands: %s\n",
-		t.Submitted, t.SentLate, countformat.Format(t.EndCounts), t.Unaccounted, t.DuplicateOutcomes, countformat.Format(t.CommandCounts))
+		t.Submitted, t.SentLate, countformat.Format(t.EndCounts), t.Unaccounted, t.DuplicateOutcomes,
+		countformat.Format(t.CommandCounts))
 }
 
-// errorText returns a short text of an error, by which errors are counted.
+// errorLabel returns a short text for an error, under which equal errors are counted together.
 func errorLabel(err error) string {
 	var rejection *drmaa2.Error
 	if errors.As(err, &rejection) {
--- a/internal/testbed/trial/cluster.go
+++ b/internal/testbed/trial/cluster.go
@@ -17,13 +17,14 @@
 )
 
 const (
+	// loopbackAnyPort makes a listener choose a free port.
 	loopbackAnyPort = "127.0.0.1:0"
 	// closedAddress is an address at which no process listens.
 	closedAddress = "127.0.0.1:1"
 )
 
-// cluster is the deployment of one trial: the inventory and the nodes run in this process, each scheduler runs in a process of
-// its own, and there is a recording proxy in front of each party.
+// cluster is the deployment of one trial. The inventory and the nodes run in this process, and each scheduler in a process of its
+// own. Each node and each scheduler is reached through a recording proxy, and each scheduler reaches the inventory through one.
 type cluster struct {
 	day            *scenario.Day
 	options        Options
@@ -33,11 +34,12 @@
 	inventory      *host.Inventory
 	nodes          []*node
 	schedulers     []*schedulerProcess
-	keysByZone     map[string]nodemodel.KeyRegistry // by zone: the idempotency keys that its nodes share
-	nodeGoroutines sync.WaitGroup                   // goroutines that watch or stop nodes
+	keysByZone     map[string]nodemodel.KeyRegistry // the idempotency keys that the nodes of a zone share
+	nodeGoroutines sync.WaitGroup                   // those that watch or stop nodes
 }
 
-// newCluster starts all parties. With an error it returns the cluster that must be closed, or nil if nothing was started.
+// newCluster starts the inventory, the nodes and the schedulers. After an error, the cluster that it returns must still be shut
+// down, or is nil if nothing was started.
 func newCluster(ctx context.Context, day *scenario.Day, options Options, directory string,
 	recorder *recordproxy.Recorder) (*cluster, error) {
 	c := &cluster{day: day, options: options, directory: directory, recorder: recorder, log: zerolog.Nop(),
@@ -95,7 +97,8 @@
 	return p.start()
 }
 
-// close stops all parties and waits until they have stopped. Schedulers are shut down gracefully, and killed after a timeout.
+// shutdown stops the schedulers, the nodes and the inventory, and waits until they have stopped. Schedulers are shut down
+// gracefully, and killed after a timeout.
 func (c *cluster) shutdown() error {
 	errs := make([]error, len(c.schedulers))
 	var shutdowns sync.WaitGroup
--- a/internal/testbed/trial/faultinjection.go
+++ b/internal/testbed/trial/faultinjection.go
@@ -14,7 +14,8 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/standin/nodemodel"
 )
 
-// startFaults injects each fault of the day at its time. The returned function waits for all injections.
+// startFaults starts a goroutine for each fault of the day, which injects it at its time. The returned function waits until all
+// injections are over.
 func (c *cluster) startFaults(ctx context.Context, startTime time.Time, clients *clients) (wait func() error, err error) {
 	faults := make([]*fault.Fault, len(c.day.Faults))
 	for i := range faults {
@@ -42,7 +43,7 @@
 	}, nil
 }
 
-// describe returns the zone and the class that a fault is limited to, or an empty string.
+// describeScope returns the zone and the class that a fault is limited to, as text; it is empty for a fault without limits.
 func describeScope(scheduled *scenario.Fault) string {
 	text := ""
 	if scheduled.Zone != "" {
@@ -54,10 +55,10 @@
 	return text
 }
 
-// sleepUntil returns at the given time, or when the context is canceled.
+// sleepUntil waits until the given time, or until the context is canceled.
 func sleepUntil(ctx context.Context, at time.Time) { sleep(ctx, time.Until(at)) }
 
-// sleep returns after the duration, or when the context is canceled.
+// sleep waits for the duration, or until the context is canceled.
 func sleep(ctx context.Context, duration time.Duration) {
 	select {
 	case <-time.After(duration):
@@ -67,7 +68,8 @@
 
 func canceled(ctx context.Context) bool { return ctx.Err() != nil }
 
-// faultTarget implements fault.Cluster and fault.Network for the cluster. It is safe for concurrent use.
+// faultTarget applies faults to the processes, nodes and proxies of a cluster. It implements fault.Cluster and fault.Network,
+// and is safe for concurrent use.
 type faultTarget struct {
 	cluster *cluster
 	clients *clients
@@ -170,7 +172,8 @@
 	var errs []error
 	for _, p := range t.schedulers(schedulers) {
 		errs = append(errs, p.terminate())
-		t.cluster.recorder.RecordEvent(recordproxy.EventSchedulerKilled, p.name) // the next process is another incarnation
+		// Recorded as for a kill: a process that is started later is another incarnation.
+		t.cluster.recorder.RecordEvent(recordproxy.EventSchedulerKilled, p.name)
 	}
 	return errors.Join(errs...)
 }
--- a/internal/testbed/trial/hooks_test.go
+++ b/internal/testbed/trial/hooks_test.go
@@ -8,7 +8,8 @@
 	"flaxshelf.example/flaxshelf/internal/scheduler"
 )
 
-// hooks change inputs and effects between a daemon and its core so that one rule is violated.
+// hooks has, by name, the hooks that change what a daemon passes to or receives from its scheduler core, so that the scheduler
+// violates one rule.
 var hooks = map[string]daemon.Hook{
 	"":                nil,
 	"two outcomes":    &secondOutcome{},
@@ -33,10 +34,10 @@
 	}),
 }
 
-// secondOutcome reports a second outcome, a failure, for every twentieth placed job.
+// secondOutcome reports a second outcome, a failure, for one of outcomeInterval placed jobs.
 type secondOutcome struct{ placed int }
 
-// outcomeInterval is the number of placed jobs of which one has two outcomes.
+// outcomeInterval is the number of placed jobs of which one gets two outcomes.
 const outcomeInterval = 20
 
 func (*secondOutcome) In(in scheduler.Input) scheduler.Input { return in }
@@ -57,7 +58,8 @@
 	return out
 }
 
-// duplicateStart offers the jobs of one class twice to the same node, so that their spread does not change.
+// duplicateStart offers each job of one class twice to the same node, so that the spread of the jobs does not change and only one
+// rule is violated.
 type duplicateStart struct{}
 
 func (*duplicateStart) In(in scheduler.Input) scheduler.Input { return in }
@@ -74,24 +76,25 @@
 	return out
 }
 
-// target is where a redirection sends an offer.
+// target says to which node a redirection sends an offer.
 type target int
 
 const (
-	chosenNode target = iota // by the core
-	faultyNode               // the node of the day's fault, if it is known by then
-	fixedNode                // always the same
+	chosenNode target = iota // the node that the scheduler core has chosen
+	faultyNode               // the node that is drained or restarted; before one is known, the chosen node
+	fixedNode                // the node of fixedNodeName
 )
 
-// fixedNodeName is the node of fixedNode, and of stops and acknowledgements while the faulty node is not known.
+// fixedNodeName is the node of target fixedNode. Stops and acknowledgements of redirected attempts go to it while no faulty node
+// is known.
 const fixedNodeName = "c0"
 
-// redirection sends offers to other nodes than the core has chosen. The core receives the replies as if they came from the
-// chosen node.
+// redirection sends offers to other nodes than those that the scheduler core has chosen. The core receives the replies as if
+// they came from the chosen nodes.
 type redirection struct {
-	choose      func(offer *scheduler.SendOffer, age scheduler.Time) target // age is of the scheduler
-	chosenNodes map[string]string                                           // by redirected attempt
-	faultyNode  string                                                      // drained or restarted; empty if there is none yet
+	choose      func(offer *scheduler.SendOffer, age scheduler.Time) target // age: time since its first effects
+	chosenNodes map[string]string                                           // by the core; by redirected attempt
+	faultyNode  string                                                      // drained or restarted; empty if none yet
 	startedAt   scheduler.Time
 }
 
@@ -129,7 +132,8 @@
 	return in
 }
 
-// chosen returns the node that the core has chosen for an attempt; node is the one that the message came from.
+// reportedNode returns the node that the core is told for a message of an attempt: the chosen node for a redirected attempt, and
+// otherwise node, which the message came from.
 func (h *redirection) reportedNode(attempt, node string) string {
 	if chosen := h.chosenNodes[attempt]; chosen != "" {
 		return chosen
@@ -162,7 +166,7 @@
 	return out
 }
 
-// node returns the node that an offer is redirected to, or an empty string for the chosen node.
+// redirectionTarget returns the node that an offer is redirected to, or an empty string if it goes to the chosen node.
 func (h *redirection) redirectionTarget(offer *scheduler.SendOffer, now scheduler.Time) string {
 	switch h.choose(offer, now-h.startedAt) {
 	case faultyNode:
@@ -174,7 +178,7 @@
 	}
 }
 
-// redirected returns the node that a later message of an attempt is sent to.
+// actualNode returns the node that a later message of an attempt is sent to; node is the one that the core names.
 func (h *redirection) actualNode(attempt, node string) string {
 	switch {
 	case h.chosenNodes[attempt] == "":
--- a/internal/testbed/trial/misbehavingclients.go
+++ b/internal/testbed/trial/misbehavingclients.go
@@ -10,14 +10,17 @@
 	"time"
 )
 
-// The pauses of misbehaving clients.
 const (
+	// reconnectPause is how long a misbehaving client waits before it connects again.
 	reconnectPause = 50 * time.Millisecond
-	byteInterval   = 20 * time.Millisecond
-	responseWait   = 200 * time.Millisecond
+	// byteInterval is the time between two bytes of sendSlowly.
+	byteInterval = 20 * time.Millisecond
+	// responseWait is how long sendInvalidJobs reads responses before it closes the connection.
+	responseWait = 200 * time.Millisecond
 )
 
-// misbehave runs clients that break the protocol, each in its own way, and reconnect until the duration is over.
+// runMisbehavingClients runs count clients until the duration is over. Each breaks the protocol in one of the ways of
+// misbehaviors, again and again on new connections.
 func runMisbehavingClients(ctx context.Context, address string, count int, duration time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, duration)
 	defer cancel()
@@ -33,7 +36,7 @@
 	running.Wait()
 }
 
-// misbehaveOnce runs one connection; an error of the dial is ignored.
+// runMisbehavior runs a misbehavior on one connection. It does nothing if the connection can't be opened.
 func runMisbehavior(ctx context.Context, address string, misbehavior func(ctx context.Context, connection net.Conn)) {
 	connection, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
@@ -45,7 +48,7 @@
 	misbehavior(ctx, connection)
 }
 
-// misbehaviors are the ways to break the protocol. Clients ignore errors of the connection: the recording shows how the server
+// misbehaviors are the ways to break the protocol. They ignore errors of the connection, since the recording shows how the server
 // reacts.
 var misbehaviors = []func(ctx context.Context, connection net.Conn){
 	sendSlowly,
@@ -66,13 +69,13 @@
 	<-ctx.Done()
 }
 
-// readNothing subscribes to events and never reads them.
+// subscribeWithoutReading subscribes to job events and never reads them.
 func subscribeWithoutReading(ctx context.Context, connection net.Conn) {
 	_, _ = io.WriteString(connection, "GET /drmaa2/v1/sessions/"+sessionName+"/events HTTP/1.1\r\nHost: x\r\n\r\n")
 	<-ctx.Done()
 }
 
-// sendEndlessHead sends headers until the connection is closed, or 64 MiB.
+// sendOversizedHeader sends request headers until the connection is closed, up to about 64 MiB.
 func sendOversizedHeader(_ context.Context, connection net.Conn) {
 	_, _ = io.WriteString(connection, "GET / HTTP/1.1\r\nHost: x\r\n")
 	line := "X-Long: " + strings.Repeat("x", 4000) + "\r\n"
@@ -83,13 +86,13 @@
 	}
 }
 
-// sendNoHTTP sends the start of another protocol.
+// sendNonHTTP sends bytes that begin like a TLS handshake, and no HTTP request.
 func sendNonHTTP(_ context.Context, connection net.Conn) {
 	_, _ = io.WriteString(connection, "\x16\x03\x01\x02\x00\x01\x00 not HTTP at all\r\n\r\n")
 	_, _ = io.Copy(io.Discard, connection)
 }
 
-// sendMalformedJSON submits jobs that can't be parsed.
+// sendInvalidJobs submits jobs that can't be parsed: truncated JSON, an unknown field, invalid values and deeply nested arrays.
 func sendInvalidJobs(_ context.Context, connection net.Conn) {
 	for _, body := range []string{`{"template":`, `{"template":{"remoteCommand":"x","wings":2}}`,
 		`{"template":{"remoteCommand":"x","implementationSpecific":{"flaxshelf.cores":"NaN"}}}`,
--- a/internal/testbed/trial/node.go
+++ b/internal/testbed/trial/node.go
@@ -13,7 +13,7 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/standin/nodemodel"
 )
 
-// node is a node of the fleet, with a host for each incarnation. It is safe for concurrent use.
+// node is a node of the fleet over all its incarnations, each of which is a host.Node. It is safe for concurrent use.
 type node struct {
 	cluster *cluster
 	index   int
@@ -22,12 +22,12 @@
 	proxy   *recordproxy.Proxy
 
 	mu               sync.Mutex
-	current          *host.Node // nil while the node is stopped
+	current          *host.Node // the running incarnation; nil while the node is stopped
 	incarnationCount int
 	fault            nodemodel.Fault
 }
 
-// address returns the address at which the present incarnation listens.
+// address returns the address at which the running incarnation listens, or closedAddress if there is none.
 func (n *node) address() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -37,7 +37,7 @@
 	return n.current.Addr()
 }
 
-// start starts an incarnation, unless one is running. A warm node has the programs of its tasks cached.
+// start starts an incarnation, unless one is running. A warm incarnation has the programs of its tasks cached.
 func (n *node) start(warm bool) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -52,14 +52,14 @@
 		Model:     fleet.NodeModel(config, c.day.Kinds, c.day.Rules, c.day.Behaviour, seed),
 		Advertise: n.proxy.Addr(), Inventory: c.inventory.Addr(), Keys: c.keysByZone[n.group.Zone], Log: c.log})
 	if err != nil {
-		return fmt.Errorf("trial: start %s: %w", n.name, err)
+		return fmt.Errorf("trial: start node %s: %w", n.name, err)
 	}
 	n.current = started
 	c.nodeGoroutines.Go(func() { n.handleOverload(started) })
 	return nil
 }
 
-// watch waits until an incarnation has stopped, and handles a crash of overload.
+// handleOverload waits until an incarnation has stopped. If it crashed because of overload, it records that and stops the node.
 func (n *node) handleOverload(incarnation *host.Node) {
 	<-incarnation.Done()
 	if incarnation.Overloaded() {
@@ -68,7 +68,7 @@
 	}
 }
 
-// stop stops the present incarnation at once, and its faults.
+// stop stops the running incarnation, if there is one, and ends its faults.
 func (n *node) stop() {
 	n.mu.Lock()
 	current := n.current
@@ -76,7 +76,8 @@
 	n.stopIncarnation(current)
 }
 
-// stopIncarnation stops an incarnation unless it has been stopped; a later incarnation is not affected.
+// stopIncarnation stops an incarnation and ends its faults. It does nothing if the incarnation was stopped before, so that a
+// later incarnation keeps running.
 func (n *node) stopIncarnation(incarnation *host.Node) {
 	n.mu.Lock()
 	isCurrent := incarnation != nil && n.current == incarnation
@@ -91,7 +92,7 @@
 	}
 }
 
-// do calls a function with the model of the present incarnation, if there is one.
+// withModel calls a function with the model of the running incarnation, if there is one.
 func (n *node) withModel(call func(model *nodemodel.Node, now nodemodel.Time) []nodemodel.Send) {
 	n.mu.Lock()
 	current := n.current
@@ -101,7 +102,7 @@
 	}
 }
 
-// changeFault changes the faults of the node.
+// changeFault changes the faults of the node and applies them to the running incarnation, if there is one.
 func (n *node) changeFault(change fault.NodeFaultChange) {
 	n.mu.Lock()
 	change(&n.fault)
--- a/internal/testbed/trial/node_test.go
+++ b/internal/testbed/trial/node_test.go
@@ -13,6 +13,8 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/standin/nodemodel"
 )
 
+// The crash of an incarnation is handled in a goroutine of its own. When that goroutine stops the incarnation, the node may have
+// been restarted already.
 func TestStopOfAFormerIncarnationLeavesTheNextOneRunning(t *testing.T) {
 	day, err := scenario.Read("calm")
 	if err != nil {
--- a/internal/testbed/trial/plan_test.go
+++ b/internal/testbed/trial/plan_test.go
@@ -11,8 +11,8 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/plancheck"
 )
 
-// The planner's cases are run on sockets with a tenth less and a tenth more than the predicted first limit; the test logs the
-// fraction of placed submissions with that of the emulator. It takes minutes and is run by hand:
+// Runs the planner's cases on sockets at 0.9 and 1.1 times the load at which the planner predicts the first limit. The rules must
+// hold; the test logs the fraction of placed submissions and that of the emulator. It takes minutes and is run by hand:
 //
 //	FLAXSHELF_SOCKETS=1 go test -v -run PlanOnSockets -timeout 20m -parallel 3 ./internal/testbed/trial
 func TestPlanOnSocketsRespectsTheRules(t *testing.T) {
@@ -43,8 +43,8 @@
 				}
 				placedOnSockets := float64(result.ClientStats.EndCounts["placed"]) / float64(result.ClientStats.Submitted)
 				placedEmulated := float64(report.Classes[0].Placed) / float64(report.Classes[0].Submitted)
-				t.Logf("%-22s %-14s %.1f of %.2f: placed %.4f on sockets, %.4f emulated", c.Name, firstLimit.Name, limitFraction, firstLimit.Multiple, placedOnSockets,
-					placedEmulated)
+				t.Logf("%-22s %-14s %.1f of %.2f: placed %.4f on sockets, %.4f emulated", c.Name, firstLimit.Name, limitFraction,
+					firstLimit.Multiple, placedOnSockets, placedEmulated)
 			})
 		}
 	}
--- a/internal/testbed/trial/run.go
+++ b/internal/testbed/trial/run.go
@@ -1,5 +1,5 @@
-// Package trial runs days of scenarios with real processes and sockets on loopback, and judges their recordings with the
-// rules checker. It must not place tasks itself.
+// Package trial runs a scripted day with real processes and sockets on loopback, records the traffic, and judges the recording
+// with the rules checker. It must not place tasks itself.
 package trial
 
 import (
@@ -20,34 +20,35 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/scenario"
 )
 
-// Options are the options of a run.
+// Options are the options of Run.
 type Options struct {
 	Seed uint64
-	// Record is the file for the recording; empty means a temporary file.
+	// RecordingPath is the file for the recording; empty means a file in Directory.
 	RecordingPath string
-	// Directory is where the logs and configurations of the schedulers are written; empty means a temporary directory.
+	// Directory is where the logs, configurations and step recordings of the schedulers are written; empty means a temporary
+	// directory, which Run removes.
 	Directory string
-	// Replay records the steps of the modules, and replays them to a module by itself, which must return the same actions.
+	// Replay records the steps of the schedulers' modules and replays them to a new instance of the module, which must return
+	// the same actions.
 	Replay bool
-	// Command returns the command that runs flaxshelf with the arguments.
+	// Command returns the command that runs flaxshelf with the given arguments.
 	Command func(args ...string) *exec.Cmd
-	// Note is called with a line of text for each fault and each submission without an outcome. It is called concurrently; it
-	// may be nil.
+	// Logf logs a line for each fault and for each submission without an outcome. It is called concurrently. Nil means no log.
 	Logf func(format string, args ...any)
 }
 
-// Result is the result of a run.
+// Result is the result of Run.
 type Result struct {
 	Verdict         *rules.Verdict
 	ClientStats     ClientStats
-	ReplaySummaries []string // one line for each recording of steps: each core of each incarnation of a scheduler
-	Failures        []string // failures other than violations of the rules
+	ReplaySummaries []string // a line for each step recording, of which each core of each incarnation has one
+	Failures        []string // other than violations of the rules
 }
 
 // OK reports whether no rule is violated, every submission is accounted for and nothing else failed.
 func (r *Result) OK() bool { return r.Verdict.OK() && len(r.Failures) == 0 }
 
-// String returns the result as text of several lines.
+// String returns the result as several lines of text.
 func (r *Result) String() string {
 	var text strings.Builder
 	text.WriteString(r.Verdict.String())
@@ -70,8 +71,8 @@
 // Error returns a message with the day and the reason.
 func (e *UnsupportedError) Error() string { return fmt.Sprintf("trial: %s: %s", e.Day, e.Reason) }
 
-// Run runs a day. The error is an *UnsupportedError or another failure of the trial itself; failures of the schedulers are in
-// the result.
+// Run runs a day and judges its recording. The error is an *UnsupportedError or another failure of the trial itself. Failures of
+// the schedulers are in the result: violated rules, unaccounted submissions, unclean exits and failed replays.
 func Run(ctx context.Context, day *scenario.Day, options Options) (result *Result, err error) {
 	for i := range day.Load {
 		if day.Load[i].Retry > 0 {
@@ -107,22 +108,22 @@
 func makeDirectory(path string) (directory string, remove func() error, err error) {
 	if path != "" {
 		if err := os.MkdirAll(path, 0o700); err != nil {
-			return "", nil, fmt.Errorf("trial: %w", err)
+			return "", nil, fmt.Errorf("trial: create the directory of the trial: %w", err)
 		}
 		return path, func() error { return nil }, nil
 	}
 	directory, err = os.MkdirTemp("", "flaxshelf-trial-")
 	if err != nil {
-		return "", nil, fmt.Errorf("trial: %w", err)
+		return "", nil, fmt.Errorf("trial: create the directory of the trial: %w", err)
 	}
 	return directory, func() error { return os.RemoveAll(directory) }, nil
 }
 
-// runCluster runs and records a day. The caller sets the verdict of the result.
+// runCluster runs and records a day, and replays the recorded steps if the options say so. The verdict of the result is not set.
 func runCluster(ctx context.Context, day *scenario.Day, options Options, directory string) (*Result, error) {
 	checkLimits, err := json.Marshal(day.Figures())
 	if err != nil {
-		return nil, fmt.Errorf("trial: figures: %w", err)
+		return nil, fmt.Errorf("trial: encode the limits for the rules checker: %w", err)
 	}
 	recorder, err := recordproxy.NewFileRecorder(options.RecordingPath, checkLimits)
 	if err != nil {
@@ -147,17 +148,17 @@
 	return result, nil
 }
 
-// check judges the recording in a file.
+// checkRecording judges the recording in a file.
 func checkRecording(path string) (*rules.Verdict, error) {
 	file, err := os.Open(path)
 	if err != nil {
-		return nil, fmt.Errorf("trial: %w", err)
+		return nil, fmt.Errorf("trial: open the recording: %w", err)
 	}
 	defer func() { _ = file.Close() }() // it was only read
 	return rules.Check(file)
 }
 
-// run submits the load and injects the faults until the day is over and all submissions are accounted for.
+// run submits the load and injects the faults, and waits until the day is over and all submissions are accounted for.
 func (c *cluster) run(ctx context.Context, result *Result) error {
 	startTime := time.Now()
 	clients := newClients(c, startTime)
@@ -177,7 +178,7 @@
 	return errors.Join(err, ctx.Err())
 }
 
-// replaySteps replays the recorded steps of each incarnation to a module by itself.
+// replaySteps replays each step recording and adds the summary or the failure to the result.
 func (c *cluster) replaySteps(result *Result) {
 	for _, p := range c.schedulers {
 		for _, path := range p.stepFiles {
@@ -191,8 +192,8 @@
 	}
 }
 
-// checkSteps replays recorded steps to a new instance of the module. A recording that was truncated by a kill is replayed up to
-// its last complete step.
+// replayStepFile replays recorded steps to a new instance of the module and returns a summary. A recording that was truncated
+// because its scheduler was killed is replayed up to its last complete step.
 func replayStepFile(path string) (string, error) {
 	file, err := os.Open(path)
 	if err != nil {
--- a/internal/testbed/trial/schedulerprocess.go
+++ b/internal/testbed/trial/schedulerprocess.go
@@ -18,13 +18,14 @@
 )
 
 const (
-	// startTimeout is how long a scheduler's process may take to print its address.
+	// startTimeout is how long the process of a scheduler may take to print its address.
 	startTimeout = 15 * time.Second
-	// terminateSlack is how long after its shutdown timeout a process is killed.
+	// terminateSlack is how long after the shutdown timeout of the scheduler its process is killed.
 	terminateSlack = 5 * time.Second
 )
 
-// process is a scheduler, with an operating-system process for each incarnation. It is safe for concurrent use.
+// schedulerProcess is a scheduler over all its incarnations, each of which is an operating-system process. It is safe for
+// concurrent use.
 type schedulerProcess struct {
 	cluster        *cluster
 	index          int
@@ -34,37 +35,37 @@
 	configPath     string
 
 	mu               sync.Mutex
-	stepFiles        []string // recorded steps of all incarnations, a file for each core
-	listenAddress    string   // address; empty while no process runs
+	stepFiles        []string // recordings of the module's steps: one file for each core of each incarnation
+	listenAddress    string   // empty while no process runs
 	command          *exec.Cmd
 	exited           chan struct{} // closed when command has exited
 	exitErr          error
 	incarnationCount int
 }
 
-// StartError reports a scheduler's process that did not start.
+// StartError reports that the process of a scheduler did not start.
 type StartError struct {
 	Scheduler string
-	Output    string // its first line of output, or its log
+	Output    string // the first line of its standard output, if that has no address, and its log
 	Err       error
 }
 
-// Error returns a message with the scheduler, the cause and the output.
+// Error returns a message with the scheduler, the cause and the first 2000 characters of the output.
 func (e *StartError) Error() string {
 	return fmt.Sprintf("trial: start %s: %v: %.2000s", e.Scheduler, e.Err, e.Output)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns Err.
 func (e *StartError) Unwrap() error { return e.Err }
 
-// The causes of a StartError, in addition to errors of the operating system.
+// Causes of a StartError, in addition to errors of the operating system.
 var (
-	errNoAddress    = errors.New("no address in its output")
-	errExited       = errors.New("it exited")
-	errStartTimeout = fmt.Errorf("no output within %v", startTimeout)
+	errNoAddress    = errors.New("first line of its output has no http:// address")
+	errExited       = errors.New("process exited before it printed its address")
+	errStartTimeout = fmt.Errorf("process printed no address within %v", startTimeout)
 )
 
-// address returns the address at which the present incarnation listens for clients.
+// address returns the address at which the running incarnation listens for clients, or closedAddress if there is none.
 func (p *schedulerProcess) address() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -95,7 +96,7 @@
 	return nil
 }
 
-// writeConfig writes the configuration of a new incarnation.
+// writeConfig counts a new incarnation and writes its configuration.
 func (p *schedulerProcess) writeConfig() error {
 	p.mu.Lock()
 	p.incarnationCount++
@@ -114,13 +115,13 @@
 		return err
 	}
 	if err := os.WriteFile(p.configPath, text, 0o600); err != nil {
-		return fmt.Errorf("trial: configuration of %s: %w", p.name, err)
+		return fmt.Errorf("trial: write the configuration of %s: %w", p.name, err)
 	}
 	return nil
 }
 
-// launch starts the operating-system process and a goroutine that reads its output. firstLine receives the first line; exited
-// is closed when the process has exited.
+// launch starts the operating-system process and a goroutine that reads its standard output. firstLine receives the first line
+// of the output; exited is closed when the process has exited.
 func (p *schedulerProcess) launch() (command *exec.Cmd, firstLine <-chan string, exited chan struct{}, err error) {
 	command = p.cluster.options.Command("serve", "--config", p.configPath)
 	output, err := command.StdoutPipe()
@@ -131,9 +132,9 @@
 	if err != nil {
 		return nil, nil, nil, &StartError{Scheduler: p.name, Err: err}
 	}
-	defer func() { _ = log.Close() }() // the process has a descriptor of its own
+	defer func() { _ = log.Close() }() // the process has its own descriptor
 	command.Stderr = log
-	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // it must not outlive a killed trial
+	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // so that it does not outlive a trial that is killed
 	if err := command.Start(); err != nil {
 		return nil, nil, nil, &StartError{Scheduler: p.name, Err: err}
 	}
@@ -146,19 +147,20 @@
 	return command, lines, exited, nil
 }
 
+// readOutput sends the first line of the output, discards the rest, and sets exitErr when the process has exited.
 func (p *schedulerProcess) readOutput(command *exec.Cmd, output io.Reader, firstLine chan<- string) {
 	scanner := bufio.NewScanner(output)
 	if scanner.Scan() {
 		firstLine <- scanner.Text()
 	}
-	_, _ = io.Copy(io.Discard, output) // until the process exits
+	_, _ = io.Copy(io.Discard, output) // returns when the process exits
 	err := command.Wait()
 	p.mu.Lock()
 	p.exitErr = err
 	p.mu.Unlock()
 }
 
-// awaitAddress returns the address in the first line of output; with errNoAddress, the line.
+// awaitAddress returns the address in the first line of the output. With errNoAddress it returns the whole line instead.
 func awaitAddress(firstLine <-chan string, exited <-chan struct{}) (string, error) {
 	select {
 	case line := <-firstLine:
@@ -185,7 +187,7 @@
 	return string(text)
 }
 
-// signal sends a signal to the present incarnation, if there is one.
+// signal sends a signal to the running incarnation, if there is one.
 func (p *schedulerProcess) signal(signal syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -194,7 +196,7 @@
 	}
 }
 
-// kill kills the process and closes its connections.
+// kill kills the running incarnation, if there is one, records that and closes its connections.
 func (p *schedulerProcess) kill() {
 	p.mu.Lock()
 	command, exited := p.command, p.exited
@@ -210,7 +212,7 @@
 	p.inventoryProxy.Disconnect()
 }
 
-// TerminateError reports a scheduler's process that did not exit cleanly after SIGTERM.
+// TerminateError reports that the process of a scheduler did not exit with status 0 in time after SIGTERM.
 type TerminateError struct {
 	Scheduler string
 	Err       error
@@ -221,12 +223,13 @@
 	return fmt.Sprintf("trial: %s after SIGTERM: %v", e.Scheduler, e.Err)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns Err.
 func (e *TerminateError) Unwrap() error { return e.Err }
 
-var errTerminateTimeout = errors.New("it did not exit in time")
+var errTerminateTimeout = fmt.Errorf("process did not exit within its shutdown timeout and %v; killed", terminateSlack)
 
-// terminate shuts the process down gracefully. The process must exit with status 0 within its shutdown timeout.
+// terminate shuts the running incarnation down gracefully, if there is one. The process must exit with status 0; it is killed
+// terminateSlack after its shutdown timeout.
 func (p *schedulerProcess) terminate() error {
 	p.mu.Lock()
 	command, exited := p.command, p.exited
@@ -235,7 +238,7 @@
 	if command == nil {
 		return nil
 	}
-	_ = command.Process.Signal(syscall.SIGCONT) // it may have exited: its status shows that
+	_ = command.Process.Signal(syscall.SIGCONT) // a paused process can't handle SIGTERM; an exited one is reported by its status
 	_ = command.Process.Signal(syscall.SIGTERM)
 	select {
 	case <-exited:
@@ -253,7 +256,7 @@
 	return nil
 }
 
-// incarnation returns the number of the latest incarnation.
+// incarnation returns the number of the latest incarnation, from 1 on.
 func (p *schedulerProcess) incarnation() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/testbed/trial/session.go
+++ b/internal/testbed/trial/session.go
@@ -9,16 +9,17 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/scenario"
 )
 
-// sessionName is the job session in which a trial's clients submit.
+// sessionName is the name of the job session in which the clients of a trial submit jobs.
 const sessionName = "trial"
 
-// The pauses before a client retries a request itself.
 const (
+	// sessionRetryPause is how long a client waits before it tries again to open the session.
 	sessionRetryPause = 50 * time.Millisecond
+	// releaseRetryPause is how long a client waits before it tries again to release a job.
 	releaseRetryPause = 100 * time.Millisecond
 )
 
-// session opens or creates the session at a scheduler, and retries until the context is canceled.
+// session opens the session at a scheduler, or creates it. After broken connections it retries until the context is canceled.
 func (c *clients) session(ctx context.Context, scheduler int) (*drmaa2.JobSession, error) {
 	pool := c.pools[scheduler]
 	for {
@@ -39,7 +40,7 @@
 	}
 }
 
-// command terminates the job, holds and releases it, or does neither, by the arrival's draw.
+// controlJob terminates the job, or holds and releases it, or does nothing, as the arrival's ControlDraw determines.
 func (c *clients) controlJob(ctx context.Context, job *drmaa2.Job, arrival *scenario.Arrival) {
 	load := arrival.Load
 	switch {
@@ -49,14 +50,14 @@
 	case arrival.ControlDraw < load.Terminate+load.Hold:
 		err := job.Hold(ctx)
 		c.countCommand("hold", err)
-		if err == nil || errors.Is(err, drmaa2.ErrDrmCommunication) { // the job may be held even if the response was lost
+		if err == nil || errors.Is(err, drmaa2.ErrDrmCommunication) { // the job may be held although the response was lost
 			sleep(ctx, arrival.ControlDelay)
 			c.countCommand("release", release(ctx, job))
 		}
 	}
 }
 
-// release releases a job. It retries after broken connections, since otherwise the job would be held forever.
+// release releases a job. It retries after broken connections, since a job that is not released stays held forever.
 func release(ctx context.Context, job *drmaa2.Job) error {
 	for {
 		err := job.Release(ctx)
--- a/internal/testbed/trial/submission.go
+++ b/internal/testbed/trial/submission.go
@@ -11,22 +11,22 @@
 )
 
 const (
-	// outcomeGrace is how long a client waits for an outcome after it is due.
+	// outcomeGrace is how long after the placement timeout and the scheduler's answer slack a client still waits for an outcome.
 	outcomeGrace = 2 * time.Second
-	// lateAfter is the delay from which a submission counts as sent late.
+	// lateThreshold is the delay beyond which a submission counts as sent late.
 	lateThreshold = 50 * time.Millisecond
 	// pollInterval is the interval at which a client checks whether its scheduler was killed.
 	pollInterval = 100 * time.Millisecond
 )
 
-// submission is a submitted job from the view of its client. The maps and strings are guarded by clients.mu.
+// submission is a submitted job from the view of its client. outcomes and firstOutcome are guarded by clients.mu.
 type submission struct {
-	outcomes        map[string]string // by job and placement request
+	outcomes        map[string]string // by job and number of the placement request
 	firstOutcome    string
-	outcomeReported chan struct{} // closed at the first outcome
+	outcomeReported chan struct{} // closed when firstOutcome is set
 }
 
-// runSubmission submits one job and accounts for it.
+// runSubmission submits one job, waits for its outcome and counts how it ended.
 func (c *clients) runSubmission(ctx context.Context, arrival *scenario.Arrival, due time.Time) {
 	s := &submission{outcomes: map[string]string{}, outcomeReported: make(chan struct{})}
 	c.mu.Lock()
@@ -54,8 +54,8 @@
 	delete(c.openSubmissions, arrival.Key)
 }
 
-// submitUntilOutcome submits a job, and resubmits it to each later incarnation of its scheduler until there is an outcome. It
-// returns how the submission ended if there is none.
+// submitUntilOutcome submits a job, and resubmits it to each later incarnation of its scheduler until there is an outcome. The
+// result is how the submission ended if there is no outcome; otherwise it is not used.
 func (c *clients) submitUntilOutcome(ctx context.Context, arrival *scenario.Arrival, s *submission,
 	deadline time.Time) string {
 	process := c.cluster.schedulers[arrival.Scheduler]
@@ -71,7 +71,7 @@
 		killed := c.awaitOutcome(ctx, s, process, incarnation, deadline)
 		switch {
 		case s.isOutcomeKnown():
-			return endNoOutcome // replaced by the first outcome
+			return endNoOutcome // the caller replaces it with the first outcome
 		case killed && time.Now().After(deadline):
 			return endKilled
 		case !killed:
@@ -89,8 +89,8 @@
 	}
 }
 
-// awaitOutcome waits for the outcome. It reports whether the scheduler that admitted the job has been killed, so that the
-// client has to resubmit it to the next incarnation.
+// awaitOutcome waits until there is an outcome, the deadline has passed or the context is canceled. It reports whether the
+// incarnation that admitted the job has been killed before an outcome, so that the client has to resubmit it to the next one.
 func (c *clients) awaitOutcome(ctx context.Context, s *submission, process *schedulerProcess, incarnation int,
 	deadline time.Time) bool {
 	for {
@@ -125,7 +125,7 @@
 		AccountingID: load.Tenant, ImplementationSpecific: attributes}
 }
 
-// placementTimeout returns the placement timeout of a class, or zero if the day does not define the class.
+// placementTimeout returns the placement timeout of a class, or zero for a class that the day does not define.
 func (c *clients) placementTimeout(name string) time.Duration {
 	if class := c.cluster.day.Class(name); class != nil {
 		return class.PlacementTimeout.Duration()
@@ -133,7 +133,8 @@
 	return 0
 }
 
-// submit submits a job, and creates the session if a new incarnation of the scheduler does not have it.
+// submit submits a job, or resubmits it if retry is set. It creates the session if a new incarnation of the scheduler does not
+// have it.
 func (c *clients) submit(ctx context.Context, arrival *scenario.Arrival, retry bool) (*drmaa2.Job, error) {
 	template := jobTemplate(arrival)
 	for {
--- a/internal/testbed/trial/trial_test.go
+++ b/internal/testbed/trial/trial_test.go
@@ -21,12 +21,13 @@
 )
 
 const (
-	// serverHook is the environment variable that makes a process of this test binary a scheduler; its value is the name of a
+	// serverHookEnv is the environment variable that makes a process of this test binary a scheduler; its value is the name of a
 	// hook.
 	serverHookEnv = "FLAXSHELF_TEST_SERVER"
-	// profilePath is the environment variable with the file for a CPU profile of such a process; empty means none.
+	// profilePathEnv is the environment variable with the file for a CPU profile of such a process; empty means none.
 	profilePathEnv = "FLAXSHELF_TEST_PROFILE"
-	// runAllDays is the environment variable that makes TestDaysRespectTheRules run all days, which takes minutes.
+	// runAllDaysEnv is the environment variable that makes TestDaysRespectTheRules run all days, which takes minutes, and
+	// enables TestPlanOnSocketsRespectsTheRules.
 	runAllDaysEnv = "FLAXSHELF_SOCKETS"
 )
 
@@ -70,6 +71,7 @@
 	return 0
 }
 
+// schedulerCommand returns a function for Options.Command: it runs this test binary as a scheduler with the hook.
 func schedulerCommand(hook string) func(args ...string) *exec.Cmd {
 	return func(args ...string) *exec.Cmd {
 		cmd := exec.Command(os.Args[0], args...)
@@ -78,11 +80,11 @@
 	}
 }
 
-// running limits the days that run at the same time: with more, a machine of two cores is too busy for the times of the
-// recorder.
+// daySlots limits the days that run at the same time. With more than three, a machine of two cores is too busy for accurate times
+// in the recordings.
 var daySlots = make(chan struct{}, 3)
 
-// runDay runs a day with a hook in the schedulers, and replays their steps to a module by itself.
+// runDay runs a day with a hook in the schedulers, and replays their steps.
 func runDay(t *testing.T, day *scenario.Day, seed uint64, hook string) *Result {
 	t.Helper()
 	daySlots <- struct{}{}
@@ -106,8 +108,8 @@
 	}
 }
 
-// Every submission must be accounted for, and a replayed module must return the same actions as the schedulers' modules.
-// With FLAXSHELF_SOCKETS set all days are run, which takes minutes.
+// On each day the rules must hold, every submission must be accounted for, and a replayed module must return the same actions as
+// the schedulers' modules. With FLAXSHELF_SOCKETS set, all shipped days are run, which takes minutes.
 func TestDaysRespectTheRules(t *testing.T) {
 	names := []string{"calm", "bad-day", "schedulers", "links", "mass-restart"}
 	if os.Getenv(runAllDaysEnv) != "" {
@@ -129,15 +131,15 @@
 			}
 			for i, rule := range result.Verdict.Rules {
 				if rule.Checked == 0 && (i != rules.SlowStartRespected || name == "bad-day" || name == "mass-restart") {
-					t.Errorf("rule %d was not exercised", i+1)
+					t.Errorf("got rule %d never checked, want it checked at least once", i+1)
 				}
 			}
 		})
 	}
 }
 
-// The schedulers of the worst day have four cores each, which makes sixteen recordings of steps. The day runs by itself: with
-// a dozen cores besides other days a small machine is too busy for the times of the recorder.
+// Runs bad-day with four cores in each scheduler, which makes sixteen step recordings. The test is not parallel: with a dozen
+// scheduler cores and other days at the same time, a small machine is too busy for accurate times in the recording.
 func TestSchedulersOfFourCoresRespectTheRules(t *testing.T) {
 	day, err := scenario.Read("bad-day")
 	if err != nil {
@@ -149,12 +151,13 @@
 	}
 }
 
-// Each run has a scheduler that violates one rule.
+// In each run, a hook makes the scheduler violate one rule. The checker must report that rule and no other.
 func TestOnlyTheViolatedRuleIsReported(t *testing.T) {
 	for i, c := range []struct{ hook, faults, wantText string }{
 		{"two outcomes", "", "then failed"},
 		{"duplicate start", "", "is in flight"},
-		{"draining node", `[{at: 0.5, for: 6, do: "shrink", zone: "room-a", share: 0.1}]`, "after it was notified that the node is draining"},
+		{"draining node", `[{at: 0.5, for: 6, do: "shrink", zone: "room-a", share: 0.1}]`,
+			"after it was notified that the node is draining"},
 		{"node in slow start", `[{at: 1, do: "restart", zone: "room-a", share: 0.1}]`, "offers within"},
 		{"one zone", `[{at: 0, for: 4, do: "hot-service", class: "sensor", factor: 0.9}]`, "in one zone"},
 	} {
