--- a/internal/testbed/trial/bench_test.go
+++ b/internal/testbed/trial/bench_test.go
@@ -217,8 +217,8 @@
 		drmaa2.AttrExpectedRuntime: runtime}}
 }
 
-// BenchmarkPlacements saturates a scheduler with 128 clients that submit one job after the other, each on a connection of its own.
-// It compares the CPU time of the scheduler's process with that of its module.
+// BenchmarkPlacements saturates a scheduler with 128 clients that submit one job after the other, each on its own connection. It
+// compares the CPU time of the scheduler's process with that of its module.
 func BenchmarkPlacements(b *testing.B) {
 	for _, c := range []struct{ nodes, cores int }{{33, 1}, {130, 1}, {130, 2}, {130, 4}, {130, 8}} {
 		b.Run(fmt.Sprintf("nodes=%d/cores=%d", c.nodes, c.cores), func(b *testing.B) {
--- a/internal/testbed/trial/clients.go
+++ b/internal/testbed/trial/clients.go
@@ -52,8 +52,8 @@
 	loads.Wait()
 }
 
-// awaitEndOfDay waits until all submissions are accounted for, and then until the time after the day is over in which running
-// jobs may end.
+// awaitEndOfDay waits until all submissions are accounted for, and then for the rest of the day and of the period after it, in
+// which running jobs may end.
 func (c *clients) awaitEndOfDay(ctx context.Context) {
 	c.submissions.Wait()
 	sleepUntil(ctx, c.startTime.Add(scenario.Seconds(c.cluster.day.Seconds+c.cluster.day.After)))
@@ -136,7 +136,7 @@
 	attributes := info.ImplementationSpecific
 	outcome := attributes[drmaa2.AttrOutcome]
 	if outcome == "" || outcome == canceledOutcome && !info.JobState.Terminated() {
-		return // a hold canceled the placement request; the release starts another one
+		return // the client holds the job; after the release another placement request follows
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/testbed/trial/hooks_test.go
+++ b/internal/testbed/trial/hooks_test.go
@@ -92,8 +92,8 @@
 // redirection sends offers to other nodes than those that the scheduler core has chosen. The core receives the replies as if
 // they came from the chosen nodes.
 type redirection struct {
-	choose      func(offer *scheduler.SendOffer, age scheduler.Time) target // age: time since its first effects
-	chosenNodes map[string]string                                           // by the core; by redirected attempt
+	choose      func(offer *scheduler.SendOffer, age scheduler.Time) target // age: time since the first effects of the scheduler
+	chosenNodes map[string]string                                           // as chosen by the core; by redirected attempt
 	faultyNode  string                                                      // drained or restarted; empty if none yet
 	startedAt   scheduler.Time
 }
--- a/internal/testbed/trial/schedulerprocess.go
+++ b/internal/testbed/trial/schedulerprocess.go
@@ -212,7 +212,7 @@
 	p.inventoryProxy.Disconnect()
 }
 
-// TerminateError reports that the process of a scheduler did not exit with status 0 in time after SIGTERM.
+// TerminateError reports that the process of a scheduler did not exit in time and with status 0 after SIGTERM.
 type TerminateError struct {
 	Scheduler string
 	Err       error
