--- a/internal/testbed/recordproxy/proxy.go
+++ b/internal/testbed/recordproxy/proxy.go
@@ -8,49 +8,49 @@
 	"time"
 )
 
-// dialTimeout bounds the connection attempt to the listening party.
+// dialTimeout limits how long the proxy tries to connect to the listening party.
 const dialTimeout = time.Second
 
-// Proxy forwards connections to one party, their listener, and records them. Its fault may be changed at any time. It is
-// safe for concurrent use.
+// Proxy accepts connections, forwards each to one listening party, and records the traffic. Its fault may be changed at any
+// time. It is safe for concurrent use.
 type Proxy struct {
-	recorder *Recorder
-	wire     string
-	to, via  string // names of the listening party and, if the proxy serves only one, of the dialing party
-	listener net.Listener
-	target   func() string
+	recorder                 *Recorder
+	protocol                 string
+	listenerName, dialerName string // names of the listening party and, if the proxy serves only one, of the dialing party
+	listener                 net.Listener
+	targetAddress            func() string
 
 	droppedBytes atomic.Int64
 
 	mu           sync.Mutex
 	fault        Fault
-	faultChanged chan struct{} // closed when fault changes
+	faultChanged chan struct{} // closed and replaced when fault changes
 	connections  map[*connection]bool
 	closed       bool
-	running      sync.WaitGroup // the accepting goroutine and those of connections
+	goroutines   sync.WaitGroup // accept, and serve for each connection
 }
 
-// NewProxy returns a proxy that listens on a port of its own until Close. wire, to and via are the names of the protocol, the
-// listening and the dialing party in the recording; via may be empty. For each connection target is called for the address of
-// the listening party.
-func NewProxy(recorder *Recorder, wire, to, via string, target func() string) (*Proxy, error) {
+// NewProxy returns a proxy that listens on a free port of loopback until Close. The recording names the protocol and the two
+// parties as given; dialerName is empty if several parties dial this proxy. targetAddress returns the address of the listening
+// party and is called for each connection.
+func NewProxy(recorder *Recorder, protocol, listenerName, dialerName string, targetAddress func() string) (*Proxy, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("recordproxy: proxy to %s: %w", to, err)
+		return nil, fmt.Errorf("recordproxy: listen for connections to %s: %w", listenerName, err)
 	}
-	p := &Proxy{recorder: recorder, wire: wire, to: to, via: via, listener: listener, target: target,
-		faultChanged: make(chan struct{}), connections: map[*connection]bool{}}
-	p.running.Go(p.accept)
+	p := &Proxy{recorder: recorder, protocol: protocol, listenerName: listenerName, dialerName: dialerName, listener: listener,
+		targetAddress: targetAddress, faultChanged: make(chan struct{}), connections: map[*connection]bool{}}
+	p.goroutines.Go(p.accept)
 	return p, nil
 }
 
 // Addr returns the address at which the proxy listens.
 func (p *Proxy) Addr() string { return p.listener.Addr().String() }
 
-// DroppedBytes returns the number of bytes that were received and dropped.
+// DroppedBytes returns the number of bytes that faults have dropped so far.
 func (p *Proxy) DroppedBytes() int64 { return p.droppedBytes.Load() }
 
-// SetFault replaces the fault of all present and later connections.
+// SetFault replaces the fault, for open and for later connections.
 func (p *Proxy) SetFault(fault Fault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -59,12 +59,12 @@
 	p.faultChanged = make(chan struct{})
 }
 
-// Disconnect closes all present connections; later ones are accepted.
+// Disconnect closes all open connections. New connections are still accepted.
 func (p *Proxy) Disconnect() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for c := range p.connections {
-		c.close(closedByFault)
+		c.close(reasonDisconnectedByFault)
 	}
 }
 
@@ -73,11 +73,11 @@
 	p.mu.Lock()
 	p.closed = true
 	for c := range p.connections {
-		c.close(closedWithProxy)
+		c.close(reasonProxyClosed)
 	}
 	p.mu.Unlock()
 	_ = p.listener.Close()
-	p.running.Wait()
+	p.goroutines.Wait()
 }
 
 // currentFault returns the fault and a channel that is closed when it changes.
@@ -89,33 +89,34 @@
 
 func (p *Proxy) accept() {
 	for {
-		dialer, err := p.listener.Accept()
+		dialerConn, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
 		if fault, _ := p.currentFault(); fault.Reject {
-			_ = dialer.Close()
+			_ = dialerConn.Close()
 			continue
 		}
-		p.running.Go(func() { p.serve(dialer) })
+		p.goroutines.Go(func() { p.serve(dialerConn) })
 	}
 }
 
-// serve forwards a connection until it is closed.
-func (p *Proxy) serve(dialer net.Conn) {
-	listener, err := net.DialTimeout("tcp", p.target(), dialTimeout)
+// serve connects an accepted connection to the listening party and forwards both directions until it is closed. If the party
+// cannot be reached, nothing is recorded and the connection is closed.
+func (p *Proxy) serve(dialerConn net.Conn) {
+	listenerConn, err := net.DialTimeout("tcp", p.targetAddress(), dialTimeout)
 	if err != nil {
-		_ = dialer.Close()
+		_ = dialerConn.Close()
 		return
 	}
-	c := &connection{proxy: p, id: p.recorder.opened(p.wire, p.to, p.via), dialer: dialer, listener: listener,
-		done: make(chan struct{})}
+	c := &connection{proxy: p, id: p.recorder.recordOpen(p.protocol, p.listenerName, p.dialerName), dialerConn: dialerConn,
+		listenerConn: listenerConn, done: make(chan struct{})}
 	p.mu.Lock()
 	p.connections[c] = true
 	closed := p.closed
 	p.mu.Unlock()
 	if closed {
-		c.close(closedWithProxy)
+		c.close(reasonProxyClosed)
 	}
 	c.run()
 	p.mu.Lock()
--- a/internal/testbed/trial/process.go
+++ b/internal/testbed/trial/schedulerprocess.go
@@ -18,14 +18,15 @@
 )
 
 const (
-	// startTimeout is how long a scheduler's process may take to print its address.
+	// startTimeout is how long the process of a scheduler may take to print its address.
 	startTimeout = 15 * time.Second
-	// terminateSlack is how long after its shutdown timeout a process is killed.
+	// terminateSlack is how long after the shutdown timeout of the scheduler its process is killed.
 	terminateSlack = 5 * time.Second
 )
 
-// process is a scheduler, with an operating-system process for each incarnation. It is safe for concurrent use.
-type process struct {
+// schedulerProcess is a scheduler over all its incarnations, each of which is an operating-system process. It is safe for
+// concurrent use.
+type schedulerProcess struct {
 	cluster        *cluster
 	index          int
 	name           string
@@ -33,49 +34,49 @@
 	inventoryProxy *recordproxy.Proxy
 	configPath     string
 
-	mu           sync.Mutex
-	stepFiles    []string // recorded steps of all incarnations, a file for each core
-	listening    string   // address; empty while no process runs
-	command      *exec.Cmd
-	exited       chan struct{} // closed when command has exited
-	exitErr      error
-	incarnations int
+	mu               sync.Mutex
+	stepFiles        []string // recordings of the module's steps: one file for each core of each incarnation
+	listenAddress    string   // empty while no process runs
+	command          *exec.Cmd
+	exited           chan struct{} // closed when command has exited
+	exitErr          error
+	incarnationCount int
 }
 
-// StartError reports a scheduler's process that did not start.
+// StartError reports that the process of a scheduler did not start.
 type StartError struct {
 	Scheduler string
-	Output    string // its first line of output, or its log
+	Output    string // the first line of its standard output, if that has no address, and its log
 	Err       error
 }
 
-// Error returns a message with the scheduler, the cause and the output.
+// Error returns a message with the scheduler, the cause and the first 2000 characters of the output.
 func (e *StartError) Error() string {
 	return fmt.Sprintf("trial: start %s: %v: %.2000s", e.Scheduler, e.Err, e.Output)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns Err.
 func (e *StartError) Unwrap() error { return e.Err }
 
-// The causes of a StartError, in addition to errors of the operating system.
+// Causes of a StartError, in addition to errors of the operating system.
 var (
-	errNoAddress    = errors.New("no address in its output")
-	errExited       = errors.New("it exited")
-	errStartTimeout = fmt.Errorf("no output within %v", startTimeout)
+	errNoAddress    = errors.New("first line of its output has no http:// address")
+	errExited       = errors.New("process exited before it printed its address")
+	errStartTimeout = fmt.Errorf("process printed no address within %v", startTimeout)
 )
 
-// address returns the address at which the present incarnation listens for clients.
-func (p *process) address() string {
+// address returns the address at which the running incarnation listens for clients, or closedAddress if there is none.
+func (p *schedulerProcess) address() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.listening == "" {
+	if p.listenAddress == "" {
 		return closedAddress
 	}
-	return p.listening
+	return p.listenAddress
 }
 
 // start starts an incarnation and waits until it listens.
-func (p *process) start() error {
+func (p *schedulerProcess) start() error {
 	if err := p.writeConfig(); err != nil {
 		return err
 	}
@@ -91,38 +92,38 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.listening, p.command, p.exited = address, command, exited
+	p.listenAddress, p.command, p.exited = address, command, exited
 	return nil
 }
 
-// writeConfig writes the configuration of a new incarnation.
-func (p *process) writeConfig() error {
+// writeConfig counts a new incarnation and writes its configuration.
+func (p *schedulerProcess) writeConfig() error {
 	p.mu.Lock()
-	p.incarnations++
+	p.incarnationCount++
 	stepFile := ""
-	if p.cluster.opt.Replay {
-		stepFile = filepath.Join(p.cluster.directory, fmt.Sprintf("%s-%d.tap", p.name, p.incarnations))
+	if p.cluster.options.Replay {
+		stepFile = filepath.Join(p.cluster.directory, fmt.Sprintf("%s-%d.tap", p.name, p.incarnationCount))
 		p.stepFiles = append(p.stepFiles, stepFile)
 		for core := 1; core < p.cluster.day.Cores; core++ {
 			p.stepFiles = append(p.stepFiles, fmt.Sprintf("%s.%d", stepFile, core))
 		}
 	}
-	seed := scenario.SchedulerSeed(p.cluster.opt.Seed, p.index, p.incarnations)
+	seed := scenario.SchedulerSeed(p.cluster.options.Seed, p.index, p.incarnationCount)
 	p.mu.Unlock()
 	text, err := p.cluster.day.SchedulerFile(p.index, p.inventoryProxy.Addr(), stepFile, seed)
 	if err != nil {
 		return err
 	}
 	if err := os.WriteFile(p.configPath, text, 0o600); err != nil {
-		return fmt.Errorf("trial: configuration of %s: %w", p.name, err)
+		return fmt.Errorf("trial: write the configuration of %s: %w", p.name, err)
 	}
 	return nil
 }
 
-// launch starts the operating-system process and a goroutine that reads its output. firstLine receives the first line; exited
-// is closed when the process has exited.
-func (p *process) launch() (command *exec.Cmd, firstLine <-chan string, exited chan struct{}, err error) {
-	command = p.cluster.opt.Command("serve", "--config", p.configPath)
+// launch starts the operating-system process and a goroutine that reads its standard output. firstLine receives the first line
+// of the output; exited is closed when the process has exited.
+func (p *schedulerProcess) launch() (command *exec.Cmd, firstLine <-chan string, exited chan struct{}, err error) {
+	command = p.cluster.options.Command("serve", "--config", p.configPath)
 	output, err := command.StdoutPipe()
 	if err != nil {
 		return nil, nil, nil, &StartError{Scheduler: p.name, Err: err}
@@ -131,9 +132,9 @@
 	if err != nil {
 		return nil, nil, nil, &StartError{Scheduler: p.name, Err: err}
 	}
-	defer func() { _ = log.Close() }() // the process has a descriptor of its own
+	defer func() { _ = log.Close() }() // the process has its own descriptor
 	command.Stderr = log
-	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // it must not outlive a killed trial
+	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // so that it does not outlive a trial that is killed
 	if err := command.Start(); err != nil {
 		return nil, nil, nil, &StartError{Scheduler: p.name, Err: err}
 	}
@@ -146,19 +147,20 @@
 	return command, lines, exited, nil
 }
 
-func (p *process) readOutput(command *exec.Cmd, output io.Reader, firstLine chan<- string) {
+// readOutput sends the first line of the output, discards the rest, and sets exitErr when the process has exited.
+func (p *schedulerProcess) readOutput(command *exec.Cmd, output io.Reader, firstLine chan<- string) {
 	scanner := bufio.NewScanner(output)
 	if scanner.Scan() {
 		firstLine <- scanner.Text()
 	}
-	_, _ = io.Copy(io.Discard, output) // until the process exits
+	_, _ = io.Copy(io.Discard, output) // returns when the process exits
 	err := command.Wait()
 	p.mu.Lock()
 	p.exitErr = err
 	p.mu.Unlock()
 }
 
-// awaitAddress returns the address in the first line of output; with errNoAddress, the line.
+// awaitAddress returns the address in the first line of the output. With errNoAddress it returns the whole line instead.
 func awaitAddress(firstLine <-chan string, exited <-chan struct{}) (string, error) {
 	select {
 	case line := <-firstLine:
@@ -174,10 +176,10 @@
 	}
 }
 
-func (p *process) logPath() string { return filepath.Join(p.cluster.directory, p.name+".log") }
+func (p *schedulerProcess) logPath() string { return filepath.Join(p.cluster.directory, p.name+".log") }
 
 // readLog returns the log of the process, or an empty string if it can't be read.
-func (p *process) readLog() string {
+func (p *schedulerProcess) readLog() string {
 	text, err := os.ReadFile(p.logPath())
 	if err != nil {
 		return ""
@@ -185,8 +187,8 @@
 	return string(text)
 }
 
-// signal sends a signal to the present incarnation, if there is one.
-func (p *process) signal(signal syscall.Signal) {
+// signal sends a signal to the running incarnation, if there is one.
+func (p *schedulerProcess) signal(signal syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.command != nil {
@@ -194,23 +196,23 @@
 	}
 }
 
-// kill kills the process and closes its connections.
-func (p *process) kill() {
+// kill kills the running incarnation, if there is one, records that and closes its connections.
+func (p *schedulerProcess) kill() {
 	p.mu.Lock()
 	command, exited := p.command, p.exited
-	p.command, p.listening = nil, ""
+	p.command, p.listenAddress = nil, ""
 	p.mu.Unlock()
 	if command == nil {
 		return
 	}
 	_ = command.Process.Kill() // it may have exited in the meantime
 	<-exited
-	p.cluster.recorder.Mark(recordproxy.EventSchedulerKilled, p.name)
+	p.cluster.recorder.RecordEvent(recordproxy.EventSchedulerKilled, p.name)
 	p.clientProxy.Disconnect()
 	p.inventoryProxy.Disconnect()
 }
 
-// TerminateError reports a scheduler's process that did not exit cleanly after SIGTERM.
+// TerminateError reports that the process of a scheduler did not exit in time and with status 0 after SIGTERM.
 type TerminateError struct {
 	Scheduler string
 	Err       error
@@ -221,13 +223,14 @@
 	return fmt.Sprintf("trial: %s after SIGTERM: %v", e.Scheduler, e.Err)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns Err.
 func (e *TerminateError) Unwrap() error { return e.Err }
 
-var errTerminateTimeout = errors.New("it did not exit in time")
+var errTerminateTimeout = fmt.Errorf("process did not exit within its shutdown timeout and %v; killed", terminateSlack)
 
-// terminate shuts the process down gracefully. The process must exit with status 0 within its shutdown timeout.
-func (p *process) terminate() error {
+// terminate shuts the running incarnation down gracefully, if there is one. The process must exit with status 0; it is killed
+// terminateSlack after its shutdown timeout.
+func (p *schedulerProcess) terminate() error {
 	p.mu.Lock()
 	command, exited := p.command, p.exited
 	p.command = nil
@@ -235,7 +238,7 @@
 	if command == nil {
 		return nil
 	}
-	_ = command.Process.Signal(syscall.SIGCONT) // it may have exited: its status shows that
+	_ = command.Process.Signal(syscall.SIGCONT) // a paused process can't handle SIGTERM; an exited one is reported by its status
 	_ = command.Process.Signal(syscall.SIGTERM)
 	select {
 	case <-exited:
@@ -246,21 +249,21 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.listening = ""
+	p.listenAddress = ""
 	if p.exitErr != nil {
 		return &TerminateError{Scheduler: p.name, Err: p.exitErr}
 	}
 	return nil
 }
 
-// incarnation returns the number of the latest incarnation.
-func (p *process) incarnation() int {
+// incarnation returns the number of the latest incarnation, from 1 on.
+func (p *schedulerProcess) incarnation() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.incarnations
+	return p.incarnationCount
 }
 
-func (p *process) isRunning() bool {
+func (p *schedulerProcess) isRunning() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.command != nil
--- a/internal/testbed/trial/submission.go
+++ b/internal/testbed/trial/submission.go
@@ -11,29 +11,29 @@
 )
 
 const (
-	// outcomeGrace is how long a client waits for an outcome after it is due.
+	// outcomeGrace is how long after the placement timeout and the scheduler's answer slack a client still waits for an outcome.
 	outcomeGrace = 2 * time.Second
-	// lateAfter is the delay from which a submission counts as sent late.
-	lateAfter = 50 * time.Millisecond
+	// lateThreshold is the delay beyond which a submission counts as sent late.
+	lateThreshold = 50 * time.Millisecond
 	// pollInterval is the interval at which a client checks whether its scheduler was killed.
 	pollInterval = 100 * time.Millisecond
 )
 
-// submission is a submitted job from the view of its client. The maps and strings are guarded by clients.mu.
+// submission is a submitted job from the view of its client. outcomes and firstOutcome are guarded by clients.mu.
 type submission struct {
-	outcomes     map[string]string // by job and placement request
-	firstOutcome string
-	hasOutcome   chan struct{} // closed at the first outcome
+	outcomes        map[string]string // by job and number of the placement request
+	firstOutcome    string
+	outcomeReported chan struct{} // closed when firstOutcome is set
 }
 
-// runSubmission submits one job and accounts for it.
+// runSubmission submits one job, waits for its outcome and counts how it ended.
 func (c *clients) runSubmission(ctx context.Context, arrival *scenario.Arrival, due time.Time) {
-	s := &submission{outcomes: map[string]string{}, hasOutcome: make(chan struct{})}
+	s := &submission{outcomes: map[string]string{}, outcomeReported: make(chan struct{})}
 	c.mu.Lock()
-	c.open[arrival.Key] = s
-	c.tally.Submitted++
-	if time.Since(due) > lateAfter {
-		c.tally.Late++
+	c.openSubmissions[arrival.Key] = s
+	c.stats.Submitted++
+	if time.Since(due) > lateThreshold {
+		c.stats.SentLate++
 	}
 	c.mu.Unlock()
 	deadline := due.Add(c.placementTimeout(arrival.Load.Class) + c.cluster.day.Rules.AnswerSlack.Duration() + outcomeGrace)
@@ -47,15 +47,15 @@
 		end = s.firstOutcome
 	}
 	if end == endNoOutcome {
-		c.tally.Unaccounted++
-		c.cluster.opt.Note("no outcome was reported for %s", arrival.Key)
+		c.stats.Unaccounted++
+		c.cluster.options.Logf("no outcome was reported for %s", arrival.Key)
 	}
-	c.tally.Ends[end]++
-	delete(c.open, arrival.Key)
+	c.stats.EndCounts[end]++
+	delete(c.openSubmissions, arrival.Key)
 }
 
-// submitUntilOutcome submits a job, and resubmits it to each later incarnation of its scheduler until there is an outcome. It
-// returns how the submission ended if there is none.
+// submitUntilOutcome submits a job, and resubmits it to each later incarnation of its scheduler until there is an outcome. The
+// result is how the submission ended if there is no outcome; otherwise it is not used.
 func (c *clients) submitUntilOutcome(ctx context.Context, arrival *scenario.Arrival, s *submission,
 	deadline time.Time) string {
 	process := c.cluster.schedulers[arrival.Scheduler]
@@ -63,15 +63,15 @@
 		incarnation := process.incarnation()
 		job, err := c.submit(ctx, arrival, retry)
 		if err != nil {
-			return endRejected + errorText(err)
+			return endRejected + errorLabel(err)
 		}
 		if !retry {
-			c.command(ctx, job, arrival)
+			c.controlJob(ctx, job, arrival)
 		}
 		killed := c.awaitOutcome(ctx, s, process, incarnation, deadline)
 		switch {
-		case s.isDecided():
-			return endNoOutcome // replaced by the first outcome
+		case s.isOutcomeKnown():
+			return endNoOutcome // the caller replaces it with the first outcome
 		case killed && time.Now().After(deadline):
 			return endKilled
 		case !killed:
@@ -80,22 +80,22 @@
 	}
 }
 
-func (s *submission) isDecided() bool {
+func (s *submission) isOutcomeKnown() bool {
 	select {
-	case <-s.hasOutcome:
+	case <-s.outcomeReported:
 		return true
 	default:
 		return false
 	}
 }
 
-// awaitOutcome waits for the outcome. It reports whether the scheduler that admitted the job has been killed, so that the
-// client has to resubmit it to the next incarnation.
-func (c *clients) awaitOutcome(ctx context.Context, s *submission, process *process, incarnation int,
+// awaitOutcome waits until there is an outcome, the deadline has passed or the context is canceled. It reports whether the
+// incarnation that admitted the job has been killed before an outcome, so that the client has to resubmit it to the next one.
+func (c *clients) awaitOutcome(ctx context.Context, s *submission, process *schedulerProcess, incarnation int,
 	deadline time.Time) bool {
 	for {
 		select {
-		case <-s.hasOutcome:
+		case <-s.outcomeReported:
 			return false
 		case <-ctx.Done():
 			return process.incarnation() != incarnation || !process.isRunning()
@@ -125,7 +125,7 @@
 		AccountingID: load.Tenant, ImplementationSpecific: attributes}
 }
 
-// placementTimeout returns the placement timeout of a class, or zero if the day does not define the class.
+// placementTimeout returns the placement timeout of a class, or zero for a class that the day does not define.
 func (c *clients) placementTimeout(name string) time.Duration {
 	if class := c.cluster.day.Class(name); class != nil {
 		return class.PlacementTimeout.Duration()
@@ -133,7 +133,8 @@
 	return 0
 }
 
-// submit submits a job, and creates the session if a new incarnation of the scheduler does not have it.
+// submit submits a job, or resubmits it if retry is set. It creates the session if a new incarnation of the scheduler does not
+// have it.
 func (c *clients) submit(ctx context.Context, arrival *scenario.Arrival, retry bool) (*drmaa2.Job, error) {
 	template := jobTemplate(arrival)
 	for {
