--- a/cmd/flaxshelf/node.go
+++ b/cmd/flaxshelf/node.go
@@ -43,7 +43,7 @@
 	printNodes(std, fleet, nodes)
 	<-ctx.Done()
 	for _, node := range nodes {
-		node.Do(func(model *nodemodel.Node, now nodemodel.Time) []nodemodel.Send { return model.Drain(now) })
+		node.Do(func(model *nodemodel.Node, now nodemodel.Time) []nodemodel.Envelope { return model.Drain(now) })
 	}
 	time.Sleep(fleet.DiscoveryDelay.Duration()) // so that the inventory can show that they drain
 	return nil
@@ -69,16 +69,16 @@
 	var nodes []*host.Node
 	for i, node := range fleet.Nodes {
 		if keysByZone[node.Zone] == nil {
-			keysByZone[node.Zone] = host.NewKeyRegistry()
+			keysByZone[node.Zone] = host.NewConcurrentKeyRegistry()
 		}
 		started, err := host.StartNode(host.NodeOptions{
-			Model:     standins.Model(fleet, i),
-			Kind:      node.Kind,
-			Cell:      node.Cell,
-			Listen:    node.ListenAddress,
-			Inventory: inventory,
-			Keys:      keysByZone[node.Zone],
-			Log:       log,
+			Model:            standins.NodeConfigAt(fleet, i),
+			Kind:             node.Kind,
+			Cell:             node.Cell,
+			ListenAddress:    node.ListenAddress,
+			InventoryAddress: inventory,
+			Keys:             keysByZone[node.Zone],
+			Log:              log,
 		})
 		if err != nil {
 			stopNodes(nodes)
--- a/cmd/flaxshelf/up.go
+++ b/cmd/flaxshelf/up.go
@@ -66,5 +66,5 @@
 func waitForNodes(ctx context.Context, inventory *host.Inventory, count int) error {
 	limited, cancel := context.WithTimeout(ctx, registrationTimeout)
 	defer cancel()
-	return inventory.WaitFor(limited, count)
+	return inventory.WaitForNodes(limited, count)
 }
--- a/internal/daemon/testcluster_test.go
+++ b/internal/daemon/testcluster_test.go
@@ -110,18 +110,18 @@
 // startNodes starts the nodes and waits until the inventory lists them.
 func (c *testCluster) startNodes(model nodemodel.Config) {
 	c.t.Helper()
-	keys := host.NewKeyRegistry()
+	keys := host.NewConcurrentKeyRegistry()
 	for i := range c.options.nodes {
 		model.Name, model.Seed = fmt.Sprintf("n%d", i), uint64(i)
-		node, err := host.StartNode(host.NodeOptions{Model: model, Kind: "k", Listen: "127.0.0.1:0",
-			Inventory: c.inventory.Addr(), Keys: keys, Log: zerolog.Nop()})
+		node, err := host.StartNode(host.NodeOptions{Model: model, Kind: "k", ListenAddress: "127.0.0.1:0",
+			InventoryAddress: c.inventory.Addr(), Keys: keys, Log: zerolog.Nop()})
 		if err != nil {
 			c.t.Fatal(err)
 		}
 		c.t.Cleanup(node.Stop)
 		c.nodes = append(c.nodes, node)
 	}
-	if err := c.inventory.WaitFor(contextWithin(c.t, 10*time.Second), c.options.nodes); err != nil {
+	if err := c.inventory.WaitForNodes(contextWithin(c.t, 10*time.Second), c.options.nodes); err != nil {
 		c.t.Fatal(err)
 	}
 }
@@ -173,7 +173,10 @@
 // finishedOnNodes returns the number of tasks that the nodes have finished.
 func (c *testCluster) finishedOnNodes() (finished int) {
 	for _, node := range c.nodes {
-		node.Do(func(m *nodemodel.Node, _ nodemodel.Time) []nodemodel.Send { finished += m.Finished(); return nil })
+		node.Do(func(m *nodemodel.Node, _ nodemodel.Time) []nodemodel.Envelope {
+			finished += m.FinishedTasks()
+			return nil
+		})
 	}
 	return finished
 }
--- a/internal/platform/helpers_test.go
+++ b/internal/platform/helpers_test.go
@@ -133,7 +133,7 @@
 		s.runResult <- Run(Options{ConfigPath: s.configPath, RecordingPath: s.recordingPath, Log: zerolog.New(s)}, s.stop, s.reload)
 	}()
 	t.Cleanup(s.shutDown)
-	<-s.feed.Requests
+	<-s.feed.LastEventIDs
 	return s
 }
 
@@ -236,7 +236,7 @@
 func expectStream(t *testing.T, feed *scripted.Feed, last string) {
 	t.Helper()
 	select {
-	case got := <-feed.Requests:
+	case got := <-feed.LastEventIDs:
 		if got != last {
 			t.Errorf("got a request for the events after %s, want those after %s", got, last)
 		}
--- a/internal/platform/leak_test.go
+++ b/internal/platform/leak_test.go
@@ -55,10 +55,10 @@
 				n.ResetConnections()
 			case i%50 == 25:
 				s.feed.Break()
-				<-s.feed.Requests
+				<-s.feed.LastEventIDs
 			case i%50 == 49:
 				s.reload <- struct{}{}
-				<-s.feed.Requests
+				<-s.feed.LastEventIDs
 			}
 			discardReports(n)
 		}
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -172,7 +172,7 @@
 		s.feed.Publish(false, scripted.Entry("s-3", old.Addr(), "left"))
 		interrupt()
 		select {
-		case got := <-s.feed.Requests:
+		case got := <-s.feed.LastEventIDs:
 			if want := fmt.Sprint(3 + i); got != want {
 				t.Errorf("got a request for the events after %s, want those after %s", got, want)
 			}
--- a/internal/testbed/emulator/inventory.go
+++ b/internal/testbed/emulator/inventory.go
@@ -17,7 +17,7 @@
 
 func (v *inventory) nextDue() Time { return min(v.inbox.nextDue(), v.modelNextDue()) }
 
-func (v *inventory) modelNextDue() Time { return v.model.Next() }
+func (v *inventory) modelNextDue() Time { return v.model.NextDue() }
 
 func (v *inventory) entityName(id int32) string {
 	name, ok := v.entityNames[id]
@@ -43,7 +43,7 @@
 	}
 }
 
-func (v *inventory) send(now Time, frames []inventorymodel.Send, out *outbox) {
+func (v *inventory) send(now Time, frames []inventorymodel.Envelope, out *outbox) {
 	for _, s := range frames {
 		if to, ok := v.entityIDs[s.To]; ok {
 			out.send(v.latency.deliveryTime(now, to), to, frame{s.Frame})
--- a/internal/testbed/emulator/node.go
+++ b/internal/testbed/emulator/node.go
@@ -46,7 +46,7 @@
 	if n.model == nil {
 		return math.MaxInt64
 	}
-	return min(n.model.Next(), n.registerAt)
+	return min(n.model.NextDue(), n.registerAt)
 }
 
 // start starts an incarnation, unless one runs.
@@ -58,7 +58,7 @@
 	set, day := n.settings, n.simulation.day
 	set.Warm = warm
 	seed := scenario.NodeSeed(n.simulation.seed, int(n.id), n.incarnations)
-	n.model = nodemodel.New(fleet.NodeModel(set, day.Kinds, day.Rules, day.Behaviour, seed), now,
+	n.model = nodemodel.New(fleet.NodeConfig(set, day.Kinds, day.Rules, day.Behaviour, seed), now,
 		n.simulation.zoneKeys[n.place.Group.Zone])
 	n.schedulerIDs, n.schedulerNames, n.connectionOrder = map[string]int32{}, map[int32]string{}, nil
 	n.registerAt = now
@@ -70,7 +70,7 @@
 		return
 	}
 	n.simulation.recorder.nodeDied(n, now)
-	n.finishedTasks += n.model.Finished()
+	n.finishedTasks += n.model.FinishedTasks()
 	n.model.Die()
 	n.model, n.fault = nil, nodemodel.Fault{}
 	for _, name := range n.connectionOrder {
@@ -127,7 +127,7 @@
 		n.changeFault(m.at, body, out)
 	case dropPrograms:
 		if n.model != nil {
-			n.model.DropPrograms(body.share)
+			n.model.EvictCachedPrograms(body.share)
 		}
 	case connect:
 		n.accept(m, body, out)
@@ -180,7 +180,7 @@
 	}
 }
 
-func (n *nodeEntity) send(now Time, frames []nodemodel.Send, out *outbox) {
+func (n *nodeEntity) send(now Time, frames []nodemodel.Envelope, out *outbox) {
 	for _, s := range frames {
 		if to, ok := n.schedulerIDs[s.To]; ok {
 			n.reply(now, to, frame{s.Frame}, out)
--- a/internal/testbed/emulator/report.go
+++ b/internal/testbed/emulator/report.go
@@ -62,7 +62,7 @@
 	for _, node := range s.nodes {
 		r.Finished += node.finishedTasks
 		if node.model != nil {
-			r.Finished += node.model.Finished()
+			r.Finished += node.model.FinishedTasks()
 		}
 		r.Overloaded += node.overloads
 	}
--- a/internal/testbed/emulator/simulation.go
+++ b/internal/testbed/emulator/simulation.go
@@ -128,7 +128,7 @@
 	n := &nodeEntity{simulation: s, place: place, settings: settings.Node{Name: place.Name, Kind: place.Group.Kind,
 		Zone: zone, Cell: place.Group.Cell}}
 	if s.zoneKeys[zone] == nil {
-		s.zoneKeys[zone] = nodemodel.NewLocalKeys()
+		s.zoneKeys[zone] = nodemodel.NewLocalKeyRegistry()
 		s.zoneGroups[zone] = int32(len(s.zoneGroups) + 1)
 	}
 	n.id = s.engine.add(n)
--- a/internal/testbed/fault/handlers.go
+++ b/internal/testbed/fault/handlers.go
@@ -175,7 +175,7 @@
 }
 
 func failInventory(ctx context.Context, f *Fault, cluster Cluster) error {
-	return inventoryFault(ctx, f, cluster, inventorymodel.Fault{Fails: true})
+	return inventoryFault(ctx, f, cluster, inventorymodel.Fault{Unavailable: true})
 }
 
 func freezeInventory(ctx context.Context, f *Fault, cluster Cluster) error {
--- a/internal/testbed/standin/fleet/fleet.go
+++ b/internal/testbed/standin/fleet/fleet.go
@@ -13,13 +13,13 @@
 const seedStep = 0x9e3779b9
 
 // Model returns the configuration of the model of node i of a fleet.
-func Model(f *settings.Fleet, i int) nodemodel.Config {
-	return NodeModel(f.Nodes[i], f.Kinds, f.Rules, f.Behaviour, f.Seed+uint64(i)*seedStep)
+func NodeConfigAt(fleet *settings.Fleet, index int) nodemodel.Config {
+	return NodeConfig(fleet.Nodes[index], fleet.Kinds, fleet.Rules, fleet.Behaviour, fleet.Seed+uint64(index)*seedStep)
 }
 
 // NodeModel returns the configuration of the model of a node. A node whose kind is not among kinds has no cores and no
 // memory.
-func NodeModel(
+func NodeConfig(
 	node settings.Node, kinds []settings.Kind, rules settings.Rules, behaviour settings.Behaviour, seed uint64,
 ) nodemodel.Config {
 	cfg := nodemodel.Config{
--- a/internal/testbed/standin/fleet/fleet_test.go
+++ b/internal/testbed/standin/fleet/fleet_test.go
@@ -20,7 +20,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	warm, cold := Model(fleet, 0), Model(fleet, 1)
+	warm, cold := NodeConfigAt(fleet, 0), NodeConfigAt(fleet, 1)
 	for _, c := range []struct {
 		name      string
 		got, want any
--- a/internal/testbed/standin/host/connection.go
+++ b/internal/testbed/standin/host/connection.go
@@ -17,13 +17,13 @@
 )
 
 // partyHandler reads the frames of one connection. It belongs to the connection's event loop.
-type partyHandler struct {
+type connHandler struct {
 	host     *host
 	hasHello bool
 }
 
 // Receive implements transport.Handler.
-func (p *partyHandler) Receive(conn *transport.Conn, received []byte) (int, error) {
+func (p *connHandler) Receive(conn *transport.Conn, received []byte) (int, error) {
 	return framereader.Each(received, func(frame *nodepb.Frame) error {
 		if !p.hasHello {
 			return p.receiveHello(conn, frame)
@@ -35,7 +35,7 @@
 	})
 }
 
-func (p *partyHandler) receiveHello(conn *transport.Conn, frame *nodepb.Frame) error {
+func (p *connHandler) receiveHello(conn *transport.Conn, frame *nodepb.Frame) error {
 	hello := frame.GetHello()
 	if hello == nil || hello.Party == "" {
 		return errNoHello
@@ -52,7 +52,7 @@
 }
 
 // Closed implements transport.Handler.
-func (p *partyHandler) Closed(conn *transport.Conn, _ error) {
+func (p *connHandler) Closed(conn *transport.Conn, _ error) {
 	if p.hasHello {
 		p.host.enqueue(func() { p.host.connectionClosed(conn) })
 	}
--- a/internal/testbed/standin/host/host.go
+++ b/internal/testbed/standin/host/host.go
@@ -21,7 +21,7 @@
 const mailboxCapacity = 16384
 
 // never is the due time of a model that has nothing due.
-const never = time.Duration(math.MaxInt64)
+const neverDue = time.Duration(math.MaxInt64)
 
 var errMailboxFull = errors.New("host: the mailbox is full")
 
@@ -45,24 +45,24 @@
 // host runs a model with a server for the connections of parties. Its exported methods, enqueue and tryEnqueue are safe for
 // concurrent use; everything else belongs to the owner.
 type host struct {
-	model        model
-	server       *transport.Server
-	parties      parties
-	mailbox      chan func() // tasks for the owner
-	stopping     chan struct{}
-	stopOnce     sync.Once
-	closing      chan struct{}  // closed when the owner runs no more tasks
-	blockedSends sync.WaitGroup // goroutines that wait for a full mailbox
-	done         chan struct{}
+	model           model
+	server          *transport.Server
+	parties         parties
+	mailbox         chan func() // tasks for the owner
+	stopping        chan struct{}
+	stopOnce        sync.Once
+	mailboxClosed   chan struct{}  // closed when the owner runs no more tasks
+	blockedEnqueues sync.WaitGroup // goroutines that wait for a full mailbox
+	done            chan struct{}
 }
 
 // listen returns a host that listens on an address; port 0 picks a free port. The caller must set the model and start serve.
 func listen(address string, log zerolog.Logger) (*host, error) {
 	h := &host{parties: newParties(), mailbox: make(chan func(), mailboxCapacity), stopping: make(chan struct{}),
-		closing: make(chan struct{}), done: make(chan struct{})}
+		mailboxClosed: make(chan struct{}), done: make(chan struct{})}
 	var err error
 	h.server, err = transport.Listen(address, transport.Options{Log: log},
-		func(*transport.Conn) transport.Handler { return &partyHandler{host: h} })
+		func(*transport.Conn) transport.Handler { return &connHandler{host: h} })
 	if err != nil {
 		return nil, err
 	}
@@ -82,10 +82,10 @@
 }
 
 // do runs a task on the owner's goroutine. It returns when the task has run or the host has ended.
-func (h *host) do(task func()) {
+func (h *host) do(call func()) {
 	ran := make(chan struct{})
 	select {
-	case h.mailbox <- func() { task(); close(ran) }:
+	case h.mailbox <- func() { call(); close(ran) }:
 	case <-h.done:
 		return
 	}
@@ -97,9 +97,9 @@
 
 // tryEnqueue passes a task to the owner. It returns false if the mailbox is full. It does not block, so event loops may
 // call it.
-func (h *host) tryEnqueue(task func()) bool {
+func (h *host) tryEnqueue(call func()) bool {
 	select {
-	case h.mailbox <- task:
+	case h.mailbox <- call:
 		return true
 	default:
 		return false
@@ -108,34 +108,34 @@
 
 // enqueue passes a task that must not be lost to the owner, without blocking. If the mailbox is full, a goroutine waits
 // until it is not.
-func (h *host) enqueue(task func()) {
-	if h.tryEnqueue(task) {
+func (h *host) enqueue(call func()) {
+	if h.tryEnqueue(call) {
 		return
 	}
-	h.blockedSends.Go(func() {
+	h.blockedEnqueues.Go(func() {
 		select {
-		case h.mailbox <- task:
-		case <-h.closing:
+		case h.mailbox <- call:
+		case <-h.mailboxClosed:
 		}
 	})
 }
 
 // serve is the loop of the goroutine that owns the model. It returns true after Stop, and false when the model has died.
 // tick is called for each value of ticks.
-func (h *host) serve(ticks <-chan time.Time, tick func()) (stopped bool) {
-	due := time.NewTimer(never)
-	defer due.Stop()
+func (h *host) serve(ticks <-chan time.Time, onTick func()) (stopped bool) {
+	dueTimer := time.NewTimer(neverDue)
+	defer dueTimer.Stop()
 	for !h.model.isDead() {
-		if next := h.model.nextDue(); next < never {
-			due.Reset(max(next-clock.Now(), 0))
+		if next := h.model.nextDue(); next < neverDue {
+			dueTimer.Reset(max(next-clock.Now(), 0))
 		}
 		select {
-		case task := <-h.mailbox:
-			task()
-		case <-due.C:
+		case call := <-h.mailbox:
+			call()
+		case <-dueTimer.C:
 			h.model.advance(clock.Now())
 		case <-ticks:
-			tick()
+			onTick()
 		case <-h.stopping:
 			return true
 		}
@@ -145,8 +145,8 @@
 
 // closeServer stops the server and waits for the goroutines of the host except the owner's, which calls it last.
 func (h *host) closeServer() {
-	close(h.closing)
+	close(h.mailboxClosed)
 	_ = h.server.Stop(context.Background()) // the stand-in ends anyway
-	h.blockedSends.Wait()
+	h.blockedEnqueues.Wait()
 	close(h.done)
 }
--- a/internal/testbed/standin/host/host_test.go
+++ b/internal/testbed/standin/host/host_test.go
@@ -52,8 +52,8 @@
 		UncachedStartFactor: 1,
 		MaxCachedPrograms:   4,
 	}
-	node, err := StartNode(NodeOptions{Model: model, Kind: "k", Listen: "127.0.0.1:0", Inventory: inventory, Keys: NewKeyRegistry(),
-		Log: zerolog.Nop()})
+	node, err := StartNode(NodeOptions{Model: model, Kind: "k", ListenAddress: "127.0.0.1:0", InventoryAddress: inventory,
+		Keys: NewConcurrentKeyRegistry(), Log: zerolog.Nop()})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -178,7 +178,7 @@
 func TestNodeRegistersAndStops(t *testing.T) {
 	inventory := startInventory(t)
 	node := startNode(t, inventory.Addr())
-	if err := inventory.WaitFor(t.Context(), 1); err != nil {
+	if err := inventory.WaitForNodes(t.Context(), 1); err != nil {
 		t.Fatal(err)
 	}
 	node.Stop()
@@ -188,7 +188,7 @@
 	default:
 		t.Error("got a Done channel that is open after Stop, want it closed")
 	}
-	node.Do(func(*nodemodel.Node, nodemodel.Time) []nodemodel.Send {
+	node.Do(func(*nodemodel.Node, nodemodel.Time) []nodemodel.Envelope {
 		t.Error("got a call on a stopped node, want none")
 		return nil
 	})
@@ -196,7 +196,7 @@
 		t.Error("got an overloaded node after Stop, want one that is not")
 	}
 	inventory.Stop()
-	if err := inventory.WaitFor(t.Context(), 1); !errors.Is(err, errInventoryStopped) {
+	if err := inventory.WaitForNodes(t.Context(), 1); !errors.Is(err, errInventoryStopped) {
 		t.Errorf("got error %v, want %v", err, errInventoryStopped)
 	}
 }
--- a/internal/testbed/standin/host/inventory.go
+++ b/internal/testbed/standin/host/inventory.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	inventoryName   = "inventory"          // in its welcome
-	waitForInterval = 5 * time.Millisecond // between two polls of WaitFor
+	inventoryName    = "inventory"          // in its welcome
+	waitPollInterval = 5 * time.Millisecond // between two polls of WaitFor
 )
 
 var errInventoryStopped = errors.New("inventory: stopped")
@@ -24,7 +24,7 @@
 // Inventory is the stand-in inventory on sockets. Its methods are safe for concurrent use.
 type Inventory struct {
 	*host
-	state *inventorymodel.Inventory // belongs to the owner
+	inventoryModel *inventorymodel.Inventory // belongs to the owner
 }
 
 // StartInventory starts an inventory that listens on addr; port 0 picks a free port. The caller must call Stop.
@@ -33,7 +33,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("inventory: %w", err)
 	}
-	v := &Inventory{host: h, state: inventorymodel.New(cfg)}
+	v := &Inventory{host: h, inventoryModel: inventorymodel.New(cfg)}
 	h.model = v
 	go func() {
 		defer h.closeServer()
@@ -43,16 +43,16 @@
 }
 
 // Do runs f with the model, on the goroutine that owns it, and sends what it returns.
-func (v *Inventory) Do(f func(m *inventorymodel.Inventory, now inventorymodel.Time) []inventorymodel.Send) {
-	v.do(func() { v.send(f(v.state, clock.Now())) })
+func (v *Inventory) Do(f func(m *inventorymodel.Inventory, now inventorymodel.Time) []inventorymodel.Envelope) {
+	v.do(func() { v.send(f(v.inventoryModel, clock.Now())) })
 }
 
 // WaitFor waits until the list has at least the given number of nodes. It returns an error if the context or the inventory
 // ends first.
-func (v *Inventory) WaitFor(ctx context.Context, nodes int) error {
+func (v *Inventory) WaitForNodes(ctx context.Context, nodes int) error {
 	for {
 		published := 0
-		v.Do(func(m *inventorymodel.Inventory, _ inventorymodel.Time) []inventorymodel.Send {
+		v.Do(func(m *inventorymodel.Inventory, _ inventorymodel.Time) []inventorymodel.Envelope {
 			published = len(m.Published())
 			return nil
 		})
@@ -64,19 +64,19 @@
 			return fmt.Errorf("inventory: %d of %d nodes have registered: %w", published, nodes, ctx.Err())
 		case <-v.Done():
 			return errInventoryStopped
-		case <-time.After(waitForInterval):
+		case <-time.After(waitPollInterval):
 		}
 	}
 }
 
-func (v *Inventory) send(frames []inventorymodel.Send) {
-	for _, send := range frames {
-		v.parties.send(send.To, send.Frame)
+func (v *Inventory) send(frames []inventorymodel.Envelope) {
+	for _, envelope := range frames {
+		v.parties.send(envelope.To, envelope.Frame)
 	}
 }
 
-func (v *Inventory) nextDue() time.Duration    { return v.state.Next() }
-func (v *Inventory) advance(now time.Duration) { v.send(v.state.Advance(now)) }
+func (v *Inventory) nextDue() time.Duration    { return v.inventoryModel.NextDue() }
+func (v *Inventory) advance(now time.Duration) { v.send(v.inventoryModel.Advance(now)) }
 func (v *Inventory) isDead() bool              { return false }
 
 func (v *Inventory) connect(_ time.Duration, conn *transport.Conn, hello *nodepb.Hello) {
@@ -85,9 +85,9 @@
 }
 
 func (v *Inventory) disconnect(now time.Duration, party string) {
-	v.send(v.state.Disconnect(now, party))
+	v.send(v.inventoryModel.Disconnect(now, party))
 }
 
 func (v *Inventory) receive(now time.Duration, party string, frame *nodepb.Frame) {
-	v.send(v.state.Receive(now, party, frame))
+	v.send(v.inventoryModel.Receive(now, party, frame))
 }
--- a/internal/testbed/standin/host/keyregistry.go
+++ b/internal/testbed/standin/host/keyregistry.go
@@ -7,23 +7,25 @@
 )
 
 // KeyRegistry is a nodemodel.KeyRegistry for nodes on several goroutines. It is safe for concurrent use.
-type KeyRegistry struct {
+type ConcurrentKeyRegistry struct {
 	mu   sync.Mutex
-	keys *nodemodel.LocalKeys
+	keys *nodemodel.LocalKeyRegistry
 }
 
 // NewKeyRegistry returns a KeyRegistry without reserved keys.
-func NewKeyRegistry() *KeyRegistry { return &KeyRegistry{keys: nodemodel.NewLocalKeys()} }
+func NewConcurrentKeyRegistry() *ConcurrentKeyRegistry {
+	return &ConcurrentKeyRegistry{keys: nodemodel.NewLocalKeyRegistry()}
+}
 
 // Reserve implements nodemodel.KeyRegistry.
-func (r *KeyRegistry) Reserve(key, node string) bool {
+func (r *ConcurrentKeyRegistry) Reserve(key, node string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.keys.Reserve(key, node)
 }
 
 // Release implements nodemodel.KeyRegistry.
-func (r *KeyRegistry) Release(key, node string) {
+func (r *ConcurrentKeyRegistry) Release(key, node string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.keys.Release(key, node)
--- a/internal/testbed/standin/host/node.go
+++ b/internal/testbed/standin/host/node.go
@@ -19,58 +19,58 @@
 
 // NodeOptions configures a node.
 type NodeOptions struct {
-	Model     nodemodel.Config
-	Kind      string
-	Cell      int
-	Listen    string                // host:port; port 0 picks a free port
-	Advertise string                // address for the inventory; empty: the bound address
-	Inventory string                // address; empty: the node registers nowhere
-	Keys      nodemodel.KeyRegistry // shared by the nodes of a zone; nil: the node has its own
-	Log       zerolog.Logger
+	Model             nodemodel.Config
+	Kind              string
+	Cell              int
+	ListenAddress     string                // host:port; port 0 picks a free port
+	AdvertisedAddress string                // address for the inventory; empty: the bound address
+	InventoryAddress  string                // address; empty: the node registers nowhere
+	Keys              nodemodel.KeyRegistry // shared by the nodes of a zone; nil: the node has its own
+	Log               zerolog.Logger
 }
 
 // Node is a stand-in node on sockets. Its methods are safe for concurrent use.
 type Node struct {
 	*host
-	options      NodeOptions
-	state        *nodemodel.Node   // belongs to the owner
-	dialer       *transport.Dialer // nil without an inventory
-	registration *transport.Conn   // to the inventory; nil while not connected; belongs to the owner
+	options       NodeOptions
+	nodeModel     *nodemodel.Node   // belongs to the owner
+	dialer        *transport.Dialer // nil without an inventory
+	inventoryConn *transport.Conn   // to the inventory; nil while not connected; belongs to the owner
 }
 
 // StartNode starts a node. The caller must call Stop.
 func StartNode(options NodeOptions) (*Node, error) {
-	h, err := listen(options.Listen, options.Log)
+	h, err := listen(options.ListenAddress, options.Log)
 	if err != nil {
 		return nil, fmt.Errorf("node %s: %w", options.Model.Name, err)
 	}
 	n := &Node{host: h, options: options}
-	if n.options.Advertise == "" {
-		n.options.Advertise = h.Addr()
+	if n.options.AdvertisedAddress == "" {
+		n.options.AdvertisedAddress = h.Addr()
 	}
-	if options.Inventory != "" {
+	if options.InventoryAddress != "" {
 		if n.dialer, err = transport.NewDialer(transport.Options{Log: options.Log}); err != nil {
 			h.closeServer()
 			return nil, fmt.Errorf("node %s: %w", options.Model.Name, err)
 		}
 	}
-	n.state = nodemodel.New(options.Model, clock.Now(), options.Keys)
+	n.nodeModel = nodemodel.New(options.Model, clock.Now(), options.Keys)
 	h.model = n
 	go n.run()
 	if n.dialer != nil {
-		n.linkInventory()
+		n.startInventoryLink()
 	}
 	return n, nil
 }
 
 // Overloaded reports whether the node crashed of overload during slow start. It must not be called before Done is closed.
-func (n *Node) Overloaded() bool { return n.state.Overloaded() }
+func (n *Node) Overloaded() bool { return n.nodeModel.Overloaded() }
 
 // Do runs f with the model, on the goroutine that owns it, and sends what it returns.
-func (n *Node) Do(f func(m *nodemodel.Node, now nodemodel.Time) []nodemodel.Send) {
+func (n *Node) Do(f func(m *nodemodel.Node, now nodemodel.Time) []nodemodel.Envelope) {
 	n.do(func() {
-		n.send(f(n.state, clock.Now()))
-		n.register()
+		n.send(f(n.nodeModel, clock.Now()))
+		n.sendRegistration()
 	})
 }
 
@@ -79,11 +79,11 @@
 	defer n.close()
 	registrations := time.NewTicker(registrationInterval)
 	defer registrations.Stop()
-	if stopped := n.serve(registrations.C, n.register); stopped {
-		n.state.Die()
+	if stopped := n.serve(registrations.C, n.sendRegistration); stopped {
+		n.nodeModel.Die()
 		return
 	}
-	n.options.Log.Warn().Str("node", n.options.Model.Name).Bool("overloaded", n.state.Overloaded()).Msg("node has died")
+	n.options.Log.Warn().Str("node", n.options.Model.Name).Bool("overloaded", n.nodeModel.Overloaded()).Msg("node has died")
 }
 
 func (n *Node) close() {
@@ -93,18 +93,18 @@
 	n.closeServer()
 }
 
-func (n *Node) send(frames []nodemodel.Send) {
-	for _, send := range frames {
-		n.parties.send(send.To, send.Frame)
+func (n *Node) send(frames []nodemodel.Envelope) {
+	for _, envelope := range frames {
+		n.parties.send(envelope.To, envelope.Frame)
 	}
 }
 
-func (n *Node) nextDue() time.Duration    { return n.state.Next() }
-func (n *Node) advance(now time.Duration) { n.send(n.state.Advance(now)) }
-func (n *Node) isDead() bool              { return n.state.Dead() }
+func (n *Node) nextDue() time.Duration    { return n.nodeModel.NextDue() }
+func (n *Node) advance(now time.Duration) { n.send(n.nodeModel.Advance(now)) }
+func (n *Node) isDead() bool              { return n.nodeModel.Dead() }
 
 func (n *Node) connect(now time.Duration, conn *transport.Conn, hello *nodepb.Hello) {
-	frames, ok := n.state.Connect(now, hello.Party, hello.LifeUnixNs, nodeframe.MaxHeldPerWelcome)
+	frames, ok := n.nodeModel.Connect(now, hello.Party, hello.LifeUnixNs, nodeframe.MaxHeldPerWelcome)
 	if !ok {
 		conn.Send(encode(byeFrame(errFenced.Error())))
 		conn.Close(errFenced)
@@ -114,8 +114,8 @@
 	n.send(frames)
 }
 
-func (n *Node) disconnect(now time.Duration, party string) { n.state.Disconnect(now, party) }
+func (n *Node) disconnect(now time.Duration, party string) { n.nodeModel.Disconnect(now, party) }
 
 func (n *Node) receive(now time.Duration, party string, frame *nodepb.Frame) {
-	n.send(n.state.Receive(now, party, frame))
+	n.send(n.nodeModel.Receive(now, party, frame))
 }
--- a/internal/testbed/standin/host/registration.go
+++ b/internal/testbed/standin/host/registration.go
@@ -19,23 +19,23 @@
 var inventoryBackoff = transport.Backoff{Initial: 50 * time.Millisecond, Max: time.Second}
 
 // linkInventory maintains a connection to the inventory until the dialer stops.
-func (n *Node) linkInventory() {
-	n.dialer.StartLink(n.options.Inventory, inventoryDialTimeout, inventoryBackoff,
+func (n *Node) startInventoryLink() {
+	n.dialer.StartLink(n.options.InventoryAddress, inventoryDialTimeout, inventoryBackoff,
 		func() transport.Handler { return &registrationHandler{node: n} },
 		func(error) {}) // the link reconnects
 }
 
 // register reports the node to the inventory.
-func (n *Node) register() {
-	if n.registration == nil || n.state.Dead() {
+func (n *Node) sendRegistration() {
+	if n.inventoryConn == nil || n.nodeModel.Dead() {
 		return
 	}
-	machine := n.state.Machine(n.options.Cell)
+	machine := n.nodeModel.Machine(n.options.Cell)
 	if n.options.Model.SlowStartDuration <= 0 {
 		machine.Started = 0
 	}
-	entry := nodefront.NewEntry(machine, n.options.Kind, n.options.Advertise)
-	n.registration.Send(encode(&nodepb.Frame{Body: &nodepb.Frame_Register{Register: &nodepb.Register{Entry: entry}}}))
+	entry := nodefront.NewEntry(machine, n.options.Kind, n.options.AdvertisedAddress)
+	n.inventoryConn.Send(encode(&nodepb.Frame{Body: &nodepb.Frame_Register{Register: &nodepb.Register{Entry: entry}}}))
 }
 
 // registrationHandler is the node's end of a connection to the inventory. A change is dropped if the mailbox is full,
@@ -48,8 +48,8 @@
 	conn.WriteInLoop(encode(&nodepb.Frame{Body: &nodepb.Frame_Hello{Hello: &nodepb.Hello{VersionMin: nodeframe.Version,
 		VersionMax: nodeframe.Version, Party: n.options.Model.Name, LifeUnixNs: int64(clock.Now())}}}))
 	n.tryEnqueue(func() {
-		n.registration = conn
-		n.register()
+		n.inventoryConn = conn
+		n.sendRegistration()
 	})
 }
 
@@ -62,8 +62,8 @@
 func (r *registrationHandler) Closed(conn *transport.Conn, _ error) {
 	n := r.node
 	n.tryEnqueue(func() {
-		if n.registration == conn {
-			n.registration = nil
+		if n.inventoryConn == conn {
+			n.inventoryConn = nil
 		}
 	})
 }
--- a/internal/testbed/standin/inventorymodel/inventory.go
+++ b/internal/testbed/standin/inventorymodel/inventory.go
@@ -32,12 +32,12 @@
 
 // Fault is the faults of an inventory. The zero value means none.
 type Fault struct {
-	Fails bool // requests are answered with an error, and watches are closed
-	Stale bool // no change is published
+	Unavailable bool // requests are answered with an error, and watches are closed
+	Stale       bool // no change is published
 }
 
 // Send is a frame that the inventory sends.
-type Send struct {
+type Envelope struct {
 	To    string // name of the scheduler or the node
 	Frame *nodepb.Frame
 }
@@ -47,32 +47,32 @@
 // Each method that has a time as its argument also does what is due by then. A time before that of the last call counts as
 // that of the last call.
 type Inventory struct {
-	cfg   Config
-	now   Time
-	out   []Send // frames of the call in progress
-	fault Fault
-
-	registrations map[string]*registration   // the latest of each node
-	bySource      map[string][]*registration // by the connection that registered them, in order of registration
-	removals      timerqueue.Heap[*registration]
-
-	published map[string]*nodepb.Entry // by node, as schedulers see them
-	revision  uint64                   // of the list
-	pending   []change                 // not published yet, in order of time
-	watchers  []string
+	cfg      Config
+	now      Time
+	outgoing []Envelope // frames of the call in progress
+	fault    Fault
+
+	registrations             map[string]*registration   // the latest of each node
+	registrationsByConnection map[string][]*registration // by the connection that registered them, in order of registration
+	removals                  timerqueue.Heap[*registration]
+
+	published      map[string]*nodepb.Entry // by node, as schedulers see them
+	revision       uint64                   // of the list
+	pendingChanges []change                 // not published yet, in order of time
+	watchers       []string
 }
 
 // registration is the last registration of a node.
 type registration struct {
-	entry   *nodepb.Entry
-	source  string
-	removal timerqueue.Item[*registration] // queued while the connection is broken
+	entry      *nodepb.Entry
+	connection string
+	removal    timerqueue.Item[*registration] // queued while the connection is broken
 }
 
 // change is an entry that replaces the published one of its node at a given time.
 type change struct {
-	at    Time
-	entry *nodepb.Entry
+	publishAt Time
+	entry     *nodepb.Entry
 }
 
 // New returns an inventory without nodes.
@@ -81,35 +81,35 @@
 		cfg.MaxEntriesPerFrame = defaultMaxEntriesPerFrame
 	}
 	return &Inventory{
-		cfg:           cfg,
-		registrations: map[string]*registration{},
-		bySource:      map[string][]*registration{},
-		published:     map[string]*nodepb.Entry{},
+		cfg:                       cfg,
+		registrations:             map[string]*registration{},
+		registrationsByConnection: map[string][]*registration{},
+		published:                 map[string]*nodepb.Entry{},
 	}
 }
 
 // Register handles the registration of a node over the connection named from.
-func (v *Inventory) Register(now Time, from string, e *nodepb.Entry) []Send {
-	v.begin(now)
+func (v *Inventory) Register(now Time, from string, e *nodepb.Entry) []Envelope {
+	v.beginCall(now)
 	v.register(from, e)
 	v.advance()
-	return v.out
+	return v.outgoing
 }
 
 // Disconnect handles the end of a connection: its watch ends, and its nodes are removed after RemovalDelay.
-func (v *Inventory) Disconnect(now Time, from string) []Send {
-	v.begin(now)
+func (v *Inventory) Disconnect(now Time, from string) []Envelope {
+	v.beginCall(now)
 	v.watchers = slices.DeleteFunc(v.watchers, func(w string) bool { return w == from })
-	for _, r := range v.bySource[from] {
+	for _, r := range v.registrationsByConnection[from] {
 		v.removals.Set(&r.removal, v.now+v.cfg.RemovalDelay)
 	}
 	v.advance()
-	return v.out
+	return v.outgoing
 }
 
 // Receive handles a frame of a scheduler or a node. Frames of kinds that an inventory does not expect are ignored.
-func (v *Inventory) Receive(now Time, from string, f *nodepb.Frame) []Send {
-	v.begin(now)
+func (v *Inventory) Receive(now Time, from string, f *nodepb.Frame) []Envelope {
+	v.beginCall(now)
 	switch b := f.Body.(type) {
 	case *nodepb.Frame_Watch:
 		v.watch(from, b.Watch.Changes)
@@ -119,35 +119,35 @@
 		v.register(from, b.Register.Entry)
 	}
 	v.advance()
-	return v.out
+	return v.outgoing
 }
 
 // SetFault replaces the faults of the inventory, and closes all watches if requests fail from now on.
-func (v *Inventory) SetFault(now Time, f Fault) []Send {
-	v.begin(now)
+func (v *Inventory) SetFault(now Time, f Fault) []Envelope {
+	v.beginCall(now)
 	v.fault = f
-	if f.Fails {
+	if f.Unavailable {
 		for _, w := range v.watchers {
 			v.sendError(w)
 		}
 		v.watchers = nil
 	}
 	v.advance()
-	return v.out
+	return v.outgoing
 }
 
 // Advance does what is due by now.
-func (v *Inventory) Advance(now Time) []Send {
-	v.begin(now)
+func (v *Inventory) Advance(now Time) []Envelope {
+	v.beginCall(now)
 	v.advance()
-	return v.out
+	return v.outgoing
 }
 
 // Next returns when something is due next; math.MaxInt64 if nothing is.
-func (v *Inventory) Next() Time {
+func (v *Inventory) NextDue() Time {
 	next := Time(math.MaxInt64)
-	if len(v.pending) > 0 && !v.fault.Stale {
-		next = v.pending[0].at
+	if len(v.pendingChanges) > 0 && !v.fault.Stale {
+		next = v.pendingChanges[0].publishAt
 	}
 	if at, ok := v.removals.Next(); ok {
 		next = min(next, at)
@@ -165,7 +165,7 @@
 	return all
 }
 
-func (v *Inventory) begin(now Time) { v.now, v.out = max(now, v.now), nil }
+func (v *Inventory) beginCall(now Time) { v.now, v.outgoing = max(now, v.now), nil }
 
 // register records a registration. A node belongs to the last connection that registered it.
 func (v *Inventory) register(from string, e *nodepb.Entry) {
@@ -179,33 +179,33 @@
 		v.registrations[e.Node] = r
 	}
 	v.removals.Remove(&r.removal)
-	if r.source != from || r.entry == nil {
+	if r.connection != from || r.entry == nil {
 		v.detach(r)
-		r.source = from
-		v.bySource[from] = append(v.bySource[from], r)
+		r.connection = from
+		v.registrationsByConnection[from] = append(v.registrationsByConnection[from], r)
 	}
 	r.entry = e
-	v.publishLater(v.now, e)
+	v.schedulePublication(v.now, e)
 }
 
 // detach removes a registration from those of its connection.
 func (v *Inventory) detach(r *registration) {
-	rest := slices.DeleteFunc(v.bySource[r.source], func(o *registration) bool { return o == r })
+	rest := slices.DeleteFunc(v.registrationsByConnection[r.connection], func(o *registration) bool { return o == r })
 	if len(rest) == 0 {
-		delete(v.bySource, r.source)
+		delete(v.registrationsByConnection, r.connection)
 	} else {
-		v.bySource[r.source] = rest
+		v.registrationsByConnection[r.connection] = rest
 	}
 }
 
 // publishLater schedules the publication of an entry, DiscoveryDelay after its change.
-func (v *Inventory) publishLater(changed Time, e *nodepb.Entry) {
+func (v *Inventory) schedulePublication(changed Time, e *nodepb.Entry) {
 	at := changed + v.cfg.DiscoveryDelay
-	i := len(v.pending)
-	for i > 0 && v.pending[i-1].at > at {
+	i := len(v.pendingChanges)
+	for i > 0 && v.pendingChanges[i-1].publishAt > at {
 		i--
 	}
-	v.pending = slices.Insert(v.pending, i, change{at, e})
+	v.pendingChanges = slices.Insert(v.pendingChanges, i, change{at, e})
 }
 
 // advance does what is due at v.now.
@@ -219,7 +219,7 @@
 		return
 	}
 	for _, w := range v.watchers {
-		v.send(w, listing(v.revision, false, changes))
+		v.send(w, newListingFrame(v.revision, false, changes))
 	}
 }
 
@@ -230,16 +230,16 @@
 		removed.Standing = nodepb.Standing_OUT
 		delete(v.registrations, removed.Node)
 		v.detach(due.Value)
-		v.publishLater(due.At(), removed)
+		v.schedulePublication(due.At(), removed)
 	}
 }
 
 // publishDue publishes the pending changes that are due and returns those that differ from what was published.
 func (v *Inventory) publishDue() []*nodepb.Entry {
 	var changes []*nodepb.Entry
-	for len(v.pending) > 0 && v.pending[0].at <= v.now {
-		e := v.pending[0].entry
-		v.pending = v.pending[1:]
+	for len(v.pendingChanges) > 0 && v.pendingChanges[0].publishAt <= v.now {
+		e := v.pendingChanges[0].entry
+		v.pendingChanges = v.pendingChanges[1:]
 		old := v.published[e.Node]
 		if old != nil && (old == e || proto.Equal(old, e)) {
 			continue
@@ -257,7 +257,7 @@
 
 // watch answers a request for the list. With changes, each later change is sent to the scheduler as well.
 func (v *Inventory) watch(from string, changes bool) {
-	if v.fault.Fails {
+	if v.fault.Unavailable {
 		v.sendError(from)
 		return
 	}
@@ -272,14 +272,14 @@
 	rest := v.Published()
 	for first := true; first || len(rest) > 0; first = false {
 		count := min(len(rest), v.cfg.MaxEntriesPerFrame)
-		frame := listing(v.revision, first, rest[:count])
+		frame := newListingFrame(v.revision, first, rest[:count])
 		rest = rest[count:]
 		frame.GetListing().More = len(rest) > 0
 		v.send(to, frame)
 	}
 }
 
-func listing(revision uint64, complete bool, entries []*nodepb.Entry) *nodepb.Frame {
+func newListingFrame(revision uint64, complete bool, entries []*nodepb.Entry) *nodepb.Frame {
 	return &nodepb.Frame{Body: &nodepb.Frame_Listing{Listing: &nodepb.Listing{Revision: revision, Whole: complete,
 		Entries: entries}}}
 }
@@ -289,4 +289,6 @@
 		Message: "the inventory does not answer now"}}})
 }
 
-func (v *Inventory) send(to string, f *nodepb.Frame) { v.out = append(v.out, Send{to, f}) }
+func (v *Inventory) send(to string, f *nodepb.Frame) {
+	v.outgoing = append(v.outgoing, Envelope{to, f})
+}
--- a/internal/testbed/standin/inventorymodel/inventory_test.go
+++ b/internal/testbed/standin/inventorymodel/inventory_test.go
@@ -12,7 +12,7 @@
 const ms = time.Millisecond
 
 // describe returns frames in a short form.
-func describe(out []Send) string {
+func describe(out []Envelope) string {
 	var all []string
 	for _, s := range out {
 		switch b := s.Frame.Body.(type) {
@@ -47,7 +47,7 @@
 }
 
 // want compares the frames that the call named by what has returned.
-func (v *testInventory) want(what string, got []Send, want string) {
+func (v *testInventory) want(what string, got []Envelope, want string) {
 	v.t.Helper()
 	if got := describe(got); got != want {
 		v.t.Errorf("%s: got %q, want %q", what, got, want)
@@ -55,7 +55,7 @@
 }
 
 // watch requests the list; with changes, as a watch.
-func (v *testInventory) watch(now Time, from string, changes bool) []Send {
+func (v *testInventory) watch(now Time, from string, changes bool) []Envelope {
 	return v.Receive(now, from, &nodepb.Frame{Body: &nodepb.Frame_Watch{Watch: &nodepb.Watch{Changes: changes}}})
 }
 
@@ -109,7 +109,7 @@
 	v.Register(0, "n4", entry("n4", nodepb.Standing_IN))
 	v.watch(0, "s", true)
 	v.want("before the fault", v.Advance(100*ms), "s whole=false more=false [n4:IN]")
-	v.want("fault set", v.SetFault(time.Second, Fault{Fails: true}), "s error")
+	v.want("fault set", v.SetFault(time.Second, Fault{Unavailable: true}), "s error")
 	v.want("a request", v.watch(time.Second, "s", true), "s error")
 	v.SetFault(1100*ms, Fault{})
 	v.Register(1100*ms, "n5", entry("n5", nodepb.Standing_IN))
--- a/internal/testbed/standin/nodemodel/fault.go
+++ b/internal/testbed/standin/nodemodel/fault.go
@@ -1,7 +1,7 @@
 package nodemodel
 
 // everyClass as DropRepliesClass means all classes.
-const everyClass = "*"
+const allClasses = "*"
 
 // Fault is the faults of a node. The zero value means none.
 type Fault struct {
@@ -15,7 +15,7 @@
 
 // dropsReplies reports whether offers of a class get no reply.
 func (f *Fault) dropsReplies(class string) bool {
-	return f.DropRepliesClass == everyClass || f.DropRepliesClass == class && class != ""
+	return f.DropRepliesClass == allClasses || f.DropRepliesClass == class && class != ""
 }
 
 // failsStart reports whether the start of a task of a class fails; draw is a number drawn from [0, 1).
@@ -32,10 +32,10 @@
 }
 
 // SetFault replaces the faults of the node.
-func (n *Node) SetFault(now Time, f Fault) []Send {
-	n.out = nil
+func (n *Node) SetFault(now Time, f Fault) []Envelope {
+	n.outgoing = nil
 	n.advance(now)
 	f.OccupiedFraction = min(max(f.OccupiedFraction, 0), 1)
 	n.fault = f
-	return n.out
+	return n.outgoing
 }
--- a/internal/testbed/standin/nodemodel/keys.go
+++ b/internal/testbed/standin/nodemodel/keyregistry.go
@@ -10,13 +10,13 @@
 }
 
 // LocalKeys is a KeyRegistry for nodes that one goroutine runs. Not safe for concurrent use.
-type LocalKeys struct{ nodeByKey map[string]string }
+type LocalKeyRegistry struct{ nodeByKey map[string]string }
 
 // NewLocalKeys returns an empty LocalKeys.
-func NewLocalKeys() *LocalKeys { return &LocalKeys{map[string]string{}} }
+func NewLocalKeyRegistry() *LocalKeyRegistry { return &LocalKeyRegistry{map[string]string{}} }
 
 // Reserve implements KeyRegistry.
-func (r *LocalKeys) Reserve(key, node string) bool {
+func (r *LocalKeyRegistry) Reserve(key, node string) bool {
 	if _, taken := r.nodeByKey[key]; taken {
 		return false
 	}
@@ -25,7 +25,7 @@
 }
 
 // Release implements KeyRegistry.
-func (r *LocalKeys) Release(key, node string) {
+func (r *LocalKeyRegistry) Release(key, node string) {
 	if key != "" && r.nodeByKey[key] == node {
 		delete(r.nodeByKey, key)
 	}
--- a/internal/testbed/standin/nodemodel/node_test.go
+++ b/internal/testbed/standin/nodemodel/node_test.go
@@ -55,7 +55,7 @@
 }
 
 // describe returns frames in a short form.
-func describe(out []Send) string {
+func describe(out []Envelope) string {
 	var all []string
 	for _, s := range out {
 		switch b := s.Frame.Body.(type) {
@@ -166,9 +166,9 @@
 	p.want(p.offer("d", nil), "")
 	p.want(p.after(10*ms), "accepted d")
 	p.want(p.after(20*ms), "started d") // the program is cached
-	p.node.DropPrograms(1)
+	p.node.EvictCachedPrograms(1)
 	p.after(2 * time.Second)
-	p.node.DropPrograms(1)
+	p.node.EvictCachedPrograms(1)
 	p.offer("e", nil)
 	p.want(p.after(30*ms), "accepted e")
 	p.want(p.after(80*ms), "started e")
@@ -211,7 +211,7 @@
 }
 
 func TestNodesThatShareKeysAcceptOneCopyOfTask(t *testing.T) {
-	keys := NewLocalKeys()
+	keys := NewLocalKeyRegistry()
 	p, q := newTestNode(t, testConfig(), keys), newTestNode(t, testConfig(), keys)
 	q.node.cfg.Name = "other"
 	keyed := func(o *nodepb.Offer) { o.Task.Key, o.Task.Effect = "k", 1 }
--- a/internal/testbed/standin/nodemodel/offer.go
+++ b/internal/testbed/standin/nodemodel/offer.go
@@ -12,43 +12,43 @@
 
 // waitingOffer is an offer that the node has not reviewed yet.
 type waitingOffer struct {
-	from    string
-	offer   *nodepb.Offer
-	arrived Time
+	scheduler string
+	offer     *nodepb.Offer
+	arrived   Time
 }
 
 // receiveOffer queues an offer for review. Offers that are rejected count towards overload as well.
-func (n *Node) receiveOffer(from string, o *nodepb.Offer) {
+func (n *Node) receiveOffer(scheduler string, o *nodepb.Offer) {
 	if o.Task == nil || o.Attempt == "" || n.tasks[o.Attempt] != nil {
 		return
 	}
-	if n.overloadedByOffer() {
+	if n.recordOffer() {
 		n.overloaded = true
 		n.Die()
 		return
 	}
 	if len(n.waitingOffers) >= n.cfg.MaxWaitingOffers {
-		n.reject(from, o, nodepb.Reason_TOO_MANY_WAIT)
+		n.rejectOffer(scheduler, o, nodepb.Reason_TOO_MANY_WAIT)
 		return
 	}
 	if len(n.waitingOffers) == 0 {
-		n.reviewDone = n.now + n.cfg.OfferReviewTime
+		n.reviewEndsAt = n.now + n.cfg.OfferReviewTime
 	}
-	n.waitingOffers = append(n.waitingOffers, &waitingOffer{from, o, n.now})
+	n.waitingOffers = append(n.waitingOffers, &waitingOffer{scheduler, o, n.now})
 }
 
 // dropWaitingOffers discards the unreviewed offers of a scheduler.
-func (n *Node) dropWaitingOffers(from string) {
-	if len(n.waitingOffers) > 0 && n.waitingOffers[0].from == from {
-		n.reviewDone = n.now + n.cfg.OfferReviewTime // of the next offer
+func (n *Node) dropWaitingOffers(scheduler string) {
+	if len(n.waitingOffers) > 0 && n.waitingOffers[0].scheduler == scheduler {
+		n.reviewEndsAt = n.now + n.cfg.OfferReviewTime // of the next offer
 	}
-	n.waitingOffers = slices.DeleteFunc(n.waitingOffers, func(w *waitingOffer) bool { return w.from == from })
+	n.waitingOffers = slices.DeleteFunc(n.waitingOffers, func(w *waitingOffer) bool { return w.scheduler == scheduler })
 }
 
 // cancelWaitingOffer removes an unreviewed offer and reports whether there was one.
-func (n *Node) cancelWaitingOffer(from, attempt string) bool {
+func (n *Node) cancelWaitingOffer(scheduler, attempt string) bool {
 	i := slices.IndexFunc(n.waitingOffers, func(w *waitingOffer) bool {
-		return w.offer.Attempt == attempt && w.from == from
+		return w.offer.Attempt == attempt && w.scheduler == scheduler
 	})
 	if i < 0 {
 		return false
@@ -56,48 +56,48 @@
 	offer := n.waitingOffers[i].offer
 	n.waitingOffers = slices.Delete(n.waitingOffers, i, i+1)
 	if i == 0 {
-		n.reviewDone = n.now + n.cfg.OfferReviewTime
+		n.reviewEndsAt = n.now + n.cfg.OfferReviewTime
 	}
-	n.reject(from, offer, nodepb.Reason_UNTOLD)
+	n.rejectOffer(scheduler, offer, nodepb.Reason_UNTOLD)
 	return true
 }
 
 // review decides on an offer.
-func (n *Node) review(w *waitingOffer) {
+func (n *Node) reviewOffer(w *waitingOffer) {
 	offer, spec := w.offer, w.offer.Task
 	if n.fault.dropsReplies(spec.Class) {
 		return
 	}
 	expired := n.now-w.arrived > time.Duration(offer.ValidForNs) // its scheduler has stopped waiting
 	if expired || n.draining || !n.reserveKey(spec) {
-		n.reject(w.from, offer, nodepb.Reason_NOT_HERE)
+		n.rejectOffer(w.scheduler, offer, nodepb.Reason_NOT_HERE)
 		return
 	}
-	if reason, fits := n.fitTask(spec); !fits {
+	if reason, fits := n.makeRoom(spec); !fits {
 		n.releaseKey(spec)
-		n.reject(w.from, offer, reason)
+		n.rejectOffer(w.scheduler, offer, reason)
 		return
 	}
-	if n.fault.failsStart(spec.Class, n.random.Float64()) {
+	if n.fault.failsStart(spec.Class, n.rng.Float64()) {
 		n.releaseKey(spec)
-		n.send(w.from, &nodepb.Frame{Body: &nodepb.Frame_Failed{Failed: &nodepb.Failed{Attempt: offer.Attempt,
+		n.send(w.scheduler, &nodepb.Frame{Body: &nodepb.Frame_Failed{Failed: &nodepb.Failed{Attempt: offer.Attempt,
 			Message: "the start failed", Load: n.loadReport()}}})
 		return
 	}
-	n.accept(w)
+	n.acceptOffer(w)
 }
 
 // accept accepts an offered task and starts it when a start slot is free.
-func (n *Node) accept(w *waitingOffer) {
-	t := &task{attempt: w.offer.Attempt, scheduler: w.from, spec: w.offer.Task, accepted: n.now}
+func (n *Node) acceptOffer(w *waitingOffer) {
+	t := &task{attempt: w.offer.Attempt, scheduler: w.scheduler, spec: w.offer.Task, accepted: n.now}
 	n.tasks[t.attempt] = t
-	n.tasksByAge = append(n.tasksByAge, t)
-	n.send(w.from, &nodepb.Frame{Body: &nodepb.Frame_Accepted{Accepted: &nodepb.Accepted{Attempt: t.attempt,
+	n.tasksInAcceptanceOrder = append(n.tasksInAcceptanceOrder, t)
+	n.send(w.scheduler, &nodepb.Frame{Body: &nodepb.Frame_Accepted{Accepted: &nodepb.Accepted{Attempt: t.attempt,
 		Load: n.loadReport()}}})
 	n.startTasks()
 }
 
-func (n *Node) reject(to string, o *nodepb.Offer, reason nodepb.Reason) {
+func (n *Node) rejectOffer(to string, o *nodepb.Offer, reason nodepb.Reason) {
 	n.send(to, &nodepb.Frame{Body: &nodepb.Frame_Refused{Refused: &nodepb.Refused{Attempt: o.Attempt, Reason: reason,
 		Load: n.loadReport()}}})
 }
@@ -115,14 +115,14 @@
 
 // fitTask reports whether a task fits, and makes room for it by preempting tasks of lower priority if the node preempts. If
 // the task does not fit, no task is preempted and the reason is the resource that is short.
-func (n *Node) fitTask(spec *nodepb.Task) (reason nodepb.Reason, fits bool) {
-	cores, memory := n.Free()
+func (n *Node) makeRoom(spec *nodepb.Task) (reason nodepb.Reason, fits bool) {
+	cores, memory := n.FreeResources()
 	cores += (n.cfg.CoreOvercommit - 1) * n.cfg.Cores
 	memory += (n.cfg.MemoryOvercommit - 1) * n.cfg.Memory
 	var victims []*task
 	if n.cfg.Preempts {
-		lowestFirst := slices.Clone(n.tasksByAge)
-		slices.SortFunc(lowestFirst, byEvictionOrder)
+		lowestFirst := slices.Clone(n.tasksInAcceptanceOrder)
+		slices.SortFunc(lowestFirst, compareEvictionOrder)
 		for _, t := range lowestFirst {
 			enough := spec.Cores <= cores && spec.Memory <= memory
 			if enough || t.spec.Priority >= spec.Priority {
@@ -140,7 +140,7 @@
 		return nodepb.Reason_NO_MEMORY, false
 	}
 	for _, t := range victims {
-		n.end(t, nodepb.Ending_LOST, nodepb.Reason_PUSHED_OUT)
+		n.endTask(t, nodepb.Ending_LOST, nodepb.Reason_PUSHED_OUT)
 	}
 	return nodepb.Reason_UNTOLD, true
 }
--- a/internal/testbed/standin/nodemodel/slowstart.go
+++ b/internal/testbed/standin/nodemodel/slowstart.go
@@ -3,22 +3,22 @@
 import "slices"
 
 // warmingUp reports whether the node is in slow start.
-func (n *Node) warmingUp() bool {
-	return n.cfg.SlowStartDuration > 0 && n.now-n.started < n.cfg.SlowStartDuration
+func (n *Node) inSlowStart() bool {
+	return n.cfg.SlowStartDuration > 0 && n.now-n.bootTime < n.cfg.SlowStartDuration
 }
 
 // startRate returns the fraction of its full rate at which the node starts tasks now.
 func (n *Node) startRate() float64 {
-	if !n.warmingUp() {
+	if !n.inSlowStart() {
 		return 1
 	}
-	age := n.now - n.started
+	age := n.now - n.bootTime
 	return n.cfg.SlowStartInitialRate + (1-n.cfg.SlowStartInitialRate)*float64(age)/float64(n.cfg.SlowStartDuration)
 }
 
 // overloadedByOffer counts an offer and reports whether it overloads the node.
-func (n *Node) overloadedByOffer() bool {
-	if !n.warmingUp() || n.cfg.OverloadWindow <= 0 {
+func (n *Node) recordOffer() bool {
+	if !n.inSlowStart() || n.cfg.OverloadWindow <= 0 {
 		return false
 	}
 	windowStart := n.now - n.cfg.OverloadWindow
--- a/internal/testbed/standin/nodemodel/task.go
+++ b/internal/testbed/standin/nodemodel/task.go
@@ -10,32 +10,32 @@
 
 // task is an accepted attempt. It waits for a start slot, starts, and then runs.
 type task struct {
-	attempt   string
-	scheduler string
-	spec      *nodepb.Task
-	accepted  Time
-	starting  bool
-	running   bool
-	startDone Time // while it starts
-	endsAt    Time // while it runs
+	attempt         string
+	scheduler       string
+	spec            *nodepb.Task
+	accepted        Time
+	starting        bool
+	running         bool
+	startsRunningAt Time // while it starts
+	endsAt          Time // while it runs
 	// coreUsage and memoryUsage are the fractions of its request that a running task uses.
 	coreUsage   float64
 	memoryUsage float64
 }
 
 // due returns when the task starts to run or ends.
-func (t *task) due() Time {
+func (t *task) nextDue() Time {
 	switch {
 	case t.starting:
-		return t.startDone
+		return t.startsRunningAt
 	case t.running:
 		return t.endsAt
 	}
-	return noDeadline
+	return neverDue
 }
 
 // byEvictionOrder compares tasks in the order of eviction: the lowest priority first, the latest of these first.
-func byEvictionOrder(a, b *task) int {
+func compareEvictionOrder(a, b *task) int {
 	return cmp.Or(
 		cmp.Compare(a.spec.Priority, b.spec.Priority),
 		cmp.Compare(b.accepted, a.accepted),
@@ -45,7 +45,7 @@
 
 // startTasks starts accepted tasks, the oldest first, as long as start slots are free.
 func (n *Node) startTasks() {
-	for _, t := range n.tasksByAge {
+	for _, t := range n.tasksInAcceptanceOrder {
 		if n.startingTasks >= n.cfg.StartSlots {
 			return
 		}
@@ -56,7 +56,7 @@
 		if !n.programCached(t) {
 			startTime *= max(n.cfg.UncachedStartFactor, 1)
 		}
-		t.starting, t.startDone = true, n.now+Time(startTime/n.startRate())
+		t.starting, t.startsRunningAt = true, n.now+Time(startTime/n.startRate())
 		n.startingTasks++
 	}
 }
@@ -66,49 +66,49 @@
 	if slices.Contains(n.cachedPrograms, t.spec.Service) {
 		return true
 	}
-	return slices.ContainsFunc(n.tasksByAge, func(other *task) bool {
+	return slices.ContainsFunc(n.tasksInAcceptanceOrder, func(other *task) bool {
 		return other != t && other.running && other.spec.Service == t.spec.Service
 	})
 }
 
 // run runs a task whose start is done.
-func (n *Node) run(t *task) {
+func (n *Node) startRunning(t *task) {
 	t.starting, t.running = false, true
 	n.startingTasks--
 	runtime := time.Duration(t.spec.LifeNs)
 	if runtime <= 0 {
-		runtime = time.Duration(float64(n.cfg.DefaultRuntime) * n.random.ExpFloat64())
+		runtime = time.Duration(float64(n.cfg.DefaultRuntime) * n.rng.ExpFloat64())
 	}
 	t.endsAt = n.now + runtime
-	t.coreUsage = n.drawBetween(n.cfg.CoreUsageRange)
-	t.memoryUsage = n.drawBetween(n.cfg.MemoryUsageRange)
+	t.coreUsage = n.randomBetween(n.cfg.CoreUsageRange)
+	t.memoryUsage = n.randomBetween(n.cfg.MemoryUsageRange)
 	n.cachedPrograms = slices.DeleteFunc(n.cachedPrograms, func(s string) bool { return s == t.spec.Service })
 	n.send(t.scheduler, &nodepb.Frame{Body: &nodepb.Frame_Started{Started: &nodepb.Started{Attempt: t.attempt}}})
 	n.startTasks()
 }
 
-func (n *Node) drawBetween(bounds [2]float64) float64 {
-	return bounds[0] + (bounds[1]-bounds[0])*n.random.Float64()
+func (n *Node) randomBetween(bounds [2]float64) float64 {
+	return bounds[0] + (bounds[1]-bounds[0])*n.rng.Float64()
 }
 
 // stop cancels an offer that waits for review, or ends an accepted task. The reply is a Refused for the former and an Ended
 // for the latter, which tells the scheduler whether the task was accepted.
-func (n *Node) stop(from, attempt string) {
-	if n.cancelWaitingOffer(from, attempt) {
+func (n *Node) stopAttempt(scheduler, attempt string) {
+	if n.cancelWaitingOffer(scheduler, attempt) {
 		return
 	}
-	if t := n.tasks[attempt]; t != nil && t.scheduler == from {
-		n.end(t, nodepb.Ending_STOPPED, nodepb.Reason_UNTOLD)
+	if t := n.tasks[attempt]; t != nil && t.scheduler == scheduler {
+		n.endTask(t, nodepb.Ending_STOPPED, nodepb.Reason_UNTOLD)
 	}
 }
 
 // end removes an accepted task and sends its outcome. Every task ends here, except those of a node that dies.
-func (n *Node) end(t *task, ending nodepb.Ending, reason nodepb.Reason) {
+func (n *Node) endTask(t *task, ending nodepb.Ending, reason nodepb.Reason) {
 	if n.tasks[t.attempt] != t {
 		return
 	}
 	delete(n.tasks, t.attempt)
-	n.tasksByAge = slices.DeleteFunc(n.tasksByAge, func(other *task) bool { return other == t })
+	n.tasksInAcceptanceOrder = slices.DeleteFunc(n.tasksInAcceptanceOrder, func(other *task) bool { return other == t })
 	if t.starting {
 		n.startingTasks--
 	}
@@ -127,7 +127,7 @@
 
 // cacheProgram caches the program of a service whose last task has ended.
 func (n *Node) cacheProgram(service string) {
-	hasTask := slices.ContainsFunc(n.tasksByAge, func(t *task) bool { return t.spec.Service == service })
+	hasTask := slices.ContainsFunc(n.tasksInAcceptanceOrder, func(t *task) bool { return t.spec.Service == service })
 	if n.cfg.MaxCachedPrograms <= 0 || hasTask {
 		return
 	}
@@ -138,6 +138,6 @@
 }
 
 // DropPrograms removes each cached program with a probability of share.
-func (n *Node) DropPrograms(share float64) {
-	n.cachedPrograms = slices.DeleteFunc(n.cachedPrograms, func(string) bool { return n.random.Float64() < share })
+func (n *Node) EvictCachedPrograms(probability float64) {
+	n.cachedPrograms = slices.DeleteFunc(n.cachedPrograms, func(string) bool { return n.rng.Float64() < probability })
 }
--- a/internal/testbed/standin/nodemodel/usage.go
+++ b/internal/testbed/standin/nodemodel/usage.go
@@ -8,33 +8,33 @@
 
 // The kinds of usage report that nodes send, with the wire values of the module's UsageKind.
 const (
-	usageCores     = 2 // cores in use by the task
-	usageMemory    = 3 // memory in use by the task
-	serviceLevel   = 4 // available cores as a fraction of the cores in use
-	memoryPressure = 5 // memory in use as a fraction of the available memory
+	usageKindCores          = 2 // cores in use by the task
+	usageKindMemory         = 3 // memory in use by the task
+	usageKindServiceLevel   = 4 // available cores as a fraction of the cores in use
+	usageKindMemoryPressure = 5 // memory in use as a fraction of the available memory
 )
 
 const (
 	// maxUsage caps the use of a task at this multiple of its request.
-	maxUsage = 2
+	maxUsageFraction = 2
 	// serviceLevelReportedBelow and memoryPressureReportedAbove are the bounds beyond which a node reports a shortage.
-	serviceLevelReportedBelow   = 0.95
-	memoryPressureReportedAbove = 0.85
+	serviceLevelThreshold   = 0.95
+	memoryPressureThreshold = 0.85
 )
 
 // usage returns the cores and the memory that a running task uses.
-func (n *Node) usage(t *task) (cores, memory float64) {
+func (n *Node) taskUsage(t *task) (cores, memory float64) {
 	factor := n.fault.usageFactor(t.spec.Class)
-	cores = t.spec.Cores * min(t.coreUsage*factor, maxUsage)
-	memory = t.spec.Memory * min(t.memoryUsage*factor, maxUsage)
+	cores = t.spec.Cores * min(t.coreUsage*factor, maxUsageFraction)
+	memory = t.spec.Memory * min(t.memoryUsage*factor, maxUsageFraction)
 	return cores, memory
 }
 
 // Usage returns the cores and the memory that all running tasks use.
 func (n *Node) Usage() (cores, memory float64) {
-	for _, t := range n.tasksByAge {
+	for _, t := range n.tasksInAcceptanceOrder {
 		if t.running {
-			taskCores, taskMemory := n.usage(t)
+			taskCores, taskMemory := n.taskUsage(t)
 			cores += taskCores
 			memory += taskMemory
 		}
@@ -44,51 +44,51 @@
 
 // updateUsage changes the usage of tasks by a random walk, evicts tasks while memory is short and sends usage reports.
 func (n *Node) updateUsage() {
-	for _, t := range n.tasksByAge {
-		t.coreUsage *= 0.95 + 0.1*n.random.Float64()
-		t.memoryUsage *= 0.97 + 0.06*n.random.Float64()
+	for _, t := range n.tasksInAcceptanceOrder {
+		t.coreUsage *= 0.95 + 0.1*n.rng.Float64()
+		t.memoryUsage *= 0.97 + 0.06*n.rng.Float64()
 	}
 	memoryAvailable := n.cfg.Memory * (1 - n.fault.OccupiedFraction)
-	n.evictDownTo(memoryAvailable)
+	n.evictUntilFits(memoryAvailable)
 	n.reportUsage(memoryAvailable)
 }
 
 // evictDownTo evicts running tasks until the rest uses no more than the available memory.
-func (n *Node) evictDownTo(memoryAvailable float64) {
+func (n *Node) evictUntilFits(memoryAvailable float64) {
 	for {
 		_, memory := n.Usage()
 		if memory <= memoryAvailable {
 			return
 		}
-		running := slices.DeleteFunc(slices.Clone(n.tasksByAge), func(t *task) bool { return !t.running })
-		slices.SortFunc(running, byEvictionOrder)
-		n.end(running[0], nodepb.Ending_LOST, nodepb.Reason_EVICTED)
+		running := slices.DeleteFunc(slices.Clone(n.tasksInAcceptanceOrder), func(t *task) bool { return !t.running })
+		slices.SortFunc(running, compareEvictionOrder)
+		n.endTask(running[0], nodepb.Ending_LOST, nodepb.Reason_EVICTED)
 	}
 }
 
 // reportUsage sends to each running task's scheduler its usage and the shortages of the machine.
 func (n *Node) reportUsage(memoryAvailable float64) {
 	cores, memory := n.Usage()
-	level := 1.0
+	serviceLevel := 1.0
 	if coresAvailable := n.cfg.Cores * (1 - n.fault.OccupiedFraction); cores > coresAvailable {
-		level = coresAvailable / cores
+		serviceLevel = coresAvailable / cores
 	}
-	pressure := 1.0
+	memoryPressure := 1.0
 	if memoryAvailable > 0 {
-		pressure = memory / memoryAvailable
+		memoryPressure = memory / memoryAvailable
 	}
-	for _, t := range n.tasksByAge {
+	for _, t := range n.tasksInAcceptanceOrder {
 		if !t.running {
 			continue
 		}
-		taskCores, taskMemory := n.usage(t)
-		n.sendUsageReport(t, usageCores, taskCores)
-		n.sendUsageReport(t, usageMemory, taskMemory)
-		if level < serviceLevelReportedBelow {
-			n.sendUsageReport(t, serviceLevel, level)
+		taskCores, taskMemory := n.taskUsage(t)
+		n.sendUsageReport(t, usageKindCores, taskCores)
+		n.sendUsageReport(t, usageKindMemory, taskMemory)
+		if serviceLevel < serviceLevelThreshold {
+			n.sendUsageReport(t, usageKindServiceLevel, serviceLevel)
 		}
-		if pressure > memoryPressureReportedAbove {
-			n.sendUsageReport(t, memoryPressure, pressure)
+		if memoryPressure > memoryPressureThreshold {
+			n.sendUsageReport(t, usageKindMemoryPressure, memoryPressure)
 		}
 	}
 }
--- a/internal/testbed/standin/scripted/feed.go
+++ b/internal/testbed/standin/scripted/feed.go
@@ -21,24 +21,24 @@
 // as the platform may. Its methods are safe for concurrent use.
 type Feed struct {
 	// Requests receives the Last-Event-ID of each request.
-	Requests chan string
+	LastEventIDs chan string
 
-	listener net.Listener
-	server   *http.Server
-	served   chan struct{} // closed when the server has ended
-	added    chan struct{} // has a value for each added event
-	breaks   chan breakMode
-	repeats  chan int // event numbers
+	listener     net.Listener
+	server       *http.Server
+	serverDone   chan struct{} // closed when the server has ended
+	eventAdded   chan struct{} // has a value for each added event
+	streamBreaks chan streamBreak
+	republishes  chan int // event numbers
 
 	mu     sync.Mutex
 	events []string // from firstMembershipEvent on
 }
 
 // breakMode is what happens to a stream after a part of an event.
-type breakMode int
+type streamBreak int
 
 const (
-	endStream breakMode = iota
+	endStream streamBreak = iota
 	leaveStreamOpen
 )
 
@@ -48,11 +48,12 @@
 	if err != nil {
 		return nil, fmt.Errorf("scripted: feed: %w", err)
 	}
-	f := &Feed{listener: listener, Requests: make(chan string, channelCapacity), added: make(chan struct{}, channelCapacity),
-		breaks: make(chan breakMode), repeats: make(chan int), served: make(chan struct{})}
+	f := &Feed{listener: listener, LastEventIDs: make(chan string, channelCapacity),
+		eventAdded: make(chan struct{}, channelCapacity), streamBreaks: make(chan streamBreak), republishes: make(chan int),
+		serverDone: make(chan struct{})}
 	f.server = &http.Server{Handler: http.HandlerFunc(f.serve)}
 	go func() {
-		defer close(f.served)
+		defer close(f.serverDone)
 		_ = f.server.Serve(listener) // it ends with Close
 	}()
 	return f, nil
@@ -64,13 +65,13 @@
 // Close ends the feed with all streams, and waits for its server.
 func (f *Feed) Close() {
 	_ = f.server.Close()
-	<-f.served
+	<-f.serverDone
 }
 
 // serve writes the events after the client's last one, and new ones as they are added, until the stream ends.
 func (f *Feed) serve(w http.ResponseWriter, r *http.Request) {
 	lastEventID := r.Header.Get("Last-Event-ID")
-	f.Requests <- lastEventID
+	f.LastEventIDs <- lastEventID
 	last := 0
 	_, _ = fmt.Sscan(lastEventID, &last) // a first request has none
 	heartbeat := time.NewTicker(heartbeatInterval)
@@ -79,14 +80,14 @@
 		last = f.writeFrom(w, last+1)
 		_ = http.NewResponseController(w).Flush() // if it fails, the client has disconnected and the context ends
 		select {
-		case <-f.added:
+		case <-f.eventAdded:
 		case <-heartbeat.C:
 			writeText(w, ": still here\n\n")
-		case number := <-f.repeats:
+		case number := <-f.republishes:
 			f.mu.Lock()
 			f.write(w, number)
 			f.mu.Unlock()
-		case mode := <-f.breaks:
+		case mode := <-f.streamBreaks:
 			writeText(w, "id: 99\ndata: {\"n\":99,\"mem") // the start of an event
 			if mode == leaveStreamOpen {
 				<-r.Context().Done()
@@ -119,25 +120,25 @@
 func writeText(w io.Writer, text string) { _, _ = io.WriteString(w, text) }
 
 // Publish adds an event that lists nodes, as a complete list or as a change.
-func (f *Feed) Publish(whole bool, nodes ...string) {
+func (f *Feed) Publish(complete bool, nodes ...string) {
 	f.mu.Lock()
-	f.events = append(f.events, Event(len(f.events)+firstMembershipEvent, whole, nodes...))
+	f.events = append(f.events, Event(len(f.events)+firstMembershipEvent, complete, nodes...))
 	f.mu.Unlock()
-	f.added <- struct{}{}
+	f.eventAdded <- struct{}{}
 }
 
 // Break ends the present stream in the middle of an event.
-func (f *Feed) Break() { f.breaks <- endStream }
+func (f *Feed) Break() { f.streamBreaks <- endStream }
 
 // Stall stops writing to the present stream in the middle of an event, and leaves it open.
-func (f *Feed) Stall() { f.breaks <- leaveStreamOpen }
+func (f *Feed) Stall() { f.streamBreaks <- leaveStreamOpen }
 
 // Republish writes event n again.
-func (f *Feed) Republish(n int) { f.repeats <- n }
+func (f *Feed) Republish(number int) { f.republishes <- number }
 
 // Event returns the data of event n; nodes are results of Entry.
-func Event(n int, whole bool, nodes ...string) string {
-	return fmt.Sprintf(`{"n":%d,"members":{"version":%d,"full":%v,"servers":[%s]}}`, n, n, whole, strings.Join(nodes, ","))
+func Event(number int, complete bool, nodes ...string) string {
+	return fmt.Sprintf(`{"n":%d,"members":{"version":%d,"full":%v,"servers":[%s]}}`, number, number, complete, strings.Join(nodes, ","))
 }
 
 // Entry returns a node of an event. Its state is active, leaving or left.
--- a/internal/testbed/standin/scripted/node.go
+++ b/internal/testbed/standin/scripted/node.go
@@ -36,9 +36,9 @@
 	// ConnectionEvents receives ConnectionOpened and then ConnectionClosed for each connection.
 	ConnectionEvents chan ConnectionEvent
 
-	listener *net.TCPListener
-	script   Script
-	readers  sync.WaitGroup // the accepting goroutine and one for each connection
+	listener   *net.TCPListener
+	script     Script
+	goroutines sync.WaitGroup // the accepting goroutine and one for each connection
 
 	mu          sync.Mutex
 	connections []net.Conn
@@ -46,14 +46,14 @@
 }
 
 // NewNode starts a node on a free port. The caller must call Kill.
-func NewNode(play Script) (*Node, error) {
+func NewNode(script Script) (*Node, error) {
 	listener, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		return nil, fmt.Errorf("scripted: node: %w", err)
 	}
-	n := &Node{listener: listener, script: play, Received: make(chan nodebinary.Message, channelCapacity),
+	n := &Node{listener: listener, script: script, Received: make(chan nodebinary.Message, channelCapacity),
 		ConnectionEvents: make(chan ConnectionEvent, channelCapacity)}
-	n.readers.Go(n.accept)
+	n.goroutines.Go(n.accept)
 	return n, nil
 }
 
@@ -73,16 +73,16 @@
 		n.connections = append(n.connections, connection)
 		n.mu.Unlock()
 		n.ConnectionEvents <- ConnectionOpened
-		n.readers.Go(func() { n.read(connection) })
+		n.goroutines.Go(func() { n.read(connection) })
 	}
 }
 
 // readSize is the size of a read in bytes.
-const readSize = 4096
+const readBufferSize = 4096
 
 func (n *Node) read(connection net.Conn) {
 	var buffer []byte
-	received := make([]byte, readSize)
+	received := make([]byte, readBufferSize)
 	for {
 		size, err := connection.Read(received)
 		if err != nil {
@@ -97,11 +97,11 @@
 // so that its test misses the messages after it.
 func (n *Node) handle(connection net.Conn, buffer []byte) []byte {
 	for {
-		message, used, err := nodebinary.Next(buffer)
-		if err != nil || used == 0 {
+		message, consumed, err := nodebinary.Next(buffer)
+		if err != nil || consumed == 0 {
 			return buffer
 		}
-		buffer = buffer[used:]
+		buffer = buffer[consumed:]
 		n.Received <- message
 		n.script(connection, message)
 	}
@@ -135,7 +135,7 @@
 	n.dead = true
 	n.mu.Unlock()
 	n.ResetConnections()
-	n.readers.Wait()
+	n.goroutines.Wait()
 }
 
 // StopListening stops listening and leaves the connections open, as a draining node does.
@@ -144,9 +144,9 @@
 // Limits of Freeze, which fills the queue of the listener.
 const (
 	// maxQueuedConnections is far above the minimum length of a listener's queue.
-	maxQueuedConnections = 16
+	maxQueueFillers = 16
 	// queueTimeout is the timeout of a dial, after which the queue counts as full.
-	queueTimeout = 100 * time.Millisecond
+	queueDialTimeout = 100 * time.Millisecond
 )
 
 var errQueueNotFull = errors.New("the listener's queue does not fill")
@@ -154,35 +154,35 @@
 // Freeze simulates the loss of the node's machine: open connections stay open without traffic, and new ones are never
 // established, since the listener's queue is full and nothing accepts from it. Freeze returns the connections that fill the
 // queue; the caller must close them.
-func (n *Node) Freeze() (filling []net.Conn, err error) {
+func (n *Node) Freeze() (fillers []net.Conn, err error) {
 	_ = n.listener.SetDeadline(time.Unix(1, 0)) // ends accept; fails only on a closed listener, as SyscallConn does
 	if err := n.shortenQueue(); err != nil {
 		return nil, fmt.Errorf("scripted: freeze: %w", err)
 	}
-	for range maxQueuedConnections {
+	for range maxQueueFillers {
 		connection := n.dialQueue()
 		if connection == nil {
-			return filling, nil
+			return fillers, nil
 		}
-		filling = append(filling, connection)
+		fillers = append(fillers, connection)
 	}
-	return filling, fmt.Errorf("scripted: freeze: %w", errQueueNotFull)
+	return fillers, fmt.Errorf("scripted: freeze: %w", errQueueNotFull)
 }
 
 // shortenQueue sets the length of the listener's queue to its minimum.
 func (n *Node) shortenQueue() error {
-	raw, err := n.listener.SyscallConn()
+	rawConn, err := n.listener.SyscallConn()
 	if err != nil {
 		return err
 	}
 	var listenErr error
-	controlErr := raw.Control(func(descriptor uintptr) { listenErr = syscall.Listen(int(descriptor), 0) })
+	controlErr := rawConn.Control(func(descriptor uintptr) { listenErr = syscall.Listen(int(descriptor), 0) })
 	return errors.Join(controlErr, listenErr)
 }
 
 // dialQueue adds a connection to the listener's queue. It returns nil if the queue is full.
 func (n *Node) dialQueue() net.Conn {
-	connection, err := net.DialTimeout("tcp", n.Addr(), queueTimeout)
+	connection, err := net.DialTimeout("tcp", n.Addr(), queueDialTimeout)
 	if err != nil {
 		return nil
 	}
--- a/internal/testbed/standin/scripted/scripted_test.go
+++ b/internal/testbed/standin/scripted/scripted_test.go
@@ -58,11 +58,11 @@
 			return message, false
 		}
 		buffer = append(buffer, received...)
-		message, used, err := nodebinary.Next(buffer)
+		message, consumed, err := nodebinary.Next(buffer)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if used > 0 {
+		if consumed > 0 {
 			return message, true
 		}
 	}
@@ -103,8 +103,8 @@
 
 func TestFrozenNodeAcceptsNoConnection(t *testing.T) {
 	node := newNode(t, AcceptAll)
-	filling, err := node.Freeze()
-	for _, conn := range filling {
+	fillers, err := node.Freeze()
+	for _, conn := range fillers {
 		_ = conn.Close()
 	}
 	if err != nil {
@@ -150,7 +150,7 @@
 	feed.Publish(true, Entry("s-1", "127.0.0.1:1", "active"))
 	feed.Publish(false, Entry("s-1", "127.0.0.1:1", "left"))
 	stream := openStream(t, feed, "2")
-	if got := <-feed.Requests; got != "2" {
+	if got := <-feed.LastEventIDs; got != "2" {
 		t.Errorf("got a request after event %q, want 2", got)
 	}
 	wantEvents(t, stream, "3 3")
--- a/internal/testbed/trial/bench_test.go
+++ b/internal/testbed/trial/bench_test.go
@@ -70,14 +70,14 @@
 		stops.Wait()
 	})
 	for i := range count {
-		node, err := host.StartNode(host.NodeOptions{Kind: "k", Cell: i / 8, Listen: loopbackAnyPort,
-			Inventory: inventory.Addr(), Model: benchNode(i, cores), Log: zerolog.Nop()})
+		node, err := host.StartNode(host.NodeOptions{Kind: "k", Cell: i / 8, ListenAddress: loopbackAnyPort,
+			InventoryAddress: inventory.Addr(), Model: benchNode(i, cores), Log: zerolog.Nop()})
 		if err != nil {
 			b.Fatal(err)
 		}
 		nodes = append(nodes, node)
 	}
-	if err := inventory.WaitFor(ctx, count); err != nil {
+	if err := inventory.WaitForNodes(ctx, count); err != nil {
 		b.Fatal(err)
 	}
 	return inventory.Addr()
--- a/internal/testbed/trial/cluster.go
+++ b/internal/testbed/trial/cluster.go
@@ -53,7 +53,7 @@
 			return c, err
 		}
 	}
-	if err := c.inventory.WaitFor(ctx, len(c.nodes)); err != nil {
+	if err := c.inventory.WaitForNodes(ctx, len(c.nodes)); err != nil {
 		return c, err
 	}
 	for i := range day.Schedulers {
@@ -67,7 +67,7 @@
 func (c *cluster) addNode(place scenario.Node) error {
 	group := *place.Group
 	if c.zoneKeys[group.Zone] == nil {
-		c.zoneKeys[group.Zone] = host.NewKeyRegistry()
+		c.zoneKeys[group.Zone] = host.NewConcurrentKeyRegistry()
 	}
 	n := &node{cluster: c, index: len(c.nodes), group: group, name: place.Name}
 	var err error
--- a/internal/testbed/trial/faults.go
+++ b/internal/testbed/trial/faults.go
@@ -102,8 +102,8 @@
 // DropPrograms implements fault.Cluster.
 func (t *faultTarget) DropPrograms(nodes []int, fraction float64) {
 	for _, n := range t.nodes(nodes) {
-		n.do(func(model *nodemodel.Node, _ nodemodel.Time) []nodemodel.Send {
-			model.DropPrograms(fraction)
+		n.do(func(model *nodemodel.Node, _ nodemodel.Time) []nodemodel.Envelope {
+			model.EvictCachedPrograms(fraction)
 			return nil
 		})
 	}
@@ -112,7 +112,7 @@
 // DrainNodes implements fault.Cluster.
 func (t *faultTarget) DrainNodes(nodes []int) {
 	for _, n := range t.nodes(nodes) {
-		n.do(func(model *nodemodel.Node, now nodemodel.Time) []nodemodel.Send { return model.Drain(now) })
+		n.do(func(model *nodemodel.Node, now nodemodel.Time) []nodemodel.Envelope { return model.Drain(now) })
 	}
 }
 
@@ -199,7 +199,7 @@
 
 // SetInventoryFault implements fault.Cluster.
 func (t *faultTarget) SetInventoryFault(inventoryFault inventorymodel.Fault) {
-	t.cluster.inventory.Do(func(model *inventorymodel.Inventory, now inventorymodel.Time) []inventorymodel.Send {
+	t.cluster.inventory.Do(func(model *inventorymodel.Inventory, now inventorymodel.Time) []inventorymodel.Envelope {
 		return model.SetFault(now, inventoryFault)
 	})
 }
--- a/internal/testbed/trial/node.go
+++ b/internal/testbed/trial/node.go
@@ -48,9 +48,9 @@
 	c := n.cluster
 	set := settings.Node{Name: n.name, Kind: n.group.Kind, Zone: n.group.Zone, Cell: n.group.Cell, Warm: warm}
 	seed := scenario.NodeSeed(c.opt.Seed, n.index, n.incarnations)
-	started, err := host.StartNode(host.NodeOptions{Kind: n.group.Kind, Cell: n.group.Cell, Listen: loopbackAnyPort,
-		Model:     fleet.NodeModel(set, c.day.Kinds, c.day.Rules, c.day.Behaviour, seed),
-		Advertise: n.proxy.Addr(), Inventory: c.inventory.Addr(), Keys: c.zoneKeys[n.group.Zone], Log: c.log})
+	started, err := host.StartNode(host.NodeOptions{Kind: n.group.Kind, Cell: n.group.Cell, ListenAddress: loopbackAnyPort,
+		Model:             fleet.NodeConfig(set, c.day.Kinds, c.day.Rules, c.day.Behaviour, seed),
+		AdvertisedAddress: n.proxy.Addr(), InventoryAddress: c.inventory.Addr(), Keys: c.zoneKeys[n.group.Zone], Log: c.log})
 	if err != nil {
 		return fmt.Errorf("trial: start %s: %w", n.name, err)
 	}
@@ -92,7 +92,7 @@
 }
 
 // do calls a function with the model of the present incarnation, if there is one.
-func (n *node) do(call func(model *nodemodel.Node, now nodemodel.Time) []nodemodel.Send) {
+func (n *node) do(call func(model *nodemodel.Node, now nodemodel.Time) []nodemodel.Envelope) {
 	n.mu.Lock()
 	present := n.host
 	n.mu.Unlock()
@@ -107,5 +107,7 @@
 	change(&n.fault)
 	changed := n.fault
 	n.mu.Unlock()
-	n.do(func(model *nodemodel.Node, now nodemodel.Time) []nodemodel.Send { return model.SetFault(now, changed) })
+	n.do(func(model *nodemodel.Node, now nodemodel.Time) []nodemodel.Envelope {
+		return model.SetFault(now, changed)
+	})
 }
