--- a/internal/testbed/standin/nodemodel/config.go
+++ b/internal/testbed/standin/nodemodel/config.go
@@ -2,57 +2,62 @@
 
 import "time"
 
-// Config is the size and the behaviour of a node. Cores are counted in cores, memory in GiB.
+// Config describes the machine of a node and the behaviour of the node. Memory is in GiB.
 type Config struct {
 	Name string
 	Zone string
-	// Cores and Memory are the size of the machine.
+	// Cores and Memory are the capacity of the machine.
 	Cores  float64
 	Memory float64
-	// CoreOvercommit and MemoryOvercommit are the multiples of the machine's size up to which tasks are accepted.
+	// CoreOvercommit and MemoryOvercommit limit the requests of all accepted tasks, as multiples of Cores and Memory.
 	CoreOvercommit   float64
 	MemoryOvercommit float64
-	// OfferReviewTime is how long the node reviews an offer before it answers. It reviews one offer at a time.
+	// OfferReviewTime is how long the node takes to decide on an offer. It reviews one offer at a time.
 	OfferReviewTime time.Duration
-	// MaxWaitingOffers is how many offers may wait for review; further ones are rejected at once. At least 1.
+	// MaxWaitingOffers limits the queue of offers, including the one under review; offers beyond it are rejected at once.
+	// Values below 1 count as 1.
 	MaxWaitingOffers int
-	// StartSlots is how many tasks start at a time. At least 1.
+	// StartSlots is how many tasks can be starting at the same time. Values below 1 count as 1.
 	StartSlots int
-	// CachedStartTime is how long a start takes at full rate when the task's program is cached.
+	// CachedStartTime is how long a task takes to start outside slow start if the program of its service is cached.
 	CachedStartTime time.Duration
-	// UncachedStartFactor multiplies CachedStartTime when the program is not cached. Values below 1 count as 1.
+	// UncachedStartFactor multiplies CachedStartTime if the program is not cached. Values below 1 count as 1.
 	UncachedStartFactor float64
-	// MaxCachedPrograms is how many programs stay cached after their last task. Zero means none.
+	// MaxCachedPrograms is how many programs stay cached after the last task of their service has ended. Zero means none.
 	MaxCachedPrograms int
-	// SlowStartInitialRate is the fraction of the full start rate that a node has when it boots. The fraction rises linearly
-	// to 1 within SlowStartDuration.
+	// SlowStartInitialRate is the fraction of the full start rate at which a node starts tasks when it boots. The fraction
+	// rises linearly to 1 within SlowStartDuration.
 	SlowStartInitialRate float64
 	// SlowStartDuration is the duration of the slow start after a boot. Zero means no slow start.
 	SlowStartDuration time.Duration
-	// OverloadMultiple and OverloadWindow determine when a node in slow start crashes of overload: when the offers within
-	// OverloadWindow exceed this multiple of the starts that the node can do in that time. A window of zero means never.
+	// OverloadMultiple and OverloadWindow determine when a node in slow start crashes of overload: when it receives more
+	// offers within OverloadWindow than OverloadMultiple times the uncached starts that it can do in that time. A window of
+	// zero means never.
 	OverloadMultiple float64
 	OverloadWindow   time.Duration
-	// SlowStartBudget is the number of offers within OverloadWindow that never overload the node.
+	// SlowStartBudget is the number of offers within OverloadWindow that never overload the node, even if OverloadMultiple
+	// allows fewer.
 	SlowStartBudget float64
-	// Preempts is whether the node preempts tasks of lower priority when an offered task does not fit.
+	// Preempts enables the preemption of tasks of lower priority when an offered task does not fit.
 	Preempts bool
-	// DrainMigrationInterval is the interval at which a draining node ends one of its tasks, to be migrated. Zero means that
-	// tasks run to their end.
+	// DrainMigrationInterval is the interval at which a draining node ends its oldest task, so that the scheduler places it on
+	// another node. Zero means that tasks run to their end.
 	DrainMigrationInterval time.Duration
-	// CoreUsageRange and MemoryUsageRange bound the fraction of its request that a task uses; each task draws its own.
+	// CoreUsageRange and MemoryUsageRange are the minimum and the maximum of the fraction of its request that a task uses when
+	// it begins to run. The fraction is drawn at random for each task.
 	CoreUsageRange   [2]float64
 	MemoryUsageRange [2]float64
-	// UsageReportInterval is the interval at which the node checks for memory pressure and sends usage reports. Zero means
-	// never.
+	// UsageReportInterval is the interval at which the node updates the usage of its tasks, evicts tasks if memory is short,
+	// and sends usage reports. Zero means never.
 	UsageReportInterval time.Duration
-	// SendsLoadReports is whether replies have the node's free resources.
+	// SendsLoadReports enables load reports, the node's free resources, in its replies to schedulers.
 	SendsLoadReports bool
-	// DefaultRuntime is the mean runtime of tasks that do not set their own. Zero means 20 s.
+	// DefaultRuntime is the mean of the exponentially distributed runtime of tasks that do not set their own. Zero means 20 s.
 	DefaultRuntime time.Duration
-	// MaxUnackedOutcomes limits the outcomes that are retained for a scheduler until it acknowledges them. Zero means 100,000.
+	// MaxUnackedOutcomes limits the outcomes that the node retains for each scheduler until they are acknowledged. Zero means
+	// 100,000.
 	MaxUnackedOutcomes int
-	// Seed determines the random numbers of the node.
+	// Seed seeds the random number generator of the node.
 	Seed uint64
 }
 
@@ -61,7 +66,7 @@
 	defaultMaxUnackedOutcomes = 100_000
 )
 
-// withDefaults returns the configuration with defaults for what is not set.
+// withDefaults returns the configuration with defaults for fields that are not set, and with the minimum of 1 where it applies.
 func (c Config) withDefaults() Config {
 	if c.DefaultRuntime <= 0 {
 		c.DefaultRuntime = defaultRuntime
--- a/internal/testbed/standin/nodemodel/connection.go
+++ b/internal/testbed/standin/nodemodel/connection.go
@@ -6,19 +6,20 @@
 	"flaxshelf.example/flaxshelf/internal/codec/nodeframe/nodepb"
 )
 
-// schedulerState is the state that the node has for a scheduler.
+// schedulerState is what the node stores about a scheduler across its connections.
 type schedulerState struct {
 	incarnation int64
 	connected   bool
-	unacked     []*nodepb.Ended // outcomes that the scheduler has not acknowledged, the oldest first
+	unacked     []*nodepb.Ended // outcomes that the scheduler has not acknowledged, oldest first
 }
 
-// Connect handles the connection of a scheduler and returns the Welcome frames that answer it. incarnation is the Unix
-// time in nanoseconds at which the scheduler started; Connect returns false if a later one has connected before, or if
-// the node is dead. Each frame lists at most perFrame tasks and as many outcomes.
+// Connect handles a new connection of a scheduler and returns the Welcome frames that answer it, after the frames of events
+// that are due. incarnation is the Unix time in nanoseconds at which the scheduler process started. Connect rejects the
+// connection and returns false if a later incarnation has connected before, or if the node is dead. Each Welcome lists at
+// most maxPerFrame tasks and as many outcomes.
 //
-// Offers of an earlier connection that wait for review are dropped: the Welcome lists the tasks that the node has, and no
-// other may start after it.
+// Waiting offers of an earlier connection are dropped: the Welcome lists all tasks that the scheduler has on the node, so no
+// task of an earlier offer may be accepted after it.
 func (n *Node) Connect(now Time, scheduler string, incarnation int64, maxPerFrame int) ([]Envelope, bool) {
 	n.outgoing = nil
 	n.advance(now)
@@ -32,7 +33,7 @@
 	return n.outgoing, true
 }
 
-// welcome sends the tasks and the outcomes of a scheduler, in at least one frame.
+// sendWelcome sends a scheduler its tasks and its unacknowledged outcomes, in at least one frame.
 func (n *Node) sendWelcome(scheduler string, unacked []*nodepb.Ended, maxPerFrame int) {
 	var held []*nodepb.Held
 	for _, t := range n.tasksInAcceptanceOrder {
@@ -49,8 +50,8 @@
 	}
 }
 
-// Disconnect handles the end of a scheduler's connection. Its offers that wait for review are dropped; its accepted tasks
-// run on.
+// Disconnect handles the end of a scheduler's connection. The waiting offers of the scheduler are dropped; its accepted tasks
+// continue.
 func (n *Node) Disconnect(now Time, scheduler string) {
 	n.outgoing = nil
 	n.advance(now)
@@ -58,13 +59,13 @@
 	n.dropWaitingOffers(scheduler)
 }
 
-// acknowledge discards an outcome that its scheduler has received.
+// acknowledge discards the outcome of an attempt, which the scheduler has received.
 func (n *Node) acknowledge(scheduler, attempt string) {
 	s := n.schedulerByName(scheduler)
 	s.unacked = slices.DeleteFunc(s.unacked, func(e *nodepb.Ended) bool { return e.Attempt == attempt })
 }
 
-// retainOutcome keeps an outcome until its scheduler acknowledges it, and discards the oldest beyond the limit.
+// retainOutcome stores an outcome until its scheduler acknowledges it. Beyond MaxUnackedOutcomes, the oldest is discarded.
 func (n *Node) retainOutcome(scheduler string, outcome *nodepb.Ended) {
 	s := n.schedulerByName(scheduler)
 	s.unacked = append(s.unacked, outcome)
@@ -73,7 +74,7 @@
 	}
 }
 
-// scheduler returns the state of the named scheduler.
+// schedulerByName returns the state of a scheduler, which is created if the node has none.
 func (n *Node) schedulerByName(name string) *schedulerState {
 	s := n.schedulers[name]
 	if s == nil {
@@ -83,14 +84,15 @@
 	return s
 }
 
-// send adds a frame to those that the call in progress returns. It drops the frame if the scheduler is not connected.
+// send adds a frame to those that the current call returns. The frame is dropped if the scheduler is not connected or the
+// node is dead.
 func (n *Node) send(to string, f *nodepb.Frame) {
 	if s := n.schedulers[to]; s != nil && s.connected && !n.dead {
 		n.outgoing = append(n.outgoing, Envelope{to, f})
 	}
 }
 
-// loadReport returns the free resources, or nil if the node does not report them.
+// loadReport returns the free resources of the node, or nil if load reports are disabled.
 func (n *Node) loadReport() *nodepb.Load {
 	if !n.cfg.SendsLoadReports {
 		return nil
--- a/internal/testbed/standin/nodemodel/fault.go
+++ b/internal/testbed/standin/nodemodel/fault.go
@@ -1,29 +1,29 @@
 package nodemodel
 
-// everyClass as DropRepliesClass means all classes.
+// allClasses is the value of DropRepliesClass that means all classes.
 const allClasses = "*"
 
-// Fault is the faults of a node. The zero value means none.
+// Fault describes the injected faults of a node. The zero value means none.
 type Fault struct {
-	StartFailureFraction float64 // fraction of starts that fail at once
-	StartFailureClass    string  // the class whose starts fail; empty means all
-	DropRepliesClass     string  // the class whose offers get no reply; "*" means all, empty none
-	UsageFactor          float64 // multiplies what tasks use; zero means no change
-	UsageClass           string  // the class whose tasks use more; empty means all
-	OccupiedFraction     float64 // fraction of the machine that another program uses
+	StartFailureFraction float64 // fraction of otherwise acceptable offers whose start fails
+	StartFailureClass    string  // class of the tasks whose starts fail; empty means all
+	DropRepliesClass     string  // class of the tasks whose offers get no reply; "*" means all, empty means none
+	UsageFactor          float64 // multiplies the resources that tasks use; zero means no change
+	UsageClass           string  // class of the tasks that UsageFactor applies to; empty means all
+	OccupiedFraction     float64 // fraction of the machine that processes other than tasks use
 }
 
-// dropsReplies reports whether offers of a class get no reply.
+// dropsReplies reports whether offers of tasks of a class get no reply.
 func (f *Fault) dropsReplies(class string) bool {
 	return f.DropRepliesClass == allClasses || f.DropRepliesClass == class && class != ""
 }
 
-// failsStart reports whether the start of a task of a class fails; draw is a number drawn from [0, 1).
+// failsStart reports whether the start of a task of a class fails; draw is a random number in [0, 1).
 func (f *Fault) failsStart(class string, draw float64) bool {
 	return (f.StartFailureClass == "" || f.StartFailureClass == class) && draw < f.StartFailureFraction
 }
 
-// usageFactor returns the factor of what tasks of a class use.
+// usageFactor returns the factor that the resource usage of tasks of a class is multiplied by.
 func (f *Fault) usageFactor(class string) float64 {
 	if f.UsageFactor > 0 && (f.UsageClass == "" || f.UsageClass == class) {
 		return f.UsageFactor
@@ -31,7 +31,7 @@
 	return 1
 }
 
-// SetFault replaces the faults of the node.
+// SetFault replaces the injected faults of the node. OccupiedFraction is clamped to [0, 1].
 func (n *Node) SetFault(now Time, f Fault) []Envelope {
 	n.outgoing = nil
 	n.advance(now)
--- a/internal/testbed/standin/nodemodel/keyregistry.go
+++ b/internal/testbed/standin/nodemodel/keyregistry.go
@@ -1,18 +1,18 @@
 package nodemodel
 
-// KeyRegistry records which node of a zone has a copy of a keyed task. One that nodes of several goroutines share must be
-// safe for concurrent use.
+// KeyRegistry records which node of a zone has accepted the task with an idempotency key, so that no other copy of the task
+// is accepted. A registry that nodes on several goroutines share must be safe for concurrent use.
 type KeyRegistry interface {
-	// Reserve reserves the key for the node. It returns false if any node has it, this one included.
+	// Reserve reserves the key for the node. It returns false if the key is reserved already, also if by the same node.
 	Reserve(key, node string) bool
-	// Release releases the key if the node has it.
+	// Release releases the key if it is reserved for the node.
 	Release(key, node string)
 }
 
-// LocalKeys is a KeyRegistry for nodes that one goroutine runs. Not safe for concurrent use.
+// LocalKeyRegistry is a KeyRegistry for nodes that run on one goroutine. It is not safe for concurrent use.
 type LocalKeyRegistry struct{ nodeByKey map[string]string }
 
-// NewLocalKeys returns an empty LocalKeys.
+// NewLocalKeyRegistry returns an empty LocalKeyRegistry.
 func NewLocalKeyRegistry() *LocalKeyRegistry { return &LocalKeyRegistry{map[string]string{}} }
 
 // Reserve implements KeyRegistry.
--- a/internal/testbed/standin/nodemodel/node.go
+++ b/internal/testbed/standin/nodemodel/node.go
@@ -1,5 +1,6 @@
-// Package nodemodel models a stand-in node: which tasks it accepts, starts, evicts and loses, and what they use. The model
-// is deterministic: it does no I/O and reads no clock, so that it runs on sockets and in the emulator.
+// Package nodemodel models the node of a stand-in cluster: it accepts or rejects offers, starts, evicts and ends tasks, and
+// models the cores and memory that they use. The model is deterministic: it does no I/O and reads no clock, so the same code
+// runs behind sockets (package host) and in the emulator.
 package nodemodel
 
 import (
@@ -12,40 +13,40 @@
 	"flaxshelf.example/flaxshelf/internal/codec/nodeframe/nodepb"
 )
 
-// Time is the time since the Unix epoch.
+// Time is a point in time as the duration since the Unix epoch.
 type Time = time.Duration
 
-// noDeadline is the time of what is never due.
+// neverDue is later than any event.
 const neverDue = Time(math.MaxInt64)
 
-// randomStream is the second half of the generator's seed. Recordings depend on it.
+// pcgStream is the second word of the seed of a node's generator. Recordings depend on it, so it must not change.
 const pcgStream = 0x5851f42d4c957f2d
 
-// Send is a frame that the node sends to a scheduler.
+// Envelope is a frame that the node sends, with its recipient.
 type Envelope struct {
 	To    string // name of the scheduler
 	Frame *nodepb.Frame
 }
 
-// Node is the model of one node from its boot to its death. Not safe for concurrent use.
+// Node is the model of one node from its boot to its end. It is not safe for concurrent use.
 //
-// Each method that has a time as its argument first does what is due by then. A time before that of the last call counts
-// as that of the last call.
+// Methods with a now parameter first process the events that are due by then, and return the frames that the node sends
+// during the call. If now is before that of an earlier call, the earlier call's is used.
 type Node struct {
 	cfg      Config
 	rng      *rand.Rand
 	now      Time
 	bootTime Time
-	outgoing []Envelope // frames of the call in progress
+	outgoing []Envelope // frames that the current call returns
 
-	waitingOffers []*waitingOffer // the first is under review
-	reviewEndsAt  Time            // when the review of the first ends
-	recentOffers  []Time          // within OverloadWindow, during slow start
+	waitingOffers []*waitingOffer // in order of arrival; the first is under review
+	reviewEndsAt  Time            // end of the review of the first waiting offer
+	recentOffers  []Time          // arrival times within OverloadWindow; only recorded during slow start
 
 	tasks                  map[string]*task // by attempt
 	tasksInAcceptanceOrder []*task          // the same tasks in order of acceptance
 	startingTasks          int
-	cachedPrograms         []string // services without a task, least recently used first
+	cachedPrograms         []string // services without a running task whose programs are cached, least recently used first
 	finishedTasks          int
 
 	schedulers map[string]*schedulerState
@@ -53,13 +54,13 @@
 	fault      Fault
 
 	draining      bool
-	nextMigration Time // of a draining node
+	nextMigration Time // while draining
 	nextReport    Time
 	dead          bool
 	overloaded    bool
 }
 
-// New returns a node that boots at now. keys is shared by the nodes of one zone; nil means that the node has its own.
+// New returns a node that boots at now. The nodes of a zone share keys; nil means that the node has a registry of its own.
 func New(cfg Config, now Time, keys KeyRegistry) *Node {
 	if keys == nil {
 		keys = NewLocalKeyRegistry()
@@ -77,14 +78,15 @@
 	}
 }
 
-// Dead reports whether the node has died. A dead node ignores what it receives and sends nothing.
+// Dead reports whether the node has ended, by Die or by a crash of overload. A dead node ignores the frames that it receives
+// and sends none.
 func (n *Node) Dead() bool { return n.dead }
 
 // Overloaded reports whether the node crashed of overload during slow start.
 func (n *Node) Overloaded() bool { return n.overloaded }
 
-// Machine returns what the node registers at the inventory about its machine, which is in a cell that the model doesn't know.
-// It has no kind, since settings refer to kinds by name.
+// Machine returns the description of the machine that the node registers with the inventory. cell is a parameter because the
+// configuration has none. Kind is -1, since the kind is known by name only and the caller adds it.
 func (n *Node) Machine(cell int) flaxshelf.Machine {
 	machine := flaxshelf.Machine{ID: n.cfg.Name, Kind: -1, Zone: n.cfg.Zone, Cell: cell, Started: n.bootTime}
 	if n.draining {
@@ -94,7 +96,7 @@
 	return machine
 }
 
-// Free returns the resources that no accepted task has requested. They are below 0 on an overcommitted node.
+// FreeResources returns the capacity minus the requests of all accepted tasks. It is negative on an overcommitted node.
 func (n *Node) FreeResources() (cores, memory float64) {
 	cores, memory = n.cfg.Cores, n.cfg.Memory
 	for _, t := range n.tasksInAcceptanceOrder {
@@ -104,7 +106,7 @@
 	return cores, memory
 }
 
-// Tasks returns how many tasks the node has accepted and not ended, and how many of these run.
+// TaskCounts returns the number of accepted tasks that have not ended, and how many of these are running.
 func (n *Node) TaskCounts() (accepted, running int) {
 	for _, t := range n.tasksInAcceptanceOrder {
 		if t.running {
@@ -114,17 +116,17 @@
 	return len(n.tasksInAcceptanceOrder), running
 }
 
-// Finished returns how many tasks have run to their end since the node booted.
+// FinishedTasks returns the number of tasks that have finished since the node booted.
 func (n *Node) FinishedTasks() int { return n.finishedTasks }
 
-// Advance does what is due by now.
+// Advance processes the events that are due by now.
 func (n *Node) Advance(now Time) []Envelope {
 	n.outgoing = nil
 	n.advance(now)
 	return n.outgoing
 }
 
-// Receive handles a frame of a scheduler. Frames of kinds that a node does not expect are ignored.
+// Receive handles a frame from a scheduler. Frames of types that schedulers do not send to nodes are ignored.
 func (n *Node) Receive(now Time, scheduler string, f *nodepb.Frame) []Envelope {
 	n.outgoing = nil
 	n.advance(now)
@@ -148,7 +150,7 @@
 	return n.outgoing
 }
 
-// Drain starts draining the node: it rejects new tasks from now on.
+// Drain starts draining the node, which rejects all offers from then on.
 func (n *Node) Drain(now Time) []Envelope {
 	n.outgoing = nil
 	n.advance(now)
@@ -156,7 +158,7 @@
 	return n.outgoing
 }
 
-// Die ends the node and loses all its tasks. It sends nothing to their schedulers.
+// Die ends the node with all its tasks at once, without a frame to their schedulers.
 func (n *Node) Die() {
 	n.dead = true
 	for _, t := range n.tasksInAcceptanceOrder {
@@ -165,7 +167,7 @@
 	n.tasks, n.tasksInAcceptanceOrder, n.waitingOffers, n.startingTasks = map[string]*task{}, nil, nil, 0
 }
 
-// Next returns when something is due next; math.MaxInt64 if nothing is.
+// NextDue returns the time of the next event, or math.MaxInt64 if there is none.
 func (n *Node) NextDue() Time {
 	if n.dead {
 		return neverDue
@@ -186,7 +188,7 @@
 	return max(next, n.now)
 }
 
-// advance does what is due in the order of its time, so that one late call has the same effect as many on time.
+// advance processes events up to now in order of their times, so that one late call has the same effect as many timely ones.
 func (n *Node) advance(now Time) {
 	for !n.dead {
 		next := n.NextDue()
@@ -199,7 +201,7 @@
 	n.now = max(n.now, now)
 }
 
-// runDue does what is due at n.now.
+// processDue processes the events that are due at n.now.
 func (n *Node) processDue() {
 	if len(n.waitingOffers) > 0 && n.reviewEndsAt <= n.now {
 		offer := n.waitingOffers[0]
@@ -209,7 +211,7 @@
 	}
 	for _, t := range slices.Clone(n.tasksInAcceptanceOrder) {
 		switch {
-		case n.tasks[t.attempt] != t: // ended meanwhile
+		case n.tasks[t.attempt] != t: // an earlier iteration ended it
 		case t.starting && t.startsRunningAt <= n.now:
 			n.startRunning(t)
 		case t.running && t.endsAt <= n.now:
@@ -228,5 +230,5 @@
 	}
 }
 
-// migratesTasks reports whether the node drains and ends its tasks one by one.
+// migratesWhileDraining reports whether the node is draining and ends its tasks one by one.
 func (n *Node) migratesWhileDraining() bool { return n.draining && n.cfg.DrainMigrationInterval > 0 }
--- a/internal/testbed/standin/nodemodel/node_test.go
+++ b/internal/testbed/standin/nodemodel/node_test.go
@@ -37,14 +37,14 @@
 	}
 }
 
-// testNode is a node on a clock of its own that scheduler "s" has connected to.
+// testNode is a node with its own clock, to which scheduler "s" is connected.
 type testNode struct {
 	node *Node
 	now  Time
 	t    *testing.T
 }
 
-// newTestNode boots a node; nil means that it has keys of its own.
+// newTestNode boots a node and connects scheduler "s". If keys is nil, the node has a registry of its own.
 func newTestNode(t *testing.T, cfg Config, keys KeyRegistry) *testNode {
 	t.Helper()
 	p := &testNode{node: New(cfg, time.Second, keys), now: time.Second, t: t}
@@ -54,7 +54,7 @@
 	return p
 }
 
-// describe returns frames in a short form.
+// describe formats frames in a short form for comparisons.
 func describe(out []Envelope) string {
 	var all []string
 	for _, s := range out {
@@ -96,7 +96,7 @@
 	return describe(p.node.Advance(p.now))
 }
 
-// offer sends an offer of a task of one core, after change, if not nil, has changed it.
+// offer offers a task of one core and 1 GiB that runs for 1 s. change modifies the offer before it is sent, unless it is nil.
 func (p *testNode) offer(attempt string, change func(o *nodepb.Offer)) string {
 	o := &nodepb.Offer{Attempt: attempt, ValidForNs: int64(time.Second), Task: &nodepb.Task{Service: "v", Class: "c",
 		Cores: 1, Memory: 1, LifeNs: int64(time.Second)}}
@@ -110,12 +110,12 @@
 	return p.receive(&nodepb.Frame{Body: &nodepb.Frame_Stop{Stop: &nodepb.Stop{Attempt: attempt}}})
 }
 
-// receive passes a frame of scheduler "s" to the node.
+// receive passes a frame from scheduler "s" to the node and returns the frames that the node sends.
 func (p *testNode) receive(frame *nodepb.Frame) string {
 	return describe(p.node.Receive(p.now, "s", frame))
 }
 
-// connect connects a scheduler and returns the frames that welcome it.
+// connect connects a scheduler and returns the Welcome frames.
 func (p *testNode) connect(scheduler string, incarnation int64, perFrame int) string {
 	p.t.Helper()
 	frames, ok := p.node.Connect(p.now, scheduler, incarnation, perFrame)
@@ -150,8 +150,8 @@
 	machinetest.ExpectFilled(t, want)
 }
 
-// One offer is reviewed at a time and MaxWaitingOffers may wait. Accepted tasks start one after the other: slowly, or fast if
-// their program is cached.
+// Offers are reviewed one at a time, and offers beyond MaxWaitingOffers are rejected. Accepted tasks start one at a time, faster
+// if their program is cached.
 func TestOffersAreReviewedAndTasksStartedOneByOne(t *testing.T) {
 	p := newTestNode(t, testConfig(), nil)
 	p.want(p.offer("a", nil), "")
@@ -161,11 +161,11 @@
 	p.want(p.after(10*ms), "accepted b")
 	p.want(p.after(89*ms), "")
 	p.want(p.after(1*ms), "started a")
-	p.want(p.after(20*ms), "started b") // a task of its service runs
+	p.want(p.after(20*ms), "started b") // faster, since a task of the same service runs
 	p.want(p.after(2*time.Second), "ended a FINISHED UNTOLD; ended b FINISHED UNTOLD")
 	p.want(p.offer("d", nil), "")
 	p.want(p.after(10*ms), "accepted d")
-	p.want(p.after(20*ms), "started d") // the program is cached
+	p.want(p.after(20*ms), "started d") // faster, since the program is cached
 	p.node.EvictCachedPrograms(1)
 	p.after(2 * time.Second)
 	p.node.EvictCachedPrograms(1)
@@ -225,11 +225,11 @@
 	q.node.Die()
 	p.offer("d", keyed)
 	p.want(p.after(10*ms), "accepted d")
-	// A rejected task leaves no key behind.
+	// The key of a rejected task is released.
 	p.offer("e", func(o *nodepb.Offer) { keyed(o); o.Task.Key, o.Task.Cores = "big", 100 })
 	p.want(p.after(10*ms), "refused e NO_CORES")
 	if !keys.Reserve("big", "x") {
-		t.Error("got a reserved key of a rejected task, want a free one")
+		t.Error("got false from Reserve for the key of a rejected task, want true")
 	}
 }
 
@@ -246,8 +246,8 @@
 	p.want(p.after(time.Second), "")
 }
 
-// After a disconnect, accepted tasks run on and the next Welcome lists them, outcomes are retained until they are
-// acknowledged, unreviewed offers are dropped, and an earlier incarnation is rejected.
+// After a disconnect, accepted tasks continue and the next Welcome lists them, outcomes are retained until they are
+// acknowledged, waiting offers are dropped, and connections of earlier incarnations are rejected.
 func TestReconnectedSchedulerGetsTasksAndOutcomes(t *testing.T) {
 	cfg := testConfig()
 	p := newTestNode(t, cfg, nil)
@@ -274,9 +274,10 @@
 	p := newTestNode(t, cfg, nil)
 	p.offer("a", nil)
 	p.want(p.after(10*ms), "accepted a")
-	p.want(p.after(150*ms), "") // 100 ms at half the rate take 200
+	p.want(p.after(150*ms), "") // at half the rate, an uncached start of 100 ms takes 200 ms
 	p.want(p.after(60*ms), "started a")
-	// One slot and 100 ms a start are 10 a second, at half the rate 5; four times that is 20 within a second.
+	// One slot with uncached starts of 100 ms does 10 starts per second, at half the rate 5. OverloadMultiple is 4, which allows
+	// 20 offers within a second.
 	for i := range 19 {
 		p.offer(fmt.Sprint(i), nil)
 		p.after(ms)
@@ -302,7 +303,7 @@
 	}
 }
 
-// A shortage of memory evicts the lowest priority, the latest first; shortages of cores and memory are reported.
+// A shortage of memory evicts tasks of the lowest priority, latest first. Shortages of cores and memory are reported.
 func TestMemoryPressureEvictsAndIsReported(t *testing.T) {
 	cfg := testConfig()
 	cfg.CoreOvercommit, cfg.MemoryOvercommit, cfg.UsageReportInterval, cfg.CachedStartTime, cfg.StartSlots = 3, 2, 100*ms, ms, 4
--- a/internal/testbed/standin/nodemodel/offer.go
+++ b/internal/testbed/standin/nodemodel/offer.go
@@ -7,17 +7,18 @@
 	"flaxshelf.example/flaxshelf/internal/codec/nodeframe/nodepb"
 )
 
-// effectIdempotent is the wire value of a task whose copies may run side by side.
+// effectIdempotent is the wire value of Task.Effect for tasks of which several copies may run at the same time.
 const effectIdempotent = 0
 
-// waitingOffer is an offer that the node has not reviewed yet.
+// waitingOffer is an offer that the node has not decided on yet.
 type waitingOffer struct {
 	scheduler string
 	offer     *nodepb.Offer
 	arrived   Time
 }
 
-// receiveOffer queues an offer for review. Offers that are rejected count towards overload as well.
+// receiveOffer queues an offer for review. Every offer counts towards overload, also one that is rejected because the queue is
+// full.
 func (n *Node) receiveOffer(scheduler string, o *nodepb.Offer) {
 	if o.Task == nil || o.Attempt == "" || n.tasks[o.Attempt] != nil {
 		return
@@ -37,15 +38,15 @@
 	n.waitingOffers = append(n.waitingOffers, &waitingOffer{scheduler, o, n.now})
 }
 
-// dropWaitingOffers discards the unreviewed offers of a scheduler.
+// dropWaitingOffers removes the waiting offers of a scheduler without a reply.
 func (n *Node) dropWaitingOffers(scheduler string) {
 	if len(n.waitingOffers) > 0 && n.waitingOffers[0].scheduler == scheduler {
-		n.reviewEndsAt = n.now + n.cfg.OfferReviewTime // of the next offer
+		n.reviewEndsAt = n.now + n.cfg.OfferReviewTime // for the next offer, whose review begins now
 	}
 	n.waitingOffers = slices.DeleteFunc(n.waitingOffers, func(w *waitingOffer) bool { return w.scheduler == scheduler })
 }
 
-// cancelWaitingOffer removes an unreviewed offer and reports whether there was one.
+// cancelWaitingOffer rejects a waiting offer and reports whether there was one.
 func (n *Node) cancelWaitingOffer(scheduler, attempt string) bool {
 	i := slices.IndexFunc(n.waitingOffers, func(w *waitingOffer) bool {
 		return w.offer.Attempt == attempt && w.scheduler == scheduler
@@ -62,13 +63,13 @@
 	return true
 }
 
-// review decides on an offer.
+// reviewOffer accepts or rejects an offer. Injected faults drop the offer or fail its start.
 func (n *Node) reviewOffer(w *waitingOffer) {
 	offer, spec := w.offer, w.offer.Task
 	if n.fault.dropsReplies(spec.Class) {
 		return
 	}
-	expired := n.now-w.arrived > time.Duration(offer.ValidForNs) // its scheduler has stopped waiting
+	expired := n.now-w.arrived > time.Duration(offer.ValidForNs) // the scheduler no longer waits for a reply
 	if expired || n.draining || !n.reserveKey(spec) {
 		n.rejectOffer(w.scheduler, offer, nodepb.Reason_NOT_HERE)
 		return
@@ -87,7 +88,7 @@
 	n.acceptOffer(w)
 }
 
-// accept accepts an offered task and starts it when a start slot is free.
+// acceptOffer accepts an offered task, which starts as soon as a start slot is free.
 func (n *Node) acceptOffer(w *waitingOffer) {
 	t := &task{attempt: w.offer.Attempt, scheduler: w.scheduler, spec: w.offer.Task, accepted: n.now}
 	n.tasks[t.attempt] = t
@@ -102,7 +103,8 @@
 		Load: n.loadReport()}}})
 }
 
-// reserveKey reserves the task's key among the nodes of the zone. It returns false if a copy of the task has it.
+// reserveKey reserves the task's idempotency key. It returns false if a copy of the task has reserved the key on any node of
+// the zone. Tasks without a key, and those whose copies may run at the same time, need no reservation.
 func (n *Node) reserveKey(spec *nodepb.Task) bool {
 	if spec.Key == "" || spec.Effect == effectIdempotent {
 		return true
@@ -110,11 +112,11 @@
 	return n.keys.Reserve(spec.Key, n.cfg.Name)
 }
 
-// releaseKey releases the key that reserveKey has reserved.
+// releaseKey releases the key if reserveKey has reserved it for this node.
 func (n *Node) releaseKey(spec *nodepb.Task) { n.keys.Release(spec.Key, n.cfg.Name) }
 
-// fitTask reports whether a task fits, and makes room for it by preempting tasks of lower priority if the node preempts. If
-// the task does not fit, no task is preempted and the reason is the resource that is short.
+// makeRoom reports whether a task fits, after the preemption of tasks of lower priority if necessary and enabled. If the task
+// does not fit even so, no task is preempted, and the returned reason is the resource that is short.
 func (n *Node) makeRoom(spec *nodepb.Task) (reason nodepb.Reason, fits bool) {
 	cores, memory := n.FreeResources()
 	cores += (n.cfg.CoreOvercommit - 1) * n.cfg.Cores
--- a/internal/testbed/standin/nodemodel/slowstart.go
+++ b/internal/testbed/standin/nodemodel/slowstart.go
@@ -2,12 +2,12 @@
 
 import "slices"
 
-// warmingUp reports whether the node is in slow start.
+// inSlowStart reports whether the node is in slow start, which begins when it boots.
 func (n *Node) inSlowStart() bool {
 	return n.cfg.SlowStartDuration > 0 && n.now-n.bootTime < n.cfg.SlowStartDuration
 }
 
-// startRate returns the fraction of its full rate at which the node starts tasks now.
+// startRate returns the current rate of starts, as a fraction of the rate after slow start.
 func (n *Node) startRate() float64 {
 	if !n.inSlowStart() {
 		return 1
@@ -16,7 +16,7 @@
 	return n.cfg.SlowStartInitialRate + (1-n.cfg.SlowStartInitialRate)*float64(age)/float64(n.cfg.SlowStartDuration)
 }
 
-// overloadedByOffer counts an offer and reports whether it overloads the node.
+// recordOffer records the arrival of an offer during slow start and reports whether it overloads the node.
 func (n *Node) recordOffer() bool {
 	if !n.inSlowStart() || n.cfg.OverloadWindow <= 0 {
 		return false
--- a/internal/testbed/standin/nodemodel/task.go
+++ b/internal/testbed/standin/nodemodel/task.go
@@ -8,7 +8,7 @@
 	"flaxshelf.example/flaxshelf/internal/codec/nodeframe/nodepb"
 )
 
-// task is an accepted attempt. It waits for a start slot, starts, and then runs.
+// task is an accepted task with the attempt that offered it. It waits for a start slot, starts, and then runs.
 type task struct {
 	attempt         string
 	scheduler       string
@@ -16,14 +16,14 @@
 	accepted        Time
 	starting        bool
 	running         bool
-	startsRunningAt Time // while it starts
-	endsAt          Time // while it runs
-	// coreUsage and memoryUsage are the fractions of its request that a running task uses.
+	startsRunningAt Time // valid while starting
+	endsAt          Time // valid while running
+	// coreUsage and memoryUsage are the used fractions of the requested resources, valid while running.
 	coreUsage   float64
 	memoryUsage float64
 }
 
-// due returns when the task starts to run or ends.
+// nextDue returns when the task begins to run or finishes; neverDue while it waits for a start slot.
 func (t *task) nextDue() Time {
 	switch {
 	case t.starting:
@@ -34,7 +34,8 @@
 	return neverDue
 }
 
-// byEvictionOrder compares tasks in the order of eviction: the lowest priority first, the latest of these first.
+// compareEvictionOrder orders tasks by priority, lowest first, and within a priority by acceptance, latest first. Remaining ties
+// are broken by attempt, to be deterministic.
 func compareEvictionOrder(a, b *task) int {
 	return cmp.Or(
 		cmp.Compare(a.spec.Priority, b.spec.Priority),
@@ -43,7 +44,7 @@
 	)
 }
 
-// startTasks starts accepted tasks, the oldest first, as long as start slots are free.
+// startTasks starts accepted tasks, oldest first, as long as start slots are free.
 func (n *Node) startTasks() {
 	for _, t := range n.tasksInAcceptanceOrder {
 		if n.startingTasks >= n.cfg.StartSlots {
@@ -61,7 +62,7 @@
 	}
 }
 
-// programCached reports whether the program of the task's service is cached or running.
+// programCached reports whether the program of the task's service is cached or in use by another running task.
 func (n *Node) programCached(t *task) bool {
 	if slices.Contains(n.cachedPrograms, t.spec.Service) {
 		return true
@@ -71,7 +72,7 @@
 	})
 }
 
-// run runs a task whose start is done.
+// startRunning changes a task from starting to running.
 func (n *Node) startRunning(t *task) {
 	t.starting, t.running = false, true
 	n.startingTasks--
@@ -91,7 +92,7 @@
 	return bounds[0] + (bounds[1]-bounds[0])*n.rng.Float64()
 }
 
-// stop cancels an offer that waits for review, or ends an accepted task. The reply is a Refused for the former and an Ended
+// stopAttempt cancels a waiting offer or ends an accepted task. The reply is a Refused frame for the former and an Ended frame
 // for the latter, which tells the scheduler whether the task was accepted.
 func (n *Node) stopAttempt(scheduler, attempt string) {
 	if n.cancelWaitingOffer(scheduler, attempt) {
@@ -102,7 +103,7 @@
 	}
 }
 
-// end removes an accepted task and sends its outcome. Every task ends here, except those of a node that dies.
+// endTask removes an accepted task and sends its outcome. All tasks end here, except those that are lost when the node dies.
 func (n *Node) endTask(t *task, ending nodepb.Ending, reason nodepb.Reason) {
 	if n.tasks[t.attempt] != t {
 		return
@@ -125,7 +126,8 @@
 	n.startTasks()
 }
 
-// cacheProgram caches the program of a service whose last task has ended.
+// cacheProgram caches the program of a service unless the node still has a task of it. If the cache is full, the least recently
+// used program is removed.
 func (n *Node) cacheProgram(service string) {
 	hasTask := slices.ContainsFunc(n.tasksInAcceptanceOrder, func(t *task) bool { return t.spec.Service == service })
 	if n.cfg.MaxCachedPrograms <= 0 || hasTask {
@@ -137,7 +139,7 @@
 	n.cachedPrograms = append(n.cachedPrograms, service)
 }
 
-// DropPrograms removes each cached program with a probability of share.
+// EvictCachedPrograms removes each cached program with the given probability.
 func (n *Node) EvictCachedPrograms(probability float64) {
 	n.cachedPrograms = slices.DeleteFunc(n.cachedPrograms, func(string) bool { return n.rng.Float64() < probability })
 }
--- a/internal/testbed/standin/nodemodel/usage.go
+++ b/internal/testbed/standin/nodemodel/usage.go
@@ -6,23 +6,24 @@
 	"flaxshelf.example/flaxshelf/internal/codec/nodeframe/nodepb"
 )
 
-// The kinds of usage report that nodes send, with the wire values of the module's UsageKind.
+// Kinds of usage reports, with the wire values of flaxshelf.UsageKind.
 const (
-	usageKindCores          = 2 // cores in use by the task
-	usageKindMemory         = 3 // memory in use by the task
-	usageKindServiceLevel   = 4 // available cores as a fraction of the cores in use
-	usageKindMemoryPressure = 5 // memory in use as a fraction of the available memory
+	usageKindCores          = 2 // cores that the task uses
+	usageKindMemory         = 3 // memory that the task uses
+	usageKindServiceLevel   = 4 // available cores of the machine, as a fraction of the cores that all tasks use
+	usageKindMemoryPressure = 5 // memory that all tasks use, as a fraction of the available memory of the machine
 )
 
 const (
-	// maxUsage caps the use of a task at this multiple of its request.
+	// maxUsageFraction limits the usage of a task to this multiple of its request.
 	maxUsageFraction = 2
-	// serviceLevelReportedBelow and memoryPressureReportedAbove are the bounds beyond which a node reports a shortage.
+	// serviceLevelThreshold is the level below which the service level is reported, and memoryPressureThreshold the pressure
+	// above which memory pressure is.
 	serviceLevelThreshold   = 0.95
 	memoryPressureThreshold = 0.85
 )
 
-// usage returns the cores and the memory that a running task uses.
+// taskUsage returns the cores and the memory that a running task uses.
 func (n *Node) taskUsage(t *task) (cores, memory float64) {
 	factor := n.fault.usageFactor(t.spec.Class)
 	cores = t.spec.Cores * min(t.coreUsage*factor, maxUsageFraction)
@@ -42,7 +43,7 @@
 	return cores, memory
 }
 
-// updateUsage changes the usage of tasks by a random walk, evicts tasks while memory is short and sends usage reports.
+// updateUsage advances the random walk of each task's usage, evicts tasks if memory is short, and sends usage reports.
 func (n *Node) updateUsage() {
 	for _, t := range n.tasksInAcceptanceOrder {
 		t.coreUsage *= 0.95 + 0.1*n.rng.Float64()
@@ -53,7 +54,7 @@
 	n.reportUsage(memoryAvailable)
 }
 
-// evictDownTo evicts running tasks until the rest uses no more than the available memory.
+// evictUntilFits evicts running tasks, in eviction order, until the rest uses no more than the available memory.
 func (n *Node) evictUntilFits(memoryAvailable float64) {
 	for {
 		_, memory := n.Usage()
@@ -66,7 +67,7 @@
 	}
 }
 
-// reportUsage sends to each running task's scheduler its usage and the shortages of the machine.
+// reportUsage sends the usage of each running task, and shortages of cores or memory on the machine, to the task's scheduler.
 func (n *Node) reportUsage(memoryAvailable float64) {
 	cores, memory := n.Usage()
 	serviceLevel := 1.0
