--- a/internal/testbed/standin/fleet/fleet.go
+++ b/internal/testbed/standin/fleet/fleet.go
@@ -1,5 +1,5 @@
-// Package fleet derives the configurations of node models from the settings of a stand-in fleet, for nodes on sockets and
-// in the emulator. It does not run the nodes.
+// Package fleet converts the settings of a fleet of stand-in nodes to the configurations of their models. It does not run the
+// nodes; it is shared by nodes on sockets and nodes in the emulator.
 package fleet
 
 import (
@@ -9,16 +9,16 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/standin/nodemodel"
 )
 
-// seedStep separates the seeds of a fleet's nodes.
+// seedStep is the difference between the seeds of successive nodes of a fleet, so that each node has its own.
 const seedStep = 0x9e3779b9
 
-// Model returns the configuration of the model of node i of a fleet.
+// NodeConfigAt returns the configuration of the model of fleet.Nodes[index].
 func NodeConfigAt(fleet *settings.Fleet, index int) nodemodel.Config {
 	return NodeConfig(fleet.Nodes[index], fleet.Kinds, fleet.Rules, fleet.Behaviour, fleet.Seed+uint64(index)*seedStep)
 }
 
-// NodeModel returns the configuration of the model of a node. A node whose kind is not among kinds has no cores and no
-// memory.
+// NodeConfig returns the configuration of the model of a node. A node whose kind is not in kinds gets no cores and no memory;
+// a warm node gets no slow start.
 func NodeConfig(
 	node settings.Node, kinds []settings.Kind, rules settings.Rules, behaviour settings.Behaviour, seed uint64,
 ) nodemodel.Config {
--- a/internal/testbed/standin/inventorymodel/inventory.go
+++ b/internal/testbed/standin/inventorymodel/inventory.go
@@ -1,6 +1,6 @@
-// Package inventorymodel models the stand-in inventory, from which schedulers discover nodes. It publishes changes after a
-// delay, as a complete list or to watches, and fails when a fault is set. The model is deterministic: it does no I/O and
-// reads no clock.
+// Package inventorymodel models the inventory of a stand-in cluster, with which nodes register and from which schedulers
+// discover them. Schedulers request the complete list or watch its changes, which are published after a delay. Faults make
+// the inventory stale or unavailable. The model is deterministic: it does no I/O and reads no clock.
 package inventorymodel
 
 import (
@@ -15,61 +15,63 @@
 	"flaxshelf.example/flaxshelf/internal/timerqueue"
 )
 
-// Time is the time since the Unix epoch.
+// Time is a point in time as the duration since the Unix epoch.
 type Time = time.Duration
 
-// Config is the behaviour of an inventory.
+// Config configures the delays and the frame size of an inventory.
 type Config struct {
 	// DiscoveryDelay is the time from the registration of a change to its publication.
 	DiscoveryDelay time.Duration
-	// RemovalDelay is the time from the loss of a node's connection to its removal, unless it registers again.
+	// RemovalDelay is the time from the loss of a node's connection to the removal of the node, unless it registers again. The
+	// removal is published after DiscoveryDelay, as any change.
 	RemovalDelay time.Duration
-	// MaxEntriesPerFrame limits the entries in one frame of a complete list. Zero means 2,000.
+	// MaxEntriesPerFrame limits the entries of each frame of a complete list. Zero means 2,000.
 	MaxEntriesPerFrame int
 }
 
 const defaultMaxEntriesPerFrame = 2000
 
-// Fault is the faults of an inventory. The zero value means none.
+// Fault describes the injected faults of an inventory. The zero value means none.
 type Fault struct {
-	Unavailable bool // requests are answered with an error, and watches are closed
-	Stale       bool // no change is published
+	Unavailable bool // requests get an error, and all watches are closed
+	Stale       bool // changes are held back until the fault is cleared
 }
 
-// Send is a frame that the inventory sends.
+// Envelope is a frame that the inventory sends, with its recipient.
 type Envelope struct {
-	To    string // name of the scheduler or the node
+	To    string // name of the scheduler or node
 	Frame *nodepb.Frame
 }
 
-// Inventory is the model. Not safe for concurrent use.
+// Inventory is the model of the inventory. It is not safe for concurrent use. Connections are identified by the name of the
+// scheduler or node that opened them.
 //
-// Each method that has a time as its argument also does what is due by then. A time before that of the last call counts as
-// that of the last call.
+// Methods with a now parameter also process the events that are due by then, and return the frames that the inventory sends
+// during the call. If now is before that of an earlier call, the earlier call's is used.
 type Inventory struct {
 	cfg      Config
 	now      Time
-	outgoing []Envelope // frames of the call in progress
+	outgoing []Envelope // frames that the current call returns
 	fault    Fault
 
-	registrations             map[string]*registration   // the latest of each node
-	registrationsByConnection map[string][]*registration // by the connection that registered them, in order of registration
+	registrations             map[string]*registration   // by node
+	registrationsByConnection map[string][]*registration // in order of registration
 	removals                  timerqueue.Heap[*registration]
 
-	published      map[string]*nodepb.Entry // by node, as schedulers see them
-	revision       uint64                   // of the list
-	pendingChanges []change                 // not published yet, in order of time
-	watchers       []string
+	published      map[string]*nodepb.Entry // by node; the list that schedulers see
+	revision       uint64                   // of the published list; each published change increments it
+	pendingChanges []change                 // not published yet, ordered by publishAt
+	watchers       []string                 // connections of schedulers that watch the list
 }
 
-// registration is the last registration of a node.
+// registration is the latest registration of a node.
 type registration struct {
 	entry      *nodepb.Entry
 	connection string
-	removal    timerqueue.Item[*registration] // queued while the connection is broken
+	removal    timerqueue.Item[*registration] // queued while the connection is closed
 }
 
-// change is an entry that replaces the published one of its node at a given time.
+// change is an entry that will replace the published entry of its node.
 type change struct {
 	publishAt Time
 	entry     *nodepb.Entry
@@ -88,7 +90,7 @@
 	}
 }
 
-// Register handles the registration of a node over the connection named from.
+// Register handles the registration of a node over connection from.
 func (v *Inventory) Register(now Time, from string, e *nodepb.Entry) []Envelope {
 	v.beginCall(now)
 	v.register(from, e)
@@ -96,7 +98,7 @@
 	return v.outgoing
 }
 
-// Disconnect handles the end of a connection: its watch ends, and its nodes are removed after RemovalDelay.
+// Disconnect handles the end of connection from: its watch ends, and its nodes are removed after RemovalDelay.
 func (v *Inventory) Disconnect(now Time, from string) []Envelope {
 	v.beginCall(now)
 	v.watchers = slices.DeleteFunc(v.watchers, func(w string) bool { return w == from })
@@ -107,7 +109,7 @@
 	return v.outgoing
 }
 
-// Receive handles a frame of a scheduler or a node. Frames of kinds that an inventory does not expect are ignored.
+// Receive handles a frame from a scheduler or node. Frames of types that an inventory does not handle are ignored.
 func (v *Inventory) Receive(now Time, from string, f *nodepb.Frame) []Envelope {
 	v.beginCall(now)
 	switch b := f.Body.(type) {
@@ -122,7 +124,7 @@
 	return v.outgoing
 }
 
-// SetFault replaces the faults of the inventory, and closes all watches if requests fail from now on.
+// SetFault replaces the injected faults of the inventory. If the inventory becomes unavailable, all watches get an error and end.
 func (v *Inventory) SetFault(now Time, f Fault) []Envelope {
 	v.beginCall(now)
 	v.fault = f
@@ -136,14 +138,14 @@
 	return v.outgoing
 }
 
-// Advance does what is due by now.
+// Advance processes the events that are due by now.
 func (v *Inventory) Advance(now Time) []Envelope {
 	v.beginCall(now)
 	v.advance()
 	return v.outgoing
 }
 
-// Next returns when something is due next; math.MaxInt64 if nothing is.
+// NextDue returns the time of the next event, or math.MaxInt64 if there is none.
 func (v *Inventory) NextDue() Time {
 	next := Time(math.MaxInt64)
 	if len(v.pendingChanges) > 0 && !v.fault.Stale {
@@ -155,7 +157,7 @@
 	return next
 }
 
-// Published returns the list as schedulers see it now, ordered by node.
+// Published returns the list that schedulers see, ordered by node.
 func (v *Inventory) Published() []*nodepb.Entry {
 	var all []*nodepb.Entry
 	for _, e := range v.published {
@@ -165,9 +167,10 @@
 	return all
 }
 
+// beginCall starts a method with a now parameter: it sets the time and clears the outgoing frames.
 func (v *Inventory) beginCall(now Time) { v.now, v.outgoing = max(now, v.now), nil }
 
-// register records a registration. A node belongs to the last connection that registered it.
+// register records the registration of a node, which belongs to the latest connection that registered it.
 func (v *Inventory) register(from string, e *nodepb.Entry) {
 	if e == nil || e.Node == "" {
 		return
@@ -188,7 +191,7 @@
 	v.schedulePublication(v.now, e)
 }
 
-// detach removes a registration from those of its connection.
+// detach removes a registration from its connection in registrationsByConnection.
 func (v *Inventory) detach(r *registration) {
 	rest := slices.DeleteFunc(v.registrationsByConnection[r.connection], func(o *registration) bool { return o == r })
 	if len(rest) == 0 {
@@ -198,7 +201,7 @@
 	}
 }
 
-// publishLater schedules the publication of an entry, DiscoveryDelay after its change.
+// schedulePublication schedules the publication of an entry for DiscoveryDelay after its change.
 func (v *Inventory) schedulePublication(changed Time, e *nodepb.Entry) {
 	at := changed + v.cfg.DiscoveryDelay
 	i := len(v.pendingChanges)
@@ -208,7 +211,7 @@
 	v.pendingChanges = slices.Insert(v.pendingChanges, i, change{at, e})
 }
 
-// advance does what is due at v.now.
+// advance removes nodes and publishes changes that are due at v.now.
 func (v *Inventory) advance() {
 	v.removeDisconnected()
 	if v.fault.Stale {
@@ -223,7 +226,7 @@
 	}
 }
 
-// removeDisconnected removes the nodes whose connections broke RemovalDelay ago.
+// removeDisconnected removes the nodes whose connections closed at least RemovalDelay ago.
 func (v *Inventory) removeDisconnected() {
 	for due := v.removals.PopDue(v.now); due != nil; due = v.removals.PopDue(v.now) {
 		removed := proto.Clone(due.Value.entry).(*nodepb.Entry)
@@ -234,7 +237,7 @@
 	}
 }
 
-// publishDue publishes the pending changes that are due and returns those that differ from what was published.
+// publishDue publishes the pending changes that are due. It returns those that differ from the published entry of their node.
 func (v *Inventory) publishDue() []*nodepb.Entry {
 	var changes []*nodepb.Entry
 	for len(v.pendingChanges) > 0 && v.pendingChanges[0].publishAt <= v.now {
@@ -255,7 +258,7 @@
 	return changes
 }
 
-// watch answers a request for the list. With changes, each later change is sent to the scheduler as well.
+// watch answers a request for the list. If changes is set, the scheduler also gets all later changes.
 func (v *Inventory) watch(from string, changes bool) {
 	if v.fault.Unavailable {
 		v.sendError(from)
@@ -267,7 +270,7 @@
 	}
 }
 
-// sendSnapshot sends the complete list, in at least one frame.
+// sendSnapshot sends the complete list, in one or more frames of at most MaxEntriesPerFrame entries.
 func (v *Inventory) sendSnapshot(to string) {
 	rest := v.Published()
 	for first := true; first || len(rest) > 0; first = false {
@@ -279,6 +282,8 @@
 	}
 }
 
+// newListingFrame returns a frame with entries of the list. complete marks the first frame of a complete list; the entries of
+// other frames are changes or continue the list.
 func newListingFrame(revision uint64, complete bool, entries []*nodepb.Entry) *nodepb.Frame {
 	return &nodepb.Frame{Body: &nodepb.Frame_Listing{Listing: &nodepb.Listing{Revision: revision, Whole: complete,
 		Entries: entries}}}
--- a/internal/testbed/standin/inventorymodel/inventory_test.go
+++ b/internal/testbed/standin/inventorymodel/inventory_test.go
@@ -11,7 +11,7 @@
 
 const ms = time.Millisecond
 
-// describe returns frames in a short form.
+// describe formats frames in a short form for comparisons.
 func describe(out []Envelope) string {
 	var all []string
 	for _, s := range out {
@@ -35,7 +35,7 @@
 	return &nodepb.Entry{Node: name, Standing: s}
 }
 
-// testInventory is an inventory whose frames are compared with their short form.
+// testInventory is an inventory that compares its frames with their short form.
 type testInventory struct {
 	*Inventory
 	t *testing.T
@@ -46,7 +46,7 @@
 	return &testInventory{New(Config{DiscoveryDelay: 100 * ms, RemovalDelay: 50 * ms, MaxEntriesPerFrame: 2}), t}
 }
 
-// want compares the frames that the call named by what has returned.
+// want fails the test unless the frames have the short form want; what describes the call that returned them.
 func (v *testInventory) want(what string, got []Envelope, want string) {
 	v.t.Helper()
 	if got := describe(got); got != want {
@@ -54,7 +54,7 @@
 	}
 }
 
-// watch requests the list; with changes, as a watch.
+// watch requests the list, and also its later changes if changes is set.
 func (v *testInventory) watch(now Time, from string, changes bool) []Envelope {
 	return v.Receive(now, from, &nodepb.Frame{Body: &nodepb.Frame_Watch{Watch: &nodepb.Watch{Changes: changes}}})
 }
@@ -62,16 +62,16 @@
 func TestChangesArePublishedAfterDelay(t *testing.T) {
 	v := newTestInventory(t)
 	v.Register(0, "n1", entry("n1", nodepb.Standing_IN))
-	v.want("a list before the delay", v.watch(50*ms, "s", true), "s whole=true more=false []")
-	v.want("just before the delay ends", v.Advance(99*ms), "")
-	v.want("to a watcher after the delay", v.Advance(100*ms), "s whole=false more=false [n1:IN]")
-	v.want("an equal registration", v.Register(100*ms, "n1", entry("n1", nodepb.Standing_IN)), "")
-	v.want("nothing after an equal registration", v.Advance(200*ms), "")
+	v.want("list before the delay", v.watch(50*ms, "s", true), "s whole=true more=false []")
+	v.want("no change just before the delay ends", v.Advance(99*ms), "")
+	v.want("change for a watcher after the delay", v.Advance(100*ms), "s whole=false more=false [n1:IN]")
+	v.want("equal registration", v.Register(100*ms, "n1", entry("n1", nodepb.Standing_IN)), "")
+	v.want("no change after an equal registration", v.Advance(200*ms), "")
 	v.Register(200*ms, "n1", entry("n1", nodepb.Standing_DRAINING))
 	v.Register(200*ms, "n2", entry("n2", nodepb.Standing_IN))
 	v.Register(200*ms, "n3", entry("n3", nodepb.Standing_IN))
 	v.want("several changes at once", v.Advance(300*ms), "s whole=false more=false [n1:DRAINING n2:IN n3:IN]")
-	v.want("a list of two frames", v.watch(300*ms, "t", false),
+	v.want("list of two frames", v.watch(300*ms, "t", false),
 		"t whole=true more=true [n1:DRAINING n2:IN]; t whole=false more=false [n3:IN]")
 }
 
@@ -82,12 +82,12 @@
 	v.Register(200*ms, "n2", entry("n2", nodepb.Standing_IN))
 	v.want("registered", v.Advance(300*ms), "s whole=false more=false [n1:IN n2:IN]")
 	v.Disconnect(300*ms, "n2")
-	v.want("disconnected for less than the delay", v.Advance(349*ms), "")
+	v.want("no removal before the delay ends", v.Advance(349*ms), "")
 	v.Register(349*ms, "n2 reconnected", entry("n2", nodepb.Standing_IN))
-	v.want("registered over another connection", v.Advance(460*ms), "")
+	v.want("no removal after a registration over another connection", v.Advance(460*ms), "")
 	v.Disconnect(460*ms, "n2 reconnected")
 	v.want("removed", v.Advance(610*ms), "s whole=false more=false [n2:OUT]")
-	v.want("a list after the removal", v.watch(610*ms, "t", false), "t whole=true more=false [n1:IN]")
+	v.want("list after the removal", v.watch(610*ms, "t", false), "t whole=true more=false [n1:IN]")
 }
 
 func TestPingIsAnswered(t *testing.T) {
@@ -100,7 +100,7 @@
 	v.watch(0, "s", true)
 	v.want("fault set", v.SetFault(700*ms, Fault{Stale: true}), "")
 	v.Register(700*ms, "n4", entry("n4", nodepb.Standing_IN))
-	v.want("stale", v.Advance(900*ms), "")
+	v.want("no change while stale", v.Advance(900*ms), "")
 	v.want("fault cleared", v.SetFault(900*ms, Fault{}), "s whole=false more=false [n4:IN]")
 }
 
@@ -110,10 +110,10 @@
 	v.watch(0, "s", true)
 	v.want("before the fault", v.Advance(100*ms), "s whole=false more=false [n4:IN]")
 	v.want("fault set", v.SetFault(time.Second, Fault{Unavailable: true}), "s error")
-	v.want("a request", v.watch(time.Second, "s", true), "s error")
+	v.want("request during the fault", v.watch(time.Second, "s", true), "s error")
 	v.SetFault(1100*ms, Fault{})
 	v.Register(1100*ms, "n5", entry("n5", nodepb.Standing_IN))
-	v.want("no watch after the fault", v.Advance(1300*ms), "")
+	v.want("no change, since the fault closed the watch", v.Advance(1300*ms), "")
 	if got := len(v.Published()); got != 2 {
 		t.Errorf("got %d published nodes, want 2", got)
 	}
--- a/internal/testbed/standin/nodemodel/node.go
+++ b/internal/testbed/standin/nodemodel/node.go
@@ -44,7 +44,7 @@
 	recentOffers  []Time          // arrival times within OverloadWindow; only recorded during slow start
 
 	tasks                  map[string]*task // by attempt
-	tasksInAcceptanceOrder []*task          // the same tasks in order of acceptance
+	tasksInAcceptanceOrder []*task          // the same tasks, oldest first
 	startingTasks          int
 	cachedPrograms         []string // services without a running task whose programs are cached, least recently used first
 	finishedTasks          int
