--- a/internal/testbed/standin/host/connection.go
+++ b/internal/testbed/standin/host/connection.go
@@ -12,11 +12,12 @@
 )
 
 var (
-	errNoHello  = errors.New("host: the first frame must be a hello")
-	errReplaced = errors.New("host: the party has connected again")
+	errNoHello  = errors.New("host: the first frame must be a hello that names its party")
+	errReplaced = errors.New("host: a newer connection of this party has replaced this one")
 )
 
-// partyHandler reads the frames of one connection. It belongs to the connection's event loop.
+// connHandler parses the frames of one connection and passes them to the owner of the model. It is used only by the
+// connection's event loop.
 type connHandler struct {
 	host     *host
 	hasHello bool
@@ -35,6 +36,8 @@
 	})
 }
 
+// receiveHello handles the first frame of a connection. An error closes the connection; if no protocol version is common, the
+// reason is sent before.
 func (p *connHandler) receiveHello(conn *transport.Conn, frame *nodepb.Frame) error {
 	hello := frame.GetHello()
 	if hello == nil || hello.Party == "" {
@@ -58,26 +61,27 @@
 	}
 }
 
-// receiveFrame passes a frame to the model unless its connection was replaced.
+// receiveFrame passes a frame to the model, unless the connection was replaced or rejected.
 func (h *host) receiveFrame(conn *transport.Conn, frame *nodepb.Frame) {
 	if party := h.parties.names[conn]; party != "" {
 		h.model.receive(clock.Now(), party, frame)
 	}
 }
 
-// connectionClosed notifies the model of a closed connection unless it was replaced.
+// connectionClosed notifies the model of a closed connection, unless the connection was replaced or rejected.
 func (h *host) connectionClosed(conn *transport.Conn) {
 	if party := h.parties.remove(conn); party != "" {
 		h.model.disconnect(clock.Now(), party)
 	}
 }
 
+// byeFrame returns a goodbye, the last frame of a connection.
 func byeFrame(reason string) *nodepb.Frame {
 	return &nodepb.Frame{Body: &nodepb.Frame_Bye{Bye: &nodepb.Bye{Reason: reason}}}
 }
 
-// encode encodes a frame. Stand-ins split their frames to stay within the size limit, so that encoding does not fail. If it
-// fails nevertheless, encode returns a goodbye with the error instead.
+// encode encodes a frame. This is not expected to fail, since stand-ins split long lists so that frames stay within the size
+// limit. If it fails, encode returns an encoded goodbye with the error instead.
 func encode(frame *nodepb.Frame) []byte {
 	encoded, err := nodeframe.Append(nil, frame)
 	if err != nil {
@@ -86,17 +90,19 @@
 	return encoded
 }
 
-// parties are the connections of the parties that have sent their hello. They belong to the owner of a host.
+// parties are the connections on which a hello was received, by the name of the party: the scheduler or node that has opened
+// the connection. They are used only by the owner of a host.
 type parties struct {
 	conns map[string]*transport.Conn
 	names map[*transport.Conn]string
 }
 
+// newParties returns parties without connections.
 func newParties() parties {
 	return parties{conns: map[string]*transport.Conn{}, names: map[*transport.Conn]string{}}
 }
 
-// add makes conn the connection of a party; an earlier one is closed.
+// add sets the connection of a party. An earlier connection of the party is closed.
 func (p *parties) add(name string, conn *transport.Conn) {
 	if old := p.conns[name]; old != nil && old != conn {
 		delete(p.names, old)
@@ -105,7 +111,7 @@
 	p.conns[name], p.names[conn] = conn, name
 }
 
-// remove removes a connection and returns its party; empty if the connection was replaced.
+// remove removes a connection and returns its party, or an empty name if the connection was replaced or rejected.
 func (p *parties) remove(conn *transport.Conn) string {
 	name, ok := p.names[conn]
 	if ok {
@@ -115,7 +121,7 @@
 	return name
 }
 
-// send sends a frame to a party; it is dropped if the party is not connected.
+// send sends a frame to a party. The frame is dropped if the party is not connected.
 func (p *parties) send(to string, frame *nodepb.Frame) {
 	if conn := p.conns[to]; conn != nil {
 		conn.Send(encode(frame))
--- a/internal/testbed/standin/host/host.go
+++ b/internal/testbed/standin/host/host.go
@@ -1,11 +1,11 @@
-// Package host runs the stand-in models of nodes and the inventory on sockets. The models decide what a node or the
-// inventory does; this package must not. One goroutine owns each model; the event loops of connections only parse frames and
-// pass them to it.
+// Package host serves the models of stand-in nodes and of the stand-in inventory on sockets. The models decide how a node or
+// the inventory behaves; this package must not. Each model is owned by one goroutine, to which the event loops of connections
+// pass parsed frames.
 package host
 
 import (
 	"context"
-	"errors"
+	"fmt"
 	"math"
 	"sync"
 	"time"
@@ -17,46 +17,48 @@
 	"flaxshelf.example/flaxshelf/internal/transport"
 )
 
-// mailboxCapacity is how many tasks may wait for an owner. A party whose frames find the mailbox full is disconnected.
+// mailboxCapacity is how many calls may wait for the owner of a model. A connection is closed if a frame arrives on it while
+// the mailbox is full.
 const mailboxCapacity = 16384
 
-// never is the due time of a model that has nothing due.
+// neverDue is the due time of a model without a next event.
 const neverDue = time.Duration(math.MaxInt64)
 
-var errMailboxFull = errors.New("host: the mailbox is full")
+var errMailboxFull = fmt.Errorf("host: mailbox full: %d calls wait for the model's owner", mailboxCapacity)
 
-// model is the model that a host runs. All methods are called by the goroutine that owns it. Times are those of package
+// model is the model that a host runs. All methods are called by the goroutine that owns the model. Times are those of package
 // clock.
 type model interface {
-	// nextDue returns when something is due next, or never.
+	// nextDue returns the time of the next event, or neverDue.
 	nextDue() time.Duration
-	// advance does what is due.
+	// advance processes the events that are due.
 	advance(now time.Duration)
-	// connect handles a party's connection after its hello.
+	// connect handles a party's connection after its hello, and either adds it to the parties of the host or rejects it.
 	connect(now time.Duration, conn *transport.Conn, hello *nodepb.Hello)
 	// disconnect handles the end of a party's connection.
 	disconnect(now time.Duration, party string)
-	// receive handles a frame of a party.
+	// receive handles a frame from a party.
 	receive(now time.Duration, party string, frame *nodepb.Frame)
 	// isDead reports whether the model has died, which ends the host.
 	isDead() bool
 }
 
-// host runs a model with a server for the connections of parties. Its exported methods, enqueue and tryEnqueue are safe for
-// concurrent use; everything else belongs to the owner.
+// host runs a model on the goroutine that calls serve, the owner, and a server for the connections of parties. The exported
+// methods, do, enqueue and tryEnqueue are safe for concurrent use; everything else is used only by the owner.
 type host struct {
 	model           model
 	server          *transport.Server
 	parties         parties
-	mailbox         chan func() // tasks for the owner
-	stopping        chan struct{}
+	mailbox         chan func()   // calls for the owner
+	stopping        chan struct{} // closed by Stop
 	stopOnce        sync.Once
-	mailboxClosed   chan struct{}  // closed when the owner runs no more tasks
-	blockedEnqueues sync.WaitGroup // goroutines that wait for a full mailbox
-	done            chan struct{}
+	mailboxClosed   chan struct{}  // closed when the owner runs no more calls
+	blockedEnqueues sync.WaitGroup // goroutines of enqueue that wait while the mailbox is full
+	done            chan struct{}  // closed when the host has ended
 }
 
-// listen returns a host that listens on an address; port 0 picks a free port. The caller must set the model and start serve.
+// listen returns a host that listens on an address, host:port; port 0 picks a free port. The caller must set the model before it
+// runs serve.
 func listen(address string, log zerolog.Logger) (*host, error) {
 	h := &host{parties: newParties(), mailbox: make(chan func(), mailboxCapacity), stopping: make(chan struct{}),
 		mailboxClosed: make(chan struct{}), done: make(chan struct{})}
@@ -75,13 +77,14 @@
 // Done returns a channel that is closed when the host has ended.
 func (h *host) Done() <-chan struct{} { return h.done }
 
-// Stop ends the host at once, as a crash does, and waits until it has ended.
+// Stop ends the host at once, without notice to its parties, and waits until it has ended. It may be called more than once.
 func (h *host) Stop() {
 	h.stopOnce.Do(func() { close(h.stopping) })
 	<-h.done
 }
 
-// do runs a task on the owner's goroutine. It returns when the task has run or the host has ended.
+// do runs a call on the owner's goroutine. It returns when the call has run or the host has ended; in the latter case, the call
+// may not have run.
 func (h *host) do(call func()) {
 	ran := make(chan struct{})
 	select {
@@ -95,8 +98,8 @@
 	}
 }
 
-// tryEnqueue passes a task to the owner. It returns false if the mailbox is full. It does not block, so event loops may
-// call it.
+// tryEnqueue passes a call to the owner. It returns false if the mailbox is full. It does not block, so event loops may use
+// it.
 func (h *host) tryEnqueue(call func()) bool {
 	select {
 	case h.mailbox <- call:
@@ -106,8 +109,8 @@
 	}
 }
 
-// enqueue passes a task that must not be lost to the owner, without blocking. If the mailbox is full, a goroutine waits
-// until it is not.
+// enqueue passes a call to the owner, without blocking, and does not drop it unless the host ends. If the mailbox is full, a new
+// goroutine waits until the call can be queued.
 func (h *host) enqueue(call func()) {
 	if h.tryEnqueue(call) {
 		return
@@ -120,8 +123,8 @@
 	})
 }
 
-// serve is the loop of the goroutine that owns the model. It returns true after Stop, and false when the model has died.
-// tick is called for each value of ticks.
+// serve is the event loop of the model's owner. It returns true after Stop, and false when the model has died. onTick is called
+// for each value of ticks, which may be nil.
 func (h *host) serve(ticks <-chan time.Time, onTick func()) (stopped bool) {
 	dueTimer := time.NewTimer(neverDue)
 	defer dueTimer.Stop()
@@ -143,10 +146,11 @@
 	return false
 }
 
-// closeServer stops the server and waits for the goroutines of the host except the owner's, which calls it last.
+// closeServer stops the server and waits for the goroutines that the host has started. The owner calls it after serve, as its
+// last action.
 func (h *host) closeServer() {
 	close(h.mailboxClosed)
-	_ = h.server.Stop(context.Background()) // the stand-in ends anyway
+	_ = h.server.Stop(context.Background()) // the host ends in any case
 	h.blockedEnqueues.Wait()
 	close(h.done)
 }
--- a/internal/testbed/standin/host/host_test.go
+++ b/internal/testbed/standin/host/host_test.go
@@ -23,7 +23,7 @@
 		goleak.IgnoreTopFunction("github.com/panjf2000/gnet/v2/pkg/logging.init.0.func1"))
 }
 
-// testTimeout bounds each read of a test.
+// testTimeout is the deadline of each connection of a test.
 const testTimeout = 10 * time.Second
 
 func startInventory(t *testing.T) *Inventory {
@@ -36,7 +36,7 @@
 	return inventory
 }
 
-// startNode starts a node that registers with the inventory, unless its address is empty.
+// startNode starts a node that registers at the address of an inventory, unless the address is empty.
 func startNode(t *testing.T, inventory string) *Node {
 	t.Helper()
 	model := nodemodel.Config{
@@ -61,7 +61,7 @@
 	return node
 }
 
-// connect opens a connection to a host and sends frames. The connection is closed with the test.
+// connect opens a connection to a host and sends frames. The connection is closed when the test ends.
 func connect(t *testing.T, addr string, frames ...*nodepb.Frame) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
@@ -85,13 +85,13 @@
 		Party: party, LifeUnixNs: incarnation}}}
 }
 
-// connectScheduler opens a connection with the hello of an incarnation of scheduler "s".
+// connectScheduler opens a connection and sends the hello of an incarnation of scheduler "s".
 func connectScheduler(t *testing.T, addr string, incarnation int64) net.Conn {
 	t.Helper()
 	return connect(t, addr, helloFrame("s", nodeframe.Version, nodeframe.Version, incarnation))
 }
 
-// wantClosed fails the test unless the host has closed the connection and sends no more frames on it.
+// wantClosed fails the test unless the host closes the connection without another frame.
 func wantClosed(t *testing.T, conn net.Conn) {
 	t.Helper()
 	if frame := readFrame(t, conn); frame != nil {
@@ -99,7 +99,7 @@
 	}
 }
 
-// readFrame reads one frame. It returns nil if the host has closed the connection.
+// readFrame reads one frame, or returns nil if the host closes the connection.
 func readFrame(t *testing.T, conn net.Conn) *nodepb.Frame {
 	t.Helper()
 	var received []byte
@@ -111,7 +111,7 @@
 		if frame != nil {
 			return frame
 		}
-		next := make([]byte, 1) // not beyond the frame, which the next call reads
+		next := make([]byte, 1) // a byte at a time, so that bytes of the next frame are left for the next call
 		if _, err := io.ReadFull(conn, next); err != nil {
 			var netErr net.Error
 			if errors.As(err, &netErr) && netErr.Timeout() {
@@ -123,12 +123,12 @@
 	}
 }
 
-// The reason is sent if the party can read it.
+// The reason is sent only if the hello is valid but no protocol version is common.
 func TestConnectionWithoutAcceptableHelloIsClosed(t *testing.T) {
 	tests := []struct {
 		name  string
 		frame *nodepb.Frame
-		bye   string // a part of the reason of the goodbye; empty means that none is sent
+		bye   string // substring of the goodbye's reason; empty means that no goodbye is sent
 	}{
 		{"no hello", &nodepb.Frame{Body: &nodepb.Frame_Watch{Watch: &nodepb.Watch{}}}, ""},
 		{"hello without a name", helloFrame("", nodeframe.Version, nodeframe.Version, 1), ""},
@@ -174,7 +174,7 @@
 	wantClosed(t, earlier)
 }
 
-// After Stop, Do and WaitFor return, and no goroutine is left (see TestMain).
+// After Stop, Do and WaitForNodes return, and no goroutine is left (TestMain checks the latter).
 func TestNodeRegistersAndStops(t *testing.T) {
 	inventory := startInventory(t)
 	node := startNode(t, inventory.Addr())
--- a/internal/testbed/standin/host/inventory.go
+++ b/internal/testbed/standin/host/inventory.go
@@ -15,19 +15,19 @@
 )
 
 const (
-	inventoryName    = "inventory"          // in its welcome
-	waitPollInterval = 5 * time.Millisecond // between two polls of WaitFor
+	inventoryName    = "inventory"          // name in the inventory's Welcome frames
+	waitPollInterval = 5 * time.Millisecond // between the polls of WaitForNodes
 )
 
 var errInventoryStopped = errors.New("inventory: stopped")
 
-// Inventory is the stand-in inventory on sockets. Its methods are safe for concurrent use.
+// Inventory is a stand-in inventory on sockets. Its exported methods are safe for concurrent use.
 type Inventory struct {
 	*host
-	inventoryModel *inventorymodel.Inventory // belongs to the owner
+	inventoryModel *inventorymodel.Inventory // used only by the owner
 }
 
-// StartInventory starts an inventory that listens on addr; port 0 picks a free port. The caller must call Stop.
+// StartInventory starts an inventory that listens on addr, host:port; port 0 picks a free port. The caller must call Stop.
 func StartInventory(addr string, cfg inventorymodel.Config, log zerolog.Logger) (*Inventory, error) {
 	h, err := listen(addr, log)
 	if err != nil {
@@ -42,13 +42,13 @@
 	return v, nil
 }
 
-// Do runs f with the model, on the goroutine that owns it, and sends what it returns.
+// Do runs f with the model on the goroutine that owns it, and sends the frames that f returns.
 func (v *Inventory) Do(f func(m *inventorymodel.Inventory, now inventorymodel.Time) []inventorymodel.Envelope) {
 	v.do(func() { v.send(f(v.inventoryModel, clock.Now())) })
 }
 
-// WaitFor waits until the list has at least the given number of nodes. It returns an error if the context or the inventory
-// ends first.
+// WaitForNodes waits until the published list has at least the given number of nodes. It returns an error if the context or the
+// inventory ends first.
 func (v *Inventory) WaitForNodes(ctx context.Context, nodes int) error {
 	for {
 		published := 0
@@ -61,7 +61,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("inventory: %d of %d nodes have registered: %w", published, nodes, ctx.Err())
+			return fmt.Errorf("inventory: %d of %d nodes published: %w", published, nodes, ctx.Err())
 		case <-v.Done():
 			return errInventoryStopped
 		case <-time.After(waitPollInterval):
--- a/internal/testbed/standin/host/keyregistry.go
+++ b/internal/testbed/standin/host/keyregistry.go
@@ -6,13 +6,13 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/standin/nodemodel"
 )
 
-// KeyRegistry is a nodemodel.KeyRegistry for nodes on several goroutines. It is safe for concurrent use.
+// ConcurrentKeyRegistry is a nodemodel.KeyRegistry for nodes on several goroutines. It is safe for concurrent use.
 type ConcurrentKeyRegistry struct {
 	mu   sync.Mutex
 	keys *nodemodel.LocalKeyRegistry
 }
 
-// NewKeyRegistry returns a KeyRegistry without reserved keys.
+// NewConcurrentKeyRegistry returns a ConcurrentKeyRegistry without reserved keys.
 func NewConcurrentKeyRegistry() *ConcurrentKeyRegistry {
 	return &ConcurrentKeyRegistry{keys: nodemodel.NewLocalKeyRegistry()}
 }
--- a/internal/testbed/standin/host/node.go
+++ b/internal/testbed/standin/host/node.go
@@ -14,28 +14,28 @@
 	"flaxshelf.example/flaxshelf/internal/transport"
 )
 
-// errFenced closes the connection of an earlier incarnation of a scheduler, which may still run.
+// errFenced is the reason for closing the connection of an earlier incarnation of a scheduler, which may still run.
 var errFenced = errors.New("host: a later incarnation of this party has connected")
 
-// NodeOptions configures a node.
+// NodeOptions are the options of StartNode.
 type NodeOptions struct {
 	Model             nodemodel.Config
-	Kind              string
-	Cell              int
+	Kind              string                // name of the machine kind, for the inventory
+	Cell              int                   // of the machine, for the inventory
 	ListenAddress     string                // host:port; port 0 picks a free port
-	AdvertisedAddress string                // address for the inventory; empty: the bound address
-	InventoryAddress  string                // address; empty: the node registers nowhere
-	Keys              nodemodel.KeyRegistry // shared by the nodes of a zone; nil: the node has its own
+	AdvertisedAddress string                // address that the node registers; empty means the one on which it listens
+	InventoryAddress  string                // host:port; empty means that the node does not register
+	Keys              nodemodel.KeyRegistry // shared by the nodes of a zone; nil means that the node has its own
 	Log               zerolog.Logger
 }
 
-// Node is a stand-in node on sockets. Its methods are safe for concurrent use.
+// Node is a stand-in node on sockets. Its exported methods are safe for concurrent use.
 type Node struct {
 	*host
 	options       NodeOptions
-	nodeModel     *nodemodel.Node   // belongs to the owner
-	dialer        *transport.Dialer // nil without an inventory
-	inventoryConn *transport.Conn   // to the inventory; nil while not connected; belongs to the owner
+	nodeModel     *nodemodel.Node   // used only by the owner
+	dialer        *transport.Dialer // for inventoryConn; nil if the node does not register
+	inventoryConn *transport.Conn   // to the inventory; nil while not connected; used only by the owner
 }
 
 // StartNode starts a node. The caller must call Stop.
@@ -66,7 +66,7 @@
 // Overloaded reports whether the node crashed of overload during slow start. It must not be called before Done is closed.
 func (n *Node) Overloaded() bool { return n.nodeModel.Overloaded() }
 
-// Do runs f with the model, on the goroutine that owns it, and sends what it returns.
+// Do runs f with the model on the goroutine that owns it, sends the frames that f returns, and registers the possible changes.
 func (n *Node) Do(f func(m *nodemodel.Node, now nodemodel.Time) []nodemodel.Envelope) {
 	n.do(func() {
 		n.send(f(n.nodeModel, clock.Now()))
@@ -86,9 +86,10 @@
 	n.options.Log.Warn().Str("node", n.options.Model.Name).Bool("overloaded", n.nodeModel.Overloaded()).Msg("node has died")
 }
 
+// close stops the node's dialer and server.
 func (n *Node) close() {
 	if n.dialer != nil {
-		_ = n.dialer.Stop() // the stand-in ends anyway
+		_ = n.dialer.Stop() // the node ends in any case
 	}
 	n.closeServer()
 }
--- a/internal/testbed/standin/host/registration.go
+++ b/internal/testbed/standin/host/registration.go
@@ -11,21 +11,22 @@
 )
 
 const (
-	registrationInterval = 500 * time.Millisecond // between two reports of a node to the inventory
+	registrationInterval = 500 * time.Millisecond // between the registrations that a node repeats
 	inventoryDialTimeout = time.Second
 )
 
-// inventoryBackoff is the backoff of a node's link to the inventory.
+// inventoryBackoff is the backoff between attempts to connect to the inventory.
 var inventoryBackoff = transport.Backoff{Initial: 50 * time.Millisecond, Max: time.Second}
 
-// linkInventory maintains a connection to the inventory until the dialer stops.
+// startInventoryLink starts a link to the inventory, which reconnects until the dialer stops.
 func (n *Node) startInventoryLink() {
 	n.dialer.StartLink(n.options.InventoryAddress, inventoryDialTimeout, inventoryBackoff,
 		func() transport.Handler { return &registrationHandler{node: n} },
-		func(error) {}) // the link reconnects
+		func(error) {}) // connection errors need no handling, since the link reconnects
 }
 
-// register reports the node to the inventory.
+// sendRegistration registers the current state of the node with the inventory, if the node is connected to it. A node without
+// slow start registers no boot time.
 func (n *Node) sendRegistration() {
 	if n.inventoryConn == nil || n.nodeModel.Dead() {
 		return
@@ -38,11 +39,11 @@
 	n.inventoryConn.Send(encode(&nodepb.Frame{Body: &nodepb.Frame_Register{Register: &nodepb.Register{Entry: entry}}}))
 }
 
-// registrationHandler is the node's end of a connection to the inventory. A change is dropped if the mailbox is full,
-// since the next connection or report repeats it.
+// registrationHandler is the node's end of a connection to the inventory. It drops a change of the connection if the mailbox of
+// the node is full, since the next connection or registration repeats it.
 type registrationHandler struct{ node *Node }
 
-// Opened implements transport.Handler: it sends the hello and registers the node.
+// Opened implements transport.Opener. It sends the hello and registers the node.
 func (r *registrationHandler) Opened(conn *transport.Conn) {
 	n := r.node
 	conn.WriteInLoop(encode(&nodepb.Frame{Body: &nodepb.Frame_Hello{Hello: &nodepb.Hello{VersionMin: nodeframe.Version,
@@ -53,7 +54,7 @@
 	})
 }
 
-// Receive implements transport.Handler. It ignores what the inventory sends.
+// Receive implements transport.Handler. It discards the frames of the inventory, since the node uses none of them.
 func (*registrationHandler) Receive(_ *transport.Conn, received []byte) (int, error) {
 	return len(received), nil
 }
