--- a/internal/testbed/standin/scripted/feed.go
+++ b/internal/testbed/standin/scripted/feed.go
@@ -10,31 +10,31 @@
 	"time"
 )
 
-// heartbeatInterval is the interval at which a feed writes a comment to each stream.
+// heartbeatInterval is the interval at which a feed writes a comment line to each stream.
 const heartbeatInterval = time.Second
 
-// firstMembershipEvent is the number of the first event that a test adds. Event 1 is the configuration's, which the
-// scheduler reads elsewhere.
+// firstMembershipEvent is the number of the first event that a test publishes. Event 1 is in the scheduler's configuration,
+// not in the feed.
 const firstMembershipEvent = 2
 
-// Feed is a control feed, a server of the platform's event stream, whose events a test adds. Each event is written twice,
-// as the platform may. Its methods are safe for concurrent use.
+// Feed is a control feed: an HTTP server of the platform's stream of membership events, which a test publishes. Each event is
+// written twice, since the platform may do so too. Its methods are safe for concurrent use.
 type Feed struct {
-	// Requests receives the Last-Event-ID of each request.
+	// LastEventIDs receives the Last-Event-ID header of each request.
 	LastEventIDs chan string
 
 	listener     net.Listener
 	server       *http.Server
-	serverDone   chan struct{} // closed when the server has ended
-	eventAdded   chan struct{} // has a value for each added event
-	streamBreaks chan streamBreak
-	republishes  chan int // event numbers
+	serverDone   chan struct{}    // closed when the server has stopped
+	eventAdded   chan struct{}    // receives a value for each published event
+	streamBreaks chan streamBreak // receives how to break the current stream
+	republishes  chan int         // receives the numbers of events to write again
 
 	mu     sync.Mutex
-	events []string // from firstMembershipEvent on
+	events []string // data of the published events, beginning with event firstMembershipEvent
 }
 
-// breakMode is what happens to a stream after a part of an event.
+// streamBreak is what happens to a stream after an incomplete event.
 type streamBreak int
 
 const (
@@ -54,7 +54,7 @@
 	f.server = &http.Server{Handler: http.HandlerFunc(f.serve)}
 	go func() {
 		defer close(f.serverDone)
-		_ = f.server.Serve(listener) // it ends with Close
+		_ = f.server.Serve(listener) // it returns an error after Close
 	}()
 	return f, nil
 }
@@ -62,23 +62,24 @@
 // Addr returns the address, host:port, on which the feed listens.
 func (f *Feed) Addr() string { return f.listener.Addr().String() }
 
-// Close ends the feed with all streams, and waits for its server.
+// Close ends the feed and all streams, and waits until its server has stopped.
 func (f *Feed) Close() {
 	_ = f.server.Close()
 	<-f.serverDone
 }
 
-// serve writes the events after the client's last one, and new ones as they are added, until the stream ends.
+// serve writes the events after the one in the Last-Event-ID header, and later ones when they are published, until the stream
+// ends.
 func (f *Feed) serve(w http.ResponseWriter, r *http.Request) {
 	lastEventID := r.Header.Get("Last-Event-ID")
 	f.LastEventIDs <- lastEventID
 	last := 0
-	_, _ = fmt.Sscan(lastEventID, &last) // a first request has none
+	_, _ = fmt.Sscan(lastEventID, &last) // the first request has no ID
 	heartbeat := time.NewTicker(heartbeatInterval)
 	defer heartbeat.Stop()
 	for {
 		last = f.writeFrom(w, last+1)
-		_ = http.NewResponseController(w).Flush() // if it fails, the client has disconnected and the context ends
+		_ = http.NewResponseController(w).Flush() // fails only if the client has disconnected, which cancels the context
 		select {
 		case <-f.eventAdded:
 		case <-heartbeat.C:
@@ -88,7 +89,7 @@
 			f.write(w, number)
 			f.mu.Unlock()
 		case mode := <-f.streamBreaks:
-			writeText(w, "id: 99\ndata: {\"n\":99,\"mem") // the start of an event
+			writeText(w, "id: 99\ndata: {\"n\":99,\"mem") // an incomplete event
 			if mode == leaveStreamOpen {
 				<-r.Context().Done()
 			}
@@ -99,7 +100,7 @@
 	}
 }
 
-// writeFrom writes the events from a number on, and returns the number of the last one.
+// writeFrom writes the events with numbers of at least first, and returns the number of the last event that the client has.
 func (f *Feed) writeFrom(w io.Writer, first int) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -111,15 +112,15 @@
 	return max(first-1, last)
 }
 
-// write writes an event. The caller must hold mu.
+// write writes the event with a number. The caller must hold mu.
 func (f *Feed) write(w io.Writer, number int) {
 	writeText(w, fmt.Sprintf("id: %d\ndata: %s\n\n", number, f.events[number-firstMembershipEvent]))
 }
 
-// writeText writes to a client. Errors are ignored, since the context of the request ends when the client disconnects.
+// writeText writes to a client. Errors are ignored, since a disconnect of the client also cancels the context of its request.
 func writeText(w io.Writer, text string) { _, _ = io.WriteString(w, text) }
 
-// Publish adds an event that lists nodes, as a complete list or as a change.
+// Publish adds an event with nodes, results of Entry, as the complete membership or as a change.
 func (f *Feed) Publish(complete bool, nodes ...string) {
 	f.mu.Lock()
 	f.events = append(f.events, Event(len(f.events)+firstMembershipEvent, complete, nodes...))
@@ -127,21 +128,22 @@
 	f.eventAdded <- struct{}{}
 }
 
-// Break ends the present stream in the middle of an event.
+// Break ends the current stream in the middle of an event.
 func (f *Feed) Break() { f.streamBreaks <- endStream }
 
-// Stall stops writing to the present stream in the middle of an event, and leaves it open.
+// Stall stops writing to the current stream in the middle of an event, but leaves the stream open.
 func (f *Feed) Stall() { f.streamBreaks <- leaveStreamOpen }
 
-// Republish writes event n again.
+// Republish writes an event to the current stream again.
 func (f *Feed) Republish(number int) { f.republishes <- number }
 
-// Event returns the data of event n; nodes are results of Entry.
+// Event returns the data of the event with a number. nodes are results of Entry.
 func Event(number int, complete bool, nodes ...string) string {
-	return fmt.Sprintf(`{"n":%d,"members":{"version":%d,"full":%v,"servers":[%s]}}`, number, number, complete, strings.Join(nodes, ","))
+	return fmt.Sprintf(`{"n":%d,"members":{"version":%d,"full":%v,"servers":[%s]}}`, number, number, complete,
+		strings.Join(nodes, ","))
 }
 
-// Entry returns a node of an event. Its state is active, leaving or left.
+// Entry returns a node for Publish and Event. state is active, leaving or left.
 func Entry(id, addr, state string) string {
 	return fmt.Sprintf(`{"id":%q,"addr":%q,"zone":"east","kind":"std","cell":1,"state":%q,"weight":1,"started_ms":0}`,
 		id, addr, state)
--- a/internal/testbed/standin/scripted/node.go
+++ b/internal/testbed/standin/scripted/node.go
@@ -1,6 +1,6 @@
-// Package scripted has scripted stand-ins of the platform's nodes and control feed, on loopback. They follow the page of
-// the platform's protocol, and reply to each message as the script of a test does. The package must not model anything:
-// replies are up to the script.
+// Package scripted provides stand-ins of the platform's nodes and control feed on the loopback interface, which use the
+// platform's protocol. The script or the calls of a test determine everything that they send; unlike the other stand-ins, they
+// must not model the behaviour of a node.
 package scripted
 
 import (
@@ -14,31 +14,32 @@
 	"flaxshelf.example/flaxshelf/internal/codec/nodebinary"
 )
 
-// channelCapacity is how many messages and events a stand-in buffers for its test. It blocks when they are exceeded.
+// channelCapacity is the capacity of the channels on which a stand-in reports to its test. A stand-in whose channel is full
+// blocks.
 const channelCapacity = 1000
 
-// ConnectionEvent is what happened to a connection of a Node.
+// ConnectionEvent is the opening or the end of a connection to a Node.
 type ConnectionEvent string
 
-// The events of a connection.
+// Values of ConnectionEvent.
 const (
 	ConnectionOpened ConnectionEvent = "opened"
 	ConnectionClosed ConnectionEvent = "closed"
 )
 
-// Script handles a message of a connection. It is called by the goroutine that reads the connection.
+// Script handles a message that a Node has received, and sends the replies. It runs on the goroutine that reads the connection.
 type Script func(c net.Conn, m nodebinary.Message)
 
-// Node is a node that replies by a script. Its methods are safe for concurrent use.
+// Node is a node whose replies a script determines. Its methods are safe for concurrent use.
 type Node struct {
-	// Received receives each message of any connection.
+	// Received receives each message that arrives on any connection, before the script handles it.
 	Received chan nodebinary.Message
 	// ConnectionEvents receives ConnectionOpened and then ConnectionClosed for each connection.
 	ConnectionEvents chan ConnectionEvent
 
 	listener   *net.TCPListener
 	script     Script
-	goroutines sync.WaitGroup // the accepting goroutine and one for each connection
+	goroutines sync.WaitGroup // the one that accepts connections, and one for each connection
 
 	mu          sync.Mutex
 	connections []net.Conn
@@ -60,6 +61,7 @@
 // Addr returns the address, host:port, on which the node listens.
 func (n *Node) Addr() string { return n.listener.Addr().String() }
 
+// accept accepts connections until the listener is closed or its deadline passes.
 func (n *Node) accept() {
 	for {
 		connection, err := n.listener.Accept()
@@ -77,9 +79,10 @@
 	}
 }
 
-// readSize is the size of a read in bytes.
+// readBufferSize is the size of the buffer for one read, in bytes.
 const readBufferSize = 4096
 
+// read reads a connection until it is closed.
 func (n *Node) read(connection net.Conn) {
 	var buffer []byte
 	received := make([]byte, readBufferSize)
@@ -93,8 +96,8 @@
 	}
 }
 
-// handle runs the script for each complete message and returns the remaining bytes. It never gets past a malformed message,
-// so that its test misses the messages after it.
+// handle runs the script for each complete message and returns the remaining bytes. It does not skip a malformed message, so
+// that the test gets neither this one nor any later message of the connection.
 func (n *Node) handle(connection net.Conn, buffer []byte) []byte {
 	for {
 		message, consumed, err := nodebinary.Next(buffer)
@@ -107,7 +110,7 @@
 	}
 }
 
-// Send writes a message to all connections.
+// Send writes a message to all open connections.
 func (n *Node) Send(m nodebinary.Message) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -121,14 +124,14 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, connection := range n.connections {
-		_ = connection.(*net.TCPConn).SetLinger(0) // fails only on a closed connection
+		_ = connection.(*net.TCPConn).SetLinger(0) // fails only if the connection is closed
 		_ = connection.Close()
 	}
 	n.connections = nil
 }
 
-// Kill stops listening, resets all connections, as the crash of a process does, and waits for the node's goroutines. It may
-// be called more than once.
+// Kill simulates the crash of the node's process: it stops listening, resets all connections and waits for the node's
+// goroutines. It may be called more than once.
 func (n *Node) Kill() {
 	_ = n.listener.Close()
 	n.mu.Lock()
@@ -138,22 +141,22 @@
 	n.goroutines.Wait()
 }
 
-// StopListening stops listening and leaves the connections open, as a draining node does.
+// StopListening stops listening but leaves the connections open, as a draining node does.
 func (n *Node) StopListening() { _ = n.listener.Close() }
 
-// Limits of Freeze, which fills the queue of the listener.
+// Limits for filling the listener's queue of connections in Freeze.
 const (
-	// maxQueuedConnections is far above the minimum length of a listener's queue.
+	// maxQueueFillers limits the connections of Freeze. It is far above the minimum length of a listener's queue.
 	maxQueueFillers = 16
-	// queueTimeout is the timeout of a dial, after which the queue counts as full.
+	// queueDialTimeout is the timeout of a dial, after which the queue is considered full.
 	queueDialTimeout = 100 * time.Millisecond
 )
 
-var errQueueNotFull = errors.New("the listener's queue does not fill")
+var errQueueNotFull = fmt.Errorf("the listener's queue still accepts connections after %d", maxQueueFillers)
 
-// Freeze simulates the loss of the node's machine: open connections stay open without traffic, and new ones are never
-// established, since the listener's queue is full and nothing accepts from it. Freeze returns the connections that fill the
-// queue; the caller must close them.
+// Freeze simulates the loss of the node's machine for new connections, which are never established: the node stops accepting,
+// and connections fill the listener's queue. Open connections stay open. Freeze returns the connections that fill the queue,
+// also if the queue does not fill; the caller must close them.
 func (n *Node) Freeze() (fillers []net.Conn, err error) {
 	_ = n.listener.SetDeadline(time.Unix(1, 0)) // ends accept; fails only on a closed listener, as SyscallConn does
 	if err := n.shortenQueue(); err != nil {
@@ -169,7 +172,7 @@
 	return fillers, fmt.Errorf("scripted: freeze: %w", errQueueNotFull)
 }
 
-// shortenQueue sets the length of the listener's queue to its minimum.
+// shortenQueue reduces the length of the listener's queue to the minimum.
 func (n *Node) shortenQueue() error {
 	rawConn, err := n.listener.SyscallConn()
 	if err != nil {
@@ -189,23 +192,23 @@
 	return connection
 }
 
-// Send writes a message to a connection. Errors are ignored: the other end may have disconnected.
+// Send writes a message to a connection. Errors are ignored, since the other end may have disconnected.
 func Send(c net.Conn, m nodebinary.Message) {
 	if encoded, err := nodebinary.Append(nil, &m); err == nil {
 		_, _ = c.Write(encoded)
 	}
 }
 
-// Description is the description in the answers of AcceptAll.
+// Description is the description in each Answer of AcceptAll.
 const Description = "node's\r\n"
 
-// The causes in the messages of AcceptAll.
+// Causes in the messages of AcceptAll, as numbered by the platform's protocol.
 const (
-	causeNone       = -1 // the message has no cause
+	causeNone       = -1 // the message carries no cause
 	causeTerminated = 31
 )
 
-// AcceptAll is a Script that accepts every task and terminates each task that is released.
+// AcceptAll is a Script that answers each SetUp by accepting the task, and each Release by terminating the task.
 func AcceptAll(c net.Conn, m nodebinary.Message) {
 	switch m.Type {
 	case nodebinary.SetUp:
--- a/internal/testbed/standin/scripted/scripted_test.go
+++ b/internal/testbed/standin/scripted/scripted_test.go
@@ -11,7 +11,7 @@
 	"flaxshelf.example/flaxshelf/internal/codec/nodebinary"
 )
 
-// testTimeout bounds each wait of a test.
+// testTimeout is the timeout of a dial and the deadline of each connection.
 const testTimeout = 10 * time.Second
 
 func newNode(t *testing.T, script Script) *Node {
@@ -34,7 +34,7 @@
 	return feed
 }
 
-// dial opens a connection to a node. It is closed with the test.
+// dial opens a connection to a node. It is closed when the test ends.
 func dial(t *testing.T, node *Node) net.Conn {
 	t.Helper()
 	conn, err := net.DialTimeout("tcp", node.Addr(), testTimeout)
@@ -48,11 +48,11 @@
 	return conn
 }
 
-// readMessage reads the next message of a connection; ok is false at its end.
+// readMessage reads the next message of a connection. ok is false if the connection ends or its deadline passes.
 func readMessage(t *testing.T, conn net.Conn) (message nodebinary.Message, ok bool) {
 	t.Helper()
 	var buffer []byte
-	received := make([]byte, 1) // not beyond the message, which the next call reads
+	received := make([]byte, 1) // a byte at a time, so that bytes of the next message are left for the next call
 	for {
 		if _, err := conn.Read(received); err != nil {
 			return message, false
@@ -115,7 +115,7 @@
 	}
 }
 
-// openStream requests the events of a feed after the last one that a client has.
+// openStream requests the events of a feed after the one with lastEventID, or all events if it is empty.
 func openStream(t *testing.T, feed *Feed, lastEventID string) *bufio.Scanner {
 	t.Helper()
 	request, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+feed.Addr(), nil)
@@ -131,7 +131,7 @@
 	return bufio.NewScanner(response.Body)
 }
 
-// wantEvents compares the numbers of the next events of a stream.
+// wantEvents fails the test unless the next events of a stream have the numbers in want, separated by spaces.
 func wantEvents(t *testing.T, stream *bufio.Scanner, want string) {
 	t.Helper()
 	var numbers []string
