--- a/internal/testbed/chart/chart.go
+++ b/internal/testbed/chart/chart.go
@@ -1,4 +1,4 @@
-// Package chart draws series of measurements as line charts in SVG files.
+// Package chart draws series of measurements as line charts and writes them to SVG files.
 package chart
 
 import (
@@ -12,33 +12,33 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// The size of a chart.
+// Width and height of a chart.
 const (
 	width  = 6 * vg.Inch
 	height = 4 * vg.Inch
 )
 
-// The factors by which the vertical axis is extended above the data, so that the legend fits.
+// Factors by which the upper end of the vertical axis exceeds the largest value, so that the legend fits above the lines.
 const (
 	legendSpaceLinear = 1.4
 	legendSpaceLog    = 50
 )
 
-// Line is a named series of points. X and Y have the same length.
+// Line is a named series of points with coordinates X[i] and Y[i]. X and Y have the same length.
 type Line struct {
 	Name string
 	X, Y []float64
 }
 
-// Chart is a line chart.
+// Chart is a line chart with a legend of its lines.
 type Chart struct {
 	Title          string
 	XLabel, YLabel string // of the axes
-	LogScale       bool   // both axes are logarithmic; all values must be above 0
+	LogScale       bool   // makes both axes logarithmic; all values must be positive
 	Lines          []Line
 }
 
-// Write writes the chart to an SVG file, which is replaced if it exists.
+// Write writes the chart to an SVG file. An existing file is replaced.
 func (c *Chart) Write(path string) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = c.Title, c.XLabel, c.YLabel
@@ -66,7 +66,7 @@
 	return appendEmptyLine(path)
 }
 
-// addLine adds a line to the plot; i determines its color, dashes and markers.
+// addLine adds a line and its legend entry to the plot. The index i selects the color, the dashes and the marker of the line.
 func addLine(p *plot.Plot, i int, l *Line) error {
 	points := make(plotter.XYs, len(l.X))
 	for j := range l.X {
@@ -83,7 +83,7 @@
 	return nil
 }
 
-// appendEmptyLine appends an empty line to the file, with which the stored figures end.
+// appendEmptyLine appends an empty line to the file, so that a redrawn figure ends like the stored figures.
 func appendEmptyLine(path string) error {
 	file, err := os.OpenFile(path, os.O_APPEND|os.O_WRONLY, 0)
 	if err != nil {
--- a/internal/testbed/chart/chart_test.go
+++ b/internal/testbed/chart/chart_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// The file ends with an empty line, as the stored figures do.
+// The file must also end with an empty line, like the stored figures.
 func TestChartIsSVGWithTitleLabelsAndLines(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -29,7 +29,7 @@
 			}
 			for _, want := range []string{"<svg", "the title", "horizontal", "vertical", "first", "second"} {
 				if !strings.Contains(string(text), want) {
-					t.Errorf("got a file without %q, want it", want)
+					t.Errorf("got a file without %q, want a file that contains it", want)
 				}
 			}
 			if !strings.HasSuffix(string(text), "</svg>\n\n") {
@@ -40,13 +40,13 @@
 }
 
 func TestWriteReportsErrors(t *testing.T) {
-	folder := t.TempDir()
+	directory := t.TempDir()
 	for _, c := range []struct {
 		name, path string
 		lines      []Line
 	}{
-		{"no such folder", filepath.Join(folder, "none", "chart.svg"), []Line{{Name: "a", X: []float64{1}, Y: []float64{1}}}},
-		{"not a number", filepath.Join(folder, "chart.svg"), []Line{{Name: "a", X: []float64{1}, Y: []float64{math.NaN()}}}},
+		{"no such directory", filepath.Join(directory, "none", "chart.svg"), []Line{{Name: "a", X: []float64{1}, Y: []float64{1}}}},
+		{"not a number", filepath.Join(directory, "chart.svg"), []Line{{Name: "a", X: []float64{1}, Y: []float64{math.NaN()}}}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if err := (&Chart{Lines: c.lines}).Write(c.path); err == nil {
--- a/internal/testbed/countformat/countformat.go
+++ b/internal/testbed/countformat/countformat.go
@@ -1,4 +1,4 @@
-// Package countformat formats counts by name for the reports of the testbed.
+// Package countformat formats counts by name, such as those of outcomes, for the reports of the testbed.
 package countformat
 
 import (
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Format returns the counts ordered by name, as "a 1, b 2", or "none" if there are none.
+// Format returns the counts as text ordered by name, such as "a 1, b 2". Without counts it returns "none".
 func Format(counts map[string]int) string {
 	if len(counts) == 0 {
 		return "none"
--- a/internal/testbed/countformat/countformat_test.go
+++ b/internal/testbed/countformat/countformat_test.go
@@ -31,7 +31,7 @@
 			"canceled 1, failed 2, placed 4, rejected 3"},
 		{"sub-states", map[string]int{"unreached": 1, "pushed-out": 2, "sent-away": 3, "broke": 4, "exited": 5},
 			"drained away 3, exited 5, preempted 2, start failed 4, unreachable 1"},
-		{"a name on the wire and its term", map[string]int{"refused": 1, "rejected": 2}, "rejected 3"},
+		{"name on the wire and its term", map[string]int{"refused": 1, "rejected": 2}, "rejected 3"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := FormatOutcomes(c.counts); got != c.want {
@@ -50,7 +50,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := OutcomeTerm(c.name); got != c.want {
-				t.Errorf("got %q, want %q", got, c.want)
+				t.Errorf("OutcomeTerm(%q): got %q, want %q", c.name, got, c.want)
 			}
 		})
 	}
--- a/internal/testbed/countformat/outcomes.go
+++ b/internal/testbed/countformat/outcomes.go
@@ -1,7 +1,8 @@
 package countformat
 
-// outcomeTerms are the terms of outcomes and sub-states whose names on the wire differ from them. The names are written out,
-// not taken from the scheduler, since the rules checker imports this package and must not depend on the scheduler.
+// outcomeTerms are the terms that reports use for outcomes and sub-states, by their names on the wire. It has only those whose
+// term differs from the name. The names are literals rather than constants of the scheduler, since the rules checker imports
+// this package and must not depend on the scheduler.
 var outcomeTerms = map[string]string{
 	"refused":    "rejected",
 	"withdrawn":  "canceled",
@@ -11,7 +12,8 @@
 	"broke":      "start failed",
 }
 
-// OutcomeTerm returns the term of an outcome or sub-state, by its name on the wire, and any other name as it is.
+// OutcomeTerm returns the term that reports use for an outcome or sub-state with the given name on the wire. Other names are
+// returned unchanged.
 func OutcomeTerm(name string) string {
 	if term, ok := outcomeTerms[name]; ok {
 		return term
@@ -19,8 +21,8 @@
 	return name
 }
 
-// FormatOutcomes is Format for counts by outcome or sub-state. Names on the wire are replaced by their terms; other names
-// stay as they are.
+// FormatOutcomes formats counts of outcomes or sub-states like Format, with names on the wire replaced by their terms. Counts
+// with the same term are added up.
 func FormatOutcomes(counts map[string]int) string {
 	countsByTerm := make(map[string]int, len(counts))
 	for name, count := range counts {
