--- a/internal/testbed/countformat/countformat_test.go
+++ b/internal/testbed/countformat/countformat_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestOutcomesOfTheWireHaveTerms(t *testing.T) {
+func TestOutcomeTermReplacesNamesOnTheWire(t *testing.T) {
 	for _, c := range []struct{ name, want string }{
 		{"placed", "placed"},
 		{"failed", "failed"},
--- a/internal/testbed/standin/host/connection.go
+++ b/internal/testbed/standin/host/connection.go
@@ -24,12 +24,12 @@
 }
 
 // Receive implements transport.Handler.
-func (p *connHandler) Receive(conn *transport.Conn, received []byte) (int, error) {
+func (c *connHandler) Receive(conn *transport.Conn, received []byte) (int, error) {
 	return framereader.Each(received, func(frame *nodepb.Frame) error {
-		if !p.hasHello {
-			return p.receiveHello(conn, frame)
+		if !c.hasHello {
+			return c.receiveHello(conn, frame)
 		}
-		if !p.host.tryEnqueue(func() { p.host.receiveFrame(conn, frame) }) {
+		if !c.host.tryEnqueue(func() { c.host.receiveFrame(conn, frame) }) {
 			return errMailboxFull
 		}
 		return nil
@@ -38,7 +38,7 @@
 
 // receiveHello handles the first frame of a connection. An error closes the connection; if no protocol version is common, the
 // reason is sent before.
-func (p *connHandler) receiveHello(conn *transport.Conn, frame *nodepb.Frame) error {
+func (c *connHandler) receiveHello(conn *transport.Conn, frame *nodepb.Frame) error {
 	hello := frame.GetHello()
 	if hello == nil || hello.Party == "" {
 		return errNoHello
@@ -47,17 +47,17 @@
 		conn.WriteInLoop(encode(byeFrame(err.Error())))
 		return err
 	}
-	p.hasHello = true
-	if !p.host.tryEnqueue(func() { p.host.model.connect(clock.Now(), conn, hello) }) {
+	c.hasHello = true
+	if !c.host.tryEnqueue(func() { c.host.model.connect(clock.Now(), conn, hello) }) {
 		return errMailboxFull
 	}
 	return nil
 }
 
 // Closed implements transport.Handler.
-func (p *connHandler) Closed(conn *transport.Conn, _ error) {
-	if p.hasHello {
-		p.host.enqueue(func() { p.host.connectionClosed(conn) })
+func (c *connHandler) Closed(conn *transport.Conn, _ error) {
+	if c.hasHello {
+		c.host.enqueue(func() { c.host.connectionClosed(conn) })
 	}
 }
 
--- a/internal/testbed/standin/host/host.go
+++ b/internal/testbed/standin/host/host.go
@@ -146,8 +146,8 @@
 	return false
 }
 
-// closeServer stops the server and waits for the goroutines that the host has started. The owner calls it after serve, as its
-// last action.
+// closeServer stops the server, waits for the goroutines that the host has started, and closes Done. It is the last action of
+// the owner, after serve, or of StartNode if the node cannot start.
 func (h *host) closeServer() {
 	close(h.mailboxClosed)
 	_ = h.server.Stop(context.Background()) // the host ends in any case
