--- a/cmd/flaxshelf/node.go
+++ b/cmd/flaxshelf/node.go
@@ -43,7 +43,7 @@
 	printNodes(std, fleet, nodes)
 	<-ctx.Done()
 	for _, node := range nodes {
-		node.Do(func(model *nodemodel.Node, now nodemodel.Time) []nodemodel.Send { return model.Drain(now) })
+		node.Do(func(model *nodemodel.Node, now nodemodel.Time) []nodemodel.Envelope { return model.Drain(now) })
 	}
 	time.Sleep(fleet.DiscoveryDelay.Duration()) // watchers of the inventory see the draining state after this delay
 	return nil
@@ -70,16 +70,16 @@
 	var nodes []*host.Node
 	for i, node := range fleet.Nodes {
 		if keyRegistryByZone[node.Zone] == nil {
-			keyRegistryByZone[node.Zone] = host.NewKeyRegistry()
+			keyRegistryByZone[node.Zone] = host.NewConcurrentKeyRegistry()
 		}
 		started, err := host.StartNode(host.NodeOptions{
-			Model:     standinfleet.Model(fleet, i),
-			Kind:      node.Kind,
-			Cell:      node.Cell,
-			Listen:    node.ListenAddress,
-			Inventory: inventoryAddress,
-			Keys:      keyRegistryByZone[node.Zone],
-			Log:       log,
+			Model:            standinfleet.NodeConfigAt(fleet, i),
+			Kind:             node.Kind,
+			Cell:             node.Cell,
+			ListenAddress:    node.ListenAddress,
+			InventoryAddress: inventoryAddress,
+			Keys:             keyRegistryByZone[node.Zone],
+			Log:              log,
 		})
 		if err != nil {
 			stopNodes(nodes)
--- a/cmd/flaxshelf/up.go
+++ b/cmd/flaxshelf/up.go
@@ -67,5 +67,5 @@
 func waitForNodes(ctx context.Context, inventory *host.Inventory, count int) error {
 	waitCtx, cancel := context.WithTimeout(ctx, registrationTimeout)
 	defer cancel()
-	return inventory.WaitFor(waitCtx, count)
+	return inventory.WaitForNodes(waitCtx, count)
 }
--- a/internal/testbed/trial/cluster.go
+++ b/internal/testbed/trial/cluster.go
@@ -55,7 +55,7 @@
 			return c, err
 		}
 	}
-	if err := c.inventory.WaitFor(ctx, len(c.nodes)); err != nil {
+	if err := c.inventory.WaitForNodes(ctx, len(c.nodes)); err != nil {
 		return c, err
 	}
 	for i := range day.Schedulers {
@@ -69,7 +69,7 @@
 func (c *cluster) addNode(member scenario.Node) error {
 	group := *member.Group
 	if c.keysByZone[group.Zone] == nil {
-		c.keysByZone[group.Zone] = host.NewKeyRegistry()
+		c.keysByZone[group.Zone] = host.NewConcurrentKeyRegistry()
 	}
 	n := &node{cluster: c, index: len(c.nodes), group: group, name: member.Name}
 	var err error
--- a/internal/testbed/trial/faultinjection.go
+++ b/internal/testbed/trial/faultinjection.go
@@ -104,8 +104,8 @@
 // DropPrograms implements fault.Cluster.
 func (t *faultTarget) DropPrograms(nodes []int, fraction float64) {
 	for _, n := range t.nodes(nodes) {
-		n.withModel(func(model *nodemodel.Node, _ nodemodel.Time) []nodemodel.Send {
-			model.DropPrograms(fraction)
+		n.withModel(func(model *nodemodel.Node, _ nodemodel.Time) []nodemodel.Envelope {
+			model.EvictCachedPrograms(fraction)
 			return nil
 		})
 	}
@@ -114,7 +114,7 @@
 // DrainNodes implements fault.Cluster.
 func (t *faultTarget) DrainNodes(nodes []int) {
 	for _, n := range t.nodes(nodes) {
-		n.withModel(func(model *nodemodel.Node, now nodemodel.Time) []nodemodel.Send { return model.Drain(now) })
+		n.withModel(func(model *nodemodel.Node, now nodemodel.Time) []nodemodel.Envelope { return model.Drain(now) })
 	}
 }
 
@@ -202,7 +202,7 @@
 
 // SetInventoryFault implements fault.Cluster.
 func (t *faultTarget) SetInventoryFault(inventoryFault inventorymodel.Fault) {
-	t.cluster.inventory.Do(func(model *inventorymodel.Inventory, now inventorymodel.Time) []inventorymodel.Send {
+	t.cluster.inventory.Do(func(model *inventorymodel.Inventory, now inventorymodel.Time) []inventorymodel.Envelope {
 		return model.SetFault(now, inventoryFault)
 	})
 }
--- a/internal/testbed/trial/node.go
+++ b/internal/testbed/trial/node.go
@@ -48,9 +48,9 @@
 	c := n.cluster
 	config := settings.Node{Name: n.name, Kind: n.group.Kind, Zone: n.group.Zone, Cell: n.group.Cell, SlowStartCompleted: warm}
 	seed := scenario.NodeSeed(c.options.Seed, n.index, n.incarnationCount)
-	started, err := host.StartNode(host.NodeOptions{Kind: n.group.Kind, Cell: n.group.Cell, Listen: loopbackAnyPort,
-		Model:     fleet.NodeModel(config, c.day.Kinds, c.day.Rules, c.day.Behaviour, seed),
-		Advertise: n.proxy.Addr(), Inventory: c.inventory.Addr(), Keys: c.keysByZone[n.group.Zone], Log: c.log})
+	started, err := host.StartNode(host.NodeOptions{Kind: n.group.Kind, Cell: n.group.Cell, ListenAddress: loopbackAnyPort,
+		Model:             fleet.NodeConfig(config, c.day.Kinds, c.day.Rules, c.day.Behaviour, seed),
+		AdvertisedAddress: n.proxy.Addr(), InventoryAddress: c.inventory.Addr(), Keys: c.keysByZone[n.group.Zone], Log: c.log})
 	if err != nil {
 		return fmt.Errorf("trial: start node %s: %w", n.name, err)
 	}
@@ -93,7 +93,7 @@
 }
 
 // withModel calls a function with the model of the running incarnation, if there is one.
-func (n *node) withModel(call func(model *nodemodel.Node, now nodemodel.Time) []nodemodel.Send) {
+func (n *node) withModel(call func(model *nodemodel.Node, now nodemodel.Time) []nodemodel.Envelope) {
 	n.mu.Lock()
 	current := n.current
 	n.mu.Unlock()
@@ -108,5 +108,7 @@
 	change(&n.fault)
 	changed := n.fault
 	n.mu.Unlock()
-	n.withModel(func(model *nodemodel.Node, now nodemodel.Time) []nodemodel.Send { return model.SetFault(now, changed) })
+	n.withModel(func(model *nodemodel.Node, now nodemodel.Time) []nodemodel.Envelope {
+		return model.SetFault(now, changed)
+	})
 }
