--- a/cmd/flaxshelf/plan.go
+++ b/cmd/flaxshelf/plan.go
@@ -62,9 +62,9 @@
 }
 
 func (c *planCmd) validate(day *scenario.Day) error {
-	if c.Goal <= 0 || c.Placed <= 0 || c.Placed > 1 || c.Seeds < 1 || c.Emulate && c.Warmup >= day.Seconds {
+	if c.Goal <= 0 || c.Placed <= 0 || c.Placed > 1 || c.Seeds < 1 || c.Emulate && c.Warmup >= day.LoadSeconds {
 		return usageError{fmt.Errorf("--goal above 0, --placed above 0 and at most 1, --seeds at least 1 and --warmup under the "+
-			"day's %v s are needed", day.Seconds)}
+			"day's %v s are needed", day.LoadSeconds)}
 	}
 	if c.Trace != "" && c.Emulate {
 		return usageError{errors.New("--emulate plays the load of the day, not of a --trace")}
--- a/cmd/flaxshelf/trial.go
+++ b/cmd/flaxshelf/trial.go
@@ -49,7 +49,7 @@
 		return err
 	}
 	if c.Cores != 0 {
-		day.Cores = c.Cores
+		day.Shards = c.Cores
 	}
 	self, err := os.Executable()
 	if err != nil {
@@ -84,7 +84,7 @@
 		if err != nil {
 			return err
 		}
-		std.out.printf("%-20s %s\n", name, day.About)
+		std.out.printf("%-20s %s\n", name, day.Description)
 	}
 	return nil
 }
--- a/cmd/flaxshelf/verify.go
+++ b/cmd/flaxshelf/verify.go
@@ -15,7 +15,7 @@
 func (c *verifyCmd) Run(std *streams) error {
 	if len(c.Terms) > 0 {
 		_, err := readFile(c.File, func(r io.Reader) (struct{}, error) {
-			return struct{}{}, rules.Follow(r, std.out, c.Terms...)
+			return struct{}{}, rules.PrintFrames(r, std.out, c.Terms...)
 		})
 		return err
 	}
--- a/internal/testbed/emulator/clients.go
+++ b/internal/testbed/emulator/clients.go
@@ -29,7 +29,7 @@
 	submissions map[string]*submissionState // by idempotency key, while they are open
 	stats       *clientStats
 	measureFrom time.Duration // submissions before it are not counted
-	loadState   fault.LoadState
+	loadState   fault.LoadModifiers
 }
 
 // timerFunc is what a timer does when it fires at now.
@@ -46,7 +46,7 @@
 	c := &clients{simulation: s, latency: newLatencyModel(s.seed, 0), submissions: map[string]*submissionState{},
 		stats: newClientStats(s.day)}
 	var sources []arrivals
-	for i := range s.day.Load {
+	for i := range s.day.Loads {
 		sources = append(sources, s.day.Arrivals(i, s.seed))
 	}
 	if s.trace != nil {
@@ -95,7 +95,7 @@
 		load := &c.loads[i]
 		for load.ok && arrivalTime(&load.next) < end {
 			c.submit(load.next, out)
-			load.next, load.ok = load.arrivals.Next(c.loadState.OfClass(load.next.Load.Class))
+			load.next, load.ok = load.arrivals.Next(c.loadState.ForClass(load.next.Load.Class))
 		}
 	}
 }
@@ -104,7 +104,7 @@
 	now, load, rules := arrivalTime(&arrival), arrival.Load, &c.simulation.day.Rules
 	s := &submissionState{arrival: arrival, spec: c.spec(&arrival)}
 	timeout := c.simulation.schedulers[arrival.Scheduler].settings.Classes[s.spec.Class].PlacementTimeout.Duration()
-	s.due = now + max(timeout+rules.AnswerSlack.Duration()+outcomeGrace, load.Patience.Duration())
+	s.due = now + max(timeout+rules.AnswerSlack.Duration()+outcomeGrace, load.RetryTimeout.Duration())
 	c.submissions[arrival.Key] = s
 	if arrival.At >= c.measureFrom {
 		c.stats.countSubmitted(load.Class)
@@ -190,9 +190,9 @@
 	load := s.arrival.Load
 	later := now + s.arrival.ControlDelay
 	switch {
-	case s.arrival.ControlDraw < load.Terminate:
+	case s.arrival.ControlDraw < load.TerminateFraction:
 		c.sendCommand(s, later, scheduler.Terminate)
-	case s.arrival.ControlDraw < load.Terminate+load.Hold:
+	case s.arrival.ControlDraw < load.TerminateFraction+load.HoldFraction:
 		c.sendCommand(s, now, scheduler.Hold)
 		c.sendCommand(s, later, scheduler.Release)
 	}
@@ -218,7 +218,7 @@
 		return
 	}
 	canceled, placed := info.Outcome == scheduler.OutcomeCanceled, info.Outcome == scheduler.OutcomePlaced
-	if canceled && s.arrival.ControlDraw >= s.arrival.Load.Terminate {
+	if canceled && s.arrival.ControlDraw >= s.arrival.Load.TerminateFraction {
 		return // its client holds it: releasing it starts another request
 	}
 	if !placed && !canceled && c.retry(s, notice.at) {
--- a/internal/testbed/emulator/emulator.go
+++ b/internal/testbed/emulator/emulator.go
@@ -65,7 +65,7 @@
 	if err := s.faults.plan(ctx); err != nil {
 		return nil, fmt.Errorf("emulator: %w", err)
 	}
-	end := Epoch + warmUp + scenario.Seconds(s.day.Seconds+d.After)
+	end := Epoch + warmUp + scenario.Seconds(s.day.LoadSeconds+d.WaitSeconds)
 	windows := 0
 	s.engine.run(end, func() bool {
 		windows++
@@ -81,7 +81,7 @@
 		return nil, err
 	}
 	if opt.Record != nil {
-		figures, err := json.Marshal(d.Figures())
+		figures, err := json.Marshal(d.RuleLimits())
 		if err != nil {
 			return nil, fmt.Errorf("emulator: figures: %w", err)
 		}
--- a/internal/testbed/emulator/emulator_test.go
+++ b/internal/testbed/emulator/emulator_test.go
@@ -129,7 +129,7 @@
 // What the emulator can't do is an error, not a partial result.
 func TestUnsupportedOptionsAreErrors(t *testing.T) {
 	severalCores := readDay(t, "calm")
-	severalCores.Cores = 2
+	severalCores.Shards = 2
 	for _, c := range []struct {
 		name    string
 		day     *scenario.Day
--- a/internal/testbed/emulator/node.go
+++ b/internal/testbed/emulator/node.go
@@ -58,7 +58,7 @@
 	set, day := n.settings, n.simulation.day
 	set.Warm = warm
 	seed := scenario.NodeSeed(n.simulation.seed, int(n.id), n.incarnations)
-	n.model = nodemodel.New(fleet.NodeModel(set, day.Kinds, day.Rules, day.Behaviour, seed), now,
+	n.model = nodemodel.New(fleet.NodeModel(set, day.MachineKinds, day.Rules, day.Behaviour, seed), now,
 		n.simulation.zoneKeys[n.place.Group.Zone])
 	n.schedulerIDs, n.schedulerNames, n.connectionOrder = map[string]int32{}, map[int32]string{}, nil
 	n.registerAt = now
--- a/internal/testbed/emulator/recorder.go
+++ b/internal/testbed/emulator/recorder.go
@@ -90,9 +90,9 @@
 	}
 	at, name := s.nextDeadline, s.settings.Name
 	c := &schedulerConnections{front: drmaafront.New(s.settings, at)}
-	c.inventory = r.open(rules.InventoryWire, "inventory", name, at)
-	c.requests = r.open(rules.ClientWire, name, "", at)
-	c.events = r.open(rules.ClientWire, name, "", at)
+	c.inventory = r.open(rules.InventoryProtocol, "inventory", name, at)
+	c.requests = r.open(rules.ClientProtocol, name, "", at)
+	c.events = r.open(rules.ClientProtocol, name, "", at)
 	r.bytes(c.events, false, []byte("GET /drmaa2/v1/sessions/all/events HTTP/1.1\r\nHost: x\r\n\r\n"), at)
 	r.bytes(c.events, true, httpcodec.AppendStreamHead(nil, http.StatusOK, "text/event-stream"), at)
 	r.connections[name] = c
@@ -104,7 +104,7 @@
 	if r == nil {
 		return 0
 	}
-	connection := r.open(rules.NodeWire, node, "", at)
+	connection := r.open(rules.NodeProtocol, node, "", at)
 	r.frame(connection, false, frame{&nodepb.Frame{Body: &nodepb.Frame_Hello{Hello: &nodepb.Hello{
 		Party: s.settings.Name, LifeUnixNs: s.incarnationID()}}}}, at)
 	return connection
--- a/internal/testbed/emulator/simulation.go
+++ b/internal/testbed/emulator/simulation.go
@@ -63,7 +63,7 @@
 func newSimulation(day *scenario.Day, opt Options) (*simulation, error) {
 	if opt.Load != nil {
 		longer := *day
-		longer.Seconds = max(day.Seconds, opt.Load.Length().Seconds())
+		longer.LoadSeconds = max(day.LoadSeconds, opt.Load.Length().Seconds())
 		day = &longer
 	}
 	s := &simulation{
@@ -108,8 +108,8 @@
 	if opt.Record != nil && opt.Workers > 1 {
 		return &OptionsError{Option: "Workers", Value: opt.Workers, Reason: "can't make a recording, which needs one worker"}
 	}
-	if s.day.Cores > 1 {
-		return &OptionsError{Option: s.day.Name + ": cores", Value: s.day.Cores,
+	if s.day.Shards > 1 {
+		return &OptionsError{Option: s.day.Name + ": cores", Value: s.day.Shards,
 			Reason: "can't be emulated; schedulers of several cores run on sockets only"}
 	}
 	return nil
@@ -125,7 +125,7 @@
 
 func (s *simulation) addNode(place scenario.Node) {
 	zone := place.Group.Zone
-	n := &nodeEntity{simulation: s, place: place, settings: settings.Node{Name: place.Name, Kind: place.Group.Kind,
+	n := &nodeEntity{simulation: s, place: place, settings: settings.Node{Name: place.Name, Kind: place.Group.MachineKind,
 		Zone: zone, Cell: place.Group.Cell}}
 	if s.zoneKeys[zone] == nil {
 		s.zoneKeys[zone] = nodemodel.NewLocalKeys()
@@ -154,7 +154,7 @@
 	for i := range s.day.Schedulers {
 		set := new(settings.Scheduler) // schedulers differ in names and zones only, and parsing the file takes milliseconds
 		*set = *first
-		set.Name, set.Index, set.Zone = scenario.SchedulerName(i), i, s.day.Zone(i)
+		set.Name, set.Index, set.Zone = scenario.SchedulerName(i), i, s.day.SchedulerZone(i)
 		entity := &schedulerEntity{simulation: s, settings: set, recorder: s.recorder}
 		entity.id = s.engine.add(entity)
 		entity.latency = newLatencyModel(s.seed, entity.id)
--- a/internal/testbed/emulator/submission.go
+++ b/internal/testbed/emulator/submission.go
@@ -54,12 +54,12 @@
 // retry resubmits a job that was not placed, after a backoff. It returns false if the load does not retry or its
 // client's patience would end first.
 func (c *clients) retry(s *submissionState, now Time) bool {
-	backoff := s.arrival.Load.Retry.Duration()
+	backoff := s.arrival.Load.RetryDelay.Duration()
 	if backoff <= 0 {
 		return false
 	}
 	at := now + backoff/2 + time.Duration(c.latency.random.Int64N(int64(backoff)))
-	if at >= arrivalTime(&s.arrival)+s.arrival.Load.Patience.Duration() {
+	if at >= arrivalTime(&s.arrival)+s.arrival.Load.RetryTimeout.Duration() {
 		return false
 	}
 	c.stats.retries++
--- a/internal/testbed/experiment/plan.go
+++ b/internal/testbed/experiment/plan.go
@@ -74,8 +74,8 @@
 			file.Fail(fmt.Sprintf("designs[%d].day", i), "%v", err)
 			continue
 		}
-		if p.WarmUpSeconds >= day.Seconds {
-			file.Fail("warmUpSeconds", "is %v, expected under the %v s of day %s", p.WarmUpSeconds, day.Seconds, d.Day)
+		if p.WarmUpSeconds >= day.LoadSeconds {
+			file.Fail("warmUpSeconds", "is %v, expected under the %v s of day %s", p.WarmUpSeconds, day.LoadSeconds, d.Day)
 		}
 		fingerprint, err := fingerprint(day, p.WarmUpSeconds, d.Module)
 		if err != nil {
@@ -90,7 +90,7 @@
 // fingerprint returns a hash of everything that the results of a design depend on, except the seed. It identifies the design
 // in stored results, so the names in the day are those of stored results.
 func fingerprint(day *scenario.Day, warmUpSeconds float64, module string) (string, error) {
-	text, err := json.Marshal([]any{day.WithStoredNames(), warmUpSeconds, module})
+	text, err := json.Marshal([]any{day.WithStoredIdempotency(), warmUpSeconds, module})
 	if err != nil {
 		return "", fmt.Errorf("experiment: fingerprint of day %s: %w", day.Name, err)
 	}
@@ -103,15 +103,15 @@
 	if err != nil {
 		return nil, err
 	}
-	for i := range day.Load {
-		day.Load[i].PerSecond *= d.Load
+	for i := range day.Loads {
+		day.Loads[i].PerSecond *= d.Load
 	}
 	if d.Schedulers > 0 {
 		day.Schedulers = d.Schedulers
 	}
 	if d.LostZone != "" {
 		groups := len(day.Fleet)
-		day.Fleet = slices.DeleteFunc(day.Fleet, func(g scenario.Group) bool { return g.Zone == d.LostZone })
+		day.Fleet = slices.DeleteFunc(day.Fleet, func(g scenario.NodeGroup) bool { return g.Zone == d.LostZone })
 		if len(day.Fleet) == groups || len(day.Fleet) == 0 {
 			return nil, &UnknownZoneError{Zone: d.LostZone}
 		}
--- a/internal/testbed/fault/fault.go
+++ b/internal/testbed/fault/fault.go
@@ -24,7 +24,7 @@
 	Class      string // empty or "*" means all classes, depending on the kind
 	Factor     float64
 
-	random *rand.Rand // for draws during the injection
+	rng *rand.Rand // for draws during the injection
 }
 
 // New returns the fault of the given index of a scenario; the seed determines its nodes. The error is an
@@ -35,16 +35,16 @@
 	if err != nil {
 		return nil, err
 	}
-	random := day.Rand(index, seed)
+	random := day.FaultRand(index, seed)
 	return &Fault{
 		Kind:       kind,
 		Start:      scenario.Seconds(scheduled.At),
-		Duration:   scenario.Seconds(scheduled.For),
+		Duration:   scenario.Seconds(scheduled.Duration),
 		Nodes:      day.PickNodes(scheduled, random),
 		Schedulers: scheduled.Schedulers,
 		Class:      scheduled.Class,
 		Factor:     scheduled.Factor,
-		random:     random,
+		rng:        random,
 	}, nil
 }
 
--- a/internal/testbed/fault/fault_test.go
+++ b/internal/testbed/fault/fault_test.go
@@ -95,7 +95,7 @@
 
 func testFault(kind Kind) *Fault {
 	return &Fault{Kind: kind, Start: time.Second, Duration: 3 * time.Second, Nodes: []int{4, 5, 6}, Schedulers: []int{1},
-		Class: "c", Factor: 2, random: rand.New(rand.NewPCG(1, 2))}
+		Class: "c", Factor: 2, rng: rand.New(rand.NewPCG(1, 2))}
 }
 
 func TestInjectCarriesOutTheActionsOfItsKindInOrder(t *testing.T) {
@@ -153,7 +153,7 @@
 }
 
 func TestOnlyNetworkFaultsNeedANetwork(t *testing.T) {
-	for name, kind := range kinds {
+	for name, kind := range kindsByName {
 		t.Run(name, func(t *testing.T) {
 			err := testFault(kind).Inject(context.Background(), &fakeCluster{})
 			if _, needsNetwork := networkHandlers[kind]; !needsNetwork {
--- a/internal/testbed/fault/handlers.go
+++ b/internal/testbed/fault/handlers.go
@@ -52,7 +52,7 @@
 }
 
 // nodeFault changes the faults of nodes for the duration.
-func nodeFault(ctx context.Context, f *Fault, cluster Cluster, set, reset NodeFaultChange) error {
+func applyNodeFault(ctx context.Context, f *Fault, cluster Cluster, set, reset NodeFaultChange) error {
 	duringFault(ctx, f, cluster,
 		func() { cluster.ChangeNodeFaults(f.Nodes, set) },
 		func() { cluster.ChangeNodeFaults(f.Nodes, reset) })
@@ -60,25 +60,25 @@
 }
 
 func failStarts(ctx context.Context, f *Fault, cluster Cluster) error {
-	return nodeFault(ctx, f, cluster,
+	return applyNodeFault(ctx, f, cluster,
 		func(fault *nodemodel.Fault) { fault.StartFailureFraction, fault.StartFailureClass = f.Factor, f.Class },
 		func(fault *nodemodel.Fault) { fault.StartFailureFraction, fault.StartFailureClass = 0, "" })
 }
 
 func dropReplies(ctx context.Context, f *Fault, cluster Cluster) error {
-	return nodeFault(ctx, f, cluster,
+	return applyNodeFault(ctx, f, cluster,
 		func(fault *nodemodel.Fault) { fault.DropRepliesClass = f.Class },
 		func(fault *nodemodel.Fault) { fault.DropRepliesClass = "" })
 }
 
 func inflateUsage(ctx context.Context, f *Fault, cluster Cluster) error {
-	return nodeFault(ctx, f, cluster,
+	return applyNodeFault(ctx, f, cluster,
 		func(fault *nodemodel.Fault) { fault.UsageFactor, fault.UsageClass = f.Factor, f.Class },
 		func(fault *nodemodel.Fault) { fault.UsageFactor, fault.UsageClass = 0, "" })
 }
 
 func occupyNodes(ctx context.Context, f *Fault, cluster Cluster) error {
-	return nodeFault(ctx, f, cluster,
+	return applyNodeFault(ctx, f, cluster,
 		func(fault *nodemodel.Fault) { fault.OccupiedFraction = f.Factor },
 		func(fault *nodemodel.Fault) { fault.OccupiedFraction = 0 })
 }
@@ -100,13 +100,13 @@
 
 // startDelay separates the stop of a drained node from its next start, so that a simulated cluster, whose messages take
 // that long, handles them in order.
-const startDelay = time.Millisecond
+const restartDelay = time.Millisecond
 
 func drainNodes(ctx context.Context, f *Fault, cluster Cluster) error {
 	if err := shrinkFleet(ctx, f, cluster); err != nil {
 		return err
 	}
-	cluster.Wait(ctx, startDelay)
+	cluster.Wait(ctx, restartDelay)
 	return cluster.StartNodes(ctx, f.Nodes)
 }
 
@@ -167,7 +167,7 @@
 	return nil
 }
 
-func inventoryFault(ctx context.Context, f *Fault, cluster Cluster, fault inventorymodel.Fault) error {
+func applyInventoryFault(ctx context.Context, f *Fault, cluster Cluster, fault inventorymodel.Fault) error {
 	duringFault(ctx, f, cluster,
 		func() { cluster.SetInventoryFault(fault) },
 		func() { cluster.SetInventoryFault(inventorymodel.Fault{}) })
@@ -175,26 +175,26 @@
 }
 
 func failInventory(ctx context.Context, f *Fault, cluster Cluster) error {
-	return inventoryFault(ctx, f, cluster, inventorymodel.Fault{Fails: true})
+	return applyInventoryFault(ctx, f, cluster, inventorymodel.Fault{Fails: true})
 }
 
 func freezeInventory(ctx context.Context, f *Fault, cluster Cluster) error {
-	return inventoryFault(ctx, f, cluster, inventorymodel.Fault{Stale: true})
+	return applyInventoryFault(ctx, f, cluster, inventorymodel.Fault{Stale: true})
 }
 
 func breakLinks(_ context.Context, f *Fault, _ Cluster, network Network) { network.BreakLinks(f.Nodes) }
 
 // maxReplyBytes bounds the bytes of replies that pass before a connection is broken.
-const maxReplyBytes = 100
+const maxBytesBeforeBreak = 100
 
 func breakReplies(_ context.Context, f *Fault, _ Cluster, network Network) {
 	for i := range f.Nodes {
-		network.SetLinkFault(f.Nodes[i:i+1], recordproxy.Fault{BreakAfterBytes: 1 + f.random.IntN(maxReplyBytes)})
+		network.SetLinkFault(f.Nodes[i:i+1], recordproxy.Fault{BreakAfterBytes: 1 + f.rng.IntN(maxBytesBeforeBreak)})
 	}
 }
 
 // linkFault sets a fault of the connections to nodes for the duration.
-func linkFault(ctx context.Context, f *Fault, cluster Cluster, network Network, fault recordproxy.Fault) {
+func applyLinkFault(ctx context.Context, f *Fault, cluster Cluster, network Network, fault recordproxy.Fault) {
 	duringFault(ctx, f, cluster,
 		func() { network.SetLinkFault(f.Nodes, fault) },
 		func() { network.SetLinkFault(f.Nodes, recordproxy.Fault{}) })
@@ -202,16 +202,16 @@
 
 // halfOpenLinks closes the connections at the end, since their parties can't decode a stream with missing bytes.
 func halfOpenLinks(ctx context.Context, f *Fault, cluster Cluster, network Network) {
-	linkFault(ctx, f, cluster, network, recordproxy.Fault{DropReplies: true})
+	applyLinkFault(ctx, f, cluster, network, recordproxy.Fault{DropReplies: true})
 	network.BreakLinks(f.Nodes)
 }
 
 func delayLinks(ctx context.Context, f *Fault, cluster Cluster, network Network) {
-	linkFault(ctx, f, cluster, network, recordproxy.Fault{Delay: scenario.Seconds(f.Factor)})
+	applyLinkFault(ctx, f, cluster, network, recordproxy.Fault{Delay: scenario.Seconds(f.Factor)})
 }
 
 func stallLinks(ctx context.Context, f *Fault, cluster Cluster, network Network) {
-	linkFault(ctx, f, cluster, network, recordproxy.Fault{Stall: true})
+	applyLinkFault(ctx, f, cluster, network, recordproxy.Fault{Stall: true})
 }
 
 func breakInventoryLinks(_ context.Context, f *Fault, _ Cluster, network Network) {
--- a/internal/testbed/fault/kind.go
+++ b/internal/testbed/fault/kind.go
@@ -60,7 +60,7 @@
 )
 
 // kinds are the kinds by their names in scenarios.
-var kinds = map[string]Kind{
+var kindsByName = map[string]Kind{
 	"fail-starts":     FailStarts,
 	"silent":          DropReplies,
 	"swell":           InflateUsage,
@@ -90,7 +90,7 @@
 
 // String returns the name of the kind in scenarios.
 func (k Kind) String() string {
-	for name, kind := range kinds {
+	for name, kind := range kindsByName {
 		if kind == k {
 			return name
 		}
@@ -100,7 +100,7 @@
 
 // ParseKind returns the kind with the given name in scenarios. The error is an *UnknownKindError.
 func ParseKind(name string) (Kind, error) {
-	kind, ok := kinds[name]
+	kind, ok := kindsByName[name]
 	if !ok {
 		return 0, &UnknownKindError{Name: name}
 	}
--- a/internal/testbed/fault/load_test.go
+++ b/internal/testbed/fault/loadmodifiers_test.go
@@ -3,10 +3,10 @@
 import "testing"
 
 func TestLoadFaultsOfAClassAndOfAllClassesCombine(t *testing.T) {
-	var s LoadState
+	var s LoadModifiers
 	check := func(class string, wantFactor, wantFraction float64) {
 		t.Helper()
-		if factor, fraction := s.OfClass(class); factor != wantFactor || fraction != wantFraction {
+		if factor, fraction := s.ForClass(class); factor != wantFactor || fraction != wantFraction {
 			t.Errorf("class %q: %v and %v, want %v and %v", class, factor, fraction, wantFactor, wantFraction)
 		}
 	}
--- a/internal/testbed/plancheck/model.go
+++ b/internal/testbed/plancheck/model.go
@@ -11,8 +11,8 @@
 // Model returns a day's fleet and load in the planner's terms.
 func Model(day *scenario.Day) (*planner.Fleet, []planner.Class) {
 	var load []planner.Class
-	for i := range day.Load {
-		load = append(load, classOf(day, &day.Load[i]))
+	for i := range day.Loads {
+		load = append(load, classOf(day, &day.Loads[i]))
 	}
 	return fleetOf(day), load
 }
@@ -34,9 +34,9 @@
 		MaxAttempts:           day.Rules.MaxAttempts,
 	}
 	for _, g := range day.Fleet {
-		group := planner.Group{Name: g.Name, Kind: g.Kind, Zone: g.Zone, Cell: g.Cell, Count: g.Count}
-		for _, kind := range day.Kinds {
-			if kind.Name == g.Kind {
+		group := planner.Group{Name: g.Name, Kind: g.MachineKind, Zone: g.Zone, Cell: g.Cell, Count: g.Count}
+		for _, kind := range day.MachineKinds {
+			if kind.Name == g.MachineKind {
 				group.Cores, group.Memory = kind.Cores, kind.Memory
 			}
 		}
@@ -51,7 +51,7 @@
 	return planner.Class{
 		Name:               stream.Class,
 		JobsPerSecond:      stream.PerSecond,
-		MeanRuntimeSeconds: (stream.Runtime[0].Duration() + stream.Runtime[1].Duration()).Seconds() / 2,
+		MeanRuntimeSeconds: (stream.RuntimeBounds[0].Duration() + stream.RuntimeBounds[1].Duration()).Seconds() / 2,
 		Cores:              orDefault(stream.Cores, class.Cores),
 		Memory:             orDefault(stream.Memory, class.Memory),
 		CoreUsage:          mean(day.Behaviour.CoreUsageRange),
--- a/internal/testbed/plancheck/search.go
+++ b/internal/testbed/plancheck/search.go
@@ -155,13 +155,13 @@
 // scaledDay returns the day at a multiple of its load, with a surge at its start.
 func scaledDay(day *scenario.Day, surge Surge, multiple float64) *scenario.Day {
 	scaled := *day
-	scaled.Load = slices.Clone(day.Load)
-	for i := range scaled.Load {
-		scaled.Load[i].PerSecond *= multiple
+	scaled.Loads = slices.Clone(day.Loads)
+	for i := range scaled.Loads {
+		scaled.Loads[i].PerSecond *= multiple
 	}
 	if surge.Seconds > 0 {
 		scaled.Faults = append(slices.Clone(day.Faults),
-			scenario.Fault{Kind: "burst", At: 0, For: surge.Seconds, Factor: surge.Factor, Fraction: 1})
+			scenario.Fault{Kind: "burst", At: 0, Duration: surge.Seconds, Factor: surge.Factor, Fraction: 1})
 	}
 	return &scaled
 }
--- a/internal/testbed/plancheck/search_test.go
+++ b/internal/testbed/plancheck/search_test.go
@@ -86,8 +86,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			day := plannedDay(t, "$LOOK", "200ms", "$CORES", "0.05", "$MEMORY", "0.1")
-			day.Seconds, day.After, day.Load[0].To = 60, 5, 60
-			day.Load[0].Retry, day.Load[0].Patience = settings.Duration(c.retry), settings.Duration(30*time.Second)
+			day.LoadSeconds, day.WaitSeconds, day.Loads[0].To = 60, 5, 60
+			day.Loads[0].RetryDelay, day.Loads[0].RetryTimeout = settings.Duration(c.retry), settings.Duration(30*time.Second)
 			goal := Goal{MinPlacedFraction: 0.98, WarmupSeconds: 40, Surge: Surge{Factor: 6, Seconds: 8}}
 			rising, falling, err := FindWithSurge(t.Context(), day, goal,
 				Search{Low: 1, High: 3.5, RelativeWidth: 0.08, Seeds: 1})
@@ -104,7 +104,7 @@
 
 func TestBreakingPointOutOfRangeIsAnErrorWithItsBound(t *testing.T) {
 	day := plannedDay(t)
-	day.Seconds, day.Load[0].To = 20, 20
+	day.LoadSeconds, day.Loads[0].To = 20, 20
 	for _, c := range []struct {
 		name   string
 		search Search
--- a/internal/testbed/rules/attempt.go
+++ b/internal/testbed/rules/attempt.go
@@ -47,7 +47,7 @@
 		return
 	}
 	if next == accepted && a.phase == accepted {
-		c.active(a.scheduler)[a] = true // reported to a new incarnation of the scheduler
+		c.activeSet(a.scheduler)[a] = true // reported to a new incarnation of the scheduler
 	}
 	final := a.phase == ended || a.phase == notStarted || a.phase == lost && next != accepted
 	if final || a.phase == next {
@@ -55,14 +55,14 @@
 	}
 	a.phase, a.phaseSince = next, c.now
 	if next == accepted {
-		c.active(a.scheduler)[a] = true
+		c.activeSet(a.scheduler)[a] = true
 	} else {
 		delete(c.activeAttempts[a.scheduler], a)
 	}
 }
 
 // active returns the set of the attempts of a scheduler that are in flight or accepted.
-func (c *checker) active(scheduler string) map[*attempt]bool {
+func (c *checker) activeSet(scheduler string) map[*attempt]bool {
 	set := c.activeAttempts[scheduler]
 	if set == nil {
 		set = map[*attempt]bool{}
@@ -79,13 +79,13 @@
 
 // expire sets the phase of an attempt to outcomeUnknown if it had no reply while its offer was valid.
 func (c *checker) expire(a *attempt) {
-	if a.phase == inFlight && c.now >= a.sentAt+a.validFor-c.figures.Skew {
+	if a.phase == inFlight && c.now >= a.sentAt+a.validFor-c.limits.TimeTolerance {
 		c.transition(a.id, outcomeUnknown)
 	}
 }
 
 // linkLost sets the phase of the attempts in flight on a connection to outcomeUnknown: the node may have accepted them.
-func (c *checker) linkLost(link *connection) {
+func (c *checker) connectionLost(link *connection) {
 	for _, a := range c.sortedActive(link.dialer) {
 		if a.connection == link.id && a.phase == inFlight {
 			c.transition(a.id, outcomeUnknown)
--- a/internal/testbed/rules/check.go
+++ b/internal/testbed/rules/check.go
@@ -45,13 +45,13 @@
 	if err != nil {
 		return nil, err
 	}
-	var figures Figures
-	if err := json.Unmarshal(reader.Figures, &figures); err != nil {
+	var limits Limits
+	if err := json.Unmarshal(reader.Figures, &limits); err != nil {
 		return nil, &RecordingError{Section: "figures", Err: err}
 	}
-	c := newChecker(figures)
+	c := newChecker(limits)
 	err = forEachRecord(reader, func(record *recordingpb.Record) error {
-		c.record(record)
+		c.handleRecord(record)
 		return nil
 	})
 	if err != nil {
@@ -104,7 +104,7 @@
 // for concurrent use.
 type checker struct {
 	recordTimes
-	figures Figures
+	limits  Limits
 	verdict Verdict
 
 	bytesDropped bool // by a proxy, on purpose
@@ -122,9 +122,9 @@
 	slowStarts     map[string]*slowStart          // by node
 }
 
-func newChecker(figures Figures) *checker {
+func newChecker(limits Limits) *checker {
 	return &checker{
-		figures:        figures,
+		limits:         limits,
 		connections:    map[uint64]*connection{},
 		jobs:           map[string]*job{},
 		incarnations:   map[string]int{},
@@ -145,7 +145,7 @@
 }
 
 // record handles the next record of the recording.
-func (c *checker) record(record *recordingpb.Record) {
+func (c *checker) handleRecord(record *recordingpb.Record) {
 	c.advance(record)
 	switch body := record.Body.(type) {
 	case *recordingpb.Record_Open:
@@ -162,7 +162,7 @@
 }
 
 // violated adds a violation of a rule at the time of the present record.
-func (c *checker) violated(rule int, format string, args ...any) {
+func (c *checker) addViolation(rule int, format string, args ...any) {
 	r := &c.verdict.Rules[rule]
 	r.Violations = append(r.Violations, Violation{At: c.sinceStart(), Text: fmt.Sprintf(format, args...)})
 }
@@ -170,7 +170,7 @@
 // finish judges the jobs that have no outcome at the end, and returns the verdict.
 func (c *checker) finish() *Verdict {
 	c.verdict.Length = c.sinceStart()
-	c.judgeMissingOutcomes()
+	c.checkMissingOutcomes()
 	for i := range c.verdict.Rules {
 		slices.SortStableFunc(c.verdict.Rules[i].Violations, func(a, b Violation) int {
 			return cmp.Or(cmp.Compare(a.At, b.At), strings.Compare(a.Text, b.Text))
@@ -181,9 +181,9 @@
 
 // class returns the limits of a class. A class that the figures do not list is non-idempotent and has no other limits.
 func (c *checker) class(name string) *Class {
-	for i := range c.figures.Classes {
-		if c.figures.Classes[i].Name == name {
-			return &c.figures.Classes[i]
+	for i := range c.limits.Classes {
+		if c.limits.Classes[i].Name == name {
+			return &c.limits.Classes[i]
 		}
 	}
 	return &Class{Name: name, Idempotency: NonIdempotent}
--- a/internal/testbed/rules/connection.go
+++ b/internal/testbed/rules/connection.go
@@ -13,25 +13,25 @@
 
 // The protocols of connections, as a recording names them.
 const (
-	ClientWire    = "client"    // clients to schedulers, HTTP
-	NodeWire      = "node"      // schedulers to nodes, frames
-	InventoryWire = "inventory" // schedulers to the inventory, frames
+	ClientProtocol    = "client"    // clients to schedulers, HTTP
+	NodeProtocol      = "node"      // schedulers to nodes, frames
+	InventoryProtocol = "inventory" // schedulers to the inventory, frames
 )
 
 // connection is a recorded connection of a dialer, which is a client or a scheduler, to a listener.
 type connection struct {
 	id         uint64
-	wire       string
+	protocol   string
 	dialer     string // from its hello, or from its proxy if that serves only one
 	listener   string
 	openedAt   time.Duration
 	directions [2]stream
 	undecoded  bool // its bytes could not be decoded; the rest is ignored
 
-	requests       []*clientRequest // without a complete response
-	parser         httpcodec.Parser
-	responses      httpcodec.ResponseReader
-	consumedEvents int // number of bytes of a streamed body that were handled
+	requests           []*clientRequest // without a complete response
+	parser             httpcodec.Parser
+	responses          httpcodec.ResponseReader
+	consumedEventBytes int // number of bytes of a streamed body that were handled
 
 	reportedAttempts map[string]bool // in the welcome of the node
 }
@@ -45,10 +45,10 @@
 
 // clientRequest is an HTTP request.
 type clientRequest struct {
-	receivedAt time.Duration
-	method     string
-	path       string
-	body       []byte
+	sentAt time.Duration
+	method string
+	path   string
+	body   []byte
 }
 
 // direction returns the index of a direction in connection.directions.
@@ -60,7 +60,7 @@
 }
 
 func (c *checker) connectionOpened(open *recordingpb.Open) {
-	c.connections[open.Conn] = &connection{id: open.Conn, wire: open.Wire, listener: open.To, dialer: open.Via,
+	c.connections[open.Conn] = &connection{id: open.Conn, protocol: open.Wire, listener: open.To, dialer: open.Via,
 		openedAt: c.now, reportedAttempts: map[string]bool{}}
 }
 
@@ -69,8 +69,8 @@
 	if link == nil {
 		return
 	}
-	if link.wire == NodeWire {
-		c.linkLost(link)
+	if link.protocol == NodeProtocol {
+		c.connectionLost(link)
 	}
 	delete(c.connections, closed.Conn)
 }
@@ -93,13 +93,13 @@
 	s := &link.directions[direction(sent.Back)]
 	s.undelivered = append(s.undelivered, sent.Data...)
 	switch {
-	case link.wire != ClientWire:
+	case link.protocol != ClientProtocol:
 		s.sentRemainder = append(s.sentRemainder, sent.Data...)
 		s.sentRemainder = c.decodeFrames(link, s.sentRemainder, func(frame *nodepb.Frame) { c.frameSent(link, sent.Back, frame) })
 	case sent.Back:
-		c.responseBytes(link, sent.Data)
+		c.parseResponses(link, sent.Data)
 	default:
-		c.requestBytes(link, sent.Data)
+		c.parseRequests(link, sent.Data)
 	}
 }
 
@@ -114,10 +114,10 @@
 	s := &link.directions[direction(delivered.Back)]
 	kept, removed := int(delivered.Bytes), int(delivered.Bytes+delivered.Dropped)
 	if removed > len(s.undelivered) {
-		c.undecodable(link, errExcessDelivery)
+		c.markUndecoded(link, errExcessDelivery)
 		return
 	}
-	if link.wire != ClientWire {
+	if link.protocol != ClientProtocol {
 		s.deliveredRemainder = append(s.deliveredRemainder, s.undelivered[:kept]...)
 		s.deliveredRemainder = c.decodeFrames(link, s.deliveredRemainder,
 			func(frame *nodepb.Frame) { c.frameDelivered(link, delivered.Back, frame) })
@@ -131,7 +131,7 @@
 	for {
 		frame, size, err := nodeframe.Next(buffer[used:])
 		if err != nil {
-			c.undecodable(link, err)
+			c.markUndecoded(link, err)
 			return nil
 		}
 		if frame == nil {
@@ -144,11 +144,11 @@
 
 // undecodable marks a connection as undecoded. After a proxy has dropped bytes on purpose that is expected, and the parties
 // close the connection, too; otherwise the verdict is not reliable and lists the connection.
-func (c *checker) undecodable(link *connection, err error) {
+func (c *checker) markUndecoded(link *connection, err error) {
 	link.undecoded = true
 	if !c.bytesDropped {
 		c.verdict.Undecoded = append(c.verdict.Undecoded, fmt.Sprintf("connection %d to %s (%s): %v", link.id, link.listener,
-			link.wire, err))
+			link.protocol, err))
 	}
 }
 
@@ -157,7 +157,7 @@
 	switch {
 	case !fromListener:
 		c.schedulerFrameSent(link, frame)
-	case link.wire == NodeWire:
+	case link.protocol == NodeProtocol:
 		c.nodeFrameSent(link, frame)
 	}
 }
@@ -165,13 +165,13 @@
 // frameDelivered handles a frame when it is delivered to a party.
 func (c *checker) frameDelivered(link *connection, fromListener bool, frame *nodepb.Frame) {
 	switch {
-	case fromListener && link.wire == NodeWire:
+	case fromListener && link.protocol == NodeProtocol:
 		c.nodeFrameDelivered(link, frame)
-	case fromListener && link.wire == InventoryWire:
+	case fromListener && link.protocol == InventoryProtocol:
 		if listing := frame.GetListing(); listing != nil {
 			c.listingDelivered(link.dialer, listing)
 		}
-	case link.wire == NodeWire:
+	case link.protocol == NodeProtocol:
 		if frame.GetOffer() != nil {
 			c.offerDelivered(link)
 		}
@@ -179,7 +179,7 @@
 }
 
 // requestBytes parses the bytes of requests of a client.
-func (c *checker) requestBytes(link *connection, data []byte) {
+func (c *checker) parseRequests(link *connection, data []byte) {
 	s := &link.directions[direction(false)]
 	s.sentRemainder = append(s.sentRemainder, data...)
 	for {
@@ -191,14 +191,14 @@
 		if request == nil {
 			return
 		}
-		link.requests = append(link.requests, &clientRequest{receivedAt: c.now, method: request.Method,
+		link.requests = append(link.requests, &clientRequest{sentAt: c.now, method: request.Method,
 			path: request.Path, body: append([]byte(nil), request.Body...)})
 		s.sentRemainder = append(s.sentRemainder[:0], s.sentRemainder[used:]...)
 	}
 }
 
 // responseBytes parses the bytes of responses of a scheduler, which are in the order of the requests.
-func (c *checker) responseBytes(link *connection, data []byte) {
+func (c *checker) parseResponses(link *connection, data []byte) {
 	err := link.responses.Feed(data, func(response *httpcodec.Response) {
 		if len(link.requests) == 0 {
 			return
@@ -209,10 +209,10 @@
 			c.responseReceived(link.listener, link.requests[0], response)
 		}
 		if response.Done {
-			link.requests, link.consumedEvents = link.requests[1:], 0
+			link.requests, link.consumedEventBytes = link.requests[1:], 0
 		}
 	})
 	if err != nil {
-		c.undecodable(link, err)
+		c.markUndecoded(link, err)
 	}
 }
--- a/internal/testbed/rules/job.go
+++ b/internal/testbed/rules/job.go
@@ -53,7 +53,7 @@
 	}
 	for i := range submitted.Jobs {
 		if isSubmission {
-			c.jobAdmitted(scheduler, request, &submitted, submitted.Jobs[i].JobID)
+			c.addSubmittedJob(scheduler, request, &submitted, submitted.Jobs[i].JobID)
 		}
 		c.jobReported(scheduler, &submitted.Jobs[i])
 	}
@@ -73,11 +73,11 @@
 }
 
 // jobAdmitted adds a job of the response to a submission.
-func (c *checker) jobAdmitted(scheduler string, request *clientRequest, submitted *drmaa2.Submitted, id string) {
+func (c *checker) addSubmittedJob(scheduler string, request *clientRequest, submitted *drmaa2.Submitted, id string) {
 	if c.jobs[id] != nil {
 		return
 	}
-	j := c.addJob(id, scheduler, request.receivedAt)
+	j := c.addJob(id, scheduler, request.sentAt)
 	var submission drmaa2.Submission
 	if json.Unmarshal(request.body, &submission) != nil {
 		return
@@ -100,11 +100,11 @@
 
 // placementTimeout returns the placement timeout of the template, or else of its class; zero means none.
 func (c *checker) placementTimeout(template *drmaa2.JobTemplate) time.Duration {
-	if own, err := time.ParseDuration(template.ImplementationSpecific[drmaa2.AttrPlacementTimeout]); err == nil {
-		return own
+	if timeout, err := time.ParseDuration(template.ImplementationSpecific[drmaa2.AttrPlacementTimeout]); err == nil {
+		return timeout
 	}
-	for _, class := range c.figures.Classes {
-		onlyClass := template.JobCategory == "" && len(c.figures.Classes) == 1
+	for _, class := range c.limits.Classes {
+		onlyClass := template.JobCategory == "" && len(c.limits.Classes) == 1
 		if class.Name == template.JobCategory || onlyClass {
 			return class.PlacementTimeout
 		}
@@ -142,15 +142,15 @@
 		return
 	}
 	if request.outcome != "" {
-		c.violated(OneOutcome, "job %s, placement request %d: outcome %s, then %s", j.id, number,
+		c.addViolation(OneOutcome, "job %s, placement request %d: outcome %s, then %s", j.id, number,
 			countformat.OutcomeTerm(request.outcome), countformat.OutcomeTerm(outcome))
 	} else {
 		c.verdict.Rules[OneOutcome].Checked++
 		c.verdict.Outcomes[countformat.OutcomeTerm(outcome)]++
-		timed := j.outcomeExpected && number <= firstPlacementRequest && j.placementTimeout > 0
+		hasDeadline := j.outcomeExpected && number <= firstPlacementRequest && j.placementTimeout > 0
 		timeout := request.requestedAt + j.placementTimeout
-		if timed && c.now > c.outcomeDeadline(scheduler, timeout) {
-			c.violated(OneOutcome, "job %s: outcome %s was reported %v after the placement timeout", j.id,
+		if hasDeadline && c.now > c.outcomeDeadline(scheduler, timeout) {
+			c.addViolation(OneOutcome, "job %s: outcome %s was reported %v after the placement timeout", j.id,
 				countformat.OutcomeTerm(outcome), (c.now - timeout).Round(time.Millisecond))
 		}
 	}
@@ -183,10 +183,10 @@
 	switch {
 	case !info.JobState.Terminated():
 		if j.finalState != "" {
-			c.violated(OneOutcome, "job %s ended as %s, then is %s", j.id, j.finalState, j.state)
+			c.addViolation(OneOutcome, "job %s ended as %s, then is %s", j.id, j.finalState, j.state)
 		}
 	case j.finalState != "" && j.finalState != j.state:
-		c.violated(OneOutcome, "job %s ended as %s, then as %s", j.id, j.finalState, j.state)
+		c.addViolation(OneOutcome, "job %s ended as %s, then as %s", j.id, j.finalState, j.state)
 		j.finalState = j.state
 	default:
 		j.finalState = j.state
@@ -194,13 +194,13 @@
 }
 
 // maxConsumedEvents is the number of bytes of handled events after which they are removed from a streamed body.
-const maxConsumedEvents = 1 << 16
+const maxConsumedEventBytes = 1 << 16
 
 // eventsReceived handles the new events of a streamed body.
 func (c *checker) eventsReceived(link *connection, response *httpcodec.Response) {
 	const separator = "\n\n"
 	for {
-		rest := response.Body[link.consumedEvents:]
+		rest := response.Body[link.consumedEventBytes:]
 		end := bytes.Index(rest, []byte(separator))
 		if end < 0 {
 			break
@@ -212,16 +212,16 @@
 				c.jobReported(link.listener, &info)
 			}
 		}
-		link.consumedEvents += end + len(separator)
+		link.consumedEventBytes += end + len(separator)
 	}
-	if link.consumedEvents > maxConsumedEvents {
-		response.Body = append(response.Body[:0], response.Body[link.consumedEvents:]...)
-		link.consumedEvents = 0
+	if link.consumedEventBytes > maxConsumedEventBytes {
+		response.Body = append(response.Body[:0], response.Body[link.consumedEventBytes:]...)
+		link.consumedEventBytes = 0
 	}
 }
 
 // judgeMissingOutcomes judges, at the end of the recording, the jobs without an outcome.
-func (c *checker) judgeMissingOutcomes() {
+func (c *checker) checkMissingOutcomes() {
 	for _, j := range c.jobs {
 		c.verdict.States[j.state]++
 		if j.incarnation != c.incarnations[j.scheduler] {
@@ -234,7 +234,7 @@
 		timeout := j.submittedAt + j.placementTimeout
 		if c.now > c.outcomeDeadline(j.scheduler, timeout) {
 			c.verdict.Rules[OneOutcome].Checked++
-			c.violated(OneOutcome, "job %s: no outcome was reported, %v after the placement timeout", j.id,
+			c.addViolation(OneOutcome, "job %s: no outcome was reported, %v after the placement timeout", j.id,
 				(c.now - timeout).Round(time.Millisecond))
 		}
 	}
--- a/internal/testbed/rules/figures.go
+++ b/internal/testbed/rules/limits.go
@@ -4,7 +4,7 @@
 
 // Figures are the limits by which a recording is judged. The head of a recording has them as JSON, with durations in
 // nanoseconds; the JSON names must not change.
-type Figures struct {
+type Limits struct {
 	// Classes are the service classes; a class that is not listed counts as non-idempotent and has no other limits.
 	Classes []Class `json:"Classes"`
 	// DrainGrace is how long a scheduler may still offer tasks to a node after it was notified that the node drains.
@@ -17,7 +17,7 @@
 	SlowStart SlowStart `json:"Cold"`
 	// Skew is the tolerance between the times of the recorder and those of the parties: bytes take time from a party to the
 	// recorder on a busy machine.
-	Skew time.Duration `json:"Skew"`
+	TimeTolerance time.Duration `json:"Skew"`
 }
 
 // Class is the limits of one service class.
@@ -61,9 +61,9 @@
 	// Window is the length of the window in which offers are counted.
 	Window time.Duration `json:"Window"`
 	// InitialFraction is the fraction of its full rate of starts that a node has when it starts.
-	InitialFraction float64 `json:"From"`
+	InitialRateFraction float64 `json:"From"`
 	// Multiple is the limit as a multiple of the rate of starts.
-	Multiple float64 `json:"Multiple"`
+	RateMultiple float64 `json:"Multiple"`
 	// MinOffers is the limit of offers within Window that applies if it is larger than that of the rate.
 	MinOffers float64 `json:"Always"`
 	// StartsPerSecond is the full rate of starts.
@@ -71,7 +71,7 @@
 }
 
 // offerLimit returns the limit of offers within Window to a node that started the given time ago.
-func (c *SlowStart) offerLimit(age time.Duration) float64 {
-	rate := c.InitialFraction + (1-c.InitialFraction)*float64(age)/float64(max(c.Duration, 1))
-	return max(c.MinOffers, c.Multiple*c.StartsPerSecond*min(rate, 1)*c.Window.Seconds())
+func (s *SlowStart) offerLimit(age time.Duration) float64 {
+	rate := s.InitialRateFraction + (1-s.InitialRateFraction)*float64(age)/float64(max(s.Duration, 1))
+	return max(s.MinOffers, s.RateMultiple*s.StartsPerSecond*min(rate, 1)*s.Window.Seconds())
 }
--- a/internal/testbed/rules/mark.go
+++ b/internal/testbed/rules/mark.go
@@ -7,7 +7,7 @@
 )
 
 // pause is an interval in which a scheduler's process was suspended; to is 0 until it is resumed.
-type pause struct{ from, to time.Duration }
+type pause struct{ pausedAt, resumedAt time.Duration }
 
 // eventMarked handles an event of a party that no recorded bytes show.
 func (c *checker) eventMarked(event recordproxy.Event, party string) {
@@ -17,21 +17,21 @@
 		delete(c.views, party)
 		delete(c.activeAttempts, party) // the next incarnation has what it places and what nodes report to it
 	case recordproxy.EventNodeStopped:
-		c.nodeDied(party)
+		c.nodeStopped(party)
 	case recordproxy.EventBytesDropped:
 		c.bytesDropped = true
 	case recordproxy.EventNodeOverloaded:
 		c.verdict.OverloadedNodes++
 	case recordproxy.EventSchedulerPaused:
-		c.pauses[party] = append(c.pauses[party], pause{from: c.now})
+		c.pauses[party] = append(c.pauses[party], pause{pausedAt: c.now})
 	case recordproxy.EventSchedulerResumed:
 		if pauses := c.pauses[party]; len(pauses) > 0 {
-			pauses[len(pauses)-1].to = c.now
+			pauses[len(pauses)-1].resumedAt = c.now
 		}
 	}
 }
 
-func (c *checker) nodeDied(node string) {
+func (c *checker) nodeStopped(node string) {
 	for key, accepted := range c.acceptedByNode {
 		for id, attempt := range accepted {
 			if attempt.node == node {
@@ -45,22 +45,22 @@
 }
 
 // never is a deadline that is never reached.
-const never = time.Duration(1<<63 - 1)
+const noDeadline = time.Duration(1<<63 - 1)
 
 // outcomeDeadline returns the time at which the outcome that is due at the given time must have been reported. While the
 // process of the scheduler is suspended the deadline is extended to when it is resumed.
 func (c *checker) outcomeDeadline(scheduler string, due time.Duration) time.Duration {
-	slack := c.figures.AnswerSlack + c.figures.Skew
+	slack := c.limits.AnswerSlack + c.limits.TimeTolerance
 	deadline := due + slack
 	for _, p := range c.pauses[scheduler] {
-		if p.from > deadline {
+		if p.pausedAt > deadline {
 			continue
 		}
 		switch {
-		case p.to == 0:
-			return never
-		case p.to >= due:
-			deadline = max(deadline, p.to+slack)
+		case p.resumedAt == 0:
+			return noDeadline
+		case p.resumedAt >= due:
+			deadline = max(deadline, p.resumedAt+slack)
 		}
 	}
 	return deadline
--- a/internal/testbed/rules/offer.go
+++ b/internal/testbed/rules/offer.go
@@ -24,7 +24,7 @@
 func (c *checker) offerSent(link *connection, offer *nodepb.Offer) {
 	task := offer.Task
 	if task == nil || c.attempts[offer.Attempt] != nil {
-		c.violated(NoDuplicateStart, "offer %s was sent twice", offer.Attempt)
+		c.addViolation(NoDuplicateStart, "offer %s was sent twice", offer.Attempt)
 		return
 	}
 	c.verdict.Offers++
@@ -35,79 +35,79 @@
 		a.key = a.job
 	}
 	class, view := c.class(a.class), c.view(a.scheduler, a.node)
-	c.judgeDuplicateStart(class, a, view)
-	c.judgeDrain(a, view)
+	c.checkDuplicateStart(class, a, view)
+	c.checkDrain(a, view)
 	c.attempts[a.id] = a
 	c.attemptsByKey[a.key] = append(c.attemptsByKey[a.key], a)
-	c.active(a.scheduler)[a] = true
+	c.activeSet(a.scheduler)[a] = true
 	if class.SpreadDomain != "" && a.service != "" {
-		c.judgeSpread(class, a, view)
+		c.checkSpread(class, a, view)
 	}
 }
 
 // judgeDuplicateStart judges an offer by the earlier attempts of the same task.
-func (c *checker) judgeDuplicateStart(class *Class, offered *attempt, view *nodeView) {
+func (c *checker) checkDuplicateStart(class *Class, offered *attempt, view *nodeView) {
 	c.verdict.Rules[NoDuplicateStart].Checked++
 	for _, earlier := range c.attemptsByKey[offered.key] {
 		c.expire(earlier)
 		switch earlier.phase {
 		case inFlight:
 			if !earlier.stopped {
-				c.violated(NoDuplicateStart, "%s is offered as %s while %s is in flight", offered.key, offered.id, earlier.id)
+				c.addViolation(NoDuplicateStart, "%s is offered as %s while %s is in flight", offered.key, offered.id, earlier.id)
 			}
 		case accepted:
-			c.judgeAfterAcceptance(offered, earlier)
+			c.checkAfterAcceptance(offered, earlier)
 		case outcomeUnknown:
-			c.judgeAfterUnknownOutcome(class, offered, earlier, view)
+			c.checkAfterUnknownOutcome(class, offered, earlier, view)
 		}
 	}
 }
 
 // judgeAfterAcceptance judges an offer of a task that a node has accepted.
-func (c *checker) judgeAfterAcceptance(offered, earlier *attempt) {
+func (c *checker) checkAfterAcceptance(offered, earlier *attempt) {
 	// A reply that was delivered within the clock skew may cross the offer: the scheduler had not read it yet, as with an
 	// acceptance when the offer expires, or a welcome after a broken connection. It stops the earlier attempt afterwards.
-	crossed := c.now-earlier.phaseSince < c.figures.Skew
+	crossed := c.now-earlier.phaseSince < c.limits.TimeTolerance
 	if !earlier.stopped && !crossed {
-		c.violated(NoDuplicateStart, "%s is offered as %s while %s runs it as %s", offered.key, offered.id, earlier.node,
+		c.addViolation(NoDuplicateStart, "%s is offered as %s while %s runs it as %s", offered.key, offered.id, earlier.node,
 			earlier.id)
 	}
 }
 
 // judgeAfterUnknownOutcome judges an offer of a task of which an earlier attempt may have run.
-func (c *checker) judgeAfterUnknownOutcome(class *Class, offered, earlier *attempt, view *nodeView) {
+func (c *checker) checkAfterUnknownOutcome(class *Class, offered, earlier *attempt, view *nodeView) {
 	if class.Idempotency == Idempotent || c.deduplicated(class, offered, earlier, view) {
 		return
 	}
 	if offered.job == earlier.job && offered.placementRequest == earlier.placementRequest {
-		c.violated(NoDuplicateStart, "%s (%s) is offered as %s to %s though %s at %s may have run", offered.key,
+		c.addViolation(NoDuplicateStart, "%s (%s) is offered as %s to %s though %s at %s may have run", offered.key,
 			class.Idempotency, offered.id, offered.node, earlier.id, earlier.node)
 		return
 	}
-	if c.now < earlier.phaseSince+c.figures.SettleTime-c.figures.Skew {
-		c.violated(NoDuplicateStart, "%s (%s) is offered as %s only %v after %s may have run", offered.key, class.Idempotency,
+	if c.now < earlier.phaseSince+c.limits.SettleTime-c.limits.TimeTolerance {
+		c.addViolation(NoDuplicateStart, "%s (%s) is offered as %s only %v after %s may have run", offered.key, class.Idempotency,
 			offered.id, (c.now - earlier.phaseSince).Round(time.Millisecond), earlier.id)
 	}
 }
 
 // deduplicated reports whether the domain of an offer still remembers the idempotency key of an earlier attempt.
 func (c *checker) deduplicated(class *Class, offered, earlier *attempt, view *nodeView) bool {
-	return class.Idempotency == IdempotentByKey && c.now <= earlier.sentAt+class.KeyTTL+c.figures.Skew &&
+	return class.Idempotency == IdempotentByKey && c.now <= earlier.sentAt+class.KeyTTL+c.limits.TimeTolerance &&
 		sameDomain(class.KeyDomain, view, c.view(offered.scheduler, earlier.node), offered.node, earlier.node)
 }
 
 // judgeDrain judges an offer by the membership of its node.
-func (c *checker) judgeDrain(offered *attempt, view *nodeView) {
+func (c *checker) checkDrain(offered *attempt, view *nodeView) {
 	c.verdict.Rules[DrainRespected].Checked++
 	notifiedFor := c.now - view.membershipSince
-	if view.membership != nodepb.Standing_IN && notifiedFor-c.figures.DrainGrace > c.figures.Skew {
-		c.violated(DrainRespected, "%s offers %s to %s, %v after it was notified that the node is %s", offered.scheduler,
+	if view.membership != nodepb.Standing_IN && notifiedFor-c.limits.DrainGrace > c.limits.TimeTolerance {
+		c.addViolation(DrainRespected, "%s offers %s to %s, %v after it was notified that the node is %s", offered.scheduler,
 			offered.id, offered.node, notifiedFor.Round(time.Millisecond), membershipNames[view.membership])
 	}
 }
 
 // judgeSpread counts the active tasks of an offer's service in the topology domain of its node.
-func (c *checker) judgeSpread(class *Class, offered *attempt, view *nodeView) {
+func (c *checker) checkSpread(class *Class, offered *attempt, view *nodeView) {
 	c.verdict.Rules[SpreadRespected].Checked++
 	tasks := 0
 	for other := range c.activeAttempts[offered.scheduler] {
@@ -119,7 +119,7 @@
 		}
 	}
 	if tasks > class.MaxPerDomain {
-		c.violated(SpreadRespected, "%s has %d tasks of %s in one %s with %s at %s, the limit is %d", offered.scheduler, tasks,
+		c.addViolation(SpreadRespected, "%s has %d tasks of %s in one %s with %s at %s, the limit is %d", offered.scheduler, tasks,
 			offered.service, class.SpreadDomain, offered.id, offered.node, class.MaxPerDomain)
 	}
 }
@@ -150,7 +150,7 @@
 		c.verdict.Rules[NoDuplicateStart].Checked++
 		for _, other := range c.acceptedByNode[a.key] {
 			if other.id != id {
-				c.violated(NoDuplicateStart, "%s (%s) is accepted by %s as %s and by %s as %s", a.key, class.Idempotency,
+				c.addViolation(NoDuplicateStart, "%s (%s) is accepted by %s as %s and by %s as %s", a.key, class.Idempotency,
 					other.node, other.id, node, id)
 			}
 		}
--- a/internal/testbed/rules/follow.go
+++ b/internal/testbed/rules/printframes.go
@@ -15,20 +15,20 @@
 
 // Follow writes the frames of a recording that contain all the substrings, and all marks, one per line with its time in
 // seconds since the start: the history of a job, an attempt or a node. The error is a *RecordingError or wraps that of w.
-func Follow(r io.Reader, w io.Writer, substrings ...string) error {
+func PrintFrames(r io.Reader, w io.Writer, substrings ...string) error {
 	reader, err := newReader(r)
 	if err != nil {
 		return err
 	}
-	f := &follower{out: w, substrings: substrings, connections: map[uint64]*connection{}}
+	f := &framePrinter{out: w, substrings: substrings, connections: map[uint64]*connection{}}
 	return forEachRecord(reader, func(record *recordingpb.Record) error {
-		f.record(record)
+		f.handleRecord(record)
 		return f.err
 	})
 }
 
 // follower is the state of Follow.
-type follower struct {
+type framePrinter struct {
 	recordTimes
 	out         io.Writer
 	substrings  []string
@@ -36,12 +36,12 @@
 	err         error // the first error of out
 }
 
-func (f *follower) record(record *recordingpb.Record) {
+func (f *framePrinter) handleRecord(record *recordingpb.Record) {
 	f.advance(record)
 	switch body := record.Body.(type) {
 	case *recordingpb.Record_Open:
 		open := body.Open
-		f.connections[open.Conn] = &connection{wire: open.Wire, listener: open.To, dialer: open.Via}
+		f.connections[open.Conn] = &connection{protocol: open.Wire, listener: open.To, dialer: open.Via}
 	case *recordingpb.Record_Mark:
 		f.print("-- " + body.Mark.Party + ": " + string(recordproxy.EventOf(body.Mark)))
 	case *recordingpb.Record_Close:
@@ -49,13 +49,13 @@
 			f.printMatch(fmt.Sprintf("%s to %s closed: %s", link.dialer, link.listener, recordproxy.ReasonOf(body.Close)))
 		}
 	case *recordingpb.Record_Sent:
-		f.sent(body.Sent)
+		f.printSentFrames(body.Sent)
 	}
 }
 
-func (f *follower) sent(sent *recordingpb.Sent) {
+func (f *framePrinter) printSentFrames(sent *recordingpb.Sent) {
 	link := f.connections[sent.Conn]
-	if link == nil || link.wire == ClientWire || link.undecoded {
+	if link == nil || link.protocol == ClientProtocol || link.undecoded {
 		return
 	}
 	s := &link.directions[direction(sent.Back)]
@@ -70,11 +70,11 @@
 			return
 		}
 		s.sentRemainder = s.sentRemainder[size:]
-		f.frame(link, sent.Back, frame)
+		f.printFrame(link, sent.Back, frame)
 	}
 }
 
-func (f *follower) frame(link *connection, fromListener bool, frame *nodepb.Frame) {
+func (f *framePrinter) printFrame(link *connection, fromListener bool, frame *nodepb.Frame) {
 	if hello := frame.GetHello(); hello != nil {
 		link.dialer = hello.Party
 	}
@@ -86,7 +86,7 @@
 }
 
 // printMatch prints a line that contains all the substrings.
-func (f *follower) printMatch(text string) {
+func (f *framePrinter) printMatch(text string) {
 	for _, substring := range f.substrings {
 		if !strings.Contains(text, substring) {
 			return
@@ -95,7 +95,7 @@
 	f.print(text)
 }
 
-func (f *follower) print(text string) {
+func (f *framePrinter) print(text string) {
 	if f.err != nil {
 		return
 	}
--- a/internal/testbed/rules/recording_test.go
+++ b/internal/testbed/rules/recording_test.go
@@ -19,12 +19,12 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/recordproxy/recordingpb"
 )
 
-var testFigures = Figures{
-	DrainGrace:  time.Second,
-	AnswerSlack: 100 * time.Millisecond,
-	SettleTime:  2 * time.Second,
-	Skew:        10 * time.Millisecond,
-	SlowStart:   SlowStart{Duration: 5 * time.Second, Window: time.Second, InitialFraction: 0.5, Multiple: 2, MinOffers: 3, StartsPerSecond: 1},
+var testLimits = Limits{
+	DrainGrace:    time.Second,
+	AnswerSlack:   100 * time.Millisecond,
+	SettleTime:    2 * time.Second,
+	TimeTolerance: 10 * time.Millisecond,
+	SlowStart:     SlowStart{Duration: 5 * time.Second, Window: time.Second, InitialRateFraction: 0.5, RateMultiple: 2, MinOffers: 3, StartsPerSecond: 1},
 	Classes: []Class{
 		{Name: "safe", Idempotency: Idempotent, PlacementTimeout: time.Second, SpreadDomain: domainZone, MaxPerDomain: 2},
 		{Name: "keyed", Idempotency: IdempotentByKey, KeyDomain: domainZone, KeyTTL: 2 * time.Second, PlacementTimeout: 5 * time.Second},
@@ -45,33 +45,33 @@
 const baseTime = int64(1e18)
 
 // recording builds an encoded recording; the test sets the times.
-type recording struct {
+type recordingBuilder struct {
 	encoded bytes.Buffer
 	nowMS   int64
 }
 
-func newRecording() *recording {
-	r := &recording{}
-	figures, err := json.Marshal(testFigures)
+func newRecording() *recordingBuilder {
+	r := &recordingBuilder{}
+	limits, err := json.Marshal(testLimits)
 	if err != nil {
 		panic(err)
 	}
-	r.add(&recordingpb.Record{Body: &recordingpb.Record_Head{Head: &recordingpb.Head{Version: recordproxy.Version, Figures: figures}}})
-	r.open(node1Connection, NodeWire, "n1")
-	r.open(node2Connection, NodeWire, "n2")
-	r.open(inventoryConnection, InventoryWire, "inventory")
-	r.open(clientConnection, ClientWire, "s")
+	r.add(&recordingpb.Record{Body: &recordingpb.Record_Head{Head: &recordingpb.Head{Version: recordproxy.Version, Figures: limits}}})
+	r.open(node1Connection, NodeProtocol, "n1")
+	r.open(node2Connection, NodeProtocol, "n2")
+	r.open(inventoryConnection, InventoryProtocol, "inventory")
+	r.open(clientConnection, ClientProtocol, "s")
 	return r.listing(true, "n1", "n2")
 }
 
-func (r *recording) open(connection int, wire, listener string) {
-	r.add(&recordingpb.Record{Body: &recordingpb.Record_Open{Open: &recordingpb.Open{Conn: uint64(connection), Wire: wire, To: listener}}})
-	if wire != ClientWire {
+func (r *recordingBuilder) open(connection int, protocol, listener string) {
+	r.add(&recordingpb.Record{Body: &recordingpb.Record_Open{Open: &recordingpb.Open{Conn: uint64(connection), Wire: protocol, To: listener}}})
+	if protocol != ClientProtocol {
 		r.frame(connection, false, &nodepb.Frame{Body: &nodepb.Frame_Hello{Hello: &nodepb.Hello{Party: "s"}}})
 	}
 }
 
-func (r *recording) add(record *recordingpb.Record) {
+func (r *recordingBuilder) add(record *recordingpb.Record) {
 	record.TimeNs = r.time(r.nowMS)
 	if _, err := protodelim.MarshalTo(&r.encoded, record); err != nil {
 		panic(err)
@@ -79,20 +79,20 @@
 }
 
 // time converts milliseconds since the start to nanoseconds of Unix time.
-func (r *recording) time(ms int64) int64 { return baseTime + ms*int64(time.Millisecond) }
+func (r *recordingBuilder) time(ms int64) int64 { return baseTime + ms*int64(time.Millisecond) }
 
 // at sets the time of the following records, in milliseconds since the start.
-func (r *recording) at(ms int64) *recording { r.nowMS = ms; return r }
+func (r *recordingBuilder) at(ms int64) *recordingBuilder { r.nowMS = ms; return r }
 
 // bytes adds bytes that are sent and delivered.
-func (r *recording) bytes(connection int, fromListener bool, data []byte) {
+func (r *recordingBuilder) bytes(connection int, fromListener bool, data []byte) {
 	r.add(&recordingpb.Record{Body: &recordingpb.Record_Sent{Sent: &recordingpb.Sent{Conn: uint64(connection), Back: fromListener,
 		Data: data}}})
 	r.add(&recordingpb.Record{Body: &recordingpb.Record_Delivered{Delivered: &recordingpb.Delivered{Conn: uint64(connection),
 		Back: fromListener, Bytes: uint64(len(data))}}})
 }
 
-func (r *recording) frame(connection int, fromListener bool, frame *nodepb.Frame) {
+func (r *recordingBuilder) frame(connection int, fromListener bool, frame *nodepb.Frame) {
 	encoded, err := nodeframe.Append(nil, frame)
 	if err != nil {
 		panic(err)
@@ -101,7 +101,7 @@
 }
 
 // listing notifies s of nodes. A membership may follow a name, as in n1:draining, and a start in milliseconds, as in n1@100.
-func (r *recording) listing(whole bool, nodes ...string) *recording {
+func (r *recordingBuilder) listing(whole bool, nodes ...string) *recordingBuilder {
 	listing := &nodepb.Listing{Whole: whole}
 	for _, node := range nodes {
 		listing.Entries = append(listing.Entries, r.entry(node))
@@ -110,7 +110,7 @@
 	return r
 }
 
-func (r *recording) entry(node string) *nodepb.Entry {
+func (r *recordingBuilder) entry(node string) *nodepb.Entry {
 	name, start, _ := strings.Cut(node, "@")
 	name, membership, _ := strings.Cut(name, ":")
 	entry := &nodepb.Entry{Node: name, Zone: map[string]string{"n1": "a", "n2": "b"}[name]}
@@ -131,7 +131,7 @@
 }
 
 // offer adds an offer; the job is the part of the attempt before the first slash.
-func (r *recording) offer(connection int, attempt, class string) *recording {
+func (r *recordingBuilder) offer(connection int, attempt, class string) *recordingBuilder {
 	task := &nodepb.Task{Job: strings.Split(attempt, "/")[0], Class: class, Service: "v", Ask: 1}
 	r.frame(connection, false, &nodepb.Frame{Body: &nodepb.Frame_Offer{Offer: &nodepb.Offer{Attempt: attempt,
 		ValidForNs: int64(500 * time.Millisecond), Task: task}}})
@@ -139,48 +139,48 @@
 }
 
 // offerMany adds offers of unsafe jobs to n1; spread does not limit them.
-func (r *recording) offerMany(count int) *recording {
+func (r *recordingBuilder) offerMany(count int) *recordingBuilder {
 	for i := range count {
 		r.offer(node1Connection, fmt.Sprintf("m%d/1/0", i), "unsafe")
 	}
 	return r
 }
 
-func (r *recording) reply(connection int, frame *nodepb.Frame) *recording {
+func (r *recordingBuilder) reply(connection int, frame *nodepb.Frame) *recordingBuilder {
 	r.frame(connection, true, frame)
 	return r
 }
 
-func (r *recording) accept(connection int, attempt string) *recording {
+func (r *recordingBuilder) accept(connection int, attempt string) *recordingBuilder {
 	return r.reply(connection, &nodepb.Frame{Body: &nodepb.Frame_Accepted{Accepted: &nodepb.Accepted{Attempt: attempt}}})
 }
 
-func (r *recording) reject(connection int, attempt string) *recording {
+func (r *recordingBuilder) reject(connection int, attempt string) *recordingBuilder {
 	return r.reply(connection, &nodepb.Frame{Body: &nodepb.Frame_Refused{Refused: &nodepb.Refused{Attempt: attempt}}})
 }
 
-func (r *recording) end(connection int, attempt string) *recording {
+func (r *recordingBuilder) end(connection int, attempt string) *recordingBuilder {
 	return r.reply(connection, &nodepb.Frame{Body: &nodepb.Frame_Ended{Ended: &nodepb.Ended{Attempt: attempt}}})
 }
 
 // welcome adds the welcome of n1 with its start; a fresh node may be in slow start.
-func (r *recording) welcome(startMS int64, fresh bool) *recording {
+func (r *recordingBuilder) welcome(startMS int64, fresh bool) *recordingBuilder {
 	return r.reply(node1Connection, &nodepb.Frame{Body: &nodepb.Frame_Welcome{Welcome: &nodepb.Welcome{Node: "n1",
 		StartedUnixNs: r.time(startMS), Fresh: fresh}}})
 }
 
-func (r *recording) close(connection int) *recording {
+func (r *recordingBuilder) close(connection int) *recordingBuilder {
 	r.add(&recordingpb.Record{Body: &recordingpb.Record_Close{Close: &recordingpb.Close{Conn: uint64(connection)}}})
 	return r
 }
 
-func (r *recording) mark(event recordproxy.Event, party string) *recording {
+func (r *recordingBuilder) mark(event recordproxy.Event, party string) *recordingBuilder {
 	r.add(&recordingpb.Record{Body: &recordingpb.Record_Mark{Mark: recordproxy.NewMark(event, party)}})
 	return r
 }
 
 // submit adds the client's submission of a job of class safe.
-func (r *recording) submit() *recording {
+func (r *recordingBuilder) submit() *recordingBuilder {
 	body, err := json.Marshal(drmaa2.Submission{Template: drmaa2.JobTemplate{RemoteCommand: "x", JobCategory: "safe"}})
 	if err != nil {
 		panic(err)
@@ -191,13 +191,13 @@
 }
 
 // poll adds the client's request for the state of its job.
-func (r *recording) poll() *recording {
+func (r *recordingBuilder) poll() *recordingBuilder {
 	r.bytes(clientConnection, false, []byte("GET /drmaa2/v1/jobs/j HTTP/1.1\r\nHost: x\r\n\r\n"))
 	return r
 }
 
 // respond adds the response to the client's oldest request, with the state of its job.
-func (r *recording) respond(revision int, state drmaa2.JobState, outcome string) *recording {
+func (r *recordingBuilder) respond(revision int, state drmaa2.JobState, outcome string) *recordingBuilder {
 	info := drmaa2.JobInfo{JobID: "j", JobState: state, ImplementationSpecific: map[string]string{drmaa2.AttrPlacementRequests: "1",
 		drmaa2.AttrRevision: fmt.Sprint(revision)}}
 	if outcome != "" {
@@ -214,7 +214,7 @@
 // ruleCase is a recording with the rules that it violates.
 type ruleCase struct {
 	name      string
-	recording *recording
+	recording *recordingBuilder
 	violated  []int
 }
 
--- a/internal/testbed/rules/rules_test.go
+++ b/internal/testbed/rules/rules_test.go
@@ -46,7 +46,7 @@
 }
 
 func duplicateStartCases() []ruleCase {
-	first := func(class string) *recording { return newRecording().offer(node1Connection, "j/1/0", class) }
+	first := func(class string) *recordingBuilder { return newRecording().offer(node1Connection, "j/1/0", class) }
 	return []ruleCase{
 		{"after a rejection", first("unsafe").reject(node1Connection, "j/1/0").
 			offer(node2Connection, "j/1/1", "unsafe"), nil},
@@ -72,7 +72,7 @@
 }
 
 func drainCases() []ruleCase {
-	draining := func() *recording { return newRecording().at(100).listing(false, "n1:draining") }
+	draining := func() *recordingBuilder { return newRecording().at(100).listing(false, "n1:draining") }
 	return []ruleCase{
 		{"within the grace period", draining().at(1000).offer(node1Connection, "j/1/0", "safe"), nil},
 		{"after the grace period", draining().at(1200).offer(node1Connection, "j/1/0", "safe"), []int{DrainRespected}},
@@ -85,7 +85,7 @@
 }
 
 func slowStartCases() []ruleCase {
-	listed := func() *recording { return newRecording().at(100).listing(false, "n1@100") }
+	listed := func() *recordingBuilder { return newRecording().at(100).listing(false, "n1@100") }
 	return []ruleCase{
 		{"at the limit", listed().offerMany(3), nil},
 		{"over the limit", listed().offerMany(4), []int{SlowStartRespected}},
@@ -97,7 +97,7 @@
 }
 
 func spreadCases() []ruleCase {
-	two := func() *recording {
+	two := func() *recordingBuilder {
 		return newRecording().offer(node1Connection, "a/1/0", "safe").offer(node1Connection, "b/1/0", "safe")
 	}
 	return []ruleCase{
@@ -135,15 +135,15 @@
 }
 
 func TestUnreadableRecordingsAreRejected(t *testing.T) {
-	malformedFigures := &recording{}
-	malformedFigures.add(&recordingpb.Record{Body: &recordingpb.Record_Head{Head: &recordingpb.Head{
+	malformedLimits := &recordingBuilder{}
+	malformedLimits.add(&recordingpb.Record{Body: &recordingpb.Record_Head{Head: &recordingpb.Head{
 		Version: recordproxy.Version, Figures: []byte("{")}}})
 	oversizedRecord := newRecording().encoded.String() + "\xff\xff\xff\xff\x7f"
 	check := func(r io.Reader) error {
 		_, err := Check(r)
 		return err
 	}
-	follow := func(r io.Reader) error { return Follow(r, io.Discard) }
+	printFrames := func(r io.Reader) error { return PrintFrames(r, io.Discard) }
 	for _, c := range []struct {
 		name, recording string
 		read            func(r io.Reader) error
@@ -151,10 +151,10 @@
 	}{
 		{"empty file", "", check, "head"},
 		{"another file", "nonsense", check, "head"},
-		{"malformed figures", malformedFigures.encoded.String(), check, "figures"},
+		{"malformed figures", malformedLimits.encoded.String(), check, "figures"},
 		{"oversized record", oversizedRecord, check, "records"},
-		{"follow an empty file", "", follow, "head"},
-		{"follow up to an oversized record", oversizedRecord, follow, "records"},
+		{"follow an empty file", "", printFrames, "head"},
+		{"follow up to an oversized record", oversizedRecord, printFrames, "records"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			err := c.read(strings.NewReader(c.recording))
@@ -166,11 +166,11 @@
 	}
 }
 
-func TestFollowWritesTheFramesOfOneJobAndAllMarks(t *testing.T) {
+func TestPrintFramesWritesTheFramesOfOneJobAndAllMarks(t *testing.T) {
 	r := newRecording().at(5).offer(node1Connection, "j/1/0", "safe").accept(node1Connection, "j/1/0").
 		mark(recordproxy.EventSchedulerKilled, "s").offer(node2Connection, "other/1/0", "safe")
 	var out bytes.Buffer
-	if err := Follow(&r.encoded, &out, "j/1/0"); err != nil {
+	if err := PrintFrames(&r.encoded, &out, "j/1/0"); err != nil {
 		t.Fatal(err)
 	}
 	got := out.String()
--- a/internal/testbed/rules/slowstart.go
+++ b/internal/testbed/rules/slowstart.go
@@ -4,9 +4,9 @@
 
 // slowStart is the interval after the start of a node in which its limit of offers is lower.
 type slowStart struct {
-	startedAt  int64 // nanoseconds of Unix time
-	offers     []slowStartOffer
-	overloaded bool // reported as a violation
+	startedAt         int64 // nanoseconds of Unix time
+	offers            []slowStartOffer
+	violationReported bool // reported as a violation
 }
 
 type slowStartOffer struct {
@@ -17,7 +17,7 @@
 // offerDelivered judges an offer when it reaches a node in slow start. The limit is violated only if at least two thirds of
 // the offers are from schedulers that were notified of the start: the others could not know of it.
 func (c *checker) offerDelivered(link *connection) {
-	node, limits := link.listener, &c.figures.SlowStart
+	node, limits := link.listener, &c.limits.SlowStart
 	view := c.view(link.dialer, node)
 	start := c.slowStartOf(node, view)
 	if start == nil {
@@ -28,12 +28,12 @@
 		return
 	}
 	c.verdict.Rules[SlowStartRespected].Checked++
-	start.add(slowStartOffer{deliveredAt: c.now, schedulerNotified: view.startedAt() == start.startedAt}, limits.Window)
+	start.addOffer(slowStartOffer{deliveredAt: c.now, schedulerNotified: view.startedAt() == start.startedAt}, limits.Window)
 	limit, offers := limits.offerLimit(age), len(start.offers)
-	mostNotified := 3*start.notified() >= 2*offers
-	if float64(offers) > limit && mostNotified && !start.overloaded {
-		start.overloaded = true
-		c.violated(SlowStartRespected, "%s, up for %v, gets %d offers within %v, the limit is %.0f", node,
+	mostNotified := 3*start.countNotified() >= 2*offers
+	if float64(offers) > limit && mostNotified && !start.violationReported {
+		start.violationReported = true
+		c.addViolation(SlowStartRespected, "%s, up for %v, gets %d offers within %v, the limit is %.0f", node,
 			age.Round(time.Millisecond), offers, limits.Window, limit)
 	}
 }
@@ -49,7 +49,7 @@
 }
 
 // add adds an offer and removes those before the window that ends with it.
-func (s *slowStart) add(offer slowStartOffer, window time.Duration) {
+func (s *slowStart) addOffer(offer slowStartOffer, window time.Duration) {
 	recent := s.offers[:0]
 	for _, earlier := range s.offers {
 		if earlier.deliveredAt >= offer.deliveredAt-window {
@@ -60,7 +60,7 @@
 }
 
 // notified returns the number of offers of schedulers that were notified of the start.
-func (s *slowStart) notified() int {
+func (s *slowStart) countNotified() int {
 	count := 0
 	for _, offer := range s.offers {
 		if offer.schedulerNotified {
--- a/internal/testbed/rules/format_test.go
+++ b/internal/testbed/rules/storedrecording_test.go
@@ -16,23 +16,23 @@
 // Written by the build of commit ad3e0ee: the recording of a day of the emulator, with nodes in slow start, a drain, a lost node
 // and a killed scheduler, and figuresOfEveryField.
 const (
-	storedTraffic = "testdata/traffic.gz"
-	storedFigures = "testdata/figures.json"
+	storedRecording = "testdata/traffic.gz"
+	storedLimits    = "testdata/figures.json"
 )
 
-func figuresOfEveryField() Figures {
-	return Figures{
+func limitsWithAllFields() Limits {
+	return Limits{
 		Classes: []Class{{Name: "keyed", Idempotency: "keyed", KeyDomain: "zone", KeyTTL: 2 * time.Second, PlacementTimeout: 3 * time.Second,
 			SpreadDomain: "cell", MaxPerDomain: 4}},
 		DrainGrace: time.Second, AnswerSlack: 150 * time.Millisecond, SettleTime: 2500 * time.Millisecond,
-		SlowStart: SlowStart{Duration: 5 * time.Second, Window: 1500 * time.Millisecond, InitialFraction: 0.25, Multiple: 2.5, MinOffers: 12,
+		SlowStart: SlowStart{Duration: 5 * time.Second, Window: 1500 * time.Millisecond, InitialRateFraction: 0.25, RateMultiple: 2.5, MinOffers: 12,
 			StartsPerSecond: 3.5},
-		Skew: 10 * time.Millisecond}
+		TimeTolerance: 10 * time.Millisecond}
 }
 
-func readTraffic(t *testing.T) []byte {
+func readStoredRecording(t *testing.T) []byte {
 	t.Helper()
-	f, err := os.Open(storedTraffic)
+	f, err := os.Open(storedRecording)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -49,7 +49,7 @@
 }
 
 func TestStoredRecordingGetsTheSameVerdict(t *testing.T) {
-	v, err := Check(bytes.NewReader(readTraffic(t)))
+	v, err := Check(bytes.NewReader(readStoredRecording(t)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -65,29 +65,29 @@
 	}
 }
 
-func TestFiguresOfAStoredRecordingAreWrittenTheSame(t *testing.T) {
-	r, err := recordproxy.NewReader(bytes.NewReader(readTraffic(t)))
+func TestLimitsOfAStoredRecordingAreWrittenTheSame(t *testing.T) {
+	r, err := recordproxy.NewReader(bytes.NewReader(readStoredRecording(t)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	checkFigures(t, r.Figures)
+	checkStoredLimits(t, r.Figures)
 }
 
-func TestStoredFiguresKeepTheirNames(t *testing.T) {
-	stored, err := os.ReadFile(storedFigures)
+func TestStoredLimitsKeepTheirNames(t *testing.T) {
+	stored, err := os.ReadFile(storedLimits)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if read, want := checkFigures(t, bytes.TrimSuffix(stored, []byte("\n"))), figuresOfEveryField(); !reflect.DeepEqual(read,
+	if read, want := checkStoredLimits(t, bytes.TrimSuffix(stored, []byte("\n"))), limitsWithAllFields(); !reflect.DeepEqual(read,
 		want) {
 		t.Errorf("got %+v, want %+v", read, want)
 	}
 }
 
 // checkFigures reads figures that have no other fields, and writes them the same.
-func checkFigures(t *testing.T, stored []byte) Figures {
+func checkStoredLimits(t *testing.T, stored []byte) Limits {
 	t.Helper()
-	var f Figures
+	var f Limits
 	dec := json.NewDecoder(bytes.NewReader(stored))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(&f); err != nil {
--- a/internal/testbed/rules/verdict.go
+++ b/internal/testbed/rules/verdict.go
@@ -39,14 +39,14 @@
 }
 
 // Rule is the result for one rule.
-type Rule struct {
+type RuleResult struct {
 	Checked    int         // number of judged cases; zero means that the recording does not exercise the rule
 	Violations []Violation // in the order of their times
 }
 
 // Verdict is the result of Check for a recording.
 type Verdict struct {
-	Rules           [ruleCount]Rule
+	Rules           [ruleCount]RuleResult
 	Length          time.Duration  // from the first record to the last
 	Undecoded       []string       // connections whose bytes could not be decoded, with the reason
 	Submitted       int            // requests that submit jobs
@@ -91,7 +91,7 @@
 	return text.String()
 }
 
-func (r *Rule) print(text *strings.Builder, index int) {
+func (r *RuleResult) print(text *strings.Builder, index int) {
 	result := "respected"
 	switch {
 	case len(r.Violations) > 0:
--- a/internal/testbed/rules/verdict_test.go
+++ b/internal/testbed/rules/verdict_test.go
@@ -11,7 +11,7 @@
 		Outcomes: map[string]int{"placed": 1, "rejected": 2}, States: map[string]int{"DONE": 3}, Orphaned: 1, OverloadedNodes: 5,
 		Offers: 6, Replies: map[string]int{replyRejected + "queue full": 6}, Undecoded: []string{"connection 7"}}
 	v.Rules[OneOutcome].Checked = 3
-	v.Rules[NoDuplicateStart] = Rule{Checked: 20, Violations: make([]Violation, maxPrintedViolations+2)}
+	v.Rules[NoDuplicateStart] = RuleResult{Checked: 20, Violations: make([]Violation, maxPrintedViolations+2)}
 	v.Rules[NoDuplicateStart].Violations[0] = Violation{At: 1500 * time.Millisecond, Text: "a violation"}
 	got := v.String()
 	for _, want := range []string{
--- a/internal/testbed/scenario/arrivals.go
+++ b/internal/testbed/scenario/arrivals.go
@@ -29,55 +29,55 @@
 // Arrivals draws the submissions of one load. They depend only on the day and the seed, so that designs are compared on
 // the same submissions. It is not safe for concurrent use.
 type Arrivals struct {
-	load       *Load
-	loadIndex  int
-	rng        *rand.Rand
-	seed       uint64
-	schedulers int
-	drawn      int     // submissions so far
-	seconds    float64 // time of the last submission
+	load        *Load
+	loadIndex   int
+	rng         *rand.Rand
+	seed        uint64
+	schedulers  int
+	drawn       int     // submissions so far
+	lastSeconds float64 // time of the last submission
 }
 
 // Arrivals returns the submissions of load i.
-func (d *Day) Arrivals(i int, seed uint64) *Arrivals {
+func (d *Day) Arrivals(loadIndex int, seed uint64) *Arrivals {
 	return &Arrivals{
-		load:       &d.Load[i],
-		loadIndex:  i,
-		rng:        rand.New(rand.NewPCG(seed, uint64(i)+1)),
-		seed:       seed,
-		schedulers: d.Schedulers,
-		seconds:    d.Load[i].From,
+		load:        &d.Loads[loadIndex],
+		loadIndex:   loadIndex,
+		rng:         rand.New(rand.NewPCG(seed, uint64(loadIndex)+1)),
+		seed:        seed,
+		schedulers:  d.Schedulers,
+		lastSeconds: d.Loads[loadIndex].From,
 	}
 }
 
 // Next returns the next submission, or false when the load has ended. rateFactor multiplies the rate of submissions, and
 // hotServiceFraction is the fraction of them that goes to the first service.
 func (a *Arrivals) Next(rateFactor, hotServiceFraction float64) (Arrival, bool) {
-	l, rng := a.load, a.rng
-	a.seconds += rng.ExpFloat64() / (l.PerSecond * rateFactor)
-	if a.seconds >= l.To {
+	load, rng := a.load, a.rng
+	a.lastSeconds += rng.ExpFloat64() / (load.PerSecond * rateFactor)
+	if a.lastSeconds >= load.To {
 		return Arrival{}, false
 	}
 	// The order of the draws must not change: it determines the submissions of a seed.
-	service := rng.IntN(l.Services)
+	service := rng.IntN(load.Services)
 	if rng.Float64() < hotServiceFraction {
 		service = 0
 	}
-	runtime := l.Runtime[0].Duration() + time.Duration(rng.Float64()*float64(l.Runtime[1]-l.Runtime[0]))
+	runtime := load.RuntimeBounds[0].Duration() + time.Duration(rng.Float64()*float64(load.RuntimeBounds[1]-load.RuntimeBounds[0]))
 	scheduler := rng.IntN(a.schedulers)
 	controlDraw := rng.Float64()
 	controlDelay := Seconds(rng.Float64() * maxControlDelay)
 	arrival := Arrival{
-		At:           Seconds(a.seconds),
-		Load:         l,
+		At:           Seconds(a.lastSeconds),
+		Load:         load,
 		Key:          fmt.Sprintf("t%d-%d-%d", a.seed, a.loadIndex, a.drawn),
-		Service:      fmt.Sprintf("%s-%d", l.Class, service),
+		Service:      fmt.Sprintf("%s-%d", load.Class, service),
 		Runtime:      runtime,
 		Scheduler:    scheduler,
 		ControlDraw:  controlDraw,
 		ControlDelay: controlDelay,
-		Cores:        l.Cores,
-		Memory:       l.Memory,
+		Cores:        load.Cores,
+		Memory:       load.Memory,
 	}
 	a.drawn++
 	return arrival, true
--- a/internal/testbed/scenario/day.go
+++ b/internal/testbed/scenario/day.go
@@ -12,13 +12,13 @@
 // Times that are numbers are seconds since the start of the day.
 
 // Group is a number of identical nodes in one zone, the record #Group of the schema.
-type Group struct {
-	Name  string `json:"Name"` // prefix of the names of its nodes, which are numbered from 0
-	Kind  string `json:"Kind"`
-	Zone  string `json:"Zone"`
-	Count int    `json:"Count"`
-	Cell  int    `json:"Cell"`
-	Warm  bool   `json:"Warm"` // the nodes need no slow start
+type NodeGroup struct {
+	Name        string `json:"Name"` // prefix of the names of its nodes, which are numbered from 0
+	MachineKind string `json:"Kind"`
+	Zone        string `json:"Zone"`
+	Count       int    `json:"Count"`
+	Cell        int    `json:"Cell"`
+	Warm        bool   `json:"Warm"` // the nodes need no slow start
 }
 
 // Load is an open-loop stream of submissions of one class, the record #Load of the schema.
@@ -32,21 +32,21 @@
 	Cores  float64 `json:"Cores"`
 	Memory float64 `json:"Memory"`
 	// Terminate and Hold are the fractions of jobs that their clients terminate, or hold and release, soon after submission.
-	Terminate  float64              `json:"Terminate"`
-	Hold       float64              `json:"Hold"`
-	Services   int                  `json:"Services"` // number of services that the submissions are spread over
-	Runtime    [2]settings.Duration `json:"Life"`     // bounds of the runtime, drawn evenly
-	Rerunnable bool                 `json:"Rerunnable"`
+	TerminateFraction float64              `json:"Terminate"`
+	HoldFraction      float64              `json:"Hold"`
+	Services          int                  `json:"Services"` // number of services that the submissions are spread over
+	RuntimeBounds     [2]settings.Duration `json:"Life"`     // bounds of the runtime, drawn evenly
+	Rerunnable        bool                 `json:"Rerunnable"`
 	// Retry is the pause before a client resubmits a job that was rejected or failed; the client stops retrying after
 	// Patience. Zero means no retry. Only the emulator's clients retry.
-	Retry    settings.Duration `json:"Retry"`
-	Patience settings.Duration `json:"Patience"`
+	RetryDelay   settings.Duration `json:"Retry"`
+	RetryTimeout settings.Duration `json:"Patience"`
 }
 
 // Fault is a fault at a given time, the record #Trouble of the schema.
 type Fault struct {
 	At         float64 `json:"At"`
-	For        float64 `json:"For"`        // duration in seconds
+	Duration   float64 `json:"For"`        // duration in seconds
 	Kind       string  `json:"Do"`         // kind of fault, one of the names of the schema
 	Zone       string  `json:"Zone"`       // zone of the nodes that it affects; empty: all
 	Class      string  `json:"Class"`      // class that it affects, depending on Do
@@ -57,26 +57,26 @@
 
 // Day is a scripted day, the record #Trial of the schema.
 type Day struct {
-	Name       string             `json:"-"` // name of the shipped day, or of the file without its extension
-	About      string             `json:"About"`
-	Seconds    float64            `json:"Seconds"` // length of the load
-	After      float64            `json:"After"`   // seconds of waiting, after the last submission, for open tasks
-	Schedulers int                `json:"Schedulers"`
-	Cores      int                `json:"Cores"` // shards of each scheduler
-	Kinds      []settings.Kind    `json:"Kinds"`
-	Classes    []settings.Class   `json:"Classes"`
-	Tenants    []settings.Tenant  `json:"Tenants"`
-	Rules      settings.Rules     `json:"Rules"`
-	Limits     settings.Limits    `json:"Limits"`
-	Behaviour  settings.Behaviour `json:"Behaviour"`
-	CPU        CPU                `json:"cpu"`
+	Name         string             `json:"-"` // name of the shipped day, or of the file without its extension
+	Description  string             `json:"About"`
+	LoadSeconds  float64            `json:"Seconds"` // length of the load
+	WaitSeconds  float64            `json:"After"`   // seconds of waiting, after the last submission, for open tasks
+	Schedulers   int                `json:"Schedulers"`
+	Shards       int                `json:"Cores"` // shards of each scheduler
+	MachineKinds []settings.Kind    `json:"Kinds"`
+	Classes      []settings.Class   `json:"Classes"`
+	Tenants      []settings.Tenant  `json:"Tenants"`
+	Rules        settings.Rules     `json:"Rules"`
+	Limits       settings.Limits    `json:"Limits"`
+	Behaviour    settings.Behaviour `json:"Behaviour"`
+	CPU          CPU                `json:"cpu"`
 	// DiscoveryDelay and RemovalDelay are those of the inventory.
 	DiscoveryDelay settings.Duration `json:"Late"`
 	RemovalDelay   settings.Duration `json:"GoneAfter"`
 	ListsFree      bool              `json:"ListsFree"`      // the inventory lists free resources
 	RunsWhenPlaced bool              `json:"RunsWhenPlaced"` // a task counts as placed when it runs, not when a node accepts it
-	Fleet          []Group           `json:"Fleet"`
-	Load           []Load            `json:"Load"`
+	Fleet          []NodeGroup       `json:"Fleet"`
+	Loads          []Load            `json:"Load"`
 	Faults         []Fault           `json:"Troubles"`
 }
 
--- a/internal/testbed/scenario/draws_test.go
+++ b/internal/testbed/scenario/draws_test.go
@@ -37,7 +37,7 @@
 
 func TestArrivalsAreWithinTheBoundsOfTheirLoad(t *testing.T) {
 	d := parseDay(t)
-	load := &d.Load[0]
+	load := &d.Loads[0]
 	var last time.Duration
 	keys := map[string]bool{}
 	for _, a := range arrivals(d, 7, 0) {
@@ -45,8 +45,8 @@
 			t.Errorf("got an arrival at %v after one at %v, want them in order from %v s to %v s", a.At, last, load.From, load.To)
 		}
 		last = a.At
-		if a.Runtime < load.Runtime[0].Duration() || a.Runtime > load.Runtime[1].Duration() {
-			t.Errorf("got runtime %v, want one of %v", a.Runtime, load.Runtime)
+		if a.Runtime < load.RuntimeBounds[0].Duration() || a.Runtime > load.RuntimeBounds[1].Duration() {
+			t.Errorf("got runtime %v, want one of %v", a.Runtime, load.RuntimeBounds)
 		}
 		if a.Scheduler < 0 || a.Scheduler >= d.Schedulers {
 			t.Errorf("got scheduler %d, want one of %d", a.Scheduler, d.Schedulers)
@@ -63,7 +63,7 @@
 
 func TestHotServiceGetsItsFractionOfTheArrivals(t *testing.T) {
 	d := parseDay(t)
-	want := d.Load[0].Class + "-0"
+	want := d.Loads[0].Class + "-0"
 	for _, a := range arrivals(d, 7, 1) {
 		if a.Service != want {
 			t.Errorf("got service %s, want %s", a.Service, want)
@@ -95,8 +95,8 @@
 		{"no nodes", Fault{}, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			picked := d.PickNodes(&c.fault, d.Rand(0, 7))
-			if again := d.PickNodes(&c.fault, d.Rand(0, 7)); !slices.Equal(again, picked) {
+			picked := d.PickNodes(&c.fault, d.FaultRand(0, 7))
+			if again := d.PickNodes(&c.fault, d.FaultRand(0, 7)); !slices.Equal(again, picked) {
 				t.Errorf("got nodes %v, want those of the first draw, %v", again, picked)
 			}
 			slices.Sort(picked)
@@ -113,9 +113,9 @@
 }
 
 func TestSchedulersAreSpreadOverTheZonesOfTheFleet(t *testing.T) {
-	d := Day{Fleet: []Group{{Zone: "a"}, {Zone: "b"}, {Zone: "a"}}}
+	d := Day{Fleet: []NodeGroup{{Zone: "a"}, {Zone: "b"}, {Zone: "a"}}}
 	for i, want := range []string{"a", "b", "a", "b"} {
-		if got := d.Zone(i); got != want {
+		if got := d.SchedulerZone(i); got != want {
 			t.Errorf("scheduler %d: got zone %s, want %s", i, got, want)
 		}
 	}
--- a/internal/testbed/scenario/fleet.go
+++ b/internal/testbed/scenario/fleet.go
@@ -7,12 +7,12 @@
 )
 
 // faultStream is the random stream of the first fault; recordings depend on it.
-const faultStream = 1000
+const firstFaultStream = 1000
 
 // Node is one node of the fleet.
 type Node struct {
 	Name  string
-	Group *Group
+	Group *NodeGroup
 }
 
 // Nodes returns the nodes of the fleet in the order of its groups.
@@ -27,7 +27,7 @@
 }
 
 // Zone returns the zone of scheduler i: schedulers are spread over the zones of the fleet.
-func (d *Day) Zone(i int) string {
+func (d *Day) SchedulerZone(scheduler int) string {
 	var zones []string
 	seen := map[string]bool{}
 	for _, g := range d.Fleet {
@@ -36,22 +36,22 @@
 			zones = append(zones, g.Zone)
 		}
 	}
-	return zones[i%len(zones)]
+	return zones[scheduler%len(zones)]
 }
 
 // Rand returns the random numbers of fault i. They are not safe for concurrent use.
-func (d *Day) Rand(i int, seed uint64) *rand.Rand {
-	return rand.New(rand.NewPCG(seed, faultStream+uint64(i)))
+func (d *Day) FaultRand(faultIndex int, seed uint64) *rand.Rand {
+	return rand.New(rand.NewPCG(seed, firstFaultStream+uint64(faultIndex)))
 }
 
 // PickNodes draws the nodes that a fault affects and returns their indexes in Nodes.
 func (d *Day) PickNodes(fault *Fault, rng *rand.Rand) []int {
-	var all []int
+	var candidates []int
 	for i, node := range d.Nodes() {
 		if fault.Zone == "" || fault.Zone == node.Group.Zone {
-			all = append(all, i)
+			candidates = append(candidates, i)
 		}
 	}
-	rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
-	return all[:int(math.Ceil(float64(len(all))*fault.Fraction))]
+	rng.Shuffle(len(candidates), func(i, j int) { candidates[i], candidates[j] = candidates[j], candidates[i] })
+	return candidates[:int(math.Ceil(float64(len(candidates))*fault.Fraction))]
 }
--- a/internal/testbed/scenario/read.go
+++ b/internal/testbed/scenario/read.go
@@ -16,10 +16,10 @@
 var schema string
 
 //go:embed days/*.cue
-var days embed.FS
+var dayFiles embed.FS
 
 // everyClass, as the class of a fault, means all classes.
-const everyClass = "*"
+const allClasses = "*"
 
 // UnknownDayError is returned by Read for a name that is neither a day that ships with the program nor a readable file.
 type UnknownDayError struct {
@@ -37,7 +37,7 @@
 
 // Names returns the names of the days that ship with the program, in sorted order.
 func Names() []string {
-	entries, _ := days.ReadDir("days") // the folder is part of the binary
+	entries, _ := dayFiles.ReadDir("days") // the folder is part of the binary
 	var names []string
 	for _, e := range entries {
 		names = append(names, strings.TrimSuffix(e.Name(), ".cue"))
@@ -49,7 +49,7 @@
 // Read reads the shipped day of the given name, or else the file of that name. The error is an *UnknownDayError if there is
 // neither, and settings.Problems if the day is not valid.
 func Read(name string) (*Day, error) {
-	if text, err := days.ReadFile(path.Join("days", name+".cue")); err == nil {
+	if text, err := dayFiles.ReadFile(path.Join("days", name+".cue")); err == nil {
 		return Parse(name, text)
 	}
 	text, err := os.ReadFile(name)
@@ -70,9 +70,9 @@
 	if err := file.Decode(d); err != nil {
 		return nil, err
 	}
-	for i := range d.Load {
-		if d.Load[i].To == 0 {
-			d.Load[i].To = d.Seconds
+	for i := range d.Loads {
+		if d.Loads[i].To == 0 {
+			d.Loads[i].To = d.LoadSeconds
 		}
 	}
 	d.checkFleet(file)
@@ -83,30 +83,30 @@
 
 func (d *Day) checkFleet(file *settings.File) {
 	kinds := map[string]bool{}
-	for _, k := range d.Kinds {
+	for _, k := range d.MachineKinds {
 		kinds[k.Name] = true
 	}
 	for i, g := range d.Fleet {
-		if !kinds[g.Kind] {
-			file.Fail(fmt.Sprintf("fleet[%d].kind", i), "no kind %q, expected one of kinds", g.Kind)
+		if !kinds[g.MachineKind] {
+			file.Fail(fmt.Sprintf("fleet[%d].kind", i), "no kind %q, expected one of kinds", g.MachineKind)
 		}
 	}
 }
 
 func (d *Day) checkLoad(file *settings.File) {
-	for i, l := range d.Load {
+	for i, l := range d.Loads {
 		if d.Class(l.Class) == nil {
 			file.Fail(fmt.Sprintf("load[%d].class", i), "no class %q, expected one of classes", l.Class)
 		}
-		if l.Runtime[1] < l.Runtime[0] {
-			file.Fail(fmt.Sprintf("load[%d].life", i), "is %v, expected two rising durations", l.Runtime)
+		if l.RuntimeBounds[1] < l.RuntimeBounds[0] {
+			file.Fail(fmt.Sprintf("load[%d].life", i), "is %v, expected two rising durations", l.RuntimeBounds)
 		}
 	}
 }
 
 func (d *Day) checkFaults(file *settings.File) {
 	for i, t := range d.Faults {
-		if t.Class != "" && t.Class != everyClass && d.Class(t.Class) == nil {
+		if t.Class != "" && t.Class != allClasses && d.Class(t.Class) == nil {
 			file.Fail(fmt.Sprintf("troubles[%d].class", i), "no class %q, expected one of classes", t.Class)
 		}
 		for j, s := range t.Schedulers {
--- a/internal/testbed/scenario/figures.go
+++ b/internal/testbed/scenario/rulelimits.go
@@ -9,18 +9,18 @@
 )
 
 // clockSkew is the tolerance of the rules checker between the times of the recorder and those of the recorded processes.
-const clockSkew = 150 * time.Millisecond
+const timeTolerance = 150 * time.Millisecond
 
 // Figures returns the limits by which the rules checker judges a recording of this day.
-func (d *Day) Figures() rules.Figures {
-	b := &d.Behaviour
-	f := rules.Figures{DrainGrace: d.Rules.DrainGrace.Duration(), AnswerSlack: d.Rules.AnswerSlack.Duration(),
-		SettleTime: d.Rules.SettleTime.Duration(), Skew: clockSkew,
+func (d *Day) RuleLimits() rules.Limits {
+	behaviour := &d.Behaviour
+	limits := rules.Limits{DrainGrace: d.Rules.DrainGrace.Duration(), AnswerSlack: d.Rules.AnswerSlack.Duration(),
+		SettleTime: d.Rules.SettleTime.Duration(), TimeTolerance: timeTolerance,
 		SlowStart: rules.SlowStart{Duration: d.Rules.SlowStartDuration.Duration(), Window: d.Rules.OverloadWindow.Duration(),
-			InitialFraction: b.SlowStartInitialRate, Multiple: b.OverloadMultiple, MinOffers: d.Rules.SlowStartBudget,
-			StartsPerSecond: float64(b.StartSlots) / (b.CachedStartTime.Duration().Seconds() * max(b.UncachedStartFactor, 1))}}
+			InitialRateFraction: behaviour.SlowStartInitialRate, RateMultiple: behaviour.OverloadMultiple, MinOffers: d.Rules.SlowStartBudget,
+			StartsPerSecond: float64(behaviour.StartSlots) / (behaviour.CachedStartTime.Duration().Seconds() * max(behaviour.UncachedStartFactor, 1))}}
 	for _, c := range d.Classes {
-		f.Classes = append(f.Classes, rules.Class{
+		limits.Classes = append(limits.Classes, rules.Class{
 			Name:             c.Name,
 			Idempotency:      storedIdempotency(c.ModuleIdempotency()),
 			KeyDomain:        c.KeyDomain,
@@ -30,7 +30,7 @@
 			MaxPerDomain:     c.MaxPerDomain,
 		})
 	}
-	return f
+	return limits
 }
 
 // storedIdempotency returns the name of an idempotency in the figures. The mapping is here since the rules checker must not
@@ -48,7 +48,7 @@
 
 // WithStoredNames returns a copy of the day in which the idempotency of each class has the name that stored results and
 // recordings have, whichever of its names the day's file has.
-func (d *Day) WithStoredNames() *Day {
+func (d *Day) WithStoredIdempotency() *Day {
 	stored := *d
 	stored.Classes = slices.Clone(d.Classes)
 	for i := range stored.Classes {
--- a/internal/testbed/scenario/figures_test.go
+++ b/internal/testbed/scenario/rulelimits_test.go
@@ -7,7 +7,7 @@
 )
 
 // Recordings store the names of the idempotency, whichever names the settings of the day have.
-func TestFiguresHaveTheStoredIdempotency(t *testing.T) {
+func TestRuleLimitsHaveTheStoredIdempotency(t *testing.T) {
 	for _, c := range []struct{ setting, want string }{
 		{"safe", "safe"},
 		{"idempotent", "safe"},
@@ -19,7 +19,7 @@
 		t.Run(c.setting, func(t *testing.T) {
 			d := parseDay(t)
 			d.Classes = []settings.Class{{Idempotency: c.setting}}
-			if got := d.Figures().Classes[0].Idempotency; got != c.want {
+			if got := d.RuleLimits().Classes[0].Idempotency; got != c.want {
 				t.Errorf("got %q, want %q", got, c.want)
 			}
 		})
--- a/internal/testbed/scenario/schedulerfile.go
+++ b/internal/testbed/scenario/schedulerfile.go
@@ -32,23 +32,23 @@
 
 // SchedulerFile returns the configuration file of scheduler i as JSON, which is valid CUE. inventory is the address of the
 // inventory; recording is the file to which the scheduler records the steps of its module, or empty for none.
-func (d *Day) SchedulerFile(i int, inventory, recording string, seed uint64) ([]byte, error) {
+func (d *Day) SchedulerFile(scheduler int, inventory, recording string, seed uint64) ([]byte, error) {
 	fail := func(err error) ([]byte, error) {
-		return nil, fmt.Errorf("scenario: configuration of scheduler %s: %w", SchedulerName(i), err)
+		return nil, fmt.Errorf("scenario: configuration of scheduler %s: %w", SchedulerName(scheduler), err)
 	}
 	text, err := json.Marshal(schedulerFile{
-		Name:           SchedulerName(i),
+		Name:           SchedulerName(scheduler),
 		Listen:         "127.0.0.1:0",
 		Inventory:      inventory,
-		Index:          i,
+		Index:          scheduler,
 		Schedulers:     d.Schedulers,
-		Cores:          max(d.Cores, 1),
-		Zone:           d.Zone(i),
+		Cores:          max(d.Shards, 1),
+		Zone:           d.SchedulerZone(scheduler),
 		Seed:           seed,
 		ListsFree:      d.ListsFree,
 		RunsWhenPlaced: d.RunsWhenPlaced,
-		Classes:        withoutDeprecated(d.Classes),
-		Kinds:          d.Kinds,
+		Classes:        withCurrentIdempotency(d.Classes),
+		Kinds:          d.MachineKinds,
 		Tenants:        d.Tenants,
 		Rules:          d.Rules,
 		Limits:         d.Limits,
@@ -66,7 +66,7 @@
 }
 
 // withoutDeprecated returns the classes with the current values of deprecated settings, which a day may have.
-func withoutDeprecated(classes []settings.Class) []settings.Class {
+func withCurrentIdempotency(classes []settings.Class) []settings.Class {
 	classes = slices.Clone(classes)
 	for i := range classes {
 		classes[i].Idempotency = settings.CurrentIdempotency(classes[i].Idempotency)
@@ -93,4 +93,4 @@
 }
 
 // SchedulerName returns the name of scheduler i.
-func SchedulerName(i int) string { return fmt.Sprintf("s%d", i) }
+func SchedulerName(scheduler int) string { return fmt.Sprintf("s%d", scheduler) }
--- a/internal/testbed/scenario/storedday_test.go
+++ b/internal/testbed/scenario/storedday_test.go
@@ -39,18 +39,18 @@
 }
 
 // unset returns the paths of the fields that have their zero value.
-func unset(path string, v reflect.Value) []string {
+func zeroFields(path string, v reflect.Value) []string {
 	var fields []string
 	switch {
 	case v.Kind() == reflect.Struct:
 		for i := range v.NumField() {
-			fields = append(fields, unset(path+"."+v.Type().Field(i).Name, v.Field(i))...)
+			fields = append(fields, zeroFields(path+"."+v.Type().Field(i).Name, v.Field(i))...)
 		}
 	case v.IsZero() || v.Kind() == reflect.Slice && v.Len() == 0:
 		fields = append(fields, path)
 	case v.Kind() == reflect.Slice || v.Kind() == reflect.Array:
 		for i := range v.Len() {
-			fields = append(fields, unset(fmt.Sprintf("%s[%d]", path, i), v.Index(i))...)
+			fields = append(fields, zeroFields(fmt.Sprintf("%s[%d]", path, i), v.Index(i))...)
 		}
 	}
 	return fields
@@ -59,7 +59,7 @@
 // Experiments identify their stored results by the hash of the day's JSON.
 func TestJSONOfADayKeepsItsNames(t *testing.T) {
 	d := parseDay(t)
-	if fields := unset("Day", reflect.ValueOf(*d)); fields != nil {
+	if fields := zeroFields("Day", reflect.ValueOf(*d)); fields != nil {
 		t.Errorf("got unset fields %v in the day of this test, want none", fields)
 	}
 	stored := bytes.TrimSuffix(readFile(t, storedDay), []byte("\n"))
--- a/internal/testbed/trial/clients.go
+++ b/internal/testbed/trial/clients.go
@@ -25,7 +25,7 @@
 	mu        sync.Mutex
 	tally     Tally
 	open      map[string]*submission // by idempotency key
-	loadState fault.LoadState
+	loadState fault.LoadModifiers
 }
 
 func newClients(c *cluster, begin time.Time) *clients {
@@ -45,7 +45,7 @@
 		c.watches.Go(func() { c.watch(ctx, scheduler) })
 	}
 	var loads sync.WaitGroup
-	for i := range c.cluster.day.Load {
+	for i := range c.cluster.day.Loads {
 		loads.Go(func() { c.submitLoad(ctx, i) })
 	}
 	loads.Wait()
@@ -54,7 +54,7 @@
 // settle waits until all submissions are accounted for, and for the rest of the day, in which running jobs may end.
 func (c *clients) settle(ctx context.Context) {
 	c.submissions.Wait()
-	sleepUntil(ctx, c.begin.Add(scenario.Seconds(c.cluster.day.Seconds+c.cluster.day.After)))
+	sleepUntil(ctx, c.begin.Add(scenario.Seconds(c.cluster.day.LoadSeconds+c.cluster.day.WaitSeconds)))
 }
 
 // close waits for the watches, whose context must be canceled before, and closes all connections.
@@ -74,7 +74,7 @@
 
 // submitLoad sends the submissions of one load at their times, without waiting for earlier ones.
 func (c *clients) submitLoad(ctx context.Context, index int) {
-	class := c.cluster.day.Load[index].Class
+	class := c.cluster.day.Loads[index].Class
 	arrivals := c.cluster.day.Arrivals(index, c.cluster.opt.Seed)
 	for {
 		arrival, ok := arrivals.Next(c.loadNow(class))
@@ -94,7 +94,7 @@
 func (c *clients) loadNow(class string) (factor, hotServiceFraction float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.loadState.OfClass(class)
+	return c.loadState.ForClass(class)
 }
 
 func (c *clients) setLoadFactor(class string, factor float64) {
--- a/internal/testbed/trial/cluster.go
+++ b/internal/testbed/trial/cluster.go
@@ -71,7 +71,7 @@
 	}
 	n := &node{cluster: c, index: len(c.nodes), group: group, name: place.Name}
 	var err error
-	if n.proxy, err = recordproxy.NewProxy(c.recorder, rules.NodeWire, n.name, "", n.address); err != nil {
+	if n.proxy, err = recordproxy.NewProxy(c.recorder, rules.NodeProtocol, n.name, "", n.address); err != nil {
 		return err
 	}
 	c.nodes = append(c.nodes, n)
@@ -82,11 +82,11 @@
 	name := scenario.SchedulerName(index)
 	p := &process{cluster: c, index: index, name: name, configPath: filepath.Join(c.directory, name+".cue")}
 	var err error
-	p.clientProxy, err = recordproxy.NewProxy(c.recorder, rules.ClientWire, name, "", p.address)
+	p.clientProxy, err = recordproxy.NewProxy(c.recorder, rules.ClientProtocol, name, "", p.address)
 	if err != nil {
 		return err
 	}
-	p.inventoryProxy, err = recordproxy.NewProxy(c.recorder, rules.InventoryWire, "inventory", name, c.inventory.Addr)
+	p.inventoryProxy, err = recordproxy.NewProxy(c.recorder, rules.InventoryProtocol, "inventory", name, c.inventory.Addr)
 	if err != nil {
 		p.clientProxy.Close()
 		return err
--- a/internal/testbed/trial/faults.go
+++ b/internal/testbed/trial/faults.go
@@ -32,7 +32,7 @@
 				return
 			}
 			scheduled := &c.day.Faults[i]
-			c.opt.Note("%6.2f s: %s%s for %v s", scheduled.At, scheduled.Kind, describe(scheduled), scheduled.For)
+			c.opt.Note("%6.2f s: %s%s for %v s", scheduled.At, scheduled.Kind, describe(scheduled), scheduled.Duration)
 			errs[i] = next.Inject(ctx, target)
 		})
 	}
--- a/internal/testbed/trial/node.go
+++ b/internal/testbed/trial/node.go
@@ -17,7 +17,7 @@
 type node struct {
 	cluster *cluster
 	index   int
-	group   scenario.Group
+	group   scenario.NodeGroup
 	name    string
 	proxy   *recordproxy.Proxy
 
@@ -46,10 +46,10 @@
 	}
 	n.incarnations++
 	c := n.cluster
-	set := settings.Node{Name: n.name, Kind: n.group.Kind, Zone: n.group.Zone, Cell: n.group.Cell, Warm: warm}
+	set := settings.Node{Name: n.name, Kind: n.group.MachineKind, Zone: n.group.Zone, Cell: n.group.Cell, Warm: warm}
 	seed := scenario.NodeSeed(c.opt.Seed, n.index, n.incarnations)
-	started, err := host.StartNode(host.NodeOptions{Kind: n.group.Kind, Cell: n.group.Cell, Listen: loopbackAnyPort,
-		Model:     fleet.NodeModel(set, c.day.Kinds, c.day.Rules, c.day.Behaviour, seed),
+	started, err := host.StartNode(host.NodeOptions{Kind: n.group.MachineKind, Cell: n.group.Cell, Listen: loopbackAnyPort,
+		Model:     fleet.NodeModel(set, c.day.MachineKinds, c.day.Rules, c.day.Behaviour, seed),
 		Advertise: n.proxy.Addr(), Inventory: c.inventory.Addr(), Keys: c.zoneKeys[n.group.Zone], Log: c.log})
 	if err != nil {
 		return fmt.Errorf("trial: start %s: %w", n.name, err)
--- a/internal/testbed/trial/plan_test.go
+++ b/internal/testbed/trial/plan_test.go
@@ -28,7 +28,7 @@
 					t.Fatal(err)
 				}
 				first, _ := planner.First(planner.Limits(plancheck.Model(d)))
-				d.Load[0].PerSecond *= first.Multiple * m
+				d.Loads[0].PerSecond *= first.Multiple * m
 				d.Name = c.Name
 				rep, err := emulator.Run(context.Background(), d, emulator.Options{Seed: 1})
 				if err != nil {
--- a/internal/testbed/trial/process.go
+++ b/internal/testbed/trial/process.go
@@ -103,7 +103,7 @@
 	if p.cluster.opt.Replay {
 		stepFile = filepath.Join(p.cluster.directory, fmt.Sprintf("%s-%d.tap", p.name, p.incarnations))
 		p.stepFiles = append(p.stepFiles, stepFile)
-		for core := 1; core < p.cluster.day.Cores; core++ {
+		for core := 1; core < p.cluster.day.Shards; core++ {
 			p.stepFiles = append(p.stepFiles, fmt.Sprintf("%s.%d", stepFile, core))
 		}
 	}
--- a/internal/testbed/trial/run.go
+++ b/internal/testbed/trial/run.go
@@ -73,8 +73,8 @@
 // Run runs a day. The error is an *UnsupportedError or another failure of the trial itself; failures of the schedulers are in
 // the result.
 func Run(ctx context.Context, d *scenario.Day, opt Options) (result *Result, err error) {
-	for i := range d.Load {
-		if d.Load[i].Retry > 0 {
+	for i := range d.Loads {
+		if d.Loads[i].RetryDelay > 0 {
 			return nil, &UnsupportedError{Day: d.Name, Reason: "only the emulator has clients that retry"}
 		}
 	}
@@ -120,7 +120,7 @@
 
 // runCluster runs and records a day. The caller sets the verdict of the result.
 func runCluster(ctx context.Context, d *scenario.Day, opt Options, directory string) (*Result, error) {
-	figures, err := json.Marshal(d.Figures())
+	figures, err := json.Marshal(d.RuleLimits())
 	if err != nil {
 		return nil, fmt.Errorf("trial: figures: %w", err)
 	}
--- a/internal/testbed/trial/session.go
+++ b/internal/testbed/trial/session.go
@@ -43,10 +43,10 @@
 func (c *clients) command(ctx context.Context, job *drmaa2.Job, arrival *scenario.Arrival) {
 	load := arrival.Load
 	switch {
-	case arrival.ControlDraw < load.Terminate:
+	case arrival.ControlDraw < load.TerminateFraction:
 		sleep(ctx, arrival.ControlDelay)
 		c.countCommand("terminate", job.Terminate(ctx))
-	case arrival.ControlDraw < load.Terminate+load.Hold:
+	case arrival.ControlDraw < load.TerminateFraction+load.HoldFraction:
 		err := job.Hold(ctx)
 		c.countCommand("hold", err)
 		if err == nil || errors.Is(err, drmaa2.ErrDrmCommunication) { // the job may be held even if the response was lost
--- a/internal/testbed/trial/trial_test.go
+++ b/internal/testbed/trial/trial_test.go
@@ -143,7 +143,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.Cores = 4
+	d.Shards = 4
 	if result := runDay(t, d, 20, ""); !result.OK() || len(result.Replays) != 16 {
 		t.Errorf("got %d recordings of steps, want 16 and all rules respected\n%s", len(result.Replays), result)
 	}
