--- a/internal/testbed/rules/attempt.go
+++ b/internal/testbed/rules/attempt.go
@@ -9,16 +9,16 @@
 	"flaxshelf.example/flaxshelf/internal/codec/nodeframe/nodepb"
 )
 
-// phase is the phase of an attempt that its scheduler was notified of.
+// phase is the phase of an attempt as far as its scheduler was notified.
 type phase int
 
 const (
-	inFlight       phase = iota
-	notStarted           // the task never ran
-	outcomeUnknown       // the task may have run
-	accepted             // by the node
-	ended
-	lost // the node was removed or stopped
+	inFlight       phase = iota // the offer was sent and has no reply
+	notStarted                  // the task never ran
+	outcomeUnknown              // the task may have run
+	accepted                    // the node accepted the task
+	ended                       // the task ended
+	lost                        // the node was removed or stopped
 )
 
 // String returns the name of the phase.
@@ -29,25 +29,25 @@
 // attempt is one offer of a task to a node.
 type attempt struct {
 	id, scheduler, node string
-	key                 string // idempotency key, or else the identifier of the job
+	key                 string // the idempotency key, or the job's identifier if there is none
 	job, class, service string
-	placementRequest    int32 // number of the placement request of the job
-	connection          uint64
-	sentAt, validFor    time.Duration
+	placementRequest    int32         // its number within the job
+	connection          uint64        // the connection that the offer was sent on
+	sentAt, validFor    time.Duration // of the offer
 	phase               phase
 	phaseSince          time.Duration
-	stopped             bool // the scheduler has requested a stop
+	stopped             bool // the scheduler requested that the node stop the task
 }
 
-// transition sets the phase of an attempt. The phases notStarted and ended are final; a lost attempt may still be reported
-// as accepted. An unknown attempt is ignored.
+// transition sets the phase of an attempt. The phases notStarted and ended are final. From lost, only a change to accepted is
+// possible, since the node may still report the attempt. An unknown attempt is ignored.
 func (c *checker) transition(id string, next phase) {
 	a := c.attempts[id]
 	if a == nil {
 		return
 	}
 	if next == accepted && a.phase == accepted {
-		c.activeSet(a.scheduler)[a] = true // reported to a new incarnation of the scheduler
+		c.activeSet(a.scheduler)[a] = true // a new incarnation of the scheduler learns of the attempt
 	}
 	final := a.phase == ended || a.phase == notStarted || a.phase == lost && next != accepted
 	if final || a.phase == next {
@@ -61,7 +61,7 @@
 	}
 }
 
-// active returns the set of the attempts of a scheduler that are in flight or accepted.
+// activeSet returns the set of a scheduler's attempts that are in flight or accepted.
 func (c *checker) activeSet(scheduler string) map[*attempt]bool {
 	set := c.activeAttempts[scheduler]
 	if set == nil {
@@ -71,20 +71,21 @@
 	return set
 }
 
-// sortedActive returns the active attempts of a scheduler in the order of their identifiers.
+// sortedActive returns the active attempts of a scheduler, sorted by identifier.
 func (c *checker) sortedActive(scheduler string) []*attempt {
 	byID := func(a, b *attempt) int { return strings.Compare(a.id, b.id) }
 	return slices.SortedFunc(maps.Keys(c.activeAttempts[scheduler]), byID)
 }
 
-// expire sets the phase of an attempt to outcomeUnknown if it had no reply while its offer was valid.
+// expire sets the phase of an attempt to outcomeUnknown if its offer has expired without a reply.
 func (c *checker) expire(a *attempt) {
 	if a.phase == inFlight && c.now >= a.sentAt+a.validFor-c.limits.TimeTolerance {
 		c.transition(a.id, outcomeUnknown)
 	}
 }
 
-// linkLost sets the phase of the attempts in flight on a connection to outcomeUnknown: the node may have accepted them.
+// connectionLost sets the phase of the attempts in flight on a closed connection to outcomeUnknown, since the node may have
+// accepted them.
 func (c *checker) connectionLost(link *connection) {
 	for _, a := range c.sortedActive(link.dialer) {
 		if a.connection == link.id && a.phase == inFlight {
@@ -93,7 +94,7 @@
 	}
 }
 
-// nodeFrameDelivered handles a frame of a node when it reaches the scheduler.
+// nodeFrameDelivered processes a frame of a node when it is delivered to the scheduler.
 func (c *checker) nodeFrameDelivered(link *connection, frame *nodepb.Frame) {
 	switch body := frame.Body.(type) {
 	case *nodepb.Frame_Accepted:
@@ -117,7 +118,8 @@
 	c.transition(id, next)
 }
 
-// welcomeDelivered handles a node's report of its attempts after a connect; a long report has several frames.
+// welcomeDelivered processes the welcome, in which a node reports its attempts after a scheduler has connected. A long report
+// has several frames.
 func (c *checker) welcomeDelivered(link *connection, welcome *nodepb.Welcome) {
 	for _, task := range welcome.Held {
 		link.reportedAttempts[task.Attempt] = true
@@ -135,8 +137,9 @@
 	}
 }
 
-// welcomeCompleted resolves the attempts that are missing in a node's complete report. The node does not have them; and since
-// it discards the unhandled offers of earlier connections, an attempt whose outcome is unknown was never started.
+// welcomeCompleted updates the attempts that are missing in a node's complete report, which the node therefore does not have.
+// A missing attempt in flight or with an unknown outcome was never started, since the node discards unprocessed offers of
+// earlier connections.
 func (c *checker) welcomeCompleted(link *connection) {
 	for _, a := range c.attempts {
 		otherParties := a.scheduler != link.dialer || a.node != link.listener
--- a/internal/testbed/rules/check.go
+++ b/internal/testbed/rules/check.go
@@ -1,14 +1,15 @@
-// Package rules checks the five rules of the scheduler: it reads a recording of the traffic between clients, schedulers,
-// nodes and the inventory, and judges the rules only from that.
+// Package rules checks five correctness rules of the scheduler. Its only input is a recording of the network traffic between
+// clients, schedulers, nodes and the inventory.
 //
-// The checker must share neither code nor state with what it checks: it must not import, directly or indirectly, the
-// placement module, its index (internal/machineindex) or the cores of schedulers (internal/scheduler, internal/requests). A
-// shared formula would be wrong on both sides, and the checker would accept its violations. So this package has formulas of its
-// own: for the limit of offers in slow start, for topology domains, for idempotency keys, for deadlines and for the phases of an
-// attempt.
-// It takes from the traffic what each party had sent and received, and from the recording's head the limits of the deployment;
-// it never trusts a decision because a scheduler has made it. It shares the codecs of the wire (internal/codec, drmaa2), without
-// which it could not decode the traffic, and the format of recordings.
+// The checker must be independent of the code under test: it must not import, directly or indirectly, the placement module,
+// its index (internal/machineindex) or the core of the scheduler (internal/scheduler, internal/requests). With a shared
+// formula, a mistake in it would be on both sides, and the checker would accept the violations. This package therefore
+// implements the formulas again: for the limit of offers in slow start, for topology domains, for idempotency keys, for
+// deadlines and for the phases of an attempt.
+//
+// The traffic shows what each party had sent and received, and the head of the recording has the limits of the deployment. No
+// decision counts as correct because a scheduler made it. The checker shares the wire codecs (internal/codec, drmaa2), without
+// which it could not decode the traffic, and the recording format.
 package rules
 
 import (
@@ -25,21 +26,22 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/recordproxy/recordingpb"
 )
 
-// RecordingError reports a recording that cannot be read.
+// RecordingError is returned for a recording that cannot be read.
 type RecordingError struct {
-	Section string // head, figures or records
+	Section string // the unreadable part: "head", "figures" (the limits) or "records"
 	Err     error
 }
 
-// Error returns a message with the section and the cause.
+// Error returns a message with the unreadable section and the cause.
 func (e *RecordingError) Error() string {
-	return fmt.Sprintf("rules: the recording's %s: %v", e.Section, e.Err)
+	return fmt.Sprintf("rules: cannot read the recording's %s: %v", e.Section, e.Err)
 }
 
 // Unwrap returns the cause.
 func (e *RecordingError) Unwrap() error { return e.Err }
 
-// Check judges a recording. It reads r to its end. The error is a *RecordingError; violations are in the verdict.
+// Check checks the recording in r, which it reads to the end. Violations of the rules are in the verdict; the error is a
+// *RecordingError.
 func Check(r io.Reader) (*Verdict, error) {
 	reader, err := newReader(r)
 	if err != nil {
@@ -60,7 +62,7 @@
 	return c.finish(), nil
 }
 
-// newReader reads the head of a recording. The error is a *RecordingError.
+// newReader returns a reader of the records that follow the head of a recording. The error is a *RecordingError.
 func newReader(r io.Reader) (*recordproxy.Reader, error) {
 	reader, err := recordproxy.NewReader(r)
 	if err != nil {
@@ -86,10 +88,10 @@
 	}
 }
 
-// recordTimes has the times of the first and of the present record, since the start of Unix time.
+// recordTimes are the times of the first and the current record, since the Unix epoch.
 type recordTimes struct{ start, now time.Duration }
 
-// advance sets the time of the present record.
+// advance makes record the current record.
 func (t *recordTimes) advance(record *recordingpb.Record) {
 	t.now = time.Duration(record.TimeNs)
 	if t.start == 0 {
@@ -97,28 +99,28 @@
 	}
 }
 
-// sinceStart returns the time from the first record to the present one.
+// sinceStart returns the time from the first record to the current one.
 func (t *recordTimes) sinceStart() time.Duration { return t.now - t.start }
 
-// checker is the state of Check. It assumes that a scheduler knows what was delivered to it, and nothing else. It is not safe
-// for concurrent use.
+// checker is the state of Check. It assumes that a scheduler knows only what was delivered to it. It is not safe for
+// concurrent use.
 type checker struct {
 	recordTimes
 	limits  Limits
 	verdict Verdict
 
-	bytesDropped bool // by a proxy, on purpose
+	bytesDropped bool // a proxy dropped bytes as an injected fault
 	connections  map[uint64]*connection
 
 	jobs         map[string]*job
-	incarnations map[string]int // of each scheduler: how often it was killed
-	pauses       map[string][]pause
+	incarnations map[string]int                  // by scheduler: the number of times that it was killed
+	pauses       map[string][]pause              // by scheduler
 	views        map[string]map[string]*nodeView // by scheduler and node
 
 	attempts       map[string]*attempt
 	attemptsByKey  map[string][]*attempt
-	activeAttempts map[string]map[*attempt]bool   // of each scheduler: in flight or accepted
-	acceptedByNode map[string]map[string]*attempt // by idempotency key and attempt: accepted by nodes
+	activeAttempts map[string]map[*attempt]bool   // by scheduler: attempts in flight or accepted
+	acceptedByNode map[string]map[string]*attempt // by idempotency key and attempt: accepted by a node, not ended
 	slowStarts     map[string]*slowStart          // by node
 }
 
@@ -144,7 +146,7 @@
 	}
 }
 
-// record handles the next record of the recording.
+// handleRecord processes the next record of the recording.
 func (c *checker) handleRecord(record *recordingpb.Record) {
 	c.advance(record)
 	switch body := record.Body.(type) {
@@ -161,13 +163,13 @@
 	}
 }
 
-// violated adds a violation of a rule at the time of the present record.
+// addViolation adds a violation of a rule at the time of the current record.
 func (c *checker) addViolation(rule int, format string, args ...any) {
 	r := &c.verdict.Rules[rule]
 	r.Violations = append(r.Violations, Violation{At: c.sinceStart(), Text: fmt.Sprintf(format, args...)})
 }
 
-// finish judges the jobs that have no outcome at the end, and returns the verdict.
+// finish checks the jobs without an outcome and returns the verdict. It is called after the last record.
 func (c *checker) finish() *Verdict {
 	c.verdict.Length = c.sinceStart()
 	c.checkMissingOutcomes()
@@ -179,7 +181,8 @@
 	return &c.verdict
 }
 
-// class returns the limits of a class. A class that the figures do not list is non-idempotent and has no other limits.
+// class returns the limits of a class. A class that the recording does not list counts as non-idempotent and has no other
+// limits.
 func (c *checker) class(name string) *Class {
 	for i := range c.limits.Classes {
 		if c.limits.Classes[i].Name == name {
--- a/internal/testbed/rules/connection.go
+++ b/internal/testbed/rules/connection.go
@@ -11,7 +11,7 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/recordproxy/recordingpb"
 )
 
-// The protocols of connections, as a recording names them.
+// The protocols of connections, by their names in recordings.
 const (
 	ClientProtocol    = "client"    // clients to schedulers, HTTP
 	NodeProtocol      = "node"      // schedulers to nodes, frames
@@ -22,28 +22,28 @@
 type connection struct {
 	id         uint64
 	protocol   string
-	dialer     string // from its hello, or from its proxy if that serves only one
+	dialer     string // from its hello, or from the proxy if that has only one dialer
 	listener   string
 	openedAt   time.Duration
 	directions [2]stream
-	undecoded  bool // its bytes could not be decoded; the rest is ignored
+	undecoded  bool // a message could not be decoded; later bytes are ignored
 
-	requests           []*clientRequest // without a complete response
+	requests           []*clientRequest // oldest first, without a complete response
 	parser             httpcodec.Parser
 	responses          httpcodec.ResponseReader
-	consumedEventBytes int // number of bytes of a streamed body that were handled
+	consumedEventBytes int // number of processed bytes of a streamed body
 
-	reportedAttempts map[string]bool // in the welcome of the node
+	reportedAttempts map[string]bool // reported in the node's welcome
 }
 
 // stream is one direction of a connection.
 type stream struct {
-	undelivered        []byte
+	undelivered        []byte // sent bytes that were not delivered or dropped
 	sentRemainder      []byte // sent bytes of an incomplete message
 	deliveredRemainder []byte // delivered bytes of an incomplete message
 }
 
-// clientRequest is an HTTP request.
+// clientRequest is an HTTP request of a client to a scheduler.
 type clientRequest struct {
 	sentAt time.Duration
 	method string
@@ -75,7 +75,7 @@
 	delete(c.connections, closed.Conn)
 }
 
-// decodable returns the connection if its bytes can be decoded, otherwise nil.
+// decodable returns an open connection, or nil if there is none or its bytes cannot be decoded.
 func (c *checker) decodable(id uint64) *connection {
 	link := c.connections[id]
 	if link == nil || link.undecoded {
@@ -84,7 +84,7 @@
 	return link
 }
 
-// bytesSent handles bytes when a party sends them.
+// bytesSent processes bytes when a party sends them.
 func (c *checker) bytesSent(sent *recordingpb.Sent) {
 	link := c.decodable(sent.Conn)
 	if link == nil {
@@ -105,7 +105,7 @@
 
 var errExcessDelivery = errors.New("more bytes delivered than sent")
 
-// bytesDelivered handles bytes when they are delivered to a party.
+// bytesDelivered processes bytes when they are delivered to a party.
 func (c *checker) bytesDelivered(delivered *recordingpb.Delivered) {
 	link := c.decodable(delivered.Conn)
 	if link == nil {
@@ -142,8 +142,8 @@
 	}
 }
 
-// undecodable marks a connection as undecoded. After a proxy has dropped bytes on purpose that is expected, and the parties
-// close the connection, too; otherwise the verdict is not reliable and lists the connection.
+// markUndecoded marks a connection as undecoded. If a proxy has dropped bytes as an injected fault, this is expected, and the
+// parties close the connection as well. Otherwise the verdict is unreliable, and it lists the connection.
 func (c *checker) markUndecoded(link *connection, err error) {
 	link.undecoded = true
 	if !c.bytesDropped {
@@ -152,7 +152,7 @@
 	}
 }
 
-// frameSent handles a frame when a party sends it.
+// frameSent processes a frame when a party sends it.
 func (c *checker) frameSent(link *connection, fromListener bool, frame *nodepb.Frame) {
 	switch {
 	case !fromListener:
@@ -162,7 +162,7 @@
 	}
 }
 
-// frameDelivered handles a frame when it is delivered to a party.
+// frameDelivered processes a frame when it is delivered to a party.
 func (c *checker) frameDelivered(link *connection, fromListener bool, frame *nodepb.Frame) {
 	switch {
 	case fromListener && link.protocol == NodeProtocol:
@@ -178,13 +178,13 @@
 	}
 }
 
-// requestBytes parses the bytes of requests of a client.
+// parseRequests parses the bytes that a client sends.
 func (c *checker) parseRequests(link *connection, data []byte) {
 	s := &link.directions[direction(false)]
 	s.sentRemainder = append(s.sentRemainder, data...)
 	for {
 		request, used, _, err := link.parser.Parse(s.sentRemainder)
-		if err != nil { // a misbehaving client sends malformed requests on purpose
+		if err != nil { // expected: misbehaving clients send malformed requests
 			link.undecoded = true
 			return
 		}
@@ -197,7 +197,7 @@
 	}
 }
 
-// responseBytes parses the bytes of responses of a scheduler, which are in the order of the requests.
+// parseResponses parses the bytes that a scheduler sends to a client. Responses are in the order of their requests.
 func (c *checker) parseResponses(link *connection, data []byte) {
 	err := link.responses.Feed(data, func(response *httpcodec.Response) {
 		if len(link.requests) == 0 {
--- a/internal/testbed/rules/independence_test.go
+++ b/internal/testbed/rules/independence_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// The package comment says why the checker must not share code with what it checks.
+// A checker that shares code with what it checks accepts the violations that a mistake in that code causes. See the package
+// comment.
 func TestCheckerDoesNotDependOnWhatItChecks(t *testing.T) {
 	const module = "flaxshelf.example/flaxshelf"
 	output, err := exec.Command("go", "list", "-deps", ".").Output()
--- a/internal/testbed/rules/job.go
+++ b/internal/testbed/rules/job.go
@@ -13,29 +13,29 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/countformat"
 )
 
-// job is a job that a scheduler admitted, as its clients see it.
+// job is a job that a scheduler admitted, as reported to its clients.
 type job struct {
 	id, scheduler     string
-	incarnation       int // of its scheduler when it was last reported
+	incarnation       int // of its scheduler when the job was last reported
 	submittedAt       time.Duration
 	placementTimeout  time.Duration
-	outcomeExpected   bool // an outcome is due at the placement timeout
-	placementRequests map[int]*placementRequest
-	state             string
-	finalState        string
-	revision          uint64
+	outcomeExpected   bool                      // an outcome must be reported by the placement timeout
+	placementRequests map[int]*placementRequest // by number
+	state             string                    // last reported
+	finalState        string                    // empty until the job has ended
+	revision          uint64                    // of the last reported state
 }
 
 // placementRequest is one request to place a job; a job that is held and released has several.
 type placementRequest struct {
 	requestedAt time.Duration
-	outcome     string // name on the wire; empty until it is reported
+	outcome     string // its name on the wire, or empty if none was reported
 }
 
-// firstPlacementRequest is the number of the placement request of the submission.
+// firstPlacementRequest is the number of the placement request that the submission of a job makes.
 const firstPlacementRequest = 1
 
-// responseReceived handles a complete response of a scheduler.
+// responseReceived processes a complete response of a scheduler.
 func (c *checker) responseReceived(scheduler string, request *clientRequest, response *httpcodec.Response) {
 	isSubmission := request.isSubmission()
 	if isSubmission {
@@ -63,7 +63,7 @@
 	return r.method == http.MethodPost && (strings.HasSuffix(r.path, "/jobs") || strings.HasSuffix(r.path, "/arrays"))
 }
 
-// rejectionCode returns the error code of a response, or its status if the body has none.
+// rejectionCode returns the error code in the body of a response, or the HTTP status if there is none.
 func rejectionCode(response *httpcodec.Response) string {
 	var rejection drmaa2.Error
 	if json.Unmarshal(response.Body, &rejection) != nil || rejection.Code == "" {
@@ -72,7 +72,7 @@
 	return string(rejection.Code)
 }
 
-// jobAdmitted adds a job of the response to a submission.
+// addSubmittedJob adds a job that is reported in the response to its submission.
 func (c *checker) addSubmittedJob(scheduler string, request *clientRequest, submitted *drmaa2.Submitted, id string) {
 	if c.jobs[id] != nil {
 		return
@@ -84,7 +84,7 @@
 	}
 	template := &submission.Template
 	j.placementTimeout = c.placementTimeout(template)
-	// No outcome is due for a job that may stay queued on purpose, or that was submitted by an earlier request.
+	// No outcome is expected of a job that may stay queued by design, or that was submitted by an earlier request.
 	mayStayQueued := template.SubmitAsHold || template.StartTime != nil ||
 		submission.Bulk != nil && submission.Bulk.MaxParallel != 0
 	j.outcomeExpected = !submitted.Existing && !mayStayQueued
@@ -98,7 +98,7 @@
 	return j
 }
 
-// placementTimeout returns the placement timeout of the template, or else of its class; zero means none.
+// placementTimeout returns the placement timeout of the template, or that of its class if it has none. Zero means no timeout.
 func (c *checker) placementTimeout(template *drmaa2.JobTemplate) time.Duration {
 	if timeout, err := time.ParseDuration(template.ImplementationSpecific[drmaa2.AttrPlacementTimeout]); err == nil {
 		return timeout
@@ -112,13 +112,13 @@
 	return 0
 }
 
-// jobReported handles a report on a job to a client, at the time when the scheduler sends it.
+// jobReported processes the state of a job that a scheduler sends to a client.
 func (c *checker) jobReported(scheduler string, info *drmaa2.JobInfo) {
 	j := c.jobs[info.JobID]
 	if j == nil { // the response to its submission was lost with the connection
 		j = c.addJob(info.JobID, scheduler, c.now)
 	}
-	if j.incarnation != c.incarnations[scheduler] { // a later incarnation has adopted the job and restarts its times
+	if j.incarnation != c.incarnations[scheduler] { // adopted by a later incarnation, which starts its timeouts anew
 		j.incarnation, j.outcomeExpected, j.finalState = c.incarnations[scheduler], false, ""
 		j.placementRequests, j.revision = map[int]*placementRequest{}, 0
 	}
@@ -126,7 +126,7 @@
 	c.stateReported(j, info)
 }
 
-// outcomeReported judges the outcome of a placement request: there must be only one, reported in time.
+// outcomeReported checks that a placement request has only one outcome and that it is reported in time.
 func (c *checker) outcomeReported(scheduler string, j *job, info *drmaa2.JobInfo) {
 	number := placementRequestNumber(info)
 	request := j.placementRequests[number]
@@ -157,7 +157,7 @@
 	request.outcome = outcome
 }
 
-// placementRequestNumber returns the number of the placement request, or zero if the report has none.
+// placementRequestNumber returns the number of the job's latest placement request, or zero if the report has none.
 func placementRequestNumber(info *drmaa2.JobInfo) int {
 	number, err := strconv.Atoi(info.ImplementationSpecific[drmaa2.AttrPlacementRequests])
 	if err != nil {
@@ -166,13 +166,13 @@
 	return number
 }
 
-// stateReported judges the state of a job: a final state must not change.
+// stateReported checks that a final state of a job does not change.
 func (c *checker) stateReported(j *job, info *drmaa2.JobInfo) {
 	revision, err := strconv.ParseUint(info.ImplementationSpecific[drmaa2.AttrRevision], 10, 64)
 	if err != nil {
 		revision = 0
 	}
-	// Responses and event streams are on different connections, so that an older revision may be reported later.
+	// Responses and event streams use different connections, so an older revision may arrive after a newer one.
 	if revision < j.revision {
 		return
 	}
@@ -193,10 +193,10 @@
 	}
 }
 
-// maxConsumedEvents is the number of bytes of handled events after which they are removed from a streamed body.
+// maxConsumedEventBytes is the number of processed bytes after which they are removed from a streamed body.
 const maxConsumedEventBytes = 1 << 16
 
-// eventsReceived handles the new events of a streamed body.
+// eventsReceived processes the new events of a streamed body.
 func (c *checker) eventsReceived(link *connection, response *httpcodec.Response) {
 	const separator = "\n\n"
 	for {
@@ -220,7 +220,7 @@
 	}
 }
 
-// judgeMissingOutcomes judges, at the end of the recording, the jobs without an outcome.
+// checkMissingOutcomes checks the jobs that have no outcome at the end of the recording.
 func (c *checker) checkMissingOutcomes() {
 	for _, j := range c.jobs {
 		c.verdict.States[j.state]++
--- a/internal/testbed/rules/mark.go
+++ b/internal/testbed/rules/mark.go
@@ -6,16 +6,16 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/recordproxy"
 )
 
-// pause is an interval in which a scheduler's process was suspended; to is 0 until it is resumed.
+// pause is an interval in which a scheduler's process was suspended. resumedAt is zero while it is suspended.
 type pause struct{ pausedAt, resumedAt time.Duration }
 
-// eventMarked handles an event of a party that no recorded bytes show.
+// eventMarked processes a marked event, which is one that the recorded bytes do not show.
 func (c *checker) eventMarked(event recordproxy.Event, party string) {
 	switch event {
 	case recordproxy.EventSchedulerKilled:
 		c.incarnations[party]++
 		delete(c.views, party)
-		delete(c.activeAttempts, party) // the next incarnation has what it places and what nodes report to it
+		delete(c.activeAttempts, party) // those of the next incarnation are what it offers and what nodes report to it
 	case recordproxy.EventNodeStopped:
 		c.nodeStopped(party)
 	case recordproxy.EventBytesDropped:
@@ -31,6 +31,7 @@
 	}
 }
 
+// nodeStopped removes the accepted attempts of a node that has stopped.
 func (c *checker) nodeStopped(node string) {
 	for key, accepted := range c.acceptedByNode {
 		for id, attempt := range accepted {
@@ -44,11 +45,11 @@
 	}
 }
 
-// never is a deadline that is never reached.
+// noDeadline is later than the time of any record.
 const noDeadline = time.Duration(1<<63 - 1)
 
-// outcomeDeadline returns the time at which the outcome that is due at the given time must have been reported. While the
-// process of the scheduler is suspended the deadline is extended to when it is resumed.
+// outcomeDeadline returns the latest time at which a scheduler may report an outcome that is due at the given time. If the
+// scheduler's process is suspended between the due time and the deadline, the deadline moves to after the end of the suspension.
 func (c *checker) outcomeDeadline(scheduler string, due time.Duration) time.Duration {
 	slack := c.limits.AnswerSlack + c.limits.TimeTolerance
 	deadline := due + slack
--- a/internal/testbed/rules/nodeview.go
+++ b/internal/testbed/rules/nodeview.go
@@ -6,20 +6,20 @@
 	"flaxshelf.example/flaxshelf/internal/codec/nodeframe/nodepb"
 )
 
-// nodeView is what a scheduler was notified of about a node.
+// nodeView is what a scheduler has been told about a node by the inventory and the node.
 type nodeView struct {
 	membership      nodepb.Standing
 	membershipSince time.Duration // when the node ceased to be active
 	zone            string
 	cell            int32
-	inventoryStart  int64 // start of the node as the inventory lists it, in nanoseconds of Unix time; zero means unknown
-	reportedStart   int64 // the same as the node reports it
+	inventoryStart  int64 // start time according to the inventory, in nanoseconds since the Unix epoch; zero if unknown
+	reportedStart   int64 // start time according to the node, likewise
 }
 
-// startedAt returns the later of the two starts, in nanoseconds of Unix time; zero means unknown.
+// startedAt returns the later of the two start times, in nanoseconds since the Unix epoch, or zero if both are unknown.
 func (v *nodeView) startedAt() int64 { return max(v.inventoryStart, v.reportedStart) }
 
-// setMembership sets the membership and, if the node ceases to be active, the time.
+// setMembership sets the membership, and membershipSince if the node ceases to be active.
 func (v *nodeView) setMembership(membership nodepb.Standing, now time.Duration) {
 	if membership != nodepb.Standing_IN && v.membership == nodepb.Standing_IN {
 		v.membershipSince = now
@@ -27,7 +27,7 @@
 	v.membership = membership
 }
 
-// view returns what a scheduler was notified of about a node. Before the first notification the node counts as removed.
+// view returns a scheduler's view of a node. A node that the scheduler has not been told about counts as removed.
 func (c *checker) view(scheduler, node string) *nodeView {
 	views := c.views[scheduler]
 	if views == nil {
@@ -40,7 +40,8 @@
 	return views[node]
 }
 
-// listingDelivered handles a listing of the inventory when it reaches a scheduler.
+// listingDelivered processes a listing of the inventory when it is delivered to a scheduler. A node that is missing in a
+// complete listing was removed.
 func (c *checker) listingDelivered(scheduler string, listing *nodepb.Listing) {
 	listed := map[string]bool{}
 	for _, entry := range listing.Entries {
@@ -61,7 +62,7 @@
 func (c *checker) entryDelivered(scheduler string, entry *nodepb.Entry) {
 	view := c.view(scheduler, entry.Node)
 	if entry.StartedUnixNs > view.inventoryStart && view.inventoryStart > 0 {
-		c.nodeRemoved(scheduler, entry.Node) // a restarted node has no tasks of its previous incarnation
+		c.nodeRemoved(scheduler, entry.Node) // a restarted node does not have the tasks of its previous incarnation
 	}
 	view.setMembership(entry.Standing, c.now)
 	view.zone, view.cell, view.inventoryStart = entry.Zone, entry.Cell, entry.StartedUnixNs
@@ -70,7 +71,7 @@
 	}
 }
 
-// nodeRemoved marks the accepted attempts on a node as lost: the scheduler was notified that they no longer run.
+// nodeRemoved marks the accepted attempts on a node as lost, since the scheduler has been told that they no longer run.
 func (c *checker) nodeRemoved(scheduler, node string) {
 	for _, attempt := range c.sortedActive(scheduler) {
 		if attempt.node == node && attempt.phase == accepted {
@@ -79,7 +80,8 @@
 	}
 }
 
-// sameDomain reports whether two nodes are in the same topology domain of a level, by the views of one scheduler.
+// sameDomain reports whether two nodes are in the same topology domain of a level (machine, cell, zone or everywhere),
+// according to one scheduler's views of them.
 func sameDomain(level string, view, otherView *nodeView, node, otherNode string) bool {
 	switch level {
 	case domainMachine:
--- a/internal/testbed/rules/offer.go
+++ b/internal/testbed/rules/offer.go
@@ -6,7 +6,7 @@
 	"flaxshelf.example/flaxshelf/internal/codec/nodeframe/nodepb"
 )
 
-// schedulerFrameSent handles a frame of a scheduler when the scheduler sends it.
+// schedulerFrameSent processes a frame when a scheduler sends it.
 func (c *checker) schedulerFrameSent(link *connection, frame *nodepb.Frame) {
 	switch body := frame.Body.(type) {
 	case *nodepb.Frame_Hello:
@@ -20,7 +20,7 @@
 	}
 }
 
-// offerSent judges an offer when its scheduler sends it.
+// offerSent checks an offer when a scheduler sends it.
 func (c *checker) offerSent(link *connection, offer *nodepb.Offer) {
 	task := offer.Task
 	if task == nil || c.attempts[offer.Attempt] != nil {
@@ -45,7 +45,7 @@
 	}
 }
 
-// judgeDuplicateStart judges an offer by the earlier attempts of the same task.
+// checkDuplicateStart checks an offer against the earlier attempts of the same task.
 func (c *checker) checkDuplicateStart(class *Class, offered *attempt, view *nodeView) {
 	c.verdict.Rules[NoDuplicateStart].Checked++
 	for _, earlier := range c.attemptsByKey[offered.key] {
@@ -63,10 +63,11 @@
 	}
 }
 
-// judgeAfterAcceptance judges an offer of a task that a node has accepted.
+// checkAfterAcceptance checks an offer of a task of which an earlier attempt was accepted.
 func (c *checker) checkAfterAcceptance(offered, earlier *attempt) {
-	// A reply that was delivered within the clock skew may cross the offer: the scheduler had not read it yet, as with an
-	// acceptance when the offer expires, or a welcome after a broken connection. It stops the earlier attempt afterwards.
+	// A reply that was delivered within the time tolerance may cross the offer: the scheduler had not read it yet. This happens
+	// with an acceptance when the earlier offer expires, or with a welcome after a broken connection. The scheduler stops the
+	// earlier attempt afterwards.
 	crossed := c.now-earlier.phaseSince < c.limits.TimeTolerance
 	if !earlier.stopped && !crossed {
 		c.addViolation(NoDuplicateStart, "%s is offered as %s while %s runs it as %s", offered.key, offered.id, earlier.node,
@@ -74,7 +75,7 @@
 	}
 }
 
-// judgeAfterUnknownOutcome judges an offer of a task of which an earlier attempt may have run.
+// checkAfterUnknownOutcome checks an offer of a task of which an earlier attempt may have run.
 func (c *checker) checkAfterUnknownOutcome(class *Class, offered, earlier *attempt, view *nodeView) {
 	if class.Idempotency == Idempotent || c.deduplicated(class, offered, earlier, view) {
 		return
@@ -90,13 +91,13 @@
 	}
 }
 
-// deduplicated reports whether the domain of an offer still remembers the idempotency key of an earlier attempt.
+// deduplicated reports whether the node of an offer deduplicates it against an earlier attempt, by their idempotency key.
 func (c *checker) deduplicated(class *Class, offered, earlier *attempt, view *nodeView) bool {
 	return class.Idempotency == IdempotentByKey && c.now <= earlier.sentAt+class.KeyTTL+c.limits.TimeTolerance &&
 		sameDomain(class.KeyDomain, view, c.view(offered.scheduler, earlier.node), offered.node, earlier.node)
 }
 
-// judgeDrain judges an offer by the membership of its node.
+// checkDrain checks that the node of an offer has not been draining or removed for longer than the grace period.
 func (c *checker) checkDrain(offered *attempt, view *nodeView) {
 	c.verdict.Rules[DrainRespected].Checked++
 	notifiedFor := c.now - view.membershipSince
@@ -106,7 +107,7 @@
 	}
 }
 
-// judgeSpread counts the active tasks of an offer's service in the topology domain of its node.
+// checkSpread checks the number of active tasks of an offer's service, with the offer, in the topology domain of its node.
 func (c *checker) checkSpread(class *Class, offered *attempt, view *nodeView) {
 	c.verdict.Rules[SpreadRespected].Checked++
 	tasks := 0
@@ -119,12 +120,12 @@
 		}
 	}
 	if tasks > class.MaxPerDomain {
-		c.addViolation(SpreadRespected, "%s has %d tasks of %s in one %s with %s at %s, the limit is %d", offered.scheduler, tasks,
-			offered.service, class.SpreadDomain, offered.id, offered.node, class.MaxPerDomain)
+		c.addViolation(SpreadRespected, "%s has %d tasks of %s in one %s with %s at %s, the limit is %d", offered.scheduler,
+			tasks, offered.service, class.SpreadDomain, offered.id, offered.node, class.MaxPerDomain)
 	}
 }
 
-// nodeFrameSent handles a frame of a node when the node sends it, before it is delivered to the scheduler.
+// nodeFrameSent processes a frame when a node sends it, before it is delivered to the scheduler.
 func (c *checker) nodeFrameSent(link *connection, frame *nodepb.Frame) {
 	switch body := frame.Body.(type) {
 	case *nodepb.Frame_Accepted:
@@ -136,8 +137,7 @@
 	}
 }
 
-// nodeAccepted judges the acceptances of nodes, independently of what schedulers know: two nodes must not have accepted a
-// non-idempotent task at the same time.
+// nodeAccepted checks that at most one node has a task that is not idempotent, regardless of what schedulers know.
 func (c *checker) nodeAccepted(node, id string) {
 	a := c.attempts[id]
 	if a == nil {
--- a/internal/testbed/rules/printframes.go
+++ b/internal/testbed/rules/printframes.go
@@ -13,8 +13,9 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/recordproxy/recordingpb"
 )
 
-// Follow writes the frames of a recording that contain all the substrings, and all marks, one per line with its time in
-// seconds since the start: the history of a job, an attempt or a node. The error is a *RecordingError or wraps that of w.
+// PrintFrames writes the history of a job, an attempt or a node: the frames and closed connections of a recording whose text
+// contains all the substrings, such as the identifier of a job, and all marks. Each is on a line with its time in seconds since
+// the start. The error is a *RecordingError or wraps that of w.
 func PrintFrames(r io.Reader, w io.Writer, substrings ...string) error {
 	reader, err := newReader(r)
 	if err != nil {
@@ -27,13 +28,13 @@
 	})
 }
 
-// follower is the state of Follow.
+// framePrinter is the state of PrintFrames.
 type framePrinter struct {
 	recordTimes
 	out         io.Writer
 	substrings  []string
 	connections map[uint64]*connection
-	err         error // the first error of out
+	err         error // the first error of a write to out
 }
 
 func (f *framePrinter) handleRecord(record *recordingpb.Record) {
@@ -85,7 +86,7 @@
 	f.printMatch(sender + " > " + receiver + " " + protojson.MarshalOptions{}.Format(frame))
 }
 
-// printMatch prints a line that contains all the substrings.
+// printMatch prints text if it contains all the substrings.
 func (f *framePrinter) printMatch(text string) {
 	for _, substring := range f.substrings {
 		if !strings.Contains(text, substring) {
@@ -100,6 +101,6 @@
 		return
 	}
 	if _, err := fmt.Fprintf(f.out, "%9.3f %s\n", f.sinceStart().Seconds(), text); err != nil {
-		f.err = fmt.Errorf("rules: write: %w", err)
+		f.err = fmt.Errorf("rules: write the frames of the recording: %w", err)
 	}
 }
--- a/internal/testbed/rules/recording_test.go
+++ b/internal/testbed/rules/recording_test.go
@@ -32,7 +32,7 @@
 	},
 }
 
-// The connections of a recording: scheduler s to the nodes n1 of zone a and n2 of zone b and to the inventory, and a
+// The connections of a recording: from scheduler s to node n1 in zone a, to node n2 in zone b and to the inventory, and from a
 // client to s.
 const (
 	node1Connection = iota + 1
@@ -41,10 +41,10 @@
 	clientConnection
 )
 
-// baseTime is the start of a recording in nanoseconds of Unix time.
+// baseTime is the start of a recording in nanoseconds since the Unix epoch.
 const baseTime = int64(1e18)
 
-// recording builds an encoded recording; the test sets the times.
+// recordingBuilder builds an encoded recording. Each record has the time that was last set with at.
 type recordingBuilder struct {
 	encoded bytes.Buffer
 	nowMS   int64
@@ -78,13 +78,13 @@
 	}
 }
 
-// time converts milliseconds since the start to nanoseconds of Unix time.
+// time converts milliseconds since the start to nanoseconds since the Unix epoch.
 func (r *recordingBuilder) time(ms int64) int64 { return baseTime + ms*int64(time.Millisecond) }
 
 // at sets the time of the following records, in milliseconds since the start.
 func (r *recordingBuilder) at(ms int64) *recordingBuilder { r.nowMS = ms; return r }
 
-// bytes adds bytes that are sent and delivered.
+// bytes adds bytes that are sent and delivered at once.
 func (r *recordingBuilder) bytes(connection int, fromListener bool, data []byte) {
 	r.add(&recordingpb.Record{Body: &recordingpb.Record_Sent{Sent: &recordingpb.Sent{Conn: uint64(connection), Back: fromListener,
 		Data: data}}})
@@ -100,7 +100,8 @@
 	r.bytes(connection, fromListener, encoded)
 }
 
-// listing notifies s of nodes. A membership may follow a name, as in n1:draining, and a start in milliseconds, as in n1@100.
+// listing adds a listing of nodes, which is delivered to s. The name of a node may have a membership, as in n1:draining, and a
+// start in milliseconds, as in n1@100.
 func (r *recordingBuilder) listing(whole bool, nodes ...string) *recordingBuilder {
 	listing := &nodepb.Listing{Whole: whole}
 	for _, node := range nodes {
@@ -130,7 +131,7 @@
 	return entry
 }
 
-// offer adds an offer; the job is the part of the attempt before the first slash.
+// offer adds an offer. The identifier of the job is the part of the attempt's identifier before the first slash.
 func (r *recordingBuilder) offer(connection int, attempt, class string) *recordingBuilder {
 	task := &nodepb.Task{Job: strings.Split(attempt, "/")[0], Class: class, Service: "v", Ask: 1}
 	r.frame(connection, false, &nodepb.Frame{Body: &nodepb.Frame_Offer{Offer: &nodepb.Offer{Attempt: attempt,
@@ -138,7 +139,7 @@
 	return r
 }
 
-// offerMany adds offers of unsafe jobs to n1; spread does not limit them.
+// offerMany adds offers of class unsafe, which has no limit of spread, to n1.
 func (r *recordingBuilder) offerMany(count int) *recordingBuilder {
 	for i := range count {
 		r.offer(node1Connection, fmt.Sprintf("m%d/1/0", i), "unsafe")
@@ -163,7 +164,7 @@
 	return r.reply(connection, &nodepb.Frame{Body: &nodepb.Frame_Ended{Ended: &nodepb.Ended{Attempt: attempt}}})
 }
 
-// welcome adds the welcome of n1 with its start; a fresh node may be in slow start.
+// welcome adds the welcome of n1 with its start. Only the start of a fresh node begins a slow start.
 func (r *recordingBuilder) welcome(startMS int64, fresh bool) *recordingBuilder {
 	return r.reply(node1Connection, &nodepb.Frame{Body: &nodepb.Frame_Welcome{Welcome: &nodepb.Welcome{Node: "n1",
 		StartedUnixNs: r.time(startMS), Fresh: fresh}}})
@@ -179,7 +180,7 @@
 	return r
 }
 
-// submit adds the client's submission of a job of class safe.
+// submit adds a request that submits a job of class safe.
 func (r *recordingBuilder) submit() *recordingBuilder {
 	body, err := json.Marshal(drmaa2.Submission{Template: drmaa2.JobTemplate{RemoteCommand: "x", JobCategory: "safe"}})
 	if err != nil {
@@ -190,13 +191,13 @@
 	return r
 }
 
-// poll adds the client's request for the state of its job.
+// poll adds a request for the state of the job.
 func (r *recordingBuilder) poll() *recordingBuilder {
 	r.bytes(clientConnection, false, []byte("GET /drmaa2/v1/jobs/j HTTP/1.1\r\nHost: x\r\n\r\n"))
 	return r
 }
 
-// respond adds the response to the client's oldest request, with the state of its job.
+// respond adds the response to the oldest open request, with the state of the job.
 func (r *recordingBuilder) respond(revision int, state drmaa2.JobState, outcome string) *recordingBuilder {
 	info := drmaa2.JobInfo{JobID: "j", JobState: state, ImplementationSpecific: map[string]string{drmaa2.AttrPlacementRequests: "1",
 		drmaa2.AttrRevision: fmt.Sprint(revision)}}
@@ -211,7 +212,7 @@
 	return r
 }
 
-// ruleCase is a recording with the rules that it violates.
+// ruleCase is a recording and the rules that it violates.
 type ruleCase struct {
 	name      string
 	recording *recordingBuilder
--- a/internal/testbed/rules/rules_test.go
+++ b/internal/testbed/rules/rules_test.go
@@ -12,7 +12,7 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/recordproxy/recordingpb"
 )
 
-// Each rule is checked at its limits: with recordings that just respect it, and others that just violate it.
+// Each rule is tested at its limits, with recordings that just respect it and others that just violate it.
 func TestCheckFindsTheViolatedRules(t *testing.T) {
 	t.Run("outcome", func(t *testing.T) { checkRules(t, outcomeCases()) })
 	t.Run("duplicate start", func(t *testing.T) { checkRules(t, duplicateStartCases()) })
@@ -29,7 +29,7 @@
 			[]int{OneOutcome}},
 		{"late", newRecording().submit().respond(1, drmaa2.Queued, "").at(1200).poll().
 			respond(2, drmaa2.Queued, "placed"), []int{OneOutcome}},
-		{"late, but the process was paused", newRecording().submit().respond(1, drmaa2.Queued, "").at(500).
+		{"late because the process was paused", newRecording().submit().respond(1, drmaa2.Queued, "").at(500).
 			mark(recordproxy.EventSchedulerPaused, "s").at(3000).mark(recordproxy.EventSchedulerResumed, "s").at(3050).poll().
 			respond(2, drmaa2.Failed, "refused"), nil},
 		{"late after the process was resumed", newRecording().submit().respond(1, drmaa2.Queued, "").at(500).
@@ -114,8 +114,8 @@
 		bytesDropped bool
 		want         int
 	}{
-		{"no bytes dropped", false, 1},
-		{"bytes dropped on purpose", true, 0},
+		{"no dropped bytes", false, 1},
+		{"dropped bytes as an injected fault", true, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRecording()
@@ -153,8 +153,8 @@
 		{"another file", "nonsense", check, "head"},
 		{"malformed figures", malformedLimits.encoded.String(), check, "figures"},
 		{"oversized record", oversizedRecord, check, "records"},
-		{"follow an empty file", "", printFrames, "head"},
-		{"follow up to an oversized record", oversizedRecord, printFrames, "records"},
+		{"print frames of an empty file", "", printFrames, "head"},
+		{"print frames up to an oversized record", oversizedRecord, printFrames, "records"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			err := c.read(strings.NewReader(c.recording))
@@ -184,7 +184,7 @@
 	}
 }
 
-// FuzzCheck checks that Check does not panic, whatever the recording.
+// FuzzCheck checks that Check does not panic on any input.
 func FuzzCheck(f *testing.F) {
 	f.Add(newRecording().submit().respond(1, drmaa2.Running, "placed").offer(node1Connection, "j/1/0", "safe").
 		encoded.Bytes())
--- a/internal/testbed/rules/slowstart.go
+++ b/internal/testbed/rules/slowstart.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// slowStart is the interval after the start of a node in which its limit of offers is lower.
+// slowStart is the state of a node's slow start: the interval after its start in which it may get fewer offers.
 type slowStart struct {
-	startedAt         int64 // nanoseconds of Unix time
-	offers            []slowStartOffer
-	violationReported bool // reported as a violation
+	startedAt         int64            // nanoseconds since the Unix epoch
+	offers            []slowStartOffer // within the window that ends with the latest offer
+	violationReported bool             // at most one violation is reported for each slow start
 }
 
 type slowStartOffer struct {
 	deliveredAt       time.Duration
-	schedulerNotified bool // its scheduler was notified of this start of the node
+	schedulerNotified bool // the offering scheduler was notified of this start of the node
 }
 
-// offerDelivered judges an offer when it reaches a node in slow start. The limit is violated only if at least two thirds of
-// the offers are from schedulers that were notified of the start: the others could not know of it.
+// offerDelivered checks an offer when it is delivered to a node in slow start. The limit is violated only if at least two
+// thirds of the offers come from schedulers that were notified of the start, since the others could not know of it.
 func (c *checker) offerDelivered(link *connection) {
 	node, limits := link.listener, &c.limits.SlowStart
 	view := c.view(link.dialer, node)
@@ -38,7 +38,7 @@
 	}
 }
 
-// slowStartOf returns the slow start of the latest start of a node that any scheduler was notified of, or nil.
+// slowStartOf returns the slow start for the latest start of a node that any scheduler was notified of, or nil if there is none.
 func (c *checker) slowStartOf(node string, view *nodeView) *slowStart {
 	start := c.slowStarts[node]
 	if at := view.startedAt(); at > 0 && (start == nil || start.startedAt < at) {
@@ -48,7 +48,7 @@
 	return start
 }
 
-// add adds an offer and removes those before the window that ends with it.
+// addOffer adds an offer and removes those that were delivered before the window that ends with it.
 func (s *slowStart) addOffer(offer slowStartOffer, window time.Duration) {
 	recent := s.offers[:0]
 	for _, earlier := range s.offers {
@@ -59,7 +59,7 @@
 	s.offers = append(recent, offer)
 }
 
-// notified returns the number of offers of schedulers that were notified of the start.
+// countNotified returns the number of offers from schedulers that were notified of the start.
 func (s *slowStart) countNotified() int {
 	count := 0
 	for _, offer := range s.offers {
--- a/internal/testbed/rules/storedrecording_test.go
+++ b/internal/testbed/rules/storedrecording_test.go
@@ -13,8 +13,8 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/recordproxy"
 )
 
-// Written by the build of commit ad3e0ee: the recording of a day of the emulator, with nodes in slow start, a drain, a lost node
-// and a killed scheduler, and figuresOfEveryField.
+// Files that the build of commit ad3e0ee wrote. storedRecording is an emulated day with nodes in slow start, a drain, a lost
+// node and a killed scheduler; storedLimits is the JSON of limitsWithAllFields.
 const (
 	storedRecording = "testdata/traffic.gz"
 	storedLimits    = "testdata/figures.json"
@@ -36,7 +36,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = f.Close() }() // it was only read
+	defer func() { _ = f.Close() }() // opened for reading only
 	z, err := gzip.NewReader(f)
 	if err != nil {
 		t.Fatal(err)
@@ -84,7 +84,7 @@
 	}
 }
 
-// checkFigures reads figures that have no other fields, and writes them the same.
+// checkStoredLimits checks that stored limits have no unknown fields and are encoded as the same bytes again.
 func checkStoredLimits(t *testing.T, stored []byte) Limits {
 	t.Helper()
 	var f Limits
--- a/internal/testbed/rules/terms.go
+++ b/internal/testbed/rules/terms.go
@@ -2,13 +2,14 @@
 
 import "flaxshelf.example/flaxshelf/internal/codec/nodeframe/nodepb"
 
-// Replies of nodes to offers, as Verdict.Replies counts them.
+// The keys of Verdict.Replies.
 const (
 	replyAccepted = "accepted"
 	replyRejected = "rejected: " // followed by the reason
 	replyFailed   = "failed"
 )
 
+// rejectionReasons are the reasons as printed in the verdict.
 var rejectionReasons = map[nodepb.Reason]string{
 	nodepb.Reason_UNTOLD:        "unspecified",
 	nodepb.Reason_NO_CORES:      "insufficient cores",
@@ -20,6 +21,7 @@
 	nodepb.Reason_SENT_AWAY:     "drained away",
 }
 
+// membershipNames are the memberships of nodes as printed in violations.
 var membershipNames = map[nodepb.Standing]string{
 	nodepb.Standing_IN:       "active",
 	nodepb.Standing_DRAINING: "draining",
--- a/internal/testbed/rules/verdict.go
+++ b/internal/testbed/rules/verdict.go
@@ -10,20 +10,20 @@
 
 // The five rules, as indices of Verdict.Rules.
 const (
-	// OneOutcome requires that each placement request gets exactly one outcome, before the job's placement timeout.
+	// OneOutcome requires that each placement request gets exactly one outcome, before the placement timeout of the job.
 	OneOutcome = iota
-	// NoDuplicateStart requires that no task is started again where the idempotency of its class forbids that.
+	// NoDuplicateStart requires that no task is started again if the idempotency of its class forbids it.
 	NoDuplicateStart
-	// DrainRespected requires that a draining node gets no new task after the grace period.
+	// DrainRespected requires that a draining or removed node is offered no tasks after the grace period.
 	DrainRespected
-	// SlowStartRespected requires that a node in slow start is not overloaded.
+	// SlowStartRespected requires that a node in slow start gets no more offers than its limit.
 	SlowStartRespected
-	// SpreadRespected requires that the tasks of a service are spread over topology domains.
+	// SpreadRespected requires that no topology domain has more tasks of a service than the class allows.
 	SpreadRespected
 	ruleCount
 )
 
-// Names are the names of the rules.
+// Names are the names of the rules as printed in verdicts.
 var Names = [ruleCount]string{
 	OneOutcome:         "one final outcome in time for each job",
 	NoDuplicateStart:   "no duplicate start its class forbids",
@@ -35,32 +35,32 @@
 // Violation is one violation of a rule.
 type Violation struct {
 	At   time.Duration // since the start of the recording
-	Text string        // what was violated, with the attempts, nodes and times
+	Text string        // the jobs, attempts, nodes and times of the violation
 }
 
-// Rule is the result for one rule.
+// RuleResult is the result of checking one rule.
 type RuleResult struct {
-	Checked    int         // number of judged cases; zero means that the recording does not exercise the rule
-	Violations []Violation // in the order of their times
+	Checked    int         // number of checked cases; zero means that the recording does not exercise the rule
+	Violations []Violation // sorted by time
 }
 
 // Verdict is the result of Check for a recording.
 type Verdict struct {
 	Rules           [ruleCount]RuleResult
 	Length          time.Duration  // from the first record to the last
-	Undecoded       []string       // connections whose bytes could not be decoded, with the reason
-	Submitted       int            // requests that submit jobs
+	Undecoded       []string       // connections with bytes that could not be decoded, and the reason
+	Submitted       int            // submissions that were answered
 	Admitted        int            // jobs that a scheduler admitted
 	Rejected        map[string]int // rejected submissions by error code
-	Outcomes        map[string]int // outcomes of placement requests, by countformat.OutcomeTerm
-	States          map[string]int // last reported states of admitted jobs
-	Orphaned        int            // jobs of killed schedulers that no later incarnation reported
+	Outcomes        map[string]int // placement requests by outcome, as named by countformat.OutcomeTerm
+	States          map[string]int // admitted jobs by last reported state
+	Orphaned        int            // jobs of killed schedulers that no later incarnation has reported
 	OverloadedNodes int            // nodes that crashed because of too many starts
 	Offers          int            // offers that schedulers sent to nodes
-	Replies         map[string]int // replies of nodes to offers, with the reason of a rejection
+	Replies         map[string]int // replies of nodes to offers, by kind and reason of rejection
 }
 
-// OK reports whether no rule is violated and all connections could be decoded.
+// OK reports whether no rule was violated and all connections could be decoded.
 func (v *Verdict) OK() bool {
 	for i := range v.Rules {
 		if len(v.Rules[i].Violations) > 0 {
@@ -73,7 +73,7 @@
 // maxPrintedViolations is the maximum number of violations of one rule that String prints.
 const maxPrintedViolations = 10
 
-// String returns the verdict as text of several lines.
+// String returns a multi-line report of the verdict.
 func (v *Verdict) String() string {
 	var text strings.Builder
 	for i := range v.Rules {
