--- a/internal/testbed/fault/fault.go
+++ b/internal/testbed/fault/fault.go
@@ -1,5 +1,5 @@
-// Package fault injects the faults of a scenario into a cluster. It decides which actions a fault consists of and their
-// order; a cluster carries them out through the interface Cluster, in real time on sockets or in simulated time.
+// Package fault injects the faults of a scripted day into a cluster. It determines the actions that a fault consists of and
+// their order. Implementations of Cluster carry them out, in real time on sockets or in simulated time.
 package fault
 
 import (
@@ -14,21 +14,21 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/standin/nodemodel"
 )
 
-// Fault is one fault of a scenario with its targets.
+// Fault is one fault of a scripted day with its targets.
 type Fault struct {
 	Kind       Kind
-	Start      time.Duration // since the start of the scenario
+	Start      time.Duration // since the start of the day
 	Duration   time.Duration
-	Nodes      []int  // indices of the nodes in the fleet
-	Schedulers []int  // indices of the schedulers
-	Class      string // empty or "*" means all classes, depending on the kind
-	Factor     float64
+	Nodes      []int   // indices of the nodes in the fleet
+	Schedulers []int   // indices of the schedulers
+	Class      string  // the affected class; empty or "*" means all classes, depending on the kind
+	Factor     float64 // the strength of the fault; its unit depends on the kind
 
 	rng *rand.Rand // for draws during the injection
 }
 
-// New returns the fault of the given index of a scenario; the seed determines its nodes. The error is an
-// *UnknownKindError.
+// New returns the fault at the given index of day.Faults. The index and the seed determine the nodes that are drawn. The error
+// is an *UnknownKindError.
 func New(day *scenario.Day, index int, seed uint64) (*Fault, error) {
 	scheduled := &day.Faults[index]
 	kind, err := ParseKind(scheduled.Kind)
@@ -48,49 +48,51 @@
 	}, nil
 }
 
-// NodeFaultChange changes the faults that a node model has.
+// NodeFaultChange modifies the active faults of a stand-in node in place.
 type NodeFaultChange func(fault *nodemodel.Fault)
 
-// Cluster carries out the actions of faults. A method returns when its action is done or, in simulated time, scheduled.
-// The methods that start nodes or schedulers take a context and start nothing after it is canceled.
+// Cluster carries out the actions of faults on nodes and schedulers, which are given by their indices. A method returns when
+// its action is complete or, in simulated time, scheduled. The methods that start nodes or schedulers do not start any after
+// their context is canceled.
 type Cluster interface {
 	// Wait waits between two actions of a fault; it returns early when the context is canceled.
 	Wait(ctx context.Context, duration time.Duration)
 
-	// ChangeNodeFaults changes the faults of nodes; a node that stops loses its faults.
+	// ChangeNodeFaults applies a change to the faults of each node. A node that stops loses its faults.
 	ChangeNodeFaults(nodes []int, change NodeFaultChange)
-	// DropPrograms removes a fraction of the cached programs of nodes.
+	// DropPrograms removes a fraction of the cached programs of each node.
 	DropPrograms(nodes []int, fraction float64)
-	// DrainNodes drains nodes: they accept no more tasks and notify the inventory.
+	// DrainNodes drains nodes: they stop accepting tasks and notify the inventory.
 	DrainNodes(nodes []int)
-	// StopNodes stops nodes at once, with all their tasks.
+	// StopNodes stops nodes and all their tasks at once, without a drain.
 	StopNodes(nodes []int)
-	// StartNodes starts stopped nodes, without cached programs.
+	// StartNodes starts stopped nodes. They have no cached programs.
 	StartNodes(ctx context.Context, nodes []int) error
-	// RestartNodes stops nodes and starts them at once.
+	// RestartNodes stops nodes and immediately starts them again.
 	RestartNodes(ctx context.Context, nodes []int) error
 
-	// PauseSchedulers suspends schedulers; ResumeSchedulers is called after the duration.
+	// PauseSchedulers suspends the processes of schedulers. ResumeSchedulers is called after the duration.
 	PauseSchedulers(schedulers []int, duration time.Duration)
-	// ResumeSchedulers ends a pause.
+	// ResumeSchedulers resumes the processes of suspended schedulers.
 	ResumeSchedulers(schedulers []int)
-	// KillSchedulers kills schedulers.
+	// KillSchedulers kills schedulers without a shutdown.
 	KillSchedulers(schedulers []int)
 	// TerminateSchedulers shuts schedulers down gracefully and waits until they have exited.
 	TerminateSchedulers(schedulers []int) error
 	// StartSchedulers starts schedulers that have exited.
 	StartSchedulers(ctx context.Context, schedulers []int) error
 
-	// SetLoadFactor multiplies the load of a class; 0 ends the fault.
+	// SetLoadFactor sets the factor by which the load of a class is multiplied; 0 ends the fault.
 	SetLoadFactor(class string, factor float64)
-	// SetHotServiceFraction sends a fraction of a class's load to one service; 0 ends the fault.
+	// SetHotServiceFraction sets the fraction of a class's load that goes to a single service; 0 ends the fault.
 	SetHotServiceFraction(class string, fraction float64)
 
 	// SetInventoryFault replaces the faults of the inventory.
 	SetInventoryFault(fault inventorymodel.Fault)
 }
 
-// Network is implemented by clusters that have real connections, in addition to Cluster.
+// Network carries out the actions of faults on network connections. Clusters with real connections implement it in addition to
+// Cluster.
 type Network interface {
 	// SetLinkFault replaces the faults of the connections to nodes.
 	SetLinkFault(nodes []int, fault recordproxy.Fault)
@@ -100,17 +102,18 @@
 	BreakInventoryLinks(schedulers []int)
 	// BreakClientLinks closes the connections of clients to schedulers.
 	BreakClientLinks(schedulers []int)
-	// RunMisbehavingClients runs clients that break the protocol with each scheduler, for the duration.
+	// RunMisbehavingClients runs the given number of clients that violate the protocol against each scheduler, for the
+	// duration.
 	RunMisbehavingClients(ctx context.Context, schedulers []int, clients int, duration time.Duration)
 }
 
-// Error is a fault that could not be injected.
+// Error is returned for a fault that could not be injected completely.
 type Error struct {
 	Fault *Fault
 	Err   error
 }
 
-// Error returns the kind and start of the fault, and the cause.
+// Error returns a message with the kind and start of the fault and the cause.
 func (e *Error) Error() string {
 	return fmt.Sprintf("fault %v at %v: %v", e.Fault.Kind, e.Fault.Start, e.Err)
 }
@@ -118,8 +121,8 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Inject carries out the fault, from its start to its end. The error is an *Error, which wraps an *UnsupportedError if
-// the fault needs a Network and the cluster is none.
+// Inject carries out all actions of the fault, from its start to its end. The error is an *Error. It wraps an
+// *UnsupportedError if the fault needs a Network and the cluster does not implement it.
 func (f *Fault) Inject(ctx context.Context, cluster Cluster) error {
 	if err := f.inject(ctx, cluster); err != nil {
 		return &Error{Fault: f, Err: err}
--- a/internal/testbed/fault/fault_test.go
+++ b/internal/testbed/fault/fault_test.go
@@ -15,10 +15,10 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/standin/nodemodel"
 )
 
-// fakeCluster is a cluster that records its actions instead of carrying them out.
+// fakeCluster is a Cluster that records its actions instead of carrying them out.
 type fakeCluster struct {
 	actions []string
-	err     error // of TerminateSchedulers and RestartNodes
+	err     error // returned by TerminateSchedulers and RestartNodes
 }
 
 func (c *fakeCluster) record(format string, args ...any) {
@@ -28,7 +28,7 @@
 func (c *fakeCluster) Wait(_ context.Context, duration time.Duration) { c.record("wait %v", duration) }
 
 func (c *fakeCluster) ChangeNodeFaults(nodes []int, change NodeFaultChange) {
-	// A field that the change does not set keeps its value.
+	// The initial values show which fields the change sets.
 	fault := nodemodel.Fault{StartFailureFraction: 9, UsageFactor: 9, OccupiedFraction: 9, StartFailureClass: "-",
 		UsageClass: "-", DropRepliesClass: "-"}
 	change(&fault)
@@ -75,7 +75,7 @@
 }
 func (c *fakeCluster) SetInventoryFault(fault inventorymodel.Fault) { c.record("inventory %v", fault) }
 
-// fakeNetworkCluster is a fakeCluster that is also a Network.
+// fakeNetworkCluster is a fakeCluster that also implements Network.
 type fakeNetworkCluster struct{ fakeCluster }
 
 func (c *fakeNetworkCluster) SetLinkFault(nodes []int, fault recordproxy.Fault) {
@@ -138,7 +138,7 @@
 	}
 }
 
-func TestBreakRepliesDrawsAPointForEachConnection(t *testing.T) {
+func TestBreakRepliesDrawsAByteCountForEachConnection(t *testing.T) {
 	c := &fakeNetworkCluster{}
 	if err := testFault(BreakReplies).Inject(context.Background(), c); err != nil {
 		t.Fatal(err)
--- a/internal/testbed/fault/handlers.go
+++ b/internal/testbed/fault/handlers.go
@@ -11,7 +11,7 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/standin/nodemodel"
 )
 
-// clusterHandlers are the handlers of the faults that every cluster supports.
+// clusterHandlers inject the faults that every cluster supports.
 var clusterHandlers = map[Kind]func(ctx context.Context, f *Fault, cluster Cluster) error{
 	FailStarts:          failStarts,
 	DropReplies:         dropReplies,
@@ -32,7 +32,7 @@
 	FreezeInventory:     freezeInventory,
 }
 
-// networkHandlers are the handlers of the faults that need a Network.
+// networkHandlers inject the faults that need a Network.
 var networkHandlers = map[Kind]func(ctx context.Context, f *Fault, cluster Cluster, network Network){
 	BreakLinks:          breakLinks,
 	BreakReplies:        breakReplies,
@@ -41,7 +41,7 @@
 	StallLinks:          stallLinks,
 	BreakInventoryLinks: breakInventoryLinks,
 	BreakClientLinks:    breakClientLinks,
-	MisbehavingClients:  misbehavingClients,
+	MisbehavingClients:  runMisbehavingClients,
 }
 
 // duringFault calls begin, waits for the duration of the fault, and calls end.
@@ -51,8 +51,8 @@
 	end()
 }
 
-// nodeFault changes the faults of nodes for the duration.
-func applyNodeFault(ctx context.Context, f *Fault, cluster Cluster, set, reset NodeFaultChange) error {
+// injectNodeFault applies set to the faults of the nodes and, after the duration of the fault, reset.
+func injectNodeFault(ctx context.Context, f *Fault, cluster Cluster, set, reset NodeFaultChange) error {
 	duringFault(ctx, f, cluster,
 		func() { cluster.ChangeNodeFaults(f.Nodes, set) },
 		func() { cluster.ChangeNodeFaults(f.Nodes, reset) })
@@ -60,25 +60,25 @@
 }
 
 func failStarts(ctx context.Context, f *Fault, cluster Cluster) error {
-	return applyNodeFault(ctx, f, cluster,
+	return injectNodeFault(ctx, f, cluster,
 		func(fault *nodemodel.Fault) { fault.StartFailureFraction, fault.StartFailureClass = f.Factor, f.Class },
 		func(fault *nodemodel.Fault) { fault.StartFailureFraction, fault.StartFailureClass = 0, "" })
 }
 
 func dropReplies(ctx context.Context, f *Fault, cluster Cluster) error {
-	return applyNodeFault(ctx, f, cluster,
+	return injectNodeFault(ctx, f, cluster,
 		func(fault *nodemodel.Fault) { fault.DropRepliesClass = f.Class },
 		func(fault *nodemodel.Fault) { fault.DropRepliesClass = "" })
 }
 
 func inflateUsage(ctx context.Context, f *Fault, cluster Cluster) error {
-	return applyNodeFault(ctx, f, cluster,
+	return injectNodeFault(ctx, f, cluster,
 		func(fault *nodemodel.Fault) { fault.UsageFactor, fault.UsageClass = f.Factor, f.Class },
 		func(fault *nodemodel.Fault) { fault.UsageFactor, fault.UsageClass = 0, "" })
 }
 
 func occupyNodes(ctx context.Context, f *Fault, cluster Cluster) error {
-	return applyNodeFault(ctx, f, cluster,
+	return injectNodeFault(ctx, f, cluster,
 		func(fault *nodemodel.Fault) { fault.OccupiedFraction = f.Factor },
 		func(fault *nodemodel.Fault) { fault.OccupiedFraction = 0 })
 }
@@ -98,8 +98,8 @@
 	return cluster.RestartNodes(ctx, f.Nodes)
 }
 
-// startDelay separates the stop of a drained node from its next start, so that a simulated cluster, whose messages take
-// that long, handles them in order.
+// restartDelay is the time between the stop of a drained node and its next start. In a simulated cluster a message takes this
+// long, so the stop is processed before the start.
 const restartDelay = time.Millisecond
 
 func drainNodes(ctx context.Context, f *Fault, cluster Cluster) error {
@@ -117,7 +117,7 @@
 	return nil
 }
 
-// deployNodes drains and restarts the nodes group by group.
+// deployNodes drains and restarts the nodes in groups of Factor nodes, one group after another.
 func deployNodes(ctx context.Context, f *Fault, cluster Cluster) error {
 	groupSize := max(1, int(f.Factor))
 	groups := (len(f.Nodes) + groupSize - 1) / groupSize
@@ -146,7 +146,7 @@
 	return cluster.StartSchedulers(ctx, f.Schedulers)
 }
 
-// terminateSchedulers restarts the schedulers even if one did not shut down cleanly, so that the scenario continues.
+// terminateSchedulers starts the schedulers again even if one did not shut down cleanly, so that the day can continue.
 func terminateSchedulers(ctx context.Context, f *Fault, cluster Cluster) error {
 	err := cluster.TerminateSchedulers(f.Schedulers)
 	cluster.Wait(ctx, f.Duration)
@@ -167,7 +167,7 @@
 	return nil
 }
 
-func applyInventoryFault(ctx context.Context, f *Fault, cluster Cluster, fault inventorymodel.Fault) error {
+func injectInventoryFault(ctx context.Context, f *Fault, cluster Cluster, fault inventorymodel.Fault) error {
 	duringFault(ctx, f, cluster,
 		func() { cluster.SetInventoryFault(fault) },
 		func() { cluster.SetInventoryFault(inventorymodel.Fault{}) })
@@ -175,16 +175,16 @@
 }
 
 func failInventory(ctx context.Context, f *Fault, cluster Cluster) error {
-	return applyInventoryFault(ctx, f, cluster, inventorymodel.Fault{Fails: true})
+	return injectInventoryFault(ctx, f, cluster, inventorymodel.Fault{Fails: true})
 }
 
 func freezeInventory(ctx context.Context, f *Fault, cluster Cluster) error {
-	return applyInventoryFault(ctx, f, cluster, inventorymodel.Fault{Stale: true})
+	return injectInventoryFault(ctx, f, cluster, inventorymodel.Fault{Stale: true})
 }
 
 func breakLinks(_ context.Context, f *Fault, _ Cluster, network Network) { network.BreakLinks(f.Nodes) }
 
-// maxReplyBytes bounds the bytes of replies that pass before a connection is broken.
+// maxBytesBeforeBreak is the maximum number of reply bytes that are transferred before a connection is broken.
 const maxBytesBeforeBreak = 100
 
 func breakReplies(_ context.Context, f *Fault, _ Cluster, network Network) {
@@ -193,25 +193,25 @@
 	}
 }
 
-// linkFault sets a fault of the connections to nodes for the duration.
-func applyLinkFault(ctx context.Context, f *Fault, cluster Cluster, network Network, fault recordproxy.Fault) {
+// injectLinkFault applies a fault to the connections to nodes for the duration.
+func injectLinkFault(ctx context.Context, f *Fault, cluster Cluster, network Network, fault recordproxy.Fault) {
 	duringFault(ctx, f, cluster,
 		func() { network.SetLinkFault(f.Nodes, fault) },
 		func() { network.SetLinkFault(f.Nodes, recordproxy.Fault{}) })
 }
 
-// halfOpenLinks closes the connections at the end, since their parties can't decode a stream with missing bytes.
+// halfOpenLinks closes the connections at the end, since the parties cannot decode a stream with missing bytes.
 func halfOpenLinks(ctx context.Context, f *Fault, cluster Cluster, network Network) {
-	applyLinkFault(ctx, f, cluster, network, recordproxy.Fault{DropReplies: true})
+	injectLinkFault(ctx, f, cluster, network, recordproxy.Fault{DropReplies: true})
 	network.BreakLinks(f.Nodes)
 }
 
 func delayLinks(ctx context.Context, f *Fault, cluster Cluster, network Network) {
-	applyLinkFault(ctx, f, cluster, network, recordproxy.Fault{Delay: scenario.Seconds(f.Factor)})
+	injectLinkFault(ctx, f, cluster, network, recordproxy.Fault{Delay: scenario.Seconds(f.Factor)})
 }
 
 func stallLinks(ctx context.Context, f *Fault, cluster Cluster, network Network) {
-	applyLinkFault(ctx, f, cluster, network, recordproxy.Fault{Stall: true})
+	injectLinkFault(ctx, f, cluster, network, recordproxy.Fault{Stall: true})
 }
 
 func breakInventoryLinks(_ context.Context, f *Fault, _ Cluster, network Network) {
@@ -222,6 +222,6 @@
 	network.BreakClientLinks(f.Schedulers)
 }
 
-func misbehavingClients(ctx context.Context, f *Fault, _ Cluster, network Network) {
+func runMisbehavingClients(ctx context.Context, f *Fault, _ Cluster, network Network) {
 	network.RunMisbehavingClients(ctx, f.Schedulers, int(f.Factor), f.Duration)
 }
