--- a/internal/testbed/fault/fault.go
+++ b/internal/testbed/fault/fault.go
@@ -21,7 +21,7 @@
 	Duration   time.Duration
 	Nodes      []int   // indices of the nodes in the fleet
 	Schedulers []int   // indices of the schedulers
-	Class      string  // the affected class; empty or "*" means all classes, depending on the kind
+	Class      string  // the affected class; for all classes "*" for DropReplies, empty for other kinds
 	Factor     float64 // the strength of the fault; its unit depends on the kind
 
 	rng *rand.Rand // for draws during the injection
--- a/internal/testbed/scenario/days/bad-day.cue
+++ b/internal/testbed/scenario/days/bad-day.cue
@@ -1,4 +1,4 @@
-// Many faults that overlap.
+// Many overlapping faults.
 #Town
 about:   "failing starts, a class that fails in silence, a rolling deploy, a lost room, killed and stopped schedulers, cut links"
 seconds: 16
--- a/internal/testbed/scenario/draws_test.go
+++ b/internal/testbed/scenario/draws_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// arrivals returns all submissions of the first load of the day at its own rate.
+// arrivals returns all submissions of the first load of the day at its unmodified rate.
 func arrivals(d *Day, seed uint64, hotServiceFraction float64) []Arrival {
 	var all []Arrival
 	draws := d.Arrivals(0, seed)
--- a/internal/testbed/scenario/fleet.go
+++ b/internal/testbed/scenario/fleet.go
@@ -6,7 +6,7 @@
 	"math/rand/v2"
 )
 
-// faultStream is the random stream of the first fault; recordings depend on it.
+// firstFaultStream is the number of the first fault's stream of random numbers. Recordings depend on it.
 const firstFaultStream = 1000
 
 // Node is one node of the fleet.
@@ -15,7 +15,7 @@
 	Group *NodeGroup
 }
 
-// Nodes returns the nodes of the fleet in the order of its groups.
+// Nodes returns the nodes of the fleet, in the order of its groups.
 func (d *Day) Nodes() []Node {
 	var all []Node
 	for i := range d.Fleet {
@@ -26,7 +26,7 @@
 	return all
 }
 
-// Zone returns the zone of scheduler i: schedulers are spread over the zones of the fleet.
+// SchedulerZone returns the zone of the scheduler with the given index. The zones of the fleet are assigned round-robin.
 func (d *Day) SchedulerZone(scheduler int) string {
 	var zones []string
 	seen := map[string]bool{}
@@ -39,12 +39,12 @@
 	return zones[scheduler%len(zones)]
 }
 
-// Rand returns the random numbers of fault i. They are not safe for concurrent use.
+// FaultRand returns the source of random numbers of the fault at the given index of d.Faults. It is not safe for concurrent use.
 func (d *Day) FaultRand(faultIndex int, seed uint64) *rand.Rand {
 	return rand.New(rand.NewPCG(seed, firstFaultStream+uint64(faultIndex)))
 }
 
-// PickNodes draws the nodes that a fault affects and returns their indexes in Nodes.
+// PickNodes randomly selects the nodes that a fault affects and returns their indices in the result of Nodes.
 func (d *Day) PickNodes(fault *Fault, rng *rand.Rand) []int {
 	var candidates []int
 	for i, node := range d.Nodes() {
--- a/internal/testbed/scenario/read.go
+++ b/internal/testbed/scenario/read.go
@@ -18,26 +18,26 @@
 //go:embed days/*.cue
 var dayFiles embed.FS
 
-// everyClass, as the class of a fault, means all classes.
+// allClasses as the class of a fault means all classes.
 const allClasses = "*"
 
-// UnknownDayError is returned by Read for a name that is neither a day that ships with the program nor a readable file.
+// UnknownDayError is returned by Read for a name that is neither that of an embedded day nor that of a readable file.
 type UnknownDayError struct {
 	Name string
-	Err  error // of reading the file
+	Err  error // the error of reading the file
 }
 
-// Error returns a message with the names of the shipped days.
+// Error returns a message with the names of the embedded days and the error of reading the file, which has the name.
 func (e *UnknownDayError) Error() string {
-	return fmt.Sprintf("no day of that name (there are %s) and no such file: %v", strings.Join(Names(), ", "), e.Err)
+	return fmt.Sprintf("no day of that name (available: %s), and no readable file: %v", strings.Join(Names(), ", "), e.Err)
 }
 
 // Unwrap returns the error of reading the file.
 func (e *UnknownDayError) Unwrap() error { return e.Err }
 
-// Names returns the names of the days that ship with the program, in sorted order.
+// Names returns the sorted names of the embedded days.
 func Names() []string {
-	entries, _ := dayFiles.ReadDir("days") // the folder is part of the binary
+	entries, _ := dayFiles.ReadDir("days") // the directory is embedded, so reading it does not fail
 	var names []string
 	for _, e := range entries {
 		names = append(names, strings.TrimSuffix(e.Name(), ".cue"))
@@ -46,8 +46,8 @@
 	return names
 }
 
-// Read reads the shipped day of the given name, or else the file of that name. The error is an *UnknownDayError if there is
-// neither, and settings.Problems if the day is not valid.
+// Read reads the embedded day with the given name or, if there is none, the file with that name. The error is an
+// *UnknownDayError if the file cannot be read either, and settings.Problems if the day is invalid.
 func Read(name string) (*Day, error) {
 	if text, err := dayFiles.ReadFile(path.Join("days", name+".cue")); err == nil {
 		return Parse(name, text)
@@ -59,8 +59,8 @@
 	return Parse(name, text)
 }
 
-// Parse reads a day from the text of a CUE file. The error is settings.Problems if the day is not valid; they contain name
-// as the name of the file.
+// Parse reads a day from the text of a CUE file. If the day is invalid, the error is settings.Problems, with name as the name of
+// the file.
 func Parse(name string, text []byte) (*Day, error) {
 	file, err := settings.Read(name, text, "#Trial", schema)
 	if err != nil {
@@ -99,7 +99,7 @@
 			file.Fail(fmt.Sprintf("load[%d].class", i), "no class %q, expected one of classes", l.Class)
 		}
 		if l.RuntimeBounds[1] < l.RuntimeBounds[0] {
-			file.Fail(fmt.Sprintf("load[%d].life", i), "is %v, expected two rising durations", l.RuntimeBounds)
+			file.Fail(fmt.Sprintf("load[%d].life", i), "is %v, expected durations in ascending order", l.RuntimeBounds)
 		}
 	}
 }
--- a/internal/testbed/scenario/read_test.go
+++ b/internal/testbed/scenario/read_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-func TestShippedDaysAreValidAndHaveTheNameTheyAreReadBy(t *testing.T) {
+func TestEmbeddedDaysAreValidAndHaveTheNameTheyAreReadBy(t *testing.T) {
 	for _, name := range Names() {
 		t.Run(name, func(t *testing.T) {
 			d, err := Read(name)
@@ -21,7 +21,7 @@
 	}
 }
 
-func TestUnknownDayIsReportedWithTheNamesOfTheShippedDays(t *testing.T) {
+func TestUnknownDayIsReportedWithTheNamesOfTheEmbeddedDays(t *testing.T) {
 	_, err := Read("nowhere")
 	var unknown *UnknownDayError
 	if !errors.As(err, &unknown) || unknown.Name != "nowhere" || !errors.Is(err, os.ErrNotExist) {
--- a/internal/testbed/scenario/rulelimits.go
+++ b/internal/testbed/scenario/rulelimits.go
@@ -8,17 +8,19 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/rules"
 )
 
-// clockSkew is the tolerance of the rules checker between the times of the recorder and those of the recorded processes.
+// timeTolerance is the difference between the times of the recorder and those of the recorded processes that the rules checker
+// tolerates.
 const timeTolerance = 150 * time.Millisecond
 
-// Figures returns the limits by which the rules checker judges a recording of this day.
+// RuleLimits returns the limits that the rules checker checks a recording of this day against.
 func (d *Day) RuleLimits() rules.Limits {
 	behaviour := &d.Behaviour
 	limits := rules.Limits{DrainGrace: d.Rules.DrainGrace.Duration(), AnswerSlack: d.Rules.AnswerSlack.Duration(),
 		SettleTime: d.Rules.SettleTime.Duration(), TimeTolerance: timeTolerance,
 		SlowStart: rules.SlowStart{Duration: d.Rules.SlowStartDuration.Duration(), Window: d.Rules.OverloadWindow.Duration(),
-			InitialRateFraction: behaviour.SlowStartInitialRate, RateMultiple: behaviour.OverloadMultiple, MinOffers: d.Rules.SlowStartBudget,
-			StartsPerSecond: float64(behaviour.StartSlots) / (behaviour.CachedStartTime.Duration().Seconds() * max(behaviour.UncachedStartFactor, 1))}}
+			InitialRateFraction: behaviour.SlowStartInitialRate, RateMultiple: behaviour.OverloadMultiple,
+			MinOffers: d.Rules.SlowStartBudget, StartsPerSecond: float64(behaviour.StartSlots) /
+				(behaviour.CachedStartTime.Duration().Seconds() * max(behaviour.UncachedStartFactor, 1))}}
 	for _, c := range d.Classes {
 		limits.Classes = append(limits.Classes, rules.Class{
 			Name:             c.Name,
@@ -33,8 +35,8 @@
 	return limits
 }
 
-// storedIdempotency returns the name of an idempotency in the figures. The mapping is here since the rules checker must not
-// import the module.
+// storedIdempotency returns the name of an idempotency in recordings and stored results. The mapping is here because package
+// rules must not import the placement module.
 func storedIdempotency(idempotency flaxshelf.Idempotency) string {
 	switch idempotency {
 	case flaxshelf.Idempotent:
@@ -46,8 +48,8 @@
 	}
 }
 
-// WithStoredNames returns a copy of the day in which the idempotency of each class has the name that stored results and
-// recordings have, whichever of its names the day's file has.
+// WithStoredIdempotency returns a copy of the day in which the idempotency of each class has the name that recordings and
+// stored results use. The file of the day may use another name for it.
 func (d *Day) WithStoredIdempotency() *Day {
 	stored := *d
 	stored.Classes = slices.Clone(d.Classes)
--- a/internal/testbed/scenario/rulelimits_test.go
+++ b/internal/testbed/scenario/rulelimits_test.go
@@ -6,7 +6,8 @@
 	"flaxshelf.example/flaxshelf/internal/settings"
 )
 
-// Recordings store the names of the idempotency, whichever names the settings of the day have.
+// A name of the idempotency that the rules checker does not know would count as non-idempotent in a recording, so deprecated and
+// current names in the settings must give the same stored name.
 func TestRuleLimitsHaveTheStoredIdempotency(t *testing.T) {
 	for _, c := range []struct{ setting, want string }{
 		{"safe", "safe"},
--- a/internal/testbed/scenario/schedulerfile.go
+++ b/internal/testbed/scenario/schedulerfile.go
@@ -9,7 +9,7 @@
 	"flaxshelf.example/flaxshelf/internal/settings"
 )
 
-// schedulerFile is the configuration file of a scheduler, the record #Scheduler of the settings' schema.
+// schedulerFile is the configuration file of a scheduler, as defined by #Scheduler in the schema of package settings.
 type schedulerFile struct {
 	Name           string            `json:"name"`
 	Listen         string            `json:"listen"`
@@ -30,8 +30,9 @@
 	Recording      string            `json:"moduleRecording"`
 }
 
-// SchedulerFile returns the configuration file of scheduler i as JSON, which is valid CUE. inventory is the address of the
-// inventory; recording is the file to which the scheduler records the steps of its module, or empty for none.
+// SchedulerFile returns the configuration file of the scheduler with the given index as JSON, which is valid CUE. inventory is
+// the address of the inventory. recording is the path of the file to which the scheduler records the steps of its placement
+// module; if it is empty, the scheduler records none.
 func (d *Day) SchedulerFile(scheduler int, inventory, recording string, seed uint64) ([]byte, error) {
 	fail := func(err error) ([]byte, error) {
 		return nil, fmt.Errorf("scenario: configuration of scheduler %s: %w", SchedulerName(scheduler), err)
@@ -65,7 +66,8 @@
 	return json.MarshalIndent(lowerFieldNames(fields), "", "  ")
 }
 
-// withoutDeprecated returns the classes with the current values of deprecated settings, which a day may have.
+// withCurrentIdempotency returns a copy of the classes in which deprecated names of the idempotency, which a day may have, are
+// replaced by the current ones.
 func withCurrentIdempotency(classes []settings.Class) []settings.Class {
 	classes = slices.Clone(classes)
 	for i := range classes {
@@ -74,8 +76,8 @@
 	return classes
 }
 
-// lowerFieldNames makes the first letter of every field name lower case: the JSON names of the settings' records begin with a
-// capital letter, those of the schema do not.
+// lowerFieldNames changes the first letter of every field name in decoded JSON to lower case. The JSON names of the types in
+// package settings begin with a capital letter, whereas the names in the schema do not.
 func lowerFieldNames(value any) any {
 	switch value := value.(type) {
 	case map[string]any:
@@ -92,5 +94,5 @@
 	return value
 }
 
-// SchedulerName returns the name of scheduler i.
+// SchedulerName returns the name of the scheduler with the given index.
 func SchedulerName(scheduler int) string { return fmt.Sprintf("s%d", scheduler) }
--- a/internal/testbed/scenario/schema.cue
+++ b/internal/testbed/scenario/schema.cue
@@ -1,19 +1,19 @@
 
-// #Trial is a scripted day: a fleet, a load and faults at given times. Times are seconds from the start.
+// #Trial is a scripted day: a fleet of nodes, loads, and faults at given times. Times are in seconds since the start of the day.
 #Trial: {
 	about:   string
 	seconds: *10 | (number & >0 & <=3600)
-	// Seconds that the trial waits, after its last submission, for open tasks.
+	// Time after the loads to wait for unfinished tasks, in seconds.
 	after: *7 | (number & >=0)
 	schedulers: *3 | (int & >=1 & <=1000)
-	cores:      *1 | (int & >=1 & <=64) // of each scheduler
+	cores:      *1 | (int & >=1 & <=64) // core shards of each scheduler
 	kinds: [#Kind, ...#Kind]
 	classes: [#Class, ...#Class]
 	tenants:   *[] | [...#Tenant]
 	rules:     #Rules
 	limits:    #Limits
 	behaviour: #Behaviour
-	// What a step of a scheduler's core, and each of its inputs, costs in the emulator.
+	// Simulated processing time of each step of a scheduler's core, and of each input of a step, in the emulator.
 	cpu: {step: *"0s" | #Duration, input: *"0s" | #Duration}
 	late:      *"100ms" | #Duration
 	goneAfter: *"300ms" | #Duration
@@ -24,7 +24,7 @@
 	troubles: [...#Trouble]
 }
 
-// #Group is a number of nodes of one kind in one zone. They are named after the group, from 0 on.
+// #Group is a number of identical nodes in one zone. Their names are that of the group followed by a number from 0.
 #Group: {
 	name:  #Name
 	count: int & >=1
@@ -39,44 +39,44 @@
 	class:     #Name
 	perSecond: number & >0
 	from:      *0 | (number & >=0)
-	to:        *0 | (number & >=0) // 0: the end of the day
+	to:        *0 | (number & >=0) // 0 means the end of the day
 	services:  *10 | (int & >=1)
 	life:      *["1s", "4s"] | [#Duration, #Duration]
-	cores:     *0 | number // 0: as the class has it
+	cores:     *0 | number // 0 means that of the class; likewise for memory
 	memory:    *0 | number
 	rerunnable: *false | bool
 	tenant:    *"" | #Name
-	// Shares of the jobs that their clients terminate, or hold and release, soon after the submission.
+	// Fractions of the jobs that clients terminate, or hold and release, soon after the submission.
 	terminate: *0 | (number & >=0 & <=1)
 	hold:      *0 | (number & >=0 & <=1)
-	// A client submits anew after `retry` what was rejected or failed, until `patience` is over. Only the emulator's
-	// clients do.
+	// A client resubmits a job that was rejected or failed after a mean delay of `retry`, until `patience` has passed since the
+	// first submission. A `retry` of 0 means no retries. Only the emulator's clients retry.
 	retry:    *"0s" | #Duration
 	patience: *"0s" | #Duration
 }
 
-// #Trouble is a fault of some nodes, schedulers or connections, from a given time on for a while.
+// #Trouble is a fault of nodes, schedulers, connections, the inventory or clients. It begins at `at` and lasts `for` seconds.
 #Trouble: {
 	at:  number & >=0
 	for: *0 | (number & >=0)
-	do:  "fail-starts" | "silent" | "swell" | "crowd" | "drop-programs" | // of nodes
-		"drain" | "deploy" | "lose" | "restart" | "shrink" | // of nodes' incarnations
+	do:  "fail-starts" | "silent" | "swell" | "crowd" | "drop-programs" | // faults of running nodes
+		"drain" | "deploy" | "lose" | "restart" | "shrink" | // drains, stops and restarts of nodes
 		"stop-scheduler" | "kill-scheduler" | "term-scheduler" |
 		"burst" | "hot-service" |
-		"cut" | "cut-reply" | "half-open" | "delay" | "stall" | // of the connections to nodes
+		"cut" | "cut-reply" | "half-open" | "delay" | "stall" | // faults of the connections to nodes
 		"inventory-fails" | "inventory-stale" | "inventory-cut" |
 		"client-cut" | "rude-clients"
-	// Which nodes: those of a zone, and of them a share, drawn by the seed.
+	// The affected nodes: a fraction `share` of the nodes of the zone, or of all nodes if it is empty. The seed determines which.
 	zone:  *"" | #Name
 	share: *1 | (number & >=0 & <=1)
-	// Which schedulers, by index; none: the first.
+	// The indices of the affected schedulers; by default the first.
 	schedulers: *[0] | [...(int & >=0)]
 	class:  *"" | "*" | #Name
 	factor: *1 | (number & >=0)
 }
 
-// #Town is what most days build on: twelve nodes of two kinds in three zones, three schedulers, and a class for each
-// idempotency: idempotent, idempotent by key within a zone, and not idempotent.
+// #Town is the base of most days: twelve nodes of two kinds in three zones, three schedulers, and one class for each
+// idempotency: idempotent, idempotent by key within a zone, and non-idempotent.
 #Town: #Trial & {
 	kinds: [{name: "medium", cores: 24, memory: 96}, {name: "large", cores: 48, memory: 192}]
 	classes: [
--- a/internal/testbed/scenario/storedday_test.go
+++ b/internal/testbed/scenario/storedday_test.go
@@ -11,8 +11,9 @@
 	"flaxshelf.example/flaxshelf/internal/settings"
 )
 
-// dayText is a day with every field set. storedDay is its JSON and deprecatedSchedulerFile the configuration of a scheduler, both
-// written by the build of commit ad3e0ee. storedSchedulerFile is the same configuration without deprecated settings.
+// dayText is a day in which every field is set. storedDay is its JSON and deprecatedSchedulerFile the configuration file of one
+// of its schedulers, both written by the build of commit ad3e0ee. storedSchedulerFile is the same configuration without
+// deprecated settings.
 const (
 	dayText                 = "testdata/day.cue"
 	storedDay               = "testdata/day.json"
@@ -38,7 +39,7 @@
 	return d
 }
 
-// unset returns the paths of the fields that have their zero value.
+// zeroFields returns the paths of the fields within v that have their zero value or are empty lists. The path of v is path.
 func zeroFields(path string, v reflect.Value) []string {
 	var fields []string
 	switch {
@@ -56,7 +57,7 @@
 	return fields
 }
 
-// Experiments identify their stored results by the hash of the day's JSON.
+// Experiments identify their stored results by a hash of the day's JSON, so a changed JSON name would make them unusable.
 func TestJSONOfADayKeepsItsNames(t *testing.T) {
 	d := parseDay(t)
 	if fields := zeroFields("Day", reflect.ValueOf(*d)); fields != nil {
