--- a/internal/testbed/rules/offer.go
+++ b/internal/testbed/rules/offer.go
@@ -137,7 +137,8 @@
 	}
 }
 
-// nodeAccepted checks that at most one node has a task that is not idempotent, regardless of what schedulers know.
+// nodeAccepted checks that nodes have accepted at most one attempt at a time of a task that is not idempotent, regardless of
+// what schedulers know.
 func (c *checker) nodeAccepted(node, id string) {
 	a := c.attempts[id]
 	if a == nil {
--- a/internal/testbed/scenario/read.go
+++ b/internal/testbed/scenario/read.go
@@ -29,7 +29,7 @@
 
 // Error returns a message with the names of the embedded days and the error of reading the file, which has the name.
 func (e *UnknownDayError) Error() string {
-	return fmt.Sprintf("no day of that name (available: %s), and no readable file: %v", strings.Join(Names(), ", "), e.Err)
+	return fmt.Sprintf("no day of that name (there are %s), and no readable file: %v", strings.Join(Names(), ", "), e.Err)
 }
 
 // Unwrap returns the error of reading the file.
