--- a/cmd/flaxshelf/plan.go
+++ b/cmd/flaxshelf/plan.go
@@ -63,10 +63,10 @@
 }
 
 func (c *planCmd) validate(day *scenario.Day) error {
-	if c.Goal <= 0 || c.Placed <= 0 || c.Placed > 1 || c.Seeds < 1 || c.Emulate && c.Warmup >= day.Seconds {
+	if c.Goal <= 0 || c.Placed <= 0 || c.Placed > 1 || c.Seeds < 1 || c.Emulate && c.Warmup >= day.LoadSeconds {
 		return usageError{fmt.Errorf("--goal is %v, --placed is %v, --seeds is %d and --warmup is %v: expected a goal above 0, "+
 			"a fraction placed above 0 and at most 1, at least 1 seed, and with --emulate a warm-up shorter than the day's %v s",
-			c.Goal, c.Placed, c.Seeds, c.Warmup, day.Seconds)}
+			c.Goal, c.Placed, c.Seeds, c.Warmup, day.LoadSeconds)}
 	}
 	if c.Trace != "" && c.Emulate {
 		return usageError{errors.New("--emulate and --trace: expected only one, since --emulate uses the load of the day")}
--- a/cmd/flaxshelf/trial.go
+++ b/cmd/flaxshelf/trial.go
@@ -50,7 +50,7 @@
 		return err
 	}
 	if c.Cores != 0 {
-		day.Cores = c.Cores
+		day.Shards = c.Cores
 	}
 	executable, err := os.Executable()
 	if err != nil {
@@ -85,7 +85,7 @@
 		if err != nil {
 			return err
 		}
-		std.out.printf("%-20s %s\n", name, day.About)
+		std.out.printf("%-20s %s\n", name, day.Description)
 	}
 	return nil
 }
--- a/internal/testbed/rules/connection.go
+++ b/internal/testbed/rules/connection.go
@@ -11,44 +11,44 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/recordproxy/recordingpb"
 )
 
-// The protocols of connections, as a recording names them.
+// The protocols of connections, by their names in recordings.
 const (
-	ClientWire    = "client"    // clients to schedulers, HTTP
-	NodeWire      = "node"      // schedulers to nodes, frames
-	InventoryWire = "inventory" // schedulers to the inventory, frames
+	ClientProtocol    = "client"    // clients to schedulers, HTTP
+	NodeProtocol      = "node"      // schedulers to nodes, frames
+	InventoryProtocol = "inventory" // schedulers to the inventory, frames
 )
 
 // connection is a recorded connection of a dialer, which is a client or a scheduler, to a listener.
 type connection struct {
 	id         uint64
-	wire       string
-	dialer     string // from its hello, or from its proxy if that serves only one
+	protocol   string
+	dialer     string // from its hello, or from the proxy if that has only one dialer
 	listener   string
 	openedAt   time.Duration
 	directions [2]stream
-	undecoded  bool // its bytes could not be decoded; the rest is ignored
+	undecoded  bool // a message could not be decoded; later bytes are ignored
 
-	requests       []*clientRequest // without a complete response
-	parser         httpcodec.Parser
-	responses      httpcodec.ResponseReader
-	consumedEvents int // number of bytes of a streamed body that were handled
+	requests           []*clientRequest // oldest first, without a complete response
+	parser             httpcodec.Parser
+	responses          httpcodec.ResponseReader
+	consumedEventBytes int // number of processed bytes of a streamed body
 
-	reportedAttempts map[string]bool // in the welcome of the node
+	reportedAttempts map[string]bool // reported in the node's welcome
 }
 
 // stream is one direction of a connection.
 type stream struct {
-	undelivered        []byte
+	undelivered        []byte // sent bytes that were not delivered or dropped
 	sentRemainder      []byte // sent bytes of an incomplete message
 	deliveredRemainder []byte // delivered bytes of an incomplete message
 }
 
-// clientRequest is an HTTP request.
+// clientRequest is an HTTP request of a client to a scheduler.
 type clientRequest struct {
-	receivedAt time.Duration
-	method     string
-	path       string
-	body       []byte
+	sentAt time.Duration
+	method string
+	path   string
+	body   []byte
 }
 
 // direction returns the index of a direction in connection.directions.
@@ -60,7 +60,7 @@
 }
 
 func (c *checker) connectionOpened(open *recordingpb.Open) {
-	c.connections[open.Conn] = &connection{id: open.Conn, wire: open.Wire, listener: open.To, dialer: open.Via,
+	c.connections[open.Conn] = &connection{id: open.Conn, protocol: open.Wire, listener: open.To, dialer: open.Via,
 		openedAt: c.now, reportedAttempts: map[string]bool{}}
 }
 
@@ -69,13 +69,13 @@
 	if link == nil {
 		return
 	}
-	if link.wire == NodeWire {
-		c.linkLost(link)
+	if link.protocol == NodeProtocol {
+		c.connectionLost(link)
 	}
 	delete(c.connections, closed.Conn)
 }
 
-// decodable returns the connection if its bytes can be decoded, otherwise nil.
+// decodable returns an open connection, or nil if there is none or its bytes cannot be decoded.
 func (c *checker) decodable(id uint64) *connection {
 	link := c.connections[id]
 	if link == nil || link.undecoded {
@@ -84,7 +84,7 @@
 	return link
 }
 
-// bytesSent handles bytes when a party sends them.
+// bytesSent processes bytes when a party sends them.
 func (c *checker) bytesSent(sent *recordingpb.Sent) {
 	link := c.decodable(sent.Conn)
 	if link == nil {
@@ -93,19 +93,19 @@
 	s := &link.directions[direction(sent.Back)]
 	s.undelivered = append(s.undelivered, sent.Data...)
 	switch {
-	case link.wire != ClientWire:
+	case link.protocol != ClientProtocol:
 		s.sentRemainder = append(s.sentRemainder, sent.Data...)
 		s.sentRemainder = c.decodeFrames(link, s.sentRemainder, func(frame *nodepb.Frame) { c.frameSent(link, sent.Back, frame) })
 	case sent.Back:
-		c.responseBytes(link, sent.Data)
+		c.parseResponses(link, sent.Data)
 	default:
-		c.requestBytes(link, sent.Data)
+		c.parseRequests(link, sent.Data)
 	}
 }
 
 var errExcessDelivery = errors.New("more bytes delivered than sent")
 
-// bytesDelivered handles bytes when they are delivered to a party.
+// bytesDelivered processes bytes when they are delivered to a party.
 func (c *checker) bytesDelivered(delivered *recordingpb.Delivered) {
 	link := c.decodable(delivered.Conn)
 	if link == nil {
@@ -114,10 +114,10 @@
 	s := &link.directions[direction(delivered.Back)]
 	kept, removed := int(delivered.Bytes), int(delivered.Bytes+delivered.Dropped)
 	if removed > len(s.undelivered) {
-		c.undecodable(link, errExcessDelivery)
+		c.markUndecoded(link, errExcessDelivery)
 		return
 	}
-	if link.wire != ClientWire {
+	if link.protocol != ClientProtocol {
 		s.deliveredRemainder = append(s.deliveredRemainder, s.undelivered[:kept]...)
 		s.deliveredRemainder = c.decodeFrames(link, s.deliveredRemainder,
 			func(frame *nodepb.Frame) { c.frameDelivered(link, delivered.Back, frame) })
@@ -131,7 +131,7 @@
 	for {
 		frame, size, err := nodeframe.Next(buffer[used:])
 		if err != nil {
-			c.undecodable(link, err)
+			c.markUndecoded(link, err)
 			return nil
 		}
 		if frame == nil {
@@ -142,63 +142,63 @@
 	}
 }
 
-// undecodable marks a connection as undecoded. After a proxy has dropped bytes on purpose that is expected, and the parties
-// close the connection, too; otherwise the verdict is not reliable and lists the connection.
-func (c *checker) undecodable(link *connection, err error) {
+// markUndecoded marks a connection as undecoded. If a proxy has dropped bytes as an injected fault, this is expected, and the
+// parties close the connection as well. Otherwise the verdict is unreliable, and it lists the connection.
+func (c *checker) markUndecoded(link *connection, err error) {
 	link.undecoded = true
 	if !c.bytesDropped {
 		c.verdict.Undecoded = append(c.verdict.Undecoded, fmt.Sprintf("connection %d to %s (%s): %v", link.id, link.listener,
-			link.wire, err))
+			link.protocol, err))
 	}
 }
 
-// frameSent handles a frame when a party sends it.
+// frameSent processes a frame when a party sends it.
 func (c *checker) frameSent(link *connection, fromListener bool, frame *nodepb.Frame) {
 	switch {
 	case !fromListener:
 		c.schedulerFrameSent(link, frame)
-	case link.wire == NodeWire:
+	case link.protocol == NodeProtocol:
 		c.nodeFrameSent(link, frame)
 	}
 }
 
-// frameDelivered handles a frame when it is delivered to a party.
+// frameDelivered processes a frame when it is delivered to a party.
 func (c *checker) frameDelivered(link *connection, fromListener bool, frame *nodepb.Frame) {
 	switch {
-	case fromListener && link.wire == NodeWire:
+	case fromListener && link.protocol == NodeProtocol:
 		c.nodeFrameDelivered(link, frame)
-	case fromListener && link.wire == InventoryWire:
+	case fromListener && link.protocol == InventoryProtocol:
 		if listing := frame.GetListing(); listing != nil {
 			c.listingDelivered(link.dialer, listing)
 		}
-	case link.wire == NodeWire:
+	case link.protocol == NodeProtocol:
 		if frame.GetOffer() != nil {
 			c.offerDelivered(link)
 		}
 	}
 }
 
-// requestBytes parses the bytes of requests of a client.
-func (c *checker) requestBytes(link *connection, data []byte) {
+// parseRequests parses the bytes that a client sends.
+func (c *checker) parseRequests(link *connection, data []byte) {
 	s := &link.directions[direction(false)]
 	s.sentRemainder = append(s.sentRemainder, data...)
 	for {
 		request, used, _, err := link.parser.Parse(s.sentRemainder)
-		if err != nil { // a misbehaving client sends malformed requests on purpose
+		if err != nil { // expected: misbehaving clients send malformed requests
 			link.undecoded = true
 			return
 		}
 		if request == nil {
 			return
 		}
-		link.requests = append(link.requests, &clientRequest{receivedAt: c.now, method: request.Method,
+		link.requests = append(link.requests, &clientRequest{sentAt: c.now, method: request.Method,
 			path: request.Path, body: append([]byte(nil), request.Body...)})
 		s.sentRemainder = append(s.sentRemainder[:0], s.sentRemainder[used:]...)
 	}
 }
 
-// responseBytes parses the bytes of responses of a scheduler, which are in the order of the requests.
-func (c *checker) responseBytes(link *connection, data []byte) {
+// parseResponses parses the bytes that a scheduler sends to a client. Responses are in the order of their requests.
+func (c *checker) parseResponses(link *connection, data []byte) {
 	err := link.responses.Feed(data, func(response *httpcodec.Response) {
 		if len(link.requests) == 0 {
 			return
@@ -209,10 +209,10 @@
 			c.responseReceived(link.listener, link.requests[0], response)
 		}
 		if response.Done {
-			link.requests, link.consumedEvents = link.requests[1:], 0
+			link.requests, link.consumedEventBytes = link.requests[1:], 0
 		}
 	})
 	if err != nil {
-		c.undecodable(link, err)
+		c.markUndecoded(link, err)
 	}
 }
--- a/internal/testbed/scenario/schedulerfile.go
+++ b/internal/testbed/scenario/schedulerfile.go
@@ -9,7 +9,7 @@
 	"flaxshelf.example/flaxshelf/internal/settings"
 )
 
-// schedulerFile is the configuration file of a scheduler, the record #Scheduler of the settings' schema.
+// schedulerFile is the configuration file of a scheduler, as defined by #Scheduler in the schema of package settings.
 type schedulerFile struct {
 	Name           string            `json:"name"`
 	Listen         string            `json:"listen"`
@@ -30,25 +30,26 @@
 	Recording      string            `json:"moduleRecording"`
 }
 
-// SchedulerFile returns the configuration file of scheduler i as JSON, which is valid CUE. inventory is the address of the
-// inventory; recording is the file to which the scheduler records the steps of its module, or empty for none.
-func (d *Day) SchedulerFile(i int, inventory, recording string, seed uint64) ([]byte, error) {
+// SchedulerFile returns the configuration file of the scheduler with the given index as JSON, which is valid CUE. inventory is
+// the address of the inventory. recording is the path of the file to which the scheduler records the steps of its placement
+// module; if it is empty, the scheduler records none.
+func (d *Day) SchedulerFile(scheduler int, inventory, recording string, seed uint64) ([]byte, error) {
 	fail := func(err error) ([]byte, error) {
-		return nil, fmt.Errorf("scenario: configuration of scheduler %s: %w", SchedulerName(i), err)
+		return nil, fmt.Errorf("scenario: configuration of scheduler %s: %w", SchedulerName(scheduler), err)
 	}
 	text, err := json.Marshal(schedulerFile{
-		Name:           SchedulerName(i),
+		Name:           SchedulerName(scheduler),
 		Listen:         "127.0.0.1:0",
 		Inventory:      inventory,
-		Index:          i,
+		Index:          scheduler,
 		Schedulers:     d.Schedulers,
-		Cores:          max(d.Cores, 1),
-		Zone:           d.Zone(i),
+		Cores:          max(d.Shards, 1),
+		Zone:           d.SchedulerZone(scheduler),
 		Seed:           seed,
 		ListsFree:      d.ListsFree,
 		RunsWhenPlaced: d.RunsWhenPlaced,
-		Classes:        withoutDeprecated(d.Classes),
-		Kinds:          d.Kinds,
+		Classes:        withCurrentIdempotency(d.Classes),
+		Kinds:          d.MachineKinds,
 		Tenants:        d.Tenants,
 		Rules:          d.Rules,
 		Limits:         d.Limits,
@@ -65,8 +66,9 @@
 	return json.MarshalIndent(lowerFieldNames(fields), "", "  ")
 }
 
-// withoutDeprecated returns the classes with the current values of deprecated settings, which a day may have.
-func withoutDeprecated(classes []settings.Class) []settings.Class {
+// withCurrentIdempotency returns a copy of the classes in which deprecated names of the idempotency, which a day may have, are
+// replaced by the current ones.
+func withCurrentIdempotency(classes []settings.Class) []settings.Class {
 	classes = slices.Clone(classes)
 	for i := range classes {
 		classes[i].Idempotency = settings.CurrentIdempotency(classes[i].Idempotency)
@@ -74,8 +76,8 @@
 	return classes
 }
 
-// lowerFieldNames makes the first letter of every field name lower case: the JSON names of the settings' records begin with a
-// capital letter, those of the schema do not.
+// lowerFieldNames changes the first letter of every field name in decoded JSON to lower case. The JSON names of the types in
+// package settings begin with a capital letter, whereas the names in the schema do not.
 func lowerFieldNames(value any) any {
 	switch value := value.(type) {
 	case map[string]any:
@@ -92,5 +94,5 @@
 	return value
 }
 
-// SchedulerName returns the name of scheduler i.
-func SchedulerName(i int) string { return fmt.Sprintf("s%d", i) }
+// SchedulerName returns the name of the scheduler with the given index.
+func SchedulerName(scheduler int) string { return fmt.Sprintf("s%d", scheduler) }
--- a/internal/testbed/trial/clients.go
+++ b/internal/testbed/trial/clients.go
@@ -26,7 +26,7 @@
 	mu              sync.Mutex
 	stats           ClientStats
 	openSubmissions map[string]*submission // by idempotency key
-	loadState       fault.LoadState
+	loadState       fault.LoadModifiers
 }
 
 func newClients(deployment *cluster, startTime time.Time) *clients {
@@ -46,7 +46,7 @@
 		c.watches.Go(func() { c.watchSession(ctx, scheduler) })
 	}
 	var loads sync.WaitGroup
-	for i := range c.cluster.day.Load {
+	for i := range c.cluster.day.Loads {
 		loads.Go(func() { c.submitLoad(ctx, i) })
 	}
 	loads.Wait()
@@ -56,7 +56,7 @@
 // which running jobs may end.
 func (c *clients) awaitEndOfDay(ctx context.Context) {
 	c.submissions.Wait()
-	sleepUntil(ctx, c.startTime.Add(scenario.Seconds(c.cluster.day.Seconds+c.cluster.day.After)))
+	sleepUntil(ctx, c.startTime.Add(scenario.Seconds(c.cluster.day.LoadSeconds+c.cluster.day.WaitSeconds)))
 }
 
 // close waits for the watches and closes all connections. The context of run must have been canceled.
@@ -76,7 +76,7 @@
 
 // submitLoad sends each submission of a load at its time, whether or not earlier ones have an outcome (open loop).
 func (c *clients) submitLoad(ctx context.Context, index int) {
-	class := c.cluster.day.Load[index].Class
+	class := c.cluster.day.Loads[index].Class
 	arrivals := c.cluster.day.Arrivals(index, c.cluster.options.Seed)
 	for {
 		arrival, ok := arrivals.Next(c.currentLoad(class))
@@ -97,7 +97,7 @@
 func (c *clients) currentLoad(class string) (factor, hotServiceFraction float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.loadState.OfClass(class)
+	return c.loadState.ForClass(class)
 }
 
 func (c *clients) setLoadFactor(class string, factor float64) {
--- a/internal/testbed/trial/faultinjection.go
+++ b/internal/testbed/trial/faultinjection.go
@@ -33,7 +33,7 @@
 				return
 			}
 			scheduled := &c.day.Faults[i]
-			c.options.Logf("%6.2f s: %s%s for %v s", scheduled.At, scheduled.Kind, describeScope(scheduled), scheduled.For)
+			c.options.Logf("%6.2f s: %s%s for %v s", scheduled.At, scheduled.Kind, describeScope(scheduled), scheduled.Duration)
 			errs[i] = injected.Inject(ctx, target)
 		})
 	}
--- a/internal/testbed/trial/node.go
+++ b/internal/testbed/trial/node.go
@@ -17,7 +17,7 @@
 type node struct {
 	cluster *cluster
 	index   int
-	group   scenario.Group
+	group   scenario.NodeGroup
 	name    string
 	proxy   *recordproxy.Proxy
 
@@ -46,10 +46,10 @@
 	}
 	n.incarnationCount++
 	c := n.cluster
-	config := settings.Node{Name: n.name, Kind: n.group.Kind, Zone: n.group.Zone, Cell: n.group.Cell, SlowStartCompleted: warm}
+	config := settings.Node{Name: n.name, Kind: n.group.MachineKind, Zone: n.group.Zone, Cell: n.group.Cell, SlowStartCompleted: warm}
 	seed := scenario.NodeSeed(c.options.Seed, n.index, n.incarnationCount)
-	started, err := host.StartNode(host.NodeOptions{Kind: n.group.Kind, Cell: n.group.Cell, ListenAddress: loopbackAnyPort,
-		Model:             fleet.NodeConfig(config, c.day.Kinds, c.day.Rules, c.day.Behaviour, seed),
+	started, err := host.StartNode(host.NodeOptions{Kind: n.group.MachineKind, Cell: n.group.Cell, ListenAddress: loopbackAnyPort,
+		Model:             fleet.NodeConfig(config, c.day.MachineKinds, c.day.Rules, c.day.Behaviour, seed),
 		AdvertisedAddress: n.proxy.Addr(), InventoryAddress: c.inventory.Addr(), Keys: c.keysByZone[n.group.Zone], Log: c.log})
 	if err != nil {
 		return fmt.Errorf("trial: start node %s: %w", n.name, err)
--- a/internal/testbed/trial/plan_test.go
+++ b/internal/testbed/trial/plan_test.go
@@ -28,7 +28,7 @@
 					t.Fatal(err)
 				}
 				firstLimit, _ := planner.FirstLimits(planner.Limits(plancheck.Model(day)))
-				day.Load[0].PerSecond *= firstLimit.LoadMultiple * limitFraction
+				day.Loads[0].PerSecond *= firstLimit.LoadMultiple * limitFraction
 				day.Name = c.Name
 				report, err := emulator.Run(context.Background(), day, emulator.Options{Seed: 1})
 				if err != nil {
--- a/internal/testbed/trial/run.go
+++ b/internal/testbed/trial/run.go
@@ -74,8 +74,8 @@
 // Run runs a day and judges its recording. The error is an *UnsupportedError or another failure of the trial itself. Failures of
 // the schedulers are in the result: violated rules, unaccounted submissions, unclean exits and failed replays.
 func Run(ctx context.Context, day *scenario.Day, options Options) (result *Result, err error) {
-	for i := range day.Load {
-		if day.Load[i].Retry > 0 {
+	for i := range day.Loads {
+		if day.Loads[i].RetryDelay > 0 {
 			return nil, &UnsupportedError{Day: day.Name, Reason: "only the emulator has clients that retry"}
 		}
 	}
@@ -121,7 +121,7 @@
 
 // runCluster runs and records a day, and replays the recorded steps if the options say so. The verdict of the result is not set.
 func runCluster(ctx context.Context, day *scenario.Day, options Options, directory string) (*Result, error) {
-	checkLimits, err := json.Marshal(day.Figures())
+	checkLimits, err := json.Marshal(day.RuleLimits())
 	if err != nil {
 		return nil, fmt.Errorf("trial: encode the limits for the rules checker: %w", err)
 	}
--- a/internal/testbed/trial/schedulerprocess.go
+++ b/internal/testbed/trial/schedulerprocess.go
@@ -104,7 +104,7 @@
 	if p.cluster.options.Replay {
 		stepFile = filepath.Join(p.cluster.directory, fmt.Sprintf("%s-%d.tap", p.name, p.incarnationCount))
 		p.stepFiles = append(p.stepFiles, stepFile)
-		for core := 1; core < p.cluster.day.Cores; core++ {
+		for core := 1; core < p.cluster.day.Shards; core++ {
 			p.stepFiles = append(p.stepFiles, fmt.Sprintf("%s.%d", stepFile, core))
 		}
 	}
--- a/internal/testbed/trial/trial_test.go
+++ b/internal/testbed/trial/trial_test.go
@@ -145,7 +145,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	day.Cores = 4
+	day.Shards = 4
 	if result := runDay(t, day, 20, ""); !result.OK() || len(result.ReplaySummaries) != 16 {
 		t.Errorf("got %d recordings of steps, want 16 and all rules respected\n%s", len(result.ReplaySummaries), result)
 	}
