--- a/cmd/flaxshelf/emulate.go
+++ b/cmd/flaxshelf/emulate.go
@@ -100,7 +100,7 @@
 	case c.Plan != "":
 		return readPlan(c.Plan, c.Seed)
 	case c.Trace != "":
-		return readFile(c.Trace, load.Read)
+		return readFile(c.Trace, load.ReadTrace)
 	}
 	return nil, nil
 }
--- a/cmd/flaxshelf/experiment.go
+++ b/cmd/flaxshelf/experiment.go
@@ -42,9 +42,9 @@
 	if err != nil {
 		return err
 	}
-	rows := plan.Table(runs)
-	if err := plan.Text(std.out, rows); err != nil || c.Report == "" {
+	rows := plan.Summaries(runs)
+	if err := plan.WriteText(std.out, rows); err != nil || c.Report == "" {
 		return err
 	}
-	return writeFile(c.Report, func(w io.Writer) error { return plan.HTML(w, rows) })
+	return writeFile(c.Report, func(w io.Writer) error { return plan.WriteHTML(w, rows) })
 }
--- a/cmd/flaxshelf/load.go
+++ b/cmd/flaxshelf/load.go
@@ -25,7 +25,7 @@
 		return readPlan(path, seed)
 	}
 	return readFile(path, func(r io.Reader) (*load.Trace, error) {
-		trace, err := load.Read(r)
+		trace, err := load.ReadTrace(r)
 		if err != nil {
 			return nil, usageError{fmt.Errorf("%s: %w", path, err)}
 		}
@@ -43,7 +43,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return plan.Jobs(seed)
+	return plan.GenerateTrace(seed)
 }
 
 // writeTrace writes a trace to a file, and prints its size. With a key, names are replaced by hashes.
@@ -56,7 +56,7 @@
 	if err := writeFile(path, trace.Write); err != nil {
 		return err
 	}
-	std.out.printf("%s: %d jobs in %v\n", path, len(trace.Jobs), trace.Length().Round(time.Millisecond))
+	std.out.printf("%s: %d jobs in %v\n", path, len(trace.Jobs), trace.Duration().Round(time.Millisecond))
 	return nil
 }
 
@@ -80,8 +80,8 @@
 	}
 	client := c.client()
 	defer client.Close()
-	result, err := load.Send(ctx, client, trace, load.Options{Session: c.Session, Speed: c.Speed, Wait: c.Wait,
-		Prefix: fmt.Sprintf("load-%x", time.Now().UnixNano())})
+	result, err := load.Send(ctx, client, trace, load.SendOptions{SessionName: c.Session, Speed: c.Speed, OutcomeTimeout: c.Wait,
+		KeyPrefix: fmt.Sprintf("load-%x", time.Now().UnixNano())})
 	if result != nil {
 		std.out.print(result)
 	}
@@ -154,10 +154,10 @@
 		}
 	}
 	std.out.printf("from %s, anonymous %v: %d jobs in %v, %d gaps, %d censored runtimes\n", trace.Source, trace.Anonymous,
-		len(trace.Jobs), trace.Length().Round(time.Millisecond), len(trace.Gaps), censored)
+		len(trace.Jobs), trace.Duration().Round(time.Millisecond), len(trace.Gaps), censored)
 	if count := len(trace.Jobs); count > 0 {
 		const shortest = 1e-9 // seconds; all jobs of a trace may be submitted at once
-		perSecond := float64(count) / max(trace.Length().Seconds(), shortest)
+		perSecond := float64(count) / max(trace.Duration().Seconds(), shortest)
 		mean := (runtimes / time.Duration(count)).Round(time.Millisecond)
 		std.out.printf("%.2f jobs per second, mean runtime %v, classes %v\n", perSecond, mean, jobsByClass)
 	}
--- a/cmd/flaxshelf/plan.go
+++ b/cmd/flaxshelf/plan.go
@@ -43,7 +43,7 @@
 	if err := c.validate(day); err != nil {
 		return err
 	}
-	fleet, load := plancheck.Model(day)
+	fleet, load := plancheck.PlannerInput(day)
 	if c.Trace != "" {
 		if load, err = c.captured(std, day); err != nil {
 			return err
@@ -111,14 +111,14 @@
 // emulate searches for the load at which the goal breaks by emulation, around the predicted first limit.
 func (c *planCmd) emulate(ctx context.Context, std *streams, day *scenario.Day, first planner.Limit) error {
 	goal := plancheck.Goal{MinPlacedFraction: c.Placed, WarmupSeconds: c.Warmup}
-	search := plancheck.Search{Low: first.LoadMultiple * searchFrom, High: first.LoadMultiple * searchTo,
-		RelativeWidth: searchWidth, Seeds: c.Seeds}
+	search := plancheck.SearchOptions{Low: first.LoadMultiple * searchFrom, High: first.LoadMultiple * searchTo,
+		RelativeWidth: searchWidth, SeedCount: c.Seeds}
 	var point, afterSurge plancheck.BreakingPoint
 	var err error
 	if c.Surge > 0 {
 		goal.Surge = plancheck.Surge{Factor: c.Surge, Seconds: c.Warmup / 4}
 		search.RelativeWidth = searchWidthSurge
-		point, afterSurge, err = plancheck.FindWithSurge(ctx, day, goal, search)
+		point, afterSurge, err = plancheck.FindBreakingPointsWithSurge(ctx, day, goal, search)
 	} else {
 		point, err = plancheck.FindBreakingPoint(ctx, day, goal, search)
 	}
@@ -127,7 +127,7 @@
 	}
 	std.out.printf(
 		"\nemulated: the goal is met at %.2f and missed at %.2f times the load, by class %s (%.2f%% placed); predicted %.2f; "+
-			"%d emulated days\n", point.Low, point.High, point.Class, 100*point.PlacedFraction, first.LoadMultiple, point.Runs)
+			"%d emulated days\n", point.Low, point.High, point.Class, 100*point.PlacedFraction, first.LoadMultiple, point.EmulatedDays)
 	if c.Surge > 0 {
 		std.out.printf("after a surge it is met at %.2f and missed at %.2f times the load\n", afterSurge.Low, afterSurge.High)
 	}
--- a/internal/testbed/emulator/simulation.go
+++ b/internal/testbed/emulator/simulation.go
@@ -63,7 +63,7 @@
 func newSimulation(day *scenario.Day, opt Options) (*simulation, error) {
 	if opt.Load != nil {
 		longer := *day
-		longer.Seconds = max(day.Seconds, opt.Load.Length().Seconds())
+		longer.Seconds = max(day.Seconds, opt.Load.Duration().Seconds())
 		day = &longer
 	}
 	s := &simulation{
--- a/internal/testbed/emulator/tracearrivals_test.go
+++ b/internal/testbed/emulator/tracearrivals_test.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	trace, err := plan.Jobs(4)
+	trace, err := plan.GenerateTrace(4)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testbed/experiment/execute.go
+++ b/internal/testbed/experiment/execute.go
@@ -13,7 +13,7 @@
 )
 
 // resultsMode is the mode of a new file of results.
-const resultsMode = 0o644
+const resultsFileMode = 0o644
 
 // Execute executes the runs that the file of results does not have, several at a time, and appends the result of each when it
 // is done, so that an interrupted experiment can be resumed. It returns all runs of the experiment, ordered by design and
@@ -21,22 +21,22 @@
 //
 // progress is called after each run with the number of runs that are done and the number of all runs; it is not called
 // concurrently. If a run fails, the others are still executed, and Execute returns the joined errors.
-func (p *Plan) Execute(ctx context.Context, resultsPath string, workers int, progress func(done, all int)) ([]Run, error) {
+func (p *Plan) Execute(ctx context.Context, resultsPath string, workers int, progress func(done, all int)) ([]RunResult, error) {
 	stored, err := readRuns(resultsPath)
 	if err != nil {
 		return nil, err
 	}
-	file, err := os.OpenFile(resultsPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, resultsMode)
+	file, err := os.OpenFile(resultsPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, resultsFileMode)
 	if err != nil {
 		return nil, &ResultsError{Path: resultsPath, Err: err}
 	}
-	done, missing := p.split(stored)
+	done, missing := p.partitionRuns(stored)
 	e := &execution{plan: p, file: file, path: resultsPath, progress: progress, runs: done}
 	e.executeAll(ctx, missing, max(workers, 1))
 	if err := errors.Join(append(e.errs, ctx.Err(), file.Close())...); err != nil {
 		return nil, err
 	}
-	slices.SortFunc(e.runs, func(a, b Run) int {
+	slices.SortFunc(e.runs, func(a, b RunResult) int {
 		return cmp.Or(cmp.Compare(a.Design, b.Design), cmp.Compare(a.Seed, b.Seed))
 	})
 	return e.runs, nil
@@ -50,12 +50,12 @@
 
 // split returns the stored runs of this experiment and the runs that are missing. The missing ones are ordered by
 // seed, so that an interrupted experiment has complete pairs.
-func (p *Plan) split(stored []Run) (done []Run, missing []pendingRun) {
-	byKey := map[runKey]Run{}
+func (p *Plan) partitionRuns(stored []RunResult) (done []RunResult, missing []pendingRun) {
+	byKey := map[runKey]RunResult{}
 	for _, r := range stored {
 		byKey[r.key()] = r
 	}
-	for i := range p.Seeds {
+	for i := range p.SeedCount {
 		seed := uint64(p.FirstSeed + i)
 		for d := range p.Designs {
 			if r, ok := byKey[runKey{p.Designs[d].Name, p.fingerprints[d], seed}]; ok {
@@ -76,7 +76,7 @@
 	progress func(done, all int)
 
 	mu   sync.Mutex // guards the fields below, the file and calls of progress
-	runs []Run
+	runs []RunResult
 	errs []error
 }
 
@@ -114,11 +114,11 @@
 	if err != nil {
 		e.errs = append(e.errs, fmt.Errorf("experiment: design %s, seed %d: %w", design.Name, r.seed, err))
 	} else {
-		run := Run{Design: design.Name, Fingerprint: e.plan.fingerprints[r.design], Seed: r.seed, Measures: measure(report)}
+		run := RunResult{Design: design.Name, Fingerprint: e.plan.fingerprints[r.design], Seed: r.seed, Metrics: metricsOf(report)}
 		if err := writeRun(e.file, &run); err != nil {
 			e.errs = append(e.errs, &ResultsError{Path: e.path, Err: err})
 		}
 		e.runs = append(e.runs, run)
 	}
-	e.progress(len(e.runs), e.plan.Seeds*len(e.plan.Designs))
+	e.progress(len(e.runs), e.plan.SeedCount*len(e.plan.Designs))
 }
--- a/internal/testbed/experiment/experiment_test.go
+++ b/internal/testbed/experiment/experiment_test.go
@@ -27,7 +27,7 @@
 }
 
 // execute executes an experiment and returns its runs, and how many of them were not in the file of results.
-func execute(t *testing.T, p *Plan, results string, workers int) (runs []Run, executed int) {
+func execute(t *testing.T, p *Plan, results string, workers int) (runs []RunResult, executed int) {
 	t.Helper()
 	runs, err := p.Execute(context.Background(), results, workers, func(int, int) { executed++ })
 	if err != nil {
@@ -91,8 +91,8 @@
 	if executed != 5 {
 		t.Errorf("got %d executed runs after the interruption, want 5", executed)
 	}
-	complete, resumed := p.Table(completeRuns), p.Table(resumedRuns)
-	if want := len(Measures) * 3; len(complete) != want || len(resumed) != want {
+	complete, resumed := p.Summaries(completeRuns), p.Summaries(resumedRuns)
+	if want := len(Metrics) * 3; len(complete) != want || len(resumed) != want {
 		t.Fatalf("got %d and %d rows, want %d each", len(complete), len(resumed), want)
 	}
 	for i := range complete {
@@ -123,13 +123,13 @@
 	if math.Abs(got.Mean-want.Mean) > 1e-9 || math.Abs(got.HalfWidth-want.HalfWidth) > 1e-3 {
 		t.Errorf("got %v, want %v", got, want)
 	}
-	if !got.Differs() {
+	if !got.ExcludesZero() {
 		t.Errorf("got an interval of %v that contains zero, want one that does not", got)
 	}
 }
 
 func TestEstimateMeanOfOneValueHasInfiniteInterval(t *testing.T) {
-	if got := EstimateMean([]float64{3}); !math.IsInf(got.HalfWidth, 1) || got.Differs() {
+	if got := EstimateMean([]float64{3}); !math.IsInf(got.HalfWidth, 1) || got.ExcludesZero() {
 		t.Errorf("got %v, want an infinite half width", got)
 	}
 }
@@ -137,10 +137,10 @@
 func TestReportsNameDesignsAndLoadNothing(t *testing.T) {
 	p := parse(t, strings.Replace(experimentText, `"b"`, `"<b>"`, 1))
 	runs, _ := execute(t, p, filepath.Join(t.TempDir(), "runs"), 2)
-	rows := p.Table(runs)
+	rows := p.Summaries(runs)
 	t.Run("HTML", func(t *testing.T) {
 		var page bytes.Buffer
-		if err := p.HTML(&page, rows); err != nil {
+		if err := p.WriteHTML(&page, rows); err != nil {
 			t.Fatal(err)
 		}
 		for _, want := range []string{"&lt;b&gt;", "<svg", "wait p99", "overloaded nodes", "</html>"} {
@@ -156,7 +156,7 @@
 	})
 	t.Run("text", func(t *testing.T) {
 		var text bytes.Buffer
-		if err := p.Text(&text, rows); err != nil {
+		if err := p.WriteText(&text, rows); err != nil {
 			t.Fatal(err)
 		}
 		if got := text.String(); !strings.Contains(got, "±") {
--- a/internal/testbed/experiment/measure.go
+++ b/internal/testbed/experiment/metrics.go
@@ -5,32 +5,32 @@
 )
 
 // Measure is a quantity that is measured in a run. The value is its name in stored results and reports.
-type Measure string
+type Metric string
 
 // The measures. Waits are in seconds from the intended submission to the first placement.
 const (
-	PlacedFraction Measure = "placed"  // fraction of the submissions that were placed
-	InTimeFraction Measure = "in time" // fraction of the submissions that were placed within their latency objective
-	WaitP50        Measure = "wait p50"
-	WaitP99        Measure = "wait p99"
+	PlacedFraction Metric = "placed"  // fraction of the submissions that were placed
+	InTimeFraction Metric = "in time" // fraction of the submissions that were placed within their latency objective
+	WaitP50        Metric = "wait p50"
+	WaitP99        Metric = "wait p99"
 	// OverloadedNodes is the number of nodes that crashed of overload during slow start.
-	OverloadedNodes Measure = "overloaded nodes"
+	OverloadedNodes Metric = "overloaded nodes"
 )
 
 // deprecatedOverloadedNodes is the name of OverloadedNodes in the results of earlier versions. Results are written under
 // both names.
 //
 // Deprecated: use OverloadedNodes; removed in 0.2.0.
-const deprecatedOverloadedNodes Measure = "nodes fallen"
+const deprecatedOverloadedNodes Metric = "nodes fallen"
 
 // Measures lists all measures in the order of a report.
-var Measures = []Measure{PlacedFraction, InTimeFraction, WaitP50, WaitP99, OverloadedNodes}
+var Metrics = []Metric{PlacedFraction, InTimeFraction, WaitP50, WaitP99, OverloadedNodes}
 
 const microsecondsPerSecond = 1e6
 
 // measure returns the measures of a report. It merges the report's histograms.
-func measure(r *emulator.Report) map[Measure]float64 {
-	m := map[Measure]float64{OverloadedNodes: float64(r.Overloaded)}
+func metricsOf(r *emulator.Report) map[Metric]float64 {
+	m := map[Metric]float64{OverloadedNodes: float64(r.Overloaded)}
 	var submitted, placed, inTime float64
 	for _, c := range r.Classes {
 		submitted += float64(c.Submitted)
--- a/internal/testbed/experiment/plan.go
+++ b/internal/testbed/experiment/plan.go
@@ -21,7 +21,7 @@
 var schema string
 
 // placerModule as Design.Module means the module of this repository. Any other value is a baseline.
-const placerModule = "vote"
+const voteModule = "vote"
 
 // Design is a variant of a day, the record #Design of the schema.
 type Design struct {
@@ -29,14 +29,14 @@
 	Day        string  `json:"day"`        // name of an embedded day, or a file
 	LostZone   string  `json:"lostZone"`   // zone whose nodes are removed from the fleet; empty means none
 	Module     string  `json:"module"`     // what chooses machines: "vote", which is flaxshelf itself, or a strategy of baseline
-	Load       float64 `json:"load"`       // multiplies the rates of the day's loads
+	LoadFactor float64 `json:"load"`       // multiplies the rates of the day's loads
 	Schedulers int     `json:"schedulers"` // replaces the day's number of schedulers; zero means no change
 }
 
 // Plan is an experiment, the record #Experiment of the schema. The designs are compared with the first one.
 type Plan struct {
-	About         string   `json:"about"`
-	Seeds         int      `json:"seeds"` // number of seeds
+	Description   string   `json:"about"`
+	SeedCount     int      `json:"seeds"` // number of seeds
 	FirstSeed     int      `json:"first"`
 	WarmUpSeconds float64  `json:"warmUpSeconds"` // time at the start of the day whose submissions are not measured
 	Designs       []Design `json:"designs"`
@@ -69,7 +69,7 @@
 			file.AddErrorf(fmt.Sprintf("designs[%d].name", i), "%q names two designs", d.Name)
 		}
 		seen[d.Name] = true
-		day, err := d.scenario()
+		day, err := d.readDay()
 		if err != nil {
 			file.AddErrorf(fmt.Sprintf("designs[%d].day", i), "%v", err)
 			continue
@@ -98,13 +98,13 @@
 }
 
 // scenario returns the day of the design. It returns an *UnknownZoneError if the lost zone can't be removed.
-func (d *Design) scenario() (*scenario.Day, error) {
+func (d *Design) readDay() (*scenario.Day, error) {
 	day, err := scenario.Read(d.Day)
 	if err != nil {
 		return nil, err
 	}
 	for i := range day.Load {
-		day.Load[i].PerSecond *= d.Load
+		day.Load[i].PerSecond *= d.LoadFactor
 	}
 	if d.Schedulers > 0 {
 		day.Schedulers = d.Schedulers
@@ -121,7 +121,7 @@
 
 // moduleFactory returns the constructor of the schedulers' modules; nil means the module of this repository.
 func (d *Design) moduleFactory() func(cfg flaxshelf.Config, seed uint64) (scheduler.Module, error) {
-	if d.Module == placerModule {
+	if d.Module == voteModule {
 		return nil
 	}
 	return func(cfg flaxshelf.Config, seed uint64) (scheduler.Module, error) {
--- a/internal/testbed/experiment/report.go
+++ b/internal/testbed/experiment/report.go
@@ -24,7 +24,7 @@
 )
 
 // Text writes the table for a terminal.
-func (p *Plan) Text(w io.Writer, rows []Row) error {
+func (p *Plan) WriteText(w io.Writer, rows []MetricSummary) error {
 	table := tabwriter.NewWriter(w, 0, 8, 2, ' ', 0)
 	writeLine := func(cells ...string) error {
 		_, err := io.WriteString(table, strings.Join(cells, "\t")+"\n")
@@ -39,11 +39,11 @@
 		difference, differs := "", ""
 		if r.Design != reference {
 			difference, differs = r.Difference.String(), "no"
-			if r.Difference.Differs() {
+			if r.Difference.ExcludesZero() {
 				differs = "yes"
 			}
 		}
-		if err := writeLine(string(r.Measure), r.Design, r.Mean.String(), difference, differs); err != nil {
+		if err := writeLine(string(r.Metric), r.Design, r.Mean.String(), difference, differs); err != nil {
 			return err
 		}
 	}
@@ -51,7 +51,7 @@
 }
 
 // boxPlot returns an SVG element with a box plot over the seeds of one measure, with a box for each design.
-func boxPlot(measure Measure, rows []Row) (template.HTML, error) {
+func boxPlot(measure Metric, rows []MetricSummary) (template.HTML, error) {
 	fail := func(err error) (template.HTML, error) {
 		return "", fmt.Errorf("experiment: plot %s: %w", measure, err)
 	}
@@ -59,7 +59,7 @@
 	p.Title.Text = string(measure)
 	var designs []string
 	for _, r := range rows {
-		if r.Measure != measure {
+		if r.Metric != measure {
 			continue
 		}
 		box, err := plotter.NewBoxPlot(vg.Points(boxWidth), float64(len(designs)), plotter.Values(r.Values))
@@ -81,28 +81,28 @@
 }
 
 // pageData is the data of the HTML report.
-type pageData struct {
+type reportData struct {
 	Plan  *Plan
-	Rows  []Row
+	Rows  []MetricSummary
 	Plots []template.HTML
 }
 
 // page is the template of the HTML report. Its data is a pageData.
-var page = template.Must(template.New("page").Parse(`<!doctype html>
-<html lang="en"><head><meta charset="utf-8"><title>{{.Plan.About}}</title>
+var reportTemplate = template.Must(template.New("page").Parse(`<!doctype html>
+<html lang="en"><head><meta charset="utf-8"><title>{{.Plan.Description}}</title>
 <style>body{font:14px sans-serif;max-width:70em;margin:2em auto}table{border-collapse:collapse}
 td,th{padding:.2em .8em;border-bottom:1px solid #ccc;text-align:left}</style></head><body>
-<h1>{{.Plan.About}}</h1>
-<p>{{len .Plan.Designs}} designs on {{.Plan.Seeds}} seeds from {{.Plan.FirstSeed}} on, emulated. Intervals are of 95%;
+<h1>{{.Plan.Description}}</h1>
+<p>{{len .Plan.Designs}} designs on {{.Plan.SeedCount}} seeds from {{.Plan.FirstSeed}} on, emulated. Intervals are of 95%;
 differences are of pairs of one seed, which meet the same arrivals.</p>
 <table><tr><th>design</th><th>day</th>
 <th>load</th><th>schedulers</th><th>zone lost</th><th>module</th></tr>
 {{range .Plan.Designs}}<tr><td>{{.Name}}</td><td>{{.Day}}</td>
-<td>{{.Load}}</td><td>{{.Schedulers}}</td><td>{{.LostZone}}</td><td>{{.Module}}</td></tr>
+<td>{{.LoadFactor}}</td><td>{{.Schedulers}}</td><td>{{.LostZone}}</td><td>{{.Module}}</td></tr>
 {{end}}</table>
 <h2>Figures</h2>
 <table><tr><th>measure</th><th>design</th><th>mean</th><th>against {{(index .Plan.Designs 0).Name}}</th><th>higher on</th></tr>
-{{range .Rows}}<tr><td>{{.Measure}}</td><td>{{.Design}}</td><td>{{.Mean}}</td>
+{{range .Rows}}<tr><td>{{.Metric}}</td><td>{{.Design}}</td><td>{{.Mean}}</td>
 <td>{{.Difference}}</td><td>{{printf "%.0f" .HigherPercent}}%</td></tr>
 {{end}}</table>
 <h2>Over the seeds</h2>
@@ -111,14 +111,14 @@
 `))
 
 // HTML writes a report as one self-contained page.
-func (p *Plan) HTML(w io.Writer, rows []Row) error {
-	data := pageData{Plan: p, Rows: rows}
-	for _, m := range Measures {
+func (p *Plan) WriteHTML(w io.Writer, rows []MetricSummary) error {
+	data := reportData{Plan: p, Rows: rows}
+	for _, m := range Metrics {
 		box, err := boxPlot(m, rows)
 		if err != nil {
 			return err
 		}
 		data.Plots = append(data.Plots, box)
 	}
-	return page.Execute(w, data)
+	return reportTemplate.Execute(w, data)
 }
--- a/internal/testbed/experiment/results.go
+++ b/internal/testbed/experiment/results.go
@@ -13,14 +13,14 @@
 )
 
 // maxResultBytes limits the length of a line of a file of results.
-const maxResultBytes = 1 << 20
+const maxResultLineBytes = 1 << 20
 
 // Run is the result of one seed of one design.
-type Run struct {
+type RunResult struct {
 	Design      string
 	Fingerprint string // of the design
 	Seed        uint64
-	Measures    map[Measure]float64
+	Metrics     map[Metric]float64
 }
 
 // storedRun is a Run as a line of a file of results. Besides the present names it has those of earlier versions, which
@@ -29,30 +29,30 @@
 	Design      string `json:"Design"`
 	Fingerprint string `json:"Fingerprint,omitempty"`
 	// Deprecated: use Fingerprint; removed in 0.2.0.
-	Mark     string              `json:"Mark,omitempty"`
-	Seed     uint64              `json:"Seed"`
-	Measures map[Measure]float64 `json:"Measures"`
+	Mark    string             `json:"Mark,omitempty"`
+	Seed    uint64             `json:"Seed"`
+	Metrics map[Metric]float64 `json:"Measures"`
 }
 
 // newStoredRun returns the line of a run, with both names of what has two.
-func newStoredRun(r *Run) storedRun {
-	measures := maps.Clone(r.Measures)
+func newStoredRun(r *RunResult) storedRun {
+	measures := maps.Clone(r.Metrics)
 	if count, ok := measures[OverloadedNodes]; ok {
 		measures[deprecatedOverloadedNodes] = count
 	}
-	return storedRun{Design: r.Design, Fingerprint: r.Fingerprint, Mark: r.Fingerprint, Seed: r.Seed, Measures: measures}
+	return storedRun{Design: r.Design, Fingerprint: r.Fingerprint, Mark: r.Fingerprint, Seed: r.Seed, Metrics: measures}
 }
 
 // run returns the run of a line, with present names only.
-func (s *storedRun) run() Run {
-	measures := maps.Clone(s.Measures)
+func (s *storedRun) run() RunResult {
+	measures := maps.Clone(s.Metrics)
 	if count, ok := measures[deprecatedOverloadedNodes]; ok {
 		delete(measures, deprecatedOverloadedNodes)
 		if _, ok := measures[OverloadedNodes]; !ok {
 			measures[OverloadedNodes] = count
 		}
 	}
-	return Run{Design: s.Design, Fingerprint: cmp.Or(s.Fingerprint, s.Mark), Seed: s.Seed, Measures: measures}
+	return RunResult{Design: s.Design, Fingerprint: cmp.Or(s.Fingerprint, s.Mark), Seed: s.Seed, Metrics: measures}
 }
 
 // runKey identifies a run among the stored ones.
@@ -61,7 +61,7 @@
 	seed                uint64
 }
 
-func (r *Run) key() runKey { return runKey{r.Design, r.Fingerprint, r.Seed} }
+func (r *RunResult) key() runKey { return runKey{r.Design, r.Fingerprint, r.Seed} }
 
 // ResultsError is returned for a file of results that cannot be read or written.
 type ResultsError struct {
@@ -82,7 +82,7 @@
 
 // readRuns reads a file of results. It returns no runs if the file does not exist. It removes an incomplete last line, of an
 // experiment that was interrupted, from the file, so that the next result starts on a line of its own.
-func readRuns(path string) ([]Run, error) {
+func readRuns(path string) ([]RunResult, error) {
 	text, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil, nil
@@ -96,9 +96,9 @@
 			return nil, &ResultsError{Path: path, Err: err}
 		}
 	}
-	var runs []Run
+	var runs []RunResult
 	lines := bufio.NewScanner(bytes.NewReader(text[:complete]))
-	lines.Buffer(nil, maxResultBytes)
+	lines.Buffer(nil, maxResultLineBytes)
 	for number := 1; lines.Scan(); number++ {
 		var stored storedRun
 		if err := json.Unmarshal(lines.Bytes(), &stored); err != nil {
@@ -113,7 +113,7 @@
 }
 
 // writeRun appends a run to a file of results.
-func writeRun(w io.Writer, r *Run) error {
+func writeRun(w io.Writer, r *RunResult) error {
 	line, err := json.Marshal(newStoredRun(r))
 	if err != nil {
 		return err
--- a/internal/testbed/experiment/statistics.go
+++ b/internal/testbed/experiment/statistics.go
@@ -9,7 +9,7 @@
 )
 
 // upperQuantile is the quantile at the upper end of a two-sided interval of 95%.
-const upperQuantile = 0.975
+const confidenceUpperQuantile = 0.975
 
 // Estimate is a mean with the half width of its 95% confidence interval. The half width is infinite for a single value.
 type Estimate struct{ Mean, HalfWidth float64 }
@@ -18,7 +18,7 @@
 func (e Estimate) String() string { return fmt.Sprintf("%.4g ± %.2g", e.Mean, e.HalfWidth) }
 
 // Differs reports whether the interval does not contain zero.
-func (e Estimate) Differs() bool { return math.Abs(e.Mean) > e.HalfWidth }
+func (e Estimate) ExcludesZero() bool { return math.Abs(e.Mean) > e.HalfWidth }
 
 // EstimateMean estimates the mean of the distribution that the values were drawn from, by Student's t-distribution.
 func EstimateMean(values []float64) Estimate {
@@ -26,15 +26,15 @@
 		return Estimate{stat.Mean(values, nil), math.Inf(1)}
 	}
 	mean, deviation := stat.MeanStdDev(values, nil)
-	t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(len(values) - 1)}.Quantile(upperQuantile)
+	t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(len(values) - 1)}.Quantile(confidenceUpperQuantile)
 	return Estimate{mean, t * deviation / math.Sqrt(float64(len(values)))}
 }
 
 // Row is the statistics of one measure of one design.
-type Row struct {
-	Design  string
-	Measure Measure
-	Mean    Estimate
+type MetricSummary struct {
+	Design string
+	Metric Metric
+	Mean   Estimate
 	// Difference is the mean difference to the first design, over pairs of one seed.
 	Difference Estimate
 	// HigherFraction is the fraction of the seeds for which the value is higher than that of the first design.
@@ -44,20 +44,20 @@
 }
 
 // HigherPercent returns HigherFraction in percent.
-func (r Row) HigherPercent() float64 { return 100 * r.HigherFraction }
+func (r MetricSummary) HigherPercent() float64 { return 100 * r.HigherFraction }
 
 // valuesBySeed are the values of one measure of one design.
 type valuesBySeed map[uint64]float64
 
 // Table returns a row for each measure of each design. Seeds for which a design or the first design has no run are ignored.
-func (p *Plan) Table(runs []Run) []Row {
+func (p *Plan) Summaries(runs []RunResult) []MetricSummary {
 	type column struct {
 		design  string
-		measure Measure
+		measure Metric
 	}
 	values := map[column]valuesBySeed{}
 	for _, r := range runs {
-		for m, v := range r.Measures {
+		for m, v := range r.Metrics {
 			c := column{r.Design, m}
 			if values[c] == nil {
 				values[c] = valuesBySeed{}
@@ -65,12 +65,12 @@
 			values[c][r.Seed] = v
 		}
 	}
-	var rows []Row
-	for _, m := range Measures {
+	var rows []MetricSummary
+	for _, m := range Metrics {
 		reference := values[column{p.Designs[0].Name, m}]
 		for _, d := range p.Designs {
-			row := Row{Design: d.Name, Measure: m}
-			if p.compare(&row, values[column{d.Name, m}], reference) {
+			row := MetricSummary{Design: d.Name, Metric: m}
+			if p.compareWithReference(&row, values[column{d.Name, m}], reference) {
 				rows = append(rows, row)
 			}
 		}
@@ -79,10 +79,10 @@
 }
 
 // compare fills in a row. It returns false if there is no pair of values.
-func (p *Plan) compare(row *Row, values, reference valuesBySeed) bool {
+func (p *Plan) compareWithReference(row *MetricSummary, values, reference valuesBySeed) bool {
 	var differences []float64
 	higher := 0
-	for i := range p.Seeds {
+	for i := range p.SeedCount {
 		seed := uint64(p.FirstSeed + i)
 		value, ok := values[seed]
 		referenceValue, hasReference := reference[seed]
--- a/internal/testbed/experiment/storedresults_test.go
+++ b/internal/testbed/experiment/storedresults_test.go
@@ -40,7 +40,7 @@
 		t.Errorf("got a file of results with %s,\nwant the stored %s", got, stored)
 	}
 	for _, r := range runs {
-		if r.Design == "" || r.Fingerprint == "" || r.Seed == 0 || len(r.Measures) != len(Measures) {
+		if r.Design == "" || r.Fingerprint == "" || r.Seed == 0 || len(r.Metrics) != len(Metrics) {
 			t.Errorf("got run %+v, want all fields set", r)
 		}
 	}
@@ -69,7 +69,7 @@
 
 // A new result has the present names beside those of earlier versions, and either is read as the same run.
 func TestStoredResultHasPresentAndDeprecatedNames(t *testing.T) {
-	want := Run{Design: "a", Fingerprint: "f", Seed: 7, Measures: map[Measure]float64{PlacedFraction: 0.5, OverloadedNodes: 3}}
+	want := RunResult{Design: "a", Fingerprint: "f", Seed: 7, Metrics: map[Metric]float64{PlacedFraction: 0.5, OverloadedNodes: 3}}
 	var written bytes.Buffer
 	if err := writeRun(&written, &want); err != nil {
 		t.Fatal(err)
@@ -91,7 +91,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if !reflect.DeepEqual(got, []Run{want}) {
+			if !reflect.DeepEqual(got, []RunResult{want}) {
 				t.Errorf("got %+v, want %+v", got, want)
 			}
 		})
@@ -103,7 +103,7 @@
 	fingerprintOf := func(idempotency string) string {
 		t.Helper()
 		day := &scenario.Day{Name: "d", Classes: []settings.Class{{Name: "c", Idempotency: idempotency}}}
-		f, err := fingerprint(day, 1, placerModule)
+		f, err := fingerprint(day, 1, voteModule)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/testbed/load/capture.go
+++ b/internal/testbed/load/capture.go
@@ -10,7 +10,7 @@
 )
 
 // gapAfter is the time without any event after which a capture records a gap.
-const gapAfter = 30 * time.Second
+const gapThreshold = 30 * time.Second
 
 // subStateExited is the sub-state of a job that ran to its end.
 const subStateExited = "exited"
@@ -24,8 +24,8 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, length)
 	defer cancel()
-	c := newCapture(time.Now())
-	err = session.Watch(ctx, func(info drmaa2.JobInfo) bool { c.receive(&info, time.Now()); return true })
+	c := newTraceCapture(time.Now())
+	err = session.Watch(ctx, func(info drmaa2.JobInfo) bool { c.recordEvent(&info, time.Now()); return true })
 	if ctx.Err() == nil && err != nil {
 		return nil, fmt.Errorf("load: capture: %w", err)
 	}
@@ -33,40 +33,40 @@
 }
 
 // capture builds a trace from the events of jobs. Not safe for concurrent use.
-type capture struct {
-	trace        *Trace
-	indexes      map[string]int // in trace.Jobs, by job identifier
-	started      []time.Time    // of each job of the trace; zero: not yet
-	lastReceived time.Time
+type traceCapture struct {
+	trace         *Trace
+	jobIndexes    map[string]int // in trace.Jobs, by job identifier
+	startTimes    []time.Time    // of each job of the trace; zero: not yet
+	lastEventTime time.Time
 }
 
-func newCapture(start time.Time) *capture {
-	return &capture{
-		trace:        &Trace{Source: SourceDaemon, Start: start},
-		indexes:      map[string]int{},
-		lastReceived: start,
+func newTraceCapture(start time.Time) *traceCapture {
+	return &traceCapture{
+		trace:         &Trace{Source: SourceDaemon, Start: start},
+		jobIndexes:    map[string]int{},
+		lastEventTime: start,
 	}
 }
 
 // receive records the state of a job.
-func (c *capture) receive(info *drmaa2.JobInfo, now time.Time) {
-	if now.Sub(c.lastReceived) > gapAfter {
-		c.trace.Gaps = append(c.trace.Gaps, Gap{c.lastReceived.Sub(c.trace.Start), now.Sub(c.trace.Start)})
+func (c *traceCapture) recordEvent(info *drmaa2.JobInfo, now time.Time) {
+	if now.Sub(c.lastEventTime) > gapThreshold {
+		c.trace.Gaps = append(c.trace.Gaps, Gap{c.lastEventTime.Sub(c.trace.Start), now.Sub(c.trace.Start)})
 	}
-	c.lastReceived = now
-	index, known := c.indexes[info.JobID]
+	c.lastEventTime = now
+	index, known := c.jobIndexes[info.JobID]
 	if !known {
 		if info.SubmissionTime.Before(c.trace.Start) {
 			return // the job is older than the capture
 		}
-		index = c.add(info)
+		index = c.addJob(info)
 	}
 	job := &c.trace.Jobs[index]
 	if outcome := info.ImplementationSpecific[drmaa2.AttrOutcome]; outcome != "" && job.Outcome == "" {
 		job.Outcome = outcome
 	}
 	if info.DispatchTime != nil {
-		c.started[index] = *info.DispatchTime
+		c.startTimes[index] = *info.DispatchTime
 	}
 	if info.FinishTime != nil && info.DispatchTime != nil {
 		// A job that its node or its client ended early would have run longer.
@@ -75,14 +75,14 @@
 }
 
 // add adds a job to the trace and returns its index.
-func (c *capture) add(info *drmaa2.JobInfo) int {
+func (c *traceCapture) addJob(info *drmaa2.JobInfo) int {
 	attributes := info.ImplementationSpecific
 	number := func(name string) float64 {
 		value, _ := strconv.ParseFloat(attributes[name], 64) // 0 if the job does not have the attribute
 		return value
 	}
 	index := len(c.trace.Jobs)
-	c.indexes[info.JobID] = index
+	c.jobIndexes[info.JobID] = index
 	c.trace.Jobs = append(c.trace.Jobs, Job{
 		At:       info.SubmissionTime.Sub(c.trace.Start),
 		Class:    attributes[drmaa2.AttrClass],
@@ -92,15 +92,15 @@
 		Memory:   number(drmaa2.AttrMemory),
 		Censored: true,
 	})
-	c.started = append(c.started, time.Time{})
+	c.startTimes = append(c.startTimes, time.Time{})
 	return index
 }
 
 // finish sets the runtimes of jobs that still run to the time until now, and returns the trace.
-func (c *capture) finish(now time.Time) *Trace {
+func (c *traceCapture) finish(now time.Time) *Trace {
 	for index := range c.trace.Jobs {
-		if job := &c.trace.Jobs[index]; job.Censored && job.Runtime == 0 && !c.started[index].IsZero() {
-			job.Runtime = now.Sub(c.started[index])
+		if job := &c.trace.Jobs[index]; job.Censored && job.Runtime == 0 && !c.startTimes[index].IsZero() {
+			job.Runtime = now.Sub(c.startTimes[index])
 		}
 	}
 	c.trace.sort()
--- a/internal/testbed/load/capture_test.go
+++ b/internal/testbed/load/capture_test.go
@@ -63,9 +63,9 @@
 		{"submitted before the capture", []*drmaa2.JobInfo{jobInfo(-second, started(2*second))}, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			capture := newCapture(captureStart)
+			capture := newTraceCapture(captureStart)
 			for _, info := range c.events {
-				capture.receive(info, captureStart.Add(6*second))
+				capture.recordEvent(info, captureStart.Add(6*second))
 			}
 			got := capture.finish(captureStart.Add(10 * second))
 			if !reflect.DeepEqual(got.Jobs, c.want) {
@@ -79,9 +79,9 @@
 }
 
 func TestCaptureRecordsGaps(t *testing.T) {
-	capture := newCapture(captureStart)
+	capture := newTraceCapture(captureStart)
 	for _, at := range []time.Duration{10 * time.Second, 40 * time.Second, 71 * time.Second} {
-		capture.receive(jobInfo(time.Second, unchanged), captureStart.Add(at))
+		capture.recordEvent(jobInfo(time.Second, unchanged), captureStart.Add(at))
 	}
 	got, want := capture.finish(captureStart.Add(80*time.Second)).Gaps, []Gap{{From: 40 * time.Second, To: 71 * time.Second}}
 	if !reflect.DeepEqual(got, want) {
--- a/internal/testbed/load/latency.go
+++ b/internal/testbed/load/latencyhistogram.go
@@ -34,7 +34,7 @@
 }
 
 // At returns the given percentile.
-func (l *LatencyHistogram) At(percent float64) time.Duration {
+func (l *LatencyHistogram) Percentile(percent float64) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return time.Duration(l.histogram.ValueAtQuantile(percent)) * time.Microsecond
@@ -49,5 +49,5 @@
 
 // String returns the main percentiles.
 func (l *LatencyHistogram) String() string {
-	return fmt.Sprintf("p50 %v p90 %v p99 %v p99.9 %v max %v", l.At(50), l.At(90), l.At(99), l.At(99.9), l.Max())
+	return fmt.Sprintf("p50 %v p90 %v p99 %v p99.9 %v max %v", l.Percentile(50), l.Percentile(90), l.Percentile(99), l.Percentile(99.9), l.Max())
 }
--- a/internal/testbed/load/plan.go
+++ b/internal/testbed/load/plan.go
@@ -26,9 +26,9 @@
 
 // Plan is a load that consists of streams, the record #Plan of the schema.
 type Plan struct {
-	About   string   `json:"about"`
-	Seconds float64  `json:"seconds"` // length
-	Streams []Stream `json:"streams"`
+	Description string   `json:"about"`
+	Seconds     float64  `json:"seconds"` // length
+	Streams     []Stream `json:"streams"`
 }
 
 // ParsePlan reads a plan from the text of a CUE file. It returns settings.Problems if the plan is not valid; name is the
@@ -43,49 +43,49 @@
 		return nil, err
 	}
 	for i, s := range p.Streams {
-		if s.Runtimes.Law == lawPareto && s.Runtimes.Tail <= 1 {
+		if s.Runtimes.Family == familyPareto && s.Runtimes.TailParameter <= 1 {
 			file.AddErrorf(fmt.Sprintf("streams[%d].runtimes.tail", i),
-				"is %v, expected above 1: the mean would be infinite", s.Runtimes.Tail)
+				"is %v, expected above 1: the mean would be infinite", s.Runtimes.TailParameter)
 		}
-		if s.Shape.Kind == shapeDiurnal && s.Shape.Every <= 0 {
+		if s.Shape.Kind == shapeDiurnal && s.Shape.PeriodSeconds <= 0 {
 			file.AddErrorf(fmt.Sprintf("streams[%d].shape.every", i), "is %v, expected the length of a day above 0",
-				s.Shape.Every)
+				s.Shape.PeriodSeconds)
 		}
 	}
 	return p, file.Err()
 }
 
 // maxJobs bounds the jobs of a stream.
-const maxJobs = 10_000_000
+const maxJobsPerStream = 10_000_000
 
 // TooManyJobsError is returned by Plan.Jobs for a stream that could exceed the limit of jobs.
 type TooManyJobsError struct {
-	Stream int
-	Jobs   float64 // maximum number of its jobs
+	StreamIndex int
+	MaxJobs     float64 // maximum number of its jobs
 }
 
 func (e *TooManyJobsError) Error() string {
-	return fmt.Sprintf("load: the plan has too many jobs: streams[%d] may have %.0f, the limit is %d", e.Stream, e.Jobs, maxJobs)
+	return fmt.Sprintf("load: the plan has too many jobs: streams[%d] may have %.0f, the limit is %d", e.StreamIndex, e.MaxJobs, maxJobsPerStream)
 }
 
 // The purposes of random numbers of a stream. Each has its own source, so that a change of one distribution does not change
 // what is drawn from the others.
 const (
-	arrivalSource = 1 + iota
-	runtimeSource
-	serviceSource
+	randArrivals = 1 + iota
+	randRuntimes
+	randServices
 )
 
 // Jobs draws the submissions of the plan. They depend on the plan and the seed only.
-func (p *Plan) Jobs(seed uint64) (*Trace, error) {
+func (p *Plan) GenerateTrace(seed uint64) (*Trace, error) {
 	t := &Trace{Source: SourcePlan}
 	for i := range p.Streams {
 		s := &p.Streams[i]
-		if jobs := s.Shape.maxRate() * p.Seconds; jobs > maxJobs {
-			return nil, &TooManyJobsError{Stream: i, Jobs: jobs}
+		if jobs := s.Shape.maxRate() * p.Seconds; jobs > maxJobsPerStream {
+			return nil, &TooManyJobsError{StreamIndex: i, MaxJobs: jobs}
 		}
 		source := func(purpose uint64) rand.Source { return rand.NewPCG(seed, uint64(i)<<8|purpose) }
-		t.Jobs = append(t.Jobs, s.jobs(p.Seconds, source)...)
+		t.Jobs = append(t.Jobs, s.drawJobs(p.Seconds, source)...)
 	}
 	t.sort()
 	return t, nil
@@ -93,9 +93,9 @@
 
 // jobs draws the submissions of a stream by thinning: candidates arrive at the highest rate, and each is retained with a
 // probability of the rate at its time divided by the highest rate.
-func (s *Stream) jobs(length float64, source func(purpose uint64) rand.Source) []Job {
-	arrivals, services := rand.New(source(arrivalSource)), rand.New(source(serviceSource))
-	runtime := s.Runtimes.sampler(source(runtimeSource))
+func (s *Stream) drawJobs(length float64, source func(purpose uint64) rand.Source) []Job {
+	arrivals, services := rand.New(source(randArrivals)), rand.New(source(randServices))
+	runtime := s.Runtimes.sampler(source(randRuntimes))
 	maxRate := s.Shape.maxRate()
 	var jobs []Job
 	for at := arrivals.ExpFloat64() / maxRate; at < length; at += arrivals.ExpFloat64() / maxRate {
--- a/internal/testbed/load/plan_test.go
+++ b/internal/testbed/load/plan_test.go
@@ -19,7 +19,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	trace, err := plan.Jobs(1)
+	trace, err := plan.GenerateTrace(1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -105,10 +105,10 @@
 
 // The limit is checked before any job is drawn.
 func TestJobsRejectsPlanWithTooManyJobs(t *testing.T) {
-	p := &Plan{Seconds: 1000, Streams: []Stream{{Shape: Shape{PerSecond: 1}}, {Shape: Shape{PerSecond: 1, Peak: 10_001}}}}
-	_, err := p.Jobs(1)
+	p := &Plan{Seconds: 1000, Streams: []Stream{{Shape: Shape{BaseRate: 1}}, {Shape: Shape{BaseRate: 1, PeakRate: 10_001}}}}
+	_, err := p.GenerateTrace(1)
 	var got *TooManyJobsError
-	if !errors.As(err, &got) || got.Stream != 1 || got.Jobs != 10_001_000 {
+	if !errors.As(err, &got) || got.StreamIndex != 1 || got.MaxJobs != 10_001_000 {
 		t.Errorf("got error %v, want a TooManyJobsError of streams[1] with 10,001,000 jobs", err)
 	}
 }
@@ -123,8 +123,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := Stream{Class: "c", Shape: Shape{Kind: "steady", PerSecond: 1}, Services: 20, HotServiceFraction: 0.5,
-		Runtimes: RuntimeDistribution{Law: lawPareto, Mean: settings.Duration(3 * time.Second), Tail: 2,
+	want := Stream{Class: "c", Shape: Shape{Kind: "steady", BaseRate: 1}, Services: 20, HotServiceFraction: 0.5,
+		Runtimes: RuntimeDistribution{Family: familyPareto, Mean: settings.Duration(3 * time.Second), TailParameter: 2,
 			Min: settings.Duration(2 * time.Millisecond)}}
 	if got := present.Streams[0]; got != want {
 		t.Errorf("present names: got %+v, want %+v", got, want)
--- a/internal/testbed/load/runtimes.go
+++ b/internal/testbed/load/runtimedistribution.go
@@ -12,9 +12,9 @@
 
 // The laws of RuntimeDistribution. Any other law means a constant runtime.
 const (
-	lawExponential = "exponential"
-	lawLognormal   = "lognormal"
-	lawPareto      = "pareto"
+	familyExponential = "exponential"
+	familyLognormal   = "lognormal"
+	familyPareto      = "pareto"
 )
 
 // maxRuntimeSeconds limits the runtimes that are drawn.
@@ -22,25 +22,25 @@
 
 // RuntimeDistribution is the distribution of the runtimes of jobs, the record #RuntimeDistribution of the schema.
 type RuntimeDistribution struct {
-	Law  string            `json:"law"`
-	Mean settings.Duration `json:"mean"`
+	Family string            `json:"law"`
+	Mean   settings.Duration `json:"mean"`
 	// Tail is the weight of the tail: for the lognormal law the standard deviation of the logarithm, for the Pareto law the
 	// exponent, above 1. The mean does not depend on it.
-	Tail float64           `json:"tail"`
-	Min  settings.Duration `json:"min"`
+	TailParameter float64           `json:"tail"`
+	Min           settings.Duration `json:"min"`
 }
 
 // sampler returns a function that draws runtimes.
 func (d *RuntimeDistribution) sampler(source rand.Source) func() time.Duration {
 	mean := d.Mean.Duration().Seconds()
 	var next func() float64
-	switch d.Law {
-	case lawExponential:
+	switch d.Family {
+	case familyExponential:
 		next = distuv.Exponential{Rate: 1 / mean, Src: source}.Rand
-	case lawLognormal:
-		next = distuv.LogNormal{Mu: math.Log(mean) - d.Tail*d.Tail/2, Sigma: d.Tail, Src: source}.Rand
-	case lawPareto:
-		next = distuv.Pareto{Xm: mean * (d.Tail - 1) / d.Tail, Alpha: d.Tail, Src: source}.Rand
+	case familyLognormal:
+		next = distuv.LogNormal{Mu: math.Log(mean) - d.TailParameter*d.TailParameter/2, Sigma: d.TailParameter, Src: source}.Rand
+	case familyPareto:
+		next = distuv.Pareto{Xm: mean * (d.TailParameter - 1) / d.TailParameter, Alpha: d.TailParameter, Src: source}.Rand
 	default:
 		next = func() float64 { return mean }
 	}
--- a/internal/testbed/load/send.go
+++ b/internal/testbed/load/send.go
@@ -12,7 +12,7 @@
 
 const (
 	// lateAfter is the delay beyond which a submission counts as late.
-	lateAfter = 10 * time.Millisecond
+	lateThreshold = 10 * time.Millisecond
 	// outcomePollInterval is the interval at which the sender checks for open outcomes.
 	outcomePollInterval = 10 * time.Millisecond
 	// outcomePlaced is the outcome of a placed task in the attributes of a job.
@@ -22,18 +22,18 @@
 )
 
 // Options configures Send.
-type Options struct {
-	Session string        // name of the job session, which is created if it does not exist
-	Speed   float64       // multiplies the rate of the load; zero means 1
-	Wait    time.Duration // how long to wait for outcomes after the last submission
-	Prefix  string        // of the idempotency keys; must be unique for each call of Send
+type SendOptions struct {
+	SessionName    string        // name of the job session, which is created if it does not exist
+	Speed          float64       // multiplies the rate of the load; zero means 1
+	OutcomeTimeout time.Duration // how long to wait for outcomes after the last submission
+	KeyPrefix      string        // of the idempotency keys; must be unique for each call of Send
 }
 
 // Send sends a load to a scheduler, open-loop: each submission is sent at its time, whatever the state of earlier ones.
 // It returns when all outcomes are known or after Options.Wait. If the context ends, it returns the result so far and the
 // error of the context.
-func Send(ctx context.Context, client *drmaa2.Client, trace *Trace, opt Options) (*Result, error) {
-	session, err := openSession(ctx, client, opt.Session)
+func Send(ctx context.Context, client *drmaa2.Client, trace *Trace, opt SendOptions) (*SendResult, error) {
+	session, err := openSession(ctx, client, opt.SessionName)
 	if err != nil {
 		return nil, err
 	}
@@ -61,30 +61,30 @@
 type sender struct {
 	session jobSession
 
-	mu     sync.Mutex // guards the fields below
-	result *Result
-	due    map[string]time.Time // intended times of the submissions without an outcome, by key
+	mu       sync.Mutex // guards the fields below
+	result   *SendResult
+	dueTimes map[string]time.Time // intended times of the submissions without an outcome, by key
 }
 
 func newSender(session jobSession) *sender {
 	return &sender{
 		session: session,
-		result: &Result{
-			Answered: NewLatencyHistogram(),
-			Placed:   NewLatencyHistogram(),
-			Errors:   map[string]int{},
-			Outcomes: map[string]int{},
+		result: &SendResult{
+			ResponseLatency:  NewLatencyHistogram(),
+			PlacementLatency: NewLatencyHistogram(),
+			Errors:           map[string]int{},
+			Outcomes:         map[string]int{},
 		},
-		due: map[string]time.Time{},
+		dueTimes: map[string]time.Time{},
 	}
 }
 
 // send sends the jobs and returns the result as Send does.
-func (s *sender) send(ctx context.Context, jobs []Job, opt Options) (*Result, error) {
+func (s *sender) send(ctx context.Context, jobs []Job, opt SendOptions) (*SendResult, error) {
 	stopWatching := s.watch(ctx)
 	defer stopWatching()
 	s.submitAll(ctx, jobs, opt)
-	s.awaitOutcomes(ctx, opt.Wait)
+	s.awaitOutcomes(ctx, opt.OutcomeTimeout)
 	return s.result, ctx.Err()
 }
 
@@ -104,7 +104,7 @@
 }
 
 // submitAll submits each job at its time and waits for the answers.
-func (s *sender) submitAll(ctx context.Context, jobs []Job, opt Options) {
+func (s *sender) submitAll(ctx context.Context, jobs []Job, opt SendOptions) {
 	speed := opt.Speed
 	if speed <= 0 {
 		speed = 1
@@ -117,7 +117,7 @@
 		if !waitUntil(ctx, due) {
 			return
 		}
-		key := fmt.Sprintf("%s-%d", opt.Prefix, i)
+		key := fmt.Sprintf("%s-%d", opt.KeyPrefix, i)
 		wg.Go(func() { s.submit(ctx, &jobs[i], key, due) })
 	}
 }
@@ -137,20 +137,20 @@
 func (s *sender) submit(ctx context.Context, job *Job, key string, due time.Time) {
 	s.mu.Lock()
 	s.result.Sent++
-	if time.Since(due) > lateAfter {
+	if time.Since(due) > lateThreshold {
 		s.result.Late++
 	}
-	s.due[key] = due
+	s.dueTimes[key] = due
 	s.mu.Unlock()
 	_, err := s.session.RunJob(ctx, drmaa2.JobTemplate{RemoteCommand: "load", JobCategory: job.Class, AccountingID: job.Tenant,
 		ImplementationSpecific: attributes(job, key)})
-	s.result.Answered.Record(time.Since(due))
+	s.result.ResponseLatency.Record(time.Since(due))
 	if err == nil {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.due, key)
+	delete(s.dueTimes, key)
 	var drmaaErr *drmaa2.Error
 	if errors.As(err, &drmaaErr) {
 		s.result.Errors[string(drmaaErr.Code)]++
@@ -186,21 +186,21 @@
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	due, open := s.due[key]
+	due, open := s.dueTimes[key]
 	if !open {
 		return
 	}
-	delete(s.due, key)
+	delete(s.dueTimes, key)
 	s.result.Outcomes[outcome]++
 	if outcome == outcomePlaced {
-		s.result.Placed.Record(now.Sub(due))
+		s.result.PlacementLatency.Record(now.Sub(due))
 	}
 }
 
 // awaitOutcomes waits for the open outcomes, at most for the given time, and counts the rest as unknown.
 func (s *sender) awaitOutcomes(ctx context.Context, wait time.Duration) {
 	deadline := time.Now().Add(wait)
-	for s.open() > 0 && time.Now().Before(deadline) && ctx.Err() == nil {
+	for s.pendingCount() > 0 && time.Now().Before(deadline) && ctx.Err() == nil {
 		select {
 		case <-time.After(outcomePollInterval):
 		case <-ctx.Done():
@@ -208,14 +208,14 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if open := len(s.due); open > 0 {
+	if open := len(s.dueTimes); open > 0 {
 		s.result.Outcomes[outcomeUnknown] = open
 	}
 }
 
 // open returns how many submissions have no outcome yet.
-func (s *sender) open() int {
+func (s *sender) pendingCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.due)
+	return len(s.dueTimes)
 }
--- a/internal/testbed/load/send_test.go
+++ b/internal/testbed/load/send_test.go
@@ -90,8 +90,8 @@
 }
 
 var pauseCases = []pauseCase{
-	{"p90", func(l *LatencyHistogram) time.Duration { return l.At(90) }, 1500 * time.Millisecond},
-	{"p99", func(l *LatencyHistogram) time.Duration { return l.At(99) }, 1950 * time.Millisecond},
+	{"p90", func(l *LatencyHistogram) time.Duration { return l.Percentile(90) }, 1500 * time.Millisecond},
+	{"p99", func(l *LatencyHistogram) time.Duration { return l.Percentile(99) }, 1950 * time.Millisecond},
 	{"max", func(l *LatencyHistogram) time.Duration { return l.Max() }, 2 * time.Second},
 }
 
@@ -102,7 +102,7 @@
 
 func TestSenderMeasuresPauseInFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		result, err := newSender(pausingSession{newPause()}).send(t.Context(), steadyLoad(1000), Options{Prefix: "p"})
+		result, err := newSender(pausingSession{newPause()}).send(t.Context(), steadyLoad(1000), SendOptions{KeyPrefix: "p"})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -110,7 +110,7 @@
 			t.Errorf("got %v, want 1000 submissions, none late and no errors", result)
 		}
 		for _, c := range pauseCases {
-			got := c.of(result.Answered)
+			got := c.of(result.ResponseLatency)
 			if off := math.Abs((got - c.want).Seconds()); off > pauseTolerance.Seconds() {
 				t.Errorf("%s: got %v, want %v within %v", c.name, got, c.want, pauseTolerance)
 			}
@@ -125,7 +125,7 @@
 	defer server.Close()
 	client := drmaa2.NewClient(server.URL)
 	defer client.Close()
-	result, err := Send(t.Context(), client, &Trace{Jobs: steadyLoad(1000)}, Options{Session: "s", Prefix: "p"})
+	result, err := Send(t.Context(), client, &Trace{Jobs: steadyLoad(1000)}, SendOptions{SessionName: "s", KeyPrefix: "p"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -134,7 +134,7 @@
 	}
 	for _, c := range pauseCases {
 		t.Run(c.name, func(t *testing.T) {
-			if got, want := c.of(result.Answered), c.want-2*pauseTolerance; got < want {
+			if got, want := c.of(result.ResponseLatency), c.want-2*pauseTolerance; got < want {
 				t.Errorf("got %v, want at least %v", got, want)
 			}
 		})
@@ -144,7 +144,7 @@
 func TestSendReportsUnreachableScheduler(t *testing.T) {
 	client := drmaa2.NewClient("127.0.0.1:1")
 	client.RetryFor = 0
-	_, err := Send(t.Context(), client, &Trace{}, Options{Session: "s"})
+	_, err := Send(t.Context(), client, &Trace{}, SendOptions{SessionName: "s"})
 	if !errors.Is(err, drmaa2.ErrDrmCommunication) {
 		t.Errorf("got error %v, want %v", err, drmaa2.ErrDrmCommunication)
 	}
@@ -186,7 +186,7 @@
 			events: make(chan drmaa2.JobInfo),
 		}
 		start := time.Now()
-		result, err := newSender(session).send(t.Context(), steadyLoad(6), Options{Prefix: "p", Wait: time.Second})
+		result, err := newSender(session).send(t.Context(), steadyLoad(6), SendOptions{KeyPrefix: "p", OutcomeTimeout: time.Second})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/testbed/load/storedtrace_test.go
+++ b/internal/testbed/load/storedtrace_test.go
@@ -26,7 +26,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	trace, err := Read(bytes.NewReader(stored))
+	trace, err := ReadTrace(bytes.NewReader(stored))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testbed/load/swf.go
+++ b/internal/testbed/load/swf.go
@@ -21,15 +21,15 @@
 	swfStatus              = 10
 	swfUser                = 11
 	swfApplication         = 13
-	swfFields              = 18
+	swfFieldCount          = 18
 )
 
 const (
 	swfStatusCanceled = 5
-	swfStartTime      = "UnixStartTime:" // in a comment at the head
+	swfStartTimeLabel = "UnixStartTime:" // in a comment at the head
 	kibPerGiB         = 1 << 20
 	maxSWFLineBytes   = 1 << 16
-	maxSWFNumber      = 1e12
+	maxSWFValue       = 1e12
 )
 
 // SWFError is returned by ReadSWF for a line that is not of the Standard Workload Format.
@@ -47,7 +47,7 @@
 }
 
 // swfLine is the fields of one job.
-type swfLine [swfFields]float64
+type swfRecord [swfFieldCount]float64
 
 // ReadSWF imports a log of the Standard Workload Format. Its jobs become jobs of the class; the application is the service,
 // the user the tenant. Jobs without a submission time or processors are skipped and counted. For a line of another format it
@@ -65,7 +65,7 @@
 			t.readSWFComment(text)
 			continue
 		}
-		line, err := parseSWFLine(number, text)
+		line, err := parseSWFRecord(number, text)
 		if err != nil {
 			return nil, 0, err
 		}
@@ -84,7 +84,7 @@
 
 // readSWFComment sets the start of the trace if the comment has it.
 func (t *Trace) readSWFComment(text string) {
-	_, value, found := strings.Cut(text, swfStartTime)
+	_, value, found := strings.Cut(text, swfStartTimeLabel)
 	if !found {
 		return
 	}
@@ -93,14 +93,14 @@
 	}
 }
 
-func parseSWFLine(number int, text string) (line swfLine, err error) {
+func parseSWFRecord(number int, text string) (line swfRecord, err error) {
 	fields := strings.Fields(text)
-	if len(fields) != swfFields {
-		return line, &SWFError{Line: number, Reason: fmt.Sprintf("%d fields, expected %d", len(fields), swfFields)}
+	if len(fields) != swfFieldCount {
+		return line, &SWFError{Line: number, Reason: fmt.Sprintf("%d fields, expected %d", len(fields), swfFieldCount)}
 	}
 	for i, field := range fields {
 		value, err := strconv.ParseFloat(field, 64)
-		if err != nil || math.IsNaN(value) || math.Abs(value) > maxSWFNumber {
+		if err != nil || math.IsNaN(value) || math.Abs(value) > maxSWFValue {
 			return line, &SWFError{Line: number, Field: i + 1, Reason: fmt.Sprintf("%q is not a number that can be used", field)}
 		}
 		line[i] = value
@@ -109,7 +109,7 @@
 }
 
 // job returns the job of a line, or false if it has no submission time or no processors.
-func (l *swfLine) job(class string) (Job, bool) {
+func (l *swfRecord) job(class string) (Job, bool) {
 	cores := l[swfProcessors]
 	if cores <= 0 {
 		cores = l[swfRequestedProcessors]
@@ -117,7 +117,7 @@
 	if l[swfSubmitTime] < 0 || cores <= 0 {
 		return Job{}, false
 	}
-	job := Job{At: swfSeconds(l[swfSubmitTime]), Class: class, Cores: cores}
+	job := Job{At: secondsToDuration(l[swfSubmitTime]), Class: class, Cores: cores}
 	if l[swfApplication] >= 0 {
 		job.Service = fmt.Sprintf("app-%.0f", l[swfApplication])
 	}
@@ -125,7 +125,7 @@
 		job.Tenant = fmt.Sprintf("user-%.0f", l[swfUser])
 	}
 	if l[swfRunTime] >= 0 {
-		job.Runtime = swfSeconds(l[swfRunTime])
+		job.Runtime = secondsToDuration(l[swfRunTime])
 	}
 	job.Censored = l[swfRunTime] < 0 || l[swfStatus] == swfStatusCanceled
 	if l[swfRequestedMemory] > 0 {
@@ -134,4 +134,4 @@
 	return job, true
 }
 
-func swfSeconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+func secondsToDuration(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/testbed/load/trace.go
+++ b/internal/testbed/load/trace.go
@@ -44,7 +44,7 @@
 }
 
 // Length returns the time from the start to the last submission.
-func (t *Trace) Length() time.Duration {
+func (t *Trace) Duration() time.Duration {
 	if len(t.Jobs) == 0 {
 		return 0
 	}
--- a/internal/testbed/load/trace_test.go
+++ b/internal/testbed/load/trace_test.go
@@ -27,7 +27,7 @@
 		if err := x.Write(&b); err != nil {
 			t.Fatal(err)
 		}
-		y, err := Read(bytes.NewReader(b.Bytes()))
+		y, err := ReadTrace(bytes.NewReader(b.Bytes()))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -37,10 +37,10 @@
 		i := rapid.IntRange(0, b.Len()-1).Draw(t, "byte")
 		bad := bytes.Clone(b.Bytes())
 		bad[i] ^= byte(rapid.IntRange(1, 255).Draw(t, "bits"))
-		if _, err := Read(bytes.NewReader(bad)); err == nil {
+		if _, err := ReadTrace(bytes.NewReader(bad)); err == nil {
 			t.Fatalf("got no error with byte %d of %d changed, want one", i, b.Len())
 		}
-		if _, err := Read(bytes.NewReader(b.Bytes()[:i])); err == nil {
+		if _, err := ReadTrace(bytes.NewReader(b.Bytes()[:i])); err == nil {
 			t.Fatalf("got no error with the trace truncated at byte %d of %d, want one", i, b.Len())
 		}
 	})
@@ -100,11 +100,11 @@
 		{name: "two heads", text: append(bytes.Clone(valid[:headLength]), valid...), offset: headLength},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			_, err := Read(bytes.NewReader(c.text))
-			if errors.Is(err, ErrTruncated) != c.truncated || errors.Is(err, ErrChecksum) != c.checksum {
+			_, err := ReadTrace(bytes.NewReader(c.text))
+			if errors.Is(err, ErrTraceTruncated) != c.truncated || errors.Is(err, ErrTraceCorrupt) != c.checksum {
 				t.Fatalf("got error %v, want ErrTruncated: %v, ErrChecksum: %v", err, c.truncated, c.checksum)
 			}
-			var format *FormatError
+			var format *TraceFormatError
 			if errors.As(err, &format) == (c.truncated || c.checksum) {
 				t.Fatalf("got error %v, want a FormatError: %v", err, !c.truncated && !c.checksum)
 			}
@@ -123,7 +123,7 @@
 	f.Add(b.Bytes())
 	f.Fuzz(func(t *testing.T, in []byte) {
 		a, _, _ := ReadSWF(bytes.NewReader(in), "c")
-		b, _ := Read(bytes.NewReader(in))
+		b, _ := ReadTrace(bytes.NewReader(in))
 		for _, x := range []*Trace{a, b} {
 			if x == nil {
 				continue
--- a/internal/testbed/plancheck/search.go
+++ b/internal/testbed/plancheck/breakingpoint.go
@@ -28,25 +28,25 @@
 }
 
 // Search is the interval in which a breaking point is searched for, and the precision.
-type Search struct {
+type SearchOptions struct {
 	Low, High     float64 // multiples of the load
 	RelativeWidth float64 // width of the resulting interval, relative to its lower bound
-	Seeds         int     // emulated days for each multiple; the goal is met if their mean meets it
+	SeedCount     int     // emulated days for each multiple; the goal is met if their mean meets it
 }
 
 // BreakingPoint is the interval of the load in which the goal breaks.
 type BreakingPoint struct {
 	Low, High      float64 // the goal is met at Low and missed at High, in multiples of the load
-	Runs           int     // emulated days
+	EmulatedDays   int     // emulated days
 	Class          string  // that missed the goal at the lowest multiple at which it was missed
 	PlacedFraction float64 // of the submissions of Class at that multiple
 }
 
 // OutOfRangeError is returned for a breaking point outside the bounds of the search.
 type OutOfRangeError struct {
-	Low, High float64 // bounds of the search
-	Multiple  float64 // the bound beyond which the breaking point is
-	GoalMet   bool    // whether the goal is met at Multiple
+	Low, High    float64 // bounds of the search
+	LoadMultiple float64 // the bound beyond which the breaking point is
+	GoalMet      bool    // whether the goal is met at Multiple
 }
 
 // Error names the bound.
@@ -56,16 +56,16 @@
 		result = "met"
 	}
 	return fmt.Sprintf("plancheck: the goal is %s at %.3g times the load: its breaking point is not between %.3g and %.3g",
-		result, e.Multiple, e.Low, e.High)
+		result, e.LoadMultiple, e.Low, e.High)
 }
 
 // FindBreakingPoint searches by bisection for the multiple of the day's load at which the goal is missed. It returns an
 // *OutOfRangeError, or an error of the emulation, such as that of the context.
-func FindBreakingPoint(ctx context.Context, day *scenario.Day, goal Goal, search Search) (BreakingPoint, error) {
+func FindBreakingPoint(ctx context.Context, day *scenario.Day, goal Goal, search SearchOptions) (BreakingPoint, error) {
 	point := BreakingPoint{Low: search.Low, High: search.High}
 	goalMet := func(multiple float64) (bool, error) {
-		point.Runs += search.Seeds
-		class, placedFraction, err := worstClass(ctx, day, goal, multiple, search.Seeds)
+		point.EmulatedDays += search.SeedCount
+		class, placedFraction, err := worstClass(ctx, day, goal, multiple, search.SeedCount)
 		if err != nil {
 			return false, err
 		}
@@ -85,7 +85,7 @@
 		}
 		if met != bound.wantMet {
 			point.Low, point.High = bound.multiple, bound.multiple
-			return point, &OutOfRangeError{Low: search.Low, High: search.High, Multiple: bound.multiple, GoalMet: met}
+			return point, &OutOfRangeError{Low: search.Low, High: search.High, LoadMultiple: bound.multiple, GoalMet: met}
 		}
 	}
 	for point.High/point.Low > 1+search.RelativeWidth {
@@ -105,7 +105,7 @@
 
 // FindWithSurge searches for the breaking point without the goal's surge, rising, and with it, falling. If the second is
 // lower, the loads between are metastable: the fleet handles them until something overloads it, and then does not recover.
-func FindWithSurge(ctx context.Context, day *scenario.Day, goal Goal, search Search) (rising, falling BreakingPoint,
+func FindBreakingPointsWithSurge(ctx context.Context, day *scenario.Day, goal Goal, search SearchOptions) (rising, falling BreakingPoint,
 	err error) {
 	withoutSurge := goal
 	withoutSurge.Surge = Surge{}
@@ -114,7 +114,7 @@
 	}
 	falling, err = FindBreakingPoint(ctx, day, goal, search)
 	var outOfRange *OutOfRangeError
-	if errors.As(err, &outOfRange) && outOfRange.Multiple == search.Low { // the fleet does not recover even at the lower bound
+	if errors.As(err, &outOfRange) && outOfRange.LoadMultiple == search.Low { // the fleet does not recover even at the lower bound
 		falling.Low, falling.High = 0, search.Low
 		return rising, falling, nil
 	}
--- a/internal/testbed/plancheck/search_test.go
+++ b/internal/testbed/plancheck/breakingpoint_test.go
@@ -32,15 +32,15 @@
 // compare predicts the first limit of a day and searches around it for the load at which 1 job in 100 is not placed.
 func compare(t *testing.T, day *scenario.Day) comparison {
 	t.Helper()
-	first, _ := planner.FirstLimits(planner.Limits(Model(day)))
+	first, _ := planner.FirstLimits(planner.Limits(PlannerInput(day)))
 	point, err := FindBreakingPoint(t.Context(), day, Goal{MinPlacedFraction: 0.99, WarmupSeconds: 10},
-		Search{Low: first.LoadMultiple * 0.5, High: first.LoadMultiple * 1.6, RelativeWidth: 0.03, Seeds: 2})
+		SearchOptions{Low: first.LoadMultiple * 0.5, High: first.LoadMultiple * 1.6, RelativeWidth: 0.03, SeedCount: 2})
 	if err != nil {
 		t.Fatalf("got error %v for the predicted limit %v, want a breaking point", err, first)
 	}
 	deviation := first.LoadMultiple/math.Sqrt(point.Low*point.High) - 1
 	t.Logf("%s predicted at %.2f, emulated %.2f to %.2f (%+.0f%%), %d runs", first.Name, first.LoadMultiple, point.Low, point.High,
-		100*deviation, point.Runs)
+		100*deviation, point.EmulatedDays)
 	return comparison{first, point, deviation}
 }
 
@@ -62,8 +62,8 @@
 				t.Fatal(err)
 			}
 			got := compare(t, day)
-			if got.first.Name != c.Limit {
-				t.Errorf("got first limit %v, want %s", got.first, c.Limit)
+			if got.first.Name != c.FirstLimit {
+				t.Errorf("got first limit %v, want %s", got.first, c.FirstLimit)
 			}
 			if math.Abs(got.deviation) > 0.1 {
 				t.Errorf("got a deviation of %.0f%%, want at most 10%%", 100*got.deviation)
@@ -89,8 +89,8 @@
 			day.Seconds, day.After, day.Load[0].To = 60, 5, 60
 			day.Load[0].Retry, day.Load[0].Patience = settings.Duration(c.retry), settings.Duration(30*time.Second)
 			goal := Goal{MinPlacedFraction: 0.98, WarmupSeconds: 40, Surge: Surge{Factor: 6, Seconds: 8}}
-			rising, falling, err := FindWithSurge(t.Context(), day, goal,
-				Search{Low: 1, High: 3.5, RelativeWidth: 0.08, Seeds: 1})
+			rising, falling, err := FindBreakingPointsWithSurge(t.Context(), day, goal,
+				SearchOptions{Low: 1, High: 3.5, RelativeWidth: 0.08, SeedCount: 1})
 			t.Logf("rising %.2f to %.2f, falling %.2f to %.2f, %v", rising.Low, rising.High, falling.Low, falling.High, err)
 			if err != nil {
 				t.Fatal(err)
@@ -107,13 +107,13 @@
 	day.Seconds, day.Load[0].To = 20, 20
 	for _, c := range []struct {
 		name   string
-		search Search
+		search SearchOptions
 		want   OutOfRangeError
 		text   string
 	}{
-		{"above", Search{Low: 0.1, High: 0.2, Seeds: 1}, OutOfRangeError{Low: 0.1, High: 0.2, Multiple: 0.2, GoalMet: true},
+		{"above", SearchOptions{Low: 0.1, High: 0.2, SeedCount: 1}, OutOfRangeError{Low: 0.1, High: 0.2, LoadMultiple: 0.2, GoalMet: true},
 			"the goal is met at 0.2 times the load"},
-		{"below", Search{Low: 8, High: 9, Seeds: 1}, OutOfRangeError{Low: 8, High: 9, Multiple: 8, GoalMet: false},
+		{"below", SearchOptions{Low: 8, High: 9, SeedCount: 1}, OutOfRangeError{Low: 8, High: 9, LoadMultiple: 8, GoalMet: false},
 			"the goal is missed at 8 times the load"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -122,7 +122,7 @@
 			if !errors.As(err, &got) {
 				t.Fatalf("got error %v, want an OutOfRangeError", err)
 			}
-			if *got != c.want || point.Low != c.want.Multiple || point.High != c.want.Multiple {
+			if *got != c.want || point.Low != c.want.LoadMultiple || point.High != c.want.LoadMultiple {
 				t.Errorf("got %+v at %+v, want %+v", *got, point, c.want)
 			}
 			if !strings.Contains(err.Error(), c.text) {
--- a/internal/testbed/plancheck/cases.go
+++ b/internal/testbed/plancheck/cases.go
@@ -46,10 +46,10 @@
 
 // Case is a fleet and a load for which predictions are compared with emulated load and with load over sockets.
 type Case struct {
-	Name         string
-	Limit        planner.LimitName // first limit that the load meets
-	Replacements []string          // placeholders and their values, as baseValues
-	ZoneLost     bool              // the nodes of the first zone are lost
+	Name          string
+	FirstLimit    planner.LimitName // first limit that the load meets
+	Replacements  []string          // placeholders and their values, as baseValues
+	FirstZoneLost bool              // the nodes of the first zone are lost
 }
 
 // Day returns the case as a scenario.
@@ -59,7 +59,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("plancheck: case %s: %w", c.Name, err)
 	}
-	if c.ZoneLost {
+	if c.FirstZoneLost {
 		day.Fleet = day.Fleet[1:]
 	}
 	return day, nil
@@ -67,17 +67,17 @@
 
 // Cases are fleets and loads whose first limits differ; two of them are what remains when a zone is lost.
 var Cases = []Case{
-	{Name: "cores", Limit: planner.RequestedCores},
-	{Name: "memory", Limit: planner.RequestedMemory, Replacements: []string{"$MEMORY", "8"}},
-	{Name: "large", Limit: planner.RequestedCores, Replacements: []string{"$CORES", "6", "$RATE", "4"}},
-	{Name: "most of a zone lost", Limit: planner.RequestedCores, Replacements: []string{"$NB", "1"}},
-	{Name: "the largest zone lost", Limit: planner.RequestedCores, ZoneLost: true,
+	{Name: "cores", FirstLimit: planner.RequestedCores},
+	{Name: "memory", FirstLimit: planner.RequestedMemory, Replacements: []string{"$MEMORY", "8"}},
+	{Name: "large", FirstLimit: planner.RequestedCores, Replacements: []string{"$CORES", "6", "$RATE", "4"}},
+	{Name: "most of a zone lost", FirstLimit: planner.RequestedCores, Replacements: []string{"$NB", "1"}},
+	{Name: "the largest zone lost", FirstLimit: planner.RequestedCores, FirstZoneLost: true,
 		Replacements: []string{"$NA", "10", "$NB", "3", "$NC", "3"}},
-	{Name: "one scheduler", Limit: planner.RequestedCores, Replacements: []string{"$SCHEDULERS", "1"}},
-	{Name: "sixteen schedulers", Limit: planner.RequestedCores, Replacements: []string{"$SCHEDULERS", "16"}},
-	{Name: "uneven zones", Limit: planner.RequestedMemory,
+	{Name: "one scheduler", FirstLimit: planner.RequestedCores, Replacements: []string{"$SCHEDULERS", "1"}},
+	{Name: "sixteen schedulers", FirstLimit: planner.RequestedCores, Replacements: []string{"$SCHEDULERS", "16"}},
+	{Name: "uneven zones", FirstLimit: planner.RequestedMemory,
 		Replacements: []string{"$MEMORY", "7", "$NA", "8", "$NB", "2"}},
-	{Name: "slow starts", Limit: planner.StartRate,
+	{Name: "slow starts", FirstLimit: planner.StartRate,
 		Replacements: []string{"$RUNS", "true", "$START", "300ms", "$RATE", "50", "$CORES", "0.05", "$MEMORY", "0.1"}},
-	{Name: "slow offer review", Limit: planner.OfferReview, Replacements: []string{"$LOOK", "200ms", "$CORES", "0.25"}},
+	{Name: "slow offer review", FirstLimit: planner.OfferReview, Replacements: []string{"$LOOK", "200ms", "$CORES", "0.25"}},
 }
--- a/internal/testbed/plancheck/estimate.go
+++ b/internal/testbed/plancheck/estimate.go
@@ -13,7 +13,7 @@
 )
 
 // CapturedClass is an estimate of the load of one class from a captured load, with its uncertainty.
-type CapturedClass struct {
+type ClassEstimate struct {
 	planner.Class
 	Jobs             int      // captured jobs
 	CensoredRuntimes int      // jobs whose end was not observed
@@ -32,8 +32,8 @@
 // capture are excluded from its length. The mean runtime is the total runtime of all jobs divided by the number of ends that
 // were observed, which assumes exponential runtimes. EstimateLoad returns an error if the capture is too short or has a
 // class that the day does not have.
-func EstimateLoad(trace *load.Trace, day *scenario.Day) ([]CapturedClass, error) {
-	length := trace.Length()
+func EstimateLoad(trace *load.Trace, day *scenario.Day) ([]ClassEstimate, error) {
+	length := trace.Duration()
 	for _, gap := range trace.Gaps {
 		length -= gap.To - gap.From
 	}
@@ -44,7 +44,7 @@
 	for _, job := range trace.Jobs {
 		jobsByClass[job.Class] = append(jobsByClass[job.Class], job)
 	}
-	var classes []CapturedClass
+	var classes []ClassEstimate
 	for name, jobs := range jobsByClass {
 		class, err := estimateClass(day, name, jobs, length)
 		if err != nil {
@@ -53,18 +53,18 @@
 		class.addWarnings(len(trace.Gaps), length)
 		classes = append(classes, class)
 	}
-	slices.SortFunc(classes, func(a, b CapturedClass) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(classes, func(a, b ClassEstimate) int { return cmp.Compare(a.Name, b.Name) })
 	return classes, nil
 }
 
 // estimateClass estimates the load of one class from its jobs in a capture of the given length.
-func estimateClass(day *scenario.Day, name string, jobs []load.Job, length time.Duration) (CapturedClass, error) {
+func estimateClass(day *scenario.Day, name string, jobs []load.Job, length time.Duration) (ClassEstimate, error) {
 	settings := day.Class(name)
 	if settings == nil {
-		return CapturedClass{}, fmt.Errorf("plancheck: the captured load has class %q, which the day does not have", name)
+		return ClassEstimate{}, fmt.Errorf("plancheck: the captured load has class %q, which the day does not have", name)
 	}
 	count := float64(len(jobs))
-	class := CapturedClass{Jobs: len(jobs), Class: planner.Class{
+	class := ClassEstimate{Jobs: len(jobs), Class: planner.Class{
 		Name:          name,
 		JobsPerSecond: count / length.Seconds(),
 		CoreUsage:     mean(day.Behaviour.CoreUsageRange),
@@ -75,15 +75,15 @@
 	services := map[string]bool{}
 	var runtimes time.Duration
 	for _, job := range jobs {
-		class.Cores += orDefault(job.Cores, settings.Cores) / count
-		class.Memory += orDefault(job.Memory, settings.Memory) / count
+		class.Cores += positiveOr(job.Cores, settings.Cores) / count
+		class.Memory += positiveOr(job.Memory, settings.Memory) / count
 		services[job.Service] = true
 		runtimes += job.Runtime
 		if job.Censored {
 			class.CensoredRuntimes++
 		}
 	}
-	ends := float64(max(class.ends(), 1))
+	ends := float64(max(class.observedEnds(), 1))
 	class.Services = len(services)
 	class.MeanRuntimeSeconds = runtimes.Seconds() / ends
 	class.RelativeError = 2 * math.Sqrt(1/count+1/ends)
@@ -91,16 +91,16 @@
 }
 
 // ends returns the number of jobs whose end was observed.
-func (c *CapturedClass) ends() int { return c.Jobs - c.CensoredRuntimes }
+func (c *ClassEstimate) observedEnds() int { return c.Jobs - c.CensoredRuntimes }
 
 // addWarnings adds the reasons not to trust the estimate.
-func (c *CapturedClass) addWarnings(gaps int, length time.Duration) {
+func (c *ClassEstimate) addWarnings(gaps int, length time.Duration) {
 	warn := func(format string, args ...any) { c.Warnings = append(c.Warnings, fmt.Sprintf(format, args...)) }
 	if c.Jobs < minSamples {
 		warn("only %d jobs were captured", c.Jobs)
 	}
-	if c.ends() < minSamples {
-		warn("only %d runtimes were observed to their end", c.ends())
+	if c.observedEnds() < minSamples {
+		warn("only %d runtimes were observed to their end", c.observedEnds())
 	}
 	if float64(c.CensoredRuntimes) > maxCensoredFraction*float64(c.Jobs) {
 		warn("%d of %d runtimes are censored; the mean assumes an exponential distribution", c.CensoredRuntimes, c.Jobs)
--- a/internal/testbed/plancheck/estimate_test.go
+++ b/internal/testbed/plancheck/estimate_test.go
@@ -25,7 +25,7 @@
 func unchanged(int, *load.Job) {}
 
 // estimateClassC estimates the load of a trace, which must be of one class.
-func estimateClassC(t *testing.T, trace *load.Trace) CapturedClass {
+func estimateClassC(t *testing.T, trace *load.Trace) ClassEstimate {
 	t.Helper()
 	classes, err := EstimateLoad(trace, plannedDay(t))
 	if err != nil {
--- a/internal/testbed/plancheck/model.go
+++ b/internal/testbed/plancheck/plannerinput.go
@@ -9,15 +9,15 @@
 const placementsPerSecond = 10000
 
 // Model returns a day's fleet and load in the planner's terms.
-func Model(day *scenario.Day) (*planner.Fleet, []planner.Class) {
+func PlannerInput(day *scenario.Day) (*planner.Fleet, []planner.Class) {
 	var load []planner.Class
 	for i := range day.Load {
-		load = append(load, classOf(day, &day.Load[i]))
+		load = append(load, plannerClass(day, &day.Load[i]))
 	}
-	return fleetOf(day), load
+	return plannerFleet(day), load
 }
 
-func fleetOf(day *scenario.Day) *planner.Fleet {
+func plannerFleet(day *scenario.Day) *planner.Fleet {
 	behaviour := &day.Behaviour
 	fleet := &planner.Fleet{
 		Schedulers:            day.Schedulers,
@@ -46,14 +46,14 @@
 }
 
 // classOf returns one stream of a day's load, with the defaults of its class.
-func classOf(day *scenario.Day, stream *scenario.Load) planner.Class {
+func plannerClass(day *scenario.Day, stream *scenario.Load) planner.Class {
 	class := day.Class(stream.Class)
 	return planner.Class{
 		Name:               stream.Class,
 		JobsPerSecond:      stream.PerSecond,
 		MeanRuntimeSeconds: (stream.Runtime[0].Duration() + stream.Runtime[1].Duration()).Seconds() / 2,
-		Cores:              orDefault(stream.Cores, class.Cores),
-		Memory:             orDefault(stream.Memory, class.Memory),
+		Cores:              positiveOr(stream.Cores, class.Cores),
+		Memory:             positiveOr(stream.Memory, class.Memory),
 		CoreUsage:          mean(day.Behaviour.CoreUsageRange),
 		MemoryUsage:        mean(day.Behaviour.MemoryUsageRange),
 		Services:           stream.Services,
@@ -65,7 +65,7 @@
 func mean(bounds [2]float64) float64 { return (bounds[0] + bounds[1]) / 2 }
 
 // orDefault returns value if it is above zero, and fallback otherwise.
-func orDefault(value, fallback float64) float64 {
+func positiveOr(value, fallback float64) float64 {
 	if value > 0 {
 		return value
 	}
--- a/internal/testbed/trial/plan_test.go
+++ b/internal/testbed/trial/plan_test.go
@@ -27,7 +27,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				first, _ := planner.FirstLimits(planner.Limits(plancheck.Model(d)))
+				first, _ := planner.FirstLimits(planner.Limits(plancheck.PlannerInput(d)))
 				d.Load[0].PerSecond *= first.LoadMultiple * m
 				d.Name = c.Name
 				rep, err := emulator.Run(context.Background(), d, emulator.Options{Seed: 1})
