--- a/internal/testbed/load/capture_test.go
+++ b/internal/testbed/load/capture_test.go
@@ -8,10 +8,10 @@
 	"flaxshelf.example/flaxshelf/drmaa2"
 )
 
-// captureStart is when the captures of the tests start.
+// captureStart is the start time of the captures in the tests.
 var captureStart = time.Unix(1_700_000_000, 0)
 
-// jobInfo returns the state of job 1, which was submitted at a time since the start of a capture; change adds to it.
+// jobInfo returns the state of job 1, submitted at the given offset from captureStart. change modifies the state.
 func jobInfo(submitted time.Duration, change func(*drmaa2.JobInfo)) *drmaa2.JobInfo {
 	info := &drmaa2.JobInfo{JobID: "1", SubmissionTime: captureStart.Add(submitted), ImplementationSpecific: map[string]string{
 		drmaa2.AttrClass: "c", drmaa2.AttrService: "v", drmaa2.AttrTenant: "t", drmaa2.AttrCores: "0.5", drmaa2.AttrMemory: "2"}}
@@ -19,7 +19,7 @@
 	return info
 }
 
-// started sets the start of a job, since the start of a capture, and that it was placed.
+// started marks a job as placed and started at the given offset from captureStart.
 func started(at time.Duration) func(*drmaa2.JobInfo) {
 	return func(info *drmaa2.JobInfo) {
 		start := captureStart.Add(at)
@@ -28,7 +28,7 @@
 	}
 }
 
-// ended sets the start and the end of a job, since the start of a capture, and the sub-state in which it ended.
+// ended marks a job as started and ended at the given offsets from captureStart, in the given sub-state.
 func ended(start, end time.Duration, subState string) func(*drmaa2.JobInfo) {
 	return func(info *drmaa2.JobInfo) {
 		started(start)(info)
--- a/internal/testbed/load/latencyhistogram.go
+++ b/internal/testbed/load/latencyhistogram.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	// maxLatency is the longest latency of a LatencyHistogram.
+	// maxLatency is the largest latency that a LatencyHistogram can represent.
 	maxLatency = time.Hour
 	// latencyDigits is the precision of a LatencyHistogram in significant digits.
 	latencyDigits = 3
 )
 
-// LatencyHistogram is the distribution of latencies in microseconds. Safe for concurrent use.
+// LatencyHistogram records latencies with a resolution of 1 µs or three significant digits. It is safe for concurrent use.
 type LatencyHistogram struct {
 	mu        sync.Mutex
 	histogram *hdrhistogram.Histogram
@@ -26,28 +26,30 @@
 	return &LatencyHistogram{histogram: hdrhistogram.New(1, maxLatency.Microseconds(), latencyDigits)}
 }
 
-// Record adds a latency. It is recorded as at least 1 µs and at most an hour.
+// Record adds a latency, clamped to the range from 1 µs to maxLatency.
 func (l *LatencyHistogram) Record(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	_ = l.histogram.RecordValue(min(max(d.Microseconds(), 1), maxLatency.Microseconds())) // always within the bounds
+	// RecordValue fails only for values out of bounds.
+	_ = l.histogram.RecordValue(min(max(d.Microseconds(), 1), maxLatency.Microseconds()))
 }
 
-// At returns the given percentile.
+// Percentile returns the latency at the given percentile, from 0 to 100.
 func (l *LatencyHistogram) Percentile(percent float64) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return time.Duration(l.histogram.ValueAtQuantile(percent)) * time.Microsecond
 }
 
-// Max returns the longest latency.
+// Max returns the longest recorded latency.
 func (l *LatencyHistogram) Max() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return time.Duration(l.histogram.Max()) * time.Microsecond
 }
 
-// String returns the main percentiles.
+// String returns the percentiles 50, 90, 99 and 99.9 and the maximum.
 func (l *LatencyHistogram) String() string {
-	return fmt.Sprintf("p50 %v p90 %v p99 %v p99.9 %v max %v", l.Percentile(50), l.Percentile(90), l.Percentile(99), l.Percentile(99.9), l.Max())
+	return fmt.Sprintf("p50 %v p90 %v p99 %v p99.9 %v max %v", l.Percentile(50), l.Percentile(90), l.Percentile(99),
+		l.Percentile(99.9), l.Max())
 }
--- a/internal/testbed/load/plan_test.go
+++ b/internal/testbed/load/plan_test.go
@@ -10,7 +10,7 @@
 	"flaxshelf.example/flaxshelf/internal/settings"
 )
 
-// drawJobs draws the jobs of a plan of one stream of 1,000 s.
+// drawJobs returns the jobs of a plan that has one stream and lasts 1,000 s.
 func drawJobs(t *testing.T, shape, runtimes string) []Job {
 	t.Helper()
 	plan, err := ParsePlan("p.cue", []byte(fmt.Sprintf(`about: "x"
@@ -26,14 +26,15 @@
 	return trace.Jobs
 }
 
-// Each shape has as many submissions as its rate integrates to, within chance, and in the right part of the time.
+// The number of jobs of each shape matches the integral of its rate, within four standard deviations, and the jobs are
+// concentrated in the expected interval.
 func TestJobsFollowShape(t *testing.T) {
 	for _, c := range []struct {
 		name         string
 		shape        string
 		wantJobs     float64
 		from, to     float64 // seconds
-		wantFraction float64 // of the jobs, between from and to
+		wantFraction float64 // fraction of the jobs between from and to
 	}{
 		{"steady", `{perSecond: 20}`, 20000, 0, 500, 0.5},
 		{"ramp", `{kind: "ramp", perSecond: 10, peak: 30}`, 20000, 0, 500, 0.375},
@@ -61,8 +62,9 @@
 	}
 }
 
-// Runtimes have the same mean whatever the law, and the law does not change arrivals and services.
-func TestRuntimesFollowLaw(t *testing.T) {
+// All families of runtime distributions have the configured mean, and a change of the family does not change the arrivals and
+// services that are drawn.
+func TestRuntimesFollowDistribution(t *testing.T) {
 	constant := drawJobs(t, "{perSecond: 20}", `{law: "constant", mean: "2s"}`)
 	for _, c := range []struct{ name, runtimes string }{
 		{"constant", `{law: "constant", mean: "2s"}`},
@@ -89,7 +91,7 @@
 
 func TestParsePlanRejectsInvalidStreams(t *testing.T) {
 	for _, c := range []struct{ name, field string }{
-		{"pareto law with an infinite mean", `runtimes: {law: "pareto", tail: 1}`},
+		{"pareto distribution with an infinite mean", `runtimes: {law: "pareto", tail: 1}`},
 		{"diurnal shape without a period", `shape: {kind: "diurnal", perSecond: 1}`},
 		{"negative rate", `shape: {perSecond: -1}`},
 		{"unknown shape", `shape: {kind: "odd", perSecond: 1}`},
@@ -103,8 +105,8 @@
 	}
 }
 
-// The limit is checked before any job is drawn.
-func TestJobsRejectsPlanWithTooManyJobs(t *testing.T) {
+// The limit is checked before any job of the stream is drawn.
+func TestGenerateTraceRejectsPlanWithTooManyJobs(t *testing.T) {
 	p := &Plan{Seconds: 1000, Streams: []Stream{{Shape: Shape{BaseRate: 1}}, {Shape: Shape{BaseRate: 1, PeakRate: 10_001}}}}
 	_, err := p.GenerateTrace(1)
 	var got *TooManyJobsError
@@ -113,21 +115,21 @@
 	}
 }
 
-// A plan has the same jobs under the present names of fields and under those of earlier versions.
-func TestParsePlanReadsPresentAndDeprecatedNames(t *testing.T) {
+// A plan can be written with the current or the deprecated field names, and is parsed to the same streams.
+func TestParsePlanReadsCurrentAndDeprecatedNames(t *testing.T) {
 	parse := func(t *testing.T, fields string) (*Plan, error) {
 		t.Helper()
 		return ParsePlan("p.cue", []byte(`about: "x", seconds: 1, streams: [{class: "c", shape: perSecond: 1, `+fields+`}]`))
 	}
-	present, err := parse(t, `runtimes: {law: "pareto", mean: "3s", tail: 2, min: "2ms"}, hotServiceFraction: 0.5`)
+	current, err := parse(t, `runtimes: {law: "pareto", mean: "3s", tail: 2, min: "2ms"}, hotServiceFraction: 0.5`)
 	if err != nil {
 		t.Fatal(err)
 	}
 	want := Stream{Class: "c", Shape: Shape{Kind: "steady", BaseRate: 1}, Services: 20, HotServiceFraction: 0.5,
 		Runtimes: RuntimeDistribution{Family: familyPareto, Mean: settings.Duration(3 * time.Second), TailParameter: 2,
 			Min: settings.Duration(2 * time.Millisecond)}}
-	if got := present.Streams[0]; got != want {
-		t.Errorf("present names: got %+v, want %+v", got, want)
+	if got := current.Streams[0]; got != want {
+		t.Errorf("current names: got %+v, want %+v", got, want)
 	}
 	deprecated, err := parse(t, `lives: {law: "pareto", mean: "3s", tail: 2, least: "2ms"}, popular: 0.5`)
 	if err != nil {
--- a/internal/testbed/load/send.go
+++ b/internal/testbed/load/send.go
@@ -11,27 +11,27 @@
 )
 
 const (
-	// lateAfter is the delay beyond which a submission counts as late.
+	// lateThreshold is the delay after the intended time beyond which a submission counts as late.
 	lateThreshold = 10 * time.Millisecond
-	// outcomePollInterval is the interval at which the sender checks for open outcomes.
-	outcomePollInterval = 10 * time.Millisecond
-	// outcomePlaced is the outcome of a placed task in the attributes of a job.
+	// pendingPollInterval is the interval at which the sender checks whether submissions without an outcome remain.
+	pendingPollInterval = 10 * time.Millisecond
+	// outcomePlaced is the value of drmaa2.AttrOutcome for a placed task.
 	outcomePlaced = "placed"
-	// outcomeUnknown is the key in Result.Outcomes of the submissions whose outcome was not received in time.
+	// outcomeUnknown is the key in SendResult.Outcomes for submissions whose outcome was not received in time.
 	outcomeUnknown = "unknown"
 )
 
-// Options configures Send.
+// SendOptions configures Send.
 type SendOptions struct {
 	SessionName    string        // name of the job session, which is created if it does not exist
-	Speed          float64       // multiplies the rate of the load; zero means 1
+	Speed          float64       // factor by which the trace is sent faster; zero or less means 1
 	OutcomeTimeout time.Duration // how long to wait for outcomes after the last submission
-	KeyPrefix      string        // of the idempotency keys; must be unique for each call of Send
+	KeyPrefix      string        // prefix of the idempotency keys; must be unique for each call of Send
 }
 
-// Send sends a load to a scheduler, open-loop: each submission is sent at its time, whatever the state of earlier ones.
-// It returns when all outcomes are known or after Options.Wait. If the context ends, it returns the result so far and the
-// error of the context.
+// Send submits the jobs of a trace to a scheduler, open-loop: each is submitted at its intended time, even if earlier
+// submissions have not been answered. Send returns when all outcomes are known, or SendOptions.OutcomeTimeout after the last
+// submission was answered. If the context ends, it returns the result so far and the context's error.
 func Send(ctx context.Context, client *drmaa2.Client, trace *Trace, opt SendOptions) (*SendResult, error) {
 	session, err := openSession(ctx, client, opt.SessionName)
 	if err != nil {
@@ -40,30 +40,31 @@
 	return newSender(session).send(ctx, trace.Jobs, opt)
 }
 
+// openSession opens the job session, or creates it if it does not exist.
 func openSession(ctx context.Context, client *drmaa2.Client, name string) (*drmaa2.JobSession, error) {
 	session, err := client.OpenJobSession(ctx, name)
 	if errors.Is(err, drmaa2.ErrInvalidArgument) {
 		session, err = client.CreateJobSession(ctx, name)
 	}
 	if err != nil {
-		return nil, fmt.Errorf("load: session: %w", err)
+		return nil, fmt.Errorf("load: open job session %q: %w", name, err)
 	}
 	return session, nil
 }
 
-// jobSession is the part of a *drmaa2.JobSession that a sender uses.
+// jobSession is the subset of *drmaa2.JobSession that a sender uses.
 type jobSession interface {
 	RunJob(ctx context.Context, template drmaa2.JobTemplate) (*drmaa2.Job, error)
 	Watch(ctx context.Context, handle func(drmaa2.JobInfo) bool) error
 }
 
-// sender sends one load.
+// sender submits the jobs of one trace and collects the result.
 type sender struct {
 	session jobSession
 
 	mu       sync.Mutex // guards the fields below
 	result   *SendResult
-	dueTimes map[string]time.Time // intended times of the submissions without an outcome, by key
+	dueTimes map[string]time.Time // intended times of submissions without an outcome yet, by idempotency key
 }
 
 func newSender(session jobSession) *sender {
@@ -79,7 +80,7 @@
 	}
 }
 
-// send sends the jobs and returns the result as Send does.
+// send submits the jobs; see Send.
 func (s *sender) send(ctx context.Context, jobs []Job, opt SendOptions) (*SendResult, error) {
 	stopWatching := s.watch(ctx)
 	defer stopWatching()
@@ -88,13 +89,13 @@
 	return s.result, ctx.Err()
 }
 
-// watch records outcomes until the function that it returns is called; that function waits for the watch to end.
+// watch starts to record outcomes in the background. The returned function ends this and waits until the watch has stopped.
 func (s *sender) watch(ctx context.Context) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		// After an error of the watch outcomes remain open; the result counts them as unknown.
+		// If the watch fails, the remaining outcomes are not received, and the result counts them as unknown.
 		_ = s.session.Watch(ctx, func(info drmaa2.JobInfo) bool { s.recordOutcome(&info); return true })
 	}()
 	return func() {
@@ -103,7 +104,8 @@
 	}
 }
 
-// submitAll submits each job at its time and waits for the answers.
+// submitAll submits each job at its intended time and waits until all submissions are answered. It stops submitting when the
+// context ends.
 func (s *sender) submitAll(ctx context.Context, jobs []Job, opt SendOptions) {
 	speed := opt.Speed
 	if speed <= 0 {
@@ -122,7 +124,7 @@
 	}
 }
 
-// waitUntil returns false if the context ends first.
+// waitUntil waits until the given time. It returns false if the context ends first.
 func waitUntil(ctx context.Context, due time.Time) bool {
 	if wait := time.Until(due); wait > 0 {
 		select {
@@ -133,7 +135,7 @@
 	return ctx.Err() == nil
 }
 
-// submit submits a job and records the answer.
+// submit submits a job, and records the response latency and any error.
 func (s *sender) submit(ctx context.Context, job *Job, key string, due time.Time) {
 	s.mu.Lock()
 	s.result.Sent++
@@ -143,7 +145,7 @@
 	s.dueTimes[key] = due
 	s.mu.Unlock()
 	_, err := s.session.RunJob(ctx, drmaa2.JobTemplate{RemoteCommand: "load", JobCategory: job.Class, AccountingID: job.Tenant,
-		ImplementationSpecific: attributes(job, key)})
+		ImplementationSpecific: jobAttributes(job, key)})
 	s.result.ResponseLatency.Record(time.Since(due))
 	if err == nil {
 		return
@@ -159,25 +161,26 @@
 	}
 }
 
-// attributes returns the implementation-specific attributes of a job's template.
-func attributes(job *Job, key string) map[string]string {
-	all := map[string]string{drmaa2.AttrKey: key}
+// jobAttributes returns the implementation-specific attributes of a job's template. Attributes that the job does not set are
+// omitted.
+func jobAttributes(job *Job, key string) map[string]string {
+	attributes := map[string]string{drmaa2.AttrKey: key}
 	if job.Service != "" {
-		all[drmaa2.AttrService] = job.Service
+		attributes[drmaa2.AttrService] = job.Service
 	}
 	if job.Runtime > 0 {
-		all[drmaa2.AttrExpectedRuntime] = job.Runtime.String()
+		attributes[drmaa2.AttrExpectedRuntime] = job.Runtime.String()
 	}
 	if job.Cores > 0 {
-		all[drmaa2.AttrCores] = fmt.Sprint(job.Cores)
+		attributes[drmaa2.AttrCores] = fmt.Sprint(job.Cores)
 	}
 	if job.Memory > 0 {
-		all[drmaa2.AttrMemory] = fmt.Sprint(job.Memory)
+		attributes[drmaa2.AttrMemory] = fmt.Sprint(job.Memory)
 	}
-	return all
+	return attributes
 }
 
-// recordOutcome records the first outcome of a submission.
+// recordOutcome counts the first outcome of each submission, and records the placement latency if the task was placed.
 func (s *sender) recordOutcome(info *drmaa2.JobInfo) {
 	key, outcome := info.ImplementationSpecific[drmaa2.AttrKey], info.ImplementationSpecific[drmaa2.AttrOutcome]
 	if outcome == "" {
@@ -197,12 +200,12 @@
 	}
 }
 
-// awaitOutcomes waits for the open outcomes, at most for the given time, and counts the rest as unknown.
+// awaitOutcomes waits at most for the given time for outcomes that are still missing, and counts the rest as unknown.
 func (s *sender) awaitOutcomes(ctx context.Context, wait time.Duration) {
 	deadline := time.Now().Add(wait)
 	for s.pendingCount() > 0 && time.Now().Before(deadline) && ctx.Err() == nil {
 		select {
-		case <-time.After(outcomePollInterval):
+		case <-time.After(pendingPollInterval):
 		case <-ctx.Done():
 		}
 	}
@@ -213,7 +216,7 @@
 	}
 }
 
-// open returns how many submissions have no outcome yet.
+// pendingCount returns the number of accepted or unanswered submissions without an outcome.
 func (s *sender) pendingCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/testbed/load/send_test.go
+++ b/internal/testbed/load/send_test.go
@@ -17,7 +17,7 @@
 	"flaxshelf.example/flaxshelf/drmaa2"
 )
 
-// steadyLoad returns jobs at 200 a second.
+// steadyLoad returns the given number of jobs at 200 per second.
 func steadyLoad(jobs int) []Job {
 	all := make([]Job, jobs)
 	for i := range all {
@@ -26,8 +26,8 @@
 	return all
 }
 
-// pause is a time during which a scheduler answers nothing, like a stopped process. Its times count from the first
-// submission.
+// pause simulates a scheduler that does not answer for an interval, like a stopped process. The interval is relative to the
+// first submission.
 type pause struct {
 	start, end time.Duration
 
@@ -36,7 +36,7 @@
 	submissions     int
 }
 
-// submit counts a submission and returns its number, after the end of the pause if it was received during the pause.
+// submit counts a submission and returns its number. A submission received during the pause is answered at its end.
 func (p *pause) submit() int {
 	p.mu.Lock()
 	if p.firstSubmission.IsZero() {
@@ -52,7 +52,7 @@
 	return number
 }
 
-// pausingSession is a job session of a scheduler that pauses. It has no network, so that it runs on a fake clock.
+// pausingSession is a job session of a scheduler that pauses. It uses no network, so that it can run on a fake clock.
 type pausingSession struct{ *pause }
 
 func (s pausingSession) RunJob(context.Context, drmaa2.JobTemplate) (*drmaa2.Job, error) {
@@ -65,7 +65,7 @@
 	return ctx.Err()
 }
 
-// pausingServer is the HTTP interface of a scheduler that pauses.
+// pausingServer is the HTTP API of a scheduler that pauses.
 type pausingServer struct{ *pause }
 
 func (s pausingServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -81,12 +81,12 @@
 	}
 }
 
-// pauseCase is a percentile of the latencies of 5 s of steady load with a pause of 2 s. Two fifths of the submissions are
-// sent during the pause, evenly, so the 90th percentile is three quarters of the pause, and the maximum all of it.
+// pauseCase is an expected statistic of the latencies for 5 s of steady load with a pause of 2 s. Two fifths of the submissions
+// are sent during the pause, evenly spaced, so the 90th percentile is three quarters of the pause, and the maximum all of it.
 type pauseCase struct {
-	name string
-	of   func(*LatencyHistogram) time.Duration
-	want time.Duration
+	name  string
+	value func(*LatencyHistogram) time.Duration
+	want  time.Duration
 }
 
 var pauseCases = []pauseCase{
@@ -95,11 +95,12 @@
 	{"max", func(l *LatencyHistogram) time.Duration { return l.Max() }, 2 * time.Second},
 }
 
-// pauseTolerance is 0.5% of the pause.
+// pauseTolerance is the accepted deviation, 0.5% of the pause.
 const pauseTolerance = 10 * time.Millisecond
 
 func newPause() *pause { return &pause{start: time.Second, end: 3 * time.Second} }
 
+// A sender that waited for answers would send nothing during the pause and miss most of its latency (coordinated omission).
 func TestSenderMeasuresPauseInFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		result, err := newSender(pausingSession{newPause()}).send(t.Context(), steadyLoad(1000), SendOptions{KeyPrefix: "p"})
@@ -110,7 +111,7 @@
 			t.Errorf("got %v, want 1000 submissions, none late and no errors", result)
 		}
 		for _, c := range pauseCases {
-			got := c.of(result.ResponseLatency)
+			got := c.value(result.ResponseLatency)
 			if off := math.Abs((got - c.want).Seconds()); off > pauseTolerance.Seconds() {
 				t.Errorf("%s: got %v, want %v within %v", c.name, got, c.want, pauseTolerance)
 			}
@@ -118,8 +119,8 @@
 	})
 }
 
-// Over HTTP as well submissions are sent at their times during a pause, so that none of it is missing in the latencies. A
-// busy machine only adds to them, so there are lower bounds alone; TestSenderMeasuresPauseInFull has both.
+// Submissions over HTTP are also sent at their intended times during a pause, so the latencies include all of it. A busy machine
+// can only increase them, so this test has lower bounds only; TestSenderMeasuresPauseInFull has both bounds.
 func TestSendOverHTTPMeasuresNoLessThanPause(t *testing.T) {
 	server := httptest.NewServer(pausingServer{newPause()})
 	defer server.Close()
@@ -134,7 +135,7 @@
 	}
 	for _, c := range pauseCases {
 		t.Run(c.name, func(t *testing.T) {
-			if got, want := c.of(result.ResponseLatency), c.want-2*pauseTolerance; got < want {
+			if got, want := c.value(result.ResponseLatency), c.want-2*pauseTolerance; got < want {
 				t.Errorf("got %v, want at least %v", got, want)
 			}
 		})
@@ -150,10 +151,10 @@
 	}
 }
 
-// scriptedSession answers each submission and then reports an outcome for it, as chosen by its key.
+// scriptedSession answers each submission with the outcome or the error that is configured for its idempotency key.
 type scriptedSession struct {
-	outcomes map[string]string // by key; none: the submission fails with errors[key], or has no outcome
-	errors   map[string]error
+	outcomes map[string]string // by key; without an entry no outcome is reported
+	errors   map[string]error  // by key; without an entry the submission is accepted
 	events   chan drmaa2.JobInfo
 }
 
@@ -186,7 +187,8 @@
 			events: make(chan drmaa2.JobInfo),
 		}
 		start := time.Now()
-		result, err := newSender(session).send(t.Context(), steadyLoad(6), SendOptions{KeyPrefix: "p", OutcomeTimeout: time.Second})
+		opt := SendOptions{KeyPrefix: "p", OutcomeTimeout: time.Second}
+		result, err := newSender(session).send(t.Context(), steadyLoad(6), opt)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -202,8 +204,8 @@
 		if got := result.String(); !strings.Contains(got, text) {
 			t.Errorf("got text %q, want it to contain %q", got, text)
 		}
-		if got, want := time.Since(start), 25*time.Millisecond+time.Second; got < want || got > want+outcomePollInterval {
-			t.Errorf("got a result after %v, want it after %v, the last submission and the wait", got, want)
+		if got, want := time.Since(start), 25*time.Millisecond+time.Second; got < want || got > want+pendingPollInterval {
+			t.Errorf("got a result after %v, want it after %v: the last submission plus the outcome timeout", got, want)
 		}
 	})
 }
--- a/internal/testbed/load/shape.go
+++ b/internal/testbed/load/shape.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// The kinds of Shape.
+// Values of Shape.Kind with a variable rate. Any other kind is steady.
 const (
 	shapeRamp     = "ramp"
 	shapeBurst    = "burst"
@@ -10,32 +10,33 @@
 	shapeDiurnal  = "diurnal"
 )
 
-// A cold snap rises until coldSnapRiseEnd, stays at its peak until coldSnapPeakEnd, both fractions of its length, and then
-// falls exponentially at coldSnapFallRate for its length.
+// A cold snap rises linearly until coldSnapRiseEnd, stays at its peak until coldSnapPeakEnd, and then decays exponentially at
+// coldSnapFallRate. Times are fractions of its duration, and the decay rate is per duration.
 const (
 	coldSnapRiseEnd  = 0.2
 	coldSnapPeakEnd  = 0.5
 	coldSnapFallRate = 8
 )
 
-// minPeriod is the shortest period in seconds. It prevents divisions by zero.
+// minSeconds is a lower bound for durations and periods that are divisors. It prevents divisions by zero.
 const minSeconds = 1e-9
 
-// Shape is the rate of submissions over time, the record #Shape of the schema. Rates are per second, times in seconds.
+// Shape describes the submission rate over time; it is the #Shape record of the schema. Rates are in jobs per second, and times
+// in seconds from the start of the load.
 type Shape struct {
 	Kind            string  `json:"kind"`
-	BaseRate        float64 `json:"perSecond"` // rate at the base
-	PeakRate        float64 `json:"peak"`      // rate at the peak
-	StartSeconds    float64 `json:"from"`      // start of the peak
-	DurationSeconds float64 `json:"for"`       // length of the peak
-	PeriodSeconds   float64 `json:"every"`     // period of the peak; zero means that it does not recur
+	BaseRate        float64 `json:"perSecond"` // steady rate; initial rate of a ramp; rate outside the peaks of other kinds
+	PeakRate        float64 `json:"peak"`      // rate at the peak, or at the end of a ramp
+	StartSeconds    float64 `json:"from"`      // start of the first burst, the cold snap or the cycle
+	DurationSeconds float64 `json:"for"`       // duration of a burst or cold snap
+	PeriodSeconds   float64 `json:"every"`     // period of bursts or of the diurnal cycle; zero means a single burst
 }
 
-// rate returns the rate at a time of a load of the given length.
-func (s *Shape) rate(at, length float64) float64 {
+// rate returns the submission rate at the given time of a load that lasts lengthSeconds.
+func (s *Shape) rate(at, lengthSeconds float64) float64 {
 	switch s.Kind {
 	case shapeRamp:
-		return s.BaseRate + (s.PeakRate-s.BaseRate)*at/length
+		return s.BaseRate + (s.PeakRate-s.BaseRate)*at/lengthSeconds
 	case shapeBurst:
 		return s.burst(at)
 	case shapeColdSnap:
@@ -47,7 +48,7 @@
 	return s.BaseRate
 }
 
-// burst returns the rate of bursts that recur after Every.
+// burst returns the rate at a time for bursts that recur every PeriodSeconds.
 func (s *Shape) burst(at float64) float64 {
 	since := at - s.StartSeconds
 	if s.PeriodSeconds > 0 && since >= 0 {
@@ -59,8 +60,8 @@
 	return s.BaseRate
 }
 
-// coldSnap returns the rate at a fraction of the length of a cold snap, during which the demand for heat rises fast and falls
-// slowly.
+// coldSnap returns the rate at a fraction of the duration of a cold snap. The shape models the demand for heat, which
+// rises fast in a cold snap and falls slowly afterwards.
 func (s *Shape) coldSnap(fraction float64) float64 {
 	switch {
 	case fraction < 0 || fraction >= 1:
@@ -73,5 +74,5 @@
 	return s.BaseRate + (s.PeakRate-s.BaseRate)*math.Exp(-(fraction-coldSnapPeakEnd)*coldSnapFallRate)
 }
 
-// maxRate returns the highest rate.
+// maxRate returns an upper bound of the rate over time.
 func (s *Shape) maxRate() float64 { return max(s.BaseRate, s.PeakRate) }
--- a/internal/testbed/load/storedtrace_test.go
+++ b/internal/testbed/load/storedtrace_test.go
@@ -8,9 +8,10 @@
 	"time"
 )
 
-// storedTrace is traceOfEveryField, written by the build of commit ad3e0ee.
+// storedTrace is the trace of traceOfEveryField as written by the build of commit ad3e0ee. It guards the stored format.
 const storedTrace = "testdata/trace"
 
+// traceOfEveryField returns a trace in which every field is set in at least one record.
 func traceOfEveryField() *Trace {
 	return &Trace{Source: "daemon", Start: time.Unix(1_700_000_000, 123), Anonymous: true,
 		Jobs: []Job{
--- a/internal/testbed/load/swf.go
+++ b/internal/testbed/load/swf.go
@@ -10,14 +10,14 @@
 	"time"
 )
 
-// The fields of the Standard Workload Format, version 2.2 of the Parallel Workloads Archive, counted from 0. The value -1
-// means unknown.
+// Zero-based field indexes of a job line in the Standard Workload Format, version 2.2, of the Parallel Workloads Archive. The
+// format writes -1 for an unknown value.
 const (
 	swfSubmitTime          = 1 // seconds since the start of the log
 	swfRunTime             = 3 // seconds
 	swfProcessors          = 4
 	swfRequestedProcessors = 7
-	swfRequestedMemory     = 9 // KiB for each processor
+	swfRequestedMemory     = 9 // KiB per processor
 	swfStatus              = 10
 	swfUser                = 11
 	swfApplication         = 13
@@ -26,13 +26,13 @@
 
 const (
 	swfStatusCanceled = 5
-	swfStartTimeLabel = "UnixStartTime:" // in a comment at the head
+	swfStartTimeLabel = "UnixStartTime:" // header comment with the start time
 	kibPerGiB         = 1 << 20
 	maxSWFLineBytes   = 1 << 16
 	maxSWFValue       = 1e12
 )
 
-// SWFError is returned by ReadSWF for a line that is not of the Standard Workload Format.
+// SWFError is returned by ReadSWF for a line that is not in the Standard Workload Format.
 type SWFError struct {
 	Line   int // counted from 1
 	Field  int // counted from 1; zero means the whole line
@@ -41,17 +41,17 @@
 
 func (e *SWFError) Error() string {
 	if e.Field == 0 {
-		return fmt.Sprintf("load: line %d: %s", e.Line, e.Reason)
+		return fmt.Sprintf("load: SWF log, line %d: %s", e.Line, e.Reason)
 	}
-	return fmt.Sprintf("load: line %d, field %d: %s", e.Line, e.Field, e.Reason)
+	return fmt.Sprintf("load: SWF log, line %d, field %d: %s", e.Line, e.Field, e.Reason)
 }
 
-// swfLine is the fields of one job.
+// swfRecord has the fields of one job line, at the indexes above.
 type swfRecord [swfFieldCount]float64
 
-// ReadSWF imports a log of the Standard Workload Format. Its jobs become jobs of the class; the application is the service,
-// the user the tenant. Jobs without a submission time or processors are skipped and counted. For a line of another format it
-// returns an *SWFError.
+// ReadSWF imports a log in the Standard Workload Format. All jobs get the given class, their application becomes the service
+// and their user the tenant. Jobs without a submission time or a number of processors are counted in skipped. ReadSWF returns
+// an *SWFError for a malformed line.
 func ReadSWF(r io.Reader, class string) (t *Trace, skipped int, err error) {
 	t = &Trace{Source: SourceSWF}
 	lines := bufio.NewScanner(r)
@@ -76,13 +76,13 @@
 		}
 	}
 	if err := lines.Err(); err != nil {
-		return nil, 0, fmt.Errorf("load: read log: %w", err)
+		return nil, 0, fmt.Errorf("load: read SWF log: %w", err)
 	}
 	t.sort()
 	return t, skipped, nil
 }
 
-// readSWFComment sets the start of the trace if the comment has it.
+// readSWFComment sets the start of the trace if the comment contains it.
 func (t *Trace) readSWFComment(text string) {
 	_, value, found := strings.Cut(text, swfStartTimeLabel)
 	if !found {
@@ -93,22 +93,24 @@
 	}
 }
 
+// parseSWFRecord parses a job line; number is its line number for errors.
 func parseSWFRecord(number int, text string) (line swfRecord, err error) {
 	fields := strings.Fields(text)
 	if len(fields) != swfFieldCount {
-		return line, &SWFError{Line: number, Reason: fmt.Sprintf("%d fields, expected %d", len(fields), swfFieldCount)}
+		return line, &SWFError{Line: number, Reason: fmt.Sprintf("got %d fields, expected %d", len(fields), swfFieldCount)}
 	}
 	for i, field := range fields {
 		value, err := strconv.ParseFloat(field, 64)
 		if err != nil || math.IsNaN(value) || math.Abs(value) > maxSWFValue {
-			return line, &SWFError{Line: number, Field: i + 1, Reason: fmt.Sprintf("%q is not a number that can be used", field)}
+			return line, &SWFError{Line: number, Field: i + 1,
+				Reason: fmt.Sprintf("got %q, expected a number of magnitude at most %g", field, maxSWFValue)}
 		}
 		line[i] = value
 	}
 	return line, nil
 }
 
-// job returns the job of a line, or false if it has no submission time or no processors.
+// job converts the record to a Job. It returns false if the submission time or the number of processors is unknown.
 func (l *swfRecord) job(class string) (Job, bool) {
 	cores := l[swfProcessors]
 	if cores <= 0 {
--- a/internal/testbed/load/swf_test.go
+++ b/internal/testbed/load/swf_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// swf is a log whose third job has no submission time.
-const swf = `; Version: 2.2
+// swfLog is a log whose third job has no submission time.
+const swfLog = `; Version: 2.2
 ; UnixStartTime: 1000
 1 0 5 60 4 -1 -1 4 -1 1048576 1 7 1 3 1 1 -1 -1
 2 30 5 -1 2 -1 -1 2 -1 -1 5 8 1 -1 1 1 -1 -1
@@ -18,15 +18,15 @@
 `
 
 func TestReadSWFImportsJobs(t *testing.T) {
-	x, skipped, err := ReadSWF(strings.NewReader(swf), "batch")
-	if err != nil || skipped != 1 || len(x.Jobs) != 3 || x.Start.Unix() != 1000 {
-		t.Fatalf("got %+v, %d skipped, error %v; want 3 jobs from 1000 s on, 1 skipped, no error", x, skipped, err)
+	trace, skipped, err := ReadSWF(strings.NewReader(swfLog), "batch")
+	if err != nil || skipped != 1 || len(trace.Jobs) != 3 || trace.Start.Unix() != 1000 {
+		t.Fatalf("got %+v, %d skipped, error %v; want 3 jobs from 1000 s on, 1 skipped, no error", trace, skipped, err)
 	}
 	want := []Job{{At: 0, Class: "batch", Service: "app-3", Tenant: "user-7", Cores: 4, Memory: 4, Runtime: time.Minute},
 		{At: 10 * time.Second, Class: "batch", Service: "app-3", Tenant: "user-7", Cores: 8, Runtime: time.Minute},
 		{At: 30 * time.Second, Class: "batch", Tenant: "user-8", Cores: 2, Censored: true}}
-	if fmt.Sprint(x.Jobs) != fmt.Sprint(want) {
-		t.Errorf("got\n%v\nwant\n%v", x.Jobs, want)
+	if fmt.Sprint(trace.Jobs) != fmt.Sprint(want) {
+		t.Errorf("got\n%v\nwant\n%v", trace.Jobs, want)
 	}
 }
 
@@ -36,8 +36,8 @@
 		line, field int
 	}{
 		{"too few fields", "1 2 3", 1, 0},
-		{"a word", strings.Replace(swf, " 60 ", " sixty ", 1), 3, 4},
-		{"not a number", strings.Replace(swf, " 60 ", " NaN ", 1), 3, 4},
+		{"field is a word", strings.Replace(swfLog, " 60 ", " sixty ", 1), 3, 4},
+		{"field is NaN", strings.Replace(swfLog, " 60 ", " NaN ", 1), 3, 4},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			_, _, err := ReadSWF(strings.NewReader(c.text), "c")
--- a/internal/testbed/load/traceformat.go
+++ b/internal/testbed/load/traceformat.go
@@ -15,57 +15,59 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/load/tracepb"
 )
 
-// Version is the version of the trace format.
+// TraceFormatVersion is the version of the trace file format that this package writes and reads.
 const TraceFormatVersion = 1
 
-// maxRecordBytes limits the size of a record of a trace.
+// maxRecordBytes is the maximum encoded size of a trace record.
 const maxRecordBytes = 1 << 20
 
-// Errors of Read for a trace that was truncated or damaged.
+// Errors that ReadTrace returns for incomplete or corrupt data.
 var (
-	ErrTraceTruncated = errors.New("load: the trace ends before its end")
-	ErrTraceCorrupt   = errors.New("load: the trace is damaged")
+	// ErrTraceTruncated means that the data ends before the tail record.
+	ErrTraceTruncated = errors.New("load: trace truncated: it ends before its tail record")
+	// ErrTraceCorrupt means that the checksum or the number of jobs differs from the tail record, or that data follows it.
+	ErrTraceCorrupt = errors.New("load: trace corrupt: checksum, number of jobs or length does not match its tail record")
 )
 
-// FormatError is returned by Read for data that is not a trace of this version.
+// TraceFormatError is returned by ReadTrace for data that is not a trace of version TraceFormatVersion.
 type TraceFormatError struct {
-	Offset int // of the record in bytes
+	Offset int // position of the invalid record, in bytes from the start of the data
 	Reason string
-	Err    error // of decoding the record; may be nil
+	Err    error // error from decoding the record; may be nil
 }
 
 func (e *TraceFormatError) Error() string {
 	if e.Err != nil {
-		return fmt.Sprintf("load: trace, byte %d: %s: %v", e.Offset, e.Reason, e.Err)
+		return fmt.Sprintf("load: invalid trace record at byte %d: %s: %v", e.Offset, e.Reason, e.Err)
 	}
-	return fmt.Sprintf("load: trace, byte %d: %s", e.Offset, e.Reason)
+	return fmt.Sprintf("load: invalid trace record at byte %d: %s", e.Offset, e.Reason)
 }
 
-// Unwrap returns the error of decoding the record.
+// Unwrap returns the error from decoding the record, or nil.
 func (e *TraceFormatError) Unwrap() error { return e.Err }
 
-// Write writes the trace with its checksum.
+// Write writes the trace as a head record, its gaps, its jobs, and a tail record with the number of jobs and a checksum.
 func (t *Trace) Write(w io.Writer) error {
 	checksum := xxhash.New()
 	buffer := bufio.NewWriter(io.MultiWriter(w, checksum))
-	put := func(r *tracepb.Record) error {
+	writeRecord := func(r *tracepb.Record) error {
 		_, err := protodelim.MarshalTo(buffer, r)
 		return err
 	}
-	err := put(&tracepb.Record{Body: &tracepb.Record_Head{Head: &tracepb.Head{Version: TraceFormatVersion, Source: t.Source,
-		StartUnixNs: t.Start.UnixNano(), Anonymous: t.Anonymous}}})
+	err := writeRecord(&tracepb.Record{Body: &tracepb.Record_Head{Head: &tracepb.Head{Version: TraceFormatVersion,
+		Source: t.Source, StartUnixNs: t.Start.UnixNano(), Anonymous: t.Anonymous}}})
 	for _, g := range t.Gaps {
-		err = errors.Join(err, put(&tracepb.Record{Body: &tracepb.Record_Gap{Gap: &tracepb.Gap{FromNs: int64(g.From),
+		err = errors.Join(err, writeRecord(&tracepb.Record{Body: &tracepb.Record_Gap{Gap: &tracepb.Gap{FromNs: int64(g.From),
 			ToNs: int64(g.To)}}}))
 	}
 	for i := range t.Jobs {
-		err = errors.Join(err, put(&tracepb.Record{Body: &tracepb.Record_Job{Job: jobToProto(&t.Jobs[i])}}))
+		err = errors.Join(err, writeRecord(&tracepb.Record{Body: &tracepb.Record_Job{Job: jobToProto(&t.Jobs[i])}}))
 	}
-	// The checksum covers all before the tail.
+	// The checksum covers everything before the tail record, so the buffer is flushed through the hash first.
 	if err = errors.Join(err, buffer.Flush()); err != nil {
 		return fmt.Errorf("load: write trace: %w", err)
 	}
-	err = put(&tracepb.Record{Body: &tracepb.Record_Tail{Tail: &tracepb.Tail{Jobs: uint64(len(t.Jobs)),
+	err = writeRecord(&tracepb.Record{Body: &tracepb.Record_Tail{Tail: &tracepb.Tail{Jobs: uint64(len(t.Jobs)),
 		Checksum: checksum.Sum64()}}})
 	if err = errors.Join(err, buffer.Flush()); err != nil {
 		return fmt.Errorf("load: write trace: %w", err)
@@ -73,13 +75,14 @@
 	return nil
 }
 
-// Read reads a trace and verifies its checksum. It returns ErrTruncated, ErrChecksum or a FormatError for what it rejects.
+// ReadTrace reads a trace and verifies its checksum. For invalid data it returns ErrTraceTruncated, ErrTraceCorrupt or a
+// *TraceFormatError.
 func ReadTrace(r io.Reader) (*Trace, error) {
-	text, err := io.ReadAll(r)
+	data, err := io.ReadAll(r)
 	if err != nil {
 		return nil, fmt.Errorf("load: read trace: %w", err)
 	}
-	d := &traceDecoder{data: text, remaining: bytes.NewReader(text), trace: &Trace{}}
+	d := &traceDecoder{data: data, remaining: bytes.NewReader(data), trace: &Trace{}}
 	for first := true; !d.done; first = false {
 		if err := d.decodeRecord(first); err != nil {
 			return nil, err
@@ -89,16 +92,16 @@
 	return d.trace, nil
 }
 
-// decoder reads the records of one trace.
+// traceDecoder decodes the records of one trace.
 type traceDecoder struct {
 	data      []byte
 	remaining *bytes.Reader
-	offset    int // of the record that is being read
+	offset    int // position of the current record in data
 	trace     *Trace
-	done      bool // the tail was read
+	done      bool // the tail record has been read
 }
 
-// next reads a record. The head must be the first record, and no other.
+// decodeRecord reads one record and applies it to the trace. The first record must be a head, and no later one may be.
 func (d *traceDecoder) decodeRecord(first bool) error {
 	d.offset = len(d.data) - d.remaining.Len()
 	record := &tracepb.Record{}
@@ -107,9 +110,9 @@
 	case errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF):
 		return ErrTraceTruncated
 	case err != nil:
-		return &TraceFormatError{Offset: d.offset, Reason: "not a record", Err: err}
+		return &TraceFormatError{Offset: d.offset, Reason: "cannot be decoded", Err: err}
 	case first != (record.GetHead() != nil):
-		return d.formatErrorf("the head is not the first record")
+		return d.formatErrorf("expected exactly one head record, at the start")
 	}
 	switch b := record.Body.(type) {
 	case *tracepb.Record_Head:
@@ -122,33 +125,38 @@
 	case *tracepb.Record_Tail:
 		return d.verifyTail(b.Tail)
 	}
-	return d.formatErrorf("a record of an unknown kind")
+	return d.formatErrorf("unknown record type")
 }
 
+// formatErrorf returns a *TraceFormatError for the current record.
 func (d *traceDecoder) formatErrorf(format string, args ...any) error {
 	return &TraceFormatError{Offset: d.offset, Reason: fmt.Sprintf(format, args...)}
 }
 
+// decodeHead checks the version of the trace and sets its source, start and anonymity.
 func (d *traceDecoder) decodeHead(h *tracepb.Head) error {
 	if h.Version != TraceFormatVersion {
-		return d.formatErrorf("a trace of version %d, this build reads %d", h.Version, TraceFormatVersion)
+		return d.formatErrorf("format version %d, expected %d", h.Version, TraceFormatVersion)
 	}
 	d.trace.Source, d.trace.Start, d.trace.Anonymous = h.Source, time.Unix(0, h.StartUnixNs), h.Anonymous
 	return nil
 }
 
+// decodeJob appends a job to the trace if its numbers are valid.
 func (d *traceDecoder) decodeJob(b *tracepb.Job) error {
 	j := jobFromProto(b)
 	if j.At < 0 || j.Runtime < 0 || !isFiniteNonNegative(j.Cores) || !isFiniteNonNegative(j.Memory) {
-		return d.formatErrorf("the job at %v has a number that is negative or not finite", j.At)
+		return d.formatErrorf("job at %v has runtime %v, cores %v and memory %v, expected finite values of at least 0", j.At,
+			j.Runtime, j.Cores, j.Memory)
 	}
 	d.trace.Jobs = append(d.trace.Jobs, j)
 	return nil
 }
 
-// validAmount is false for a NaN as well.
+// isFiniteNonNegative returns false for NaN too, since NaN >= 0 is false.
 func isFiniteNonNegative(x float64) bool { return x >= 0 && !math.IsInf(x, 0) }
 
+// verifyTail compares the checksum and the number of jobs with the data before the tail, and requires that nothing follows it.
 func (d *traceDecoder) verifyTail(b *tracepb.Tail) error {
 	if b.Checksum != xxhash.Sum64(d.data[:d.offset]) || b.Jobs != uint64(len(d.trace.Jobs)) || d.remaining.Len() > 0 {
 		return ErrTraceCorrupt
