--- a/internal/testbed/experiment/execute.go
+++ b/internal/testbed/experiment/execute.go
@@ -12,15 +12,15 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/emulator"
 )
 
-// resultsMode is the mode of a new file of results.
+// resultsFileMode is the permission mode of a new results file.
 const resultsFileMode = 0o644
 
-// Execute executes the runs that the file of results does not have, several at a time, and appends the result of each when it
-// is done, so that an interrupted experiment can be resumed. It returns all runs of the experiment, ordered by design and
-// seed.
+// Execute executes the runs of the experiment that are missing in the results file, with the given number of workers. It appends
+// each result to the file as soon as the run completes, so that an interrupted experiment can be resumed. It returns the results
+// of all runs of the experiment, ordered by design and seed.
 //
-// progress is called after each run with the number of runs that are done and the number of all runs; it is not called
-// concurrently. If a run fails, the others are still executed, and Execute returns the joined errors.
+// Execute calls progress after each run with the number of completed runs and the total number of runs, and never concurrently.
+// If a run fails, the others are still executed, and Execute returns the joined errors.
 func (p *Plan) Execute(ctx context.Context, resultsPath string, workers int, progress func(done, all int)) ([]RunResult, error) {
 	stored, err := readRuns(resultsPath)
 	if err != nil {
@@ -42,14 +42,14 @@
 	return e.runs, nil
 }
 
-// pendingRun is a run that has no result yet.
+// pendingRun is a run without a stored result.
 type pendingRun struct {
-	design int
+	design int // index in Plan.Designs
 	seed   uint64
 }
 
-// split returns the stored runs of this experiment and the runs that are missing. The missing ones are ordered by
-// seed, so that an interrupted experiment has complete pairs.
+// partitionRuns returns the stored results that belong to this experiment, and the runs without one. The missing runs are ordered
+// by seed, so that an interrupted experiment has results of all designs for most seeds, as the paired comparison requires.
 func (p *Plan) partitionRuns(stored []RunResult) (done []RunResult, missing []pendingRun) {
 	byKey := map[runKey]RunResult{}
 	for _, r := range stored {
@@ -68,26 +68,27 @@
 	return done, missing
 }
 
-// execution is one call of Execute.
+// execution is the state of one call of Execute.
 type execution struct {
 	plan     *Plan
 	file     *os.File
 	path     string
 	progress func(done, all int)
 
-	mu   sync.Mutex // guards the fields below, the file and calls of progress
+	mu   sync.Mutex // guards the fields below, writes to file, and calls of progress
 	runs []RunResult
 	errs []error
 }
 
-// executeAll executes runs with a number of workers, and waits for them. It starts no runs after the context has ended.
+// executeAll executes the runs with the given number of workers and waits for them. It starts no run after the context has
+// ended.
 func (e *execution) executeAll(ctx context.Context, runs []pendingRun, workers int) {
 	queue := make(chan pendingRun)
 	var wg sync.WaitGroup
 	for range workers {
 		wg.Go(func() {
 			for r := range queue {
-				e.execute(ctx, r)
+				e.executeRun(ctx, r)
 			}
 		})
 	}
@@ -104,17 +105,18 @@
 	wg.Wait()
 }
 
-// execute executes a run and appends its result.
-func (e *execution) execute(ctx context.Context, r pendingRun) {
+// executeRun executes a run and appends its result to the results file.
+func (e *execution) executeRun(ctx context.Context, r pendingRun) {
 	design := &e.plan.Designs[r.design]
 	report, err := emulator.Run(ctx, e.plan.days[r.design], emulator.Options{Seed: r.seed,
 		MeasureFrom: e.plan.WarmUpSeconds, NewModule: design.moduleFactory()})
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if err != nil {
-		e.errs = append(e.errs, fmt.Errorf("experiment: design %s, seed %d: %w", design.Name, r.seed, err))
+		e.errs = append(e.errs, fmt.Errorf("experiment: emulate design %s with seed %d: %w", design.Name, r.seed, err))
 	} else {
-		run := RunResult{Design: design.Name, Fingerprint: e.plan.fingerprints[r.design], Seed: r.seed, Metrics: metricsOf(report)}
+		run := RunResult{Design: design.Name, Fingerprint: e.plan.fingerprints[r.design], Seed: r.seed,
+			Metrics: metricsOf(report)}
 		if err := writeRun(e.file, &run); err != nil {
 			e.errs = append(e.errs, &ResultsError{Path: e.path, Err: err})
 		}
--- a/internal/testbed/experiment/experiment_test.go
+++ b/internal/testbed/experiment/experiment_test.go
@@ -12,10 +12,12 @@
 	"testing"
 )
 
+// experimentText has three designs with three seeds, which makes nine runs.
 const experimentText = `about: "x"
 seeds: 3
 warmUpSeconds: 1
-designs: [{name: "a", day: "calm"}, {name: "b", day: "calm", load: 2}, {name: "c", day: "calm", lostZone: "room-b", schedulers: 1}]`
+designs: [{name: "a", day: "calm"}, {name: "b", day: "calm", load: 2},
+	{name: "c", day: "calm", lostZone: "room-b", schedulers: 1}]`
 
 func parse(t *testing.T, text string) *Plan {
 	t.Helper()
@@ -26,7 +28,8 @@
 	return p
 }
 
-// execute executes an experiment and returns its runs, and how many of them were not in the file of results.
+// execute executes an experiment and returns the results of all runs, and how many runs were executed because the results file
+// did not have them.
 func execute(t *testing.T, p *Plan, results string, workers int) (runs []RunResult, executed int) {
 	t.Helper()
 	runs, err := p.Execute(context.Background(), results, workers, func(int, int) { executed++ })
@@ -45,7 +48,7 @@
 
 func TestParseReportsInvalidField(t *testing.T) {
 	for _, c := range []struct{ name, from, to, want string }{
-		{"two designs of one name", `name: "b"`, `name: "a"`, `designs[1].name: "a" names two designs`},
+		{"duplicate design name", `name: "b"`, `name: "a"`, `designs[1].name: "a" names two designs`},
 		{"unknown day", `day: "calm", load`, `day: "nowhere", load`, `designs[1].day: no day of that name`},
 		{"unknown zone", `room-b`, `room-z`, `the fleet has no such zone`},
 		{"warm-up longer than the day", `warmUpSeconds: 1`, `warmUpSeconds: 99`, `expected under the 4 s`},
@@ -61,11 +64,11 @@
 	}
 }
 
-// An experiment is the same, with the same fingerprints, under the present names of fields and under those of earlier versions.
-func TestParseReadsPresentAndDeprecatedNames(t *testing.T) {
+// An experiment can be written with the current or the deprecated field names, and has the same designs and fingerprints.
+func TestParseReadsCurrentAndDeprecatedNames(t *testing.T) {
 	want := parse(t, experimentText)
 	if want.WarmUpSeconds != 1 || want.Designs[2].LostZone != "room-b" {
-		t.Errorf("present names: got a warm-up of %v s and lost zone %q, want 1 s and room-b", want.WarmUpSeconds,
+		t.Errorf("current names: got a warm-up of %v s and lost zone %q, want 1 s and room-b", want.WarmUpSeconds,
 			want.Designs[2].LostZone)
 	}
 	got := parse(t, strings.NewReplacer("warmUpSeconds", "warm", "lostZone", "lose").Replace(experimentText))
@@ -75,8 +78,8 @@
 	}
 }
 
-// An interrupted experiment resumes, ignores an incomplete line, executes again what has changed, and has the same statistics
-// as one that was not interrupted.
+// An interrupted experiment can be resumed: an incomplete last line of the results file is ignored, only missing runs and those
+// of changed designs are executed, and the statistics equal those of an uninterrupted experiment.
 func TestInterruptedExperimentResumes(t *testing.T) {
 	p := parse(t, experimentText)
 	dir := t.TempDir()
@@ -89,15 +92,15 @@
 	writeFile(t, interruptedPath, append(bytes.Join(lines[:4], nil), lines[4][:20]...))
 	resumedRuns, executed := execute(t, p, interruptedPath, 3)
 	if executed != 5 {
-		t.Errorf("got %d executed runs after the interruption, want 5", executed)
+		t.Errorf("got %d executed runs after the interruption, want the 5 missing ones", executed)
 	}
 	complete, resumed := p.Summaries(completeRuns), p.Summaries(resumedRuns)
 	if want := len(Metrics) * 3; len(complete) != want || len(resumed) != want {
-		t.Fatalf("got %d and %d rows, want %d each", len(complete), len(resumed), want)
+		t.Fatalf("got %d and %d summaries, want %d each", len(complete), len(resumed), want)
 	}
 	for i := range complete {
 		if resumed[i].Mean != complete[i].Mean || resumed[i].Difference != complete[i].Difference {
-			t.Errorf("got row %+v, want that without interruption, %+v", resumed[i], complete[i])
+			t.Errorf("got summary %+v, want that of the uninterrupted experiment, %+v", resumed[i], complete[i])
 		}
 	}
 	changed := parse(t, strings.Replace(experimentText, "load: 2", "load: 3", 1))
@@ -116,7 +119,7 @@
 	}
 }
 
-// For 5 values of standard deviation 1 the half width is 2.776/sqrt(5) by tables of Student's t-distribution.
+// For 5 values with standard deviation 1 the half width is 2.776/sqrt(5), according to tables of Student's t-distribution.
 func TestEstimateMeanHasConfidenceInterval(t *testing.T) {
 	offset := math.Sqrt(2)
 	got, want := EstimateMean([]float64{5, 5 + offset, 5 - offset, 5, 5}), Estimate{5, 2.776 / math.Sqrt(5)}
@@ -134,13 +137,14 @@
 	}
 }
 
-func TestReportsNameDesignsAndLoadNothing(t *testing.T) {
+// The HTML report escapes the names of designs, contains the plots, and refers to no external resources.
+func TestReportsNameDesignsAndReferToNoResources(t *testing.T) {
 	p := parse(t, strings.Replace(experimentText, `"b"`, `"<b>"`, 1))
 	runs, _ := execute(t, p, filepath.Join(t.TempDir(), "runs"), 2)
-	rows := p.Summaries(runs)
+	summaries := p.Summaries(runs)
 	t.Run("HTML", func(t *testing.T) {
 		var page bytes.Buffer
-		if err := p.WriteHTML(&page, rows); err != nil {
+		if err := p.WriteHTML(&page, summaries); err != nil {
 			t.Fatal(err)
 		}
 		for _, want := range []string{"&lt;b&gt;", "<svg", "wait p99", "overloaded nodes", "</html>"} {
@@ -156,7 +160,7 @@
 	})
 	t.Run("text", func(t *testing.T) {
 		var text bytes.Buffer
-		if err := p.WriteText(&text, rows); err != nil {
+		if err := p.WriteText(&text, summaries); err != nil {
 			t.Fatal(err)
 		}
 		if got := text.String(); !strings.Contains(got, "±") {
--- a/internal/testbed/experiment/plan.go
+++ b/internal/testbed/experiment/plan.go
@@ -1,5 +1,5 @@
-// Package experiment compares designs over seeds: it emulates days, stores the results, and computes statistics and reports.
-// It does not know how a cluster is emulated.
+// Package experiment compares designs, which are variants of a scripted day, over a set of seeds. It emulates each design with
+// each seed, stores the results, and computes statistics and reports from them. The emulation itself is in package emulator.
 package experiment
 
 import (
@@ -20,40 +20,41 @@
 //go:embed schema.cue
 var schema string
 
-// placerModule as Design.Module means the module of this repository. Any other value is a baseline.
+// voteModule is the value of Design.Module for the scheduler module of this repository. Any other value is a baseline.Strategy.
 const voteModule = "vote"
 
-// Design is a variant of a day, the record #Design of the schema.
+// Design is a variant of a scripted day; it is the #Design record of the schema.
 type Design struct {
 	Name       string  `json:"name"`
-	Day        string  `json:"day"`        // name of an embedded day, or a file
+	Day        string  `json:"day"`        // name of an embedded day, or path of a file
 	LostZone   string  `json:"lostZone"`   // zone whose nodes are removed from the fleet; empty means none
-	Module     string  `json:"module"`     // what chooses machines: "vote", which is flaxshelf itself, or a strategy of baseline
-	LoadFactor float64 `json:"load"`       // multiplies the rates of the day's loads
-	Schedulers int     `json:"schedulers"` // replaces the day's number of schedulers; zero means no change
+	Module     string  `json:"module"`     // module that chooses machines: voteModule or a baseline.Strategy
+	LoadFactor float64 `json:"load"`       // factor for the submission rates of the day
+	Schedulers int     `json:"schedulers"` // number of schedulers instead of the day's; zero means no change
 }
 
-// Plan is an experiment, the record #Experiment of the schema. The designs are compared with the first one.
+// Plan describes an experiment; it is the #Experiment record of the schema. The first design is the reference that the others
+// are compared with.
 type Plan struct {
 	Description   string   `json:"about"`
-	SeedCount     int      `json:"seeds"` // number of seeds
-	FirstSeed     int      `json:"first"`
-	WarmUpSeconds float64  `json:"warmUpSeconds"` // time at the start of the day whose submissions are not measured
+	SeedCount     int      `json:"seeds"`         // number of seeds
+	FirstSeed     int      `json:"first"`         // first seed; the others follow consecutively
+	WarmUpSeconds float64  `json:"warmUpSeconds"` // initial time of each day whose submissions are not measured
 	Designs       []Design `json:"designs"`
 
 	days         []*scenario.Day // of each design
-	fingerprints []string        // of each design: stored runs with another fingerprint are of another version of the design
+	fingerprints []string        // of each design; stored results with another one are outdated
 }
 
-// UnknownZoneError is returned for a design without a zone that the fleet does not have, or without the only one.
+// UnknownZoneError is returned if the lost zone of a design is not a zone of the fleet, or is its only zone.
 type UnknownZoneError struct{ Zone string }
 
 func (e *UnknownZoneError) Error() string {
-	return fmt.Sprintf("zone %q: the fleet has no such zone, or no other", e.Zone)
+	return fmt.Sprintf("lost zone %q: the fleet has no such zone or has no other zone", e.Zone)
 }
 
-// Parse reads an experiment from the text of a CUE file, and the days that it names. It returns settings.Problems if the
-// experiment is not valid; name is the file's name in them.
+// Parse parses the text of a CUE file as an experiment and reads the days that it refers to. It returns settings.Problems, which
+// refer to the file by the given name, if the experiment is invalid.
 func Parse(name string, text []byte) (*Plan, error) {
 	file, err := settings.Parse(name, text, "#Experiment", schema)
 	if err != nil {
@@ -87,8 +88,8 @@
 	return p, file.Err()
 }
 
-// fingerprint returns a hash of everything that the results of a design depend on, except the seed. It identifies the design
-// in stored results, so the names in the day are those of stored results.
+// fingerprint returns a hash of everything that the results of a design depend on, except the seed. Stored results refer to the
+// version of a design by it, so it is computed from the day with the names that were in use when results were first stored.
 func fingerprint(day *scenario.Day, warmUpSeconds float64, module string) (string, error) {
 	text, err := json.Marshal([]any{day.WithStoredNames(), warmUpSeconds, module})
 	if err != nil {
@@ -97,7 +98,8 @@
 	return fmt.Sprintf("%016x", xxhash.Sum64(text)), nil
 }
 
-// scenario returns the day of the design. It returns an *UnknownZoneError if the lost zone can't be removed.
+// readDay reads the day of the design and applies the design's changes to it. It returns an *UnknownZoneError if the lost zone
+// cannot be removed.
 func (d *Design) readDay() (*scenario.Day, error) {
 	day, err := scenario.Read(d.Day)
 	if err != nil {
@@ -119,7 +121,8 @@
 	return day, nil
 }
 
-// moduleFactory returns the constructor of the schedulers' modules; nil means the module of this repository.
+// moduleFactory returns a constructor of the scheduler modules. It returns nil for the module of this repository, which is the
+// default of the emulator.
 func (d *Design) moduleFactory() func(cfg flaxshelf.Config, seed uint64) (scheduler.Module, error) {
 	if d.Module == voteModule {
 		return nil
--- a/internal/testbed/experiment/report.go
+++ b/internal/testbed/experiment/report.go
@@ -15,7 +15,7 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// Sizes of a box plot in points.
+// Dimensions of a box plot in points.
 const (
 	boxWidth        = 24
 	plotMargin      = 120
@@ -23,8 +23,8 @@
 	plotHeight      = 240
 )
 
-// Text writes the table for a terminal.
-func (p *Plan) WriteText(w io.Writer, rows []MetricSummary) error {
+// WriteText writes the summaries as a table for a terminal.
+func (p *Plan) WriteText(w io.Writer, summaries []MetricSummary) error {
 	table := tabwriter.NewWriter(w, 0, 8, 2, ' ', 0)
 	writeLine := func(cells ...string) error {
 		_, err := io.WriteString(table, strings.Join(cells, "\t")+"\n")
@@ -35,39 +35,39 @@
 	if err != nil {
 		return err
 	}
-	for _, r := range rows {
+	for _, s := range summaries {
 		difference, differs := "", ""
-		if r.Design != reference {
-			difference, differs = r.Difference.String(), "no"
-			if r.Difference.ExcludesZero() {
+		if s.Design != reference {
+			difference, differs = s.Difference.String(), "no"
+			if s.Difference.ExcludesZero() {
 				differs = "yes"
 			}
 		}
-		if err := writeLine(string(r.Metric), r.Design, r.Mean.String(), difference, differs); err != nil {
+		if err := writeLine(string(s.Metric), s.Design, s.Mean.String(), difference, differs); err != nil {
 			return err
 		}
 	}
 	return table.Flush()
 }
 
-// boxPlot returns an SVG element with a box plot over the seeds of one measure, with a box for each design.
-func boxPlot(measure Metric, rows []MetricSummary) (template.HTML, error) {
+// boxPlot returns an SVG element with a box plot of one metric: one box for each design, over its seeds.
+func boxPlot(metric Metric, summaries []MetricSummary) (template.HTML, error) {
 	fail := func(err error) (template.HTML, error) {
-		return "", fmt.Errorf("experiment: plot %s: %w", measure, err)
+		return "", fmt.Errorf("experiment: plot %s: %w", metric, err)
 	}
 	p := plot.New()
-	p.Title.Text = string(measure)
+	p.Title.Text = string(metric)
 	var designs []string
-	for _, r := range rows {
-		if r.Metric != measure {
+	for _, s := range summaries {
+		if s.Metric != metric {
 			continue
 		}
-		box, err := plotter.NewBoxPlot(vg.Points(boxWidth), float64(len(designs)), plotter.Values(r.Values))
+		box, err := plotter.NewBoxPlot(vg.Points(boxWidth), float64(len(designs)), plotter.Values(s.Values))
 		if err != nil {
 			return fail(err)
 		}
 		p.Add(box)
-		designs = append(designs, r.Design)
+		designs = append(designs, s.Design)
 	}
 	p.NominalX(designs...)
 	canvas := vgsvg.New(vg.Length(plotMargin+plotWidthPerBox*len(designs)), plotHeight)
@@ -76,18 +76,18 @@
 	if _, err := canvas.WriteTo(&document); err != nil {
 		return fail(err)
 	}
-	_, svg, _ := strings.Cut(document.String(), "<svg") // HTML has the element without the head of an XML document
+	_, svg, _ := strings.Cut(document.String(), "<svg") // HTML embeds the element without the XML prolog
 	return template.HTML("<svg" + svg), nil
 }
 
-// pageData is the data of the HTML report.
+// reportData is the data for reportTemplate.
 type reportData struct {
-	Plan  *Plan
-	Rows  []MetricSummary
-	Plots []template.HTML
+	Plan      *Plan
+	Summaries []MetricSummary
+	Plots     []template.HTML
 }
 
-// page is the template of the HTML report. Its data is a pageData.
+// reportTemplate is the template of the HTML report. It is executed with a reportData.
 var reportTemplate = template.Must(template.New("page").Parse(`<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>{{.Plan.Description}}</title>
 <style>body{font:14px sans-serif;max-width:70em;margin:2em auto}table{border-collapse:collapse}
@@ -102,7 +102,7 @@
 {{end}}</table>
 <h2>Figures</h2>
 <table><tr><th>measure</th><th>design</th><th>mean</th><th>against {{(index .Plan.Designs 0).Name}}</th><th>higher on</th></tr>
-{{range .Rows}}<tr><td>{{.Metric}}</td><td>{{.Design}}</td><td>{{.Mean}}</td>
+{{range .Summaries}}<tr><td>{{.Metric}}</td><td>{{.Design}}</td><td>{{.Mean}}</td>
 <td>{{.Difference}}</td><td>{{printf "%.0f" .HigherPercent}}%</td></tr>
 {{end}}</table>
 <h2>Over the seeds</h2>
@@ -110,11 +110,11 @@
 {{end}}</body></html>
 `))
 
-// HTML writes a report as one self-contained page.
-func (p *Plan) WriteHTML(w io.Writer, rows []MetricSummary) error {
-	data := reportData{Plan: p, Rows: rows}
+// WriteHTML writes the summaries and box plots as a self-contained HTML page.
+func (p *Plan) WriteHTML(w io.Writer, summaries []MetricSummary) error {
+	data := reportData{Plan: p, Summaries: summaries}
 	for _, m := range Metrics {
-		box, err := boxPlot(m, rows)
+		box, err := boxPlot(m, summaries)
 		if err != nil {
 			return err
 		}
--- a/internal/testbed/experiment/results.go
+++ b/internal/testbed/experiment/results.go
@@ -12,19 +12,19 @@
 	"os"
 )
 
-// maxResultBytes limits the length of a line of a file of results.
+// maxResultLineBytes is the maximum length of a line in a results file.
 const maxResultLineBytes = 1 << 20
 
-// Run is the result of one seed of one design.
+// RunResult is the result of emulating one design with one seed.
 type RunResult struct {
 	Design      string
-	Fingerprint string // of the design
+	Fingerprint string // fingerprint of the design when it was run
 	Seed        uint64
 	Metrics     map[Metric]float64
 }
 
-// storedRun is a Run as a line of a file of results. Besides the present names it has those of earlier versions, which
-// are written until 0.2.0 and read for as long as such files exist.
+// storedRun is the JSON form of a RunResult, one line of a results file. Besides the current names it has those of earlier
+// versions, which are written until 0.2.0 and read for as long as such files exist.
 type storedRun struct {
 	Design      string `json:"Design"`
 	Fingerprint string `json:"Fingerprint,omitempty"`
@@ -34,7 +34,7 @@
 	Metrics map[Metric]float64 `json:"Measures"`
 }
 
-// newStoredRun returns the line of a run, with both names of what has two.
+// newStoredRun returns the stored form of a result. Renamed fields and metrics are set under their current and deprecated names.
 func newStoredRun(r *RunResult) storedRun {
 	measures := maps.Clone(r.Metrics)
 	if count, ok := measures[OverloadedNodes]; ok {
@@ -43,8 +43,8 @@
 	return storedRun{Design: r.Design, Fingerprint: r.Fingerprint, Mark: r.Fingerprint, Seed: r.Seed, Metrics: measures}
 }
 
-// run returns the run of a line, with present names only.
-func (s *storedRun) run() RunResult {
+// toRunResult returns the result with the current names only.
+func (s *storedRun) toRunResult() RunResult {
 	measures := maps.Clone(s.Metrics)
 	if count, ok := measures[deprecatedOverloadedNodes]; ok {
 		delete(measures, deprecatedOverloadedNodes)
@@ -55,7 +55,7 @@
 	return RunResult{Design: s.Design, Fingerprint: cmp.Or(s.Fingerprint, s.Mark), Seed: s.Seed, Metrics: measures}
 }
 
-// runKey identifies a run among the stored ones.
+// runKey identifies a run among the stored results.
 type runKey struct {
 	design, fingerprint string
 	seed                uint64
@@ -63,25 +63,25 @@
 
 func (r *RunResult) key() runKey { return runKey{r.Design, r.Fingerprint, r.Seed} }
 
-// ResultsError is returned for a file of results that cannot be read or written.
+// ResultsError is returned for a results file that cannot be read or written.
 type ResultsError struct {
 	Path string
-	Line int // counted from 1; zero means the whole file
+	Line int // counted from 1; zero if the error is not in a particular line
 	Err  error
 }
 
 func (e *ResultsError) Error() string {
 	if e.Line == 0 {
-		return fmt.Sprintf("experiment: results: %v", e.Err)
+		return fmt.Sprintf("experiment: results file %s: %v", e.Path, e.Err)
 	}
-	return fmt.Sprintf("experiment: %s, line %d: %v", e.Path, e.Line, e.Err)
+	return fmt.Sprintf("experiment: results file %s, line %d: %v", e.Path, e.Line, e.Err)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *ResultsError) Unwrap() error { return e.Err }
 
-// readRuns reads a file of results. It returns no runs if the file does not exist. It removes an incomplete last line, of an
-// experiment that was interrupted, from the file, so that the next result starts on a line of its own.
+// readRuns reads a results file. It returns no results if the file does not exist. If an interrupted experiment left an
+// incomplete last line, readRuns removes it from the file, so that the next result starts on its own line.
 func readRuns(path string) ([]RunResult, error) {
 	text, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -104,7 +104,7 @@
 		if err := json.Unmarshal(lines.Bytes(), &stored); err != nil {
 			return nil, &ResultsError{Path: path, Line: number, Err: err}
 		}
-		runs = append(runs, stored.run())
+		runs = append(runs, stored.toRunResult())
 	}
 	if err := lines.Err(); err != nil {
 		return nil, &ResultsError{Path: path, Err: err}
@@ -112,7 +112,7 @@
 	return runs, nil
 }
 
-// writeRun appends a run to a file of results.
+// writeRun writes a result as one line.
 func writeRun(w io.Writer, r *RunResult) error {
 	line, err := json.Marshal(newStoredRun(r))
 	if err != nil {
--- a/internal/testbed/experiment/statistics.go
+++ b/internal/testbed/experiment/statistics.go
@@ -8,19 +8,21 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// upperQuantile is the quantile at the upper end of a two-sided interval of 95%.
+// confidenceUpperQuantile is the quantile at the upper end of a two-sided 95% confidence interval.
 const confidenceUpperQuantile = 0.975
 
-// Estimate is a mean with the half width of its 95% confidence interval. The half width is infinite for a single value.
+// Estimate is a mean with the half width of its 95% confidence interval. The half width is infinite if there are fewer than two
+// values.
 type Estimate struct{ Mean, HalfWidth float64 }
 
-// String returns the mean and the half width.
+// String formats the estimate as the mean ± the half width.
 func (e Estimate) String() string { return fmt.Sprintf("%.4g ± %.2g", e.Mean, e.HalfWidth) }
 
-// Differs reports whether the interval does not contain zero.
+// ExcludesZero reports whether the confidence interval does not contain zero.
 func (e Estimate) ExcludesZero() bool { return math.Abs(e.Mean) > e.HalfWidth }
 
-// EstimateMean estimates the mean of the distribution that the values were drawn from, by Student's t-distribution.
+// EstimateMean estimates the mean of the distribution that the values were drawn from. The confidence interval is based on
+// Student's t-distribution.
 func EstimateMean(values []float64) Estimate {
 	if len(values) < 2 {
 		return Estimate{stat.Mean(values, nil), math.Inf(1)}
@@ -30,56 +32,57 @@
 	return Estimate{mean, t * deviation / math.Sqrt(float64(len(values)))}
 }
 
-// Row is the statistics of one measure of one design.
+// MetricSummary has the statistics of one metric of one design over the seeds.
 type MetricSummary struct {
 	Design string
 	Metric Metric
 	Mean   Estimate
-	// Difference is the mean difference to the first design, over pairs of one seed.
+	// Difference is the mean of the paired differences: the value minus that of the reference design with the same seed.
 	Difference Estimate
-	// HigherFraction is the fraction of the seeds for which the value is higher than that of the first design.
+	// HigherFraction is the fraction of the seeds for which the value is higher than that of the reference design.
 	HigherFraction float64
-	// Values has one value for each seed.
+	// Values has one value for each seed for which both this and the reference design have a result.
 	Values []float64
 }
 
-// HigherPercent returns HigherFraction in percent.
+// HigherPercent returns HigherFraction as a percentage. The HTML report uses it.
 func (r MetricSummary) HigherPercent() float64 { return 100 * r.HigherFraction }
 
-// valuesBySeed are the values of one measure of one design.
+// valuesBySeed has the values of one metric of one design, by seed.
 type valuesBySeed map[uint64]float64
 
-// Table returns a row for each measure of each design. Seeds for which a design or the first design has no run are ignored.
+// Summaries returns the statistics of each metric of each design. A seed is ignored for a design if that design or the reference
+// design, which is the first of the plan, has no result for it.
 func (p *Plan) Summaries(runs []RunResult) []MetricSummary {
-	type column struct {
+	type seriesKey struct {
 		design  string
 		measure Metric
 	}
-	values := map[column]valuesBySeed{}
+	values := map[seriesKey]valuesBySeed{}
 	for _, r := range runs {
 		for m, v := range r.Metrics {
-			c := column{r.Design, m}
-			if values[c] == nil {
-				values[c] = valuesBySeed{}
+			key := seriesKey{r.Design, m}
+			if values[key] == nil {
+				values[key] = valuesBySeed{}
 			}
-			values[c][r.Seed] = v
+			values[key][r.Seed] = v
 		}
 	}
-	var rows []MetricSummary
+	var summaries []MetricSummary
 	for _, m := range Metrics {
-		reference := values[column{p.Designs[0].Name, m}]
+		reference := values[seriesKey{p.Designs[0].Name, m}]
 		for _, d := range p.Designs {
-			row := MetricSummary{Design: d.Name, Metric: m}
-			if p.compareWithReference(&row, values[column{d.Name, m}], reference) {
-				rows = append(rows, row)
+			summary := MetricSummary{Design: d.Name, Metric: m}
+			if p.compareWithReference(&summary, values[seriesKey{d.Name, m}], reference) {
+				summaries = append(summaries, summary)
 			}
 		}
 	}
-	return rows
+	return summaries
 }
 
-// compare fills in a row. It returns false if there is no pair of values.
-func (p *Plan) compareWithReference(row *MetricSummary, values, reference valuesBySeed) bool {
+// compareWithReference sets the statistics of a summary. It returns false if no seed has a value of both designs.
+func (p *Plan) compareWithReference(summary *MetricSummary, values, reference valuesBySeed) bool {
 	var differences []float64
 	higher := 0
 	for i := range p.SeedCount {
@@ -89,16 +92,16 @@
 		if !ok || !hasReference {
 			continue
 		}
-		row.Values = append(row.Values, value)
+		summary.Values = append(summary.Values, value)
 		differences = append(differences, value-referenceValue)
 		if value > referenceValue {
 			higher++
 		}
 	}
-	if len(row.Values) == 0 {
+	if len(summary.Values) == 0 {
 		return false
 	}
-	row.Mean, row.Difference = EstimateMean(row.Values), EstimateMean(differences)
-	row.HigherFraction = float64(higher) / float64(len(differences))
+	summary.Mean, summary.Difference = EstimateMean(summary.Values), EstimateMean(differences)
+	summary.HigherFraction = float64(higher) / float64(len(differences))
 	return true
 }
--- a/internal/testbed/experiment/storedresults_test.go
+++ b/internal/testbed/experiment/storedresults_test.go
@@ -12,7 +12,7 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/scenario"
 )
 
-// storedResults are the results of storedExperiment, written by the build of commit ad3e0ee.
+// storedResults has the results of storedExperiment as written by the build of commit ad3e0ee. It guards the stored format.
 const (
 	storedExperiment = "testdata/experiment.cue"
 	storedResults    = "testdata/results.jsonl"
@@ -27,7 +27,7 @@
 	return text
 }
 
-// The results of an earlier build are found by design, fingerprint and seed: nothing is executed, and nothing is written.
+// Results of an earlier build are matched by design, fingerprint and seed, so that no run is executed and nothing is written.
 func TestStoredResultsAreReused(t *testing.T) {
 	stored := readFile(t, storedResults)
 	results := filepath.Join(t.TempDir(), "results")
@@ -37,7 +37,7 @@
 		t.Errorf("got %d executed runs of %d, want 0 of 4", executed, len(runs))
 	}
 	if got := readFile(t, results); !bytes.Equal(got, stored) {
-		t.Errorf("got a file of results with %s,\nwant the stored %s", got, stored)
+		t.Errorf("got a results file with %s,\nwant the stored %s", got, stored)
 	}
 	for _, r := range runs {
 		if r.Design == "" || r.Fingerprint == "" || r.Seed == 0 || len(r.Metrics) != len(Metrics) {
@@ -67,9 +67,10 @@
 	}
 }
 
-// A new result has the present names beside those of earlier versions, and either is read as the same run.
-func TestStoredResultHasPresentAndDeprecatedNames(t *testing.T) {
-	want := RunResult{Design: "a", Fingerprint: "f", Seed: 7, Metrics: map[Metric]float64{PlacedFraction: 0.5, OverloadedNodes: 3}}
+// A new result is stored under the current and the deprecated names. Lines with either or both are read as the same result.
+func TestStoredResultHasCurrentAndDeprecatedNames(t *testing.T) {
+	want := RunResult{Design: "a", Fingerprint: "f", Seed: 7,
+		Metrics: map[Metric]float64{PlacedFraction: 0.5, OverloadedNodes: 3}}
 	var written bytes.Buffer
 	if err := writeRun(&written, &want); err != nil {
 		t.Fatal(err)
@@ -82,7 +83,7 @@
 	for _, c := range []struct{ name, line string }{
 		{"both names", wantLine},
 		{"deprecated names", `{"Design":"a","Mark":"f","Seed":7,"Measures":{"nodes fallen":3,"placed":0.5}}` + "\n"},
-		{"present names", `{"Design":"a","Fingerprint":"f","Seed":7,"Measures":{"overloaded nodes":3,"placed":0.5}}` + "\n"},
+		{"current names", `{"Design":"a","Fingerprint":"f","Seed":7,"Measures":{"overloaded nodes":3,"placed":0.5}}` + "\n"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "results")
@@ -98,8 +99,9 @@
 	}
 }
 
-// Results are found again by their fingerprint, also after a day's file has the current names of the idempotency.
-func TestFingerprintIgnoresWhichNameTheIdempotencyHas(t *testing.T) {
+// The fingerprint is the same whether a day uses the current or the deprecated value for the idempotency of a class, so that
+// stored results are still found after the day is updated.
+func TestFingerprintIsSameForDeprecatedIdempotency(t *testing.T) {
 	fingerprintOf := func(idempotency string) string {
 		t.Helper()
 		day := &scenario.Day{Name: "d", Classes: []settings.Class{{Name: "c", Idempotency: idempotency}}}
@@ -117,6 +119,6 @@
 		}
 	}
 	if fingerprintOf("safe") == fingerprintOf("unsafe") {
-		t.Error("got the same fingerprint of two idempotencies, want two")
+		t.Error("got the same fingerprint for idempotency safe and unsafe, want different ones")
 	}
 }
