--- a/cmd/flaxshelf/plan.go
+++ b/cmd/flaxshelf/plan.go
@@ -127,7 +127,7 @@
 	}
 	std.out.printf(
 		"\nemulated: the goal is met at %.2f and missed at %.2f times the load, by class %s (%.2f%% placed); predicted %.2f; "+
-			"%d emulated days\n", point.Low, point.High, point.Class, 100*point.PlacedFraction, first.LoadMultiple, point.EmulatedDays)
+			"%d emulated days\n", point.Low, point.High, point.Class, 100*point.PlacedFraction, first.LoadMultiple, point.Days)
 	if c.Surge > 0 {
 		std.out.printf("after a surge it is met at %.2f and missed at %.2f times the load\n", afterSurge.Low, afterSurge.High)
 	}
--- a/internal/testbed/plancheck/breakingpoint.go
+++ b/internal/testbed/plancheck/breakingpoint.go
@@ -13,43 +13,43 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/scenario"
 )
 
-// Goal is the service level that a load must get.
+// Goal is the service level that must be reached.
 type Goal struct {
-	MinPlacedFraction float64 // of the submissions of each class
-	WarmupSeconds     float64 // time at the start of the day whose submissions don't count
-	Surge             Surge   // during the warmup; the zero value means none
+	MinPlacedFraction float64 // minimum fraction of the submissions of each class that must be placed
+	WarmupSeconds     float64 // initial time of the day whose submissions are not counted
+	Surge             Surge   // surge at the start of the day, during the warm-up; the zero value means none
 }
 
-// Surge is a higher load at the start of a day. If clients retry, a fleet that handles a load may not recover at the same
-// load after a surge.
+// Surge is a temporary increase of the load at the start of a day. If clients retry, a fleet that can handle a constant load may
+// not recover at that load after a surge.
 type Surge struct {
-	Factor  float64 // multiple of the load
-	Seconds float64 // length
+	Factor  float64 // factor for the submission rates
+	Seconds float64 // duration
 }
 
-// Search is the interval in which a breaking point is searched for, and the precision.
+// SearchOptions has the bounds and the precision of the search for a breaking point.
 type SearchOptions struct {
-	Low, High     float64 // multiples of the load
-	RelativeWidth float64 // width of the resulting interval, relative to its lower bound
-	SeedCount     int     // emulated days for each multiple; the goal is met if their mean meets it
+	Low, High     float64 // bounds, as multiples of the load
+	RelativeWidth float64 // the search ends when the interval is at most this wide, relative to its lower bound
+	SeedCount     int     // number of emulated days per multiple; the goal applies to all their submissions together
 }
 
-// BreakingPoint is the interval of the load in which the goal breaks.
+// BreakingPoint is an interval of the load that contains the highest load at which the goal is met.
 type BreakingPoint struct {
-	Low, High      float64 // the goal is met at Low and missed at High, in multiples of the load
-	EmulatedDays   int     // emulated days
-	Class          string  // that missed the goal at the lowest multiple at which it was missed
-	PlacedFraction float64 // of the submissions of Class at that multiple
+	Low, High      float64 // multiples of the load: the goal is met at Low and missed at High
+	Days           int     // number of emulated days
+	Class          string  // class that missed the goal at High
+	PlacedFraction float64 // fraction of the submissions of Class that were placed at High
 }
 
-// OutOfRangeError is returned for a breaking point outside the bounds of the search.
+// OutOfRangeError is returned if the breaking point is outside the bounds of the search.
 type OutOfRangeError struct {
-	Low, High    float64 // bounds of the search
-	LoadMultiple float64 // the bound beyond which the breaking point is
-	GoalMet      bool    // whether the goal is met at Multiple
+	Low, High    float64 // bounds of the search, as multiples of the load
+	LoadMultiple float64 // the bound that the breaking point is beyond
+	GoalMet      bool    // whether the goal is met at LoadMultiple
 }
 
-// Error names the bound.
+// Error describes the bound that the breaking point is beyond.
 func (e *OutOfRangeError) Error() string {
 	result := "missed"
 	if e.GoalMet {
@@ -59,12 +59,13 @@
 		result, e.LoadMultiple, e.Low, e.High)
 }
 
-// FindBreakingPoint searches by bisection for the multiple of the day's load at which the goal is missed. It returns an
-// *OutOfRangeError, or an error of the emulation, such as that of the context.
+// FindBreakingPoint searches by bisection for the multiple of the day's load above which the goal is missed. It returns an
+// *OutOfRangeError if the goal is missed at the lower bound or met at the upper one; both bounds of the result are then that
+// bound. Errors of the emulation, such as that of the context, are returned too.
 func FindBreakingPoint(ctx context.Context, day *scenario.Day, goal Goal, search SearchOptions) (BreakingPoint, error) {
 	point := BreakingPoint{Low: search.Low, High: search.High}
 	goalMet := func(multiple float64) (bool, error) {
-		point.EmulatedDays += search.SeedCount
+		point.Days += search.SeedCount
 		class, placedFraction, err := worstClass(ctx, day, goal, multiple, search.SeedCount)
 		if err != nil {
 			return false, err
@@ -103,35 +104,37 @@
 	return point, nil
 }
 
-// FindWithSurge searches for the breaking point without the goal's surge, rising, and with it, falling. If the second is
-// lower, the loads between are metastable: the fleet handles them until something overloads it, and then does not recover.
-func FindBreakingPointsWithSurge(ctx context.Context, day *scenario.Day, goal Goal, search SearchOptions) (rising, falling BreakingPoint,
-	err error) {
-	withoutSurge := goal
-	withoutSurge.Surge = Surge{}
-	if rising, err = FindBreakingPoint(ctx, day, withoutSurge, search); err != nil {
-		return rising, falling, fmt.Errorf("rising: %w", err)
+// FindBreakingPointsWithSurge searches for two breaking points: one without the surge of the goal, and one with it. If the second
+// is lower, the fleet is metastable at the loads in between: it handles them until something overloads it, and then does not
+// recover. If the goal is missed after the surge even at the lower bound of the search, afterSurge ranges from 0 to that bound.
+func FindBreakingPointsWithSurge(ctx context.Context, day *scenario.Day, goal Goal, search SearchOptions) (withoutSurge,
+	afterSurge BreakingPoint, err error) {
+	goalWithoutSurge := goal
+	goalWithoutSurge.Surge = Surge{}
+	if withoutSurge, err = FindBreakingPoint(ctx, day, goalWithoutSurge, search); err != nil {
+		return withoutSurge, afterSurge, fmt.Errorf("without the surge: %w", err)
 	}
-	falling, err = FindBreakingPoint(ctx, day, goal, search)
+	afterSurge, err = FindBreakingPoint(ctx, day, goal, search)
 	var outOfRange *OutOfRangeError
-	if errors.As(err, &outOfRange) && outOfRange.LoadMultiple == search.Low { // the fleet does not recover even at the lower bound
-		falling.Low, falling.High = 0, search.Low
-		return rising, falling, nil
+	if errors.As(err, &outOfRange) && outOfRange.LoadMultiple == search.Low {
+		// The goal is missed at the lower bound, so the breaking point is below it.
+		afterSurge.Low, afterSurge.High = 0, search.Low
+		return withoutSurge, afterSurge, nil
 	}
 	if err != nil {
-		return rising, falling, fmt.Errorf("falling: %w", err)
+		return withoutSurge, afterSurge, fmt.Errorf("after the surge: %w", err)
 	}
-	return rising, falling, nil
+	return withoutSurge, afterSurge, nil
 }
 
-// worstClass emulates the day at a multiple of its load, and returns the class with the lowest fraction of placed
-// submissions, and that fraction.
+// worstClass emulates the day at a multiple of its load. It returns the class with the lowest fraction of placed submissions over
+// all seeds, and that fraction.
 func worstClass(ctx context.Context, day *scenario.Day, goal Goal, multiple float64, seeds int) (string, float64, error) {
-	reports, err := emulate(ctx, scaledDay(day, goal.Surge, multiple), goal.WarmupSeconds, seeds)
+	reports, err := emulateSeeds(ctx, scaledDay(day, goal.Surge, multiple), goal.WarmupSeconds, seeds)
 	if err != nil {
 		return "", 0, err
 	}
-	worst, leastFraction, counted := "", 1.0, 0
+	worst, lowestFraction, counted := "", 1.0, 0
 	for i := range reports[0].Classes {
 		placed, submitted := 0, 0
 		for _, report := range reports {
@@ -142,17 +145,17 @@
 		if submitted == 0 {
 			continue
 		}
-		if fraction := float64(placed) / float64(submitted); fraction < leastFraction {
-			worst, leastFraction = reports[0].Classes[i].Class, fraction
+		if fraction := float64(placed) / float64(submitted); fraction < lowestFraction {
+			worst, lowestFraction = reports[0].Classes[i].Class, fraction
 		}
 	}
-	if counted == 0 { // no load at all must not meet a goal
-		return "", 0, fmt.Errorf("plancheck: no submission counts: the load ends before %v s", goal.WarmupSeconds)
+	if counted == 0 { // without submissions the goal would always be met
+		return "", 0, fmt.Errorf("plancheck: no submissions after the warm-up of %v s: the load ends before", goal.WarmupSeconds)
 	}
-	return worst, leastFraction, nil
+	return worst, lowestFraction, nil
 }
 
-// scaledDay returns the day at a multiple of its load, with a surge at its start.
+// scaledDay returns a copy of the day at a multiple of its load, with a surge at its start.
 func scaledDay(day *scenario.Day, surge Surge, multiple float64) *scenario.Day {
 	scaled := *day
 	scaled.Load = slices.Clone(day.Load)
@@ -166,15 +169,15 @@
 	return &scaled
 }
 
-// emulate emulates the day once for each seed, GOMAXPROCS days at a time, and returns their reports in the order of seeds.
-func emulate(ctx context.Context, day *scenario.Day, warmupSeconds float64, seeds int) ([]*emulator.Report, error) {
+// emulateSeeds emulates the day once for each seed, at most GOMAXPROCS days at a time, and returns the reports ordered by seed.
+func emulateSeeds(ctx context.Context, day *scenario.Day, warmupSeconds float64, seeds int) ([]*emulator.Report, error) {
 	reports, errs := make([]*emulator.Report, seeds), make([]error, seeds)
-	slots := make(chan struct{}, runtime.GOMAXPROCS(0))
+	semaphore := make(chan struct{}, runtime.GOMAXPROCS(0))
 	var runs sync.WaitGroup
 	for i := range seeds {
 		runs.Go(func() {
-			slots <- struct{}{}
-			defer func() { <-slots }()
+			semaphore <- struct{}{}
+			defer func() { <-semaphore }()
 			reports[i], errs[i] = emulator.Run(ctx, day,
 				emulator.Options{Seed: uint64(i + 1), MeasureFrom: warmupSeconds})
 		})
--- a/internal/testbed/plancheck/breakingpoint_test.go
+++ b/internal/testbed/plancheck/breakingpoint_test.go
@@ -12,7 +12,7 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/scenario"
 )
 
-// plannedDay returns the base day with replacements.
+// plannedDay returns baseDay with the given replacements of placeholders.
 func plannedDay(t testing.TB, replacements ...string) *scenario.Day {
 	t.Helper()
 	day, err := Case{Replacements: replacements}.Day()
@@ -22,14 +22,14 @@
 	return day
 }
 
-// comparison is a predicted first limit beside the breaking point by emulation.
+// comparison has a predicted first limit and the breaking point that was found by emulation.
 type comparison struct {
 	first     planner.Limit
 	point     BreakingPoint
-	deviation float64 // of the prediction from the middle of the breaking point, as a fraction
+	deviation float64 // of the prediction, relative to the geometric mean of the breaking point
 }
 
-// compare predicts the first limit of a day and searches around it for the load at which 1 job in 100 is not placed.
+// compare predicts the first limit of a day, and searches around it for the load above which over 1% of the jobs are not placed.
 func compare(t *testing.T, day *scenario.Day) comparison {
 	t.Helper()
 	first, _ := planner.FirstLimits(planner.Limits(PlannerInput(day)))
@@ -39,13 +39,13 @@
 		t.Fatalf("got error %v for the predicted limit %v, want a breaking point", err, first)
 	}
 	deviation := first.LoadMultiple/math.Sqrt(point.Low*point.High) - 1
-	t.Logf("%s predicted at %.2f, emulated %.2f to %.2f (%+.0f%%), %d runs", first.Name, first.LoadMultiple, point.Low, point.High,
-		100*deviation, point.EmulatedDays)
+	t.Logf("%s predicted at %.2f, emulated %.2f to %.2f (%+.0f%%), %d days", first.Name, first.LoadMultiple, point.Low,
+		point.High, 100*deviation, point.Days)
 	return comparison{first, point, deviation}
 }
 
-// If each of many schedulers has placed few jobs and nodes hold few, they prefer the same nodes and the prediction is too
-// high; docs/planner.md lists it. This test bounds that error.
+// If there are many schedulers, each has placed few jobs, and nodes hold few jobs, the schedulers prefer the same nodes, and the
+// predicted limit is too high. docs/planner.md documents this error, and this test bounds it.
 func TestOptimisticPredictionIsWithinThirtyPercent(t *testing.T) {
 	got := compare(t, plannedDay(t, "$CORES", "4", "$RATE", "6", "$SCHEDULERS", "16"))
 	if got.deviation < 0 || got.deviation > 0.3 {
@@ -72,31 +72,33 @@
 	}
 }
 
-// Retries prolong a surge: with long patience and slow reviews of offers, the fleet does not recover at a load that it
-// handled before the surge. Without retries both breaking points are within a fifth.
+// Retries prolong an overload: if clients keep retrying for a long time and nodes review offers slowly, the fleet does not
+// recover after a surge at a load that it handled before. Without retries, the surge lowers the breaking point by less than a
+// fifth.
 func TestBreakingPointIsLowerAfterSurgeWithRetries(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		retry time.Duration
-		lower bool
+		name      string
+		retry     time.Duration
+		wantLower bool
 	}{
 		{"no retries", 0, false},
 		{"retries", 1500 * time.Millisecond, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			day := plannedDay(t, "$LOOK", "200ms", "$CORES", "0.05", "$MEMORY", "0.1")
+			day := plannedDay(t, "$REVIEW_TIME", "200ms", "$CORES", "0.05", "$MEMORY", "0.1")
 			day.Seconds, day.After, day.Load[0].To = 60, 5, 60
 			day.Load[0].Retry, day.Load[0].Patience = settings.Duration(c.retry), settings.Duration(30*time.Second)
 			goal := Goal{MinPlacedFraction: 0.98, WarmupSeconds: 40, Surge: Surge{Factor: 6, Seconds: 8}}
-			rising, falling, err := FindBreakingPointsWithSurge(t.Context(), day, goal,
+			withoutSurge, afterSurge, err := FindBreakingPointsWithSurge(t.Context(), day, goal,
 				SearchOptions{Low: 1, High: 3.5, RelativeWidth: 0.08, SeedCount: 1})
-			t.Logf("rising %.2f to %.2f, falling %.2f to %.2f, %v", rising.Low, rising.High, falling.Low, falling.High, err)
+			t.Logf("without surge %.2f to %.2f, after surge %.2f to %.2f, %v", withoutSurge.Low, withoutSurge.High,
+				afterSurge.Low, afterSurge.High, err)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if c.lower != (falling.High < 0.8*rising.Low) {
-				t.Errorf("got a falling breaking point that is lower by a fifth: %v, want %v", !c.lower, c.lower)
+			if c.wantLower != (afterSurge.High < 0.8*withoutSurge.Low) {
+				t.Errorf("got a breaking point after the surge that is lower by a fifth: %v, want %v", !c.wantLower, c.wantLower)
 			}
 		})
 	}
@@ -111,7 +113,8 @@
 		want   OutOfRangeError
 		text   string
 	}{
-		{"above", SearchOptions{Low: 0.1, High: 0.2, SeedCount: 1}, OutOfRangeError{Low: 0.1, High: 0.2, LoadMultiple: 0.2, GoalMet: true},
+		{"above", SearchOptions{Low: 0.1, High: 0.2, SeedCount: 1},
+			OutOfRangeError{Low: 0.1, High: 0.2, LoadMultiple: 0.2, GoalMet: true},
 			"the goal is met at 0.2 times the load"},
 		{"below", SearchOptions{Low: 8, High: 9, SeedCount: 1}, OutOfRangeError{Low: 8, High: 9, LoadMultiple: 8, GoalMet: false},
 			"the goal is missed at 8 times the load"},
--- a/internal/testbed/plancheck/doc.go
+++ b/internal/testbed/plancheck/doc.go
@@ -1,4 +1,4 @@
-// Package plancheck checks the planner's predictions by emulation: it converts a scripted day, or a captured load, into the
-// planner's fleet and load, and searches for the multiple of the load at which a service goal is missed. It must not decide
-// what the limits are. Its functions are safe for concurrent use.
+// Package plancheck checks the predictions of package planner by emulation. It converts a scripted day or a captured trace to the
+// planner's input, and searches by emulation for the multiple of the load at which a service goal is missed. The capacity limits
+// themselves are computed only by package planner. The functions of this package are safe for concurrent use.
 package plancheck
--- a/internal/testbed/plancheck/estimate.go
+++ b/internal/testbed/plancheck/estimate.go
@@ -12,33 +12,34 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/scenario"
 )
 
-// CapturedClass is an estimate of the load of one class from a captured load, with its uncertainty.
+// ClassEstimate is an estimate of the load of one class from a captured trace, with its uncertainty.
 type ClassEstimate struct {
 	planner.Class
-	Jobs             int      // captured jobs
-	CensoredRuntimes int      // jobs whose end was not observed
-	RelativeError    float64  // of the rate and of the mean runtime: two standard errors
+	Jobs             int      // number of captured jobs
+	CensoredRuntimes int      // number of jobs whose runtime is only a lower bound
+	RelativeError    float64  // two relative standard errors, of the rate and the mean runtime combined
 	Warnings         []string // reasons not to trust the estimate
 }
 
-// Thresholds of the warnings.
+// Thresholds for warnings.
 const (
-	minSamples          = 30 // jobs, or ends of jobs
-	maxCensoredFraction = 0.25
-	minMeanRuntimes     = 5 // length of the capture, in mean runtimes
+	minSampleCount          = 30 // minimum number of jobs, and of jobs with an observed end
+	maxCensoredFraction     = 0.25
+	minLengthInMeanRuntimes = 5 // minimum length of the capture, in mean runtimes
 )
 
-// EstimateLoad estimates the load of each class of a captured trace, with the classes and nodes of a day. Gaps of the
-// capture are excluded from its length. The mean runtime is the total runtime of all jobs divided by the number of ends that
-// were observed, which assumes exponential runtimes. EstimateLoad returns an error if the capture is too short or has a
-// class that the day does not have.
+// EstimateLoad estimates the load of each class in a captured trace. Properties of classes and nodes that a trace does not have
+// are those of the day. Gaps in the capture are excluded from its length. The mean runtime is the total runtime of all jobs
+// divided by the number of observed ends, which is the maximum-likelihood estimate for exponential runtimes with censoring.
+// EstimateLoad returns an error if the capture is too short or has a class that the day does not have.
 func EstimateLoad(trace *load.Trace, day *scenario.Day) ([]ClassEstimate, error) {
 	length := trace.Duration()
 	for _, gap := range trace.Gaps {
 		length -= gap.To - gap.From
 	}
 	if length <= 0 || len(trace.Jobs) < 2 {
-		return nil, fmt.Errorf("plancheck: the captured load has %d jobs in %v: too few to plan with", len(trace.Jobs), length)
+		return nil, fmt.Errorf("plancheck: the captured load has %d jobs in %v, expected at least 2 jobs in a time above 0",
+			len(trace.Jobs), length)
 	}
 	jobsByClass := map[string][]load.Job{}
 	for _, job := range trace.Jobs {
@@ -57,10 +58,10 @@
 	return classes, nil
 }
 
-// estimateClass estimates the load of one class from its jobs in a capture of the given length.
+// estimateClass estimates the load of the named class from its jobs in a capture of the given length.
 func estimateClass(day *scenario.Day, name string, jobs []load.Job, length time.Duration) (ClassEstimate, error) {
-	settings := day.Class(name)
-	if settings == nil {
+	classSettings := day.Class(name)
+	if classSettings == nil {
 		return ClassEstimate{}, fmt.Errorf("plancheck: the captured load has class %q, which the day does not have", name)
 	}
 	count := float64(len(jobs))
@@ -69,14 +70,14 @@
 		JobsPerSecond: count / length.Seconds(),
 		CoreUsage:     mean(day.Behaviour.CoreUsageRange),
 		MemoryUsage:   mean(day.Behaviour.MemoryUsageRange),
-		SpreadDomain:  settings.SpreadDomain,
-		MaxPerDomain:  settings.MaxPerDomain,
+		SpreadDomain:  classSettings.SpreadDomain,
+		MaxPerDomain:  classSettings.MaxPerDomain,
 	}}
 	services := map[string]bool{}
 	var runtimes time.Duration
 	for _, job := range jobs {
-		class.Cores += positiveOr(job.Cores, settings.Cores) / count
-		class.Memory += positiveOr(job.Memory, settings.Memory) / count
+		class.Cores += positiveOr(job.Cores, classSettings.Cores) / count
+		class.Memory += positiveOr(job.Memory, classSettings.Memory) / count
 		services[job.Service] = true
 		runtimes += job.Runtime
 		if job.Censored {
@@ -90,17 +91,18 @@
 	return class, nil
 }
 
-// ends returns the number of jobs whose end was observed.
+// observedEnds returns the number of jobs whose end was observed.
 func (c *ClassEstimate) observedEnds() int { return c.Jobs - c.CensoredRuntimes }
 
-// addWarnings adds the reasons not to trust the estimate.
+// addWarnings sets the reasons not to trust the estimate. gaps is the number of gaps in the capture, length its length without
+// them.
 func (c *ClassEstimate) addWarnings(gaps int, length time.Duration) {
 	warn := func(format string, args ...any) { c.Warnings = append(c.Warnings, fmt.Sprintf(format, args...)) }
-	if c.Jobs < minSamples {
-		warn("only %d jobs were captured", c.Jobs)
+	if c.Jobs < minSampleCount {
+		warn("only %d jobs were captured, fewer than %d", c.Jobs, minSampleCount)
 	}
-	if c.observedEnds() < minSamples {
-		warn("only %d runtimes were observed to their end", c.observedEnds())
+	if c.observedEnds() < minSampleCount {
+		warn("only %d jobs were observed to their end, fewer than %d", c.observedEnds(), minSampleCount)
 	}
 	if float64(c.CensoredRuntimes) > maxCensoredFraction*float64(c.Jobs) {
 		warn("%d of %d runtimes are censored; the mean assumes an exponential distribution", c.CensoredRuntimes, c.Jobs)
@@ -108,7 +110,7 @@
 	if gaps > 0 {
 		warn("%d gaps were excluded", gaps)
 	}
-	if length.Seconds() < minMeanRuntimes*c.MeanRuntimeSeconds {
-		warn("only %v were captured, under five mean runtimes: a daily peak is not included", length.Round(time.Second))
+	if length.Seconds() < minLengthInMeanRuntimes*c.MeanRuntimeSeconds {
+		warn("only %v were captured, under five mean runtimes; a daily peak is not included", length.Round(time.Second))
 	}
 }
--- a/internal/testbed/plancheck/estimate_test.go
+++ b/internal/testbed/plancheck/estimate_test.go
@@ -10,7 +10,7 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/load"
 )
 
-// newTrace returns a trace of jobs at 10 a second, of seven services and with a runtime of 3 s; change may change each job.
+// newTrace returns a trace of jobs at 10 per second, of seven services and with a runtime of 3 s. change may modify each job.
 func newTrace(jobs int, change func(i int, job *load.Job)) *load.Trace {
 	trace := &load.Trace{}
 	for i := range jobs {
@@ -24,7 +24,7 @@
 
 func unchanged(int, *load.Job) {}
 
-// estimateClassC estimates the load of a trace, which must be of one class.
+// estimateClassC estimates the load of a trace whose only class is c.
 func estimateClassC(t *testing.T, trace *load.Trace) ClassEstimate {
 	t.Helper()
 	classes, err := EstimateLoad(trace, plannedDay(t))
@@ -37,7 +37,7 @@
 	return classes[0]
 }
 
-// Censored runtimes count as longer than observed, and gaps are excluded.
+// Censored runtimes increase the estimated mean runtime, and gaps are excluded from the length of the capture.
 func TestEstimateHasRateAndRuntimeOfCapturedLoad(t *testing.T) {
 	complete, short := newTrace(1001, unchanged), newTrace(12, unchanged)
 	censored := newTrace(1001, func(i int, job *load.Job) {
@@ -66,7 +66,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			class := estimateClassC(t, c.trace)
 			if got := class.JobsPerSecond; math.Abs(got/c.jobsPerSecond-1) > 0.02 {
-				t.Errorf("got %v jobs a second, want %v", got, c.jobsPerSecond)
+				t.Errorf("got %v jobs per second, want %v", got, c.jobsPerSecond)
 			}
 			if got := class.MeanRuntimeSeconds; math.Abs(got/c.runtimeSeconds-1) > 0.02 {
 				t.Errorf("got a mean runtime of %v s, want %v s", got, c.runtimeSeconds)
--- a/internal/testbed/plancheck/plannerinput.go
+++ b/internal/testbed/plancheck/plannerinput.go
@@ -5,18 +5,19 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/scenario"
 )
 
-// placementsPerSecond is half of the measured throughput of one scheduler with 33 nodes, see docs/results.md.
+// placementsPerSecond is half of the measured throughput of one scheduler with 33 nodes; see docs/results.md.
 const placementsPerSecond = 10000
 
-// Model returns a day's fleet and load in the planner's terms.
+// PlannerInput returns the fleet and the load of a day in the planner's types.
 func PlannerInput(day *scenario.Day) (*planner.Fleet, []planner.Class) {
-	var load []planner.Class
+	var classes []planner.Class
 	for i := range day.Load {
-		load = append(load, plannerClass(day, &day.Load[i]))
+		classes = append(classes, plannerClass(day, &day.Load[i]))
 	}
-	return plannerFleet(day), load
+	return plannerFleet(day), classes
 }
 
+// plannerFleet returns the fleet of a day, with the limits that follow from its rules and the behaviour of its nodes.
 func plannerFleet(day *scenario.Day) *planner.Fleet {
 	behaviour := &day.Behaviour
 	fleet := &planner.Fleet{
@@ -45,7 +46,7 @@
 	return fleet
 }
 
-// classOf returns one stream of a day's load, with the defaults of its class.
+// plannerClass returns one entry of a day's load. Resource requests that it does not set are those of its class.
 func plannerClass(day *scenario.Day, stream *scenario.Load) planner.Class {
 	class := day.Class(stream.Class)
 	return planner.Class{
@@ -62,9 +63,10 @@
 	}
 }
 
+// mean returns the middle of a range.
 func mean(bounds [2]float64) float64 { return (bounds[0] + bounds[1]) / 2 }
 
-// orDefault returns value if it is above zero, and fallback otherwise.
+// positiveOr returns value if it is above zero, and fallback otherwise.
 func positiveOr(value, fallback float64) float64 {
 	if value > 0 {
 		return value
