--- a/cmd/flaxshelf/emulate.go
+++ b/cmd/flaxshelf/emulate.go
@@ -101,7 +101,7 @@
 	case c.Plan != "":
 		return readPlan(c.Plan, c.Seed)
 	case c.Trace != "":
-		return readFile(c.Trace, load.Read)
+		return readFile(c.Trace, load.ReadTrace)
 	}
 	return nil, nil
 }
--- a/internal/testbed/load/send.go
+++ b/internal/testbed/load/send.go
@@ -11,90 +11,91 @@
 )
 
 const (
-	// lateAfter is the delay beyond which a submission counts as late.
-	lateAfter = 10 * time.Millisecond
-	// outcomePollInterval is the interval at which the sender checks for open outcomes.
-	outcomePollInterval = 10 * time.Millisecond
-	// outcomePlaced is the outcome of a placed task in the attributes of a job.
+	// lateThreshold is the delay after the intended time beyond which a submission counts as late.
+	lateThreshold = 10 * time.Millisecond
+	// pendingPollInterval is the interval at which the sender checks whether submissions without an outcome remain.
+	pendingPollInterval = 10 * time.Millisecond
+	// outcomePlaced is the value of drmaa2.AttrOutcome for a placed task.
 	outcomePlaced = "placed"
-	// outcomeUnknown is the key in Result.Outcomes of the submissions whose outcome was not received in time.
+	// outcomeUnknown is the key in SendResult.Outcomes for submissions whose outcome was not received in time.
 	outcomeUnknown = "unknown"
 )
 
-// Options configures Send.
-type Options struct {
-	Session string        // name of the job session, which is created if it does not exist
-	Speed   float64       // multiplies the rate of the load; zero means 1
-	Wait    time.Duration // how long to wait for outcomes after the last submission
-	Prefix  string        // of the idempotency keys; must be unique for each call of Send
+// SendOptions configures Send.
+type SendOptions struct {
+	SessionName    string        // name of the job session, which is created if it does not exist
+	Speed          float64       // factor by which the trace is sent faster; zero or less means 1
+	OutcomeTimeout time.Duration // how long to wait for outcomes after the last submission
+	KeyPrefix      string        // prefix of the idempotency keys; must be unique for each call of Send
 }
 
-// Send sends a load to a scheduler, open-loop: each submission is sent at its time, whatever the state of earlier ones.
-// It returns when all outcomes are known or after Options.Wait. If the context ends, it returns the result so far and the
-// error of the context.
-func Send(ctx context.Context, client *drmaa2.Client, trace *Trace, opt Options) (*Result, error) {
-	session, err := openSession(ctx, client, opt.Session)
+// Send submits the jobs of a trace to a scheduler, open-loop: each is submitted at its intended time, even if earlier
+// submissions have not been answered. Send returns when all outcomes are known, or SendOptions.OutcomeTimeout after the last
+// submission was answered. If the context ends, it returns the result so far and the context's error.
+func Send(ctx context.Context, client *drmaa2.Client, trace *Trace, opt SendOptions) (*SendResult, error) {
+	session, err := openSession(ctx, client, opt.SessionName)
 	if err != nil {
 		return nil, err
 	}
 	return newSender(session).send(ctx, trace.Jobs, opt)
 }
 
+// openSession opens the job session, or creates it if it does not exist.
 func openSession(ctx context.Context, client *drmaa2.Client, name string) (*drmaa2.JobSession, error) {
 	session, err := client.OpenJobSession(ctx, name)
 	if errors.Is(err, drmaa2.ErrInvalidArgument) {
 		session, err = client.CreateJobSession(ctx, name)
 	}
 	if err != nil {
-		return nil, fmt.Errorf("load: session: %w", err)
+		return nil, fmt.Errorf("load: open job session %q: %w", name, err)
 	}
 	return session, nil
 }
 
-// jobSession is the part of a *drmaa2.JobSession that a sender uses.
+// jobSession is the subset of *drmaa2.JobSession that a sender uses.
 type jobSession interface {
 	RunJob(ctx context.Context, template drmaa2.JobTemplate) (*drmaa2.Job, error)
 	Watch(ctx context.Context, handle func(drmaa2.JobInfo) bool) error
 }
 
-// sender sends one load.
+// sender submits the jobs of one trace and collects the result.
 type sender struct {
 	session jobSession
 
-	mu     sync.Mutex // guards the fields below
-	result *Result
-	due    map[string]time.Time // intended times of the submissions without an outcome, by key
+	mu       sync.Mutex // guards the fields below
+	result   *SendResult
+	dueTimes map[string]time.Time // intended times of submissions without an outcome yet, by idempotency key
 }
 
 func newSender(session jobSession) *sender {
 	return &sender{
 		session: session,
-		result: &Result{
-			Answered: NewLatencyHistogram(),
-			Placed:   NewLatencyHistogram(),
-			Errors:   map[string]int{},
-			Outcomes: map[string]int{},
+		result: &SendResult{
+			ResponseLatency:  NewLatencyHistogram(),
+			PlacementLatency: NewLatencyHistogram(),
+			Errors:           map[string]int{},
+			Outcomes:         map[string]int{},
 		},
-		due: map[string]time.Time{},
+		dueTimes: map[string]time.Time{},
 	}
 }
 
-// send sends the jobs and returns the result as Send does.
-func (s *sender) send(ctx context.Context, jobs []Job, opt Options) (*Result, error) {
+// send submits the jobs; see Send.
+func (s *sender) send(ctx context.Context, jobs []Job, opt SendOptions) (*SendResult, error) {
 	stopWatching := s.watch(ctx)
 	defer stopWatching()
 	s.submitAll(ctx, jobs, opt)
-	s.awaitOutcomes(ctx, opt.Wait)
+	s.awaitOutcomes(ctx, opt.OutcomeTimeout)
 	return s.result, ctx.Err()
 }
 
-// watch records outcomes until the function that it returns is called; that function waits for the watch to end.
+// watch starts to record outcomes in the background. The returned function ends this and waits until the watch has stopped.
 func (s *sender) watch(ctx context.Context) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		// After an error of the watch outcomes remain open; the result counts them as unknown.
+		// If the watch fails, the remaining outcomes are not received, and the result counts them as unknown.
 		_ = s.session.Watch(ctx, func(info drmaa2.JobInfo) bool { s.recordOutcome(&info); return true })
 	}()
 	return func() {
@@ -103,8 +104,9 @@
 	}
 }
 
-// submitAll submits each job at its time and waits for the answers.
-func (s *sender) submitAll(ctx context.Context, jobs []Job, opt Options) {
+// submitAll submits each job at its intended time and waits until all submissions are answered. It stops submitting when the
+// context ends.
+func (s *sender) submitAll(ctx context.Context, jobs []Job, opt SendOptions) {
 	speed := opt.Speed
 	if speed <= 0 {
 		speed = 1
@@ -117,12 +119,12 @@
 		if !waitUntil(ctx, due) {
 			return
 		}
-		key := fmt.Sprintf("%s-%d", opt.Prefix, i)
+		key := fmt.Sprintf("%s-%d", opt.KeyPrefix, i)
 		wg.Go(func() { s.submit(ctx, &jobs[i], key, due) })
 	}
 }
 
-// waitUntil returns false if the context ends first.
+// waitUntil waits until the given time. It returns false if the context ends first.
 func waitUntil(ctx context.Context, due time.Time) bool {
 	if wait := time.Until(due); wait > 0 {
 		select {
@@ -133,24 +135,24 @@
 	return ctx.Err() == nil
 }
 
-// submit submits a job and records the answer.
+// submit submits a job, and records the response latency and any error.
 func (s *sender) submit(ctx context.Context, job *Job, key string, due time.Time) {
 	s.mu.Lock()
 	s.result.Sent++
-	if time.Since(due) > lateAfter {
+	if time.Since(due) > lateThreshold {
 		s.result.Late++
 	}
-	s.due[key] = due
+	s.dueTimes[key] = due
 	s.mu.Unlock()
 	_, err := s.session.RunJob(ctx, drmaa2.JobTemplate{RemoteCommand: "load", JobCategory: job.Class, AccountingID: job.Tenant,
-		ImplementationSpecific: attributes(job, key)})
-	s.result.Answered.Record(time.Since(due))
+		ImplementationSpecific: jobAttributes(job, key)})
+	s.result.ResponseLatency.Record(time.Since(due))
 	if err == nil {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.due, key)
+	delete(s.dueTimes, key)
 	var drmaaErr *drmaa2.Error
 	if errors.As(err, &drmaaErr) {
 		s.result.Errors[string(drmaaErr.Code)]++
@@ -159,25 +161,26 @@
 	}
 }
 
-// attributes returns the implementation-specific attributes of a job's template.
-func attributes(job *Job, key string) map[string]string {
-	all := map[string]string{drmaa2.AttrKey: key}
+// jobAttributes returns the implementation-specific attributes of a job's template. Attributes that the job does not set are
+// omitted.
+func jobAttributes(job *Job, key string) map[string]string {
+	attributes := map[string]string{drmaa2.AttrKey: key}
 	if job.Service != "" {
-		all[drmaa2.AttrService] = job.Service
+		attributes[drmaa2.AttrService] = job.Service
 	}
 	if job.Runtime > 0 {
-		all[drmaa2.AttrExpectedRuntime] = job.Runtime.String()
+		attributes[drmaa2.AttrExpectedRuntime] = job.Runtime.String()
 	}
 	if job.Cores > 0 {
-		all[drmaa2.AttrCores] = fmt.Sprint(job.Cores)
+		attributes[drmaa2.AttrCores] = fmt.Sprint(job.Cores)
 	}
 	if job.Memory > 0 {
-		all[drmaa2.AttrMemory] = fmt.Sprint(job.Memory)
+		attributes[drmaa2.AttrMemory] = fmt.Sprint(job.Memory)
 	}
-	return all
+	return attributes
 }
 
-// recordOutcome records the first outcome of a submission.
+// recordOutcome counts the first outcome of each submission, and records the placement latency if the task was placed.
 func (s *sender) recordOutcome(info *drmaa2.JobInfo) {
 	key, outcome := info.ImplementationSpecific[drmaa2.AttrKey], info.ImplementationSpecific[drmaa2.AttrOutcome]
 	if outcome == "" {
@@ -186,36 +189,36 @@
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	due, open := s.due[key]
+	due, open := s.dueTimes[key]
 	if !open {
 		return
 	}
-	delete(s.due, key)
+	delete(s.dueTimes, key)
 	s.result.Outcomes[outcome]++
 	if outcome == outcomePlaced {
-		s.result.Placed.Record(now.Sub(due))
+		s.result.PlacementLatency.Record(now.Sub(due))
 	}
 }
 
-// awaitOutcomes waits for the open outcomes, at most for the given time, and counts the rest as unknown.
+// awaitOutcomes waits at most for the given time for outcomes that are still missing, and counts the rest as unknown.
 func (s *sender) awaitOutcomes(ctx context.Context, wait time.Duration) {
 	deadline := time.Now().Add(wait)
-	for s.open() > 0 && time.Now().Before(deadline) && ctx.Err() == nil {
+	for s.pendingCount() > 0 && time.Now().Before(deadline) && ctx.Err() == nil {
 		select {
-		case <-time.After(outcomePollInterval):
+		case <-time.After(pendingPollInterval):
 		case <-ctx.Done():
 		}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if open := len(s.due); open > 0 {
+	if open := len(s.dueTimes); open > 0 {
 		s.result.Outcomes[outcomeUnknown] = open
 	}
 }
 
-// open returns how many submissions have no outcome yet.
-func (s *sender) open() int {
+// pendingCount returns the number of accepted or unanswered submissions without an outcome.
+func (s *sender) pendingCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.due)
+	return len(s.dueTimes)
 }
--- a/internal/testbed/plancheck/model.go
+++ b/internal/testbed/plancheck/plannerinput.go
@@ -5,19 +5,20 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/scenario"
 )
 
-// placementsPerSecond is half of the measured throughput of one scheduler with 33 nodes, see docs/results.md.
+// placementsPerSecond is half of the measured throughput of one scheduler with 33 nodes; see docs/results.md.
 const placementsPerSecond = 10000
 
-// Model returns a day's fleet and load in the planner's terms.
-func Model(day *scenario.Day) (*planner.Fleet, []planner.Class) {
-	var load []planner.Class
+// PlannerInput returns the fleet and the load of a day in the planner's types.
+func PlannerInput(day *scenario.Day) (*planner.Fleet, []planner.Class) {
+	var classes []planner.Class
 	for i := range day.Loads {
-		load = append(load, classOf(day, &day.Loads[i]))
+		classes = append(classes, plannerClass(day, &day.Loads[i]))
 	}
-	return fleetOf(day), load
+	return plannerFleet(day), classes
 }
 
-func fleetOf(day *scenario.Day) *planner.Fleet {
+// plannerFleet returns the fleet of a day, with the limits that follow from its rules and the behaviour of its nodes.
+func plannerFleet(day *scenario.Day) *planner.Fleet {
 	behaviour := &day.Behaviour
 	fleet := &planner.Fleet{
 		Schedulers:            day.Schedulers,
@@ -45,15 +46,15 @@
 	return fleet
 }
 
-// classOf returns one stream of a day's load, with the defaults of its class.
-func classOf(day *scenario.Day, stream *scenario.Load) planner.Class {
+// plannerClass returns one entry of a day's load. Resource requests that it does not set are those of its class.
+func plannerClass(day *scenario.Day, stream *scenario.Load) planner.Class {
 	class := day.Class(stream.Class)
 	return planner.Class{
 		Name:               stream.Class,
 		JobsPerSecond:      stream.PerSecond,
 		MeanRuntimeSeconds: (stream.RuntimeBounds[0].Duration() + stream.RuntimeBounds[1].Duration()).Seconds() / 2,
-		Cores:              orDefault(stream.Cores, class.Cores),
-		Memory:             orDefault(stream.Memory, class.Memory),
+		Cores:              positiveOr(stream.Cores, class.Cores),
+		Memory:             positiveOr(stream.Memory, class.Memory),
 		CoreUsage:          mean(day.Behaviour.CoreUsageRange),
 		MemoryUsage:        mean(day.Behaviour.MemoryUsageRange),
 		Services:           stream.Services,
@@ -62,10 +63,11 @@
 	}
 }
 
+// mean returns the middle of a range.
 func mean(bounds [2]float64) float64 { return (bounds[0] + bounds[1]) / 2 }
 
-// orDefault returns value if it is above zero, and fallback otherwise.
-func orDefault(value, fallback float64) float64 {
+// positiveOr returns value if it is above zero, and fallback otherwise.
+func positiveOr(value, fallback float64) float64 {
 	if value > 0 {
 		return value
 	}
--- a/internal/testbed/trial/plan_test.go
+++ b/internal/testbed/trial/plan_test.go
@@ -27,7 +27,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				firstLimit, _ := planner.FirstLimits(planner.Limits(plancheck.Model(day)))
+				firstLimit, _ := planner.FirstLimits(planner.Limits(plancheck.PlannerInput(day)))
 				day.Loads[0].PerSecond *= firstLimit.LoadMultiple * limitFraction
 				day.Name = c.Name
 				report, err := emulator.Run(context.Background(), day, emulator.Options{Seed: 1})
