--- a/choices_test.go
+++ b/choices_test.go
@@ -71,7 +71,7 @@
 func TestChoicesEqualPlainScans(t *testing.T) {
 	coverage, events := flaxshelf.ChoiceCoverage{}, 0
 	rapid.Check(t, func(t *rapid.T) {
-		cfg := worlds.Config(func(limit int, name string) int { return rapid.IntRange(0, limit).Draw(t, name) })
+		cfg := worlds.DrawConfig(func(limit int, name string) int { return rapid.IntRange(0, limit).Draw(t, name) })
 		seed := rapid.Uint64().Draw(t, "seed")
 		placer, err := flaxshelf.NewChecked(cfg, seed)
 		if err != nil {
@@ -85,7 +85,7 @@
 			}
 			return actions
 		}
-		worlds.New(cfg, rand.New(rand.NewPCG(seed, 0))).Play(stepsPerWorld, step)
+		worlds.New(cfg, rand.New(rand.NewPCG(seed, 0))).Run(stepsPerWorld, step)
 		coverage.Add(placer.Coverage())
 	})
 	t.Logf("%d events in all worlds", events)
@@ -101,7 +101,7 @@
 
 // Compares each choice on the emulator's scripted days with linear scans over the Placer's records.
 func TestChoicesOfDaysEqualPlainScans(t *testing.T) {
-	for _, name := range ablation.Days() {
+	for _, name := range ablation.EmulatedDays() {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			day, err := scenario.Read(name)
--- a/cmd/flaxshelf/emulate.go
+++ b/cmd/flaxshelf/emulate.go
@@ -74,7 +74,7 @@
 	}
 	elapsed := time.Since(start).Seconds()
 	std.out.printf("%s, seed %d, emulated\n%s%.2f s of wall time, %.1f simulated seconds per second\n",
-		day.Name, c.Seed, report, elapsed, report.Seconds/elapsed)
+		day.Name, c.Seed, report, elapsed, report.SimulatedSeconds/elapsed)
 	return nil
 }
 
--- a/internal/replay/recorded_test.go
+++ b/internal/replay/recorded_test.go
@@ -116,18 +116,18 @@
 // updateWorld writes the recording of the random world with the seed world.
 func updateWorld(world uint64) error {
 	random := rand.New(rand.NewPCG(world, 1))
-	cfg := worlds.Config(func(limit int, _ string) int { return random.IntN(limit + 1) })
+	cfg := worlds.DrawConfig(func(limit int, _ string) int { return random.IntN(limit + 1) })
 	module, err := newRecordedModule(cfg, world, recordedWorldSteps)
 	if err != nil {
 		return err
 	}
-	worlds.New(cfg, random).Play(recordedWorldSteps, module.Step)
+	worlds.New(cfg, random).Run(recordedWorldSteps, module.Step)
 	return writeCompressed(worldFile(world), module.write)
 }
 
 // updateDaysAndWorlds writes the recordings of all days that the emulator runs, and of all worlds.
 func updateDaysAndWorlds() error {
-	for _, day := range ablation.Days() {
+	for _, day := range ablation.EmulatedDays() {
 		if err := updateDay(day); err != nil {
 			return err
 		}
@@ -154,7 +154,7 @@
 }
 
 func TestRecordedDaysAreReplayed(t *testing.T) {
-	for _, day := range ablation.Days() {
+	for _, day := range ablation.EmulatedDays() {
 		t.Run(day, func(t *testing.T) {
 			paths, err := filepath.Glob(strings.Replace(dayFile(day, 0), "-0.", "-[0-9].", 1))
 			if err != nil {
@@ -173,7 +173,7 @@
 
 // The days that the emulator cannot run have connection faults, which need sockets.
 func TestRecordedSocketDaysAreReplayed(t *testing.T) {
-	emulated := ablation.Days()
+	emulated := ablation.EmulatedDays()
 	for _, day := range scenario.Names() {
 		if slices.Contains(emulated, day) {
 			continue
--- a/internal/testbed/ablation/ablation.go
+++ b/internal/testbed/ablation/ablation.go
@@ -19,9 +19,9 @@
 type HardConstraint struct {
 	Constraint flaxshelf.PolicyRule
 	// Guards are those of the scheduler core that enforce the same rule once more: with them enabled, no rule is broken.
-	Guards scheduler.Guards
-	Day    string
-	Rule   int // index in a verdict
+	Guards    scheduler.Guards
+	Day       string
+	RuleIndex int // index in a verdict
 }
 
 // HardConstraints lists the hard constraints that a rule depends on.
@@ -30,22 +30,22 @@
 		Constraint: flaxshelf.DrainConstraint,
 		Guards:     scheduler.Guards{Drain: true},
 		Day:        "shrink",
-		Rule:       rules.DrainRespected,
+		RuleIndex:  rules.DrainRespected,
 	},
-	{Constraint: flaxshelf.RetrySafetyConstraint, Day: "class-silence", Rule: rules.NoDuplicateStart},
-	{Constraint: flaxshelf.SpreadConstraint, Day: "hot-service", Rule: rules.SpreadRespected},
-	{Constraint: flaxshelf.SlowStartConstraint, Day: "mass-restart", Rule: rules.SlowStartRespected},
+	{Constraint: flaxshelf.RetrySafetyConstraint, Day: "class-silence", RuleIndex: rules.NoDuplicateStart},
+	{Constraint: flaxshelf.SpreadConstraint, Day: "hot-service", RuleIndex: rules.SpreadRespected},
+	{Constraint: flaxshelf.SlowStartConstraint, Day: "mass-restart", RuleIndex: rules.SlowStartRespected},
 	{
 		Constraint: flaxshelf.AnswerDeadlineConstraint,
 		Guards:     scheduler.Guards{PlacementDeadline: true},
 		Day:        "hot-service",
-		Rule:       rules.OneOutcome,
+		RuleIndex:  rules.OneOutcome,
 	},
 }
 
-// Days returns the names of the days that the emulator plays in full. The others have faults of connections, which only
-// trials on sockets can have.
-func Days() []string {
+// EmulatedDays returns the names of the scripted days that the emulator supports. The others have connection faults, which
+// only trials on sockets can inject.
+func EmulatedDays() []string {
 	var names []string
 	for _, name := range scenario.Names() {
 		switch name {
@@ -57,8 +57,8 @@
 	return names
 }
 
-// Options returns options that disable guards and constraints in every scheduler of a day.
-func Options(seed uint64, guards scheduler.Guards, disabled ...flaxshelf.PolicyRule) emulator.Options {
+// EmulatorOptions returns options that disable the given guards and constraints in every scheduler of a day.
+func EmulatorOptions(seed uint64, guards scheduler.Guards, disabled ...flaxshelf.PolicyRule) emulator.Options {
 	return emulator.Options{
 		Seed:          seed,
 		ConfigureCore: func(c *scheduler.Config) { c.DisabledGuards = guards },
@@ -73,8 +73,8 @@
 	}
 }
 
-// BrokenRules plays a day and returns which rules it breaks, by index in a verdict.
-func BrokenRules(ctx context.Context, day string, opt emulator.Options) ([]bool, *emulator.Report, error) {
+// ViolatedRules emulates a day. Element i of the result reports whether rule i of the verdict was violated.
+func ViolatedRules(ctx context.Context, day string, opt emulator.Options) ([]bool, *emulator.Report, error) {
 	d, err := scenario.Read(day)
 	if err != nil {
 		return nil, nil, err
@@ -92,24 +92,24 @@
 
 // MeasureDay plays a day with constraints disabled, over the seeds from 1 on, and returns the outcome of each. It plays
 // as many at a time as there are processors.
-func MeasureDay(ctx context.Context, day string, seeds int, disabled ...flaxshelf.PolicyRule) ([]Outcome, error) {
+func MeasureDay(ctx context.Context, day string, seeds int, disabled ...flaxshelf.PolicyRule) ([]Result, error) {
 	d, err := scenario.Read(day)
 	if err != nil {
 		return nil, err
 	}
-	outcomes, errs := make([]Outcome, seeds), make([]error, seeds)
+	outcomes, errs := make([]Result, seeds), make([]error, seeds)
 	slots := make(chan struct{}, runtime.GOMAXPROCS(0))
 	var wg sync.WaitGroup
 	for i := range seeds {
 		slots <- struct{}{}
 		wg.Go(func() {
 			defer func() { <-slots }()
-			report, err := emulator.Run(ctx, d, Options(uint64(i+1), scheduler.Guards{}, disabled...))
+			report, err := emulator.Run(ctx, d, EmulatorOptions(uint64(i+1), scheduler.Guards{}, disabled...))
 			if err != nil {
 				errs[i] = err
 				return
 			}
-			outcomes[i] = OutcomeOf(d, report)
+			outcomes[i] = NewResult(d, report)
 		})
 	}
 	wg.Wait()
--- a/internal/testbed/ablation/ablation_test.go
+++ b/internal/testbed/ablation/ablation_test.go
@@ -22,14 +22,14 @@
 		t.Run(h.Constraint.String(), func(t *testing.T) {
 			t.Parallel()
 			play := func(guards scheduler.Guards, disabled ...flaxshelf.PolicyRule) []bool {
-				broken, _, err := BrokenRules(context.Background(), h.Day, Options(hardConstraintSeed, guards, disabled...))
+				broken, _, err := ViolatedRules(context.Background(), h.Day, EmulatorOptions(hardConstraintSeed, guards, disabled...))
 				if err != nil {
 					t.Fatal(err)
 				}
 				return broken
 			}
-			if !play(h.Guards, h.Constraint)[h.Rule] {
-				t.Errorf("%s does not break rule %d without the constraint: it proves nothing", h.Day, h.Rule+1)
+			if !play(h.Guards, h.Constraint)[h.RuleIndex] {
+				t.Errorf("%s does not break rule %d without the constraint: it proves nothing", h.Day, h.RuleIndex+1)
 			}
 			for i, broken := range play(h.Guards) {
 				if broken {
@@ -37,8 +37,8 @@
 				}
 			}
 			if h.Guards != (scheduler.Guards{}) {
-				if play(scheduler.Guards{}, h.Constraint)[h.Rule] {
-					t.Errorf("%s breaks rule %d though the core guards it", h.Day, h.Rule+1)
+				if play(scheduler.Guards{}, h.Constraint)[h.RuleIndex] {
+					t.Errorf("%s breaks rule %d though the core guards it", h.Day, h.RuleIndex+1)
 				}
 			}
 		})
@@ -62,7 +62,7 @@
 	if _, err := fmt.Sscan(os.Getenv(seedsVariable), &seeds); err != nil {
 		t.Skipf("set %s to a number of seeds to run it", seedsVariable)
 	}
-	days := Days()
+	days := EmulatedDays()
 	if names := os.Getenv(daysVariable); names != "" {
 		days = strings.Fields(names)
 	}
@@ -86,7 +86,7 @@
 
 func hardCell(t *testing.T, h *HardConstraint, day string) string {
 	t.Helper()
-	brokenRules, report, err := BrokenRules(context.Background(), day, Options(hardConstraintSeed, h.Guards, h.Constraint))
+	brokenRules, report, err := ViolatedRules(context.Background(), day, EmulatorOptions(hardConstraintSeed, h.Guards, h.Constraint))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -96,8 +96,8 @@
 			cell += fmt.Sprintf(" %d", i+1)
 		}
 	}
-	if report.Overloaded > 0 && h.Rule == rules.SlowStartRespected {
-		cell += fmt.Sprintf(" (%d fell)", report.Overloaded)
+	if report.OverloadCrashes > 0 && h.RuleIndex == rules.SlowStartRespected {
+		cell += fmt.Sprintf(" (%d fell)", report.OverloadCrashes)
 	}
 	return cell
 }
@@ -105,7 +105,7 @@
 // softTable has a row for each soft constraint, with the days on which disabling it costs or gains something.
 func softTable(t *testing.T, days []string, seeds int) string {
 	t.Helper()
-	with := map[string][]Outcome{}
+	with := map[string][]Result{}
 	for _, day := range days {
 		with[day] = measureDay(t, day, seeds)
 	}
@@ -117,10 +117,10 @@
 		var costs, gains []string
 		for _, day := range days {
 			loss := Compare(with[day], measureDay(t, day, seeds, c))
-			if loss.Costs() {
+			if loss.HasSignificantCost() {
 				costs = append(costs, day+": "+loss.String())
 			}
-			if loss.Gains() {
+			if loss.HasSignificantGain() {
 				gains = append(gains, day+": "+loss.String())
 			}
 		}
@@ -130,7 +130,7 @@
 	return table.String()
 }
 
-func measureDay(t *testing.T, day string, seeds int, disabled ...flaxshelf.PolicyRule) []Outcome {
+func measureDay(t *testing.T, day string, seeds int, disabled ...flaxshelf.PolicyRule) []Result {
 	t.Helper()
 	outcomes, err := MeasureDay(context.Background(), day, seeds, disabled...)
 	if err != nil {
--- a/internal/testbed/ablation/compare.go
+++ b/internal/testbed/ablation/compare.go
@@ -8,18 +8,18 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/scenario"
 )
 
-// Outcome is the outcome of one play of a day.
-type Outcome struct {
-	// EarnedShare is the share of the priority weight of all submissions that was earned. A task that starts after its
-	// latency objective earns its class's weight for late starts.
-	EarnedShare float64
+// Result summarizes one emulation of a day.
+type Result struct {
+	// EarnedFraction is the earned fraction of the priority weight of all submissions. A submission that is placed within the
+	// latency objective of its class earns the class's priority weight, a later one the weight for late starts.
+	EarnedFraction float64
 	// P50 and P99 are percentiles of the time to the first placement in seconds.
 	P50 float64
 	P99 float64
 }
 
-// OutcomeOf returns the outcome of a play from its report. It merges the report's histograms.
-func OutcomeOf(d *scenario.Day, r *emulator.Report) Outcome {
+// NewResult computes the result of an emulation from its report. It merges the report's histograms.
+func NewResult(d *scenario.Day, r *emulator.Report) Result {
 	var earned, all float64
 	for _, c := range r.Classes {
 		weight, lateWeight := 1.0, 0.0
@@ -27,42 +27,44 @@
 			weight, lateWeight = class.PriorityWeight, class.LateStartWeight
 		}
 		all += weight * float64(c.Submitted)
-		earned += weight * (float64(c.InTime) + lateWeight*float64(c.Placed-c.InTime))
+		earned += weight * (float64(c.WithinObjective) + lateWeight*float64(c.Placed-c.WithinObjective))
 	}
-	var o Outcome
+	var o Result
 	o.P50, o.P99 = experiment.WaitPercentiles(r)
 	if all > 0 {
-		o.EarnedShare = earned / all
+		o.EarnedFraction = earned / all
 	}
 	return o
 }
 
 // Loss is what disabling constraints costs, over pairs of one seed.
 type Loss struct {
-	EarnedShare experiment.Estimate
-	P99         experiment.Estimate // in seconds
+	EarnedFraction experiment.Estimate
+	P99            experiment.Estimate // in seconds
 }
 
-// Costs reports whether it costs earned share or time beyond the 95% interval.
-func (l Loss) Costs() bool {
-	return l.EarnedShare.Mean > l.EarnedShare.HalfWidth || l.P99.Mean > l.P99.HalfWidth
+// HasSignificantCost reports whether disabling the constraints lowers the earned fraction or raises the p99 wait by more than
+// the 95% confidence interval.
+func (l Loss) HasSignificantCost() bool {
+	return l.EarnedFraction.Mean > l.EarnedFraction.HalfWidth || l.P99.Mean > l.P99.HalfWidth
 }
 
-// Gains reports whether it gains earned share beyond the 95% interval: the constraints do harm there.
-func (l Loss) Gains() bool { return -l.EarnedShare.Mean > l.EarnedShare.HalfWidth }
+// HasSignificantGain reports whether disabling the constraints raises the earned fraction by more than the 95% confidence
+// interval, which means that the constraints do harm.
+func (l Loss) HasSignificantGain() bool { return -l.EarnedFraction.Mean > l.EarnedFraction.HalfWidth }
 
 // String returns the estimates, as in the tables of docs/ablation.md.
 func (l Loss) String() string {
-	return fmt.Sprintf("worth %+.4f ± %.4f, p99 %+.3f ± %.3f s", l.EarnedShare.Mean, l.EarnedShare.HalfWidth,
+	return fmt.Sprintf("worth %+.4f ± %.4f, p99 %+.3f ± %.3f s", l.EarnedFraction.Mean, l.EarnedFraction.HalfWidth,
 		l.P99.Mean, l.P99.HalfWidth)
 }
 
 // Compare returns what is lost from plays with constraints to plays without, seed by seed. Both must have the same seeds.
-func Compare(with, without []Outcome) Loss {
+func Compare(with, without []Result) Loss {
 	earned, p99 := make([]float64, len(with)), make([]float64, len(with))
 	for i := range with {
-		earned[i] = with[i].EarnedShare - without[i].EarnedShare
+		earned[i] = with[i].EarnedFraction - without[i].EarnedFraction
 		p99[i] = without[i].P99 - with[i].P99
 	}
-	return Loss{EarnedShare: experiment.EstimateMean(earned), P99: experiment.EstimateMean(p99)}
+	return Loss{EarnedFraction: experiment.EstimateMean(earned), P99: experiment.EstimateMean(p99)}
 }
--- a/internal/testbed/ablation/overload_test.go
+++ b/internal/testbed/ablation/overload_test.go
@@ -48,19 +48,19 @@
 		}
 		oldest, newest := playOverload(t, d), playOverload(t, d, flaxshelf.ArrivalOrder)
 		t.Logf("%-10s oldest first earns %.4f of the worth, p50 %.2f s; the newest first instead: %s, p50 %.2f s", c.name,
-			oldest[0].EarnedShare, oldest[0].P50, Compare(newest, oldest), newest[0].P50)
+			oldest[0].EarnedFraction, oldest[0].P50, Compare(newest, oldest), newest[0].P50)
 	}
 }
 
-func playOverload(t *testing.T, d *scenario.Day, disabled ...flaxshelf.PolicyRule) []Outcome {
+func playOverload(t *testing.T, d *scenario.Day, disabled ...flaxshelf.PolicyRule) []Result {
 	t.Helper()
-	var outcomes []Outcome
+	var outcomes []Result
 	for i := range overloadSeeds {
-		report, err := emulator.Run(context.Background(), d, Options(uint64(i+1), scheduler.Guards{}, disabled...))
+		report, err := emulator.Run(context.Background(), d, EmulatorOptions(uint64(i+1), scheduler.Guards{}, disabled...))
 		if err != nil {
 			t.Fatal(err)
 		}
-		outcomes = append(outcomes, OutcomeOf(d, report))
+		outcomes = append(outcomes, NewResult(d, report))
 	}
 	return outcomes
 }
--- a/internal/testbed/baseline/baseline.go
+++ b/internal/testbed/baseline/baseline.go
@@ -53,8 +53,8 @@
 // randomStream is the second half of the generator's seed. Recordings depend on it.
 const randomStream = 0xba5e
 
-// Chooser places tasks by a strategy, with the module's interface. Not safe for concurrent use.
-type Chooser struct {
+// Placer places tasks by a strategy. It implements scheduler.Module, as flaxshelf.Placer does. Not safe for concurrent use.
+type Placer struct {
 	cfg      flaxshelf.Config
 	rng      *rand.Rand
 	strategy Strategy
@@ -76,17 +76,17 @@
 // machine is a machine with what this scheduler knows of it.
 type machine struct {
 	flaxshelf.Machine
-	cores, memory  float64 // requested by this scheduler's attempts and tasks
-	tasksByService map[string]int
-	offers         []flaxshelf.Time // during slow start
-	backsOffUntil  flaxshelf.Time
+	requestedCores, requestedMemory float64 // requested by this scheduler's attempts and tasks
+	tasksByService                  map[string]int
+	slowStartOffers                 []flaxshelf.Time // during slow start
+	backoffUntil                    flaxshelf.Time
 }
 
 // attempt is an offer of a task to a machine.
 type attempt struct {
 	machine  *machine
 	sentAt   flaxshelf.Time
-	live     bool
+	open     bool
 	neverRan bool // it ended with proof of that
 	placed   bool
 }
@@ -98,12 +98,12 @@
 	answered bool // it needs no further attempt
 }
 
-// New returns a Chooser, or an UnknownStrategyError.
-func New(strategy Strategy, cfg flaxshelf.Config, seed uint64) (*Chooser, error) {
+// New returns a Placer, or an *UnknownStrategyError if Strategies does not contain the strategy.
+func New(strategy Strategy, cfg flaxshelf.Config, seed uint64) (*Placer, error) {
 	if !slices.Contains(Strategies, strategy) {
 		return nil, &UnknownStrategyError{strategy}
 	}
-	return &Chooser{
+	return &Placer{
 		cfg:      cfg,
 		strategy: strategy,
 		rng:      rand.New(rand.NewPCG(seed, randomStream)),
@@ -113,7 +113,7 @@
 }
 
 // Step handles events and returns actions, as the module's Step does.
-func (c *Chooser) Step(now flaxshelf.Time, events []flaxshelf.Event) []flaxshelf.Action {
+func (c *Placer) Step(now flaxshelf.Time, events []flaxshelf.Event) []flaxshelf.Action {
 	if !c.started {
 		c.started, c.startedAt, c.nextPoll = true, now, now
 	}
@@ -126,11 +126,11 @@
 		c.actions = append(c.actions, flaxshelf.Subscribe{})
 	}
 	for _, t := range c.pending {
-		c.advance(t)
+		c.process(t)
 	}
 	c.pending = slices.DeleteFunc(c.pending, func(t *task) bool { return t.answered })
 	if c.nextPoll > 0 {
-		c.wakeAfter(c.nextPoll - now)
+		c.setTimerWithin(c.nextPoll - now)
 	}
 	if c.nextTimer > 0 {
 		c.actions = append(c.actions, flaxshelf.SetTimer{After: c.nextTimer})
@@ -139,7 +139,7 @@
 }
 
 // wakeAfter has the timer of this step fire after the delay at the latest.
-func (c *Chooser) wakeAfter(delay time.Duration) {
+func (c *Placer) setTimerWithin(delay time.Duration) {
 	if delay = max(delay, 1); c.nextTimer == 0 || delay < c.nextTimer {
 		c.nextTimer = delay
 	}
--- a/internal/testbed/baseline/constraints.go
+++ b/internal/testbed/baseline/constraints.go
@@ -7,21 +7,21 @@
 )
 
 // allowed reports whether the hard constraints allow a task on a machine.
-func (c *Chooser) allowed(t *task, m *machine) bool {
-	return m.State == flaxshelf.Active && m.Kind >= 0 && c.now >= m.backsOffUntil &&
+func (c *Placer) eligible(t *task, m *machine) bool {
+	return m.State == flaxshelf.Active && m.Kind >= 0 && c.now >= m.backoffUntil &&
 		(t.class.Kind < 0 || t.class.Kind == m.Kind) &&
-		c.fits(t, m) && c.retryIsSafe(t, m) && c.spreads(t, m) && c.slowStartAllows(m)
+		c.fits(t, m) && c.retryIsSafe(t, m) && c.withinSpreadLimit(t, m) && c.slowStartAllows(m)
 }
 
 // fits reports whether the machine, if it were empty, had the resources for a task.
-func (c *Chooser) fits(t *task, m *machine) bool {
+func (c *Placer) fits(t *task, m *machine) bool {
 	kind := c.cfg.Kinds[m.Kind]
 	return t.Cores <= kind.Cores*max(c.cfg.CoreOvercommit, 1) && t.Memory <= kind.Memory*max(c.cfg.MemoryOvercommit, 1)
 }
 
 // retryIsSafe reports whether an offer of the task to the machine can't run it twice, whatever the outcome of its earlier
 // attempts, or whether running it twice does no harm.
-func (c *Chooser) retryIsSafe(t *task, m *machine) bool {
+func (c *Placer) retryIsSafe(t *task, m *machine) bool {
 	for i := range t.attempts {
 		a := &t.attempts[i]
 		if a.neverRan || t.class.Idempotency == flaxshelf.Idempotent {
@@ -37,7 +37,7 @@
 }
 
 // spreads reports whether the machine's topology domain has fewer tasks of the service than the class permits.
-func (c *Chooser) spreads(t *task, m *machine) bool {
+func (c *Placer) withinSpreadLimit(t *task, m *machine) bool {
 	if t.class.SpreadDomain == flaxshelf.NoDomain {
 		return true
 	}
@@ -51,22 +51,22 @@
 }
 
 // warmingUp reports whether a machine is in slow start, or was so within OverloadWindow.
-func (c *Chooser) warmingUp(m *machine) bool {
+func (c *Placer) slowStartApplies(m *machine) bool {
 	return m.Started > 0 && c.cfg.OverloadWindow > 0 && c.now < m.Started+c.cfg.SlowStartDuration+c.cfg.OverloadWindow
 }
 
 // slowStartAllows reports whether this scheduler's part of a machine's slow-start budget permits another offer. A part below
 // one offer permits none.
-func (c *Chooser) slowStartAllows(m *machine) bool {
-	if !c.warmingUp(m) {
+func (c *Placer) slowStartAllows(m *machine) bool {
+	if !c.slowStartApplies(m) {
 		return true
 	}
 	windowStart := c.now - c.cfg.OverloadWindow*3/2
 	if c.startedAt > windowStart && c.startedAt > m.Started {
 		return false // an earlier incarnation of this scheduler may have made offers in the window
 	}
-	m.offers = slices.DeleteFunc(m.offers, func(at flaxshelf.Time) bool { return at < windowStart })
-	return len(m.offers) < int(c.cfg.SlowStartBudget/float64(max(c.cfg.Schedulers, 1)))
+	m.slowStartOffers = slices.DeleteFunc(m.slowStartOffers, func(at flaxshelf.Time) bool { return at < windowStart })
+	return len(m.slowStartOffers) < int(c.cfg.SlowStartBudget/float64(max(c.cfg.Schedulers, 1)))
 }
 
 // sameDomain reports whether two machines are in one topology domain of the given level.
--- a/internal/testbed/baseline/events.go
+++ b/internal/testbed/baseline/events.go
@@ -8,26 +8,26 @@
 )
 
 // handle handles an event. Events that the strategies have no use for are ignored.
-func (c *Chooser) handle(e flaxshelf.Event) {
+func (c *Placer) handle(e flaxshelf.Event) {
 	switch e := e.(type) {
 	case flaxshelf.MachinesUpdated:
 		c.updateMachines(e)
 	case flaxshelf.DiscoveryFailed:
 		c.nextPoll = c.now + discoveryRetryDelay
 	case flaxshelf.TaskSubmitted:
-		c.pending = append(c.pending, c.add(e.Task))
+		c.pending = append(c.pending, c.addTask(e.Task))
 	case flaxshelf.TaskAdopted:
-		c.adopt(e)
+		c.adoptTask(e)
 	case flaxshelf.AttemptPlaced:
 		c.markPlaced(e)
 	case flaxshelf.AttemptEnded:
 		c.endAttempt(e)
 	case flaxshelf.TaskCanceled:
-		c.cancel(e.Task)
+		c.cancelTask(e.Task)
 	}
 }
 
-func (c *Chooser) updateMachines(e flaxshelf.MachinesUpdated) {
+func (c *Placer) updateMachines(e flaxshelf.MachinesUpdated) {
 	listed := map[string]bool{}
 	for _, m := range e.Machines {
 		listed[m.ID] = true
@@ -42,7 +42,7 @@
 }
 
 // machine returns a machine by its identifier. One that the inventory has not listed counts as removed.
-func (c *Chooser) machine(id string) *machine {
+func (c *Placer) machine(id string) *machine {
 	m := c.machines[id]
 	if m == nil {
 		m = &machine{
@@ -56,44 +56,44 @@
 	return m
 }
 
-func (c *Chooser) add(spec flaxshelf.Task) *task {
+func (c *Placer) addTask(spec flaxshelf.Task) *task {
 	t := &task{Task: spec, class: &c.cfg.Classes[spec.Class]}
 	c.tasks[t.ID] = t
 	return t
 }
 
-func (c *Chooser) adopt(e flaxshelf.TaskAdopted) {
-	t := c.add(e.Task)
+func (c *Placer) adoptTask(e flaxshelf.TaskAdopted) {
+	t := c.addTask(e.Task)
 	t.answered = true
 	c.startAttempt(t, c.machine(e.Machine))
 	t.attempts[0].placed = true
 }
 
-func (c *Chooser) markPlaced(e flaxshelf.AttemptPlaced) {
+func (c *Placer) markPlaced(e flaxshelf.AttemptPlaced) {
 	if t := c.tasks[e.Task]; t != nil && e.Attempt < len(t.attempts) {
 		t.answered, t.attempts[e.Attempt].placed = true, true
 	}
 }
 
-func (c *Chooser) endAttempt(e flaxshelf.AttemptEnded) {
+func (c *Placer) endAttempt(e flaxshelf.AttemptEnded) {
 	t := c.tasks[e.Task]
-	if t == nil || e.Attempt >= len(t.attempts) || !t.attempts[e.Attempt].live {
+	if t == nil || e.Attempt >= len(t.attempts) || !t.attempts[e.Attempt].open {
 		return
 	}
 	a := &t.attempts[e.Attempt]
-	a.live = false
+	a.open = false
 	a.neverRan = e.Outcome == flaxshelf.Rejected || e.Outcome == flaxshelf.Unreachable || e.Outcome == flaxshelf.NotSent
 	if a.neverRan {
-		a.machine.backsOffUntil = c.now + rejectionBackoff
+		a.machine.backoffUntil = c.now + rejectionBackoff
 	}
-	a.machine.cores -= t.Cores
-	a.machine.memory -= t.Memory
+	a.machine.requestedCores -= t.Cores
+	a.machine.requestedMemory -= t.Memory
 	a.machine.tasksByService[t.Service]--
 	t.answered = t.answered || e.Final || a.placed
 	c.forgetIfDone(t)
 }
 
-func (c *Chooser) cancel(id string) {
+func (c *Placer) cancelTask(id string) {
 	if t := c.tasks[id]; t != nil {
 		t.answered = true
 		c.forgetIfDone(t)
@@ -101,8 +101,8 @@
 }
 
 // forgetIfDone forgets a task that is answered and has no live attempt.
-func (c *Chooser) forgetIfDone(t *task) {
-	if t.answered && !t.hasLiveAttempt() {
+func (c *Placer) forgetIfDone(t *task) {
+	if t.answered && !t.hasOpenAttempt() {
 		delete(c.tasks, t.ID)
 	}
 }
--- a/internal/testbed/baseline/place.go
+++ b/internal/testbed/baseline/place.go
@@ -8,7 +8,7 @@
 )
 
 // advance does what is next for a pending task: it offers the task, waits, or answers that it is not placed.
-func (c *Chooser) advance(t *task) {
+func (c *Placer) process(t *task) {
 	if t.answered {
 		return
 	}
@@ -16,17 +16,17 @@
 	answerBy := t.Deadline - margin
 	lastOffer := answerBy - margin
 	switch {
-	case t.hasLiveAttempt() && c.now < answerBy:
-		c.wakeAfter(answerBy - c.now)
-	case t.hasLiveAttempt() || c.now >= lastOffer || !c.mayRetry(t):
-		c.answer(t)
+	case t.hasOpenAttempt() && c.now < answerBy:
+		c.setTimerWithin(answerBy - c.now)
+	case t.hasOpenAttempt() || c.now >= lastOffer || !c.mayRetry(t):
+		c.answerUnplaced(t)
 	default:
 		c.offer(t, answerBy, lastOffer)
 	}
 }
 
 // mayRetry reports whether a further attempt is allowed after those that a task has had.
-func (c *Chooser) mayRetry(t *task) bool {
+func (c *Placer) mayRetry(t *task) bool {
 	if c.cfg.MaxAttempts > 0 && len(t.attempts) >= c.cfg.MaxAttempts {
 		return false
 	}
@@ -34,37 +34,37 @@
 }
 
 // offer offers a task to a machine, or tries later if no machine may take it.
-func (c *Chooser) offer(t *task, answerBy, lastOffer flaxshelf.Time) {
-	m := c.choose(t)
+func (c *Placer) offer(t *task, answerBy, lastOffer flaxshelf.Time) {
+	m := c.chooseMachine(t)
 	if m == nil {
 		if t.mayHaveRun() && t.class.Idempotency == flaxshelf.IdempotentByKey {
-			c.answer(t)
+			c.answerUnplaced(t)
 		} else {
-			c.wakeAfter(placementRetryDelay)
+			c.setTimerWithin(placementRetryDelay)
 		}
 		return
 	}
 	c.startAttempt(t, m)
-	if c.warmingUp(m) {
-		m.offers = append(m.offers, c.now)
+	if c.slowStartApplies(m) {
+		m.slowStartOffers = append(m.slowStartOffers, c.now)
 	}
 	timeout := lastOffer - c.now
 	if t.class.Idempotency != flaxshelf.NonIdempotent && len(t.attempts) < c.cfg.MaxAttempts {
 		timeout = min(timeout, max(t.class.LatencyObjective/2, minAttemptTimeout)) // leave time for another attempt
 	}
 	c.actions = append(c.actions, flaxshelf.Offer{Task: t.ID, Machine: m.ID, Timeout: timeout})
-	c.wakeAfter(answerBy - c.now)
+	c.setTimerWithin(answerBy - c.now)
 }
 
-func (c *Chooser) startAttempt(t *task, m *machine) {
-	t.attempts = append(t.attempts, attempt{machine: m, sentAt: c.now, live: true})
-	m.cores += t.Cores
-	m.memory += t.Memory
+func (c *Placer) startAttempt(t *task, m *machine) {
+	t.attempts = append(t.attempts, attempt{machine: m, sentAt: c.now, open: true})
+	m.requestedCores += t.Cores
+	m.requestedMemory += t.Memory
 	m.tasksByService[t.Service]++
 }
 
-func (t *task) hasLiveAttempt() bool {
-	return slices.ContainsFunc(t.attempts, func(a attempt) bool { return a.live })
+func (t *task) hasOpenAttempt() bool {
+	return slices.ContainsFunc(t.attempts, func(a attempt) bool { return a.open })
 }
 
 // mayHaveRun reports whether an attempt lacks the proof that it never ran.
@@ -74,7 +74,7 @@
 
 // answer answers a task that is not placed. A Reject promises that the client may safely submit the task again. This needs
 // proof that it never ran, or a class that permits repeated runs.
-func (c *Chooser) answer(t *task) {
+func (c *Placer) answerUnplaced(t *task) {
 	t.answered = true
 	repeatable := t.class.Idempotency == flaxshelf.Idempotent ||
 		t.class.Idempotency == flaxshelf.IdempotentByKey && t.class.KeyDomain == flaxshelf.FleetDomain
@@ -87,10 +87,10 @@
 }
 
 // choose picks a machine by the strategy; nil if the constraints allow none.
-func (c *Chooser) choose(t *task) *machine {
+func (c *Placer) chooseMachine(t *task) *machine {
 	var candidates []*machine
 	for _, m := range c.machineOrder {
-		if c.allowed(t, m) {
+		if c.eligible(t, m) {
 			candidates = append(candidates, m)
 		}
 	}
@@ -100,12 +100,12 @@
 	chosen := candidates[c.rng.IntN(len(candidates))]
 	switch c.strategy {
 	case TwoChoices:
-		if other := candidates[c.rng.IntN(len(candidates))]; c.load(other) < c.load(chosen) {
+		if other := candidates[c.rng.IntN(len(candidates))]; c.loadFraction(other) < c.loadFraction(chosen) {
 			return other
 		}
 	case LeastLoaded:
 		for _, m := range candidates { // of equals, the one that was drawn
-			if c.load(m) < c.load(chosen) {
+			if c.loadFraction(m) < c.loadFraction(chosen) {
 				chosen = m
 			}
 		}
@@ -114,7 +114,7 @@
 }
 
 // load returns the share of a machine that is requested, of cores or of memory, whichever is higher.
-func (c *Chooser) load(m *machine) float64 {
+func (c *Placer) loadFraction(m *machine) float64 {
 	kind := c.cfg.Kinds[m.Kind]
-	return max(m.cores/kind.Cores, m.memory/kind.Memory)
+	return max(m.requestedCores/kind.Cores, m.requestedMemory/kind.Memory)
 }
--- a/internal/testbed/emulator/clients.go
+++ b/internal/testbed/emulator/clients.go
@@ -10,10 +10,10 @@
 )
 
 // outcomeGrace is how long a client waits for an outcome after it is due, as in trials.
-const outcomeGrace = 2 * time.Second
+const outcomeGracePeriod = 2 * time.Second
 
 // warmUp is the simulated time before the day begins, in which schedulers connect.
-const warmUp = 500 * time.Millisecond
+const warmUpDuration = 500 * time.Millisecond
 
 // resubmitDelay is how long a client waits until it submits a job again to a scheduler that was killed.
 const resubmitDelay = 200 * time.Millisecond
@@ -24,7 +24,7 @@
 	simulation  *simulation
 	inbox       inbox
 	latency     *latencyModel
-	loads       []loadState
+	loads       []loadSource
 	timers      timerqueue.Heap[timerFunc]
 	submissions map[string]*submissionState // by idempotency key, while they are open
 	stats       *clientStats
@@ -36,25 +36,25 @@
 type timerFunc func(now Time, out *outbox)
 
 // loadState is one load with its next submission.
-type loadState struct {
-	arrivals arrivals
+type loadSource struct {
+	arrivals arrivalSource
 	next     scenario.Arrival
-	ok       bool
+	hasNext  bool
 }
 
 func newClients(s *simulation) *clients {
 	c := &clients{simulation: s, latency: newLatencyModel(s.seed, 0), submissions: map[string]*submissionState{},
 		stats: newClientStats(s.day)}
-	var sources []arrivals
+	var sources []arrivalSource
 	for i := range s.day.Load {
 		sources = append(sources, s.day.Arrivals(i, s.seed))
 	}
 	if s.trace != nil {
-		sources = []arrivals{s.trace}
+		sources = []arrivalSource{s.trace}
 	}
 	for _, source := range sources {
-		load := loadState{arrivals: source}
-		load.next, load.ok = source.Next(1, 0)
+		load := loadSource{arrivals: source}
+		load.next, load.hasNext = source.Next(1, 0)
 		c.loads = append(c.loads, load)
 	}
 	return c
@@ -68,7 +68,7 @@
 		due = min(due, at)
 	}
 	for i := range c.loads {
-		if c.loads[i].ok {
+		if c.loads[i].hasNext {
 			due = min(due, arrivalTime(&c.loads[i].next))
 		}
 	}
@@ -76,7 +76,7 @@
 }
 
 // arrivalTime returns when a submission is intended to be sent.
-func arrivalTime(arrival *scenario.Arrival) Time { return Epoch + warmUp + arrival.At }
+func arrivalTime(arrival *scenario.Arrival) Time { return Epoch + warmUpDuration + arrival.At }
 
 // setTimer has fire called at a time. Timers of the same time fire in the order in which they were set.
 func (c *clients) setTimer(at Time, fire timerFunc) {
@@ -93,28 +93,28 @@
 	}
 	for i := range c.loads {
 		load := &c.loads[i]
-		for load.ok && arrivalTime(&load.next) < end {
+		for load.hasNext && arrivalTime(&load.next) < end {
 			c.submit(load.next, out)
-			load.next, load.ok = load.arrivals.Next(c.loadState.OfClass(load.next.Load.Class))
+			load.next, load.hasNext = load.arrivals.Next(c.loadState.OfClass(load.next.Load.Class))
 		}
 	}
 }
 
 func (c *clients) submit(arrival scenario.Arrival, out *outbox) {
 	now, load, rules := arrivalTime(&arrival), arrival.Load, &c.simulation.day.Rules
-	s := &submissionState{arrival: arrival, spec: c.spec(&arrival)}
+	s := &submissionState{arrival: arrival, spec: c.jobSpec(&arrival)}
 	timeout := c.simulation.schedulers[arrival.Scheduler].settings.Classes[s.spec.Class].PlacementTimeout.Duration()
-	s.due = now + max(timeout+rules.AnswerSlack.Duration()+outcomeGrace, load.Patience.Duration())
+	s.closeAt = now + max(timeout+rules.AnswerSlack.Duration()+outcomeGracePeriod, load.Patience.Duration())
 	c.submissions[arrival.Key] = s
 	if arrival.At >= c.measureFrom {
 		c.stats.countSubmitted(load.Class)
 	}
-	c.send(s, now, out)
-	c.setTimer(s.due, func(Time, *outbox) { c.close(s) })
+	c.sendSubmission(s, now, out)
+	c.setTimer(s.closeAt, func(Time, *outbox) { c.closeSubmission(s) })
 }
 
 // spec returns the job that a client submits, with the defaults of its class.
-func (c *clients) spec(arrival *scenario.Arrival) scheduler.JobSpec {
+func (c *clients) jobSpec(arrival *scenario.Arrival) scheduler.JobSpec {
 	set, load := c.simulation.schedulers[arrival.Scheduler].settings, arrival.Load
 	spec := scheduler.JobSpec{Key: arrival.Key, Session: "", Name: load.Class, Service: arrival.Service,
 		Class: set.ClassIndex(load.Class), Tenant: set.TenantIndex(load.Tenant), Cores: arrival.Cores,
@@ -130,83 +130,83 @@
 	return spec
 }
 
-func (c *clients) send(s *submissionState, now Time, out *outbox) {
+func (c *clients) sendSubmission(s *submissionState, now Time, out *outbox) {
 	to := c.simulation.schedulers[s.arrival.Scheduler].id
 	out.send(c.latency.deliveryTime(now, to), to, submission{s.spec})
 }
 
 func (c *clients) handle(m message) {
 	switch body := m.body.(type) {
-	case answer:
+	case submissionAnswer:
 		c.handleAnswer(&body, m.at)
-	case outcomeNotice:
-		c.handleOutcome(&body)
+	case jobEvent:
+		c.handleJobEvent(&body)
 	case loadFactor:
 		c.loadState.SetFactor(body.class, body.factor)
-	case hotServiceShare:
-		c.loadState.SetHotServiceFraction(body.class, body.share)
+	case hotServiceFraction:
+		c.loadState.SetHotServiceFraction(body.class, body.fraction)
 	case schedulerKilled:
 		c.handleSchedulerKilled(body.scheduler, m.at)
 	}
 }
 
 // handleAnswer handles the answer to a submission.
-func (c *clients) handleAnswer(a *answer, now Time) {
+func (c *clients) handleAnswer(a *submissionAnswer, now Time) {
 	s := c.submissions[a.key]
 	if s == nil {
 		return
 	}
 	switch {
-	case a.errorCode == unreachableCode && s.outcome == "":
-		s.orphaned = true
-		c.resubmit(s, now)
-	case a.errorCode != "" && s.orphaned:
-		c.resubmit(s, now)
+	case a.errorCode == errorCodeUnreachable && s.outcome == "":
+		s.schedulerKilled = true
+		c.scheduleResubmission(s, now)
+	case a.errorCode != "" && s.schedulerKilled:
+		c.scheduleResubmission(s, now)
 	case a.errorCode != "":
-		s.end = endRejected + a.errorCode
-		if c.retry(s, now) {
-			s.end = ""
+		s.endReason = endRejected + a.errorCode
+		if c.scheduleRetry(s, now) {
+			s.endReason = ""
 		}
 	default:
 		first := s.job == ""
 		s.job = a.job
 		if first {
-			c.command(s, now)
+			c.scheduleCommands(s, now)
 		}
 	}
 }
 
 func (c *clients) handleSchedulerKilled(index int, now Time) {
 	for _, s := range c.openSubmissions() {
-		if s.arrival.Scheduler == index && s.outcome == "" && s.end == "" {
-			s.orphaned = true
-			c.resubmit(s, now)
+		if s.arrival.Scheduler == index && s.outcome == "" && s.endReason == "" {
+			s.schedulerKilled = true
+			c.scheduleResubmission(s, now)
 		}
 	}
 }
 
 // command terminates, or holds and later releases, the fractions of the jobs that the load sets.
-func (c *clients) command(s *submissionState, now Time) {
+func (c *clients) scheduleCommands(s *submissionState, now Time) {
 	load := s.arrival.Load
 	later := now + s.arrival.ControlDelay
 	switch {
 	case s.arrival.ControlDraw < load.Terminate:
-		c.sendCommand(s, later, scheduler.Terminate)
+		c.scheduleCommand(s, later, scheduler.Terminate)
 	case s.arrival.ControlDraw < load.Terminate+load.Hold:
-		c.sendCommand(s, now, scheduler.Hold)
-		c.sendCommand(s, later, scheduler.Release)
+		c.scheduleCommand(s, now, scheduler.Hold)
+		c.scheduleCommand(s, later, scheduler.Release)
 	}
 }
 
-func (c *clients) sendCommand(s *submissionState, at Time, verb scheduler.Verb) {
+func (c *clients) scheduleCommand(s *submissionState, at Time, verb scheduler.Verb) {
 	to := c.simulation.schedulers[s.arrival.Scheduler].id
 	c.setTimer(at, func(now Time, out *outbox) {
-		out.send(c.latency.deliveryTime(now, to), to, command{verb: verb, job: s.job})
+		out.send(c.latency.deliveryTime(now, to), to, jobCommand{verb: verb, job: s.job})
 	})
 }
 
 // handleOutcome handles an event of a job.
-func (c *clients) handleOutcome(notice *outcomeNotice) {
+func (c *clients) handleJobEvent(notice *jobEvent) {
 	info := &notice.info
 	if info.State.Ended() {
 		c.stats.jobEnds[info.SubState]++
@@ -221,7 +221,7 @@
 	if canceled && s.arrival.ControlDraw >= s.arrival.Load.Terminate {
 		return // its client holds it: releasing it starts another request
 	}
-	if !placed && !canceled && c.retry(s, notice.at) {
+	if !placed && !canceled && c.scheduleRetry(s, notice.at) {
 		s.lastOutcome = string(info.Outcome)
 		return
 	}
--- a/internal/testbed/emulator/effects.go
+++ b/internal/testbed/emulator/effects.go
@@ -11,13 +11,13 @@
 	case scheduler.SendOffer:
 		s.sendOffer(&e, now, out)
 	case scheduler.SendStop:
-		s.sendNode(e.Node, frame{nodefront.StopFrame(e.Attempt)}, now, out)
+		s.sendToNode(e.Node, frame{nodefront.StopFrame(e.Attempt)}, now, out)
 	case scheduler.SendAck:
-		s.sendNode(e.Node, frame{nodefront.AckFrame(e.Attempt)}, now, out)
+		s.sendToNode(e.Node, frame{nodefront.AckFrame(e.Attempt)}, now, out)
 	case scheduler.SendHealthCheck:
-		s.sendNode(e.Node, frame{nodefront.ProbeFrame()}, now, out)
+		s.sendToNode(e.Node, frame{nodefront.ProbeFrame()}, now, out)
 	case scheduler.SyncNode:
-		s.sendNode(e.Node, frame{nodefront.PingFrame(e.Token)}, now, out)
+		s.sendToNode(e.Node, frame{nodefront.PingFrame(e.Token)}, now, out)
 	case scheduler.Connect:
 		s.connect(e.Node, now, out)
 	case scheduler.Disconnect:
@@ -31,25 +31,25 @@
 	case scheduler.Drained:
 		s.drained = true
 	case scheduler.LogOutcome:
-		s.recorder.outcome(s, &e.Job, now)
-		s.send(now, s.simulation.clients.id, outcomeNotice{info: e.Job, at: now}, out)
+		s.recorder.addJobEvent(s, &e.Job, now)
+		s.send(now, s.simulation.clients.id, jobEvent{info: e.Job, at: now}, out)
 	}
 }
 
 func (s *schedulerEntity) sendOffer(offer *scheduler.SendOffer, now Time, out *outbox) {
-	if !s.sendNode(offer.Node, frame{nodefront.OfferFrame(s.settings, offer)}, now, out) {
-		s.feedback = append(s.feedback, scheduler.SendFailed{Node: offer.Node, Attempt: offer.Attempt})
+	if !s.sendToNode(offer.Node, frame{nodefront.OfferFrame(s.settings, offer)}, now, out) {
+		s.pendingInputs = append(s.pendingInputs, scheduler.SendFailed{Node: offer.Node, Attempt: offer.Attempt})
 	}
 }
 
 // sendNode sends a frame to a node. It returns false, and drops the frame, if the node is not connected.
-func (s *schedulerEntity) sendNode(node string, f frame, now Time, out *outbox) bool {
+func (s *schedulerEntity) sendToNode(node string, f frame, now Time, out *outbox) bool {
 	l := s.links[node]
 	if l == nil || !l.up {
 		return false
 	}
-	s.recorder.frame(l.connection, false, f, now)
-	s.send(now, l.node, f, out)
+	s.recorder.addFrame(l.connection, false, f, now)
+	s.send(now, l.nodeID, f, out)
 	return true
 }
 
@@ -59,12 +59,12 @@
 		return
 	}
 	delete(s.requests, e.RequestID)
-	a := answer{key: request.key, scheduler: s.settings.Index}
+	a := submissionAnswer{key: request.key, scheduler: s.settings.Index}
 	if e.Err != nil {
 		a.errorCode = string(e.Err.Code)
 	} else {
 		a.job = e.Jobs[0].ID
 	}
-	s.recorder.answered(s, e, now)
+	s.recorder.addSubmission(s, e, now)
 	s.send(now, s.simulation.clients.id, a, out)
 }
--- a/internal/testbed/emulator/emulator.go
+++ b/internal/testbed/emulator/emulator.go
@@ -65,12 +65,12 @@
 	if err := s.faults.plan(ctx); err != nil {
 		return nil, fmt.Errorf("emulator: %w", err)
 	}
-	end := Epoch + warmUp + scenario.Seconds(s.day.Seconds+d.After)
+	end := Epoch + warmUpDuration + scenario.Seconds(s.day.Seconds+d.After)
 	windows := 0
 	s.engine.run(end, func() bool {
 		windows++
 		if windows%progressWindows == 0 && opt.Progress != nil {
-			opt.Progress((Time(s.engine.wheel.now) * window).Seconds())
+			opt.Progress((Time(s.engine.wheel.lastWindow) * window).Seconds())
 		}
 		return s.err != nil || windows%cancelCheckWindows == 0 && ctx.Err() != nil
 	})
--- a/internal/testbed/emulator/emulator_test.go
+++ b/internal/testbed/emulator/emulator_test.go
@@ -245,7 +245,7 @@
 					began := time.Now()
 					report := emulate(b, d, Options{Seed: 1, Workers: workers})
 					wall += time.Since(began).Seconds()
-					simulated += report.Seconds
+					simulated += report.SimulatedSeconds
 					messages += report.Messages
 				}
 				b.ReportMetric(simulated/wall, "simulated-s/s")
--- a/internal/testbed/emulator/engine.go
+++ b/internal/testbed/emulator/engine.go
@@ -40,14 +40,14 @@
 
 // engine runs entities.
 type engine struct {
-	entities []entity
-	outboxes []outbox
-	wheel    *wheel
-	groups   []int32 // entities of one group other than 0 share state and run on one worker
-	queued   []int64 // the window in which each entity is queued soonest; notQueued: none
-	workers  int
-	events   int64 // runs of entities
-	messages int64
+	entities     []entity
+	outboxes     []outbox
+	wheel        *timingWheel
+	groups       []int32 // entities of one group other than 0 share state and run on one worker
+	queuedWindow []int64 // the window in which each entity is queued soonest; notQueued: none
+	workers      int
+	entityRuns   int64 // runs of entities
+	messages     int64
 }
 
 // notQueued is the window of an entity that is not queued.
@@ -57,7 +57,7 @@
 const wheelBits = 12
 
 func newEngine(workers int) *engine {
-	return &engine{wheel: newWheel(wheelBits), workers: max(workers, 1)}
+	return &engine{wheel: newTimingWheel(wheelBits), workers: max(workers, 1)}
 }
 
 // add adds an entity and returns its number.
@@ -65,7 +65,7 @@
 	id := int32(len(e.entities))
 	e.entities = append(e.entities, added)
 	e.outboxes = append(e.outboxes, outbox{sender: id})
-	e.queued = append(e.queued, notQueued)
+	e.queuedWindow = append(e.queuedWindow, notQueued)
 	e.groups = append(e.groups, 0)
 	return id
 }
@@ -77,11 +77,11 @@
 	if at == math.MaxInt64 {
 		return
 	}
-	due := max(windowOf(at), e.wheel.now+1)
-	if queued := e.queued[id]; queued >= 0 && queued <= due {
+	due := max(windowOf(at), e.wheel.lastWindow+1)
+	if queued := e.queuedWindow[id]; queued >= 0 && queued <= due {
 		return
 	}
-	e.queued[id] = due
+	e.queuedWindow[id] = due
 	e.wheel.add(due, id)
 }
 
@@ -99,8 +99,8 @@
 		}
 		due = due[:0]
 		for _, id := range ids {
-			if e.queued[id] == number { // else it was queued again for an earlier window, or is a duplicate
-				e.queued[id] = notQueued
+			if e.queuedWindow[id] == number { // else it was queued again for an earlier window, or is a duplicate
+				e.queuedWindow[id] = notQueued
 				due = append(due, id)
 			}
 		}
@@ -114,7 +114,7 @@
 
 // runWindow runs the entities that are due and delivers their messages, in the order of their numbers.
 func (e *engine) runWindow(due []int32, end Time) {
-	e.events += int64(len(due))
+	e.entityRuns += int64(len(due))
 	if e.workers == 1 || len(due) < minParallel*e.workers {
 		e.runEntities(due, end)
 	} else {
--- a/internal/testbed/emulator/faults.go
+++ b/internal/testbed/emulator/faultinjector.go
@@ -49,14 +49,14 @@
 	s := f.simulation
 	starts := &faultPlan{injector: f, now: Epoch}
 	for i := range s.schedulers {
-		starts.sendSchedulers([]int{i}, startScheduler{})
+		starts.sendToSchedulers([]int{i}, startScheduler{})
 	}
 	for i := range s.day.Faults {
 		next, err := fault.New(s.day, i, s.seed)
 		if err != nil {
 			return err
 		}
-		if err := next.Inject(ctx, &faultPlan{injector: f, now: Epoch + warmUp + next.Start}); err != nil {
+		if err := next.Inject(ctx, &faultPlan{injector: f, now: Epoch + warmUpDuration + next.Start}); err != nil {
 			return err
 		}
 	}
@@ -77,7 +77,7 @@
 	p.injector.actions = append(p.injector.actions, plannedAction{at: p.now, to: to, body: body})
 }
 
-func (p *faultPlan) sendNodes(nodes []int, body any) {
+func (p *faultPlan) sendToNodes(nodes []int, body any) {
 	to := make([]int32, len(nodes))
 	for i, node := range nodes {
 		to[i] = p.injector.simulation.nodes[node].id
@@ -85,7 +85,7 @@
 	p.send(body, to...)
 }
 
-func (p *faultPlan) sendSchedulers(schedulers []int, body any) {
+func (p *faultPlan) sendToSchedulers(schedulers []int, body any) {
 	to := make([]int32, len(schedulers))
 	for i, scheduler := range schedulers {
 		to[i] = p.injector.simulation.schedulers[scheduler].id
@@ -93,67 +93,69 @@
 	p.send(body, to...)
 }
 
-func (p *faultPlan) sendClients(body any) { p.send(body, p.injector.simulation.clients.id) }
+func (p *faultPlan) sendToClients(body any) { p.send(body, p.injector.simulation.clients.id) }
 
 // ChangeNodeFaults implements fault.Cluster.
 func (p *faultPlan) ChangeNodeFaults(nodes []int, change fault.NodeFaultChange) {
-	p.sendNodes(nodes, changeNodeFault{change})
+	p.sendToNodes(nodes, changeNodeFault{change})
 }
 
 // DropPrograms implements fault.Cluster.
-func (p *faultPlan) DropPrograms(nodes []int, share float64) { p.sendNodes(nodes, dropPrograms{share}) }
+func (p *faultPlan) DropPrograms(nodes []int, share float64) {
+	p.sendToNodes(nodes, dropPrograms{share})
+}
 
 // DrainNodes implements fault.Cluster.
-func (p *faultPlan) DrainNodes(nodes []int) { p.sendNodes(nodes, drainNode{}) }
+func (p *faultPlan) DrainNodes(nodes []int) { p.sendToNodes(nodes, drainNode{}) }
 
 // StopNodes implements fault.Cluster.
-func (p *faultPlan) StopNodes(nodes []int) { p.sendNodes(nodes, stopNode{}) }
+func (p *faultPlan) StopNodes(nodes []int) { p.sendToNodes(nodes, stopNode{}) }
 
 // StartNodes implements fault.Cluster.
 func (p *faultPlan) StartNodes(_ context.Context, nodes []int) error {
-	p.sendNodes(nodes, startNode{})
+	p.sendToNodes(nodes, startNode{})
 	return nil
 }
 
 // RestartNodes implements fault.Cluster.
 func (p *faultPlan) RestartNodes(_ context.Context, nodes []int) error {
-	p.sendNodes(nodes, restartNode{})
+	p.sendToNodes(nodes, restartNode{})
 	return nil
 }
 
 // PauseSchedulers implements fault.Cluster. The message has the end of the pause, since a paused scheduler handles no
 // message.
 func (p *faultPlan) PauseSchedulers(schedulers []int, duration time.Duration) {
-	p.sendSchedulers(schedulers, pauseScheduler{until: p.now + duration})
+	p.sendToSchedulers(schedulers, pauseScheduler{until: p.now + duration})
 }
 
 // ResumeSchedulers implements fault.Cluster. It does nothing: PauseSchedulers has set the end of the pause.
 func (p *faultPlan) ResumeSchedulers([]int) {}
 
 // KillSchedulers implements fault.Cluster.
-func (p *faultPlan) KillSchedulers(schedulers []int) { p.sendSchedulers(schedulers, killScheduler{}) }
+func (p *faultPlan) KillSchedulers(schedulers []int) { p.sendToSchedulers(schedulers, killScheduler{}) }
 
 // TerminateSchedulers implements fault.Cluster. It waits for the shutdown timeout.
 func (p *faultPlan) TerminateSchedulers(schedulers []int) error {
-	p.sendSchedulers(schedulers, terminateScheduler{})
+	p.sendToSchedulers(schedulers, terminateScheduler{})
 	p.now += p.injector.simulation.day.Limits.ShutdownTimeout.Duration()
 	return nil
 }
 
 // StartSchedulers implements fault.Cluster.
 func (p *faultPlan) StartSchedulers(_ context.Context, schedulers []int) error {
-	p.sendSchedulers(schedulers, startScheduler{})
+	p.sendToSchedulers(schedulers, startScheduler{})
 	return nil
 }
 
 // SetLoadFactor implements fault.Cluster.
 func (p *faultPlan) SetLoadFactor(class string, factor float64) {
-	p.sendClients(loadFactor{class: class, factor: factor})
+	p.sendToClients(loadFactor{class: class, factor: factor})
 }
 
 // SetHotServiceFraction implements fault.Cluster.
 func (p *faultPlan) SetHotServiceFraction(class string, share float64) {
-	p.sendClients(hotServiceShare{class: class, share: share})
+	p.sendToClients(hotServiceFraction{class: class, fraction: share})
 }
 
 // SetInventoryFault implements fault.Cluster.
--- a/internal/testbed/emulator/inbox.go
+++ b/internal/testbed/emulator/inbox.go
@@ -12,7 +12,7 @@
 	sorted        []message
 	unsorted      []message
 	firstUnsorted Time // the earliest time in unsorted
-	taken         []message
+	returned      []message
 }
 
 func (b *inbox) put(m message) {
@@ -51,10 +51,10 @@
 	}
 	b.merge()
 	count, _ := slices.BinarySearchFunc(b.sorted, end, compareMessageTime)
-	clear(b.taken)
-	b.taken = append(b.taken[:0], b.sorted[:count]...)
+	clear(b.returned)
+	b.returned = append(b.returned[:0], b.sorted[:count]...)
 	b.sorted = slices.Delete(b.sorted, 0, count)
-	return b.taken
+	return b.returned
 }
 
 // pop removes and returns the first message. The inbox must not be empty.
--- a/internal/testbed/emulator/inventory.go
+++ b/internal/testbed/emulator/inventory.go
@@ -30,20 +30,20 @@
 
 func (v *inventory) run(end Time, out *outbox) { v.inbox.runModel(v, end, out) }
 
-func (v *inventory) advance(now Time, out *outbox) { v.send(now, v.model.Advance(now), out) }
+func (v *inventory) advance(now Time, out *outbox) { v.sendFrames(now, v.model.Advance(now), out) }
 
 func (v *inventory) handle(m message, out *outbox) {
 	switch body := m.body.(type) {
 	case frame:
-		v.send(m.at, v.model.Receive(m.at, v.entityName(m.from), body.Frame), out)
+		v.sendFrames(m.at, v.model.Receive(m.at, v.entityName(m.from), body.Frame), out)
 	case disconnected:
-		v.send(m.at, v.model.Disconnect(m.at, v.entityName(m.from)), out)
+		v.sendFrames(m.at, v.model.Disconnect(m.at, v.entityName(m.from)), out)
 	case inventorymodel.Fault:
-		v.send(m.at, v.model.SetFault(m.at, body), out)
+		v.sendFrames(m.at, v.model.SetFault(m.at, body), out)
 	}
 }
 
-func (v *inventory) send(now Time, frames []inventorymodel.Send, out *outbox) {
+func (v *inventory) sendFrames(now Time, frames []inventorymodel.Send, out *outbox) {
 	for _, s := range frames {
 		if to, ok := v.entityIDs[s.To]; ok {
 			out.send(v.latency.deliveryTime(now, to), to, frame{s.Frame})
--- a/internal/testbed/emulator/link.go
+++ b/internal/testbed/emulator/link.go
@@ -10,14 +10,14 @@
 
 // link is a scheduler's connection to a node.
 type link struct {
-	name       string
-	node       int32
+	nodeName   string
+	nodeID     int32
 	wanted     bool // requested by the core
 	up         bool
 	dialing    bool
 	retryAt    Time
 	failures   int // failed or broken connections since it was last up
-	front      *nodefront.NodeDecoder
+	decoder    *nodefront.NodeDecoder
 	connection uint64 // its number in the recording; 0 without a recording
 }
 
@@ -34,8 +34,8 @@
 func (s *schedulerEntity) connect(node string, now Time, out *outbox) {
 	l := s.links[node]
 	if l == nil {
-		l = &link{name: node, node: s.simulation.nodeIDs[node]}
-		s.links[node], s.linksByEntity[l.node] = l, l
+		l = &link{nodeName: node, nodeID: s.simulation.nodeIDs[node]}
+		s.links[node], s.linksByEntity[l.nodeID] = l, l
 	}
 	l.wanted = true
 	if !l.isOpen() {
@@ -50,17 +50,17 @@
 	}
 	l.wanted = false
 	if l.isOpen() {
-		s.send(now, l.node, disconnected{}, out)
-		s.recorder.close(l.connection, now)
+		s.send(now, l.nodeID, disconnected{}, out)
+		s.recorder.addClose(l.connection, now)
 		l.up, l.dialing = false, false
 	}
 }
 
 func (s *schedulerEntity) dial(l *link, now Time, out *outbox) {
 	l.dialing = true
-	l.front = &nodefront.NodeDecoder{Settings: s.settings, Name: l.name}
-	s.send(now, l.node, connect{scheduler: s.settings.Name, incarnation: s.incarnationID()}, out)
-	l.connection = s.recorder.dialed(s, l.name, now)
+	l.decoder = &nodefront.NodeDecoder{Settings: s.settings, Name: l.nodeName}
+	s.send(now, l.nodeID, connectRequest{scheduler: s.settings.Name, incarnation: s.incarnationID()}, out)
+	l.connection = s.recorder.addNodeConnection(s, l.nodeName, now)
 }
 
 // incarnationID returns the number of the scheduler's incarnation in its hello frames. Later incarnations have larger
@@ -68,7 +68,7 @@
 func (s *schedulerEntity) incarnationID() int64 { return int64(Epoch) + int64(s.incarnations) }
 
 // redial dials the links whose backoff ends before end.
-func (s *schedulerEntity) redial(end Time, out *outbox) {
+func (s *schedulerEntity) dialDueLinks(end Time, out *outbox) {
 	s.nextDialAt = math.MaxInt64
 	for _, name := range s.simulation.nodeNames { // the order must not be that of a map
 		l := s.links[name]
@@ -85,16 +85,16 @@
 
 // linkLost closes a link that has broken and sets the backoff until its next dial. It returns the core's input; nil for
 // an entity that is not a node.
-func (s *schedulerEntity) linkLost(node int32, now Time) scheduler.Input {
+func (s *schedulerEntity) handleLinkLost(node int32, now Time) scheduler.Input {
 	l := s.linksByEntity[node]
 	if l == nil {
 		return nil
 	}
-	s.recorder.close(l.connection, now)
+	s.recorder.addClose(l.connection, now)
 	l.up, l.dialing = false, false
 	backoff := min(minBackoff<<min(l.failures, maxBackoffBits), maxBackoff)
 	l.failures++
 	l.retryAt = now + backoff/2 + time.Duration(s.random.Int64N(int64(backoff/2)))
 	s.nextDialAt = min(s.nextDialAt, l.retryAt)
-	return scheduler.NodeDisconnected{Node: l.name}
+	return scheduler.NodeDisconnected{Node: l.nodeName}
 }
--- a/internal/testbed/emulator/message.go
+++ b/internal/testbed/emulator/messages.go
@@ -19,7 +19,7 @@
 // The messages between schedulers, nodes and the inventory.
 type (
 	// connect requests a connection, with the hello of the scheduler that dials.
-	connect struct {
+	connectRequest struct {
 		scheduler   string
 		incarnation int64
 	}
@@ -32,7 +32,7 @@
 // The messages from clients to schedulers.
 type (
 	submission struct{ spec scheduler.JobSpec }
-	command    struct {
+	jobCommand struct {
 		verb scheduler.Verb
 		job  string
 	}
@@ -41,12 +41,12 @@
 // The messages from schedulers to clients.
 type (
 	// answer is the response to a submission: a job or an error code.
-	answer struct {
+	submissionAnswer struct {
 		key, job, errorCode string
 		scheduler           int
 	}
 	// outcomeNotice reports an event of a job.
-	outcomeNotice struct {
+	jobEvent struct {
 		info scheduler.JobInfo
 		at   Time
 	}
@@ -55,7 +55,7 @@
 )
 
 // unreachableCode is the error code of the answer to a submission to a scheduler that does not run.
-const unreachableCode = "unreachable"
+const errorCodeUnreachable = "unreachable"
 
 // The messages from the fault injector to nodes.
 type (
@@ -64,7 +64,7 @@
 	restartNode     struct{}
 	drainNode       struct{}
 	changeNodeFault struct{ change fault.NodeFaultChange }
-	dropPrograms    struct{ share float64 }
+	dropPrograms    struct{ fraction float64 }
 )
 
 // The messages from the fault injector to schedulers.
@@ -81,9 +81,9 @@
 		class  string
 		factor float64
 	}
-	hotServiceShare struct {
-		class string
-		share float64
+	hotServiceFraction struct {
+		class    string
+		fraction float64
 	}
 )
 
--- a/internal/testbed/emulator/node.go
+++ b/internal/testbed/emulator/node.go
@@ -20,7 +20,7 @@
 type nodeEntity struct {
 	simulation   *simulation
 	id           int32
-	place        scenario.Node
+	spec         scenario.Node
 	settings     settings.Node
 	inbox        inbox
 	latency      *latencyModel
@@ -32,9 +32,9 @@
 	schedulerNames  map[int32]string
 	connectionOrder []string // names of schedulers in the order of their first connections
 
-	registerAt    Time
-	overloads     int // incarnations that crashed of overload
-	finishedTasks int // of earlier incarnations
+	nextRegisterAt  Time
+	overloadCrashes int // incarnations that crashed of overload
+	finishedEarlier int // of earlier incarnations
 }
 
 func (n *nodeEntity) receive(m message) { n.inbox.put(m) }
@@ -46,7 +46,7 @@
 	if n.model == nil {
 		return math.MaxInt64
 	}
-	return min(n.model.Next(), n.registerAt)
+	return min(n.model.Next(), n.nextRegisterAt)
 }
 
 // start starts an incarnation, unless one runs.
@@ -59,9 +59,9 @@
 	set.Warm = warm
 	seed := scenario.NodeSeed(n.simulation.seed, int(n.id), n.incarnations)
 	n.model = nodemodel.New(fleet.NodeModel(set, day.Kinds, day.Rules, day.Behaviour, seed), now,
-		n.simulation.zoneKeys[n.place.Group.Zone])
+		n.simulation.zoneKeyRegistries[n.spec.Group.Zone])
 	n.schedulerIDs, n.schedulerNames, n.connectionOrder = map[string]int32{}, map[int32]string{}, nil
-	n.registerAt = now
+	n.nextRegisterAt = now
 }
 
 // stop ends the incarnation at once, with its connections and faults.
@@ -69,37 +69,37 @@
 	if n.model == nil {
 		return
 	}
-	n.simulation.recorder.nodeDied(n, now)
-	n.finishedTasks += n.model.Finished()
+	n.simulation.recorder.markNodeStopped(n, now)
+	n.finishedEarlier += n.model.Finished()
 	n.model.Die()
 	n.model, n.fault = nil, nodemodel.Fault{}
 	for _, name := range n.connectionOrder {
 		if id, ok := n.schedulerIDs[name]; ok {
-			n.reply(now, id, disconnected{}, out)
+			n.sendTo(now, id, disconnected{}, out)
 		}
 	}
-	n.reply(now, n.simulation.inventory.id, disconnected{}, out)
+	n.sendTo(now, n.simulation.inventory.id, disconnected{}, out)
 }
 
-func (n *nodeEntity) reply(now Time, to int32, body any, out *outbox) {
+func (n *nodeEntity) sendTo(now Time, to int32, body any, out *outbox) {
 	out.send(n.latency.deliveryTime(now, to), to, body)
 }
 
 func (n *nodeEntity) run(end Time, out *outbox) { n.inbox.runModel(n, end, out) }
 
 func (n *nodeEntity) advance(now Time, out *outbox) {
-	if n.registerAt <= now {
+	if n.nextRegisterAt <= now {
 		n.register(now, out)
-		n.registerAt = now + registerInterval
+		n.nextRegisterAt = now + registerInterval
 	}
-	n.send(now, n.model.Advance(now), out)
+	n.sendFrames(now, n.model.Advance(now), out)
 }
 
 // crash ends an incarnation whose model has died by itself.
-func (n *nodeEntity) crash(now Time, out *outbox) {
+func (n *nodeEntity) handleCrash(now Time, out *outbox) {
 	if n.model.Overloaded() {
-		n.overloads++
-		n.simulation.recorder.nodeOverloaded(n, now)
+		n.overloadCrashes++
+		n.simulation.recorder.markNodeOverloaded(n, now)
 	}
 	n.stop(now, out)
 }
@@ -108,7 +108,7 @@
 func (n *nodeEntity) handle(m message, out *outbox) {
 	n.dispatch(m, out)
 	if n.model != nil && n.model.Dead() {
-		n.crash(m.at, out)
+		n.handleCrash(m.at, out)
 	}
 }
 
@@ -127,22 +127,22 @@
 		n.changeFault(m.at, body, out)
 	case dropPrograms:
 		if n.model != nil {
-			n.model.DropPrograms(body.share)
+			n.model.DropPrograms(body.fraction)
 		}
-	case connect:
+	case connectRequest:
 		n.accept(m, body, out)
 	case disconnected:
 		n.disconnect(m)
 	case frame:
 		if name, ok := n.schedulerNames[m.from]; ok && n.model != nil {
-			n.send(m.at, n.model.Receive(m.at, name, body.Frame), out)
+			n.sendFrames(m.at, n.model.Receive(m.at, name, body.Frame), out)
 		}
 	}
 }
 
 func (n *nodeEntity) drain(now Time, out *outbox) {
 	if n.model != nil {
-		n.send(now, n.model.Drain(now), out)
+		n.sendFrames(now, n.model.Drain(now), out)
 		n.register(now, out)
 	}
 }
@@ -150,26 +150,26 @@
 func (n *nodeEntity) changeFault(now Time, body changeNodeFault, out *outbox) {
 	body.change(&n.fault)
 	if n.model != nil {
-		n.send(now, n.model.SetFault(now, n.fault), out)
+		n.sendFrames(now, n.model.SetFault(now, n.fault), out)
 	}
 }
 
 // accept accepts a connection of a scheduler, or closes it.
-func (n *nodeEntity) accept(m message, hello connect, out *outbox) {
+func (n *nodeEntity) accept(m message, hello connectRequest, out *outbox) {
 	if n.model == nil {
-		n.reply(m.at, m.from, disconnected{}, out)
+		n.sendTo(m.at, m.from, disconnected{}, out)
 		return
 	}
 	frames, ok := n.model.Connect(m.at, hello.scheduler, hello.incarnation, nodeframe.MaxHeldPerWelcome)
 	if !ok {
-		n.reply(m.at, m.from, disconnected{}, out)
+		n.sendTo(m.at, m.from, disconnected{}, out)
 		return
 	}
 	if _, known := n.schedulerIDs[hello.scheduler]; !known {
 		n.connectionOrder = append(n.connectionOrder, hello.scheduler)
 	}
 	n.schedulerIDs[hello.scheduler], n.schedulerNames[m.from] = m.from, hello.scheduler
-	n.send(m.at, frames, out)
+	n.sendFrames(m.at, frames, out)
 }
 
 func (n *nodeEntity) disconnect(m message) {
@@ -180,10 +180,10 @@
 	}
 }
 
-func (n *nodeEntity) send(now Time, frames []nodemodel.Send, out *outbox) {
+func (n *nodeEntity) sendFrames(now Time, frames []nodemodel.Send, out *outbox) {
 	for _, s := range frames {
 		if to, ok := n.schedulerIDs[s.To]; ok {
-			n.reply(now, to, frame{s.Frame}, out)
+			n.sendTo(now, to, frame{s.Frame}, out)
 		}
 	}
 }
@@ -191,13 +191,13 @@
 // register reports the node's state to the inventory.
 func (n *nodeEntity) register(now Time, out *outbox) {
 	machine := n.model.Machine(n.settings.Cell)
-	if n.incarnations == 1 && n.place.Group.Warm {
+	if n.incarnations == 1 && n.spec.Group.Warm {
 		machine.Started = 0
 	}
 	if !n.simulation.day.ListsFree {
 		machine.FreeCores, machine.FreeMemory = 0, 0
 	}
-	entry := nodefront.NewEntry(machine, n.settings.Kind, n.place.Name)
-	n.reply(now, n.simulation.inventory.id, frame{&nodepb.Frame{Body: &nodepb.Frame_Register{
+	entry := nodefront.NewEntry(machine, n.settings.Kind, n.spec.Name)
+	n.sendTo(now, n.simulation.inventory.id, frame{&nodepb.Frame{Body: &nodepb.Frame_Register{
 		Register: &nodepb.Register{Entry: entry}}}}, out)
 }
--- a/internal/testbed/emulator/recorder.go
+++ b/internal/testbed/emulator/recorder.go
@@ -37,7 +37,7 @@
 // schedulerConnections are the recorded connections of one incarnation of a scheduler, with the encoder of its responses
 // to clients.
 type schedulerConnections struct {
-	front     *drmaafront.Frontend
+	frontend  *drmaafront.Frontend
 	inventory uint64
 	requests  uint64 // a client's, for submissions
 	events    uint64 // a client's, for the event stream
@@ -48,21 +48,21 @@
 	r.records = append(r.records, record)
 }
 
-func (r *recorder) open(wire, listener, dialer string, at Time) uint64 {
+func (r *recorder) addOpen(wire, listener, dialer string, at Time) uint64 {
 	r.lastConnection++
 	r.add(at, &recordingpb.Record{Body: &recordingpb.Record_Open{Open: &recordingpb.Open{Conn: r.lastConnection, Wire: wire,
 		To: listener, Via: dialer}}})
 	return r.lastConnection
 }
 
-func (r *recorder) bytes(connection uint64, fromListener bool, data []byte, at Time) {
+func (r *recorder) addBytes(connection uint64, fromListener bool, data []byte, at Time) {
 	r.add(at, &recordingpb.Record{Body: &recordingpb.Record_Sent{Sent: &recordingpb.Sent{Conn: connection, Back: fromListener,
 		Data: data}}})
 	r.add(at, &recordingpb.Record{Body: &recordingpb.Record_Delivered{Delivered: &recordingpb.Delivered{Conn: connection,
 		Back: fromListener, Bytes: uint64(len(data))}}})
 }
 
-func (r *recorder) frame(connection uint64, fromListener bool, f frame, at Time) {
+func (r *recorder) addFrame(connection uint64, fromListener bool, f frame, at Time) {
 	if r == nil || connection == 0 {
 		return
 	}
@@ -71,7 +71,7 @@
 		r.fail(err)
 		return
 	}
-	r.bytes(connection, fromListener, encoded, at)
+	r.addBytes(connection, fromListener, encoded, at)
 }
 
 func (r *recorder) fail(err error) {
@@ -81,7 +81,7 @@
 }
 
 // schedulerStarted opens the recorded connections of a scheduler's incarnation.
-func (r *recorder) schedulerStarted(s *schedulerEntity) {
+func (r *recorder) addSchedulerConnections(s *schedulerEntity) {
 	if r == nil {
 		return
 	}
@@ -89,28 +89,28 @@
 		r.connections = map[string]*schedulerConnections{}
 	}
 	at, name := s.nextDeadline, s.settings.Name
-	c := &schedulerConnections{front: drmaafront.New(s.settings, at)}
-	c.inventory = r.open(rules.InventoryWire, "inventory", name, at)
-	c.requests = r.open(rules.ClientWire, name, "", at)
-	c.events = r.open(rules.ClientWire, name, "", at)
-	r.bytes(c.events, false, []byte("GET /drmaa2/v1/sessions/all/events HTTP/1.1\r\nHost: x\r\n\r\n"), at)
-	r.bytes(c.events, true, httpcodec.AppendStreamHead(nil, http.StatusOK, "text/event-stream"), at)
+	c := &schedulerConnections{frontend: drmaafront.New(s.settings, at)}
+	c.inventory = r.addOpen(rules.InventoryWire, "inventory", name, at)
+	c.requests = r.addOpen(rules.ClientWire, name, "", at)
+	c.events = r.addOpen(rules.ClientWire, name, "", at)
+	r.addBytes(c.events, false, []byte("GET /drmaa2/v1/sessions/all/events HTTP/1.1\r\nHost: x\r\n\r\n"), at)
+	r.addBytes(c.events, true, httpcodec.AppendStreamHead(nil, http.StatusOK, "text/event-stream"), at)
 	r.connections[name] = c
-	r.frame(c.inventory, false, frame{nodefront.HelloFrame(s.settings, at)}, at)
+	r.addFrame(c.inventory, false, frame{nodefront.HelloFrame(s.settings, at)}, at)
 }
 
 // dialed records a connection to a node and returns its number; 0 without a recording.
-func (r *recorder) dialed(s *schedulerEntity, node string, at Time) uint64 {
+func (r *recorder) addNodeConnection(s *schedulerEntity, node string, at Time) uint64 {
 	if r == nil {
 		return 0
 	}
-	connection := r.open(rules.NodeWire, node, "", at)
-	r.frame(connection, false, frame{&nodepb.Frame{Body: &nodepb.Frame_Hello{Hello: &nodepb.Hello{
+	connection := r.addOpen(rules.NodeWire, node, "", at)
+	r.addFrame(connection, false, frame{&nodepb.Frame{Body: &nodepb.Frame_Hello{Hello: &nodepb.Hello{
 		Party: s.settings.Name, LifeUnixNs: s.incarnationID()}}}}, at)
 	return connection
 }
 
-func (r *recorder) close(connection uint64, at Time) {
+func (r *recorder) addClose(connection uint64, at Time) {
 	if r != nil && connection != 0 {
 		r.add(at, &recordingpb.Record{Body: &recordingpb.Record_Close{Close: &recordingpb.Close{Conn: connection}}})
 	}
@@ -124,31 +124,31 @@
 	return r.connections[s.settings.Name].inventory
 }
 
-func (r *recorder) mark(event recordproxy.Event, party string, at Time) {
+func (r *recorder) addMark(event recordproxy.Event, party string, at Time) {
 	if r != nil {
 		r.add(at, &recordingpb.Record{Body: &recordingpb.Record_Mark{Mark: recordproxy.NewMark(event, party)}})
 	}
 }
 
-func (r *recorder) nodeDied(n *nodeEntity, at Time) {
-	r.mark(recordproxy.EventNodeStopped, n.place.Name, at)
+func (r *recorder) markNodeStopped(n *nodeEntity, at Time) {
+	r.addMark(recordproxy.EventNodeStopped, n.spec.Name, at)
 }
 
-func (r *recorder) nodeOverloaded(n *nodeEntity, at Time) {
-	r.mark(recordproxy.EventNodeOverloaded, n.place.Name, at)
+func (r *recorder) markNodeOverloaded(n *nodeEntity, at Time) {
+	r.addMark(recordproxy.EventNodeOverloaded, n.spec.Name, at)
 }
 
-func (r *recorder) schedulerKilled(s *schedulerEntity, at Time) {
-	r.mark(recordproxy.EventSchedulerKilled, s.settings.Name, at)
+func (r *recorder) markSchedulerKilled(s *schedulerEntity, at Time) {
+	r.addMark(recordproxy.EventSchedulerKilled, s.settings.Name, at)
 }
 
-func (r *recorder) schedulerPaused(s *schedulerEntity, at, until Time) {
-	r.mark(recordproxy.EventSchedulerPaused, s.settings.Name, at)
-	r.mark(recordproxy.EventSchedulerResumed, s.settings.Name, until)
+func (r *recorder) markSchedulerPaused(s *schedulerEntity, at, until Time) {
+	r.addMark(recordproxy.EventSchedulerPaused, s.settings.Name, at)
+	r.addMark(recordproxy.EventSchedulerResumed, s.settings.Name, until)
 }
 
 // answered records a submission and its answer as they are between a client and the front.
-func (r *recorder) answered(s *schedulerEntity, answer *scheduler.Answer, at Time) {
+func (r *recorder) addSubmission(s *schedulerEntity, answer *scheduler.Answer, at Time) {
 	if r == nil {
 		return
 	}
@@ -162,16 +162,16 @@
 		r.fail(err)
 		return
 	}
-	r.bytes(c.requests, false, fmt.Appendf(nil,
+	r.addBytes(c.requests, false, fmt.Appendf(nil,
 		"POST /drmaa2/v1/sessions/all/jobs HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", len(body), body), at)
-	r.bytes(c.requests, true, c.front.EncodeSubmitted(answer), at)
+	r.addBytes(c.requests, true, c.frontend.EncodeSubmitted(answer), at)
 }
 
 // outcome records an event of a job.
-func (r *recorder) outcome(s *schedulerEntity, info *scheduler.JobInfo, at Time) {
+func (r *recorder) addJobEvent(s *schedulerEntity, info *scheduler.JobInfo, at Time) {
 	if r != nil {
 		c := r.connections[s.settings.Name]
-		r.bytes(c.events, true, c.front.EncodeEvent(info, strconv.FormatUint(info.Revision, 10)), at)
+		r.addBytes(c.events, true, c.frontend.EncodeEvent(info, strconv.FormatUint(info.Revision, 10)), at)
 	}
 }
 
@@ -181,7 +181,7 @@
 		return fmt.Errorf("emulator: record: %w", r.err)
 	}
 	slices.SortStableFunc(r.records, func(a, b *recordingpb.Record) int { return cmp.Compare(a.TimeNs, b.TimeNs) })
-	r.mark(recordproxy.EventEnd, "", end)
+	r.addMark(recordproxy.EventEnd, "", end)
 	buffer := bufio.NewWriter(w)
 	head := &recordingpb.Record{TimeNs: int64(Epoch), Body: &recordingpb.Record_Head{Head: &recordingpb.Head{
 		Version: recordproxy.Version, Figures: figures}}}
--- a/internal/testbed/emulator/report.go
+++ b/internal/testbed/emulator/report.go
@@ -15,60 +15,60 @@
 
 // ClassReport is the result of a day for the jobs of one class.
 type ClassReport struct {
-	Class     string
-	Submitted int
-	Placed    int                     // submissions that were placed
-	InTime    int                     // first placements within the class's latency objective
-	Outcomes  map[string]int          // of placement requests
-	Wait      *hdrhistogram.Histogram // microseconds from the intended submission to the first placement
+	Class           string
+	Submitted       int
+	Placed          int                     // submissions that were placed
+	WithinObjective int                     // first placements within the class's latency objective
+	RequestOutcomes map[string]int          // of placement requests
+	WaitMicros      *hdrhistogram.Histogram // microseconds from the intended submission to the first placement
 }
 
 // Report is the result of a day.
 type Report struct {
-	Seconds        float64        // simulated
-	SubmissionEnds map[string]int // submissions, by how they ended for their clients
-	JobEnds        map[string]int // jobs, by how they ended
-	Classes        []*ClassReport // in the day's order
-	Finished       int            // tasks that nodes have run to their end
-	Overloaded     int            // nodes that crashed of overload
-	Retries        int            // submissions of jobs that were submitted before
-	Events         int64          // runs of entities
-	Messages       int64          // between entities
-	Steps          int64          // of cores
-	Busiest        float64        // fraction of the time that the busiest core worked; 0 if the day has no costs of steps
-	Unaccounted    int            // submissions without any end
+	SimulatedSeconds   float64        // simulated
+	SubmissionEnds     map[string]int // submissions, by how they ended for their clients
+	JobEnds            map[string]int // jobs, by how they ended
+	Classes            []*ClassReport // in the day's order
+	FinishedTasks      int            // tasks that nodes have run to their end
+	OverloadCrashes    int            // nodes that crashed of overload
+	Retries            int            // submissions of jobs that were submitted before
+	EntityRuns         int64          // runs of entities
+	Messages           int64          // between entities
+	CoreSteps          int64          // of cores
+	MaxCoreUtilization float64        // fraction of the time that the busiest core worked; 0 if the day has no costs of steps
+	Unaccounted        int            // submissions without any end
 }
 
 func (s *simulation) report(end Time) *Report {
 	stats := s.clients.stats
 	for _, open := range s.clients.openSubmissions() {
-		if open.outcome == "" && open.end == "" && open.due >= end {
-			open.end = endOpen
+		if open.outcome == "" && open.endReason == "" && open.closeAt >= end {
+			open.endReason = endOpen
 		}
-		s.clients.close(open)
+		s.clients.closeSubmission(open)
 	}
 	r := &Report{
-		Seconds:        (end - Epoch).Seconds(),
-		SubmissionEnds: stats.submissionEnds,
-		JobEnds:        stats.jobEnds,
-		Events:         s.engine.events,
-		Messages:       s.engine.messages,
-		Unaccounted:    stats.submissionEnds[endNoOutcome],
-		Retries:        stats.retries,
+		SimulatedSeconds: (end - Epoch).Seconds(),
+		SubmissionEnds:   stats.submissionEnds,
+		JobEnds:          stats.jobEnds,
+		EntityRuns:       s.engine.entityRuns,
+		Messages:         s.engine.messages,
+		Unaccounted:      stats.submissionEnds[endNoOutcome],
+		Retries:          stats.retries,
 	}
 	for _, name := range stats.classOrder {
 		r.Classes = append(r.Classes, stats.classes[name])
 	}
 	for _, node := range s.nodes {
-		r.Finished += node.finishedTasks
+		r.FinishedTasks += node.finishedEarlier
 		if node.model != nil {
-			r.Finished += node.model.Finished()
+			r.FinishedTasks += node.model.Finished()
 		}
-		r.Overloaded += node.overloads
+		r.OverloadCrashes += node.overloadCrashes
 	}
 	for _, scheduler := range s.schedulers {
-		r.Steps += scheduler.steps
-		r.Busiest = max(r.Busiest, scheduler.busyTime.Seconds()/r.Seconds)
+		r.CoreSteps += scheduler.steps
+		r.MaxCoreUtilization = max(r.MaxCoreUtilization, scheduler.busyTime.Seconds()/r.SimulatedSeconds)
 	}
 	return r
 }
@@ -81,22 +81,22 @@
 	}
 	fmt.Fprintf(&text, "submissions: %s; %d retries, %d unaccounted for\n", countformat.FormatOutcomes(r.SubmissionEnds),
 		r.Retries, r.Unaccounted)
-	fmt.Fprintf(&text, "jobs ended: %s; %d nodes crashed of overload\n", countformat.FormatOutcomes(r.JobEnds), r.Overloaded)
-	if r.Busiest > 0 {
-		fmt.Fprintf(&text, "the busiest core is busy %.0f%% of the time\n", 100*r.Busiest)
+	fmt.Fprintf(&text, "jobs ended: %s; %d nodes crashed of overload\n", countformat.FormatOutcomes(r.JobEnds), r.OverloadCrashes)
+	if r.MaxCoreUtilization > 0 {
+		fmt.Fprintf(&text, "the busiest core is busy %.0f%% of the time\n", 100*r.MaxCoreUtilization)
 	}
-	fmt.Fprintf(&text, "%.1f simulated seconds: %d events, %d messages, %d core steps\n", r.Seconds, r.Events,
-		r.Messages, r.Steps)
+	fmt.Fprintf(&text, "%.1f simulated seconds: %d events, %d messages, %d core steps\n", r.SimulatedSeconds, r.EntityRuns,
+		r.Messages, r.CoreSteps)
 	return text.String()
 }
 
 func (c *ClassReport) print(text *strings.Builder) {
 	wait := func(percentile float64) time.Duration {
-		return time.Duration(c.Wait.ValueAtQuantile(percentile)) * time.Microsecond
+		return time.Duration(c.WaitMicros.ValueAtQuantile(percentile)) * time.Microsecond
 	}
 	fmt.Fprintf(text, "%-12s %6d submitted, %6d placed, %6d in time; wait p50 %v p99 %v p99.9 %v; placement requests: %s\n",
-		c.Class, c.Submitted, c.Placed, c.InTime, wait(50), wait(99), wait(99.9),
-		countformat.FormatOutcomes(c.Outcomes))
+		c.Class, c.Submitted, c.Placed, c.WithinObjective, wait(50), wait(99), wait(99.9),
+		countformat.FormatOutcomes(c.RequestOutcomes))
 }
 
 // clientStats counts the results that clients observe.
@@ -115,8 +115,8 @@
 	for i := range day.Classes {
 		name := day.Classes[i].Name
 		s.classOrder = append(s.classOrder, name)
-		s.classes[name] = &ClassReport{Class: name, Outcomes: map[string]int{},
-			Wait: hdrhistogram.New(1, math.MaxInt32*1000, waitDigits)}
+		s.classes[name] = &ClassReport{Class: name, RequestOutcomes: map[string]int{},
+			WaitMicros: hdrhistogram.New(1, math.MaxInt32*1000, waitDigits)}
 	}
 	return s
 }
@@ -124,14 +124,14 @@
 func (s *clientStats) countSubmitted(class string) { s.classes[class].Submitted++ }
 
 func (s *clientStats) countOutcome(class string, outcome scheduler.PlacementOutcome) {
-	s.classes[class].Outcomes[string(outcome)]++
+	s.classes[class].RequestOutcomes[string(outcome)]++
 }
 
 func (s *clientStats) countPlaced(class string, wait, latencyObjective time.Duration) {
 	c := s.classes[class]
-	_ = c.Wait.RecordValue(max(int64(wait/time.Microsecond), 1)) // a wait of weeks is more than a day simulates
+	_ = c.WaitMicros.RecordValue(max(int64(wait/time.Microsecond), 1)) // a wait of weeks is more than a day simulates
 	c.Placed++
 	if wait <= latencyObjective {
-		c.InTime++
+		c.WithinObjective++
 	}
 }
--- a/internal/testbed/emulator/scheduler.go
+++ b/internal/testbed/emulator/scheduler.go
@@ -21,10 +21,10 @@
 	recorder     *recorder
 	incarnations int
 
-	core         *scheduler.Core
-	nextDeadline Time              // when the core is to run next, as it requested
-	feedback     []scheduler.Input // inputs of the next step that effects of the last one caused
-	drained      bool              // the core has nothing open after a graceful shutdown
+	core          *scheduler.Core
+	nextDeadline  Time              // when the core is to run next, as it requested
+	pendingInputs []scheduler.Input // inputs of the next step that effects of the last one caused
+	drained       bool              // the core has nothing open after a graceful shutdown
 
 	pausedUntil Time
 	busyUntil   Time // end of the last step of the core
@@ -35,9 +35,9 @@
 	linksByEntity map[int32]*link
 	nextDialAt    Time // the earliest dial of the links that wait for their backoff
 
-	inventoryFront *nodefront.InventoryDecoder
-	requests       map[uint64]clientRequest
-	lastRequest    uint64
+	inventoryDecoder *nodefront.InventoryDecoder
+	requests         map[uint64]clientRequest
+	lastRequest      uint64
 }
 
 // clientRequest is a submission that has no answer yet.
@@ -74,11 +74,11 @@
 		s.simulation.fail(err)
 		return
 	}
-	s.core, s.nextDeadline, s.feedback, s.nextDialAt = core, now, nil, math.MaxInt64
+	s.core, s.nextDeadline, s.pendingInputs, s.nextDialAt = core, now, nil, math.MaxInt64
 	s.links, s.linksByEntity = map[string]*link{}, map[int32]*link{}
 	s.requests = map[uint64]clientRequest{}
-	s.inventoryFront = &nodefront.InventoryDecoder{Settings: s.settings}
-	s.recorder.schedulerStarted(s)
+	s.inventoryDecoder = &nodefront.InventoryDecoder{Settings: s.settings}
+	s.recorder.addSchedulerConnections(s)
 }
 
 // kill ends the incarnation at once, with its connections.
@@ -88,14 +88,14 @@
 	}
 	for _, name := range s.simulation.nodeNames {
 		if l := s.links[name]; l != nil && l.isOpen() {
-			s.send(now, l.node, disconnected{}, out)
-			s.recorder.close(l.connection, now)
+			s.send(now, l.nodeID, disconnected{}, out)
+			s.recorder.addClose(l.connection, now)
 		}
 	}
 	s.send(now, s.simulation.inventory.id, disconnected{}, out)
 	s.send(now, s.simulation.clients.id, schedulerKilled{s.settings.Index}, out)
 	s.core = nil
-	s.recorder.schedulerKilled(s, now)
+	s.recorder.markSchedulerKilled(s, now)
 }
 
 func (s *schedulerEntity) send(now Time, to int32, body any, out *outbox) {
@@ -111,10 +111,10 @@
 	now := end
 	var inputs []scheduler.Input
 	for _, m := range s.inbox.due(end) {
-		if s.control(m, now, out) {
+		if s.handleControl(m, now, out) {
 			continue
 		}
-		if input := s.input(m, now, out); input != nil {
+		if input := s.coreInput(m, now, out); input != nil {
 			inputs = append(inputs, input)
 		}
 	}
@@ -122,16 +122,16 @@
 		return
 	}
 	if s.nextDialAt < end {
-		s.redial(end, out)
+		s.dialDueLinks(end, out)
 	}
-	if len(inputs) > 0 || len(s.feedback) > 0 || s.nextDeadline < end {
-		s.step(now, append(inputs, s.feedback...), out)
+	if len(inputs) > 0 || len(s.pendingInputs) > 0 || s.nextDeadline < end {
+		s.step(now, append(inputs, s.pendingInputs...), out)
 	}
 }
 
 // step runs the core and executes its effects.
 func (s *schedulerEntity) step(now Time, inputs []scheduler.Input, out *outbox) {
-	s.feedback = nil
+	s.pendingInputs = nil
 	s.steps++
 	output := s.core.Step(now, inputs)
 	// Effects are executed at the end of the step's time, and inputs wait until then.
@@ -144,7 +144,7 @@
 	for _, effect := range output.Effects {
 		s.execute(effect, now, out)
 	}
-	if len(s.feedback) > 0 {
+	if len(s.pendingInputs) > 0 {
 		s.nextDeadline = now
 	}
 	if s.drained {
@@ -154,7 +154,7 @@
 }
 
 // control handles the messages of the fault injector that do not concern the core. It returns false for any other.
-func (s *schedulerEntity) control(m message, now Time, out *outbox) bool {
+func (s *schedulerEntity) handleControl(m message, now Time, out *outbox) bool {
 	switch body := m.body.(type) {
 	case startScheduler:
 		s.start(now)
@@ -162,7 +162,7 @@
 		s.kill(now, out)
 	case pauseScheduler:
 		s.pausedUntil = body.until
-		s.recorder.schedulerPaused(s, now, body.until)
+		s.recorder.markSchedulerPaused(s, now, body.until)
 	default:
 		return false
 	}
@@ -170,10 +170,11 @@
 }
 
 // input converts a message into an input of the core; nil if it is none.
-func (s *schedulerEntity) input(m message, now Time, out *outbox) scheduler.Input {
+func (s *schedulerEntity) coreInput(m message, now Time, out *outbox) scheduler.Input {
 	if s.core == nil {
 		if body, ok := m.body.(submission); ok {
-			s.send(now, m.from, answer{key: body.spec.Key, errorCode: unreachableCode, scheduler: s.settings.Index}, out)
+			s.send(now, m.from, submissionAnswer{key: body.spec.Key, errorCode: errorCodeUnreachable,
+				scheduler: s.settings.Index}, out)
 		}
 		return nil
 	}
@@ -184,33 +185,33 @@
 		return scheduler.Submit{RequestID: s.lastRequest, ReceivedAt: m.at, Spec: body.spec}
 	case terminateScheduler:
 		return scheduler.Drain{}
-	case command:
+	case jobCommand:
 		return scheduler.Command{Verb: body.verb, Job: body.job}
 	case disconnected:
-		return s.linkLost(m.from, now)
+		return s.handleLinkLost(m.from, now)
 	case frame:
 		if m.from == s.simulation.inventory.id {
-			return s.inventoryFrame(body, now)
+			return s.decodeInventoryFrame(body, now)
 		}
-		return s.nodeFrame(m.from, body, now)
+		return s.decodeNodeFrame(m.from, body, now)
 	}
 	return nil
 }
 
-func (s *schedulerEntity) inventoryFrame(f frame, now Time) scheduler.Input {
-	s.recorder.frame(s.recorder.inventoryConnection(s), true, f, now)
-	message, err := s.inventoryFront.Decode(f.Frame)
+func (s *schedulerEntity) decodeInventoryFrame(f frame, now Time) scheduler.Input {
+	s.recorder.addFrame(s.recorder.inventoryConnection(s), true, f, now)
+	message, err := s.inventoryDecoder.Decode(f.Frame)
 	s.simulation.fail(err)
 	return message.Input
 }
 
-func (s *schedulerEntity) nodeFrame(from int32, f frame, now Time) scheduler.Input {
+func (s *schedulerEntity) decodeNodeFrame(from int32, f frame, now Time) scheduler.Input {
 	l := s.linksByEntity[from]
 	if l == nil || !l.isOpen() {
 		return nil // the connection was closed before the frame was delivered
 	}
-	s.recorder.frame(l.connection, true, f, now)
-	input, err := l.front.Decode(f.Frame)
+	s.recorder.addFrame(l.connection, true, f, now)
+	input, err := l.decoder.Decode(f.Frame)
 	s.simulation.fail(err)
 	if _, ok := input.(scheduler.NodeConnected); ok {
 		l.up, l.dialing, l.failures = true, false, 0
--- a/internal/testbed/emulator/simulation.go
+++ b/internal/testbed/emulator/simulation.go
@@ -15,20 +15,20 @@
 
 // simulation is one simulated cluster.
 type simulation struct {
-	day        *scenario.Day
-	seed       uint64
-	engine     *engine
-	clients    *clients
-	faults     *faultInjector
-	inventory  *inventory
-	nodes      []*nodeEntity
-	nodeNames  []string // in the order of nodes
-	nodeIDs    map[string]int32
-	schedulers []*schedulerEntity
-	zoneKeys   map[string]nodemodel.KeyRegistry // the idempotency keys that the nodes of a zone share
-	zoneGroups map[string]int32                 // the engine's groups of zones
-	recorder   *recorder                        // nil for none
-	trace      *traceArrivals                   // in place of the day's load; nil for none
+	day               *scenario.Day
+	seed              uint64
+	engine            *engine
+	clients           *clients
+	faults            *faultInjector
+	inventory         *inventory
+	nodes             []*nodeEntity
+	nodeNames         []string // in the order of nodes
+	nodeIDs           map[string]int32
+	schedulers        []*schedulerEntity
+	zoneKeyRegistries map[string]nodemodel.KeyRegistry // the idempotency keys that the nodes of a zone share
+	zoneGroups        map[string]int32                 // the engine's groups of zones
+	recorder          *recorder                        // nil for none
+	trace             *traceArrivals                   // in place of the day's load; nil for none
 
 	newModule     func(cfg flaxshelf.Config, seed uint64) (scheduler.Module, error)
 	configureCore func(cfg *scheduler.Config)
@@ -53,7 +53,7 @@
 func (s *simulation) entityName(id int32) string {
 	switch entity := s.engine.entities[id].(type) {
 	case *nodeEntity:
-		return entity.place.Name
+		return entity.spec.Name
 	case *schedulerEntity:
 		return entity.settings.Name
 	}
@@ -67,14 +67,14 @@
 		day = &longer
 	}
 	s := &simulation{
-		day:           day,
-		seed:          opt.Seed,
-		engine:        newEngine(opt.Workers),
-		nodeIDs:       map[string]int32{},
-		zoneKeys:      map[string]nodemodel.KeyRegistry{},
-		zoneGroups:    map[string]int32{},
-		newModule:     opt.NewModule,
-		configureCore: opt.ConfigureCore,
+		day:               day,
+		seed:              opt.Seed,
+		engine:            newEngine(opt.Workers),
+		nodeIDs:           map[string]int32{},
+		zoneKeyRegistries: map[string]nodemodel.KeyRegistry{},
+		zoneGroups:        map[string]int32{},
+		newModule:         opt.NewModule,
+		configureCore:     opt.ConfigureCore,
 	}
 	if err := s.checkOptions(opt); err != nil {
 		return nil, err
@@ -125,10 +125,10 @@
 
 func (s *simulation) addNode(place scenario.Node) {
 	zone := place.Group.Zone
-	n := &nodeEntity{simulation: s, place: place, settings: settings.Node{Name: place.Name, Kind: place.Group.Kind,
+	n := &nodeEntity{simulation: s, spec: place, settings: settings.Node{Name: place.Name, Kind: place.Group.Kind,
 		Zone: zone, Cell: place.Group.Cell}}
-	if s.zoneKeys[zone] == nil {
-		s.zoneKeys[zone] = nodemodel.NewLocalKeys()
+	if s.zoneKeyRegistries[zone] == nil {
+		s.zoneKeyRegistries[zone] = nodemodel.NewLocalKeys()
 		s.zoneGroups[zone] = int32(len(s.zoneGroups) + 1)
 	}
 	n.id = s.engine.add(n)
--- a/internal/testbed/emulator/submission.go
+++ b/internal/testbed/emulator/submission.go
@@ -11,15 +11,15 @@
 
 // submissionState is a submission and the state that its client has of it.
 type submissionState struct {
-	arrival     scenario.Arrival
-	spec        scheduler.JobSpec
-	job         string
-	outcome     scheduler.PlacementOutcome
-	end         string // how it ended without an outcome; empty: it is open or has one
-	lastOutcome string // of the last request that its client retried
-	orphaned    bool   // its scheduler was killed
-	due         Time   // when it is accounted for
-	closed      bool
+	arrival         scenario.Arrival
+	spec            scheduler.JobSpec
+	job             string
+	outcome         scheduler.PlacementOutcome
+	endReason       string // how it ended without an outcome; empty: it is open or has one
+	lastOutcome     string // of the last request that its client retried
+	schedulerKilled bool   // its scheduler was killed
+	closeAt         Time   // when it is accounted for
+	closed          bool
 }
 
 // The ends in the report of submissions without an outcome.
@@ -31,29 +31,29 @@
 )
 
 // close accounts for a submission at the end of its time.
-func (c *clients) close(s *submissionState) {
+func (c *clients) closeSubmission(s *submissionState) {
 	if s.closed {
 		return
 	}
 	switch {
 	case s.outcome != "":
-		s.end = string(s.outcome)
-	case s.end != "":
+		s.endReason = string(s.outcome)
+	case s.endReason != "":
 	case s.lastOutcome != "":
-		s.end = s.lastOutcome
-	case s.orphaned:
-		s.end = endKilled
+		s.endReason = s.lastOutcome
+	case s.schedulerKilled:
+		s.endReason = endKilled
 	default:
-		s.end = endNoOutcome
+		s.endReason = endNoOutcome
 	}
 	s.closed = true
-	c.stats.submissionEnds[s.end]++
+	c.stats.submissionEnds[s.endReason]++
 	delete(c.submissions, s.arrival.Key)
 }
 
 // retry resubmits a job that was not placed, after a backoff. It returns false if the load does not retry or its
 // client's patience would end first.
-func (c *clients) retry(s *submissionState, now Time) bool {
+func (c *clients) scheduleRetry(s *submissionState, now Time) bool {
 	backoff := s.arrival.Load.Retry.Duration()
 	if backoff <= 0 {
 		return false
@@ -63,7 +63,7 @@
 		return false
 	}
 	c.stats.retries++
-	c.setTimer(at, func(now Time, out *outbox) { c.send(s, now, out) })
+	c.setTimer(at, func(now Time, out *outbox) { c.sendSubmission(s, now, out) })
 	return true
 }
 
@@ -80,15 +80,15 @@
 }
 
 // resubmit submits a job again whose scheduler was killed, unless its client has stopped waiting by then.
-func (c *clients) resubmit(s *submissionState, now Time) {
+func (c *clients) scheduleResubmission(s *submissionState, now Time) {
 	at := now + resubmitDelay
-	if at >= s.due-outcomeGrace {
+	if at >= s.closeAt-outcomeGracePeriod {
 		return
 	}
 	s.spec.Retry = true
 	c.setTimer(at, func(now Time, out *outbox) {
 		if s.outcome == "" {
-			c.send(s, now, out)
+			c.sendSubmission(s, now, out)
 		}
 	})
 }
--- a/internal/testbed/emulator/wheel.go
+++ b/internal/testbed/emulator/timingwheel.go
@@ -6,12 +6,12 @@
 // engine's access pattern: entities are due repeatedly, nearly always within a few thousand windows, and all entities of a
 // window are requested together. Adding an entity appends to a slot; entities that are due later than the wheel spans wait
 // in a heap. BenchmarkQueue compares it with a heap.
-type wheel struct {
-	slots [][]int32
-	mask  int64
-	now   int64 // the last window that next returned
-	count int   // entities in slots
-	far   windowHeap
+type timingWheel struct {
+	slots      [][]int32
+	mask       int64
+	lastWindow int64 // the last window that next returned
+	slotCount  int   // entities in slots
+	overflow   windowHeap
 }
 
 type windowItem struct {
@@ -45,24 +45,24 @@
 }
 
 // newWheel returns a wheel that spans 2^bits windows.
-func newWheel(bits int) *wheel {
-	return &wheel{slots: make([][]int32, 1<<bits), mask: 1<<bits - 1, now: -1}
+func newTimingWheel(bits int) *timingWheel {
+	return &timingWheel{slots: make([][]int32, 1<<bits), mask: 1<<bits - 1, lastWindow: -1}
 }
 
 // add queues an entity for the window, or for the next one if that has passed.
-func (w *wheel) add(window int64, id int32) {
-	window = max(window, w.now+1)
-	if window-w.now > w.mask {
-		heap.Push(&w.far, windowItem{window, id})
+func (w *timingWheel) add(window int64, id int32) {
+	window = max(window, w.lastWindow+1)
+	if window-w.lastWindow > w.mask {
+		heap.Push(&w.overflow, windowItem{window, id})
 		return
 	}
 	w.addSlot(window, id)
 }
 
-func (w *wheel) addSlot(window int64, id int32) {
+func (w *timingWheel) addSlot(window int64, id int32) {
 	slot := &w.slots[window&w.mask]
 	*slot = append(*slot, id)
-	w.count++
+	w.slotCount++
 }
 
 // minSlotCapacity is the remaining capacity below which the memory of a slot is released.
@@ -70,20 +70,20 @@
 
 // next removes and returns the entities of the earliest window that has any. ids may have duplicates; it is valid until
 // next returns the same slot again. ok is false if the wheel is empty.
-func (w *wheel) next() (window int64, ids []int32, ok bool) {
-	if w.count == 0 && len(w.far) == 0 {
+func (w *timingWheel) next() (window int64, ids []int32, ok bool) {
+	if w.slotCount == 0 && len(w.overflow) == 0 {
 		return 0, nil, false
 	}
-	if w.count == 0 { // skip the empty windows before the first in the heap
-		w.now = max(w.now, w.far[0].window-1)
+	if w.slotCount == 0 { // skip the empty windows before the first in the heap
+		w.lastWindow = max(w.lastWindow, w.overflow[0].window-1)
 	}
 	for {
-		for len(w.far) > 0 && w.far[0].window-w.now <= w.mask {
-			item := heap.Pop(&w.far).(windowItem)
+		for len(w.overflow) > 0 && w.overflow[0].window-w.lastWindow <= w.mask {
+			item := heap.Pop(&w.overflow).(windowItem)
 			w.addSlot(item.window, item.id)
 		}
-		w.now++
-		slot := &w.slots[w.now&w.mask]
+		w.lastWindow++
+		slot := &w.slots[w.lastWindow&w.mask]
 		if len(*slot) == 0 {
 			continue
 		}
@@ -92,7 +92,7 @@
 		if cap(*slot) < minSlotCapacity {
 			*slot = nil
 		}
-		w.count -= len(ids)
-		return w.now, ids, true
+		w.slotCount -= len(ids)
+		return w.lastWindow, ids, true
 	}
 }
--- a/internal/testbed/emulator/wheel_test.go
+++ b/internal/testbed/emulator/timingwheel_test.go
@@ -29,7 +29,7 @@
 // The wheel and a heap return the same windows with the same entities, whatever is added, near or far.
 func TestWheelMatchesHeap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		wheel, reference := newWheel(rapid.IntRange(1, 6).Draw(t, "bits")), &heapQueue{}
+		wheel, reference := newTimingWheel(rapid.IntRange(1, 6).Draw(t, "bits")), &heapQueue{}
 		now := int64(-1)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			for range rapid.IntRange(0, 4).Draw(t, "adds") {
@@ -66,7 +66,7 @@
 		for _, q := range []struct {
 			name string
 			make func() queue
-		}{{"wheel", func() queue { return newWheel(12) }}, {"heap", func() queue { return &heapQueue{} }}} {
+		}{{"wheel", func() queue { return newTimingWheel(12) }}, {"heap", func() queue { return &heapQueue{} }}} {
 			b.Run(fmt.Sprintf("%s/entities=%d", q.name, n), func(b *testing.B) {
 				x, r := q.make(), rand.New(rand.NewPCG(1, 2))
 				for id := range n {
--- a/internal/testbed/emulator/tracearrivals.go
+++ b/internal/testbed/emulator/tracearrivals.go
@@ -8,7 +8,7 @@
 )
 
 // arrivals is a source of submissions: they are drawn from a day's load, or read from a trace.
-type arrivals interface {
+type arrivalSource interface {
 	// Next returns the next submission, given the present factor of the load and the share of its hot service. It returns
 	// false after the last one.
 	Next(factor, hotServiceShare float64) (scenario.Arrival, bool)
--- a/internal/testbed/emulator/tracearrivals_test.go
+++ b/internal/testbed/emulator/tracearrivals_test.go
@@ -46,8 +46,8 @@
 	if want := submitted * 9 / 10; placed < want {
 		t.Errorf("got %d placed submissions, want at least %d", placed, want)
 	}
-	if report.Seconds < 20 {
-		t.Errorf("got a day of %v s, want at least the 20 s of the trace", report.Seconds)
+	if report.SimulatedSeconds < 20 {
+		t.Errorf("got a day of %v s, want at least the 20 s of the trace", report.SimulatedSeconds)
 	}
 }
 
@@ -77,7 +77,7 @@
 	}
 	free, light, heavy := run(0), run(100*time.Microsecond), run(4*time.Millisecond)
 	p99 := func(report *Report) time.Duration {
-		return time.Duration(report.Classes[0].Wait.ValueAtQuantile(99)) * time.Microsecond
+		return time.Duration(report.Classes[0].WaitMicros.ValueAtQuantile(99)) * time.Microsecond
 	}
 	for _, c := range []struct {
 		name             string
@@ -89,13 +89,13 @@
 		{"heavy load is mostly busy", heavy, 0.6, math.Inf(1)},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if got := c.report.Busiest; got < c.minBusy || got > c.maxBusy {
+			if got := c.report.MaxCoreUtilization; got < c.minBusy || got > c.maxBusy {
 				t.Errorf("got a core that is busy %.2f of the time, want %v to %v", got, c.minBusy, c.maxBusy)
 			}
 		})
 	}
 	t.Run("a busy core is in the report", func(t *testing.T) {
-		want := fmt.Sprintf("the busiest core is busy %.0f%% of the time", 100*heavy.Busiest)
+		want := fmt.Sprintf("the busiest core is busy %.0f%% of the time", 100*heavy.MaxCoreUtilization)
 		if got := heavy.String(); !strings.Contains(got, want) {
 			t.Errorf("got report\n%s\nwant it to contain %q", got, want)
 		}
@@ -109,7 +109,7 @@
 		}
 	})
 	t.Run("heavy load delays jobs", func(t *testing.T) {
-		if got, want := heavy.Classes[0].InTime, free.Classes[0].InTime/2; got > want {
+		if got, want := heavy.Classes[0].WithinObjective, free.Classes[0].WithinObjective/2; got > want {
 			t.Errorf("got %d submissions in time, want at most %d", got, want)
 		}
 		if got, want := p99(heavy), 2*p99(free); got < want {
--- a/internal/testbed/experiment/measure.go
+++ b/internal/testbed/experiment/measure.go
@@ -30,12 +30,12 @@
 
 // measure returns the measures of a report. It merges the report's histograms.
 func measure(r *emulator.Report) map[Measure]float64 {
-	m := map[Measure]float64{OverloadedNodes: float64(r.Overloaded)}
+	m := map[Measure]float64{OverloadedNodes: float64(r.OverloadCrashes)}
 	var submitted, placed, inTime float64
 	for _, c := range r.Classes {
 		submitted += float64(c.Submitted)
 		placed += float64(c.Placed)
-		inTime += float64(c.InTime)
+		inTime += float64(c.WithinObjective)
 	}
 	if submitted > 0 {
 		m[PlacedFraction], m[InTimeFraction] = placed/submitted, inTime/submitted
@@ -47,9 +47,9 @@
 // WaitPercentiles returns the median and the 99th percentile, in seconds, of the time to the first placement over all
 // classes. It merges the histograms of the classes into that of the first, so it must not be called twice for a report.
 func WaitPercentiles(r *emulator.Report) (p50, p99 float64) {
-	wait := r.Classes[0].Wait
+	wait := r.Classes[0].WaitMicros
 	for _, c := range r.Classes[1:] {
-		wait.Merge(c.Wait)
+		wait.Merge(c.WaitMicros)
 	}
 	return float64(wait.ValueAtQuantile(50)) / microsecondsPerSecond, float64(wait.ValueAtQuantile(99)) / microsecondsPerSecond
 }
--- a/internal/testbed/worlds/config.go
+++ b/internal/testbed/worlds/config.go
@@ -14,14 +14,15 @@
 
 const millisecond = time.Millisecond
 
-// Draw returns a whole number from 0 to limit. The name appears in reports of failures.
-type Draw func(limit int, name string) int
+// DrawFunc returns a random integer from 0 to limit, both included. The name labels the value in test failures.
+type DrawFunc func(limit int, name string) int
 
 // yes draws a truth value.
-func (d Draw) yes(name string) bool { return d(1, name) == 1 }
+func (d DrawFunc) boolean(name string) bool { return d(1, name) == 1 }
 
-// Config draws a deployment: priced machines and listed free capacity, discovery on request, or neither.
-func Config(draw Draw) flaxshelf.Config {
+// DrawConfig draws the configuration of a deployment. Pricing of machines, listed free capacity and discovery on request are
+// each present or absent.
+func DrawConfig(draw DrawFunc) flaxshelf.Config {
 	cfg := flaxshelf.Config{
 		Schedulers:            1 + draw(40, "schedulers"),
 		Zone:                  "z0",
@@ -29,10 +30,10 @@
 		Tenants:               []flaxshelf.Tenant{{Name: "a", QuotaFraction: 1, QuotaCores: 4}, {Name: "b", QuotaFraction: 1}},
 		CoreOvercommit:        1 + float64(draw(4, "core overcommit"))/4,
 		MemoryOvercommit:      1 + float64(draw(1, "memory overcommit"))/8,
-		PlacedWhenRunning:     draw.yes("placed when running"),
-		ListsFreeCapacity:     draw.yes("lists free capacity"),
-		DiscoveryOnRequest:    draw.yes("discovery on request"),
-		CanCancel:             draw.yes("can cancel"),
+		PlacedWhenRunning:     draw.boolean("placed when running"),
+		ListsFreeCapacity:     draw.boolean("lists free capacity"),
+		DiscoveryOnRequest:    draw.boolean("discovery on request"),
+		CanCancel:             draw.boolean("can cancel"),
 		MaxAttempts:           draw(3, "attempts"),
 		Tick:                  2 * millisecond,
 		ConnectTimeout:        100 * millisecond,
@@ -51,7 +52,7 @@
 }
 
 // kinds draws one to three kinds of machines. The third is large in cores alone.
-func kinds(draw Draw) []flaxshelf.MachineKind {
+func kinds(draw DrawFunc) []flaxshelf.MachineKind {
 	kinds := []flaxshelf.MachineKind{
 		{Name: "small", Cores: 16, Memory: 50},
 		{Name: "big", Cores: 64, Memory: 200},
@@ -62,9 +63,9 @@
 
 // classes draws the classes of tasks, two of them idempotent. Keys expire after multiples of half a second, or so soon that many
 // retries are made just before or after they expire.
-func classes(draw Draw, kinds int) (classes []flaxshelf.TaskClass) {
+func classes(draw DrawFunc, kinds int) (classes []flaxshelf.TaskClass) {
 	keyUnit := 500 * millisecond
-	if draw.yes("short keys") {
+	if draw.boolean("short keys") {
 		keyUnit = 30 * millisecond
 	}
 	for i, idempotency := range []flaxshelf.Idempotency{
--- a/internal/testbed/worlds/machines.go
+++ b/internal/testbed/worlds/machines.go
@@ -33,7 +33,7 @@
 	if w.random.IntN(2) == 0 {
 		fraction = func() float64 { return float64(w.random.IntN(65)) / 64 }
 	}
-	m.FreeCores, m.FreeMemory = kind.Cores*(1-w.used*fraction()), kind.Memory*(1-w.used*fraction())
+	m.FreeCores, m.FreeMemory = kind.Cores*(1-w.maxUsedFraction*fraction()), kind.Memory*(1-w.maxUsedFraction*fraction())
 }
 
 // discoveryEvent changes some machines, repeats the complete list, or is a failure of discovery.
@@ -42,7 +42,7 @@
 		return flaxshelf.DiscoveryFailed{}
 	}
 	if w.random.IntN(20) == 0 {
-		return w.completeList()
+		return w.completeMachineList()
 	}
 	var changed []flaxshelf.Machine
 	for range 1 + w.random.IntN(4) {
--- a/internal/testbed/worlds/world.go
+++ b/internal/testbed/worlds/world.go
@@ -28,20 +28,20 @@
 	maxLifetime        time.Duration // of a task
 	services           int
 	reportInterval     int     // steps between usage reports of an attempt, in expectation
-	used               float64 // most that others request, as a fraction of a machine
-	calm               bool    // nothing fails and no task is rejected, but some machines serve theirs poorly
+	maxUsedFraction    float64 // most that others request, as a fraction of a machine
+	failureFree        bool    // nothing fails and no task is rejected, but some machines serve theirs poorly
 }
 
 // longPause is longer than a removed machine is remembered, and than failures count.
-const longPause = 61 * time.Second
+const longStepInterval = 61 * time.Second
 
 // pendingAttempt is an offer that has not ended.
 type pendingAttempt struct {
-	task    string
-	machine string
-	number  int
-	due     flaxshelf.Time // when something happens to it next
-	placed  bool
+	task        string
+	machine     string
+	number      int
+	nextEventAt flaxshelf.Time // when something happens to it next
+	placed      bool
 }
 
 // New draws how busy a world of the given deployment is, and its first machines.
@@ -57,17 +57,17 @@
 		maxLifetime:        time.Duration(1+random.IntN(8000)) * millisecond,
 		services:           1 + random.IntN(20),
 		reportInterval:     50,
-		used:               1,
-		calm:               random.IntN(4) == 0,
+		maxUsedFraction:    1,
+		failureFree:        random.IntN(4) == 0,
 	}
 	if random.IntN(8) == 0 {
 		w.submissionsPerStep = 24 // so that the history is full
 	}
 	if random.IntN(2) == 0 {
-		w.used = 1.0 / 8
+		w.maxUsedFraction = 1.0 / 8
 	}
 	mostMachines := 151
-	if w.calm {
+	if w.failureFree {
 		mostMachines = 12 // so that most have tasks
 		w.reportInterval = 5
 	}
@@ -77,23 +77,23 @@
 	return w
 }
 
-// Play calls step with the time and the events of each step, beginning with the machine list, and answers the actions that
-// it returns.
-func (w *World) Play(steps int, step func(now flaxshelf.Time, events []flaxshelf.Event) []flaxshelf.Action) {
-	events := []flaxshelf.Event{w.completeList()}
+// Run calls step with the time and the events of each step, and responds to the returned actions with events of later steps.
+// The first event is the complete machine list.
+func (w *World) Run(steps int, step func(now flaxshelf.Time, events []flaxshelf.Event) []flaxshelf.Action) {
+	events := []flaxshelf.Event{w.completeMachineList()}
 	for range steps {
 		for _, action := range step(w.now, events) {
-			w.recordAction(action)
+			w.handleAction(action)
 		}
-		w.now += w.pause()
+		w.now += w.stepInterval()
 		events = w.events()
 	}
 }
 
 // pause draws the time between two steps. It is rarely long enough that removed machines are forgotten and evidence expires.
-func (w *World) pause() time.Duration {
+func (w *World) stepInterval() time.Duration {
 	if w.random.IntN(100) == 0 {
-		return longPause
+		return longStepInterval
 	}
 	return time.Duration(1+w.random.IntN(30)) * 2 * millisecond
 }
@@ -111,7 +111,7 @@
 		events = append(events, w.discoveryEvent())
 	}
 	if w.random.IntN(40) == 0 {
-		events = append(events, flaxshelf.HealthChecked{Machine: w.anyMachine(),
+		events = append(events, flaxshelf.HealthChecked{Machine: w.randomMachineID(),
 			Load: flaxshelf.LoadReport{Present: true, HasCores: true, FreeCores: 16 * w.random.Float64()}})
 	}
 	if w.taskCount > 0 && w.random.IntN(40) == 0 {
@@ -122,22 +122,22 @@
 
 // adoption draws a running task, which ends like one that the module placed.
 func (w *World) adoption() flaxshelf.Event {
-	adopted := flaxshelf.TaskAdopted{Task: w.newTask(), Machine: w.anyMachine()}
+	adopted := flaxshelf.TaskAdopted{Task: w.newTask(), Machine: w.randomMachineID()}
 	w.pending = append(w.pending, pendingAttempt{task: adopted.Task.ID, machine: adopted.Machine, placed: true,
-		due: w.now + w.below(w.maxLifetime)})
+		nextEventAt: w.now + w.randomDuration(w.maxLifetime)})
 	w.answered[adopted.Task.ID] = true
 	return adopted
 }
 
 // recordAction records an action that the world answers later.
-func (w *World) recordAction(action flaxshelf.Action) {
+func (w *World) handleAction(action flaxshelf.Action) {
 	switch action := action.(type) {
 	case flaxshelf.Offer:
 		w.pending = append(w.pending, pendingAttempt{
-			task:    action.Task,
-			machine: action.Machine,
-			number:  w.attempts[action.Task],
-			due:     w.now + time.Duration(w.random.Int64N(int64(action.Timeout)+1)),
+			task:        action.Task,
+			machine:     action.Machine,
+			number:      w.attempts[action.Task],
+			nextEventAt: w.now + time.Duration(w.random.Int64N(int64(action.Timeout)+1)),
 		})
 		w.attempts[action.Task]++
 	case flaxshelf.Reject:
@@ -152,17 +152,17 @@
 	kept := w.pending[:0]
 	for _, p := range w.pending {
 		switch {
-		case w.now < p.due:
+		case w.now < p.nextEventAt:
 			if p.placed && w.random.IntN(w.reportInterval) == 0 {
 				events = append(events, w.usageReport(p))
 			}
-		case !p.placed && (w.calm || w.random.IntN(4) > 0):
+		case !p.placed && (w.failureFree || w.random.IntN(4) > 0):
 			events = append(events, flaxshelf.AttemptPlaced{Task: p.task, Machine: p.machine, Attempt: p.number,
 				Latency: 20 * millisecond})
-			p.placed, p.due = true, w.now+w.below(w.maxLifetime)
+			p.placed, p.nextEventAt = true, w.now+w.randomDuration(w.maxLifetime)
 			w.answered[p.task] = true
 		default:
-			events = append(events, w.end(p))
+			events = append(events, w.attemptEnded(p))
 			continue
 		}
 		kept = append(kept, p)
@@ -175,7 +175,7 @@
 func (w *World) usageReport(p pendingAttempt) flaxshelf.Event {
 	report := flaxshelf.UsageReport{Task: p.task, Machine: p.machine, Attempt: p.number,
 		Kind: flaxshelf.UsageKind(1 + w.random.IntN(5)), Amount: w.random.Float64()}
-	if w.calm {
+	if w.failureFree {
 		report.Kind, report.Amount = flaxshelf.ServiceLevel, 1
 		if lastDigit := p.machine[len(p.machine)-1]; lastDigit == '1' || lastDigit == '8' {
 			report.Amount = float64(w.random.IntN(8)) / 16
@@ -185,10 +185,10 @@
 }
 
 // end draws how an attempt ends.
-func (w *World) end(p pendingAttempt) flaxshelf.Event {
+func (w *World) attemptEnded(p pendingAttempt) flaxshelf.Event {
 	outcome := flaxshelf.Outcome(1 + w.random.IntN(7))
 	switch {
-	case w.calm:
+	case w.failureFree:
 		outcome = flaxshelf.Completed
 	case p.placed:
 		outcome = []flaxshelf.Outcome{flaxshelf.Completed, flaxshelf.Completed, flaxshelf.Lost}[w.random.IntN(3)]
@@ -209,7 +209,7 @@
 		Cores:    []float64{0.125, 1, 2.25, 2.75, 9}[w.random.IntN(5)],
 		Memory:   float64(w.random.IntN(48)) / 16,
 		Tenant:   w.random.IntN(3) - 1,
-		Deadline: w.now + 20*millisecond + w.below(w.maxWait),
+		Deadline: w.now + 20*millisecond + w.randomDuration(w.maxWait),
 	}
 	switch w.random.IntN(60) {
 	case 0:
@@ -220,19 +220,19 @@
 		task.Cores = float64(1 + w.random.IntN(100))
 	}
 	if w.random.IntN(3) == 0 {
-		task.ExpectedRuntime = w.below(5 * time.Second)
+		task.ExpectedRuntime = w.randomDuration(5 * time.Second)
 	}
 	return task
 }
 
 // below draws a whole number of milliseconds.
-func (w *World) below(limit time.Duration) time.Duration {
+func (w *World) randomDuration(limit time.Duration) time.Duration {
 	return time.Duration(w.random.IntN(int(limit/millisecond))) * millisecond
 }
 
-func (w *World) anyMachine() string { return w.machines[w.random.IntN(len(w.machines))].ID }
+func (w *World) randomMachineID() string { return w.machines[w.random.IntN(len(w.machines))].ID }
 
 // completeList is the machine list as a whole.
-func (w *World) completeList() flaxshelf.Event {
+func (w *World) completeMachineList() flaxshelf.Event {
 	return flaxshelf.MachinesUpdated{Complete: true, Machines: slices.Clone(w.machines)}
 }
