--- a/internal/testbed/emulator/clients.go
+++ b/internal/testbed/emulator/clients.go
@@ -9,16 +9,17 @@
 	"flaxshelf.example/flaxshelf/internal/timerqueue"
 )
 
-// outcomeGrace is how long a client waits for an outcome after it is due, as in trials.
+// outcomeGracePeriod is how long after the deadline of an outcome a client still waits for it, as in trials.
 const outcomeGracePeriod = 2 * time.Second
 
-// warmUp is the simulated time before the day begins, in which schedulers connect.
+// warmUpDuration is the simulated time between Epoch and the start of the day, in which the schedulers connect.
 const warmUpDuration = 500 * time.Millisecond
 
-// resubmitDelay is how long a client waits until it submits a job again to a scheduler that was killed.
+// resubmitDelay is how long a client waits before it resubmits a job after its scheduler was killed or did not run.
 const resubmitDelay = 200 * time.Millisecond
 
-// clients submit the load and account for every submission. They are one entity.
+// clients is the entity of all clients. They submit the load and account for every submission: each is counted once, by its
+// outcome or by the reason why it has none.
 type clients struct {
 	id          int32
 	simulation  *simulation
@@ -28,14 +29,14 @@
 	timers      timerqueue.Heap[timerFunc]
 	submissions map[string]*submissionState // by idempotency key, while they are open
 	stats       *clientStats
-	measureFrom time.Duration // submissions before it are not counted
-	loadState   fault.LoadState
+	measureFrom time.Duration   // since the start of the day; earlier submissions do not count in class reports
+	loadState   fault.LoadState // rate factors and hot services, as set by faults
 }
 
-// timerFunc is what a timer does when it fires at now.
+// timerFunc is the callback of a timer. now is the time at which the timer fires.
 type timerFunc func(now Time, out *outbox)
 
-// loadState is one load with its next submission.
+// loadSource is the source of the submissions of one load, with the next of them.
 type loadSource struct {
 	arrivals arrivalSource
 	next     scenario.Arrival
@@ -75,10 +76,10 @@
 	return due
 }
 
-// arrivalTime returns when a submission is intended to be sent.
+// arrivalTime returns the intended time of a submission.
 func arrivalTime(arrival *scenario.Arrival) Time { return Epoch + warmUpDuration + arrival.At }
 
-// setTimer has fire called at a time. Timers of the same time fire in the order in which they were set.
+// setTimer sets a timer that calls fire at the given time. Timers of the same time fire in the order in which they were set.
 func (c *clients) setTimer(at Time, fire timerFunc) {
 	c.timers.Set(&timerqueue.Item[timerFunc]{Value: fire}, at)
 }
@@ -113,13 +114,13 @@
 	c.setTimer(s.closeAt, func(Time, *outbox) { c.closeSubmission(s) })
 }
 
-// spec returns the job that a client submits, with the defaults of its class.
+// jobSpec returns the job that a client submits. Resources that the arrival does not set are those of its class.
 func (c *clients) jobSpec(arrival *scenario.Arrival) scheduler.JobSpec {
-	set, load := c.simulation.schedulers[arrival.Scheduler].settings, arrival.Load
+	schedulerSettings, load := c.simulation.schedulers[arrival.Scheduler].settings, arrival.Load
 	spec := scheduler.JobSpec{Key: arrival.Key, Session: "", Name: load.Class, Service: arrival.Service,
-		Class: set.ClassIndex(load.Class), Tenant: set.TenantIndex(load.Tenant), Cores: arrival.Cores,
+		Class: schedulerSettings.ClassIndex(load.Class), Tenant: schedulerSettings.TenantIndex(load.Tenant), Cores: arrival.Cores,
 		Memory: arrival.Memory, ExpectedRuntime: arrival.Runtime, Rerunnable: load.Rerunnable}
-	class := &set.Classes[spec.Class]
+	class := &schedulerSettings.Classes[spec.Class]
 	spec.Priority = class.Priority
 	if spec.Cores <= 0 {
 		spec.Cores = class.Cores
@@ -138,7 +139,7 @@
 func (c *clients) handle(m message) {
 	switch body := m.body.(type) {
 	case submissionAnswer:
-		c.handleAnswer(&body, m.at)
+		c.handleAnswer(&body, m.deliverAt)
 	case jobEvent:
 		c.handleJobEvent(&body)
 	case loadFactor:
@@ -146,11 +147,12 @@
 	case hotServiceFraction:
 		c.loadState.SetHotServiceFraction(body.class, body.fraction)
 	case schedulerKilled:
-		c.handleSchedulerKilled(body.scheduler, m.at)
+		c.handleSchedulerKilled(body.scheduler, m.deliverAt)
 	}
 }
 
-// handleAnswer handles the answer to a submission.
+// handleAnswer handles the answer to a submission. If the scheduler was killed or does not run, the job is resubmitted after
+// any error code. Otherwise the client retries as the load sets.
 func (c *clients) handleAnswer(a *submissionAnswer, now Time) {
 	s := c.submissions[a.key]
 	if s == nil {
@@ -168,8 +170,8 @@
 			s.endReason = ""
 		}
 	default:
-		first := s.job == ""
-		s.job = a.job
+		first := s.jobID == ""
+		s.jobID = a.jobID
 		if first {
 			c.scheduleCommands(s, now)
 		}
@@ -185,7 +187,8 @@
 	}
 }
 
-// command terminates, or holds and later releases, the fractions of the jobs that the load sets.
+// scheduleCommands schedules the commands for a job: the load sets which fraction of its jobs is terminated, and which is held
+// and later released.
 func (c *clients) scheduleCommands(s *submissionState, now Time) {
 	load := s.arrival.Load
 	later := now + s.arrival.ControlDelay
@@ -201,11 +204,12 @@
 func (c *clients) scheduleCommand(s *submissionState, at Time, verb scheduler.Verb) {
 	to := c.simulation.schedulers[s.arrival.Scheduler].id
 	c.setTimer(at, func(now Time, out *outbox) {
-		out.send(c.latency.deliveryTime(now, to), to, jobCommand{verb: verb, job: s.job})
+		out.send(c.latency.deliveryTime(now, to), to, jobCommand{verb: verb, jobID: s.jobID})
 	})
 }
 
-// handleOutcome handles an event of a job.
+// handleJobEvent counts the end of a job or the outcome of a placement request. The first outcome that is not retried is that
+// of the submission.
 func (c *clients) handleJobEvent(notice *jobEvent) {
 	info := &notice.info
 	if info.State.Ended() {
@@ -219,7 +223,7 @@
 	}
 	canceled, placed := info.Outcome == scheduler.OutcomeCanceled, info.Outcome == scheduler.OutcomePlaced
 	if canceled && s.arrival.ControlDraw >= s.arrival.Load.Terminate {
-		return // its client holds it: releasing it starts another request
+		return // a hold canceled the placement request; the release starts another
 	}
 	if !placed && !canceled && c.scheduleRetry(s, notice.at) {
 		s.lastOutcome = string(info.Outcome)
--- a/internal/testbed/emulator/effects.go
+++ b/internal/testbed/emulator/effects.go
@@ -5,7 +5,7 @@
 	"flaxshelf.example/flaxshelf/internal/scheduler"
 )
 
-// execute executes an effect of the core.
+// execute carries out an effect that a step of the core returned.
 func (s *schedulerEntity) execute(effect scheduler.Effect, now Time, out *outbox) {
 	switch e := effect.(type) {
 	case scheduler.SendOffer:
@@ -36,23 +36,25 @@
 	}
 }
 
+// sendOffer sends an offer to a node. If the node is not connected, the core gets a SendFailed input in its next step.
 func (s *schedulerEntity) sendOffer(offer *scheduler.SendOffer, now Time, out *outbox) {
 	if !s.sendToNode(offer.Node, frame{nodefront.OfferFrame(s.settings, offer)}, now, out) {
 		s.pendingInputs = append(s.pendingInputs, scheduler.SendFailed{Node: offer.Node, Attempt: offer.Attempt})
 	}
 }
 
-// sendNode sends a frame to a node. It returns false, and drops the frame, if the node is not connected.
+// sendToNode sends a frame to a node. If the node is not connected, it drops the frame and returns false.
 func (s *schedulerEntity) sendToNode(node string, f frame, now Time, out *outbox) bool {
 	l := s.links[node]
 	if l == nil || !l.up {
 		return false
 	}
-	s.recorder.addFrame(l.connection, false, f, now)
+	s.recorder.addFrame(l.connectionID, false, f, now)
 	s.send(now, l.nodeID, f, out)
 	return true
 }
 
+// sendAnswer sends the answer to a submission to its client.
 func (s *schedulerEntity) sendAnswer(e *scheduler.Answer, now Time, out *outbox) {
 	request, ok := s.requests[e.RequestID]
 	if !ok {
@@ -63,7 +65,7 @@
 	if e.Err != nil {
 		a.errorCode = string(e.Err.Code)
 	} else {
-		a.job = e.Jobs[0].ID
+		a.jobID = e.Jobs[0].ID
 	}
 	s.recorder.addSubmission(s, e, now)
 	s.send(now, s.simulation.clients.id, a, out)
--- a/internal/testbed/emulator/emulator_test.go
+++ b/internal/testbed/emulator/emulator_test.go
@@ -26,7 +26,7 @@
 	os.Exit(m.Run())
 }
 
-// emulatedDays are the days that the emulator supports: it has no faults of connections.
+// emulatedDays returns the names of the days that the emulator supports, which are those without connection faults.
 func emulatedDays() []string {
 	return slices.DeleteFunc(scenario.Names(), func(name string) bool {
 		return slices.Contains([]string{"bad-day", "links", "inventory", "rude-clients"}, name)
@@ -51,7 +51,7 @@
 	return day
 }
 
-// emulate runs a day and returns its report.
+// emulate emulates a day and returns its report.
 func emulate(t testing.TB, day *scenario.Day, options Options) *Report {
 	t.Helper()
 	report, err := Run(context.Background(), day, options)
@@ -61,7 +61,7 @@
 	return report
 }
 
-// emulateByRules runs a day and fails the test if a rule is broken or a submission is unaccounted for.
+// emulateByRules emulates a day and fails the test if a rule is violated or a submission is unaccounted for.
 func emulateByRules(t *testing.T, day *scenario.Day, options Options) (*Report, *rules.Verdict) {
 	t.Helper()
 	report, verdict, err := RunAndCheck(context.Background(), day, options)
@@ -69,13 +69,13 @@
 		t.Fatal(err)
 	}
 	if !verdict.OK() || report.Unaccounted > 0 {
-		t.Errorf("got verdict and report\n%s%s\nwant no broken rule and no submission unaccounted for", verdict, report)
+		t.Errorf("got verdict and report\n%s%s\nwant no violated rule and no submission unaccounted for", verdict, report)
 	}
 	return report, verdict
 }
 
-// The days of the trials that need no sockets satisfy the rules on the simulated clock as well, by the same checker, and every
-// submission is accounted for. TestChoicesOfDaysEqualPlainScans of package flaxshelf compares the choices of these days.
+// Guards against rule violations and lost submissions on the scripted days in simulated time, with the checker of the trials.
+// TestChoicesOfDaysEqualPlainScans of package flaxshelf compares the choices on these days with those of linear scans.
 func TestEmulatedDaysSatisfyRules(t *testing.T) {
 	days := emulatedDays()
 	if len(days) < 12 {
@@ -126,7 +126,7 @@
 	}
 }
 
-// What the emulator can't do is an error, not a partial result.
+// Guards against a partial result where the emulator does not support a combination of options.
 func TestUnsupportedOptionsAreErrors(t *testing.T) {
 	severalCores := readDay(t, "calm")
 	severalCores.Cores = 2
@@ -177,7 +177,8 @@
 	}
 }
 
-// Clients retry jobs that were not placed until their patience ends, and every submission is accounted for.
+// Guards against clients that do not retry jobs that were not placed, or that retry although the load has no retries. In both
+// cases every submission must be accounted for.
 func TestClientsRetryWhilePatient(t *testing.T) {
 	retriesWith := func(t *testing.T, fields string) int {
 		t.Helper()
@@ -203,7 +204,7 @@
 	})
 }
 
-// scaledDay returns a day with the given numbers of nodes and schedulers, whose load is in proportion to the nodes.
+// scaledDay returns a day with the given numbers of nodes and schedulers. Its load is proportional to the number of nodes.
 func scaledDay(t testing.TB, nodes, schedulers int, seconds float64) *scenario.Day {
 	t.Helper()
 	return parseDay(t, fmt.Sprintf(`#Town
@@ -230,7 +231,7 @@
 	}
 }
 
-// BenchmarkScale reports simulated seconds a second of wall time, and the cost of a message.
+// BenchmarkScale reports the simulated seconds per second of wall time, and the wall time per message.
 func BenchmarkScale(b *testing.B) {
 	for _, c := range []struct {
 		nodes, schedulers int
@@ -238,13 +239,13 @@
 	}{{33, 20, 30}, {130, 100, 30}, {1000, 100, 5}, {10000, 20, 3}} {
 		for _, workers := range []int{1, 4} {
 			b.Run(fmt.Sprintf("nodes=%d/schedulers=%d/workers=%d", c.nodes, c.schedulers, workers), func(b *testing.B) {
-				d := scaledDay(b, c.nodes, c.schedulers, c.seconds)
+				day := scaledDay(b, c.nodes, c.schedulers, c.seconds)
 				var simulated, wall float64
 				var messages int64
 				for b.Loop() {
-					began := time.Now()
-					report := emulate(b, d, Options{Seed: 1, Workers: workers})
-					wall += time.Since(began).Seconds()
+					start := time.Now()
+					report := emulate(b, day, Options{Seed: 1, Workers: workers})
+					wall += time.Since(start).Seconds()
 					simulated += report.SimulatedSeconds
 					messages += report.Messages
 				}
--- a/internal/testbed/emulator/engine.go
+++ b/internal/testbed/emulator/engine.go
@@ -8,59 +8,62 @@
 	"time"
 )
 
-// Time is simulated time in nanoseconds of Unix time.
+// Time is simulated time, as nanoseconds since the Unix epoch.
 type Time = time.Duration
 
-// Epoch is the simulated time at which every day begins.
+// Epoch is the simulated time at which each emulation begins.
 const Epoch = Time(1_800_000_000) * time.Second
 
-// window is the step of the engine, and the minimum latency of a message. What an entity does within one window can't
-// reach another entity before the next, so all entities of a window may run concurrently and in any order.
+// window is the time step of the simulation and the minimum latency of a message. An entity can't affect another within
+// the same window, so all entities that are due in a window may run concurrently and in any order.
 const window = time.Millisecond
 
-// entity is one party of a simulated cluster. Its methods are called by one worker at a time.
+// entity is a simulated party that exchanges messages with others: a node, a scheduler, the inventory, the clients or the
+// fault injector. Only one worker at a time calls its methods.
 type entity interface {
-	// receive queues a message. Messages of one sender are received in the order of their times.
+	// receive queues a message for its delivery time. The messages of one sender are received in the order of their delivery
+	// times.
 	receive(m message)
-	// run does everything that is due before the end of a window.
+	// run does all work that is due before end, the end of a window, and sends messages to out.
 	run(end Time, out *outbox)
-	// nextDue returns when something is due next; math.MaxInt64 if nothing is.
+	// nextDue returns the time of the earliest work that is due, or math.MaxInt64 if there is none.
 	nextDue() Time
 }
 
-// outbox collects the messages of an entity in one window.
+// outbox collects the messages that an entity sends in one window.
 type outbox struct {
 	sender   int32
 	messages []message
 }
 
 func (o *outbox) send(at Time, to int32, body any) {
-	o.messages = append(o.messages, message{at: at, from: o.sender, to: to, body: body})
+	o.messages = append(o.messages, message{deliverAt: at, from: o.sender, to: to, body: body})
 }
 
-// engine runs entities.
+// engine is the event loop of the simulation. It runs the entities that are due, window by window, and delivers their
+// messages between windows.
 type engine struct {
 	entities     []entity
 	outboxes     []outbox
 	wheel        *timingWheel
-	groups       []int32 // entities of one group other than 0 share state and run on one worker
-	queuedWindow []int64 // the window in which each entity is queued soonest; notQueued: none
+	groups       []int32 // by entity; those of one group run on one worker, since they share state; 0: no group
+	queuedWindow []int64 // by entity; its earliest queued window, or notQueued
 	workers      int
-	entityRuns   int64 // runs of entities
-	messages     int64
+	entityRuns   int64 // calls of entity.run
+	messages     int64 // delivered messages
 }
 
-// notQueued is the window of an entity that is not queued.
+// notQueued is the queuedWindow of an entity that is not queued.
 const notQueued = -1
 
-// wheelBits has the timing wheel span some seconds.
+// wheelBits makes the timing wheel span 2^12 windows, which are about four seconds.
 const wheelBits = 12
 
 func newEngine(workers int) *engine {
 	return &engine{wheel: newTimingWheel(wheelBits), workers: max(workers, 1)}
 }
 
-// add adds an entity and returns its number.
+// add adds an entity and returns its ID.
 func (e *engine) add(added entity) int32 {
 	id := int32(len(e.entities))
 	e.entities = append(e.entities, added)
@@ -70,14 +73,15 @@
 	return id
 }
 
-func windowOf(t Time) int64 { return int64((t - Epoch) / window) }
+// windowNumberOf returns the number of the window that contains t, counted from Epoch.
+func windowNumberOf(t Time) int64 { return int64((t - Epoch) / window) }
 
-// schedule queues an entity for a time, unless it is queued for that or sooner.
+// schedule queues an entity for the window of the given time, unless it is already queued for that window or an earlier one.
 func (e *engine) schedule(id int32, at Time) {
 	if at == math.MaxInt64 {
 		return
 	}
-	due := max(windowOf(at), e.wheel.lastWindow+1)
+	due := max(windowNumberOf(at), e.wheel.lastWindow+1)
 	if queued := e.queuedWindow[id]; queued >= 0 && queued <= due {
 		return
 	}
@@ -85,34 +89,35 @@
 	e.wheel.add(due, id)
 }
 
-// run runs the entities until the given time, until nothing is due, or until stop, which is called before each window,
-// returns true.
+// run runs the simulation until the given time, until nothing is due, or until stop returns true. It calls stop, unless
+// that is nil, before each window.
 func (e *engine) run(until Time, stop func() bool) {
 	for id := range e.entities {
 		e.schedule(int32(id), e.entities[id].nextDue())
 	}
 	var due []int32
 	for {
-		number, ids, ok := e.wheel.next()
-		if !ok || Epoch+Time(number)*window >= until || stop != nil && stop() {
+		windowNumber, ids, ok := e.wheel.next()
+		if !ok || Epoch+Time(windowNumber)*window >= until || stop != nil && stop() {
 			return
 		}
 		due = due[:0]
 		for _, id := range ids {
-			if e.queuedWindow[id] == number { // else it was queued again for an earlier window, or is a duplicate
+			if e.queuedWindow[id] == windowNumber { // else a duplicate, or it has run in an earlier window since
 				e.queuedWindow[id] = notQueued
 				due = append(due, id)
 			}
 		}
 		slices.Sort(due)
-		e.runWindow(due, Epoch+Time(number+1)*window)
+		e.runWindow(due, Epoch+Time(windowNumber+1)*window)
 	}
 }
 
-// minParallel is the number of due entities for each worker from which on a window is run by several goroutines.
+// minParallel is the least number of due entities per worker for which a window runs on several goroutines.
 const minParallel = 4
 
-// runWindow runs the entities that are due and delivers their messages, in the order of their numbers.
+// runWindow runs the due entities of a window and then delivers their messages in the order of the senders' IDs, so that
+// the result does not depend on the number of workers.
 func (e *engine) runWindow(due []int32, end Time) {
 	e.entityRuns += int64(len(due))
 	if e.workers == 1 || len(due) < minParallel*e.workers {
@@ -136,16 +141,17 @@
 
 func (e *engine) deliver(out *outbox, end Time) {
 	for _, m := range out.messages {
-		m.at = max(m.at, end) // the minimum latency
+		m.deliverAt = max(m.deliverAt, end) // no message is delivered in the window in which it is sent
 		e.entities[m.to].receive(m)
-		e.schedule(m.to, m.at)
+		e.schedule(m.to, m.deliverAt)
 	}
 	e.messages += int64(len(out.messages))
 	clear(out.messages)
 	out.messages = out.messages[:0]
 }
 
-// runParallel distributes the due entities among the workers: those of a group as one batch, the others one by one.
+// runParallel distributes the due entities among the workers. The entities of a group form one batch, each other entity a
+// batch of its own.
 func (e *engine) runParallel(due []int32, end Time) {
 	var batches [][]int32
 	batchOfGroup := map[int32]int{}
--- a/internal/testbed/emulator/faultinjector.go
+++ b/internal/testbed/emulator/faultinjector.go
@@ -10,15 +10,15 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/standin/inventorymodel"
 )
 
-// faultInjector is the entity that sends the actions of the scenario's faults, as messages, at their times. All actions
-// are planned before the simulation runs.
+// faultInjector is the entity that injects the faults of a day, by sending messages to the affected entities. All actions are
+// planned before the simulation runs.
 type faultInjector struct {
 	id         int32
 	simulation *simulation
-	actions    []plannedAction // in the order of their times
+	actions    []plannedAction // those not sent yet, by time
 }
 
-// plannedAction is a message to several entities.
+// plannedAction is a message to be sent to several entities at a given time.
 type plannedAction struct {
 	at   Time
 	to   []int32
@@ -44,7 +44,7 @@
 	}
 }
 
-// plan plans the whole scenario: the first starts of the schedulers and all faults.
+// plan plans the initial starts of the schedulers and all faults of the day.
 func (f *faultInjector) plan(ctx context.Context) error {
 	s := f.simulation
 	starts := &faultPlan{injector: f, now: Epoch}
@@ -52,11 +52,11 @@
 		starts.sendToSchedulers([]int{i}, startScheduler{})
 	}
 	for i := range s.day.Faults {
-		next, err := fault.New(s.day, i, s.seed)
+		nextFault, err := fault.New(s.day, i, s.seed)
 		if err != nil {
 			return err
 		}
-		if err := next.Inject(ctx, &faultPlan{injector: f, now: Epoch + warmUpDuration + next.Start}); err != nil {
+		if err := nextFault.Inject(ctx, &faultPlan{injector: f, now: Epoch + warmUpDuration + nextFault.Start}); err != nil {
 			return err
 		}
 	}
@@ -64,13 +64,13 @@
 	return nil
 }
 
-// faultPlan implements fault.Cluster by planning the actions of one fault. Its time advances by its waits.
+// faultPlan implements fault.Cluster. It plans the actions of one fault, the next of them at now.
 type faultPlan struct {
 	injector *faultInjector
 	now      Time
 }
 
-// Wait implements fault.Cluster: it delays the next actions. It returns at once.
+// Wait implements fault.Cluster. It returns immediately and plans the following actions later by the duration.
 func (p *faultPlan) Wait(_ context.Context, duration time.Duration) { p.now += duration }
 
 func (p *faultPlan) send(body any, to ...int32) {
@@ -101,8 +101,8 @@
 }
 
 // DropPrograms implements fault.Cluster.
-func (p *faultPlan) DropPrograms(nodes []int, share float64) {
-	p.sendToNodes(nodes, dropPrograms{share})
+func (p *faultPlan) DropPrograms(nodes []int, fraction float64) {
+	p.sendToNodes(nodes, dropPrograms{fraction})
 }
 
 // DrainNodes implements fault.Cluster.
@@ -123,19 +123,20 @@
 	return nil
 }
 
-// PauseSchedulers implements fault.Cluster. The message has the end of the pause, since a paused scheduler handles no
-// message.
+// PauseSchedulers implements fault.Cluster. The message contains the end of the pause, since a paused scheduler would not
+// handle a message that ends it.
 func (p *faultPlan) PauseSchedulers(schedulers []int, duration time.Duration) {
 	p.sendToSchedulers(schedulers, pauseScheduler{until: p.now + duration})
 }
 
-// ResumeSchedulers implements fault.Cluster. It does nothing: PauseSchedulers has set the end of the pause.
+// ResumeSchedulers implements fault.Cluster. It does nothing, since the message of PauseSchedulers contains the end of the
+// pause.
 func (p *faultPlan) ResumeSchedulers([]int) {}
 
 // KillSchedulers implements fault.Cluster.
 func (p *faultPlan) KillSchedulers(schedulers []int) { p.sendToSchedulers(schedulers, killScheduler{}) }
 
-// TerminateSchedulers implements fault.Cluster. It waits for the shutdown timeout.
+// TerminateSchedulers implements fault.Cluster. It plans the following actions later by the shutdown timeout.
 func (p *faultPlan) TerminateSchedulers(schedulers []int) error {
 	p.sendToSchedulers(schedulers, terminateScheduler{})
 	p.now += p.injector.simulation.day.Limits.ShutdownTimeout.Duration()
@@ -154,8 +155,8 @@
 }
 
 // SetHotServiceFraction implements fault.Cluster.
-func (p *faultPlan) SetHotServiceFraction(class string, share float64) {
-	p.sendToClients(hotServiceFraction{class: class, fraction: share})
+func (p *faultPlan) SetHotServiceFraction(class string, fraction float64) {
+	p.sendToClients(hotServiceFraction{class: class, fraction: fraction})
 }
 
 // SetInventoryFault implements fault.Cluster.
--- a/internal/testbed/emulator/inbox.go
+++ b/internal/testbed/emulator/inbox.go
@@ -6,36 +6,36 @@
 	"slices"
 )
 
-// inbox is a queue of messages in the order of their times. New messages are appended unsorted and are sorted together when
-// the next message is requested, since a busy entity receives hundreds in one window in no order.
+// inbox is a queue of messages, ordered by delivery time. A busy entity receives hundreds of messages in one window in no
+// particular order. New messages are therefore appended unsorted, and are sorted together when the next one is requested.
 type inbox struct {
 	sorted        []message
 	unsorted      []message
-	firstUnsorted Time // the earliest time in unsorted
-	returned      []message
+	firstUnsorted Time      // the earliest delivery time in unsorted
+	returned      []message // the last result of due; its memory is reused
 }
 
 func (b *inbox) put(m message) {
-	if len(b.unsorted) == 0 || m.at < b.firstUnsorted {
-		b.firstUnsorted = m.at
+	if len(b.unsorted) == 0 || m.deliverAt < b.firstUnsorted {
+		b.firstUnsorted = m.deliverAt
 	}
 	b.unsorted = append(b.unsorted, m)
 }
 
-func compareMessages(a, b message) int { return cmp.Compare(a.at, b.at) }
+func compareMessages(a, b message) int { return cmp.Compare(a.deliverAt, b.deliverAt) }
 
-func compareMessageTime(m message, t Time) int { return cmp.Compare(m.at, t) }
+func compareMessageTime(m message, t Time) int { return cmp.Compare(m.deliverAt, t) }
 
-// merge sorts the new messages in, behind others of the same time.
+// merge moves the new messages into the sorted ones, behind those of the same delivery time.
 func (b *inbox) merge() {
 	if len(b.unsorted) == 0 {
 		return
 	}
 	slices.SortStableFunc(b.unsorted, compareMessages)
-	if count := len(b.sorted); count == 0 || b.sorted[count-1].at <= b.unsorted[0].at {
+	if count := len(b.sorted); count == 0 || b.sorted[count-1].deliverAt <= b.unsorted[0].deliverAt {
 		b.sorted = append(b.sorted, b.unsorted...)
 	} else {
-		from, _ := slices.BinarySearchFunc(b.sorted, b.unsorted[0].at+1, compareMessageTime)
+		from, _ := slices.BinarySearchFunc(b.sorted, b.unsorted[0].deliverAt+1, compareMessageTime)
 		tail := append(slices.Clone(b.sorted[from:]), b.unsorted...)
 		slices.SortStableFunc(tail, compareMessages)
 		b.sorted = append(b.sorted[:from], tail...)
@@ -44,7 +44,7 @@
 	b.unsorted = b.unsorted[:0]
 }
 
-// due removes and returns the messages before end. The slice is valid until the next call.
+// due removes and returns the messages that are delivered before end. The result is valid until the next call.
 func (b *inbox) due(end Time) []message {
 	if b.nextDue() >= end {
 		return nil
@@ -66,18 +66,18 @@
 	return m
 }
 
-// modelEntity is an entity that runs a model on messages from an inbox.
+// modelEntity is an entity that passes the messages of its inbox to a model of a node or of the inventory.
 type modelEntity interface {
-	// modelNextDue returns when the model has something due next; math.MaxInt64 if it has nothing.
+	// modelNextDue returns the time of the model's earliest work that is due, or math.MaxInt64 if there is none.
 	modelNextDue() Time
-	// advance does what the model has due at now.
+	// advance does the work of the model that is due at now.
 	advance(now Time, out *outbox)
-	// handle handles a message.
+	// handle passes a message to the model.
 	handle(m message, out *outbox)
 }
 
-// runModel advances the model and handles messages, in the order of their times, until end. What the model has due
-// precedes a message of the same time.
+// runModel does the model's work and handles messages until end, in the order of time. Work of the model precedes a message
+// of the same time.
 func (b *inbox) runModel(e modelEntity, end Time, out *outbox) {
 	for {
 		messageAt, modelAt := b.nextDue(), e.modelNextDue()
@@ -93,11 +93,11 @@
 	}
 }
 
-// nextDue returns the time of the first message; math.MaxInt64 if there is none.
+// nextDue returns the delivery time of the first message, or math.MaxInt64 if there is none.
 func (b *inbox) nextDue() Time {
 	next := Time(math.MaxInt64)
 	if len(b.sorted) > 0 {
-		next = b.sorted[0].at
+		next = b.sorted[0].deliverAt
 	}
 	if len(b.unsorted) > 0 {
 		next = min(next, b.firstUnsorted)
--- a/internal/testbed/emulator/inventory.go
+++ b/internal/testbed/emulator/inventory.go
@@ -2,15 +2,15 @@
 
 import "flaxshelf.example/flaxshelf/internal/testbed/standin/inventorymodel"
 
-// inventory is the entity that runs the inventory model. The model knows the other entities by their names.
+// inventory is the entity that runs the inventory model. The model identifies the other entities by name.
 type inventory struct {
 	id          int32
 	simulation  *simulation
 	inbox       inbox
 	latency     *latencyModel
 	model       *inventorymodel.Inventory
-	entityNames map[int32]string
-	entityIDs   map[string]int32
+	entityNames map[int32]string // of entities that have sent a message
+	entityIDs   map[string]int32 // the reverse of entityNames
 }
 
 func (v *inventory) receive(m message) { v.inbox.put(m) }
@@ -35,11 +35,11 @@
 func (v *inventory) handle(m message, out *outbox) {
 	switch body := m.body.(type) {
 	case frame:
-		v.sendFrames(m.at, v.model.Receive(m.at, v.entityName(m.from), body.Frame), out)
+		v.sendFrames(m.deliverAt, v.model.Receive(m.deliverAt, v.entityName(m.from), body.Frame), out)
 	case disconnected:
-		v.sendFrames(m.at, v.model.Disconnect(m.at, v.entityName(m.from)), out)
+		v.sendFrames(m.deliverAt, v.model.Disconnect(m.deliverAt, v.entityName(m.from)), out)
 	case inventorymodel.Fault:
-		v.sendFrames(m.at, v.model.SetFault(m.at, body), out)
+		v.sendFrames(m.deliverAt, v.model.SetFault(m.deliverAt, body), out)
 	}
 }
 
--- a/internal/testbed/emulator/messages.go
+++ b/internal/testbed/emulator/messages.go
@@ -9,55 +9,55 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/fault"
 )
 
-// message is a message between entities. Its body is of one of the types below, or an inventorymodel.Fault.
+// message is a message between entities. Its body is a value of one of the types below or an inventorymodel.Fault.
 type message struct {
-	at       Time // when it is delivered
-	from, to int32
-	body     any
+	deliverAt Time
+	from, to  int32
+	body      any
 }
 
-// The messages between schedulers, nodes and the inventory.
+// Messages between schedulers, nodes and the inventory.
 type (
-	// connect requests a connection, with the hello of the scheduler that dials.
+	// connectRequest opens a connection from a scheduler to a node. It has the contents of the scheduler's Hello frame.
 	connectRequest struct {
 		scheduler   string
 		incarnation int64
 	}
-	// disconnected reports that a connection has broken or could not be opened.
+	// disconnected reports that the sender has closed or refused the connection.
 	disconnected struct{}
-	// frame is a frame on a connection.
+	// frame is a protocol frame on an open connection.
 	frame struct{ *nodepb.Frame }
 )
 
-// The messages from clients to schedulers.
+// Messages from clients to schedulers.
 type (
 	submission struct{ spec scheduler.JobSpec }
 	jobCommand struct {
-		verb scheduler.Verb
-		job  string
+		verb  scheduler.Verb
+		jobID string
 	}
 )
 
-// The messages from schedulers to clients.
+// Messages from schedulers to clients.
 type (
-	// answer is the response to a submission: a job or an error code.
+	// submissionAnswer is the response to a submission. It has either the ID of the job or an error code.
 	submissionAnswer struct {
-		key, job, errorCode string
-		scheduler           int
+		key, jobID, errorCode string
+		scheduler             int
 	}
-	// outcomeNotice reports an event of a job.
+	// jobEvent reports the outcome of a placement request of a job, or the end of the job.
 	jobEvent struct {
 		info scheduler.JobInfo
 		at   Time
 	}
-	// schedulerKilled reports that the connections to a scheduler have broken.
+	// schedulerKilled reports that a scheduler was killed, which breaks its connections to clients.
 	schedulerKilled struct{ scheduler int }
 )
 
-// unreachableCode is the error code of the answer to a submission to a scheduler that does not run.
+// errorCodeUnreachable is the error code with which the emulator answers a submission to a stopped scheduler.
 const errorCodeUnreachable = "unreachable"
 
-// The messages from the fault injector to nodes.
+// Messages from the fault injector to nodes.
 type (
 	stopNode        struct{}
 	startNode       struct{}
@@ -67,7 +67,7 @@
 	dropPrograms    struct{ fraction float64 }
 )
 
-// The messages from the fault injector to schedulers.
+// Messages from the fault injector to schedulers.
 type (
 	startScheduler     struct{}
 	killScheduler      struct{}
@@ -75,7 +75,7 @@
 	pauseScheduler     struct{ until Time }
 )
 
-// The messages from the fault injector to the clients.
+// Messages from the fault injector to the clients.
 type (
 	loadFactor struct {
 		class  string
@@ -87,16 +87,17 @@
 	}
 )
 
-// latencyModel draws the delivery times of the messages of one sender: a minimum latency with jitter. Messages to one
-// entity keep their order.
+// latencyModel draws the delivery times of the messages of one sender. The latency is the minimum plus a uniform random
+// jitter. Messages to the same receiver are delivered in the order in which they were sent.
 type latencyModel struct {
 	random       *rand.Rand
 	minimum      time.Duration
 	jitter       time.Duration
-	lastDelivery map[int32]Time
+	lastDelivery map[int32]Time // by receiver
 }
 
-// latencyStream separates the random numbers of latencies from the others of a seed.
+// latencyStream selects the random number streams of latencies among those of a seed. Its low bits are set to the sender's
+// ID.
 const latencyStream = 0xfeed << 20
 
 func newLatencyModel(seed uint64, sender int32) *latencyModel {
@@ -104,7 +105,7 @@
 		lastDelivery: map[int32]Time{}}
 }
 
-// deliveryTime returns when a message that is sent now is delivered to an entity.
+// deliveryTime draws the delivery time of a message that is sent now to the given entity.
 func (l *latencyModel) deliveryTime(now Time, to int32) Time {
 	at := max(now+l.minimum+time.Duration(l.random.Int64N(int64(l.jitter))), l.lastDelivery[to])
 	l.lastDelivery[to] = at
--- a/internal/testbed/emulator/node.go
+++ b/internal/testbed/emulator/node.go
@@ -13,10 +13,10 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/standin/nodemodel"
 )
 
-// registerInterval is the interval at which a node reports its state to the inventory, as on sockets.
+// registerInterval is the interval at which a node reports its state to the inventory. A stand-in node on sockets has the same.
 const registerInterval = 500 * time.Millisecond
 
-// nodeEntity is a node of the fleet. It has a model for each incarnation, and none while it is stopped.
+// nodeEntity is the entity of a node. Each incarnation has its own model; a stopped node has none.
 type nodeEntity struct {
 	simulation   *simulation
 	id           int32
@@ -28,20 +28,21 @@
 	incarnations int
 	fault        nodemodel.Fault
 
-	schedulerIDs    map[string]int32 // of connected schedulers, by name
-	schedulerNames  map[int32]string
-	connectionOrder []string // names of schedulers in the order of their first connections
+	schedulerIDs    map[string]int32 // IDs of connected schedulers, by name
+	schedulerNames  map[int32]string // names of connected schedulers, by ID
+	connectionOrder []string         // names of schedulers by the time of their first connection
 
-	nextRegisterAt  Time
-	overloadCrashes int // incarnations that crashed of overload
-	finishedEarlier int // of earlier incarnations
+	nextRegisterAt  Time // when it reports to the inventory next
+	overloadCrashes int  // incarnations that crashed because of overload
+	finishedEarlier int  // number of tasks that earlier incarnations have finished
 }
 
 func (n *nodeEntity) receive(m message) { n.inbox.put(m) }
 
 func (n *nodeEntity) nextDue() Time { return min(n.inbox.nextDue(), n.modelNextDue()) }
 
-// modelNextDue returns when the model has something due or the node registers; math.MaxInt64 while it is stopped.
+// modelNextDue returns when the model has work due or the node registers, whichever is earlier. It returns math.MaxInt64
+// while the node is stopped.
 func (n *nodeEntity) modelNextDue() Time {
 	if n.model == nil {
 		return math.MaxInt64
@@ -49,22 +50,22 @@
 	return min(n.model.Next(), n.nextRegisterAt)
 }
 
-// start starts an incarnation, unless one runs.
+// start starts an incarnation, unless one is running. A warm one needs no slow start.
 func (n *nodeEntity) start(now Time, warm bool) {
 	if n.model != nil {
 		return
 	}
 	n.incarnations++
-	set, day := n.settings, n.simulation.day
-	set.Warm = warm
+	nodeSettings, day := n.settings, n.simulation.day
+	nodeSettings.Warm = warm
 	seed := scenario.NodeSeed(n.simulation.seed, int(n.id), n.incarnations)
-	n.model = nodemodel.New(fleet.NodeModel(set, day.Kinds, day.Rules, day.Behaviour, seed), now,
+	n.model = nodemodel.New(fleet.NodeModel(nodeSettings, day.Kinds, day.Rules, day.Behaviour, seed), now,
 		n.simulation.zoneKeyRegistries[n.spec.Group.Zone])
 	n.schedulerIDs, n.schedulerNames, n.connectionOrder = map[string]int32{}, map[int32]string{}, nil
 	n.nextRegisterAt = now
 }
 
-// stop ends the incarnation at once, with its connections and faults.
+// stop ends the incarnation immediately, closes its connections and clears its faults.
 func (n *nodeEntity) stop(now Time, out *outbox) {
 	if n.model == nil {
 		return
@@ -81,6 +82,7 @@
 	n.sendTo(now, n.simulation.inventory.id, disconnected{}, out)
 }
 
+// sendTo sends a message to the entity with the given ID.
 func (n *nodeEntity) sendTo(now Time, to int32, body any, out *outbox) {
 	out.send(n.latency.deliveryTime(now, to), to, body)
 }
@@ -95,7 +97,7 @@
 	n.sendFrames(now, n.model.Advance(now), out)
 }
 
-// crash ends an incarnation whose model has died by itself.
+// handleCrash ends an incarnation whose model has crashed.
 func (n *nodeEntity) handleCrash(now Time, out *outbox) {
 	if n.model.Overloaded() {
 		n.overloadCrashes++
@@ -104,27 +106,27 @@
 	n.stop(now, out)
 }
 
-// handle handles a message, and ends the incarnation if its model has died of it.
+// handle handles a message, and ends the incarnation if that has crashed the model.
 func (n *nodeEntity) handle(m message, out *outbox) {
 	n.dispatch(m, out)
 	if n.model != nil && n.model.Dead() {
-		n.handleCrash(m.at, out)
+		n.handleCrash(m.deliverAt, out)
 	}
 }
 
 func (n *nodeEntity) dispatch(m message, out *outbox) {
 	switch body := m.body.(type) {
 	case stopNode:
-		n.stop(m.at, out)
+		n.stop(m.deliverAt, out)
 	case startNode:
-		n.start(m.at, false)
+		n.start(m.deliverAt, false)
 	case restartNode:
-		n.stop(m.at, out)
-		n.start(m.at, false)
+		n.stop(m.deliverAt, out)
+		n.start(m.deliverAt, false)
 	case drainNode:
-		n.drain(m.at, out)
+		n.drain(m.deliverAt, out)
 	case changeNodeFault:
-		n.changeFault(m.at, body, out)
+		n.changeFault(m.deliverAt, body, out)
 	case dropPrograms:
 		if n.model != nil {
 			n.model.DropPrograms(body.fraction)
@@ -135,7 +137,7 @@
 		n.disconnect(m)
 	case frame:
 		if name, ok := n.schedulerNames[m.from]; ok && n.model != nil {
-			n.sendFrames(m.at, n.model.Receive(m.at, name, body.Frame), out)
+			n.sendFrames(m.deliverAt, n.model.Receive(m.deliverAt, name, body.Frame), out)
 		}
 	}
 }
@@ -154,32 +156,33 @@
 	}
 }
 
-// accept accepts a connection of a scheduler, or closes it.
+// accept accepts the connection of a scheduler, or refuses it if the node is stopped or the model does not accept it.
 func (n *nodeEntity) accept(m message, hello connectRequest, out *outbox) {
 	if n.model == nil {
-		n.sendTo(m.at, m.from, disconnected{}, out)
+		n.sendTo(m.deliverAt, m.from, disconnected{}, out)
 		return
 	}
-	frames, ok := n.model.Connect(m.at, hello.scheduler, hello.incarnation, nodeframe.MaxHeldPerWelcome)
+	frames, ok := n.model.Connect(m.deliverAt, hello.scheduler, hello.incarnation, nodeframe.MaxHeldPerWelcome)
 	if !ok {
-		n.sendTo(m.at, m.from, disconnected{}, out)
+		n.sendTo(m.deliverAt, m.from, disconnected{}, out)
 		return
 	}
 	if _, known := n.schedulerIDs[hello.scheduler]; !known {
 		n.connectionOrder = append(n.connectionOrder, hello.scheduler)
 	}
 	n.schedulerIDs[hello.scheduler], n.schedulerNames[m.from] = m.from, hello.scheduler
-	n.sendFrames(m.at, frames, out)
+	n.sendFrames(m.deliverAt, frames, out)
 }
 
 func (n *nodeEntity) disconnect(m message) {
 	if name, ok := n.schedulerNames[m.from]; ok && n.model != nil {
-		n.model.Disconnect(m.at, name)
+		n.model.Disconnect(m.deliverAt, name)
 		delete(n.schedulerIDs, name)
 		delete(n.schedulerNames, m.from)
 	}
 }
 
+// sendFrames sends frames to schedulers. It drops those to schedulers that are not connected.
 func (n *nodeEntity) sendFrames(now Time, frames []nodemodel.Send, out *outbox) {
 	for _, s := range frames {
 		if to, ok := n.schedulerIDs[s.To]; ok {
--- a/internal/testbed/emulator/recorder.go
+++ b/internal/testbed/emulator/recorder.go
@@ -24,23 +24,23 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/rules"
 )
 
-// recorder records a simulated day in the format in which a recording proxy records a trial, so that the same checker
-// reads both. Frames to a scheduler are recorded when it handles them, frames from it when it sends them. A nil recorder
-// records nothing. Not safe for concurrent use.
+// recorder records an emulated day in the format of the recording proxy, so that rules.Check reads the recordings of
+// emulations and trials. A frame to a scheduler is recorded when the scheduler handles it, a frame from a scheduler when it is
+// sent. A nil *recorder records nothing. Not safe for concurrent use.
 type recorder struct {
-	records        []*recordingpb.Record
-	lastConnection uint64
-	connections    map[string]*schedulerConnections // by scheduler
-	err            error                            // the first
+	records          []*recordingpb.Record
+	lastConnectionID uint64
+	connections      map[string]*schedulerConnections // of the present incarnations, by name of the scheduler
+	err              error                            // the first error; write returns it
 }
 
-// schedulerConnections are the recorded connections of one incarnation of a scheduler, with the encoder of its responses
-// to clients.
+// schedulerConnections has the IDs of the recorded connections of one incarnation of a scheduler, other than those to nodes,
+// and the encoder of its responses to clients.
 type schedulerConnections struct {
-	frontend  *drmaafront.Frontend
-	inventory uint64
-	requests  uint64 // a client's, for submissions
-	events    uint64 // a client's, for the event stream
+	frontend      *drmaafront.Frontend
+	inventoryID   uint64
+	submissionsID uint64 // from clients, for submissions
+	jobEventsID   uint64 // from clients, for the stream of job events
 }
 
 func (r *recorder) add(at Time, record *recordingpb.Record) {
@@ -48,13 +48,15 @@
 	r.records = append(r.records, record)
 }
 
+// addOpen records the opening of a connection and returns the connection's ID.
 func (r *recorder) addOpen(wire, listener, dialer string, at Time) uint64 {
-	r.lastConnection++
-	r.add(at, &recordingpb.Record{Body: &recordingpb.Record_Open{Open: &recordingpb.Open{Conn: r.lastConnection, Wire: wire,
+	r.lastConnectionID++
+	r.add(at, &recordingpb.Record{Body: &recordingpb.Record_Open{Open: &recordingpb.Open{Conn: r.lastConnectionID, Wire: wire,
 		To: listener, Via: dialer}}})
-	return r.lastConnection
+	return r.lastConnectionID
 }
 
+// addBytes records data as sent and, at the same time, delivered.
 func (r *recorder) addBytes(connection uint64, fromListener bool, data []byte, at Time) {
 	r.add(at, &recordingpb.Record{Body: &recordingpb.Record_Sent{Sent: &recordingpb.Sent{Conn: connection, Back: fromListener,
 		Data: data}}})
@@ -62,6 +64,7 @@
 		Back: fromListener, Bytes: uint64(len(data))}}})
 }
 
+// addFrame records a frame on a connection. ID 0 means that the connection is not recorded.
 func (r *recorder) addFrame(connection uint64, fromListener bool, f frame, at Time) {
 	if r == nil || connection == 0 {
 		return
@@ -80,7 +83,7 @@
 	}
 }
 
-// schedulerStarted opens the recorded connections of a scheduler's incarnation.
+// addSchedulerConnections records that an incarnation of a scheduler connects to the inventory and clients connect to it.
 func (r *recorder) addSchedulerConnections(s *schedulerEntity) {
 	if r == nil {
 		return
@@ -90,16 +93,16 @@
 	}
 	at, name := s.nextDeadline, s.settings.Name
 	c := &schedulerConnections{frontend: drmaafront.New(s.settings, at)}
-	c.inventory = r.addOpen(rules.InventoryWire, "inventory", name, at)
-	c.requests = r.addOpen(rules.ClientWire, name, "", at)
-	c.events = r.addOpen(rules.ClientWire, name, "", at)
-	r.addBytes(c.events, false, []byte("GET /drmaa2/v1/sessions/all/events HTTP/1.1\r\nHost: x\r\n\r\n"), at)
-	r.addBytes(c.events, true, httpcodec.AppendStreamHead(nil, http.StatusOK, "text/event-stream"), at)
+	c.inventoryID = r.addOpen(rules.InventoryWire, "inventory", name, at)
+	c.submissionsID = r.addOpen(rules.ClientWire, name, "", at)
+	c.jobEventsID = r.addOpen(rules.ClientWire, name, "", at)
+	r.addBytes(c.jobEventsID, false, []byte("GET /drmaa2/v1/sessions/all/events HTTP/1.1\r\nHost: x\r\n\r\n"), at)
+	r.addBytes(c.jobEventsID, true, httpcodec.AppendStreamHead(nil, http.StatusOK, "text/event-stream"), at)
 	r.connections[name] = c
-	r.addFrame(c.inventory, false, frame{nodefront.HelloFrame(s.settings, at)}, at)
+	r.addFrame(c.inventoryID, false, frame{nodefront.HelloFrame(s.settings, at)}, at)
 }
 
-// dialed records a connection to a node and returns its number; 0 without a recording.
+// addNodeConnection records that a scheduler connects to a node. It returns the connection's ID, or 0 without a recording.
 func (r *recorder) addNodeConnection(s *schedulerEntity, node string, at Time) uint64 {
 	if r == nil {
 		return 0
@@ -110,18 +113,19 @@
 	return connection
 }
 
+// addClose records the end of a connection.
 func (r *recorder) addClose(connection uint64, at Time) {
 	if r != nil && connection != 0 {
 		r.add(at, &recordingpb.Record{Body: &recordingpb.Record_Close{Close: &recordingpb.Close{Conn: connection}}})
 	}
 }
 
-// inventoryConnection returns the number of a scheduler's connection to the inventory; 0 without a recording.
-func (r *recorder) inventoryConnection(s *schedulerEntity) uint64 {
+// inventoryConnectionID returns the ID of a scheduler's connection to the inventory, or 0 without a recording.
+func (r *recorder) inventoryConnectionID(s *schedulerEntity) uint64 {
 	if r == nil {
 		return 0
 	}
-	return r.connections[s.settings.Name].inventory
+	return r.connections[s.settings.Name].inventoryID
 }
 
 func (r *recorder) addMark(event recordproxy.Event, party string, at Time) {
@@ -147,7 +151,8 @@
 	r.addMark(recordproxy.EventSchedulerResumed, s.settings.Name, until)
 }
 
-// answered records a submission and its answer as they are between a client and the front.
+// addSubmission records a submission and its answer as an HTTP request and response. The job template in
+// the request has only a placeholder command and the class.
 func (r *recorder) addSubmission(s *schedulerEntity, answer *scheduler.Answer, at Time) {
 	if r == nil {
 		return
@@ -162,23 +167,23 @@
 		r.fail(err)
 		return
 	}
-	r.addBytes(c.requests, false, fmt.Appendf(nil,
+	r.addBytes(c.submissionsID, false, fmt.Appendf(nil,
 		"POST /drmaa2/v1/sessions/all/jobs HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", len(body), body), at)
-	r.addBytes(c.requests, true, c.frontend.EncodeSubmitted(answer), at)
+	r.addBytes(c.submissionsID, true, c.frontend.EncodeSubmitted(answer), at)
 }
 
-// outcome records an event of a job.
+// addJobEvent records a job event on the event stream.
 func (r *recorder) addJobEvent(s *schedulerEntity, info *scheduler.JobInfo, at Time) {
 	if r != nil {
 		c := r.connections[s.settings.Name]
-		r.addBytes(c.events, true, c.frontend.EncodeEvent(info, strconv.FormatUint(info.Revision, 10)), at)
+		r.addBytes(c.jobEventsID, true, c.frontend.EncodeEvent(info, strconv.FormatUint(info.Revision, 10)), at)
 	}
 }
 
-// write writes the records in the order of their times.
+// write writes the recording: the head with the figures, the records by time, and a mark for the end.
 func (r *recorder) write(w io.Writer, figures []byte, end Time) error {
 	if r.err != nil {
-		return fmt.Errorf("emulator: record: %w", r.err)
+		return fmt.Errorf("emulator: recording frames and requests: %w", r.err)
 	}
 	slices.SortStableFunc(r.records, func(a, b *recordingpb.Record) int { return cmp.Compare(a.TimeNs, b.TimeNs) })
 	r.addMark(recordproxy.EventEnd, "", end)
@@ -187,11 +192,11 @@
 		Version: recordproxy.Version, Figures: figures}}}
 	for _, record := range append([]*recordingpb.Record{head}, r.records...) {
 		if _, err := protodelim.MarshalTo(buffer, record); err != nil {
-			return fmt.Errorf("emulator: record: %w", err)
+			return fmt.Errorf("emulator: writing the recording: %w", err)
 		}
 	}
 	if err := buffer.Flush(); err != nil {
-		return fmt.Errorf("emulator: record: %w", err)
+		return fmt.Errorf("emulator: writing the recording: %w", err)
 	}
 	return nil
 }
--- a/internal/testbed/emulator/report.go
+++ b/internal/testbed/emulator/report.go
@@ -13,32 +13,33 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/scenario"
 )
 
-// ClassReport is the result of a day for the jobs of one class.
+// ClassReport has the results of a day for the jobs of one class.
 type ClassReport struct {
 	Class           string
 	Submitted       int
 	Placed          int                     // submissions that were placed
-	WithinObjective int                     // first placements within the class's latency objective
-	RequestOutcomes map[string]int          // of placement requests
+	WithinObjective int                     // of Placed, those within the latency objective of the class
+	RequestOutcomes map[string]int          // placement requests by outcome
 	WaitMicros      *hdrhistogram.Histogram // microseconds from the intended submission to the first placement
 }
 
-// Report is the result of a day.
+// Report has the results of a day.
 type Report struct {
-	SimulatedSeconds   float64        // simulated
-	SubmissionEnds     map[string]int // submissions, by how they ended for their clients
-	JobEnds            map[string]int // jobs, by how they ended
-	Classes            []*ClassReport // in the day's order
-	FinishedTasks      int            // tasks that nodes have run to their end
-	OverloadCrashes    int            // nodes that crashed of overload
-	Retries            int            // submissions of jobs that were submitted before
-	EntityRuns         int64          // runs of entities
-	Messages           int64          // between entities
-	CoreSteps          int64          // of cores
-	MaxCoreUtilization float64        // fraction of the time that the busiest core worked; 0 if the day has no costs of steps
-	Unaccounted        int            // submissions without any end
+	SimulatedSeconds   float64        // simulated time in seconds, with the warm-up
+	SubmissionEnds     map[string]int // submissions by outcome, or by the reason why they have none
+	JobEnds            map[string]int // ended jobs by their final sub-state
+	Classes            []*ClassReport // in the order of the day's classes
+	FinishedTasks      int            // tasks that nodes have run to completion
+	OverloadCrashes    int            // crashes of nodes because of overload
+	Retries            int            // repeated submissions of jobs that were not placed
+	EntityRuns         int64          // runs of a simulated party in a window
+	Messages           int64          // messages between simulated parties
+	CoreSteps          int64          // steps of scheduler cores
+	MaxCoreUtilization float64        // highest busy fraction of a core; 0 if steps take no time on the day
+	Unaccounted        int            // submissions without an outcome or a known reason for its absence
 }
 
+// report closes all open submissions and returns the report of the day, which ends at the given time.
 func (s *simulation) report(end Time) *Report {
 	stats := s.clients.stats
 	for _, open := range s.clients.openSubmissions() {
@@ -73,7 +74,7 @@
 	return r
 }
 
-// String returns the report for people, in several lines.
+// String returns the report as text of several lines.
 func (r *Report) String() string {
 	var text strings.Builder
 	for _, class := range r.Classes {
@@ -91,15 +92,15 @@
 }
 
 func (c *ClassReport) print(text *strings.Builder) {
-	wait := func(percentile float64) time.Duration {
+	waitQuantile := func(percentile float64) time.Duration {
 		return time.Duration(c.WaitMicros.ValueAtQuantile(percentile)) * time.Microsecond
 	}
 	fmt.Fprintf(text, "%-12s %6d submitted, %6d placed, %6d in time; wait p50 %v p99 %v p99.9 %v; placement requests: %s\n",
-		c.Class, c.Submitted, c.Placed, c.WithinObjective, wait(50), wait(99), wait(99.9),
+		c.Class, c.Submitted, c.Placed, c.WithinObjective, waitQuantile(50), waitQuantile(99), waitQuantile(99.9),
 		countformat.FormatOutcomes(c.RequestOutcomes))
 }
 
-// clientStats counts the results that clients observe.
+// clientStats counts what clients observe.
 type clientStats struct {
 	retries                 int
 	submissionEnds, jobEnds map[string]int
@@ -129,7 +130,8 @@
 
 func (s *clientStats) countPlaced(class string, wait, latencyObjective time.Duration) {
 	c := s.classes[class]
-	_ = c.WaitMicros.RecordValue(max(int64(wait/time.Microsecond), 1)) // a wait of weeks is more than a day simulates
+	// Fails only for waits of weeks, which are longer than any day.
+	_ = c.WaitMicros.RecordValue(max(int64(wait/time.Microsecond), 1))
 	c.Placed++
 	if wait <= latencyObjective {
 		c.WithinObjective++
--- a/internal/testbed/emulator/scheduler.go
+++ b/internal/testbed/emulator/scheduler.go
@@ -10,7 +10,7 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/scenario"
 )
 
-// schedulerEntity is a scheduler. It has a core for each incarnation, and none while it is stopped.
+// schedulerEntity is the entity of a scheduler. Each incarnation has its own core; a stopped scheduler has none.
 type schedulerEntity struct {
 	id           int32
 	simulation   *simulation
@@ -22,28 +22,28 @@
 	incarnations int
 
 	core          *scheduler.Core
-	nextDeadline  Time              // when the core is to run next, as it requested
-	pendingInputs []scheduler.Input // inputs of the next step that effects of the last one caused
-	drained       bool              // the core has nothing open after a graceful shutdown
+	nextDeadline  Time              // when the core has requested its next step
+	pendingInputs []scheduler.Input // inputs of the next step, caused by effects of the last one
+	drained       bool              // the core has completed a graceful shutdown
 
 	pausedUntil Time
-	busyUntil   Time // end of the last step of the core
-	busyTime    Time // total duration of the steps
+	busyUntil   Time // end of the core's last step
+	busyTime    Time // total duration of the core's steps
 	steps       int64
 
-	links         map[string]*link // by node
-	linksByEntity map[int32]*link
-	nextDialAt    Time // the earliest dial of the links that wait for their backoff
+	links         map[string]*link // by name of the node
+	linksByEntity map[int32]*link  // by entity ID of the node
+	nextDialAt    Time             // the earliest end of a link's backoff
 
 	inventoryDecoder *nodefront.InventoryDecoder
 	requests         map[uint64]clientRequest
-	lastRequest      uint64
+	lastRequestID    uint64
 }
 
-// clientRequest is a submission that has no answer yet.
+// clientRequest identifies a submission that has no answer yet.
 type clientRequest struct {
-	client int32
-	key    string
+	client int32  // entity ID
+	key    string // idempotency key
 }
 
 func (s *schedulerEntity) receive(m message) { s.inbox.put(m) }
@@ -56,15 +56,15 @@
 	return max(due, s.pausedUntil, s.busyUntil)
 }
 
-// start starts an incarnation, unless one runs.
+// start starts an incarnation, unless one is running.
 func (s *schedulerEntity) start(now Time) {
 	if s.core != nil {
 		return
 	}
 	s.incarnations++
-	set := *s.settings
-	set.Seed = scenario.SchedulerSeed(s.simulation.seed, set.Index, s.incarnations)
-	config := set.CoreConfig(now)
+	schedulerSettings := *s.settings
+	schedulerSettings.Seed = scenario.SchedulerSeed(s.simulation.seed, schedulerSettings.Index, s.incarnations)
+	config := schedulerSettings.CoreConfig(now)
 	config.NewModule = s.simulation.newModule
 	if s.simulation.configureCore != nil {
 		s.simulation.configureCore(&config)
@@ -81,7 +81,7 @@
 	s.recorder.addSchedulerConnections(s)
 }
 
-// kill ends the incarnation at once, with its connections.
+// kill ends the incarnation immediately and closes its connections.
 func (s *schedulerEntity) kill(now Time, out *outbox) {
 	if s.core == nil {
 		return
@@ -89,7 +89,7 @@
 	for _, name := range s.simulation.nodeNames {
 		if l := s.links[name]; l != nil && l.isOpen() {
 			s.send(now, l.nodeID, disconnected{}, out)
-			s.recorder.addClose(l.connection, now)
+			s.recorder.addClose(l.connectionID, now)
 		}
 	}
 	s.send(now, s.simulation.inventory.id, disconnected{}, out)
@@ -102,8 +102,8 @@
 	out.send(s.latency.deliveryTime(now, to), to, body)
 }
 
-// run passes everything received in a window to the core in one step at the end of the window, as a daemon does with what
-// it has received since the last step.
+// run passes all messages of a window to the core in one step at the end of the window, as a daemon passes all that it has
+// received since the last step.
 func (s *schedulerEntity) run(end Time, out *outbox) {
 	if end <= s.pausedUntil || end <= s.busyUntil {
 		return
@@ -129,12 +129,12 @@
 	}
 }
 
-// step runs the core and executes its effects.
+// step runs a step of the core and carries out its effects.
 func (s *schedulerEntity) step(now Time, inputs []scheduler.Input, out *outbox) {
 	s.pendingInputs = nil
 	s.steps++
 	output := s.core.Step(now, inputs)
-	// Effects are executed at the end of the step's time, and inputs wait until then.
+	// The effects take place when the step has ended. Until then, further inputs wait.
 	if cost := s.simulation.day.CPU.StepTime(len(inputs)); cost > 0 {
 		s.busyUntil = now + cost
 		s.busyTime += cost
@@ -153,7 +153,8 @@
 	}
 }
 
-// control handles the messages of the fault injector that do not concern the core. It returns false for any other.
+// handleControl handles the messages of the fault injector that are not inputs of the core. It returns false for all other
+// messages.
 func (s *schedulerEntity) handleControl(m message, now Time, out *outbox) bool {
 	switch body := m.body.(type) {
 	case startScheduler:
@@ -169,7 +170,8 @@
 	return true
 }
 
-// input converts a message into an input of the core; nil if it is none.
+// coreInput converts a message into an input of the core, or returns nil if there is none. A stopped scheduler answers
+// submissions with an error.
 func (s *schedulerEntity) coreInput(m message, now Time, out *outbox) scheduler.Input {
 	if s.core == nil {
 		if body, ok := m.body.(submission); ok {
@@ -180,13 +182,13 @@
 	}
 	switch body := m.body.(type) {
 	case submission:
-		s.lastRequest++
-		s.requests[s.lastRequest] = clientRequest{client: m.from, key: body.spec.Key}
-		return scheduler.Submit{RequestID: s.lastRequest, ReceivedAt: m.at, Spec: body.spec}
+		s.lastRequestID++
+		s.requests[s.lastRequestID] = clientRequest{client: m.from, key: body.spec.Key}
+		return scheduler.Submit{RequestID: s.lastRequestID, ReceivedAt: m.deliverAt, Spec: body.spec}
 	case terminateScheduler:
 		return scheduler.Drain{}
 	case jobCommand:
-		return scheduler.Command{Verb: body.verb, Job: body.job}
+		return scheduler.Command{Verb: body.verb, Job: body.jobID}
 	case disconnected:
 		return s.handleLinkLost(m.from, now)
 	case frame:
@@ -199,7 +201,7 @@
 }
 
 func (s *schedulerEntity) decodeInventoryFrame(f frame, now Time) scheduler.Input {
-	s.recorder.addFrame(s.recorder.inventoryConnection(s), true, f, now)
+	s.recorder.addFrame(s.recorder.inventoryConnectionID(s), true, f, now)
 	message, err := s.inventoryDecoder.Decode(f.Frame)
 	s.simulation.fail(err)
 	return message.Input
@@ -210,7 +212,7 @@
 	if l == nil || !l.isOpen() {
 		return nil // the connection was closed before the frame was delivered
 	}
-	s.recorder.addFrame(l.connection, true, f, now)
+	s.recorder.addFrame(l.connectionID, true, f, now)
 	input, err := l.decoder.Decode(f.Frame)
 	s.simulation.fail(err)
 	if _, ok := input.(scheduler.NodeConnected); ok {
--- a/internal/testbed/emulator/simulation.go
+++ b/internal/testbed/emulator/simulation.go
@@ -13,7 +13,7 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/standin/nodemodel"
 )
 
-// simulation is one simulated cluster.
+// simulation is a simulated cluster with its clients and the injector of its faults.
 type simulation struct {
 	day               *scenario.Day
 	seed              uint64
@@ -25,19 +25,19 @@
 	nodeNames         []string // in the order of nodes
 	nodeIDs           map[string]int32
 	schedulers        []*schedulerEntity
-	zoneKeyRegistries map[string]nodemodel.KeyRegistry // the idempotency keys that the nodes of a zone share
-	zoneGroups        map[string]int32                 // the engine's groups of zones
+	zoneKeyRegistries map[string]nodemodel.KeyRegistry // by zone, whose nodes share the idempotency keys
+	zoneGroups        map[string]int32                 // engine.groups of the nodes of each zone
 	recorder          *recorder                        // nil for none
-	trace             *traceArrivals                   // in place of the day's load; nil for none
+	trace             *traceArrivals                   // replaces the load of the day; nil for none
 
 	newModule     func(cfg flaxshelf.Config, seed uint64) (scheduler.Module, error)
 	configureCore func(cfg *scheduler.Config)
 
-	errMu sync.Mutex // guards err, since entities may fail concurrently
-	err   error      // the first
+	errMu sync.Mutex // guards err, which workers set concurrently
+	err   error      // the first error
 }
 
-// fail ends the simulation.
+// fail ends the simulation with an error. It does nothing for a nil error.
 func (s *simulation) fail(err error) {
 	if err == nil {
 		return
@@ -49,7 +49,7 @@
 	}
 }
 
-// entityName returns the name of a node or scheduler; for another entity, its number.
+// entityName returns the name of a node or scheduler, or the ID of another entity as text.
 func (s *simulation) entityName(id int32) string {
 	switch entity := s.engine.entities[id].(type) {
 	case *nodeEntity:
@@ -60,43 +60,43 @@
 	return fmt.Sprint(id)
 }
 
-func newSimulation(day *scenario.Day, opt Options) (*simulation, error) {
-	if opt.Load != nil {
+func newSimulation(day *scenario.Day, options Options) (*simulation, error) {
+	if options.Load != nil {
 		longer := *day
-		longer.Seconds = max(day.Seconds, opt.Load.Length().Seconds())
+		longer.Seconds = max(day.Seconds, options.Load.Length().Seconds())
 		day = &longer
 	}
 	s := &simulation{
 		day:               day,
-		seed:              opt.Seed,
-		engine:            newEngine(opt.Workers),
+		seed:              options.Seed,
+		engine:            newEngine(options.Workers),
 		nodeIDs:           map[string]int32{},
 		zoneKeyRegistries: map[string]nodemodel.KeyRegistry{},
 		zoneGroups:        map[string]int32{},
-		newModule:         opt.NewModule,
-		configureCore:     opt.ConfigureCore,
+		newModule:         options.NewModule,
+		configureCore:     options.ConfigureCore,
 	}
-	if err := s.checkOptions(opt); err != nil {
+	if err := s.checkOptions(options); err != nil {
 		return nil, err
 	}
-	if opt.Record != nil {
+	if options.Record != nil {
 		s.recorder = &recorder{}
 	}
-	if opt.Load != nil {
+	if options.Load != nil {
 		var err error
-		if s.trace, err = newTraceArrivals(opt.Load, day); err != nil {
+		if s.trace, err = newTraceArrivals(options.Load, day); err != nil {
 			return nil, err
 		}
 	}
-	// The random numbers of an entity depend on its number: the order in which entities are added must not change.
+	// The random numbers of an entity depend on its ID. A change of the order in which entities are added would change results.
 	s.clients = newClients(s)
 	s.clients.id = s.engine.add(s.clients)
-	s.clients.measureFrom = scenario.Seconds(opt.MeasureFrom)
+	s.clients.measureFrom = scenario.Seconds(options.MeasureFrom)
 	s.faults = &faultInjector{simulation: s}
 	s.faults.id = s.engine.add(s.faults)
 	s.addInventory()
-	for _, place := range day.Nodes() {
-		s.addNode(place)
+	for _, spec := range day.Nodes() {
+		s.addNode(spec)
 	}
 	if err := s.addSchedulers(); err != nil {
 		return nil, err
@@ -104,9 +104,9 @@
 	return s, nil
 }
 
-func (s *simulation) checkOptions(opt Options) error {
-	if opt.Record != nil && opt.Workers > 1 {
-		return &OptionsError{Option: "Workers", Value: opt.Workers, Reason: "can't make a recording, which needs one worker"}
+func (s *simulation) checkOptions(options Options) error {
+	if options.Record != nil && options.Workers > 1 {
+		return &OptionsError{Option: "Workers", Value: options.Workers, Reason: "can't make a recording, which needs one worker"}
 	}
 	if s.day.Cores > 1 {
 		return &OptionsError{Option: s.day.Name + ": cores", Value: s.day.Cores,
@@ -123,23 +123,24 @@
 	s.inventory.latency = newLatencyModel(s.seed, s.inventory.id)
 }
 
-func (s *simulation) addNode(place scenario.Node) {
-	zone := place.Group.Zone
-	n := &nodeEntity{simulation: s, spec: place, settings: settings.Node{Name: place.Name, Kind: place.Group.Kind,
-		Zone: zone, Cell: place.Group.Cell}}
+func (s *simulation) addNode(spec scenario.Node) {
+	zone := spec.Group.Zone
+	n := &nodeEntity{simulation: s, spec: spec, settings: settings.Node{Name: spec.Name, Kind: spec.Group.Kind,
+		Zone: zone, Cell: spec.Group.Cell}}
 	if s.zoneKeyRegistries[zone] == nil {
 		s.zoneKeyRegistries[zone] = nodemodel.NewLocalKeys()
 		s.zoneGroups[zone] = int32(len(s.zoneGroups) + 1)
 	}
 	n.id = s.engine.add(n)
-	s.engine.groups[n.id] = s.zoneGroups[zone] // since the nodes of a zone share their idempotency keys
+	s.engine.groups[n.id] = s.zoneGroups[zone] // the nodes of a zone share a key registry
 	n.latency = newLatencyModel(s.seed, n.id)
-	s.nodes, s.nodeNames = append(s.nodes, n), append(s.nodeNames, place.Name)
-	s.nodeIDs[place.Name] = n.id
-	n.start(Epoch, place.Group.Warm)
+	s.nodes, s.nodeNames = append(s.nodes, n), append(s.nodeNames, spec.Name)
+	s.nodeIDs[spec.Name] = n.id
+	n.start(Epoch, spec.Group.Warm)
 }
 
-// schedulerStream separates the random numbers of schedulers from the others of a seed.
+// schedulerStream is by how many bits the ID of a scheduler is shifted to get its random number stream. This separates the
+// stream from the others of a seed.
 const schedulerStream = 32
 
 func (s *simulation) addSchedulers() error {
@@ -152,10 +153,11 @@
 		return err
 	}
 	for i := range s.day.Schedulers {
-		set := new(settings.Scheduler) // schedulers differ in names and zones only, and parsing the file takes milliseconds
-		*set = *first
-		set.Name, set.Index, set.Zone = scenario.SchedulerName(i), i, s.day.Zone(i)
-		entity := &schedulerEntity{simulation: s, settings: set, recorder: s.recorder}
+		// Schedulers differ only in name, index and zone. Parsing the file again for each would take milliseconds.
+		schedulerSettings := new(settings.Scheduler)
+		*schedulerSettings = *first
+		schedulerSettings.Name, schedulerSettings.Index, schedulerSettings.Zone = scenario.SchedulerName(i), i, s.day.Zone(i)
+		entity := &schedulerEntity{simulation: s, settings: schedulerSettings, recorder: s.recorder}
 		entity.id = s.engine.add(entity)
 		entity.latency = newLatencyModel(s.seed, entity.id)
 		entity.random = rand.New(rand.NewPCG(s.seed, uint64(entity.id)<<schedulerStream))
--- a/internal/testbed/emulator/submission.go
+++ b/internal/testbed/emulator/submission.go
@@ -9,28 +9,28 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/scenario"
 )
 
-// submissionState is a submission and the state that its client has of it.
+// submissionState is a submission as its client knows it.
 type submissionState struct {
 	arrival         scenario.Arrival
 	spec            scheduler.JobSpec
-	job             string
+	jobID           string
 	outcome         scheduler.PlacementOutcome
-	endReason       string // how it ended without an outcome; empty: it is open or has one
-	lastOutcome     string // of the last request that its client retried
-	schedulerKilled bool   // its scheduler was killed
-	closeAt         Time   // when it is accounted for
-	closed          bool
+	endReason       string // why it ended without an outcome; empty: it is open or has an outcome
+	lastOutcome     string // outcome of the last placement request that the client retried
+	schedulerKilled bool   // the scheduler was killed or did not run
+	closeAt         Time   // when it is counted in the report, with or without an outcome
+	closed          bool   // it is counted in the report
 }
 
-// The ends in the report of submissions without an outcome.
+// Reasons, in the report, why submissions ended without an outcome.
 const (
-	endRejected  = "rejected: " // and the error code
+	endRejected  = "rejected: " // followed by the error code
 	endKilled    = "its scheduler was killed"
 	endNoOutcome = "no outcome"
 	endOpen      = "open at the end"
 )
 
-// close accounts for a submission at the end of its time.
+// closeSubmission counts a submission in the report, by its outcome or the reason why it has none, and forgets it.
 func (c *clients) closeSubmission(s *submissionState) {
 	if s.closed {
 		return
@@ -51,8 +51,8 @@
 	delete(c.submissions, s.arrival.Key)
 }
 
-// retry resubmits a job that was not placed, after a backoff. It returns false if the load does not retry or its
-// client's patience would end first.
+// scheduleRetry schedules another submission of a job that was not placed, after a random backoff. It returns false if the
+// load has no retries or the client's patience ends before the retry.
 func (c *clients) scheduleRetry(s *submissionState, now Time) bool {
 	backoff := s.arrival.Load.Retry.Duration()
 	if backoff <= 0 {
@@ -67,7 +67,8 @@
 	return true
 }
 
-// openSubmissions returns the open submissions in the order of their times and keys.
+// openSubmissions returns the open submissions, ordered by arrival time and then by key, so that the order does not depend on
+// the map.
 func (c *clients) openSubmissions() []*submissionState {
 	open := make([]*submissionState, 0, len(c.submissions))
 	for _, s := range c.submissions {
@@ -79,7 +80,8 @@
 	return open
 }
 
-// resubmit submits a job again whose scheduler was killed, unless its client has stopped waiting by then.
+// scheduleResubmission schedules another submission of a job whose scheduler was killed, unless less than outcomeGracePeriod
+// would remain until closeAt.
 func (c *clients) scheduleResubmission(s *submissionState, now Time) {
 	at := now + resubmitDelay
 	if at >= s.closeAt-outcomeGracePeriod {
--- a/internal/testbed/emulator/timingwheel_test.go
+++ b/internal/testbed/emulator/timingwheel_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// heapQueue is the queue that the wheel is compared with: a heap.
+// heapQueue is a plain heap, with which the timing wheel is compared.
 type heapQueue struct{ items windowHeap }
 
 func (q *heapQueue) add(window int64, id int32) { heap.Push(&q.items, windowItem{window, id}) }
@@ -19,14 +19,14 @@
 	if len(q.items) == 0 {
 		return 0, nil, false
 	}
-	w, ids := q.items[0].window, []int32(nil)
-	for len(q.items) > 0 && q.items[0].window == w {
+	w, ids := q.items[0].windowNumber, []int32(nil)
+	for len(q.items) > 0 && q.items[0].windowNumber == w {
 		ids = append(ids, heap.Pop(&q.items).(windowItem).id)
 	}
 	return w, ids, true
 }
 
-// The wheel and a heap return the same windows with the same entities, whatever is added, near or far.
+// Guards against entities that the timing wheel loses, adds or returns in the wrong window, in and beyond its span.
 func TestWheelMatchesHeap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		wheel, reference := newTimingWheel(rapid.IntRange(1, 6).Draw(t, "bits")), &heapQueue{}
@@ -54,33 +54,34 @@
 	})
 }
 
+// queue is implemented by timingWheel and heapQueue.
 type queue interface {
 	add(window int64, id int32)
 	next() (int64, []int32, bool)
 }
 
-// BenchmarkQueue runs the engine's access pattern on both queues: n entities, each due again a little later whenever it was
-// returned, and sometimes much later.
+// BenchmarkQueue measures both queues with the engine's access pattern: each of n entities is queued again when it is returned,
+// mostly for a window soon after and sometimes for one beyond the span of the wheel.
 func BenchmarkQueue(b *testing.B) {
 	for _, n := range []int{100, 1000, 10000, 100000} {
-		for _, q := range []struct {
-			name string
-			make func() queue
+		for _, implementation := range []struct {
+			name     string
+			newQueue func() queue
 		}{{"wheel", func() queue { return newTimingWheel(12) }}, {"heap", func() queue { return &heapQueue{} }}} {
-			b.Run(fmt.Sprintf("%s/entities=%d", q.name, n), func(b *testing.B) {
-				x, r := q.make(), rand.New(rand.NewPCG(1, 2))
+			b.Run(fmt.Sprintf("%s/entities=%d", implementation.name, n), func(b *testing.B) {
+				q, random := implementation.newQueue(), rand.New(rand.NewPCG(1, 2))
 				for id := range n {
-					x.add(int64(r.IntN(500)), int32(id))
+					q.add(int64(random.IntN(500)), int32(id))
 				}
 				b.ResetTimer()
 				for done := 0; done < b.N; {
-					w, ids, _ := x.next()
+					w, ids, _ := q.next()
 					for _, id := range ids {
-						ahead := int64(1 + r.IntN(500))
-						if r.IntN(50) == 0 {
+						ahead := int64(1 + random.IntN(500))
+						if random.IntN(50) == 0 {
 							ahead = 20000
 						}
-						x.add(w+ahead, id)
+						q.add(w+ahead, id)
 					}
 					done += len(ids)
 				}
--- a/internal/testbed/emulator/tracearrivals_test.go
+++ b/internal/testbed/emulator/tracearrivals_test.go
@@ -13,7 +13,7 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/load"
 )
 
-// planTrace draws a trace of about 20 s with two classes from a load plan.
+// planTrace returns a trace of about 20 s with two classes, drawn from a load plan.
 func planTrace(t *testing.T) *load.Trace {
 	t.Helper()
 	plan, err := load.ParsePlan("p.cue", []byte(`about: "two classes"
@@ -61,8 +61,8 @@
 	}
 }
 
-// A core whose steps take time is overloaded as on sockets: above its capacity jobs wait and time out, below it hardly
-// anything changes.
+// Guards against step costs that have no effect or too much. Above the core's capacity jobs must wait and time out, as on
+// sockets; below it the results must hardly change.
 func TestStepCostsOverloadCore(t *testing.T) {
 	text := `#Town
 about: "one scheduler"
