--- a/internal/testbed/baseline/baseline.go
+++ b/internal/testbed/baseline/baseline.go
@@ -1,11 +1,11 @@
-// Package baseline has simple placement strategies to compare the module with in experiments. They obey the module's hard
-// constraints and use nothing else: no evidence of faults, no replay of placements, no preferred machines. They are not
-// meant for a daemon.
+// Package baseline has simple placement strategies with which experiments compare flaxshelf.Placer. The strategies satisfy
+// the same hard constraints and use nothing else: no evidence of faults, no replay votes and no affinity. They are not meant
+// for production.
 //
-// The package may share the types of package flaxshelf with the module, but none of its formulas and not its index: it
-// computes eligibility, retry safety, spread and the slow-start budget by itself, by plain scans. In an experiment a fault in
-// a shared formula would affect both sides alike and so stay unseen; and stored results remain comparable only while a change
-// of the module leaves the baseline as it is.
+// The package uses the types of package flaxshelf, but must not use its calculations or its index. It computes eligibility,
+// retry safety, spread and the slow-start budget itself, by linear scans. A fault in shared code would affect both sides of an
+// experiment in the same way and so stay unnoticed. Besides, stored results remain comparable only if the baselines don't
+// change with flaxshelf.Placer.
 package baseline
 
 import (
@@ -17,40 +17,41 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-// Strategy is the rule by which a machine is chosen among those that the constraints allow.
+// Strategy is the rule that chooses among the machines that satisfy the hard constraints.
 type Strategy string
 
-// The strategies. The load of a machine is what this scheduler's own tasks and attempts request there.
+// The strategies. The load of a machine is the fraction of its resources that this scheduler's tasks and attempts request.
 const (
-	Random      Strategy = "random"
+	Random      Strategy = "random"      // a random machine
 	TwoChoices  Strategy = "two-choices" // the less loaded of two random machines
-	LeastLoaded Strategy = "least-asked"
+	LeastLoaded Strategy = "least-asked" // the least loaded machine
 )
 
 // Strategies lists all strategies.
 var Strategies = []Strategy{Random, TwoChoices, LeastLoaded}
 
-// UnknownStrategyError is returned by New for a strategy that is not among Strategies.
+// UnknownStrategyError reports a strategy that Strategies does not contain.
 type UnknownStrategyError struct{ Strategy Strategy }
 
+// Error returns the unknown strategy and the list of strategies.
 func (e *UnknownStrategyError) Error() string {
-	return fmt.Sprintf("baseline: no strategy %q, there are %v", e.Strategy, Strategies)
+	return fmt.Sprintf("baseline: unknown strategy %q, want one of %q", e.Strategy, Strategies)
 }
 
 const (
-	// discoveryRetryDelay is the pause before the next request to the inventory after one that failed.
+	// discoveryRetryDelay is the delay before the next subscription to the inventory after a failure.
 	discoveryRetryDelay = 500 * time.Millisecond
-	// placementRetryDelay is the pause before the next attempt to place a task that no machine may take now.
+	// placementRetryDelay is the delay before the next attempt to place a task for which no machine is eligible.
 	placementRetryDelay = 40 * time.Millisecond
-	// rejectionBackoff is how long a machine gets no offers after one did not reach it or was rejected by it.
+	// rejectionBackoff is how long a machine gets no offers after it has rejected one or one could not be delivered.
 	rejectionBackoff = 500 * time.Millisecond
-	// minDiscoveryTimeout is the least time that the inventory has to answer.
+	// minDiscoveryTimeout is the least time for which the inventory may leave a subscription unanswered.
 	minDiscoveryTimeout = time.Second
-	// minAttemptTimeout is the least time that an attempt has if others may follow it.
+	// minAttemptTimeout is the least timeout of an attempt that another one may follow.
 	minAttemptTimeout = 50 * time.Millisecond
 )
 
-// randomStream is the second half of the generator's seed. Recordings depend on it.
+// randomStream is the second word of the random number generator's seed. A change would change recorded decisions.
 const randomStream = 0xba5e
 
 // Placer places tasks by a strategy. It implements scheduler.Module, as flaxshelf.Placer does. Not safe for concurrent use.
@@ -61,24 +62,24 @@
 
 	now          flaxshelf.Time
 	started      bool
-	startedAt    flaxshelf.Time // of the first step
-	nextPoll     flaxshelf.Time // of the inventory; 0: its watch is established
+	startedAt    flaxshelf.Time // time of the first step
+	nextPoll     flaxshelf.Time // next subscription to the inventory; 0: the watch is established
 	machines     map[string]*machine
-	machineOrder []*machine // by identifier
+	machineOrder []*machine // sorted by ID
 	tasks        map[string]*task
-	pending      []*task // without an answer, in order of arrival
+	pending      []*task // tasks without an answer, in the order of arrival
 
-	// Of the step in progress:
+	// State of the step in progress:
 	actions   []flaxshelf.Action
-	nextTimer time.Duration // from now; 0: none
+	nextTimer time.Duration // time from now; 0: no timer
 }
 
-// machine is a machine with what this scheduler knows of it.
+// machine is an entry of the machine list with this scheduler's requests and offers.
 type machine struct {
 	flaxshelf.Machine
-	requestedCores, requestedMemory float64 // requested by this scheduler's attempts and tasks
+	requestedCores, requestedMemory float64 // total of this scheduler's attempts and tasks
 	tasksByService                  map[string]int
-	slowStartOffers                 []flaxshelf.Time // during slow start
+	slowStartOffers                 []flaxshelf.Time // times of recent offers during slow start
 	backoffUntil                    flaxshelf.Time
 }
 
@@ -87,15 +88,16 @@
 	machine  *machine
 	sentAt   flaxshelf.Time
 	open     bool
-	neverRan bool // it ended with proof of that
-	placed   bool
+	neverRan bool // it ended with proof that the task never ran
+	placed   bool // the machine has accepted or adopted the task
 }
 
+// task is a task that is not answered or has an open attempt.
 type task struct {
 	flaxshelf.Task
 	class    *flaxshelf.TaskClass
 	attempts []attempt
-	answered bool // it needs no further attempt
+	answered bool // it is placed, canceled or answered, and needs no further attempt
 }
 
 // New returns a Placer, or an *UnknownStrategyError if Strategies does not contain the strategy.
@@ -112,7 +114,7 @@
 	}, nil
 }
 
-// Step handles events and returns actions, as the module's Step does.
+// Step handles events and returns actions. It implements scheduler.Module.
 func (c *Placer) Step(now flaxshelf.Time, events []flaxshelf.Event) []flaxshelf.Action {
 	if !c.started {
 		c.started, c.startedAt, c.nextPoll = true, now, now
@@ -138,7 +140,7 @@
 	return c.actions
 }
 
-// wakeAfter has the timer of this step fire after the delay at the latest.
+// setTimerWithin makes the timer of this step fire after the delay at the latest.
 func (c *Placer) setTimerWithin(delay time.Duration) {
 	if delay = max(delay, 1); c.nextTimer == 0 || delay < c.nextTimer {
 		c.nextTimer = delay
--- a/internal/testbed/baseline/baseline_test.go
+++ b/internal/testbed/baseline/baseline_test.go
@@ -12,36 +12,38 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/scenario"
 )
 
-// Baselines obey the same rules as the module, so that an experiment compares the choice of machines alone.
+// Guards against baselines that violate a rule or lose a submission. Experiments would otherwise compare more than the choice
+// of machines.
 func TestBaselinesObeyRules(t *testing.T) {
 	for _, strategy := range baseline.Strategies {
 		for _, name := range []string{"calm", "failing-starts", "class-silence", "rolling-deploy", "lost-room", "schedulers", "hot-service"} {
 			t.Run(string(strategy)+"/"+name, func(t *testing.T) {
 				t.Parallel()
-				d, err := scenario.Read(name)
+				day, err := scenario.Read(name)
 				if err != nil {
 					t.Fatal(err)
 				}
-				rep, v, err := emulator.RunAndCheck(context.Background(), d, emulator.Options{Seed: 2,
+				report, verdict, err := emulator.RunAndCheck(context.Background(), day, emulator.Options{Seed: 2,
 					NewModule: func(cfg flaxshelf.Config, seed uint64) (scheduler.Module, error) {
 						return baseline.New(strategy, cfg, seed)
 					}})
 				if err != nil {
 					t.Fatal(err)
 				}
-				if !v.OK() || rep.Unaccounted > 0 || v.Outcomes["placed"] == 0 {
-					t.Errorf("%s%s", v, rep)
+				if !verdict.OK() || report.Unaccounted > 0 || verdict.Outcomes["placed"] == 0 {
+					t.Errorf("got verdict and report\n%s%s\nwant no violated rule, no submission unaccounted for and some placed tasks",
+						verdict, report)
 				}
 			})
 		}
 	}
 }
 
-// A strategy that there is not is reported.
+// Guards against an unknown strategy that is accepted.
 func TestUnknownStrategy(t *testing.T) {
 	_, err := baseline.New("odd", flaxshelf.Config{}, 1)
 	var unknown *baseline.UnknownStrategyError
 	if !errors.As(err, &unknown) || unknown.Strategy != "odd" {
-		t.Errorf("got %v, want an UnknownStrategyError", err)
+		t.Errorf("got error %v, want an UnknownStrategyError for strategy odd", err)
 	}
 }
--- a/internal/testbed/baseline/constraints.go
+++ b/internal/testbed/baseline/constraints.go
@@ -6,21 +6,21 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-// allowed reports whether the hard constraints allow a task on a machine.
+// eligible reports whether a machine satisfies the hard constraints for a task and is not in backoff.
 func (c *Placer) eligible(t *task, m *machine) bool {
 	return m.State == flaxshelf.Active && m.Kind >= 0 && c.now >= m.backoffUntil &&
 		(t.class.Kind < 0 || t.class.Kind == m.Kind) &&
 		c.fits(t, m) && c.retryIsSafe(t, m) && c.withinSpreadLimit(t, m) && c.slowStartAllows(m)
 }
 
-// fits reports whether the machine, if it were empty, had the resources for a task.
+// fits reports whether an empty machine of this kind has the resources for the task, overcommit included.
 func (c *Placer) fits(t *task, m *machine) bool {
 	kind := c.cfg.Kinds[m.Kind]
 	return t.Cores <= kind.Cores*max(c.cfg.CoreOvercommit, 1) && t.Memory <= kind.Memory*max(c.cfg.MemoryOvercommit, 1)
 }
 
-// retryIsSafe reports whether an offer of the task to the machine can't run it twice, whatever the outcome of its earlier
-// attempts, or whether running it twice does no harm.
+// retryIsSafe reports whether the task may be offered to the machine whatever the outcome of its earlier attempts: it can't
+// run twice, or its class permits that.
 func (c *Placer) retryIsSafe(t *task, m *machine) bool {
 	for i := range t.attempts {
 		a := &t.attempts[i]
@@ -36,7 +36,7 @@
 	return true
 }
 
-// spreads reports whether the machine's topology domain has fewer tasks of the service than the class permits.
+// withinSpreadLimit reports whether the machine's topology domain has fewer tasks of the service than the class permits.
 func (c *Placer) withinSpreadLimit(t *task, m *machine) bool {
 	if t.class.SpreadDomain == flaxshelf.NoDomain {
 		return true
@@ -50,13 +50,13 @@
 	return tasks < t.class.MaxPerDomain
 }
 
-// warmingUp reports whether a machine is in slow start, or was so within OverloadWindow.
+// slowStartApplies reports whether a machine is in slow start or was within the last OverloadWindow.
 func (c *Placer) slowStartApplies(m *machine) bool {
 	return m.Started > 0 && c.cfg.OverloadWindow > 0 && c.now < m.Started+c.cfg.SlowStartDuration+c.cfg.OverloadWindow
 }
 
-// slowStartAllows reports whether this scheduler's part of a machine's slow-start budget permits another offer. A part below
-// one offer permits none.
+// slowStartAllows reports whether this scheduler's share of the machine's slow-start budget permits another offer. The budget
+// is shared equally among the schedulers. A share of less than one offer permits none.
 func (c *Placer) slowStartAllows(m *machine) bool {
 	if !c.slowStartApplies(m) {
 		return true
--- a/internal/testbed/baseline/events.go
+++ b/internal/testbed/baseline/events.go
@@ -7,7 +7,7 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-// handle handles an event. Events that the strategies have no use for are ignored.
+// handle handles an event. It ignores events that the strategies don't use.
 func (c *Placer) handle(e flaxshelf.Event) {
 	switch e := e.(type) {
 	case flaxshelf.MachinesUpdated:
@@ -41,7 +41,7 @@
 	c.nextPoll = 0
 }
 
-// machine returns a machine by its identifier. One that the inventory has not listed counts as removed.
+// machine returns the machine with the given ID. A machine that the inventory has not listed counts as removed.
 func (c *Placer) machine(id string) *machine {
 	m := c.machines[id]
 	if m == nil {
@@ -100,7 +100,7 @@
 	}
 }
 
-// forgetIfDone forgets a task that is answered and has no live attempt.
+// forgetIfDone removes a task that is answered and has no open attempt.
 func (c *Placer) forgetIfDone(t *task) {
 	if t.answered && !t.hasOpenAttempt() {
 		delete(c.tasks, t.ID)
--- a/internal/testbed/baseline/place.go
+++ b/internal/testbed/baseline/place.go
@@ -7,14 +7,14 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-// advance does what is next for a pending task: it offers the task, waits, or answers that it is not placed.
+// process offers a pending task, waits for its open attempt, or answers that it is not placed.
 func (c *Placer) process(t *task) {
 	if t.answered {
 		return
 	}
-	margin := 2*c.cfg.Tick + time.Millisecond // for the steps and messages that an answer takes
-	answerBy := t.Deadline - margin
-	lastOffer := answerBy - margin
+	answerMargin := 2*c.cfg.Tick + time.Millisecond // time for the steps and messages until an answer arrives
+	answerBy := t.Deadline - answerMargin
+	lastOffer := answerBy - answerMargin
 	switch {
 	case t.hasOpenAttempt() && c.now < answerBy:
 		c.setTimerWithin(answerBy - c.now)
@@ -25,7 +25,7 @@
 	}
 }
 
-// mayRetry reports whether a further attempt is allowed after those that a task has had.
+// mayRetry reports whether the number and the outcomes of a task's attempts permit another one.
 func (c *Placer) mayRetry(t *task) bool {
 	if c.cfg.MaxAttempts > 0 && len(t.attempts) >= c.cfg.MaxAttempts {
 		return false
@@ -33,7 +33,8 @@
 	return t.class.Idempotency != flaxshelf.NonIdempotent || !t.mayHaveRun()
 }
 
-// offer offers a task to a machine, or tries later if no machine may take it.
+// offer offers a task to a machine. If none is eligible, it tries again later, or answers a task with idempotency keys that may
+// have run.
 func (c *Placer) offer(t *task, answerBy, lastOffer flaxshelf.Time) {
 	m := c.chooseMachine(t)
 	if m == nil {
@@ -50,7 +51,7 @@
 	}
 	timeout := lastOffer - c.now
 	if t.class.Idempotency != flaxshelf.NonIdempotent && len(t.attempts) < c.cfg.MaxAttempts {
-		timeout = min(timeout, max(t.class.LatencyObjective/2, minAttemptTimeout)) // leave time for another attempt
+		timeout = min(timeout, max(t.class.LatencyObjective/2, minAttemptTimeout)) // leaves time for another attempt
 	}
 	c.actions = append(c.actions, flaxshelf.Offer{Task: t.ID, Machine: m.ID, Timeout: timeout})
 	c.setTimerWithin(answerBy - c.now)
@@ -67,13 +68,13 @@
 	return slices.ContainsFunc(t.attempts, func(a attempt) bool { return a.open })
 }
 
-// mayHaveRun reports whether an attempt lacks the proof that it never ran.
+// mayHaveRun reports whether there is no proof for some attempt that it never ran.
 func (t *task) mayHaveRun() bool {
 	return slices.ContainsFunc(t.attempts, func(a attempt) bool { return !a.neverRan })
 }
 
-// answer answers a task that is not placed. A Reject promises that the client may safely submit the task again. This needs
-// proof that it never ran, or a class that permits repeated runs.
+// answerUnplaced answers that a task is not placed. A Reject promises that the client may safely submit the task again. This
+// requires proof that the task never ran, or a class that permits repeated runs. Otherwise the answer is Fail.
 func (c *Placer) answerUnplaced(t *task) {
 	t.answered = true
 	repeatable := t.class.Idempotency == flaxshelf.Idempotent ||
@@ -86,7 +87,7 @@
 	c.forgetIfDone(t)
 }
 
-// choose picks a machine by the strategy; nil if the constraints allow none.
+// chooseMachine returns an eligible machine that the strategy chooses, or nil if none is eligible.
 func (c *Placer) chooseMachine(t *task) *machine {
 	var candidates []*machine
 	for _, m := range c.machineOrder {
@@ -104,7 +105,7 @@
 			return other
 		}
 	case LeastLoaded:
-		for _, m := range candidates { // of equals, the one that was drawn
+		for _, m := range candidates { // equally loaded machines don't replace the one that was drawn
 			if c.loadFraction(m) < c.loadFraction(chosen) {
 				chosen = m
 			}
@@ -113,7 +114,7 @@
 	return chosen
 }
 
-// load returns the share of a machine that is requested, of cores or of memory, whichever is higher.
+// loadFraction returns the requested fraction of a machine's cores or memory, whichever is higher.
 func (c *Placer) loadFraction(m *machine) float64 {
 	kind := c.cfg.Kinds[m.Kind]
 	return max(m.requestedCores/kind.Cores, m.requestedMemory/kind.Memory)
