--- a/internal/testbed/ablation/ablation.go
+++ b/internal/testbed/ablation/ablation.go
@@ -1,5 +1,5 @@
-// Package ablation measures what each constraint of the module contributes: emulated days are played with one of them
-// disabled, and the rules checker or a paired comparison shows the effect.
+// Package ablation measures what each constraint of flaxshelf.Placer contributes. It emulates days with one constraint
+// disabled; the rules checker or a paired comparison with the full policy shows the effect.
 package ablation
 
 import (
@@ -15,16 +15,17 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/scenario"
 )
 
-// HardConstraint is a hard constraint with a day on which a rule is broken without it.
+// HardConstraint is a hard constraint with a day on which a rule is violated if the constraint is disabled.
 type HardConstraint struct {
 	Constraint flaxshelf.PolicyRule
-	// Guards are those of the scheduler core that enforce the same rule once more: with them enabled, no rule is broken.
+	// Guards are the guards of the scheduler core that enforce the same rule. While they are enabled, the rule holds even
+	// without the constraint.
 	Guards    scheduler.Guards
-	Day       string
-	RuleIndex int // index in a verdict
+	Day       string // name of the day
+	RuleIndex int    // index in rules.Verdict.Rules
 }
 
-// HardConstraints lists the hard constraints that a rule depends on.
+// HardConstraints lists the hard constraints on which a rule depends.
 var HardConstraints = []HardConstraint{
 	{
 		Constraint: flaxshelf.DrainConstraint,
@@ -61,60 +62,60 @@
 func EmulatorOptions(seed uint64, guards scheduler.Guards, disabled ...flaxshelf.PolicyRule) emulator.Options {
 	return emulator.Options{
 		Seed:          seed,
-		ConfigureCore: func(c *scheduler.Config) { c.DisabledGuards = guards },
-		NewModule: func(c flaxshelf.Config, seed uint64) (scheduler.Module, error) {
-			p, err := flaxshelf.New(c, seed)
+		ConfigureCore: func(cfg *scheduler.Config) { cfg.DisabledGuards = guards },
+		NewModule: func(cfg flaxshelf.Config, seed uint64) (scheduler.Module, error) {
+			placer, err := flaxshelf.New(cfg, seed)
 			if err != nil {
 				return nil, err
 			}
-			p.Disable(disabled...)
-			return p, nil
+			placer.Disable(disabled...)
+			return placer, nil
 		},
 	}
 }
 
 // ViolatedRules emulates a day. Element i of the result reports whether rule i of the verdict was violated.
-func ViolatedRules(ctx context.Context, day string, opt emulator.Options) ([]bool, *emulator.Report, error) {
-	d, err := scenario.Read(day)
+func ViolatedRules(ctx context.Context, day string, options emulator.Options) ([]bool, *emulator.Report, error) {
+	scriptedDay, err := scenario.Read(day)
 	if err != nil {
 		return nil, nil, err
 	}
-	report, verdict, err := emulator.RunAndCheck(ctx, d, opt)
+	report, verdict, err := emulator.RunAndCheck(ctx, scriptedDay, options)
 	if err != nil {
 		return nil, nil, err
 	}
-	broken := make([]bool, len(verdict.Rules))
+	violated := make([]bool, len(verdict.Rules))
 	for i, r := range verdict.Rules {
-		broken[i] = len(r.Violations) > 0
+		violated[i] = len(r.Violations) > 0
 	}
-	return broken, report, nil
+	return violated, report, nil
 }
 
-// MeasureDay plays a day with constraints disabled, over the seeds from 1 on, and returns the outcome of each. It plays
-// as many at a time as there are processors.
+// MeasureDay emulates a day with constraints disabled, for the seeds from 1 to the given number, and returns the result of
+// each seed. It runs up to GOMAXPROCS emulations concurrently.
 func MeasureDay(ctx context.Context, day string, seeds int, disabled ...flaxshelf.PolicyRule) ([]Result, error) {
-	d, err := scenario.Read(day)
+	scriptedDay, err := scenario.Read(day)
 	if err != nil {
 		return nil, err
 	}
-	outcomes, errs := make([]Result, seeds), make([]error, seeds)
+	results, errs := make([]Result, seeds), make([]error, seeds)
 	slots := make(chan struct{}, runtime.GOMAXPROCS(0))
 	var wg sync.WaitGroup
 	for i := range seeds {
 		slots <- struct{}{}
 		wg.Go(func() {
 			defer func() { <-slots }()
-			report, err := emulator.Run(ctx, d, EmulatorOptions(uint64(i+1), scheduler.Guards{}, disabled...))
+			report, err := emulator.Run(ctx, scriptedDay, EmulatorOptions(uint64(i+1), scheduler.Guards{}, disabled...))
 			if err != nil {
 				errs[i] = err
 				return
 			}
-			outcomes[i] = NewResult(d, report)
+			results[i] = NewResult(scriptedDay, report)
 		})
 	}
 	wg.Wait()
 	if err := errors.Join(errs...); err != nil {
 		return nil, err
 	}
-	return outcomes, nil
+	return results, nil
 }
--- a/internal/testbed/ablation/ablation_test.go
+++ b/internal/testbed/ablation/ablation_test.go
@@ -12,51 +12,54 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/rules"
 )
 
-// hardConstraintSeed is the seed of the plays of hard constraints.
+// hardConstraintSeed is the seed of the emulations that test hard constraints.
 const hardConstraintSeed = 5
 
-// Each hard constraint has a day that breaks its rule without it, and that breaks none with it. Where a guard of the
-// scheduler core enforces the same rule, either of the two is enough.
+// Guards against a hard constraint that has no effect. Without it, its rule must be violated on its day; with it, no rule.
+// Where a guard of the scheduler core enforces the same rule, the guard alone must suffice.
 func TestHardConstraints(t *testing.T) {
 	for _, h := range HardConstraints {
 		t.Run(h.Constraint.String(), func(t *testing.T) {
 			t.Parallel()
-			play := func(guards scheduler.Guards, disabled ...flaxshelf.PolicyRule) []bool {
-				broken, _, err := ViolatedRules(context.Background(), h.Day, EmulatorOptions(hardConstraintSeed, guards, disabled...))
+			emulate := func(guards scheduler.Guards, disabled ...flaxshelf.PolicyRule) []bool {
+				violated, _, err := ViolatedRules(context.Background(), h.Day,
+					EmulatorOptions(hardConstraintSeed, guards, disabled...))
 				if err != nil {
 					t.Fatal(err)
 				}
-				return broken
+				return violated
 			}
-			if !play(h.Guards, h.Constraint)[h.RuleIndex] {
-				t.Errorf("%s does not break rule %d without the constraint: it proves nothing", h.Day, h.RuleIndex+1)
+			if !emulate(h.Guards, h.Constraint)[h.RuleIndex] {
+				t.Errorf("%s without the constraint: got no violation of rule %d, want one", h.Day, h.RuleIndex+1)
 			}
-			for i, broken := range play(h.Guards) {
-				if broken {
-					t.Errorf("%s breaks rule %d with the constraint and without the core's guard", h.Day, i+1)
+			for i, isViolated := range emulate(h.Guards) {
+				if isViolated {
+					t.Errorf("%s with the constraint and without the core's guard: got a violation of rule %d, want none", h.Day,
+						i+1)
 				}
 			}
 			if h.Guards != (scheduler.Guards{}) {
-				if play(scheduler.Guards{}, h.Constraint)[h.RuleIndex] {
-					t.Errorf("%s breaks rule %d though the core guards it", h.Day, h.RuleIndex+1)
+				if emulate(scheduler.Guards{}, h.Constraint)[h.RuleIndex] {
+					t.Errorf("%s without the constraint and with the core's guard: got a violation of rule %d, want none", h.Day,
+						h.RuleIndex+1)
 				}
 			}
 		})
 	}
 }
 
-// The environment variables of the tests that take minutes and are for a person to run.
+// Environment variables that enable and limit the tests that take minutes and are run by hand.
 const (
 	seedsVariable = "FLAXSHELF_MATRIX" // number of seeds
-	daysVariable  = "FLAXSHELF_DAYS"   // names of days; empty: all
+	daysVariable  = "FLAXSHELF_DAYS"   // names of days, separated by spaces; empty: all
 )
 
-// TestMatrix disables each constraint on each day, and prints the tables of docs/ablation.md. It takes minutes and is for a
-// person to run:
+// TestMatrix disables each constraint on each day, and prints the tables of docs/ablation.md. It takes minutes and is run by
+// hand:
 //
 //	FLAXSHELF_MATRIX=20 go test -v -run Matrix -timeout 30m ./internal/testbed/ablation
 //
-// FLAXSHELF_DAYS limits it to some days.
+// FLAXSHELF_DAYS limits it to some days. The hard constraints run with one seed, the soft ones with the given number of seeds.
 func TestMatrix(t *testing.T) {
 	seeds := 0
 	if _, err := fmt.Sscan(os.Getenv(seedsVariable), &seeds); err != nil {
@@ -70,7 +73,8 @@
 	t.Logf("hard, days %s\n%s\nsoft\n%s", strings.Join(days, " | "), hard, soft)
 }
 
-// hardTable has a row for each hard constraint, and for each day the rules that are broken without it.
+// hardTable returns a table with a row for each hard constraint and a column for each day. A cell has the numbers of the rules
+// that are violated without the constraint.
 func hardTable(t *testing.T, days []string) string {
 	t.Helper()
 	var table strings.Builder
@@ -84,15 +88,17 @@
 	return table.String()
 }
 
+// hardCell returns the text of a cell of hardTable.
 func hardCell(t *testing.T, h *HardConstraint, day string) string {
 	t.Helper()
-	brokenRules, report, err := ViolatedRules(context.Background(), day, EmulatorOptions(hardConstraintSeed, h.Guards, h.Constraint))
+	violatedRules, report, err := ViolatedRules(context.Background(), day,
+		EmulatorOptions(hardConstraintSeed, h.Guards, h.Constraint))
 	if err != nil {
 		t.Fatal(err)
 	}
 	cell := ""
-	for i, broken := range brokenRules {
-		if broken {
+	for i, violated := range violatedRules {
+		if violated {
 			cell += fmt.Sprintf(" %d", i+1)
 		}
 	}
@@ -102,12 +108,13 @@
 	return cell
 }
 
-// softTable has a row for each soft constraint, with the days on which disabling it costs or gains something.
+// softTable returns a table with a row for each soft rule of the policy, and the days on which disabling it has a significant
+// cost or gain.
 func softTable(t *testing.T, days []string, seeds int) string {
 	t.Helper()
-	with := map[string][]Result{}
+	withConstraint := map[string][]Result{}
 	for _, day := range days {
-		with[day] = measureDay(t, day, seeds)
+		withConstraint[day] = measureDay(t, day, seeds)
 	}
 	var table strings.Builder
 	for _, c := range flaxshelf.PolicyRules() {
@@ -116,7 +123,7 @@
 		}
 		var costs, gains []string
 		for _, day := range days {
-			loss := Compare(with[day], measureDay(t, day, seeds, c))
+			loss := Compare(withConstraint[day], measureDay(t, day, seeds, c))
 			if loss.HasSignificantCost() {
 				costs = append(costs, day+": "+loss.String())
 			}
@@ -125,16 +132,16 @@
 			}
 		}
 		fmt.Fprintf(&table, "| %s | %s | %s |\n", c, strings.Join(costs, "; "), strings.Join(gains, "; "))
-		t.Logf("%s done", c)
+		t.Logf("measured %s on all days", c)
 	}
 	return table.String()
 }
 
 func measureDay(t *testing.T, day string, seeds int, disabled ...flaxshelf.PolicyRule) []Result {
 	t.Helper()
-	outcomes, err := MeasureDay(context.Background(), day, seeds, disabled...)
+	results, err := MeasureDay(context.Background(), day, seeds, disabled...)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return outcomes
+	return results
 }
--- a/internal/testbed/ablation/compare.go
+++ b/internal/testbed/ablation/compare.go
@@ -13,8 +13,9 @@
 	// EarnedFraction is the earned fraction of the priority weight of all submissions. A submission that is placed within the
 	// latency objective of its class earns the class's priority weight, a later one the weight for late starts.
 	EarnedFraction float64
-	// P50 and P99 are percentiles of the time to the first placement in seconds.
+	// P50 is the median of the time to the first placement in seconds.
 	P50 float64
+	// P99 is the 99th percentile of the time to the first placement in seconds.
 	P99 float64
 }
 
@@ -37,10 +38,10 @@
 	return o
 }
 
-// Loss is what disabling constraints costs, over pairs of one seed.
+// Loss is the loss caused by disabling constraints, estimated from pairs of emulations with the same seed.
 type Loss struct {
 	EarnedFraction experiment.Estimate
-	P99            experiment.Estimate // in seconds
+	P99            experiment.Estimate // increase in seconds
 }
 
 // HasSignificantCost reports whether disabling the constraints lowers the earned fraction or raises the p99 wait by more than
@@ -53,13 +54,14 @@
 // interval, which means that the constraints do harm.
 func (l Loss) HasSignificantGain() bool { return -l.EarnedFraction.Mean > l.EarnedFraction.HalfWidth }
 
-// String returns the estimates, as in the tables of docs/ablation.md.
+// String returns the estimates with their 95% confidence intervals, as in the tables of docs/ablation.md.
 func (l Loss) String() string {
 	return fmt.Sprintf("worth %+.4f ± %.4f, p99 %+.3f ± %.3f s", l.EarnedFraction.Mean, l.EarnedFraction.HalfWidth,
 		l.P99.Mean, l.P99.HalfWidth)
 }
 
-// Compare returns what is lost from plays with constraints to plays without, seed by seed. Both must have the same seeds.
+// Compare estimates the loss from results with and without the constraints. Both slices must have the same seeds in the same
+// order.
 func Compare(with, without []Result) Loss {
 	earned, p99 := make([]float64, len(with)), make([]float64, len(with))
 	for i := range with {
--- a/internal/testbed/ablation/overload_test.go
+++ b/internal/testbed/ablation/overload_test.go
@@ -12,9 +12,9 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/scenario"
 )
 
-// overloadDay submits to four nodes a multiple of what they can run; ratePlaceholder is replaced by the rate.
+// overloadDay is a day that overloads four nodes. ratePlaceholder stands for the submissions per second.
 const overloadDay = `#Town
-about: "many times what four nodes bear"
+about: "several times the load that four nodes can run"
 seconds: 20
 schedulers: 2
 limits: maxOpen: 100000
@@ -29,12 +29,12 @@
 )
 
 // TestOverloadOrder compares two orders of waiting tasks of equal priority under overload: the oldest first, and the newest
-// first. It plays minutes of overload and is for a person to run, as TestMatrix:
+// first. It emulates minutes of overload and is run by hand:
 //
 //	FLAXSHELF_MATRIX=20 go test -v -run OverloadOrder ./internal/testbed/ablation
 func TestOverloadOrder(t *testing.T) {
 	if os.Getenv(seedsVariable) == "" {
-		t.Skipf("set %s to run it", seedsVariable)
+		t.Skipf("set %s to a non-empty value to run it", seedsVariable)
 	}
 	for _, c := range []struct{ name, rate string }{
 		{"1.2 times", "15"},
@@ -42,25 +42,25 @@
 		{"10 times", "130"},
 		{"50 times", "640"},
 	} {
-		d, err := scenario.Parse("overload", []byte(strings.Replace(overloadDay, ratePlaceholder, c.rate, 1)))
+		day, err := scenario.Parse("overload", []byte(strings.Replace(overloadDay, ratePlaceholder, c.rate, 1)))
 		if err != nil {
 			t.Fatal(err)
 		}
-		oldest, newest := playOverload(t, d), playOverload(t, d, flaxshelf.ArrivalOrder)
-		t.Logf("%-10s oldest first earns %.4f of the worth, p50 %.2f s; the newest first instead: %s, p50 %.2f s", c.name,
+		oldest, newest := emulateOverload(t, day), emulateOverload(t, day, flaxshelf.ArrivalOrder)
+		t.Logf("%-10s oldest first: earned fraction %.4f, p50 %.2f s; newest first: gain %s, p50 %.2f s", c.name,
 			oldest[0].EarnedFraction, oldest[0].P50, Compare(newest, oldest), newest[0].P50)
 	}
 }
 
-func playOverload(t *testing.T, d *scenario.Day, disabled ...flaxshelf.PolicyRule) []Result {
+func emulateOverload(t *testing.T, day *scenario.Day, disabled ...flaxshelf.PolicyRule) []Result {
 	t.Helper()
-	var outcomes []Result
+	var results []Result
 	for i := range overloadSeeds {
-		report, err := emulator.Run(context.Background(), d, EmulatorOptions(uint64(i+1), scheduler.Guards{}, disabled...))
+		report, err := emulator.Run(context.Background(), day, EmulatorOptions(uint64(i+1), scheduler.Guards{}, disabled...))
 		if err != nil {
 			t.Fatal(err)
 		}
-		outcomes = append(outcomes, NewResult(d, report))
+		results = append(results, NewResult(day, report))
 	}
-	return outcomes
+	return results
 }
