--- a/internal/testbed/worlds/config.go
+++ b/internal/testbed/worlds/config.go
@@ -1,8 +1,8 @@
-// Package worlds draws random deployments and legal random events for tests of the module. It must not decide or judge
-// anything: a world answers what a module offers, and the test that plays it compares the decisions.
+// Package worlds draws random deployments and valid random events for tests of flaxshelf.Placer. A world only responds to the
+// offers of a placer. It must not check them: that is up to the test that runs the world.
 //
-// Most figures are whole multiples of a power of two, so that plain sums of them are exact in any order and requests that
-// equal the free capacity occur.
+// Most resource amounts are integer multiples of a power of two. Floating-point sums of them are exact in any order, and
+// requests that are equal to the free capacity occur.
 package worlds
 
 import (
@@ -17,7 +17,7 @@
 // DrawFunc returns a random integer from 0 to limit, both included. The name labels the value in test failures.
 type DrawFunc func(limit int, name string) int
 
-// yes draws a truth value.
+// boolean draws a truth value.
 func (d DrawFunc) boolean(name string) bool { return d(1, name) == 1 }
 
 // DrawConfig draws the configuration of a deployment. Pricing of machines, listed free capacity and discovery on request are
@@ -26,7 +26,7 @@
 	cfg := flaxshelf.Config{
 		Schedulers:            1 + draw(40, "schedulers"),
 		Zone:                  "z0",
-		Kinds:                 kinds(draw),
+		Kinds:                 drawKinds(draw),
 		Tenants:               []flaxshelf.Tenant{{Name: "a", QuotaFraction: 1, QuotaCores: 4}, {Name: "b", QuotaFraction: 1}},
 		CoreOvercommit:        1 + float64(draw(4, "core overcommit"))/4,
 		MemoryOvercommit:      1 + float64(draw(1, "memory overcommit"))/8,
@@ -47,12 +47,12 @@
 	cfg.Index = draw(cfg.Schedulers-1, "index")
 	cfg.Prices.MachinesInUse = float64(draw(1, "fleet priced"))
 	cfg.Prices.Migration = float64(draw(2, "migration price")) / 4
-	cfg.Classes = classes(draw, len(cfg.Kinds))
+	cfg.Classes = drawClasses(draw, len(cfg.Kinds))
 	return cfg
 }
 
-// kinds draws one to three kinds of machines. The third is large in cores alone.
-func kinds(draw DrawFunc) []flaxshelf.MachineKind {
+// drawKinds draws one to three kinds of machines. The third has as many cores as the second, but half the memory.
+func drawKinds(draw DrawFunc) []flaxshelf.MachineKind {
 	kinds := []flaxshelf.MachineKind{
 		{Name: "small", Cores: 16, Memory: 50},
 		{Name: "big", Cores: 64, Memory: 200},
@@ -61,12 +61,12 @@
 	return kinds[:1+draw(2, "further kinds")]
 }
 
-// classes draws the classes of tasks, two of them idempotent. Keys expire after multiples of half a second, or so soon that many
-// retries are made just before or after they expire.
-func classes(draw DrawFunc, kinds int) (classes []flaxshelf.TaskClass) {
-	keyUnit := 500 * millisecond
+// drawClasses draws four classes of tasks, two of them idempotent. Keys expire after multiples of half a second, or so soon that
+// many retries come just before or after the expiry.
+func drawClasses(draw DrawFunc, kindCount int) (classes []flaxshelf.TaskClass) {
+	ttlUnit := 500 * millisecond
 	if draw.boolean("short keys") {
-		keyUnit = 30 * millisecond
+		ttlUnit = 30 * millisecond
 	}
 	for i, idempotency := range []flaxshelf.Idempotency{
 		flaxshelf.Idempotent, flaxshelf.Idempotent, flaxshelf.IdempotentByKey, flaxshelf.NonIdempotent,
@@ -75,9 +75,9 @@
 			Name:             fmt.Sprint(i),
 			Idempotency:      idempotency,
 			KeyDomain:        flaxshelf.MachineDomain + flaxshelf.TopologyDomain(draw(3, "key domain")),
-			KeyTTL:           time.Duration(1+draw(3, "key TTL")) * keyUnit,
+			KeyTTL:           time.Duration(1+draw(3, "key TTL")) * ttlUnit,
 			LatencyObjective: 300 * millisecond,
-			Kind:             draw(kinds, "kind") - 1,
+			Kind:             draw(kindCount, "kind") - 1,
 			SpreadDomain:     flaxshelf.TopologyDomain(draw(3, "spread domain")),
 			MaxPerDomain:     1 + draw(12, "tasks per domain"),
 		})
--- a/internal/testbed/worlds/machines.go
+++ b/internal/testbed/worlds/machines.go
@@ -6,24 +6,27 @@
 	"flaxshelf.example/flaxshelf"
 )
 
+// Numbers of zones and cells among which machines are distributed.
 const (
-	zones = 3
-	cells = 5
+	zoneCount = 3
+	cellCount = 5
 )
 
+// newMachine draws a machine. The order of the IDs differs from the order of creation.
 func (w *World) newMachine() flaxshelf.Machine {
 	w.machineCount++
 	m := flaxshelf.Machine{
 		ID:   fmt.Sprintf("m%d", (w.machineCount*7919)%100003),
 		Kind: w.random.IntN(len(w.cfg.Kinds)),
-		Zone: fmt.Sprint("z", w.random.IntN(zones)),
-		Cell: w.random.IntN(cells),
+		Zone: fmt.Sprint("z", w.random.IntN(zoneCount)),
+		Cell: w.random.IntN(cellCount),
 	}
 	w.setFreeCapacity(&m)
 	return m
 }
 
-// setFreeCapacity draws the free capacity of the list: for half of the machines a round fraction of their kind.
+// setFreeCapacity draws the listed free capacity of a machine. For half of the machines it is a multiple of 1/64 or
+// 1/512 of the kind's capacity, as maxUsedFraction is 1 or 1/8.
 func (w *World) setFreeCapacity(m *flaxshelf.Machine) {
 	if !w.cfg.ListsFreeCapacity {
 		return
@@ -36,7 +39,7 @@
 	m.FreeCores, m.FreeMemory = kind.Cores*(1-w.maxUsedFraction*fraction()), kind.Memory*(1-w.maxUsedFraction*fraction())
 }
 
-// discoveryEvent changes some machines, repeats the complete list, or is a failure of discovery.
+// discoveryEvent draws a discovery event: changes of some machines, the complete list again, or a failure of discovery.
 func (w *World) discoveryEvent() flaxshelf.Event {
 	if w.random.IntN(12) == 0 {
 		return flaxshelf.DiscoveryFailed{}
@@ -51,7 +54,7 @@
 	return flaxshelf.MachinesUpdated{Machines: changed}
 }
 
-// changeMachine changes one machine and returns its entries for the list.
+// changeMachine changes a machine at random and returns the entries of the list that have changed.
 func (w *World) changeMachine(m *flaxshelf.Machine) (entries []flaxshelf.Machine) {
 	switch w.random.IntN(12) {
 	case 0:
@@ -69,7 +72,7 @@
 	case 4:
 		m.Kind = w.random.IntN(len(w.cfg.Kinds)+1) - 1
 	case 5:
-		m.Zone, m.Cell = fmt.Sprint("z", w.random.IntN(zones)), w.random.IntN(cells)
+		m.Zone, m.Cell = fmt.Sprint("z", w.random.IntN(zoneCount)), w.random.IntN(cellCount)
 	default:
 		m.State = flaxshelf.Active
 		w.setFreeCapacity(m)
--- a/internal/testbed/worlds/world.go
+++ b/internal/testbed/worlds/world.go
@@ -9,69 +9,69 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-// World draws legal events: it answers a module's offers, changes the machine list and submits tasks. It is not safe for
-// concurrent use.
+// World is the random environment of a flaxshelf.Placer. It responds to the placer's offers, changes the machine list and
+// submits tasks, all with valid events. It is not safe for concurrent use.
 type World struct {
-	random       *rand.Rand
-	cfg          flaxshelf.Config
-	now          flaxshelf.Time
-	machines     []flaxshelf.Machine
-	pending      []pendingAttempt
-	attempts     map[string]int  // offers of each task
-	answered     map[string]bool // tasks
-	taskCount    int
-	machineCount int // ever
-
-	// How busy it is.
-	submissionsPerStep int           // at most
-	maxWait            time.Duration // of a task's owner, beyond 20 ms
-	maxLifetime        time.Duration // of a task
-	services           int
-	reportInterval     int     // steps between usage reports of an attempt, in expectation
-	maxUsedFraction    float64 // most that others request, as a fraction of a machine
-	failureFree        bool    // nothing fails and no task is rejected, but some machines serve theirs poorly
+	random          *rand.Rand
+	cfg             flaxshelf.Config
+	now             flaxshelf.Time
+	machines        []flaxshelf.Machine
+	pendingAttempts []pendingAttempt
+	offerCounts     map[string]int  // number of offers, by task
+	answeredTasks   map[string]bool // tasks that are placed or have an answer
+	taskCount       int
+	machineCount    int // machines created so far
+
+	// Load and failures, drawn once for the world.
+	submissionsPerStep  int           // largest number in a step
+	maxWait             time.Duration // limit of a task's deadline, in addition to 20 ms
+	maxLifetime         time.Duration // limit of a placed task's lifetime
+	serviceCount        int
+	usageReportInterval int     // expected number of steps between usage reports of an attempt
+	maxUsedFraction     float64 // largest fraction of a machine that the machine list shows as used
+	failureFree         bool    // no attempt is rejected or fails, but some machines have a poor service level
 }
 
-// longPause is longer than a removed machine is remembered, and than failures count.
+// longStepInterval exceeds the retention of removed machines and of evidence of failures.
 const longStepInterval = 61 * time.Second
 
-// pendingAttempt is an offer that has not ended.
+// pendingAttempt is an attempt that has not ended.
 type pendingAttempt struct {
 	task        string
 	machine     string
-	number      int
-	nextEventAt flaxshelf.Time // when something happens to it next
+	attempt     int
+	nextEventAt flaxshelf.Time // when it is placed or ends
 	placed      bool
 }
 
-// New draws how busy a world of the given deployment is, and its first machines.
+// New draws the load and the initial machines of a world with the given deployment.
 func New(cfg flaxshelf.Config, random *rand.Rand) *World {
 	w := &World{
-		random:             random,
-		cfg:                cfg,
-		now:                time.Second,
-		attempts:           map[string]int{},
-		answered:           map[string]bool{},
-		submissionsPerStep: 1 + random.IntN(8),
-		maxWait:            time.Duration(1+random.IntN(4000)) * millisecond,
-		maxLifetime:        time.Duration(1+random.IntN(8000)) * millisecond,
-		services:           1 + random.IntN(20),
-		reportInterval:     50,
-		maxUsedFraction:    1,
-		failureFree:        random.IntN(4) == 0,
+		random:              random,
+		cfg:                 cfg,
+		now:                 time.Second,
+		offerCounts:         map[string]int{},
+		answeredTasks:       map[string]bool{},
+		submissionsPerStep:  1 + random.IntN(8),
+		maxWait:             time.Duration(1+random.IntN(4000)) * millisecond,
+		maxLifetime:         time.Duration(1+random.IntN(8000)) * millisecond,
+		serviceCount:        1 + random.IntN(20),
+		usageReportInterval: 50,
+		maxUsedFraction:     1,
+		failureFree:         random.IntN(4) == 0,
 	}
 	if random.IntN(8) == 0 {
-		w.submissionsPerStep = 24 // so that the history is full
+		w.submissionsPerStep = 24 // enough to fill the history of placements
 	}
 	if random.IntN(2) == 0 {
 		w.maxUsedFraction = 1.0 / 8
 	}
-	mostMachines := 151
+	maxMachines := 151
 	if w.failureFree {
-		mostMachines = 12 // so that most have tasks
-		w.reportInterval = 5
+		maxMachines = 12 // so that most machines have tasks
+		w.usageReportInterval = 5
 	}
-	for range 2 + random.IntN(mostMachines-1) {
+	for range 2 + random.IntN(maxMachines-1) {
 		w.machines = append(w.machines, w.newMachine())
 	}
 	return w
@@ -90,7 +90,8 @@
 	}
 }
 
-// pause draws the time between two steps. It is rarely long enough that removed machines are forgotten and evidence expires.
+// stepInterval draws the time between two steps. One in a hundred is long enough for removed machines to be forgotten and for
+// evidence to expire.
 func (w *World) stepInterval() time.Duration {
 	if w.random.IntN(100) == 0 {
 		return longStepInterval
@@ -98,7 +99,7 @@
 	return time.Duration(1+w.random.IntN(30)) * 2 * millisecond
 }
 
-// events draws those of one step.
+// events draws the events of one step.
 func (w *World) events() []flaxshelf.Event {
 	events := w.attemptEvents()
 	for range w.random.IntN(w.submissionsPerStep + 1) {
@@ -120,60 +121,61 @@
 	return append(events, flaxshelf.TimerFired{})
 }
 
-// adoption draws a running task, which ends like one that the module placed.
+// adoption draws the adoption of a running task. The task later ends like one that the placer has placed.
 func (w *World) adoption() flaxshelf.Event {
 	adopted := flaxshelf.TaskAdopted{Task: w.newTask(), Machine: w.randomMachineID()}
-	w.pending = append(w.pending, pendingAttempt{task: adopted.Task.ID, machine: adopted.Machine, placed: true,
+	w.pendingAttempts = append(w.pendingAttempts, pendingAttempt{task: adopted.Task.ID, machine: adopted.Machine, placed: true,
 		nextEventAt: w.now + w.randomDuration(w.maxLifetime)})
-	w.answered[adopted.Task.ID] = true
+	w.answeredTasks[adopted.Task.ID] = true
 	return adopted
 }
 
-// recordAction records an action that the world answers later.
+// handleAction records an offer, to which the world responds later, or the answer for a task that is not placed.
 func (w *World) handleAction(action flaxshelf.Action) {
 	switch action := action.(type) {
 	case flaxshelf.Offer:
-		w.pending = append(w.pending, pendingAttempt{
+		w.pendingAttempts = append(w.pendingAttempts, pendingAttempt{
 			task:        action.Task,
 			machine:     action.Machine,
-			number:      w.attempts[action.Task],
+			attempt:     w.offerCounts[action.Task],
 			nextEventAt: w.now + time.Duration(w.random.Int64N(int64(action.Timeout)+1)),
 		})
-		w.attempts[action.Task]++
+		w.offerCounts[action.Task]++
 	case flaxshelf.Reject:
-		w.answered[action.Task] = true
+		w.answeredTasks[action.Task] = true
 	case flaxshelf.Fail:
-		w.answered[action.Task] = true
+		w.answeredTasks[action.Task] = true
 	}
 }
 
-// attemptEvents places or ends the pending attempts that are due, and reports the usage of some others.
+// attemptEvents places or ends the pending attempts that are due, and draws usage reports for some of the others.
 func (w *World) attemptEvents() (events []flaxshelf.Event) {
-	kept := w.pending[:0]
-	for _, p := range w.pending {
+	stillPending := w.pendingAttempts[:0]
+	for _, p := range w.pendingAttempts {
 		switch {
 		case w.now < p.nextEventAt:
-			if p.placed && w.random.IntN(w.reportInterval) == 0 {
+			if p.placed && w.random.IntN(w.usageReportInterval) == 0 {
 				events = append(events, w.usageReport(p))
 			}
 		case !p.placed && (w.failureFree || w.random.IntN(4) > 0):
-			events = append(events, flaxshelf.AttemptPlaced{Task: p.task, Machine: p.machine, Attempt: p.number,
+			events = append(events, flaxshelf.AttemptPlaced{Task: p.task, Machine: p.machine, Attempt: p.attempt,
 				Latency: 20 * millisecond})
 			p.placed, p.nextEventAt = true, w.now+w.randomDuration(w.maxLifetime)
-			w.answered[p.task] = true
+			w.answeredTasks[p.task] = true
 		default:
 			events = append(events, w.attemptEnded(p))
 			continue
 		}
-		kept = append(kept, p)
+		stillPending = append(stillPending, p)
 	}
-	w.pending = kept
+	w.pendingAttempts = stillPending
 	return events
 }
 
-// usageReport draws a report of a running attempt. In a calm world the service level depends on the machine.
+// usageReport draws a usage report of a running attempt. In a world without failures it is the service level, which depends on
+// the machine.
 func (w *World) usageReport(p pendingAttempt) flaxshelf.Event {
-	report := flaxshelf.UsageReport{Task: p.task, Machine: p.machine, Attempt: p.number,
+	report := flaxshelf.UsageReport{Task: p.task, Machine: p.machine, Attempt: p.attempt,
 		Kind: flaxshelf.UsageKind(1 + w.random.IntN(5)), Amount: w.random.Float64()}
 	if w.failureFree {
 		report.Kind, report.Amount = flaxshelf.ServiceLevel, 1
@@ -184,7 +186,7 @@
 	return report
 }
 
-// end draws how an attempt ends.
+// attemptEnded draws the end of an attempt.
 func (w *World) attemptEnded(p pendingAttempt) flaxshelf.Event {
 	outcome := flaxshelf.Outcome(1 + w.random.IntN(7))
 	switch {
@@ -193,18 +195,19 @@
 	case p.placed:
 		outcome = []flaxshelf.Outcome{flaxshelf.Completed, flaxshelf.Completed, flaxshelf.Lost}[w.random.IntN(3)]
 	}
-	return flaxshelf.AttemptEnded{Task: p.task, Machine: p.machine, Attempt: p.number, Outcome: outcome,
-		Final: w.answered[p.task], Reason: flaxshelf.Reason(w.random.IntN(8)),
+	return flaxshelf.AttemptEnded{Task: p.task, Machine: p.machine, Attempt: p.attempt, Outcome: outcome,
+		Final: w.answeredTasks[p.task], Reason: flaxshelf.Reason(w.random.IntN(8)),
 		Load: flaxshelf.LoadReport{Present: w.random.IntN(2) == 0, HasCores: true, HasMemory: w.random.IntN(2) == 0,
 			FreeCores: 16 * w.random.Float64(), FreeMemory: 50 * w.random.Float64()}}
 }
 
-// newTask draws a task; one in many is of a class that the settings don't name, or larger than any machine.
+// newTask draws a task. One in sixty has a class that the configuration does not define, and as many may request more cores or
+// more memory than any machine has.
 func (w *World) newTask() flaxshelf.Task {
 	w.taskCount++
 	task := flaxshelf.Task{
 		ID:       fmt.Sprint("t", w.taskCount),
-		Service:  fmt.Sprint("s", w.random.IntN(w.services)),
+		Service:  fmt.Sprint("s", w.random.IntN(w.serviceCount)),
 		Class:    w.random.IntN(4),
 		Cores:    []float64{0.125, 1, 2.25, 2.75, 9}[w.random.IntN(5)],
 		Memory:   float64(w.random.IntN(48)) / 16,
@@ -225,14 +228,15 @@
 	return task
 }
 
-// below draws a whole number of milliseconds.
+// randomDuration draws a whole number of milliseconds below the limit.
 func (w *World) randomDuration(limit time.Duration) time.Duration {
 	return time.Duration(w.random.IntN(int(limit/millisecond))) * millisecond
 }
 
+// randomMachineID returns the ID of a machine of the list, drawn at random.
 func (w *World) randomMachineID() string { return w.machines[w.random.IntN(len(w.machines))].ID }
 
-// completeList is the machine list as a whole.
+// completeMachineList returns an event with the complete machine list.
 func (w *World) completeMachineList() flaxshelf.Event {
 	return flaxshelf.MachinesUpdated{Complete: true, Machines: slices.Clone(w.machines)}
 }
