--- a/internal/testbed/emulator/inventory.go
+++ b/internal/testbed/emulator/inventory.go
@@ -2,15 +2,15 @@
 
 import "flaxshelf.example/flaxshelf/internal/testbed/standin/inventorymodel"
 
-// inventory is the entity that runs the inventory model. The model knows the other entities by their names.
+// inventory is the entity that runs the inventory model. The model identifies the other entities by name.
 type inventory struct {
 	id          int32
 	simulation  *simulation
 	inbox       inbox
 	latency     *latencyModel
 	model       *inventorymodel.Inventory
-	entityNames map[int32]string
-	entityIDs   map[string]int32
+	entityNames map[int32]string // of entities that have sent a message
+	entityIDs   map[string]int32 // the reverse of entityNames
 }
 
 func (v *inventory) receive(m message) { v.inbox.put(m) }
@@ -30,20 +30,20 @@
 
 func (v *inventory) run(end Time, out *outbox) { v.inbox.runModel(v, end, out) }
 
-func (v *inventory) advance(now Time, out *outbox) { v.send(now, v.model.Advance(now), out) }
+func (v *inventory) advance(now Time, out *outbox) { v.sendFrames(now, v.model.Advance(now), out) }
 
 func (v *inventory) handle(m message, out *outbox) {
 	switch body := m.body.(type) {
 	case frame:
-		v.send(m.at, v.model.Receive(m.at, v.entityName(m.from), body.Frame), out)
+		v.sendFrames(m.deliverAt, v.model.Receive(m.deliverAt, v.entityName(m.from), body.Frame), out)
 	case disconnected:
-		v.send(m.at, v.model.Disconnect(m.at, v.entityName(m.from)), out)
+		v.sendFrames(m.deliverAt, v.model.Disconnect(m.deliverAt, v.entityName(m.from)), out)
 	case inventorymodel.Fault:
-		v.send(m.at, v.model.SetFault(m.at, body), out)
+		v.sendFrames(m.deliverAt, v.model.SetFault(m.deliverAt, body), out)
 	}
 }
 
-func (v *inventory) send(now Time, frames []inventorymodel.Envelope, out *outbox) {
+func (v *inventory) sendFrames(now Time, frames []inventorymodel.Envelope, out *outbox) {
 	for _, s := range frames {
 		if to, ok := v.entityIDs[s.To]; ok {
 			out.send(v.latency.deliveryTime(now, to), to, frame{s.Frame})
--- a/internal/testbed/experiment/metrics.go
+++ b/internal/testbed/experiment/metrics.go
@@ -29,12 +29,12 @@
 
 // metricsOf returns the metrics of an emulation report. It modifies the report's histograms; see WaitPercentiles.
 func metricsOf(r *emulator.Report) map[Metric]float64 {
-	metrics := map[Metric]float64{OverloadedNodes: float64(r.Overloaded)}
+	metrics := map[Metric]float64{OverloadedNodes: float64(r.OverloadCrashes)}
 	var submitted, placed, inTime float64
 	for _, c := range r.Classes {
 		submitted += float64(c.Submitted)
 		placed += float64(c.Placed)
-		inTime += float64(c.InTime)
+		inTime += float64(c.WithinObjective)
 	}
 	if submitted > 0 {
 		metrics[PlacedFraction], metrics[InTimeFraction] = placed/submitted, inTime/submitted
@@ -46,9 +46,9 @@
 // WaitPercentiles returns the median and the 99th percentile of the time to the first placement over all classes, in seconds. It
 // merges the histograms of all classes into that of the first class, so it must be called at most once for a report.
 func WaitPercentiles(r *emulator.Report) (p50, p99 float64) {
-	wait := r.Classes[0].Wait
+	wait := r.Classes[0].WaitMicros
 	for _, c := range r.Classes[1:] {
-		wait.Merge(c.Wait)
+		wait.Merge(c.WaitMicros)
 	}
 	return float64(wait.ValueAtQuantile(50)) / microsecondsPerSecond, float64(wait.ValueAtQuantile(99)) / microsecondsPerSecond
 }
