--- a/cmd/flaxshelf/plan.go
+++ b/cmd/flaxshelf/plan.go
@@ -114,8 +114,8 @@
 // first limit, and prints it. With --surge it also searches for that load after a surge.
 func (c *planCmd) searchBreakingPoint(ctx context.Context, std *streams, day *scenario.Day, predicted planner.Limit) error {
 	goal := plancheck.Goal{MinPlacedFraction: c.Placed, WarmupSeconds: c.Warmup}
-	search := plancheck.SearchOptions{Low: predicted.LoadMultiple * searchLowerFactor, High: predicted.LoadMultiple * searchUpperFactor,
-		RelativeWidth: searchRelativeWidth, SeedCount: c.Seeds}
+	search := plancheck.SearchOptions{Low: predicted.LoadMultiple * searchLowerFactor,
+		High: predicted.LoadMultiple * searchUpperFactor, RelativeWidth: searchRelativeWidth, SeedCount: c.Seeds}
 	var point, afterSurge plancheck.BreakingPoint
 	var err error
 	if c.Surge > 0 {
@@ -130,7 +130,8 @@
 	}
 	std.out.printf(
 		"\nemulated: the goal is met at %.2f and missed at %.2f times the load, by class %s (%.2f%% placed); predicted %.2f; "+
-			"%d emulated days\n", point.Low, point.High, point.Class, 100*point.PlacedFraction, predicted.LoadMultiple, point.Days)
+			"%d emulated days\n",
+		point.Low, point.High, point.Class, 100*point.PlacedFraction, predicted.LoadMultiple, point.Days)
 	if c.Surge > 0 {
 		std.out.printf("after a surge it is met at %.2f and missed at %.2f times the load\n", afterSurge.Low, afterSurge.High)
 	}
--- a/internal/front/platformfront/config.go
+++ b/internal/front/platformfront/config.go
@@ -36,7 +36,7 @@
 	InitialEvents                     []WatchEvent             // events that the control feed sent before the scheduler started
 	InitialEventsJSON                 [][]byte                 // the JSON texts of InitialEvents
 	LastSequence                      uint64                   // sequence number of the last of InitialEvents
-	NodeIdleTimeout                   time.Duration            // time without traffic after which nodes close a link; zero: unknown
+	NodeIdleTimeout                   time.Duration            // idle time after which nodes close a link; zero: unknown
 	Placer                            flaxshelf.Config         // settings of the placer
 	Names                             *fleetsettings.NameIndex // indices in Placer of classes, kinds and tenants, by their names
 }
--- a/internal/testbed/emulator/simulation.go
+++ b/internal/testbed/emulator/simulation.go
@@ -156,7 +156,8 @@
 		// Schedulers differ only in name, index and zone. Parsing the file again for each would take milliseconds.
 		schedulerSettings := new(settings.Scheduler)
 		*schedulerSettings = *first
-		schedulerSettings.Name, schedulerSettings.Index, schedulerSettings.Zone = scenario.SchedulerName(i), i, s.day.SchedulerZone(i)
+		schedulerSettings.Name, schedulerSettings.Index = scenario.SchedulerName(i), i
+		schedulerSettings.Zone = s.day.SchedulerZone(i)
 		entity := &schedulerEntity{simulation: s, settings: schedulerSettings, recorder: s.recorder}
 		entity.id = s.engine.add(entity)
 		entity.latency = newLatencyModel(s.seed, entity.id)
--- a/internal/testbed/trial/node.go
+++ b/internal/testbed/trial/node.go
@@ -46,7 +46,8 @@
 	}
 	n.incarnationCount++
 	c := n.cluster
-	config := settings.Node{Name: n.name, Kind: n.group.MachineKind, Zone: n.group.Zone, Cell: n.group.Cell, SlowStartCompleted: warm}
+	config := settings.Node{Name: n.name, Kind: n.group.MachineKind, Zone: n.group.Zone, Cell: n.group.Cell,
+		SlowStartCompleted: warm}
 	seed := scenario.NodeSeed(c.options.Seed, n.index, n.incarnationCount)
 	started, err := host.StartNode(host.NodeOptions{Kind: n.group.MachineKind, Cell: n.group.Cell, ListenAddress: loopbackAnyPort,
 		Model:             fleet.NodeConfig(config, c.day.MachineKinds, c.day.Rules, c.day.Behaviour, seed),
