--- a/internal/testbed/emulator/emulator.go
+++ b/internal/testbed/emulator/emulator.go
@@ -87,7 +87,7 @@
 	if options.Record != nil {
 		figures, err := json.Marshal(day.RuleLimits())
 		if err != nil {
-			return nil, fmt.Errorf("emulator: encoding the figures of the day: %w", err)
+			return nil, fmt.Errorf("emulator: encoding the rule limits of the day: %w", err)
 		}
 		if err := s.recorder.write(options.Record, figures, end); err != nil {
 			return nil, err
--- a/internal/testbed/emulator/recorder.go
+++ b/internal/testbed/emulator/recorder.go
@@ -180,7 +180,8 @@
 	}
 }
 
-// write writes the recording: the head with the figures, the records by time, and a mark for the end.
+// write writes the recording: the head, the records by time, and a mark for the end. The head has the rules checker's limits,
+// which figures holds as JSON.
 func (r *recorder) write(w io.Writer, figures []byte, end Time) error {
 	if r.err != nil {
 		return fmt.Errorf("emulator: recording frames and requests: %w", r.err)
--- a/internal/testbed/experiment/plan.go
+++ b/internal/testbed/experiment/plan.go
@@ -53,8 +53,8 @@
 	return fmt.Sprintf("lost zone %q: the fleet has no such zone or has no other zone", e.Zone)
 }
 
-// Parse parses the text of a CUE file as an experiment and reads the days that it refers to. It returns settings.Problems, which
-// refer to the file by the given name, if the experiment is invalid.
+// Parse parses the text of a CUE file as an experiment and reads the days that it refers to. It returns settings.ConfigErrors,
+// which refer to the file by the given name, if the experiment is invalid.
 func Parse(name string, text []byte) (*Plan, error) {
 	file, err := settings.Parse(name, text, "#Experiment", schema)
 	if err != nil {
--- a/internal/testbed/load/plan.go
+++ b/internal/testbed/load/plan.go
@@ -31,8 +31,8 @@
 	Streams     []Stream `json:"streams"`
 }
 
-// ParsePlan parses the text of a CUE file as a plan. It returns settings.Problems, which refer to the file by the given name,
-// if the plan is invalid.
+// ParsePlan parses the text of a CUE file as a plan. It returns settings.ConfigErrors, which refer to the file by the given
+// name, if the plan is invalid.
 func ParsePlan(name string, text []byte) (*Plan, error) {
 	file, err := settings.Parse(name, text, "#Plan", schema)
 	if err != nil {
--- a/internal/testbed/scenario/read.go
+++ b/internal/testbed/scenario/read.go
@@ -47,7 +47,7 @@
 }
 
 // Read reads the embedded day with the given name or, if there is none, the file with that name. The error is an
-// *UnknownDayError if the file cannot be read either, and settings.Problems if the day is invalid.
+// *UnknownDayError if the file cannot be read either, and settings.ConfigErrors if the day is invalid.
 func Read(name string) (*Day, error) {
 	if text, err := dayFiles.ReadFile(path.Join("days", name+".cue")); err == nil {
 		return Parse(name, text)
@@ -59,8 +59,8 @@
 	return Parse(name, text)
 }
 
-// Parse reads a day from the text of a CUE file. If the day is invalid, the error is settings.Problems, with name as the name of
-// the file.
+// Parse reads a day from the text of a CUE file. If the day is invalid, the error is settings.ConfigErrors, with name as the name
+// of the file.
 func Parse(name string, text []byte) (*Day, error) {
 	file, err := settings.Parse(name, text, "#Trial", schema)
 	if err != nil {
--- a/oracle_scan_test.go
+++ b/oracle_scan_test.go
@@ -424,7 +424,7 @@
 	return found
 }
 
-// survivalOf returns the probability that a placement still runs, see Placer.survival.
+// survivalOf returns the probability that a placement still runs, see Placer.survivalProbability.
 func (o *choiceOracle) survivalOf(placed *oraclePlacement) float64 {
 	age := o.placer.now - placed.offeredAt
 	switch expected := placed.task.ExpectedRuntime; {
