--- a/affinity.go
+++ b/affinity.go
@@ -34,8 +34,8 @@
 }
 
 // topAffinityThreshold returns the hash value, as a fraction of the largest one, that a machine of the given weight needs to
-// rank among the first for a service. The expected number of such machines is topAffinityCount, where totalWeight is the
-// sum of the weights of all machines.
+// rank among the first for a service. Over all machines, topAffinityCount are expected to reach their thresholds.
+// totalWeight is the sum of the weights of all machines.
 func topAffinityThreshold(weight, totalWeight float64) float64 {
 	return math.Exp(-topAffinityCount / totalWeight * weight)
 }
--- a/answers.go
+++ b/answers.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Open tasks are those that are submitted and not settled. Each is offered to machines until one accepts it, or gets a final
-// answer: Reject or Fail.
+// Open tasks are submitted and not yet settled. An open task is offered to one machine after the other, until a machine
+// accepts it or the scheduler gives it a final answer, which is Reject or Fail.
 
 // processOpenTasks offers the open tasks that have no active attempt and gives the final answer to those whose answer is
 // due. Tasks within their tenant's quota come first, and among these the ones that can still start within their latency
@@ -71,8 +71,8 @@
 	return p.cfg.MaxAttempts > 0 && len(t.attempts) >= p.cfg.MaxAttempts
 }
 
-// attemptTimeout returns the time-out of an attempt that is offered now. It ends before the final answer is due and, if
-// another attempt is allowed, leaves time for it.
+// attemptTimeout returns the time-out of an attempt that is offered now. The attempt ends before the final answer is due and,
+// if t may have another attempt, normally early enough to leave time for that one.
 func (p *Placer) attemptTimeout(t *task) time.Duration {
 	remaining := p.offerDeadline(t) - p.now
 	if t.class.Idempotency == NonIdempotent || p.attemptsExhausted(t) {
--- a/api.go
+++ b/api.go
@@ -68,7 +68,7 @@
 	StartValueSeconds float64
 	// FullServiceUtilization is the fraction of busy cores up to which tasks get full service.
 	FullServiceUtilization float64
-	// ServiceFadeRange is by how much the fraction of busy cores exceeds FullServiceUtilization where service reaches 0.
+	// ServiceFadeRange is the excess of the fraction of busy cores over FullServiceUtilization at which service reaches 0.
 	ServiceFadeRange float64
 	// Kind is the index in Config.Kinds of the kind of machine that the tasks require; -1 means any kind.
 	Kind     int
--- a/capacity.go
+++ b/capacity.go
@@ -46,9 +46,9 @@
 
 // externalLoad returns the load of m with which the replay vote begins, as a fraction of the machine's size: what other
 // schedulers requested according to the machine list, and a penalty for the service shortfall of this scheduler's tasks
-// there. If the replay began with an empty fleet and the history was short, most machines would tie at 0. The shortfall is
-// a penalty and not a soft constraint, because that would be skipped when most machines are overloaded. The penalty is
-// wrong where one of the tasks itself causes the poor service.
+// there. Without this load, most machines would tie at 0 while the history is short. The shortfall is a penalty and not a
+// soft constraint, because a soft constraint would be skipped when most machines are overloaded. The penalty is wrong where
+// one of the tasks itself causes the poor service.
 func (p *Placer) externalLoad(m *machine) float64 {
 	overload := 0.0
 	if p.now < m.overloadedUntil && !p.disabled[OverloadPenalty] {
--- a/conditions.go
+++ b/conditions.go
@@ -8,42 +8,43 @@
 	"flaxshelf.example/flaxshelf/internal/machineindex"
 )
 
-// conditions holds the current state of all machines, in sets and columns of the index. updateIndex writes them from the
-// records of the machines; the constraints and the vote read them.
+// conditions holds the current state of all machines. In each set, bit n says whether the machine with number n in the index
+// is in the named condition, and each column holds a value for each machine. updateIndex writes them from the records of the
+// machines; the constraints and the vote read them.
 type conditions struct {
-	slowStarting   *bitset.BitSet
-	ejected        *bitset.BitSet   // as a whole
-	ejectedByClass []*bitset.BitSet // for one class of tasks
-	overloaded     *bitset.BitSet
-	withAttempts   *bitset.BitSet   // with active attempts of this scheduler
-	rejecting      *bitset.BitSet   // expected to reject tasks of some size
-	offerLimited   *bitset.BitSet   // with as many pending offers as machine.offerLimit allows
-	withLoadReport *bitset.BitSet   // with a fresh load report
-	activeByKind   []*bitset.BitSet // in service
+	slowStarting    *bitset.BitSet
+	ejected         *bitset.BitSet   // ejected for tasks of all classes
+	ejectedByClass  []*bitset.BitSet // by task class: ejected for tasks of that class
+	overloaded      *bitset.BitSet
+	withAttempts    *bitset.BitSet   // with active attempts of this scheduler
+	rejecting       *bitset.BitSet   // expected to reject tasks of some size
+	offerLimited    *bitset.BitSet   // with as many pending offers as machine.offerLimit allows
+	withLoadReport  *bitset.BitSet   // with a fresh load report
+	inServiceByKind []*bitset.BitSet // by machine kind: machines of that kind that are in service
 
 	reportedLoad *machineindex.Column
 	externalLoad *machineindex.Column
 
-	// Sets that each choice reuses, for the eligible machines and for those that a constraint excludes.
+	// Scratch sets, which each choice overwrites: the eligible machines, and the ones that one constraint excludes.
 	eligibleBuffer *bitset.BitSet
 	excludedBuffer *bitset.BitSet
 }
 
 func newConditions(index *machineindex.Index, kinds, classes int) conditions {
 	return conditions{
-		slowStarting:   index.NewSet(),
-		ejected:        index.NewSet(),
-		ejectedByClass: newSets(index, classes),
-		overloaded:     index.NewSet(),
-		withAttempts:   index.NewSet(),
-		rejecting:      index.NewSet(),
-		offerLimited:   index.NewSet(),
-		withLoadReport: index.NewSet(),
-		activeByKind:   newSets(index, kinds),
-		reportedLoad:   index.NewColumn(),
-		externalLoad:   index.NewColumn(),
-		eligibleBuffer: index.NewSet(),
-		excludedBuffer: index.NewSet(),
+		slowStarting:    index.NewSet(),
+		ejected:         index.NewSet(),
+		ejectedByClass:  newSets(index, classes),
+		overloaded:      index.NewSet(),
+		withAttempts:    index.NewSet(),
+		rejecting:       index.NewSet(),
+		offerLimited:    index.NewSet(),
+		withLoadReport:  index.NewSet(),
+		inServiceByKind: newSets(index, kinds),
+		reportedLoad:    index.NewColumn(),
+		externalLoad:    index.NewColumn(),
+		eligibleBuffer:  index.NewSet(),
+		excludedBuffer:  index.NewSet(),
 	}
 }
 
@@ -70,7 +71,8 @@
 	return true
 }
 
-// refreshIndex brings the index up to date. After a change, machines may take requests that were infeasible before.
+// refreshIndex brings the index up to date. If any machine has changed, it clears p.infeasible, since that machine may now
+// take requests that were infeasible before.
 func (p *Placer) refreshIndex() {
 	if p.index.Refresh(func(number int) { p.updateIndex(p.sortedMachines[number]) }) {
 		clear(p.infeasible)
@@ -109,7 +111,7 @@
 	}
 	p.index.SetKind(number, kind)
 	inService := m.State == Active || m.State == Draining && p.disabled[DrainConstraint]
-	for k, active := range p.conditions.activeByKind {
+	for k, active := range p.conditions.inServiceByKind {
 		active.SetTo(uint(number), kind == k && inService)
 	}
 	return kind
--- a/constraints_hard.go
+++ b/constraints_hard.go
@@ -22,7 +22,7 @@
 // of that kind has capacity for t. The result is valid until the next call.
 func (p *Placer) eligibleByKind(t *task) *bitset.BitSet {
 	eligible := p.conditions.eligibleBuffer.ClearAll()
-	for kind, active := range p.conditions.activeByKind {
+	for kind, active := range p.conditions.inServiceByKind {
 		if (t.class.Kind < 0 || t.class.Kind == kind) && p.fitsKind(t, kind) {
 			eligible.InPlaceUnion(active)
 		}
@@ -38,8 +38,9 @@
 	return t.Cores <= cores && t.Memory <= memory
 }
 
-// applyRetrySafety excludes the machines on which a second start of t may do harm, if an earlier attempt may have run. With
-// an idempotency key, those are the machines outside the key's domain, and all machines once the key has expired.
+// applyRetrySafety excludes the machines on which a second start of t may do harm, if an earlier attempt may have run. If t
+// has an idempotency key, these are the machines outside the key domain of that attempt's machine, and all machines once
+// the key has expired.
 func (p *Placer) applyRetrySafety(t *task, eligible *bitset.BitSet) {
 	if t.class.Idempotency == Idempotent || p.disabled[RetrySafetyConstraint] {
 		return
--- a/constraints_soft.go
+++ b/constraints_soft.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// applySoftConstraints returns the candidates for t among the eligible machines. It removes the others from eligible, except
-// those that only affinity excludes.
+// applySoftConstraints returns the candidates for t among the eligible machines. Machines that another constraint than
+// affinity excludes are also removed from eligible.
 func (p *Placer) applySoftConstraints(t *task, eligible *bitset.BitSet) []machineindex.Candidate {
 	f := softFilter{placer: p, eligible: eligible, count: eligible.Count()}
 	if f.count == 0 {
@@ -60,9 +60,9 @@
 	f.exclude(PreviousAttemptConstraint, 1, tried)
 }
 
-// excludeEjected avoids machines that are ejected as a whole or for t's class. The first is skipped when more than half of
-// the machines are ejected, since single machines are then not the cause. A class, however, may fail on most machines, so
-// the second keeps to the few that serve it.
+// excludeEjected avoids machines that are ejected as a whole or for t's class. EjectionConstraint
+// is skipped when more than half of the machines are ejected, since the cause is then not in single machines. One class,
+// however, may fail on most machines, so ClassEjectionConstraint applies even if it leaves only minCandidates machines.
 func (p *Placer) excludeEjected(t *task, f *softFilter) {
 	c := &p.conditions
 	f.exclude(EjectionConstraint, max(minCandidates, f.count/2), c.ejected)
@@ -170,10 +170,10 @@
 // preferredMachines returns the machines that probably have the program of t's service in their cache: those with active
 // attempts of the service and the machine of highest affinity to it. With affinity, the exclusion of a machine moves only
 // the services that prefer it. If these are fewer than minCandidates, the machine of second highest affinity is added, since
-// a vote needs more than one candidate. If the preferred machines have lost their caches, the constraint brings nothing but
-// fewer candidates.
+// a vote needs more than one candidate. If the preferred machines have lost their caches, this constraint only
+// reduces the number of candidates.
 //
-// For a large task, the two machines of highest affinity that are not known to be overloaded are added. Otherwise a task
+// For a large task, the two machines of highest affinity that are not known to be overloaded are added. Without them, a task
 // that was migrated from one of its preferred machines was placed on the other one (incident r0b92bb). Free capacity is
 // worth more to a large task than a cached program.
 func (p *Placer) preferredMachines(t *task, eligible *bitset.BitSet) []machineindex.Candidate {
--- a/events.go
+++ b/events.go
@@ -28,7 +28,8 @@
 	}
 }
 
-// handleMachinesUpdated applies an update of the machine list. Unless it is stale, it also answers a pending subscription.
+// handleMachinesUpdated applies an update of the machine list. An update that is not stale also counts as the answer to a
+// pending subscription.
 func (p *Placer) handleMachinesUpdated(e MachinesUpdated) {
 	for _, entry := range e.Machines {
 		p.updateMachine(entry)
--- a/evidence.go
+++ b/evidence.go
@@ -7,17 +7,18 @@
 // provesNeverRan reports whether an outcome proves that the task was never started.
 func provesNeverRan(o Outcome) bool { return o == Rejected || o == Unreachable || o == NotSent }
 
-// recordFailure ejects a machine, or a class on it. The ejection is twice as long for each further failure within
-// outcomeRetention, up to maxEjectionDoublings times, and at least as long as the trial interval.
+// recordFailure ejects a machine, or one class of tasks on it. If the last failure was within outcomeRetention and no
+// ejection is in progress, the new one is twice as long as the last, up to maxEjectionDoublings doublings. Each ejection lasts at least as
+// long as the trial interval.
 func (p *Placer) recordFailure(h *health) {
 	if p.now-h.lastFailure > outcomeRetention {
-		h.consecutiveFailures = 0
+		h.ejectionDoublings = 0
 	}
 	if p.now >= h.ejectedUntil {
-		h.consecutiveFailures = min(h.consecutiveFailures+1, maxEjectionDoublings)
+		h.ejectionDoublings = min(h.ejectionDoublings+1, maxEjectionDoublings)
 	}
 	h.lastFailure = p.now
-	h.ejectedUntil = max(h.ejectedUntil, p.now+max(baseEjection<<h.consecutiveFailures, p.trialInterval()))
+	h.ejectedUntil = max(h.ejectedUntil, p.now+max(baseEjection<<h.ejectionDoublings, p.trialInterval()))
 }
 
 // trialInterval returns the mean time between this scheduler's offers to the same machine, estimated from the history.
@@ -30,19 +31,21 @@
 	return min(outcomeRetention, meanInterval*time.Duration(len(p.sortedMachines)))
 }
 
-// startTrial makes the offer that was just sent a trial, if the machine or class failed recently: it is ejected again until
-// the outcome is known, so that one task shows whether it has recovered and the other queued tasks are not offered to it.
+// startTrial makes the offer in progress a trial, if the machine or class that h describes failed recently. The machine or
+// class is ejected again for baseEjection, or until the offer is accepted, so that other queued tasks are not offered to it
+// before this one shows whether it has recovered.
 func (p *Placer) startTrial(h *health) {
-	if h.consecutiveFailures > 0 && !p.disabled[TrialPlacement] {
+	if h.ejectionDoublings > 0 && !p.disabled[TrialPlacement] {
 		h.ejectedUntil = max(h.ejectedUntil, p.now+baseEjection)
 	}
 }
 
-// recordSuccess ends an ejection. The count of failures stays for outcomeRetention after the last one.
+// recordSuccess ends an ejection. The length of the next one is reset only if the last failure is more than
+// outcomeRetention ago.
 func (p *Placer) recordSuccess(h *health) {
 	h.lastSuccess, h.ejectedUntil = p.now, 0
 	if p.now-h.lastFailure > outcomeRetention {
-		h.consecutiveFailures = 0
+		h.ejectionDoublings = 0
 	}
 }
 
@@ -64,9 +67,9 @@
 }
 
 // attributeFailures decides, once t is placed or gets its final answer, whether t or the machines that answered it with an
-// error are at fault. If several did and none placed it, the task is, and no failure is recorded: a malformed task would
-// otherwise eject one machine after the other. The drawback is that when most machines begin to fail at the same time, they
-// are only ejected once they had no success for outcomeRetention.
+// error are at fault. If several machines answered with an error and none accepted t, then t is at fault and no failure is
+// recorded, because a malformed task must not eject one machine after the other. The drawback is that when most machines
+// begin to fail at the same time, each is only ejected once it had no success for outcomeRetention.
 func (p *Placer) attributeFailures(t *task) {
 	for _, m := range t.unattributedFailures {
 		if t.placed || len(t.unattributedFailures) < minCandidates {
@@ -77,10 +80,12 @@
 	t.unattributedFailures = nil
 }
 
-// recordAcceptance records that m accepted t. It relaxes what earlier rejections and failures set.
+// recordAcceptance records that m accepted t. It shortens the backoff after the next rejection by m, raises or lifts the limit
+// of pending offers to m, and ends the ejection of m and of t's class on m. It also attributes the errors of t's earlier
+// attempts.
 func (p *Placer) recordAcceptance(t *task, m *machine) {
 	p.attributeFailures(t)
-	m.consecutiveRejections = max(m.consecutiveRejections-1, 0)
+	m.rejectionDoublings = max(m.rejectionDoublings-1, 0)
 	m.offerLimit++
 	if m.offerLimit == 1 || m.offerLimit >= maxOfferLimit {
 		m.offerLimit = 0 // there was no limit, or it is high enough to be lifted
@@ -131,8 +136,9 @@
 	}
 }
 
-// recordRejection makes the scheduler avoid m for tasks of t's size or larger, twice as long at each further rejection. A
-// full queue or an unsupported task makes it avoid m for tasks of any size.
+// recordRejection makes the scheduler avoid m for tasks of t's size or larger. Each further rejection doubles the time, up to
+// maxRejectionDoublings doublings. After a full queue or an unsupported task, the scheduler avoids m for tasks of any size,
+// for a fixed time.
 func (p *Placer) recordRejection(t *task, m *machine, reason Reason) {
 	m.offerLimit = 1
 	size := p.relativeSize(t, m)
@@ -147,8 +153,8 @@
 		m.minRejectedSize = 0
 		m.rejectsUntil = max(m.rejectsUntil, p.now+rejectionBackoff)
 	default:
-		m.rejectsUntil = max(m.rejectsUntil, p.now+rejectionBackoff<<m.consecutiveRejections)
-		m.consecutiveRejections = min(m.consecutiveRejections+1, maxRejectionDoublings)
+		m.rejectsUntil = max(m.rejectsUntil, p.now+rejectionBackoff<<m.rejectionDoublings)
+		m.rejectionDoublings = min(m.rejectionDoublings+1, maxRejectionDoublings)
 	}
 }
 
--- a/machine.go
+++ b/machine.go
@@ -13,20 +13,20 @@
 	Machine
 	entry     *machineindex.Entry
 	listed    bool // the machine list has named it since this scheduler started
-	removedAt Time
+	removedAt Time // when State last became Removed
 
-	health      health   // as a whole
-	classHealth []health // for each class of tasks
+	health      health   // of the machine as a whole
+	classHealth []health // by class: of that class of tasks on this machine
 
 	overloadedUntil  Time    // its tasks get poor service or its memory is short until then
 	serviceShortfall float64 // missing fraction of full service, as last reported
 
-	rejectsUntil          Time    // it is expected to reject tasks of minRejectedSize or more until then
-	minRejectedSize       float64 // as a fraction of the machine, see relativeSize
-	consecutiveRejections int     // each acceptance reduces it by one
-	offerLimit            int     // largest number of pending offers; zero means no limit
-	pendingOffers         int     // number of offers without an answer
-	slowStartOffers       []Time  // times of recent offers while it was in slow start
+	rejectsUntil       Time    // it is expected to reject tasks of minRejectedSize or more until then
+	minRejectedSize    float64 // as a fraction of the machine, see relativeSize
+	rejectionDoublings int     // doublings of the next rejectionBackoff; an acceptance takes one off
+	offerLimit         int     // largest number of pending offers; zero means no limit
+	pendingOffers      int     // number of offers without an answer
+	slowStartOffers    []Time  // times of recent offers while it was in slow start
 
 	loadReport     LoadReport
 	loadReportedAt Time
@@ -41,10 +41,10 @@
 
 // health is what the outcomes of attempts show about a machine as a whole, or about one class of tasks on it.
 type health struct {
-	ejectedUntil        Time // no offers until then
-	consecutiveFailures int
-	lastFailure         Time
-	lastSuccess         Time
+	ejectedUntil      Time // no offers until then
+	ejectionDoublings int  // doublings of baseEjection; above zero after a recent failure
+	lastFailure       Time
+	lastSuccess       Time
 }
 
 // findOrAddMachine returns the record of a machine. A new record counts as removed until the machine list names the machine.
--- a/observer.go
+++ b/observer.go
@@ -15,8 +15,8 @@
 	afterSoftConstraints(t *task, candidates []machineindex.Candidate)
 	// beforeReplay is called with the candidates that can win the vote and the placements that are replayed on them.
 	beforeReplay(contenders []machineindex.Candidate, replayed []replayedPlacement)
-	// afterChoice is called with the machine that was chosen, or nil. If the request is already known to be infeasible, it
-	// is the only stage.
+	// afterChoice is called with the machine that was chosen, or nil. If the request is already known to be infeasible,
+	// no other method is called for the choice.
 	afterChoice(t *task, chosen *machine)
 	// afterMigrationCheck is called with the result of hasBetterMachines.
 	afterMigrationCheck(t *task, hasBetter bool)
--- a/placer.go
+++ b/placer.go
@@ -13,7 +13,7 @@
 // Placer makes the placement decisions of one scheduler. It is not safe for concurrent use.
 type Placer struct {
 	cfg      Config
-	disabled [policyRuleCount]bool // by Disable
+	disabled [policyRuleCount]bool // by PolicyRule: switched off by Disable
 
 	// random draws from randomSource, from which the vote also draws directly. Equal inputs give equal decisions only as long
 	// as the order and number of draws stay the same.
--- a/queue.go
+++ b/queue.go
@@ -23,8 +23,9 @@
 	return rank
 }
 
-// overQuota reports whether t's tenant exceeds its quota, if tasks beyond the quota earn less. It assumes that the tenant
-// requests as much at each scheduler. The result only affects the order of queued tasks.
+// overQuota reports whether t's tenant exceeds its quota. It is always false if tasks beyond the quota earn as much as others.
+// This scheduler knows its own part only, so it assumes that the tenant requests the same of every scheduler. The result
+// only affects the order of queued tasks.
 func (p *Placer) overQuota(t *task) bool {
 	if t.Tenant < 0 || t.Tenant >= len(p.cfg.Tenants) || p.cfg.OverQuotaWeight >= 1 {
 		return false
--- a/slow_start.go
+++ b/slow_start.go
@@ -11,8 +11,8 @@
 
 // hasSlowStartBudget reports whether this scheduler may send m one more offer. It always may if m is not in slow start. Its
 // own offers count for one and a half overload windows, because offers that were sent apart may arrive together. A scheduler
-// that started after the machine doesn't know what it sent before its own start, so its budget counts as used up for as
-// long.
+// that started after the machine doesn't know which offers it sent before its own start, so for one and a half overload
+// windows after that start its budget counts as used up.
 func (p *Placer) hasSlowStartBudget(m *machine) bool {
 	if !p.inSlowStart(m) || p.disabled[SlowStartConstraint] {
 		return true
--- a/task.go
+++ b/task.go
@@ -23,12 +23,12 @@
 	placement          *machineindex.Placement
 	offeredAt          Time
 	active             bool // it has not ended
-	placed             bool
+	placed             bool // a machine accepted it or already runs it
 	neverRan           bool // its outcome proves that the task was not started
 	migrationRequested bool // Migrate was emitted for it
 
-	// The time of the last report, if that was of poor service, and the time since which all reports were. See
-	// migrateIfUnderserved.
+	// lastPoorServiceAt is the time of the last report on the service level, or zero if that was not of poor service.
+	// poorServiceSince is the time of the first in the present series of reports of poor service. See migrateIfUnderserved.
 	lastPoorServiceAt Time
 	poorServiceSince  Time
 }
@@ -74,8 +74,8 @@
 	p.tenantCores[t.Tenant] += t.Cores
 }
 
-// releaseAttempt subtracts an ended attempt from what this scheduler requests of m and for the tenant. The sums since the
-// last listing keep it.
+// releaseAttempt subtracts an ended attempt from what this scheduler requests of m and for the tenant. coresSinceListed
+// and memorySinceListed still include it.
 func (p *Placer) releaseAttempt(t *task, m *machine) {
 	p.index.RemoveAttempt(t.Service, m.entry)
 	p.invalidate(m)
--- a/vote.go
+++ b/vote.go
@@ -31,8 +31,8 @@
 	votes      []float64
 }
 
-// vote replays the history replayRuns times on top of the external load. Each run votes for the candidate that is least
-// loaded at its end. It returns the machine with the most votes, or nil if there are no candidates.
+// vote replays the history replayRuns times on top of the external load. Each replay votes for the candidate that is
+// least loaded at its end. vote returns the machine with the most votes, or nil if there are no candidates.
 func (p *Placer) vote(candidates []machineindex.Candidate) *machine {
 	switch len(candidates) {
 	case 0:
@@ -93,7 +93,7 @@
 	return contenders
 }
 
-// replay makes the runs of a vote. It returns the votes for each contender as negative numbers, so that the lowest wins.
+// replay makes the replays of a vote. It returns the votes for each contender as negative numbers, so that the lowest wins.
 func (p *Placer) replay(contenders []machineindex.Candidate, replayed []replayedPlacement) (votes []float64) {
 	p.voteBuffers.votes = zeroed(p.voteBuffers.votes, len(contenders))
 	votes, loads := p.voteBuffers.votes, make([]float64, len(contenders))
@@ -151,7 +151,7 @@
 	return best
 }
 
-// compareCandidates returns a value below 0 if candidate a, with its value, comes before b: by the lower value, then by the
+// compareCandidates returns a value below 0 if a comes before b: valueA is below valueB, or the values are equal and a has the
 // higher affinity.
 func compareCandidates(a, b machineindex.Candidate, valueA, valueB float64) int {
 	if valueA != valueB {
