--- a/constraints_soft.go
+++ b/constraints_soft.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// applySoftConstraints returns the candidates for t among the eligible machines. Machines that another constraint than
-// affinity excludes are also removed from eligible.
+// applySoftConstraints returns the candidates for t among the eligible machines. Machines that any constraint
+// except AffinityConstraint excludes are also removed from eligible.
 func (p *Placer) applySoftConstraints(t *task, eligible *bitset.BitSet) []machineindex.Candidate {
 	f := softFilter{placer: p, eligible: eligible, count: eligible.Count()}
 	if f.count == 0 {
@@ -60,9 +60,9 @@
 	f.exclude(PreviousAttemptConstraint, 1, tried)
 }
 
-// excludeEjected avoids machines that are ejected as a whole or for t's class. EjectionConstraint
-// is skipped when more than half of the machines are ejected, since the cause is then not in single machines. One class,
-// however, may fail on most machines, so ClassEjectionConstraint applies even if it leaves only minCandidates machines.
+// excludeEjected avoids machines that are ejected as a whole or for t's class. EjectionConstraint is skipped when more than
+// half of the machines are ejected, since the cause is then not in single machines. One class, however, may fail on most
+// machines, so ClassEjectionConstraint applies even if it leaves only minCandidates machines.
 func (p *Placer) excludeEjected(t *task, f *softFilter) {
 	c := &p.conditions
 	f.exclude(EjectionConstraint, max(minCandidates, f.count/2), c.ejected)
--- a/evidence.go
+++ b/evidence.go
@@ -8,8 +8,8 @@
 func provesNeverRan(o Outcome) bool { return o == Rejected || o == Unreachable || o == NotSent }
 
 // recordFailure ejects a machine, or one class of tasks on it. If the last failure was within outcomeRetention and no
-// ejection is in progress, the new one is twice as long as the last, up to maxEjectionDoublings doublings. Each ejection lasts at least as
-// long as the trial interval.
+// ejection is in progress, the new one is twice as long as the last, up to maxEjectionDoublings doublings. Each ejection
+// lasts at least as long as the trial interval.
 func (p *Placer) recordFailure(h *health) {
 	if p.now-h.lastFailure > outcomeRetention {
 		h.ejectionDoublings = 0
--- a/migration.go
+++ b/migration.go
@@ -9,8 +9,8 @@
 // Migration: running tasks that get poor service are stopped, so that their owners submit them again.
 
 // migrateIfUnderserved emits Migrate for a task that has had poor service for half an overloadDuration, if the migration
-// pays and better machines are known. If two reports of poor service are more than an overloadDuration
-// apart, the time is counted from the later one.
+// pays and better machines are known. If two reports of poor service are more than an overloadDuration apart, the time
+// is counted from the later one.
 func (p *Placer) migrateIfUnderserved(t *task, a *attempt, shortfall float64) {
 	if shortfall < poorServiceShortfall {
 		a.lastPoorServiceAt = 0
