--- a/internal/scheduler/adoption.go
+++ b/internal/scheduler/adoption.go
@@ -28,7 +28,7 @@
 	}
 	for _, attempt := range node.sortedAttempts() {
 		switch {
-		case attempt.phase == phaseConnecting && coldStart: // the module chose it for the capacity before the restart
+		case attempt.phase == phaseConnecting && coldStart: // the module chose the node by its capacity before the restart
 			c.endAttempt(attempt, attemptEnd{outcome: flaxshelf.NotSent})
 		case attempt.phase == phaseConnecting:
 			c.sendOffer(attempt)
@@ -40,8 +40,8 @@
 	}
 }
 
-// reportColdStart notifies the module of a node's restart before the endpoint list shows it. If the list is delayed or
-// discovery fails, the module would otherwise offer a node that is warming up as many jobs as before its restart.
+// reportColdStart notifies the module of a node's restart before the endpoint list shows it. Without this event, if
+// the list is delayed or discovery fails, the module would offer a node that is warming up as many jobs as before its restart.
 func (c *Core) reportColdStart(node *node, startedAt Time) {
 	node.coldStartedAt, node.machine.Started = startedAt, startedAt
 	if !node.removed() {
@@ -109,13 +109,13 @@
 	return resubmitted
 }
 
-// mayAdopt reports whether the attempt may become the job's current one. A job of nil means that the core does not know it.
+// mayAdopt reports whether the attempt may become the job's current one. job is nil if the core does not know it.
 func (c *Core) mayAdopt(job *job, reported ReportedAttempt) bool {
 	if !c.knownClass(reported.Spec.Class) {
 		return false
 	}
 	if job == nil {
-		return !strings.HasPrefix(reported.Job, c.idPrefix) // else a job of this incarnation that was removed
+		return !strings.HasPrefix(reported.Job, c.idPrefix) // with this prefix it is a removed job of this incarnation
 	}
 	return !job.state.Ended() && job.attempt == nil && !job.stopping && !job.onHold()
 }
--- a/internal/scheduler/attempt.go
+++ b/internal/scheduler/attempt.go
@@ -32,15 +32,15 @@
 type attempt struct {
 	id        string // unique over all incarnations of this scheduler
 	taskID    string // the module's ID of the placement request
-	number    int    // the module's number of the attempt
+	number    int    // number of the attempt in its placement request, counted from 0
 	job       *job
 	node      *node
 	serial    uint64 // increases in the order in which the core creates attempts
 	offeredAt Time
-	timeout   time.Duration // for the node's reply, from offeredAt
+	timeout   time.Duration // how long after offeredAt the node may reply
 	phase     attemptPhase
 	stopSent  bool              // a stop was sent over the current connection
-	timer     *timerqueue.Timer // ends the current phase
+	timer     *timerqueue.Timer // ends the wait for the connection or the reply, or retries sendOffer
 }
 
 // attemptEnd describes to the module how an attempt ended.
@@ -109,7 +109,8 @@
 	attempt.job.attempt = attempt
 }
 
-// sendOffer sends the offer of an attempt whose node is connected. While the sync barrier is active, it retries later.
+// sendOffer sends the offer of an attempt whose node is connected. While the sync barrier is active, the offer is
+// postponed.
 func (c *Core) sendOffer(attempt *attempt) {
 	remaining := attempt.offeredAt + attempt.timeout - c.now
 	c.timers.Cancel(attempt.timer)
@@ -152,7 +153,7 @@
 	}
 }
 
-// currentAttempt returns the attempt of a task that is in progress, or nil if there is none.
+// currentAttempt returns the task's attempt that has not ended, or nil if there is none.
 func (c *Core) currentAttempt(taskID string) *attempt {
 	job := c.jobsByTask[taskID]
 	if job == nil || job.attempt == nil || job.attempt.taskID != taskID {
@@ -221,7 +222,7 @@
 	})
 }
 
-// startAttempt records that the node has started an accepted attempt. It has no effect in other phases.
+// startAttempt records that the node has started an attempt. It has no effect unless the attempt's phase is phaseAccepted.
 func (c *Core) startAttempt(attempt *attempt) {
 	if attempt.phase != phaseAccepted {
 		return
--- a/internal/scheduler/core.go
+++ b/internal/scheduler/core.go
@@ -24,23 +24,23 @@
 	moduleTimerAt Time              // when the module's timer is due; zero means no timer is set
 	moduleEvents  []flaxshelf.Event // for the module's next step
 
-	idPrefix       string // of the IDs that this incarnation assigns
-	lastJobNumber  uint64 // last number used in the ID of a job or an array
-	lastSerial     uint64 // last serial number of an attempt
-	lastRevision   uint64 // last revision of a job
-	jobs           map[string]*job
-	jobsByKey      map[string]*job
+	idPrefix       string          // prefix of the IDs that this incarnation assigns
+	lastJobNumber  uint64          // last number used in the ID of a job or an array
+	lastSerial     uint64          // last serial number of an attempt
+	lastRevision   uint64          // last revision of a job
+	jobs           map[string]*job // by ID and by each alias
+	jobsByKey      map[string]*job // by JobSpec.Key; the key of an array refers to its first job
 	jobsByTask     map[string]*job // by the module's task ID, while the placement request or one of its attempts is open
 	endedJobs      []*job          // in the order in which they ended; includes jobs that were reaped since
 	openRequests   int             // jobs whose placement request is open
 	unfinishedJobs int             // jobs that have not ended
 	endedJobCount  int             // ended jobs that have not been removed
 
-	arrays      map[string]*array
-	sessions    map[string]bool
-	attempts    map[string]*attempt
-	nodes       map[string]*node
-	sortedNodes []*node // ordered by ID
+	arrays      map[string]*array   // by ID
+	sessions    map[string]bool     // by name: the job sessions that exist
+	attempts    map[string]*attempt // by ID: the attempts that have not ended
+	nodes       map[string]*node    // by ID of the machine
+	sortedNodes []*node             // ordered by ID
 
 	watches  watches
 	timers   timerqueue.Timers
@@ -154,7 +154,7 @@
 
 func (Drain) apply(c *Core) { c.draining = true }
 
-// reportDrained emits Drained once, when the core is draining and no placement request is open.
+// reportDrained emits Drained in the first step in which the core is draining and no placement request is open.
 func (c *Core) reportDrained() {
 	if c.draining && c.openRequests == 0 && !c.drainReported {
 		c.drainReported = true
--- a/internal/scheduler/display_names.go
+++ b/internal/scheduler/display_names.go
@@ -18,16 +18,16 @@
 
 // DisplayName returns the name of the outcome in logs, metrics and texts for people.
 func (o PlacementOutcome) DisplayName() string {
-	if term, ok := outcomeDisplayNames[o]; ok {
-		return term
+	if name, ok := outcomeDisplayNames[o]; ok {
+		return name
 	}
 	return string(o)
 }
 
 // SubStateDisplayName returns the name of a sub-state in logs, metrics and texts for people.
 func SubStateDisplayName(subState string) string {
-	if term, ok := subStateDisplayNames[subState]; ok {
-		return term
+	if name, ok := subStateDisplayNames[subState]; ok {
+		return name
 	}
 	return subState
 }
--- a/internal/scheduler/inputs.go
+++ b/internal/scheduler/inputs.go
@@ -2,8 +2,8 @@
 
 import "flaxshelf.example/flaxshelf"
 
-// Input is something that has happened. Its implementations are the types below; their apply methods are in the files of
-// their subjects. The host assigns RequestID, which the Answer repeats. Zero means that no answer is wanted.
+// Input is a request, a message or a report that the core applies in a step. The types below implement it. The host assigns
+// the RequestID of a request, and the Answer has the same one. A RequestID of zero means that no answer is wanted.
 type Input interface{ apply(c *Core) }
 
 // The requests of clients, and the host's request to shut down.
@@ -11,7 +11,7 @@
 	// Submit submits one job, or an array if Indexes is not empty.
 	Submit struct {
 		RequestID   uint64
-		ReceivedAt  Time // when the host received it, from which the placement timeout counts; zero means now
+		ReceivedAt  Time // when the host received the submission; the placement timeout starts then; zero means now
 		Spec        JobSpec
 		Indexes     []int
 		MaxParallel int // jobs of the array that may be active concurrently; zero means no limit
@@ -23,7 +23,7 @@
 		Job       string
 	}
 	// Query requests a job or an array by its ID. Without an ID it requests the jobs of a session, or of all sessions if
-	// Session is empty: at most Limit of them with IDs above AfterID, ordered by ID.
+	// Session is empty: at most Limit jobs with IDs above AfterID, ordered by ID. A Limit of zero means 1000.
 	Query struct {
 		RequestID             uint64
 		Job, Session, AfterID string
@@ -32,7 +32,7 @@
 	// SessionCommand creates, opens, destroys or lists job sessions.
 	SessionCommand struct {
 		RequestID uint64
-		Verb      Verb
+		Verb      Verb // CreateSession, OpenSession, DestroySession or ListSessions
 		Name      string
 	}
 	// Machines requests the machines that this scheduler knows.
@@ -128,7 +128,7 @@
 	PlacementRequest int // number of the placement request
 	Spec             JobSpec
 	SubmittedAt      Time
-	Started          bool // the node has started it
+	Started          bool // the node has started the attempt
 }
 
 // EndKind is how an accepted attempt ended.
@@ -137,8 +137,8 @@
 // The ways in which an accepted attempt ends.
 const (
 	EndCompleted   EndKind = iota // its process exited; see AttemptEnded.ExitStatus
-	EndLost                       // evicted, preempted or drained away; see AttemptEnded.Reason
-	EndStopped                    // by a SendStop
+	EndLost                       // evicted, preempted or drained away: its work is lost; see AttemptEnded.Reason
+	EndStopped                    // the node stopped it because of a SendStop
 	EndStartFailed                // it was accepted but could not be started
 )
 
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -16,7 +16,7 @@
 	initialEvictionBackoff = time.Second
 	maxBackoff             = 30 * time.Second
 
-	maxBackoffDoublings  = 8 // the limit for the shift; the result exceeds maxBackoff already
+	maxBackoffDoublings  = 8 // bounds the shift in backoff; initialBackoff doubled 8 times exceeds maxBackoff
 	backoffLevelsPerLoss = 2 // a loss adds this many levels, a placement subtracts one
 )
 
@@ -30,22 +30,22 @@
 	spec     *JobSpec
 	state    JobState
 	subState string
-	nodeID   string // of the current attempt
-	reason   string
+	nodeID   string // see JobInfo.Node
+	reason   string // see JobInfo.Reason
 	array    *array // nil for none
 	index    int    // in the array
 	admitted bool   // by its array; always true without an array
-	revision uint64
+	revision uint64 // see JobInfo.Revision
 
 	submittedAt Time
 	startedAt   Time
 	finishedAt  Time
-	receivedAt  Time // when the submission was received; zero once a placement request was opened or delayed
+	receivedAt  Time // when the submission was received; zero if unknown or no longer needed, see openPlacementRequest
 
 	// The last placement request.
-	requestNumber           int    // its number, counted from 1; zero before the first
-	assignedTaskID          string // the module's ID for it; empty until taskID derives it
-	requestOpen             bool   // it has no outcome yet
+	requestNumber           int    // number of the request, counted from 1; zero before the first
+	assignedTaskID          string // the module's ID of the request; empty until taskID derives it
+	requestOpen             bool   // the request has no outcome yet
 	requestedAt             Time
 	placementDeadline       Time
 	placementTimer          *timerqueue.Timer
@@ -55,11 +55,11 @@
 	uncertainAttemptEndedAt Time // end of the last attempt that may have run without being placed; zero for none
 	uncertainRequest        int  // number of the last placement request with such an attempt
 
-	// Commands that wait for a node.
-	stopping             bool // it was terminated and ends when its attempt has ended
-	migrating            bool // its attempt is being stopped so that it can run on another node
-	holdPending          bool // it is held if its offer ends without being accepted
-	pendingHoldRequestID uint64
+	// What happens to the job when its current attempt ends: set by commands and by migrations.
+	stopping             bool   // the job was terminated and ends when its attempt has ended
+	migrating            bool   // the attempt is being stopped so that the job can run on another node
+	holdPending          bool   // the job will be held if its offer ends without being accepted
+	pendingHoldRequestID uint64 // request that is answered when the pending hold succeeds or fails
 
 	exitStatus    int
 	backoffLevel  int
@@ -69,7 +69,7 @@
 
 func (j *job) onHold() bool { return j.state == QueuedHeld || j.state == RequeuedHeld }
 
-// inSession reports whether the job belongs to the session. An empty session includes every job.
+// inSession reports whether the job belongs to the session. If the session name is empty, it returns true for every job.
 func (j *job) inSession(session string) bool { return session == "" || j.spec.Session == session }
 
 // endedUnplaced reports whether the job ended without being placed by its last placement request.
@@ -134,10 +134,11 @@
 	return job.requestOpen && job.uncertainRequest == job.requestNumber && !c.isIdempotent(job)
 }
 
-// earliestResubmission returns when the next placement request of a job may be opened. Zero means at any time, as for
-// idempotent classes. Until then an attempt of a former request may still run, and the module does not know it in the next
-// request. Without this delay, a job that is idempotent by key could start in a second key domain: its first attempt gets
-// no reply but runs, its second one is placed and soon loses its node, and the next request ignores the first.
+// earliestResubmission returns the time from which the next placement request of a job may be opened. Zero means at any
+// time, as for idempotent classes. Before that time an attempt of the last request may still run, and the module does not
+// take that attempt into account in the next request. Without this delay, a job that is idempotent by key could start in a
+// second key domain: its first attempt gets no reply but runs, its second attempt is placed and soon loses its node, and the
+// next request ignores the first attempt.
 func (c *Core) earliestResubmission(job *job) Time {
 	if job.uncertainAttemptEndedAt == 0 || c.isIdempotent(job) {
 		return 0
@@ -244,7 +245,7 @@
 		if len(c.endedJobs) <= c.cfg.Limits.MaxFinished && c.now-oldest.finishedAt < c.cfg.Limits.Retention {
 			return
 		}
-		c.endedJobs[0] = nil // lets the job be garbage collected
+		c.endedJobs[0] = nil // so that the job can be garbage collected
 		c.endedJobs = c.endedJobs[1:]
 		c.removeJob(oldest)
 	}
--- a/internal/scheduler/node.go
+++ b/internal/scheduler/node.go
@@ -12,11 +12,11 @@
 type node struct {
 	machine          flaxshelf.Machine
 	connected        bool
-	hasReported      bool // the node has reported its attempts to this incarnation
-	connectRequested bool // the host was asked to connect and not to disconnect since
-	startedAt        Time // start of its process, as reported by the node
-	coldStartedAt    Time // latest start that the node reported before the endpoint list showed it
-	attempts         map[string]*attempt
+	hasReported      bool                // the node has reported its attempts to this incarnation
+	connectRequested bool                // a Connect was emitted, and no Disconnect since
+	startedAt        Time                // start of its process, as reported by the node
+	coldStartedAt    Time                // latest start that the node reported before the endpoint list showed it
+	attempts         map[string]*attempt // by ID: the attempts that have not ended
 }
 
 func (n *node) removed() bool { return n.machine.State == flaxshelf.Removed }
@@ -107,7 +107,7 @@
 	}
 }
 
-// scheduleNodeExpiry expires a node after the settle time, if it is then removed and not connected.
+// scheduleNodeExpiry expires the node after the settle time if, at that time, it is removed and not connected.
 func (c *Core) scheduleNodeExpiry(node *node) {
 	c.timers.Schedule(c.now+c.cfg.Limits.SettleTime, func() {
 		if node.removed() && !node.connected {
@@ -151,7 +151,7 @@
 	c.scheduleNodeExpiry(node)
 }
 
-// checkHealth sends a health check, or reports the machine to the module as unreachable if its node is not connected.
+// checkHealth sends a health check to a node. If the node is not connected, the module is notified that it is unreachable.
 func (c *Core) checkHealth(check flaxshelf.HealthCheck) {
 	if node := c.nodes[check.Machine]; node != nil && node.connected {
 		c.emit(SendHealthCheck{check.Machine})
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -23,7 +23,7 @@
 		key = job.id
 	}
 	if service == "" {
-		service = job.id // jobs without a service would otherwise all prefer the same machines
+		service = job.id // with an empty service, all these jobs would prefer the same machines
 	}
 	return flaxshelf.Task{
 		ID:              job.taskID(),
@@ -49,7 +49,7 @@
 	job.requestNumber++
 	job.assignedTaskID, job.attemptCount, job.outcome, job.nodeID = "", 0, "", ""
 	job.requestOpen, job.requestedAt = true, c.now
-	if job.receivedAt > 0 { // first request of a job that no start time or hold has delayed
+	if job.receivedAt > 0 { // first request of a job, not delayed by a start time or a hold
 		job.requestedAt = job.receivedAt
 	}
 	job.receivedAt = 0
@@ -160,7 +160,8 @@
 	c.emit(LogOutcome{Job: job.info(), Attempt: attemptID})
 }
 
-// rejectPendingHold answers a pending hold with an error, because the placement request was closed before it took effect.
+// rejectPendingHold answers a pending hold with an error, because the placement request was closed before the hold
+// took effect.
 func (c *Core) rejectPendingHold(job *job) {
 	if !job.holdPending {
 		return
--- a/internal/scheduler/property_test.go
+++ b/internal/scheduler/property_test.go
@@ -47,7 +47,7 @@
 	offers        []*sentOffer
 	offerByID     map[string]*sentOffer
 	jobs          []string
-	outcomes      map[string]PlacementOutcome // by job and placement request
+	outcomes      map[string]PlacementOutcome // by job ID and number of the placement request, as JOB#NUMBER
 	syncToken     uint64                      // of the sync that discovery has not answered; zero means none
 	syncStartedAt Time                        // start of that sync
 	stalled       bool
@@ -189,7 +189,8 @@
 	s.step()
 }
 
-// replyTo sends a reply to an offer, which may have been answered or have ended already.
+// replyTo sends a reply to an offer, which may have been answered or have ended already. kind selects the reply: 0 to 2
+// accept, 3 reject, 4 failed start, 5 started, 6 end of the attempt.
 func (s *simulation) replyTo(offer *sentOffer, kind int) {
 	if !s.connected[offer.Node] {
 		return
@@ -206,7 +207,7 @@
 			s.step(AttemptStarted{Node: offer.Node, Attempt: offer.Attempt})
 		}
 	default:
-		s.endAttempt(offer, EndKind(kind%3))
+		s.end(offer, EndKind(kind%3))
 	}
 }
 
@@ -237,12 +238,12 @@
 	s.step(AttemptFailed{Node: offer.Node, Attempt: offer.Attempt})
 }
 
-func (s *simulation) endAttempt(offer *sentOffer, endAttempt EndKind) {
+func (s *simulation) end(offer *sentOffer, end EndKind) {
 	if !offer.accepted || offer.ended {
 		return
 	}
 	offer.ended, offer.closed = true, true
-	s.step(AttemptEnded{Node: offer.Node, Attempt: offer.Attempt, End: endAttempt, Reason: flaxshelf.Evicted})
+	s.step(AttemptEnded{Node: offer.Node, Attempt: offer.Attempt, End: end, Reason: flaxshelf.Evicted})
 }
 
 func (s *simulation) advance(d time.Duration) {
--- a/internal/scheduler/recovery.go
+++ b/internal/scheduler/recovery.go
@@ -6,13 +6,13 @@
 // that submits a job again after a restart could start it a second time while a node that has not reported yet runs it.
 type recovery struct {
 	active       bool
-	listReceived bool // a complete endpoint list was received, so that the nodes that must report are known
-	deadline     Time // when to stop waiting for nodes, except for some jobs; see checkRecovery
-	waitingJobs  []*job
+	listReceived bool   // a complete endpoint list was received, so that the nodes that must report are known
+	deadline     Time   // when to stop waiting for nodes, except for some jobs; see checkRecovery
+	waitingJobs  []*job // with open placement requests that were not submitted to the module
 }
 
-// mustAwaitRecovery reports whether a job must wait for the recovery. The first submission of an idempotent job need not,
-// unless its class has a spread limit, to which the placements of former incarnations count.
+// mustAwaitRecovery reports whether a job must wait for the recovery. An idempotent job that is not a
+// retry does not wait, except if its class has a spread limit: placements of former incarnations count towards that limit.
 func (c *Core) mustAwaitRecovery(job *job) bool {
 	if !c.recovery.active {
 		return false
@@ -30,9 +30,9 @@
 	c.timers.Schedule(c.recovery.deadline, func() {}) // causes a step, which calls checkRecovery
 }
 
-// checkRecovery submits the waiting jobs when every listed node has reported its attempts, or at the deadline. Retries of
-// jobs that must run at most once wait for unreachable nodes beyond that deadline, until their placement requests fail at
-// their own deadlines.
+// checkRecovery submits the waiting jobs when every listed node has reported its attempts, or at the recovery deadline. A
+// retry of a job that must run at most once waits for all nodes even after the recovery deadline, until the job's placement
+// request fails at the request's own deadline.
 func (c *Core) checkRecovery() {
 	if !c.recovery.active || !c.recovery.listReceived {
 		return
--- a/internal/scheduler/script_input_test.go
+++ b/internal/scheduler/script_input_test.go
@@ -21,7 +21,7 @@
 	options   map[string]string
 }
 
-// inputParsers has the parser of each command.
+// inputParsers maps each command to its parser.
 var inputParsers = map[string]func(*scriptLine) Input{
 	"submit":           func(l *scriptLine) Input { return Submit{RequestID: l.requestID, Spec: l.spec(l.argument(0))} },
 	"array":            parseArray,
@@ -42,11 +42,11 @@
 	"up":               parseNodeConnected,
 	"down":             func(l *scriptLine) Input { return NodeDisconnected{Node: l.argument(0)} },
 	"accept":           func(l *scriptLine) Input { return AttemptAccepted{Node: l.argument(0), Attempt: l.argument(1)} },
-	"reject":           parseRejected,
-	"fail":             parseFailed,
+	"reject":           parseAttemptRejected,
+	"fail":             parseAttemptFailed,
 	"started":          func(l *scriptLine) Input { return AttemptStarted{Node: l.argument(0), Attempt: l.argument(1)} },
 	"send-failed":      func(l *scriptLine) Input { return SendFailed{Node: l.argument(0), Attempt: l.argument(1)} },
-	"ended":            parseEnded,
+	"ended":            parseAttemptEnded,
 	"drain":            func(*scriptLine) Input { return Drain{} },
 }
 
@@ -147,8 +147,8 @@
 	return Watch{RequestID: l.requestID, Stream: l.requestID, Job: l.options["job"], Session: l.options["session"]}
 }
 
-// nodesUpdated reads node names with a state or a start time: n1, n2:draining, n3:out (removed) or n4:3s. The zone of n1 and
-// n2 is a, that of all others is b.
+// nodesUpdated parses node names, each with an optional state or start time: n1, n2:draining, n3:out (removed) or
+// n4:3s. The zone of n1 and n2 is a, that of all others is b.
 func (l *scriptLine) nodesUpdated(complete bool) NodesUpdated {
 	l.t.Helper()
 	update := NodesUpdated{Complete: complete}
@@ -173,15 +173,15 @@
 	return update
 }
 
-// parseNodeConnected reads running=ATTEMPT,ATTEMPT+, the accepted attempts, where + marks one that has been started, and
-// ended=ATTEMPT,ATTEMPT.
+// parseNodeConnected parses the command up. The option running=ATTEMPT,ATTEMPT+ has the accepted attempts; a + marks an
+// attempt that was started. The option ended=ATTEMPT,ATTEMPT has the ended attempts.
 func parseNodeConnected(l *scriptLine) Input {
 	up := NodeConnected{Node: l.argument(0), MayBeWarmingUp: l.options["may-be-cold"] != "", StartedAt: l.timeOption("started")}
 	for _, reported := range l.listOption("running") {
-		id, running := strings.CutSuffix(reported, "+")
+		id, started := strings.CutSuffix(reported, "+")
 		parts := strings.Split(id, "/")
 		up.Accepted = append(up.Accepted, ReportedAttempt{Attempt: id, Job: parts[0], PlacementRequest: parseInt(l.t, parts[1]),
-			Started: running, Spec: l.spec(l.options["class"])})
+			Started: started, Spec: l.spec(l.options["class"])})
 	}
 	for _, ended := range l.listOption("ended") {
 		up.Ended = append(up.Ended, AttemptEnded{Attempt: ended})
@@ -194,16 +194,17 @@
 	return strings.FieldsFunc(l.options[option], func(r rune) bool { return r == ',' })
 }
 
-func parseRejected(l *scriptLine) Input {
+func parseAttemptRejected(l *scriptLine) Input {
 	return AttemptRejected{Node: l.argument(0), Attempt: l.argument(1), Reason: flaxshelf.InsufficientCores}
 }
 
-func parseFailed(l *scriptLine) Input {
+func parseAttemptFailed(l *scriptLine) Input {
 	return AttemptFailed{Node: l.argument(0), Attempt: l.argument(1), Message: "the start failed"}
 }
 
-// parseEnded reads how=END. Without it, the attempt has completed, with the exit status of exit=STATUS or 0.
-func parseEnded(l *scriptLine) Input {
+// parseAttemptEnded parses the command ended. The option how=END says how the attempt ended; without it, it has completed.
+// The option exit=STATUS sets the exit status, which is 0 if it is not set.
+func parseAttemptEnded(l *scriptLine) Input {
 	ended := AttemptEnded{Node: l.argument(0), Attempt: l.argument(1), ExitStatus: l.intOption("exit")}
 	switch how := l.options["how"]; how {
 	case "":
--- a/internal/scheduler/script_test.go
+++ b/internal/scheduler/script_test.go
@@ -12,7 +12,7 @@
 
 // TestScripts runs the scripts of testdata and compares the effects with the transcripts in them. `core` creates a core.
 // `step` steps it at the given time, with one input per line. Between two steps the core is stepped at each
-// Output.NextStep, unless the second step has the option stall. Run with -rewrite to rewrite the transcripts.
+// Output.NextStep, unless the second step has the option `stall`. Run with -rewrite to rewrite the transcripts.
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata/scripts", func(t *testing.T, path string) {
 		runner := &scriptRunner{}
@@ -32,7 +32,7 @@
 type scriptRunner struct {
 	core          *Core
 	now           Time
-	nextStep      Time   // of the next step
+	nextStep      Time   // latest time of the next step
 	lastRequestID uint64 // of the last input
 }
 
@@ -56,8 +56,8 @@
 	return ""
 }
 
-// step steps the core at a time. The option stall omits the steps between the last one and this one; all prints published
-// changes too.
+// step steps the core at a time. The option `stall` omits the steps between the last one and this one. The option `all`
+// also prints published changes.
 func (s *scriptRunner) step(t *testing.T, data *datadriven.TestData) string {
 	t.Helper()
 	var at Time
--- a/internal/scheduler/stall.go
+++ b/internal/scheduler/stall.go
@@ -6,11 +6,11 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-// maxSyncTimeout bounds how long the core waits for the answers to a sync. It then continues without the answers of peers
-// that have not answered, as if they were unreachable.
+// maxSyncTimeout bounds how long the core waits for the answers to a sync. It then continues as if the peers that have
+// not answered were unreachable.
 const maxSyncTimeout = time.Second
 
-// syncGraceDivisor limits the timeout of a sync to the drain grace divided by it. The rest remains for the drain.
+// The timeout of a sync is at most the drain grace divided by syncGraceDivisor. The rest of the grace remains for the drain.
 const syncGraceDivisor = 4
 
 // syncBarrier suspends timers and the module after a stall. A process that was stopped resumes with timers that are due,
@@ -24,7 +24,7 @@
 	token            uint64          // of the last sync; answers with other tokens are ignored
 	discoveryPending bool            // discovery has not answered
 	pendingNodes     map[string]bool // nodes that have not answered
-	deadline         Time
+	deadline         Time            // when the barrier is lifted without the missing answers
 }
 
 func (b *syncBarrier) active() bool { return b.discoveryPending || len(b.pendingNodes) > 0 }
--- a/internal/scheduler/submission.go
+++ b/internal/scheduler/submission.go
@@ -55,7 +55,7 @@
 
 // admissionError returns an error if a valid submission cannot be accepted now.
 func (c *Core) admissionError(in Submit) *Error {
-	// An overloaded core would otherwise accept jobs whose deadlines leave it too little time to place them.
+	// Without this check, an overloaded core would accept jobs whose deadlines leave too little time to place them.
 	if late := c.now - in.ReceivedAt; in.ReceivedAt > 0 && late > c.placementTimeout(&in.Spec)/2 {
 		return newError(TryLater, overloadRetryAfter, "the scheduler is %v behind", late.Round(time.Millisecond))
 	}
@@ -74,8 +74,8 @@
 }
 
 // answerKnownKey answers a submission whose key is that of an earlier job, for example if the owner did not receive the
-// first answer. It returns false if the submission must be treated as new. That is so only if the earlier job ended without
-// being placed and, if it may have run, the settle time has passed.
+// first answer. It returns false, without an answer, if the submission must be treated as new: the earlier job ended
+// without being placed, and if an attempt of it may have run, the settle time has passed since.
 func (c *Core) answerKnownKey(in Submit, job *job) bool {
 	if !job.endedUnplaced() {
 		answer := Answer{Jobs: []JobInfo{job.info()}, Existing: true}
--- a/internal/scheduler/timer_test.go
+++ b/internal/scheduler/timer_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// The timers of a job are canceled when the job ends, even if they are due much later. Otherwise the timers of ended jobs
-// would accumulate.
+// The timers of a job are canceled when the job ends, even if they are due much later. If they were kept, the timers of
+// ended jobs would accumulate.
 func TestTimersOfEndedJobsAreCanceled(t *testing.T) {
 	const jobs = 50
 	now := time.Second
--- a/internal/scheduler/watch.go
+++ b/internal/scheduler/watch.go
@@ -8,11 +8,12 @@
 // watches records which streams receive the changes of which topic. A topic is a job, an array or a session, and a stream
 // has one topic.
 type watches struct {
-	streams map[string][]uint64 // by topic, in the order of the subscriptions
-	topics  map[uint64]string   // by stream
+	streams map[string][]uint64 // by topic: the streams that watch it, in the order of their watches
+	topics  map[uint64]string   // by stream: the topic that it watches
 }
 
-// The prefixes of topics, followed by the ID or the session's name. The topic of the empty session includes all jobs.
+// A topic is one of these prefixes followed by the ID of the job, the ID of the array or the name of the session. The
+// topic with an empty session name includes all jobs, of any session or none.
 const (
 	jobTopicPrefix     = "j:"
 	arrayTopicPrefix   = "a:"
@@ -35,11 +36,11 @@
 		return
 	}
 	delete(w.topics, stream)
-	left := slices.DeleteFunc(w.streams[topic], func(other uint64) bool { return other == stream })
-	if len(left) == 0 {
+	remaining := slices.DeleteFunc(w.streams[topic], func(other uint64) bool { return other == stream })
+	if len(remaining) == 0 {
 		delete(w.streams, topic)
 	} else {
-		w.streams[topic] = left
+		w.streams[topic] = remaining
 	}
 }
 
