--- a/internal/scheduler/array.go
+++ b/internal/scheduler/array.go
@@ -4,10 +4,10 @@
 
 // array is a DRMAA job array: jobs that were submitted together. It may limit how many of them are active concurrently.
 type array struct {
-	id, key      string
+	id, key      string // key is that of the submission; empty for none
 	jobs         []*job
 	remaining    int // jobs that have not been removed
-	maxParallel  int // limit of active; zero means no limit
+	maxParallel  int // maximum of active; zero means no limit
 	active       int // admitted jobs that have not ended
 	firstWaiting int // index in jobs; all jobs before it were admitted or have ended
 }
--- a/internal/scheduler/attempt.go
+++ b/internal/scheduler/attempt.go
@@ -286,7 +286,7 @@
 		}
 	}
 	switch {
-	case !current || job.state.Ended():
+	case !current || job.state.Ended(): // the end does not affect the job
 	case lastPhase >= phaseAccepted:
 		c.finishOrRequeue(job, end)
 	default:
--- a/internal/scheduler/command.go
+++ b/internal/scheduler/command.go
@@ -47,7 +47,7 @@
 		c.rejectInState(requestID, Hold, job)
 	case job.attempt != nil:
 		c.holdOfferedJob(requestID, job)
-	case c.mayHaveRun(job): // its placement request is still open; the module decides on it shortly
+	case c.mayHaveRun(job): // the placement request is still open; the module decides on the request shortly
 		c.reject(requestID, InvalidState, 0, "job %s may have run and can't be held", job.id)
 	default:
 		c.holdJob(job)
--- a/internal/scheduler/effects.go
+++ b/internal/scheduler/effects.go
@@ -15,7 +15,7 @@
 	// SendOffer offers a job to a node. The offer expires after ValidFor.
 	SendOffer struct {
 		Node, Attempt, Job string
-		PlacementRequest   int // its number, counted from 1 for each job
+		PlacementRequest   int // number of the placement request, counted from 1 for each job
 		Spec               *JobSpec
 		SubmittedAt        Time
 		ValidFor           time.Duration
--- a/internal/scheduler/property_test.go
+++ b/internal/scheduler/property_test.go
@@ -50,7 +50,7 @@
 	outcomes      map[string]PlacementOutcome // by job ID and number of the placement request, as JOB#NUMBER
 	syncToken     uint64                      // of the sync that discovery has not answered; zero means none
 	syncStartedAt Time                        // start of that sync
-	stalled       bool
+	stalled       bool                        // advance omits the steps that the core requests
 }
 
 // sentOffer is an offer that the core has sent.
@@ -58,7 +58,7 @@
 	SendOffer
 	sentAt       Time
 	closed       bool // rejected, failed, ended or stopped, or its node disconnected before accepting it
-	provenNotRun bool // rejected
+	provenNotRun bool // the node rejected the offer while it was open
 	accepted     bool
 	ended        bool
 }
@@ -190,7 +190,7 @@
 }
 
 // replyTo sends a reply to an offer, which may have been answered or have ended already. kind selects the reply: 0 to 2
-// accept, 3 reject, 4 failed start, 5 started, 6 end of the attempt.
+// accept, 3 reject, 4 failed start, 5 started, 6 end of the attempt by completion.
 func (s *simulation) replyTo(offer *sentOffer, kind int) {
 	if !s.connected[offer.Node] {
 		return
