--- a/internal/requests/attempt.go
+++ b/internal/requests/attempt.go
@@ -42,14 +42,14 @@
 	task              *task
 	number            int // among the attempts of the task, from 0
 	node              *node
-	link              *link // on which the offer was sent; nil before, and if the task was adopted
+	link              *link // on which the offer was sent; nil before that, and if the task was adopted
 	phase             attemptPhase
 	startedAt         Time
-	timeout           time.Duration
-	timer             *timerqueue.Timer
-	unlisted          bool // the task was adopted on a node that no endpoint list had contained
-	releasedAt        Time // when the release was last sent; 0: never
-	releasedOnNewLink bool // the release was sent on a link that had just been established
+	timeout           time.Duration     // from startedAt to the latest response to the offer
+	timer             *timerqueue.Timer // for the timeout of the current phase
+	unlisted          bool              // the task was adopted on a node that no endpoint list had contained
+	releasedAt        Time              // when the release was last sent; 0: never
+	releasedOnNewLink bool              // the release was sent on a link that had just been established
 }
 
 // releaseConfirmationTimeout is how long to wait for a node's confirmation of a release before the task may count as ended
--- a/internal/requests/config.go
+++ b/internal/requests/config.go
@@ -47,8 +47,8 @@
 // validate returns a *ConfigError for the first field that is out of range. flaxshelf.New validates the placer's settings.
 func (c *Config) validate() error {
 	const (
-		notPositive = "must be above 0"
-		negative    = "must not be below 0"
+		mustBePositive    = "must be above 0"
+		mustNotBeNegative = "must not be below 0"
 	)
 	for _, check := range []struct {
 		field  string
@@ -56,13 +56,13 @@
 		valid  bool
 		reason string
 	}{
-		{"NodeUnreachableTimeout", c.NodeUnreachableTimeout, c.NodeUnreachableTimeout > 0, notPositive},
-		{"MaxPending", c.MaxPending, c.MaxPending > 0, notPositive},
-		{"MaxLinks", c.MaxLinks, c.MaxLinks >= 0, negative},
-		{"Admission.MaxConnections", c.Admission.MaxConnections, c.Admission.MaxConnections > 0, notPositive},
+		{"NodeUnreachableTimeout", c.NodeUnreachableTimeout, c.NodeUnreachableTimeout > 0, mustBePositive},
+		{"MaxPending", c.MaxPending, c.MaxPending > 0, mustBePositive},
+		{"MaxLinks", c.MaxLinks, c.MaxLinks >= 0, mustNotBeNegative},
+		{"Admission.MaxConnections", c.Admission.MaxConnections, c.Admission.MaxConnections > 0, mustBePositive},
 		{"Admission.MaxPendingPerConnection", c.Admission.MaxPendingPerConnection, c.Admission.MaxPendingPerConnection > 0,
-			notPositive},
-		{"Admission.IdleTimeout", c.Admission.IdleTimeout, c.Admission.IdleTimeout > 0, notPositive},
+			mustBePositive},
+		{"Admission.IdleTimeout", c.Admission.IdleTimeout, c.Admission.IdleTimeout > 0, mustBePositive},
 	} {
 		if !check.valid {
 			return &ConfigError{Field: check.field, Value: check.value, Reason: check.reason}
--- a/internal/requests/core.go
+++ b/internal/requests/core.go
@@ -23,7 +23,7 @@
 	pendingEvents []flaxshelf.Event // for the placer's next step
 	placerTimerAt Time              // when the placer receives its next TimerFired event; 0: never
 
-	tasks            map[string]*task
+	tasks            map[string]*task // by task ID
 	owners           map[ConnID]*ownerConnection
 	admission        *admission.Control
 	idleTimer        *timerqueue.Timer // runs closeIdleOwners
@@ -33,7 +33,7 @@
 	preAdoption  preAdoptionTerminations
 	shuttingDown bool
 
-	nodes      map[string]*node
+	nodes      map[string]*node // by machine ID
 	links      map[LinkID]*link
 	lastLinkID LinkID
 	watch      discoveryWatch
@@ -62,7 +62,8 @@
 }
 
 // maxPlacerRounds is the maximum number of times that one Step runs the placer. An action of the placer, such as an offer to
-// a node that was removed, may cause another event for it in the same step.
+// a node that was removed, may cause another event for the placer in the same step. Events that remain after the last round
+// wait for the next Step.
 const maxPlacerRounds = 8
 
 // Step handles the inputs in order. It returns the effects to execute and the time by which it must be called again, where
--- a/internal/requests/input.go
+++ b/internal/requests/input.go
@@ -16,7 +16,7 @@
 
 // Causes of releases.
 const (
-	CauseNormal   Cause = 16  // a pending request was canceled, or a running task has completed
+	CauseNormal   Cause = 16  // a request was canceled, an offer was withdrawn, or a running task has completed
 	CauseCanceled Cause = 31  // the task was migrated, or ended by its owner, who needs no notification
 	CauseRejected Cause = 34  // the request was rejected; a retry is safe
 	CauseLost     Cause = 41  // the connection or the node was lost; the task may have run
@@ -39,8 +39,8 @@
 		IdempotencyKey string
 		Description    string
 	}
-	// Adopt is an owner's report of a task that a node already runs, and that this scheduler is to manage. It gets no
-	// response.
+	// Adopt is an owner's report of a task that a node already runs, and that this scheduler is to manage. The owner
+	// gets no response.
 	Adopt struct {
 		Conn ConnID
 		Task flaxshelf.Task
@@ -59,7 +59,7 @@
 	// Ping is an owner's health check of the scheduler. The effect Pong answers it.
 	Ping struct {
 		Conn ConnID
-		Task string
+		Task string // task ID in the owner's message, which the Pong repeats
 	}
 	// OwnerConnected reports a new connection of an owner.
 	OwnerConnected struct {
@@ -105,13 +105,13 @@
 	// Endpoint is an entry of the endpoint list: a machine and the address at which its node listens.
 	Endpoint struct {
 		Machine flaxshelf.Machine
-		Addr    string // empty if the list contains none, which leaves the address unchanged
+		Addr    string // empty if the list has no address for the node, which leaves a known address unchanged
 	}
 	// NodesUpdated is an update of the endpoint list.
 	NodesUpdated struct {
 		Endpoints  []Endpoint
-		Complete   bool // whether nodes that it does not contain are removed
-		FromConfig bool // whether it comes from the configuration at the start, and may be stale
+		Complete   bool // whether Endpoints lists all nodes, so that any other node is removed
+		FromConfig bool // whether the update comes from the configuration at the start, and may be stale
 	}
 	// WatchEstablished reports that the discovery service has accepted the subscription.
 	WatchEstablished struct{}
--- a/internal/requests/link.go
+++ b/internal/requests/link.go
@@ -14,7 +14,7 @@
 	node           *node
 	up             bool // established, and not ended
 	suspected      bool // possibly broken, and to be replaced by a newer link
-	pendingOffers  int  // sent on it and without a response
+	pendingOffers  int  // offers that were sent on the link and have no response yet
 	lastReceivedAt Time
 	lastUsedAt     Time // when it was established, or last used for an offer or a message of the node
 }
@@ -22,7 +22,8 @@
 // linkRetirementDelay is the minimum time that a suspected link stays open to receive late messages.
 const linkRetirementDelay = 2 * time.Second
 
-// ensureLink dials a node that needs a link, unless it has an unsuspected one, is being dialed or waits for its redial backoff.
+// ensureLink dials a node that needs a link. It does nothing if the node has an unsuspected link, established or being dialed,
+// or waits for its redial backoff. If Config.MaxLinks allows no further link to the node, it sets deniedLink instead.
 func (c *Core) ensureLink(n *node) {
 	hasLink := n.currentLink != nil && !n.currentLink.suspected
 	waiting := n.redialTimer != nil && n.redialTimer.Queued()
@@ -99,7 +100,7 @@
 // was sent on the link.
 func (c *Core) dialFailed(n *node, refused bool) {
 	// A draining node no longer listens, so a refused connection proves its end only if a link to it was up and has broken.
-	// Otherwise, a scheduler that has just started would report all tasks that it adopts there as lost.
+	// Without this exception, a scheduler that has just started would report all tasks that it adopts there as lost.
 	nodeEnded := refused && (n.everConnected || n.machine.State != flaxshelf.Draining)
 	if refused && !nodeEnded {
 		n.lastReceivedAt = c.now
@@ -118,8 +119,8 @@
 }
 
 // retainLink continues to use a link that is up after its replacement could not be established. A refused connection shows
-// that the machine is reachable and the node no longer listens, as when it drains: it then keeps its running tasks and open
-// links. If the refusal were treated as the end of the node, those tasks would be reported lost while they run.
+// that the machine is reachable and the node no longer listens. A draining node does not listen, but keeps its running tasks
+// and open links. If the refusal were treated as the end of the node, those tasks would be reported lost while they run.
 func (c *Core) retainLink(n *node, old *link, refused bool) {
 	n.currentLink = old
 	if refused {
--- a/internal/requests/linkpool.go
+++ b/internal/requests/linkpool.go
@@ -25,21 +25,21 @@
 	return priority
 }
 
-// prefetchLinkEighths is the share of Config.MaxLinks, in eighths, at which no more links are prefetched. Links of any
-// priority count. The last eighth is reserved for links of a higher priority.
+// prefetchLinkEighths is the share of Config.MaxLinks, in eighths, at which no more links are prefetched. The share
+// includes the links of all priorities. The last eighth is reserved for links of a higher priority.
 const prefetchLinkEighths = 7
 
-// atCapacity reports whether the pool has no room for more prefetched links.
-func (c *Core) atCapacity() bool {
+// prefetchLimitReached reports whether no more links may be prefetched.
+func (c *Core) prefetchLimitReached() bool {
 	return c.config.MaxLinks > 0 && len(c.links) >= c.config.MaxLinks*prefetchLinkEighths/8
 }
 
-// reserveLink reports whether a link to n may be dialed. If the pool is full, it closes another link to make room.
-// Without the limit, a large number of nodes, or of nodes with both an old and a new link, would use up the file descriptors,
-// and none would be left for a node with a pending offer.
+// reserveLink makes room for a link to n, by closing another link if necessary, and reports whether the link may be dialed.
+// Without Config.MaxLinks, a large number of nodes, or of nodes with both an old and a new link, would use up the file
+// descriptors, and none would be left for a node with a pending offer.
 func (c *Core) reserveLink(n *node) bool {
 	priority := n.linkPriority()
-	if !c.atCapacity() || priority > priorityPrefetch && len(c.links) < c.config.MaxLinks {
+	if !c.prefetchLimitReached() || priority > priorityPrefetch && len(c.links) < c.config.MaxLinks {
 		return true
 	}
 	if priority == priorityPrefetch {
@@ -82,12 +82,12 @@
 	rankReplaced                  // a newer link has replaced it
 )
 
-// evictionIdleDivisor determines how long a link to a node with running tasks must be unused before another such link may
-// replace it: Config.NodeUnreachableTimeout divided by it. Each of several nodes then gets a link before it counts as
-// unreachable.
+// evictionIdleDivisor sets the time for which a link to a node with running tasks must be unused before it may be closed in
+// favor of a link to another such node: Config.NodeUnreachableTimeout / evictionIdleDivisor. If these nodes share too few
+// links, each of several nodes thus gets a link before it counts as unreachable.
 const evictionIdleDivisor = 4
 
-// rankForEviction returns the rank of l for the eviction in favor of a link of the priority wanted.
+// rankForEviction returns the rank of l among the links that may be closed in favor of a new link of priority wanted.
 func (c *Core) rankForEviction(l *link, wanted linkPriority) evictionRank {
 	switch {
 	case !l.up || l.pendingOffers > 0:
--- a/internal/requests/memory_test.go
+++ b/internal/requests/memory_test.go
@@ -14,7 +14,7 @@
 func TestHeapStaysBounded(t *testing.T) {
 	const minPlaced = 15000
 	h := newHarness(t)
-	h.core.config.RecordStep = nil // keeps no record of events, which would grow the heap
+	h.core.config.RecordStep = nil // recorded events would grow the heap
 	step := func(inputs ...Input) []Effect {
 		effects, _ := h.core.Step(h.now, inputs)
 		return slices.Clone(effects)
--- a/internal/requests/node.go
+++ b/internal/requests/node.go
@@ -12,13 +12,13 @@
 type node struct {
 	machine        flaxshelf.Machine // its latest entry in the endpoint list
 	addr           string
-	listed         bool  // whether an endpoint list has contained it
-	currentLink    *link // the newest link, on which offers are sent
-	attempts       map[string]*attempt
-	lastReceivedAt Time // when it was last responsive, such as by a message or a new link
-	failedDials    int  // consecutive
-	everConnected  bool // whether a link to it has ever been established
-	deniedLink     bool // whether it has no link because the pool is full
+	listed         bool                // whether an endpoint list has contained it
+	currentLink    *link               // the newest link, on which offers are sent
+	attempts       map[string]*attempt // by task ID
+	lastReceivedAt Time                // when it was added or last showed that it is reachable, such as by a message
+	failedDials    int                 // number of dials that have failed since a link was last established
+	everConnected  bool                // whether a link to it has ever been established
+	deniedLink     bool                // whether it has no link because of Config.MaxLinks
 	redialTimer    *timerqueue.Timer
 }
 
@@ -79,7 +79,7 @@
 	c.discardIfUnused(n)
 }
 
-// endLostTasks ends the running tasks of a node for which condition returns true as lost, and returns their number.
+// endLostTasks ends the running tasks of a node whose attempts meet condition. It records them as lost and returns their number.
 func (c *Core) endLostTasks(n *node, condition func(*attempt) bool) (lost uint64) {
 	for _, a := range n.sortedAttempts() {
 		if a.phase >= phaseRunning && condition(a) {
--- a/internal/requests/nodefailure.go
+++ b/internal/requests/nodefailure.go
@@ -8,8 +8,8 @@
 
 // Timeouts for the detection of unreachable nodes. TestNodeFailureTimeoutsAreOrdered checks their relations.
 const (
-	// LossNotificationDeadline is the protocol's limit on the time from the loss of a task that no node can report to the
-	// notification of its owner.
+	// LossNotificationDeadline is the time within which the protocol requires that the owner of a lost task is notified, if no
+	// node can report the loss.
 	LossNotificationDeadline = 8 * time.Second
 	// nodeCheckInterval is the interval between checks for unresponsive nodes.
 	nodeCheckInterval = 500 * time.Millisecond
@@ -20,8 +20,8 @@
 	// due.
 	maxSchedulingDelay = 300 * time.Millisecond
 	// DefaultNodeUnreachableTimeout is the longest Config.NodeUnreachableTimeout with which owners are notified within
-	// LossNotificationDeadline, as the protocol requires. A shorter one would report more tasks as lost that survive a network
-	// partition of a few seconds.
+	// LossNotificationDeadline, as the protocol requires. With a shorter one, more tasks would be reported as lost although
+	// they survive a network partition of a few seconds.
 	DefaultNodeUnreachableTimeout = LossNotificationDeadline - nodeCheckInterval - maxSchedulingDelay
 )
 
@@ -77,10 +77,10 @@
 	return c.now-l.lastUsedAt >= c.config.NodeIdleTimeout*idleRenewalQuarters/4
 }
 
-// renewIdleLink replaces a link that its node is about to close. If the pool is at capacity and the node has no attempts, the
-// link is closed without a replacement.
+// renewIdleLink replaces a link that its node is about to close. If no more links may be prefetched and the node has no
+// attempts, the link is closed without a replacement.
 func (c *Core) renewIdleLink(n *node) {
-	if len(n.attempts) == 0 && c.atCapacity() {
+	if len(n.attempts) == 0 && c.prefetchLimitReached() {
 		c.closeLink(n.currentLink)
 		return
 	}
--- a/internal/requests/nodefailure_test.go
+++ b/internal/requests/nodefailure_test.go
@@ -172,7 +172,7 @@
 }
 
 // If an offer times out and its link has received nothing since, the link is replaced at once, even before
-// nodeUnresponsiveThreshold has passed and if the node has no other attempt.
+// nodeUnresponsiveThreshold has passed, and even if the node has no other attempt.
 func TestOfferTimeoutReplacesUnresponsiveLink(t *testing.T) {
 	for _, test := range []struct {
 		name         string
--- a/internal/requests/nodemessage.go
+++ b/internal/requests/nodemessage.go
@@ -44,7 +44,8 @@
 }
 
 // handleUnmatchedMessage handles a message about a task that has no attempt at the node. If the node has accepted the task, it
-// is sent a release, because the offer has ended or the task is unknown.
+// is sent a release, because the offer has ended or the task is unknown. A node's release is recorded, because the owner's Adopt
+// of the task may follow.
 func (c *Core) handleUnmatchedMessage(l *link, in NodeMessage) {
 	switch in.Kind {
 	case NodeAccepted:
--- a/internal/requests/notification.go
+++ b/internal/requests/notification.go
@@ -2,7 +2,7 @@
 
 import "cmp"
 
-// maxUndelivered is the maximum number of notifications that wait for an owner's connection. Any more are dropped.
+// maxUndelivered is the maximum number of notifications that wait for an owner's connection. Further notifications are dropped.
 const maxUndelivered = 4096
 
 // notifyTerminated notifies the owner of a running task that the task has ended.
@@ -32,8 +32,8 @@
 	}
 }
 
-// retryUndelivered sends all undelivered notifications on a connection.
-func (c *Core) retryUndelivered(conn ConnID) {
+// sendUndelivered sends all undelivered notifications on a connection.
+func (c *Core) sendUndelivered(conn ConnID) {
 	for _, notification := range c.undelivered {
 		notification.Conn = conn
 		c.emit(*notification)
@@ -58,7 +58,7 @@
 	return best
 }
 
-// compareLikelihood orders connections by how likely they belong to an owner.
+// compareLikelihood orders connections by how likely they belong to an owner. It returns a positive number if a is likelier.
 func compareLikelihood(a, b *ownerConnection) int {
 	return cmp.Or(
 		cmp.Compare(a.confirmedSeq, b.confirmedSeq),
--- a/internal/requests/notification_test.go
+++ b/internal/requests/notification_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// An adoption does not prove that a connection belongs to an owner: notifications are sent on a connection for which a task
-// was placed instead, and the connection of the adoption is closed as idle.
+// An adoption does not prove that a connection belongs to an owner: notifications are sent instead on a connection on which
+// a placed task was submitted, and the connection of the adoption is closed as idle.
 func TestAdoptionDoesNotVerifyOwner(t *testing.T) {
 	h := newHarness(t)
 	h.connect(1, 2, 3)
@@ -40,7 +40,7 @@
 }
 
 // A scheduler that has just started knows owners only as connections from which tasks were adopted. These stay open until one
-// is confirmed, although misbehaving clients may be among them; otherwise no owner could be notified.
+// is confirmed, although misbehaving clients may be among them, because without them no owner could be notified.
 func TestLikelyOwnersStayConnectedUntilOneIsConfirmed(t *testing.T) {
 	h := newHarness(t)
 	h.addNodes("n")
@@ -57,7 +57,7 @@
 	expectEffect(h, Terminated{Conn: 1, Task: taskID(8), Cause: CauseNormal}) // although it was adopted from connection 2
 }
 
-// If no connection is confirmed, a notification is sent on the one with the most adoptions, and of several on the oldest.
+// If no connection is confirmed, a notification is sent on the one with the most adoptions, and of several such on the oldest.
 func TestNotifiesConnectionWithMostAdoptions(t *testing.T) {
 	h := newHarness(t)
 	h.addNodes("n")
--- a/internal/requests/owner.go
+++ b/internal/requests/owner.go
@@ -10,7 +10,7 @@
 type ownerConnection struct {
 	conn         ConnID
 	pending      map[string]*task // by task ID; nil before the first request
-	confirmedSeq uint64           // increases with each markConfirmedOwner of any connection; 0: never confirmed
+	confirmedSeq uint64           // rank of its latest confirmation, in order of time, among those of all connections; 0: none
 	adoptions    int              // number of tasks on listed nodes that were adopted from it
 }
 
@@ -70,7 +70,7 @@
 	}
 }
 
-// protocolError counts a protocol error, and closes the connection if it exceeds the limit.
+// protocolError counts a protocol error, and closes the connection if it has caused more than the limit.
 func (c *Core) protocolError(conn ConnID) {
 	if c.admission.RecordProtocolError(admission.ID(conn)) {
 		c.closeOwner(conn)
@@ -86,7 +86,7 @@
 	c.emit(Pong{Conn: in.Conn, Task: in.Task, Passed: !c.shuttingDown})
 }
 
-// recordOwnerUse records with admission control that the owner has used its connection.
+// recordOwnerUse records in admission control that a connection was used in a way in which only owners use one.
 func (c *Core) recordOwnerUse(conn ConnID) { c.admission.RecordOwnerUse(c.now, admission.ID(conn)) }
 
 // markConfirmedOwner marks a connection that certainly belongs to an owner, because a task submitted on it was placed, or a
@@ -95,18 +95,18 @@
 	if o := c.owners[conn]; o != nil {
 		c.lastConfirmedSeq++
 		o.confirmedSeq = c.lastConfirmedSeq
-		c.retryUndelivered(conn)
+		c.sendUndelivered(conn)
 	}
 }
 
 // markLikelyOwner marks a connection from which a task on a listed node was adopted. This does not prove that the connection
-// belongs to an owner. It stays unverified in admission control until the node confirms the task, and gets notifications of
-// other connections only if no connection is more likely to belong to an owner.
+// belongs to an owner. It stays unverified in admission control until the node confirms the task, and is used
+// for notifications about tasks of closed connections only if no other connection is more likely to belong to an owner.
 func (c *Core) markLikelyOwner(conn ConnID) {
 	if o := c.owners[conn]; o != nil {
 		o.adoptions++
 		c.admission.MarkLikelyOwner(admission.ID(conn))
-		c.retryUndelivered(conn)
+		c.sendUndelivered(conn)
 	}
 }
 
--- a/internal/requests/preadoption.go
+++ b/internal/requests/preadoption.go
@@ -13,7 +13,7 @@
 	node          string
 	cause         Cause
 	receivedAt    Time
-	ownerNotified bool // the owner was notified, or needs no notification
+	ownerNotified bool // whether the owner was notified, or needs no notification
 }
 
 const (
@@ -64,8 +64,8 @@
 	p.byTask[taskID] = termination
 }
 
-// adoptTerminated handles the Adopt of a task whose node has already reported its end. It returns false if the node has not.
-// The owner is notified once, even if it sends the Adopt several times.
+// adoptTerminated handles the Adopt of a task whose node has already reported its end. It returns false if there is no
+// such report. The owner is notified once, even if it sends the Adopt several times.
 func (c *Core) adoptTerminated(in Adopt) bool {
 	termination, ok := c.preAdoption.find(c.now, in.Task.ID, in.Node)
 	if !ok {
--- a/internal/requests/property_test.go
+++ b/internal/requests/property_test.go
@@ -25,7 +25,7 @@
 	openLinks   map[LinkID]string // node of each link that is established, or whose LinkUp the core has not read
 	lastTask    int
 	submissions map[string]*submission
-	inactive    map[string]bool // nodes whose latest update that the core has read was to draining or removed
+	inactive    map[string]bool // nodes that are not active according to the latest update that the core has read
 }
 
 // submission is a request, with what its owner has received for it.
@@ -34,7 +34,7 @@
 	deadline         Time
 	readByCore       bool
 	abandoned        bool // the core has read its cancellation or the end of its connection, or has closed the connection
-	closedByCore     bool // its connection
+	closedByCore     bool // the core has closed its connection
 	responses        int
 	placed           bool
 	endNotifications int // number of notifications of its end after it was placed
@@ -63,7 +63,7 @@
 	return r
 }
 
-// randomElement returns a random element.
+// randomElement returns a random element of all.
 func randomElement[T any](rng *rand.Rand, all []T) T { return all[rng.IntN(len(all))] }
 
 // send queues an input of a source, for the core to read in a later step.
--- a/internal/requests/request.go
+++ b/internal/requests/request.go
@@ -12,11 +12,11 @@
 	class          string
 	idempotencyKey string
 	description    string
-	conn           ConnID // connection on which it was submitted or adopted
-	pending        bool   // whether its owner waits for the response
-	unconfirmed    bool   // whether it was adopted and its node has not yet sent a message about it
-	attempts       int    // number of attempts so far
-	attempt        *attempt
+	conn           ConnID   // connection on which it was submitted or adopted
+	pending        bool     // whether its owner waits for the response
+	unconfirmed    bool     // whether it was adopted and its node has not yet sent a message about it
+	attempts       int      // number of attempts so far
+	attempt        *attempt // the current one, or nil
 	// unansweredLinks maps a node to the newest link on which an attempt there ended without a response. The response may
 	// still arrive on that link.
 	unansweredLinks map[*node]LinkID
@@ -30,7 +30,8 @@
 	t.unansweredLinks[n] = max(id, t.unansweredLinks[n])
 }
 
-// submit starts a request. If the task ID is already in use, the request is not started, and the earlier one is unaffected.
+// submit starts a request. If the task ID is already in use, the earlier task is unaffected, and the request
+// is not started: it is ignored if it repeats a pending request of the same connection, and fails in all other cases.
 func (c *Core) submit(in Submit) {
 	o := c.owners[in.Conn]
 	if o == nil {
@@ -78,7 +79,7 @@
 	c.deleteIfDone(t)
 }
 
-// finishRequest records that a request has been responded to or, if answered is false, canceled by its owner.
+// finishRequest records that a request has been responded to or, if answered is false, canceled.
 func (c *Core) finishRequest(t *task, answered bool) {
 	if !t.pending {
 		return
--- a/internal/requests/stats.go
+++ b/internal/requests/stats.go
@@ -13,36 +13,36 @@
 	Nodes           int
 	Links           int
 
-	// Counters of requests, by their final response, and of offers.
+	// Counters of requests that are no longer pending, by how they ended, and of offers.
 	Placed   uint64
 	Rejected uint64
 	Failed   uint64
 	Canceled uint64 // by their owners, or because the owner's connection ended
-	Offers   uint64 // attempts that were started, including those that ended before the offer was sent
+	Offers   uint64 // offers that the placer ordered; each starts an attempt, which may end before the offer is sent
 
-	// Counters of running tasks: adopted, ended for any reason, and ended by a report of the node or by its loss.
+	// Counters of running tasks.
 	Adopted           uint64
-	Ended             uint64
-	Completed         uint64
-	Evicted           uint64
-	Preempted         uint64
-	LostByNodeReport  uint64
-	LostToNodeDeath   uint64
-	LostToUnreachable uint64
-	LostToRemoval     uint64
+	Ended             uint64 // for any reason
+	Completed         uint64 // as their node reported
+	Evicted           uint64 // as their node reported
+	Preempted         uint64 // as their node reported
+	LostByNodeReport  uint64 // lost for any other reason that their node reported
+	LostToNodeDeath   uint64 // lost because their node's process had ended: it refused a connection
+	LostToUnreachable uint64 // lost because their node was unreachable for Config.NodeUnreachableTimeout
+	LostToRemoval     uint64 // lost because their node was removed, was replaced by another node or restarted
 
 	// Counters of offers that did not lead to a running task.
 	RejectedOffers    uint64
 	FailedOffers      uint64
 	TimedOutOffers    uint64
-	LostOffers        uint64
-	UnreachableOffers uint64
+	LostOffers        uint64 // sent; the link or node was lost, or the node released the task with another cause
+	UnreachableOffers uint64 // not sent, because no link to the node could be established in time
 
-	OwnersClosed    uint64 // owners' connections that the core closed
-	RejectedAtLimit uint64 // requests rejected because a limit was reached
-	BrokenLinks     uint64
-	SuspectedLinks  uint64 // links that were suspected because their node had sent nothing for too long
-	StaleMessages   uint64 // acceptances by nodes where the task has no attempt
+	OwnersClosed    uint64 // owners' connections closed by the core: too many, idle, or with too many protocol errors
+	RejectedAtLimit uint64 // requests rejected because too many were pending; Rejected does not include them
+	BrokenLinks     uint64 // established links that ended without having been closed by the core
+	SuspectedLinks  uint64 // links that the periodic check suspected because their node had sent nothing for too long
+	StaleMessages   uint64 // nodes' acceptances of tasks that had no attempt at the node
 }
 
 // countTermination counts a running task whose end its node has reported.
--- a/internal/requests/watch.go
+++ b/internal/requests/watch.go
@@ -10,7 +10,7 @@
 // discoveryWatch is the state of the watch on the discovery service. If updates are pushed, the core opens the watch itself,
 // because the placer does not subscribe. If they must be requested, the placer's Subscribe action opens it.
 type discoveryWatch struct {
-	started  bool
+	started  bool       // whether startWatch has run
 	failures int        // consecutive failures of the watch
 	rng      *rand.Rand // for the jitter of the backoff
 }
@@ -22,7 +22,7 @@
 	maxWatchBackoff     = time.Second
 )
 
-// startWatch opens the watch in the first step, and starts the periodic checks for unresponsive nodes.
+// startWatch starts the periodic checks for unresponsive nodes in the first step, and opens the watch if updates are pushed.
 func (c *Core) startWatch() {
 	if c.watch.started {
 		return
@@ -40,8 +40,8 @@
 	c.notifyPlacer(flaxshelf.MachinesUpdated{})
 }
 
-// watchFailed notifies the placer and opens the watch again after a backoff. The jitter prevents schedulers whose watches fail
-// at the same time from reconnecting at the same time.
+// watchFailed notifies the placer and, if updates are pushed, opens the watch again after a backoff. The
+// jitter prevents schedulers whose watches fail at the same time from reconnecting at the same time.
 func (c *Core) watchFailed() {
 	c.notifyPlacer(flaxshelf.DiscoveryFailed{})
 	if c.config.Placer.DiscoveryOnRequest {
