--- a/internal/requests/attempt.go
+++ b/internal/requests/attempt.go
@@ -45,7 +45,7 @@
 	link              *link // on which the offer was sent; nil before that, and if the task was adopted
 	phase             attemptPhase
 	startedAt         Time
-	timeout           time.Duration     // from startedAt to the latest response to the offer
+	timeout           time.Duration     // time from startedAt until the attempt times out
 	timer             *timerqueue.Timer // for the timeout of the current phase
 	unlisted          bool              // the task was adopted on a node that no endpoint list had contained
 	releasedAt        Time              // when the release was last sent; 0: never
--- a/internal/requests/effect.go
+++ b/internal/requests/effect.go
@@ -7,14 +7,14 @@
 
 // Effects on owners' connections.
 type (
-	// Accepted responds to an owner that a node has accepted the task and runs it.
+	// Accepted tells an owner, as the response to its request, that a node has accepted the task and runs it.
 	Accepted struct {
 		Conn        ConnID
 		Task        string
 		Description string
 	}
-	// Terminated responds to an owner that its request was rejected or has failed, or notifies it that its running task has
-	// ended. If Migrate is true, the task ends by a migration, Cause is unused, and the owner submits the task again.
+	// Terminated tells an owner, as the response to its request, that the request was rejected or has failed, or notifies the
+	// owner that its running task has ended. If Migrate is true, the task ends by a migration, Cause is unused, and the owner submits the task again.
 	Terminated struct {
 		Conn    ConnID
 		Task    string
--- a/internal/requests/linkpool.go
+++ b/internal/requests/linkpool.go
@@ -54,8 +54,8 @@
 	return true
 }
 
-// evictionCandidate returns the link to close for a new one of the given priority: the one of the highest rank, of these the
-// least recently used, and of these the oldest. It returns nil if no link may be evicted.
+// evictionCandidate returns the link to close in favor of a new one of the given priority: the link of the highest rank, among
+// several such the least recently used, and among several of these the oldest. It returns nil if no link may be closed.
 func (c *Core) evictionCandidate(priority linkPriority) *link {
 	var best *link
 	var bestRank evictionRank
--- a/internal/requests/node.go
+++ b/internal/requests/node.go
@@ -16,7 +16,7 @@
 	currentLink    *link               // the newest link, on which offers are sent
 	attempts       map[string]*attempt // by task ID
 	lastReceivedAt Time                // when it was added or last showed that it is reachable, such as by a message
-	failedDials    int                 // number of dials that have failed since a link was last established
+	failedDials    int                 // failed dials since a link was last established, without those while another was up
 	everConnected  bool                // whether a link to it has ever been established
 	deniedLink     bool                // whether it has no link because of Config.MaxLinks
 	redialTimer    *timerqueue.Timer
@@ -79,7 +79,8 @@
 	c.discardIfUnused(n)
 }
 
-// endLostTasks ends the running tasks of a node whose attempts meet condition. It records them as lost and returns their number.
+// endLostTasks ends, with the outcome Lost, the running tasks of a node whose attempts meet condition. It returns the number of
+// these tasks.
 func (c *Core) endLostTasks(n *node, condition func(*attempt) bool) (lost uint64) {
 	for _, a := range n.sortedAttempts() {
 		if a.phase >= phaseRunning && condition(a) {
--- a/internal/requests/owner.go
+++ b/internal/requests/owner.go
@@ -10,7 +10,7 @@
 type ownerConnection struct {
 	conn         ConnID
 	pending      map[string]*task // by task ID; nil before the first request
-	confirmedSeq uint64           // rank of its latest confirmation, in order of time, among those of all connections; 0: none
+	confirmedSeq uint64           // number of its latest confirmation, counted over all connections; 0: never confirmed
 	adoptions    int              // number of tasks on listed nodes that were adopted from it
 }
 
@@ -100,8 +100,8 @@
 }
 
 // markLikelyOwner marks a connection from which a task on a listed node was adopted. This does not prove that the connection
-// belongs to an owner. It stays unverified in admission control until the node confirms the task, and is used
-// for notifications about tasks of closed connections only if no other connection is more likely to belong to an owner.
+// belongs to an owner. It stays unverified in admission control until the node confirms the task. Notifications about
+// tasks of closed connections are sent on it only if no other connection is more likely to belong to an owner.
 func (c *Core) markLikelyOwner(conn ConnID) {
 	if o := c.owners[conn]; o != nil {
 		o.adoptions++
--- a/internal/requests/request.go
+++ b/internal/requests/request.go
@@ -30,8 +30,8 @@
 	t.unansweredLinks[n] = max(id, t.unansweredLinks[n])
 }
 
-// submit starts a request. If the task ID is already in use, the earlier task is unaffected, and the request
-// is not started: it is ignored if it repeats a pending request of the same connection, and fails in all other cases.
+// submit starts a request. If the task ID is already in use, the earlier task is unaffected, and the request is
+// not started: it is ignored if it repeats a pending request of the same connection, and fails in all other cases.
 func (c *Core) submit(in Submit) {
 	o := c.owners[in.Conn]
 	if o == nil {
--- a/internal/requests/stats.go
+++ b/internal/requests/stats.go
@@ -27,7 +27,7 @@
 	Evicted           uint64 // as their node reported
 	Preempted         uint64 // as their node reported
 	LostByNodeReport  uint64 // lost for any other reason that their node reported
-	LostToNodeDeath   uint64 // lost because their node's process had ended: it refused a connection
+	LostToNodeDeath   uint64 // lost because their node's process had ended, as a refused connection showed
 	LostToUnreachable uint64 // lost because their node was unreachable for Config.NodeUnreachableTimeout
 	LostToRemoval     uint64 // lost because their node was removed, was replaced by another node or restarted
 
@@ -35,7 +35,7 @@
 	RejectedOffers    uint64
 	FailedOffers      uint64
 	TimedOutOffers    uint64
-	LostOffers        uint64 // sent; the link or node was lost, or the node released the task with another cause
+	LostOffers        uint64 // sent, and ended with flaxshelf.Lost, as when the link broke
 	UnreachableOffers uint64 // not sent, because no link to the node could be established in time
 
 	OwnersClosed    uint64 // owners' connections closed by the core: too many, idle, or with too many protocol errors
