--- a/internal/requests/effect.go
+++ b/internal/requests/effect.go
@@ -14,7 +14,8 @@
 		Description string
 	}
 	// Terminated tells an owner, as the response to its request, that the request was rejected or has failed, or notifies the
-	// owner that its running task has ended. If Migrate is true, the task ends by a migration, Cause is unused, and the owner submits the task again.
+	// owner that its running task has ended. If Migrate is true, the task ends by a migration, Cause is unused, and the owner
+	// submits the task again.
 	Terminated struct {
 		Conn    ConnID
 		Task    string
