--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -114,7 +114,7 @@
 }
 
 // leastRecentlyUsed returns the least recently used connection of a list that has no pending requests. It returns nil if
-// there is none, or if that was used within Limits.RecentUseGrace.
+// there is none, or if that connection was used within Limits.RecentUseGrace.
 func (c *Control) leastRecentlyUsed(now Time, used *list.List) *connection {
 	for element := used.Front(); element != nil; element = element.Next() {
 		conn := connectionOf(element)
@@ -226,8 +226,8 @@
 	c.removeFromList(conn)
 }
 
-// idleRecheckDivisor determines when CloseIdle checks an idle connection again that it could not close: after
-// Limits.IdleTimeout divided by it.
+// idleRecheckDivisor determines when CloseIdle must be called again if it left an overdue connection open: at the latest after
+// Limits.IdleTimeout divided by idleRecheckDivisor.
 const idleRecheckDivisor = 8
 
 // CloseIdle returns the connections to close because they are still unverified at Limits.IdleTimeout after they were opened.
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -11,7 +11,7 @@
 // steps of the wall clock don't move deadlines.
 func Now() time.Duration { return At(time.Now()) }
 
-// At returns what Now returned at time t, which must be a result of time.Now.
+// At converts t, which must be a result of time.Now, to the time that Now would have returned at the same moment.
 func At(t time.Time) time.Duration { return time.Duration(start.UnixNano()) + t.Sub(start) }
 
 // WallTime converts a result of Now to a time.Time in the local time zone.
--- a/internal/machineindex/affinity.go
+++ b/internal/machineindex/affinity.go
@@ -21,7 +21,7 @@
 	// Compare returns a positive value if a ranks higher than b, a negative value if it ranks lower, and 0 if they are
 	// equal. Of two affinities of the same weight, the one with the higher hash value must rank higher.
 	Compare func(a, b Affinity) int
-	// HashThreshold returns the hash value, as a fraction of MaxHashValue, from which on a machine of the given weight is
+	// HashThreshold returns the smallest hash value, as a fraction of MaxHashValue, with which a machine of the given weight is
 	// expected to rank among the first few machines of a fleet. totalWeight is the sum of the weights of the fleet.
 	HashThreshold func(weight, totalWeight float64) float64
 }
@@ -43,7 +43,7 @@
 	candidateBuffer []Candidate // reused by rankTopMachines
 }
 
-// hashColumn has the ID hashes and the numbers of the machines of one kind.
+// hashColumn has the ID hashes and the numbers of the machines of one kind, both in the same order.
 type hashColumn struct {
 	idHashes []uint64
 	machines []int32
@@ -82,8 +82,8 @@
 	return idx.scanTopTwo(s, machines)
 }
 
-// scanTopTwo implements TopTwoByAffinity by a scan of the whole set, for a set with fewer than two of the service's top
-// machines.
+// scanTopTwo implements TopTwoByAffinity by a scan of the whole set. It is needed for a set that contains fewer than two of
+// s.topMachines.
 func (idx *Index) scanTopTwo(s *Service, machines *bitset.BitSet) (first, second int32) {
 	compare := idx.affinity.policy.Compare
 	best, runnerUp := Candidate{Machine: -1}, Candidate{Machine: -1}
--- a/internal/machineindex/assumed_capacity.go
+++ b/internal/machineindex/assumed_capacity.go
@@ -20,8 +20,8 @@
 
 // assumedSum is the capacity that is assumed to be in use on one machine.
 type assumedSum struct {
-	since      time.Duration // placements offered before are not counted
-	generation int           // assumedCapacity.generation of the sum
+	since      time.Duration // placements offered before this time are not counted
+	generation int           // assumedCapacity.generation when the sum was last reset
 	cores      float64
 	memory     float64
 }
@@ -90,7 +90,8 @@
 	idx.updateFreeCapacity(e)
 }
 
-// addAssumed adds a placement of the current step to the sums, if there are any for this step.
+// addAssumed adds a placement of the current step to the sums. It does nothing if the sums are not valid or a renumbering is
+// pending.
 func (idx *Index) addAssumed(p *Placement) {
 	if idx.assumed.valid && !idx.renumberPending {
 		idx.assumed.add(p)
--- a/internal/machineindex/capacity.go
+++ b/internal/machineindex/capacity.go
@@ -52,8 +52,8 @@
 	idx.capacity.requestedCores[number], idx.capacity.requestedMemory[number] = 0, 0
 }
 
-// AddMachinesLackingCapacity adds to lacking those of the given machines that have fewer than the given cores free, or less
-// than the given memory.
+// AddMachinesLackingCapacity adds to the set lacking each member of machines whose free cores are fewer than cores or whose
+// free memory is less than memory.
 func (idx *Index) AddMachinesLackingCapacity(machines, lacking *bitset.BitSet, cores, memory float64) {
 	c := &idx.capacity
 	machineWords, lackingWords := machines.Words(), lacking.Words()
--- a/internal/machineindex/history.go
+++ b/internal/machineindex/history.go
@@ -77,7 +77,7 @@
 	}
 }
 
-// AddPlacement adds a placement to the history. It must not have been offered earlier than the last one added.
+// AddPlacement adds a placement to the history. p.OfferedAt must not be before that of the last placement added.
 func (idx *Index) AddPlacement(p *Placement) {
 	h := &idx.history
 	h.lastSequence++
@@ -87,7 +87,7 @@
 	idx.addAssumed(p)
 }
 
-// addPlacement adds a placement to the machine's own list, and removes those with a sequence below oldestSequence.
+// addPlacement adds p to the machine's own list, from which it removes the placements with a sequence below oldestSequence.
 func (e *Entry) addPlacement(p *Placement, oldestSequence uint64) {
 	first := 0
 	for first < len(e.placements) && e.placements[first].sequence < oldestSequence {
@@ -96,7 +96,7 @@
 	e.placements = append(append(e.placements[:0], e.placements[first:]...), p)
 }
 
-// ForEachPlacement calls visit for each recent placement on one of the candidates, in the order in which they were added.
+// ForEachPlacement calls visit for each recent placement on one of the candidates, in the order of AddPlacement.
 // The first argument of visit is the index of the machine in candidates. Machines without a kind are skipped.
 func (idx *Index) ForEachPlacement(candidates []Candidate, visit func(candidate int, p *Placement)) {
 	for i, c := range candidates {
@@ -110,8 +110,9 @@
 	}
 }
 
-// placementsOn returns the recent placements on the candidates, whose Entry.candidatePosition must be set. If they are few,
-// it merges the machines' own lists, else it scans the whole history. The result is valid until the next call.
+// placementsOn returns the recent placements on the candidates, whose Entry.candidatePosition must be set. It combines the
+// candidates' own lists if these are short compared to the history, and scans the whole history if they are not. The result
+// is valid until the next call.
 func (idx *Index) placementsOn(candidates []Candidate) []*Placement {
 	recent := idx.history.Recent()
 	if len(recent) == 0 {
--- a/internal/machineindex/index.go
+++ b/internal/machineindex/index.go
@@ -55,7 +55,7 @@
 	attempts          map[string]*attemptCount // counts of active attempts by service
 	placements        []*Placement             // ordered by time; some may have been pruned from the history
 	assumed           assumedSum
-	candidatePosition int32 // position among the candidates of ForEachPlacement, counted from 1; 0 if it is none
+	candidatePosition int32 // position among the candidates of ForEachPlacement, counted from 1; 0 if not among them
 }
 
 // Number returns the machine's number. It is -1 between Insert and the next Refresh, and after Remove.
@@ -85,8 +85,8 @@
 	return e
 }
 
-// Remove removes the machine at a position in the order of IDs, on which no attempt may be active. Its placements remain in
-// the history.
+// Remove removes the machine at a position in the order of IDs. The machine must not have active attempts. Its placements
+// remain in the history.
 func (idx *Index) Remove(position int) {
 	e := idx.entries[position]
 	idx.entries = slices.Delete(idx.entries, position, position+1)
--- a/internal/machineindex/ranking.go
+++ b/internal/machineindex/ranking.go
@@ -10,8 +10,8 @@
 // requestedRanking orders the machines by requested fraction, highest first. Machines of equal fractions are ordered by
 // number.
 type requestedRanking struct {
-	fractions  []float64 // by machine number
-	order      []int32
+	fractions  []float64      // by machine number
+	order      []int32        // machine numbers
 	changed    []int32        // machines whose position in order may be outdated; may contain duplicates
 	changedSet *bitset.BitSet // used within merge
 }
@@ -35,8 +35,9 @@
 	}
 }
 
-// RankedByRequestedFraction returns the machines ordered by Capacity.RequestedFraction, highest first, and by number if it is
-// equal. The caller must not change the result, which is valid until the next SetCapacity or Refresh.
+// RankedByRequestedFraction returns the numbers of the machines ordered by Capacity.RequestedFraction, highest first. Machines
+// of equal fractions are ordered by number. The caller must not change the result, which is valid until the next SetCapacity
+// or Refresh.
 func (idx *Index) RankedByRequestedFraction() []int32 {
 	r := &idx.ranking
 	if len(r.changed) == 0 {
--- a/internal/machineindex/services.go
+++ b/internal/machineindex/services.go
@@ -11,7 +11,7 @@
 	zones    domainCounts
 	cells    domainCounts
 
-	topMachines     []int32 // machines of the highest affinity, highest first
+	topMachines     []int32 // numbers of the few machines with the highest affinity, highest first
 	topFleetVersion int     // Index.fleetVersion for which topMachines was determined
 }
 
@@ -19,13 +19,13 @@
 type attemptCount struct {
 	service  *Service
 	active   int
-	position int // in service.machines
+	position int // index of the machine in service.machines
 }
 
 // serviceTable has the services of an Index, and the domains in which their attempts are counted.
 type serviceTable struct {
 	byName           map[string]*Service
-	removalThreshold int
+	removalThreshold int // Options.ServiceRemovalThreshold
 	zones            domainSet[string]
 	cells            domainSet[int]
 }
@@ -78,7 +78,8 @@
 	count.service.cells.add(e.cell.domain, 1)
 }
 
-// RemoveAttempt records that an attempt of a service is no longer active on a machine. It does nothing if none was.
+// RemoveAttempt records that an attempt of a service is no longer active on a machine. It does nothing if the service has
+// no active attempt there.
 func (idx *Index) RemoveAttempt(service string, e *Entry) {
 	count := e.attempts[service]
 	if count == nil {
--- a/internal/machineindex/sets.go
+++ b/internal/machineindex/sets.go
@@ -31,8 +31,8 @@
 	return column
 }
 
-// ForEachCommon calls do for each number that is in both sets, in ascending order. do may add its number to either set or
-// remove it, but no other number.
+// ForEachCommon calls do for each number that is in both sets, in ascending order. do may add or
+// remove the number that it is called with, in either set, but must not add or remove other numbers.
 func ForEachCommon(a, b *bitset.BitSet, do func(number int)) {
 	wordsA, wordsB := a.Words(), b.Words()
 	for w := range wordsA {
--- a/internal/shard/keycache.go
+++ b/internal/shard/keycache.go
@@ -5,14 +5,14 @@
 type keyCache struct {
 	capacity int // of each map: the number of jobs that a scheduler retains
 	recent   map[string]int
-	older    map[string]int // the former recent, which was full
+	older    map[string]int // the previous value of recent, which was replaced when it was full
 }
 
 func newKeyCache(capacity int) keyCache {
 	return keyCache{capacity: capacity, recent: map[string]int{}}
 }
 
-// coreOf returns the core of a key. It adds a key that is not in the cache with defaultCore.
+// coreOf returns the core of a key. If the key is not in the cache, it is added with defaultCore as its core.
 func (k *keyCache) coreOf(key string, defaultCore int) int {
 	if core, ok := k.recent[key]; ok {
 		return core
--- a/internal/shard/merge.go
+++ b/internal/shard/merge.go
@@ -29,7 +29,8 @@
 }
 
 // IsDecidedByFirstCore reports whether a request must be passed to core 0 first, and to the other cores only if core 0 does
-// not answer with an error. Otherwise two cores might destroy and create a session in different orders.
+// not answer with an error. If all cores got such requests at once, two of them might destroy and create a session in different
+// orders.
 func IsDecidedByFirstCore(in scheduler.Input) bool {
 	_, ok := in.(scheduler.SessionCommand)
 	return ok
--- a/internal/shard/shardmap.go
+++ b/internal/shard/shardmap.go
@@ -11,8 +11,8 @@
 	"flaxshelf.example/flaxshelf/internal/scheduler"
 )
 
-// maxBacklogExcess bounds the backlog of a core that gets a submission in its turn. The core is skipped if its backlog exceeds
-// twice that of the least loaded core by more than this number of inputs.
+// maxBacklogExcess determines when a core is overloaded, so that a submission in its turn is passed to the least loaded core
+// instead: when its backlog exceeds twice that of the least loaded core by more than this number of inputs.
 const maxBacklogExcess = 64
 
 // Map maps the jobs, keys and attempts of one incarnation of a scheduler to cores. It is safe for concurrent use.
@@ -42,10 +42,10 @@
 	return m
 }
 
-// CoreForSubmission returns the core for a submission. A key always has the same core, also in other incarnations of the
-// scheduler, since an owner that retries uses the same service. Submissions that neither a key nor a service assigns to a core
-// are distributed round-robin by turn, which should increase from call to call, but not to overloaded cores. backlog returns
-// the number of inputs that wait for a core.
+// CoreForSubmission returns the core for a submission. A key always has the same core. Across incarnations of the scheduler,
+// this relies on owners that use the same service when they retry. If neither a key nor a service determines the core, turn
+// does, in round-robin order, but a submission for an overloaded core gets the least loaded core instead. turn should increase
+// from call to call. backlog returns the number of inputs that wait for a core.
 func (m *Map) CoreForSubmission(spec *scheduler.JobSpec, turn uint64, backlog func(core int) int) int {
 	if m.cores == 1 {
 		return 0
@@ -82,8 +82,10 @@
 	return next
 }
 
-// coreOfKey returns defaultCore, or, if byService, the core that was returned for the key before. Otherwise a key that is
-// submitted again with another service would start the same job twice.
+// coreOfKey returns the core for a submission with the given key, for which the hash of the service or of the key gives
+// defaultCore. If byService is set, the first call for a key returns defaultCore, and later calls return the same core as the
+// first while m.keys retains the key, whatever their defaultCore is: a key that is submitted again with another service must
+// not start the same job on another core. If byService is not set, or the key is empty, the result is defaultCore.
 func (m *Map) coreOfKey(key string, defaultCore int) int {
 	if key == "" || !m.byService {
 		return defaultCore
@@ -148,8 +150,8 @@
 	return parts
 }
 
-// coreOfRunning returns the core that has the job of an attempt or is to adopt it. It stores the core if the hash of the job's
-// ID gives another one.
+// coreOfRunning returns the core that has the job of a reported attempt or is to adopt it. It stores the core of an adopted job
+// in m.adopted if the hash of the job's ID gives another core.
 func (m *Map) coreOfRunning(reported *scheduler.ReportedAttempt) int {
 	if core := m.coreOfPrefix(reported.Job); core >= 0 {
 		return core
--- a/internal/shard/token.go
+++ b/internal/shard/token.go
@@ -1,6 +1,7 @@
 package shard
 
-// EncodeToken encodes a core and the token of a sync that it requests as one token, which a peer returns in its answer.
+// EncodeToken combines a core and the token of a sync that the core requests into one token. The peer that is asked for the
+// sync returns the combined token in its answer.
 func EncodeToken(core int, token uint64) uint64 { return token*MaxCores + uint64(core) }
 
 // DecodeToken decodes a token that was encoded by EncodeToken.
--- a/internal/timerqueue/timers.go
+++ b/internal/timerqueue/timers.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// RunDue calls the functions that are due at or before now, in the order of their times. They include functions that are
-// scheduled by these calls.
+// RunDue calls the functions that are due at or before now, in the order of their times. Functions that these
+// calls schedule are called too if they are due at or before now.
 func (t *Timers) RunDue(now time.Duration) {
 	for timer := t.heap.PopDue(now); timer != nil; timer = t.heap.PopDue(now) {
 		timer.Value()
