--- a/bench_test.go
+++ b/bench_test.go
@@ -20,13 +20,13 @@
 	running   []string          // task IDs, in the order of their starts
 	machineOf map[string]string // by task ID
 	events    []flaxshelf.Event // of the next step
-	offers    int               // made so far
+	offers    int               // number of offers made so far
 }
 
-// fleetShape is the parameters on which the cost of a step depends.
+// fleetShape has the parameters on which the cost of a step depends.
 type fleetShape struct {
 	machines      int
-	queued        int  // number of queued tasks, too large for any machine
+	queued        int  // number of tasks that stay queued because they are too large for any machine
 	boundedSpread bool // the number of a service's tasks in a zone is limited
 	listsCapacity bool // the machine list has free capacity, and machines in use are priced
 }
--- a/choices_test.go
+++ b/choices_test.go
@@ -39,8 +39,8 @@
 
 const stepsPerWorld = 120
 
-// minCoverage is how often, at least, each constraint or stage must affect a choice in the random worlds. It fails the test
-// when a change of the worlds or of the Placer leaves some of them unchecked.
+// minCoverage is the minimum number of times that each constraint or stage must affect a choice in the random worlds. The test
+// fails below it, so that a change of the worlds or of the Placer does not leave a constraint or stage unchecked.
 var minCoverage = map[string]int{
 	"choices": 50_000,
 	"votes":   5000,
--- a/constraints_hard_test.go
+++ b/constraints_hard_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// An update takes effect on offers of the same step, also when the task is submitted in that step.
+// An update of the machine list takes effect on offers of the same step, also when the task is submitted in that step.
 func TestDrainingAndRemovedMachinesGetNoOffers(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -82,7 +82,8 @@
 	}
 }
 
-// checkSpread submits more tasks of a service than the two machines, each its own domain, may run.
+// checkSpread submits more tasks of a service than the spread limit allows on two machines in different domains. It checks that
+// a running adopted task counts, and that a further task is offered when the adopted one ends.
 func checkSpread(t *testing.T, domain TopologyDomain) {
 	t.Helper()
 	cfg := testConfig()
--- a/constraints_soft_test.go
+++ b/constraints_soft_test.go
@@ -119,7 +119,8 @@
 	}
 }
 
-// Where machines in use are priced, offers go to the fullest machines, as many as the requests of the whole fleet need.
+// Where machines in use are priced, offers go to the fullest machines, and only to as many as are needed for all that is
+// requested of the fleet.
 func TestConsolidationUsesFullestMachines(t *testing.T) {
 	cfg := testConfig()
 	cfg.ListsFreeCapacity, cfg.Prices.MachinesInUse = true, 0.25
--- a/event_source_test.go
+++ b/event_source_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// randomConfig returns valid random settings with one class for each idempotency and a second one with a key.
+// randomConfig returns valid random settings with one class for each idempotency and a second class that is IdempotentByKey.
 func randomConfig(random *rand.Rand) Config {
 	randomBool := func() bool { return random.IntN(2) == 0 }
 	cfg := testConfig()
@@ -85,7 +85,8 @@
 	return events
 }
 
-// randomEnd returns the event that ends an attempt with a random outcome: a placed one as completed or lost.
+// randomEnd returns the event that ends an attempt with a random outcome: Completed or Lost if the attempt was placed, any but
+// Completed if not. answered tells whether its task has a final answer.
 func (s *eventSource) randomEnd(p pendingAttempt, answered bool) Event {
 	outcome := Outcome(1 + s.random.IntN(7))
 	if p.placed {
--- a/evidence_test.go
+++ b/evidence_test.go
@@ -14,15 +14,15 @@
 	p.now = h.ejectedUntil
 	p.startTrial(h)
 	if p.now >= h.ejectedUntil {
-		t.Errorf("ejected until %v during the trial placement, want a time after %v", h.ejectedUntil, p.now)
+		t.Errorf("class is ejected until %v during the trial placement, want a time after %v", h.ejectedUntil, p.now)
 	}
 	if p.recordSuccess(h); p.now < h.ejectedUntil {
-		t.Errorf("ejected until %v after a success at %v, want no ejection", h.ejectedUntil, p.now)
+		t.Errorf("class is ejected until %v after a success at %v, want no ejection", h.ejectedUntil, p.now)
 	}
 }
 
-// One class fails on most machines, where another class succeeds: the failing class alone is ejected there. A machine where
-// no class has succeeded is itself ejected.
+// One class fails on most machines, where another class succeeds: only the failing class is ejected there. A machine where
+// no class has succeeded is ejected for all classes.
 func TestClassFailureEjectsClassAlone(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes = append(cfg.Classes, cfg.Classes[0])
@@ -59,9 +59,9 @@
 	}
 }
 
-// An error counts as a failure of the machine once another machine has placed the task, or when the task ends with that one
-// error. A malformed task, which several machines answer with an error and none places, ejects none of them. The machine is
-// ejected at once where the class has not succeeded there recently or the task may not be retried.
+// An error counts as a failure of the machine once another machine has placed the task, or when the task ends with this
+// error as its only one. A malformed task, which several machines answer with an error and none places, ejects none of them. The
+// machine is ejected at once where the class has not succeeded there recently or the task may not be retried.
 func TestTaskFaultEjectsNoMachine(t *testing.T) {
 	for _, c := range []struct {
 		name            string
--- a/export_test.go
+++ b/export_test.go
@@ -11,7 +11,7 @@
 // ChoiceCoverage is how often each constraint or stage of a choice affected its result, by name.
 type ChoiceCoverage = choiceCoverage
 
-// NewChecked returns a CheckedPlacer that makes its decisions as New(cfg, seed) does.
+// NewChecked returns a CheckedPlacer that makes the same decisions as the Placer of New(cfg, seed).
 func NewChecked(cfg Config, seed uint64) (*CheckedPlacer, error) {
 	p, err := New(cfg, seed)
 	if err != nil {
@@ -28,7 +28,7 @@
 	return actions
 }
 
-// Err returns the first mismatch between the Placer and the linear scans, nil if there was none.
+// Err returns the first mismatch between the Placer and the linear scans, or nil if there was none.
 func (c *CheckedPlacer) Err() error { return c.oracle.firstMismatch }
 
 // Coverage returns the counts of all steps so far.
--- a/internal/shard/shardmap.go
+++ b/internal/shard/shardmap.go
@@ -140,7 +140,7 @@
 		parts[core] = scheduler.NodeConnected{Node: up.Node, StartedAt: up.StartedAt, MayBeWarmingUp: up.MayBeWarmingUp}
 	}
 	for _, reported := range up.Accepted {
-		core := m.coreOfRunning(&reported)
+		core := m.coreOfReported(&reported)
 		parts[core].Accepted = append(parts[core].Accepted, reported)
 	}
 	for _, ended := range up.Ended {
@@ -150,9 +150,9 @@
 	return parts
 }
 
-// coreOfRunning returns the core that has the job of a reported attempt or is to adopt it. It stores the core of an adopted job
+// coreOfReported returns the core that has the job of a reported attempt or is to adopt it. It stores the core of an adopted job
 // in m.adopted if the hash of the job's ID gives another core.
-func (m *Map) coreOfRunning(reported *scheduler.ReportedAttempt) int {
+func (m *Map) coreOfReported(reported *scheduler.ReportedAttempt) int {
 	if core := m.coreOfPrefix(reported.Job); core >= 0 {
 		return core
 	}
--- a/migration_test.go
+++ b/migration_test.go
@@ -23,8 +23,8 @@
 	wantMigrations    int           // number of migrations of task a
 }
 
-// A task with a poor service level in successive reports is migrated once, unless that does not pay or no better machines are
-// known.
+// A task with a poor service level in successive reports is migrated once, unless the migration costs more than it gains or
+// no better machines are known.
 func TestPoorlyServedTaskIsMigratedOnce(t *testing.T) {
 	for _, c := range []migrationCase{
 		{name: "poor service in successive reports", serviceLevels: [3]float64{0.4, 0.4, 0.3}, otherServiceLevel: 1,
@@ -81,7 +81,7 @@
 	}
 }
 
-// adoptTasks reports a running task on each machine, or on m0 alone.
+// adoptTasks reports a running task on each machine, or on m0 alone if noOtherTasks is set.
 func (c migrationCase) adoptTasks(p *Placer) {
 	var events []Event
 	for i, id := range []string{"a", "b", "c", "d"} {
--- a/oracle_scan_test.go
+++ b/oracle_scan_test.go
@@ -65,7 +65,7 @@
 	return kind.Cores*cfg.CoreOvercommit-t.Cores >= 0 && kind.Memory*cfg.MemoryOvercommit-t.Memory >= 0
 }
 
-// retryIsSafe reports whether t may be started on m although earlier attempts may have run, by t's idempotency.
+// retryIsSafe reports whether t's idempotency allows to start t on m although earlier attempts may have run.
 func (o *choiceOracle) retryIsSafe(t *task, m *machine) bool {
 	safe := true
 	for _, a := range t.attempts {
@@ -87,7 +87,7 @@
 	cell  int    // of a cell
 }
 
-// domainOf returns the domain of m of the given scope: the zero value for the cell or zone of an unlisted machine.
+// domainOf returns the domain of m of the given scope. The cell or zone of a machine that is not listed is the zero value.
 func domainOf(scope TopologyDomain, m *machine) domainKey {
 	switch {
 	case scope == MachineDomain:
@@ -102,10 +102,10 @@
 	return domainKey{scope: scope, name: m.Zone}
 }
 
-// attemptCounts is the numbers of active attempts by machine.
+// attemptCounts has the numbers of active attempts by machine, and by service and machine.
 type attemptCounts struct {
 	byMachine map[*machine]int
-	pending   map[*machine]int // offers without an answer
+	pending   map[*machine]int // active attempts whose offer has no answer yet
 	byService map[string]map[*machine]int
 }
 
@@ -165,8 +165,8 @@
 
 // Soft constraints.
 
-// scanCandidates returns the eligible machines that remain after the soft constraints for t, see applySoftConstraints. Where
-// the Placer evaluated the constraints itself, recordStart is set, and the comparison of capacities sets assumedStart.
+// scanCandidates returns the eligible machines that remain after the soft constraints for t, see applySoftConstraints.
+// recordStart must be set where the Placer evaluated these constraints too: the scan then sets assumedStart.
 func (o *choiceOracle) scanCandidates(t *task, eligible []*machine, recordStart bool) []*machine {
 	remaining, p := slices.Clone(eligible), o.placer
 	exclude := func(minRemaining int, coverageName string, excluded func(m *machine) bool) {
@@ -238,10 +238,10 @@
 	return full
 }
 
-// assumedRequests is the sum of what the placements on a machine request that count as assumed.
+// assumedRequests is the sum of the requests of those placements on a machine that count as assumed.
 type assumedRequests struct {
-	startIndex    int  // first index in the history that counts
-	since         Time // earliest time of an offer that counts
+	startIndex    int  // index in the history of the first placement that can count
+	since         Time // placements offered before this time do not count
 	cores, memory float64
 }
 
@@ -298,9 +298,9 @@
 	return selected
 }
 
-// scanPreferred returns the machines with attempts of t's service and the one of the highest rank, and the one of the second
-// rank if that is a single machine. For a large task it adds the two of the highest ranks that are not overloaded. See
-// preferredMachines.
+// scanPreferred returns the machines with attempts of t's service and the machine of the highest rank. If this is only one
+// machine in all, it adds the machine of the second rank. For a large task it adds the two machines of the highest ranks among
+// those that are not overloaded. See preferredMachines.
 func (o *choiceOracle) scanPreferred(t *task, machines []*machine) (preferred []*machine) {
 	add := func(m *machine) {
 		if !slices.Contains(preferred, m) {
@@ -371,8 +371,8 @@
 	return o.placer.conditions.externalLoad.At(m.entry.Number())
 }
 
-// externalLoadOf returns the load of m from other schedulers, by the machine list, and from its service shortfall, see
-// externalLoad.
+// externalLoadOf returns the load of m that the machine list shows from other schedulers, plus the load that stands for its
+// service shortfall, see externalLoad.
 func (o *choiceOracle) externalLoadOf(m *machine) float64 {
 	p, load := o.placer, 0.0
 	if p.cfg.ListsFreeCapacity {
@@ -392,8 +392,8 @@
 	return load
 }
 
-// scanContenders returns the candidates that can win the vote: those with placements in the recent history, and of the others
-// the one with the least load, with the highest rank among equals.
+// scanContenders returns the candidates that can win the vote: those with placements in the recent history and, of the
+// others, the one with the least load. Of several with the least load, it is the one of the highest rank.
 func (o *choiceOracle) scanContenders() (contenders []*machine) {
 	var idle []*machine
 	history := o.recentPlacementsOn(o.candidates)
@@ -424,7 +424,7 @@
 	return found
 }
 
-// survivalOf returns the probability that a placement still runs, see Placer.survival.
+// survivalOf returns the probability that a placement still runs, see Placer.survivalProbability.
 func (o *choiceOracle) survivalOf(placed *oraclePlacement) float64 {
 	age := o.placer.now - placed.offeredAt
 	switch expected := placed.task.ExpectedRuntime; {
--- a/oracle_test.go
+++ b/oracle_test.go
@@ -17,16 +17,16 @@
 // Where a formula reads a single record, such as the slow start budget, the oracle calls the Placer's own function, since a
 // copy would have the same errors. The recorded decisions of package replay check those formulas.
 type choiceOracle struct {
-	placer      *Placer
-	listings    map[string]*listing // by machine ID
-	history     []*oraclePlacement  // in order of time
-	offerCounts map[string]int      // placements added so far, by task ID
+	placer          *Placer
+	listings        map[string]*listing // by machine ID
+	history         []*oraclePlacement  // in order of time
+	placementCounts map[string]int      // placements added so far, by task ID
 
 	// assumedStart is the index in history of the first placement that counts as assumed on a machine. It is fixed when the
-	// machine's capacity is first compared in a step: placements of that step push no older ones out until it ends.
+	// machine's capacity is first compared in a step: until the step ends, its placements do not push older ones out.
 	assumedStart     map[*machine]int
 	activeAttempts   *attemptCounts // counted at the first choice of a step and updated by the later ones
-	attemptsCounted  bool           // activeAttempts is of the step in progress
+	attemptsCounted  bool           // activeAttempts was counted in the step in progress
 	startedAttempts  []startedAttempt
 	pendingAdoptions []string // IDs of adopted tasks that the Placer may not have records of yet
 
@@ -47,7 +47,7 @@
 	listedAt Time
 }
 
-// startedAttempt identifies an attempt by its task and its index in task.attempts, which tells whether it is active.
+// startedAttempt identifies an attempt by its task and its index in task.attempts, where its record tells whether it is active.
 type startedAttempt struct {
 	task  *task
 	index int
@@ -56,7 +56,7 @@
 // oraclePlacement is an entry of the oracle's history.
 type oraclePlacement struct {
 	machineID string
-	machine   *machine // nil for an adopted task until resolveMachine
+	machine   *machine // nil for an adopted task until resolveMachine sets it
 	taskID    string
 	attempt   int
 	offeredAt Time
@@ -75,7 +75,7 @@
 }
 
 func newChoiceOracle(p *Placer) *choiceOracle {
-	o := &choiceOracle{placer: p, listings: map[string]*listing{}, offerCounts: map[string]int{}, coverage: choiceCoverage{},
+	o := &choiceOracle{placer: p, listings: map[string]*listing{}, placementCounts: map[string]int{}, coverage: choiceCoverage{},
 		assumedStart: map[*machine]int{}, activeAttempts: newAttemptCounts()}
 	p.observer = o
 	return o
@@ -150,8 +150,8 @@
 
 func (o *choiceOracle) addPlacement(now Time, spec Task, machineID string, m *machine) {
 	o.history = append(o.history, &oraclePlacement{machineID: machineID, machine: m, taskID: spec.ID,
-		attempt: o.offerCounts[spec.ID], offeredAt: now, task: spec})
-	o.offerCounts[spec.ID]++
+		attempt: o.placementCounts[spec.ID], offeredAt: now, task: spec})
+	o.placementCounts[spec.ID]++
 }
 
 // afterStep drops placements that are too old, too many or forgotten, and the listings of machines that the Placer pruned.
@@ -267,8 +267,8 @@
 	o.eligible, o.candidates, o.constraintsObserved = nil, nil, false
 }
 
-// afterMigrationCheck compares hasBetter with a scan: at least two, and half, of the machines that t may run on must serve
-// tasks well, and no machine may be ejected for t's class or reject tasks.
+// afterMigrationCheck compares hasBetter with a scan. It must be true if, of the machines that t may run on, at least two and
+// at least half (rounded down) serve tasks well, and no machine is ejected for t's class or rejects tasks.
 func (o *choiceOracle) afterMigrationCheck(t *task, hasBetter bool) {
 	p := o.placer
 	o.recountAttempts()
@@ -298,7 +298,7 @@
 	}
 }
 
-// compareMachines compares two sets of machines in any order. The task and the stage are for the message.
+// compareMachines compares two sets of machines in any order. t and stage are only used in the message.
 func (o *choiceOracle) compareMachines(t *task, stage string, got, want []*machine) {
 	if slices.Equal(got, want) {
 		return
--- a/rule_checker_test.go
+++ b/rule_checker_test.go
@@ -14,7 +14,7 @@
 	now              Time
 	startedAt        Time // when the scheduler started
 	machines         map[string]Machine
-	unavailableSince map[string]Time // by machine ID, when the scheduler learned of its drain or removal
+	unavailableSince map[string]Time // by machine ID, when the scheduler learned that the machine drains or was removed
 	tasks            map[string]*checkedTask
 	slowStartOffers  map[string][]Time // times of offers to each machine in slow start
 }
@@ -31,7 +31,7 @@
 	machine    string
 	sentAt     Time
 	active     bool
-	mayHaveRun bool // its outcome, if any, does not prove that it never ran
+	mayHaveRun bool // there is no outcome that proves that the attempt never ran
 }
 
 // newRuleChecker returns the checker of a scheduler that starts at the given time.
@@ -109,7 +109,7 @@
 	}
 }
 
-// checkAnswer checks that a task gets its only final answer, before its deadline, and records the answer.
+// checkAnswer checks that a task had no final answer before and that its deadline has not passed, and records the answer.
 func (c *ruleChecker) checkAnswer(id string) {
 	task := c.tasks[id]
 	if task.answered {
@@ -160,7 +160,7 @@
 
 func (c *ruleChecker) checkDeadline(offer Offer, task *checkedTask) {
 	if task.answered || c.now >= task.task.Deadline {
-		c.t.Errorf("%v: offer of task %s (answered: %v), want none after its answer or its deadline %v",
+		c.t.Errorf("%v: got an offer of task %s (answered: %v), want none after its answer or its deadline %v",
 			c.now, offer.Task, task.answered, task.task.Deadline)
 	}
 	if c.now+offer.Timeout > task.task.Deadline {
@@ -172,14 +172,15 @@
 func (c *ruleChecker) checkMachine(offer Offer, class TaskClass) {
 	machine, ok := c.machines[offer.Machine]
 	if !ok {
-		c.t.Errorf("%v: offer to machine %s, want a listed machine", c.now, offer.Machine)
+		c.t.Errorf("%v: got an offer to machine %s, want a listed machine", c.now, offer.Machine)
 	}
 	if since, ok := c.unavailableSince[offer.Machine]; ok && c.now-since >= 0 {
-		c.t.Errorf("%v: offer to machine %s, which drains or was removed at %v; want a machine in service",
+		c.t.Errorf("%v: got an offer to machine %s, which drains or was removed at %v; want a machine in service",
 			c.now, offer.Machine, since)
 	}
 	if class.Kind >= 0 && class.Kind != machine.Kind {
-		c.t.Errorf("%v: offer of task %s to a machine of kind %d, want kind %d", c.now, offer.Task, machine.Kind, class.Kind)
+		c.t.Errorf("%v: got an offer of task %s to a machine of kind %d, want kind %d",
+			c.now, offer.Task, machine.Kind, class.Kind)
 	}
 }
 
@@ -228,7 +229,7 @@
 		return
 	}
 	if c.startedAt > machine.Started && c.now < c.startedAt+c.cfg.OverloadWindow {
-		c.t.Errorf("%v: offer to %s in slow start, want none within %v of the scheduler's start at %v",
+		c.t.Errorf("%v: got an offer to %s in slow start, want none within %v of the scheduler's start at %v",
 			c.now, offer.Machine, c.cfg.OverloadWindow, c.startedAt)
 	}
 	c.slowStartOffers[offer.Machine] = append(c.slowStartOffers[offer.Machine], c.now)
@@ -238,14 +239,15 @@
 			count++
 		}
 	}
-	// The scheduler may make an equal share of whole offers, and one more in its slot where the shares leave at least one
-	// offer of the budget. TestSlowStartBudgetOfFleet checks that all schedulers together stay within the budget.
+	// The scheduler may make its equal share of the budget, rounded down to whole offers. It may make one more in its slot if
+	// these shares of all schedulers leave at least one offer of the budget. TestSlowStartBudgetOfFleet checks that all
+	// schedulers together stay within the budget.
 	budget := int(c.cfg.SlowStartBudget / float64(c.cfg.Schedulers))
 	if c.cfg.SlowStartBudget-float64(budget*c.cfg.Schedulers) >= 1 {
 		budget++
 	}
 	if count > budget {
-		c.t.Errorf("%v: %d offers to %s in slow start within %v, want at most %d",
+		c.t.Errorf("%v: got %d offers to %s in slow start within %v, want at most %d",
 			c.now, count, offer.Machine, c.cfg.OverloadWindow, budget)
 	}
 }
--- a/slow_start_test.go
+++ b/slow_start_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Each scheduler has an equal share of the budget, and offers without an answer count.
+// Each scheduler has an equal share of the budget, and offers without an answer count against it.
 func TestSlowStartBudgetIsDividedBySchedulers(t *testing.T) {
 	cfg := testConfig()
 	cfg.Schedulers, cfg.SlowStartBudget = 3, 12
@@ -31,7 +31,7 @@
 }
 
 // There are far more schedulers than offers in the budget, and each has queued tasks all the time. Together they stay within
-// the budget and use a good part of it.
+// the budget in each window and make at least twice as many offers in all.
 func TestManySchedulersStayWithinSlowStartBudget(t *testing.T) {
 	cfg := testConfig()
 	cfg.Schedulers, cfg.SlowStartBudget = 300, 24
@@ -74,7 +74,8 @@
 	}
 }
 
-// A restarted scheduler does not know its offers from before the restart, so it waits until none of them can count.
+// A restarted scheduler does not know its offers from before the restart, so it makes no offer until those can no longer
+// count against the budget.
 func TestSlowStartBudgetCountsAsSpentAfterRestart(t *testing.T) {
 	p := newPlacer(t, testConfig(), testSeed)
 	now := 10 * time.Second
--- a/vote_test.go
+++ b/vote_test.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// What other schedulers requested, by the machine list, counts as load in each replay. What this scheduler requested counts as
-// its own placements alone, also where the list shows it.
+// What other schedulers requested according to the machine list counts as load in each replay. What this scheduler requested
+// counts as its own placements alone, also where the list shows it.
 func TestVoteCountsExternalLoad(t *testing.T) {
 	cfg := testConfig()
 	cfg.ListsFreeCapacity = true
@@ -59,7 +59,7 @@
 }
 
 // A reported service shortfall counts as load of the machine for a while: a machine without a shortfall wins the vote although
-// it is fuller, and of two machines with a shortfall the one with the smaller wins. Memory pressure counts as a shortfall.
+// it is fuller, and of two machines with a shortfall the one with the smaller one wins. Memory pressure counts as a shortfall.
 func TestServiceShortfallCountsAsLoad(t *testing.T) {
 	p := startPlacer(t, testConfig(), testMachines(3))
 	p.Step(time.Second, []Event{
