--- a/helpers_test.go
+++ b/helpers_test.go
@@ -53,7 +53,7 @@
 	return p
 }
 
-// newSubmission returns the event that submits a task of service s that requests one core and one unit of memory.
+// newSubmission returns the event that submits a task of service s with one core and one unit of memory.
 func newSubmission(id string, class int, deadline Time) TaskSubmitted {
 	return TaskSubmitted{Task{ID: id, Service: "s", Class: class, Cores: 1, Memory: 1, Deadline: deadline, Tenant: -1}}
 }
--- a/internal/shard/config.go
+++ b/internal/shard/config.go
@@ -29,7 +29,7 @@
 	return nil
 }
 
-// CoreName returns the name of a core as a scheduler of its own. A single core has the name of the scheduler.
+// CoreName returns the name that a core uses as a scheduler of its own. A single core uses the name of the scheduler.
 func CoreName(scheduler string, core, cores int) string {
 	if cores == 1 {
 		return scheduler
