--- a/cmd/flaxshelf/deploy_test.go
+++ b/cmd/flaxshelf/deploy_test.go
@@ -18,8 +18,9 @@
 
 // deployConfig has the keys of deploy/balancer.toml that the platform reads.
 type deployConfig struct {
-	Build, Run, Sim string
-	Policy, Node    []string
+	Build, Run        string
+	SimulationCommand string `toml:"sim"` // shell line that starts cmd/benchadapter
+	Policy, Node      []string
 }
 
 func readDeployFile(t *testing.T) deployConfig {
@@ -39,7 +40,7 @@
 // such as SIGTERM go to the shell and do not reach the scheduler.
 func TestDeployFileRunsOneProcess(t *testing.T) {
 	d := readDeployFile(t)
-	for name, line := range map[string]string{"run": d.Run, "sim": d.Sim} {
+	for name, line := range map[string]string{"run": d.Run, "sim": d.SimulationCommand} {
 		t.Run(name, func(t *testing.T) {
 			if !strings.HasPrefix(line, "exec bin/") {
 				t.Errorf("got %q, want a line that begins with exec bin/", line)
--- a/internal/codec/nodeframe/frame_test.go
+++ b/internal/codec/nodeframe/frame_test.go
@@ -44,7 +44,7 @@
 	for _, c := range []struct {
 		name  string
 		input []byte
-		cause error // nil for an error of protobuf
+		cause error // what the FrameError must wrap; nil accepts any cause, such as an error of the protobuf decoder
 		bytes int64
 	}{
 		{"4 GiB announced", []byte{0xff, 0xff, 0xff, 0xff}, ErrTooLong, 1<<32 - 1},
--- a/internal/front/drmaafront/frontend.go
+++ b/internal/front/drmaafront/frontend.go
@@ -36,7 +36,8 @@
 	BuildInput func(requestID, streamID uint64) scheduler.Input
 	// EncodeAnswer returns the response for the core's answer to the input.
 	EncodeAnswer func(*scheduler.Answer) []byte
-	// Stream reports whether events follow the response, unless the answer is an error.
+	// Stream reports whether the request is for an event stream. If it is and the core's answer is not an error, events follow
+	// the response.
 	Stream bool
 	// ResumeAfter is the position of the last event that the client of a stream has received. It is empty if the client has
 	// received no event of this incarnation.
--- a/internal/front/nodefront/entry.go
+++ b/internal/front/nodefront/entry.go
@@ -7,13 +7,14 @@
 	"flaxshelf.example/flaxshelf/internal/settings"
 )
 
-// machineStates has the machine state of each standing on the wire; wireStates is its inverse.
+// machineStates maps the standing of a node, as the inventory protocol encodes it, to the state of the machine.
 var machineStates = map[nodepb.Standing]flaxshelf.MachineState{
 	nodepb.Standing_IN:       flaxshelf.Active,
 	nodepb.Standing_DRAINING: flaxshelf.Draining,
 	nodepb.Standing_OUT:      flaxshelf.Removed,
 }
 
+// wireStates is the inverse of machineStates.
 var wireStates = map[flaxshelf.MachineState]nodepb.Standing{
 	flaxshelf.Active:   nodepb.Standing_IN,
 	flaxshelf.Draining: nodepb.Standing_DRAINING,
--- a/internal/front/platformfront/owner.go
+++ b/internal/front/platformfront/owner.go
@@ -117,7 +117,7 @@
 	task := flaxshelf.Task{ID: m.ID, Key: m.Fields[fieldKey], Class: class, Tenant: -1, Service: extras.service,
 		ExpectedRuntime: decodeRuntimeHint(m.Fields[fieldRuntimeHint])}
 	if !isValidName(task.Key) {
-		return task, invalidField(m, fieldKey, "must be a name")
+		return task, invalidField(m, fieldKey, "must be 1 to 256 printable ASCII characters without spaces")
 	}
 	var ok bool
 	if task.Cores, ok = parseAmount(extras.cores, c.maxCores()); !ok {
@@ -127,7 +127,7 @@
 		return task, invalidField(m, fieldExtras, "memory must be above 0 and fit a machine")
 	}
 	if !isValidName(task.Service) {
-		return task, invalidField(m, fieldExtras, "service must be a name")
+		return task, invalidField(m, fieldExtras, "service must be 1 to 256 printable ASCII characters without spaces")
 	}
 	task.Tenant = c.Names.Tenant(m.Fields[fieldTenant])
 	return task, nil
@@ -152,7 +152,7 @@
 		return nil, invalidField(m, fieldIdempotencyKey, "the class needs an idempotency key")
 	}
 	if key != "" && !isValidName(key) {
-		return nil, invalidField(m, fieldIdempotencyKey, "must be a name")
+		return nil, invalidField(m, fieldIdempotencyKey, "must be 1 to 256 printable ASCII characters without spaces")
 	}
 	if !m.HasDescription || m.Description == "" {
 		return nil, &OwnerMessageError{Task: m.ID, Type: m.Type, Field: fieldDescription, Reason: "must not be empty"}
--- a/internal/planner/limits.go
+++ b/internal/planner/limits.go
@@ -15,7 +15,7 @@
 const (
 	RequestedCores    LimitName = "requested cores"         // cores that running jobs request
 	RequestedMemory   LimitName = "requested memory"        // memory that running jobs request
-	UsedCores         LimitName = "cores in use"            // beyond this limit, tasks get fewer cores than they use
+	UsedCores         LimitName = "cores in use"            // beyond this limit, tasks get fewer cores than they demand
 	UsedMemory        LimitName = "memory in use"           // beyond this limit, nodes evict tasks
 	StartRate         LimitName = "start rate"              // start slots that concurrent starts occupy
 	OfferReview       LimitName = "offer review"            // time that nodes need to decide on offers
@@ -123,7 +123,7 @@
 		f.withLossBounds(requestedMemory, d.runningJobs,
 			func(g *NodeGroup) float64 { return g.Memory * f.MemoryOvercommit / d.memoryPerJob }),
 		newLimit(UsedCores, d.usedCores/cores, true,
-			"tasks use %.0f of the %.0f cores; beyond that, they get fewer cores than they use", d.usedCores, cores),
+			"tasks use %.0f of the %.0f cores; beyond that, they get fewer cores than they demand", d.usedCores, cores),
 		newLimit(UsedMemory, d.usedMemory/memory, true,
 			"tasks use %.0f of the %.0f GiB; beyond that, nodes evict tasks", d.usedMemory, memory),
 	}
--- a/internal/platform/node_handler.go
+++ b/internal/platform/node_handler.go
@@ -17,7 +17,7 @@
 type nodeHandler struct {
 	scheduler *scheduler
 	link      requests.LinkID
-	partial   partialMessage // whether the link's last message is incomplete
+	partial   partialMessage // true while the link's last message is incomplete
 }
 
 // Opened implements transport.Opener. It closes the link if the mailbox is full.
--- a/internal/platform/owner_handler.go
+++ b/internal/platform/owner_handler.go
@@ -32,7 +32,7 @@
 type ownerHandler struct {
 	scheduler *scheduler
 	id        requests.ConnID
-	partial   partialMessage // whether the connection's last message is incomplete
+	partial   partialMessage // true while the connection's last message is incomplete
 }
 
 // Opened implements transport.Opener. It closes the connection if the mailbox is full.
@@ -104,7 +104,7 @@
 	return requests.ProtocolError{Conn: h.id}, nil
 }
 
-// Closed implements transport.Handler. It returns the connection's slot.
+// Closed implements transport.Handler. It releases the connection's slot, so that another connection may be accepted.
 func (h *ownerHandler) Closed(*transport.Conn, error) {
 	if h.partial {
 		h.scheduler.ownerPartialMessages.Add(-1)
--- a/internal/settings/fleet.go
+++ b/internal/settings/fleet.go
@@ -70,7 +70,7 @@
 	checkUniqueNames(f, "nodes", fleet.Nodes, func(n *Node) string { return n.Name })
 	for i, n := range fleet.Nodes {
 		if kindIndex(fleet.Kinds, n.Kind) < 0 {
-			f.AddErrorf(elementPath("nodes", i, "kind"), "no kind %q, expected one of kinds", n.Kind)
+			f.AddErrorf(elementPath("nodes", i, "kind"), "no kind %q is defined, expected a name in the list \"kinds\"", n.Kind)
 		}
 	}
 	f.checkUsageRange("behaviour.useCores", fleet.Behaviour.CoreUsageRange)
--- a/internal/settings/scheduler.go
+++ b/internal/settings/scheduler.go
@@ -132,10 +132,10 @@
 	s.replaceDeprecated(f)
 	for i, c := range s.Classes {
 		if c.Kind != "" && kindIndex(s.Kinds, c.Kind) < 0 {
-			f.AddErrorf(elementPath("classes", i, "kind"), "no kind %q, expected one of kinds", c.Kind)
+			f.AddErrorf(elementPath("classes", i, "kind"), "no kind %q is defined, expected a name in the list \"kinds\"", c.Kind)
 		}
 		if c.LatencyObjective > c.PlacementTimeout {
-			f.AddErrorf(elementPath("classes", i, "aim"), "is %v, expected at most giveup, which is %v",
+			f.AddErrorf(elementPath("classes", i, "aim"), "is %v, expected at most the value of \"giveup\", which is %v",
 				c.LatencyObjective.Duration(), c.PlacementTimeout.Duration())
 		}
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -78,9 +78,9 @@
 		{"negative", validSettings + `limits: maxOpen: -1`, []string{"f.cue:6:", "limits.maxOpen:", ">=1"}},
 		{"two at once", validSettings + "tick: 5\nzone: 7", []string{"tick:", "zone:"}},
 		{"no such kind", strings.Replace(validSettings, `kind: "k"`, `kind: "z"`, 1),
-			[]string{"f.cue:4:", "classes[0].kind: no kind \"z\", expected one of kinds"}},
+			[]string{"f.cue:4:", "classes[0].kind: no kind \"z\" is defined, expected a name in the list \"kinds\""}},
 		{"aim over giveup", strings.Replace(validSettings, `aim: "1s"`, `aim: "9s"`, 1),
-			[]string{"f.cue:4:", "classes[0].aim: is 9s, expected at most giveup, which is 5s"}},
+			[]string{"f.cue:4:", "classes[0].aim: is 9s, expected at most the value of \"giveup\", which is 5s"}},
 		{"index", validSettings + "index: 4", []string{"f.cue:6:8: index: is 4, expected below schedulers, which is 1"}},
 		{"tenants", validSettings + `tenants: [{name: "a"}, {name: "a"}]`, []string{`tenants[1].name: "a" names two tenants`}},
 	} {
@@ -116,7 +116,7 @@
 		{"check of this package", validSettings + "index: 4", ConfigError{File: "f.cue", Line: 6, Column: 8, Field: "index", Value: "4",
 			Reason: "is 4, expected below schedulers, which is 1"}},
 		{"field of a list element", strings.Replace(validSettings, `kind: "k"`, `kind: "z"`, 1), ConfigError{File: "f.cue", Line: 4, Column: 137,
-			Field: "classes[0].kind", Value: `"z"`, Reason: `no kind "z", expected one of kinds`}},
+			Field: "classes[0].kind", Value: `"z"`, Reason: `no kind "z" is defined, expected a name in the list "kinds"`}},
 		{"unknown field", validSettings + "wings: 2", ConfigError{File: "f.cue", Line: 6, Column: 1, Field: "wings", Value: "2",
 			Reason: "field not allowed"}},
 	} {
--- a/internal/testbed/emulator/timingwheel.go
+++ b/internal/testbed/emulator/timingwheel.go
@@ -89,7 +89,9 @@
 			continue
 		}
 		ids = *slot
-		*slot = (*slot)[len(*slot):] // the caller uses ids, so later entities are appended behind it
+		// The emptied slot continues in the same array after the elements of ids, so that entities which are added while the
+		// caller still reads ids do not overwrite it.
+		*slot = (*slot)[len(*slot):]
 		if cap(*slot) < minSlotCapacity {
 			*slot = nil
 		}
--- a/internal/testbed/load/shape.go
+++ b/internal/testbed/load/shape.go
@@ -24,12 +24,14 @@
 // Shape describes the submission rate over time; it is the #Shape record of the schema. Rates are in jobs per second, and times
 // in seconds from the start of the load.
 type Shape struct {
-	Kind            string  `json:"kind"`
-	BaseRate        float64 `json:"perSecond"` // steady rate; initial rate of a ramp; rate outside the peaks of other kinds
-	PeakRate        float64 `json:"peak"`      // rate at the peak, or at the end of a ramp
-	StartSeconds    float64 `json:"from"`      // start of the first burst, the cold snap or the cycle
-	DurationSeconds float64 `json:"for"`       // duration of a burst or cold snap
-	PeriodSeconds   float64 `json:"every"`     // period of bursts or of the diurnal cycle; zero means a single burst
+	Kind string `json:"kind"`
+	// BaseRate is the constant rate of a steady load, the rate at the start of a ramp or a diurnal cycle, and the rate outside
+	// bursts and the cold snap.
+	BaseRate        float64 `json:"perSecond"`
+	PeakRate        float64 `json:"peak"`  // rate at the peak, or at the end of a ramp
+	StartSeconds    float64 `json:"from"`  // start of the first burst, the cold snap or the cycle
+	DurationSeconds float64 `json:"for"`   // duration of a burst or cold snap
+	PeriodSeconds   float64 `json:"every"` // period of bursts or of the diurnal cycle; zero means a single burst
 }
 
 // rate returns the submission rate at the given time of a load that lasts lengthSeconds.
--- a/internal/testbed/plancheck/breakingpoint.go
+++ b/internal/testbed/plancheck/breakingpoint.go
@@ -150,7 +150,8 @@
 		}
 	}
 	if counted == 0 { // without submissions the goal would always be met
-		return "", 0, fmt.Errorf("plancheck: no submissions after the warm-up of %v s: the load ends before", goal.WarmupSeconds)
+		return "", 0, fmt.Errorf("plancheck: no job was submitted after the warm-up of %v s, expected a load that lasts longer",
+			goal.WarmupSeconds)
 	}
 	return worst, lowestFraction, nil
 }
--- a/internal/testbed/rules/check.go
+++ b/internal/testbed/rules/check.go
@@ -120,7 +120,7 @@
 	attempts       map[string]*attempt
 	attemptsByKey  map[string][]*attempt
 	activeAttempts map[string]map[*attempt]bool   // by scheduler: attempts in flight or accepted
-	acceptedByNode map[string]map[string]*attempt // by idempotency key and attempt: accepted by a node, not ended
+	acceptedByKey  map[string]map[string]*attempt // by key and ID of the attempt: accepted by a node, not ended
 	slowStarts     map[string]*slowStart          // by node
 }
 
@@ -135,7 +135,7 @@
 		attempts:       map[string]*attempt{},
 		attemptsByKey:  map[string][]*attempt{},
 		activeAttempts: map[string]map[*attempt]bool{},
-		acceptedByNode: map[string]map[string]*attempt{},
+		acceptedByKey:  map[string]map[string]*attempt{},
 		slowStarts:     map[string]*slowStart{},
 		verdict: Verdict{
 			Rejected: map[string]int{},
--- a/internal/testbed/rules/mark.go
+++ b/internal/testbed/rules/mark.go
@@ -33,14 +33,14 @@
 
 // nodeStopped removes the accepted attempts of a node that has stopped.
 func (c *checker) nodeStopped(node string) {
-	for key, accepted := range c.acceptedByNode {
+	for key, accepted := range c.acceptedByKey {
 		for id, attempt := range accepted {
 			if attempt.node == node {
 				delete(accepted, id)
 			}
 		}
 		if len(accepted) == 0 {
-			delete(c.acceptedByNode, key)
+			delete(c.acceptedByKey, key)
 		}
 	}
 }
--- a/internal/testbed/rules/offer.go
+++ b/internal/testbed/rules/offer.go
@@ -132,7 +132,7 @@
 		c.nodeAccepted(link.listener, body.Accepted.Attempt)
 	case *nodepb.Frame_Ended:
 		if a := c.attempts[body.Ended.Attempt]; a != nil {
-			delete(c.acceptedByNode[a.key], a.id)
+			delete(c.acceptedByKey[a.key], a.id)
 		}
 	}
 }
@@ -144,17 +144,17 @@
 	if a == nil {
 		return
 	}
-	if c.acceptedByNode[a.key] == nil {
-		c.acceptedByNode[a.key] = map[string]*attempt{}
+	if c.acceptedByKey[a.key] == nil {
+		c.acceptedByKey[a.key] = map[string]*attempt{}
 	}
 	if class := c.class(a.class); class.Idempotency != Idempotent {
 		c.verdict.Rules[NoDuplicateStart].Checked++
-		for _, other := range c.acceptedByNode[a.key] {
+		for _, other := range c.acceptedByKey[a.key] {
 			if other.id != id {
 				c.addViolation(NoDuplicateStart, "%s (%s) is accepted by %s as %s and by %s as %s", a.key, class.Idempotency,
 					other.node, other.id, node, id)
 			}
 		}
 	}
-	c.acceptedByNode[a.key][id] = a
+	c.acceptedByKey[a.key][id] = a
 }
--- a/internal/testbed/rules/recording_test.go
+++ b/internal/testbed/rules/recording_test.go
@@ -214,9 +214,9 @@
 
 // ruleCase is a recording and the rules that it violates.
 type ruleCase struct {
-	name      string
-	recording *recordingBuilder
-	violated  []int
+	name          string
+	recording     *recordingBuilder
+	violatedRules []int // indices in Verdict.Rules
 }
 
 func checkRules(t *testing.T, cases []ruleCase) {
@@ -233,11 +233,11 @@
 		t.Fatal(err)
 	}
 	for i, rule := range verdict.Rules {
-		if got, want := len(rule.Violations) > 0, slices.Contains(c.violated, i); got != want {
+		if got, want := len(rule.Violations) > 0, slices.Contains(c.violatedRules, i); got != want {
 			t.Errorf("rule %d: got violated %v, want %v\n%s", i+1, got, want, verdict)
 		}
 	}
-	if got, want := verdict.OK(), len(c.violated) == 0; got != want {
+	if got, want := verdict.OK(), len(c.violatedRules) == 0; got != want {
 		t.Errorf("got OK %v, want %v", got, want)
 	}
 }
--- a/internal/testbed/scenario/read.go
+++ b/internal/testbed/scenario/read.go
@@ -88,7 +88,8 @@
 	}
 	for i, g := range d.Fleet {
 		if !kinds[g.MachineKind] {
-			file.AddErrorf(fmt.Sprintf("fleet[%d].kind", i), "no kind %q, expected one of kinds", g.MachineKind)
+			file.AddErrorf(fmt.Sprintf("fleet[%d].kind", i),
+				"no kind %q is defined, expected a name in the list \"kinds\"", g.MachineKind)
 		}
 	}
 }
@@ -96,7 +97,8 @@
 func (d *Day) checkLoad(file *settings.File) {
 	for i, l := range d.Loads {
 		if d.Class(l.Class) == nil {
-			file.AddErrorf(fmt.Sprintf("load[%d].class", i), "no class %q, expected one of classes", l.Class)
+			file.AddErrorf(fmt.Sprintf("load[%d].class", i),
+				"no class %q is defined, expected a name in the list \"classes\"", l.Class)
 		}
 		if l.RuntimeBounds[1] < l.RuntimeBounds[0] {
 			file.AddErrorf(fmt.Sprintf("load[%d].life", i), "is %v, expected durations in ascending order", l.RuntimeBounds)
@@ -107,7 +109,8 @@
 func (d *Day) checkFaults(file *settings.File) {
 	for i, t := range d.Faults {
 		if t.Class != "" && t.Class != allClasses && d.Class(t.Class) == nil {
-			file.AddErrorf(fmt.Sprintf("troubles[%d].class", i), "no class %q, expected one of classes", t.Class)
+			file.AddErrorf(fmt.Sprintf("troubles[%d].class", i),
+				"no class %q is defined, expected a name in the list \"classes\" or %q", t.Class, allClasses)
 		}
 		for j, s := range t.Schedulers {
 			if s >= d.Schedulers {
--- a/internal/testbed/standin/scripted/node.go
+++ b/internal/testbed/standin/scripted/node.go
@@ -14,8 +14,8 @@
 	"flaxshelf.example/flaxshelf/internal/codec/nodebinary"
 )
 
-// channelCapacity is the capacity of the channels on which a stand-in reports to its test. A stand-in whose channel is full
-// blocks.
+// channelCapacity is the capacity of the channels on which a stand-in reports to its test. If such a channel is full, the
+// stand-in blocks until the test receives from it.
 const channelCapacity = 1000
 
 // ConnectionEvent is the opening or the end of a connection to a Node.
--- a/internal/testbed/trial/schedulerprocess.go
+++ b/internal/testbed/trial/schedulerprocess.go
@@ -220,7 +220,7 @@
 
 // Error returns a message with the scheduler and the cause.
 func (e *TerminateError) Error() string {
-	return fmt.Sprintf("trial: %s after SIGTERM: %v", e.Scheduler, e.Err)
+	return fmt.Sprintf("trial: scheduler %s did not shut down properly after SIGTERM: %v", e.Scheduler, e.Err)
 }
 
 // Unwrap returns Err.
--- a/internal/transport/outbox.go
+++ b/internal/transport/outbox.go
@@ -26,9 +26,10 @@
 	return err
 }
 
-// PutExpiring appends a message like Put. The message expires if, directly before it would be written, wanted or Flush's
-// inTime returns false. It is then discarded and onExpired is called. wanted may be nil and is called on the event loop.
-// onExpired is called on the event loop or by Flush. Neither is called if PutExpiring fails.
+// PutExpiring appends a message like Put. Directly before the message would be written, the event loop calls Flush's inTime
+// and then wanted. If either returns false, the message has expired: it is discarded, and onExpired is called. A nil wanted
+// means that the message is always wanted. onExpired runs on the event loop, or in Flush if that cannot queue the messages.
+// If PutExpiring fails, it never calls wanted or onExpired.
 func (o *Outbox) PutExpiring(encode func(dst []byte) ([]byte, error), wanted func() bool, onExpired func()) error {
 	begin := len(o.bytes)
 	if err := o.Put(encode); err != nil {
