--- a/internal/codec/httpcodec/framing.go
+++ b/internal/codec/httpcodec/framing.go
@@ -66,7 +66,7 @@
 
 func (f *framing) applyTransferEncoding(value string) error {
 	if f.chunked || !strings.EqualFold(value, "chunked") {
-		return reject(http.StatusNotImplemented, "unsupported Transfer-Encoding, expected chunked once")
+		return reject(http.StatusNotImplemented, "of the transfer encodings only chunked is taken")
 	}
 	f.chunked = true
 	return nil
--- a/internal/codec/httpcodec/parser_test.go
+++ b/internal/codec/httpcodec/parser_test.go
@@ -123,7 +123,7 @@
 		"GET / HTTP/1.1\r\nA: b\x00\r\n\r\n":                                "400 a control character in header field A",
 		"POST / HTTP/1.1\r\nContent-Length: x\r\n\r\n":                      "400 Content-Length is not a number",
 		"POST / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n": "400 two Content-Lengths",
-		"POST / HTTP/1.1\r\nTransfer-Encoding: gzip\r\n\r\n":                "501 unsupported Transfer-Encoding, expected chunked once",
+		"POST / HTTP/1.1\r\nTransfer-Encoding: gzip\r\n\r\n":                "501 of the transfer encodings only chunked is taken",
 		"POST / HTTP/1.1\r\nExpect: x\r\n\r\n":                              "417 of the expectations only 100-continue is met",
 		"GET / HTTP/1.1\r\n\r\n":                                            "400 one Host field is needed",
 		"POST / HTTP/1.1\r\n" + host + "Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n": "400 Transfer-Encoding where it may not be",
--- a/internal/scheduler/command.go
+++ b/internal/scheduler/command.go
@@ -30,7 +30,7 @@
 	case Reap:
 		c.handleReap(requestID, job)
 	default:
-		c.reject(requestID, InvalidArgument, 0, "unknown command %q, want %q, %q, %q or %q", verb, Hold, Release, Terminate, Reap)
+		c.reject(requestID, InvalidArgument, 0, "no command %q", verb)
 	}
 }
 
--- a/internal/scheduler/submission.go
+++ b/internal/scheduler/submission.go
@@ -44,9 +44,9 @@
 	spec := &in.Spec
 	switch {
 	case !c.knownClass(spec.Class):
-		return newError(InvalidArgument, 0, "unknown class %d, want 0 to %d", spec.Class, len(c.cfg.Module.Classes)-1)
+		return newError(InvalidArgument, 0, "no class %d", spec.Class)
 	case in.jobCount() > maxArrayJobs:
-		return newError(InvalidArgument, 0, "the array has %d jobs, want at most %d", in.jobCount(), maxArrayJobs)
+		return newError(InvalidArgument, 0, "an array of %d jobs, %d at most", in.jobCount(), maxArrayJobs)
 	case spec.Session != "" && !c.sessions[spec.Session]:
 		return newError(InvalidSession, 0, "no job session %q", spec.Session)
 	}
