--- a/helpers_test.go
+++ b/helpers_test.go
@@ -53,7 +53,7 @@
 	return p
 }
 
-// newSubmission returns the event that submits a task of service s that requests one core and one unit of memory.
+// newSubmission returns the event that submits a task of service s with one core and one unit of memory.
 func newSubmission(id string, class int, deadline Time) TaskSubmitted {
 	return TaskSubmitted{Task{ID: id, Service: "s", Class: class, Cores: 1, Memory: 1, Deadline: deadline, Tenant: -1}}
 }
@@ -63,7 +63,7 @@
 	return AttemptEnded{Task: offer.Task, Machine: offer.Machine, Outcome: outcome}
 }
 
-// addPlacement adds a placement to the history. The number is the machine's position in machinesByID.
+// addPlacement adds a placement to the history. The number is the machine's position in sortedMachines.
 func addPlacement(p *Placer, number int, placed machineindex.Placement) *machineindex.Placement {
 	placed.Machine = p.sortedMachines[number].entry
 	p.index.AddPlacement(&placed)
--- a/internal/benchadapter/events.go
+++ b/internal/benchadapter/events.go
@@ -9,13 +9,14 @@
 	"flaxshelf.example/flaxshelf/internal/textfields"
 )
 
-// outcomes are the outcomes of attempts and health checks by their numbers in the protocol.
+// outcomes maps the numbers of the protocol to outcomes of attempts and health checks.
 var outcomes = map[string]flaxshelf.Outcome{
 	"0": flaxshelf.Completed, "255": flaxshelf.Failed, "254": flaxshelf.Rejected, "253": flaxshelf.TimedOut,
 	"252": flaxshelf.Unreachable, "251": flaxshelf.Lost, "250": flaxshelf.Canceled, "249": flaxshelf.NotSent,
 }
 
-// eventDecoders decode the messages that are one event each, by their names.
+// eventDecoders has, by message name, the decoders of the messages that carry all fields of one event. VIEW, which refers to a
+// machine list, is decoded by Reader.decodeView.
 var eventDecoders = map[string]func(f *fields) flaxshelf.Event{
 	"TO_PLACE":      decodeTaskSubmitted,
 	"RUNNING":       decodeTaskAdopted,
@@ -43,7 +44,7 @@
 
 func decodeAttemptEnded(f *fields) flaxshelf.Event {
 	return flaxshelf.AttemptEnded{Task: f.RequiredText("tid"), Machine: f.Text("node"),
-		Attempt: int(f.Integer("leg")), Outcome: textfields.Lookup(&f.Fields, "verdict", outcomes, flaxshelf.Lost),
+		Attempt: int(f.Integer("leg")), Outcome: textfields.Enum(&f.Fields, "verdict", outcomes, flaxshelf.Lost),
 		Reason: flaxshelf.Reason(f.Integer("remark")), Final: f.Boolean("finished"),
 		Latency: f.Duration("lag_ns"), Load: decodeLoad(f)}
 }
@@ -56,14 +57,15 @@
 
 func decodeHealthChecked(f *fields) flaxshelf.Event {
 	return flaxshelf.HealthChecked{Machine: f.RequiredText("node"),
-		Outcome: textfields.Lookup(&f.Fields, "verdict", outcomes, flaxshelf.Lost), Load: decodeLoad(f)}
+		Outcome: textfields.Enum(&f.Fields, "verdict", outcomes, flaxshelf.Lost), Load: decodeLoad(f)}
 }
 
+// decodeGossip decodes an INBOX message, whose data is in base64.
 func decodeGossip(f *fields) flaxshelf.Event {
 	blob := f.Text("blob")
-	data, err := base64.StdEncoding.DecodeString(strings.TrimPrefix(blob, noData))
+	data, err := base64.StdEncoding.DecodeString(strings.TrimPrefix(blob, emptyValue))
 	if err != nil {
-		f.Fail("blob", blob, "must be base64 or -")
+		f.RecordError("blob", blob, "must be base64 or -")
 	}
 	return flaxshelf.GossipReceived{From: int(f.RequiredInteger("neighbour")), Data: data}
 }
@@ -72,6 +74,7 @@
 	return flaxshelf.TaskCanceled{Task: f.RequiredText("tid")}
 }
 
+// decodeTask decodes the fields of a task, which TO_PLACE and RUNNING have. The class is named by the field priority.
 func decodeTask(f *fields) flaxshelf.Task {
 	task := flaxshelf.Task{
 		ID: f.RequiredText("tid"), Key: f.Text("uid"), Service: f.Text("owner_set"),
@@ -82,16 +85,17 @@
 	className := f.RequiredText("priority")
 	class, ok := f.names.Class(className)
 	if !ok {
-		f.Fail("priority", className, "must be the name of a class")
+		f.RecordError("priority", className, "must be the name of a class")
 	}
 	task.Class = class
 	return task
 }
 
-// decodeLoad decodes a load report of name:value pairs: x0 for free cores, x1 for free memory. Other names are skipped.
+// decodeLoad decodes the field load, a list of name:number pairs separated by commas: x0 is the number of free cores, x1 the free
+// memory. Pairs with other names are skipped.
 func decodeLoad(f *fields) (load flaxshelf.LoadReport) {
 	text := f.Text("load")
-	if text == "" || text == noData {
+	if text == "" || text == emptyValue {
 		return load
 	}
 	load.Present = true
@@ -99,7 +103,7 @@
 		name, value, _ := strings.Cut(pair, ":")
 		amount, err := strconv.ParseFloat(value, 64)
 		if err != nil {
-			f.Fail("load", text, "must be name:number pairs")
+			f.RecordError("load", text, "must be name:number pairs")
 			return load
 		}
 		switch name {
--- a/internal/benchadapter/fields.go
+++ b/internal/benchadapter/fields.go
@@ -5,25 +5,28 @@
 	"flaxshelf.example/flaxshelf/internal/textfields"
 )
 
-// noData represents an empty value in fields that can't be empty.
-const noData = "-"
+// emptyValue stands for no data in fields whose value must not be empty: blob and load.
+const emptyValue = "-"
 
-// fields are the fields of a line.
+// fields holds the name=value fields of a line, and the names by which they refer to settings.
 type fields struct {
 	textfields.Fields
-	names *fleetsettings.Names // of the instance that the line is for
+	names *fleetsettings.NameIndex // in the settings of the instance that the line is about
 }
 
-// noNames are the names of an instance that has not started.
-var noNames = &fleetsettings.Names{}
+// emptyNames has no names. It is used for lines about no instance, and about an instance that has not started.
+var emptyNames = &fleetsettings.NameIndex{}
 
-func parseFields(line string) *fields { return &fields{Fields: textfields.Parse(line), names: noNames} }
+// parseFields returns the fields of a line without its message name.
+func parseFields(line string) *fields {
+	return &fields{Fields: textfields.Parse(line), names: emptyNames}
+}
 
-// check returns the first fault of a line as a ProtocolError, or nil.
-func (r *Reader) check(f *fields) error {
-	invalid := f.Invalid()
+// protocolError returns a *ProtocolError for the first invalid or missing field of a line, or nil if there is none.
+func (r *Reader) protocolError(f *fields) error {
+	invalid := f.FirstError()
 	if invalid == nil {
 		return nil
 	}
-	return &ProtocolError{Batch: r.serial, Field: invalid.Field, Value: invalid.Value}
+	return &ProtocolError{Batch: r.batchSerial, Field: invalid.Field, Value: invalid.Value}
 }
--- a/internal/codec/ownerjson/message_test.go
+++ b/internal/codec/ownerjson/message_test.go
@@ -13,18 +13,18 @@
 	setUpLine = `{"type":"setup","id":"9b1f03aa5c7e2d41","fields":{"class":"batch","left":1500},"sdp":"9d41\r\nc=IN\r\n"}` + "\n"
 )
 
-// Lines are decoded one by one, in whatever pieces their bytes arrive; fields are strings or numbers.
+// Lines are decoded one by one, whatever the size of the pieces in which they arrive. Fields may be strings or numbers.
 func TestLinesArriveInPieces(t *testing.T) {
 	input := setUpLine + `{"type":"release","id":"9b1f03aa5c7e2d41","fields":{},"cause":34,"later":[1]}` + "\n"
-	codectest.RunSizes(t, len(input), func(t *testing.T, size int) {
-		got := codectest.Decode(t, []byte(input), size, Next)
+	codectest.RunWithPieceSizes(t, len(input), func(t *testing.T, size int) {
+		got := codectest.DecodeAll(t, []byte(input), size, Next)
 		if len(got) != 2 {
 			t.Fatalf("got %d messages, want 2", len(got))
 		}
 		if m := got[0]; m.Fields["left"] != "1500" || m.Description != "9d41\r\nc=IN\r\n" || m.Cause != NoCause {
 			t.Errorf("first message: got %+v, want %s", m, setUpLine)
 		}
-		if m := got[1]; m.Type != Release || m.Cause != 34 || m.Described {
+		if m := got[1]; m.Type != Release || m.Cause != 34 || m.HasDescription {
 			t.Errorf("second message: got %+v, want a release with cause 34 and no description", m)
 		}
 	})
@@ -56,7 +56,7 @@
 	}
 }
 
-// An error names the field with the invalid value, or the byte at which the line is not JSON.
+// An error names the invalid field, or the offset at which the line is not valid JSON.
 func TestProtocolErrorNamesItsPlace(t *testing.T) {
 	for _, c := range []struct {
 		line string
@@ -80,11 +80,11 @@
 	}
 }
 
-// A line over the limit is an error before its line feed has arrived.
+// A line over the limit is rejected, also before its line feed has arrived.
 func TestNextRejectsLongLines(t *testing.T) {
 	for name, input := range map[string]string{
-		"without a line feed": strings.Repeat("x", MaxLine),
-		"with a line feed":    strings.Repeat(" ", MaxLine) + setUpLine,
+		"without a line feed": strings.Repeat("x", MaxLineBytes),
+		"with a line feed":    strings.Repeat(" ", MaxLineBytes) + setUpLine,
 	} {
 		if _, _, err := Next([]byte(input)); !errors.Is(err, ErrTooLong) {
 			t.Errorf("%s: got %v, want %v", name, err, ErrTooLong)
@@ -94,7 +94,7 @@
 
 func TestAppendKeepsDescription(t *testing.T) {
 	for _, text := range []string{"", "a\r\nb\"\\\t\u00e9/", "<&>"} {
-		line, err := Append(nil, &Message{Type: Answer, ID: taskID, Cause: NoCause, Description: text, Described: true})
+		line, err := Append(nil, &Message{Type: Answer, ID: taskID, Cause: NoCause, Description: text, HasDescription: true})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -105,20 +105,21 @@
 	}
 }
 
-// A description that can't be encoded leaves the buffer as it was.
+// If the description can't be encoded, Append returns the buffer unchanged.
 func TestAppendRejectsDescription(t *testing.T) {
-	for name, text := range map[string]string{"not UTF-8": "\xff", "over the limit": strings.Repeat("x", MaxLine)} {
-		buf, err := Append([]byte("kept"), &Message{Type: Answer, ID: taskID, Description: text, Described: true})
+	for name, text := range map[string]string{"not UTF-8": "\xff", "over the limit": strings.Repeat("x", MaxLineBytes)} {
+		buf, err := Append([]byte("kept"), &Message{Type: Answer, ID: taskID, Description: text, HasDescription: true})
 		if err == nil || string(buf) != "kept" {
-			t.Errorf("%s: got %q, %v, want the buffer as it was and an error", name, buf, err)
+			t.Errorf("%s: got %q, %v, want the buffer unchanged and an error", name, buf, err)
 		}
-		if tooLong := len(text) == MaxLine; errors.Is(err, ErrTooLong) != tooLong {
+		if tooLong := len(text) == MaxLineBytes; errors.Is(err, ErrTooLong) != tooLong {
 			t.Errorf("%s: got %v, want ErrTooLong: %v", name, err, tooLong)
 		}
 	}
 }
 
-// What Next decodes is the same after Append and Next, save for its fields.
+// A message that Next has decoded is the same after it was encoded by Append and decoded again, except for its fields, which
+// are not encoded.
 func FuzzNext(f *testing.F) {
 	f.Add([]byte(setUpLine))
 	f.Add([]byte(`{"type":"ping","id":"9b1f03aa5c7e2d41","fields":{"a":1e9},"cause":0}` + "\n"))
@@ -129,7 +130,7 @@
 		}
 		line, err := Append(nil, m)
 		if err != nil {
-			return // escaped it may be longer than the limit
+			return // with escape sequences, the line may exceed the limit
 		}
 		again, _, err := Next(line)
 		if err != nil || again.ID != m.ID || again.Description != m.Description || again.Cause != m.Cause {
@@ -149,7 +150,7 @@
 }
 
 func BenchmarkAppend(b *testing.B) {
-	m := &Message{Type: Answer, ID: taskID, Cause: NoCause, Description: "9d41\r\nc=IN\r\n", Described: true}
+	m := &Message{Type: Answer, ID: taskID, Cause: NoCause, Description: "9d41\r\nc=IN\r\n", HasDescription: true}
 	var buf []byte
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/daemon/sessions_test.go
+++ b/internal/daemon/sessionlist_test.go
@@ -9,12 +9,12 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/standin/nodemodel"
 )
 
-// Without sessions the list of their names is encoded as an empty list and not as null, see docs/drmaa.md.
+// If there are no sessions, the list of their names is encoded as an empty list and not as null, as docs/drmaa.md specifies.
 func TestNoSessionsAreEncodedAsEmptyList(t *testing.T) {
 	for _, cores := range []int{1, 4} {
 		t.Run(fmt.Sprintf("%d cores", cores), func(t *testing.T) {
-			cluster := newTestCluster(t, clusterOptions{nodes: 0, configure: func(set *settings.Scheduler, _ *nodemodel.Config) {
-				set.Shards = cores
+			cluster := newTestCluster(t, clusterOptions{nodes: 0, configure: func(cfg *settings.Scheduler, _ *nodemodel.Config) {
+				cfg.Shards = cores
 			}})
 			response := responseTo(t, cluster.daemon.Addr(),
 				"GET /drmaa2/v1/sessions HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
--- a/internal/daemon/testcluster_test.go
+++ b/internal/daemon/testcluster_test.go
@@ -24,7 +24,7 @@
 		goleak.IgnoreTopFunction("github.com/panjf2000/gnet/v2/pkg/logging.init.0.func1"))
 }
 
-const testScheduler = `
+const testSettings = `
 name: "s"
 listen: "127.0.0.1:0"
 inventory: "127.0.0.1:0"
@@ -38,7 +38,7 @@
 limits: {idle: "20s", request: "500ms", clientOut: 65536, stopWithin: "5s"}
 `
 
-// clusterOptions configure a testCluster. The zero value is a scheduler without nodes.
+// clusterOptions configures a testCluster. The zero value configures a scheduler without nodes.
 type clusterOptions struct {
 	nodes     int
 	configure func(*settings.Scheduler, *nodemodel.Config) // changes the default settings; nil for none
@@ -57,10 +57,10 @@
 	client    *drmaa2.Client
 }
 
-// newTestCluster starts a scheduler, its inventory and its nodes, which the end of the test stops.
+// newTestCluster starts a scheduler, its inventory and its nodes, and stops them at the end of the test.
 func newTestCluster(t testing.TB, options clusterOptions) *testCluster {
 	t.Helper()
-	set, err := settings.ParseScheduler("test", []byte(testScheduler))
+	cfg, err := settings.ParseScheduler("test", []byte(testSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -77,9 +77,9 @@
 		MaxCachedPrograms:   4,
 	}
 	if options.configure != nil {
-		options.configure(set, &model)
+		options.configure(cfg, &model)
 	}
-	cluster := &testCluster{t: t, options: options, settings: set}
+	cluster := &testCluster{t: t, options: options, settings: cfg}
 	cluster.inventory, err = host.StartInventory("127.0.0.1:0", inventorymodel.Config{RemovalDelay: 50 * time.Millisecond},
 		zerolog.Nop())
 	if err != nil {
@@ -87,7 +87,7 @@
 	}
 	t.Cleanup(cluster.inventory.Stop)
 	cluster.startNodes(model)
-	set.InventoryAddress = cluster.inventory.Addr()
+	cfg.InventoryAddress = cluster.inventory.Addr()
 	cluster.startDaemon()
 	t.Cleanup(func() {
 		cluster.client.Close()
@@ -98,7 +98,8 @@
 	return cluster
 }
 
-// newTestSession starts a test cluster and creates a job session in it. The context ends after the timeout or with the test.
+// newTestSession starts a test cluster and creates a job session in it. The context ends after the timeout, and at the latest
+// at the end of the test.
 func newTestSession(t testing.TB, timeout time.Duration, options clusterOptions) (context.Context, *testCluster,
 	*drmaa2.JobSession) {
 	t.Helper()
@@ -110,30 +111,31 @@
 // startNodes starts the nodes and waits until the inventory lists them.
 func (c *testCluster) startNodes(model nodemodel.Config) {
 	c.t.Helper()
-	keys := host.NewKeyRegistry()
+	keys := host.NewConcurrentKeyRegistry()
 	for i := range c.options.nodes {
 		model.Name, model.Seed = fmt.Sprintf("n%d", i), uint64(i)
-		node, err := host.StartNode(host.NodeOptions{Model: model, Kind: "k", Listen: "127.0.0.1:0",
-			Inventory: c.inventory.Addr(), Keys: keys, Log: zerolog.Nop()})
+		node, err := host.StartNode(host.NodeOptions{Model: model, Kind: "k", ListenAddress: "127.0.0.1:0",
+			InventoryAddress: c.inventory.Addr(), Keys: keys, Log: zerolog.Nop()})
 		if err != nil {
 			c.t.Fatal(err)
 		}
 		c.t.Cleanup(node.Stop)
 		c.nodes = append(c.nodes, node)
 	}
-	if err := c.inventory.WaitFor(contextWithin(c.t, 10*time.Second), c.options.nodes); err != nil {
+	if err := c.inventory.WaitForNodes(contextWithin(c.t, 10*time.Second), c.options.nodes); err != nil {
 		c.t.Fatal(err)
 	}
 }
 
-// startDaemon starts the daemon and its client. A restarted daemon has the same address.
+// startDaemon starts the daemon and its client. It sets the daemon's address in the settings, so that a restarted daemon has the
+// same address.
 func (c *testCluster) startDaemon() {
 	c.t.Helper()
 	log := zerolog.Nop()
 	if c.options.log != nil {
 		log = zerolog.New(c.options.log)
 	}
-	d, err := StartHooked(c.settings, log, c.options.hook)
+	d, err := StartWithHook(c.settings, log, c.options.hook)
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -170,15 +172,18 @@
 	return session
 }
 
-// finishedOnNodes returns the number of tasks that the nodes have finished.
-func (c *testCluster) finishedOnNodes() (finished int) {
+// tasksFinishedOnNodes returns the number of tasks that all nodes have finished.
+func (c *testCluster) tasksFinishedOnNodes() (finished int) {
 	for _, node := range c.nodes {
-		node.Do(func(m *nodemodel.Node, _ nodemodel.Time) []nodemodel.Send { finished += m.Finished(); return nil })
+		node.Do(func(m *nodemodel.Node, _ nodemodel.Time) []nodemodel.Envelope {
+			finished += m.FinishedTasks()
+			return nil
+		})
 	}
 	return finished
 }
 
-// contextWithin returns a context that ends after the timeout or with the test.
+// contextWithin returns a context that ends after the timeout, and at the latest at the end of the test.
 func contextWithin(t testing.TB, timeout time.Duration) context.Context {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
@@ -186,7 +191,7 @@
 	return ctx
 }
 
-// jobTemplate returns the template of a job with a class, an expected runtime and further attributes, as pairs of name and
+// jobTemplate returns the template of a job with a class and an expected runtime. The attributes are pairs of a name and a
 // value.
 func jobTemplate(class string, runtime time.Duration, attributes ...string) drmaa2.JobTemplate {
 	template := drmaa2.JobTemplate{RemoteCommand: "x", JobCategory: class,
@@ -197,7 +202,7 @@
 	return template
 }
 
-// metricValues returns the daemon's counters and gauges by series, such as name{label="value"}.
+// metricValues returns the values of the daemon's counters and gauges. The keys are series, such as name{label="value"}.
 func metricValues(t *testing.T, d *Daemon) map[string]float64 {
 	t.Helper()
 	families, err := d.metrics.registry.Gather()
@@ -221,7 +226,7 @@
 	return values
 }
 
-// metricValue returns the value of one series of the daemon.
+// metricValue returns the value of one series of the daemon, and fails the test if there is none.
 func metricValue(t *testing.T, d *Daemon, series string) float64 {
 	t.Helper()
 	value, ok := metricValues(t, d)[series]
--- a/internal/front/drmaafront/requests.go
+++ b/internal/front/drmaafront/requests.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	maxNameBytes = 255    // of a session's or a job's name
-	maxArrayJobs = 100000 // in one array
+	maxNameBytes = 255    // length of a session's or a job's name
+	maxArrayJobs = 100000 // jobs in an array
 	maxPageSize  = 1000   // jobs in one page of a list
 )
 
@@ -25,31 +25,32 @@
 	Name string `json:"name"`
 }
 
-// submitRequest is the body of a submission. Its template is stored undecoded, for requests of the template and for the node.
+// submitRequest is the body of a submission. The template remains encoded because it is stored as the client sent it: it is
+// returned to clients that request it, and sent to the node with the offer.
 type submitRequest struct {
 	Template jsontext.Value `json:"template"`
-	Again    bool           `json:"again"`
+	Retry    bool           `json:"again"`
 	Bulk     *drmaa2.Bulk   `json:"bulk"`
 }
 
-func listSessions(*Front, *httpcodec.Request, []string) (*Call, *drmaa2.Error) {
+func listSessions(*Frontend, *httpcodec.Request, []string) (*Call, *drmaa2.Error) {
 	return &Call{
 		BuildInput: func(requestID, _ uint64) scheduler.Input {
 			return scheduler.SessionCommand{RequestID: requestID, Verb: scheduler.ListSessions}
 		},
-		EncodeAnswer: orError(encodeSessionNames),
+		EncodeAnswer: withErrorResponse(encodeSessionNames),
 	}, nil
 }
 
-func createSession(_ *Front, request *httpcodec.Request, _ []string) (*Call, *drmaa2.Error) {
+func createSession(_ *Frontend, request *httpcodec.Request, _ []string) (*Call, *drmaa2.Error) {
 	var body createSessionRequest
-	if err := decode(request.Body, &body); err != nil {
+	if err := decodeJSON(request.Body, &body); err != nil {
 		return nil, err
 	}
 	if err := checkSessionName(body.Name); err != nil {
 		return nil, err
 	}
-	return sessionCall(scheduler.CreateSession, body.Name, http.StatusCreated), nil
+	return newSessionCall(scheduler.CreateSession, body.Name, http.StatusCreated), nil
 }
 
 func checkSessionName(name string) *drmaa2.Error {
@@ -62,23 +63,23 @@
 
 func isControl(r rune) bool { return r < ' ' || r == 0x7f }
 
-// sessionCommand returns the handler of a command on the session that the path names.
+// sessionCommand returns the handler of a command on the session in the path.
 func sessionCommand(verb scheduler.Verb) handler {
-	return func(_ *Front, _ *httpcodec.Request, args []string) (*Call, *drmaa2.Error) {
-		return sessionCall(verb, args[0], http.StatusOK), nil
+	return func(_ *Frontend, _ *httpcodec.Request, args []string) (*Call, *drmaa2.Error) {
+		return newSessionCall(verb, args[0], http.StatusOK), nil
 	}
 }
 
-func sessionCall(verb scheduler.Verb, name string, status int) *Call {
+func newSessionCall(verb scheduler.Verb, name string, status int) *Call {
 	return &Call{
 		BuildInput: func(requestID, _ uint64) scheduler.Input {
 			return scheduler.SessionCommand{RequestID: requestID, Verb: verb, Name: name}
 		},
-		EncodeAnswer: orError(func(*scheduler.Answer) []byte { return jsonResponse(status, sessionResponse{name}) }),
+		EncodeAnswer: withErrorResponse(func(*scheduler.Answer) []byte { return jsonResponse(status, sessionResponse{name}) }),
 	}
 }
 
-func submitJob(f *Front, request *httpcodec.Request, args []string) (*Call, *drmaa2.Error) {
+func submitJob(f *Frontend, request *httpcodec.Request, args []string) (*Call, *drmaa2.Error) {
 	submit, bulk, err := f.decodeSubmission(request, args[0])
 	switch {
 	case err != nil:
@@ -86,10 +87,10 @@
 	case bulk != nil:
 		return nil, invalidArgument("bulk", "a range is for an array")
 	}
-	return f.submitCall(submit), nil
+	return f.newSubmitCall(submit), nil
 }
 
-func submitArray(f *Front, request *httpcodec.Request, args []string) (*Call, *drmaa2.Error) {
+func submitArray(f *Frontend, request *httpcodec.Request, args []string) (*Call, *drmaa2.Error) {
 	submit, bulk, err := f.decodeSubmission(request, args[0])
 	switch {
 	case err != nil:
@@ -101,46 +102,46 @@
 		return nil, err
 	}
 	submit.MaxParallel = bulk.MaxParallel
-	return f.submitCall(submit), nil
+	return f.newSubmitCall(submit), nil
 }
 
-// decodeSubmission decodes the body of a submission to a session. bulk is nil if the body has no range.
-func (f *Front) decodeSubmission(request *httpcodec.Request,
+// decodeSubmission decodes and validates the body of a submission to a session. bulk is nil if the body has no range of indexes.
+func (f *Frontend) decodeSubmission(request *httpcodec.Request,
 	session string) (submit scheduler.Submit, bulk *drmaa2.Bulk, err *drmaa2.Error) {
 	var body submitRequest
-	if err := decode(request.Body, &body); err != nil {
+	if err := decodeJSON(request.Body, &body); err != nil {
 		return submit, nil, err
 	}
 	var template drmaa2.JobTemplate
-	if err := decode(body.Template, &template); err != nil {
+	if err := decodeJSON(body.Template, &template); err != nil {
 		return submit, nil, err
 	}
-	spec, err := f.spec(&template)
+	spec, err := f.jobSpec(&template)
 	if err != nil {
 		return submit, nil, err
 	}
-	spec.Template, spec.Session, spec.Retry = body.Template, session, body.Again
+	spec.Template, spec.Session, spec.Retry = body.Template, session, body.Retry
 	return scheduler.Submit{Spec: *spec}, body.Bulk, nil
 }
 
-func (f *Front) submitCall(submit scheduler.Submit) *Call {
+func (f *Frontend) newSubmitCall(submit scheduler.Submit) *Call {
 	return &Call{
 		BuildInput: func(requestID, _ uint64) scheduler.Input {
-			numbered := submit // several cores may build the input at once
-			numbered.RequestID = requestID
-			return numbered
+			input := submit // a copy: several cores may build their inputs concurrently
+			input.RequestID = requestID
+			return input
 		},
-		EncodeAnswer: f.Submitted,
+		EncodeAnswer: f.EncodeSubmitted,
 	}
 }
 
-// arrayIndexes returns the indexes of an array's jobs.
+// arrayIndexes validates the range of an array and returns the indexes of its jobs.
 func arrayIndexes(bulk *drmaa2.Bulk) ([]int, *drmaa2.Error) {
 	if bulk.BeginIndex < 1 || bulk.EndIndex < bulk.BeginIndex || bulk.Step < 1 || bulk.MaxParallel < 0 {
 		return nil, invalidArgument("bulk", "expected 1 <= beginIndex <= endIndex, step >= 1 and maxParallel >= 0")
 	}
-	if last := (bulk.EndIndex - bulk.BeginIndex) / bulk.Step; last >= maxArrayJobs {
-		return nil, invalidArgument("bulk", fmt.Sprintf("%d jobs, %d at most", last+1, maxArrayJobs))
+	if steps := (bulk.EndIndex - bulk.BeginIndex) / bulk.Step; steps >= maxArrayJobs {
+		return nil, invalidArgument("bulk", fmt.Sprintf("%d jobs, %d at most", steps+1, maxArrayJobs))
 	}
 	var indexes []int
 	for index := bulk.BeginIndex; index <= bulk.EndIndex; index += bulk.Step {
@@ -149,8 +150,8 @@
 	return indexes, nil
 }
 
-// listJobs handles the list of the jobs in the session that the path names, or in all sessions.
-func listJobs(f *Front, request *httpcodec.Request, args []string) (*Call, *drmaa2.Error) {
+// listJobs handles a request for the jobs of the session in the path, or of all sessions if the path has none.
+func listJobs(f *Frontend, request *httpcodec.Request, args []string) (*Call, *drmaa2.Error) {
 	parameters, err := url.ParseQuery(request.Query)
 	if err != nil {
 		return nil, invalidArgument("", "the query can't be read")
@@ -168,47 +169,47 @@
 	}
 	return &Call{
 		BuildInput: func(requestID, _ uint64) scheduler.Input {
-			numbered := query // several cores may build the input at once
-			numbered.RequestID = requestID
-			return numbered
+			input := query // a copy: several cores may build their inputs concurrently
+			input.RequestID = requestID
+			return input
 		},
-		EncodeAnswer: orError(f.encodeJobs),
+		EncodeAnswer: withErrorResponse(f.encodeJobs),
 	}, nil
 }
 
-func getJob(f *Front, _ *httpcodec.Request, args []string) (*Call, *drmaa2.Error) {
-	return &Call{BuildInput: queryJob(args[0]), EncodeAnswer: orError(f.encodeJobs)}, nil
+func getJob(f *Frontend, _ *httpcodec.Request, args []string) (*Call, *drmaa2.Error) {
+	return &Call{BuildInput: queryJob(args[0]), EncodeAnswer: withErrorResponse(f.encodeJobs)}, nil
 }
 
-func getTemplate(_ *Front, _ *httpcodec.Request, args []string) (*Call, *drmaa2.Error) {
-	return &Call{BuildInput: queryJob(args[0]), EncodeAnswer: orError(encodeTemplate)}, nil
+func getTemplate(_ *Frontend, _ *httpcodec.Request, args []string) (*Call, *drmaa2.Error) {
+	return &Call{BuildInput: queryJob(args[0]), EncodeAnswer: withErrorResponse(encodeTemplate)}, nil
 }
 
 func queryJob(id string) func(requestID, streamID uint64) scheduler.Input {
 	return func(requestID, _ uint64) scheduler.Input { return scheduler.Query{RequestID: requestID, Job: id} }
 }
 
-// jobCommand returns the handler of a command on the job or array that the path names.
+// jobCommand returns the handler of a command on the job or array in the path.
 func jobCommand(verb scheduler.Verb) handler {
-	return func(f *Front, _ *httpcodec.Request, args []string) (*Call, *drmaa2.Error) {
+	return func(f *Frontend, _ *httpcodec.Request, args []string) (*Call, *drmaa2.Error) {
 		return &Call{
 			BuildInput: func(requestID, _ uint64) scheduler.Input {
 				return scheduler.Command{RequestID: requestID, Verb: verb, Job: args[0]}
 			},
-			EncodeAnswer: orError(f.encodeJobs),
+			EncodeAnswer: withErrorResponse(f.encodeJobs),
 		}, nil
 	}
 }
 
-// rejectSuspension handles the commands that no node can execute.
-func rejectSuspension(*Front, *httpcodec.Request, []string) (*Call, *drmaa2.Error) {
+// rejectSuspension rejects the commands suspend and resume, which nodes don't support.
+func rejectSuspension(*Frontend, *httpcodec.Request, []string) (*Call, *drmaa2.Error) {
 	return nil, &drmaa2.Error{Code: drmaa2.UnsupportedOperation,
 		Message: "nodes run a job or stop it; they don't suspend"}
 }
 
-func listMachines(f *Front, _ *httpcodec.Request, _ []string) (*Call, *drmaa2.Error) {
+func listMachines(f *Frontend, _ *httpcodec.Request, _ []string) (*Call, *drmaa2.Error) {
 	return &Call{
 		BuildInput:   func(requestID, _ uint64) scheduler.Input { return scheduler.Machines{RequestID: requestID} },
-		EncodeAnswer: orError(f.encodeMachines),
+		EncodeAnswer: withErrorResponse(f.encodeMachines),
 	}, nil
 }
--- a/internal/front/drmaafront/routes_test.go
+++ b/internal/front/drmaafront/routes_test.go
@@ -5,13 +5,13 @@
 	"testing"
 )
 
-// Each resource and method becomes an input of the core, or is answered with an error.
+// A request becomes an input of the core, or is answered without the core with the expected status.
 func TestRoutes(t *testing.T) {
-	front := newFront(t)
+	frontend := newTestFrontend(t)
 	for _, test := range []struct {
 		method, path, body string
-		status             int    // 0: the core answers
-		input              string // of the core
+		status             int    // 0 if the core answers
+		input              string // the expected input of the core, as fmt prints it
 	}{
 		{"GET", "/drmaa2/v1/info", "", 200, ""},
 		{"GET", "/drmaa2/v1/queues", "", 200, ""},
@@ -38,7 +38,7 @@
 		{"GET", "/", "", 404, ""},
 	} {
 		t.Run(test.method+" "+test.path+" "+test.body, func(t *testing.T) {
-			call := front.Route(request(test.method, test.path, test.body))
+			call := frontend.Decode(newRequest(test.method, test.path, test.body))
 			status, err := decodeResponse(t, call)
 			if status != test.status {
 				t.Fatalf("got status %d (%v), want %d", status, err, test.status)
--- a/internal/front/drmaafront/template_test.go
+++ b/internal/front/drmaafront/template_test.go
@@ -11,14 +11,15 @@
 	"flaxshelf.example/flaxshelf/internal/scheduler"
 )
 
-// An invalid submission is rejected with an error code and the attribute; no member is ignored.
+// An invalid submission is rejected with an error that has the code and the attribute. Unsupported and unknown members are
+// rejected too; none is ignored.
 func TestInvalidSubmissionsAreRejected(t *testing.T) {
-	front := newFront(t)
-	with := func(fields string) string {
+	frontend := newTestFrontend(t)
+	withFields := func(fields string) string {
 		return `{"template":{"remoteCommand":"x","jobCategory":"batch",` + fields + `}}`
 	}
-	extension := func(name, value string) string {
-		return with(fmt.Sprintf(`"implementationSpecific":{%q:%q}`, name, value))
+	withAttribute := func(name, value string) string {
+		return withFields(fmt.Sprintf(`"implementationSpecific":{%q:%q}`, name, value))
 	}
 	for _, test := range []struct {
 		name, body string
@@ -28,42 +29,42 @@
 		{"empty", ``, drmaa2.InvalidArgument, ""},
 		{"not JSON", `{"template":`, drmaa2.InvalidArgument, ""},
 		{"two values", `{"template":{"remoteCommand":"x","jobCategory":"batch"}} {}`, drmaa2.InvalidArgument, ""},
-		{"unknown field", with(`"wings":2`), drmaa2.UnsupportedAttribute, "wings"},
-		{"invalid time", with(`"startTime":"tomorrow"`), drmaa2.InvalidArgument, "startTime"},
+		{"unknown field", withFields(`"wings":2`), drmaa2.UnsupportedAttribute, "wings"},
+		{"invalid time", withFields(`"startTime":"tomorrow"`), drmaa2.InvalidArgument, "startTime"},
 		{"NUL in the command", `{"template":{"remoteCommand":"x\u0000y","jobCategory":"batch"}}`, drmaa2.InvalidArgument, "remoteCommand"},
-		{"NUL in an argument", with(`"args":["a","\u0000"]`), drmaa2.InvalidArgument, "args"},
-		{"duplicate member", with(`"jobName":"a","jobName":"b"`), drmaa2.InvalidArgument, "template.jobName"},
-		{"duplicate implementation-specific attribute", with(`"implementationSpecific":{"flaxshelf.key":"a","flaxshelf.key":"b"}`),
+		{"NUL in an argument", withFields(`"args":["a","\u0000"]`), drmaa2.InvalidArgument, "args"},
+		{"duplicate member", withFields(`"jobName":"a","jobName":"b"`), drmaa2.InvalidArgument, "template.jobName"},
+		{"duplicate implementation-specific attribute", withFields(`"implementationSpecific":{"flaxshelf.key":"a","flaxshelf.key":"b"}`),
 			drmaa2.InvalidArgument, "template.implementationSpecific.flaxshelf.key"},
 		{"not UTF-8", "{\"template\":{\"remoteCommand\":\"\xff\"}}", drmaa2.InvalidArgument, ""},
-		{"wrong type", with(`"minSlots":"many"`), drmaa2.InvalidArgument, "minSlots"},
+		{"wrong type", withFields(`"minSlots":"many"`), drmaa2.InvalidArgument, "minSlots"},
 		{"no command", `{"template":{"jobCategory":"batch"}}`, drmaa2.InvalidArgument, "remoteCommand"},
 		{"no class", `{"template":{"remoteCommand":"x"}}`, drmaa2.InvalidArgument, "jobCategory"},
 		{"unknown class", `{"template":{"remoteCommand":"x","jobCategory":"z"}}`, drmaa2.InvalidArgument, "jobCategory"},
-		{"unknown tenant", with(`"accountingId":"z"`), drmaa2.InvalidArgument, "accountingId"},
-		{"unknown queue", with(`"queueName":"z"`), drmaa2.InvalidArgument, "queueName"},
-		{"negative slots", with(`"minSlots":-4`), drmaa2.InvalidArgument, "minSlots"},
-		{"a range of slots", with(`"minSlots":1,"maxSlots":4`), drmaa2.UnsupportedAttribute, "maxSlots"},
-		{"cores by two attributes", with(`"minSlots":1,"implementationSpecific":{"flaxshelf.cores":"2"}`), drmaa2.InvalidArgument,
+		{"unknown tenant", withFields(`"accountingId":"z"`), drmaa2.InvalidArgument, "accountingId"},
+		{"unknown queue", withFields(`"queueName":"z"`), drmaa2.InvalidArgument, "queueName"},
+		{"negative slots", withFields(`"minSlots":-4`), drmaa2.InvalidArgument, "minSlots"},
+		{"a range of slots", withFields(`"minSlots":1,"maxSlots":4`), drmaa2.UnsupportedAttribute, "maxSlots"},
+		{"cores by two attributes", withFields(`"minSlots":1,"implementationSpecific":{"flaxshelf.cores":"2"}`), drmaa2.InvalidArgument,
 			"flaxshelf.cores"},
-		{"NaN", extension("flaxshelf.cores", "NaN"), drmaa2.InvalidArgument, "flaxshelf.cores"},
-		{"infinite", extension("flaxshelf.memory", "Inf"), drmaa2.InvalidArgument, "flaxshelf.memory"},
-		{"zero", extension("flaxshelf.cores", "0"), drmaa2.InvalidArgument, "flaxshelf.cores"},
-		{"negative expected runtime", extension("flaxshelf.life", "-1s"), drmaa2.InvalidArgument, "flaxshelf.life"},
-		{"key with a space", extension("flaxshelf.key", "a b"), drmaa2.InvalidArgument, "flaxshelf.key"},
-		{"long key", extension("flaxshelf.key", strings.Repeat("k", 257)), drmaa2.InvalidArgument, "flaxshelf.key"},
-		{"unknown implementation-specific attribute", extension("flaxshelf.wings", "2"), drmaa2.UnsupportedAttribute, "flaxshelf.wings"},
-		{"environment", with(`"jobEnvironment":{"A":"b"}`), drmaa2.UnsupportedAttribute, "jobEnvironment"},
-		{"mail", with(`"email":["a@b"]`), drmaa2.UnsupportedAttribute, "email"},
-		{"priority", with(`"priority":3`), drmaa2.UnsupportedAttribute, "priority"},
-		{"machines", with(`"candidateMachines":["a"]`), drmaa2.UnsupportedAttribute, "candidateMachines"},
-		{"limits", with(`"resourceLimits":{"a":"b"}`), drmaa2.UnsupportedAttribute, "resourceLimits"},
+		{"NaN", withAttribute("flaxshelf.cores", "NaN"), drmaa2.InvalidArgument, "flaxshelf.cores"},
+		{"infinite", withAttribute("flaxshelf.memory", "Inf"), drmaa2.InvalidArgument, "flaxshelf.memory"},
+		{"zero", withAttribute("flaxshelf.cores", "0"), drmaa2.InvalidArgument, "flaxshelf.cores"},
+		{"negative expected runtime", withAttribute("flaxshelf.life", "-1s"), drmaa2.InvalidArgument, "flaxshelf.life"},
+		{"key with a space", withAttribute("flaxshelf.key", "a b"), drmaa2.InvalidArgument, "flaxshelf.key"},
+		{"long key", withAttribute("flaxshelf.key", strings.Repeat("k", 257)), drmaa2.InvalidArgument, "flaxshelf.key"},
+		{"unknown implementation-specific attribute", withAttribute("flaxshelf.wings", "2"), drmaa2.UnsupportedAttribute, "flaxshelf.wings"},
+		{"environment", withFields(`"jobEnvironment":{"A":"b"}`), drmaa2.UnsupportedAttribute, "jobEnvironment"},
+		{"mail", withFields(`"email":["a@b"]`), drmaa2.UnsupportedAttribute, "email"},
+		{"priority", withFields(`"priority":3`), drmaa2.UnsupportedAttribute, "priority"},
+		{"machines", withFields(`"candidateMachines":["a"]`), drmaa2.UnsupportedAttribute, "candidateMachines"},
+		{"limits", withFields(`"resourceLimits":{"a":"b"}`), drmaa2.UnsupportedAttribute, "resourceLimits"},
 		{"a range for one job", `{"template":{"remoteCommand":"x","jobCategory":"batch"},"bulk":{"beginIndex":1,"endIndex":2,"step":1}}`,
 			drmaa2.InvalidArgument, "bulk"},
 		{"deep nesting", strings.Repeat("[", 100000), drmaa2.InvalidArgument, ""},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			status, err := decodeResponse(t, front.Route(request("POST", "/drmaa2/v1/sessions/s/jobs", test.body)))
+			status, err := decodeResponse(t, frontend.Decode(newRequest("POST", "/drmaa2/v1/sessions/s/jobs", test.body)))
 			if status < 400 || err.Code != test.code || err.Attribute != test.attribute {
 				t.Errorf("got status %d, code %q, attribute %q: %s, want code %q, attribute %q", status, err.Code, err.Attribute,
 					err.Message, test.code, test.attribute)
@@ -72,10 +73,10 @@
 	}
 }
 
-// The spec of a job has the attributes of its template and the defaults of its class.
-func TestTemplateBecomesSpec(t *testing.T) {
-	front := newFront(t)
-	call := front.Route(request("POST", "/drmaa2/v1/sessions/s/jobs", `{"again":true,"template":{"remoteCommand":"x","args":["a"],
+// The spec of a job has the attributes of its template, and the defaults of its class for those that the template omits.
+func TestJobSpecFromTemplate(t *testing.T) {
+	frontend := newTestFrontend(t)
+	call := frontend.Decode(newRequest("POST", "/drmaa2/v1/sessions/s/jobs", `{"again":true,"template":{"remoteCommand":"x","args":["a"],
 		"jobCategory":"batch","jobName":"n","accountingId":"north","minPhysMemory":3145728,"rerunnable":true,"submitAsHold":true,
 		"startTime":"1970-01-01T00:00:09Z","deadlineTime":"1970-01-01T00:01:00Z",
 		"implementationSpecific":{"flaxshelf.cores":"0.5","flaxshelf.life":"90s","flaxshelf.giveup":"7s","flaxshelf.key":"k","flaxshelf.service":"v"}}}`))
@@ -92,35 +93,35 @@
 	}
 }
 
-// An array has the indexes of its range. An invalid range is rejected.
+// An array has a job for each index of its range, and an invalid range is rejected.
 func TestArrayIndexes(t *testing.T) {
-	front := newFront(t)
+	frontend := newTestFrontend(t)
 	submission := func(bulk string) *httpcodec.Request {
-		return request("POST", "/drmaa2/v1/sessions/s/arrays",
+		return newRequest("POST", "/drmaa2/v1/sessions/s/arrays",
 			`{"template":{"remoteCommand":"x","jobCategory":"service"},"bulk":`+bulk+`}`)
 	}
-	call := front.Route(submission(`{"beginIndex":2,"endIndex":9,"step":3,"maxParallel":2}`))
+	call := frontend.Decode(submission(`{"beginIndex":2,"endIndex":9,"step":3,"maxParallel":2}`))
 	if got := call.BuildInput(1, 0).(scheduler.Submit); fmt.Sprint(got.Indexes, got.MaxParallel) != "[2 5 8] 2" {
 		t.Errorf("got indexes %v, %d in parallel, want [2 5 8], 2 in parallel", got.Indexes, got.MaxParallel)
 	}
 	for _, bulk := range []string{`{"beginIndex":0,"endIndex":1,"step":1}`, `{"beginIndex":3,"endIndex":1,"step":1}`,
 		`{"beginIndex":1,"endIndex":1,"step":0}`, `{"beginIndex":1,"endIndex":9000000,"step":1}`} {
 		t.Run(bulk, func(t *testing.T) {
-			if status, _ := decodeResponse(t, front.Route(submission(bulk))); status != 400 {
+			if status, _ := decodeResponse(t, frontend.Decode(submission(bulk))); status != 400 {
 				t.Errorf("got status %d, want 400", status)
 			}
 		})
 	}
 }
 
-// Any submission is rejected, or becomes a spec within the limits.
+// Any body of a submission is rejected, or becomes a spec within the limits.
 func FuzzSubmission(f *testing.F) {
-	front := newFront(f)
+	frontend := newTestFrontend(f)
 	f.Add([]byte(`{"template":{"remoteCommand":"x","jobCategory":"batch","implementationSpecific":{"flaxshelf.cores":"1e300"}}}`))
 	f.Add([]byte(`{"template":{"remoteCommand":"x","jobCategory":"service","startTime":"0000-01-01T00:00:00Z"}}`))
 	f.Add([]byte(`[]`))
 	f.Fuzz(func(t *testing.T, body []byte) {
-		call := front.Route(&httpcodec.Request{Method: "POST", Path: "/drmaa2/v1/sessions/s/jobs", Body: body})
+		call := frontend.Decode(&httpcodec.Request{Method: "POST", Path: "/drmaa2/v1/sessions/s/jobs", Body: body})
 		if call.BuildInput == nil {
 			if len(call.Response) == 0 {
 				t.Error("got neither a response nor an input")
--- a/internal/front/platformfront/node_test.go
+++ b/internal/front/platformfront/node_test.go
@@ -16,7 +16,7 @@
 		message nodebinary.Message
 		want    requests.Input
 	}{
-		"answer": {nodebinary.Message{Type: nodebinary.Answer, Cause: nodebinary.NoCause, Description: "d", Described: true},
+		"answer": {nodebinary.Message{Type: nodebinary.Answer, Cause: nodebinary.NoCause, Description: "d", HasDescription: true},
 			requests.NodeMessage{Link: 4, Task: id, Kind: requests.NodeAccepted, Cause: -1, Description: "d"}},
 		"release": {nodebinary.Message{Type: nodebinary.Release, Cause: 34, Token: "busy"},
 			requests.NodeMessage{Link: 4, Task: id, Kind: requests.NodeReleased, Cause: 34, Reason: flaxshelf.QueueFull}},
@@ -34,7 +34,7 @@
 		t.Run(name, func(t *testing.T) {
 			c.message.Task = 0xff
 			if got, err := DecodeNodeMessage(4, &c.message); err != nil || got != c.want {
-				t.Errorf("got %+v, %v, want %+v", got, err, c.want)
+				t.Errorf("got %+v and error %v, want %+v", got, err, c.want)
 			}
 		})
 	}
@@ -46,12 +46,12 @@
 		"a release without a cause":       {Type: nodebinary.Release, Cause: nodebinary.NoCause},
 	} {
 		if got, err := DecodeNodeMessage(4, &m); !errors.Is(err, nodebinary.ErrMalformed) {
-			t.Errorf("%s: got %+v, %v, want %v", name, got, err, nodebinary.ErrMalformed)
+			t.Errorf("%s: got %+v and error %v, want error %v", name, got, err, nodebinary.ErrMalformed)
 		}
 	}
 }
 
-// An offer has the fields that the owner sent, and no others.
+// The set-up message of an offer has the fields that the owner sent, and no others.
 func TestEncodeOffer(t *testing.T) {
 	encoded, err := EncodeOffer(nil, &requests.Offer{Link: 4, Task: "00000000000000ff", Class: "batch", Key: "k", IdempotencyKey: "i",
 		Description: "d\r\n", TimeLeft: 1500*time.Millisecond + 1})
@@ -60,9 +60,9 @@
 	}
 	got, used, err := nodebinary.Next(encoded)
 	want := nodebinary.Message{Type: nodebinary.SetUp, Task: 0xff, Cause: nodebinary.NoCause, Class: "batch", TimeLeft: "1500", Key: "k",
-		IdempotencyKey: "i", Description: "d\r\n", Described: true}
+		IdempotencyKey: "i", Description: "d\r\n", HasDescription: true}
 	if err != nil || used != len(encoded) || got != want {
-		t.Errorf("got %+v, %v, want %+v", got, err, want)
+		t.Errorf("got %+v and error %v, want %+v", got, err, want)
 	}
 }
 
--- a/internal/front/platformfront/owner_test.go
+++ b/internal/front/platformfront/owner_test.go
@@ -12,7 +12,7 @@
 	"flaxshelf.example/flaxshelf/internal/requests"
 )
 
-const goodExtras = "cores:1;memory:2;service:00b4"
+const validExtras = "cores:1;memory:2;service:00b4"
 
 func setUpLine(class, timeLeft, key, idempotencyKey, extras string) string {
 	return fmt.Sprintf(`{"type":"setup","id":"9b1f03aa5c7e2d41","fields":{"class":%q,"left":%q,"key":%q,"idem":%q,"extras":%q},"sdp":"d"}`,
@@ -23,7 +23,7 @@
 	t.Helper()
 	m, _, err := ownerjson.Next([]byte(line))
 	if err != nil || m == nil {
-		t.Fatalf("%s: got %v, %v, want a message", line, m, err)
+		t.Fatalf("%s: got message %v and error %v, want a message", line, m, err)
 	}
 	return c.DecodeOwnerMessage(3, 10*time.Second, m)
 }
@@ -33,14 +33,14 @@
 	want := requests.Submit{Conn: 3, Class: "keyed", IdempotencyKey: "5c0f", Description: "d", Task: flaxshelf.Task{ID: "9b1f03aa5c7e2d41",
 		Key: "7f3a", Service: "00b4", Class: 1, Tenant: -1, Cores: 1, Memory: 2.5, Deadline: 11500 * time.Millisecond}}
 	if err != nil || got != requests.Input(want) {
-		t.Errorf("got %+v, %v, want %+v", got, err, want)
+		t.Errorf("got %+v and error %v, want %+v", got, err, want)
 	}
 }
 
 func TestDecodeAdoption(t *testing.T) {
-	got, err := decodeOwnerLine(t, parseConfig(t), setUpLine("batch_one", "", "7f3a", "", goodExtras+";at:s-1"))
+	got, err := decodeOwnerLine(t, parseConfig(t), setUpLine("batch_one", "", "7f3a", "", validExtras+";at:s-1"))
 	if adopt, ok := got.(requests.Adopt); err != nil || !ok || adopt.Node != "s-1" || adopt.Conn != 3 {
-		t.Errorf("got %+v, %v, want the adoption of a task on s-1 by connection 3", got, err)
+		t.Errorf("got %+v and error %v, want the adoption of a task on node s-1, requested on connection 3", got, err)
 	}
 }
 
@@ -54,22 +54,22 @@
 	}
 }
 
-// A set-up that is invalid for nodes is rejected before it is offered to one.
+// An invalid set-up is rejected with an error that names the field, so that it is never offered to a node.
 func TestInvalidSetUpsAreRejected(t *testing.T) {
 	c := parseConfig(t)
 	for name, test := range map[string]struct{ line, field string }{
-		"unknown class":             {setUpLine("odd", "1500", "k", "i", goodExtras), "class"},
-		"no class":                  {setUpLine("", "1500", "k", "i", goodExtras), "class"},
-		"deadline in the past":      {setUpLine("batch_one", "-5", "k", "", goodExtras), "left"},
-		"deadline is a word":        {setUpLine("batch_one", "soon", "k", "", goodExtras), "left"},
-		"no deadline":               {setUpLine("batch_one", "", "k", "", goodExtras), "left"},
-		"deadline is no number":     {setUpLine("batch_one", "nan", "k", "", goodExtras), "left"},
-		"deadline too far":          {setUpLine("batch_one", "1e30", "k", "", goodExtras), "left"},
-		"no key":                    {setUpLine("batch_one", "1500", "", "", goodExtras), "key"},
-		"key with a space":          {setUpLine("batch_one", "1500", "a b", "", goodExtras), "key"},
-		"long key":                  {setUpLine("batch_one", "1500", strings.Repeat("k", 300), "", goodExtras), "key"},
-		"no idempotency key":        {setUpLine("keyed", "1500", "k", "", goodExtras), "idem"},
-		"idempotency key not ASCII": {setUpLine("batch_one", "1500", "k", "i\u00e9", goodExtras), "idem"},
+		"unknown class":             {setUpLine("odd", "1500", "k", "i", validExtras), "class"},
+		"no class":                  {setUpLine("", "1500", "k", "i", validExtras), "class"},
+		"deadline in the past":      {setUpLine("batch_one", "-5", "k", "", validExtras), "left"},
+		"deadline is a word":        {setUpLine("batch_one", "soon", "k", "", validExtras), "left"},
+		"no deadline":               {setUpLine("batch_one", "", "k", "", validExtras), "left"},
+		"deadline is no number":     {setUpLine("batch_one", "nan", "k", "", validExtras), "left"},
+		"deadline too far":          {setUpLine("batch_one", "1e30", "k", "", validExtras), "left"},
+		"no key":                    {setUpLine("batch_one", "1500", "", "", validExtras), "key"},
+		"key with a space":          {setUpLine("batch_one", "1500", "a b", "", validExtras), "key"},
+		"long key":                  {setUpLine("batch_one", "1500", strings.Repeat("k", 300), "", validExtras), "key"},
+		"no idempotency key":        {setUpLine("keyed", "1500", "k", "", validExtras), "idem"},
+		"idempotency key not ASCII": {setUpLine("batch_one", "1500", "k", "i\u00e9", validExtras), "idem"},
 		"no extras":                 {setUpLine("batch_one", "1500", "k", "", ""), "extras"},
 		"negative cores":            {setUpLine("batch_one", "1500", "k", "", "cores:-1;memory:1;service:s"), "extras"},
 		"cores are no number":       {setUpLine("batch_one", "1500", "k", "", "cores:nan;memory:1;service:s"), "extras"},
@@ -77,15 +77,15 @@
 		"no cores":                  {setUpLine("batch_one", "1500", "k", "", "cores:0;memory:1;service:s"), "extras"},
 		"infinite memory":           {setUpLine("batch_one", "1500", "k", "", "cores:1;memory:inf;service:s"), "extras"},
 		"no service":                {setUpLine("batch_one", "1500", "k", "", "cores:1;memory:1"), "extras"},
-		"adopted from nowhere":      {setUpLine("batch_one", "1500", "k", "", goodExtras+";at:"), "extras"},
-		"no description":            {strings.Replace(setUpLine("batch_one", "1500", "k", "", goodExtras), `,"sdp":"d"`, "", 1), "sdp"},
+		"adopted without a node":    {setUpLine("batch_one", "1500", "k", "", validExtras+";at:"), "extras"},
+		"no description":            {strings.Replace(setUpLine("batch_one", "1500", "k", "", validExtras), `,"sdp":"d"`, "", 1), "sdp"},
 		"message of a node":         {`{"type":"answer","id":"9b1f03aa5c7e2d41"}` + "\n", "type"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			input, err := decodeOwnerLine(t, c, test.line)
 			var invalid *OwnerMessageError
 			if !errors.As(err, &invalid) || invalid.Field != test.field || invalid.Task != "9b1f03aa5c7e2d41" {
-				t.Errorf("%s: got %+v, %v, want an error of field %s", test.line, input, err, test.field)
+				t.Errorf("%s: got %+v and error %v, want an OwnerMessageError for field %s", test.line, input, err, test.field)
 			}
 		})
 	}
@@ -98,19 +98,19 @@
 		"ping": requests.Ping{Conn: 3, Task: "9b1f03aa5c7e2d41"}, "progress": nil, "released": nil,
 	} {
 		if got, err := decodeOwnerLine(t, c, `{"type":"`+kind+`","id":"9b1f03aa5c7e2d41"}`+"\n"); err != nil || got != want {
-			t.Errorf("%s: got %+v, %v, want %+v", kind, got, err, want)
+			t.Errorf("%s: got %+v and error %v, want %+v", kind, got, err, want)
 		}
 	}
 }
 
-// The end of a task is a release with its cause; a task that migrates gets a move.
+// The owner of a task that has ended gets a release with the cause, the owner of a task to be migrated gets a move.
 func TestEncodeTerminated(t *testing.T) {
 	for want, e := range map[string]requests.Terminated{
 		`{"type":"release","id":"0000000000000007","fields":{},"cause":31}`: {Task: "0000000000000007", Cause: 31},
 		`{"type":"move","id":"0000000000000007","fields":{}}`:               {Task: "0000000000000007", Migrate: true},
 	} {
 		if got, err := EncodeTerminated(nil, &e); err != nil || string(got) != want+"\n" {
-			t.Errorf("got %s, %v, want %s", got, err, want)
+			t.Errorf("got %s and error %v, want %s", got, err, want)
 		}
 	}
 }
--- a/internal/machineindex/services.go
+++ b/internal/machineindex/services.go
@@ -11,7 +11,7 @@
 	zones    domainCounts
 	cells    domainCounts
 
-	topMachines     []int32 // machines of the highest affinity, highest first
+	topMachines     []int32 // numbers of the few machines with the highest affinity, highest first
 	topFleetVersion int     // Index.fleetVersion for which topMachines was determined
 }
 
@@ -19,23 +19,23 @@
 type attemptCount struct {
 	service  *Service
 	active   int
-	position int // in service.machines
+	position int // index of the machine in service.machines
 }
 
 // serviceTable has the services of an Index, and the domains in which their attempts are counted.
 type serviceTable struct {
-	byName  map[string]*Service
-	maxIdle int
-	zones   domainSet[string]
-	cells   domainSet[int]
+	byName           map[string]*Service
+	removalThreshold int // Options.ServiceRemovalThreshold
+	zones            domainSet[string]
+	cells            domainSet[int]
 }
 
-func newServiceTable(maxIdle int) serviceTable {
+func newServiceTable(removalThreshold int) serviceTable {
 	return serviceTable{
-		byName:  map[string]*Service{},
-		maxIdle: maxIdle,
-		zones:   domainSet[string]{},
-		cells:   domainSet[int]{},
+		byName:           map[string]*Service{},
+		removalThreshold: removalThreshold,
+		zones:            domainSet[string]{},
+		cells:            domainSet[int]{},
 	}
 }
 
@@ -78,7 +78,8 @@
 	count.service.cells.add(e.cell.domain, 1)
 }
 
-// RemoveAttempt records that an attempt of a service is no longer active on a machine. It does nothing if none was.
+// RemoveAttempt records that an attempt of a service is no longer active on a machine. It does nothing if the service has
+// no active attempt there.
 func (idx *Index) RemoveAttempt(service string, e *Entry) {
 	count := e.attempts[service]
 	if count == nil {
@@ -94,7 +95,7 @@
 		return
 	}
 	idx.removeMachine(service, count)
-	if len(count.service.machines) == 0 && len(idx.services.byName) > idx.services.maxIdle {
+	if len(count.service.machines) == 0 && len(idx.services.byName) > idx.services.removalThreshold {
 		delete(idx.services.byName, service)
 	}
 }
--- a/internal/platform/shutdown_test.go
+++ b/internal/platform/shutdown_test.go
@@ -14,22 +14,22 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/standin/scripted"
 )
 
-// The next step of a shutdown follows from the time since it was requested and from what delays the exit.
+// The next step of a shutdown depends on the time since it was requested and on the conditions that delay the exit.
 func TestShutdownSteps(t *testing.T) {
 	const requestedAt = requests.Time(time.Hour)
-	listening := shutdownBlockers{Idle: true, Listening: true}
-	partial := shutdownBlockers{Idle: true, PartialMessages: true}
-	idle := shutdownBlockers{Idle: true}
+	listening := shutdownState{idle: true, listening: true}
+	partial := shutdownState{idle: true, partialMessages: true}
+	idle := shutdownState{idle: true}
 	for _, c := range []struct {
 		name         string
 		elapsed      time.Duration
 		lastReceived time.Duration // since the request
-		blockers     shutdownBlockers
+		state        shutdownState
 		want         shutdownStep
 	}{
 		{"new requests are accepted", acceptPeriod - 1, 0, listening, shutdownStep{recheck: 1}},
 		{"the listener is drained first", acceptPeriod, 0, listening, shutdownStep{drain: true, recheck: quietPeriod}},
-		{"a request is pending", time.Minute, 0, shutdownBlockers{PartialMessages: true}, shutdownStep{recheck: quietPeriod}},
+		{"a request is pending", time.Minute, 0, shutdownState{partialMessages: true}, shutdownStep{recheck: quietPeriod}},
 		{"a partial request", partialMessageDeadline - 1, 0, partial, shutdownStep{recheck: quietPeriod}},
 		{"a partial request past its deadline", partialMessageDeadline, 0, partial, shutdownStep{exit: true}},
 		{"an owner sent just now", acceptPeriod + 30, acceptPeriod, idle, shutdownStep{recheck: quietPeriod - 30}},
@@ -37,24 +37,24 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := gracefulShutdown{requestedAt: requestedAt, lastReceived: requestedAt + c.lastReceived}
-			if got := g.next(requestedAt+c.elapsed, c.blockers); got != c.want {
+			if got := g.nextStep(requestedAt+c.elapsed, c.state); got != c.want {
 				t.Errorf("got %+v, want %+v", got, c.want)
 			}
 		})
 	}
 	t.Run("the listener's queue waits for slots", func(t *testing.T) {
 		g := gracefulShutdown{requestedAt: requestedAt}
-		g.next(requestedAt+acceptPeriod, shutdownBlockers{Listening: true})
-		if got := g.next(requestedAt+acceptPeriod+quietPeriod, listening); got.drain || got.exit {
+		g.nextStep(requestedAt+acceptPeriod, shutdownState{listening: true})
+		if got := g.nextStep(requestedAt+acceptPeriod+quietPeriod, listening); got.drain || got.exit {
 			t.Errorf("got %+v before the deadline, want a step that waits", got)
 		}
-		if got := g.next(requestedAt+partialMessageDeadline, listening); !got.exit {
+		if got := g.nextStep(requestedAt+partialMessageDeadline, listening); !got.exit {
 			t.Errorf("got %+v at the deadline, want an exit", got)
 		}
 	})
 }
 
-// awaitListenerClosed waits until the scheduler no longer listens.
+// awaitListenerClosed waits until connections to the scheduler are refused.
 func (s *testScheduler) awaitListenerClosed() {
 	s.t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); ; {
@@ -64,16 +64,17 @@
 		}
 		_ = conn.Close()
 		if time.Now().After(deadline) {
-			s.t.Fatal("the scheduler still listens, want its listener closed within 10 s")
+			s.t.Fatal("the scheduler still listens after 10 s")
 		}
 	}
 }
 
-// A request whose last byte arrives after the scheduler has stopped listening is served: its connection was accepted.
+// A request whose last byte arrives after the scheduler has stopped listening is served, since its connection was accepted
+// before.
 func TestShutdownWaitsForPartialRequest(t *testing.T) {
 	s, _, other := startSchedulerWithTask(t)
 	c := s.connect()
-	c.placeTask(3) // the connection is known to be an owner's
+	c.placeTask(3) // marks the connection as one of an owner
 	line := `{"type":"setup","id":"0000000000000004","fields":{"class":"batch","left":"3000","key":"k",` +
 		`"extras":"cores:1;memory:1;service:s"},"sdp":"x"}` + "\n"
 	if _, err := c.conn.Write([]byte(line[:20])); err != nil {
@@ -83,17 +84,17 @@
 	s.awaitListenerClosed()
 	_ = other.conn.SetReadDeadline(time.Now().Add(4 * quietPeriod))
 	if _, err := other.reader.ReadByte(); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("got error %v, want the read deadline: the scheduler has exited", err)
+		t.Errorf("got error %v, want %v: the scheduler must wait for the partial request", err, os.ErrDeadlineExceeded)
 	}
 	if _, err := c.conn.Write([]byte(line[20:])); err != nil {
 		t.Fatal(err)
 	}
-	c.expect("answer", 4, 0)
+	c.expectReply("answer", 4, 0)
 	s.awaitExit()
 }
 
-// The scheduler exits while an owner still sends: the last answer arrives completely, and what the owner sends meanwhile
-// causes no reset, which would destroy an answer that the owner has not read yet.
+// When the scheduler exits while an owner still sends messages, the last response arrives completely. The messages that the
+// owner sends meanwhile must not cause a reset, which could destroy a response that the owner has not read yet.
 func TestShutdownDeliversLastAnswers(t *testing.T) {
 	delayed := make(chan func(), 1)
 	n := newNode(t, func(c net.Conn, m nodebinary.Message) {
@@ -105,22 +106,23 @@
 	s := startSchedulerWith(t, schedulerOptions{settings: longObjective}, scripted.Entry("s-1", n.Addr(), "active"))
 	c := s.connect()
 	c.submit(2)
-	answer := <-delayed // the attempt's timeout is after the end of listening
+	answer := <-delayed // the attempt does not time out before the listener closes
 	close(s.stop)
 	s.awaitListenerClosed()
-	answer() // after it nothing delays the exit
-	c.expect("answer", 2, 0)
+	answer() // nothing else delays the exit
+	c.expectReply("answer", 2, 0)
 	if _, err := c.reader.ReadByte(); !errors.Is(err, io.EOF) {
 		t.Errorf("got error %v at the end of the connection, want EOF", err)
 	}
-	for range 2 { // a second write fails if the first met a closed socket
+	for range 2 { // if the scheduler had closed the socket, the first write would cause a reset and the second would fail
 		c.send(`{"type":"progress","id":"%016x","fields":{}}`, 2)
 	}
 	_ = c.conn.Close()
 	s.awaitExit()
 }
 
-// Signals in unusual order: a shutdown with a reload behind it, and a shutdown requested before the start.
+// The scheduler exits without an error if the configuration is reloaded during a shutdown, and if the shutdown was requested
+// before the start.
 func TestShutdownSignalOrder(t *testing.T) {
 	s, _, c := startSchedulerWithTask(t)
 	close(s.stop)
@@ -130,13 +132,13 @@
 	s.awaitExit()
 	stop := make(chan struct{})
 	close(stop)
-	if err := Run(Options{Config: s.configPath}, stop, nil); err != nil {
-		t.Errorf("got error %v of Run, want none", err)
+	if err := Run(Options{ConfigPath: s.configPath}, stop, nil); err != nil {
+		t.Errorf("got error %v from Run, want none", err)
 	}
 }
 
-// Node updates of a reloaded configuration are applied though its other settings are not: a drain that only the file
-// reports is applied too.
+// Node updates in a reloaded configuration are applied even if its settings are ignored, including a drain that only the
+// configuration file reports.
 func TestReloadAppliesDrain(t *testing.T) {
 	s, drained, c := startSchedulerWithTask(t)
 	b, err := os.ReadFile(s.configPath)
@@ -158,7 +160,8 @@
 	expectNoMessage(t, drained, nodebinary.SetUp)
 }
 
-// Two reloads in immediate succession: the second file's control feed is followed, from the first one's last event on.
+// After two reloads in immediate succession, the scheduler follows the control feed that the second file names, from the last
+// event applied on.
 func TestConsecutiveReloads(t *testing.T) {
 	s, drained, c := startSchedulerWithTask(t)
 	first, second := newControlFeed(t), newControlFeed(t)
@@ -170,7 +173,7 @@
 	expectStream(t, second, "1")
 	n := newNode(t, scripted.AcceptAll)
 	second.Publish(false, scripted.Entry("s-1", drained.Addr(), "leaving"), scripted.Entry("s-2", n.Addr(), "active"))
-	expectConnection(t, n) // the watch event was applied
+	expectConnection(t, n) // ensures that the watch event was applied
 	for i := range 4 {
 		c.placeTask(3 + i)
 	}
--- a/internal/replay/recorded_test.go
+++ b/internal/replay/recorded_test.go
@@ -19,33 +19,33 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/worlds"
 )
 
-// The recorded days and worlds were written by the text of commit 898c958. They hold the decisions of each scripted day and
-// of random deployments. When decisions change on purpose, -update rewrites the worlds and the days that the emulator plays.
-// The other days need sockets: a recording of one is a file s1-1.tap that `flaxshelf trial DAY --seed 7 --keep DIRECTORY`
-// leaves, cut off after socketDayBytes and compressed.
+// The stored recordings of days and worlds were written by the build of commit 898c958. They hold the decisions of the module in
+// each scripted day, and in worlds, which are random deployments of package worlds. When decisions change on purpose, -update
+// rewrites the worlds and the days that the emulator runs. The other days need sockets: `flaxshelf trial DAY --seed 7
+// --keep DIRECTORY` leaves a file s1-1.tap, which is cut off after socketDayBytes and compressed.
 const (
-	dayFiles       = "testdata/days"
-	socketDayFiles = "testdata/socketdays"
-	worldFiles     = "testdata/worlds"
+	dayDir       = "testdata/days"
+	socketDayDir = "testdata/socketdays"
+	worldDir     = "testdata/worlds"
 
 	recordedDaySeed    = 5
-	recordedDaySteps   = 600 // of a day's schedulers, one after the other, so that the files stay small
+	recordedDaySteps   = 600 // minimum of a day's schedulers together, and maximum of each, so that the files stay small
 	socketDayBytes     = 120_000
-	minSocketDaySteps  = 500 // in as many bytes
+	minSocketDaySteps  = 500 // in socketDayBytes
 	recordedWorlds     = 8
 	recordedWorldSteps = 120
 )
 
-// recordedModule records the steps of a module into memory.
+// recordedModule wraps a module and records its first steps in memory.
 type recordedModule struct {
 	module    *flaxshelf.Placer
 	recording bytes.Buffer
 	writer    *Writer
 	steps     int
-	maxSteps  int // to record
+	maxSteps  int // number of steps that are recorded
 }
 
-// newRecordedModule makes a module that plays, of which the first maxSteps steps are recorded.
+// newRecordedModule returns a new module of which the first maxSteps steps are recorded.
 func newRecordedModule(cfg flaxshelf.Config, seed uint64, maxSteps int) (*recordedModule, error) {
 	module, err := flaxshelf.New(cfg, seed)
 	if err != nil {
@@ -56,15 +56,16 @@
 	return r, err
 }
 
+// Step runs a step of the module, and records it unless maxSteps steps are recorded already.
 func (r *recordedModule) Step(now flaxshelf.Time, events []flaxshelf.Event) []flaxshelf.Action {
 	actions := r.module.Step(now, events)
 	if r.steps++; r.steps <= r.maxSteps {
-		r.writer.Step(now, events, actions)
+		r.writer.WriteStep(now, events, actions)
 	}
 	return actions
 }
 
-// write writes the recording.
+// write ends the recording and writes it to out.
 func (r *recordedModule) write(out io.Writer) error {
 	if err := r.writer.Close(); err != nil {
 		return err
@@ -73,15 +74,17 @@
 	return err
 }
 
+// dayFile returns the path of the recording of the scheduler that started after `incarnation` others in a day.
 func dayFile(day string, incarnation int) string {
-	return filepath.Join(dayFiles, fmt.Sprintf("%s-%d.gob.gz", day, incarnation))
+	return filepath.Join(dayDir, fmt.Sprintf("%s-%d.gob.gz", day, incarnation))
 }
 
 func worldFile(world uint64) string {
-	return filepath.Join(worldFiles, fmt.Sprintf("%02d.gob.gz", world))
+	return filepath.Join(worldDir, fmt.Sprintf("%02d.gob.gz", world))
 }
 
-// updateDay writes the recordings of a day: of its schedulers in the order of their starts, recordedDaySteps in all.
+// updateDay runs a day in the emulator and writes the recordings of its schedulers in the order of their starts, until they have
+// recordedDaySteps steps together.
 func updateDay(name string) error {
 	day, err := scenario.Read(name)
 	if err != nil {
@@ -103,28 +106,28 @@
 			break
 		}
 		steps += module.steps
-		if err := writeStored(dayFile(name, incarnation), module.write); err != nil {
+		if err := writeCompressed(dayFile(name, incarnation), module.write); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// updateWorld writes the recording of a random world.
+// updateWorld writes the recording of the random world with the seed world.
 func updateWorld(world uint64) error {
 	random := rand.New(rand.NewPCG(world, 1))
-	cfg := worlds.Config(func(limit int, _ string) int { return random.IntN(limit + 1) })
+	cfg := worlds.DrawConfig(func(limit int, _ string) int { return random.IntN(limit + 1) })
 	module, err := newRecordedModule(cfg, world, recordedWorldSteps)
 	if err != nil {
 		return err
 	}
-	worlds.New(cfg, random).Play(recordedWorldSteps, module.Step)
-	return writeStored(worldFile(world), module.write)
+	worlds.New(cfg, random).Run(recordedWorldSteps, module.Step)
+	return writeCompressed(worldFile(world), module.write)
 }
 
-// updateDaysAndWorlds writes all recordings of this file.
+// updateDaysAndWorlds writes the recordings of all days that the emulator runs, and of all worlds.
 func updateDaysAndWorlds() error {
-	for _, day := range ablation.Days() {
+	for _, day := range ablation.EmulatedDays() {
 		if err := updateDay(day); err != nil {
 			return err
 		}
@@ -137,10 +140,10 @@
 	return nil
 }
 
-// checkDecisions plays a stored recording and returns the number of its steps.
-func checkDecisions(t *testing.T, path string) int {
+// checkRecording replays a stored recording and returns the number of its steps.
+func checkRecording(t *testing.T, path string) int {
 	t.Helper()
-	result, err := Check(bytes.NewReader(readStored(t, path)))
+	result, err := Check(bytes.NewReader(readCompressed(t, path)))
 	if err != nil {
 		t.Error(err)
 	}
@@ -150,8 +153,8 @@
 	return result.Steps
 }
 
-func TestRecordedDaysArePlayed(t *testing.T) {
-	for _, day := range ablation.Days() {
+func TestRecordedDaysAreReplayed(t *testing.T) {
+	for _, day := range ablation.EmulatedDays() {
 		t.Run(day, func(t *testing.T) {
 			paths, err := filepath.Glob(strings.Replace(dayFile(day, 0), "-0.", "-[0-9].", 1))
 			if err != nil {
@@ -159,7 +162,7 @@
 			}
 			steps := 0
 			for _, path := range paths {
-				steps += checkDecisions(t, path)
+				steps += checkRecording(t, path)
 			}
 			if steps < recordedDaySteps && !t.Failed() {
 				t.Errorf("got %d steps in %d recordings, want %d or more", steps, len(paths), recordedDaySteps)
@@ -168,29 +171,29 @@
 	}
 }
 
-// The days that the emulator does not play have faults of connections, which only sockets have.
-func TestRecordedSocketDaysArePlayed(t *testing.T) {
-	emulated := ablation.Days()
+// The days that the emulator cannot run have connection faults, which need sockets.
+func TestRecordedSocketDaysAreReplayed(t *testing.T) {
+	emulated := ablation.EmulatedDays()
 	for _, day := range scenario.Names() {
 		if slices.Contains(emulated, day) {
 			continue
 		}
 		t.Run(day, func(t *testing.T) {
-			path := filepath.Join(socketDayFiles, day+".gob.gz")
-			if size := len(readStored(t, path)); size != socketDayBytes {
+			path := filepath.Join(socketDayDir, day+".gob.gz")
+			if size := len(readCompressed(t, path)); size != socketDayBytes {
 				t.Errorf("got %d bytes, want %d", size, socketDayBytes)
 			}
-			if steps := checkDecisions(t, path); steps < minSocketDaySteps && !t.Failed() {
+			if steps := checkRecording(t, path); steps < minSocketDaySteps && !t.Failed() {
 				t.Errorf("got %d steps, want %d or more", steps, minSocketDaySteps)
 			}
 		})
 	}
 }
 
-func TestRecordedWorldsArePlayed(t *testing.T) {
+func TestRecordedWorldsAreReplayed(t *testing.T) {
 	for world := range uint64(recordedWorlds) {
 		t.Run(fmt.Sprint(world), func(t *testing.T) {
-			if steps := checkDecisions(t, worldFile(world)); steps != recordedWorldSteps && !t.Failed() {
+			if steps := checkRecording(t, worldFile(world)); steps != recordedWorldSteps && !t.Failed() {
 				t.Errorf("got %d steps, want %d", steps, recordedWorldSteps)
 			}
 		})
--- a/internal/replay/writer.go
+++ b/internal/replay/writer.go
@@ -11,33 +11,33 @@
 	"flaxshelf.example/flaxshelf"
 )
 
-// Version is the version of the format that this build writes and reads.
+// Version is the version of the recording format that this build writes and reads.
 const Version = 1
 
 // Writer writes a recording. It is not safe for concurrent use: the goroutine that steps the module owns it.
 type Writer struct {
-	encoder   *gob.Encoder
-	buffer    *bufio.Writer
-	closer    io.Closer // of the file that Create opened; nil after NewWriter
-	stepError error     // first error of a step, after which nothing is recorded
+	encoder  *gob.Encoder
+	buffer   *bufio.Writer
+	closer   io.Closer // of the file that Create opened; nil after NewWriter
+	firstErr error     // first error of WriteStep; no step is recorded after it
 }
 
-// NewWriter starts a recording of a module with the given configuration and seed. The caller owns out, and must close it
-// after it has closed the Writer.
+// NewWriter starts a recording of a module with the given configuration and seed. Closing the Writer does not close out: the
+// caller must do so afterwards.
 func NewWriter(out io.Writer, config flaxshelf.Config, seed uint64) (*Writer, error) {
-	if format.err != nil {
-		return nil, fmt.Errorf("replay: %w", format.err)
+	if storedTypes.err != nil {
+		return nil, fmt.Errorf("replay: %w", storedTypes.err)
 	}
 	buffer := bufio.NewWriter(out)
 	w := &Writer{encoder: gob.NewEncoder(buffer), buffer: buffer}
-	header := headerRecord{Version: Version, Config: *format.config.store(config).(*configRecord), Seed: seed}
+	header := headerRecord{Version: Version, Config: *storedTypes.configConversion.newRecord(config).(*configRecord), Seed: seed}
 	if err := w.encoder.Encode(header); err != nil {
 		return nil, fmt.Errorf("replay: write the header: %w", err)
 	}
 	return w, nil
 }
 
-// Create starts a recording in a file, which it creates or truncates. Close closes the file.
+// Create creates or truncates a file and starts a recording in it. Closing the Writer closes the file.
 func Create(path string, config flaxshelf.Config, seed uint64) (*Writer, error) {
 	f, err := os.Create(path)
 	if err != nil {
@@ -51,22 +51,23 @@
 	return w, nil
 }
 
-// Step records one step. It returns no error, since a module keeps running when its recording can't be written: the first
-// error ends the recording, and Close returns it.
-func (w *Writer) Step(now flaxshelf.Time, events []flaxshelf.Event, actions []flaxshelf.Action) {
-	if w.stepError != nil {
+// WriteStep records one step. It returns no error, since a module keeps running when its recording cannot be written. After the
+// first error no further steps are recorded, and Close returns that error.
+func (w *Writer) WriteStep(now flaxshelf.Time, events []flaxshelf.Event, actions []flaxshelf.Action) {
+	if w.firstErr != nil {
 		return
 	}
 	record, err := newStepRecord(now, events, actions)
 	if err == nil {
 		err = w.encoder.Encode(record)
 	}
-	w.stepError = err
+	w.firstErr = err
 }
 
-// Close ends the recording. It returns the first error of Step joined with those of writing and closing the file.
+// Close ends the recording. It returns the first error of WriteStep, joined with the errors of flushing the output and of closing
+// a file that Create opened.
 func (w *Writer) Close() error {
-	err := errors.Join(w.stepError, w.buffer.Flush())
+	err := errors.Join(w.firstErr, w.buffer.Flush())
 	if w.closer != nil {
 		err = errors.Join(err, w.closer.Close())
 	}
@@ -78,10 +79,10 @@
 
 // newStepRecord returns the record of a step. The error is an *UnknownTypeError for a type that has no record.
 func newStepRecord(now flaxshelf.Time, events []flaxshelf.Event, actions []flaxshelf.Action) (stepRecord, error) {
-	storedEvents, err := storeAll[eventRecord](format, events)
+	storedEvents, err := newRecords[eventRecord](storedTypes, events)
 	if err != nil {
 		return stepRecord{}, err
 	}
-	storedActions, err := storeAll[actionRecord](format, actions)
+	storedActions, err := newRecords[actionRecord](storedTypes, actions)
 	return stepRecord{Now: now, Events: storedEvents, Actions: storedActions}, err
 }
--- a/internal/testbed/emulator/submission.go
+++ b/internal/testbed/emulator/submission.go
@@ -9,65 +9,66 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/scenario"
 )
 
-// submissionState is a submission and the state that its client has of it.
+// submissionState is a submission as its client knows it.
 type submissionState struct {
-	arrival     scenario.Arrival
-	spec        scheduler.JobSpec
-	job         string
-	outcome     scheduler.PlacementOutcome
-	end         string // how it ended without an outcome; empty: it is open or has one
-	lastOutcome string // of the last request that its client retried
-	orphaned    bool   // its scheduler was killed
-	due         Time   // when it is accounted for
-	closed      bool
+	arrival         scenario.Arrival
+	spec            scheduler.JobSpec
+	jobID           string
+	outcome         scheduler.PlacementOutcome
+	endReason       string // why it ended without an outcome; empty: it is open or has an outcome
+	lastOutcome     string // outcome of the last placement request that the client retried
+	schedulerKilled bool   // the scheduler was killed or did not run
+	closeAt         Time   // when it is counted in the report, with or without an outcome
+	closed          bool   // it is counted in the report
 }
 
-// The ends in the report of submissions without an outcome.
+// Reasons, in the report, why submissions ended without an outcome.
 const (
-	endRejected  = "rejected: " // and the error code
+	endRejected  = "rejected: " // followed by the error code
 	endKilled    = "its scheduler was killed"
 	endNoOutcome = "no outcome"
 	endOpen      = "open at the end"
 )
 
-// close accounts for a submission at the end of its time.
-func (c *clients) close(s *submissionState) {
+// closeSubmission counts a submission in the report, by its outcome or the reason why it has none, and forgets it.
+func (c *clients) closeSubmission(s *submissionState) {
 	if s.closed {
 		return
 	}
 	switch {
 	case s.outcome != "":
-		s.end = string(s.outcome)
-	case s.end != "":
+		s.endReason = string(s.outcome)
+	case s.endReason != "":
 	case s.lastOutcome != "":
-		s.end = s.lastOutcome
-	case s.orphaned:
-		s.end = endKilled
+		s.endReason = s.lastOutcome
+	case s.schedulerKilled:
+		s.endReason = endKilled
 	default:
-		s.end = endNoOutcome
+		s.endReason = endNoOutcome
 	}
 	s.closed = true
-	c.stats.submissionEnds[s.end]++
+	c.stats.submissionEnds[s.endReason]++
 	delete(c.submissions, s.arrival.Key)
 }
 
-// retry resubmits a job that was not placed, after a backoff. It returns false if the load does not retry or its
-// client's patience would end first.
-func (c *clients) retry(s *submissionState, now Time) bool {
-	backoff := s.arrival.Load.Retry.Duration()
+// scheduleRetry schedules another submission of a job that was not placed, after a random backoff. It returns false if the
+// load has no retries or the client's patience ends before the retry.
+func (c *clients) scheduleRetry(s *submissionState, now Time) bool {
+	backoff := s.arrival.Load.RetryDelay.Duration()
 	if backoff <= 0 {
 		return false
 	}
 	at := now + backoff/2 + time.Duration(c.latency.random.Int64N(int64(backoff)))
-	if at >= arrivalTime(&s.arrival)+s.arrival.Load.Patience.Duration() {
+	if at >= arrivalTime(&s.arrival)+s.arrival.Load.RetryTimeout.Duration() {
 		return false
 	}
 	c.stats.retries++
-	c.setTimer(at, func(now Time, out *outbox) { c.send(s, now, out) })
+	c.setTimer(at, func(now Time, out *outbox) { c.sendSubmission(s, now, out) })
 	return true
 }
 
-// openSubmissions returns the open submissions in the order of their times and keys.
+// openSubmissions returns the open submissions, ordered by arrival time and then by key, so that the order does not depend on
+// the map.
 func (c *clients) openSubmissions() []*submissionState {
 	open := make([]*submissionState, 0, len(c.submissions))
 	for _, s := range c.submissions {
@@ -79,16 +80,17 @@
 	return open
 }
 
-// resubmit submits a job again whose scheduler was killed, unless its client has stopped waiting by then.
-func (c *clients) resubmit(s *submissionState, now Time) {
+// scheduleResubmission schedules another submission of a job whose scheduler was killed, unless less than outcomeGracePeriod
+// would remain until closeAt.
+func (c *clients) scheduleResubmission(s *submissionState, now Time) {
 	at := now + resubmitDelay
-	if at >= s.due-outcomeGrace {
+	if at >= s.closeAt-outcomeGracePeriod {
 		return
 	}
 	s.spec.Retry = true
 	c.setTimer(at, func(now Time, out *outbox) {
 		if s.outcome == "" {
-			c.send(s, now, out)
+			c.sendSubmission(s, now, out)
 		}
 	})
 }
--- a/internal/testbed/emulator/tracearrivals_test.go
+++ b/internal/testbed/emulator/tracearrivals_test.go
@@ -13,7 +13,7 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/load"
 )
 
-// planTrace draws a trace of about 20 s with two classes from a load plan.
+// planTrace returns a trace of about 20 s with two classes, drawn from a load plan.
 func planTrace(t *testing.T) *load.Trace {
 	t.Helper()
 	plan, err := load.ParsePlan("p.cue", []byte(`about: "two classes"
@@ -25,7 +25,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	trace, err := plan.Jobs(4)
+	trace, err := plan.GenerateTrace(4)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -46,8 +46,8 @@
 	if want := submitted * 9 / 10; placed < want {
 		t.Errorf("got %d placed submissions, want at least %d", placed, want)
 	}
-	if report.Seconds < 20 {
-		t.Errorf("got a day of %v s, want at least the 20 s of the trace", report.Seconds)
+	if report.SimulatedSeconds < 20 {
+		t.Errorf("got a day of %v s, want at least the 20 s of the trace", report.SimulatedSeconds)
 	}
 }
 
@@ -61,8 +61,8 @@
 	}
 }
 
-// A core whose steps take time is overloaded as on sockets: above its capacity jobs wait and time out, below it hardly
-// anything changes.
+// Guards against step costs that have no effect or too much. Above the core's capacity jobs must wait and time out, as on
+// sockets; below it the results must hardly change.
 func TestStepCostsOverloadCore(t *testing.T) {
 	text := `#Town
 about: "one scheduler"
@@ -77,7 +77,7 @@
 	}
 	free, light, heavy := run(0), run(100*time.Microsecond), run(4*time.Millisecond)
 	p99 := func(report *Report) time.Duration {
-		return time.Duration(report.Classes[0].Wait.ValueAtQuantile(99)) * time.Microsecond
+		return time.Duration(report.Classes[0].WaitMicros.ValueAtQuantile(99)) * time.Microsecond
 	}
 	for _, c := range []struct {
 		name             string
@@ -89,13 +89,13 @@
 		{"heavy load is mostly busy", heavy, 0.6, math.Inf(1)},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if got := c.report.Busiest; got < c.minBusy || got > c.maxBusy {
+			if got := c.report.MaxCoreUtilization; got < c.minBusy || got > c.maxBusy {
 				t.Errorf("got a core that is busy %.2f of the time, want %v to %v", got, c.minBusy, c.maxBusy)
 			}
 		})
 	}
 	t.Run("a busy core is in the report", func(t *testing.T) {
-		want := fmt.Sprintf("the busiest core is busy %.0f%% of the time", 100*heavy.Busiest)
+		want := fmt.Sprintf("the busiest core is busy %.0f%% of the time", 100*heavy.MaxCoreUtilization)
 		if got := heavy.String(); !strings.Contains(got, want) {
 			t.Errorf("got report\n%s\nwant it to contain %q", got, want)
 		}
@@ -109,7 +109,7 @@
 		}
 	})
 	t.Run("heavy load delays jobs", func(t *testing.T) {
-		if got, want := heavy.Classes[0].InTime, free.Classes[0].InTime/2; got > want {
+		if got, want := heavy.Classes[0].WithinObjective, free.Classes[0].WithinObjective/2; got > want {
 			t.Errorf("got %d submissions in time, want at most %d", got, want)
 		}
 		if got, want := p99(heavy), 2*p99(free); got < want {
--- a/internal/testbed/rules/job.go
+++ b/internal/testbed/rules/job.go
@@ -13,29 +13,29 @@
 	"flaxshelf.example/flaxshelf/internal/testbed/countformat"
 )
 
-// job is a job that a scheduler admitted, as its clients see it.
+// job is a job that a scheduler admitted, as reported to its clients.
 type job struct {
 	id, scheduler     string
-	incarnation       int // of its scheduler when it was last reported
+	incarnation       int // of its scheduler when the job was last reported
 	submittedAt       time.Duration
 	placementTimeout  time.Duration
-	outcomeExpected   bool // an outcome is due at the placement timeout
-	placementRequests map[int]*placementRequest
-	state             string
-	finalState        string
-	revision          uint64
+	outcomeExpected   bool                      // an outcome must be reported by the placement timeout
+	placementRequests map[int]*placementRequest // by number
+	state             string                    // last reported
+	finalState        string                    // empty until the job has ended
+	revision          uint64                    // of the last reported state
 }
 
 // placementRequest is one request to place a job; a job that is held and released has several.
 type placementRequest struct {
 	requestedAt time.Duration
-	outcome     string // name on the wire; empty until it is reported
+	outcome     string // its name on the wire, or empty if none was reported
 }
 
-// firstPlacementRequest is the number of the placement request of the submission.
+// firstPlacementRequest is the number of the placement request that the submission of a job makes.
 const firstPlacementRequest = 1
 
-// responseReceived handles a complete response of a scheduler.
+// responseReceived processes a complete response of a scheduler.
 func (c *checker) responseReceived(scheduler string, request *clientRequest, response *httpcodec.Response) {
 	isSubmission := request.isSubmission()
 	if isSubmission {
@@ -53,7 +53,7 @@
 	}
 	for i := range submitted.Jobs {
 		if isSubmission {
-			c.jobAdmitted(scheduler, request, &submitted, submitted.Jobs[i].JobID)
+			c.addSubmittedJob(scheduler, request, &submitted, submitted.Jobs[i].JobID)
 		}
 		c.jobReported(scheduler, &submitted.Jobs[i])
 	}
@@ -63,7 +63,7 @@
 	return r.method == http.MethodPost && (strings.HasSuffix(r.path, "/jobs") || strings.HasSuffix(r.path, "/arrays"))
 }
 
-// rejectionCode returns the error code of a response, or its status if the body has none.
+// rejectionCode returns the error code in the body of a response, or the HTTP status if there is none.
 func rejectionCode(response *httpcodec.Response) string {
 	var rejection drmaa2.Error
 	if json.Unmarshal(response.Body, &rejection) != nil || rejection.Code == "" {
@@ -72,19 +72,19 @@
 	return string(rejection.Code)
 }
 
-// jobAdmitted adds a job of the response to a submission.
-func (c *checker) jobAdmitted(scheduler string, request *clientRequest, submitted *drmaa2.Submitted, id string) {
+// addSubmittedJob adds a job that is reported in the response to its submission.
+func (c *checker) addSubmittedJob(scheduler string, request *clientRequest, submitted *drmaa2.Submitted, id string) {
 	if c.jobs[id] != nil {
 		return
 	}
-	j := c.addJob(id, scheduler, request.receivedAt)
+	j := c.addJob(id, scheduler, request.sentAt)
 	var submission drmaa2.Submission
 	if json.Unmarshal(request.body, &submission) != nil {
 		return
 	}
 	template := &submission.Template
 	j.placementTimeout = c.placementTimeout(template)
-	// No outcome is due for a job that may stay queued on purpose, or that was submitted by an earlier request.
+	// No outcome is expected of a job that may stay queued by design, or that was submitted by an earlier request.
 	mayStayQueued := template.SubmitAsHold || template.StartTime != nil ||
 		submission.Bulk != nil && submission.Bulk.MaxParallel != 0
 	j.outcomeExpected = !submitted.Existing && !mayStayQueued
@@ -98,13 +98,13 @@
 	return j
 }
 
-// placementTimeout returns the placement timeout of the template, or else of its class; zero means none.
+// placementTimeout returns the placement timeout of the template, or that of its class if it has none. Zero means no timeout.
 func (c *checker) placementTimeout(template *drmaa2.JobTemplate) time.Duration {
-	if own, err := time.ParseDuration(template.ImplementationSpecific[drmaa2.AttrPlacementTimeout]); err == nil {
-		return own
+	if timeout, err := time.ParseDuration(template.ImplementationSpecific[drmaa2.AttrPlacementTimeout]); err == nil {
+		return timeout
 	}
-	for _, class := range c.figures.Classes {
-		onlyClass := template.JobCategory == "" && len(c.figures.Classes) == 1
+	for _, class := range c.limits.Classes {
+		onlyClass := template.JobCategory == "" && len(c.limits.Classes) == 1
 		if class.Name == template.JobCategory || onlyClass {
 			return class.PlacementTimeout
 		}
@@ -112,13 +112,13 @@
 	return 0
 }
 
-// jobReported handles a report on a job to a client, at the time when the scheduler sends it.
+// jobReported processes the state of a job that a scheduler sends to a client.
 func (c *checker) jobReported(scheduler string, info *drmaa2.JobInfo) {
 	j := c.jobs[info.JobID]
 	if j == nil { // the response to its submission was lost with the connection
 		j = c.addJob(info.JobID, scheduler, c.now)
 	}
-	if j.incarnation != c.incarnations[scheduler] { // a later incarnation has adopted the job and restarts its times
+	if j.incarnation != c.incarnations[scheduler] { // adopted by a later incarnation, which starts its timeouts anew
 		j.incarnation, j.outcomeExpected, j.finalState = c.incarnations[scheduler], false, ""
 		j.placementRequests, j.revision = map[int]*placementRequest{}, 0
 	}
@@ -126,7 +126,7 @@
 	c.stateReported(j, info)
 }
 
-// outcomeReported judges the outcome of a placement request: there must be only one, reported in time.
+// outcomeReported checks that a placement request has only one outcome and that it is reported in time.
 func (c *checker) outcomeReported(scheduler string, j *job, info *drmaa2.JobInfo) {
 	number := placementRequestNumber(info)
 	request := j.placementRequests[number]
@@ -142,22 +142,22 @@
 		return
 	}
 	if request.outcome != "" {
-		c.violated(OneOutcome, "job %s, placement request %d: outcome %s, then %s", j.id, number,
+		c.addViolation(OneOutcome, "job %s, placement request %d: outcome %s, then %s", j.id, number,
 			countformat.OutcomeTerm(request.outcome), countformat.OutcomeTerm(outcome))
 	} else {
 		c.verdict.Rules[OneOutcome].Checked++
 		c.verdict.Outcomes[countformat.OutcomeTerm(outcome)]++
-		timed := j.outcomeExpected && number <= firstPlacementRequest && j.placementTimeout > 0
+		hasDeadline := j.outcomeExpected && number <= firstPlacementRequest && j.placementTimeout > 0
 		timeout := request.requestedAt + j.placementTimeout
-		if timed && c.now > c.outcomeDeadline(scheduler, timeout) {
-			c.violated(OneOutcome, "job %s: outcome %s was reported %v after the placement timeout", j.id,
+		if hasDeadline && c.now > c.outcomeDeadline(scheduler, timeout) {
+			c.addViolation(OneOutcome, "job %s: outcome %s was reported %v after the placement timeout", j.id,
 				countformat.OutcomeTerm(outcome), (c.now - timeout).Round(time.Millisecond))
 		}
 	}
 	request.outcome = outcome
 }
 
-// placementRequestNumber returns the number of the placement request, or zero if the report has none.
+// placementRequestNumber returns the number of the job's latest placement request, or zero if the report has none.
 func placementRequestNumber(info *drmaa2.JobInfo) int {
 	number, err := strconv.Atoi(info.ImplementationSpecific[drmaa2.AttrPlacementRequests])
 	if err != nil {
@@ -166,13 +166,13 @@
 	return number
 }
 
-// stateReported judges the state of a job: a final state must not change.
+// stateReported checks that a final state of a job does not change.
 func (c *checker) stateReported(j *job, info *drmaa2.JobInfo) {
 	revision, err := strconv.ParseUint(info.ImplementationSpecific[drmaa2.AttrRevision], 10, 64)
 	if err != nil {
 		revision = 0
 	}
-	// Responses and event streams are on different connections, so that an older revision may be reported later.
+	// Responses and event streams use different connections, so an older revision may arrive after a newer one.
 	if revision < j.revision {
 		return
 	}
@@ -183,24 +183,24 @@
 	switch {
 	case !info.JobState.Terminated():
 		if j.finalState != "" {
-			c.violated(OneOutcome, "job %s ended as %s, then is %s", j.id, j.finalState, j.state)
+			c.addViolation(OneOutcome, "job %s ended as %s, then is %s", j.id, j.finalState, j.state)
 		}
 	case j.finalState != "" && j.finalState != j.state:
-		c.violated(OneOutcome, "job %s ended as %s, then as %s", j.id, j.finalState, j.state)
+		c.addViolation(OneOutcome, "job %s ended as %s, then as %s", j.id, j.finalState, j.state)
 		j.finalState = j.state
 	default:
 		j.finalState = j.state
 	}
 }
 
-// maxConsumedEvents is the number of bytes of handled events after which they are removed from a streamed body.
-const maxConsumedEvents = 1 << 16
+// maxConsumedEventBytes is the number of processed bytes after which they are removed from a streamed body.
+const maxConsumedEventBytes = 1 << 16
 
-// eventsReceived handles the new events of a streamed body.
+// eventsReceived processes the new events of a streamed body.
 func (c *checker) eventsReceived(link *connection, response *httpcodec.Response) {
 	const separator = "\n\n"
 	for {
-		rest := response.Body[link.consumedEvents:]
+		rest := response.Body[link.consumedEventBytes:]
 		end := bytes.Index(rest, []byte(separator))
 		if end < 0 {
 			break
@@ -212,16 +212,16 @@
 				c.jobReported(link.listener, &info)
 			}
 		}
-		link.consumedEvents += end + len(separator)
+		link.consumedEventBytes += end + len(separator)
 	}
-	if link.consumedEvents > maxConsumedEvents {
-		response.Body = append(response.Body[:0], response.Body[link.consumedEvents:]...)
-		link.consumedEvents = 0
+	if link.consumedEventBytes > maxConsumedEventBytes {
+		response.Body = append(response.Body[:0], response.Body[link.consumedEventBytes:]...)
+		link.consumedEventBytes = 0
 	}
 }
 
-// judgeMissingOutcomes judges, at the end of the recording, the jobs without an outcome.
-func (c *checker) judgeMissingOutcomes() {
+// checkMissingOutcomes checks the jobs that have no outcome at the end of the recording.
+func (c *checker) checkMissingOutcomes() {
 	for _, j := range c.jobs {
 		c.verdict.States[j.state]++
 		if j.incarnation != c.incarnations[j.scheduler] {
@@ -234,7 +234,7 @@
 		timeout := j.submittedAt + j.placementTimeout
 		if c.now > c.outcomeDeadline(j.scheduler, timeout) {
 			c.verdict.Rules[OneOutcome].Checked++
-			c.violated(OneOutcome, "job %s: no outcome was reported, %v after the placement timeout", j.id,
+			c.addViolation(OneOutcome, "job %s: no outcome was reported, %v after the placement timeout", j.id,
 				(c.now - timeout).Round(time.Millisecond))
 		}
 	}
--- a/internal/testbed/scenario/read.go
+++ b/internal/testbed/scenario/read.go
@@ -16,28 +16,28 @@
 var schema string
 
 //go:embed days/*.cue
-var days embed.FS
+var dayFiles embed.FS
 
-// everyClass, as the class of a fault, means all classes.
-const everyClass = "*"
+// allClasses as the class of a fault means all classes.
+const allClasses = "*"
 
-// UnknownDayError is returned by Read for a name that is neither a day that ships with the program nor a readable file.
+// UnknownDayError is returned by Read for a name that is neither that of an embedded day nor that of a readable file.
 type UnknownDayError struct {
 	Name string
-	Err  error // of reading the file
+	Err  error // the error of reading the file
 }
 
-// Error returns a message with the names of the shipped days.
+// Error returns a message with the names of the embedded days and the error of reading the file, which has the name.
 func (e *UnknownDayError) Error() string {
-	return fmt.Sprintf("no day of that name (there are %s) and no such file: %v", strings.Join(Names(), ", "), e.Err)
+	return fmt.Sprintf("no day of that name (there are %s), and no readable file: %v", strings.Join(Names(), ", "), e.Err)
 }
 
 // Unwrap returns the error of reading the file.
 func (e *UnknownDayError) Unwrap() error { return e.Err }
 
-// Names returns the names of the days that ship with the program, in sorted order.
+// Names returns the sorted names of the embedded days.
 func Names() []string {
-	entries, _ := days.ReadDir("days") // the folder is part of the binary
+	entries, _ := dayFiles.ReadDir("days") // the directory is embedded, so reading it does not fail
 	var names []string
 	for _, e := range entries {
 		names = append(names, strings.TrimSuffix(e.Name(), ".cue"))
@@ -46,10 +46,10 @@
 	return names
 }
 
-// Read reads the shipped day of the given name, or else the file of that name. The error is an *UnknownDayError if there is
-// neither, and settings.Problems if the day is not valid.
+// Read reads the embedded day with the given name or, if there is none, the file with that name. The error is an
+// *UnknownDayError if the file cannot be read either, and settings.ConfigErrors if the day is invalid.
 func Read(name string) (*Day, error) {
-	if text, err := days.ReadFile(path.Join("days", name+".cue")); err == nil {
+	if text, err := dayFiles.ReadFile(path.Join("days", name+".cue")); err == nil {
 		return Parse(name, text)
 	}
 	text, err := os.ReadFile(name)
@@ -59,10 +59,10 @@
 	return Parse(name, text)
 }
 
-// Parse reads a day from the text of a CUE file. The error is settings.Problems if the day is not valid; they contain name
-// as the name of the file.
+// Parse reads a day from the text of a CUE file. If the day is invalid, the error is settings.ConfigErrors, with name as the name
+// of the file.
 func Parse(name string, text []byte) (*Day, error) {
-	file, err := settings.Read(name, text, "#Trial", schema)
+	file, err := settings.Parse(name, text, "#Trial", schema)
 	if err != nil {
 		return nil, err
 	}
@@ -70,9 +70,9 @@
 	if err := file.Decode(d); err != nil {
 		return nil, err
 	}
-	for i := range d.Load {
-		if d.Load[i].To == 0 {
-			d.Load[i].To = d.Seconds
+	for i := range d.Loads {
+		if d.Loads[i].To == 0 {
+			d.Loads[i].To = d.LoadSeconds
 		}
 	}
 	d.checkFleet(file)
@@ -83,35 +83,38 @@
 
 func (d *Day) checkFleet(file *settings.File) {
 	kinds := map[string]bool{}
-	for _, k := range d.Kinds {
+	for _, k := range d.MachineKinds {
 		kinds[k.Name] = true
 	}
 	for i, g := range d.Fleet {
-		if !kinds[g.Kind] {
-			file.Fail(fmt.Sprintf("fleet[%d].kind", i), "no kind %q, expected one of kinds", g.Kind)
+		if !kinds[g.MachineKind] {
+			file.AddErrorf(fmt.Sprintf("fleet[%d].kind", i),
+				"no kind %q is defined, expected a name in the list \"kinds\"", g.MachineKind)
 		}
 	}
 }
 
 func (d *Day) checkLoad(file *settings.File) {
-	for i, l := range d.Load {
+	for i, l := range d.Loads {
 		if d.Class(l.Class) == nil {
-			file.Fail(fmt.Sprintf("load[%d].class", i), "no class %q, expected one of classes", l.Class)
+			file.AddErrorf(fmt.Sprintf("load[%d].class", i),
+				"no class %q is defined, expected a name in the list \"classes\"", l.Class)
 		}
-		if l.Runtime[1] < l.Runtime[0] {
-			file.Fail(fmt.Sprintf("load[%d].life", i), "is %v, expected two rising durations", l.Runtime)
+		if l.RuntimeBounds[1] < l.RuntimeBounds[0] {
+			file.AddErrorf(fmt.Sprintf("load[%d].life", i), "is %v, expected durations in ascending order", l.RuntimeBounds)
 		}
 	}
 }
 
 func (d *Day) checkFaults(file *settings.File) {
 	for i, t := range d.Faults {
-		if t.Class != "" && t.Class != everyClass && d.Class(t.Class) == nil {
-			file.Fail(fmt.Sprintf("troubles[%d].class", i), "no class %q, expected one of classes", t.Class)
+		if t.Class != "" && t.Class != allClasses && d.Class(t.Class) == nil {
+			file.AddErrorf(fmt.Sprintf("troubles[%d].class", i),
+				"no class %q is defined, expected a name in the list \"classes\" or %q", t.Class, allClasses)
 		}
 		for j, s := range t.Schedulers {
 			if s >= d.Schedulers {
-				file.Fail(fmt.Sprintf("troubles[%d].schedulers[%d]", i, j), "no scheduler %d, there are %d", s,
+				file.AddErrorf(fmt.Sprintf("troubles[%d].schedulers[%d]", i, j), "no scheduler %d, there are %d", s,
 					d.Schedulers)
 			}
 		}
--- a/internal/testbed/scenario/figures_test.go
+++ b/internal/testbed/scenario/rulelimits_test.go
@@ -6,8 +6,9 @@
 	"flaxshelf.example/flaxshelf/internal/settings"
 )
 
-// Recordings store the names of the idempotency, whichever names the settings of the day have.
-func TestFiguresHaveTheStoredIdempotency(t *testing.T) {
+// A name of the idempotency that the rules checker does not know would count as non-idempotent in a recording, so deprecated and
+// current names in the settings must give the same stored name.
+func TestRuleLimitsHaveTheStoredIdempotency(t *testing.T) {
 	for _, c := range []struct{ setting, want string }{
 		{"safe", "safe"},
 		{"idempotent", "safe"},
@@ -19,7 +20,7 @@
 		t.Run(c.setting, func(t *testing.T) {
 			d := parseDay(t)
 			d.Classes = []settings.Class{{Idempotency: c.setting}}
-			if got := d.Figures().Classes[0].Idempotency; got != c.want {
+			if got := d.RuleLimits().Classes[0].Idempotency; got != c.want {
 				t.Errorf("got %q, want %q", got, c.want)
 			}
 		})
--- a/internal/testbed/scenario/storedday_test.go
+++ b/internal/testbed/scenario/storedday_test.go
@@ -11,8 +11,9 @@
 	"flaxshelf.example/flaxshelf/internal/settings"
 )
 
-// dayText is a day with every field set. storedDay is its JSON and deprecatedSchedulerFile the configuration of a scheduler, both
-// written by the build of commit ad3e0ee. storedSchedulerFile is the same configuration without deprecated settings.
+// dayText is a day in which every field is set. storedDay is its JSON and deprecatedSchedulerFile the configuration file of one
+// of its schedulers, both written by the build of commit ad3e0ee. storedSchedulerFile is the same configuration without
+// deprecated settings.
 const (
 	dayText                 = "testdata/day.cue"
 	storedDay               = "testdata/day.json"
@@ -38,28 +39,28 @@
 	return d
 }
 
-// unset returns the paths of the fields that have their zero value.
-func unset(path string, v reflect.Value) []string {
+// zeroFields returns the paths of the fields within v that have their zero value or are empty lists. The path of v is path.
+func zeroFields(path string, v reflect.Value) []string {
 	var fields []string
 	switch {
 	case v.Kind() == reflect.Struct:
 		for i := range v.NumField() {
-			fields = append(fields, unset(path+"."+v.Type().Field(i).Name, v.Field(i))...)
+			fields = append(fields, zeroFields(path+"."+v.Type().Field(i).Name, v.Field(i))...)
 		}
 	case v.IsZero() || v.Kind() == reflect.Slice && v.Len() == 0:
 		fields = append(fields, path)
 	case v.Kind() == reflect.Slice || v.Kind() == reflect.Array:
 		for i := range v.Len() {
-			fields = append(fields, unset(fmt.Sprintf("%s[%d]", path, i), v.Index(i))...)
+			fields = append(fields, zeroFields(fmt.Sprintf("%s[%d]", path, i), v.Index(i))...)
 		}
 	}
 	return fields
 }
 
-// Experiments identify their stored results by the hash of the day's JSON.
+// Experiments identify their stored results by a hash of the day's JSON, so a changed JSON name would make them unusable.
 func TestJSONOfADayKeepsItsNames(t *testing.T) {
 	d := parseDay(t)
-	if fields := unset("Day", reflect.ValueOf(*d)); fields != nil {
+	if fields := zeroFields("Day", reflect.ValueOf(*d)); fields != nil {
 		t.Errorf("got unset fields %v in the day of this test, want none", fields)
 	}
 	stored := bytes.TrimSuffix(readFile(t, storedDay), []byte("\n"))
--- a/internal/testbed/standin/nodemodel/task.go
+++ b/internal/testbed/standin/nodemodel/task.go
@@ -8,34 +8,35 @@
 	"flaxshelf.example/flaxshelf/internal/codec/nodeframe/nodepb"
 )
 
-// task is an accepted attempt. It waits for a start slot, starts, and then runs.
+// task is an accepted task with the attempt that offered it. It waits for a start slot, starts, and then runs.
 type task struct {
-	attempt   string
-	scheduler string
-	spec      *nodepb.Task
-	accepted  Time
-	starting  bool
-	running   bool
-	startDone Time // while it starts
-	endsAt    Time // while it runs
-	// coreUsage and memoryUsage are the fractions of its request that a running task uses.
+	attempt         string
+	scheduler       string
+	spec            *nodepb.Task
+	accepted        Time
+	starting        bool
+	running         bool
+	startsRunningAt Time // valid while starting
+	endsAt          Time // valid while running
+	// coreUsage and memoryUsage are the used fractions of the requested resources, valid while running.
 	coreUsage   float64
 	memoryUsage float64
 }
 
-// due returns when the task starts to run or ends.
-func (t *task) due() Time {
+// nextDue returns when the task begins to run or finishes; neverDue while it waits for a start slot.
+func (t *task) nextDue() Time {
 	switch {
 	case t.starting:
-		return t.startDone
+		return t.startsRunningAt
 	case t.running:
 		return t.endsAt
 	}
-	return noDeadline
+	return neverDue
 }
 
-// byEvictionOrder compares tasks in the order of eviction: the lowest priority first, the latest of these first.
-func byEvictionOrder(a, b *task) int {
+// compareEvictionOrder orders tasks by priority, lowest first, and within a priority by acceptance, latest first. Remaining ties
+// are broken by attempt, to be deterministic.
+func compareEvictionOrder(a, b *task) int {
 	return cmp.Or(
 		cmp.Compare(a.spec.Priority, b.spec.Priority),
 		cmp.Compare(b.accepted, a.accepted),
@@ -43,9 +44,9 @@
 	)
 }
 
-// startTasks starts accepted tasks, the oldest first, as long as start slots are free.
+// startTasks starts accepted tasks, oldest first, as long as start slots are free.
 func (n *Node) startTasks() {
-	for _, t := range n.tasksByAge {
+	for _, t := range n.tasksInAcceptanceOrder {
 		if n.startingTasks >= n.cfg.StartSlots {
 			return
 		}
@@ -56,59 +57,59 @@
 		if !n.programCached(t) {
 			startTime *= max(n.cfg.UncachedStartFactor, 1)
 		}
-		t.starting, t.startDone = true, n.now+Time(startTime/n.startRate())
+		t.starting, t.startsRunningAt = true, n.now+Time(startTime/n.startRate())
 		n.startingTasks++
 	}
 }
 
-// programCached reports whether the program of the task's service is cached or running.
+// programCached reports whether the program of the task's service is cached or in use by another running task.
 func (n *Node) programCached(t *task) bool {
 	if slices.Contains(n.cachedPrograms, t.spec.Service) {
 		return true
 	}
-	return slices.ContainsFunc(n.tasksByAge, func(other *task) bool {
+	return slices.ContainsFunc(n.tasksInAcceptanceOrder, func(other *task) bool {
 		return other != t && other.running && other.spec.Service == t.spec.Service
 	})
 }
 
-// run runs a task whose start is done.
-func (n *Node) run(t *task) {
+// startRunning changes a task from starting to running.
+func (n *Node) startRunning(t *task) {
 	t.starting, t.running = false, true
 	n.startingTasks--
 	runtime := time.Duration(t.spec.LifeNs)
 	if runtime <= 0 {
-		runtime = time.Duration(float64(n.cfg.DefaultRuntime) * n.random.ExpFloat64())
+		runtime = time.Duration(float64(n.cfg.DefaultRuntime) * n.rng.ExpFloat64())
 	}
 	t.endsAt = n.now + runtime
-	t.coreUsage = n.drawBetween(n.cfg.CoreUsageRange)
-	t.memoryUsage = n.drawBetween(n.cfg.MemoryUsageRange)
+	t.coreUsage = n.randomBetween(n.cfg.CoreUsageRange)
+	t.memoryUsage = n.randomBetween(n.cfg.MemoryUsageRange)
 	n.cachedPrograms = slices.DeleteFunc(n.cachedPrograms, func(s string) bool { return s == t.spec.Service })
 	n.send(t.scheduler, &nodepb.Frame{Body: &nodepb.Frame_Started{Started: &nodepb.Started{Attempt: t.attempt}}})
 	n.startTasks()
 }
 
-func (n *Node) drawBetween(bounds [2]float64) float64 {
-	return bounds[0] + (bounds[1]-bounds[0])*n.random.Float64()
+func (n *Node) randomBetween(bounds [2]float64) float64 {
+	return bounds[0] + (bounds[1]-bounds[0])*n.rng.Float64()
 }
 
-// stop cancels an offer that waits for review, or ends an accepted task. The reply is a Refused for the former and an Ended
+// stopAttempt cancels a waiting offer or ends an accepted task. The reply is a Refused frame for the former and an Ended frame
 // for the latter, which tells the scheduler whether the task was accepted.
-func (n *Node) stop(from, attempt string) {
-	if n.cancelWaitingOffer(from, attempt) {
+func (n *Node) stopAttempt(scheduler, attempt string) {
+	if n.cancelWaitingOffer(scheduler, attempt) {
 		return
 	}
-	if t := n.tasks[attempt]; t != nil && t.scheduler == from {
-		n.end(t, nodepb.Ending_STOPPED, nodepb.Reason_UNTOLD)
+	if t := n.tasks[attempt]; t != nil && t.scheduler == scheduler {
+		n.endTask(t, nodepb.Ending_STOPPED, nodepb.Reason_UNTOLD)
 	}
 }
 
-// end removes an accepted task and sends its outcome. Every task ends here, except those of a node that dies.
-func (n *Node) end(t *task, ending nodepb.Ending, reason nodepb.Reason) {
+// endTask removes an accepted task and sends its outcome. All tasks end here, except those that are lost when the node dies.
+func (n *Node) endTask(t *task, ending nodepb.Ending, reason nodepb.Reason) {
 	if n.tasks[t.attempt] != t {
 		return
 	}
 	delete(n.tasks, t.attempt)
-	n.tasksByAge = slices.DeleteFunc(n.tasksByAge, func(other *task) bool { return other == t })
+	n.tasksInAcceptanceOrder = slices.DeleteFunc(n.tasksInAcceptanceOrder, func(other *task) bool { return other == t })
 	if t.starting {
 		n.startingTasks--
 	}
@@ -125,9 +126,10 @@
 	n.startTasks()
 }
 
-// cacheProgram caches the program of a service whose last task has ended.
+// cacheProgram caches the program of a service unless the node still has a task of it. If the cache is full, the least recently
+// used program is removed.
 func (n *Node) cacheProgram(service string) {
-	hasTask := slices.ContainsFunc(n.tasksByAge, func(t *task) bool { return t.spec.Service == service })
+	hasTask := slices.ContainsFunc(n.tasksInAcceptanceOrder, func(t *task) bool { return t.spec.Service == service })
 	if n.cfg.MaxCachedPrograms <= 0 || hasTask {
 		return
 	}
@@ -137,7 +139,7 @@
 	n.cachedPrograms = append(n.cachedPrograms, service)
 }
 
-// DropPrograms removes each cached program with a probability of share.
-func (n *Node) DropPrograms(share float64) {
-	n.cachedPrograms = slices.DeleteFunc(n.cachedPrograms, func(string) bool { return n.random.Float64() < share })
+// EvictCachedPrograms removes each cached program with the given probability.
+func (n *Node) EvictCachedPrograms(probability float64) {
+	n.cachedPrograms = slices.DeleteFunc(n.cachedPrograms, func(string) bool { return n.rng.Float64() < probability })
 }
--- a/internal/transport/acceptor_test.go
+++ b/internal/transport/acceptor_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// takeDescriptors lowers the process's limit of descriptors and takes all free ones. The returned functions close them and
-// restore the limit.
-func takeDescriptors(t *testing.T) (giveBack, restoreLimit func()) {
+// exhaustDescriptors lowers the process's limit of open files and opens files until no descriptor is free. freeDescriptors
+// closes these files; restoreLimit restores the limit.
+func exhaustDescriptors(t *testing.T) (freeDescriptors, restoreLimit func()) {
 	t.Helper()
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
@@ -28,7 +28,7 @@
 		}
 		taken = append(taken, descriptor)
 	}
-	giveBack = func() {
+	freeDescriptors = func() {
 		for _, descriptor := range taken {
 			_ = syscall.Close(descriptor)
 		}
@@ -38,31 +38,31 @@
 			t.Error(err)
 		}
 	}
-	return giveBack, restoreLimit
+	return freeDescriptors, restoreLimit
 }
 
-// Without free descriptors connections wait; they are served when descriptors are free again.
+// When no descriptor is free, a connection waits in the listen backlog and is served once a descriptor is free again.
 func TestAcceptorSurvivesDescriptorExhaustion(t *testing.T) {
 	admitted, closed := make(chan struct{}), make(chan error, 1)
 	a, stop := accept(t, func() { <-admitted }, func(*Conn) Handler { return &echoHandler{closed: closed} })
 	defer stop()
 	defer a.Stop()
-	c := dial(t, a.Addr()) // it waits in the listener's queue
+	c := dial(t, a.Addr()) // it waits in the listen backlog
 	writeText(t, c, "hello\n")
-	giveBack, restoreLimit := takeDescriptors(t)
+	freeDescriptors, restoreLimit := exhaustDescriptors(t)
 	defer restoreLimit()
 	close(admitted)
 	_ = c.SetReadDeadline(time.Now().Add(5 * acceptRetryDelay))
 	if _, err := c.Read(make([]byte, 1)); err == nil {
 		t.Error("the connection was served without a descriptor, want it to wait")
 	}
-	giveBack()
+	freeDescriptors()
 	expectText(t, c, "hello\n")
 	_ = c.Close()
 	expectReason(t, closed, ErrPeerClosed)
 }
 
-// Drain accepts the connections that wait in the listener's queue, and serves what was written to them.
+// Drain accepts the connections in the listen backlog, and the requests that were already sent on them are served.
 func TestDrainServesPendingConnections(t *testing.T) {
 	slots, closed := make(chan struct{}), make(chan error, 2)
 	a, stop := accept(t, func() { slots <- struct{}{} }, func(*Conn) Handler { return &echoHandler{closed: closed} })
--- a/internal/transport/outbox_test.go
+++ b/internal/transport/outbox_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// An outbox discards and reports messages that have expired when they are written, and writes the others in order. Without a
-// connection all expiring messages expire.
+// Flush discards the messages that have expired and calls their onExpired, and writes the others in order. Without a connection
+// all expiring messages expire.
 func TestOutboxDropsExpiredMessages(t *testing.T) {
 	closed := make(chan error, 1)
 	s := listen(t, Options{}, func(*Conn) Handler { return &echoHandler{closed: closed} })
@@ -55,8 +55,8 @@
 					t.Errorf("received line: got %q, want %q", line, want)
 				}
 			}
-			if len(expired) != round.expired || !o.Empty() {
-				t.Errorf("got %d expired messages and an empty outbox %v, want %d and true", len(expired), o.Empty(), round.expired)
+			if len(expired) != round.expired || !o.IsEmpty() {
+				t.Errorf("got %d expired messages and an empty outbox %v, want %d and true", len(expired), o.IsEmpty(), round.expired)
 			}
 			putExpiring("e")
 			if o.Flush(nil, func() bool { return true }); len(expired) != round.expired+1 {
